--- a/bench/capacity/feed.go
+++ b/bench/capacity/feed.go
@@ -7,10 +7,10 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/control"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/control"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/bench/capacity/gang.go
+++ b/bench/capacity/gang.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // specText is a job's text for its tasks.
--- a/bench/capacity/group.go
+++ b/bench/capacity/group.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica"
 )
 
 // groupCommand measures a replica group's core with more and more members.
--- a/bench/capacity/links.go
+++ b/bench/capacity/links.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 const (
--- a/bench/capacity/runner.go
+++ b/bench/capacity/runner.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // The machines of hollow runners.
--- a/bench/capacity/state.go
+++ b/bench/capacity/state.go
@@ -5,9 +5,9 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // stateCommand measures what the states weigh, and what it takes to write and to read them.
--- a/bench/capacity/wire.go
+++ b/bench/capacity/wire.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // wireCommand measures what a message costs on a link that is in use already.
--- a/bench/capacity/world.go
+++ b/bench/capacity/world.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 const (
--- a/cmd/ospreylocal/main.go
+++ b/cmd/ospreylocal/main.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"ospreypond/internal/cli"
-	"ospreypond/internal/local/command"
+	"ospreypond/internal/cluster/local/command"
 )
 
 func main() {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"ospreypond/internal/wire"
+	"ospreypond/internal/dispatcher/wire"
 )
 
 func main() {
--- a/internal/cli/fake_test.go
+++ b/internal/cli/fake_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // fakeSystem answers as it was told, and keeps what it was asked.
--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -10,11 +10,11 @@
 	"github.com/go-kit/log/level"
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/agent"
-	"ospreypond/internal/boot"
-	"ospreypond/internal/control"
-	"ospreypond/internal/frontend"
-	"ospreypond/internal/seeds"
+	"ospreypond/internal/cluster/agent"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/control"
+	"ospreypond/internal/cluster/frontend"
+	"ospreypond/internal/cluster/seeds"
 )
 
 // settingsVariable names the settings file of a process of the cluster scheduler.
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/app"
-	"ospreypond/internal/settings"
+	"ospreypond/internal/dispatcher/app"
+	"ospreypond/internal/dispatcher/settings"
 	"ospreypond/internal/store"
 )
 
--- a/internal/cli/system.go
+++ b/internal/cli/system.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // controlVariable holds the addresses of control processes for commands that are not told any.
--- a/internal/cli/system_cluster.go
+++ b/internal/cli/system_cluster.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/protocol"
 )
 
 func (s *systemCommands) newMembers() *cobra.Command {
--- a/internal/cli/system_config.go
+++ b/internal/cli/system_config.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/administration/document"
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/administration/document"
+	"ospreypond/internal/cluster/boot"
 )
 
 // readInput reads a file, or the standard input for "-".
--- a/internal/cli/system_jobs.go
+++ b/internal/cli/system_jobs.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var jobName = regexp.MustCompile("^[0-9a-fA-F]{16}$")
--- a/internal/cli/system_state.go
+++ b/internal/cli/system_state.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/administration/inspect"
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/administration/inspect"
+	"ospreypond/internal/cluster/boot"
 )
 
 func (s *systemCommands) newStateInspect() *cobra.Command {
--- a/internal/cli/system_test.go
+++ b/internal/cli/system_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/protocol"
 
-	faults "ospreypond/internal/failure"
+	faults "ospreypond/internal/cluster/failure"
 )
 
 const job = `{"spec":"x","steps":[{"count":2,"cpu":100}]}`
--- a/internal/cli/traffic.go
+++ b/internal/cli/traffic.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreypond/internal/traffic"
+	"ospreypond/internal/dispatcher/traffic"
 )
 
 func newTraffic(std Streams) *cobra.Command {
--- a/internal/administration/advice.go
+++ b/internal/cluster/administration/advice.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
 )
 
 // Advice returns what an operator can do about a fault of the system, or "" for another error.
--- a/internal/administration/archive/archive_test.go
+++ b/internal/cluster/administration/archive/archive_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica/wal"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/administration/backup.go
+++ b/internal/cluster/administration/backup.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Backup returns the state of every shard. Each one's owner was confirmed after it was asked, so that the state holds
--- a/internal/administration/client.go
+++ b/internal/cluster/administration/client.go
@@ -7,10 +7,10 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/directory"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/directory"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 // reportTime is how long one control process may take to tell how it stands.
--- a/internal/administration/client_test.go
+++ b/internal/cluster/administration/client_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = DescribeTable("addresses that cannot be any", func(said string, addresses ...string) {
--- a/internal/administration/cluster.go
+++ b/internal/cluster/administration/cluster.go
@@ -9,9 +9,9 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 // Reports asks the given control processes, and all that they know of, how they stand. A process that does not answer
--- a/internal/administration/digests.go
+++ b/internal/cluster/administration/digests.go
@@ -6,9 +6,9 @@
 	"slices"
 	"sync"
 
-	"ospreypond/internal/administration/identity"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/administration/identity"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 // Bounds of a comparison of digests.
--- a/internal/administration/document/difference.go
+++ b/internal/cluster/administration/document/difference.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/configuration"
+	"ospreypond/internal/cluster/configuration"
 )
 
 // Difference is what leads from one configuration to another.
--- a/internal/administration/document/document.go
+++ b/internal/cluster/administration/document/document.go
@@ -7,8 +7,8 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // KindOf tells whether a file is a whole configuration or an update, which has "upsert" or "remove".
--- a/internal/administration/document/document_test.go
+++ b/internal/cluster/administration/document/document_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration/document"
+	"ospreypond/internal/cluster/administration/document"
 )
 
 const present = `{"version":5,"routes":[
--- a/internal/administration/fake_test.go
+++ b/internal/cluster/administration/fake_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 // fakeControl answers at an internal address as it was told.
--- a/internal/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -9,9 +9,9 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/administration/identity"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/administration/identity"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica/wal"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/administration/inspect/inspect_test.go
+++ b/internal/cluster/administration/inspect/inspect_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration/inspect"
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/administration/inspect"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica/wal"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -7,11 +7,11 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica/wal"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/administration/jobs.go
+++ b/internal/cluster/administration/jobs.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // document returns the configuration with what it remembers of queues that moved.
--- a/internal/administration/messages.go
+++ b/internal/cluster/administration/messages.go
@@ -3,7 +3,7 @@
 // their internal addresses, and the client that the commands use.
 package administration
 
-import "ospreypond/internal/protocol"
+import "ospreypond/internal/cluster/protocol"
 
 // ReportRequest asks a control process how it stands. Any process answers, from what it knows itself.
 type ReportRequest struct{}
--- a/internal/administration/running_test.go
+++ b/internal/cluster/administration/running_test.go
@@ -11,14 +11,14 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/boot"
-	"ospreypond/internal/control"
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/control"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 	"ospreypond/internal/loopbacktest"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
 )
 
 const startPatience = 20 * time.Second
--- a/internal/administration/submit.go
+++ b/internal/cluster/administration/submit.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/frontend"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/frontend"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/administration/views.go
+++ b/internal/cluster/administration/views.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"ospreypond/internal/administration/identity"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration/identity"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Roles of a control process in its groups.
--- a/internal/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -10,9 +10,9 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Times of an exchange with the runner, which drops an answer that takes longer than a second.
--- a/internal/agent/attempt.go
+++ b/internal/cluster/agent/attempt.go
@@ -6,9 +6,9 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // attempt asks the shard's owner, and its successor if it has one, until one answers or ctx ends. An attempt is over
--- a/internal/agent/caller.go
+++ b/internal/cluster/agent/caller.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // caller has the loops that call runners, where runners are called (commands = invocation): in use is one, that of the
--- a/internal/agent/calls.go
+++ b/internal/cluster/agent/calls.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Paths at a runner that is called.
--- a/internal/agent/carry.go
+++ b/internal/cluster/agent/carry.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // carryOut has the runner do what the owner has ordered in the exchange that began then, stops first.
--- a/internal/agent/cost_test.go
+++ b/internal/cluster/agent/cost_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // busyBeat is the body of a heartbeat of a runner that has many runs.
--- a/internal/agent/doubts.go
+++ b/internal/cluster/agent/doubts.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // runName names one run.
--- a/internal/agent/exchange.go
+++ b/internal/cluster/agent/exchange.go
@@ -8,8 +8,8 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // serveHeartbeat carries one heartbeat to the owner and its orders back.
--- a/internal/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // called is one call that the fake runner has got.
--- a/internal/agent/heartbeat.go
+++ b/internal/cluster/agent/heartbeat.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Fewest fields of a row that say anything.
--- a/internal/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Times of a loop.
--- a/internal/agent/loop_test.go
+++ b/internal/cluster/agent/loop_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // granted are orders that hold what runs.
--- a/internal/agent/orders.go
+++ b/internal/cluster/agent/orders.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strconv"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // appendOrders appends the orders as JSON: what json.Marshal gives, in a small part of its time.
--- a/internal/agent/picture.go
+++ b/internal/cluster/agent/picture.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // runnerClockShare is less than what a runner's clock goes forward in a second of ours; it may be 2% slow.
--- a/internal/agent/process.go
+++ b/internal/cluster/agent/process.go
@@ -6,9 +6,9 @@
 	"github.com/go-kit/log"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/directory"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/relay"
+	"ospreypond/internal/cluster/directory"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/relay"
 )
 
 // ProcessOptions are what a Process is made of.
--- a/internal/agent/registration.go
+++ b/internal/cluster/agent/registration.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // registration is the newest heartbeat of a runner that is called, and what the owner knows of it.
--- a/internal/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -13,10 +13,10 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/relay"
-	"ospreypond/internal/seeds"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/relay"
+	"ospreypond/internal/cluster/seeds"
+	"ospreypond/internal/cluster/transport"
 )
 
 // Times of the runner's connections.
--- a/internal/agent/wire.go
+++ b/internal/cluster/agent/wire.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"strconv"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Usual sizes in an answer.
--- a/internal/agent/wire_test.go
+++ b/internal/cluster/agent/wire_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("a heartbeat's body", func() {
--- a/internal/boot/load.go
+++ b/internal/cluster/boot/load.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 const (
--- a/internal/boot/load_test.go
+++ b/internal/cluster/boot/load_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/failure"
 )
 
 // complete returns the settings of a machine, as a JSON object that a test may change.
--- a/internal/boot/role.go
+++ b/internal/cluster/boot/role.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // Roles that a process may run.
--- a/internal/boot/role_test.go
+++ b/internal/cluster/boot/role_test.go
@@ -4,8 +4,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/failure"
 )
 
 var _ = DescribeTable("what a role needs",
--- a/internal/configuration/command.go
+++ b/internal/cluster/configuration/command.go
@@ -9,8 +9,8 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Command is an operator's order as it stands in the log of the configuration shard.
--- a/internal/configuration/cost_test.go
+++ b/internal/cluster/configuration/cost_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 func bigState(b *testing.B, routes int) *State {
--- a/internal/configuration/difference.go
+++ b/internal/cluster/configuration/difference.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // difference returns an update that makes of before a document which serves as next does, if it is much shorter than
--- a/internal/configuration/digest_test.go
+++ b/internal/cluster/configuration/digest_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 var _ = Describe("a state's digest", func() {
--- a/internal/configuration/random_test.go
+++ b/internal/cluster/configuration/random_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // model is the plainest form of a configuration: routes by name.
--- a/internal/configuration/resend_test.go
+++ b/internal/cluster/configuration/resend_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // step is the change that leads from a version to the next.
--- a/internal/configuration/state.go
+++ b/internal/cluster/configuration/state.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // Bounds of what is remembered of orders.
--- a/internal/configuration/state_test.go
+++ b/internal/cluster/configuration/state_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
 )
 
 // outcome is a command and what must become of it.
--- a/internal/configuration/tail.go
+++ b/internal/cluster/configuration/tail.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // What a tail keeps at most.
--- a/internal/control/account.go
+++ b/internal/cluster/control/account.go
@@ -6,8 +6,8 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/latency"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/latency"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 // accountEvery is the time between two lines of the log about where tasks' time goes.
--- a/internal/control/account_test.go
+++ b/internal/cluster/control/account_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 var _ = Describe("The account of time", func() {
--- a/internal/control/administration.go
+++ b/internal/cluster/control/administration.go
@@ -4,13 +4,13 @@
 	"runtime/metrics"
 	"time"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 // Bounds of what is answered to operators.
--- a/internal/control/caller.go
+++ b/internal/cluster/control/caller.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/control/compress_test.go
+++ b/internal/cluster/control/compress_test.go
@@ -7,9 +7,9 @@
 	"io"
 	"testing"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // BenchmarkCompress packs and unpacks the whole configuration of 20,000 routes as a follower gets it.
--- a/internal/control/configuration_shard.go
+++ b/internal/cluster/control/configuration_shard.go
@@ -6,10 +6,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
 )
 
 // configurationShard is this process's replica of the configuration's shard, and the feed while it leads. All of it
--- a/internal/control/control.go
+++ b/internal/cluster/control/control.go
@@ -14,12 +14,12 @@
 	"github.com/go-kit/log/level"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/scheduler"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/control/endpoint.go
+++ b/internal/cluster/control/endpoint.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"reflect"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/transport"
 )
 
 // endpoint answers requests of one type.
--- a/internal/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Bounds of the feed.
--- a/internal/control/feed_test.go
+++ b/internal/cluster/control/feed_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // fakeSource is a configuration of nothing but a version.
--- a/internal/control/handlers.go
+++ b/internal/cluster/control/handlers.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
 )
 
 // on runs an input of a shard's owner on the loop; wrong tells of a shard that this process does not own.
--- a/internal/control/metrics.go
+++ b/internal/cluster/control/metrics.go
@@ -6,7 +6,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"ospreypond/internal/latency"
+	"ospreypond/internal/cluster/latency"
 )
 
 // accountMetrics are the sums of where tasks' time went, over all that this process owned since its start, in the text
--- a/internal/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -13,11 +13,11 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Bounds of the operator's interface.
--- a/internal/control/operator_test.go
+++ b/internal/cluster/control/operator_test.go
@@ -14,8 +14,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // fakeOwner answers as it was told, and keeps what it was asked.
--- a/internal/control/outofdate_test.go
+++ b/internal/cluster/control/outofdate_test.go
@@ -19,11 +19,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
--- a/internal/control/ownerloop_test.go
+++ b/internal/cluster/control/ownerloop_test.go
@@ -11,13 +11,13 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/transport"
 	"ospreypond/internal/store/vfs"
-	"ospreypond/internal/transport"
 )
 
 // alone is a control process that is the only member of the configuration's group, and leads it.
--- a/internal/control/peers_test.go
+++ b/internal/cluster/control/peers_test.go
@@ -15,9 +15,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/seeds"
 	"ospreypond/internal/loopbacktest"
-	"ospreypond/internal/seeds"
 )
 
 // fakeReplicas runs what it is given at once and keeps the peers it is told.
--- a/internal/control/relays.go
+++ b/internal/cluster/control/relays.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/control/run.go
+++ b/internal/cluster/control/run.go
@@ -13,12 +13,12 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/seeds"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/seeds"
+	"ospreypond/internal/cluster/transport"
 	"ospreypond/internal/store/vfs"
-	"ospreypond/internal/transport"
 )
 
 // running is a Control with its goroutines, sockets and signals.
--- a/internal/control/shard.go
+++ b/internal/cluster/control/shard.go
@@ -6,11 +6,11 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 // jobShard is this process's replica of one shard of jobs, and the owner's decisions while it leads. All of it runs on
--- a/internal/control/shard_test.go
+++ b/internal/cluster/control/shard_test.go
@@ -8,11 +8,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/scheduler"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/deadline/deadline_test.go
+++ b/internal/cluster/deadline/deadline_test.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/deadline"
+	"ospreypond/internal/cluster/deadline"
 )
 
 // asked is a clock that notes the deadlines it is asked for.
--- a/internal/directory/attempts.go
+++ b/internal/cluster/directory/attempts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 const (
--- a/internal/directory/call.go
+++ b/internal/cluster/directory/call.go
@@ -6,9 +6,9 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // attemptTimeout bounds each attempt of a call, so that a silent owner does not use up the whole time.
--- a/internal/directory/decompress.go
+++ b/internal/cluster/directory/decompress.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // mostConfigurationBytes bounds what an answer may come to when it is unpacked.
--- a/internal/directory/directory.go
+++ b/internal/cluster/directory/directory.go
@@ -12,8 +12,8 @@
 	"github.com/go-kit/log"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Caller is what carries calls; transport.Client is one.
--- a/internal/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 var _ = Describe("Over the transport", func() {
--- a/internal/directory/view.go
+++ b/internal/cluster/directory/view.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // view is what is known of the system: who its members are, who owns which shard, and which version of the
--- a/internal/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -7,8 +7,8 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/directory/watch_test.go
+++ b/internal/cluster/directory/watch_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // change is one call of OnConfiguration.
--- a/internal/failure/answers/answers.go
+++ b/internal/cluster/failure/answers/answers.go
@@ -4,7 +4,7 @@
 import (
 	"net/http"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // Answer is what a caller is told for a kind.
--- a/internal/failure/answers/answers_test.go
+++ b/internal/cluster/failure/answers/answers_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
 )
 
 func TestEveryKindHasAnAnswerOfItsOwnName(t *testing.T) {
--- a/internal/frontend/answer.go
+++ b/internal/cluster/frontend/answer.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"sync/atomic"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
 )
 
 // retryAfter is what a client that was refused is told, in whole seconds.
--- a/internal/frontend/ask.go
+++ b/internal/cluster/frontend/ask.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var cancelledBody = []byte("{}")
--- a/internal/frontend/cancel_test.go
+++ b/internal/cluster/frontend/cancel_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/directory"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/directory"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Addresses of control processes in tests of an owner that changes.
--- a/internal/frontend/connection_test.go
+++ b/internal/cluster/frontend/connection_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // heldListener accepts connections whose reads can be held back after the bytes have come.
--- a/internal/frontend/documents.go
+++ b/internal/cluster/frontend/documents.go
@@ -6,9 +6,9 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/directory"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/directory"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // documents turns what the directory hands over into views.
--- a/internal/frontend/documents_test.go
+++ b/internal/cluster/frontend/documents_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const service = `{"name":"huvo11a"},{"name":"wuno96b"}`
--- a/internal/frontend/find.go
+++ b/internal/cluster/frontend/find.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
 )
 
 // target is where a request goes, by one view.
--- a/internal/frontend/frontend.go
+++ b/internal/cluster/frontend/frontend.go
@@ -6,7 +6,7 @@
 	"context"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Directory tells how new this process's knowledge of the configuration is.
--- a/internal/frontend/handin.go
+++ b/internal/cluster/frontend/handin.go
@@ -9,9 +9,9 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // stalePause is how long a hand-in waits for a newer configuration before its owner is asked again.
--- a/internal/frontend/owners.go
+++ b/internal/cluster/frontend/owners.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"ospreypond/internal/directory"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/directory"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // owners carries requests by a directory. All of them may be repeated: each is done once however often it comes.
--- a/internal/frontend/process.go
+++ b/internal/cluster/frontend/process.go
@@ -6,8 +6,8 @@
 	"github.com/go-kit/log"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/directory"
-	"ospreypond/internal/relay"
+	"ospreypond/internal/cluster/directory"
+	"ospreypond/internal/cluster/relay"
 )
 
 // ProcessOptions are what a Process is made of.
--- a/internal/frontend/run.go
+++ b/internal/cluster/frontend/run.go
@@ -8,9 +8,9 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/seeds"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/seeds"
+	"ospreypond/internal/cluster/transport"
 )
 
 // Run serves clients until ctx ends, then stops in order.
--- a/internal/frontend/server.go
+++ b/internal/cluster/frontend/server.go
@@ -14,7 +14,7 @@
 	"github.com/go-kit/log/level"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/deadline"
+	"ospreypond/internal/cluster/deadline"
 )
 
 // Times of an orderly stop, from SIGTERM.
--- a/internal/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -13,9 +13,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // stand is a Server on the loopback.
--- a/internal/frontend/service.go
+++ b/internal/cluster/frontend/service.go
@@ -8,8 +8,8 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
 )
 
 // How new the knowledge of the configuration must be.
--- a/internal/frontend/spec.go
+++ b/internal/cluster/frontend/spec.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Bounds of what a client may hand in.
--- a/internal/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // mostAgeMs is by how much one command can make what is kept older. A time of day that jumps by an hour must not make
--- a/internal/jobs/codec.go
+++ b/internal/cluster/jobs/codec.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // The first byte of an encoded command is the version of its form.
--- a/internal/jobs/codec_test.go
+++ b/internal/cluster/jobs/codec_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // fullStep has every field set.
--- a/internal/jobs/cost_test.go
+++ b/internal/cluster/jobs/cost_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // roundCommand is what an owner decides in one round on a busy shard: hand-ins, ends, starts.
--- a/internal/jobs/gang.go
+++ b/internal/cluster/jobs/gang.go
@@ -1,6 +1,6 @@
 package jobs
 
-import "ospreypond/internal/protocol"
+import "ospreypond/internal/cluster/protocol"
 
 // startAll applies the starts of a command. A gang's are applied all or none.
 func (s *State) startAll(starts []Start) {
--- a/internal/jobs/jobs_suite_test.go
+++ b/internal/cluster/jobs/jobs_suite_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 func TestJobs(t *testing.T) {
--- a/internal/jobs/machine.go
+++ b/internal/cluster/jobs/machine.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // How long things are kept by default.
--- a/internal/jobs/model_draw_test.go
+++ b/internal/cluster/jobs/model_draw_test.go
@@ -5,8 +5,8 @@
 
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var modelRunners = []string{"r1", "r2", "r3"}
--- a/internal/jobs/model_test.go
+++ b/internal/cluster/jobs/model_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // aliveRun is a run that may exist, as the ledger of a model knows it.
--- a/internal/jobs/overview_test.go
+++ b/internal/cluster/jobs/overview_test.go
@@ -4,8 +4,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("what operators are told of jobs", func() {
--- a/internal/jobs/progress.go
+++ b/internal/cluster/jobs/progress.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // mostOpenTasks bounds the tasks of a job's times that are made and not wholly done. Times that fall due beyond it are
--- a/internal/jobs/replicas_test.go
+++ b/internal/cluster/jobs/replicas_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/jobs"
+	"ospreypond/internal/cluster/jobs"
 )
 
 // twin is another replica: it gets each command in its encoded form, and is at times replaced by its own snapshot.
--- a/internal/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // end notes an end that a runner listed, and returns whether it ended the task's present run.
--- a/internal/jobs/runs_test.go
+++ b/internal/cluster/jobs/runs_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = DescribeTable("what a run's end makes of its task",
--- a/internal/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // The first byte of a snapshot is the version of its form.
--- a/internal/jobs/specwire.go
+++ b/internal/cluster/jobs/specwire.go
@@ -1,6 +1,6 @@
 package jobs
 
-import "ospreypond/internal/protocol"
+import "ospreypond/internal/cluster/protocol"
 
 // Bits of a step's flags. Those of amounts say that the amount is there.
 const (
--- a/internal/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -1,6 +1,6 @@
 package jobs
 
-import "ospreypond/internal/protocol"
+import "ospreypond/internal/cluster/protocol"
 
 // Task is one task of a job, at one time K. Its fields are read by the owner and changed only by State.Apply.
 type Task struct {
--- a/internal/jobs/types.go
+++ b/internal/cluster/jobs/types.go
@@ -3,7 +3,7 @@
 // each replica. What is only a guess (which runner has room, what is predicted) is the owner's, in package scheduler.
 package jobs
 
-import "ospreypond/internal/protocol"
+import "ospreypond/internal/cluster/protocol"
 
 // TaskID names a task: its text form is JOB.K.STEP.INDEX.
 type TaskID struct {
--- a/internal/jobs/validate.go
+++ b/internal/cluster/jobs/validate.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Bounds of what a job may be.
--- a/internal/latency/ledger.go
+++ b/internal/cluster/latency/ledger.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Ledger is the account of one owner, from its election on. Times are on the owner's steady clock.
--- a/internal/latency/ledger_test.go
+++ b/internal/cluster/latency/ledger_test.go
@@ -6,9 +6,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/latency"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/latency"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const queueKey = "host/queue/"
--- a/internal/local/command/command.go
+++ b/internal/cluster/local/command/command.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"ospreypond/internal/cli"
-	"ospreypond/internal/local"
+	"ospreypond/internal/cluster/local"
 )
 
 // processProgram is the file name of the program that all processes of a system run.
--- a/internal/local/local.go
+++ b/internal/cluster/local/local.go
@@ -17,11 +17,11 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/administration"
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/boot"
-	"ospreypond/internal/local/runner"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/administration"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/local/runner"
+	"ospreypond/internal/cluster/protocol"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/local/machines.go
+++ b/internal/cluster/local/machines.go
@@ -13,7 +13,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/boot"
 )
 
 // Ports, the same on all machines.
--- a/internal/local/machines_test.go
+++ b/internal/cluster/local/machines_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/administration/archive"
-	"ospreypond/internal/administration/document"
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/administration/document"
+	"ospreypond/internal/cluster/boot"
 )
 
 // freeNetwork returns a network of loopback in which nobody listens at the machines' addresses.
--- a/internal/local/process.go
+++ b/internal/cluster/local/process.go
@@ -12,7 +12,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/boot"
 )
 
 const (
--- a/internal/local/runner/core.go
+++ b/internal/cluster/local/runner/core.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/local/runner/core_test.go
+++ b/internal/cluster/local/runner/core_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/local/runner"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/local/runner"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const second = time.Second
--- a/internal/local/runner/runner.go
+++ b/internal/cluster/local/runner/runner.go
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/placement/bench_test.go
+++ b/internal/cluster/placement/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // busyFleet returns a fleet that is about half full, and held tasks of all sorts.
--- a/internal/placement/day_test.go
+++ b/internal/cluster/placement/day_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // A day plays jobs of a service against the planner in virtual time: with hints that are off, kinds that differ by
--- a/internal/placement/days_test.go
+++ b/internal/cluster/placement/days_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 func newDay(seed uint64, classes []*class, fleet []Runner) *day {
--- a/internal/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 func TestPlacement(t *testing.T) {
--- a/internal/placement/property_test.go
+++ b/internal/cluster/placement/property_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // drawRunners draws a fleet of some runners with runs on them.
--- a/internal/placement/reason.go
+++ b/internal/cluster/placement/reason.go
@@ -1,6 +1,6 @@
 package placement
 
-import "ospreypond/internal/protocol"
+import "ospreypond/internal/cluster/protocol"
 
 // Reason is why a task was not placed in a round, from what is farthest from a placement to what is nearest.
 type Reason uint8
--- a/internal/placement/reason_test.go
+++ b/internal/cluster/placement/reason_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 func TestWhyATaskWaits(t *testing.T) {
--- a/internal/placement/room.go
+++ b/internal/cluster/placement/room.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/placement/types.go
+++ b/internal/cluster/placement/types.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Task is a held task that may be started at once.
--- a/internal/relay/caller.go
+++ b/internal/cluster/relay/caller.go
@@ -14,9 +14,9 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/relay/caller_test.go
+++ b/internal/cluster/relay/caller_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/relay/message.go
+++ b/internal/cluster/relay/message.go
@@ -1,8 +1,8 @@
 package relay
 
 import (
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // wrap returns the request to a relay that makes the call, nil for a call that isn't relayed.
--- a/internal/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/transport"
 )
 
 // Register has a server relay calls, by a client that reaches targets directly: a relay never asks another one. Only
--- a/internal/replica/catchup.go
+++ b/internal/cluster/replica/catchup.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // catchUp tells how well a member's disk follows what is committed. It goes in rounds: a round is over once the disk holds
--- a/internal/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/protocol"
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
--- a/internal/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
--- a/internal/replica/confirm_test.go
+++ b/internal/cluster/replica/confirm_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // interruptedClock calls interrupt each time the loop has read the time, as if the process were frozen right then.
--- a/internal/replica/digest.go
+++ b/internal/cluster/replica/digest.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 const (
--- a/internal/replica/driver.go
+++ b/internal/cluster/replica/driver.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // DiskWork is what a Driver's engine wants done at the disk. Both kinds may be under way at once, each of them once.
--- a/internal/replica/engine.go
+++ b/internal/cluster/replica/engine.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // Engine runs this process's members of all groups.
--- a/internal/replica/engine_test.go
+++ b/internal/cluster/replica/engine_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // idle is a state of things in which nothing is to be done.
--- a/internal/replica/exposure_test.go
+++ b/internal/cluster/replica/exposure_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // disks is what would be left if all machines lost power now.
--- a/internal/replica/group.go
+++ b/internal/cluster/replica/group.go
@@ -6,7 +6,7 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 const (
--- a/internal/replica/leave.go
+++ b/internal/cluster/replica/leave.go
@@ -6,7 +6,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 const (
--- a/internal/replica/leave_test.go
+++ b/internal/cluster/replica/leave_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica/wal"
 )
 
 // departing is a machine that is on its way out.
--- a/internal/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
--- a/internal/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 const (
--- a/internal/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/ginkgo/v2"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // living gives the members of a view that can answer. One that was heard lately but is proven to be gone can't.
--- a/internal/replica/membership_test.go
+++ b/internal/cluster/replica/membership_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // seen makes a member as a leader sees it.
--- a/internal/replica/open.go
+++ b/internal/cluster/replica/open.go
@@ -12,8 +12,8 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica/wal"
 )
 
 // disk is what opening the disk gives.
--- a/internal/replica/outbox.go
+++ b/internal/cluster/replica/outbox.go
@@ -1,6 +1,6 @@
 package replica
 
-import "ospreypond/internal/consensus"
+import "ospreypond/internal/cluster/consensus"
 
 // outbox gathers what a turn sends: one envelope for each address.
 type outbox struct {
--- a/internal/replica/overview.go
+++ b/internal/cluster/replica/overview.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // GroupOverview is what an operator may want to know of this process's member of a group.
--- a/internal/replica/peers.go
+++ b/internal/cluster/replica/peers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // peers is what this process knows of the others, in whatever group.
--- a/internal/replica/peers_test.go
+++ b/internal/cluster/replica/peers_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 var _ = Describe("peers", func() {
--- a/internal/replica/propose.go
+++ b/internal/cluster/replica/propose.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/failure"
 )
 
 const (
--- a/internal/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -13,10 +13,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
-// The timing of control processes, as in internal/control, and their number of groups.
+// The timing of control processes, as in internal/cluster/control, and their number of groups.
 const (
 	controlHeartbeat = 75 * time.Millisecond
 	controlElection  = 320 * time.Millisecond
--- a/internal/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -1,4 +1,4 @@
-// Package replica runs the members of replica groups in one process: it gives the pure cores of internal/consensus
+// Package replica runs the members of replica groups in one process: it gives the pure cores of internal/cluster/consensus
 // their disk, timers and links. One goroutine, the loop, owns all groups and their state machines; one more writes to
 // the disk, so that all groups share one sync. It also keeps the membership: processes whose disk is empty join as
 // learners and take the place of members that were lost.
@@ -10,7 +10,7 @@
 	"github.com/go-kit/log"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/replica/seeds.go
+++ b/internal/cluster/replica/seeds.go
@@ -1,6 +1,6 @@
 package replica
 
-import "ospreypond/internal/consensus"
+import "ospreypond/internal/cluster/consensus"
 
 // SetPeers replaces the internal addresses that are asked for joining, beside the members known already. It is called on
 // the loop.
--- a/internal/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -5,8 +5,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica/wal"
 )
 
 // The bounds of the log. Shares are of Options.DiskBytes.
--- a/internal/replica/states_test.go
+++ b/internal/cluster/replica/states_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/configuration"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/configuration"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // The groups of a cluster with the state machines that ship.
--- a/internal/replica/succession_test.go
+++ b/internal/cluster/replica/succession_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // controlCluster has machines with control's own timing, all of which vote.
--- a/internal/replica/wal/batch.go
+++ b/internal/cluster/replica/wal/batch.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"hash/crc32"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // frameKind tells what a frame in a batch holds.
--- a/internal/replica/wal/decode.go
+++ b/internal/cluster/replica/wal/decode.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 )
 
 // errFrame is what a batch gives that is sound as bytes but not as frames: another program wrote it.
--- a/internal/replica/wal/recover.go
+++ b/internal/cluster/replica/wal/recover.go
@@ -11,7 +11,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 	"ospreypond/internal/store/vfs"
 )
 
--- a/internal/replica/wal/wal_test.go
+++ b/internal/cluster/replica/wal/wal_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/consensus"
+	"ospreypond/internal/cluster/consensus"
 	"ospreypond/internal/store/vfs"
 	"ospreypond/internal/store/vfs/vfstest"
 )
--- a/internal/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -6,8 +6,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/replica/wal"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/replica/wal"
 )
 
 // never is a deadline that does not come.
--- a/internal/scheduler/account.go
+++ b/internal/cluster/scheduler/account.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/latency"
-	"ospreypond/internal/placement"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/latency"
+	"ospreypond/internal/cluster/placement"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // LateJob is a job that has ended beyond its objective, and why.
--- a/internal/scheduler/clients.go
+++ b/internal/cluster/scheduler/clients.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // waitingReplies are the replies owed once a command is applied, in the order of its parts.
--- a/internal/scheduler/commands.go
+++ b/internal/cluster/scheduler/commands.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/jobs"
+	"ospreypond/internal/cluster/jobs"
 )
 
 // Take returns the next command to propose, or nil. One command is in flight at a time: the shell reports it by Applied
--- a/internal/scheduler/ending_test.go
+++ b/internal/cluster/scheduler/ending_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("A runner that says that it ends, and serves on", func() {
--- a/internal/scheduler/headroom.go
+++ b/internal/cluster/scheduler/headroom.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/placement"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/placement"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
--- a/internal/scheduler/headroom_test.go
+++ b/internal/cluster/scheduler/headroom_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("Room for urgent work", func() {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Heartbeat takes a runner's report. The reply comes within Options.AnswerAfter.
--- a/internal/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // placeTaken tells that another incarnation was heard from the heartbeat's address so lately that the heartbeat may be an
--- a/internal/scheduler/late_test.go
+++ b/internal/cluster/scheduler/late_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("A heartbeat that comes late", func() {
--- a/internal/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/latency"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/latency"
 )
 
 // withdraw deals with runs that were to start there and that the newest heartbeat does not list: every earlier answer is
--- a/internal/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // answer sends the orders for a runner's newest heartbeat.
--- a/internal/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // RunnerOverview is what an operator may want to know of a runner.
--- a/internal/scheduler/overview_test.go
+++ b/internal/cluster/scheduler/overview_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 var _ = Describe("what operators are told of runners", func() {
--- a/internal/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -7,10 +7,10 @@
 import (
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/latency"
-	"ospreypond/internal/placement"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/latency"
+	"ospreypond/internal/cluster/placement"
 )
 
 // Owner is the owner of one shard. It is used by one goroutine.
--- a/internal/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -6,10 +6,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 // unknownID is that of a job that was never handed in.
--- a/internal/scheduler/rejected_test.go
+++ b/internal/cluster/scheduler/rejected_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("a start that a runner certainly never carries out", func() {
--- a/internal/scheduler/reportedruns.go
+++ b/internal/cluster/scheduler/reportedruns.go
@@ -4,8 +4,8 @@
 	"sort"
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // takeFinished proposes the ends that the shard has not got yet.
--- a/internal/scheduler/round.go
+++ b/internal/cluster/scheduler/round.go
@@ -4,10 +4,10 @@
 	"sort"
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/latency"
-	"ospreypond/internal/placement"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/latency"
+	"ospreypond/internal/cluster/placement"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // round places held tasks, if there is cause for it.
--- a/internal/scheduler/runner.go
+++ b/internal/cluster/scheduler/runner.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // runner is what the owner knows of one incarnation of a runner.
--- a/internal/scheduler/watch.go
+++ b/internal/cluster/scheduler/watch.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // outcomes is a runner's record of late: what share of what it began it failed or let stand still.
--- a/internal/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -5,9 +5,9 @@
 
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/jobs"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/scheduler"
+	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/scheduler"
 )
 
 const (
--- a/internal/seeds/seeds.go
+++ b/internal/cluster/seeds/seeds.go
@@ -14,7 +14,7 @@
 	"github.com/go-kit/log/level"
 	"github.com/jonboulle/clockwork"
 
-	"ospreypond/internal/boot"
+	"ospreypond/internal/cluster/boot"
 )
 
 const (
--- a/internal/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Names of the rules.
--- a/internal/simulation/audit_configuration_test.go
+++ b/internal/cluster/simulation/audit_configuration_test.go
@@ -4,7 +4,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // withProbe is the first configuration's routes and others.
--- a/internal/simulation/audit_jobs.go
+++ b/internal/cluster/simulation/audit_jobs.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // checkAsked: only what a client sent, as it was sent.
--- a/internal/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // checkLimit: a runner that does not guard its capacity is not brought over it.
--- a/internal/simulation/audit_test.go
+++ b/internal/cluster/simulation/audit_test.go
@@ -4,7 +4,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = Describe("The auditor", func() {
--- a/internal/simulation/client.go
+++ b/internal/cluster/simulation/client.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Frontend is what clients call. The reply is called at most once; without it the client hears nothing. Each call returns
--- a/internal/simulation/cluster/agent.go
+++ b/internal/cluster/simulation/cluster/agent.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"net/url"
 
-	"ospreypond/internal/agent"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/agent"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // agentPort is one life of an agent: the shipped one, without its sockets.
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/cluster/simulation/cluster/cluster.go
@@ -7,9 +7,9 @@
 
 	"github.com/go-kit/log"
 
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // Cluster is the scheduler's processes on a deployment's machines.
--- a/internal/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // Days make much garbage and hold little: collecting it less often halves their time.
--- a/internal/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 	"time"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/consensus"
-	"ospreypond/internal/control"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/replica"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/consensus"
+	"ospreypond/internal/cluster/control"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/simulation"
 )
 
 const (
--- a/internal/simulation/cluster/frontend.go
+++ b/internal/cluster/simulation/cluster/frontend.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"ospreypond/internal/frontend"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/frontend"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // frontendPort is one life of a frontend: the shipped one, without its sockets.
--- a/internal/simulation/cluster/history_test.go
+++ b/internal/cluster/simulation/cluster/history_test.go
@@ -14,8 +14,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // noReturn is the time of the end of a call whose outcome is not known: it may take effect at any time, or never.
--- a/internal/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -5,8 +5,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ospreypond/internal/replica"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // observer stands between an engine and a state machine: it compares what the replicas of a group apply, and the states
--- a/internal/simulation/cluster/observer_test.go
+++ b/internal/cluster/simulation/cluster/observer_test.go
@@ -4,8 +4,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/replica"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/replica"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // text is a state machine whose state is all that was applied.
--- a/internal/simulation/cluster/operator.go
+++ b/internal/cluster/simulation/cluster/operator.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"net/url"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // operatorPort is a control process's interface to the operator.
--- a/internal/simulation/cluster/run.go
+++ b/internal/cluster/simulation/cluster/run.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // Options are what a run may be told; what is left out is drawn from the seed.
@@ -56,7 +56,7 @@
 		fmt.Fprintf(&text, "\n  diverged: %s", diverged)
 	}
 	if r.Failed() {
-		fmt.Fprintf(&text, "\n  replay: SIMULATION_SEED=%d go test ./internal/simulation/cluster", r.Seed)
+		fmt.Fprintf(&text, "\n  replay: SIMULATION_SEED=%d go test ./internal/cluster/simulation/cluster", r.Seed)
 	}
 	return text.String()
 }
--- a/internal/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // runnerConn is an agent's connection to the runner of its machine, as net.Conn. Each Write is a whole request.
--- a/internal/simulation/cluster/shell.go
+++ b/internal/cluster/simulation/cluster/shell.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // shell runs one life of a process: shipped code, with its goroutines. Its clock, its messages
--- a/internal/simulation/cluster/shell_caller.go
+++ b/internal/cluster/simulation/cluster/shell_caller.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"time"
 
-	"ospreypond/internal/failure"
-	"ospreypond/internal/transport"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/transport"
 )
 
 // caller carries a shell's calls to control processes over the simulated network, as transport.Client does over the real
--- a/internal/simulation/cluster/shell_test.go
+++ b/internal/cluster/simulation/cluster/shell_test.go
@@ -9,10 +9,10 @@
 
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/deadline"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/protocol"
-	"ospreypond/internal/simulation"
+	"ospreypond/internal/cluster/deadline"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/simulation"
 )
 
 // shellBed is one machine with a shell, and a deployment around it whose control processes are off.
--- a/internal/simulation/day.go
+++ b/internal/cluster/simulation/day.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Day is how a simulated day goes.
--- a/internal/simulation/deployment.go
+++ b/internal/cluster/simulation/deployment.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Size is how large a deployment is.
--- a/internal/simulation/execution.go
+++ b/internal/cluster/simulation/execution.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // execution is one run that exists on a runner.
--- a/internal/simulation/gang.go
+++ b/internal/cluster/simulation/gang.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // arrive counts a member of a gang as present; once all of a run are there, they work.
--- a/internal/simulation/ledger.go
+++ b/internal/cluster/simulation/ledger.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Never is the time of what has not happened.
--- a/internal/simulation/load.go
+++ b/internal/cluster/simulation/load.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Class is a kind of jobs that clients hand in.
--- a/internal/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Agent is what a runner calls on its machine. A heartbeat returns what tells the agent that the runner has left.
--- a/internal/simulation/runner_call.go
+++ b/internal/cluster/simulation/runner_call.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // Paths of the calls to a runner.
--- a/internal/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // start begins a run as ordered, or lists it as refused.
--- a/internal/simulation/truth.go
+++ b/internal/cluster/simulation/truth.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreypond/internal/protocol"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // jobTruth is what a job's tasks really take: the clients know it, the scheduler doesn't.
--- a/internal/transport/answers_test.go
+++ b/internal/cluster/transport/answers_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // lingering is a connection whose reads go on after it was closed, as bytes do that the kernel has handed over before.
--- a/internal/transport/calls_test.go
+++ b/internal/cluster/transport/calls_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 var _ = Describe("Calls", func() {
--- a/internal/transport/client.go
+++ b/internal/cluster/transport/client.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // Client calls other processes. It keeps one connection for each address, made when first needed.
--- a/internal/transport/connection.go
+++ b/internal/cluster/transport/connection.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // call is one call that waits for its answer.
--- a/internal/transport/faults_test.go
+++ b/internal/cluster/transport/faults_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // calling starts a call and returns where its end comes out.
--- a/internal/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // A connection starts with a greeting from each side: magic, version, name. Frames follow: four bytes of length, then
--- a/internal/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 type greetedRequest struct{ Number int }
--- a/internal/transport/handle.go
+++ b/internal/cluster/transport/handle.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 // longestWaitMs bounds what a caller may say it waits.
--- a/internal/transport/outbox.go
+++ b/internal/cluster/transport/outbox.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"ospreypond/internal/failure"
+	"ospreypond/internal/cluster/failure"
 )
 
 const (
--- a/internal/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -17,15 +17,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/config"
-	"ospreypond/internal/console"
-	"ospreypond/internal/coordinator"
-	"ospreypond/internal/egress"
-	"ospreypond/internal/ingress"
-	"ospreypond/internal/lifecycle"
-	"ospreypond/internal/routetable"
+	"ospreypond/internal/dispatcher/config"
+	"ospreypond/internal/dispatcher/console"
+	"ospreypond/internal/dispatcher/coordinator"
+	"ospreypond/internal/dispatcher/egress"
+	"ospreypond/internal/dispatcher/ingress"
+	"ospreypond/internal/dispatcher/lifecycle"
+	"ospreypond/internal/dispatcher/routetable"
+	"ospreypond/internal/dispatcher/traffic"
 	"ospreypond/internal/store"
-	"ospreypond/internal/traffic"
 	"ospreypond/policy"
 )
 
--- a/internal/app/errors_test.go
+++ b/internal/dispatcher/app/errors_test.go
@@ -40,7 +40,7 @@
 		}))
 	}
 	require.NotEmpty(t, inCode)
-	page, err := os.ReadFile("../../docs/oncall.md")
+	page, err := os.ReadFile("../../../docs/oncall.md")
 	require.NoError(t, err)
 	_, section, found := strings.Cut(string(page), "## Errors by type")
 	require.True(t, found)
--- a/internal/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -9,13 +9,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/config"
-	"ospreypond/internal/coordinator"
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/packet"
-	"ospreypond/internal/fleet/share"
-	"ospreypond/internal/fleet/udp"
-	"ospreypond/internal/settings"
+	"ospreypond/internal/dispatcher/config"
+	"ospreypond/internal/dispatcher/coordinator"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/packet"
+	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/udp"
+	"ospreypond/internal/dispatcher/settings"
 )
 
 // turns is how often within tipAfterUs the module counts anew what it sent to a cold runner, and second the time in which it
--- a/internal/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"ospreypond/internal/fleet"
+	"ospreypond/internal/dispatcher/fleet"
 )
 
 // fleetView is what GET /fleet answers.
--- a/internal/app/operator.go
+++ b/internal/dispatcher/app/operator.go
@@ -11,10 +11,10 @@
 	"github.com/google/renameio/v2"
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/console"
-	"ospreypond/internal/ingress"
-	"ospreypond/internal/maintenance"
-	"ospreypond/internal/routetable"
+	"ospreypond/internal/dispatcher/console"
+	"ospreypond/internal/dispatcher/ingress"
+	"ospreypond/internal/dispatcher/maintenance"
+	"ospreypond/internal/dispatcher/routetable"
 	"ospreypond/policy"
 )
 
--- a/internal/app/operator_test.go
+++ b/internal/dispatcher/app/operator_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/ingress"
-	"ospreypond/internal/lifecycle"
-	"ospreypond/internal/routetable"
+	"ospreypond/internal/dispatcher/ingress"
+	"ospreypond/internal/dispatcher/lifecycle"
+	"ospreypond/internal/dispatcher/routetable"
 	"ospreypond/policy"
 )
 
--- a/internal/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -14,7 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/routetable"
+	"ospreypond/internal/dispatcher/routetable"
 	"ospreypond/policy"
 )
 
--- a/internal/egress/answer.go
+++ b/internal/dispatcher/egress/answer.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"ospreypond/internal/config"
+	"ospreypond/internal/dispatcher/config"
 	"ospreypond/policy"
 )
 
--- a/internal/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 	"ospreypond/policy"
 )
 
--- a/internal/egress/egress.go
+++ b/internal/dispatcher/egress/egress.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/config"
-	"ospreypond/internal/routetable"
+	"ospreypond/internal/dispatcher/config"
+	"ospreypond/internal/dispatcher/routetable"
 )
 
 var (
--- a/internal/egress/egress_test.go
+++ b/internal/dispatcher/egress/egress_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/config"
-	"ospreypond/internal/coordinator"
-	"ospreypond/internal/routetable"
+	"ospreypond/internal/dispatcher/config"
+	"ospreypond/internal/dispatcher/coordinator"
+	"ospreypond/internal/dispatcher/routetable"
 	"ospreypond/policy"
 )
 
--- a/internal/egress/endings_test.go
+++ b/internal/dispatcher/egress/endings_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/config"
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/config"
+	"ospreypond/internal/dispatcher/coordinator"
 	"ospreypond/policy"
 )
 
--- a/internal/egress/probe.go
+++ b/internal/dispatcher/egress/probe.go
@@ -6,7 +6,7 @@
 	"io"
 	"net/http"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 	"ospreypond/policy"
 )
 
--- a/internal/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/packet"
-	"ospreypond/internal/fleet/share"
-	"ospreypond/internal/fleet/virtual"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/packet"
+	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
 var (
--- a/internal/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -21,7 +21,7 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/share"
 )
 
 // State is what a member is held to be.
--- a/internal/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/share"
-	"ospreypond/internal/fleet/virtual"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
 const tick = 500 * time.Millisecond // the probe interval
--- a/internal/fleet/packet.go
+++ b/internal/dispatcher/fleet/packet.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ospreypond/internal/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/share"
 )
 
 // Kind says what a packet is for.
--- a/internal/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -21,8 +21,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/share"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/share"
 )
 
 const (
--- a/internal/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/share"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/share"
 )
 
 func codec(t require.TestingT, name, key string) *Codec {
--- a/internal/fleet/udp/read.go
+++ b/internal/dispatcher/fleet/udp/read.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ospreypond/internal/fleet/packet"
+	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
 // read brings what comes through the socket, until it is closed.
--- a/internal/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/packet"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
 const (
--- a/internal/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/packet"
-	"ospreypond/internal/fleet/share"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/packet"
+	"ospreypond/internal/dispatcher/fleet/share"
 )
 
 const patience = 20 * time.Second
--- a/internal/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/fleet"
+	"ospreypond/internal/dispatcher/fleet"
 )
 
 // Link is what happens to a datagram on its way.
--- a/internal/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/gang"
-	"ospreypond/internal/gang/virtual"
+	"ospreypond/internal/dispatcher/gang"
+	"ospreypond/internal/dispatcher/gang/virtual"
 )
 
 var figures = flag.Bool("figures", false, "measure the figures in docs/gangs.md; takes minutes")
--- a/internal/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/gang"
-	"ospreypond/internal/gang/virtual"
+	"ospreypond/internal/dispatcher/gang"
+	"ospreypond/internal/dispatcher/gang/virtual"
 )
 
 var (
@@ -71,7 +71,7 @@
 			taken[step] += n
 		}
 		if t.Failed() {
-			t.Fatalf("replay by: go test ./internal/gang -run RandomFaults -seed %d", s)
+			t.Fatalf("replay by: go test ./internal/dispatcher/gang -run RandomFaults -seed %d", s)
 		}
 		if *seed != 0 {
 			return
--- a/internal/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -21,7 +21,7 @@
 	"net/url"
 	"time"
 
-	"ospreypond/internal/gang"
+	"ospreypond/internal/dispatcher/gang"
 )
 
 // The bounds on what is read of an answer.
--- a/internal/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/gang"
-	"ospreypond/internal/gang/register/registertest"
+	"ospreypond/internal/dispatcher/gang"
+	"ospreypond/internal/dispatcher/gang/register/registertest"
 )
 
 func record(name, mark string) *gang.Record {
--- a/internal/gang/register/registertest/registertest.go
+++ b/internal/dispatcher/gang/register/registertest/registertest.go
@@ -13,7 +13,7 @@
 	"strings"
 	"sync"
 
-	"ospreypond/internal/gang"
+	"ospreypond/internal/dispatcher/gang"
 )
 
 // Effect is one write that took effect.
--- a/internal/gang/virtual/register.go
+++ b/internal/dispatcher/gang/virtual/register.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ospreypond/internal/gang"
+	"ospreypond/internal/dispatcher/gang"
 )
 
 // register is the store that the gangs' records and states are in, with a bandwidth of its own.
--- a/internal/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/gang"
+	"ospreypond/internal/dispatcher/gang"
 )
 
 // Options describe a world.
--- a/internal/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ospreypond/internal/gang"
+	"ospreypond/internal/dispatcher/gang"
 )
 
 func (w *World) jobs(name string, generation uint64) []*job {
--- a/internal/ingress/closing_test.go
+++ b/internal/dispatcher/ingress/closing_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ospreypond/internal/coordinator"
-	"ospreypond/internal/lifecycle"
+	"ospreypond/internal/dispatcher/coordinator"
+	"ospreypond/internal/dispatcher/lifecycle"
 	"ospreypond/policy"
 )
 
--- a/internal/ingress/deadline_test.go
+++ b/internal/dispatcher/ingress/deadline_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 )
 
 // Guards against clients that send in pieces being cut off while the pieces keep coming: what counts is the
--- a/internal/ingress/drain_test.go
+++ b/internal/dispatcher/ingress/drain_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/coordinator"
-	"ospreypond/internal/lifecycle"
+	"ospreypond/internal/dispatcher/coordinator"
+	"ospreypond/internal/dispatcher/lifecycle"
 	"ospreypond/policy"
 )
 
--- a/internal/ingress/giveup_test.go
+++ b/internal/dispatcher/ingress/giveup_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 )
 
 // Guards against requests that vanish unsaid: each one given up before the coordinator sees it is counted once, under
--- a/internal/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/coordinator"
-	"ospreypond/internal/lifecycle"
+	"ospreypond/internal/dispatcher/coordinator"
+	"ospreypond/internal/dispatcher/lifecycle"
 	"ospreypond/policy"
 )
 
--- a/internal/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/config"
+	"ospreypond/internal/dispatcher/config"
 )
 
 // speakIn is how long a connection has to speak before it may have to make room. Guards against a burst of silent
--- a/internal/ingress/parse.go
+++ b/internal/dispatcher/ingress/parse.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 )
 
 const (
--- a/internal/routetable/disabled_test.go
+++ b/internal/dispatcher/routetable/disabled_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/maintenance"
+	"ospreypond/internal/dispatcher/maintenance"
 	"ospreypond/policy"
 )
 
--- a/internal/routetable/table.go
+++ b/internal/dispatcher/routetable/table.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ospreypond/internal/maintenance"
+	"ospreypond/internal/dispatcher/maintenance"
 	"ospreypond/policy"
 )
 
--- a/internal/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -11,7 +11,7 @@
 
 func TestTheExampleWorks(t *testing.T) {
 	for number, listen := range []string{"127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"} {
-		s, err := Read("../../deploy/fleet.star", Me{Name: "d", Number: number})
+		s, err := Read("../../../deploy/fleet.star", Me{Name: "d", Number: number})
 		require.NoError(t, err)
 		assert.Equal(t, listen, s.Fleet.Listen)
 		assert.Equal(t, 500*time.Millisecond, s.Fleet.Interval)
--- a/internal/traffic/record.go
+++ b/internal/dispatcher/traffic/record.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"time"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 )
 
 // Record is one request as it is stored and exported. Times are whole microseconds. There are no bodies in it, and of
--- a/internal/traffic/recorder.go
+++ b/internal/dispatcher/traffic/recorder.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 	"ospreypond/internal/store"
 )
 
--- a/internal/traffic/recorder_test.go
+++ b/internal/dispatcher/traffic/recorder_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"ospreypond/internal/coordinator"
+	"ospreypond/internal/dispatcher/coordinator"
 	"ospreypond/internal/store"
 	"ospreypond/internal/store/vfs/vfstest"
 	"ospreypond/policy"
--- a/internal/wire/fields.go
+++ b/internal/dispatcher/wire/fields.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"ospreypond/internal/config"
+	"ospreypond/internal/dispatcher/config"
 	"ospreypond/policy"
 )
 
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreypond/internal/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/share"
 )
 
 // dead has the schedulers for which is says so die as the worker starts, while those left are told whose numbers pass to
--- a/test/ci/cores_test.go
+++ b/test/ci/cores_test.go
@@ -12,7 +12,10 @@
 // Guards against cores that can do input or output: what decides takes inputs and tells what is to be done, so that it can
 // be played in virtual time.
 func TestCoresReachNoNetwork(t *testing.T) {
-	for _, core := range []string{"assignment", "configuration", "consensus", "failure", "jobs", "placement", "protocol", "scheduler"} {
+	for _, core := range []string{
+		"assignment", "cluster/configuration", "cluster/consensus", "cluster/failure", "cluster/jobs", "cluster/placement", "cluster/protocol",
+		"cluster/scheduler",
+	} {
 		out, err := exec.Command("go", "list", "-deps", "ospreypond/internal/"+core).Output()
 		require.NoError(t, err, core)
 		for name := range strings.Lines(string(out)) {
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -16,9 +16,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/boot"
-	"ospreypond/internal/failure"
-	"ospreypond/internal/failure/answers"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/failure/answers"
 )
 
 func TestDocs(t *testing.T) {
@@ -216,8 +216,9 @@
 var (
 	logCall    = regexp.MustCompile(`\.Log\("(?:msg|message)", "([^"]+)"`)
 	debugCall  = regexp.MustCompile(`level\.Debug\(`)
-	rolesFiles = []string{"agent", "boot", "cli/roles.go", "configuration", "consensus", "control", "directory", "frontend",
-		"jobs", "placement", "replica", "scheduler", "seeds", "transport"}
+	rolesFiles = []string{"cli/roles.go", "cluster/agent", "cluster/boot", "cluster/configuration", "cluster/consensus",
+		"cluster/control", "cluster/directory", "cluster/frontend", "cluster/jobs", "cluster/placement", "cluster/replica",
+		"cluster/scheduler", "cluster/seeds", "cluster/transport"}
 )
 
 // logLines are the lines of level info and above that the code of the roles has.
--- a/test/stories/gangs_test.go
+++ b/test/stories/gangs_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/cucumber/godog"
 
-	"ospreypond/internal/gang"
-	"ospreypond/internal/gang/virtual"
+	"ospreypond/internal/dispatcher/gang"
+	"ospreypond/internal/dispatcher/gang/virtual"
 )
 
 // gangStory is one scenario's world of gangs.
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/cucumber/godog"
 
-	"ospreypond/internal/fleet"
-	"ospreypond/internal/fleet/share"
-	"ospreypond/internal/fleet/virtual"
+	"ospreypond/internal/dispatcher/fleet"
+	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
 var seed = flag.Uint64("seed", 0, "the seed of every story; 0: each has its own, which a failing one prints")
