--- a/cmd/ospreylocal/main.go
+++ b/cmd/localcluster/main.go
@@ -1,11 +1,11 @@
-// Command ospreylocal runs a small system on this machine: the processes of ospreypond, and stand-in runners.
+// Command localcluster runs a small system on this machine: the processes of ospreypond, and stand-in runners.
 package main
 
 import (
 	"os"
 
 	"ospreypond/internal/cli"
-	"ospreypond/internal/cluster/local/command"
+	"ospreypond/internal/cluster/localcluster/command"
 )
 
 func main() {
--- /dev/null
+++ b/cmd/policysim/main.go
@@ -0,0 +1,16 @@
+// Command policysim hosts dispatchers on the simulator's wire, over standard input and output.
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"ospreypond/internal/dispatcher/simulator"
+)
+
+func main() {
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "policysim:", err)
+		os.Exit(1)
+	}
+}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -84,7 +84,7 @@
 		Use:   "ospreypond",
 		Short: "A cluster scheduler for jobs, and a dispatcher of requests",
 		Long: "ospreypond is a cluster scheduler for jobs, and a dispatcher of requests: it has runners do them, each with exactly\n" +
-			"one final answer. 'ospreylocal --dir DIR' runs a small scheduler on this machine. Without a command it serves as\n" +
+			"one final answer. 'localcluster --dir DIR' runs a small scheduler on this machine. Without a command it serves as\n" +
 			"a dispatcher.",
 		RunE: serve.RunE,
 		Args: cobra.NoArgs,
--- a/internal/cli/system_state.go
+++ b/internal/cli/system_state.go
@@ -185,7 +185,7 @@
 			"themselves. Start frontends and runners anew, too, since they have seen a later state.",
 		Example: "  ospreypond restore monday.backup --settings /etc/ospreypond/boot.json\n" +
 			"  ospreypond restore monday.backup --dir /data --node control-1 --zone a --address 10.0.0.1:7380\n" +
-			"  ospreylocal --dir /tmp/again --restore monday.backup"}
+			"  localcluster --dir /tmp/again --restore monday.backup"}
 	c.RunE = func(command *cobra.Command, args []string) error {
 		if err := made.checkOutput(); err != nil {
 			return err
--- a/internal/cluster/local/attributes_linux.go
+++ b/internal/cluster/localcluster/attributes_linux.go
@@ -1,4 +1,4 @@
-package local
+package localcluster
 
 import "syscall"
 
--- a/internal/cluster/local/command/command_test.go
+++ b/internal/cluster/localcluster/command/command_test.go
@@ -35,7 +35,7 @@
 		Expect(err).To(ContainSubstring(said))
 		Expect(filepath.Glob(filepath.Join(parent, "*"))).To(BeEmpty())
 	},
-	Entry("no folder", "", 2, "ospreylocal: --dir is missing\nSee 'ospreylocal --help'."),
+	Entry("no folder", "", 2, "localcluster: --dir is missing\nSee 'localcluster --help'."),
 	Entry("an argument too many", "now --dir DIR", 2, `unknown command "now"`),
 	Entry("an unknown flag", "--dir DIR --why", 2, "unknown flag: --why"),
 	Entry("a network that is not loopback", "--dir DIR --network 10.0.0", 1, `network "10.0.0" is not of the form 127.N.N`),
@@ -46,5 +46,5 @@
 var _ = It("shows help with examples", func() {
 	status, out, _ := command("--help")
 	Expect(status).To(BeZero())
-	Expect(out).To(ContainSubstring("Examples:\n  ospreylocal --dir "))
+	Expect(out).To(ContainSubstring("Examples:\n  localcluster --dir "))
 })
--- a/internal/cluster/local/demonstration.go
+++ b/internal/cluster/localcluster/demonstration.go
@@ -1,4 +1,4 @@
-package local
+package localcluster
 
 // Host and Prefix name the queue that a new local system has.
 const (
--- a/internal/cluster/local/local.go
+++ b/internal/cluster/localcluster/local.go
@@ -1,4 +1,4 @@
-package local
+package localcluster
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"ospreypond/internal/cluster/administration"
 	"ospreypond/internal/cluster/administration/archive"
 	"ospreypond/internal/cluster/boot"
-	"ospreypond/internal/cluster/local/runner"
+	"ospreypond/internal/cluster/localcluster/runner"
 	"ospreypond/internal/cluster/protocol"
 	"ospreypond/internal/store/vfs"
 )
--- a/internal/cluster/local/machines.go
+++ b/internal/cluster/localcluster/machines.go
@@ -1,6 +1,6 @@
 // Package local runs a small system on this machine, over loopback: three control processes, two frontends, and two
 // agents with stand-in runners. The processes are real ones of this program; only the runners live in this process.
-package local
+package localcluster
 
 import (
 	"encoding/json"
--- a/internal/cluster/local/runner/core_test.go
+++ b/internal/cluster/localcluster/runner/core_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ospreypond/internal/cluster/local/runner"
+	"ospreypond/internal/cluster/localcluster/runner"
 	"ospreypond/internal/cluster/protocol"
 )
 
--- a/internal/dispatcher/app/errors_test.go
+++ b/internal/dispatcher/app/errors_test.go
@@ -18,7 +18,7 @@
 // The on-call page lists every type of error of the parts that operators start, reload and watch, and no other.
 func TestOnCallListsTheErrors(t *testing.T) {
 	inCode := map[string]bool{}
-	for _, dir := range []string{"app", "config", "settings", "fleet"} {
+	for _, dir := range []string{"app", "config", "script", "fleet"} {
 		require.NoError(t, filepath.WalkDir(filepath.Join("..", dir), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -13,9 +13,9 @@
 	"ospreypond/internal/dispatcher/coordinator"
 	"ospreypond/internal/dispatcher/fleet"
 	"ospreypond/internal/dispatcher/fleet/packet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 	"ospreypond/internal/dispatcher/fleet/udp"
-	"ospreypond/internal/dispatcher/settings"
+	"ospreypond/internal/dispatcher/script"
 )
 
 // turns is how often within tipAfterUs the module counts anew what it sent to a cold runner, and second the time in which it
@@ -56,7 +56,7 @@
 	if path == "" {
 		return &peers{}, nil
 	}
-	s, err := settings.Read(path, settings.Me{Name: cfg.Name, Number: cfg.Settings.SlotNo})
+	s, err := script.Read(path, script.Me{Name: cfg.Name, Number: cfg.Settings.SlotNo})
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 				"put each dispatcher's address at the place of its slotNo"}
 		}
 		fc.Refusals, fc.Roster = true, f.Roster
-		fc.Share = share.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.TipAfter/turns, second)}
+		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.TipAfter/turns, second)}
 	}
 	if err := p.fits(cfg); err != nil {
 		return nil, err
--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -10,7 +10,7 @@
 
 	"ospreypond/internal/dispatcher/fleet"
 	"ospreypond/internal/dispatcher/fleet/packet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
@@ -98,7 +98,7 @@
 func inADisaster(t *testing.T, n int) {
 	opt := options(uint64(n))
 	opt.Config.Refusals = true
-	opt.Config.Share = share.Config{Size: n, Lease: 15 * tick, Pause: 2 * tick}
+	opt.Config.Share = quota.Config{Size: n, Lease: 15 * tick, Pause: 2 * tick}
 	w := virtual.New(n, opt)
 	for _, node := range w.Nodes {
 		require.NoError(t, w.Start(node))
--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -21,7 +21,7 @@
 	"strings"
 	"time"
 
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
 // State is what a member is held to be.
@@ -75,7 +75,7 @@
 	// Roster has the address of each number's socket. With Refusals, numbers of the dead pass to the living by it.
 	Roster []string
 	// Share cuts budgets by number; it is used with Refusals and a Roster.
-	Share share.Config
+	Share quota.Config
 	// Forget is how long a member that is dead is remembered and knocked at. 0: 24 hours.
 	Forget time.Duration
 	// MostMembers bounds the view. 0: 4096.
@@ -182,7 +182,7 @@
 	cfg     Config
 	rng     *rand.Rand
 	self    Record
-	shares  *share.Ledger
+	shares  *quota.Ledger
 	members map[string]*member
 	byAddr  map[string]*member
 	living  []*member // in the order of the present round of probes; those behind next come next
@@ -242,7 +242,7 @@
 	c.lastID = c.rng.Uint64() >> 16
 	if cfg.Refusals && len(cfg.Roster) > 0 {
 		var err error
-		if c.shares, err = share.New(cfg.Share, now); err != nil {
+		if c.shares, err = quota.New(cfg.Share, now); err != nil {
 			return nil, fmt.Errorf("fleet: shares: %w", err)
 		}
 	}
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ospreypond/internal/dispatcher/fleet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
@@ -311,7 +311,7 @@
 func TestNumbersFollowTheDead(t *testing.T) {
 	opt := options(15)
 	opt.Config.Refusals = true
-	opt.Config.Share = share.Config{Size: 40, Lease: 15 * tick, Pause: tick}
+	opt.Config.Share = quota.Config{Size: 40, Lease: 15 * tick, Pause: tick}
 	w := startAll(t, 40, opt)
 	once := func() (held int) {
 		by := map[int]string{}
--- a/internal/dispatcher/fleet/packet.go
+++ b/internal/dispatcher/fleet/packet.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
 // Kind says what a packet is for.
@@ -37,7 +37,7 @@
 	Digest             uint64
 	Records            []Record
 	Sums               []uint64
-	Proofs             []share.Proof
+	Proofs             []quota.Proof
 }
 
 // recordRoom is what a record takes beside its name, address and zone, at most.
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -22,7 +22,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ospreypond/internal/dispatcher/fleet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
 const (
@@ -175,7 +175,7 @@
 		p.Records = append(p.Records, fromWire(&w.Records[i]))
 	}
 	for _, f := range w.Proofs {
-		p.Proofs = append(p.Proofs, share.Proof{Number: int(f.Number), Age: bounded(f.AgeUs, time.Microsecond)})
+		p.Proofs = append(p.Proofs, quota.Proof{Number: int(f.Number), Age: bounded(f.AgeUs, time.Microsecond)})
 	}
 	return p, nil
 }
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"ospreypond/internal/dispatcher/fleet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
 func codec(t require.TestingT, name, key string) *Codec {
@@ -31,7 +31,7 @@
 	return &fleet.Packet{Kind: fleet.Kind(rapid.IntRange(1, 6).Draw(t, "kind")), From: record.Draw(t, "from"),
 		ToLife: rapid.Uint64().Draw(t, "to"), Seq: rapid.Uint64().Draw(t, "seq"), Probe: rapid.Uint64().Draw(t, "probe"),
 		Digest: rapid.Uint64().Draw(t, "digest"), Records: rapid.SliceOfN(record, 0, 9).Draw(t, "records"),
-		Sums: rapid.SliceOfN(rapid.Uint64(), 0, 32).Draw(t, "sums"), Proofs: []share.Proof{{Number: 7, Age: 3 * time.Microsecond}}}
+		Sums: rapid.SliceOfN(rapid.Uint64(), 0, 32).Draw(t, "sums"), Proofs: []quota.Proof{{Number: 7, Age: 3 * time.Microsecond}}}
 }
 
 // What is written is read again, whole; its number is found in its first bytes alone; any byte changed, cut or put after it
--- a/internal/dispatcher/fleet/share/share.go
+++ b/internal/dispatcher/fleet/quota/share.go
@@ -16,7 +16,7 @@
 //
 // The package is free of I/O, clocks and goroutines. Times are read off one clock of this machine that never jumps and goes
 // on while the machine sleeps.
-package share
+package quota
 
 import (
 	"cmp"
--- a/internal/dispatcher/fleet/share/share_test.go
+++ b/internal/dispatcher/fleet/quota/share_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"fmt"
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -17,7 +17,7 @@
 
 	"ospreypond/internal/dispatcher/fleet"
 	"ospreypond/internal/dispatcher/fleet/packet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
 const patience = 20 * time.Second
@@ -59,7 +59,7 @@
 	m := &member{}
 	m.Node = New(Options{Listen: roster[number], Self: fleet.Record{Name: name, Addr: roster[number]}, Codec: codec, Log: log,
 		Config: fleet.Config{Interval: interval, Seeds: roster, Refusals: true, Roster: roster,
-			Share: share.Config{Size: len(roster), Own: number, Lease: 10 * interval, Pause: interval}},
+			Share: quota.Config{Size: len(roster), Own: number, Lease: 10 * interval, Pause: interval}},
 		Held: func(h Held) { m.mu.Lock(); m.held = h; m.mu.Unlock() }})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/script/settings.go
@@ -2,7 +2,7 @@
 // tells stays in its JSON. The script can compute, but it reads no file, calls nothing outside and is bounded in its steps.
 //
 // Every fault of the file is told at once, each with file, line, column, the call, the argument and what would be right.
-package settings
+package script
 
 import (
 	"errors"
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/script/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package script
 
 import (
 	"os"
--- a/internal/dispatcher/wire/fields.go
+++ b/internal/dispatcher/simulator/fields.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bytes"
--- a/internal/dispatcher/wire/wire.go
+++ b/internal/dispatcher/simulator/wire.go
@@ -1,6 +1,6 @@
 // Package wire speaks the simulator's line protocol and hosts one dispatcher for each instance.
 // It makes no decisions.
-package wire
+package simulator
 
 import (
 	"bufio"
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
 // dead has the schedulers for which is says so die as the worker starts, while those left are told whose numbers pass to
@@ -17,7 +17,7 @@
 		if is(n) || !view {
 			continue
 		}
-		l, err := share.New(share.Config{Size: len(f.all), Own: n, Lease: time.Hour, Pause: time.Millisecond}, f.start-2*time.Hour)
+		l, err := quota.New(quota.Config{Size: len(f.all), Own: n, Lease: time.Hour, Pause: time.Millisecond}, f.start-2*time.Hour)
 		if err != nil {
 			f.t.Fatal(err)
 		}
--- a/test/ci/nethttp_test.go
+++ b/test/ci/nethttp_test.go
@@ -34,11 +34,11 @@
 // clientUses are all packages that use net/http's client. The scheduler's roles are not among them: the processes speak
 // internal/cluster/transport with each other, and agents call runners by a connection of their own (internal/cluster/agent, link).
 var clientUses = map[string]clientUse{
-	"internal/dispatcher/routetable":    onlyReads,
-	"internal/dispatcher/gang/register": conditionalPuts,
-	"internal/dispatcher/egress":        cannotSendAgain,
-	"internal/cluster/local":            toolOfOneMachine,
-	"internal/cluster/local/runner":     toolOfOneMachine,
+	"internal/dispatcher/routetable":       onlyReads,
+	"internal/dispatcher/gang/register":    conditionalPuts,
+	"internal/dispatcher/egress":           cannotSendAgain,
+	"internal/cluster/localcluster":        toolOfOneMachine,
+	"internal/cluster/localcluster/runner": toolOfOneMachine,
 }
 
 // clientNames are the names by which net/http sends requests.
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -13,7 +13,7 @@
 	"github.com/cucumber/godog"
 
 	"ospreypond/internal/dispatcher/fleet"
-	"ospreypond/internal/dispatcher/fleet/share"
+	"ospreypond/internal/dispatcher/fleet/quota"
 	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
@@ -117,7 +117,7 @@
 func (s *story) fleet(n int, shared string) error {
 	s.opt = virtual.Options{Seed: s.seed, Config: fleet.Config{Interval: interval}, Delay: time.Millisecond, Jitter: 10 * time.Millisecond}
 	if shared != "" {
-		s.opt.Config.Refusals, s.opt.Config.Share = true, share.Config{Size: n, Lease: 15 * interval, Pause: 2 * interval}
+		s.opt.Config.Refusals, s.opt.Config.Share = true, quota.Config{Size: n, Lease: 15 * interval, Pause: 2 * interval}
 	}
 	s.w = virtual.New(n, s.opt)
 	return nil
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -1,4 +1,4 @@
-// Package system tests a whole system as processes, as `ospreylocal` runs it.
+// Package system tests a whole system as processes, as `localcluster` runs it.
 package system
 
 import (
@@ -41,12 +41,12 @@
 	var err error
 	program, err = gexec.Build("ospreypond/cmd/ospreypond", "-race")
 	Expect(err).NotTo(HaveOccurred())
-	localProgram, err = gexec.Build("ospreypond/cmd/ospreylocal", "-race")
+	localProgram, err = gexec.Build("ospreypond/cmd/localcluster", "-race")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// localSystem is a running `ospreylocal`.
+// localSystem is a running `localcluster`.
 type localSystem struct {
 	dir     string
 	network string
