--- a/internal/cluster/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -130,5 +130,5 @@
 
 func (m *jobsMachine) holds() string {
 	c := m.Counters()
-	return fmt.Sprintf("%d jobs (%d tasks held, %d running), %d ended ones kept, %d runners", c.Jobs, c.Held, c.Running, c.Kept, c.Runners)
+	return fmt.Sprintf("%d jobs (%d tasks held, %d running), %d ended ones kept, %d runners", c.Jobs, c.Pending, c.Running, c.Retained, c.Runners)
 }
--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -23,7 +23,7 @@
 	{"rollbackSlackMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.RollbackSlack }, 250 * time.Millisecond},
 	{"maxSkewMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.MaxSkew }, 5 * time.Second},
 	{"recoveryS", time.Second, func(b *Bounds) *time.Duration { return &b.Recovery }, 12 * time.Second},
-	{"holdMaxMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.HoldMax }, 6 * time.Second},
+	{"holdMaxMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.MaxLease }, 6 * time.Second},
 	{"stop_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Stop }, 900 * time.Millisecond},
 	{"gang_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Gang }, 3 * time.Second},
 	{"cancel_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Cancel }, 3 * time.Second},
--- a/internal/cluster/boot/settings.go
+++ b/internal/cluster/boot/settings.go
@@ -93,7 +93,7 @@
 	RollbackSlack time.Duration // rollbackSlackMs
 	MaxSkew       time.Duration // maxSkewMs
 	Recovery      time.Duration // recoveryS: within which service is back after a final fault
-	HoldMax       time.Duration // holdMaxMs: longest hold a runner takes
+	MaxLease      time.Duration // holdMaxMs: longest hold a runner takes
 	Stop          time.Duration // stop_ms: longest time a run takes to stop
 	Gang          time.Duration // gang_ms: how long a gang's member waits for the others
 	Cancel        time.Duration // cancel_ms: nothing of a cancelled job starts after so long
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -49,7 +49,7 @@
 
 	MaxAppendBytes     int // about how much one append carries; a larger entry travels alone
 	MaxInflight        int // appends to one member that may be unanswered
-	SnapshotPieceBytes int
+	SnapshotChunkBytes int
 }
 
 // withDefaults replaces what is not set.
@@ -66,8 +66,8 @@
 	if c.MaxInflight <= 0 {
 		c.MaxInflight = defaultMaxInflight
 	}
-	if c.SnapshotPieceBytes <= 0 {
-		c.SnapshotPieceBytes = defaultSnapshotPieceBytes
+	if c.SnapshotChunkBytes <= 0 {
+		c.SnapshotChunkBytes = defaultSnapshotPieceBytes
 	}
 	return c
 }
--- a/internal/cluster/consensus/confirm.go
+++ b/internal/cluster/consensus/confirm.go
@@ -7,9 +7,9 @@
 	return reachedByQuorum(n, n.now, of)
 }
 
-// Confirm asks for a confirmation of the leadership at or after now: Status().ConfirmedAt tells when it is there. Calls
+// ConfirmLeadership asks for a confirmation of the leadership at or after now: Status().ConfirmedAt tells when it is there. Calls
 // that come together share a round.
-func (n *Node) Confirm(now time.Duration) {
+func (n *Node) ConfirmLeadership(now time.Duration) {
 	n.advance(now)
 	if n.role != roleLeader {
 		return
--- a/internal/cluster/consensus/confirm_test.go
+++ b/internal/cluster/consensus/confirm_test.go
@@ -33,7 +33,7 @@
 
 	ginkgo.It("is there once a quorum has answered", func() {
 		g.lost = isolate(3)
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", g.now))
 		g.settle()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
@@ -42,22 +42,22 @@
 	ginkgo.It("does not come from a minority, nor by time", func() {
 		g.lost = isolate(1)
 		before := leader.Status().ConfirmedAt
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.settle()
 		g.now += 10 * timeout
 		leader.Tick(g.now)
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
 	})
 
 	ginkgo.It("does not come from answers to what was sent before", func() {
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.drain(leader)
 		delayed := g.waiting
 		g.waiting = nil
 		asked := g.now
 		g.now += 500 * time.Millisecond
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.drain(leader)
 		g.waiting = delayed
 		g.lost = func(message Message) bool { return message.SentAt != asked }
@@ -82,7 +82,7 @@
 			member.hold = true
 		}
 		g.propose(leader, "a")
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.settle()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
@@ -96,13 +96,13 @@
 
 	ginkgo.It("is shared by all that ask while a round is out", func() {
 		for range 10 {
-			leader.Confirm(g.now)
+			leader.ConfirmLeadership(g.now)
 		}
 		g.drain(leader)
 		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
 		g.now += time.Millisecond
-		leader.Confirm(g.now)
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.settle()
 		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
 		Expect(leader.NextDeadline()).To(BeNumerically("<=", g.now+lostRound))
@@ -115,11 +115,11 @@
 
 	ginkgo.It("is asked for anew when a round seems lost", func() {
 		g.lost = lose(MessageHeartbeat)
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.settle()
 		g.lost = nil
 		g.now += time.Millisecond
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		g.now = leader.NextDeadline()
 		leader.Tick(g.now)
 		g.settle()
@@ -129,7 +129,7 @@
 	ginkgo.It("is forgotten with the leadership", func() {
 		leader.becomeFollower(leader.term+1, None)
 		Expect(leader.Status().ConfirmedAt).To(BeZero())
-		leader.Confirm(g.now)
+		leader.ConfirmLeadership(g.now)
 		Expect(leader.HasOutput()).To(BeTrue(), "only the new term is to be written")
 		Expect(leader.Output().Immediate).To(BeEmpty())
 	})
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -272,7 +272,7 @@
 		g := newGroup(memberList(1)...)
 		alone := g.elect(1)
 		g.now += 3 * time.Millisecond
-		alone.Confirm(g.now)
+		alone.ConfirmLeadership(g.now)
 		Expect(alone.Status().ConfirmedAt).To(Equal(g.now))
 	})
 })
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -465,7 +465,7 @@
 		if position < 0 {
 			return append(slices.Clone(members), Member{ID: id, Learner: true})
 		}
-		if behind, _, _ := node.Lagging(id); members[position].Learner && behind == 0 {
+		if behind, _, _ := node.Lag(id); members[position].Learner && behind == 0 {
 			next := slices.Clone(members)
 			next[position].Learner = false
 			return next
@@ -481,7 +481,7 @@
 	if gone < 0 || !known || !successor.Learner || e.find(successorID) < 0 {
 		return nil
 	}
-	if behind, _, _ := node.Lagging(successorID); behind > 0 {
+	if behind, _, _ := node.Lag(successorID); behind > 0 {
 		return nil
 	}
 	return succeeded(members, gone)
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -56,7 +56,7 @@
 // add starts one more member.
 func (g *group) add(id MemberID, restored Restored) *scripted {
 	config := Config{ID: id, Seed: 1, HeartbeatInterval: heartbeat, ElectionTimeout: timeout, MaxAppendBytes: 100,
-		MaxInflight: 2, SnapshotPieceBytes: 10}
+		MaxInflight: 2, SnapshotChunkBytes: 10}
 	member := &scripted{Node: New(config, restored, g.now)}
 	g.members = append(g.members, member)
 	return member
--- a/internal/cluster/consensus/joint_test.go
+++ b/internal/cluster/consensus/joint_test.go
@@ -70,7 +70,7 @@
 			}
 			g.pass(5 * heartbeat)
 			asked := g.now
-			leader.Confirm(asked)
+			leader.ConfirmLeadership(asked)
 			g.settle()
 			Expect(leader.Status().Commit >= joined).To(Equal(decided))
 			Expect(leader.Status().ConfirmedAt >= asked).To(Equal(decided))
@@ -280,7 +280,7 @@
 		before := leader.Status().Commit
 		g.now += heartbeat
 		asked := g.now
-		leader.Confirm(asked)
+		leader.ConfirmLeadership(asked)
 		g.pass(3 * heartbeat)
 		Expect(leader.Status().Commit).To(Equal(before))
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", asked))
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -191,8 +191,8 @@
 	return deadline
 }
 
-// Lagging tells a leader how many entries a member lacks and when it was last heard.
-func (n *Node) Lagging(id MemberID) (behind uint64, lastHeard time.Duration, known bool) {
+// Lag tells a leader how many entries a member lacks and when it was last heard.
+func (n *Node) Lag(id MemberID) (behind uint64, lastHeard time.Duration, known bool) {
 	if n.role != roleLeader {
 		return 0, 0, false
 	}
--- a/internal/cluster/consensus/linearizable_test.go
+++ b/internal/cluster/consensus/linearizable_test.go
@@ -87,7 +87,7 @@
 // read answers from the state machine once the leadership is confirmed after the request came.
 func (c *clients) read(client int, m *machine) {
 	asked, askedHere, life, term := c.world.now, m.clock(), m.life, m.node.term
-	m.node.Confirm(askedHere)
+	m.node.ConfirmLeadership(askedHere)
 	m.drain()
 	var look func()
 	look = func() {
--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -144,7 +144,7 @@
 	m.writes, m.inbox, m.hooks = nil, nil, nil
 	m.zero = m.world.now - m.world.upTo(time.Hour)
 	config := Config{ID: m.id, Seed: m.world.random.Uint64(), HeartbeatInterval: simHeartbeat,
-		ElectionTimeout: simElection, MaxAppendBytes: 150, MaxInflight: 4, SnapshotPieceBytes: 40}
+		ElectionTimeout: simElection, MaxAppendBytes: 150, MaxInflight: 4, SnapshotChunkBytes: 40}
 	restored := Restored{HardState: m.disk.hardState, Snapshot: m.disk.snapshot, Entries: m.disk.entries}
 	m.state = register{}
 	if m.disk.snapshot != nil {
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -83,7 +83,7 @@
 		fresh := g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
 		g.pass(3 * heartbeat)
-		behind, _, known := leader.Lagging(4)
+		behind, _, known := leader.Lag(4)
 		Expect(known).To(BeTrue())
 		Expect(behind).To(BeZero())
 		Expect(texts(fresh.committed)).To(Equal([]string{"a"}))
@@ -114,7 +114,7 @@
 		g.now += heartbeat
 		before, asked := leader.Status().Commit, g.now
 		g.propose(leader, "a")
-		leader.Confirm(asked)
+		leader.ConfirmLeadership(asked)
 		g.settle()
 		Expect(leader.Status().Commit).To(Equal(before))
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", asked))
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -209,7 +209,7 @@
 				n.watch(m, index, term)
 			}
 		}
-		m.node.Confirm(m.clock())
+		m.node.ConfirmLeadership(m.clock())
 		m.drain()
 	}
 }
@@ -253,7 +253,7 @@
 		return without(members, position)
 	}
 	for position, member := range members {
-		behind, _, known := leader.node.Lagging(member.ID)
+		behind, _, known := leader.node.Lag(member.ID)
 		if member.Learner && voters < n.voters && known && behind <= 3 {
 			next := append([]Member(nil), members...)
 			next[position].Learner = false
@@ -275,7 +275,7 @@
 		return nil
 	}
 	for _, learner := range members {
-		behind, _, known := leader.node.Lagging(learner.ID)
+		behind, _, known := leader.node.Lag(learner.ID)
 		if !learner.Learner || !known || behind > 3 {
 			continue
 		}
--- a/internal/cluster/consensus/retention.go
+++ b/internal/cluster/consensus/retention.go
@@ -1,7 +1,7 @@
 package consensus
 
-// HeldBytes is about how many bytes the entries take that are held in memory.
-func (n *Node) HeldBytes() int {
+// RetainedBytes is about how many bytes the entries take that are held in memory.
+func (n *Node) RetainedBytes() int {
 	return n.log.bytesAfter(n.log.base)
 }
 
@@ -14,10 +14,10 @@
 	return size
 }
 
-// Wanted is the index after which the log should be kept for the members that a leader feeds: from what a member has, or
+// RetainFrom is the index after which the log should be kept for the members that a leader feeds: from what a member has, or
 // from the snapshot that is on its way to it. A member that is silent, or for which more than most bytes would have to be
 // kept, is not waited for: it goes on from a newer snapshot.
-func (n *Node) Wanted(most int) uint64 {
+func (n *Node) RetainFrom(most int) uint64 {
 	wanted := n.log.last()
 	for _, peer := range n.leadership.peers {
 		from, fed := peer.fedFrom()
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -8,7 +8,7 @@
 // maxRoomAtOnce bounds what is set aside for a snapshot on the word of its first piece, in bytes.
 const maxRoomAtOnce = 64 << 20
 
-// Bounds of a snapshot's pieces, besides Config.SnapshotPieceBytes. A piece keeps all later messages on its link waiting,
+// Bounds of a snapshot's pieces, besides Config.SnapshotChunkBytes. A piece keeps all later messages on its link waiting,
 // heartbeats among them: where it takes as long as a member's silence may last, the snapshot never arrives.
 const (
 	firstPieceBytes = 32 << 10
@@ -66,7 +66,7 @@
 	whole := transfer.snapshot.Data
 	start := min(transfer.offset, uint64(len(whole)))
 	if peer.pieceBytes == 0 {
-		peer.pieceBytes = min(firstPieceBytes, n.config.SnapshotPieceBytes)
+		peer.pieceBytes = min(firstPieceBytes, n.config.SnapshotChunkBytes)
 	}
 	end := min(start+uint64(peer.pieceBytes), uint64(len(whole)))
 	piece := transfer.snapshot
@@ -112,14 +112,14 @@
 	case took > n.config.ElectionTimeout:
 		n.shrinkPieces(peer)
 	case took < n.config.ElectionTimeout/2:
-		peer.pieceBytes = min(2*peer.pieceBytes, n.config.SnapshotPieceBytes)
+		peer.pieceBytes = min(2*peer.pieceBytes, n.config.SnapshotChunkBytes)
 	}
 	n.sendPiece(peer)
 }
 
 // shrinkPieces makes the next pieces to a member smaller, since its link needs long for them.
 func (n *Node) shrinkPieces(peer *progress) {
-	peer.pieceBytes = max(peer.pieceBytes/2, min(leastPieceBytes, n.config.SnapshotPieceBytes))
+	peer.pieceBytes = max(peer.pieceBytes/2, min(leastPieceBytes, n.config.SnapshotChunkBytes))
 }
 
 // takeSnapshotPiece gathers a snapshot, and installs it with its last piece.
--- a/internal/cluster/control/account_test.go
+++ b/internal/cluster/control/account_test.go
@@ -24,7 +24,7 @@
 		now := time.Second
 		settle := func() {
 			owner.Tick(now, now.Milliseconds(), now)
-			for command := owner.Take(now); command != nil; command = owner.Take(now) {
+			for command := owner.NextCommand(now); command != nil; command = owner.NextCommand(now) {
 				owner.Applied(now, command, state.Apply(command), true)
 			}
 			owner.Flush(now)
@@ -36,7 +36,7 @@
 			now += 300 * time.Millisecond
 			settle()
 		}
-		owner.Lead(now, now.Milliseconds(), 1)
+		owner.BecomeLeader(now, now.Milliseconds(), 1)
 		beat(1, nil)
 		queue := protocol.Queue{Key: "h/q/", Service: "s", MaxAttempts: 2, TargetLatencyMs: 100}
 		step := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
@@ -72,13 +72,13 @@
 		told := newAccountMetrics()
 		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return 1000 }, log.NewNopLogger(), told)
 		now := time.Second
-		shard.owner.Lead(now, now.Milliseconds(), 1)
+		shard.owner.BecomeLeader(now, now.Milliseconds(), 1)
 		shard.owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.Ready, Sequence: 1,
 			Capacity: protocol.Resources{CPU: 1000, MemoryMB: 1000}}, func(*protocol.Orders, error) {})
 		step := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
 		shard.owner.Submit(now, jobs.Submit{ID: "00000000000000aa", Queue: protocol.Queue{Key: "h/q/", Service: "s"},
 			Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{step}}}, func(bool, error) {})
-		for command := shard.owner.Take(now); command != nil; command = shard.owner.Take(now) {
+		for command := shard.owner.NextCommand(now); command != nil; command = shard.owner.NextCommand(now) {
 			now += 50 * time.Millisecond
 			shard.owner.Applied(now, command, shard.state.Apply(command), true)
 		}
--- a/internal/cluster/control/administration.go
+++ b/internal/cluster/control/administration.go
@@ -55,7 +55,7 @@
 		Identity:    uint64(self.ID),
 		UptimeMs:    engine.Now().Milliseconds(),
 		Draining:    engine.Resigning(),
-		DiskSick:    disk.Sick,
+		DiskSick:    disk.Unhealthy,
 		LogBytes:    disk.LogBytes,
 		Segments:    disk.Segments,
 		MemoryBytes: memoryHeld(),
@@ -106,7 +106,7 @@
 		}
 		for _, lag := range lags {
 			if lag.Member == member.ID {
-				report.Entries, report.SilentMs = lag.Entries, lag.Silent.Milliseconds()
+				report.Entries, report.SilentMs = lag.Entries, lag.SinceAcknowledgement.Milliseconds()
 			}
 		}
 		reports = append(reports, report)
@@ -127,8 +127,8 @@
 	counters, decided := shard.state.Counters(), shard.owner.Counters()
 	group.Jobs = administration.JobCounts{
 		Jobs:    counters.Jobs,
-		Kept:    counters.Kept,
-		Held:    counters.Held,
+		Kept:    counters.Retained,
+		Held:    counters.Pending,
 		Running: counters.Running,
 		Runners: counters.Runners,
 	}
@@ -182,9 +182,9 @@
 		Free:     overview.Free,
 		Runs:     overview.Runs,
 		Stops:    overview.Stops,
-		Distrust: overview.Distrust,
-		SilentMs: overview.Silent.Milliseconds(),
-		HoldMs:   overview.HoldLeft.Milliseconds(),
+		Distrust: overview.FailureScore,
+		SilentMs: overview.SinceHeartbeat.Milliseconds(),
+		HoldMs:   overview.LeaseRemaining.Milliseconds(),
 	}
 }
 
@@ -226,7 +226,7 @@
 			reply(a.piece(request))
 			return
 		}
-		engine.Confirm(uint32(request.Shard), func(err error) {
+		engine.ConfirmLeadership(uint32(request.Shard), func(err error) {
 			if err != nil {
 				reply(nil, err)
 				return
--- a/internal/cluster/control/configuration_shard.go
+++ b/internal/cluster/control/configuration_shard.go
@@ -68,7 +68,7 @@
 func (s *configurationShard) Leading(term uint64) {
 	level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
 	s.leading = true
-	s.feed.Lead()
+	s.feed.BecomeLeader()
 	s.wake()
 }
 
@@ -119,7 +119,7 @@
 	if !s.feed.AskConfirmation(s.engine.Now()) {
 		return
 	}
-	s.engine.Confirm(s.group(), func(err error) {
+	s.engine.ConfirmLeadership(s.group(), func(err error) {
 		if err != nil {
 			s.feed.Unconfirmed(s.leader())
 			return
@@ -222,7 +222,7 @@
 			reply(nil, c.notConfigurationOwner())
 			return
 		}
-		c.engine.Confirm(c.configuration.group(), func(err error) {
+		c.engine.ConfirmLeadership(c.configuration.group(), func(err error) {
 			if err != nil {
 				reply(nil, err)
 				return
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -147,7 +147,7 @@
 func (c *Control) schedulerOptions() scheduler.Options {
 	bounds := c.options.Bounds
 	return scheduler.Options{
-		HoldMax:   bounds.HoldMax,
+		MaxLease:  bounds.MaxLease,
 		StopTime:  bounds.Stop,
 		GangWait:  bounds.Gang,
 		SaveEvery: bounds.Save,
@@ -163,16 +163,16 @@
 // Receive takes an envelope of another control process. Any goroutine may call it.
 func (c *Control) Receive(envelope *replica.Envelope) { c.engine.Receive(envelope) }
 
-// Leave leaves the replica groups: it gives away what this process owns, and waits until the others hold all that it holds
+// Decommission leaves the replica groups: it gives away what this process owns, and waits until the others hold all that it holds
 // and its place is taken if somebody is there to take it; at most for three quarters of graceS. done is called once, on
 // whatever goroutine, when that is done, or after that time.
-func (c *Control) Leave(done func()) {
+func (c *Control) Decommission(done func()) {
 	level.Info(c.logger).Log("msg", "leaving the replica groups before the end")
 	patience := c.leavePatience()
 	var once sync.Once
 	timer := c.clock.AfterFunc(patience+leaveMargin, func() { once.Do(done) })
 	c.engine.Do(func() {
-		c.engine.Leave(patience, func() {
+		c.engine.Decommission(patience, func() {
 			timer.Stop()
 			once.Do(done)
 		})
--- a/internal/cluster/control/endpoint_test.go
+++ b/internal/cluster/control/endpoint_test.go
@@ -67,7 +67,7 @@
 	GinkgoHelper()
 	for turns := 0; !condition(); turns++ {
 		Expect(turns).To(BeNumerically("<", 1000))
-		pause, err := d.driver.Turn()
+		pause, err := d.driver.Step()
 		Expect(err).NotTo(HaveOccurred())
 		works := d.works
 		d.works = nil
@@ -116,7 +116,7 @@
 	It("ends its leaving after a while though the engine stands still", func() {
 		d := newDriven()
 		left := make(chan struct{})
-		d.control.Leave(func() { close(left) })
+		d.control.Decommission(func() { close(left) })
 		Consistently(left, 20*time.Millisecond).ShouldNot(BeClosed())
 		d.clock.Advance(d.control.leavePatience() + leaveMargin)
 		Eventually(left).Should(BeClosed())
@@ -125,7 +125,7 @@
 	It("calls no done twice when its leaving is over", func() {
 		d := newDriven()
 		left := make(chan struct{}, 2)
-		d.control.Leave(func() { left <- struct{}{} })
+		d.control.Decommission(func() { left <- struct{}{} })
 		d.until(func() bool { return len(left) > 0 })
 		d.clock.Advance(2 * (d.control.leavePatience() + leaveMargin))
 		Consistently(left, 20*time.Millisecond).Should(HaveLen(1))
--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -66,8 +66,8 @@
 // NewFeed returns a feed of a process that does not lead.
 func NewFeed(source feedSource) *Feed { return &Feed{source: source, relays: newRelayTable()} }
 
-// Lead begins ownership of the configuration's shard.
-func (f *Feed) Lead() {
+// BecomeLeader begins ownership of the configuration's shard.
+func (f *Feed) BecomeLeader() {
 	f.leading = true
 	f.asked = false
 }
--- a/internal/cluster/control/feed_test.go
+++ b/internal/cluster/control/feed_test.go
@@ -62,7 +62,7 @@
 	BeforeEach(func() {
 		source = &fakeSource{version: 5}
 		feed = NewFeed(source)
-		feed.Lead()
+		feed.BecomeLeader()
 		feed.OwnersChanged(members, owners)
 		revision = feed.revision
 	})
@@ -282,7 +282,7 @@
 		feed.Confirmed(0)
 		feed.Unconfirmed("")
 		Expect(refused.count).To(Equal(1))
-		feed.Lead()
+		feed.BecomeLeader()
 		Expect(watch(0, 0, 0, 1000).count).To(BeZero())
 	})
 
@@ -290,7 +290,7 @@
 		feed.Watch(0, &protocol.WatchRequest{}, (&answered{}).reply)
 		feed.AskConfirmation(0)
 		feed.Lost("")
-		feed.Lead()
+		feed.BecomeLeader()
 		again := watch(1*at, 0, 0, 1000)
 		feed.Confirmed(2 * at)
 		Expect(again.count).To(BeZero())
--- a/internal/cluster/control/peers.go
+++ b/internal/cluster/control/peers.go
@@ -8,7 +8,7 @@
 // replicas is what the peers of a control process need of its engine.
 type replicas interface {
 	Do(f func())
-	Led() bool
+	KnowsLeaders() bool
 	SetPeers(addresses []string)
 }
 
@@ -19,7 +19,7 @@
 // to answer counts as fresh.
 func (p peers) Fresh(time.Duration) bool {
 	answer := make(chan bool, 1)
-	p.engine.Do(func() { answer <- p.engine.Led() })
+	p.engine.Do(func() { answer <- p.engine.KnowsLeaders() })
 	timer := time.NewTimer(loopPatience)
 	defer timer.Stop()
 	select {
--- a/internal/cluster/control/peers_test.go
+++ b/internal/cluster/control/peers_test.go
@@ -29,7 +29,7 @@
 
 func (f *fakeReplicas) Do(work func()) { work() }
 
-func (f *fakeReplicas) Led() bool { return f.led }
+func (f *fakeReplicas) KnowsLeaders() bool { return f.led }
 
 func (f *fakeReplicas) SetPeers(addresses []string) {
 	f.mutex.Lock()
--- a/internal/cluster/control/run.go
+++ b/internal/cluster/control/run.go
@@ -95,7 +95,7 @@
 	case <-ctx.Done():
 	}
 	left := make(chan struct{})
-	r.Leave(func() { close(left) })
+	r.Decommission(func() { close(left) })
 	<-left
 	httpServer.Close()
 	stopEngine()
--- a/internal/cluster/control/shard.go
+++ b/internal/cluster/control/shard.go
@@ -32,7 +32,7 @@
 
 var _ replica.StateMachine = (*jobShard)(nil)
 var _ replica.LeadershipObserver = (*jobShard)(nil)
-var _ replica.LeadershipKeeper = (*jobShard)(nil)
+var _ replica.TransferDeferrer = (*jobShard)(nil)
 
 func newJobShard(id protocol.ShardID, options scheduler.Options, jobOptions jobs.Options, clock timeOfDay, logger log.Logger, metrics *accountMetrics) *jobShard {
 	state := jobs.New(jobOptions)
@@ -69,7 +69,7 @@
 // Leading begins ownership.
 func (s *jobShard) Leading(term uint64) {
 	level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
-	s.owner.Lead(s.engine.Now(), s.clock(), term)
+	s.owner.BecomeLeader(s.engine.Now(), s.clock(), term)
 	s.account.restart(s.engine.Now())
 	s.wake()
 }
@@ -80,16 +80,16 @@
 		level.Info(s.logger).Log("msg", "this process no longer owns the shard")
 		s.account.tellQueues(s.owner)
 	}
-	s.owner.Follow()
+	s.owner.BecomeFollower()
 }
 
-// KeepsLeadership tells whether a successor would take longer to start again what was lost with a runner.
-func (s *jobShard) KeepsLeadership() bool { return s.owner.AwaitsHold(s.engine.Now()) }
+// DefersTransfer tells whether a successor would take longer to start again what was lost with a runner.
+func (s *jobShard) DefersTransfer() bool { return s.owner.AwaitsLeaseExpiry(s.engine.Now()) }
 
 // pump proposes what the owner wants, and lets replies go that are due.
 func (s *jobShard) pump() {
 	now := s.engine.Now()
-	if command := s.owner.Take(now); command != nil {
+	if command := s.owner.NextCommand(now); command != nil {
 		s.propose(command)
 	}
 	s.owner.Flush(now)
@@ -135,10 +135,10 @@
 
 // confirmReads asks for a confirmation of leadership while reads wait for one.
 func (s *jobShard) confirmReads() {
-	if !s.owner.WantsConfirmation() {
+	if !s.owner.NeedsConfirmation() {
 		return
 	}
-	s.engine.Confirm(uint32(s.id), func(err error) {
+	s.engine.ConfirmLeadership(uint32(s.id), func(err error) {
 		if err == nil {
 			s.owner.Tick(s.engine.Now(), 0, s.confirmedAt())
 			s.pump()
--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -33,8 +33,8 @@
 	for i := range c.Losses {
 		effects.Losses = append(effects.Losses, s.lose(&c.Losses[i]))
 	}
-	for i := range c.Places {
-		s.runners.hear(c.Places[i].Runner, s.ageMs).place = strings.Clone(c.Places[i].Address)
+	for i := range c.RunnerAddresses {
+		s.runners.hear(c.RunnerAddresses[i].Runner, s.ageMs).place = strings.Clone(c.RunnerAddresses[i].Address)
 	}
 	for _, runner := range c.Departures {
 		s.runners.hear(runner, s.ageMs).departed = true
--- a/internal/cluster/jobs/codec.go
+++ b/internal/cluster/jobs/codec.go
@@ -53,10 +53,10 @@
 	for i := range c.Starts {
 		w.start(&c.Starts[i], last)
 	}
-	w.count(len(c.Places))
-	for i := range c.Places {
-		w.text(c.Places[i].Runner)
-		w.text(c.Places[i].Address)
+	w.count(len(c.RunnerAddresses))
+	for i := range c.RunnerAddresses {
+		w.text(c.RunnerAddresses[i].Runner)
+		w.text(c.RunnerAddresses[i].Address)
 	}
 	w.texts(c.Departures)
 	return w.data, nil
@@ -65,7 +65,7 @@
 // sizeHint guesses the size of the encoded command, so that its bytes seldom have to be moved.
 func sizeHint(c *Command) int {
 	const head, item, perSubmit, perStep = 32, 64, 128, 48
-	size := head + item*(len(c.Cancels)+len(c.Fences)+len(c.Ends)+len(c.Losses)+len(c.Starts)+len(c.Places)+len(c.Departures))
+	size := head + item*(len(c.Cancels)+len(c.Fences)+len(c.Ends)+len(c.Losses)+len(c.Starts)+len(c.RunnerAddresses)+len(c.Departures))
 	for i := range c.Submits {
 		size += perSubmit + len(c.Submits[i].Job.Spec) + perStep*len(c.Submits[i].Job.Steps)
 	}
@@ -102,10 +102,10 @@
 	for i := range c.Starts {
 		r.start(&c.Starts[i], last)
 	}
-	c.Places = items[Place](r)
-	for i := range c.Places {
-		c.Places[i].Runner = r.text()
-		c.Places[i].Address = r.text()
+	c.RunnerAddresses = items[RunnerAddress](r)
+	for i := range c.RunnerAddresses {
+		c.RunnerAddresses[i].Runner = r.text()
+		c.RunnerAddresses[i].Address = r.text()
 	}
 	if version != withoutDepartures {
 		c.Departures = r.texts()
@@ -200,8 +200,8 @@
 	w.unsigned(end.N)
 	w.task(&end.Task, last)
 	w.unsigned(end.Run)
-	w.how(end.How)
-	w.text(end.Saved)
+	w.how(end.Outcome)
+	w.text(end.Checkpoint)
 }
 
 func (r *reader) end(end *End, last *column) {
@@ -209,22 +209,22 @@
 	end.N = r.unsigned()
 	end.Task = r.task(last)
 	end.Run = r.unsigned()
-	end.How = r.how()
-	end.Saved = r.text()
+	end.Outcome = r.how()
+	end.Checkpoint = r.text()
 }
 
 func (w *writer) loss(loss *Loss, last *column) {
 	w.repeated(loss.Runner, &last.runner)
 	w.task(&loss.Task, last)
 	w.unsigned(loss.Run)
-	w.text(loss.Saved)
+	w.text(loss.Checkpoint)
 }
 
 func (r *reader) loss(loss *Loss, last *column) {
 	loss.Runner = r.repeated(&last.runner)
 	loss.Task = r.task(last)
 	loss.Run = r.unsigned()
-	loss.Saved = r.text()
+	loss.Checkpoint = r.text()
 }
 
 func (w *writer) start(start *Start, last *column) {
--- a/internal/cluster/jobs/codec_test.go
+++ b/internal/cluster/jobs/codec_test.go
@@ -33,13 +33,13 @@
 		Cancels:     []string{jobA, ""},
 		Fences:      []jobs.Fence{{ID: jobB, Version: 1 << 50}, {}},
 		Ends: []jobs.End{
-			{Runner: "r1", N: 1 << 60, Task: id(jobA, 1, 2, 3), Run: 7, How: protocol.EndDone, Saved: "00000bb87a21d94b"},
-			{Runner: "r1", N: 5, Task: id(jobA, 1, 2, 4), Run: 7, How: protocol.EndRefused},
-			{Runner: "r2", N: 6, Task: id(jobB, -1, -2, -3), Run: 0, How: "vanished"},
+			{Runner: "r1", N: 1 << 60, Task: id(jobA, 1, 2, 3), Run: 7, Outcome: protocol.EndDone, Checkpoint: "00000bb87a21d94b"},
+			{Runner: "r1", N: 5, Task: id(jobA, 1, 2, 4), Run: 7, Outcome: protocol.EndRefused},
+			{Runner: "r2", N: 6, Task: id(jobB, -1, -2, -3), Run: 0, Outcome: "vanished"},
 		},
-		Losses: []jobs.Loss{{Runner: "r2", Task: id(jobB, 0), Run: 3, Saved: "x"}, {Runner: "", Task: jobs.TaskID{}}},
-		Starts: []jobs.Start{{Task: id(jobC, 0), Run: 1, Runner: "r2"}, {Task: id(jobC, 1), Run: 1, Runner: "r3"}},
-		Places: []jobs.Place{{Runner: "r2", Address: "10.0.0.2:8080"}, {Runner: "r3"}},
+		Losses:          []jobs.Loss{{Runner: "r2", Task: id(jobB, 0), Run: 3, Checkpoint: "x"}, {Runner: "", Task: jobs.TaskID{}}},
+		Starts:          []jobs.Start{{Task: id(jobC, 0), Run: 1, Runner: "r2"}, {Task: id(jobC, 1), Run: 1, Runner: "r3"}},
+		RunnerAddresses: []jobs.RunnerAddress{{Runner: "r2", Address: "10.0.0.2:8080"}, {Runner: "r3"}},
 
 		Departures: []string{"r2", "r1"},
 	}
@@ -80,9 +80,9 @@
 			protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed,
 			protocol.EndBroken, protocol.EndAlone, protocol.EndRefused, "", "other",
 		} {
-			got, err := jobs.Decode(encode(&jobs.Command{Ends: []jobs.End{{How: how}}}))
+			got, err := jobs.Decode(encode(&jobs.Command{Ends: []jobs.End{{Outcome: how}}}))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(got.Ends[0].How).To(Equal(how))
+			Expect(got.Ends[0].Outcome).To(Equal(how))
 		}
 	})
 
--- a/internal/cluster/jobs/gang.go
+++ b/internal/cluster/jobs/gang.go
@@ -33,7 +33,7 @@
 
 // fits tells whether run may be started as the next one of the task.
 func fits(task *Task, run uint64) bool {
-	return task.Phase == Held && run == task.Run+1
+	return task.Phase == Pending && run == task.Run+1
 }
 
 // gather notes on the gang that one of its members is to start.
@@ -64,7 +64,7 @@
 // settleMember gives a gang's member, whose run has just ended, and its gang their next phases.
 func (s *State) settleMember(task *Task, how string) {
 	group := task.Group
-	task.Phase = Pending
+	task.Phase = GangEnding
 	if how == protocol.EndDone && !group.Spec().LongRunning {
 		s.finishGang(group)
 		return
@@ -86,7 +86,7 @@
 // regroup gives a gang its turn again, once no run of it may exist.
 func (s *State) regroup(group *Group) {
 	for _, task := range group.Tasks {
-		task.Saved = group.Saved
+		task.Checkpoint = group.Checkpoint
 		s.hold(task)
 	}
 }
--- a/internal/cluster/jobs/gang_test.go
+++ b/internal/cluster/jobs/gang_test.go
@@ -90,10 +90,10 @@
 		Expect(s.held()).To(BeEmpty())
 		Expect(s.startOn(2, "r1", a, "r2", b, "r3", c)).To(Equal([]bool{false, false, false}))
 		effects := s.end("r3", c, 1, protocol.EndAlone, "")
-		Expect(effects.Held).To(HaveLen(3))
+		Expect(effects.Pending).To(HaveLen(3))
 		Expect(s.held()).To(Equal([]string{a.String(), b.String(), c.String()}))
 		for _, member := range []jobs.TaskID{a, b, c} {
-			Expect(s.Task(member).Saved).To(Equal("one"))
+			Expect(s.Task(member).Checkpoint).To(Equal("one"))
 		}
 		Expect(s.Task(a).Group.Attempts).To(Equal(0))
 		startAll(2)
@@ -144,12 +144,12 @@
 		s.lose("r1", a, 1, "seen")
 		s.end("r2", b, 1, protocol.EndBroken, "ended")
 		s.lose("r3", c, 1, "seen too")
-		Expect(s.Task(a).Saved).To(Equal("ended"))
+		Expect(s.Task(a).Checkpoint).To(Equal("ended"))
 		startAll(2)
 		s.lose("r1", a, 2, "later")
 		s.lose("r2", b, 2, "")
 		s.lose("r3", c, 2, "")
-		Expect(s.Task(b).Saved).To(Equal("later"))
+		Expect(s.Task(b).Checkpoint).To(Equal("later"))
 	})
 
 	It("remembers over a snapshot that a run's failure was counted and what an end of it saved", func() {
@@ -162,7 +162,7 @@
 		s.lose("r3", c, 1, "seen")
 		Expect(s.Task(a).AttemptsOf()).To(Equal(1))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
-		Expect(s.Task(a).Saved).To(Equal("ended"))
+		Expect(s.Task(a).Checkpoint).To(Equal("ended"))
 	})
 
 	It("that lasts is held again however it ends, also done", func() {
--- a/internal/cluster/jobs/handin_test.go
+++ b/internal/cluster/jobs/handin_test.go
@@ -20,7 +20,7 @@
 	It("takes an id once, whatever comes with it later", func() {
 		Expect(s.submit(jobA, 2, step(2)).Submits[0]).To(Equal(jobs.Taken))
 		Expect(s.submit(jobA, 2, step(5)).Submits[0]).To(Equal(jobs.Known))
-		Expect(s.HeldCount()).To(Equal(2))
+		Expect(s.PendingCount()).To(Equal(2))
 		Expect(s.Pending("host/path/")).To(Equal(1))
 	})
 
@@ -151,7 +151,7 @@
 
 	It("drops the bulky parts of an ended job, and leaves those that are held elsewhere as they are", func() {
 		effects := s.submit(jobA, 2, step(1))
-		task := effects.Held[0]
+		task := effects.Pending[0]
 		s.start("r1", 1, task.ID)
 		effects = s.end("r1", task.ID, 1, protocol.EndDone, "")
 		Expect(effects.Ended).To(Equal([]*jobs.Task{task}))
--- a/internal/cluster/jobs/jobs_suite_test.go
+++ b/internal/cluster/jobs/jobs_suite_test.go
@@ -75,12 +75,12 @@
 func (s *shard) end(runner string, id jobs.TaskID, run uint64, how, saved string) *jobs.Effects {
 	s.n[runner]++
 	return s.do(&jobs.Command{Ends: []jobs.End{
-		{Runner: runner, N: s.n[runner], Task: id, Run: run, How: how, Saved: saved},
+		{Runner: runner, N: s.n[runner], Task: id, Run: run, Outcome: how, Checkpoint: saved},
 	}})
 }
 
 func (s *shard) lose(runner string, id jobs.TaskID, run uint64, saved string) *jobs.Effects {
-	return s.do(&jobs.Command{Losses: []jobs.Loss{{Runner: runner, Task: id, Run: run, Saved: saved}}})
+	return s.do(&jobs.Command{Losses: []jobs.Loss{{Runner: runner, Task: id, Run: run, Checkpoint: saved}}})
 }
 
 func (s *shard) cancel(id string) bool {
@@ -120,7 +120,7 @@
 
 // held returns the held tasks in their order.
 func (s *shard) held() (ids []string) {
-	s.EachHeld(func(task *jobs.Task) bool {
+	s.EachPending(func(task *jobs.Task) bool {
 		ids = append(ids, task.ID.String())
 		return true
 	})
--- a/internal/cluster/jobs/machine.go
+++ b/internal/cluster/jobs/machine.go
@@ -48,9 +48,9 @@
 // Counters count what a State holds, and what has become of jobs since the shard began.
 type Counters struct {
 	Jobs      int // not ended
-	Kept      int // ended, state still kept
+	Retained  int // ended, state still kept
 	Forgotten int // ids that are known or fenced without a state
-	Held      int // tasks
+	Pending   int // tasks
 	Running   int // tasks
 	Lingering int // runs
 	Runners   int
@@ -119,9 +119,9 @@
 	return job.task(id)
 }
 
-// EachHeld calls f for each held task, by priority and then by when it became held, until f returns false. Members of
+// EachPending calls f for each held task, by priority and then by when it became held, until f returns false. Members of
 // a gang follow one another.
-func (s *State) EachHeld(f func(*Task) bool) {
+func (s *State) EachPending(f func(*Task) bool) {
 	for _, priority := range s.priorities {
 		for task := s.held[priority].first; task != nil; task = task.next {
 			if !f(task) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// HeldCount returns how many tasks are held.
-func (s *State) HeldCount() int { return s.counters.Held }
+// PendingCount returns how many tasks are held.
+func (s *State) PendingCount() int { return s.counters.Pending }
 
 // StateOf returns the job's state as shown to clients, and whether the job is known.
 func (s *State) StateOf(id string) (state string, known bool) {
@@ -143,13 +143,13 @@
 	return job.State, true
 }
 
-// Pending returns how many jobs of the queue have not ended.
+// GangEnding returns how many jobs of the queue have not ended.
 func (s *State) Pending(queueKey string) int { return s.pending[queueKey] }
 
 // Counters returns the counts of now.
 func (s *State) Counters() Counters {
 	counters := s.counters
-	counters.Kept = len(s.jobs) - counters.Jobs
+	counters.Retained = len(s.jobs) - counters.Jobs
 	counters.Forgotten = s.tombstones.count()
 	counters.Runners = len(s.runners.records)
 	return counters
--- a/internal/cluster/jobs/model_draw_test.go
+++ b/internal/cluster/jobs/model_draw_test.go
@@ -67,7 +67,7 @@
 
 func (m *model) drawStarts(t *rapid.T, c *jobs.Command) {
 	var held []*jobs.Task
-	m.state.EachHeld(func(task *jobs.Task) bool {
+	m.state.EachPending(func(task *jobs.Task) bool {
 		held = append(held, task)
 		return true
 	})
@@ -99,7 +99,7 @@
 		}
 		saved := rapid.SampledFrom([]string{"", "s1", "s2"}).Draw(t, "saved")
 		if rapid.IntRange(0, 3).Draw(t, "loss") == 0 {
-			c.Losses = append(c.Losses, jobs.Loss{Runner: run.runner, Task: run.task, Run: run.run, Saved: saved})
+			c.Losses = append(c.Losses, jobs.Loss{Runner: run.runner, Task: run.task, Run: run.run, Checkpoint: saved})
 			continue
 		}
 		how := rapid.SampledFrom([]string{
@@ -110,6 +110,6 @@
 		if rapid.IntRange(0, 9).Draw(t, "old") == 0 {
 			n = m.lastSeen[run.runner]
 		}
-		c.Ends = append(c.Ends, jobs.End{Runner: run.runner, N: n, Task: run.task, Run: run.run, How: how, Saved: saved})
+		c.Ends = append(c.Ends, jobs.End{Runner: run.runner, N: n, Task: run.task, Run: run.run, Outcome: how, Checkpoint: saved})
 	}
 }
--- a/internal/cluster/jobs/model_test.go
+++ b/internal/cluster/jobs/model_test.go
@@ -138,20 +138,20 @@
 	spec := m.specs[end.Task.Job]
 	gang := m.step(end.Task).Gang
 	switch {
-	case end.How == protocol.EndDone && gang:
+	case end.Outcome == protocol.EndDone && gang:
 		for index := range spec.Steps[end.Task.Step].Count {
 			member := end.Task
 			member.Index = index
 			m.done[member] = true
 		}
-	case end.How == protocol.EndDone:
+	case end.Outcome == protocol.EndDone:
 		m.done[end.Task] = true
-	case end.How == protocol.EndFailed && gang:
+	case end.Outcome == protocol.EndFailed && gang:
 		if m.failedRun[m.gangOf(end.Task)] < end.Run {
 			m.failedRun[m.gangOf(end.Task)] = end.Run
 			m.fails[m.gangOf(end.Task)]++
 		}
-	case end.How == protocol.EndFailed:
+	case end.Outcome == protocol.EndFailed:
 		m.fails[end.Task]++
 	}
 }
@@ -237,15 +237,15 @@
 func (m *model) check(t *rapid.T) {
 	m.checkRuns(t)
 	held := map[jobs.TaskID]bool{}
-	m.state.EachHeld(func(task *jobs.Task) bool {
+	m.state.EachPending(func(task *jobs.Task) bool {
 		held[task.ID] = true
-		if task.Phase != jobs.Held || m.state.Task(task.ID) != task {
+		if task.Phase != jobs.Pending || m.state.Task(task.ID) != task {
 			t.Fatalf("%v is listed as held", task.ID)
 		}
 		return true
 	})
-	if len(held) != m.state.HeldCount() {
-		t.Fatalf("%d held, %d counted", len(held), m.state.HeldCount())
+	if len(held) != m.state.PendingCount() {
+		t.Fatalf("%d held, %d counted", len(held), m.state.PendingCount())
 	}
 	pending := 0
 	for job := range m.queues {
--- a/internal/cluster/jobs/order_test.go
+++ b/internal/cluster/jobs/order_test.go
@@ -21,7 +21,7 @@
 
 	It("holds a step once every task of all that it depends on is done", func() {
 		s.submit(jobA, 2, step(2), step(1), step(1, after(0, 1)), step(1, after(2)))
-		Expect(s.HeldCount()).To(Equal(3))
+		Expect(s.PendingCount()).To(Equal(3))
 		finish(jobA, 0, 0, 0)
 		finish(jobA, 0, 0, 1)
 		Expect(s.phase(id(jobA, 2, 0))).To(Equal("waiting"))
@@ -45,7 +45,7 @@
 		Expect(waits).To(BeTrue())
 		s.pass(999)
 		Expect(s.held()).To(BeEmpty())
-		Expect(s.pass(1).Held).To(HaveLen(1))
+		Expect(s.pass(1).Pending).To(HaveLen(1))
 		Expect(s.held()).To(Equal([]string{jobA + ".0.0.0"}))
 		due, _ = s.NextDueMs()
 		Expect(due).To(Equal(startMs + 1500))
@@ -77,9 +77,9 @@
 
 	It("makes all times that are past at once", func() {
 		s.submitSpec(jobA, 2, repeated(4, startMs-1000, 500, step(1)))
-		Expect(s.HeldCount()).To(Equal(3))
+		Expect(s.PendingCount()).To(Equal(3))
 		s.pass(10_000)
-		Expect(s.HeldCount()).To(Equal(4))
+		Expect(s.PendingCount()).To(Equal(4))
 	})
 
 	It("makes no more times once the job is over", func() {
@@ -93,18 +93,18 @@
 		_, waits := s.NextDueMs()
 		Expect(waits).To(BeFalse())
 		s.pass(10_000)
-		Expect(s.HeldCount()).To(Equal(0))
+		Expect(s.PendingCount()).To(Equal(0))
 	})
 
 	It("bounds the times that are open at once, and goes on as they are done", func() {
 		s.submitSpec(jobA, 1, repeated(5, startMs, 0, step(8000)))
-		Expect(s.HeldCount()).To(Equal(16_000))
+		Expect(s.PendingCount()).To(Equal(16_000))
 		_, waits := s.NextDueMs()
 		Expect(waits).To(BeFalse())
 		for index := range 8000 {
 			finish(jobA, 0, 0, index)
 		}
-		Expect(s.HeldCount()).To(Equal(16_000))
+		Expect(s.PendingCount()).To(Equal(16_000))
 		Expect(s.phase(id(jobA, 2, 0, 0))).To(Equal("held"))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 	})
--- a/internal/cluster/jobs/progress.go
+++ b/internal/cluster/jobs/progress.go
@@ -79,18 +79,18 @@
 // hold makes a task Held.
 func (s *State) hold(task *Task) {
 	s.sequence++
-	task.Phase = Held
-	task.HeldAtMs = s.clockMs
+	task.Phase = Pending
+	task.PendingSinceMs = s.clockMs
 	task.sequence = s.sequence
 	s.heldList(task.Group.Job.Queue.Priority).push(task)
-	s.counters.Held++
-	s.effects.Held = append(s.effects.Held, task)
+	s.counters.Pending++
+	s.effects.Pending = append(s.effects.Pending, task)
 }
 
 // unhold takes a Held task off the list; its phase is the caller's to set.
 func (s *State) unhold(task *Task) {
 	s.heldList(task.Group.Job.Queue.Priority).remove(task)
-	s.counters.Held--
+	s.counters.Pending--
 }
 
 // finish makes a task Done, with all that follows from it.
@@ -157,10 +157,10 @@
 
 func (s *State) abandonTask(task *Task) {
 	switch task.Phase {
-	case Held:
+	case Pending:
 		s.unhold(task)
 		task.Phase = Cancelled
-	case Waiting, Pending:
+	case Blocked, GangEnding:
 		task.Phase = Cancelled
 	}
 }
--- a/internal/cluster/jobs/replicas_test.go
+++ b/internal/cluster/jobs/replicas_test.go
@@ -46,9 +46,9 @@
 // describe writes effects out, in their order.
 func describe(e *jobs.Effects) string {
 	text := fmt.Sprint(e.Submits, e.Cancels, e.Fences, e.Ends, e.Losses, e.Starts, e.Freed)
-	for _, task := range slices.Concat(e.Held, e.Ended) {
-		text += fmt.Sprint("\n", task.ID, task.Phase, task.Run, task.Runner, task.Saved, task.Attempts, task.HeldAtMs,
-			task.Group.Left, task.Group.Run, task.Group.Attempts, task.Group.Alive, task.Group.Saved)
+	for _, task := range slices.Concat(e.Pending, e.Ended) {
+		text += fmt.Sprint("\n", task.ID, task.Phase, task.Run, task.Runner, task.Checkpoint, task.Attempts, task.PendingSinceMs,
+			task.Group.Left, task.Group.Run, task.Group.Attempts, task.Group.Alive, task.Group.Checkpoint)
 	}
 	for _, job := range e.Over {
 		text += fmt.Sprint("\n", job.ID, job.State, job.EndedMs)
@@ -60,14 +60,14 @@
 func view(s *jobs.State) string {
 	text := fmt.Sprint(s.ClockMs(), s.Counters(), s.Runners())
 	text += fmt.Sprint(s.NextDueMs())
-	s.EachHeld(func(task *jobs.Task) bool {
-		text += fmt.Sprint("\n", task.ID, task.Run, task.Saved, task.HeldAtMs, task.AttemptsOf())
+	s.EachPending(func(task *jobs.Task) bool {
+		text += fmt.Sprint("\n", task.ID, task.Run, task.Checkpoint, task.PendingSinceMs, task.AttemptsOf())
 		return true
 	})
 	for _, runner := range modelRunners {
 		text += fmt.Sprint("\n", runner, s.LastSeen(runner), s.LingeringOn(runner), s.Departed(runner))
 		for _, task := range s.RunsOn(runner) {
-			text += fmt.Sprint(" ", task.ID, task.Run, task.Runner, task.Saved)
+			text += fmt.Sprint(" ", task.ID, task.Run, task.Runner, task.Checkpoint)
 		}
 	}
 	return text
--- a/internal/cluster/jobs/restore.go
+++ b/internal/cluster/jobs/restore.go
@@ -119,9 +119,9 @@
 
 // link adds a task that was read to the list that its phase wants.
 func (s *State) link(task *Task) error {
-	if task.Phase == Held {
+	if task.Phase == Pending {
 		s.heldList(task.Group.Job.Queue.Priority).push(task)
-		s.counters.Held++
+		s.counters.Pending++
 		return nil
 	}
 	record := s.runners.records[task.Runner]
@@ -189,14 +189,14 @@
 func (r *reader) group(group *Group, last *taskColumns) (linked []*Task) {
 	group.Run = r.unsigned()
 	group.Attempts = int(r.unsigned())
-	group.Saved = r.own()
+	group.Checkpoint = r.own()
 	group.failedRun = r.unsigned()
 	group.savedByEnd = r.unsigned()
 	group.released = r.byte() != 0
 	for _, task := range group.Tasks {
 		r.taskState(task, last)
 		switch task.Phase {
-		case Held, Running:
+		case Pending, Running:
 			linked = append(linked, task)
 		case Done:
 			group.Left--
@@ -207,19 +207,19 @@
 
 func (r *reader) taskState(task *Task, last *taskColumns) {
 	task.Phase = Phase(r.byte())
-	if task.Phase == Waiting {
+	if task.Phase == Blocked {
 		return
 	}
-	if task.Phase > Pending {
+	if task.Phase > GangEnding {
 		r.fail()
 		return
 	}
 	task.Run = r.unsigned()
 	task.Attempts = int(r.unsigned())
-	task.Saved = r.saved(last)
-	task.HeldAtMs = last.heldAtMs + r.signed()
+	task.Checkpoint = r.saved(last)
+	task.PendingSinceMs = last.heldAtMs + r.signed()
 	task.sequence = last.sequence + uint64(r.signed())
-	last.heldAtMs, last.sequence = task.HeldAtMs, task.sequence
+	last.heldAtMs, last.sequence = task.PendingSinceMs, task.sequence
 	if task.Phase == Running {
 		task.Runner = r.repeated(&last.runner)
 	}
--- a/internal/cluster/jobs/runners.go
+++ b/internal/cluster/jobs/runners.go
@@ -138,8 +138,8 @@
 	return ids
 }
 
-// PlaceOf returns the address at which a runner stands, or "" if no command has told it.
-func (s *State) PlaceOf(runner string) string {
+// AddressOf returns the address at which a runner stands, or "" if no command has told it.
+func (s *State) AddressOf(runner string) string {
 	if record := s.runners.records[runner]; record != nil {
 		return record.place
 	}
--- a/internal/cluster/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -21,8 +21,8 @@
 		return false
 	}
 	s.leaveRunner(task, record)
-	s.keepSaved(task, end.Saved, true)
-	s.settle(task, end.How)
+	s.keepSaved(task, end.Checkpoint, true)
+	s.settle(task, end.Outcome)
 	return true
 }
 
@@ -38,7 +38,7 @@
 	}
 	s.counters.Lost++
 	s.leaveRunner(task, record)
-	s.keepSaved(task, loss.Saved, false)
+	s.keepSaved(task, loss.Checkpoint, false)
 	s.settle(task, protocol.EndLapsed)
 	return true
 }
@@ -79,7 +79,7 @@
 		return
 	}
 	if !group.Spec().Gang {
-		task.Saved = strings.Clone(saved)
+		task.Checkpoint = strings.Clone(saved)
 		return
 	}
 	if byEnd {
@@ -87,7 +87,7 @@
 	} else if group.savedByEnd == task.Run {
 		return
 	}
-	group.Saved = strings.Clone(saved)
+	group.Checkpoint = strings.Clone(saved)
 }
 
 // settle gives a task whose run has just ended its next phase.
--- a/internal/cluster/jobs/runs_test.go
+++ b/internal/cluster/jobs/runs_test.go
@@ -81,7 +81,7 @@
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
 		effects := s.do(&jobs.Command{
-			Ends:   []jobs.End{{Runner: "r1", N: 1, Task: id(jobA, 0), Run: 1, How: protocol.EndStopped}},
+			Ends:   []jobs.End{{Runner: "r1", N: 1, Task: id(jobA, 0), Run: 1, Outcome: protocol.EndStopped}},
 			Starts: []jobs.Start{{Task: id(jobA, 0), Run: 2, Runner: "r2"}},
 		})
 		Expect(effects.Ends).To(Equal([]bool{true}))
@@ -95,9 +95,9 @@
 			s.start("r1", 1, id(jobA, 0))
 			s.lose("r1", id(jobA, 0), 1, "")
 			s.start("r2", 2, id(jobA, 0))
-			s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r2", N: 5, Task: id(jobB, 0), Run: 1, How: protocol.EndDone}}})
+			s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r2", N: 5, Task: id(jobB, 0), Run: 1, Outcome: protocol.EndDone}}})
 			effects := s.do(&jobs.Command{Ends: []jobs.End{
-				{Runner: runner, N: n, Task: id(jobA, 0), Run: run, How: protocol.EndDone},
+				{Runner: runner, N: n, Task: id(jobA, 0), Run: run, Outcome: protocol.EndDone},
 			}})
 			Expect(effects.Ends).To(Equal([]bool{false}))
 			Expect(s.phase(id(jobA, 0))).To(Equal("running"))
@@ -151,7 +151,7 @@
 		Expect(phaseName(waiting.Phase)).To(Equal("cancelled"))
 		Expect(phaseName(held.Phase)).To(Equal("cancelled"))
 		Expect(phaseName(running.Phase)).To(Equal("running"))
-		Expect(s.HeldCount()).To(Equal(0))
+		Expect(s.PendingCount()).To(Equal(0))
 		Expect(s.Job(jobA).Groups).NotTo(BeEmpty())
 
 		s.end("r1", running.ID, 1, protocol.EndDone, "")
@@ -208,7 +208,7 @@
 					s.lose("r1", id(jobA, 0), uint64(i+1), text)
 				}
 			}
-			Expect(s.Task(id(jobA, 0)).Saved).To(Equal(want))
+			Expect(s.Task(id(jobA, 0)).Checkpoint).To(Equal(want))
 		},
 		Entry("the newest is kept", "b", []func(*protocol.Step){checkpoints}, "a", "b"),
 		Entry("an empty one changes nothing", "b", []func(*protocol.Step){checkpoints}, "a", "b", ""),
@@ -227,9 +227,9 @@
 		s.start("r1", 1, id(jobB, 0))
 		s.end("r1", id(jobB, 0), 1, protocol.EndStopped, "")
 		Expect(s.held()).To(Equal([]string{jobC + ".0.0.0", jobB + ".0.0.1", jobB + ".0.0.0", jobA + ".0.0.0"}))
-		Expect(s.Task(id(jobB, 0)).HeldAtMs).To(Equal(startMs + 10))
+		Expect(s.Task(id(jobB, 0)).PendingSinceMs).To(Equal(startMs + 10))
 		seen := 0
-		s.EachHeld(func(*jobs.Task) bool { seen++; return seen < 2 })
+		s.EachPending(func(*jobs.Task) bool { seen++; return seen < 2 })
 		Expect(seen).To(Equal(2))
 	})
 
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -130,7 +130,7 @@
 func (w *writer) group(group *Group, last *taskColumns) {
 	w.unsigned(group.Run)
 	w.count(group.Attempts)
-	w.text(group.Saved)
+	w.text(group.Checkpoint)
 	w.unsigned(group.failedRun)
 	w.unsigned(group.savedByEnd)
 	w.flag(group.released)
@@ -141,15 +141,15 @@
 
 func (w *writer) taskState(task *Task, last *taskColumns) {
 	w.byte(byte(task.Phase))
-	if task.Phase == Waiting {
+	if task.Phase == Blocked {
 		return
 	}
 	w.unsigned(task.Run)
 	w.count(task.Attempts)
-	w.repeated(task.Saved, &last.saved)
-	w.signed(task.HeldAtMs - last.heldAtMs)
+	w.repeated(task.Checkpoint, &last.saved)
+	w.signed(task.PendingSinceMs - last.heldAtMs)
 	w.signed(int64(task.sequence - last.sequence))
-	last.heldAtMs, last.sequence = task.HeldAtMs, task.sequence
+	last.heldAtMs, last.sequence = task.PendingSinceMs, task.sequence
 	if task.Phase == Running {
 		w.repeated(task.Runner, &last.runner)
 	}
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -4,14 +4,14 @@
 
 // Task is one task of a job, at one time K. Its fields are read by the owner and changed only by State.Apply.
 type Task struct {
-	ID       TaskID
-	Group    *Group
-	Phase    Phase
-	Run      uint64 // newest run; 0: none yet
-	Runner   string // of the newest run while Phase is Running, else empty
-	Saved    string // newest checkpoint, or empty; that of a gang is the same for all members while they are Held
-	Attempts int    // ends `failed` that count; those of a gang are counted by its group
-	HeldAtMs int64  // shard's time of day at which it last became Held
+	ID             TaskID
+	Group          *Group
+	Phase          Phase
+	Run            uint64 // newest run; 0: none yet
+	Runner         string // of the newest run while Phase is Running, else empty
+	Checkpoint     string // newest checkpoint, or empty; that of a gang is the same for all members while they are Held
+	Attempts       int    // ends `failed` that count; those of a gang are counted by its group
+	PendingSinceMs int64  // shard's time of day at which it last became Held
 
 	sequence       uint64 // rises each time a task becomes Held or Running; orders the lists below
 	previous, next *Task  // neighbours in the list of held tasks, or of its runner's running ones
@@ -20,15 +20,15 @@
 
 // Group is one step of a job at one time K: the unit that gangs, anti-affinity and dependsOn speak of.
 type Group struct {
-	Job      *Job
-	Time     int
-	Step     int
-	Tasks    []*Task
-	Left     int    // tasks that are not Done
-	Run      uint64 // gang: newest run of all members
-	Attempts int    // gang: runs that ended `failed`
-	Alive    int    // tasks that are Running
-	Saved    string // gang: newest checkpoint that any member's end or loss brought
+	Job        *Job
+	Time       int
+	Step       int
+	Tasks      []*Task
+	Left       int    // tasks that are not Done
+	Run        uint64 // gang: newest run of all members
+	Attempts   int    // gang: runs that ended `failed`
+	Alive      int    // tasks that are Running
+	Checkpoint string // gang: newest checkpoint that any member's end or loss brought
 
 	released   bool   // its turn has come
 	failedRun  uint64 // gang: newest run whose failure was counted
--- a/internal/cluster/jobs/types.go
+++ b/internal/cluster/jobs/types.go
@@ -15,14 +15,14 @@
 
 // Command is one entry of the shard's log: everything that the owner decided in one round.
 type Command struct {
-	TimeOfDayMs int64 // owner's estimate, ms since 1970; the shard's clock never goes back
-	Submits     []Submit
-	Cancels     []string // jobs
-	Fences      []Fence
-	Ends        []End // those of one runner with rising N
-	Losses      []Loss
-	Starts      []Start
-	Places      []Place // applied before the starts
+	TimeOfDayMs     int64 // owner's estimate, ms since 1970; the shard's clock never goes back
+	Submits         []Submit
+	Cancels         []string // jobs
+	Fences          []Fence
+	Ends            []End // those of one runner with rising N
+	Losses          []Loss
+	Starts          []Start
+	RunnerAddresses []RunnerAddress // applied before the starts
 	// Departures are the runners that have said that they end. Nothing is started there any more, whoever owns the shard.
 	Departures []string
 }
@@ -43,26 +43,26 @@
 
 // End is an end that a runner listed.
 type End struct {
-	Runner string // instance id
-	N      uint64
-	Task   TaskID
-	Run    uint64
-	How    string // one of the protocol's ends
-	Saved  string
+	Runner     string // instance id
+	N          uint64
+	Task       TaskID
+	Run        uint64
+	Outcome    string // one of the protocol's ends
+	Checkpoint string
 }
 
 // Loss says that a run certainly runs nowhere and has no end that counts: it never reached its runner, or its
 // runner's incarnation or hold is over.
 type Loss struct {
-	Runner string
-	Task   TaskID
-	Run    uint64
-	Saved  string // newest checkpoint seen of it, or empty
+	Runner     string
+	Task       TaskID
+	Run        uint64
+	Checkpoint string // newest checkpoint seen of it, or empty
 }
 
-// Place says at which address an incarnation of a runner stands. A later incarnation there proves that it is over,
+// RunnerAddress says at which address an incarnation of a runner stands. A later incarnation there proves that it is over,
 // also to an owner that has never heard of it.
-type Place struct {
+type RunnerAddress struct {
 	Runner  string // instance id
 	Address string
 }
@@ -80,13 +80,13 @@
 
 // The phases.
 const (
-	Waiting Phase = iota // for earlier steps or for its time
-	Held                 // its turn has come; it may be started
+	Blocked Phase = iota // for earlier steps or for its time
+	Pending              // its turn has come; it may be started
 	Running              // a run may exist
 	Done
-	Failed    // failed as often as allowed
-	Cancelled // its job was cancelled or has failed, and no run of it exists
-	Pending   // gang: its run is over, and the same run of another member may still exist
+	Failed     // failed as often as allowed
+	Cancelled  // its job was cancelled or has failed, and no run of it exists
+	GangEnding // gang: its run is over, and the same run of another member may still exist
 )
 
 // Effects tells what a command did, in the order of its parts.
@@ -97,7 +97,7 @@
 	Ends    []bool  // whether it ended the task's present run
 	Losses  []bool  // whether it ended the task's present run
 	Starts  []bool  // whether the run may exist from now on
-	Held    []*Task // tasks whose turn came by this command
+	Pending []*Task // tasks whose turn came by this command
 	Ended   []*Task // tasks whose run is no longer, or is Done (their fields show the state after)
 	Freed   []Freed // lingering runs that are no longer
 	Over    []*Job  // jobs that became completed, failed or cancelled by this command, with their specs
--- a/internal/cluster/latency/cause.go
+++ b/internal/cluster/latency/cause.go
@@ -27,7 +27,7 @@
 	// Reserved: what was free is kept for urgent work, a gang or a large task.
 	Reserved
 	// Distrust: what was free is on runners that fail what they start.
-	Distrust
+	UnreliableRunner
 	// Better: a runner that suits the task better is expected to become free soon.
 	Better
 	// Order: the start was committed, and the runner had not listed the run yet.
@@ -50,7 +50,7 @@
 
 var names = [causes]string{
 	Unowned: "unowned", Step: "step", Round: "round", CPU: "cpu", Memory: "memory", GPU: "gpu", Runner: "runner",
-	Reserved: "reserved", Distrust: "distrust", Better: "better", Order: "order", Running: "running", Report: "report",
+	Reserved: "reserved", UnreliableRunner: "distrust", Better: "better", Order: "order", Running: "running", Report: "report",
 	Silent: "silent", Failed: "failed", Stopped: "stopped", Lost: "lost",
 }
 
--- a/internal/cluster/latency/ledger.go
+++ b/internal/cluster/latency/ledger.go
@@ -8,8 +8,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Ledger is the account of one owner, from its election on. Times are on the owner's steady clock.
-type Ledger struct {
+// Recorder is the account of one owner, from its election on. Times are on the owner's steady clock.
+type Recorder struct {
 	began  time.Duration
 	groups map[*jobs.Group]*groupRecord
 	jobs   map[*jobs.Job][]*groupRecord
@@ -44,15 +44,15 @@
 
 // Run is what is known of a run that has ended, on the owner's clock; zero times are not known.
 type Run struct {
-	ListedAt time.Duration // first listed by its runner
-	EndedAt  time.Duration // its end was listed
-	HeardAt  time.Duration // lost with its runner: the runner was heard for the last time; 0: never by this owner
-	Outcome  Cause         // Running if it ended well, else Failed, Stopped or Lost
+	ListedAt      time.Duration // first listed by its runner
+	EndedAt       time.Duration // its end was listed
+	LastContactAt time.Duration // lost with its runner: the runner was heard for the last time; 0: never by this owner
+	Outcome       Cause         // Running if it ended well, else Failed, Stopped or Lost
 }
 
-// NewLedger returns an account that begins now.
-func NewLedger(now time.Duration) *Ledger {
-	return &Ledger{
+// NewRecorder returns an account that begins now.
+func NewRecorder(now time.Duration) *Recorder {
+	return &Recorder{
 		began:  now,
 		groups: map[*jobs.Group]*groupRecord{},
 		jobs:   map[*jobs.Job][]*groupRecord{},
@@ -61,9 +61,9 @@
 }
 
 // Queues returns the sums by key of the queue. The map must not be changed.
-func (l *Ledger) Queues() map[string]*Queue { return l.queues }
+func (l *Recorder) Queues() map[string]*Queue { return l.queues }
 
-func (l *Ledger) queue(key string) *Queue {
+func (l *Recorder) queue(key string) *Queue {
 	known := l.queues[key]
 	if known == nil {
 		known = &Queue{}
@@ -74,7 +74,7 @@
 
 // record returns a group's record, nil if its job is over. One that is not known was released before this account began,
 // unless it is being released now.
-func (l *Ledger) record(group *jobs.Group, now time.Duration) *groupRecord {
+func (l *Recorder) record(group *jobs.Group, now time.Duration) *groupRecord {
 	known := l.groups[group]
 	if known == nil && !group.Job.Ended() {
 		known = &groupRecord{group: group, releasedAt: now, since: now, cause: Round, tasks: make([]taskRecord, len(group.Tasks))}
@@ -87,7 +87,7 @@
 
 // countStep counts what the tasks of a step waited for earlier ones: since the first step of their time had its turn, as far
 // as this account goes back. It is part of no task's own times, as the chain of a job has those of the earlier steps.
-func (l *Ledger) countStep(released *groupRecord) {
+func (l *Recorder) countStep(released *groupRecord) {
 	first := released.releasedAt
 	for _, known := range l.jobs[released.group.Job] {
 		if known.group.Time == released.group.Time {
@@ -98,8 +98,8 @@
 	l.queue(released.group.Job.Queue.Key).Tasks[Step] += waited * time.Duration(len(released.tasks))
 }
 
-// Held takes that a task's turn has come, for the first time or again.
-func (l *Ledger) Held(now time.Duration, task *jobs.Task) {
+// Pending takes that a task's turn has come, for the first time or again.
+func (l *Recorder) Pending(now time.Duration, task *jobs.Task) {
 	record := l.record(task.Group, now)
 	if record == nil {
 		return
@@ -112,7 +112,7 @@
 }
 
 // Waits takes what the held tasks of a group wait for from now on.
-func (l *Ledger) Waits(now time.Duration, group *jobs.Group, cause Cause) {
+func (l *Recorder) Waits(now time.Duration, group *jobs.Group, cause Cause) {
 	if record := l.record(group, now); record != nil && record.cause != cause {
 		record.wait(now, cause)
 	}
@@ -129,7 +129,7 @@
 }
 
 // Started takes that a task's start was committed.
-func (l *Ledger) Started(now time.Duration, task *jobs.Task) {
+func (l *Recorder) Started(now time.Duration, task *jobs.Task) {
 	record := l.record(task.Group, now)
 	if record == nil {
 		return
@@ -143,7 +143,7 @@
 }
 
 // Ended takes that the end or the loss of a task's run was committed.
-func (l *Ledger) Ended(now time.Duration, task *jobs.Task, run Run) {
+func (l *Recorder) Ended(now time.Duration, task *jobs.Task, run Run) {
 	record := l.record(task.Group, now)
 	if record == nil {
 		return
@@ -161,7 +161,7 @@
 }
 
 // forgetTime drops the record of a step that is done, of a job that comes in several times: nothing asks for it.
-func (l *Ledger) forgetTime(record *groupRecord) {
+func (l *Recorder) forgetTime(record *groupRecord) {
 	job := record.group.Job
 	if job.Spec.Repetitions <= 0 {
 		return
@@ -170,7 +170,7 @@
 	l.jobs[job] = slices.DeleteFunc(l.jobs[job], func(known *groupRecord) bool { return known == record })
 }
 
-func (l *Ledger) count(task *jobs.Task, entry *taskRecord, times *Times) {
+func (l *Recorder) count(task *jobs.Task, entry *taskRecord, times *Times) {
 	entry.times.Add(times)
 	l.queue(task.Group.Job.Queue.Key).Tasks.Add(times)
 }
@@ -183,7 +183,7 @@
 		ended := clamp(r.EndedAt, listed, now, now)
 		times[Order], times[Running], times[Report] = listed-started, ended-listed, now-ended
 	case Lost:
-		heard := clamp(r.HeardAt, started, now, started)
+		heard := clamp(r.LastContactAt, started, now, started)
 		times[Lost], times[Silent] = heard-started, now-heard
 	default:
 		times[r.Outcome] = now - started
@@ -212,7 +212,7 @@
 // Over takes that a job has ended, took being its time from its acceptance on, and returns its account. The objective is
 // that of its queue over the runs on that chain, those that failed included: which of them failed by the job's own fault
 // can't be told. Jobs that were cancelled, or come in several times, have no account.
-func (l *Ledger) Over(job *jobs.Job, took time.Duration) (account Job, ok bool) {
+func (l *Recorder) Over(job *jobs.Job, took time.Duration) (account Job, ok bool) {
 	records := l.jobs[job]
 	delete(l.jobs, job)
 	for _, record := range records {
--- a/internal/cluster/latency/ledger_test.go
+++ b/internal/cluster/latency/ledger_test.go
@@ -48,12 +48,12 @@
 }
 
 var _ = Describe("The account of a job", func() {
-	var l *latency.Ledger
-	BeforeEach(func() { l = latency.NewLedger(at(1)) })
+	var l *latency.Recorder
+	BeforeEach(func() { l = latency.NewRecorder(at(1)) })
 
 	// run has a task run well from 20 ms after a time on, for 100 ms.
 	run := func(from int, task *jobs.Task) {
-		l.Held(at(from), task)
+		l.Pending(at(from), task)
 		l.Started(at(from+20), task)
 	}
 	end := func(from int, group *jobs.Group) {
@@ -63,7 +63,7 @@
 	It("splits the time of its task by what that waited for", func() {
 		one, groups := job(nil)
 		task := groups[0].Tasks[0]
-		l.Held(at(100), task)
+		l.Pending(at(100), task)
 		l.Waits(at(110), groups[0], latency.CPU)
 		l.Waits(at(140), groups[0], latency.Reserved)
 		l.Started(at(200), task)
@@ -80,13 +80,13 @@
 	It("counts runs that came to nothing by how they ended", func() {
 		one, groups := job(nil)
 		task := groups[0].Tasks[0]
-		l.Held(at(100), task)
+		l.Pending(at(100), task)
 		l.Started(at(100), task)
 		l.Ended(at(300), task, latency.Run{ListedAt: at(120), EndedAt: at(290), Outcome: latency.Failed})
-		l.Held(at(300), task)
+		l.Pending(at(300), task)
 		l.Started(at(310), task)
-		l.Ended(at(2000), task, latency.Run{ListedAt: at(320), HeardAt: at(500), Outcome: latency.Lost})
-		l.Held(at(2000), task)
+		l.Ended(at(2000), task, latency.Run{ListedAt: at(320), LastContactAt: at(500), Outcome: latency.Lost})
+		l.Pending(at(2000), task)
 		l.Started(at(2000), task)
 		l.Ended(at(2100), done(groups[0]), latency.Run{ListedAt: at(2000), EndedAt: at(2100), Outcome: latency.Running})
 		account, _ := l.Over(one, at(2000))
@@ -153,7 +153,7 @@
 	It("tells what a job spent that has failed", func() {
 		one, groups := job(nil)
 		task := groups[0].Tasks[0]
-		l.Held(at(100), task)
+		l.Pending(at(100), task)
 		l.Started(at(120), task)
 		task.Phase, one.State = jobs.Failed, protocol.JobFailed
 		l.Ended(at(320), task, latency.Run{ListedAt: at(130), EndedAt: at(310), Outcome: latency.Failed})
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -28,7 +28,7 @@
 	Capacity protocol.Resources
 	Labels   []string
 	Interval time.Duration // between heartbeats, unless it is told otherwise
-	HoldMax  time.Duration // longest hold that it grants
+	MaxLease time.Duration // longest hold that it grants
 }
 
 // Core is the runner's state, without clock or links. Times are those of its steady clock.
@@ -122,7 +122,7 @@
 	c.fence = orders.FenceToken
 	c.forget(orders.LastSeen)
 	if orders.HoldMs > 0 {
-		hold := min(time.Duration(orders.HoldMs)*time.Millisecond, c.options.HoldMax)
+		hold := min(time.Duration(orders.HoldMs)*time.Millisecond, c.options.MaxLease)
 		c.heldUntil = max(c.heldUntil, sent+hold)
 	}
 	for _, order := range orders.Stop {
--- a/internal/cluster/localcluster/runner/core_test.go
+++ b/internal/cluster/localcluster/runner/core_test.go
@@ -15,7 +15,7 @@
 
 func newCore() *runner.Core {
 	return runner.New(runner.Options{
-		Instance: "i-1", Service: "s", Interval: 1500 * time.Millisecond, HoldMax: 6 * second,
+		Instance: "i-1", Service: "s", Interval: 1500 * time.Millisecond, MaxLease: 6 * second,
 		Capacity: protocol.Resources{CPU: 1000}, Labels: []string{"k"},
 	})
 }
--- a/internal/cluster/placement/constraints_test.go
+++ b/internal/cluster/placement/constraints_test.go
@@ -31,7 +31,7 @@
 	Entry("beside as many as allowed", func(t *Task) { t.AntiAffinity = 2 },
 		func(r *Runner) { r.GroupCount["t-step"] = 2 }, false),
 	Entry("beside others", func(t *Task) { t.AntiAffinity = 1 }, func(r *Runner) { r.GroupCount["u-step"] = 5 }, true),
-	Entry("on a distrusted runner if there is no other", func(*Task) {}, func(r *Runner) { r.Distrust = 1 }, true),
+	Entry("on a distrusted runner if there is no other", func(*Task) {}, func(r *Runner) { r.FailureScore = 1 }, true),
 )
 
 // steps returns count tasks of one step.
@@ -139,7 +139,7 @@
 })
 
 var _ = Describe("a distrusted runner", func() {
-	bad := runnerOf("bad", func(r *Runner) { r.Distrust = 0.9 })
+	bad := runnerOf("bad", func(r *Runner) { r.FailureScore = 0.9 })
 	good := func(change func(*Runner)) []Runner {
 		return []Runner{bad, runnerOf("good1", change), runnerOf("good2", change)}
 	}
@@ -156,7 +156,7 @@
 		Expect(round(steps("t", 5, func(*Task) {}), runners)).To(BeEmpty())
 	})
 	It("takes all if nearly all are distrusted", func() {
-		runners := good(func(r *Runner) { r.Distrust = 0.9 })
+		runners := good(func(r *Runner) { r.FailureScore = 0.9 })
 		Expect(round(steps("t", 20, func(*Task) {}), runners)).To(HaveLen(20))
 	})
 	It("takes what can run nowhere else", func() {
--- a/internal/cluster/placement/cost.go
+++ b/internal/cluster/placement/cost.go
@@ -68,18 +68,18 @@
 	if task.Affinity != "" && task.Affinity != r.runner.Rack {
 		runtime *= p.options.FarFactor
 	}
-	if task.Saved {
+	if task.HasCheckpoint {
 		runtime += p.options.Restore.Seconds()
 	}
-	if r.runner.Cold > 0 {
-		runtime += coldShare * r.runner.Cold.Seconds()
+	if r.runner.WarmingUp > 0 {
+		runtime += coldShare * r.runner.WarmingUp.Seconds()
 	}
 	return runtime
 }
 
 // doubtfulRuntime returns L: longer where starts are likely to come to nothing.
 func (p *Planner) doubtfulRuntime(c *candidate, r *room) float64 {
-	return p.runtime(c, r) * (1 + distrustWeight*r.runner.Distrust)
+	return p.runtime(c, r) * (1 + distrustWeight*r.runner.FailureScore)
 }
 
 // cost prices a task in a room that may take it.
--- a/internal/cluster/placement/cost_test.go
+++ b/internal/cluster/placement/cost_test.go
@@ -76,8 +76,8 @@
 	Entry("far from its data", func(t *Task) { t.Affinity = "r2" }, func(*Runner) {}, 1.5),
 	Entry("on a slow runner", func(*Task) {}, func(r *Runner) { r.Slowness = 4 }, 4.0),
 	Entry("on a runner of which no slowness is known", func(*Task) {}, func(r *Runner) { r.Slowness = 0 }, 1.0),
-	Entry("on a cold runner", func(*Task) {}, func(r *Runner) { r.Cold = 2 * second }, 2.0),
-	Entry("from a checkpoint", func(t *Task) { t.Saved, t.Remaining = true, 0.5 }, func(*Runner) {}, 1.1),
+	Entry("on a cold runner", func(*Task) {}, func(r *Runner) { r.WarmingUp = 2 * second }, 2.0),
+	Entry("from a checkpoint", func(t *Task) { t.HasCheckpoint, t.Remaining = true, 0.5 }, func(*Runner) {}, 1.1),
 	Entry("with an unknown rest", func(t *Task) { t.Remaining = 0 }, func(*Runner) {}, 1.0),
 )
 
--- a/internal/cluster/placement/day_test.go
+++ b/internal/cluster/placement/day_test.go
@@ -164,7 +164,7 @@
 			tasks = append(tasks, Task{Key: task, Queue: c.name, Priority: c.priority, SizeMs: job.hints[job.next],
 				Needs: job.needs(), TimeLeft: d.timeLeft(job, job.next), Waited: d.now - task.held,
 				Affinity: job.affinity, Group: &job.steps[job.next][0].done, Gang: c.gang, RackLocal: job.rackOnly,
-				LongRunning: c.lasts, Saved: task.percent > 0, Remaining: 1 - task.percent})
+				LongRunning: c.lasts, HasCheckpoint: task.percent > 0, Remaining: 1 - task.percent})
 			of = append(of, task)
 		}
 	}
@@ -187,7 +187,7 @@
 				saved = elapsed % (2 * time.Second)
 			}
 			r.Running = append(r.Running, Run{Key: run, Queue: job.class.name, Priority: job.class.priority, Needs: needs,
-				Predicted: run.predicted, Elapsed: elapsed, SavedAgo: saved, LongRunning: job.class.lasts,
+				Predicted: run.predicted, Elapsed: elapsed, CheckpointAge: saved, LongRunning: job.class.lasts,
 				Gang: job.class.gang, Stopping: run.stopped})
 		}
 	}
--- a/internal/cluster/placement/gang_test.go
+++ b/internal/cluster/placement/gang_test.go
@@ -61,7 +61,7 @@
 	Entry("not at all if it cannot be apart", gang("g", 2, func(t *Task) { t.Needs, t.AntiAffinity = cpu(1), 1 }),
 		[]Runner{runnerOf("a")}, nil),
 	Entry("not on distrusted runners", gang("g", 2),
-		[]Runner{runnerOf("a"), runnerOf("b"), runnerOf("c", func(r *Runner) { r.Distrust = 1 })}, map[string]int{"a": 1, "b": 1}),
+		[]Runner{runnerOf("a"), runnerOf("b"), runnerOf("c", func(r *Runner) { r.FailureScore = 1 })}, map[string]int{"a": 1, "b": 1}),
 )
 
 var _ = Describe("a gang", func() {
@@ -122,7 +122,7 @@
 		tasks := append(gang("g", 2), steps("late", 3, func(t *Task) {
 			t.SizeMs, t.Needs, t.Priority, t.Waited = 9000, cpu(4), 1, 2*second
 		})...)
-		three := append(runners(), runnerOf("c", func(r *Runner) { r.Labels = nil; r.Distrust = 1 }), runnerOf("d", full))
+		three := append(runners(), runnerOf("c", func(r *Runner) { r.Labels = nil; r.FailureScore = 1 }), runnerOf("d", full))
 		Expect(round(tasks, three)).NotTo(BeEmpty())
 	})
 	It("is held for a bounded time, and again after a pause", func() {
--- a/internal/cluster/placement/match.go
+++ b/internal/cluster/placement/match.go
@@ -167,7 +167,7 @@
 	s, t := a.task, b.task
 	return s.Group == t.Group && s.Queue == t.Queue && s.SizeMs == t.SizeMs && s.Needs == t.Needs &&
 		s.Affinity == t.Affinity && s.Requirements == t.Requirements && s.AntiAffinity == t.AntiAffinity &&
-		s.TimeLeft == t.TimeLeft && s.Saved == t.Saved && s.Remaining == t.Remaining &&
+		s.TimeLeft == t.TimeLeft && s.HasCheckpoint == t.HasCheckpoint && s.Remaining == t.Remaining &&
 		s.LongRunning == t.LongRunning && a.rescue == b.rescue
 }
 
--- a/internal/cluster/placement/preempt.go
+++ b/internal/cluster/placement/preempt.go
@@ -211,7 +211,7 @@
 // lostWork returns the core-seconds that are lost with a run.
 func lostWork(r *room, run int) float64 {
 	victim := &r.runner.Running[run]
-	return victim.SavedAgo.Seconds() * cores(victim.Needs)
+	return victim.CheckpointAge.Seconds() * cores(victim.Needs)
 }
 
 // evict stops the victims, and expects their room as soon as stops take.
--- a/internal/cluster/placement/preempt_test.go
+++ b/internal/cluster/placement/preempt_test.go
@@ -9,7 +9,7 @@
 
 // runOf returns a run of 4 cores and priority 2 with 10 s to go, of which 200 ms would be lost.
 func runOf(change ...func(*Run)) Run {
-	run := Run{Needs: cpu(4), Priority: 2, Predicted: 15 * second, Elapsed: 5 * second, SavedAgo: 200 * time.Millisecond}
+	run := Run{Needs: cpu(4), Priority: 2, Predicted: 15 * second, Elapsed: 5 * second, CheckpointAge: 200 * time.Millisecond}
 	for _, apply := range change {
 		apply(&run)
 	}
@@ -52,10 +52,10 @@
 	Entry("never a member of a gang", func(*Task) {}, func(r *Run) { r.Gang = true }, 0),
 	Entry("never what lasts", func(*Task) {}, func(r *Run) { r.LongRunning = true }, 0),
 	Entry("not what is being stopped, whose room comes anyway", func(*Task) {}, func(r *Run) { r.Stopping = true }, 0),
-	Entry("not what would lose far more than is won", func(*Task) {}, func(r *Run) { r.SavedAgo = 5 * second }, 0),
+	Entry("not what would lose far more than is won", func(*Task) {}, func(r *Run) { r.CheckpointAge = 5 * second }, 0),
 	Entry("at most a quarter of what is won, and half a core-second", func(*Task) {},
-		func(r *Run) { r.SavedAgo = 370 * time.Millisecond }, 1),
-	Entry("no more than that", func(*Task) {}, func(r *Run) { r.SavedAgo = 380 * time.Millisecond }, 0),
+		func(r *Run) { r.CheckpointAge = 370 * time.Millisecond }, 1),
+	Entry("no more than that", func(*Task) {}, func(r *Run) { r.CheckpointAge = 380 * time.Millisecond }, 0),
 	Entry("not for a task that lasts", func(t *Task) { t.LongRunning = true }, func(*Run) {}, 0),
 	Entry("not for what no runner can take", func(t *Task) { t.Requirements = "none" }, func(*Run) {}, 0),
 )
@@ -63,15 +63,15 @@
 var _ = Describe("what is stopped", func() {
 	It("is what loses least", func() {
 		runner := fullOf("r")
-		runner.Running[2].SavedAgo = 100 * time.Millisecond
+		runner.Running[2].CheckpointAge = 100 * time.Millisecond
 		Expect(stops([]Task{urgent()}, []Runner{fullOf("s"), runner})).To(Equal([]Stop{{Runner: 1, Run: 2}}))
 	})
 	It("counts an accelerator as eight cores", func() {
 		gpu := runnerOf("gpu", func(r *Runner) {
 			r.Capacity = withGPU(8)
 			r.Running = []Run{
-				runOf(func(r *Run) { r.Needs, r.SavedAgo = withGPU(4), 20*time.Millisecond }),
-				runOf(func(r *Run) { r.Needs, r.SavedAgo = cpu(4), 150*time.Millisecond }),
+				runOf(func(r *Run) { r.Needs, r.CheckpointAge = withGPU(4), 20*time.Millisecond }),
+				runOf(func(r *Run) { r.Needs, r.CheckpointAge = cpu(4), 150*time.Millisecond }),
 			}
 		})
 		Expect(stops([]Task{urgent()}, []Runner{gpu})).To(Equal([]Stop{{Runner: 0, Run: 1}}))
@@ -79,8 +79,8 @@
 	It("is no more than needed: small ones are spared where a large one makes all the room", func() {
 		runner := runnerOf("r", func(r *Runner) {
 			r.Running = []Run{
-				runOf(func(r *Run) { r.Needs, r.SavedAgo = cpu(1), 0 }),
-				runOf(func(r *Run) { r.Needs, r.SavedAgo = cpu(15), 50*time.Millisecond }),
+				runOf(func(r *Run) { r.Needs, r.CheckpointAge = cpu(1), 0 }),
+				runOf(func(r *Run) { r.Needs, r.CheckpointAge = cpu(15), 50*time.Millisecond }),
 			}
 		})
 		Expect(stops([]Task{urgent()}, []Runner{runner})).To(Equal([]Stop{{Runner: 0, Run: 1}}))
--- a/internal/cluster/placement/property_test.go
+++ b/internal/cluster/placement/property_test.go
@@ -17,10 +17,10 @@
 	for i := range runners {
 		runner := Runner{ID: fmt.Sprint("r", i), Kind: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "kind"),
 			Rack: rapid.SampledFrom([]string{"k1", "k2", "k3"}).Draw(t, "rack"), Capacity: cpu(16),
-			Slowness:   rapid.SampledFrom([]float64{0, 1, 1, 1, 5}).Draw(t, "slowness"),
-			Distrust:   rapid.SampledFrom([]float64{0, 0, 0, 0.3, 0.9}).Draw(t, "distrust"),
-			Draining:   rapid.IntRange(0, 5).Draw(t, "draining") == 0,
-			GroupCount: map[any]int{}}
+			Slowness:     rapid.SampledFrom([]float64{0, 1, 1, 1, 5}).Draw(t, "slowness"),
+			FailureScore: rapid.SampledFrom([]float64{0, 0, 0, 0.3, 0.9}).Draw(t, "distrust"),
+			Draining:     rapid.IntRange(0, 5).Draw(t, "draining") == 0,
+			GroupCount:   map[any]int{}}
 		runner.Labels = []string{runner.Kind, runner.Rack}
 		if gpus {
 			runner.Capacity.GPU = 8
@@ -47,13 +47,13 @@
 
 func drawRun(t *rapid.T, gpus bool) Run {
 	return Run{Queue: "q", Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Needs: drawNeeds(t, gpus),
-		Predicted:   time.Duration(rapid.IntRange(0, 9000).Draw(t, "predicted")) * time.Millisecond,
-		Elapsed:     time.Duration(rapid.IntRange(0, 9000).Draw(t, "elapsed")) * time.Millisecond,
-		SavedAgo:    time.Duration(rapid.IntRange(0, 3000).Draw(t, "savedAgo")) * time.Millisecond,
-		LongRunning: rapid.IntRange(0, 5).Draw(t, "lasting") == 0,
-		Gang:        rapid.IntRange(0, 5).Draw(t, "gang") == 0,
-		Stopping:    rapid.IntRange(0, 5).Draw(t, "stopping") == 0,
-		Group:       fmt.Sprint("g", rapid.IntRange(0, 5).Draw(t, "group")),
+		Predicted:     time.Duration(rapid.IntRange(0, 9000).Draw(t, "predicted")) * time.Millisecond,
+		Elapsed:       time.Duration(rapid.IntRange(0, 9000).Draw(t, "elapsed")) * time.Millisecond,
+		CheckpointAge: time.Duration(rapid.IntRange(0, 3000).Draw(t, "savedAgo")) * time.Millisecond,
+		LongRunning:   rapid.IntRange(0, 5).Draw(t, "lasting") == 0,
+		Gang:          rapid.IntRange(0, 5).Draw(t, "gang") == 0,
+		Stopping:      rapid.IntRange(0, 5).Draw(t, "stopping") == 0,
+		Group:         fmt.Sprint("g", rapid.IntRange(0, 5).Draw(t, "group")),
 	}
 }
 
@@ -167,7 +167,7 @@
 				task.Gang, task.Affinity, task.AntiAffinity, task.Waited = false, "", 0, 0
 			}
 			for i := range runners {
-				runners[i].Slowness, runners[i].Distrust = 1, 0
+				runners[i].Slowness, runners[i].FailureScore = 1, 0
 			}
 			result := NewPlanner(testOptions).Round(0, tasks, runners)
 			checkRules(t, tasks, runners, result)
--- a/internal/cluster/placement/reason.go
+++ b/internal/cluster/placement/reason.go
@@ -7,14 +7,14 @@
 
 // The reasons.
 const (
-	NoRunner     Reason = iota // no runner could ever take it
-	NoGPU                      // those that could have too few accelerators free
-	NoCPU                      // those that could have too few processors free
-	NoMemory                   // those that could have too little memory free
-	Distrusted                 // what is free is on runners that are avoided
-	ReservedRoom               // what is free is kept for another
-	BetterLater                // a better place is expected to become free soon
-	LaterRound                 // there is room; the round did not come to it
+	NoRunner         Reason = iota // no runner could ever take it
+	NoGPU                          // those that could have too few accelerators free
+	NoCPU                          // those that could have too few processors free
+	NoMemory                       // those that could have too little memory free
+	UnreliableRunner               // what is free is on runners that are avoided
+	ReservedCapacity               // what is free is kept for another
+	BetterLater                    // a better place is expected to become free soon
+	LaterRound                     // there is room; the round did not come to it
 )
 
 // Why tells why a task of the newest round was not placed, by its position among the tasks: what the runner lacked that
@@ -39,9 +39,9 @@
 	case !fits(r.free, task.Needs):
 		return lack(r.free, task.Needs)
 	case !p.trusts(c, r):
-		return Distrusted
+		return UnreliableRunner
 	case !p.leavesHeld(c, r):
-		return ReservedRoom
+		return ReservedCapacity
 	case p.betterWaits(c, r):
 		return BetterLater
 	default:
--- a/internal/cluster/placement/reason_test.go
+++ b/internal/cluster/placement/reason_test.go
@@ -22,7 +22,7 @@
 	beside := runner(full)
 	beside.GroupCount = map[any]int{"g": 1}
 	doubtful := runner(full)
-	doubtful.Distrust = 1
+	doubtful.FailureScore = 1
 	doubtful.Running = []Run{{Key: "other", Group: "h", Predicted: time.Second}}
 	sound := runner(protocol.Resources{CPU: 1000, MemoryMB: 9000, GPU: 8})
 	for name, c := range map[string]struct {
@@ -35,7 +35,7 @@
 		"too few accelerators":              {task, []Runner{runner(protocol.Resources{CPU: 9000, MemoryMB: 9000, GPU: 1})}, NoGPU},
 		"no runner with its label":          {labelled, []Runner{runner(full)}, NoRunner},
 		"no runner without one of its step": {apart, []Runner{beside}, NoRunner},
-		"room on a runner that is avoided":  {task, []Runner{doubtful, sound}, Distrusted},
+		"room on a runner that is avoided":  {task, []Runner{doubtful, sound}, UnreliableRunner},
 		"what the nearest lacks":            {task, []Runner{runner(protocol.Resources{}), runner(protocol.Resources{CPU: 9000, GPU: 8})}, NoMemory},
 		"room of which nobody has made use": {task, []Runner{runner(full)}, LaterRound},
 	} {
--- a/internal/cluster/placement/room.go
+++ b/internal/cluster/placement/room.go
@@ -77,7 +77,7 @@
 	for i := range p.runners {
 		runner, r := &p.runners[i], &p.rooms[i]
 		*r = room{runner: runner, index: i, kind: position(&p.kinds, runner.Kind), rack: position(&p.racks, runner.Rack),
-			free: runner.Free, slowness: max(runner.Slowness, almostNoSlowing), distrusted: runner.Distrust >= distrustFrom,
+			free: runner.Free, slowness: max(runner.Slowness, almostNoSlowing), distrusted: runner.FailureScore >= distrustFrom,
 			placed: r.placed[:0], begun: r.begun[:0], ends: r.ends[:0]}
 		if runner.Slowness <= 0 {
 			r.slowness = 1
--- a/internal/cluster/placement/types.go
+++ b/internal/cluster/placement/types.go
@@ -14,37 +14,37 @@
 
 // Task is a held task that may be started at once.
 type Task struct {
-	Key          any     // the caller's own
-	Queue        string  // what predictions are learnt by
-	Priority     int     // 0 goes first
-	SizeMs       float64 // the client's guess of the runtime, which may be far off; ms
-	Needs        protocol.Resources
-	TimeLeft     time.Duration // to its job's objective; negative once that has passed
-	Waited       time.Duration // since its turn came
-	Requirements string        // a label that the runner must have, or empty
-	Affinity     string        // rack where its data lies, or empty
-	Group        any           // the step of one time that it belongs to; comparable
-	AntiAffinity int           // most tasks of Group on one runner; 0: no bound
-	Gang         bool          // it starts together with all other tasks of Group, or not at all
-	RackLocal    bool          // a gang that is slower if it is spread over racks
-	LongRunning  bool          // it has no end of its own
-	Saved        bool          // it goes on from a checkpoint
-	Remaining    float64       // share of its work that is left, above 0 and at most 1; 1 if unknown
+	Key           any     // the caller's own
+	Queue         string  // what predictions are learnt by
+	Priority      int     // 0 goes first
+	SizeMs        float64 // the client's guess of the runtime, which may be far off; ms
+	Needs         protocol.Resources
+	TimeLeft      time.Duration // to its job's objective; negative once that has passed
+	Waited        time.Duration // since its turn came
+	Requirements  string        // a label that the runner must have, or empty
+	Affinity      string        // rack where its data lies, or empty
+	Group         any           // the step of one time that it belongs to; comparable
+	AntiAffinity  int           // most tasks of Group on one runner; 0: no bound
+	Gang          bool          // it starts together with all other tasks of Group, or not at all
+	RackLocal     bool          // a gang that is slower if it is spread over racks
+	LongRunning   bool          // it has no end of its own
+	HasCheckpoint bool          // it goes on from a checkpoint
+	Remaining     float64       // share of its work that is left, above 0 and at most 1; 1 if unknown
 }
 
 // Runner is what the caller knows of a runner.
 type Runner struct {
-	ID       string
-	Kind     string // of hardware, as far as runtimes depend on it
-	Rack     string
-	Zone     string
-	Labels   []string
-	Capacity protocol.Resources
-	Free     protocol.Resources // capacity less everything that runs, is being stopped or was ordered
-	Slowness float64            // its runtimes over those of its kind; 1 and 0: as its kind
-	Distrust float64            // 0: none; 1: what it starts fails or stands still
-	Cold     time.Duration      // how much longer it stays slow after its start
-	Draining bool               // it starts nothing any more
+	ID           string
+	Kind         string // of hardware, as far as runtimes depend on it
+	Rack         string
+	Zone         string
+	Labels       []string
+	Capacity     protocol.Resources
+	Free         protocol.Resources // capacity less everything that runs, is being stopped or was ordered
+	Slowness     float64            // its runtimes over those of its kind; 1 and 0: as its kind
+	FailureScore float64            // 0: none; 1: what it starts fails or stands still
+	WarmingUp    time.Duration      // how much longer it stays slow after its start
+	Draining     bool               // it starts nothing any more
 
 	RemainingLeft time.Duration // of a draining one: least time left; 0: unknown
 	GroupCount    map[any]int   // running tasks by Group
@@ -53,17 +53,17 @@
 
 // Run is a task at work on a runner, or on its way to it.
 type Run struct {
-	Key         any
-	Queue       string
-	Priority    int
-	Needs       protocol.Resources
-	Predicted   time.Duration // whole runtime, as predicted at its start
-	Elapsed     time.Duration
-	SavedAgo    time.Duration // work that is lost if it is stopped now
-	LongRunning bool
-	Gang        bool
-	Stopping    bool
-	Group       any
+	Key           any
+	Queue         string
+	Priority      int
+	Needs         protocol.Resources
+	Predicted     time.Duration // whole runtime, as predicted at its start
+	Elapsed       time.Duration
+	CheckpointAge time.Duration // work that is lost if it is stopped now
+	LongRunning   bool
+	Gang          bool
+	Stopping      bool
+	Group         any
 }
 
 // Options are the figures of a deployment.
--- a/internal/cluster/replica/catchup.go
+++ b/internal/cluster/replica/catchup.go
@@ -42,7 +42,7 @@
 func (g *group) followMembers(members []consensus.Member) {
 	status := g.node.Status()
 	for _, member := range members {
-		behind, _, known := g.node.Lagging(member.ID)
+		behind, _, known := g.node.Lag(member.ID)
 		if !known {
 			continue
 		}
--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -152,7 +152,7 @@
 		away.bandwidth = 20 << 10
 		c.changeFor(60*time.Second, 120*time.Millisecond, 24<<10)
 		for _, m := range c.machines {
-			held := m.engine.byID[configurationGroup].node.HeldBytes()
+			held := m.engine.byID[configurationGroup].node.RetainedBytes()
 			GinkgoWriter.Println(m.name, "holds", held)
 			Expect(held).To(BeNumerically("<", heldBytes+3<<20))
 		}
--- a/internal/cluster/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -370,7 +370,7 @@
 	GinkgoHelper()
 	leader, called := c.leader(id), false
 	leader.engine.Do(func() {
-		leader.engine.Confirm(id, func(err error) {
+		leader.engine.ConfirmLeadership(id, func(err error) {
 			Expect(err).NotTo(HaveOccurred())
 			called = true
 		})
--- a/internal/cluster/replica/confirm_test.go
+++ b/internal/cluster/replica/confirm_test.go
@@ -26,7 +26,7 @@
 // ask asks a machine for a confirmation and returns where its outcome will be.
 func ask(m *machine, id GroupID) *outcomeOfConfirm {
 	outcome := &outcomeOfConfirm{}
-	m.engine.Do(func() { m.engine.Confirm(id, outcome.take) })
+	m.engine.Do(func() { m.engine.ConfirmLeadership(id, outcome.take) })
 	return outcome
 }
 
@@ -100,7 +100,7 @@
 			outcomes = append(outcomes, outcome)
 			leader.engine.Do(func() {
 				sentWhenAsked = append(sentWhenAsked, c.sent)
-				leader.engine.Confirm(0, outcome.take)
+				leader.engine.ConfirmLeadership(0, outcome.take)
 				leader.engine.drain() // hands out what the group wants sent at once
 			})
 		}
--- a/internal/cluster/replica/driver.go
+++ b/internal/cluster/replica/driver.go
@@ -58,9 +58,9 @@
 // Engine is the engine that is driven. Its Run must not be called.
 func (d *Driver) Engine() *Engine { return d.engine }
 
-// Turn handles all that waits, and returns after what time the next turn is due if nothing wakes the driver before.
+// Step handles all that waits, and returns after what time the next turn is due if nothing wakes the driver before.
 // After an error the engine is of no use, as when Engine.Run returns one.
-func (d *Driver) Turn() (time.Duration, error) {
+func (d *Driver) Step() (time.Duration, error) {
 	d.engine.turn()
 	if d.engine.failed != nil {
 		d.engine.end()
--- a/internal/cluster/replica/driver_test.go
+++ b/internal/cluster/replica/driver_test.go
@@ -47,7 +47,7 @@
 // turn takes a turn, and lets the time pass that it asks for.
 func (d *driven) turn() {
 	GinkgoHelper()
-	pause, err := d.driver.Turn()
+	pause, err := d.driver.Step()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(pause).To(BeNumerically(">", 0))
 	d.clock.Advance(pause)
@@ -141,7 +141,7 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(driver.Engine().Self().ID).To(BeEquivalentTo(identity))
-		pause, err := driver.Turn()
+		pause, err := driver.Step()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(pause).To(BeNumerically("<=", time.Second))
 	})
--- a/internal/cluster/replica/engine_test.go
+++ b/internal/cluster/replica/engine_test.go
@@ -294,7 +294,7 @@
 		var outcome error
 		called := false
 		old.engine.Do(func() {
-			old.engine.Confirm(0, func(err error) { outcome, called = err, true })
+			old.engine.ConfirmLeadership(0, func(err error) { outcome, called = err, true })
 		})
 		old.wake()
 		Expect(c.until(1200*time.Millisecond, func() bool { return called })).To(BeTrue())
@@ -313,7 +313,7 @@
 			var outcome error
 			called := false
 			old.engine.Do(func() {
-				old.engine.Confirm(0, func(err error) { outcome, called = err, true })
+				old.engine.ConfirmLeadership(0, func(err error) { outcome, called = err, true })
 			})
 			old.frozen = false
 			old.wake()
--- a/internal/cluster/replica/group.go
+++ b/internal/cluster/replica/group.go
@@ -55,7 +55,7 @@
 		ElectionTimeout:    e.options.ElectionTimeout,
 		MaxAppendBytes:     maxAppendBytes,
 		MaxInflight:        maxInflight,
-		SnapshotPieceBytes: snapshotPieceBytes,
+		SnapshotChunkBytes: snapshotPieceBytes,
 	}, restored, e.now)
 	if restored.Snapshot != nil {
 		g.appliedIndex, g.appliedTerm = restored.Snapshot.Index, restored.Snapshot.Term
--- a/internal/cluster/replica/joins.go
+++ b/internal/cluster/replica/joins.go
@@ -148,7 +148,7 @@
 // memberView is what this leader knows of one member.
 func (g *group) memberView(member consensus.Member) memberView {
 	now := g.engine.now
-	_, answeredAt, _ := g.node.Lagging(member.ID)
+	_, answeredAt, _ := g.node.Lag(member.ID)
 	known := g.engine.peers.get(member.ID)
 	reachedAt := g.node.ReachedAt(member.ID)
 	if member.ID == g.engine.self.ID {
--- a/internal/cluster/replica/leave.go
+++ b/internal/cluster/replica/leave.go
@@ -15,7 +15,7 @@
 	releaseCounts = 10 * time.Second      // for how long a member that may leave counts as gone if it isn't heard
 )
 
-// Leave asks a group's leader whether a member may end for good. A leader says yes once the member's place is taken, if
+// Decommission asks a group's leader whether a member may end for good. A leader says yes once the member's place is taken, if
 // somebody is there to take it, and the others hold what it holds.
 type Leave struct {
 	Group   GroupID
@@ -45,9 +45,9 @@
 	released map[GroupID]bool
 }
 
-// Leave does what Resign does, and then waits until this process can be spared in all groups, at most for patience. done is
+// Decommission does what Resign does, and then waits until this process can be spared in all groups, at most for patience. done is
 // called on the loop. The process is to end then: it takes no part in its groups any more.
-func (e *Engine) Leave(patience time.Duration, done func()) {
+func (e *Engine) Decommission(patience time.Duration, done func()) {
 	e.Resign(done)
 	e.shifts.resignUntil = e.now + patience
 	if !e.departure.begun {
@@ -180,7 +180,7 @@
 // staysHolding tells whether a voter stays and holds what one that leaves holds. That it stays is told by its answers to
 // what was sent lately only: what it sent before it ended may come late.
 func (g *group) staysHolding(id consensus.MemberID, leave *Leave, last uint64) bool {
-	behind, _, known := g.node.Lagging(id)
+	behind, _, known := g.node.Lag(id)
 	if !known || g.engine.releasedLately(id) {
 		return false
 	}
--- a/internal/cluster/replica/leave_test.go
+++ b/internal/cluster/replica/leave_test.go
@@ -25,7 +25,7 @@
 func (m *machine) leave(patience time.Duration) *departing {
 	d := &departing{machine: m, begun: m.cluster.now()}
 	m.engine.Do(func() {
-		m.engine.Leave(patience, func() {
+		m.engine.Decommission(patience, func() {
 			d.ended = m.cluster.now()
 			d.voted = m.cluster.voted(m.engine.self.ID)
 			m.cluster.at(0, m.kill)
--- a/internal/cluster/replica/overview.go
+++ b/internal/cluster/replica/overview.go
@@ -18,9 +18,9 @@
 
 // Lag is how far a member is behind its leader.
 type Lag struct {
-	Member  consensus.MemberID
-	Entries uint64        // that it has not acknowledged
-	Silent  time.Duration // since its last acknowledgement
+	Member               consensus.MemberID
+	Entries              uint64        // that it has not acknowledged
+	SinceAcknowledgement time.Duration // since its last acknowledgement
 }
 
 // Overview tells about a group; false if the engine does not have it. It is called on the loop.
@@ -37,9 +37,9 @@
 		LogBytes:      g.snapshots.logBytes,
 	}
 	for _, member := range overview.Status.Members {
-		entries, heardAt, known := g.node.Lagging(member.ID)
+		entries, heardAt, known := g.node.Lag(member.ID)
 		if known && member.ID != e.self.ID {
-			overview.Lags = append(overview.Lags, Lag{Member: member.ID, Entries: entries, Silent: e.now - heardAt})
+			overview.Lags = append(overview.Lags, Lag{Member: member.ID, Entries: entries, SinceAcknowledgement: e.now - heardAt})
 		}
 	}
 	return overview, true
@@ -47,15 +47,15 @@
 
 // DiskOverview is what the disk holds, and how it is.
 type DiskOverview struct {
-	Sick     bool  // writes fail or take too long
-	LogBytes int64 // of all segments, as of the newest write
-	Segments int
+	Unhealthy bool  // writes fail or take too long
+	LogBytes  int64 // of all segments, as of the newest write
+	Segments  int
 }
 
 // Disk tells about the disk. It is called on the loop.
 func (e *Engine) Disk() DiskOverview {
 	figures := &e.writer.figures
-	return DiskOverview{Sick: e.writer.health.sick, LogBytes: figures.logBytes, Segments: figures.segments}
+	return DiskOverview{Unhealthy: e.writer.health.sick, LogBytes: figures.logBytes, Segments: figures.segments}
 }
 
 // Resigning tells whether Resign was called. It is called on the loop.
--- a/internal/cluster/replica/propose.go
+++ b/internal/cluster/replica/propose.go
@@ -49,16 +49,16 @@
 	g.proposals = append(g.proposals, proposal{index: index, term: term, done: done})
 }
 
-// Confirm asks for a confirmation that this process still leads the group. done is called on the loop exactly once: with
+// ConfirmLeadership asks for a confirmation that this process still leads the group. done is called on the loop exactly once: with
 // nil once a quorum has answered a round that was asked for after this call, and with failure.NotLeader otherwise, after
 // about a second at the latest.
-func (e *Engine) Confirm(id GroupID, done func(err error)) {
+func (e *Engine) ConfirmLeadership(id GroupID, done func(err error)) {
 	g := e.byID[id]
 	if g == nil || g.leadingTerm == 0 {
 		done(e.notLeader(id))
 		return
 	}
-	g.node.Confirm(e.now)
+	g.node.ConfirmLeadership(e.now)
 	g.confirms = append(g.confirms, confirmation{askedAt: e.now, done: done})
 }
 
--- a/internal/cluster/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -107,7 +107,7 @@
 				r.gone = r.lost
 			})
 		}
-		r.lost.engine.Do(func() { r.lost.engine.Leave(controlPatience, leave) })
+		r.lost.engine.Do(func() { r.lost.engine.Decommission(controlPatience, leave) })
 		r.lost.wake()
 	})
 }
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -34,11 +34,11 @@
 	Following()
 }
 
-// LeadershipKeeper is a StateMachine that wants to keep its leadership while something is under way that a successor would
+// TransferDeferrer is a StateMachine that wants to keep its leadership while something is under way that a successor would
 // have to begin anew. It is asked only before a leadership moves so that all processes lead alike; one that is given away
 // because this process ends, or its disk is sick, is not kept.
-type LeadershipKeeper interface {
-	KeepsLeadership() bool
+type TransferDeferrer interface {
+	DefersTransfer() bool
 }
 
 // Join asks a group's leader to take a process in, or to correct what the group knows of it.
--- a/internal/cluster/replica/seeds.go
+++ b/internal/cluster/replica/seeds.go
@@ -6,8 +6,8 @@
 // the loop.
 func (e *Engine) SetPeers(addresses []string) { e.options.Peers = addresses }
 
-// Led tells whether this process knows a leader of each group. It is called on the loop.
-func (e *Engine) Led() bool {
+// KnowsLeaders tells whether this process knows a leader of each group. It is called on the loop.
+func (e *Engine) KnowsLeaders() bool {
 	for _, g := range e.groups {
 		if g.node.Status().Leader == consensus.None {
 			return false
--- a/internal/cluster/replica/shifts.go
+++ b/internal/cluster/replica/shifts.go
@@ -109,7 +109,7 @@
 		if member.Learner || member.ID == g.engine.self.ID {
 			continue
 		}
-		behind, heardAt, known := g.node.Lagging(member.ID)
+		behind, heardAt, known := g.node.Lag(member.ID)
 		if known && g.mayTake(member.ID, heardAt) && behind < least {
 			successor, least = member.ID, behind
 		}
@@ -153,7 +153,7 @@
 		return consensus.None
 	}
 	preferred := voters[int(g.id)%len(voters)]
-	behind, heardAt, known := g.node.Lagging(preferred)
+	behind, heardAt, known := g.node.Lag(preferred)
 	ready := known && behind <= leadableLag && g.mayTake(preferred, heardAt)
 	steady := e.peers.steady(preferred, e.now) >= steadyEnough
 	if preferred == e.self.ID || !ready || !steady || g.keepsLeadership() {
@@ -163,8 +163,8 @@
 }
 
 func (g *group) keepsLeadership() bool {
-	keeper, ok := g.machine.(LeadershipKeeper)
-	return ok && keeper.KeepsLeadership()
+	keeper, ok := g.machine.(TransferDeferrer)
+	return ok && keeper.DefersTransfer()
 }
 
 func sortedVoters(members []consensus.Member) []consensus.MemberID {
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -159,7 +159,7 @@
 	g.snapshots.index = snapshot.Index
 	g.snapshots.size = len(snapshot.Data)
 	g.snapshots.logBytes -= covered
-	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.Wanted(heldBytes)))
+	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.RetainFrom(heldBytes)))
 }
 
 // trailingEntries is how many entries before a snapshot stay in memory.
--- a/internal/cluster/scheduler/account.go
+++ b/internal/cluster/scheduler/account.go
@@ -50,7 +50,7 @@
 
 // runOf returns what is known of a run that ends now by an outcome.
 func (r *runner) runOf(now time.Duration, key runKey, outcome latency.Cause) latency.Run {
-	run := latency.Run{EndedAt: now, HeardAt: r.heardAt, Outcome: outcome}
+	run := latency.Run{EndedAt: now, LastContactAt: r.heardAt, Outcome: outcome}
 	if entry := r.listed[key]; entry != nil {
 		run.ListedAt = entry.since
 	}
@@ -75,8 +75,8 @@
 		}
 		o.ledger.Ended(now, task, run)
 	}
-	for _, task := range effects.Held {
-		o.ledger.Held(now, task)
+	for _, task := range effects.Pending {
+		o.ledger.Pending(now, task)
 	}
 	for i := range command.Starts {
 		if task := o.state.Task(command.Starts[i].Task); effects.Starts[i] && task != nil {
@@ -143,10 +143,10 @@
 		return latency.Memory
 	case placement.NoRunner:
 		return latency.Runner
-	case placement.ReservedRoom:
+	case placement.ReservedCapacity:
 		return latency.Reserved
-	case placement.Distrusted:
-		return latency.Distrust
+	case placement.UnreliableRunner:
+		return latency.UnreliableRunner
 	case placement.BetterLater:
 		return latency.Better
 	default:
--- a/internal/cluster/scheduler/commands.go
+++ b/internal/cluster/scheduler/commands.go
@@ -6,9 +6,9 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// Take returns the next command to propose, or nil. One command is in flight at a time: the shell reports it by Applied
+// NextCommand returns the next command to propose, or nil. One command is in flight at a time: the shell reports it by Applied
 // or Failed.
-func (o *Owner) Take(now time.Duration) *jobs.Command {
+func (o *Owner) NextCommand(now time.Duration) *jobs.Command {
 	if !o.leading || o.inFlight != nil || now < o.notBefore {
 		return nil
 	}
@@ -37,11 +37,11 @@
 	for i := range o.next.Starts {
 		instance := o.next.Starts[i].Runner
 		r := o.runners[instance]
-		if r == nil || told[instance] || r.report.Address == "" || o.state.PlaceOf(instance) == r.report.Address {
+		if r == nil || told[instance] || r.report.Address == "" || o.state.AddressOf(instance) == r.report.Address {
 			continue
 		}
 		told[instance] = true
-		o.next.Places = append(o.next.Places, jobs.Place{Runner: instance, Address: r.report.Address})
+		o.next.RunnerAddresses = append(o.next.RunnerAddresses, jobs.RunnerAddress{Runner: instance, Address: r.report.Address})
 	}
 }
 
--- a/internal/cluster/scheduler/deadlines.go
+++ b/internal/cluster/scheduler/deadlines.go
@@ -24,7 +24,7 @@
 	if !o.leading {
 		return
 	}
-	roundIsDue := o.dirty && o.state.HeldCount() > 0
+	roundIsDue := o.dirty && o.state.PendingCount() > 0
 	settled := o.inFlight == nil && !o.hasNext() && !roundIsDue
 	due := o.instances(func(r *runner) bool { return r.reply != nil && (settled || now >= r.replyDue) })
 	for _, instance := range due {
@@ -58,7 +58,7 @@
 	if len(o.reads) > 0 || o.inFlight != nil || o.hasNext() {
 		return now + busyTick
 	}
-	if o.state.HeldCount() > 0 {
+	if o.state.PendingCount() > 0 {
 		return now + busyTick
 	}
 	for _, r := range o.runners {
@@ -74,5 +74,5 @@
 	return now + idleTick
 }
 
-// WantsConfirmation tells that some read waits for leadership to be confirmed anew.
-func (o *Owner) WantsConfirmation() bool { return o.leading && len(o.reads) > 0 }
+// NeedsConfirmation tells that some read waits for leadership to be confirmed anew.
+func (o *Owner) NeedsConfirmation() bool { return o.leading && len(o.reads) > 0 }
--- a/internal/cluster/scheduler/ending_test.go
+++ b/internal/cluster/scheduler/ending_test.go
@@ -56,11 +56,11 @@
 	)
 
 	It("has its owner keep the leadership until its hold is over: a successor would wait anew", func() {
-		Expect(w.owner.AwaitsHold(w.now)).To(BeTrue())
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeTrue())
 		w.pass(hold)
-		Expect(w.owner.AwaitsHold(w.now)).To(BeTrue())
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeTrue())
 		w.pass(hold / 10)
-		Expect(w.owner.AwaitsHold(w.now)).To(BeFalse())
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse())
 	})
 
 	It("is given no hold and no work any more, even long after its hold", func() {
@@ -97,7 +97,7 @@
 	It("is in doubt when leadership is lost before", func() {
 		w.stalled = true
 		tell("i1")
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		Expect(got.given).To(BeTrue())
 		Expect(got.kind).NotTo(Equal(failure.None))
 	})
@@ -112,7 +112,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			next := newWorld()
 			Expect(next.state.Restore(data)).To(Succeed())
-			next.owner.Follow()
+			next.owner.BecomeFollower()
 			next.lead(8)
 			next.submit(id, small())
 			for sequence := uint64(2); sequence < 100; sequence++ {
@@ -137,24 +137,24 @@
 		_, err := w.beat(beatOf("i2", 1))
 		Expect(err).NotTo(HaveOccurred())
 		w.pass(time.Second)
-		Expect(w.owner.AwaitsHold(w.now)).To(BeFalse(), "a silent one that runs nothing is not waited for")
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "a silent one that runs nothing is not waited for")
 		w.submit(id, small())
 		orders, err := w.beat(beatOf("i1", 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(orders.Start).To(HaveLen(1))
-		Expect(w.owner.AwaitsHold(w.now)).To(BeFalse(), "it is heard")
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "it is heard")
 		w.pass(time.Second)
-		Expect(w.owner.AwaitsHold(w.now)).To(BeTrue())
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeTrue())
 		w.pass(hold)
-		Expect(w.owner.AwaitsHold(w.now)).To(BeFalse(), "what it ran is lost")
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "what it ran is lost")
 	})
 })
 
 var _ = Describe("An owner that has just been elected", func() {
 	It("answers no heartbeat before leadership was confirmed, however lately it was elected", func() {
 		w := newWorld()
-		w.owner.Follow()
-		w.owner.Lead(w.now, w.clock(), 8)
+		w.owner.BecomeFollower()
+		w.owner.BecomeLeader(w.now, w.clock(), 8)
 		_, err := w.beat(beatOf("i1", 1))
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
@@ -162,10 +162,10 @@
 	It("counts holds from the asking of the confirmation, and not from when it learnt that it leads", func() {
 		const frozen = 500 * time.Millisecond
 		w := newWorld()
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		elected := w.now
 		w.now += frozen
-		w.owner.Lead(w.now, w.clock(), 8)
+		w.owner.BecomeLeader(w.now, w.clock(), 8)
 		w.owner.Tick(w.now, w.clock(), elected)
 		orders, err := w.beat(beatOf("i1", 1))
 		Expect(err).NotTo(HaveOccurred())
@@ -175,10 +175,10 @@
 
 	It("answers no heartbeat on the confirmation that elected it, if it was frozen since", func() {
 		w := newWorld()
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		elected := w.now
 		w.now += 20 * time.Second
-		w.owner.Lead(w.now, w.clock(), 8)
+		w.owner.BecomeLeader(w.now, w.clock(), 8)
 		w.owner.Tick(w.now, w.clock(), elected)
 		_, err := w.beat(beatOf("i1", 1))
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
--- a/internal/cluster/scheduler/late_test.go
+++ b/internal/cluster/scheduler/late_test.go
@@ -31,7 +31,7 @@
 	})
 
 	It("from an incarnation of before does not end the present one at an owner that has not heard of either", func() {
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		w.lead(8)
 		late := beatOf("i0", 40)
 		late.Address = listed.Address
@@ -50,7 +50,7 @@
 	DescribeTable("to a new owner, before any other, does not make a run lost that its runner's hold still covers",
 		func(before func(), wait time.Duration) {
 			before()
-			w.owner.Follow()
+			w.owner.BecomeFollower()
 			w.lead(8)
 			w.pass(wait)
 			_, err := w.beat(beatOf("i1", 6)) // of before the start: it does not list the run
--- a/internal/cluster/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -90,7 +90,7 @@
 	delete(r.stops, key)
 	delete(r.ordered, key)
 	o.dirty = true
-	o.next.Losses = append(o.next.Losses, jobs.Loss{Runner: r.instance, Task: task.ID, Run: task.Run, Saved: saved})
+	o.next.Losses = append(o.next.Losses, jobs.Loss{Runner: r.instance, Task: task.ID, Run: task.Run, Checkpoint: saved})
 }
 
 func (o *Owner) loseAll(r *runner) {
@@ -119,9 +119,9 @@
 	}
 }
 
-// AwaitsHold tells whether something was running on a runner that is silent or ends, and may still do so because its hold
+// AwaitsLeaseExpiry tells whether something was running on a runner that is silent or ends, and may still do so because its hold
 // is not over. A successor would wait anew, for the longest hold.
-func (o *Owner) AwaitsHold(now time.Duration) bool {
+func (o *Owner) AwaitsLeaseExpiry(now time.Duration) bool {
 	for instance, r := range o.runners {
 		gone := r.ended || !r.reported || now-r.heardAt > usableSilence
 		if gone && now < r.holdEnd && (len(o.state.RunsOn(instance)) > 0 || len(o.state.LingeringOn(instance)) > 0) {
--- a/internal/cluster/scheduler/options.go
+++ b/internal/cluster/scheduler/options.go
@@ -4,7 +4,7 @@
 
 // Options are the bounds that a deployment sets, and the constants that tests shorten.
 type Options struct {
-	HoldMax     time.Duration // longest hold that a runner grants
+	MaxLease    time.Duration // longest hold that a runner grants
 	StopTime    time.Duration // longest that a stop takes
 	GangWait    time.Duration // how long a gang's members wait for each other
 	SaveEvery   time.Duration // work between two checkpoints
@@ -52,7 +52,7 @@
 )
 
 func setDefaults(options *Options) {
-	setDuration(&options.HoldMax, defaultHold)
+	setDuration(&options.MaxLease, defaultHold)
 	setDuration(&options.StopTime, defaultStopTime)
 	setDuration(&options.GangWait, defaultGangWait)
 	setDuration(&options.SaveEvery, defaultSaveEvery)
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -29,12 +29,12 @@
 	r.answer(orders, nil)
 }
 
-// grantHold gives a hold that ends no later than HoldMax after the moment at which leadership was last confirmed.
+// grantHold gives a hold that ends no later than MaxLease after the moment at which leadership was last confirmed.
 func (o *Owner) grantHold(now time.Duration, r *runner, orders *protocol.Orders) {
 	if r.ended {
 		return
 	}
-	hold := o.options.HoldMax - (now - o.confirmedAt)
+	hold := o.options.MaxLease - (now - o.confirmedAt)
 	if hold < time.Millisecond {
 		return
 	}
@@ -72,7 +72,7 @@
 			continue
 		}
 		order := protocol.StartOrder{
-			Task: task.ID.String(), Run: task.Run, Spec: task.Group.Job.Spec.Spec, Saved: task.Saved,
+			Task: task.ID.String(), Run: task.Run, Spec: task.Group.Job.Spec.Spec, Saved: task.Checkpoint,
 		}
 		if bytes += startBytes(&order); bytes > mostStartBytes && len(starts) > 0 {
 			break
@@ -99,7 +99,7 @@
 	if r.report.Relayed {
 		return o.options.PollIdle // each exchange takes a relay's time as well
 	}
-	if len(r.listed) > 0 || len(r.stops) > 0 || o.state.HeldCount() > 0 || len(o.state.RunsOn(r.instance)) > 0 {
+	if len(r.listed) > 0 || len(r.stops) > 0 || o.state.PendingCount() > 0 || len(o.state.RunsOn(r.instance)) > 0 {
 		return o.options.PollBusy
 	}
 	return o.options.PollIdle
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -10,19 +10,19 @@
 
 // RunnerOverview is what an operator may want to know of a runner.
 type RunnerOverview struct {
-	Instance string
-	Service  string
-	Address  string
-	Zone     string
-	Labels   []string
-	State    string // as it reported it; StateEnded, StateSilent
-	Capacity protocol.Resources
-	Free     protocol.Resources // estimated: what may run there is counted
-	Runs     int                // that may exist there
-	Stops    int                // ordered and not yet listed
-	Distrust float64            // 0: none; 1: what it starts fails or stands still
-	Silent   time.Duration      // since its newest heartbeat; since this owner's election if none has come
-	HoldLeft time.Duration      // until nothing runs there unless it is held anew; never below 0
+	Instance       string
+	Service        string
+	Address        string
+	Zone           string
+	Labels         []string
+	State          string // as it reported it; StateEnded, StateSilent
+	Capacity       protocol.Resources
+	Free           protocol.Resources // estimated: what may run there is counted
+	Runs           int                // that may exist there
+	Stops          int                // ordered and not yet listed
+	FailureScore   float64            // 0: none; 1: what it starts fails or stands still
+	SinceHeartbeat time.Duration      // since its newest heartbeat; since this owner's election if none has come
+	LeaseRemaining time.Duration      // until nothing runs there unless it is held anew; never below 0
 }
 
 // States of a runner that it does not report itself.
@@ -45,22 +45,22 @@
 
 func (o *Owner) overview(now time.Duration, r *runner) RunnerOverview {
 	overview := RunnerOverview{
-		Instance: r.instance,
-		Service:  r.report.Service,
-		Address:  r.report.Address,
-		Zone:     r.report.Zone,
-		Labels:   slices.Clone(r.report.Labels),
-		State:    o.stateOf(now, r),
-		Capacity: r.report.Capacity,
-		Free:     o.offer(now, r).Free,
-		Runs:     len(o.state.RunsOn(r.instance)) + len(o.state.LingeringOn(r.instance)),
-		Stops:    len(r.stops),
-		Distrust: r.record.distrust(),
-		Silent:   now - o.ledAt,
-		HoldLeft: max(r.holdEnd-now, 0),
+		Instance:       r.instance,
+		Service:        r.report.Service,
+		Address:        r.report.Address,
+		Zone:           r.report.Zone,
+		Labels:         slices.Clone(r.report.Labels),
+		State:          o.stateOf(now, r),
+		Capacity:       r.report.Capacity,
+		Free:           o.offer(now, r).Free,
+		Runs:           len(o.state.RunsOn(r.instance)) + len(o.state.LingeringOn(r.instance)),
+		Stops:          len(r.stops),
+		FailureScore:   r.record.distrust(),
+		SinceHeartbeat: now - o.ledAt,
+		LeaseRemaining: max(r.holdEnd-now, 0),
 	}
 	if r.reported {
-		overview.Silent = now - r.heardAt
+		overview.SinceHeartbeat = now - r.heardAt
 	}
 	return overview
 }
--- a/internal/cluster/scheduler/overview_test.go
+++ b/internal/cluster/scheduler/overview_test.go
@@ -27,7 +27,7 @@
 		Expect(runners[1].Runs).To(Equal(1))
 		Expect(runners[1].Free).To(Equal(protocol.Resources{CPU: 15500, MemoryMB: 32668, GPU: 8}))
 		Expect(runners[1].State).To(Equal(protocol.Ready))
-		Expect(runners[1].HoldLeft).To(BeNumerically(">", 0))
+		Expect(runners[1].LeaseRemaining).To(BeNumerically(">", 0))
 		Expect(runners[1].Labels).To(Equal([]string{"a", "r1"}))
 	})
 
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -44,7 +44,7 @@
 	lastRound time.Duration
 	failedOn  map[string]map[string]bool
 	counters  Counters
-	ledger    *latency.Ledger
+	ledger    *latency.Recorder
 	late      []LateJob
 }
 
@@ -87,33 +87,33 @@
 	o.ending = map[runKey]latency.Run{}
 	o.demands = map[string]*demand{}
 	o.failedOn = map[string]map[string]bool{}
-	o.ledger = latency.NewLedger(o.ledAt)
+	o.ledger = latency.NewRecorder(o.ledAt)
 	o.dirty = true
 	o.notBefore = 0
 	o.lastRound = 0
 }
 
-// Lead is called when this process leads the shard and has applied an entry of its own term. timeOfDayMs is its
+// BecomeLeader is called when this process leads the shard and has applied an entry of its own term. timeOfDayMs is its
 // estimate of the time, ms since 1970. That it leads says nothing of when: between the quorum's answers and now the
 // process may have been frozen, and replaced. So until Tick brings a confirmation there is none.
-func (o *Owner) Lead(now time.Duration, timeOfDayMs int64, term uint64) {
+func (o *Owner) BecomeLeader(now time.Duration, timeOfDayMs int64, term uint64) {
 	o.forget()
 	o.leading = true
 	o.term = term
 	o.ledAt = now
-	o.ledger = latency.NewLedger(now)
+	o.ledger = latency.NewRecorder(now)
 	o.confirmedAt = neverConfirmed
 	o.setTimeOfDay(now, timeOfDayMs)
 	for _, instance := range o.state.Runners() {
 		o.runners[instance] = o.newRunner(instance, now)
-		if place := o.state.PlaceOf(instance); place != "" {
+		if place := o.state.AddressOf(instance); place != "" {
 			o.byPlace[place] = instance
 		}
 	}
 }
 
-// Follow is called when leadership ends. Whatever waits is told so: what is in doubt as UnknownOutcome.
-func (o *Owner) Follow() {
+// BecomeFollower is called when leadership ends. Whatever waits is told so: what is in doubt as UnknownOutcome.
+func (o *Owner) BecomeFollower() {
 	if !o.leading {
 		return
 	}
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -120,7 +120,7 @@
 	It("waits for the holds of the owner before it", func() {
 		w.submit(id, small())
 		first, _ := w.beat(beatOf("i1", 1))
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		w.lead(8)
 		w.pass(hold)
 		orders, _ := w.beat(beatOf("i2", 1))
@@ -150,7 +150,7 @@
 	It("knows from the shard where the incarnations stood that it has never heard of", func() {
 		w.submit(id, small())
 		w.beat(beatOf("i1", 1))
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		w.lead(8)
 		again := beatOf("i2", 1)
 		again.Address = beatOf("i1", 1).Address
@@ -211,7 +211,7 @@
 		w.owner.Submit(w.now, submitOf(id), func(_ bool, err error) { first = err })
 		w.settle()
 		w.owner.Submit(w.now, submitOf("00000000000000bb"), func(_ bool, err error) { second = err })
-		w.owner.Follow()
+		w.owner.BecomeFollower()
 		Expect(failure.KindOf(first)).To(Equal(failure.UnknownOutcome))
 		Expect(failure.KindOf(second)).To(Equal(failure.NotLeader))
 	})
@@ -221,13 +221,13 @@
 		w.submit(id, small())
 		w.beat(beatOf("i1", 1))
 		w.owner.Cancel(w.now, id, func(error) {})
-		command := w.owner.Take(w.now)
+		command := w.owner.NextCommand(w.now)
 		Expect(command).NotTo(BeNil())
 		w.owner.Failed(w.now, command, refused)
 		w.owner.Cancel(w.now, id, func(error) {})
-		Expect(w.owner.Take(w.now)).To(BeNil())
+		Expect(w.owner.NextCommand(w.now)).To(BeNil())
 		w.now += 100 * time.Millisecond
-		Expect(w.owner.Take(w.now)).NotTo(BeNil())
+		Expect(w.owner.NextCommand(w.now)).NotTo(BeNil())
 	})
 
 	It("starts a gang's members together with one run", func() {
--- a/internal/cluster/scheduler/reportedruns.go
+++ b/internal/cluster/scheduler/reportedruns.go
@@ -33,7 +33,7 @@
 		o.ending[key] = run
 		o.dirty = true
 		o.next.Ends = append(o.next.Ends, jobs.End{
-			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, How: finished.How, Saved: finished.Saved,
+			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: finished.How, Checkpoint: finished.Saved,
 		})
 	}
 }
--- a/internal/cluster/scheduler/round.go
+++ b/internal/cluster/scheduler/round.go
@@ -12,7 +12,7 @@
 
 // round places held tasks, if there is cause for it.
 func (o *Owner) round(now time.Duration) {
-	if o.state.HeldCount() == 0 {
+	if o.state.PendingCount() == 0 {
 		return
 	}
 	since := now - o.lastRound
@@ -38,7 +38,7 @@
 
 func (o *Owner) heldByService() map[string][]*jobs.Task {
 	services := map[string][]*jobs.Task{}
-	o.state.EachHeld(func(task *jobs.Task) bool {
+	o.state.EachPending(func(task *jobs.Task) bool {
 		service := task.Group.Job.Queue.Service
 		held := services[service]
 		if len(held) < heldMost || continuesGang(held, task) {
@@ -131,17 +131,17 @@
 
 func (o *Owner) offer(now time.Duration, r *runner) placement.Runner {
 	offer := placement.Runner{
-		ID:         r.instance,
-		Kind:       r.kind(),
-		Rack:       r.rack(),
-		Zone:       r.report.Zone,
-		Labels:     r.report.Labels,
-		Capacity:   r.report.Capacity,
-		Free:       r.report.Capacity,
-		Slowness:   r.record.slowness(),
-		Distrust:   r.record.distrust(),
-		Cold:       time.Duration(r.report.ColdRemainingMs) * time.Millisecond,
-		GroupCount: map[any]int{},
+		ID:           r.instance,
+		Kind:         r.kind(),
+		Rack:         r.rack(),
+		Zone:         r.report.Zone,
+		Labels:       r.report.Labels,
+		Capacity:     r.report.Capacity,
+		Free:         r.report.Capacity,
+		Slowness:     r.record.slowness(),
+		FailureScore: r.record.distrust(),
+		WarmingUp:    time.Duration(r.report.ColdRemainingMs) * time.Millisecond,
+		GroupCount:   map[any]int{},
 	}
 	known := map[runKey]bool{}
 	for _, task := range o.state.RunsOn(r.instance) {
@@ -213,9 +213,9 @@
 	}
 	if entry := r.listed[key]; entry != nil {
 		run.Elapsed = now - entry.since
-		run.SavedAgo = run.Elapsed
+		run.CheckpointAge = run.Elapsed
 		if step.Checkpoints {
-			run.SavedAgo = 0 // a stop saves
+			run.CheckpointAge = 0 // a stop saves
 		}
 	}
 	_, run.Stopping = r.stops[key]
@@ -229,22 +229,22 @@
 	job := group.Job
 	clock := o.clockMs(now)
 	return placement.Task{
-		Key:          task.ID,
-		Queue:        job.Queue.Key,
-		Priority:     job.Queue.Priority,
-		SizeMs:       step.EstimatedMs,
-		Needs:        step.Needs(),
-		TimeLeft:     o.timeLeft(clock, group),
-		Waited:       time.Duration(clock-task.HeldAtMs) * time.Millisecond,
-		Requirements: step.Requirements,
-		Affinity:     step.Affinity,
-		Group:        group,
-		AntiAffinity: step.AntiAffinity,
-		Gang:         step.Gang,
-		RackLocal:    step.RackLocal,
-		LongRunning:  step.LongRunning,
-		Saved:        task.Saved != "",
-		Remaining:    1,
+		Key:           task.ID,
+		Queue:         job.Queue.Key,
+		Priority:      job.Queue.Priority,
+		SizeMs:        step.EstimatedMs,
+		Needs:         step.Needs(),
+		TimeLeft:      o.timeLeft(clock, group),
+		Waited:        time.Duration(clock-task.PendingSinceMs) * time.Millisecond,
+		Requirements:  step.Requirements,
+		Affinity:      step.Affinity,
+		Group:         group,
+		AntiAffinity:  step.AntiAffinity,
+		Gang:          step.Gang,
+		RackLocal:     step.RackLocal,
+		LongRunning:   step.LongRunning,
+		HasCheckpoint: task.Checkpoint != "",
+		Remaining:     1,
 	}
 }
 
--- a/internal/cluster/scheduler/runner.go
+++ b/internal/cluster/scheduler/runner.go
@@ -99,5 +99,5 @@
 
 // longestHold is the longest real time that a hold granted now may last, on the slowest clock.
 func (o *Owner) longestHold() time.Duration {
-	return time.Duration(float64(o.options.HoldMax) * clockSlack)
+	return time.Duration(float64(o.options.MaxLease) * clockSlack)
 }
--- a/internal/cluster/scheduler/watch.go
+++ b/internal/cluster/scheduler/watch.go
@@ -73,7 +73,7 @@
 func (o *Owner) learnTime(now time.Duration, r *runner, key runKey, task *jobs.Task) {
 	entry := r.listed[key]
 	step := task.Group.Spec()
-	if entry == nil || !entry.observed || task.Saved != "" || step.LongRunning {
+	if entry == nil || !entry.observed || task.Checkpoint != "" || step.LongRunning {
 		return
 	}
 	far := step.Affinity != "" && step.Affinity != r.rack()
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -36,12 +36,12 @@
 
 // lead makes the owner lead in a term, with a confirmation of this moment.
 func (w *world) lead(term uint64) {
-	w.owner.Lead(w.now, w.clock(), term)
+	w.owner.BecomeLeader(w.now, w.clock(), term)
 	w.owner.Tick(w.now, w.clock(), w.now)
 }
 
 func options() scheduler.Options {
-	return scheduler.Options{HoldMax: hold, StopTime: 900 * time.Millisecond, GangWait: 3 * time.Second}
+	return scheduler.Options{MaxLease: hold, StopTime: 900 * time.Millisecond, GangWait: 3 * time.Second}
 }
 
 func (w *world) clock() int64 { return startMs + w.now.Milliseconds() }
@@ -49,7 +49,7 @@
 // settle commits what the owner proposes until it proposes nothing more.
 func (w *world) settle() {
 	for range 20 {
-		command := w.owner.Take(w.now)
+		command := w.owner.NextCommand(w.now)
 		if command == nil {
 			break
 		}
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -11,7 +11,7 @@
 	RollbackSlack time.Duration // a version once followed is followed this long after
 	MaxSkew       time.Duration // how far clocks jump on days when they do
 	Recovery      time.Duration // after a final fault
-	HoldMax       time.Duration // longest hold
+	MaxLease      time.Duration // longest hold
 	Stop          time.Duration // longest stop
 	Gang          time.Duration // how long a member waits for the others
 	Cancel        time.Duration // after a cancel's acknowledgement nothing of the job starts
@@ -34,7 +34,7 @@
 		RollbackSlack: 250 * time.Millisecond,
 		MaxSkew:       5 * time.Second,
 		Recovery:      12 * time.Second,
-		HoldMax:       6 * time.Second,
+		MaxLease:      6 * time.Second,
 		Stop:          900 * time.Millisecond,
 		Gang:          3 * time.Second,
 		Cancel:        3 * time.Second,
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -121,14 +121,14 @@
 // bootBounds are the bounds as a process finds them in its settings.
 func bootBounds(bounds simulation.Bounds) boot.Bounds {
 	return boot.Bounds{
-		Grace:   simulation.Grace,
-		HoldMax: bounds.HoldMax,
-		Stop:    bounds.Stop,
-		Gang:    bounds.Gang,
-		Status:  bounds.Status,
-		Far:     bounds.Far,
-		Save:    bounds.Save,
-		Restore: bounds.Restore,
+		Grace:    simulation.Grace,
+		MaxLease: bounds.MaxLease,
+		Stop:     bounds.Stop,
+		Gang:     bounds.Gang,
+		Status:   bounds.Status,
+		Far:      bounds.Far,
+		Save:     bounds.Save,
+		Restore:  bounds.Restore,
 	}
 }
 
@@ -162,7 +162,7 @@
 	p.woken = false
 	p.next.Stop()
 	p.shell.enter(func() {
-		pause, err := p.driver.Turn()
+		pause, err := p.driver.Step()
 		if err != nil {
 			panic(err)
 		}
@@ -218,7 +218,7 @@
 	const interval = 3 * time.Second
 	p.machine.After(interval, func() {
 		p.do(func() {
-			if !p.engine.Led() {
+			if !p.engine.KnowsLeaders() {
 				p.engine.SetPeers(p.cluster.seedAddresses())
 			}
 		})
@@ -250,6 +250,6 @@
 // leave leaves the replica groups, and calls done when the process may end, or after a while.
 func (p *process) leave(done func()) {
 	p.shell.enter(func() {
-		p.control.Leave(func() { p.shell.want(ofProcess, done) })
+		p.control.Decommission(func() { p.shell.want(ofProcess, done) })
 	})
 }
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -81,8 +81,8 @@
 
 // KeepsLeadership tells whether the state machine wants to keep its leadership.
 func (o *observer) KeepsLeadership() bool {
-	keeper, ok := o.StateMachine.(replica.LeadershipKeeper)
-	return ok && keeper.KeepsLeadership()
+	keeper, ok := o.StateMachine.(replica.TransferDeferrer)
+	return ok && keeper.DefersTransfer()
 }
 
 // Digest tells in short what the state holds.
--- a/internal/cluster/simulation/cluster/run.go
+++ b/internal/cluster/simulation/cluster/run.go
@@ -111,7 +111,7 @@
 // DayBounds are the bounds of short days.
 func DayBounds() simulation.Bounds {
 	bounds := simulation.DefaultBounds()
-	bounds.HoldMax = 3 * time.Second
+	bounds.MaxLease = 3 * time.Second
 	bounds.Contact = 2 * time.Second
 	bounds.Recovery = 8 * time.Second
 	bounds.Finish = 8 * time.Second
--- a/internal/cluster/simulation/day.go
+++ b/internal/cluster/simulation/day.go
@@ -139,7 +139,7 @@
 	}
 	w.At(ends-d.Ledger.Bounds.Contact, func() { d.Operator.ReadBack(ends) })
 	// What ran on a runner that was lost can go on only when its last hold is certainly over.
-	w.After(d.Ledger.Bounds.HoldMax+time.Second, func() { d.sampleIdle(map[string]time.Duration{}) })
+	w.After(d.Ledger.Bounds.MaxLease+time.Second, func() { d.sampleIdle(map[string]time.Duration{}) })
 }
 
 // askAtLast asks until the job has ended.
--- a/internal/cluster/simulation/runner_beat.go
+++ b/internal/cluster/simulation/runner_beat.go
@@ -196,7 +196,7 @@
 
 // hold holds everything for a time on the runner's own clock, counted from when the heartbeat was sent.
 func (r *Runner) hold(sent, hold time.Duration) {
-	hold = min(hold, r.plant.Ledger.Bounds.HoldMax)
+	hold = min(hold, r.plant.Ledger.Bounds.MaxLease)
 	until := sent + time.Duration(float64(hold)/r.ClockRate)
 	if until <= r.heldUntil {
 		return
