--- a/internal/cluster/control/administration.go
+++ b/internal/cluster/control/administration.go
@@ -209,7 +209,7 @@
 		ID:         job.ID,
 		Queue:      job.Queue.Key,
 		Service:    job.Queue.Service,
-		State:      job.State,
+		State:      string(job.State),
 		AcceptedMs: job.AcceptedMs,
 		EndedMs:    job.EndedMs,
 		Done:       done,
--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -1,157 +1,82 @@
 package jobs
 
-import (
-	"strings"
+import "strings"
 
-	"ospreypond/internal/cluster/protocol"
-)
+// maxAgeStepMs is by how much one command can advance the age by which retention is measured. A time of day that jumps
+// by an hour must not make the shard forget its jobs.
+const maxAgeStepMs = 5000
 
-// mostAgeMs is by how much one command can make what is kept older. A time of day that jumps by an hour must not make
-// the shard forget its jobs.
-const mostAgeMs = 5000
-
-// mostQueues bounds how many forms of queues are remembered for sharing their texts.
-const mostQueues = 4096
-
-// Apply carries out a command and tells what it did. The command's parts are applied in the order of its fields.
+// Apply applies a command and returns what it did. The command's parts are applied in the order of its fields. The State
+// keeps none of the command's memory.
 func (s *State) Apply(c *Command) *Effects {
 	effects := &Effects{}
 	s.effects = effects
-	s.advance(c.TimeOfDayMs)
+	s.advanceClock(c.TimeOfDayMs)
 	for i := range c.Submits {
-		effects.Submits = append(effects.Submits, s.submit(&c.Submits[i]))
+		effects.Submits = append(effects.Submits, s.applySubmit(&c.Submits[i]))
 	}
 	for _, id := range c.Cancels {
-		effects.Cancels = append(effects.Cancels, s.cancel(id))
+		effects.Cancels = append(effects.Cancels, s.applyCancel(id))
 	}
 	for _, fence := range c.Fences {
-		effects.Fences = append(effects.Fences, s.fence(fence))
+		effects.Fences = append(effects.Fences, s.applyFence(fence))
 	}
 	for i := range c.Ends {
-		effects.Ends = append(effects.Ends, s.end(&c.Ends[i]))
+		effects.Ends = append(effects.Ends, s.applyEnd(&c.Ends[i]))
 	}
 	for i := range c.Losses {
-		effects.Losses = append(effects.Losses, s.lose(&c.Losses[i]))
+		effects.Losses = append(effects.Losses, s.applyLoss(&c.Losses[i]))
 	}
 	for i := range c.RunnerAddresses {
-		s.runners.hear(c.RunnerAddresses[i].Runner, s.ageMs).place = strings.Clone(c.RunnerAddresses[i].Address)
+		s.runners.touch(c.RunnerAddresses[i].Runner, s.ageMs).address = strings.Clone(c.RunnerAddresses[i].Address)
 	}
 	for _, runner := range c.Departures {
-		s.runners.hear(runner, s.ageMs).departed = true
+		s.runners.touch(runner, s.ageMs).departed = true
 	}
-	s.startAll(c.Starts)
-	s.forget()
+	s.applyStarts(c.Starts)
+	s.expireRetained()
 	s.effects = nil
 	return effects
 }
 
-// advance moves the clock and makes the groups of all times that fall due.
-func (s *State) advance(timeOfDayMs int64) {
+// advanceClock moves the clock and opens all repetitions that fall due.
+func (s *State) advanceClock(timeOfDayMs int64) {
 	if timeOfDayMs > s.clockMs {
-		s.ageMs += min(timeOfDayMs-s.clockMs, mostAgeMs)
+		s.ageMs += min(timeOfDayMs-s.clockMs, maxAgeStepMs)
 		s.clockMs = timeOfDayMs
 	}
-	for len(s.due) > 0 && s.isDue(s.due[0]) {
-		s.open(s.due[0])
-	}
-}
-
-func (s *State) submit(submit *Submit) SubmitEffect {
-	if s.jobs[submit.ID] != nil {
-		return Known
-	}
-	known := s.tombstones.of(submit.ID)
-	switch {
-	case known.kind == hadJob:
-		return Known
-	case known.kind == fencing && submit.Version <= known.version:
-		return Fenced
-	}
-	if s.Validate(&submit.Job) != nil {
-		return Rejected
-	}
-	s.take(submit)
-	return Taken
-}
-
-// take makes a job of a hand-in.
-func (s *State) take(submit *Submit) {
-	job := &Job{
-		ID:         strings.Clone(submit.ID),
-		Queue:      s.queue(submit.Queue),
-		Spec:       ownSpec(&submit.Job),
-		State:      protocol.JobQueued,
-		AcceptedMs: s.clockMs,
-		dueIndex:   notWaiting,
-	}
-	s.tombstones.remove(job.ID)
-	s.jobs[job.ID] = job
-	s.pending[job.Queue.Key]++
-	s.counters.Jobs++
-	s.counters.Taken++
-	s.open(job)
-}
-
-// queue returns q with texts that all jobs of the queue share.
-func (s *State) queue(q protocol.Queue) protocol.Queue {
-	known, ok := s.queues[q]
-	if !ok {
-		if len(s.queues) >= mostQueues {
-			clear(s.queues)
-		}
-		known = q
-		known.Key = strings.Clone(q.Key)
-		known.Service = strings.Clone(q.Service)
-		s.queues[known] = known
-	}
-	return known
-}
-
-// ownSpec copies a spec, so that the command's bytes aren't kept alive.
-func ownSpec(spec *protocol.JobSpec) protocol.JobSpec {
-	own := *spec
-	own.Spec = strings.Clone(spec.Spec)
-	own.Steps = nil
-	if len(spec.Steps) == 0 {
-		return own
-	}
-	own.Steps = make([]protocol.Step, len(spec.Steps))
-	for i, step := range spec.Steps {
-		step.Requirements = strings.Clone(step.Requirements)
-		step.Affinity = strings.Clone(step.Affinity)
-		step.DependsOn = append([]int(nil), step.DependsOn...)
-		own.Steps[i] = step
+	for len(s.dueJobs) > 0 && s.isRepetitionDue(s.dueJobs[0]) {
+		s.openDueRepetitions(s.dueJobs[0])
 	}
-	return own
 }
 
-// cancel ends a job for good, unless it has ended; it returns whether the job is known.
-func (s *State) cancel(id string) bool {
+// applyCancel ends a job as cancelled unless it has ended, and reports whether the job is known.
+func (s *State) applyCancel(id string) bool {
 	job := s.jobs[id]
 	if job == nil {
 		return false
 	}
 	if !job.Ended() {
 		s.counters.Cancelled++
-		s.abandon(job, protocol.JobCancelled)
+		s.abandon(job, JobCancelled)
 	}
 	return true
 }
 
-// fence returns whether the shard has or had the job; if not, it will never take it by the fence's version of the
-// configuration or an older one.
-func (s *State) fence(fence Fence) bool {
+// applyFence reports whether the shard has or had the job. If not, the shard will never accept it by the fence's version
+// of the configuration or an older one.
+func (s *State) applyFence(fence Fence) bool {
 	if s.jobs[fence.ID] != nil {
 		return true
 	}
-	known := s.tombstones.of(fence.ID)
-	if known.kind == hadJob {
+	known := s.tombstones.get(fence.ID)
+	if known.kind == forgottenJob {
 		return true
 	}
 	s.tombstones.put(fence.ID, tombstone{
-		kind:    fencing,
+		kind:    fencedID,
 		version: max(known.version, fence.Version),
-		untilMs: s.ageMs + s.forgetMs,
+		untilMs: s.ageMs + s.tombstoneRetentionMs,
 	})
 	return false
 }
--- a/internal/cluster/jobs/codec.go
+++ b/internal/cluster/jobs/command_codec.go
@@ -1,35 +1,32 @@
 package jobs
 
-import (
-	"github.com/pkg/errors"
+import "github.com/pkg/errors"
 
-	"ospreypond/internal/cluster/protocol"
-)
-
-// The first byte of an encoded command is the version of its form.
+// The first byte of an encoded command is the version of its encoding.
 const (
-	commandVersion    = 4
-	withoutDepartures = 3 // as earlier programs wrote it
+	commandVersion                  = 4
+	commandVersionWithoutDepartures = 3 // written by earlier releases
 )
 
-// endNames are the ways a run ends that have a number of their own, counted from 1; any other is written out.
-var endNames = [...]string{
-	protocol.EndDone,
-	protocol.EndFailed,
-	protocol.EndStopped,
-	protocol.EndLapsed,
-	protocol.EndBroken,
-	protocol.EndAlone,
-	protocol.EndRefused,
+// outcomeCodes are the outcomes that are encoded as a number: their position here, from 1. Any other is encoded as 0 and
+// its text. The order is part of the encoding.
+var outcomeCodes = [...]Outcome{
+	OutcomeDone,
+	OutcomeFailed,
+	OutcomeStopped,
+	OutcomeLapsed,
+	OutcomeBroken,
+	OutcomeAlone,
+	OutcomeRefused,
 }
 
-// column holds the last texts written or read of those that repeat from item to item.
-type column struct{ job, runner string }
+// previousTexts are the last job and runner written or read: they often repeat from item to item.
+type previousTexts struct{ job, runner string }
 
-// Encode returns the command as an entry of the shard's log.
+// Encode returns the command as an entry of the shard's log. The error is always nil.
 func Encode(c *Command) ([]byte, error) {
 	w := &writer{data: make([]byte, 0, sizeHint(c))}
-	last := &column{}
+	last := &previousTexts{}
 	w.byte(commandVersion)
 	w.signed(c.TimeOfDayMs)
 	w.count(len(c.Submits))
@@ -62,7 +59,7 @@
 	return w.data, nil
 }
 
-// sizeHint guesses the size of the encoded command, so that its bytes seldom have to be moved.
+// sizeHint estimates the size of the encoded command, so that its buffer seldom grows.
 func sizeHint(c *Command) int {
 	const head, item, perSubmit, perStep = 32, 64, 128, 48
 	size := head + item*(len(c.Cancels)+len(c.Fences)+len(c.Ends)+len(c.Losses)+len(c.Starts)+len(c.RunnerAddresses)+len(c.Departures))
@@ -72,14 +69,15 @@
 	return size
 }
 
-// Decode reads an entry of the shard's log. The texts of the command share memory: what is kept must be copied.
+// Decode decodes an entry of the shard's log, also one of an earlier release. The texts of the command share memory: what
+// is retained must be cloned.
 func Decode(data []byte) (*Command, error) {
 	r := newReader(data)
 	version := r.byte()
-	if version != commandVersion && version != withoutDepartures {
-		return nil, errors.Errorf("command of version %d, %d is known", version, commandVersion)
+	if version != commandVersion && version != commandVersionWithoutDepartures {
+		return nil, errors.Errorf("unknown command version %d, current is %d", version, commandVersion)
 	}
-	last := &column{}
+	last := &previousTexts{}
 	c := &Command{TimeOfDayMs: r.signed()}
 	c.Submits = items[Submit](r)
 	for i := range c.Submits {
@@ -107,7 +105,7 @@
 		c.RunnerAddresses[i].Runner = r.text()
 		c.RunnerAddresses[i].Address = r.text()
 	}
-	if version != withoutDepartures {
+	if version != commandVersionWithoutDepartures {
 		c.Departures = r.texts()
 	}
 	if err := r.done(); err != nil {
@@ -116,7 +114,7 @@
 	return c, nil
 }
 
-// items makes room for as many items as are to come, or returns nil for none.
+// items returns a slice for the items that follow, or nil if there are none.
 func items[T any](r *reader) []T {
 	count := r.count()
 	if count == 0 {
@@ -157,83 +155,83 @@
 	return fences
 }
 
-func (w *writer) task(id *TaskID, last *column) {
+func (w *writer) task(id *TaskID, last *previousTexts) {
 	w.repeated(id.Job, &last.job)
-	w.signed(int64(id.Time))
+	w.signed(int64(id.Repetition))
 	w.signed(int64(id.Step))
 	w.signed(int64(id.Index))
 }
 
-func (r *reader) task(last *column) (id TaskID) {
+func (r *reader) task(last *previousTexts) (id TaskID) {
 	id.Job = r.repeated(&last.job)
-	id.Time = r.integer()
+	id.Repetition = r.integer()
 	id.Step = r.integer()
 	id.Index = r.integer()
 	return id
 }
 
-func (w *writer) how(how string) {
-	for i, name := range endNames {
-		if name == how {
+func (w *writer) outcome(outcome Outcome) {
+	for i, known := range outcomeCodes {
+		if known == outcome {
 			w.byte(byte(i + 1))
 			return
 		}
 	}
 	w.byte(0)
-	w.text(how)
+	w.text(string(outcome))
 }
 
-func (r *reader) how() string {
-	number := int(r.byte())
-	if number == 0 {
-		return r.text()
+func (r *reader) outcome() Outcome {
+	code := int(r.byte())
+	if code == 0 {
+		return Outcome(r.text())
 	}
-	if number > len(endNames) {
+	if code > len(outcomeCodes) {
 		r.fail()
 		return ""
 	}
-	return endNames[number-1]
+	return outcomeCodes[code-1]
 }
 
-func (w *writer) end(end *End, last *column) {
+func (w *writer) end(end *End, last *previousTexts) {
 	w.repeated(end.Runner, &last.runner)
 	w.unsigned(end.N)
 	w.task(&end.Task, last)
 	w.unsigned(end.Run)
-	w.how(end.Outcome)
+	w.outcome(end.Outcome)
 	w.text(end.Checkpoint)
 }
 
-func (r *reader) end(end *End, last *column) {
+func (r *reader) end(end *End, last *previousTexts) {
 	end.Runner = r.repeated(&last.runner)
 	end.N = r.unsigned()
 	end.Task = r.task(last)
 	end.Run = r.unsigned()
-	end.Outcome = r.how()
+	end.Outcome = r.outcome()
 	end.Checkpoint = r.text()
 }
 
-func (w *writer) loss(loss *Loss, last *column) {
+func (w *writer) loss(loss *Loss, last *previousTexts) {
 	w.repeated(loss.Runner, &last.runner)
 	w.task(&loss.Task, last)
 	w.unsigned(loss.Run)
 	w.text(loss.Checkpoint)
 }
 
-func (r *reader) loss(loss *Loss, last *column) {
+func (r *reader) loss(loss *Loss, last *previousTexts) {
 	loss.Runner = r.repeated(&last.runner)
 	loss.Task = r.task(last)
 	loss.Run = r.unsigned()
 	loss.Checkpoint = r.text()
 }
 
-func (w *writer) start(start *Start, last *column) {
+func (w *writer) start(start *Start, last *previousTexts) {
 	w.task(&start.Task, last)
 	w.unsigned(start.Run)
 	w.repeated(start.Runner, &last.runner)
 }
 
-func (r *reader) start(start *Start, last *column) {
+func (r *reader) start(start *Start, last *previousTexts) {
 	start.Task = r.task(last)
 	start.Run = r.unsigned()
 	start.Runner = r.repeated(&last.runner)
--- a/internal/cluster/jobs/codec_test.go
+++ b/internal/cluster/jobs/command_codec_test.go
@@ -33,8 +33,8 @@
 		Cancels:     []string{jobA, ""},
 		Fences:      []jobs.Fence{{ID: jobB, Version: 1 << 50}, {}},
 		Ends: []jobs.End{
-			{Runner: "r1", N: 1 << 60, Task: id(jobA, 1, 2, 3), Run: 7, Outcome: protocol.EndDone, Checkpoint: "00000bb87a21d94b"},
-			{Runner: "r1", N: 5, Task: id(jobA, 1, 2, 4), Run: 7, Outcome: protocol.EndRefused},
+			{Runner: "r1", N: 1 << 60, Task: id(jobA, 1, 2, 3), Run: 7, Outcome: jobs.OutcomeDone, Checkpoint: "00000bb87a21d94b"},
+			{Runner: "r1", N: 5, Task: id(jobA, 1, 2, 4), Run: 7, Outcome: jobs.OutcomeRefused},
 			{Runner: "r2", N: 6, Task: id(jobB, -1, -2, -3), Run: 0, Outcome: "vanished"},
 		},
 		Losses:          []jobs.Loss{{Runner: "r2", Task: id(jobB, 0), Run: 3, Checkpoint: "x"}, {Runner: "", Task: jobs.TaskID{}}},
@@ -53,7 +53,7 @@
 }
 
 var _ = Describe("encoded commands", func() {
-	DescribeTable("come back as they were",
+	DescribeTable("decode to what was encoded",
 		func(c *jobs.Command) {
 			got, err := jobs.Decode(encode(c))
 			Expect(err).NotTo(HaveOccurred())
@@ -65,34 +65,34 @@
 		Entry("one start", &jobs.Command{Starts: []jobs.Start{{Task: id(jobA, 0), Run: 1, Runner: "r1"}}}),
 	)
 
-	It("are read as earlier programs wrote them, without departures", func() {
+	It("of an earlier release, without departures, are read", func() {
 		c := fullCommand()
 		c.Departures = nil
 		data := encode(c)
 		data[0] = 3
-		got, err := jobs.Decode(data[:len(data)-1]) // their number was not there
+		got, err := jobs.Decode(data[:len(data)-1]) // without the count of departures
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal(c))
 	})
 
-	It("with each way a run ends", func() {
-		for _, how := range []string{
-			protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed,
-			protocol.EndBroken, protocol.EndAlone, protocol.EndRefused, "", "other",
+	It("keep each outcome", func() {
+		for _, outcome := range []jobs.Outcome{
+			jobs.OutcomeDone, jobs.OutcomeFailed, jobs.OutcomeStopped, jobs.OutcomeLapsed,
+			jobs.OutcomeBroken, jobs.OutcomeAlone, jobs.OutcomeRefused, "", "other",
 		} {
-			got, err := jobs.Decode(encode(&jobs.Command{Ends: []jobs.End{{Outcome: how}}}))
+			got, err := jobs.Decode(encode(&jobs.Command{Ends: []jobs.End{{Outcome: outcome}}}))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(got.Ends[0].Outcome).To(Equal(how))
+			Expect(got.Ends[0].Outcome).To(Equal(outcome))
 		}
 	})
 
-	It("are refused when cut anywhere, or with bytes too many, or of another version", func() {
+	It("are rejected if truncated anywhere, with bytes left over, or of an unknown version", func() {
 		c := fullCommand()
 		c.Submits[0].Job.Spec = "short"
 		data := encode(c)
 		for length := range data {
 			_, err := jobs.Decode(data[:length])
-			Expect(err).To(HaveOccurred(), "cut to %d bytes", length)
+			Expect(err).To(HaveOccurred(), "truncated to %d bytes", length)
 		}
 		_, err := jobs.Decode(append(data, 0))
 		Expect(err).To(HaveOccurred())
@@ -101,7 +101,7 @@
 		Expect(err).To(MatchError(ContainSubstring("version 99")))
 	})
 
-	It("never bring the reader down, whatever the bytes", func() {
+	It("never make the reader panic, whatever the bytes", func() {
 		data := encode(fullCommand())
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
 			damaged := append([]byte(nil), data...)
@@ -116,7 +116,7 @@
 	})
 })
 
-// busyShard has something of everything that a snapshot holds.
+// busyShard returns a shard with something of everything that a snapshot has.
 func busyShard() *shard {
 	s := newShard()
 	s.fence("0000000000000fff", 5)
@@ -124,24 +124,24 @@
 	s.fence("0000000000000fff", 7)
 	s.submit(jobA, 2, step(3, gang, checkpoints), step(2, after(0)), fullStep())
 	s.startOn(1, "r1", id(jobA, 0), "r2", id(jobA, 1), "r2", id(jobA, 2))
-	s.end("r1", id(jobA, 0), 1, protocol.EndFailed, "saved by one")
+	s.end("r1", id(jobA, 0), 1, jobs.OutcomeFailed, "checkpoint of one")
 	s.submitSpec(jobB, 2, protocol.JobSpec{
 		Steps: []protocol.Step{step(2, gang), step(1, after(0))}, Repetitions: 3, FirstRunMs: startMs, IntervalMs: 500,
 	})
 	s.pass(600)
 	s.startOn(1, "r1", id(jobB, 1, 0, 0), "r2", id(jobB, 1, 0, 1))
-	s.end("r2", id(jobB, 1, 0, 1), 1, protocol.EndDone, "")
+	s.end("r2", id(jobB, 1, 0, 1), 1, jobs.OutcomeDone, "")
 	s.submit(jobC, 2, step(2))
 	s.start("r3", 1, id(jobC, 0))
 	s.cancel(jobC)
 	s.submit("0000000000000eee", 2, step(1))
 	s.cancel("0000000000000eee")
-	s.do(&jobs.Command{Departures: []string{"r2", "never heard of"}})
+	s.do(&jobs.Command{Departures: []string{"r2", "unknown"}})
 	return s
 }
 
 var _ = Describe("snapshots", func() {
-	It("bring back what every accessor shows", func() {
+	It("restore what every accessor returns", func() {
 		s := busyShard()
 		data, err := s.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
@@ -156,14 +156,14 @@
 			Expect(restored.Job(job).EndedMs).To(Equal(s.Job(job).EndedMs))
 			Expect(restored.Job(job).Groups).To(HaveLen(len(s.Job(job).Groups)))
 		}
-		Expect(restored.Pending("host/path/")).To(Equal(2))
+		Expect(restored.UnfinishedJobs("host/path/")).To(Equal(2))
 		Expect(restored.Counters().Lingering).To(Equal(1))
-		for runner, departed := range map[string]bool{"r1": false, "r2": true, "r3": false, "never heard of": true, "other": false} {
+		for runner, departed := range map[string]bool{"r1": false, "r2": true, "r3": false, "unknown": true, "other": false} {
 			Expect(restored.Departed(runner)).To(Equal(departed), runner)
 		}
 	})
 
-	It("are read as earlier programs wrote them, without departures", func() {
+	It("of an earlier release, without departures, are read", func() {
 		const written = "0380a0abfef962904e04010000000200020272320000904e000272310001904e000110303030303030303030303030303061" +
 			"610a686f73742f706174682f07736572766963650204000000000000f83f000180a0abfef962001874657874206f66203030" +
 			"303030303030303030303030616100020004e80780010000000000208c40800102e80780010000000000208c400100010002" +
@@ -175,34 +175,34 @@
 		s := newShard()
 		s.submit(jobA, 2, step(2), step(1, after(0)))
 		s.startOn(1, "r1", id(jobA, 0), "r2", id(jobA, 1))
-		s.end("r1", id(jobA, 0), 1, protocol.EndDone, "")
+		s.end("r1", id(jobA, 0), 1, jobs.OutcomeDone, "")
 		Expect(view(restored)).To(Equal(view(s.State)))
 		Expect(restored.Digest()).To(Equal(s.Digest()))
 	})
 
-	It("replace all that was there", func() {
+	It("replace the complete state", func() {
 		empty, err := jobs.New(jobs.Options{}).Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		s := busyShard()
 		Expect(s.Restore(empty)).To(Succeed())
 		Expect(s.Counters()).To(Equal(jobs.Counters{}))
 		Expect(s.Runners()).To(BeEmpty())
-		Expect(s.held()).To(BeEmpty())
+		Expect(s.pendingIDs()).To(BeEmpty())
 	})
 
-	It("are refused when cut anywhere, or of another version, and then change nothing", func() {
+	It("are rejected if truncated anywhere, or of an unknown version, and then change nothing", func() {
 		s := busyShard()
 		data, _ := s.Snapshot()
 		before := view(s.State)
 		for length := range data {
-			Expect(s.Restore(data[:length])).NotTo(Succeed(), "cut to %d bytes", length)
+			Expect(s.Restore(data[:length])).NotTo(Succeed(), "truncated to %d bytes", length)
 		}
 		Expect(s.Restore(append(append([]byte(nil), data...), 0))).NotTo(Succeed())
 		Expect(s.Restore(append([]byte{99}, data[1:]...))).To(MatchError(ContainSubstring("version 99")))
 		Expect(view(s.State)).To(Equal(before))
 	})
 
-	It("never bring the reader down, whatever the bytes", func() {
+	It("never make the reader panic, whatever the bytes", func() {
 		data, _ := busyShard().Snapshot()
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
 			damaged := append([]byte(nil), data...)
@@ -214,7 +214,7 @@
 		})
 	})
 
-	It("don't keep the memory that they were read from", func() {
+	It("restore a state that keeps none of their memory", func() {
 		s := busyShard()
 		data, _ := s.Snapshot()
 		restored := jobs.New(jobs.Options{})
--- a/internal/cluster/jobs/cost_test.go
+++ b/internal/cluster/jobs/cost_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// roundCommand is what an owner decides in one round on a busy shard: hand-ins, ends, starts.
+// roundCommand is what an owner decides in one round on a busy shard: submits, ends, starts.
 func roundCommand(size int) *jobs.Command {
 	c := &jobs.Command{TimeOfDayMs: startMs}
 	for i := range size {
@@ -21,7 +21,7 @@
 			Spec: strings.Repeat("x", 250), Steps: []protocol.Step{step(6), step(6, after(0))},
 		}})
 		task := jobs.TaskID{Job: job, Index: i}
-		c.Ends = append(c.Ends, jobs.End{Runner: runner, N: uint64(i), Task: task, Run: 1, Outcome: protocol.EndDone})
+		c.Ends = append(c.Ends, jobs.End{Runner: runner, N: uint64(i), Task: task, Run: 1, Outcome: jobs.OutcomeDone})
 		c.Starts = append(c.Starts, jobs.Start{Runner: runner, Task: task, Run: 1})
 	}
 	return c
@@ -100,7 +100,7 @@
 		n++
 		effects := s.Apply(&jobs.Command{
 			TimeOfDayMs: startMs + int64(n),
-			Ends:        []jobs.End{{Runner: runner, N: n, Task: task, Run: n, Outcome: protocol.EndStopped}},
+			Ends:        []jobs.End{{Runner: runner, N: n, Task: task, Run: n, Outcome: jobs.OutcomeStopped}},
 			Starts:      []jobs.Start{{Task: task, Run: n + 1, Runner: runner}},
 		})
 		if !effects.Starts[0] {
--- a/internal/cluster/jobs/wire.go
+++ b/internal/cluster/jobs/encoding.go
@@ -3,14 +3,15 @@
 import (
 	"encoding/binary"
 	"math"
+	"strings"
 
 	"github.com/pkg/errors"
 )
 
-// errCut is the error of a reader whose bytes end early or make no sense.
-var errCut = errors.New("bytes end early or make no sense")
+// errMalformed is the error of a reader whose input is truncated or not what a writer writes.
+var errMalformed = errors.New("malformed encoding")
 
-// writer builds the compact form of commands and snapshots: numbers as varints, texts after their length.
+// writer writes the compact form of commands and snapshots: numbers as varints, texts after their length.
 type writer struct{ data []byte }
 
 func (w *writer) byte(value byte)       { w.data = append(w.data, value) }
@@ -35,7 +36,7 @@
 	w.data = append(w.data, value...)
 }
 
-// repeated writes a text of a column in which neighbours are often the same; previous is the column's last one.
+// repeated writes a text that is often the same as the one written before it in this field, which previous points to.
 func (w *writer) repeated(value string, previous *string) {
 	if value == *previous {
 		w.byte(0)
@@ -46,25 +47,25 @@
 	w.data = append(w.data, value...)
 }
 
-// reader reads what a writer has built. Its error sticks; after it, all that is read is zero. Texts that it returns
-// share one copy of the bytes.
+// reader reads what a writer has written. Its first error stays, and everything read after it is zero. The texts that it
+// returns share one copy of the input: what is retained must be cloned, as ownedText does.
 type reader struct {
-	data string
-	at   int
-	err  error
+	data   string
+	offset int
+	err    error
 }
 
 func newReader(data []byte) *reader { return &reader{data: string(data)} }
 
-func (r *reader) fail() { r.err, r.at = errCut, len(r.data) }
+func (r *reader) fail() { r.err, r.offset = errMalformed, len(r.data) }
 
 func (r *reader) byte() byte {
-	if r.at >= len(r.data) {
+	if r.offset >= len(r.data) {
 		r.fail()
 		return 0
 	}
-	value := r.data[r.at]
-	r.at++
+	value := r.data[r.offset]
+	r.offset++
 	return value
 }
 
@@ -86,47 +87,52 @@
 	return int64(value>>1) ^ -int64(value&1)
 }
 
-// integer reads a signed number that must fit an int.
+// integer reads a signed number as an int.
 func (r *reader) integer() int { return int(r.signed()) }
 
-// count reads the number of items to come, each of which takes a byte at least.
+// count reads the number of items that follow. Each takes a byte at least, so that a larger number is malformed.
 func (r *reader) count() int {
 	value := r.unsigned()
-	if value > uint64(len(r.data)-r.at) {
+	if value > uint64(len(r.data)-r.offset) {
 		r.fail()
 		return 0
 	}
 	return int(value)
 }
 
+// float reads a number of eight bytes.
 func (r *reader) float() float64 {
 	const size = 8
-	if len(r.data)-r.at < size {
+	if len(r.data)-r.offset < size {
 		r.fail()
 		return 0
 	}
 	var bits uint64
 	for i := range size {
-		bits |= uint64(r.data[r.at+i]) << (8 * i)
+		bits |= uint64(r.data[r.offset+i]) << (8 * i)
 	}
-	r.at += size
+	r.offset += size
 	return math.Float64frombits(bits)
 }
 
 func (r *reader) text() string { return r.take(r.count()) }
 
+// ownedText returns a text that doesn't keep the input alive.
+func (r *reader) ownedText() string { return strings.Clone(r.text()) }
+
 func (r *reader) take(length int) string {
-	value := r.data[r.at : r.at+length]
-	r.at += length
+	value := r.data[r.offset : r.offset+length]
+	r.offset += length
 	return value
 }
 
+// repeated reads what writer.repeated has written.
 func (r *reader) repeated(previous *string) string {
 	length := r.unsigned()
 	if length == 0 {
 		return *previous
 	}
-	if length-1 > uint64(len(r.data)-r.at) {
+	if length-1 > uint64(len(r.data)-r.offset) {
 		r.fail()
 		return ""
 	}
@@ -134,10 +140,10 @@
 	return *previous
 }
 
-// done returns the error, or one if bytes are left over.
+// completed returns the error, or one if bytes are left over.
 func (r *reader) done() error {
-	if r.err == nil && r.at != len(r.data) {
-		r.err = errors.Errorf("%d bytes too many", len(r.data)-r.at)
+	if r.err == nil && r.offset != len(r.data) {
+		r.err = errors.Errorf("%d bytes left over", len(r.data)-r.offset)
 	}
 	return r.err
 }
--- a/internal/cluster/jobs/gang_test.go
+++ b/internal/cluster/jobs/gang_test.go
@@ -23,7 +23,7 @@
 		Expect(s.startOn(run, "r1", a, "r2", b, "r3", c)).To(Equal([]bool{true, true, true}))
 	}
 
-	DescribeTable("start all or none",
+	DescribeTable("starts all members or none",
 		func(starts []jobs.Start, want []bool) {
 			Expect(s.do(&jobs.Command{Starts: starts}).Starts).To(Equal(want))
 			Expect(s.Counters().Running).To(Equal(count(want)))
@@ -34,14 +34,14 @@
 		Entry("one missing", []jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}}, []bool{false, false}),
 		Entry("one twice instead of another",
 			[]jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}, {Task: b, Run: 1}}, []bool{false, false, false}),
-		Entry("one twice besides all",
+		Entry("one twice in addition to all",
 			[]jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}, {Task: c, Run: 1}, {Task: c, Run: 1}},
 			[]bool{false, false, false, false}),
 		Entry("one with another run",
 			[]jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 2}, {Task: c, Run: 1}}, []bool{false, false, false}),
 	)
 
-	It("lets one gang's fault not touch the next", func() {
+	It("does not reject a gang's starts for another gang's invalid ones", func() {
 		s.submit(jobB, 2, step(2, gang))
 		starts := []jobs.Start{
 			{Task: a, Run: 1, Runner: "r1"}, {Task: id(jobB, 0), Run: 1, Runner: "r1"},
@@ -51,47 +51,47 @@
 		startAll(1)
 	})
 
-	It("is done as one with the first end `done`; the other runs linger until their own ends", func() {
+	It("is done with the first member that is; the other runs linger until their own ends", func() {
 		startAll(1)
-		effects := s.end("r2", b, 1, protocol.EndDone, "")
-		Expect(effects.Ended).To(HaveLen(3))
-		Expect(s.phase(a) + s.phase(b) + s.phase(c)).To(Equal("donedonedone"))
-		Expect(s.phase(id(jobA, 1, 0))).To(Equal("held"))
+		effects := s.end("r2", b, 1, jobs.OutcomeDone, "")
+		Expect(effects.EndedRuns).To(HaveLen(3))
+		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Done, jobs.Done, jobs.Done}))
+		Expect(s.phase(id(jobA, 1, 0))).To(Equal(jobs.Pending))
 		Expect(s.Runners()).To(Equal([]string{"r1", "r3"}))
 		Expect(s.runsOn("r1")).To(BeEmpty())
 		needs := protocol.Resources{CPU: 500, MemoryMB: 64}
 		Expect(s.LingeringOn("r1")).To(Equal([]jobs.Lingering{{Task: a, Run: 1, Needs: needs}}))
 
-		effects = s.end("r1", a, 1, protocol.EndDone, "")
+		effects = s.end("r1", a, 1, jobs.OutcomeDone, "")
 		Expect(effects.Ends).To(Equal([]bool{false}))
-		Expect(effects.Freed).To(Equal([]jobs.Freed{{Runner: "r1", Lingering: jobs.Lingering{Task: a, Run: 1, Needs: needs}}}))
+		Expect(effects.FreedRuns).To(Equal([]jobs.FreedRun{{Runner: "r1", Lingering: jobs.Lingering{Task: a, Run: 1, Needs: needs}}}))
 		Expect(s.LingeringOn("r1")).To(BeEmpty())
-		Expect(s.lose("r3", c, 1, "").Freed).To(HaveLen(1))
+		Expect(s.lose("r3", c, 1, "").FreedRuns).To(HaveLen(1))
 		Expect(s.Runners()).To(BeEmpty())
-		Expect(s.phase(a) + s.phase(b) + s.phase(c)).To(Equal("donedonedone"))
+		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Done, jobs.Done, jobs.Done}))
 	})
 
-	It("keeps lingering runs of a job that is completed and dropped", func() {
+	It("keeps lingering runs of a job whose details are dropped", func() {
 		s.submit(jobB, 2, step(2, gang))
 		s.startOn(1, "r1", id(jobB, 0), "r1", id(jobB, 1))
-		s.end("r1", id(jobB, 0), 1, protocol.EndDone, "")
+		s.end("r1", id(jobB, 0), 1, jobs.OutcomeDone, "")
 		Expect(s.stateOf(jobB)).To(Equal(protocol.JobCompleted))
 		Expect(s.LingeringOn("r1")).To(HaveLen(1))
-		s.end("r1", id(jobB, 1), 1, protocol.EndDone, "")
+		s.end("r1", id(jobB, 1), 1, jobs.OutcomeDone, "")
 		Expect(s.LingeringOn("r1")).To(BeEmpty())
 		Expect(s.Counters().Lingering).To(Equal(0))
 	})
 
-	It("waits until no run of it may exist before it is held again, with one run for all", func() {
+	It("becomes pending again once no run of it may exist, with one run number for all", func() {
 		startAll(1)
-		s.end("r1", a, 1, protocol.EndBroken, "one")
+		s.end("r1", a, 1, jobs.OutcomeBroken, "one")
 		s.lose("r2", b, 1, "")
-		Expect(s.phase(a) + s.phase(b) + s.phase(c)).To(Equal("pendingpendingrunning"))
-		Expect(s.held()).To(BeEmpty())
+		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.GangEnding, jobs.GangEnding, jobs.Running}))
+		Expect(s.pendingIDs()).To(BeEmpty())
 		Expect(s.startOn(2, "r1", a, "r2", b, "r3", c)).To(Equal([]bool{false, false, false}))
-		effects := s.end("r3", c, 1, protocol.EndAlone, "")
+		effects := s.end("r3", c, 1, jobs.OutcomeAlone, "")
 		Expect(effects.Pending).To(HaveLen(3))
-		Expect(s.held()).To(Equal([]string{a.String(), b.String(), c.String()}))
+		Expect(s.pendingIDs()).To(Equal([]string{a.String(), b.String(), c.String()}))
 		for _, member := range []jobs.TaskID{a, b, c} {
 			Expect(s.Task(member).Checkpoint).To(Equal("one"))
 		}
@@ -100,49 +100,49 @@
 		Expect(s.Task(a).Group.Run).To(Equal(uint64(2)))
 	})
 
-	It("is done also when a member's run was over before", func() {
+	It("is done even if a member's run was over before", func() {
 		startAll(1)
 		s.lose("r1", a, 1, "")
-		s.end("r2", b, 1, protocol.EndDone, "")
-		Expect(s.phase(a) + s.phase(b) + s.phase(c)).To(Equal("donedonedone"))
+		s.end("r2", b, 1, jobs.OutcomeDone, "")
+		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Done, jobs.Done, jobs.Done}))
 		Expect(s.Runners()).To(Equal([]string{"r3"}))
 	})
 
-	It("counts a failed run once, however many members end so", func() {
+	It("counts a failed run once, however many members fail", func() {
 		startAll(1)
-		s.end("r1", a, 1, protocol.EndFailed, "")
-		s.end("r2", b, 1, protocol.EndFailed, "")
-		s.end("r3", c, 1, protocol.EndBroken, "")
+		s.end("r1", a, 1, jobs.OutcomeFailed, "")
+		s.end("r2", b, 1, jobs.OutcomeFailed, "")
+		s.end("r3", c, 1, jobs.OutcomeBroken, "")
 		Expect(s.Task(a).AttemptsOf()).To(Equal(1))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 		startAll(2)
 		member := s.Task(c)
-		s.end("r2", b, 2, protocol.EndFailed, "")
+		s.end("r2", b, 2, jobs.OutcomeFailed, "")
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobFailed))
-		Expect(s.phase(b)).To(Equal("failed"))
-		Expect(s.phase(c)).To(Equal("running"))
-		s.end("r1", a, 2, protocol.EndBroken, "")
-		s.end("r3", c, 2, protocol.EndBroken, "")
-		Expect(phaseName(member.Phase)).To(Equal("cancelled"))
+		Expect(s.phase(b)).To(Equal(jobs.Failed))
+		Expect(s.phase(c)).To(Equal(jobs.Running))
+		s.end("r1", a, 2, jobs.OutcomeBroken, "")
+		s.end("r3", c, 2, jobs.OutcomeBroken, "")
+		Expect(member.Phase).To(Equal(jobs.Cancelled))
 		Expect(s.Job(jobA).Groups).To(BeEmpty())
 	})
 
-	It("is cancelled: what is pending at once, what runs with its end", func() {
+	It("is cancelled: members that are ending at once, running ones with their end", func() {
 		startAll(1)
-		s.end("r1", a, 1, protocol.EndBroken, "")
+		s.end("r1", a, 1, jobs.OutcomeBroken, "")
 		s.cancel(jobA)
-		Expect(s.phase(a) + s.phase(b) + s.phase(c)).To(Equal("cancelledrunningrunning"))
-		s.end("r2", b, 1, protocol.EndDone, "")
-		s.end("r3", c, 1, protocol.EndStopped, "")
+		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Cancelled, jobs.Running, jobs.Running}))
+		s.end("r2", b, 1, jobs.OutcomeDone, "")
+		s.end("r3", c, 1, jobs.OutcomeStopped, "")
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCancelled))
 		Expect(s.Runners()).To(BeEmpty())
-		Expect(s.held()).To(BeEmpty())
+		Expect(s.pendingIDs()).To(BeEmpty())
 	})
 
-	It("prefers what an end saved to what was seen earlier of a lost run", func() {
+	It("prefers an end's checkpoint to that of a loss", func() {
 		startAll(1)
 		s.lose("r1", a, 1, "seen")
-		s.end("r2", b, 1, protocol.EndBroken, "ended")
+		s.end("r2", b, 1, jobs.OutcomeBroken, "ended")
 		s.lose("r3", c, 1, "seen too")
 		Expect(s.Task(a).Checkpoint).To(Equal("ended"))
 		startAll(2)
@@ -152,27 +152,27 @@
 		Expect(s.Task(b).Checkpoint).To(Equal("later"))
 	})
 
-	It("remembers over a snapshot that a run's failure was counted and what an end of it saved", func() {
+	It("keeps in a snapshot that a run's failure was counted and that its checkpoint is an end's", func() {
 		startAll(1)
-		s.end("r1", a, 1, protocol.EndFailed, "ended")
+		s.end("r1", a, 1, jobs.OutcomeFailed, "ended")
 		data, err := s.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Restore(data)).To(Succeed())
-		s.end("r2", b, 1, protocol.EndFailed, "")
+		s.end("r2", b, 1, jobs.OutcomeFailed, "")
 		s.lose("r3", c, 1, "seen")
 		Expect(s.Task(a).AttemptsOf()).To(Equal(1))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 		Expect(s.Task(a).Checkpoint).To(Equal("ended"))
 	})
 
-	It("that lasts is held again however it ends, also done", func() {
+	It("that is long-running becomes pending again however it ends", func() {
 		s.submit(jobB, 1, step(2, gang, longRunning))
 		for run := uint64(1); run <= 3; run++ {
 			s.startOn(run, "r1", id(jobB, 0), "r2", id(jobB, 1))
-			s.end("r1", id(jobB, 0), run, protocol.EndDone, "")
-			Expect(s.phase(id(jobB, 0))).To(Equal("pending"))
-			s.end("r2", id(jobB, 1), run, protocol.EndFailed, "")
-			Expect(s.phase(id(jobB, 0))).To(Equal("held"))
+			s.end("r1", id(jobB, 0), run, jobs.OutcomeDone, "")
+			Expect(s.phase(id(jobB, 0))).To(Equal(jobs.GangEnding))
+			s.end("r2", id(jobB, 1), run, jobs.OutcomeFailed, "")
+			Expect(s.phase(id(jobB, 0))).To(Equal(jobs.Pending))
 		}
 		Expect(s.stateOf(jobB)).To(Equal(protocol.JobRunning))
 	})
--- a/internal/cluster/jobs/overview_test.go
+++ b/internal/cluster/jobs/job_test.go
@@ -8,8 +8,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("what operators are told of jobs", func() {
-	It("lists ids in order, page by page and by queue", func() {
+var _ = Describe("jobs as operators see them", func() {
+	It("are listed in order of id, by page and by queue", func() {
 		s := newShard()
 		for _, id := range []string{jobC, jobA, jobB} {
 			s.submit(id, 3, protocol.Step{Count: 1})
@@ -21,13 +21,13 @@
 		Expect(s.JobIDs("host/other/", "", 2)).To(BeEmpty())
 	})
 
-	It("counts a job's tasks", func() {
+	It("count their tasks", func() {
 		s := newShard()
 		s.submit(jobA, 3, protocol.Step{Count: 3}, protocol.Step{Count: 2, DependsOn: []int{0}})
 		first := jobs.TaskID{Job: jobA}
 		second := jobs.TaskID{Job: jobA, Index: 1}
 		s.do(&jobs.Command{Starts: []jobs.Start{{Task: first, Run: 1, Runner: "r"}, {Task: second, Run: 1, Runner: "r"}}})
-		s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r", N: 1, Task: first, Run: 1, Outcome: protocol.EndDone}}})
+		s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r", N: 1, Task: first, Run: 1, Outcome: jobs.OutcomeDone}}})
 		done, running, all := s.Job(jobA).Progress()
 		Expect([]int{done, running, all}).To(Equal([]int{1, 1, 5}))
 	})
--- a/internal/cluster/jobs/jobs_suite_test.go
+++ b/internal/cluster/jobs/jobs_suite_test.go
@@ -24,7 +24,7 @@
 	startMs = int64(1_700_000_000_000) // time of day at which each shard of the tests begins
 )
 
-// shard is a State with helpers that keep the tests short.
+// shard is a State with a clock and helpers for the tests.
 type shard struct {
 	*jobs.State
 	nowMs int64
@@ -44,6 +44,7 @@
 	return s.Apply(c)
 }
 
+// pass advances the clock.
 func (s *shard) pass(ms int64) *jobs.Effects {
 	s.nowMs += ms
 	return s.do(&jobs.Command{})
@@ -72,15 +73,15 @@
 	return s.do(c).Starts
 }
 
-func (s *shard) end(runner string, id jobs.TaskID, run uint64, how, saved string) *jobs.Effects {
+func (s *shard) end(runner string, id jobs.TaskID, run uint64, outcome jobs.Outcome, checkpoint string) *jobs.Effects {
 	s.n[runner]++
 	return s.do(&jobs.Command{Ends: []jobs.End{
-		{Runner: runner, N: s.n[runner], Task: id, Run: run, Outcome: how, Checkpoint: saved},
+		{Runner: runner, N: s.n[runner], Task: id, Run: run, Outcome: outcome, Checkpoint: checkpoint},
 	}})
 }
 
-func (s *shard) lose(runner string, id jobs.TaskID, run uint64, saved string) *jobs.Effects {
-	return s.do(&jobs.Command{Losses: []jobs.Loss{{Runner: runner, Task: id, Run: run, Checkpoint: saved}}})
+func (s *shard) lose(runner string, id jobs.TaskID, run uint64, checkpoint string) *jobs.Effects {
+	return s.do(&jobs.Command{Losses: []jobs.Loss{{Runner: runner, Task: id, Run: run, Checkpoint: checkpoint}}})
 }
 
 func (s *shard) cancel(id string) bool {
@@ -91,35 +92,40 @@
 	return s.do(&jobs.Command{Fences: []jobs.Fence{{ID: id, Version: version}}}).Fences[0]
 }
 
-// submitBy hands a job of one task in by a version of the configuration.
+// submitBy submits a job of one task by a version of the configuration.
 func (s *shard) submitBy(id string, version uint64) jobs.SubmitEffect {
 	submit := jobs.Submit{ID: id, Queue: queue(2), Job: protocol.JobSpec{Steps: []protocol.Step{step(1)}}, Version: version}
 	return s.do(&jobs.Command{Submits: []jobs.Submit{submit}}).Submits[0]
 }
 
+// stateOf returns the job's state as clients see it, or "unknown".
 func (s *shard) stateOf(id string) string {
 	state, known := s.StateOf(id)
 	if !known {
 		return "unknown"
 	}
-	return state
+	return string(state)
 }
 
-func (s *shard) phase(id jobs.TaskID) string {
+// phase returns the phase of a task, which must be there.
+func (s *shard) phase(id jobs.TaskID) jobs.Phase {
+	GinkgoHelper()
 	task := s.Task(id)
-	if task == nil {
-		return "none"
-	}
-	return phaseName(task.Phase)
+	Expect(task).NotTo(BeNil(), "task %s", id)
+	return task.Phase
 }
 
-func phaseName(phase jobs.Phase) string {
-	names := []string{"waiting", "held", "running", "done", "failed", "cancelled", "pending"}
-	return names[phase]
+func (s *shard) phases(ids ...jobs.TaskID) []jobs.Phase {
+	GinkgoHelper()
+	var phases []jobs.Phase
+	for _, id := range ids {
+		phases = append(phases, s.phase(id))
+	}
+	return phases
 }
 
-// held returns the held tasks in their order.
-func (s *shard) held() (ids []string) {
+// pendingIDs returns the pending tasks in their order.
+func (s *shard) pendingIDs() (ids []string) {
 	s.EachPending(func(task *jobs.Task) bool {
 		ids = append(ids, task.ID.String())
 		return true
@@ -137,7 +143,7 @@
 func id(job string, numbers ...int) jobs.TaskID {
 	full := [3]int{}
 	copy(full[3-len(numbers):], numbers)
-	return jobs.TaskID{Job: job, Time: full[0], Step: full[1], Index: full[2]}
+	return jobs.TaskID{Job: job, Repetition: full[0], Step: full[1], Index: full[2]}
 }
 
 func step(count int, change ...func(*protocol.Step)) protocol.Step {
--- a/internal/cluster/jobs/model_draw_test.go
+++ b/internal/cluster/jobs/model_draw_test.go
@@ -66,12 +66,12 @@
 }
 
 func (m *model) drawStarts(t *rapid.T, c *jobs.Command) {
-	var held []*jobs.Task
+	var pending []*jobs.Task
 	m.state.EachPending(func(task *jobs.Task) bool {
-		held = append(held, task)
+		pending = append(pending, task)
 		return true
 	})
-	for _, task := range held {
+	for _, task := range pending {
 		if rapid.IntRange(0, 3).Draw(t, "skip") == 0 && len(c.Starts) > 0 {
 			continue
 		}
@@ -88,7 +88,7 @@
 }
 
 func (m *model) drawEnds(t *rapid.T, c *jobs.Command) {
-	alive := m.sortedAlive()
+	alive := m.sortedPossible()
 	for range rapid.IntRange(0, 3).Draw(t, "ends") {
 		if len(alive) == 0 {
 			return
@@ -97,19 +97,19 @@
 		if rapid.IntRange(0, 9).Draw(t, "stale") == 0 {
 			run.run = uint64(rapid.IntRange(0, 4).Draw(t, "stale run"))
 		}
-		saved := rapid.SampledFrom([]string{"", "s1", "s2"}).Draw(t, "saved")
+		checkpoint := rapid.SampledFrom([]string{"", "s1", "s2"}).Draw(t, "checkpoint")
 		if rapid.IntRange(0, 3).Draw(t, "loss") == 0 {
-			c.Losses = append(c.Losses, jobs.Loss{Runner: run.runner, Task: run.task, Run: run.run, Checkpoint: saved})
+			c.Losses = append(c.Losses, jobs.Loss{Runner: run.runner, Task: run.task, Run: run.run, Checkpoint: checkpoint})
 			continue
 		}
-		how := rapid.SampledFrom([]string{
-			protocol.EndDone, protocol.EndDone, protocol.EndDone, protocol.EndFailed,
-			protocol.EndStopped, protocol.EndLapsed, protocol.EndBroken, protocol.EndAlone, protocol.EndRefused, "other",
-		}).Draw(t, "how")
+		outcome := rapid.SampledFrom([]jobs.Outcome{
+			jobs.OutcomeDone, jobs.OutcomeDone, jobs.OutcomeDone, jobs.OutcomeFailed,
+			jobs.OutcomeStopped, jobs.OutcomeLapsed, jobs.OutcomeBroken, jobs.OutcomeAlone, jobs.OutcomeRefused, "other",
+		}).Draw(t, "outcome")
 		n := m.lastSeen[run.runner] + uint64(len(c.Ends)) + 1
 		if rapid.IntRange(0, 9).Draw(t, "old") == 0 {
 			n = m.lastSeen[run.runner]
 		}
-		c.Ends = append(c.Ends, jobs.End{Runner: run.runner, N: n, Task: run.task, Run: run.run, Outcome: how, Checkpoint: saved})
+		c.Ends = append(c.Ends, jobs.End{Runner: run.runner, N: n, Task: run.task, Run: run.run, Outcome: outcome, Checkpoint: checkpoint})
 	}
 }
--- a/internal/cluster/jobs/order_test.go
+++ b/internal/cluster/jobs/repetitions_test.go
@@ -4,10 +4,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("the order of steps", func() {
+var _ = Describe("steps and repetitions", func() {
 	var s *shard
 	BeforeEach(func() { s = newShard() })
 
@@ -16,18 +17,18 @@
 		task := id(job, k, step, index)
 		run := s.Task(task).Run + 1
 		Expect(s.start("r1", run, task)).To(Equal([]bool{true}))
-		Expect(s.end("r1", task, run, protocol.EndDone, "").Ends).To(Equal([]bool{true}))
+		Expect(s.end("r1", task, run, jobs.OutcomeDone, "").Ends).To(Equal([]bool{true}))
 	}
 
-	It("holds a step once every task of all that it depends on is done", func() {
+	It("makes a step pending once every task that it depends on is done", func() {
 		s.submit(jobA, 2, step(2), step(1), step(1, after(0, 1)), step(1, after(2)))
 		Expect(s.PendingCount()).To(Equal(3))
 		finish(jobA, 0, 0, 0)
 		finish(jobA, 0, 0, 1)
-		Expect(s.phase(id(jobA, 2, 0))).To(Equal("waiting"))
+		Expect(s.phase(id(jobA, 2, 0))).To(Equal(jobs.Blocked))
 		finish(jobA, 0, 1, 0)
-		Expect(s.phase(id(jobA, 2, 0))).To(Equal("held"))
-		Expect(s.phase(id(jobA, 3, 0))).To(Equal("waiting"))
+		Expect(s.phase(id(jobA, 2, 0))).To(Equal(jobs.Pending))
+		Expect(s.phase(id(jobA, 3, 0))).To(Equal(jobs.Blocked))
 		finish(jobA, 0, 2, 0)
 		finish(jobA, 0, 3, 0)
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCompleted))
@@ -37,34 +38,34 @@
 		return protocol.JobSpec{Steps: steps, Repetitions: times, FirstRunMs: firstMs, IntervalMs: intervalMs}
 	}
 
-	It("holds a time when it falls due, not before", func() {
+	It("opens a repetition when it falls due, not before", func() {
 		s.submitSpec(jobA, 2, repeated(2, startMs+1000, 500, step(1), step(1, after(0))))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobQueued))
-		due, waits := s.NextDueMs()
+		due, ok := s.NextDueMs()
 		Expect(due).To(Equal(startMs + 1000))
-		Expect(waits).To(BeTrue())
+		Expect(ok).To(BeTrue())
 		s.pass(999)
-		Expect(s.held()).To(BeEmpty())
+		Expect(s.pendingIDs()).To(BeEmpty())
 		Expect(s.pass(1).Pending).To(HaveLen(1))
-		Expect(s.held()).To(Equal([]string{jobA + ".0.0.0"}))
+		Expect(s.pendingIDs()).To(Equal([]string{jobA + ".0.0.0"}))
 		due, _ = s.NextDueMs()
 		Expect(due).To(Equal(startMs + 1500))
 		s.pass(500)
-		Expect(s.held()).To(Equal([]string{jobA + ".0.0.0", jobA + ".1.0.0"}))
-		_, waits = s.NextDueMs()
-		Expect(waits).To(BeFalse())
+		Expect(s.pendingIDs()).To(Equal([]string{jobA + ".0.0.0", jobA + ".1.0.0"}))
+		_, ok = s.NextDueMs()
+		Expect(ok).To(BeFalse())
 	})
 
-	It("keeps times apart and completes with the last of them", func() {
+	It("keeps repetitions apart and completes with the last of them", func() {
 		s.submitSpec(jobA, 2, repeated(3, startMs, 500, step(1), step(1, after(0))))
 		finish(jobA, 0, 0, 0)
 		s.pass(500)
-		Expect(s.phase(id(jobA, 0, 1, 0))).To(Equal("held"))
-		Expect(s.phase(id(jobA, 1, 1, 0))).To(Equal("waiting"))
+		Expect(s.phase(id(jobA, 0, 1, 0))).To(Equal(jobs.Pending))
+		Expect(s.phase(id(jobA, 1, 1, 0))).To(Equal(jobs.Blocked))
 		finish(jobA, 1, 0, 0)
 		finish(jobA, 1, 1, 0)
-		Expect(s.phase(id(jobA, 1, 1, 0))).To(Equal("none"), "a time that is done is dropped")
-		Expect(s.phase(id(jobA, 0, 1, 0))).To(Equal("held"))
+		Expect(s.Task(id(jobA, 1, 1, 0))).To(BeNil(), "a complete repetition is dropped")
+		Expect(s.phase(id(jobA, 0, 1, 0))).To(Equal(jobs.Pending))
 		finish(jobA, 0, 1, 0)
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 		Expect(s.Job(jobA).Groups).To(BeEmpty())
@@ -75,44 +76,44 @@
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCompleted))
 	})
 
-	It("makes all times that are past at once", func() {
+	It("opens all overdue repetitions at once", func() {
 		s.submitSpec(jobA, 2, repeated(4, startMs-1000, 500, step(1)))
 		Expect(s.PendingCount()).To(Equal(3))
 		s.pass(10_000)
 		Expect(s.PendingCount()).To(Equal(4))
 	})
 
-	It("makes no more times once the job is over", func() {
+	It("opens no more repetitions once the job has ended", func() {
 		s.submitSpec(jobA, 1, repeated(4, startMs, 500, step(1)))
 		s.submitSpec(jobB, 1, repeated(4, startMs, 700, step(1)))
 		s.cancel(jobA)
 		due, _ := s.NextDueMs()
 		Expect(due).To(Equal(startMs + 700))
 		s.start("r1", 1, id(jobB, 0))
-		s.end("r1", id(jobB, 0), 1, protocol.EndFailed, "")
-		_, waits := s.NextDueMs()
-		Expect(waits).To(BeFalse())
+		s.end("r1", id(jobB, 0), 1, jobs.OutcomeFailed, "")
+		_, ok := s.NextDueMs()
+		Expect(ok).To(BeFalse())
 		s.pass(10_000)
 		Expect(s.PendingCount()).To(Equal(0))
 	})
 
-	It("bounds the times that are open at once, and goes on as they are done", func() {
+	It("limits the open repetitions, and opens more as they complete", func() {
 		s.submitSpec(jobA, 1, repeated(5, startMs, 0, step(8000)))
 		Expect(s.PendingCount()).To(Equal(16_000))
-		_, waits := s.NextDueMs()
-		Expect(waits).To(BeFalse())
+		_, ok := s.NextDueMs()
+		Expect(ok).To(BeFalse())
 		for index := range 8000 {
 			finish(jobA, 0, 0, index)
 		}
 		Expect(s.PendingCount()).To(Equal(16_000))
-		Expect(s.phase(id(jobA, 2, 0, 0))).To(Equal("held"))
+		Expect(s.phase(id(jobA, 2, 0, 0))).To(Equal(jobs.Pending))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 	})
 
-	It("orders times that fall due together by job", func() {
+	It("orders repetitions that fall due together by job", func() {
 		s.submitSpec(jobB, 1, repeated(2, startMs+100, 1000, step(1)))
 		s.submitSpec(jobA, 1, repeated(2, startMs+100, 1000, step(1)))
 		s.pass(100)
-		Expect(s.held()).To(Equal([]string{jobA + ".0.0.0", jobB + ".0.0.0"}))
+		Expect(s.pendingIDs()).To(Equal([]string{jobA + ".0.0.0", jobB + ".0.0.0"}))
 	})
 })
--- a/internal/cluster/jobs/replicas_test.go
+++ b/internal/cluster/jobs/replicas_test.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// twin is another replica: it gets each command in its encoded form, and is at times replaced by its own snapshot.
+// twin is another replica: it applies each command from its encoded form, and is at times restored from its own snapshot.
 type twin struct{ state *jobs.State }
 
 func (w *twin) follow(t *rapid.T, c *jobs.Command, want *jobs.Effects) {
@@ -43,20 +43,20 @@
 	return data
 }
 
-// describe writes effects out, in their order.
+// describe returns effects as text, in their order.
 func describe(e *jobs.Effects) string {
-	text := fmt.Sprint(e.Submits, e.Cancels, e.Fences, e.Ends, e.Losses, e.Starts, e.Freed)
-	for _, task := range slices.Concat(e.Pending, e.Ended) {
+	text := fmt.Sprintf("%v %v %v %v %v %v %v", e.Submits, e.Cancels, e.Fences, e.Ends, e.Losses, e.Starts, e.FreedRuns)
+	for _, task := range slices.Concat(e.Pending, e.EndedRuns) {
 		text += fmt.Sprint("\n", task.ID, task.Phase, task.Run, task.Runner, task.Checkpoint, task.Attempts, task.PendingSinceMs,
-			task.Group.Left, task.Group.Run, task.Group.Attempts, task.Group.Alive, task.Group.Checkpoint)
+			task.Group.Unfinished, task.Group.Run, task.Group.Attempts, task.Group.Running, task.Group.Checkpoint)
 	}
-	for _, job := range e.Over {
+	for _, job := range e.EndedJobs {
 		text += fmt.Sprint("\n", job.ID, job.State, job.EndedMs)
 	}
 	return text
 }
 
-// view writes out all that the state shows in order.
+// view returns all that the state shows as text, in order.
 func view(s *jobs.State) string {
 	text := fmt.Sprint(s.ClockMs(), s.Counters(), s.Runners())
 	text += fmt.Sprint(s.NextDueMs())
@@ -73,7 +73,7 @@
 	return text
 }
 
-var _ = Describe("any commands", func() {
+var _ = Describe("random commands", func() {
 	It("break no rule, and leave replicas equal", func() {
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
 			m := newModel()
--- a/internal/cluster/jobs/restore.go
+++ b/internal/cluster/jobs/restore.go
@@ -8,38 +8,52 @@
 	"github.com/pkg/errors"
 )
 
-// own returns a text that doesn't share the snapshot's memory.
-func (r *reader) own() string { return strings.Clone(r.text()) }
+// Restore replaces the complete state by that of a snapshot, also of one of an earlier release. If it returns an error,
+// the state is unchanged. Jobs and tasks that were returned before must not be used any more.
+func (s *State) Restore(data []byte) error {
+	r := newReader(data)
+	version := r.byte()
+	if version != snapshotVersion && version != snapshotVersionWithoutDepartures {
+		return errors.Errorf("unknown snapshot version %d, current is %d", version, snapshotVersion)
+	}
+	fresh := &State{statusRetentionMs: s.statusRetentionMs, tombstoneRetentionMs: s.tombstoneRetentionMs, runnerRetentionMs: s.runnerRetentionMs}
+	fresh.reset()
+	if err := r.state(fresh, version != snapshotVersionWithoutDepartures); err != nil {
+		return errors.Wrap(err, "snapshot")
+	}
+	*s = *fresh
+	return nil
+}
 
-// state reads what a snapshot holds; departures tells whether it says which runners have departed.
-func (r *reader) state(s *State, departures bool) error {
+// state reads a snapshot into an empty State; hasDepartures is whether the snapshot has the runners that departed.
+func (r *reader) state(s *State, hasDepartures bool) error {
 	s.clockMs = r.signed()
 	s.ageMs = r.signed()
 	s.sequence = r.unsigned()
 	for _, total := range s.counters.totals() {
 		*total = r.unsigned()
 	}
-	r.runners(s, departures)
+	r.runners(s, hasDepartures)
 	if err := r.jobs(s); err != nil {
 		return err
 	}
-	s.ended.order.entries = r.expiries()
+	s.endedJobs.entries = r.expiries()
 	r.tombstones(&s.tombstones)
 	if err := r.done(); err != nil {
 		return err
 	}
-	for _, entry := range s.ended.order.entries {
+	for _, entry := range s.endedJobs.entries {
 		if s.jobs[entry.id] == nil {
-			return errors.Errorf("ended job %q is not there", entry.id)
+			return errors.Errorf("ended job %q is missing", entry.id)
 		}
 	}
 	return nil
 }
 
-func (r *reader) expiries() []keptUntil {
-	entries := items[keptUntil](r)
+func (r *reader) expiries() []retainedID {
+	entries := items[retainedID](r)
 	for i := range entries {
-		entries[i] = keptUntil{id: r.own(), ms: r.signed()}
+		entries[i] = retainedID{id: r.ownedText(), untilMs: r.signed()}
 	}
 	return entries
 }
@@ -47,21 +61,21 @@
 func (r *reader) tombstones(set *tombstoneSet) {
 	set.order.entries = r.expiries()
 	for _, entry := range set.order.entries {
-		known := tombstone{kind: tombstoneKind(r.byte()), untilMs: entry.ms}
-		if known.kind == fencing {
+		known := tombstone{kind: tombstoneKind(r.byte()), untilMs: entry.untilMs}
+		if known.kind == fencedID {
 			known.version = r.unsigned()
 		}
 		set.byID[entry.id] = known
 	}
 }
 
-func (r *reader) runners(s *State, departures bool) {
+func (r *reader) runners(s *State, hasDepartures bool) {
 	for range r.count() {
-		record := s.runners.hear(r.own(), 0)
-		record.place = r.own()
+		record := s.runners.touch(r.ownedText(), 0)
+		record.address = r.ownedText()
 		record.lastSeen = r.unsigned()
-		record.heardMs = r.signed()
-		if departures {
+		record.lastNamedMs = r.signed()
+		if hasDepartures {
 			record.departed = r.byte() != 0
 		}
 		record.lingering = r.lingering()
@@ -70,7 +84,7 @@
 }
 
 func (r *reader) lingering() []Lingering {
-	last := &column{}
+	last := &previousTexts{}
 	runs := items[Lingering](r)
 	for i := range runs {
 		runs[i].Task = r.task(last)
@@ -87,70 +101,70 @@
 func (r *reader) jobs(s *State) error {
 	var linked []*Task
 	for range r.count() {
-		job := &Job{dueIndex: notWaiting}
+		job := &Job{dueIndex: notScheduled}
 		tasks, err := r.job(s, job)
 		if err != nil {
 			return errors.Wrapf(err, "job %q", job.ID)
 		}
 		linked = append(linked, tasks...)
-		s.enter(job)
+		s.addRestoredJob(job)
 	}
 	slices.SortFunc(linked, func(a, b *Task) int { return cmp.Compare(a.sequence, b.sequence) })
 	for _, task := range linked {
-		if err := s.link(task); err != nil {
+		if err := s.linkRestoredTask(task); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// enter adds a job that was read.
-func (s *State) enter(job *Job) {
+// addRestoredJob adds a job to the tables of jobs.
+func (s *State) addRestoredJob(job *Job) {
 	s.jobs[job.ID] = job
 	if job.Ended() {
 		return
 	}
-	s.pending[job.Queue.Key]++
+	s.unfinishedJobs[job.Queue.Key]++
 	s.counters.Jobs++
-	if job.made < job.times() && job.roomForTime() {
-		s.due.wait(job)
+	if job.opened < job.repetitions() && job.mayOpenRepetition() {
+		s.dueJobs.schedule(job)
 	}
 }
 
-// link adds a task that was read to the list that its phase wants.
-func (s *State) link(task *Task) error {
+// linkRestoredTask adds a Pending or Running task to the list of its priority or runner.
+func (s *State) linkRestoredTask(task *Task) error {
 	if task.Phase == Pending {
-		s.heldList(task.Group.Job.Queue.Priority).push(task)
+		s.pendingList(task.Group.Job.Queue.Priority).push(task)
 		s.counters.Pending++
 		return nil
 	}
 	record := s.runners.records[task.Runner]
 	if record == nil {
-		return errors.Errorf("task %s runs on %q, which is not there", task.ID, task.Runner)
+		return errors.Errorf("task %s runs on %q, which is missing", task.ID, task.Runner)
 	}
 	task.Runner = record.id
 	record.running.push(task)
-	task.Group.Alive++
+	task.Group.Running++
 	task.Group.Job.running++
 	s.counters.Running++
 	return nil
 }
 
-// job reads one job and returns its tasks that are Held or Running.
+// job reads one job and returns its tasks that are Pending or Running: the caller links them in order of sequence.
 func (r *reader) job(s *State, job *Job) ([]*Task, error) {
-	job.ID = r.own()
-	job.Queue = s.queue(r.queue())
+	job.ID = r.ownedText()
+	job.Queue = s.sharedQueue(r.queue())
 	state := int(r.byte())
-	if state >= len(stateNames) {
-		return nil, errors.Errorf("state %d is unknown", state)
+	if state >= len(jobStateCodes) {
+		return nil, errors.Errorf("unknown job state %d", state)
 	}
-	job.State = stateNames[state]
+	job.State = jobStateCodes[state]
 	job.AcceptedMs = r.signed()
 	job.EndedMs = r.signed()
 	r.spec(&job.Spec)
-	job.Spec = ownSpec(&job.Spec)
-	job.made = int(r.unsigned())
-	job.done = int(r.unsigned())
+	job.Spec = cloneSpec(&job.Spec)
+	job.opened = int(r.unsigned())
+	job.completed = int(r.unsigned())
 	groups := r.count()
 	if r.err != nil {
 		return nil, r.err
@@ -170,15 +184,15 @@
 		return nil, errors.Errorf("%d groups of %d steps", count, steps)
 	}
 	var linked []*Task
-	last := &taskColumns{heldAtMs: job.AcceptedMs}
+	previous := &previousTask{pendingSinceMs: job.AcceptedMs}
 	for i := range count {
-		time := int(r.unsigned())
-		if job.Spec.Steps[i%steps].Count > len(r.data)-r.at {
-			return nil, errCut
+		repetition := int(r.unsigned())
+		if job.Spec.Steps[i%steps].Count > len(r.data)-r.offset {
+			return nil, errMalformed
 		}
-		group := newGroup(job, time, i%steps)
+		group := newGroup(job, repetition, i%steps)
 		job.Groups = append(job.Groups, group)
-		linked = append(linked, r.group(group, last)...)
+		linked = append(linked, r.group(group, previous)...)
 		if r.err != nil {
 			return nil, r.err
 		}
@@ -186,26 +200,26 @@
 	return linked, nil
 }
 
-func (r *reader) group(group *Group, last *taskColumns) (linked []*Task) {
+func (r *reader) group(group *Group, previous *previousTask) (linked []*Task) {
 	group.Run = r.unsigned()
 	group.Attempts = int(r.unsigned())
-	group.Checkpoint = r.own()
+	group.Checkpoint = r.ownedText()
 	group.failedRun = r.unsigned()
-	group.savedByEnd = r.unsigned()
-	group.released = r.byte() != 0
+	group.endCheckpointRun = r.unsigned()
+	group.isReleased = r.byte() != 0
 	for _, task := range group.Tasks {
-		r.taskState(task, last)
+		r.taskState(task, previous)
 		switch task.Phase {
 		case Pending, Running:
 			linked = append(linked, task)
 		case Done:
-			group.Left--
+			group.Unfinished--
 		}
 	}
 	return linked
 }
 
-func (r *reader) taskState(task *Task, last *taskColumns) {
+func (r *reader) taskState(task *Task, previous *previousTask) {
 	task.Phase = Phase(r.byte())
 	if task.Phase == Blocked {
 		return
@@ -216,21 +230,21 @@
 	}
 	task.Run = r.unsigned()
 	task.Attempts = int(r.unsigned())
-	task.Checkpoint = r.saved(last)
-	task.PendingSinceMs = last.heldAtMs + r.signed()
-	task.sequence = last.sequence + uint64(r.signed())
-	last.heldAtMs, last.sequence = task.PendingSinceMs, task.sequence
+	task.Checkpoint = r.checkpoint(previous)
+	task.PendingSinceMs = previous.pendingSinceMs + r.signed()
+	task.sequence = previous.sequence + uint64(r.signed())
+	previous.pendingSinceMs, previous.sequence = task.PendingSinceMs, task.sequence
 	if task.Phase == Running {
-		task.Runner = r.repeated(&last.runner)
+		task.Runner = r.repeated(&previous.runner)
 	}
 }
 
-// saved reads a checkpoint; those that neighbours share are one copy.
-func (r *reader) saved(last *taskColumns) string {
-	before := last.saved
-	text := r.repeated(&last.saved)
+// checkpoint reads a checkpoint; neighbours that have the same one share a copy.
+func (r *reader) checkpoint(previous *previousTask) string {
+	before := previous.checkpoint
+	text := r.repeated(&previous.checkpoint)
 	if text != before {
-		last.saved = strings.Clone(text)
+		previous.checkpoint = strings.Clone(text)
 	}
-	return last.saved
+	return previous.checkpoint
 }
--- a/internal/cluster/jobs/runners.go
+++ b/internal/cluster/jobs/runners.go
@@ -7,32 +7,32 @@
 
 // runnerRecord is what a shard knows of one incarnation of a runner.
 type runnerRecord struct {
-	id        string
-	place     string // address at which it stands; empty: not known
-	lastSeen  uint64
-	heardMs   int64 // shard's age when a command last named it
-	running   taskList
-	lingering []Lingering
-	departed  bool // it has said that it ends
-
-	earlier, later *runnerRecord // neighbours by heardMs
+	id          string
+	address     string // at which it serves; empty: unknown
+	lastSeen    uint64 // N of its newest end that was applied
+	lastNamedMs int64  // shard's age when a command last named it
+	running     taskList
+	lingering   []Lingering
+	departed    bool // it has deregistered
+
+	earlier, later *runnerRecord // neighbours by lastNamedMs
 }
 
-func (r *runnerRecord) busy() bool { return r.running.count > 0 || len(r.lingering) > 0 }
+func (r *runnerRecord) hasRuns() bool { return r.running.count > 0 || len(r.lingering) > 0 }
 
-// takeLingering removes a lingering run, if it is there.
-func (r *runnerRecord) takeLingering(id TaskID, run uint64) (Lingering, bool) {
+// removeLingering removes a lingering run; ok is false if it is not there.
+func (r *runnerRecord) removeLingering(id TaskID, run uint64) (removed Lingering, ok bool) {
 	for i := range r.lingering {
 		if r.lingering[i].Run == run && r.lingering[i].Task == id {
-			found := r.lingering[i]
+			removed = r.lingering[i]
 			r.lingering = slices.Delete(r.lingering, i, i+1)
-			return found, true
+			return removed, true
 		}
 	}
 	return Lingering{}, false
 }
 
-// runnerTable holds the records of runners, in order of when a command last named them.
+// runnerTable has the records of runners, linked in the order in which commands last named them.
 type runnerTable struct {
 	records     map[string]*runnerRecord
 	first, last *runnerRecord
@@ -40,8 +40,8 @@
 
 func newRunnerTable() runnerTable { return runnerTable{records: map[string]*runnerRecord{}} }
 
-// hear returns the runner's record, made if need be, as the last one heard.
-func (t *runnerTable) hear(id string, now int64) *runnerRecord {
+// touch returns the runner's record, made if need be, and moves it to the end of the order.
+func (t *runnerTable) touch(id string, now int64) *runnerRecord {
 	record := t.records[id]
 	if record == nil {
 		record = &runnerRecord{id: strings.Clone(id)}
@@ -49,7 +49,7 @@
 	} else {
 		t.unlink(record)
 	}
-	record.heardMs = now
+	record.lastNamedMs = now
 	t.append(record)
 	return record
 }
@@ -77,12 +77,12 @@
 	}
 }
 
-// expire forgets runners that were not heard for longer than span, unless they have runs.
-func (t *runnerTable) expire(now, span int64) {
-	for t.first != nil && t.first.heardMs+span < now {
+// expire forgets runners that no command has named for longer than retention, unless they have runs.
+func (t *runnerTable) expire(now, retention int64) {
+	for t.first != nil && t.first.lastNamedMs+retention < now {
 		record := t.first
-		if record.busy() {
-			t.hear(record.id, now)
+		if record.hasRuns() {
+			t.touch(record.id, now)
 			continue
 		}
 		t.unlink(record)
@@ -103,22 +103,8 @@
 	return tasks
 }
 
-// EachRunOn calls f for each task that is Running on the runner, in the order in which they were started, until f
-// returns false.
-func (s *State) EachRunOn(runner string, f func(*Task) bool) {
-	record := s.runners.records[runner]
-	if record == nil {
-		return
-	}
-	for task := record.running.first; task != nil; task = task.next {
-		if !f(task) {
-			return
-		}
-	}
-}
-
-// LingeringOn returns the runs on the runner of tasks that another member of their gang has made Done. They take room
-// there until their own end or loss is applied. The slice must not be changed, and holds until the next Apply.
+// LingeringOn returns the runs on the runner of tasks that another member of their gang has made Done. They occupy
+// capacity there until their own end or loss is applied. The slice must not be changed, and is valid until the next Apply.
 func (s *State) LingeringOn(runner string) []Lingering {
 	if record := s.runners.records[runner]; record != nil {
 		return record.lingering
@@ -130,7 +116,7 @@
 func (s *State) Runners() []string {
 	var ids []string
 	for id, record := range s.runners.records {
-		if record.busy() {
+		if record.hasRuns() {
 			ids = append(ids, id)
 		}
 	}
@@ -138,21 +124,21 @@
 	return ids
 }
 
-// AddressOf returns the address at which a runner stands, or "" if no command has told it.
+// AddressOf returns the address at which a runner serves, or "" if no command has brought it.
 func (s *State) AddressOf(runner string) string {
 	if record := s.runners.records[runner]; record != nil {
-		return record.place
+		return record.address
 	}
 	return ""
 }
 
-// Departed tells whether a runner has said that it ends.
+// Departed reports whether a runner has deregistered.
 func (s *State) Departed(runner string) bool {
 	record := s.runners.records[runner]
 	return record != nil && record.departed
 }
 
-// LastSeen returns the N up to which the ends of a runner are noted for good.
+// LastSeen returns the N up to which the ends of a runner are applied: it need not report them any more.
 func (s *State) LastSeen(runner string) uint64 {
 	if record := s.runners.records[runner]; record != nil {
 		return record.lastSeen
--- a/internal/cluster/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -1,14 +1,65 @@
 package jobs
 
-import (
-	"strings"
+import "strings"
 
-	"ospreypond/internal/cluster/protocol"
-)
+// applyStarts applies the starts of a command. Those of a gang are applied all or none.
+func (s *State) applyStarts(starts []Start) {
+	if len(starts) == 0 {
+		return
+	}
+	applied := make([]bool, len(starts))
+	s.effects.Starts = applied
+	for i := range starts {
+		s.recordGangStart(&starts[i])
+	}
+	for i := range starts {
+		task := s.Task(starts[i].Task)
+		if task == nil {
+			continue
+		}
+		if task.Group.Spec().Gang {
+			applied[i] = task.Group.startsCompletely()
+		} else {
+			applied[i] = isNextRun(task, starts[i].Run)
+		}
+		if applied[i] {
+			s.applyStart(task, starts[i].Run, starts[i].Runner)
+		}
+	}
+	for i := range starts {
+		s.clearGangStart(&starts[i])
+	}
+}
+
+// isNextRun reports whether run may be started as the next one of the task.
+func isNextRun(task *Task, run uint64) bool {
+	return task.Phase == Pending && run == task.Run+1
+}
+
+// applyStart records that a run of a Pending task may exist from now on.
+func (s *State) applyStart(task *Task, run uint64, runner string) {
+	s.removePending(task)
+	record := s.runners.touch(runner, s.ageMs)
+	s.sequence++
+	task.Phase = Running
+	task.Run = run
+	task.Runner = record.id
+	task.sequence = s.sequence
+	record.running.push(task)
+	if task.Group.Spec().Gang {
+		task.Group.Run = run
+	}
+	task.Group.Running++
+	job := task.Group.Job
+	job.running++
+	job.State = JobRunning
+	s.counters.Running++
+	s.counters.Started++
+}
 
-// end notes an end that a runner listed, and returns whether it ended the task's present run.
-func (s *State) end(end *End) bool {
-	record := s.runners.hear(end.Runner, s.ageMs)
+// applyEnd records an end that a runner reported, and reports whether it ended the task's current run.
+func (s *State) applyEnd(end *End) bool {
+	record := s.runners.touch(end.Runner, s.ageMs)
 	if end.N <= record.lastSeen {
 		return false
 	}
@@ -16,44 +67,45 @@
 	if s.freeLingering(record, end.Task, end.Run) {
 		return false
 	}
-	task := s.presentRun(end.Task, end.Run, record)
+	task := s.currentRun(end.Task, end.Run, record)
 	if task == nil {
 		return false
 	}
-	s.leaveRunner(task, record)
-	s.keepSaved(task, end.Checkpoint, true)
-	s.settle(task, end.Outcome)
+	s.detachFromRunner(task, record)
+	keepCheckpointOfEnd(task, end.Checkpoint)
+	s.transitionAfterRun(task, end.Outcome)
 	return true
 }
 
-// lose notes that a run is nowhere, and returns whether it ended the task's present run.
-func (s *State) lose(loss *Loss) bool {
+// applyLoss records that a run exists nowhere, and reports whether it ended the task's current run.
+func (s *State) applyLoss(loss *Loss) bool {
 	record := s.runners.records[loss.Runner]
 	if record == nil || s.freeLingering(record, loss.Task, loss.Run) {
 		return false
 	}
-	task := s.presentRun(loss.Task, loss.Run, record)
+	task := s.currentRun(loss.Task, loss.Run, record)
 	if task == nil {
 		return false
 	}
 	s.counters.Lost++
-	s.leaveRunner(task, record)
-	s.keepSaved(task, loss.Checkpoint, false)
-	s.settle(task, protocol.EndLapsed)
+	s.detachFromRunner(task, record)
+	keepCheckpointOfLoss(task, loss.Checkpoint)
+	s.transitionAfterRun(task, OutcomeLapsed)
 	return true
 }
 
+// freeLingering removes a run from the runner's lingering ones, and reports whether it was one of them.
 func (s *State) freeLingering(record *runnerRecord, id TaskID, run uint64) bool {
-	lingering, ok := record.takeLingering(id, run)
+	lingering, ok := record.removeLingering(id, run)
 	if ok {
 		s.counters.Lingering--
-		s.effects.Freed = append(s.effects.Freed, Freed{Runner: record.id, Lingering: lingering})
+		s.effects.FreedRuns = append(s.effects.FreedRuns, FreedRun{Runner: record.id, Lingering: lingering})
 	}
 	return ok
 }
 
-// presentRun returns the task if run is its present one and may exist on the runner, else nil.
-func (s *State) presentRun(id TaskID, run uint64, record *runnerRecord) *Task {
+// currentRun returns the task if run is its current one and may exist on the runner, else nil.
+func (s *State) currentRun(id TaskID, run uint64, record *runnerRecord) *Task {
 	task := s.Task(id)
 	if task == nil || task.Phase != Running || task.Run != run || task.Runner != record.id {
 		return nil
@@ -61,93 +113,44 @@
 	return task
 }
 
-// leaveRunner takes a run off its runner; the task's phase is the caller's to set.
-func (s *State) leaveRunner(task *Task, record *runnerRecord) {
+// detachFromRunner takes a run off its runner; the caller sets the task's phase.
+func (s *State) detachFromRunner(task *Task, record *runnerRecord) {
 	record.running.remove(task)
 	task.Runner = ""
-	task.Group.Alive--
+	task.Group.Running--
 	task.Group.Job.running--
 	s.counters.Running--
-	s.effects.Ended = append(s.effects.Ended, task)
+	s.effects.EndedRuns = append(s.effects.EndedRuns, task)
 }
 
-// keepSaved keeps the checkpoint that an end or a loss brought. What a loss brings was seen earlier than what any end
-// of the same run of a gang brings.
-func (s *State) keepSaved(task *Task, saved string, byEnd bool) {
-	group := task.Group
-	if saved == "" || !group.Spec().Checkpoints {
+// keepCheckpointOfEnd keeps the checkpoint that came with an end.
+func keepCheckpointOfEnd(task *Task, checkpoint string) {
+	if checkpoint == "" || !task.Group.Spec().Checkpoints {
 		return
 	}
-	if !group.Spec().Gang {
-		task.Checkpoint = strings.Clone(saved)
-		return
-	}
-	if byEnd {
-		group.savedByEnd = task.Run
-	} else if group.savedByEnd == task.Run {
-		return
+	if task.Group.Spec().Gang {
+		task.Group.endCheckpointRun = task.Run
 	}
-	group.Checkpoint = strings.Clone(saved)
+	task.setCheckpoint(checkpoint)
 }
 
-// settle gives a task whose run has just ended its next phase.
-func (s *State) settle(task *Task, how string) {
-	job := task.Group.Job
-	switch {
-	case job.Ended():
-		task.Phase = Cancelled
-		s.shrink(job)
-	case task.Group.Spec().Gang:
-		s.settleMember(task, how)
-	case task.Group.Spec().LongRunning:
-		s.hold(task)
-	case how == protocol.EndDone:
-		s.finish(task)
-	case how == protocol.EndFailed:
-		s.attempt(task)
-	default:
-		s.hold(task)
+// keepCheckpointOfLoss keeps the checkpoint that came with a loss. It was reported before what any end of the same run of
+// a gang brings, so an end's stays.
+func keepCheckpointOfLoss(task *Task, checkpoint string) {
+	if checkpoint == "" || !task.Group.Spec().Checkpoints {
+		return
 	}
-}
-
-// attempt counts a failure of a task that is in no gang.
-func (s *State) attempt(task *Task) {
-	task.Attempts++
-	if !usedUp(task.Attempts, task.Group.Job) {
-		s.hold(task)
+	if task.Group.Spec().Gang && task.Group.endCheckpointRun == task.Run {
 		return
 	}
-	task.Phase = Failed
-	s.fail(task.Group.Job)
-}
-
-// usedUp tells whether so many failures are all that the job's queue allows.
-func usedUp(attempts int, job *Job) bool {
-	return job.Queue.MaxAttempts > 0 && attempts >= job.Queue.MaxAttempts
+	task.setCheckpoint(checkpoint)
 }
 
-func (s *State) fail(job *Job) {
-	s.counters.Failed++
-	s.abandon(job, protocol.JobFailed)
-}
-
-// run notes that a run of a Held task may exist from now on.
-func (s *State) run(task *Task, run uint64, runner string) {
-	s.unhold(task)
-	record := s.runners.hear(runner, s.ageMs)
-	s.sequence++
-	task.Phase = Running
-	task.Run = run
-	task.Runner = record.id
-	task.sequence = s.sequence
-	record.running.push(task)
-	if task.Group.Spec().Gang {
-		task.Group.Run = run
+// setCheckpoint sets the checkpoint of the task, or of its gang.
+func (t *Task) setCheckpoint(checkpoint string) {
+	if t.Group.Spec().Gang {
+		t.Group.Checkpoint = strings.Clone(checkpoint)
+	} else {
+		t.Checkpoint = strings.Clone(checkpoint)
 	}
-	task.Group.Alive++
-	job := task.Group.Job
-	job.running++
-	job.State = protocol.JobRunning
-	s.counters.Running++
-	s.counters.Started++
 }
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -4,29 +4,27 @@
 	"maps"
 	"slices"
 
-	"github.com/pkg/errors"
-
-	"ospreypond/internal/cluster/protocol"
+	"github.com/cespare/xxhash/v2"
 )
 
-// The first byte of a snapshot is the version of its form.
+// The first byte of a snapshot is the version of its encoding.
 const (
-	snapshotVersion           = 4
-	snapshotWithoutDepartures = 3 // as earlier programs wrote it
+	snapshotVersion                  = 4
+	snapshotVersionWithoutDepartures = 3 // written by earlier releases
 )
 
-// stateNames are the states of a job by the number that a snapshot has for them.
-var stateNames = [...]string{
-	protocol.JobQueued,
-	protocol.JobRunning,
-	protocol.JobCompleted,
-	protocol.JobFailed,
-	protocol.JobCancelled,
+// jobStateCodes are the states of a job; their positions are their numbers in a snapshot.
+var jobStateCodes = [...]JobState{
+	JobQueued,
+	JobRunning,
+	JobCompleted,
+	JobFailed,
+	JobCancelled,
 }
 
-// Snapshot returns the whole state. Equal states give equal bytes.
+// Snapshot returns the complete state. Equal states give equal bytes. The error is always nil.
 func (s *State) Snapshot() ([]byte, error) {
-	w := &writer{data: make([]byte, 0, s.snapshotHint)}
+	w := &writer{data: make([]byte, 0, s.snapshotSizeHint)}
 	w.byte(snapshotVersion)
 	w.signed(s.clockMs)
 	w.signed(s.ageMs)
@@ -34,9 +32,9 @@
 	w.totals(&s.counters)
 	w.runners(&s.runners)
 	w.jobs(s.jobs)
-	w.expiries(s.ended.order.all())
+	w.expiries(s.endedJobs.all())
 	w.tombstones(&s.tombstones)
-	s.snapshotHint = len(w.data) + len(w.data)/8
+	s.snapshotSizeHint = len(w.data) + len(w.data)/8
 	return w.data, nil
 }
 
@@ -46,16 +44,16 @@
 	}
 }
 
-// totals returns the counts that can't be told from what the state holds.
+// totals returns the counters that can't be derived from the rest of the state, in the order of the encoding.
 func (c *Counters) totals() [6]*uint64 {
 	return [...]*uint64{&c.Taken, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
 }
 
-func (w *writer) expiries(entries []keptUntil) {
+func (w *writer) expiries(entries []retainedID) {
 	w.count(len(entries))
 	for _, entry := range entries {
 		w.text(entry.id)
-		w.signed(entry.ms)
+		w.signed(entry.untilMs)
 	}
 }
 
@@ -63,9 +61,9 @@
 	entries := set.current()
 	w.expiries(entries)
 	for _, entry := range entries {
-		known := set.of(entry.id)
+		known := set.get(entry.id)
 		w.byte(byte(known.kind))
-		if known.kind == fencing {
+		if known.kind == fencedID {
 			w.unsigned(known.version)
 		}
 	}
@@ -75,16 +73,16 @@
 	w.count(len(table.records))
 	for record := table.first; record != nil; record = record.later {
 		w.text(record.id)
-		w.text(record.place)
+		w.text(record.address)
 		w.unsigned(record.lastSeen)
-		w.signed(record.heardMs)
+		w.signed(record.lastNamedMs)
 		w.flag(record.departed)
 		w.lingering(record.lingering)
 	}
 }
 
 func (w *writer) lingering(runs []Lingering) {
-	last := &column{}
+	last := &previousTexts{}
 	w.count(len(runs))
 	for i := range runs {
 		w.task(&runs[i].Task, last)
@@ -105,68 +103,61 @@
 func (w *writer) job(job *Job) {
 	w.text(job.ID)
 	w.queue(&job.Queue)
-	w.byte(byte(slices.Index(stateNames[:], job.State)))
+	w.byte(byte(slices.Index(jobStateCodes[:], job.State)))
 	w.signed(job.AcceptedMs)
 	w.signed(job.EndedMs)
 	w.spec(&job.Spec)
-	w.count(job.made)
-	w.count(job.done)
+	w.count(job.opened)
+	w.count(job.completed)
 	w.count(len(job.Groups))
-	last := &taskColumns{heldAtMs: job.AcceptedMs}
+	previous := &previousTask{pendingSinceMs: job.AcceptedMs}
 	for _, group := range job.Groups {
-		w.count(group.Time)
-		w.group(group, last)
+		w.count(group.Repetition)
+		w.group(group, previous)
 	}
 }
 
-// taskColumns hold what the last task had, since neighbours are much alike.
-type taskColumns struct {
-	heldAtMs int64
-	sequence uint64
-	runner   string
-	saved    string
+// previousTask has fields of the task written or read before: neighbours are much alike.
+type previousTask struct {
+	pendingSinceMs int64
+	sequence       uint64
+	runner         string
+	checkpoint     string
 }
 
-func (w *writer) group(group *Group, last *taskColumns) {
+func (w *writer) group(group *Group, previous *previousTask) {
 	w.unsigned(group.Run)
 	w.count(group.Attempts)
 	w.text(group.Checkpoint)
 	w.unsigned(group.failedRun)
-	w.unsigned(group.savedByEnd)
-	w.flag(group.released)
+	w.unsigned(group.endCheckpointRun)
+	w.flag(group.isReleased)
 	for _, task := range group.Tasks {
-		w.taskState(task, last)
+		w.taskState(task, previous)
 	}
 }
 
-func (w *writer) taskState(task *Task, last *taskColumns) {
+func (w *writer) taskState(task *Task, previous *previousTask) {
 	w.byte(byte(task.Phase))
 	if task.Phase == Blocked {
 		return
 	}
 	w.unsigned(task.Run)
 	w.count(task.Attempts)
-	w.repeated(task.Checkpoint, &last.saved)
-	w.signed(task.PendingSinceMs - last.heldAtMs)
-	w.signed(int64(task.sequence - last.sequence))
-	last.heldAtMs, last.sequence = task.PendingSinceMs, task.sequence
+	w.repeated(task.Checkpoint, &previous.checkpoint)
+	w.signed(task.PendingSinceMs - previous.pendingSinceMs)
+	w.signed(int64(task.sequence - previous.sequence))
+	previous.pendingSinceMs, previous.sequence = task.PendingSinceMs, task.sequence
 	if task.Phase == Running {
-		w.repeated(task.Runner, &last.runner)
+		w.repeated(task.Runner, &previous.runner)
 	}
 }
 
-// Restore replaces the whole state by that of a snapshot. If it fails, the state is as before.
-func (s *State) Restore(data []byte) error {
-	r := newReader(data)
-	version := r.byte()
-	if version != snapshotVersion && version != snapshotWithoutDepartures {
-		return errors.Errorf("snapshot of version %d, %d is known", version, snapshotVersion)
-	}
-	fresh := &State{statusMs: s.statusMs, forgetMs: s.forgetMs, runnerMs: s.runnerMs}
-	fresh.clear()
-	if err := r.state(fresh, version != snapshotWithoutDepartures); err != nil {
-		return errors.Wrap(err, "snapshot")
+// Digest returns the same number for equal states: the 64-bit xxHash of Snapshot. Replicas compare it.
+func (s *State) Digest() uint64 {
+	data, err := s.Snapshot()
+	if err != nil {
+		return 0
 	}
-	*s = *fresh
-	return nil
+	return xxhash.Sum64(data)
 }
--- a/internal/cluster/jobs/specwire.go
+++ b/internal/cluster/jobs/spec_codec.go
@@ -2,7 +2,7 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// Bits of a step's flags. Those of amounts say that the amount is there.
+// Bits of a step's flags. Those named stepHas… mean that the field follows. They are part of the encoding.
 const (
 	stepGang = 1 << iota
 	stepRackLocal
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -1,113 +1,183 @@
 package jobs
 
-import "ospreypond/internal/cluster/protocol"
-
-// Task is one task of a job, at one time K. Its fields are read by the owner and changed only by State.Apply.
-type Task struct {
-	ID             TaskID
-	Group          *Group
-	Phase          Phase
-	Run            uint64 // newest run; 0: none yet
-	Runner         string // of the newest run while Phase is Running, else empty
-	Checkpoint     string // newest checkpoint, or empty; that of a gang is the same for all members while they are Held
-	Attempts       int    // ends `failed` that count; those of a gang are counted by its group
-	PendingSinceMs int64  // shard's time of day at which it last became Held
-
-	sequence       uint64 // rises each time a task becomes Held or Running; orders the lists below
-	previous, next *Task  // neighbours in the list of held tasks, or of its runner's running ones
-	gathered       bool   // a start of it was seen in the command being applied
+import (
+	"slices"
+	"time"
+
+	"ospreypond/internal/cluster/protocol"
+)
+
+// How long things are retained by default.
+const (
+	DefaultStatusRetention    = 120 * time.Second
+	DefaultTombstoneRetention = 20 * time.Minute
+	DefaultRunnerRetention    = 10 * time.Minute
+)
+
+// Options are the retention times of a State. They must be the same on all replicas; 0 stands for the default.
+type Options struct {
+	StatusTime         time.Duration // the state of an ended job is kept one and a half times as long as this
+	TombstoneRetention time.Duration // then its id is known for this long; so are fenced ids
+	RunnerRetention    time.Duration // a runner without runs is forgotten when no command has named it for this long
 }
 
-// Group is one step of a job at one time K: the unit that gangs, anti-affinity and dependsOn speak of.
-type Group struct {
-	Job        *Job
-	Time       int
-	Step       int
-	Tasks      []*Task
-	Left       int    // tasks that are not Done
-	Run        uint64 // gang: newest run of all members
-	Attempts   int    // gang: runs that ended `failed`
-	Alive      int    // tasks that are Running
-	Checkpoint string // gang: newest checkpoint that any member's end or loss brought
-
-	released   bool   // its turn has come
-	failedRun  uint64 // gang: newest run whose failure was counted
-	savedByEnd uint64 // gang: newest run of which an end, which is newer than any loss, brought Saved
-	gathered   int    // gang: members that the command being applied starts
-	spoiled    bool   // gang: the command being applied has a start that doesn't fit
+// State is the state of a shard of jobs. It may be used by one goroutine at a time.
+type State struct {
+	statusRetentionMs, tombstoneRetentionMs, runnerRetentionMs int64
+
+	clockMs  int64  // newest time of day that a command brought
+	ageMs    int64  // rises with the clock, but by maxAgeStepMs at most; retention is measured by it
+	sequence uint64 // of the newest task that became Pending or Running
+
+	jobs           map[string]*Job
+	sharedQueues   map[protocol.Queue]protocol.Queue // one copy of each queue's texts
+	unfinishedJobs map[string]int                    // jobs that have not ended, by key of the queue
+	pending        map[int]*taskList                 // pending tasks by priority
+	priorities     []int                             // keys of pending, rising
+	dueJobs        dueHeap
+	runners        runnerTable
+	tombstones     tombstoneSet
+	endedJobs      expiryQueue // ended jobs whose states are retained
+
+	counters Counters
+	effects  *Effects // of the command being applied
+
+	snapshotSizeHint int // bytes that the next snapshot will probably take
 }
 
-// Spec returns the step as the client gave it.
-func (g *Group) Spec() *protocol.Step { return &g.Job.Spec.Steps[g.Step] }
+// Counters count what a State has now (Jobs to Runners), and what has become of jobs since the shard began.
+type Counters struct {
+	Jobs      int // not ended
+	Retained  int // ended, state still kept
+	Forgotten int // ids that are known or fenced without a state
+	Pending   int // tasks
+	Running   int // tasks
+	Lingering int // runs
+	Runners   int
 
-// AttemptsOf returns how many ends `failed` count against t: its own, or those of its gang.
-func (t *Task) AttemptsOf() int {
-	if t.Group.Spec().Gang {
-		return t.Group.Attempts
-	}
-	return t.Attempts
+	Taken     uint64 // jobs
+	Completed uint64 // jobs
+	Failed    uint64 // jobs
+	Cancelled uint64 // jobs
+	Started   uint64 // runs
+	Lost      uint64 // runs
 }
 
-// Job is one job. Once it has ended and no run of it may exist, State.Job returns a copy without Spec and Groups.
-type Job struct {
-	ID         string
-	Queue      protocol.Queue
-	Spec       protocol.JobSpec
-	Groups     []*Group // by time K, then step; made when their time falls due, dropped when all of that time is done
-	State      string   // one of the protocol's job states
-	AcceptedMs int64    // shard's time of day
-	EndedMs    int64    // shard's time of day at which it became completed, failed or cancelled; 0: not yet
-
-	made     int // times whose groups were made
-	done     int // times all of whose tasks are done
-	running  int // tasks that are Running
-	dueIndex int // place among those that wait for a time; notWaiting: none
+// New returns an empty State.
+func New(options Options) *State {
+	s := &State{
+		statusRetentionMs:    retentionMs(options.StatusTime, DefaultStatusRetention) * 3 / 2,
+		tombstoneRetentionMs: retentionMs(options.TombstoneRetention, DefaultTombstoneRetention),
+		runnerRetentionMs:    retentionMs(options.RunnerRetention, DefaultRunnerRetention),
+	}
+	s.reset()
+	return s
 }
 
-// Ended tells whether the job is completed, failed or cancelled.
-func (j *Job) Ended() bool { return protocol.JobEnded(j.State) }
+func retentionMs(retention, standard time.Duration) int64 {
+	if retention <= 0 {
+		retention = standard
+	}
+	return retention.Milliseconds()
+}
 
-// times returns how often the steps run.
-func (j *Job) times() int { return max(1, j.Spec.Repetitions) }
+// reset drops all that commands have brought.
+func (s *State) reset() {
+	*s = State{
+		statusRetentionMs:    s.statusRetentionMs,
+		tombstoneRetentionMs: s.tombstoneRetentionMs,
+		runnerRetentionMs:    s.runnerRetentionMs,
+		jobs:                 map[string]*Job{},
+		sharedQueues:         map[protocol.Queue]protocol.Queue{},
+		unfinishedJobs:       map[string]int{},
+		pending:              map[int]*taskList{},
+		runners:              newRunnerTable(),
+		tombstones:           newTombstoneSet(),
+	}
+}
 
-// dueMs returns the time of day at which time k falls due; only for jobs with repetitions.
-func (j *Job) dueMs(k int) int64 { return j.Spec.FirstRunMs + int64(k)*j.Spec.IntervalMs }
+// ClockMs returns the shard's time of day in ms since 1970: the newest that any command has brought.
+func (s *State) ClockMs() int64 { return s.clockMs }
 
-// groupsOf returns the groups of time k, by step, or nil if they are not there.
-func (j *Job) groupsOf(k int) []*Group {
-	steps := len(j.Spec.Steps)
-	if steps == 0 {
-		return nil
+// NextDueMs returns the time of day, in ms since 1970, at which the next repetition falls due; ok is false if no job
+// waits for one.
+func (s *State) NextDueMs() (dueMs int64, ok bool) {
+	if len(s.dueJobs) == 0 {
+		return 0, false
 	}
-	low, high := 0, len(j.Groups)/steps
-	for low < high {
-		middle := (low + high) / 2
-		if j.Groups[middle*steps].Time < k {
-			low = middle + 1
-		} else {
-			high = middle
+	next := s.dueJobs[0]
+	return next.dueMs(next.opened), true
+}
+
+// Job returns the job, or nil if it is unknown or forgotten. Pointers to jobs and tasks are valid until the next Restore.
+func (s *State) Job(id string) *Job { return s.jobs[id] }
+
+// JobIDs returns the ids of jobs whose state is retained, sorted: at most limit of those that come after the id given
+// (empty: from the first). If queue isn't empty, only jobs of the queue with this key are listed.
+func (s *State) JobIDs(queue, after string, limit int) []string {
+	var ids []string
+	for id, job := range s.jobs {
+		if id > after && (queue == "" || job.Queue.Key == queue) {
+			ids = append(ids, id)
 		}
 	}
-	if low*steps >= len(j.Groups) || j.Groups[low*steps].Time != k {
-		return nil
+	slices.Sort(ids)
+	return ids[:min(limit, len(ids))]
+}
+
+// StateOf returns the job's state as shown to clients, and whether the job is known.
+func (s *State) StateOf(id string) (state JobState, known bool) {
+	job := s.jobs[id]
+	if job == nil {
+		return "", false
 	}
-	return j.Groups[low*steps : (low+1)*steps]
+	return job.State, true
 }
 
-// Group returns the group of a step at time k, or nil if its time is not due yet or wholly done.
-func (j *Job) Group(k, step int) *Group {
-	groups := j.groupsOf(k)
-	if step < 0 || step >= len(groups) {
+// Task returns the task, or nil if its job is unknown or its repetition is not due yet or complete.
+func (s *State) Task(id TaskID) *Task {
+	job := s.jobs[id.Job]
+	if job == nil {
 		return nil
 	}
-	return groups[step]
+	return job.task(id)
 }
 
-// task returns the task that id names, or nil.
-func (j *Job) task(id TaskID) *Task {
-	group := j.Group(id.Time, id.Step)
-	if group == nil || id.Index < 0 || id.Index >= len(group.Tasks) {
-		return nil
+// EachPending calls f for each pending task, by priority and then by when it became pending, until f returns false.
+// Members of a gang follow one another.
+func (s *State) EachPending(f func(*Task) bool) {
+	for _, priority := range s.priorities {
+		for task := s.pending[priority].first; task != nil; task = task.next {
+			if !f(task) {
+				return
+			}
+		}
+	}
+}
+
+// PendingCount returns the number of pending tasks.
+func (s *State) PendingCount() int { return s.counters.Pending }
+
+// UnfinishedJobs returns how many jobs of the queue have not ended.
+func (s *State) UnfinishedJobs(queueKey string) int { return s.unfinishedJobs[queueKey] }
+
+// Counters returns the present counts.
+func (s *State) Counters() Counters {
+	counters := s.counters
+	counters.Retained = len(s.jobs) - counters.Jobs
+	counters.Forgotten = s.tombstones.count()
+	counters.Runners = len(s.runners.records)
+	return counters
+}
+
+// pendingList returns the list of pending tasks of a priority.
+func (s *State) pendingList(priority int) *taskList {
+	list := s.pending[priority]
+	if list == nil {
+		list = &taskList{}
+		s.pending[priority] = list
+		at, _ := slices.BinarySearch(s.priorities, priority)
+		s.priorities = slices.Insert(s.priorities, at, priority)
 	}
-	return group.Tasks[id.Index]
+	return list
 }
--- a/internal/cluster/jobs/list.go
+++ b/internal/cluster/jobs/tasklist.go
@@ -1,7 +1,7 @@
 package jobs
 
 // taskList is a list of tasks linked through the tasks themselves, in order of their sequence. A task is in one list
-// at most: that of held tasks of its priority, or that of its runner.
+// at most: that of pending tasks of its priority, or that of its runner.
 type taskList struct {
 	first, last *Task
 	count       int
--- a/internal/cluster/jobs/validate.go
+++ b/internal/cluster/jobs/validate.go
@@ -7,19 +7,20 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Bounds of what a job may be.
+// Limits of a job.
 const (
-	MaxSpecBytes   = 4000
-	maxSteps       = 256
-	maxTasks       = 100_000 // of one time, and of a step
-	maxRepetitions = 1_000_000
-	maxOfAll       = 10_000_000        // tasks of all times
-	maxAmount      = int64(1) << 40    // of a resource
-	maxTimeMs      = int64(1) << 50    // of day; some 35,000 years
-	maxIntervalMs  = int64(1000) << 30 // some 35 years
+	MaxSpecBytes          = 4000
+	maxSteps              = 256
+	maxTasksPerRepetition = 100_000 // of one repetition, and of a step
+	maxRepetitions        = 1_000_000
+	maxTasksOfJob         = 10_000_000        // tasks of all repetitions
+	maxAmount             = int64(1) << 40    // of a resource
+	maxTimeMs             = int64(1) << 50    // time of day; some 35,000 years
+	maxIntervalMs         = int64(1000) << 30 // some 35 years
 )
 
-// Validate returns an error of kind failure.Invalid if the job can never be done as it is, or is beyond all bounds.
+// Validate returns an error of kind failure.Invalid if the job can never be done as it is, or exceeds the limits. It
+// depends on spec alone.
 func (s *State) Validate(spec *protocol.JobSpec) error {
 	switch {
 	case len(spec.Spec) > MaxSpecBytes:
@@ -31,13 +32,13 @@
 	}
 	tasks := 0
 	for i := range spec.Steps {
-		if what := nonsense(&spec.Steps[i], i); what != "" {
-			return failure.Newf(failure.Invalid, "step %d: %s", i, what)
+		if problem := stepProblem(&spec.Steps[i], i); problem != "" {
+			return failure.Newf(failure.Invalid, "step %d: %s", i, problem)
 		}
 		tasks += spec.Steps[i].Count
 	}
-	if tasks > maxTasks {
-		return failure.Newf(failure.Invalid, "%d tasks, %d are allowed", tasks, maxTasks)
+	if tasks > maxTasksPerRepetition {
+		return failure.Newf(failure.Invalid, "%d tasks, %d are allowed", tasks, maxTasksPerRepetition)
 	}
 	return validateTimes(spec, tasks)
 }
@@ -46,7 +47,7 @@
 	switch {
 	case spec.Repetitions < 0 || spec.Repetitions > maxRepetitions:
 		return failure.Newf(failure.Invalid, "%d repetitions", spec.Repetitions)
-	case spec.Repetitions*tasks > maxOfAll:
+	case spec.Repetitions*tasks > maxTasksOfJob:
 		return failure.Newf(failure.Invalid, "%d times %d tasks are too many", spec.Repetitions, tasks)
 	case spec.FirstRunMs < 0 || spec.FirstRunMs > maxTimeMs:
 		return failure.Newf(failure.Invalid, "firstRunMs %d", spec.FirstRunMs)
@@ -56,12 +57,12 @@
 	return nil
 }
 
-// nonsense names what is wrong with the step at the place given, or returns "".
-func nonsense(step *protocol.Step, place int) string {
+// stepProblem returns what is wrong with the step at this position, or "".
+func stepProblem(step *protocol.Step, position int) string {
 	switch {
-	case step.Count <= 0 || step.Count > maxTasks:
+	case step.Count <= 0 || step.Count > maxTasksPerRepetition:
 		return "count is out of bounds"
-	case !amount(step.CPU) || !amount(step.MemoryMB) || !amount(step.GPU):
+	case !isValidAmount(step.CPU) || !isValidAmount(step.MemoryMB) || !isValidAmount(step.GPU):
 		return "a resource is out of bounds"
 	case !(step.EstimatedMs >= 0) || math.IsInf(step.EstimatedMs, 0):
 		return "estimatedMs is out of bounds"
@@ -71,11 +72,12 @@
 		return "dependsOn is too long"
 	}
 	for _, earlier := range step.DependsOn {
-		if earlier < 0 || earlier >= place {
+		if earlier < 0 || earlier >= position {
 			return "dependsOn names a step that is not an earlier one"
 		}
 	}
 	return ""
 }
 
-func amount(value int64) bool { return value >= 0 && value <= maxAmount }
+// isValidAmount reports whether value may be an amount of a resource.
+func isValidAmount(value int64) bool { return value >= 0 && value <= maxAmount }
--- a/internal/cluster/latency/ledger.go
+++ b/internal/cluster/latency/ledger.go
@@ -90,7 +90,7 @@
 func (l *Recorder) countStep(released *groupRecord) {
 	first := released.releasedAt
 	for _, known := range l.jobs[released.group.Job] {
-		if known.group.Time == released.group.Time {
+		if known.group.Repetition == released.group.Repetition {
 			first = min(first, known.releasedAt)
 		}
 	}
@@ -154,7 +154,7 @@
 	}
 	times := run.times(entry.startedAt, now)
 	l.count(task, entry, &times)
-	if task.Phase == jobs.Failed || task.Phase == jobs.Done && task.Group.Left == 0 {
+	if task.Phase == jobs.Failed || task.Phase == jobs.Done && task.Group.Unfinished == 0 {
 		record.finishedAt, record.last = now, entry.times
 		l.forgetTime(record)
 	}
@@ -251,7 +251,7 @@
 }
 
 func dependsOn(later, earlier *jobs.Group) bool {
-	if later.Time != earlier.Time {
+	if later.Repetition != earlier.Repetition {
 		return false
 	}
 	return slices.Contains(later.Spec().DependsOn, earlier.Step)
--- a/internal/cluster/latency/ledger_test.go
+++ b/internal/cluster/latency/ledger_test.go
@@ -19,7 +19,7 @@
 	var groups []*jobs.Group
 	for step, depends := range dependsOn {
 		made.Spec.Steps = append(made.Spec.Steps, protocol.Step{Count: 1, DependsOn: depends})
-		group := &jobs.Group{Job: made, Step: step, Left: 1}
+		group := &jobs.Group{Job: made, Step: step, Unfinished: 1}
 		group.Tasks = []*jobs.Task{{ID: jobs.TaskID{Job: "aa", Step: step}, Group: group}}
 		groups = append(groups, group)
 	}
@@ -31,7 +31,7 @@
 
 // done takes that a group's only task is done.
 func done(group *jobs.Group) *jobs.Task {
-	group.Left = 0
+	group.Unfinished = 0
 	group.Tasks[0].Phase = jobs.Done
 	return group.Tasks[0]
 }
--- a/internal/cluster/scheduler/account.go
+++ b/internal/cluster/scheduler/account.go
@@ -65,7 +65,7 @@
 
 // account enters what a command has done.
 func (o *Owner) account(now time.Duration, command *jobs.Command, effects *jobs.Effects) {
-	for _, task := range effects.Ended {
+	for _, task := range effects.EndedRuns {
 		run, known := o.ending[runKey{task.ID, task.Run}]
 		if !known { // a gang's member that another one's end has ended
 			run = latency.Run{Outcome: latency.Stopped}
@@ -83,7 +83,7 @@
 			o.ledger.Started(now, task)
 		}
 	}
-	for _, job := range effects.Over {
+	for _, job := range effects.EndedJobs {
 		o.accountJob(now, job)
 	}
 }
@@ -92,7 +92,7 @@
 	took := time.Duration(o.clockMs(now)-job.AcceptedMs) * time.Millisecond
 	account, ok := o.ledger.Over(job, took)
 	if ok && account.Late() && len(o.late) < lateMost {
-		o.late = append(o.late, LateJob{ID: job.ID, Queue: job.Queue.Key, State: job.State, Job: account})
+		o.late = append(o.late, LateJob{ID: job.ID, Queue: job.Queue.Key, State: string(job.State), Job: account})
 	}
 }
 
--- a/internal/cluster/scheduler/clients.go
+++ b/internal/cluster/scheduler/clients.go
@@ -5,7 +5,6 @@
 
 	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/jobs"
-	"ospreypond/internal/cluster/protocol"
 )
 
 // waitingReplies are the replies owed once a command is applied, in the order of its parts.
@@ -40,7 +39,7 @@
 	switch effect {
 	case jobs.Fenced:
 		reply(false, failure.New(failure.Moved, "the queue belongs to another shard now"))
-	case jobs.Known:
+	case jobs.Duplicate:
 		reply(true, nil)
 	case jobs.Rejected:
 		reply(false, failure.New(failure.Invalid, "the job cannot be carried out as it is"))
@@ -164,8 +163,8 @@
 		reply("", errNotLeader)
 		return
 	}
-	if state, _ := o.state.StateOf(id); protocol.JobEnded(state) {
-		reply(state, nil)
+	if state, _ := o.state.StateOf(id); state.HasEnded() {
+		reply(string(state), nil)
 		return
 	}
 	o.readLater(now, func(err error) {
@@ -178,7 +177,7 @@
 			reply("", errGone)
 			return
 		}
-		reply(state, nil)
+		reply(string(state), nil)
 	})
 }
 
@@ -194,7 +193,7 @@
 			reply(0, err)
 			return
 		}
-		reply(o.state.Pending(queue), nil)
+		reply(o.state.UnfinishedJobs(queue), nil)
 	})
 }
 
--- a/internal/cluster/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -25,10 +25,10 @@
 		_, stopping := r.stops[key]
 		gone := r.draining || stopping || o.tooLate(now, r, task)
 		switch {
-		case !over(task.Group.Job.State) && !gone:
+		case !task.Group.Job.State.IsAbandoned() && !gone:
 		case r.report.Called:
 			o.stop(now, r, key)
-		case over(task.Group.Job.State) || !o.mayRunUnlisted(now, r, key):
+		case task.Group.Job.State.IsAbandoned() || !o.mayRunUnlisted(now, r, key):
 			o.lose(r, task)
 		}
 	}
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -62,7 +62,7 @@
 	bytes := 0
 	for _, task := range o.state.RunsOn(r.instance) {
 		key := runKey{task.ID, task.Run}
-		if task.Phase != jobs.Running || o.isEnding(key) || over(task.Group.Job.State) || r.draining {
+		if task.Phase != jobs.Running || o.isEnding(key) || task.Group.Job.State.IsAbandoned() || r.draining {
 			continue
 		}
 		if _, there := r.listed[key]; there {
--- a/internal/cluster/scheduler/reportedruns.go
+++ b/internal/cluster/scheduler/reportedruns.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"ospreypond/internal/cluster/jobs"
-	"ospreypond/internal/cluster/protocol"
 )
 
 // takeFinished proposes the ends that the shard has not got yet.
@@ -33,7 +32,7 @@
 		o.ending[key] = run
 		o.dirty = true
 		o.next.Ends = append(o.next.Ends, jobs.End{
-			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: finished.How, Checkpoint: finished.Saved,
+			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: jobs.Outcome(finished.How), Checkpoint: finished.Saved,
 		})
 	}
 }
@@ -80,7 +79,7 @@
 	if task == nil || task.Run != key.run || task.Runner != r.instance {
 		return o.lingering(r, key)
 	}
-	return task.Phase == jobs.Running && !over(task.Group.Job.State)
+	return task.Phase == jobs.Running && !task.Group.Job.State.IsAbandoned()
 }
 
 // lingering tells of a run whose gang is done: it ends by itself.
@@ -93,7 +92,6 @@
 	return false
 }
 
-func over(state string) bool { return state == protocol.JobCancelled || state == protocol.JobFailed }
 
 // stop orders a run to be stopped, again and again until its end is listed.
 func (o *Owner) stop(now time.Duration, r *runner, key runKey) {
--- a/internal/cluster/scheduler/round.go
+++ b/internal/cluster/scheduler/round.go
@@ -253,7 +253,7 @@
 	job := group.Job
 	begun := job.AcceptedMs
 	if job.Spec.Repetitions > 0 {
-		begun = job.Spec.FirstRunMs + int64(group.Time)*job.Spec.IntervalMs
+		begun = job.Spec.FirstRunMs + int64(group.Repetition)*job.Spec.IntervalMs
 	}
 	whole, after := o.chain(job, group.Step)
 	extension := max(job.Queue.Extension, 1)
--- a/internal/cluster/scheduler/watch.go
+++ b/internal/cluster/scheduler/watch.go
@@ -177,7 +177,7 @@
 
 // stopBrokenGangs stops the members that are left of a gang's run of which one has ended.
 func (o *Owner) stopBrokenGangs(now time.Duration, effects *jobs.Effects) {
-	for _, task := range effects.Ended {
+	for _, task := range effects.EndedRuns {
 		if !task.Group.Spec().Gang || task.Phase == jobs.Done {
 			continue
 		}
