--- a/internal/cluster/jobs/command_codec.go
+++ b/internal/cluster/jobs/command_codec.go
@@ -75,7 +75,7 @@
 	r := newReader(data)
 	version := r.byte()
 	if version != commandVersion && version != commandVersionWithoutDepartures {
-		return nil, errors.Errorf("unknown command version %d, current is %d", version, commandVersion)
+		return nil, errors.Errorf("command of version %d, this release reads up to %d", version, commandVersion)
 	}
 	last := &previousTexts{}
 	c := &Command{TimeOfDayMs: r.signed()}
--- a/internal/cluster/jobs/restore.go
+++ b/internal/cluster/jobs/restore.go
@@ -14,7 +14,7 @@
 	r := newReader(data)
 	version := r.byte()
 	if version != snapshotVersion && version != snapshotVersionWithoutDepartures {
-		return errors.Errorf("unknown snapshot version %d, current is %d", version, snapshotVersion)
+		return errors.Errorf("snapshot of version %d, this release reads up to %d", version, snapshotVersion)
 	}
 	fresh := &State{statusRetentionMs: s.statusRetentionMs, tombstoneRetentionMs: s.tombstoneRetentionMs, runnerRetentionMs: s.runnerRetentionMs}
 	fresh.reset()
