--- a/internal/cluster/latency/cause.go
+++ b/internal/cluster/latency/cause.go
@@ -13,31 +13,31 @@
 	// Unowned: nobody owned the shard, or an owner before this one did, which took its account along.
 	Unowned Cause = iota
 	// Step: an earlier step of the job was not done.
-	Step
+	EarlierStep
 	// Round: the next round of placement, or the commit of its decision, was waited for.
-	Round
-	// CPU: no runner that may take the task had so many processors free.
-	CPU
+	NextRound
+	// NoCPU: no runner that may take the task had so many processors free.
+	NoCPU
 	// Memory: none had so much memory free.
-	Memory
-	// GPU: none had so many accelerators free.
-	GPU
+	NoMemory
+	// NoGPU: none had so many accelerators free.
+	NoGPU
 	// Runner: no runner was known that could take the task at all, by its label, its size or its anti-affinity.
-	Runner
+	NoRunner
 	// Reserved: what was free is kept for urgent work, a gang or a large task.
-	Reserved
+	ReservedCapacity
 	// Distrust: what was free is on runners that fail what they start.
 	UnreliableRunner
 	// Better: a runner that suits the task better is expected to become free soon.
-	Better
+	BetterLater
 	// Order: the start was committed, and the runner had not listed the run yet.
-	Order
+	StartOrder
 	// Running: the run that ended well was at work.
 	Running
 	// Report: that run had ended, and its end was not committed yet.
-	Report
+	EndReport
 	// Silent: the runner had fallen silent, and what runs there could not be given to another yet.
-	Silent
+	UnresponsiveRunner
 	// Failed: a run was at work that failed.
 	Failed
 	// Stopped: a run was at work that was stopped or broken.
@@ -45,13 +45,13 @@
 	// Lost: a run was at work that was lost with its runner.
 	Lost
 
-	causes
+	reasonCount
 )
 
-var names = [causes]string{
-	Unowned: "unowned", Step: "step", Round: "round", CPU: "cpu", Memory: "memory", GPU: "gpu", Runner: "runner",
-	Reserved: "reserved", UnreliableRunner: "distrust", Better: "better", Order: "order", Running: "running", Report: "report",
-	Silent: "silent", Failed: "failed", Stopped: "stopped", Lost: "lost",
+var names = [reasonCount]string{
+	Unowned: "unowned", EarlierStep: "step", NextRound: "round", NoCPU: "cpu", NoMemory: "memory", NoGPU: "gpu", NoRunner: "runner",
+	ReservedCapacity: "reserved", UnreliableRunner: "distrust", BetterLater: "better", StartOrder: "order", Running: "running", EndReport: "report",
+	UnresponsiveRunner: "silent", Failed: "failed", Stopped: "stopped", Lost: "lost",
 }
 
 // String returns the name by which a cause is told.
@@ -59,7 +59,7 @@
 
 // Causes returns all causes, in their order.
 func Causes() []Cause {
-	all := make([]Cause, causes)
+	all := make([]Cause, reasonCount)
 	for i := range all {
 		all[i] = Cause(i)
 	}
@@ -67,7 +67,7 @@
 }
 
 // Times is a span of time by cause.
-type Times [causes]time.Duration
+type Times [reasonCount]time.Duration
 
 // Sum returns the whole span.
 func (t *Times) Sum() time.Duration {
--- a/internal/cluster/scheduler/headroom.go
+++ b/internal/cluster/scheduler/headroom.go
@@ -9,71 +9,110 @@
 )
 
 const (
-	peakFade      = 20 * time.Second // in which the remembered peak of urgent work halves
-	headroomMost  = 0.35             // of a service's processors that may be kept free for urgent work
-	largeShare    = 0.4              // of a runner's processors from which a task is large: room is not kept from it
-	headroomLeast = 0.08             // of the processors kept free for a service that has urgent work
+	peakHalfLife      = 20 * time.Second // in which the remembered peak of urgent work halves
+	maxHeadroom       = 0.35             // of a service's processors that may be reserved for urgent work
+	minHeadroom       = 0.08             // of a service's processors that are reserved if it has urgent work
+	largeTaskFraction = 0.4              // of a runner's processors from which a task is exempt from the reservation
 )
 
-// demand is what the urgent tasks of a service take: those of the best priority that it has.
-type demand struct {
-	priority int
-	peak     float64 // thousandths of a core, remembered
-	at       time.Duration
+// headroom is the urgent work of each service: the tasks of the best priority that it has. Capacity is reserved for them
+// by their recent peak.
+type headroom struct{ byService map[string]*urgentDemand }
+
+// urgentDemand is what the urgent tasks of a service use. Processors are in thousandths of a core.
+type urgentDemand struct {
+	priority  int
+	peak      float64 // remembered, decaying
+	updatedAt time.Duration
 }
 
-// urgentPart returns how many of the held tasks, which are in order of priority, are urgent: they are placed first and
-// may take all room. spare is the share of each runner's processors that the others must leave free: as much as urgent
-// work took of late at its peak beyond what it takes now. A service with gangs in its best priority, or with one
-// priority only, keeps nothing back.
-func (o *Owner) urgentPart(now time.Duration, service string, held []*jobs.Task, runners []placement.Runner) (urgent int, spare float64) {
-	best, using, capacity := o.usage(held, runners)
-	d := o.demands[service]
-	if d == nil || best < d.priority {
-		d = &demand{priority: best, at: now}
-		o.demands[service] = d
+// update returns how many of the pending tasks, which are in order of priority, are urgent: they are assigned first and
+// may use all capacity; and the fraction of each runner's processors that is reserved from the others: as much as urgent
+// work used at its recent peak beyond what it uses now. A service with gangs in its best priority, or with one priority
+// only, reserves nothing.
+func (h *headroom) update(now time.Duration, service string, pending []*jobs.Task, runners []placement.Runner) (urgent int, reserved float64) {
+	priority, using, capacity := urgentUsage(pending, runners)
+	d := h.byService[service]
+	if d == nil || priority < d.priority {
+		d = &urgentDemand{priority: priority, updatedAt: now}
+		if h.byService == nil {
+			h.byService = map[string]*urgentDemand{}
+		}
+		h.byService[service] = d
 	}
-	for urgent < len(held) && held[urgent].Group.Job.Queue.Priority <= d.priority {
-		if held[urgent].Group.Spec().Gang {
-			return len(held), 0
+	for urgent < len(pending) && pending[urgent].Group.Job.Queue.Priority <= d.priority {
+		if pending[urgent].Group.Spec().Gang {
+			return len(pending), 0
 		}
-		using += held[urgent].Group.Spec().CPU
+		using += pending[urgent].Group.Spec().CPU
 		urgent++
 	}
-	d.update(now, float64(using))
-	return urgent, d.spare(float64(using), float64(capacity)) / float64(capacity)
+	d.updatePeak(now, float64(using))
+	return urgent, d.headroom(float64(using), float64(capacity)) / float64(capacity)
+}
+
+// urgentUsage returns the best priority of what is pending or runs, what runs of it use, and the capacity.
+func urgentUsage(pending []*jobs.Task, runners []placement.Runner) (priority int, using, capacity int64) {
+	priority = pending[0].Group.Job.Queue.Priority
+	for i := range runners {
+		capacity += runners[i].Capacity.CPU
+		for j := range runners[i].Running {
+			run := &runners[i].Running[j]
+			if run.Priority < priority && !run.LongRunning && !run.Gang {
+				priority = run.Priority
+				using = 0
+			}
+			if run.Priority == priority {
+				using += run.Needs.CPU
+			}
+		}
+	}
+	return priority, using, capacity
+}
+
+// updatePeak lets the peak decay, by half in peakHalfLife (linearly between two updates), but not below the present use.
+func (d *urgentDemand) updatePeak(now time.Duration, using float64) {
+	halfLives := float64(now-d.updatedAt) / float64(peakHalfLife)
+	d.updatedAt = now
+	d.peak = max(using, d.peak*(1-min(halfLives/2, 1)))
 }
 
-// byNeed splits tasks into those from which no room is kept, since they might never fit, earn by being there all the
-// time, or are the first of a job that stands still though much of the service is free; and the others.
-func byNeed(held []*jobs.Task, runners []placement.Runner) (free, others []*jobs.Task) {
+// headroom returns how much is to be kept free.
+func (d *urgentDemand) headroom(using, capacity float64) float64 {
+	return min(max(d.peak-using, minHeadroom*capacity), maxHeadroom*capacity)
+}
+
+// splitExempt splits tasks into those from which no capacity is reserved, and the others. Exempt are tasks that might
+// never fit otherwise, long-running ones, and the first one of a job of which nothing runs though much of the service is
+// free.
+func splitExempt(pending []*jobs.Task, runners []placement.Runner) (exempt, others []*jobs.Task) {
 	largest := int64(0)
 	for i := range runners {
 		largest = max(largest, runners[i].Capacity.CPU)
 	}
-	calm := mostlyFree(runners)
-	first := map[*jobs.Job]bool{}
-	for _, task := range held {
+	idle := isMostlyFree(runners)
+	seen := map[*jobs.Job]bool{}
+	for _, task := range pending {
 		step := task.Group.Spec()
-		alone := calm && !step.Gang && !first[task.Group.Job] && standsStill(task.Group.Job)
-		first[task.Group.Job] = true
-		if step.LongRunning || alone || float64(step.CPU) > largeShare*float64(largest) {
-			free = append(free, task)
+		isFirst := !seen[task.Group.Job]
+		seen[task.Group.Job] = true
+		unblocks := idle && !step.Gang && isFirst && nothingRuns(task.Group.Job)
+		if step.LongRunning || unblocks || float64(step.CPU) > largeTaskFraction*float64(largest) {
+			exempt = append(exempt, task)
 		} else {
 			others = append(others, task)
 		}
 	}
-	return free, others
+	return exempt, others
 }
 
-// standsStill tells whether nothing of a job runs.
-func standsStill(job *jobs.Job) bool {
+func nothingRuns(job *jobs.Job) bool {
 	_, running, _ := job.Progress()
 	return running == 0
 }
 
-// mostlyFree tells whether less than half of a service's processors is in use.
-func mostlyFree(runners []placement.Runner) bool {
+// isMostlyFree reports whether less than half of a service's processors is in use.
+func isMostlyFree(runners []placement.Runner) bool {
 	var using, capacity int64
 	for i := range runners {
 		capacity += runners[i].Capacity.CPU
@@ -84,40 +123,14 @@
 	return 2*using < capacity
 }
 
-// usage sums what runs: the best priority there is, what that takes, and what there is, in thousandths of a core.
-func (o *Owner) usage(held []*jobs.Task, runners []placement.Runner) (best int, using, capacity int64) {
-	best = held[0].Group.Job.Queue.Priority
+// reserve takes a fraction of each runner's processors out of its free capacity.
+func reserve(runners []placement.Runner, fraction float64) {
 	for i := range runners {
-		capacity += runners[i].Capacity.CPU
-		for j := range runners[i].Running {
-			run := &runners[i].Running[j]
-			if run.Priority < best && !run.LongRunning && !run.Gang {
-				best = run.Priority
-				using = 0
-			}
-			if run.Priority == best {
-				using += run.Needs.CPU
-			}
-		}
+		subtract(&runners[i].Free, reservation(&runners[i], fraction))
 	}
-	return best, using, capacity
-}
-
-func (d *demand) update(now time.Duration, using float64) {
-	share := float64(now-d.at) / float64(peakFade)
-	d.at = now
-	d.peak = max(using, d.peak*(1-min(share/2, 1)))
 }
 
-// spare is how much is to be kept free.
-func (d *demand) spare(using, capacity float64) float64 {
-	return min(max(d.peak-using, headroomLeast*capacity), headroomMost*capacity)
-}
-
-// keepFree takes a share of each runner's processors out of what it offers.
-func keepFree(runners []placement.Runner, share float64) {
-	for i := range runners {
-		kept := protocol.Resources{CPU: int64(share * float64(runners[i].Capacity.CPU))}
-		subtract(&runners[i].Free, kept)
-	}
+// reservation returns what is reserved on a runner.
+func reservation(runner *placement.Runner, fraction float64) protocol.Resources {
+	return protocol.Resources{CPU: int64(fraction * float64(runner.Capacity.CPU))}
 }
--- a/internal/cluster/scheduler/headroom_test.go
+++ b/internal/cluster/scheduler/headroom_test.go
@@ -9,74 +9,74 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("Room for urgent work", func() {
+var _ = Describe("Headroom for urgent work", func() {
 	urgent := protocol.Queue{Key: "host/urgent/", Service: service, Priority: 0, MaxAttempts: 3, Extension: 1.5, TargetLatencyMs: 800}
 	patient := protocol.Queue{Key: "host/patient/", Service: service, Priority: 2, MaxAttempts: 3, Extension: 4, TargetLatencyMs: 4000}
 	wide := protocol.Step{Count: 40, CPU: 1000, MemoryMB: 10, EstimatedMs: 5000}
 
-	It("is kept free once urgent work has been seen", func() {
+	It("is reserved once there was urgent work", func() {
 		w := newWorld()
 		w.submitTo(urgent, "00000000000000a1", protocol.Step{Count: 3, CPU: 1000, MemoryMB: 10, EstimatedMs: 500})
-		first, _ := w.beat(beatOf("i1", 1))
+		first := w.orders(heartbeatOf("i1", 1))
 		Expect(first.Start).To(HaveLen(3))
-		ended := beatOf("i1", 2)
+		ended := heartbeatOf("i1", 2)
 		for i, o := range first.Start {
 			ended.Finished = append(ended.Finished, protocol.FinishedRun{N: uint64(i + 1), Task: o.Task, Run: o.Run, How: protocol.EndDone})
 		}
-		w.beat(ended)
+		w.orders(ended)
 		w.submitTo(patient, "00000000000000b1", wide)
-		orders, _ := w.beat(beatOf("i1", 3))
+		orders := w.orders(heartbeatOf("i1", 3))
 		running := len(orders.Start)
-		listed := beatOf("i1", 4)
-		listed.Active = active(orders.Start)
+		listed := heartbeatOf("i1", 4)
+		listed.Active = activeRuns(orders.Start)
 		w.pass(50 * time.Millisecond)
-		orders, _ = w.beat(listed)
+		orders = w.orders(listed)
 		running += len(orders.Start)
 		Expect(running).To(BeNumerically(">=", 10))
 		Expect(running).To(BeNumerically("<", 16))
 	})
 
-	It("is not kept from the first task of a job that stands still while most of the service is free", func() {
+	It("is not reserved from the first task of a job of which nothing runs while most of the service is free", func() {
 		w := newWorld()
 		rare := func(sequence uint64) *protocol.Heartbeat {
-			beat := beatOf("i1", sequence)
-			beat.Labels = []string{"b", "r1"}
-			return beat
+			heartbeat := heartbeatOf("i1", sequence)
+			heartbeat.Labels = []string{"b", "r1"}
+			return heartbeat
 		}
 		step := func(count int) protocol.Step {
 			return protocol.Step{Count: count, CPU: 1000, MemoryMB: 10, EstimatedMs: 5000, Requirements: "b"}
 		}
 		others := func(sequence uint64) {
 			for _, instance := range []string{"i2", "i3"} {
-				idle, _ := w.beat(beatOf(instance, sequence))
+				idle := w.orders(heartbeatOf(instance, sequence))
 				Expect(idle.Start).To(BeEmpty())
 			}
 		}
 		others(1)
 		w.submitTo(urgent, "00000000000000a1", step(5))
-		first, _ := w.beat(rare(1))
+		first := w.orders(rare(1))
 		Expect(first.Start).To(HaveLen(5))
 		ended := rare(2)
 		for i, o := range first.Start {
 			ended.Finished = append(ended.Finished, protocol.FinishedRun{N: uint64(i + 1), Task: o.Task, Run: o.Run, How: protocol.EndDone})
 		}
-		w.beat(ended)
+		w.orders(ended)
 		w.submitTo(patient, "00000000000000b1", step(16))
-		wide, _ := w.beat(rare(3))
-		Expect(wide.Start).To(HaveLen(14), "room for two is kept")
+		wide := w.orders(rare(3))
+		Expect(wide.Start).To(HaveLen(14), "capacity for two is reserved")
 		others(2)
 		w.submitTo(patient, "00000000000000b2", step(5))
 		listed := rare(4)
-		listed.Active = active(wide.Start)
-		late, _ := w.beat(listed)
+		listed.Active = activeRuns(wide.Start)
+		late := w.orders(listed)
 		Expect(late.Start).To(HaveLen(1))
 		Expect(late.Start[0].Task).To(HavePrefix("00000000000000b2"))
 	})
 
-	It("is all given to others where there is no urgent work", func() {
+	It("is available to others if there is no urgent work", func() {
 		w := newWorld()
 		w.submitTo(patient, "00000000000000b1", wide)
-		orders, _ := w.beat(beatOf("i1", 1))
+		orders := w.orders(heartbeatOf("i1", 1))
 		Expect(orders.Start).To(HaveLen(16))
 	})
 })
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -7,81 +7,82 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Heartbeat takes a runner's report. The reply comes within Options.AnswerAfter.
-func (o *Owner) Heartbeat(now time.Duration, beat *protocol.Heartbeat, reply func(*protocol.Orders, error)) {
-	if !o.leading {
+var errNewerHeartbeat = failure.New(failure.Conflict, "a newer heartbeat of this runner has come")
+
+// Heartbeat takes a runner's report. The reply comes within Options.MaxReplyDelay, by Flush. The heartbeat must not be
+// changed afterwards.
+func (o *Owner) Heartbeat(now time.Duration, heartbeat *protocol.Heartbeat, reply func(*protocol.Orders, error)) {
+	if !o.leadership.isLeader {
 		reply(nil, errNotLeader)
 		return
 	}
-	if beat.FenceOnly {
-		o.tellFence(now, reply)
+	if heartbeat.FenceOnly {
+		o.answerFencingToken(now, reply)
 		return
 	}
-	if _, over := o.retired[beat.Instance]; over {
-		reply(nil, failure.New(failure.Gone, "this incarnation of the runner is over"))
+	if _, over := o.runners.ended[heartbeat.Instance]; over {
+		reply(nil, errIncarnationOver)
 		return
 	}
-	r := o.runners[beat.Instance]
-	if r == nil && o.placeTaken(now, beat) {
+	r := o.runners.current[heartbeat.Instance]
+	if r == nil && o.isAddressContested(now, heartbeat) {
 		reply(nil, failure.New(failure.Conflict, "another incarnation was heard from this address a moment ago"))
 		return
 	}
 	if r == nil {
-		r = o.newRunner(beat.Instance, now)
-		r.holdEnd = now
-		o.runners[beat.Instance] = r
-		o.dirty = true
+		r = o.newRunner(heartbeat.Instance, now)
+		r.leaseExpiry = now
+		o.runners.add(r)
+		o.roundWanted = true
 	}
-	if r.reported && beat.Sequence <= r.sequence {
-		reply(nil, failure.New(failure.Conflict, "a newer heartbeat of this runner has come"))
+	if r.hasReported && heartbeat.Sequence <= r.report.Sequence {
+		reply(nil, errNewerHeartbeat)
 		return
 	}
-	r.answer(nil, failure.New(failure.Conflict, "a newer heartbeat of this runner has come"))
-	o.takeReport(now, r, beat)
-	o.takePlace(now, r)
+	r.answer(nil, errNewerHeartbeat)
+	o.takeReport(now, r, heartbeat)
+	o.takeAddress(now, r)
 	o.takeFinished(now, r)
 	o.takeActive(now, r)
 	o.takeRejected(r)
-	o.withdraw(now, r)
-	o.watch(now, r)
+	o.resolveUnlisted(now, r)
+	o.stopHopeless(now, r)
 	r.reply = reply
-	r.replyDue = now + o.options.AnswerAfter
+	r.replyDue = now + o.options.MaxReplyDelay
 }
 
-// tellFence answers with the fence token alone.
-func (o *Owner) tellFence(now time.Duration, reply func(*protocol.Orders, error)) {
-	if !o.recentlyConfirmed(now) {
+// answerFencingToken answers with the fencing token alone.
+func (o *Owner) answerFencingToken(now time.Duration, reply func(*protocol.Orders, error)) {
+	if !o.leadership.isConfirmed(now) {
 		reply(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
 		return
 	}
-	reply(&protocol.Orders{FenceToken: o.term}, nil)
+	reply(&protocol.Orders{FenceToken: o.leadership.term}, nil)
 }
 
-func (o *Owner) takeReport(now time.Duration, r *runner, beat *protocol.Heartbeat) {
-	if !r.reported || r.report.State != beat.State || r.report.Capacity != beat.Capacity {
-		o.dirty = true
+func (o *Owner) takeReport(now time.Duration, r *runner, heartbeat *protocol.Heartbeat) {
+	if !r.hasReported || r.report.State != heartbeat.State || r.report.Capacity != heartbeat.Capacity {
+		o.roundWanted = true
 	}
-	r.report = *beat
-	r.reported = true
-	r.sequence = beat.Sequence
-	r.heardAt = now
-	if beat.State == protocol.Draining {
-		r.draining = true
-		r.leaving = now + time.Duration(beat.RemainingMs)*time.Millisecond
+	r.report = *heartbeat
+	r.hasReported = true
+	r.lastContact = now
+	if heartbeat.State == protocol.Draining {
+		r.isDraining = true
+		r.drainsUntil = now + time.Duration(heartbeat.RemainingMs)*time.Millisecond
 	}
 }
 
-// Deregister takes a runner's word that it ends. It is acknowledged once it is committed: a runner does not say it again,
-// and a successor would go on giving it work. What runs there may go on until the runner's hold is over, since some
-// runners serve on for seconds, and an acknowledgement may be lost; a hold is not given any more.
+// Deregister notes that a runner ends. It is acknowledged once it is committed: a runner does not repeat it, and a
+// successor would go on giving it work. What runs there may go on until the runner's lease is over, since some runners
+// serve on for seconds, and an acknowledgement may be lost; no lease is granted any more.
 func (o *Owner) Deregister(instance string, reply func(err error)) {
-	if !o.leading {
+	if !o.leadership.isLeader {
 		reply(errNotLeader)
 		return
 	}
-	if r := o.runners[instance]; r != nil {
+	if r := o.runners.current[instance]; r != nil {
 		r.depart()
 	}
-	o.next.Departures = append(o.next.Departures, instance)
-	o.waiting.departures = append(o.waiting.departures, reply)
+	o.proposals.addDeparture(instance, reply)
 }
--- a/internal/cluster/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -1,64 +1,99 @@
 package scheduler
 
 import (
+	"slices"
 	"time"
 
 	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/protocol"
 )
 
-// placeTaken tells that another incarnation was heard from the heartbeat's address so lately that the heartbeat may be an
-// old one that was long under way. One that is known only from the shard counts as heard when this leadership began: it
-// gets the time to report here before a heartbeat of another can end it. A relayed heartbeat may have stood still with its
-// relay for any time, and never ends another.
-func (o *Owner) placeTaken(now time.Duration, beat *protocol.Heartbeat) bool {
-	before := o.runners[o.byPlace[beat.Address]]
+const (
+	// maxHeartbeatDelay is the longest time that a heartbeat takes to arrive.
+	maxHeartbeatDelay = time.Second
+	// endedRetention is how long heartbeats of an incarnation that is over are still refused.
+	endedRetention = 5 * time.Minute
+)
+
+var errIncarnationOver = failure.New(failure.Gone, "this incarnation of the runner is over")
+
+// incarnations are the incarnations of runners that the owner knows, by instance.
+type incarnations struct {
+	current   map[string]*runner
+	byAddress map[string]string        // address: the newest instance that serves there
+	ended     map[string]time.Duration // instances that are certainly over: when that was learnt
+}
+
+func newIncarnations() incarnations {
+	return incarnations{
+		current:   map[string]*runner{},
+		byAddress: map[string]string{},
+		ended:     map[string]time.Duration{},
+	}
+}
+
+func (i *incarnations) add(r *runner) { i.current[r.instance] = r }
+
+// sorted returns the instances of the runners that match, sorted: what is done with several at once is done in the same
+// order each time.
+func (i *incarnations) sorted(matches func(r *runner) bool) []string {
+	var found []string
+	for instance, r := range i.current {
+		if matches(r) {
+			found = append(found, instance)
+		}
+	}
+	slices.Sort(found)
+	return found
+}
+
+// forgetEnded forgets incarnations that have been over for long.
+func (i *incarnations) forgetEnded(now time.Duration) {
+	for instance, at := range i.ended {
+		if now-at > endedRetention {
+			delete(i.ended, instance)
+		}
+	}
+}
+
+// isAddressContested reports whether another incarnation at the heartbeat's address had its last contact so lately that
+// the heartbeat may be an old one that was long under way. For an incarnation that is known only from the shard, contact
+// counts from the beginning of this leadership: it gets the time to report here before a heartbeat of another can end it.
+// A relayed heartbeat may have been delayed by its relay for any time, and never ends another incarnation.
+func (o *Owner) isAddressContested(now time.Duration, heartbeat *protocol.Heartbeat) bool {
+	before := o.runners.current[o.runners.byAddress[heartbeat.Address]]
 	if before == nil {
 		return false
 	}
-	return beat.Relayed || !before.ended && now-max(before.heardAt, o.ledAt) < lateHeartbeat
+	return heartbeat.Relayed || !before.hasEnded && now-max(before.lastContact, o.leadership.since) < maxHeartbeatDelay
 }
 
-// lateHeartbeat is the longest that a heartbeat is under way.
-const lateHeartbeat = time.Second
-
-// takePlace notes that the runner stands at its address: an earlier incarnation there is over.
-func (o *Owner) takePlace(now time.Duration, r *runner) {
-	place := r.report.Address
-	if place == "" {
+// takeAddress notes that the runner serves at its address: an earlier incarnation there is over.
+func (o *Owner) takeAddress(now time.Duration, r *runner) {
+	address := r.report.Address
+	if address == "" {
 		return
 	}
-	before := o.byPlace[place]
+	before := o.runners.byAddress[address]
 	if before == r.instance {
 		return
 	}
-	o.byPlace[place] = r.instance
+	o.runners.byAddress[address] = r.instance
 	if before != "" {
-		o.retire(now, before)
+		o.endIncarnation(now, before)
 		return
 	}
-	o.dirty = true
+	o.roundWanted = true
 }
 
-// retire ends an incarnation that is certainly over: whatever ran there is lost.
-func (o *Owner) retire(now time.Duration, instance string) {
-	o.retired[instance] = now
-	r := o.runners[instance]
+// endIncarnation ends an incarnation that is certainly over: its runs are lost.
+func (o *Owner) endIncarnation(now time.Duration, instance string) {
+	o.runners.ended[instance] = now
+	r := o.runners.current[instance]
 	if r == nil {
 		return
 	}
-	r.answer(nil, failure.New(failure.Gone, "this incarnation of the runner is over"))
+	r.answer(nil, errIncarnationOver)
 	o.loseAll(r)
-	delete(o.runners, instance)
-}
-
-// retiredFor is how long heartbeats of an incarnation that is over are still refused.
-const retiredFor = 5 * time.Minute
-
-func (o *Owner) forgetRetired(now time.Duration) {
-	for instance, at := range o.retired {
-		if now-at > retiredFor {
-			delete(o.retired, instance)
-		}
-	}
+	delete(o.runners.current, instance)
 }
--- a/internal/cluster/scheduler/rejected_test.go
+++ b/internal/cluster/scheduler/losses_test.go
@@ -7,27 +7,26 @@
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("a start that a runner certainly never carries out", func() {
+var _ = Describe("a start that a runner rejects", func() {
 	var w *world
 	BeforeEach(func() { w = newWorld() })
 
-	// rejecting is the heartbeat after the first start, which rejects it, changed by change.
-	rejecting := func(change func(beat *protocol.Heartbeat)) *protocol.Orders {
+	// rejecting sends the heartbeat after the first start, which rejects it, changed by change.
+	rejecting := func(change func(heartbeat *protocol.Heartbeat)) *protocol.Orders {
 		w.submit(id, small())
-		first, err := w.beat(beatOf("i1", 1))
-		Expect(err).NotTo(HaveOccurred())
-		next := beatOf("i1", 2)
-		next.Rejected = active(first.Start)
+		first := w.orders(heartbeatOf("i1", 1))
+		next := heartbeatOf("i1", 2)
+		next.Rejected = activeRuns(first.Start)
 		change(next)
-		orders, err := w.beat(next)
-		Expect(err).NotTo(HaveOccurred())
+		orders := w.orders(next)
 		return orders
 	}
 
-	It("is given up and made again under another number", func() {
+	It("is given up and made again with another run", func() {
 		orders := rejecting(func(*protocol.Heartbeat) {})
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(2)))
@@ -35,103 +34,101 @@
 	})
 
 	It("is not given up if the runner lists it", func() {
-		orders := rejecting(func(beat *protocol.Heartbeat) { beat.Active = beat.Rejected })
+		orders := rejecting(func(heartbeat *protocol.Heartbeat) { heartbeat.Active = heartbeat.Rejected })
 		Expect(orders.Start).To(BeEmpty())
 		Expect(orders.Stop).To(BeEmpty())
 	})
 
 	It("is not given up if it has ended", func() {
-		rejecting(func(beat *protocol.Heartbeat) {
-			beat.Finished = []protocol.FinishedRun{{N: 1, Task: beat.Rejected[0].Task, Run: 1, How: protocol.EndDone}}
+		rejecting(func(heartbeat *protocol.Heartbeat) {
+			heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: heartbeat.Rejected[0].Task, Run: 1, How: protocol.EndDone}}
 		})
 		state, _ := w.state.StateOf(id)
-		Expect(state).To(Equal(protocol.JobCompleted))
+		Expect(state).To(Equal(jobs.JobCompleted))
 		Expect(w.owner.Counters().Losses).To(BeZero())
 	})
 
 	It("is not given up while ends may be missing from the heartbeat", func() {
-		orders := rejecting(func(beat *protocol.Heartbeat) {
+		orders := rejecting(func(heartbeat *protocol.Heartbeat) {
 			for n := range 500 {
-				beat.Finished = append(beat.Finished, protocol.FinishedRun{N: uint64(n + 1), Task: "00000000000000bb.0.0.0", Run: 1, How: protocol.EndStopped})
+				heartbeat.Finished = append(heartbeat.Finished, protocol.FinishedRun{N: uint64(n + 1), Task: "00000000000000bb.0.0.0", Run: 1, How: protocol.EndStopped})
 			}
 		})
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(1)))
 	})
 
-	It("is not given up for what another run of the task had", func() {
-		orders := rejecting(func(beat *protocol.Heartbeat) { beat.Rejected[0].Run = 7 })
+	It("is not given up for the rejection of another run", func() {
+		orders := rejecting(func(heartbeat *protocol.Heartbeat) { heartbeat.Rejected[0].Run = 7 })
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(1)))
 	})
 })
 
 var _ = Describe("a start to a runner that is called", func() {
-	// An agent that is killed right after it has sent a start leaves no word of it, and the runner may read it any time later.
+	// An agent that is killed right after it has sent a start leaves no trace of it, and the runner may read it any time later.
 	var w *world
-	calledBeat := func(sequence uint64) *protocol.Heartbeat {
-		beat := beatOf("i1", sequence)
-		beat.Called = true
-		return beat
+	calledHeartbeat := func(sequence uint64) *protocol.Heartbeat {
+		heartbeat := heartbeatOf("i1", sequence)
+		heartbeat.Called = true
+		return heartbeat
 	}
 	BeforeEach(func() { w = newWorld() })
 
 	DescribeTable("that is withdrawn before the runner lists it is given up only once the runner has refused it",
-		func(withdrawn func(beat *protocol.Heartbeat)) {
+		func(withdrawn func(heartbeat *protocol.Heartbeat)) {
 			w.submit(id, small())
-			first, _ := w.beat(calledBeat(1))
+			first := w.orders(calledHeartbeat(1))
 			Expect(first.Start).To(HaveLen(1))
-			next := calledBeat(2)
+			next := calledHeartbeat(2)
 			withdrawn(next)
-			orders, _ := w.beat(next)
+			orders := w.orders(next)
 			Expect(orders.Start).To(BeEmpty())
 			Expect(orders.Stop).To(HaveLen(1))
-			elsewhere, _ := w.beat(beatOf("i2", 1))
+			elsewhere := w.orders(heartbeatOf("i2", 1))
 			Expect(elsewhere.Start).To(BeEmpty())
 			Expect(w.owner.Counters().Losses).To(BeZero())
-			again := calledBeat(3) // of yet another agent, which has heard of neither start nor stop
+			again := calledHeartbeat(3) // of another agent, which knows neither of the start nor of the stop
 			withdrawn(again)
-			orders, _ = w.beat(again)
+			orders = w.orders(again)
 			Expect(orders.Stop).To(HaveLen(1))
 
-			refused := calledBeat(4)
+			refused := calledHeartbeat(4)
 			withdrawn(refused)
-			refused.Rejected = active(first.Start)
-			orders, _ = w.beat(refused)
+			refused.Rejected = activeRuns(first.Start)
+			orders = w.orders(refused)
 			Expect(orders.Stop).To(BeEmpty())
 			Expect(w.owner.Counters().Losses).To(Equal(uint64(1)))
 		},
-		Entry("since the runner drains", func(beat *protocol.Heartbeat) { beat.State = protocol.Draining }),
-		Entry("since it comes late", func(*protocol.Heartbeat) { w.pass(5 * time.Second) }),
+		Entry("since the runner drains", func(heartbeat *protocol.Heartbeat) { heartbeat.State = protocol.Draining }),
+		Entry("since it is overdue", func(*protocol.Heartbeat) { w.pass(5 * time.Second) }),
 		Entry("since its job is cancelled", func(*protocol.Heartbeat) {
 			w.owner.Cancel(w.now, id, func(error) {})
-			w.settle()
+			w.commitAll()
 		}),
 	)
 
-	It("keeps its room until then", func() {
+	It("uses its capacity until then", func() {
 		w.submit(id, protocol.Step{Count: 1, CPU: 16000, MemoryMB: 10, EstimatedMs: 500})
-		w.beat(calledBeat(1))
+		w.orders(calledHeartbeat(1))
 		w.owner.Cancel(w.now, id, func(error) {})
-		w.settle()
+		w.commitAll()
 		w.submit("00000000000000bb", small())
-		orders, _ := w.beat(calledBeat(2))
+		orders := w.orders(calledHeartbeat(2))
 		Expect(orders.Stop).To(HaveLen(1))
 		Expect(orders.Start).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a question for the fence token", func() {
-	It("is answered by it alone, and says nothing of the runner", func() {
+var _ = Describe("a request for the fencing token", func() {
+	It("is answered by it alone, and changes nothing of the runner", func() {
 		w := newWorld()
 		w.submit(id, small())
-		first, _ := w.beat(beatOf("i1", 1))
+		first := w.orders(heartbeatOf("i1", 1))
 		Expect(first.Start).To(HaveLen(1))
-		orders, err := w.beat(&protocol.Heartbeat{Instance: "i1", Service: service, FenceOnly: true})
-		Expect(err).NotTo(HaveOccurred())
+		orders := w.orders(&protocol.Heartbeat{Instance: "i1", Service: service, FenceOnly: true})
 		Expect(*orders).To(Equal(protocol.Orders{FenceToken: 7}))
-		again, err := w.beat(beatOf("i1", 2))
-		Expect(err).NotTo(HaveOccurred())
+		again := w.orders(heartbeatOf("i1", 2))
 		Expect(again.Start).To(Equal(first.Start))
 	})
 
@@ -139,7 +136,7 @@
 		w := newWorld()
 		w.pass(0)
 		w.passUnconfirmed(2 * time.Second)
-		_, err := w.beat(&protocol.Heartbeat{Instance: "i1", Service: service, FenceOnly: true})
+		_, err := w.heartbeat(&protocol.Heartbeat{Instance: "i1", Service: service, FenceOnly: true})
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
 })
--- a/internal/cluster/scheduler/options.go
+++ b/internal/cluster/scheduler/options.go
@@ -2,69 +2,51 @@
 
 import "time"
 
-// Options are the bounds that a deployment sets, and the constants that tests shorten.
+// Options are the limits that a deployment sets, and times that tests shorten. Zero stands for the default.
 type Options struct {
-	MaxLease    time.Duration // longest hold that a runner grants
-	StopTime    time.Duration // longest that a stop takes
-	GangWait    time.Duration // how long a gang's members wait for each other
-	SaveEvery   time.Duration // work between two checkpoints
-	Restore     time.Duration // start-up of a run that resumes
-	FarFactor   float64       // slowdown away from the data, or of a gang over several racks
-	MaxPending  int           // jobs that have not ended, over which hand-ins are refused
-	PollBusy    time.Duration // time to a runner's next heartbeat while there is work for it
-	PollIdle    time.Duration // the same while there is none
-	AnswerAfter time.Duration // longest that a heartbeat's answer waits for a commit
+	MaxLease          time.Duration // longest lease that a runner is granted
+	StopTime          time.Duration // longest time that a stop takes
+	GangWait          time.Duration // how long members of a gang wait for each other
+	SaveEvery         time.Duration // work between two checkpoints
+	Restore           time.Duration // start-up of a run that resumes from a checkpoint
+	FarFactor         float64       // slowdown away from the data, or of a gang that spans racks
+	MaxUnfinishedJobs int           // jobs that have not ended, from which submits are refused
+	BusyPollInterval  time.Duration // time to a runner's next heartbeat while there may be work for it
+	IdlePollInterval  time.Duration // time to a runner's next heartbeat otherwise
+	MaxReplyDelay     time.Duration // longest time that the reply to a heartbeat waits for a commit
 
 	// ServiceOf returns the service that the newest configuration known here gives a queue, empty if there is no such
 	// queue, and that configuration's version, 0 while none is known.
 	ServiceOf func(queue string) (service string, version uint64)
 }
 
-// Defaults for what Options leave at zero.
 const (
-	defaultHold        = 6 * time.Second
-	defaultStopTime    = time.Second
-	defaultGangWait    = 3 * time.Second
-	defaultSaveEvery   = 2 * time.Second
-	defaultRestore     = 500 * time.Millisecond
-	defaultFarFactor   = 1.5
-	defaultMaxPending  = 20000
-	defaultPollBusy    = 40 * time.Millisecond
-	defaultPollIdle    = 100 * time.Millisecond
-	defaultAnswerAfter = 60 * time.Millisecond
-)
-
-const (
-	// clockSlack is how much slower than real time a runner's clock may run, with some to spare.
-	clockSlack = 1.03
-	// confirmationAge is the oldest confirmation of leadership on which a heartbeat is still answered.
-	confirmationAge = 900 * time.Millisecond
-	// neverConfirmed is a time before all confirmations that count.
-	neverConfirmed = -confirmationAge
-	// readWait is how long a read waits for a confirmation of leadership.
-	readWait = 800 * time.Millisecond
-	// proposeAgain is the pause after a command that could not be proposed, as while leadership is being given away.
-	proposeAgain = 50 * time.Millisecond
-	// roundGap is the least time between two rounds of placement.
-	roundGap = 10 * time.Millisecond
-	// roundAgain is the longest time between two rounds while tasks are held.
-	roundAgain = 200 * time.Millisecond
+	defaultMaxLease          = 6 * time.Second
+	defaultStopTime          = time.Second
+	defaultGangWait          = 3 * time.Second
+	defaultSaveEvery         = 2 * time.Second
+	defaultRestore           = 500 * time.Millisecond
+	defaultFarFactor         = 1.5
+	defaultMaxUnfinishedJobs = 20000
+	defaultBusyPollInterval  = 40 * time.Millisecond
+	defaultIdlePollInterval  = 100 * time.Millisecond
+	defaultMaxReplyDelay     = 60 * time.Millisecond
 )
 
 func setDefaults(options *Options) {
-	setDuration(&options.MaxLease, defaultHold)
+	setDuration(&options.MaxLease, defaultMaxLease)
 	setDuration(&options.StopTime, defaultStopTime)
 	setDuration(&options.GangWait, defaultGangWait)
 	setDuration(&options.SaveEvery, defaultSaveEvery)
 	setDuration(&options.Restore, defaultRestore)
-	setDuration(&options.PollBusy, defaultPollBusy)
-	setDuration(&options.PollIdle, defaultPollIdle)
-	setDuration(&options.AnswerAfter, defaultAnswerAfter)
+	setDuration(&options.BusyPollInterval, defaultBusyPollInterval)
+	setDuration(&options.IdlePollInterval, defaultIdlePollInterval)
+	setDuration(&options.MaxReplyDelay, defaultMaxReplyDelay)
 	if options.FarFactor <= 0 {
 		options.FarFactor = defaultFarFactor
 	}
-	if options.MaxPending <= 0 {
-		options.MaxPending = defaultMaxPending
+	if options.MaxUnfinishedJobs <= 0 {
+		options.MaxUnfinishedJobs = defaultMaxUnfinishedJobs
 	}
 	if options.ServiceOf == nil {
 		options.ServiceOf = func(string) (string, uint64) { return "", 0 }
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -8,33 +8,33 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// RunnerOverview is what an operator may want to know of a runner.
+// RunnerOverview is what operators see of a runner.
 type RunnerOverview struct {
 	Instance       string
 	Service        string
 	Address        string
 	Zone           string
 	Labels         []string
-	State          string // as it reported it; StateEnded, StateSilent
+	State          string // as it reported it, or StateEnded, StateUnresponsive
 	Capacity       protocol.Resources
-	Free           protocol.Resources // estimated: what may run there is counted
+	Free           protocol.Resources // estimated: what may run there counts as used
 	Runs           int                // that may exist there
-	Stops          int                // ordered and not yet listed
-	FailureScore   float64            // 0: none; 1: what it starts fails or stands still
-	SinceHeartbeat time.Duration      // since its newest heartbeat; since this owner's election if none has come
-	LeaseRemaining time.Duration      // until nothing runs there unless it is held anew; never below 0
+	Stops          int                // ordered, of runs whose end is not listed yet
+	FailureScore   float64            // 0: none; 1: what it starts fails or makes no progress
+	SinceHeartbeat time.Duration      // since its newest heartbeat, or since this owner's election if none has come
+	LeaseRemaining time.Duration      // after which nothing runs there unless a new lease is granted; never below 0
 }
 
 // States of a runner that it does not report itself.
 const (
-	StateEnded  = "ended"  // it has said that it ends
-	StateSilent = "silent" // it has not reported to this owner, or not for a while
+	StateEnded        = "ended"  // it has deregistered
+	StateUnresponsive = "silent" // it has not reported to this owner, or not for a while
 )
 
-// Runners tells about all runners that this owner knows, by service and instance.
+// Runners returns an overview of all runners that this owner knows, sorted by service and instance.
 func (o *Owner) Runners(now time.Duration) []RunnerOverview {
-	overviews := make([]RunnerOverview, 0, len(o.runners))
-	for _, r := range o.runners {
+	overviews := make([]RunnerOverview, 0, len(o.runners.current))
+	for _, r := range o.runners.current {
 		overviews = append(overviews, o.overview(now, r))
 	}
 	slices.SortFunc(overviews, func(a, b RunnerOverview) int {
@@ -52,28 +52,28 @@
 		Labels:         slices.Clone(r.report.Labels),
 		State:          o.stateOf(now, r),
 		Capacity:       r.report.Capacity,
-		Free:           o.offer(now, r).Free,
+		Free:           o.snapshotRunner(now, r).Free,
 		Runs:           len(o.state.RunsOn(r.instance)) + len(o.state.LingeringOn(r.instance)),
 		Stops:          len(r.stops),
-		FailureScore:   r.record.distrust(),
-		SinceHeartbeat: now - o.ledAt,
-		LeaseRemaining: max(r.holdEnd-now, 0),
+		FailureScore:   r.history.failureScore(),
+		SinceHeartbeat: now - o.leadership.since,
+		LeaseRemaining: max(r.leaseExpiry-now, 0),
 	}
-	if r.reported {
-		overview.SinceHeartbeat = now - r.heardAt
+	if r.hasReported {
+		overview.SinceHeartbeat = now - r.lastContact
 	}
 	return overview
 }
 
-// shownSilence is the silence from which a runner is shown as silent.
-const shownSilence = 3 * time.Second
+// shownUnresponsiveAfter is how long ago the last contact of a runner is that is shown as unresponsive.
+const shownUnresponsiveAfter = 3 * time.Second
 
 func (o *Owner) stateOf(now time.Duration, r *runner) string {
 	switch {
-	case r.ended:
+	case r.hasEnded:
 		return StateEnded
-	case !r.reported || now-r.heardAt > shownSilence:
-		return StateSilent
+	case !r.hasReported || now-r.lastContact > shownUnresponsiveAfter:
+		return StateUnresponsive
 	default:
 		return r.report.State
 	}
--- a/internal/cluster/scheduler/overview_test.go
+++ b/internal/cluster/scheduler/overview_test.go
@@ -10,16 +10,13 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-var _ = Describe("what operators are told of runners", func() {
-	It("is what they reported, and what may run there", func() {
+var _ = Describe("the overview of runners", func() {
+	It("has what they reported and what may run there", func() {
 		w := newWorld()
-		_, err := w.submit("00000000000000aa", small())
-		Expect(err).NotTo(HaveOccurred())
-		orders, err := w.beat(beatOf("b", 1))
-		Expect(err).NotTo(HaveOccurred())
+		w.submit("00000000000000aa", small())
+		orders := w.orders(heartbeatOf("b", 1))
 		Expect(orders.Start).To(HaveLen(1))
-		_, err = w.beat(beatOf("a", 1))
-		Expect(err).NotTo(HaveOccurred())
+		w.orders(heartbeatOf("a", 1))
 		runners := w.owner.Runners(w.now)
 		Expect(runners).To(HaveLen(2))
 		Expect(runners[0].Instance).To(Equal("a"))
@@ -31,12 +28,11 @@
 		Expect(runners[1].Labels).To(Equal([]string{"a", "r1"}))
 	})
 
-	It("says who drains, who is silent and who has ended", func() {
+	It("shows which are draining, unresponsive or ended", func() {
 		w := newWorld()
-		leaving := beatOf("a", 1)
-		leaving.State = protocol.Draining
-		_, err := w.beat(leaving)
-		Expect(err).NotTo(HaveOccurred())
+		draining := heartbeatOf("a", 1)
+		draining.State = protocol.Draining
+		w.orders(draining)
 		states := func() []string {
 			var list []string
 			for _, r := range w.owner.Runners(w.now) {
@@ -46,7 +42,7 @@
 		}
 		Expect(states()).To(Equal([]string{protocol.Draining}))
 		w.pass(4 * time.Second)
-		Expect(states()).To(Equal([]string{scheduler.StateSilent}))
+		Expect(states()).To(Equal([]string{scheduler.StateUnresponsive}))
 		w.owner.Deregister("a", func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(states()).To(Equal([]string{scheduler.StateEnded}))
 	})
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -1,7 +1,3 @@
-// Package scheduler is what the owner of one shard of jobs decides: which heartbeats are answered with what, which
-// held tasks start where, which runs are stopped, and which can no longer exist. It is pure: inputs and the steady time
-// go in; commands for the shard's log and replies come out. What must outlast the owner is in package jobs; all that is
-// held here is rebuilt by a new owner from the runners' heartbeats.
 package scheduler
 
 import (
@@ -9,51 +5,41 @@
 
 	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/jobs"
-	"ospreypond/internal/cluster/latency"
 	"ospreypond/internal/cluster/placement"
 )
 
-// Owner is the owner of one shard. It is used by one goroutine.
+// Owner decides for one shard while its process leads it. It is used by one goroutine.
 type Owner struct {
 	options Options
 	state   *jobs.State
 	planner *placement.Planner
 
-	leading     bool
-	term        uint64
-	ledAt       time.Duration // when this leadership began
-	confirmedAt time.Duration // when the newest confirmation of this leadership was asked for
-	timeOfDayMs int64
-	timeOfDayAt time.Duration
-
-	runners map[string]*runner
-	byPlace map[string]string        // address of a runner: instance that stands there
-	retired map[string]time.Duration // instances that are certainly over: when that was learnt
-
-	next     jobs.Command // what the next command will hold, rounds apart
-	inFlight *jobs.Command
-	waiting  waitingReplies // for next
-	flying   waitingReplies // for inFlight
-	reads    []read
-
-	ending  map[runKey]latency.Run // runs whose end or loss is in next or inFlight
-	demands map[string]*demand     // urgent work by service
-
-	notBefore time.Duration // no command is proposed before this, after one could not be
-	dirty     bool          // something changed that a round may use
-	lastRound time.Duration
-	failedOn  map[string]map[string]bool
-	counters  Counters
-	ledger    *latency.Recorder
-	late      []LateJob
+	leadership leadership
+	runners    incarnations
+	proposals  proposals
+	reads      confirmedReads
+	headroom   headroom
+	faults     jobFaults
+	reasons    waitReasons
+
+	roundWanted bool // something changed that a round may use
+	lastRound   time.Duration
+	counters    Counters
 }
 
 // Counters count what the owner did since the process started.
 type Counters struct {
-	Rounds, Starts, Stops, Losses, Refused, Stale, Preempted, Stalled uint64
+	Rounds    uint64 // of placement
+	Starts    uint64 // of runs, committed
+	Stops     uint64 // of runs, ordered
+	Losses    uint64 // of runs, proposed
+	Refused   uint64 // submits, since too many jobs had not ended
+	Stale     uint64 // submits by an outdated configuration
+	Preempted uint64 // runs stopped for others
+	Stalled   uint64 // runs stopped since they made no progress
 }
 
-// runKey names one run.
+// runKey identifies a run.
 type runKey struct {
 	task jobs.TaskID
 	run  uint64
@@ -63,12 +49,12 @@
 func New(options Options, state *jobs.State) *Owner {
 	setDefaults(&options)
 	o := &Owner{options: options, state: state}
-	o.forget()
+	o.reset()
 	return o
 }
 
-// forget drops all that belongs to one leadership.
-func (o *Owner) forget() {
+// reset drops all that belongs to one leadership. Counters and the late jobs that were not taken yet stay.
+func (o *Owner) reset() {
 	o.planner = placement.NewPlanner(placement.Options{
 		FarFactor: o.options.FarFactor,
 		GangWait:  o.options.GangWait,
@@ -76,74 +62,58 @@
 		SaveEvery: o.options.SaveEvery,
 		Restore:   o.options.Restore,
 	})
-	o.runners = map[string]*runner{}
-	o.byPlace = map[string]string{}
-	o.retired = map[string]time.Duration{}
-	o.next = jobs.Command{}
-	o.inFlight = nil
-	o.waiting = waitingReplies{}
-	o.flying = waitingReplies{}
-	o.reads = nil
-	o.ending = map[runKey]latency.Run{}
-	o.demands = map[string]*demand{}
-	o.failedOn = map[string]map[string]bool{}
-	o.ledger = latency.NewRecorder(o.ledAt)
-	o.dirty = true
-	o.notBefore = 0
+	o.runners = newIncarnations()
+	o.proposals = newProposals()
+	o.reads = confirmedReads{}
+	o.headroom = headroom{}
+	o.faults = jobFaults{}
+	o.reasons.reset(o.leadership.since)
+	o.roundWanted = true
 	o.lastRound = 0
 }
 
 // BecomeLeader is called when this process leads the shard and has applied an entry of its own term. timeOfDayMs is its
-// estimate of the time, ms since 1970. That it leads says nothing of when: between the quorum's answers and now the
-// process may have been frozen, and replaced. So until Tick brings a confirmation there is none.
+// estimate of the time of day, in ms since 1970. A process may have been frozen, and replaced, between the quorum's votes
+// and this call: so there is no confirmation of leadership until Tick brings one.
 func (o *Owner) BecomeLeader(now time.Duration, timeOfDayMs int64, term uint64) {
-	o.forget()
-	o.leading = true
-	o.term = term
-	o.ledAt = now
-	o.ledger = latency.NewRecorder(now)
-	o.confirmedAt = neverConfirmed
-	o.setTimeOfDay(now, timeOfDayMs)
+	o.reset()
+	o.leadership = leadership{isLeader: true, term: term, since: now, confirmedAt: neverConfirmed}
+	o.leadership.setTimeOfDay(now, timeOfDayMs)
+	o.reasons.reset(now)
 	for _, instance := range o.state.Runners() {
-		o.runners[instance] = o.newRunner(instance, now)
-		if place := o.state.AddressOf(instance); place != "" {
-			o.byPlace[place] = instance
+		o.runners.add(o.newRunner(instance, now))
+		if address := o.state.AddressOf(instance); address != "" {
+			o.runners.byAddress[address] = instance
 		}
 	}
 }
 
-// BecomeFollower is called when leadership ends. Whatever waits is told so: what is in doubt as UnknownOutcome.
+// BecomeFollower is called when leadership ends. All that is unanswered is answered by an error: what is in flight by
+// failure.UnknownOutcome, the rest by failure.NotLeader.
 func (o *Owner) BecomeFollower() {
-	if !o.leading {
+	if !o.leadership.isLeader {
 		return
 	}
-	o.leading = false
+	o.leadership.isLeader = false
 	notLeader := failure.New(failure.NotLeader, "leadership was lost")
 	unknown := failure.New(failure.UnknownOutcome, "leadership was lost before the entry was committed")
-	waiting, flying, reads, runners := o.waiting, o.flying, o.reads, o.runners
-	o.forget()
-	waiting.fail(notLeader)
-	flying.fail(unknown)
-	for _, r := range reads {
-		r.reply(notLeader)
-	}
-	for _, r := range runners {
+	proposals, reads, runners := o.proposals, o.reads, o.runners
+	o.reset()
+	proposals.pendingReplies.fail(notLeader)
+	proposals.inFlightReplies.fail(unknown)
+	reads.fail(notLeader)
+	for _, r := range runners.current {
 		r.answer(nil, notLeader)
 	}
 }
 
-// Leading tells whether this process owns the shard.
-func (o *Owner) Leading() bool { return o.leading }
+// Leading reports whether this process owns the shard.
+func (o *Owner) Leading() bool { return o.leadership.isLeader }
 
-// Counters returns what was counted.
+// Counters returns what was counted since the process started.
 func (o *Owner) Counters() Counters { return o.counters }
 
-func (o *Owner) setTimeOfDay(now time.Duration, timeOfDayMs int64) {
-	o.timeOfDayMs = timeOfDayMs
-	o.timeOfDayAt = now
-}
-
-// clockMs is the estimated time of day at now.
+// clockMs returns the estimated time of day at now, which is never before the shard's clock.
 func (o *Owner) clockMs(now time.Duration) int64 {
-	return max(o.timeOfDayMs+(now-o.timeOfDayAt).Milliseconds(), o.state.ClockMs())
+	return max(o.leadership.timeOfDayMsAt(now), o.state.ClockMs())
 }
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 )
 
@@ -19,182 +20,179 @@
 	It("orders a start only after its entry is committed", func() {
 		w.submit(id, small())
 		w.stalled = true
-		orders, err := w.beat(beatOf("i1", 1))
-		Expect(err).NotTo(HaveOccurred())
+		orders := w.orders(heartbeatOf("i1", 1))
 		Expect(orders.Start).To(BeEmpty())
 		w.stalled = false
 		w.commit()
-		orders, err = w.beat(beatOf("i1", 2))
-		Expect(err).NotTo(HaveOccurred())
+		orders = w.orders(heartbeatOf("i1", 2))
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(1)))
 		Expect(orders.FenceToken).To(Equal(uint64(7)))
 	})
 
-	It("sends an order again until the runner lists the run", func() {
+	It("repeats a start until the runner lists the run", func() {
 		w.submit(id, small())
-		first, _ := w.beat(beatOf("i1", 1))
-		second, _ := w.beat(beatOf("i1", 2))
+		first := w.orders(heartbeatOf("i1", 1))
+		second := w.orders(heartbeatOf("i1", 2))
 		Expect(second.Start).To(Equal(first.Start))
-		listed := beatOf("i1", 3)
-		listed.Active = active(first.Start)
-		third, _ := w.beat(listed)
+		listed := heartbeatOf("i1", 3)
+		listed.Active = activeRuns(first.Start)
+		third := w.orders(listed)
 		Expect(third.Start).To(BeEmpty())
 	})
 
 	It("acknowledges ends only after they are committed", func() {
 		w.submit(id, small())
-		first, _ := w.beat(beatOf("i1", 1))
+		first := w.orders(heartbeatOf("i1", 1))
 		w.stalled = true
-		ended := beatOf("i1", 2)
+		ended := heartbeatOf("i1", 2)
 		ended.Finished = []protocol.FinishedRun{{N: 1, Task: first.Start[0].Task, Run: 1, How: protocol.EndDone}}
-		orders, _ := w.beat(ended)
+		orders := w.orders(ended)
 		Expect(orders.LastSeen).To(BeZero())
 		w.stalled = false
 		w.commit()
 		ended.Sequence = 3
-		orders, _ = w.beat(ended)
+		orders = w.orders(ended)
 		Expect(orders.LastSeen).To(Equal(uint64(1)))
 		state, _ := w.state.StateOf(id)
-		Expect(state).To(Equal(protocol.JobCompleted))
+		Expect(state).To(Equal(jobs.JobCompleted))
 	})
 
-	It("never orders more than a runner holds, stops included", func() {
+	It("never orders more than a runner has capacity for, runs that are being stopped included", func() {
 		w.submit(id, protocol.Step{Count: 40, CPU: 1000, MemoryMB: 10, EstimatedMs: 500})
-		orders, _ := w.beat(beatOf("i1", 1))
+		orders := w.orders(heartbeatOf("i1", 1))
 		Expect(orders.Start).To(HaveLen(16))
 		w.owner.Cancel(w.now, id, func(error) {})
-		w.settle()
+		w.commitAll()
 		w.submit("00000000000000bb", small())
-		listed := beatOf("i1", 2)
-		listed.Active = active(orders.Start)
-		orders, _ = w.beat(listed)
+		listed := heartbeatOf("i1", 2)
+		listed.Active = activeRuns(orders.Start)
+		orders = w.orders(listed)
 		Expect(orders.Stop).To(HaveLen(16))
-		Expect(orders.Start).To(BeEmpty(), "what is being stopped still takes its room")
+		Expect(orders.Start).To(BeEmpty(), "what is being stopped still uses its capacity")
 	})
 
-	It("gives holds that end no later than the newest confirmation and the longest hold", func() {
+	It("grants leases that end no later than the longest lease after the newest confirmation", func() {
 		w.pass(0)
 		w.passUnconfirmed(300 * time.Millisecond)
-		orders, err := w.beat(beatOf("i1", 1))
-		Expect(err).NotTo(HaveOccurred())
-		Expect(orders.HoldMs).To(BeNumerically("<=", (hold - 300*time.Millisecond).Milliseconds()))
+		orders := w.orders(heartbeatOf("i1", 1))
+		Expect(orders.HoldMs).To(BeNumerically("<=", (lease - 300*time.Millisecond).Milliseconds()))
 	})
 
 	It("answers no heartbeat on an old confirmation", func() {
 		w.pass(0)
 		w.passUnconfirmed(2 * time.Second)
-		_, err := w.beat(beatOf("i1", 1))
+		_, err := w.heartbeat(heartbeatOf("i1", 1))
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
 
-	It("starts nothing on a draining runner and takes back what has not arrived", func() {
+	It("starts nothing on a draining runner, and withdraws starts that it does not list", func() {
 		w.submit(id, small())
-		w.beat(beatOf("i1", 1))
-		leaving := beatOf("i1", 2)
-		leaving.State = protocol.Draining
-		orders, _ := w.beat(leaving)
+		w.orders(heartbeatOf("i1", 1))
+		draining := heartbeatOf("i1", 2)
+		draining.State = protocol.Draining
+		orders := w.orders(draining)
 		Expect(orders.Start).To(BeEmpty())
-		orders, _ = w.beat(beatOf("i2", 1))
+		orders = w.orders(heartbeatOf("i2", 1))
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(2)))
 	})
 
-	DescribeTable("starts a silent runner's work elsewhere only once no hold may last",
-		func(silence time.Duration, started bool) {
+	DescribeTable("starts a silent runner's work elsewhere only once no lease may last",
+		func(elapsed time.Duration, started bool) {
 			w.submit(id, small())
-			first, _ := w.beat(beatOf("i1", 1))
-			listed := beatOf("i1", 2)
-			listed.Active = active(first.Start)
-			w.beat(listed)
-			w.pass(silence)
-			orders, _ := w.beat(beatOf("i2", 1))
+			first := w.orders(heartbeatOf("i1", 1))
+			listed := heartbeatOf("i1", 2)
+			listed.Active = activeRuns(first.Start)
+			w.orders(listed)
+			w.pass(elapsed)
+			orders := w.orders(heartbeatOf("i2", 1))
 			Expect(len(orders.Start) > 0).To(Equal(started))
 		},
 		Entry("early", 3*time.Second, false),
-		Entry("at the hold's end on an exact clock", hold, false),
-		Entry("at the hold's end on a slow clock", hold*102/100, false),
-		Entry("after that", hold*104/100+50*time.Millisecond, true),
+		Entry("at the lease's end on an exact clock", lease, false),
+		Entry("at the lease's end on a slow clock", lease*102/100, false),
+		Entry("after that", lease*104/100+50*time.Millisecond, true),
 	)
 
-	It("waits for the holds of the owner before it", func() {
+	It("waits for the leases of the owner before it", func() {
 		w.submit(id, small())
-		first, _ := w.beat(beatOf("i1", 1))
+		first := w.orders(heartbeatOf("i1", 1))
 		w.owner.BecomeFollower()
 		w.lead(8)
-		w.pass(hold)
-		orders, _ := w.beat(beatOf("i2", 1))
+		w.pass(lease)
+		orders := w.orders(heartbeatOf("i2", 1))
 		Expect(orders.Start).To(BeEmpty())
-		w.pass(hold / 10)
-		orders, _ = w.beat(beatOf("i2", 2))
+		w.pass(lease / 10)
+		orders = w.orders(heartbeatOf("i2", 2))
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(first.Start).To(HaveLen(1))
 	})
 
-	It("knows that an incarnation is over once another stands at its address", func() {
+	It("ends an incarnation once another serves at its address", func() {
 		w.submit(id, small())
-		w.beat(beatOf("i1", 1))
-		again := beatOf("i2", 1)
-		again.Address = beatOf("i1", 1).Address
-		_, early := w.beat(again)
+		w.orders(heartbeatOf("i1", 1))
+		again := heartbeatOf("i2", 1)
+		again.Address = heartbeatOf("i1", 1).Address
+		_, early := w.heartbeat(again)
 		Expect(failure.KindOf(early)).To(Equal(failure.Conflict), "it may be older than the other")
 		w.pass(time.Second)
 		again.Sequence++
-		orders, _ := w.beat(again)
+		orders := w.orders(again)
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(2)))
-		_, err := w.beat(beatOf("i1", 2))
+		_, err := w.heartbeat(heartbeatOf("i1", 2))
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 	})
 
-	It("knows from the shard where the incarnations stood that it has never heard of", func() {
+	It("knows from the shard the addresses of incarnations that have not reported to it", func() {
 		w.submit(id, small())
-		w.beat(beatOf("i1", 1))
+		w.orders(heartbeatOf("i1", 1))
 		w.owner.BecomeFollower()
 		w.lead(8)
-		again := beatOf("i2", 1)
-		again.Address = beatOf("i1", 1).Address
-		_, early := w.beat(again)
+		again := heartbeatOf("i2", 1)
+		again.Address = heartbeatOf("i1", 1).Address
+		_, early := w.heartbeat(again)
 		Expect(failure.KindOf(early)).To(Equal(failure.Conflict), "it may be older than the other")
 		w.pass(time.Second)
 		again.Sequence++
-		orders, _ := w.beat(again)
+		orders := w.orders(again)
 		Expect(orders.Start).To(HaveLen(1))
 		Expect(orders.Start[0].Run).To(Equal(uint64(2)))
 	})
 
-	It("does not take the word of a relay that an incarnation has followed another", func() {
+	It("does not end an incarnation for a relayed heartbeat of another", func() {
 		w.submit(id, small())
-		w.beat(beatOf("i1", 1))
+		w.orders(heartbeatOf("i1", 1))
 		w.pass(2 * time.Second)
-		again := beatOf("i2", 1)
-		again.Address = beatOf("i1", 1).Address
+		again := heartbeatOf("i2", 1)
+		again.Address = heartbeatOf("i1", 1).Address
 		again.Relayed = true
-		_, err := w.beat(again)
+		_, err := w.heartbeat(again)
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 		Expect(w.state.RunsOn("i1")).To(HaveLen(1))
 		again.Sequence, again.Relayed = 2, false
-		orders, _ := w.beat(again)
+		orders := w.orders(again)
 		Expect(orders.Start).To(HaveLen(1))
 	})
 
-	It("asks for a relayed heartbeat less often", func() {
+	It("polls less often through a relay", func() {
 		w.submit(id, small())
-		relayed := beatOf("i1", 1)
+		relayed := heartbeatOf("i1", 1)
 		relayed.Relayed = true
-		orders, _ := w.beat(relayed)
+		orders := w.orders(relayed)
 		Expect(orders.RetryDelayMs).To(Equal(int64(100)))
 	})
 
-	It("answers a late heartbeat with an error", func() {
-		w.beat(beatOf("i1", 5))
-		_, err := w.beat(beatOf("i1", 4))
+	It("answers an outdated heartbeat by an error", func() {
+		w.orders(heartbeatOf("i1", 5))
+		_, err := w.heartbeat(heartbeatOf("i1", 4))
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 	})
 
-	It("says that a job is unknown only after a confirmation", func() {
+	It("answers that a job is unknown only after a confirmation", func() {
 		w.pass(0)
-		w.now++ // the next turn: their times rise
+		w.now++ // the next step: their times rise
 		var got error
 		answered := false
 		w.owner.Status(w.now, id, func(_ string, err error) { answered, got = true, err })
@@ -205,11 +203,11 @@
 		Expect(failure.KindOf(got)).To(Equal(failure.Gone))
 	})
 
-	It("tells a hand-in in doubt from one that was never proposed when leadership ends", func() {
+	It("distinguishes an unknown outcome from a submit that was never proposed when leadership ends", func() {
 		w.stalled = true
 		var first, second error
 		w.owner.Submit(w.now, submitOf(id), func(_ bool, err error) { first = err })
-		w.settle()
+		w.commitAll()
 		w.owner.Submit(w.now, submitOf("00000000000000bb"), func(_ bool, err error) { second = err })
 		w.owner.BecomeFollower()
 		Expect(failure.KindOf(first)).To(Equal(failure.UnknownOutcome))
@@ -217,9 +215,9 @@
 	})
 
 	It("pauses after a command that could not be proposed, whatever is due", func() {
-		refused := failure.New(failure.NotLeader, "leadership is being given away")
+		refused := failure.New(failure.NotLeader, "leadership is being transferred")
 		w.submit(id, small())
-		w.beat(beatOf("i1", 1))
+		w.orders(heartbeatOf("i1", 1))
 		w.owner.Cancel(w.now, id, func(error) {})
 		command := w.owner.NextCommand(w.now)
 		Expect(command).NotTo(BeNil())
@@ -231,40 +229,40 @@
 	})
 
 	It("starts a gang's members together with one run", func() {
-		w.beat(beatOf("i1", 1))
-		w.beat(beatOf("i2", 1))
+		w.orders(heartbeatOf("i1", 1))
+		w.orders(heartbeatOf("i2", 1))
 		w.submit(id, protocol.Step{Count: 2, CPU: 15000, MemoryMB: 100, GPU: 8, EstimatedMs: 500, Gang: true})
-		one, _ := w.beat(beatOf("i1", 2))
-		two, _ := w.beat(beatOf("i2", 2))
+		one := w.orders(heartbeatOf("i1", 2))
+		two := w.orders(heartbeatOf("i2", 2))
 		Expect(one.Start).To(HaveLen(1))
 		Expect(two.Start).To(HaveLen(1))
 		Expect(one.Start[0].Run).To(Equal(two.Start[0].Run))
 	})
 
-	It("stops the members left of a gang of which one has ended", func() {
-		w.beat(beatOf("i1", 1))
-		w.beat(beatOf("i2", 1))
+	It("stops the remaining members of a gang of which one has ended", func() {
+		w.orders(heartbeatOf("i1", 1))
+		w.orders(heartbeatOf("i2", 1))
 		w.submit(id, protocol.Step{Count: 2, CPU: 15000, MemoryMB: 100, GPU: 8, EstimatedMs: 500, Gang: true})
-		one, _ := w.beat(beatOf("i1", 2))
-		two, _ := w.beat(beatOf("i2", 2))
-		ended := beatOf("i1", 3)
+		one := w.orders(heartbeatOf("i1", 2))
+		two := w.orders(heartbeatOf("i2", 2))
+		ended := heartbeatOf("i1", 3)
 		ended.Finished = []protocol.FinishedRun{{N: 1, Task: one.Start[0].Task, Run: 1, How: protocol.EndAlone}}
-		w.beat(ended)
-		left := beatOf("i2", 3)
-		left.Active = active(two.Start)
-		orders, _ := w.beat(left)
+		w.orders(ended)
+		left := heartbeatOf("i2", 3)
+		left.Active = activeRuns(two.Start)
+		orders := w.orders(left)
 		Expect(orders.Stop).To(HaveLen(1))
 		Expect(orders.Start).To(BeEmpty())
 	})
 
-	It("stops a run that makes no progress, and goes on elsewhere after its end", func() {
+	It("stops a run that makes no progress", func() {
 		w.submit(id, small())
-		first, _ := w.beat(beatOf("i1", 1))
+		first := w.orders(heartbeatOf("i1", 1))
 		var orders *protocol.Orders
 		for sequence := uint64(2); sequence < 60; sequence++ {
-			listed := beatOf("i1", sequence)
-			listed.Active = active(first.Start)
-			orders, _ = w.beat(listed)
+			listed := heartbeatOf("i1", sequence)
+			listed.Active = activeRuns(first.Start)
+			orders = w.orders(listed)
 			if len(orders.Stop) > 0 {
 				break
 			}
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -12,51 +12,50 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-// unknownID is that of a job that was never handed in.
+// unknownID is that of a job that was never submitted.
 const unknownID = "00000000000000ff"
 
-// answer is what a client's call got from the owner.
+// answer is what a caller got from the owner.
 type answer struct {
-	given bool
-	kind  failure.Kind
-	state string
-	count int
-	known bool
+	replied bool
+	kind    failure.Kind
+	state   string
+	count   int
+	known   bool
 }
 
 func (a *answer) status(state string, err error) {
-	a.given, a.state, a.kind = true, state, failure.KindOf(err)
+	a.replied, a.state, a.kind = true, state, failure.KindOf(err)
 }
 
 func (a *answer) pending(count int, err error) {
-	a.given, a.count, a.kind = true, count, failure.KindOf(err)
+	a.replied, a.count, a.kind = true, count, failure.KindOf(err)
 }
 
-func (a *answer) acknowledged(err error) { a.given, a.kind = true, failure.KindOf(err) }
+func (a *answer) acknowledged(err error) { a.replied, a.kind = true, failure.KindOf(err) }
 
-func (a *answer) taken(known bool, err error) {
-	a.given, a.known, a.kind = true, known, failure.KindOf(err)
+func (a *answer) submitted(known bool, err error) {
+	a.replied, a.known, a.kind = true, known, failure.KindOf(err)
 }
 
-// bounded returns a world whose owner holds so many jobs at most.
-func bounded(most int) *world {
+// limitedWorld returns a world whose owner accepts so many unfinished jobs at most.
+func limitedWorld(maxJobs int) *world {
 	w := &world{state: jobs.New(jobs.Options{}), now: time.Second}
-	bounds := options()
-	bounds.MaxPending = most
-	w.owner = scheduler.New(bounds, w.state)
+	limited := options()
+	limited.MaxUnfinishedJobs = maxJobs
+	w.owner = scheduler.New(limited, w.state)
 	w.lead(7)
 	return w
 }
 
-// ended hands a job in and brings it to its end.
+// ended submits a job and brings it into a final state.
 func (w *world) ended(jobID, state string) {
 	q := protocol.Queue{Key: queue, Service: service, MaxAttempts: 1}
-	_, err := w.submitTo(q, jobID, small())
-	Expect(err).NotTo(HaveOccurred())
+	w.submitTo(q, jobID, small())
 	switch state {
 	case protocol.JobCancelled:
 		w.owner.Cancel(w.now, jobID, func(error) {})
-		w.settle()
+		w.commitAll()
 	case protocol.JobFailed:
 		w.endRun(protocol.EndFailed)
 	default:
@@ -64,98 +63,96 @@
 	}
 }
 
-// endRun has a runner take and end the first run of the only task there is.
-func (w *world) endRun(how string) {
-	orders, err := w.beat(beatOf("i1", 1))
-	Expect(err).NotTo(HaveOccurred())
+// endRun has a runner start and end the first run of the only task there is.
+func (w *world) endRun(outcome string) {
+	orders := w.orders(heartbeatOf("i1", 1))
 	Expect(orders.Start).To(HaveLen(1))
-	beat := beatOf("i1", 2)
-	beat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: how}}
-	_, err = w.beat(beat)
-	Expect(err).NotTo(HaveOccurred())
+	heartbeat := heartbeatOf("i1", 2)
+	heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: outcome}}
+	w.orders(heartbeat)
 }
 
 var _ = Describe("An owner that may have been replaced", func() {
-	// A confirmation of a moment ago says nothing of now.
+	// A confirmation, however recent, says nothing of now.
 	const moment = time.Millisecond
 	var (
 		w   *world
 		got *answer
 	)
 	BeforeEach(func() {
-		w = bounded(1)
+		w = limitedWorld(1)
 		got = &answer{}
 	})
 
-	DescribeTable("waits for a confirmation asked for after the question",
+	DescribeTable("waits for a confirmation that was asked for after the question",
 		func(prepare func(), ask func(), check func()) {
 			prepare()
 			w.pass(moment)
 			asked := w.now + moment
 			w.passUnconfirmed(moment)
 			ask()
-			w.settle()
-			Expect(got.given).To(BeFalse())
+			w.commitAll()
+			Expect(got.replied).To(BeFalse())
 			w.now += moment
-			w.owner.Tick(w.now, w.clock(), asked-1) // of a round that left before
-			w.settle()
-			Expect(got.given).To(BeFalse())
+			w.owner.Tick(w.now, w.clock(), asked-1) // its messages left before the question came
+			w.commitAll()
+			Expect(got.replied).To(BeFalse())
 			w.owner.Tick(w.now, w.clock(), asked)
-			w.settle()
-			Expect(got.given).To(BeTrue())
+			w.commitAll()
+			Expect(got.replied).To(BeTrue())
 			check()
 		},
 		Entry("to show a job as queued", func() { w.submit(id, small()) },
 			func() { w.owner.Status(w.now, id, got.status) },
-			func() { Expect(*got).To(Equal(answer{given: true, state: protocol.JobQueued})) }),
+			func() { Expect(*got).To(Equal(answer{replied: true, state: protocol.JobQueued})) }),
 		Entry("to show a job as running", func() {
 			w.submit(id, small())
-			w.beat(beatOf("i1", 1))
+			w.orders(heartbeatOf("i1", 1))
 		},
 			func() { w.owner.Status(w.now, id, got.status) },
-			func() { Expect(*got).To(Equal(answer{given: true, state: protocol.JobRunning})) }),
-		Entry("to say that there is no such job", func() {},
+			func() { Expect(*got).To(Equal(answer{replied: true, state: protocol.JobRunning})) }),
+		Entry("to answer that there is no such job", func() {},
 			func() { w.owner.Status(w.now, unknownID, got.status) },
 			func() { Expect(got.kind).To(Equal(failure.Gone)) }),
 		Entry("to count", func() { w.submit(id, small()) },
 			func() { w.owner.Pending(w.now, queue, got.pending) },
-			func() { Expect(*got).To(Equal(answer{given: true, count: 1})) }),
-		Entry("to refuse a hand-in for want of room", func() { w.submit(id, small()) },
-			func() { w.owner.Submit(w.now, submitOf(unknownID), got.taken) },
+			func() { Expect(*got).To(Equal(answer{replied: true, count: 1})) }),
+		Entry("to refuse a submit since too many jobs have not ended", func() { w.submit(id, small()) },
+			func() { w.owner.Submit(w.now, submitOf(unknownID), got.submitted) },
 			func() { Expect(got.kind).To(Equal(failure.Overloaded)) }),
 	)
 
-	It("takes a hand-in for which there is room by the time of the confirmation", func() {
+	It("accepts a submit if few enough jobs are left by the time of the confirmation", func() {
 		w.submit(id, small())
 		w.now += moment
-		w.owner.Submit(w.now, submitOf(unknownID), got.taken)
+		w.owner.Submit(w.now, submitOf(unknownID), got.submitted)
 		w.owner.Cancel(w.now, id, func(error) {})
-		w.settle()
-		Expect(got.given).To(BeFalse())
+		w.commitAll()
+		Expect(got.replied).To(BeFalse())
 		w.pass(moment)
-		Expect(*got).To(Equal(answer{given: true}))
+		Expect(*got).To(Equal(answer{replied: true}))
 		_, known := w.state.StateOf(unknownID)
 		Expect(known).To(BeTrue())
 	})
 
-	DescribeTable("gives up after a while without a confirmation, and answers nothing of what it remembers",
+	DescribeTable("answers by an error after a time without a confirmation",
 		func(ask func()) {
 			w.submit(id, small())
 			w.pass(moment)
 			w.passUnconfirmed(moment)
 			ask()
 			w.passUnconfirmed(790 * time.Millisecond)
-			Expect(got.given).To(BeFalse())
+			Expect(got.replied).To(BeFalse())
 			w.passUnconfirmed(20 * time.Millisecond)
-			Expect(*got).To(Equal(answer{given: true, kind: failure.NotLeader}))
+			Expect(*got).To(Equal(answer{replied: true, kind: failure.NotLeader}))
 		},
 		Entry("of a job", func() { w.owner.Status(w.now, id, got.status) }),
 		Entry("of a job that it does not know", func() { w.owner.Status(w.now, unknownID, got.status) }),
 		Entry("of a count", func() { w.owner.Pending(w.now, queue, got.pending) }),
-		Entry("of its room", func() { w.owner.Submit(w.now, submitOf(unknownID), got.taken) }),
+		Entry("of a submit beyond the limit", func() { w.owner.Submit(w.now, submitOf(unknownID), got.submitted) }),
 	)
 
-	DescribeTable("tells at once what stays true",
+	DescribeTable("answers at once what stays true",
 		func(prepare func(), ask func(), want answer) {
 			prepare()
 			w.passUnconfirmed(time.Minute)
@@ -163,20 +160,20 @@
 			Expect(*got).To(Equal(want))
 		},
 		Entry("a job that is completed", func() { w.ended(id, protocol.JobCompleted) },
-			func() { w.owner.Status(w.now, id, got.status) }, answer{given: true, state: protocol.JobCompleted}),
+			func() { w.owner.Status(w.now, id, got.status) }, answer{replied: true, state: protocol.JobCompleted}),
 		Entry("a job that has failed", func() { w.ended(id, protocol.JobFailed) },
-			func() { w.owner.Status(w.now, id, got.status) }, answer{given: true, state: protocol.JobFailed}),
+			func() { w.owner.Status(w.now, id, got.status) }, answer{replied: true, state: protocol.JobFailed}),
 		Entry("a job that is cancelled", func() { w.ended(id, protocol.JobCancelled) },
-			func() { w.owner.Status(w.now, id, got.status) }, answer{given: true, state: protocol.JobCancelled}),
-		Entry("that it has a job which is handed in again", func() {
+			func() { w.owner.Status(w.now, id, got.status) }, answer{replied: true, state: protocol.JobCancelled}),
+		Entry("that it has a job which is submitted again", func() {
 			w.submit(id, small())
 			w.owner.Cancel(w.now, id, func(error) {})
-			w.settle()
+			w.commitAll()
 		},
-			func() { w.owner.Submit(w.now, submitOf(id), got.taken) }, answer{given: true, known: true}),
+			func() { w.owner.Submit(w.now, submitOf(id), got.submitted) }, answer{replied: true, known: true}),
 		Entry("that it has a job which is fenced", func() { w.submit(id, small()) },
-			func() { w.owner.Fence(w.now, jobs.Fence{ID: id, Version: 9}, got.taken) }, answer{given: true, known: true}),
+			func() { w.owner.Fence(w.now, jobs.Fence{ID: id, Version: 9}, got.submitted) }, answer{replied: true, known: true}),
 		Entry("that a job can never be done", func() {},
-			func() { w.owner.Submit(w.now, jobs.Submit{ID: id}, got.taken) }, answer{given: true, kind: failure.Invalid}),
+			func() { w.owner.Submit(w.now, jobs.Submit{ID: id}, got.submitted) }, answer{replied: true, kind: failure.Invalid}),
 	)
 })
--- /dev/null
+++ b/internal/cluster/scheduler/replies.go
@@ -0,0 +1,63 @@
+package scheduler
+
+import (
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/jobs"
+)
+
+// replies are the replies owed for a command, in the order of its parts.
+type replies struct {
+	submits    []func(known bool, err error)
+	cancels    []func(err error)
+	fences     []func(hasJob bool, err error)
+	departures []func(err error)
+}
+
+// succeed sends the replies to a command that was applied.
+func (r *replies) succeed(effects *jobs.Effects) {
+	for i, reply := range r.submits {
+		replySubmit(reply, effects.Submits[i])
+	}
+	for i, reply := range r.cancels {
+		if effects.Cancels[i] {
+			reply(nil)
+			continue
+		}
+		reply(errGone)
+	}
+	for i, reply := range r.fences {
+		reply(effects.Fences[i], nil)
+	}
+	for _, reply := range r.departures {
+		reply(nil)
+	}
+}
+
+func replySubmit(reply func(known bool, err error), effect jobs.SubmitEffect) {
+	switch effect {
+	case jobs.Fenced:
+		reply(false, failure.New(failure.Moved, "the queue belongs to another shard now"))
+	case jobs.Duplicate:
+		reply(true, nil)
+	case jobs.Rejected:
+		reply(false, failure.New(failure.Invalid, "the job cannot be carried out as it is"))
+	default:
+		reply(false, nil)
+	}
+}
+
+// fail sends err to all.
+func (r *replies) fail(err error) {
+	for _, reply := range r.submits {
+		reply(false, err)
+	}
+	for _, reply := range r.cancels {
+		reply(err)
+	}
+	for _, reply := range r.fences {
+		reply(false, err)
+	}
+	for _, reply := range r.departures {
+		reply(err)
+	}
+}
--- a/internal/cluster/scheduler/reportedruns.go
+++ b/internal/cluster/scheduler/reports.go
@@ -1,16 +1,21 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
-// takeFinished proposes the ends that the shard has not got yet.
+// maxFinishedPerHeartbeat is the most ends that one heartbeat lists: with that many there may be more.
+const maxFinishedPerHeartbeat = 500
+
+// takeFinished proposes the ends that the shard has not applied yet.
 func (o *Owner) takeFinished(now time.Duration, r *runner) {
 	seen := o.state.LastSeen(r.instance)
-	sort.Slice(r.report.Finished, func(i, j int) bool { return r.report.Finished[i].N < r.report.Finished[j].N })
+	slices.SortFunc(r.report.Finished, func(a, b protocol.FinishedRun) int { return cmp.Compare(a.N, b.N) })
 	for i := range r.report.Finished {
 		finished := &r.report.Finished[i]
 		if finished.N <= seen {
@@ -20,30 +25,26 @@
 		if err != nil {
 			continue
 		}
-		key := runKey{id, finished.Run}
-		o.learn(now, r, key, finished)
-		run := r.runOf(now, key, outcomeOf(finished.How))
+		key, outcome := runKey{id, finished.Run}, jobs.Outcome(finished.How)
+		o.learn(now, r, key, outcome)
+		run := r.runRecord(now, key, reasonOf(outcome))
 		delete(r.stops, key)
 		delete(r.listed, key)
-		delete(r.ordered, key)
-		if o.isEnding(key) {
+		delete(r.startedAt, key)
+		if o.proposals.isEnding(key) {
 			continue
 		}
-		o.ending[key] = run
-		o.dirty = true
-		o.next.Ends = append(o.next.Ends, jobs.End{
-			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: jobs.Outcome(finished.How), Checkpoint: finished.Saved,
-		})
+		o.roundWanted = true
+		o.proposals.addEnd(jobs.End{
+			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: outcome, Checkpoint: finished.Saved,
+		}, run)
 	}
 }
 
-// finishedPage is the most ends that one heartbeat lists: with that many there may be more.
-const finishedPage = 500
-
 // takeActive notes what the runner lists as active, and orders stops for what should not run.
 func (o *Owner) takeActive(now time.Duration, r *runner) {
 	before := r.listed
-	r.listed = make(map[runKey]*listing, len(r.report.Active))
+	r.listed = make(map[runKey]*listedRun, len(r.report.Active))
 	for i := range r.report.Active {
 		active := &r.report.Active[i]
 		id, err := jobs.ParseTaskID(active.Task)
@@ -53,37 +54,33 @@
 		key := runKey{id, active.Run}
 		entry := before[key]
 		if entry == nil {
-			_, ordered := r.ordered[key]
-			entry = &listing{since: now, movedAt: now, savedAt: now, observed: ordered}
-			entry.percent = active.Percent
+			_, startedHere := r.startedAt[key]
+			entry = &listedRun{since: now, progressAt: now, percent: active.Percent, startedHere: startedHere}
 		}
 		if active.Percent > entry.percent {
 			entry.percent = active.Percent
-			entry.movedAt = now
-		}
-		if active.Saved != entry.saved {
-			entry.saved = active.Saved
-			entry.savedAt = now
+			entry.progressAt = now
 		}
+		entry.checkpoint = active.Saved
 		r.listed[key] = entry
 		delete(r.inherited, key)
-		if !o.wanted(r, key) {
-			o.stop(now, r, key)
+		if !o.isWanted(r, key) {
+			o.stop(r, key)
 		}
 	}
 }
 
-// wanted tells whether a run that a runner lists is one that the shard wants to go on.
-func (o *Owner) wanted(r *runner, key runKey) bool {
+// isWanted reports whether a run that a runner lists is to go on.
+func (o *Owner) isWanted(r *runner, key runKey) bool {
 	task := o.state.Task(key.task)
 	if task == nil || task.Run != key.run || task.Runner != r.instance {
-		return o.lingering(r, key)
+		return o.isLingering(r, key)
 	}
 	return task.Phase == jobs.Running && !task.Group.Job.State.IsAbandoned()
 }
 
-// lingering tells of a run whose gang is done: it ends by itself.
-func (o *Owner) lingering(r *runner, key runKey) bool {
+// isLingering reports whether the gang of a run is done: it ends by itself.
+func (o *Owner) isLingering(r *runner, key runKey) bool {
 	for _, l := range o.state.LingeringOn(r.instance) {
 		if l.Task == key.task && l.Run == key.run {
 			return true
@@ -92,20 +89,10 @@
 	return false
 }
 
-
-// stop orders a run to be stopped, again and again until its end is listed.
-func (o *Owner) stop(now time.Duration, r *runner, key runKey) {
-	if _, already := r.stops[key]; already {
-		return
-	}
-	r.stops[key] = now
-	o.counters.Stops++
-}
-
-// takeRejected gives up the runs that the runner certainly never starts. Where ends may be missing from the heartbeat,
-// it is left to a later one: the run may have ended.
+// takeRejected gives up the runs that the runner certainly never starts. While ends may be missing from the heartbeat,
+// that is left to a later one: the run may have ended.
 func (o *Owner) takeRejected(r *runner) {
-	if len(r.report.Finished) >= finishedPage {
+	if r.mayHaveMoreEnds() {
 		return
 	}
 	for i := range r.report.Rejected {
@@ -115,11 +102,11 @@
 			continue
 		}
 		key := runKey{id, rejected.Run}
-		if _, there := r.listed[key]; there || o.isEnding(key) {
+		if r.lists(key) || o.proposals.isEnding(key) {
 			continue
 		}
 		delete(r.stops, key)
-		if o.lingering(r, key) {
+		if o.isLingering(r, key) {
 			o.loseLingering(r, key)
 			continue
 		}
@@ -129,3 +116,6 @@
 		}
 	}
 }
+
+// mayHaveMoreEnds reports whether ends may be missing from the newest heartbeat.
+func (r *runner) mayHaveMoreEnds() bool { return len(r.report.Finished) >= maxFinishedPerHeartbeat }
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/jobs"
@@ -11,20 +12,20 @@
 )
 
 const (
-	hold    = 6 * time.Second
+	lease   = 6 * time.Second
 	service = "settle"
 	queue   = "host/settle/"
 	startMs = int64(1_700_000_000_000)
 )
 
-// world is one owner over one state, with a log that commits at once unless it is told to wait.
+// world is one owner over one state, with a log that commits at once unless it is stalled.
 type world struct {
-	state   *jobs.State
-	owner   *scheduler.Owner
-	now     time.Duration
-	stalled bool // commands are proposed and not committed
-	pending []*jobs.Command
-	log     []*jobs.Command
+	state    *jobs.State
+	owner    *scheduler.Owner
+	now      time.Duration
+	stalled  bool // commands are proposed and not committed
+	proposed []*jobs.Command
+	log      []*jobs.Command
 }
 
 func newWorld() *world {
@@ -41,19 +42,19 @@
 }
 
 func options() scheduler.Options {
-	return scheduler.Options{MaxLease: hold, StopTime: 900 * time.Millisecond, GangWait: 3 * time.Second}
+	return scheduler.Options{MaxLease: lease, StopTime: 900 * time.Millisecond, GangWait: 3 * time.Second}
 }
 
 func (w *world) clock() int64 { return startMs + w.now.Milliseconds() }
 
-// settle commits what the owner proposes until it proposes nothing more.
-func (w *world) settle() {
+// commitAll commits what the owner proposes until it proposes nothing more, then lets it reply.
+func (w *world) commitAll() {
 	for range 20 {
 		command := w.owner.NextCommand(w.now)
 		if command == nil {
 			break
 		}
-		w.pending = append(w.pending, command)
+		w.proposed = append(w.proposed, command)
 		if w.stalled {
 			break
 		}
@@ -62,59 +63,64 @@
 	w.owner.Flush(w.now)
 }
 
-// commit applies what is pending.
+// commit applies what is proposed.
 func (w *world) commit() {
-	for _, command := range w.pending {
+	for _, command := range w.proposed {
 		w.log = append(w.log, command)
 		effects := w.state.Apply(command)
 		w.owner.Applied(w.now, command, effects, true)
 	}
-	w.pending = nil
+	w.proposed = nil
 }
 
-// pass lets time pass with leadership confirmed all the while.
+// pass lets time pass, with leadership confirmed at its end.
 func (w *world) pass(d time.Duration) {
 	w.now += d
 	w.owner.Tick(w.now, w.clock(), w.now)
-	w.settle()
+	w.commitAll()
 }
 
 // passUnconfirmed lets time pass without any confirmation.
 func (w *world) passUnconfirmed(d time.Duration) {
 	w.now += d
 	w.owner.Tick(w.now, w.clock(), 0)
-	w.settle()
+	w.commitAll()
 }
 
-func (w *world) submit(id string, steps ...protocol.Step) (known bool, err error) {
-	return w.submitTo(protocol.Queue{Key: queue, Service: service, MaxAttempts: 2, Extension: 2, TargetLatencyMs: 800}, id, steps...)
+// submit submits a job, which must succeed unless commits are stalled.
+func (w *world) submit(id string, steps ...protocol.Step) {
+	GinkgoHelper()
+	w.submitTo(protocol.Queue{Key: queue, Service: service, MaxAttempts: 2, Extension: 2, TargetLatencyMs: 800}, id, steps...)
 }
 
-func (w *world) submitTo(q protocol.Queue, id string, steps ...protocol.Step) (known bool, err error) {
+// submitTo is submit to a queue.
+func (w *world) submitTo(q protocol.Queue, id string, steps ...protocol.Step) {
+	GinkgoHelper()
 	replied := false
-	w.owner.Submit(w.now, jobs.Submit{ID: id, Queue: q, Job: protocol.JobSpec{Spec: "do", Steps: steps}}, func(k bool, e error) {
-		replied, known, err = true, k, e
+	w.owner.Submit(w.now, jobs.Submit{ID: id, Queue: q, Job: protocol.JobSpec{Spec: "do", Steps: steps}}, func(_ bool, err error) {
+		replied = true
+		Expect(err).NotTo(HaveOccurred())
 	})
-	w.settle()
+	w.commitAll()
 	if !w.stalled {
-		Expect(replied).To(BeTrue(), "a hand-in is answered once it is committed")
+		Expect(replied).To(BeTrue(), "a submit is answered once it is committed")
 	}
-	return known, err
 }
 
 // beatOf is a heartbeat of a runner with 16 cores.
-func beatOf(instance string, sequence uint64) *protocol.Heartbeat {
+func heartbeatOf(instance string, sequence uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Instance: instance, Service: service, Address: "10.0.0.1:1-" + instance, Zone: "z", State: protocol.Ready,
 		Capacity: protocol.Resources{CPU: 16000, MemoryMB: 32768, GPU: 8}, Labels: []string{"a", "r1"}, Sequence: sequence,
 	}
 }
 
-// beat sends a heartbeat and returns its answer, which must come within the time that answers may wait.
-func (w *world) beat(heartbeat *protocol.Heartbeat) (orders *protocol.Orders, err error) {
+// heartbeat sends a heartbeat and returns its answer, which must come within the time that answers may wait.
+func (w *world) heartbeat(heartbeat *protocol.Heartbeat) (orders *protocol.Orders, err error) {
+	GinkgoHelper()
 	replied := false
 	w.owner.Heartbeat(w.now, heartbeat, func(o *protocol.Orders, e error) { replied, orders, err = true, o, e })
-	w.settle()
+	w.commitAll()
 	for range 20 {
 		if replied {
 			return orders, err
@@ -125,11 +131,19 @@
 	return orders, err
 }
 
+// orders is heartbeat for one that must succeed.
+func (w *world) orders(heartbeat *protocol.Heartbeat) *protocol.Orders {
+	GinkgoHelper()
+	orders, err := w.heartbeat(heartbeat)
+	Expect(err).NotTo(HaveOccurred())
+	return orders
+}
+
 func small() protocol.Step {
 	return protocol.Step{Count: 1, CPU: 500, MemoryMB: 100, EstimatedMs: 500}
 }
 
-func active(orders []protocol.StartOrder) []protocol.ActiveRun {
+func activeRuns(orders []protocol.StartOrder) []protocol.ActiveRun {
 	var rows []protocol.ActiveRun
 	for _, o := range orders {
 		rows = append(rows, protocol.ActiveRun{Task: o.Task, Run: o.Run})
