--- a/test/ci/nethttp_test.go
+++ b/test/ci/nethttp_test.go
@@ -113,7 +113,7 @@
 }
 
 // Guards against taking for granted which requests net/http sends again by itself when a connection that it used before
-// breaks after the request was written: docs/control-safety.md names them.
+// breaks after the request was written: docs/control-safety/calls.md names them.
 func TestWhichRequestsTheHTTPTransportSendsAgain(t *testing.T) {
 	for _, each := range []repeated{
 		{method: "GET", times: 2},
