--- /dev/null
+++ b/internal/configuration/fixtures_test.go
@@ -0,0 +1,105 @@
+package configuration
+
+import (
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreypond/internal/failure"
+	"ospreypond/internal/fixturetest"
+)
+
+// shown is all that a state or a document holds. The digest has every field of both.
+type shown struct {
+	Version uint64
+	JSON    string
+	Earlier []string // services that queues had: of one that moved, of one that was dropped
+	Digest  uint64
+}
+
+func show(s *State) *shown {
+	document := s.Document()
+	earlier := append(document.EarlierServices("one.example/one/"), document.EarlierServices("one.example/two/")...)
+	return &shown{Version: document.Version(), JSON: string(document.JSON()), Earlier: earlier, Digest: s.Digest()}
+}
+
+func showDocument(d *Document, err error) (any, error) {
+	if err != nil {
+		return nil, err
+	}
+	return show(&State{document: d}), nil
+}
+
+// followed returns a state with lists and single sections, a queue that moved, one that was dropped, and orders that were
+// taken and that came early.
+func followed() *State {
+	GinkgoHelper()
+	state := standard()
+	moved := aRoute("r-1", "one.example", "/one/", "b")
+	for _, command := range []Command{
+		update(5, `{"version":6,"upsert":{"routes":[`+moved+`]}}`),
+		update(6, `{"version":7,"remove":{"routes":["r-2"]},"upsert":{"unknown":{"kept":[1,2]},"others":[{"name":"x","n":1}]}}`),
+	} {
+		Expect(state.Execute(command).Kind).To(Equal(failure.None))
+	}
+	Expect(state.Execute(update(9, `{"version":10}`)).Kind).To(Equal(failure.Conflict))
+	return state
+}
+
+var _ = Describe("what the version of the fixtures wrote", func() {
+	It("is read as a command", func() {
+		fixturetest.Check(GinkgoTB(), "command", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				var written Command
+				fixturetest.Fill(&written)
+				data, err := EncodeCommand(written)
+				return written, data, err
+			},
+			Decode: func(data []byte) (any, error) { return DecodeCommand(data) },
+		})
+	})
+
+	It("is read as a snapshot", func() {
+		fixturetest.Check(GinkgoTB(), "snapshot", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				state := followed()
+				data, err := state.Snapshot()
+				return show(state), data, err
+			},
+			Decode: func(data []byte) (any, error) {
+				state := NewState()
+				err := state.Restore(data)
+				return show(state), err
+			},
+		})
+	})
+
+	It("is read as a whole document", func() {
+		fixturetest.Check(GinkgoTB(), "document", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				state := followed()
+				data, err := state.Since(0, false)
+				if err != nil {
+					return nil, nil, err
+				}
+				value, err := showDocument(state.Document(), nil)
+				return value, data, err
+			},
+			Decode: func(data []byte) (any, error) { return showDocument(Decode(data)) },
+		})
+	})
+
+	It("is read as changes", func() {
+		fixturetest.Check(GinkgoTB(), "changes", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				state := followed()
+				data, err := state.Since(5, true)
+				if err != nil {
+					return nil, nil, err
+				}
+				value, err := showDocument(state.Document(), nil)
+				return value, data, err
+			},
+			Decode: func(data []byte) (any, error) { return showDocument(Advance(standard().Document(), data)) },
+		})
+	})
+})
--- /dev/null
+++ b/internal/consensus/fixtures_test.go
@@ -0,0 +1,107 @@
+package consensus
+
+import (
+	"bytes"
+	"encoding/gob"
+	"go/ast"
+	"go/parser"
+	"go/token"
+
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreypond/internal/fixturetest"
+)
+
+// transitions, entryKinds and messageKinds are all constants of their types: their numbers are on disks and on the wire.
+var (
+	transitions = []Transition{TransitionNone, TransitionAdded, TransitionRemoved, TransitionDemoted}
+	entryKinds  = []EntryKind{EntryCommand, EntryEmpty, EntryMembership}
+
+	messageKinds = []MessageKind{
+		MessagePreVote, MessagePreVoteResponse, MessageVote, MessageVoteResponse, MessageAppend, MessageAppendResponse,
+		MessageHeartbeat, MessageHeartbeatResponse, MessageSnapshot, MessageSnapshotResponse, MessageTimeoutNow,
+	}
+)
+
+var _ = ginkgo.Describe("what the version of the fixtures wrote", func() {
+	ginkgo.It("is read as members, in any transition", func() {
+		written := make([]Member, len(transitions))
+		for i := range written {
+			fixturetest.Fill(&written[i])
+			written[i].ID += MemberID(i) << 60
+			written[i].Learner = i%2 == 0
+			written[i].Transition = transitions[i]
+		}
+		fixturetest.Check(ginkgo.GinkgoTB(), "members", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				data, err := EncodeMembers(written)
+				return written, data, err
+			},
+			Decode: func(data []byte) (any, error) {
+				read, err := DecodeMembers(data)
+				if err == nil {
+					Expect(read).To(Equal(written), "each transition has the number that it had")
+				}
+				return read, err
+			},
+		})
+	})
+
+	ginkgo.It("is read as messages of each kind, with entries of each kind", func() {
+		written := make([]Message, len(messageKinds))
+		for i := range written {
+			fixturetest.Fill(&written[i])
+			written[i].Kind = messageKinds[i]
+			written[i].Entries = make([]Entry, len(entryKinds))
+			for j := range entryKinds {
+				fixturetest.Fill(&written[i].Entries[j])
+				written[i].Entries[j].Kind = entryKinds[j]
+			}
+		}
+		fixturetest.Check(ginkgo.GinkgoTB(), "messages", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				var buffer bytes.Buffer
+				err := gob.NewEncoder(&buffer).Encode(written)
+				return written, buffer.Bytes(), err
+			},
+			Decode: func(data []byte) (any, error) {
+				var read []Message
+				err := gob.NewDecoder(bytes.NewReader(data)).Decode(&read)
+				if err == nil {
+					Expect(read).To(Equal(written), "each kind has the number that it had")
+				}
+				return read, err
+			},
+		})
+	})
+
+	ginkgo.It("has every constant of these types", func() {
+		Expect(constants("types.go")).To(Equal(map[string]int{
+			"Transition": len(transitions), "EntryKind": len(entryKinds), "MessageKind": len(messageKinds), "MemberID": 1,
+		}))
+	})
+})
+
+// constants counts the constants that a file declares, by type.
+func constants(path string) map[string]int {
+	ginkgo.GinkgoHelper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	Expect(err).NotTo(HaveOccurred())
+	counts := map[string]int{}
+	for _, declaration := range file.Decls {
+		group, ok := declaration.(*ast.GenDecl)
+		if !ok || group.Tok != token.CONST {
+			continue
+		}
+		of := ""
+		for _, spec := range group.Specs {
+			value := spec.(*ast.ValueSpec)
+			if named, ok := value.Type.(*ast.Ident); ok {
+				of = named.Name
+			}
+			counts[of] += len(value.Names)
+		}
+	}
+	return counts
+}
--- /dev/null
+++ b/internal/jobs/fixtures_test.go
@@ -0,0 +1,191 @@
+package jobs_test
+
+import (
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreypond/internal/fixturetest"
+	"ospreypond/internal/jobs"
+	"ospreypond/internal/protocol"
+)
+
+const (
+	jobD = "00000000000000dd"
+	jobE = "00000000000000ee"
+	jobF = "00000000000000ff"
+)
+
+var phases = []jobs.Phase{
+	jobs.Waiting, jobs.Held, jobs.Running, jobs.Done, jobs.Failed, jobs.Cancelled, jobs.Pending,
+}
+
+// eventfulShard is a shard in which jobs are in every state and tasks in every phase: those of busyShard, one that has
+// failed, one that is completed and one that waits.
+func eventfulShard() *shard {
+	GinkgoHelper()
+	s := busyShard()
+	s.submit(jobD, 1, step(2), step(1, after(0)))
+	s.startOn(1, "r1", id(jobD, 0), "r2", id(jobD, 1))
+	s.end("r1", id(jobD, 0), 1, protocol.EndFailed, "saved before it failed")
+	s.submit(jobE, 1, step(1))
+	s.startOn(1, "r1", id(jobE, 0))
+	s.end("r1", id(jobE, 0), 1, protocol.EndDone, "")
+	s.submit(jobF, 1, step(1))
+	s.do(&jobs.Command{Places: []jobs.Place{{Runner: "r1", Address: "10.0.0.1:8080"}, {Runner: "r3", Address: "10.0.0.3:8080"}}})
+	seen := map[jobs.Phase]bool{}
+	states := map[string]bool{}
+	for _, id := range s.JobIDs("", "", 100) {
+		job := s.Job(id)
+		states[job.State] = true
+		for _, group := range job.Groups {
+			for _, task := range group.Tasks {
+				seen[task.Phase] = true
+			}
+		}
+	}
+	for _, phase := range phases {
+		Expect(seen).To(HaveKey(phase), phaseName(phase))
+	}
+	Expect(states).To(HaveLen(5))
+	return s
+}
+
+// shownTask, shownJob and shownState have what a state shows of its parts, without the links between them.
+type shownTask struct {
+	ID       string
+	Phase    jobs.Phase
+	Run      uint64
+	Runner   string
+	Saved    string
+	Attempts int
+	HeldAtMs int64
+}
+
+type shownGroup struct {
+	Left     int
+	Run      uint64
+	Attempts int
+	Alive    int
+	Saved    string
+	Tasks    []shownTask
+}
+
+type shownJob struct {
+	ID         string
+	Queue      protocol.Queue
+	Spec       protocol.JobSpec
+	State      string
+	AcceptedMs int64
+	EndedMs    int64
+	Groups     []shownGroup
+}
+
+type shownRunner struct {
+	ID        string
+	Place     string
+	LastSeen  uint64
+	Departed  bool
+	Lingering []jobs.Lingering
+	Runs      []string
+}
+
+type shownState struct {
+	ClockMs  int64
+	Counters jobs.Counters
+	Jobs     []shownJob
+	Runners  []shownRunner
+	Held     []string
+	Digest   uint64 // of every field that a snapshot has
+}
+
+func show(state *jobs.State) *shownState {
+	all := &shownState{ClockMs: state.ClockMs(), Counters: state.Counters(), Digest: state.Digest()}
+	for _, id := range state.JobIDs("", "", 100) {
+		job := state.Job(id)
+		shown := shownJob{
+			ID: job.ID, Queue: job.Queue, Spec: job.Spec, State: job.State, AcceptedMs: job.AcceptedMs, EndedMs: job.EndedMs,
+		}
+		for _, group := range job.Groups {
+			shown.Groups = append(shown.Groups, showGroup(group))
+		}
+		all.Jobs = append(all.Jobs, shown)
+	}
+	for _, runner := range state.Runners() {
+		s := &shard{State: state}
+		all.Runners = append(all.Runners, shownRunner{
+			ID: runner, Place: state.PlaceOf(runner), LastSeen: state.LastSeen(runner), Departed: state.Departed(runner),
+			Lingering: state.LingeringOn(runner), Runs: s.runsOn(runner),
+		})
+	}
+	all.Held = (&shard{State: state}).held()
+	return all
+}
+
+func showGroup(group *jobs.Group) shownGroup {
+	shown := shownGroup{
+		Left: group.Left, Run: group.Run, Attempts: group.Attempts, Alive: group.Alive, Saved: group.Saved,
+	}
+	for _, task := range group.Tasks {
+		shown.Tasks = append(shown.Tasks, shownTask{
+			ID: task.ID.String(), Phase: task.Phase, Run: task.Run, Runner: task.Runner, Saved: task.Saved,
+			Attempts: task.Attempts, HeldAtMs: task.HeldAtMs,
+		})
+	}
+	return shown
+}
+
+// endedCommand has a run's end of each kind.
+func endedCommand() *jobs.Command {
+	c := &jobs.Command{}
+	for i, how := range []string{
+		protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed, protocol.EndBroken, protocol.EndAlone,
+		protocol.EndRefused,
+	} {
+		c.Ends = append(c.Ends, jobs.End{Runner: "r1", N: uint64(i + 1), Task: id(jobA, i), Run: 1, How: how})
+	}
+	return c
+}
+
+var _ = Describe("what the version of the fixtures wrote", func() {
+	DescribeTable("is read as a command, and written the same again",
+		func(name string, command func() *jobs.Command) {
+			fixturetest.Check(GinkgoTB(), name, fixturetest.Codec{
+				Encode: func() (any, []byte, error) {
+					data, err := jobs.Encode(command())
+					return command(), data, err
+				},
+				Decode: func(data []byte) (any, error) {
+					read, err := jobs.Decode(data)
+					if err == nil {
+						Expect(encode(read)).To(Equal(data))
+					}
+					return read, err
+				},
+			})
+		},
+		Entry("with all fields", "command", func() *jobs.Command {
+			c := &jobs.Command{}
+			fixturetest.Fill(c)
+			return c
+		}),
+		Entry("with all ways a run ends", "ends", endedCommand),
+	)
+
+	It("is read as a snapshot, and written the same again", func() {
+		fixturetest.Check(GinkgoTB(), "snapshot", fixturetest.Codec{
+			Encode: func() (any, []byte, error) {
+				s := eventfulShard()
+				data, err := s.Snapshot()
+				return show(s.State), data, err
+			},
+			Decode: func(data []byte) (any, error) {
+				state := jobs.New(jobs.Options{})
+				if err := state.Restore(data); err != nil {
+					return nil, err
+				}
+				Expect(state.Snapshot()).To(Equal(data))
+				return show(state), nil
+			},
+		})
+	})
+})
