--- a/internal/fixturetest/fixturetest.go
+++ b/internal/fixturetest/fixturetest.go
@@ -33,8 +33,8 @@
 
 // Codec writes and reads one kind of data.
 type Codec struct {
-	// Encode returns the value to be kept as a fixture, with all fields set, and its encoded form. It runs only if the
-	// fixture is missing.
+	// Encode returns the value to be kept as a fixture, with all fields set, and its encoded form. It is compared with the
+	// fixture as well: an earlier program must find the names of all fields that it knows.
 	Encode func() (value any, data []byte, err error)
 	// Decode returns what the encoded form holds, as a value with the same fields in the same order.
 	Decode func(data []byte) (any, error)
@@ -43,7 +43,8 @@
 // Path returns the path of the fixture of that name, below the folder of the package under test.
 func Path(name string) string { return filepath.Join(folder, name+extension) }
 
-// Check decodes the fixture of that name and compares all its fields with what was written.
+// Check decodes the fixture of that name and compares all its fields with what was written. It also encodes the value
+// again: what is written today must have all gob fields that the fixture has.
 func Check(t testing.TB, name string, codec Codec) {
 	t.Helper()
 	text, err := os.ReadFile(Path(name))
@@ -67,6 +68,14 @@
 	if said := difference(expected, Fields(value)); said != "" {
 		t.Errorf("fixture %s is decoded to something else than was written:\n%s", name, said)
 	}
+	_, present, err := codec.Encode()
+	if err != nil {
+		t.Errorf("fixture %s cannot be encoded any more: %v", name, err)
+		return
+	}
+	if missing := missingNames(data, present); len(missing) > 0 {
+		t.Errorf("fixture %s has fields that are not written any more, and that an earlier program would miss: %v", name, missing)
+	}
 }
 
 // WriteMissing tells whether fixtures that are not there are to be written.
--- a/internal/fixturetest/fixturetest_test.go
+++ b/internal/fixturetest/fixturetest_test.go
@@ -42,6 +42,13 @@
 	Bytes []byte
 }
 
+// Exported, Values and Alone are types whose names gob describes beside those of their fields.
+type (
+	Exported struct{ Value Values }
+	Values   []Alone
+	Alone    struct{ Only map[string]Exported }
+)
+
 func filled() *sample {
 	value := &sample{}
 	Fill(value)
@@ -95,6 +102,24 @@
 		difference(Fields(filled()), Fields(&read)))
 }
 
+func TestGobFieldsThatAreNotWrittenAnyMoreAreTold(t *testing.T) {
+	var earlier, present bytes.Buffer
+	require.NoError(t, gob.NewEncoder(&earlier).Encode(filled()))
+	value := &renamed{}
+	Fill(value)
+	require.NoError(t, gob.NewEncoder(&present).Encode(value))
+	assert.Equal(t, []string{"Number", "Flag", "List", "Pointer", "Map", "Sum", "Share", "Text", "Bytes"}, fieldNames(earlier.Bytes()))
+	assert.Equal(t, []string{"Flag"}, missingNames(earlier.Bytes(), present.Bytes()))
+	assert.Equal(t, []string{"Marked", "Added", "Label", "Bytes"}, missingNames(present.Bytes(), earlier.Bytes()))
+	assert.Empty(t, missingNames(earlier.Bytes(), earlier.Bytes()))
+}
+
+func TestNamesOfTypesAreNoNamesOfFields(t *testing.T) {
+	var data bytes.Buffer
+	require.NoError(t, gob.NewEncoder(&data).Encode(Exported{}))
+	assert.ElementsMatch(t, []string{"Value", "Only"}, fieldNames(data.Bytes()))
+}
+
 func TestFieldsThatChangePlacesAreTold(t *testing.T) {
 	assert.NotEmpty(t, difference([]Field{{"A", "1"}, {"B", "2"}}, []Field{{"A", "2"}, {"B", "1"}}))
 	assert.NotEmpty(t, difference([]Field{{"A", "1"}}, []Field{{"A", "1"}, {"B", "1"}}))
--- a/internal/transport/fixtures_test.go
+++ b/internal/transport/fixtures_test.go
@@ -1,7 +1,9 @@
 package transport_test
 
 import (
+	"bytes"
 	"context"
+	"encoding/binary"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -26,10 +28,9 @@
 )
 
 const (
-	soon     = 10 * time.Second       // for what happens at once, on a busy machine too
-	silence  = 300 * time.Millisecond // after which a peer is taken to have said all; only where fixtures are written
-	recorder = "recorder"             // name of the client whose connections are recorded
-	greeting = 6                      // bytes of the greeting of a client or a server without a name
+	soon     = 10 * time.Second // for what happens at once, on a busy machine too
+	recorder = "recorder"       // name of the client whose connections are recorded
+	greeting = 6                // bytes of the greeting of a client or a server without a name
 )
 
 // exchange is one kind of call, or of message without an answer. Its fixtures are all the bytes of a connection in either
@@ -162,7 +163,11 @@
 		return nil, nil, err
 	}
 	defer conn.Close()
-	return value, untilSilent(conn), nil
+	data, err := untilValue(conn, recorder)
+	if err != nil {
+		return nil, nil, err
+	}
+	return named(value, data, e.requestName)
 }
 
 // readRequest returns what a server makes of what a client sent.
@@ -213,11 +218,14 @@
 	if _, err := conn.Write(request); err != nil {
 		return nil, nil, err
 	}
-	answer := untilSilent(conn)
+	answer, err := untilValue(conn, "")
+	if err != nil {
+		return nil, nil, err
+	}
 	if refusal != nil {
 		return refusal, answer, nil
 	}
-	return value, answer, nil
+	return named(value, answer, e.responseName)
 }
 
 func refusing[Req, Resp any](refusal error) exchange {
@@ -286,22 +294,40 @@
 	return conn
 }
 
-// untilSilent reads until nothing has come for some time.
-func untilSilent(conn net.Conn) []byte {
-	var all []byte
-	buffer := make([]byte, 64<<10)
+// untilValue reads a greeting, descriptions of types, and the first frame that is none.
+func untilValue(conn net.Conn, name string) ([]byte, error) {
+	const lengthBytes, define = 4, 1
+	if err := conn.SetReadDeadline(time.Now().Add(soon)); err != nil {
+		return nil, err
+	}
+	var all bytes.Buffer
+	reader := io.TeeReader(conn, &all)
+	if _, err := io.ReadFull(reader, make([]byte, greeting+len(name))); err != nil {
+		return nil, err
+	}
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(silence)); err != nil {
-			return all
+		var length [lengthBytes]byte
+		if _, err := io.ReadFull(reader, length[:]); err != nil {
+			return nil, err
+		}
+		frame := make([]byte, binary.BigEndian.Uint32(length[:]))
+		if _, err := io.ReadFull(reader, frame); err != nil {
+			return nil, err
 		}
-		count, err := conn.Read(buffer)
-		all = append(all, buffer[:count]...)
-		if err != nil {
-			return all
+		if frame[0] != define {
+			return all.Bytes(), nil
 		}
 	}
 }
 
+// named checks that data describes the type by the name that it always had.
+func named(value any, data []byte, name string) (any, []byte, error) {
+	if !bytes.Contains(data, []byte(name)) {
+		return nil, nil, errors.Errorf("it is not sent as %s", name)
+	}
+	return value, data, nil
+}
+
 var _ = Describe("the fixtures of messages", func() {
 	It("are of all types that packages protocol and administration have messages of", func() {
 		reached := map[string]bool{}
