--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -53,8 +53,15 @@
 	session *gexec.Session
 }
 
-// startLocal starts one in a network of its own, and waits until it says that it is ready.
+// startLocal starts one of the program under test.
 func startLocal(dir string, flags ...string) *localSystem {
+	GinkgoHelper()
+	return startLocalProgram(program, dir, flags...)
+}
+
+// startLocalProgram starts one in a network of its own, and waits until it says that it is ready. Its processes run the file
+// that is at the path when they start.
+func startLocalProgram(program, dir string, flags ...string) *localSystem {
 	GinkgoHelper()
 	s := &localSystem{dir: dir, network: fmt.Sprintf("127.%d.%d", 80+rand.IntN(100), rand.IntN(250))}
 	arguments := append([]string{"--program", program, "--dir", dir, "--network", s.network}, flags...)
@@ -123,6 +130,12 @@
 	return out.String(), err
 }
 
+// runProgram runs a command that needs no running system, and returns all that it says.
+func runProgram(arguments ...string) (string, error) {
+	out, err := exec.Command(program, arguments...).CombinedOutput()
+	return string(out), err
+}
+
 // succeed runs a command, that may be given again, until it works.
 func (s *localSystem) succeed(input, line string) (out string) {
 	GinkgoHelper()
@@ -148,10 +161,16 @@
 	return response.StatusCode, string(answer)
 }
 
-// handIn hands a job in until it is taken.
-func (s *localSystem) handIn(frontend int, path, spec string) {
+// submitJob submits a job of two steps until it is accepted.
+func (s *localSystem) submitJob(frontend int, path, spec string) {
+	GinkgoHelper()
+	s.submit(frontend, path, spec, `[{"count":3,"cpu":500,"memoryLimitMb":64},{"count":1,"cpu":100,"dependsOn":[0]}]`)
+}
+
+// submit submits a job with these steps until it is accepted.
+func (s *localSystem) submit(frontend int, path, spec, steps string) {
 	GinkgoHelper()
-	body := fmt.Sprintf(`{"spec":%q,"steps":[{"count":3,"cpu":500,"memoryLimitMb":64},{"count":1,"cpu":100,"dependsOn":[0]}]}`, spec)
+	body := fmt.Sprintf(`{"spec":%q,"steps":%s}`, spec, steps)
 	Eventually(func(g Gomega) {
 		status, answer := s.ask(frontend, http.MethodPost, path, body)
 		g.Expect(status).To(Equal(http.StatusOK), answer)
@@ -196,7 +215,7 @@
 		s := startLocal(filepath.Join(GinkgoT().TempDir(), "system"))
 
 		By("doing a job, handed in and asked for at two frontends")
-		s.handIn(1, firstJob, "sleep 100ms")
+		s.submitJob(1, firstJob, "sleep 100ms")
 		s.becomes(2, firstJob, "completed")
 
 		By("taking a configuration")
@@ -204,20 +223,20 @@
 			`"timeoutMs":3000,"targetLatencyMs":2000,"priority":1,"service":"demo","maxAttempts":3,"extension":2}]}}`
 		Expect(s.succeed(added, "config diff -")).To(ContainSubstring("+ routes more"))
 		Expect(s.succeed(added, "config apply - --base 1")).To(Equal("version 7 is in force, built on 1\n"))
-		s.handIn(1, movedJob, "sleep 100ms")
+		s.submitJob(1, movedJob, "sleep 100ms")
 		s.becomes(1, movedJob, "completed")
 
 		By("going on while the owner of the jobs is killed")
 		owner := s.ownerOf()
 		Expect(syscall.Kill(s.pids()[owner], syscall.SIGKILL)).To(Succeed())
-		s.handIn(2, afterKill, "sleep 100ms")
+		s.submitJob(2, afterKill, "sleep 100ms")
 		s.becomes(1, afterKill, "completed")
 		s.becomes(2, firstJob, "completed")
 		Eventually(s.session.Out, patience).Should(gbytes.Say(owner + " ended: signal: killed; it is started again"))
 		s.succeed("", "members") // fails while one is silent
 
 		By("holding a job that lasts, until it is cancelled")
-		s.handIn(1, lastJob, "last")
+		s.submitJob(1, lastJob, "last")
 		s.becomes(1, lastJob, "running")
 		Expect(s.succeed("", "jobs list --queue demo.local/jobs")).To(ContainSubstring("00000000000000a4"))
 		Expect(s.succeed("", "runners")).To(ContainSubstring("ready"))
@@ -228,16 +247,16 @@
 		Expect(s.succeed("", "backup "+backup)).To(ContainSubstring("5 shards"))
 		s.interrupt()
 		for _, control := range []string{"control-1", "control-2", "control-3"} {
-			out, err := exec.Command(program, "state", "verify", filepath.Join(s.dir, control, "data")).CombinedOutput()
-			Expect(err).NotTo(HaveOccurred(), string(out))
-			Expect(string(out)).To(HaveSuffix("no faults\n"))
+			out, err := runProgram("state", "verify", filepath.Join(s.dir, control, "data"))
+			Expect(err).NotTo(HaveOccurred(), out)
+			Expect(out).To(HaveSuffix("no faults\n"))
 		}
 
 		By("going on from the backup in new processes")
 		again := startLocal(filepath.Join(GinkgoT().TempDir(), "again"), "--restore", backup)
 		again.becomes(1, firstJob, "completed")
 		again.becomes(2, lastJob, "cancelled")
-		again.handIn(1, "/more/00000000000000a5", "sleep 100ms")
+		again.submitJob(1, "/more/00000000000000a5", "sleep 100ms")
 		again.becomes(2, "/more/00000000000000a5", "completed")
 		Eventually(func() string { return again.succeed("", "members") }, patience, pollEvery).Should(And(
 			MatchRegexp("control-1 .* voter "), MatchRegexp("control-2 .* voter "), MatchRegexp("control-3 .* voter ")))
