--- a/internal/cluster/jobs/fixtures_test.go
+++ b/internal/cluster/jobs/fixtures_test.go
@@ -20,20 +20,20 @@
 }
 
 // eventfulShard is a shard in which jobs are in every state and tasks in every phase: those of busyShard, one that has
-// failed, one that is completed and one that waits.
+// failed, one that is completed and one that is queued.
 func eventfulShard() *shard {
 	GinkgoHelper()
 	s := busyShard()
 	s.submit(jobD, 1, step(2), step(1, after(0)))
 	s.startOn(1, "r1", id(jobD, 0), "r2", id(jobD, 1))
-	s.end("r1", id(jobD, 0), 1, protocol.EndFailed, "saved before it failed")
+	s.end("r1", id(jobD, 0), 1, jobs.OutcomeFailed, "saved before it failed")
 	s.submit(jobE, 1, step(1))
 	s.startOn(1, "r1", id(jobE, 0))
-	s.end("r1", id(jobE, 0), 1, protocol.EndDone, "")
+	s.end("r1", id(jobE, 0), 1, jobs.OutcomeDone, "")
 	s.submit(jobF, 1, step(1))
 	s.do(&jobs.Command{RunnerAddresses: []jobs.RunnerAddress{{Runner: "r1", Address: "10.0.0.1:8080"}, {Runner: "r3", Address: "10.0.0.3:8080"}}})
 	seen := map[jobs.Phase]bool{}
-	states := map[string]bool{}
+	states := map[jobs.JobState]bool{}
 	for _, id := range s.JobIDs("", "", 100) {
 		job := s.Job(id)
 		states[job.State] = true
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, phase := range phases {
-		Expect(seen).To(HaveKey(phase), phaseName(phase))
+		Expect(seen).To(HaveKey(phase), phase.String())
 	}
 	Expect(states).To(HaveLen(5))
 	return s
@@ -62,10 +62,10 @@
 }
 
 type shownGroup struct {
-	Left       int
+	Unfinished int
 	Run        uint64
 	Attempts   int
-	Alive      int
+	Running    int
 	Checkpoint string
 	Tasks      []shownTask
 }
@@ -74,7 +74,7 @@
 	ID         string
 	Queue      protocol.Queue
 	Spec       protocol.JobSpec
-	State      string
+	State      jobs.JobState
 	AcceptedMs int64
 	EndedMs    int64
 	Groups     []shownGroup
@@ -82,7 +82,7 @@
 
 type shownRunner struct {
 	ID        string
-	Place     string
+	Address   string
 	LastSeen  uint64
 	Departed  bool
 	Lingering []jobs.Lingering
@@ -94,7 +94,7 @@
 	Counters jobs.Counters
 	Jobs     []shownJob
 	Runners  []shownRunner
-	Held     []string
+	Pending  []string
 	Digest   uint64 // of every field that a snapshot has
 }
 
@@ -113,17 +113,18 @@
 	for _, runner := range state.Runners() {
 		s := &shard{State: state}
 		all.Runners = append(all.Runners, shownRunner{
-			ID: runner, Place: state.AddressOf(runner), LastSeen: state.LastSeen(runner), Departed: state.Departed(runner),
+			ID: runner, Address: state.AddressOf(runner), LastSeen: state.LastSeen(runner), Departed: state.Departed(runner),
 			Lingering: state.LingeringOn(runner), Runs: s.runsOn(runner),
 		})
 	}
-	all.Held = (&shard{State: state}).held()
+	all.Pending = (&shard{State: state}).pendingIDs()
 	return all
 }
 
 func showGroup(group *jobs.Group) shownGroup {
 	shown := shownGroup{
-		Left: group.Left, Run: group.Run, Attempts: group.Attempts, Alive: group.Alive, Checkpoint: group.Checkpoint,
+		Unfinished: group.Unfinished, Run: group.Run, Attempts: group.Attempts, Running: group.Running,
+		Checkpoint: group.Checkpoint,
 	}
 	for _, task := range group.Tasks {
 		shown.Tasks = append(shown.Tasks, shownTask{
@@ -134,14 +135,14 @@
 	return shown
 }
 
-// endedCommand has a run's end of each kind.
+// endedCommand has an end with each outcome.
 func endedCommand() *jobs.Command {
 	c := &jobs.Command{}
-	for i, how := range []string{
-		protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed, protocol.EndBroken, protocol.EndAlone,
-		protocol.EndRefused,
+	for i, outcome := range []jobs.Outcome{
+		jobs.OutcomeDone, jobs.OutcomeFailed, jobs.OutcomeStopped, jobs.OutcomeLapsed, jobs.OutcomeBroken, jobs.OutcomeAlone,
+		jobs.OutcomeRefused,
 	} {
-		c.Ends = append(c.Ends, jobs.End{Runner: "r1", N: uint64(i + 1), Task: id(jobA, i), Run: 1, Outcome: how})
+		c.Ends = append(c.Ends, jobs.End{Runner: "r1", N: uint64(i + 1), Task: id(jobA, i), Run: 1, Outcome: outcome})
 	}
 	return c
 }
@@ -168,7 +169,7 @@
 			fixturetest.Fill(c)
 			return c
 		}),
-		Entry("with all ways a run ends", "ends", endedCommand),
+		Entry("with all outcomes", "ends", endedCommand),
 	)
 
 	It("is read as a snapshot, and written the same again", func() {
