--- a/internal/cluster/latency/export_test.go
+++ b/internal/cluster/latency/export_test.go
@@ -1,10 +1,10 @@
 package latency
 
-// Open returns how many steps have a record.
-func (l *Recorder) Open() int {
-	open := len(l.groups)
-	for _, records := range l.jobs {
-		open = max(open, len(records))
+// RecordedSteps returns how many steps have a record.
+func (r *Recorder) RecordedSteps() int {
+	steps := len(r.groups)
+	for _, records := range r.jobs {
+		steps = max(steps, len(records))
 	}
-	return open
+	return steps
 }
