--- a/internal/cluster/scheduler/deregister_test.go
+++ b/internal/cluster/scheduler/deregister_test.go
@@ -70,11 +70,11 @@
 var _ = Describe("Deregistering", func() {
 	var (
 		w   *world
-		got *answer
+		got *result
 	)
 	BeforeEach(func() {
 		w = newWorld()
-		got = &answer{}
+		got = &result{}
 	})
 	deregister := func(instance string) {
 		w.owner.Deregister(instance, got.acknowledged)
@@ -87,7 +87,7 @@
 		w.pass(time.Second)
 		Expect(got.replied).To(BeFalse())
 		w.commit()
-		Expect(*got).To(Equal(answer{replied: true}))
+		Expect(*got).To(Equal(result{replied: true}))
 	})
 
 	It("has an unknown outcome if leadership is lost before", func() {
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if heartbeat.FenceOnly {
-		o.answerFencingToken(now, reply)
+		o.replyFencingToken(now, reply)
 		return
 	}
 	if _, over := o.runners.ended[heartbeat.Instance]; over {
@@ -26,20 +26,20 @@
 	}
 	r := o.runners.current[heartbeat.Instance]
 	if r == nil && o.isAddressContested(now, heartbeat) {
-		reply(nil, failure.New(failure.Conflict, "another incarnation was heard from this address a moment ago"))
+		reply(nil, failure.New(failure.Conflict, "another incarnation at this address reported a moment ago"))
 		return
 	}
 	if r == nil {
 		r = o.newRunner(heartbeat.Instance, now)
 		r.leaseExpiry = now
 		o.runners.add(r)
-		o.roundWanted = true
+		o.roundRequested = true
 	}
 	if r.hasReported && heartbeat.Sequence <= r.report.Sequence {
 		reply(nil, errNewerHeartbeat)
 		return
 	}
-	r.answer(nil, errNewerHeartbeat)
+	r.respond(nil, errNewerHeartbeat)
 	o.takeReport(now, r, heartbeat)
 	o.takeAddress(now, r)
 	o.takeFinished(now, r)
@@ -51,8 +51,8 @@
 	r.replyDue = now + o.options.MaxReplyDelay
 }
 
-// answerFencingToken answers with the fencing token alone.
-func (o *Owner) answerFencingToken(now time.Duration, reply func(*protocol.Orders, error)) {
+// replyFencingToken answers with the fencing token alone.
+func (o *Owner) replyFencingToken(now time.Duration, reply func(*protocol.Orders, error)) {
 	if !o.leadership.isConfirmed(now) {
 		reply(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
 		return
@@ -62,7 +62,7 @@
 
 func (o *Owner) takeReport(now time.Duration, r *runner, heartbeat *protocol.Heartbeat) {
 	if !r.hasReported || r.report.State != heartbeat.State || r.report.Capacity != heartbeat.Capacity {
-		o.roundWanted = true
+		o.roundRequested = true
 	}
 	r.report = *heartbeat
 	r.hasReported = true
--- a/internal/cluster/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -83,7 +83,7 @@
 		o.endIncarnation(now, before)
 		return
 	}
-	o.roundWanted = true
+	o.roundRequested = true
 }
 
 // endIncarnation ends an incarnation that is certainly over: its runs are lost.
@@ -93,7 +93,7 @@
 	if r == nil {
 		return
 	}
-	r.answer(nil, errIncarnationOver)
+	r.respond(nil, errIncarnationOver)
 	o.loseAll(r)
 	delete(o.runners.current, instance)
 }
--- a/internal/cluster/scheduler/late_heartbeat_test.go
+++ b/internal/cluster/scheduler/late_heartbeat_test.go
@@ -88,8 +88,8 @@
 
 var _ = Describe("An answer to a heartbeat", func() {
 	const (
-		maxAnswerBytes = 4 << 20
-		tasks          = 400
+		maxResponseBytes = 4 << 20
+		tasks            = 400
 	)
 
 	It("is never larger than a runner accepts, and the rest comes with the next", func() {
@@ -107,7 +107,7 @@
 			orders := w.orders(heartbeat)
 			body, err := json.Marshal(orders)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(len(body)).To(BeNumerically("<", maxAnswerBytes))
+			Expect(len(body)).To(BeNumerically("<", maxResponseBytes))
 			running = append(running, activeRuns(orders.Start)...)
 			w.pass(50 * time.Millisecond)
 		}
--- a/internal/cluster/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -78,7 +78,7 @@
 	}
 	delete(r.stops, key)
 	delete(r.startedAt, key)
-	o.roundWanted = true
+	o.roundRequested = true
 	o.proposals.addLoss(
 		jobs.Loss{Runner: r.instance, Task: task.ID, Run: task.Run, Checkpoint: checkpoint},
 		r.runRecord(r.lastContact, key, latency.Lost),
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -17,10 +17,10 @@
 	maxEscapedBytes    = 6  // that JSON takes for one byte of a text
 )
 
-// answer sends the orders for a runner's newest heartbeat.
-func (o *Owner) answer(now time.Duration, r *runner) {
+// complete sends the orders for a runner's newest heartbeat.
+func (o *Owner) replyToHeartbeat(now time.Duration, r *runner) {
 	if !o.leadership.isConfirmed(now) {
-		r.answer(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
+		r.respond(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
 		return
 	}
 	orders := &protocol.Orders{
@@ -33,7 +33,7 @@
 		orders.Start = o.startOrders(r)
 	}
 	orders.Stop = stopOrders(r)
-	r.answer(orders, nil)
+	r.respond(orders, nil)
 }
 
 // startOrders returns the starts that the shard has for the runner and that the runner does not list, the oldest first, as
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -22,9 +22,9 @@
 	faults     jobFaults
 	reasons    waitReasons
 
-	roundWanted bool // something changed that a round may use
-	lastRound   time.Duration
-	counters    Counters
+	roundRequested bool // something changed that a round may use
+	lastRound      time.Duration
+	counters       Counters
 }
 
 // Counters count what the owner did since the process started.
@@ -68,7 +68,7 @@
 	o.headroom = headroom{}
 	o.faults = jobFaults{}
 	o.reasons.reset(o.leadership.since)
-	o.roundWanted = true
+	o.roundRequested = true
 	o.lastRound = 0
 }
 
@@ -103,7 +103,7 @@
 	proposals.inFlightReplies.fail(unknown)
 	reads.fail(notLeader)
 	for _, r := range runners.current {
-		r.answer(nil, notLeader)
+		r.respond(nil, notLeader)
 	}
 }
 
--- a/internal/cluster/scheduler/proposals.go
+++ b/internal/cluster/scheduler/proposals.go
@@ -7,7 +7,7 @@
 	"ospreypond/internal/cluster/latency"
 )
 
-// proposeRetryInterval is the pause after a command that could not be proposed, as during a transfer of leadership.
+// proposeRetryInterval is the time after a command that could not be proposed, as during a transfer of leadership.
 const proposeRetryInterval = 50 * time.Millisecond
 
 // proposals collect the next command, and track the one that is in flight: one at a time.
@@ -142,7 +142,7 @@
 	o.countStarts(now, command)
 	owed.succeed(effects)
 	o.stopBrokenGangs(effects)
-	o.roundWanted = true
+	o.roundRequested = true
 }
 
 // Failed is called when the outcome of a command will not be known, or when it was not proposed at all.
@@ -154,7 +154,7 @@
 	o.proposals.forgetEnding(command)
 	o.proposals.retryAt = now + proposeRetryInterval
 	owed.fail(err)
-	o.roundWanted = true
+	o.roundRequested = true
 }
 
 func (o *Owner) countStarts(now time.Duration, command *jobs.Command) {
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -15,8 +15,8 @@
 // unknownID is that of a job that was never submitted.
 const unknownID = "00000000000000ff"
 
-// answer is what a caller got from the owner.
-type answer struct {
+// complete is what a caller got from the owner.
+type result struct {
 	replied bool
 	kind    failure.Kind
 	state   string
@@ -24,18 +24,18 @@
 	known   bool
 }
 
-func (a *answer) status(state string, err error) {
-	a.replied, a.state, a.kind = true, state, failure.KindOf(err)
+func (r *result) status(state string, err error) {
+	r.replied, r.state, r.kind = true, state, failure.KindOf(err)
 }
 
-func (a *answer) pending(count int, err error) {
-	a.replied, a.count, a.kind = true, count, failure.KindOf(err)
+func (r *result) pending(count int, err error) {
+	r.replied, r.count, r.kind = true, count, failure.KindOf(err)
 }
 
-func (a *answer) acknowledged(err error) { a.replied, a.kind = true, failure.KindOf(err) }
+func (r *result) acknowledged(err error) { r.replied, r.kind = true, failure.KindOf(err) }
 
-func (a *answer) submitted(known bool, err error) {
-	a.replied, a.known, a.kind = true, known, failure.KindOf(err)
+func (r *result) submitted(known bool, err error) {
+	r.replied, r.known, r.kind = true, known, failure.KindOf(err)
 }
 
 // limitedWorld returns a world whose owner accepts so many unfinished jobs at most.
@@ -77,11 +77,11 @@
 	const moment = time.Millisecond
 	var (
 		w   *world
-		got *answer
+		got *result
 	)
 	BeforeEach(func() {
 		w = limitedWorld(1)
-		got = &answer{}
+		got = &result{}
 	})
 
 	DescribeTable("waits for a confirmation that was asked for after the question",
@@ -104,19 +104,19 @@
 		},
 		Entry("to show a job as queued", func() { w.submit(id, small()) },
 			func() { w.owner.Status(w.now, id, got.status) },
-			func() { Expect(*got).To(Equal(answer{replied: true, state: protocol.JobQueued})) }),
+			func() { Expect(*got).To(Equal(result{replied: true, state: protocol.JobQueued})) }),
 		Entry("to show a job as running", func() {
 			w.submit(id, small())
 			w.orders(heartbeatOf("i1", 1))
 		},
 			func() { w.owner.Status(w.now, id, got.status) },
-			func() { Expect(*got).To(Equal(answer{replied: true, state: protocol.JobRunning})) }),
-		Entry("to answer that there is no such job", func() {},
+			func() { Expect(*got).To(Equal(result{replied: true, state: protocol.JobRunning})) }),
+		Entry("to reply that there is no such job", func() {},
 			func() { w.owner.Status(w.now, unknownID, got.status) },
 			func() { Expect(got.kind).To(Equal(failure.Gone)) }),
 		Entry("to count", func() { w.submit(id, small()) },
 			func() { w.owner.Pending(w.now, queue, got.pending) },
-			func() { Expect(*got).To(Equal(answer{replied: true, count: 1})) }),
+			func() { Expect(*got).To(Equal(result{replied: true, count: 1})) }),
 		Entry("to refuse a submit since too many jobs have not ended", func() { w.submit(id, small()) },
 			func() { w.owner.Submit(w.now, submitOf(unknownID), got.submitted) },
 			func() { Expect(got.kind).To(Equal(failure.Overloaded)) }),
@@ -130,7 +130,7 @@
 		w.commitAll()
 		Expect(got.replied).To(BeFalse())
 		w.pass(moment)
-		Expect(*got).To(Equal(answer{replied: true}))
+		Expect(*got).To(Equal(result{replied: true}))
 		_, known := w.state.StateOf(unknownID)
 		Expect(known).To(BeTrue())
 	})
@@ -144,7 +144,7 @@
 			w.passUnconfirmed(790 * time.Millisecond)
 			Expect(got.replied).To(BeFalse())
 			w.passUnconfirmed(20 * time.Millisecond)
-			Expect(*got).To(Equal(answer{replied: true, kind: failure.NotLeader}))
+			Expect(*got).To(Equal(result{replied: true, kind: failure.NotLeader}))
 		},
 		Entry("of a job", func() { w.owner.Status(w.now, id, got.status) }),
 		Entry("of a job that it does not know", func() { w.owner.Status(w.now, unknownID, got.status) }),
@@ -153,27 +153,27 @@
 	)
 
 	DescribeTable("answers at once what stays true",
-		func(prepare func(), ask func(), want answer) {
+		func(prepare func(), ask func(), want result) {
 			prepare()
 			w.passUnconfirmed(time.Minute)
 			ask()
 			Expect(*got).To(Equal(want))
 		},
 		Entry("a job that is completed", func() { w.ended(id, protocol.JobCompleted) },
-			func() { w.owner.Status(w.now, id, got.status) }, answer{replied: true, state: protocol.JobCompleted}),
+			func() { w.owner.Status(w.now, id, got.status) }, result{replied: true, state: protocol.JobCompleted}),
 		Entry("a job that has failed", func() { w.ended(id, protocol.JobFailed) },
-			func() { w.owner.Status(w.now, id, got.status) }, answer{replied: true, state: protocol.JobFailed}),
+			func() { w.owner.Status(w.now, id, got.status) }, result{replied: true, state: protocol.JobFailed}),
 		Entry("a job that is cancelled", func() { w.ended(id, protocol.JobCancelled) },
-			func() { w.owner.Status(w.now, id, got.status) }, answer{replied: true, state: protocol.JobCancelled}),
+			func() { w.owner.Status(w.now, id, got.status) }, result{replied: true, state: protocol.JobCancelled}),
 		Entry("that it has a job which is submitted again", func() {
 			w.submit(id, small())
 			w.owner.Cancel(w.now, id, func(error) {})
 			w.commitAll()
 		},
-			func() { w.owner.Submit(w.now, submitOf(id), got.submitted) }, answer{replied: true, known: true}),
+			func() { w.owner.Submit(w.now, submitOf(id), got.submitted) }, result{replied: true, known: true}),
 		Entry("that it has a job which is fenced", func() { w.submit(id, small()) },
-			func() { w.owner.Fence(w.now, jobs.Fence{ID: id, Version: 9}, got.submitted) }, answer{replied: true, known: true}),
+			func() { w.owner.Fence(w.now, jobs.Fence{ID: id, Version: 9}, got.submitted) }, result{replied: true, known: true}),
 		Entry("that a job can never be done", func() {},
-			func() { w.owner.Submit(w.now, jobs.Submit{ID: id}, got.submitted) }, answer{replied: true, kind: failure.Invalid}),
+			func() { w.owner.Submit(w.now, jobs.Submit{ID: id}, got.submitted) }, result{replied: true, kind: failure.Invalid}),
 	)
 })
--- a/internal/cluster/scheduler/replies.go
+++ b/internal/cluster/scheduler/replies.go
@@ -23,7 +23,7 @@
 			reply(nil)
 			continue
 		}
-		reply(errGone)
+		reply(errNoSuchJob)
 	}
 	for i, reply := range r.fences {
 		reply(effects.Fences[i], nil)
--- a/internal/cluster/scheduler/reports.go
+++ b/internal/cluster/scheduler/reports.go
@@ -34,7 +34,7 @@
 		if o.proposals.isEnding(key) {
 			continue
 		}
-		o.roundWanted = true
+		o.roundRequested = true
 		o.proposals.addEnd(jobs.End{
 			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: outcome, Checkpoint: finished.Saved,
 		}, run)
@@ -64,14 +64,14 @@
 		entry.checkpoint = active.Saved
 		r.listed[key] = entry
 		delete(r.inherited, key)
-		if !o.isWanted(r, key) {
+		if !o.shouldGoOn(r, key) {
 			o.stop(r, key)
 		}
 	}
 }
 
-// isWanted reports whether a run that a runner lists is to go on.
-func (o *Owner) isWanted(r *runner, key runKey) bool {
+// shouldGoOn reports whether a run that a runner lists is to go on.
+func (o *Owner) shouldGoOn(r *runner, key runKey) bool {
 	task := o.state.Task(key.task)
 	if task == nil || task.Run != key.run || task.Runner != r.instance {
 		return o.isLingering(r, key)
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -8,7 +8,7 @@
 )
 
 var (
-	errGone      = failure.New(failure.Gone, "no such job")
+	errNoSuchJob = failure.New(failure.Gone, "no such job")
 	errNotLeader = failure.New(failure.NotLeader, "this process does not own the shard")
 )
 
@@ -108,7 +108,7 @@
 		}
 		state, known := o.state.StateOf(id)
 		if !known {
-			reply("", errGone)
+			reply("", errNoSuchJob)
 			return
 		}
 		reply(string(state), nil)
--- a/internal/cluster/scheduler/round.go
+++ b/internal/cluster/scheduler/round.go
@@ -26,11 +26,11 @@
 		return
 	}
 	sinceLast := now - o.lastRound
-	isDue := sinceLast >= maxRoundInterval || o.roundWanted && sinceLast >= minRoundInterval
+	isDue := sinceLast >= maxRoundInterval || o.roundRequested && sinceLast >= minRoundInterval
 	if !isDue {
 		return
 	}
-	o.roundWanted = false
+	o.roundRequested = false
 	o.lastRound = now
 	o.counters.Rounds++
 	services := o.pendingByService()
--- a/internal/cluster/scheduler/runners.go
+++ b/internal/cluster/scheduler/runners.go
@@ -79,8 +79,8 @@
 // isStopping reports whether the run was ordered to stop.
 func (r *runner) isStopping(key runKey) bool { return r.stops[key] }
 
-// answer replies to the heartbeat that is not answered yet, if there is one.
-func (r *runner) answer(orders *protocol.Orders, err error) {
+// complete replies to the heartbeat that is not answered yet, if there is one.
+func (r *runner) respond(orders *protocol.Orders, err error) {
 	reply := r.reply
 	r.reply = nil
 	if reply != nil {
--- a/internal/cluster/scheduler/tick.go
+++ b/internal/cluster/scheduler/tick.go
@@ -18,7 +18,7 @@
 	if timeOfDayMs > 0 {
 		o.leadership.setTimeOfDay(now, timeOfDayMs)
 	}
-	o.reads.answer(now, o.leadership.confirmedAt)
+	o.reads.complete(now, o.leadership.confirmedAt)
 	o.expireLeases(now)
 	o.runners.forgetEnded(now)
 }
@@ -29,11 +29,11 @@
 	if !o.leadership.isLeader {
 		return
 	}
-	roundIsDue := o.roundWanted && o.state.PendingCount() > 0
+	roundIsDue := o.roundRequested && o.state.PendingCount() > 0
 	nothingToAwait := o.proposals.inFlight == nil && !o.proposals.hasNext() && !roundIsDue
 	due := o.runners.sorted(func(r *runner) bool { return r.reply != nil && (nothingToAwait || now >= r.replyDue) })
 	for _, instance := range due {
-		o.answer(now, o.runners.current[instance])
+		o.replyToHeartbeat(now, o.runners.current[instance])
 	}
 }
 
