--- a/bench/storebench/main.go
+++ b/bench/storebench/main.go
@@ -5,6 +5,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -103,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(self, "phase", name, what, dir, string(text))
+	cmd := exec.CommandContext(context.Background(), self, "phase", name, what, dir, string(text))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
 	if err != nil {
@@ -134,40 +135,24 @@
 	return v[len(v)/2]
 }
 
-func run(c config) error {
+// overwrittenKeys is how many keys the commits of an overwriting measurement share.
+const overwrittenKeys = 20_000
+
+// run measures all engines, in an order that changes from round to round, and prints the medians.
+func run(c config) (err error) {
 	base, err := os.MkdirTemp(c.Dir, "storebench")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(base)
+	defer func() { err = errors.Join(err, os.RemoveAll(base)) }()
 	all := results{}
 	for round := range c.Rounds {
 		order := slices.Concat(names[round%len(names):], names[:round%len(names)])
-		for _, writers := range []int{1, 8, 64} {
-			for _, keys := range []uint64{0, 20_000} {
-				what := fmt.Sprintf("commits, %2d writers", writers)
-				if keys > 0 {
-					what = fmt.Sprintf("overwriting, %2d writers", writers)
-				}
-				for _, name := range order {
-					if err := measure(all, what, name, "commits", base, phaseArgs{Writers: writers, Keys: keys, Seconds: c.Seconds}, nil); err != nil {
-						return err
-					}
-				}
-			}
+		if err := measureCommits(all, order, base, c.Seconds); err != nil {
+			return err
 		}
-		for _, records := range []int{c.Small, c.Records} {
-			for _, name := range order {
-				what := fmt.Sprintf("%d records", records)
-				a := phaseArgs{Records: records}
-				if err := measure(all, what, name, "fill", base, a, func(dir string) error {
-					f, err := phase(name, "open", dir, a)
-					all.add(what, name, f)
-					return err
-				}); err != nil {
-					return err
-				}
-			}
+		if err := measureFilling(all, order, base, []int{c.Small, c.Records}); err != nil {
+			return err
 		}
 		fmt.Fprintf(os.Stderr, "round %d of %d done\n", round+1, c.Rounds)
 	}
@@ -182,12 +167,51 @@
 	return os.WriteFile(c.JSON, text, 0o644)
 }
 
-func measure(all results, what, name, ph, base string, a phaseArgs, then func(dir string) error) error {
+// measureCommits measures commits of new keys and of keys that are there, by the number of writers.
+func measureCommits(all results, engines []string, base string, seconds float64) error {
+	for _, writers := range []int{1, 8, 64} {
+		for _, keys := range []uint64{0, overwrittenKeys} {
+			what := fmt.Sprintf("commits, %2d writers", writers)
+			if keys > 0 {
+				what = fmt.Sprintf("overwriting, %2d writers", writers)
+			}
+			for _, name := range engines {
+				arguments := phaseArgs{Writers: writers, Keys: keys, Seconds: seconds}
+				if err := measure(all, what, name, "commits", base, arguments, nil); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// measureFilling measures how long stores of these sizes take to be filled, and to be opened again.
+func measureFilling(all results, engines []string, base string, sizes []int) error {
+	for _, records := range sizes {
+		what := fmt.Sprintf("%d records", records)
+		arguments := phaseArgs{Records: records}
+		for _, name := range engines {
+			open := func(dir string) error {
+				f, err := phase(name, "open", dir, arguments)
+				all.add(what, name, f)
+				return err
+			}
+			if err := measure(all, what, name, "fill", base, arguments, open); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// measure runs one phase of an engine in a new folder, and then, if it is given, what goes on there.
+func measure(all results, what, name, ph, base string, a phaseArgs, then func(dir string) error) (err error) {
 	dir, err := os.MkdirTemp(base, "store")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	f, err := phase(name, ph, dir, a)
 	if err != nil {
 		return err
