--- a/internal/fixturetest/fixturetest.go
+++ b/internal/fixturetest/fixturetest.go
@@ -45,36 +45,36 @@
 
 // Check decodes the fixture of that name and compares all its fields with what was written. It also encodes the value
 // again: what is written today must have all gob fields that the fixture has.
-func Check(t testing.TB, name string, codec Codec) {
-	t.Helper()
+func Check(tb testing.TB, name string, codec Codec) {
+	tb.Helper()
 	text, err := os.ReadFile(Path(name))
 	if errors.Is(err, fs.ErrNotExist) && *writeMissing {
 		text, err = write(name, codec)
 	}
 	if err != nil {
-		t.Errorf("fixture %s: %v", name, err)
+		tb.Errorf("fixture %s: %v", name, err)
 		return
 	}
 	data, expected, err := parse(string(text))
 	if err != nil {
-		t.Errorf("fixture %s: %v", name, err)
+		tb.Errorf("fixture %s: %v", name, err)
 		return
 	}
 	value, err := codec.Decode(data)
 	if err != nil {
-		t.Errorf("fixture %s cannot be decoded any more: %v", name, err)
+		tb.Errorf("fixture %s cannot be decoded any more: %v", name, err)
 		return
 	}
 	if said := difference(expected, Fields(value)); said != "" {
-		t.Errorf("fixture %s is decoded to something else than was written:\n%s", name, said)
+		tb.Errorf("fixture %s is decoded to something else than was written:\n%s", name, said)
 	}
 	_, present, err := codec.Encode()
 	if err != nil {
-		t.Errorf("fixture %s cannot be encoded any more: %v", name, err)
+		tb.Errorf("fixture %s cannot be encoded any more: %v", name, err)
 		return
 	}
 	if missing := missingNames(data, present); len(missing) > 0 {
-		t.Errorf("fixture %s has fields that are not written any more, and that an earlier program would miss: %v", name, missing)
+		tb.Errorf("fixture %s has fields that are not written any more, and that an earlier program would miss: %v", name, missing)
 	}
 }
 
--- a/internal/fixturetest/packages_test.go
+++ b/internal/fixturetest/packages_test.go
@@ -32,6 +32,7 @@
 
 // internalFolder returns the folder that has the module's packages.
 func internalFolder(t *testing.T) string {
+	t.Helper()
 	dir, err := os.Getwd()
 	require.NoError(t, err)
 	for !isFile(filepath.Join(dir, "go.mod")) {
@@ -47,6 +48,7 @@
 }
 
 func importsGob(t *testing.T, path string) bool {
+	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 	require.NoError(t, err)
 	for _, imported := range file.Imports {
--- a/internal/loopbacktest/loopbacktest.go
+++ b/internal/loopbacktest/loopbacktest.go
@@ -2,6 +2,8 @@
 package loopbacktest
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -10,16 +12,17 @@
 // FreePorts returns an address of loopback drawn at random, and two ports of it that nobody uses. At 127.0.0.1 another
 // program's connection could take a port before the process under test listens at it.
 func FreePorts() (ip string, first, second int, err error) {
+	var config net.ListenConfig
 	ip = fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
-	one, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+	one, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return "", 0, 0, err
 	}
-	defer one.Close()
-	two, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+	defer func() { err = errors.Join(err, one.Close()) }()
+	two, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return "", 0, 0, err
 	}
-	defer two.Close()
+	defer func() { err = errors.Join(err, two.Close()) }()
 	return ip, one.Addr().(*net.TCPAddr).Port, two.Addr().(*net.TCPAddr).Port, nil
 }
--- a/test/ci/cores_test.go
+++ b/test/ci/cores_test.go
@@ -16,7 +16,7 @@
 		"assignment", "cluster/configuration", "cluster/consensus", "cluster/failure", "cluster/jobs", "cluster/placement", "cluster/protocol",
 		"cluster/scheduler",
 	} {
-		out, err := exec.Command("go", "list", "-deps", "ospreypond/internal/"+core).Output()
+		out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "ospreypond/internal/"+core).Output()
 		require.NoError(t, err, core)
 		for name := range strings.Lines(string(out)) {
 			name = strings.TrimSpace(name)
--- a/test/ci/nethttp_test.go
+++ b/test/ci/nethttp_test.go
@@ -135,7 +135,7 @@
 			server := newBreakingServer(t)
 			transport := &http.Transport{MaxIdleConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
-			first, err := http.NewRequest(http.MethodGet, "http://"+server.address+"/first", nil)
+			first, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+server.address+"/first", nil)
 			require.NoError(t, err)
 			response, err := transport.RoundTrip(first)
 			require.NoError(t, err)
@@ -154,11 +154,12 @@
 }
 
 func (r repeated) request(t *testing.T, address string) *http.Request {
+	t.Helper()
 	var body io.Reader
 	if r.body != "" {
 		body = strings.NewReader(r.body)
 	}
-	request, err := http.NewRequest(r.method, "http://"+address+"/break", body)
+	request, err := http.NewRequestWithContext(t.Context(), r.method, "http://"+address+"/break", body)
 	require.NoError(t, err)
 	if !r.getBody {
 		request.GetBody = nil
@@ -176,7 +177,8 @@
 }
 
 func newBreakingServer(t *testing.T) *breakingServer {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	s := &breakingServer{address: listener.Addr().String()}
@@ -233,7 +235,7 @@
 		t.Run(fmt.Sprintf("%d again %v", each.status, each.getBody), func(t *testing.T) {
 			type arrival struct{ method, body string }
 			arrivals := make(chan arrival, 2)
-			listener, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			server := &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/from" {
@@ -246,7 +248,7 @@
 			go func() { _ = server.Serve(listener) }()
 			defer func() { _ = server.Close() }()
 
-			request, err := http.NewRequest(http.MethodPost, "http://"+listener.Addr().String()+"/from", strings.NewReader("{}"))
+			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+listener.Addr().String()+"/from", strings.NewReader("{}"))
 			require.NoError(t, err)
 			if !each.getBody {
 				request.GetBody = nil
--- a/test/ci/packages_test.go
+++ b/test/ci/packages_test.go
@@ -47,6 +47,7 @@
 
 // systemBuild returns the build command of deploy/system.toml and the packages that it is said to need.
 func systemBuild(t *testing.T) (command string, packages []string) {
+	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "system.toml"))
 	require.NoError(t, err)
 	found := regexp.MustCompile(`(?m)^build = "(.*)"$`).FindSubmatch(text)
@@ -69,8 +70,9 @@
 
 // installedPackages returns the installed packages, by their names and by those that they provide.
 func installedPackages(t *testing.T) map[string][]*debianPackage {
+	t.Helper()
 	const format = `${db:Status-Status}\t${binary:Package}\t${Package}\t${Essential}\t${Pre-Depends}, ${Depends}\t${Provides}\n`
-	out, err := exec.Command("dpkg-query", "-W", "-f", format).Output()
+	out, err := exec.CommandContext(t.Context(), "dpkg-query", "-W", "-f", format).Output()
 	require.NoError(t, err)
 	packages := map[string][]*debianPackage{}
 	for _, line := range strings.Split(strings.TrimRight(string(out), "\n"), "\n") {
@@ -129,17 +131,19 @@
 
 // pathsOf returns the paths of packages' files, as the packages give them.
 func pathsOf(t *testing.T, packages map[string]bool) []string {
+	t.Helper()
 	arguments := []string{"-L"}
 	for name := range packages {
 		arguments = append(arguments, name)
 	}
-	out, err := exec.Command("dpkg-query", arguments...).Output()
+	out, err := exec.CommandContext(t.Context(), "dpkg-query", arguments...).Output()
 	require.NoError(t, err)
 	return strings.Split(string(out), "\n")
 }
 
 // filesOf returns the files of packages, without symbolic links in their paths.
 func filesOf(t *testing.T, packages map[string]bool) map[string]bool {
+	t.Helper()
 	files := map[string]bool{}
 	for _, path := range pathsOf(t, packages) {
 		if real, err := filepath.EvalSymlinks(path); err == nil {
@@ -151,6 +155,7 @@
 
 // programs makes a folder of links to the programs of packages, under the names that the packages give them.
 func programs(t *testing.T, packages map[string]bool) (folder string) {
+	t.Helper()
 	folder = t.TempDir()
 	for _, path := range pathsOf(t, packages) {
 		if base := filepath.Base(filepath.Dir(path)); base != "bin" && base != "sbin" {
@@ -170,13 +175,14 @@
 // build runs a build command in a clean copy of the repository. It returns the files of the system that the compiler
 // read and the programs that it called.
 func build(t *testing.T, command, folder string) (used []string) {
+	t.Helper()
 	tree, scratch := t.TempDir(), t.TempDir()
 	copyRepository(t, tree)
 	// The tool chain looks for git where it sees this folder, and must do without.
 	require.NoError(t, os.Mkdir(filepath.Join(tree, ".git"), 0o755))
 	headers, inputs := filepath.Join(scratch, "headers"), filepath.Join(scratch, "inputs")
 
-	shell := exec.Command(filepath.Join(folder, "sh"), "-c", command)
+	shell := exec.CommandContext(t.Context(), filepath.Join(folder, "sh"), "-c", command)
 	shell.Dir = tree
 	shell.Env = []string{
 		"PATH=" + folder + ":" + filepath.Join(goEnv(t, "GOROOT"), "bin"),
@@ -190,7 +196,7 @@
 
 	paths := append(mustRead(t, headers), mustRead(t, inputs)...)
 	for _, name := range []string{"cc1", "collect2", "as", "ld"} {
-		shell := exec.Command(filepath.Join(folder, "gcc"), "-print-prog-name="+name)
+		shell := exec.CommandContext(t.Context(), filepath.Join(folder, "gcc"), "-print-prog-name="+name)
 		shell.Env = []string{"PATH=" + folder}
 		out, err := shell.Output()
 		require.NoError(t, err)
@@ -217,6 +223,7 @@
 // rootCertificate returns one of the files by which the tool chain trusts a module proxy: where the module cache is empty,
 // the build downloads its modules over TLS. The cache is not emptied here, so the file is looked for instead.
 func rootCertificate(t *testing.T) string {
+	t.Helper()
 	links, err := filepath.Glob("/etc/ssl/certs/*.pem")
 	require.NoError(t, err)
 	for _, link := range links {
@@ -231,6 +238,7 @@
 
 // ofTheToolChain tells of files that come with Go, or that the build has made.
 func ofTheToolChain(t *testing.T, path, scratch string) bool {
+	t.Helper()
 	for _, folder := range []string{goEnv(t, "GOROOT"), scratch, os.TempDir()} {
 		real, err := filepath.EvalSymlinks(folder)
 		require.NoError(t, err)
@@ -243,19 +251,22 @@
 
 // mustRead returns the words of a file of dependencies as the compiler writes them.
 func mustRead(t *testing.T, path string) []string {
+	t.Helper()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	return strings.Fields(strings.ReplaceAll(string(text), "\\\n", " "))
 }
 
 func goEnv(t *testing.T, name string) string {
-	out, err := exec.Command("go", "env", name).Output()
+	t.Helper()
+	out, err := exec.CommandContext(t.Context(), "go", "env", name).Output()
 	require.NoError(t, err)
 	return strings.TrimSpace(string(out))
 }
 
 // copyRepository copies what a clean checkout has of sources, but not what builds and plays have left.
 func copyRepository(t *testing.T, to string) {
+	t.Helper()
 	root := filepath.Join("..", "..")
 	for _, name := range []string{"go.mod", "go.sum", "cmd", "internal", "policy"} {
 		from := filepath.Join(root, name)
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -1,7 +1,9 @@
 package fleet
 
 import (
+	"context"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"math/rand/v2"
@@ -34,7 +36,7 @@
 		panic(err)
 	}
 	program = filepath.Join(dir, "ospreypond")
-	if out, err := exec.Command("go", "build", "-race", "-o", program, "ospreypond/cmd/ospreypond").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(context.Background(), "go", "build", "-race", "-o", program, "ospreypond/cmd/ospreypond").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -77,21 +79,24 @@
 }
 
 func freeUDP(t *testing.T) string {
-	c, err := net.ListenPacket("udp4", ownLoopback())
+	t.Helper()
+	c, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", ownLoopback())
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { require.NoError(t, c.Close()) }()
 	return c.LocalAddr().String()
 }
 
 func freeTCP(t *testing.T) string {
-	l, err := net.Listen("tcp", ownLoopback())
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", ownLoopback())
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { require.NoError(t, l.Close()) }()
 	return l.Addr().String()
 }
 
 // start starts n dispatchers and waits until all know all and each acts for its own number.
 func start(t *testing.T, n int, relayed bool) *rig {
+	t.Helper()
 	r := &rig{t: t}
 	real := make([]string, n)
 	for i := range real {
@@ -131,7 +136,7 @@
 }
 
 func (d *dispatcher) command() *exec.Cmd {
-	c := exec.Command(program, "serve", "--fleet", filepath.Join(d.dir, "fleet.star"))
+	c := exec.CommandContext(context.Background(), program, "serve", "--fleet", filepath.Join(d.dir, "fleet.star"))
 	c.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(d.dir, "config.json"), "TMPDIR="+d.dir)
 	c.Stderr = d.log
 	return c
@@ -169,12 +174,16 @@
 
 // look asks the console; ok is false while it does not answer.
 func (d *dispatcher) look() (l look, ok bool) {
-	resp, err := client.Get("http://" + d.console + "/fleet")
+	request, err := http.NewRequestWithContext(d.t.Context(), http.MethodGet, "http://"+d.console+"/fleet", nil)
 	if err != nil {
 		return l, false
 	}
-	defer resp.Body.Close()
-	return l, json.NewDecoder(resp.Body).Decode(&l) == nil
+	response, err := client.Do(request)
+	if err != nil {
+		return l, false
+	}
+	err = json.NewDecoder(response.Body).Decode(&l)
+	return l, errors.Join(err, response.Body.Close()) == nil
 }
 
 // running returns those whose processes run.
@@ -199,11 +208,9 @@
 }
 
 // agree waits until those that run hold just each other living.
-func (r *rig) agree(what string, among ...*dispatcher) {
+func (r *rig) agree(what string) {
 	r.t.Helper()
-	if among == nil {
-		among = r.running()
-	}
+	among := r.running()
 	r.eventually(what, func() bool {
 		var digest uint64
 		for _, d := range among {
--- a/test/platform/platform_test.go
+++ b/test/platform/platform_test.go
@@ -32,7 +32,7 @@
 
 func deps(t *testing.T) []pkg {
 	t.Helper()
-	cmd := exec.Command("go", "list", "-deps", "-json", "ospreypond/cmd/ospreypond")
+	cmd := exec.CommandContext(t.Context(), "go", "list", "-deps", "-json", "ospreypond/cmd/ospreypond")
 	out, err := cmd.Output()
 	require.NoError(t, err, "go list")
 	var all []pkg
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -3,7 +3,9 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -65,7 +67,7 @@
 	GinkgoHelper()
 	s := &localSystem{dir: dir, network: fmt.Sprintf("127.%d.%d", 80+rand.IntN(100), rand.IntN(250))}
 	arguments := append([]string{"--program", program, "--dir", dir, "--network", s.network}, flags...)
-	session, err := gexec.Start(exec.Command(localProgram, arguments...), GinkgoWriter, GinkgoWriter)
+	session, err := gexec.Start(exec.CommandContext(context.Background(), localProgram, arguments...), GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
 	s.session = session
 	DeferCleanup(s.kill)
@@ -119,7 +121,7 @@
 
 // command runs a command on the system; words are parted by spaces.
 func (s *localSystem) command(input, line string) (string, error) {
-	command := exec.Command(program, append(strings.Fields(line), "--control", s.controls(), "--timeout", "10s")...)
+	command := exec.CommandContext(context.Background(), program, append(strings.Fields(line), "--control", s.controls(), "--timeout", "10s")...)
 	command.Stdin = strings.NewReader(input)
 	var out, faults bytes.Buffer
 	command.Stdout, command.Stderr = &out, &faults
@@ -132,7 +134,7 @@
 
 // runProgram runs a command that needs no running system, and returns all that it says.
 func runProgram(arguments ...string) (string, error) {
-	out, err := exec.Command(program, arguments...).CombinedOutput()
+	out, err := exec.CommandContext(context.Background(), program, arguments...).CombinedOutput()
 	return string(out), err
 }
 
@@ -148,7 +150,7 @@
 
 // ask sends a client's request to a frontend, and returns the status and the body.
 func (s *localSystem) ask(frontend int, method, path, body string) (int, string) {
-	request, err := http.NewRequest(method, fmt.Sprintf("http://%s.%d:8149%s", s.network, 20+frontend, path), strings.NewReader(body))
+	request, err := http.NewRequestWithContext(context.Background(), method, fmt.Sprintf("http://%s.%d:8149%s", s.network, 20+frontend, path), strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "demo.local"
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -156,8 +158,10 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer response.Body.Close()
-	answer, _ := io.ReadAll(response.Body)
+	answer, err := io.ReadAll(response.Body)
+	if err = errors.Join(err, response.Body.Close()); err != nil {
+		return 0, err.Error()
+	}
 	return response.StatusCode, string(answer)
 }
 
