--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -1,25 +1,6 @@
 package consensus
 
-import (
-	"time"
-
-	"github.com/pkg/errors"
-)
-
-// The reasons for which a call is refused.
-var (
-	// ErrNotLeader tells that this member does not lead the group, or is giving its leadership away.
-	ErrNotLeader = errors.New("not the leader of this group")
-	// ErrNotReady tells that the leader has not committed an entry of its own term yet.
-	ErrNotReady = errors.New("the leader has not committed an entry of its term yet")
-	// ErrChangePending tells that an earlier change of the membership is under way: its entry, or the final one of a joint
-	// change, is not committed yet.
-	ErrChangePending = errors.New("a change of the membership is not committed yet")
-	// ErrChangeRefused tells that a membership is not well formed, or is the present one.
-	ErrChangeRefused = errors.New("the membership is not well formed or does not differ from the present one")
-	// ErrUnknownMember tells that a member is not a voter other than this one.
-	ErrUnknownMember = errors.New("not another voter of this group")
-)
+import "time"
 
 // The defaults of settings left at zero.
 const (
@@ -27,32 +8,26 @@
 	defaultElectionTimeout    = time.Second
 	defaultMaxAppendBytes     = 256 << 10
 	defaultMaxInflight        = 16
-	defaultSnapshotPieceBytes = 256 << 10
+	defaultSnapshotChunkBytes = 256 << 10
 )
 
-// The spacing of confirmation rounds that are asked for between two heartbeats.
-const (
-	minRoundGap = 2 * time.Millisecond  // no two rounds are closer than this
-	lostRound   = 10 * time.Millisecond // a round not answered by then holds up the next no longer
-)
-
-// Config holds the settings of one member of one group.
+// Config is the configuration of one member of one group. Settings that are zero or negative get their defaults.
 type Config struct {
 	Group uint32
 	ID    MemberID
-	Seed  uint64 // of the random election times
+	Seed  uint64 // of the random election timeouts
 
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the silence after which a leader is given up. A member stands for election after a random
-	// time from ElectionTimeout up to twice as long.
+	// ElectionTimeout is how long after its last contact a leader is considered failed. A member campaigns after a random
+	// time between ElectionTimeout and twice as long.
 	ElectionTimeout time.Duration
 
-	MaxAppendBytes     int // about how much one append carries; a larger entry travels alone
-	MaxInflight        int // appends to one member that may be unanswered
-	SnapshotChunkBytes int
+	MaxAppendBytes     int // approximate size of one append; a larger entry is sent alone
+	MaxInflight        int // maximum number of unacknowledged appends to one member
+	SnapshotChunkBytes int // maximum data of a snapshot in one message
 }
 
-// withDefaults replaces what is not set.
+// withDefaults returns the configuration with its unset settings replaced by their defaults.
 func (c Config) withDefaults() Config {
 	if c.HeartbeatInterval <= 0 {
 		c.HeartbeatInterval = defaultHeartbeatInterval
@@ -67,17 +42,7 @@
 		c.MaxInflight = defaultMaxInflight
 	}
 	if c.SnapshotChunkBytes <= 0 {
-		c.SnapshotChunkBytes = defaultSnapshotPieceBytes
+		c.SnapshotChunkBytes = defaultSnapshotChunkBytes
 	}
 	return c
 }
-
-// Restored is what the disk of a member held at its start.
-type Restored struct {
-	HardState HardState // its Commit is not relied upon: the next leader tells what is committed
-	// Snapshot is what the state machine was started from; its Data is not needed here. Nil: an empty disk, whose
-	// membership will come with the log. The first members of a new group start from index 0, term 0 and Members.
-	Snapshot *Snapshot
-	// Entries follow the snapshot; earlier ones are left out of account.
-	Entries []Entry
-}
--- a/internal/cluster/consensus/confirm_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -105,7 +105,7 @@
 		leader.ConfirmLeadership(g.now)
 		g.settle()
 		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
-		Expect(leader.NextDeadline()).To(BeNumerically("<=", g.now+lostRound))
+		Expect(leader.NextDeadline()).To(BeNumerically("<=", g.now+confirmationTimeout))
 		g.now = leader.NextDeadline()
 		leader.Tick(g.now)
 		g.settle()
--- a/internal/cluster/consensus/election.go
+++ b/internal/cluster/consensus/election.go
@@ -5,102 +5,124 @@
 	"time"
 )
 
-// ballot is what a candidate has gathered.
-type ballot struct {
-	granted  []MemberID // voters that said yes, this member included once its vote is on disk
-	forced   bool       // stands because the leader told it to
-	repeatAt time.Duration
-	// undecidedUntil is for how long the answers of voters with disks like this member's may be on their way: until then a
-	// candidate encourages nobody else.
-	undecidedUntil time.Duration
+// voteTally is the state of an election at the member that campaigns.
+type voteTally struct {
+	granted  []MemberID // who granted a vote or pre-vote; this member too, for a vote once its own is on disk
+	forced   bool       // campaigns because the leader asked it to, by MessageTimeoutNow
+	resendAt time.Duration
+	// ignorePreVotesUntil is until when the votes of members whose disks are as slow as this one's may be under way. A
+	// candidate ignores the pre-votes of others as long, so as not to start an election that would disturb its own.
+	ignorePreVotesUntil time.Duration
 }
 
-// grant notes that a member said yes.
-func (b *ballot) grant(id MemberID) {
-	if !b.has(id) {
-		b.granted = append(b.granted, id)
+// record records that a member granted its vote.
+func (t *voteTally) record(id MemberID) {
+	if !t.grantedBy(id) {
+		t.granted = append(t.granted, id)
 	}
 }
 
-// has tells whether a member has said yes.
-func (b *ballot) has(id MemberID) bool {
-	return slices.Contains(b.granted, id)
+// grantedBy reports whether a member granted its vote.
+func (t *voteTally) grantedBy(id MemberID) bool {
+	return slices.Contains(t.granted, id)
 }
 
-// isElected tells whether a quorum said yes. Only voters of the membership in force count.
-func (n *Node) isElected() bool {
-	return HasQuorum(n.memberships.current(), n.ballot.has)
+// campaignKind is why a member campaigns in a new term.
+type campaignKind uint8
+
+const (
+	campaignElection campaignKind = iota // a quorum granted its pre-vote
+	campaignTransfer                     // the leader transfers the leadership to it, so live leaders don't prevent votes
+)
+
+// SetCampaign sets whether this member may campaign. It may unless the caller forbids it, as it should while the
+// disk is unhealthy: a leader needs its disk. If it is forbidden an election that this member has begun ends.
+func (n *Node) SetCampaign(allowed bool) {
+	n.campaignAllowed = allowed
+	if !allowed && (n.role == rolePreCandidate || n.role == roleCandidate) {
+		n.becomeFollower(n.term, None)
+	}
 }
 
-// mayStand tells whether this member may be elected: it votes, or did before a membership that may still be uncommitted.
-// The latter counts itself no more, but may be the only one left with the newest log: were it never to stand, it would
-// refuse its vote to all others and the group had no leader again.
-func (n *Node) mayStand() bool {
+// SetWriteTime sets how long a write to this member's disk takes at present. Elections allow for it.
+func (n *Node) SetWriteTime(duration time.Duration) { n.writeTime = duration }
+
+// mayCampaign reports whether this member may be elected: it votes, or did before a membership that may still be
+// uncommitted. In the latter case it does not count its own vote, but it may be the only one left with the newest log: if
+// it never campaigned, it would deny its vote to all others and the group would have no leader again.
+func (n *Node) mayCampaign() bool {
 	return n.campaignAllowed && n.memberships.mayVote(n.commit, n.config.ID)
 }
 
-// stand begins an election, or waits on where this member may not be elected.
-func (n *Node) stand() {
+// startElection begins an election with the pre-vote (section 9.6): only a member that a quorum would elect enters a new
+// term, so a member that was partitioned does not disturb the others when it comes back. A member that may not be elected
+// waits for another election timeout.
+func (n *Node) startElection() {
 	n.becomeFollower(n.term, None)
 	n.resetElectionDeadline()
-	if !n.mayStand() {
+	if !n.mayCampaign() {
 		return
 	}
 	if isOnlyVoter(n.memberships.current(), n.config.ID) {
-		n.leadAlone()
+		n.becomeSoleLeader()
 		return
 	}
 	n.role = rolePreCandidate
-	n.ballot.grant(n.config.ID)
+	n.votes.record(n.config.ID)
 	n.requestVotes()
 }
 
-// leadAlone takes the leadership of a group whose only voter this is. Nothing says yet that the vote or the log is on
-// disk, so nothing counts, or is sent to learners, before the first entry of the term is.
-func (n *Node) leadAlone() {
+// becomeSoleLeader takes the leadership of a group whose only voter this is. Since no votes are exchanged nothing shows that
+// the term, the vote or the log is on disk. So nothing counts as such, and nothing is sent to learners, until the first
+// entry of the term is on disk, which comes after all of them.
+func (n *Node) becomeSoleLeader() {
 	n.becomeFollower(n.term+1, None)
 	n.vote = n.config.ID
 	n.becomeLeader()
-	n.leadership.holdAppends = true
+	n.leadership.appendsSuspended = true
 }
 
-// campaign stands for election in a new term.
-func (n *Node) campaign(forced bool) {
+// campaign becomes a candidate in a new term and requests votes.
+func (n *Node) campaign(kind campaignKind) {
 	n.becomeFollower(n.term+1, None)
-	n.awaitElection()
+	n.resetElectionDeadlineAfterVote()
 	n.role = roleCandidate
 	n.vote = n.config.ID
-	n.ballot.forced = forced
-	n.ballot.undecidedUntil = n.now + writesOfElection*n.writeTime
+	n.votes.forced = kind == campaignTransfer
+	n.votes.ignorePreVotesUntil = n.now + maxElectionWrites*n.writeTime
 	n.requestVotes()
 }
 
-// writesOfElection is how many writes an election may have to wait for, one after the other: at the candidate and then at
-// a voter the write that is under way, and the one with the vote.
-const writesOfElection = 4
+// maxElectionWrites is how many writes an election may have to wait for, one after the other: at the candidate and then at
+// a voter, the write that is under way and the one that contains the vote.
+const maxElectionWrites = 4
 
-// awaitElection sets when to stand next, after a vote of this member's: an election that is under way gets the time that
-// the disks need. Else members with disks slower than about half an election timeout would disturb each other for ever.
-func (n *Node) awaitElection() {
-	n.resetElectionDeadline()
-	n.electionDeadline += writesOfElection * n.writeTime
+// resetElectionDeadline draws the time of the next election.
+func (n *Node) resetElectionDeadline() {
+	extra := time.Duration(n.random.Int64N(int64(n.config.ElectionTimeout)))
+	n.electionDeadline = n.now + n.config.ElectionTimeout + extra
 }
 
-// SetWriteTime tells how long a write to this member's disk takes of late.
-func (n *Node) SetWriteTime(took time.Duration) { n.writeTime = took }
+// resetElectionDeadlineAfterVote draws the time of the next election once this member has voted. The election that is under
+// way gets the time that the disks need for the votes: otherwise members whose disks take longer than about half an
+// election timeout would disturb each other's elections forever.
+func (n *Node) resetElectionDeadlineAfterVote() {
+	n.resetElectionDeadline()
+	n.electionDeadline += maxElectionWrites * n.writeTime
+}
 
-// requestVotes asks every voter that has not said yes. A request for a vote leaves only once this member's own term and
-// vote are on disk: otherwise it could come back and be elected twice in one term.
+// requestVotes requests votes, or pre-votes, from all voters that have not granted theirs. A request for a vote is deferred
+// until this member's term and vote are on disk: otherwise it could restart and be elected twice in one term.
 func (n *Node) requestVotes() {
-	n.ballot.repeatAt = n.now + n.config.HeartbeatInterval
+	n.votes.resendAt = n.now + n.config.HeartbeatInterval
 	request := Message{Kind: MessagePreVote, Term: n.term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}
 	if n.role == roleCandidate {
 		request.Kind = MessageVote
 		request.Term = n.term
-		request.Forced = n.ballot.forced
+		request.Forced = n.votes.forced
 	}
 	for _, member := range n.memberships.current() {
-		if member.votesIn() == 0 || member.ID == n.config.ID || n.ballot.has(member.ID) {
+		if member.votesIn() == 0 || member.ID == n.config.ID || n.votes.grantedBy(member.ID) {
 			continue
 		}
 		request.To = member.ID
@@ -112,90 +134,97 @@
 	}
 }
 
-// repeatRequests asks again those that have not answered.
-func (n *Node) repeatRequests() {
-	if n.role == roleFollower || n.now < n.ballot.repeatAt {
+// resendVoteRequests repeats the requests of an election that has not been decided, once they are due again.
+func (n *Node) resendVoteRequests() {
+	if n.role == roleFollower || n.now < n.votes.resendAt {
 		return
 	}
 	n.requestVotes()
 }
 
-// upToDate tells whether a candidate's log is at least as new as this member's.
-func (n *Node) upToDate(message *Message) bool {
-	if message.LogTerm != n.log.lastTerm() {
-		return message.LogTerm > n.log.lastTerm()
+// isElected reports whether a quorum granted its votes. Only voters of the membership in force count.
+func (n *Node) isElected() bool {
+	return HasQuorum(n.memberships.current(), n.votes.grantedBy)
+}
+
+// isUpToDate reports whether the log of a candidate is at least as up to date as this member's (section 3.6.1).
+func (n *Node) isUpToDate(request *Message) bool {
+	if request.LogTerm != n.log.lastTerm() {
+		return request.LogTerm > n.log.lastTerm()
 	}
-	return message.Index >= n.log.last()
+	return request.Index >= n.log.last()
 }
 
-// answerPreVote says whether this member would vote for another, without promising anything.
-func (n *Node) answerPreVote(message *Message) {
-	if n.hearsLeader() || n.now < n.ballot.undecidedUntil {
+// handlePreVote responds whether this member would vote for another in a later term, which promises nothing. It does not
+// respond while it has a live leader, or while votes for its own election may still come.
+func (n *Node) handlePreVote(request *Message) {
+	if n.hasLiveLeader() || n.now < n.votes.ignorePreVotesUntil {
 		return
 	}
-	response := Message{Kind: MessagePreVoteResponse, To: message.From}
-	if message.Term > n.term && n.upToDate(message) {
-		response.Term = message.Term
+	response := Message{Kind: MessagePreVoteResponse, To: request.From}
+	if request.Term > n.term && n.isUpToDate(request) {
+		response.Term = request.Term
 	} else {
 		response.Reject = true
 	}
 	n.send(response)
 }
 
-// answerVote votes for a candidate of this term, or says no.
-func (n *Node) answerVote(message *Message) {
-	granted := n.mayVoteFor(message.From) && n.upToDate(message)
+// handlePreVoteResponse counts a pre-vote, and campaigns once a quorum has granted theirs.
+func (n *Node) handlePreVoteResponse(response *Message) {
+	if n.role != rolePreCandidate || response.Term != n.term+1 {
+		return
+	}
+	n.votes.record(response.From)
+	if n.isElected() {
+		n.campaign(campaignElection)
+	}
+}
+
+// handleVote grants or denies a candidate of this term its vote. The response waits until the vote is on disk.
+func (n *Node) handleVote(request *Message) {
+	granted := n.canVoteFor(request.From) && n.isUpToDate(request)
 	if granted {
-		n.giveVote(message.From)
+		n.grantVote(request.From)
 	}
-	n.sendDeferred(Message{Kind: MessageVoteResponse, To: message.From, Reject: !granted})
+	n.sendDeferred(Message{Kind: MessageVoteResponse, To: request.From, Reject: !granted})
 }
 
-// mayVoteFor tells whether the vote of this term is free, or has gone to that candidate already.
-func (n *Node) mayVoteFor(candidate MemberID) bool {
+// canVoteFor reports whether the vote of this term is free, or was given to that candidate already.
+func (n *Node) canVoteFor(candidate MemberID) bool {
 	if n.leader != None {
 		return false
 	}
 	return n.vote == None || n.vote == candidate
 }
 
-// giveVote votes for a candidate.
-func (n *Node) giveVote(candidate MemberID) {
+// grantVote votes for a candidate.
+func (n *Node) grantVote(candidate MemberID) {
 	n.becomeFollower(n.term, None)
-	n.awaitElection()
+	n.resetElectionDeadlineAfterVote()
 	if n.vote == None {
 		n.vote = candidate
-		n.pending.hardState = true
-	}
-}
-
-// countPreVote counts an encouragement for the next term.
-func (n *Node) countPreVote(message *Message) {
-	if n.role != rolePreCandidate || message.Term != n.term+1 {
-		return
-	}
-	n.ballot.grant(message.From)
-	if n.isElected() {
-		n.campaign(false)
+		n.pending.hardStateChanged = true
 	}
 }
 
-// countVote counts a vote. That it came shows that the request has left, and so that this member's own vote is on disk.
-func (n *Node) countVote(message *Message) {
-	if n.role != roleCandidate || message.Reject {
+// handleVoteResponse counts a vote. Its arrival shows that the request was sent, and so that this member's own vote is on
+// disk and counts too.
+func (n *Node) handleVoteResponse(response *Message) {
+	if n.role != roleCandidate || response.Reject {
 		return
 	}
-	n.ballot.grant(n.config.ID)
-	n.ballot.grant(message.From)
+	n.votes.record(n.config.ID)
+	n.votes.record(response.From)
 	if n.isElected() {
 		n.becomeLeader()
 	}
 }
 
-// takeTimeoutNow stands at once, as the leader asks.
-func (n *Node) takeTimeoutNow() {
-	if n.role == roleLeader || !n.mayStand() {
+// handleTimeoutNow campaigns at once, without a pre-vote, because the leader transfers its leadership to this member.
+func (n *Node) handleTimeoutNow() {
+	if n.role == roleLeader || !n.mayCampaign() {
 		return
 	}
-	n.campaign(true)
+	n.campaign(campaignTransfer)
 }
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -110,7 +110,7 @@
 	}
 	if limits.successor {
 		first.successor = true
-		first.members[0].node.campaign(true)
+		first.members[0].node.campaign(campaignTransfer)
 		first.settle()
 	}
 	if limits.replaces != None {
@@ -140,7 +140,7 @@
 	twin.random = rand.New(rand.NewPCG(1, 1))
 	twin.log.entries = slices.Clip(node.log.entries)
 	twin.memberships = slices.Clone(node.memberships)
-	twin.ballot.granted = slices.Clone(node.ballot.granted)
+	twin.votes.granted = slices.Clone(node.votes.granted)
 	twin.leadership.peers = nil
 	for _, peer := range node.leadership.peers {
 		other := *peer
@@ -313,7 +313,7 @@
 	case MessageAppend:
 		return e.repeats(&message.Message, &e.members[index])
 	case MessageTimeoutNow:
-		return !node.mayStand() || node.role == roleLeader
+		return !node.mayCampaign() || node.role == roleLeader
 	default:
 		return false
 	}
@@ -344,8 +344,8 @@
 	member := &e.members[index]
 	node := member.node
 	firstOfAll := index == 0 || slices.ContainsFunc(e.members, func(other exploredMember) bool { return other.node.term > 0 })
-	if node.role != roleLeader && node.term < limits.terms && node.mayStand() && firstOfAll {
-		step("stand", index, func(_ *explored, member *exploredMember) { member.node.campaign(true) })
+	if node.role != roleLeader && node.term < limits.terms && node.mayCampaign() && firstOfAll {
+		step("stand", index, func(_ *explored, member *exploredMember) { member.node.campaign(campaignTransfer) })
 	}
 	if node.role == roleLeader && e.proposals < limits.proposals {
 		step("propose", index, func(state *explored, member *exploredMember) {
@@ -393,7 +393,7 @@
 	if node.leadership.transferee != None {
 		step("end the transfer at", index, func(_ *explored, member *exploredMember) {
 			member.node.leadership.transferee = None
-			member.node.finishChange()
+			member.node.finishJointChange()
 		})
 		return
 	}
@@ -433,7 +433,7 @@
 	}
 	var newest *Node
 	for _, member := range e.members {
-		if member.node.ready() && (newest == nil || member.node.term > newest.term) {
+		if member.node.isReady() && (newest == nil || member.node.term > newest.term) {
 			newest = member.node
 		}
 	}
@@ -448,7 +448,7 @@
 
 // nextMembers is the change that a leader makes for a lost disk.
 func (e *explored) nextMembers(node *Node) []Member {
-	if !node.ready() || node.changePending() || e.losses == 0 {
+	if !node.isReady() || node.changePending() || e.losses == 0 {
 		return nil
 	}
 	members := node.memberships.current()
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -53,7 +53,7 @@
 	return g
 }
 
-// add starts one more member.
+// append starts one more member.
 func (g *group) add(id MemberID, restored Restored) *scripted {
 	config := Config{ID: id, Seed: 1, HeartbeatInterval: heartbeat, ElectionTimeout: timeout, MaxAppendBytes: 100,
 		MaxInflight: 2, SnapshotChunkBytes: 10}
@@ -170,7 +170,7 @@
 	member := g.of(id)
 	g.now = max(g.now, member.electionDeadline)
 	for _, other := range g.members {
-		other.advance(g.now)
+		other.advanceClock(g.now)
 	}
 	member.Tick(g.now)
 	g.settle()
@@ -185,7 +185,7 @@
 	return index
 }
 
-// sent counts the messages of a kind that were sent since the last call of forget.
+// lastSent counts the messages of a kind that were sent since the last call of forget.
 func (g *group) sent(kind MessageKind) int {
 	count := 0
 	for _, message := range g.kept {
@@ -196,7 +196,7 @@
 	return count
 }
 
-// newest is the newest message of a kind that was sent to a member.
+// newestIndex is the newest message of a kind that was sent to a member.
 func (g *group) newest(kind MessageKind, to MemberID) Message {
 	for position := len(g.kept) - 1; position >= 0; position-- {
 		if message := g.kept[position]; message.Kind == kind && message.To == to {
--- a/internal/cluster/consensus/joint_test.go
+++ b/internal/cluster/consensus/joint_test.go
@@ -35,7 +35,7 @@
 // forgetLeaders lets members vote at once.
 func (g *group) forgetLeaders() {
 	for _, member := range g.members {
-		member.leaderHeardAt = 0
+		member.lastLeaderContact = 0
 	}
 }
 
@@ -114,7 +114,7 @@
 	ginkgo.It("a candidate needs votes from both, also once pre-votes have let it stand", func() {
 		begin(2, 3, 4)
 		candidate := g.of(2)
-		candidate.campaign(true)
+		candidate.campaign(campaignTransfer)
 		g.lost = func(message Message) bool { return message.From != 3 && message.To != 3 }
 		g.settle()
 		Expect(candidate.role).To(Equal(roleCandidate))
@@ -140,13 +140,13 @@
 		g.forgetLeaders()
 		g.lost = lose(MessageAppendResponse)
 		candidate := g.of(2)
-		candidate.commitUpTo(candidate.memberships.newest())
+		candidate.commitUpTo(candidate.memberships.newestIndex())
 		leader.becomeFollower(leader.term, None)
 		g.now = max(g.now, candidate.electionDeadline)
 		candidate.Tick(g.now)
 		g.settle()
 		Expect(candidate.Status().IsLeader).To(BeTrue())
-		Expect(candidate.Status().Commit).To(BeNumerically(">=", candidate.memberships.newest()))
+		Expect(candidate.Status().Commit).To(BeNumerically(">=", candidate.memberships.newestIndex()))
 		candidate.Tick(g.now)
 		Expect(IsJoint(candidate.Status().Members)).To(BeTrue())
 	})
@@ -168,7 +168,7 @@
 		joined := leader.log.last()
 		leader.peer(2).match = joined
 		leader.advanceCommit()
-		leader.finishChange()
+		leader.finishJointChange()
 		Expect(leader.Status().Members).To(Equal(next))
 		replacing := []Entry{{Term: 2, Index: joined + 1, Kind: EntryEmpty}}
 		leader.Step(Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, Index: joined, LogTerm: 1, Entries: replacing}, g.now)
@@ -219,7 +219,7 @@
 		leader.advanceCommit()
 		g.drain(leader)
 		leader.Compact(joined)
-		leader.peer(4).needSnapshot()
+		leader.peer(4).becomeSnapshot()
 		leader.peer(4).active = true
 		g.lost = func(message Message) bool { return message.To == 2 || message.To == 3 }
 		leader.SendSnapshot(g.now, 4, Snapshot{Index: joined, Term: leader.term, Data: make([]byte, 25)})
--- a/internal/cluster/consensus/late_test.go
+++ b/internal/cluster/consensus/late_test.go
@@ -52,7 +52,7 @@
 
 	ginkgo.It("does not elect by votes of an earlier term, or of a member's earlier life", func() {
 		candidate := g.of(2)
-		candidate.campaign(true)
+		candidate.campaign(campaignTransfer)
 		g.drain(candidate)
 		g.waiting = nil
 		vote := Message{Kind: MessageVoteResponse, From: 3, To: 2, Term: candidate.term}
@@ -61,7 +61,7 @@
 		restarted.Step(vote, g.now)
 		Expect(restarted.role).To(Equal(roleFollower))
 		g.lost = isolate(2)
-		restarted.campaign(true)
+		restarted.campaign(campaignTransfer)
 		restarted.Step(vote, g.now)
 		Expect(restarted.role).To(Equal(roleCandidate))
 	})
@@ -144,7 +144,7 @@
 
 		g.forgetLeaders()
 		leader.becomeFollower(leader.term, None)
-		removed.campaign(true)
+		removed.campaign(campaignTransfer)
 		g.settle()
 		Expect(removed.Status().IsLeader).To(BeFalse())
 		g.pass(4 * timeout)
--- a/internal/cluster/consensus/log.go
+++ b/internal/cluster/consensus/log.go
@@ -1,23 +1,23 @@
 package consensus
 
-// entryBytes is about what an entry costs on the wire besides its data.
-const entryBytes = 24
+// entryOverheadBytes is the approximate size of an entry on the wire besides its data.
+const entryOverheadBytes = 24
 
-// entryLog is the part of the log that is held in memory: everything after base. Slices of it are given out, so what
-// was once appended is never overwritten in place.
+// entryLog is the part of the log in memory: all entries after base. Slices of it are returned to callers and sent in
+// messages, so entries are never overwritten in place.
 type entryLog struct {
-	base     uint64 // last index that was compacted away or replaced by a snapshot
-	baseTerm uint64
-	entries  []Entry
-	handed   uint64 // last index that was given out to be written
+	base       uint64 // last index that was compacted or replaced by a snapshot
+	baseTerm   uint64
+	entries    []Entry
+	lastOutput uint64 // last index that was output to be written
 }
 
-// last is the index of the newest entry.
+// last returns the index of the newest entry.
 func (l *entryLog) last() uint64 {
 	return l.base + uint64(len(l.entries))
 }
 
-// lastTerm is the term of the newest entry.
+// lastTerm returns the term of the newest entry.
 func (l *entryLog) lastTerm() uint64 {
 	if len(l.entries) == 0 {
 		return l.baseTerm
@@ -25,7 +25,7 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term is the term at an index, if the log still knows it.
+// term returns the term of the entry at an index, and false if the log does not have it (any more).
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -36,13 +36,13 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// matches tells whether the entry at an index is known and of that term.
+// matches reports whether the log has an entry with that index and term.
 func (l *entryLog) matches(index, term uint64) bool {
-	held, known := l.term(index)
-	return known && held == term
+	found, known := l.term(index)
+	return known && found == term
 }
 
-// between gives the entries after `after` up to and including `to`, both within the log.
+// between returns the entries after `after` up to and including `to`, both of which must be within the log.
 func (l *entryLog) between(after, to uint64) []Entry {
 	if to <= after {
 		return nil
@@ -51,13 +51,13 @@
 	return l.entries[start:end:end]
 }
 
-// batch gives the entries after an index, up to and including another within the log and up to about maxBytes; at least
-// one if there is any.
+// batch returns the entries after `after` up to and including `to`, as many as fit into about maxBytes, but at least one if
+// there is any.
 func (l *entryLog) batch(after, to uint64, maxBytes int) []Entry {
 	rest := l.between(after, to)
 	size := 0
 	for position := range rest {
-		size += len(rest[position].Data) + entryBytes
+		size += len(rest[position].Data) + entryOverheadBytes
 		if size > maxBytes && position > 0 {
 			return rest[:position:position]
 		}
@@ -65,23 +65,32 @@
 	return rest
 }
 
-// add appends an entry of a leader's own.
-func (l *entryLog) add(entry Entry) {
+// bytesAfter returns the approximate size of the entries after an index, which must not be before the log's base.
+func (l *entryLog) bytesAfter(index uint64) int {
+	size := 0
+	for _, entry := range l.between(index, l.last()) {
+		size += len(entry.Data) + entryOverheadBytes
+	}
+	return size
+}
+
+// append adds the entry after the newest one.
+func (l *entryLog) append(entry Entry) {
 	l.entries = append(l.entries, entry)
 }
 
-// replaceFrom drops everything from the first entry's index on and appends the entries.
-func (l *entryLog) replaceFrom(entries []Entry) {
+// truncateAndAppend drops all entries from the index of the first given one on, and appends the given ones.
+func (l *entryLog) truncateAndAppend(entries []Entry) {
 	first := entries[0].Index
 	keep := int(first - l.base - 1)
 	if keep < len(l.entries) {
-		l.entries = l.entries[:keep:keep] // the next append moves to fresh memory
+		l.entries = l.entries[:keep:keep] // the capacity makes the next append allocate
 	}
 	l.entries = append(l.entries, entries...)
-	l.handed = min(l.handed, first-1)
+	l.lastOutput = min(l.lastOutput, first-1)
 }
 
-// compact forgets the entries up to an index within the log.
+// compact drops the entries up to and including an index within the log.
 func (l *entryLog) compact(index uint64) {
 	term, known := l.term(index)
 	if !known || index == l.base {
@@ -92,16 +101,17 @@
 	l.base, l.baseTerm = index, term
 }
 
-// reset puts a snapshot in the place of the whole log.
+// reset replaces the complete log by a snapshot.
 func (l *entryLog) reset(index, term uint64) {
-	*l = entryLog{base: index, baseTerm: term, handed: index}
+	*l = entryLog{base: index, baseTerm: term, lastOutput: index}
 }
 
-// backTo finds the newest index up to `from` whose term is no newer than `term`: where two logs may still agree.
-func (l *entryLog) backTo(from, term uint64) uint64 {
+// findAgreement returns the newest index up to `from` whose term is not greater than `term`: the newest at which this log may
+// agree with another whose entry at `from` has that term.
+func (l *entryLog) findAgreement(from, term uint64) uint64 {
 	index := min(from, l.last())
 	for index > l.base {
-		if held, _ := l.term(index); held <= term {
+		if found, _ := l.term(index); found <= term {
 			break
 		}
 		index--
--- a/internal/cluster/consensus/log_test.go
+++ b/internal/cluster/consensus/log_test.go
@@ -7,7 +7,7 @@
 
 // logOf makes a log that begins after a base of term 1.
 func logOf(base uint64, terms ...uint64) *entryLog {
-	made := &entryLog{base: base, baseTerm: 1, handed: base}
+	made := &entryLog{base: base, baseTerm: 1, lastOutput: base}
 	made.entries = entriesOf(base+1, terms...)
 	return made
 }
@@ -29,7 +29,7 @@
 	func(after uint64, maxBytes, count int) {
 		made := logOf(5, 1, 1, 1)
 		for position := range made.entries {
-			made.entries[position].Data = make([]byte, 100-entryBytes)
+			made.entries[position].Data = make([]byte, 100-entryOverheadBytes)
 		}
 		Expect(made.batch(after, made.last(), maxBytes)).To(HaveLen(count))
 	},
@@ -41,7 +41,7 @@
 
 var _ = ginkgo.DescribeTable("where logs may still agree",
 	func(from, term, index uint64) {
-		Expect(logOf(5, 2, 2, 4, 4).backTo(from, term)).To(Equal(index))
+		Expect(logOf(5, 2, 2, 4, 4).findAgreement(from, term)).To(Equal(index))
 	},
 	ginkgo.Entry("the same term", uint64(8), uint64(4), uint64(8)),
 	ginkgo.Entry("an earlier term", uint64(9), uint64(3), uint64(7)),
@@ -53,11 +53,11 @@
 	ginkgo.It("never overwrites what it has given out", func() {
 		made := logOf(0, 1, 1, 1)
 		given := made.between(0, 3)
-		made.handed = 3
-		made.replaceFrom(entriesOf(2, 5, 5, 5))
+		made.lastOutput = 3
+		made.truncateAndAppend(entriesOf(2, 5, 5, 5))
 		Expect(given).To(Equal(entriesOf(1, 1, 1, 1)))
 		Expect(made.entries).To(Equal(entriesOf(1, 1, 5, 5, 5)))
-		Expect(made.handed).To(Equal(uint64(1)))
+		Expect(made.lastOutput).To(Equal(uint64(1)))
 	})
 
 	ginkgo.It("keeps the term before what was compacted", func() {
--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -47,7 +47,7 @@
 	return d.snapshot.Term
 }
 
-// add appends entries in place of what stands at their indexes.
+// append appends entries in place of what stands at their indexes.
 func (d *disk) add(entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -280,7 +280,7 @@
 	return output.HardState != nil || output.Snapshot != nil || len(output.Entries) > 0 || len(output.Deferred) > 0
 }
 
-// install replaces the state machine.
+// installSnapshot replaces the state machine.
 func (m *machine) install(snapshot *Snapshot) {
 	if snapshot == nil {
 		return
--- a/internal/cluster/consensus/change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -31,8 +31,8 @@
 			Expect(first).To(Equal(next))
 			return
 		}
-		Expect(votersOf(first, outgoing)).To(ConsistOf(MemberID(1), MemberID(2), MemberID(3)))
-		Expect(votersOf(first, incoming)).To(ConsistOf(votersOf(next, incoming)))
+		Expect(votersOf(first, outgoingConfig)).To(ConsistOf(MemberID(1), MemberID(2), MemberID(3)))
+		Expect(votersOf(first, incomingConfig)).To(ConsistOf(votersOf(next, incomingConfig)))
 	},
 	ginkgo.Entry("a voter more", append(memberList(1, 2, 3, 5), learner(4)), simple),
 	ginkgo.Entry("a voter less", append(memberList(1, 3), learner(4)), simple),
@@ -62,7 +62,7 @@
 )
 
 // votersOf gives the voters of one configuration.
-func votersOf(members []Member, configuration configurations) []MemberID {
+func votersOf(members []Member, configuration configSet) []MemberID {
 	var voters []MemberID
 	for _, member := range members {
 		if member.votesIn()&configuration != 0 {
@@ -79,8 +79,8 @@
 
 var _ = ginkgo.DescribeTable("who decides while voter 4 replaces voter 3",
 	func(expected bool, ids ...MemberID) {
-		said := ballot{granted: ids}
-		Expect(HasQuorum(threeToFour(), said.has)).To(Equal(expected))
+		said := voteTally{granted: ids}
+		Expect(HasQuorum(threeToFour(), said.grantedBy)).To(Equal(expected))
 	},
 	ginkgo.Entry("both that stay", true, MemberID(1), MemberID(2)),
 	ginkgo.Entry("one that stays, with the old and the new one", true, MemberID(1), MemberID(3), MemberID(4)),
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_history_test.go
@@ -34,7 +34,7 @@
 		g.settle()
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2)))
 		for _, id := range []MemberID{2, 3} {
-			g.of(id).leaderHeardAt = 0
+			g.of(id).lastLeaderContact = 0
 		}
 		g.elect(2)
 		g.lost = nil
@@ -56,7 +56,7 @@
 		g.lost = lose(MessageAppendResponse)
 		other := g.of(2)
 		for _, member := range g.members {
-			member.leaderHeardAt = 0
+			member.lastLeaderContact = 0
 		}
 		g.now = max(g.now, other.electionDeadline)
 		leader.becomeFollower(leader.term, None)
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -179,7 +179,7 @@
 	n.world.after(lasting, func() { victim.node.SetCampaign(true) })
 }
 
-// handOver asks a leader to give its role to a random voter.
+// maybeFinishTransfer asks a leader to give its role to a random voter.
 func (n *nemesis) handOver() {
 	leader := n.world.newestLeader()
 	if leader == nil {
@@ -321,7 +321,7 @@
 			next[index].Learner = n.world.chance(0.5)
 			continue
 		}
-		next[index].Learner = kept >= quorumOf(voters) && n.world.chance(0.5)
+		next[index].Learner = kept >= quorumSize(voters) && n.world.chance(0.5)
 		kept++
 	}
 	return next
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -10,16 +10,17 @@
 
 const (
 	roleFollower     role = iota
-	rolePreCandidate      // asks whether it would be elected
-	roleCandidate         // asks for votes
+	rolePreCandidate      // requests pre-votes
+	roleCandidate         // requests votes
 	roleLeader
 )
 
-// Node is one member of one group. It is not safe for use by several goroutines at once.
+// Node is one member of one group. It is not safe for concurrent use: the caller must call all its methods from one
+// goroutine at a time. The package comment states what the caller must do with its output.
 type Node struct {
 	config Config
 	random *rand.Rand
-	now    time.Duration // newest time an input came with
+	now    time.Duration // newest time of an input
 
 	role   role
 	term   uint64
@@ -29,21 +30,21 @@
 	log         entryLog
 	memberships membershipHistory
 	commit      uint64
-	applied     uint64 // last index handed out to be applied
+	applied     uint64 // last index that was output as committed
 	verified    uint64 // last index known to agree with the leader of this term
 
-	campaignAllowed  bool
-	writeTime        time.Duration // how long a write to this member's disk takes of late
-	electionDeadline time.Duration // when to stand
-	leaderHeardAt    time.Duration // counts only while a leader is known
-	ballot           ballot
+	campaignAllowed   bool
+	writeTime         time.Duration // how long a write to this member's disk takes at present
+	electionDeadline  time.Duration // when to start an election
+	lastLeaderContact time.Duration // meaningful only while a leader is known
+	votes             voteTally
 
 	leadership leadership
-	incoming   *incomingSnapshot
+	receiving  *incomingSnapshot // nil: none
 	pending    pendingOutput
 }
 
-// New makes a member from what its disk held.
+// New returns a member that goes on from what its disk has, as a follower.
 func New(config Config, restored Restored, now time.Duration) *Node {
 	config = config.withDefaults()
 	node := &Node{
@@ -59,7 +60,8 @@
 	return node
 }
 
-// restoreLog takes over the log and its memberships.
+// restoreLog restores the log and its memberships. After a torn write the newest entry or the snapshot may
+// have a later term than the hard state. This member has sent no vote in that term: votes wait for the hard state.
 func (n *Node) restoreLog(restored Restored) {
 	if snapshot := restored.Snapshot; snapshot != nil {
 		n.log.reset(snapshot.Index, snapshot.Term)
@@ -67,10 +69,10 @@
 	}
 	for _, entry := range restored.Entries {
 		if entry.Index == n.log.last()+1 {
-			n.log.add(entry)
+			n.log.append(entry)
 		}
 	}
-	n.log.handed = n.log.last()
+	n.log.lastOutput = n.log.last()
 	n.memberships = n.memberships.withEntries(n.log.entries)
 	n.commit, n.applied, n.verified = n.log.base, n.log.base, n.log.base
 	if newest := n.log.lastTerm(); newest > n.term {
@@ -78,77 +80,81 @@
 	}
 }
 
-// advance moves the node's time to that of an input.
-func (n *Node) advance(now time.Duration) {
+// advanceClock advances the node's time to that of an input. Earlier times are ignored.
+func (n *Node) advanceClock(now time.Duration) {
 	if now <= n.now {
 		return
 	}
 	stalled := now-n.now > n.config.ElectionTimeout/2
 	n.now = now
 	if stalled && n.role == roleLeader {
-		n.graceAfterStall()
+		n.startStallGrace()
 	}
 }
 
-// Tick does what has become due. It is called every 20 to 50 ms or so, or at the latest at NextDeadline.
+// Tick does what has become due by now. It must be called at NextDeadline at the latest; earlier calls do no harm. A leader
+// takes a time without inputs of more than half an election timeout for a stall of its process, so callers should tick
+// several times in an election timeout.
 func (n *Node) Tick(now time.Duration) {
-	n.advance(now)
+	n.advanceClock(now)
 	if n.role == roleLeader {
 		n.tickLeader()
 		return
 	}
 	if n.now >= n.electionDeadline {
-		n.stand()
+		n.startElection()
 		return
 	}
-	n.repeatRequests()
+	n.resendVoteRequests()
 }
 
-// NextDeadline is the time at which Tick must be called at the latest.
+// NextDeadline returns the time at which Tick must be called at the latest, of the clock whose times are passed to the
+// Node. Any input may change it.
 func (n *Node) NextDeadline() time.Duration {
 	switch n.role {
 	case roleLeader:
 		return n.leaderDeadline()
 	case rolePreCandidate, roleCandidate:
-		return min(n.electionDeadline, n.ballot.repeatAt)
+		return min(n.electionDeadline, n.votes.resendAt)
 	default:
 		return n.electionDeadline
 	}
 }
 
-// Step takes a message from another member in.
+// Step handles a message from another member. Messages that are not addressed to this member and group are ignored.
 func (n *Node) Step(message Message, now time.Duration) {
-	n.advance(now)
+	n.advanceClock(now)
 	if message.Group != n.config.Group || message.To != n.config.ID || message.From == n.config.ID {
 		return
 	}
-	if message.Term > n.term && !n.enterTerm(&message) {
+	if message.Term > n.term && !n.handleHigherTerm(&message) {
 		return
 	}
 	if message.Term < n.term {
-		n.answerOldTerm(&message)
+		n.handleLowerTerm(&message)
 		return
 	}
 	n.dispatch(&message)
 	if n.role == roleLeader {
-		n.finishChange()
-		n.sendWantedRound()
+		n.finishJointChange()
+		n.sendRequestedConfirmation()
 	}
 }
 
-// enterTerm handles a message of a later term, and tells whether to go on with it.
-func (n *Node) enterTerm(message *Message) bool {
+// handleHigherTerm handles a message of a later term, which this member enters except for pre-votes, and for requests for
+// votes while it has a live leader (section 4.2.3). It reports whether the message is to be dispatched in the new term.
+func (n *Node) handleHigherTerm(message *Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
-		n.answerPreVote(message)
+		n.handlePreVote(message)
 		return false
 	case MessagePreVoteResponse:
 		if !message.Reject {
-			n.countPreVote(message)
+			n.handlePreVoteResponse(message)
 			return false
 		}
 	case MessageVote:
-		if n.hearsLeader() && !message.Forced {
+		if n.hasLiveLeader() && !message.Forced {
 			return false
 		}
 	}
@@ -156,8 +162,9 @@
 	return true
 }
 
-// answerOldTerm tells a member that is behind, so that a leader of an old term steps down and a candidate catches up.
-func (n *Node) answerOldTerm(message *Message) {
+// handleLowerTerm responds to a message of an earlier term with the present one: a leader of an earlier term steps down, and
+// a candidate enters the present term.
+func (n *Node) handleLowerTerm(message *Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		n.send(Message{Kind: MessageAppendResponse, To: message.From, Reject: true})
@@ -168,136 +175,91 @@
 	}
 }
 
-// dispatch handles a message of this term.
+// dispatch handles a message of the present term.
 func (n *Node) dispatch(message *Message) {
 	switch message.Kind {
 	case MessagePreVote:
-		n.answerPreVote(message)
+		n.handlePreVote(message)
 	case MessageVote:
-		n.answerVote(message)
+		n.handleVote(message)
 	case MessageVoteResponse:
-		n.countVote(message)
+		n.handleVoteResponse(message)
 	case MessageAppend:
-		n.takeAppend(message)
+		n.handleAppend(message)
 	case MessageHeartbeat:
-		n.takeHeartbeat(message)
+		n.handleHeartbeat(message)
 	case MessageSnapshot:
-		n.takeSnapshotPiece(message)
+		n.handleSnapshotChunk(message)
 	case MessageAppendResponse:
-		n.takeAppendResponse(message)
+		n.handleAppendResponse(message)
 	case MessageHeartbeatResponse:
-		n.takeHeartbeatResponse(message)
+		n.handleHeartbeatResponse(message)
 	case MessageSnapshotResponse:
-		n.takeSnapshotResponse(message)
+		n.handleSnapshotResponse(message)
 	case MessageTimeoutNow:
-		n.takeTimeoutNow()
+		n.handleTimeoutNow()
 	}
 }
 
-// becomeFollower enters a term, or goes back to following in this one.
+// becomeFollower enters a later term, or becomes a follower in the present one. leader is None if it is not known.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if term > n.term {
 		n.term, n.vote = term, None
-		n.pending.hardState = true
+		n.pending.hardStateChanged = true
 		n.verified = n.commit
-		n.incoming = nil
+		n.receiving = nil
 	}
 	if n.role == roleLeader {
 		n.endLeadership()
 	}
 	n.role = roleFollower
 	n.leader = leader
-	n.ballot = ballot{}
+	n.votes = voteTally{}
 }
 
-// endLeadership forgets what only a leader has. One that was giving its leadership away leaves its successor time for the votes.
+// endLeadership drops what only a leader has. One that was transferring its leadership gives the election of its successor
+// the time that disks need for the votes.
 func (n *Node) endLeadership() {
 	if n.leadership.transferee != None {
-		n.awaitElection()
+		n.resetElectionDeadlineAfterVote()
 	} else {
 		n.resetElectionDeadline()
 	}
 	n.leadership = leadership{}
 }
 
-// followLeader notes that the leader of this term was heard. It tells false where that cannot be.
-func (n *Node) followLeader(from MemberID) bool {
+// acceptLeader follows the leader of the present term and records the contact. It reports false if this member leads itself,
+// so that the message can't be valid.
+func (n *Node) acceptLeader(from MemberID) bool {
 	if n.role == roleLeader {
 		return false
 	}
 	n.becomeFollower(n.term, from)
-	n.leaderHeardAt = n.now
+	n.lastLeaderContact = n.now
 	n.resetElectionDeadline()
 	return true
 }
 
-// hearsLeader tells whether a leader was heard so lately that nobody needs to stand.
-func (n *Node) hearsLeader() bool {
+// hasLiveLeader reports whether this member leads, or had contact with its leader within an election timeout.
+func (n *Node) hasLiveLeader() bool {
 	if n.role == roleLeader {
 		return true
 	}
-	return n.leader != None && n.now-n.leaderHeardAt < n.config.ElectionTimeout
+	return n.leader != None && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-// resetElectionDeadline draws the next time to stand.
-func (n *Node) resetElectionDeadline() {
-	extra := time.Duration(n.random.Int64N(int64(n.config.ElectionTimeout)))
-	n.electionDeadline = n.now + n.config.ElectionTimeout + extra
-}
-
-// Persisted tells that the log up to an entry, and all that was handed out to be written before it, are on disk. Outputs
-// handed out later may still wait to be written.
+// Persisted reports to the Node that the log up to the entry with this index and term is on disk, and so is everything that
+// was output before it. Later Outputs may still wait to be written.
 func (n *Node) Persisted(now time.Duration, index, term uint64) {
-	n.advance(now)
+	n.advanceClock(now)
 	if n.role != roleLeader || index <= n.leadership.ownMatch || !n.log.matches(index, term) {
 		return
 	}
 	n.leadership.ownMatch = index
-	if n.leadership.holdAppends && index >= n.leadership.firstIndex {
-		n.leadership.holdAppends = false
+	if n.leadership.appendsSuspended && index >= n.leadership.termStartIndex {
+		n.leadership.appendsSuspended = false
 		n.leadership.appendsDue = true
 	}
 	n.advanceCommit()
-	n.finishChange()
-}
-
-// Compact drops the entries up to an index that was handed out to be applied.
-func (n *Node) Compact(index uint64) {
-	index = min(index, n.applied, n.log.handed)
-	if index <= n.log.base {
-		return
-	}
-	n.log.compact(index)
-	n.memberships = n.memberships.compacted(index)
-}
-
-// MembersAt is the membership as of an index that is not compacted away: what belongs into a snapshot of that index.
-func (n *Node) MembersAt(index uint64) []Member {
-	return n.memberships.at(index)
-}
-
-// SetCampaign sets whether this member may stand for election: not while its disk is sick.
-func (n *Node) SetCampaign(allowed bool) {
-	n.campaignAllowed = allowed
-	if !allowed && (n.role == rolePreCandidate || n.role == roleCandidate) {
-		n.becomeFollower(n.term, None)
-	}
-}
-
-// Status is what this member knows.
-func (n *Node) Status() Status {
-	return Status{
-		ID:            n.config.ID,
-		Term:          n.term,
-		Leader:        n.leader,
-		IsLeader:      n.role == roleLeader,
-		Ready:         n.ready(),
-		Commit:        n.commit,
-		LastIndex:     n.log.last(),
-		FirstIndex:    n.log.base + 1,
-		ConfirmedAt:   n.leadership.confirmedAt,
-		Members:       n.memberships.current(),
-		ChangePending: n.changePending(),
-		Transferee:    n.leadership.transferee,
-	}
+	n.finishJointChange()
 }
--- a/internal/cluster/consensus/progress.go
+++ b/internal/cluster/consensus/progress.go
@@ -2,94 +2,97 @@
 
 import "time"
 
-// progressState tells how a leader feeds a member.
+// progressState is how a leader replicates to a member.
 type progressState uint8
 
 const (
-	progressProbe     progressState = iota // looking for where the logs agree: one append at a time
-	progressReplicate                      // appends follow each other without waiting
-	progressSnapshot                       // what comes next is compacted away: a snapshot is needed
+	progressProbe     progressState = iota // finding out where the logs agree, with one append at a time
+	progressReplicate                      // sending appends without waiting for responses
+	progressSnapshot                       // the next entry is compacted: a snapshot is needed or being sent
 )
 
 // progress is what a leader knows of another member.
 type progress struct {
 	id      MemberID
-	votesIn configurations
+	votesIn configSet
 	state   progressState
 
-	match uint64 // last index known to be on its disk
-	next  uint64 // index of the next entry to send
-	sent  uint64 // last index that the newest append was to bring the log to
+	match    uint64 // last index known to be on the member's disk
+	next     uint64 // index of the next entry to send
+	lastSent uint64 // last index that the member has once it has handled the newest append
 
-	waiting  bool     // a probe is out
-	inflight []uint64 // last indexes of unanswered appends, oldest first
+	probeSent bool     // the response to a probe is outstanding
+	inflight  []uint64 // last indexes of unacknowledged appends, oldest first
 
-	appendSentAt time.Duration // the newest append
-	ackAskedAt   time.Duration // the newest append or answer that moved match
-	heardAt      time.Duration // the newest answer, or the start of the term
-	active       bool          // has answered in this term
-	confirmedAt  time.Duration // newest SentAt it has answered in this term
+	appendSentAt   time.Duration // of the newest append
+	ackRequestedAt time.Duration // of the newest append or response that advanced match
+	lastContact    time.Duration // newest response, or when the member began to be tracked
+	active         bool          // has responded in this term
+	confirmedAt    time.Duration // newest SentAt to which the member has responded in this term
 
-	transfer   *outgoingSnapshot
-	pieceBytes int // how much of a snapshot one message to it carries; 0: none was sent yet
+	outgoing   *outgoingSnapshot // nil: no snapshot is being sent
+	chunkBytes int               // size of the next chunk of a snapshot; 0: none was sent yet
 }
 
-// votes tells whether the member votes, be it in one configuration only.
-func (p *progress) votes() bool {
+// isVoter reports whether the member votes in any configuration.
+func (p *progress) isVoter() bool {
 	return p.votesIn != 0
 }
 
-// heard notes an answer.
-func (p *progress) heard(now, sentAt time.Duration) {
-	p.heardAt = now
+// recordContact records a response to a message that was sent at sentAt.
+func (p *progress) recordContact(now, sentAt time.Duration) {
+	p.lastContact = now
 	p.active = true
 	p.confirmedAt = max(p.confirmedAt, sentAt)
 }
 
-// probe starts looking for where the logs agree.
-func (p *progress) probe(next uint64) {
+// becomeProbe begins to find out where the logs agree, from the entry at next on.
+func (p *progress) becomeProbe(next uint64) {
 	p.state = progressProbe
 	p.next = next
-	p.waiting = false
-	p.inflight = p.inflight[:0]
+	p.clearWindow()
 }
 
-// needSnapshot stops appends until a snapshot is over there.
-func (p *progress) needSnapshot() {
+// becomeSnapshot stops appends until the member has a snapshot.
+func (p *progress) becomeSnapshot() {
 	p.state = progressSnapshot
-	p.waiting = false
+	p.clearWindow()
+}
+
+// becomeReplicate sends appends without waiting, from the last entry on the member's disk on.
+func (p *progress) becomeReplicate() {
+	p.state = progressReplicate
+	p.next = p.match + 1
+	p.lastSent = p.match
+	p.outgoing = nil
+	p.clearWindow()
+}
+
+// clearWindow waits for no response to earlier appends any more.
+func (p *progress) clearWindow() {
+	p.probeSent = false
 	p.inflight = p.inflight[:0]
 }
 
-// matched notes that entries up to an index are on its disk.
-func (p *progress) matched(index uint64, now time.Duration) {
+// advanceMatch records that the entries up to an index are on the member's disk.
+func (p *progress) advanceMatch(index uint64, now time.Duration) {
 	if index > p.match {
 		p.match = index
-		p.ackAskedAt = now
+		p.ackRequestedAt = now
 	}
 	p.next = max(p.next, p.match+1)
-	answered := 0
-	for answered < len(p.inflight) && p.inflight[answered] <= p.match {
-		answered++
+	acknowledged := 0
+	for acknowledged < len(p.inflight) && p.inflight[acknowledged] <= p.match {
+		acknowledged++
 	}
-	p.inflight = p.inflight[:copy(p.inflight, p.inflight[answered:])]
-}
-
-// replicate goes over to appends without waiting.
-func (p *progress) replicate() {
-	p.state = progressReplicate
-	p.next = p.match + 1
-	p.sent = p.match
-	p.waiting = false
-	p.inflight = p.inflight[:0]
-	p.transfer = nil
+	p.inflight = p.inflight[:copy(p.inflight, p.inflight[acknowledged:])]
 }
 
-// mayAppend tells whether one more append may leave.
-func (p *progress) mayAppend(maxInflight int) bool {
+// canSendAppend reports whether the window allows another append.
+func (p *progress) canSendAppend(maxInflight int) bool {
 	switch p.state {
 	case progressProbe:
-		return !p.waiting
+		return !p.probeSent
 	case progressReplicate:
 		return len(p.inflight) < maxInflight
 	default:
--- a/internal/cluster/consensus/quorum.go
+++ b/internal/cluster/consensus/quorum.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// maxScratch is the number of voters up to which quorums are worked out without allocating.
-const maxScratch = 16
+// maxStackVoters is the number of voters up to which quorums are computed without allocating.
+const maxStackVoters = 16
 
-// configurations is the set of the configurations in which a member votes. A membership that is not joint has one
-// configuration, which counts as the outgoing and as the incoming one.
-type configurations uint8
+// configSet is the set of configurations in which a member votes. A membership that is not joint has one configuration,
+// which counts as both the outgoing and the incoming one.
+type configSet uint8
 
 const (
-	outgoing configurations = 1 << iota // the voters before a joint change
-	incoming                            // the voters after it
-	both     = outgoing | incoming
+	outgoingConfig configSet = 1 << iota // the voters before a joint change
+	incomingConfig                       // the voters after it
+	bothConfigs    = outgoingConfig | incomingConfig
 )
 
-// votesIn gives the configurations in which a member votes.
-func (m Member) votesIn() configurations {
+// votesIn returns the configurations in which a member votes.
+func (m Member) votesIn() configSet {
 	if m.Learner {
 		return 0
 	}
 	switch m.Transition {
 	case TransitionAdded:
-		return incoming
+		return incomingConfig
 	case TransitionRemoved, TransitionDemoted:
-		return outgoing
+		return outgoingConfig
 	default:
-		return both
+		return bothConfigs
 	}
 }
 
-// IsJoint tells whether a membership has two configurations.
+// IsJoint reports whether a membership has two configurations.
 func IsJoint(members []Member) bool {
 	for _, member := range members {
 		if member.Transition != TransitionNone {
@@ -43,39 +43,39 @@
 	return false
 }
 
-// HasQuorum tells whether the members for which something holds decide: they are a majority of the voters, and in a joint
-// membership a majority of either configuration.
-func HasQuorum(members []Member, holds func(MemberID) bool) bool {
-	return hasMajority(members, outgoing, holds) && hasMajority(members, incoming, holds)
+// HasQuorum reports whether the members for which agrees returns true are a quorum: a majority of the voters, and in a joint
+// membership a majority of each configuration.
+func HasQuorum(members []Member, agrees func(MemberID) bool) bool {
+	return hasMajority(members, outgoingConfig, agrees) && hasMajority(members, incomingConfig, agrees)
 }
 
-// hasMajority tells whether something holds for a majority of the voters of one configuration.
-func hasMajority(members []Member, configuration configurations, holds func(MemberID) bool) bool {
-	voters, held := 0, 0
+// hasMajority reports whether agrees returns true for a majority of the voters of one configuration.
+func hasMajority(members []Member, config configSet, agrees func(MemberID) bool) bool {
+	voters, agreeing := 0, 0
 	for _, member := range members {
-		if member.votesIn()&configuration == 0 {
+		if member.votesIn()&config == 0 {
 			continue
 		}
 		voters++
-		if holds(member.ID) {
-			held++
+		if agrees(member.ID) {
+			agreeing++
 		}
 	}
-	return held >= quorumOf(voters)
+	return agreeing >= quorumSize(voters)
 }
 
-// quorumOf is how many of so many voters decide.
-func quorumOf(voters int) int {
+// quorumSize returns how many of a number of voters are a majority.
+func quorumSize(voters int) int {
 	return voters/2 + 1
 }
 
-// isVoter tells whether a member votes, be it in one configuration only.
+// isVoter reports whether a member votes in any configuration.
 func isVoter(members []Member, id MemberID) bool {
 	member, found := findMember(members, id)
 	return found && member.votesIn() != 0
 }
 
-// countVoters counts the members that vote, be it in one configuration only.
+// countVoters returns how many members vote in any configuration.
 func countVoters(members []Member) int {
 	voters := 0
 	for _, member := range members {
@@ -86,42 +86,43 @@
 	return voters
 }
 
-// isOnlyVoter tells whether a member votes and no other does.
+// isOnlyVoter reports whether a member votes and no other does.
 func isOnlyVoter(members []Member, id MemberID) bool {
 	return isVoter(members, id) && countVoters(members) == 1
 }
 
-// reachedByMajority is the largest value that a majority has reached; values are sorted in place.
+// reachedByMajority returns the largest value that a majority of the values reaches, 0 if there are none. It sorts values in
+// place.
 func reachedByMajority[T uint64 | time.Duration](values []T) T {
 	if len(values) == 0 {
 		return 0
 	}
 	slices.Sort(values)
-	return values[len(values)-quorumOf(len(values))]
+	return values[len(values)-quorumSize(len(values))]
 }
 
-// reachedByQuorum is the largest value that a quorum has reached, in a joint membership a majority of either
-// configuration. `own` is this leader's value.
-func reachedByQuorum[T uint64 | time.Duration](n *Node, own T, of func(*progress) T) T {
-	members := n.memberships.current()
-	reached := reachedByConfiguration(n, incoming, own, of)
-	if IsJoint(members) {
-		reached = min(reached, reachedByConfiguration(n, outgoing, own, of))
+// reachedByQuorum returns the largest value that a quorum has reached, where own is the value of this leader and valueOf
+// returns that of another member.
+func reachedByQuorum[T uint64 | time.Duration](n *Node, own T, valueOf func(*progress) T) T {
+	reached := reachedByConfig(n, incomingConfig, own, valueOf)
+	if IsJoint(n.memberships.current()) {
+		reached = min(reached, reachedByConfig(n, outgoingConfig, own, valueOf))
 	}
 	return reached
 }
 
-// reachedByConfiguration is the largest value that a majority of one configuration has reached.
-func reachedByConfiguration[T uint64 | time.Duration](n *Node, in configurations, own T, of func(*progress) T) T {
-	var held [maxScratch]T
-	values := held[:0]
+// reachedByConfig returns the largest value that a majority of the voters of one configuration has reached. This leader
+// counts only if it votes in it.
+func reachedByConfig[T uint64 | time.Duration](n *Node, config configSet, own T, valueOf func(*progress) T) T {
+	var stack [maxStackVoters]T
+	values := stack[:0]
 	self, found := findMember(n.memberships.current(), n.config.ID)
-	if found && self.votesIn()&in != 0 {
+	if found && self.votesIn()&config != 0 {
 		values = append(values, own)
 	}
 	for _, peer := range n.leadership.peers {
-		if peer.votesIn&in != 0 {
-			values = append(values, of(peer))
+		if peer.votesIn&config != 0 {
+			values = append(values, valueOf(peer))
 		}
 	}
 	return reachedByMajority(values)
--- a/internal/cluster/consensus/recovery_test.go
+++ b/internal/cluster/consensus/recovery_test.go
@@ -78,12 +78,12 @@
 	for _, member := range e.members {
 		node.becomeFollower(max(node.term, member.node.term), None)
 	}
-	if !node.mayStand() {
+	if !node.mayCampaign() {
 		return false
 	}
-	node.campaign(true)
+	node.campaign(campaignTransfer)
 	e.settle()
 	return slices.ContainsFunc(e.members, func(member exploredMember) bool {
-		return member.node.ready() && !member.node.changePending()
+		return member.node.isReady() && !member.node.changePending()
 	})
 }
--- a/internal/cluster/consensus/replication.go
+++ b/internal/cluster/consensus/replication.go
@@ -1,6 +1,6 @@
 package consensus
 
-// sendDueAppends sends the entries that were added since, together.
+// sendDueAppends sends the entries that were appended since the last call, in as few messages as possible.
 func (n *Node) sendDueAppends() {
 	if !n.leadership.appendsDue {
 		return
@@ -11,86 +11,88 @@
 	}
 }
 
-// sendAppends sends a member what it lacks, as far as its window allows, or looks for where the logs agree.
+// sendAppends sends a member the entries it lacks, as far as its window allows, or a probe for where the logs agree.
 func (n *Node) sendAppends(peer *progress) {
-	if n.leadership.holdAppends {
+	if n.leadership.appendsSuspended {
 		return
 	}
-	for n.lacks(peer) && peer.mayAppend(n.config.MaxInflight) {
+	for n.needsAppend(peer) && peer.canSendAppend(n.config.MaxInflight) {
 		if !n.sendAppend(peer) {
 			return
 		}
 	}
 }
 
-// lacks tells whether there is anything to send to a member.
-func (n *Node) lacks(peer *progress) bool {
-	return peer.state == progressProbe || peer.next <= n.lastFor(peer)
+// needsAppend reports whether there is anything to send to a member.
+func (n *Node) needsAppend(peer *progress) bool {
+	return peer.state == progressProbe || peer.next <= n.lastIndexFor(peer)
 }
 
-// lastFor is the last index that a member may get. A learner gets what is committed only: it does not stand for election,
-// so if it had the newest log, with an entry that may be lost, and counted as a voter in a membership that another has in
-// its log, it could keep that other from being elected for ever.
-func (n *Node) lastFor(peer *progress) uint64 {
-	if peer.votes() {
+// lastIndexFor returns the last index that may be sent to a member. A learner receives only what is committed: it does not
+// campaign, so if it had the newest log, with an entry that may be lost, and counted as a voter in a membership that another
+// member has in its log, it could prevent that member from being elected forever.
+func (n *Node) lastIndexFor(peer *progress) uint64 {
+	if peer.isVoter() {
 		return n.log.last()
 	}
 	return n.commit
 }
 
-// sendAppend sends one append, an empty one if nothing is lacking.
+// sendAppend sends one append, an empty one if the member lacks nothing. It reports false if the entries are compacted, so
+// that the member needs a snapshot.
 func (n *Node) sendAppend(peer *progress) bool {
 	before := peer.next - 1
 	beforeTerm, known := n.log.term(before)
 	if !known {
-		peer.needSnapshot()
+		peer.becomeSnapshot()
 		return false
 	}
-	entries := n.log.batch(before, n.lastFor(peer), n.config.MaxAppendBytes)
+	entries := n.log.batch(before, n.lastIndexFor(peer), n.config.MaxAppendBytes)
 	n.send(Message{Kind: MessageAppend, To: peer.id, Index: before, LogTerm: beforeTerm, Commit: n.commit,
 		Entries: entries, SentAt: n.now})
 	peer.appendSentAt = n.now
-	peer.ackAskedAt = n.now
-	peer.sent = before + uint64(len(entries))
+	peer.ackRequestedAt = n.now
+	peer.lastSent = before + uint64(len(entries))
 	if peer.state == progressProbe {
-		peer.waiting = true
+		peer.probeSent = true
 		return true
 	}
-	peer.next = peer.sent + 1
-	peer.inflight = append(peer.inflight, peer.sent)
+	peer.next = peer.lastSent + 1
+	peer.inflight = append(peer.inflight, peer.lastSent)
 	return true
 }
 
-// resumeAfterLoss sends again what a member has certainly not got. `agreed` is how far its log agrees in memory.
-func (n *Node) resumeAfterLoss(peer *progress, agreed uint64) {
+// resendLost sends again what a member certainly has not received. agreed is the last index at which its log, in memory,
+// agrees with this one.
+func (n *Node) resendLost(peer *progress, agreed uint64) {
 	next := peer.next
 	if peer.state == progressReplicate {
 		next = max(peer.match, agreed) + 1
 	}
-	peer.probe(next)
+	peer.becomeProbe(next)
 	n.sendAppend(peer)
 }
 
-// askForAck asks with an empty append for an acknowledgement that may have been lost.
-func (n *Node) askForAck(peer *progress) {
+// requestAck requests, with an empty append, an acknowledgement that may have been lost.
+func (n *Node) requestAck(peer *progress) {
 	before := peer.next - 1
 	beforeTerm, known := n.log.term(before)
 	if !known {
-		peer.needSnapshot()
+		peer.becomeSnapshot()
 		return
 	}
-	peer.ackAskedAt = n.now
+	peer.ackRequestedAt = n.now
 	n.send(Message{Kind: MessageAppend, To: peer.id, Index: before, LogTerm: beforeTerm, Commit: n.commit, SentAt: n.now})
 }
 
-// takeAppend adds a leader's entries to the log.
-func (n *Node) takeAppend(message *Message) {
-	if !consecutive(message) || !n.followLeader(message.From) {
+// handleAppend appends a leader's entries to the log (section 3.5). The acknowledgement waits until they are on disk.
+func (n *Node) handleAppend(message *Message) {
+	if !hasConsecutiveEntries(message) || !n.acceptLeader(message.From) {
 		return
 	}
 	before, entries := message.Index, message.Entries
 	if before < n.commit {
-		// What is committed agrees with every later leader.
+		// What is committed agrees with the log of every later leader.
 		skip := min(n.commit-before, uint64(len(entries)))
 		entries = entries[skip:]
 		before = n.commit
@@ -98,15 +100,15 @@
 		n.rejectAppend(message)
 		return
 	}
-	n.addEntries(entries)
+	n.appendEntries(entries)
 	n.verified = max(n.verified, before+uint64(len(entries)))
 	n.commitUpTo(message.Commit)
 	n.sendDeferred(Message{Kind: MessageAppendResponse, To: message.From, Index: before + uint64(len(entries)),
 		SentAt: message.SentAt})
 }
 
-// consecutive tells whether an append's entries follow each other.
-func consecutive(message *Message) bool {
+// hasConsecutiveEntries reports whether the entries of an append follow each other and the index before them.
+func hasConsecutiveEntries(message *Message) bool {
 	for position := range message.Entries {
 		if message.Entries[position].Index != message.Index+1+uint64(position) {
 			return false
@@ -115,81 +117,81 @@
 	return true
 }
 
-// rejectAppend says that the log has something else before the entries, and where it may still agree.
+// rejectAppend responds that the logs differ before the entries, with a hint at where they may still agree.
 func (n *Node) rejectAppend(message *Message) {
-	hint := n.log.backTo(message.Index-1, message.LogTerm)
+	hint := n.log.findAgreement(message.Index-1, message.LogTerm)
 	hintTerm, _ := n.log.term(hint)
 	n.send(Message{Kind: MessageAppendResponse, To: message.From, Reject: true, Index: message.Index,
 		Hint: hint, LogTerm: hintTerm, SentAt: message.SentAt})
 }
 
-// addEntries appends the entries that the log lacks, in place of others it may have from their first on.
-func (n *Node) addEntries(entries []Entry) {
+// appendEntries appends the entries that the log lacks. From the first one on that differs they replace what the log has.
+func (n *Node) appendEntries(entries []Entry) {
 	for position, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
-		fresh := entries[position:]
-		n.memberships = n.memberships.truncated(entry.Index).withEntries(fresh)
-		n.log.replaceFrom(fresh)
+		missing := entries[position:]
+		n.memberships = n.memberships.truncated(entry.Index).withEntries(missing)
+		n.log.truncateAndAppend(missing)
 		return
 	}
 }
 
-// commitUpTo commits what the leader has committed, as far as the log is known to agree.
+// commitUpTo commits what the leader has committed, as far as the logs are known to agree.
 func (n *Node) commitUpTo(index uint64) {
 	n.commit = max(n.commit, min(index, n.verified))
 }
 
-// takeAppendResponse moves a member's progress on, or back after a rejection.
-func (n *Node) takeAppendResponse(message *Message) {
+// handleAppendResponse advances a member's progress, or moves it back after a rejection.
+func (n *Node) handleAppendResponse(message *Message) {
 	peer := n.peer(message.From)
 	if n.role != roleLeader || peer == nil {
 		return
 	}
-	n.heardFrom(peer, message)
+	n.recordResponse(peer, message)
 	if message.Reject {
-		n.stepBack(peer, message)
+		n.handleRejection(peer, message)
 		return
 	}
 	if message.Index > n.log.last() {
 		return
 	}
-	peer.matched(message.Index, n.now)
-	n.resume(peer)
+	peer.advanceMatch(message.Index, n.now)
+	n.resumeReplication(peer)
 	n.advanceCommit()
 	if n.role == roleLeader {
 		n.sendAppends(peer)
-		n.handOver()
+		n.maybeFinishTransfer()
 	}
 }
 
-// resume goes over to steady replication once the logs are known to agree.
-func (n *Node) resume(peer *progress) {
+// resumeReplication ends a probe or the transfer of a snapshot once the logs are known to agree.
+func (n *Node) resumeReplication(peer *progress) {
 	switch peer.state {
 	case progressProbe:
-		peer.replicate()
+		peer.becomeReplicate()
 	case progressSnapshot:
 		if peer.match >= n.log.base {
-			peer.replicate()
-		} else if peer.transfer != nil && peer.match >= peer.transfer.snapshot.Index {
-			peer.transfer = nil // compacted further meanwhile: a newer snapshot is needed
+			peer.becomeReplicate()
+		} else if peer.outgoing != nil && peer.match >= peer.outgoing.snapshot.Index {
+			peer.outgoing = nil // the log was compacted further meanwhile: a newer snapshot is needed
 		}
 	}
 }
 
-// stepBack looks for agreement earlier in the log.
-func (n *Node) stepBack(peer *progress, message *Message) {
+// handleRejection probes for agreement earlier in the log.
+func (n *Node) handleRejection(peer *progress, message *Message) {
 	if peer.state == progressSnapshot || message.Index <= peer.match {
 		return
 	}
 	if peer.state == progressProbe && message.Index != peer.next-1 {
-		return // an answer to an earlier probe
+		return // the response to an earlier probe
 	}
-	agreed := n.log.backTo(min(message.Hint, message.Index-1), message.LogTerm)
+	agreed := n.log.findAgreement(min(message.Hint, message.Index-1), message.LogTerm)
 	if message.Hint < n.log.base {
 		agreed = message.Hint
 	}
-	peer.probe(max(agreed, peer.match) + 1)
+	peer.becomeProbe(max(agreed, peer.match) + 1)
 	n.sendAppend(peer)
 }
--- a/internal/cluster/consensus/replication_test.go
+++ b/internal/cluster/consensus/replication_test.go
@@ -142,7 +142,7 @@
 		old := g.propose(leader, "old")
 		g.settle()
 		for _, member := range g.members {
-			member.leaderHeardAt = 0
+			member.lastLeaderContact = 0
 		}
 		leader.becomeFollower(leader.term, None)
 		g.now = max(g.now, leader.electionDeadline)
@@ -281,7 +281,7 @@
 	ginkgo.It("knows how far members lag", func() {
 		g.lost = isolate(3)
 		index := g.propose(leader, "a")
-		heardBefore := leader.peer(3).heardAt
+		heardBefore := leader.peer(3).lastContact
 		g.settle()
 		g.pass(heartbeat)
 		behind, heard, known := leader.Lag(3)
--- a/internal/cluster/consensus/snapshot_test.go
+++ b/internal/cluster/consensus/snapshot_test.go
@@ -148,14 +148,14 @@
 		begin()
 		g.lost = func(message Message) bool { return message.Kind == MessageSnapshot && message.Offset >= 20 }
 		g.settle()
-		Expect(behind.incoming.data).To(HaveLen(20))
+		Expect(behind.receiving.data).To(HaveLen(20))
 		piece := g.newest(MessageSnapshot, 3)
 		rest := *piece.Snapshot
 		rest.Data = snapshot.Data[20:]
 		piece.Snapshot, piece.Offset, piece.Last = &rest, 20, true
 		g.lost = isolate(3)
-		g.pass((silentTransfer + 1) * timeout)
-		Expect(leader.peer(3).transfer).To(BeNil())
+		g.pass((snapshotTimeoutFactor + 1) * timeout)
+		Expect(leader.peer(3).outgoing).To(BeNil())
 		snapshot.Data = []byte(other)
 		g.forget()
 		begin()
@@ -184,13 +184,13 @@
 		begin()
 		g.lost = func(message Message) bool { return message.Kind == MessageSnapshot && message.Offset >= 20 }
 		g.settle()
-		Expect(behind.incoming.data).To(HaveLen(20))
+		Expect(behind.receiving.data).To(HaveLen(20))
 		g.forgetLeaders()
 		next := g.of(2)
 		next.Compact(snapshot.Index)
 		g.lost = nil
 		g.elect(2)
-		Expect(behind.incoming).To(BeNil())
+		Expect(behind.receiving).To(BeNil())
 		g.pass(3 * heartbeat)
 		Expect(next.NeedSnapshot()).To(Equal([]MemberID{3}))
 		snapshot.Data = []byte(other)
@@ -214,14 +214,14 @@
 		g.settle()
 		Expect(behind.log.last()).To(Equal(last))
 		Expect(behind.Status().Commit).To(Equal(last))
-		Expect(behind.incoming).To(BeNil())
+		Expect(behind.receiving).To(BeNil())
 	})
 
 	ginkgo.It("is let go for a member that stays silent", func() {
 		begin()
 		g.lost = isolate(3)
-		g.pass(silentTransfer*timeout + 2*heartbeat)
-		Expect(leader.peer(3).transfer).To(BeNil())
+		g.pass(snapshotTimeoutFactor*timeout + 2*heartbeat)
+		Expect(leader.peer(3).outgoing).To(BeNil())
 		g.lost = nil
 		g.pass(2 * heartbeat)
 		Expect(leader.NeedSnapshot()).To(Equal([]MemberID{3}))
@@ -250,12 +250,12 @@
 
 	ginkgo.It("is not taken from a member that needs none, or where it is too old", func() {
 		leader.SendSnapshot(g.now, 2, snapshot)
-		Expect(leader.peer(2).transfer).To(BeNil())
+		Expect(leader.peer(2).outgoing).To(BeNil())
 		g.lost = nil
 		g.pass(3 * heartbeat)
 		snapshot.Index--
 		leader.SendSnapshot(g.now, 3, snapshot)
-		Expect(leader.peer(3).transfer).To(BeNil())
+		Expect(leader.peer(3).outgoing).To(BeNil())
 	})
 })
 
