--- a/internal/cluster/consensus/chaos_test.go
+++ b/internal/cluster/consensus/chaos_test.go
@@ -13,21 +13,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// seedsVariable sets how many seeds are played; firstSeedVariable where they begin.
+// The environment variables that set how many seeds are played, and the first of them.
 const (
 	seedsVariable     = "CONSENSUS_SEEDS"
 	firstSeedVariable = "CONSENSUS_FIRST_SEED"
 )
 
-// fromEnvironment reads a number that a longer hunt sets.
-func fromEnvironment(name string, otherwise uint64) uint64 {
+// fromEnvironment returns the number in an environment variable, by which a longer run is set up, else the fallback.
+func fromEnvironment(name string, fallback uint64) uint64 {
 	if value, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// playSeeds plays a range of seeds on all processors and gives the first few failures.
+// playSeeds plays a range of seeds on all processors and returns the first few failures.
 func playSeeds(count uint64, play func(seed uint64) error) []error {
 	first := fromEnvironment(firstSeedVariable, 1)
 	count = fromEnvironment(seedsVariable, count/slowdown)
@@ -54,15 +54,15 @@
 	return failures[:min(len(failures), 5)]
 }
 
-var _ = ginkgo.DescribeTable("a group in trouble stays one group, and recovers",
+var _ = ginkgo.DescribeTable("a group into which faults are injected keeps all invariants, and recovers",
 	func(voters, spares int, seeds uint64) {
 		failures := playSeeds(seeds, func(seed uint64) error {
 			w := newWorld(seed, voters, spares)
-			return newNemesis(w, voters, 2*time.Second).settle()
+			return newNemesis(w, voters, 2*time.Second).healAndVerify()
 		})
 		Expect(failures).To(BeEmpty())
 	},
-	ginkgo.Entry("one first member, which grows to one with learners", 1, 1, uint64(200)),
+	ginkgo.Entry("one voter and a spare machine, which becomes a learner", 1, 1, uint64(200)),
 	ginkgo.Entry("three voters", 3, 0, uint64(1200)),
 	ginkgo.Entry("three voters and a spare machine", 3, 1, uint64(1000)),
 	ginkgo.Entry("five voters", 5, 0, uint64(500)),
--- a/internal/cluster/consensus/confirmation_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -21,30 +21,30 @@
 
 var _ = ginkgo.Describe("a confirmation of the leadership", func() {
 	var g *group
-	var leader *scripted
+	var leader *testMember
 	ginkgo.BeforeEach(func() {
 		g = newGroup(memberList(1, 2, 3)...)
 		leader = g.elect(1)
 		g.now += 30 * time.Millisecond
 		leader.Tick(g.now)
-		g.settle()
-		g.forget()
+		g.deliverAll()
+		g.clearSent()
 	})
 
 	ginkgo.It("is there once a quorum has answered", func() {
-		g.lost = isolate(3)
+		g.drop = fromOrTo(3)
 		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", g.now))
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
 	ginkgo.It("does not come from a minority, nor by time", func() {
-		g.lost = isolate(1)
+		g.drop = fromOrTo(1)
 		before := leader.Status().ConfirmedAt
 		leader.ConfirmLeadership(g.now)
-		g.settle()
-		g.now += 10 * timeout
+		g.deliverAll()
+		g.now += 10 * electionTimeout
 		leader.Tick(g.now)
 		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
@@ -52,45 +52,45 @@
 
 	ginkgo.It("does not come from answers to what was sent before", func() {
 		leader.ConfirmLeadership(g.now)
-		g.drain(leader)
-		delayed := g.waiting
-		g.waiting = nil
+		g.processOutput(leader)
+		delayed := g.inTransit
+		g.inTransit = nil
 		asked := g.now
 		g.now += 500 * time.Millisecond
 		leader.ConfirmLeadership(g.now)
-		g.drain(leader)
-		g.waiting = delayed
-		g.lost = func(message Message) bool { return message.SentAt != asked }
-		g.settle()
+		g.processOutput(leader)
+		g.inTransit = delayed
+		g.drop = func(message Message) bool { return message.SentAt != asked }
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(asked))
 	})
 
 	ginkgo.It("does not come from a learner", func() {
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
-		g.settle()
-		g.pass(3 * heartbeat)
-		g.lost = func(message Message) bool { return message.From == 2 || message.From == 3 }
-		g.pass(heartbeat)
+		g.deliverAll()
+		g.elapse(3 * heartbeatInterval)
+		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.elapse(heartbeatInterval)
 		before := leader.Status().ConfirmedAt
-		g.pass(3 * heartbeat)
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
 	})
 
 	ginkgo.It("does not wait for disks", func() {
 		for _, member := range g.members {
-			member.hold = true
+			member.diskPaused = true
 		}
 		g.propose(leader, "a")
 		leader.ConfirmLeadership(g.now)
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
 	ginkgo.It("comes with acknowledgements too", func() {
-		g.lost = func(message Message) bool { return message.Kind == MessageHeartbeat }
+		g.drop = func(message Message) bool { return message.Kind == MessageHeartbeat }
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
@@ -98,31 +98,31 @@
 		for range 10 {
 			leader.ConfirmLeadership(g.now)
 		}
-		g.drain(leader)
-		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
+		g.processOutput(leader)
+		Expect(g.countSent(MessageHeartbeat)).To(Equal(2))
 		g.now += time.Millisecond
 		leader.ConfirmLeadership(g.now)
 		leader.ConfirmLeadership(g.now)
-		g.settle()
-		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
+		g.deliverAll()
+		Expect(g.countSent(MessageHeartbeat)).To(Equal(2))
 		Expect(leader.NextDeadline()).To(BeNumerically("<=", g.now+confirmationTimeout))
 		g.now = leader.NextDeadline()
 		leader.Tick(g.now)
-		g.settle()
-		Expect(g.sent(MessageHeartbeat)).To(Equal(4))
+		g.deliverAll()
+		Expect(g.countSent(MessageHeartbeat)).To(Equal(4))
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
 	ginkgo.It("is asked for anew when a round seems lost", func() {
-		g.lost = lose(MessageHeartbeat)
+		g.drop = ofKind(MessageHeartbeat)
 		leader.ConfirmLeadership(g.now)
-		g.settle()
-		g.lost = nil
+		g.deliverAll()
+		g.drop = nil
 		g.now += time.Millisecond
 		leader.ConfirmLeadership(g.now)
 		g.now = leader.NextDeadline()
 		leader.Tick(g.now)
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -8,29 +8,30 @@
 
 // The timing of the scripted groups.
 const (
-	heartbeat = 100 * time.Millisecond
-	timeout   = time.Second
+	heartbeatInterval = 100 * time.Millisecond
+	electionTimeout   = time.Second
 )
 
-// scripted is a member in a scripted test. Its disk syncs at once unless it is held.
-type scripted struct {
+// testMember is a member of a scripted group. Its disk syncs at once unless it is paused.
+type testMember struct {
 	*Node
-	hold      bool // the disk does not sync
-	outputs   []Output
-	committed []Entry
-	installed *Snapshot
+	diskPaused bool // the disk does not sync
+	unsynced   []Output
+	committed  []Entry
+	installed  *Snapshot
 }
 
-// group is a group in a scripted test: all share one clock, and messages arrive at once.
+// group is a group in a scripted test: its members share one clock that the test advances, and messages arrive at once.
+// What a test drops is lost; everything else is delivered in order.
 type group struct {
-	now     time.Duration
-	members []*scripted
-	waiting []Message
-	lost    func(Message) bool
-	kept    []Message // all that was sent, lost or not
+	now          time.Duration
+	members      []*testMember
+	inTransit    []Message
+	drop         func(Message) bool // nil: drop nothing
+	sentMessages []Message          // all that was sent, dropped or not
 }
 
-// memberList gives members with these identities.
+// memberList returns voters with these IDs.
 func memberList(ids ...MemberID) []Member {
 	var members []Member
 	for _, id := range ids {
@@ -39,12 +40,12 @@
 	return members
 }
 
-// learner gives a member that does not vote.
+// learner returns a learner.
 func learner(id MemberID) Member {
 	return Member{ID: id, Learner: true}
 }
 
-// newGroup starts a new group of these first members.
+// newGroup starts a new group with these initial members.
 func newGroup(members ...Member) *group {
 	g := &group{now: time.Minute}
 	for _, member := range members {
@@ -53,17 +54,17 @@
 	return g
 }
 
-// append starts one more member.
-func (g *group) add(id MemberID, restored Restored) *scripted {
-	config := Config{ID: id, Seed: 1, HeartbeatInterval: heartbeat, ElectionTimeout: timeout, MaxAppendBytes: 100,
+// add starts one more member.
+func (g *group) add(id MemberID, restored Restored) *testMember {
+	config := Config{ID: id, Seed: 1, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, MaxAppendBytes: 100,
 		MaxInflight: 2, SnapshotChunkBytes: 10}
-	member := &scripted{Node: New(config, restored, g.now)}
+	member := &testMember{Node: New(config, restored, g.now)}
 	g.members = append(g.members, member)
 	return member
 }
 
-// of finds a member.
-func (g *group) of(id MemberID) *scripted {
+// member returns the member with an ID, nil if there is none.
+func (g *group) member(id MemberID) *testMember {
 	for _, member := range g.members {
 		if member.config.ID == id {
 			return member
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// drain carries out what a member wants.
-func (g *group) drain(member *scripted) {
+// processOutput carries out a member's output, except for what waits for a paused disk.
+func (g *group) processOutput(member *testMember) {
 	for member.HasOutput() {
 		output := member.Output()
 		g.send(output.Immediate)
@@ -81,17 +82,17 @@
 		if output.Snapshot != nil {
 			member.installed = output.Snapshot
 		}
-		member.outputs = append(member.outputs, output)
-		if !member.hold {
-			g.sync(member)
+		member.unsynced = append(member.unsynced, output)
+		if !member.diskPaused {
+			g.syncDisk(member)
 		}
 	}
 }
 
-// sync puts all that a member wants written on its disk.
-func (g *group) sync(member *scripted) {
-	outputs := member.outputs
-	member.outputs = nil
+// syncDisk writes all that waits for a member's disk, and sends the messages that wait for it.
+func (g *group) syncDisk(member *testMember) {
+	outputs := member.unsynced
+	member.unsynced = nil
 	for _, output := range outputs {
 		if count := len(output.Entries); count > 0 {
 			last := output.Entries[count-1]
@@ -101,94 +102,94 @@
 	}
 }
 
-// send puts messages on their way.
+// send sends messages, and drops those that the test wants dropped.
 func (g *group) send(messages []Message) {
 	for _, message := range messages {
-		g.kept = append(g.kept, message)
-		if g.lost == nil || !g.lost(message) {
-			g.waiting = append(g.waiting, message)
+		g.sentMessages = append(g.sentMessages, message)
+		if g.drop == nil || !g.drop(message) {
+			g.inTransit = append(g.inTransit, message)
 		}
 	}
 }
 
-// settle delivers until nothing is left.
-func (g *group) settle() {
+// deliverAll delivers messages, and carries out the output they lead to, until there is nothing left.
+func (g *group) deliverAll() {
 	for {
 		for _, member := range g.members {
-			g.drain(member)
+			g.processOutput(member)
 		}
-		if len(g.waiting) == 0 {
+		if len(g.inTransit) == 0 {
 			return
 		}
-		next := g.waiting[0]
-		g.waiting = g.waiting[1:]
-		if member := g.of(next.To); member != nil {
+		next := g.inTransit[0]
+		g.inTransit = g.inTransit[1:]
+		if member := g.member(next.To); member != nil {
 			member.Step(next, g.now)
 		}
 	}
 }
 
-// pass lets time go by, with a tick of every member at each of many moments.
-func (g *group) pass(length time.Duration) {
-	end := g.now + length
+// elapse advances the clock in small steps, each with a tick of every member.
+func (g *group) elapse(duration time.Duration) {
+	end := g.now + duration
 	for g.now < end {
 		g.now += 10 * time.Millisecond
 		for _, member := range g.members {
 			member.Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 	}
 }
 
-// delayed lets time go by while everything from and to a member takes long.
-func (g *group) delayed(id MemberID, delay, length time.Duration) {
-	type underWay struct {
+// elapseWithDelay advances the clock while all messages from and to a member arrive after a delay.
+func (g *group) elapseWithDelay(id MemberID, delay, duration time.Duration) {
+	type delayedMessage struct {
 		message Message
 		due     time.Duration
 	}
-	var late []underWay
-	far := isolate(id)
-	g.lost = func(message Message) bool {
-		if far(message) {
-			late = append(late, underWay{message: message, due: g.now + delay})
+	var delayed []delayedMessage
+	affected := fromOrTo(id)
+	g.drop = func(message Message) bool {
+		if affected(message) {
+			delayed = append(delayed, delayedMessage{message: message, due: g.now + delay})
 		}
-		return far(message)
+		return affected(message)
 	}
-	for end := g.now + length; g.now < end; {
-		g.pass(10 * time.Millisecond)
-		for len(late) > 0 && late[0].due <= g.now {
-			g.waiting = append(g.waiting, late[0].message)
-			late = late[1:]
+	for end := g.now + duration; g.now < end; {
+		g.elapse(10 * time.Millisecond)
+		for len(delayed) > 0 && delayed[0].due <= g.now {
+			g.inTransit = append(g.inTransit, delayed[0].message)
+			delayed = delayed[1:]
 		}
-		g.settle()
+		g.deliverAll()
 	}
-	g.lost = nil
+	g.drop = nil
 }
 
 // elect makes a member the leader.
-func (g *group) elect(id MemberID) *scripted {
-	member := g.of(id)
+func (g *group) elect(id MemberID) *testMember {
+	member := g.member(id)
 	g.now = max(g.now, member.electionDeadline)
 	for _, other := range g.members {
 		other.advanceClock(g.now)
 	}
 	member.Tick(g.now)
-	g.settle()
+	g.deliverAll()
 	Expect(member.Status().Ready).To(BeTrue(), "member %d leads", id)
 	return member
 }
 
-// propose adds a command at a leader and gives its index.
-func (g *group) propose(leader *scripted, data string) uint64 {
+// propose proposes a command to a leader and returns its index.
+func (g *group) propose(leader *testMember, data string) uint64 {
 	index, _, err := leader.Propose(g.now, []byte(data))
 	Expect(err).NotTo(HaveOccurred())
 	return index
 }
 
-// lastSent counts the messages of a kind that were sent since the last call of forget.
-func (g *group) sent(kind MessageKind) int {
+// countSent returns how many messages of a kind were sent since the last clearSent, dropped or not.
+func (g *group) countSent(kind MessageKind) int {
 	count := 0
-	for _, message := range g.kept {
+	for _, message := range g.sentMessages {
 		if message.Kind == kind {
 			count++
 		}
@@ -196,33 +197,33 @@
 	return count
 }
 
-// newestIndex is the newest message of a kind that was sent to a member.
-func (g *group) newest(kind MessageKind, to MemberID) Message {
-	for position := len(g.kept) - 1; position >= 0; position-- {
-		if message := g.kept[position]; message.Kind == kind && message.To == to {
+// lastSent returns the newest message of a kind that was sent to a member, the zero message if there is none.
+func (g *group) lastSent(kind MessageKind, to MemberID) Message {
+	for position := len(g.sentMessages) - 1; position >= 0; position-- {
+		if message := g.sentMessages[position]; message.Kind == kind && message.To == to {
 			return message
 		}
 	}
 	return Message{}
 }
 
-// forget forgets what was sent.
-func (g *group) forget() {
-	g.kept = nil
+// clearSent forgets which messages were sent.
+func (g *group) clearSent() {
+	g.sentMessages = nil
 }
 
-// isolate loses everything from and to a member.
-func isolate(id MemberID) func(Message) bool {
+// fromOrTo matches all messages from and to a member: dropping them isolates it.
+func fromOrTo(id MemberID) func(Message) bool {
 	return func(message Message) bool { return message.From == id || message.To == id }
 }
 
-// lose loses all messages of a kind.
-func lose(kind MessageKind) func(Message) bool {
+// ofKind matches all messages of a kind.
+func ofKind(kind MessageKind) func(Message) bool {
 	return func(message Message) bool { return message.Kind == kind }
 }
 
-// texts gives the commands among entries.
-func texts(entries []Entry) []string {
+// commandsOf returns the data of the commands among entries.
+func commandsOf(entries []Entry) []string {
 	var found []string
 	for _, entry := range entries {
 		if entry.Kind == EntryCommand {
@@ -232,7 +233,7 @@
 	return found
 }
 
-// entriesOf makes empty entries of these terms, from an index on.
+// entriesOf returns empty entries of these terms, from an index on.
 func entriesOf(first uint64, terms ...uint64) []Entry {
 	var entries []Entry
 	for position, term := range terms {
--- a/internal/cluster/consensus/leadership_transfer_test.go
+++ b/internal/cluster/consensus/leadership_transfer_test.go
@@ -7,7 +7,7 @@
 
 var _ = ginkgo.Describe("giving the leadership away", func() {
 	var g *group
-	var leader *scripted
+	var leader *testMember
 	ginkgo.BeforeEach(func() {
 		g = newGroup(append(memberList(1, 2, 3), learner(4))...)
 		leader = g.elect(1)
@@ -15,46 +15,46 @@
 
 	ginkgo.It("makes the other leader at once", func() {
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
-		g.settle()
-		Expect(g.of(2).Status().Ready).To(BeTrue())
+		g.deliverAll()
+		Expect(g.member(2).Status().Ready).To(BeTrue())
 		Expect(leader.Status().IsLeader).To(BeFalse())
 	})
 
 	ginkgo.It("waits until the other has caught up, and refuses proposals meanwhile", func() {
-		g.lost = isolate(2)
+		g.drop = fromOrTo(2)
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().Transferee).To(Equal(MemberID(2)))
 		_, _, err := leader.Propose(g.now, nil)
 		Expect(err).To(MatchError(ErrNotLeader))
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 3))).To(MatchError(ErrNotLeader))
-		g.lost = nil
-		g.pass(5 * heartbeat)
-		Expect(g.of(2).Status().Ready).To(BeTrue())
-		Expect(texts(g.of(2).committed)).To(Equal([]string{"a"}))
+		g.drop = nil
+		g.elapse(5 * heartbeatInterval)
+		Expect(g.member(2).Status().Ready).To(BeTrue())
+		Expect(commandsOf(g.member(2).committed)).To(Equal([]string{"a"}))
 	})
 
 	ginkgo.It("is given up after an election timeout", func() {
-		g.lost = isolate(2)
+		g.drop = fromOrTo(2)
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
-		g.pass(timeout + heartbeat)
+		g.elapse(electionTimeout + heartbeatInterval)
 		Expect(leader.Status().Transferee).To(Equal(None))
 		g.propose(leader, "a")
 	})
 
 	ginkgo.It("is not taken by one that must not stand", func() {
-		g.of(2).SetCampaign(false)
+		g.member(2).SetCampaign(false)
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
-		g.pass(timeout + heartbeat)
+		g.elapse(electionTimeout + heartbeatInterval)
 		Expect(leader.Status().Ready).To(BeTrue())
 		Expect(leader.term).To(Equal(uint64(1)))
 	})
 
 	ginkgo.DescribeTable("is refused",
 		func(from, to MemberID, expected error) {
-			Expect(g.of(from).Transfer(g.now, to)).To(MatchError(expected))
+			Expect(g.member(from).Transfer(g.now, to)).To(MatchError(expected))
 		},
 		ginkgo.Entry("by a follower", MemberID(2), MemberID(3), ErrNotLeader),
 		ginkgo.Entry("to itself", MemberID(1), MemberID(1), ErrUnknownMember),
--- a/internal/cluster/consensus/linearizable_test.go
+++ b/internal/cluster/consensus/linearizable_test.go
@@ -10,25 +10,25 @@
 	. "github.com/onsi/gomega"
 )
 
-// operation is what a client asks of the register: a write, or a read if there is nothing to write.
+// operation is a client's operation on the register: a write, or else a read.
 type operation struct {
-	write bool
-	value uint64
+	isWrite bool
+	value   uint64
 }
 
-// registerModel is one number that is read and written.
+// registerModel is the sequential specification of the register: a read returns the newest value written.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		asked := input.(operation)
-		if asked.write {
-			return true, asked.value
+		request := input.(operation)
+		if request.isWrite {
+			return true, request.value
 		}
 		return output.(uint64) == state.(uint64), state
 	},
 }
 
-// clients use the register, each one operation at a time, at whatever member believes it leads.
+// clients use the register of a group, each one operation at a time, at a random member that believes it leads.
 type clients struct {
 	world   *world
 	until   time.Duration
@@ -36,18 +36,18 @@
 	history []porcupine.Operation
 }
 
-// patience is how long a client waits for an answer.
-const patience = 300 * time.Millisecond
+// clientTimeout is how long a client waits for a response.
+const clientTimeout = 300 * time.Millisecond
 
-// start begins a client's next operation after a while.
-func (c *clients) start(client int) {
-	c.world.after(5*time.Millisecond+c.world.upTo(60*time.Millisecond), func() {
+// scheduleNext schedules a client's next operation.
+func (c *clients) scheduleNext(client int) {
+	c.world.after(5*time.Millisecond+c.world.randomUpTo(60*time.Millisecond), func() {
 		if c.world.now >= c.until {
 			return
 		}
 		m := c.world.machines[c.world.random.IntN(len(c.world.machines))]
 		if !m.up || m.frozen || !m.node.Status().IsLeader {
-			c.start(client)
+			c.scheduleNext(client)
 			return
 		}
 		if c.world.chance(0.5) {
@@ -58,85 +58,86 @@
 	})
 }
 
-// write proposes a value. Without an answer it may be done at any time, or never.
+// write proposes a value. Without a response until the timeout its outcome is unknown: it may still be committed.
 func (c *clients) write(client int, m *machine) {
 	c.value++
 	value := c.value
 	index, term, err := m.node.Propose(m.clock(), binary.BigEndian.AppendUint64(nil, value))
 	if err != nil {
-		c.start(client)
+		c.scheduleNext(client)
 		return
 	}
-	asked := c.world.now
-	answered := false
-	m.hooks = append(m.hooks, func(entry Entry) {
-		if entry.Index == index && entry.Term == term && !answered {
-			answered = true
-			c.finish(client, operation{write: true, value: value}, asked, nil)
+	requestedAt := c.world.now
+	responded := false
+	m.commitHooks = append(m.commitHooks, func(entry Entry) {
+		if entry.Index == index && entry.Term == term && !responded {
+			responded = true
+			c.finish(client, operation{isWrite: true, value: value}, requestedAt, nil)
 		}
 	})
-	m.drain()
-	c.world.after(patience, func() {
-		if !answered {
-			answered = true
-			c.unknown(client, operation{write: true, value: value}, asked)
+	m.processOutput()
+	c.world.after(clientTimeout, func() {
+		if !responded {
+			responded = true
+			c.finishUnknown(client, operation{isWrite: true, value: value}, requestedAt)
 		}
 	})
 }
 
-// read answers from the state machine once the leadership is confirmed after the request came.
+// read returns the value of the state machine once the leadership is confirmed at the time of the request or later.
 func (c *clients) read(client int, m *machine) {
-	asked, askedHere, life, term := c.world.now, m.clock(), m.life, m.node.term
-	m.node.ConfirmLeadership(askedHere)
-	m.drain()
-	var look func()
-	look = func() {
-		same := m.up && m.life == life && m.node.term == term && m.node.Status().Ready
+	requestedAt, localRequestedAt, incarnation, term := c.world.now, m.clock(), m.incarnation, m.node.term
+	m.node.ConfirmLeadership(localRequestedAt)
+	m.processOutput()
+	var poll func()
+	poll = func() {
+		same := m.up && m.incarnation == incarnation && m.node.term == term && m.node.Status().Ready
 		switch {
-		case same && !m.frozen && m.node.Status().ConfirmedAt >= askedHere:
-			c.finish(client, operation{}, asked, m.state.value)
-		case c.world.now-asked > patience:
-			c.start(client)
+		case same && !m.frozen && m.node.Status().ConfirmedAt >= localRequestedAt:
+			c.finish(client, operation{}, requestedAt, m.state.value)
+		case c.world.now-requestedAt > clientTimeout:
+			c.scheduleNext(client)
 		default:
-			c.world.after(time.Millisecond, look)
+			c.world.after(time.Millisecond, poll)
 		}
 	}
-	look()
+	poll()
 }
 
-// finish notes an answer.
-func (c *clients) finish(client int, input operation, asked time.Duration, output any) {
-	c.history = append(c.history, porcupine.Operation{ClientId: client, Input: input, Call: int64(asked), Output: output,
+// finish records the response to an operation, and goes on with the next one.
+func (c *clients) finish(client int, input operation, requestedAt time.Duration, output any) {
+	c.history = append(c.history, porcupine.Operation{ClientId: client, Input: input, Call: int64(requestedAt), Output: output,
 		Return: int64(c.world.now)})
-	c.start(client)
+	c.scheduleNext(client)
 }
 
-// unknown notes a write that may be done or not: it ends after everything else. The client goes on under a new name.
-func (c *clients) unknown(client int, input operation, asked time.Duration) {
+// finishUnknown records a write of unknown outcome: it may take effect at any later time, so it returns after everything
+// else. Since a client of the model has one operation at a time, it is recorded under a client ID of its own.
+func (c *clients) finishUnknown(client int, input operation, requestedAt time.Duration) {
 	c.history = append(c.history, porcupine.Operation{ClientId: client + 1000*len(c.history), Input: input,
-		Call: int64(asked), Return: int64(time.Hour)})
-	c.start(client)
+		Call: int64(requestedAt), Return: int64(time.Hour)})
+	c.scheduleNext(client)
 }
 
-// playRegister troubles a group while clients use its register, and checks their history.
+// playRegister runs a group with faults while clients use its register, and checks that their history is linearizable.
 func playRegister(seed uint64) error {
 	w := newWorld(seed, 3, 1)
 	n := newNemesis(w, 3, 2*time.Second)
-	n.silent = true
+	n.noProposals = true
 	users := &clients{world: w, until: 2 * time.Second}
 	for client := range 4 {
-		users.start(client)
+		users.scheduleNext(client)
 	}
-	if err := n.settle(); err != nil {
+	if err := n.healAndVerify(); err != nil {
 		return err
 	}
-	w.run(w.now + 2*patience) // whatever has no answer by then is unknown
+	w.run(w.now + 2*clientTimeout) // until all operations have ended or timed out
 	if porcupine.CheckOperationsTimeout(registerModel, users.history, 10*time.Second) != porcupine.Ok {
 		return errors.New("the register's history is not linearizable")
 	}
 	return nil
 }
 
-var _ = ginkgo.It("serves a register linearizably through troubles", func() {
+var _ = ginkgo.It("serves a register linearizably while faults are injected", func() {
 	Expect(playSeeds(300, playRegister)).To(BeEmpty())
 })
--- a/internal/cluster/consensus/log_test.go
+++ b/internal/cluster/consensus/log_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// logOf makes a log that begins after a base of term 1.
+// logOf returns a log after a base of term 1.
 func logOf(base uint64, terms ...uint64) *entryLog {
 	made := &entryLog{base: base, baseTerm: 1, lastOutput: base}
 	made.entries = entriesOf(base+1, terms...)
--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// write is what one Output wants on disk, and what may leave after it.
+// write is an Output that waits for the disk, or a snapshot that the machine took of its own state.
 type write struct {
 	output Output
-	local  *Snapshot // the state machine's own snapshot
+	local  *Snapshot // not nil: a snapshot that the machine took of its state, and no output
 }
 
 // disk is what survives a crash.
@@ -18,10 +18,10 @@
 	entries   []Entry
 }
 
-// apply puts a write on the disk.
+// apply carries out a write.
 func (d *disk) apply(item write) {
 	if item.local != nil {
-		d.keepFrom(item.local)
+		d.compactTo(item.local)
 		return
 	}
 	if snapshot := item.output.Snapshot; snapshot != nil {
@@ -31,10 +31,10 @@
 	if item.output.HardState != nil {
 		d.hardState = *item.output.HardState
 	}
-	d.add(item.output.Entries)
+	d.appendEntries(item.output.Entries)
 }
 
-// termBefore is the term before an index, of the entries or the snapshot on the disk.
+// termBefore returns the term of the entry before an index, from the entries or the snapshot on the disk.
 func (d *disk) termBefore(index uint64) uint64 {
 	for _, entry := range d.entries {
 		if entry.Index == index-1 {
@@ -47,8 +47,8 @@
 	return d.snapshot.Term
 }
 
-// append appends entries in place of what stands at their indexes.
-func (d *disk) add(entries []Entry) {
+// appendEntries appends entries, replacing those at the same and all higher indexes.
+func (d *disk) appendEntries(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -59,8 +59,8 @@
 	d.entries = append(d.entries[:keep:keep], entries...)
 }
 
-// keepFrom takes a snapshot of the state machine in place of the entries it covers.
-func (d *disk) keepFrom(snapshot *Snapshot) {
+// compactTo replaces the entries that a snapshot covers by the snapshot.
+func (d *disk) compactTo(snapshot *Snapshot) {
 	if d.snapshot != nil && d.snapshot.Index >= snapshot.Index {
 		return
 	}
@@ -72,14 +72,14 @@
 	d.entries = d.entries[keep:len(d.entries):len(d.entries)]
 }
 
-// register is the state machine: one number, and a hash over all that was applied.
+// register is the state machine: one number that commands set, and a hash over all entries that were applied.
 type register struct {
 	index uint64
 	hash  uint64
 	value uint64
 }
 
-// apply takes the next entry.
+// apply applies the next entry.
 func (r *register) apply(entry Entry) {
 	r.index = entry.Index
 	r.hash = hashEntry(r.hash, entry)
@@ -88,7 +88,7 @@
 	}
 }
 
-// encode writes the register with some padding, so that it takes several pieces.
+// encode encodes the register with padding, so that a snapshot is sent in several chunks.
 func (r *register) encode() []byte {
 	data := make([]byte, 100)
 	binary.BigEndian.PutUint64(data, r.index)
@@ -97,7 +97,7 @@
 	return data
 }
 
-// decodeRegister reads what encode wrote.
+// decodeRegister decodes what encode encoded.
 func decodeRegister(data []byte) register {
 	if len(data) < 24 {
 		return register{}
@@ -109,79 +109,79 @@
 	}
 }
 
-// machine is a shell around one member: a disk that syncs late, a clock of its own, and a process that can die, freeze
-// and lose its disk.
+// machine runs one Node as the package comment demands: a disk that takes its time to sync, a clock with its own zero, and a
+// process that can crash, freeze and lose its disk.
 type machine struct {
-	world  *world
-	index  int
-	name   string
-	id     MemberID
-	disk   disk
-	life   int
-	up     bool
-	frozen bool
-	zero   time.Duration // world time minus this machine's steady time
-	node   *Node
-	state  register
-	writes []write
-	busy   bool
-	inbox  []Message
-	hooks  []func(committed Entry) // clients that wait
+	world       *world
+	index       int
+	name        string
+	id          MemberID
+	disk        disk
+	incarnation int // number of the present process among all of this machine
+	up          bool
+	frozen      bool
+	clockOffset time.Duration // the world's time less this machine's steady time
+	node        *Node
+	state       register
+	writes      []write // not on disk yet, oldest first
+	syncing     bool
+	inbox       []Message               // arrived while the process was frozen
+	commitHooks []func(committed Entry) // called with each entry that is applied
 }
 
-// clock is this machine's steady time.
+// clock returns this machine's steady time.
 func (m *machine) clock() time.Duration {
-	return m.world.now - m.zero
+	return m.world.now - m.clockOffset
 }
 
-// start begins a life of the process from its disk.
+// start starts a process from the disk, unless one runs.
 func (m *machine) start() {
 	if m.up {
 		return
 	}
-	m.life++
-	m.up, m.frozen, m.busy = true, false, false
-	m.writes, m.inbox, m.hooks = nil, nil, nil
-	m.zero = m.world.now - m.world.upTo(time.Hour)
-	config := Config{ID: m.id, Seed: m.world.random.Uint64(), HeartbeatInterval: simHeartbeat,
-		ElectionTimeout: simElection, MaxAppendBytes: 150, MaxInflight: 4, SnapshotChunkBytes: 40}
+	m.incarnation++
+	m.up, m.frozen, m.syncing = true, false, false
+	m.writes, m.inbox, m.commitHooks = nil, nil, nil
+	m.clockOffset = m.world.now - m.world.randomUpTo(time.Hour)
+	config := Config{ID: m.id, Seed: m.world.random.Uint64(), HeartbeatInterval: simHeartbeatInterval,
+		ElectionTimeout: simElectionTimeout, MaxAppendBytes: 150, MaxInflight: 4, SnapshotChunkBytes: 40}
 	restored := Restored{HardState: m.disk.hardState, Snapshot: m.disk.snapshot, Entries: m.disk.entries}
 	m.state = register{}
 	if m.disk.snapshot != nil {
 		m.state = decodeRegister(m.disk.snapshot.Data)
 	}
 	m.node = m.world.newNode(config, restored, m.clock())
-	m.tickLater()
+	m.scheduleTick()
 }
 
-// apply puts a write on the disk, in sight of the truth.
+// apply carries out a write, and checks the entries that are on the disk then.
 func (m *machine) apply(item write) {
 	m.disk.apply(item)
 	if entries := item.output.Entries; len(entries) > 0 && item.local == nil {
-		m.world.truth.sawEntries(m, m.disk.termBefore(entries[0].Index), entries)
+		m.world.invariants.checkEntries(m, m.disk.termBefore(entries[0].Index), entries)
 	}
 }
 
-// crash ends the process. What was not synced may be lost, or torn in the middle.
+// crash ends the process. A random prefix of the writes that were not synced is on the disk, the next one may be torn.
 func (m *machine) crash() {
 	if !m.up {
 		return
 	}
 	m.up = false
-	kept := 0
+	written := 0
 	if len(m.writes) > 0 {
-		kept = m.world.random.IntN(len(m.writes) + 1)
+		written = m.world.random.IntN(len(m.writes) + 1)
 	}
-	for _, item := range m.writes[:kept] {
+	for _, item := range m.writes[:written] {
 		m.apply(item)
 	}
-	if kept < len(m.writes) && m.world.chance(0.5) {
-		m.tear(m.writes[kept])
+	if written < len(m.writes) && m.world.chance(0.5) {
+		m.tear(m.writes[written])
 	}
 	m.writes = nil
 }
 
-// tear puts the beginning of a write on the disk.
+// tear carries out the beginning of a write: the hard state, and some of the entries.
 func (m *machine) tear(item write) {
 	if item.local != nil || item.output.Snapshot != nil {
 		return
@@ -192,21 +192,21 @@
 	m.apply(item)
 }
 
-// wipe replaces the disk by an empty one, and so the identity by a new one.
+// wipe crashes the process and replaces the disk by an empty one, and so the identity by a new one.
 func (m *machine) wipe() {
 	m.crash()
 	m.disk = disk{}
-	m.id = m.world.freshID()
+	m.id = m.world.newID()
 }
 
-// freeze holds the process up.
+// freeze stops the process until it is thawed. Its disk goes on.
 func (m *machine) freeze() {
 	if m.up {
 		m.frozen = true
 	}
 }
 
-// thaw lets it go on, with what was sent to it meanwhile.
+// thaw lets a frozen process go on, with a tick or with the messages that arrived meanwhile.
 func (m *machine) thaw() {
 	if !m.up || !m.frozen {
 		return
@@ -216,33 +216,33 @@
 	m.inbox = nil
 	if m.world.chance(0.5) {
 		m.node.Tick(m.clock())
-		m.drain()
+		m.processOutput()
 	}
 	for _, message := range inbox {
 		m.receive(message)
 	}
-	m.tickLater()
+	m.scheduleTick()
 }
 
-// tickLater calls Tick after an uneven time, or at the node's deadline.
-func (m *machine) tickLater() {
-	life := m.life
+// scheduleTick calls Tick at the node's deadline, or at a random time.
+func (m *machine) scheduleTick() {
+	incarnation := m.incarnation
 	wait := m.node.NextDeadline() - m.clock()
-	wait = min(max(wait, time.Millisecond), 5*simTick)
+	wait = min(max(wait, time.Millisecond), 5*simTickInterval)
 	if m.world.chance(0.5) {
-		wait = time.Millisecond + m.world.upTo(2*simTick)
+		wait = time.Millisecond + m.world.randomUpTo(2*simTickInterval)
 	}
 	m.world.after(wait, func() {
-		if !m.up || m.frozen || m.life != life {
+		if !m.up || m.frozen || m.incarnation != incarnation {
 			return
 		}
 		m.node.Tick(m.clock())
-		m.drain()
-		m.tickLater()
+		m.processOutput()
+		m.scheduleTick()
 	})
 }
 
-// receive takes a message in, now or once thawed.
+// receive passes a message to the node, now or once the process is thawed.
 func (m *machine) receive(message Message) {
 	if !m.up || m.id != message.To {
 		return
@@ -252,69 +252,69 @@
 		return
 	}
 	m.node.Step(message, m.clock())
-	m.drain()
+	m.processOutput()
 }
 
-// drain carries out all that the node wants.
-func (m *machine) drain() {
+// processOutput carries out the node's output, and starts what does not come from it: snapshots and syncs.
+func (m *machine) processOutput() {
 	for m.node.HasOutput() {
 		output := m.node.Output()
 		for _, message := range output.Immediate {
-			m.world.truth.sawEntries(m, message.LogTerm, message.Entries)
+			m.world.invariants.checkEntries(m, message.LogTerm, message.Entries)
 			m.world.send(m, message)
 		}
 		if needsWrite(output) {
 			m.writes = append(m.writes, write{output: output})
 		}
 		m.install(output.Snapshot)
-		m.applyAll(output.Committed)
-		m.world.truth.sawStatus(m)
+		m.applyCommitted(output.Committed)
+		m.world.invariants.checkStatus(m)
 	}
 	m.sendSnapshots()
-	m.keepSnapshot()
-	m.sync()
+	m.maybeTakeSnapshot()
+	m.startSync()
 }
 
-// needsWrite tells whether an output has to wait for the disk.
+// needsWrite reports whether an output has to wait for the disk.
 func needsWrite(output Output) bool {
 	return output.HardState != nil || output.Snapshot != nil || len(output.Entries) > 0 || len(output.Deferred) > 0
 }
 
-// installSnapshot replaces the state machine.
+// install replaces the state machine by a snapshot, unless that is nil.
 func (m *machine) install(snapshot *Snapshot) {
 	if snapshot == nil {
 		return
 	}
 	m.state = decodeRegister(snapshot.Data)
-	m.world.truth.sawSnapshot(m, snapshot)
+	m.world.invariants.checkSnapshot(m, snapshot)
 }
 
-// applyAll applies what is committed.
-func (m *machine) applyAll(entries []Entry) {
+// applyCommitted applies committed entries.
+func (m *machine) applyCommitted(entries []Entry) {
 	for _, entry := range entries {
-		m.world.truth.sawCommitted(m, entry)
+		m.world.invariants.checkCommitted(m, entry)
 		m.state.apply(entry)
-		for _, hook := range m.hooks {
+		for _, hook := range m.commitHooks {
 			hook(entry)
 		}
 	}
 }
 
-// sendSnapshots serves the members that need one.
+// sendSnapshots sends a snapshot to the members that need one.
 func (m *machine) sendSnapshots() {
 	for _, id := range m.node.NeedSnapshot() {
 		m.node.SendSnapshot(m.clock(), id, m.snapshot())
 	}
 }
 
-// snapshot is the state machine as it is.
+// snapshot returns a snapshot of the state machine as it is now.
 func (m *machine) snapshot() Snapshot {
 	term, _ := m.node.log.term(m.state.index)
 	return Snapshot{Index: m.state.index, Term: term, Members: m.node.MembersAt(m.state.index), Data: m.state.encode()}
 }
 
-// keepSnapshot writes a snapshot once the log has grown.
-func (m *machine) keepSnapshot() {
+// maybeTakeSnapshot writes a snapshot once the log has 15 applied entries, unless one is being written.
+func (m *machine) maybeTakeSnapshot() {
 	if m.state.index < m.node.log.base+15 {
 		return
 	}
@@ -327,30 +327,30 @@
 	m.writes = append(m.writes, write{local: &snapshot})
 }
 
-// sync begins to write all that waits.
-func (m *machine) sync() {
-	if m.busy || len(m.writes) == 0 {
+// startSync begins to sync all writes that wait, unless a sync is under way.
+func (m *machine) startSync() {
+	if m.syncing || len(m.writes) == 0 {
 		return
 	}
-	m.busy = true
-	life, count := m.life, len(m.writes)
-	took := 100*time.Microsecond + m.world.upTo(m.world.conditions.maxSync)
-	if m.world.chance(m.world.conditions.stall) {
-		took += m.world.upTo(time.Second)
+	m.syncing = true
+	incarnation, count := m.incarnation, len(m.writes)
+	duration := 100*time.Microsecond + m.world.randomUpTo(m.world.conditions.maxSync)
+	if m.world.chance(m.world.conditions.syncStall) {
+		duration += m.world.randomUpTo(time.Second)
 	}
-	m.world.after(took, func() { m.synced(life, count) })
+	m.world.after(duration, func() { m.finishSync(incarnation, count) })
 }
 
-// synced ends a sync of so many writes.
-func (m *machine) synced(life, count int) {
-	if !m.up || m.life != life {
+// finishSync ends the sync of the oldest count writes: they are on disk, and what waited for them is done.
+func (m *machine) finishSync(incarnation, count int) {
+	if !m.up || m.incarnation != incarnation {
 		return
 	}
 	if m.frozen {
-		m.world.after(simTick, func() { m.synced(life, count) })
+		m.world.after(simTickInterval, func() { m.finishSync(incarnation, count) })
 		return
 	}
-	m.busy = false
+	m.syncing = false
 	done := m.writes[:count]
 	m.writes = append([]write(nil), m.writes[count:]...)
 	var last Entry
@@ -360,12 +360,12 @@
 			last = entries[len(entries)-1]
 		}
 		if item.local != nil {
-			m.node.Compact(item.local.Index - min(item.local.Index, 5))
+			m.node.Compact(item.local.Index - min(item.local.Index, 5)) // members a little behind need no snapshot
 		}
 		for _, message := range item.output.Deferred {
 			m.world.send(m, message)
 		}
 	}
 	m.node.Persisted(m.clock(), last.Index, last.Term)
-	m.drain()
+	m.processOutput()
 }
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -7,61 +7,61 @@
 	. "github.com/onsi/gomega"
 )
 
-// step is how a change of the membership begins.
-type step int
+// changeKind is how a change of the membership begins.
+type changeKind int
 
 const (
-	refused step = iota
-	simple
-	joint
+	refusedChange changeKind = iota
+	simpleChange
+	jointChange
 )
 
 var _ = ginkgo.DescribeTable("how voters 1 to 3 and learner 4 become another membership",
-	func(next []Member, expected step) {
+	func(next []Member, expected changeKind) {
 		present := append(memberList(1, 2, 3), learner(4))
 		first, err := FirstStep(present, next)
-		if expected == refused {
+		if expected == refusedChange {
 			Expect(err).To(MatchError(ErrChangeRefused))
 			return
 		}
 		Expect(err).NotTo(HaveOccurred())
-		Expect(IsJoint(first)).To(Equal(expected == joint))
+		Expect(IsJoint(first)).To(Equal(expected == jointChange))
 		Expect(FinalMembers(first)).To(ConsistOf(next))
-		if expected == simple {
+		if expected == simpleChange {
 			Expect(first).To(Equal(next))
 			return
 		}
 		Expect(votersOf(first, outgoingConfig)).To(ConsistOf(MemberID(1), MemberID(2), MemberID(3)))
 		Expect(votersOf(first, incomingConfig)).To(ConsistOf(votersOf(next, incomingConfig)))
 	},
-	ginkgo.Entry("a voter more", append(memberList(1, 2, 3, 5), learner(4)), simple),
-	ginkgo.Entry("a voter less", append(memberList(1, 3), learner(4)), simple),
-	ginkgo.Entry("a learner more", append(memberList(1, 2, 3), learner(4), learner(5)), simple),
-	ginkgo.Entry("a learner less", memberList(1, 2, 3), simple),
-	ginkgo.Entry("a learner promoted", memberList(1, 2, 3, 4), simple),
-	ginkgo.Entry("a voter demoted", append(memberList(1, 2), learner(3), learner(4)), simple),
-	ginkgo.Entry("an address changed", append(memberList(1, 2), Member{ID: 3, Address: "a"}, learner(4)), simple),
-	ginkgo.Entry("another order", append([]Member{learner(4), {ID: 5}}, memberList(3, 2, 1)...), simple),
-	ginkgo.Entry("two learners more", append(memberList(1, 2, 3), learner(4), learner(5), learner(6)), simple),
-	ginkgo.Entry("a voter less and another learner", append(memberList(1, 2), learner(5)), simple),
-	ginkgo.Entry("nothing", append(memberList(1, 2, 3), learner(4)), refused),
-	ginkgo.Entry("nothing, in another order", append([]Member{learner(4)}, memberList(3, 2, 1)...), refused),
-	ginkgo.Entry("a voter replaced by a new member", append(memberList(1, 2, 5), learner(4)), joint),
-	ginkgo.Entry("a voter replaced by the learner", memberList(1, 2, 4), joint),
-	ginkgo.Entry("a voter and the learner in each other's place", append(memberList(1, 2, 4), learner(3)), joint),
-	ginkgo.Entry("two voters more", append(memberList(1, 2, 3, 5, 6), learner(4)), joint),
-	ginkgo.Entry("two voters less", append(memberList(1), learner(4)), joint),
-	ginkgo.Entry("two voters demoted", append(memberList(1), learner(2), learner(3), learner(4)), joint),
-	ginkgo.Entry("all voters replaced", memberList(5, 6, 7), joint),
-	ginkgo.Entry("a voter replaced and an address changed", append(memberList(1, 4), Member{ID: 2, Address: "a"}), joint),
-	ginkgo.Entry("a member twice", append(memberList(1, 2, 3, 3), learner(4)), refused),
-	ginkgo.Entry("nobody's identity", append(memberList(1, 2, 3, None), learner(4)), refused),
-	ginkgo.Entry("no member", []Member{}, refused),
-	ginkgo.Entry("no voter", []Member{learner(1), learner(4)}, refused),
-	ginkgo.Entry("a joint membership", append(memberList(1, 2), Member{ID: 3, Transition: TransitionRemoved}), refused),
+	ginkgo.Entry("a voter more", append(memberList(1, 2, 3, 5), learner(4)), simpleChange),
+	ginkgo.Entry("a voter less", append(memberList(1, 3), learner(4)), simpleChange),
+	ginkgo.Entry("a learner more", append(memberList(1, 2, 3), learner(4), learner(5)), simpleChange),
+	ginkgo.Entry("a learner less", memberList(1, 2, 3), simpleChange),
+	ginkgo.Entry("a learner promoted", memberList(1, 2, 3, 4), simpleChange),
+	ginkgo.Entry("a voter demoted", append(memberList(1, 2), learner(3), learner(4)), simpleChange),
+	ginkgo.Entry("an address changed", append(memberList(1, 2), Member{ID: 3, Address: "a"}, learner(4)), simpleChange),
+	ginkgo.Entry("another order", append([]Member{learner(4), {ID: 5}}, memberList(3, 2, 1)...), simpleChange),
+	ginkgo.Entry("two learners more", append(memberList(1, 2, 3), learner(4), learner(5), learner(6)), simpleChange),
+	ginkgo.Entry("a voter less and another learner", append(memberList(1, 2), learner(5)), simpleChange),
+	ginkgo.Entry("nothing", append(memberList(1, 2, 3), learner(4)), refusedChange),
+	ginkgo.Entry("nothing, in another order", append([]Member{learner(4)}, memberList(3, 2, 1)...), refusedChange),
+	ginkgo.Entry("a voter replaced by a new member", append(memberList(1, 2, 5), learner(4)), jointChange),
+	ginkgo.Entry("a voter replaced by the learner", memberList(1, 2, 4), jointChange),
+	ginkgo.Entry("a voter and the learner in each other's place", append(memberList(1, 2, 4), learner(3)), jointChange),
+	ginkgo.Entry("two voters more", append(memberList(1, 2, 3, 5, 6), learner(4)), jointChange),
+	ginkgo.Entry("two voters less", append(memberList(1), learner(4)), jointChange),
+	ginkgo.Entry("two voters demoted", append(memberList(1), learner(2), learner(3), learner(4)), jointChange),
+	ginkgo.Entry("all voters replaced", memberList(5, 6, 7), jointChange),
+	ginkgo.Entry("a voter replaced and an address changed", append(memberList(1, 4), Member{ID: 2, Address: "a"}), jointChange),
+	ginkgo.Entry("a member twice", append(memberList(1, 2, 3, 3), learner(4)), refusedChange),
+	ginkgo.Entry("nobody's identity", append(memberList(1, 2, 3, None), learner(4)), refusedChange),
+	ginkgo.Entry("no member", []Member{}, refusedChange),
+	ginkgo.Entry("no voter", []Member{learner(1), learner(4)}, refusedChange),
+	ginkgo.Entry("a joint membership", append(memberList(1, 2), Member{ID: 3, Transition: TransitionRemoved}), refusedChange),
 )
 
-// votersOf gives the voters of one configuration.
+// votersOf returns the voters of one configuration.
 func votersOf(members []Member, configuration configSet) []MemberID {
 	var voters []MemberID
 	for _, member := range members {
@@ -72,7 +72,7 @@
 	return voters
 }
 
-// threeToFour is the joint membership in which voter 4 replaces voter 3.
+// threeToFour returns the joint membership in which voter 4 replaces voter 3.
 func threeToFour() []Member {
 	return jointMembers(append(memberList(1, 2, 3), learner(4)), memberList(1, 2, 4))
 }
@@ -93,7 +93,7 @@
 )
 
 var _ = ginkgo.Describe("memberships written before there were joint ones", func() {
-	// An entry's data and a membership as the program before this one wrote them.
+	// The data of a membership entry as a version without joint memberships encoded it.
 	const written = "0dff81020102ff820001ff800000447f030101064d656d62657201ff800001050102494401060001044e6f6465010c0001045a" +
 		"6f6e65010c00010741646472657373010c0001074c6561726e6572010200000062ff82000301010106636f72652d31010161010d31302e30" +
 		"2e302e313a373030300001020106636f72652d32010162010d31302e302e302e323a373030300001f880000000000000000106636f72652d" +
@@ -122,21 +122,21 @@
 
 var _ = ginkgo.Describe("a joint change of the membership", func() {
 	var g *group
-	var leader *scripted
+	var leader *testMember
 	ginkgo.BeforeEach(func() {
 		g = newGroup(append(memberList(1, 2, 3), learner(4))...)
 		leader = g.elect(1)
 	})
 
 	ginkgo.It("replaces a lost voter in one change", func() {
-		g.lost = isolate(3)
+		g.drop = fromOrTo(3)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 4))).To(Succeed())
 		Expect(leader.Status().ChangePending).To(BeTrue())
 		Expect(leader.Status().Members).To(ConsistOf(threeToFour()))
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ChangePending).To(BeFalse())
 		for _, id := range []MemberID{1, 2, 4} {
-			Expect(g.of(id).Status().Members).To(Equal(memberList(1, 2, 4)), "member %d", id)
+			Expect(g.member(id).Status().Members).To(Equal(memberList(1, 2, 4)), "member %d", id)
 		}
 	})
 
@@ -145,21 +145,21 @@
 			Expect(leader.Status().ChangePending).To(BeTrue())
 			Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrChangePending))
 		}
-		g.lost = lose(MessageAppendResponse)
+		g.drop = ofKind(MessageAppendResponse)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 4))).To(Succeed())
-		g.settle()
+		g.deliverAll()
 		refusesAnother()
 
 		// The joint entry is committed, and the final one appended.
 		joined := leader.log.last()
-		g.lost = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > joined }
-		g.pass(3 * heartbeat)
+		g.drop = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > joined }
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().Commit).To(Equal(joined))
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2, 4)))
 		refusesAnother()
 
-		g.lost = nil
-		g.pass(3 * heartbeat)
+		g.drop = nil
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().ChangePending).To(BeFalse())
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 	})
--- a/internal/cluster/consensus/membership_history_test.go
+++ b/internal/cluster/consensus/membership_history_test.go
@@ -22,84 +22,84 @@
 
 var _ = ginkgo.Describe("changes of the membership", func() {
 	var g *group
-	var leader *scripted
+	var leader *testMember
 	ginkgo.BeforeEach(func() {
 		g = newGroup(memberList(1, 2, 3)...)
 		leader = g.elect(1)
 	})
 
 	ginkgo.It("are in force when appended, and come back when replaced", func() {
-		g.lost = isolate(1)
+		g.drop = fromOrTo(1)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2)))
 		for _, id := range []MemberID{2, 3} {
-			g.of(id).lastLeaderContact = 0
+			g.member(id).lastLeaderContact = 0
 		}
 		g.elect(2)
-		g.lost = nil
-		g.pass(3 * timeout)
+		g.drop = nil
+		g.elapse(3 * electionTimeout)
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2, 3)))
 	})
 
 	ginkgo.It("come one at a time", func() {
-		g.lost = isolate(1)
+		g.drop = fromOrTo(1)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		Expect(leader.ProposeMembers(g.now, memberList(1))).To(MatchError(ErrChangePending))
-		g.lost = nil
-		g.pass(3 * heartbeat)
+		g.drop = nil
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.ProposeMembers(g.now, memberList(1))).To(Succeed())
 	})
 
 	ginkgo.It("are refused by others than a ready leader", func() {
-		Expect(g.of(2).ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotLeader))
-		g.lost = lose(MessageAppendResponse)
-		other := g.of(2)
+		Expect(g.member(2).ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotLeader))
+		g.drop = ofKind(MessageAppendResponse)
+		other := g.member(2)
 		for _, member := range g.members {
 			member.lastLeaderContact = 0
 		}
 		g.now = max(g.now, other.electionDeadline)
 		leader.becomeFollower(leader.term, None)
 		other.Tick(g.now)
-		g.settle()
+		g.deliverAll()
 		Expect(other.Status().IsLeader).To(BeTrue())
 		Expect(other.ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotReady))
 	})
 
 	ginkgo.It("tell a removed member, which then stands no more", func() {
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
-		g.settle()
-		Expect(g.of(3).Status().Members).To(Equal(memberList(1, 2)))
-		g.lost = isolate(3)
-		g.forget()
-		g.pass(5 * timeout)
-		Expect(g.sent(MessagePreVote)).To(BeZero())
+		g.deliverAll()
+		Expect(g.member(3).Status().Members).To(Equal(memberList(1, 2)))
+		g.drop = fromOrTo(3)
+		g.clearSent()
+		g.elapse(5 * electionTimeout)
+		Expect(g.countSent(MessagePreVote)).To(BeZero())
 		Expect(leader.Status().Ready).To(BeTrue())
 	})
 
 	ginkgo.It("take a learner in, and promote it", func() {
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		fresh := g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
-		g.pass(3 * heartbeat)
+		g.elapse(3 * heartbeatInterval)
 		behind, _, known := leader.Lag(4)
 		Expect(known).To(BeTrue())
 		Expect(behind).To(BeZero())
-		Expect(texts(fresh.committed)).To(Equal([]string{"a"}))
+		Expect(commandsOf(fresh.committed)).To(Equal([]string{"a"}))
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 3, 4))).To(Succeed())
-		g.pass(3 * heartbeat)
+		g.elapse(3 * heartbeatInterval)
 		Expect(isVoter(fresh.Status().Members, 4)).To(BeTrue())
 	})
 
 	ginkgo.It("do not count a learner", func() {
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
-		g.pass(3 * heartbeat)
-		g.lost = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.elapse(3 * heartbeatInterval)
+		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
 		before := leader.Status().Commit
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().Commit).To(Equal(before))
 	})
 
@@ -109,13 +109,13 @@
 			g.add(id, Restored{})
 		}
 		Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
-		g.pass(3 * heartbeat)
-		g.lost = func(message Message) bool { return message.From == 2 || message.From == 3 }
-		g.now += heartbeat
+		g.elapse(3 * heartbeatInterval)
+		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.now += heartbeatInterval
 		before, asked := leader.Status().Commit, g.now
 		g.propose(leader, "a")
 		leader.ConfirmLeadership(asked)
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().Commit).To(Equal(before))
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", asked))
 		for _, id := range []MemberID{4, 5, 6} {
@@ -125,21 +125,21 @@
 	})
 
 	ginkgo.It("let a leader that removes itself step down once that is committed, and another lead soon", func() {
-		g.lost = lose(MessageAppendResponse)
+		g.drop = ofKind(MessageAppendResponse)
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3))).To(Succeed())
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().IsLeader).To(BeTrue())
-		g.lost = nil
-		g.pass(5 * heartbeat)
+		g.drop = nil
+		g.elapse(5 * heartbeatInterval)
 		Expect(leader.Status().IsLeader).To(BeFalse())
-		Expect(g.of(2).Status().Ready || g.of(3).Status().Ready).To(BeTrue())
+		Expect(g.member(2).Status().Ready || g.member(3).Status().Ready).To(BeTrue())
 	})
 
 	ginkgo.It("are not forgotten with the log before them", func() {
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
-		g.settle()
+		g.deliverAll()
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		leader.Compact(leader.Status().Commit)
 		Expect(leader.MembersAt(leader.Status().Commit)).To(Equal(memberList(1, 2)))
 	})
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// nemesis troubles a world, and runs it as an operator and clients would.
+// nemesis injects random faults into a world, and does what clients and the operator of a group would do meanwhile: it
+// proposes commands, replaces lost disks and changes the membership. All of it is determined by the world's seed.
 type nemesis struct {
-	world  *world
-	voters int // how many voters the operator wants
-	until  time.Duration
-	value  uint64
-	acked  map[uint64]uint64 // index to term of proposals that came out committed
-	silent bool              // proposes nothing: others do
+	world       *world
+	voters      int // how many the operator wants
+	until       time.Duration
+	value       uint64            // of the newest proposal
+	acked       map[uint64]uint64 // by index, the term of proposals that were committed where they were made
+	noProposals bool              // proposes no commands: the test does
 }
 
-// randomConditions draws how bad a world is.
+// randomConditions returns random conditions, some of them without loss, duplicates or stalls.
 func randomConditions(w *world) conditions {
 	chosen := conditions{
-		maxDelay: time.Millisecond + w.upTo(8*time.Millisecond),
-		maxSync:  time.Millisecond + w.upTo(8*time.Millisecond),
+		maxDelay: time.Millisecond + w.randomUpTo(8*time.Millisecond),
+		maxSync:  time.Millisecond + w.randomUpTo(8*time.Millisecond),
 	}
 	if w.chance(0.6) {
 		chosen.loss = w.random.Float64() * 0.2
@@ -29,126 +30,128 @@
 		chosen.duplicate = w.random.Float64() * 0.2
 	}
 	if w.chance(0.4) {
-		chosen.slowPackets = w.random.Float64() * 0.1
+		chosen.delayed = w.random.Float64() * 0.1
 	}
 	if w.chance(0.3) {
-		chosen.stall = w.random.Float64() * 0.05
+		chosen.syncStall = w.random.Float64() * 0.05
 	}
 	return chosen
 }
 
-// newNemesis begins to trouble a world for a time.
+// newNemesis begins to inject faults into a world for some time, and keeps the number of voters there.
 func newNemesis(w *world, voters int, length time.Duration) *nemesis {
 	n := &nemesis{world: w, voters: voters, until: w.now + length, acked: map[uint64]uint64{}}
 	w.conditions = randomConditions(w)
 	n.repeat(3*time.Millisecond, 30*time.Millisecond, n.propose)
-	n.repeat(20*time.Millisecond, 40*time.Millisecond, n.operate)
-	n.troubleLater()
+	n.repeat(20*time.Millisecond, 40*time.Millisecond, n.reconcileMembers)
+	n.scheduleFault()
 	return n
 }
 
-// repeat does something again and again at uneven times.
-func (n *nemesis) repeat(shortest, longest time.Duration, do func()) {
-	n.world.after(shortest+n.world.upTo(longest-shortest), func() {
-		do()
-		n.repeat(shortest, longest, do)
+// repeat calls a function at random intervals, without end.
+func (n *nemesis) repeat(minInterval, maxInterval time.Duration, run func()) {
+	n.world.after(minInterval+n.world.randomUpTo(maxInterval-minInterval), func() {
+		run()
+		n.repeat(minInterval, maxInterval, run)
 	})
 }
 
-// troubleLater makes one trouble after another until the time is over.
-func (n *nemesis) troubleLater() {
-	n.world.after(10*time.Millisecond+n.world.upTo(200*time.Millisecond), func() {
+// scheduleFault injects one fault after another until the time is over.
+func (n *nemesis) scheduleFault() {
+	n.world.after(10*time.Millisecond+n.world.randomUpTo(200*time.Millisecond), func() {
 		if n.world.now >= n.until {
 			return
 		}
-		n.trouble()
-		n.troubleLater()
+		n.injectFault()
+		n.scheduleFault()
 	})
 }
 
-// someMachine draws a machine, often the leader.
-func (n *nemesis) someMachine() *machine {
+// randomMachine returns a machine, often the leader's.
+func (n *nemesis) randomMachine() *machine {
 	if leader := n.world.newestLeader(); leader != nil && n.world.chance(0.4) {
 		return leader
 	}
 	return n.world.machines[n.world.random.IntN(len(n.world.machines))]
 }
 
-// trouble makes one trouble, which ends after a while.
-func (n *nemesis) trouble() {
+// injectFault injects one fault, which ends after a while.
+func (n *nemesis) injectFault() {
 	w := n.world
-	victim := n.someMachine()
-	lasting := 10*time.Millisecond + w.upTo(600*time.Millisecond)
+	victim := n.randomMachine()
+	duration := 10*time.Millisecond + w.randomUpTo(600*time.Millisecond)
 	switch w.random.IntN(10) {
 	case 0, 1:
-		n.split(lasting)
+		n.partitionRandomly(duration)
 	case 2:
-		n.oneWay(victim, lasting)
+		n.partitionOneWay(victim, duration)
 	case 3, 4:
 		victim.crash()
-		w.after(lasting, victim.start)
+		w.after(duration, victim.start)
 	case 5:
 		victim.freeze()
-		w.after(lasting, victim.thaw)
+		w.after(duration, victim.thaw)
 	case 6:
-		n.wipe(victim, lasting)
+		n.wipeDisk(victim, duration)
 	case 7:
-		n.sicken(victim, lasting)
+		n.forbidCampaign(victim, duration)
 	case 8:
-		n.handOver()
+		n.transferLeadership()
 	case 9:
 		w.conditions = randomConditions(w)
 	}
 }
 
-// split cuts the machines into two groups.
-func (n *nemesis) split(lasting time.Duration) {
+// partitionRandomly partitions the machines into two random groups.
+func (n *nemesis) partitionRandomly(duration time.Duration) {
 	w := n.world
 	side := make([]bool, len(w.machines))
 	for index := range side {
 		side[index] = w.chance(0.5)
 	}
-	n.setCut(lasting, func(from, to int) bool { return side[from] != side[to] })
+	n.partition(duration, func(from, to int) bool { return side[from] != side[to] })
 }
 
-// oneWay cuts what a machine sends, or what it hears.
-func (n *nemesis) oneWay(victim *machine, lasting time.Duration) {
-	hears := n.world.chance(0.5)
-	n.setCut(lasting, func(from, to int) bool {
-		if hears {
+// partitionOneWay drops either all that a machine sends, or all that is sent to it.
+func (n *nemesis) partitionOneWay(victim *machine, duration time.Duration) {
+	inbound := n.world.chance(0.5)
+	n.partition(duration, func(from, to int) bool {
+		if inbound {
 			return to == victim.index
 		}
 		return from == victim.index
 	})
 }
 
-// setCut cuts links for a while.
-func (n *nemesis) setCut(lasting time.Duration, cut func(from, to int) bool) {
+// partition cuts the links for which affects reports true, and restores them after a while. A link that another partition has
+// affected meanwhile is restored too.
+func (n *nemesis) partition(duration time.Duration, affects func(from, to int) bool) {
 	w := n.world
-	set := func(value bool) {
-		for from := range w.cut {
-			for to := range w.cut {
-				if cut(from, to) {
-					w.cut[from][to] = value
+	setPartitioned := func(partitioned bool) {
+		for from := range w.partitioned {
+			for to := range w.partitioned {
+				if affects(from, to) {
+					w.partitioned[from][to] = partitioned
 				}
 			}
 		}
 	}
-	set(true)
-	w.after(lasting, func() { set(false) })
+	setPartitioned(true)
+	w.after(duration, func() { setPartitioned(false) })
 }
 
-// wipe loses a disk, if the group can stand it: no change is under way and all voters' disks are there.
-func (n *nemesis) wipe(victim *machine, lasting time.Duration) {
-	if !n.wipeTolerated(victim) {
+// wipeDisk replaces a disk by an empty one, if the group tolerates the loss.
+func (n *nemesis) wipeDisk(victim *machine, duration time.Duration) {
+	if !n.toleratesWipe(victim) {
 		return
 	}
 	victim.wipe()
-	n.world.after(lasting, victim.start)
+	n.world.after(duration, victim.start)
 }
 
-// wipeTolerated tells whether one more disk may be lost.
-func (n *nemesis) wipeTolerated(victim *machine) bool {
+// toleratesWipe reports whether the group tolerates the loss of one more disk: no change of the membership is under way
+// and all voters' disks are there, or the disk is of no voter.
+func (n *nemesis) toleratesWipe(victim *machine) bool {
 	leader := n.world.readyLeader()
 	if leader == nil {
 		return false
@@ -163,24 +166,24 @@
 		return !isVoter(members, victim.id) && !leader.node.changePending()
 	}
 	for _, member := range members {
-		if !member.Learner && n.world.holder(member.ID) == nil {
+		if !member.Learner && n.world.machineOf(member.ID) == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// sicken keeps a machine from standing for a while; a leader gives its role away.
-func (n *nemesis) sicken(victim *machine, lasting time.Duration) {
+// forbidCampaign forbids a member to campaign for a while, as for an unhealthy disk. A leader transfers its leadership.
+func (n *nemesis) forbidCampaign(victim *machine, duration time.Duration) {
 	victim.node.SetCampaign(false)
 	if victim.up && !victim.frozen && victim.node.role == roleLeader {
-		n.handOver()
+		n.transferLeadership()
 	}
-	n.world.after(lasting, func() { victim.node.SetCampaign(true) })
+	n.world.after(duration, func() { victim.node.SetCampaign(true) })
 }
 
-// maybeFinishTransfer asks a leader to give its role to a random voter.
-func (n *nemesis) handOver() {
+// transferLeadership has a leader transfer its leadership to a random member.
+func (n *nemesis) transferLeadership() {
 	leader := n.world.newestLeader()
 	if leader == nil {
 		return
@@ -190,12 +193,12 @@
 		return
 	}
 	_ = leader.node.Transfer(leader.clock(), members[n.world.random.IntN(len(members))].ID)
-	leader.drain()
+	leader.processOutput()
 }
 
-// propose hands a command to any member that believes it leads.
+// propose proposes commands to all members that believe they lead, and requests a confirmation of their leadership.
 func (n *nemesis) propose() {
-	if n.silent {
+	if n.noProposals {
 		return
 	}
 	for _, m := range n.world.machines {
@@ -206,48 +209,49 @@
 			n.value++
 			data := binary.BigEndian.AppendUint64(nil, n.value)
 			if index, term, err := m.node.Propose(m.clock(), data); err == nil {
-				n.watch(m, index, term)
+				n.recordOnCommit(m, index, term)
 			}
 		}
 		m.node.ConfirmLeadership(m.clock())
-		m.drain()
+		m.processOutput()
 	}
 }
 
-// watch notes when a proposal comes out committed where it was made.
-func (n *nemesis) watch(m *machine, index, term uint64) {
-	m.hooks = append(m.hooks, func(entry Entry) {
+// recordOnCommit records a proposal as acknowledged when it is committed at the member where it was made.
+func (n *nemesis) recordOnCommit(m *machine, index, term uint64) {
+	m.commitHooks = append(m.commitHooks, func(entry Entry) {
 		if entry.Index == index && entry.Term == term {
 			n.acked[index] = term
 		}
 	})
-	if len(m.hooks) > 64 {
-		m.hooks = append([]func(Entry){}, m.hooks[32:]...)
+	if len(m.commitHooks) > 64 {
+		m.commitHooks = append([]func(Entry){}, m.commitHooks[32:]...)
 	}
 }
 
-// operate is one step of the operator on every member that leads.
-func (n *nemesis) operate() {
+// reconcileMembers takes, at every member that leads, the next step towards the wanted membership.
+func (n *nemesis) reconcileMembers() {
 	for _, m := range n.world.machines {
 		if !m.up || m.frozen || !m.node.Status().Ready {
 			continue
 		}
 		if next := n.nextMembers(m); next != nil {
 			_ = m.node.ProposeMembers(m.clock(), next)
-			m.drain()
+			m.processOutput()
 		}
 	}
 }
 
-// nextMembers is the membership that a leader goes on to, nil if it is content.
+// nextMembers returns the membership to propose next, nil if none: without members whose disks are lost, with learners
+// promoted while voters are missing, and with machines that are no members added as learners.
 func (n *nemesis) nextMembers(leader *machine) []Member {
 	members := leader.node.Status().Members
 	voters := countVoters(members)
 	for position, member := range members {
-		if n.world.holder(member.ID) != nil || voters == 1 && !member.Learner {
+		if n.world.machineOf(member.ID) != nil || voters == 1 && !member.Learner {
 			continue
 		}
-		if next := n.replaced(leader, position); next != nil && n.world.chance(0.7) {
+		if next := n.replaceVoter(leader, position); next != nil && n.world.chance(0.7) {
 			return next
 		}
 		return without(members, position)
@@ -265,11 +269,11 @@
 			return append(append([]Member(nil), members...), Member{ID: m.id, Node: m.name, Learner: true})
 		}
 	}
-	return n.whim(leader, members, voters)
+	return n.randomChange(leader, members, voters)
 }
 
-// replaced is the membership in which a learner that has caught up takes the place of a voter, nil if there is none.
-func (n *nemesis) replaced(leader *machine, position int) []Member {
+// replaceVoter returns the membership in which a learner that has caught up replaces a voter, nil if there is none.
+func (n *nemesis) replaceVoter(leader *machine, position int) []Member {
 	members := leader.node.Status().Members
 	if members[position].Learner {
 		return nil
@@ -291,8 +295,9 @@
 	return nil
 }
 
-// whim removes, demotes or replaces voters now and then, until the time is over.
-func (n *nemesis) whim(leader *machine, members []Member, voters int) []Member {
+// randomChange returns, with some probability, a membership with voters removed, demoted or replaced, until the time is
+// over; else nil.
+func (n *nemesis) randomChange(leader *machine, members []Member, voters int) []Member {
 	if n.world.now >= n.until || voters < 3 || !n.world.chance(0.1) {
 		return nil
 	}
@@ -305,14 +310,15 @@
 		next[position].Learner = true
 		return next
 	case 2:
-		return n.shuffled(members)
+		return n.randomVoters(members)
 	default:
-		return n.replaced(leader, position)
+		return n.replaceVoter(leader, position)
 	}
 }
 
-// shuffled lets a random majority of the voters go on voting, and any others.
-func (n *nemesis) shuffled(members []Member) []Member {
+// randomVoters returns the membership in which a random majority of the voters remain voters, and the votes of all other
+// members are random.
+func (n *nemesis) randomVoters(members []Member) []Member {
 	next := append([]Member(nil), members...)
 	n.world.random.Shuffle(len(next), func(a, b int) { next[a], next[b] = next[b], next[a] })
 	kept, voters := 0, countVoters(members)
@@ -327,47 +333,49 @@
 	return next
 }
 
-// without leaves a member out.
+// without returns the members but the one at a position.
 func without(members []Member, position int) []Member {
 	next := append([]Member(nil), members[:position]...)
 	return append(next, members[position+1:]...)
 }
 
-// settle heals the world and checks that it works again, with all that was acknowledged.
-func (n *nemesis) settle() error {
+// healAndVerify runs the world until the time is over, ends all faults, and returns an error if the group does not
+// recover, an invariant was violated, or an acknowledged proposal is lost.
+func (n *nemesis) healAndVerify() error {
 	w := n.world
 	w.run(n.until)
 	w.heal()
-	if !w.runUntil(8*time.Second, func() bool { return w.truth.broken != "" || n.settled() }) {
+	if !w.runUntil(8*time.Second, func() bool { return w.invariants.violation != "" || n.recovered() }) {
 		return fmt.Errorf("the group does not recover: %s", n.describe())
 	}
-	if w.truth.broken != "" {
-		return fmt.Errorf("%s", w.truth.broken)
+	if w.invariants.violation != "" {
+		return fmt.Errorf("%s", w.invariants.violation)
 	}
 	for index, term := range n.acked {
-		if index > uint64(len(w.truth.terms)) || w.truth.terms[index-1] != term {
+		if index > uint64(len(w.invariants.committedTerms)) || w.invariants.committedTerms[index-1] != term {
 			return fmt.Errorf("the acknowledged entry %d of term %d is lost", index, term)
 		}
 	}
 	return nil
 }
 
-// settled tells whether there are enough voters, a ready leader, and all members near its end.
-func (n *nemesis) settled() bool {
+// recovered reports whether there are as many voters as wanted and a ready leader that has applied everything committed,
+// and all members are near the end of its log.
+func (n *nemesis) recovered() bool {
 	leader := n.world.readyLeader()
 	if leader == nil || countVoters(leader.node.Status().Members) < min(n.voters, len(n.world.machines)) {
 		return false
 	}
 	for _, member := range leader.node.Status().Members {
-		m := n.world.holder(member.ID)
+		m := n.world.machineOf(member.ID)
 		if m == nil || m.state.index+10 < leader.state.index {
 			return false
 		}
 	}
-	return leader.state.index == uint64(len(n.world.truth.committed))
+	return leader.state.index == uint64(len(n.world.invariants.committed))
 }
 
-// describe shows where every member stands.
+// describe returns the state of all members, for failures.
 func (n *nemesis) describe() string {
 	text := ""
 	for _, m := range n.world.machines {
--- a/internal/cluster/consensus/recovery_test.go
+++ b/internal/cluster/consensus/recovery_test.go
@@ -5,85 +5,85 @@
 	"slices"
 )
 
-// recoveryTerms is how many elections a check of a state may need.
+// recoveryTerms is how many elections the check of a state may need.
 const recoveryTerms = 12
 
-// copiedWhole copies a state to change all of its members.
-func (e *explored) copiedWhole() *explored {
-	twin := e.copied(0)
-	for index := range twin.members {
-		member := &twin.members[index]
-		member.node = copyNode(member.node)
+// cloneAll returns a copy of a state in which all members may be modified.
+func (s *groupState) cloneAll() *groupState {
+	copied := s.clone(0)
+	for index := range copied.members {
+		member := &copied.members[index]
+		member.node = cloneNode(member.node)
 		member.writes = slices.Clip(member.writes)
-		member.sums = keys{}
+		member.fingerprints = fingerprints{}
 	}
-	return twin
+	return copied
 }
 
-// settle syncs all disks and delivers all messages, to the oldest first.
-func (e *explored) settle() {
-	for index := range e.members {
-		e.drain(index, false)
-		e.sync(index)
-		e.drain(index, false)
+// deliverAll syncs all disks and delivers all messages, oldest first.
+func (s *groupState) deliverAll() {
+	for index := range s.members {
+		s.processOutput(index, false)
+		s.sync(index)
+		s.processOutput(index, false)
 	}
-	for len(e.network) > 0 && e.broken == "" {
-		message := e.network[0]
-		e.network = slices.Delete(e.network, 0, 1)
-		index := e.find(message.To)
+	for len(s.network) > 0 && s.violation == "" {
+		message := s.network[0]
+		s.network = slices.Delete(s.network, 0, 1)
+		index := s.indexOf(message.To)
 		if index < 0 {
 			continue
 		}
-		e.members[index].node.Step(message.Message, exploredTime)
-		e.drain(index, false)
+		s.members[index].node.Step(message.Message, frozenTime)
+		s.processOutput(index, false)
 	}
 }
 
-// checkRecovery checks that the group can go on from here if all messages on their way are lost: within some elections a
-// member leads, has committed an entry of its term, and has finished a change of the membership that was under way. It is
-// meant for states in which no more disks are lost than the group stands.
-func (e *explored) checkRecovery() {
-	if e.broken != "" {
+// checkRecovery checks that the group can go on from here if all messages in flight are lost: within some elections a
+// member leads, has committed an entry of its term, and has finished a change of the membership that was under way. It
+// applies to states in which no more disks are lost than the group tolerates.
+func (s *groupState) checkRecovery() {
+	if s.violation != "" {
 		return
 	}
-	twin := e.copiedWhole()
-	twin.network = nil
-	for range recoveryTerms / len(twin.members) {
-		for _, index := range twin.newestLogsFirst() {
-			if twin.standsAndLeads(index) {
+	copied := s.cloneAll()
+	copied.network = nil
+	for range recoveryTerms / len(copied.members) {
+		for _, index := range copied.newestLogsFirst() {
+			if copied.recoversUnder(index) {
 				return
 			}
 		}
 	}
-	e.broken = twin.broken
-	e.breaks("the group can't go on")
+	s.violation = copied.violation
+	s.violate("the group can't recover")
 }
 
-// newestLogsFirst gives the members in an order in which one that can be elected comes early.
-func (e *explored) newestLogsFirst() []int {
-	order := make([]int, len(e.members))
+// newestLogsFirst returns the positions of the members, ordered so that one that can be elected comes early.
+func (s *groupState) newestLogsFirst() []int {
+	order := make([]int, len(s.members))
 	for index := range order {
 		order[index] = index
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		first, second := &e.members[a].node.log, &e.members[b].node.log
+		first, second := &s.members[a].node.log, &s.members[b].node.log
 		return cmp.Or(cmp.Compare(second.lastTerm(), first.lastTerm()), cmp.Compare(second.last(), first.last()))
 	})
 	return order
 }
 
-// standsAndLeads lets a member stand for election, and tells whether the group works then.
-func (e *explored) standsAndLeads(index int) bool {
-	node := e.members[index].node
-	for _, member := range e.members {
+// recoversUnder has a member campaign, and reports whether the group works afterwards.
+func (s *groupState) recoversUnder(index int) bool {
+	node := s.members[index].node
+	for _, member := range s.members {
 		node.becomeFollower(max(node.term, member.node.term), None)
 	}
 	if !node.mayCampaign() {
 		return false
 	}
 	node.campaign(campaignTransfer)
-	e.settle()
-	return slices.ContainsFunc(e.members, func(member exploredMember) bool {
+	s.deliverAll()
+	return slices.ContainsFunc(s.members, func(member memberState) bool {
 		return member.node.isReady() && !member.node.changePending()
 	})
 }
--- a/internal/cluster/consensus/replication_test.go
+++ b/internal/cluster/consensus/replication_test.go
@@ -7,17 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// appended is what became of an append at a follower with a log of terms 1, 1, 2, 2, of which two are committed.
-type appended struct {
+// appendOutcome is the response to an append, and the follower's log and commit index afterwards.
+type appendOutcome struct {
 	reject bool
-	index  uint64 // of the response
-	hint   uint64
+	index  uint64   // of the response
+	hint   uint64   // of the response
 	terms  []uint64 // of the log afterwards
 	commit uint64
 }
 
 var _ = ginkgo.DescribeTable("an append at a follower with terms 1, 1, 2, 2, the first two committed",
-	func(message Message, expected appended) {
+	func(message Message, expected appendOutcome) {
 		g := &group{now: time.Minute}
 		follower := g.add(1, Restored{HardState: HardState{Term: 3}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
 			Entries: entriesOf(1, 1, 1, 2, 2)})
@@ -28,7 +28,7 @@
 		output := follower.Output()
 		answers := append(output.Immediate, output.Deferred...)
 		Expect(answers).To(HaveLen(1))
-		result := appended{reject: answers[0].Reject, index: answers[0].Index, hint: answers[0].Hint, commit: follower.commit}
+		result := appendOutcome{reject: answers[0].Reject, index: answers[0].Index, hint: answers[0].Hint, commit: follower.commit}
 		for _, entry := range follower.log.entries {
 			result.terms = append(result.terms, entry.Term)
 		}
@@ -36,27 +36,27 @@
 		Expect(len(output.Deferred) == 1).To(Equal(!expected.reject), "a promise waits for the disk")
 	},
 	ginkgo.Entry("an empty one in agreement", Message{Index: 4, LogTerm: 2},
-		appended{index: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
+		appendOutcome{index: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3, 3)},
-		appended{index: 6, terms: []uint64{1, 1, 2, 2, 3, 3}, commit: 2}),
+		appendOutcome{index: 6, terms: []uint64{1, 1, 2, 2, 3, 3}, commit: 2}),
 	ginkgo.Entry("entries in place of others", Message{Index: 3, LogTerm: 2, Entries: entriesOf(4, 3)},
-		appended{index: 4, terms: []uint64{1, 1, 2, 3}, commit: 2}),
+		appendOutcome{index: 4, terms: []uint64{1, 1, 2, 3}, commit: 2}),
 	ginkgo.Entry("an earlier one that came late", Message{Index: 2, LogTerm: 1, Entries: entriesOf(3, 2)},
-		appended{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
+		appendOutcome{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("one that begins in what is committed", Message{Index: 0, Entries: entriesOf(1, 1, 1, 2, 2, 3)},
-		appended{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 2}),
+		appendOutcome{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 2}),
 	ginkgo.Entry("one within what is committed", Message{Index: 0, Entries: entriesOf(1, 1)},
-		appended{index: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
+		appendOutcome{index: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("a gap", Message{Index: 7, LogTerm: 3, Entries: entriesOf(8, 3)},
-		appended{reject: true, index: 7, hint: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
+		appendOutcome{reject: true, index: 7, hint: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("another term before it", Message{Index: 4, LogTerm: 3, Entries: entriesOf(5, 3)},
-		appended{reject: true, index: 4, hint: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
+		appendOutcome{reject: true, index: 4, hint: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("an earlier term before it", Message{Index: 4, LogTerm: 1, Entries: entriesOf(5, 3)},
-		appended{reject: true, index: 4, hint: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
+		appendOutcome{reject: true, index: 4, hint: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("a commit as far as it agrees", Message{Index: 3, LogTerm: 2, Commit: 9},
-		appended{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 3}),
+		appendOutcome{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 3}),
 	ginkgo.Entry("a commit of new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3), Commit: 5},
-		appended{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 5}),
+		appendOutcome{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 5}),
 )
 
 var _ = ginkgo.Describe("a follower", func() {
@@ -73,16 +73,16 @@
 
 	ginkgo.It("answers an old leader with its own term", func() {
 		g := newGroup(memberList(1, 2, 3)...)
-		follower := g.of(1)
+		follower := g.member(1)
 		follower.becomeFollower(5, None)
 		follower.Step(Message{Kind: MessageHeartbeat, From: 2, To: 1, Term: 4}, g.now)
-		g.drain(follower)
-		Expect(g.newest(MessageAppendResponse, 2).Term).To(Equal(uint64(5)))
+		g.processOutput(follower)
+		Expect(g.lastSent(MessageAppendResponse, 2).Term).To(Equal(uint64(5)))
 	})
 
 	ginkgo.It("takes no message that is not for it, of another group, or whose entries do not follow each other", func() {
 		g := newGroup(memberList(1, 2, 3)...)
-		follower := g.of(1)
+		follower := g.member(1)
 		good := Message{Kind: MessageAppend, From: 2, To: 1, Term: 1, Entries: entriesOf(1, 1)}
 		for _, spoil := range []func(*Message){
 			func(m *Message) { m.To = 3 },
@@ -102,64 +102,64 @@
 
 var _ = ginkgo.Describe("a leader", func() {
 	var g *group
-	var leader *scripted
+	var leader *testMember
 	ginkgo.BeforeEach(func() {
 		g = newGroup(memberList(1, 2, 3)...)
 		leader = g.elect(1)
-		g.forget()
+		g.clearSent()
 	})
 
 	ginkgo.It("sends entries before they are on its own disk, and commits them by the others'", func() {
-		leader.hold = true
+		leader.diskPaused = true
 		g.propose(leader, "a")
-		g.settle()
-		Expect(texts(leader.committed)).To(Equal([]string{"a"}))
+		g.deliverAll()
+		Expect(commandsOf(leader.committed)).To(Equal([]string{"a"}))
 	})
 
 	ginkgo.It("counts itself only once its own disk has the entries", func() {
-		leader.hold = true
-		g.lost = isolate(3)
+		leader.diskPaused = true
+		g.drop = fromOrTo(3)
 		g.propose(leader, "a")
-		g.settle()
-		Expect(texts(leader.committed)).To(BeEmpty())
-		g.sync(leader)
-		g.settle()
-		Expect(texts(leader.committed)).To(Equal([]string{"a"}))
+		g.deliverAll()
+		Expect(commandsOf(leader.committed)).To(BeEmpty())
+		g.syncDisk(leader)
+		g.deliverAll()
+		Expect(commandsOf(leader.committed)).To(Equal([]string{"a"}))
 	})
 
 	ginkgo.It("does not count another entry than the one it has", func() {
-		leader.hold = true
-		g.lost = isolate(3)
+		leader.diskPaused = true
+		g.drop = fromOrTo(3)
 		index := g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		leader.Persisted(g.now, index, leader.term-1)
 		leader.Persisted(g.now, index+1, leader.term)
 		Expect(leader.Status().Commit).To(Equal(index - 1))
 	})
 
 	ginkgo.It("commits nothing of an earlier term by counting", func() {
-		g.lost = lose(MessageAppend)
+		g.drop = ofKind(MessageAppend)
 		old := g.propose(leader, "old")
-		g.settle()
+		g.deliverAll()
 		for _, member := range g.members {
 			member.lastLeaderContact = 0
 		}
 		leader.becomeFollower(leader.term, None)
 		g.now = max(g.now, leader.electionDeadline)
 		// Only the entry of the earlier term comes through.
-		g.lost = func(message Message) bool {
-			return message.Kind == MessageAppend && message.Index >= old && g.of(message.To).log.last() >= old
+		g.drop = func(message Message) bool {
+			return message.Kind == MessageAppend && message.Index >= old && g.member(message.To).log.last() >= old
 		}
 		leader.config.MaxAppendBytes = 1
 		leader.Tick(g.now)
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().IsLeader).To(BeTrue())
 		Expect(leader.peer(2).match).To(Equal(old))
 		Expect(leader.Status().Commit).To(Equal(old - 1))
 		Expect(leader.Status().Ready).To(BeFalse())
-		g.lost = nil
-		g.pass(5 * heartbeat)
-		Expect(texts(leader.committed)).To(Equal([]string{"old"}))
+		g.drop = nil
+		g.elapse(5 * heartbeatInterval)
+		Expect(commandsOf(leader.committed)).To(Equal([]string{"old"}))
 		Expect(leader.Status().Ready).To(BeTrue())
 	})
 
@@ -167,38 +167,38 @@
 		for range 3 {
 			g.propose(leader, "a")
 		}
-		g.settle()
-		Expect(g.sent(MessageAppend)).To(Equal(2))
+		g.deliverAll()
+		Expect(g.countSent(MessageAppend)).To(Equal(2))
 	})
 
 	ginkgo.It("keeps to the window and to the size of an append", func() {
-		g.lost = lose(MessageAppendResponse)
+		g.drop = ofKind(MessageAppendResponse)
 		for range 20 {
 			g.propose(leader, "0123456789")
 		}
-		g.settle()
-		Expect(g.sent(MessageAppend)).To(Equal(2 * leader.config.MaxInflight))
-		for _, message := range g.kept {
+		g.deliverAll()
+		Expect(g.countSent(MessageAppend)).To(Equal(2 * leader.config.MaxInflight))
+		for _, message := range g.sentMessages {
 			Expect(len(message.Entries)).To(BeNumerically("<=", 3))
 		}
-		g.lost = nil
-		g.pass(10 * heartbeat)
-		Expect(texts(g.of(3).committed)).To(HaveLen(20))
+		g.drop = nil
+		g.elapse(10 * heartbeatInterval)
+		Expect(commandsOf(g.member(3).committed)).To(HaveLen(20))
 	})
 
 	ginkgo.DescribeTable("makes up for what was lost",
 		func(kind MessageKind) {
-			g.lost = lose(kind)
+			g.drop = ofKind(kind)
 			g.propose(leader, "a")
-			g.settle()
-			g.lost = nil
-			g.pass(5 * heartbeat)
-			Expect(texts(leader.committed)).To(Equal([]string{"a"}))
-			Expect(texts(g.of(2).committed)).To(Equal([]string{"a"}))
-			Expect(texts(g.of(3).committed)).To(Equal([]string{"a"}))
-			g.forget()
-			g.pass(10 * heartbeat)
-			Expect(g.sent(MessageAppend)).To(BeZero(), "it is calm afterwards")
+			g.deliverAll()
+			g.drop = nil
+			g.elapse(5 * heartbeatInterval)
+			Expect(commandsOf(leader.committed)).To(Equal([]string{"a"}))
+			Expect(commandsOf(g.member(2).committed)).To(Equal([]string{"a"}))
+			Expect(commandsOf(g.member(3).committed)).To(Equal([]string{"a"}))
+			g.clearSent()
+			g.elapse(10 * heartbeatInterval)
+			Expect(g.countSent(MessageAppend)).To(BeZero(), "it is calm afterwards")
 		},
 		ginkgo.Entry("an append", MessageAppend),
 		ginkgo.Entry("an acknowledgement", MessageAppendResponse),
@@ -206,13 +206,13 @@
 
 	ginkgo.It("asks a member that has come back whether the logs still agree, though it has nothing to send", func() {
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		stored := Restored{HardState: HardState{Term: 1}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
-			Entries: g.of(3).log.entries}
+			Entries: g.member(3).log.entries}
 		g.members = g.members[:2]
 		back := g.add(3, stored)
-		g.pass(3 * heartbeat)
-		Expect(texts(back.committed)).To(Equal([]string{"a"}))
+		g.elapse(3 * heartbeatInterval)
+		Expect(commandsOf(back.committed)).To(Equal([]string{"a"}))
 	})
 
 	ginkgo.It("finds in a few steps where a member's log differs", func() {
@@ -225,15 +225,15 @@
 		back := g.add(3, Restored{HardState: HardState{Term: 1}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
 			Entries: stray})
 		g.propose(leader, "a")
-		g.settle()
-		g.pass(4 * heartbeat)
-		Expect(texts(back.committed)).To(Equal([]string{"a"}))
-		Expect(g.sent(MessageAppend)).To(BeNumerically("<", 8))
+		g.deliverAll()
+		g.elapse(4 * heartbeatInterval)
+		Expect(commandsOf(back.committed)).To(Equal([]string{"a"}))
+		Expect(g.countSent(MessageAppend)).To(BeNumerically("<", 8))
 	})
 
 	ginkgo.It("does not take back what a member has on disk because of an old rejection", func() {
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		match := leader.peer(2).match
 		leader.Step(Message{Kind: MessageAppendResponse, From: 2, To: 1, Term: leader.term, Reject: true, Index: match}, g.now)
 		Expect(leader.peer(2).state).To(Equal(progressReplicate))
@@ -241,34 +241,34 @@
 	})
 
 	ginkgo.It("costs one heartbeat for each follower and interval when idle, and nothing on disk", func() {
-		g.pass(timeout)
-		g.forget()
+		g.elapse(electionTimeout)
+		g.clearSent()
 		for _, member := range g.members {
-			member.hold = true
+			member.diskPaused = true
 		}
-		g.pass(10 * heartbeat)
-		Expect(g.kept).To(HaveLen(10 * 2 * 2))
+		g.elapse(10 * heartbeatInterval)
+		Expect(g.sentMessages).To(HaveLen(10 * 2 * 2))
 		for _, member := range g.members {
-			for _, output := range member.outputs {
+			for _, output := range member.unsynced {
 				Expect(needsWrite(output)).To(BeFalse())
 			}
 		}
 	})
 
 	ginkgo.It("waits for answers after it was held up, before it gives up its role", func() {
-		g.now += 3 * timeout
+		g.now += 3 * electionTimeout
 		leader.Tick(g.now)
 		Expect(leader.Status().IsLeader).To(BeTrue())
-		g.settle()
-		g.pass(3 * heartbeat)
+		g.deliverAll()
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().IsLeader).To(BeTrue())
 	})
 
 	ginkgo.It("gives up its role after it was held up, if nobody answers", func() {
-		g.lost = isolate(1)
-		g.now += 3 * timeout
+		g.drop = fromOrTo(1)
+		g.now += 3 * electionTimeout
 		leader.Tick(g.now)
-		g.pass(3 * heartbeat)
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().IsLeader).To(BeFalse())
 	})
 
@@ -279,11 +279,11 @@
 	})
 
 	ginkgo.It("knows how far members lag", func() {
-		g.lost = isolate(3)
+		g.drop = fromOrTo(3)
 		index := g.propose(leader, "a")
 		heardBefore := leader.peer(3).lastContact
-		g.settle()
-		g.pass(heartbeat)
+		g.deliverAll()
+		g.elapse(heartbeatInterval)
 		behind, heard, known := leader.Lag(3)
 		Expect(known).To(BeTrue())
 		Expect(behind).To(Equal(uint64(1)))
@@ -293,7 +293,7 @@
 		Expect(behind).To(BeZero())
 		_, _, known = leader.Lag(9)
 		Expect(known).To(BeFalse())
-		_, _, known = g.of(2).Lag(1)
+		_, _, known = g.member(2).Lag(1)
 		Expect(known).To(BeFalse())
 		Expect(leader.Status().Commit).To(Equal(index))
 	})
--- a/internal/cluster/consensus/world_test.go
+++ b/internal/cluster/consensus/world_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// The timing of the simulated group.
+// The timing of the simulated members.
 const (
-	simHeartbeat = 20 * time.Millisecond
-	simElection  = 100 * time.Millisecond
-	simTick      = 10 * time.Millisecond
+	simHeartbeatInterval = 20 * time.Millisecond
+	simElectionTimeout   = 100 * time.Millisecond
+	simTickInterval      = 10 * time.Millisecond
 )
 
-// event is something that happens at a moment of virtual time.
+// event is a function that runs at a moment of virtual time.
 type event struct {
 	at    time.Duration
-	order uint64
+	order uint64 // of events at the same moment: that in which they were added
 	run   func()
 }
 
-// eventQueue is a heap of events by time, in the order they were added within one moment.
+// eventQueue is a heap of events by time and order.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -41,45 +41,49 @@
 	return popped
 }
 
-// conditions are how bad network and disks are.
+// conditions are the faults that network and disks have at random.
 type conditions struct {
-	loss, duplicate float64
+	loss, duplicate float64 // probabilities for a message
 	maxDelay        time.Duration
-	slowPackets     float64 // share that takes up to ten times as long
+	delayed         float64 // probability that a message takes ten times as long
 	maxSync         time.Duration
-	stall           float64 // share of syncs that take up to a second
+	syncStall       float64 // probability that a sync takes up to a second longer
 }
 
-var calm = conditions{maxDelay: 2 * time.Millisecond, maxSync: 4 * time.Millisecond}
+// calmConditions are a network and disks without faults.
+var calmConditions = conditions{maxDelay: 2 * time.Millisecond, maxSync: 4 * time.Millisecond}
 
-// world is a whole group in virtual time; everything in it follows from its seed.
+// world simulates a complete group: machines with disks, a network, and virtual time. Everything in it is determined by its
+// seed. It carries out the Nodes' output as the package comment demands, with a network that loses, duplicates and
+// reorders, and processes that crash, freeze and lose their disks; invariantChecker observes all of it. A nemesis brings
+// the faults.
 type world struct {
-	random     *rand.Rand
-	now        time.Duration
-	queue      eventQueue
-	order      uint64
-	machines   []*machine
-	cut        [][]bool // cut[a][b]: nothing goes from a to b
-	conditions conditions
-	truth      *truth
-	nextID     MemberID
-	newNode    func(Config, Restored, time.Duration) *Node
-}
-
-// newWorld starts a group of so many first members, and so many machines with empty disks.
+	random      *rand.Rand
+	now         time.Duration
+	queue       eventQueue
+	order       uint64
+	machines    []*machine
+	partitioned [][]bool // partitioned[a][b]: no message from a arrives at b
+	conditions  conditions
+	invariants  *invariantChecker
+	nextID      MemberID
+	newNode     func(Config, Restored, time.Duration) *Node // New, or a variant that a test checks
+}
+
+// newWorld starts a group of some voters, and some spare machines with empty disks.
 func newWorld(seed uint64, voters, spares int) *world {
 	w := &world{
 		random:     rand.New(rand.NewPCG(seed, 7)),
-		conditions: calm,
-		truth:      newTruth(),
+		conditions: calmConditions,
+		invariants: newInvariantChecker(),
 		nextID:     100,
 		newNode:    New,
 	}
 	var members []Member
 	for index := range voters + spares {
 		name := fmt.Sprintf("m%d", index)
-		w.machines = append(w.machines, &machine{world: w, index: index, name: name, id: w.freshID()})
-		w.cut = append(w.cut, make([]bool, voters+spares))
+		w.machines = append(w.machines, &machine{world: w, index: index, name: name, id: w.newID()})
+		w.partitioned = append(w.partitioned, make([]bool, voters+spares))
 		if index < voters {
 			members = append(members, Member{ID: w.machines[index].id, Node: name})
 		}
@@ -93,31 +97,31 @@
 	return w
 }
 
-// freshID draws an identity.
-func (w *world) freshID() MemberID {
+// newID returns an identity that no disk has had.
+func (w *world) newID() MemberID {
 	w.nextID++
 	return w.nextID
 }
 
-// after runs something later.
+// after schedules a function.
 func (w *world) after(delay time.Duration, run func()) {
 	w.order++
 	heap.Push(&w.queue, event{at: w.now + delay, order: w.order, run: run})
 }
 
-// upTo gives a random time up to a limit.
-func (w *world) upTo(limit time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 to limit.
+func (w *world) randomUpTo(limit time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(limit) + 1))
 }
 
-// chance is true in that share of the cases.
-func (w *world) chance(share float64) bool {
-	return share > 0 && w.random.Float64() < share
+// chance reports true with a probability.
+func (w *world) chance(probability float64) bool {
+	return probability > 0 && w.random.Float64() < probability
 }
 
-// run lets time pass until a moment, or until a rule is broken.
+// run runs events until a moment, or until an invariant is violated.
 func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.truth.broken == "" {
+	for len(w.queue) > 0 && w.queue[0].at <= until && w.invariants.violation == "" {
 		next := heap.Pop(&w.queue).(event)
 		w.now = next.at
 		next.run()
@@ -125,39 +129,39 @@
 	w.now = max(w.now, until)
 }
 
-// runUntil lets time pass until something is so, at most for a limit, and tells whether it came to be so.
-func (w *world) runUntil(limit time.Duration, so func() bool) bool {
-	end := w.now + limit
+// runUntil runs events until a condition is met, at most for timeout, and reports whether it was met.
+func (w *world) runUntil(timeout time.Duration, met func() bool) bool {
+	end := w.now + timeout
 	for w.now < end {
-		if so() {
+		if met() {
 			return true
 		}
-		w.run(w.now + simTick)
+		w.run(w.now + simTickInterval)
 	}
-	return so()
+	return met()
 }
 
-// send puts a message on its way, with the troubles of the present.
+// send transmits a message, with the faults of the present conditions.
 func (w *world) send(from *machine, message Message) {
-	to := w.holder(message.To)
-	if to == nil || w.cut[from.index][to.index] || w.chance(w.conditions.loss) {
+	to := w.machineOf(message.To)
+	if to == nil || w.partitioned[from.index][to.index] || w.chance(w.conditions.loss) {
 		return
 	}
-	copies := 1
+	transmissions := 1
 	if w.chance(w.conditions.duplicate) {
-		copies = 2
+		transmissions = 2
 	}
-	for range copies {
-		delay := 100*time.Microsecond + w.upTo(w.conditions.maxDelay)
-		if w.chance(w.conditions.slowPackets) {
+	for range transmissions {
+		delay := 100*time.Microsecond + w.randomUpTo(w.conditions.maxDelay)
+		if w.chance(w.conditions.delayed) {
 			delay *= 10
 		}
 		w.after(delay, func() { to.receive(message) })
 	}
 }
 
-// holder is the machine whose disk has an identity.
-func (w *world) holder(id MemberID) *machine {
+// machineOf returns the machine whose disk has an identity, nil if it was lost.
+func (w *world) machineOf(id MemberID) *machine {
 	for _, machine := range w.machines {
 		if machine.id == id {
 			return machine
@@ -166,7 +170,7 @@
 	return nil
 }
 
-// newestLeader is the leader of the highest term among running machines.
+// newestLeader returns the leader of the highest term among running machines, nil if there is none.
 func (w *world) newestLeader() *machine {
 	var newest *machine
 	for _, machine := range w.machines {
@@ -180,7 +184,7 @@
 	return newest
 }
 
-// readyLeader is the newest leader if it is ready.
+// readyLeader returns the newest leader if it is ready, else nil.
 func (w *world) readyLeader() *machine {
 	leader := w.newestLeader()
 	if leader == nil || !leader.node.Status().Ready {
@@ -189,11 +193,11 @@
 	return leader
 }
 
-// heal ends all troubles and starts what is down.
+// heal ends all faults and starts all machines that are down.
 func (w *world) heal() {
-	w.conditions = calm
-	for from := range w.cut {
-		clear(w.cut[from])
+	w.conditions = calmConditions
+	for from := range w.partitioned {
+		clear(w.partitioned[from])
 	}
 	for _, machine := range w.machines {
 		machine.thaw()
