--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -76,7 +76,7 @@
 	s.tombstones.put(fence.ID, tombstone{
 		kind:    fencedID,
 		version: max(known.version, fence.Version),
-		untilMs: s.ageMs + s.tombstoneRetentionMs,
+		untilMs: s.ageMs + s.retention.tombstoneMs,
 	})
 	return false
 }
--- a/internal/cluster/jobs/effects.go
+++ b/internal/cluster/jobs/effects.go
@@ -25,7 +25,7 @@
 	Accepted  SubmitEffect = iota
 	Duplicate              // a job of this id was accepted before
 	Fenced                 // the shard has promised not to accept it, for the Submit's version of the configuration
-	Rejected               // invalid: State.Validate returns an error
+	Rejected               // invalid: Validate returns an error
 )
 
 // Lingering is a run of a gang's member that is Done by another member's end, while its own end has not been reported:
--- a/internal/cluster/jobs/encoding.go
+++ b/internal/cluster/jobs/encoding.go
@@ -140,7 +140,7 @@
 	return *previous
 }
 
-// completed returns the error, or one if bytes are left over.
+// done returns the first error, or one if input is left over.
 func (r *reader) done() error {
 	if r.err == nil && r.offset != len(r.data) {
 		r.err = errors.Errorf("%d bytes left over", len(r.data)-r.offset)
--- a/internal/cluster/jobs/restore.go
+++ b/internal/cluster/jobs/restore.go
@@ -16,8 +16,7 @@
 	if version != snapshotVersion && version != snapshotVersionWithoutDepartures {
 		return errors.Errorf("snapshot of version %d, this release reads up to %d", version, snapshotVersion)
 	}
-	fresh := &State{statusRetentionMs: s.statusRetentionMs, tombstoneRetentionMs: s.tombstoneRetentionMs, runnerRetentionMs: s.runnerRetentionMs}
-	fresh.reset()
+	fresh := newState(s.retention)
 	if err := r.state(fresh, version != snapshotVersionWithoutDepartures); err != nil {
 		return errors.Wrap(err, "snapshot")
 	}
@@ -172,7 +171,7 @@
 	if groups == 0 {
 		return nil, nil
 	}
-	if err := s.Validate(&job.Spec); err != nil {
+	if err := Validate(&job.Spec); err != nil {
 		return nil, err
 	}
 	return r.groups(job, groups)
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -2,28 +2,13 @@
 
 import (
 	"slices"
-	"time"
 
 	"ospreypond/internal/cluster/protocol"
 )
 
-// How long things are retained by default.
-const (
-	DefaultStatusRetention    = 120 * time.Second
-	DefaultTombstoneRetention = 20 * time.Minute
-	DefaultRunnerRetention    = 10 * time.Minute
-)
-
-// Options are the retention times of a State. They must be the same on all replicas; 0 stands for the default.
-type Options struct {
-	StatusTime         time.Duration // the state of an ended job is kept one and a half times as long as this
-	TombstoneRetention time.Duration // then its id is known for this long; so are fenced ids
-	RunnerRetention    time.Duration // a runner without runs is forgotten when no command has named it for this long
-}
-
 // State is the state of a shard of jobs. It may be used by one goroutine at a time.
 type State struct {
-	statusRetentionMs, tombstoneRetentionMs, runnerRetentionMs int64
+	retention retention
 
 	clockMs  int64  // newest time of day that a command brought
 	ageMs    int64  // rises with the clock, but by maxAgeStepMs at most; retention is measured by it
@@ -64,35 +49,17 @@
 }
 
 // New returns an empty State.
-func New(options Options) *State {
-	s := &State{
-		statusRetentionMs:    retentionMs(options.StatusTime, DefaultStatusRetention) * 3 / 2,
-		tombstoneRetentionMs: retentionMs(options.TombstoneRetention, DefaultTombstoneRetention),
-		runnerRetentionMs:    retentionMs(options.RunnerRetention, DefaultRunnerRetention),
-	}
-	s.reset()
-	return s
-}
-
-func retentionMs(retention, standard time.Duration) int64 {
-	if retention <= 0 {
-		retention = standard
-	}
-	return retention.Milliseconds()
-}
-
-// reset drops all that commands have brought.
-func (s *State) reset() {
-	*s = State{
-		statusRetentionMs:    s.statusRetentionMs,
-		tombstoneRetentionMs: s.tombstoneRetentionMs,
-		runnerRetentionMs:    s.runnerRetentionMs,
-		jobs:                 map[string]*Job{},
-		sharedQueues:         map[protocol.Queue]protocol.Queue{},
-		unfinishedJobs:       map[string]int{},
-		pending:              map[int]*taskList{},
-		runners:              newRunnerTable(),
-		tombstones:           newTombstoneSet(),
+func New(options Options) *State { return newState(newRetention(options)) }
+
+func newState(retention retention) *State {
+	return &State{
+		retention:      retention,
+		jobs:           map[string]*Job{},
+		sharedQueues:   map[protocol.Queue]protocol.Queue{},
+		unfinishedJobs: map[string]int{},
+		pending:        map[int]*taskList{},
+		runners:        newRunnerTable(),
+		tombstones:     newTombstoneSet(),
 	}
 }
 
--- a/internal/cluster/jobs/submit.go
+++ b/internal/cluster/jobs/submit.go
@@ -20,7 +20,7 @@
 	case known.kind == fencedID && submit.Version <= known.version:
 		return Fenced
 	}
-	if s.Validate(&submit.Job) != nil {
+	if Validate(&submit.Job) != nil {
 		return Rejected
 	}
 	s.acceptJob(submit)
--- a/internal/cluster/jobs/submit_test.go
+++ b/internal/cluster/jobs/submit_test.go
@@ -175,7 +175,7 @@
 	func(change func(*protocol.JobSpec), valid bool) {
 		spec := protocol.JobSpec{Spec: "text", Steps: []protocol.Step{step(2), step(3, after(0))}}
 		change(&spec)
-		err := jobs.New(jobs.Options{}).Validate(&spec)
+		err := jobs.Validate(&spec)
 		if valid {
 			Expect(err).NotTo(HaveOccurred())
 		} else {
--- a/internal/cluster/jobs/transitions.go
+++ b/internal/cluster/jobs/transitions.go
@@ -139,7 +139,7 @@
 	if s.unfinishedJobs[job.Queue.Key] == 0 {
 		delete(s.unfinishedJobs, job.Queue.Key)
 	}
-	s.endedJobs.push(job.ID, s.ageMs+s.statusRetentionMs)
+	s.endedJobs.push(job.ID, s.ageMs+s.retention.statusMs)
 	s.effects.EndedJobs = append(s.effects.EndedJobs, job)
 	s.dropDetails(job)
 }
--- a/internal/cluster/jobs/validate.go
+++ b/internal/cluster/jobs/validate.go
@@ -21,7 +21,7 @@
 
 // Validate returns an error of kind failure.Invalid if the job can never be done as it is, or exceeds the limits. It
 // depends on spec alone.
-func (s *State) Validate(spec *protocol.JobSpec) error {
+func Validate(spec *protocol.JobSpec) error {
 	switch {
 	case len(spec.Spec) > MaxSpecBytes:
 		return failure.Newf(failure.Invalid, "spec has %d bytes, %d are allowed", len(spec.Spec), MaxSpecBytes)
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -15,7 +15,7 @@
 // unknownID is that of a job that was never submitted.
 const unknownID = "00000000000000ff"
 
-// complete is what a caller got from the owner.
+// result is what a caller got from the owner.
 type result struct {
 	replied bool
 	kind    failure.Kind
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -52,7 +52,7 @@
 // validate returns why a submit is not proposed, or nil. Whether it is invalid depends on nothing but itself; that a newer
 // configuration than the one by which it was routed gives its queue another service cannot change any more.
 func (o *Owner) validate(submit *jobs.Submit) error {
-	if err := o.state.Validate(&submit.Job); err != nil {
+	if err := jobs.Validate(&submit.Job); err != nil {
 		return err
 	}
 	service, version := o.options.ServiceOf(submit.Queue.Key)
