--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -27,7 +27,13 @@
 	keeps    bool // its leadership
 }
 
-func (l *ledger) KeepsLeadership() bool { return l.keeps }
+// The engine finds optional interfaces by assertion at run time: without this a method of another name is no error.
+var (
+	_ LeadershipObserver = (*ledger)(nil)
+	_ TransferDeferrer   = (*ledger)(nil)
+)
+
+func (l *ledger) DefersTransfer() bool { return l.keeps }
 
 func (l *ledger) Apply(index, term uint64, data []byte) any {
 	Expect(index).To(BeNumerically(">", l.Last), "entries are applied in order")
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -79,8 +79,11 @@
 	return nil
 }
 
-// KeepsLeadership tells whether the state machine wants to keep its leadership.
-func (o *observer) KeepsLeadership() bool {
+// The engine finds optional interfaces by assertion at run time: without this a method of another name is no error.
+var _ replica.TransferDeferrer = (*observer)(nil)
+
+// DefersTransfer reports whether the state machine wants to keep its leadership for now.
+func (o *observer) DefersTransfer() bool {
 	keeper, ok := o.StateMachine.(replica.TransferDeferrer)
 	return ok && keeper.DefersTransfer()
 }
