--- a/internal/cluster/replica/catchup.go
+++ b/internal/cluster/replica/catchup.go
@@ -6,40 +6,40 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// catchUp tells how well a member's disk follows what is committed. It goes in rounds: a round is over once the disk holds
-// all that was committed at its start. So a member that follows steadily is seen to do so also under a load under which
-// something new is committed whenever an acknowledgement comes.
+// catchUp measures how closely a member's disk follows what is committed (Raft thesis, section 4.2.1). It works in
+// rounds: a round is complete once the disk has all that was committed at its start. So a member that keeps up is seen
+// to do so even under a load that commits something new before each of its acknowledgements arrives.
 type catchUp struct {
-	target    uint64 // what was committed at the round's start
-	begunAt   time.Duration
-	heldAt    time.Duration // start of the newest round that is over
-	completed bool          // one is over
+	target         uint64 // commit index at the start of the present round; 0: no round yet
+	roundStartedAt time.Duration
+	caughtUpAt     time.Duration // the disk had all that was committed by this time
+	completed      bool          // at least one round is
 }
 
-// look takes how far a disk reaches, and what is committed.
-func (c *catchUp) look(match, commit uint64, now time.Duration) {
+// observe records the newest index on the member's disk, and the commit index.
+func (c *catchUp) observe(match, commit uint64, now time.Duration) {
 	started := c.target > 0
 	switch {
 	case match >= commit:
-		c.heldAt, c.completed = now, true
+		c.caughtUpAt, c.completed = now, true
 	case started && match >= c.target:
-		c.heldAt, c.completed = c.begunAt, true
+		c.caughtUpAt, c.completed = c.roundStartedAt, true
 	case started:
 		return
 	}
-	c.target, c.begunAt = commit, now
+	c.target, c.roundStartedAt = commit, now
 }
 
-// age is how long ago the newest moment is of which the disk is known to hold all that was committed.
+// age returns how long ago the newest time is by which the disk is known to have had all that was committed.
 func (c *catchUp) age(now time.Duration) time.Duration {
 	if !c.completed {
-		return unknownAge
+		return unknownDuration
 	}
-	return now - c.heldAt
+	return now - c.caughtUpAt
 }
 
-// followMembers looks how far the members' disks reach.
-func (g *group) followMembers(members []consensus.Member) {
+// updateCatchUps records how far the members' disks reach.
+func (g *group) updateCatchUps(members []consensus.Member) {
 	status := g.node.Status()
 	for _, member := range members {
 		behind, _, known := g.node.Lag(member.ID)
@@ -51,19 +51,19 @@
 			followed = &catchUp{}
 			g.catchUps[member.ID] = followed
 		}
-		followed.look(status.LastIndex-behind, status.Commit, g.engine.now)
+		followed.observe(status.LastIndex-behind, status.Commit, g.engine.now)
 	}
 }
 
-// ageOf is how long ago a member's disk held all that was committed then.
-func (g *group) ageOf(id consensus.MemberID) time.Duration {
+// replicationAge returns the age of a member's catchUp, or unknownDuration.
+func (g *group) replicationAge(id consensus.MemberID) time.Duration {
 	if followed := g.catchUps[id]; followed != nil {
 		return followed.age(g.engine.now)
 	}
-	return unknownAge
+	return unknownDuration
 }
 
-// awaitsLearner tells whether a message may make a learner a voter.
+// awaitsLearner reports whether a message is an acknowledgement by a learner, which may have caught up with it.
 func (g *group) awaitsLearner(message *consensus.Message) bool {
 	if g.leadingTerm == 0 || message.Kind != consensus.MessageAppendResponse {
 		return false
--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -109,7 +109,7 @@
 			away.start(nil)
 			newest, began := c.version(), c.now()
 			size := c.leader(configurationGroup).engine.byID[configurationGroup].snapshots.size
-			Expect(size).To(BeNumerically(">", 2*snapshotPieceBytes))
+			Expect(size).To(BeNumerically(">", 2*snapshotChunkBytes))
 			least := time.Duration(float64(size) / away.bandwidth * float64(time.Second))
 			Expect(c.until(2*least+2*time.Second, away.has(newest))).To(BeTrue(), "it catches up")
 			GinkgoWriter.Println("caught up after", c.now()-began, "of", least)
@@ -154,7 +154,7 @@
 		for _, m := range c.machines {
 			held := m.engine.byID[configurationGroup].node.RetainedBytes()
 			GinkgoWriter.Println(m.name, "holds", held)
-			Expect(held).To(BeNumerically("<", heldBytes+3<<20))
+			Expect(held).To(BeNumerically("<", maxRetainedBytes+3<<20))
 		}
 		away.bandwidth = 0
 		c.agree()
@@ -297,7 +297,7 @@
 		identity := m.engine.self.ID
 		written := 0
 		for cut := 1; cut <= cutsOfPower; cut++ {
-			for !m.engine.writing {
+			for !m.engine.writingSnapshot {
 				c.changeMany(1, 24<<10)
 			}
 			before, stop := m.engine.byID[configurationGroup].snapshots.index, m.files.Calls()+cut
@@ -332,7 +332,7 @@
 			return vfstest.Fault{}
 		})
 		c.changeMany(200, 24<<10)
-		c.run(2 * snapshotRetry)
+		c.run(2 * snapshotRetryInterval)
 		Expect(refused).To(BeNumerically(">", 1))
 		m.losePower()
 		m.start(nil)
--- a/internal/cluster/replica/chaos_test.go
+++ b/internal/cluster/replica/chaos_test.go
@@ -112,7 +112,7 @@
 	return c
 }
 
-// work lets time pass with proposals all the while.
+// diskWrite lets time pass with proposals all the while.
 func (c *cluster) work(span time.Duration) {
 	for end := c.now() + span; c.now() < end; {
 		c.propose(GroupID(c.random.IntN(c.groups)), c.random.IntN(1500), nil)
--- a/internal/cluster/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -149,9 +149,9 @@
 	for _, m := range c.machines {
 		if m.up && !m.frozen && m.wakeAt <= now {
 			c.turns++
-			m.engine.turn()
+			m.engine.step()
 			Expect(m.engine.failed).NotTo(HaveOccurred())
-			m.wakeAt = now + m.engine.pause()
+			m.wakeAt = now + m.engine.untilNextStep()
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	return true
 }
 
-// check compares all ledgers, and looks for all that was acknowledged.
+// checkWriteTime compares all ledgers, and looks for all that was acknowledged.
 func (c *cluster) check() {
 	GinkgoHelper()
 	for id := range GroupID(c.groups) {
--- a/internal/cluster/replica/confirm_test.go
+++ b/internal/cluster/replica/confirmations_test.go
@@ -55,8 +55,8 @@
 			came = c.clock.Since(engine.started)
 			engine.Do(func() { handled = engine.Now() })
 		}}
-		engine.turn()
-		engine.turn()
+		engine.step()
+		engine.step()
 		Expect(came).To(BeNumerically(">", freeze))
 		Expect(handled).To(BeNumerically(">=", came))
 	})
@@ -76,10 +76,10 @@
 	It("does not confirm what was asked for after it had left, even while the clock stands still", func() {
 		c, leader := settled()
 		early := ask(leader, 0)
-		leader.engine.turn() // the round leaves
+		leader.engine.step() // the round leaves
 		late := ask(leader, 0)
 		c.loss = 1
-		leader.engine.turn() // what this turn sends is lost
+		leader.engine.step() // what this turn sends is lost
 		c.loss = 0
 		Expect(c.until(2*linkDelay, func() bool { return early.called })).To(BeTrue())
 		Expect(early.err).NotTo(HaveOccurred())
@@ -90,7 +90,7 @@
 
 	It("leaves only after all functions of its turn, each of which it then confirms", func() {
 		c, leader := settled()
-		leader.engine.turn() // whatever else was due
+		leader.engine.step() // whatever else was due
 		c.run(time.Millisecond)
 		sent := c.sent
 		var sentWhenAsked []int
@@ -101,10 +101,10 @@
 			leader.engine.Do(func() {
 				sentWhenAsked = append(sentWhenAsked, c.sent)
 				leader.engine.ConfirmLeadership(0, outcome.take)
-				leader.engine.drain() // hands out what the group wants sent at once
+				leader.engine.processOutputs() // hands out what the group wants sent at once
 			})
 		}
-		leader.engine.turn()
+		leader.engine.step()
 		Expect(sentWhenAsked).To(HaveEach(sent))
 		Expect(c.sent).To(BeNumerically(">", sent))
 		Expect(c.until(2*linkDelay, func() bool { return outcomes[2].called })).To(BeTrue())
@@ -117,7 +117,7 @@
 	It("confirms nothing for a leader that woke after another was elected, with the old round's answers unread", func() {
 		c, old := settled()
 		before := ask(old, 0)
-		old.engine.turn() // the round leaves, and its answers wait unread
+		old.engine.step() // the round leaves, and its answers wait unread
 		old.frozen = true
 		c.commit(0, 1, 10)
 		Expect(c.leader(0)).NotTo(Equal(old))
@@ -140,10 +140,10 @@
 		leader.engine.Do(func() {
 			for refused == nil {
 				leader.engine.Propose(0, make([]byte, 1<<20), func(_ any, err error) { refused = err })
-				leader.engine.drain()
+				leader.engine.processOutputs()
 			}
 		})
-		leader.engine.turn()
+		leader.engine.step()
 		Expect(failure.KindOf(refused)).To(Equal(failure.Unavailable))
 	})
 })
--- a/internal/cluster/replica/leave_test.go
+++ b/internal/cluster/replica/decommission_test.go
@@ -21,7 +21,7 @@
 	voted bool          // in some group then
 }
 
-// leave has a machine leave; its process ends as soon as it may, or when its patience is over.
+// addDecommissionRequest has a machine leave; its process ends as soon as it may, or when its patience is over.
 func (m *machine) leave(patience time.Duration) *departing {
 	d := &departing{machine: m, begun: m.cluster.now()}
 	m.engine.Do(func() {
@@ -222,13 +222,13 @@
 			three(seed)
 			leaving := c.machines[seed%3]
 			departure := leaving.leave(patience)
-			Expect(c.until(time.Second, func() bool { return leaving.engine.departure.quiet })).To(BeTrue())
+			Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.quiesced })).To(BeTrue())
 			leaving.frozen = true
 			c.run(20 * time.Millisecond)
 			wiped := others(leaving)[c.random.IntN(2)]
 			wiped.wipe()
 			wiped.start(nil)
-			c.run(quietPatience + 100*time.Millisecond)
+			c.run(quiesceTimeout + 100*time.Millisecond)
 			leaving.frozen = false
 			leaving.wake()
 			c.run(100 * time.Millisecond)
@@ -244,8 +244,8 @@
 		three(5)
 		leaving := c.machines[0]
 		leaving.leave(patience)
-		Expect(c.until(time.Second, func() bool { return leaving.engine.departure.quiet })).To(BeTrue())
-		attempt := leaving.engine.departure.attempt
+		Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.quiesced })).To(BeTrue())
+		attempt := leaving.engine.decommission.attempt
 		leaving.kill()
 		leaving.start(nil)
 		c.work(time.Second)
@@ -256,11 +256,11 @@
 		c.run(100 * time.Millisecond)
 		for id := range GroupID(controlGroups) {
 			for late := attempt - 2; late <= attempt+2; late++ {
-				leaving.engine.takeRelease(&Release{Group: id, Attempt: late, Term: leaving.engine.Status(id).Term})
+				leaving.engine.handleApproval(&DecommissionApproval{Group: id, Attempt: late, Term: leaving.engine.Status(id).Term})
 			}
 		}
-		Expect(leaving.engine.departure.begun).To(BeTrue())
-		Expect(leaving.engine.departure.released).To(BeEmpty())
+		Expect(leaving.engine.decommission.started).To(BeTrue())
+		Expect(leaving.engine.decommission.approved).To(BeEmpty())
 	})
 
 	DescribeTable("does not count on one that is gone, whatever of that comes in late",
@@ -280,7 +280,7 @@
 				stop()
 				end(first)
 				Expect(c.until(time.Second, func() bool { return !first.up })).To(BeTrue())
-				c.run(reluctance + 100*time.Millisecond)
+				c.run(avoidanceLifetime + 100*time.Millisecond)
 				next := second.leave(patience)
 				for range 100 {
 					c.deliver(record()[c.random.IntN(len(record()))])
@@ -315,17 +315,17 @@
 		}
 		departure := leaving.leave(patience)
 		c.run(100 * time.Millisecond)
-		attempt := e.departure.attempt
+		attempt := e.decommission.attempt
 		term := func(id GroupID) uint64 { return e.Status(id).Term }
 		for id := range GroupID(controlGroups) {
-			e.takeRelease(&Release{Group: id, Attempt: attempt - 1, Term: term(id)})
-			e.takeRelease(&Release{Group: id, Attempt: attempt, Term: term(id) - 1})
+			e.handleApproval(&DecommissionApproval{Group: id, Attempt: attempt - 1, Term: term(id)})
+			e.handleApproval(&DecommissionApproval{Group: id, Attempt: attempt, Term: term(id) - 1})
 		}
-		Expect(e.departure.released).To(BeEmpty())
-		e.takeRelease(&Release{Group: 99, Attempt: attempt, Term: 99})
-		Expect(e.departure.released).To(BeEmpty())
-		e.takeRelease(&Release{Group: 1, Attempt: attempt, Term: term(1)})
-		Expect(e.departure.released).To(HaveLen(1))
+		Expect(e.decommission.approved).To(BeEmpty())
+		e.handleApproval(&DecommissionApproval{Group: 99, Attempt: attempt, Term: 99})
+		Expect(e.decommission.approved).To(BeEmpty())
+		e.handleApproval(&DecommissionApproval{Group: 1, Attempt: attempt, Term: term(1)})
+		Expect(e.decommission.approved).To(HaveLen(1))
 		Expect(departure.gone()).To(BeFalse())
 	})
 })
--- a/internal/cluster/replica/digest.go
+++ b/internal/cluster/replica/digest.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// digestPatience is how long an entry is waited for at which a digest is wanted.
-	digestPatience = time.Second
-	// maxDigests bounds how many digests of a group are waited for at once.
+	// digestTimeout is how long DigestAt waits for its entry.
+	digestTimeout = time.Second
+	// maxDigests bounds the pending calls of DigestAt for one group.
 	maxDigests = 16
 )
 
-// Digester is a StateMachine that tells in short what it holds: equal states give equal digests, in every process.
+// Digester is a StateMachine with a digest of its state: equal states have equal digests, in every process.
 type Digester interface {
 	Digest() uint64
 }
 
-// digestRequest waits until an entry is applied.
+// digestRequest is a pending call of DigestAt.
 type digestRequest struct {
 	index    uint64
 	deadline time.Duration
 	done     func(digest uint64, err error)
 }
 
-// Digest tells a group's applied index and the digest of its state there; false if the group or its machine has none. It
-// is called on the loop, and takes as long as a snapshot does.
+// Digest returns a group's applied index and the digest of its state there, or false if the engine does not have the
+// group or its machine is no Digester. It must be called on the loop, and may take as long as a snapshot.
 func (e *Engine) Digest(id GroupID) (index, digest uint64, ok bool) {
 	g := e.byID[id]
 	if g == nil {
@@ -39,9 +39,9 @@
 	return g.appliedIndex, digester.Digest(), true
 }
 
-// DigestAt tells the digest of a group's state as of one index, so that members can be compared while entries come. done
-// is called on the loop exactly once: with failure.Conflict where the state is beyond that index, and with
-// failure.Unavailable where it does not get there in about a second.
+// DigestAt computes the digest of a group's state as of one index, so that members can be compared while entries are
+// being applied. done is called on the loop exactly once: with failure.Conflict if the state is beyond that index
+// already, with failure.Unavailable if it does not get there within digestTimeout or the machine is no Digester.
 func (e *Engine) DigestAt(id GroupID, index uint64, done func(digest uint64, err error)) {
 	g := e.byID[id]
 	if g == nil {
@@ -49,18 +49,18 @@
 		return
 	}
 	if len(g.digests) >= maxDigests {
-		done(0, failure.New(failure.Overloaded, "too many digests are waited for"))
+		done(0, failure.New(failure.Overloaded, "too many digests are pending"))
 		return
 	}
-	g.digests = append(g.digests, digestRequest{index: index, deadline: e.now + digestPatience, done: done})
-	g.settleDigests()
+	g.digests = append(g.digests, digestRequest{index: index, deadline: e.now + digestTimeout, done: done})
+	g.resolveDigests()
 }
 
-// settleDigests answers the requests for a digest at the index that is applied now, and those that come to nothing.
-func (g *group) settleDigests() {
-	waiting := g.digests
+// resolveDigests calls back the requests for a digest at the index that is applied now, and those that failed.
+func (g *group) resolveDigests() {
+	pending := g.digests
 	g.digests = nil
-	for _, request := range waiting {
+	for _, request := range pending {
 		switch {
 		case g.appliedIndex > request.index:
 			request.done(0, failure.Newf(failure.Conflict, "entry %d is applied already", g.appliedIndex))
@@ -79,11 +79,11 @@
 	}
 }
 
-// failDigests answers all that wait when the engine ends.
+// failDigests fails all pending requests when the engine ends.
 func (g *group) failDigests() {
-	waiting := g.digests
+	pending := g.digests
 	g.digests = nil
-	for _, request := range waiting {
+	for _, request := range pending {
 		request.done(0, failure.New(failure.Unavailable, "the process ends"))
 	}
 }
--- a/internal/cluster/replica/disk_test.go
+++ b/internal/cluster/replica/disk_test.go
@@ -66,7 +66,7 @@
 
 			end(sick)
 			c.run(5 * time.Second)
-			Expect(sick.engine.writer.health.sick).To(BeFalse())
+			Expect(sick.engine.writer.health.unhealthy).To(BeFalse())
 			for _, m := range c.machines {
 				if m != sick {
 					m.isolated = true
--- a/internal/cluster/replica/driver_test.go
+++ b/internal/cluster/replica/driver_test.go
@@ -44,7 +44,7 @@
 	return d
 }
 
-// turn takes a turn, and lets the time pass that it asks for.
+// step takes a turn, and lets the time pass that it asks for.
 func (d *driven) turn() {
 	GinkgoHelper()
 	pause, err := d.driver.Step()
@@ -53,7 +53,7 @@
 	d.clock.Advance(pause)
 }
 
-// perform does what waits for the disk.
+// execute does what waits for the disk.
 func (d *driven) perform(kind DiskWork) int {
 	works := d.works[kind]
 	d.works[kind] = nil
--- a/internal/cluster/replica/exposure_test.go
+++ b/internal/cluster/replica/exposure_test.go
@@ -67,7 +67,7 @@
 	summed time.Duration
 }
 
-// look tells how things are from now on.
+// observe tells how things are from now on.
 func (s *stopwatch) look(now time.Duration, holds bool) {
 	if s.held {
 		s.summed += now - s.at
--- a/internal/cluster/replica/group.go
+++ b/internal/cluster/replica/group.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxAppendBytes     = 256 << 10 // about how much one append carries
-	maxInflight        = 16        // appends to one member that may be unanswered
-	snapshotPieceBytes = 256 << 10 // how much of a snapshot one message carries
+	maxAppendBytes     = 256 << 10 // of entries in one append, approximately
+	maxInflight        = 16        // unanswered appends to one member
+	snapshotChunkBytes = 256 << 10 // of a snapshot in one message, at most
 )
 
 // group is this process's member of one group.
@@ -20,28 +20,28 @@
 	engine   *Engine
 	id       GroupID
 	machine  StateMachine
-	observer LeadershipObserver // nil: the machine does not want to know
+	observer LeadershipObserver // nil: the machine is none
 	node     *consensus.Node
 
 	appliedIndex uint64
 	appliedTerm  uint64
-	leadingTerm  uint64 // the term in which the machine was told that it leads; 0: it does not
+	leadingTerm  uint64 // the term in which the machine leads and was notified of it; 0: it does not lead
 	hardState    consensus.HardState
 
-	proposals []proposal // in the order of their indexes, all of one term
-	confirms  []confirmation
-	digests   []digestRequest
+	proposals     []proposal // by rising index, all of one term
+	confirmations []confirmation
+	digests       []digestRequest
 
-	newestIndex uint64 // of the newest entry that was handed to the disk
-	newestTerm  uint64
-	dirtyWork   uint64 // number of the newest work for the disk with anything of this group
-	hardWork    uint64 // the same, with a hard state
+	submittedIndex     uint64 // of the newest entry that was submitted to the disk
+	submittedTerm      uint64
+	lastWrite          uint64 // number of the newest disk write with anything of this group
+	lastHardStateWrite uint64 // number of the newest disk write with a hard state of this group
 
-	snapshots    snapshotState
-	joiners      map[consensus.MemberID]joiner
-	catchUps     map[consensus.MemberID]*catchUp // of the members, while this process leads
-	leaderSeenAt time.Duration                   // when there was last a leader
-	handedOverAt time.Duration                   // when leadership was last offered to another
+	snapshots      snapshotState
+	joiners        map[consensus.MemberID]joiner
+	catchUps       map[consensus.MemberID]*catchUp // of the members, while this process leads
+	leaderSeenAt   time.Duration                   // when a leader was last known
+	lastTransferAt time.Duration                   // when a leadership transfer was last started; 0: never
 }
 
 func newGroup(e *Engine, id GroupID, machine StateMachine, restored consensus.Restored) *group {
@@ -55,24 +55,24 @@
 		ElectionTimeout:    e.options.ElectionTimeout,
 		MaxAppendBytes:     maxAppendBytes,
 		MaxInflight:        maxInflight,
-		SnapshotChunkBytes: snapshotPieceBytes,
+		SnapshotChunkBytes: snapshotChunkBytes,
 	}, restored, e.now)
 	if restored.Snapshot != nil {
 		g.appliedIndex, g.appliedTerm = restored.Snapshot.Index, restored.Snapshot.Term
 	}
-	g.newestIndex, g.newestTerm = g.appliedIndex, g.appliedTerm
+	g.submittedIndex, g.submittedTerm = g.appliedIndex, g.appliedTerm
 	if count := len(restored.Entries); count > 0 {
-		g.newestIndex, g.newestTerm = restored.Entries[count-1].Index, restored.Entries[count-1].Term
+		g.submittedIndex, g.submittedTerm = restored.Entries[count-1].Index, restored.Entries[count-1].Term
 	}
-	g.snapshots.begin(g.appliedIndex, restored.Entries)
+	g.snapshots.reset(g.appliedIndex, restored.Entries)
 	g.joiners = map[consensus.MemberID]joiner{}
 	g.catchUps = map[consensus.MemberID]*catchUp{}
-	e.peers.learn(g.node.Status().Members, e.now)
+	e.peers.learnAddresses(g.node.Status().Members, e.now)
 	return g
 }
 
-// carryOut does what the node wants, in the order that consensus.Output asks for.
-func (g *group) carryOut(output consensus.Output) {
+// applyOutput carries out a node's output, in the order that consensus.Output requires.
+func (g *group) applyOutput(output consensus.Output) {
 	if output.Snapshot != nil {
 		g.install(output.Snapshot)
 	}
@@ -81,10 +81,10 @@
 		g.hardState = *output.HardState
 	}
 	if output.Snapshot != nil || hasMembership(output.Entries) {
-		g.engine.peers.learn(g.node.Status().Members, g.engine.now)
+		g.engine.peers.learnAddresses(g.node.Status().Members, g.engine.now)
 	}
 	for i := range output.Immediate {
-		g.engine.outbox.message(&output.Immediate[i])
+		g.engine.outbox.addMessage(&output.Immediate[i])
 	}
 	for i := range output.Committed {
 		g.apply(&output.Committed[i])
@@ -100,36 +100,37 @@
 	return false
 }
 
-// install puts a leader's snapshot in place of the machine's state.
+// install replaces the machine's state by a leader's snapshot.
 func (g *group) install(snapshot *consensus.Snapshot) {
 	if err := g.machine.Restore(snapshot.Data); err != nil {
 		g.engine.failed = errors.Wrapf(err, "restore group %d at %d", g.id, snapshot.Index)
 		return
 	}
 	g.appliedIndex, g.appliedTerm = snapshot.Index, snapshot.Term
-	g.snapshots.begin(snapshot.Index, nil)
-	g.settleDigests()
+	g.snapshots.reset(snapshot.Index, nil)
+	g.resolveDigests()
 	_ = level.Info(g.engine.options.Logger).Log("msg", "snapshot installed", "group", g.id, "index", snapshot.Index,
 		"bytes", len(snapshot.Data))
 }
 
-// apply hands a committed entry to the machine, and its result to the proposer if that is here.
+// apply applies a committed entry to the machine, and passes the result to the proposer if that is in this process.
 func (g *group) apply(entry *consensus.Entry) {
 	g.appliedIndex, g.appliedTerm = entry.Index, entry.Term
 	if entry.Kind == consensus.EntryMembership {
-		g.engine.manage = g.engine.now // the next change need not wait
+		g.engine.maintainAt = g.engine.now // the next membership change may be due
 	}
 	if entry.Kind == consensus.EntryCommand {
 		result := g.machine.Apply(entry.Index, entry.Term, entry.Data)
-		g.settleProposal(entry, result)
+		g.resolveProposal(entry, result)
 	}
 	if len(g.digests) > 0 {
-		g.settleDigests()
+		g.resolveDigests()
 	}
 }
 
-// watchLeadership tells the machine, and whoever waits, what became of the leadership. It tells whether anything did.
-func (g *group) watchLeadership() bool {
+// updateLeadership notifies the machine, and fails pending calls, when this member became the leader or lost
+// leadership. It reports whether either happened.
+func (g *group) updateLeadership() bool {
 	status := g.node.Status()
 	if status.Leader != consensus.None {
 		g.leaderSeenAt = g.engine.now
@@ -159,20 +160,20 @@
 func (g *group) stopLeading() {
 	term := g.leadingTerm
 	g.leadingTerm = 0
-	_ = level.Info(g.engine.options.Logger).Log("msg", "leading no more", "group", g.id, "term", term)
+	_ = level.Info(g.engine.options.Logger).Log("msg", "no longer leading", "group", g.id, "term", term)
 	g.failProposals()
-	g.failConfirms()
+	g.failConfirmations()
 	if g.observer != nil {
 		g.observer.Following()
 	}
 }
 
-// abandon answers all that waits when the engine ends.
-func (g *group) abandon() {
+// failPending fails all pending calls of the group when the engine ends.
+func (g *group) failPending() {
 	g.failDigests()
 	if g.leadingTerm != 0 {
 		g.stopLeading()
 	}
 	g.failProposals()
-	g.failConfirms()
+	g.failConfirmations()
 }
--- a/internal/cluster/replica/joins.go
+++ b/internal/cluster/replica/joins.go
@@ -1,38 +1,43 @@
 package replica
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
-	"github.com/go-kit/log/level"
-
 	"ospreypond/internal/cluster/consensus"
 )
 
 const (
-	joinInterval       = 250 * time.Millisecond // between two wishes of a process that is no member
-	correctionInterval = time.Second            // between two wishes of a member
-	joinerLifetime     = 2 * time.Second        // for how long a wish counts
-	lonelyPatience     = 3 * time.Second        // without a leader, after which a member asks whether it still is one
-	maxJoinTargets     = 8                      // processes that are asked at once
+	// joinInterval is the time between two requests of a process that is no member, correctionInterval of a member.
+	joinInterval       = 250 * time.Millisecond
+	correctionInterval = time.Second
+	// joinRequestLifetime is for how long a request counts.
+	joinRequestLifetime = 2 * time.Second
+	// rejoinTimeout is after how long without a leader a member requests to join again: it may have been dropped.
+	rejoinTimeout = 3 * time.Second
+	// maxJoinTargets is to how many processes a request is sent at once.
+	maxJoinTargets = 8
 )
 
-// joiner is a process that asks to be a member.
+// joiner is a process that requests to join, or to have its node, zone or address corrected.
 type joiner struct {
-	member consensus.Member
-	at     time.Duration
+	member     consensus.Member
+	receivedAt time.Duration
 }
 
-// askToJoin asks for all groups that this process is no member of, or that know something wrong of it.
-func (e *Engine) askToJoin() {
-	if e.now < e.joins || e.shifts.resigning {
+// SetPeers replaces the internal addresses to which requests to join are sent, besides those of the known members.
+func (e *Engine) SetPeers(addresses []string) { e.options.Peers = addresses }
+
+// requestJoins requests to join each group that this process is no member of, or that has an outdated node, zone or
+// address for it.
+func (e *Engine) requestJoins() {
+	if e.now < e.joinAt || e.transfers.resigning {
 		return
 	}
 	interval := never
 	var joins []Join
 	for _, g := range e.groups {
-		if wish := g.wishInterval(); wish != never {
+		if wish := g.joinRequestInterval(); wish != never {
 			interval = min(interval, wish)
 			joins = append(joins, Join{Group: g.id, Member: e.self})
 		}
@@ -40,16 +45,16 @@
 	if len(joins) == 0 {
 		return
 	}
-	e.joins = e.now + interval
+	e.joinAt = e.now + interval
 	for _, address := range e.joinTargets() {
 		for _, join := range joins {
-			e.outbox.join(address, join)
+			e.outbox.addJoin(address, join)
 		}
 	}
 }
 
-// wishInterval is how often this process asks for the group; never if it has nothing to ask for.
-func (g *group) wishInterval() time.Duration {
+// joinRequestInterval returns how often this process requests to join the group; never if there is nothing to request.
+func (g *group) joinRequestInterval() time.Duration {
 	status := g.node.Status()
 	me := slices.IndexFunc(status.Members, func(m consensus.Member) bool { return m.ID == g.engine.self.ID })
 	switch {
@@ -57,7 +62,7 @@
 		return joinInterval
 	case !sameMachine(status.Members[me], g.engine.self) && !status.IsLeader:
 		return correctionInterval
-	case g.engine.now-g.leaderSeenAt >= lonelyPatience:
+	case g.engine.now-g.leaderSeenAt >= rejoinTimeout:
 		return correctionInterval
 	default:
 		return never
@@ -68,7 +73,8 @@
 	return a.Node == b.Node && a.Zone == b.Zone && a.Address == b.Address
 }
 
-// joinTargets are the processes to ask: those named by the options, and those that were heard last.
+// joinTargets returns the addresses to which requests to join are sent: those of the options and of all known peers.
+// If there are too many, they take turns.
 func (e *Engine) joinTargets() []string {
 	targets := slices.Concat(e.options.Peers, e.options.Bootstrap)
 	for id := range e.peers.known {
@@ -87,87 +93,21 @@
 	return rotated[:maxJoinTargets]
 }
 
-// takeJoin takes another process's wish, or passes it on to the leader.
-func (e *Engine) takeJoin(join *Join) {
+// handleJoin records a process that requests to join, or forwards the request to the leader.
+func (e *Engine) handleJoin(join *Join) {
 	g := e.byID[join.Group]
 	if g == nil || join.Member.ID == consensus.None || join.Member.ID == e.self.ID {
 		return
 	}
 	if g.leadingTerm != 0 {
-		e.peers.learn([]consensus.Member{join.Member}, e.now)
-		g.joiners[join.Member.ID] = joiner{member: join.Member, at: e.now}
-		e.manage = e.now
+		e.peers.learnAddresses([]consensus.Member{join.Member}, e.now)
+		g.joiners[join.Member.ID] = joiner{member: join.Member, receivedAt: e.now}
+		e.maintainAt = e.now
 		return
 	}
 	leader := e.LeaderAddress(join.Group)
 	if join.Forwarded || leader == "" || leader == e.self.Address || leader == join.Member.Address {
 		return
 	}
-	e.outbox.join(leader, Join{Group: join.Group, Member: join.Member, Forwarded: true})
-}
-
-// reviewMembership makes the next change of the membership, if one is due.
-func (g *group) reviewMembership() {
-	status := g.node.Status()
-	if g.leadingTerm == 0 {
-		return
-	}
-	g.followMembers(status.Members)
-	if status.ChangePending || status.Transferee != consensus.None || g.engine.shifts.resigning {
-		return
-	}
-	plan := planMembership(g.membershipView(status.Members))
-	if plan.members == nil {
-		return
-	}
-	if err := g.node.ProposeMembers(g.engine.now, plan.members); err != nil {
-		return // the next look finds this change again
-	}
-	_ = level.Info(g.engine.options.Logger).Log("msg", "membership changes", "group", g.id, "change", plan.reason)
-}
-
-// membershipView is what the plan is made from.
-func (g *group) membershipView(members []consensus.Member) membershipView {
-	view := membershipView{self: g.engine.self}
-	for _, member := range members {
-		view.members = append(view.members, g.memberView(member))
-	}
-	now := g.engine.now
-	for id, j := range g.joiners {
-		granted := slices.ContainsFunc(members, func(m consensus.Member) bool { return m.ID == id && sameMachine(m, j.member) })
-		if granted || now-j.at > joinerLifetime {
-			delete(g.joiners, id) // a wish that was granted must not bring a member back that is dropped later
-			continue
-		}
-		view.joiners = append(view.joiners, j.member)
-	}
-	slices.SortFunc(view.joiners, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
-	return view
-}
-
-// memberView is what this leader knows of one member.
-func (g *group) memberView(member consensus.Member) memberView {
-	now := g.engine.now
-	_, answeredAt, _ := g.node.Lag(member.ID)
-	known := g.engine.peers.get(member.ID)
-	reachedAt := g.node.ReachedAt(member.ID)
-	if member.ID == g.engine.self.ID {
-		reachedAt = now // nobody else is where this process is
-	}
-	unreached := unknownAge
-	if reachedAt > 0 {
-		unreached = now - reachedAt
-	}
-	return memberView{
-		Member:    member,
-		age:       g.ageOf(member.ID),
-		silent:    now - answeredAt,
-		unheard:   g.engine.peers.unheard(member.ID, now),
-		leaving:   !g.engine.peers.willing(member.ID, now),
-		location:  cmp.Or(g.engine.peers.address(member.ID), member.Address),
-		movedAt:   known.movedAt,
-		heardAt:   known.heardAt,
-		reachedAt: reachedAt,
-		unreached: unreached,
-	}
+	e.outbox.addJoin(leader, Join{Group: join.Group, Member: join.Member, Forwarded: true})
 }
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -116,18 +116,18 @@
 		}
 	}
 	engine, err := Open(Options{
-		FileSystem: m.files,
-		Dir:        "data",
-		Groups:     machines,
-		Self:       consensus.Member{Node: m.name, Zone: "zone", Address: m.address},
-		Bootstrap:  bootstrap,
-		Peers:      m.cluster.seeds,
-		DiskBytes:  m.cluster.disk,
-		Sender:     m,
-		Clock:      m.cluster.clock,
-		Logger:     log.With(m.cluster.logger, "at", log.Valuer(func() any { return m.cluster.now() }), "node", m.name),
-		Seed:       m.cluster.random.Uint64(),
-		draw:       func() (consensus.MemberID, error) { return consensus.MemberID(m.cluster.random.Uint64()), nil },
+		FileSystem:  m.files,
+		Dir:         "data",
+		Groups:      machines,
+		Self:        consensus.Member{Node: m.name, Zone: "zone", Address: m.address},
+		Bootstrap:   bootstrap,
+		Peers:       m.cluster.seeds,
+		DiskBytes:   m.cluster.disk,
+		Sender:      m,
+		Clock:       m.cluster.clock,
+		Logger:      log.With(m.cluster.logger, "at", log.Valuer(func() any { return m.cluster.now() }), "node", m.name),
+		Seed:        m.cluster.random.Uint64(),
+		newMemberID: func() (consensus.MemberID, error) { return consensus.MemberID(m.cluster.random.Uint64()), nil },
 
 		HeartbeatInterval: m.cluster.heartbeat,
 		ElectionTimeout:   m.cluster.election,
@@ -139,30 +139,30 @@
 	m.life++
 	m.up, m.frozen = true, false
 	m.wakeAt = m.cluster.now()
-	engine.writer.perform = m.perform
+	engine.writer.execute = m.perform
 	engine.background = m.background
 	return nil
 }
 
-// perform is the disk: the work is done when its time has passed, unless the machine is gone by then.
-func (m *machine) perform(w *work) {
+// execute is the disk: the work is done when its time has passed, unless the machine is gone by then.
+func (m *machine) perform(w *diskWrite) {
 	engine, life := m.engine, m.life
 	m.cluster.at(m.diskDelay, func() {
 		if !m.up || m.life != life {
 			return
 		}
-		figures, err := engine.writer.write(w)
+		usage, err := engine.writer.write(w)
 		if err == nil {
 			m.noteDurable(w)
 		}
 		m.wake()
-		engine.Do(func() { engine.writer.finish(w, figures, err) })
+		engine.Do(func() { engine.writer.finish(w, usage, err) })
 	})
 }
 
 // noteDurable keeps how far the logs on the disk reach.
-func (m *machine) noteDurable(w *work) {
-	for _, t := range w.touched {
+func (m *machine) noteDurable(w *diskWrite) {
+	for _, t := range w.groups {
 		m.durable[t.group.id] = logEnd{index: t.index, term: t.term}
 	}
 	m.cluster.writes++
@@ -213,7 +213,7 @@
 
 func (e *Engine) abandonAll() {
 	for _, g := range e.groups {
-		g.proposals, g.confirms = nil, nil
+		g.proposals, g.confirmations = nil, nil
 	}
 }
 
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -6,52 +6,62 @@
 	"slices"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"ospreypond/internal/cluster/consensus"
 )
 
 const (
-	caughtUpAge        = 2 * slowWrite           // a learner has caught up that holds all that was committed this long ago
-	aliveSilence       = 700 * time.Millisecond  // a member silent for less is alive
-	succeededSilence   = time.Second             // a member unheard for this whose machine's name is another's counts as gone
-	succeededTerm      = 300 * time.Millisecond  // the same, counted from the start of the leader's term
-	replaceableSilence = 3 * time.Second         // a voter silent for this gives its place to a learner
-	surplusSilence     = 1500 * time.Millisecond // a voter silent for this is dropped if an even number vote
-	learnerSilence     = 30 * time.Second        // a learner silent for this is dropped
-	voterSilence       = time.Minute             // a voter silent for this is dropped if enough others remain
-	enoughVoters       = 3                       // no voter is dropped without replacement if fewer would remain
-	unknownAge         = time.Duration(math.MaxInt64)
+	// maxCaughtUpAge limits the replicationAge of a learner that has caught up.
+	maxCaughtUpAge = 2 * slowWriteTime
+	// A member is alive if both its last answer and the last contact with it are more recent than aliveTimeout.
+	aliveTimeout = 700 * time.Millisecond
+	// A member counts as gone if another identity has its machine's name, and the last contact with it is
+	// supersededTimeout ago and its last answer, or the start of the leader's term, supersededAnswerTimeout.
+	supersededTimeout       = time.Second
+	supersededAnswerTimeout = 300 * time.Millisecond
+	// replaceVoterTimeout is for how long a voter must be unresponsive before a learner replaces it.
+	replaceVoterTimeout = 3 * time.Second
+	// surplusVoterTimeout is for how long a voter must be unresponsive before it is dropped from an even number of voters.
+	surplusVoterTimeout = 1500 * time.Millisecond
+	// learnerTimeout is how long after its last answer a learner is dropped.
+	learnerTimeout = 30 * time.Second
+	// voterTimeout is how long after its last answer a voter is dropped if enough others remain.
+	voterTimeout = time.Minute
+	// minVoters is the number of voters up to which none is dropped without replacement.
+	minVoters = 3
+	// unknownDuration stands for a time since something that never happened.
+	unknownDuration = time.Duration(math.MaxInt64)
 )
 
-// membershipView is what a leader knows when it looks at the membership.
-type membershipView struct {
-	self    consensus.Member
-	members []memberView
-	joiners []consensus.Member
-}
-
-// memberView is what a leader knows of one member. Times are its own.
-type memberView struct {
-	consensus.Member
-	age     time.Duration // since the newest moment of which it is known to hold on disk all that was committed
-	silent  time.Duration // since its newest answer in this term, or since the term's start
-	unheard time.Duration // since anything came from it, in whatever group
-	leaving bool          // it has just said that it does not want to lead: it ends soon, or its disk is sick
-
-	location  string        // where it was last heard to be
-	movedAt   time.Duration // when that became known
-	heardAt   time.Duration // when anything last came from it, in whatever group
-	reachedAt time.Duration // when the newest message left that it has answered in this term; 0: none
-	unreached time.Duration // since then; unlike silent it is not shortened by answers that come late or twice
-}
-
-// membershipPlan is the next membership; with nil members nothing is to be changed.
+// membershipPlan is the next membership. With nil members there is nothing to change.
 type membershipPlan struct {
 	members []consensus.Member
 	reason  string
 }
 
-// planMembership decides on the next change. Consensus carries out each as a whole: a change of more than one voter needs
-// majorities of the voters before it and of those after it.
+// reviewMembership proposes the next change of the membership, if one is due.
+func (g *group) reviewMembership() {
+	status := g.node.Status()
+	if g.leadingTerm == 0 {
+		return
+	}
+	g.updateCatchUps(status.Members)
+	if status.ChangePending || status.Transferee != consensus.None || g.engine.transfers.resigning {
+		return
+	}
+	plan := planMembership(g.membershipView(status.Members))
+	if plan.members == nil {
+		return
+	}
+	if err := g.node.ProposeMembers(g.engine.now, plan.members); err != nil {
+		return // the next review finds this change again
+	}
+	_ = level.Info(g.engine.options.Logger).Log("msg", "membership change proposed", "group", g.id, "change", plan.reason)
+}
+
+// planMembership decides on the next change. Consensus carries out each one atomically: a change of more than one
+// voter is joint (Raft, section 6) and needs majorities of the voters before it and of those after it.
 func planMembership(view membershipView) membershipPlan {
 	steps := []func(membershipView) (membershipPlan, bool){
 		correctMember,
@@ -70,7 +80,7 @@
 	return membershipPlan{}
 }
 
-// correctMember takes over what a member says of its machine.
+// correctMember adopts a member's own statement of its node, zone and address.
 func correctMember(view membershipView) (membershipPlan, bool) {
 	for _, claim := range append(slices.Clone(view.joiners), view.self) {
 		for _, member := range view.members {
@@ -86,10 +96,10 @@
 	return membershipPlan{}, false
 }
 
-// replaceVoter gives the place of a lost voter to a learner that has caught up, in one change.
+// replaceVoter replaces a lost voter by a learner that has caught up, in one change.
 func replaceVoter(view membershipView) (membershipPlan, bool) {
 	for _, learner := range view.promotable() {
-		lost, found := view.lostVoter(learner)
+		lost, found := view.replaceableVoter(learner)
 		if !found || !view.alive(view.voters()) {
 			continue // else as many live afterwards, for the learner is alive
 		}
@@ -101,12 +111,12 @@
 	return membershipPlan{}, false
 }
 
-// promoteLearner lets a learner vote that has caught up. While it is not sure that the voter whose machine it has is lost,
-// it waits.
+// promoteLearner makes a learner that has caught up a voter. It waits as long as a voter that seems to have the same
+// machine is not known to be lost: replaceVoter may come to replace that one.
 func promoteLearner(view membershipView) (membershipPlan, bool) {
 	for _, learner := range view.promotable() {
 		waits := slices.ContainsFunc(view.voters(), func(voter memberView) bool { return voter.sameMachineAs(learner) })
-		if waits || view.alive(view.voters()) && !view.staysAlive(consensus.None, learner.ID) {
+		if waits || view.alive(view.voters()) && !view.remainsAlive(consensus.None, learner.ID) {
 			continue
 		}
 		plan := view.with(voting(learner))
@@ -119,7 +129,7 @@
 // dropLearner drops a learner that is gone for good.
 func dropLearner(view membershipView) (membershipPlan, bool) {
 	for _, member := range view.members {
-		if member.Learner && (view.succeeded(member) || member.silent >= learnerSilence) {
+		if member.Learner && (view.superseded(member) || member.sinceAnswer >= learnerTimeout) {
 			plan := view.without(member.ID)
 			plan.reason = fmt.Sprintf("learner %x is gone", uint64(member.ID))
 			return plan, true
@@ -128,7 +138,7 @@
 	return membershipPlan{}, false
 }
 
-// addLearner takes a process in.
+// addLearner adds a process that requested to join.
 func addLearner(view membershipView) (membershipPlan, bool) {
 	for _, claim := range view.joiners {
 		if view.has(claim.ID) {
@@ -142,16 +152,16 @@
 	return membershipPlan{}, false
 }
 
-// dropVoter drops a voter that is gone for good, if enough remain: its machine votes as another, or it has long been
-// silent.
+// dropVoter drops a voter that is gone for good, if enough remain: another identity has its machine, or it has not
+// answered for long.
 func dropVoter(view membershipView) (membershipPlan, bool) {
 	voters := view.voters()
-	if len(voters) <= enoughVoters {
+	if len(voters) <= minVoters {
 		return membershipPlan{}, false
 	}
 	for _, member := range voters {
-		gone := view.succeeded(member) || member.silent >= voterSilence
-		if gone && member.ID != view.self.ID && view.staysAlive(member.ID, consensus.None) {
+		gone := view.superseded(member) || member.sinceAnswer >= voterTimeout
+		if gone && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
 			plan := view.without(member.ID)
 			plan.reason = fmt.Sprintf("voter %x is gone", uint64(member.ID))
 			return plan, true
@@ -160,16 +170,16 @@
 	return membershipPlan{}, false
 }
 
-// dropSurplusVoter drops a voter that is away or leaves while an even number vote, as after its successor came: the
-// others need as many voices without it as with it, less one. Should it come back, it joins again.
+// dropSurplusVoter drops a voter that is unresponsive or avoids leadership while the number of voters is even, as
+// after its successor was added: without it, the quorum is one vote smaller. If it comes back, it joins again.
 func dropSurplusVoter(view membershipView) (membershipPlan, bool) {
 	voters := view.voters()
-	if len(voters) <= enoughVoters || len(voters)%2 != 0 {
+	if len(voters) <= minVoters || len(voters)%2 != 0 {
 		return membershipPlan{}, false
 	}
 	for _, member := range voters {
-		goes := member.leaving || member.away() >= surplusSilence
-		if goes && member.ID != view.self.ID && view.staysAlive(member.ID, consensus.None) {
+		goes := member.avoidsLeadership || member.unresponsiveFor() >= surplusVoterTimeout
+		if goes && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
 			plan := view.without(member.ID)
 			plan.reason = fmt.Sprintf("voter %x is one too many", uint64(member.ID))
 			return plan, true
@@ -178,150 +188,9 @@
 	return membershipPlan{}, false
 }
 
-// promotable are the learners that may vote.
-func (v *membershipView) promotable() []memberView {
-	var learners []memberView
-	for _, member := range v.members {
-		if member.Learner && member.caughtUp() && !member.leaving && !v.succeeded(member) {
-			learners = append(learners, member)
-		}
-	}
-	return learners
-}
-
-// lostVoter is the voter whose place a learner takes: the one its machine was before, else one that leaves, else the one
-// silent for longest.
-func (v *membershipView) lostVoter(learner memberView) (consensus.MemberID, bool) {
-	lost, silent := consensus.None, replaceableSilence
-	leaves := false
-	for _, member := range v.voters() {
-		switch {
-		case member.ID == v.self.ID:
-		case member.succeededBy(learner):
-			return member.ID, true
-		case member.leaving && member.alive():
-			lost, leaves = member.ID, true
-		case !leaves && member.away() >= silent:
-			lost, silent = member.ID, member.away()
-		}
-	}
-	return lost, lost != consensus.None
-}
-
-// succeeded tells whether a member is gone because another has its machine.
-func (v *membershipView) succeeded(member memberView) bool {
-	return slices.ContainsFunc(v.members, member.succeededBy)
-}
-
-// staysAlive tells whether the voters without one and with another have a majority that is alive.
-func (v *membershipView) staysAlive(without, with consensus.MemberID) bool {
-	var voters []memberView
-	for _, member := range v.members {
-		if member.ID != without && (!member.Learner || member.ID == with) {
-			voters = append(voters, member)
-		}
-	}
-	return v.alive(voters)
-}
-
-// alive tells whether a majority of voters is alive.
-func (v *membershipView) alive(voters []memberView) bool {
-	alive := 0
-	for _, member := range voters {
-		if member.ID == v.self.ID || member.alive() {
-			alive++
-		}
-	}
-	return alive > len(voters)/2
-}
-
-func (m *memberView) caughtUp() bool { return m.age <= caughtUpAge && m.alive() }
-
-// reachable tells whether a member has lately answered something that was sent lately.
-func (m *memberView) reachable() bool { return m.unreached < aliveSilence }
-
-func (m *memberView) alive() bool { return max(m.silent, m.unheard) < aliveSilence }
-
-// away is for how long a member has been silent. A new leader that it owes some answers may count what this process heard
-// from it before.
-func (m *memberView) away() time.Duration {
-	if m.silent < aliveSilence {
-		return m.silent
-	}
-	return max(m.silent, m.unheard)
-}
-
-// sameMachineAs tells whether another identity runs where this member ran.
-func (m memberView) sameMachineAs(other memberView) bool {
-	if m.ID == other.ID {
-		return false
-	}
-	return m.location == other.location || m.Node != "" && m.Node == other.Node
-}
-
-// succeededBy tells whether a member is gone because another identity has its machine.
-//
-// At the same address one answer is proof: the other has answered something that this leader sent to the address after
-// the member was last heard, so that at some moment after that the address was the other's. Wishes to join and envelopes
-// of identities that are gone answer nothing that was sent of late, however late they come.
-//
-// The machine's name at another address is none, since both processes may be there: then the member must be silent too.
-// The other must have answered something that was sent lately.
-func (m memberView) succeededBy(other memberView) bool {
-	if !m.sameMachineAs(other) {
-		return false
-	}
-	if m.location == other.location && other.reachedAt > max(m.heardAt, other.movedAt) {
-		return true
-	}
-	return m.Node != "" && m.Node == other.Node && other.alive() && other.reachable() &&
-		m.silent >= succeededTerm && m.unheard >= succeededSilence
-}
-
-func (v *membershipView) voters() []memberView {
-	var voters []memberView
-	for _, member := range v.members {
-		if !member.Learner {
-			voters = append(voters, member)
-		}
-	}
-	return voters
-}
-
-// voting is a learner as a voter.
+// voting returns a learner as a voter.
 func voting(learner memberView) consensus.Member {
 	voter := learner.Member
 	voter.Learner = false
 	return voter
 }
-
-func (v *membershipView) has(id consensus.MemberID) bool {
-	return slices.ContainsFunc(v.members, func(m memberView) bool { return m.ID == id })
-}
-
-// with is the membership with a member added or changed.
-func (v *membershipView) with(changed consensus.Member) membershipPlan {
-	plan := membershipPlan{}
-	for _, member := range v.members {
-		if member.ID != changed.ID {
-			plan.members = append(plan.members, member.Member)
-			continue
-		}
-		plan.members = append(plan.members, changed)
-	}
-	if !v.has(changed.ID) {
-		plan.members = append(plan.members, changed)
-	}
-	return plan
-}
-
-// without is the membership without a member.
-func (v *membershipView) without(id consensus.MemberID) membershipPlan {
-	plan := membershipPlan{}
-	for _, member := range v.members {
-		if member.ID != id {
-			plan.members = append(plan.members, member.Member)
-		}
-	}
-	return plan
-}
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -14,7 +14,7 @@
 func living(view membershipView) func(consensus.MemberID) bool {
 	return func(id consensus.MemberID) bool {
 		return slices.ContainsFunc(view.members, func(m memberView) bool {
-			return m.ID == id && (m.ID == view.self.ID || m.alive() && !view.succeeded(m))
+			return m.ID == id && (m.ID == view.self.ID || m.alive() && !view.superseded(m))
 		})
 	}
 }
@@ -60,7 +60,7 @@
 			return "fewer more may be lost than before"
 		}
 	}
-	if len(sortedVoters(plan.members)) < min(len(sortedVoters(before)), enoughVoters) {
+	if len(sortedVoters(plan.members)) < min(len(sortedVoters(before)), minVoters) {
 		return "fewer vote than are wanted"
 	}
 	for _, member := range view.members {
@@ -75,15 +75,15 @@
 func faultOfMember(view membershipView, plan membershipPlan, member memberView) string {
 	votes := slices.Contains(sortedVoters(plan.members), member.ID)
 	switch {
-	case member.Learner && votes && member.age > caughtUpAge:
+	case member.Learner && votes && member.replicationAge > maxCaughtUpAge:
 		return "a learner votes that has not caught up"
-	case member.Learner && votes && (!member.alive() || member.leaving):
+	case member.Learner && votes && (!member.alive() || member.avoidsLeadership):
 		return "a learner votes that is not there or goes"
 	case member.Learner || votes:
 		return ""
 	case member.ID == view.self.ID:
 		return "the leader loses its vote"
-	case member.alive() && !member.leaving && !view.succeeded(member):
+	case member.alive() && !member.avoidsLeadership && !view.superseded(member):
 		return "one loses its vote that is there, stays and was not succeeded"
 	default:
 		return ""
@@ -100,7 +100,7 @@
 	leaving,
 	func(m memberView) memberView { // of a young term
 		m = silentFor(m, 4*time.Second)
-		m.silent = 100 * time.Millisecond
+		m.sinceAnswer = 100 * time.Millisecond
 		return m
 	},
 }
@@ -115,14 +115,14 @@
 }
 
 func silentFor(m memberView, silence time.Duration) memberView {
-	m.silent, m.unheard, m.heardAt = silence, silence, viewTime-silence
+	m.sinceAnswer, m.sinceContact, m.lastContact = silence, silence, viewTime-silence
 	return m
 }
 
 var successorConditions = []func(m memberView) memberView{
 	func(m memberView) memberView { return learning(m, 0) },
-	func(m memberView) memberView { return learning(m, caughtUpAge+1) },
-	func(m memberView) memberView { return learning(m, unknownAge) },
+	func(m memberView) memberView { return learning(m, maxCaughtUpAge+1) },
+	func(m memberView) memberView { return learning(m, unknownDuration) },
 	func(m memberView) memberView { return learning(silentFor(m, 2*time.Second), 0) },
 	func(m memberView) memberView { return learning(silentFor(m, time.Minute), 0) },
 	func(m memberView) memberView { return learning(leaving(m), 0) },
--- a/internal/cluster/replica/membership_test.go
+++ b/internal/cluster/replica/membership_test.go
@@ -13,11 +13,11 @@
 func seen(id consensus.MemberID, node string, silent time.Duration) memberView {
 	address := node + ":1"
 	return memberView{
-		Member:   consensus.Member{ID: id, Node: node, Zone: "z", Address: address},
-		silent:   silent,
-		unheard:  silent,
-		location: address,
-		heardAt:  viewTime - silent,
+		Member:         consensus.Member{ID: id, Node: node, Zone: "z", Address: address},
+		sinceAnswer:    silent,
+		sinceContact:   silent,
+		currentAddress: address,
+		lastContact:    viewTime - silent,
 	}
 }
 
@@ -27,7 +27,7 @@
 // learning is a member that does not vote, and held on disk at that age all that was committed.
 func learning(m memberView, age time.Duration) memberView {
 	m.Learner = true
-	m.age = age
+	m.replicationAge = age
 	return m
 }
 
@@ -39,30 +39,30 @@
 
 // ghost is a member that seems to answer, by answers that come late.
 func ghost(m memberView) memberView {
-	m.unreached = time.Minute
+	m.sinceReached = time.Minute
 	return m
 }
 
-// at is a member that is elsewhere.
+// receivedAt is a member that is elsewhere.
 func at(m memberView, address string) memberView {
-	m.Address, m.location = address, address
+	m.Address, m.currentAddress = address, address
 	return m
 }
 
 // moved is a member that was elsewhere until so long ago.
 func moved(m memberView, ago time.Duration) memberView {
-	m.movedAt = viewTime - ago
+	m.addressSince = viewTime - ago
 	return m
 }
 
 // youngTerm is a member that has owed a new leader answers for a second.
 func youngTerm(m memberView) memberView {
-	m.silent = time.Second
+	m.sinceAnswer = time.Second
 	return m
 }
 
 func leaving(m memberView) memberView {
-	m.leaving = true
+	m.avoidsLeadership = true
 	return m
 }
 
@@ -106,16 +106,16 @@
 		Entry("a learner that has caught up votes",
 			append(three(now), learning(seen(4, "d", now), now)), nil, []int{1, 2, 3, 4}),
 		Entry("one that has not does not",
-			append(three(now), learning(seen(4, "d", now), caughtUpAge+1)), nil, nil),
+			append(three(now), learning(seen(4, "d", now), maxCaughtUpAge+1)), nil, nil),
 		Entry("one that is silent does not",
 			append(three(now), learning(seen(4, "d", soon), 0)), nil, nil),
 		Entry("one that has acknowledged nothing does not",
-			append(three(now), learning(seen(4, "d", now), unknownAge)), nil, nil),
+			append(three(now), learning(seen(4, "d", now), unknownDuration)), nil, nil),
 
 		Entry("no voter of four is dropped for a learner of its machine whose answers come late",
-			append(three(now), seen(5, "d", soon-1), ghost(at(learning(seen(4, "d", now), unknownAge), "elsewhere"))), nil, nil),
+			append(three(now), seen(5, "d", soon-1), ghost(at(learning(seen(4, "d", now), unknownDuration), "elsewhere"))), nil, nil),
 		Entry("one is for a learner of its machine that answers",
-			append(three(now), seen(5, "d", soon-1), at(learning(seen(4, "d", now), unknownAge), "elsewhere")), nil, []int{1, 2, 3, -4}),
+			append(three(now), seen(5, "d", soon-1), at(learning(seen(4, "d", now), unknownDuration), "elsewhere")), nil, []int{1, 2, 3, -4}),
 
 		Entry("a wiped voter gives its place as soon as another answers at its address",
 			append(three(2*now), reached(learning(seen(4, "c", now), 0), now)), nil, []int{1, 2, 4}),
@@ -126,7 +126,7 @@
 		Entry("nor to what was sent while the other was elsewhere",
 			append(three(3*now), moved(reached(learning(at(seen(4, "d", now), "c:1"), 0), 2*now), now)), nil, nil),
 		Entry("nor to a successor that has not caught up",
-			append(three(long), reached(learning(seen(4, "c", now), unknownAge), now)), nil, nil),
+			append(three(long), reached(learning(seen(4, "c", now), unknownDuration), now)), nil, nil),
 		Entry("nor to one that answers no more",
 			append(three(long), reached(learning(seen(4, "c", soon), 0), soon)), nil, nil),
 		Entry("nor if it has moved itself",
@@ -167,7 +167,7 @@
 		Entry("a wish of its machine's next identity takes that in beside it",
 			append(three(now), learning(seen(4, "d", soon), 0)), []consensus.Member{claim(5, "d")}, []int{1, 2, 3, -4, -5}),
 		Entry("and once that answers the learner is dropped",
-			append(three(now), learning(seen(4, "d", 2*now), 0), reached(learning(seen(5, "d", now), unknownAge), now)),
+			append(three(now), learning(seen(4, "d", 2*now), 0), reached(learning(seen(5, "d", now), unknownDuration), now)),
 			[]consensus.Member{claim(6, "e")}, []int{1, 2, 3, -5}),
 		Entry("a voter that is gone for good is dropped if three remain",
 			append(three(now), seen(4, "d", 61*time.Second)), nil, []int{1, 2, 3}),
@@ -195,8 +195,8 @@
 
 	It("counts a member as alive only if something was heard from it, however young the term", func() {
 		members := append(three(now), learning(seen(4, "d", now), 0))
-		members[1].silent, members[1].unheard = now, long
-		members[2].silent, members[2].unheard = long, long
+		members[1].sinceAnswer, members[1].sinceContact = now, long
+		members[2].sinceAnswer, members[2].sinceContact = long, long
 		plan := planMembership(membershipView{self: members[0].Member, members: members})
 		Expect(votes(plan)).To(Equal([]int{1, 2, 3, 4}))
 	})
--- a/internal/cluster/replica/open.go
+++ b/internal/cluster/replica/open.go
@@ -16,7 +16,7 @@
 	"ospreypond/internal/cluster/replica/wal"
 )
 
-// disk is what opening the disk gives.
+// disk is what openDisk returns.
 type disk struct {
 	lock     io.Closer
 	identity *wal.Identity
@@ -24,8 +24,8 @@
 	groups   map[GroupID]*wal.Group
 }
 
-// openDisk reads what the disk holds, or makes a new identity on an empty one. A disk that is damaged counts as lost: it
-// is moved aside if there are others to join.
+// openDisk reads the disk, or writes a new identity to an empty one. A disk that is damaged counts as lost if there
+// are other processes to join: what is on it is moved aside.
 func openDisk(options *Options) (*disk, error) {
 	if err := options.FileSystem.MkdirAll(options.Dir); err != nil {
 		return nil, errors.Wrapf(err, "make folder %s", options.Dir)
@@ -61,7 +61,7 @@
 }
 
 func openLog(options *Options, identity *wal.Identity) (*disk, error) {
-	segmentBytes := min(max(options.DiskBytes/segmentShare, minSegmentBytes), maxSegmentBytes)
+	segmentBytes := min(max(options.DiskBytes/segmentDivisor, minSegmentBytes), maxSegmentBytes)
 	opened, groups, err := wal.Open(options.FileSystem, options.Dir, wal.Options{SegmentBytes: segmentBytes})
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return &disk{identity: identity, log: opened, groups: groups}, nil
 }
 
-// newDisk draws an identity. A log without an identity is nobody's.
+// newDisk writes an identity to a disk without one. A log without an identity belongs to nobody and is moved aside.
 func newDisk(options *Options) (*disk, error) {
 	vacant, err := wal.Vacant(options.FileSystem, options.Dir)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return writeIdentity(options, identity)
 }
 
-// replaceDisk moves what is there aside and joins as a new member.
+// replaceDisk moves aside what is on the disk, and starts as a new member.
 func replaceDisk(options *Options) (*disk, error) {
 	if err := wal.MoveAside(options.FileSystem, options.Dir); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	return openLog(options, identity)
 }
 
-// firstIdentity is that of a first member at the very first start, else a random one.
+// firstIdentity returns the identity of an initial member at the very first start, else a random one.
 func firstIdentity(options *Options) (*wal.Identity, error) {
 	if !slices.Contains(options.Bootstrap, options.Self.Address) {
 		return newIdentity(options)
@@ -118,22 +118,22 @@
 	return &wal.Identity{ID: bootstrapID(options.Self.Address), First: first}, nil
 }
 
-// bootstrapID is a first member's identity: all first members work out the same for each other.
+// bootstrapID returns an initial member's identity: all initial members compute the same for each other.
 func bootstrapID(address string) consensus.MemberID {
 	return consensus.MemberID(max(xxhash.Sum64String(address), 1))
 }
 
-// newIdentity is that of a process that is no first member.
+// newIdentity returns the identity of a process that is not an initial member.
 func newIdentity(options *Options) (*wal.Identity, error) {
-	id, err := options.draw()
+	id, err := options.newMemberID()
 	if err != nil {
 		return nil, err
 	}
 	return &wal.Identity{ID: id}, nil
 }
 
-// drawID draws from the system's randomness alone: an identity must never come twice.
-func drawID() (consensus.MemberID, error) {
+// randomMemberID returns a random identity, not one of a seeded generator: an identity must never be used twice.
+func randomMemberID() (consensus.MemberID, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return consensus.None, errors.Wrap(err, "draw an identity")
@@ -141,7 +141,7 @@
 	return max(consensus.MemberID(binary.LittleEndian.Uint64(random[:])), 1), nil
 }
 
-// othersExist tells whether there is anybody to join.
+// othersExist reports whether there are other processes to join.
 func othersExist(options *Options) bool {
 	for _, address := range slices.Concat(options.Peers, options.Bootstrap) {
 		if address != options.Self.Address {
@@ -151,16 +151,16 @@
 	return false
 }
 
-// restored is what a group starts from.
+// restored returns what a group's node starts from.
 func (d *disk) restored(id GroupID) consensus.Restored {
-	held := d.groups[id]
-	if held == nil {
-		held = &wal.Group{}
+	stored := d.groups[id]
+	if stored == nil {
+		stored = &wal.Group{}
 	}
-	restored := consensus.Restored{HardState: held.HardState, Entries: held.Entries}
+	restored := consensus.Restored{HardState: stored.HardState, Entries: stored.Entries}
 	switch {
-	case held.Snapshot != nil:
-		snapshot := *held.Snapshot
+	case stored.Snapshot != nil:
+		snapshot := *stored.Snapshot
 		snapshot.Data = nil
 		restored.Snapshot = &snapshot
 	case len(d.identity.First) > 0:
@@ -169,7 +169,9 @@
 	return restored
 }
 
-// Open opens the disk and starts all groups from it. Nothing moves before Run.
+// Open opens the disk and starts all groups from it. It locks Options.Dir. Nothing is sent or applied before Run,
+// which must be called to close the disk again. Damage to synced data is a *wal.DamageError if there is no other
+// process to join.
 func Open(options Options) (*Engine, error) {
 	options = options.withDefaults()
 	opened, err := openDisk(&options)
@@ -184,6 +186,6 @@
 			return nil, err
 		}
 	}
-	e.writer.begin()
+	e.writer.queueFirstSync()
 	return e, nil
 }
--- a/internal/cluster/replica/outbox.go
+++ b/internal/cluster/replica/outbox.go
@@ -2,68 +2,69 @@
 
 import "ospreypond/internal/cluster/consensus"
 
-// outbox gathers what a turn sends: one envelope for each address.
+// outbox collects what a step sends: one envelope for each address.
 type outbox struct {
-	engine *Engine
-	mail   []mail
+	engine  *Engine
+	pending []addressedEnvelope
 }
 
-type mail struct {
+type addressedEnvelope struct {
 	address  string
 	envelope *Envelope
 }
 
 func newOutbox(e *Engine) *outbox { return &outbox{engine: e} }
 
-// message adds a message. One for a member whose address is not known is lost.
-func (o *outbox) message(message *consensus.Message) {
+// addMessage adds a message. One to a member whose address is not known is dropped.
+func (o *outbox) addMessage(message *consensus.Message) {
 	address := o.engine.peers.address(message.To)
 	if address == "" || message.To == o.engine.self.ID {
 		return
 	}
-	envelope := o.to(address)
+	envelope := o.envelopeFor(address)
 	envelope.Messages = append(envelope.Messages, *message)
 }
 
-// join adds a wish to join.
-func (o *outbox) join(address string, join Join) {
-	envelope := o.to(address)
+// addJoin adds a request to join.
+func (o *outbox) addJoin(address string, join Join) {
+	envelope := o.envelopeFor(address)
 	envelope.Joins = append(envelope.Joins, join)
 }
 
-// leave adds a request to be let go.
-func (o *outbox) leave(address string, leave Leave) {
-	envelope := o.to(address)
-	envelope.Leaves = append(envelope.Leaves, leave)
+// addDecommissionRequest adds a request to be decommissioned.
+func (o *outbox) addDecommissionRequest(address string, request DecommissionRequest) {
+	envelope := o.envelopeFor(address)
+	envelope.Leaves = append(envelope.Leaves, request)
 }
 
-// release adds the word that a member may leave.
-func (o *outbox) release(address string, release Release) {
+// addApproval adds the approval of a decommission. One to a member whose address is not known is dropped.
+func (o *outbox) addApproval(address string, approval DecommissionApproval) {
 	if address == "" {
 		return
 	}
-	envelope := o.to(address)
-	envelope.Releases = append(envelope.Releases, release)
+	envelope := o.envelopeFor(address)
+	envelope.Releases = append(envelope.Releases, approval)
 }
 
-func (o *outbox) to(address string) *Envelope {
-	for i := range o.mail {
-		if o.mail[i].address == address {
-			return o.mail[i].envelope
+// envelopeFor returns this step's envelope to an address.
+func (o *outbox) envelopeFor(address string) *Envelope {
+	for i := range o.pending {
+		if o.pending[i].address == address {
+			return o.pending[i].envelope
 		}
 	}
 	envelope := &Envelope{From: o.engine.self.ID, Address: o.engine.self.Address}
-	o.mail = append(o.mail, mail{address: address, envelope: envelope})
+	o.pending = append(o.pending, addressedEnvelope{address: address, envelope: envelope})
 	return envelope
 }
 
-// flush sends everything.
+// flush sends all envelopes.
 func (o *outbox) flush() {
-	reluctant := o.engine.reluctant()
-	for i := range o.mail {
-		o.mail[i].envelope.Reluctant = reluctant
-		o.engine.options.Sender.Send(o.mail[i].address, o.mail[i].envelope)
+	avoidsLeadership := o.engine.avoidsLeadership()
+	for i := range o.pending {
+		o.pending[i].envelope.Reluctant = avoidsLeadership
+		o.engine.options.Sender.Send(o.pending[i].address, o.pending[i].envelope)
 	}
-	clear(o.mail)
-	o.mail = o.mail[:0]
+	clear(o.pending)
+	o.pending = o.pending[:0]
 }
--- a/internal/cluster/replica/overview.go
+++ b/internal/cluster/replica/overview.go
@@ -6,14 +6,14 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// GroupOverview is what an operator may want to know of this process's member of a group.
+// GroupOverview is what operators are shown of this process's member of a group.
 type GroupOverview struct {
 	Status        consensus.Status
-	Ready         bool   // this process leads, and its state machine was told so
-	Applied       uint64 // index of the newest entry that the state machine has
-	SnapshotIndex uint64 // of the newest snapshot on disk
-	LogBytes      int64  // of the entries after it
-	Lags          []Lag  // of the other members, if this process leads
+	Ready         bool   // this process leads, and its state machine was notified of it
+	Applied       uint64 // index of the newest entry that was applied
+	SnapshotIndex uint64 // index of the newest snapshot on disk
+	LogBytes      int64  // of the entries after that snapshot
+	Lags          []Lag  // of the other members; empty unless this process leads
 }
 
 // Lag is how far a member is behind its leader.
@@ -23,7 +23,7 @@
 	SinceAcknowledgement time.Duration // since its last acknowledgement
 }
 
-// Overview tells about a group; false if the engine does not have it. It is called on the loop.
+// Overview describes a group. It returns false if the engine does not have the group. It must be called on the loop.
 func (e *Engine) Overview(id GroupID) (GroupOverview, bool) {
 	g := e.byID[id]
 	if g == nil {
@@ -37,29 +37,39 @@
 		LogBytes:      g.snapshots.logBytes,
 	}
 	for _, member := range overview.Status.Members {
-		entries, heardAt, known := g.node.Lag(member.ID)
+		entries, answeredAt, known := g.node.Lag(member.ID)
 		if known && member.ID != e.self.ID {
-			overview.Lags = append(overview.Lags, Lag{Member: member.ID, Entries: entries, SinceAcknowledgement: e.now - heardAt})
+			overview.Lags = append(overview.Lags, Lag{Member: member.ID, Entries: entries, SinceAcknowledgement: e.now - answeredAt})
 		}
 	}
 	return overview, true
 }
 
-// DiskOverview is what the disk holds, and how it is.
+// DiskOverview is what operators are shown of the disk.
 type DiskOverview struct {
-	Unhealthy bool  // writes fail or take too long
-	LogBytes  int64 // of all segments, as of the newest write
+	Unhealthy bool  // writes fail, or take slowWriteTime or longer
+	LogBytes  int64 // of all segments, as of the newest completed write
 	Segments  int
 }
 
-// Disk tells about the disk. It is called on the loop.
+// Disk describes the disk. It must be called on the loop.
 func (e *Engine) Disk() DiskOverview {
-	figures := &e.writer.figures
-	return DiskOverview{Unhealthy: e.writer.health.sick, LogBytes: figures.logBytes, Segments: figures.segments}
+	usage := &e.writer.usage
+	return DiskOverview{Unhealthy: e.writer.health.unhealthy, LogBytes: usage.logBytes, Segments: usage.segments}
 }
 
-// Resigning tells whether Resign was called. It is called on the loop.
-func (e *Engine) Resigning() bool { return e.shifts.resigning }
+// Resigning reports whether Resign or Decommission was called. It must be called on the loop.
+func (e *Engine) Resigning() bool { return e.transfers.resigning }
 
-// Self is this process as a member of its groups.
+// Self returns this process as a member of its groups. Any goroutine may call it.
 func (e *Engine) Self() consensus.Member { return e.self }
+
+// KnowsLeaders reports whether this process knows a leader of each group. It must be called on the loop.
+func (e *Engine) KnowsLeaders() bool {
+	for _, g := range e.groups {
+		if g.node.Status().Leader == consensus.None {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/cluster/replica/peers.go
+++ b/internal/cluster/replica/peers.go
@@ -6,23 +6,24 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// peers is what this process knows of the others, in whatever group.
+// peers is what this process knows of the other processes, in whatever group they are.
 type peers struct {
 	self  consensus.Member
 	known map[consensus.MemberID]*peer
 }
 
+// peer is what this process knows of one other process.
 type peer struct {
-	address     string
-	told        bool          // the address comes from the process itself, not from a membership
-	movedAt     time.Duration // when the address became known
-	heardAt     time.Duration // the newest envelope
-	steadySince time.Duration // heard since then without a longer silence, and never reluctant
-	reluctantAt time.Duration
+	address             string
+	announced           bool          // the address comes from the process's own envelopes, not from a membership
+	addressSince        time.Duration // when the address became known
+	lastContact         time.Duration // when its newest envelope was received; 0: none was
+	steadySince         time.Duration // since then in contact without a longer gap, and never avoiding leadership
+	avoidedLeadershipAt time.Duration
 }
 
-// steadyGap is the silence that ends a peer's being steady.
-const steadyGap = time.Second
+// maxContactGap is the time without contact after which a peer is not steady any more.
+const maxContactGap = time.Second
 
 func newPeers(self consensus.Member) *peers {
 	return &peers{self: self, known: map[consensus.MemberID]*peer{}}
@@ -31,49 +32,49 @@
 func (p *peers) get(id consensus.MemberID) *peer {
 	known := p.known[id]
 	if known == nil {
-		known = &peer{reluctantAt: -reluctance}
+		known = &peer{avoidedLeadershipAt: -avoidanceLifetime}
 		p.known[id] = known
 	}
 	return known
 }
 
-// toldLifetime is for how long an address that a process itself has told outweighs a membership.
-const toldLifetime = 5 * time.Second
+// announcementLifetime is for how long an address from a process's own envelopes outweighs that of a membership.
+const announcementLifetime = 5 * time.Second
 
-// learn takes addresses from a membership, where the process itself has not told another lately.
-func (p *peers) learn(members []consensus.Member, now time.Duration) {
+// learnAddresses adopts the addresses of a membership, except where the process itself has announced one lately.
+func (p *peers) learnAddresses(members []consensus.Member, now time.Duration) {
 	for _, member := range members {
 		known := p.get(member.ID)
-		if !known.told || now-known.heardAt > toldLifetime {
+		if !known.announced || now-known.lastContact > announcementLifetime {
 			known.moveTo(member.Address, now)
-			known.told = false
+			known.announced = false
 		}
 	}
 }
 
 func (p *peer) moveTo(address string, now time.Duration) {
 	if p.address != address {
-		p.address, p.movedAt = address, now
+		p.address, p.addressSince = address, now
 	}
 }
 
-// heard takes note of an envelope.
-func (p *peers) heard(envelope *Envelope, now time.Duration) {
+// recordContact records that an envelope was received.
+func (p *peers) recordContact(envelope *Envelope, now time.Duration) {
 	known := p.get(envelope.From)
 	if envelope.Address != "" {
 		known.moveTo(envelope.Address, now)
-		known.told = true
+		known.announced = true
 	}
-	if known.heardAt == 0 || now-known.heardAt > steadyGap || envelope.Reluctant {
+	if known.lastContact == 0 || now-known.lastContact > maxContactGap || envelope.Reluctant {
 		known.steadySince = now
 	}
-	known.heardAt = now
+	known.lastContact = now
 	if envelope.Reluctant {
-		known.reluctantAt = now
+		known.avoidedLeadershipAt = now
 	}
 }
 
-// address is a member's internal address, or "".
+// address returns a member's internal address, or "" if it is not known.
 func (p *peers) address(id consensus.MemberID) string {
 	if id == p.self.ID {
 		return p.self.Address
@@ -84,27 +85,27 @@
 	return ""
 }
 
-// unheard is the time since anything came from a peer; since the start, if nothing has.
-func (p *peers) unheard(id consensus.MemberID, now time.Duration) time.Duration {
+// sinceContact returns the time since the last contact with a peer, or since the start if there was none.
+func (p *peers) sinceContact(id consensus.MemberID, now time.Duration) time.Duration {
 	if known := p.known[id]; known != nil {
-		return now - known.heardAt
+		return now - known.lastContact
 	}
 	return now
 }
 
-// reluctance is for how long a peer's word that it does not want to lead counts.
-const reluctance = 2 * time.Second
+// avoidanceLifetime is for how long a peer's statement that it avoids leadership counts.
+const avoidanceLifetime = 2 * time.Second
 
-// willing tells whether a peer would take a leadership.
-func (p *peers) willing(id consensus.MemberID, now time.Duration) bool {
+// acceptsLeadership reports whether a peer is known and has not lately stated that it avoids leadership.
+func (p *peers) acceptsLeadership(id consensus.MemberID, now time.Duration) bool {
 	known := p.known[id]
-	return known != nil && now-known.reluctantAt >= reluctance
+	return known != nil && now-known.avoidedLeadershipAt >= avoidanceLifetime
 }
 
-// steady is for how long a peer has been heard without a longer silence.
-func (p *peers) steady(id consensus.MemberID, now time.Duration) time.Duration {
+// steadyFor returns for how long there has been steady contact with a peer; see peer.steadySince.
+func (p *peers) steadyFor(id consensus.MemberID, now time.Duration) time.Duration {
 	known := p.known[id]
-	if known == nil || known.heardAt == 0 || now-known.heardAt > steadyGap {
+	if known == nil || known.lastContact == 0 || now-known.lastContact > maxContactGap {
 		return 0
 	}
 	return now - known.steadySince
--- a/internal/cluster/replica/peers_test.go
+++ b/internal/cluster/replica/peers_test.go
@@ -14,7 +14,7 @@
 	var known *peers
 
 	hear := func(at time.Duration, address string, reluctant bool) {
-		known.heard(&Envelope{From: 2, Address: address, Reluctant: reluctant}, at)
+		known.recordContact(&Envelope{From: 2, Address: address, Reluctant: reluctant}, at)
 	}
 	member := func(address string) []consensus.Member {
 		return []consensus.Member{{ID: 2, Address: address}}
@@ -27,17 +27,17 @@
 	It("knows its own address, and nothing of strangers", func() {
 		Expect(known.address(1)).To(Equal("self"))
 		Expect(known.address(2)).To(BeEmpty())
-		Expect(known.willing(2, second)).To(BeFalse())
-		Expect(known.unheard(2, 3*second)).To(Equal(3 * second))
+		Expect(known.acceptsLeadership(2, second)).To(BeFalse())
+		Expect(known.sinceContact(2, 3*second)).To(Equal(3 * second))
 	})
 
 	It("holds an address that the process told for truer than a membership, for a while", func() {
-		known.learn(member("old"), 0)
+		known.learnAddresses(member("old"), 0)
 		Expect(known.address(2)).To(Equal("old"))
 		hear(second, "new", false)
-		known.learn(member("old"), 2*second)
+		known.learnAddresses(member("old"), 2*second)
 		Expect(known.address(2)).To(Equal("new"))
-		known.learn(member("newest"), 10*second)
+		known.learnAddresses(member("newest"), 10*second)
 		Expect(known.address(2)).To(Equal("newest"))
 	})
 
@@ -45,14 +45,14 @@
 		for at := second; at <= 6*second; at += second / 2 {
 			hear(at, "", false)
 		}
-		Expect(known.steady(2, 6*second)).To(Equal(5 * second))
-		Expect(known.steady(2, 8*second)).To(BeZero(), "silent now")
+		Expect(known.steadyFor(2, 6*second)).To(Equal(5 * second))
+		Expect(known.steadyFor(2, 8*second)).To(BeZero(), "silent now")
 		hear(8*second, "", false)
-		Expect(known.steady(2, 8*second)).To(BeZero())
+		Expect(known.steadyFor(2, 8*second)).To(BeZero())
 		hear(8*second+second/2, "", true)
 		hear(9*second, "", false)
-		Expect(known.steady(2, 9*second)).To(Equal(second / 2))
-		Expect(known.willing(2, 9*second)).To(BeFalse())
-		Expect(known.willing(2, 11*second)).To(BeTrue())
+		Expect(known.steadyFor(2, 9*second)).To(Equal(second / 2))
+		Expect(known.acceptsLeadership(2, 9*second)).To(BeFalse())
+		Expect(known.acceptsLeadership(2, 11*second)).To(BeTrue())
 	})
 })
--- a/internal/cluster/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -162,7 +162,7 @@
 	return repairFigures{whole: c.now() - r.begun, fatal: r.fatal.summed, repaired: repaired}
 }
 
-// look notes whether one more loss would be fatal, if a disk has changed since the last look.
+// observe notes whether one more loss would be fatal, if a disk has changed since the last look.
 func (r *repair) look(whole bool) {
 	c := r.cluster
 	if !whole && c.writes == r.lookedAt {
@@ -200,7 +200,7 @@
 	return true
 }
 
-// succeeded tells whether the fresh identity has taken the old one's place.
+// superseded tells whether the fresh identity has taken the old one's place.
 func (r *repair) succeeded(members []consensus.Member, voters int) bool {
 	ids := sortedVoters(members)
 	current := !slices.ContainsFunc(members, func(m consensus.Member) bool { return slices.Contains(r.old, m.ID) })
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -1,7 +1,17 @@
-// Package replica runs the members of replica groups in one process: it gives the pure cores of internal/cluster/consensus
-// their disk, timers and links. One goroutine, the loop, owns all groups and their state machines; one more writes to
-// the disk, so that all groups share one sync. It also keeps the membership: processes whose disk is empty join as
-// learners and take the place of members that were lost.
+// Package replica runs one process's members of replica groups. It is the server around the Raft library of
+// internal/cluster/consensus: it adds disk, timers and links, applies committed entries to state machines, and
+// maintains the membership, in which processes with an empty disk join as learners and replace voters that were lost.
+//
+// One goroutine, the loop of Engine.Run, owns all groups and their state machines; a second one writes to the disk, so
+// that all groups share one sync. Engine.Receive, Engine.Do and Engine.Self may be called from any goroutine. Every
+// other method of an open engine must be called on the loop, that is from a state machine or from a function given to
+// Engine.Do.
+//
+// What is promised: a message that depends on an entry, a vote or a term leaves only once that is synced to disk; a
+// command whose proposer was given a result is on the disks of a quorum; a state machine sees the committed commands
+// of its group in the order of the log. What is not: a proposer that was given failure.UnknownOutcome may find its
+// command applied later; envelopes may be lost or duplicated by the Sender; a state machine that cannot restore its
+// group's snapshot ends the engine.
 package replica
 
 import (
@@ -17,76 +27,82 @@
 // GroupID names a replica group.
 type GroupID = uint32
 
-// StateMachine is what a group replicates. All calls come from the loop.
+// StateMachine is what a group replicates. All calls come from the loop. Two members that applied the same entries
+// must have the same state.
 type StateMachine interface {
-	// Apply carries out a committed command and returns its result, for the proposer if it is in this process.
+	// Apply applies a committed command and returns its result, which is passed to the proposer if that is in this
+	// process.
 	Apply(index, term uint64, data []byte) any
-	// Snapshot returns the whole state. The slice is the engine's from then on.
+	// Snapshot returns the complete state. The slice belongs to the engine from then on.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by an earlier Snapshot's, from this member or another.
+	// Restore replaces the state by that of an earlier Snapshot, from this member or another. An error ends the engine.
 	Restore(data []byte) error
 }
 
-// LeadershipObserver is a StateMachine that wants to know when it leads. Leading is called once the member is leader and
-// an entry of its own term is applied, Following when that ends.
+// LeadershipObserver is a StateMachine that is notified of its leadership. Leading is called once the member is the
+// leader and has applied an entry of its own term (Raft thesis, section 6.4), Following when that ends.
 type LeadershipObserver interface {
 	Leading(term uint64)
 	Following()
 }
 
-// TransferDeferrer is a StateMachine that wants to keep its leadership while something is under way that a successor would
-// have to begin anew. It is asked only before a leadership moves so that all processes lead alike; one that is given away
-// because this process ends, or its disk is sick, is not kept.
+// TransferDeferrer is a StateMachine that may defer a transfer of its leadership, while something is in progress that
+// a successor would have to begin anew. It is asked only before transfers that balance leaderships over the processes,
+// not before those of a process that resigns or whose disk is unhealthy.
 type TransferDeferrer interface {
+	// DefersTransfer reports whether the leadership should stay here for now.
 	DefersTransfer() bool
 }
 
-// Join asks a group's leader to take a process in, or to correct what the group knows of it.
+// Join asks a group's leader to add a process to the group, or to correct the node, zone or address that the group has
+// for it. It is part of Envelope and encoded by gob: the field names are the wire format.
 type Join struct {
 	Group     GroupID
 	Member    consensus.Member
 	Forwarded bool // by a member that is not the leader; not forwarded again
 }
 
-// Envelope is what one process sends another in one turn of its loop. It is one-way and may be lost, or come twice.
+// Envelope is what one process sends another in one step of its loop. It is one-way, and may be lost or duplicated. It
+// is encoded by gob: the field names, also of what it contains, are the wire format.
 type Envelope struct {
 	From      consensus.MemberID
 	Address   string // internal address of From
-	Reluctant bool   // From does not want to lead: its disk is sick, or it ends soon
+	Reluctant bool   // From avoids leadership: its disk is unhealthy, or it is about to end
 	Messages  []consensus.Message
 	Joins     []Join
-	Leaves    []Leave
-	Releases  []Release
+	Leaves    []DecommissionRequest
+	Releases  []DecommissionApproval
 }
 
-// Sender carries envelopes to other processes' Receive. Send must not wait; the envelope is the sender's from then on.
+// Sender sends envelopes to the Receive of other processes' engines. Send must not block; the envelope belongs to the
+// Sender from then on.
 type Sender interface {
 	Send(address string, envelope *Envelope)
 }
 
-// Options are what an Engine is opened with.
+// Options configure an Engine.
 type Options struct {
 	FileSystem vfs.FS
-	Dir        string // the engine's own folder
+	Dir        string // a folder that nothing else uses
 	Groups     map[GroupID]StateMachine
-	Self       consensus.Member // Node, Zone and Address; the ID is the disk's
+	Self       consensus.Member // Node, Zone and Address; the ID is read from the disk
 
-	// Bootstrap has the internal addresses of the first members of all groups, the same everywhere, at the very first
-	// start of the whole system; else it is empty.
+	// Bootstrap has the internal addresses of the initial members of all groups, the same list in each of these
+	// processes, at the very first start of the system. It must be empty at every other start.
 	Bootstrap []string
-	Peers     []string // internal addresses to ask for joining
-	DiskBytes int64    // size of the disk, of which at most half is used; 0: 128 MB
+	Peers     []string // internal addresses to which requests to join are sent
+	DiskBytes int64    // size of the disk in bytes, of which at most half is used; 0: 128 MiB
 
 	Sender Sender
-	Clock  clockwork.Clock // nil: the real one
+	Clock  clockwork.Clock // nil: the system's clock
 	Logger log.Logger      // nil: none
 
 	HeartbeatInterval time.Duration // 0: 100 ms
 	ElectionTimeout   time.Duration // 0: 1 s
-	Seed              uint64        // of election times
+	Seed              uint64        // of the randomized election timeouts
 
-	// draw draws a new identity; nil: from the system's randomness. Tests replace it.
-	draw func() (consensus.MemberID, error)
+	// newMemberID returns a new, unique identity; nil: a random one. Tests replace it.
+	newMemberID func() (consensus.MemberID, error)
 }
 
 const (
@@ -108,8 +124,8 @@
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
 	}
-	if o.draw == nil {
-		o.draw = drawID
+	if o.newMemberID == nil {
+		o.newMemberID = randomMemberID
 	}
 	if o.Logger == nil {
 		o.Logger = log.NewNopLogger()
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -9,76 +9,72 @@
 	"ospreypond/internal/cluster/replica/wal"
 )
 
-// The bounds of the log. Shares are of Options.DiskBytes.
+// Bounds of the log. Options.DiskBytes is divided by the divisors.
 const (
-	segmentShare    = 64
+	segmentDivisor  = 64
 	minSegmentBytes = 64 << 10
 	maxSegmentBytes = 2 << 20
 
-	minGroupLogBytes = 1 << 20 // a group's log that is longer is replaced by a snapshot, unless that is large
-	groupLogShare    = 16
-	wholeLogShare    = 8  // more than this of log, and the groups that keep the oldest segment are snapshotted
-	maxSegments      = 24 // the same
-
-	trailingBytes    = 256 << 10 // entries kept in memory before a snapshot, for members that are a little behind or silent
-	heldBytes        = 4 << 20   // entries kept in memory at most for members that are fed or take a snapshot
-	entryOverhead    = 32        // about what an entry takes besides its data, in bytes
-	snapshotRetry    = 5 * time.Second
-	transferInterval = time.Second // between two snapshots made for members that need one
+	// A group's log that is longer than minGroupLogBytes is replaced by a snapshot, unless that is large; one that is
+	// longer than the disk's groupLogDivisor-th part is in any case.
+	minGroupLogBytes = 1 << 20
+	groupLogDivisor  = 16
+	// With more log than the disk's totalLogDivisor-th part, or more segments than maxSegments, the groups that pin the
+	// oldest segment are snapshotted.
+	totalLogDivisor = 8
+	maxSegments     = 24
+
+	// trailingBytes is how much of the entries before a snapshot stays in memory, for members that are a little behind.
+	trailingBytes = 256 << 10
+	// maxRetainedBytes bounds what stays in memory for members to which entries or a snapshot are being sent.
+	maxRetainedBytes = 4 << 20
+	// entryOverhead is about how many bytes an entry takes besides its data.
+	entryOverhead = 32
+	// snapshotRetryInterval is the time between two attempts of a snapshot that fails.
+	snapshotRetryInterval = 5 * time.Second
+	// snapshotSendInterval is the time between two snapshots that are made to be sent to members.
+	snapshotSendInterval = time.Second
 )
 
-// snapshotState is when a group is to be snapshotted.
+// snapshotState decides when a group is snapshotted.
 type snapshotState struct {
-	index      uint64 // of the newest snapshot on disk
-	size       int    // its bytes, if it was made here
-	logBytes   int64  // of the entries after it
-	retryAt    time.Duration
-	transferAt time.Duration // when one may next be made for another member
+	index    uint64 // of the newest snapshot on disk
+	size     int    // its length in bytes, if this process made it
+	logBytes int64  // of the entries after it
+	retryAt  time.Duration
+	sendAt   time.Duration // when a snapshot may next be made to be sent
 }
 
-// begin starts from a snapshot and the entries after it.
-func (s *snapshotState) begin(index uint64, entries []consensus.Entry) {
+// reset starts from a snapshot and the entries after it.
+func (s *snapshotState) reset(index uint64, entries []consensus.Entry) {
 	s.index = index
 	s.logBytes = 0
-	s.grew(entries)
+	s.addEntries(entries)
 }
 
-func (s *snapshotState) grew(entries []consensus.Entry) {
+func (s *snapshotState) addEntries(entries []consensus.Entry) {
 	for i := range entries {
 		s.logBytes += int64(len(entries[i].Data) + entryOverhead)
 	}
 }
 
-// bound is how many bytes of log a group may have.
-func (s *snapshotState) bound(diskBytes int64) int64 {
-	most := max(diskBytes/groupLogShare, minSegmentBytes)
-	return min(max(minGroupLogBytes, 2*int64(s.size)), most)
-}
-
-// superintend does what a group needs now and then.
-func (g *group) superintend() {
-	g.settleDigests()
-	if g.engine.reluctant() {
-		g.node.SetCampaign(g.mayCampaign())
-	}
-	if !g.node.Status().IsLeader {
-		return
-	}
-	g.sendSnapshots()
-	g.reviewMembership()
+// maxLogBytes returns how many bytes of log the group may have before it is snapshotted.
+func (s *snapshotState) maxLogBytes(diskBytes int64) int64 {
+	limit := max(diskBytes/groupLogDivisor, minSegmentBytes)
+	return min(max(minGroupLogBytes, 2*int64(s.size)), limit)
 }
 
-// sendSnapshots makes a snapshot for the members that can go on only from one.
+// sendSnapshots makes a snapshot for the members that lack entries which are not in the log any more.
 func (g *group) sendSnapshots() {
 	now := g.engine.now
-	if now < g.snapshots.transferAt || g.appliedIndex == 0 {
+	if now < g.snapshots.sendAt || g.appliedIndex == 0 {
 		return
 	}
-	needing := g.node.NeedSnapshot()
-	if len(needing) == 0 {
+	recipients := g.node.NeedSnapshot()
+	if len(recipients) == 0 {
 		return
 	}
-	g.snapshots.transferAt = now + transferInterval
+	g.snapshots.sendAt = now + snapshotSendInterval
 	data, err := g.machine.Snapshot()
 	if err != nil {
 		g.logSnapshot(err)
@@ -90,41 +86,42 @@
 		Members: g.node.MembersAt(g.appliedIndex),
 		Data:    data,
 	}
-	for _, id := range needing {
+	for _, id := range recipients {
 		g.node.SendSnapshot(now, id, snapshot)
 	}
 }
 
-// keepDiskSmall replaces a log that is too long by a snapshot, one group at a time.
-func (e *Engine) keepDiskSmall() {
-	if e.writing {
+// compactLogs replaces a log that is too long by a snapshot, one group at a time.
+func (e *Engine) compactLogs() {
+	if e.writingSnapshot {
 		return
 	}
 	for _, g := range e.groups {
-		if g.snapshots.logBytes > g.snapshots.bound(e.options.DiskBytes) && g.snapshot() {
+		if g.snapshots.logBytes > g.snapshots.maxLogBytes(e.options.DiskBytes) && g.startSnapshot() {
 			return
 		}
 	}
-	figures := &e.writer.figures
-	if figures.logBytes <= e.options.DiskBytes/wholeLogShare && figures.segments <= maxSegments {
+	usage := &e.writer.usage
+	if usage.logBytes <= e.options.DiskBytes/totalLogDivisor && usage.segments <= maxSegments {
 		return
 	}
-	for _, id := range figures.pinning {
-		if g := e.byID[id]; g != nil && g.snapshot() {
+	for _, id := range usage.pinning {
+		if g := e.byID[id]; g != nil && g.startSnapshot() {
 			return
 		}
 	}
 }
 
-// snapshot begins to write the machine's state to disk. It tells false if there is nothing new, or it failed lately.
-func (g *group) snapshot() bool {
+// startSnapshot starts to write the machine's state to disk. It reports whether it did: not if nothing was applied
+// since the newest snapshot, or a snapshot failed lately.
+func (g *group) startSnapshot() bool {
 	e := g.engine
 	if g.appliedIndex <= g.snapshots.index || e.now < g.snapshots.retryAt {
 		return false
 	}
 	data, err := g.machine.Snapshot()
 	if err != nil {
-		g.snapshots.retryAt = e.now + snapshotRetry
+		g.snapshots.retryAt = e.now + snapshotRetryInterval
 		g.logSnapshot(err)
 		return false
 	}
@@ -135,34 +132,34 @@
 		Data:    data,
 	}
 	covered := g.snapshots.logBytes
-	e.writing = true
+	e.writingSnapshot = true
 	e.background(func() func() {
 		err := wal.WriteSnapshot(e.options.FileSystem, e.options.Dir, g.id, snapshot)
-		return func() { g.snapshotWritten(snapshot, covered, err) }
+		return func() { g.finishSnapshot(snapshot, covered, err) }
 	})
 	return true
 }
 
-// snapshotWritten lets the log before a snapshot go.
-func (g *group) snapshotWritten(snapshot *consensus.Snapshot, covered int64, err error) {
-	g.engine.writing = false
+// finishSnapshot drops the log that a snapshot covers once that is written.
+func (g *group) finishSnapshot(snapshot *consensus.Snapshot, covered int64, err error) {
+	g.engine.writingSnapshot = false
 	if err != nil {
-		g.snapshots.retryAt = g.engine.now + snapshotRetry
+		g.snapshots.retryAt = g.engine.now + snapshotRetryInterval
 		g.logSnapshot(err)
 		return
 	}
 	g.engine.writer.pending.batch.Compact(g.id, snapshot.Index, snapshot.Term)
 	if snapshot.Index <= g.snapshots.index {
-		return // one from the leader came in between
+		return // a leader's snapshot was installed in the meantime
 	}
 	entries := snapshot.Index - g.snapshots.index
 	g.snapshots.index = snapshot.Index
 	g.snapshots.size = len(snapshot.Data)
 	g.snapshots.logBytes -= covered
-	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.RetainFrom(heldBytes)))
+	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.RetainFrom(maxRetainedBytes)))
 }
 
-// trailingEntries is how many entries before a snapshot stay in memory.
+// trailingEntries returns how many entries before a snapshot stay in memory.
 func trailingEntries(entries uint64, bytes int64) uint64 {
 	mean := max(uint64(bytes)/max(entries, 1), 1)
 	return trailingBytes / mean
--- a/internal/cluster/replica/succession_test.go
+++ b/internal/cluster/replica/succession_test.go
@@ -295,7 +295,7 @@
 					Expect(c.voters(id)).To(HaveLen(3), "a fourth vote would be one that never answers")
 				}
 			}
-			c.run(learnerSilence + time.Second)
+			c.run(learnerTimeout + time.Second)
 			Expect(c.isMember(gone.engine.self.ID)).To(BeFalse())
 			c.awaitVoters(names...)
 		}
@@ -321,7 +321,7 @@
 						commits[id] = append(commits[id], logEnd{index: leader.engine.Status(id).Commit, term: uint64(c.now())})
 						if c.votesIn(id, fresh) {
 							promoted[id] = true
-							Expect(fresh.durable[id].index).To(BeNumerically(">=", committedBefore(commits[id], c.now()-caughtUpAge)))
+							Expect(fresh.durable[id].index).To(BeNumerically(">=", committedBefore(commits[id], c.now()-maxCaughtUpAge)))
 						}
 					}
 					return len(promoted) == controlGroups
@@ -332,18 +332,18 @@
 
 	It("follows in rounds", func() {
 		followed := &catchUp{}
-		Expect(followed.age(time.Second)).To(Equal(unknownAge))
-		followed.look(0, 100, time.Second)
-		Expect(followed.age(time.Second)).To(Equal(unknownAge))
-		followed.look(99, 150, 2*time.Second)
-		Expect(followed.age(2*time.Second)).To(Equal(unknownAge), "64 entries or one: what was committed is not there")
-		followed.look(120, 200, 3*time.Second)
+		Expect(followed.age(time.Second)).To(Equal(unknownDuration))
+		followed.observe(0, 100, time.Second)
+		Expect(followed.age(time.Second)).To(Equal(unknownDuration))
+		followed.observe(99, 150, 2*time.Second)
+		Expect(followed.age(2*time.Second)).To(Equal(unknownDuration), "64 entries or one: what was committed is not there")
+		followed.observe(120, 200, 3*time.Second)
 		Expect(followed.age(3*time.Second)).To(Equal(2*time.Second), "what was committed after one second")
-		followed.look(199, 250, 4*time.Second)
+		followed.observe(199, 250, 4*time.Second)
 		Expect(followed.age(4 * time.Second)).To(Equal(3 * time.Second))
-		followed.look(200, 300, 5*time.Second)
+		followed.observe(200, 300, 5*time.Second)
 		Expect(followed.age(5 * time.Second)).To(Equal(2 * time.Second))
-		followed.look(300, 300, 6*time.Second)
+		followed.observe(300, 300, 6*time.Second)
 		Expect(followed.age(6*time.Second)).To(BeZero(), "all of it now")
 	})
 })
@@ -383,7 +383,7 @@
 		moved.start(nil)
 		leader := c.leader(0).engine.byID[0]
 		member := consensus.Member{ID: moved.engine.self.ID, Address: "the old one"}
-		Expect(c.until(500*time.Millisecond, func() bool { return leader.memberView(member).location == moved.address })).To(BeTrue())
+		Expect(c.until(500*time.Millisecond, func() bool { return leader.memberView(member).currentAddress == moved.address })).To(BeTrue())
 	})
 })
 
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -10,121 +10,121 @@
 	"ospreypond/internal/cluster/replica/wal"
 )
 
-// never is a deadline that does not come.
+// never is a deadline that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// writer gathers what all groups want written and gives it to the disk's goroutine, one work at a time, each with one
-// sync. What depends on it leaves once it is there.
+// writer collects what all groups have to write, and passes it to the disk's goroutine, one write at a time, each with
+// one sync. What depends on a write is sent once that is finished.
 type writer struct {
 	engine *Engine
 	log    *wal.Log
 
-	pending  *work // being gathered
-	inflight *work // at the disk, or waiting to be tried again
-	spare    *work
-	busy     bool // the disk is at it
+	pending  *diskWrite // being collected
+	inflight *diskWrite // at the disk, or waiting to be retried
+	spare    *diskWrite
+	busy     bool // the disk executes inflight
 	number   uint64
-	finished uint64 // number of the newest work on disk
-	health   health
-	figures  diskFigures
+	finished uint64 // number of the newest write on disk
+	health   diskHealth
+	usage    diskUsage
 
-	// perform hands work to the disk; tests replace it. finish must be called on the loop with the outcome.
-	perform func(w *work)
+	// execute passes a write to the disk. finish must be called on the loop with the outcome. Tests and Driver replace it.
+	execute func(w *diskWrite)
 }
 
-// work is one write to the disk with all that hangs on it.
-type work struct {
+// diskWrite is one write to the disk, with everything that depends on it.
+type diskWrite struct {
 	number   uint64
 	started  time.Duration
 	batch    wal.Batch
 	installs []installation
 	deferred []consensus.Message
-	touched  []touched
+	groups   []writtenGroup
 }
 
-// installation is a snapshot to write before the batch.
+// installation is a leader's snapshot, which is written before the batch.
 type installation struct {
 	group    GroupID
 	snapshot *consensus.Snapshot
 }
 
-// touched is a group's newest entry after a work.
-type touched struct {
+// writtenGroup is a group with the newest entry that it has on disk after a write.
+type writtenGroup struct {
 	group       *group
 	index, term uint64
 }
 
-// diskFigures is what the disk holds after a work.
-type diskFigures struct {
+// diskUsage is how much the disk has after a write.
+type diskUsage struct {
 	logBytes int64
 	segments int
-	pinning  []GroupID // groups that keep the oldest segment
+	pinning  []GroupID // groups that pin the oldest segment
 }
 
 func newWriter(e *Engine, log *wal.Log) *writer {
 	w := &writer{engine: e, log: log, number: 1}
-	w.pending = &work{number: w.number}
-	w.figures = diskFigures{logBytes: log.Bytes(), segments: log.Segments(), pinning: log.Pinning()}
+	w.pending = &diskWrite{number: w.number}
+	w.usage = diskUsage{logBytes: log.Bytes(), segments: log.Segments(), pinning: log.Pinning()}
 	return w
 }
 
-// begin lets nothing leave that depends on the disk before the first write, which makes sure of what was read from it:
-// an earlier process may have ended before it was synced.
-func (w *writer) begin() {
+// queueFirstSync queues a write for each group, so that nothing that depends on the disk is sent before the first
+// sync. That makes durable what was read from the disk: an earlier process may have ended before it synced that.
+func (w *writer) queueFirstSync() {
 	for _, g := range w.engine.groups {
 		w.pending.batch.HardState(g.id, g.hardState)
-		g.hardWork = w.pending.number
+		g.lastHardStateWrite = w.pending.number
 		w.touch(g, 0, 0)
 	}
 }
 
-// start runs the disk's goroutine, and returns what ends it.
+// start starts the disk's goroutine, and returns a function that stops it.
 func (w *writer) start() (stop func()) {
-	if w.perform != nil {
+	if w.execute != nil {
 		return func() {}
 	}
-	works := make(chan *work, 1)
-	w.perform = func(next *work) { works <- next }
-	w.engine.atDisk.Go(func() {
+	works := make(chan *diskWrite, 1)
+	w.execute = func(next *diskWrite) { works <- next }
+	w.engine.diskWorkers.Go(func() {
 		defer w.log.Close()
 		for next := range works {
-			figures, err := w.write(next)
-			w.engine.Do(func() { w.finish(next, figures, err) })
+			usage, err := w.write(next)
+			w.engine.Do(func() { w.finish(next, usage, err) })
 		}
 	})
 	return func() { close(works) }
 }
 
-// write is what the disk's goroutine does.
-func (w *writer) write(next *work) (diskFigures, error) {
+// write executes a write. It is called by the disk's goroutine.
+func (w *writer) write(next *diskWrite) (diskUsage, error) {
 	for _, i := range next.installs {
 		if err := wal.WriteSnapshot(w.engine.options.FileSystem, w.engine.options.Dir, i.group, i.snapshot); err != nil {
-			return diskFigures{}, err
+			return diskUsage{}, err
 		}
 	}
 	if err := w.log.Append(&next.batch); err != nil {
-		return diskFigures{}, err
+		return diskUsage{}, err
 	}
-	// What cannot be removed now is tried again after the next work.
+	// What cannot be removed now is removed after a later write.
 	_, _ = w.log.Release()
-	return diskFigures{logBytes: w.log.Bytes(), segments: w.log.Segments(), pinning: w.log.Pinning()}, nil
+	return diskUsage{logBytes: w.log.Bytes(), segments: w.log.Segments(), pinning: w.log.Pinning()}, nil
 }
 
-// add takes what a group wants written, and the messages that leave after it.
+// add takes what a group has to write, and the messages that leave after it.
 func (w *writer) add(g *group, output *consensus.Output) {
 	if output.Snapshot != nil {
 		w.addInstall(g, output.Snapshot)
 	}
 	if output.HardState != nil {
 		w.pending.batch.HardState(g.id, *output.HardState)
-		g.hardWork = w.pending.number
+		g.lastHardStateWrite = w.pending.number
 		w.touch(g, 0, 0)
 	}
 	if len(output.Entries) > 0 {
 		w.pending.batch.Entries(g.id, output.Entries)
 		last := &output.Entries[len(output.Entries)-1]
 		w.touch(g, last.Index, last.Term)
-		g.snapshots.grew(output.Entries)
+		g.snapshots.addEntries(output.Entries)
 	}
 	w.deferMessages(g, output.Deferred)
 }
@@ -135,38 +135,38 @@
 	w.touch(g, snapshot.Index, snapshot.Term)
 }
 
-// touch notes that the pending work has something of a group, and the group's newest entry if that is in it.
+// touch records that the pending write has something of a group, and the group's newest entry if that is in it.
 func (w *writer) touch(g *group, index, term uint64) {
-	g.dirtyWork = w.pending.number
+	g.lastWrite = w.pending.number
 	if index > 0 {
-		g.newestIndex, g.newestTerm = index, term
+		g.submittedIndex, g.submittedTerm = index, term
 	}
-	newest := touched{group: g, index: g.newestIndex, term: g.newestTerm}
-	for i := range w.pending.touched {
-		if w.pending.touched[i].group == g {
-			w.pending.touched[i] = newest
+	newest := writtenGroup{group: g, index: g.submittedIndex, term: g.submittedTerm}
+	for i := range w.pending.groups {
+		if w.pending.groups[i].group == g {
+			w.pending.groups[i] = newest
 			return
 		}
 	}
-	w.pending.touched = append(w.pending.touched, newest)
+	w.pending.groups = append(w.pending.groups, newest)
 }
 
-// deferMessages lets messages leave once all that was handed out before them is on disk.
+// deferMessages sends messages once everything is on disk that the group submitted before them.
 func (w *writer) deferMessages(g *group, messages []consensus.Message) {
 	switch {
 	case len(messages) == 0:
-	case g.dirtyWork <= w.finished:
+	case g.lastWrite <= w.finished:
 		for i := range messages {
-			w.engine.outbox.message(&messages[i])
+			w.engine.outbox.addMessage(&messages[i])
 		}
-	case w.inflight != nil && g.dirtyWork == w.inflight.number:
+	case w.inflight != nil && g.lastWrite == w.inflight.number:
 		w.inflight.deferred = append(w.inflight.deferred, messages...)
 	default:
 		w.pending.deferred = append(w.pending.deferred, messages...)
 	}
 }
 
-// submit gives the disk the next work if it is free.
+// submit gives the disk the next write if it is free.
 func (w *writer) submit() {
 	if w.busy || w.engine.now < w.health.retryAt {
 		return
@@ -177,59 +177,60 @@
 		}
 		w.inflight = w.pending
 		w.number++
-		w.pending = w.fresh()
+		w.pending = w.newWrite()
 	}
 	w.busy = true
 	w.inflight.started = w.engine.now
-	w.perform(w.inflight)
+	w.execute(w.inflight)
 }
 
-func (w *writer) fresh() *work {
+func (w *writer) newWrite() *diskWrite {
 	next := w.spare
 	w.spare = nil
 	if next == nil {
-		next = &work{}
+		next = &diskWrite{}
 	}
 	next.number = w.number
 	return next
 }
 
-// finish takes the outcome of a work.
-func (w *writer) finish(done *work, figures diskFigures, err error) {
+// finish handles the outcome of a write.
+func (w *writer) finish(done *diskWrite, usage diskUsage, err error) {
 	w.busy = false
 	if err != nil {
-		w.failed(err)
+		w.recordFailure(err)
 		return
 	}
 	w.inflight = nil
 	w.finished = done.number
-	w.figures = figures
-	w.wrote(w.engine.now - done.started)
-	for _, t := range done.touched {
-		// Only if no newer hard state waits: Persisted speaks for all that were handed out.
-		if t.group.hardWork <= w.finished {
+	w.usage = usage
+	w.recordSuccess(w.engine.now - done.started)
+	for _, t := range done.groups {
+		// Only if no newer hard state is pending: Persisted acknowledges all that the node has put out.
+		if t.group.lastHardStateWrite <= w.finished {
 			t.group.node.Persisted(w.engine.now, t.index, t.term)
 		}
 	}
 	for i := range done.deferred {
-		w.engine.outbox.message(&done.deferred[i])
+		w.engine.outbox.addMessage(&done.deferred[i])
 	}
 	w.recycle(done)
 }
 
-func (w *writer) recycle(done *work) {
+// recycle empties a finished write, to be used again.
+func (w *writer) recycle(done *diskWrite) {
 	done.batch.Reset()
 	clear(done.installs)
 	clear(done.deferred)
-	clear(done.touched)
+	clear(done.groups)
 	done.installs = done.installs[:0]
 	done.deferred = done.deferred[:0]
-	done.touched = done.touched[:0]
+	done.groups = done.groups[:0]
 	w.spare = done
 }
 
-// unwritten is how many bytes wait for the disk.
-func (w *writer) unwritten() int {
+// unwrittenBytes returns how many bytes wait for the disk.
+func (w *writer) unwrittenBytes() int {
 	size := w.pending.batch.Size()
 	if w.inflight != nil {
 		size += w.inflight.batch.Size()
@@ -237,9 +238,10 @@
 	return size
 }
 
-func (w *writer) failed(err error) {
+// recordFailure records a write that failed and is to be retried.
+func (w *writer) recordFailure(err error) {
 	_ = level.Error(w.engine.options.Logger).Log("msg", "write to disk failed", "err", err)
 	w.health.failing = true
-	w.health.retryAt = w.engine.now + retryInterval
-	w.sicken()
+	w.health.retryAt = w.engine.now + writeRetryInterval
+	w.noteUnhealthy()
 }
