--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -35,12 +35,12 @@
 		if leader := c.leader(configurationGroup); leader != nil {
 			leader.order(change(versionOf(leader), bytes), func(configuration.Result, error) {})
 		}
-		c.handIn()
+		c.submitJob()
 		c.run(distance)
 	}
 }
 
-// has tells whether a machine runs and has a version.
+// has reports whether a machine runs and has a version.
 func (m *machine) has(version uint64) func() bool {
 	return func() bool { return m.up && versionOf(m) >= version }
 }
@@ -75,7 +75,7 @@
 }
 
 var _ = Describe("A member that was away", func() {
-	DescribeTable("for most of a day has all of it soon after its return, and leads with it",
+	DescribeTable("for most of a day has everything soon after its return, and leads with it",
 		func(changes, bytes int) {
 			c := newShippedCluster(41)
 			c.startFirst(3)
@@ -115,14 +115,14 @@
 			GinkgoWriter.Println("caught up after", c.now()-began, "of", least)
 			c.agree()
 		},
-		Entry("on which a piece takes a few ms", float64(100<<20)),
-		Entry("on which a piece takes an election timeout", float64(800<<10)),
-		Entry("on which a piece takes as long as a silent member is sent pieces", float64(200<<10)),
-		Entry("on which a piece takes longer than that", float64(60<<10)),
-		Entry("on which a piece takes much longer than that", float64(20<<10)),
+		Entry("on which a chunk takes a few ms", float64(100<<20)),
+		Entry("on which a chunk takes an election timeout", float64(800<<10)),
+		Entry("on which a chunk takes as long as an unresponsive member is sent chunks", float64(200<<10)),
+		Entry("on which a chunk takes longer than that", float64(60<<10)),
+		Entry("on which a chunk takes much longer than that", float64(20<<10)),
 	)
 
-	It("catches up where the log is cut again and again while the snapshot is on its way", func() {
+	It("catches up although the log is compacted repeatedly while the snapshot is on its way", func() {
 		c := newShippedCluster(43)
 		c.disk = 16 << 20 // the log of a group has at most a sixteenth
 		c.startFirst(3)
@@ -137,12 +137,12 @@
 		// 100 KB of changes a second: two thirds of what the link carries. The log is cut every 10 s, a snapshot takes 7 s.
 		c.changeFor(40*time.Second, 240*time.Millisecond, 24<<10)
 		Expect(group.snapshots.index).To(BeNumerically(">", before+100), "the log was cut meanwhile")
-		Expect(away.ledgers[configurationGroup].restored).To(Equal(1), "snapshots that it took")
+		Expect(away.recorders[configurationGroup].restored).To(Equal(1), "snapshots that it took")
 		Expect(away.has(c.version()-50)()).To(BeTrue(), "it has %d of %d", versionOf(away), c.version())
 		c.agree()
 	})
 
-	It("is not waited for by the log if it cannot be fed", func() {
+	It("does not keep the log from being compacted if nothing can be sent to it", func() {
 		c := newShippedCluster(44)
 		c.disk = 16 << 20
 		c.startFirst(3)
@@ -212,13 +212,13 @@
 		end(c, away)
 	})
 
-	It("whose sender cuts its log", func() {
+	It("whose sender compacts its log", func() {
 		c, away := begin(53, 2, 3000)
 		c.changeMany(200, 24<<10)
 		end(c, away)
 	})
 
-	It("whose receiver is cut off until the sender begins with a newer one", func() {
+	It("whose receiver is partitioned until the sender starts a newer one", func() {
 		c, away := begin(58, 2, 3000)
 		away.isolated = true
 		c.changeMany(100, 24<<10)
@@ -258,7 +258,7 @@
 		end(c, away)
 	})
 
-	It("is whole or not there, wherever the power fails while it is written", func() {
+	It("is complete or absent, wherever the power fails while it is written", func() {
 		for cut := 1; ; cut++ {
 			c, away := begin(57, 1, 300)
 			writer := away.engine.writer
@@ -285,10 +285,10 @@
 })
 
 var _ = Describe("A member's own snapshot", func() {
-	// cutsOfPower is more calls than the disk gets from the snapshot's first byte to the removal of the log before it.
+	// powerFailures is more calls than the disk gets from the snapshot's first byte to the removal of the log before it.
 	const cutsOfPower = 24
 
-	It("costs nothing of its state, wherever the power fails between its first byte and the cut of the log", func() {
+	It("loses nothing of the state, wherever the power fails between its first byte and the compaction of the log", func() {
 		c := newShippedCluster(61)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(100)).Version).To(Equal(uint64(1)))
@@ -312,12 +312,12 @@
 			Expect(m.engine.self.ID).To(Equal(identity), "cut %d: its disk is sound", cut)
 			c.agree()
 		}
-		Expect(written).To(BeNumerically(">", 2), "some snapshots were whole")
+		Expect(written).To(BeNumerically(">", 2), "some snapshots were complete")
 		Expect(written).To(BeNumerically("<", cutsOfPower-2), "and some were not")
 		c.leadsWithAll(m)
 	})
 
-	It("cuts no log where it could not be written", func() {
+	It("does not compact the log if it could not be written", func() {
 		c := newShippedCluster(62)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(100)).Version).To(Equal(uint64(1)))
--- a/internal/cluster/replica/chaos_test.go
+++ b/internal/cluster/replica/chaos_test.go
@@ -11,10 +11,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// trouble does something bad to one machine, and returns what ends it.
-type trouble func(c *cluster, m *machine) (end func())
+// fault disturbs one machine, and returns what ends the disturbance.
+type fault func(c *cluster, m *machine) (end func())
 
-var troubles = []trouble{
+var faults = []fault{
 	func(c *cluster, m *machine) func() {
 		m.kill()
 		return func() { m.start(nil) }
@@ -53,9 +53,9 @@
 		return func() { m.kill(); m.start(nil) }
 	},
 	func(c *cluster, m *machine) func() {
-		departure := m.leave(time.Duration(c.random.IntN(4000)) * time.Millisecond)
+		exit := m.decommission(time.Duration(c.random.IntN(4000)) * time.Millisecond)
 		return func() {
-			c.until(5*time.Second, departure.gone)
+			c.until(5*time.Second, exit.hasEnded)
 			m.start(nil)
 		}
 	},
@@ -76,8 +76,8 @@
 	},
 }
 
-// finalFault is one disk lost while all others lose power, the most that a core which bears the loss of one machine has to
-// bear.
+// finalFault loses one disk while all other machines lose power: the most that a control plane which tolerates the
+// loss of one machine has to tolerate.
 func finalFault(c *cluster, m *machine) func() {
 	for _, other := range c.machines {
 		if other == m {
@@ -93,7 +93,7 @@
 	}
 }
 
-// play plays a day: troubles one after the other, each borne by one machine, with proposals all the while.
+// play plays faults one after the other, each of one machine, with proposals all the while.
 func play(seed uint64) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, 2)
@@ -103,17 +103,17 @@
 	c.run(2 * time.Second)
 	for range 6 {
 		m := c.machines[c.random.IntN(len(c.machines))]
-		end := troubles[c.random.IntN(len(troubles))](c, m)
-		c.work(time.Duration(c.random.IntN(6000)) * time.Millisecond)
+		end := faults[c.random.IntN(len(faults))](c, m)
+		c.proposeFor(time.Duration(c.random.IntN(6000)) * time.Millisecond)
 		end()
-		c.work(4 * time.Second)
+		c.proposeFor(4 * time.Second)
 		c.check()
 	}
 	return c
 }
 
-// diskWrite lets time pass with proposals all the while.
-func (c *cluster) work(span time.Duration) {
+// proposeFor lets time pass with proposals all the while.
+func (c *cluster) proposeFor(span time.Duration) {
 	for end := c.now() + span; c.now() < end; {
 		c.propose(GroupID(c.random.IntN(c.groups)), c.random.IntN(1500), nil)
 		c.run(time.Duration(c.random.IntN(60)) * time.Millisecond)
@@ -139,7 +139,7 @@
 	return seeds
 }
 
-var _ = Describe("A long day", func() {
+var _ = Describe("A sequence of random faults", func() {
 	It("loses nothing that was acknowledged, and ends with all machines equal", func() {
 		for _, seed := range seedsFrom(10) {
 			_, _ = fmt.Fprintln(GinkgoWriter, "play it again with REPLICA_SEED =", seed)
--- a/internal/cluster/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -31,27 +31,27 @@
 
 // cluster runs machines, links and disks in virtual time, in one goroutine.
 type cluster struct {
-	clock     *clockwork.FakeClock
-	started   time.Time
-	random    *rand.Rand
-	machines  []*machine
-	events    []event
-	groups    int
-	seeds     []string
-	loss      float64
-	disk      int64
-	heartbeat time.Duration // 0: the engine's own
-	election  time.Duration
-	logger    log.Logger
-	acked     map[GroupID][]string
-	nextLine  int
-	turns     int
-	sent      int
-	writes    int // to all disks
-	trace     func(from *machine, to string, envelope *Envelope)
-	drop      func(from, to *machine, envelope *Envelope) bool
-
-	newState func(id GroupID) realState // nil: the groups have ledgers alone
+	clock       *clockwork.FakeClock
+	started     time.Time
+	random      *rand.Rand
+	machines    []*machine
+	events      []event
+	groups      int
+	seeds       []string
+	loss        float64
+	disk        int64
+	heartbeat   time.Duration // 0: the engine's own
+	election    time.Duration
+	logger      log.Logger
+	acked       map[GroupID][]string
+	nextCommand int
+	steps       int
+	sent        int
+	writes      int // to all disks
+	trace       func(from *machine, to string, envelope *Envelope)
+	drop        func(from, to *machine, envelope *Envelope) bool
+
+	newState func(id GroupID) realState // nil: the groups have recorders alone
 }
 
 const (
@@ -72,7 +72,7 @@
 	}
 }
 
-// startFirst starts so many machines for the first time, the first three (or fewer) being the seeds.
+// startFirst starts machines for the first time. The first three, or fewer, are the seeds.
 func (c *cluster) startFirst(count int) {
 	for i := range count {
 		address := fmt.Sprintf("10.0.0.%d:7380", i+1)
@@ -103,7 +103,8 @@
 	c.until(span, func() bool { return false })
 }
 
-// until lets time pass until the condition holds, which is looked at after each step, or the span is over.
+// until lets time pass until the condition holds, which is checked after each step, or the span is over. It reports
+// whether the condition holds.
 func (c *cluster) until(span time.Duration, condition func() bool) bool {
 	end := c.now() + span
 	for !condition() {
@@ -148,7 +149,7 @@
 	}
 	for _, m := range c.machines {
 		if m.up && !m.frozen && m.wakeAt <= now {
-			c.turns++
+			c.steps++
 			m.engine.step()
 			Expect(m.engine.failed).NotTo(HaveOccurred())
 			m.wakeAt = now + m.engine.untilNextStep()
@@ -161,8 +162,8 @@
 	var newest *machine
 	term := uint64(0)
 	for _, m := range c.machines {
-		if m.up && !m.frozen && m.ledgers[id].leading > term {
-			newest, term = m, m.ledgers[id].leading
+		if m.up && !m.frozen && m.recorders[id].leading > term {
+			newest, term = m, m.recorders[id].leading
 		}
 	}
 	return newest
@@ -188,21 +189,21 @@
 	if m == nil {
 		return
 	}
-	c.nextLine++
-	line := fmt.Sprintf("line-%d %s", c.nextLine, bytes.Repeat([]byte("x"), size))
-	c.proposeLine(m, id, line, done)
+	c.nextCommand++
+	line := fmt.Sprintf("line-%d %s", c.nextCommand, bytes.Repeat([]byte("x"), size))
+	c.proposeCommand(m, id, line, done)
 }
 
-// forget drops all lines of a group, once all that are on their way are there.
+// forget drops all lines of a group once all proposed ones are applied.
 func (c *cluster) forget(id GroupID) {
 	GinkgoHelper()
 	c.converge()
 	c.acked[id] = nil
-	c.proposeLine(c.leader(id), id, forget, nil)
+	c.proposeCommand(c.leader(id), id, forget, nil)
 	c.converge()
 }
 
-func (c *cluster) proposeLine(m *machine, id GroupID, line string, done func(error)) {
+func (c *cluster) proposeCommand(m *machine, id GroupID, line string, done func(error)) {
 	m.engine.Do(func() {
 		m.engine.Propose(id, []byte(line), func(_ any, err error) {
 			if err == nil {
@@ -235,10 +236,10 @@
 	}
 }
 
-// converge waits until all machines that are up have the same ledgers, with all that was acknowledged.
+// converge waits until all machines that are up have the same logs, with everything that was acknowledged.
 func (c *cluster) converge() {
 	GinkgoHelper()
-	Expect(c.until(20*time.Second, c.converged)).To(BeTrue(), "all ledgers become equal")
+	Expect(c.until(20*time.Second, c.converged)).To(BeTrue(), "all logs become equal")
 	c.check()
 }
 
@@ -249,7 +250,7 @@
 			return false
 		}
 		for _, m := range c.machines {
-			if m.up && m.ledgers[id].Last != leader.ledgers[id].Last {
+			if m.up && m.recorders[id].Last != leader.recorders[id].Last {
 				return false
 			}
 		}
@@ -257,20 +258,20 @@
 	return true
 }
 
-// checkWriteTime compares all ledgers, and looks for all that was acknowledged.
+// check compares all logs, and looks for everything that was acknowledged.
 func (c *cluster) check() {
 	GinkgoHelper()
 	for id := range GroupID(c.groups) {
 		var longest []string
 		for _, m := range c.machines {
-			if m.up && len(m.ledgers[id].Lines) > len(longest) {
-				longest = m.ledgers[id].Lines
+			if m.up && len(m.recorders[id].Lines) > len(longest) {
+				longest = m.recorders[id].Lines
 			}
 		}
 		for _, m := range c.machines {
 			if m.up {
-				lines := m.ledgers[id].Lines
-				Expect(slices.Equal(lines, longest[:len(lines)])).To(BeTrue(), "ledgers are prefixes of each other")
+				lines := m.recorders[id].Lines
+				Expect(slices.Equal(lines, longest[:len(lines)])).To(BeTrue(), "logs are prefixes of each other")
 			}
 		}
 		there := map[string]bool{}
@@ -279,7 +280,7 @@
 		}
 		for _, line := range c.acked[id] {
 			if !there[line] {
-				Fail("what was acknowledged is gone: " + line)
+				Fail("an acknowledged line is missing: " + line)
 			}
 		}
 	}
@@ -300,7 +301,7 @@
 	return names
 }
 
-// current tells whether all members are identities that the machines have now, up or not.
+// current reports whether all members are identities that the machines have now, up or not.
 func (c *cluster) current(id GroupID) bool {
 	identities := map[consensus.MemberID]bool{}
 	for _, m := range c.machines {
@@ -314,8 +315,8 @@
 	return true
 }
 
-// settled tells whether exactly these machines vote in all groups.
-func (c *cluster) settled(names ...string) func() bool {
+// votersAre returns a condition: exactly these machines vote in all groups, and nobody else is a member.
+func (c *cluster) votersAre(names ...string) func() bool {
 	names = slices.Sorted(slices.Values(names))
 	return func() bool {
 		for id := range GroupID(c.groups) {
@@ -330,14 +331,14 @@
 
 func (c *cluster) awaitVoters(names ...string) {
 	GinkgoHelper()
-	Expect(c.until(20*time.Second, c.settled(names...))).To(BeTrue(), "these vote: %v", names)
+	Expect(c.until(20*time.Second, c.votersAre(names...))).To(BeTrue(), "these vote: %v", names)
 }
 
-// terms are those of the groups' leaders.
+// terms returns those of the groups' leaders.
 func (c *cluster) terms() []uint64 {
 	var terms []uint64
 	for id := range GroupID(c.groups) {
-		terms = append(terms, c.leader(id).ledgers[id].leading)
+		terms = append(terms, c.leader(id).recorders[id].leading)
 	}
 	return terms
 }
@@ -349,7 +350,7 @@
 	}
 }
 
-// isMember tells whether an identity is a member of any group.
+// isMember reports whether an identity is a member of any group.
 func (c *cluster) isMember(id consensus.MemberID) bool {
 	for group := range GroupID(c.groups) {
 		leader := c.leader(group)
@@ -365,7 +366,7 @@
 	return false
 }
 
-// confirmed expects a confirmation.
+// confirmed expects that the leader can confirm its leadership.
 func (c *cluster) confirmed(id GroupID) {
 	GinkgoHelper()
 	leader, called := c.leader(id), false
--- a/internal/cluster/replica/confirmations_test.go
+++ b/internal/cluster/replica/confirmations_test.go
@@ -23,22 +23,22 @@
 	return read
 }
 
-// ask asks a machine for a confirmation and returns where its outcome will be.
-func ask(m *machine, id GroupID) *outcomeOfConfirm {
-	outcome := &outcomeOfConfirm{}
-	m.engine.Do(func() { m.engine.ConfirmLeadership(id, outcome.take) })
+// requestConfirmation requests a confirmation from a machine for group 0, and returns where its outcome will be.
+func requestConfirmation(m *machine) *confirmationOutcome {
+	outcome := &confirmationOutcome{}
+	m.engine.Do(func() { m.engine.ConfirmLeadership(0, outcome.take) })
 	return outcome
 }
 
-type outcomeOfConfirm struct {
+type confirmationOutcome struct {
 	called bool
 	err    error
 }
 
-func (o *outcomeOfConfirm) take(err error) { o.called, o.err = true, err }
+func (o *confirmationOutcome) take(err error) { o.called, o.err = true, err }
 
-var _ = Describe("The time of a turn", func() {
-	It("is one by which all that the turn handles had come, wherever a freeze falls", func() {
+var _ = Describe("The time of a step", func() {
+	It("is one by which all inputs of the step had arrived, wherever a freeze falls", func() {
 		const freeze = 20 * time.Second
 		c := newCluster(1, 1)
 		c.startFirst(1)
@@ -63,8 +63,8 @@
 })
 
 var _ = Describe("A round of heartbeats", func() {
-	// settled is a cluster of three whose leader has nothing under way.
-	settled := func() (*cluster, *machine) {
+	// idleCluster returns a cluster of three whose leader has nothing in progress.
+	idleCluster := func() (*cluster, *machine) {
 		c := newCluster(1, 1)
 		c.startFirst(3)
 		c.commit(0, 1, 10)
@@ -73,13 +73,13 @@
 		return c, c.leader(0)
 	}
 
-	It("does not confirm what was asked for after it had left, even while the clock stands still", func() {
-		c, leader := settled()
-		early := ask(leader, 0)
+	It("does not confirm a request made after it had left, even while the clock stands still", func() {
+		c, leader := idleCluster()
+		early := requestConfirmation(leader)
 		leader.engine.step() // the round leaves
-		late := ask(leader, 0)
+		late := requestConfirmation(leader)
 		c.loss = 1
-		leader.engine.step() // what this turn sends is lost
+		leader.engine.step() // what this step sends is lost
 		c.loss = 0
 		Expect(c.until(2*linkDelay, func() bool { return early.called })).To(BeTrue())
 		Expect(early.err).NotTo(HaveOccurred())
@@ -88,15 +88,15 @@
 		Expect(late.err).NotTo(HaveOccurred())
 	})
 
-	It("leaves only after all functions of its turn, each of which it then confirms", func() {
-		c, leader := settled()
+	It("leaves only after all functions of its step, and confirms the requests of each", func() {
+		c, leader := idleCluster()
 		leader.engine.step() // whatever else was due
 		c.run(time.Millisecond)
 		sent := c.sent
 		var sentWhenAsked []int
-		var outcomes []*outcomeOfConfirm
+		var outcomes []*confirmationOutcome
 		for range 3 {
-			outcome := &outcomeOfConfirm{}
+			outcome := &confirmationOutcome{}
 			outcomes = append(outcomes, outcome)
 			leader.engine.Do(func() {
 				sentWhenAsked = append(sentWhenAsked, c.sent)
@@ -114,14 +114,14 @@
 		}
 	})
 
-	It("confirms nothing for a leader that woke after another was elected, with the old round's answers unread", func() {
-		c, old := settled()
-		before := ask(old, 0)
+	It("confirms nothing for a leader that wakes up after another was elected, with the old round's answers unread", func() {
+		c, old := idleCluster()
+		before := requestConfirmation(old)
 		old.engine.step() // the round leaves, and its answers wait unread
 		old.frozen = true
 		c.commit(0, 1, 10)
 		Expect(c.leader(0)).NotTo(Equal(old))
-		after := ask(old, 0)
+		after := requestConfirmation(old)
 		old.frozen = false
 		old.wake()
 		Expect(c.until(2*time.Second, func() bool { return before.called && after.called })).To(BeTrue())
@@ -130,7 +130,7 @@
 })
 
 var _ = Describe("A disk that is far behind", func() {
-	It("refuses proposals as something that another leader may be able to do", func() {
+	It("makes proposals fail as unavailable", func() {
 		c := newCluster(1, 1)
 		c.startFirst(1)
 		c.awaitLeaders()
--- a/internal/cluster/replica/disk_test.go
+++ b/internal/cluster/replica/disk_test.go
@@ -25,7 +25,7 @@
 
 func (m *machine) leads() int {
 	led := 0
-	for _, l := range m.ledgers {
+	for _, l := range m.recorders {
 		if l.leading != 0 {
 			led++
 		}
@@ -44,8 +44,8 @@
 	return bytes, segments
 }
 
-var _ = Describe("A sick disk", func() {
-	DescribeTable("costs its machine what it leads until it is well again",
+var _ = Describe("An unhealthy disk", func() {
+	DescribeTable("costs its machine all leaderships until it has recovered",
 		func(begin, end func(*machine)) {
 			c := newCluster(11, 3)
 			c.startFirst(3)
@@ -62,7 +62,7 @@
 				c.commit(id, 5, 100)
 			}
 			c.run(20 * time.Second)
-			Expect(sick.leads()).To(BeZero(), "and it stays so")
+			Expect(sick.leads()).To(BeZero(), "and it leads nothing for as long as that lasts")
 
 			end(sick)
 			c.run(5 * time.Second)
@@ -107,7 +107,7 @@
 			}),
 	)
 
-	It("does not keep a group from a leader when it fails just after an election", func() {
+	It("does not leave a group without a leader when it fails just after an election", func() {
 		for _, delay := range []time.Duration{syncDelay, time.Hour} {
 			c := newCluster(16, 1)
 			c.startFirst(3)
@@ -143,7 +143,7 @@
 		}
 	})
 
-	It("is better than no leader at all, as long as it only is slow", func() {
+	It("does not prevent a leadership as long as it is only slow and nobody else leads", func() {
 		c := newCluster(12, 1)
 		c.startFirst(3)
 		c.commit(0, 5, 100)
@@ -158,7 +158,7 @@
 		c.check()
 	})
 
-	It("does not keep a group from a leader when all disks are slow, so that a vote takes longer than an election timeout", func() {
+	It("does not leave a group without a leader when all disks are slow, so that a vote takes longer than an election timeout", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 5)
 			c.heartbeat, c.election = 75*time.Millisecond, 320*time.Millisecond
@@ -168,15 +168,15 @@
 			for _, m := range c.machines {
 				m.diskDelay = 270 * time.Millisecond
 			}
-			c.work(2 * time.Second)
+			c.proposeFor(2 * time.Second)
 			c.machines[c.random.IntN(3)].kill()
-			c.work(500 * time.Millisecond)
+			c.proposeFor(500 * time.Millisecond)
 			Expect(c.until(6*time.Second, c.allLed)).To(BeTrue(), "every group has a leader again")
 			terms := c.terms()
-			c.work(10 * time.Second)
+			c.proposeFor(10 * time.Second)
 			Expect(c.until(2*time.Second, c.allLed)).To(BeTrue())
 			for id, term := range c.terms() {
-				Expect(term).To(BeNumerically("<=", terms[id]+1), "and keeps it, but for one planned move")
+				Expect(term).To(BeNumerically("<=", terms[id]+1), "and keeps it, but for one planned transfer")
 			}
 		}
 	})
@@ -216,12 +216,12 @@
 			}
 		}
 		only.files = vfstest.Of(all)
-		err := only.tryStart(nil)
+		err := only.open(nil)
 		Expect(err).To(MatchError(ContainSubstring("is damaged at offset")))
 		Expect(err).To(MatchError(ContainSubstring(".segment")))
 	})
 
-	It("does not let a first member start twice on what is left of a disk", func() {
+	It("does not let an initial member start again under its identity when that is missing from its disk", func() {
 		c := newCluster(15, 1)
 		c.startFirst(3)
 		c.commit(0, 5, 100)
@@ -240,7 +240,7 @@
 })
 
 var _ = Describe("Snapshots", func() {
-	It("keep disk and memory bounded", func() {
+	It("bound the use of disk and memory", func() {
 		c := newCluster(21, 2)
 		c.disk = 8 << 20
 		c.startFirst(3)
@@ -267,12 +267,12 @@
 		}
 		for _, m := range c.machines {
 			m.start(nil)
-			Expect(m.ledgers[0].restored).To(Equal(1))
+			Expect(m.recorders[0].restored).To(Equal(1))
 		}
 		c.converge()
 	})
 
-	It("reach a fresh member, and one that was away for long, and links may lose some", func() {
+	It("reach a new member and one that was away for long, over links that lose messages", func() {
 		c := newCluster(22, 2)
 		c.disk = 8 << 20
 		c.startFirst(3)
@@ -290,8 +290,8 @@
 		c.awaitVoters("core-1", "core-2", "core-3", "core-4")
 		c.loss = 0
 		c.converge()
-		Expect(away.ledgers[0].restored).To(BeNumerically(">=", 1))
-		Expect(fresh.ledgers[0].restored).To(BeNumerically(">=", 1))
+		Expect(away.recorders[0].restored).To(BeNumerically(">=", 1))
+		Expect(fresh.recorders[0].restored).To(BeNumerically(">=", 1))
 		for _, m := range []*machine{away, fresh} {
 			m.losePower()
 			m.start(nil)
@@ -299,7 +299,7 @@
 		c.converge()
 	})
 
-	It("do not let one idle group keep the log of busy ones", func() {
+	It("are made of an idle group that pins the log of busy ones", func() {
 		c := newCluster(23, 2)
 		c.disk = 8 << 20
 		c.startFirst(1)
@@ -314,7 +314,7 @@
 		c.converge()
 	})
 
-	It("that cannot be written are tried again, and the log stays", func() {
+	It("that cannot be written are retried, and the log is kept", func() {
 		c := newCluster(24, 1)
 		c.disk = 8 << 20
 		c.startFirst(1)
--- a/internal/cluster/replica/driver_test.go
+++ b/internal/cluster/replica/driver_test.go
@@ -16,27 +16,27 @@
 
 func (nowhere) Send(string, *Envelope) {}
 
-// driven is an engine of one member under a driver whose disk waits to be told.
+// driven is an engine of one member under a driver, whose disk work is done on request.
 type driven struct {
-	driver *Driver
-	ledger *ledger
-	clock  *clockwork.FakeClock
-	works  map[DiskWork][]func()
-	woken  int
+	driver      *Driver
+	recorder    *recorder
+	clock       *clockwork.FakeClock
+	pendingWork map[DiskWork][]func()
+	woken       int
 }
 
 func drive(files *vfstest.Mem) *driven {
-	d := &driven{ledger: &ledger{}, clock: clockwork.NewFakeClock(), works: map[DiskWork][]func(){}}
+	d := &driven{recorder: &recorder{}, clock: clockwork.NewFakeClock(), pendingWork: map[DiskWork][]func(){}}
 	driver, err := OpenDriver(Options{
 		FileSystem: files,
 		Dir:        "data",
-		Groups:     map[GroupID]StateMachine{0: d.ledger},
+		Groups:     map[GroupID]StateMachine{0: d.recorder},
 		Self:       consensus.Member{Node: "core", Address: "core"},
 		Bootstrap:  []string{"core"},
 		Sender:     nowhere{},
 		Clock:      d.clock,
 	}, DriverOptions{
-		Disk: func(kind DiskWork, work func()) { d.works[kind] = append(d.works[kind], work) },
+		Disk: func(kind DiskWork, work func()) { d.pendingWork[kind] = append(d.pendingWork[kind], work) },
 		Wake: func() { d.woken++ },
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -44,8 +44,8 @@
 	return d
 }
 
-// step takes a turn, and lets the time pass that it asks for.
-func (d *driven) turn() {
+// step takes a step, and lets the time pass until the next one is due.
+func (d *driven) step() {
 	GinkgoHelper()
 	pause, err := d.driver.Step()
 	Expect(err).NotTo(HaveOccurred())
@@ -53,10 +53,10 @@
 	d.clock.Advance(pause)
 }
 
-// execute does what waits for the disk.
-func (d *driven) perform(kind DiskWork) int {
-	works := d.works[kind]
-	d.works[kind] = nil
+// execute does the pending work for the disk.
+func (d *driven) execute(kind DiskWork) int {
+	works := d.pendingWork[kind]
+	d.pendingWork[kind] = nil
 	for _, work := range works {
 		work()
 	}
@@ -65,10 +65,10 @@
 
 func (d *driven) lead() {
 	GinkgoHelper()
-	for turns := 0; d.ledger.leading == 0; turns++ {
+	for turns := 0; d.recorder.leading == 0; turns++ {
 		Expect(turns).To(BeNumerically("<", 1000))
-		d.turn()
-		d.perform(DiskAppend)
+		d.step()
+		d.execute(DiskAppend)
 	}
 }
 
@@ -85,54 +85,54 @@
 }
 
 var _ = Describe("A driver", func() {
-	It("commits nothing before its holder has carried out the work for the disk", func() {
+	It("commits nothing before its caller has done the work for the disk", func() {
 		d := drive(&vfstest.Mem{})
 		d.lead()
-		d.turn()
-		d.perform(DiskAppend)
+		d.step()
+		d.execute(DiskAppend)
 		woken := d.woken
 		done := d.propose("line")
 		Expect(d.woken).To(Equal(woken + 1))
 		for range 20 {
-			d.turn()
+			d.step()
 		}
 		Expect(*done).To(BeFalse())
-		Expect(d.perform(DiskAppend)).To(Equal(1))
-		d.turn()
+		Expect(d.execute(DiskAppend)).To(Equal(1))
+		d.step()
 		Expect(*done).To(BeTrue())
 	})
 
-	It("writes a snapshot when it is told to", func() {
+	It("writes a snapshot on request", func() {
 		files := &vfstest.Mem{}
 		d := drive(files)
 		d.lead()
 		done := d.propose("line")
 		for !*done {
-			d.turn()
-			d.perform(DiskAppend)
+			d.step()
+			d.execute(DiskAppend)
 		}
 		begun := []bool{}
 		d.driver.Engine().Do(func() {
 			begun = append(begun, d.driver.Snapshot(0), d.driver.Snapshot(0))
 		})
-		d.turn()
+		d.step()
 		Expect(begun).To(Equal([]bool{true, false}), "one at a time")
-		Expect(d.perform(DiskSnapshot)).To(Equal(1))
+		Expect(d.execute(DiskSnapshot)).To(Equal(1))
 		for range 5 {
-			d.turn()
-			d.perform(DiskAppend)
+			d.step()
+			d.execute(DiskAppend)
 		}
 		overview, _ := d.driver.Engine().Overview(0)
 		Expect(overview.SnapshotIndex).To(Equal(overview.Applied))
 		files.EndProcess()
 		next := drive(files)
-		Expect(next.ledger.Lines).To(Equal([]string{"line"}), "the next process starts from it")
+		Expect(next.recorder.Lines).To(Equal([]string{"line"}), "the next process starts from it")
 	})
 
-	It("draws the identity of an empty disk from its holder", func() {
+	It("takes the identity for an empty disk from its caller", func() {
 		const identity = 77
 		driver, err := OpenDriver(Options{
-			FileSystem: &vfstest.Mem{}, Dir: "data", Groups: map[GroupID]StateMachine{0: &ledger{}},
+			FileSystem: &vfstest.Mem{}, Dir: "data", Groups: map[GroupID]StateMachine{0: &recorder{}},
 			Self: consensus.Member{Address: "core"}, Sender: nowhere{}, Clock: clockwork.NewFakeClock(),
 		}, DriverOptions{
 			Disk:         func(DiskWork, func()) {},
--- a/internal/cluster/replica/engine_test.go
+++ b/internal/cluster/replica/engine_test.go
@@ -25,7 +25,7 @@
 		c.converge()
 	})
 
-	It("takes in machines beyond the seeds, and spreads the leaderships", func() {
+	It("adds machines beyond the seeds as members, and balances the leaderships", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 5)
 			c.startFirst(5)
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("moves no leadership for spread while its state machine keeps it, but gives it away at the end", func() {
+	It("balances no leadership that its state machine defers, but transfers it when it resigns", func() {
 		c := newCluster(2, 5)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -58,16 +58,16 @@
 			}
 		}
 		Expect(c.until(5*time.Second, leads(first))).To(BeTrue(), "one leads all")
-		for _, l := range first.ledgers {
-			l.keeps = true
+		for _, l := range first.recorders {
+			l.defers = true
 		}
 		c.run(30 * time.Second)
 		Expect(first.leads()).To(Equal(c.groups))
-		first.ledgers[0].keeps, first.ledgers[1].keeps = false, false
-		Expect(c.until(30*time.Second, func() bool { return !leads(first)() })).To(BeTrue(), "one is kept no more")
+		first.recorders[0].defers, first.recorders[1].defers = false, false
+		Expect(c.until(30*time.Second, func() bool { return !leads(first)() })).To(BeTrue(), "one is deferred no longer")
 		first.engine.Do(func() { first.engine.Resign(func() {}) })
 		first.wake()
-		Expect(c.until(5*time.Second, func() bool { return first.leads() == 0 })).To(BeTrue(), "none is kept at the end")
+		Expect(c.until(5*time.Second, func() bool { return first.leads() == 0 })).To(BeTrue(), "none is deferred when it resigns")
 	})
 
 	It("forms a group of a single member", func() {
@@ -81,7 +81,7 @@
 		c.confirmed(0)
 	})
 
-	It("goes on when a leader is lost, and takes it back", func() {
+	It("goes on when a leader is lost, and adds it again", func() {
 		c := newCluster(3, 2)
 		c.startFirst(3)
 		c.commit(0, 5, 10)
@@ -94,7 +94,7 @@
 		c.converge()
 	})
 
-	It("comes back from disks alone when all are killed at once", func() {
+	It("recovers from the disks when all are killed at once", func() {
 		for seed := range uint64(20) {
 			c := newCluster(seed, 5)
 			c.startFirst(5)
@@ -121,7 +121,7 @@
 		}
 	})
 
-	It("does not let a wiped machine vote before it is taken in", func() {
+	It("does not let a wiped machine vote before it is a member again", func() {
 		c := newCluster(4, 2)
 		c.startFirst(3)
 		c.commit(0, 5, 10)
@@ -131,10 +131,10 @@
 			m.start(nil)
 		}
 		c.run(30 * time.Second)
-		Expect(c.leader(0)).To(BeNil(), "two of three have forgotten what they promised")
+		Expect(c.leader(0)).To(BeNil(), "two of three have lost their votes and entries")
 	})
 
-	It("takes a wiped machine in again, within the time that a return may take", func() {
+	It("adds a wiped machine again within seconds", func() {
 		for seed := range uint64(20) {
 			c := newCluster(seed, 5)
 			c.startFirst(3)
@@ -160,7 +160,7 @@
 		}
 	})
 
-	DescribeTable("lets a new machine take the place of a lost one",
+	DescribeTable("replaces a lost machine by a new one",
 		func(name string) {
 			c := newCluster(5, 3)
 			c.startFirst(3)
@@ -180,7 +180,7 @@
 		Entry("of another name", "core-9"),
 	)
 
-	It("takes a machine in again that was replaced while it was away", func() {
+	It("adds a machine again that was replaced while it was away", func() {
 		c := newCluster(6, 3)
 		c.startFirst(3)
 		c.commit(1, 5, 10)
@@ -226,13 +226,13 @@
 		c.awaitVoters("core-1", "core-2", "core-3")
 	})
 
-	It("is quiet when idle", func() {
+	It("runs few steps and sends little when idle", func() {
 		c := newCluster(9, 5)
 		c.startFirst(5)
 		c.run(20 * time.Second)
-		turns, sent := c.turns, c.sent
+		turns, sent := c.steps, c.sent
 		c.run(idle)
-		perMachine := float64(c.turns-turns) / 5 / idle.Seconds()
+		perMachine := float64(c.steps-turns) / 5 / idle.Seconds()
 		envelopes := float64(c.sent-sent) / 5 / idle.Seconds()
 		GinkgoWriter.Println("turns a second", perMachine, "envelopes a second", envelopes)
 		Expect(perMachine).To(BeNumerically("<", 150))
@@ -241,7 +241,7 @@
 })
 
 var _ = Describe("Propose", func() {
-	It("refuses at a follower, and names the leader", func() {
+	It("fails at a follower and names the leader", func() {
 		c := newCluster(1, 1)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -255,7 +255,7 @@
 		Expect(failure.KindOf(outcome)).To(Equal(failure.NotLeader))
 	})
 
-	It("leaves the outcome open when leadership is lost", func() {
+	It("fails with an unknown outcome when leadership is lost", func() {
 		c := newCluster(2, 1)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -267,7 +267,7 @@
 		c.run(10 * time.Second)
 		Expect(calls).To(Equal(1))
 		Expect(failure.KindOf(outcome)).To(Equal(failure.UnknownOutcome))
-		Expect(old.ledgers[0].ended).To(Equal(1))
+		Expect(old.recorders[0].ended).To(Equal(1))
 		old.isolated = false
 		c.commit(0, 1, 10)
 		c.converge()
@@ -275,7 +275,7 @@
 })
 
 var _ = Describe("Confirm", func() {
-	It("is fast at a leader", func() {
+	It("succeeds quickly at a leader", func() {
 		c := newCluster(1, 1)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -325,7 +325,7 @@
 })
 
 var _ = Describe("Resign", func() {
-	It("gives all leaderships away quickly, and takes none again", func() {
+	It("transfers all leaderships quickly, and regains none", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 5)
 			c.startFirst(3)
@@ -342,7 +342,7 @@
 			c.awaitLeaders()
 			c.run(idle)
 			for id := range GroupID(5) {
-				Expect(leaving.ledgers[id].leading).To(BeZero())
+				Expect(leaving.recorders[id].leading).To(BeZero())
 				Expect(c.leader(id)).NotTo(BeNil())
 			}
 			leaving.kill()
@@ -351,7 +351,7 @@
 		}
 	})
 
-	It("does not wait for ever when nobody is there", func() {
+	It("ends after a timeout when there is no other process", func() {
 		c := newCluster(1, 1)
 		c.startFirst(1)
 		c.awaitLeaders()
--- a/internal/cluster/replica/exposure_test.go
+++ b/internal/cluster/replica/exposure_test.go
@@ -10,18 +10,18 @@
 // disks is what would be left if all machines lost power now.
 type disks map[consensus.MemberID]*machine
 
-// disksOf are the disks of the machines that are not gone for good.
-func (c *cluster) disksOf(gone *machine) disks {
+// disksOf returns the disks of the machines that are not removed for good.
+func (c *cluster) disksOf(removed *machine) disks {
 	left := disks{}
 	for _, m := range c.machines {
-		if m != gone && len(m.durable) > 0 {
+		if m != removed && len(m.durable) > 0 {
 			left[m.engine.self.ID] = m
 		}
 	}
 	return left
 }
 
-// oneLossIsFatal tells whether the loss of some one disk, while all other machines lose power, would leave a group
+// oneLossIsFatal reports whether the loss of some one disk, while all other machines lose power, would leave a group
 // without any member that can be elected.
 func (d disks) oneLossIsFatal(groups int) bool {
 	for lost := range d {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// electable tells whether a member of the group can be elected without the disk of one.
+// electable reports whether a member of the group can be elected without the disk of one.
 func (d disks) electable(id GroupID, lost consensus.MemberID) bool {
 	for candidate, m := range d {
 		if candidate != lost && d.wins(id, candidate, m, lost) {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// wins tells whether a candidate gets a quorum by the membership that its own disk holds. One that this leaves out stands
-// as well, without counting itself, as long as it doesn't know it to be committed.
+// wins reports whether a candidate gets a quorum by the membership on its own disk. One that this leaves out campaigns
+// as well, without counting itself, as long as it doesn't know the membership to be committed.
 func (d disks) wins(id GroupID, candidate consensus.MemberID, m *machine, lost consensus.MemberID) bool {
 	own := m.durable[id]
 	node := m.engine.byID[id].node
@@ -60,17 +60,17 @@
 	})
 }
 
-// stopwatch sums up the time during which a condition held.
+// stopwatch sums up the time during which a condition holds.
 type stopwatch struct {
-	at     time.Duration
-	held   bool
-	summed time.Duration
+	at      time.Duration
+	running bool
+	summed  time.Duration
 }
 
-// observe tells how things are from now on.
-func (s *stopwatch) look(now time.Duration, holds bool) {
-	if s.held {
+// observe sets whether the condition holds from now on.
+func (s *stopwatch) observe(now time.Duration, holds bool) {
+	if s.running {
 		s.summed += now - s.at
 	}
-	s.at, s.held = now, holds
+	s.at, s.running = now, holds
 }
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -13,29 +13,29 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// forget is a line that makes a ledger drop all lines before it.
+// forget is a line that makes a recorder drop all lines before it.
 const forget = "forget"
 
-// ledger is a state machine that keeps the first word of all that was applied.
-type ledger struct {
+// recorder is a state machine that records the first word of each command.
+type recorder struct {
 	Lines    []string
 	Last     uint64
 	leading  uint64
 	began    int
 	ended    int
 	restored int
-	keeps    bool // its leadership
+	defers   bool // transfers of its leadership
 }
 
 // The engine finds optional interfaces by assertion at run time: without this a method of another name is no error.
 var (
-	_ LeadershipObserver = (*ledger)(nil)
-	_ TransferDeferrer   = (*ledger)(nil)
+	_ LeadershipObserver = (*recorder)(nil)
+	_ TransferDeferrer   = (*recorder)(nil)
 )
 
-func (l *ledger) DefersTransfer() bool { return l.keeps }
+func (l *recorder) DefersTransfer() bool { return l.defers }
 
-func (l *ledger) Apply(index, term uint64, data []byte) any {
+func (l *recorder) Apply(index, term uint64, data []byte) any {
 	Expect(index).To(BeNumerically(">", l.Last), "entries are applied in order")
 	l.Last = index
 	if string(data) == forget {
@@ -46,73 +46,73 @@
 	return len(l.Lines)
 }
 
-func (l *ledger) Snapshot() ([]byte, error) {
+func (l *recorder) Snapshot() ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(l)
 	return buffer.Bytes(), err
 }
 
-func (l *ledger) Restore(data []byte) error {
+func (l *recorder) Restore(data []byte) error {
 	l.restored++
 	l.Lines, l.Last = nil, 0
 	return gob.NewDecoder(bytes.NewReader(data)).Decode(l)
 }
 
-func (l *ledger) Leading(term uint64) {
+func (l *recorder) Leading(term uint64) {
 	Expect(l.leading).To(BeZero(), "Leading comes once")
 	l.leading = term
 	l.began++
 }
 
-func (l *ledger) Following() {
+func (l *recorder) Following() {
 	Expect(l.leading).NotTo(BeZero(), "Following comes after Leading")
 	l.leading = 0
 	l.ended++
 }
 
-// machine is a control machine in virtual time.
+// machine is a control process with its disk, in virtual time.
 type machine struct {
-	cluster   *cluster
-	name      string
-	address   string
-	files     *vfstest.Mem
-	engine    *Engine
-	ledgers   map[GroupID]*ledger
-	states    map[GroupID]realState
-	bandwidth float64                  // bytes a second of the links from and to it; 0: no bound
-	linkFree  map[string]time.Duration // when a link has carried all that was sent
-	up        bool
-	frozen    bool
-	isolated  bool
-	diskDelay time.Duration
-	wakeAt    time.Duration
-	life      int
-	durable   map[GroupID]logEnd // how far the logs on the disk reach
+	cluster     *cluster
+	name        string
+	address     string
+	files       *vfstest.Mem
+	engine      *Engine
+	recorders   map[GroupID]*recorder
+	states      map[GroupID]realState
+	bandwidth   float64                  // bytes a second of the links from and to it; 0: no bound
+	linkFree    map[string]time.Duration // when a link is free again
+	up          bool
+	frozen      bool
+	isolated    bool
+	diskDelay   time.Duration
+	wakeAt      time.Duration
+	incarnation int
+	durable     map[GroupID]logEnd // the newest entries on the disk
 }
 
 // logEnd is the newest entry of a log.
 type logEnd struct{ index, term uint64 }
 
-// covers tells whether a log that ends here is at least as new as another.
+// covers reports whether a log that ends here is at least as new as another.
 func (l logEnd) covers(other logEnd) bool {
 	return l.term > other.term || l.term == other.term && l.index >= other.index
 }
 
 // start starts the machine's process on what its disk holds.
 func (m *machine) start(bootstrap []string) {
-	Expect(m.tryStart(bootstrap)).To(Succeed())
+	Expect(m.open(bootstrap)).To(Succeed())
 }
 
-func (m *machine) tryStart(bootstrap []string) error {
-	m.ledgers = map[GroupID]*ledger{}
+func (m *machine) open(bootstrap []string) error {
+	m.recorders = map[GroupID]*recorder{}
 	m.states = map[GroupID]realState{}
 	machines := map[GroupID]StateMachine{}
 	for id := range GroupID(m.cluster.groups) {
-		m.ledgers[id] = &ledger{}
-		machines[id] = m.ledgers[id]
+		m.recorders[id] = &recorder{}
+		machines[id] = m.recorders[id]
 		if m.cluster.newState != nil {
 			m.states[id] = m.cluster.newState(id)
-			machines[id] = &observedState{ledger: m.ledgers[id], state: m.states[id]}
+			machines[id] = &observedState{recorder: m.recorders[id], state: m.states[id]}
 		}
 	}
 	engine, err := Open(Options{
@@ -136,32 +136,32 @@
 		return err
 	}
 	m.engine = engine
-	m.life++
+	m.incarnation++
 	m.up, m.frozen = true, false
 	m.wakeAt = m.cluster.now()
-	engine.writer.execute = m.perform
+	engine.writer.execute = m.executeWrite
 	engine.background = m.background
 	return nil
 }
 
-// execute is the disk: the work is done when its time has passed, unless the machine is gone by then.
-func (m *machine) perform(w *diskWrite) {
-	engine, life := m.engine, m.life
+// executeWrite is the disk: a write is done once its time has passed, unless the process has ended by then.
+func (m *machine) executeWrite(w *diskWrite) {
+	engine, life := m.engine, m.incarnation
 	m.cluster.at(m.diskDelay, func() {
-		if !m.up || m.life != life {
+		if !m.up || m.incarnation != life {
 			return
 		}
 		usage, err := engine.writer.write(w)
 		if err == nil {
-			m.noteDurable(w)
+			m.recordDurable(w)
 		}
 		m.wake()
 		engine.Do(func() { engine.writer.finish(w, usage, err) })
 	})
 }
 
-// noteDurable keeps how far the logs on the disk reach.
-func (m *machine) noteDurable(w *diskWrite) {
+// recordDurable records the newest entries on the disk.
+func (m *machine) recordDurable(w *diskWrite) {
 	for _, t := range w.groups {
 		m.durable[t.group.id] = logEnd{index: t.index, term: t.term}
 	}
@@ -169,9 +169,9 @@
 }
 
 func (m *machine) background(job func() func()) {
-	engine, life := m.engine, m.life
+	engine, life := m.engine, m.incarnation
 	m.cluster.at(3*m.diskDelay, func() {
-		if m.up && m.life == life {
+		if m.up && m.incarnation == life {
 			engine.Do(job())
 			m.wake()
 		}
@@ -222,8 +222,8 @@
 	m.kill()
 	w := m.engine.writer
 	if w.inflight != nil && m.cluster.random.IntN(2) == 0 {
-		cutAt := m.files.Calls() + 1 + m.cluster.random.IntN(6)
-		m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: call.N == cutAt} })
+		powerOffAt := m.files.Calls() + 1 + m.cluster.random.IntN(6)
+		m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: call.N == powerOffAt} })
 		_, _ = w.write(w.inflight)
 	}
 	m.files = m.files.Crash(m.cluster.random)
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// living gives the members of a view that can answer. One that was heard lately but is proven to be gone can't.
+// living returns the members of a view that can answer. One with recent contact that is proven to be gone can't.
 func living(view membershipView) func(consensus.MemberID) bool {
 	return func(id consensus.MemberID) bool {
 		return slices.ContainsFunc(view.members, func(m memberView) bool {
@@ -19,7 +19,8 @@
 	}
 }
 
-// margin is how many of the living voters a configuration may lose and still have a majority; negative: it has none.
+// margin returns how many of the living voters a configuration may lose and still have a majority; negative: it has
+// none.
 func margin(members []consensus.Member, lives func(consensus.MemberID) bool) int {
 	voters, alive := 0, 0
 	for _, member := range members {
@@ -61,7 +62,7 @@
 		}
 	}
 	if len(sortedVoters(plan.members)) < min(len(sortedVoters(before)), minVoters) {
-		return "fewer vote than are wanted"
+		return "fewer than minVoters vote"
 	}
 	for _, member := range view.members {
 		if fault := faultOfMember(view, plan, member); fault != "" {
@@ -78,44 +79,44 @@
 	case member.Learner && votes && member.replicationAge > maxCaughtUpAge:
 		return "a learner votes that has not caught up"
 	case member.Learner && votes && (!member.alive() || member.avoidsLeadership):
-		return "a learner votes that is not there or goes"
+		return "a learner votes that is unresponsive or avoids leadership"
 	case member.Learner || votes:
 		return ""
 	case member.ID == view.self.ID:
 		return "the leader loses its vote"
 	case member.alive() && !member.avoidsLeadership && !view.superseded(member):
-		return "one loses its vote that is there, stays and was not succeeded"
+		return "one loses its vote that is alive and was not superseded"
 	default:
 		return ""
 	}
 }
 
-// The conditions of a voter and of a successor in the views that are gone through.
+// The conditions of a voter and of a successor in the views that are checked.
 var voterConditions = []func(m memberView) memberView{
 	present,
-	silent(time.Second),
-	silent(2 * time.Second),
-	silent(4 * time.Second),
-	silent(2 * time.Minute),
-	leaving,
+	unresponsive(time.Second),
+	unresponsive(2 * time.Second),
+	unresponsive(4 * time.Second),
+	unresponsive(2 * time.Minute),
+	avoiding,
 	func(m memberView) memberView { // of a young term
-		m = silentFor(m, 4*time.Second)
+		m = unresponsiveFor(m, 4*time.Second)
 		m.sinceAnswer = 100 * time.Millisecond
 		return m
 	},
 }
 
 // fewerConditions are those of five voters: all would take half a minute.
-var fewerConditions = []func(m memberView) memberView{present, silent(2 * time.Second), silent(4 * time.Second), leaving}
+var fewerConditions = []func(m memberView) memberView{present, unresponsive(2 * time.Second), unresponsive(4 * time.Second), avoiding}
 
 func present(m memberView) memberView { return m }
 
-func silent(silence time.Duration) func(m memberView) memberView {
-	return func(m memberView) memberView { return silentFor(m, silence) }
+func unresponsive(since time.Duration) func(m memberView) memberView {
+	return func(m memberView) memberView { return unresponsiveFor(m, since) }
 }
 
-func silentFor(m memberView, silence time.Duration) memberView {
-	m.sinceAnswer, m.sinceContact, m.lastContact = silence, silence, viewTime-silence
+func unresponsiveFor(m memberView, since time.Duration) memberView {
+	m.sinceAnswer, m.sinceContact, m.lastContact = since, since, viewTime-since
 	return m
 }
 
@@ -123,23 +124,23 @@
 	func(m memberView) memberView { return learning(m, 0) },
 	func(m memberView) memberView { return learning(m, maxCaughtUpAge+1) },
 	func(m memberView) memberView { return learning(m, unknownDuration) },
-	func(m memberView) memberView { return learning(silentFor(m, 2*time.Second), 0) },
-	func(m memberView) memberView { return learning(silentFor(m, time.Minute), 0) },
-	func(m memberView) memberView { return learning(leaving(m), 0) },
+	func(m memberView) memberView { return learning(unresponsiveFor(m, 2*time.Second), 0) },
+	func(m memberView) memberView { return learning(unresponsiveFor(m, time.Minute), 0) },
+	func(m memberView) memberView { return learning(avoiding(m), 0) },
 	func(m memberView) memberView { return m }, // votes already
 }
 
-// places are where a successor may be, beside the voters' own machines.
-type place struct {
+// location is where a successor may be, beside the voters' own machines.
+type location struct {
 	node, address string
-	reached       time.Duration // how long ago what it has answered left
+	reached       time.Duration // how long ago the newest message was sent that it has answered
 }
 
-func places() []place {
-	list := []place{{"new", "new:1", 0}}
+func locations() []location {
+	list := []location{{"new", "new:1", 0}}
 	for _, node := range []string{"a", "b", "c", "d", "e"} {
-		list = append(list, place{node, node + ":1", 20 * time.Millisecond}, place{node, node + ":1", time.Hour},
-			place{node, "new:1", 20 * time.Millisecond}, place{"new", node + ":1", 20 * time.Millisecond})
+		list = append(list, location{node, node + ":1", 20 * time.Millisecond}, location{node, node + ":1", time.Hour},
+			location{node, "new:1", 20 * time.Millisecond}, location{"new", node + ":1", 20 * time.Millisecond})
 	}
 	return list
 }
@@ -149,15 +150,15 @@
 	conditions := make([]int, voters)
 	for {
 		for _, condition := range successorConditions {
-			for _, place := range places() {
+			for _, where := range locations() {
 				view := membershipView{}
 				for i, state := range conditions {
 					node := string(rune('a' + i))
 					view.members = append(view.members, possible[state](seen(consensus.MemberID(i+1), node, 50*time.Millisecond)))
 				}
 				view.self = view.members[0].Member
-				successor := at(seen(9, place.node, 50*time.Millisecond), place.address)
-				view.members = append(view.members, reached(condition(successor), place.reached))
+				successor := at(seen(9, where.node, 50*time.Millisecond), where.address)
+				view.members = append(view.members, reached(condition(successor), where.reached))
 				f(view)
 			}
 		}
@@ -200,7 +201,7 @@
 	}
 })
 
-// after is the view once a plan is carried out.
+// after returns the view once a plan is carried out.
 func (v membershipView) after(plan membershipPlan) membershipView {
 	next := membershipView{self: v.self, joiners: v.joiners}
 	for _, member := range plan.members {
--- a/internal/cluster/replica/peers_test.go
+++ b/internal/cluster/replica/peers_test.go
@@ -13,8 +13,8 @@
 	const second = time.Second
 	var known *peers
 
-	hear := func(at time.Duration, address string, reluctant bool) {
-		known.recordContact(&Envelope{From: 2, Address: address, Reluctant: reluctant}, at)
+	contact := func(at time.Duration, address string, avoidsLeadership bool) {
+		known.recordContact(&Envelope{From: 2, Address: address, Reluctant: avoidsLeadership}, at)
 	}
 	member := func(address string) []consensus.Member {
 		return []consensus.Member{{ID: 2, Address: address}}
@@ -24,33 +24,33 @@
 		known = newPeers(consensus.Member{ID: 1, Address: "self"})
 	})
 
-	It("knows its own address, and nothing of strangers", func() {
+	It("knows its own address, and none of an unknown peer", func() {
 		Expect(known.address(1)).To(Equal("self"))
 		Expect(known.address(2)).To(BeEmpty())
 		Expect(known.acceptsLeadership(2, second)).To(BeFalse())
 		Expect(known.sinceContact(2, 3*second)).To(Equal(3 * second))
 	})
 
-	It("holds an address that the process told for truer than a membership, for a while", func() {
+	It("prefers a recently announced address to that of a membership", func() {
 		known.learnAddresses(member("old"), 0)
 		Expect(known.address(2)).To(Equal("old"))
-		hear(second, "new", false)
+		contact(second, "new", false)
 		known.learnAddresses(member("old"), 2*second)
 		Expect(known.address(2)).To(Equal("new"))
 		known.learnAddresses(member("newest"), 10*second)
 		Expect(known.address(2)).To(Equal("newest"))
 	})
 
-	It("counts how long a peer has been steady, and starts anew after a silence or reluctance", func() {
+	It("measures how long a peer has been steady, and starts anew after a gap or avoided leadership", func() {
 		for at := second; at <= 6*second; at += second / 2 {
-			hear(at, "", false)
+			contact(at, "", false)
 		}
 		Expect(known.steadyFor(2, 6*second)).To(Equal(5 * second))
-		Expect(known.steadyFor(2, 8*second)).To(BeZero(), "silent now")
-		hear(8*second, "", false)
+		Expect(known.steadyFor(2, 8*second)).To(BeZero(), "no contact now")
+		contact(8*second, "", false)
 		Expect(known.steadyFor(2, 8*second)).To(BeZero())
-		hear(8*second+second/2, "", true)
-		hear(9*second, "", false)
+		contact(8*second+second/2, "", true)
+		contact(9*second, "", false)
 		Expect(known.steadyFor(2, 9*second)).To(Equal(second / 2))
 		Expect(known.acceptsLeadership(2, 9*second)).To(BeFalse())
 		Expect(known.acceptsLeadership(2, 11*second)).To(BeTrue())
--- a/internal/cluster/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -18,12 +18,12 @@
 
 // The timing of control processes, as in internal/cluster/control, and their number of groups.
 const (
-	controlHeartbeat = 75 * time.Millisecond
-	controlElection  = 320 * time.Millisecond
-	controlGroups    = 5
-	controlPatience  = 4500 * time.Millisecond
-	fastDisk         = 9 * time.Millisecond
-	slowDisk         = 30 * fastDisk
+	controlHeartbeat           = 75 * time.Millisecond
+	controlElection            = 320 * time.Millisecond
+	controlGroups              = 5
+	controlDecommissionTimeout = 4500 * time.Millisecond
+	fastDisk                   = 9 * time.Millisecond
+	slowDisk                   = 30 * fastDisk
 )
 
 // repairLimit is how long a repair may take before it counts as one that never ends.
@@ -42,30 +42,30 @@
 
 // repair is one loss and what it takes until the group is fully redundant again.
 type repair struct {
-	cluster *cluster
-	lost    *machine             // whose identity has to go
-	gone    *machine             // a machine that does not come back; nil: it does
-	fresh   *machine             // whose identity has to come
-	old     []consensus.MemberID // identities that have to go
-	begun   time.Duration        // when the fresh one started
-	marks   map[GroupID]uint64
-	fatal   stopwatch
+	cluster       *cluster
+	lost          *machine             // whose identity has to be dropped
+	removed       *machine             // a machine that does not come back; nil: it does
+	fresh         *machine             // whose identity has to vote
+	old           []consensus.MemberID // identities that have to be dropped
+	startedAt     time.Duration        // when the fresh one started
+	targetCommits map[GroupID]uint64
+	fatal         stopwatch
 
-	lookedAt int // number of writes at the last look
+	observedWrites int // number of writes at the last observation
 }
 
 // repairFigures are what one repair took.
 type repairFigures struct {
-	whole    time.Duration // from the fresh process's start to full redundancy
-	fatal    time.Duration // of that, the time during which one more lost disk would have been fatal
+	total    time.Duration // from the start of the fresh process to full redundancy
+	fatal    time.Duration // of that, while one more lost disk would have been fatal
 	repaired bool          // within the limit
 }
 
-// wipedInPlace loses a disk; the machine starts again on an empty one at its old address after a while.
-func wipedInPlace(least, most time.Duration) func(r *repair) {
+// wipedAndRestarted loses a disk. After a while the machine starts again on an empty one at its old address.
+func wipedAndRestarted(shortest, longest time.Duration) func(r *repair) {
 	return func(r *repair) {
 		r.lost.wipe()
-		r.load(r.cluster.between(least, most))
+		r.load(r.cluster.between(shortest, longest))
 		r.fresh = r.lost
 		r.fresh.start(nil)
 	}
@@ -83,11 +83,11 @@
 	r.fresh.start(nil)
 }
 
-// goneForGood has an empty machine of a name take the place of one that is lost, up to five seconds later.
-func goneForGood(sameName bool) func(r *repair) {
+// removedForGood replaces a lost machine by an empty one of a name, up to five seconds later.
+func removedForGood(sameName bool) func(r *repair) {
 	return func(r *repair) {
 		r.lost.kill()
-		r.gone = r.lost
+		r.removed = r.lost
 		r.load(r.cluster.between(500*time.Millisecond, 5*time.Second))
 		name := "core-new"
 		if sameName {
@@ -97,17 +97,17 @@
 	}
 }
 
-// planned starts the successor first; a second later the old machine is asked to end, and is gone for good.
+// planned starts the successor first. A second later the old machine is decommissioned, and removed for good.
 func planned(r *repair) {
 	r.addFresh("core-new")
 	r.cluster.at(time.Second, func() {
-		leave := func() {
+		ended := func() {
 			r.cluster.at(0, func() {
 				r.lost.kill()
-				r.gone = r.lost
+				r.removed = r.lost
 			})
 		}
-		r.lost.engine.Do(func() { r.lost.engine.Decommission(controlPatience, leave) })
+		r.lost.engine.Do(func() { r.lost.engine.Decommission(controlDecommissionTimeout, ended) })
 		r.lost.wake()
 	})
 }
@@ -118,12 +118,12 @@
 	r.fresh.start(nil)
 }
 
-func (c *cluster) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.random.Int64N(int64(most-least)))
+func (c *cluster) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)))
 }
 
 // load proposes something every 20 ms on average while time passes.
-func (r *repair) load(span time.Duration) { r.cluster.work(span) }
+func (r *repair) load(span time.Duration) { r.cluster.proposeFor(span) }
 
 // keepLoading proposes for as long as the cluster runs.
 func (r *repair) keepLoading() {
@@ -141,35 +141,35 @@
 	c.logger = log.NewNopLogger()
 	c.heartbeat, c.election = controlHeartbeat, controlElection
 	c.startFirst(k.members)
-	Expect(c.until(30*time.Second, c.settled(c.names()...))).To(BeTrue(), "all vote")
+	Expect(c.until(30*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "all vote")
 	c.proposeMany(200)
 	c.run(2 * time.Second)
 	for _, m := range c.machines {
 		m.diskDelay = k.disk
 	}
-	r := &repair{cluster: c, marks: map[GroupID]uint64{}}
+	r := &repair{cluster: c, targetCommits: map[GroupID]uint64{}}
 	r.load(time.Second)
 	r.lost = c.machines[c.random.IntN(k.members)]
 	r.old = append(r.old, r.lost.engine.self.ID)
 	k.lose(r)
-	r.begun = c.now()
+	r.startedAt = c.now()
 	r.keepLoading()
 	repaired := c.until(repairLimit, func() bool {
-		whole := r.redundant(k.members)
-		r.look(whole)
-		return whole
+		redundant := r.redundant(k.members)
+		r.observe(redundant)
+		return redundant
 	})
-	return repairFigures{whole: c.now() - r.begun, fatal: r.fatal.summed, repaired: repaired}
+	return repairFigures{total: c.now() - r.startedAt, fatal: r.fatal.summed, repaired: repaired}
 }
 
-// observe notes whether one more loss would be fatal, if a disk has changed since the last look.
-func (r *repair) look(whole bool) {
+// observe records whether one more loss would be fatal, if a disk has changed since the last observation.
+func (r *repair) observe(redundant bool) {
 	c := r.cluster
-	if !whole && c.writes == r.lookedAt {
+	if !redundant && c.writes == r.observedWrites {
 		return
 	}
-	r.lookedAt = c.writes
-	r.fatal.look(c.now(), !whole && c.disksOf(r.gone).oneLossIsFatal(c.groups))
+	r.observedWrites = c.writes
+	r.fatal.observe(c.now(), !redundant && c.disksOf(r.removed).oneLossIsFatal(c.groups))
 }
 
 func (c *cluster) names() []string {
@@ -180,8 +180,8 @@
 	return names
 }
 
-// redundant tells whether in all groups the old identity is gone, and the fresh one votes and has on its disk all that
-// was committed by then.
+// redundant reports whether in all groups the old identities are dropped, and the fresh one votes and has on its disk
+// all that was committed by then.
 func (r *repair) redundant(voters int) bool {
 	for id := range GroupID(r.cluster.groups) {
 		leader := r.cluster.leader(id)
@@ -189,25 +189,25 @@
 			return false
 		}
 		commit := leader.engine.Status(id).Commit
-		if _, marked := r.marks[id]; !marked && r.succeeded(leader.engine.byID[id].node.MembersAt(commit), voters) {
-			r.marks[id] = commit
+		if _, known := r.targetCommits[id]; !known && r.superseded(leader.engine.byID[id].node.MembersAt(commit), voters) {
+			r.targetCommits[id] = commit
 		}
-		mark, marked := r.marks[id]
-		if !marked || r.fresh.durable[id].index < mark {
+		target, known := r.targetCommits[id]
+		if !known || r.fresh.durable[id].index < target {
 			return false
 		}
 	}
 	return true
 }
 
-// superseded tells whether the fresh identity has taken the old one's place.
-func (r *repair) succeeded(members []consensus.Member, voters int) bool {
+// superseded reports whether the fresh identity votes in place of the old ones.
+func (r *repair) superseded(members []consensus.Member, voters int) bool {
 	ids := sortedVoters(members)
 	current := !slices.ContainsFunc(members, func(m consensus.Member) bool { return slices.Contains(r.old, m.ID) })
 	return current && len(ids) == voters && slices.Contains(ids, r.fresh.engine.self.ID)
 }
 
-// quantiles are of many repairs.
+// quantiles summarizes many repairs.
 type quantiles struct{ median, p99, worst time.Duration }
 
 func quantilesOf(times []time.Duration) quantiles {
@@ -257,12 +257,12 @@
 	members []int
 	lose    func(r *repair)
 }{
-	{"wiped, back within 0.3 s", []int{3, 5, 9}, wipedInPlace(100*time.Millisecond, 300*time.Millisecond)},
-	{"wiped, back after 1 to 3 s", []int{3, 5, 9}, wipedInPlace(time.Second, 3*time.Second)},
+	{"wiped, back within 0.3 s", []int{3, 5, 9}, wipedAndRestarted(100*time.Millisecond, 300*time.Millisecond)},
+	{"wiped, back after 1 to 3 s", []int{3, 5, 9}, wipedAndRestarted(time.Second, 3*time.Second)},
 	{"two wiped at once", []int{5, 9}, twoWiped},
 	{"planned", []int{3, 5, 9}, planned},
-	{"gone, same name elsewhere", []int{3, 5, 9}, goneForGood(true)},
-	{"gone, another name elsewhere", []int{3, 5, 9}, goneForGood(false)},
+	{"gone, same name elsewhere", []int{3, 5, 9}, removedForGood(true)},
+	{"gone, another name elsewhere", []int{3, 5, 9}, removedForGood(false)},
 }
 
 var _ = Describe("The time to full redundancy", func() {
@@ -277,20 +277,20 @@
 	}
 })
 
-// report measures and prints the figures, and holds them against a bound.
+// report measures and prints, and compares the total with a bound.
 func (k repairCase) report(seeds uint64) {
 	GinkgoHelper()
 	all := k.measureAll(seeds)
-	var whole, fatal []time.Duration
+	var totals, fatal []time.Duration
 	never := 0
 	for _, figures := range all {
 		if !figures.repaired {
 			never++
 		}
-		whole, fatal = append(whole, figures.whole), append(fatal, figures.fatal)
+		totals, fatal = append(totals, figures.total), append(fatal, figures.fatal)
 	}
-	wholes := quantilesOf(whole)
-	fmt.Fprintf(GinkgoWriter, "repair | %s | %d seeds | never %d | whole %v | fatal %v\n", k.name, len(all), never, wholes,
+	total := quantilesOf(totals)
+	GinkgoWriter.Printf("repair | %s | %d seeds | never %d | whole %v | fatal %v\n", k.name, len(all), never, total,
 		quantilesOf(fatal))
-	Expect(wholes.worst).To(BeNumerically("<", repairBound))
+	Expect(total.worst).To(BeNumerically("<", repairBound))
 }
--- a/internal/cluster/replica/replace_test.go
+++ b/internal/cluster/replica/replace_test.go
@@ -9,16 +9,16 @@
 )
 
 var _ = Describe("a machine that is replaced", func() {
-	It("is succeeded soon, also in groups without any proposals", func() {
+	It("has a voting successor soon, also in groups without proposals", func() {
 		c := newCluster(31, 5)
 		c.startFirst(3)
 		c.awaitVoters("core-1", "core-2", "core-3")
 		c.run(10 * time.Second)
 		c.add("core-4", "10.0.0.4:7380").start(nil)
-		Expect(c.until(time.Second, c.settled("core-1", "core-2", "core-3", "core-4"))).To(BeTrue())
+		Expect(c.until(time.Second, c.votersAre("core-1", "core-2", "core-3", "core-4"))).To(BeTrue())
 	})
 
-	DescribeTable("does not count once it has left for good, so that its successor may be lost as well",
+	DescribeTable("does not count once it has ended for good, so that its successor may be lost as well",
 		func(leave func(m *machine)) {
 			for seed := range uint64(10) {
 				c := newCluster(seed, 5)
@@ -41,7 +41,7 @@
 				c.check()
 			}
 		},
-		Entry("after an orderly end", func(m *machine) {
+		Entry("after it resigned", func(m *machine) {
 			ended := false
 			m.engine.Do(func() { m.engine.Resign(func() { ended = true }) })
 			m.wakeAt = m.cluster.now()
--- a/internal/cluster/replica/run_test.go
+++ b/internal/cluster/replica/run_test.go
@@ -56,7 +56,7 @@
 	engine, err := Open(Options{
 		FileSystem:        vfs.OS{},
 		Dir:               dir,
-		Groups:            map[GroupID]StateMachine{0: &ledger{}},
+		Groups:            map[GroupID]StateMachine{0: &recorder{}},
 		Self:              consensus.Member{Node: address, Address: address},
 		Bootstrap:         seeds,
 		Peers:             []string{"a:1", "b:1", "c:1"},
@@ -76,7 +76,7 @@
 	}}
 }
 
-// committed proposes a line at one engine and tells whether it was committed.
+// committed proposes a line at one engine and reports whether it was committed.
 func committed(engine *Engine, line string) bool {
 	outcome := make(chan error, 1)
 	engine.Do(func() {
@@ -86,18 +86,18 @@
 }
 
 var _ = Describe("Run", func() {
-	It("commits, ends and comes back, with real goroutines, disks and clocks", func() {
+	It("commits, ends and starts again with real goroutines, disks and clocks", func() {
 		root := GinkgoT().TempDir()
 		w := &wire{engines: map[string]*Engine{}}
 		seeds := []string{"a:1", "b:1", "c:1"}
-		for life := range 2 {
+		for incarnation := range 2 {
 			var all []*running
 			for _, address := range seeds {
 				all = append(all, w.run(root+"/"+address, address, seeds))
 			}
 			leader := 0
 			for i := range 50 {
-				line := fmt.Sprintf("line-%d-%d", life, i)
+				line := fmt.Sprintf("line-%d-%d", incarnation, i)
 				Eventually(func() bool {
 					if committed(all[leader].engine, line) {
 						return true
@@ -108,15 +108,15 @@
 			}
 			count := make(chan int, 1)
 			engine := all[leader].engine
-			engine.Do(func() { count <- len(engine.byID[0].machine.(*ledger).Lines) })
-			Expect(<-count).To(BeNumerically(">=", 50*(life+1)))
+			engine.Do(func() { count <- len(engine.byID[0].machine.(*recorder).Lines) })
+			Expect(<-count).To(BeNumerically(">=", 50*(incarnation+1)))
 			for _, r := range all {
 				r.stop()
 			}
 		}
 	})
 
-	It("refuses a folder that another engine has", func() {
+	It("fails to open a folder that another engine has open", func() {
 		dir := GinkgoT().TempDir()
 		w := &wire{engines: map[string]*Engine{}}
 		first := w.run(dir, "a:1", []string{"a:1"})
--- a/internal/cluster/replica/states_test.go
+++ b/internal/cluster/replica/states_test.go
@@ -44,9 +44,9 @@
 	return jobsState{jobs.New(jobs.Options{})}
 }
 
-// observedState is a state machine that ships, with a ledger that knows what was applied last and who leads.
+// observedState is a state machine that ships, with a recorder that knows what was applied last and who leads.
 type observedState struct {
-	*ledger
+	*recorder
 	state realState
 }
 
@@ -80,7 +80,7 @@
 // linkQueue is how many bytes wait at most for a link, as in package transport.
 const linkQueue = 2 << 20
 
-// linkTo is how long an envelope takes to an address, or that the link's queue is full.
+// linkTo returns how long an envelope takes to an address, or false if the link's queue is full.
 func (m *machine) linkTo(address string, envelope *Envelope) (delay time.Duration, carried bool) {
 	bandwidth := m.bandwidth
 	for _, to := range m.cluster.machines {
@@ -104,7 +104,7 @@
 	return free - now + linkDelay, true
 }
 
-// bytesOf is about how long an envelope is on the wire.
+// bytesOf returns about how long an envelope is on the wire.
 func bytesOf(envelope *Envelope) int {
 	const head = 60
 	bytes := head
@@ -121,7 +121,7 @@
 	return bytes
 }
 
-// order gives an order to a machine's engine. The outcome comes later.
+// order proposes a change of the configuration to a machine's engine. The outcome comes later.
 func (m *machine) order(command configuration.Command, done func(configuration.Result, error)) {
 	data, err := configuration.EncodeCommand(command)
 	Expect(err).NotTo(HaveOccurred())
@@ -134,44 +134,44 @@
 	m.wake()
 }
 
-// configure gives an order to the leader until the outcome is clear.
+// configure proposes a change of the configuration to the leader until the outcome is known.
 func (c *cluster) configure(command configuration.Command) configuration.Result {
 	GinkgoHelper()
 	for range 100 {
 		Expect(c.until(10*time.Second, func() bool { return c.leader(configurationGroup) != nil })).To(BeTrue())
 		var outcome configuration.Result
-		settled, clear := false, false
+		resolved, known := false, false
 		c.leader(configurationGroup).order(command, func(result configuration.Result, err error) {
-			outcome, settled, clear = result, true, err == nil
+			outcome, resolved, known = result, true, err == nil
 		})
-		c.until(3*time.Second, func() bool { return settled })
-		if clear {
+		c.until(3*time.Second, func() bool { return resolved })
+		if known {
 			return outcome
 		}
 		c.run(50 * time.Millisecond)
 	}
-	Fail("an order comes out")
+	Fail("a change has an outcome")
 	return configuration.Result{}
 }
 
-// change is an order with a body of about so many bytes.
+// change is a change of the configuration with a body of about so many bytes.
 func change(base uint64, bytes int) configuration.Command {
 	body := fmt.Sprintf(`{"version":%d,"upsert":{"note":"%s"}}`, base+1, strings.Repeat("x", bytes))
 	return configuration.Command{Kind: protocol.ConfigurationUpdate, Base: base, Body: []byte(body)}
 }
 
-// changeMany has so many changes taken, one after the other, each with a job handed in.
+// changeMany makes changes one after the other, and submits a job with each.
 func (c *cluster) changeMany(changes, bytes int) {
 	GinkgoHelper()
 	for range changes {
 		base := c.version()
 		result := c.configure(change(base, bytes))
 		Expect(result).To(Equal(configuration.Result{Version: base + 1}))
-		c.handIn()
+		c.submitJob()
 	}
 }
 
-// version is that of the configuration's leader.
+// version returns that of the configuration's leader.
 func (c *cluster) version() uint64 {
 	GinkgoHelper()
 	Expect(c.until(10*time.Second, func() bool { return c.leader(configurationGroup) != nil })).To(BeTrue())
@@ -182,17 +182,17 @@
 	return m.states[configurationGroup].(*configuration.State).Document().Version()
 }
 
-// handIn hands a job in, and does not wait.
-func (c *cluster) handIn() {
+// submitJob submits a job, and does not wait.
+func (c *cluster) submitJob() {
 	leader := c.leader(jobsGroup)
 	if leader == nil {
 		return
 	}
-	c.nextLine++
+	c.nextCommand++
 	data, err := jobs.Encode(&jobs.Command{
 		TimeOfDayMs: 1_700_000_000_000 + c.now().Milliseconds(),
 		Submits: []jobs.Submit{{
-			ID:    fmt.Sprintf("%016x", c.nextLine),
+			ID:    fmt.Sprintf("%016x", c.nextCommand),
 			Queue: protocol.Queue{Key: "one.example/one/", Service: "a"},
 			Job:   protocol.JobSpec{Spec: "work", Steps: []protocol.Step{{Count: 4, EstimatedMs: 900}}},
 		}},
@@ -218,7 +218,7 @@
 	}
 }
 
-// follower is a machine that leads nothing.
+// follower returns a machine that leads nothing.
 func (c *cluster) follower() *machine {
 	GinkgoHelper()
 	for _, m := range c.machines {
@@ -230,13 +230,13 @@
 	return nil
 }
 
-var _ = Describe("An order that is tried twice", func() {
+var _ = Describe("A configuration change that is submitted twice", func() {
 	first := change(0, 10)
 	again := change(1, 10)
 	rival := configuration.Command{Kind: protocol.ConfigurationUpdate, Base: 1, Body: []byte(`{"version":2}`)}
 
-	// start has a cluster with version 1, whose leader gets the order and cannot commit it.
-	start := func(appendsArrive bool) (c *cluster, old *machine, firstTry *error) {
+	// start returns a cluster with version 1, whose leader gets the next change and cannot commit it.
+	start := func(appendsArrive bool) (c *cluster, old *machine, firstAttempt *error) {
 		c = newShippedCluster(31)
 		c.startFirst(3)
 		Expect(c.configure(first).Version).To(Equal(uint64(1)))
@@ -244,15 +244,15 @@
 		old = c.leader(configurationGroup)
 		c.drop = func(from, to *machine, _ *Envelope) bool { return to == old || from == old && !appendsArrive }
 		outcome := error(nil)
-		firstTry = &outcome
+		firstAttempt = &outcome
 		old.order(again, func(_ configuration.Result, err error) { outcome = err })
 		c.until(100*time.Millisecond, func() bool { return false })
 		Expect(versionOf(old)).To(Equal(uint64(1)), "it is not committed")
-		return c, old, firstTry
+		return c, old, firstAttempt
 	}
 
-	It("is confirmed once its first try is, which is in the log of the new leader, uncommitted", func() {
-		c, old, firstTry := start(true)
+	It("is confirmed once its first attempt is, which is in the log of the new leader, uncommitted", func() {
+		c, old, firstAttempt := start(true)
 		old.kill()
 		c.drop = nil
 		Expect(c.configure(again)).To(Equal(configuration.Result{Version: 2}))
@@ -260,11 +260,11 @@
 		old.start(nil)
 		c.agree()
 		Expect(c.version()).To(Equal(uint64(2)))
-		Expect(*firstTry).NotTo(HaveOccurred(), "nobody has told the first caller anything")
+		Expect(*firstAttempt).NotTo(HaveOccurred(), "the first caller was given no outcome")
 	})
 
-	It("is taken by its second try where the first is in the log of the old leader alone", func() {
-		c, old, firstTry := start(false)
+	It("is applied by its second attempt where the first is in the log of the old leader alone", func() {
+		c, old, firstAttempt := start(false)
 		Expect(c.until(5*time.Second, func() bool {
 			m := c.leader(configurationGroup)
 			return m != nil && m != old
@@ -273,12 +273,12 @@
 		Expect(c.configure(rival).Kind).To(Equal(failure.Conflict))
 		c.drop = nil
 		c.agree()
-		Expect(failure.KindOf(*firstTry)).To(Equal(failure.UnknownOutcome))
+		Expect(failure.KindOf(*firstAttempt)).To(Equal(failure.UnknownOutcome))
 		Expect(c.version()).To(Equal(uint64(2)))
 	})
 
-	It("is refused where another came first meanwhile, and its first try never comes out", func() {
-		c, old, firstTry := start(false)
+	It("conflicts where another change came first, and its first attempt is never applied", func() {
+		c, old, firstAttempt := start(false)
 		Expect(c.until(5*time.Second, func() bool {
 			m := c.leader(configurationGroup)
 			return m != nil && m != old
@@ -287,7 +287,7 @@
 		Expect(c.configure(again).Kind).To(Equal(failure.Conflict))
 		c.drop = nil
 		c.agree()
-		Expect(failure.KindOf(*firstTry)).To(Equal(failure.UnknownOutcome))
+		Expect(failure.KindOf(*firstAttempt)).To(Equal(failure.UnknownOutcome))
 		Expect(c.configure(again).Kind).To(Equal(failure.Conflict))
 		Expect(c.configure(rival)).To(Equal(configuration.Result{Version: 2}))
 	})
@@ -322,25 +322,25 @@
 })
 
 var _ = Describe("The digest of a state", func() {
-	digestAt := func(c *cluster, m *machine, id GroupID, index uint64) (digest *uint64, failed *error) {
+	digestAt := func(m *machine, id GroupID, index uint64) (digest *uint64, failed *error) {
 		digest, failed = new(uint64), new(error)
 		m.engine.Do(func() {
-			m.engine.DigestAt(id, index, func(told uint64, err error) { *digest, *failed = told, err })
+			m.engine.DigestAt(id, index, func(computed uint64, err error) { *digest, *failed = computed, err })
 		})
 		m.wake()
 		return digest, failed
 	}
 
-	It("is told by all members as of one index, while entries come", func() {
+	It("is computed by all members at one index, while entries are being applied", func() {
 		c := newShippedCluster(71)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(50)).Version).To(Equal(uint64(1)))
 		c.agree()
-		index := c.leader(configurationGroup).ledgers[configurationGroup].Last + 4
+		index := c.leader(configurationGroup).recorders[configurationGroup].Last + 4
 		var digests []*uint64
 		var failures []*error
 		for _, m := range c.machines {
-			digest, failed := digestAt(c, m, configurationGroup, index)
+			digest, failed := digestAt(m, configurationGroup, index)
 			digests, failures = append(digests, digest), append(failures, failed)
 		}
 		c.changeMany(8, 100)
@@ -352,15 +352,15 @@
 		Expect(c.leader(configurationGroup).states[configurationGroup].Digest()).NotTo(Equal(*digests[0]), "it went on")
 	})
 
-	It("is refused where the state is past the index, does not get there, or is none", func() {
+	It("fails if the state is past the index, does not get there, or has no digest", func() {
 		c := newShippedCluster(72)
 		c.startFirst(3)
 		c.awaitLeaders()
 		m := c.leader(configurationGroup)
 		c.changeMany(3, 10)
-		_, past := digestAt(c, m, configurationGroup, 1)
-		_, ahead := digestAt(c, m, configurationGroup, 1000)
-		_, unknown := digestAt(c, m, 99, 1)
+		_, past := digestAt(m, configurationGroup, 1)
+		_, ahead := digestAt(m, configurationGroup, 1000)
+		_, unknown := digestAt(m, 99, 1)
 		c.run(2 * time.Second)
 		Expect(failure.KindOf(*past)).To(Equal(failure.Conflict))
 		Expect(failure.KindOf(*ahead)).To(Equal(failure.Unavailable))
@@ -370,7 +370,7 @@
 		plain.startFirst(3)
 		plain.commit(0, 1, 10)
 		leader := plain.leader(0)
-		_, none := digestAt(plain, leader, 0, leader.ledgers[0].Last)
+		_, none := digestAt(leader, 0, leader.recorders[0].Last)
 		plain.run(time.Second)
 		Expect(failure.KindOf(*none)).To(Equal(failure.Unavailable))
 	})
--- a/internal/cluster/replica/succession_test.go
+++ b/internal/cluster/replica/succession_test.go
@@ -11,18 +11,18 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// controlCluster has machines with control's own timing, all of which vote.
+// controlCluster returns machines with the timing of control processes, all of which vote.
 func controlCluster(seed uint64, members int) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, controlGroups)
 	c.heartbeat, c.election = controlHeartbeat, controlElection
 	c.startFirst(members)
 	c.awaitVoters(c.names()...)
-	c.work(2 * time.Second)
+	c.proposeFor(2 * time.Second)
 	return c
 }
 
-// recordOf keeps all that a machine sends from now on, until stop is called.
+// recordOf records all that a machine sends from now on, until stop is called.
 func (c *cluster) recordOf(m *machine) (record func() []*Envelope, stop func()) {
 	var sent []*Envelope
 	c.trace = func(from *machine, _ string, envelope *Envelope) {
@@ -33,7 +33,7 @@
 	return func() []*Envelope { return sent }, func() { c.trace = nil }
 }
 
-// deliver brings an envelope to all machines but those at its sender's address.
+// deliver delivers an envelope to all machines but those at its sender's address.
 func (c *cluster) deliver(envelope *Envelope) {
 	for _, m := range c.machines {
 		if m.up && m.address != envelope.Address {
@@ -44,7 +44,7 @@
 	}
 }
 
-// votes tells whether an identity votes in all groups.
+// votes reports whether an identity votes in all groups.
 func (c *cluster) votes(id consensus.MemberID) bool {
 	for group := range GroupID(c.groups) {
 		leader := c.leader(group)
@@ -55,7 +55,7 @@
 	return true
 }
 
-// voted tells whether an identity votes in any group.
+// voted reports whether an identity votes in any group.
 func (c *cluster) voted(id consensus.MemberID) bool {
 	for group := range GroupID(c.groups) {
 		leader := c.leader(group)
@@ -67,7 +67,7 @@
 }
 
 var _ = Describe("A machine that comes back without its disk", func() {
-	It("has its place again as soon as it answers and holds what is committed, however soon it is back", func() {
+	It("is a voter again as soon as it answers and has what is committed, however soon it is back", func() {
 		for seed := range uint64(20) {
 			c := controlCluster(seed, 3)
 			follower := c.machines[c.random.IntN(3)]
@@ -77,28 +77,28 @@
 					follower.wake()
 				}
 			}
-			c.work(time.Second)
+			c.proposeFor(time.Second)
 			follower.wipe()
-			c.work(20 * time.Millisecond)
+			c.proposeFor(20 * time.Millisecond)
 			follower.start(nil)
-			Expect(c.until(400*time.Millisecond, c.settled(c.names()...))).To(BeTrue())
+			Expect(c.until(400*time.Millisecond, c.votersAre(c.names()...))).To(BeTrue())
 		}
 	})
 
-	It("is not taken for lost on the word of identities that were lost before, however late it comes", func() {
+	It("does not count as lost because of late messages of identities that were lost before", func() {
 		for seed := range uint64(6) {
 			c := controlCluster(seed, 3)
 			m := c.machines[seed%3]
 			record, stop := c.recordOf(m)
-			c.work(500 * time.Millisecond)
+			c.proposeFor(500 * time.Millisecond)
 			oldest := m.engine.self.ID
 			m.wipe()
 			m.start(nil)
-			c.work(2 * time.Second)
+			c.proposeFor(2 * time.Second)
 			second := m.engine.self.ID
 			m.wipe()
 			m.start(nil)
-			c.work(2 * time.Second)
+			c.proposeFor(2 * time.Second)
 			stop()
 			present := m.engine.self.ID
 			Expect(c.votes(present)).To(BeTrue())
@@ -111,23 +111,23 @@
 			}
 			for range 100 {
 				c.deliver(late[c.random.IntN(len(late))])
-				c.work(time.Duration(c.random.IntN(20)) * time.Millisecond)
+				c.proposeFor(time.Duration(c.random.IntN(20)) * time.Millisecond)
 				Expect(c.votes(present)).To(BeTrue(), "the present identity keeps its vote")
 				Expect(c.voted(oldest)).To(BeFalse())
 				Expect(c.voted(second)).To(BeFalse())
 			}
-			c.work(2 * time.Second)
+			c.proposeFor(2 * time.Second)
 			c.awaitVoters(c.names()...)
 			Expect(c.isMember(oldest) || c.isMember(second)).To(BeFalse(), "what a late wish has brought in is dropped")
 		}
 	})
 
-	It("is taken in also while envelopes of its lost identity come in late and twice", func() {
+	It("is added also while envelopes of its lost identity arrive late and twice", func() {
 		for seed := range uint64(10) {
 			c := controlCluster(seed, 3)
 			m := c.machines[seed%3]
 			record, stop := c.recordOf(m)
-			c.work(500 * time.Millisecond)
+			c.proposeFor(500 * time.Millisecond)
 			m.wipe()
 			stop()
 			m.start(nil)
@@ -135,7 +135,7 @@
 			for i := range 10 {
 				c.at(time.Duration(i)*20*time.Millisecond, func() { c.deliver(late[c.random.IntN(len(late))]) })
 			}
-			Expect(c.until(3*time.Second, c.settled(c.names()...))).To(BeTrue())
+			Expect(c.until(3*time.Second, c.votersAre(c.names()...))).To(BeTrue())
 		}
 	})
 
@@ -144,15 +144,15 @@
 			c := controlCluster(uint64(pause), 3)
 			m := c.machines[c.random.IntN(3)]
 			m.wipe()
-			c.work(50 * time.Millisecond)
+			c.proposeFor(50 * time.Millisecond)
 			for range 3 {
 				m.start(nil)
 				c.run(pause)
 				m.wipe()
 			}
 			m.start(nil)
-			Expect(c.until(3*time.Second, c.settled(c.names()...))).To(BeTrue(), "after %v", pause)
-			c.work(100 * time.Millisecond)
+			Expect(c.until(3*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "after %v", pause)
+			c.proposeFor(100 * time.Millisecond)
 			c.converge()
 		}
 	})
@@ -164,7 +164,7 @@
 			m.wipe()
 			c.seeds = []string{c.machines[4].address}
 			m.start(nil)
-			Expect(c.until(3*time.Second, c.settled(c.names()...))).To(BeTrue())
+			Expect(c.until(3*time.Second, c.votersAre(c.names()...))).To(BeTrue())
 		}
 	})
 
@@ -185,7 +185,7 @@
 				for _, m := range lost {
 					m.start(nil)
 				}
-				c.work(time.Duration(c.random.IntN(400)) * time.Millisecond)
+				c.proposeFor(time.Duration(c.random.IntN(400)) * time.Millisecond)
 				for _, m := range c.machines {
 					if !slices.Contains(lost, m) {
 						m.losePower()
@@ -197,7 +197,7 @@
 						m.start(nil)
 					}
 				}
-				Expect(c.until(10*time.Second, c.settled(c.names()...))).To(BeTrue(), "seed %d", seed)
+				Expect(c.until(10*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "seed %d", seed)
 				c.converge()
 			}
 		},
@@ -212,7 +212,7 @@
 			c := controlCluster(seed, 3)
 			m := c.machines[c.random.IntN(3)]
 			m.wipe()
-			c.work(time.Duration(c.random.IntN(1500)) * time.Millisecond)
+			c.proposeFor(time.Duration(c.random.IntN(1500)) * time.Millisecond)
 			m.start(nil)
 			c.run(time.Duration(c.random.IntN(150)) * time.Millisecond)
 			leader := c.leader(0)
@@ -224,49 +224,49 @@
 			} else {
 				leader.isolated = true
 			}
-			c.work(time.Second)
+			c.proposeFor(time.Second)
 			if seed%2 == 0 {
 				leader.start(nil)
 			}
 			leader.isolated = false
-			Expect(c.until(6*time.Second, c.settled(c.names()...))).To(BeTrue(), "seed %d", seed)
+			Expect(c.until(6*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "seed %d", seed)
 			c.converge()
 		}
 	})
 })
 
 var _ = Describe("A machine that was replaced while it was away", func() {
-	DescribeTable("disturbs nobody when it comes back, and is taken in again",
+	DescribeTable("disturbs nobody when it comes back, and is added again",
 		func(away, back func(m *machine)) {
 			for seed := range uint64(10) {
 				c := controlCluster(seed, 3)
 				m := c.machines[seed%3]
 				away(m)
-				c.work(4 * time.Second)
+				c.proposeFor(4 * time.Second)
 				c.add("core-4", "10.0.0.4:7380").start(nil)
 				names := slices.DeleteFunc(c.names(), func(name string) bool { return name == m.name })
-				Expect(c.until(2*time.Second, c.settled(names...))).To(BeTrue())
+				Expect(c.until(2*time.Second, c.votersAre(names...))).To(BeTrue())
 				c.run(25 * time.Second) // until leaderships are spread
 				terms := c.terms()
 				back(m)
-				c.work(time.Second)
+				c.proposeFor(time.Second)
 				Expect(c.terms()).To(Equal(terms))
 				c.awaitVoters(c.names()...)
 				c.converge()
 			}
 		},
-		Entry("cut off", func(m *machine) { m.isolated = true }, func(m *machine) { m.isolated = false }),
+		Entry("partitioned", func(m *machine) { m.isolated = true }, func(m *machine) { m.isolated = false }),
 		Entry("frozen", func(m *machine) { m.frozen = true }, func(m *machine) { m.frozen = false; m.wake() }),
 	)
 })
 
 var _ = Describe("A learner", func() {
-	It("does not vote on the word of an identity that is gone for good, however late and often that comes", func() {
+	It("does not become a voter because of late messages of an identity that is gone for good", func() {
 		for seed := range uint64(6) {
 			c := controlCluster(seed, 3)
 			leader := c.leader(0)
 			for id := range GroupID(controlGroups) { // one leads all of them, in the same terms
-				leader.ledgers[id].keeps = true
+				leader.recorders[id].defers = true
 				if c.leader(id) != leader {
 					c.moveLeadership(id, leader)
 				}
@@ -280,7 +280,7 @@
 			}
 			gone.kill()
 			names := slices.DeleteFunc(c.names(), func(name string) bool { return name == gone.name })
-			Expect(c.until(3*time.Second, c.settled(names...))).To(BeTrue())
+			Expect(c.until(3*time.Second, c.votersAre(names...))).To(BeTrue())
 			for id := range GroupID(controlGroups) {
 				wish := Join{Group: id, Member: consensus.Member{ID: gone.engine.self.ID, Node: gone.name, Zone: "zone", Address: gone.address}}
 				late := Envelope{From: gone.engine.self.ID, Address: gone.address, Joins: []Join{wish}}
@@ -302,7 +302,7 @@
 	})
 
 	for _, disk := range []time.Duration{fastDisk, 100 * time.Millisecond, slowDisk, 400 * time.Millisecond} {
-		It(fmt.Sprintf("is promoted under constant load with a disk of %v, and then holds what was committed a second before", disk), func() {
+		It(fmt.Sprintf("is promoted under constant load with a disk of %v, and then has what was committed a second before", disk), func() {
 			for seed := range uint64(5) {
 				c := controlCluster(seed, 3)
 				keepProposing(c)
@@ -358,7 +358,7 @@
 	})
 }
 
-// votesIn tells whether a machine's identity votes in a group.
+// votesIn reports whether a machine's identity votes in a group.
 func (c *cluster) votesIn(id GroupID, m *machine) bool {
 	return slices.Contains(sortedVoters(c.leader(id).engine.Members(id)), m.engine.self.ID)
 }
@@ -375,7 +375,7 @@
 }
 
 var _ = Describe("A machine that moved with its disk", func() {
-	It("is where it says that it is, before the membership says so, so that nobody at its old address counts as its successor", func() {
+	It("is known at its announced address before the membership has it, so that nobody at its old address counts as its successor", func() {
 		c := controlCluster(1, 3)
 		moved := c.machines[(slotOf(c, c.leader(0))+1)%3]
 		moved.kill()
@@ -403,18 +403,18 @@
 
 var _ = Describe("Three machines and a new one", func() {
 	for _, gap := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
-		It(fmt.Sprintf("lose nothing and end whole when one is wiped, one leaves, one is cut off and one joins, in any order, %v apart", gap), func() {
+		It(fmt.Sprintf("lose nothing and end complete when one is wiped, one decommissioned, one partitioned and one joins, in any order, %v apart", gap), func() {
 			for number, order := range permutations(4) {
 				c := controlCluster(uint64(number), 3)
 				wiped, leaves, cut := c.machines[number%3], c.machines[(number+1)%3], c.machines[(number+2)%3]
 				wiped.diskDelay, leaves.diskDelay = 9*time.Millisecond, 12*time.Millisecond
-				var departure *departing
+				var exit *decommissioning
 				events := []func(){
 					func() {
 						wiped.wipe()
 						c.at(100*time.Millisecond, func() { wiped.start(nil) })
 					},
-					func() { departure = leaves.leave(controlPatience) },
+					func() { exit = leaves.decommission(controlDecommissionTimeout) },
 					func() {
 						cut.isolated = true
 						c.at(2*time.Second, func() { cut.isolated = false })
@@ -423,18 +423,18 @@
 				}
 				for _, next := range order {
 					events[next]()
-					c.work(gap)
+					c.proposeFor(gap)
 				}
-				for !departure.gone() {
-					c.work(50 * time.Millisecond)
+				for !exit.hasEnded() {
+					c.proposeFor(50 * time.Millisecond)
 				}
-				spared := departure.ended-departure.begun < controlPatience
-				if !spared || departure.voted {
+				spared := exit.endedAt-exit.startedAt < controlDecommissionTimeout
+				if !spared || exit.voted {
 					leaves.start(nil) // nobody took its place: it has only been started again
 				} else {
 					c.machines = slices.DeleteFunc(c.machines, func(m *machine) bool { return m == leaves })
 				}
-				Expect(c.until(15*time.Second, c.settled(c.names()...))).To(BeTrue(), "order %v", order)
+				Expect(c.until(15*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "order %v", order)
 				c.converge()
 			}
 		})
