--- a/internal/cluster/replica/engine_test.go
+++ b/internal/cluster/replica/engine_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// idle is a state of things in which nothing is to be done.
+// idle is the length of a time without proposals.
 const idle = 10 * time.Second
 
 var _ = Describe("Engine", func() {
