--- a/internal/cluster/replica/wal/compatibility_test.go
+++ b/internal/cluster/replica/wal/compatibility_test.go
@@ -20,7 +20,7 @@
 	"0741646472657373010c0001074c6561726e657201020000004cff80010301090104010201010106636f72652d31010161010d31302e302e" +
 	"302e313a373030300001f880000000000000000106636f72652d32020d31302e302e302e323a3730303001010000"
 
-var _ = Describe("a snapshot that was written before there were joint memberships", func() {
+var _ = Describe("a snapshot that was written before joint memberships existed", func() {
 	It("is read unchanged", func() {
 		files := &vfstest.Mem{}
 		Expect(files.MkdirAll(folder)).To(Succeed())
@@ -29,7 +29,7 @@
 		data := []byte("state at 9")
 		sum := crc32.Update(crc32.Checksum(front, castagnoli), castagnoli, data)
 		parts := [][]byte{front, data, binary.LittleEndian.AppendUint32(nil, sum)}
-		Expect(writeWhole(files, folder, snapshotName(3, 9, 4), parts)).To(Succeed())
+		Expect(writeAtomically(files, folder, snapshotName(3, 9, 4), parts)).To(Succeed())
 
 		read, err := ReadSnapshot(files, folder, 3, 9, 4)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/replica/wal/crash_test.go
+++ b/internal/cluster/replica/wal/crash_test.go
@@ -37,7 +37,7 @@
 	return written + more, err
 }
 
-// model is what a group's log must hold.
+// model is what a group's log must have.
 type model struct {
 	hard     consensus.HardState
 	snapshot uint64
@@ -80,18 +80,18 @@
 	return same && (len(m.entries) == 0 || reflect.DeepEqual(g.Entries, m.entries))
 }
 
-// trial writes at random to a disk that fails, or loses power, at random.
-type trial struct {
+// randomRun writes at random to a disk that fails, or loses power, at random.
+type randomRun struct {
 	random *rand.Rand
 	files  *vfstest.Mem
 	log    *Log
-	models [2]model   // what the log holds, as far as its user knows
+	models [2]model   // what the log has, as far as its user knows
 	older  [][2]model // what a loss of power may bring back: nothing was acknowledged since
 	term   uint64
 }
 
 // next fills a batch, and returns the models as they are once it is on disk; false if its snapshot could not be written.
-func (t *trial) next(batch *Batch) ([2]model, bool) {
+func (t *randomRun) next(batch *Batch) ([2]model, bool) {
 	after := [2]model{t.models[0].clone(), t.models[1].clone()}
 	for group := range after {
 		m := &after[group]
@@ -134,7 +134,7 @@
 }
 
 // reopen opens the log anew and expects the state that was acknowledged last, or a later one.
-func (t *trial) reopen(after [2]model) {
+func (t *randomRun) reopen(after [2]model) {
 	GinkgoHelper()
 	log, groups, err := Open(halves{t.files}, folder, smallSegments)
 	Expect(err).NotTo(HaveOccurred())
@@ -146,16 +146,16 @@
 			return
 		}
 	}
-	Fail(fmt.Sprintf("the disk holds %+v %+v, none of %+v or %+v", groups[0], groups[1], t.older, after))
+	Fail(fmt.Sprintf("the disk has %+v %+v, none of %+v or %+v", groups[0], groups[1], t.older, after))
 }
 
-func (t *trial) acknowledged(models [2]model) {
+func (t *randomRun) acknowledged(models [2]model) {
 	t.models, t.older = models, nil
 }
 
 var faults = []error{syscall.EIO, syscall.ENOSPC}
 
-func (t *trial) step() {
+func (t *randomRun) step() {
 	GinkgoHelper()
 	batch := &Batch{}
 	failures, powerOff := t.random.IntN(4) == 0, t.random.IntN(8) == 0
@@ -198,9 +198,9 @@
 }
 
 var _ = Describe("Log on a bad disk", func() {
-	It("holds what was acknowledged, and of the rest all of a batch or nothing", func() {
+	It("has what was acknowledged, and of the rest all of a batch or nothing", func() {
 		for seed := range uint64(500) {
-			t := &trial{random: rand.New(rand.NewPCG(seed, 1)), files: &vfstest.Mem{}, term: 1}
+			t := &randomRun{random: rand.New(rand.NewPCG(seed, 1)), files: &vfstest.Mem{}, term: 1}
 			t.log, _ = open(halves{t.files}, smallSegments)
 			for range 30 {
 				By(fmt.Sprintf("seed %d", seed))
--- a/internal/cluster/replica/wal/decode.go
+++ b/internal/cluster/replica/wal/decode.go
@@ -9,10 +9,10 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// errFrame is what a batch gives that is sound as bytes but not as frames: another program wrote it.
-var errFrame = errors.New("holds a frame that is not understood")
+// errUnknownFrame is returned for a batch with a right checksum and wrong frames: another program wrote it.
+var errUnknownFrame = errors.New("it has a frame of an unknown kind or length")
 
-// reader reads a batch's numbers; once something is missing, bad stays set.
+// reader reads the frames of a batch. Once something is missing, bad stays set.
 type reader struct {
 	rest []byte
 	bad  bool
@@ -52,21 +52,21 @@
 	return bytes.Clone(value)
 }
 
-// decodeFrames hands each of the frames to visit, with the entry if it is one.
-func decodeFrames(frames []byte, visit func(note, consensus.Entry)) error {
+// decodeFrames calls visit with each of the frames, and with the entry if it has one.
+func decodeFrames(frames []byte, visit func(frameInfo, consensus.Entry)) error {
 	r := reader{rest: frames}
 	for len(r.rest) > 0 {
 		n, entry := r.frame()
 		if r.bad {
-			return errFrame
+			return errUnknownFrame
 		}
 		visit(n, entry)
 	}
 	return nil
 }
 
-func (r *reader) frame() (note, consensus.Entry) {
-	n := note{kind: frameKind(r.byte()), group: uint32(r.number())}
+func (r *reader) frame() (frameInfo, consensus.Entry) {
+	n := frameInfo{kind: frameKind(r.byte()), group: uint32(r.number())}
 	var entry consensus.Entry
 	switch n.kind {
 	case frameHardState:
--- a/internal/cluster/replica/wal/fixtures_test.go
+++ b/internal/cluster/replica/wal/fixtures_test.go
@@ -26,7 +26,9 @@
 
 	// content returns the file of that name, and place puts it there.
 	content := func(name string) ([]byte, error) { return vfs.ReadFile(files, filepath.Join(folder, name)) }
-	place := func(name string, data []byte) { Expect(writeWhole(files, folder, name, [][]byte{data})).To(Succeed()) }
+	place := func(name string, data []byte) {
+		Expect(writeAtomically(files, folder, name, [][]byte{data})).To(Succeed())
+	}
 
 	It("is read as an identity", func() {
 		written := &Identity{}
--- a/internal/cluster/replica/wal/identity.go
+++ b/internal/cluster/replica/wal/identity.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// An identity's file: magic and version, the identity (gob), CRC-32C of all.
+// The file of an identity: magic and version, the identity (gob), CRC-32C of all.
 const (
 	identityMagic = "OPIDEN\x00\x01"
 	identityName  = "identity"
@@ -23,13 +23,15 @@
 	lockName      = "lock"
 )
 
-// Identity is who a process is in its groups, for as long as its disk lasts.
+// Identity is who a process is in its groups, for as long as its disk lasts. It is encoded by gob: the field names are
+// the format on disk.
 type Identity struct {
 	ID    consensus.MemberID
-	First []consensus.Member // the first members of each group, if the process is one of them
+	First []consensus.Member // the initial members of each group, if the process is one of them
 }
 
-// ReadIdentity returns the identity on disk, or nil if there is none. A file that is not sound is a DamageError.
+// ReadIdentity returns the identity on disk, or nil without an error if there is none. A damaged file is a
+// *DamageError.
 func ReadIdentity(files vfs.FS, dir string) (*Identity, error) {
 	content, err := vfs.ReadFile(files, filepath.Join(dir, identityName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -39,10 +41,10 @@
 		return nil, errors.Wrap(err, "read the identity")
 	}
 	front := len(identityMagic)
-	if len(content) < front+sumSize || string(content[:front]) != identityMagic {
+	if len(content) < front+checksumSize || string(content[:front]) != identityMagic {
 		return nil, &DamageError{File: identityName, Reason: "it is not an identity of a known version"}
 	}
-	body := content[:len(content)-sumSize]
+	body := content[:len(content)-checksumSize]
 	if binary.LittleEndian.Uint32(content[len(body):]) != crc32.Checksum(body, castagnoli) {
 		return nil, &DamageError{File: identityName, Reason: "its sum is wrong"}
 	}
@@ -53,7 +55,7 @@
 	return identity, nil
 }
 
-// WriteIdentity puts the identity on disk, synced with its folder, which is made if it is missing.
+// WriteIdentity writes the identity and syncs it and dir, which is created if it is missing.
 func WriteIdentity(files vfs.FS, dir string, identity *Identity) error {
 	if err := files.MkdirAll(dir); err != nil {
 		return errors.Wrapf(err, "make folder %s", dir)
@@ -65,15 +67,16 @@
 	}
 	body := content.Bytes()
 	body = binary.LittleEndian.AppendUint32(body, crc32.Checksum(body, castagnoli))
-	if err := writeWhole(files, dir, identityName, [][]byte{body}); err != nil {
+	if err := writeAtomically(files, dir, identityName, [][]byte{body}); err != nil {
 		return errors.Wrap(err, "identity")
 	}
 	return nil
 }
 
-// Vacant tells whether dir holds nothing that a process left there: only then may it be a first member.
+// Vacant reports whether dir has nothing that an earlier process left there. Only then may its process be an initial
+// member.
 func Vacant(files vfs.FS, dir string) (bool, error) {
-	names, err := list(files, dir)
+	names, err := listFolder(files, dir)
 	if err != nil {
 		return false, err
 	}
@@ -85,8 +88,8 @@
 	return true, nil
 }
 
-// list lists dir; one that is missing is empty.
-func list(files vfs.FS, dir string) ([]string, error) {
+// listFolder returns the names in dir, none if it is missing.
+func listFolder(files vfs.FS, dir string) ([]string, error) {
 	names, err := files.List(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -94,8 +97,8 @@
 	return names, errors.Wrapf(err, "list %s", dir)
 }
 
-// MoveAside moves all that dir holds into a folder below it, in place of what was moved there before: the identity
-// first, so that a half-moved log is nobody's.
+// MoveAside moves everything in dir to a folder below it, and removes what was moved there before. The identity is
+// moved first: a log that is moved in part belongs to nobody.
 func MoveAside(files vfs.FS, dir string) error {
 	aside := filepath.Join(dir, damagedFolder)
 	if err := files.MkdirAll(aside); err != nil {
@@ -104,7 +107,7 @@
 	if err := removeAll(files, aside); err != nil {
 		return err
 	}
-	names, err := list(files, dir)
+	names, err := listFolder(files, dir)
 	if err != nil {
 		return err
 	}
@@ -133,7 +136,7 @@
 }
 
 func removeAll(files vfs.FS, dir string) error {
-	names, err := list(files, dir)
+	names, err := listFolder(files, dir)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/replica/wal/recover.go
+++ b/internal/cluster/replica/wal/recover.go
@@ -15,8 +15,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Open reads the log in dir, which is made if it is missing, and returns what it holds of each group. What a loss of
-// power tore off at the end is left out; damage before that is a *DamageError.
+// Open reads the log in dir, which is created if it is missing, and returns what it has of each group. What a loss of
+// power tore off at the end is ignored; damage before that is a *DamageError.
 func Open(files vfs.FS, dir string, options Options) (*Log, map[uint32]*Group, error) {
 	if err := files.MkdirAll(dir); err != nil {
 		return nil, nil, errors.Wrapf(err, "make folder %s", dir)
@@ -36,7 +36,7 @@
 	return log, r.groups, nil
 }
 
-// recovery reads the segments, oldest first.
+// recovery replays the segments, oldest first.
 type recovery struct {
 	log    *Log
 	groups map[uint32]*Group
@@ -51,23 +51,23 @@
 	return group
 }
 
-// replay reads all segments that belong to the log. A segment's number that is missing ends what older ones are good for:
-// they had been removed.
+// replay replays all segments that belong to the log. Those before a gap in the numbers do not: they had been removed.
 func (r *recovery) replay(names []string) error {
-	numbers, err := r.numbers(names)
+	numbers, err := r.segmentNumbers(names)
 	if err != nil {
 		return err
 	}
 	for i, number := range numbers {
-		if err := r.segment(number, i == len(numbers)-1); err != nil {
+		if err := r.replaySegment(number, i == len(numbers)-1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// numbers returns the numbers of the segments to read. Newest ones are left out that nothing was ever added to.
-func (r *recovery) numbers(names []string) ([]uint64, error) {
+// segmentNumbers returns the numbers of the segments to replay, without the newest ones that nothing was ever appended
+// to.
+func (r *recovery) segmentNumbers(names []string) ([]uint64, error) {
 	var numbers []uint64
 	for _, name := range names {
 		if number, ok := parseSegmentName(name); ok {
@@ -77,11 +77,11 @@
 	slices.Sort(numbers)
 	numbers = afterLastGap(numbers)
 	for len(numbers) > 0 {
-		vain, err := r.vain(numbers[len(numbers)-1])
+		unused, err := r.neverAppended(numbers[len(numbers)-1])
 		if err != nil {
 			return nil, err
 		}
-		if !vain {
+		if !unused {
 			break
 		}
 		numbers = numbers[:len(numbers)-1]
@@ -98,9 +98,9 @@
 	return numbers
 }
 
-// vain tells whether nothing was ever added to the newest segment after it was made. It may then never have been synced,
-// but then nobody was told either of what it repeats.
-func (r *recovery) vain(number uint64) (bool, error) {
+// neverAppended reports whether nothing was ever appended to the newest segment after its base batch. Then that may
+// never have been synced, but nothing that it repeats was acknowledged because of it either.
+func (r *recovery) neverAppended(number uint64) (bool, error) {
 	content, err := r.read(number)
 	if err != nil {
 		return false, err
@@ -128,14 +128,14 @@
 	return content, errors.Wrapf(err, "read %s", name)
 }
 
-// readHeader reads as much of a segment as its header is long, or less if there is less.
+// readHeader reads a segment's header, or less if the file is shorter.
 func (r *recovery) readHeader(number uint64) ([]byte, error) {
 	name := segmentName(number)
 	file, err := r.log.files.Open(filepath.Join(r.log.dir, name))
 	if err != nil {
 		return nil, errors.Wrapf(err, "open %s", name)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it was only read
 	header := make([]byte, segmentHeaderSize)
 	count, err := file.ReadAt(header, 0)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -144,8 +144,8 @@
 	return header[:count], nil
 }
 
-// segment replays one segment.
-func (r *recovery) segment(number uint64, newest bool) error {
+// replaySegment replays one segment.
+func (r *recovery) replaySegment(number uint64, newest bool) error {
 	name := segmentName(number)
 	content, err := r.read(number)
 	if err != nil {
@@ -156,13 +156,13 @@
 	}
 	r.log.segments = append(r.log.segments, newSegment(number, segmentHeaderSize))
 	if newest {
-		return r.newestSegment(name, content)
+		return r.replayNewest(name, content)
 	}
-	return r.olderSegment(number, content)
+	return r.replayOlder(number, content)
 }
 
-// olderSegment replays a segment up to where the next one says that it ends. All of that was synced.
-func (r *recovery) olderSegment(number uint64, content []byte) error {
+// replayOlder replays a segment up to the length that the header of the next one has for it. All of that was synced.
+func (r *recovery) replayOlder(number uint64, content []byte) error {
 	name, next := segmentName(number), segmentName(number+1)
 	follower, err := r.readHeader(number + 1)
 	if err != nil {
@@ -178,10 +178,10 @@
 	content = content[:end]
 	for offset := segmentHeaderSize; offset < len(content); {
 		sequence, batch, ok := parseBatch(content[offset:])
-		if !ok || !r.follows(sequence) {
+		if !ok || !r.isNext(sequence) {
 			return &DamageError{File: name, Offset: int64(offset), Reason: "a batch before the end is not sound"}
 		}
-		if err := r.take(name, offset, batch); err != nil {
+		if err := r.replayBatch(name, offset, batch); err != nil {
 			return err
 		}
 		offset += len(batch)
@@ -189,18 +189,18 @@
 	return nil
 }
 
-// newestSegment replays the segment that was written to last. Its last batch may never have been synced: it counts, but
-// is carried over to the next segment before anything is built on it.
-func (r *recovery) newestSegment(name string, content []byte) error {
+// replayNewest replays the segment that was written to last. Its last batch may never have been synced: it counts, but
+// is repeated in the next segment before anything depends on it.
+func (r *recovery) replayNewest(name string, content []byte) error {
 	lastOffset, offset := segmentHeaderSize, segmentHeaderSize
 	var last []byte
 	for {
 		sequence, batch, ok := parseBatch(content[offset:])
-		if !ok || last != nil && sequence != r.log.sequence+1 || last == nil && !r.follows(sequence) {
+		if !ok || last != nil && sequence != r.log.sequence+1 || last == nil && !r.isNext(sequence) {
 			break
 		}
 		if last != nil {
-			if err := r.take(name, lastOffset, last); err != nil {
+			if err := r.replayBatch(name, lastOffset, last); err != nil {
 				return err
 			}
 		}
@@ -211,20 +211,20 @@
 	if findBatch(content, offset, r.log.sequence+1) >= 0 {
 		return &DamageError{File: name, Offset: int64(offset), Reason: "a batch is not sound, and a sound one follows"}
 	}
-	return r.carry(name, lastOffset, last)
+	return r.replayUnsynced(name, lastOffset, last)
 }
 
-// follows tells whether a batch has the sequence that is due.
-func (r *recovery) follows(sequence uint64) bool {
+// isNext reports whether a batch has the expected sequence.
+func (r *recovery) isNext(sequence uint64) bool {
 	return r.log.sequence == 0 || sequence == r.log.sequence
 }
 
-// take replays a batch that is sure to be on disk.
-func (r *recovery) take(name string, offset int, batch []byte) error {
+// replayBatch replays a batch that is certainly on disk.
+func (r *recovery) replayBatch(name string, offset int, batch []byte) error {
 	sequence, _, _ := parseBatch(batch)
-	err := decodeFrames(batch[batchHeaderSize:], func(n note, entry consensus.Entry) {
-		r.frame(&n, entry)
-		r.log.remember(&n)
+	err := decodeFrames(batch[batchHeaderSize:], func(n frameInfo, entry consensus.Entry) {
+		r.applyFrame(&n, entry)
+		r.log.record(&n)
 	})
 	if err != nil {
 		return &DamageError{File: name, Offset: int64(offset), Reason: err.Error()}
@@ -234,23 +234,23 @@
 	return nil
 }
 
-// carry replays a batch that may get lost.
-func (r *recovery) carry(name string, offset int, batch []byte) error {
+// replayUnsynced replays a batch that may never have been synced.
+func (r *recovery) replayUnsynced(name string, offset int, batch []byte) error {
 	sequence, _, ok := parseBatch(batch)
 	if !ok {
 		return &DamageError{File: name, Offset: int64(offset), Reason: "its first batch is not the one that should follow"}
 	}
 	frames := batch[batchHeaderSize:]
-	err := decodeFrames(frames, func(n note, entry consensus.Entry) { r.frame(&n, entry) })
+	err := decodeFrames(frames, func(n frameInfo, entry consensus.Entry) { r.applyFrame(&n, entry) })
 	if err != nil {
 		return &DamageError{File: name, Offset: int64(offset), Reason: err.Error()}
 	}
 	r.log.sequence = sequence
-	r.log.carried = bytes.Clone(frames)
+	r.log.unsynced = bytes.Clone(frames)
 	return nil
 }
 
-// findBatch returns where the first sound batch with a sequence of at least lowest starts, from offset on; or -1.
+// findBatch returns the offset of the first sound batch from offset on with a sequence of at least lowest, or -1.
 func findBatch(content []byte, offset int, lowest uint64) int {
 	var magic [4]byte
 	binary.LittleEndian.PutUint32(magic[:], batchMagic)
@@ -268,27 +268,27 @@
 	return -1
 }
 
-// frame takes one frame into its group.
-func (r *recovery) frame(n *note, entry consensus.Entry) {
+// applyFrame applies one frame to its group.
+func (r *recovery) applyFrame(n *frameInfo, entry consensus.Entry) {
 	group := r.group(n.group)
 	switch n.kind {
 	case frameHardState:
 		group.HardState = n.hard
 	case frameEntry:
 		if group.Snapshot == nil || entry.Index > group.Snapshot.Index {
-			group.replace(entry)
+			group.putEntry(entry)
 		}
 	case frameInstall:
 		group.Entries = nil
-		group.cover(n)
+		group.applySnapshot(n)
 	case frameCompact:
-		group.cover(n)
+		group.applySnapshot(n)
 	}
 }
 
-// replace puts an entry in place of those at the same and higher indexes. A hole before it can only be what a later
-// snapshot covers; finish sees to that.
-func (g *Group) replace(entry consensus.Entry) {
+// putEntry replaces the entries at the same and higher indexes. A gap before it can only be what a later snapshot
+// covers; finish checks that.
+func (g *Group) putEntry(entry consensus.Entry) {
 	for len(g.Entries) > 0 && g.Entries[len(g.Entries)-1].Index >= entry.Index {
 		g.Entries = g.Entries[:len(g.Entries)-1]
 	}
@@ -298,7 +298,8 @@
 	g.Entries = append(g.Entries, entry)
 }
 
-func (g *Group) cover(n *note) {
+// applySnapshot replaces the entries that a snapshot covers. The snapshot is read from its file by finish.
+func (g *Group) applySnapshot(n *frameInfo) {
 	if g.Snapshot != nil && n.index < g.Snapshot.Index {
 		return
 	}
@@ -310,7 +311,7 @@
 	g.Entries = slices.Clone(g.Entries[covered:])
 }
 
-// finish reads the snapshots, checks that each group's log has no hole, and removes files that nothing needs.
+// finish reads the snapshots, checks that no group's log has a gap, and removes files that are not needed.
 func (r *recovery) finish(names []string) error {
 	for _, id := range sortedGroups(r.groups) {
 		if err := r.finishGroup(id, r.groups[id]); err != nil {
@@ -320,7 +321,7 @@
 	if r.log.sequence == 0 {
 		r.log.sequence = 1
 	}
-	r.removeStrays(names)
+	r.removeObsolete(names)
 	return nil
 }
 
@@ -348,26 +349,26 @@
 	return nil
 }
 
-// removeStrays removes files that were half made, or that had been removed before the power went off. What cannot be
-// removed now is tried again at the next start.
-func (r *recovery) removeStrays(names []string) {
-	kept := map[string]bool{}
+// removeObsolete removes files that were written in part, or that had been removed before the power failed. Those that
+// it fails to remove are removed by a later Open.
+func (r *recovery) removeObsolete(names []string) {
+	needed := map[string]bool{}
 	for _, segment := range r.log.segments {
-		kept[segmentName(segment.number)] = true
+		needed[segmentName(segment.number)] = true
 	}
 	for group, state := range r.log.states {
-		kept[snapshotName(group, state.snapshotIndex, state.snapshotTerm)] = true
+		needed[snapshotName(group, state.snapshotIndex, state.snapshotTerm)] = true
 	}
 	for id, group := range r.groups {
 		if group.Snapshot != nil {
-			kept[snapshotName(id, group.Snapshot.Index, group.Snapshot.Term)] = true
+			needed[snapshotName(id, group.Snapshot.Index, group.Snapshot.Term)] = true
 		}
 	}
 	r.log.obsolete = nil
 	for _, name := range names {
 		_, isSegment := parseSegmentName(name)
-		stray := isSegment || isSnapshotFile(name) || strings.HasSuffix(name, temporarySuffix)
-		if stray && !kept[name] {
+		ours := isSegment || isSnapshotFile(name) || strings.HasSuffix(name, temporarySuffix)
+		if ours && !needed[name] {
 			_ = r.log.files.Remove(filepath.Join(r.log.dir, name))
 		}
 	}
--- a/internal/cluster/replica/wal/segment.go
+++ b/internal/cluster/replica/wal/segment.go
@@ -11,7 +11,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// A segment starts with: magic and version, its number, the length of the segment before it that counts, CRC-32C.
+// The header of a segment: magic and version, its number, how much of the previous segment counts in bytes, CRC-32C. Batches
+// follow.
 const (
 	segmentMagic      = "OPLOG\x00\x00\x01"
 	segmentHeaderSize = 8 + 8 + 8 + 4
@@ -36,7 +37,8 @@
 	return binary.LittleEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
 }
 
-// parseSegmentHeader returns the length that counts of the segment before the one that data belongs to.
+// parseSegmentHeader returns how much of the previous segment counts, in bytes, or false if the header is not that of
+// segment number.
 func parseSegmentHeader(data []byte, number uint64) (previousEnd int64, ok bool) {
 	if len(data) < segmentHeaderSize || string(data[:8]) != segmentMagic {
 		return 0, false
@@ -52,18 +54,18 @@
 	return int64(binary.LittleEndian.Uint64(header[16:])), true
 }
 
-// segment is what the log knows of one of its files.
+// segment is what the log keeps in memory of one of its files.
 type segment struct {
 	number  uint64
-	size    int64             // bytes that count
-	highest map[uint32]uint64 // highest index of each group's entries in it that still count
+	size    int64             // in bytes, of what counts
+	highest map[uint32]uint64 // by group, the highest index of its entries here that were not replaced
 }
 
 func newSegment(number uint64, size int64) *segment {
 	return &segment{number: number, size: size, highest: map[uint32]uint64{}}
 }
 
-// createSegment makes a segment's file with first as its content, synced with its folder.
+// createSegment creates a segment's file with the given content, and syncs it and its folder.
 func createSegment(files vfs.FS, dir string, number uint64, first []byte) (vfs.File, error) {
 	name := filepath.Join(dir, segmentName(number))
 	file, err := files.Create(name)
@@ -81,6 +83,7 @@
 	return file, nil
 }
 
+// writeSynced writes and syncs.
 func writeSynced(file vfs.File, data []byte, offset int64) error {
 	if _, err := file.WriteAt(data, offset); err != nil {
 		return errors.Wrap(err, "write")
--- a/internal/cluster/replica/wal/snapshot.go
+++ b/internal/cluster/replica/wal/snapshot.go
@@ -16,16 +16,16 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// A snapshot's file: magic and version, length of the head, the head (gob), the state machine's data, CRC-32C of all.
+// The file of a snapshot: magic and version, length of the head, the head (gob), the state machine's data, CRC-32C of all.
 const (
 	snapshotMagic   = "OPSNAP\x00\x01"
 	snapshotPattern = "snapshot-%08x-%016x-%016x.state"
 	snapshotPrefix  = "snapshot-"
 	temporarySuffix = ".new"
-	sumSize         = 4
+	checksumSize    = 4
 )
 
-// snapshotHead is what stands before the state machine's data.
+// snapshotHead precedes the state machine's data. It is encoded by gob: the field names are the format on disk.
 type snapshotHead struct {
 	Group   uint32
 	Index   uint64
@@ -37,8 +37,8 @@
 	return fmt.Sprintf(snapshotPattern, group, index, term)
 }
 
-// WriteSnapshot writes a group's snapshot to its file, synced with its folder. It may run beside a Log's other calls; the
-// snapshot counts once a batch with Install or Compact says so.
+// WriteSnapshot writes a group's snapshot to its file, and syncs it and its folder. It may run beside the calls of a
+// Log. The snapshot counts once a batch with Install or Compact is appended.
 func WriteSnapshot(files vfs.FS, dir string, group uint32, snapshot *consensus.Snapshot) error {
 	front, err := snapshotFront(group, snapshot)
 	if err != nil {
@@ -47,7 +47,7 @@
 	sum := crc32.Update(crc32.Checksum(front, castagnoli), castagnoli, snapshot.Data)
 	parts := [][]byte{front, snapshot.Data, binary.LittleEndian.AppendUint32(nil, sum)}
 	name := snapshotName(group, snapshot.Index, snapshot.Term)
-	return errors.Wrapf(writeWhole(files, dir, name, parts), "snapshot %s", name)
+	return errors.Wrapf(writeAtomically(files, dir, name, parts), "snapshot %s", name)
 }
 
 func snapshotFront(group uint32, snapshot *consensus.Snapshot) ([]byte, error) {
@@ -61,8 +61,9 @@
 	return append(front, encoded.Bytes()...), nil
 }
 
-// writeWhole puts a file in place whole or not at all: under another name first, synced, renamed, the folder synced.
-func writeWhole(files vfs.FS, dir, name string, parts [][]byte) error {
+// writeAtomically puts a file in place completely or not at all: it is written under another name, synced and renamed,
+// and the folder is synced.
+func writeAtomically(files vfs.FS, dir, name string, parts [][]byte) error {
 	temporary := filepath.Join(dir, name+temporarySuffix)
 	file, err := files.Create(temporary)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return errors.Wrap(file.Sync(), "sync")
 }
 
-// ReadSnapshot reads a group's snapshot from its file. A file that is missing or not sound is a DamageError.
+// ReadSnapshot reads a group's snapshot from its file. A file that is missing or damaged is a *DamageError.
 func ReadSnapshot(files vfs.FS, dir string, group uint32, index, term uint64) (*consensus.Snapshot, error) {
 	name := snapshotName(group, index, term)
 	content, err := vfs.ReadFile(files, filepath.Join(dir, name))
@@ -116,10 +117,10 @@
 
 func parseSnapshot(content []byte) (*snapshotHead, []byte, error) {
 	const front = len(snapshotMagic) + 4
-	if len(content) < front+sumSize || string(content[:len(snapshotMagic)]) != snapshotMagic {
+	if len(content) < front+checksumSize || string(content[:len(snapshotMagic)]) != snapshotMagic {
 		return nil, nil, errors.New("it is not a snapshot of a known version")
 	}
-	body := content[:len(content)-sumSize]
+	body := content[:len(content)-checksumSize]
 	if binary.LittleEndian.Uint32(content[len(body):]) != crc32.Checksum(body, castagnoli) {
 		return nil, nil, errors.New("its sum is wrong")
 	}
@@ -135,9 +136,9 @@
 	return head, body[front+int(length):], nil
 }
 
-// rememberSnapshot notes a group's newest snapshot, and which file nothing needs any more.
-func (l *Log) rememberSnapshot(n *note) {
-	state := l.state(n.group)
+// recordSnapshot records a group's newest snapshot, and which file is not needed any more.
+func (l *Log) recordSnapshot(n *frameInfo) {
+	state := l.groupState(n.group)
 	if n.index == state.snapshotIndex {
 		return
 	}
@@ -151,7 +152,7 @@
 	state.snapshotIndex, state.snapshotTerm = n.index, n.term
 }
 
-// removeSnapshots removes the files of snapshots that newer ones have replaced.
+// removeSnapshots removes the files of snapshots that newer ones have replaced. It returns their number.
 func (l *Log) removeSnapshots() (int, error) {
 	removed := 0
 	for len(l.obsolete) > 0 {
--- a/internal/cluster/replica/wal/wal_test.go
+++ b/internal/cluster/replica/wal/wal_test.go
@@ -64,8 +64,8 @@
 	Expect(WriteSnapshot(files, folder, group, snapshot)).To(Succeed())
 }
 
-// damageOf expects err to tell of damage.
-func damageOf(err error) *DamageError {
+// expectDamage expects err to be a *DamageError, and returns it.
+func expectDamage(err error) *DamageError {
 	GinkgoHelper()
 	var damage *DamageError
 	Expect(errors.As(err, &damage)).To(BeTrue(), "%v", err)
@@ -80,14 +80,14 @@
 		Expect(files.MkdirAll(folder)).To(Succeed())
 	})
 
-	DescribeTable("gives back what was appended",
+	DescribeTable("returns what was appended",
 		func(steps []func(*Batch), expected Group) {
 			for _, options := range []Options{smallSegments, {SegmentBytes: 1 << 20}} {
 				files = &vfstest.Mem{}
 				Expect(files.MkdirAll(folder)).To(Succeed())
 				snapshotAt(files, 3, 4, 1)
 				log, _ := open(files, options)
-				// The file above is a stray to Open, as no log names it.
+				// Open removed the file, as no log refers to it.
 				snapshotAt(files, 3, 4, 1)
 				for _, step := range steps {
 					appendBatch(log, step)
@@ -142,7 +142,7 @@
 				func(b *Batch) { b.Install(3, 4, 1); b.Entries(3, entries(5, 6, 2)) },
 			},
 			Group{Snapshot: &consensus.Snapshot{Index: 4}, Entries: entries(5, 6, 2)}),
-		Entry("a commit beyond the log is cut",
+		Entry("a commit beyond the log is reduced",
 			[]func(*Batch){
 				func(b *Batch) { b.HardState(3, consensus.HardState{Term: 1, Commit: 9}) },
 				func(b *Batch) { b.Entries(3, entries(1, 2, 1)) },
@@ -168,7 +168,7 @@
 		return vfstest.Of(all)
 	}
 
-	It("cuts what was torn off, at any byte", func() {
+	It("ignores a torn end, at any byte", func() {
 		log, _ := open(files, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 2, 1)) })
 		name, before := newest()
@@ -184,7 +184,7 @@
 		}
 	})
 
-	It("leaves out garbage after the end", func() {
+	It("ignores garbage after the end", func() {
 		log, _ := open(files, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 2, 1)) })
 		name, content := newest()
@@ -206,7 +206,7 @@
 			changed := slices.Clone(content)
 			changed[offset] ^= 0x10
 			_, _, err := Open(withContent(name, changed), folder, smallSegments)
-			damage := damageOf(err)
+			damage := expectDamage(err)
 			Expect(damage.File).To(Equal(filepath.Base(name)))
 			Expect(damage.Offset).To(BeNumerically("<=", offset))
 			Expect(damage.Error()).To(ContainSubstring(filepath.Base(name)))
@@ -228,7 +228,7 @@
 			func(b []byte) []byte { return b[:10] },
 		} {
 			_, _, err := Open(withContent(first, change(slices.Clone(content))), folder, smallSegments)
-			Expect(damageOf(err).File).To(Equal(segmentName(2)))
+			Expect(expectDamage(err).File).To(Equal(segmentName(2)))
 		}
 	})
 
@@ -244,7 +244,7 @@
 		removed, err := log.Release()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(removed).To(BeZero())
-		Expect(log.Pinning()).To(ConsistOf(uint32(2)))
+		Expect(log.PinningGroups()).To(ConsistOf(uint32(2)))
 
 		snapshotAt(files, 2, 1, 1)
 		appendBatch(log, func(b *Batch) { b.Compact(2, 1, 1) })
@@ -257,7 +257,7 @@
 		Expect(groups[2].Snapshot.Index).To(Equal(uint64(1)))
 	})
 
-	It("is not held up by entries that others have replaced", func() {
+	It("is not pinned by entries that others have replaced", func() {
 		log, _ := open(files, smallSegments)
 		for index := uint64(1); index <= 40; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -270,7 +270,7 @@
 		Expect(log.Segments()).To(BeNumerically("<=", 2))
 	})
 
-	It("takes no harm from removed segments that are there again", func() {
+	It("is not harmed by removed segments that reappear", func() {
 		log, _ := open(files, smallSegments)
 		for index := uint64(1); index <= 60; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -283,9 +283,9 @@
 		after := files.Files()
 		oldest := log.segments[0].number
 		for back := uint64(1); back < oldest; back++ {
-			for _, sole := range []bool{true, false} {
+			for _, last := range []uint64{back, oldest - 1} { // one of them, or all from there on
 				all := maps.Clone(after)
-				for number := back; number < oldest && !(sole && number > back); number++ {
+				for number := back; number <= last; number++ {
 					name := filepath.Join(folder, segmentName(number))
 					all[name] = before[name]
 				}
@@ -300,7 +300,7 @@
 		}
 	})
 
-	It("makes sure of what an earlier process may not have synced, before anything else counts", func() {
+	It("syncs what an earlier process may not have synced before anything else counts", func() {
 		log, _ := open(halves{files}, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 1, 1)) })
 		files.SetOnCall(func(call vfstest.Call) vfstest.Fault {
@@ -329,10 +329,10 @@
 		all := files.Files()
 		delete(all, filepath.Join(folder, segmentName(2)))
 		_, _, err := Open(vfstest.Of(all), folder, smallSegments)
-		damageOf(err)
+		Expect(expectDamage(err).File).To(Equal(segmentName(3)), "where entries are missing before")
 	})
 
-	It("keeps the file of the newest snapshot alone", func() {
+	It("keeps only the file of the newest snapshot", func() {
 		log, _ := open(files, smallSegments)
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 9, 1)) })
 		for _, index := range []uint64{3, 5, 4} {
@@ -350,7 +350,7 @@
 		Expect(left).To(ConsistOf(snapshotName(1, 5, 1)))
 	})
 
-	DescribeTable("finds a snapshot that is not sound",
+	DescribeTable("finds a damaged snapshot",
 		func(change func([]byte) []byte) {
 			log, _ := open(files, smallSegments)
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 9, 1)) })
@@ -363,7 +363,7 @@
 				delete(all, name)
 			}
 			_, _, err := Open(vfstest.Of(all), folder, smallSegments)
-			Expect(damageOf(err).File).To(Equal(snapshotName(1, 5, 1)))
+			Expect(expectDamage(err).File).To(Equal(snapshotName(1, 5, 1)))
 		},
 		Entry("missing", func(b []byte) []byte { return nil }),
 		Entry("empty", func(b []byte) []byte { return []byte{} }),
@@ -374,7 +374,7 @@
 })
 
 var _ = Describe("Identity", func() {
-	It("is read back, and is nobody's on an empty disk", func() {
+	It("is read back, and is nil on an empty disk", func() {
 		files := &vfstest.Mem{}
 		identity, err := ReadIdentity(files, folder)
 		Expect(identity, err).To(BeNil())
@@ -394,7 +394,7 @@
 			changed := slices.Clone(content)
 			changed[offset] ^= 1
 			_, err := ReadIdentity(vfstest.Of(map[string][]byte{name: changed}), folder)
-			Expect(damageOf(err).File).To(Equal(identityName))
+			Expect(expectDamage(err).File).To(Equal(identityName))
 		}
 	})
 
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -64,7 +64,7 @@
 func newWriter(e *Engine, log *wal.Log) *writer {
 	w := &writer{engine: e, log: log, number: 1}
 	w.pending = &diskWrite{number: w.number}
-	w.usage = diskUsage{logBytes: log.Bytes(), segments: log.Segments(), pinning: log.Pinning()}
+	w.usage = diskUsage{logBytes: log.Bytes(), segments: log.Segments(), pinning: log.PinningGroups()}
 	return w
 }
 
@@ -107,7 +107,7 @@
 	}
 	// What cannot be removed now is removed after a later write.
 	_, _ = w.log.Release()
-	return diskUsage{logBytes: w.log.Bytes(), segments: w.log.Segments(), pinning: w.log.Pinning()}, nil
+	return diskUsage{logBytes: w.log.Bytes(), segments: w.log.Segments(), pinning: w.log.PinningGroups()}, nil
 }
 
 // add takes what a group has to write, and the messages that leave after it.
