--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,5 +1,10 @@
-// Package assignment solves the minimum-cost one-to-one assignment: which row takes which column, so that as many
-// as possible are matched and the sum of the costs is least. It decides nothing else and keeps no state but buffers.
+// Package assignment solves the linear sum assignment problem: which row takes which column, so that as many rows as
+// possible are matched and the sum of their costs is least.
+//
+// It is the Hungarian method by shortest augmenting paths with potentials, which takes O(n^3) steps for n rows and columns
+// (Jonker and Volgenant, "A Shortest Augmenting Path Algorithm for Dense and Sparse Linear Assignment Problems", Computing
+// 38, 1987). Of several assignments of the same cost it always finds the same one. It keeps no state but buffers, and a
+// Solver serves one goroutine at a time.
 package assignment
 
 import (
@@ -7,40 +12,41 @@
 	"slices"
 )
 
-// Unmatched stands in a result for a row that got no column.
+// Unmatched is the column of a row that was not matched, since there are fewer columns than rows.
 const Unmatched = -1
 
-// none is the cost of a column that is added where columns are short; it stands for "no column". Real costs must be
-// well below it.
-const none = 1e9
+// noColumnCost is the cost of the columns that are added where there are fewer columns than rows: a row that gets one of
+// them is unmatched. Real costs must be well below it, so that this happens to no more rows than it must.
+const noColumnCost = 1e9
 
-// Solve returns for each row its column in a minimum-cost one-to-one assignment, or Unmatched where columns are short.
-// Each row of costs has at least that many columns. Costs are finite and well below 1e9.
+// Solve returns the column of each row in a minimum-cost assignment, or Unmatched. costs are by row and column; each row
+// has at least the given number of columns, and what it has beyond is ignored. Costs are finite and well below 1e9; they
+// may be negative.
 func Solve(costs [][]float64, columns int) []int {
 	var solver Solver
 	return solver.Solve(costs, columns)
 }
 
-// Solver solves one assignment after another in the same buffers. Its zero value is ready; it serves one caller at
-// a time.
+// Solver solves one assignment after another in the same buffers. Its zero value is ready. It serves one goroutine at a
+// time.
 //
-// It is the Hungarian method with potentials: rows are added one by one, each along the cheapest path of exchanges
-// to a free column. Row and column 0 are internal.
+// Rows are added one by one, each along the shortest augmenting path to a free column. In its slices, rows and columns are
+// counted from 1; row 0 means that a column is free, and column 0 stands for the row that is being added.
 type Solver struct {
 	rowPotential, columnPotential []float64
-	rowOf                         []int // by column: the row that it is given to, 0: free
-	before                        []int // by column: the column before it on the cheapest path
-	least                         []float64
-	used                          []bool
-	result                        []int
+	rowOf                         []int     // by column: the row that has it, 0: free
+	previousColumn                []int     // by column: the column before it on the shortest path
+	distance                      []float64 // by column: from the row that is being added
+	visited                       []bool    // by column: whether its shortest path is final
+	result                        []int     // by row, counted from 0
 }
 
-// Solve is as the function Solve. The result is valid until the next call.
+// Solve does what the function Solve does. The result is valid until the next call.
 func (s *Solver) Solve(costs [][]float64, columns int) []int {
 	width := max(len(costs), columns)
 	s.reset(len(costs), width)
 	for row := 1; row <= len(costs); row++ {
-		s.exchange(s.path(costs, columns, width, row))
+		s.augment(s.augmentingPath(costs, columns, width, row))
 	}
 	for column := 1; column <= columns; column++ {
 		if s.rowOf[column] > 0 {
@@ -50,81 +56,85 @@
 	return s.result
 }
 
+// reset prepares the buffers for a number of rows and columns, the added ones included.
 func (s *Solver) reset(rows, width int) {
 	s.rowPotential = cleared(s.rowPotential, rows+1)
 	s.columnPotential = cleared(s.columnPotential, width+1)
 	s.rowOf = cleared(s.rowOf, width+1)
-	s.before = cleared(s.before, width+1)
-	s.least = cleared(s.least, width+1)
-	s.used = cleared(s.used, width+1)
+	s.previousColumn = cleared(s.previousColumn, width+1)
+	s.distance = cleared(s.distance, width+1)
+	s.visited = cleared(s.visited, width+1)
 	s.result = cleared(s.result, rows)
 	for row := range s.result {
 		s.result[row] = Unmatched
 	}
 }
 
+// cleared returns a slice of zeros, in the buffer if that is large enough.
 func cleared[T any](buffer []T, length int) []T {
 	buffer = slices.Grow(buffer[:0], length)[:length]
 	clear(buffer)
 	return buffer
 }
 
-// path finds the cheapest path of exchanges from a new row to a free column, which it returns.
-func (s *Solver) path(costs [][]float64, columns, width, row int) int {
-	for column := range s.least {
-		s.least[column], s.used[column] = math.Inf(1), false
+// augmentingPath finds the shortest augmenting path from a new row to a free column, and returns that column. The path is
+// in previousColumn. The search is Dijkstra's, on costs less potentials.
+func (s *Solver) augmentingPath(costs [][]float64, columns, width, row int) int {
+	for column := range s.distance {
+		s.distance[column], s.visited[column] = math.Inf(1), false
 	}
 	s.rowOf[0] = row
 	current := 0
 	for s.rowOf[current] != 0 {
-		s.used[current] = true
+		s.visited[current] = true
 		next, delta := s.relax(costs[s.rowOf[current]-1], columns, width, current)
-		s.shift(delta)
+		s.adjustPotentials(delta)
 		current = next
 	}
 	return current
 }
 
-// relax looks at all columns from the row at the end of the path, and returns the nearest one and its distance.
+// relax updates the distances of all columns that are not visited, by the row of the current one, and returns the nearest
+// column and its distance.
 func (s *Solver) relax(costs []float64, columns, width, current int) (next int, delta float64) {
 	potential := s.rowPotential[s.rowOf[current]]
-	least, used, columnPotential := s.least[:width+1], s.used[:width+1], s.columnPotential[:width+1]
+	distance, visited, columnPotential := s.distance[:width+1], s.visited[:width+1], s.columnPotential[:width+1]
 	delta = math.Inf(1)
-	for column := 1; column < len(least); column++ {
-		if used[column] {
+	for column := 1; column < len(distance); column++ {
+		if visited[column] {
 			continue
 		}
-		cost := none - potential - columnPotential[column]
+		cost := noColumnCost - potential - columnPotential[column]
 		if column <= columns {
 			cost = costs[column-1] - potential - columnPotential[column]
 		}
-		if cost < least[column] {
-			least[column], s.before[column] = cost, current
+		if cost < distance[column] {
+			distance[column], s.previousColumn[column] = cost, current
 		}
-		if least[column] < delta {
-			delta, next = least[column], column
+		if distance[column] < delta {
+			delta, next = distance[column], column
 		}
 	}
 	return next, delta
 }
 
-// shift moves the potentials so that the next column of the path costs nothing.
-func (s *Solver) shift(delta float64) {
-	least, used, columnPotential := s.least, s.used[:len(s.least)], s.columnPotential[:len(s.least)]
-	for column := range least {
-		if used[column] {
+// adjustPotentials changes the potentials so that the nearest column is at distance 0.
+func (s *Solver) adjustPotentials(delta float64) {
+	distance, visited, columnPotential := s.distance, s.visited[:len(s.distance)], s.columnPotential[:len(s.distance)]
+	for column := range distance {
+		if visited[column] {
 			s.rowPotential[s.rowOf[column]] += delta
 			columnPotential[column] -= delta
 		} else {
-			least[column] -= delta
+			distance[column] -= delta
 		}
 	}
 }
 
-// exchange gives each column on the path that ends at column to the row before it.
-func (s *Solver) exchange(column int) {
+// augment gives each column on the path that ends at column to the row of the column before it.
+func (s *Solver) augment(column int) {
 	for column != 0 {
-		s.rowOf[column] = s.rowOf[s.before[column]]
-		column = s.before[column]
+		s.rowOf[column] = s.rowOf[s.previousColumn[column]]
+		column = s.previousColumn[column]
 	}
 }
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -21,16 +21,16 @@
 },
 	Entry("no rows", nil, 3, []int{}),
 	Entry("no columns", [][]float64{{}, {}}, 0, []int{-1, -1}),
-	Entry("one", [][]float64{{5}}, 1, []int{0}),
-	Entry("the greedy choice is not the best", [][]float64{{1, 2}, {1, 9}}, 2, []int{1, 0}),
-	Entry("columns are short: the dearest row has none", [][]float64{{3}, {1}, {2}}, 1, []int{-1, 0, -1}),
-	Entry("rows are short", [][]float64{{4, 1, 3}, {2, 0, 5}}, 3, []int{1, 0}),
-	Entry("only the given columns count", [][]float64{{9, 1}}, 1, []int{0}),
+	Entry("one row and one column", [][]float64{{5}}, 1, []int{0}),
+	Entry("the greedy choice is not optimal", [][]float64{{1, 2}, {1, 9}}, 2, []int{1, 0}),
+	Entry("fewer columns than rows: the most expensive row is unmatched", [][]float64{{3}, {1}, {2}}, 1, []int{-1, 0, -1}),
+	Entry("fewer rows than columns", [][]float64{{4, 1, 3}, {2, 0, 5}}, 3, []int{1, 0}),
+	Entry("columns beyond the given number are ignored", [][]float64{{9, 1}}, 1, []int{0}),
 	Entry("negative costs", [][]float64{{-1, -5}, {-4, -7}}, 2, []int{1, 0}),
 )
 
 var _ = Describe("any assignment", func() {
-	It("is one-to-one, matches as many as can be and costs the least, also in used buffers", func() {
+	It("is one-to-one, matches as many rows as possible and costs the least, also in reused buffers", func() {
 		var solver assignment.Solver
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			rows, columns := rapid.IntRange(0, 5).Draw(t, "rows"), rapid.IntRange(0, 5).Draw(t, "columns")
@@ -40,10 +40,10 @@
 			}
 			sum, matched := total(t, costs, solver.Solve(costs, columns))
 			if want := min(rows, columns); matched != want {
-				t.Fatalf("%d matched, %d can be", matched, want)
+				t.Fatalf("%d rows matched instead of %d", matched, want)
 			}
-			if least := cheapest(costs, columns, 0, 0, min(rows, columns)); math.Abs(sum-least) > 1e-9 {
-				t.Fatalf("costs %v, %v would do", sum, least)
+			if want := minCost(costs, columns, 0, 0, min(rows, columns)); math.Abs(sum-want) > 1e-9 {
+				t.Fatalf("costs %v instead of %v", sum, want)
 			}
 		})
 	})
@@ -51,8 +51,9 @@
 
 func toFloat(i int) float64 { return float64(i) }
 
-// total adds up an assignment and checks that no column is given twice.
+// total returns the cost of an assignment and its matched rows, and checks that no column is given twice.
 func total(t *rapid.T, costs [][]float64, result []int) (sum float64, matched int) {
+	t.Helper()
 	seen := map[int]bool{}
 	for row, column := range result {
 		if column == assignment.Unmatched {
@@ -68,18 +69,18 @@
 	return sum, matched
 }
 
-// cheapest tries every assignment of so many rows from the given row on.
-func cheapest(costs [][]float64, columns, row int, used uint, left int) float64 {
+// minCost returns the least cost of matching as many rows as are left, from the given row on. It tries all ways.
+func minCost(costs [][]float64, columns, row int, used uint, left int) float64 {
 	if row == len(costs) {
 		if left > 0 {
 			return math.Inf(1)
 		}
 		return 0
 	}
-	best := cheapest(costs, columns, row+1, used, left)
+	best := minCost(costs, columns, row+1, used, left)
 	for column := 0; column < columns && left > 0; column++ {
 		if used>>column&1 == 0 {
-			best = min(best, costs[row][column]+cheapest(costs, columns, row+1, used|1<<column, left-1))
+			best = min(best, costs[row][column]+minCost(costs, columns, row+1, used|1<<column, left-1))
 		}
 	}
 	return best
