--- a/internal/cluster/administration/document/document_test.go
+++ b/internal/cluster/administration/document/document_test.go
@@ -35,9 +35,9 @@
 	Entry("an update", present, `{"version":6,"remove":{"routes":["a"]}}`, ""),
 	Entry("an update that leaves routes without their service", present, `{"version":6,"remove":{"services":["s"]}}`, "service"),
 	Entry("an update on nothing known", "", `{"version":6,"remove":{}}`, "give --control"),
-	Entry("nothing", "", "", "not one whole JSON value"),
+	Entry("nothing", "", "", "not exactly one JSON value"),
 	Entry("a list", "", "[]", "not a JSON object"),
-	Entry("text behind it", "", present+"x", "not one whole JSON value"),
+	Entry("text behind it", "", present+"x", "not exactly one JSON value"),
 	Entry("no version", "", `{"routes":[]}`, "there is no version"),
 	Entry("two routes of one place", "", `{"version":1,"services":[{"name":"s"}],"routes":[
 		{"name":"a","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"},
@@ -75,7 +75,7 @@
 	_, err := document.Compare([]byte(present), []byte(body))
 	Expect(err).To(MatchError(ContainSubstring(fault)))
 },
-	Entry("a cut file", `{"version":6`, "not one whole JSON value"),
+	Entry("a cut file", `{"version":6`, "not exactly one JSON value"),
 	Entry("a version that is none", `{"version":"x","upsert":{}}`, "version"),
 	Entry("an unknown service", `{"version":6,"upsert":{"routes":[{"name":"c","host":"h","pathPrefix":"/c/","timeoutMs":9,"service":"t"}]}}`, `"t"`),
 )
--- a/internal/cluster/configuration/cost_test.go
+++ b/internal/cluster/configuration/bench_test.go
@@ -8,9 +8,10 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-func bigState(b *testing.B, routes int) *State {
+func stateWithRoutes(b *testing.B, routes int) *State {
+	b.Helper()
 	state := NewState()
-	if result := state.Execute(replace(0, whole(1, manyRoutes(routes)...))); result.Kind != failure.None {
+	if result := state.Execute(replace(0, configurationOf(1, manyRoutes(routes)...))); result.Kind != failure.None {
 		b.Fatal(result.Message)
 	}
 	return state
@@ -19,7 +20,7 @@
 func BenchmarkUpdateOneRoute(b *testing.B) {
 	for _, routes := range []int{400, 20000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			state := bigState(b, routes)
+			state := stateWithRoutes(b, routes)
 			version := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -37,7 +38,7 @@
 func BenchmarkReplace(b *testing.B) {
 	for _, routes := range []int{400, 20000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			body := whole(1, manyRoutes(routes)...)
+			body := configurationOf(1, manyRoutes(routes)...)
 			b.ReportAllocs()
 			for b.Loop() {
 				NewState().Execute(replace(0, body))
@@ -47,13 +48,13 @@
 }
 
 func BenchmarkReplaceOneOfMany(b *testing.B) {
-	state := bigState(b, 400)
+	state := stateWithRoutes(b, 400)
 	version := uint64(1)
 	b.ReportAllocs()
 	for b.Loop() {
 		routes := manyRoutes(400)
 		routes[7] = aRoute("r-00007", "h", fmt.Sprintf("/v%d/", version), "a")
-		if result := state.Execute(replace(version, whole(int(version+1), routes...))); result.Kind != failure.None {
+		if result := state.Execute(replace(version, configurationOf(int(version+1), routes...))); result.Kind != failure.None {
 			b.Fatal(result.Message)
 		}
 		version++
@@ -61,7 +62,7 @@
 }
 
 func BenchmarkLookup(b *testing.B) {
-	table := bigState(b, 20000).Document().Table()
+	table := stateWithRoutes(b, 20000).Document().Table()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, ok := table.Lookup("host4.example:80", "/p11/5c0e7a21d94b36f8"); !ok {
@@ -71,8 +72,8 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	state := bigState(b, 20000)
-	for version := uint64(1); version <= takenOrders; version++ {
+	state := stateWithRoutes(b, 20000)
+	for version := uint64(1); version <= maxAcceptedCommands; version++ {
 		state.Execute(step(version))
 	}
 	var data []byte
@@ -93,15 +94,15 @@
 	})
 }
 
-// BenchmarkWatchFromNothing is what a watch of a follower without a document costs at both ends: the first one in a
-// version at the owner, and the reading at the follower, whose document then takes heap-bytes.
+// BenchmarkWatchFromNothing measures what the watch of a follower without a document costs: encoding at the owner, once for
+// each version, and decoding at the follower, whose document then takes heap-bytes.
 func BenchmarkWatchFromNothing(b *testing.B) {
-	state := bigState(b, 20000)
+	state := stateWithRoutes(b, 20000)
 	var data []byte
 	b.Run("owner", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			state.tail.fed = nil
+			state.recent.encodedFeeds = nil
 			data, _ = state.Since(0, true)
 		}
 		b.ReportMetric(float64(len(data)), "message-bytes")
--- a/internal/cluster/configuration/command.go
+++ b/internal/cluster/configuration/command.go
@@ -13,21 +13,22 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Command is an operator's order as it stands in the log of the configuration shard.
+// Command is an operator's change as it stands in the log of the configuration shard. It is encoded by gob: the field names
+// are the format.
 type Command struct {
 	Kind string // protocol.ConfigurationReplace or protocol.ConfigurationUpdate
 	Base uint64 // the version that it builds on; 0 for the first
 	Body []byte // JSON as the operator sent it
 }
 
-// Result is what became of a Command.
+// Result is the outcome of a Command.
 type Result struct {
-	Kind    failure.Kind // None: it is in force, now or before; else Invalid, Conflict, Forgotten or Unavailable
-	Version uint64       // None: the order's own version; else the current one
-	Message string       // what is wrong
+	Kind    failure.Kind // None: it was accepted, now or before; else Invalid, Conflict, Forgotten or Unavailable
+	Version uint64       // of the command if it was accepted, else the current one
+	Message string       // why it was rejected, for people
 }
 
-// Err returns the refusal as an error of its kind, or nil.
+// Err returns a rejection as an error of its kind, and nil for a command that was accepted.
 func (r Result) Err() error {
 	if r.Kind == failure.None {
 		return nil
@@ -35,7 +36,7 @@
 	return failure.New(r.Kind, r.Message)
 }
 
-// EncodeCommand returns a command's form in the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(command Command) ([]byte, error) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(&command); err != nil {
@@ -44,7 +45,7 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeCommand reads what EncodeCommand returned.
+// DecodeCommand decodes what EncodeCommand returned.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&command); err != nil {
@@ -53,22 +54,22 @@
 	return command, nil
 }
 
-// apply returns the document that the command makes of d.
+// apply returns the document that follows d by a command. The error is of kind failure.Invalid.
 func (d *Document) apply(command Command) (*Document, error) {
 	switch command.Kind {
 	case protocol.ConfigurationReplace:
-		return d.replaced(command.Body)
+		return d.applyReplacement(command.Body)
 	case protocol.ConfigurationUpdate:
-		return d.updated(command.Body)
+		return d.applyUpdate(command.Body)
 	}
-	return nil, invalidf("%q is no kind of change", command.Kind)
+	return nil, invalidf("%q is not a kind of change", command.Kind)
 }
 
-// digest is what tells one order from another.
-type digest [16]byte
+// commandDigest identifies a command by its content.
+type commandDigest [16]byte
 
-// digestOf returns the same for the same order, spaces between the values aside.
-func digestOf(command Command) digest {
+// digestOfCommand returns the digest of a command. White space between the values of its body doesn't count.
+func digestOfCommand(command Command) commandDigest {
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, command.Body); err != nil {
 		compact.Reset()
@@ -78,5 +79,5 @@
 	hash.Write([]byte(command.Kind))
 	hash.Write(binary.BigEndian.AppendUint64([]byte{0}, command.Base))
 	hash.Write(compact.Bytes())
-	return digest(hash.Sum(nil)[:len(digest{})])
+	return commandDigest(hash.Sum(nil)[:len(commandDigest{})])
 }
--- a/internal/cluster/configuration/difference.go
+++ b/internal/cluster/configuration/difference.go
@@ -9,15 +9,15 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// difference returns an update that makes of before a document which serves as next does, if it is much shorter than
-// the replacement that led there; else that replacement.
+// difference returns an update from one document to the next if that is much shorter than the replacement that led there,
+// else that replacement. Followers that apply it serve the same; only the order of items may differ.
 func difference(before, next *Document, replacement Command) Command {
 	if !sameSections(before, next) {
 		return replacement
 	}
 	var upserts, removals []byte
 	for i := range next.sections {
-		present, changed := before.section(next.sections[i].name), &next.sections[i]
+		present, changed := before.sectionNamed(next.sections[i].name), &next.sections[i]
 		upserts = appendUpserts(upserts, present, changed)
 		removals = appendRemovals(removals, present, changed)
 	}
@@ -30,17 +30,18 @@
 	return Command{Kind: protocol.ConfigurationUpdate, Base: replacement.Base, Body: body}
 }
 
-// sameSections says whether both documents have the same sections, of the same sorts.
+// sameSections reports whether both documents have the same sections, and the same ones of them are lists.
 func sameSections(a, b *Document) bool {
 	if len(a.sections) != len(b.sections) {
 		return false
 	}
 	return !slices.ContainsFunc(b.sections, func(s section) bool {
-		other := a.section(s.name)
+		other := a.sectionNamed(s.name)
 		return other == nil || other.isList != s.isList
 	})
 }
 
+// appendUpserts appends what an update must upsert in one section.
 func appendUpserts(body []byte, before, next *section) []byte {
 	if !next.isList {
 		if bytes.Equal(before.raw, next.raw) {
@@ -60,6 +61,7 @@
 	return append(append(append(appendKey(body, next.name), '['), items...), ']')
 }
 
+// appendRemovals appends the names that an update must remove from one section.
 func appendRemovals(body []byte, before, next *section) []byte {
 	var names []string
 	for _, member := range before.list.items {
@@ -70,17 +72,17 @@
 	if len(names) == 0 {
 		return body
 	}
-	list, _ := json.Marshal(names) // strings can always be written
+	list, _ := json.Marshal(names) // strings can always be encoded
 	return append(appendKey(body, next.name), list...)
 }
 
-// appendKey starts a member of an object.
+// appendKey appends the key of the next member of an object.
 func appendKey(body []byte, name string) []byte {
 	key, _ := json.Marshal(name)
 	return append(append(appendComma(body), key...), ':')
 }
 
-// appendComma parts what is appended next from what stands there.
+// appendComma separates what is appended next from what is already there.
 func appendComma(body []byte) []byte {
 	if len(body) == 0 {
 		return body
--- a/internal/cluster/configuration/digest.go
+++ b/internal/cluster/configuration/digest.go
@@ -6,24 +6,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns the same number for states that hold the same: the document as it is served, what is known of queues
-// that moved or were dropped, and the orders that are remembered. It does not depend on how the state came about, nor on
-// the process, as the bytes of a snapshot do (gob numbers types as it meets them).
+// Digest returns the same number for equal states: the document as it is served, the earlier services of queues, and the
+// commands that are remembered. It depends neither on how the state was reached nor on the process, as the bytes of a
+// snapshot do (gob numbers types in the order in which a process meets them).
 func (s *State) Digest() uint64 {
 	w := &digestWriter{hash: xxhash.New()}
 	w.image(s.document.image())
-	w.orders(s.taken)
-	w.orders(s.early)
+	w.commands(s.accepted)
+	w.commands(s.early)
 	return w.hash.Sum64()
 }
 
-// digestWriter hashes values one after the other, each with its length where it has one.
+// digestWriter hashes values one after the other; those of variable length are preceded by it.
 type digestWriter struct{ hash *xxhash.Digest }
 
 func (w *digestWriter) number(value uint64) {
 	var encoded [8]byte
 	binary.LittleEndian.PutUint64(encoded[:], value)
-	_, _ = w.hash.Write(encoded[:]) // a hash takes everything
+	_, _ = w.hash.Write(encoded[:]) // a hash accepts everything
 }
 
 func (w *digestWriter) bytes(value []byte) {
@@ -62,10 +62,10 @@
 	}
 }
 
-func (w *digestWriter) orders(orders []orderKey) {
-	w.number(uint64(len(orders)))
-	for _, order := range orders {
-		w.number(order.Base)
-		_, _ = w.hash.Write(order.Digest[:])
+func (w *digestWriter) commands(keys []commandKey) {
+	w.number(uint64(len(keys)))
+	for _, key := range keys {
+		w.number(key.Base)
+		_, _ = w.hash.Write(key.Digest[:])
 	}
 }
--- a/internal/cluster/configuration/digest_test.go
+++ b/internal/cluster/configuration/digest_test.go
@@ -13,15 +13,15 @@
 var _ = Describe("a state's digest", func() {
 	moved := aRoute("r-1", "one.example", "/one/", "b")
 	full := func() *State {
-		return stateWith(replace(0, whole(5, routeOne, routeTwo)),
+		return stateWith(replace(0, configurationOf(5, routeOne, routeTwo)),
 			update(5, `{"version":6,"upsert":{"routes":[`+moved+`]}}`),
 			update(6, `{"version":8,"remove":{"routes":["r-2"]}}`))
 	}
 
-	It("is the same for the same orders, and after a snapshot", func() {
+	It("is the same for the same commands, and after a restore", func() {
 		state := full()
 		Expect(state.Execute(update(20, `{"version":21}`)).Kind).To(Equal(failure.Conflict))
-		Expect(state.Digest()).NotTo(Equal(full().Digest()), "an early order is remembered")
+		Expect(state.Digest()).NotTo(Equal(full().Digest()), "an early command is remembered")
 		Expect(full().Digest()).To(Equal(full().Digest()))
 		Expect(reread(state).Digest()).To(Equal(state.Digest()))
 	})
@@ -33,7 +33,7 @@
 		Expect(full().Digest()).To(Equal(before))
 	})
 
-	DescribeTable("tells one state from another that differs in",
+	DescribeTable("differs between states that differ in",
 		func(change func(state *State)) {
 			state := full()
 			change(state)
@@ -42,9 +42,9 @@
 		Entry("its version", func(s *State) { s.document.version++ }),
 		Entry("a route", func(s *State) { s.Execute(update(8, `{"version":9,"upsert":{"routes":[`+routeTwo+`]}}`)) }),
 		Entry("another section", func(s *State) { s.document.sections[len(s.document.sections)-1].raw = []byte(`{}`) }),
-		Entry("the earlier services of a queue", func(s *State) { s.document.places[0].earlier = nil }),
-		Entry("what it knows of dropped queues", func(s *State) { s.document.dropped = nil }),
-		Entry("the orders that it remembers", func(s *State) { s.taken = s.taken[1:] }),
-		Entry("the content of an order that it remembers", func(s *State) { s.taken[0].Digest[0]++ }),
+		Entry("the earlier services of a queue", func(s *State) { s.document.queues[0].earlierServices = nil }),
+		Entry("the queues without a route", func(s *State) { s.document.droppedQueues = nil }),
+		Entry("the commands that it remembers", func(s *State) { s.accepted = s.accepted[1:] }),
+		Entry("the content of a command that it remembers", func(s *State) { s.accepted[0].Digest[0]++ }),
 	)
 })
--- a/internal/cluster/configuration/document.go
+++ b/internal/cluster/configuration/document.go
@@ -8,61 +8,61 @@
 
 // Document is one version of the configuration. It never changes, and may be read by any goroutine.
 type Document struct {
-	version  uint64
-	sections []section
-	places   places // of routes in force
-	dropped  places // queues that were dropped, with the services they had
-	limits   *Limits
+	version       uint64
+	sections      []section
+	queues        queueIndex // routes by queue
+	droppedQueues queueIndex // queues without a route, with the services that they had
+	limits        *Limits
 }
 
-// section is one top-level field of a configuration but `version`.
+// section is a top-level field of a configuration other than `version`.
 type section struct {
 	name   string
-	isList bool   // a list of named items
-	list   list   // if so
-	raw    []byte // if not: JSON as the operator sent it
+	isList bool     // it is a list of named items
+	list   itemList // of a list
+	raw    []byte   // of any other value: JSON as the operator sent it
 }
 
-// noDocument stands before the first configuration.
-var noDocument = &Document{limits: &Limits{}}
+// emptyDocument is the document before the first configuration.
+var emptyDocument = &Document{limits: &Limits{}}
 
-// Version returns the document's version; 0: no configuration was taken yet.
+// Version returns the document's version; 0 before the first configuration.
 func (d *Document) Version() uint64 { return d.version }
 
-// Limits returns the limits for clients; its fields are 0 where none were given.
+// Limits returns the limits for clients, never nil; fields are 0 where the operator set no limit.
 func (d *Document) Limits() *Limits { return d.limits }
 
 // Table returns the lookup of routes.
-func (d *Document) Table() *Table { return &Table{places: d.places} }
+func (d *Document) Table() *Table { return &Table{queues: d.queues} }
 
-// Route returns the route of that name, or nil.
+// Route returns the route with that name, or nil.
 func (d *Document) Route(name string) *Route {
-	if member := d.list(sectionRoutes).get(name); member != nil {
+	if member := d.itemsOf(sectionRoutes).get(name); member != nil {
 		return member.route
 	}
 	return nil
 }
 
-// Queue returns the route of the queue of that key (see QueueKey), or nil.
+// Queue returns the route of the queue with that key (see QueueKey), or nil.
 func (d *Document) Queue(key string) *Route {
-	if member := d.places.get(placeOf(key)); member != nil {
+	if member := d.queues.get(parseQueueKey(key)); member != nil {
 		return member.route
 	}
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with that name, or nil.
 func (d *Document) Service(name string) *Service {
-	if member := d.list(sectionServices).get(name); member != nil {
+	if member := d.itemsOf(sectionServices).get(name); member != nil {
 		return member.service
 	}
 	return nil
 }
 
-// Routes goes through the routes by host and path prefix.
+// Routes iterates over the routes in the order of host and path prefix.
 func (d *Document) Routes() iter.Seq[*Route] {
 	return func(yield func(*Route) bool) {
-		for _, member := range d.places {
+		for _, member := range d.queues {
 			if !yield(member.route) {
 				return
 			}
@@ -70,10 +70,10 @@
 	}
 }
 
-// Services goes through the services in the operator's order.
+// Services iterates over the services in the operator's order.
 func (d *Document) Services() iter.Seq[*Service] {
 	return func(yield func(*Service) bool) {
-		for _, member := range d.list(sectionServices).items {
+		for _, member := range d.itemsOf(sectionServices).items {
 			if !yield(member.service) {
 				return
 			}
@@ -81,20 +81,20 @@
 	}
 }
 
-// EarlierServices returns, in order, the services that the queue of that key had in any version that was taken, but for
-// the one it has now. It knows queues that are dropped, too.
+// EarlierServices returns, in order, the services other than the present one that the queue with that key had in any
+// accepted version. It knows queues without a route, too, as long as there are not too many of them.
 func (d *Document) EarlierServices(queueKey string) []string {
-	at := placeOf(queueKey)
-	if member := d.places.get(at); member != nil {
-		return member.earlier
+	at := parseQueueKey(queueKey)
+	if member := d.queues.get(at); member != nil {
+		return member.earlierServices
 	}
-	if member := d.dropped.get(at); member != nil {
-		return member.earlier
+	if member := d.droppedQueues.get(at); member != nil {
+		return member.earlierServices
 	}
 	return nil
 }
 
-// JSON returns the configuration whole, each item as the operator sent it.
+// JSON returns the complete configuration, each item as the operator sent it.
 func (d *Document) JSON() []byte {
 	body := append(make([]byte, 0, d.size()), `{"version":`...)
 	body = strconv.AppendUint(body, d.version, 10)
@@ -106,7 +106,7 @@
 }
 
 func (s *section) appendJSON(body []byte) []byte {
-	key, _ := json.Marshal(s.name) // a string can always be written
+	key, _ := json.Marshal(s.name) // a string can always be encoded
 	body = append(body, key...)
 	body = append(body, ':')
 	if !s.isList {
@@ -135,8 +135,8 @@
 	return size
 }
 
-// section returns the section of that name, or nil.
-func (d *Document) section(name string) *section {
+// sectionNamed returns the section with that name, or nil.
+func (d *Document) sectionNamed(name string) *section {
 	for i := range d.sections {
 		if d.sections[i].name == name {
 			return &d.sections[i]
@@ -145,9 +145,10 @@
 	return nil
 }
 
-func (d *Document) list(name string) list {
-	if found := d.section(name); found != nil {
+// itemsOf returns the items of the list with that name, which is empty if there is none.
+func (d *Document) itemsOf(name string) itemList {
+	if found := d.sectionNamed(name); found != nil {
 		return found.list
 	}
-	return list{sorted: true}
+	return itemList{sorted: true}
 }
--- a/internal/cluster/configuration/history_test.go
+++ b/internal/cluster/configuration/earlierservices_test.go
@@ -13,7 +13,7 @@
 	func(want []string, services ...string) { // "": no route
 		const key = "one.example/one/"
 		for _, replacing := range []bool{true, false} {
-			state := stateWith(replace(0, whole(1, routeTwo)))
+			state := stateWith(replace(0, configurationOf(1, routeTwo)))
 			follower := state.Document()
 			for i, service := range services {
 				version := i + 1
@@ -21,9 +21,9 @@
 				route := aRoute([]string{"r-1", "r-9"}[i%2], "ONE.example", "/one/", service)
 				switch {
 				case replacing && service == "":
-					command = replace(uint64(version), whole(version+1, routeTwo))
+					command = replace(uint64(version), configurationOf(version+1, routeTwo))
 				case replacing:
-					command = replace(uint64(version), whole(version+1, route, routeTwo))
+					command = replace(uint64(version), configurationOf(version+1, route, routeTwo))
 				case service != "":
 					body := fmt.Sprintf(`{"version":%d,"remove":{"routes":["r-1","r-9"]},"upsert":{"routes":[%s]}}`, version+1, route)
 					command = update(uint64(version), body)
@@ -44,27 +44,27 @@
 	Entry("moved", []string{"a"}, "a", "b"),
 	Entry("moved and back", []string{"b"}, "a", "b", "a"),
 	Entry("dropped", []string{"a"}, "a", ""),
-	Entry("dropped for long", []string{"a"}, "a", "", "", ""),
+	Entry("dropped for several versions", []string{"a"}, "a", "", "", ""),
 	Entry("dropped and back", nil, "a", "", "a"),
-	Entry("dropped and back elsewhere", []string{"a"}, "a", "", "b"),
+	Entry("dropped and back with another service", []string{"a"}, "a", "", "b"),
 	Entry("moved and dropped", []string{"a", "b"}, "a", "b", ""),
 	Entry("moved, dropped and back", []string{"b"}, "a", "b", "", "a"),
 )
 
-var _ = Describe("queues that were dropped", func() {
+var _ = Describe("queues without a route", func() {
 	It("are forgotten, the longest dropped first, once there are too many", func() {
 		document := &Document{version: 9, limits: &Limits{}}
-		for i := range droppedQueues {
-			member := &item{place: place{host: "h", prefix: fmt.Sprintf("/%05d/", i)}, earlier: []string{"a"}, dropped: uint64(droppedQueues - i)}
-			document.dropped = append(document.dropped, member)
+		for i := range maxDroppedQueues {
+			member := &item{queue: queueKey{host: "h", prefix: fmt.Sprintf("/%05d/", i)}, earlierServices: []string{"a"}, droppedIn: uint64(maxDroppedQueues - i)}
+			document.droppedQueues = append(document.droppedQueues, member)
 		}
 		route := &Route{Host: "h", PathPrefix: "/x/", Service: "a"}
-		left := &item{route: route, place: place{host: "h", prefix: "/x/"}}
-		next := &Document{version: droppedQueues + 1}
-		next.follow(document, []*item{left}, nil)
-		Expect(len(next.dropped)).To(BeNumerically("~", droppedQueues*3/4, 1))
+		left := &item{route: route, queue: queueKey{host: "h", prefix: "/x/"}}
+		next := &Document{version: maxDroppedQueues + 1}
+		next.inheritServices(document, []*item{left}, nil)
+		Expect(len(next.droppedQueues)).To(BeNumerically("~", maxDroppedQueues*3/4, 1))
 		Expect(next.EarlierServices("h/x/")).To(Equal([]string{"a"}))
 		Expect(next.EarlierServices("h/00000/")).To(Equal([]string{"a"}))
-		Expect(next.EarlierServices(fmt.Sprintf("h/%05d/", droppedQueues-1))).To(BeNil())
+		Expect(next.EarlierServices(fmt.Sprintf("h/%05d/", maxDroppedQueues-1))).To(BeNil())
 	})
 })
--- a/internal/cluster/configuration/faults.go
+++ b/internal/cluster/configuration/errors.go
@@ -2,7 +2,7 @@
 
 import "ospreypond/internal/cluster/failure"
 
-// invalidf says what makes an order impossible to accept, whatever is in force.
+// invalidf returns an error of kind failure.Invalid: the command can't be accepted, and no retry of it will be.
 func invalidf(format string, args ...any) error {
 	return failure.Newf(failure.Invalid, format, args...)
 }
--- a/internal/cluster/configuration/follow.go
+++ b/internal/cluster/configuration/feed.go
@@ -7,27 +7,28 @@
 	"github.com/pkg/errors"
 )
 
-// feed is what followers are sent: an image, or the changes that lead on from one version.
+// feed is what followers are sent: an image of the current version, or the changes that lead to it from an earlier one. It is
+// encoded by gob: the field names are the format.
 type feed struct {
 	Image   *image
 	Changes []Command
 }
 
-// Since returns what brings a follower from a version to the current one, for Advance to read: the changes, if it can
-// take them and they are still here, else the whole. It is nil where there is nothing newer. The result is shared
-// between followers and must not be changed.
+// Since returns the feed that brings a follower from a version to the current one, to be decoded by Advance: the changes, if
+// it can take them and they are still remembered, else the complete document. It is nil if there is nothing newer. The
+// result is shared between followers and must not be modified.
 func (s *State) Since(version uint64, canTakeChanges bool) ([]byte, error) {
 	if version == s.document.version {
 		return nil, nil
 	}
 	next := feed{}
 	if canTakeChanges && version > 0 {
-		next.Changes = s.tail.since(version)
+		next.Changes = s.recent.since(version)
 	}
 	if next.Changes == nil {
 		version = 0
 	}
-	if encoded, found := s.tail.fed[version]; found {
+	if encoded, found := s.recent.encodedFeeds[version]; found {
 		return encoded, nil
 	}
 	if next.Changes == nil {
@@ -37,16 +38,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s.tail.keep(version, encoded)
+	s.recent.rememberFeed(version, encoded)
 	return encoded, nil
 }
 
-// keep keeps what was fed until the next change, since many followers ask for the same.
-func (t *tail) keep(version uint64, encoded []byte) {
-	if t.fed == nil {
-		t.fed = map[uint64][]byte{}
+// rememberFeed keeps an encoded feed until the next change, since many followers ask for the same.
+func (r *recentChanges) rememberFeed(version uint64, encoded []byte) {
+	if r.encodedFeeds == nil {
+		r.encodedFeeds = map[uint64][]byte{}
 	}
-	t.fed[version] = encoded
+	r.encodedFeeds[version] = encoded
 }
 
 func (f *feed) encode() ([]byte, error) {
@@ -55,20 +56,19 @@
 	return buffer.Bytes(), errors.Wrap(err, "encode the configuration's feed")
 }
 
-// Encode returns the whole document as Advance and Decode read it.
+// Encode returns a feed with the complete document, for Advance and Decode.
 func (d *Document) Encode() ([]byte, error) {
 	return (&feed{Image: d.image()}).encode()
 }
 
-// Decode reads a whole document.
+// Decode returns the document of a feed with a complete one.
 func Decode(data []byte) (*Document, error) { return Advance(nil, data) }
 
-// Advance returns the document that data leads to: a whole one, or changes to previous, which is nil before the first.
-// If previous is not where the changes start, or goes another way, that is an error, and a whole document has to be
-// asked for. Whatever data has, previous is never changed.
+// Advance returns the document that a feed leads to from previous, which is nil before the first one. It fails if the feed
+// has changes that don't follow previous; the caller then has to ask for a complete document. previous is never modified.
 func Advance(previous *Document, data []byte) (*Document, error) {
 	if previous == nil {
-		previous = noDocument
+		previous = emptyDocument
 	}
 	var received feed
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&received); err != nil {
@@ -80,6 +80,7 @@
 	return previous.advance(received.Changes)
 }
 
+// advance applies changes one after the other.
 func (d *Document) advance(changes []Command) (*Document, error) {
 	if len(changes) == 0 {
 		return nil, errors.New("the configuration's feed is empty")
--- a/internal/cluster/configuration/follow_test.go
+++ b/internal/cluster/configuration/feed_test.go
@@ -17,10 +17,10 @@
 	return routes
 }
 
-// routesOf returns what a follower needs of a document.
+// routesOf returns the routes of a document as the operator sent them.
 func routesOf(document *Document) []string {
 	var routes []string
-	for _, member := range document.places {
+	for _, member := range document.queues {
 		routes = append(routes, string(member.raw))
 	}
 	return routes
@@ -30,7 +30,7 @@
 	var state *State
 
 	BeforeEach(func() {
-		state = stateWith(replace(0, whole(5, manyRoutes(100)...)))
+		state = stateWith(replace(0, configurationOf(5, manyRoutes(100)...)))
 	})
 
 	feedFrom := func(version uint64, canTakeChanges bool) []byte {
@@ -40,7 +40,7 @@
 		return data
 	}
 
-	It("starts from the whole", func() {
+	It("starts from a complete document", func() {
 		document, err := Decode(feedFrom(0, true))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(document.Version()).To(Equal(uint64(5)))
@@ -48,11 +48,11 @@
 		Expect(routesOf(document)).To(Equal(routesOf(state.Document())))
 	})
 
-	It("is sent nothing where there is nothing new", func() {
+	It("is sent nothing if there is nothing new", func() {
 		Expect(feedFrom(5, true)).To(BeNil())
 	})
 
-	It("goes on by changes, which are small", func() {
+	It("continues by changes, which are small", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Execute(update(5, `{"version":6,"remove":{"routes":["r-00007"]}}`)).Kind).To(Equal(failure.None))
@@ -73,7 +73,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		routes := manyRoutes(101)
 		routes[3] = aRoute("r-00003", "moved.example", "/p3/", "b")
-		Expect(state.Execute(replace(5, whole(6, append(routes[:50], routes[51:]...)...))).Kind).To(Equal(failure.None))
+		Expect(state.Execute(replace(5, configurationOf(6, append(routes[:50], routes[51:]...)...))).Kind).To(Equal(failure.None))
 		data := feedFrom(5, true)
 		Expect(len(data)).To(BeNumerically("<", 1500))
 		next, err := Advance(follower, data)
@@ -82,7 +82,7 @@
 		Expect(string(next.JSON())).To(Equal(string(state.Document().JSON())))
 	})
 
-	It("is fed a replacement that changes the sections as it is", func() {
+	It("is fed a replacement that changes the sections as that replacement", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Execute(replace(5, `{"version":6,"services":[`+serviceA+`],"routes":[]}`)).Kind).To(Equal(failure.None))
@@ -92,31 +92,31 @@
 		Expect(next.Limits().GetMaxBodyBytes()).To(BeZero())
 	})
 
-	It("gets the whole where the changes do not reach back so far, or are not wanted", func() {
-		for version := uint64(5); version < 5+tailChanges+1; version++ {
+	It("gets a complete document if the changes are no longer remembered, or it can't take them", func() {
+		for version := uint64(5); version < 5+maxRecentChanges+1; version++ {
 			Expect(state.Execute(update(version, fmt.Sprintf(`{"version":%d}`, version+1))).Kind).To(Equal(failure.None))
 		}
 		for _, data := range [][]byte{feedFrom(5, true), feedFrom(200, false), feedFrom(4, true)} {
 			document, err := Decode(data)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(document.Version()).To(Equal(uint64(5 + tailChanges + 1)))
+			Expect(document.Version()).To(Equal(uint64(5 + maxRecentChanges + 1)))
 		}
 		_, err := Decode(feedFrom(200, true))
 		Expect(err).To(HaveOccurred(), "these are changes")
 	})
 
-	It("keeps the tail short in bytes", func() {
+	It("bounds the bytes of the remembered changes", func() {
 		version := uint64(5)
 		for range 40 {
 			body := fmt.Sprintf(`{"version":%d,"upsert":{"note":{"text":"%020000d"}}}`, version+1, version)
 			Expect(state.Execute(update(version, body)).Kind).To(Equal(failure.None))
 			version++
-			Expect(state.tail.bytes).To(BeNumerically("<=", tailBytes))
+			Expect(state.recent.bytes).To(BeNumerically("<=", maxRecentBytes))
 		}
-		Expect(len(state.tail.changes)).To(BeNumerically("~", tailBytes/20000, 2))
+		Expect(len(state.recent.changes)).To(BeNumerically("~", maxRecentBytes/20000, 2))
 	})
 
-	It("refuses changes that do not start where it is", func() {
+	It("rejects changes that don't follow its document", func() {
 		Expect(state.Execute(update(5, `{"version":6}`)).Kind).To(Equal(failure.None))
 		data := feedFrom(5, true)
 		_, err := Advance(nil, data)
@@ -129,7 +129,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("reads nothing again that it knows, when it gets the whole", func() {
+	It("doesn't parse again what it has when it gets a complete document", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Execute(update(5, `{"version":6,"upsert":{"routes":[`+routeOne+`]}}`)).Kind).To(Equal(failure.None))
--- a/internal/cluster/configuration/fixtures_test.go
+++ b/internal/cluster/configuration/fixtures_test.go
@@ -29,9 +29,9 @@
 	return show(&State{document: d}), nil
 }
 
-// followed returns a state with lists and single sections, a queue that moved, one that was dropped, and orders that were
-// taken and that came early.
-func followed() *State {
+// stateWithHistory returns a state with lists and other sections, a queue whose service changed, one without a route, accepted
+// commands and an early one.
+func stateWithHistory() *State {
 	GinkgoHelper()
 	state := standard()
 	moved := aRoute("r-1", "one.example", "/one/", "b")
@@ -61,7 +61,7 @@
 	It("is read as a snapshot", func() {
 		fixturetest.Check(GinkgoTB(), "snapshot", fixturetest.Codec{
 			Encode: func() (any, []byte, error) {
-				state := followed()
+				state := stateWithHistory()
 				data, err := state.Snapshot()
 				return show(state), data, err
 			},
@@ -73,10 +73,10 @@
 		})
 	})
 
-	It("is read as a whole document", func() {
+	It("is read as a complete document", func() {
 		fixturetest.Check(GinkgoTB(), "document", fixturetest.Codec{
 			Encode: func() (any, []byte, error) {
-				state := followed()
+				state := stateWithHistory()
 				data, err := state.Since(0, false)
 				if err != nil {
 					return nil, nil, err
@@ -91,7 +91,7 @@
 	It("is read as changes", func() {
 		fixturetest.Check(GinkgoTB(), "changes", fixturetest.Codec{
 			Encode: func() (any, []byte, error) {
-				state := followed()
+				state := stateWithHistory()
 				data, err := state.Since(5, true)
 				if err != nil {
 					return nil, nil, err
--- a/internal/cluster/configuration/list.go
+++ b/internal/cluster/configuration/itemlist.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// list is the items of a section in the operator's order. Lists that are sorted by name, as most are, stay so. It never
-// changes.
-type list struct {
+// itemList is the items of a section in the operator's order. One that is sorted by name, as most are, stays so when items are
+// added. It never changes.
+type itemList struct {
 	items  []*item
 	sorted bool
 }
 
 func compareNames(a, b *item) int { return strings.Compare(a.name, b.name) }
 
-// newList checks that each item has a name of its own.
-func newList(section string, items []*item) (list, error) {
-	made := list{items: items, sorted: slices.IsSortedFunc(items, compareNames)}
+// newList returns a list, and fails unless each item has a name of its own.
+func newList(section string, items []*item) (itemList, error) {
+	made := itemList{items: items, sorted: slices.IsSortedFunc(items, compareNames)}
 	ordered := items
 	if !made.sorted {
 		ordered = slices.Clone(items)
@@ -24,17 +24,17 @@
 	}
 	for i, member := range ordered {
 		if member.name == "" {
-			return list{}, invalidf("%s: an item has no name", section)
+			return itemList{}, invalidf("%s: an item has no name", section)
 		}
 		if i > 0 && ordered[i-1].name == member.name {
-			return list{}, invalidf("%s: two items have the name %q", section, member.name)
+			return itemList{}, invalidf("%s: two items have the name %q", section, member.name)
 		}
 	}
 	return made, nil
 }
 
-// find returns where the item of that name is, or where it would be put.
-func (l list) find(name string) (int, bool) {
+// find returns the index of the item with that name, or the index where it would be inserted.
+func (l itemList) find(name string) (int, bool) {
 	if l.sorted {
 		return slices.BinarySearchFunc(l.items, name, func(member *item, name string) int {
 			return strings.Compare(member.name, name)
@@ -48,21 +48,21 @@
 	return len(l.items), false
 }
 
-// get returns the item of that name, or nil.
-func (l list) get(name string) *item {
+// get returns the item with that name, or nil.
+func (l itemList) get(name string) *item {
 	if i, found := l.find(name); found {
 		return l.items[i]
 	}
 	return nil
 }
 
-// changed returns the list without the items to remove and with the new ones, in place of those of the same name. Names
-// that are not there are passed over.
-func (l list) changed(removed []string, upserts []*item) list {
+// with returns the list without the items to remove and with the new ones, which replace those of the same name. Names to
+// remove that it doesn't have are ignored.
+func (l itemList) with(removed []string, upserts []*item) itemList {
 	if len(removed) == 0 && len(upserts) == 0 {
 		return l
 	}
-	result := list{items: slices.Clone(l.items), sorted: l.sorted}
+	result := itemList{items: slices.Clone(l.items), sorted: l.sorted}
 	for _, name := range removed {
 		if i, found := result.find(name); found {
 			result.items = slices.Delete(result.items, i, i+1)
--- a/internal/cluster/configuration/split.go
+++ b/internal/cluster/configuration/json.go
@@ -5,40 +5,39 @@
 	"encoding/json"
 )
 
-// field is one member of a JSON object: its key and its value as it was sent.
-type field struct {
+// jsonField is a member of a JSON object: its key, and its value as it was sent.
+type jsonField struct {
 	key   string
 	value []byte
 }
 
-// object returns the members of the JSON object in data, in order, or false where it is another value. data is valid
-// JSON; the values are parts of it.
-func object(data []byte) ([]field, bool) {
+// jsonObject returns the members of a JSON object, in order. ok is false for any other value. data must be valid JSON; the
+// members' values are slices of it.
+func jsonObject(data []byte) (fields []jsonField, ok bool) {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != '{' {
 		return nil, false
 	}
-	var fields []field
 	at = skipSpace(data, at+1)
 	for data[at] != '}' {
 		end := skipValue(data, at)
-		key := text(data[at:end])
+		key := jsonString(data[at:end])
 		start := skipSpace(data, skipSpace(data, end)+1)
 		end = skipValue(data, start)
-		fields = append(fields, field{key: key, value: data[start:end]})
+		fields = append(fields, jsonField{key: key, value: data[start:end]})
 		at = skipComma(data, end)
 	}
 	return fields, true
 }
 
-// array returns the elements of the JSON array in data, or false where it is another value. data is valid JSON; the
-// elements are parts of it.
-func array(data []byte) ([][]byte, bool) {
+// jsonArray returns the elements of a JSON array. ok is false for any other value. data must be valid JSON; the elements are
+// slices of it.
+func jsonArray(data []byte) (elements [][]byte, ok bool) {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != '[' {
 		return nil, false
 	}
-	elements := [][]byte{}
+	elements = [][]byte{}
 	at = skipSpace(data, at+1)
 	for data[at] != ']' {
 		end := skipValue(data, at)
@@ -48,8 +47,8 @@
 	return elements, true
 }
 
-// text returns the JSON string in data.
-func text(data []byte) string {
+// jsonString decodes a JSON string.
+func jsonString(data []byte) string {
 	if bytes.IndexByte(data, '\\') < 0 {
 		return string(data[1 : len(data)-1])
 	}
@@ -60,6 +59,7 @@
 	return decoded
 }
 
+// skipSpace returns the index of the next byte that is not white space.
 func skipSpace(data []byte, at int) int {
 	for at < len(data) {
 		switch data[at] {
@@ -72,7 +72,7 @@
 	return at
 }
 
-// skipComma returns where the next element or the closing bracket is, after the value that ended at at.
+// skipComma returns the index of the next element or of the closing bracket, after a value that ended at at.
 func skipComma(data []byte, at int) int {
 	at = skipSpace(data, at)
 	if data[at] == ',' {
@@ -81,7 +81,7 @@
 	return at
 }
 
-// skipValue returns the end of the value that starts at at.
+// skipValue returns the index behind the value that starts at at.
 func skipValue(data []byte, at int) int {
 	depth := 0
 	for at < len(data) {
@@ -108,6 +108,7 @@
 	return at
 }
 
+// skipString returns the index behind the string that starts at at.
 func skipString(data []byte, at int) int {
 	at++
 	for at < len(data) {
@@ -123,7 +124,7 @@
 	return at
 }
 
-// skipScalar passes over a number, true, false or null.
+// skipScalar returns the index behind a number, true, false or null that starts at at.
 func skipScalar(data []byte, at int) int {
 	for at < len(data) {
 		switch data[at] {
--- a/internal/cluster/configuration/random_test.go
+++ b/internal/cluster/configuration/property_test.go
@@ -11,11 +11,11 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// model is the plainest form of a configuration: routes by name.
+// model is the simplest form of a configuration: the JSON of the routes by name.
 type model map[string]string
 
-// randomOrder draws an order on the state, which may be invalid.
-func randomOrder(random *rand.Rand, base uint64) Command {
+// randomCommand draws a command on a version, which may be invalid.
+func randomCommand(random *rand.Rand, base uint64) Command {
 	draw := func() string {
 		name := fmt.Sprintf("r-%d", random.IntN(8))
 		prefix := fmt.Sprintf("/%d/", random.IntN(6))
@@ -28,44 +28,44 @@
 	}
 	version := base + uint64(random.IntN(6))
 	if random.IntN(4) == 0 {
-		return replace(base, whole(int(version), routes...))
+		return replace(base, configurationOf(int(version), routes...))
 	}
 	return update(base, fmt.Sprintf(`{"version":%d,"remove":{"routes":["r-%d"]},"upsert":{"routes":[%s]}}`,
 		version, random.IntN(8), strings.Join(routes, ",")))
 }
 
-// modelOf reads a document's JSON without this package's own reading of whole documents.
+// modelOf returns the model of a document's JSON, without the package's own parsing of complete documents.
 func modelOf(document *Document) model {
 	routes := model{}
-	fields, _ := object(document.JSON())
+	fields, _ := jsonObject(document.JSON())
 	for _, f := range fields {
 		if f.key != sectionRoutes {
 			continue
 		}
-		elements, _ := array(f.value)
+		elements, _ := jsonArray(f.value)
 		for _, element := range elements {
-			routes[nameOf(element)] = string(element)
+			routes[itemName(element)] = string(element)
 		}
 	}
 	return routes
 }
 
-var _ = Describe("any orders", func() {
-	It("lead replicas and followers to the same, however they got there", func() {
+var _ = Describe("any commands", func() {
+	It("lead replicas and followers to the same document by any way", func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		for range 30 {
 			state, restored := NewState(), NewState()
 			follower := state.Document()
-			taken := 0
+			accepted := 0
 			for step := range 60 {
-				command := randomOrder(random, state.Document().Version())
+				command := randomCommand(random, state.Document().Version())
 				result := state.Execute(command)
 				Expect(restored.Execute(command)).To(Equal(result))
 				if result.Kind != failure.None {
 					Expect(result.Kind).To(Equal(failure.Invalid))
 					continue
 				}
-				taken++
+				accepted++
 				Expect(state.Execute(command)).To(Equal(result), "resent")
 				snapshot, err := state.Snapshot()
 				Expect(err).NotTo(HaveOccurred())
@@ -82,34 +82,34 @@
 					Expect(follower.Version()).To(Equal(state.Document().Version()))
 					Expect(modelOf(follower)).To(Equal(modelOf(state.Document())))
 					Expect(follower.image().Moved).To(Equal(state.Document().image().Moved))
-					Expect(follower.image().Dropped).To(HaveLen(len(state.Document().dropped)))
+					Expect(follower.image().Dropped).To(HaveLen(len(state.Document().droppedQueues)))
 				}
-				expectSound(state.Document())
+				expectInvariants(state.Document())
 			}
-			Expect(taken).To(BeNumerically(">", 5))
+			Expect(accepted).To(BeNumerically(">", 5))
 		}
 	})
 })
 
-// expectSound checks what must hold of every document in force.
-func expectSound(document *Document) {
+// expectInvariants checks the invariants of a document.
+func expectInvariants(document *Document) {
 	GinkgoHelper()
 	routes := modelOf(document)
-	Expect(document.places).To(HaveLen(len(routes)))
-	for i, member := range document.places {
+	Expect(document.queues).To(HaveLen(len(routes)))
+	for i, member := range document.queues {
 		Expect(routes).To(HaveKeyWithValue(member.name, string(member.raw)))
 		Expect(document.Service(member.route.Service)).NotTo(BeNil())
 		Expect(document.Route(member.name)).To(BeIdenticalTo(member.route))
 		Expect(document.Queue(QueueKey(member.route))).To(BeIdenticalTo(member.route))
 		Expect(document.EarlierServices(QueueKey(member.route))).NotTo(ContainElement(member.route.Service))
 		if i > 0 {
-			Expect(document.places[i-1].place.compare(member.place)).To(BeNumerically("<", 0))
+			Expect(document.queues[i-1].queue.compare(member.queue)).To(BeNumerically("<", 0))
 		}
 	}
-	for i, member := range document.dropped {
-		Expect(document.places.get(member.place)).To(BeNil())
+	for i, member := range document.droppedQueues {
+		Expect(document.queues.get(member.queue)).To(BeNil())
 		if i > 0 {
-			Expect(document.dropped[i-1].place.compare(member.place)).To(BeNumerically("<", 0))
+			Expect(document.droppedQueues[i-1].queue.compare(member.queue)).To(BeNumerically("<", 0))
 		}
 	}
 }
--- /dev/null
+++ b/internal/cluster/configuration/queueindex.go
@@ -0,0 +1,59 @@
+package configuration
+
+import "slices"
+
+// queueIndex is routes, or queues without a route, sorted by queue. It never changes.
+type queueIndex []*item
+
+func compareQueues(a, b *item) int { return a.queue.compare(b.queue) }
+
+// newQueueIndex returns the index of routes, and fails if two of them have the same queue.
+func newQueueIndex(routes []*item) (queueIndex, error) {
+	sorted := queueIndex(slices.Clone(routes))
+	slices.SortFunc(sorted, compareQueues)
+	for i := 1; i < len(sorted); i++ {
+		if sorted[i-1].queue == sorted[i].queue {
+			return nil, duplicateQueueError(sorted[i-1], sorted[i])
+		}
+	}
+	return sorted, nil
+}
+
+// duplicateQueueError returns the error that two routes have the same queue.
+func duplicateQueueError(first, second *item) error {
+	return invalidf("routes %q and %q share host %q and prefix %q",
+		first.name, second.name, second.route.Host, second.route.PathPrefix)
+}
+
+func (p queueIndex) find(at queueKey) (int, bool) {
+	return slices.BinarySearchFunc(p, at, func(member *item, at queueKey) int { return member.queue.compare(at) })
+}
+
+// get returns the item of that queue, or nil.
+func (p queueIndex) get(at queueKey) *item {
+	if i, found := p.find(at); found {
+		return p[i]
+	}
+	return nil
+}
+
+// with returns the index without some items and with others. It fails if two items then have the same queue.
+func (p queueIndex) with(removed, added []*item) (queueIndex, error) {
+	if len(removed) == 0 && len(added) == 0 {
+		return p, nil
+	}
+	result := slices.Clone(p)
+	for _, member := range removed {
+		if i, found := result.find(member.queue); found {
+			result = slices.Delete(result, i, i+1)
+		}
+	}
+	for _, member := range added {
+		i, found := result.find(member.queue)
+		if found {
+			return nil, duplicateQueueError(result[i], member)
+		}
+		result = slices.Insert(result, i, member)
+	}
+	return result, nil
+}
--- a/internal/cluster/configuration/resend_test.go
+++ b/internal/cluster/configuration/resend_test.go
@@ -13,7 +13,7 @@
 // step is the change that leads from a version to the next.
 func step(base uint64) Command { return update(base, fmt.Sprintf(`{"version":%d}`, base+1)) }
 
-// advance has a state take so many changes.
+// advance has a state accept so many changes.
 func advance(state *State, changes int) {
 	GinkgoHelper()
 	for range changes {
@@ -21,7 +21,7 @@
 	}
 }
 
-// reread returns the state as another process has it from a snapshot.
+// reread returns the state as another process restores it from a snapshot.
 func reread(state *State) *State {
 	GinkgoHelper()
 	data, err := state.Snapshot()
@@ -31,79 +31,79 @@
 	return restored
 }
 
-var _ = Describe("an order that is sent again", func() {
+var _ = Describe("a command that is resent", func() {
 	moved := aRoute("r-1", "one.example", "/one/", "b")
-	orders := map[string]Command{
-		"a replacement": replace(5, whole(7, routeOne)),
+	commands := map[string]Command{
+		"a replacement": replace(5, configurationOf(7, routeOne)),
 		"an update":     update(5, `{"version":7,"upsert":{"routes":[`+moved+`]}}`),
 		"a removal":     update(5, `{"version":7,"remove":{"routes":["r-2"]}}`),
 	}
 	others := map[string]Command{
-		"the same number, other content":         replace(5, whole(7, routeTwo)),
-		"another number":                         replace(5, whole(8, routeOne)),
-		"the same body as the other kind":        update(5, whole(7, routeOne, routeTwo)),
-		"the same body on an older version":      replace(0, whole(7, routeOne)),
-		"an invalid one of the same number":      replace(5, whole(7, aRoute("r", "h", "/", "?"))),
-		"an order that cannot be read":           replace(5, `{"version":7`),
+		"the same number, other content":         replace(5, configurationOf(7, routeTwo)),
+		"another number":                         replace(5, configurationOf(8, routeOne)),
+		"the same body as the other kind":        update(5, configurationOf(7, routeOne, routeTwo)),
+		"the same body on an older version":      replace(0, configurationOf(7, routeOne)),
+		"an invalid one of the same number":      replace(5, configurationOf(7, aRoute("r", "h", "/", "?"))),
+		"a command that can't be parsed":         replace(5, `{"version":7`),
 		"the same members in another order":      replace(5, `{"limits":`+someLimits+`,"version":7}`),
-		"no kind of change":                      {Kind: "erase", Base: 5, Body: []byte(whole(7, routeOne))},
+		"not a kind of change":                   {Kind: "erase", Base: 5, Body: []byte(configurationOf(7, routeOne))},
 		"an update of a later number, on the 5":  update(5, `{"version":4000}`),
 		"a removal of what is not there, on 5":   update(5, `{"version":9,"remove":{"routes":["nobody"]}}`),
 		"an empty one":                           update(5, ``),
 		"a number that is below the one it has":  update(5, `{"version":1}`),
 		"an upsert that has no effect in the 5":  update(5, `{"version":11,"upsert":{"routes":[`+routeOne+`]}}`),
-		"a replacement by what was there before": replace(5, whole(12, routeOne, routeTwo)),
+		"a replacement by what was there before": replace(5, configurationOf(12, routeOne, routeTwo)),
 	}
-	for name, order := range orders {
-		for _, changes := range []int{0, 1, 100, 2000, takenOrders - 2} {
+	for name, command := range commands {
+		for _, changes := range []int{0, 1, 100, 2000, maxAcceptedCommands - 2} {
 			It(fmt.Sprintf("is acknowledged and changes nothing: %s, after %d others", name, changes), func() {
 				state := standard()
-				Expect(state.Execute(order)).To(Equal(Result{Version: 7}))
+				Expect(state.Execute(command)).To(Equal(Result{Version: 7}))
 				advance(state, changes)
 				for _, each := range []*State{state, reread(state), reread(reread(state))} {
 					before := string(each.Document().JSON())
-					Expect(each.Execute(order)).To(Equal(Result{Version: 7}))
-					for other, command := range others {
-						result := each.Execute(command)
+					Expect(each.Execute(command)).To(Equal(Result{Version: 7}))
+					for other, rejected := range others {
+						result := each.Execute(rejected)
 						Expect(result.Kind).To(Equal(failure.Conflict), other)
 						Expect(result.Version).To(Equal(uint64(7+changes)), other)
 					}
-					Expect(each.Execute(order)).To(Equal(Result{Version: 7}))
+					Expect(each.Execute(command)).To(Equal(Result{Version: 7}))
 					Expect(string(each.Document().JSON())).To(Equal(before))
 				}
 			})
 		}
 	}
 
-	It("is the same with other white space, and another one with its members in another order", func() {
+	It("is the same with other white space, but not with its members in another order", func() {
 		state := standard()
 		Expect(state.Execute(update(5, `{"version":7,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
 		advance(state, 3)
 		spaced := update(5, " {\n\t\"version\" : 7 ,\r\n \"remove\":{ \"routes\":[ \"r-2\" ] } }\n")
 		Expect(state.Execute(spaced)).To(Equal(Result{Version: 7}))
-		turned := update(5, `{"remove":{"routes":["r-2"]},"version":7}`)
-		Expect(state.Execute(turned).Kind).To(Equal(failure.Conflict))
+		reordered := update(5, `{"remove":{"routes":["r-2"]},"version":7}`)
+		Expect(state.Execute(reordered).Kind).To(Equal(failure.Conflict))
 		inText := update(5, `{"version":7,"remove":{"routes":["r- 2"]}}`)
-		Expect(state.Execute(inText).Kind).To(Equal(failure.Conflict), "space within a text is no white space")
+		Expect(state.Execute(inText).Kind).To(Equal(failure.Conflict), "white space within a string counts")
 	})
 
 	It("is the same whichever operator sends it", func() {
 		state := standard()
-		order := replace(5, whole(7, routeTwo))
-		Expect(state.Execute(order)).To(Equal(Result{Version: 7}))
-		Expect(state.Execute(replace(5, whole(7, routeTwo)))).To(Equal(Result{Version: 7}))
+		command := replace(5, configurationOf(7, routeTwo))
+		Expect(state.Execute(command)).To(Equal(Result{Version: 7}))
+		Expect(state.Execute(replace(5, configurationOf(7, routeTwo)))).To(Equal(Result{Version: 7}))
 	})
 
-	It("is not the replacement that has its effect", func() {
+	It("is not the replacement that has the same effect", func() {
 		state := standard()
 		Expect(state.Execute(update(5, `{"version":7,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
-		whole := replace(5, string(state.Document().JSON()))
-		Expect(state.Execute(whole).Kind).To(Equal(failure.Conflict))
+		replacement := replace(5, string(state.Document().JSON()))
+		Expect(state.Execute(replacement).Kind).To(Equal(failure.Conflict))
 		advance(state, 1)
-		Expect(state.Execute(whole).Kind).To(Equal(failure.Conflict))
+		Expect(state.Execute(replacement).Kind).To(Equal(failure.Conflict))
 	})
 
-	It("is another order on another base", func() {
+	It("is another command on another base", func() {
 		state := standard()
 		advance(state, 2)
 		for _, base := range []uint64{0, 1, 4, 6, 7} {
@@ -114,7 +114,7 @@
 
 	It("stays invalid if it was, also where it would be valid later", func() {
 		state := standard()
-		needsLater := replace(5, whole(7, aRoute("r-9", "h", "/", "c"))) // service c comes with the next change
+		needsLater := replace(5, configurationOf(7, aRoute("r-9", "h", "/", "c"))) // service c comes with the next change
 		Expect(state.Execute(needsLater).Kind).To(Equal(failure.Invalid))
 		addition := update(5, `{"version":6,"upsert":{"services":[{"name":"c"}]}}`)
 		Expect(state.Execute(addition).Kind).To(Equal(failure.None))
@@ -126,56 +126,56 @@
 
 	It("stays lost if it lost a race", func() {
 		state := standard()
-		Expect(state.Execute(replace(5, whole(7, routeOne))).Kind).To(Equal(failure.None))
-		loser := replace(5, whole(7, routeTwo))
+		Expect(state.Execute(replace(5, configurationOf(7, routeOne))).Kind).To(Equal(failure.None))
+		loser := replace(5, configurationOf(7, routeTwo))
 		for range 3 {
 			Expect(state.Execute(loser).Kind).To(Equal(failure.Conflict))
 			state = reread(state)
 			advance(state, 1)
 		}
-		Expect(state.Execute(replace(5, whole(7, routeOne)))).To(Equal(Result{Version: 7}))
+		Expect(state.Execute(replace(5, configurationOf(7, routeOne)))).To(Equal(Result{Version: 7}))
 	})
 
-	It("stays refused if it was refused before the version it builds on", func() {
+	It("stays rejected if it was rejected before the version that it builds on", func() {
 		state := standard()
-		hasty := update(7, `{"version":9}`)
-		Expect(state.Execute(hasty).Kind).To(Equal(failure.Conflict))
+		early := update(7, `{"version":9}`)
+		Expect(state.Execute(early).Kind).To(Equal(failure.Conflict))
 		Expect(state.Execute(update(5, `{"version":7}`)).Kind).To(Equal(failure.None))
 		for _, each := range []*State{state, reread(state)} {
-			Expect(each.Execute(hasty).Kind).To(Equal(failure.Conflict), "a copy that was late")
-			Expect(each.Execute(update(7, `{"version":10}`))).To(Equal(Result{Version: 10}), "another on that version")
-			Expect(each.Execute(hasty).Kind).To(Equal(failure.Conflict))
+			Expect(each.Execute(early).Kind).To(Equal(failure.Conflict), "a late duplicate")
+			Expect(each.Execute(update(7, `{"version":10}`))).To(Equal(Result{Version: 10}), "another command on that version")
+			Expect(each.Execute(early).Kind).To(Equal(failure.Conflict))
 			Expect(each.early).To(BeEmpty())
 		}
 	})
 
-	It("is never refused for good where too many are early to remember each", func() {
+	It("is never finally rejected if there are too many early ones to remember", func() {
 		state := standard()
-		for version := range uint64(earlyOrders) {
+		for version := range uint64(maxEarlyCommands) {
 			Expect(state.Execute(step(100 + version)).Kind).To(Equal(failure.Conflict))
 		}
 		late := update(6, `{"version":7}`)
 		Expect(state.Execute(late).Kind).To(Equal(failure.Unavailable))
-		Expect(state.early).To(HaveLen(earlyOrders))
+		Expect(state.early).To(HaveLen(maxEarlyCommands))
 		Expect(state.Execute(step(100)).Kind).To(Equal(failure.Conflict), "one that is remembered")
 		advance(state, 1)
 		Expect(state.Execute(late)).To(Equal(Result{Version: 7}))
 	})
 
-	It("finds its way among eight that are under way at once", func() {
+	It("is decided once among eight concurrent ones", func() {
 		state := standard()
-		var underWay []Command
+		var concurrent []Command
 		for i := range 8 {
-			underWay = append(underWay, replace(5, whole(7, aRoute(fmt.Sprintf("r-%d", i), "h", "/", "a"))))
+			concurrent = append(concurrent, replace(5, configurationOf(7, aRoute(fmt.Sprintf("r-%d", i), "h", "/", "a"))))
 		}
 		for round := range 4 {
-			for i := range underWay {
-				at := (i + 3*round) % len(underWay)
-				result := state.Execute(underWay[at])
+			for i := range concurrent {
+				at := (i + 3*round) % len(concurrent)
+				result := state.Execute(concurrent[at])
 				if at == 0 {
-					Expect(result).To(Equal(Result{Version: 7}), "the first to come, in round %d", round)
+					Expect(result).To(Equal(Result{Version: 7}), "the first one, in round %d", round)
 				} else {
-					Expect(result.Kind).To(Equal(failure.Conflict), "order %d in round %d", at, round)
+					Expect(result.Kind).To(Equal(failure.Conflict), "command %d in round %d", at, round)
 				}
 			}
 			if round > 0 {
@@ -185,15 +185,15 @@
 	})
 })
 
-var _ = Describe("orders and copies of them, in any order", func() {
-	It("are decided once: what is acknowledged stays so, what is refused for good stays refused", func() {
+var _ = Describe("commands and their duplicates, in any order", func() {
+	It("are decided once: what is acknowledged stays so, what is finally rejected stays rejected", func() {
 		random := rand.New(rand.NewPCG(5, 6))
-		taken := 0
+		accepted := 0
 		for range 300 {
 			state := NewState()
 			sent := []Command{step(0)}
-			decided := map[orderKey]failure.Kind{}
-			winners := map[uint64]orderKey{}
+			decided := map[commandKey]failure.Kind{}
+			winners := map[uint64]commandKey{}
 			for range 80 {
 				command := sent[random.IntN(len(sent))]
 				if random.IntN(2) == 0 {
@@ -203,7 +203,7 @@
 					sent = append(sent, command)
 				}
 				before := state.Document()
-				result, key := state.Execute(command), keyOf(command)
+				result, key := state.Execute(command), keyOfCommand(command)
 				kind, known := decided[key]
 				switch {
 				case result.Kind == failure.Unavailable:
@@ -218,15 +218,15 @@
 				}
 				if result.Kind == failure.None {
 					winner, found := winners[command.Base]
-					Expect(!found || winner == key).To(BeTrue(), "one order for each version")
+					Expect(!found || winner == key).To(BeTrue(), "one command for each version")
 					winners[command.Base] = key
 				}
 				if random.IntN(10) == 0 {
 					state = reread(state)
 				}
 			}
-			taken += len(winners)
+			accepted += len(winners)
 		}
-		Expect(taken).To(BeNumerically(">", 300*5), "orders that were taken, in all")
+		Expect(accepted).To(BeNumerically(">", 300*5), "accepted commands in all")
 	})
 })
--- a/internal/cluster/configuration/suite_test.go
+++ b/internal/cluster/configuration/suite_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "configuration")
 }
 
-// Bodies of the tests.
+// Parts of the bodies of commands.
 const (
 	serviceA   = `{"name":"a","healthPath":"/health","maxConnections":64,"protocol":"h1","tls":false,"preconditions":false}`
 	serviceB   = `{"name":"b","preconditions":true,"unknown":{"deep":[1,2.50,"ü"]}}`
@@ -29,7 +29,7 @@
 		`"targetLatencyMs":800,"priority":1,"service":%q,"maxAttempts":3,"extension":4.0}`, name, host, prefix, service)
 }
 
-func whole(version int, routes ...string) string {
+func configurationOf(version int, routes ...string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[%s,%s],"limits":%s}`,
 		version, strings.Join(routes, ","), serviceA, serviceB, someLimits)
 }
@@ -47,7 +47,7 @@
 	return Command{Kind: protocol.ConfigurationUpdate, Base: base, Body: []byte(body)}
 }
 
-// stateWith returns a state that has taken the commands.
+// stateWith returns a state that has accepted the commands.
 func stateWith(commands ...Command) *State {
 	GinkgoHelper()
 	state := NewState()
@@ -60,5 +60,5 @@
 
 func standard() *State {
 	GinkgoHelper()
-	return stateWith(replace(0, whole(5, routeOne, routeTwo)))
+	return stateWith(replace(0, configurationOf(5, routeOne, routeTwo)))
 }
--- a/internal/cluster/configuration/table.go
+++ b/internal/cluster/configuration/table.go
@@ -4,39 +4,37 @@
 	"strings"
 )
 
-// Table finds the route of a request. It never changes; a Document has its own.
-type Table struct{ places places }
+// Table finds the route of a request. It never changes, and may be used by any goroutine.
+type Table struct{ queues queueIndex }
 
-// Lookup returns the route whose host is host and whose path prefix is the longest that path starts with, and the rest
-// of the path behind that prefix. Hosts are compared without case and without a port.
+// Lookup returns the route of a request's host whose path prefix is the longest one that the path starts with, and the rest
+// of the path after that prefix. ok is false, and route nil, if there is none. Hosts are compared without case and port.
 func (t *Table) Lookup(host, path string) (route *Route, rest string, ok bool) {
-	host = normalHost(host)
+	host = normalizeHost(host)
 	bound := path
 	for {
-		i, found := t.places.find(place{host: host, prefix: bound})
+		i, found := t.queues.find(queueKey{host: host, prefix: bound})
 		if !found {
 			i--
 		}
-		if i < 0 || t.places[i].place.host != host {
+		if i < 0 || t.queues[i].queue.host != host {
 			return nil, "", false
 		}
-		// Of all prefixes of the bound that are here, the longest comes last, and nothing but what lies between it and the
-		// bound comes after it.
-		prefix := t.places[i].place.prefix
+		// Prefixes of the bound sort before it, and whatever sorts between one of them and the bound begins with it, too. So
+		// none is longer than what the bound and the last item before it have in common, to which the bound is truncated.
+		prefix := t.queues[i].queue.prefix
 		common := commonLength(prefix, bound)
 		if common == len(prefix) {
-			return t.places[i].route, path[common:], true
+			return t.queues[i].route, path[common:], true
 		}
 		bound = bound[:common]
 	}
 }
 
 // Len returns the number of routes.
-func (t *Table) Len() int { return len(t.places) }
-
-// QueueKey names the queue of a route: its host in lower case, and its path prefix.
-func QueueKey(route *Route) string { return strings.ToLower(route.Host) + route.PathPrefix }
+func (t *Table) Len() int { return len(t.queues) }
 
+// commonLength returns the length of the longest common prefix.
 func commonLength(a, b string) int {
 	length := min(len(a), len(b))
 	for i := range length {
@@ -47,8 +45,8 @@
 	return length
 }
 
-// normalHost returns a Host header's name in lower case, without its port.
-func normalHost(host string) string {
+// normalizeHost returns the name in a Host header, in lower case and without the port.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
--- a/internal/cluster/configuration/table_test.go
+++ b/internal/cluster/configuration/table_test.go
@@ -11,7 +11,7 @@
 
 var _ = DescribeTable("the route of a request",
 	func(host, path, wantRoute, wantRest string) {
-		table := stateWith(replace(0, whole(1,
+		table := stateWith(replace(0, configurationOf(1,
 			aRoute("one", "one.example", "/one/", "a"),
 			aRoute("deep", "one.example", "/one/deep/", "a"),
 			aRoute("deeper", "one.example", "/one/deep/er/", "a"),
@@ -27,14 +27,14 @@
 	},
 	Entry("one prefix", "one.example", "/one/5c0e7a21d94b36f8", "one", "5c0e7a21d94b36f8"),
 	Entry("the prefix alone", "one.example", "/one/", "one", ""),
-	Entry("less than the prefix", "one.example", "/one", "", ""),
+	Entry("shorter than the prefix", "one.example", "/one", "", ""),
 	Entry("the longest prefix", "one.example", "/one/deep/x", "deep", "x"),
-	Entry("a longer one that does not fit", "one.example", "/one/deep", "one", "deep"),
-	Entry("a still longer one that does not fit", "one.example", "/one/deep/es", "deep", "es"),
-	Entry("neighbours that do not fit", "one.example", "/one/deer/zzz", "one", "deer/zzz"),
+	Entry("a longer one that doesn't match", "one.example", "/one/deep", "one", "deep"),
+	Entry("a still longer one that doesn't match", "one.example", "/one/deep/es", "deep", "es"),
+	Entry("neighbours that don't match", "one.example", "/one/deer/zzz", "one", "deer/zzz"),
 	Entry("past all prefixes", "one.example", "/one/zzz", "one", "zzz"),
 	Entry("before all prefixes", "one.example", "/", "", ""),
-	Entry("behind all of the host", "one.example", "/zzz", "", ""),
+	Entry("after all prefixes of the host", "one.example", "/zzz", "", ""),
 	Entry("an empty path", "one.example", "", "", ""),
 	Entry("a port", "one.example:8149", "/one/x", "one", "x"),
 	Entry("another case of the host", "ONE.Example", "/one/x", "one", "x"),
@@ -51,8 +51,8 @@
 var _ = Describe("the table", func() {
 	It("finds the same as a search through all prefixes", func() {
 		random := rand.New(rand.NewPCG(1, 2))
-		word := func(longest int) string {
-			letters := make([]byte, random.IntN(longest+1))
+		word := func(maxLength int) string {
+			letters := make([]byte, random.IntN(maxLength+1))
 			for i := range letters {
 				letters[i] = "ab/"[random.IntN(3)]
 			}
@@ -68,7 +68,7 @@
 					routes = append(routes, aRoute(fmt.Sprint("r", i), "h", prefix, "a"))
 				}
 			}
-			table := stateWith(replace(0, whole(1, routes...))).Document().Table()
+			table := stateWith(replace(0, configurationOf(1, routes...))).Document().Table()
 			for range 20 {
 				path := word(8)
 				longest := ""
@@ -87,7 +87,7 @@
 		}
 	})
 
-	It("names a queue by host in lower case and prefix", func() {
+	It("identifies a queue by host in lower case and prefix", func() {
 		Expect(QueueKey(&Route{Host: "Host.Example", PathPrefix: "/P/"})).To(Equal("host.example/P/"))
 	})
 })
--- a/internal/cluster/configuration/update.go
+++ b/internal/cluster/configuration/update.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// order is an update as it was read.
-type order struct {
+// parsedUpdate is the body of an update.
+type parsedUpdate struct {
 	version  uint64
 	upserts  []section
 	removals []removal
 }
 
-// removal has the names of items to remove from one section.
+// removal is the names of items to remove from one section.
 type removal struct {
 	section string
 	names   []string
 }
 
-// updated returns the document that an update makes of d. Removals go first; removing what is not there changes
-// nothing, so that an update can be built on any state in which its effect makes sense.
-func (d *Document) updated(body []byte) (*Document, error) {
-	update, err := d.readUpdate(body)
+// applyUpdate returns the document that follows d by an update. Removals come first; removing an item that is not there is
+// allowed, so that an update can build on any state in which its effect makes sense.
+func (d *Document) applyUpdate(body []byte) (*Document, error) {
+	update, err := d.parseUpdate(body)
 	if err != nil {
 		return nil, err
 	}
@@ -38,66 +38,66 @@
 	return next, next.reindex(d, update)
 }
 
-// remove takes items out of a section; there is nothing to take out of one that is missing or no list.
+// remove removes items from a section. It does nothing if there is no such list.
 func (d *Document) remove(removal removal) {
-	if present := d.section(removal.section); present != nil && present.isList {
-		present.list = present.list.changed(removal.names, nil)
+	if present := d.sectionNamed(removal.section); present != nil && present.isList {
+		present.list = present.list.with(removal.names, nil)
 	}
 }
 
-// upsert adds items to a section, or adds the section; one that is no list is replaced whole.
+// upsert adds or replaces items of a list. A section that is new, or not a list, is added or replaced as one.
 func (d *Document) upsert(upsert section) {
-	present := d.section(upsert.name)
+	present := d.sectionNamed(upsert.name)
 	switch {
 	case present == nil:
 		d.sections = append(d.sections, upsert)
 	case present.isList && upsert.isList:
-		present.list = present.list.changed(nil, upsert.list.items)
+		present.list = present.list.with(nil, upsert.list.items)
 	default:
 		*present = upsert
 	}
 }
 
-// reindex checks what an update changed and fills in what is worked out from the sections.
-func (d *Document) reindex(before *Document, update *order) error {
+// reindex checks what an update changed, and fills in what follows from the sections.
+func (d *Document) reindex(before *Document, update *parsedUpdate) error {
 	removed, added := routeChanges(before, update)
 	var err error
-	if d.places, err = before.places.changed(removed, added); err != nil {
+	if d.queues, err = before.queues.with(removed, added); err != nil {
 		return err
 	}
 	if err = d.checkChanged(update, added); err != nil {
 		return err
 	}
-	if update.touches(sectionLimits) {
-		if d.limits, err = readLimits(d.section(sectionLimits)); err != nil {
+	if update.upsertsSection(sectionLimits) {
+		if d.limits, err = parseLimits(d.sectionNamed(sectionLimits)); err != nil {
 			return err
 		}
 	}
-	d.follow(before, removed, added)
+	d.inheritServices(before, removed, added)
 	return nil
 }
 
-// checkChanged checks the changed routes, or all of them where services went.
-func (d *Document) checkChanged(update *order, added []*item) error {
+// checkChanged checks the changed routes, or all routes if services were removed.
+func (d *Document) checkChanged(update *parsedUpdate, added []*item) error {
 	for _, removal := range update.removals {
 		if removal.section == sectionServices {
-			return d.checkRoutes(d.places)
+			return d.checkRoutes(d.queues)
 		}
 	}
 	return d.checkRoutes(added)
 }
 
-// routeChanges returns the routes that the update takes away or replaces, and those that it brings.
-func routeChanges(before *Document, update *order) (removed, added []*item) {
-	routes := before.list(sectionRoutes)
-	gone := map[*item]bool{}
+// routeChanges returns the routes that an update removes or replaces, and those that it adds.
+func routeChanges(before *Document, update *parsedUpdate) (removed, added []*item) {
+	routes := before.itemsOf(sectionRoutes)
+	isRemoved := map[*item]bool{}
 	for _, removal := range update.removals {
 		if removal.section != sectionRoutes {
 			continue
 		}
 		for _, name := range removal.names {
 			if member := routes.get(name); member != nil {
-				gone[member] = true
+				isRemoved[member] = true
 			}
 		}
 	}
@@ -109,33 +109,34 @@
 	}
 	for _, member := range added {
 		if present := routes.get(member.name); present != nil {
-			gone[present] = true
+			isRemoved[present] = true
 		}
 	}
-	for member := range gone {
+	for member := range isRemoved {
 		removed = append(removed, member)
 	}
-	slices.SortFunc(removed, comparePlaces)
+	slices.SortFunc(removed, compareQueues)
 	return removed, added
 }
 
-func (o *order) touches(name string) bool {
-	return slices.ContainsFunc(o.upserts, func(upsert section) bool { return upsert.name == name })
+// upsertsSection reports whether the update upserts in the section with that name.
+func (u *parsedUpdate) upsertsSection(name string) bool {
+	return slices.ContainsFunc(u.upserts, func(upsert section) bool { return upsert.name == name })
 }
 
-// readUpdate reads `version`, `upsert` and `remove`.
-func (d *Document) readUpdate(body []byte) (*order, error) {
-	fields, version, err := readFields(body)
+// parseUpdate parses the body of an update: `version`, `upsert` and `remove`.
+func (d *Document) parseUpdate(body []byte) (*parsedUpdate, error) {
+	fields, version, err := parseFields(body)
 	if err != nil {
 		return nil, err
 	}
-	update := &order{version: version}
+	update := &parsedUpdate{version: version}
 	for _, f := range fields {
 		switch f.key {
 		case "upsert":
-			update.upserts, err = d.readUpserts(f.value)
+			update.upserts, err = d.parseUpserts(f.value)
 		case "remove":
-			update.removals, err = readRemovals(f.value)
+			update.removals, err = parseRemovals(f.value)
 		}
 		if err != nil {
 			return nil, err
@@ -144,17 +145,17 @@
 	return update, nil
 }
 
-func (d *Document) readUpserts(value []byte) ([]section, error) {
-	fields, isObject := object(value)
+func (d *Document) parseUpserts(value []byte) ([]section, error) {
+	fields, isObject := jsonObject(value)
 	if !isObject {
-		return nil, invalidf("upsert is no object")
+		return nil, invalidf("upsert is not an object")
 	}
-	if err := distinct(fields); err != nil {
+	if err := checkDistinct(fields); err != nil {
 		return nil, err
 	}
 	upserts := make([]section, 0, len(fields))
 	for _, f := range fields {
-		upsert, err := reader{known: d}.section(f)
+		upsert, err := parser{previous: d}.parseSection(f)
 		if err != nil {
 			return nil, err
 		}
@@ -163,22 +164,22 @@
 	return upserts, nil
 }
 
-func readRemovals(value []byte) ([]removal, error) {
-	fields, isObject := object(value)
+func parseRemovals(value []byte) ([]removal, error) {
+	fields, isObject := jsonObject(value)
 	if !isObject {
-		return nil, invalidf("remove is no object")
+		return nil, invalidf("remove is not an object")
 	}
-	if err := distinct(fields); err != nil {
+	if err := checkDistinct(fields); err != nil {
 		return nil, err
 	}
-	if err := readMessage(value, &Removals{}); err != nil {
+	if err := parseMessage(value, &Removals{}); err != nil {
 		return nil, invalidf("remove: %v", err)
 	}
 	removals := make([]removal, 0, len(fields))
 	for _, f := range fields {
 		var names []string
 		if err := json.Unmarshal(f.value, &names); err != nil {
-			return nil, invalidf("remove: %s is no list of names", f.key)
+			return nil, invalidf("remove: %s is not a list of names", f.key)
 		}
 		removals = append(removals, removal{section: f.key, names: names})
 	}
