--- a/internal/cluster/directory/attempts.go
+++ b/internal/cluster/directory/attempts.go
@@ -7,91 +7,86 @@
 )
 
 const (
-	leastPause = 30 * time.Millisecond
-	mostPause  = 200 * time.Millisecond
-	mostHints  = 2 // hints to an owner followed at once, without a pause between
+	minRetryBackoff = 30 * time.Millisecond
+	maxRetryBackoff = 200 * time.Millisecond
 )
 
-// attempts decides, call by call, what follows the attempts of one call to a shard's owner. It is pure.
+// attempts decides what follows each attempt of one call to a shard's owner. It does no I/O and reads no clock.
 type attempts struct {
-	mayRepeat bool
-	unknown   error // an attempt may have done something
-	refused   error // newest error that says that nothing was done for want of an owner
-	hints     int   // followed in a row
-	paused    bool  // the newest hint after too many in a row was followed, after a pause
-	pauses    int
-	silent    string // newest process whose answer did not come; a hint to it is not followed
+	mayRepeat      bool
+	unknownOutcome error // of the newest attempt that may have done something
+	rejected       error // of the newest attempt that did nothing for want of an owner
+	hints          hints
+	backoffs       int
+	unresponsive   string // the newest process whose response didn't come; a hint to it is not followed
 }
 
-// step is what to do next.
-type step struct {
-	done   bool
-	err    error         // done: the call's end
-	target string        // else: whom to ask next; empty: the one after the last
-	pause  time.Duration // before that
-	doubt  bool          // the owner seems to be gone: learn anew who it is
+// nextStep is what to do after an attempt.
+type nextStep struct {
+	done    bool
+	err     error         // if done: the call's result
+	target  string        // if not: the address to ask next; empty: the one after the last
+	backoff time.Duration // the wait before that
+	refresh bool          // the owner seems to have failed: have the watch find out who it is
 }
 
-// after returns what follows an attempt at target that ended with err.
-func (a *attempts) after(target string, err error) step {
+// next returns what follows an attempt at target that ended with err.
+func (a *attempts) next(target string, err error) nextStep {
 	switch failure.KindOf(err) {
 	case failure.None:
-		return step{done: true}
+		return nextStep{done: true}
 	case failure.NotLeader:
-		a.refused = err
+		a.rejected = err
 		return a.follow(target, failure.LeaderOf(err))
 	case failure.Unavailable:
-		a.refused = err
-		return step{pause: a.pause(), doubt: true}
+		a.rejected = err
+		return nextStep{backoff: a.backoff(), refresh: true}
 	case failure.UnknownOutcome:
-		a.unknown = err
-		a.silent = target
+		a.unknownOutcome = err
+		a.unresponsive = target
 		if !a.mayRepeat {
-			return step{done: true, err: err, doubt: true}
+			return nextStep{done: true, err: err, refresh: true}
 		}
-		return step{pause: a.pause(), doubt: true}
+		return nextStep{backoff: a.backoff(), refresh: true}
 	default:
-		return step{done: true, err: a.end(err)}
+		return nextStep{done: true, err: a.endError(err)}
 	}
 }
 
-// follow goes where a process says that the owner is. After some hints in a row it pauses first, since an owner may not
-// know yet that it is; and every other time it asks the others in turn, since those that gave the hints may go on taking
-// each other for the owner.
-func (a *attempts) follow(target, leader string) step {
-	if leader == "" || leader == target || leader == a.silent {
-		a.silent = "" // once: it may just have been slow
-		return step{pause: a.pause()}
+// follow follows the hint of a process that is not the owner, which is empty if it doesn't know the owner.
+func (a *attempts) follow(target, leader string) nextStep {
+	if leader == "" || leader == target || leader == a.unresponsive {
+		a.unresponsive = "" // once: it may just have been slow
+		return nextStep{backoff: a.backoff()}
 	}
-	if a.hints < mostHints {
-		a.hints++
-		return step{target: leader}
+	if a.hints.followAtOnce() {
+		return nextStep{target: leader}
 	}
-	a.paused = !a.paused
-	if a.paused {
-		return step{target: leader, pause: a.pause()}
+	if a.hints.followAfterWait() {
+		return nextStep{target: leader, backoff: a.backoff()}
 	}
-	return step{pause: a.pause()}
+	return nextStep{backoff: a.backoff()}
 }
 
-// pause returns how long to wait; it grows with each.
-func (a *attempts) pause() time.Duration {
-	a.hints = 0
-	wait := leastPause << min(a.pauses, 3)
-	a.pauses++
-	return min(wait, mostPause)
+// backoff returns how long to wait; it grows with each call.
+func (a *attempts) backoff() time.Duration {
+	a.hints.waited()
+	wait := minRetryBackoff << min(a.backoffs, 3)
+	a.backoffs++
+	return min(wait, maxRetryBackoff)
 }
 
-// end returns the error of a call that ends with a definite error, or for want of time if last is nil.
-func (a *attempts) end(last error) error {
+// endError returns the error of a call that ends with a definite error, or by its context if last is nil. An attempt with
+// an unknown outcome outweighs everything that came after it.
+func (a *attempts) endError(last error) error {
 	switch {
-	case a.unknown != nil:
-		return a.unknown
+	case a.unknownOutcome != nil:
+		return a.unknownOutcome
 	case last != nil:
 		return last
-	case a.refused != nil:
-		return a.refused
+	case a.rejected != nil:
+		return a.rejected
 	default:
-		return failure.New(failure.Unavailable, "no time to ask the shard's owner")
+		return failure.New(failure.Unavailable, "no time left to call the shard's owner")
 	}
 }
--- a/internal/cluster/directory/call.go
+++ b/internal/cluster/directory/call.go
@@ -11,67 +11,67 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// attemptTimeout bounds each attempt of a call, so that a silent owner does not use up the whole time.
+// attemptTimeout bounds each attempt of a call, so that an unresponsive owner doesn't use up all the time of the call.
 const attemptTimeout = 600 * time.Millisecond
 
-// Call asks the owner of a shard and returns its answer. It follows processes' hints to the owner and asks the others
-// in turn until ctx ends. An attempt whose outcome is unknown is repeated only if mayRepeat. If any attempt had an
-// unknown outcome, the error is of kind UnknownOutcome. Else it is the owner's; or Unavailable or NotLeader if none was
-// found in time, and then certainly nothing was done.
+// Call calls the owner of a shard and returns its response. It follows the hints of processes that are not the owner, and tries
+// one address after the other, until ctx ends. An attempt with an unknown outcome is repeated only if mayRepeat is true: the
+// request must then be idempotent. If any attempt had an unknown outcome, the error is of kind UnknownOutcome; else it is the
+// owner's, or Unavailable or NotLeader if none was found in time, and then certainly nothing was done.
 func Call[Req, Resp any](
 	ctx context.Context, d *Directory, shard protocol.ShardID, request *Req, mayRepeat bool,
 ) (*Resp, error) {
 	state := attempts{mayRepeat: mayRepeat}
-	target := d.first(shard)
+	target := d.firstTarget(shard)
 	for {
-		if isOver(ctx) {
-			return nil, state.end(nil)
+		if isDone(ctx) {
+			return nil, state.endError(nil)
 		}
 		response := new(Resp)
 		err := d.attempt(ctx, target, request, response)
-		next := state.after(target, err)
+		next := state.next(target, err)
 		if next.done && next.err == nil {
-			d.noteOwner(shard, target)
+			d.recordOwner(shard, target)
 			return response, nil
 		}
-		if wasGivenUp(ctx) {
+		if wasCanceled(ctx) {
 			d.Refresh()
-			return nil, state.end(next.err)
+			return nil, state.endError(next.err)
 		}
-		d.note(shard, target, next)
+		d.recordAttempt(shard, target, next)
 		if next.done {
 			return nil, next.err
 		}
-		target = d.move(ctx, shard, target, next)
+		target = d.nextTarget(ctx, shard, target, next)
 	}
 }
 
-// attempt asks one process.
+// attempt calls one process.
 func (d *Directory) attempt(ctx context.Context, target string, request, response any) error {
 	if target == "" {
 		return failure.New(failure.Unavailable, "no control process is known")
 	}
-	bounded, cancel := d.bound(ctx, attemptTimeout)
+	bounded, cancel := d.withTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return d.options.Client.Do(bounded, target, request, response)
 }
 
-// note takes note of what an attempt has shown.
-func (d *Directory) note(shard protocol.ShardID, target string, next step) {
+// recordAttempt records what an attempt has shown of the shard's owner.
+func (d *Directory) recordAttempt(shard protocol.ShardID, target string, next nextStep) {
 	if next.target != "" {
-		d.noteOwner(shard, next.target)
-	} else if next.doubt || !next.done {
-		d.passOver(shard, target)
+		d.recordOwner(shard, next.target)
+	} else if next.refresh || !next.done {
+		d.avoid(shard, target)
 	}
-	if next.doubt {
+	if next.refresh {
 		d.Refresh()
 	}
 }
 
-// move waits, and returns whom to ask next.
-func (d *Directory) move(ctx context.Context, shard protocol.ShardID, target string, next step) string {
-	changed := d.changes()
-	if next.pause > 0 && d.wait(ctx, next.pause, changed) {
+// nextTarget waits for the backoff and returns the address to call next. A change of owners ends the wait.
+func (d *Directory) nextTarget(ctx context.Context, shard protocol.ShardID, target string, next nextStep) string {
+	changed := d.ownersChanged()
+	if next.backoff > 0 && d.waitForOwners(ctx, next.backoff, changed) {
 		if owner := d.Owner(shard); owner != "" {
 			return owner
 		}
@@ -79,18 +79,19 @@
 	if next.target != "" {
 		return next.target
 	}
-	return d.next(target)
+	return d.targetAfter(target)
 }
 
-func (d *Directory) changes() <-chan struct{} {
+// ownersChanged returns a channel that is closed when owners change.
+func (d *Directory) ownersChanged() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.changed
 }
 
-// wait waits for a time and tells whether owners changed meanwhile, which ends it early.
-func (d *Directory) wait(ctx context.Context, pause time.Duration, changed <-chan struct{}) bool {
-	timer := deadline.In(ctx, d.options.Clock).NewTimer(pause)
+// waitForOwners waits for the given time, until changed is closed or until ctx ends. It reports whether changed was closed.
+func (d *Directory) waitForOwners(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
+	timer := deadline.In(ctx, d.options.Clock).NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.Chan():
@@ -102,14 +103,15 @@
 	}
 }
 
-// wasGivenUp tells whether who asks has left before the time was over: of the process that was asked this says nothing,
-// so that others go on asking it. A context of a clockwork.FakeClock tells its error only once it has ended.
-func wasGivenUp(ctx context.Context) bool {
-	return isOver(ctx) && !errors.Is(ctx.Err(), context.DeadlineExceeded) &&
+// wasCanceled reports whether the caller canceled ctx before its deadline. This says nothing of the process that was called,
+// so it isn't avoided for it. A context of a clockwork.FakeClock has an error only once it has ended.
+func wasCanceled(ctx context.Context) bool {
+	return isDone(ctx) && !errors.Is(ctx.Err(), context.DeadlineExceeded) &&
 		!errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-func isOver(ctx context.Context) bool {
+// isDone reports whether ctx has ended.
+func isDone(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return true
--- a/internal/cluster/directory/call_test.go
+++ b/internal/cluster/directory/call_test.go
@@ -16,7 +16,7 @@
 
 type response struct{ Text string }
 
-// attempt is one attempt as a table expects it, and its end.
+// attempt is an expected attempt, and the error that it ends with.
 type attempt struct {
 	address string
 	err     error
@@ -28,20 +28,20 @@
 	start := func(ctx context.Context, d *Directory, mayRepeat bool) <-chan error {
 		ended := make(chan error, 1)
 		go func() {
-			answer, err := Call[request, response](ctx, d, shard, &request{Text: "do"}, mayRepeat)
-			if err == nil && answer.Text != "done" {
-				err = failure.New(failure.Invalid, "not the answer")
+			response, err := Call[request, response](ctx, d, shard, &request{Text: "do"}, mayRepeat)
+			if err == nil && response.Text != "done" {
+				err = failure.New(failure.Invalid, "not the response")
 			}
 			ended <- err
 		}()
 		return ended
 	}
 
-	DescribeTable("goes from process to process",
+	DescribeTable("attempts one process after the other",
 		func(owner string, mayRepeat bool, end failure.Kind, ownerAfter string, script ...attempt) {
 			s := newScripted()
 			d := newDirectory(s, nil)
-			d.noteOwner(shard, owner)
+			d.recordOwner(shard, owner)
 			ended := start(context.Background(), d, mayRepeat)
 			for i, expected := range script {
 				got := s.next()
@@ -58,28 +58,28 @@
 		},
 		Entry("to the owner", "x", false, failure.None, "x", attempt{"x", nil}),
 		Entry("by a hint", "", false, failure.None, "x", attempt{"a", notLeader("x")}, attempt{"x", nil}),
-		Entry("by hints to and fro", "x", false, failure.None, "y", attempt{"x", notLeader("y")}, attempt{"y", notLeader("x")},
+		Entry("by alternating hints", "x", false, failure.None, "y", attempt{"x", notLeader("y")}, attempt{"y", notLeader("x")},
 			attempt{"x", notLeader("y")}, attempt{"y", nil}),
-		Entry("past hints that go round for ever", "", false, failure.None, "c", attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")},
+		Entry("past hints that go round in a circle", "", false, failure.None, "c", attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")},
 			attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")}, attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")},
 			attempt{"c", nil}),
-		Entry("in turn", "", false, failure.None, "c", attempt{"a", notLeader("")}, attempt{"b", notLeader("")}, attempt{"c", nil}),
-		Entry("past a hint to oneself", "", false, failure.None, "b", attempt{"a", notLeader("a")}, attempt{"b", nil}),
-		Entry("past the dead", "", false, failure.None, "b", attempt{"a", ofKind(failure.Unavailable)}, attempt{"b", nil}),
-		Entry("and not again after an unknown outcome", "x", false, failure.UnknownOutcome, "",
+		Entry("round robin", "", false, failure.None, "c", attempt{"a", notLeader("")}, attempt{"b", notLeader("")}, attempt{"c", nil}),
+		Entry("past a process that names itself", "", false, failure.None, "b", attempt{"a", notLeader("a")}, attempt{"b", nil}),
+		Entry("past an unreachable process", "", false, failure.None, "b", attempt{"a", ofKind(failure.Unavailable)}, attempt{"b", nil}),
+		Entry("without a retry after an unknown outcome", "x", false, failure.UnknownOutcome, "",
 			attempt{"x", ofKind(failure.UnknownOutcome)}),
-		Entry("and again if it may", "x", true, failure.None, "a", attempt{"x", ofKind(failure.UnknownOutcome)}, attempt{"a", nil}),
-		Entry("past a hint to who was silent, once", "x", true, failure.None, "x", attempt{"x", ofKind(failure.UnknownOutcome)},
+		Entry("with a retry after an unknown outcome if it may repeat", "x", true, failure.None, "a", attempt{"x", ofKind(failure.UnknownOutcome)}, attempt{"a", nil}),
+		Entry("past a hint to an unresponsive process, once", "x", true, failure.None, "x", attempt{"x", ofKind(failure.UnknownOutcome)},
 			attempt{"a", notLeader("x")}, attempt{"b", notLeader("x")}, attempt{"x", nil}),
-		Entry("to a definite end", "x", true, failure.Overloaded, "x", attempt{"x", ofKind(failure.Overloaded)}),
-		Entry("to a job that is not there", "", true, failure.Gone, "x", attempt{"a", notLeader("x")},
+		Entry("up to a definite error", "x", true, failure.Overloaded, "x", attempt{"x", ofKind(failure.Overloaded)}),
+		Entry("up to a job that doesn't exist", "", true, failure.Gone, "x", attempt{"a", notLeader("x")},
 			attempt{"x", ofKind(failure.Gone)}),
-		Entry("to an older configuration", "x", true, failure.Stale, "x", attempt{"x", ofKind(failure.Stale)}),
-		Entry("to a refusal after an unknown outcome, which stays unknown", "x", true, failure.UnknownOutcome, "",
+		Entry("up to an older configuration", "x", true, failure.Stale, "x", attempt{"x", ofKind(failure.Stale)}),
+		Entry("up to a rejection after an unknown outcome, which stays unknown", "x", true, failure.UnknownOutcome, "",
 			attempt{"x", ofKind(failure.UnknownOutcome)}, attempt{"a", ofKind(failure.Overloaded)}),
 	)
 
-	DescribeTable("ends with its ctx",
+	DescribeTable("ends with its context",
 		func(mayRepeat bool, end failure.Kind, script ...attempt) {
 			s := newScripted()
 			d := newDirectory(s, nil)
@@ -91,45 +91,45 @@
 				Expect(got.address).To(Equal(expected.address), "attempt %d", i)
 				got.answer(nil, expected.err)
 			}
-			s.pause()
+			s.waitForTimer()
 			cancel()
 			Expect(failure.KindOf(passUntil(s, ended))).To(Equal(end))
 		},
-		Entry("looking for an owner", true, failure.NotLeader, attempt{"a", notLeader("")}, attempt{"b", notLeader("")}),
-		Entry("reaching nobody", true, failure.Unavailable, attempt{"a", ofKind(failure.Unavailable)}),
+		Entry("while it looks for an owner", true, failure.NotLeader, attempt{"a", notLeader("")}, attempt{"b", notLeader("")}),
+		Entry("while it reaches no process", true, failure.Unavailable, attempt{"a", ofKind(failure.Unavailable)}),
 		Entry("after an unknown outcome", true, failure.UnknownOutcome, attempt{"a", ofKind(failure.UnknownOutcome)},
 			attempt{"b", notLeader("")}, attempt{"c", ofKind(failure.Unavailable)}),
 	)
 
-	It("says nothing of an owner whose answer it does not wait for", func() {
+	It("keeps an owner whose response it was canceled to wait for", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
-		d.noteOwner(shard, "x")
-		ctx, leave := context.WithCancel(context.Background())
+		d.recordOwner(shard, "x")
+		ctx, cancel := context.WithCancel(context.Background())
 		ended := start(ctx, d, false)
 		s.next()
-		leave()
+		cancel()
 		Expect(failure.KindOf(passUntil(s, ended))).To(Equal(failure.UnknownOutcome))
 		Expect(d.Owner(shard)).To(Equal("x"))
-		Expect(d.first(protocol.ConfigurationShard)).To(Equal("a"))
+		Expect(d.firstTarget(protocol.ConfigurationShard)).To(Equal("a"))
 	})
 
-	It("forgets an owner that is silent until its time is over", func() {
+	It("forgets an owner that is unresponsive until the deadline", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
-		d.noteOwner(shard, "x")
-		ctx, cancel := clockwork.WithTimeout(context.Background(), s.clock, leastPause)
+		d.recordOwner(shard, "x")
+		ctx, cancel := clockwork.WithTimeout(context.Background(), s.clock, minRetryBackoff)
 		defer cancel()
-		given, leave := context.WithCancel(ctx)
-		defer leave()
-		ended := start(given, d, false)
+		inner, cancelInner := context.WithCancel(ctx)
+		defer cancelInner()
+		ended := start(inner, d, false)
 		s.next()
-		s.clock.Advance(leastPause)
+		s.clock.Advance(minRetryBackoff)
 		Expect(failure.KindOf(passUntil(s, ended))).To(Equal(failure.UnknownOutcome))
 		Expect(d.Owner(shard)).To(BeEmpty())
 	})
 
-	It("that comes too late asks nobody", func() {
+	It("with a context that has ended calls no process", func() {
 		s := newScripted()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -137,10 +137,10 @@
 		Expect(s.calls).To(BeEmpty())
 	})
 
-	It("gives a silent owner only part of the time", func() {
+	It("gives an unresponsive owner only part of the time", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
-		d.noteOwner(shard, "x")
+		d.recordOwner(shard, "x")
 		ended := start(context.Background(), d, true)
 		first := s.next()
 		s.clock.Advance(attemptTimeout - 1)
@@ -148,12 +148,12 @@
 		s.clock.Advance(1)
 		second := s.next()
 		Expect(second.address).To(Equal("a"))
-		Expect(second.at.Sub(first.at)).To(Equal(attemptTimeout + leastPause))
+		Expect(second.at.Sub(first.at)).To(Equal(attemptTimeout + minRetryBackoff))
 		second.answer(&response{Text: "done"}, nil)
 		Expect(passUntil(s, ended)).To(Succeed())
 	})
 
-	It("does not hammer", func() {
+	It("backs off", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -170,7 +170,7 @@
 		Expect(failure.KindOf(passUntil(s, ended))).To(Equal(failure.UnknownOutcome))
 	})
 
-	It("goes on at once when a new owner becomes known", func() {
+	It("continues at once when a new owner becomes known", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		ended := start(context.Background(), d, true)
@@ -180,9 +180,9 @@
 		}
 		last := s.next()
 		last.answer(nil, notLeader(""))
-		s.pause()
-		d.noteOwner(shard, "x")
-		var got asking
+		s.waitForTimer()
+		d.recordOwner(shard, "x")
+		var got scriptedCall
 		Eventually(s.calls).WithTimeout(soon).Should(Receive(&got))
 		Expect(got.at).To(Equal(last.at))
 		Expect(got.address).To(Equal("x"))
@@ -190,12 +190,12 @@
 		Expect(passUntil(s, ended)).To(Succeed())
 	})
 
-	It("starts elsewhere after another call met silence", func() {
+	It("starts at another process after another call found one unresponsive", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		ended := start(context.Background(), d, false)
 		s.next().answer(nil, ofKind(failure.UnknownOutcome))
-		passUntil(s, ended)
+		Expect(failure.KindOf(passUntil(s, ended))).To(Equal(failure.UnknownOutcome))
 		ended = start(context.Background(), d, true)
 		for _, address := range []string{"b", "c"} {
 			got := s.next()
@@ -206,11 +206,11 @@
 		Expect(got.address).To(Equal("a"))
 		got.answer(&response{Text: "done"}, nil)
 		Expect(passUntil(s, ended)).To(Succeed())
-		Expect(d.first(shard)).To(Equal("a"))
-		Expect(d.first(shard + 1)).To(Equal("a"))
+		Expect(d.firstTarget(shard)).To(Equal("a"))
+		Expect(d.firstTarget(shard + 1)).To(Equal("a"))
 	})
 
-	It("of a directory that knows nobody is Unavailable", func() {
+	It("of a directory that knows no process is Unavailable", func() {
 		s := newScripted()
 		d := New(Options{Client: s, Clock: s.clock})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/cluster/directory/decompress.go
+++ b/internal/cluster/directory/decompress.go
@@ -10,22 +10,22 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// mostConfigurationBytes bounds what an answer may come to when it is unpacked.
-const mostConfigurationBytes = 64 << 20
+// maxConfigurationBytes bounds the size of a configuration after decompression.
+const maxConfigurationBytes = 64 << 20
 
-// unpack puts the plain configuration in the place of a compressed one.
-func unpack(answer *protocol.WatchResponse) error {
-	if !answer.Compressed {
+// decompress replaces a compressed configuration in a response by the plain one.
+func decompress(response *protocol.WatchResponse) error {
+	if !response.Compressed {
 		return nil
 	}
-	reader := flate.NewReader(bytes.NewReader(answer.Configuration))
-	plain, err := io.ReadAll(io.LimitReader(reader, mostConfigurationBytes+1))
+	reader := flate.NewReader(bytes.NewReader(response.Configuration))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxConfigurationBytes+1))
 	if err != nil {
-		return errors.Wrap(err, "unpack the configuration")
+		return errors.Wrap(err, "decompress the configuration")
 	}
-	if len(plain) > mostConfigurationBytes {
-		return errors.Errorf("the configuration has more than %d bytes", mostConfigurationBytes)
+	if len(plain) > maxConfigurationBytes {
+		return errors.Errorf("the configuration has more than %d bytes", maxConfigurationBytes)
 	}
-	answer.Configuration, answer.Compressed = plain, false
+	response.Configuration, response.Compressed = plain, false
 	return nil
 }
--- a/internal/cluster/directory/directory_suite_test.go
+++ b/internal/cluster/directory/directory_suite_test.go
@@ -17,10 +17,10 @@
 
 func TestDirectory(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Directory of owners")
+	RunSpecs(t, "directory")
 }
 
-const soon = 10 * time.Second // for what happens at once, on a busy machine too
+const soon = 10 * time.Second // the timeout for what happens at once, even on a busy machine
 
 func notLeader(leader string) error {
 	return &failure.Error{Kind: failure.NotLeader, Message: "not here", Leader: leader}
@@ -28,8 +28,8 @@
 
 func ofKind(kind failure.Kind) error { return failure.New(kind, "scripted") }
 
-// asking is one call that a scripted caller has got.
-type asking struct {
+// scriptedCall is a call that a scripted caller received.
+type scriptedCall struct {
 	address string
 	at      time.Time
 	request any
@@ -37,34 +37,34 @@
 	ctx     context.Context
 }
 
-// scripted is a Caller whose calls the test answers, with a clock that stands still unless the test moves it.
+// scripted is a Caller whose calls the test answers, with a clock that only the test advances.
 type scripted struct {
 	clock  *clockwork.FakeClock
-	calls  chan asking
-	pauses chan time.Duration // begun, in order
+	calls  chan scriptedCall
+	timers chan time.Duration // the timers that were started, in order
 }
 
 func newScripted() *scripted {
 	return &scripted{
 		clock:  clockwork.NewFakeClock(),
-		calls:  make(chan asking, 100),
-		pauses: make(chan time.Duration, 100),
+		calls:  make(chan scriptedCall, 100),
+		timers: make(chan time.Duration, 100),
 	}
 }
 
-// pausing is the clock with its pauses told to the test.
-type pausing struct {
+// timerRecorder is a clock that reports to the test the timers that are started.
+type timerRecorder struct {
 	*clockwork.FakeClock
 	pauses chan time.Duration
 }
 
-func (p *pausing) NewTimer(span time.Duration) clockwork.Timer {
+func (p *timerRecorder) NewTimer(span time.Duration) clockwork.Timer {
 	timer := p.FakeClock.NewTimer(span)
 	p.pauses <- span
 	return timer
 }
 
-// Do hands the call to the test and waits for its answer or for ctx.
+// Do passes the call to the test and waits for its answer or until ctx ends.
 func (s *scripted) Do(ctx context.Context, address string, request, response any) error {
 	ended := make(chan error, 1)
 	var once sync.Once
@@ -76,7 +76,7 @@
 			ended <- err
 		})
 	}
-	s.calls <- asking{address: address, at: s.clock.Now(), request: request, answer: answer, ctx: ctx}
+	s.calls <- scriptedCall{address: address, at: s.clock.Now(), request: request, answer: answer, ctx: ctx}
 	select {
 	case err := <-ended:
 		return err
@@ -85,18 +85,18 @@
 	}
 }
 
-// DoLong is Do.
+// DoLong does what Do does.
 func (s *scripted) DoLong(ctx context.Context, address string, request, response any) error {
 	return s.Do(ctx, address, request, response)
 }
 
-// next returns the next call, letting pauses pass until it comes.
-func (s *scripted) next() asking {
+// next returns the next call, and advances the clock by the timers until it comes.
+func (s *scripted) next() scriptedCall {
 	GinkgoHelper()
 	return passUntil(s, s.calls)
 }
 
-// passUntil lets pauses pass until a channel has something.
+// passUntil advances the clock by the timers until a channel has something, and returns that.
 func passUntil[T any](s *scripted, channel <-chan T) T {
 	GinkgoHelper()
 	late := time.After(soon)
@@ -104,27 +104,27 @@
 		select {
 		case got := <-channel:
 			return got
-		case span := <-s.pauses:
+		case span := <-s.timers:
 			s.clock.Advance(span)
 		case <-late:
-			Fail("it never came")
+			Fail("timed out")
 		}
 	}
 }
 
-// pause waits until a pause begins, and does not let it pass.
-func (s *scripted) pause() {
+// waitForTimer waits until a timer is started, without advancing the clock.
+func (s *scripted) waitForTimer() {
 	GinkgoHelper()
-	Eventually(s.pauses).WithTimeout(soon).Should(Receive())
+	Eventually(s.timers).WithTimeout(soon).Should(Receive())
 }
 
 var threeSeeds = []string{"a", "b", "c"}
 
-// nodeFirst is a machine's name that starts at the first seed.
+// nodeFirst returns a machine's name that starts at the first seed.
 func nodeFirst() string {
 	for _, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9"} {
 		d := New(Options{Seeds: threeSeeds, Node: name})
-		if d.first(protocol.ConfigurationShard) == "a" {
+		if d.firstTarget(protocol.ConfigurationShard) == "a" {
 			return name
 		}
 	}
@@ -132,10 +132,11 @@
 	return ""
 }
 
+// newDirectory returns a Directory with three seeds and the scripted caller and its clock.
 func newDirectory(s *scripted, changed func(uint64, []byte) error) *Directory {
-	clock := &pausing{FakeClock: s.clock, pauses: s.pauses}
+	clock := &timerRecorder{FakeClock: s.clock, pauses: s.timers}
 	d := New(Options{Client: s, Seeds: threeSeeds, Node: nodeFirst(), Clock: clock, OnConfiguration: changed})
-	d.bound = func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
+	d.withTimeout = func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
 		return clockwork.WithTimeout(ctx, s.clock, span)
 	}
 	return d
--- a/internal/cluster/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -13,12 +13,12 @@
 )
 
 var _ = Describe("Over the transport", func() {
-	It("the watch and the calls find their owner", func() {
+	It("a watch and calls find their owners", func() {
 		owner := transport.NewServer(transport.Options{})
 		var address string
 		transport.HandleAsync(owner, func(_ string, r *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			if r.Version == 3 {
-				return // held back
+				return // left unanswered
 			}
 			answer(&protocol.WatchResponse{Version: 3, Configuration: []byte("{}"), OwnersAt: 1,
 				Owners: map[protocol.ShardID]string{0: address, 1: address}}, nil)
--- a/internal/cluster/directory/view.go
+++ b/internal/cluster/directory/view.go
@@ -7,17 +7,17 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// view is what is known of the system: who its members are, who owns which shard, and which version of the
-// configuration is in force. It is pure; the Directory guards it.
+// view is what is known of the cluster: its members, the owner of each shard and the version of the configuration. It does no
+// I/O and reads no clock; the Directory's mutex guards it.
 type view struct {
 	seeds       []string // internal addresses
-	version     uint64   // of the configuration held; 0: none
+	version     uint64   // of the configuration; 0: none
 	ownersAt    uint64   // revision of members and owners
 	members     []protocol.Member
 	owners      map[protocol.ShardID]string
-	confirmedAt time.Time // what was in force then is known here
-	addresses   []string  // members, then seeds that are no members
-	start       string    // whom to ask where no owner is known
+	confirmedAt time.Time // the version was current then
+	addresses   []string  // members, then seeds that are not members
+	start       string    // the address to call if a shard's owner isn't known
 }
 
 func newView(seeds []string) *view {
@@ -26,12 +26,14 @@
 	return v
 }
 
+// setSeeds replaces the seeds.
 func (v *view) setSeeds(seeds []string) {
 	v.seeds = slices.Clone(seeds)
-	v.gatherAddresses()
+	v.collectAddresses()
 }
 
-func (v *view) gatherAddresses() {
+// collectAddresses updates the addresses, each once, after members or seeds changed.
+func (v *view) collectAddresses() {
 	addresses := make([]string, 0, len(v.members)+len(v.seeds))
 	for _, member := range v.members {
 		if member.Address != "" && !slices.Contains(addresses, member.Address) {
@@ -46,103 +48,103 @@
 	v.addresses = addresses
 }
 
-// news is what an answer to a watch brought.
-type news struct {
-	stale         bool   // older than what is held: to be ignored
-	incomplete    bool   // newer, but without the document: a snapshot must be asked for
-	configuration []byte // a newer document, not yet in force here
-	owners        bool   // members or owners changed
+// viewUpdate is what the response to a watch update.
+type viewUpdate struct {
+	stale         bool   // older than the present version: it was ignored
+	incomplete    bool   // newer, but without the document: the complete one has to be requested
+	configuration []byte // a newer document; setVersion follows once it was accepted
+	ownersChanged bool   // of any shard, or the members
 }
 
-// judge tells what an answer brings, and takes over members and owners. The configuration's version moves by adopt.
-// With ownersOnly, the document is of no concern.
-func (v *view) judge(answer *protocol.WatchResponse, ownersOnly bool) news {
-	if answer.Version < v.version {
-		return news{stale: true}
+// apply takes over the members and owners of a response, and returns what the response brought. If ownersOnly is true, the
+// document is ignored.
+func (v *view) apply(response *protocol.WatchResponse, ownersOnly bool) viewUpdate {
+	if response.Version < v.version {
+		return viewUpdate{stale: true}
 	}
-	brought := news{owners: v.takeOwners(answer)}
+	update := viewUpdate{ownersChanged: v.applyOwners(response)}
 	switch {
-	case ownersOnly || answer.Version == v.version:
-	case len(answer.Configuration) == 0:
-		brought.incomplete = true
+	case ownersOnly || response.Version == v.version:
+	case len(response.Configuration) == 0:
+		update.incomplete = true
 	default:
-		brought.configuration = answer.Configuration
+		update.configuration = response.Configuration
 	}
-	return brought
+	return update
 }
 
-// takeOwners takes over members and owners of another revision than the one held. A new owner of the configuration
-// may count its revisions anew, so they are compared for being the same and not for being higher.
-func (v *view) takeOwners(answer *protocol.WatchResponse) bool {
-	nothing := len(answer.Members) == 0 && len(answer.Owners) == 0
-	if nothing || answer.OwnersAt == v.ownersAt {
+// applyOwners takes over members and owners of another revision than the present one, and reports whether they were. A new
+// owner of the configuration counts revisions from the start, so any other one counts as newer.
+func (v *view) applyOwners(response *protocol.WatchResponse) bool {
+	isEmpty := len(response.Members) == 0 && len(response.Owners) == 0
+	if isEmpty || response.OwnersAt == v.ownersAt {
 		return false
 	}
-	v.ownersAt = answer.OwnersAt
-	if len(answer.Members) > 0 {
-		v.members = answer.Members
-		v.gatherAddresses()
+	v.ownersAt = response.OwnersAt
+	if len(response.Members) > 0 {
+		v.members = response.Members
+		v.collectAddresses()
 	}
-	for shard, owner := range answer.Owners {
-		v.learn(shard, owner)
+	for shard, owner := range response.Owners {
+		v.setOwner(shard, owner)
 	}
 	return true
 }
 
-// adopt takes note that a version is in force here.
-func (v *view) adopt(version uint64) { v.version = max(v.version, version) }
+// setVersion records that a version was accepted.
+func (v *view) setVersion(version uint64) { v.version = max(v.version, version) }
 
-// confirm takes note that what was in force at that time is known.
+// confirm records that the version was current at that time.
 func (v *view) confirm(at time.Time) {
 	if at.After(v.confirmedAt) {
 		v.confirmedAt = at
 	}
 }
 
-// learn takes note of a shard's owner.
-func (v *view) learn(shard protocol.ShardID, owner string) {
+// setOwner records a shard's owner; an empty one is ignored.
+func (v *view) setOwner(shard protocol.ShardID, owner string) {
 	if owner != "" {
 		v.owners[shard] = owner
 	}
 }
 
-// forget drops a shard's owner if it is this one.
-func (v *view) forget(shard protocol.ShardID, owner string) {
+// removeOwner removes a shard's owner if it is this one.
+func (v *view) removeOwner(shard protocol.ShardID, owner string) {
 	if v.owners[shard] == owner {
 		delete(v.owners, shard)
 	}
 }
 
-// startAt has the address at a place of all that are known, counted round, be the one to start from.
-func (v *view) startAt(place uint32) {
+// startAtPosition selects the address to start from, by a position modulo the number of addresses.
+func (v *view) startAtPosition(position uint32) {
 	if len(v.addresses) > 0 {
-		v.start = v.addresses[int(place%uint32(len(v.addresses)))]
+		v.start = v.addresses[int(position%uint32(len(v.addresses)))]
 	}
 }
 
-// doubt has other addresses than this one be asked first.
-func (v *view) doubt(address string) {
+// avoid moves the address to start from to the next one if it is this one.
+func (v *view) avoid(address string) {
 	if v.start == address {
-		v.start = v.after(address)
+		v.start = v.targetAfter(address)
 	}
 }
 
-// first returns whom to ask for a shard: its owner, or where to start; "" if nobody is known.
-func (v *view) first(shard protocol.ShardID) string {
+// firstTarget returns the address to call first for a shard: its owner, or the one to start from; "" if none is known.
+func (v *view) firstTarget(shard protocol.ShardID) string {
 	if owner := v.owners[shard]; owner != "" {
 		return owner
 	}
 	if slices.Contains(v.addresses, v.start) {
 		return v.start
 	}
-	return v.after("")
+	return v.targetAfter("")
 }
 
-// after returns the address that follows another among all that are known, or the first; "" if none is known.
-func (v *view) after(address string) string {
+// targetAfter returns the address that follows another one, round robin, or the first if that is unknown; "" if none is known.
+func (v *view) targetAfter(address string) string {
 	if len(v.addresses) == 0 {
 		return ""
 	}
-	place := slices.Index(v.addresses, address)
-	return v.addresses[(place+1)%len(v.addresses)]
+	index := slices.Index(v.addresses, address)
+	return v.addresses[(index+1)%len(v.addresses)]
 }
--- a/internal/cluster/directory/view_test.go
+++ b/internal/cluster/directory/view_test.go
@@ -11,41 +11,41 @@
 
 var _ = Describe("The view", func() {
 	document := []byte("{}")
-	DescribeTable("judges an answer, holding version 5 and owners of revision 3",
-		func(answer protocol.WatchResponse, expected news) {
+	DescribeTable("applies a response to version 5 and owners of revision 3",
+		func(response protocol.WatchResponse, expected viewUpdate) {
 			v := newView(nil)
-			v.adopt(5)
+			v.setVersion(5)
 			v.ownersAt = 3
-			Expect(v.judge(&answer, false)).To(Equal(expected))
+			Expect(v.apply(&response, false)).To(Equal(expected))
 			Expect(v.version).To(Equal(uint64(5)))
 		},
-		Entry("nothing new", protocol.WatchResponse{Version: 5, OwnersAt: 3}, news{}),
+		Entry("nothing new", protocol.WatchResponse{Version: 5, OwnersAt: 3}, viewUpdate{}),
 		Entry("a newer document", protocol.WatchResponse{Version: 6, Configuration: document, OwnersAt: 3},
-			news{configuration: document}),
-		Entry("a newer version without its document", protocol.WatchResponse{Version: 6, OwnersAt: 3}, news{incomplete: true}),
+			viewUpdate{configuration: document}),
+		Entry("a newer version without its document", protocol.WatchResponse{Version: 6, OwnersAt: 3}, viewUpdate{incomplete: true}),
 		Entry("an older version", protocol.WatchResponse{Version: 4, Configuration: document, OwnersAt: 9,
-			Owners: map[protocol.ShardID]string{1: "z"}}, news{stale: true}),
-		Entry("none at all", protocol.WatchResponse{}, news{stale: true}),
-		Entry("the document held", protocol.WatchResponse{Version: 5, Configuration: document, OwnersAt: 3}, news{}),
+			Owners: map[protocol.ShardID]string{1: "z"}}, viewUpdate{stale: true}),
+		Entry("no version", protocol.WatchResponse{}, viewUpdate{stale: true}),
+		Entry("the document that it has", protocol.WatchResponse{Version: 5, Configuration: document, OwnersAt: 3}, viewUpdate{}),
 		Entry("newer owners", protocol.WatchResponse{Version: 5, OwnersAt: 4, Owners: map[protocol.ShardID]string{1: "x"}},
-			news{owners: true}),
-		Entry("owners that a new owner counts anew", protocol.WatchResponse{Version: 5, OwnersAt: 1,
-			Owners: map[protocol.ShardID]string{1: "x"}}, news{owners: true}),
-		Entry("the owners held", protocol.WatchResponse{Version: 5, OwnersAt: 3, Owners: map[protocol.ShardID]string{1: "x"}},
-			news{}),
+			viewUpdate{ownersChanged: true}),
+		Entry("owners of a new owner, which counts revisions from the start", protocol.WatchResponse{Version: 5, OwnersAt: 1,
+			Owners: map[protocol.ShardID]string{1: "x"}}, viewUpdate{ownersChanged: true}),
+		Entry("the owners that it has", protocol.WatchResponse{Version: 5, OwnersAt: 3, Owners: map[protocol.ShardID]string{1: "x"}},
+			viewUpdate{}),
 	)
 
-	It("wants no document where only owners are watched", func() {
+	It("needs no document if only owners are watched", func() {
 		v := newView(nil)
-		v.adopt(5)
-		Expect(v.judge(&protocol.WatchResponse{Version: 6}, true)).To(Equal(news{}))
-		Expect(v.judge(&protocol.WatchResponse{Version: 4}, true)).To(Equal(news{stale: true}))
+		v.setVersion(5)
+		Expect(v.apply(&protocol.WatchResponse{Version: 6}, true)).To(Equal(viewUpdate{}))
+		Expect(v.apply(&protocol.WatchResponse{Version: 4}, true)).To(Equal(viewUpdate{stale: true}))
 	})
 
-	It("never moves back", func() {
+	It("never goes back", func() {
 		v := newView(nil)
-		v.adopt(5)
-		v.adopt(4)
+		v.setVersion(5)
+		v.setVersion(4)
 		Expect(v.version).To(Equal(uint64(5)))
 		late := time.Unix(100, 0)
 		v.confirm(late)
@@ -53,26 +53,26 @@
 		Expect(v.confirmedAt).To(Equal(late))
 	})
 
-	It("knows members before seeds, each once, and goes round", func() {
+	It("lists members before seeds, each once, round robin", func() {
 		v := newView([]string{"s1", "m2", "s3"})
-		v.judge(&protocol.WatchResponse{OwnersAt: 1, Members: []protocol.Member{
+		v.apply(&protocol.WatchResponse{OwnersAt: 1, Members: []protocol.Member{
 			{ID: 1, Address: "m1"}, {ID: 2, Address: "m2"}, {ID: 3}}}, false)
 		Expect(v.addresses).To(Equal([]string{"m1", "m2", "s1", "s3"}))
-		Expect(v.after("m2")).To(Equal("s1"))
-		Expect(v.after("s3")).To(Equal("m1"))
-		Expect(v.after("unknown")).To(Equal("m1"))
+		Expect(v.targetAfter("m2")).To(Equal("s1"))
+		Expect(v.targetAfter("s3")).To(Equal("m1"))
+		Expect(v.targetAfter("unknown")).To(Equal("m1"))
 		v.setSeeds([]string{"s9"})
 		Expect(v.addresses).To(Equal([]string{"m1", "m2", "s9"}))
-		Expect(newView(nil).after("x")).To(BeEmpty())
+		Expect(newView(nil).targetAfter("x")).To(BeEmpty())
 	})
 
 	It("forgets an owner only if it is the one", func() {
 		v := newView(nil)
-		v.learn(2, "x")
-		v.learn(2, "")
-		v.forget(2, "y")
+		v.setOwner(2, "x")
+		v.setOwner(2, "")
+		v.removeOwner(2, "y")
 		Expect(v.owners).To(HaveKeyWithValue(protocol.ShardID(2), "x"))
-		v.forget(2, "x")
+		v.removeOwner(2, "x")
 		Expect(v.owners).To(BeEmpty())
 	})
 })
--- a/internal/cluster/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -12,111 +12,112 @@
 )
 
 const (
-	defaultWait     = time.Second            // how long the owner may hold a watch back
-	watchSlack      = 600 * time.Millisecond // on top of that until it counts as silent
-	leastWatchPause = 50 * time.Millisecond
-	mostWatchPause  = 400 * time.Millisecond
-	leastWatchSpan  = 50 * time.Millisecond  // after a watch that was answered sooner than this and brought nothing
-	leastRefresh    = 200 * time.Millisecond // a watch younger than this is not broken off
-	mostPatience    = 12 * time.Second       // on top of the rest for a configuration that takes long to arrive
+	defaultWait        = time.Second            // how long the owner may leave a watch unanswered
+	watchSlack         = 600 * time.Millisecond // beyond that it counts as unresponsive
+	minWatchBackoff    = 50 * time.Millisecond
+	maxWatchBackoff    = 400 * time.Millisecond
+	minWatchInterval   = 50 * time.Millisecond  // the wait after a watch that was answered sooner and update nothing new
+	minRefreshInterval = 200 * time.Millisecond // Refresh doesn't cancel a watch that was sent less than this ago
+	maxExtraTimeout    = 12 * time.Second       // the limit of watch.extraTimeout
 )
 
-// heldShare is the share of the time that a watch was held that counts here: clocks may go at different speeds.
-const heldShare = 0.97
+// unansweredFraction is the fraction that counts of the time that the owner says it left a watch unanswered, since clocks may differ
+// in speed.
+const unansweredFraction = 0.97
 
-// tellAfter is how many failures in a row are worth a line in the log.
-const tellAfter = 10
+// failuresBeforeLog is how many failures in a row are logged.
+const failuresBeforeLog = 10
 
-// watch is the state of the one watch that a Directory keeps going.
+// watch is the state of Run, over one watch after the other.
 type watch struct {
-	target   string
-	failures int  // in a row
-	hints    int  // followed in a row
-	paused   bool // the newest hint after too many in a row was followed, after a pause
-	whole    bool // ask for a snapshot
-	short    bool // ask for an answer at once
+	target    string
+	failures  int // in a row
+	hints     hints
+	complete  bool // request the complete document
+	immediate bool // request an answer at once, since Refresh was called
 
-	// patience is how much longer an answer with a configuration is waited for, which may be a whole one whatever was asked
-	// for. It grows each time that none has arrived in time, since on a slow link none ever would if each try was as short as
-	// the first, and ends with the first that has.
-	patience time.Duration
+	// extraTimeout is added to the timeout of a watch that may be answered with a configuration; that may be a complete one,
+	// whatever was requested. It grows each time that none arrived in time, since on a slow link none ever would if all
+	// attempts were as short as the first, and is 0 again after the first that did.
+	extraTimeout time.Duration
 }
 
-// Run keeps a watch going at the owner of the configuration until ctx ends.
+// Run keeps a watch open at the owner of the configuration until ctx ends, then returns.
 func (d *Directory) Run(ctx context.Context) {
-	w := &watch{target: d.first(protocol.ConfigurationShard)}
-	for !isOver(ctx) {
-		d.round(ctx, w)
+	w := &watch{target: d.firstTarget(protocol.ConfigurationShard)}
+	for !isDone(ctx) {
+		d.watchOnce(ctx, w)
 	}
 }
 
-// round makes one watch, and waits as long as is due before the next.
-func (d *Directory) round(ctx context.Context, w *watch) {
+// watchOnce sends one watch, handles its response, and waits for the time that is due before the next one.
+func (d *Directory) watchOnce(ctx context.Context, w *watch) {
 	sentAt := d.options.Clock.Now()
-	answer, refreshed, err := d.ask(ctx, w)
+	response, refreshed, err := d.sendWatch(ctx, w)
 	switch {
-	case isOver(ctx):
+	case isDone(ctx):
 	case err == nil:
-		w.short = false
-		d.accept(ctx, w, answer, sentAt)
+		w.immediate = false
+		d.accept(ctx, w, response, sentAt)
 	case refreshed:
-		w.short = true
+		w.immediate = true
 	default:
-		d.fail(ctx, w, err)
+		d.handleFailure(ctx, w, err)
 	}
 }
 
-// ask sends one watch. refreshed: it was broken off by a Refresh.
-func (d *Directory) ask(ctx context.Context, w *watch) (answer *protocol.WatchResponse, refreshed bool, err error) {
+// sendWatch sends one watch and returns its response. refreshed is true if it failed because Refresh canceled it.
+func (d *Directory) sendWatch(ctx context.Context, w *watch) (response *protocol.WatchResponse, refreshed bool, err error) {
 	if w.target == "" {
 		return nil, false, failure.New(failure.Unavailable, "no control process is known")
 	}
-	request := d.request(w)
-	most := time.Duration(request.WaitMs)*time.Millisecond + watchSlack + w.patience
-	bounded, cancel := d.bound(ctx, most)
+	request := d.newWatchRequest(w)
+	timeout := time.Duration(request.WaitMs)*time.Millisecond + watchSlack + w.extraTimeout
+	bounded, cancel := d.withTimeout(ctx, timeout)
 	defer cancel()
-	if !w.short && w.patience == 0 {
-		d.setBreakOff(cancel)
+	if !w.immediate && w.extraTimeout == 0 {
+		d.allowRefresh(cancel)
 	}
-	answer = &protocol.WatchResponse{}
+	response = &protocol.WatchResponse{}
 	sentAt := d.options.Clock.Now()
-	err = d.send(bounded, w, request, answer)
-	refreshed = d.endBreakOff()
-	if !request.OwnersOnly && err != nil && d.options.Clock.Since(sentAt) >= most {
-		w.patience = min(max(2*w.patience, most), mostPatience)
+	err = d.do(bounded, w, request, response)
+	refreshed = d.endRefresh()
+	if !request.OwnersOnly && err != nil && d.options.Clock.Since(sentAt) >= timeout {
+		w.extraTimeout = min(max(2*w.extraTimeout, timeout), maxExtraTimeout)
 	}
 	if err == nil {
-		err = unpack(answer)
+		err = decompress(response)
 	}
-	return answer, refreshed && err != nil, err
+	return response, refreshed && err != nil, err
 }
 
-// send sends one watch. A peer that is waited for longer is looked after meanwhile: it is cut if it falls silent.
-func (d *Directory) send(ctx context.Context, w *watch, request *protocol.WatchRequest, answer *protocol.WatchResponse) error {
-	if w.patience > 0 {
-		return d.options.Client.Do(ctx, w.target, request, answer)
+// do sends a watch. A peer that is given extra time is probed meanwhile: the connection is closed if it is unresponsive.
+func (d *Directory) do(ctx context.Context, w *watch, request *protocol.WatchRequest, response *protocol.WatchResponse) error {
+	if w.extraTimeout > 0 {
+		return d.options.Client.Do(ctx, w.target, request, response)
 	}
-	return d.options.Client.DoLong(ctx, w.target, request, answer)
+	return d.options.Client.DoLong(ctx, w.target, request, response)
 }
 
-// setBreakOff lets Refresh break the present watch off.
-func (d *Directory) setBreakOff(cancel context.CancelFunc) {
+// allowRefresh lets Refresh cancel the present watch.
+func (d *Directory) allowRefresh(cancel context.CancelFunc) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.breakOff = cancel
-	d.watchedAt = d.options.Clock.Now()
+	d.cancelWatch = cancel
+	d.watchSentAt = d.options.Clock.Now()
 }
 
-// endBreakOff tells whether Refresh broke the watch off.
-func (d *Directory) endBreakOff() bool {
+// endRefresh ends what allowRefresh began, and reports whether Refresh canceled the watch.
+func (d *Directory) endRefresh() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	refreshed := d.refreshed
-	d.breakOff, d.refreshed = nil, false
+	d.cancelWatch, d.refreshed = nil, false
 	return refreshed
 }
 
-func (d *Directory) request(w *watch) *protocol.WatchRequest {
+// newWatchRequest returns the request of the next watch.
+func (d *Directory) newWatchRequest(w *watch) *protocol.WatchRequest {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	request := &protocol.WatchRequest{
@@ -133,47 +134,48 @@
 		request.Changes = true
 		request.Compressed = true
 	}
-	if w.whole {
+	if w.complete {
 		request.Version, request.Changes = 0, false
 	}
-	if w.short {
+	if w.immediate {
 		request.WaitMs = 0
 	}
 	return request
 }
 
-// accept takes over what an answer brought.
-func (d *Directory) accept(ctx context.Context, w *watch, answer *protocol.WatchResponse, sentAt time.Time) {
-	brought := d.judge(answer)
-	confirmedAt := d.confirmedBy(answer, sentAt)
-	if brought.stale {
-		_ = level.Warn(d.options.Logger).Log("message", "older configuration passed over", "peer", w.target,
-			"version", answer.Version, "held", d.Version())
-		d.fail(ctx, w, errors.New("an older configuration"))
+// accept handles the response to a watch that was sent at sentAt.
+func (d *Directory) accept(ctx context.Context, w *watch, response *protocol.WatchResponse, sentAt time.Time) {
+	update := d.apply(response)
+	confirmedAt := d.confirmationTime(response, sentAt)
+	if update.stale {
+		_ = level.Warn(d.options.Logger).Log("message", "older configuration ignored", "peer", w.target,
+			"version", response.Version, "held", d.Version())
+		d.handleFailure(ctx, w, errors.New("an older configuration"))
 		return
 	}
-	d.found(w)
-	if d.options.OnRelays != nil && len(answer.Relays) > 0 {
-		d.options.OnRelays(answer.Relays)
+	d.endFailures(w)
+	if d.options.OnRelays != nil && len(response.Relays) > 0 {
+		d.options.OnRelays(response.Relays)
 	}
-	w.patience = 0
-	if brought.incomplete {
-		w.whole = true
-		d.pace(ctx, sentAt)
+	w.extraTimeout = 0
+	if update.incomplete {
+		w.complete = true
+		d.limitRate(ctx, sentAt)
 		return
 	}
-	if !d.take(ctx, w, answer.Version, brought.configuration) {
+	if !d.deliver(ctx, w, response.Version, update.configuration) {
 		return
 	}
-	w.whole = false
-	d.confirm(w.target, answer.Version, confirmedAt)
-	if brought.configuration == nil {
-		d.pace(ctx, sentAt)
+	w.complete = false
+	d.confirm(w.target, response.Version, confirmedAt)
+	if update.configuration == nil {
+		d.limitRate(ctx, sentAt)
 	}
 }
 
-// take hands a newer configuration over, if there is one. If that can't be read, the whole is asked for.
-func (d *Directory) take(ctx context.Context, w *watch, version uint64, configuration []byte) bool {
+// deliver calls OnConfiguration with a newer configuration, if there is one, and reports whether it was accepted. Otherwise
+// the next watch requests the complete document.
+func (d *Directory) deliver(ctx context.Context, w *watch, version uint64, configuration []byte) bool {
 	if configuration == nil || d.options.OnConfiguration == nil {
 		return true
 	}
@@ -181,96 +183,99 @@
 	if err == nil {
 		return true
 	}
-	_ = level.Warn(d.options.Logger).Log("msg", "the configuration can't be taken, the whole is asked for", "version", version,
+	_ = level.Warn(d.options.Logger).Log("msg", "configuration rejected, the complete one is requested", "version", version,
 		"err", err)
-	if w.whole {
-		d.pause(ctx, mostWatchPause) // that was the whole
+	if w.complete {
+		d.sleep(ctx, maxWatchBackoff) // that was the complete one
 	}
-	w.whole = true
+	w.complete = true
 	return false
 }
 
-// confirmedBy is when what an answer says was certainly in force.
-func (d *Directory) confirmedBy(answer *protocol.WatchResponse, sentAt time.Time) time.Time {
-	held := time.Duration(float64(max(answer.HeldMs, 0)) * heldShare * float64(time.Millisecond))
-	confirmed := sentAt.Add(held)
+// confirmationTime returns a time at which what a response says was certainly current: the owner asked for the confirmation of
+// its leadership HeldMs after it had received the watch, which was sent at sentAt.
+func (d *Directory) confirmationTime(response *protocol.WatchResponse, sentAt time.Time) time.Time {
+	unanswered := time.Duration(float64(max(response.HeldMs, 0)) * unansweredFraction * float64(time.Millisecond))
+	confirmed := sentAt.Add(unanswered)
 	if now := d.options.Clock.Now(); confirmed.After(now) {
 		return now
 	}
 	return confirmed
 }
 
-func (d *Directory) judge(answer *protocol.WatchResponse) news {
+// apply applies a response to the view.
+func (d *Directory) apply(response *protocol.WatchResponse) viewUpdate {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	brought := d.view.judge(answer, d.options.OnConfiguration == nil)
-	if brought.owners {
-		d.announce()
+	update := d.view.apply(response, d.options.OnConfiguration == nil)
+	if update.ownersChanged {
+		d.notifyOwnersChanged()
 	}
-	return brought
+	return update
 }
 
+// confirm records that a version was accepted, when it was current, and that its sender owns the configuration.
 func (d *Directory) confirm(from string, version uint64, confirmedAt time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.view.adopt(version)
+	d.view.setVersion(version)
 	d.view.confirm(confirmedAt)
-	d.view.learn(protocol.ConfigurationShard, from)
+	d.view.setOwner(protocol.ConfigurationShard, from)
 }
 
-// fail picks whom to ask after a failure, and waits. Hints are followed as attempts.follow does.
-func (d *Directory) fail(ctx context.Context, w *watch, err error) {
+// handleFailure selects the target of the next watch after a failure, and waits. The first time that a target is
+// unresponsive it doesn't wait, as the timeout was wait enough.
+func (d *Directory) handleFailure(ctx context.Context, w *watch, err error) {
 	leader := failure.LeaderOf(err)
-	hint := leader != "" && leader != w.target
-	if hint && w.hints < mostHints {
-		w.hints++
+	isHint := leader != "" && leader != w.target
+	if isHint && w.hints.followAtOnce() {
 		w.target = leader
 		return
 	}
-	w.hints = 0
 	w.failures++
-	d.tell(w, err)
-	w.paused = hint && !w.paused
-	if w.paused {
+	d.logFailure(w, err)
+	w.hints.waited()
+	if isHint && w.hints.followAfterWait() {
 		w.target = leader
 	} else {
-		d.passOver(protocol.ConfigurationShard, w.target)
-		w.target = d.next(w.target)
+		w.hints = hints{}
+		d.avoid(protocol.ConfigurationShard, w.target)
+		w.target = d.targetAfter(w.target)
 	}
-	silent := failure.KindOf(err) == failure.UnknownOutcome
-	if silent && w.failures == 1 {
+	if failure.KindOf(err) == failure.UnknownOutcome && w.failures == 1 {
 		return
 	}
-	d.pause(ctx, watchPause(w.failures))
+	d.sleep(ctx, watchBackoff(w.failures))
 }
 
-// found ends a row of failures.
-func (d *Directory) found(w *watch) {
-	if w.failures >= tellAfter {
+// endFailures ends a row of failures.
+func (d *Directory) endFailures(w *watch) {
+	if w.failures >= failuresBeforeLog {
 		_ = level.Info(d.options.Logger).Log("message", "the configuration's owner answers", "peer", w.target)
 	}
-	w.failures, w.hints, w.paused = 0, 0, false
+	w.failures, w.hints = 0, hints{}
 }
 
-// tell logs that the owner cannot be found, once in a row of failures.
-func (d *Directory) tell(w *watch, err error) {
-	if w.failures == tellAfter {
+// logFailure logs that the owner can't be found, once in a row of failures.
+func (d *Directory) logFailure(w *watch, err error) {
+	if w.failures == failuresBeforeLog {
 		_ = level.Warn(d.options.Logger).Log("message", "the configuration's owner is not found", "cause", err)
 	}
 }
 
-// watchPause returns how long to wait after so many failures in a row.
-func watchPause(failures int) time.Duration {
-	return min(leastWatchPause<<min(failures-1, 3), mostWatchPause)
+// watchBackoff returns how long to wait after so many failures in a row.
+func watchBackoff(failures int) time.Duration {
+	return min(minWatchBackoff<<min(failures-1, 3), maxWatchBackoff)
 }
 
-// pace waits a little after an answer that came at once.
-func (d *Directory) pace(ctx context.Context, sentAt time.Time) {
-	if d.options.Clock.Since(sentAt) < leastWatchSpan {
-		d.pause(ctx, leastWatchSpan)
+// limitRate waits for minWatchInterval after a response that came sooner than that.
+func (d *Directory) limitRate(ctx context.Context, sentAt time.Time) {
+	if d.options.Clock.Since(sentAt) < minWatchInterval {
+		d.sleep(ctx, minWatchInterval)
 	}
 }
 
-func (d *Directory) pause(ctx context.Context, span time.Duration) {
-	d.wait(ctx, span, nil)
+// sleep waits for the given time or until ctx ends.
+func (d *Directory) sleep(ctx context.Context, duration time.Duration) {
+	d.waitForOwners(ctx, duration, nil)
 }
--- a/internal/cluster/directory/watch_test.go
+++ b/internal/cluster/directory/watch_test.go
@@ -55,12 +55,12 @@
 		})
 	})
 
-	request := func(a asking) *protocol.WatchRequest { return a.request.(*protocol.WatchRequest) }
-	answer := func(version uint64, document string) *protocol.WatchResponse {
+	request := func(a scriptedCall) *protocol.WatchRequest { return a.request.(*protocol.WatchRequest) }
+	response := func(version uint64, document string) *protocol.WatchResponse {
 		return &protocol.WatchResponse{Version: version, Configuration: []byte(document)}
 	}
 
-	It("asks for a snapshot, then for what is newer", func() {
+	It("requests a complete document, then changes", func() {
 		Expect(d.Fresh(time.Hour)).To(BeFalse())
 		Expect(d.ConfirmedSince(s.clock.Now().Add(-time.Hour))).To(BeFalse())
 		first := s.next()
@@ -78,16 +78,16 @@
 		Expect(d.Members()).To(Equal([]protocol.Member{{ID: 1, Address: "m1"}}))
 		Expect(d.ConfirmedAt()).To(Equal(first.at))
 		Expect(changes).To(Receive(Equal(change{7, "seven", 0})))
-		second.answer(answer(8, "eight"), nil)
+		second.answer(response(8, "eight"), nil)
 		third := s.next()
 		Expect(request(third).Version).To(Equal(uint64(8)))
 		Expect(changes).To(Receive(Equal(change{8, "eight", 7})))
 	})
 
-	It("counts as fresh from its sending, for as long as asked", func() {
+	It("is fresh from the time it was sent, for the given time", func() {
 		first := s.next()
 		s.clock.Advance(time.Second)
-		first.answer(answer(1, "one"), nil)
+		first.answer(response(1, "one"), nil)
 		s.next()
 		Expect(d.Fresh(time.Second)).To(BeTrue())
 		Expect(d.Fresh(time.Second - 1)).To(BeFalse())
@@ -95,7 +95,7 @@
 		Expect(d.ConfirmedSince(first.at.Add(1))).To(BeFalse())
 	})
 
-	DescribeTable("counts as fresh from the confirmation's asking, as far as that is certain",
+	DescribeTable("is fresh from the time when the owner asked for confirmation, as far as that is certain",
 		func(heldMs int64, passed, confirmed time.Duration) {
 			first := s.next()
 			s.clock.Advance(passed)
@@ -103,31 +103,31 @@
 			s.next()
 			Expect(d.ConfirmedAt().Sub(first.at)).To(Equal(confirmed))
 		},
-		Entry("clocks may differ a little", int64(1000), 1100*time.Millisecond, 970*time.Millisecond),
+		Entry("clocks may differ in speed", int64(1000), 1100*time.Millisecond, 970*time.Millisecond),
 		Entry("never later than now", int64(5000), time.Second, time.Second),
-		Entry("nonsense counts for nothing", int64(-5), time.Second, time.Duration(0)),
+		Entry("a negative time is ignored", int64(-5), time.Second, time.Duration(0)),
 	)
 
-	It("asks for the whole where changes can't be taken, and counts them neither as known nor as confirmed", func() {
+	It("requests a complete document if changes are rejected, and counts them neither as known nor as confirmed", func() {
 		first := s.next()
-		first.answer(answer(5, "five"), nil)
+		first.answer(response(5, "five"), nil)
 		changed := s.next()
-		changed.answer(answer(6, "bad changes"), nil)
-		whole := s.next()
-		Expect(request(whole).Version).To(BeZero())
-		Expect(request(whole).Changes).To(BeFalse())
+		changed.answer(response(6, "bad changes"), nil)
+		complete := s.next()
+		Expect(request(complete).Version).To(BeZero())
+		Expect(request(complete).Changes).To(BeFalse())
 		Expect(d.Version()).To(Equal(uint64(5)))
 		Expect(d.ConfirmedAt()).To(Equal(first.at))
-		whole.answer(answer(6, "bad whole"), nil)
-		again := s.next()
-		Expect(request(again).Version).To(BeZero())
-		Expect(again.at.Sub(whole.at)).To(Equal(mostWatchPause), "the whole can't be taken either")
-		again.answer(answer(6, "six"), nil)
+		complete.answer(response(6, "bad complete one"), nil)
+		retry := s.next()
+		Expect(request(retry).Version).To(BeZero())
+		Expect(retry.at.Sub(complete.at)).To(Equal(maxWatchBackoff), "the complete one is rejected, too")
+		retry.answer(response(6, "six"), nil)
 		Expect(request(s.next()).Changes).To(BeTrue())
 		Expect(d.Version()).To(Equal(uint64(6)))
 	})
 
-	It("is confirmed too while there is no configuration yet", func() {
+	It("is confirmed even before the first configuration", func() {
 		first := s.next()
 		first.answer(&protocol.WatchResponse{}, nil)
 		s.next()
@@ -136,12 +136,12 @@
 		Expect(changes).To(BeEmpty())
 	})
 
-	It("passes over an older version, and asks another", func() {
-		s.next().answer(answer(5, "five"), nil)
+	It("ignores an older version, and tries another process", func() {
+		s.next().answer(response(5, "five"), nil)
 		confirming := s.next()
-		confirming.answer(answer(5, ""), nil)
+		confirming.answer(response(5, ""), nil)
 		old := s.next()
-		old.answer(answer(4, "four"), nil)
+		old.answer(response(4, "four"), nil)
 		got := s.next()
 		Expect(got.address).NotTo(Equal(old.address))
 		Expect(request(got).Version).To(Equal(uint64(5)))
@@ -150,22 +150,22 @@
 		Expect(changes).To(HaveLen(1))
 	})
 
-	It("asks for a snapshot where a newer version came without its document", func() {
+	It("requests a complete document if a newer version came without its document", func() {
 		first := s.next()
 		s.clock.Advance(time.Millisecond)
-		first.answer(answer(5, "five"), nil)
+		first.answer(response(5, "five"), nil)
 		bare := s.next()
-		bare.answer(answer(6, ""), nil)
+		bare.answer(response(6, ""), nil)
 		got := s.next()
 		Expect(request(got).Version).To(BeZero())
 		Expect(d.Version()).To(Equal(uint64(5)))
 		Expect(bare.at).NotTo(Equal(first.at))
 		Expect(d.ConfirmedAt()).To(Equal(first.at))
-		got.answer(answer(6, "six"), nil)
+		got.answer(response(6, "six"), nil)
 		Expect(request(s.next()).Version).To(Equal(uint64(6)))
 	})
 
-	It("follows hints at once, and not for ever", func() {
+	It("follows hints at once, but not forever", func() {
 		first := s.next()
 		first.answer(nil, notLeader("b"))
 		second := s.next()
@@ -176,38 +176,38 @@
 		third.answer(nil, notLeader("b"))
 		fourth := s.next()
 		Expect(fourth.address).To(Equal("b"))
-		Expect(fourth.at.Sub(third.at)).To(Equal(leastWatchPause))
-		fourth.answer(answer(1, "one"), nil)
+		Expect(fourth.at.Sub(third.at)).To(Equal(minWatchBackoff))
+		fourth.answer(response(1, "one"), nil)
 		s.next()
 		Expect(d.Owner(protocol.ConfigurationShard)).To(Equal("b"))
 	})
 
-	It("leaves two that go on naming each other", func() {
-		asked := map[string]int{}
+	It("leaves two processes that go on naming each other", func() {
+		targets := map[string]int{}
 		for range 12 {
 			got := s.next()
-			asked[got.address]++
+			targets[got.address]++
 			switch got.address {
 			case "a":
 				got.answer(nil, notLeader("b"))
 			case "b":
 				got.answer(nil, notLeader("a"))
 			default:
-				got.answer(answer(1, "one"), nil)
+				got.answer(response(1, "one"), nil)
 				s.next()
 				Expect(d.Owner(protocol.ConfigurationShard)).To(Equal("c"))
 				return
 			}
 		}
-		Fail(fmt.Sprint("the third is never asked: ", asked))
+		Fail(fmt.Sprint("the third is never a target: ", targets))
 	})
 
-	It("leaves one that names itself and refuses", func() {
+	It("leaves a process that names itself and rejects the watch", func() {
 		s.next().answer(nil, notLeader("a"))
 		Expect(s.next().address).To(Equal("b"))
 	})
 
-	It("tries another at once when one is silent", func() {
+	It("tries another process at once when one is unresponsive", func() {
 		first := s.next()
 		s.clock.Advance(defaultWait + watchSlack - 1)
 		Expect(first.ctx.Done()).NotTo(BeClosed())
@@ -217,7 +217,7 @@
 		Expect(second.at.Sub(first.at)).To(Equal(defaultWait + watchSlack))
 	})
 
-	It("backs off where nobody helps, and goes round", func() {
+	It("backs off while no process answers, round robin", func() {
 		last := s.next()
 		for i, pause := range []time.Duration{50, 100, 200, 400, 400} {
 			last.answer(nil, ofKind(failure.Unavailable))
@@ -228,37 +228,37 @@
 		}
 	})
 
-	It("waits longer for a configuration each time that none has arrived, and is not broken off then", func() {
-		const most = defaultWait + watchSlack
-		mayBreakOff := func() bool {
+	It("waits longer for a configuration each time that none arrived, and isn't canceled by Refresh then", func() {
+		const timeout = defaultWait + watchSlack
+		mayBeCanceled := func() bool {
 			d.mutex.Lock()
 			defer d.mutex.Unlock()
-			return d.breakOff != nil
+			return d.cancelWatch != nil
 		}
-		for _, patience := range []time.Duration{0, most, 2 * most, 4 * most, mostPatience, mostPatience} {
+		for _, extra := range []time.Duration{0, timeout, 2 * timeout, 4 * timeout, maxExtraTimeout, maxExtraTimeout} {
 			slow := s.next()
 			Expect(request(slow).Version).To(BeZero())
 			deadline, ok := slow.ctx.Deadline()
 			Expect(ok).To(BeTrue())
-			Expect(deadline.Sub(slow.at)).To(Equal(most + patience))
-			Expect(mayBreakOff()).To(Equal(patience == 0))
-			s.clock.Advance(most + patience)
+			Expect(deadline.Sub(slow.at)).To(Equal(timeout + extra))
+			Expect(mayBeCanceled()).To(Equal(extra == 0))
+			s.clock.Advance(timeout + extra)
 			Eventually(slow.ctx.Done()).WithTimeout(soon).Should(BeClosed())
 		}
-		s.next().answer(answer(1, "one"), nil)
+		s.next().answer(response(1, "one"), nil)
 		following := s.next()
 		deadline, _ := following.ctx.Deadline()
-		Expect(deadline.Sub(following.at)).To(Equal(most), "one that has come ends that")
-		Expect(mayBreakOff()).To(BeTrue())
-		s.clock.Advance(most)
+		Expect(deadline.Sub(following.at)).To(Equal(timeout), "a response ends that")
+		Expect(mayBeCanceled()).To(BeTrue())
+		s.clock.Advance(timeout)
 		Eventually(following.ctx.Done()).WithTimeout(soon).Should(BeClosed())
 		newer := s.next()
 		Expect(request(newer).Version).To(Equal(uint64(1)))
 		deadline, _ = newer.ctx.Deadline()
-		Expect(deadline.Sub(newer.at)).To(Equal(2*most), "what follows a version may be a whole one, too")
+		Expect(deadline.Sub(newer.at)).To(Equal(2*timeout), "the response to a watch with a version may be a complete document, too")
 	})
 
-	It("unpacks what was compressed, and asks another where that fails", func() {
+	It("decompresses a configuration, and tries another process if that fails", func() {
 		var packed bytes.Buffer
 		writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 		Expect(err).NotTo(HaveOccurred())
@@ -273,35 +273,35 @@
 		Expect(changes).To(Receive(Equal(change{7, "seven", 0})))
 	})
 
-	It("does not hammer an owner that answers at once without news", func() {
-		s.next().answer(answer(1, "one"), nil)
+	It("doesn't overload an owner that answers at once without anything new", func() {
+		s.next().answer(response(1, "one"), nil)
 		last := s.next()
 		for range 5 {
-			last.answer(answer(1, ""), nil)
+			last.answer(response(1, ""), nil)
 			got := s.next()
-			Expect(got.at.Sub(last.at)).To(Equal(leastWatchSpan))
+			Expect(got.at.Sub(last.at)).To(Equal(minWatchInterval))
 			last = got
 		}
 	})
 
-	It("is sent anew by a Refresh, wanting an answer at once, but not if it is young", func() {
+	It("is sent again by a Refresh, to be answered at once, but not shortly after it was sent", func() {
 		young := s.next()
 		d.Refresh()
 		Expect(young.ctx.Done()).NotTo(BeClosed())
-		s.clock.Advance(leastRefresh)
+		s.clock.Advance(minRefreshInterval)
 		d.Refresh()
 		Eventually(young.ctx.Done()).WithTimeout(soon).Should(BeClosed())
-		var got asking
+		var got scriptedCall
 		Eventually(s.calls).WithTimeout(soon).Should(Receive(&got))
 		Expect(got.address).To(Equal(young.address))
 		Expect(request(got).WaitMs).To(BeZero())
-		s.clock.Advance(leastRefresh)
-		d.Refresh() // the answer at once is not broken off
-		got.answer(answer(1, "one"), nil)
+		s.clock.Advance(minRefreshInterval)
+		d.Refresh() // a watch that is to be answered at once isn't canceled
+		got.answer(response(1, "one"), nil)
 		Expect(request(s.next()).WaitMs).To(Equal(defaultWait.Milliseconds()))
 	})
 
-	It("learns members to ask", func() {
+	It("learns members", func() {
 		s.next().answer(&protocol.WatchResponse{OwnersAt: 1, Members: []protocol.Member{{Address: "m1"}, {Address: "m2"}}}, nil)
 		failing := s.next()
 		Expect(failing.address).To(Equal("a"))
@@ -309,7 +309,7 @@
 		Expect(s.next().address).To(Equal("b"))
 	})
 
-	It("asks for no configuration where nobody takes it", func() {
+	It("requests no configuration without OnConfiguration", func() {
 		quiet := newScripted()
 		agent := newDirectory(quiet, nil)
 		ctx, stop := context.WithCancel(context.Background())
@@ -331,7 +331,7 @@
 		Expect(agent.ConfirmedAt()).To(Equal(got.at))
 	})
 
-	It("takes new seeds", func() {
+	It("uses new seeds", func() {
 		d.SetSeeds([]string{"n1"})
 		s.next().answer(nil, ofKind(failure.Unavailable))
 		Expect(s.next().address).To(Equal("n1"))
