--- a/internal/cluster/control/administration.go
+++ b/internal/cluster/control/administration_endpoints.go
@@ -6,39 +6,27 @@
 
 	"ospreypond/internal/cluster/administration"
 	"ospreypond/internal/cluster/consensus"
-	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 	"ospreypond/internal/cluster/replica"
 	"ospreypond/internal/cluster/scheduler"
 )
 
-// Bounds of what is answered to operators.
 const (
-	jobsPage          = 500              // jobs in one answer
-	snapshotPiece     = 256 << 10        // bytes
-	snapshotSessions  = 8                // snapshots kept for being read at once
-	snapshotsKeptFor  = 15 * time.Second // after the last piece that was asked for
-	memoryOfTheSystem = "/memory/classes/total:bytes"
+	maxJobsPage       = 500 // jobs in one response
+	totalMemoryMetric = "/memory/classes/total:bytes"
 )
 
-// administrator answers what operators ask by the command line. All of it runs on the engine's loop.
+// administrator serves the requests of the operator's commands (package administration). Its state belongs to the engine's
+// loop. What it reports, but for snapshots, is not confirmed by a quorum: it is for people to look at.
 type administrator struct {
-	control   *Control
-	snapshots map[uint64]*keptSnapshot
-	sessions  uint64
-}
-
-// keptSnapshot is a shard's state while it is read in pieces.
-type keptSnapshot struct {
-	shard       protocol.ShardID
-	index, term uint64
-	data        []byte
-	readAt      time.Duration
+	control     *Control
+	sessions    map[uint64]*snapshotSession // by number
+	lastSession uint64                      // the number given last
 }
 
 func newAdministrator(c *Control) *administrator {
-	return &administrator{control: c, snapshots: map[uint64]*keptSnapshot{}}
+	return &administrator{control: c, sessions: map[uint64]*snapshotSession{}}
 }
 
 func (a *administrator) report(_ string, _ *administration.ReportRequest, reply func(*administration.Report, error)) {
@@ -58,7 +46,7 @@
 		DiskSick:    disk.Unhealthy,
 		LogBytes:    disk.LogBytes,
 		Segments:    disk.Segments,
-		MemoryBytes: memoryHeld(),
+		MemoryBytes: processMemory(),
 	}
 	for shard := protocol.ConfigurationShard; shard <= protocol.JobShards; shard++ {
 		if overview, ok := engine.Overview(uint32(shard)); ok {
@@ -68,8 +56,9 @@
 	return report
 }
 
-func memoryHeld() uint64 {
-	sample := []metrics.Sample{{Name: memoryOfTheSystem}}
+// processMemory returns how much memory the Go runtime has from the system, in bytes; 0 if that is not known.
+func processMemory() uint64 {
+	sample := []metrics.Sample{{Name: totalMemoryMetric}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindUint64 {
 		return 0
@@ -114,9 +103,9 @@
 	return reports
 }
 
-// addOwnerReport adds what only the owner tells.
+// addOwnerReport adds what only a shard's owner knows.
 func (a *administrator) addOwnerReport(group *administration.GroupReport) {
-	if data, err := a.machine(group.Shard).Snapshot(); err == nil {
+	if data, err := a.stateMachine(group.Shard).Snapshot(); err == nil {
 		group.StateBytes = len(data)
 	}
 	if group.Shard == protocol.ConfigurationShard {
@@ -148,8 +137,8 @@
 	}
 }
 
-// machine returns a shard's state machine, or nil.
-func (a *administrator) machine(shard protocol.ShardID) replica.StateMachine {
+// stateMachine returns a shard's state machine; nil if there is no such shard.
+func (a *administrator) stateMachine(shard protocol.ShardID) replica.StateMachine {
 	if shard == protocol.ConfigurationShard {
 		return a.control.configuration
 	}
@@ -160,7 +149,7 @@
 }
 
 func (a *administrator) runners(_ string, request *administration.RunnersRequest, reply func(*administration.RunnersResponse, error)) {
-	a.control.on(request.Shard, func(s *jobShard, now time.Duration) {
+	a.control.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		response := &administration.RunnersResponse{}
 		for _, overview := range s.owner.Runners(now) {
 			response.Runners = append(response.Runners, runnerOf(request.Shard, &overview))
@@ -189,14 +178,14 @@
 }
 
 func (a *administrator) jobs(_ string, request *administration.JobsRequest, reply func(*administration.JobsResponse, error)) {
-	most := request.Most
-	if most <= 0 || most > jobsPage {
-		most = jobsPage
-	}
-	a.control.on(request.Shard, func(s *jobShard, _ time.Duration) {
-		ids := s.state.JobIDs(request.Queue, request.After, most+1)
-		response := &administration.JobsResponse{More: len(ids) > most}
-		for _, id := range ids[:min(most, len(ids))] {
+	limit := request.Most
+	if limit <= 0 || limit > maxJobsPage {
+		limit = maxJobsPage
+	}
+	a.control.onOwner(request.Shard, func(s *jobShard, _ time.Duration) {
+		ids := s.state.JobIDs(request.Queue, request.After, limit+1)
+		response := &administration.JobsResponse{More: len(ids) > limit}
+		for _, id := range ids[:min(limit, len(ids))] {
 			response.Jobs = append(response.Jobs, jobOf(s.state.Job(id)))
 		}
 		reply(response, nil)
@@ -218,80 +207,7 @@
 	}
 }
 
-// snapshot answers with a piece of a shard's state.
-func (a *administrator) snapshot(_ string, request *administration.SnapshotRequest, reply func(*administration.SnapshotResponse, error)) {
-	engine := a.control.engine
-	engine.Do(func() {
-		if request.Session != 0 {
-			reply(a.piece(request))
-			return
-		}
-		engine.ConfirmLeadership(uint32(request.Shard), func(err error) {
-			if err != nil {
-				reply(nil, err)
-				return
-			}
-			reply(a.begin(request.Shard))
-		})
-	})
-}
-
-// begin makes a snapshot and returns its first piece.
-func (a *administrator) begin(shard protocol.ShardID) (*administration.SnapshotResponse, error) {
-	if len(a.snapshots) >= snapshotSessions {
-		return nil, failure.New(failure.Overloaded, "too many backups are being read")
-	}
-	overview, _ := a.control.engine.Overview(uint32(shard))
-	data, err := a.machine(shard).Snapshot()
-	if err != nil {
-		return nil, failure.Newf(failure.Unavailable, "the state of shard %d cannot be written: %v", shard, err)
-	}
-	if len(a.snapshots) == 0 {
-		a.watch()
-	}
-	a.sessions++
-	session := a.sessions
-	a.snapshots[session] = &keptSnapshot{shard: shard, index: overview.Applied, term: overview.Status.Term, data: data}
-	return a.piece(&administration.SnapshotRequest{Shard: shard, Session: session})
-}
-
-func (a *administrator) piece(request *administration.SnapshotRequest) (*administration.SnapshotResponse, error) {
-	kept := a.snapshots[request.Session]
-	if kept == nil || kept.shard != request.Shard || request.Offset < 0 || request.Offset > len(kept.data) {
-		return nil, failure.New(failure.Conflict, "this reading of the state is over; begin anew")
-	}
-	kept.readAt = a.control.engine.Now()
-	end := min(request.Offset+snapshotPiece, len(kept.data))
-	if end == len(kept.data) {
-		delete(a.snapshots, request.Session)
-	}
-	return &administration.SnapshotResponse{
-		Session: request.Session,
-		Index:   kept.index,
-		Term:    kept.term,
-		Total:   len(kept.data),
-		Data:    kept.data[request.Offset:end],
-	}, nil
-}
-
-// watch drops snapshots that nobody reads on. One timer runs while any is kept.
-func (a *administrator) watch() {
-	a.control.clock.AfterFunc(snapshotsKeptFor, func() { a.control.engine.Do(a.dropSnapshots) })
-}
-
-func (a *administrator) dropSnapshots() {
-	now := a.control.engine.Now()
-	for session, kept := range a.snapshots {
-		if now-kept.readAt >= snapshotsKeptFor {
-			delete(a.snapshots, session)
-		}
-	}
-	if len(a.snapshots) > 0 {
-		a.watch()
-	}
-}
-
-// digest tells what this process's state of a shard comes to at an index.
+// digest answers with the digest of this process's own state of a shard as of an index of its log.
 func (a *administrator) digest(_ string, request *administration.DigestRequest, reply func(*administration.DigestResponse, error)) {
 	engine := a.control.engine
 	engine.Do(func() {
@@ -301,7 +217,7 @@
 	})
 }
 
-// resign gives away what this process leads.
+// resign transfers all leaderships of this process, and answers how many it could not.
 func (a *administrator) resign(_ string, _ *administration.ResignRequest, reply func(*administration.ResignResponse, error)) {
 	engine := a.control.engine
 	engine.Do(func() {
--- a/internal/cluster/control/compress_test.go
+++ b/internal/cluster/control/compressor_test.go
@@ -32,14 +32,14 @@
 		b.Fatal(err)
 	}
 	var packed []byte
-	b.Run("pack", func(b *testing.B) {
+	b.Run("compress", func(b *testing.B) {
 		for b.Loop() {
-			packed, _ = (&compressor{}).pack(plain)
+			packed, _ = (&compressor{}).compress(plain)
 		}
 		b.ReportMetric(float64(len(plain)), "plain-bytes")
 		b.ReportMetric(float64(len(packed)), "packed-bytes")
 	})
-	b.Run("unpack", func(b *testing.B) {
+	b.Run("decompress", func(b *testing.B) {
 		for b.Loop() {
 			if _, err := io.ReadAll(flate.NewReader(bytes.NewReader(packed))); err != nil {
 				b.Fatal(err)
--- a/internal/cluster/control/configuration_shard.go
+++ b/internal/cluster/control/configuration_shard.go
@@ -12,15 +12,15 @@
 	"ospreypond/internal/cluster/replica"
 )
 
-// configurationShard is this process's replica of the configuration's shard, and the feed while it leads. All of it
-// runs on the engine's loop.
+// configurationShard is this process's replica of the configuration's shard, with the feed that it serves while it owns
+// the shard. All of it runs on the engine's loop.
 type configurationShard struct {
 	engine  *replica.Engine
 	state   *configuration.State
 	feed    *Feed
 	leading bool
 	logger  log.Logger
-	wake    func()
+	wake    func() // asks for tick soon
 }
 
 var _ replica.StateMachine = (*configurationShard)(nil)
@@ -32,20 +32,21 @@
 	return s
 }
 
+// attach must be called before the engine runs.
 func (s *configurationShard) attach(engine *replica.Engine, wake func()) {
 	s.engine = engine
 	s.wake = wake
 }
 
-// Version is the newest version applied here.
+// Version returns the newest version applied here; 0: none yet.
 func (s *configurationShard) Version() uint64 { return s.state.Document().Version() }
 
-// Since returns what brings a follower from a version to the newest.
+// Since returns what a follower needs to get from a version to the newest.
 func (s *configurationShard) Since(version uint64, canTakeChanges bool) ([]byte, error) {
 	return s.state.Since(version, canTakeChanges)
 }
 
-// Apply carries out one committed order.
+// Apply applies one committed change.
 func (s *configurationShard) Apply(index, term uint64, data []byte) any {
 	before := s.Version()
 	result := s.state.Apply(index, term, data)
@@ -55,48 +56,63 @@
 	return result
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (s *configurationShard) Snapshot() ([]byte, error) { return s.state.Snapshot() }
 
-// Restore replaces the whole state.
+// Restore replaces the state by an encoded one.
 func (s *configurationShard) Restore(data []byte) error { return s.state.Restore(data) }
 
-// Digest tells in short what the state holds.
+// Digest returns a hash of the state, the same for equal states.
 func (s *configurationShard) Digest() uint64 { return s.state.Digest() }
 
-// Leading begins ownership.
+// Leading starts this process's ownership of the shard.
 func (s *configurationShard) Leading(term uint64) {
-	level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
+	_ = level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
 	s.leading = true
 	s.feed.BecomeLeader()
 	s.wake()
 }
 
-// Following ends ownership.
+// Following ends this process's ownership of the shard, if it was the owner.
 func (s *configurationShard) Following() {
 	if s.leading {
-		level.Info(s.logger).Log("msg", "this process no longer owns the shard")
+		_ = level.Info(s.logger).Log("msg", "this process no longer owns the shard")
 	}
 	s.leading = false
-	s.feed.Lost(s.leader())
+	s.feed.BecomeFollower(s.leader())
 }
 
 func (s *configurationShard) group() replica.GroupID { return uint32(protocol.ConfigurationShard) }
 
-// leader is where the owner is thought to be, if that is not this process: one whose leadership is not confirmed sends
-// nobody back to itself.
+// leader returns the leaderHint of the shard's group.
 func (s *configurationShard) leader() string {
-	if s.engine == nil {
+	if s.engine == nil { // before attach: the engine opens each group as a follower
 		return ""
 	}
-	address := s.engine.LeaderAddress(s.group())
-	if address == s.engine.Self().Address {
+	return leaderHint(s.engine, s.group())
+}
+
+// leaderHint returns the internal address of a group's leader as far as known; "" if that is this process. A process whose
+// leadership is not confirmed must not send callers back to itself.
+func leaderHint(engine *replica.Engine, group replica.GroupID) string {
+	address := engine.LeaderAddress(group)
+	if address == engine.Self().Address {
 		return ""
 	}
 	return address
 }
 
-// serviceOf returns the service that the newest document here gives a queue.
+// notConfigurationOwner is the error for callers that should go to leader, an internal address or "".
+func notConfigurationOwner(leader string) error {
+	return &failure.Error{
+		Kind:    failure.NotLeader,
+		Message: "this process does not own the configuration",
+		Leader:  leader,
+	}
+}
+
+// serviceOf returns the service of a queue in the newest configuration applied here, and that configuration's version;
+// "" if it has no such queue.
 func (s *configurationShard) serviceOf(queue string) (service string, version uint64) {
 	document := s.state.Document()
 	route := document.Queue(queue)
@@ -107,16 +123,15 @@
 }
 
 // tick answers the watches that are due.
-func (s *configurationShard) tick(c *Control) {
-	if !s.leading {
-		return
+func (s *configurationShard) tick() {
+	if s.leading {
+		s.confirmFeed()
 	}
-	c.tellOwners()
-	s.confirmFeed()
 }
 
+// confirmFeed asks a quorum to confirm the leadership while the feed needs that for its responses.
 func (s *configurationShard) confirmFeed() {
-	if !s.feed.AskConfirmation(s.engine.Now()) {
+	if !s.feed.BeginConfirmation(s.engine.Now()) {
 		return
 	}
 	s.engine.ConfirmLeadership(s.group(), func(err error) {
@@ -129,15 +144,16 @@
 	})
 }
 
+// deadline returns when tick must be called next.
 func (s *configurationShard) deadline(now time.Duration) time.Duration {
 	at, ok := s.feed.Deadline()
 	if !s.leading || !ok {
-		return now + tickMost
+		return now + maxTickInterval
 	}
 	return at
 }
 
-// propose commits an operator's order.
+// propose commits an operator's change, and replies with what came of it.
 func (s *configurationShard) propose(command configuration.Command, reply func(*protocol.ConfigureResponse, error)) {
 	data, err := configuration.EncodeCommand(command)
 	if err != nil {
@@ -151,7 +167,7 @@
 		}
 		outcome, ok := result.(configuration.Result)
 		if !ok {
-			reply(nil, failure.New(failure.UnknownOutcome, "the order could not be applied"))
+			reply(nil, failure.New(failure.UnknownOutcome, "the change could not be applied"))
 			return
 		}
 		if err := outcome.Err(); err != nil {
@@ -161,74 +177,3 @@
 		reply(&protocol.ConfigureResponse{Version: outcome.Version}, nil)
 	})
 }
-
-// ownersInterval is how often members and owners are looked at.
-const ownersInterval = 40 * time.Millisecond
-
-// tellOwners gives the feed the members and owners as known here.
-func (c *Control) tellOwners() {
-	now := c.engine.Now()
-	if c.ownersToldAt > 0 && now-c.ownersToldAt < ownersInterval {
-		return
-	}
-	c.ownersToldAt = now
-	owners := map[protocol.ShardID]string{protocol.ConfigurationShard: c.address}
-	for id := range c.shards {
-		if address := c.engine.LeaderAddress(uint32(id)); address != "" {
-			owners[id] = address
-		}
-	}
-	var members []protocol.Member
-	for _, m := range c.engine.Members(c.configuration.group()) {
-		members = append(members, protocol.Member{ID: uint64(m.ID), Node: m.Node, Zone: m.Zone, Address: m.Address})
-	}
-	c.configuration.feed.OwnersChanged(members, owners)
-}
-
-func (c *Control) watch(_ string, request *protocol.WatchRequest, reply func(*protocol.WatchResponse, error)) {
-	c.engine.Do(func() {
-		if !c.configuration.leading {
-			reply(nil, c.notConfigurationOwner())
-			return
-		}
-		c.configuration.feed.Watch(c.engine.Now(), request, reply)
-		c.configuration.confirmFeed()
-		c.ticker.wake()
-	})
-}
-
-func (c *Control) notConfigurationOwner() error {
-	return &failure.Error{
-		Kind:    failure.NotLeader,
-		Message: "this process does not own the configuration",
-		Leader:  c.leaderHint(c.configuration.group()),
-	}
-}
-
-func (c *Control) configure(_ string, request *protocol.ConfigureRequest, reply func(*protocol.ConfigureResponse, error)) {
-	c.engine.Do(func() {
-		if !c.configuration.leading {
-			reply(nil, c.notConfigurationOwner())
-			return
-		}
-		command := configuration.Command{Kind: request.Kind, Base: request.Base, Body: request.Body}
-		c.configuration.propose(command, reply)
-	})
-}
-
-func (c *Control) readConfiguration(_ string, _ *protocol.ReadConfigurationRequest, reply func(*protocol.ReadConfigurationResponse, error)) {
-	c.engine.Do(func() {
-		if !c.configuration.leading {
-			reply(nil, c.notConfigurationOwner())
-			return
-		}
-		c.engine.ConfirmLeadership(c.configuration.group(), func(err error) {
-			if err != nil {
-				reply(nil, err)
-				return
-			}
-			document := c.configuration.state.Document()
-			reply(&protocol.ReadConfigurationResponse{Version: document.Version(), Body: document.JSON()}, nil)
-		})
-	})
-}
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -1,8 +1,14 @@
-// Package control is the role of the control machines: replicas of all shards, the owners' decisions, the operator's
-// interface, and the feed of configuration and owners to frontends and agents.
+// Package control is the program of the control machines. Each control process has a replica of every shard; for the
+// shards that it owns it decides: it runs the scheduler on shards of jobs, and feeds configuration and owners to frontends
+// and agents. Any control process serves the operator's HTTP interface and the operator's commands.
 //
-// Control is all of that without goroutines, sockets and signals, which only Run has: its inputs are requests, envelopes
-// and the clock. Simulations run it so.
+// Control is all of that without goroutines, sockets and signals, which only Run adds. Its inputs are requests (Handle),
+// envelopes of other control processes (Receive) and the clock. Simulations drive it that way.
+//
+// All state belongs to the loop of the replica engine: a handler that needs it goes there by Engine.Do, and replies from
+// there. A reply that tells the caller something that may have changed is sent only after the shard's log has committed
+// an entry for it, or after a quorum has confirmed the leadership (the read index of section 6.4 of the Raft thesis).
+// What Control promises of answers that come late, from a process that is out of date, is held by stale_process_test.go.
 package control
 
 import (
@@ -26,57 +32,59 @@
 const (
 	heartbeatInterval = 75 * time.Millisecond
 	electionTimeout   = 320 * time.Millisecond
-	// leaveShare is the share of graceS for which a process that ends waits until it can be spared, in quarters; the rest is
-	// for what ends after it.
-	leaveShare = 3
-	// leaveMargin is how long after that the engine's word is waited for.
-	leaveMargin = 200 * time.Millisecond
+	// decommissionQuarters is for how many quarters of graceS a process that ends waits until the others can do without it.
+	// The rest is for what ends after it.
+	decommissionQuarters = 3
+	// decommissionMargin is how much later Decommission gives up waiting for the engine.
+	decommissionMargin = 200 * time.Millisecond
 )
 
-// Options are what a Control is made of.
+// Options configure a Control. FileSystem, Sender, Remote, Clock and Logger are required.
 type Options struct {
-	Self       consensus.Member // Node, Zone and internal Address
+	Self       consensus.Member // Node, Zone and internal Address; the engine assigns the ID
 	Bootstrap  []string         // see replica.Options
-	Peers      []string         // internal addresses to ask for joining
+	Peers      []string         // internal addresses at which to ask to join
 	FileSystem vfs.FS
 	Dir        string // of the replicas' log
-	DiskBytes  int64
+	DiskBytes  int64  // see replica.Options
 	Bounds     boot.Bounds
 	Sender     replica.Sender
 	Remote     Remote
 	Clock      clockwork.Clock
 	Logger     log.Logger
-	Seed       uint64 // of election times
+	Seed       uint64 // of the random part of election timeouts
 
-	// Open opens the engine; nil: replica.Open.
+	// Open opens the engine; nil: replica.Open. Simulations use it to drive the engine.
 	Open func(replica.Options) (*replica.Engine, error)
-	// Observe, if set, returns what stands in a state machine's place, and may watch what comes to it.
+	// Observe, if set, returns the state machine to use in place of a group's own. Simulations wrap it to audit what is
+	// applied.
 	Observe func(id replica.GroupID, machine replica.StateMachine) replica.StateMachine
 }
 
 // Remote calls other control processes.
 type Remote interface {
-	// Do sends a request and waits until ctx ends for the answer, which it puts where response points to. Errors carry a
-	// kind of package failure, which says whether the request may have been handed over.
+	// Do sends a request and waits for the response, which it stores where response points to, until ctx ends. Errors carry
+	// a kind of package failure, which says whether the request may have arrived. It is safe for concurrent use.
 	Do(ctx context.Context, address string, request, response any) error
 }
 
-// Control is one control process but for its goroutines.
+// Control is one control process without goroutines, sockets and signals. Its exported methods may be called from any
+// goroutine; its fields belong to the engine's loop.
 type Control struct {
-	options       Options
-	address       string
-	clock         clockwork.Clock
-	logger        log.Logger
-	engine        *replica.Engine
-	endpoints     []endpoint
-	configuration *configurationShard
-	shards        map[protocol.ShardID]*jobShard
-	metrics       *accountMetrics
-	ticker        *ticker
-	ownersToldAt  time.Duration // when the feed was last told members and owners
+	options         Options
+	address         string
+	clock           clockwork.Clock
+	logger          log.Logger
+	engine          *replica.Engine
+	endpoints       []endpoint
+	configuration   *configurationShard
+	shards          map[protocol.ShardID]*jobShard
+	metrics         *taskTimeMetrics
+	ticker          *ticker
+	ownersUpdatedAt time.Duration // when the feed last got members and owners; 0: never
 }
 
-// New opens the replicas. Nothing moves before the engine does.
+// New opens the replicas of all shards. It starts nothing: the caller runs or drives the engine, and calls Start.
 func New(options Options) (*Control, error) {
 	c := &Control{
 		options: options,
@@ -84,7 +92,7 @@
 		clock:   options.Clock,
 		logger:  options.Logger,
 		shards:  map[protocol.ShardID]*jobShard{},
-		metrics: newAccountMetrics(),
+		metrics: newTaskTimeMetrics(),
 	}
 	c.endpoints = c.newEndpoints()
 	groups := c.newShards()
@@ -100,7 +108,7 @@
 	return c, nil
 }
 
-// newShards returns the state machines of all groups.
+// newShards makes the shards, and returns the state machines of their groups.
 func (c *Control) newShards() map[replica.GroupID]replica.StateMachine {
 	start := c.clock.Now()
 	timeOfDay := func() int64 { return start.UnixMilli() + c.clock.Since(start).Milliseconds() }
@@ -157,41 +165,46 @@
 	}
 }
 
-// Start lets the shards' ticks begin. The engine must run, or be driven, from then on.
+// Start begins the ticks of the shards. The engine must run, or be driven, from then on.
 func (c *Control) Start() { c.ticker.wake() }
 
-// Receive takes an envelope of another control process. Any goroutine may call it.
+// Receive hands an envelope of another control process to the replicas.
 func (c *Control) Receive(envelope *replica.Envelope) { c.engine.Receive(envelope) }
 
-// Decommission leaves the replica groups: it gives away what this process owns, and waits until the others hold all that it holds
-// and its place is taken if somebody is there to take it; at most for three quarters of graceS. done is called once, on
-// whatever goroutine, when that is done, or after that time.
+// Decommission leaves the replica groups. It transfers all leaderships of this process, and waits until the other members
+// have everything that is committed and, if there is a process to do so, another one has replaced it. It gives up after
+// three quarters of graceS. done is called once, from any goroutine, when it has finished or given up.
 func (c *Control) Decommission(done func()) {
-	level.Info(c.logger).Log("msg", "leaving the replica groups before the end")
-	patience := c.leavePatience()
+	_ = level.Info(c.logger).Log("msg", "leaving the replica groups before the end")
+	timeout := c.decommissionTimeout()
 	var once sync.Once
-	timer := c.clock.AfterFunc(patience+leaveMargin, func() { once.Do(done) })
+	timer := c.clock.AfterFunc(timeout+decommissionMargin, func() { once.Do(done) })
 	c.engine.Do(func() {
-		c.engine.Decommission(patience, func() {
+		c.engine.Decommission(timeout, func() {
 			timer.Stop()
 			once.Do(done)
 		})
 	})
 }
 
-// leavePatience is how long this process waits at its end until it can be spared.
-func (c *Control) leavePatience() time.Duration { return c.options.Bounds.Grace * leaveShare / 4 }
+// decommissionTimeout is how long a process that ends waits until the others can do without it.
+func (c *Control) decommissionTimeout() time.Duration {
+	return c.options.Bounds.Grace * decommissionQuarters / 4
+}
 
-// tick lets time pass for all shards, and returns when it is to be called again.
+// tick lets time pass for all shards, and returns the time until it must be called again.
 func (c *Control) tick() time.Duration {
 	now := c.engine.Now()
-	next := now + tickMost
+	next := now + maxTickInterval
 	for id := protocol.ShardID(1); id <= protocol.JobShards; id++ {
 		shard := c.shards[id]
 		shard.tick()
 		next = min(next, shard.deadline(now))
 	}
-	c.configuration.tick(c)
+	if c.configuration.leading {
+		c.updateOwners()
+	}
+	c.configuration.tick()
 	next = min(next, c.configuration.deadline(now))
 	return next - now
 }
--- a/internal/cluster/control/endpoint.go
+++ b/internal/cluster/control/endpoints.go
@@ -9,14 +9,15 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// endpoint answers requests of one type.
+// endpoint serves requests of one type.
 type endpoint struct {
 	request  reflect.Type
 	register func(server *transport.Server)
 	handle   func(from string, request any, reply func(response any, err error))
 }
 
-// newEndpoint makes an endpoint of what answers a Req by calling reply once, in any order and from any goroutine.
+// newEndpoint makes an endpoint of f, which must call reply once for each request; it may do so later, in any order and
+// from any goroutine.
 func newEndpoint[Req, Resp any](f func(from string, request *Req, reply func(*Resp, error))) endpoint {
 	return endpoint{
 		request:  reflect.TypeFor[*Req](),
@@ -33,7 +34,7 @@
 	}
 }
 
-// newEndpoints lists what frontends, agents, other control processes and operators may ask.
+// newEndpoints lists the requests of frontends, agents, other control processes and operators that are served.
 func (c *Control) newEndpoints() []endpoint {
 	a := newAdministrator(c)
 	return []endpoint{
@@ -57,7 +58,7 @@
 	}
 }
 
-// register lets a server serve all requests, and take envelopes.
+// register has a server serve all endpoints and receive envelopes of other control processes.
 func (c *Control) register(server *transport.Server) {
 	transport.HandleOneWay(server, func(_ string, envelope *replica.Envelope) { c.Receive(envelope) })
 	for i := range c.endpoints {
@@ -65,15 +66,16 @@
 	}
 }
 
-// Handle answers a request, which is a pointer to one of the types that are served: reply is called once, with a pointer
-// to the answer or with an error, in any order and from any goroutine.
+// Handle serves a request, which is a pointer to one of the types of newEndpoints, as if it came over the network from the
+// process named from. reply is called once, with a pointer to the response or with an error: for several requests in any
+// order, and from any goroutine.
 func (c *Control) Handle(from string, request any, reply func(response any, err error)) {
-	asked := reflect.TypeOf(request)
+	requested := reflect.TypeOf(request)
 	for i := range c.endpoints {
-		if c.endpoints[i].request == asked {
+		if c.endpoints[i].request == requested {
 			c.endpoints[i].handle(from, request, reply)
 			return
 		}
 	}
-	reply(nil, failure.New(failure.Invalid, fmt.Sprintf("nothing serves %v", asked)))
+	reply(nil, failure.New(failure.Invalid, fmt.Sprintf("no endpoint serves %v", requested)))
 }
--- a/internal/cluster/control/endpoint_test.go
+++ b/internal/cluster/control/endpoints_test.go
@@ -17,24 +17,24 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// unreachable is a Remote that reaches nobody.
+// unreachable is a Remote without any other process.
 type unreachable struct{}
 
 func (unreachable) Do(_ context.Context, _ string, _, _ any) error {
-	return failure.New(failure.Unavailable, "nobody is there")
+	return failure.New(failure.Unavailable, "no process at this address")
 }
 
-// driven is a control process without goroutines, the only member of its groups.
-type driven struct {
+// drivenControl is a control process without goroutines, the only member of its groups.
+type drivenControl struct {
 	control *Control
 	driver  *replica.Driver
 	clock   *clockwork.FakeClock
 	works   []func()
 }
 
-func newDriven() *driven {
+func newDrivenControl() *drivenControl {
 	GinkgoHelper()
-	d := &driven{clock: clockwork.NewFakeClock()}
+	d := &drivenControl{clock: clockwork.NewFakeClock()}
 	control, err := New(Options{
 		Self:       consensus.Member{Node: "n", Zone: "z", Address: "here"},
 		Bootstrap:  []string{"here"},
@@ -62,29 +62,29 @@
 	return d
 }
 
-// until takes turns, and lets their time pass, until the condition holds.
-func (d *driven) until(condition func() bool) {
+// until steps the engine, runs its disk work, and advances the clock, until the condition holds.
+func (d *drivenControl) until(condition func() bool) {
 	GinkgoHelper()
-	for turns := 0; !condition(); turns++ {
-		Expect(turns).To(BeNumerically("<", 1000))
-		pause, err := d.driver.Step()
+	for steps := 0; !condition(); steps++ {
+		Expect(steps).To(BeNumerically("<", 1000))
+		wait, err := d.driver.Step()
 		Expect(err).NotTo(HaveOccurred())
 		works := d.works
 		d.works = nil
 		for _, work := range works {
 			work()
 		}
-		d.clock.Advance(pause)
+		d.clock.Advance(wait)
 	}
 }
 
 var _ = Describe("a control process without goroutines", func() {
-	It("answers the requests that are served, by their types", func() {
-		d := newDriven()
+	It("serves requests by their types", func() {
+		d := newDrivenControl()
 		d.control.Start()
 		d.until(func() bool { return d.control.configuration.leading })
 		var response any
-		d.control.Handle("test", replacement(3), func(got any, err error) {
+		d.control.Handle("test", replaceRequest(3), func(got any, err error) {
 			Expect(err).NotTo(HaveOccurred())
 			response = got
 		})
@@ -92,48 +92,48 @@
 		Expect(response).To(Equal(&protocol.ConfigureResponse{Version: 3}))
 	})
 
-	It("answers a refusal with an error alone", func() {
-		d := newDriven()
-		refused := false
+	It("answers a rejected request with an error alone", func() {
+		d := newDrivenControl()
+		rejected := false
 		d.control.Handle("test", &protocol.StatusRequest{Shard: 1, ID: "job"}, func(got any, err error) {
 			Expect(got).To(BeNil())
 			Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
-			refused = true
+			rejected = true
 		})
-		d.until(func() bool { return refused })
+		d.until(func() bool { return rejected })
 	})
 
-	It("refuses what nothing serves", func() {
-		d := newDriven()
-		refused := false
+	It("rejects a request of a type that no endpoint serves", func() {
+		d := newDrivenControl()
+		rejected := false
 		d.control.Handle("test", &protocol.StatusResponse{}, func(_ any, err error) {
 			Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
-			refused = true
+			rejected = true
 		})
-		Expect(refused).To(BeTrue())
+		Expect(rejected).To(BeTrue())
 	})
 
-	It("ends its leaving after a while though the engine stands still", func() {
-		d := newDriven()
+	It("gives up decommissioning after a timeout if the engine is stuck", func() {
+		d := newDrivenControl()
 		left := make(chan struct{})
 		d.control.Decommission(func() { close(left) })
 		Consistently(left, 20*time.Millisecond).ShouldNot(BeClosed())
-		d.clock.Advance(d.control.leavePatience() + leaveMargin)
+		d.clock.Advance(d.control.decommissionTimeout() + decommissionMargin)
 		Eventually(left).Should(BeClosed())
 	})
 
-	It("calls no done twice when its leaving is over", func() {
-		d := newDriven()
+	It("reports the end of decommissioning once", func() {
+		d := newDrivenControl()
 		left := make(chan struct{}, 2)
 		d.control.Decommission(func() { left <- struct{}{} })
 		d.until(func() bool { return len(left) > 0 })
-		d.clock.Advance(2 * (d.control.leavePatience() + leaveMargin))
+		d.clock.Advance(2 * (d.control.decommissionTimeout() + decommissionMargin))
 		Consistently(left, 20*time.Millisecond).Should(HaveLen(1))
 	})
 })
 
 var _ = Describe("the ticker", func() {
-	It("ticks when it is due, or soon after it was woken", func() {
+	It("ticks when it is due, or soon after wake", func() {
 		clock := clockwork.NewFakeClock()
 		began := clock.Now()
 		ticks := make(chan time.Duration, 10)
@@ -148,14 +148,14 @@
 			Eventually(ticks).Should(Receive())
 		}
 		t.wake()
-		next(tickLeast)
+		next(minTickInterval)
 		next(100 * time.Millisecond)
 		Expect(clock.BlockUntilContext(context.Background(), 1)).To(Succeed())
 		t.wake()
-		next(tickLeast)
+		next(minTickInterval)
 		t.wake()
 		t.wake()
-		next(tickLeast)
-		Expect(clock.Since(began)).To(Equal(100*time.Millisecond + 3*tickLeast))
+		next(minTickInterval)
+		Expect(clock.Since(began)).To(Equal(100*time.Millisecond + 3*minTickInterval))
 	})
 })
--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"cmp"
 	"encoding/binary"
 	"hash/fnv"
 	"maps"
@@ -11,190 +12,193 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Bounds of the feed.
 const (
-	// feedTogether is the share of a watch's wait by which it may be answered early, so that one confirmation serves many.
-	feedTogether = 0.2
-	// feedWaitMost bounds the wait that a caller may ask for.
-	feedWaitMost = 30 * time.Second
-	// feedWatches bounds the watches that wait at once.
-	feedWatches = 4096
+	// earlyResponseFraction is the fraction of a watch's wait by which its response may be early, so that one leadership
+	// confirmation serves many watches.
+	earlyResponseFraction = 0.2
+	// maxWatchWait bounds the wait that a caller may request.
+	maxWatchWait = 30 * time.Second
+	// maxWatches bounds the watches that are pending at once.
+	maxWatches = 4096
 )
 
-// feedSource has the newest configuration, of which every entry is committed.
+// feedSource holds the newest configuration that is committed.
 type feedSource interface {
-	// Version returns its version; 0: none yet.
+	// Version returns its version; 0: there is none yet.
 	Version() uint64
-	// Since returns what brings a follower there from an older version.
+	// Since returns what a follower needs to get there from an older version: changes only, where it can take those.
 	Since(version uint64, canTakeChanges bool) ([]byte, error)
 }
 
-// Feed answers the watches of those who follow the configuration and the shards' owners. It is the owner's part, pure,
-// and used by one goroutine. A watch is answered once there is news for it or its wait is nearly over, and only after
-// the owner's leadership was confirmed by a round asked for after the watch came. One round serves all watches that
-// wait for it.
+// Feed answers the watches of the frontends and agents that follow the configuration and the owners of the shards. Only the
+// owner of the configuration's shard feeds. Feed has no clock, goroutines or I/O, and is used by one goroutine.
+//
+// A watch is answered when something is newer than what its request names, or when its wait is nearly over, and only
+// after a quorum has confirmed the leadership by a confirmation that was requested after the watch came: so no process
+// that has been superseded says that nothing is new. One confirmation serves all watches that are pending by then.
+//
+// Its user asks BeginConfirmation after each input and by Deadline. When that returns true it has a quorum confirm the
+// leadership, and then calls Confirmed or Unconfirmed.
 type Feed struct {
-	source   feedSource
-	leading  bool
-	leader   string // internal address of the owner as far as known, while not leading
-	watches  []*feedWatch
-	revision uint64
-	members  []protocol.Member
-	owners   map[protocol.ShardID]string
-	relays   relayTable
-	round    uint64        // counts the rounds asked for
-	asked    bool          // a round is out
-	askedAt  time.Duration // the asking of the newest round
-
+	source     feedSource
+	isLeader   bool
+	leaderHint string // while not leader: internal address of the owner as far as known
+	watches    []*pendingWatch
+	revision   uint64 // of members and owners, see revisionOf
+	members    []protocol.Member
+	owners     map[protocol.ShardID]string
+	relays     relayTable
 	compressor compressor
+
+	confirmation            uint64        // counts the confirmations requested
+	confirming              bool          // the newest one is under way
+	confirmationRequestedAt time.Duration // of the newest one
 }
 
-// feedWatch is a watch that waits.
-type feedWatch struct {
-	request *protocol.WatchRequest
-	reply   func(*protocol.WatchResponse, error)
-	due     time.Duration // it is answered by then
-	early   time.Duration // from then on it may be answered along with others
-	taken   time.Duration // the loop's time when it was taken
-	came    time.Duration // a later time of the loop; noTime: there was none yet
-	round   uint64        // the last round asked for before it came
+// pendingWatch is a watch without a response yet.
+type pendingWatch struct {
+	request          *protocol.WatchRequest
+	reply            func(*protocol.WatchResponse, error)
+	deadline         time.Duration // when it must be answered
+	earliestResponse time.Duration // when it may be answered along with others, though nothing is new
+	receivedAt       time.Duration // the loop's time when it was received
+	arrivedBy        time.Duration // a later time of the loop, by which it had certainly arrived; or unknownTime
+	confirmation     uint64        // the newest confirmation that was requested before it came
 }
 
-// noTime stands for a time that is not known.
-const noTime time.Duration = -1
+// unknownTime is a time that is not known yet.
+const unknownTime time.Duration = -1
 
-// NewFeed returns a feed of a process that does not lead.
+// NewFeed returns the feed of a process that is not the leader.
 func NewFeed(source feedSource) *Feed { return &Feed{source: source, relays: newRelayTable()} }
 
-// BecomeLeader begins ownership of the configuration's shard.
+// BecomeLeader starts the ownership of the configuration's shard.
 func (f *Feed) BecomeLeader() {
-	f.leading = true
-	f.asked = false
+	f.isLeader = true
+	f.confirming = false
 }
 
-// Lost ends ownership: all that wait are told so. leader is the new owner's internal address, or "".
-func (f *Feed) Lost(leader string) {
-	f.leading = false
-	f.leader = leader
-	f.asked = false
-	f.refuse(func(*feedWatch) bool { return true })
+// BecomeFollower ends the ownership, and rejects all pending watches. leader is the new owner's internal address, or "".
+func (f *Feed) BecomeFollower(leader string) {
+	f.isLeader = false
+	f.leaderHint = leader
+	f.confirming = false
+	f.rejectWatches(func(*pendingWatch) bool { return true })
 }
 
-// Watch takes a watch that came at now.
+// Watch adds a watch that was received at now. reply is called once: now, or by a later call of another method.
 func (f *Feed) Watch(now time.Duration, request *protocol.WatchRequest, reply func(*protocol.WatchResponse, error)) {
-	if !f.leading {
-		reply(nil, f.notLeader())
+	if !f.isLeader {
+		reply(nil, notConfigurationOwner(f.leaderHint))
 		return
 	}
-	if len(f.watches) >= feedWatches {
-		reply(nil, failure.New(failure.Overloaded, "too many watches wait"))
+	if len(f.watches) >= maxWatches {
+		reply(nil, failure.New(failure.Overloaded, "too many watches are pending"))
 		return
 	}
-	f.relays.hear(now, request)
-	wait := min(max(time.Duration(request.WaitMs)*time.Millisecond, 0), feedWaitMost)
-	early := wait - time.Duration(float64(wait)*feedTogether)
-	f.watches = append(f.watches, &feedWatch{
-		request: request,
-		reply:   reply,
-		due:     now + wait,
-		early:   now + early,
-		taken:   now,
-		came:    noTime,
-		round:   f.round,
+	f.relays.record(now, request)
+	wait := min(max(time.Duration(request.WaitMs)*time.Millisecond, 0), maxWatchWait)
+	early := wait - time.Duration(float64(wait)*earlyResponseFraction)
+	f.watches = append(f.watches, &pendingWatch{
+		request:          request,
+		reply:            reply,
+		deadline:         now + wait,
+		earliestResponse: now + early,
+		receivedAt:       now,
+		arrivedBy:        unknownTime,
+		confirmation:     f.confirmation,
 	})
 }
 
-// OwnersChanged takes the newest members and owners. Their revision is worked out from what they say, so that two
-// owners that know the same give it the same number.
+// OwnersChanged sets the members and owners. Their revision is a hash of them, so that successive owners of the
+// configuration that know the same give it the same number.
 func (f *Feed) OwnersChanged(members []protocol.Member, owners map[protocol.ShardID]string) {
 	f.members = slices.Clone(members)
-	slices.SortFunc(f.members, func(a, b protocol.Member) int {
-		switch {
-		case a.ID < b.ID:
-			return -1
-		case a.ID > b.ID:
-			return 1
-		}
-		return 0
-	})
+	slices.SortFunc(f.members, func(a, b protocol.Member) int { return cmp.Compare(a.ID, b.ID) })
 	f.owners = maps.Clone(owners)
 	f.revision = revisionOf(f.members, f.owners)
 }
 
-// AskConfirmation reports whether a confirmation of leadership must be asked for now, and takes it that it is. Confirmed
-// or Unconfirmed tells how it ended.
-func (f *Feed) AskConfirmation(now time.Duration) bool {
-	f.stamp(now)
-	if !f.leading || f.asked || !slices.ContainsFunc(f.watches, func(w *feedWatch) bool { return f.ripe(now, w) }) {
+// BeginConfirmation reports whether the leadership must be confirmed now for a watch. If so, the caller must request that
+// from a quorum, and report the result by Confirmed or Unconfirmed.
+func (f *Feed) BeginConfirmation(now time.Duration) bool {
+	f.noteArrivals(now)
+	if !f.isLeader || f.confirming || !slices.ContainsFunc(f.watches, func(w *pendingWatch) bool { return f.mustRespond(now, w) }) {
 		return false
 	}
-	f.asked = true
-	f.askedAt = now
-	f.round++
+	f.confirming = true
+	f.confirmationRequestedAt = now
+	f.confirmation++
 	return true
 }
 
-// stamp notes a time by which watches had certainly come, from which on they count as held: a later one of the loop than
-// that at which they were taken.
-func (f *Feed) stamp(now time.Duration) {
+// noteArrivals records for new watches a time by which they had certainly arrived, from which on their wait counts. The
+// loop's time does not advance within a step, so that is the first time later than the one of their receipt.
+func (f *Feed) noteArrivals(now time.Duration) {
 	for _, watch := range f.watches {
-		if watch.came == noTime && now > watch.taken {
-			watch.came = now
+		if watch.arrivedBy == unknownTime && now > watch.receivedAt {
+			watch.arrivedBy = now
 		}
 	}
 }
 
-// Confirmed tells that the round asked for last was answered by a quorum. Watches that came before it and have
-// something to be told, or have waited nearly long enough, are answered.
+// Confirmed is called when a quorum has confirmed the leadership. It answers the watches that came before that was
+// requested, if there is something new for them or they have waited nearly long enough.
 func (f *Feed) Confirmed(now time.Duration) {
-	if !f.leading || !f.asked {
+	if !f.isLeader || !f.confirming {
 		return
 	}
-	f.asked = false
-	f.settle(func(w *feedWatch) bool { return w.round < f.round && f.mayAnswer(now, w) }, f.answer)
+	f.confirming = false
+	f.finish(func(w *pendingWatch) bool { return w.confirmation < f.confirmation && f.mayRespond(now, w) }, f.respond)
 }
 
-// Unconfirmed tells that the round asked for last was not answered by a quorum. leader is the internal address of the
-// owner as far as known, or "".
+// Unconfirmed is called when the confirmation failed. It rejects the watches that came before it was requested. leader is
+// the internal address of the owner as far as known, or "".
 func (f *Feed) Unconfirmed(leader string) {
-	if !f.asked {
+	if !f.confirming {
 		return
 	}
-	f.asked = false
-	f.leader = leader
-	f.refuse(func(w *feedWatch) bool { return w.round < f.round })
+	f.confirming = false
+	f.leaderHint = leader
+	f.rejectWatches(func(w *pendingWatch) bool { return w.confirmation < f.confirmation })
 }
 
-// Deadline returns when AskConfirmation must be tried again at the latest: at once where there is news for a watch, else
-// when the first wait is over. While a round is out, and where nothing waits, there is no deadline.
+// Deadline returns when BeginConfirmation must be called again at the latest: at once if there is something new for a
+// watch, else when the first wait is over. It returns false while a confirmation is under way or no watch is pending.
 func (f *Feed) Deadline() (time.Duration, bool) {
-	if len(f.watches) == 0 || f.asked {
+	if len(f.watches) == 0 || f.confirming {
 		return 0, false
 	}
-	deadline := f.watches[0].due
+	deadline := f.watches[0].deadline
 	for _, watch := range f.watches {
-		if f.news(watch) {
+		if f.hasUpdate(watch) {
 			return 0, true
 		}
-		deadline = min(deadline, watch.due)
+		deadline = min(deadline, watch.deadline)
 	}
 	return deadline, true
 }
 
-// ripe says whether a watch must be answered.
-func (f *Feed) ripe(now time.Duration, w *feedWatch) bool { return now >= w.due || f.news(w) }
+// mustRespond reports whether a watch is due, so that a confirmation is worth requesting for it.
+func (f *Feed) mustRespond(now time.Duration, w *pendingWatch) bool {
+	return now >= w.deadline || f.hasUpdate(w)
+}
 
-// mayAnswer says whether a watch may be answered along with others.
-func (f *Feed) mayAnswer(now time.Duration, w *feedWatch) bool { return now >= w.early || f.news(w) }
+// mayRespond reports whether a watch may be answered if a confirmation is there, requested for others.
+func (f *Feed) mayRespond(now time.Duration, w *pendingWatch) bool {
+	return now >= w.earliestResponse || f.hasUpdate(w)
+}
 
-func (f *Feed) news(w *feedWatch) bool {
+// hasUpdate reports whether something is newer than what a watch's request names.
+func (f *Feed) hasUpdate(w *pendingWatch) bool {
 	newer := !w.request.OwnersOnly && f.source.Version() > w.request.Version
 	return newer || f.revision != w.request.Owners
 }
 
-func (f *Feed) answer(w *feedWatch) {
-	response := &protocol.WatchResponse{Version: f.source.Version(), OwnersAt: f.revision, HeldMs: f.held(w)}
-	response.Relays = f.relays.pick(f.askedAt, w.request)
+// respond answers a watch with what is new to it.
+func (f *Feed) respond(w *pendingWatch) {
+	response := &protocol.WatchResponse{Version: f.source.Version(), OwnersAt: f.revision, HeldMs: f.heldMs(w)}
+	response.Relays = f.relays.pick(f.confirmationRequestedAt, w.request)
 	if response.Version > w.request.Version && !w.request.OwnersOnly {
 		body, err := f.source.Since(w.request.Version, w.request.Changes)
 		if err != nil {
@@ -213,29 +217,31 @@
 	w.reply(response, nil)
 }
 
-// compress makes a large configuration smaller.
+// compress compresses a response's configuration if it is large.
 func (f *Feed) compress(response *protocol.WatchResponse) {
-	if packed, ok := f.compressor.pack(response.Configuration); ok {
+	if packed, ok := f.compressor.compress(response.Configuration); ok {
 		response.Configuration, response.Compressed = packed, true
 	}
 }
 
-// held is the time in ms from a watch's coming to the asking of the newest round.
-func (f *Feed) held(w *feedWatch) int64 {
-	if w.came == noTime {
+// heldMs returns for how many ms a watch was certainly pending when the newest confirmation was requested. What it is told
+// was current then, so its sender knows how old that is at most.
+func (f *Feed) heldMs(w *pendingWatch) int64 {
+	if w.arrivedBy == unknownTime {
 		return 0
 	}
-	return max(f.askedAt-w.came, 0).Milliseconds()
+	return max(f.confirmationRequestedAt-w.arrivedBy, 0).Milliseconds()
 }
 
-func (f *Feed) refuse(which func(w *feedWatch) bool) {
-	f.settle(which, func(w *feedWatch) { w.reply(nil, f.notLeader()) })
+// rejectWatches ends the selected watches with an error that names the owner as far as known.
+func (f *Feed) rejectWatches(which func(w *pendingWatch) bool) {
+	f.finish(which, func(w *pendingWatch) { w.reply(nil, notConfigurationOwner(f.leaderHint)) })
 }
 
-// settle takes the watches that which selects out and ends each.
-func (f *Feed) settle(which func(w *feedWatch) bool, end func(w *feedWatch)) {
-	var ending []*feedWatch
-	f.watches = slices.DeleteFunc(f.watches, func(w *feedWatch) bool {
+// finish removes the watches that which selects, then ends each.
+func (f *Feed) finish(which func(w *pendingWatch) bool, end func(w *pendingWatch)) {
+	var ending []*pendingWatch
+	f.watches = slices.DeleteFunc(f.watches, func(w *pendingWatch) bool {
 		if !which(w) {
 			return false
 		}
@@ -247,15 +253,7 @@
 	}
 }
 
-func (f *Feed) notLeader() error {
-	return &failure.Error{
-		Kind:    failure.NotLeader,
-		Message: "this process does not own the configuration",
-		Leader:  f.leader,
-	}
-}
-
-// revisionOf returns the same number for the same members and owners, and never 0.
+// revisionOf returns a hash of members and owners, which is never 0: that is a watcher's revision when it knows none.
 func revisionOf(members []protocol.Member, owners map[protocol.ShardID]string) uint64 {
 	hash := fnv.New64a()
 	write := func(text string) {
--- a/internal/cluster/control/handlers.go
+++ b/internal/cluster/control/job_endpoints.go
@@ -6,22 +6,22 @@
 	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
-	"ospreypond/internal/cluster/replica"
 )
 
-// on runs an input of a shard's owner on the loop; wrong tells of a shard that this process does not own.
-func (c *Control) on(id protocol.ShardID, input func(s *jobShard, now time.Duration), wrong func(err error)) {
+// onOwner runs input on the engine's loop if this process owns the shard, else reject with the reason. One of them is
+// called, once.
+func (c *Control) onOwner(id protocol.ShardID, input func(s *jobShard, now time.Duration), reject func(err error)) {
 	c.engine.Do(func() {
 		shard := c.shards[id]
 		if shard == nil {
-			wrong(failure.Newf(failure.Invalid, "no shard %d", id))
+			reject(failure.Newf(failure.Invalid, "no shard %d", id))
 			return
 		}
 		if !shard.owner.Leading() {
-			wrong(&failure.Error{
+			reject(&failure.Error{
 				Kind:    failure.NotLeader,
 				Message: "this process does not own the shard",
-				Leader:  c.leaderHint(uint32(id)),
+				Leader:  leaderHint(c.engine, uint32(id)),
 			})
 			return
 		}
@@ -29,22 +29,13 @@
 	})
 }
 
-// leaderHint is where a group's leader is thought to be, if that is not this process.
-func (c *Control) leaderHint(group replica.GroupID) string {
-	address := c.engine.LeaderAddress(group)
-	if address == c.address {
-		return ""
-	}
-	return address
-}
-
-// ping answers at once: that this process is reached is all that it says.
+// ping answers at once, also while the engine's loop is busy: it shows that this process is reachable, and no more.
 func (c *Control) ping(_ string, request *protocol.PingRequest, reply func(*protocol.PingResponse, error)) {
 	reply(&protocol.PingResponse{Number: request.Number}, nil)
 }
 
 func (c *Control) heartbeat(_ string, request *protocol.HeartbeatRequest, reply func(*protocol.HeartbeatResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		s.owner.Heartbeat(now, &request.Heartbeat, func(orders *protocol.Orders, err error) {
 			if err != nil {
 				reply(nil, err)
@@ -56,13 +47,13 @@
 }
 
 func (c *Control) deregister(_ string, request *protocol.DeregisterRequest, reply func(*protocol.DeregisterResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		s.owner.Deregister(request.Instance, func(err error) { reply(&protocol.DeregisterResponse{}, err) })
 	}, func(err error) { reply(nil, err) })
 }
 
 func (c *Control) submit(_ string, request *protocol.SubmitRequest, reply func(*protocol.SubmitResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		submit := jobs.Submit{
 			ID:      request.ID,
 			Queue:   request.Queue,
@@ -76,7 +67,7 @@
 }
 
 func (c *Control) status(_ string, request *protocol.StatusRequest, reply func(*protocol.StatusResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		s.owner.Status(now, request.ID, func(state string, err error) {
 			reply(&protocol.StatusResponse{State: state}, err)
 		})
@@ -84,13 +75,13 @@
 }
 
 func (c *Control) cancel(_ string, request *protocol.CancelRequest, reply func(*protocol.CancelResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		s.owner.Cancel(now, request.ID, func(err error) { reply(&protocol.CancelResponse{}, err) })
 	}, func(err error) { reply(nil, err) })
 }
 
 func (c *Control) fence(_ string, request *protocol.FenceRequest, reply func(*protocol.FenceResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		fence := jobs.Fence{ID: request.ID, Version: request.ConfigurationVersion}
 		s.owner.Fence(now, fence, func(hasJob bool, err error) {
 			reply(&protocol.FenceResponse{HasJob: hasJob}, err)
@@ -99,7 +90,7 @@
 }
 
 func (c *Control) pending(_ string, request *protocol.PendingRequest, reply func(*protocol.PendingResponse, error)) {
-	c.on(request.Shard, func(s *jobShard, now time.Duration) {
+	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
 		s.owner.Pending(now, request.Queue, func(pending int, err error) {
 			reply(&protocol.PendingResponse{Pending: pending}, err)
 		})
--- a/internal/cluster/control/shard.go
+++ b/internal/cluster/control/job_shard.go
@@ -13,8 +13,8 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-// jobShard is this process's replica of one shard of jobs, and the owner's decisions while it leads. All of it runs on
-// the engine's loop.
+// jobShard is this process's replica of one shard of jobs, with the scheduler that decides on it while this process owns
+// it. All of it runs on the engine's loop.
 type jobShard struct {
 	id     protocol.ShardID
 	engine *replica.Engine
@@ -24,69 +24,70 @@
 	logger log.Logger
 	wake   func() // asks for tick soon
 
-	account accountLog
+	taskTimes taskTimeReporter
 }
 
-// timeOfDay tells the time of day in ms since 1970.
+// timeOfDay returns the Unix time in ms. It advances with the engine's clock, so it never goes back.
 type timeOfDay func() int64
 
 var _ replica.StateMachine = (*jobShard)(nil)
 var _ replica.LeadershipObserver = (*jobShard)(nil)
 var _ replica.TransferDeferrer = (*jobShard)(nil)
 
-func newJobShard(id protocol.ShardID, options scheduler.Options, jobOptions jobs.Options, clock timeOfDay, logger log.Logger, metrics *accountMetrics) *jobShard {
+func newJobShard(id protocol.ShardID, options scheduler.Options, jobOptions jobs.Options, clock timeOfDay, logger log.Logger, metrics *taskTimeMetrics) *jobShard {
 	state := jobs.New(jobOptions)
 	logger = log.With(logger, "shard", id)
 	return &jobShard{
-		id:      id,
-		state:   state,
-		owner:   scheduler.New(options, state),
-		clock:   clock,
-		logger:  logger,
-		account: newAccountLog(logger, metrics),
+		id:        id,
+		state:     state,
+		owner:     scheduler.New(options, state),
+		clock:     clock,
+		logger:    logger,
+		taskTimes: newTaskTimeReporter(logger, metrics),
 	}
 }
 
-// Apply carries out one committed command.
+// Apply applies one committed command.
 func (s *jobShard) Apply(index, term uint64, data []byte) any {
 	command, err := jobs.Decode(data)
 	if err != nil {
-		level.Error(s.logger).Log("msg", "an entry of the log cannot be read", "index", index, "err", err)
+		_ = level.Error(s.logger).Log("msg", "an entry of the log cannot be read", "index", index, "err", err)
 		return nil
 	}
 	return s.state.Apply(command)
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (s *jobShard) Snapshot() ([]byte, error) { return s.state.Snapshot() }
 
-// Restore replaces the whole state.
+// Restore replaces the state by an encoded one.
 func (s *jobShard) Restore(data []byte) error { return s.state.Restore(data) }
 
-// Digest tells in short what the state holds.
+// Digest returns a hash of the state, the same for equal states.
 func (s *jobShard) Digest() uint64 { return s.state.Digest() }
 
-// Leading begins ownership.
+// Leading starts this process's ownership of the shard.
 func (s *jobShard) Leading(term uint64) {
-	level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
+	_ = level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
 	s.owner.BecomeLeader(s.engine.Now(), s.clock(), term)
-	s.account.restart(s.engine.Now())
+	s.taskTimes.restart(s.engine.Now())
 	s.wake()
 }
 
-// Following ends ownership.
+// Following ends this process's ownership of the shard, if it was the owner.
 func (s *jobShard) Following() {
 	if s.owner.Leading() {
-		level.Info(s.logger).Log("msg", "this process no longer owns the shard")
-		s.account.tellQueues(s.owner)
+		_ = level.Info(s.logger).Log("msg", "this process no longer owns the shard")
+		s.taskTimes.reportQueues(s.owner)
 	}
 	s.owner.BecomeFollower()
 }
 
-// DefersTransfer tells whether a successor would take longer to start again what was lost with a runner.
+// DefersTransfer reports whether a leadership transfer would now delay the restart of runs that were lost with a runner:
+// a new owner would wait for their leases from the beginning.
 func (s *jobShard) DefersTransfer() bool { return s.owner.AwaitsLeaseExpiry(s.engine.Now()) }
 
-// pump proposes what the owner wants, and lets replies go that are due.
+// pump proposes the owner's next command, if there is one, and sends the replies that are due.
 func (s *jobShard) pump() {
 	now := s.engine.Now()
 	if command := s.owner.NextCommand(now); command != nil {
@@ -98,19 +99,20 @@
 func (s *jobShard) propose(command *jobs.Command) {
 	data, err := jobs.Encode(command)
 	if err != nil {
-		level.Error(s.logger).Log("msg", "a command cannot be encoded", "err", err)
+		_ = level.Error(s.logger).Log("msg", "a command cannot be encoded", "err", err)
 		s.owner.Failed(s.engine.Now(), command, failure.New(failure.Unavailable, err.Error()))
 		return
 	}
 	s.engine.Propose(uint32(s.id), data, func(result any, err error) {
-		s.settled(command, result, err)
+		s.proposalDone(command, result, err)
 		if err == nil {
-			s.pump() // else the next tick tries again: a refusal may come before Propose returns
+			s.pump() // not after a refusal, which may come before Propose returns: the next tick tries again
 		}
 	})
 }
 
-func (s *jobShard) settled(command *jobs.Command, result any, err error) {
+// proposalDone tells the owner what came of a command.
+func (s *jobShard) proposalDone(command *jobs.Command, result any, err error) {
 	effects, ok := result.(*jobs.Effects)
 	if err == nil && !ok {
 		err = failure.New(failure.UnknownOutcome, "the entry could not be applied")
@@ -130,10 +132,10 @@
 	s.owner.Tick(s.engine.Now(), s.clock(), s.confirmedAt())
 	s.confirmReads()
 	s.pump()
-	s.account.tell(s.engine.Now(), s.owner)
+	s.taskTimes.report(s.engine.Now(), s.owner)
 }
 
-// confirmReads asks for a confirmation of leadership while reads wait for one.
+// confirmReads asks a quorum to confirm the leadership while reads wait for that.
 func (s *jobShard) confirmReads() {
 	if !s.owner.NeedsConfirmation() {
 		return
@@ -146,13 +148,13 @@
 	})
 }
 
-// confirmedAt is when the newest confirmation of leadership was asked for.
+// confirmedAt returns when the newest leadership confirmation was requested; see replica.Engine.
 func (s *jobShard) confirmedAt() time.Duration { return s.engine.Status(uint32(s.id)).ConfirmedAt }
 
-// deadline is when tick is to be called next.
+// deadline returns when tick must be called next.
 func (s *jobShard) deadline(now time.Duration) time.Duration { return s.owner.NextDeadline(now) }
 
-// do runs an input of the owner.
+// do gives the owner an input. Time passes first, so that the owner decides on it with its timeouts up to date.
 func (s *jobShard) do(input func(now time.Duration)) {
 	now := s.engine.Now()
 	s.owner.Tick(now, 0, s.confirmedAt())
--- a/internal/cluster/control/shard_test.go
+++ b/internal/cluster/control/job_shard_test.go
@@ -16,7 +16,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// discarded is a Sender whose envelopes are lost.
+// discarded is a Sender that drops all envelopes.
 type discarded struct{}
 
 func (discarded) Send(string, *replica.Envelope) {}
@@ -24,11 +24,11 @@
 var _ = Describe("a shard of jobs", func() {
 	const timeOfDay = 1_000_000
 
-	It("waits for the next tick after its engine has refused a command", func() {
-		const enough = 8 << 20 // bytes of stack: calls that go round end the test instead of the machine's memory
+	It("waits for the next tick after its engine has rejected a command", func() {
+		const enough = 8 << 20 // bytes of stack: endless recursion fails the test before it uses up the memory
 		defer debug.SetMaxStack(debug.SetMaxStack(enough))
 
-		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return timeOfDay }, log.NewNopLogger(), newAccountMetrics())
+		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return timeOfDay }, log.NewNopLogger(), newTaskTimeMetrics())
 		engine, err := replica.Open(replica.Options{
 			FileSystem: vfs.OS{},
 			Dir:        GinkgoT().TempDir(),
@@ -48,7 +48,7 @@
 		_, due := shard.state.NextDueMs()
 		Expect(due).To(BeTrue())
 
-		shard.Leading(1) // as the owner still believes just after a freeze; the engine knows better
+		shard.Leading(1) // as after a freeze: the owner still takes itself for the leader, the engine knows better
 		for range 3 {
 			shard.tick()
 			Expect(shard.deadline(0)).To(BeNumerically(">=", 10*time.Millisecond))
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -20,55 +20,56 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Bounds of the operator's interface.
+// Bounds and names of the operator's HTTP interface.
 const (
-	operatorBodyBytes  = 8 << 20                // largest order
-	operatorOrders     = 16                     // orders and readings under way at once
-	operatorTime       = 800 * time.Millisecond // an order is answered by then, but for large ones
-	operatorBytesAMs   = 2 << 10                // large orders get a ms more for each so many bytes
-	operatorReadTime   = 10 * time.Second       // the longest that a body may take to arrive
-	baseVersionHeader  = "Ospreypond-Base-Version"
-	retryAfterSeconds  = "1"
-	contentTypeJSON    = "application/json"
-	instancesPath      = "/v1/instances/"
-	readinessPath      = "/v1/readiness"
-	configurationPaths = "/v1/configuration/"
+	maxChangeBytes      = 8 << 20                // the longest body of a change
+	maxOperatorRequests = 16                     // requests served at once, but for readiness
+	operatorTimeout     = 800 * time.Millisecond // a request is answered by then, but for large changes
+	bytesPerExtraMs     = 2 << 10                // a change gets a ms more for each so many bytes
+	bodyReadTimeout     = 10 * time.Second       // the longest that a body may take to arrive
+	baseVersionHeader   = "Ospreypond-Base-Version"
+	retryAfterSeconds   = "1"
+	contentTypeJSON     = "application/json"
+	instancesPath       = "/v1/instances/"
+	readinessPath       = "/v1/readiness"
+	configurationPaths  = "/v1/configuration/"
 )
 
-// OwnerCaller reaches the owner of the configuration's shard. Calls may be repeated: the same order is taken once.
-// Errors carry a kind of package failure, which says whether the order may have been taken.
+// OwnerCaller calls the owner of the configuration's shard. Calls may be repeated: a change is applied once. Errors carry
+// a kind of package failure, which says whether the change may have been applied. It is safe for concurrent use.
 type OwnerCaller interface {
 	Configure(ctx context.Context, request *protocol.ConfigureRequest) (*protocol.ConfigureResponse, error)
 	ReadConfiguration(ctx context.Context, request *protocol.ReadConfigurationRequest) (*protocol.ReadConfigurationResponse, error)
 }
 
-// Operator is the HTTP interface at the `control` address. Any control process serves it; the owner of the
-// configuration's shard decides.
+// Operator is the operator's HTTP interface at the `control` address: readiness, and reading and changing the
+// configuration. Every control process serves it; the owner of the configuration's shard decides. It is safe for
+// concurrent use.
 type Operator struct {
-	// Heartbeats serves /v1/instances/, if set.
+	// Heartbeats serves /v1/instances/; nil: that is not found. Set before serving.
 	Heartbeats http.Handler
-	// Clock bounds how long orders and readings may take.
+	// Clock measures the timeouts of requests. Set before serving.
 	Clock clockwork.Clock
 
 	caller OwnerCaller
 	logger log.Logger
-	room   chan struct{}
+	slots  chan struct{} // holds an element for each request that is being served
 	routes *http.ServeMux
 }
 
-// NewOperator returns the handler.
+// NewOperator returns a handler without heartbeats, with the real clock.
 func NewOperator(caller OwnerCaller, logger log.Logger) *Operator {
 	o := &Operator{
 		Clock:  clockwork.NewRealClock(),
 		caller: caller,
 		logger: logger,
-		room:   make(chan struct{}, operatorOrders),
+		slots:  make(chan struct{}, maxOperatorRequests),
 		routes: http.NewServeMux(),
 	}
 	o.routes.HandleFunc("GET "+readinessPath, func(http.ResponseWriter, *http.Request) {})
-	o.routes.HandleFunc("GET "+configurationPaths+"read", o.bounded(o.read))
-	o.routes.HandleFunc("POST "+configurationPaths+protocol.ConfigurationReplace, o.bounded(o.order(protocol.ConfigurationReplace)))
-	o.routes.HandleFunc("POST "+configurationPaths+protocol.ConfigurationUpdate, o.bounded(o.order(protocol.ConfigurationUpdate)))
+	o.routes.HandleFunc("GET "+configurationPaths+"read", o.limited(o.read))
+	o.routes.HandleFunc("POST "+configurationPaths+protocol.ConfigurationReplace, o.limited(o.change(protocol.ConfigurationReplace)))
+	o.routes.HandleFunc("POST "+configurationPaths+protocol.ConfigurationUpdate, o.limited(o.change(protocol.ConfigurationUpdate)))
 	o.routes.HandleFunc(instancesPath, o.instances)
 	return o
 }
@@ -86,48 +87,48 @@
 	o.Heartbeats.ServeHTTP(writer, request)
 }
 
-// bounded refuses what comes while too much is under way.
-func (o *Operator) bounded(serve http.HandlerFunc) http.HandlerFunc {
+// limited rejects requests while maxOperatorRequests are being served.
+func (o *Operator) limited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		select {
-		case o.room <- struct{}{}:
-			defer func() { <-o.room }()
+		case o.slots <- struct{}{}:
+			defer func() { <-o.slots }()
 			serve(writer, request)
 		default:
-			refuse(writer, failure.New(failure.Unavailable, "too many orders are under way"))
+			writeError(writer, failure.New(failure.Unavailable, "too many requests are being served"))
 		}
 	}
 }
 
-// order serves orders of one kind.
-func (o *Operator) order(kind string) http.HandlerFunc {
+// change serves changes of one kind, protocol.ConfigurationReplace or ConfigurationUpdate.
+func (o *Operator) change(kind string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		call, err := readOrder(writer, request, kind)
+		call, err := readChange(writer, request, kind)
 		if err != nil {
-			o.refuseOrder(writer, kind, err)
+			o.rejectChange(writer, kind, err)
 			return
 		}
-		ctx, cancel := deadline.WithTimeout(request.Context(), o.Clock, orderTime(len(call.Body)))
+		ctx, cancel := deadline.WithTimeout(request.Context(), o.Clock, changeTimeout(len(call.Body)))
 		defer cancel()
 		response, err := o.caller.Configure(ctx, call)
 		if err != nil {
-			o.refuseOrder(writer, kind, err)
+			o.rejectChange(writer, kind, err)
 			return
 		}
 		body := append(strconv.AppendUint([]byte(`{"version":`), response.Version, 10), '}')
-		answer(writer, http.StatusOK, body)
+		writeJSON(writer, http.StatusOK, body)
 	}
 }
 
-// readOrder reads an order whole. What it refuses is wrong whatever version is in force.
-func readOrder(writer http.ResponseWriter, request *http.Request, kind string) (*protocol.ConfigureRequest, error) {
+// readChange reads a complete request. What it rejects as invalid is so whatever version is in force.
+func readChange(writer http.ResponseWriter, request *http.Request, kind string) (*protocol.ConfigureRequest, error) {
 	body, err := readBody(writer, request)
 	if err != nil {
 		return nil, err
 	}
 	base, err := strconv.ParseUint(request.Header.Get(baseVersionHeader), 10, 64)
 	if err != nil {
-		return nil, failure.Newf(failure.Invalid, "%s is no version", baseVersionHeader)
+		return nil, failure.Newf(failure.Invalid, "%s is not a version", baseVersionHeader)
 	}
 	if err := configuration.Readable(body); err != nil {
 		return nil, err
@@ -136,13 +137,13 @@
 }
 
 func readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
-	if request.ContentLength > operatorBodyBytes {
-		return nil, tooLarge()
+	if request.ContentLength > maxChangeBytes {
+		return nil, bodyTooLarge()
 	}
 	connection := http.NewResponseController(writer)
-	_ = connection.SetReadDeadline(time.Now().Add(operatorReadTime)) // where it is supported
+	_ = connection.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not supported by tests' recorders
 	defer func() { _ = connection.SetReadDeadline(time.Time{}) }()
-	limited := http.MaxBytesReader(writer, request.Body, operatorBodyBytes)
+	limited := http.MaxBytesReader(writer, request.Body, maxChangeBytes)
 	var body []byte
 	var err error
 	if request.ContentLength > 0 {
@@ -153,45 +154,45 @@
 	}
 	var over *http.MaxBytesError
 	if errors.As(err, &over) {
-		return nil, tooLarge()
+		return nil, bodyTooLarge()
 	}
 	if err != nil {
-		// A slow or broken link makes no order wrong: it may be sent again.
-		return nil, failure.Newf(failure.Unavailable, "the body did not arrive whole: %v", err)
+		// Not the request's fault but that of a slow or broken link: it may be sent again.
+		return nil, failure.Newf(failure.Unavailable, "the body did not arrive completely: %v", err)
 	}
 	return body, nil
 }
 
-func tooLarge() error {
-	return failure.Newf(failure.TooLarge, "an order has at most %d bytes", operatorBodyBytes)
+func bodyTooLarge() error {
+	return failure.Newf(failure.TooLarge, "a change may have at most %d bytes", maxChangeBytes)
 }
 
-// orderTime is how long an order of that many bytes may take.
-func orderTime(bytes int) time.Duration { return operatorTime + sizeTime(bytes) }
+// changeTimeout is how long a change of that many bytes may take.
+func changeTimeout(bytes int) time.Duration { return operatorTimeout + extraTimeForSize(bytes) }
 
-// sizeTime is how much longer an order takes for its size.
-func sizeTime(bytes int) time.Duration {
-	return time.Duration(bytes/operatorBytesAMs) * time.Millisecond
+// extraTimeForSize is how much longer a change may take because of its size.
+func extraTimeForSize(bytes int) time.Duration {
+	return time.Duration(bytes/bytesPerExtraMs) * time.Millisecond
 }
 
-func (o *Operator) refuseOrder(writer http.ResponseWriter, kind string, err error) {
-	level.Info(o.logger).Log("msg", "a change of the configuration is not acknowledged", "kind", kind, "err", err)
-	refuse(writer, err)
+func (o *Operator) rejectChange(writer http.ResponseWriter, kind string, err error) {
+	_ = level.Info(o.logger).Log("msg", "a change of the configuration is not acknowledged", "kind", kind, "err", err)
+	writeError(writer, err)
 }
 
-// read serves the newest configuration.
+// read serves the newest committed configuration.
 func (o *Operator) read(writer http.ResponseWriter, request *http.Request) {
-	ctx, cancel := deadline.WithTimeout(request.Context(), o.Clock, operatorTime)
+	ctx, cancel := deadline.WithTimeout(request.Context(), o.Clock, operatorTimeout)
 	defer cancel()
 	response, err := o.caller.ReadConfiguration(ctx, &protocol.ReadConfigurationRequest{})
 	if err != nil {
-		refuse(writer, readFailure(err))
+		writeError(writer, readFailure(err))
 		return
 	}
-	answer(writer, http.StatusOK, response.Body)
+	writeJSON(writer, http.StatusOK, response.Body)
 }
 
-// readFailure turns a doubtful outcome into a clear one: a reading that got no answer changed nothing.
+// readFailure turns an unknown outcome into unavailable: a read that got no response changed nothing, so it may be retried.
 func readFailure(err error) error {
 	if failure.KindOf(err) == failure.UnknownOutcome {
 		return failure.New(failure.Unavailable, err.Error())
@@ -199,20 +200,20 @@
 	return err
 }
 
-// refuse answers with the status of the error's kind.
-func refuse(writer http.ResponseWriter, err error) {
+// rejectWatches answers with the status of the error's kind.
+func writeError(writer http.ResponseWriter, err error) {
 	kind := failure.KindOf(err)
 	advice := answers.To(kind)
 	if advice.Retry {
 		writer.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	body, _ := json.Marshal(map[string]string{"error": kind.String(), "message": err.Error()}) // strings can always be written
-	answer(writer, advice.Status, body)
+	body, _ := json.Marshal(map[string]string{"error": kind.String(), "message": err.Error()}) // strings can always be encoded
+	writeJSON(writer, advice.Status, body)
 }
 
-func answer(writer http.ResponseWriter, status int, body []byte) {
+func writeJSON(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Content-Type", contentTypeJSON)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.WriteHeader(status)
-	_, _ = writer.Write(body) // a caller that has left is not told
+	_, _ = writer.Write(body) // fails if the caller has disconnected
 }
--- a/internal/cluster/control/peers.go
+++ b/internal/cluster/control/peers.go
@@ -2,35 +2,41 @@
 
 import "time"
 
-// loopPatience is how long an answer of the engine's loop is waited for.
-const loopPatience = time.Second
+// loopTimeout bounds the wait for the engine's loop.
+const loopTimeout = time.Second
 
-// replicas is what the peers of a control process need of its engine.
-type replicas interface {
+// peerEngine is the part of replica.Engine that peers uses.
+type peerEngine interface {
 	Do(f func())
 	KnowsLeaders() bool
 	SetPeers(addresses []string)
 }
 
-// peers are whom this process asks to let it join, kept in step with the settings file.
-type peers struct{ engine replicas }
+// peers are the addresses at which this process asks to join the replica groups. A seeds.Follower keeps them up to date
+// with the settings file.
+type peers struct {
+	engine  peerEngine
+	stopped <-chan struct{} // closed when the engine is stopped, and may no longer answer; nil: never
+}
 
-// Fresh tells whether all shards have an owner here, so that other peers would be of no use. An engine that is too busy
-// to answer counts as fresh.
+// Fresh reports whether this process knows an owner of every shard, so that other peers would be of no use. It also does
+// if the engine's loop does not answer within loopTimeout. It must not be called on that loop.
 func (p peers) Fresh(time.Duration) bool {
-	answer := make(chan bool, 1)
-	p.engine.Do(func() { answer <- p.engine.KnowsLeaders() })
-	timer := time.NewTimer(loopPatience)
+	known := make(chan bool, 1)
+	p.engine.Do(func() { known <- p.engine.KnowsLeaders() })
+	timer := time.NewTimer(loopTimeout)
 	defer timer.Stop()
 	select {
-	case led := <-answer:
-		return led
+	case allKnown := <-known:
+		return allKnown
 	case <-timer.C:
 		return true
+	case <-p.stopped:
+		return true
 	}
 }
 
-// SetSeeds has the engine ask others from now on.
+// SetSeeds replaces the addresses at which the engine asks.
 func (p peers) SetSeeds(addresses []string) {
 	p.engine.Do(func() { p.engine.SetPeers(addresses) })
 }
--- a/internal/cluster/control/peers_test.go
+++ b/internal/cluster/control/peers_test.go
@@ -20,46 +20,46 @@
 	"ospreypond/internal/loopbacktest"
 )
 
-// fakeReplicas runs what it is given at once and keeps the peers it is told.
+// fakeReplicas is a peerEngine that runs functions at once and records its peers.
 type fakeReplicas struct {
-	mutex sync.Mutex
-	led   bool
-	told  []string
+	mutex     sync.Mutex
+	knowsAll  bool
+	addresses []string
 }
 
 func (f *fakeReplicas) Do(work func()) { work() }
 
-func (f *fakeReplicas) KnowsLeaders() bool { return f.led }
+func (f *fakeReplicas) KnowsLeaders() bool { return f.knowsAll }
 
 func (f *fakeReplicas) SetPeers(addresses []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.told = addresses
+	f.addresses = addresses
 }
 
 func (f *fakeReplicas) peers() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.told
+	return f.addresses
 }
 
 var _ = Describe("peers", func() {
-	It("are fresh while all shards have an owner", func() {
-		engine := &fakeReplicas{led: true}
-		Expect(peers{engine}.Fresh(time.Second)).To(BeTrue())
-		engine.led = false
-		Expect(peers{engine}.Fresh(time.Second)).To(BeFalse())
+	It("are fresh while an owner of every shard is known", func() {
+		engine := &fakeReplicas{knowsAll: true}
+		Expect(peers{engine: engine}.Fresh(time.Second)).To(BeTrue())
+		engine.knowsAll = false
+		Expect(peers{engine: engine}.Fresh(time.Second)).To(BeFalse())
 	})
 
-	It("become those of the changed settings at SIGHUP", func() {
+	It("are replaced by those of the changed settings at SIGHUP", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "boot.json")
 		Expect(os.WriteFile(path, []byte(`{"nodeName":"n","role":"r","ip":"10.0.0.9","zone":"z",`+
 			`"internalPorts":[7380,7395],"seeds":["10.0.0.2:8144"]}`), 0o600)).To(Succeed())
-		engine := &fakeReplicas{led: true}
+		engine := &fakeReplicas{knowsAll: true}
 		hangups := make(chan os.Signal, 1)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		follower := seeds.NewFollower(seeds.Options{Path: path, Seeds: []string{"10.0.0.1:7380"}, Directory: peers{engine},
+		follower := seeds.NewFollower(seeds.Options{Path: path, Seeds: []string{"10.0.0.1:7380"}, Directory: peers{engine: engine},
 			Logger: log.NewNopLogger()})
 		go follower.Run(ctx, hangups)
 		hangups <- syscall.SIGHUP
@@ -68,7 +68,7 @@
 })
 
 var _ = Describe("a control process", func() {
-	It("goes on after SIGHUP, with or without other seeds", func() {
+	It("survives SIGHUP, whether or not its seeds have changed", func() {
 		folder := GinkgoT().TempDir()
 		path := filepath.Join(folder, "boot.json")
 		ip, internal, operator, err := loopbacktest.FreePorts()
@@ -84,17 +84,17 @@
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- Run(ctx, settings, log.NewNopLogger()) }()
-		answers := func() error {
-			conn, err := net.Dial("tcp", net.JoinHostPort(ip, strconv.Itoa(operator)))
-			if err == nil {
-				conn.Close()
+		accepts := func() error {
+			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", net.JoinHostPort(ip, strconv.Itoa(operator)))
+			if err != nil {
+				return err
 			}
-			return err
+			return conn.Close()
 		}
-		Eventually(answers).WithTimeout(10 * time.Second).Should(Succeed())
+		Eventually(accepts).WithTimeout(10 * time.Second).Should(Succeed())
 		for range 3 {
 			Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
-			Expect(answers()).To(Succeed())
+			Expect(accepts()).To(Succeed())
 		}
 		Expect(ended).NotTo(Receive())
 		stop()
--- a/internal/cluster/control/ownerloop_test.go
+++ b/internal/cluster/control/sole_member_test.go
@@ -20,13 +20,13 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// alone is a control process that is the only member of the configuration's group, and leads it.
-type alone struct {
+// soleMember is a control process that is the only member of the configuration's group, and its leader.
+type soleMember struct {
 	control *Control
 	engine  *replica.Engine
 }
 
-func newAlone() *alone {
+func newSoleMember() *soleMember {
 	GinkgoHelper()
 	const address = "127.0.0.1:1"
 	c := &Control{logger: log.NewNopLogger(), clock: clockwork.NewRealClock(), configuration: newConfigurationShard(log.NewNopLogger())}
@@ -50,21 +50,21 @@
 		stop()
 		Eventually(ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
 	})
-	a := &alone{control: c, engine: engine}
-	Eventually(a.leads).WithTimeout(10 * time.Second).Should(BeTrue())
-	return a
+	m := &soleMember{control: c, engine: engine}
+	Eventually(m.isLeader).WithTimeout(10 * time.Second).Should(BeTrue())
+	return m
 }
 
-func (a *alone) leads() bool {
-	answer := make(chan bool, 1)
-	a.engine.Do(func() { answer <- a.control.configuration.leading })
-	return <-answer
+func (m *soleMember) isLeader() bool {
+	leading := make(chan bool, 1)
+	m.engine.Do(func() { leading <- m.control.configuration.leading })
+	return <-leading
 }
 
-// freeze stops the loop until thaw is called.
-func (a *alone) freeze() (thaw func()) {
+// freeze blocks the loop until thaw is called.
+func (m *soleMember) freeze() (thaw func()) {
 	frozen, thawed := make(chan struct{}), make(chan struct{})
-	a.engine.Do(func() {
+	m.engine.Do(func() {
 		close(frozen)
 		<-thawed
 	})
@@ -72,43 +72,43 @@
 	return func() { close(thawed) }
 }
 
-func replacement(version uint64) *protocol.ConfigureRequest {
+func replaceRequest(version uint64) *protocol.ConfigureRequest {
 	body := []byte(`{"version":` + string(rune('0'+version)) + `,"routes":[],"services":[]}`)
 	return &protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Base: 0, Body: body}
 }
 
-var _ = Describe("an order to a process whose loop is frozen", func() {
-	It("is in doubt, and is not begun once its caller has left", func() {
-		a := newAlone()
-		caller := &ownerCaller{a.control}
-		thaw := a.freeze()
-		ctx, leave := context.WithCancel(context.Background())
+var _ = Describe("a change sent to a process whose loop is frozen", func() {
+	It("has an unknown outcome, and is not started after its caller has left", func() {
+		m := newSoleMember()
+		caller := &ownerCaller{m.control}
+		thaw := m.freeze()
+		ctx, cancel := context.WithCancel(context.Background())
 		outcome := make(chan error, 1)
 		go func() {
-			_, err := caller.Configure(ctx, replacement(3))
+			_, err := caller.Configure(ctx, replaceRequest(3))
 			outcome <- err
 		}()
-		leave()
+		cancel()
 		Expect(failure.KindOf(<-outcome)).To(Equal(failure.UnknownOutcome))
 		thaw()
-		response, err := caller.Configure(context.Background(), replacement(5))
-		Expect(err).NotTo(HaveOccurred(), "nothing was taken on version 0 before")
+		response, err := caller.Configure(context.Background(), replaceRequest(5))
+		Expect(err).NotTo(HaveOccurred(), "nothing was applied on version 0 before")
 		Expect(response.Version).To(Equal(uint64(5)))
 	})
 })
 
 var _ = Describe("an owner of the configuration", func() {
-	It("names no other, and not itself, to those it refuses", func() {
-		a := newAlone()
+	It("does not name itself as the leader", func() {
+		m := newSoleMember()
 		named := make(chan string, 1)
-		a.engine.Do(func() { named <- a.control.configuration.leader() })
+		m.engine.Do(func() { named <- m.control.configuration.leader() })
 		Expect(<-named).To(BeEmpty())
 	})
 })
 
-var _ = Describe("the largest order", func() {
-	It("fits in whatever carries it between processes", func() {
-		order := bytes.Repeat([]byte{' '}, operatorBodyBytes)
+var _ = Describe("the largest change", func() {
+	It("fits in every message between processes that carries it", func() {
+		order := bytes.Repeat([]byte{' '}, maxChangeBytes)
 		entry, err := configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: order})
 		Expect(err).NotTo(HaveOccurred())
 		envelopes := make(chan *replica.Envelope, 1)
@@ -125,8 +125,12 @@
 		})
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		go server.Serve(context.Background(), listener)
-		DeferCleanup(server.Close)
+		served := make(chan error, 1)
+		go func() { served <- server.Serve(context.Background(), listener) }()
+		DeferCleanup(func() {
+			server.Close()
+			Eventually(served).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
+		})
 		client := transport.NewClient(transport.ClientOptions{})
 		DeferCleanup(client.Close)
 		address := listener.Addr().String()
@@ -136,14 +140,14 @@
 		configured, err := transport.Call[protocol.ConfigureRequest, protocol.ConfigureResponse](ctx, client, address,
 			&protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Body: order})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(configured.Version).To(Equal(uint64(operatorBodyBytes)))
+		Expect(configured.Version).To(Equal(uint64(maxChangeBytes)))
 		read, err := transport.Call[protocol.ReadConfigurationRequest, protocol.ReadConfigurationResponse](ctx, client, address,
 			&protocol.ReadConfigurationRequest{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(read.Body).To(HaveLen(operatorBodyBytes))
+		Expect(read.Body).To(HaveLen(maxChangeBytes))
 		watched, err := transport.Call[protocol.WatchRequest, protocol.WatchResponse](ctx, client, address, &protocol.WatchRequest{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(watched.Configuration).To(HaveLen(operatorBodyBytes))
+		Expect(watched.Configuration).To(HaveLen(maxChangeBytes))
 
 		message := consensus.Message{Kind: consensus.MessageAppend, Entries: []consensus.Entry{{Index: 1, Data: entry}}}
 		transport.Send(client, address, &replica.Envelope{Messages: []consensus.Message{message}})
--- a/internal/cluster/control/metrics.go
+++ b/internal/cluster/control/task_time_metrics.go
@@ -9,14 +9,14 @@
 	"ospreypond/internal/cluster/latency"
 )
 
-// accountMetrics are the sums of where tasks' time went, over all that this process owned since its start, in the text
-// format of Prometheus.
-type accountMetrics struct{ set *metrics.Set }
+// taskTimeMetrics counts the time of tasks by queue and wait reason, and jobs, over all shards that this process has
+// owned since it started. It serves them in Prometheus's text format. Safe for concurrent use.
+type taskTimeMetrics struct{ set *metrics.Set }
 
-func newAccountMetrics() *accountMetrics { return &accountMetrics{set: metrics.NewSet()} }
+func newTaskTimeMetrics() *taskTimeMetrics { return &taskTimeMetrics{set: metrics.NewSet()} }
 
-// add counts what was summed for a queue since the last time.
-func (m *accountMetrics) add(queue string, since *latency.Queue) {
+// add adds what a queue's tasks and jobs came to since the previous call.
+func (m *taskTimeMetrics) add(queue string, since *latency.Queue) {
 	for cause, span := range since.Tasks {
 		if span > 0 {
 			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Cause(cause).String())
@@ -27,8 +27,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("ospreypond_jobs_late_total{queue=%q}", queue)).AddInt64(int64(since.Late))
 }
 
-// ServeHTTP tells the sums.
-func (m *accountMetrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+// ServeHTTP answers with all counters, whatever the path.
+func (m *taskTimeMetrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	m.set.WritePrometheus(w)
 }
--- a/internal/cluster/control/account_test.go
+++ b/internal/cluster/control/task_times_test.go
@@ -14,77 +14,77 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-var _ = Describe("The account of time", func() {
-	It("is told in the log and as metrics, by queue and cause", func() {
+var _ = Describe("the time of tasks", func() {
+	It("is written to the log and the metrics, by queue and wait reason", func() {
 		written := &bytes.Buffer{}
-		told := newAccountMetrics()
-		account := newAccountLog(log.NewLogfmtLogger(written), told)
+		counters := newTaskTimeMetrics()
+		reporter := newTaskTimeReporter(log.NewLogfmtLogger(written), counters)
 		state := jobs.New(jobs.Options{})
 		owner := scheduler.New(scheduler.Options{}, state)
 		now := time.Second
-		settle := func() {
+		step := func() {
 			owner.Tick(now, now.Milliseconds(), now)
 			for command := owner.NextCommand(now); command != nil; command = owner.NextCommand(now) {
 				owner.Applied(now, command, state.Apply(command), true)
 			}
 			owner.Flush(now)
 		}
-		beat := func(sequence uint64, active []protocol.ActiveRun, finished ...protocol.FinishedRun) {
+		heartbeat := func(sequence uint64, active []protocol.ActiveRun, finished ...protocol.FinishedRun) {
 			owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.Ready, Sequence: sequence,
 				Capacity: protocol.Resources{CPU: 1000, MemoryMB: 1000}, Active: active, Finished: finished}, func(*protocol.Orders, error) {})
-			settle()
+			step()
 			now += 300 * time.Millisecond
-			settle()
+			step()
 		}
 		owner.BecomeLeader(now, now.Milliseconds(), 1)
-		beat(1, nil)
+		heartbeat(1, nil)
 		queue := protocol.Queue{Key: "h/q/", Service: "s", MaxAttempts: 2, TargetLatencyMs: 100}
-		step := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
-		owner.Submit(now, jobs.Submit{ID: "00000000000000aa", Queue: queue, Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{step}}},
+		stage := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
+		owner.Submit(now, jobs.Submit{ID: "00000000000000aa", Queue: queue, Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{stage}}},
 			func(_ bool, err error) { Expect(err).NotTo(HaveOccurred()) })
-		settle()
-		beat(2, nil)
-		beat(3, []protocol.ActiveRun{{Task: "00000000000000aa.0.0.0", Run: 1}})
-		beat(4, nil, protocol.FinishedRun{N: 1, Task: "00000000000000aa.0.0.0", Run: 1, How: protocol.EndDone})
-		account.tell(now+accountEvery, owner)
+		step()
+		heartbeat(2, nil)
+		heartbeat(3, []protocol.ActiveRun{{Task: "00000000000000aa.0.0.0", Run: 1}})
+		heartbeat(4, nil, protocol.FinishedRun{N: 1, Task: "00000000000000aa.0.0.0", Run: 1, How: protocol.EndDone})
+		reporter.report(now+reportInterval, owner)
 		Expect(written.String()).To(MatchRegexp(`msg="job late" job=00000000000000aa queue=h/q/ state=completed took=\d+ objective=\d+ .*order=`))
 		Expect(written.String()).To(MatchRegexp(`msg="time of tasks" queue=h/q/ jobs=1 late=1 .*running=\d+`))
-		answer := httptest.NewRecorder()
-		told.ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-		Expect(answer.Body.String()).To(ContainSubstring(`ospreypond_jobs_late_total{queue="h/q/"} 1`))
-		Expect(answer.Body.String()).To(ContainSubstring(`ospreypond_task_seconds_total{queue="h/q/",cause="running"}`))
+		response := httptest.NewRecorder()
+		counters.ServeHTTP(response, httptest.NewRequestWithContext(GinkgoT().Context(), "GET", "/metrics", nil))
+		Expect(response.Body.String()).To(ContainSubstring(`ospreypond_jobs_late_total{queue="h/q/"} 1`))
+		Expect(response.Body.String()).To(ContainSubstring(`ospreypond_task_seconds_total{queue="h/q/",cause="running"}`))
 
 		written.Reset()
-		account.tell(now+2*accountEvery, owner)
-		Expect(written.String()).To(BeEmpty(), "nothing has taken time since")
+		reporter.report(now+2*reportInterval, owner)
+		Expect(written.String()).To(BeEmpty(), "no task has spent time since")
 		queue.TargetLatencyMs = 100_000
-		owner.Submit(now, jobs.Submit{ID: "00000000000000bb", Queue: queue, Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{step}}},
+		owner.Submit(now, jobs.Submit{ID: "00000000000000bb", Queue: queue, Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{stage}}},
 			func(bool, error) {})
-		beat(5, nil)
-		beat(6, nil, protocol.FinishedRun{N: 2, Task: "00000000000000bb.0.0.0", Run: 1, How: protocol.EndDone})
-		account.tell(now+3*accountEvery, owner)
-		answer = httptest.NewRecorder()
-		told.ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-		Expect(answer.Body.String()).To(ContainSubstring(`ospreypond_jobs_ended_total{queue="h/q/"} 2`), "each job counts once")
+		heartbeat(5, nil)
+		heartbeat(6, nil, protocol.FinishedRun{N: 2, Task: "00000000000000bb.0.0.0", Run: 1, How: protocol.EndDone})
+		reporter.report(now+3*reportInterval, owner)
+		response = httptest.NewRecorder()
+		counters.ServeHTTP(response, httptest.NewRequestWithContext(GinkgoT().Context(), "GET", "/metrics", nil))
+		Expect(response.Body.String()).To(ContainSubstring(`ospreypond_jobs_ended_total{queue="h/q/"} 2`), "each job counts once")
 	})
 
-	It("is told once more when its owner ends", func() {
-		told := newAccountMetrics()
-		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return 1000 }, log.NewNopLogger(), told)
+	It("is reported once more when the ownership ends", func() {
+		counters := newTaskTimeMetrics()
+		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return 1000 }, log.NewNopLogger(), counters)
 		now := time.Second
 		shard.owner.BecomeLeader(now, now.Milliseconds(), 1)
 		shard.owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.Ready, Sequence: 1,
 			Capacity: protocol.Resources{CPU: 1000, MemoryMB: 1000}}, func(*protocol.Orders, error) {})
-		step := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
+		stage := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
 		shard.owner.Submit(now, jobs.Submit{ID: "00000000000000aa", Queue: protocol.Queue{Key: "h/q/", Service: "s"},
-			Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{step}}}, func(bool, error) {})
+			Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{stage}}}, func(bool, error) {})
 		for command := shard.owner.NextCommand(now); command != nil; command = shard.owner.NextCommand(now) {
 			now += 50 * time.Millisecond
 			shard.owner.Applied(now, command, shard.state.Apply(command), true)
 		}
 		shard.Following()
-		answer := httptest.NewRecorder()
-		told.ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-		Expect(answer.Body.String()).To(ContainSubstring(`ospreypond_task_seconds_total{queue="h/q/",cause="round"}`))
+		response := httptest.NewRecorder()
+		counters.ServeHTTP(response, httptest.NewRequestWithContext(GinkgoT().Context(), "GET", "/metrics", nil))
+		Expect(response.Body.String()).To(ContainSubstring(`ospreypond_task_seconds_total{queue="h/q/",cause="round"}`))
 	})
 })
