--- a/internal/cli/system_cluster.go
+++ b/internal/cli/system_cluster.go
@@ -31,7 +31,7 @@
 			}
 			var faults []string
 			for _, member := range members {
-				if member.Troubled() {
+				if member.Unhealthy() {
 					faults = append(faults, fmt.Sprintf("%s at %s is %s", member.Node, member.Address, member.State()))
 				}
 			}
@@ -46,7 +46,7 @@
 		if m.Answers {
 			up, disk, memory = milliseconds(m.UptimeMs), size(m.LogBytes), size(int64(m.MemoryBytes))
 		}
-		if m.DiskSick {
+		if m.DiskUnhealthy {
 			disk = "sick"
 		}
 		rows = append(rows, []string{m.Node, m.Zone, m.Address, m.ID.String(), m.Role, m.State(), strconv.Itoa(m.Leads), up, disk, memory})
--- a/internal/cluster/administration/advice.go
+++ b/internal/cluster/administration/advice.go
@@ -7,7 +7,7 @@
 	"ospreypond/internal/cluster/failure/answers"
 )
 
-// Advice returns what an operator can do about a fault of the system, or "" for another error.
+// Advice returns what an operator can do about an error that carries a kind of package failure; "" for other errors.
 func Advice(err error) string {
 	var known *failure.Error
 	if !errors.As(err, &known) {
--- a/internal/cluster/administration/client.go
+++ b/internal/cluster/administration/client.go
@@ -13,25 +13,28 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// reportTime is how long one control process may take to tell how it stands.
-const reportTime = 2 * time.Second
+// reportTimeout bounds a request for what one control process knows itself: a report or a digest.
+const reportTimeout = 2 * time.Second
 
-// Client asks a running system. It is used by one goroutine.
+// Client sends the operator's requests to a running system. It must be used by one goroutine at a time, and closed.
+//
+// Errors that come from the system carry a kind of package failure; see Advice. Methods that change nothing never report an
+// unknown outcome. Methods retry until ctx ends, so ctx should have a deadline.
 type Client struct {
 	addresses []string
 	transport *transport.Client
 	directory *directory.Directory
 }
 
-// Time-outs of a command's connections. A command has no other process to turn to as frontends have, and an operator has
-// time: a machine that is busy is waited for, up to the command's own limit.
+// Timeouts of a command's connections. They are longer than those of frontends, which can turn to another process: an
+// operator has time, and would rather wait for a busy machine, up to the command's own timeout.
 const (
-	greetingPatience = 4 * time.Second
-	probeInterval    = time.Second
+	connectTimeout = 4 * time.Second
+	probeInterval  = time.Second
 )
 
-// Dial returns a client of the system whose control processes stand at the internal addresses, host:port. It connects
-// when it is first used. The error names an address that cannot be one.
+// Dial returns a client of the system whose control processes, or some of them, are at the internal addresses, host:port.
+// It connects when it is first used. The error names an address that has not that form.
 func Dial(addresses []string) (*Client, error) {
 	if len(addresses) == 0 {
 		return nil, errors.New("no address of a control process is given")
@@ -43,24 +46,24 @@
 		}
 	}
 	carrier := transport.NewClient(transport.ClientOptions{
-		Name: "administration", DialTimeout: greetingPatience, GreetingTimeout: greetingPatience, ProbeInterval: probeInterval})
+		Name: "administration", DialTimeout: connectTimeout, GreetingTimeout: connectTimeout, ProbeInterval: probeInterval})
 	known := directory.New(directory.Options{Client: carrier, Seeds: addresses, Node: "administration"})
 	return &Client{addresses: addresses, transport: carrier, directory: known}, nil
 }
 
-// Close ends the client's connections.
+// Close closes the client's connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// call asks the owner of a shard, until ctx ends.
+// call sends a request to the owner of a shard, again and again until its outcome is known or ctx ends.
 func call[Req, Resp any](ctx context.Context, c *Client, shard protocol.ShardID, request *Req) (*Resp, error) {
 	return directory.Call[Req, Resp](ctx, c.directory, shard, request, true)
 }
 
-// read is call for what changes nothing: that no answer came leaves no doubt.
+// read is call for requests that change nothing: without a response, nothing was done.
 func read[Req, Resp any](ctx context.Context, c *Client, shard protocol.ShardID, request *Req) (*Resp, error) {
 	response, err := call[Req, Resp](ctx, c, shard, request)
 	if failure.KindOf(err) == failure.UnknownOutcome {
-		err = failure.Newf(failure.Unavailable, "no answer: %v", messageOf(err))
+		err = failure.Newf(failure.Unavailable, "no response: %v", messageOf(err))
 	}
 	return response, err
 }
@@ -84,7 +87,8 @@
 	return response.Version, response.Body, nil
 }
 
-// Configure orders a change of the configuration, and returns the version in force by it.
+// Configure changes the configuration: kind is protocol.ConfigurationReplace or ConfigurationUpdate, base the version that
+// the change builds on, body its JSON. It returns the version that the change made. The same change may be sent again.
 func (c *Client) Configure(ctx context.Context, kind string, base uint64, body []byte) (version uint64, err error) {
 	response, err := call[protocol.ConfigureRequest, protocol.ConfigureResponse](
 		ctx, c, protocol.ConfigurationShard, &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body})
@@ -94,7 +98,7 @@
 	return response.Version, nil
 }
 
-// eachShard calls f for the shards of jobs until it fails.
+// eachShard calls f for the shards of jobs in order, until one call fails.
 func eachShard(f func(shard protocol.ShardID) error) error {
 	for shard := protocol.ShardID(1); shard <= protocol.JobShards; shard++ {
 		if err := f(shard); err != nil {
--- a/internal/cluster/administration/client_test.go
+++ b/internal/cluster/administration/client_test.go
@@ -12,31 +12,31 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = DescribeTable("addresses that cannot be any", func(said string, addresses ...string) {
+var _ = DescribeTable("invalid addresses", func(said string, addresses ...string) {
 	_, err := administration.Dial(addresses)
 	Expect(err).To(MatchError(ContainSubstring(said)))
 },
-	Entry("none", "no address"),
+	Entry("no address", "no address"),
 	Entry("no port", `"10.0.0.1" is no address`, "10.0.0.1"),
 	Entry("no host", `":7380" is no address`, ":7380"),
-	Entry("no number", `"10.0.0.1:" is no address`, "10.0.0.1:1", "10.0.0.1:"),
+	Entry("no port number", `"10.0.0.1:" is no address`, "10.0.0.1:1", "10.0.0.1:"),
 )
 
 const id = "5c0e7a21d94b36f8"
 
-var _ = Describe("handing a job in", func() {
+var _ = Describe("submitting a job", func() {
 	spec := &protocol.JobSpec{Spec: "x", Steps: []protocol.Step{{Count: 1}}}
-	service, other := servicesApart()
+	service, other := servicesOfTwoShards()
 
-	It("goes to the shard of the queue's service with all that the route says", func() {
+	It("goes to the shard of the queue's service, with all settings of the route", func() {
 		f := newFakeControl()
-		f.answer = func(request any) (any, error) {
+		f.respond = func(request any) (any, error) {
 			if _, ok := request.(protocol.WatchRequest); ok {
-				return feedOf(configurationWith(5, service)), nil
+				return watchResponse(configurationWith(5, service)), nil
 			}
 			return &protocol.SubmitResponse{AlreadyKnown: true}, nil
 		}
-		Expect(dial(f.address).Submit(soon(patience), "h/p", id, spec)).To(Succeed())
+		Expect(dial(f.address).Submit(within(callTimeout), "h/p", id, spec)).To(Succeed())
 		Expect(requestsOf[protocol.SubmitRequest](f)).To(ConsistOf(protocol.SubmitRequest{
 			Shard: protocol.ShardOf(service),
 			ID:    id,
@@ -47,43 +47,43 @@
 
 	DescribeTable("asks the shard of the queue's earlier service first", func(has bool, submits int) {
 		f := newFakeControl()
-		f.answer = func(request any) (any, error) {
+		f.respond = func(request any) (any, error) {
 			switch request.(type) {
 			case protocol.WatchRequest:
-				return feedOf(configurationWith(5, other), configurationWith(6, service)), nil
+				return watchResponse(configurationWith(5, other), configurationWith(6, service)), nil
 			case protocol.FenceRequest:
 				return &protocol.FenceResponse{HasJob: has}, nil
 			}
 			return &protocol.SubmitResponse{}, nil
 		}
-		Expect(dial(f.address).Submit(soon(patience), "h/p/", id, spec)).To(Succeed())
+		Expect(dial(f.address).Submit(within(callTimeout), "h/p/", id, spec)).To(Succeed())
 		Expect(requestsOf[protocol.FenceRequest](f)).To(ConsistOf(
 			protocol.FenceRequest{Shard: protocol.ShardOf(other), ID: id, ConfigurationVersion: 6}))
 		Expect(requestsOf[protocol.SubmitRequest](f)).To(HaveLen(submits))
 	},
-		Entry("which has it", true, 0),
-		Entry("which will never take it", false, 1),
+		Entry("which has the job", true, 0),
+		Entry("which will never accept the job", false, 1),
 	)
 
-	DescribeTable("is refused by name", func(watch *protocol.WatchResponse, kind failure.Kind, said string) {
+	DescribeTable("is rejected with a reason", func(watch *protocol.WatchResponse, kind failure.Kind, said string) {
 		f := newFakeControl()
-		f.answer = func(any) (any, error) { return watch, nil }
-		err := dial(f.address).Submit(soon(patience), "h/q", id, spec)
+		f.respond = func(any) (any, error) { return watch, nil }
+		err := dial(f.address).Submit(within(callTimeout), "h/q", id, spec)
 		Expect(failure.KindOf(err)).To(Equal(kind))
 		Expect(err).To(MatchError(ContainSubstring(said)))
 		Expect(administration.Advice(err)).NotTo(BeEmpty())
 	},
 		Entry("without a configuration", &protocol.WatchResponse{}, failure.Unavailable, "there is no configuration yet"),
-		Entry("without such a queue", feedOf(configurationWith(5, service)), failure.NoRoute, `there is no queue "h/q"; there are ["h/p/"]`),
+		Entry("without such a queue", watchResponse(configurationWith(5, service)), failure.NoRoute, `there is no queue "h/q"; there are ["h/p/"]`),
 	)
 })
 
-var _ = DescribeTable("a hand-in that is not taken at once",
-	func(outcomes []error, kind failure.Kind, least int) {
+var _ = DescribeTable("a job that is not accepted at once",
+	func(outcomes []error, kind failure.Kind, minSubmits int) {
 		f := newFakeControl()
-		f.answer = func(request any) (any, error) {
+		f.respond = func(request any) (any, error) {
 			if _, ok := request.(protocol.WatchRequest); ok {
-				return feedOf(configurationWith(5, "s")), nil
+				return watchResponse(configurationWith(5, "s")), nil
 			}
 			next := outcomes[0]
 			if len(outcomes) > 1 {
@@ -92,22 +92,22 @@
 			return &protocol.SubmitResponse{}, next
 		}
 		spec := &protocol.JobSpec{Steps: []protocol.Step{{Count: 1}}}
-		err := dial(f.address).Submit(soon(patience), "h/p", id, spec)
+		err := dial(f.address).Submit(within(callTimeout), "h/p", id, spec)
 		Expect(failure.KindOf(err)).To(Equal(kind), "%v", err)
-		Expect(len(requestsOf[protocol.SubmitRequest](f))).To(BeNumerically(">=", least))
+		Expect(len(requestsOf[protocol.SubmitRequest](f))).To(BeNumerically(">=", minSubmits))
 	},
-	Entry("is refused for want of room", []error{failure.New(failure.Overloaded, "full")}, failure.Overloaded, 1),
-	Entry("is refused as nonsense", []error{failure.New(failure.Invalid, "no")}, failure.Invalid, 1),
-	Entry("is taken at a later try", []error{failure.New(failure.Unavailable, "later"), nil}, failure.None, 2),
-	Entry("is taken once an owner is there", []error{failure.New(failure.NotLeader, "not me"), nil}, failure.None, 2),
-	Entry("is in doubt, and then known", []error{failure.New(failure.UnknownOutcome, "cut"), nil}, failure.None, 2),
-	Entry("is in doubt, and then refused", []error{failure.New(failure.UnknownOutcome, "cut"), failure.New(failure.Overloaded, "full")},
+	Entry("is rejected by a full shard", []error{failure.New(failure.Overloaded, "full")}, failure.Overloaded, 1),
+	Entry("is rejected as invalid", []error{failure.New(failure.Invalid, "no")}, failure.Invalid, 1),
+	Entry("is accepted at a later attempt", []error{failure.New(failure.Unavailable, "later"), nil}, failure.None, 2),
+	Entry("is accepted once there is an owner", []error{failure.New(failure.NotLeader, "not me"), nil}, failure.None, 2),
+	Entry("has an unknown outcome, and is then accepted", []error{failure.New(failure.UnknownOutcome, "connection lost"), nil}, failure.None, 2),
+	Entry("has an unknown outcome, and is then rejected", []error{failure.New(failure.UnknownOutcome, "connection lost"), failure.New(failure.Overloaded, "full")},
 		failure.UnknownOutcome, 2),
 )
 
 var _ = Describe("a job's state", func() {
-	// answering has the fake own a job in one shard.
-	answering := func(shard protocol.ShardID) func(any) (any, error) {
+	// jobIn has the fake know a job in one shard.
+	jobIn := func(shard protocol.ShardID) func(any) (any, error) {
 		return func(request any) (any, error) {
 			switch request := request.(type) {
 			case protocol.StatusRequest:
@@ -121,36 +121,36 @@
 		}
 	}
 
-	It("is found in whatever shard the job is", func() {
+	It("is found whichever shard has the job", func() {
 		f := newFakeControl()
-		f.answer = answering(3)
-		Expect(dial(f.address).Status(soon(patience), id)).To(Equal(protocol.JobRunning))
+		f.respond = jobIn(3)
+		Expect(dial(f.address).Status(within(callTimeout), id)).To(Equal(protocol.JobRunning))
 	})
 
 	It("is Gone only if no shard has the job", func() {
 		f := newFakeControl()
-		f.answer = answering(9)
-		_, err := dial(f.address).Status(soon(patience), id)
+		f.respond = jobIn(9)
+		_, err := dial(f.address).Status(within(callTimeout), id)
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 		Expect(f.requests()).To(HaveLen(protocol.JobShards))
 	})
 
-	It("is not called Gone while a shard cannot be asked", func() {
+	It("is not Gone while a shard does not answer", func() {
 		f := newFakeControl()
-		f.answer = func(request any) (any, error) {
+		f.respond = func(request any) (any, error) {
 			if request.(protocol.StatusRequest).Shard == 2 {
 				return nil, failure.New(failure.Unavailable, "no quorum")
 			}
 			return nil, failure.New(failure.Gone, "no such job")
 		}
-		_, err := dial(f.address).Status(soon(time.Second), id)
+		_, err := dial(f.address).Status(within(time.Second), id)
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
 	})
 
-	It("is cancelled where the job is, and nowhere else", func() {
+	It("is cancelled in the shard that has the job alone", func() {
 		f := newFakeControl()
-		f.answer = answering(2)
-		Expect(dial(f.address).Cancel(soon(patience), id)).To(Succeed())
+		f.respond = jobIn(2)
+		Expect(dial(f.address).Cancel(within(callTimeout), id)).To(Succeed())
 		Expect(f.requests()).To(ContainElement(protocol.CancelRequest{Shard: 2, ID: id}))
 		Expect(f.requests()).NotTo(ContainElement(protocol.CancelRequest{Shard: 1, ID: id}))
 	})
@@ -159,47 +159,47 @@
 var _ = Describe("lists", func() {
 	It("of jobs are read page by page", func() {
 		f := newFakeControl()
-		f.answer = func(request any) (any, error) {
-			asked := request.(administration.JobsRequest)
-			if asked.Shard != 2 {
+		f.respond = func(request any) (any, error) {
+			page := request.(administration.JobsRequest)
+			if page.Shard != 2 {
 				return &administration.JobsResponse{}, nil
 			}
-			if asked.After == "" {
+			if page.After == "" {
 				return &administration.JobsResponse{Jobs: []administration.Job{{ID: "a"}, {ID: "b"}}, More: true}, nil
 			}
-			return &administration.JobsResponse{Jobs: []administration.Job{{ID: asked.After + "c"}}}, nil
+			return &administration.JobsResponse{Jobs: []administration.Job{{ID: page.After + "c"}}}, nil
 		}
-		jobs, err := dial(f.address).Jobs(soon(patience), "")
+		jobs, err := dial(f.address).Jobs(within(callTimeout), "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jobs).To(Equal([]administration.Job{{ID: "a"}, {ID: "b"}, {ID: "bc"}}))
 	})
 
-	It("of jobs of a queue that never was are a fault, those of one that was dropped are not", func() {
+	It("of jobs fail for a queue that never existed, but not for one that was removed", func() {
 		f := newFakeControl()
 		var has []administration.Job
-		f.answer = func(request any) (any, error) {
+		f.respond = func(request any) (any, error) {
 			if _, ok := request.(protocol.WatchRequest); ok {
-				return feedOf(configurationWith(5, "s")), nil
+				return watchResponse(configurationWith(5, "s")), nil
 			}
 			return &administration.JobsResponse{Jobs: has}, nil
 		}
 		client := dial(f.address)
-		_, err := client.Jobs(soon(patience), "h/old")
+		_, err := client.Jobs(within(callTimeout), "h/old")
 		Expect(failure.KindOf(err)).To(Equal(failure.NoRoute))
 		has = []administration.Job{{ID: "a"}}
-		Expect(client.Jobs(soon(patience), "h/old")).To(HaveLen(protocol.JobShards))
+		Expect(client.Jobs(within(callTimeout), "h/old")).To(HaveLen(protocol.JobShards))
 		Expect(f.requests()).To(ContainElement(administration.JobsRequest{Shard: 1, Queue: "h/old"}))
-		Expect(client.Jobs(soon(patience), "h/p")).To(HaveLen(protocol.JobShards))
+		Expect(client.Jobs(within(callTimeout), "h/p")).To(HaveLen(protocol.JobShards))
 		Expect(f.requests()).To(ContainElement(administration.JobsRequest{Shard: 1, Queue: "h/p/"}))
 	})
 
-	It("of runners come from all shards, by service", func() {
+	It("of runners come from all shards, sorted by service", func() {
 		f := newFakeControl()
-		f.answer = func(request any) (any, error) {
+		f.respond = func(request any) (any, error) {
 			shard := request.(administration.RunnersRequest).Shard
 			return &administration.RunnersResponse{Runners: []administration.Runner{{Shard: shard, Service: fmt.Sprint("s", 9-shard)}}}, nil
 		}
-		runners, err := dial(f.address).Runners(soon(patience))
+		runners, err := dial(f.address).Runners(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(runners).To(HaveLen(protocol.JobShards))
 		Expect(runners[0].Shard).To(Equal(protocol.ShardID(4)))
--- a/internal/cluster/administration/digests.go
+++ b/internal/cluster/administration/digests.go
@@ -11,45 +11,45 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// Bounds of a comparison of digests.
 const (
-	digestTries = 6 // at another index each
-	digestLead  = 8 // entries by which every second try is ahead of what is applied, for shards that do not stand still
+	maxDigestAttempts = 6 // each as of another index
+	digestLead        = 8 // entries by which every second attempt is ahead of what is applied, for shards that are in use
 )
 
-// ShardDigests has the digests of a shard's states at its members, all as of one index. Where they differ, a member holds
-// another state than the others.
+// ShardDigests are the digests of a shard's state at its members, all as of one index of its log, as they are printed in
+// JSON. Members of one version of the program whose digests differ have different states: a fault of the program or a disk.
 type ShardDigests struct {
 	Shard   protocol.ShardID `json:"shard"`
 	Index   uint64           `json:"index"`
 	Members []MemberDigest   `json:"members"`
 }
 
-// MemberDigest is the digest of one member's state; empty where it did not tell one as of that index.
+// MemberDigest is the digest of one member's state, in hexadecimal; empty if the member had none as of that index.
 type MemberDigest struct {
 	Node   string      `json:"node"`
 	ID     identity.ID `json:"id"`
 	Digest string      `json:"digest"`
 }
 
-// Differ tells whether two members have told different digests.
+// Differ reports whether two members have different digests.
 func (d *ShardDigests) Differ() bool {
-	told := d.told()
-	return len(told) > 1 && slices.ContainsFunc(told[1:], func(digest string) bool { return digest != told[0] })
+	known := d.known()
+	return len(known) > 1 && slices.ContainsFunc(known[1:], func(digest string) bool { return digest != known[0] })
 }
 
-func (d *ShardDigests) told() []string {
-	var told []string
+// known returns the digests of the members that have one.
+func (d *ShardDigests) known() []string {
+	var digests []string
 	for _, member := range d.Members {
 		if member.Digest != "" {
-			told = append(told, member.Digest)
+			digests = append(digests, member.Digest)
 		}
 	}
-	return told
+	return digests
 }
 
-// Digests asks the members of every shard that answer for the digest of their state, as of one index for each shard.
-// While entries come, that takes some tries: a member that is past the index, or does not get there, tells none.
+// Digests collects the digests of every shard's state from the members that answer, as of one index for each shard. While a
+// shard is in use that takes several attempts: a member that is past the index, or does not reach it, has no digest of it.
 func (c *Client) Digests(ctx context.Context) ([]ShardDigests, error) {
 	var all []ShardDigests
 	for shard := protocol.ConfigurationShard; shard <= protocol.JobShards; shard++ {
@@ -62,10 +62,10 @@
 	return all, nil
 }
 
-// shardDigests returns the try that most members have answered.
+// shardDigests returns the attempt at which most members had a digest.
 func (c *Client) shardDigests(ctx context.Context, shard protocol.ShardID) (*ShardDigests, error) {
 	best := &ShardDigests{Shard: shard}
-	for try := range digestTries {
+	for attempt := range maxDigestAttempts {
 		reports, err := c.Reports(ctx)
 		if err != nil {
 			return nil, err
@@ -76,34 +76,34 @@
 				index = max(index, group.Applied)
 			}
 		}
-		if try%2 == 1 {
+		if attempt%2 == 1 {
 			index += digestLead
 		}
 		digests := c.digestsAt(ctx, reports, shard, index)
-		if try == 0 || len(digests.told()) > len(best.told()) {
+		if attempt == 0 || len(digests.known()) > len(best.known()) {
 			best = digests
 		}
-		if len(best.told()) == len(best.Members) {
+		if len(best.known()) == len(best.Members) {
 			break
 		}
 	}
 	return best, nil
 }
 
-// digestsAt asks all at once.
+// digestsAt requests the digests as of an index from all members at once.
 func (c *Client) digestsAt(ctx context.Context, reports []Report, shard protocol.ShardID, index uint64) *ShardDigests {
 	digests := &ShardDigests{Shard: shard, Index: index, Members: make([]MemberDigest, 0, len(reports))}
-	var asked []*Report
+	var members []*Report
 	for i := range reports {
 		if reports[i].group(shard) != nil {
-			asked = append(asked, &reports[i])
+			members = append(members, &reports[i])
 			digests.Members = append(digests.Members, MemberDigest{Node: reports[i].Node, ID: identity.ID(reports[i].Identity)})
 		}
 	}
-	var waiting sync.WaitGroup
-	for i, report := range asked {
-		waiting.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, reportTime)
+	var pending sync.WaitGroup
+	for i, report := range members {
+		pending.Go(func() {
+			ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
 			request := &DigestRequest{Shard: shard, Index: index}
 			response, err := transport.Call[DigestRequest, DigestResponse](ctx, c.transport, report.Address, request)
@@ -112,7 +112,7 @@
 			}
 		})
 	}
-	waiting.Wait()
+	pending.Wait()
 	return digests
 }
 
--- /dev/null
+++ b/internal/cluster/administration/drain.go
@@ -0,0 +1,30 @@
+package administration
+
+import (
+	"context"
+
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/transport"
+)
+
+// Drain has a control process, named by its node or its internal address, transfer its leaderships. It returns how many it
+// could not transfer in time. It fails with Invalid if no process of that name answers.
+func (c *Client) Drain(ctx context.Context, node string) (remaining int, err error) {
+	reports, err := c.Reports(ctx)
+	if err != nil {
+		return 0, err
+	}
+	var names []string
+	for i := range reports {
+		if reports[i].Node != node && reports[i].Address != node {
+			names = append(names, reports[i].Node)
+			continue
+		}
+		response, err := transport.Call[ResignRequest, ResignResponse](ctx, c.transport, reports[i].Address, &ResignRequest{})
+		if err != nil {
+			return 0, err
+		}
+		return response.Left, nil
+	}
+	return 0, failure.Newf(failure.Invalid, "no control process %q answers; there are %q", node, names)
+}
--- a/internal/cluster/administration/fake_test.go
+++ b/internal/cluster/administration/fake_test.go
@@ -16,18 +16,18 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// fakeControl answers at an internal address as it was told.
+// fakeControl is a control process that answers with report, and every other request with what respond returns.
 type fakeControl struct {
 	address string
 	report  administration.Report
-	answer  func(request any) (any, error)
+	respond func(request any) (any, error)
 
-	mutex sync.Mutex
-	asked []any
+	mutex    sync.Mutex
+	received []any
 }
 
 func newFakeControl() *fakeControl {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	f := &fakeControl{address: listener.Addr().String()}
 	server := transport.NewServer(transport.Options{})
@@ -45,15 +45,17 @@
 	handle[protocol.ConfigureRequest, protocol.ConfigureResponse](server, f)
 	handle[protocol.ReadConfigurationRequest, protocol.ReadConfigurationResponse](server, f)
 	ctx, stop := context.WithCancel(context.Background())
-	go server.Serve(ctx, listener)
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(ctx, listener) }()
 	DeferCleanup(func() {
 		stop()
 		server.Close()
+		Eventually(served).WithTimeout(callTimeout).Should(Receive(BeNil()))
 	})
 	return f
 }
 
-// handle has the fake answer one type; what it does not know is an error.
+// handle has the fake serve requests of one type. A response of the wrong type becomes an error.
 func handle[Request, Response any](server *transport.Server, f *fakeControl) {
 	transport.HandleAsync(server, func(_ string, request *Request, reply func(*Response, error)) {
 		f.mutex.Lock()
@@ -62,15 +64,15 @@
 			reply(report, nil)
 			return
 		}
-		f.asked = append(f.asked, *request)
-		answer, err := f.answer(*request)
+		f.received = append(f.received, *request)
+		result, err := f.respond(*request)
 		if err != nil {
 			reply(nil, err)
 			return
 		}
-		response, ok := answer.(*Response)
+		response, ok := result.(*Response)
 		if !ok {
-			err = fmt.Errorf("%T is no answer to %T", answer, request)
+			err = fmt.Errorf("%T is not a response to %T", result, request)
 		}
 		reply(response, err)
 	})
@@ -79,14 +81,14 @@
 func (f *fakeControl) requests() []any {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.asked
+	return f.received
 }
 
 // requestsOf returns the requests of one type.
 func requestsOf[Request any](f *fakeControl) []Request {
 	var found []Request
-	for _, asked := range f.requests() {
-		if request, ok := asked.(Request); ok {
+	for _, each := range f.requests() {
+		if request, ok := each.(Request); ok {
 			found = append(found, request)
 		}
 	}
@@ -100,17 +102,18 @@
 	return client
 }
 
-// soon is a context that ends shortly.
-func soon(span time.Duration) context.Context {
+// within returns a context that ends after span.
+func within(span time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	DeferCleanup(cancel)
 	return ctx
 }
 
-const patience = 30 * time.Second
+// callTimeout bounds calls that should succeed.
+const callTimeout = 30 * time.Second
 
-// feedOf returns the answer to a watch after some configurations were taken one after the other.
-func feedOf(bodies ...string) *protocol.WatchResponse {
+// watchResponse returns the response to a new watcher after the configurations were applied in order.
+func watchResponse(bodies ...string) *protocol.WatchResponse {
 	state := configuration.NewState()
 	for _, body := range bodies {
 		result := state.Execute(configuration.Command{
@@ -128,8 +131,8 @@
 		`"maxAttempts":3,"extension":2,"targetLatencyMs":7}],"services":[{"name":%q}]}`, version, service, service)
 }
 
-// servicesApart are two services of different shards.
-func servicesApart() (first, second string) {
+// servicesOfTwoShards returns two services that belong to different shards.
+func servicesOfTwoShards() (first, second string) {
 	first = "s0"
 	for i := 1; ; i++ {
 		second = fmt.Sprintf("s%d", i)
--- a/internal/cluster/administration/jobs.go
+++ b/internal/cluster/administration/jobs.go
@@ -8,8 +8,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// document returns the configuration with what it remembers of queues that moved.
-func (c *Client) document(ctx context.Context) (*configuration.Document, error) {
+// readDocument returns the newest configuration in the form that frontends follow, which includes where queues have moved.
+func (c *Client) readDocument(ctx context.Context) (*configuration.Document, error) {
 	response, err := read[protocol.WatchRequest, protocol.WatchResponse](
 		ctx, c, protocol.ConfigurationShard, &protocol.WatchRequest{Node: "administration"})
 	if err != nil {
@@ -25,33 +25,34 @@
 	return document, nil
 }
 
-// findQueue returns the route of a queue named HOST/PREFIX, also without the prefix's last slash.
+// findQueue returns the route of a queue named HOST/PREFIX, with or without the prefix's last slash. The error names some of
+// the queues that there are.
 func findQueue(document *configuration.Document, queue string) (*configuration.Route, error) {
 	for _, key := range []string{queue, queue + "/"} {
 		if route := document.Queue(key); route != nil {
 			return route, nil
 		}
 	}
-	const shown = 8
+	const maxNames = 8
 	var names []string
 	for route := range document.Routes() {
 		names = append(names, configuration.QueueKey(route))
 	}
-	if len(names) > shown {
-		names = append(names[:shown], "...")
+	if len(names) > maxNames {
+		names = append(names[:maxNames], "...")
 	}
 	return nil, failure.Newf(failure.NoRoute, "there is no queue %q; there are %q", queue, names)
 }
 
-// Status returns a job's state, in whatever shard it is. A job that none has is the error Gone.
+// Status returns a job's state, whichever shard has it. It fails with Gone if none has.
 func (c *Client) Status(ctx context.Context, id string) (state string, err error) {
-	state, _, err = c.find(ctx, id)
+	state, _, err = c.findJob(ctx, id)
 	return state, err
 }
 
-// Cancel cancels a job, in whatever shard it is. A job that none has is the error Gone.
+// Cancel cancels a job, whichever shard has it. It fails with Gone if none has.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	_, shard, err := c.find(ctx, id)
+	_, shard, err := c.findJob(ctx, id)
 	if err != nil {
 		return err
 	}
@@ -60,7 +61,9 @@
 	return err
 }
 
-func (c *Client) find(ctx context.Context, id string) (state string, shard protocol.ShardID, err error) {
+// findJob asks one shard after the other for a job. Any answer but Gone ends the search: a shard that cannot be asked may
+// have the job.
+func (c *Client) findJob(ctx context.Context, id string) (state string, shard protocol.ShardID, err error) {
 	for shard = 1; shard <= protocol.JobShards; shard++ {
 		response, err := read[protocol.StatusRequest, protocol.StatusResponse](
 			ctx, c, shard, &protocol.StatusRequest{Shard: shard, ID: id})
@@ -74,13 +77,13 @@
 	return "", 0, failure.Newf(failure.Gone, "no shard knows a job %q", id)
 }
 
-// Jobs returns the jobs of a queue (empty: of all) whose state is kept, by shard and id. A queue without a route, and
-// without jobs of the time when it had one, is the error NoRoute.
+// Jobs returns the jobs of a queue, or of all queues if it is empty, sorted by shard and id. It includes ended jobs whose
+// state is still retained. It fails with NoRoute if the queue has neither a route nor jobs from when it had one.
 func (c *Client) Jobs(ctx context.Context, queue string) ([]Job, error) {
 	if queue == "" {
 		return c.listJobs(ctx, "")
 	}
-	document, err := c.document(ctx)
+	document, err := c.readDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -95,6 +98,7 @@
 	return jobs, err
 }
 
+// listJobs reads the jobs of a queue's key from all shards, page by page.
 func (c *Client) listJobs(ctx context.Context, queue string) ([]Job, error) {
 	var jobs []Job
 	err := eachShard(func(shard protocol.ShardID) error {
--- a/internal/cluster/administration/messages.go
+++ b/internal/cluster/administration/messages.go
@@ -1,34 +1,44 @@
-// Package administration is what operators ask a running system from the command line: who its members are, how its
-// shards stand, which runners and jobs there are, a backup. It has the messages, which control processes answer at
-// their internal addresses, and the client that the commands use.
+// Package administration is what the operator's commands use of a running system: reports on its control processes, its
+// shards, runners and jobs, changes of the configuration, backups. It has the messages, which every control process serves
+// at its internal address (package control), the Client that sends them, and views that merge what several processes
+// report.
+//
+// Reports and lists are for people: each process or owner answers from what it knows, and no quorum confirms it. Backups,
+// job states, the configuration and changes are confirmed or committed.
+//
+// The messages are encoded by gob, which finds fields by their names and drops what the other side does not have, without
+// an error: the names of their fields are the wire format between commands and control processes of different versions, and
+// stay. What is printed has JSON tags, which stay as well.
 package administration
 
 import "ospreypond/internal/cluster/protocol"
 
-// ReportRequest asks a control process how it stands. Any process answers, from what it knows itself.
+// ReportRequest requests the Report of a control process. Encoded by gob.
 type ReportRequest struct{}
 
-// Report is a control process's own view.
+// Report is what a control process knows of itself and of its replica groups. Encoded by gob: the field names are the wire
+// format.
 type Report struct {
 	Node        string
 	Zone        string
 	Address     string // internal
-	Identity    uint64 // drawn when its disk was empty
+	Identity    uint64 // drawn at random when its disk was empty
 	UptimeMs    int64
-	Draining    bool  // it gives its leaderships away and takes none
-	DiskSick    bool  // writes fail or take too long
+	Draining    bool  // it transfers its leaderships and campaigns for none
+	DiskSick    bool  // the disk is unhealthy: writes fail or take too long
 	LogBytes    int64 // of all segments on its disk
 	Segments    int
-	MemoryBytes uint64 // what the process holds of the system's memory
+	MemoryBytes uint64 // that the process has from the operating system
 	Groups      []GroupReport
 }
 
-// GroupReport is a control process's view of one shard's replica group.
+// GroupReport is what a control process knows of one shard's replica group. Encoded by gob: the field names are the wire
+// format.
 type GroupReport struct {
 	Shard         protocol.ShardID
 	Term          uint64
 	Leader        uint64 // identity of the owner as known there; 0: none
-	Owner         bool   // the process is the shard's owner, and decides
+	Owner         bool   // the process takes itself for the shard's owner
 	Commit        uint64 // index
 	Applied       uint64 // index
 	Last          uint64 // index
@@ -36,56 +46,58 @@
 	LogBytes      int64 // of the entries after the snapshot
 	Members       []MemberReport
 
-	// Only from the owner.
+	// Reported by the owner alone.
 	StateBytes           int
 	ConfigurationVersion uint64 // of the configuration's shard
 	Jobs                 JobCounts
 	Counters             Counters
 }
 
-// MemberReport is one member of a group as a process knows it. What the owner alone knows is 0 elsewhere.
+// MemberReport is one member of a group as a process knows it. Entries and SilentMs are 0 but in the owner's report.
+// Encoded by gob: the field names are the wire format.
 type MemberReport struct {
 	protocol.Member
 	Learner  bool
-	Entries  uint64 // that the owner has no acknowledgement of
-	SilentMs int64  // since the owner heard of it
+	Entries  uint64 // that the member has not acknowledged
+	SilentMs int64  // since the member's last acknowledgement
 }
 
-// JobCounts is what a shard of jobs holds.
+// JobCounts counts the jobs, tasks and runners of a shard. Encoded by gob, and printed in JSON: the field names and tags
+// are formats.
 type JobCounts struct {
 	Jobs    int `json:"jobs"`    // not ended
-	Kept    int `json:"kept"`    // ended, state still kept
-	Held    int `json:"held"`    // tasks whose turn has come
+	Kept    int `json:"kept"`    // ended, state retained
+	Held    int `json:"held"`    // pending tasks
 	Running int `json:"running"` // tasks of which a run may exist
 	Runners int `json:"runners"`
 }
 
-// Counters count what became of a shard of jobs.
+// Counters count what a shard of jobs has done. Encoded by gob, and printed in JSON: the field names and tags are formats.
 type Counters struct {
-	// Since the shard began.
-	Taken     uint64 `json:"taken"` // jobs
+	// Since the shard exists.
+	Taken     uint64 `json:"taken"` // jobs accepted
 	Completed uint64 `json:"completed"`
 	Failed    uint64 `json:"failed"`
 	Cancelled uint64 `json:"cancelled"`
 	Started   uint64 `json:"started"` // runs
-	Lost      uint64 `json:"lost"`    // runs that came to no end
+	Lost      uint64 `json:"lost"`    // runs lost with their runners
 
-	// Since the owner's process started, while it owned the shard.
+	// Since the owner's process started, counted while it owned the shard.
 	Rounds    uint64 `json:"rounds"`  // of placement
 	Stops     uint64 `json:"stops"`   // ordered
-	Refused   uint64 `json:"refused"` // hand-ins for want of room
-	Stale     uint64 `json:"stale"`   // hand-ins by an older configuration
+	Refused   uint64 `json:"refused"` // submissions rejected because the shard is full
+	Stale     uint64 `json:"stale"`   // submissions rejected because they name an older configuration
 	Preempted uint64 `json:"preempted"`
-	Stalled   uint64 `json:"stalled"` // runs stopped for want of progress
+	Stalled   uint64 `json:"stalled"` // runs stopped because they made no progress
 }
 
-// RunnersRequest asks a shard's owner for its runners.
+// RunnersRequest requests the runners of a shard from its owner. Encoded by gob.
 type RunnersRequest struct{ Shard protocol.ShardID }
 
-// RunnersResponse has them, by service and instance.
+// RunnersResponse is the response to a RunnersRequest. Encoded by gob.
 type RunnersResponse struct{ Runners []Runner }
 
-// Runner is one incarnation of a runner as its owner knows it.
+// Runner is one incarnation of a runner as its owner knows it. Encoded by gob: the field names are the wire format.
 type Runner struct {
 	Shard    protocol.ShardID
 	Instance string
@@ -93,71 +105,77 @@
 	Address  string
 	Zone     string
 	Labels   []string
-	State    string // ready, draining, silent or ended
+	State    string // ready, draining, silent (unresponsive) or ended
 	Capacity protocol.Resources
 	Free     protocol.Resources // estimated
 	Runs     int
 	Stops    int     // ordered and not yet listed as ended
-	Distrust float64 // 0: none; 1: all that it starts fails
-	SilentMs int64
-	HoldMs   int64 // left of its longest hold
+	Distrust float64 // failure score: 0 to 1, at which all that it starts fails
+	SilentMs int64   // since its last heartbeat
+	HoldMs   int64   // left of its lease
 }
 
-// JobsRequest asks a shard's owner for its jobs in the order of their ids.
+// JobsRequest requests one page of a shard's jobs from its owner, sorted by id. Encoded by gob: the field names are the
+// wire format.
 type JobsRequest struct {
 	Shard protocol.ShardID
 	Queue string // key; empty: of all queues
-	After string // id
-	Most  int    // 0 or too many: jobsPage
+	After string // id, exclusive; empty: from the first
+	Most  int    // size of the page; 0 or too large: the owner's limit
 }
 
-// JobsResponse has one page.
+// JobsResponse is one page. Encoded by gob.
 type JobsResponse struct {
 	Jobs []Job
-	More bool
+	More bool // there are jobs after the page
 }
 
-// Job is a job as its owner knows it.
+// Job is a job as its owner knows it. Encoded by gob: the field names are the wire format.
 type Job struct {
 	ID         string
 	Queue      string
 	Service    string
 	State      string
-	AcceptedMs int64 // ms since 1970, by the shard's clock
-	EndedMs    int64 // 0: not yet
-	Done       int   // tasks of the times that are under way
-	Running    int
-	Tasks      int
+	AcceptedMs int64 // Unix time in ms, by the shard's clock
+	EndedMs    int64 // Unix time in ms; 0: not ended
+	Done       int   // tasks that have ended well, of the repetitions under way
+	Running    int   // tasks of which a run may exist
+	Tasks      int   // of the repetitions under way
 }
 
-// SnapshotRequest asks a shard's owner for its state, in pieces. The first one makes the snapshot, after the owner's
-// leadership was confirmed; the others go on with it.
+// SnapshotRequest requests a chunk of a shard's state from its owner. The first request, without a session, makes the
+// snapshot after a quorum has confirmed the owner's leadership; the others read on in it. Encoded by gob: the field names
+// are the wire format.
 type SnapshotRequest struct {
 	Shard   protocol.ShardID
-	Session uint64 // 0: the first
-	Offset  int
+	Session uint64 // 0: a new one
+	Offset  int    // in bytes
 }
 
-// SnapshotResponse is one piece. A session that is over is the error Conflict.
+// SnapshotResponse is one chunk. The error for a session that has ended is Conflict. Encoded by gob: the field names are the
+// wire format.
 type SnapshotResponse struct {
 	Session uint64
-	Index   uint64
-	Term    uint64
-	Total   int // bytes of the whole
-	Data    []byte
+	Index   uint64 // the snapshot's last entry of the log
+	Term    uint64 // of the owner
+	Total   int    // bytes of the complete state
+	Data    []byte // from the request's offset
 }
 
-// DigestRequest asks a control process for the digest of its state of a shard as of one index.
+// DigestRequest requests the digest of a control process's own state of a shard as of an index of the log. Encoded by gob.
 type DigestRequest struct {
 	Shard protocol.ShardID
 	Index uint64
 }
 
-// DigestResponse has it. A state that is past the index is the error Conflict, one that does not get there Unavailable.
+// DigestResponse is the response to a DigestRequest. The error is Conflict if the state is past the index, and Unavailable
+// if it does not reach it. Encoded by gob.
 type DigestResponse struct{ Digest uint64 }
 
-// ResignRequest asks a control process to give its leaderships away, and to stand for none until it is started again.
+// ResignRequest has a control process transfer its leaderships, and campaign for none until it is started again. Encoded by
+// gob.
 type ResignRequest struct{}
 
-// ResignResponse comes once it leads nothing, or could not get rid of everything in time.
+// ResignResponse comes when the process leads nothing any more, or could not transfer everything in time: Left is how many
+// groups it still leads. Encoded by gob.
 type ResignResponse struct{ Left int }
--- a/internal/cluster/administration/running_test.go
+++ b/internal/cluster/administration/running_test.go
@@ -21,16 +21,16 @@
 	"ospreypond/internal/loopbacktest"
 )
 
-const startPatience = 20 * time.Second
+const startTimeout = 20 * time.Second
 
-// process is a control process that runs in this one.
+// process is a control process that runs in the test's own process.
 type process struct {
 	settings *boot.Settings
 	client   *administration.Client
 	stop     func()
 }
 
-// runControl runs a control process, alone in its system, until the test ends or stop is called.
+// runControl runs a control process, the only one of its system, until the test ends or stop is called.
 func runControl(dir string, bootstrap bool) *process {
 	ip, internal, operator, err := loopbacktest.FreePorts()
 	Expect(err).NotTo(HaveOccurred())
@@ -53,7 +53,7 @@
 	p.stop = func() {
 		if ctx.Err() == nil {
 			cancel()
-			Eventually(ended, startPatience).Should(Receive(BeNil()))
+			Eventually(ended, startTimeout).Should(Receive(BeNil()))
 		}
 	}
 	DeferCleanup(p.stop)
@@ -63,39 +63,39 @@
 // ready waits until the process owns all shards.
 func (p *process) ready() {
 	Eventually(func(g Gomega) {
-		reports, err := p.client.Reports(soon(time.Second))
+		reports, err := p.client.Reports(within(time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		shards := administration.Shards(reports)
 		g.Expect(shards).To(HaveLen(protocol.JobShards + 1))
 		for _, shard := range shards {
 			g.Expect(shard.Owner).To(Equal("n1"))
 		}
-	}, startPatience, 20*time.Millisecond).Should(Succeed())
+	}, startTimeout, 20*time.Millisecond).Should(Succeed())
 }
 
-// beat sends a runner's heartbeat to the owner of its service's shard.
-func (p *process) beat(sequence uint64, change func(*protocol.Heartbeat)) *protocol.Orders {
+// heartbeat sends a runner's heartbeat to the owner of its service's shard, and returns the orders.
+func (p *process) heartbeat(sequence uint64, change func(*protocol.Heartbeat)) *protocol.Orders {
 	GinkgoHelper()
 	carrier := transport.NewClient(transport.ClientOptions{})
 	defer carrier.Close()
-	beat := protocol.Heartbeat{
+	message := protocol.Heartbeat{
 		Instance: "i-1", Service: "s", Address: "127.0.0.1:8080", Zone: "z", State: protocol.Ready, Sequence: sequence,
 		Capacity: protocol.Resources{CPU: 4000, MemoryMB: 1000}, Labels: []string{"kind", "rack"},
 	}
-	change(&beat)
-	response, err := transport.Call[protocol.HeartbeatRequest, protocol.HeartbeatResponse](soon(patience), carrier,
-		p.settings.InternalAddress(), &protocol.HeartbeatRequest{Shard: protocol.ShardOf("s"), Heartbeat: beat})
+	change(&message)
+	response, err := transport.Call[protocol.HeartbeatRequest, protocol.HeartbeatResponse](within(callTimeout), carrier,
+		p.settings.InternalAddress(), &protocol.HeartbeatRequest{Shard: protocol.ShardOf("s"), Heartbeat: message})
 	Expect(err).NotTo(HaveOccurred())
 	return &response.Orders
 }
 
-// sameConfigurations expects two systems of one process to hold the same in the configuration's shard. The others go on
-// by themselves: a runner's hold ends in each.
+// sameConfigurations expects the configuration's shard of two systems of one process each to have the same state. The shards
+// of jobs change without requests: a runner's lease ends in each.
 func sameConfigurations(a, b *process) {
 	GinkgoHelper()
-	first, err := a.client.Digests(soon(patience))
+	first, err := a.client.Digests(within(callTimeout))
 	Expect(err).NotTo(HaveOccurred())
-	second, err := b.client.Digests(soon(patience))
+	second, err := b.client.Digests(within(callTimeout))
 	Expect(err).NotTo(HaveOccurred())
 	for shard := range first {
 		Expect(first[shard].Members).To(HaveLen(1))
@@ -107,30 +107,30 @@
 var _ = Describe("a control process", Ordered, func() {
 	var p *process
 
-	// It is alone in its system, and has a configuration and a job.
+	// It is the only one of its system, with a configuration and a job.
 	BeforeAll(func() {
 		p = runControl(filepath.Join(GinkgoT().TempDir(), "data"), true)
 		p.ready()
-		version, err := p.client.Configure(soon(patience), protocol.ConfigurationReplace, 0, []byte(configurationWith(5, "s")))
+		version, err := p.client.Configure(within(callTimeout), protocol.ConfigurationReplace, 0, []byte(configurationWith(5, "s")))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(Equal(uint64(5)))
 		spec := &protocol.JobSpec{Spec: "x", Steps: []protocol.Step{{Count: 3, CPU: 1000}}}
-		Expect(p.client.Submit(soon(patience), "h/p", id, spec)).To(Succeed())
-		Expect(p.client.Submit(soon(patience), "h/p/", id, spec)).To(Succeed())
+		Expect(p.client.Submit(within(callTimeout), "h/p", id, spec)).To(Succeed())
+		Expect(p.client.Submit(within(callTimeout), "h/p/", id, spec)).To(Succeed())
 	})
 
-	It("answers what the commands ask", func() {
-		Expect(p.client.Status(soon(patience), id)).To(Equal(protocol.JobQueued))
+	It("serves the requests of the commands", func() {
+		Expect(p.client.Status(within(callTimeout), id)).To(Equal(protocol.JobQueued))
 		var orders *protocol.Orders
 		sequence := uint64(0)
 		Eventually(func() []protocol.StartOrder {
 			sequence++
-			orders = p.beat(sequence, func(*protocol.Heartbeat) {})
+			orders = p.heartbeat(sequence, func(*protocol.Heartbeat) {})
 			return orders.Start
-		}, patience, time.Millisecond).ShouldNot(BeEmpty())
+		}, callTimeout, time.Millisecond).ShouldNot(BeEmpty())
 		Expect(orders.Start).To(HaveLen(3))
 
-		runners, err := p.client.Runners(soon(patience))
+		runners, err := p.client.Runners(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(runners).To(HaveLen(1))
 		Expect(runners[0].Free).To(Equal(protocol.Resources{CPU: 1000, MemoryMB: 1000}))
@@ -139,23 +139,23 @@
 		Expect(runners[0].HoldMs).To(BeNumerically(">", 0))
 		Expect(runners[0].Labels).To(Equal([]string{"kind", "rack"}))
 
-		jobs, err := p.client.Jobs(soon(patience), "h/p")
+		jobs, err := p.client.Jobs(within(callTimeout), "h/p")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jobs).To(HaveLen(1))
 		Expect(jobs[0].State).To(Equal(protocol.JobRunning))
 		Expect([]int{jobs[0].Done, jobs[0].Running, jobs[0].Tasks}).To(Equal([]int{0, 3, 3}))
 
-		Expect(p.client.Cancel(soon(patience), id)).To(Succeed())
-		Expect(p.client.Status(soon(patience), id)).To(Equal(protocol.JobCancelled))
-		err = p.client.Cancel(soon(patience), "5c0e7a21d94b36f9")
+		Expect(p.client.Cancel(within(callTimeout), id)).To(Succeed())
+		Expect(p.client.Status(within(callTimeout), id)).To(Equal(protocol.JobCancelled))
+		err = p.client.Cancel(within(callTimeout), "5c0e7a21d94b36f9")
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 
-		reports, err := p.client.Reports(soon(patience))
+		reports, err := p.client.Reports(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		members := administration.Members(reports)
 		Expect(members).To(HaveLen(1))
 		Expect(members[0].Leads).To(Equal(protocol.JobShards + 1))
-		Expect(members[0].Troubled()).To(BeFalse())
+		Expect(members[0].Unhealthy()).To(BeFalse())
 		Expect(administration.Shards(reports)[0].ConfigurationVersion).To(Equal(uint64(5)))
 		Expect(members[0].MemoryBytes).To(BeNumerically(">", 0))
 	})
@@ -163,35 +163,35 @@
 	It("lists jobs page by page", func() {
 		spec := &protocol.JobSpec{Steps: []protocol.Step{{Count: 1}}}
 		for i := range 12 {
-			Expect(p.client.Submit(soon(patience), "h/p/", fmt.Sprintf("%016x", i), spec)).To(Succeed())
+			Expect(p.client.Submit(within(callTimeout), "h/p/", fmt.Sprintf("%016x", i), spec)).To(Succeed())
 		}
 		carrier := transport.NewClient(transport.ClientOptions{})
 		defer carrier.Close()
-		page, err := transport.Call[administration.JobsRequest, administration.JobsResponse](soon(patience), carrier,
+		page, err := transport.Call[administration.JobsRequest, administration.JobsResponse](within(callTimeout), carrier,
 			p.settings.InternalAddress(),
 			&administration.JobsRequest{Shard: protocol.ShardOf("s"), After: "0000000000000003", Most: 5})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(page.More).To(BeTrue())
 		Expect(page.Jobs).To(HaveLen(5))
 		Expect(page.Jobs[0].ID).To(Equal("0000000000000004"))
-		Expect(p.client.Jobs(soon(patience), "")).To(HaveLen(13))
+		Expect(p.client.Jobs(within(callTimeout), "")).To(HaveLen(13))
 	})
 
-	It("refuses to go on with a reading that it does not know", func() {
+	It("rejects reading on in a snapshot session that it does not have", func() {
 		carrier := transport.NewClient(transport.ClientOptions{})
 		defer carrier.Close()
 		for _, request := range []administration.SnapshotRequest{{Shard: 1, Session: 99}, {Shard: 1, Session: 99, Offset: -1}} {
-			_, err := transport.Call[administration.SnapshotRequest, administration.SnapshotResponse](soon(patience), carrier,
+			_, err := transport.Call[administration.SnapshotRequest, administration.SnapshotResponse](within(callTimeout), carrier,
 				p.settings.InternalAddress(), &request)
 			Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 		}
-		_, err := transport.Call[administration.SnapshotRequest, administration.SnapshotResponse](soon(patience), carrier,
+		_, err := transport.Call[administration.SnapshotRequest, administration.SnapshotResponse](within(callTimeout), carrier,
 			p.settings.InternalAddress(), &administration.SnapshotRequest{Shard: 77})
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
 
-	It("gives a backup that another process goes on from", func() {
-		before, err := p.client.Backup(soon(patience))
+	It("makes a backup from which another process can be restored", func() {
+		before, err := p.client.Backup(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(before.Check()).To(Succeed())
 		path := filepath.Join(GinkgoT().TempDir(), "backup")
@@ -201,33 +201,33 @@
 		Expect(err).NotTo(HaveOccurred())
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
 		Expect(read.Restore(dir, archive.Process{Node: "n1", Zone: "z", Address: "127.0.0.1:1"})).To(Succeed())
-		again := runControl(dir, false)
-		again.ready()
-		version, body, err := again.client.ReadConfiguration(soon(patience))
+		restored := runControl(dir, false)
+		restored.ready()
+		version, body, err := restored.client.ReadConfiguration(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(Equal(uint64(5)))
 		Expect(body).To(MatchJSON(configurationWith(5, "s")))
-		Expect(again.client.Status(soon(patience), id)).To(Equal(protocol.JobCancelled))
-		Expect(again.client.Jobs(soon(patience), "")).To(HaveLen(13))
+		Expect(restored.client.Status(within(callTimeout), id)).To(Equal(protocol.JobCancelled))
+		Expect(restored.client.Jobs(within(callTimeout), "")).To(HaveLen(13))
 		spec := &protocol.JobSpec{Spec: "x", Steps: []protocol.Step{{Count: 3, CPU: 1000}}}
-		Expect(again.client.Submit(soon(patience), "h/p", id, spec)).To(Succeed(), "the job is known")
-		Expect(again.client.Configure(soon(patience), protocol.ConfigurationReplace, 0, []byte(configurationWith(5, "s")))).
-			To(Equal(uint64(5)), "the order that was taken before the backup is acknowledged again")
-		_, err = again.client.Configure(soon(patience), protocol.ConfigurationReplace, 0, []byte(configurationWith(5, "other")))
-		Expect(failure.KindOf(err)).To(Equal(failure.Conflict), "another one under its number is refused")
-		sameConfigurations(p, again)
-		reports, err := again.client.Reports(soon(patience))
+		Expect(restored.client.Submit(within(callTimeout), "h/p", id, spec)).To(Succeed(), "the job is known")
+		Expect(restored.client.Configure(within(callTimeout), protocol.ConfigurationReplace, 0, []byte(configurationWith(5, "s")))).
+			To(Equal(uint64(5)), "the change applied before the backup is acknowledged again")
+		_, err = restored.client.Configure(within(callTimeout), protocol.ConfigurationReplace, 0, []byte(configurationWith(5, "other")))
+		Expect(failure.KindOf(err)).To(Equal(failure.Conflict), "another change under its number is rejected")
+		sameConfigurations(p, restored)
+		reports, err := restored.client.Reports(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		for i, shard := range administration.Shards(reports) {
 			Expect(shard.Term).To(BeNumerically(">", before.Shards[(i+protocol.JobShards)%(protocol.JobShards+1)].Term))
 		}
 	})
 
-	It("cannot give away what no other can take, and says so", func() {
-		left, err := p.client.Drain(soon(patience), "n1")
+	It("reports the leaderships that no other process can take", func() {
+		left, err := p.client.Drain(within(callTimeout), "n1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(left).To(Equal(protocol.JobShards + 1))
-		reports, err := p.client.Reports(soon(patience))
+		reports, err := p.client.Reports(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reports[0].Draining).To(BeTrue())
 	})
--- a/internal/cluster/administration/submit.go
+++ b/internal/cluster/administration/submit.go
@@ -6,6 +6,8 @@
 	"encoding/json"
 	"net/http"
 	"strconv"
+	"strings"
+	"sync"
 	"time"
 
 	"ospreypond/internal/cluster/failure"
@@ -14,13 +16,14 @@
 )
 
 const (
-	submitPause = 100 * time.Millisecond // between two tries to hand a job in
-	leastWait   = 100 * time.Millisecond // that a try is given
+	submitRetryInterval = 100 * time.Millisecond
+	minAttemptTimeout   = 100 * time.Millisecond
 )
 
-// Submit hands a job in to a queue, named HOST/PREFIX, the way a frontend does. Sending it again is safe.
+// Submit submits a job to a queue, named HOST/PREFIX, through a frontend of its own, so with all that frontends check and
+// retry. The same job may be submitted again: it is accepted once.
 func (c *Client) Submit(ctx context.Context, queue, id string, job *protocol.JobSpec) error {
-	document, err := c.document(ctx)
+	document, err := c.readDocument(ctx)
 	if err != nil {
 		return err
 	}
@@ -32,40 +35,44 @@
 	if err != nil {
 		return err
 	}
-	following, stop := context.WithCancel(context.Background())
-	defer stop()
 	process := frontend.NewProcess(frontend.ProcessOptions{Client: c.transport, Addresses: c.addresses, Node: "administration"})
-	go process.Run(following)
-	return repeat(
-		func() error { return handIn(ctx, process, route.Host, route.PathPrefix+id, body) },
-		func() bool { return pause(ctx, submitPause) },
+	// The frontend follows the owners until the last attempt has returned, which may be after ctx has ended.
+	following, stop := context.WithCancel(context.WithoutCancel(ctx))
+	var frontends sync.WaitGroup
+	defer frontends.Wait()
+	defer stop()
+	frontends.Go(func() { process.Run(following) })
+	return retryUntilDecided(
+		func() error { return submitOnce(ctx, process, route.Host, route.PathPrefix+id, body) },
+		func() bool { return sleep(ctx, submitRetryInterval) },
 	)
 }
 
-// repeat tries until the outcome is clear, or pause tells that there is no time for another try. While one try may have
-// done something, no later one's refusal is the outcome.
-func repeat(try func() error, pause func() bool) error {
-	var doubt error
+// retryUntilDecided repeats attempt until its outcome is known, or wait reports that there is no time for another one.
+// Once an attempt has an unknown outcome, no later rejection is the outcome of the call. Unlike the operator's change of the
+// configuration (package control), which the log itself rejects, no rejection of a job shows what earlier attempts did.
+func retryUntilDecided(attempt func() error, wait func() bool) error {
+	var unknown error
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return nil
 		}
 		if failure.KindOf(err) == failure.UnknownOutcome {
-			doubt = err
+			unknown = err
 		}
-		if worthAnother(err) && pause() {
+		if retryable(err) && wait() {
 			continue
 		}
-		if doubt != nil {
-			return doubt
+		if unknown != nil {
+			return unknown
 		}
 		return err
 	}
 }
 
-// worthAnother tells whether another try may end better.
-func worthAnother(err error) bool {
+// retryable reports whether another attempt may succeed.
+func retryable(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.UnknownOutcome, failure.Unavailable, failure.NotLeader, failure.Stale, failure.Moved:
 		return true
@@ -73,8 +80,8 @@
 	return false
 }
 
-// pause waits; it tells false if ctx ends before.
-func pause(ctx context.Context, span time.Duration) bool {
+// sleep waits, and reports false if ctx ends before.
+func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -83,59 +90,59 @@
 	}
 }
 
-// handIn is one try.
-func handIn(ctx context.Context, process http.Handler, host, path string, body []byte) error {
+// submitOnce is one attempt.
+func submitOnce(ctx context.Context, frontendHandler http.Handler, host, path string, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+path, bytes.NewReader(body))
 	if err != nil {
 		return failure.New(failure.Invalid, err.Error())
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		wait := max(time.Until(deadline), leastWait)
-		request.Header.Set(frontend.DeadlineHeader, strconv.FormatInt(wait.Milliseconds(), 10))
+		timeout := max(time.Until(deadline), minAttemptTimeout)
+		request.Header.Set(frontend.DeadlineHeader, strconv.FormatInt(timeout.Milliseconds(), 10))
 	}
-	answer := &answer{header: http.Header{}, status: http.StatusOK}
-	process.ServeHTTP(answer, request)
-	return answer.fault()
+	recorder := &responseRecorder{header: http.Header{}, status: http.StatusOK}
+	frontendHandler.ServeHTTP(recorder, request)
+	return recorder.err()
 }
 
-// answer takes what a handler answers.
-type answer struct {
+// responseRecorder is an http.ResponseWriter that keeps the response.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header returns the answer's header.
-func (a *answer) Header() http.Header { return a.header }
+// Header returns the response's header.
+func (r *responseRecorder) Header() http.Header { return r.header }
 
-// WriteHeader takes the status.
-func (a *answer) WriteHeader(status int) { a.status = status }
+// WriteHeader sets the status.
+func (r *responseRecorder) WriteHeader(status int) { r.status = status }
 
-// Write takes a part of the body.
-func (a *answer) Write(data []byte) (int, error) { return a.body.Write(data) }
+// Write appends to the body.
+func (r *responseRecorder) Write(data []byte) (int, error) { return r.body.Write(data) }
 
-// fault returns the error that the answer tells of, by its kind.
-func (a *answer) fault() error {
-	if a.status/100 == 2 {
+// err returns the error that the response reports, with its kind; nil for a status of success.
+func (r *responseRecorder) err() error {
+	if r.status/100 == 2 {
 		return nil
 	}
-	var told struct{ Error, Message string }
-	if json.Unmarshal(a.body.Bytes(), &told) != nil || told.Message == "" {
-		return failure.Newf(failure.UnknownOutcome, "the answer is %d, %q", a.status, a.body.String())
+	var reported struct{ Error, Message string }
+	if json.Unmarshal(r.body.Bytes(), &reported) != nil || reported.Message == "" {
+		return failure.Newf(failure.UnknownOutcome, "the response is %d, %q", r.status, r.body.String())
 	}
 	for kind := failure.None + 1; kind != 0; kind++ {
-		if kind.String() == told.Error {
-			return failure.New(kind, withoutKind(told.Message, kind))
+		if kind.String() == reported.Error {
+			return failure.New(kind, withoutKind(reported.Message, kind))
 		}
 	}
-	return failure.Newf(failure.UnknownOutcome, "the answer is %d, %s", a.status, told.Message)
+	return failure.Newf(failure.UnknownOutcome, "the response is %d, %s", r.status, reported.Message)
 }
 
-// withoutKind takes the kind's name off that an error's text begins with.
+// withoutKind removes the kind's name with which an error's text begins.
 func withoutKind(message string, kind failure.Kind) string {
-	prefix := kind.String() + ": "
-	if len(message) > len(prefix) && message[:len(prefix)] == prefix {
-		return message[len(prefix):]
+	rest, found := strings.CutPrefix(message, kind.String()+": ")
+	if !found || rest == "" {
+		return message
 	}
-	return message
+	return rest
 }
