--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,7 @@
-// Package cli is the program's command line: commands, flags, help, exit codes and output forms.
+// Package cli is the command line of the program ospreypond: its commands, flags, help texts, exit statuses and forms of
+// output. Main runs one command line. Programs beside ospreypond use Execute for the same treatment of errors.
+//
+// Flags, exit statuses, JSON keys and the columns of tables are relied on by operators' scripts, and stay.
 package cli
 
 import (
@@ -20,63 +23,64 @@
 
 // Exit statuses.
 const (
-	ok         = 0
-	failure    = 1 // the command could not do what it was asked, or found something wrong
-	usageFault = 2 // it was asked in a way that it does not understand
+	exitOK      = 0
+	exitFailure = 1 // the command failed, or found faults
+	exitUsage   = 2 // it was asked in a way that it does not understand
 )
 
-// Streams are what a command reads and writes.
+// Streams are the standard streams of a command. All must be set.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// usageError is a fault of the command line itself.
+// usageError is an error of the command line itself, for which the exit status is exitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// UsageFault marks a fault of the command line itself, which ends with an exit code of its own.
-func UsageFault(err error) error { return usageError{err} }
+// UsageError marks an error as one of the command line itself, which has an exit status of its own, 2.
+func UsageError(err error) error { return usageError{err} }
 
-// Main runs a command line, without the program's name, and returns the exit status. Errors go to Err.
+// Main runs the command line args, which don't include the program's name, and returns the exit status. Errors are written
+// to std.Err. getenv is os.Getenv or a test's replacement.
 func Main(args []string, std Streams, getenv func(string) string) int {
 	return mainWith(args, std, getenv, dialSystem)
 }
 
-// mainWith is Main with another way to reach a running system.
+// mainWith is Main with a replaceable connection to a running system.
 func mainWith(args []string, std Streams, getenv func(string) string, dial dialer) int {
 	return Execute(newRoot(std, getenv, dial), args, std)
 }
 
-// Execute runs the command that the arguments name, root or one below it, and returns the process' exit code. Faults of
-// the command line and failures are told on std.Err.
+// Execute runs the command that the arguments name, root or one below it, and returns the exit status. Errors are written to
+// std.Err, those of the command line with a hint at the help.
 func Execute(root *cobra.Command, args []string, std Streams) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetIn(std.In)
 	root.SetOut(std.Out)
 	root.SetErr(std.Err)
 	root.SetArgs(args)
-	for _, c := range all(root) {
-		tellUsageFaults(c)
+	for _, c := range withSubcommands(root) {
+		markUsageErrors(c)
 	}
 	cmd, err := root.ExecuteContextC(context.Background())
 	var usage usageError
 	switch {
 	case err == nil:
-		return ok
+		return exitOK
 	case errors.As(err, &usage):
-		fmt.Fprintf(std.Err, "%s: %v\nSee '%s --help'.\n", cmd.CommandPath(), err, cmd.CommandPath())
-		return usageFault
-	case errors.Is(err, errSaid):
+		writef(std.Err, "%s: %v\nSee '%s --help'.\n", cmd.CommandPath(), err, cmd.CommandPath())
+		return exitUsage
+	case errors.Is(err, errReported):
 	default:
-		fmt.Fprintf(std.Err, "%s: %v\n", cmd.CommandPath(), err)
+		writef(std.Err, "%s: %v\n", cmd.CommandPath(), err)
 	}
-	return failure
+	return exitFailure
 }
 
-// errSaid ends a command with a failure that it has told already.
-var errSaid = errors.New("failed")
+// errReported ends a command with exitFailure; what is wrong has been printed already.
+var errReported = errors.New("failed")
 
 func newRoot(std Streams, getenv func(string) string, dial dialer) *cobra.Command {
 	serve := newServe(std, getenv)
@@ -91,13 +95,13 @@
 	}
 	root.AddCommand(serve, newStore(std), newTraffic(std), newVersion(std))
 	root.AddCommand(newRoles(std, getenv)...)
-	root.AddCommand(newSystem(std, getenv, dial)...)
+	root.AddCommand(newClusterCommands(std, getenv, dial)...)
 	root.CompletionOptions.SetDefaultShellCompDirective(cobra.ShellCompDirectiveDefault)
 	return root
 }
 
-// tellUsageFaults has the faults of c's own flags and arguments counted as faults of the command line.
-func tellUsageFaults(c *cobra.Command) {
+// markUsageErrors makes the errors of c's own flags and arguments usage errors.
+func markUsageErrors(c *cobra.Command) {
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	check := c.Args
 	if check == nil {
@@ -111,16 +115,17 @@
 	}
 }
 
-func all(c *cobra.Command) []*cobra.Command {
-	cs := []*cobra.Command{c}
+// withSubcommands returns c and all commands below it.
+func withSubcommands(c *cobra.Command) []*cobra.Command {
+	commands := []*cobra.Command{c}
 	for _, sub := range c.Commands() {
-		cs = append(cs, all(sub)...)
+		commands = append(commands, withSubcommands(sub)...)
 	}
-	return cs
+	return commands
 }
 
-// group is a command that only has commands under it.
-func group(use, short string, subs ...*cobra.Command) *cobra.Command {
+// commandGroup returns a command that does nothing by itself and has subcommands.
+func commandGroup(use, short string, subs ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return errors.New("a command is missing")
@@ -134,15 +139,16 @@
 func newVersion(std Streams) *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the release", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			goes := ""
+			goVersion := ""
 			if info, ok := debug.ReadBuildInfo(); ok {
-				goes = ", " + info.GoVersion
+				goVersion = ", " + info.GoVersion
 			}
-			_, err := fmt.Fprintf(std.Out, "ospreypond %s%s\n", Version, goes)
+			_, err := fmt.Fprintf(std.Out, "ospreypond %s%s\n", Version, goVersion)
 			return err
 		}}
 }
 
+// newLog returns the logger of the dispatcher and of the store's commands.
 func newLog(w io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(w)
@@ -151,7 +157,8 @@
 	return log
 }
 
-// Interruptible returns a context that SIGINT and SIGTERM end, for commands that end in order when they are asked to.
+// Interruptible returns a context that ends at SIGINT or SIGTERM, for commands that stop gracefully. The caller must call
+// the function that it returns, which restores the signals.
 func Interruptible(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 }
--- a/internal/cli/system_test.go
+++ b/internal/cli/cluster_test.go
@@ -16,16 +16,16 @@
 	faults "ospreypond/internal/cluster/failure"
 )
 
-const job = `{"spec":"x","steps":[{"count":2,"cpu":100}]}`
+const smallJob = `{"spec":"x","steps":[{"count":2,"cpu":100}]}`
 
-const small = `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"service":"s"}],` +
+const smallConfiguration = `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"service":"s"}],` +
 	`"services":[{"name":"s"}],"limits":{"maxBodyBytes":5}}`
 
-var _ = DescribeTable("what is not understood ends with 2 and says why, and the system is not asked",
-	func(line, said string) {
+var _ = DescribeTable("an invalid command line ends with 2 and says why, without a call of the system",
+	func(commandLine, said string) {
 		system := &fakeSystem{}
-		ended := command(system, job, line)
-		Expect(ended.status).To(Equal(usageFault), ended.err)
+		ended := runCommand(system, smallJob, commandLine)
+		Expect(ended.status).To(Equal(exitUsage), ended.err)
 		Expect(ended.err).To(ContainSubstring(said))
 		Expect(ended.err).To(ContainSubstring("--help"))
 		Expect(ended.out).To(BeEmpty())
@@ -46,16 +46,16 @@
 	Entry(nil, "config check", "FILE is missing"),
 	Entry(nil, "config check - -o yaml", "--output"),
 	Entry(nil, "config apply --control a:1", "FILE is missing"),
-	Entry(nil, "config apply - --base -3 --control a:1", "--base: -3 is no version"),
+	Entry(nil, "config apply - --base -3 --control a:1", "--base: -3 is not a version"),
 	Entry(nil, "config apply - --base new --control a:1", `invalid argument "new"`),
 	Entry(nil, "config diff --control a:1", "FILE is missing"),
 	Entry(nil, "jobs", "a command is missing"),
 	Entry(nil, "jobs submit - --control a:1", "--queue is missing"),
-	Entry(nil, "jobs submit - --control a:1 --queue h/p --id 12", `--id: "12" is no job`),
+	Entry(nil, "jobs submit - --control a:1 --queue h/p --id 12", `--id: "12" is not a job's id`),
 	Entry(nil, "jobs submit --queue h/p --control a:1", "FILE is missing"),
 	Entry(nil, "jobs status --control a:1", "ID is missing"),
-	Entry(nil, "jobs status nonsense --control a:1", `"nonsense" is no job: it has 16 hex digits`),
-	Entry(nil, "jobs cancel 5c0e7a21d94b36f --control a:1", "is no job"),
+	Entry(nil, "jobs status nonsense --control a:1", `"nonsense" is not a job's id, which has 16 hex digits`),
+	Entry(nil, "jobs cancel 5c0e7a21d94b36f --control a:1", "is not a job's id"),
 	Entry(nil, "jobs list h/p --control a:1", "one argument too many"),
 	Entry(nil, "state", "a command is missing"),
 	Entry(nil, "state verify", "DIR is missing"),
@@ -63,57 +63,57 @@
 	Entry(nil, "backup --control a:1", "FILE is missing"),
 	Entry(nil, "restore", "FILE is missing"),
 	Entry(nil, "restore x", "--dir is missing"),
-	Entry(nil, "restore x --dir y", "must tell which process the folder is for"),
-	Entry(nil, "restore x --dir y --node a --address b", `--address: an ip:port is due, found "b"`),
+	Entry(nil, "restore x --dir y", "must say which process the folder is for"),
+	Entry(nil, "restore x --dir y --node a --address b", `--address: "b" is not an ip:port`),
 )
 
-var _ = DescribeTable("faults end with 1, by name",
-	func(line, input string, err error, said ...string) {
-		ended := command(&fakeSystem{err: err, version: 5, body: small}, input, line)
-		Expect(ended.status).To(Equal(failure), ended.err)
+var _ = DescribeTable("failures end with 1, with the kind and advice",
+	func(commandLine, input string, err error, said ...string) {
+		ended := runCommand(&fakeSystem{err: err, version: 5, body: smallConfiguration}, input, commandLine)
+		Expect(ended.status).To(Equal(exitFailure), ended.err)
 		for _, part := range said {
 			Expect(ended.err).To(ContainSubstring(part))
 		}
 	},
-	Entry("a system that is away", "shards --control a:1", "", faults.New(faults.Unavailable, "nobody"),
+	Entry("a system that does not answer", "shards --control a:1", "", faults.New(faults.Unavailable, "nobody"),
 		"unavailable: nobody", "What to do: look at `members`"),
-	Entry("an order in doubt", "config apply - --control a:1 --base 5", small, faults.New(faults.UnknownOutcome, "cut"),
+	Entry("a change with an unknown outcome", "config apply - --control a:1 --base 5", smallConfiguration, faults.New(faults.UnknownOutcome, "cut"),
 		"unknown_outcome: cut", "What to do: send the same request again"),
-	Entry("another version", "config apply - --control a:1 --base 5", small, faults.New(faults.Conflict, "7 is current"),
+	Entry("a change based on another version", "config apply - --control a:1 --base 5", smallConfiguration, faults.New(faults.Conflict, "7 is current"),
 		"conflict: 7 is current", "What to do: read the configuration"),
-	Entry("a fault without a kind", "members --control a:1", "", errors.New("burnt down"), "ospreypond members: burnt down\n"),
-	Entry("an unknown job", "jobs status 5c0e7a21d94b36f8 --control a:1", "", faults.New(faults.Gone, "never heard of"),
-		"gone: never heard of"),
-	Entry("no queue", "jobs submit - --queue h/q --control a:1", job, faults.New(faults.NoRoute, "there is no queue"),
+	Entry("an error without a kind", "members --control a:1", "", errors.New("no space left"), "ospreypond members: no space left\n"),
+	Entry("an unknown job", "jobs status 5c0e7a21d94b36f8 --control a:1", "", faults.New(faults.Gone, "no such job"),
+		"gone: no such job"),
+	Entry("no queue", "jobs submit - --queue h/q --control a:1", smallJob, faults.New(faults.NoRoute, "there is no queue"),
 		"job ", ": no_route: there is no queue"),
-	Entry("a job that is none", "jobs submit - --queue h/q --control a:1", "soon", nil, "- is not a job: invalid character"),
+	Entry("a job that is not JSON", "jobs submit - --queue h/q --control a:1", "soon", nil, "- is not a job: invalid character"),
 	Entry("a job without steps", "jobs submit - --queue h/q --control a:1", "{}", nil, "steps is missing or empty"),
 	Entry("a job that is a list", "jobs submit - --queue h/q --control a:1", "[]", nil, "- is not a job"),
 	Entry("a missing file", "config check /no/such/file", "", nil, "no such file"),
-	Entry("a cut configuration", "config check -", `{"version":1`, nil, "-: invalid: the body is not one whole JSON value"),
-	Entry("an unknown service", "config check -", strings.Replace(small, `"s"}],"l`, `"t"}],"l`, 1), nil, "-: invalid", `"s"`),
+	Entry("a truncated configuration", "config check -", `{"version":1`, nil, "-: invalid: the body is not one whole JSON value"),
+	Entry("an unknown service", "config check -", strings.Replace(smallConfiguration, `"s"}],"l`, `"t"}],"l`, 1), nil, "-: invalid", `"s"`),
 	Entry("an update by itself", "config check -", `{"version":6,"upsert":{}}`, nil, "give --control"),
-	Entry("an old version", "config check - --control a:1", small, nil, "invalid: version 5 is not above the current 5"),
+	Entry("an old version", "config check - --control a:1", smallConfiguration, nil, "invalid: version 5 is not above the current 5"),
 	Entry("settings with faults", "config check --settings -", `{"ip":"x","seeds":5}`, nil,
 		"nodeName: is missing", `ip: an IP address is due, found "x"`, "seeds: a list of texts is due"),
-	Entry("a folder that is not there", "state verify /no/such/folder", "", nil, "no such file"),
-	Entry("a backup that is none", "restore /etc/hostname --dir /no/such --node a --address 10.0.0.1:7380", "", nil,
+	Entry("a missing folder", "state verify /no/such/folder", "", nil, "no such file"),
+	Entry("a file that is not a backup", "restore /etc/hostname --dir /no/such --node a --address 10.0.0.1:7380", "", nil,
 		"/etc/hostname: it is not a backup"),
-	Entry("a file that is there", "backup /etc/hostname --control a:1", "", nil, "/etc/hostname is there already"),
+	Entry("an existing file", "backup /etc/hostname --control a:1", "", nil, "/etc/hostname already exists"),
 )
 
-var _ = DescribeTable("what commands ask the system, and say",
-	func(line, input string, system *fakeSystem, calls []string, out string) {
-		ended := command(system, input, line)
+var _ = DescribeTable("the calls of commands, and their output",
+	func(commandLine, input string, system *fakeSystem, calls []string, out string) {
+		ended := runCommand(system, input, commandLine)
 		Expect(ended.err).To(BeEmpty())
-		Expect(ended.status).To(Equal(ok))
+		Expect(ended.status).To(Equal(exitOK))
 		Expect(ended.out).To(Equal(out))
 		Expect(system.calls).To(Equal(calls))
 		Expect(system.closed).To(BeTrue())
 	},
-	Entry("a job", "jobs submit - --queue h/p --id 5c0e7a21d94b36f8 --control a:1,b:2", job, &fakeSystem{},
+	Entry("a job", "jobs submit - --queue h/p --id 5c0e7a21d94b36f8 --control a:1,b:2", smallJob, &fakeSystem{},
 		[]string{"submit h/p 5c0e7a21d94b36f8"}, "5c0e7a21d94b36f8\n"),
-	Entry("a job in JSON", "jobs submit - -o json --queue h/p --id 5c0e7a21d94b36f8 --control a:1", job, &fakeSystem{},
+	Entry("a job in JSON", "jobs submit - -o json --queue h/p --id 5c0e7a21d94b36f8 --control a:1", smallJob, &fakeSystem{},
 		[]string{"submit h/p 5c0e7a21d94b36f8"}, "{\n  \"id\": \"5c0e7a21d94b36f8\"\n}\n"),
 	Entry("a state", "jobs status 5C0E7A21D94B36F8 --control a:1", "", &fakeSystem{state: "running"},
 		[]string{"status 5C0E7A21D94B36F8"}, "running\n"),
@@ -129,16 +129,16 @@
 			"5c0e7a21d94b36f8  h/p/   s        running  1970-01-01T00:00:00Z  1/2/4\n"),
 	Entry("a configuration", "config get --control a:1", "", &fakeSystem{version: 3, body: `{"version":3}`},
 		[]string{"read"}, "{\n  \"version\": 3\n}\n"),
-	Entry("a change", "config apply - --control a:1", small, &fakeSystem{version: 4},
+	Entry("a change", "config apply - --control a:1", smallConfiguration, &fakeSystem{version: 4},
 		[]string{"read", "configure"}, "version 9 is in force, built on 4\n"),
-	Entry("a change on a base", "config apply - --base 3 --control a:1", small, &fakeSystem{version: 4},
+	Entry("a change based on a version", "config apply - --base 3 --control a:1", smallConfiguration, &fakeSystem{version: 4},
 		[]string{"configure"}, "version 9 is in force, built on 3\n"),
-	Entry("a change on nothing", "config apply - --base 0 --control a:1", small, &fakeSystem{version: 4},
+	Entry("a change based on no version", "config apply - --base 0 --control a:1", smallConfiguration, &fakeSystem{version: 4},
 		[]string{"configure"}, "version 9 is in force, built on 0\n"),
-	Entry("a check of a change", "config check - --control a:1", `{"version":6,"remove":{"routes":[]}}`, &fakeSystem{version: 5, body: small},
+	Entry("a check of an update", "config check - --control a:1", `{"version":6,"remove":{"routes":[]}}`, &fakeSystem{version: 5, body: smallConfiguration},
 		[]string{"read"}, "-: good\n"),
 	Entry("a comparison", "config diff - --control a:1", `{"version":7,"upsert":{"services":[{"name":"t"}]}}`,
-		&fakeSystem{version: 5, body: small}, []string{"read"}, "version 5 to 7\n+ services t  {\"name\":\"t\"}\n"),
+		&fakeSystem{version: 5, body: smallConfiguration}, []string{"read"}, "version 5 to 7\n+ services t  {\"name\":\"t\"}\n"),
 	Entry("a drain", "drain b --control a:1", "", &fakeSystem{}, []string{"drain b"}, "b owns nothing any more\n"),
 	Entry("runners", "runners --control a:1", "", &fakeSystem{runners: []administration.Runner{{
 		Instance: "i-1", Service: "s", Zone: "z", State: "ready", Labels: []string{"k", "r"}, Runs: 2, Distrust: 0.25, HoldMs: 4000,
@@ -149,35 +149,35 @@
 )
 
 var _ = Describe("the commands", func() {
-	It("take several addresses, also from the environment", func() {
+	It("accept several addresses", func() {
 		system := &fakeSystem{}
-		command(system, "", "members --control a:1,b:2,,c:3")
+		runCommand(system, "", "members --control a:1,b:2,,c:3")
 		Expect(system.addresses).To(Equal([]string{"a:1", "b:2", "c:3"}))
 	})
 
-	It("pass a change on as it was written", func() {
+	It("send a change unmodified", func() {
 		system := &fakeSystem{}
 		update := ` {"version":6, "remove":{"routes":["r"]}}` + "\n"
-		Expect(command(system, update, "config apply - --base 5 --control a:1").status).To(Equal(ok))
-		Expect(command(system, small, "config apply - --base 5 --control a:1").status).To(Equal(ok))
-		Expect(system.orders).To(Equal([]order{{"update", 5, update}, {"replace", 5, small}}))
+		Expect(runCommand(system, update, "config apply - --base 5 --control a:1").status).To(Equal(exitOK))
+		Expect(runCommand(system, smallConfiguration, "config apply - --base 5 --control a:1").status).To(Equal(exitOK))
+		Expect(system.changes).To(Equal([]configurationChange{{"update", 5, update}, {"replace", 5, smallConfiguration}}))
 	})
 
-	It("draw a name for a job that has none", func() {
+	It("generate an id for a job without one", func() {
 		system := &fakeSystem{}
-		first := command(system, job, "jobs submit - --queue h/p --control a:1").out
-		second := command(system, job, "jobs submit - --queue h/p --control a:1").out
+		first := runCommand(system, smallJob, "jobs submit - --queue h/p --control a:1").out
+		second := runCommand(system, smallJob, "jobs submit - --queue h/p --control a:1").out
 		Expect(first).To(MatchRegexp("^[0-9a-f]{16}\n$"))
 		Expect(second).NotTo(Equal(first))
 		Expect(system.submitted.Steps[0].Count).To(Equal(2))
 	})
 
-	It("tell by the exit status, if asked, whether there is a difference", func() {
-		system := &fakeSystem{version: 5, body: small}
-		Expect(command(system, small, "config diff - --exit-code --control a:1").status).To(Equal(ok))
-		other := strings.Replace(small, `"timeoutMs":9`, `"timeoutMs":10`, 1)
-		ended := command(system, other, "config diff - --exit-code -o json --control a:1")
-		Expect(ended.status).To(Equal(failure))
+	It("report a difference by the exit status with --exit-code", func() {
+		system := &fakeSystem{version: 5, body: smallConfiguration}
+		Expect(runCommand(system, smallConfiguration, "config diff - --exit-code --control a:1").status).To(Equal(exitOK))
+		other := strings.Replace(smallConfiguration, `"timeoutMs":9`, `"timeoutMs":10`, 1)
+		ended := runCommand(system, other, "config diff - --exit-code -o json --control a:1")
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.err).To(BeEmpty())
 		Expect(ended.out).To(MatchJSON(`{"from":5,"to":5,"changes":[{"section":"routes","name":"r","change":"changed",
 			"fields":[{"name":"timeoutMs","before":9,"after":10}],
@@ -185,58 +185,58 @@
 			"after":{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":10,"service":"s"}}]}`))
 	})
 
-	It("say in JSON that a file is not good", func() {
-		ended := command(&fakeSystem{}, "{}", "config check - -o json")
-		Expect(ended.status).To(Equal(failure))
+	It("print in JSON that a file is invalid", func() {
+		ended := runCommand(&fakeSystem{}, "{}", "config check - -o json")
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.out).To(MatchJSON(`{"file":"-","valid":false,"fault":"invalid: there is no version"}`))
 	})
 
-	It("list members, those that are silent too", func() {
-		reports := sampleReports()
+	It("list members, also those that do not answer", func() {
+		reports := newReports()
 		reports[0].DiskSick = true
-		ended := command(&fakeSystem{reports: reports}, "", "members --control a:1")
+		ended := runCommand(&fakeSystem{reports: reports}, "", "members --control a:1")
 		Expect(ended.out).To(Equal(`NODE  ZONE  ADDRESS        ID  ROLE     STATE     LEADS  UP    DISK  MEMORY
 a     z1    10.0.0.1:7380  1   voter    sick      0      1m1s  sick  20 MB
 b     z2    10.0.0.2:7380  2   voter    draining  1      5s    0 B   0 B
 c     z3    10.0.0.3:7380  3   learner  silent    0      -     -     -
 `))
-		Expect(ended.status).To(Equal(failure))
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.err).To(Equal("ospreypond members: a at 10.0.0.1:7380 is sick\n"))
 	})
 
-	It("list shards with what each member lacks, and tell that one has no owner", func() {
-		ended := command(&fakeSystem{reports: sampleReports()}, "", "shards --control a:1")
+	It("list shards with what each member lacks, and fail if one has no owner", func() {
+		ended := runCommand(&fakeSystem{reports: newReports()}, "", "shards --control a:1")
 		Expect(ended.out).To(Equal(`SHARD              OWNER  TERM  COMMIT  STATE   LOG    HOLDS       MEMBERS (APPLIED, LACKING)
 0 (configuration)  b      4     40      1200 B  300 B  version 12  a 38, 2; b 40, 0; c (learner) silent
 1                  none   2     7       0 B     0 B    -           a 7, 0; b 5, 2; c (learner) silent
 `))
-		Expect(ended.status).To(Equal(failure))
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.err).To(ContainSubstring("shard 1 has no owner that answers"))
 	})
 
-	It("compare the members' states, and tell where they differ", func() {
+	It("compare the members' states, and fail if they differ", func() {
 		digests := []administration.ShardDigests{
 			{Shard: 0, Index: 40, Members: []administration.MemberDigest{
 				{Node: "a", ID: 1, Digest: "00000000000000aa"}, {Node: "b", ID: 2, Digest: "00000000000000aa"}, {Node: "c", ID: 3}}},
 			{Shard: 1, Index: 7, Members: []administration.MemberDigest{{Node: "a", ID: 1, Digest: "00000000000000aa"}}},
 		}
-		ended := command(&fakeSystem{digests: digests}, "", "shards --digests --control a:1")
+		ended := runCommand(&fakeSystem{digests: digests}, "", "shards --digests --control a:1")
 		Expect(ended.out).To(Equal(`SHARD              INDEX  EQUAL  MEMBERS (DIGEST)
 0 (configuration)  40     yes    a 00000000000000aa; b 00000000000000aa; c none at that entry
 1                  7      yes    a 00000000000000aa
 `))
 		Expect(ended.status).To(BeZero())
 		digests[0].Members[2].Digest = "00000000000000ab"
-		ended = command(&fakeSystem{digests: digests}, "", "shards --digests -o json --control a:1")
-		Expect(ended.status).To(Equal(failure))
+		ended = runCommand(&fakeSystem{digests: digests}, "", "shards --digests -o json --control a:1")
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.err).To(ContainSubstring("the members' states of shard 0 differ at entry 40"))
-		var told []administration.ShardDigests
-		Expect(json.Unmarshal([]byte(ended.out), &told)).To(Succeed())
-		Expect(told).To(Equal(digests))
+		var printed []administration.ShardDigests
+		Expect(json.Unmarshal([]byte(ended.out), &printed)).To(Succeed())
+		Expect(printed).To(Equal(digests))
 	})
 
 	It("list shards in JSON", func() {
-		ended := command(&fakeSystem{reports: sampleReports()[1:]}, "", "shards -o json --control a:1")
+		ended := runCommand(&fakeSystem{reports: newReports()[1:]}, "", "shards -o json --control a:1")
 		var shards []administration.ShardView
 		Expect(json.Unmarshal([]byte(ended.out), &shards)).To(Succeed())
 		Expect(shards).To(HaveLen(2))
@@ -245,36 +245,36 @@
 		Expect(shards[0].Members).To(HaveLen(3))
 	})
 
-	It("tell if a drained process could not get rid of everything", func() {
-		ended := command(&fakeSystem{left: 2}, "", "drain b --control a:1")
-		Expect(ended.status).To(Equal(failure))
+	It("fail if a drained process could not transfer everything", func() {
+		ended := runCommand(&fakeSystem{left: 2}, "", "drain b --control a:1")
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.out).To(Equal("b still owns 2 shards: no other member could take them\n"))
 	})
 
-	It("back up, restore and look at what was restored", func() {
+	It("back up, restore and inspect what was restored", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x.backup")
-		ended := command(&fakeSystem{backup: sampleBackup()}, "", "backup --control a:1 "+path)
-		Expect(ended.status).To(Equal(ok), ended.err)
+		ended := runCommand(&fakeSystem{backup: newBackup()}, "", "backup --control a:1 "+path)
+		Expect(ended.status).To(Equal(exitOK), ended.err)
 		Expect(ended.out).To(ContainSubstring(": 5 shards, "))
 
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
-		settings := file("boot.json", `{"nodeName":"n1","role":"control","ip":"10.0.0.7","zone":"z","internalPorts":[7380,7395],"seeds":[]}`)
-		ended = command(&fakeSystem{}, "", "restore "+path+" --settings "+settings+" --dir "+dir)
-		Expect(ended.status).To(Equal(ok), ended.err)
+		settings := writeTestFile("boot.json", `{"nodeName":"n1","role":"control","ip":"10.0.0.7","zone":"z","internalPorts":[7380,7395],"seeds":[]}`)
+		ended = runCommand(&fakeSystem{}, "", "restore "+path+" --settings "+settings+" --dir "+dir)
+		Expect(ended.status).To(Equal(exitOK), ended.err)
 		Expect(ended.out).To(ContainSubstring("restored into " + dir + " for n1 at 10.0.0.7:7380"))
 
-		ended = command(&fakeSystem{}, "", "state verify "+dir)
-		Expect(ended.status).To(Equal(ok), ended.out+ended.err)
+		ended = runCommand(&fakeSystem{}, "", "state verify "+dir)
+		Expect(ended.status).To(Equal(exitOK), ended.out+ended.err)
 		Expect(ended.out).To(ContainSubstring("n1"))
 		Expect(ended.out).To(HaveSuffix("no faults\n"))
 
-		ended = command(&fakeSystem{}, "", "restore "+path+" --settings "+settings+" --dir "+dir)
-		Expect(ended.status).To(Equal(failure))
+		ended = runCommand(&fakeSystem{}, "", "restore "+path+" --settings "+settings+" --dir "+dir)
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.err).To(ContainSubstring("is not empty"))
 	})
 
-	It("name damage by file and offset, in text and JSON", func() {
-		dir := emptyState()
+	It("report damage by file and offset, in text and JSON", func() {
+		dir := newStateDir()
 		entries, err := os.ReadDir(dir)
 		Expect(err).NotTo(HaveOccurred())
 		for _, entry := range entries {
@@ -282,22 +282,22 @@
 				Expect(os.WriteFile(filepath.Join(dir, entry.Name()), []byte("spoilt"), 0o600)).To(Succeed())
 			}
 		}
-		ended := command(&fakeSystem{}, "", "state inspect "+dir)
-		Expect(ended.status).To(Equal(failure))
+		ended := runCommand(&fakeSystem{}, "", "state inspect "+dir)
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.out).To(MatchRegexp("fault: snapshot-00000002-.*state at offset 0: it is not a snapshot"))
-		ended = command(&fakeSystem{}, "", "state verify -o json "+dir)
-		Expect(ended.status).To(Equal(failure))
+		ended = runCommand(&fakeSystem{}, "", "state verify -o json "+dir)
+		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.out).To(ContainSubstring(`"file": "snapshot-00000002-`))
 	})
 
-	It("show help with an example for each", func() {
-		for _, line := range []string{"config check", "config get", "config apply", "config diff", "jobs submit", "jobs status",
+	It("show help with an example for each command", func() {
+		for _, commandLine := range []string{"config check", "config get", "config apply", "config diff", "jobs submit", "jobs status",
 			"jobs cancel", "jobs list", "members", "shards", "runners", "drain", "backup", "restore", "state inspect",
 			"state verify"} {
-			ended := command(&fakeSystem{}, "", line+" --help")
-			Expect(ended.status).To(Equal(ok))
-			Expect(ended.out).To(ContainSubstring("Examples:\n  "), line)
-			Expect(ended.out).To(ContainSubstring("ospreypond "+line), line)
+			ended := runCommand(&fakeSystem{}, "", commandLine+" --help")
+			Expect(ended.status).To(Equal(exitOK))
+			Expect(ended.out).To(ContainSubstring("Examples:\n  "), commandLine)
+			Expect(ended.out).To(ContainSubstring("ospreypond "+commandLine), commandLine)
 		}
 	})
 })
--- a/internal/cli/fake_test.go
+++ b/internal/cli/fake_test.go
@@ -18,7 +18,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// fakeSystem answers as it was told, and keeps what it was asked.
+// fakeSystem is an administrator that returns what its fields say, and records its calls.
 type fakeSystem struct {
 	err     error // of every call
 	version uint64
@@ -28,92 +28,92 @@
 	reports []administration.Report
 	digests []administration.ShardDigests
 	runners []administration.Runner
-	left    int
+	left    int // result of Drain
 	backup  *archive.Archive
 
 	addresses []string
 	calls     []string
-	orders    []order
+	changes   []configurationChange
 	submitted *protocol.JobSpec
 	closed    bool
 }
 
-// order is a change that was ordered.
-type order struct {
+// configurationChange is a recorded call of Configure.
+type configurationChange struct {
 	kind string
 	base uint64
 	body string
 }
 
-func (f *fakeSystem) note(parts ...string) { f.calls = append(f.calls, strings.Join(parts, " ")) }
+func (f *fakeSystem) record(parts ...string) { f.calls = append(f.calls, strings.Join(parts, " ")) }
 
 func (f *fakeSystem) ReadConfiguration(context.Context) (uint64, []byte, error) {
-	f.note("read")
+	f.record("read")
 	return f.version, []byte(f.body), f.err
 }
 
 func (f *fakeSystem) Configure(_ context.Context, kind string, base uint64, body []byte) (uint64, error) {
-	f.note("configure")
-	f.orders = append(f.orders, order{kind, base, string(body)})
+	f.record("configure")
+	f.changes = append(f.changes, configurationChange{kind, base, string(body)})
 	return 9, f.err
 }
 
 func (f *fakeSystem) Submit(_ context.Context, queue, id string, job *protocol.JobSpec) error {
-	f.note("submit", queue, id)
+	f.record("submit", queue, id)
 	f.submitted = job
 	return f.err
 }
 
 func (f *fakeSystem) Status(_ context.Context, id string) (string, error) {
-	f.note("status", id)
+	f.record("status", id)
 	return f.state, f.err
 }
 
 func (f *fakeSystem) Cancel(_ context.Context, id string) error {
-	f.note("cancel", id)
+	f.record("cancel", id)
 	return f.err
 }
 
 func (f *fakeSystem) Jobs(_ context.Context, queue string) ([]administration.Job, error) {
-	f.note("jobs", queue)
+	f.record("jobs", queue)
 	return f.jobs, f.err
 }
 
 func (f *fakeSystem) Reports(context.Context) ([]administration.Report, error) {
-	f.note("reports")
+	f.record("reports")
 	return f.reports, f.err
 }
 
 func (f *fakeSystem) Digests(context.Context) ([]administration.ShardDigests, error) {
-	f.note("digests")
+	f.record("digests")
 	return f.digests, f.err
 }
 
 func (f *fakeSystem) Runners(context.Context) ([]administration.Runner, error) {
-	f.note("runners")
+	f.record("runners")
 	return f.runners, f.err
 }
 
 func (f *fakeSystem) Drain(_ context.Context, node string) (int, error) {
-	f.note("drain", node)
+	f.record("drain", node)
 	return f.left, f.err
 }
 
 func (f *fakeSystem) Backup(context.Context) (*archive.Archive, error) {
-	f.note("backup")
+	f.record("backup")
 	return f.backup, f.err
 }
 
 func (f *fakeSystem) Close() { f.closed = true }
 
-// outcome is what a command line came to.
+// outcome is the exit status and output of a command.
 type outcome struct {
 	status   int
 	out, err string
 }
 
-// command runs a command line on a fake system; words are parted by spaces.
-func command(system *fakeSystem, input, line string) outcome {
+// runCommand runs a command line, split at spaces, on a fake system.
+func runCommand(system *fakeSystem, input, commandLine string) outcome {
 	var out, err bytes.Buffer
 	std := Streams{In: strings.NewReader(input), Out: &out, Err: &err}
 	dial := func(addresses []string) (administrator, error) {
@@ -126,32 +126,32 @@
 		return system, nil
 	}
 	noVariables := func(string) string { return "" }
-	return outcome{mainWith(strings.Fields(line), std, noVariables, dial), out.String(), err.String()}
+	return outcome{mainWith(strings.Fields(commandLine), std, noVariables, dial), out.String(), err.String()}
 }
 
-// file writes a file for a test and returns its path.
-func file(name, content string) string {
+// writeTestFile writes a file that is removed after the test, and returns its path.
+func writeTestFile(name, content string) string {
 	path := filepath.Join(GinkgoT().TempDir(), name)
 	Expect(os.WriteFile(path, []byte(content), 0o600)).To(Succeed())
 	return path
 }
 
-// sampleBackup is a backup of a system in which nothing happened.
-func sampleBackup() *archive.Archive {
-	made := &archive.Archive{}
+// newBackup returns a backup of an empty system.
+func newBackup() *archive.Archive {
+	backup := &archive.Archive{}
 	for id := uint32(1); id <= protocol.JobShards; id++ {
 		data, err := jobs.New(jobs.Options{}).Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		made.Shards = append(made.Shards, archive.Shard{ID: id, Index: 3, Term: 2, Data: data})
+		backup.Shards = append(backup.Shards, archive.Shard{ID: id, Index: 3, Term: 2, Data: data})
 	}
 	data, err := configuration.NewState().Snapshot()
 	Expect(err).NotTo(HaveOccurred())
-	made.Shards = append(made.Shards, archive.Shard{ID: uint32(protocol.ConfigurationShard), Index: 4, Term: 2, Data: data})
-	return made
+	backup.Shards = append(backup.Shards, archive.Shard{ID: uint32(protocol.ConfigurationShard), Index: 4, Term: 2, Data: data})
+	return backup
 }
 
-// sampleReports are two of three control processes: "b" owns the configuration, shard 1 has no owner.
-func sampleReports() []administration.Report {
+// newReports returns the reports of two of three control processes: "b" owns the configuration, shard 1 has no owner.
+func newReports() []administration.Report {
 	members := []administration.MemberReport{
 		{Member: protocol.Member{ID: 1, Node: "a", Zone: "z1", Address: "10.0.0.1:7380"}},
 		{Member: protocol.Member{ID: 2, Node: "b", Zone: "z2", Address: "10.0.0.2:7380"}},
@@ -174,9 +174,9 @@
 	}
 }
 
-// emptyState is a folder that a control process left.
-func emptyState() string {
+// newStateDir returns the folder of a stopped control process.
+func newStateDir() string {
 	dir := filepath.Join(GinkgoT().TempDir(), "data")
-	Expect(sampleBackup().Restore(dir, archive.Process{Node: "a", Zone: "z", Address: "10.0.0.1:7380"})).To(Succeed())
+	Expect(newBackup().Restore(dir, archive.Process{Node: "a", Zone: "z", Address: "10.0.0.1:7380"})).To(Succeed())
 	return dir
 }
--- a/internal/cli/system_jobs.go
+++ b/internal/cli/jobs.go
@@ -17,23 +17,24 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var jobName = regexp.MustCompile("^[0-9a-fA-F]{16}$")
+var jobIDPattern = regexp.MustCompile("^[0-9a-fA-F]{16}$")
 
-// jobReport is what a command on one job prints as JSON.
+// jobReport is what commands on one job print as JSON.
 type jobReport struct {
 	ID    string `json:"id"`
 	State string `json:"state,omitempty"`
 }
 
-// checkJobName tells whether an argument can name a job.
-func checkJobName(id string) error {
-	if !jobName.MatchString(id) {
-		return usageError{fmt.Errorf("%q is no job: it has 16 hex digits", id)}
+// checkJobID returns an error if an argument cannot be a job's id.
+func checkJobID(id string) error {
+	if !jobIDPattern.MatchString(id) {
+		return usageError{fmt.Errorf("%q is not a job's id, which has 16 hex digits", id)}
 	}
 	return nil
 }
 
-func drawJobName() (string, error) {
+// newJobID returns a random id.
+func newJobID() (string, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return "", err
@@ -41,25 +42,25 @@
 	return hex.EncodeToString(random[:]), nil
 }
 
-func (s *systemCommands) newJobsSubmit() *cobra.Command {
+func (s *clusterCommands) newJobsSubmit() *cobra.Command {
 	var queue, id string
-	c := &cobra.Command{Use: "submit FILE", Short: "Hand a job in", Args: needs("FILE"),
-		Long: "Hand a job in (- for the standard input): JSON with \"spec\" and \"steps\", as clients send it. The queue is named\n" +
-			"by the host and the path prefix of its route. Without --id one is drawn and printed. Handing the same id in again\n" +
-			"is safe: it stays one job.",
+	c := &cobra.Command{Use: "submit FILE", Short: "Submit a job", Args: exactArgs("FILE"),
+		Long: "Submit a job (- for standard input): JSON with \"spec\" and \"steps\", as clients send it. The queue is named by the\n" +
+			"host and the path prefix of its route. Without --id a random one is used; it is printed. Submitting the same id\n" +
+			"again is safe: it stays one job.",
 		Example: "  echo '{\"spec\":\"sleep 2s\",\"steps\":[{\"count\":3,\"cpu\":500,\"memoryLimitMb\":64}]}' |\n" +
 			"    ospreypond jobs submit - --queue demo.local/jobs/ --control 127.77.0.11:7380"}
-	s.connect(c, func(ctx context.Context, made *connection, system administrator, args []string) error {
+	s.onSystem(c, func(ctx context.Context, flags *clusterFlags, system administrator, args []string) error {
 		if queue == "" {
 			return usageError{fmt.Errorf("--queue is missing")}
 		}
 		if id == "" {
 			var err error
-			if id, err = drawJobName(); err != nil {
+			if id, err = newJobID(); err != nil {
 				return err
 			}
 		}
-		if err := checkJobName(id); err != nil {
+		if err := checkJobID(id); err != nil {
 			return usageError{fmt.Errorf("--id: %w", err)}
 		}
 		job, err := s.readJob(args[0])
@@ -69,14 +70,15 @@
 		if err := system.Submit(ctx, queue, id, job); err != nil {
 			return fmt.Errorf("job %s: %w", id, err)
 		}
-		return made.print(jobReport{ID: id}, func(w io.Writer) { fmt.Fprintln(w, id) })
+		return flags.print(jobReport{ID: id}, func(w io.Writer) { writef(w, "%s\n", id) })
 	})
 	c.Flags().StringVar(&queue, "queue", "", "the queue's `HOST/PREFIX`")
-	c.Flags().StringVar(&id, "id", "", "the job's `name`, 16 hex digits")
+	c.Flags().StringVar(&id, "id", "", "the job's `id`, 16 hex digits; default: a random one")
 	return c
 }
 
-func (s *systemCommands) readJob(name string) (*protocol.JobSpec, error) {
+// readJob reads a job from a file. The system checks it further.
+func (s *clusterCommands) readJob(name string) (*protocol.JobSpec, error) {
 	body, err := s.readInput(name)
 	if err != nil {
 		return nil, err
@@ -91,28 +93,28 @@
 	return job, nil
 }
 
-func (s *systemCommands) newJobsStatus() *cobra.Command {
-	return s.connect(&cobra.Command{Use: "status ID", Short: "Print a job's state", Args: needs("ID"),
+func (s *clusterCommands) newJobsStatus() *cobra.Command {
+	return s.onSystem(&cobra.Command{Use: "status ID", Short: "Print a job's state", Args: exactArgs("ID"),
 		Long:    "Print a job's state: queued, running, completed, failed or cancelled.",
 		Example: "  ospreypond jobs status 5c0e7a21d94b36f8 --control 127.77.0.11:7380"},
-		func(ctx context.Context, c *connection, system administrator, args []string) error {
-			if err := checkJobName(args[0]); err != nil {
+		func(ctx context.Context, flags *clusterFlags, system administrator, args []string) error {
+			if err := checkJobID(args[0]); err != nil {
 				return err
 			}
 			state, err := system.Status(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			return c.print(jobReport{ID: args[0], State: state}, func(w io.Writer) { fmt.Fprintln(w, state) })
+			return flags.print(jobReport{ID: args[0], State: state}, func(w io.Writer) { writef(w, "%s\n", state) })
 		})
 }
 
-func (s *systemCommands) newJobsCancel() *cobra.Command {
-	return s.connect(&cobra.Command{Use: "cancel ID", Short: "Cancel a job", Args: needs("ID"),
-		Long:    "Cancel a job. Its tasks are stopped; a job that has ended stays as it is.",
+func (s *clusterCommands) newJobsCancel() *cobra.Command {
+	return s.onSystem(&cobra.Command{Use: "cancel ID", Short: "Cancel a job", Args: exactArgs("ID"),
+		Long:    "Cancel a job and stop its tasks. A job that has ended does not change.",
 		Example: "  ospreypond jobs cancel 5c0e7a21d94b36f8 --control 127.77.0.11:7380"},
-		func(ctx context.Context, c *connection, system administrator, args []string) error {
-			if err := checkJobName(args[0]); err != nil {
+		func(ctx context.Context, flags *clusterFlags, system administrator, args []string) error {
+			if err := checkJobID(args[0]); err != nil {
 				return err
 			}
 			if err := system.Cancel(ctx, args[0]); err != nil {
@@ -122,29 +124,29 @@
 			if err != nil {
 				return err
 			}
-			return c.print(jobReport{ID: args[0], State: state}, func(w io.Writer) { fmt.Fprintln(w, state) })
+			return flags.print(jobReport{ID: args[0], State: state}, func(w io.Writer) { writef(w, "%s\n", state) })
 		})
 }
 
-func (s *systemCommands) newJobsList() *cobra.Command {
+func (s *clusterCommands) newJobsList() *cobra.Command {
 	var queue string
-	c := &cobra.Command{Use: "list", Short: "List the jobs whose state is kept", Args: needs(),
-		Long: "List the jobs that have not ended, and those that have ended a short time ago. TASKS counts those of the times\n" +
-			"that are under way: done, running, all.",
+	c := &cobra.Command{Use: "list", Short: "List the jobs whose state is retained", Args: exactArgs(),
+		Long: "List the jobs that have not ended, and those that ended a short time ago. TASKS counts the tasks of the repetitions\n" +
+			"under way: done/running/total.",
 		Example: "  ospreypond jobs list --queue demo.local/jobs/ --control 127.77.0.11:7380\n" +
 			"  ospreypond jobs list -o json | jq '.[] | select(.state==\"failed\")'"}
-	s.connect(c, func(ctx context.Context, made *connection, system administrator, _ []string) error {
+	s.onSystem(c, func(ctx context.Context, flags *clusterFlags, system administrator, _ []string) error {
 		jobs, err := system.Jobs(ctx, queue)
 		if err != nil {
 			return err
 		}
-		return made.print(jobViews(jobs), func(w io.Writer) { table(w, jobRows(jobs)) })
+		return flags.print(jobViews(jobs), func(w io.Writer) { printTable(w, jobRows(jobs)) })
 	})
-	c.Flags().StringVar(&queue, "queue", "", "only those of the queue `HOST/PREFIX`")
+	c.Flags().StringVar(&queue, "queue", "", "list only jobs of the queue `HOST/PREFIX`")
 	return c
 }
 
-// jobView is a job in JSON.
+// jobView is a job as 'jobs list' prints it as JSON.
 type jobView struct {
 	ID       string     `json:"id"`
 	Queue    string     `json:"queue"`
--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -20,7 +20,7 @@
 // settingsVariable names the settings file of a process of the cluster scheduler.
 const settingsVariable = "OSPREYPOND_SETTINGS"
 
-// roleMain is a role's main function: it serves until the context ends.
+// roleMain is a role's main function: it serves until ctx ends, then stops gracefully and returns nil.
 type roleMain func(ctx context.Context, settings *boot.Settings, logger log.Logger) error
 
 func newRoles(std Streams, getenv func(string) string) []*cobra.Command {
@@ -31,7 +31,7 @@
 	}
 }
 
-// newControl is the command of a control process, which may tell its metrics.
+// newControl returns the command of a control process, the only role that serves metrics.
 func newControl(std Streams, getenv func(string) string) *cobra.Command {
 	var port int
 	run := func(ctx context.Context, settings *boot.Settings, logger log.Logger) error {
@@ -39,36 +39,38 @@
 		return control.Run(ctx, settings, logger)
 	}
 	c := newRole(std, getenv, "control", "Run a control process of the cluster scheduler", run)
-	c.Flags().IntVar(&port, "metrics-port", 0, "`port` of this machine where metrics are told, in the text format of Prometheus; 0: nowhere")
+	c.Flags().IntVar(&port, "metrics-port", 0, "`port` on which to serve metrics, in Prometheus's text format; 0: none")
 	return c
 }
 
+// newRole returns the command of a role. Its name is the role's.
 func newRole(std Streams, getenv func(string) string, use, short string, run roleMain) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		Long: short + ", in the foreground, with the settings file that " + settingsVariable + " names.\n" +
-			"SIGTERM ends it in order.",
+			"SIGTERM stops it gracefully.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			logger := newRoleLog(std.Err)
-			seeds.Hangups() // a SIGHUP that comes while the role is being set up must not end it
+			seeds.Hangups() // a SIGHUP during the start must not end the process
 			settings, err := boot.Load(getenv(settingsVariable))
 			if err == nil {
 				err = settings.CheckRole(use)
 			}
 			if err != nil {
-				level.Error(logger).Log("msg", "the settings cannot be used", "err", err)
-				return errSaid
+				_ = level.Error(logger).Log("msg", "the settings cannot be used", "err", err)
+				return errReported
 			}
 			settings.Limits.Apply()
 			ctx, stop := Interruptible(c.Context())
 			defer stop()
 			if err := run(ctx, settings, logger); err != nil {
-				level.Error(logger).Log("msg", "the role cannot go on", "role", use, "err", err)
-				return errSaid
+				_ = level.Error(logger).Log("msg", "the role cannot go on", "role", use, "err", err)
+				return errReported
 			}
 			return nil
 		}}
 }
 
+// newRoleLog returns the logger of a role: logfmt, from level info.
 func newRoleLog(w io.Writer) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	logger = level.NewFilter(logger, level.AllowInfo())
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -12,7 +12,7 @@
 	"ospreypond/internal/store"
 )
 
-// Defaults for recorded traffic.
+// Defaults of the flags for recorded traffic.
 const (
 	keepAge   = 7 * 24 * time.Hour
 	keepBytes = 1 << 30
@@ -22,7 +22,7 @@
 	opt := app.Options{Keep: store.Retention{Age: keepAge, Bytes: keepBytes}}
 	c := &cobra.Command{Use: "serve", Short: "Run one dispatcher", Args: cobra.NoArgs,
 		Long: "Run one dispatcher in the foreground, configured by the file that LB_CONFIG names.\n" +
-			"SIGHUP has it read that file again; SIGTERM ends it in order.",
+			"SIGHUP makes it read that file again; SIGTERM stops it gracefully.",
 		RunE: func(*cobra.Command, []string) error {
 			log := newLog(std.Err)
 			if err := app.Serve(opt, getenv, log); err != nil {
@@ -34,14 +34,14 @@
 					err = fmt.Errorf("%d faults in the settings file", len(faults))
 				}
 				log.WithError(err).Error("ospreypond cannot go on")
-				return errSaid
+				return errReported
 			}
 			return nil
 		}}
 	f := c.Flags()
-	f.StringVar(&opt.Record, "record", "", "record what each request was and how it ended in the store in this `folder`")
+	f.StringVar(&opt.Record, "record", "", "record each request and its outcome in the store in this `folder`")
 	f.DurationVar(&opt.Keep.Age, "record-keep", opt.Keep.Age, "drop recorded traffic older than this")
 	f.StringVar(&opt.Fleet, "fleet", "", "take part in a fleet as the settings `file` says")
-	f.Int64Var(&opt.Keep.Bytes, "record-bytes", opt.Keep.Bytes, "drop the oldest recorded traffic over this many bytes")
+	f.Int64Var(&opt.Keep.Bytes, "record-bytes", opt.Keep.Bytes, "drop the oldest recorded traffic beyond this many bytes")
 	return c
 }
--- a/internal/cli/traffic.go
+++ b/internal/cli/traffic.go
@@ -12,17 +12,17 @@
 )
 
 func newTraffic(std Streams) *cobra.Command {
-	return group("traffic", "Look at recorded traffic", newTrafficExport(std))
+	return commandGroup("traffic", "Export recorded traffic", newTrafficExport(std))
 }
 
 func newTrafficExport(std Streams) *cobra.Command {
 	var format, from, to string
 	c := &cobra.Command{Use: "export DIR", Short: "Print recorded traffic as CSV or JSON lines", Args: cobra.ExactArgs(1),
 		Long: "Print the requests that 'serve --record DIR' recorded, in the order of their arrival, while no dispatcher records\n" +
-			"there. In CSV a request's attempts are one field, hops: target;sent_us;took_us;outcome, set apart by spaces.",
+			"there. In CSV a request's attempts are one field, hops: target;sent_us;took_us;outcome, separated by spaces.",
 		RunE: func(c *cobra.Command, args []string) error {
 			if !slices.Contains(traffic.Formats, traffic.Format(format)) {
-				return usageError{fmt.Errorf("--format: %q is none of %v", format, traffic.Formats)}
+				return usageError{fmt.Errorf("--format: %q is not one of %v", format, traffic.Formats)}
 			}
 			var times [2]time.Time
 			for i, f := range []struct{ name, text string }{{"from", from}, {"to", to}} {
@@ -31,7 +31,7 @@
 				}
 				var err error
 				if times[i], err = time.Parse(time.RFC3339Nano, f.text); err != nil {
-					return usageError{fmt.Errorf("--%s: %q is no time like 2026-12-01T08:00:00Z", f.name, f.text)}
+					return usageError{fmt.Errorf("--%s: %q is not a time like 2026-12-01T08:00:00Z", f.name, f.text)}
 				}
 			}
 			ctx, stop := Interruptible(c.Context())
@@ -43,7 +43,7 @@
 			return out.Flush()
 		}}
 	c.Flags().StringVar(&format, "format", string(traffic.CSV), "csv or jsonl")
-	c.Flags().StringVar(&from, "from", "", "only what arrived at this `time` (RFC 3339) or later")
-	c.Flags().StringVar(&to, "to", "", "only what arrived before this `time`")
+	c.Flags().StringVar(&from, "from", "", "export only requests that arrived at this `time` (RFC 3339) or later")
+	c.Flags().StringVar(&to, "to", "", "export only requests that arrived before this `time`")
 	return c
 }
--- a/internal/cluster/localcluster/command/command.go
+++ b/internal/cluster/localcluster/command/command.go
@@ -41,7 +41,7 @@
 
 func run(c *cobra.Command, options localcluster.Options) error {
 	if options.Dir == "" {
-		return cli.UsageFault(errors.New("--dir is missing"))
+		return cli.UsageError(errors.New("--dir is missing"))
 	}
 	if options.Program == "" {
 		own, err := os.Executable()
