--- a/internal/cluster/localcluster/attributes_other.go
+++ b/internal/cluster/localcluster/attributes_other.go
@@ -1,8 +1,9 @@
 //go:build unix && !linux
 
-package local
+package localcluster
 
 import "syscall"
 
-// attributes of a process: a group of its own, so that a terminal's Ctrl-C reaches only this process.
-func attributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
+// processAttributes returns the attributes of a process: a process group of its own, so that a terminal's Ctrl-C reaches
+// only this process, which stops the others in order.
+func processAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/cluster/localcluster/command/command.go
+++ b/internal/cluster/localcluster/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of a small system on one machine. It is no command of ospreypond: where that runs, no
-// program may be able to start others.
+// Package command is the command line of the program localcluster, which runs a small system on one machine. It is not a
+// command of ospreypond, because that program must not be able to start others.
 package command
 
 import (
@@ -16,7 +16,7 @@
 // processProgram is the file name of the program that all processes of a system run.
 const processProgram = "ospreypond"
 
-// Main runs the command with these arguments, without the program's name, and returns the process' exit code.
+// Main runs the command with args, which don't include the program's name, and returns the exit status.
 func Main(args []string, std cli.Streams) int {
 	return cli.Execute(newRoot(std), args, std)
 }
@@ -24,21 +24,22 @@
 func newRoot(std cli.Streams) *cobra.Command {
 	options := localcluster.Options{Out: std.Out}
 	c := &cobra.Command{Use: "localcluster", Short: "Run a small system on this machine", Args: cobra.NoArgs,
-		Long: "Run three control processes, two frontends, and two agents with stand-in runners on addresses of loopback, in the\n" +
-			"foreground; Ctrl-C ends all in order. The folder keeps settings, logs and data: started again with it, the system\n" +
-			"goes on from there. The queue demo.local/jobs/ is there from the start; a task's \"spec\" tells the stand-in runners\n" +
-			"what to do: \"sleep 2s\", \"fail 1s\", or \"last\" until it is stopped.",
+		Long: "Run three control processes, two frontends, and two agents with stand-in runners at loopback addresses, in the\n" +
+			"foreground; Ctrl-C stops all of them in order. The folder keeps settings, logs and data: a system that is started in\n" +
+			"it again goes on from there. A new system has the queue demo.local/jobs/. A task's \"spec\" says what the stand-in\n" +
+			"runners do: \"sleep 2s\", \"fail 1s\", or \"last\" until it is stopped.",
 		Example: "  localcluster --dir /tmp/osprey\n" +
 			"  localcluster --dir /tmp/other --network 127.78.0\n" +
 			"  localcluster --dir /tmp/again --restore monday.backup"}
 	c.RunE = func(c *cobra.Command, _ []string) error { return run(c, options) }
 	c.Flags().StringVar(&options.Dir, "dir", "", "`folder` for settings, logs and data")
-	c.Flags().StringVar(&options.Network, "network", localcluster.StandardNetwork, "first three `numbers` of the machines' addresses")
+	c.Flags().StringVar(&options.Network, "network", localcluster.DefaultNetwork, "first three `numbers` of the machines' addresses")
 	c.Flags().StringVar(&options.Restore, "restore", "", "start from this backup `file`, in a new folder")
-	c.Flags().StringVar(&options.Program, "program", "", "`file` of "+processProgram+"; else the one beside this program")
+	c.Flags().StringVar(&options.Program, "program", "", "`file` of "+processProgram+"; default: the one beside this program")
 	return c
 }
 
+// run completes the options and runs the system until an interrupt.
 func run(c *cobra.Command, options localcluster.Options) error {
 	if options.Dir == "" {
 		return cli.UsageError(errors.New("--dir is missing"))
--- a/internal/cluster/localcluster/command/command_test.go
+++ b/internal/cluster/localcluster/command/command_test.go
@@ -15,32 +15,32 @@
 
 func TestCommand(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "command of the local system")
+	RunSpecs(t, "command of localcluster")
 }
 
-// command runs a line and returns its exit code and what it printed.
-func command(line string) (status int, out, err string) {
+// command runs a command line, and returns its exit status and output.
+func command(commandLine string) (status int, out, err string) {
 	var stdout, stderr bytes.Buffer
-	status = Main(strings.Fields(line), cli.Streams{In: strings.NewReader(""), Out: &stdout, Err: &stderr})
+	status = Main(strings.Fields(commandLine), cli.Streams{In: strings.NewReader(""), Out: &stdout, Err: &stderr})
 	return status, stdout.String(), stderr.String()
 }
 
-var _ = DescribeTable("faults end with an exit code of their kind, and make nothing",
-	func(line string, expected int, said string) {
+var _ = DescribeTable("invalid command lines and failures have an exit status of their own, and create nothing",
+	func(commandLine string, expected int, said string) {
 		parent := GinkgoT().TempDir()
 		// DIR stands for a folder that does not exist, PROGRAM for a file that can be run.
 		placeholders := strings.NewReplacer("DIR", filepath.Join(parent, "system"), "PROGRAM", os.Args[0])
-		status, _, err := command(placeholders.Replace(line))
+		status, _, err := command(placeholders.Replace(commandLine))
 		Expect(status).To(Equal(expected), err)
 		Expect(err).To(ContainSubstring(said))
 		Expect(filepath.Glob(filepath.Join(parent, "*"))).To(BeEmpty())
 	},
-	Entry("no folder", "", 2, "localcluster: --dir is missing\nSee 'localcluster --help'."),
+	Entry("a missing --dir", "", 2, "localcluster: --dir is missing\nSee 'localcluster --help'."),
 	Entry("an argument too many", "now --dir DIR", 2, `unknown command "now"`),
 	Entry("an unknown flag", "--dir DIR --why", 2, "unknown flag: --why"),
 	Entry("a network that is not loopback", "--dir DIR --network 10.0.0", 1, `network "10.0.0" is not of the form 127.N.N`),
-	Entry("a program that is not there", "--dir DIR --program DIR/none", 1, "the program of the processes: "),
-	Entry("a backup that is not there", "--dir DIR --program PROGRAM --restore DIR/none", 1, "no such file or directory"),
+	Entry("a missing program", "--dir DIR --program DIR/none", 1, "the program of the processes: "),
+	Entry("a missing backup", "--dir DIR --program PROGRAM --restore DIR/none", 1, "no such file or directory"),
 )
 
 var _ = It("shows help with examples", func() {
--- a/internal/cluster/localcluster/demonstration.go
+++ b/internal/cluster/localcluster/first_configuration.go
@@ -1,13 +1,13 @@
 package localcluster
 
-// Host and Prefix name the queue that a new local system has.
+// Host and Prefix name the queue for jobs that a new local system has.
 const (
 	Host   = "demo.local"
 	Prefix = "/jobs/"
 )
 
-// demonstration is the first configuration of a local system.
-const demonstration = `{
+// firstConfiguration is the configuration of a new local system.
+const firstConfiguration = `{
   "version": 1,
   "routes": [
     {
--- /dev/null
+++ b/internal/cluster/localcluster/folder.go
@@ -0,0 +1,104 @@
+package localcluster
+
+import (
+	"context"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+
+	"github.com/pkg/errors"
+
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/store/vfs"
+)
+
+// lockName is the file that is locked while a local system runs in its folder.
+const lockName = "lock"
+
+// checkOptions checks the options and completes the System by them. It changes nothing on disk.
+func (s *System) checkOptions() error {
+	dir, err := filepath.Abs(s.options.Dir)
+	if err != nil {
+		return err
+	}
+	s.options.Dir = dir
+	if info, err := os.Stat(dir); err == nil && !info.IsDir() {
+		return errors.Errorf("%s is not a folder", dir)
+	}
+	if s.machines, err = newMachines(dir, s.options.Network); err != nil {
+		return err
+	}
+	if _, err := exec.LookPath(s.options.Program); err != nil {
+		return errors.Wrap(err, "the program of the processes")
+	}
+	if s.options.Restore != "" {
+		s.backup, err = archive.Read(s.options.Restore)
+	}
+	return err
+}
+
+// prepare writes the settings of all processes and, if there is one, the backup.
+func (s *System) prepare(ctx context.Context) error {
+	first := s.isFirst()
+	if !first {
+		if err := s.checkNetwork(); err != nil {
+			return err
+		}
+	}
+	if err := checkAddressesFree(ctx, s.machines); err != nil {
+		return err
+	}
+	if s.backup != nil {
+		if !first {
+			return errors.Errorf("folder %s already contains a system; a backup is restored into a new folder", s.options.Dir)
+		}
+		first = false
+	}
+	for _, m := range s.machines {
+		if err := m.writeSettings(s.machines, first); err != nil {
+			return err
+		}
+	}
+	if s.backup != nil {
+		return s.restore()
+	}
+	return nil
+}
+
+// lock takes the lock that keeps a second local system out of the folder, until it is closed.
+func (s *System) lock() (io.Closer, error) {
+	lock, err := vfs.OS{}.Lock(filepath.Join(s.options.Dir, lockName))
+	if errors.Is(err, vfs.ErrLocked) {
+		return nil, errors.Errorf("a local system already runs in %s", s.options.Dir)
+	}
+	return lock, err
+}
+
+// checkNetwork returns an error if the system in the folder has other addresses. Its members know each other by them, so they
+// must not change.
+func (s *System) checkNetwork() error {
+	m := withRole(s.machines, boot.RoleControl)[0]
+	settings, err := boot.Load(m.settingsPath())
+	if err == nil && settings.IP != m.ip {
+		return errors.Errorf("folder %s contains a system with %s at %s; use its --network", s.options.Dir, m.name, settings.IP)
+	}
+	return nil
+}
+
+// isFirst reports whether no control process has run in the folder yet.
+func (s *System) isFirst() bool {
+	for _, m := range withRole(s.machines, boot.RoleControl) {
+		if entries, err := os.ReadDir(m.dataDir()); err == nil && len(entries) > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// restore writes the backup into the first control process's folder; the others join it with empty ones.
+func (s *System) restore() error {
+	m := withRole(s.machines, boot.RoleControl)[0]
+	return s.backup.Restore(m.dataDir(), archive.Process{Node: m.name, Zone: m.zone, Address: m.address(internalPort)})
+}
--- a/internal/cluster/localcluster/machines.go
+++ b/internal/cluster/localcluster/machines.go
@@ -1,8 +1,12 @@
-// Package local runs a small system on this machine, over loopback: three control processes, two frontends, and two
-// agents with stand-in runners. The processes are real ones of this program; only the runners live in this process.
+// Package localcluster runs a small system on this machine, for trying it out: three control processes, two frontends and
+// two agents, each at a loopback address of its own as if on a machine of its own, with stand-in runners. The processes
+// are those of a real system, with settings files, logs and data in one folder; only the runners are in this process.
+//
+// Run is all there is to call. One system runs in a folder at a time.
 package localcluster
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -26,18 +30,18 @@
 	lastPort      = 7395
 )
 
-// Service is the name of the service of the stand-in runners.
+// Service is the service of the stand-in runners.
 const Service = "demo"
 
-// graceSeconds is short: nobody but the user sends clients to the frontends.
+// graceSeconds is short: no load balancer has to notice first that a frontend stops.
 const graceSeconds = 2
 
-// region is where all zones are.
+// region is the region of all zones.
 const region = "local"
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// machine is one address of this machine that stands for a machine of its own.
+// machine is one loopback address, which stands for a machine with one process.
 type machine struct {
 	name   string
 	role   string // command of the process
@@ -48,15 +52,16 @@
 	dir    string
 }
 
-// machinesOf lays the machines out in a network of loopback, given by its first three numbers.
-func machinesOf(dir, network string) ([]*machine, error) {
+// newMachines returns the machines of a system in a folder, at addresses of a loopback network given by its first three
+// numbers.
+func newMachines(dir, network string) ([]*machine, error) {
 	plan := []struct {
 		role, class, serves string
 		count, firstHost    int
 	}{
-		{"control", "core", boot.ServesControl, 3, 11},
-		{"frontend", "frontend", boot.ServesFrontend, 2, 21},
-		{"agent", "side", boot.ServesSide, 2, 31},
+		{boot.RoleControl, "core", boot.ServesControl, 3, 11},
+		{boot.RoleFrontend, "frontend", boot.ServesFrontend, 2, 21},
+		{boot.RoleAgent, "side", boot.ServesSide, 2, 31},
 	}
 	var machines []*machine
 	for _, part := range plan {
@@ -76,7 +81,8 @@
 	return machines, nil
 }
 
-func ofRole(machines []*machine, role string) []*machine {
+// withRole returns the machines of a role.
+func withRole(machines []*machine, role string) []*machine {
 	var found []*machine
 	for _, m := range machines {
 		if m.role == role {
@@ -92,7 +98,7 @@
 func (m *machine) logPath() string      { return filepath.Join(m.dir, "log") }
 func (m *machine) dataDir() string      { return filepath.Join(m.dir, "data") }
 
-// listens are the addresses that the machine's process serves at, by the settings' keys.
+// listens returns the addresses at which the machine's process serves, by the keys of the settings.
 func (m *machine) listens() map[string]string {
 	if m.serves == boot.ServesFrontend {
 		return map[string]string{
@@ -102,7 +108,7 @@
 	return map[string]string{boot.ListenControl: m.address(controlPort)}
 }
 
-// settingsFile is what a process's settings file says; docs/settings.md has the keys.
+// settingsFile is the settings file of a process; docs/settings.md describes the keys.
 type settingsFile struct {
 	NodeName            string            `json:"nodeName"`
 	Role                string            `json:"role"`
@@ -126,17 +132,17 @@
 	Service             string            `json:"service,omitempty"` // of agents: the runner's service
 }
 
-// tolerance is what may be lost at once.
+// tolerance says what may fail at the same time.
 type tolerance struct {
 	Machines int `json:"machines"`
 }
 
-// bounds are the times of a settings file that differ from the standard ones.
+// bounds are the times that differ from their defaults.
 type bounds struct {
 	GraceS int `json:"graceS"`
 }
 
-// limits are what a process may use.
+// limits are the resources that a process may use.
 type limits struct {
 	MemoryMB        int `json:"memoryMb"`
 	FileDescriptors int `json:"fileDescriptors"`
@@ -149,7 +155,7 @@
 		return err
 	}
 	var seeds []string
-	for _, control := range ofRole(machines, "control") {
+	for _, control := range withRole(machines, boot.RoleControl) {
 		seeds = append(seeds, control.address(controlPort))
 	}
 	settings := settingsFile{
@@ -164,17 +170,17 @@
 		InternalPorts:       [2]int{internalPort, lastPort},
 		Seeds:               seeds,
 		Bootstrap:           bootstrap,
-		CountsForQuorum:     m.role == "control",
+		CountsForQuorum:     m.role == boot.RoleControl,
 		HeartbeatIntervalMs: 1500,
 		Commands:            boot.CommandsHeartbeat,
 		FaultTolerance:      tolerance{Machines: 1},
 		Bounds:              bounds{GraceS: graceSeconds},
 		Limits:              limits{MemoryMB: 280, FileDescriptors: 4096, DiskMB: 128},
 	}
-	if m.role == "control" {
+	if m.role == boot.RoleControl {
 		settings.DataDir = m.dataDir()
 	}
-	if m.role == "agent" {
+	if m.role == boot.RoleAgent {
 		settings.App = m.address(runnerPort)
 		settings.Service = Service
 	}
@@ -185,15 +191,16 @@
 	return os.WriteFile(m.settingsPath(), append(data, '\n'), 0o600)
 }
 
-// checkFree tells if an address of a machine cannot be listened at.
-func checkFree(machines []*machine) error {
+// checkAddressesFree returns an error if an address at which a machine's process listens is in use.
+func checkAddressesFree(ctx context.Context, machines []*machine) error {
+	var config net.ListenConfig
 	for _, m := range machines {
 		ports := []int{internalPort, controlPort}
-		if m.role == "frontend" {
+		if m.role == boot.RoleFrontend {
 			ports = []int{frontendPort, readinessPort}
 		}
 		for _, port := range ports {
-			listener, err := net.Listen("tcp", m.address(port))
+			listener, err := config.Listen(ctx, "tcp", m.address(port))
 			if err != nil {
 				return errors.Wrap(err, "is another local system running? Use another --network")
 			}
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -1,7 +1,10 @@
-// Package runner is a stand-in for a runner: it keeps to the protocol of heartbeats, and instead of working it waits.
-// What a task does is said by its job's `spec`: "sleep 2s" takes two seconds, "fail 1s" fails after one, "last" goes on
-// until it is stopped; anything else takes a moment. It takes no checkpoints, and a gang's members do not wait for each
+// Package runner is a stand-in for a runner: it follows the protocol of heartbeats, and waits instead of working. A job's
+// `spec` says what its tasks do: "sleep 2s" takes two seconds, "fail 1s" fails after one, "last" goes on until it is
+// stopped; anything else takes defaultDuration. It saves no checkpoints, and the members of a gang do not wait for each
 // other.
+//
+// Core has the decisions, without clock or I/O; Runner drives it and talks to the agent. Neither is safe for concurrent
+// use.
 package runner
 
 import (
@@ -13,13 +16,13 @@
 )
 
 const (
-	momentTime   = 300 * time.Millisecond // of a task whose spec says nothing known
-	afterAnEnd   = 50 * time.Millisecond  // from an end to the next heartbeat
-	mostFinished = 500                    // ends in one heartbeat
-	longestTask  = time.Hour
+	defaultDuration = 300 * time.Millisecond // of a task whose spec names none
+	endReportDelay  = 50 * time.Millisecond  // from the end of a run to the next heartbeat, at most
+	maxFinished     = 500                    // ended runs in one heartbeat
+	maxDuration     = time.Hour
 )
 
-// Options describe a runner.
+// Options describe a runner, as its heartbeats report it.
 type Options struct {
 	Instance string // new in each incarnation
 	Service  string
@@ -27,47 +30,47 @@
 	Zone     string
 	Capacity protocol.Resources
 	Labels   []string
-	Interval time.Duration // between heartbeats, unless it is told otherwise
-	MaxLease time.Duration // longest hold that it grants
+	Interval time.Duration // between heartbeats, unless a response says otherwise
+	MaxLease time.Duration // longest lease that it accepts
 }
 
-// Core is the runner's state, without clock or links. Times are those of its steady clock.
+// Core is the state of a runner. Times are those of its monotonic clock.
 type Core struct {
-	options   Options
-	sequence  uint64
-	fence     uint64
-	heldUntil time.Duration
-	draining  bool
-	active    []*run
-	finished  []protocol.FinishedRun
-	counter   uint64
-	barred    map[string]uint64 // by task: highest run that was stopped or has ended
-	nextBeat  time.Duration
+	options       Options
+	sequence      uint64
+	fence         uint64
+	leaseExpiry   time.Duration
+	draining      bool
+	active        []*run
+	finished      []protocol.FinishedRun
+	lastNumber    uint64
+	endedRuns     map[string]uint64 // by task: the highest run that was stopped or has ended
+	nextHeartbeat time.Duration
 }
 
-// run is something that runs.
+// run is a run of a task that has not ended.
 type run struct {
-	task   string
-	number uint64
-	began  time.Duration
-	took   time.Duration // when it ends by itself; 0: never
-	how    string        // and how
+	task      string
+	number    uint64
+	startedAt time.Duration
+	duration  time.Duration // until it ends by itself; 0: never
+	ending    string        // how it ends by itself
 }
 
-// New returns a runner that has not sent a heartbeat yet.
-func New(options Options) *Core { return &Core{options: options, barred: map[string]uint64{}} }
+// NewCore returns the state of a runner that has not sent a heartbeat yet.
+func NewCore(options Options) *Core { return &Core{options: options, endedRuns: map[string]uint64{}} }
 
-// Drain makes the runner say that it leaves.
+// Drain makes the runner report that it is draining.
 func (c *Core) Drain() { c.draining = true }
 
-// Busy tells whether anything runs.
+// Busy reports whether there are runs.
 func (c *Core) Busy() bool { return len(c.active) > 0 }
 
 // Report returns the heartbeat to send now.
 func (c *Core) Report(now time.Duration) *protocol.Heartbeat {
 	c.Advance(now)
 	c.sequence++
-	beat := &protocol.Heartbeat{
+	heartbeat := &protocol.Heartbeat{
 		Instance: c.options.Instance,
 		Service:  c.options.Service,
 		Address:  c.options.Address,
@@ -79,42 +82,44 @@
 		Labels:   c.options.Labels,
 		ClockMs:  now.Milliseconds(),
 		Sequence: c.sequence,
-		Finished: slices.Clone(c.finished[:min(len(c.finished), mostFinished)]),
+		Finished: slices.Clone(c.finished[:min(len(c.finished), maxFinished)]),
 	}
 	if c.draining {
-		beat.State = protocol.Draining
+		heartbeat.State = protocol.Draining
 	}
 	for _, r := range c.active {
-		beat.Active = append(beat.Active, protocol.ActiveRun{Task: r.task, Run: r.number, Percent: r.percent(now)})
+		heartbeat.Active = append(heartbeat.Active, protocol.ActiveRun{Task: r.task, Run: r.number, Percent: r.percent(now)})
 	}
-	return beat
+	return heartbeat
 }
 
+// percent returns the progress of a run, below 100 until it has ended.
 func (r *run) percent(now time.Duration) float64 {
-	if r.took <= 0 {
+	if r.duration <= 0 {
 		return 0
 	}
-	return min(100*float64(now-r.began)/float64(r.took), 99)
+	return min(100*float64(now-r.startedAt)/float64(r.duration), 99)
 }
 
-// Advance ends what is over: tasks by themselves, and all of them when the hold is.
+// Advance ends the runs whose time has come: those that end by themselves, and all of them when the lease expires.
 func (c *Core) Advance(now time.Duration) {
 	for _, r := range slices.Clone(c.active) {
 		switch {
-		case r.took > 0 && r.began+r.took <= min(now, c.heldUntil):
-			c.end(now, r, r.how)
-		case now >= c.heldUntil:
+		case r.duration > 0 && r.startedAt+r.duration <= min(now, c.leaseExpiry):
+			c.end(now, r, r.ending)
+		case now >= c.leaseExpiry:
 			c.end(now, r, protocol.EndLapsed)
 		}
 	}
 }
 
-// Obey carries out the answer to a heartbeat that was sent at a time.
-func (c *Core) Obey(now, sent time.Duration, orders *protocol.Orders) {
+// Apply carries out the response to the heartbeat that was sent at sentAt. Orders with a lower fencing token than one seen
+// before are ignored. The lease counts from when the heartbeat was sent, and is never shortened.
+func (c *Core) Apply(now, sentAt time.Duration, orders *protocol.Orders) {
 	c.Advance(now)
-	c.nextBeat = now + c.options.Interval
+	c.nextHeartbeat = now + c.options.Interval
 	if orders.RetryDelayMs > 0 {
-		c.nextBeat = now + time.Duration(orders.RetryDelayMs)*time.Millisecond
+		c.nextHeartbeat = now + time.Duration(orders.RetryDelayMs)*time.Millisecond
 	}
 	if orders.FenceToken < c.fence {
 		return
@@ -122,58 +127,63 @@
 	c.fence = orders.FenceToken
 	c.forget(orders.LastSeen)
 	if orders.HoldMs > 0 {
-		hold := min(time.Duration(orders.HoldMs)*time.Millisecond, c.options.MaxLease)
-		c.heldUntil = max(c.heldUntil, sent+hold)
+		lease := min(time.Duration(orders.HoldMs)*time.Millisecond, c.options.MaxLease)
+		c.leaseExpiry = max(c.leaseExpiry, sentAt+lease)
 	}
 	for _, order := range orders.Stop {
 		c.stop(now, order)
 	}
-	if orders.HoldMs > 0 && now < c.heldUntil {
+	if orders.HoldMs > 0 && now < c.leaseExpiry {
 		for i := range orders.Start {
 			c.start(now, &orders.Start[i])
 		}
 	}
 }
 
-// Missed takes note that a heartbeat was not answered.
-func (c *Core) Missed(now time.Duration, pause time.Duration) { c.nextBeat = now + pause }
+// HeartbeatFailed is called when a heartbeat had no response: the next is due after backoff.
+func (c *Core) HeartbeatFailed(now time.Duration, backoff time.Duration) {
+	c.nextHeartbeat = now + backoff
+}
 
-// NextBeat returns when the next heartbeat is due, and NextEnd when something ends by itself before that.
-func (c *Core) NextBeat() time.Duration { return c.nextBeat }
+// NextHeartbeat returns when the next heartbeat is due.
+func (c *Core) NextHeartbeat() time.Duration { return c.nextHeartbeat }
 
-// NextEnd returns when Advance has something to end; false if nothing runs.
+// NextEnd returns when Advance has to end the next run; false if there are no runs.
 func (c *Core) NextEnd() (time.Duration, bool) {
 	if len(c.active) == 0 {
 		return 0, false
 	}
-	next := c.heldUntil
+	next := c.leaseExpiry
 	for _, r := range c.active {
-		if r.took > 0 {
-			next = min(next, r.began+r.took)
+		if r.duration > 0 {
+			next = min(next, r.startedAt+r.duration)
 		}
 	}
 	return next, true
 }
 
+// forget drops the ended runs that the owner has recorded.
 func (c *Core) forget(lastSeen uint64) {
 	c.finished = slices.DeleteFunc(c.finished, func(end protocol.FinishedRun) bool { return end.N <= lastSeen })
 }
 
+// start starts a run, once; it refuses one that is not above the task's highest ended run.
 func (c *Core) start(now time.Duration, order *protocol.StartOrder) {
 	for _, r := range c.active {
 		if r.task == order.Task && r.number == order.Run {
 			return
 		}
 	}
-	if c.barred[order.Task] >= order.Run {
-		c.list(now, order.Task, order.Run, protocol.EndRefused)
+	if c.endedRuns[order.Task] >= order.Run {
+		c.report(now, order.Task, order.Run, protocol.EndRefused)
 		return
 	}
-	started := &run{task: order.Task, number: order.Run, began: now}
-	started.took, started.how = readSpec(order.Spec)
+	started := &run{task: order.Task, number: order.Run, startedAt: now}
+	started.duration, started.ending = readSpec(order.Spec)
 	c.active = append(c.active, started)
 }
 
+// stop ends a run. One that has not started yet is barred from starting later.
 func (c *Core) stop(now time.Duration, order protocol.StopOrder) {
 	for _, r := range c.active {
 		if r.task == order.Task && r.number == order.Run {
@@ -181,41 +191,43 @@
 			return
 		}
 	}
-	c.barred[order.Task] = max(c.barred[order.Task], order.Run)
+	c.endedRuns[order.Task] = max(c.endedRuns[order.Task], order.Run)
 }
 
+// end removes a run and reports its end.
 func (c *Core) end(now time.Duration, ended *run, how string) {
 	c.active = slices.DeleteFunc(c.active, func(r *run) bool { return r == ended })
-	c.list(now, ended.task, ended.number, how)
+	c.report(now, ended.task, ended.number, how)
 }
 
-func (c *Core) list(now time.Duration, task string, number uint64, how string) {
-	c.counter++
-	c.finished = append(c.finished, protocol.FinishedRun{N: c.counter, Task: task, Run: number, How: how})
-	c.barred[task] = max(c.barred[task], number)
-	c.nextBeat = min(c.nextBeat, now+afterAnEnd)
+// report adds an ended run to the next heartbeats, and has one sent soon.
+func (c *Core) report(now time.Duration, task string, number uint64, how string) {
+	c.lastNumber++
+	c.finished = append(c.finished, protocol.FinishedRun{N: c.lastNumber, Task: task, Run: number, How: how})
+	c.endedRuns[task] = max(c.endedRuns[task], number)
+	c.nextHeartbeat = min(c.nextHeartbeat, now+endReportDelay)
 }
 
-// readSpec tells how long a task takes (0: until it is stopped), and how it ends.
-func readSpec(spec string) (time.Duration, string) {
+// readSpec returns how long a task takes, 0 meaning until it is stopped, and how it ends.
+func readSpec(spec string) (duration time.Duration, ending string) {
 	words := strings.Fields(spec)
 	if len(words) == 0 {
-		return momentTime, protocol.EndDone
+		return defaultDuration, protocol.EndDone
 	}
-	took := momentTime
+	duration = defaultDuration
 	if len(words) > 1 {
-		if given, err := time.ParseDuration(words[1]); err == nil && given > 0 && given <= longestTask {
-			took = given
+		if given, err := time.ParseDuration(words[1]); err == nil && given > 0 && given <= maxDuration {
+			duration = given
 		}
 	}
 	switch words[0] {
 	case "fail":
-		return took, protocol.EndFailed
+		return duration, protocol.EndFailed
 	case "last":
 		return 0, protocol.EndDone
 	case "sleep":
-		return took, protocol.EndDone
+		return duration, protocol.EndDone
 	default:
-		return momentTime, protocol.EndDone
+		return defaultDuration, protocol.EndDone
 	}
 }
--- a/internal/cluster/localcluster/runner/core_test.go
+++ b/internal/cluster/localcluster/runner/core_test.go
@@ -14,27 +14,27 @@
 const second = time.Second
 
 func newCore() *runner.Core {
-	return runner.New(runner.Options{
+	return runner.NewCore(runner.Options{
 		Instance: "i-1", Service: "s", Interval: 1500 * time.Millisecond, MaxLease: 6 * second,
 		Capacity: protocol.Resources{CPU: 1000}, Labels: []string{"k"},
 	})
 }
 
-// started is a core that was told at 1 s to start one run of "t", on a hold.
-func started(spec string, hold time.Duration) *runner.Core {
+// startedCore returns a core that was ordered at 1 s to start one run of "t", with a lease.
+func startedCore(spec string, lease time.Duration) *runner.Core {
 	core := newCore()
 	core.Report(second)
-	core.Obey(second, second, &protocol.Orders{
-		HoldMs: hold.Milliseconds(), FenceToken: 3,
+	core.Apply(second, second, &protocol.Orders{
+		HoldMs: lease.Milliseconds(), FenceToken: 3,
 		Start: []protocol.StartOrder{{Task: "t", Run: 1, Spec: spec}},
 	})
 	return core
 }
 
-// endsOf returns what a report lists as ended, as text.
-func endsOf(beat *protocol.Heartbeat) []string {
+// endsOf returns the ended runs of a heartbeat, as text.
+func endsOf(heartbeat *protocol.Heartbeat) []string {
 	ends := []string{}
-	for _, end := range beat.Finished {
+	for _, end := range heartbeat.Finished {
 		ends = append(ends, fmt.Sprint(end.N, " ", end.Task, " ", end.Run, " ", end.How))
 	}
 	return ends
@@ -42,7 +42,7 @@
 
 var _ = DescribeTable("how a task ends by its spec",
 	func(spec string, at time.Duration, how string) {
-		core := started(spec, 6*second)
+		core := startedCore(spec, 6*second)
 		if how == "" {
 			Expect(core.Report(second + 5*second).Active).To(HaveLen(1))
 			return
@@ -61,7 +61,7 @@
 )
 
 var _ = Describe("a stand-in runner", func() {
-	It("reports who it is, with a rising sequence", func() {
+	It("reports its identity, with a rising sequence", func() {
 		core := newCore()
 		first, next := core.Report(0), core.Report(second)
 		Expect(first.Service).To(Equal("s"))
@@ -71,82 +71,82 @@
 		Expect(core.Report(2 * second).State).To(Equal(protocol.Draining))
 	})
 
-	It("shows how far a task is", func() {
-		core := started("sleep 4s", 6*second)
+	It("reports the progress of a run", func() {
+		core := startedCore("sleep 4s", 6*second)
 		Expect(core.Report(3 * second).Active).To(Equal([]protocol.ActiveRun{{Task: "t", Run: 1, Percent: 50}}))
 	})
 
-	It("kills all when the hold is over, counted from the heartbeat's sending", func() {
+	It("ends all runs when the lease expires, counted from when the heartbeat was sent", func() {
 		core := newCore()
-		core.Obey(second, 500*time.Millisecond, &protocol.Orders{HoldMs: 1000,
+		core.Apply(second, 500*time.Millisecond, &protocol.Orders{HoldMs: 1000,
 			Start: []protocol.StartOrder{{Task: "t", Run: 1, Spec: "last"}}})
 		Expect(core.Report(1499 * time.Millisecond).Active).To(HaveLen(1))
 		Expect(endsOf(core.Report(1500 * time.Millisecond))).To(Equal([]string{"1 t 1 lapsed"}))
 	})
 
-	It("takes no hold that is longer than its longest, and none that is shorter than what it has", func() {
-		core := started("last", time.Hour)
-		core.Obey(second, second, &protocol.Orders{HoldMs: 1, FenceToken: 3})
+	It("accepts no lease above its maximum, and none that ends earlier than the current one", func() {
+		core := startedCore("last", time.Hour)
+		core.Apply(second, second, &protocol.Orders{HoldMs: 1, FenceToken: 3})
 		Expect(core.Report(6900 * time.Millisecond).Active).To(HaveLen(1))
 		Expect(core.Report(7 * second).Active).To(BeEmpty())
 	})
 
-	It("starts nothing without a hold", func() {
+	It("starts nothing without a lease", func() {
 		core := newCore()
-		core.Obey(second, second, &protocol.Orders{Start: []protocol.StartOrder{{Task: "t", Run: 1}}})
+		core.Apply(second, second, &protocol.Orders{Start: []protocol.StartOrder{{Task: "t", Run: 1}}})
 		Expect(core.Busy()).To(BeFalse())
-		core.Obey(9*second, second, &protocol.Orders{HoldMs: 1000, Start: []protocol.StartOrder{{Task: "t", Run: 1}}})
+		core.Apply(9*second, second, &protocol.Orders{HoldMs: 1000, Start: []protocol.StartOrder{{Task: "t", Run: 1}}})
 		Expect(core.Busy()).To(BeFalse())
 	})
 
-	It("obeys no lower fence token", func() {
-		core := started("last", 6*second)
-		core.Obey(2*second, 2*second, &protocol.Orders{FenceToken: 2, HoldMs: 6000, Stop: []protocol.StopOrder{{Task: "t", Run: 1}}})
+	It("ignores orders with a lower fencing token", func() {
+		core := startedCore("last", 6*second)
+		core.Apply(2*second, 2*second, &protocol.Orders{FenceToken: 2, HoldMs: 6000, Stop: []protocol.StopOrder{{Task: "t", Run: 1}}})
 		Expect(core.Report(2 * second).Active).To(HaveLen(1))
-		core.Obey(2*second, 2*second, &protocol.Orders{FenceToken: 4, Stop: []protocol.StopOrder{{Task: "t", Run: 1}}})
+		core.Apply(2*second, 2*second, &protocol.Orders{FenceToken: 4, Stop: []protocol.StopOrder{{Task: "t", Run: 1}}})
 		Expect(endsOf(core.Report(2 * second))).To(Equal([]string{"1 t 1 stopped"}))
 	})
 
-	It("starts a run once, and refuses one not above what was stopped or has ended", func() {
-		core := started("sleep 1s", 6*second)
-		again := &protocol.Orders{HoldMs: 6000, FenceToken: 3, Start: []protocol.StartOrder{{Task: "t", Run: 1}}}
-		core.Obey(second, second, again)
+	It("starts a run once, and refuses one that is not above a stopped or ended one", func() {
+		core := startedCore("sleep 1s", 6*second)
+		repeated := &protocol.Orders{HoldMs: 6000, FenceToken: 3, Start: []protocol.StartOrder{{Task: "t", Run: 1}}}
+		core.Apply(second, second, repeated)
 		Expect(core.Report(1500 * time.Millisecond).Active).To(HaveLen(1))
 		Expect(core.Report(2 * second).Finished).To(HaveLen(1))
-		core.Obey(2*second, 2*second, again)
+		core.Apply(2*second, 2*second, repeated)
 		Expect(endsOf(core.Report(2 * second))).To(Equal([]string{"1 t 1 done", "2 t 1 refused"}))
-		core.Obey(3*second, 3*second, &protocol.Orders{HoldMs: 6000, FenceToken: 3,
+		core.Apply(3*second, 3*second, &protocol.Orders{HoldMs: 6000, FenceToken: 3,
 			Stop:  []protocol.StopOrder{{Task: "u", Run: 4}},
 			Start: []protocol.StartOrder{{Task: "u", Run: 4}, {Task: "u", Run: 5}}})
 		Expect(core.Report(3 * second).Active).To(ConsistOf(HaveField("Run", uint64(5))))
 	})
 
-	It("forgets ends that were seen, and lists the others again, 500 at once", func() {
+	It("drops ended runs that were recorded, and reports the others again, 500 at a time", func() {
 		core := newCore()
 		orders := &protocol.Orders{HoldMs: 6000}
 		for i := range 600 {
 			orders.Start = append(orders.Start, protocol.StartOrder{Task: fmt.Sprint("t", i), Run: 1, Spec: "sleep 1s"})
 		}
-		core.Obey(second, second, orders)
+		core.Apply(second, second, orders)
 		Expect(core.Report(2 * second).Finished).To(HaveLen(500))
-		core.Obey(2*second, 2*second, &protocol.Orders{LastSeen: 450})
-		left := core.Report(2 * second).Finished
-		Expect(left).To(HaveLen(150))
-		Expect(left[0].N).To(Equal(uint64(451)))
+		core.Apply(2*second, 2*second, &protocol.Orders{LastSeen: 450})
+		remaining := core.Report(2 * second).Finished
+		Expect(remaining).To(HaveLen(150))
+		Expect(remaining[0].N).To(Equal(uint64(451)))
 	})
 
-	It("sends the next heartbeat when it is told to, and soon after an end", func() {
+	It("sends the next heartbeat when ordered to, and soon after a run has ended", func() {
 		core := newCore()
-		core.Obey(second, second, &protocol.Orders{})
-		Expect(core.NextBeat()).To(Equal(2500 * time.Millisecond))
-		core = started("sleep 1s", 6*second)
-		core.Obey(second, second, &protocol.Orders{RetryDelayMs: 5000, FenceToken: 3})
-		end, any := core.NextEnd()
-		Expect(any).To(BeTrue())
+		core.Apply(second, second, &protocol.Orders{})
+		Expect(core.NextHeartbeat()).To(Equal(2500 * time.Millisecond))
+		core = startedCore("sleep 1s", 6*second)
+		core.Apply(second, second, &protocol.Orders{RetryDelayMs: 5000, FenceToken: 3})
+		end, ok := core.NextEnd()
+		Expect(ok).To(BeTrue())
 		Expect(end).To(Equal(2 * second))
 		core.Advance(2 * second)
-		Expect(core.NextBeat()).To(Equal(2050 * time.Millisecond))
-		core.Missed(3*second, 200*time.Millisecond)
-		Expect(core.NextBeat()).To(Equal(3200 * time.Millisecond))
+		Expect(core.NextHeartbeat()).To(Equal(2050 * time.Millisecond))
+		core.HeartbeatFailed(3*second, 200*time.Millisecond)
+		Expect(core.NextHeartbeat()).To(Equal(3200 * time.Millisecond))
 	})
 })
--- a/internal/cluster/localcluster/runner/runner.go
+++ b/internal/cluster/localcluster/runner/runner.go
@@ -15,72 +15,73 @@
 )
 
 const (
-	answerTime  = time.Second            // an answer that comes later is dropped
-	retryPause  = 200 * time.Millisecond // after a heartbeat that was not answered
-	drainTime   = 1500 * time.Millisecond
-	mostAnswer  = 4 << 20
-	contentJSON = "application/json"
+	responseTimeout  = time.Second            // a response that takes longer is dropped
+	retryBackoff     = 200 * time.Millisecond // after a heartbeat without a response
+	drainTimeout     = 1500 * time.Millisecond
+	maxResponseBytes = 4 << 20
+	contentJSON      = "application/json"
 )
 
-// Runner sends a Core's heartbeats to its agent.
+// Runner sends the heartbeats of a Core to its agent, and applies the responses.
 type Runner struct {
-	core  *Core
-	agent string // URL of the agent, without a last slash
-	clock clockwork.Clock
-	http  *http.Client
-	began time.Time
-	id    string
+	core      *Core
+	agent     string // URL of the agent, without a trailing slash
+	clock     clockwork.Clock
+	http      *http.Client
+	startedAt time.Time
+	id        string
 }
 
-// Start returns a runner whose agent listens at host:port; Run runs it. A nil clock is the real one.
-func Start(options Options, agent string, clock clockwork.Clock) *Runner {
+// New returns a runner whose agent listens at host:port. Run runs it. A nil clock means the real one.
+func New(options Options, agent string, clock clockwork.Clock) *Runner {
 	if clock == nil {
 		clock = clockwork.NewRealClock()
 	}
 	return &Runner{
-		core:  New(options),
-		agent: "http://" + agent,
-		clock: clock,
-		http:  &http.Client{},
-		began: clock.Now(),
-		id:    options.Instance,
+		core:      NewCore(options),
+		agent:     "http://" + agent,
+		clock:     clock,
+		http:      &http.Client{},
+		startedAt: clock.Now(),
+		id:        options.Instance,
 	}
 }
 
-// Run sends heartbeats until ctx ends; then it says that it leaves, stops what runs, and returns.
+// Run sends heartbeats until ctx ends; then it reports that it drains, deregisters, and returns.
 func (r *Runner) Run(ctx context.Context) {
+	serving := context.WithoutCancel(ctx) // the end of ctx does not abort a heartbeat
 	for ctx.Err() == nil {
-		r.beat(context.Background())
+		r.heartbeat(serving)
 		r.wait(ctx)
 	}
-	r.leave()
+	r.leave(serving)
 	r.http.CloseIdleConnections()
 }
 
-func (r *Runner) now() time.Duration { return r.clock.Since(r.began) }
+func (r *Runner) now() time.Duration { return r.clock.Since(r.startedAt) }
 
-// beat sends one heartbeat and carries out the answer.
-func (r *Runner) beat(ctx context.Context) {
-	sent := r.now()
+// heartbeat sends one heartbeat and applies the response.
+func (r *Runner) heartbeat(ctx context.Context) {
+	sentAt := r.now()
 	orders := &protocol.Orders{}
-	err := r.post(ctx, "heartbeat", r.core.Report(sent), orders)
+	err := r.post(ctx, "heartbeat", r.core.Report(sentAt), orders)
 	if err != nil {
-		r.core.Missed(r.now(), retryPause)
+		r.core.HeartbeatFailed(r.now(), retryBackoff)
 		return
 	}
-	r.core.Obey(r.now(), sent, orders)
+	r.core.Apply(r.now(), sentAt, orders)
 }
 
-// wait waits for the next heartbeat, ending on the way what ends.
+// wait waits until the next heartbeat is due or ctx ends. Runs that end meanwhile are ended.
 func (r *Runner) wait(ctx context.Context) {
 	for {
 		now := r.now()
 		r.core.Advance(now)
-		next := r.core.NextBeat()
+		next := r.core.NextHeartbeat()
 		if now >= next {
 			return
 		}
-		if end, any := r.core.NextEnd(); any {
+		if end, ok := r.core.NextEnd(); ok {
 			next = min(next, max(end, now))
 		}
 		select {
@@ -91,17 +92,18 @@
 	}
 }
 
-// leave says that the runner drains, and then that it ends.
-func (r *Runner) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+// leave reports that the runner drains, and then that it ends. It does not wait for runs.
+func (r *Runner) leave(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	r.core.Drain()
-	r.beat(ctx)
+	r.heartbeat(ctx)
 	_ = r.post(ctx, "deregister", struct{}{}, nil)
 }
 
-func (r *Runner) post(ctx context.Context, verb string, body, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+// post sends a request to the agent, and decodes the response into result unless that is nil.
+func (r *Runner) post(ctx context.Context, verb string, body, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -116,16 +118,16 @@
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close()
-	data, err = io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	defer func() { _ = response.Body.Close() }()
+	data, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if response.StatusCode/100 != 2 {
 		return errors.Errorf("the agent answers %s", response.Status)
 	}
-	if answer == nil || len(data) == 0 {
+	if result == nil || len(data) == 0 {
 		return nil
 	}
-	return json.Unmarshal(data, answer)
+	return json.Unmarshal(data, result)
 }
--- a/internal/cluster/localcluster/suite_test.go
+++ b/internal/cluster/localcluster/suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLocal(t *testing.T) {
+func TestLocalCluster(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "local system")
+	RunSpecs(t, "localcluster")
 }
--- /dev/null
+++ b/internal/cluster/localcluster/system.go
@@ -0,0 +1,173 @@
+package localcluster
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"os"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"ospreypond/internal/cluster/administration/archive"
+	"ospreypond/internal/cluster/boot"
+	"ospreypond/internal/cluster/localcluster/runner"
+	"ospreypond/internal/cluster/protocol"
+)
+
+// DefaultNetwork is the default of Options.Network.
+const DefaultNetwork = "127.77.0"
+
+// Options say what to run. All but Restore are required.
+type Options struct {
+	Dir     string    // folder for settings, logs and data; created if it is missing
+	Network string    // first three numbers of the machines' addresses, 127.N.N
+	Program string    // path of ospreypond, which all processes run
+	Restore string    // path of a backup to start from; empty: none
+	Out     io.Writer // gets messages for the user
+}
+
+// System is a local system. Its processes are those of a real one; its runners are stand-ins in this process.
+type System struct {
+	options   Options
+	backup    *archive.Archive // to start from; nil: none
+	machines  []*machine
+	processes []*process
+	starter   *starter
+	mutex     sync.Mutex // guards options.Out
+}
+
+// Run starts the system, prints an introduction when it is ready, and restarts processes that end, until ctx ends; then it
+// stops everything in order, runners first and control processes last, and returns nil. It returns an error if the system
+// cannot be started, is not ready in time, or a process ends again and again.
+func Run(ctx context.Context, options Options) error {
+	s := &System{options: options}
+	if err := s.checkOptions(); err != nil {
+		return err
+	}
+	if err := os.MkdirAll(s.options.Dir, 0o700); err != nil {
+		return err
+	}
+	lock, err := s.lock()
+	if err != nil {
+		return err
+	}
+	defer func() { _ = lock.Close() }()
+	if err := s.prepare(ctx); err != nil {
+		return err
+	}
+	s.starter = newStarter()
+	defer s.starter.close()
+	failed := make(chan error, len(s.machines))
+	// They stop one after the other once ctx has ended.
+	running := context.WithoutCancel(ctx)
+	stopControl := s.startRole(running, boot.RoleControl, failed)
+	stopFrontends := s.startRole(running, boot.RoleFrontend, failed)
+	stopAgents := s.startRole(running, boot.RoleAgent, failed)
+	stopRunners := s.startRunners(running)
+	err = s.serve(ctx, failed)
+	s.printf("stopping")
+	stopRunners()
+	runAll(stopAgents, stopFrontends)
+	stopControl()
+	s.printf("all processes have ended")
+	return err
+}
+
+// runAll makes several calls at once, and waits for all of them.
+func runAll(calls ...func()) {
+	var running sync.WaitGroup
+	for _, call := range calls {
+		running.Go(call)
+	}
+	running.Wait()
+}
+
+// serve waits until the system is ready, prints the introduction, and waits until ctx ends or a process fails.
+func (s *System) serve(ctx context.Context, failed <-chan error) error {
+	starting, cancel := context.WithTimeout(ctx, readyTimeout)
+	ready := make(chan error, 1)
+	var goroutine sync.WaitGroup
+	defer goroutine.Wait()
+	defer cancel()
+	goroutine.Go(func() { ready <- s.becomeReady(starting) })
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case err := <-failed:
+			return err
+		case err := <-ready:
+			if ctx.Err() != nil {
+				return nil
+			}
+			if err != nil {
+				return errors.Wrapf(err, "the system is not ready; look at the logs under %s", s.options.Dir)
+			}
+			s.printIntroduction()
+			ready = nil
+		}
+	}
+}
+
+// startRole keeps the processes of a role running until stop is called, which waits for their end. A process that cannot be
+// kept running is reported to failed.
+func (s *System) startRole(ctx context.Context, role string, failed chan<- error) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	for _, m := range withRole(s.machines, role) {
+		p := &process{machine: m, program: s.options.Program, printf: s.printf, start: s.starter.start}
+		s.processes = append(s.processes, p)
+		running.Go(func() {
+			if err := p.run(ctx); err != nil {
+				failed <- err
+			}
+		})
+	}
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+// startRunners runs a stand-in runner beside each agent until stop is called, which waits for their end.
+func (s *System) startRunners(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	for i, m := range withRole(s.machines, boot.RoleAgent) {
+		options := runner.Options{
+			Instance: "i-" + m.name + "-" + randomSuffix(),
+			Service:  Service,
+			Address:  m.address(runnerPort),
+			Zone:     m.zone,
+			Capacity: protocol.Resources{CPU: 8000, MemoryMB: 16384, GPU: 1},
+			Labels:   []string{"stand-in", "rack-" + strconv.Itoa(i+1)},
+			Interval: 1500 * time.Millisecond,
+			MaxLease: boot.StandardBounds().MaxLease,
+		}
+		started := runner.New(options, m.address(controlPort), nil)
+		running.Go(func() { started.Run(ctx) })
+	}
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+// randomSuffix returns a suffix by which the name of a runner's incarnation becomes unique.
+func randomSuffix() string {
+	var random [4]byte
+	_, _ = rand.Read(random[:]) // it never fails
+	return hex.EncodeToString(random[:])
+}
+
+// printf prints one message for the user.
+func (s *System) printf(format string, arguments ...any) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	_, _ = fmt.Fprintf(s.options.Out, format+"\n", arguments...)
+}
--- a/internal/cluster/seeds/seeds.go
+++ b/internal/cluster/seeds/seeds.go
@@ -1,5 +1,6 @@
-// Package seeds keeps the addresses that a process starts from in step with its settings file, which may change with
-// or without a signal.
+// Package seeds keeps the addresses from which a process finds its system (the key `seeds`) up to date with its settings
+// file while the process runs. The file is read again at SIGHUP and, if the addresses known so far do not answer, whenever
+// it has changed. Other settings are not applied.
 package seeds
 
 import (
@@ -18,33 +19,35 @@
 )
 
 const (
-	// lookEvery is how often it is asked whether the seeds are still of use.
-	lookEvery = 3 * time.Second
-	// defaultStaleAfter is how long nobody has answered before the settings file is read again without a signal.
+	// checkInterval is the time between two checks whether the file has to be read again.
+	checkInterval = 3 * time.Second
+	// defaultStaleAfter is the default of Options.StaleAfter.
 	defaultStaleAfter = 3 * time.Second
 )
 
-// Directory is what uses the seeds.
+// Directory is what uses the seeds. Its methods are called from the goroutine of Follower.Run.
 type Directory interface {
+	// Fresh reports whether other seeds are not needed, because a process has answered within that time.
 	Fresh(within time.Duration) bool
+	// SetSeeds replaces the seeds by other internal addresses. The slice must not be changed.
 	SetSeeds(addresses []string)
 }
 
-// Options are what a Follower is made of.
+// Options configure a Follower. Path, Directory and Logger are required.
 type Options struct {
 	Path      string   // of the settings file
-	Seeds     []string // internal addresses as first read
+	Seeds     []string // internal addresses as read at the start
 	Directory Directory
-	// StaleAfter is how long nobody has answered before the settings file is read again without a signal; 0: 3 s.
+	// StaleAfter is for how long no process must have answered until the file is checked without a signal; 0: 3 s.
 	StaleAfter time.Duration
-	Clock      clockwork.Clock // nil: the real one
+	Clock      clockwork.Clock // nil: the real clock
 	Logger     log.Logger
 }
 
-// Follower reads the settings file again when that may help.
+// Follower follows one settings file. Run is called once.
 type Follower struct {
 	Options
-	read time.Time // when the file that was read last was written
+	readModTime time.Time // modification time of the file when it was last read without a signal
 }
 
 // NewFollower returns a Follower.
@@ -58,16 +61,18 @@
 	return &Follower{Options: options}
 }
 
-// Hangups returns a channel with the process's SIGHUPs, which from then on don't end it.
+// Hangups returns a channel that receives the process's SIGHUPs, which from then on do not end the process. One signal is
+// buffered.
 func Hangups() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// Run follows the settings file until ctx ends: at once on a signal, and by looking at it while nobody answers.
+// Run follows the settings file until ctx ends: it reads the file at once when hangups receives a signal, and checks it while
+// no process answers.
 func (f *Follower) Run(ctx context.Context, hangups <-chan os.Signal) {
-	ticker := f.Clock.NewTicker(lookEvery)
+	ticker := f.Clock.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -76,29 +81,29 @@
 		case <-hangups:
 			f.reload()
 		case <-ticker.Chan():
-			f.look()
+			f.check()
 		}
 	}
 }
 
-// look reads the file if nobody answers and it was written since it was last read.
-func (f *Follower) look() {
+// check reads the file if no process answers and the file was modified since check last read it.
+func (f *Follower) check() {
 	if f.Directory.Fresh(f.StaleAfter) {
 		return
 	}
 	information, err := os.Stat(f.Path)
-	if err != nil || information.ModTime().Equal(f.read) {
+	if err != nil || information.ModTime().Equal(f.readModTime) {
 		return
 	}
-	f.read = information.ModTime()
+	f.readModTime = information.ModTime()
 	f.reload()
 }
 
-// reload takes over the seeds of the file. A file that can't be used changes nothing.
+// reload applies the seeds of the file. An invalid file, or one without seeds, changes nothing.
 func (f *Follower) reload() {
 	settings, err := boot.Load(f.Path)
 	if err != nil {
-		level.Warn(f.Logger).Log("msg", "the changed settings can't be used", "err", err)
+		_ = level.Warn(f.Logger).Log("msg", "the changed settings can't be used", "err", err)
 		return
 	}
 	addresses := settings.SeedInternalAddresses()
@@ -107,5 +112,5 @@
 	}
 	f.Seeds = addresses
 	f.Directory.SetSeeds(addresses)
-	level.Info(f.Logger).Log("msg", "the seeds have changed", "seeds", len(addresses))
+	_ = level.Info(f.Logger).Log("msg", "the seeds have changed", "seeds", len(addresses))
 }
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -21,11 +21,11 @@
 	RunSpecs(t, "seeds")
 }
 
-// fakeDirectory notes the seeds that it is given.
+// fakeDirectory records the seeds that it is given.
 type fakeDirectory struct {
-	mutex sync.Mutex
-	fresh bool
-	given [][]string
+	mutex    sync.Mutex
+	fresh    bool
+	received [][]string
 }
 
 func (d *fakeDirectory) Fresh(time.Duration) bool {
@@ -37,17 +37,18 @@
 func (d *fakeDirectory) SetSeeds(addresses []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.given = append(d.given, addresses)
+	d.received = append(d.received, addresses)
 }
 
 func (d *fakeDirectory) seeds() [][]string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return append([][]string{}, d.given...)
+	return append([][]string{}, d.received...)
 }
 
 const settings = `{"nodeName":"n","role":"r","ip":"10.0.0.9","zone":"z","internalPorts":[7380,7395],"seeds":["SEED:8144"]}`
 
+// write writes a settings file with one seed and a modification time.
 func write(path, seed string, at time.Time) {
 	Expect(os.WriteFile(path, []byte(strings.ReplaceAll(settings, "SEED", seed)), 0o600)).To(Succeed())
 	Expect(os.Chtimes(path, at, at)).To(Succeed())
@@ -82,11 +83,11 @@
 		})
 	})
 
-	look := func() {
+	waitForCheck := func() {
 		waiting, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		Expect(clock.BlockUntilContext(waiting, 1)).To(Succeed())
-		clock.Advance(lookEvery)
+		clock.Advance(checkInterval)
 	}
 
 	It("change at a signal", func() {
@@ -96,30 +97,30 @@
 		Eventually(directory.seeds).Should(Equal([][]string{{"10.0.0.2:7380"}}))
 	})
 
-	It("change without a signal while nobody answers", func() {
+	It("change without a signal while no process answers", func() {
 		write(path, "10.0.0.2", first.Add(time.Second))
-		look()
+		waitForCheck()
 		Eventually(directory.seeds).Should(Equal([][]string{{"10.0.0.2:7380"}}))
 	})
 
-	DescribeTable("stay as they are after a signal",
+	DescribeTable("stay the same after a signal",
 		func(change func()) {
 			change()
 			hangups <- syscall.SIGHUP
-			hangups <- syscall.SIGHUP // taken only once the one before is dealt with
+			hangups <- syscall.SIGHUP // received only after the first one was handled
 			Expect(directory.seeds()).To(BeEmpty())
 		},
 		Entry("if they are the same", func() {}),
-		Entry("if the file is nonsense", func() { Expect(os.WriteFile(path, []byte("{"), 0o600)).To(Succeed()) }),
+		Entry("if the file is invalid", func() { Expect(os.WriteFile(path, []byte("{"), 0o600)).To(Succeed()) }),
 		Entry("if there is no file", func() { Expect(os.Remove(path)).To(Succeed()) }),
 	)
 
-	It("stay as they are without a signal while owners answer", func() {
+	It("stay the same without a signal while processes answer", func() {
 		directory.mutex.Lock()
 		directory.fresh = true
 		directory.mutex.Unlock()
 		write(path, "10.0.0.3", first.Add(time.Minute))
-		look()
+		waitForCheck()
 		Consistently(directory.seeds, 20*time.Millisecond).Should(BeEmpty())
 	})
 })
