--- a/internal/cluster/administration/client.go
+++ b/internal/cluster/administration/client.go
@@ -87,7 +87,7 @@
 // Configure orders a change of the configuration, and returns the version in force by it.
 func (c *Client) Configure(ctx context.Context, kind string, base uint64, body []byte) (version uint64, err error) {
 	response, err := call[protocol.ConfigureRequest, protocol.ConfigureResponse](
-		ctx, c, protocol.ConfigurationShard, &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body})
+		ctx, c, protocol.ConfigurationShard, &protocol.ConfigureRequest{Kind: protocol.ChangeKind(kind), Base: base, Body: body})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/cluster/administration/jobs.go
+++ b/internal/cluster/administration/jobs.go
@@ -65,7 +65,7 @@
 		response, err := read[protocol.StatusRequest, protocol.StatusResponse](
 			ctx, c, shard, &protocol.StatusRequest{Shard: shard, ID: id})
 		if err == nil {
-			return response.State, shard, nil
+			return string(response.State), shard, nil
 		}
 		if failure.KindOf(err) != failure.Gone {
 			return "", 0, err
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -172,7 +172,7 @@
 }
 
 // own is the runner's own heartbeat.
-func (b *calledBed) own(instance string, sequence int, state string) <-chan *httptest.ResponseRecorder {
+func (b *calledBed) own(instance string, sequence int, state protocol.RunnerState) <-chan *httptest.ResponseRecorder {
 	return b.begin(post(instance, "heartbeat", fmt.Sprintf(`{"service":"huvo11a","address":"10.0.0.9:1","state":%q,"sequence":%d,"clockMs":%d}`,
 		state, sequence, b.runner.clockMs())))
 }
--- a/internal/cluster/agent/heartbeat.go
+++ b/internal/cluster/agent/heartbeat.go
@@ -33,7 +33,7 @@
 	case "version":
 		beat.Version = c.string()
 	case "state":
-		beat.State = c.string()
+		beat.State = protocol.RunnerState(c.string())
 	case "slots":
 		beat.Slots = int(c.int())
 	case "coldRemainingMs":
@@ -105,7 +105,7 @@
 		case 2:
 			run.Run = c.uint()
 		case 3:
-			run.How = c.string()
+			run.How = protocol.RunEnd(c.string())
 		case 4:
 			run.Saved = c.string()
 		default:
--- a/internal/cluster/control/configuration_shard.go
+++ b/internal/cluster/control/configuration_shard.go
@@ -211,7 +211,7 @@
 			reply(nil, c.notConfigurationOwner())
 			return
 		}
-		command := configuration.Command{Kind: request.Kind, Base: request.Base, Body: request.Body}
+		command := configuration.Command{Kind: string(request.Kind), Base: request.Base, Body: request.Body}
 		c.configuration.propose(command, reply)
 	})
 }
--- a/internal/cluster/control/handlers.go
+++ b/internal/cluster/control/handlers.go
@@ -78,7 +78,7 @@
 func (c *Control) status(_ string, request *protocol.StatusRequest, reply func(*protocol.StatusResponse, error)) {
 	c.on(request.Shard, func(s *jobShard, now time.Duration) {
 		s.owner.Status(now, request.ID, func(state string, err error) {
-			reply(&protocol.StatusResponse{State: state}, err)
+			reply(&protocol.StatusResponse{State: protocol.JobState(state)}, err)
 		})
 	}, func(err error) { reply(nil, err) })
 }
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -132,7 +132,7 @@
 	if err := configuration.Readable(body); err != nil {
 		return nil, err
 	}
-	return &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body}, nil
+	return &protocol.ConfigureRequest{Kind: protocol.ChangeKind(kind), Base: base, Body: body}, nil
 }
 
 func readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
--- a/internal/cluster/frontend/ask.go
+++ b/internal/cluster/frontend/ask.go
@@ -16,7 +16,7 @@
 func (s *Service) serveStatus(w http.ResponseWriter, r *http.Request, arrived time.Time, to target) {
 	ctx, cancel := s.within(r, arrived, to, askTry)
 	defer cancel()
-	var state string
+	var state protocol.JobState
 	err := s.askEach(ctx, arrived, r, to, func(shard protocol.ShardID, id string) error {
 		response, err := s.Owners.Status(ctx, &protocol.StatusRequest{Shard: shard, ID: id})
 		if err != nil {
@@ -29,7 +29,7 @@
 		answerError(w, unread(err))
 		return
 	}
-	answer(w, http.StatusOK, []byte(`{"state":"`+state+`"}`))
+	answer(w, http.StatusOK, []byte(`{"state":"`+string(state)+`"}`))
 }
 
 // serveCancel cancels a job.
--- a/internal/cluster/frontend/frontend_test.go
+++ b/internal/cluster/frontend/frontend_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &protocol.StatusResponse{State: state}, nil
+	return &protocol.StatusResponse{State: protocol.JobState(state)}, nil
 }
 
 func (o *fakeOwners) Cancel(ctx context.Context, r *protocol.CancelRequest) (*protocol.CancelResponse, error) {
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -191,7 +191,7 @@
 
 func (c *Core) list(now time.Duration, task string, number uint64, how string) {
 	c.counter++
-	c.finished = append(c.finished, protocol.FinishedRun{N: c.counter, Task: task, Run: number, How: how})
+	c.finished = append(c.finished, protocol.FinishedRun{N: c.counter, Task: task, Run: number, How: protocol.RunEnd(how)})
 	c.barred[task] = max(c.barred[task], number)
 	c.nextBeat = min(c.nextBeat, now+afterAnEnd)
 }
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -1,46 +1,53 @@
 package protocol
 
-// Step is one step of a job as a client hands it in. What is left out is 0, false or empty.
+// Step is one step of a job as a client submits it. A field that is left out is 0, false or empty. The tags are the
+// clients' JSON; between processes it is encoded by gob, whose wire format are the field names.
 type Step struct {
-	Count        int     `json:"count"`
+	Count        int     `json:"count"`         // tasks
 	CPU          int64   `json:"cpu"`           // thousandths of a core, each task
 	MemoryMB     int64   `json:"memoryLimitMb"` // MB, each task
 	GPU          int64   `json:"gpu"`           // accelerators, each task
-	EstimatedMs  float64 `json:"estimatedMs"`   // a rough guess of a task's time
-	DependsOn    []int   `json:"dependsOn"`
-	Gang         bool    `json:"gang"`
+	EstimatedMs  float64 `json:"estimatedMs"`   // rough estimate of a task's run time
+	DependsOn    []int   `json:"dependsOn"`     // indices of earlier steps that must have completed
+	Gang         bool    `json:"gang"`          // the tasks only advance while all of them run
 	RackLocal    bool    `json:"rackLocal"`
 	Requirements string  `json:"requirements"` // a label that the runner must have
-	Affinity     string  `json:"affinity"`     // rack where the data lies
-	AntiAffinity int     `json:"antiAffinity"` // most tasks of the step (of one time K) on one runner; 0: no bound
-	AtMostOnce   bool    `json:"atMostOnce"`   // copies may run side by side
+	Affinity     string  `json:"affinity"`     // rack where the data is
+	AntiAffinity int     `json:"antiAffinity"` // maximum of the step's tasks (of one repetition) on one runner; 0: no limit
+	AtMostOnce   bool    `json:"atMostOnce"`   // two runs of a task may exist side by side
 	LongRunning  bool    `json:"longRunning"`
-	Checkpoints  bool    `json:"checkpoints"`
+	Checkpoints  bool    `json:"checkpoints"` // a run saves checkpoints, from which a later one continues
 }
 
-// Needs returns what each task of the step asks for.
+// Needs returns the resources that each task of the step requests.
 func (s *Step) Needs() Resources { return Resources{CPU: s.CPU, MemoryMB: s.MemoryMB, GPU: s.GPU} }
 
-// JobSpec is a job as a client hands it in.
+// JobSpec is a job as a client submits it. The tags are the clients' JSON; between processes it is encoded by gob, whose
+// wire format are the field names.
 type JobSpec struct {
-	Spec        string `json:"spec"`
+	Spec        string `json:"spec"` // handed to the runs as it is
 	Steps       []Step `json:"steps"`
-	Repetitions int    `json:"repetitions"` // over 0: the steps run that many times
+	Repetitions int    `json:"repetitions"` // above 0: how many times the steps run
 	FirstRunMs  int64  `json:"firstRunMs"`  // ms since 1970
-	IntervalMs  int64  `json:"intervalMs"`
+	IntervalMs  int64  `json:"intervalMs"`  // between the starts of two repetitions
 }
 
-// Queue is what the configuration says of the queue a job was handed in to, as of then.
+// Queue is what the configuration says about the queue to which a job was submitted, at that time. Encoded by gob: the
+// field names are the wire format.
 type Queue struct {
 	Key             string // host and path prefix
 	Service         string
-	Priority        int // 0 goes first
-	MaxAttempts     int // ends `failed` of one task; 0: no bound
+	Priority        int // 0 is the highest
+	MaxAttempts     int // runs of one task that may end as EndFailed; 0: no limit
 	Extension       float64
 	TargetLatencyMs int64
 }
 
-// States of a job as shown to clients.
+// JobState is the state of a job as clients see it. The constants are untyped, as the state of the jobs' shards, which
+// is on disk, has them as strings.
+type JobState string
+
+// States of a job.
 const (
 	JobQueued    = "queued"
 	JobRunning   = "running"
@@ -49,7 +56,7 @@
 	JobCancelled = "cancelled"
 )
 
-// JobEnded tells whether a state is one that a job never leaves.
-func JobEnded(state string) bool {
+// JobEnded reports whether state, a JobState or the string that a job is stored with, is final: a job never leaves it.
+func JobEnded[S ~string](state S) bool {
 	return state == JobCompleted || state == JobFailed || state == JobCancelled
 }
--- a/internal/cluster/protocol/relay.go
+++ b/internal/cluster/protocol/relay.go
@@ -1,14 +1,16 @@
 package protocol
 
-// Relay is a process that carries calls to control processes for others whose own way there is cut.
+// Relay is a process that forwards calls to control processes on behalf of processes that can't reach them directly.
+// Encoded by gob: the field names are the wire format.
 type Relay struct {
 	Address string // internal
 	Zone    string
 }
 
-// RelayRequest asks a relay to make one call and to bring the answer back. One of the requests is set.
+// RelayRequest asks a relay to make one call and to return its response. Exactly one of the requests is set. Encoded by
+// gob: the field names are the wire format.
 type RelayRequest struct {
-	Target string // internal address of the control process that is to be called
+	Target string // internal address of the control process to call
 
 	Ping       *PingRequest
 	Heartbeat  *HeartbeatRequest
@@ -21,7 +23,8 @@
 	Watch      *WatchRequest
 }
 
-// RelayResponse has the answer to the request that was set. Errors of the call come as errors.
+// RelayResponse has the response to the request that was set. An error of the call is the error of the relayed call.
+// Encoded by gob: the field names are the wire format.
 type RelayResponse struct {
 	Ping       *PingResponse
 	Heartbeat  *HeartbeatResponse
@@ -34,8 +37,8 @@
 	Watch      *WatchResponse
 }
 
-// PingRequest asks a control process whether it can be reached. It says nothing of what the process owns.
+// PingRequest probes whether a control process can be reached. It doesn't ask what the process owns. Encoded by gob.
 type PingRequest struct{ Number uint64 }
 
-// PingResponse has the request's number.
+// PingResponse has the request's number. Encoded by gob.
 type PingResponse struct{ Number uint64 }
--- a/internal/cluster/relay/caller_test.go
+++ b/internal/cluster/relay/caller_test.go
@@ -113,7 +113,7 @@
 	began := time.Now()
 	response := &protocol.StatusResponse{}
 	err = c.Do(ctx, owner, &protocol.StatusRequest{ID: "a"}, response)
-	return response.State, time.Since(began), err
+	return string(response.State), time.Since(began), err
 }
 
 var _ = Describe("A call to a control process", func() {
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -75,6 +75,6 @@
 	case !r.reported || now-r.heardAt > shownSilence:
 		return StateSilent
 	default:
-		return r.report.State
+		return string(r.report.State)
 	}
 }
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -70,7 +70,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	Expect(orders.Start).To(HaveLen(1))
 	beat := beatOf("i1", 2)
-	beat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: how}}
+	beat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: protocol.RunEnd(how)}}
 	_, err = w.beat(beat)
 	Expect(err).NotTo(HaveOccurred())
 }
--- a/internal/cluster/scheduler/reportedruns.go
+++ b/internal/cluster/scheduler/reportedruns.go
@@ -23,7 +23,7 @@
 		}
 		key := runKey{id, finished.Run}
 		o.learn(now, r, key, finished)
-		run := r.runOf(now, key, outcomeOf(finished.How))
+		run := r.runOf(now, key, outcomeOf(string(finished.How)))
 		delete(r.stops, key)
 		delete(r.listed, key)
 		delete(r.ordered, key)
@@ -33,7 +33,7 @@
 		o.ending[key] = run
 		o.dirty = true
 		o.next.Ends = append(o.next.Ends, jobs.End{
-			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: finished.How, Checkpoint: finished.Saved,
+			Runner: r.instance, N: finished.N, Task: id, Run: finished.Run, Outcome: string(finished.How), Checkpoint: finished.Saved,
 		})
 	}
 }
--- a/internal/cluster/simulation/runner_beat.go
+++ b/internal/cluster/simulation/runner_beat.go
@@ -146,7 +146,7 @@
 }
 
 // obey carries out the answer to a heartbeat that was sent at a time.
-func (r *Runner) obey(orders *protocol.Orders, sent time.Duration, state string) {
+func (r *Runner) obey(orders *protocol.Orders, sent time.Duration, state protocol.RunnerState) {
 	life := r.instance
 	life.Heartbeat++
 	if state == protocol.Draining && life.DrainAck == Never {
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -129,7 +129,7 @@
 
 func (r *Runner) list(task string, run uint64, how, saved string, record *Run) uint64 {
 	r.counter++
-	row := protocol.FinishedRun{N: r.counter, Task: task, Run: run, How: how, Saved: saved}
+	row := protocol.FinishedRun{N: r.counter, Task: task, Run: run, How: protocol.RunEnd(how), Saved: saved}
 	r.finished = append(r.finished, finishedEnd{row: row, record: record, lapses: len(r.instance.Lapses)})
 	return r.counter
 }
