--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -27,7 +27,7 @@
 
 const instance = "i-7f3a91c2"
 
-// attempt is one attempt at an owner that a test answers.
+// attempt is one call of an owner, which the test answers.
 type attempt struct {
 	ctx        context.Context
 	heartbeat  *protocol.Heartbeat
@@ -40,7 +40,7 @@
 	err    error
 }
 
-// fakeOwners hands each attempt to the test. An attempt ends with the test's reply or with its ctx.
+// fakeOwners passes each attempt to the test. An attempt ends with the test's reply or with its ctx.
 type fakeOwners struct {
 	mutex     sync.Mutex
 	owner     string
@@ -79,7 +79,7 @@
 	case r := <-e.reply:
 		return r
 	case <-e.ctx.Done():
-		return result{err: failure.New(failure.UnknownOutcome, "no answer in time")}
+		return result{err: failure.New(failure.UnknownOutcome, "no response in time")}
 	}
 }
 
@@ -94,7 +94,7 @@
 	return &protocol.DeregisterResponse{}, got.err
 }
 
-// fixture is a Service with fakes around it.
+// fixture is a Service with a fake clock and fake owners.
 type fixture struct {
 	owners  *fakeOwners
 	clock   *clockwork.FakeClock
@@ -117,7 +117,7 @@
 	return httptest.NewRequestWithContext(context.Background(), "POST", "/v1/instances/"+instance+"/"+verb, strings.NewReader(body))
 }
 
-// serve serves r aside; the channel brings the answer.
+// serve serves r in a goroutine; the channel gets the response.
 func (b *fixture) serve(r *http.Request) <-chan *httptest.ResponseRecorder {
 	answered := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
@@ -129,7 +129,7 @@
 	return answered
 }
 
-// callOwner returns the next attempt at an owner.
+// nextAttempt returns the next call of an owner.
 func (b *fixture) nextAttempt() *attempt {
 	var e *attempt
 	Eventually(b.owners.attempts).Should(Receive(&e))
@@ -154,7 +154,7 @@
 const timersPerAttempt = 2
 
 var _ = Describe("heartbeats", func() {
-	It("go to the owner of the service's shard, whose orders come back", func() {
+	It("reach the owner of the service's shard, whose orders come back", func() {
 		b := newFixture("")
 		answered := b.serve(heartbeatRequest(instance, 4))
 		e := b.nextAttempt()
@@ -173,7 +173,7 @@
 			"start":[["a.0.1.18",1,"a \"text\"",""]],"stop":[["a.0.1.17",2]]}`))
 	})
 
-	DescribeTable("that can't be carried on are refused",
+	DescribeTable("that are invalid are rejected",
 		func(r *http.Request, status int) {
 			b := newFixture("")
 			Expect(responseOf(b.serve(r)).Code).To(Equal(status))
@@ -189,7 +189,7 @@
 		Entry("too large", post(instance, "heartbeat", `{"service":"`+strings.Repeat("x", maxBodyBytes)+`"}`), 413),
 	)
 
-	It("that do not arrive whole may come again", func() {
+	It("that don't arrive completely may be repeated", func() {
 		b := newFixture("")
 		r := post(instance, "heartbeat", "")
 		r.Body = io.NopCloser(io.MultiReader(strings.NewReader(`{"service":`), iotest.ErrReader(io.ErrUnexpectedEOF)))
@@ -198,7 +198,7 @@
 		Expect(b.owners.attempts).NotTo(Receive())
 	})
 
-	DescribeTable("that the owner refuses for good are answered so at once",
+	DescribeTable("that the owner rejects for good are rejected at once",
 		func(k failure.Kind, status int) {
 			b := newFixture("")
 			answered := b.serve(heartbeatRequest(instance, 1))
@@ -207,11 +207,11 @@
 		},
 		Entry("invalid", failure.Invalid, 400),
 		Entry("overloaded", failure.Overloaded, 429),
-		Entry("an incarnation that is over", failure.Gone, 410),
-		Entry("had already", failure.Conflict, 503),
+		Entry("an incarnation that has ended", failure.Gone, 410),
+		Entry("a repeated heartbeat", failure.Conflict, 503),
 	)
 
-	DescribeTable("are tried again at whoever owns the shard by then",
+	DescribeTable("are retried at whoever owns the shard by then",
 		func(k failure.Kind) {
 			b := newFixture("")
 			answered := b.serve(heartbeatRequest(instance, 1))
@@ -224,12 +224,12 @@
 			Expect(w.Code).To(Equal(200))
 			Expect(w.Body.String()).To(MatchJSON(`{"fenceToken":8}`))
 		},
-		Entry("no leader", failure.NotLeader),
+		Entry("not the leader", failure.NotLeader),
 		Entry("unavailable", failure.Unavailable),
 		Entry("no answer", failure.UnknownOutcome),
 	)
 
-	It("leave a silent owner for its successor, whose answer alone counts", func() {
+	It("leave an unresponsive owner for its successor, whose response alone counts", func() {
 		b := newFixture("")
 		answered := b.serve(heartbeatRequest(instance, 1))
 		old := b.nextAttempt()
@@ -238,7 +238,7 @@
 		b.clock.Advance(successorCheckDelay)
 		Eventually(old.ctx.Done()).Should(BeClosed())
 		old.reply <- result{orders: protocol.Orders{FenceToken: 7}} // too late
-		Eventually(b.owners.refreshed).Should(Equal(2))             // when patience is over, and after the attempt
+		Eventually(b.owners.refreshed).Should(Equal(2))             // after successorCheckDelay, and after the attempt
 		b.awaitTimers()
 		b.clock.Advance(attemptRetryInterval)
 		b.nextAttempt().reply <- result{orders: protocol.Orders{FenceToken: 8}}
@@ -259,7 +259,7 @@
 		Expect(responseOf(answered).Code).To(Equal(200))
 	})
 
-	It("are refused before the runner gives up when nobody answers", func() {
+	It("are rejected before the runner gives up when no owner responds", func() {
 		b := newFixture("")
 		answered := b.serve(heartbeatRequest(instance, 1))
 		b.nextAttempt()
@@ -270,7 +270,7 @@
 		Expect(exchangeTimeout).To(BeNumerically("<", 950*time.Millisecond))
 	})
 
-	It("are refused at once when there is no time for another attempt", func() {
+	It("are rejected at once when there is no time for another attempt", func() {
 		b := newFixture("")
 		answered := b.serve(heartbeatRequest(instance, 1))
 		e := b.nextAttempt()
@@ -283,7 +283,7 @@
 })
 
 var _ = Describe("several heartbeats at once", func() {
-	It("abandon the older for the newer of an instance", func() {
+	It("cancel the older for the newer of an instance", func() {
 		b := newFixture("")
 		first := b.serve(heartbeatRequest(instance, 1))
 		older := b.nextAttempt()
@@ -297,7 +297,7 @@
 		Expect(b.service.tracker.inFlight).To(BeEmpty())
 	})
 
-	It("refuse an older one that comes late", func() {
+	It("reject an older one that comes late", func() {
 		b := newFixture("")
 		second := b.serve(heartbeatRequest(instance, 2))
 		newer := b.nextAttempt()
@@ -306,7 +306,7 @@
 		Expect(responseOf(second).Code).To(Equal(200))
 	})
 
-	It("refuse an older one that comes after the newer was answered, whoever owns the shard by then", func() {
+	It("reject an older one that comes after the newer was answered, whoever owns the shard by then", func() {
 		b := newFixture("")
 		second := b.serve(heartbeatRequest(instance, 2))
 		b.nextAttempt().reply <- result{}
@@ -326,7 +326,7 @@
 		Expect(b.service.tracker.instances).To(HaveLen(maxTrackedInstances))
 	})
 
-	It("never mix two instances' answers", func() {
+	It("never mix two instances' responses", func() {
 		b := newFixture("")
 		first := b.serve(heartbeatRequest("i-1", 9))
 		one := b.nextAttempt()
@@ -355,10 +355,10 @@
 		},
 		Entry("of the service in the settings", "huvo11a", "", protocol.ShardOf("huvo11a")),
 		Entry("of the service it names", "huvo11a", `{"service":"wuno96b"}`, protocol.ShardOf("wuno96b")),
-		Entry("all where none is known", "", "", protocol.ShardID(1), protocol.ShardID(2), protocol.ShardID(3), protocol.ShardID(4)),
+		Entry("all if the service is unknown", "", "", protocol.ShardID(1), protocol.ShardID(2), protocol.ShardID(3), protocol.ShardID(4)),
 	)
 
-	It("make the runner a draining one for every owner, while it serves on", func() {
+	It("make the runner a draining one for every owner, while it still serves", func() {
 		b := newFixture("huvo11a")
 		leaving := b.serve(post(instance, "deregister", ""))
 		b.nextAttempt().reply <- result{}
@@ -369,7 +369,7 @@
 		Expect(b.nextAttempt().heartbeat.State).To(Equal(protocol.Ready))
 	})
 
-	It("are not acknowledged before the owner has answered", func() {
+	It("are not acknowledged before the owner has responded", func() {
 		b := newFixture("huvo11a")
 		answered := b.serve(post(instance, "deregister", ""))
 		b.nextAttempt()
--- a/internal/cluster/agent/codec_test.go
+++ b/internal/cluster/agent/codec_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("a heartbeat's body", func() {
-	DescribeTable("is read as a general decoder reads it",
+	DescribeTable("is parsed as json.Unmarshal does",
 		func(body string) {
 			var want, got protocol.Heartbeat
 			Expect(json.Unmarshal([]byte(body), &want)).To(Succeed())
@@ -22,8 +22,8 @@
 			Expect(got).To(Equal(want))
 		},
 		Entry("many runs", busyHeartbeat(20)),
-		Entry("nothing", ` { } `),
-		Entry("space all over", " {\n\t\"service\" : \"x\" ,\r\n \"labels\" : [ \"a\" , \"b\" ] }\n"),
+		Entry("no fields", ` { } `),
+		Entry("white space everywhere", " {\n\t\"service\" : \"x\" ,\r\n \"labels\" : [ \"a\" , \"b\" ] }\n"),
 		Entry("nulls", `{"service":null,"capacity":null,"labels":null,"active":null,"slots":null}`),
 		Entry("escapes", `{"service":"a\"b\\c\u00e9\n\ud83d\ude00","zone":"plaza é"}`),
 		Entry("unknown fields", `{"a":{"b":[1,-2.5e3,{"c":null}],"d":true,"e":false},"slots":8,"f":"\"}"}`),
@@ -31,35 +31,35 @@
 		Entry("shorter rows", `{"active":[["t",1]],"finished":[[1,"t",1,"failed"]]}`),
 	)
 
-	DescribeTable("is refused if it is not sound",
+	DescribeTable("is rejected if it is invalid",
 		func(body string) {
 			Expect(parseHeartbeat(body, &protocol.Heartbeat{})).NotTo(Succeed())
 		},
 		Entry("empty", ""),
 		Entry("no object", `[]`),
 		Entry("null", `null`),
-		Entry("cut short", `{"service":"x"`),
-		Entry("cut in a text", `{"service":"x`),
-		Entry("cut in an escape", `{"service":"x\`),
-		Entry("cut after a comma", `{"service":"x",`),
+		Entry("truncated", `{"service":"x"`),
+		Entry("truncated in a string", `{"service":"x`),
+		Entry("truncated in an escape", `{"service":"x\`),
+		Entry("truncated after a comma", `{"service":"x",`),
 		Entry("trailing garbage", `{"service":"x"}}`),
 		Entry("a bad escape", `{"service":"\q"}`),
 		Entry("a control character", "{\"service\":\"a\nb\"}"),
-		Entry("a text for a number", `{"slots":"8"}`),
+		Entry("a string for a number", `{"slots":"8"}`),
 		Entry("a broken number", `{"slots":8-}`),
 		Entry("a negative sequence", `{"sequence":-1}`),
-		Entry("a number for a text", `{"service":8}`),
+		Entry("a number for a string", `{"service":8}`),
 		Entry("an object for a list", `{"labels":{}}`),
 		Entry("a short row", `{"active":[["t"]]}`),
-		Entry("no row", `{"finished":[3]}`),
+		Entry("a number for a row", `{"finished":[3]}`),
 		Entry("a null row", `{"active":[null]}`),
-		Entry("a broken word", `{"a":nul}`),
+		Entry("an invalid literal", `{"a":nul}`),
 		Entry("deep nesting", `{"a":`+strings.Repeat("[", 100_000)),
 	)
 })
 
-// TestOrdersAreWrittenAsByAGeneralEncoder compares both forms for any orders.
-func TestOrdersAreWrittenAsByAGeneralEncoder(t *testing.T) {
+// TestAppendOrdersEqualsMarshal compares appendOrders with json.Marshal for any orders.
+func TestAppendOrdersEqualsMarshal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		orders := &protocol.Orders{
 			HoldMs:           rapid.Int64().Draw(t, "hold"),
@@ -87,16 +87,16 @@
 		if err := json.Unmarshal(body, &got); err != nil {
 			t.Fatalf("%s: %v", body, err)
 		}
-		again, _ := json.Marshal(got)
-		expected, _ := json.Marshal(want)
-		if string(again) != string(expected) {
-			t.Fatalf("%s\n%s", again, expected)
+		gotJSON, _ := json.Marshal(got)
+		wantJSON, _ := json.Marshal(want)
+		if string(gotJSON) != string(wantJSON) {
+			t.Fatalf("got %s\nwant %s", gotJSON, wantJSON)
 		}
 	})
 }
 
-// TestHeartbeatsAreReadAsByAGeneralDecoder compares both for any heartbeat.
-func TestHeartbeatsAreReadAsByAGeneralDecoder(t *testing.T) {
+// TestParseHeartbeatEqualsUnmarshal compares parseHeartbeat with json.Unmarshal for any heartbeat.
+func TestParseHeartbeatEqualsUnmarshal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := &protocol.Heartbeat{Service: rapid.String().Draw(t, "service"), Labels: rapid.SliceOf(rapid.String()).Draw(t, "labels"),
 			Slots: rapid.Int().Draw(t, "slots"), Sequence: rapid.Uint64().Draw(t, "sequence")}
@@ -118,29 +118,29 @@
 		if len(want.Labels) == 0 {
 			want.Labels = got.Labels
 		}
-		wanted, _ := json.Marshal(want)
-		gotten, _ := json.Marshal(got)
-		if string(wanted) != string(gotten) {
-			t.Fatalf("%s\n%s", wanted, gotten)
+		wantJSON, _ := json.Marshal(want)
+		gotJSON, _ := json.Marshal(got)
+		if string(gotJSON) != string(wantJSON) {
+			t.Fatalf("got %s\nwant %s", gotJSON, wantJSON)
 		}
 	})
 }
 
-// FuzzParseHeartbeat looks for bodies that stop the reader, and for texts that it invents.
+// FuzzParseHeartbeat looks for bodies on which the reader panics or hangs, and for values that it invents.
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add(busyHeartbeat(2))
 	f.Add(`{"a":[1,{"b":"\u0041"}],"slots":1}`)
 	f.Fuzz(func(t *testing.T, body string) {
-		var beat protocol.Heartbeat
-		if parseHeartbeat(body, &beat) != nil {
+		var heartbeat protocol.Heartbeat
+		if parseHeartbeat(body, &heartbeat) != nil {
 			return
 		}
 		var general struct{ Service json.RawMessage }
 		if err := json.Unmarshal([]byte(body), &general); err != nil {
-			return // numbers are read a little more leniently here
+			return // jsonReader is slightly more lenient about numbers
 		}
-		if beat.Service != "" && general.Service == nil {
-			t.Fatalf("a service is read from %q", body)
+		if heartbeat.Service != "" && general.Service == nil {
+			t.Fatalf("parseHeartbeat(%q) invented a service", body)
 		}
 	})
 }
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -17,7 +17,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// receivedCall is one call that the fake runner has got.
+// receivedCall is one call that the fake runner has received.
 type receivedCall struct {
 	Path       string `json:"-"`
 	Task       string
@@ -30,7 +30,8 @@
 	WaitMs     int64 `json:"wait_ms"`
 }
 
-// fakeRunner is a runner that is called. Holds with a wait end when it is nudged; what starts and stops answer is set.
+// fakeRunner is a runner that is called. A poll with a wait is answered when it is nudged; the fields say how a start is
+// answered.
 type fakeRunner struct {
 	server *httptest.Server
 	clock  *clockwork.FakeClock
@@ -69,7 +70,7 @@
 	f.server.Close()
 }
 
-// restart has a later incarnation stand at the same address.
+// restart closes the runner and returns a later incarnation at the same address.
 func (f *fakeRunner) restart() *fakeRunner {
 	address := f.address()
 	f.close()
@@ -162,7 +163,7 @@
 	return got
 }
 
-// calledFixture is a bed whose runner is called.
+// calledFixture is a fixture whose runner is called.
 type calledFixture struct {
 	*fixture
 	runner *fakeRunner
@@ -181,7 +182,7 @@
 	b.runner.close()
 }
 
-// sendHeartbeat is the runner's own heartbeat.
+// sendHeartbeat sends the runner's own heartbeat.
 func (b *calledFixture) sendHeartbeat(instance string, sequence int, state protocol.RunnerState) <-chan *httptest.ResponseRecorder {
 	return b.serve(post(instance, "heartbeat", fmt.Sprintf(`{"service":"huvo11a","address":"10.0.0.9:1","state":%q,"sequence":%d,"clockMs":%d}`,
 		state, sequence, b.runner.clockMs())))
@@ -194,7 +195,7 @@
 	maxSteps        = 300
 )
 
-// nextExchange lets time pass until the next exchange with the owner.
+// nextExchange advances the fake clock until the next exchange with the owner.
 func (b *calledFixture) nextExchange() *attempt {
 	for range maxSteps {
 		select {
@@ -208,27 +209,27 @@
 	return nil
 }
 
-// nextExchangeWhere goes on from exchange to exchange, each answered by orders, until one is as wanted.
-func (b *calledFixture) nextExchangeWhere(orders protocol.Orders, wanted func(beat *protocol.Heartbeat) bool) *attempt {
+// nextExchangeWhere answers each exchange by orders until one matches, which it returns.
+func (b *calledFixture) nextExchangeWhere(orders protocol.Orders, matches func(heartbeat *protocol.Heartbeat) bool) *attempt {
 	for range maxSteps {
 		e := b.nextExchange()
-		if wanted(e.heartbeat) {
+		if matches(e.heartbeat) {
 			return e
 		}
 		e.reply <- result{orders: orders}
 	}
-	Fail("no exchange is as wanted")
+	Fail("no exchange matches")
 	return nil
 }
 
-// Heartbeats of a runner whose first report to the owner is waited for.
+// Limits of awaitReport.
 const (
 	maxHeartbeats     = 20
 	stepsPerHeartbeat = 25 // of the clock between two
 )
 
-// awaitReport has a runner send heartbeats until one of them is reported to the owner; what comes before is answered by
-// orders. It returns that report and the heartbeat's answer.
+// awaitReport has a runner send heartbeats until one of them is reported to the owner; earlier exchanges are answered by
+// orders. It returns that report and the response to the heartbeat.
 func (b *calledFixture) awaitReport(instance string, orders protocol.Orders) (*attempt, <-chan *httptest.ResponseRecorder) {
 	answers := map[uint64]<-chan *httptest.ResponseRecorder{}
 	for sequence := 1; sequence <= maxHeartbeats; sequence++ {
@@ -239,7 +240,7 @@
 				if e.heartbeat.Instance == instance && !e.heartbeat.FenceOnly {
 					return e, answers[e.heartbeat.Sequence>>sequenceBits]
 				}
-				e.reply <- result{orders: orders} // the loop before may have shown it a token
+				e.reply <- result{orders: orders} // the previous loop may have shown the runner a fencing token
 			case <-time.After(realTimePerStep):
 				b.clock.Advance(clockStep)
 			}
--- a/internal/cluster/agent/link_test.go
+++ b/internal/cluster/agent/link_test.go
@@ -17,7 +17,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// rawRunner takes connections and lets the test answer byte by byte.
+// rawRunner accepts connections and lets the test answer byte by byte.
 type rawRunner struct {
 	listener net.Listener
 	accepted chan *rawConnection
@@ -58,7 +58,7 @@
 	return l, far
 }
 
-// receive reads a request whole.
+// receive reads a complete request.
 func (c *rawConnection) receive() {
 	request, err := http.ReadRequest(c.reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -71,13 +71,13 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// reset closes the connection so that the other end gets a reset.
+// reset closes the connection by a TCP reset.
 func (c *rawConnection) reset() {
 	Expect(c.Conn.(*net.TCPConn).SetLinger(0)).To(Succeed())
 	Expect(c.Close()).To(Succeed())
 }
 
-// expectNothing reads to the connection's end: no request comes before it.
+// expectNothing expects the connection to end without another request.
 func (c *rawConnection) expectNothing() {
 	GinkgoHelper()
 	_, err := c.reader.ReadByte()
@@ -85,7 +85,7 @@
 	Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeFalse(), "the connection is still open")
 }
 
-// answered is a whole answer with that body.
+// answered returns a complete response with that body.
 func answered(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -97,7 +97,7 @@
 	err    error
 }
 
-// call makes a call aside.
+// call makes a call in a goroutine; the channel gets its outcome.
 func (l *link) call(ctx context.Context) <-chan posted {
 	done := make(chan posted, 1)
 	go func() {
@@ -110,7 +110,7 @@
 var _ = Describe("A call to a runner", func() {
 	ctx := context.Background()
 
-	It("gets its own answer, one after the other on one connection", func() {
+	It("gets its own response, one after the other on one connection", func() {
 		r := newRawRunner()
 		l, far := r.link()
 		for _, text := range []string{"one", "two"} {
@@ -122,15 +122,15 @@
 		Expect(r.accepted).To(BeEmpty())
 	})
 
-	DescribeTable("without a whole answer is not made again, and what comes later is the answer to no other",
-		func(answer func(far *rawConnection, giveUp func())) {
+	DescribeTable("without a complete response is not repeated, and a late response is not taken for that to another call",
+		func(respond func(far *rawConnection, giveUp func())) {
 			r := newRawRunner()
 			l, far := r.link()
 			waiting, giveUp := context.WithCancel(ctx)
 			defer giveUp()
 			done := l.call(waiting)
 			far.receive()
-			answer(far, giveUp)
+			respond(far, giveUp)
 			var got posted
 			Eventually(done, 5*time.Second).Should(Receive(&got))
 			Expect(got.err).To(HaveOccurred())
@@ -142,20 +142,20 @@
 			far.expectNothing()
 			Expect(r.accepted).To(BeEmpty(), "nor on another")
 		},
-		Entry("given up by its caller", func(_ *rawConnection, giveUp func()) { giveUp() }),
-		Entry("after its time", func(*rawConnection, func()) {}),
+		Entry("cancelled by its caller", func(_ *rawConnection, giveUp func()) { giveUp() }),
+		Entry("timed out", func(*rawConnection, func()) {}),
 		Entry("reset", func(far *rawConnection, _ func()) { far.reset() }),
 		Entry("closed", func(far *rawConnection, _ func()) { Expect(far.Close()).To(Succeed()) }),
-		Entry("cut in the answer's head", func(far *rawConnection, _ func()) {
+		Entry("truncated in the head of the response", func(far *rawConnection, _ func()) {
 			far.send("HTTP/1.1 200 OK\r\nConte")
 			Expect(far.Close()).To(Succeed())
 		}),
-		Entry("cut in the answer's body", func(far *rawConnection, _ func()) {
+		Entry("truncated in the body of the response", func(far *rawConnection, _ func()) {
 			far.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}")
 			Expect(far.Close()).To(Succeed())
 		}),
-		Entry("answered by something else", func(far *rawConnection, _ func()) { far.send("hello\r\n\r\n") }),
-		Entry("told to wait for the answer", func(far *rawConnection, _ func()) {
+		Entry("answered by something that isn't HTTP", func(far *rawConnection, _ func()) { far.send("hello\r\n\r\n") }),
+		Entry("answered with an interim response", func(far *rawConnection, _ func()) {
 			far.send("HTTP/1.1 103 Early Hints\r\n\r\n")
 		}),
 		Entry("answered with more than 4 MiB", func(far *rawConnection, _ func()) {
@@ -163,7 +163,7 @@
 		}),
 	)
 
-	It("is not answered by a second answer to the one before", func() {
+	It("does not take a second response to the previous call for its own", func() {
 		r := newRawRunner()
 		l, far := r.link()
 		done := l.call(ctx)
@@ -190,7 +190,7 @@
 		Expect(r.accepted).To(BeEmpty())
 	})
 
-	It("does not reach who stands at the address later", func() {
+	It("does not reach a later process at the address", func() {
 		r := newRawRunner()
 		l, far := r.link()
 		address := r.listener.Addr().String()
--- a/internal/cluster/agent/loop_test.go
+++ b/internal/cluster/agent/loop_test.go
@@ -10,11 +10,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// leaseOrders are orders that hold what runs.
+// leaseOrders returns orders that grant a lease and nothing else.
 func leaseOrders() protocol.Orders {
 	return protocol.Orders{HoldMs: 4000, FenceToken: 7, RetryDelayMs: 40}
 }
 
+// startOrders returns orders that grant a lease and start the first run of each task.
 func startOrders(tasks ...string) protocol.Orders {
 	orders := leaseOrders()
 	for _, task := range tasks {
@@ -32,7 +33,7 @@
 		DeferCleanup(func() { b.close() })
 	})
 
-	It("is looked at without a grant, and reported as if it had sent a heartbeat", func() {
+	It("is polled without a lease, and reported as if it had sent a heartbeat", func() {
 		b.runner.finished = []protocol.FinishedRun{{N: 3, Task: "a.0.0.9", Run: 2, How: protocol.EndDone}}
 		b.runner.active = []protocol.ActiveRun{{Task: "a.0.0.8", Run: 2, Saved: "0c", Percent: 40}}
 		answered := b.sendHeartbeat(instance, 4, protocol.Ready)
@@ -44,14 +45,14 @@
 			Sequence: 4<<sequenceBits | 1, ClockMs: e.heartbeat.ClockMs,
 			Active: b.runner.active, Finished: b.runner.finished, Called: true,
 		}))
-		Expect(answered).NotTo(Receive(), "the owner has not got it yet")
+		Expect(answered).NotTo(Receive(), "the owner doesn't have it yet")
 		e.reply <- result{orders: leaseOrders()}
 		w := responseOf(answered)
 		Expect(w.Code).To(Equal(200))
 		Expect(w.Body.String()).To(MatchJSON(`{}`))
 	})
 
-	It("does as ordered, stops first, held from before the owner was told", func() {
+	It("carries out orders, stops first, under a lease from before the report to the owner", func() {
 		running := protocol.ActiveRun{Task: "a.0.0.2", Run: 5}
 		b.runner.active = []protocol.ActiveRun{running}
 		b.sendHeartbeat(instance, 4, protocol.Ready)
@@ -75,7 +76,7 @@
 			receivedCall{Path: pathStart, Task: "a.0.0.1", RunID: 1, Spec: "do", Saved: "0b", DeadlineMs: deadline, FenceToken: 7},
 		))
 		e = b.nextExchange()
-		Expect(e.heartbeat.Active).To(ConsistOf(firstRun, running), "what was started is known before a look shows it")
+		Expect(e.heartbeat.Active).To(ConsistOf(firstRun, running), "a started run is known before a poll shows it")
 		Expect(e.heartbeat.Sequence).To(Equal(uint64(4<<sequenceBits | 2)))
 		e.reply <- result{orders: leaseOrders()}
 		e = b.nextExchange()
@@ -84,13 +85,13 @@
 			FenceToken: 7, LastSeen: 3, WaitMs: maxPollWait.Milliseconds()}))
 	})
 
-	It("tells of an end at once, until the owner has acknowledged it", func() {
+	It("reports an end at once, until the owner has acknowledged it", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		ended := protocol.FinishedRun{N: 1, Task: "a.0.0.1", Run: 1, How: protocol.EndDone}
 		b.runner.set(func() { b.runner.finished = []protocol.FinishedRun{ended} })
 		b.runner.nudges <- struct{}{}
-		has := func(beat *protocol.Heartbeat) bool { return len(beat.Finished) > 0 }
+		has := func(heartbeat *protocol.Heartbeat) bool { return len(heartbeat.Finished) > 0 }
 		b.nextExchangeWhere(leaseOrders(), has).reply <- result{orders: leaseOrders()}
 		e := b.nextExchange()
 		Expect(e.heartbeat.Finished).To(ConsistOf(ended))
@@ -100,15 +101,15 @@
 		Expect(b.nextExchange().heartbeat.Finished).To(BeEmpty())
 	})
 
-	It("that refuses a start is made to refuse it for good, which the owner is told", func() {
+	It("that rejects a start is made to reject it for good, which is reported to the owner", func() {
 		b.runner.rejectReason = "room"
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: startOrders("a.0.0.1")}
-		e := b.nextExchangeWhere(leaseOrders(), func(beat *protocol.Heartbeat) bool {
-			if len(beat.Rejected) == 0 {
-				Expect(beat.Active).To(ConsistOf(firstRun), "its room is kept until a later look does not show it")
+		e := b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool {
+			if len(heartbeat.Rejected) == 0 {
+				Expect(heartbeat.Active).To(ConsistOf(firstRun), "its capacity is reserved until a later poll does not show it")
 			}
-			return len(beat.Rejected) > 0
+			return len(heartbeat.Rejected) > 0
 		})
 		Expect(b.runner.stopped).To(HaveKey(runName{"a.0.0.1", 1}))
 		Expect(e.heartbeat.Rejected).To(ConsistOf(firstRun))
@@ -117,23 +118,23 @@
 		Expect(b.nextExchange().heartbeat.Rejected).To(BeEmpty())
 	})
 
-	It("is made to refuse for good what an agent before this one may have sent", func() {
+	It("is made to reject for good what an earlier agent may have sent", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		orders := leaseOrders()
 		orders.Stop = []protocol.StopOrder{{Task: firstRun.Task, Run: firstRun.Run}}
 		b.nextExchange().reply <- result{orders: orders}
-		e := b.nextExchangeWhere(leaseOrders(), func(beat *protocol.Heartbeat) bool {
-			if len(beat.Rejected) == 0 {
-				Expect(beat.Active).To(ConsistOf(firstRun), "it may be on its way until a look after the stop does not show it")
+		e := b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool {
+			if len(heartbeat.Rejected) == 0 {
+				Expect(heartbeat.Active).To(ConsistOf(firstRun), "it may be on its way until a poll after the stop does not show it")
 			}
-			return len(beat.Rejected) > 0
+			return len(heartbeat.Rejected) > 0
 		})
 		Expect(b.runner.stopped).To(HaveKey(runName{firstRun.Task, firstRun.Run}))
 		Expect(e.heartbeat.Rejected).To(ConsistOf(firstRun))
 		Expect(e.heartbeat.Active).To(BeEmpty())
 	})
 
-	It("that has a newer owner is not made to refuse anything", func() {
+	It("that has a newer owner is not made to reject anything", func() {
 		b.runner.rejectReason = reasonFence
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: startOrders("a.0.0.1")}
@@ -143,7 +144,7 @@
 		Expect(b.runner.stopped).To(BeEmpty())
 	})
 
-	DescribeTable("of which it is unknown whether it has started a run",
+	DescribeTable("whose start of a run is unconfirmed",
 		func(started bool) {
 			b.sendHeartbeat(instance, 4, protocol.Ready)
 			e := b.nextExchange()
@@ -172,15 +173,15 @@
 				Expect(b.runner.stopped).To(BeEmpty())
 				return
 			}
-			e = b.nextExchangeWhere(leaseOrders(), func(beat *protocol.Heartbeat) bool { return len(beat.Active) == 0 })
+			e = b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool { return len(heartbeat.Active) == 0 })
 			Expect(e.heartbeat.Rejected).To(ConsistOf(firstRun))
 			Expect(b.runner.stopped).To(HaveKey(runName{"a.0.0.1", 1}))
 		},
-		Entry("keeps its room until it was stopped", false),
-		Entry("is believed when it shows it", true),
+		Entry("reserves its capacity until it was stopped", false),
+		Entry("is believed when a poll shows it", true),
 	)
 
-	It("is given no start that has become old", func() {
+	It("gets no start that has become too old", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		e := b.nextExchange()
 		b.runner.set(func() { b.runner.onStart = func() { b.clock.Advance(maxOrderAge) } })
@@ -189,7 +190,7 @@
 		Expect(b.nextExchange().heartbeat.Active).To(ConsistOf(firstRun))
 	})
 
-	It("is not given the orders of an owner of the past", func() {
+	It("does not get the orders of a former owner", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		old := startOrders("a.0.0.1")
@@ -198,26 +199,26 @@
 		Expect(b.nextExchange().heartbeat.Active).To(BeEmpty())
 	})
 
-	It("is told that its draining is known only once it is", func() {
+	It("gets its draining acknowledged only once the owner knows it", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		e := b.nextExchange()
 		draining := b.sendHeartbeat(instance, 5, protocol.Draining)
 		Expect(e.heartbeat.State).To(Equal(protocol.Ready))
 		e.reply <- result{orders: leaseOrders()}
-		e = b.nextExchangeWhere(leaseOrders(), func(beat *protocol.Heartbeat) bool { return beat.State == protocol.Draining })
+		e = b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool { return heartbeat.State == protocol.Draining })
 		Expect(draining).NotTo(Receive())
 		e.reply <- result{orders: leaseOrders()}
 		Expect(responseOf(draining).Code).To(Equal(200))
 	})
 
-	It("has its heartbeat refused when no owner answers", func() {
+	It("has its heartbeat rejected when no owner responds", func() {
 		answered := b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange()
 		b.clock.Advance(exchangeTimeout)
 		Expect(responseOf(answered).Code).To(Equal(503))
 	})
 
-	It("is looked at by the present token, and reported with rising numbers, after the agent's restart", func() {
+	It("is polled by the current fencing token, and reported with rising sequences, after the agent's restart", func() {
 		b.runner.fence = 7
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		fence := b.nextExchange()
@@ -232,7 +233,7 @@
 		Expect(b.nextExchange().heartbeat.Sequence).To(BeNumerically(">", before))
 	})
 
-	It("is not taken for the one that has followed it", func() {
+	It("is not confused with the incarnation that has replaced it", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		b.runner.next(pathLease)
@@ -249,10 +250,10 @@
 		e, next := b.awaitReport("i-next", leaseOrders())
 		e.reply <- result{orders: leaseOrders()}
 		Expect(responseOf(next).Code).To(Equal(200))
-		Expect(responseOf(b.sendHeartbeat(instance, 9, protocol.Ready)).Code).To(Equal(410), "it is over")
+		Expect(responseOf(b.sendHeartbeat(instance, 9, protocol.Ready)).Code).To(Equal(410), "it has ended")
 	})
 
-	It("is not ended by a late heartbeat of the one before, of which the agent has never heard", func() {
+	It("is not replaced by a late heartbeat of an earlier incarnation that is unknown to the agent", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		Expect(responseOf(b.sendHeartbeat("i-before", 90, protocol.Ready)).Code).To(Equal(503))
@@ -260,11 +261,11 @@
 		Expect(e.heartbeat.Instance).To(Equal(instance))
 		e.reply <- result{orders: leaseOrders()}
 		next := b.sendHeartbeat(instance, 5, protocol.Ready)
-		b.nextExchangeWhere(leaseOrders(), func(beat *protocol.Heartbeat) bool { return beat.Sequence>>sequenceBits == 5 }).reply <- result{orders: leaseOrders()}
+		b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool { return heartbeat.Sequence>>sequenceBits == 5 }).reply <- result{orders: leaseOrders()}
 		Expect(responseOf(next).Code).To(Equal(200))
 	})
 
-	It("is called no more once it has said that it ends", func() {
+	It("is no longer called once it has deregistered", func() {
 		b.sendHeartbeat(instance, 4, protocol.Ready)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		leaving := b.serve(post(instance, "deregister", ""))
@@ -282,7 +283,7 @@
 	})
 })
 
-var _ = DescribeTable("a session is certain to be with a heartbeat's runner",
+var _ = DescribeTable("a session is confirmed by a heartbeat",
 	func(clockMs int64, arrived time.Duration, certain bool) {
 		linked := time.Unix(1000, 0)
 		s := &session{linkedAt: linked, linkClockMs: 50_000}
@@ -291,27 +292,27 @@
 	Entry("just before", int64(49_998), -2*time.Millisecond, true),
 	Entry("later, by the same clock", int64(51_480), 1500*time.Millisecond, true),
 	Entry("long before", int64(49_000), -time.Second, false),
-	Entry("that was long under way", int64(49_000), time.Millisecond, false),
+	Entry("delayed on the way", int64(49_000), time.Millisecond, false),
 	Entry("by another clock", int64(482_113), time.Millisecond, false),
 )
 
-var _ = Describe("a picture", func() {
+var _ = Describe("a runner's snapshot", func() {
 	now := time.Unix(1000, 0)
 	run := runName{"a.0.0.1", 1}
 
-	DescribeTable("keeps a run that was started until a later look",
-		func(lookMs int64, kept bool) {
+	DescribeTable("keeps a run that was started until a later poll",
+		func(pollMs int64, want bool) {
 			p := newRunnerSnapshot()
 			p.addStarted(run, 500, now)
-			p.update(&pollResponse{clockMs: lookMs}, now)
-			Expect(len(p.active()) == 1).To(Equal(kept))
+			p.update(&pollResponse{clockMs: pollMs}, now)
+			Expect(len(p.active()) == 1).To(Equal(want))
 		},
 		Entry("an earlier one", int64(400), true),
 		Entry("one of the same moment", int64(500), true),
 		Entry("a later one", int64(501), false),
 	)
 
-	It("never takes the runner's clock to be later than it is", func() {
+	It("never overestimates the runner's clock", func() {
 		p := newRunnerSnapshot()
 		p.update(&pollResponse{clockMs: 1000}, now)
 		slow := int64(1000 + 0.98*2000)
@@ -323,7 +324,7 @@
 })
 
 var _ = Describe("a loop", func() {
-	It("has its runner's heartbeat from its start", func() {
+	It("knows its runner's heartbeat from its start", func() {
 		b := newCalledFixture()
 		defer b.close()
 		request := &protocol.HeartbeatRequest{Shard: 1, Heartbeat: protocol.Heartbeat{Instance: instance, Sequence: 4}}
--- a/internal/cluster/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -92,7 +92,9 @@
 	if server.Shutdown(shutdown) != nil {
 		_ = server.Close() // its listener is closed already
 	}
-	_ = <-ended // http.ErrServerClosed
+	if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+		return errors.Wrap(err, "serve the runner")
+	}
 	return nil
 }
 
