--- a/internal/cluster/frontend/cancel_test.go
+++ b/internal/cluster/frontend/cancel_test.go
@@ -18,17 +18,17 @@
 
 // Addresses of control processes in tests of an owner that changes.
 const (
-	addressBefore = "10.0.0.1:7380" // of the owner that has fallen silent
+	addressBefore = "10.0.0.1:7380" // of the owner that has become unresponsive
 	addressAfter  = "10.0.0.5:7380" // of its successor
 )
 
-// controlAddresses are all of them.
+// controlAddresses are those of all control processes.
 var controlAddresses = []string{addressBefore, "10.0.0.2:7380", "10.0.0.3:7380", "10.0.0.4:7380", addressAfter}
 
-// oldHint is for how long the others take the silent one for the owner.
-const oldHint = 320 * time.Millisecond
+// staleHintTime is how long the others take the unresponsive one for the owner.
+const staleHintTime = 320 * time.Millisecond
 
-// changingOwner carries calls to a shard whose owner falls silent and whose successor owns it from a time on.
+// changingOwner is a shard whose owner has become unresponsive, and whose successor owns it from the time elected on.
 type changingOwner struct {
 	clock             clockwork.Clock
 	unresponsiveSince time.Time // since then
@@ -48,8 +48,8 @@
 	switch {
 	case address == addressBefore:
 		<-ctx.Done()
-		return failure.New(failure.UnknownOutcome, "no answer")
-	case o.clock.Since(o.unresponsiveSince) < oldHint:
+		return failure.New(failure.UnknownOutcome, "no response")
+	case o.clock.Since(o.unresponsiveSince) < staleHintTime:
 		return &failure.Error{Kind: failure.NotLeader, Message: "not here", Leader: addressBefore}
 	case o.clock.Now().Before(elected):
 		return failure.New(failure.NotLeader, "an election is going on")
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// count returns how often a process was asked.
+// count returns the number of calls.
 func (o *changingOwner) count() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -78,7 +78,7 @@
 	return o.Do(ctx, address, request, response)
 }
 
-var _ = DescribeTable("a cancel while the owner of its shard changes",
+var _ = DescribeTable("a cancellation while the owner of its shard changes",
 	func(electedAfter, within time.Duration, status int) {
 		b := newFixture()
 		owner := &changingOwner{clock: b.clock, unresponsiveSince: b.clock.Now(), elected: b.clock.Now().Add(electedAfter)}
@@ -100,18 +100,18 @@
 			}
 		}).WithTimeout(10 * time.Second).WithPolling(2 * time.Millisecond).Should(BeTrue())
 		Expect(w.Code).To(Equal(status), w.Body.String())
-		Expect(owner.count()).To(BeNumerically("<", 20), "it does not hammer")
+		Expect(owner.count()).To(BeNumerically("<", 20), "there is a pause between two calls")
 
 		owner.elect()
-		Expect(awaitResponse(b, b.serve(request("DELETE", "/a/"+jobID, ""))).Code).To(Equal(200), "as it is when it comes again")
+		Expect(awaitResponse(b, b.serve(request("DELETE", "/a/"+jobID, ""))).Code).To(Equal(200), "a repeated cancellation succeeds")
 	},
-	Entry("that has a successor before it is known to be silent", 400*time.Millisecond, maxQueryTime, 200),
-	Entry("that has one after an election", 700*time.Millisecond, maxQueryTime, 200),
-	Entry("that has one after a longer election", time.Second, maxQueryTime, 200),
-	Entry("that has none in time: whether it was done is not known", time.Hour, maxQueryTime, 504),
+	Entry("with a successor before it is known to be unresponsive", 400*time.Millisecond, maxQueryTime, 200),
+	Entry("with a successor after an election", 700*time.Millisecond, maxQueryTime, 200),
+	Entry("with a successor after a longer election", time.Second, maxQueryTime, 200),
+	Entry("without a successor in time: the outcome is unknown", time.Hour, maxQueryTime, 504),
 )
 
-// awaitResponse returns an answer, letting time pass until it comes.
+// awaitResponse advances the fake clock until the response arrives.
 func awaitResponse(b *fixture, answered <-chan *httptest.ResponseRecorder) *httptest.ResponseRecorder {
 	var w *httptest.ResponseRecorder
 	Eventually(func() bool {
--- a/internal/cluster/frontend/configuration_test.go
+++ b/internal/cluster/frontend/configuration_test.go
@@ -62,7 +62,7 @@
 		Expect(found.Shards).To(Equal([]protocol.ShardID{protocol.ShardOf("wuno96b"), protocol.ShardOf("huvo11a")}))
 	})
 
-	It("come as changes to the one in force", func() {
+	It("arrive as changes to the one in force", func() {
 		state := configuration.NewState()
 		documents := configurationApplier{views: NewViews(), logger: log.NewNopLogger()}
 		Expect(documents.apply(3, replaced(state, "3", "0", queueOf("huvo11a")))).To(Succeed())
@@ -75,7 +75,7 @@
 		Expect(documents.apply(5, changes)).NotTo(Succeed(), "they lead on from version 3")
 	})
 
-	It("that can't be read leave the view as it is", func() {
+	It("that are invalid leave the view unchanged", func() {
 		documents := configurationApplier{views: NewViews(), logger: log.NewNopLogger()}
 		Expect(documents.apply(3, replaced(configuration.NewState(), "3", "0", queueOf("huvo11a")))).To(Succeed())
 		Expect(documents.apply(4, []byte("nonsense"))).NotTo(Succeed())
--- a/internal/cluster/frontend/connection_test.go
+++ b/internal/cluster/frontend/connection_test.go
@@ -15,12 +15,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// blockingListener accepts connections whose reads can be held back after the bytes have come.
+// blockingListener accepts connections whose reads can be blocked after the bytes have arrived.
 type blockingListener struct {
 	net.Listener
 	holding atomic.Bool
-	blocked chan struct{} // has an element for each read that is held back
-	release chan struct{} // closed: they go on
+	blocked chan struct{} // has an element for each blocked read
+	release chan struct{} // closed: blocked reads return
 }
 
 func (l *blockingListener) Accept() (net.Conn, error) {
@@ -36,7 +36,7 @@
 	listener *blockingListener
 }
 
-// Read stands for a thread that the kernel has given the bytes and that then has to wait for the processor.
+// Read simulates a thread that has got the bytes from the kernel and then waits for the processor.
 func (c *blockingConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count > 0 && c.listener.holding.Load() {
@@ -56,19 +56,19 @@
 	return s, listener
 }
 
-// stopAccepting has the process stop and lets time pass until it ends its connections.
+// stopAccepting shuts the server down and advances the fake clock until it ends its connections.
 func (s *serverFixture) stopAccepting() {
 	s.stop()
-	Eventually(s.server.stopping.Load).Should(BeTrue()) // its waits stand on the clock
+	Eventually(s.server.stopping.Load).Should(BeTrue()) // its timers are on the fake clock
 	s.clock.Advance(readinessDelay)
 	Eventually(s.server.acceptor.isEnding).Should(BeTrue())
 }
 
-var _ = Describe("a request at a stop", func() {
+var _ = Describe("a request at a shutdown", func() {
 	const head = "GET /a/ HTTP/1.1\r\nHost: ficu95"
 	const rest = ".example\r\n\r\n"
 
-	DescribeTable("is answered if it was read and not yet looked at when connections ended",
+	DescribeTable("is answered if it was read but not yet processed when connections ended",
 		func(before int, first, second string) {
 			s, listener := newBlockingFixture()
 			client := s.connect()
@@ -94,13 +94,13 @@
 			Expect(last).To(BeTrue())
 			Eventually(s.ended).Should(Receive(BeNil()))
 		},
-		Entry("whole on a new connection", 0, head+rest, ""),
-		Entry("in part on a new connection", 0, head, rest),
-		Entry("whole on one that has served before", 1, head+rest, ""),
-		Entry("in part on one that has served before", 1, head, rest),
+		Entry("complete on a new connection", 0, head+rest, ""),
+		Entry("partly on a new connection", 0, head, rest),
+		Entry("complete on one that has served before", 1, head+rest, ""),
+		Entry("partly on one that has served before", 1, head, rest),
 	)
 
-	DescribeTable("is answered if its last bytes come after connections ended",
+	DescribeTable("is answered if its last bytes arrive after connections ended",
 		func(before int) {
 			s := newServerFixture()
 			client := s.connect()
@@ -123,7 +123,7 @@
 		Entry("on one that has served before", 2),
 	)
 
-	It("is answered if it began before the one before it was answered", func() {
+	It("is answered if it began before the previous one was answered", func() {
 		s := newServerFixture()
 		release := make(chan struct{})
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
@@ -149,23 +149,23 @@
 		Eventually(s.ended).Should(Receive(BeNil()))
 	})
 
-	It("is answered before the process ends, however late it was read whole and whoever is silent", func() {
+	It("is answered before the process ends, however late it was complete and whoever is unresponsive", func() {
 		s := newServerFixture()
 		s.owners.submit = func(ctx context.Context, _ *protocol.SubmitRequest) error {
 			<-ctx.Done()
-			return failure.New(failure.UnknownOutcome, "no answer")
+			return failure.New(failure.UnknownOutcome, "no response")
 		}
 		client := s.connect()
 		body := oneStep
-		whole := "POST /a/" + jobID + " HTTP/1.1\r\nHost: ficu95.example\r\nContent-Length: "
-		whole += strconv.Itoa(len(body)) + "\r\n\r\n" + body
-		_, err := client.Write([]byte(whole[:len(head)]))
+		complete := "POST /a/" + jobID + " HTTP/1.1\r\nHost: ficu95.example\r\nContent-Length: "
+		complete += strconv.Itoa(len(body)) + "\r\n\r\n" + body
+		_, err := client.Write([]byte(complete[:len(head)]))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(s.server.acceptor.busy).Should(Equal(1))
 		s.stopAccepting()
 		end := 6*time.Second - killMargin
 		s.clock.Advance(end - responseMargin - readinessDelay - 200*time.Millisecond)
-		_, err = client.Write([]byte(whole[len(head):]))
+		_, err = client.Write([]byte(complete[len(head):]))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 		Consistently(s.ended, 30*time.Millisecond).ShouldNot(Receive())
@@ -176,7 +176,7 @@
 		Eventually(s.ended).Should(Receive(BeNil()))
 	})
 
-	It("that has not begun on a new connection is waited for a little, and not for the whole time", func() {
+	It("is waited for on a new connection for firstRequestTimeout only", func() {
 		s := newServerFixture()
 		client := s.connect()
 		Eventually(s.server.acceptor.count).Should(Equal(1))
@@ -202,7 +202,7 @@
 })
 
 var _ = Describe("a new configuration's limits", func() {
-	It("cut no request that is being read or answered", func() {
+	It("abort no request that is being read or answered", func() {
 		s := newServerFixture()
 		release := make(chan struct{})
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
@@ -232,24 +232,24 @@
 	})
 })
 
-// busy returns on how many connections a request is being read or answered.
-func (e *acceptor) busy() int {
-	return e.countWhere(func(c *clientConnection) bool { return c.busy })
+// busy returns the number of connections on which a request is being read or answered.
+func (a *acceptor) busy() int {
+	return a.countWhere(func(c *clientConnection) bool { return c.busy })
 }
 
-// hasEarlyByte returns on how many connections the next request has begun beside one that is being answered.
-func (e *acceptor) early() int {
-	return e.countWhere(func(c *clientConnection) bool { return c.hasEarlyByte })
+// early returns the number of connections on which the next request has begun while one is being answered.
+func (a *acceptor) early() int {
+	return a.countWhere(func(c *clientConnection) bool { return c.hasEarlyByte })
 }
 
-// countWhere returns how many connections are such.
-func (e *acceptor) countWhere(such func(c *clientConnection) bool) int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+// countWhere returns the number of connections that match.
+func (a *acceptor) countWhere(matches func(c *clientConnection) bool) int {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	count := 0
-	for connection := range e.open {
+	for connection := range a.open {
 		connection.mutex.Lock()
-		if such(connection) {
+		if matches(connection) {
 			count++
 		}
 		connection.mutex.Unlock()
@@ -257,11 +257,11 @@
 	return count
 }
 
-// count returns how many connections are open.
-func (e *acceptor) count() int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return len(e.open)
+// count returns the number of open connections.
+func (a *acceptor) count() int {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return len(a.open)
 }
 
 func (s *Server) limitsInForce() Limits {
--- a/internal/cluster/frontend/frontend_test.go
+++ b/internal/cluster/frontend/frontend_test.go
@@ -27,7 +27,7 @@
 	oneStep = `{"spec":"x","steps":[{"count":2,"cpu":500}],"unknown":{"a":1}}`
 )
 
-// fakeDirectory is a directory whose freshness a test sets.
+// fakeDirectory is a Directory whose newest confirmation has an age that the test sets.
 type fakeDirectory struct {
 	mutex     sync.Mutex
 	age       time.Duration // of the newest confirmation
@@ -41,7 +41,7 @@
 	return d.age <= within
 }
 
-// ConfirmedSince takes all that is asked for to have come just now.
+// ConfirmedSince reports whether there is a confirmation just now, whatever the time is.
 func (d *fakeDirectory) ConfirmedSince(time.Time) bool { return d.Fresh(0) }
 
 func (d *fakeDirectory) Refresh() {
@@ -60,7 +60,7 @@
 	d.age = age
 }
 
-// fakeOwners answers by functions that a test sets, and notes who was asked what.
+// fakeOwners responds by functions that the test sets, and logs the calls.
 type fakeOwners struct {
 	mutex   sync.Mutex
 	log     []string
@@ -126,7 +126,7 @@
 	return &protocol.PendingResponse{Pending: count}, nil
 }
 
-// fakeTable finds queues of one host by prefix.
+// fakeTable has routes of one host by prefix.
 type fakeTable map[string]*Route
 
 func (t fakeTable) Lookup(host, path string) (*Route, string, bool) {
@@ -157,7 +157,7 @@
 	return &View{Version: version, Table: fakeTable(routes), Limits: Limits{MaxBodyBytes: 1000}}
 }
 
-// fixture is a Service with fakes around it: /a/ has shard 1, /b/ shard 2 and earlier 3 and 4.
+// fixture is a Service with fakes. The queue /a/ has shard 1; /b/ has shard 2 and had 3 and 4 earlier.
 type fixture struct {
 	directory *fakeDirectory
 	owners    *fakeOwners
@@ -186,32 +186,32 @@
 }
 
 func request(method, path, body string) *http.Request {
-	r := httptest.NewRequest(method, path, strings.NewReader(body))
+	r := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body))
 	r.Host = "ficu95.example"
 	r.Header.Set("Content-Type", "application/json")
 	return r
 }
 
-// do serves r to its end.
+// do serves r and returns the response.
 func (b *fixture) do(r *http.Request) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	b.service.ServeHTTP(w, r)
 	return w
 }
 
-// serve serves r aside; the channel brings the answer.
+// serve serves r in a goroutine; the channel gets the response.
 func (b *fixture) serve(r *http.Request) <-chan *httptest.ResponseRecorder {
 	answered := make(chan *httptest.ResponseRecorder, 1)
 	go func() { answered <- b.do(r) }()
 	return answered
 }
 
-// awaitTimers returns once n waits stand on the clock.
+// awaitTimers returns once the fake clock has n timers.
 func (b *fixture) awaitTimers(n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	Expect(b.clock.BlockUntilContext(ctx, n)).To(Succeed())
 }
 
-// kind returns a function's error for a kind.
+// kind returns an error of a kind.
 func kind(k failure.Kind) error { return failure.New(k, "as scripted") }
--- a/internal/cluster/frontend/moves_test.go
+++ b/internal/cluster/frontend/query_test.go
@@ -13,9 +13,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("queues that have moved", func() {
-	DescribeTable("hand-ins ask the earlier shards first",
-		func(has map[protocol.ShardID]bool, failing protocol.ShardID, failsWith failure.Kind, status int, asked ...string) {
+var _ = Describe("queues that have moved to another service", func() {
+	DescribeTable("submissions fence the earlier shards first",
+		func(has map[protocol.ShardID]bool, failing protocol.ShardID, failsWith failure.Kind, status int, calls ...string) {
 			b := newFixture()
 			b.owners.fence = func(_ context.Context, r *protocol.FenceRequest) (bool, error) {
 				Expect(r.ConfigurationVersion).To(Equal(uint64(7)))
@@ -25,49 +25,49 @@
 				return has[r.Shard], nil
 			}
 			Expect(b.do(request("POST", "/b/"+jobID, oneStep)).Code).To(Equal(status))
-			Expect(b.owners.calls()).To(Equal(asked))
+			Expect(b.owners.calls()).To(Equal(calls))
 		},
 		Entry("none has it", nil, protocol.ShardID(0), failure.None, 200, "fence 3", "fence 4", "submit 2"),
 		Entry("the first has it", map[protocol.ShardID]bool{3: true}, protocol.ShardID(0), failure.None, 200, "fence 3"),
 		Entry("the last has it", map[protocol.ShardID]bool{4: true}, protocol.ShardID(0), failure.None, 200, "fence 3", "fence 4"),
-		Entry("one can't be reached", nil, protocol.ShardID(4), failure.Unavailable, 503, "fence 3", "fence 4"),
-		Entry("one doesn't answer: nobody took the job", nil, protocol.ShardID(3), failure.UnknownOutcome, 503, "fence 3"),
+		Entry("one is unreachable", nil, protocol.ShardID(4), failure.Unavailable, 503, "fence 3", "fence 4"),
+		Entry("one does not respond: no shard has accepted the job", nil, protocol.ShardID(3), failure.UnknownOutcome, 503, "fence 3"),
 	)
 
-	DescribeTable("questions go to all until one has the job",
-		func(method string, answers map[protocol.ShardID]failure.Kind, status int, asked ...string) {
+	DescribeTable("queries go to all shards until one has the job",
+		func(method string, answers map[protocol.ShardID]failure.Kind, status int, calls ...string) {
 			b := newFixture()
-			answer := func(shard protocol.ShardID) error {
+			respond := func(shard protocol.ShardID) error {
 				if k := answers[shard]; k != failure.None {
 					return kind(k)
 				}
 				return nil
 			}
 			b.owners.status = func(_ context.Context, r *protocol.StatusRequest) (string, error) {
-				return "queued", answer(r.Shard)
+				return "queued", respond(r.Shard)
 			}
-			b.owners.cancel = func(_ context.Context, r *protocol.CancelRequest) error { return answer(r.Shard) }
+			b.owners.cancel = func(_ context.Context, r *protocol.CancelRequest) error { return respond(r.Shard) }
 			Expect(b.do(request(method, "/b/"+jobID, "")).Code).To(Equal(status))
-			Expect(b.owners.calls()).To(Equal(asked))
+			Expect(b.owners.calls()).To(Equal(calls))
 		},
 		Entry("the present one has it", "GET", nil, 200, "status 2"),
 		Entry("an earlier one has it", "GET", map[protocol.ShardID]failure.Kind{2: failure.Gone, 3: failure.Gone}, 200,
 			"status 2", "status 3", "status 4"),
 		Entry("none has it", "GET", map[protocol.ShardID]failure.Kind{2: failure.Gone, 3: failure.Gone, 4: failure.Gone}, 410,
 			"status 2", "status 3", "status 4"),
-		Entry("one can't be asked", "GET", map[protocol.ShardID]failure.Kind{2: failure.Gone, 3: failure.NotLeader, 4: failure.Gone}, 503,
+		Entry("one is unavailable", "GET", map[protocol.ShardID]failure.Kind{2: failure.Gone, 3: failure.NotLeader, 4: failure.Gone}, 503,
 			"status 2", "status 3", "status 4"),
-		Entry("one can't be asked, another has it", "GET", map[protocol.ShardID]failure.Kind{2: failure.Unavailable}, 200,
+		Entry("one is unavailable, another has it", "GET", map[protocol.ShardID]failure.Kind{2: failure.Unavailable}, 200,
 			"status 2", "status 3"),
 		Entry("an earlier one cancels it", "DELETE", map[protocol.ShardID]failure.Kind{2: failure.Gone}, 200,
 			"cancel 2", "cancel 3"),
-		Entry("nobody to cancel it", "DELETE", map[protocol.ShardID]failure.Kind{2: failure.Gone, 3: failure.Gone, 4: failure.Gone}, 410,
+		Entry("none can cancel it", "DELETE", map[protocol.ShardID]failure.Kind{2: failure.Gone, 3: failure.Gone, 4: failure.Gone}, 410,
 			"cancel 2", "cancel 3", "cancel 4"),
-		Entry("a cancel in doubt stays so", "DELETE", map[protocol.ShardID]failure.Kind{2: failure.Unavailable, 3: failure.UnknownOutcome, 4: failure.Gone}, 504,
+		Entry("a cancellation of unknown outcome stays one", "DELETE", map[protocol.ShardID]failure.Kind{2: failure.Unavailable, 3: failure.UnknownOutcome, 4: failure.Gone}, 504,
 			"cancel 2", "cancel 3", "cancel 4"),
 	)
 
-	It("does not say that a job is gone while a shard is unasked", func() {
+	It("does not respond Gone while a shard has not been queried", func() {
 		b := newFixture()
 		b.owners.status = func(ctx context.Context, r *protocol.StatusRequest) (string, error) {
 			b.clock.Advance(maxQueryTime)
@@ -87,8 +87,8 @@
 	})
 })
 
-var _ = Describe("a configuration that is behind", func() {
-	DescribeTable("a hand-in that the owner finds stale starts again with the newer one",
+var _ = Describe("a configuration that may be out of date", func() {
+	DescribeTable("restarts a stale submission with the newer configuration",
 		func(refusal failure.Kind) {
 			b := newFixture()
 			b.owners.submit = func(_ context.Context, r *protocol.SubmitRequest) error {
@@ -105,14 +105,14 @@
 		Entry("moved", failure.Moved),
 	)
 
-	It("refuses a hand-in whose queue the newer configuration dropped", func() {
+	It("rejects a submission whose queue the newer configuration dropped", func() {
 		b := newFixture()
 		b.owners.submit = func(context.Context, *protocol.SubmitRequest) error { return kind(failure.Stale) }
 		b.directory.onRefresh = func() { b.views.Set(view(9, map[string]*Route{"/c/": route("/c/", 4)})) }
 		Expect(b.do(request("POST", "/a/"+jobID, oneStep)).Code).To(Equal(404))
 	})
 
-	It("asks again an owner that is itself behind", func() {
+	It("calls an owner again that is itself out of date", func() {
 		b := newFixture()
 		behind := true
 		b.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
@@ -132,7 +132,7 @@
 		Expect(b.owners.calls()).To(Equal([]string{"submit 1", "submit 1"}))
 	})
 
-	It("gives a stale hand-in up when no newer one comes", func() {
+	It("gives up a stale submission when no newer configuration arrives", func() {
 		b := newFixture()
 		b.owners.submit = func(context.Context, *protocol.SubmitRequest) error { return kind(failure.Stale) }
 		r := request("POST", "/a/"+jobID, oneStep)
@@ -147,7 +147,7 @@
 		Expect(b.directory.refreshes).To(Equal(1))
 	})
 
-	DescribeTable("waits for a confirmation where an unseen version could make the answer wrong",
+	DescribeTable("waits for a confirmation where an unknown version could make the response wrong",
 		func(method, path, body string, age time.Duration, whenConfirmed, otherwise int) {
 			for _, confirmed := range []bool{true, false} {
 				b := newFixture()
@@ -166,18 +166,18 @@
 		},
 		Entry("no such queue", "POST", "/z/"+jobID, oneStep, 1900*time.Millisecond, 404, 503),
 		Entry("no such job", "GET", "/a/"+jobID, "", 1900*time.Millisecond, 410, 503),
-		Entry("no such job, confirmed just before the question", "GET", "/a/"+jobID, "", time.Millisecond, 410, 503),
+		Entry("no such job, confirmed just before the query", "GET", "/a/"+jobID, "", time.Millisecond, 410, 503),
 		Entry("no such job to cancel, confirmed just before", "DELETE", "/a/"+jobID, "", time.Millisecond, 410, 503),
 		Entry("nothing below a queue", "GET", "/a/x/"+jobID, "", 1900*time.Millisecond, 404, 503),
 		Entry("a short id", "GET", "/a/5c0e", "", 1900*time.Millisecond, 400, 503),
 		Entry("a large body", "POST", "/a/"+jobID, `{"spec":"`+strings.Repeat("x", 1000)+`"}`, 1900*time.Millisecond, 413, 503),
 		Entry("a count", "GET", "/a/", "", 1900*time.Millisecond, 200, 503),
-		Entry("a hand-in just after the usual time", "POST", "/a/"+jobID, oneStep, 2500*time.Millisecond, 200, 200),
-		Entry("a hand-in long after it", "POST", "/a/"+jobID, oneStep, 6*time.Second, 200, 503),
+		Entry("a submission just after the normal age", "POST", "/a/"+jobID, oneStep, 2500*time.Millisecond, 200, 200),
+		Entry("a submission long after it", "POST", "/a/"+jobID, oneStep, 6*time.Second, 200, 503),
 	)
 
-	DescribeTable("serves by the newer version that a confirmation brings",
-		func(method, path, body string, status int, asked ...string) {
+	DescribeTable("serves by the newer version that arrives with a confirmation",
+		func(method, path, body string, status int, calls ...string) {
 			b := newFixture()
 			b.directory.age = 1900 * time.Millisecond
 			b.directory.onRefresh = func() {
@@ -189,16 +189,16 @@
 			answered := b.serve(request(method, path, body))
 			w := b.awaitPolling(answered)
 			Expect(w.Code).To(Equal(status))
-			Expect(b.owners.calls()).To(HaveExactElements(asked))
+			Expect(b.owners.calls()).To(HaveExactElements(calls))
 		},
 		Entry("a job of a queue with a longer prefix", "GET", "/a/x/"+jobID, "", 200, "status 4"),
 		Entry("a count of a queue with a longer prefix", "GET", "/a/x/", "", 200, "pending 4"),
-		Entry("a hand-in to a queue with a longer prefix", "POST", "/a/x/"+jobID, oneStep, 200, "submit 4"),
-		Entry("a body that was too large: it is to come again", "POST", "/a/"+jobID,
+		Entry("a submission to a queue with a longer prefix", "POST", "/a/x/"+jobID, oneStep, 200, "submit 4"),
+		Entry("a body that was too large: a retry is asked for", "POST", "/a/"+jobID,
 			`{"spec":"`+strings.Repeat("x", 1000)+`","steps":[{"count":1}]}`, 503),
 	)
 
-	It("goes on asking for a confirmation while a question is out that left before the request came", func() {
+	It("keeps asking for a confirmation while a watch is in flight that was sent before the request arrived", func() {
 		b := newFixture()
 		b.directory.age = time.Millisecond
 		b.owners.status = func(context.Context, *protocol.StatusRequest) (string, error) { return "", kind(failure.Gone) }
@@ -216,7 +216,7 @@
 		Expect(refreshes).To(Equal(ignored + 1))
 	})
 
-	It("does not wait for a confirmation in calm", func() {
+	It("does not wait for a confirmation while nothing fails", func() {
 		b := newFixture()
 		b.directory.age = 1700 * time.Millisecond
 		Expect(b.do(request("GET", "/z/", "")).Code).To(Equal(404))
@@ -235,7 +235,7 @@
 })
 
 var _ = Describe("deadlines", func() {
-	DescribeTable("a request that no owner answers ends in time",
+	DescribeTable("a request to which no owner responds ends in time",
 		func(method, path, deadline string, allowed time.Duration, status int) {
 			b := newFixture()
 			ended := func(ctx context.Context) error {
@@ -256,13 +256,13 @@
 			Eventually(answered).Should(Receive(&w))
 			Expect(w.Code).To(Equal(status))
 		},
-		Entry("a hand-in", "POST", "/a/"+jobID, "3000", maxSubmitTime, 504),
-		Entry("a hand-in of a client in haste", "POST", "/a/"+jobID, "700", 550*time.Millisecond, 504),
+		Entry("a submission", "POST", "/a/"+jobID, "3000", maxSubmitTime, 504),
+		Entry("a submission of a client with a short wait", "POST", "/a/"+jobID, "700", 550*time.Millisecond, 504),
 		Entry("a state", "GET", "/a/"+jobID, "3000", maxQueryTime, 503),
-		Entry("a count of a client in haste", "GET", "/a/", "500", 350*time.Millisecond, 503),
+		Entry("a count of a client with a short wait", "GET", "/a/", "500", 350*time.Millisecond, 503),
 	)
 
-	It("does not hand a job in after its time", func() {
+	It("does not submit a job after the request's deadline", func() {
 		b := newFixture()
 		b.owners.fence = func(ctx context.Context, r *protocol.FenceRequest) (bool, error) {
 			if r.Shard == 4 {
@@ -276,7 +276,7 @@
 	})
 })
 
-// awaitPolling lets time pass, one look for a confirmation after the other, until the answer is there.
+// awaitPolling advances the fake clock by confirmPollInterval until the response arrives.
 func (b *fixture) awaitPolling(answered <-chan *httptest.ResponseRecorder) *httptest.ResponseRecorder {
 	GinkgoHelper()
 	var w *httptest.ResponseRecorder
--- a/internal/cluster/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -19,7 +19,7 @@
 	"ospreypond/internal/cluster/uplink"
 )
 
-// serverFixture is a Server on the loopback.
+// serverFixture is a fixture with a Server on the loopback interface.
 type serverFixture struct {
 	*fixture
 	server    *Server
@@ -33,8 +33,8 @@
 	return newServerFixtureBehind(func(clients net.Listener) net.Listener { return clients })
 }
 
-// newServerFixtureBehind returns a stand whose server accepts clients from what is put before its listener.
-func newServerFixtureBehind(put func(clients net.Listener) net.Listener) *serverFixture {
+// newServerFixtureBehind returns a serverFixture whose server accepts clients from what wrap returns for its listener.
+func newServerFixtureBehind(wrap func(clients net.Listener) net.Listener) *serverFixture {
 	s := &serverFixture{fixture: newFixture(), ended: make(chan error, 1)}
 	s.server = NewServer(s.service, 6*time.Second, log.NewNopLogger())
 	ctx, stop := context.WithCancel(context.Background())
@@ -44,19 +44,19 @@
 	Expect(err).NotTo(HaveOccurred())
 	clients, readiness := listeners[0], listeners[1]
 	s.clients, s.readiness = clients.Addr().String(), readiness.Addr().String()
-	go func() { s.ended <- s.server.Run(ctx, put(clients), readiness) }()
+	go func() { s.ended <- s.server.Run(ctx, wrap(clients), readiness) }()
 	DeferCleanup(stop)
 	return s
 }
 
-// connection is a client's connection, kept open between requests.
+// connection is a client's persistent connection.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
 func (s *serverFixture) connect() *connection {
-	conn, err := net.Dial("tcp", s.clients)
+	conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.clients)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
 	Expect(conn.SetDeadline(time.Now().Add(20 * time.Second))).To(Succeed())
@@ -68,25 +68,30 @@
 	Expect(r.Write(c.Conn)).To(Succeed())
 }
 
-// receive returns the next answer's status and whether it is the connection's last.
+// receive returns the next response's status, and whether it is the connection's last.
 func (c *connection) receive() (status int, last bool) {
 	response, err := http.ReadResponse(c.reader, nil)
 	Expect(err).NotTo(HaveOccurred())
-	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
 	Expect(err).NotTo(HaveOccurred())
+	Expect(response.Body.Close()).To(Succeed())
 	return response.StatusCode, response.Close
 }
 
-func (s *serverFixture) ready() int {
-	response, err := http.Get("http://" + s.readiness + readinessPath)
+func (s *serverFixture) ready() int { return s.probe(readinessPath) }
+
+// probe returns the status of a path at the address of readiness.
+func (s *serverFixture) probe(path string) int {
+	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+s.readiness+path, nil)
+	Expect(err).NotTo(HaveOccurred())
+	response, err := http.DefaultClient.Do(r)
 	Expect(err).NotTo(HaveOccurred())
-	response.Body.Close()
+	Expect(response.Body.Close()).To(Succeed())
 	return response.StatusCode
 }
 
 var _ = Describe("readiness", func() {
-	It("needs a configuration and that it was confirmed lately", func() {
+	It("requires a configuration that was confirmed recently", func() {
 		s := newServerFixture()
 		Expect(s.ready()).To(Equal(200))
 		s.directory.setAge(maxWatchWait(0) + normalAgeMargin + time.Millisecond)
@@ -99,34 +104,31 @@
 
 	It("is all that its address serves", func() {
 		s := newServerFixture()
-		response, err := http.Get("http://" + s.readiness + "/a/")
-		Expect(err).NotTo(HaveOccurred())
-		response.Body.Close()
-		Expect(response.StatusCode).To(Equal(404))
+		Expect(s.probe("/a/")).To(Equal(404))
 	})
 })
 
-var _ = Describe("an orderly stop", func() {
-	It("serves until nobody is sent here, and cuts nothing", func() {
+var _ = Describe("a shutdown", func() {
+	It("serves until no clients are sent here, and aborts nothing", func() {
 		s := newServerFixture()
 		release := make(chan struct{})
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
 			<-release
 			return nil
 		}
-		kept, busy := s.connect(), s.connect()
-		kept.send("GET", "/a/", "")
-		status, last := kept.receive()
+		idle, busy := s.connect(), s.connect()
+		idle.send("GET", "/a/", "")
+		status, last := idle.receive()
 		Expect(status).To(Equal(200))
 		Expect(last).To(BeFalse())
 		busy.send("POST", "/a/"+jobID, oneStep)
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 
 		s.stop()
-		Eventually(s.server.stopping.Load).Should(BeTrue()) // its waits stand on the clock
+		Eventually(s.server.stopping.Load).Should(BeTrue()) // its timers are on the fake clock
 		Expect(s.ready()).To(Equal(503))
-		kept.send("GET", "/a/", "")
-		status, last = kept.receive()
+		idle.send("GET", "/a/", "")
+		status, last = idle.receive()
 		Expect(status).To(Equal(200))
 		Expect(last).To(BeTrue())
 		late := s.connect()
@@ -137,9 +139,9 @@
 
 		s.clock.Advance(readinessDelay)
 		Eventually(func() error {
-			conn, err := net.Dial("tcp", s.clients)
+			conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.clients)
 			if err == nil {
-				conn.Close()
+				_ = conn.Close() // it only shows that the listener is still open
 			}
 			return err
 		}).Should(HaveOccurred())
--- a/internal/cluster/frontend/service_test.go
+++ b/internal/cluster/frontend/service_test.go
@@ -15,8 +15,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("what clients are told", func() {
-	DescribeTable("before any owner is asked",
+var _ = Describe("responses to clients", func() {
+	DescribeTable("before any owner is called",
 		func(method, path, body string, status int) {
 			b := newFixture()
 			w := b.do(request(method, path, body))
@@ -32,27 +32,27 @@
 		Entry("a short id", "POST", "/a/5c0e", oneStep, 400),
 		Entry("an id that is not hex", "GET", "/a/5c0e7a21d94b36fg", "", 400),
 		Entry("below a job", "GET", "/a/"+jobID+"/steps", "", 404),
-		Entry("another verb", "PUT", "/a/"+jobID, oneStep, 405),
-		Entry("a hand-in without an id", "POST", "/a/", oneStep, 405),
+		Entry("another method", "PUT", "/a/"+jobID, oneStep, 405),
+		Entry("a submission without an ID", "POST", "/a/", oneStep, 405),
 		Entry("not JSON", "POST", "/a/"+jobID, `{"spec":`, 400),
 		Entry("another type", "POST", "/a/"+jobID, `{"spec":5,"steps":[{"count":1}]}`, 400),
 		Entry("trailing garbage", "POST", "/a/"+jobID, oneStep+"}", 400),
 		Entry("no steps", "POST", "/a/"+jobID, `{"spec":"x"}`, 400),
 		Entry("a step of no tasks", "POST", "/a/"+jobID, `{"steps":[{"cpu":1}]}`, 400),
-		Entry("a negative need", "POST", "/a/"+jobID, `{"steps":[{"count":1,"cpu":-1}]}`, 400),
+		Entry("a negative resource", "POST", "/a/"+jobID, `{"steps":[{"count":1,"cpu":-1}]}`, 400),
 		Entry("a step after itself", "POST", "/a/"+jobID, `{"steps":[{"count":1,"dependsOn":[0]}]}`, 400),
-		Entry("a step after no step", "POST", "/a/"+jobID, `{"steps":[{"count":1},{"count":1,"dependsOn":[-1]}]}`, 400),
+		Entry("a step after a negative index", "POST", "/a/"+jobID, `{"steps":[{"count":1},{"count":1,"dependsOn":[-1]}]}`, 400),
 		Entry("negative times", "POST", "/a/"+jobID, `{"repetitions":-1,"steps":[{"count":1}]}`, 400),
-		Entry("a long text", "POST", "/a/"+jobID, `{"spec":"`+strings.Repeat("x", 1000)+`","steps":[{"count":1}]}`, 413),
+		Entry("a body above the limit", "POST", "/a/"+jobID, `{"spec":"`+strings.Repeat("x", 1000)+`","steps":[{"count":1}]}`, 413),
 	)
 
-	It("measures a body of unknown length too", func() {
+	It("limits a body of unknown length, too", func() {
 		r := request("POST", "/a/"+jobID, `{"spec":"`+strings.Repeat("x", 1000)+`"}`)
 		r.ContentLength = -1
 		Expect(newFixture().do(r).Code).To(Equal(413))
 	})
 
-	It("asks for a body again that did not arrive whole", func() {
+	It("asks for a retry if a body did not arrive completely", func() {
 		r := request("POST", "/a/"+jobID, "")
 		r.Body = io.NopCloser(io.MultiReader(strings.NewReader(`{"spec":`), iotest.ErrReader(io.ErrUnexpectedEOF)))
 		r.ContentLength = int64(len(oneStep))
@@ -61,12 +61,12 @@
 		Expect(b.owners.calls()).To(BeEmpty())
 	})
 
-	It("refuses a text above its bound", func() {
+	It("rejects a spec above its limit", func() {
 		spec := &protocol.JobSpec{Spec: strings.Repeat("x", maxSpecBytes+1), Steps: []protocol.Step{{Count: 1}}}
 		Expect(failure.KindOf(checkSpec(spec))).To(Equal(failure.Invalid))
 	})
 
-	It("tells all to come back before the first configuration", func() {
+	It("asks for a retry before the first configuration", func() {
 		b := newFixture()
 		b.service.Views = NewViews()
 		w := b.do(request("POST", "/a/"+jobID, oneStep))
@@ -74,7 +74,7 @@
 		Expect(w.Header().Get("Retry-After")).To(Equal("1"))
 	})
 
-	DescribeTable("after the owner's answer to a hand-in",
+	DescribeTable("after the owner's response to a submission",
 		func(err error, status int, retry string) {
 			b := newFixture()
 			b.owners.submit = func(context.Context, *protocol.SubmitRequest) error { return err }
@@ -83,16 +83,16 @@
 			Expect(w.Header().Get("Retry-After")).To(Equal(retry))
 			Expect(w.Header().Get("Content-Type")).To(Equal("application/json"))
 		},
-		Entry("taken", nil, 200, ""),
+		Entry("accepted", nil, 200, ""),
 		Entry("overloaded", kind(failure.Overloaded), 429, "1"),
 		Entry("unavailable", kind(failure.Unavailable), 503, "1"),
-		Entry("no leader", kind(failure.NotLeader), 503, "1"),
-		Entry("in doubt", kind(failure.UnknownOutcome), 504, ""),
-		Entry("an error of no kind is in doubt", context.DeadlineExceeded, 504, ""),
-		Entry("nonsense", kind(failure.Invalid), 400, ""),
+		Entry("not the leader", kind(failure.NotLeader), 503, "1"),
+		Entry("unknown outcome", kind(failure.UnknownOutcome), 504, ""),
+		Entry("an error of no kind is an unknown outcome", context.DeadlineExceeded, 504, ""),
+		Entry("invalid", kind(failure.Invalid), 400, ""),
 	)
 
-	It("hands over what the configuration says of the queue", func() {
+	It("passes on what the configuration says about the queue", func() {
 		b := newFixture()
 		var got *protocol.SubmitRequest
 		b.owners.submit = func(_ context.Context, r *protocol.SubmitRequest) error {
@@ -106,7 +106,7 @@
 		Expect(got.Job.Steps).To(Equal([]protocol.Step{{Count: 2, CPU: 500}}))
 	})
 
-	DescribeTable("after the owner's answer to a question",
+	DescribeTable("after the owner's response to a query",
 		func(method string, err error, status int) {
 			b := newFixture()
 			b.owners.status = func(context.Context, *protocol.StatusRequest) (string, error) { return "completed", err }
@@ -119,15 +119,15 @@
 		},
 		Entry("a state", "GET", nil, 200),
 		Entry("a state of no job", "GET", kind(failure.Gone), 410),
-		Entry("a state that can't be had", "GET", kind(failure.NotLeader), 503),
-		Entry("a state without an answer", "GET", kind(failure.UnknownOutcome), 503),
-		Entry("a cancel", "DELETE", nil, 200),
-		Entry("a cancel of no job", "DELETE", kind(failure.Gone), 410),
-		Entry("a cancel that can't be done", "DELETE", kind(failure.Unavailable), 503),
-		Entry("a cancel in doubt", "DELETE", kind(failure.UnknownOutcome), 504),
+		Entry("a state that is unavailable", "GET", kind(failure.NotLeader), 503),
+		Entry("a state without a response", "GET", kind(failure.UnknownOutcome), 503),
+		Entry("a cancellation", "DELETE", nil, 200),
+		Entry("a cancellation of no job", "DELETE", kind(failure.Gone), 410),
+		Entry("a cancellation that is unavailable", "DELETE", kind(failure.Unavailable), 503),
+		Entry("a cancellation of unknown outcome", "DELETE", kind(failure.UnknownOutcome), 504),
 	)
 
-	It("makes each answer the last of its connection while draining", func() {
+	It("makes each response the last of its connection while draining", func() {
 		b := newFixture()
 		Expect(b.do(request("GET", "/a/", "")).Header().Get("Connection")).To(BeEmpty())
 		b.service.Drain()
@@ -136,15 +136,15 @@
 })
 
 var _ = Describe("budget", func() {
-	DescribeTable("is the least of all bounds",
-		func(wait, timeout, most, want time.Duration) {
-			Expect(budget(wait, timeout, most)).To(Equal(want))
+	DescribeTable("is the least of all limits",
+		func(wait, timeout, limit, want time.Duration) {
+			Expect(budget(wait, timeout, limit)).To(Equal(want))
 		},
-		Entry("the longest try", 9*time.Second, 9*time.Second, maxSubmitTime, maxSubmitTime),
+		Entry("the limit", 9*time.Second, 9*time.Second, maxSubmitTime, maxSubmitTime),
 		Entry("the client's wait", time.Second, 3*time.Second, maxSubmitTime, 850*time.Millisecond),
 		Entry("the route's timeout", 3*time.Second, 800*time.Millisecond, maxSubmitTime, 650*time.Millisecond),
 		Entry("nothing known", time.Duration(0), time.Duration(0), maxSubmitTime, maxSubmitTime),
-		Entry("hardly any wait", 10*time.Millisecond, 3*time.Second, maxSubmitTime, minRequestTime),
+		Entry("a very short wait", 10*time.Millisecond, 3*time.Second, maxSubmitTime, minRequestTime),
 	)
 
 	DescribeTable("reads the client's wait",
@@ -156,6 +156,6 @@
 		Entry("a number", "1500", 1500*time.Millisecond),
 		Entry("nonsense", "soon", time.Duration(0)),
 		Entry("a negative one", "-5", time.Duration(0)),
-		Entry("one beyond measure", "99999999999999", time.Duration(0)),
+		Entry("an overflow", "99999999999999", time.Duration(0)),
 	)
 })
