--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -19,6 +19,13 @@
 	index      uint64 // of the newest command applied here; 0: none since the start, or since a snapshot was restored
 }
 
+// The engine finds these by type assertion: a wrapper that lacks one hides that of the state machine without an error.
+var (
+	_ replica.LeadershipObserver = (*observer)(nil)
+	_ replica.TransferDeferrer   = (*observer)(nil)
+	_ replica.Digester           = (*observer)(nil)
+)
+
 func (c *Cluster) observe(p *process, group replica.GroupID, machine replica.StateMachine) replica.StateMachine {
 	leadership, _ := machine.(replica.LeadershipObserver)
 	return &observer{StateMachine: machine, leadership: leadership, process: p, group: group}
@@ -79,10 +86,10 @@
 	return nil
 }
 
-// KeepsLeadership tells whether the state machine wants to keep its leadership.
-func (o *observer) KeepsLeadership() bool {
-	keeper, ok := o.StateMachine.(replica.TransferDeferrer)
-	return ok && keeper.DefersTransfer()
+// DefersTransfer reports whether the wrapped state machine wants to keep its leadership for now.
+func (o *observer) DefersTransfer() bool {
+	deferrer, ok := o.StateMachine.(replica.TransferDeferrer)
+	return ok && deferrer.DefersTransfer()
 }
 
 // Digest tells in short what the state holds.
--- a/internal/cluster/simulation/cluster/observer_test.go
+++ b/internal/cluster/simulation/cluster/observer_test.go
@@ -72,6 +72,20 @@
 	})
 })
 
+// deferrer is a state machine that wants to keep its leadership.
+type deferrer struct{ text }
+
+func (deferrer) DefersTransfer() bool { return true }
+
+var _ = Describe("The observer of a state machine", func() {
+	It("passes on that the machine wants to keep its leadership", func() {
+		c := New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), DayBounds()))
+		p := &process{cluster: c, machine: c.cores[0]}
+		Expect(c.observe(p, 1, &deferrer{}).(replica.TransferDeferrer).DefersTransfer()).To(BeTrue())
+		Expect(c.observe(p, 1, &text{}).(replica.TransferDeferrer).DefersTransfer()).To(BeFalse())
+	})
+})
+
 var _ = Describe("The days", func() {
 	It("have snapshots that are restored", func() {
 		restored := 0
