--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -38,28 +38,28 @@
 
 // auditor holds a ledger against the rules. It goes by the ledger alone.
 type auditor struct {
-	*Ledger
-	found    []Violation
-	byTask   map[TaskName][]*Run
-	byGroup  map[groupName][]*Run
-	byRunner map[*RunnerLife][]*Run
-	byJob    map[string][]*Run
-	clocks   bool
-	inForce  []*ConfigurationRecord // that may be or have been
+	*History
+	found      []Violation
+	byTask     map[TaskName][]*Run
+	byGroup    map[groupName][]*Run
+	byRunner   map[*RunnerIncarnation][]*Run
+	byJob      map[string][]*Run
+	clocksJump bool
+	candidates []*ConfigurationRecord // that may be or have been
 }
 
 // Audit returns the rules that a ledger breaks, in order of time.
-func Audit(ledger *Ledger) []Violation {
-	a := &auditor{Ledger: ledger, byTask: map[TaskName][]*Run{}, byGroup: map[groupName][]*Run{},
-		byRunner: map[*RunnerLife][]*Run{}, byJob: map[string][]*Run{}}
+func Audit(ledger *History) []Violation {
+	a := &auditor{History: ledger, byTask: map[TaskName][]*Run{}, byGroup: map[groupName][]*Run{},
+		byRunner: map[*RunnerIncarnation][]*Run{}, byJob: map[string][]*Run{}}
 	for _, run := range ledger.Runs {
 		a.byTask[run.Task] = append(a.byTask[run.Task], run)
 		a.byGroup[run.Task.group()] = append(a.byGroup[run.Task.group()], run)
 		a.byRunner[run.Runner] = append(a.byRunner[run.Runner], run)
 		a.byJob[run.Task.Job] = append(a.byJob[run.Task.Job], run)
 	}
-	for _, t := range ledger.Troubles {
-		a.clocks = a.clocks || t.Clock
+	for _, t := range ledger.Faults {
+		a.clocksJump = a.clocksJump || t.Clock
 	}
 	for _, run := range ledger.Runs {
 		a.checkRun(run)
@@ -73,7 +73,7 @@
 	return a.found
 }
 
-func (a *auditor) breaks(rule string, at time.Duration, format string, args ...any) {
+func (a *auditor) violated(rule string, at time.Duration, format string, args ...any) {
 	a.found = append(a.found, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
 }
 
@@ -81,10 +81,10 @@
 func (a *auditor) checkRun(run *Run) {
 	job, step := a.stepOf(run.Task)
 	if step == nil {
-		a.breaks(RuleUnasked, run.Started, "%s started on %s, nobody sent it", run.Text, run.Runner.Instance)
+		a.violated(RuleUnasked, run.Started, "%s started on %s, nobody sent it", run.TaskText, run.Runner.Instance)
 		return
 	}
-	a.checkAsked(run, job, step)
+	a.checkSubmitted(run, job, step)
 	a.checkLimit(run, step)
 	a.checkTwice(run, job, step)
 	a.checkOrder(run, job, step)
@@ -108,21 +108,21 @@
 	return job, step
 }
 
-// inTouch tells whether a machine is in touch: no trouble of its own or of the core lately.
-func (a *auditor) inTouch(machine string, at time.Duration) bool {
-	return !a.anyTrouble(at-a.Bounds.Contact, at, func(t *Trouble) bool {
-		return t.Core || slices.Contains(t.Machines, machine)
+// isInTouch tells whether a machine is in touch: no trouble of its own or of the core lately.
+func (a *auditor) isInTouch(machine string, at time.Duration) bool {
+	return !a.anyFault(at-a.Bounds.Contact, at, func(t *Fault) bool {
+		return t.ControlPlane || slices.Contains(t.Machines, machine)
 	})
 }
 
-// calm tells whether no trouble was near a span, but for kinds that are let pass.
-func (a *auditor) calm(from, to time.Duration, pass func(t *Trouble) bool) bool {
-	return !a.anyTrouble(from-a.Bounds.Contact, to, func(t *Trouble) bool { return !pass(t) })
+// isCalm tells whether no trouble was near a span, but for kinds that are let pass.
+func (a *auditor) isCalm(from, to time.Duration, pass func(t *Fault) bool) bool {
+	return !a.anyFault(from-a.Bounds.Contact, to, func(t *Fault) bool { return !pass(t) })
 }
 
-func (a *auditor) anyTrouble(from, to time.Duration, counts func(t *Trouble) bool) bool {
-	for i := range a.Troubles {
-		t := &a.Troubles[i]
+func (a *auditor) anyFault(from, to time.Duration, counts func(t *Fault) bool) bool {
+	for i := range a.Faults {
+		t := &a.Faults[i]
 		if t.From <= to && t.To >= from && counts(t) {
 			return true
 		}
@@ -130,37 +130,39 @@
 	return false
 }
 
-func planned(t *Trouble) bool { return t.Planned }
+func planned(t *Fault) bool { return t.Planned }
 
-func plannedOrLeaving(t *Trouble) bool { return t.Planned || t.Leaving }
+func plannedOrLeaving(t *Fault) bool { return t.Planned || t.RunnersLeave }
 
-// mayBe are the configurations that may have been in force at some time: valid, and not refused.
-func (a *auditor) mayBe() []*ConfigurationRecord {
-	if a.inForce != nil {
-		return a.inForce
+// possiblyInForce are the configurations that may have been in force at some time: valid, and not refused.
+func (a *auditor) possiblyInForce() []*ConfigurationRecord {
+	if a.candidates != nil {
+		return a.candidates
 	}
 	for _, record := range a.Configuration {
-		if !record.Invalid && !record.refused() {
-			a.inForce = append(a.inForce, record)
+		if !record.Invalid && !record.rejected() {
+			a.candidates = append(a.candidates, record)
 		}
 	}
-	return a.inForce
+	return a.candidates
 }
 
-// refused tells whether the order's last clear answer was a refusal, and it was never acknowledged.
-func (r *ConfigurationRecord) refused() bool {
+// rejected tells whether the order's last clear answer was a refusal, and it was never acknowledged.
+func (r *ConfigurationRecord) rejected() bool {
 	if r.Acknowledged != Never {
 		return false
 	}
-	return slices.ContainsFunc(r.Tries, func(t Try) bool { return t.Answered != Never && !t.Lost && refusal(t.Status) })
+	return slices.ContainsFunc(r.Attempts, func(t Attempt) bool { return t.Answered != Never && !t.ReplyLost && rejection(t.Status) })
 }
 
-// refusal tells whether a status ends an operator's call.
-func refusal(status int) bool { return status >= 400 && status < 500 && status != 408 && status != 429 }
+// rejection tells whether a status ends an operator's call.
+func rejection(status int) bool {
+	return status >= 400 && status < 500 && status != 408 && status != 429
+}
 
-// attempts returns how many ends `failed` a queue's tasks may have, by the most and the least generous configuration; 0
+// failureBudget returns how many ends `failed` a queue's tasks may have, by the most and the least generous configuration; 0
 // is no bound.
-func (a *auditor) attempts(queue QueueName) (most, least int) {
+func (a *auditor) failureBudget(queue QueueName) (most, least int) {
 	seen := false
 	for _, record := range a.Configuration {
 		route, ok := record.Routes[queue]
--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -8,25 +8,25 @@
 
 // checkConfiguration holds the operator's orders and what clients saw of them against the rules.
 func (a *auditor) checkConfiguration() {
-	a.checkOrders()
+	a.checkReplies()
 	a.checkRaces()
 	a.checkFollowed()
 	a.checkReads()
 }
 
-// checkOrders: nothing invalid is acknowledged, what was acknowledged is not refused, proper orders are acknowledged.
-func (a *auditor) checkOrders() {
+// checkReplies: nothing invalid is acknowledged, what was acknowledged is not refused, proper orders are acknowledged.
+func (a *auditor) checkReplies() {
 	for _, record := range a.Configuration {
 		acknowledged := false
-		for _, try := range record.Tries {
+		for _, try := range record.Attempts {
 			if try.Answered == Never {
 				continue
 			}
 			if try.Status == 200 && record.Invalid {
-				a.breaks(RuleConfig, try.Answered, "version %d is invalid and was acknowledged", record.Version)
+				a.violated(RuleConfig, try.Answered, "version %d is invalid and was acknowledged", record.Version)
 			}
-			if acknowledged && record.Alone && refusal(try.Status) {
-				a.breaks(RuleConfig, try.Answered, "version %d was acknowledged and then refused with %d", record.Version, try.Status)
+			if acknowledged && record.Alone && rejection(try.Status) {
+				a.violated(RuleConfig, try.Answered, "version %d was acknowledged and then refused with %d", record.Version, try.Status)
 			}
 			acknowledged = acknowledged || try.Status == 200
 		}
@@ -36,14 +36,14 @@
 
 // checkAcknowledged: a proper order gets its acknowledgement in a calm.
 func (a *auditor) checkAcknowledged(record *ConfigurationRecord) {
-	if record.Invalid || !record.Alone || len(record.Tries) == 0 {
+	if record.Invalid || !record.Alone || len(record.Attempts) == 0 {
 		return
 	}
-	sent := record.Tries[0].Sent
+	sent := record.Attempts[0].Sent
 	until := sent + a.Bounds.AckTimeout
 	late := record.Acknowledged == Never || record.Acknowledged > until
-	if late && until < a.Ends && a.newestAt(sent) == record.Base && a.calm(sent, until, planned) {
-		a.breaks(RuleAcks, until, "version %d is not acknowledged since %v", record.Version, sent)
+	if late && until < a.Ends && a.newestAt(sent) == record.Base && a.isCalm(sent, until, planned) {
+		a.violated(RuleAcks, until, "version %d is not acknowledged since %v", record.Version, sent)
 	}
 }
 
@@ -66,53 +66,53 @@
 			continue
 		}
 		if other := first[record.Base]; other != nil && other.Body != record.Body {
-			a.breaks(RuleConfig, record.Acknowledged, "versions %d and %d on top of %d were both acknowledged",
+			a.violated(RuleConfig, record.Acknowledged, "versions %d and %d on top of %d were both acknowledged",
 				other.Version, record.Version, record.Base)
 		}
 		first[record.Base] = record
 	}
 }
 
-// sight is what a call shows of the configuration that its machine followed.
-type sight struct {
-	try   *Try
-	queue QueueName
-	found bool // the queue was there
-	count bool // a count was asked for, not a job handed in
+// observation is what a call shows of the configuration that its machine followed.
+type observation struct {
+	attempt      *Attempt
+	queue        QueueName
+	found        bool // the queue was there
+	pendingQuery bool // a count was asked for, not a job handed in
 }
 
-func (a *auditor) sights() []sight {
-	var sights []sight
-	add := func(try *Try, queue QueueName, count bool) {
+func (a *auditor) observations() []observation {
+	var sights []observation
+	add := func(try *Attempt, queue QueueName, count bool) {
 		switch {
 		case try.Answered == Never:
 		case try.Status == 404:
-			sights = append(sights, sight{try, queue, false, count})
+			sights = append(sights, observation{try, queue, false, count})
 		case try.Status/100 == 2:
-			sights = append(sights, sight{try, queue, true, count})
+			sights = append(sights, observation{try, queue, true, count})
 		}
 	}
-	for i := range a.Counts {
-		add(&a.Counts[i].Try, a.Counts[i].Queue, true)
+	for i := range a.PendingQueries {
+		add(&a.PendingQueries[i].Attempt, a.PendingQueries[i].Queue, true)
 	}
 	for _, job := range a.JobOrder {
-		for i := range job.HandIns {
-			add(&job.HandIns[i], job.Queue, false)
+		for i := range job.Submissions {
+			add(&job.Submissions[i], job.Queue, false)
 		}
 	}
-	slices.SortStableFunc(sights, func(x, y sight) int { return int(x.try.Answered - y.try.Answered) })
+	slices.SortStableFunc(sights, func(x, y observation) int { return int(x.attempt.Answered - y.attempt.Answered) })
 	return sights
 }
 
-// agrees tells whether a configuration shows what was seen.
-func (s *sight) agrees(record *ConfigurationRecord) bool {
+// agreesWith tells whether a configuration shows what was seen.
+func (s *observation) agreesWith(record *ConfigurationRecord) bool {
 	_, there := record.Routes[s.queue]
 	return there == s.found
 }
 
 // checkFollowed: machines in touch follow what was acknowledged, none follows what is not in force, and none goes back.
 func (a *auditor) checkFollowed() {
-	records := a.mayBe()
+	records := a.possiblyInForce()
 	type life struct {
 		machine string
 		life    int
@@ -122,32 +122,32 @@
 		at      time.Duration
 	}
 	seen := map[life][]evidence{}
-	for _, s := range a.sights() {
+	for _, s := range a.observations() {
 		floor := int64(0)
-		if a.inTouch(s.try.Machine, s.try.Sent) && a.inTouch(s.try.Machine, s.try.Answered) {
-			floor = a.newestAt(s.try.Sent - a.Bounds.ConfigApply - 1)
+		if a.isInTouch(s.attempt.Machine, s.attempt.Sent) && a.isInTouch(s.attempt.Machine, s.attempt.Answered) {
+			floor = a.newestAt(s.attempt.Sent - a.Bounds.ConfigApply - 1)
 		}
-		key := life{s.try.Machine, s.try.Life}
+		key := life{s.attempt.Machine, s.attempt.Incarnation}
 		held := floor
 		for _, e := range seen[key] {
-			if s.try.Sent > e.at+a.Bounds.RollbackSlack {
+			if s.attempt.Sent > e.at+a.Bounds.RollbackSlack {
 				held = max(held, e.version)
 			}
 		}
 		least, most := a.versionsOf(&s, records)
 		switch {
 		case least < 0:
-			a.breaks(RuleConfig, s.try.Answered, "%s answers %d for %v%v, which no configuration in force allows",
-				s.try.Machine, s.try.Status, s.queue.Host, s.queue.Prefix)
+			a.violated(RuleConfig, s.attempt.Answered, "%s answers %d for %v%v, which no configuration in force allows",
+				s.attempt.Machine, s.attempt.Status, s.queue.Host, s.queue.Prefix)
 		case most < floor:
-			a.breaks(RuleConfig, s.try.Answered, "%s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
-				s.try.Machine, s.try.Status, s.queue.Key(), most, floor)
+			a.violated(RuleConfig, s.attempt.Answered, "%s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
+				s.attempt.Machine, s.attempt.Status, s.queue.Key(), most, floor)
 		case most < held:
-			a.breaks(RuleConfig, s.try.Answered, "%s answers %d for %s, as version %d or older would; it has followed %d before",
-				s.try.Machine, s.try.Status, s.queue.Key(), most, held)
+			a.violated(RuleConfig, s.attempt.Answered, "%s answers %d for %s, as version %d or older would; it has followed %d before",
+				s.attempt.Machine, s.attempt.Status, s.queue.Key(), most, held)
 		}
 		if least > 0 {
-			seen[key] = append(seen[key], evidence{least, s.try.Answered})
+			seen[key] = append(seen[key], evidence{least, s.attempt.Answered})
 		}
 	}
 }
@@ -155,29 +155,29 @@
 // checkService: a job handed in by a machine in touch, long after a change was acknowledged, does not run at a service
 // that only an older version sends its queue to.
 func (a *auditor) checkService(run *Run, job *JobRecord) {
-	if len(job.HandIns) == 0 {
+	if len(job.Submissions) == 0 {
 		return
 	}
-	first := &job.HandIns[0]
-	if !a.inTouch(first.Machine, first.Sent) {
+	first := &job.Submissions[0]
+	if !a.isInTouch(first.Machine, first.Sent) {
 		return
 	}
 	floor := a.newestAt(first.Sent - a.Bounds.ConfigApply - 1)
-	allowed := slices.ContainsFunc(a.mayBe(), func(r *ConfigurationRecord) bool {
+	allowed := slices.ContainsFunc(a.possiblyInForce(), func(r *ConfigurationRecord) bool {
 		return r.Version >= floor && r.Routes[job.Queue].Service == run.Runner.Service
 	})
 	if floor > 0 && !allowed {
-		a.breaks(RuleConfig, run.Started, "%s run %d on a runner of %s, which version %d and later ones do not allow",
-			run.Text, run.Run, run.Runner.Service, floor)
+		a.violated(RuleConfig, run.Started, "%s run %d on a runner of %s, which version %d and later ones do not allow",
+			run.TaskText, run.Number, run.Runner.Service, floor)
 	}
 }
 
 // versionsOf returns the least and the greatest version that shows what was seen; 0 stands for no configuration yet, and
 // -1 for none.
-func (a *auditor) versionsOf(s *sight, records []*ConfigurationRecord) (least, most int64) {
+func (a *auditor) versionsOf(s *observation, records []*ConfigurationRecord) (least, most int64) {
 	least, most = -1, -1
 	for _, record := range records {
-		if len(record.Tries) == 0 || record.Tries[0].Sent > s.try.Answered || !s.agrees(record) {
+		if len(record.Attempts) == 0 || record.Attempts[0].Sent > s.attempt.Answered || !s.agreesWith(record) {
 			continue
 		}
 		if least < 0 || record.Version < least {
@@ -197,29 +197,29 @@
 	if a.FinalFault != Never {
 		rule = RuleLost
 	}
-	if len(a.Reads) == 0 {
+	if len(a.ReadBacks) == 0 {
 		if a.newestAt(a.Ends) > 0 {
-			a.breaks(rule, a.Ends, "the configuration is not read back")
+			a.violated(rule, a.Ends, "the configuration is not read back")
 		}
 		return
 	}
-	for _, read := range a.Reads {
+	for _, read := range a.ReadBacks {
 		var head struct {
 			Version int64 `json:"version"`
 		}
 		if json.Unmarshal([]byte(read.Body), &head) != nil {
-			a.breaks(rule, read.At, "what is read back is no configuration")
+			a.violated(rule, read.At, "what is read back is no configuration")
 			continue
 		}
 		if newest := a.newestAt(read.At - a.Bounds.Contact); head.Version < newest {
-			a.breaks(rule, read.At, "version %d is read back, %d was acknowledged", head.Version, newest)
+			a.violated(rule, read.At, "version %d is read back, %d was acknowledged", head.Version, newest)
 			continue
 		}
-		sent := slices.ContainsFunc(a.mayBe(), func(r *ConfigurationRecord) bool {
-			return r.Version == head.Version && r.Whole == read.Body
+		sent := slices.ContainsFunc(a.possiblyInForce(), func(r *ConfigurationRecord) bool {
+			return r.Version == head.Version && r.Document == read.Body
 		})
 		if !sent {
-			a.breaks(rule, read.At, "version %d is read back, not as it was sent", head.Version)
+			a.violated(rule, read.At, "version %d is read back, not as it was sent", head.Version)
 		}
 	}
 }
@@ -230,23 +230,23 @@
 		return
 	}
 	const least = 0.25
-	before := a.servedShare(0, a.FinalFault)
-	after := a.servedShare(a.Returned+a.Bounds.Recovery, a.TrafficEnds)
+	before := a.acceptedFraction(0, a.FinalFault)
+	after := a.acceptedFraction(a.Returned+a.Bounds.Recovery, a.TrafficEnds)
 	if before >= least && after >= 0 && after < least {
-		a.breaks(RuleRecover, a.TrafficEnds, "%.2f of requests were served before the final fault, %.2f after it", before, after)
+		a.violated(RuleRecover, a.TrafficEnds, "%.2f of requests were served before the final fault, %.2f after it", before, after)
 	}
 }
 
-// servedShare is the share of jobs first sent in a span that were accepted within a client's time, or -1 without any.
-func (a *auditor) servedShare(from, to time.Duration) float64 {
+// acceptedFraction is the share of jobs first sent in a span that were accepted within a client's time, or -1 without any.
+func (a *auditor) acceptedFraction(from, to time.Duration) float64 {
 	const clientTime = 3 * time.Second
 	sent, served := 0, 0
 	for _, job := range a.JobOrder {
-		if len(job.HandIns) == 0 || job.HandIns[0].Sent < from || job.HandIns[0].Sent >= to {
+		if len(job.Submissions) == 0 || job.Submissions[0].Sent < from || job.Submissions[0].Sent >= to {
 			continue
 		}
 		sent++
-		if job.Accepted != Never && job.Accepted <= job.HandIns[0].Sent+clientTime {
+		if job.Accepted != Never && job.Accepted <= job.Submissions[0].Sent+clientTime {
 			served++
 		}
 	}
--- a/internal/cluster/simulation/audit_jobs.go
+++ b/internal/cluster/simulation/audit_jobs.go
@@ -7,22 +7,22 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// checkAsked: only what a client sent, as it was sent.
-func (a *auditor) checkAsked(run *Run, job *JobRecord, step *protocol.Step) {
+// checkSubmitted: only what a client sent, as it was sent.
+func (a *auditor) checkSubmitted(run *Run, job *JobRecord, step *protocol.Step) {
 	if run.Spec != job.Spec.Spec {
-		a.breaks(RuleUnasked, run.Started, "%s run %d started with another spec", run.Text, run.Run)
+		a.violated(RuleUnasked, run.Started, "%s run %d started with another spec", run.TaskText, run.Number)
 	}
-	if run.Saved == "" {
+	if run.Checkpoint == "" {
 		return
 	}
-	if _, ok := readCheckpoint(run.Task, step.Gang, run.Saved); !ok || !step.Checkpoints {
-		a.breaks(RuleUnasked, run.Started, "%s run %d started from %q", run.Text, run.Run, run.Saved)
+	if _, ok := parseCheckpoint(run.Task, step.Gang, run.Checkpoint); !ok || !step.Checkpoints {
+		a.violated(RuleUnasked, run.Started, "%s run %d started from %q", run.TaskText, run.Number, run.Checkpoint)
 	}
 }
 
-// cancelCounts returns the moment from which a cancel must be followed, or Never: its acknowledgement, or the end of the
+// cancelBinding returns the moment from which a cancel must be followed, or Never: its acknowledgement, or the end of the
 // calm time it may take.
-func (a *auditor) cancelCounts(job *JobRecord) time.Duration {
+func (a *auditor) cancelBinding(job *JobRecord) time.Duration {
 	if at := job.CancelAcknowledged(); at != Never {
 		return at
 	}
@@ -31,7 +31,7 @@
 		return Never
 	}
 	until := sent + a.Bounds.AckTimeout
-	if a.calm(sent, until, planned) {
+	if a.isCalm(sent, until, planned) {
 		return until
 	}
 	return Never
@@ -39,48 +39,48 @@
 
 // checkCancelled: nothing starts, and nothing goes on, long after a cancel.
 func (a *auditor) checkCancelled(run *Run, job *JobRecord) {
-	since := a.cancelCounts(job)
+	since := a.cancelBinding(job)
 	if since == Never {
 		return
 	}
 	point := since + a.Bounds.Cancel
-	if run.Started > point && a.inTouch(run.Runner.Machine, run.Started) {
-		a.breaks(RuleUnasked, run.Started, "%s run %d started, the job was cancelled at %v", run.Text, run.Run, since)
+	if run.Started > point && a.isInTouch(run.Runner.Machine, run.Started) {
+		a.violated(RuleUnasked, run.Started, "%s run %d started, the job was cancelled at %v", run.TaskText, run.Number, since)
 		return
 	}
 	stopped := point + a.Bounds.Stop
-	if run.Started <= point && !run.Over(stopped) && stopped < a.Ends && a.calm(since, stopped, plannedOrLeaving) {
-		a.breaks(RuleUnasked, stopped, "%s run %d still runs, the job was cancelled at %v", run.Text, run.Run, since)
+	if run.Started <= point && !run.Over(stopped) && stopped < a.Ends && a.isCalm(since, stopped, plannedOrLeaving) {
+		a.violated(RuleUnasked, stopped, "%s run %d still runs, the job was cancelled at %v", run.TaskText, run.Number, since)
 	}
 }
 
 // checkJob holds what clients saw of a job against the rules.
 func (a *auditor) checkJob(job *JobRecord) {
-	a.checkRefused(job)
-	for i := range job.Asks {
-		a.checkAsk(job, &job.Asks[i])
+	a.checkRejected(job)
+	for i := range job.Queries {
+		a.checkQuery(job, &job.Queries[i])
 	}
-	a.checkFinish(job)
+	a.checkEndOfDay(job)
 }
 
-// checkRefused: a job whose every try was rejected never runs.
-func (a *auditor) checkRefused(job *JobRecord) {
+// checkRejected: a job whose every try was rejected never runs.
+func (a *auditor) checkRejected(job *JobRecord) {
 	runs := a.byJob[job.ID]
-	if len(runs) == 0 || len(job.HandIns) == 0 {
+	if len(runs) == 0 || len(job.Submissions) == 0 {
 		return
 	}
-	if !slices.ContainsFunc(job.HandIns, func(t Try) bool { return !t.rejected() }) {
-		a.breaks(RuleRefused, runs[0].Started, "%s started, every try to hand it in was rejected", runs[0].Text)
+	if !slices.ContainsFunc(job.Submissions, func(t Attempt) bool { return !t.rejected() }) {
+		a.violated(RuleRefused, runs[0].Started, "%s started, every try to hand it in was rejected", runs[0].TaskText)
 	}
 }
 
-// checkAsk: a state that is shown has a cause, and a job that was accepted is known.
-func (a *auditor) checkAsk(job *JobRecord, ask *Try) {
+// checkQuery: a state that is shown has a cause, and a job that was accepted is known.
+func (a *auditor) checkQuery(job *JobRecord, ask *Attempt) {
 	if ask.Answered == Never {
 		return
 	}
 	if ask.Status == 410 {
-		a.checkGone(job, ask)
+		a.checkNotUnknown(job, ask)
 		return
 	}
 	if ask.Status != 200 {
@@ -92,23 +92,23 @@
 		a.checkCompleted(job, ask)
 	case protocol.JobFailed:
 		if !a.failedByBudget(job, ask.Answered) {
-			a.breaks(RuleLost, ask.Answered, "%s is shown as failed without cause", job.ID)
+			a.violated(RuleLost, ask.Answered, "%s is shown as failed without cause", job.ID)
 		}
 	case protocol.JobCancelled:
 		if sent := job.CancelSent(); sent == Never || sent > ask.Answered {
-			a.breaks(RuleLost, ask.Answered, "%s is shown as cancelled, nobody cancelled it", job.ID)
+			a.violated(RuleLost, ask.Answered, "%s is shown as cancelled, nobody cancelled it", job.ID)
 		}
 	default:
-		a.breaks(RuleMixed, ask.Answered, "%s is shown as %q", job.ID, ask.State)
+		a.violated(RuleMixed, ask.Answered, "%s is shown as %q", job.ID, ask.State)
 	}
 }
 
-func (a *auditor) checkGone(job *JobRecord, ask *Try) {
+func (a *auditor) checkNotUnknown(job *JobRecord, ask *Attempt) {
 	if job.Accepted == Never || job.CancelSent() != Never || ask.Sent <= job.Accepted+a.Bounds.Visible {
 		return
 	}
-	if a.inTouch(ask.Machine, ask.Sent) && a.inTouch(ask.Machine, ask.Answered) {
-		a.breaks(RuleLost, ask.Answered, "%s is unknown to %s, it was accepted at %v", job.ID, ask.Machine, job.Accepted)
+	if a.isInTouch(ask.Machine, ask.Sent) && a.isInTouch(ask.Machine, ask.Answered) {
+		a.violated(RuleLost, ask.Answered, "%s is unknown to %s, it was accepted at %v", job.ID, ask.Machine, job.Accepted)
 	}
 }
 
@@ -125,10 +125,10 @@
 	}
 }
 
-func (a *auditor) checkCompleted(job *JobRecord, ask *Try) {
+func (a *auditor) checkCompleted(job *JobRecord, ask *Attempt) {
 	eachTask(job, func(task TaskName, step *protocol.Step) bool {
-		if step.LongRunning || !a.doneBy(task, step, ask.Answered) {
-			a.breaks(RuleMixed, ask.Answered, "%s is shown as completed, %s has not ended done", job.ID, task)
+		if step.LongRunning || !a.isDoneBy(task, step, ask.Answered) {
+			a.violated(RuleMixed, ask.Answered, "%s is shown as completed, %s has not ended done", job.ID, task)
 			return false
 		}
 		return true
@@ -137,7 +137,7 @@
 
 // failedByBudget tells whether some task had failed as often as allowed by a time.
 func (a *auditor) failedByBudget(job *JobRecord, at time.Duration) bool {
-	_, least := a.attempts(job.Queue)
+	_, least := a.failureBudget(job.Queue)
 	if least == 0 {
 		return false
 	}
@@ -147,9 +147,9 @@
 			return true
 		}
 		failed := map[uint64]bool{}
-		for _, run := range a.sameEnd(&Run{Task: task}, step) {
-			if run.How == protocol.EndFailed && run.Ended <= at {
-				failed[run.Run] = true
+		for _, run := range a.runsSharingEnd(&Run{Task: task}, step) {
+			if run.EndReason == protocol.EndFailed && run.Ended <= at {
+				failed[run.Number] = true
 			}
 		}
 		found = len(failed) >= least
@@ -158,14 +158,14 @@
 	return found
 }
 
-// checkFinish: after the traffic, each accepted job is known, and none that could run stands still.
-func (a *auditor) checkFinish(job *JobRecord) {
+// checkEndOfDay: after the traffic, each accepted job is known, and none that could run stands still.
+func (a *auditor) checkEndOfDay(job *JobRecord) {
 	if job.Accepted == Never || a.Ends == 0 {
 		return
 	}
 	known, asked, gone := false, false, Never
-	for i := range job.Asks {
-		ask := &job.Asks[i]
+	for i := range job.Queries {
+		ask := &job.Queries[i]
 		if ask.Sent < a.TrafficEnds {
 			continue
 		}
@@ -180,13 +180,13 @@
 	switch {
 	case !asked:
 	case gone != Never && job.CancelSent() == Never:
-		a.breaks(RuleLost, gone, "%s is unknown at the end, it was accepted at %v", job.ID, job.Accepted)
+		a.violated(RuleLost, gone, "%s is unknown at the end, it was accepted at %v", job.ID, job.Accepted)
 	case !known && gone == Never:
-		a.breaks(RuleLost, a.Ends, "%s gets no answer at the end", job.ID)
+		a.violated(RuleLost, a.Ends, "%s gets no answer at the end", job.ID)
 	}
-	for _, idle := range a.Idle {
+	for _, idle := range a.StalledJobs {
 		if idle.ID == job.ID {
-			a.breaks(RuleLost, idle.To, "%s has had nothing running since %v, though there is room", job.ID, idle.From)
+			a.violated(RuleLost, idle.To, "%s has had nothing running since %v, though there is room", job.ID, idle.From)
 			return
 		}
 	}
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -10,11 +10,11 @@
 // checkLimit: a runner that does not guard its capacity is not brought over it.
 func (a *auditor) checkLimit(run *Run, step *protocol.Step) {
 	runner := run.Runner
-	if runner.Guards {
+	if runner.EnforcesCapacity {
 		return
 	}
 	sum := step.Needs()
-	for _, other := range a.besides(run) {
+	for _, other := range a.concurrentWith(run) {
 		if _, its := a.stepOf(other.Task); its != nil {
 			sum.CPU += its.CPU
 			sum.MemoryMB += its.MemoryMB
@@ -23,12 +23,12 @@
 	}
 	room := runner.Capacity
 	if sum.CPU > room.CPU || sum.MemoryMB > room.MemoryMB || sum.GPU > room.GPU {
-		a.breaks(RuleLimit, run.Started, "%s run %d brings %s to %+v of %+v", run.Text, run.Run, runner.Instance, sum, room)
+		a.violated(RuleLimit, run.Started, "%s run %d brings %s to %+v of %+v", run.TaskText, run.Number, runner.Instance, sum, room)
 	}
 }
 
-// besides are the runs that were on the same runner when a run started there.
-func (a *auditor) besides(run *Run) []*Run {
+// concurrentWith are the runs that were on the same runner when a run started there.
+func (a *auditor) concurrentWith(run *Run) []*Run {
 	var others []*Run
 	for _, other := range a.byRunner[run.Runner] {
 		if other == run {
@@ -41,12 +41,12 @@
 	return others
 }
 
-// takenNote tells whether a run's end was, then or later, taken note of.
-func takenNote(run *Run) bool { return run.Noted != Never && !run.NoteLost }
+// isAcknowledged tells whether a run's end was, then or later, taken note of.
+func isAcknowledged(run *Run) bool { return run.Acknowledged != Never && !run.LapsedBeforeAck }
 
-// takenDone tells whether a run ended done before a time, and that end was, then or later, taken note of.
-func takenDone(run *Run, before time.Duration) bool {
-	return run.How == protocol.EndDone && run.Ended <= before && takenNote(run)
+// isAcknowledgedDone tells whether a run ended done before a time, and that end was, then or later, taken note of.
+func isAcknowledgedDone(run *Run, before time.Duration) bool {
+	return run.EndReason == protocol.EndDone && run.Ended <= before && isAcknowledged(run)
 }
 
 // checkTwice: no two runs of a task at one time, and none after its end.
@@ -57,25 +57,25 @@
 				break
 			}
 			if !other.Over(run.Started) {
-				a.breaks(RuleTwice, run.Started, "%s run %d on %s while run %d is on %s", run.Text, run.Run,
-					run.Runner.Instance, other.Run, other.Runner.Instance)
+				a.violated(RuleTwice, run.Started, "%s run %d on %s while run %d is on %s", run.TaskText, run.Number,
+					run.Runner.Instance, other.Number, other.Runner.Instance)
 			}
 		}
 	}
 	if step.LongRunning {
 		return
 	}
-	for _, other := range a.sameEnd(run, step) {
-		if !step.AtMostOnce && takenDone(other, run.Started) && other != run {
-			a.breaks(RuleTwice, run.Started, "%s run %d started, run %d ended done at %v", run.Text, run.Run, other.Run, other.Ended)
+	for _, other := range a.runsSharingEnd(run, step) {
+		if !step.AtMostOnce && isAcknowledgedDone(other, run.Started) && other != run {
+			a.violated(RuleTwice, run.Started, "%s run %d started, run %d ended done at %v", run.TaskText, run.Number, other.Number, other.Ended)
 			return
 		}
 	}
 	a.checkStartedLate(run, job, step)
 }
 
-// sameEnd are the runs whose end done ends the task: for a gang, those of all members.
-func (a *auditor) sameEnd(run *Run, step *protocol.Step) []*Run {
+// runsSharingEnd are the runs whose end done ends the task: for a gang, those of all members.
+func (a *auditor) runsSharingEnd(run *Run, step *protocol.Step) []*Run {
 	if step.Gang {
 		return a.byGroup[run.Task.group()]
 	}
@@ -84,32 +84,32 @@
 
 // checkStartedLate: a machine in touch starts nothing over a second after its end was taken note of or shown.
 func (a *auditor) checkStartedLate(run *Run, job *JobRecord, step *protocol.Step) {
-	if !a.inTouch(run.Runner.Machine, run.Started) {
+	if !a.isInTouch(run.Runner.Machine, run.Started) {
 		return
 	}
 	since := run.Started - time.Second
-	for _, other := range a.sameEnd(run, step) {
-		if other.How == protocol.EndDone && takenNote(other) && other.Noted < since {
-			a.breaks(RuleTwice, run.Started, "%s run %d started, the end of run %d was taken note of at %v",
-				run.Text, run.Run, other.Run, other.Noted)
+	for _, other := range a.runsSharingEnd(run, step) {
+		if other.EndReason == protocol.EndDone && isAcknowledged(other) && other.Acknowledged < since {
+			a.violated(RuleTwice, run.Started, "%s run %d started, the end of run %d was taken note of at %v",
+				run.TaskText, run.Number, other.Number, other.Acknowledged)
 			return
 		}
 	}
-	for _, ask := range job.Asks {
+	for _, ask := range job.Queries {
 		if ask.Answered != Never && ask.State == protocol.JobCompleted && ask.Answered < since {
-			a.breaks(RuleTwice, run.Started, "%s run %d started, the job was shown as completed at %v", run.Text, run.Run, ask.Answered)
+			a.violated(RuleTwice, run.Started, "%s run %d started, the job was shown as completed at %v", run.TaskText, run.Number, ask.Answered)
 			return
 		}
 	}
 }
 
-// doneBy tells whether a task had ended done by a time.
-func (a *auditor) doneBy(task TaskName, step *protocol.Step, at time.Duration) bool {
+// isDoneBy tells whether a task had ended done by a time.
+func (a *auditor) isDoneBy(task TaskName, step *protocol.Step, at time.Duration) bool {
 	runs := a.byTask[task]
 	if step.Gang {
 		runs = a.byGroup[task.group()]
 	}
-	return slices.ContainsFunc(runs, func(r *Run) bool { return r.How == protocol.EndDone && r.Ended <= at })
+	return slices.ContainsFunc(runs, func(r *Run) bool { return r.EndReason == protocol.EndDone && r.Ended <= at })
 }
 
 // checkOrder: not before the steps it depends on, nor before its time.
@@ -118,8 +118,8 @@
 		earlier := &job.Spec.Steps[before]
 		for i := range earlier.Count {
 			task := TaskName{run.Task.Job, run.Task.Time, before, i}
-			if !a.doneBy(task, earlier, run.Started) {
-				a.breaks(RuleOrder, run.Started, "%s run %d started before %s ended done", run.Text, run.Run, task)
+			if !a.isDoneBy(task, earlier, run.Started) {
+				a.violated(RuleOrder, run.Started, "%s run %d started before %s ended done", run.TaskText, run.Number, task)
 				return
 			}
 		}
@@ -128,11 +128,11 @@
 		return
 	}
 	slack := a.Bounds.Early
-	if a.clocks {
+	if a.clocksJump {
 		slack += 5 * time.Second
 	}
 	if due := dueAt(&job.Spec, run.Task.Time); run.Started < due-slack {
-		a.breaks(RuleOrder, run.Started, "%s run %d started, it falls due at %v", run.Text, run.Run, due)
+		a.violated(RuleOrder, run.Started, "%s run %d started, it falls due at %v", run.TaskText, run.Number, due)
 	}
 }
 
@@ -142,49 +142,49 @@
 		return c.Routes[job.Queue].Service == run.Runner.Service
 	})
 	if !sent {
-		a.breaks(RuleRoute, run.Started, "%s run %d on a runner of %s", run.Text, run.Run, run.Runner.Service)
+		a.violated(RuleRoute, run.Started, "%s run %d on a runner of %s", run.TaskText, run.Number, run.Runner.Service)
 		return
 	}
 	a.checkService(run, job)
 	if step.Requirements != "" && !slices.Contains(run.Runner.Labels, step.Requirements) {
-		a.breaks(RuleRoute, run.Started, "%s run %d on %s without label %q", run.Text, run.Run, run.Runner.Instance, step.Requirements)
+		a.violated(RuleRoute, run.Started, "%s run %d on %s without label %q", run.TaskText, run.Number, run.Runner.Instance, step.Requirements)
 	}
 	if step.AntiAffinity == 0 {
 		return
 	}
 	count := 1
-	for _, other := range a.besides(run) {
+	for _, other := range a.concurrentWith(run) {
 		if other.Task.group() == run.Task.group() {
 			count++
 		}
 	}
 	if count > step.AntiAffinity {
-		a.breaks(RuleRoute, run.Started, "%s run %d is one of %d on %s, %d may be", run.Text, run.Run, count,
+		a.violated(RuleRoute, run.Started, "%s run %d is one of %d on %s, %d may be", run.TaskText, run.Number, count,
 			run.Runner.Instance, step.AntiAffinity)
 	}
 }
 
 // checkBudget: no start once as many runs as allowed have ended failed.
 func (a *auditor) checkBudget(run *Run, job *JobRecord, step *protocol.Step) {
-	most, _ := a.attempts(job.Queue)
+	most, _ := a.failureBudget(job.Queue)
 	if most == 0 || step.LongRunning {
 		return
 	}
 	failed := map[uint64]bool{}
 	last := Never
-	for _, other := range a.sameEnd(run, step) {
-		if other.How == protocol.EndFailed && takenNote(other) && other.Ended <= run.Started {
-			failed[other.Run] = true
-			last = max(last, other.Noted)
+	for _, other := range a.runsSharingEnd(run, step) {
+		if other.EndReason == protocol.EndFailed && isAcknowledged(other) && other.Ended <= run.Started {
+			failed[other.Number] = true
+			last = max(last, other.Acknowledged)
 		}
 	}
 	if len(failed) < most {
 		return
 	}
-	if step.AtMostOnce && (!a.inTouch(run.Runner.Machine, run.Started) || run.Started <= last+time.Second) {
+	if step.AtMostOnce && (!a.isInTouch(run.Runner.Machine, run.Started) || run.Started <= last+time.Second) {
 		return
 	}
-	a.breaks(RuleBudget, run.Started, "%s run %d started after %d ends failed, %d are allowed", run.Text, run.Run, len(failed), most)
+	a.violated(RuleBudget, run.Started, "%s run %d started after %d ends failed, %d are allowed", run.TaskText, run.Number, len(failed), most)
 }
 
 // checkGang: in a calm, no member is left alone; and all bring the same checkpoint.
@@ -196,31 +196,31 @@
 		if other == run {
 			break
 		}
-		if other.Run == run.Run && other.Saved != run.Saved {
-			a.breaks(RuleGang, run.Started, "%s run %d brings %q, another member %q", run.Text, run.Run, run.Saved, other.Saved)
+		if other.Number == run.Number && other.Checkpoint != run.Checkpoint {
+			a.violated(RuleGang, run.Started, "%s run %d brings %q, another member %q", run.TaskText, run.Number, run.Checkpoint, other.Checkpoint)
 			break
 		}
 	}
-	if run.How != protocol.EndAlone {
+	if run.EndReason != protocol.EndAlone {
 		return
 	}
 	cancelled := job.CancelSent()
 	if cancelled != Never && cancelled <= run.Ended {
 		return
 	}
-	if a.inTouch(run.Runner.Machine, run.Started) && a.calm(run.Started, run.Ended, planned) {
-		a.breaks(RuleGang, run.Ended, "%s run %d on %s ended alone", run.Text, run.Run, run.Runner.Instance)
+	if a.isInTouch(run.Runner.Machine, run.Started) && a.isCalm(run.Started, run.Ended, planned) {
+		a.violated(RuleGang, run.Ended, "%s run %d on %s ended alone", run.TaskText, run.Number, run.Runner.Instance)
 	}
 }
 
 // checkDrain: nothing starts on a runner long after its draining was acknowledged.
 func (a *auditor) checkDrain(run *Run) {
-	acknowledged := run.Runner.DrainAck
+	acknowledged := run.Runner.DrainAcknowledged
 	if acknowledged == Never || run.Started <= acknowledged+a.Bounds.Drain {
 		return
 	}
-	if a.inTouch(run.Runner.Machine, run.Started) && a.inTouch(run.Runner.Machine, acknowledged) {
-		a.breaks(RuleDrain, run.Started, "%s run %d started on %s, draining since %v", run.Text, run.Run,
+	if a.isInTouch(run.Runner.Machine, run.Started) && a.isInTouch(run.Runner.Machine, acknowledged) {
+		a.violated(RuleDrain, run.Started, "%s run %d started on %s, draining since %v", run.TaskText, run.Number,
 			run.Runner.Instance, acknowledged)
 	}
 }
--- a/internal/cluster/simulation/cluster/cluster.go
+++ b/internal/cluster/simulation/cluster/cluster.go
@@ -14,42 +14,42 @@
 
 // Cluster is the scheduler's processes on a deployment's machines.
 type Cluster struct {
-	world         *simulation.World
-	deployment    *simulation.Deployment
-	size          simulation.Size
-	cores         []*simulation.Machine // that are or were part of the core
-	first         []*simulation.Machine // members of the very first start
-	byName        map[string]*simulation.Machine
-	controls      map[*simulation.Machine]*process
-	frontends     map[*simulation.Machine]*frontendPort
-	agents        map[*simulation.Machine]*agentPort
-	shells        map[*simulation.Machine]*shell
-	applied       map[applied]appliedEntry
-	states        map[applied]stateDigest
-	restored      int // snapshots restored
-	identities    map[diskLife]consensus.MemberID
-	diskBytes     int64    // of a core machine
-	snapshotEvery uint64   // entries of a group's log after which it is replaced by a snapshot
-	diverged      []string // replicas that applied different entries
-	called        bool     // agents call their runners
+	world             *simulation.World
+	deployment        *simulation.Deployment
+	size              simulation.Size
+	controlMachines   []*simulation.Machine // that are or were part of the core
+	initialMembers    []*simulation.Machine // members of the very first start
+	byName            map[string]*simulation.Machine
+	processes         map[*simulation.Machine]*process
+	frontends         map[*simulation.Machine]*frontendProcess
+	agents            map[*simulation.Machine]*agentProcess
+	shells            map[*simulation.Machine]*shell
+	appliedEntries    map[logPosition]appliedEntry
+	stateDigests      map[logPosition]stateDigest
+	snapshotsRestored int // snapshots restored
+	identities        map[diskIncarnation]consensus.MemberID
+	diskBytes         int64    // of a core machine
+	snapshotEvery     uint64   // entries of a group's log after which it is replaced by a snapshot
+	divergences       []string // replicas that applied different entries
+	invocation        bool     // agents call their runners
 }
 
 // New puts the scheduler on a deployment. Nothing moves before the machines are booted.
 func New(d *simulation.Deployment) *Cluster {
 	c := &Cluster{world: d.World, deployment: d, size: d.Size,
-		byName: map[string]*simulation.Machine{}, controls: map[*simulation.Machine]*process{},
-		frontends: map[*simulation.Machine]*frontendPort{}, agents: map[*simulation.Machine]*agentPort{},
-		shells:  map[*simulation.Machine]*shell{},
-		applied: map[applied]appliedEntry{}, states: map[applied]stateDigest{},
-		identities: map[diskLife]consensus.MemberID{}, snapshotEvery: 300}
-	c.first = append(c.first, d.Cores...)
-	for _, m := range d.Cores {
-		c.addCore(m)
+		byName: map[string]*simulation.Machine{}, processes: map[*simulation.Machine]*process{},
+		frontends: map[*simulation.Machine]*frontendProcess{}, agents: map[*simulation.Machine]*agentProcess{},
+		shells:         map[*simulation.Machine]*shell{},
+		appliedEntries: map[logPosition]appliedEntry{}, stateDigests: map[logPosition]stateDigest{},
+		identities: map[diskIncarnation]consensus.MemberID{}, snapshotEvery: 300}
+	c.initialMembers = append(c.initialMembers, d.Controls...)
+	for _, m := range d.Controls {
+		c.addControl(m)
 	}
-	for _, m := range d.Fronts {
+	for _, m := range d.Frontends {
 		m.Start = func() { c.frontends[m] = newFrontend(c, m) }
 	}
-	for _, m := range d.Sides {
+	for _, m := range d.AgentMachines {
 		m.Start = func() { c.agents[m] = newAgent(c, m) }
 	}
 	c.connect(d)
@@ -64,9 +64,9 @@
 		}
 		return nil
 	}
-	d.Operator.Control = func(m *simulation.Machine) simulation.Control {
-		if p := c.controls[m]; m.Up() && p != nil {
-			return &operatorPort{p}
+	d.Operator.Control = func(m *simulation.Machine) simulation.ControlAPI {
+		if p := c.processes[m]; m.Up() && p != nil {
+			return &operatorAPI{p}
 		}
 		return nil
 	}
@@ -79,37 +79,39 @@
 		}
 	}
 	d.Leader = c.leader
-	d.AddCore = c.newCore
+	d.AddControl = c.newControl
 	d.Terminate = c.terminate
 }
 
-func (c *Cluster) addCore(m *simulation.Machine) {
-	c.cores = append(c.cores, m)
+func (c *Cluster) addControl(m *simulation.Machine) {
+	c.controlMachines = append(c.controlMachines, m)
 	c.byName[m.Name] = m
 	m.Start = func() { c.startControl(m) }
 }
 
-// newCore makes an empty machine at a new address.
-func (c *Cluster) newCore() *simulation.Machine {
-	m := c.deployment.NewCore(fmt.Sprintf("core-%d", len(c.cores)), c.cores[len(c.cores)%len(c.first)].Zone)
-	c.addCore(m)
+// newControl makes an empty machine at a new address.
+func (c *Cluster) newControl() *simulation.Machine {
+	m := c.deployment.NewControlMachine(fmt.Sprintf("core-%d", len(c.controlMachines)), c.controlMachines[len(c.controlMachines)%len(c.initialMembers)].Zone)
+	c.addControl(m)
 	return m
 }
 
-func (c *Cluster) isFirst(m *simulation.Machine) bool { return slices.Contains(c.first, m) }
+func (c *Cluster) isInitialMember(m *simulation.Machine) bool {
+	return slices.Contains(c.initialMembers, m)
+}
 
 // seeds are the core machines that the operator's list names now, at most three.
 func (c *Cluster) seeds() []*simulation.Machine {
 	const most = 3
-	cores := c.deployment.Cores
+	cores := c.deployment.Controls
 	return cores[:min(most, len(cores))]
 }
 
 // leader is a core machine that leads some group.
 func (c *Cluster) leader() *simulation.Machine {
 	var leaders []*simulation.Machine
-	for _, m := range c.deployment.Cores {
-		p := c.controls[m]
+	for _, m := range c.deployment.Controls {
+		p := c.processes[m]
 		if p == nil || !m.Up() {
 			continue
 		}
@@ -129,11 +131,11 @@
 func (c *Cluster) terminate(m *simulation.Machine, done func()) {
 	const frontDrain = 4 * time.Second // not ready, but serving; then what is in flight is finished
 	switch {
-	case m.Class == "front":
+	case m.Role == "front":
 		m.After(frontDrain, done)
-	case m.Class == "core" && c.controls[m] != nil:
-		p := c.controls[m]
-		m.After(0, func() { p.leave(done) })
+	case m.Role == "core" && c.processes[m] != nil:
+		p := c.processes[m]
+		m.After(0, func() { p.decommission(done) })
 	default:
 		m.After(50*time.Millisecond, done)
 	}
@@ -159,7 +161,7 @@
 		from.After(0, func() { settle(nil, failure.New(failure.Unavailable, "nobody is at that address")) })
 		return
 	}
-	if !to.Up() || c.controls[to] == nil {
+	if !to.Up() || c.processes[to] == nil {
 		const refusal = 3 * time.Millisecond
 		from.After(refusal, func() { settle(nil, failure.New(failure.Unavailable, "connection refused")) })
 		return
@@ -170,7 +172,7 @@
 		err      error
 	}
 	simulation.Call(network, from, to, func(reply func(outcome)) {
-		p := c.controls[to]
+		p := c.processes[to]
 		if p == nil {
 			return
 		}
--- a/internal/cluster/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -28,8 +28,8 @@
 	RunSpecs(t, "cluster")
 }
 
-// environment returns a number from the environment, or a default.
-func environment(name string, standard uint64) uint64 {
+// environmentNumber returns a number from the environment, or a default.
+func environmentNumber(name string, standard uint64) uint64 {
 	value, err := strconv.ParseUint(os.Getenv(name), 10, 64)
 	if err != nil {
 		return standard
@@ -38,15 +38,15 @@
 }
 
 // seeds is how many days of all kinds are played; those of one kind are a part of them.
-var seeds = environment("SIMULATION_SEEDS", 60)
+var seeds = environmentNumber("SIMULATION_SEEDS", 60)
 
-// players is how many days are played side by side.
-var players = max(4, runtime.GOMAXPROCS(0))
+// maxParallelDays is how many days are played side by side.
+var maxParallelDays = max(4, runtime.GOMAXPROCS(0))
 
-// play plays days of the seeds from first on, or the one of SIMULATION_SEED, and fails with all that are wrong.
-func play(first, count uint64, options Options) {
+// playDays plays days of the seeds from first on, or the one of SIMULATION_SEED, and fails with all that are wrong.
+func playDays(first, count uint64, options Options) {
 	GinkgoHelper()
-	if seed := environment("SIMULATION_SEED", 0); seed != 0 {
+	if seed := environmentNumber("SIMULATION_SEED", 0); seed != 0 {
 		first, count = seed, 1
 	}
 	days := make(chan uint64, count)
@@ -57,7 +57,7 @@
 	var mutex sync.Mutex
 	var failures []string
 	var group sync.WaitGroup
-	for range players {
+	for range maxParallelDays {
 		group.Go(func() {
 			for seed := range days {
 				if outcome := playDay(seed, options); outcome.Failed() {
@@ -82,42 +82,42 @@
 // explain tells all of the job that SIMULATION_JOB names, if any.
 func explain(outcome *Outcome) {
 	if id := os.Getenv("SIMULATION_JOB"); id != "" {
-		GinkgoWriter.Println(outcome.Ledger.Explain(id))
+		GinkgoWriter.Println(outcome.History.Explain(id))
 	}
 }
 
 var _ = Describe("The shipped processes of a whole cluster", func() {
 	It("break no rule on quiet days", func() {
-		play(1, 1+seeds/100, Options{Quiet: true})
+		playDays(1, 1+seeds/100, Options{Quiet: true})
 	})
 
 	It("break no rule on days of all kinds", func() {
-		play(1000, seeds, Options{})
+		playDays(1000, seeds, Options{})
 	})
 
-	for _, kind := range simulation.TroubleKinds() {
+	for _, kind := range simulation.FaultKinds() {
 		It("break no rule under "+kind.Name, func() {
-			play(5000, 1+seeds/100, Options{Troubles: []string{kind.Name, kind.Name}, Closing: "none"})
+			playDays(5000, 1+seeds/100, Options{Faults: []string{kind.Name, kind.Name}, FinalFault: "none"})
 		})
 	}
 
 	for _, closing := range []string{"power_off_all", "kill_all", "wipe_after_ack"} {
 		It("come back from "+closing, func() {
-			play(6000, 1+seeds/100, Options{Closing: closing})
+			playDays(6000, 1+seeds/100, Options{FinalFault: closing})
 		})
 	}
 
 	It("break no rule on quiet days where runners are called", func() {
-		play(1, 1+seeds/100, Options{Quiet: true, Called: true})
+		playDays(1, 1+seeds/100, Options{Quiet: true, Invocation: true})
 	})
 
 	It("break no rule on days of all kinds where runners are called", func() {
-		play(8000, 1+seeds/10, Options{Called: true})
+		playDays(8000, 1+seeds/10, Options{Invocation: true})
 	})
 
 	DescribeTable("break no rule under troubles that meet where runners are called",
 		func(kinds ...string) {
-			play(8500, 1+seeds/100, Options{Called: true, Troubles: kinds, Together: true, Closing: "none"})
+			playDays(8500, 1+seeds/100, Options{Invocation: true, Faults: kinds, Overlapping: true, FinalFault: "none"})
 		},
 		Entry("runners come back as others", "srv_back_late", "srv_back_late", "srv_late"),
 		Entry("an owner is lost while agents are frozen", "core_kill", "node_freeze", "node_kill"),
@@ -127,7 +127,7 @@
 
 	DescribeTable("break no rule under troubles that meet",
 		func(kinds ...string) {
-			play(7000, 1+seeds/50, Options{Troubles: kinds, Together: true, Closing: "none"})
+			playDays(7000, 1+seeds/50, Options{Faults: kinds, Overlapping: true, FinalFault: "none"})
 		},
 		Entry("an owner is lost while its runners cannot reach the next one", "core_kill", "servers_cut", "servers_cut"),
 		Entry("an owner freezes while its runners cannot reach the next one", "core_freeze", "servers_cut", "node_cut"),
@@ -146,7 +146,7 @@
 	It("run the same from the same seed", func() {
 		for seed := range uint64(3) {
 			for _, called := range []bool{false, true} {
-				options := Options{Called: called}
+				options := Options{Invocation: called}
 				Expect(playDay(seed+1, options).Fingerprint()).To(Equal(playDay(seed+1, options).Fingerprint()))
 			}
 		}
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	restartTime   = 300 * time.Millisecond // after which a process that cannot begin is started again
+	restartDelay  = 300 * time.Millisecond // after which a process that cannot begin is started again
 	openSyncs     = 2                      // that opening the disk takes
 	snapshotSyncs = 3                      // that writing a snapshot takes
 )
@@ -30,34 +30,34 @@
 	driver   *replica.Driver
 	engine   *replica.Engine
 
-	signalled atomic.Bool       // something waits for the engine
-	woken     bool              // a turn comes at once
-	next      *simulation.Timer // the turn after a pause
+	signalled     atomic.Bool       // something waits for the engine
+	stepScheduled bool              // a turn comes at once
+	stepTimer     *simulation.Timer // the turn after a pause
 }
 
 // startControl begins a life: the engine opens what the disk holds.
 func (c *Cluster) startControl(m *simulation.Machine) {
-	c.controls[m] = nil
+	c.processes[m] = nil
 	p := &process{cluster: c, machine: m, shell: c.newShell(m)}
-	p.shell.settled = p.settle
-	p.tryOpen()
+	p.shell.afterStep = p.wakeIfSignalled
+	p.scheduleOpen()
 }
 
-func (p *process) tryOpen() { p.machine.Disk.Perform(p.machine, openSyncs, p.begin) }
+func (p *process) scheduleOpen() { p.machine.Disk.Perform(p.machine, openSyncs, p.start) }
 
-// begin opens the disk and takes part. One that cannot be opened ends the process, which the platform starts again.
-func (p *process) begin() {
+// start opens the disk and takes part. One that cannot be opened ends the process, which the platform starts again.
+func (p *process) start() {
 	err := p.open()
 	switch {
 	case !p.machine.Up(): // it died meanwhile
 	case err != nil:
-		p.machine.After(restartTime, p.tryOpen)
+		p.machine.After(restartDelay, p.scheduleOpen)
 	default:
 		p.cluster.checkIdentity(p)
-		p.cluster.controls[p.machine] = p
-		p.shell.enter(p.control.Start)
+		p.cluster.processes[p.machine] = p
+		p.shell.step(p.control.Start)
 		p.wake()
-		p.snapshotOften()
+		p.snapshotRegularly()
 		p.followSeeds()
 	}
 }
@@ -71,7 +71,7 @@
 		FileSystem: m.Disk.Files(),
 		Dir:        "data",
 		DiskBytes:  c.diskBytes,
-		Bounds:     bootBounds(c.deployment.Ledger.Bounds),
+		Bounds:     bootBounds(c.deployment.History.Bounds),
 		Sender:     p,
 		Remote:     caller{p.shell},
 		Clock:      shellClock{shell: p.shell},
@@ -91,7 +91,7 @@
 
 func (p *process) openEngine(options replica.Options) (*replica.Engine, error) {
 	driver, err := replica.OpenDriver(options, replica.DriverOptions{
-		Disk:         p.performAtDisk,
+		Disk:         p.performDiskWork,
 		Wake:         func() { p.signalled.Store(true) },
 		DrawIdentity: p.cluster.drawIdentity,
 	})
@@ -104,11 +104,11 @@
 
 // bootstrap names the first members at the very first start, and nobody later.
 func (c *Cluster) bootstrap(m *simulation.Machine) []string {
-	if m.Life() > 1 || !c.isFirst(m) {
+	if m.Incarnation() > 1 || !c.isInitialMember(m) {
 		return nil
 	}
 	var addresses []string
-	for _, first := range c.first {
+	for _, first := range c.initialMembers {
 		addresses = append(addresses, first.Name)
 	}
 	return addresses
@@ -132,41 +132,41 @@
 	}
 }
 
-func (p *process) performAtDisk(kind replica.DiskWork, work func()) {
+func (p *process) performDiskWork(kind replica.DiskWork, work func()) {
 	syncs := 1
 	if kind == replica.DiskSnapshot {
 		syncs = snapshotSyncs
 	}
 	p.machine.Disk.Perform(p.machine, syncs, func() {
 		work()
-		p.settle()
+		p.wakeIfSignalled()
 	})
 }
 
-// settle lets a turn come at once if something waits for the engine. It is called by the world's goroutine after whatever
+// wakeIfSignalled lets a turn come at once if something waits for the engine. It is called by the world's goroutine after whatever
 // may have given the engine something.
-func (p *process) settle() {
+func (p *process) wakeIfSignalled() {
 	if p.signalled.Swap(false) {
 		p.wake()
 	}
 }
 
 func (p *process) wake() {
-	if !p.woken {
-		p.woken = true
-		p.machine.Soon(p.turn)
+	if !p.stepScheduled {
+		p.stepScheduled = true
+		p.machine.Post(p.step)
 	}
 }
 
-func (p *process) turn() {
-	p.woken = false
-	p.next.Stop()
-	p.shell.enter(func() {
+func (p *process) step() {
+	p.stepScheduled = false
+	p.stepTimer.Stop()
+	p.shell.step(func() {
 		pause, err := p.driver.Step()
 		if err != nil {
 			panic(err)
 		}
-		p.next = p.machine.After(pause, p.turn)
+		p.stepTimer = p.machine.After(pause, p.step)
 	})
 }
 
@@ -179,19 +179,19 @@
 // do runs f on the engine's loop.
 func (p *process) do(f func()) {
 	p.engine.Do(f)
-	p.settle()
+	p.wakeIfSignalled()
 }
 
-// snapshotOften replaces logs by snapshots long before their bounds are reached: a day is too short for those.
-func (p *process) snapshotOften() {
+// snapshotRegularly replaces logs by snapshots long before their bounds are reached: a day is too short for those.
+func (p *process) snapshotRegularly() {
 	const interval = 250 * time.Millisecond
 	p.machine.After(interval, func() {
-		p.do(p.snapshotLongest)
-		p.snapshotOften()
+		p.do(p.snapshotLongestLog)
+		p.snapshotRegularly()
 	})
 }
 
-func (p *process) snapshotLongest() {
+func (p *process) snapshotLongestLog() {
 	longest, id := p.cluster.snapshotEvery, replica.GroupID(0)
 	for _, group := range allGroups() {
 		overview, _ := p.engine.Overview(group)
@@ -234,9 +234,9 @@
 		return
 	}
 	c.deployment.Network.Send(p.machine, to, func() {
-		if other := c.controls[to]; other != nil {
+		if other := c.processes[to]; other != nil {
 			other.control.Receive(envelope)
-			other.settle()
+			other.wakeIfSignalled()
 		}
 	})
 }
@@ -244,12 +244,12 @@
 // handle answers a request that has come over the network.
 func (p *process) handle(from *simulation.Machine, request any, reply func(response any, err error)) {
 	p.control.Handle(from.Name, request, reply)
-	p.settle()
+	p.wakeIfSignalled()
 }
 
-// leave leaves the replica groups, and calls done when the process may end, or after a while.
-func (p *process) leave(done func()) {
-	p.shell.enter(func() {
-		p.control.Decommission(func() { p.shell.want(ofProcess, done) })
+// decommission leaves the replica groups, and calls done when the process may end, or after a while.
+func (p *process) decommission(done func()) {
+	p.shell.step(func() {
+		p.control.Decommission(func() { p.shell.enqueue(processRequest, done) })
 	})
 }
--- a/internal/cluster/simulation/cluster/frontend.go
+++ b/internal/cluster/simulation/cluster/frontend.go
@@ -13,16 +13,16 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// frontendPort is one life of a frontend: the shipped one, without its sockets.
-type frontendPort struct {
+// frontendProcess is one life of a frontend: the shipped one, without its sockets.
+type frontendProcess struct {
 	shell   *shell
 	process *frontend.Process
 }
 
-func newFrontend(c *Cluster, m *simulation.Machine) *frontendPort {
+func newFrontend(c *Cluster, m *simulation.Machine) *frontendProcess {
 	s := c.newShell(m)
-	bounds := c.deployment.Ledger.Bounds
-	f := &frontendPort{shell: s, process: frontend.NewProcess(frontend.ProcessOptions{
+	bounds := c.deployment.History.Bounds
+	f := &frontendProcess{shell: s, process: frontend.NewProcess(frontend.ProcessOptions{
 		Client:    caller{s},
 		Addresses: c.seedAddresses(),
 		Node:      m.Name,
@@ -42,9 +42,9 @@
 	return addresses
 }
 
-// ask sends the frontend a client's request.
-func (f *frontendPort) ask(method string, queue simulation.QueueName, id string, body []byte, deadline time.Duration,
-	answered func(*answer)) (left func()) {
+// request sends the frontend a client's request.
+func (f *frontendProcess) request(method string, queue simulation.QueueName, id string, body []byte, deadline time.Duration,
+	answered func(*response)) (left func()) {
 	request := &http.Request{
 		Method: method, Host: queue.Host, URL: &url.URL{Path: queue.Prefix + id}, ContentLength: int64(len(body)),
 		Header: http.Header{frontend.DeadlineHeader: {strconv.FormatInt(deadline.Milliseconds(), 10)}},
@@ -62,41 +62,41 @@
 // Close does nothing.
 func (reader) Close() error { return nil }
 
-// HandIn takes a job.
-func (f *frontendPort) HandIn(queue simulation.QueueName, id string, job *protocol.JobSpec, deadline time.Duration,
+// Submit takes a job.
+func (f *frontendProcess) Submit(queue simulation.QueueName, id string, job *protocol.JobSpec, deadline time.Duration,
 	reply func(int)) (left func()) {
-	return f.ask(http.MethodPost, queue, id, mustJSON(job), deadline, func(a *answer) { reply(a.status) })
+	return f.request(http.MethodPost, queue, id, mustJSON(job), deadline, func(a *response) { reply(a.status) })
 }
 
 // State tells a job's state.
-func (f *frontendPort) State(queue simulation.QueueName, id string, deadline time.Duration, reply func(int, string)) (left func()) {
-	return f.ask(http.MethodGet, queue, id, nil, deadline, func(a *answer) {
+func (f *frontendProcess) State(queue simulation.QueueName, id string, deadline time.Duration, reply func(int, string)) (left func()) {
+	return f.request(http.MethodGet, queue, id, nil, deadline, func(a *response) {
 		var told struct {
 			State string `json:"state"`
 		}
-		a.read(&told)
+		a.decode(&told)
 		reply(a.status, told.State)
 	})
 }
 
 // Cancel cancels a job.
-func (f *frontendPort) Cancel(queue simulation.QueueName, id string, deadline time.Duration, reply func(int)) (left func()) {
-	return f.ask(http.MethodDelete, queue, id, nil, deadline, func(a *answer) { reply(a.status) })
+func (f *frontendProcess) Cancel(queue simulation.QueueName, id string, deadline time.Duration, reply func(int)) (left func()) {
+	return f.request(http.MethodDelete, queue, id, nil, deadline, func(a *response) { reply(a.status) })
 }
 
-// Pending counts a queue's jobs that have not ended.
-func (f *frontendPort) Pending(queue simulation.QueueName, deadline time.Duration, reply func(int, int)) (left func()) {
-	return f.ask(http.MethodGet, queue, "", nil, deadline, func(a *answer) {
+// CountPending counts a queue's jobs that have not ended.
+func (f *frontendProcess) CountPending(queue simulation.QueueName, deadline time.Duration, reply func(int, int)) (left func()) {
+	return f.request(http.MethodGet, queue, "", nil, deadline, func(a *response) {
 		var told struct {
 			Pending int `json:"pending"`
 		}
-		a.read(&told)
+		a.decode(&told)
 		reply(a.status, told.Pending)
 	})
 }
 
-// read reads the body of a success.
-func (a *answer) read(into any) {
+// decode reads the body of a success.
+func (a *response) decode(into any) {
 	if a.status != http.StatusOK {
 		return
 	}
--- a/internal/cluster/simulation/cluster/history_test.go
+++ b/internal/cluster/simulation/cluster/history_test.go
@@ -41,13 +41,13 @@
 type jobCall uint8
 
 const (
-	callHandIn jobCall = iota
+	callSubmit jobCall = iota
 	callState
 	callCancel
 )
 
-// jobAnswer is what the client is told. The zero value stands for no clear answer.
-type jobAnswer struct {
+// jobResponse is what the client is told. The zero value stands for no clear answer.
+type jobResponse struct {
 	status int
 	state  string
 }
@@ -56,29 +56,29 @@
 var jobModel = porcupine.Model{
 	Init: func() any { return jobAbsent },
 	Step: func(state, input, output any) (bool, any) {
-		next := state.(jobStates).after(input.(jobCall), output.(jobAnswer))
+		next := state.(jobStates).after(input.(jobCall), output.(jobResponse))
 		return next != 0, next
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
 // after returns the states that a job may be in after a call that was answered so; none if it can't have been.
-func (s jobStates) after(call jobCall, answer jobAnswer) jobStates {
+func (s jobStates) after(call jobCall, answer jobResponse) jobStates {
 	if s&jobLive != 0 {
 		s |= jobCompleted | jobFailed // it may have ended by itself
 	}
 	known := answer.status != 0
 	switch call {
-	case callHandIn:
-		return s.handedIn(known)
+	case callSubmit:
+		return s.afterSubmit(known)
 	case callCancel:
-		return s.cancelled(answer.status)
+		return s.afterCancel(answer.status)
 	default:
-		return s.shown(answer)
+		return s.afterQuery(answer)
 	}
 }
 
-func (s jobStates) handedIn(certain bool) jobStates {
+func (s jobStates) afterSubmit(certain bool) jobStates {
 	next := s
 	if s&jobAbsent != 0 {
 		next |= jobLive
@@ -89,7 +89,7 @@
 	return next
 }
 
-func (s jobStates) cancelled(status int) jobStates {
+func (s jobStates) afterCancel(status int) jobStates {
 	if status == 410 {
 		return s & jobAbsent
 	}
@@ -103,7 +103,7 @@
 	return next
 }
 
-func (s jobStates) shown(answer jobAnswer) jobStates {
+func (s jobStates) afterQuery(answer jobResponse) jobStates {
 	if answer.status == 410 {
 		return s & jobAbsent
 	}
@@ -123,13 +123,13 @@
 // jobHistory is all that clients were told of a job. What was certainly refused is left out, as it has no effect; of the
 // calls without a clear answer, the first of each kind stands for all: a second one has no effect of its own.
 func jobHistory(job *simulation.JobRecord) []porcupine.Operation {
-	history := jobCalls(callHandIn, job.HandIns, func(try *simulation.Try) bool { return try.Status/100 == 2 })
-	answered := func(try *simulation.Try) bool { return try.Status/100 == 2 || try.Status == 410 }
+	history := jobCalls(callSubmit, job.Submissions, func(try *simulation.Attempt) bool { return try.Status/100 == 2 })
+	answered := func(try *simulation.Attempt) bool { return try.Status/100 == 2 || try.Status == 410 }
 	history = append(history, jobCalls(callCancel, job.Cancels, answered)...)
-	return append(history, jobCalls(callState, job.Asks, answered)...)
+	return append(history, jobCalls(callState, job.Queries, answered)...)
 }
 
-func jobCalls(call jobCall, tries []simulation.Try, answered func(*simulation.Try) bool) []porcupine.Operation {
+func jobCalls(call jobCall, tries []simulation.Attempt, answered func(*simulation.Attempt) bool) []porcupine.Operation {
 	var history []porcupine.Operation
 	doubted := false
 	for i := range tries {
@@ -137,25 +137,27 @@
 		known := try.Answered != simulation.Never
 		switch {
 		case known && answered(try):
-			history = append(history, porcupine.Operation{ClientId: i, Input: call, Output: jobAnswer{try.Status, try.State},
+			history = append(history, porcupine.Operation{ClientId: i, Input: call, Output: jobResponse{try.Status, try.State},
 				Call: int64(try.Sent), Return: int64(try.Answered)})
-		case call != callState && !doubted && (!known || inDoubt(try.Status)):
+		case call != callState && !doubted && (!known || isIndeterminate(try.Status)):
 			doubted = true
-			history = append(history, porcupine.Operation{ClientId: i, Input: call, Output: jobAnswer{},
+			history = append(history, porcupine.Operation{ClientId: i, Input: call, Output: jobResponse{},
 				Call: int64(try.Sent), Return: noReturn})
 		}
 	}
 	return history
 }
 
-// inDoubt tells whether an answer leaves open whether the call had an effect.
-func inDoubt(status int) bool { return status == 0 || status == 408 || status == 502 || status == 504 }
+// isIndeterminate tells whether an answer leaves open whether the call had an effect.
+func isIndeterminate(status int) bool {
+	return status == 0 || status == 408 || status == 502 || status == 504
+}
 
 // register is the configuration as the operator sees it.
 type register struct {
-	version int64
-	whole   string
-	taken   []*simulation.ConfigurationRecord // never changed in place
+	version  int64
+	document string
+	accepted []*simulation.ConfigurationRecord // never changed in place
 }
 
 // configurationCall is an order, or a reading if there is none.
@@ -163,8 +165,8 @@
 	order *simulation.ConfigurationRecord
 }
 
-// configurationAnswer is what the operator is told. The zero value stands for no clear answer.
-type configurationAnswer struct {
+// configurationResponse is what the operator is told. The zero value stands for no clear answer.
+type configurationResponse struct {
 	status  int
 	version int64
 	body    string
@@ -175,27 +177,27 @@
 var registerModel = porcupine.Model{
 	Init: func() any { return &register{} },
 	Step: func(state, input, output any) (bool, any) {
-		r, answer := state.(*register), output.(configurationAnswer)
+		r, answer := state.(*register), output.(configurationResponse)
 		order := input.(configurationCall).order
 		if order == nil {
-			return answer.version == r.version && (answer.version == 0 || answer.body == r.whole), r
+			return answer.version == r.version && (answer.version == 0 || answer.body == r.document), r
 		}
 		return r.after(order, answer.status)
 	},
 	Equal: func(a, b any) bool {
 		left, right := a.(*register), b.(*register)
-		return left.version == right.version && slices.Equal(left.taken, right.taken)
+		return left.version == right.version && slices.Equal(left.accepted, right.accepted)
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
 // after returns whether an order can have been answered so, and the register after it.
 func (r *register) after(order *simulation.ConfigurationRecord, status int) (bool, *register) {
-	known := slices.Contains(r.taken, order)
+	known := slices.Contains(r.accepted, order)
 	current := order.Base == r.version
 	next := r
 	if current && !order.Invalid {
-		next = &register{version: order.Version, whole: order.Whole, taken: append(slices.Clone(r.taken), order)}
+		next = &register{version: order.Version, document: order.Document, accepted: append(slices.Clone(r.accepted), order)}
 	}
 	switch status {
 	case 0:
@@ -211,74 +213,74 @@
 }
 
 // configurationHistory is all that the operator was told, with the same left out as in jobHistory.
-func configurationHistory(ledger *simulation.Ledger, reads []*simulation.ObservedRead) []porcupine.Operation {
+func configurationHistory(ledger *simulation.History, reads []*simulation.ConfigurationRead) []porcupine.Operation {
 	var history []porcupine.Operation
-	add := func(order *simulation.ConfigurationRecord, answer configurationAnswer, call, end int64) {
+	add := func(order *simulation.ConfigurationRecord, answer configurationResponse, call, end int64) {
 		history = append(history, porcupine.Operation{ClientId: len(history), Input: configurationCall{order}, Output: answer,
 			Call: call, Return: end})
 	}
 	for _, order := range ledger.Configuration {
 		doubted := false
-		for i := range order.Tries {
-			try := &order.Tries[i]
+		for i := range order.Attempts {
+			try := &order.Attempts[i]
 			known := try.Answered != simulation.Never
 			clear := known && (try.Status == 200 || try.Status/100 == 4 && try.Status != 408 && try.Status != 429)
 			switch {
 			case clear:
-				add(order, configurationAnswer{status: try.Status}, int64(try.Sent), int64(try.Answered))
-			case !doubted && (!known || inDoubt(try.Status)):
+				add(order, configurationResponse{status: try.Status}, int64(try.Sent), int64(try.Answered))
+			case !doubted && (!known || isIndeterminate(try.Status)):
 				doubted = true
-				add(order, configurationAnswer{}, int64(try.Sent), noReturn)
+				add(order, configurationResponse{}, int64(try.Sent), noReturn)
 			}
 		}
 	}
 	for _, read := range reads {
 		if read.Answered != simulation.Never && read.Status == 200 {
-			add(nil, configurationAnswer{status: 200, version: read.Version, body: read.Body}, int64(read.Sent), int64(read.Answered))
+			add(nil, configurationResponse{status: 200, version: read.Version, body: read.Body}, int64(read.Sent), int64(read.Answered))
 		}
 	}
 	return history
 }
 
-// replaced plays a quiet day on which the owner of a group is cut off from the other core machines and frozen, wakes
+// replacedOwner plays a quiet day on which the owner of a group is cut off from the other core machines and frozen, wakes
 // with a successor long elected, and is asked then by a frontend that reaches nobody else, and by the operator. Between,
 // a job was cancelled and the configuration changed elsewhere.
-type replaced struct {
-	c       *Cluster
-	d       *simulation.Deployment
-	group   protocol.ShardID
-	owner   *simulation.Machine
-	far     *simulation.Machine // the frontend that reaches the old owner alone
-	job     *simulation.JobRecord
-	reads   []*simulation.ObservedRead
-	leading bool // the owner believed that it led when it woke
+type replacedOwner struct {
+	c                *Cluster
+	d                *simulation.Deployment
+	group            protocol.ShardID
+	owner            *simulation.Machine
+	isolatedFrontend *simulation.Machine // the frontend that reaches the old owner alone
+	job              *simulation.JobRecord
+	reads            []*simulation.ConfigurationRead
+	leading          bool // the owner believed that it led when it woke
 }
 
 // Times of such a day.
 const (
-	beforeFreeze = 2 * time.Second
-	frozenFor    = 3 * time.Second
-	askGap       = 20 * time.Millisecond
-	askSpan      = 700 * time.Millisecond // before the waking, and after it
+	beforeFreeze  = 2 * time.Second
+	frozenFor     = 3 * time.Second
+	queryInterval = 20 * time.Millisecond
+	querySpan     = 700 * time.Millisecond // before the waking, and after it
 )
 
-// handIn hands in the job, which lasts.
-func (r *replaced) handIn() {
+// submit hands in the job, which lasts.
+func (r *replacedOwner) submit() {
 	step := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 400, LongRunning: true}
 	queue := simulation.QueueName{Host: simulation.ClientHost, Prefix: "/lasting/"}
-	r.job = r.d.Clients.HandIn(queue, protocol.JobSpec{Spec: "lasts", Steps: []protocol.Step{step}},
+	r.job = r.d.Clients.Submit(queue, protocol.JobSpec{Spec: "lasts", Steps: []protocol.Step{step}},
 		simulation.Work{MeanMs: 400}, simulation.Never)
 	r.d.World.After(beforeFreeze, r.freeze)
 }
 
 // freeze cuts the owner off, along with a frontend, and freezes it.
-func (r *replaced) freeze() {
+func (r *replacedOwner) freeze() {
 	r.owner = r.ownerNow()
-	r.far = r.d.Fronts[1]
-	for _, core := range r.d.Cores {
+	r.isolatedFrontend = r.d.Frontends[1]
+	for _, core := range r.d.Controls {
 		if core != r.owner {
-			r.d.Network.CutBoth(core, r.owner)
-			r.d.Network.CutBoth(core, r.far)
+			r.d.Network.PartitionBoth(core, r.owner)
+			r.d.Network.PartitionBoth(core, r.isolatedFrontend)
 		}
 	}
 	r.owner.Freeze()
@@ -287,8 +289,8 @@
 		r.cancel()
 		r.d.Operator.Change(nil)
 	})
-	for after := frozenFor - askSpan; after < frozenFor+askSpan; after += askGap {
-		w.After(after, r.ask)
+	for after := frozenFor - querySpan; after < frozenFor+querySpan; after += queryInterval {
+		w.After(after, r.query)
 	}
 	w.After(frozenFor, func() {
 		r.leading = r.leads(r.owner)
@@ -296,8 +298,8 @@
 	})
 }
 
-func (r *replaced) ownerNow() *simulation.Machine {
-	for _, core := range r.d.Cores {
+func (r *replacedOwner) ownerNow() *simulation.Machine {
+	for _, core := range r.d.Controls {
 		if r.leads(core) {
 			return core
 		}
@@ -305,47 +307,47 @@
 	return nil
 }
 
-func (r *replaced) leads(core *simulation.Machine) bool {
-	return r.c.controls[core].leads(uint32(r.group))
+func (r *replacedOwner) leads(core *simulation.Machine) bool {
+	return r.c.processes[core].leads(uint32(r.group))
 }
 
 // cancel cancels the job by the other frontend, until that is acknowledged.
-func (r *replaced) cancel() {
+func (r *replacedOwner) cancel() {
 	w := r.d.World
 	position := len(r.job.Cancels)
-	r.job.Cancels = append(r.job.Cancels, simulation.Try{Sent: w.Now(), Answered: simulation.Never})
-	r.c.frontends[r.d.Fronts[0]].Cancel(r.job.Queue, r.job.ID, time.Second, func(status int) {
+	r.job.Cancels = append(r.job.Cancels, simulation.Attempt{Sent: w.Now(), Answered: simulation.Never})
+	r.c.frontends[r.d.Frontends[0]].Cancel(r.job.Queue, r.job.ID, time.Second, func(status int) {
 		try := &r.job.Cancels[position]
 		try.Answered, try.Status = w.Now(), status
 		if status != 200 {
-			w.After(askGap, r.cancel)
+			w.After(queryInterval, r.cancel)
 		}
 	})
 }
 
-// ask asks the far frontend for the job, and the old owner for the configuration.
-func (r *replaced) ask() {
+// request asks the far frontend for the job, and the old owner for the configuration.
+func (r *replacedOwner) query() {
 	w := r.d.World
-	position := len(r.job.Asks)
-	r.job.Asks = append(r.job.Asks, simulation.Try{Sent: w.Now(), Answered: simulation.Never})
-	r.c.frontends[r.far].State(r.job.Queue, r.job.ID, 2*time.Second, func(status int, state string) {
-		try := &r.job.Asks[position]
+	position := len(r.job.Queries)
+	r.job.Queries = append(r.job.Queries, simulation.Attempt{Sent: w.Now(), Answered: simulation.Never})
+	r.c.frontends[r.isolatedFrontend].State(r.job.Queue, r.job.ID, 2*time.Second, func(status int, state string) {
+		try := &r.job.Queries[position]
 		try.Answered, try.Status, try.State = w.Now(), status, state
 	})
 	r.reads = append(r.reads, simulation.ReadAt(r.d.Operator, r.owner))
 }
 
 // playReplaced plays such a day to its end.
-func playReplaced(seed uint64, group protocol.ShardID) (r *replaced, seen observed) {
+func playReplaced(seed uint64, group protocol.ShardID) (r *replacedOwner, seen observed) {
 	synctest.Test(suite, func(*testing.T) {
 		world := simulation.NewWorld(seed)
-		deployment := simulation.NewDeployment(world, simulation.SmallSize(), DayBounds())
-		r = &replaced{c: New(deployment), d: deployment, group: group}
-		day := simulation.Day{Lead: 3 * time.Second, Length: 8 * time.Second}
-		world.At(day.Lead+500*time.Millisecond, r.handIn)
+		deployment := simulation.NewDeployment(world, simulation.SmallSize(), ShortBounds())
+		r = &replacedOwner{c: New(deployment), d: deployment, group: group}
+		day := simulation.Scenario{Warmup: 3 * time.Second, Length: 8 * time.Second}
+		world.At(day.Warmup+500*time.Millisecond, r.submit)
 		deployment.Play(day)
 		r.c.endShells()
-		seen = observed{outcome: r.c.report(seed, day), reads: r.reads}
+		seen = observed{outcome: r.c.outcome(seed, day), reads: r.reads}
 	})
 	return r, seen
 }
@@ -353,7 +355,7 @@
 // observed is what came of a day that was observed.
 type observed struct {
 	outcome *Outcome
-	reads   []*simulation.ObservedRead
+	reads   []*simulation.ConfigurationRead
 }
 
 // observe plays a day with an observer.
@@ -362,26 +364,26 @@
 	synctest.Test(suite, func(*testing.T) {
 		world := simulation.NewWorld(seed)
 		size, bounds := simulation.SmallSize(), drawBounds(world)
-		day := drawDay(world, options)
+		day := drawScenario(world, options)
 		deployment := simulation.NewDeployment(world, size, bounds)
 		c := New(deployment)
-		observer := simulation.Observe(deployment, day.Lead, day.Lead+day.Length)
+		observer := simulation.Observe(deployment, day.Warmup, day.Warmup+day.Length)
 		deployment.Play(day)
 		c.endShells()
-		seen = observed{outcome: c.report(seed, day), reads: observer.Reads}
+		seen = observed{outcome: c.outcome(seed, day), reads: observer.Reads}
 	})
 	return seen
 }
 
-// faults names the histories of a day that are not linearizable, and those that could not be checked in time.
-func (o *observed) faults() []string {
+// violations names the histories of a day that are not linearizable, and those that could not be checked in time.
+func (o *observed) violations() []string {
 	var faults []string
 	check := func(what string, model porcupine.Model, history []porcupine.Operation) {
 		if result := porcupine.CheckOperationsTimeout(model, history, checkTime); result != porcupine.Ok {
 			faults = append(faults, fmt.Sprintf("seed %d: the history of %s: %s", o.outcome.Seed, what, result))
 		}
 	}
-	ledger := o.outcome.Ledger
+	ledger := o.outcome.History
 	check("the configuration", registerModel, configurationHistory(ledger, o.reads))
 	for _, job := range ledger.JobOrder {
 		check("job "+job.ID, jobModel, jobHistory(job))
@@ -396,11 +398,11 @@
 			var mutex sync.Mutex
 			var faults []string
 			var group sync.WaitGroup
-			for first := range uint64(players) {
+			for first := range uint64(maxParallelDays) {
 				group.Go(func() {
-					for seed := first; seed < 1+seeds/days; seed += uint64(players) {
-						seen := observe(9000+seed, Options{Troubles: troubles, Together: true, Closing: "none"})
-						found := seen.faults()
+					for seed := first; seed < 1+seeds/days; seed += uint64(maxParallelDays) {
+						seen := observe(9000+seed, Options{Faults: troubles, Overlapping: true, FinalFault: "none"})
+						found := seen.violations()
 						mutex.Lock()
 						faults = append(faults, found...)
 						mutex.Unlock()
@@ -424,8 +426,8 @@
 				day, seen := playReplaced(9500+seed, group)
 				Expect(day.leading).To(BeTrue(), "it woke as an owner")
 				Expect(day.job.CancelAcknowledged()).NotTo(Equal(simulation.Never))
-				Expect(day.job.CancelAcknowledged()).To(BeNumerically("<", day.job.Asks[len(day.job.Asks)-1].Sent))
-				Expect(seen.faults()).To(BeEmpty())
+				Expect(day.job.CancelAcknowledged()).To(BeNumerically("<", day.job.Queries[len(day.job.Queries)-1].Sent))
+				Expect(seen.violations()).To(BeEmpty())
 			}
 		},
 		Entry("the owner of the job's shard", protocol.ShardOf("alfa")),
@@ -433,79 +435,81 @@
 	)
 
 	at := func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
-	answered := func(from, to int64, status int, state string) simulation.Try {
-		return simulation.Try{Sent: at(from), Answered: at(to), Status: status, State: state}
+	answered := func(from, to int64, status int, state string) simulation.Attempt {
+		return simulation.Attempt{Sent: at(from), Answered: at(to), Status: status, State: state}
+	}
+	silent := func(from int64) simulation.Attempt {
+		return simulation.Attempt{Sent: at(from), Answered: simulation.Never}
 	}
-	silent := func(from int64) simulation.Try { return simulation.Try{Sent: at(from), Answered: simulation.Never} }
 
 	DescribeTable("of one job are told apart",
 		func(job simulation.JobRecord, linearizable bool) {
 			Expect(porcupine.CheckOperations(jobModel, jobHistory(&job))).To(Equal(linearizable))
 		},
 		Entry("taken, running, completed", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 200, "")},
-			Asks:    []simulation.Try{answered(6, 8, 200, "running"), answered(10, 12, 200, "completed"), answered(13, 14, 200, "completed")},
+			Submissions: []simulation.Attempt{answered(0, 5, 200, "")},
+			Queries:     []simulation.Attempt{answered(6, 8, 200, "running"), answered(10, 12, 200, "completed"), answered(13, 14, 200, "completed")},
 		}, true),
 		Entry("running after a cancel was acknowledged", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 200, "")},
-			Cancels: []simulation.Try{answered(6, 8, 200, "")},
-			Asks:    []simulation.Try{answered(9, 10, 200, "running")},
+			Submissions: []simulation.Attempt{answered(0, 5, 200, "")},
+			Cancels:     []simulation.Attempt{answered(6, 8, 200, "")},
+			Queries:     []simulation.Attempt{answered(9, 10, 200, "running")},
 		}, false),
 		Entry("running while a cancel is on its way", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 200, "")},
-			Cancels: []simulation.Try{answered(6, 12, 200, "")},
-			Asks:    []simulation.Try{answered(9, 10, 200, "running")},
+			Submissions: []simulation.Attempt{answered(0, 5, 200, "")},
+			Cancels:     []simulation.Attempt{answered(6, 12, 200, "")},
+			Queries:     []simulation.Attempt{answered(9, 10, 200, "running")},
 		}, true),
 		Entry("running after it was shown as completed", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 200, "")},
-			Asks:    []simulation.Try{answered(6, 8, 200, "completed"), answered(10, 12, 200, "running")},
+			Submissions: []simulation.Attempt{answered(0, 5, 200, "")},
+			Queries:     []simulation.Attempt{answered(6, 8, 200, "completed"), answered(10, 12, 200, "running")},
 		}, false),
 		Entry("gone after it was taken", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 200, "")},
-			Asks:    []simulation.Try{answered(6, 8, 410, "")},
+			Submissions: []simulation.Attempt{answered(0, 5, 200, "")},
+			Queries:     []simulation.Attempt{answered(6, 8, 410, "")},
 		}, false),
 		Entry("there though every hand-in was refused", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 503, ""), answered(6, 7, 429, "")},
-			Asks:    []simulation.Try{answered(8, 9, 200, "queued")},
+			Submissions: []simulation.Attempt{answered(0, 5, 503, ""), answered(6, 7, 429, "")},
+			Queries:     []simulation.Attempt{answered(8, 9, 200, "queued")},
 		}, false),
 		Entry("there long after a hand-in without an answer", simulation.JobRecord{
-			HandIns: []simulation.Try{silent(0)},
-			Asks:    []simulation.Try{answered(100, 101, 410, ""), answered(200, 201, 200, "queued")},
+			Submissions: []simulation.Attempt{silent(0)},
+			Queries:     []simulation.Attempt{answered(100, 101, 410, ""), answered(200, 201, 200, "queued")},
 		}, true),
 		Entry("gone, there, and gone again", simulation.JobRecord{
-			HandIns: []simulation.Try{silent(0)},
-			Asks:    []simulation.Try{answered(100, 101, 410, ""), answered(200, 201, 200, "queued"), answered(300, 301, 410, "")},
+			Submissions: []simulation.Attempt{silent(0)},
+			Queries:     []simulation.Attempt{answered(100, 101, 410, ""), answered(200, 201, 200, "queued"), answered(300, 301, 410, "")},
 		}, false),
 		Entry("cancelled by nobody", simulation.JobRecord{
-			HandIns: []simulation.Try{answered(0, 5, 200, "")},
-			Asks:    []simulation.Try{answered(6, 8, 200, "cancelled")},
+			Submissions: []simulation.Attempt{answered(0, 5, 200, "")},
+			Queries:     []simulation.Attempt{answered(6, 8, 200, "cancelled")},
 		}, false),
 	)
 
-	order := func(base, version int64, tries ...simulation.Try) *simulation.ConfigurationRecord {
-		return &simulation.ConfigurationRecord{Base: base, Version: version, Whole: fmt.Sprint(version), Body: "{}", Tries: tries}
+	order := func(base, version int64, tries ...simulation.Attempt) *simulation.ConfigurationRecord {
+		return &simulation.ConfigurationRecord{Base: base, Version: version, Document: fmt.Sprint(version), Body: "{}", Attempts: tries}
 	}
-	read := func(from, to, version int64) *simulation.ObservedRead {
-		return &simulation.ObservedRead{Sent: at(from), Answered: at(to), Status: 200, Version: version, Body: fmt.Sprint(version)}
+	read := func(from, to, version int64) *simulation.ConfigurationRead {
+		return &simulation.ConfigurationRead{Sent: at(from), Answered: at(to), Status: 200, Version: version, Body: fmt.Sprint(version)}
 	}
 
 	DescribeTable("of the configuration are told apart",
-		func(orders []*simulation.ConfigurationRecord, reads []*simulation.ObservedRead, linearizable bool) {
-			ledger := &simulation.Ledger{Configuration: orders}
+		func(orders []*simulation.ConfigurationRecord, reads []*simulation.ConfigurationRead, linearizable bool) {
+			ledger := &simulation.History{Configuration: orders}
 			Expect(porcupine.CheckOperations(registerModel, configurationHistory(ledger, reads))).To(Equal(linearizable))
 		},
 		Entry("one after the other, and the first again", []*simulation.ConfigurationRecord{
 			order(0, 3, answered(0, 5, 200, ""), answered(30, 35, 200, "")),
 			order(3, 4, answered(10, 15, 200, "")),
-		}, []*simulation.ObservedRead{read(6, 9, 3), read(16, 17, 4), read(40, 41, 4)}, true),
+		}, []*simulation.ConfigurationRead{read(6, 9, 3), read(16, 17, 4), read(40, 41, 4)}, true),
 		Entry("an old one read after a newer one was acknowledged", []*simulation.ConfigurationRecord{
 			order(0, 3, answered(0, 5, 200, "")),
 			order(3, 4, answered(10, 15, 200, "")),
-		}, []*simulation.ObservedRead{read(16, 17, 3)}, false),
+		}, []*simulation.ConfigurationRead{read(16, 17, 3)}, false),
 		Entry("an old one read after a newer one was read", []*simulation.ConfigurationRecord{
 			order(0, 3, answered(0, 5, 200, "")),
 			order(3, 4, silent(10)),
-		}, []*simulation.ObservedRead{read(16, 17, 4), read(18, 19, 3)}, false),
+		}, []*simulation.ConfigurationRead{read(16, 17, 4), read(18, 19, 3)}, false),
 		Entry("two on top of one", []*simulation.ConfigurationRecord{
 			order(0, 3, answered(0, 5, 200, "")),
 			order(3, 4, answered(10, 15, 200, "")),
@@ -519,7 +523,7 @@
 			order(0, 3, answered(0, 5, 200, "")),
 			order(3, 4, silent(10)),
 			order(3, 5, answered(20, 25, 412, "")),
-		}, []*simulation.ObservedRead{read(30, 31, 4)}, true),
+		}, []*simulation.ConfigurationRead{read(30, 31, 4)}, true),
 		Entry("refused with nothing newer", []*simulation.ConfigurationRecord{
 			order(0, 3, answered(0, 5, 200, "")),
 			order(3, 4, answered(10, 15, 412, "")),
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// digestEvery is the number of entries from one comparison of states to the next.
-const digestEvery = 32
+// digestInterval is the number of entries from one comparison of states to the next.
+const digestInterval = 32
 
 // Apply carries out a committed command.
 func (o *observer) Apply(index, term uint64, data []byte) any {
@@ -52,7 +52,7 @@
 	c := o.process.cluster
 	c.checkApplied(o.process, o.group, index, term, data)
 	o.index = index
-	if index%digestEvery == 0 {
+	if index%digestInterval == 0 {
 		o.digest()
 	}
 	return result
@@ -74,13 +74,13 @@
 	}
 	o.index = 0
 	c := o.process.cluster
-	c.restored++
+	c.snapshotsRestored++
 	again, err := o.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
 	if digest(again) != digest(data) {
-		c.diverged = append(c.diverged, fmt.Sprintf("group %d: the state restored at %s is not that of the snapshot", o.group,
+		c.divergences = append(c.divergences, fmt.Sprintf("group %d: the state restored at %s is not that of the snapshot", o.group,
 			o.process.machine.Name))
 	}
 	return nil
@@ -102,8 +102,8 @@
 	}
 }
 
-// applied is where a replica applied an entry.
-type applied struct {
+// logPosition is where a replica applied an entry.
+type logPosition struct {
 	group replica.GroupID
 	index uint64
 }
@@ -116,14 +116,14 @@
 
 // checkApplied notes where two replicas apply different entries at one index.
 func (c *Cluster) checkApplied(p *process, group replica.GroupID, index, term uint64, data []byte) {
-	key, entry := applied{group, index}, appliedEntry{term, digest(data), p.machine.Name}
-	before, ok := c.applied[key]
+	key, entry := logPosition{group, index}, appliedEntry{term, digest(data), p.machine.Name}
+	before, ok := c.appliedEntries[key]
 	if !ok {
-		c.applied[key] = entry
+		c.appliedEntries[key] = entry
 		return
 	}
 	if before.term != term || before.digest != entry.digest {
-		c.diverged = append(c.diverged, fmt.Sprintf("group %d index %d: %s applied term %d, %s applied term %d",
+		c.divergences = append(c.divergences, fmt.Sprintf("group %d index %d: %s applied term %d, %s applied term %d",
 			group, index, before.by, before.term, entry.by, term))
 	}
 }
@@ -133,13 +133,13 @@
 	if index == 0 {
 		return
 	}
-	key, found := applied{group, index}, digest(state)
-	before, ok := c.states[key]
+	key, found := logPosition{group, index}, digest(state)
+	before, ok := c.stateDigests[key]
 	switch {
 	case !ok:
-		c.states[key] = stateDigest{found, p.machine.Name}
+		c.stateDigests[key] = stateDigest{found, p.machine.Name}
 	case before.digest != found:
-		c.diverged = append(c.diverged, fmt.Sprintf("group %d index %d: %s and %s have different states", group, index,
+		c.divergences = append(c.divergences, fmt.Sprintf("group %d index %d: %s and %s have different states", group, index,
 			before.by, p.machine.Name))
 	}
 }
@@ -153,17 +153,17 @@
 	return xxhash.Sum64(data)
 }
 
-// diskLife is one disk of a machine, until it is wiped.
-type diskLife struct {
+// diskIncarnation is one disk of a machine, until it is wiped.
+type diskIncarnation struct {
 	machine *simulation.Machine
 	wipes   int
 }
 
 // checkIdentity notes where a process takes the place of the one before it though the disk has not been lost.
 func (c *Cluster) checkIdentity(p *process) {
-	key, id := diskLife{p.machine, p.machine.Disk.Wipes()}, p.engine.Self().ID
+	key, id := diskIncarnation{p.machine, p.machine.Disk.Wipes()}, p.engine.Self().ID
 	if before, ok := c.identities[key]; ok && before != id {
-		c.diverged = append(c.diverged, fmt.Sprintf("%s: member %x has taken its disk for lost and is %x", p.machine.Name,
+		c.divergences = append(c.divergences, fmt.Sprintf("%s: member %x has taken its disk for lost and is %x", p.machine.Name,
 			uint64(before), uint64(id)))
 	}
 	c.identities[key] = id
--- a/internal/cluster/simulation/cluster/observer_test.go
+++ b/internal/cluster/simulation/cluster/observer_test.go
@@ -32,43 +32,43 @@
 	var theirs *text
 
 	BeforeEach(func() {
-		c = New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), DayBounds()))
+		c = New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), ShortBounds()))
 		theirs = &text{}
-		one = c.observe(&process{cluster: c, machine: c.cores[0]}, 1, &text{})
-		other = c.observe(&process{cluster: c, machine: c.cores[1]}, 1, theirs)
+		one = c.observe(&process{cluster: c, machine: c.controlMachines[0]}, 1, &text{})
+		other = c.observe(&process{cluster: c, machine: c.controlMachines[1]}, 1, theirs)
 	})
 
 	It("finds nothing where both do the same", func() {
-		for index := range uint64(3 * digestEvery) {
+		for index := range uint64(3 * digestInterval) {
 			one.Apply(index+1, 1, []byte("x"))
 			other.Apply(index+1, 1, []byte("x"))
 		}
-		Expect(c.diverged).To(BeEmpty())
-		Expect(c.states).To(HaveLen(3))
+		Expect(c.divergences).To(BeEmpty())
+		Expect(c.stateDigests).To(HaveLen(3))
 	})
 
 	It("finds entries that differ in term or content", func() {
 		one.Apply(1, 1, []byte("x"))
 		other.Apply(1, 2, []byte("x"))
-		Expect(c.diverged).To(HaveLen(1))
+		Expect(c.divergences).To(HaveLen(1))
 		one.Apply(2, 2, []byte("x"))
 		other.Apply(2, 2, []byte("y"))
-		Expect(c.diverged).To(HaveLen(2))
+		Expect(c.divergences).To(HaveLen(2))
 	})
 
 	It("finds states that differ after the same entries", func() {
 		theirs.state = "before"
-		one.Apply(digestEvery, 1, []byte("x"))
-		other.Apply(digestEvery, 1, []byte("x"))
-		Expect(c.diverged).To(HaveLen(1))
+		one.Apply(digestInterval, 1, []byte("x"))
+		other.Apply(digestInterval, 1, []byte("x"))
+		Expect(c.divergences).To(HaveLen(1))
 	})
 
 	It("finds a state that is not the one of the snapshot it was restored from", func() {
 		Expect(one.Restore([]byte("x"))).To(Succeed())
-		Expect(c.diverged).To(BeEmpty())
+		Expect(c.divergences).To(BeEmpty())
 		theirs.wrong = "more"
 		Expect(other.Restore([]byte("x"))).To(Succeed())
-		Expect(c.diverged).To(HaveLen(1))
+		Expect(c.divergences).To(HaveLen(1))
 	})
 })
 
@@ -79,8 +79,8 @@
 
 var _ = Describe("The observer of a state machine", func() {
 	It("passes on that the machine wants to keep its leadership", func() {
-		c := New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), DayBounds()))
-		p := &process{cluster: c, machine: c.cores[0]}
+		c := New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), ShortBounds()))
+		p := &process{cluster: c, machine: c.controlMachines[0]}
 		Expect(c.observe(p, 1, &deferrer{}).(replica.TransferDeferrer).DefersTransfer()).To(BeTrue())
 		Expect(c.observe(p, 1, &text{}).(replica.TransferDeferrer).DefersTransfer()).To(BeFalse())
 	})
@@ -90,7 +90,7 @@
 	It("have snapshots that are restored", func() {
 		restored := 0
 		for seed := range uint64(30) {
-			restored += playDay(1000+seed, Options{}).Restored
+			restored += playDay(1000+seed, Options{}).SnapshotsRestored
 		}
 		Expect(restored).To(BeNumerically(">", 10))
 	})
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -18,15 +18,15 @@
 
 // runnerConn is an agent's connection to the runner of its machine, as net.Conn. Each Write is a whole request.
 type runnerConn struct {
-	shell  *shell
-	number uint64 // that its effects belong to
-	remote *simulation.RunnerConnection
+	shell   *shell
+	request uint64 // that its effects belong to
+	runner  *simulation.RunnerConnection
 
-	incoming chan []byte   // what the runner has sent
-	unread   []byte        // taken from incoming, by the one reader
-	reset    chan struct{} // closed when the runner ends
-	closed   chan struct{}
-	once     sync.Once
+	incoming   chan []byte   // what the runner has sent
+	unread     []byte        // taken from incoming, by the one reader
+	peerClosed chan struct{} // closed when the runner ends
+	closed     chan struct{}
+	once       sync.Once
 
 	mutex   sync.Mutex
 	expired chan struct{} // closed at the deadline
@@ -39,12 +39,12 @@
 // dial connects to the runner at an address.
 func (s *shell) dial(ctx context.Context, address string) (net.Conn, error) {
 	const refusal = 100 * time.Microsecond
-	connection := &runnerConn{shell: s, number: s.nextConnection(), incoming: make(chan []byte, 1), reset: make(chan struct{}),
+	connection := &runnerConn{shell: s, request: s.nextConnection(), incoming: make(chan []byte, 1), peerClosed: make(chan struct{}),
 		closed: make(chan struct{}), expired: make(chan struct{})}
 	connected := make(chan error, 1)
-	s.want(connection.number, func() {
+	s.enqueue(connection.request, func() {
 		s.machine.After(refusal, func() {
-			s.enter(func() { connected <- connection.connect(s.cluster.runnerAt(address)) })
+			s.step(func() { connected <- connection.connect(s.cluster.runnerAt(address)) })
 		})
 	})
 	select {
@@ -81,25 +81,25 @@
 func (c *runnerConn) connect(runner *simulation.Runner) error {
 	if runner != nil {
 		s := c.shell
-		c.remote = runner.Connect(s.inLife(func() { s.enter(c.breakOff) }))
+		c.runner = runner.Connect(s.inIncarnation(func() { s.step(c.resetByPeer) }))
 	}
-	if c.remote == nil {
+	if c.runner == nil {
 		return syscall.ECONNREFUSED
 	}
 	return nil
 }
 
-// breakOff ends the connection from the runner's side.
-func (c *runnerConn) breakOff() {
+// resetByPeer ends the connection from the runner's side.
+func (c *runnerConn) resetByPeer() {
 	select {
-	case <-c.reset:
+	case <-c.peerClosed:
 	default:
-		close(c.reset)
+		close(c.peerClosed)
 	}
 }
 
-// inLife returns a function that calls f in the present life of the process, or never.
-func (s *shell) inLife(f func()) func() {
+// inIncarnation returns a function that calls f in the present life of the process, or never.
+func (s *shell) inIncarnation(f func()) func() {
 	return func() {
 		if s.cluster.shells[s.machine] == s {
 			s.machine.After(0, f)
@@ -110,7 +110,7 @@
 // Write sends a request.
 func (c *runnerConn) Write(data []byte) (int, error) {
 	select {
-	case <-c.reset:
+	case <-c.peerClosed:
 		return 0, syscall.ECONNRESET
 	case <-c.closed:
 		return 0, net.ErrClosed
@@ -125,7 +125,7 @@
 		return 0, err
 	}
 	path := request.URL.Path
-	c.shell.want(c.number, func() { c.send(path, body) })
+	c.shell.enqueue(c.request, func() { c.send(path, body) })
 	return len(data), nil
 }
 
@@ -135,18 +135,18 @@
 	const breaks = 0.25 // for each message that vanishes elsewhere
 	s := c.shell
 	world := s.cluster.world
-	breakOff := s.inLife(func() { s.enter(c.breakOff) })
+	breakOff := s.inIncarnation(func() { s.step(c.resetByPeer) })
 	broken := world.Chance(breaks * s.cluster.deployment.Network.Loss)
 	if broken && world.Chance(0.5) {
 		world.After(simulation.LoopbackDelay, breakOff)
 		if world.Chance(0.5) {
-			world.After(world.Between(0, time.Second), func() { c.remote.Call(path, body, func(int, []byte) {}) })
+			world.After(world.Between(0, time.Second), func() { c.runner.Call(path, body, func(int, []byte) {}) })
 		}
 		return
 	}
 	world.After(simulation.LoopbackDelay, func() {
-		c.remote.Call(path, body, func(status int, answer []byte) {
-			arrive := s.inLife(func() { s.enter(func() { c.arrive(status, answer) }) })
+		c.runner.Call(path, body, func(status int, answer []byte) {
+			arrive := s.inIncarnation(func() { s.step(func() { c.deliver(status, answer) }) })
 			if broken {
 				arrive = breakOff
 			}
@@ -155,8 +155,8 @@
 	})
 }
 
-// arrive brings an answer, unless the connection was reset or given up.
-func (c *runnerConn) arrive(status int, answer []byte) {
+// deliver brings an answer, unless the connection was reset or given up.
+func (c *runnerConn) deliver(status int, answer []byte) {
 	var response bytes.Buffer
 	response.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
 	response.WriteString("Content-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(answer)) + "\r\n\r\n")
@@ -177,7 +177,7 @@
 		case c.unread = <-c.incoming:
 		case <-expired:
 			return 0, os.ErrDeadlineExceeded
-		case <-c.reset:
+		case <-c.peerClosed:
 			return 0, syscall.ECONNRESET
 		case <-c.closed:
 			return 0, net.ErrClosed
@@ -202,7 +202,7 @@
 	}
 	c.expired = make(chan struct{})
 	expired := c.expired
-	c.timer = shellClock{c.shell, c.number}.newTimer(func() { close(expired) })
+	c.timer = shellClock{c.shell, c.request}.newTimer(func() { close(expired) })
 	c.timer.Reset(left)
 	return nil
 }
--- a/internal/cluster/simulation/cluster/shell.go
+++ b/internal/cluster/simulation/cluster/shell.go
@@ -18,18 +18,18 @@
 // until every goroutine is blocked, and only then carries out what they asked for, in an order that does not hang on
 // how they were scheduled. So at most one input is on its way in a shell, and a seed replays.
 type shell struct {
-	cluster  *Cluster
-	machine  *simulation.Machine
-	ctx      context.Context // the life's
-	cancel   context.CancelFunc
-	began    time.Time // what its clock shows at steady time 0: the time of day at the start
-	settled  func()    // if set, called after each input
-	requests uint64    // taken so far
-	close    func()    // ends goroutines that don't end with ctx; nil: there are none
+	cluster      *Cluster
+	machine      *simulation.Machine
+	ctx          context.Context // the life's
+	cancel       context.CancelFunc
+	clockStart   time.Time // what its clock shows at steady time 0: the time of day at the start
+	afterStep    func()    // if set, called after each input
+	requests     uint64    // taken so far
+	closeProcess func()    // ends goroutines that don't end with ctx; nil: there are none
 
 	mutex   sync.Mutex
 	effects []effect // asked for since the newest input
-	ended   bool     // the process was killed: nothing that it does has an effect
+	killed  bool     // the process was killed: nothing that it does has an effect
 	// connections is how many were made to the machine's runner.
 	connections uint64
 }
@@ -40,15 +40,15 @@
 	do      func()
 }
 
-// ofProcess is the request that effects of the process itself belong to.
-const ofProcess uint64 = 0
+// processRequest is the request that effects of the process itself belong to.
+const processRequest uint64 = 0
 
 // newShell begins a life of a machine's process. What goes on of an earlier one ends without effect.
 func (c *Cluster) newShell(m *simulation.Machine) *shell {
 	if earlier := c.shells[m]; earlier != nil {
-		earlier.end()
+		earlier.kill()
 	}
-	s := &shell{cluster: c, machine: m, began: time.UnixMilli(m.TimeOfDayMs()).Add(-m.Steady())}
+	s := &shell{cluster: c, machine: m, clockStart: time.UnixMilli(m.TimeOfDayMs()).Add(-m.Monotonic())}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	c.shells[m] = s
 	return s
@@ -57,26 +57,26 @@
 // endShells ends all goroutines of all shells, as a bubble wants before its own end.
 func (c *Cluster) endShells() {
 	for _, s := range c.shells {
-		s.end()
+		s.kill()
 	}
 }
 
-// end ends the life's goroutines. Their process is gone, so that nothing they do now has an effect.
-func (s *shell) end() {
+// kill ends the life's goroutines. Their process is gone, so that nothing they do now has an effect.
+func (s *shell) kill() {
 	s.mutex.Lock()
-	s.ended = true
+	s.killed = true
 	s.effects = nil
 	s.mutex.Unlock()
 	s.cancel()
-	if s.close != nil {
-		s.close()
+	if s.closeProcess != nil {
+		s.closeProcess()
 	}
 	synctest.Wait()
 }
 
-// enter brings an input into the shell, waits until nothing moves in it, and carries out what came of it. It is called
+// step brings an input into the shell, waits until nothing moves in it, and carries out what came of it. It is called
 // by the world's goroutine only, in the life of the process.
-func (s *shell) enter(input func()) {
+func (s *shell) step(input func()) {
 	input()
 	synctest.Wait()
 	s.mutex.Lock()
@@ -87,23 +87,23 @@
 	for i := range effects {
 		effects[i].do()
 	}
-	if s.settled != nil {
-		s.settled()
+	if s.afterStep != nil {
+		s.afterStep()
 	}
 }
 
-// want has something done in the world once nothing moves in the shell.
-func (s *shell) want(request uint64, do func()) {
+// enqueue has something done in the world once nothing moves in the shell.
+func (s *shell) enqueue(request uint64, do func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.ended {
+	if !s.killed {
 		s.effects = append(s.effects, effect{request, do})
 	}
 }
 
 // run starts a goroutine of the process that goes on for its life.
 func (s *shell) run(body func(ctx context.Context)) {
-	s.enter(func() { go body(s.ctx) })
+	s.step(func() { go body(s.ctx) })
 }
 
 // requestKey finds the number of a caller's request in a context.
@@ -116,38 +116,38 @@
 }
 
 // serve has a handler answer a caller's request. What it returns ends the request because the caller has left.
-func (s *shell) serve(handler http.Handler, request *http.Request, answered func(*answer)) (left func()) {
+func (s *shell) serve(handler http.Handler, request *http.Request, answered func(*response)) (left func()) {
 	s.requests++
 	number := 2 * s.requests
 	last := number + 1 // its answer comes after all else: what the handler has begun may go on beside it
 	ctx, cancel := context.WithCancel(context.WithValue(s.ctx, requestKey{}, number))
-	s.enter(func() {
+	s.step(func() {
 		go func() {
 			defer cancel()
-			response := &answer{header: http.Header{}, status: http.StatusOK}
+			response := &response{header: http.Header{}, status: http.StatusOK}
 			handler.ServeHTTP(response, request.WithContext(ctx))
-			s.want(last, func() { answered(response) })
+			s.enqueue(last, func() { answered(response) })
 		}()
 	})
 	return func() {
 		if ctx.Err() == nil {
-			s.enter(cancel)
+			s.step(cancel)
 		}
 	}
 }
 
-// answer is what a handler answers.
-type answer struct {
+// response is what a handler answers.
+type response struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
 // Header returns the answer's header.
-func (a *answer) Header() http.Header { return a.header }
+func (a *response) Header() http.Header { return a.header }
 
 // WriteHeader sets the answer's status.
-func (a *answer) WriteHeader(status int) { a.status = status }
+func (a *response) WriteHeader(status int) { a.status = status }
 
 // Write adds to the answer's body.
-func (a *answer) Write(data []byte) (int, error) { return a.body.Write(data) }
+func (a *response) Write(data []byte) (int, error) { return a.body.Write(data) }
--- a/internal/cluster/simulation/cluster/shell_caller.go
+++ b/internal/cluster/simulation/cluster/shell_caller.go
@@ -14,8 +14,8 @@
 // one. It implements directory.Caller.
 type caller struct{ shell *shell }
 
-// callTime is how long a call without a deadline waits.
-const callTime = 30 * time.Second
+// defaultCallTimeout is how long a call without a deadline waits.
+const defaultCallTimeout = 30 * time.Second
 
 // outcome is how a call ended.
 type outcome struct {
@@ -34,20 +34,20 @@
 	}
 	s := c.shell
 	ended := make(chan outcome, 1)
-	wait := callTime
+	wait := defaultCallTimeout
 	if at, ok := ctx.Deadline(); ok {
 		wait = max(shellClock{shell: s}.Until(at), time.Millisecond)
 	}
-	s.want(requestOf(ctx), func() {
+	s.enqueue(requestOf(ctx), func() {
 		over := false
 		finish := func(response any, err error) {
 			if !over && ctx.Err() == nil {
 				over = true
-				s.enter(func() { ended <- outcome{response, err} })
+				s.step(func() { ended <- outcome{response, err} })
 			}
 		}
 		s.cluster.call(s.machine, address, request, wait, finish)
-		if probed && wait > mostSilentProbes*transport.StandardProbeInterval {
+		if probed && wait > maxUnansweredProbes*transport.StandardProbeInterval {
 			s.probe(address, func() bool { return over || ctx.Err() != nil }, func() {
 				finish(nil, failure.New(failure.UnknownOutcome, "the peer is silent"))
 			})
@@ -69,8 +69,8 @@
 	return c.do(ctx, address, request, response, false)
 }
 
-// mostSilentProbes is for how many probes in a row a peer may be silent, as in package transport.
-const mostSilentProbes = 3
+// maxUnansweredProbes is for how many probes in a row a peer may be silent, as in package transport.
+const maxUnansweredProbes = 3
 
 // probe asks a process for a sign of life, again and again until ended, and calls cut once it has been silent for long.
 func (s *shell) probe(address string, ended func() bool, cut func()) {
@@ -89,7 +89,7 @@
 		if heard {
 			heard, silent = false, 0
 		}
-		if silent >= mostSilentProbes {
+		if silent >= maxUnansweredProbes {
 			cut()
 			return
 		}
--- a/internal/cluster/simulation/cluster/shell_clock.go
+++ b/internal/cluster/simulation/cluster/shell_clock.go
@@ -20,7 +20,7 @@
 }
 
 // Now returns the time of day at the start of the process and the steady time since then.
-func (c shellClock) Now() time.Time { return c.shell.began.Add(c.shell.machine.Steady()) }
+func (c shellClock) Now() time.Time { return c.shell.clockStart.Add(c.shell.machine.Monotonic()) }
 
 // Since returns the time since t.
 func (c shellClock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
@@ -37,7 +37,7 @@
 // NewTimer returns a timer that brings the time once d has passed.
 func (c shellClock) NewTimer(d time.Duration) clockwork.Timer {
 	t := c.newTimer(nil)
-	t.fired = t.tell
+	t.onFire = t.sendTime
 	t.Reset(d)
 	return t
 }
@@ -52,9 +52,9 @@
 // NewTicker returns a ticker that brings the time every d.
 func (c shellClock) NewTicker(d time.Duration) clockwork.Ticker {
 	t := c.newTimer(nil)
-	t.fired = func() {
+	t.onFire = func() {
 		t.Reset(d) // first: who is told may stop it
-		t.tell()
+		t.sendTime()
 	}
 	t.Reset(d)
 	return ticker{t}
@@ -93,16 +93,16 @@
 
 // timer is a timer of a shell. The shell's mutex guards what changes.
 type timer struct {
-	shell   *shell
-	request uint64 // that it belongs to
-	channel chan time.Time
-	fired   func() // called by the world's goroutine
-	running bool
-	starts  uint64 // an event of an earlier start does nothing
+	shell      *shell
+	request    uint64 // that it belongs to
+	channel    chan time.Time
+	onFire     func() // called by the world's goroutine
+	running    bool
+	generation uint64 // an event of an earlier start does nothing
 }
 
 func (c shellClock) newTimer(fired func()) *timer {
-	return &timer{shell: c.shell, request: c.request, channel: make(chan time.Time, 1), fired: fired}
+	return &timer{shell: c.shell, request: c.request, channel: make(chan time.Time, 1), onFire: fired}
 }
 
 // Chan returns the channel on which the time comes.
@@ -110,41 +110,41 @@
 
 // Reset starts the timer and tells whether it was running.
 func (t *timer) Reset(d time.Duration) bool {
-	was, start := t.mark(true)
-	t.shell.want(t.request, func() { t.shell.machine.After(d, func() { t.fire(start) }) })
+	was, start := t.setRunning(true)
+	t.shell.enqueue(t.request, func() { t.shell.machine.After(d, func() { t.fire(start) }) })
 	return was
 }
 
 // Stop stops the timer and tells whether it was running.
 func (t *timer) Stop() bool {
-	was, _ := t.mark(false)
+	was, _ := t.setRunning(false)
 	return was
 }
 
-func (t *timer) mark(running bool) (was bool, start uint64) {
+func (t *timer) setRunning(running bool) (was bool, start uint64) {
 	t.shell.mutex.Lock()
 	defer t.shell.mutex.Unlock()
 	was = t.running
 	t.running = running
-	t.starts++
-	return was, t.starts
+	t.generation++
+	return was, t.generation
 }
 
 // fire is called by the world's goroutine when the time of a start has come.
 func (t *timer) fire(start uint64) {
 	t.shell.mutex.Lock()
-	due := t.running && t.starts == start
+	due := t.running && t.generation == start
 	if due {
 		t.running = false
 	}
 	t.shell.mutex.Unlock()
 	if due {
-		t.shell.enter(t.fired)
+		t.shell.step(t.onFire)
 	}
 }
 
-// tell brings the time, unless the last one has not been taken yet.
-func (t *timer) tell() {
+// sendTime brings the time, unless the last one has not been taken yet.
+func (t *timer) sendTime() {
 	select {
 	case t.channel <- shellClock{shell: t.shell}.Now():
 	default:
--- a/internal/cluster/simulation/cluster/shell_test.go
+++ b/internal/cluster/simulation/cluster/shell_test.go
@@ -28,8 +28,8 @@
 func inBubble(t *testing.T, body func(b *shellBed)) {
 	synctest.Test(t, func(t *testing.T) {
 		world := simulation.NewWorld(1)
-		deployment := simulation.NewDeployment(world, simulation.SmallSize(), DayBounds())
-		b := &shellBed{WithT: NewWithT(t), world: world, cluster: New(deployment), machine: deployment.Sides[0]}
+		deployment := simulation.NewDeployment(world, simulation.SmallSize(), ShortBounds())
+		b := &shellBed{WithT: NewWithT(t), world: world, cluster: New(deployment), machine: deployment.AgentMachines[0]}
 		b.machine.Start = func() { b.shell = b.cluster.newShell(b.machine) }
 		b.machine.Boot()
 		defer b.cluster.endShells()
@@ -83,7 +83,7 @@
 		earlier.run(func(ctx context.Context) {
 			shellClock{shell: earlier}.AfterFunc(2*time.Second, func() { effects++ })
 			err := caller{earlier}.Do(ctx, "core-0", &protocol.StatusRequest{Shard: 1}, &protocol.StatusResponse{})
-			earlier.want(ofProcess, func() { effects++ })
+			earlier.enqueue(processRequest, func() { effects++ })
 			ended <- err
 			ended <- caller{earlier}.Do(ctx, "core-0", &protocol.StatusRequest{Shard: 1}, &protocol.StatusResponse{})
 		})
@@ -105,7 +105,7 @@
 			go func() {
 				<-ctx.Done()
 				if ctx.Err() == want {
-					b.shell.want(ofProcess, func() { ends[name] = b.world.Now() })
+					b.shell.enqueue(processRequest, func() { ends[name] = b.world.Now() })
 				}
 			}()
 		}
@@ -136,13 +136,13 @@
 				<-open
 				w.WriteHeader(http.StatusAccepted)
 			})
-			b.shell.serve(handler, &http.Request{}, func(a *answer) {
+			b.shell.serve(handler, &http.Request{}, func(a *response) {
 				b.Expect(a.status).To(Equal(http.StatusAccepted))
 				order = append(order, number)
 			})
 		}
 		b.Expect(order).To(BeEmpty())
-		b.shell.enter(func() { close(open) })
+		b.shell.step(func() { close(open) })
 		b.Expect(order).To(HaveLen(requests))
 		for number := range requests {
 			b.Expect(order[number]).To(Equal(number))
@@ -156,7 +156,7 @@
 		for _, address := range []string{"core-0", "elsewhere"} {
 			b.shell.run(func(ctx context.Context) {
 				err := caller{b.shell}.Do(ctx, address, &protocol.StatusRequest{Shard: 1}, &protocol.StatusResponse{})
-				b.shell.want(ofProcess, func() { kinds[address] = failure.KindOf(err) })
+				b.shell.enqueue(processRequest, func() { kinds[address] = failure.KindOf(err) })
 			})
 		}
 		b.world.Run(time.Second)
@@ -177,9 +177,9 @@
 				<-deadline.In(bounded, b.clock()).After(100 * time.Millisecond)
 				<-bounded.Done()
 			})
-			b.shell.serve(handler, &http.Request{}, func(*answer) { order = append(order, number) })
+			b.shell.serve(handler, &http.Request{}, func(*response) { order = append(order, number) })
 		}
-		b.shell.enter(func() { close(open) })
+		b.shell.step(func() { close(open) })
 		b.world.Run(2 * time.Second)
 		b.Expect(order).To(HaveLen(requests))
 		for number := range requests {
--- a/internal/cluster/simulation/day.go
+++ b/internal/cluster/simulation/day.go
@@ -7,90 +7,90 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Day is how a simulated day goes.
-type Day struct {
-	Lead     time.Duration // from the machines' start to the first traffic
-	Length   time.Duration // of the traffic, a final fault's recovery apart
-	Troubles []string      // kinds, each beginning at a drawn time; one may come several times
-	Together bool          // they begin within a short time of each other
-	Closing  string        // final fault: "", power_off_all, kill_all or wipe_after_ack
+// Scenario is how a simulated day goes.
+type Scenario struct {
+	Warmup      time.Duration // from the machines' start to the first traffic
+	Length      time.Duration // of the traffic, a final fault's recovery apart
+	Faults      []string      // kinds, each beginning at a drawn time; one may come several times
+	Overlapping bool          // they begin within a short time of each other
+	FinalFault  string        // final fault: "", power_off_all, kill_all or wipe_after_ack
 }
 
 // Times of a day.
 const (
-	probeEvery  = 120 * time.Millisecond
-	sampleEvery = 500 * time.Millisecond
-	idleFor     = 3 * time.Second
-	lastAsks    = 700 * time.Millisecond
-	closingLast = 4 * time.Second // traffic after the recovery from a final fault
+	probeInterval       = 120 * time.Millisecond
+	stallSampleInterval = 500 * time.Millisecond
+	stallThreshold      = 3 * time.Second
+	finalQueryInterval  = 700 * time.Millisecond
+	finalTraffic        = 4 * time.Second // traffic after the recovery from a final fault
 )
 
 // Play plays a day. The machines have their processes; nothing was started yet.
-func (d *Deployment) Play(day Day) {
+func (d *Deployment) Play(day Scenario) {
 	w := d.World
-	d.trouble(Trouble{From: 0, To: day.Lead / 2, Kind: "start", Core: true})
+	d.recordFault(Fault{From: 0, To: day.Warmup / 2, Kind: "start", ControlPlane: true})
 	d.BootAll()
-	w.After(200*time.Millisecond, d.Operator.Begin)
-	trafficEnds := day.Lead + day.Length
-	if day.Closing != "" {
-		trafficEnds = d.close(day, trafficEnds)
+	w.After(200*time.Millisecond, d.Operator.SubmitFirst)
+	trafficEnds := day.Warmup + day.Length
+	if day.FinalFault != "" {
+		trafficEnds = d.scheduleFinalFault(day, trafficEnds)
 	}
-	d.Ledger.TrafficEnds = trafficEnds
-	d.Ledger.Ends = trafficEnds + d.Ledger.Bounds.Finish
-	w.At(day.Lead, func() { d.Traffic(trafficEnds) })
-	w.At(day.Lead, func() { d.probe(trafficEnds) })
-	for _, name := range day.Troubles {
-		d.plan(name, day)
+	d.History.TrafficEnds = trafficEnds
+	d.History.Ends = trafficEnds + d.History.Bounds.Finish
+	w.At(day.Warmup, func() { d.Traffic(trafficEnds) })
+	w.At(day.Warmup, func() { d.probeRoutes(trafficEnds) })
+	for _, name := range day.Faults {
+		d.scheduleFault(name, day)
 	}
-	w.At(trafficEnds, d.lastWords)
-	w.Run(d.Ledger.Ends)
+	w.At(trafficEnds, d.finish)
+	w.Run(d.History.Ends)
 }
 
-// plan lets a kind of trouble begin at a drawn time, so that it is over in time.
-func (d *Deployment) plan(name string, day Day) {
-	kind, ok := Kind(name)
+// scheduleFault lets a kind of trouble begin at a drawn time, so that it is over in time.
+func (d *Deployment) scheduleFault(name string, day Scenario) {
+	kind, ok := FaultKindOf(name)
 	if !ok {
 		panic(fmt.Sprintf("no kind of trouble %q", name))
 	}
 	const least, most, spread = time.Second, 6 * time.Second, time.Second
-	at := day.Lead + d.World.Between(0, day.Length*3/4)
-	if day.Together {
-		at = day.Lead + day.Length/3 + d.World.Between(0, spread)
+	at := day.Warmup + d.World.Between(0, day.Length*3/4)
+	if day.Overlapping {
+		at = day.Warmup + day.Length/3 + d.World.Between(0, spread)
 	}
-	lasts := d.World.Between(least, min(most, day.Lead+day.Length-at))
+	lasts := d.World.Between(least, min(most, day.Warmup+day.Length-at))
 	d.World.At(at, func() { kind.Begin(d, lasts) })
 }
 
-// close plans the final fault, right after a change was acknowledged. It returns when traffic ends.
-func (d *Deployment) close(day Day, at time.Duration) time.Duration {
+// scheduleFinalFault plans the final fault, right after a change was acknowledged. It returns when traffic ends.
+func (d *Deployment) scheduleFinalFault(day Scenario, at time.Duration) time.Duration {
 	const down = 1400 * time.Millisecond
-	recovered := at + time.Second + down + d.Ledger.Bounds.Recovery
-	d.closingAt = at
+	recovered := at + time.Second + down + d.History.Bounds.Recovery
+	d.finalFaultAt = at
 	struck := false
 	strike := func(by *Machine) {
 		if struck {
 			return
 		}
 		struck = true
-		d.finalFault(day.Closing, by, down)
+		d.finalFault(day.FinalFault, by, down)
 	}
 	d.World.At(at, func() {
-		d.Operator.Acknowledged = func(by *Machine) {
+		d.Operator.OnAcknowledged = func(by *Machine) {
 			d.World.After(d.World.Between(0, 4*time.Millisecond), func() { strike(by) })
 		}
 		d.Operator.Change(nil)
 	})
-	d.World.At(at+time.Second, func() { strike(Pick(d.World, d.Cores)) })
-	return recovered + closingLast
+	d.World.At(at+time.Second, func() { strike(Pick(d.World, d.Controls)) })
+	return recovered + finalTraffic
 }
 
 // finalFault strikes: all machines lose power, all processes are killed, or one core machine loses its disk while the
 // others may lose power.
 func (d *Deployment) finalFault(kind string, by *Machine, down time.Duration) {
-	d.Ledger.FinalFault = d.World.now
-	d.Ledger.Returned = d.World.now + down
-	machines := append(append([]*Machine{}, d.Cores...), d.Fronts...)
-	machines = append(machines, d.Sides...)
+	d.History.FinalFault = d.World.now
+	d.History.Returned = d.World.now + down
+	machines := append(append([]*Machine{}, d.Controls...), d.Frontends...)
+	machines = append(machines, d.AgentMachines...)
 	others := d.World.Chance(0.5)
 	for _, m := range machines {
 		if !m.up {
@@ -102,88 +102,88 @@
 		case m == by:
 			d.killMachine(m, down, true)
 			m.Wipe()
-		case others && isCore(m):
+		case others && isControl(m):
 			d.killMachine(m, down, true)
 		}
 	}
 	now := d.World.now
-	d.trouble(Trouble{From: now, To: now + down + d.Ledger.Bounds.Contact, Kind: kind, Core: true})
+	d.recordFault(Fault{From: now, To: now + down + d.History.Bounds.Contact, Kind: kind, ControlPlane: true})
 }
 
-// probe asks for counts on routes that were just added or removed.
-func (d *Deployment) probe(until time.Duration) {
+// probeRoutes asks for counts on routes that were just added or removed.
+func (d *Deployment) probeRoutes(until time.Duration) {
 	if d.World.now >= until {
 		return
 	}
 	const recent = 6
-	d.countOneOf(recent)
-	d.World.After(probeEvery, func() { d.probe(until) })
+	d.queryRecentProbe(recent)
+	d.World.After(probeInterval, func() { d.probeRoutes(until) })
 }
 
-// countOneOf asks for the count on the route that one of the newest configurations has added.
-func (d *Deployment) countOneOf(newest int) {
-	if records := d.Ledger.Configuration; len(records) > 0 {
+// queryRecentProbe asks for the count on the route that one of the newest configurations has added.
+func (d *Deployment) queryRecentProbe(newest int) {
+	if records := d.History.Configuration; len(records) > 0 {
 		record := records[len(records)-1-d.World.Random.IntN(min(newest, len(records)))]
-		d.Clients.Count(QueueName{ProbeHost, fmt.Sprintf("/v%d/", record.Version)})
+		d.Clients.QueryPending(QueueName{ProbeHost, fmt.Sprintf("/v%d/", record.Version)})
 	}
 }
 
-// lastWords asks for each job's state, reads the configuration back, and looks for jobs that stand still.
-func (d *Deployment) lastWords() {
+// finish asks for each job's state, reads the configuration back, and looks for jobs that stand still.
+func (d *Deployment) finish() {
 	w := d.World
-	ends := d.Ledger.Ends
-	for _, job := range d.Ledger.JobOrder {
+	ends := d.History.Ends
+	for _, job := range d.History.JobOrder {
 		if job.Accepted != Never {
-			w.After(w.Between(0, time.Second), func() { d.askAtLast(job) })
+			w.After(w.Between(0, time.Second), func() { d.queryUntilEnded(job) })
 		}
 	}
-	w.At(ends-d.Ledger.Bounds.Contact, func() { d.Operator.ReadBack(ends) })
+	w.At(ends-d.History.Bounds.Contact, func() { d.Operator.ReadBack(ends) })
 	// What ran on a runner that was lost can go on only when its last hold is certainly over.
-	w.After(d.Ledger.Bounds.MaxLease+time.Second, func() { d.sampleIdle(map[string]time.Duration{}) })
+	w.After(d.History.Bounds.MaxLease+time.Second, func() { d.sampleStalledJobs(map[string]time.Duration{}) })
 }
 
-// askAtLast asks until the job has ended.
-func (d *Deployment) askAtLast(job *JobRecord) {
-	if d.World.now > d.Ledger.Ends-d.Clients.Deadline {
+// queryUntilEnded asks until the job has ended.
+func (d *Deployment) queryUntilEnded(job *JobRecord) {
+	if d.World.now > d.History.Ends-d.Clients.Timeout {
 		return
 	}
-	d.Clients.Ask(job, func(status int, state string) {
+	d.Clients.QueryState(job, func(status int, state string) {
 		if status == 200 && (state == protocol.JobCompleted || state == protocol.JobFailed || state == protocol.JobCancelled) {
 			return
 		}
-		pause := lastAsks
+		pause := finalQueryInterval
 		if status != 200 {
-			pause = lastAsks / 3
+			pause = finalQueryInterval / 3
 		}
-		d.World.After(d.World.Between(pause, 2*pause), func() { d.askAtLast(job) })
+		d.World.After(d.World.Between(pause, 2*pause), func() { d.queryUntilEnded(job) })
 	})
 }
 
-// sampleIdle notes jobs that have nothing running although they could.
-func (d *Deployment) sampleIdle(since map[string]time.Duration) {
+// sampleStalledJobs notes jobs that have nothing running although they could.
+func (d *Deployment) sampleStalledJobs(since map[string]time.Duration) {
 	now := d.World.now
-	if now > d.Ledger.Ends {
+	if now > d.History.Ends {
 		return
 	}
-	for _, job := range d.Ledger.JobOrder {
-		if job.Accepted == Never || !d.standsStill(job) {
+	for _, job := range d.History.JobOrder {
+		if job.Accepted == Never || !d.isStalled(job) {
 			delete(since, job.ID)
 			continue
 		}
 		if _, ok := since[job.ID]; !ok {
 			since[job.ID] = now
 		}
-		if from := since[job.ID]; now-from >= idleFor {
-			d.Ledger.Idle = append(d.Ledger.Idle, IdleJob{ID: job.ID, From: from, To: now})
+		if from := since[job.ID]; now-from >= stallThreshold {
+			d.History.StalledJobs = append(d.History.StalledJobs, StalledJob{ID: job.ID, From: from, To: now})
 		}
 	}
-	d.World.After(sampleEvery, func() { d.sampleIdle(since) })
+	d.World.After(stallSampleInterval, func() { d.sampleStalledJobs(since) })
 }
 
-// standsStill tells whether nothing of a job runs although a task's turn has come and there is ample room for it.
-func (d *Deployment) standsStill(job *JobRecord) bool {
-	truth := d.Plant.jobs[job.ID]
-	if len(job.Cancels) > 0 || job.LastState() == protocol.JobFailed || truth.poisoned {
+// isStalled tells whether nothing of a job runs although a task's turn has come and there is ample room for it.
+func (d *Deployment) isStalled(job *JobRecord) bool {
+	truth := d.GroundTruth.jobs[job.ID]
+	if len(job.Cancels) > 0 || job.LastState() == protocol.JobFailed || truth.alwaysFails {
 		return false
 	}
 	for _, runner := range append(append([]*Runner{}, d.Runners...), d.Spares...) {
@@ -196,7 +196,7 @@
 	for k := range truth.due {
 		for s := range job.Spec.Steps {
 			group := truth.groups[groupName{job.ID, k, s}]
-			if group.left > 0 && group.ready(d.World.now) && d.ampleRoom(job, group) {
+			if group.remaining > 0 && group.isDue(d.World.now) && d.hasAmpleCapacity(job, group) {
 				return true
 			}
 		}
@@ -204,9 +204,9 @@
 	return false
 }
 
-// ampleRoom tells whether twice what a group may start with has room now on runners of the job's service, and less than
+// hasAmpleCapacity tells whether twice what a group may start with has room now on runners of the job's service, and less than
 // half of the service's capacity is in use.
-func (d *Deployment) ampleRoom(job *JobRecord, group *groupTruth) bool {
+func (d *Deployment) hasAmpleCapacity(job *JobRecord, group *groupTruth) bool {
 	service := d.serviceOfJob(job)
 	wanted := 2
 	if group.step.Gang {
@@ -224,7 +224,7 @@
 		if group.step.Requirements != "" && group.step.Requirements != runner.Kind {
 			continue
 		}
-		room += places(runner.Capacity, use, group.step)
+		room += tasksThatFit(runner.Capacity, use, group.step)
 	}
 	return room >= wanted && used*2 < capacity
 }
@@ -232,7 +232,7 @@
 // serviceOfJob is the service whose runners a job is for. A job stays with the service that took it, also where its queue
 // moves to another one; while none of its tasks has run, it is taken to be that of its queue.
 func (d *Deployment) serviceOfJob(job *JobRecord) string {
-	for _, run := range d.Ledger.Runs {
+	for _, run := range d.History.Runs {
 		if run.Task.Job == job.ID {
 			return run.Runner.Service
 		}
@@ -248,8 +248,8 @@
 	return d.Operator.current.records()[queue].Service
 }
 
-// places is how many tasks of a step fit beside what is used.
-func places(capacity, used protocol.Resources, step *protocol.Step) int {
+// tasksThatFit is how many tasks of a step fit beside what is used.
+func tasksThatFit(capacity, used protocol.Resources, step *protocol.Step) int {
 	fit := 1000
 	if step.CPU > 0 {
 		fit = min(fit, int((capacity.CPU-used.CPU)/step.CPU))
--- a/internal/cluster/simulation/disk.go
+++ b/internal/cluster/simulation/disk.go
@@ -19,17 +19,17 @@
 	Stalled bool
 
 	files    *vfstest.Mem
-	underway []*diskWork
+	inFlight []*diskWork
 	wipes    int
 }
 
 // diskWork is work that has not been carried out yet.
 type diskWork struct {
-	machine *Machine
-	life    int
-	syncs   int
-	run     func()
-	parked  bool // until the disk is released
+	machine     *Machine
+	incarnation int
+	syncs       int
+	run         func()
+	isParked    bool // until the disk is released
 }
 
 // NewDisk returns an empty disk.
@@ -50,12 +50,12 @@
 // Wipes counts how often the disk was lost.
 func (d *Disk) Wipes() int { return d.wipes }
 
-// partOfWrite is how many bytes of a write reach a full disk.
-const partOfWrite = 7
+// shortWriteBytes is how many bytes of a write reach a full disk.
+const shortWriteBytes = 7
 
 func (d *Disk) fault(call vfstest.Call) vfstest.Fault {
 	if d.Full && (call.Op == "write" || call.Op == "create") {
-		return vfstest.Fault{Err: syscall.ENOSPC, Short: partOfWrite}
+		return vfstest.Fault{Err: syscall.ENOSPC, Short: shortWriteBytes}
 	}
 	return vfstest.Fault{}
 }
@@ -63,23 +63,23 @@
 // Perform carries out work of a machine's process that writes to the files, once the time of that many syncs has passed.
 // If the process ends before, the work is perhaps done in part.
 func (d *Disk) Perform(m *Machine, syncs int, run func()) {
-	work := &diskWork{machine: m, life: m.life, syncs: syncs, run: run}
-	d.underway = append(d.underway, work)
-	d.begin(work)
+	work := &diskWork{machine: m, incarnation: m.incarnation, syncs: syncs, run: run}
+	d.inFlight = append(d.inFlight, work)
+	d.start(work)
 }
 
-func (d *Disk) begin(work *diskWork) {
+func (d *Disk) start(work *diskWork) {
 	if d.Stalled {
-		work.parked = true
+		work.isParked = true
 		return
 	}
-	work.parked = false
+	work.isParked = false
 	work.machine.After(d.duration(work.machine.World, work.syncs), func() {
 		if d.Stalled {
-			work.parked = true
+			work.isParked = true
 			return
 		}
-		d.underway = slices.DeleteFunc(d.underway, func(other *diskWork) bool { return other == work })
+		d.inFlight = slices.DeleteFunc(d.inFlight, func(other *diskWork) bool { return other == work })
 		work.run()
 	})
 }
@@ -95,21 +95,21 @@
 // Release ends a stall.
 func (d *Disk) Release() {
 	d.Stalled = false
-	for _, work := range slices.Clone(d.underway) {
-		if work.parked {
-			work.parked = false
-			work.machine.inLife(work.life, func() { d.begin(work) })
+	for _, work := range slices.Clone(d.inFlight) {
+		if work.isParked {
+			work.isParked = false
+			work.machine.inIncarnation(work.incarnation, func() { d.start(work) })
 		}
 	}
 }
 
 // processDied ends what the process had under way, in the middle of it or before it began.
 func (d *Disk) processDied(w *World) {
-	underway := d.underway
-	d.underway = nil
+	underway := d.inFlight
+	d.inFlight = nil
 	for _, work := range underway {
 		if !d.Stalled && w.Chance(0.5) {
-			d.cutShort(w, work)
+			d.performInPart(w, work)
 		}
 	}
 	d.files.EndProcess()
@@ -117,8 +117,8 @@
 
 var errProcessDied = errors.New("the process has died")
 
-// cutShort carries out the first calls of a work. What a process has asked to be synced is synced without it.
-func (d *Disk) cutShort(w *World, work *diskWork) {
+// performInPart carries out the first calls of a work. What a process has asked to be synced is synced without it.
+func (d *Disk) performInPart(w *World, work *diskWork) {
 	const mostCalls, mostBytes = 6, 400
 	last := d.files.Calls() + w.Random.IntN(mostCalls)
 	short := w.Random.IntN(mostBytes)
@@ -139,7 +139,7 @@
 func (d *Disk) losePower(w *World) { d.use(d.files.Crash(w.Random)) }
 
 func (d *Disk) wipe() {
-	d.underway = nil
+	d.inFlight = nil
 	d.wipes++
 	d.use(&vfstest.Mem{})
 }
--- a/internal/cluster/simulation/gang.go
+++ b/internal/cluster/simulation/gang.go
@@ -7,29 +7,29 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// arrive counts a member of a gang as present; once all of a run are there, they work.
-func (p *Plant) arrive(e *execution) {
-	group, run := e.group, e.record.Run
+// scheduleDelivery counts a member of a gang as present; once all of a run are there, they work.
+func (p *GroundTruth) joinGang(e *execution) {
+	group, run := e.group, e.record.Number
 	group.members[run] = append(group.members[run], e)
 	present := group.members[run]
 	if len(present) < group.step.Count {
-		e.waiting = p.World.After(p.Ledger.Bounds.Gang, func() { e.runner.end(e, protocol.EndAlone) })
+		e.gangTimer = p.World.After(p.History.Bounds.Gang, func() { e.runner.endRun(e, protocol.EndAlone) })
 		return
 	}
 	far := 1.0
 	if group.step.RackLocal && !oneRack(present) {
-		far = p.Ledger.Bounds.Far
+		far = p.History.Bounds.Far
 	}
 	slowest, hangs := present[0].runner.speed(), false
 	for _, member := range present {
 		slowest = min(slowest, member.runner.speed())
-		hangs = hangs || member.hangs
+		hangs = hangs || member.isHung
 	}
 	for _, member := range present {
-		member.hangs = hangs
+		member.isHung = hangs
 	}
 	for _, member := range slices.Clone(present) {
-		member.begin(far * member.runner.speed() / slowest)
+		member.beginWork(far * member.runner.speed() / slowest)
 	}
 }
 
@@ -42,18 +42,18 @@
 	return true
 }
 
-// gangDone ends all members of a run done, together.
-func (p *Plant) gangDone(group *groupTruth, run uint64) {
+// completeGang ends all members of a run done, together.
+func (p *GroundTruth) completeGang(group *groupTruth, run uint64) {
 	members := group.members[run]
 	delete(group.members, run)
 	for _, member := range members {
-		member.runner.end(member, protocol.EndDone)
+		member.runner.endRun(member, protocol.EndDone)
 	}
 }
 
 // leaveGang takes a member out whose run is over; if it worked, or the others waited for it, they end broken.
-func (p *Plant) leaveGang(e *execution) {
-	group, run := e.group, e.record.Run
+func (p *GroundTruth) leaveGang(e *execution) {
+	group, run := e.group, e.record.Number
 	members, there := group.members[run]
 	if !there {
 		return
@@ -62,7 +62,7 @@
 	if position < 0 {
 		return
 	}
-	worked := e.working
+	worked := e.isWorking
 	members = slices.Delete(slices.Clone(members), position, position+1)
 	if !worked {
 		group.members[run] = members
@@ -71,8 +71,8 @@
 	delete(group.members, run)
 	const longestNews = 20 * time.Millisecond
 	for _, member := range members {
-		member.hangs = true
-		member.timer.Stop()
-		p.World.After(p.World.Between(0, longestNews), func() { member.runner.end(member, protocol.EndBroken) })
+		member.isHung = true
+		member.endTimer.Stop()
+		p.World.After(p.World.Between(0, longestNews), func() { member.runner.endRun(member, protocol.EndBroken) })
 	}
 }
--- a/internal/cluster/simulation/load.go
+++ b/internal/cluster/simulation/load.go
@@ -8,61 +8,61 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Class is a kind of jobs that clients hand in.
-type Class struct {
-	Name      string
-	Route     string // whose queue it goes to
-	Share     float64
-	WorkMs    float64
-	Steps     int // mean
-	Width     float64
-	CPU       int64
-	MemoryMB  int64
-	GPU       []int64
-	Uneven    float64
-	Faults    float64
-	Gang      bool
-	Tight     float64 // share that is rackLocal
-	Near      float64 // share with affinity
-	Apart     float64 // share with antiAffinity
-	Needs     float64 // share that requires a kind
-	Twice     float64 // share that may run twice
-	Timed     float64 // share with repetitions
-	Saves     float64 // share that checkpoints
-	Cancelled float64 // share that is cancelled
-	Lasts     bool
+// JobClass is a kind of jobs that clients hand in.
+type JobClass struct {
+	Name            string
+	Route           string // whose queue it goes to
+	Weight          float64
+	WorkMs          float64
+	MeanSteps       int // mean
+	MeanWidth       float64
+	CPU             int64
+	MemoryMB        int64
+	GPU             []int64
+	Spread          float64
+	FirstStartFails float64
+	Gang            bool
+	RackLocal       float64 // share that is rackLocal
+	Affinity        float64 // share with affinity
+	AntiAffinity    float64 // share with antiAffinity
+	Requirements    float64 // share that requires a kind
+	AtMostOnce      float64 // share that may run twice
+	Repeated        float64 // share with repetitions
+	Checkpoints     float64 // share that checkpoints
+	Cancelled       float64 // share that is cancelled
+	LongRunning     bool
 }
 
-// Classes are jobs as the small deployments have them, with work short enough for short days. The first three go to
+// JobClasses are jobs as the small deployments have them, with work short enough for short days. The first three go to
 // the first service, whose runners have no GPU.
-func Classes() []Class {
-	return []Class{
-		{Name: "quick", Route: "quick", Share: 0.70, WorkMs: 350, Steps: 2, Width: 3, CPU: 240, MemoryMB: 440,
-			Uneven: 0.2, Faults: 0.05, Near: 0.4, Twice: 0.3, Timed: 0.06, Needs: 0.12},
-		{Name: "batch", Route: "batch", Share: 0.10, WorkMs: 2500, Steps: 2, Width: 6, CPU: 520, MemoryMB: 960,
-			Uneven: 0.33, Faults: 0.02, Saves: 0.8, Cancelled: 0.15, Needs: 0.12, Timed: 0.1},
-		{Name: "lasting", Route: "lasting", Share: 0.03, WorkMs: 400, Steps: 1, Width: 4, CPU: 640, MemoryMB: 920,
-			Uneven: 0.33, Faults: 0.1, Lasts: true, Apart: 0.6, Needs: 0.12, Cancelled: 1},
-		{Name: "training", Route: "training", Share: 0.08, WorkMs: 2500, Steps: 1, Width: 2, CPU: 15000, MemoryMB: 61000,
-			GPU: []int64{2, 4, 8}, Uneven: 0.33, Faults: 0.05, Gang: true, Tight: 0.5, Saves: 0.9, Needs: 0.12,
+func JobClasses() []JobClass {
+	return []JobClass{
+		{Name: "quick", Route: "quick", Weight: 0.70, WorkMs: 350, MeanSteps: 2, MeanWidth: 3, CPU: 240, MemoryMB: 440,
+			Spread: 0.2, FirstStartFails: 0.05, Affinity: 0.4, AtMostOnce: 0.3, Repeated: 0.06, Requirements: 0.12},
+		{Name: "batch", Route: "batch", Weight: 0.10, WorkMs: 2500, MeanSteps: 2, MeanWidth: 6, CPU: 520, MemoryMB: 960,
+			Spread: 0.33, FirstStartFails: 0.02, Checkpoints: 0.8, Cancelled: 0.15, Requirements: 0.12, Repeated: 0.1},
+		{Name: "lasting", Route: "lasting", Weight: 0.03, WorkMs: 400, MeanSteps: 1, MeanWidth: 4, CPU: 640, MemoryMB: 920,
+			Spread: 0.33, FirstStartFails: 0.1, LongRunning: true, AntiAffinity: 0.6, Requirements: 0.12, Cancelled: 1},
+		{Name: "training", Route: "training", Weight: 0.08, WorkMs: 2500, MeanSteps: 1, MeanWidth: 2, CPU: 15000, MemoryMB: 61000,
+			GPU: []int64{2, 4, 8}, Spread: 0.33, FirstStartFails: 0.05, Gang: true, RackLocal: 0.5, Checkpoints: 0.9, Requirements: 0.12,
 			Cancelled: 0.1},
-		{Name: "reading", Route: "reading", Share: 0.09, WorkMs: 1500, Steps: 1, Width: 4, CPU: 2800, MemoryMB: 15000,
-			GPU: []int64{1}, Uneven: 0.33, Faults: 0.02, Saves: 0.8, Needs: 0.12, Cancelled: 0.05},
+		{Name: "reading", Route: "reading", Weight: 0.09, WorkMs: 1500, MeanSteps: 1, MeanWidth: 4, CPU: 2800, MemoryMB: 15000,
+			GPU: []int64{1}, Spread: 0.33, FirstStartFails: 0.02, Checkpoints: 0.8, Requirements: 0.12, Cancelled: 0.05},
 	}
 }
 
 // drawJob makes up a job of a class.
-func drawJob(w *World, class *Class, racks, kinds []string) (protocol.JobSpec, Work) {
-	work := Work{MeanMs: class.WorkMs * (0.5 + w.Random.Float64()), Uneven: class.Uneven, Faults: class.Faults}
+func drawJob(w *World, class *JobClass, racks, kinds []string) (protocol.JobSpec, Work) {
+	work := Work{MeanMs: class.WorkMs * (0.5 + w.Random.Float64()), Spread: class.Spread, FirstStartFails: class.FirstStartFails}
 	job := protocol.JobSpec{Spec: fmt.Sprintf("%s-%016x", class.Name, w.Random.Uint64())}
-	if w.Chance(class.Timed) {
+	if w.Chance(class.Repeated) {
 		job.Repetitions = 1 + w.Random.IntN(4)
 		job.FirstRunMs = w.TimeOfDayMs() + int64(w.Random.IntN(2500)) - 500
 		job.IntervalMs = 500 + int64(w.Random.IntN(1500))
 	}
 	steps := 1
-	if class.Steps > 1 {
-		steps = 1 + w.Random.IntN(2*class.Steps-1)
+	if class.MeanSteps > 1 {
+		steps = 1 + w.Random.IntN(2*class.MeanSteps-1)
 	}
 	for s := range steps {
 		job.Steps = append(job.Steps, drawStep(w, class, s, work.MeanMs, racks, kinds))
@@ -70,12 +70,12 @@
 	return job, work
 }
 
-func drawStep(w *World, class *Class, number int, workMs float64, racks, kinds []string) protocol.Step {
+func drawStep(w *World, class *JobClass, number int, workMs float64, racks, kinds []string) protocol.Step {
 	step := protocol.Step{
-		Count: width(w, class.Width), CPU: class.CPU, MemoryMB: class.MemoryMB,
+		Count: drawWidth(w, class.MeanWidth), CPU: class.CPU, MemoryMB: class.MemoryMB,
 		EstimatedMs: math.Round(workMs * (0.3 + 1.4*w.Random.Float64())),
-		Gang:        class.Gang, RackLocal: class.Gang && w.Chance(class.Tight), LongRunning: class.Lasts,
-		AtMostOnce: w.Chance(class.Twice), Checkpoints: w.Chance(class.Saves),
+		Gang:        class.Gang, RackLocal: class.Gang && w.Chance(class.RackLocal), LongRunning: class.LongRunning,
+		AtMostOnce: w.Chance(class.AtMostOnce), Checkpoints: w.Chance(class.Checkpoints),
 	}
 	if len(class.GPU) > 0 {
 		step.GPU = Pick(w, class.GPU)
@@ -85,13 +85,13 @@
 			step.DependsOn = append(step.DependsOn, before)
 		}
 	}
-	if w.Chance(class.Near) {
+	if w.Chance(class.Affinity) {
 		step.Affinity = Pick(w, racks)
 	}
-	if w.Chance(class.Apart) {
+	if w.Chance(class.AntiAffinity) {
 		step.AntiAffinity = 1 + w.Random.IntN(2)
 	}
-	if w.Chance(class.Needs) {
+	if w.Chance(class.Requirements) {
 		step.Requirements = Pick(w, kinds)
 	}
 	if step.Gang {
@@ -101,6 +101,6 @@
 	return step
 }
 
-func width(w *World, mean float64) int {
+func drawWidth(w *World, mean float64) int {
 	return max(1, int(w.Exponential(time.Duration(mean*float64(time.Second)))/time.Second))
 }
--- a/internal/cluster/simulation/names.go
+++ b/internal/cluster/simulation/names.go
@@ -37,8 +37,8 @@
 
 func (t TaskName) group() groupName { return groupName{t.Job, t.Time, t.Step} }
 
-// checkpointText is what a task (a gang for all its members) has saved.
-func checkpointText(task TaskName, gang bool, doneMs float64) string {
+// formatCheckpoint is what a task (a gang for all its members) has saved.
+func formatCheckpoint(task TaskName, gang bool, doneMs float64) string {
 	index := strconv.Itoa(task.Index)
 	if gang {
 		index = "all"
@@ -46,10 +46,10 @@
 	return fmt.Sprintf("%s/%d/%d/%s@%.1f", task.Job, task.Time, task.Step, index, doneMs)
 }
 
-// readCheckpoint returns the work that a checkpoint of a task holds.
-func readCheckpoint(task TaskName, gang bool, text string) (doneMs float64, ok bool) {
+// parseCheckpoint returns the work that a checkpoint of a task holds.
+func parseCheckpoint(task TaskName, gang bool, text string) (doneMs float64, ok bool) {
 	owner, amount, found := strings.Cut(text, "@")
-	want, _, _ := strings.Cut(checkpointText(task, gang, 0), "@")
+	want, _, _ := strings.Cut(formatCheckpoint(task, gang, 0), "@")
 	if !found || owner != want {
 		return 0, false
 	}
--- a/internal/cluster/simulation/network.go
+++ b/internal/cluster/simulation/network.go
@@ -16,11 +16,11 @@
 type link struct{ from, to *Machine }
 
 type linkState struct {
-	cut    int // cuts in force
-	slow   time.Duration
-	held   []func() // what a cut holds up and may let go at its end
-	last   time.Duration
-	random *rand.Rand // the link's own, so that a run does not hang on the order of what is sent on different links
+	partitions  int // cuts in force
+	extraDelay  time.Duration
+	retained    []func() // what a cut holds up and may let go at its end
+	lastArrival time.Duration
+	random      *rand.Rand // the link's own, so that a run does not hang on the order of what is sent on different links
 }
 
 func (s *linkState) between(low, high time.Duration) time.Duration {
@@ -46,30 +46,30 @@
 	key := link{from, to}
 	state := n.links[key]
 	if state == nil {
-		state = &linkState{random: n.World.stream(from.Name + ">" + to.Name)}
+		state = &linkState{random: n.World.newStream(from.Name + ">" + to.Name)}
 		n.links[key] = state
 	}
 	return state
 }
 
-// Cut cuts the way from one machine to another; Join undoes one Cut.
-func (n *Network) Cut(from, to *Machine) { n.state(from, to).cut++ }
+// Partition cuts the way from one machine to another; Join undoes one Cut.
+func (n *Network) Partition(from, to *Machine) { n.state(from, to).partitions++ }
 
-// CutBoth cuts both ways.
-func (n *Network) CutBoth(a, b *Machine) { n.Cut(a, b); n.Cut(b, a) }
+// PartitionBoth cuts both ways.
+func (n *Network) PartitionBoth(a, b *Machine) { n.Partition(a, b); n.Partition(b, a) }
 
-// Join undoes one cut. Bytes that the cut held up either arrive now or are lost.
-func (n *Network) Join(from, to *Machine) {
+// Heal undoes one cut. Bytes that the cut held up either arrive now or are lost.
+func (n *Network) Heal(from, to *Machine) {
 	state := n.state(from, to)
-	if state.cut == 0 {
+	if state.partitions == 0 {
 		return
 	}
-	state.cut--
-	if state.cut > 0 {
+	state.partitions--
+	if state.partitions > 0 {
 		return
 	}
-	held := state.held
-	state.held = nil
+	held := state.retained
+	state.retained = nil
 	if state.random.Float64() < 0.5 {
 		return
 	}
@@ -78,16 +78,16 @@
 	}
 }
 
-// JoinBoth undoes one cut of both ways.
-func (n *Network) JoinBoth(a, b *Machine) { n.Join(a, b); n.Join(b, a) }
+// HealBoth undoes one cut of both ways.
+func (n *Network) HealBoth(a, b *Machine) { n.Heal(a, b); n.Heal(b, a) }
 
-// Slow adds a delay to the way from one machine to another; 0 ends it.
-func (n *Network) Slow(from, to *Machine, by time.Duration) { n.state(from, to).slow = by }
+// SetDelay adds a delay to the way from one machine to another; 0 ends it.
+func (n *Network) SetDelay(from, to *Machine, by time.Duration) { n.state(from, to).extraDelay = by }
 
 // Connected tells whether the way from one machine to another is open.
 func (n *Network) Connected(from, to *Machine) bool {
 	state := n.links[link{from, to}]
-	return state == nil || state.cut == 0
+	return state == nil || state.partitions == 0
 }
 
 func baseDelay(from, to *Machine) time.Duration {
@@ -103,21 +103,21 @@
 // Send calls f in the present life of the machine `to`, after the link's delay. It is lost with the life of either end,
 // and a cut loses it or holds it up.
 func (n *Network) Send(from, to *Machine, f func()) {
-	life, sender := to.life, from.life
+	life, sender := to.incarnation, from.incarnation
 	if from == to {
-		n.World.After(LoopbackDelay, func() { to.inLife(life, f) })
+		n.World.After(LoopbackDelay, func() { to.inIncarnation(life, f) })
 		return
 	}
 	state := n.state(from, to)
 	if n.Loss > 0 && state.random.Float64() < n.Loss {
 		return
 	}
-	deliver := func() { n.arrive(state, from, to, life, f) }
-	if state.cut > 0 {
+	deliver := func() { n.scheduleDelivery(state, from, to, life, f) }
+	if state.partitions > 0 {
 		const mostHeld = 64
-		if len(state.held) < mostHeld {
-			state.held = append(state.held, func() {
-				if from.life == sender && from.up {
+		if len(state.retained) < mostHeld {
+			state.retained = append(state.retained, func() {
+				if from.incarnation == sender && from.up {
 					deliver()
 				}
 			})
@@ -127,18 +127,18 @@
 	deliver()
 }
 
-// arrive schedules a delivery no earlier than that of what was sent before on the same link.
-func (n *Network) arrive(state *linkState, from, to *Machine, life int, f func()) {
+// scheduleDelivery schedules a delivery no earlier than that of what was sent before on the same link.
+func (n *Network) scheduleDelivery(state *linkState, from, to *Machine, life int, f func()) {
 	delay := baseDelay(from, to)
-	delay += state.between(0, delay/4) + state.slow
+	delay += state.between(0, delay/4) + state.extraDelay
 	if to.Lag > 0 {
 		delay += state.between(0, to.Lag)
 	}
-	at := max(n.World.now+delay, state.last)
-	state.last = at
+	at := max(n.World.now+delay, state.lastArrival)
+	state.lastArrival = at
 	n.World.At(at, func() {
-		if state.cut == 0 {
-			to.inLife(life, f)
+		if state.partitions == 0 {
+			to.inIncarnation(life, f)
 		}
 	})
 }
--- a/internal/cluster/simulation/observer.go
+++ b/internal/cluster/simulation/observer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ObservedRead is one reading of the configuration during a day.
-type ObservedRead struct {
+// ConfigurationRead is one reading of the configuration during a day.
+type ConfigurationRead struct {
 	Machine  string
 	Sent     time.Duration
 	Answered time.Duration // Never: silence
@@ -20,35 +20,35 @@
 type Observer struct {
 	deployment *Deployment
 	until      time.Duration
-	Reads      []*ObservedRead
+	Reads      []*ConfigurationRead
 }
 
 // Times of an Observer.
 const (
-	observeEvery = 40 * time.Millisecond // a question for a state
-	readEvery    = 60 * time.Millisecond // a reading of the configuration
-	observedJobs = 6                     // states are asked of so many of the newest jobs
+	stateQueryInterval        = 40 * time.Millisecond // a question for a state
+	configurationReadInterval = 60 * time.Millisecond // a reading of the configuration
+	maxObservedJobs           = 6                     // states are asked of so many of the newest jobs
 )
 
 // Observe has a deployment observed from a time on until another.
 func Observe(d *Deployment, from, until time.Duration) *Observer {
 	o := &Observer{deployment: d, until: until}
-	d.World.At(from, o.askStates)
+	d.World.At(from, o.queryStates)
 	d.World.At(from, o.readConfiguration)
 	return o
 }
 
-// askStates asks for the state of one of the newest jobs, again and again.
-func (o *Observer) askStates() {
+// queryStates asks for the state of one of the newest jobs, again and again.
+func (o *Observer) queryStates() {
 	w := o.deployment.World
 	if w.now >= o.until {
 		return
 	}
-	jobs := o.deployment.Ledger.JobOrder
-	if newest := jobs[max(0, len(jobs)-observedJobs):]; len(newest) > 0 {
-		o.deployment.Clients.Ask(Pick(w, newest), nil)
+	jobs := o.deployment.History.JobOrder
+	if newest := jobs[max(0, len(jobs)-maxObservedJobs):]; len(newest) > 0 {
+		o.deployment.Clients.QueryState(Pick(w, newest), nil)
 	}
-	w.After(w.Between(observeEvery/2, 2*observeEvery), o.askStates)
+	w.After(w.Between(stateQueryInterval/2, 2*stateQueryInterval), o.queryStates)
 }
 
 // readConfiguration reads the configuration, again and again.
@@ -58,16 +58,16 @@
 		return
 	}
 	o.Reads = append(o.Reads, ReadAt(operator, Pick(w, operator.Controls)))
-	w.After(w.Between(readEvery/2, 2*readEvery), o.readConfiguration)
+	w.After(w.Between(configurationReadInterval/2, 2*configurationReadInterval), o.readConfiguration)
 }
 
 // ReadAt has the operator read the configuration at a machine, once.
-func ReadAt(operator *Operator, machine *Machine) *ObservedRead {
+func ReadAt(operator *Operator, machine *Machine) *ConfigurationRead {
 	w := operator.World
-	read := &ObservedRead{Machine: machine.Name, Sent: w.now, Answered: Never}
-	operator.reach(machine, func(control Control, life int) {
+	read := &ConfigurationRead{Machine: machine.Name, Sent: w.now, Answered: Never}
+	operator.reach(machine, func(control ControlAPI, life int) {
 		control.Read(func(status int, body []byte) {
-			if machine.life == life {
+			if machine.incarnation == life {
 				w.After(operator.delay(), func() { read.take(w.now, status, body) })
 			}
 		})
@@ -75,7 +75,7 @@
 	return read
 }
 
-func (r *ObservedRead) take(now time.Duration, status int, body []byte) {
+func (r *ConfigurationRead) take(now time.Duration, status int, body []byte) {
 	r.Answered, r.Status = now, status
 	if status != 200 {
 		return
--- a/internal/cluster/simulation/operator.go
+++ b/internal/cluster/simulation/operator.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Control is what the operator calls. An order returns what tells the process that the operator has left.
-type Control interface {
+// ControlAPI is what the operator calls. An order returns what tells the process that the operator has left.
+type ControlAPI interface {
 	Configure(update bool, base string, body []byte, reply func(status int)) (left func())
 	Read(reply func(status int, body []byte))
 }
 
 const (
-	operatorSilence = time.Second
-	probesKept      = 4
-	mostTries       = 40
+	operatorTimeout     = time.Second
+	maxProbes           = 4
+	maxOperatorAttempts = 40
 )
 
 // Operator changes the configuration and reads it back.
 type Operator struct {
-	World    *World
-	Ledger   *Ledger
-	Controls []*Machine
-	Control  func(m *Machine) Control // nil while nothing listens there
-	AckLoss  float64                  // share of acknowledgements that are lost now
+	World           *World
+	History         *History
+	Controls        []*Machine
+	Control         func(m *Machine) ControlAPI // nil while nothing listens there
+	AckLossFraction float64                     // share of acknowledgements that are lost now
 	// Acknowledged is called with the machine that acknowledged a change, before the answer arrives.
-	Acknowledged func(by *Machine)
-	Base         *Document // the configuration of the beginning
+	OnAcknowledged func(by *Machine)
+	Base           *Document // the configuration of the beginning
 
-	current *Document // newest that was acknowledged
-	probes  []string  // names of probe routes in force
-	version int64     // highest used so far
-	busy    int       // orders under way
+	current        *Document // newest that was acknowledged
+	retainedProbes []string  // names of probe routes in force
+	version        int64     // highest used so far
+	inFlight       int       // orders under way
 }
 
 // ProbeHost is the host of the routes that show which version is in force.
@@ -42,13 +42,13 @@
 		Kind: "non_idempotent", TimeoutMs: 3000, TargetLatencyMs: 1000, Service: service, MaxAttempts: 1, Extension: 2}
 }
 
-// Begin sends the first configuration until it is taken.
-func (o *Operator) Begin() {
+// SubmitFirst sends the first configuration until it is taken.
+func (o *Operator) SubmitFirst() {
 	first := o.Base.clone()
 	first.Version = 1 + int64(o.World.Random.IntN(5))
 	o.version = first.Version
 	first.Routes = append(first.Routes, probeRoute(first.Version, first.Services[0].Name))
-	o.probes = []string{fmt.Sprintf("probe-%d", first.Version)}
+	o.retainedProbes = []string{fmt.Sprintf("probe-%d", first.Version)}
 	o.send(o.record(first, nil, mustJSON(first), false), 0, first, false, nil)
 }
 
@@ -66,29 +66,29 @@
 		record.Base = base.Version
 	}
 	if !invalid {
-		record.Whole = Canonical([]byte(mustJSON(whole)))
+		record.Document = Canonical([]byte(mustJSON(whole)))
 		record.Routes = whole.records()
 	}
-	for _, other := range o.Ledger.Configuration {
-		if o.underWay(other) {
+	for _, other := range o.History.Configuration {
+		if o.mayTakeEffect(other) {
 			other.Alone, record.Alone = false, false
 		}
 	}
-	o.Ledger.Configuration = append(o.Ledger.Configuration, record)
+	o.History.Configuration = append(o.History.Configuration, record)
 	return record
 }
 
-func (o *Operator) underWay(record *ConfigurationRecord) bool {
-	if len(record.Tries) == 0 {
+func (o *Operator) mayTakeEffect(record *ConfigurationRecord) bool {
+	if len(record.Attempts) == 0 {
 		return false
 	}
-	last := record.Tries[len(record.Tries)-1]
-	return last.Answered == Never || last.Lost || last.Status >= 500
+	last := record.Attempts[len(record.Attempts)-1]
+	return last.Answered == Never || last.ReplyLost || last.Status >= 500
 }
 
 // Change sends one change; a nil edit changes a time-out. It does nothing while another is under way.
 func (o *Operator) Change(edit func(next *Document) []string) {
-	if o.busy > 0 || o.current == nil {
+	if o.inFlight > 0 || o.current == nil {
 		return
 	}
 	o.sendChange(o.current, o.nextVersion(), edit)
@@ -96,7 +96,7 @@
 
 // Race sends two changes on top of the same version at once; they may have the same number.
 func (o *Operator) Race() {
-	if o.busy > 0 || o.current == nil {
+	if o.inFlight > 0 || o.current == nil {
 		return
 	}
 	base := o.current
@@ -128,7 +128,7 @@
 	probe.Note = fmt.Sprintf("%08x", o.World.Random.Uint32())
 	update.Upsert.Routes = append(update.Upsert.Routes, probe)
 	for _, route := range next.Routes {
-		if route.Host == ProbeHost && countProbes(next)-len(update.Remove.Routes) >= probesKept {
+		if route.Host == ProbeHost && countProbes(next)-len(update.Remove.Routes) >= maxProbes {
 			update.Remove.Routes = append(update.Remove.Routes, route.Name)
 		}
 	}
@@ -174,9 +174,9 @@
 	}
 }
 
-// Bad sends a configuration that must be refused.
-func (o *Operator) Bad(how string) {
-	if o.current == nil || o.busy > 0 {
+// SubmitInvalid sends a configuration that must be refused.
+func (o *Operator) SubmitInvalid(how string) {
+	if o.current == nil || o.inFlight > 0 {
 		return
 	}
 	base, next := o.current, o.current.clone()
@@ -215,31 +215,31 @@
 	o.send(o.record(next, base, body, true), base.Version, next, update, nil)
 }
 
-// BadKinds are the ways in which Bad sends what must be refused.
-var BadKinds = []string{"cut_short", "unknown_service", "same_place", "no_timeout", "old_version", "same_version",
+// InvalidKinds are the ways in which Bad sends what must be refused.
+var InvalidKinds = []string{"cut_short", "unknown_service", "same_place", "no_timeout", "old_version", "same_version",
 	"stale_match", "dangling"}
 
 // send sends an order until it gets a clear answer.
 func (o *Operator) send(record *ConfigurationRecord, base int64, whole *Document, update bool, last *Machine) {
-	if len(record.Tries) == 0 {
-		o.busy++
+	if len(record.Attempts) == 0 {
+		o.inFlight++
 	}
 	machine := Pick(o.World, o.Controls)
 	if machine == last {
 		machine = Pick(o.World, o.Controls)
 	}
-	record.Tries = append(record.Tries, Try{Machine: machine.Name, Life: machine.life, Sent: o.World.now, Answered: Never})
-	position := len(record.Tries) - 1
+	record.Attempts = append(record.Attempts, Attempt{Machine: machine.Name, Incarnation: machine.incarnation, Sent: o.World.now, Answered: Never})
+	position := len(record.Attempts) - 1
 	over := false
 	finish := func(status int) {
 		if over {
 			return
 		}
 		over = true
-		o.settle(record, base, whole, update, machine, status)
+		o.resolve(record, base, whole, update, machine, status)
 	}
 	left, leave := false, func() {}
-	o.World.After(operatorSilence, func() {
+	o.World.After(operatorTimeout, func() {
 		if over {
 			return
 		}
@@ -249,36 +249,36 @@
 			leave()
 		})
 	})
-	o.reach(machine, func(control Control, life int) {
+	o.reach(machine, func(control ControlAPI, life int) {
 		leaving := control.Configure(update, fmt.Sprint(base), []byte(record.Body), func(status int) {
-			if machine.life != life || left {
+			if machine.incarnation != life || left {
 				return
 			}
-			o.answered(record, position, machine, status, finish)
+			o.replyArrives(record, position, machine, status, finish)
 		})
-		leave = func() { machine.inLife(life, leaving) }
+		leave = func() { machine.inIncarnation(life, leaving) }
 		if left {
 			leaving() // while the machine stood still
 		}
 	}, func() { finish(0) })
 }
 
-// answered takes the answer on its way to the operator.
-func (o *Operator) answered(record *ConfigurationRecord, position int, machine *Machine, status int, finish func(int)) {
-	if status == 200 && o.Acknowledged != nil {
-		o.Acknowledged(machine)
+// replyArrives takes the answer on its way to the operator.
+func (o *Operator) replyArrives(record *ConfigurationRecord, position int, machine *Machine, status int, finish func(int)) {
+	if status == 200 && o.OnAcknowledged != nil {
+		o.OnAcknowledged(machine)
 	}
 	o.World.After(o.delay(), func() {
-		try := &record.Tries[position]
+		try := &record.Attempts[position]
 		if try.Answered != Never {
 			return
 		}
 		try.Answered, try.Status = o.World.now, status
-		try.Lost = o.World.Chance(o.AckLoss)
+		try.ReplyLost = o.World.Chance(o.AckLossFraction)
 		if status == 200 && record.Acknowledged == Never {
 			record.Acknowledged = o.World.now
 		}
-		if !try.Lost {
+		if !try.ReplyLost {
 			finish(status)
 		}
 	})
@@ -286,35 +286,35 @@
 
 func (o *Operator) delay() time.Duration { return o.World.Between(ClientDelay, 2*ClientDelay) }
 
-// reach calls a control machine; the operator reaches each, whatever is cut.
-func (o *Operator) reach(machine *Machine, call func(control Control, life int), refused func()) {
+// finishWork calls a control machine; the operator reaches each, whatever is cut.
+func (o *Operator) reach(machine *Machine, call func(control ControlAPI, life int), refused func()) {
 	o.World.After(o.delay(), func() {
 		control := o.Control(machine)
 		if control == nil {
 			o.World.After(o.delay(), refused)
 			return
 		}
-		life := machine.life
-		machine.inLife(life, func() { call(control, life) })
+		life := machine.incarnation
+		machine.inIncarnation(life, func() { call(control, life) })
 	})
 }
 
-// settle ends an order with a clear answer, or sends it again.
-func (o *Operator) settle(record *ConfigurationRecord, base int64, whole *Document, update bool, by *Machine, status int) {
+// advance ends an order with a clear answer, or sends it again.
+func (o *Operator) resolve(record *ConfigurationRecord, base int64, whole *Document, update bool, by *Machine, status int) {
 	clear := status == 200 || status >= 400 && status < 500 && status != 408 && status != 429
-	if clear || len(record.Tries) >= mostTries {
-		o.busy--
+	if clear || len(record.Attempts) >= maxOperatorAttempts {
+		o.inFlight--
 		if status == 200 && !record.Invalid && (o.current == nil || whole.Version > o.current.Version) {
 			o.current = whole
 			o.version = max(o.version, whole.Version)
 		}
 		return
 	}
-	pause := o.World.Between(50*time.Millisecond, 200*time.Millisecond+50*time.Millisecond*time.Duration(min(len(record.Tries), 6)))
+	pause := o.World.Between(50*time.Millisecond, 200*time.Millisecond+50*time.Millisecond*time.Duration(min(len(record.Attempts), 6)))
 	o.World.After(pause, func() { o.send(record, base, whole, update, by) })
 }
 
-// ReadBack asks for the configuration again and again until a time.
+// LastReadBack asks for the configuration again and again until a time.
 func (o *Operator) ReadBack(until time.Duration) {
 	if o.World.now > until {
 		return
@@ -327,21 +327,21 @@
 			o.World.After(o.World.Between(100*time.Millisecond, 300*time.Millisecond), func() { o.ReadBack(until) })
 		}
 	}
-	o.World.After(operatorSilence, again)
-	o.reach(machine, func(control Control, life int) {
+	o.World.After(operatorTimeout, again)
+	o.reach(machine, func(control ControlAPI, life int) {
 		control.Read(func(status int, body []byte) {
-			if machine.life != life {
+			if machine.incarnation != life {
 				return
 			}
-			o.World.After(o.delay(), func() { o.noteRead(status, body); again() })
+			o.World.After(o.delay(), func() { o.recordReadBack(status, body); again() })
 		})
 	}, again)
 }
 
-func (o *Operator) noteRead(status int, body []byte) {
+func (o *Operator) recordReadBack(status int, body []byte) {
 	if status != 200 {
 		return
 	}
-	o.Ledger.ReadBack = Canonical(body)
-	o.Ledger.Reads = append(o.Ledger.Reads, Read{At: o.World.now, Body: o.Ledger.ReadBack})
+	o.History.LastReadBack = Canonical(body)
+	o.History.ReadBacks = append(o.History.ReadBacks, ReadBack{At: o.World.now, Body: o.History.LastReadBack})
 }
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -16,17 +16,17 @@
 
 // RunnerOptions describe a runner.
 type RunnerOptions struct {
-	Service   string
-	Zone      string
-	Address   string
-	Kind      string
-	Rack      string
-	Speed     float64 // 1: as usual
-	Capacity  protocol.Resources
-	Guards    bool
-	Interval  time.Duration // between heartbeats, unless it is told otherwise
-	ClockRate float64       // of its steady clock: 0.98 to 1
-	Called    bool          // it is told what to do by calls, and not in answers to its heartbeats
+	Service          string
+	Zone             string
+	Address          string
+	Kind             string
+	Rack             string
+	Speed            float64 // 1: as usual
+	Capacity         protocol.Resources
+	EnforcesCapacity bool
+	Interval         time.Duration // between heartbeats, unless it is told otherwise
+	ClockRate        float64       // of its steady clock: 0.98 to 1
+	Invoked          bool          // it is told what to do by calls, and not in answers to its heartbeats
 }
 
 // Runner runs tasks on a side machine, as it is told in answers to its heartbeats, or by calls.
@@ -36,94 +36,94 @@
 	// Agent returns what listens at the machine's control address, or nil.
 	Agent func() Agent
 
-	world    *World
-	plant    *Plant
-	instance *RunnerLife // nil while it is down
-	lives    int
-
-	fence     uint64
-	heldUntil time.Duration // true time; 0: nothing is held
-	lapse     *Timer
-	active    []*execution
-	finished  []finishedEnd
-	counter   uint64
-	barred    map[string]uint64 // by task: highest run stopped or ended here
-
-	sequence  uint64
-	beatTimer *Timer
-	out       bool // a heartbeat is out
-	early     bool // an end came meanwhile
-	giveUp    *Timer
-	closeBeat func() // tells the agent that the runner waits no longer for its newest answer
-
-	resets   []func() // called when this incarnation ends
-	awaiting []func() // called at the next end
-
-	draining    bool
-	leaves      time.Duration // true time of its end while draining
-	slow        float64       // times as long; 0 or 1: as usual
-	lateShare   float64       // of heartbeats that come late
-	failShare   float64       // of starts that fail
-	hangShare   float64       // of starts that stand still
-	listStopped bool          // a stop for a run not there is listed as refused at once
-	startFirst  bool          // of an answer's orders, starts are taken before stops
+	world       *World
+	groundTruth *GroundTruth
+	incarnation *RunnerIncarnation // nil while it is down
+	starts      int
+
+	fenceToken   uint64
+	leaseExpiry  time.Duration // true time; 0: nothing is held
+	leaseTimer   *Timer
+	active       []*execution
+	finished     []finishedRun
+	endSequence  uint64
+	highestEnded map[string]uint64 // by task: highest run stopped or ended here
+
+	sequence          uint64
+	heartbeatTimer    *Timer
+	heartbeatInFlight bool // a heartbeat is out
+	heartbeatDue      bool // an end came meanwhile
+	responseTimer     *Timer
+	abandonHeartbeat  func() // tells the agent that the runner waits no longer for its newest answer
+
+	resets    []func() // called when this incarnation ends
+	onNextEnd []func() // called at the next end
+
+	draining          bool
+	leavesAt          time.Duration // true time of its end while draining
+	slowFactor        float64       // times as long; 0 or 1: as usual
+	lateFraction      float64       // of heartbeats that come late
+	failFraction      float64       // of starts that fail
+	hangFraction      float64       // of starts that stand still
+	listsUnknownStops bool          // a stop for a run not there is listed as refused at once
+	startsBeforeStops bool          // of an answer's orders, starts are taken before stops
 }
 
-type finishedEnd struct {
-	row    protocol.FinishedRun
-	record *Run
-	lapses int // of the runner as it ended
+type finishedRun struct {
+	row           protocol.FinishedRun
+	record        *Run
+	leaseExpiries int // of the runner as it ended
 }
 
 // NewRunner returns a runner that is off.
-func NewRunner(plant *Plant, machine *Machine, options RunnerOptions) *Runner {
-	return &Runner{RunnerOptions: options, Machine: machine, world: plant.World, plant: plant,
-		listStopped: plant.World.Chance(0.5), startFirst: plant.World.Chance(0.5)}
+func NewRunner(plant *GroundTruth, machine *Machine, options RunnerOptions) *Runner {
+	return &Runner{RunnerOptions: options, Machine: machine, world: plant.World, groundTruth: plant,
+		listsUnknownStops: plant.World.Chance(0.5), startsBeforeStops: plant.World.Chance(0.5)}
 }
 
-// Up tells whether the runner is running.
-func (r *Runner) Up() bool { return r.instance != nil }
+// Started tells whether the runner is running.
+func (r *Runner) Up() bool { return r.incarnation != nil }
 
-// Life returns the runner's present incarnation, or nil.
-func (r *Runner) Life() *RunnerLife { return r.instance }
+// Incarnation returns the runner's present incarnation, or nil.
+func (r *Runner) Incarnation() *RunnerIncarnation { return r.incarnation }
 
 // Start brings the runner up with a new id.
 func (r *Runner) Start() {
-	if r.instance != nil {
+	if r.incarnation != nil {
 		return
 	}
-	r.lives++
-	r.instance = &RunnerLife{
-		Instance: fmt.Sprintf("i-%s-%d", r.Machine.Name, r.lives), Machine: r.Machine.Name, Service: r.Service,
-		Labels: []string{r.Kind, r.Rack}, Rack: r.Rack, Capacity: r.Capacity, Guards: r.Guards,
-		Up: r.world.now, Down: Never, DrainAck: Never,
+	r.starts++
+	r.incarnation = &RunnerIncarnation{
+		Instance: fmt.Sprintf("i-%s-%d", r.Machine.Name, r.starts), Machine: r.Machine.Name, Service: r.Service,
+		Labels: []string{r.Kind, r.Rack}, Rack: r.Rack, Capacity: r.Capacity, EnforcesCapacity: r.EnforcesCapacity,
+		Started: r.world.now, Ended: Never, DrainAcknowledged: Never,
 	}
-	r.plant.Ledger.Runners = append(r.plant.Ledger.Runners, r.instance)
-	r.fence, r.heldUntil, r.counter, r.sequence = 0, 0, 0, 0
-	r.active, r.finished, r.barred = nil, nil, map[string]uint64{}
-	r.out, r.early, r.draining = false, false, false
-	r.beatIn(r.world.Between(0, 100*time.Millisecond))
+	r.groundTruth.History.Runners = append(r.groundTruth.History.Runners, r.incarnation)
+	r.fenceToken, r.leaseExpiry, r.endSequence, r.sequence = 0, 0, 0, 0
+	r.active, r.finished, r.highestEnded = nil, nil, map[string]uint64{}
+	r.heartbeatInFlight, r.heartbeatDue, r.draining = false, false, false
+	r.scheduleHeartbeat(r.world.Between(0, 100*time.Millisecond))
 }
 
 // Crash ends the runner without a word; everything on it dies.
 func (r *Runner) Crash() {
-	if r.instance == nil {
+	if r.incarnation == nil {
 		return
 	}
-	r.beatTimer.Stop()
-	r.giveUp.Stop()
-	r.lapse.Stop()
-	r.hangUp()
+	r.heartbeatTimer.Stop()
+	r.responseTimer.Stop()
+	r.leaseTimer.Stop()
+	r.abandon()
 	r.resetConnections()
-	life := r.instance
-	life.Down = r.world.now
-	r.instance = nil
+	life := r.incarnation
+	life.Ended = r.world.now
+	r.incarnation = nil
 	for _, e := range slices.Clone(r.active) {
-		e.forget()
-		e.settle(r.world.now)
-		e.record.Ended, e.record.How = r.world.now, EndCrashed
+		e.stopTimers()
+		e.advance(r.world.now)
+		e.record.Ended, e.record.EndReason = r.world.now, EndCrashed
 		if e.isGang() {
-			r.plant.leaveGang(e)
+			r.groundTruth.leaveGang(e)
 		}
 	}
 	r.active, r.finished = nil, nil
@@ -131,53 +131,53 @@
 
 // Drain makes the runner say that it leaves, and leave after a time.
 func (r *Runner) Drain(after time.Duration) {
-	if r.instance == nil || r.draining {
+	if r.incarnation == nil || r.draining {
 		return
 	}
 	r.draining = true
-	r.leaves = r.world.now + after
-	life := r.instance
-	r.beatSoon()
-	r.world.At(r.leaves, func() {
-		if r.instance == life {
-			r.leave(life)
+	r.leavesAt = r.world.now + after
+	life := r.incarnation
+	r.heartbeatSoon()
+	r.world.At(r.leavesAt, func() {
+		if r.incarnation == life {
+			r.deregister(life)
 		}
 	})
 }
 
-// leave says goodbye and ends, acknowledged or not.
-func (r *Runner) leave(life *RunnerLife) {
+// deregister says goodbye and ends, acknowledged or not.
+func (r *Runner) deregister(life *RunnerIncarnation) {
 	const longestGoodbye = time.Second
 	end := func() {
-		if r.instance == life {
+		if r.incarnation == life {
 			r.Crash()
 		}
 	}
 	if agent := r.Agent(); agent != nil {
-		r.Machine.inLife(r.Machine.life, func() {
+		r.Machine.inIncarnation(r.Machine.incarnation, func() {
 			agent.Deregister(r.Service, life.Instance, func(error) { r.world.After(time.Millisecond, end) })
 		})
 	}
 	r.world.After(longestGoodbye, end)
 }
 
-// LeaveUndrained makes the runner say goodbye without having said that it drains, serve on for a time, and end.
-func (r *Runner) LeaveUndrained(after time.Duration) {
-	life := r.instance
+// DeregisterUndrained makes the runner say goodbye without having said that it drains, serve on for a time, and end.
+func (r *Runner) DeregisterUndrained(after time.Duration) {
+	life := r.incarnation
 	if life == nil || r.draining {
 		return
 	}
 	if agent := r.Agent(); agent != nil {
-		r.Machine.inLife(r.Machine.life, func() {
+		r.Machine.inIncarnation(r.Machine.incarnation, func() {
 			agent.Deregister(r.Service, life.Instance, func(err error) {
-				if err == nil && r.instance == life {
-					life.DrainAck = r.world.now
+				if err == nil && r.incarnation == life {
+					life.DrainAcknowledged = r.world.now
 				}
 			})
 		})
 	}
 	r.world.After(after, func() {
-		if r.instance == life {
+		if r.incarnation == life {
 			r.Crash()
 		}
 	})
@@ -186,22 +186,22 @@
 // SetSlow makes all work take x times as long; 1 is as usual.
 func (r *Runner) SetSlow(x float64) {
 	before := r.speed()
-	r.slow = x
+	r.slowFactor = x
 	for _, e := range slices.Clone(r.active) {
-		e.changeSpeed(r.speed() / before)
+		e.scaleSpeed(r.speed() / before)
 	}
 }
 
-// SetGrey makes shares of the starts fail or stand still.
-func (r *Runner) SetGrey(fail, hang float64) { r.failShare, r.hangShare = fail, hang }
+// SetGrayFailure makes shares of the starts fail or stand still.
+func (r *Runner) SetGrayFailure(fail, hang float64) { r.failFraction, r.hangFraction = fail, hang }
 
 // SetLate makes a share of the heartbeats come late, up to seconds.
-func (r *Runner) SetLate(share float64) { r.lateShare = share }
+func (r *Runner) SetLate(share float64) { r.lateFraction = share }
 
 // speed is the work a ms gives.
 func (r *Runner) speed() float64 {
-	if r.slow > 1 {
-		return r.Speed / r.slow
+	if r.slowFactor > 1 {
+		return r.Speed / r.slowFactor
 	}
 	return r.Speed
 }
--- a/internal/cluster/simulation/runner_call.go
+++ b/internal/cluster/simulation/runner_call.go
@@ -10,16 +10,16 @@
 
 // Paths of the calls to a runner.
 const (
-	callStart = "/v1/run-start"
-	callStop  = "/v1/run-stop"
-	callHold  = "/v1/hold"
+	pathStart       = "/v1/run-start"
+	pathStop        = "/v1/run-stop"
+	pathExtendLease = "/v1/hold"
 )
 
 // Why a runner refuses a call.
 const (
-	whyFence = "fence"
-	whyOld   = "old"
-	whyRoom  = "room"
+	rejectedFence    = "fence"
+	rejectedOld      = "old"
+	rejectedCapacity = "room"
 )
 
 // call is the body of a call to a runner.
@@ -34,8 +34,8 @@
 	WaitMs       int64  `json:"wait_ms"`
 }
 
-// callAnswer is what a runner answers.
-type callAnswer struct {
+// callResponse is what a runner answers.
+type callResponse struct {
 	ClockMs  int64                  `json:"clockMs"`
 	Why      string                 `json:"why,omitempty"`
 	Active   []protocol.ActiveRun   `json:"active,omitempty"`
@@ -44,23 +44,23 @@
 
 // RunnerConnection is a connection to one incarnation of a runner that is called.
 type RunnerConnection struct {
-	runner *Runner
-	life   *RunnerLife
+	runner      *Runner
+	incarnation *RunnerIncarnation
 }
 
 // Connect connects to the present incarnation; reset is called when it ends. It returns nil if the runner is down.
 func (r *Runner) Connect(reset func()) *RunnerConnection {
-	if r.instance == nil {
+	if r.incarnation == nil {
 		return nil
 	}
 	r.resets = append(r.resets, reset)
-	return &RunnerConnection{runner: r, life: r.instance}
+	return &RunnerConnection{runner: r, incarnation: r.incarnation}
 }
 
 // Call hands a call over. reply is called at most once, and not if the incarnation ends before.
 func (c *RunnerConnection) Call(path string, body []byte, reply func(status int, body []byte)) {
 	r := c.runner
-	if r.instance != c.life {
+	if r.incarnation != c.incarnation {
 		return
 	}
 	var asked call
@@ -68,8 +68,8 @@
 		reply(http.StatusBadRequest, nil)
 		return
 	}
-	answer := func(told callAnswer) {
-		if r.instance != c.life {
+	answer := func(told callResponse) {
+		if r.incarnation != c.incarnation {
 			return
 		}
 		told.ClockMs = r.clockMs()
@@ -79,23 +79,23 @@
 		}
 		reply(status, []byte(mustJSON(told)))
 	}
-	if asked.FenceToken < r.fence {
-		answer(callAnswer{Why: whyFence})
+	if asked.FenceToken < r.fenceToken {
+		answer(callResponse{Why: rejectedFence})
 		return
 	}
-	r.fence = asked.FenceToken
+	r.fenceToken = asked.FenceToken
 	switch path {
-	case callStart:
-		r.holdUntil(asked.DeadlineMs)
+	case pathStart:
+		r.extendLeaseUntil(asked.DeadlineMs)
 		order := &protocol.StartOrder{Task: asked.Task, Run: asked.RunID, Spec: asked.Spec, Saved: asked.Checkpointed}
-		answer(callAnswer{Why: r.begin(order, r.world.now)})
-	case callStop:
-		r.stop(protocol.StopOrder{Task: asked.Task, Run: asked.RunID})
-		answer(callAnswer{})
-	case callHold:
-		r.holdUntil(asked.DeadlineMs)
-		r.note(asked.LastSeen)
-		r.awaitEnd(time.Duration(asked.WaitMs)*time.Millisecond, func() { answer(r.look()) })
+		answer(callResponse{Why: r.startRun(order, r.world.now)})
+	case pathStop:
+		r.stopOrdered(protocol.StopOrder{Task: asked.Task, Run: asked.RunID})
+		answer(callResponse{})
+	case pathExtendLease:
+		r.extendLeaseUntil(asked.DeadlineMs)
+		r.acknowledgeEnds(asked.LastSeen)
+		r.awaitEnd(time.Duration(asked.WaitMs)*time.Millisecond, func() { answer(r.snapshot()) })
 	default:
 		reply(http.StatusNotFound, nil)
 	}
@@ -103,20 +103,20 @@
 
 // clockMs is the runner's own clock.
 func (r *Runner) clockMs() int64 {
-	return time.Duration(float64(r.world.now-r.instance.Up) * r.ClockRate).Milliseconds()
+	return time.Duration(float64(r.world.now-r.incarnation.Started) * r.ClockRate).Milliseconds()
 }
 
-// holdUntil holds everything until a time of the runner's own clock.
-func (r *Runner) holdUntil(deadlineMs int64) {
+// extendLeaseUntil holds everything until a time of the runner's own clock.
+func (r *Runner) extendLeaseUntil(deadlineMs int64) {
 	if left := deadlineMs - r.clockMs(); left > 0 {
-		r.hold(r.world.now, time.Duration(left)*time.Millisecond)
+		r.extendLease(r.world.now, time.Duration(left)*time.Millisecond)
 	}
 }
 
-// look is what the runner shows.
-func (r *Runner) look() callAnswer {
+// snapshot is what the runner shows.
+func (r *Runner) snapshot() callResponse {
 	active, finished := r.lists()
-	return callAnswer{Active: active, Finished: finished}
+	return callResponse{Active: active, Finished: finished}
 }
 
 // awaitEnd calls f at the next end, or once the wait is over.
@@ -132,18 +132,18 @@
 			f()
 		}
 	}
-	r.awaiting = append(r.awaiting, once)
+	r.onNextEnd = append(r.onNextEnd, once)
 	r.world.After(wait, once)
 }
 
-// tell makes an end known: by the next heartbeat, or to the looks that wait for one.
-func (r *Runner) tell() {
-	if !r.Called {
-		r.beatSoon()
+// reportEnd makes an end known: by the next heartbeat, or to the looks that wait for one.
+func (r *Runner) reportEnd() {
+	if !r.Invoked {
+		r.heartbeatSoon()
 		return
 	}
-	awaiting := r.awaiting
-	r.awaiting = nil
+	awaiting := r.onNextEnd
+	r.onNextEnd = nil
 	for _, f := range awaiting {
 		r.world.After(0, f)
 	}
@@ -154,5 +154,5 @@
 	for _, reset := range r.resets {
 		r.world.After(LoopbackDelay, reset)
 	}
-	r.resets, r.awaiting = nil, nil
+	r.resets, r.onNextEnd = nil, nil
 }
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -7,37 +7,37 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// start begins a run as ordered, or lists it as refused.
-func (r *Runner) start(order *protocol.StartOrder, sent time.Duration) {
-	if why := r.begin(order, sent); why != "" {
-		r.refuse(order.Task, order.Run)
+// startOrdered begins a run as ordered, or lists it as refused.
+func (r *Runner) startOrdered(order *protocol.StartOrder, sent time.Duration) {
+	if why := r.startRun(order, sent); why != "" {
+		r.reject(order.Task, order.Run)
 	}
 }
 
-// begin begins a run as ordered, or tells why not.
-func (r *Runner) begin(order *protocol.StartOrder, sent time.Duration) (why string) {
+// startRun begins a run as ordered, or tells why not.
+func (r *Runner) startRun(order *protocol.StartOrder, sent time.Duration) (why string) {
 	for _, e := range r.active {
-		if e.record.Text == order.Task && e.record.Run == order.Run {
+		if e.record.TaskText == order.Task && e.record.Number == order.Run {
 			return ""
 		}
 	}
 	name, readable := ParseTaskName(order.Task)
-	group, task := r.plant.find(name)
-	if !readable || r.barred[order.Task] >= order.Run {
-		return whyOld
-	}
-	if r.Guards && group != nil && !r.fits(group.step) {
-		r.instance.Refused++
-		return whyRoom
-	}
-	record := &Run{Text: order.Task, Task: name, Run: order.Run, Runner: r.instance, Sent: sent, Started: r.world.now,
-		Spec: order.Spec, Saved: order.Saved, Ended: Never, Noted: Never}
-	r.plant.Ledger.Runs = append(r.plant.Ledger.Runs, record)
-	e := &execution{runner: r, record: record, group: group, task: task, saved: order.Saved, since: r.world.now}
+	group, task := r.groundTruth.find(name)
+	if !readable || r.highestEnded[order.Task] >= order.Run {
+		return rejectedOld
+	}
+	if r.EnforcesCapacity && group != nil && !r.fits(group.step) {
+		r.incarnation.Rejected++
+		return rejectedCapacity
+	}
+	record := &Run{TaskText: order.Task, Task: name, Number: order.Run, Runner: r.incarnation, Sent: sent, Started: r.world.now,
+		Spec: order.Spec, Checkpoint: order.Saved, Ended: Never, Acknowledged: Never}
+	r.groundTruth.History.Runs = append(r.groundTruth.History.Runs, record)
+	e := &execution{runner: r, record: record, group: group, task: task, checkpoint: order.Saved, doneAsOf: r.world.now}
 	r.active = append(r.active, e)
 	r.prepare(e)
-	if r.heldUntil <= r.world.now {
-		r.end(e, protocol.EndLapsed)
+	if r.leaseExpiry <= r.world.now {
+		r.endRun(e, protocol.EndLapsed)
 	}
 	return ""
 }
@@ -45,117 +45,117 @@
 // prepare decides what a run will come to and sets it to work.
 func (r *Runner) prepare(e *execution) {
 	if e.group == nil {
-		e.total = 1000
-		e.begin(1)
+		e.totalMs = 1000
+		e.beginWork(1)
 		return
 	}
-	e.total = e.task.workMs
-	if done, ok := readCheckpoint(e.record.Task, e.group.step.Gang, e.record.Saved); ok {
-		e.done = min(done, e.total)
+	e.totalMs = e.task.workMs
+	if done, ok := parseCheckpoint(e.record.Task, e.group.step.Gang, e.record.Checkpoint); ok {
+		e.doneMs = min(done, e.totalMs)
 	}
-	e.task.started++
-	r.foresee(e)
+	e.task.starts++
+	r.drawOutcome(e)
 	if e.isGang() {
-		r.plant.arrive(e)
+		r.groundTruth.joinGang(e)
 		return
 	}
 	far := 1.0
 	if e.group.step.Affinity != "" && e.group.step.Affinity != r.Rack {
-		far = r.plant.Ledger.Bounds.Far
+		far = r.groundTruth.History.Bounds.Far
 	}
-	e.begin(far)
+	e.beginWork(far)
 }
 
-// foresee draws whether a run fails, stands still or (of lasting tasks) how long it lasts.
-func (r *Runner) foresee(e *execution) {
+// drawOutcome draws whether a run fails, stands still or (of lasting tasks) how long it lasts.
+func (r *Runner) drawOutcome(e *execution) {
 	w := r.world
-	left := e.total - e.done
+	left := e.totalMs - e.doneMs
 	if e.group.step.LongRunning {
-		e.total = float64(w.Exponential(20*time.Second)) / milliseconds
-		e.fails = w.Chance(0.5)
-		e.failAt = e.total
+		e.totalMs = float64(w.Exponential(20*time.Second)) / milliseconds
+		e.willFail = w.Chance(0.5)
+		e.failsAtMs = e.totalMs
 		return
 	}
 	switch {
-	case w.Chance(r.failShare):
-		e.fails = true
-		e.failAt = e.done + min(left, 20+200*w.Random.Float64())
-	case w.Chance(r.hangShare):
-		e.hangs = true
-	case e.group.job.poisoned || e.task.started <= e.task.faults:
-		e.fails = true
-		e.failAt = e.done + left*w.Random.Float64()
+	case w.Chance(r.failFraction):
+		e.willFail = true
+		e.failsAtMs = e.doneMs + min(left, 20+200*w.Random.Float64())
+	case w.Chance(r.hangFraction):
+		e.isHung = true
+	case e.group.job.alwaysFails || e.task.starts <= e.task.failingStarts:
+		e.willFail = true
+		e.failsAtMs = e.doneMs + left*w.Random.Float64()
 	}
 }
 
-// stop ends a run within the time a stop takes, or bars it if it is not there.
-func (r *Runner) stop(order protocol.StopOrder) {
+// stopOrdered ends a run within the time a stop takes, or bars it if it is not there.
+func (r *Runner) stopOrdered(order protocol.StopOrder) {
 	for _, e := range r.active {
-		if e.record.Text == order.Task && e.record.Run == order.Run {
+		if e.record.TaskText == order.Task && e.record.Number == order.Run {
 			r.stopRun(e)
 			return
 		}
 	}
-	if r.barred[order.Task] >= order.Run {
+	if r.highestEnded[order.Task] >= order.Run {
 		return
 	}
-	r.barred[order.Task] = order.Run
-	if r.listStopped {
-		r.refuse(order.Task, order.Run)
+	r.highestEnded[order.Task] = order.Run
+	if r.listsUnknownStops {
+		r.reject(order.Task, order.Run)
 	}
 }
 
 func (r *Runner) stopRun(e *execution) {
-	if e.stopping {
+	if e.isStopping {
 		return
 	}
-	e.stopping = true
-	took := r.world.Between(0, r.plant.Ledger.Bounds.Stop*95/100)
-	e.stopAt = r.world.After(took, func() {
-		if e.working && e.group != nil && e.group.step.Checkpoints && !e.hangs {
-			e.settle(r.world.now)
-			e.saved = checkpointText(e.record.Task, e.group.step.Gang, e.done)
+	e.isStopping = true
+	took := r.world.Between(0, r.groundTruth.History.Bounds.Stop*95/100)
+	e.stopTimer = r.world.After(took, func() {
+		if e.isWorking && e.group != nil && e.group.step.Checkpoints && !e.isHung {
+			e.advance(r.world.now)
+			e.checkpoint = formatCheckpoint(e.record.Task, e.group.step.Gang, e.doneMs)
 		}
-		r.end(e, protocol.EndStopped)
+		r.endRun(e, protocol.EndStopped)
 	})
 }
 
-// refuse lists a run as not started.
-func (r *Runner) refuse(task string, run uint64) {
-	r.list(task, run, protocol.EndRefused, "", nil)
-	r.barred[task] = max(r.barred[task], run)
-	r.tell()
+// reject lists a run as not started.
+func (r *Runner) reject(task string, run uint64) {
+	r.appendFinished(task, run, protocol.EndRefused, "", nil)
+	r.highestEnded[task] = max(r.highestEnded[task], run)
+	r.reportEnd()
 }
 
-func (r *Runner) list(task string, run uint64, how, saved string, record *Run) uint64 {
-	r.counter++
-	row := protocol.FinishedRun{N: r.counter, Task: task, Run: run, How: how, Saved: saved}
-	r.finished = append(r.finished, finishedEnd{row: row, record: record, lapses: len(r.instance.Lapses)})
-	return r.counter
+func (r *Runner) appendFinished(task string, run uint64, how, saved string, record *Run) uint64 {
+	r.endSequence++
+	row := protocol.FinishedRun{N: r.endSequence, Task: task, Run: run, How: how, Saved: saved}
+	r.finished = append(r.finished, finishedRun{row: row, record: record, leaseExpiries: len(r.incarnation.LeaseExpiries)})
+	return r.endSequence
 }
 
-// end ends a run on this runner and lists it.
-func (r *Runner) end(e *execution, how string) {
+// endProcess ends a run on this runner and lists it.
+func (r *Runner) endRun(e *execution, how string) {
 	position := slices.Index(r.active, e)
-	if position < 0 || r.instance == nil {
+	if position < 0 || r.incarnation == nil {
 		return
 	}
 	r.active = slices.Delete(r.active, position, position+1)
-	e.refreshSaved(r.world.now)
-	e.forget()
+	e.updateCheckpoint(r.world.now)
+	e.stopTimers()
 	record := e.record
-	record.Ended, record.How = r.world.now, how
-	saved := e.saved
+	record.Ended, record.EndReason = r.world.now, how
+	saved := e.checkpoint
 	if how == protocol.EndDone {
 		saved = ""
 		if e.group != nil {
-			r.plant.markDone(e.group, e.task)
+			r.groundTruth.completeTask(e.group, e.task)
 		}
 	}
-	record.N = r.list(record.Text, record.Run, how, saved, record)
-	r.barred[record.Text] = max(r.barred[record.Text], record.Run)
+	record.EndSequence = r.appendFinished(record.TaskText, record.Number, how, saved, record)
+	r.highestEnded[record.TaskText] = max(r.highestEnded[record.TaskText], record.Number)
 	if e.isGang() && how != protocol.EndDone {
-		r.plant.leaveGang(e)
+		r.groundTruth.leaveGang(e)
 	}
-	r.tell()
+	r.reportEnd()
 }
--- a/internal/cluster/simulation/trouble_front.go
+++ b/internal/cluster/simulation/trouble_front.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-func frontKinds() []TroubleKind {
-	return []TroubleKind{
+func frontendFaults() []FaultKind {
+	return []FaultKind{
 		{"front_cut", func(d *Deployment, lasts time.Duration) {
-			d.cutFromCore(Pick(d.World, d.Fronts), lasts)
+			d.partitionFromControls(Pick(d.World, d.Frontends), lasts)
 		}},
-		{"front_lags", (*Deployment).frontLags},
+		{"front_lags", (*Deployment).staleFrontend},
 	}
 }
 
-// frontLags leaves a frontend only one machine of the core, while a queue moves and others are added and dropped: where
+// staleFrontend leaves a frontend only one machine of the core, while a queue moves and others are added and dropped: where
 // that machine does not own the configuration but some shards, the frontend works on with a configuration that is long
 // replaced.
-func (d *Deployment) frontLags(lasts time.Duration) {
+func (d *Deployment) staleFrontend(lasts time.Duration) {
 	const least = 5 * time.Second // beyond any age that an answer may have
 	lasts = max(lasts, least)
-	front := Pick(d.World, d.Fronts)
-	left := Pick(d.World, d.Cores)
+	front := Pick(d.World, d.Frontends)
+	left := Pick(d.World, d.Controls)
 	var others []*Machine
-	for _, m := range d.Cores {
+	for _, m := range d.Controls {
 		if m != left {
 			others = append(others, m)
 		}
 	}
-	d.trouble(Trouble{From: d.World.now, To: d.World.now + lasts, Kind: "front_lags", Machines: []string{front.Name}})
-	d.cutLinks(front, others, lasts)
-	d.move()
+	d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "front_lags", Machines: []string{front.Name}})
+	d.partitionLinks(front, others, lasts)
+	d.moveRoute()
 	d.useNewQueue(lasts)
 	const counted = 16 // of which many were dropped a while ago
 	d.repeat(lasts, 400*time.Millisecond, func() { d.Operator.Change(nil) })
-	d.repeat(lasts, 50*time.Millisecond, func() { d.countOneOf(counted) })
+	d.repeat(lasts, 50*time.Millisecond, func() { d.queryRecentProbe(counted) })
 }
 
 // useNewQueue adds a queue and, once the operator knows that it is in force, hands jobs in to it for a time.
 func (d *Deployment) useNewQueue(lasts time.Duration) {
-	class := &Classes()[0]
+	class := &JobClasses()[0]
 	name := fmt.Sprintf("new-%d", d.World.now.Milliseconds())
 	until := d.World.now + lasts
 	var use func()
@@ -48,7 +48,7 @@
 		case d.World.now >= until:
 			return
 		case current != nil && current.route(name) != nil:
-			d.handIn(class, QueueName{ClientHost, "/" + name + "/"})
+			d.submitJob(class, QueueName{ClientHost, "/" + name + "/"})
 		default:
 			d.Operator.Change(AddQueue(name, class.Route))
 		}
--- a/internal/cluster/simulation/trouble_machine.go
+++ b/internal/cluster/simulation/trouble_machine.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// restartTime is how soon the platform starts a process again that was killed.
-const restartTime = 300 * time.Millisecond
+// restartDelay is how soon the platform starts a process again that was killed.
+const restartDelay = 300 * time.Millisecond
 
-func machineKinds() []TroubleKind {
-	return []TroubleKind{
+func machineFaults() []FaultKind {
+	return []FaultKind{
 		{"node_kill", func(d *Deployment, lasts time.Duration) {
-			for _, m := range d.someOuter(0.3) {
-				d.killMachine(m, restartTime+d.World.Between(0, lasts), d.World.Chance(0.5))
+			for _, m := range d.drawOuterMachines(0.3) {
+				d.killMachine(m, restartDelay+d.World.Between(0, lasts), d.World.Chance(0.5))
 			}
 		}},
 		{"node_freeze", func(d *Deployment, lasts time.Duration) {
-			for _, m := range d.someOuter(0.3) {
+			for _, m := range d.drawOuterMachines(0.3) {
 				d.freeze(m, lasts)
 			}
 		}},
 		{"node_slow", func(d *Deployment, lasts time.Duration) {
-			for _, m := range d.someOuter(0.3) {
-				d.slowMachine(m, lasts)
+			for _, m := range d.drawOuterMachines(0.3) {
+				d.slowDown(m, lasts)
 			}
 		}},
 		{"node_cut", func(d *Deployment, lasts time.Duration) {
-			for _, m := range d.someOuter(0.25) {
-				d.cutFromCore(m, lasts)
+			for _, m := range d.drawOuterMachines(0.25) {
+				d.partitionFromControls(m, lasts)
 			}
 		}},
 		{"servers_cut", func(d *Deployment, lasts time.Duration) {
-			for _, m := range d.someOuter(0.5) {
-				if m.Class == "side" {
-					d.cutFromCore(m, lasts)
+			for _, m := range d.drawOuterMachines(0.5) {
+				if m.Role == "side" {
+					d.partitionFromControls(m, lasts)
 				}
 			}
 		}},
 		{"herd_kill", func(d *Deployment, _ time.Duration) {
-			for _, m := range d.someOuter(0.6) {
-				d.killMachine(m, restartTime, false)
+			for _, m := range d.drawOuterMachines(0.6) {
+				d.killMachine(m, restartDelay, false)
 			}
 		}},
-		{"roll_term", (*Deployment).rollTerm},
+		{"roll_term", (*Deployment).restartInTurn},
 		{"reset_conns", func(d *Deployment, lasts time.Duration) {
-			d.trouble(Trouble{From: d.World.now, To: d.World.now + lasts, Kind: "reset_conns", Core: true})
+			d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "reset_conns", ControlPlane: true})
 			d.Network.Loss = 0.1
 			d.World.After(lasts, func() { d.Network.Loss = 0 })
 		}},
 		{"clock_step", func(d *Deployment, lasts time.Duration) {
-			for _, m := range append(d.someOuter(0.3), d.Cores...) {
+			for _, m := range append(d.drawOuterMachines(0.3), d.Controls...) {
 				if d.World.Chance(0.5) {
 					d.stepClock(m, lasts)
 				}
@@ -55,10 +55,10 @@
 	}
 }
 
-// someOuter draws a share of the machines outside the core, one at least.
-func (d *Deployment) someOuter(share float64) []*Machine {
+// drawOuterMachines draws a share of the machines outside the core, one at least.
+func (d *Deployment) drawOuterMachines(share float64) []*Machine {
 	var drawn []*Machine
-	for _, machines := range [][]*Machine{d.Fronts, d.Sides} {
+	for _, machines := range [][]*Machine{d.Frontends, d.AgentMachines} {
 		for _, m := range machines {
 			if m.up && d.World.Chance(share) {
 				drawn = append(drawn, m)
@@ -66,26 +66,26 @@
 		}
 	}
 	if len(drawn) == 0 {
-		drawn = append(drawn, Pick(d.World, d.Sides))
+		drawn = append(drawn, Pick(d.World, d.AgentMachines))
 	}
 	return drawn
 }
 
-func isCore(m *Machine) bool { return m.Class == "core" }
+func isControl(m *Machine) bool { return m.Role == "core" }
 
-// strike notes a trouble of one machine: of the core's, the moments at which it begins and ends disturb all.
-func (d *Deployment) strike(kind string, m *Machine, lasts time.Duration) {
+// recordMachineFault notes a trouble of one machine: of the core's, the moments at which it begins and ends disturb all.
+func (d *Deployment) recordMachineFault(kind string, m *Machine, lasts time.Duration) {
 	now := d.World.now
-	d.trouble(Trouble{From: now, To: now + lasts, Kind: kind, Machines: []string{m.Name}})
-	if !isCore(m) {
+	d.recordFault(Fault{From: now, To: now + lasts, Kind: kind, Machines: []string{m.Name}})
+	if !isControl(m) {
 		return
 	}
-	d.trouble(Trouble{From: now, To: now, Kind: kind, Core: true})
-	d.trouble(Trouble{From: now + lasts, To: now + lasts, Kind: kind, Core: true})
+	d.recordFault(Fault{From: now, To: now, Kind: kind, ControlPlane: true})
+	d.recordFault(Fault{From: now + lasts, To: now + lasts, Kind: kind, ControlPlane: true})
 }
 
 func (d *Deployment) killMachine(m *Machine, back time.Duration, power bool) {
-	d.strike("kill", m, back)
+	d.recordMachineFault("kill", m, back)
 	if power {
 		m.LosePower()
 	} else {
@@ -95,18 +95,18 @@
 }
 
 func (d *Deployment) freeze(m *Machine, lasts time.Duration) {
-	d.strike("freeze", m, lasts)
+	d.recordMachineFault("freeze", m, lasts)
 	m.Freeze()
-	life := m.life
+	life := m.incarnation
 	d.World.After(lasts, func() {
-		if m.life == life {
+		if m.incarnation == life {
 			m.Thaw()
 		}
 	})
 }
 
-func (d *Deployment) slowMachine(m *Machine, lasts time.Duration) {
-	d.trouble(Trouble{From: d.World.now, To: d.World.now + lasts, Kind: "slow", Machines: []string{m.Name}, Core: isCore(m)})
+func (d *Deployment) slowDown(m *Machine, lasts time.Duration) {
+	d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "slow", Machines: []string{m.Name}, ControlPlane: isControl(m)})
 	m.Lag = 40 * time.Millisecond
 	d.World.After(lasts, func() { m.Lag = 0 })
 }
@@ -114,20 +114,20 @@
 func (d *Deployment) stepClock(m *Machine, lasts time.Duration) {
 	now := d.World.now
 	step := d.World.Between(-5*time.Second, 5*time.Second)
-	d.trouble(Trouble{From: now, To: now, Kind: "clock", Machines: []string{m.Name}, Core: isCore(m), Clock: true})
-	d.trouble(Trouble{From: now + lasts, To: now + lasts, Kind: "clock", Machines: []string{m.Name}, Core: isCore(m), Clock: true})
+	d.recordFault(Fault{From: now, To: now, Kind: "clock", Machines: []string{m.Name}, ControlPlane: isControl(m), Clock: true})
+	d.recordFault(Fault{From: now + lasts, To: now + lasts, Kind: "clock", Machines: []string{m.Name}, ControlPlane: isControl(m), Clock: true})
 	m.SetClock(step)
 	d.World.After(lasts, func() { m.SetClock(0) })
 }
 
-// cutFromCore cuts a machine off from all core machines, one way or both.
-func (d *Deployment) cutFromCore(m *Machine, lasts time.Duration) {
-	d.trouble(Trouble{From: d.World.now, To: d.World.now + lasts, Kind: "cut", Machines: []string{m.Name}})
-	d.cutLinks(m, d.Cores, lasts)
+// partitionFromControls cuts a machine off from all core machines, one way or both.
+func (d *Deployment) partitionFromControls(m *Machine, lasts time.Duration) {
+	d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "cut", Machines: []string{m.Name}})
+	d.partitionLinks(m, d.Controls, lasts)
 }
 
-// cutLinks cuts the links between a machine and others for a time.
-func (d *Deployment) cutLinks(m *Machine, others []*Machine, lasts time.Duration) {
+// partitionLinks cuts the links between a machine and others for a time.
+func (d *Deployment) partitionLinks(m *Machine, others []*Machine, lasts time.Duration) {
 	way := d.World.Random.IntN(3)
 	others = append([]*Machine(nil), others...)
 	for _, other := range others {
@@ -135,10 +135,10 @@
 			continue
 		}
 		if way != 1 {
-			d.Network.Cut(m, other)
+			d.Network.Partition(m, other)
 		}
 		if way != 2 {
-			d.Network.Cut(other, m)
+			d.Network.Partition(other, m)
 		}
 	}
 	d.World.After(lasts, func() {
@@ -147,41 +147,41 @@
 				continue
 			}
 			if way != 1 {
-				d.Network.Join(m, other)
+				d.Network.Heal(m, other)
 			}
 			if way != 2 {
-				d.Network.Join(other, m)
+				d.Network.Heal(other, m)
 			}
 		}
 	})
 }
 
-// rollTerm stops machines in turn, in good order, and starts them again.
-func (d *Deployment) rollTerm(time.Duration) {
+// restartInTurn stops machines in turn, in good order, and starts them again.
+func (d *Deployment) restartInTurn(time.Duration) {
 	const gap = 1100 * time.Millisecond
-	machines := append(append([]*Machine{}, d.someOuter(0.4)...), Pick(d.World, d.Cores))
+	machines := append(append([]*Machine{}, d.drawOuterMachines(0.4)...), Pick(d.World, d.Controls))
 	d.World.Random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	for i, m := range machines {
-		d.World.After(time.Duration(i)*gap, func() { d.term(m) })
+		d.World.After(time.Duration(i)*gap, func() { d.terminate(m) })
 	}
 }
 
-func (d *Deployment) term(m *Machine) {
-	if !m.up || isCore(m) && !d.mayLose(m, restartTime+Grace) {
+func (d *Deployment) terminate(m *Machine) {
+	if !m.up || isControl(m) && !d.reserveLoss(m, restartDelay+Grace) {
 		return
 	}
-	d.strike("term", m, restartTime)
-	m.Leave()
-	life := m.life
+	d.recordMachineFault("term", m, restartDelay)
+	m.BeginShutdown()
+	life := m.incarnation
 	over := false
 	end := func() {
-		if over || m.life != life {
+		if over || m.incarnation != life {
 			return
 		}
 		over = true
 		m.Kill()
-		d.strike("term", m, restartTime)
-		d.World.After(restartTime, m.Boot)
+		d.recordMachineFault("term", m, restartDelay)
+		d.World.After(restartDelay, m.Boot)
 	}
 	d.World.After(Grace, end)
 	if d.Terminate == nil {
