--- a/internal/cluster/simulation/truth.go
+++ b/internal/cluster/simulation/truth.go
@@ -8,56 +8,56 @@
 
 // jobTruth is what a job's tasks really take: the clients know it, the scheduler doesn't.
 type jobTruth struct {
-	record   *JobRecord
-	due      []time.Duration // by time K: when it falls due
-	groups   map[groupName]*groupTruth
-	poisoned bool // its tasks fail whenever they are tried
-	left     int  // tasks not done
-	lastDone time.Duration
+	record      *JobRecord
+	due         []time.Duration // by time K: when it falls due
+	groups      map[groupName]*groupTruth
+	alwaysFails bool // its tasks fail whenever they are tried
+	remaining   int  // tasks not done
+	lastDone    time.Duration
 }
 
 // groupTruth is one step at one time.
 type groupTruth struct {
-	job     *jobTruth
-	name    groupName
-	step    *protocol.Step
-	tasks   []taskTruth
-	left    int
-	members map[uint64][]*execution // gang: those present, by run
+	job       *jobTruth
+	name      groupName
+	step      *protocol.Step
+	tasks     []taskTruth
+	remaining int
+	members   map[uint64][]*execution // gang: those present, by run
 }
 
 // taskTruth is one task.
 type taskTruth struct {
-	name    TaskName
-	workMs  float64 // on a runner of speed 1
-	faults  int     // of its first starts that fail by their own fault
-	started int
-	done    bool
+	name          TaskName
+	workMs        float64 // on a runner of speed 1
+	failingStarts int     // of its first starts that fail by their own fault
+	starts        int
+	done          bool
 }
 
-// Plant is the reality behind the runners: which tasks there are, what they take, and which members of gangs are there.
-type Plant struct {
-	World  *World
-	Ledger *Ledger
-	jobs   map[string]*jobTruth
+// GroundTruth is the reality behind the runners: which tasks there are, what they take, and which members of gangs are there.
+type GroundTruth struct {
+	World   *World
+	History *History
+	jobs    map[string]*jobTruth
 }
 
-// NewPlant returns a plant without jobs.
-func NewPlant(world *World, ledger *Ledger) *Plant {
-	return &Plant{World: world, Ledger: ledger, jobs: map[string]*jobTruth{}}
+// NewGroundTruth returns a plant without jobs.
+func NewGroundTruth(world *World, ledger *History) *GroundTruth {
+	return &GroundTruth{World: world, History: ledger, jobs: map[string]*jobTruth{}}
 }
 
 // Work says what a job's tasks take.
 type Work struct {
-	MeanMs   float64
-	Uneven   float64 // share by which tasks differ
-	Faults   float64 // share of tasks whose first start fails
-	Poisoned bool
+	MeanMs          float64
+	Spread          float64 // share by which tasks differ
+	FirstStartFails float64 // share of tasks whose first start fails
+	AlwaysFails     bool
 }
 
 // AddJob makes a job's tasks known to the runners.
-func (p *Plant) AddJob(record *JobRecord, work Work) {
-	job := &jobTruth{record: record, groups: map[groupName]*groupTruth{}, poisoned: work.Poisoned, lastDone: Never}
+func (p *GroundTruth) AddJob(record *JobRecord, work Work) {
+	job := &jobTruth{record: record, groups: map[groupName]*groupTruth{}, alwaysFails: work.AlwaysFails, lastDone: Never}
 	times := max(1, record.Spec.Repetitions)
 	for k := range times {
 		job.due = append(job.due, dueAt(&record.Spec, k))
@@ -78,28 +78,28 @@
 
 func (j *jobTruth) addGroup(w *World, name groupName, work Work) {
 	step := &j.record.Spec.Steps[name.Step]
-	group := &groupTruth{job: j, name: name, step: step, left: step.Count, tasks: make([]taskTruth, step.Count)}
+	group := &groupTruth{job: j, name: name, step: step, remaining: step.Count, tasks: make([]taskTruth, step.Count)}
 	if step.Gang {
 		group.members = map[uint64][]*execution{}
 	}
-	shared := work.MeanMs * (1 + work.Uneven*(2*w.Random.Float64()-1))
+	shared := work.MeanMs * (1 + work.Spread*(2*w.Random.Float64()-1))
 	for i := range group.tasks {
 		task := &group.tasks[i]
 		task.name = TaskName{name.Job, name.Time, name.Step, i}
 		task.workMs = shared
 		if !step.Gang {
-			task.workMs = work.MeanMs * (1 + work.Uneven*(2*w.Random.Float64()-1))
+			task.workMs = work.MeanMs * (1 + work.Spread*(2*w.Random.Float64()-1))
 		}
-		if w.Chance(work.Faults) {
-			task.faults = 1
+		if w.Chance(work.FirstStartFails) {
+			task.failingStarts = 1
 		}
 	}
 	j.groups[name] = group
-	j.left += step.Count
+	j.remaining += step.Count
 }
 
 // find returns a task and its group, or nil if no client sent it.
-func (p *Plant) find(name TaskName) (*groupTruth, *taskTruth) {
+func (p *GroundTruth) find(name TaskName) (*groupTruth, *taskTruth) {
 	job := p.jobs[name.Job]
 	if job == nil {
 		return nil, nil
@@ -112,42 +112,42 @@
 }
 
 // Finished tells whether every task of a job has ended done, and since when.
-func (p *Plant) Finished(id string) (bool, time.Duration) {
+func (p *GroundTruth) Finished(id string) (bool, time.Duration) {
 	job := p.jobs[id]
-	if job == nil || job.left > 0 {
+	if job == nil || job.remaining > 0 {
 		return false, Never
 	}
 	return true, job.lastDone
 }
 
-// markDone notes that a task has ended done; for a gang, all of it.
-func (p *Plant) markDone(group *groupTruth, task *taskTruth) {
+// completeTask notes that a task has ended done; for a gang, all of it.
+func (p *GroundTruth) completeTask(group *groupTruth, task *taskTruth) {
 	if !group.step.Gang {
-		p.markOne(group, task)
+		p.complete(group, task)
 		return
 	}
 	for i := range group.tasks {
-		p.markOne(group, &group.tasks[i])
+		p.complete(group, &group.tasks[i])
 	}
 }
 
-func (p *Plant) markOne(group *groupTruth, task *taskTruth) {
+func (p *GroundTruth) complete(group *groupTruth, task *taskTruth) {
 	if task.done || group.step.LongRunning {
 		return
 	}
 	task.done = true
-	group.left--
-	group.job.left--
+	group.remaining--
+	group.job.remaining--
 	group.job.lastDone = p.World.now
 }
 
-// ready tells whether the turn of a group has come by now.
-func (g *groupTruth) ready(now time.Duration) bool {
+// isDue tells whether the turn of a group has come by now.
+func (g *groupTruth) isDue(now time.Duration) bool {
 	if now < g.job.due[g.name.Time] {
 		return false
 	}
 	for _, s := range g.step.DependsOn {
-		if before := g.job.groups[groupName{g.name.Job, g.name.Time, s}]; before == nil || before.left > 0 {
+		if before := g.job.groups[groupName{g.name.Job, g.name.Time, s}]; before == nil || before.remaining > 0 {
 			return false
 		}
 	}
--- a/internal/cluster/simulation/world.go
+++ b/internal/cluster/simulation/world.go
@@ -12,11 +12,11 @@
 // World is virtual time: events in the order of their times, and one seeded source of luck. Nothing in it runs at the
 // same time as anything else.
 type World struct {
-	Random *rand.Rand
-	seed   uint64
-	now    time.Duration
-	queue  eventQueue
-	order  uint64
+	Random    *rand.Rand
+	seed      uint64
+	now       time.Duration
+	queue     eventQueue
+	lastOrder uint64
 }
 
 // NewWorld returns a world at time 0. Worlds of the same seed that are given the same calls run the same.
@@ -25,8 +25,8 @@
 	return &World{Random: rand.New(rand.NewPCG(seed, stream)), seed: seed}
 }
 
-// stream returns a source of luck of its own for what has that name.
-func (w *World) stream(name string) *rand.Rand {
+// newStream returns a source of luck of its own for what has that name.
+func (w *World) newStream(name string) *rand.Rand {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return rand.New(rand.NewPCG(w.seed, hash.Sum64()))
@@ -51,21 +51,21 @@
 	}
 }
 
-// Pending tells whether the event is still to come.
+// CountPending tells whether the event is still to come.
 func (t *Timer) Pending() bool { return t != nil && t.call != nil }
 
 // At calls f at a time; one that has passed means now, after what was asked for earlier.
 func (w *World) At(at time.Duration, f func()) *Timer {
-	w.order++
+	w.lastOrder++
 	timer := &Timer{at: max(at, w.now), call: f}
-	w.queue.push(queued{at: timer.at, order: w.order, timer: timer})
+	w.queue.push(queued{at: timer.at, order: w.lastOrder, timer: timer})
 	return timer
 }
 
 // After calls f once d has passed.
 func (w *World) After(d time.Duration, f func()) *Timer { return w.At(w.now+d, f) }
 
-// Run plays all events up to a time and stops there.
+// Number plays all events up to a time and stops there.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		timer := w.queue.pop()
