--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -41,7 +41,7 @@
 	*History
 	found      []Violation
 	byTask     map[TaskName][]*Run
-	byGroup    map[groupName][]*Run
+	byStep     map[stepName][]*Run
 	byRunner   map[*RunnerIncarnation][]*Run
 	byJob      map[string][]*Run
 	clocksJump bool
@@ -50,11 +50,11 @@
 
 // Audit returns the rules that a ledger breaks, in order of time.
 func Audit(ledger *History) []Violation {
-	a := &auditor{History: ledger, byTask: map[TaskName][]*Run{}, byGroup: map[groupName][]*Run{},
+	a := &auditor{History: ledger, byTask: map[TaskName][]*Run{}, byStep: map[stepName][]*Run{},
 		byRunner: map[*RunnerIncarnation][]*Run{}, byJob: map[string][]*Run{}}
 	for _, run := range ledger.Runs {
 		a.byTask[run.Task] = append(a.byTask[run.Task], run)
-		a.byGroup[run.Task.group()] = append(a.byGroup[run.Task.group()], run)
+		a.byStep[run.Task.step()] = append(a.byStep[run.Task.step()], run)
 		a.byRunner[run.Runner] = append(a.byRunner[run.Runner], run)
 		a.byJob[run.Task.Job] = append(a.byJob[run.Task.Job], run)
 	}
@@ -98,7 +98,7 @@
 // stepOf returns the job and the step of a task, or nil if no client sent it.
 func (a *auditor) stepOf(task TaskName) (*JobRecord, *protocol.Step) {
 	job := a.Jobs[task.Job]
-	if job == nil || task.Step >= len(job.Spec.Steps) || task.Time >= max(1, job.Spec.Repetitions) {
+	if job == nil || task.Step >= len(job.Spec.Steps) || task.Repetition >= max(1, job.Spec.Repetitions) {
 		return nil, nil
 	}
 	step := &job.Spec.Steps[task.Step]
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -77,7 +77,7 @@
 // runsSharingEnd are the runs whose end done ends the task: for a gang, those of all members.
 func (a *auditor) runsSharingEnd(run *Run, step *protocol.Step) []*Run {
 	if step.Gang {
-		return a.byGroup[run.Task.group()]
+		return a.byStep[run.Task.step()]
 	}
 	return a.byTask[run.Task]
 }
@@ -107,7 +107,7 @@
 func (a *auditor) isDoneBy(task TaskName, step *protocol.Step, at time.Duration) bool {
 	runs := a.byTask[task]
 	if step.Gang {
-		runs = a.byGroup[task.group()]
+		runs = a.byStep[task.step()]
 	}
 	return slices.ContainsFunc(runs, func(r *Run) bool { return r.EndReason == protocol.EndDone && r.Ended <= at })
 }
@@ -117,7 +117,7 @@
 	for _, before := range step.DependsOn {
 		earlier := &job.Spec.Steps[before]
 		for i := range earlier.Count {
-			task := TaskName{run.Task.Job, run.Task.Time, before, i}
+			task := TaskName{run.Task.Job, run.Task.Repetition, before, i}
 			if !a.isDoneBy(task, earlier, run.Started) {
 				a.violated(RuleOrder, run.Started, "%s run %d started before %s ended done", run.TaskText, run.Number, task)
 				return
@@ -131,7 +131,7 @@
 	if a.clocksJump {
 		slack += 5 * time.Second
 	}
-	if due := dueAt(&job.Spec, run.Task.Time); run.Started < due-slack {
+	if due := dueAt(&job.Spec, run.Task.Repetition); run.Started < due-slack {
 		a.violated(RuleOrder, run.Started, "%s run %d started, it falls due at %v", run.TaskText, run.Number, due)
 	}
 }
@@ -154,7 +154,7 @@
 	}
 	count := 1
 	for _, other := range a.concurrentWith(run) {
-		if other.Task.group() == run.Task.group() {
+		if other.Task.step() == run.Task.step() {
 			count++
 		}
 	}
@@ -192,7 +192,7 @@
 	if !step.Gang {
 		return
 	}
-	for _, other := range a.byGroup[run.Task.group()] {
+	for _, other := range a.byStep[run.Task.step()] {
 		if other == run {
 			break
 		}
--- a/internal/cluster/simulation/audit_test.go
+++ b/internal/cluster/simulation/audit_test.go
@@ -141,7 +141,7 @@
 		Entry("ORDER: the second time before its own", RuleOrder, func(p *historyBuilder) {
 			p.submitted.Spec.Repetitions, p.submitted.Spec.FirstRunMs, p.submitted.Spec.IntervalMs = 2, EpochMs+2000, 1000
 			run := p.run(p.first, 0, 0, 1, 2, 2.5, protocol.EndDone)
-			run.Task.Time = 1
+			run.Task.Repetition = 1
 			run.TaskText = run.Task.String()
 		}),
 
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -20,7 +20,7 @@
 type runnerConn struct {
 	shell   *shell
 	request uint64 // that its effects belong to
-	runner  *simulation.RunnerConnection
+	runner  *simulation.InvocationConn
 
 	incoming   chan []byte   // what the runner has sent
 	unread     []byte        // taken from incoming, by the one reader
--- a/internal/cluster/simulation/execution.go
+++ b/internal/cluster/simulation/execution.go
@@ -10,7 +10,7 @@
 type execution struct {
 	runner          *Runner
 	record          *Run
-	group           *groupTruth // nil: a task that nobody sent
+	step            *stepTruth // nil: a task that nobody sent
 	task            *taskTruth
 	isStopping      bool
 	isWorking       bool
@@ -43,7 +43,7 @@
 
 // updateCheckpoint renews the checkpoint for each save interval of work that has passed.
 func (e *execution) updateCheckpoint(now time.Duration) {
-	if !e.isWorking || e.group == nil || !e.group.step.Checkpoints || e.isHung {
+	if !e.isWorking || e.step == nil || !e.step.spec.Checkpoints || e.isHung {
 		return
 	}
 	every := e.runner.groundTruth.History.Bounds.Save
@@ -54,7 +54,7 @@
 	e.advance(now)
 	e.checkpointsMade = saves
 	behind := (now - e.workStarted) - time.Duration(saves)*every
-	e.checkpoint = formatCheckpoint(e.record.Task, e.group.step.Gang, max(0, e.doneMs-float64(behind)/milliseconds*e.rate))
+	e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, max(0, e.doneMs-float64(behind)/milliseconds*e.rate))
 }
 
 // startRun sets an execution to work, at a rate against its nominal one.
@@ -89,11 +89,11 @@
 	e.endTimer = e.runner.world.At(max(now, e.workStarted)+max(0, left), func() { e.finishWork() })
 }
 
-func (e *execution) isGang() bool { return e.group != nil && e.group.step.Gang }
+func (e *execution) isGang() bool { return e.step != nil && e.step.spec.Gang }
 
 // isGangLeader tells whether this member's timer ends the gang's work for all.
 func (e *execution) isGangLeader() bool {
-	members := e.group.members[e.record.Number]
+	members := e.step.members[e.record.Number]
 	return len(members) > 0 && members[0] == e
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	if e.isGang() {
-		e.runner.groundTruth.completeGang(e.group, e.record.Number)
+		e.runner.groundTruth.completeGang(e.step, e.record.Number)
 		return
 	}
 	e.runner.endRun(e, protocol.EndDone)
@@ -124,7 +124,7 @@
 // percent is how far the task is, as it is listed.
 func (e *execution) percent(now time.Duration) float64 {
 	e.advance(now)
-	if e.group == nil || e.group.step.LongRunning || e.totalMs <= 0 {
+	if e.step == nil || e.step.spec.LongRunning || e.totalMs <= 0 {
 		return 0
 	}
 	return float64(int(e.doneMs / e.totalMs * 100))
--- a/internal/cluster/simulation/gang.go
+++ b/internal/cluster/simulation/gang.go
@@ -9,15 +9,15 @@
 
 // scheduleDelivery counts a member of a gang as present; once all of a run are there, they work.
 func (p *GroundTruth) joinGang(e *execution) {
-	group, run := e.group, e.record.Number
+	group, run := e.step, e.record.Number
 	group.members[run] = append(group.members[run], e)
 	present := group.members[run]
-	if len(present) < group.step.Count {
+	if len(present) < group.spec.Count {
 		e.gangTimer = p.World.After(p.History.Bounds.Gang, func() { e.runner.endRun(e, protocol.EndAlone) })
 		return
 	}
 	far := 1.0
-	if group.step.RackLocal && !oneRack(present) {
+	if group.spec.RackLocal && !oneRack(present) {
 		far = p.History.Bounds.Far
 	}
 	slowest, hangs := present[0].runner.speed(), false
@@ -43,7 +43,7 @@
 }
 
 // completeGang ends all members of a run done, together.
-func (p *GroundTruth) completeGang(group *groupTruth, run uint64) {
+func (p *GroundTruth) completeGang(group *stepTruth, run uint64) {
 	members := group.members[run]
 	delete(group.members, run)
 	for _, member := range members {
@@ -53,7 +53,7 @@
 
 // leaveGang takes a member out whose run is over; if it worked, or the others waited for it, they end broken.
 func (p *GroundTruth) leaveGang(e *execution) {
-	group, run := e.group, e.record.Number
+	group, run := e.step, e.record.Number
 	members, there := group.members[run]
 	if !there {
 		return
--- a/internal/cluster/simulation/ground_truth.go
+++ b/internal/cluster/simulation/ground_truth.go
@@ -10,17 +10,17 @@
 type jobTruth struct {
 	record      *JobRecord
 	due         []time.Duration // by time K: when it falls due
-	groups      map[groupName]*groupTruth
+	steps       map[stepName]*stepTruth
 	alwaysFails bool // its tasks fail whenever they are tried
 	remaining   int  // tasks not done
 	lastDone    time.Duration
 }
 
-// groupTruth is one step at one time.
-type groupTruth struct {
+// stepTruth is one step at one time.
+type stepTruth struct {
 	job       *jobTruth
-	name      groupName
-	step      *protocol.Step
+	name      stepName
+	spec      *protocol.Step
 	tasks     []taskTruth
 	remaining int
 	members   map[uint64][]*execution // gang: those present, by run
@@ -57,12 +57,12 @@
 
 // AddJob makes a job's tasks known to the runners.
 func (p *GroundTruth) AddJob(record *JobRecord, work Work) {
-	job := &jobTruth{record: record, groups: map[groupName]*groupTruth{}, alwaysFails: work.AlwaysFails, lastDone: Never}
+	job := &jobTruth{record: record, steps: map[stepName]*stepTruth{}, alwaysFails: work.AlwaysFails, lastDone: Never}
 	times := max(1, record.Spec.Repetitions)
 	for k := range times {
 		job.due = append(job.due, dueAt(&record.Spec, k))
 		for s := range record.Spec.Steps {
-			job.addGroup(p.World, groupName{record.ID, k, s}, work)
+			job.addStep(p.World, stepName{record.ID, k, s}, work)
 		}
 	}
 	p.jobs[record.ID] = job
@@ -76,16 +76,16 @@
 	return time.Duration(spec.FirstRunMs+int64(k)*spec.IntervalMs-EpochMs) * time.Millisecond
 }
 
-func (j *jobTruth) addGroup(w *World, name groupName, work Work) {
+func (j *jobTruth) addStep(w *World, name stepName, work Work) {
 	step := &j.record.Spec.Steps[name.Step]
-	group := &groupTruth{job: j, name: name, step: step, remaining: step.Count, tasks: make([]taskTruth, step.Count)}
+	group := &stepTruth{job: j, name: name, spec: step, remaining: step.Count, tasks: make([]taskTruth, step.Count)}
 	if step.Gang {
 		group.members = map[uint64][]*execution{}
 	}
 	shared := work.MeanMs * (1 + work.Spread*(2*w.Random.Float64()-1))
 	for i := range group.tasks {
 		task := &group.tasks[i]
-		task.name = TaskName{name.Job, name.Time, name.Step, i}
+		task.name = TaskName{name.Job, name.Repetition, name.Step, i}
 		task.workMs = shared
 		if !step.Gang {
 			task.workMs = work.MeanMs * (1 + work.Spread*(2*w.Random.Float64()-1))
@@ -94,17 +94,17 @@
 			task.failingStarts = 1
 		}
 	}
-	j.groups[name] = group
+	j.steps[name] = group
 	j.remaining += step.Count
 }
 
 // find returns a task and its group, or nil if no client sent it.
-func (p *GroundTruth) find(name TaskName) (*groupTruth, *taskTruth) {
+func (p *GroundTruth) find(name TaskName) (*stepTruth, *taskTruth) {
 	job := p.jobs[name.Job]
 	if job == nil {
 		return nil, nil
 	}
-	group := job.groups[name.group()]
+	group := job.steps[name.step()]
 	if group == nil || name.Index >= len(group.tasks) {
 		return nil, nil
 	}
@@ -121,8 +121,8 @@
 }
 
 // completeTask notes that a task has ended done; for a gang, all of it.
-func (p *GroundTruth) completeTask(group *groupTruth, task *taskTruth) {
-	if !group.step.Gang {
+func (p *GroundTruth) completeTask(group *stepTruth, task *taskTruth) {
+	if !group.spec.Gang {
 		p.complete(group, task)
 		return
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-func (p *GroundTruth) complete(group *groupTruth, task *taskTruth) {
-	if task.done || group.step.LongRunning {
+func (p *GroundTruth) complete(group *stepTruth, task *taskTruth) {
+	if task.done || group.spec.LongRunning {
 		return
 	}
 	task.done = true
@@ -142,12 +142,12 @@
 }
 
 // isDue tells whether the turn of a group has come by now.
-func (g *groupTruth) isDue(now time.Duration) bool {
-	if now < g.job.due[g.name.Time] {
+func (g *stepTruth) isDue(now time.Duration) bool {
+	if now < g.job.due[g.name.Repetition] {
 		return false
 	}
-	for _, s := range g.step.DependsOn {
-		if before := g.job.groups[groupName{g.name.Job, g.name.Time, s}]; before == nil || before.remaining > 0 {
+	for _, s := range g.spec.DependsOn {
+		if before := g.job.steps[stepName{g.name.Job, g.name.Repetition, s}]; before == nil || before.remaining > 0 {
 			return false
 		}
 	}
--- a/internal/cluster/simulation/history.go
+++ b/internal/cluster/simulation/history.go
@@ -11,10 +11,10 @@
 
 // TaskName is a task's name in parts.
 type TaskName struct {
-	Job   string
-	Time  int
-	Step  int
-	Index int
+	Job        string
+	Repetition int
+	Step       int
+	Index      int
 }
 
 // Number is one start, as its runner saw it.
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -210,12 +210,12 @@
 func (r *Runner) used() protocol.Resources {
 	var sum protocol.Resources
 	for _, e := range r.active {
-		if e.group == nil {
+		if e.step == nil {
 			continue
 		}
-		sum.CPU += e.group.step.CPU
-		sum.MemoryMB += e.group.step.MemoryMB
-		sum.GPU += e.group.step.GPU
+		sum.CPU += e.step.spec.CPU
+		sum.MemoryMB += e.step.spec.MemoryMB
+		sum.GPU += e.step.spec.GPU
 	}
 	return sum
 }
--- a/internal/cluster/simulation/runner_invocation.go
+++ b/internal/cluster/simulation/runner_invocation.go
@@ -42,23 +42,23 @@
 	Finished []protocol.FinishedRun `json:"finished,omitempty"`
 }
 
-// RunnerConnection is a connection to one incarnation of a runner that is called.
-type RunnerConnection struct {
+// InvocationConn is a connection to one incarnation of a runner that is called.
+type InvocationConn struct {
 	runner      *Runner
 	incarnation *RunnerIncarnation
 }
 
 // Connect connects to the present incarnation; reset is called when it ends. It returns nil if the runner is down.
-func (r *Runner) Connect(reset func()) *RunnerConnection {
+func (r *Runner) Connect(reset func()) *InvocationConn {
 	if r.incarnation == nil {
 		return nil
 	}
 	r.resets = append(r.resets, reset)
-	return &RunnerConnection{runner: r, incarnation: r.incarnation}
+	return &InvocationConn{runner: r, incarnation: r.incarnation}
 }
 
 // Call hands a call over. reply is called at most once, and not if the incarnation ends before.
-func (c *RunnerConnection) Call(path string, body []byte, reply func(status int, body []byte)) {
+func (c *InvocationConn) Call(path string, body []byte, reply func(status int, body []byte)) {
 	r := c.runner
 	if r.incarnation != c.incarnation {
 		return
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -26,14 +26,14 @@
 	if !readable || r.highestEnded[order.Task] >= order.Run {
 		return rejectedOld
 	}
-	if r.EnforcesCapacity && group != nil && !r.fits(group.step) {
+	if r.EnforcesCapacity && group != nil && !r.fits(group.spec) {
 		r.incarnation.Rejected++
 		return rejectedCapacity
 	}
 	record := &Run{TaskText: order.Task, Task: name, Number: order.Run, Runner: r.incarnation, Sent: sent, Started: r.world.now,
 		Spec: order.Spec, Checkpoint: order.Saved, Ended: Never, Acknowledged: Never}
 	r.groundTruth.History.Runs = append(r.groundTruth.History.Runs, record)
-	e := &execution{runner: r, record: record, group: group, task: task, checkpoint: order.Saved, doneAsOf: r.world.now}
+	e := &execution{runner: r, record: record, step: group, task: task, checkpoint: order.Saved, doneAsOf: r.world.now}
 	r.active = append(r.active, e)
 	r.prepare(e)
 	if r.leaseExpiry <= r.world.now {
@@ -44,13 +44,13 @@
 
 // prepare decides what a run will come to and sets it to work.
 func (r *Runner) prepare(e *execution) {
-	if e.group == nil {
+	if e.step == nil {
 		e.totalMs = 1000
 		e.beginWork(1)
 		return
 	}
 	e.totalMs = e.task.workMs
-	if done, ok := parseCheckpoint(e.record.Task, e.group.step.Gang, e.record.Checkpoint); ok {
+	if done, ok := parseCheckpoint(e.record.Task, e.step.spec.Gang, e.record.Checkpoint); ok {
 		e.doneMs = min(done, e.totalMs)
 	}
 	e.task.starts++
@@ -60,7 +60,7 @@
 		return
 	}
 	far := 1.0
-	if e.group.step.Affinity != "" && e.group.step.Affinity != r.Rack {
+	if e.step.spec.Affinity != "" && e.step.spec.Affinity != r.Rack {
 		far = r.groundTruth.History.Bounds.Far
 	}
 	e.beginWork(far)
@@ -70,7 +70,7 @@
 func (r *Runner) drawOutcome(e *execution) {
 	w := r.world
 	left := e.totalMs - e.doneMs
-	if e.group.step.LongRunning {
+	if e.step.spec.LongRunning {
 		e.totalMs = float64(w.Exponential(20*time.Second)) / milliseconds
 		e.willFail = w.Chance(0.5)
 		e.failsAtMs = e.totalMs
@@ -82,7 +82,7 @@
 		e.failsAtMs = e.doneMs + min(left, 20+200*w.Random.Float64())
 	case w.Chance(r.hangFraction):
 		e.isHung = true
-	case e.group.job.alwaysFails || e.task.starts <= e.task.failingStarts:
+	case e.step.job.alwaysFails || e.task.starts <= e.task.failingStarts:
 		e.willFail = true
 		e.failsAtMs = e.doneMs + left*w.Random.Float64()
 	}
@@ -112,9 +112,9 @@
 	e.isStopping = true
 	took := r.world.Between(0, r.groundTruth.History.Bounds.Stop*95/100)
 	e.stopTimer = r.world.After(took, func() {
-		if e.isWorking && e.group != nil && e.group.step.Checkpoints && !e.isHung {
+		if e.isWorking && e.step != nil && e.step.spec.Checkpoints && !e.isHung {
 			e.advance(r.world.now)
-			e.checkpoint = formatCheckpoint(e.record.Task, e.group.step.Gang, e.doneMs)
+			e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, e.doneMs)
 		}
 		r.endRun(e, protocol.EndStopped)
 	})
@@ -148,8 +148,8 @@
 	saved := e.checkpoint
 	if how == protocol.EndDone {
 		saved = ""
-		if e.group != nil {
-			r.groundTruth.completeTask(e.group, e.task)
+		if e.step != nil {
+			r.groundTruth.completeTask(e.step, e.task)
 		}
 	}
 	record.EndSequence = r.appendFinished(record.TaskText, record.Number, how, saved, record)
--- a/internal/cluster/simulation/scenario.go
+++ b/internal/cluster/simulation/scenario.go
@@ -195,7 +195,7 @@
 	}
 	for k := range truth.due {
 		for s := range job.Spec.Steps {
-			group := truth.groups[groupName{job.ID, k, s}]
+			group := truth.steps[stepName{job.ID, k, s}]
 			if group.remaining > 0 && group.isDue(d.World.now) && d.hasAmpleCapacity(job, group) {
 				return true
 			}
@@ -206,11 +206,11 @@
 
 // hasAmpleCapacity tells whether twice what a group may start with has room now on runners of the job's service, and less than
 // half of the service's capacity is in use.
-func (d *Deployment) hasAmpleCapacity(job *JobRecord, group *groupTruth) bool {
+func (d *Deployment) hasAmpleCapacity(job *JobRecord, group *stepTruth) bool {
 	service := d.serviceOfJob(job)
 	wanted := 2
-	if group.step.Gang {
-		wanted = 2 * group.step.Count
+	if group.spec.Gang {
+		wanted = 2 * group.spec.Count
 	}
 	var used, capacity int64
 	room := 0
@@ -221,10 +221,10 @@
 		use := runner.used()
 		used += use.CPU
 		capacity += runner.Capacity.CPU
-		if group.step.Requirements != "" && group.step.Requirements != runner.Kind {
+		if group.spec.Requirements != "" && group.spec.Requirements != runner.Kind {
 			continue
 		}
-		room += tasksThatFit(runner.Capacity, use, group.step)
+		room += tasksThatFit(runner.Capacity, use, group.spec)
 	}
 	return room >= wanted && used*2 < capacity
 }
--- a/internal/cluster/simulation/task_name.go
+++ b/internal/cluster/simulation/task_name.go
@@ -8,7 +8,7 @@
 
 // String returns the name as runners get it.
 func (t TaskName) String() string {
-	return t.Job + "." + strconv.Itoa(t.Time) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
+	return t.Job + "." + strconv.Itoa(t.Repetition) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
 // ParseTaskName reads a task's name.
@@ -18,7 +18,7 @@
 		return TaskName{}, false
 	}
 	name := TaskName{Job: parts[0]}
-	for i, field := range []*int{&name.Time, &name.Step, &name.Index} {
+	for i, field := range []*int{&name.Repetition, &name.Step, &name.Index} {
 		value, err := strconv.Atoi(parts[i+1])
 		if err != nil || value < 0 {
 			return TaskName{}, false
@@ -28,14 +28,14 @@
 	return name, true
 }
 
-// groupName is a step of a job at one time.
-type groupName struct {
-	Job  string
-	Time int
-	Step int
+// stepName is a step of a job at one time.
+type stepName struct {
+	Job        string
+	Repetition int
+	Step       int
 }
 
-func (t TaskName) group() groupName { return groupName{t.Job, t.Time, t.Step} }
+func (t TaskName) step() stepName { return stepName{t.Job, t.Repetition, t.Step} }
 
 // formatCheckpoint is what a task (a gang for all its members) has saved.
 func formatCheckpoint(task TaskName, gang bool, doneMs float64) string {
@@ -43,7 +43,7 @@
 	if gang {
 		index = "all"
 	}
-	return fmt.Sprintf("%s/%d/%d/%s@%.1f", task.Job, task.Time, task.Step, index, doneMs)
+	return fmt.Sprintf("%s/%d/%d/%s@%.1f", task.Job, task.Repetition, task.Step, index, doneMs)
 }
 
 // parseCheckpoint returns the work that a checkpoint of a task holds.
