--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Names of the rules.
+// Names of the scheduler's rules, as the users' bench has them.
 const (
 	RuleLimit   = "LIMIT"
 	RuleTwice   = "TWICE"
@@ -23,20 +23,20 @@
 	RuleLost    = "LOST"
 	RuleConfig  = "CONFIG"
 	RuleRecover = "RECOVER"
-	RuleAcks    = "ACKS" // the gate's, on orders of the operator
+	RuleAcks    = "ACKS" // the bench's gate on the operator's changes
 )
 
-// Violation is one broken rule.
+// Violation is a place where a history breaks a rule.
 type Violation struct {
 	Rule string
 	At   time.Duration
 	What string
 }
 
-// String returns the violation in one line.
+// String returns the violation as one line.
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.What) }
 
-// auditor holds a ledger against the rules. It goes by the ledger alone.
+// auditor checks a history against the rules. It knows nothing but the history.
 type auditor struct {
 	*History
 	found      []Violation
@@ -44,27 +44,25 @@
 	byStep     map[stepName][]*Run
 	byRunner   map[*RunnerIncarnation][]*Run
 	byJob      map[string][]*Run
-	clocksJump bool
-	candidates []*ConfigurationRecord // that may be or have been
+	clocksStep bool
+	candidates []*ConfigurationRecord // see possiblyInForce
 }
 
-// Audit returns the rules that a ledger breaks, in order of time.
-func Audit(ledger *History) []Violation {
-	a := &auditor{History: ledger, byTask: map[TaskName][]*Run{}, byStep: map[stepName][]*Run{},
+// Audit returns the violations of the rules in a history, in the order of their times.
+func Audit(history *History) []Violation {
+	a := &auditor{History: history, byTask: map[TaskName][]*Run{}, byStep: map[stepName][]*Run{},
 		byRunner: map[*RunnerIncarnation][]*Run{}, byJob: map[string][]*Run{}}
-	for _, run := range ledger.Runs {
+	for _, run := range history.Runs {
 		a.byTask[run.Task] = append(a.byTask[run.Task], run)
 		a.byStep[run.Task.step()] = append(a.byStep[run.Task.step()], run)
 		a.byRunner[run.Runner] = append(a.byRunner[run.Runner], run)
 		a.byJob[run.Task.Job] = append(a.byJob[run.Task.Job], run)
 	}
-	for _, t := range ledger.Faults {
-		a.clocksJump = a.clocksJump || t.Clock
-	}
-	for _, run := range ledger.Runs {
+	a.clocksStep = slices.ContainsFunc(history.Faults, func(f Fault) bool { return f.Clock })
+	for _, run := range history.Runs {
 		a.checkRun(run)
 	}
-	for _, job := range ledger.JobOrder {
+	for _, job := range history.JobOrder {
 		a.checkJob(job)
 	}
 	a.checkConfiguration()
@@ -73,29 +71,12 @@
 	return a.found
 }
 
+// violated records a violation.
 func (a *auditor) violated(rule string, at time.Duration, format string, args ...any) {
 	a.found = append(a.found, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
 }
 
-// checkRun holds one start against the rules on starts.
-func (a *auditor) checkRun(run *Run) {
-	job, step := a.stepOf(run.Task)
-	if step == nil {
-		a.violated(RuleUnasked, run.Started, "%s started on %s, nobody sent it", run.TaskText, run.Runner.Instance)
-		return
-	}
-	a.checkSubmitted(run, job, step)
-	a.checkLimit(run, step)
-	a.checkTwice(run, job, step)
-	a.checkOrder(run, job, step)
-	a.checkRoute(run, job, step)
-	a.checkBudget(run, job, step)
-	a.checkGang(run, job, step)
-	a.checkCancelled(run, job)
-	a.checkDrain(run)
-}
-
-// stepOf returns the job and the step of a task, or nil if no client sent it.
+// stepOf returns the job and the step of a task, or nil if no client submitted it.
 func (a *auditor) stepOf(task TaskName) (*JobRecord, *protocol.Step) {
 	job := a.Jobs[task.Job]
 	if job == nil || task.Step >= len(job.Spec.Steps) || task.Repetition >= max(1, job.Spec.Repetitions) {
@@ -108,33 +89,35 @@
 	return job, step
 }
 
-// isInTouch tells whether a machine is in touch: no trouble of its own or of the core lately.
+// isInTouch reports whether a machine is in touch with the control processes at a time: no fault of the machine or the
+// control plane is near.
 func (a *auditor) isInTouch(machine string, at time.Duration) bool {
-	return !a.anyFault(at-a.Bounds.Contact, at, func(t *Fault) bool {
-		return t.ControlPlane || slices.Contains(t.Machines, machine)
+	return !a.anyFault(at-a.Bounds.Contact, at, func(f *Fault) bool {
+		return f.ControlPlane || slices.Contains(f.Machines, machine)
 	})
 }
 
-// isCalm tells whether no trouble was near a span, but for kinds that are let pass.
-func (a *auditor) isCalm(from, to time.Duration, pass func(t *Fault) bool) bool {
-	return !a.anyFault(from-a.Bounds.Contact, to, func(t *Fault) bool { return !pass(t) })
+// isCalm reports whether no fault is near a span, apart from those that are exempt.
+func (a *auditor) isCalm(from, to time.Duration, exempt func(f *Fault) bool) bool {
+	return !a.anyFault(from-a.Bounds.Contact, to, func(f *Fault) bool { return !exempt(f) })
 }
 
-func (a *auditor) anyFault(from, to time.Duration, counts func(t *Fault) bool) bool {
+// anyFault reports whether a fault that counts is on at some time of a span.
+func (a *auditor) anyFault(from, to time.Duration, counts func(f *Fault) bool) bool {
 	for i := range a.Faults {
-		t := &a.Faults[i]
-		if t.From <= to && t.To >= from && counts(t) {
+		f := &a.Faults[i]
+		if f.From <= to && f.To >= from && counts(f) {
 			return true
 		}
 	}
 	return false
 }
 
-func planned(t *Fault) bool { return t.Planned }
+func isPlanned(f *Fault) bool { return f.Planned }
 
-func plannedOrLeaving(t *Fault) bool { return t.Planned || t.RunnersLeave }
+func isPlannedOrRunnersLeave(f *Fault) bool { return f.Planned || f.RunnersLeave }
 
-// possiblyInForce are the configurations that may have been in force at some time: valid, and not refused.
+// possiblyInForce returns the configurations that may have been in force at some time: valid, and not rejected.
 func (a *auditor) possiblyInForce() []*ConfigurationRecord {
 	if a.candidates != nil {
 		return a.candidates
@@ -147,21 +130,18 @@
 	return a.candidates
 }
 
-// rejected tells whether the order's last clear answer was a refusal, and it was never acknowledged.
+// rejected reports whether the operator saw a final rejection of a change that was never acknowledged.
 func (r *ConfigurationRecord) rejected() bool {
 	if r.Acknowledged != Never {
 		return false
 	}
-	return slices.ContainsFunc(r.Attempts, func(t Attempt) bool { return t.Answered != Never && !t.ReplyLost && rejection(t.Status) })
-}
-
-// rejection tells whether a status ends an operator's call.
-func rejection(status int) bool {
-	return status >= 400 && status < 500 && status != 408 && status != 429
+	return slices.ContainsFunc(r.Attempts, func(t Attempt) bool {
+		return t.isAnswered() && !t.ReplyLost && isFinalRejection(t.Status)
+	})
 }
 
-// failureBudget returns how many ends `failed` a queue's tasks may have, by the most and the least generous configuration; 0
-// is no bound.
+// failureBudget returns how many ends `failed` the tasks of a queue may have, by the most and the least generous
+// configuration; 0 is any number.
 func (a *auditor) failureBudget(queue QueueName) (most, least int) {
 	seen := false
 	for _, record := range a.Configuration {
@@ -169,18 +149,18 @@
 		if !ok {
 			continue
 		}
-		bound := route.MaxAttempts
+		budget := route.MaxAttempts
 		if !seen {
-			most, least, seen = bound, bound, true
+			most, least, seen = budget, budget, true
 			continue
 		}
-		if bound == 0 || most == 0 {
+		if budget == 0 || most == 0 {
 			most = 0
 		} else {
-			most = max(most, bound)
+			most = max(most, budget)
 		}
-		if bound > 0 && (least == 0 || bound < least) {
-			least = bound
+		if budget > 0 && (least == 0 || budget < least) {
+			least = budget
 		}
 	}
 	return most, least
--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -2,52 +2,56 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 	"time"
 )
 
-// checkConfiguration holds the operator's orders and what clients saw of them against the rules.
+// checkConfiguration checks the operator's changes (CONFIG, ACKS), and what clients saw of them.
 func (a *auditor) checkConfiguration() {
-	a.checkReplies()
+	a.checkResponses()
 	a.checkRaces()
 	a.checkFollowed()
-	a.checkReads()
+	a.checkReadBacks()
 }
 
-// checkReplies: nothing invalid is acknowledged, what was acknowledged is not refused, proper orders are acknowledged.
-func (a *auditor) checkReplies() {
+// checkResponses: nothing invalid is acknowledged, what was acknowledged is not rejected, and valid changes are
+// acknowledged.
+func (a *auditor) checkResponses() {
 	for _, record := range a.Configuration {
 		acknowledged := false
-		for _, try := range record.Attempts {
-			if try.Answered == Never {
+		for i := range record.Attempts {
+			attempt := &record.Attempts[i]
+			if !attempt.isAnswered() {
 				continue
 			}
-			if try.Status == 200 && record.Invalid {
-				a.violated(RuleConfig, try.Answered, "version %d is invalid and was acknowledged", record.Version)
+			if attempt.Status == http.StatusOK && record.Invalid {
+				a.violated(RuleConfig, attempt.Answered, "version %d is invalid and was acknowledged", record.Version)
 			}
-			if acknowledged && record.Alone && rejection(try.Status) {
-				a.violated(RuleConfig, try.Answered, "version %d was acknowledged and then refused with %d", record.Version, try.Status)
+			if acknowledged && record.Alone && isFinalRejection(attempt.Status) {
+				a.violated(RuleConfig, attempt.Answered, "version %d was acknowledged and then rejected with %d", record.Version,
+					attempt.Status)
 			}
-			acknowledged = acknowledged || try.Status == 200
+			acknowledged = acknowledged || attempt.Status == http.StatusOK
 		}
 		a.checkAcknowledged(record)
 	}
 }
 
-// checkAcknowledged: a proper order gets its acknowledgement in a calm.
+// checkAcknowledged (ACKS): a valid change that is alone and builds on the newest version is acknowledged in a calm.
 func (a *auditor) checkAcknowledged(record *ConfigurationRecord) {
 	if record.Invalid || !record.Alone || len(record.Attempts) == 0 {
 		return
 	}
 	sent := record.Attempts[0].Sent
 	until := sent + a.Bounds.AckTimeout
-	late := record.Acknowledged == Never || record.Acknowledged > until
-	if late && until < a.Ends && a.newestAt(sent) == record.Base && a.isCalm(sent, until, planned) {
+	isLate := record.Acknowledged == Never || record.Acknowledged > until
+	if isLate && until < a.Ends && a.newestAt(sent) == record.Base && a.isCalm(sent, until, isPlanned) {
 		a.violated(RuleAcks, until, "version %d is not acknowledged since %v", record.Version, sent)
 	}
 }
 
-// newestAt returns the newest version acknowledged by a time.
+// newestAt returns the newest version that was acknowledged by a time.
 func (a *auditor) newestAt(at time.Duration) int64 {
 	newest := int64(0)
 	for _, record := range a.Configuration {
@@ -58,7 +62,7 @@
 	return newest
 }
 
-// checkRaces: of two changes on top of the same version, one is acknowledged.
+// checkRaces: of two changes on top of the same version, one is acknowledged at most.
 func (a *auditor) checkRaces() {
 	first := map[int64]*ConfigurationRecord{}
 	for _, record := range a.Configuration {
@@ -73,87 +77,107 @@
 	}
 }
 
-// observation is what a call shows of the configuration that its machine followed.
+// observation is what the response to a client's call shows of the configuration that the machine followed.
 type observation struct {
 	attempt      *Attempt
 	queue        QueueName
 	found        bool // the queue was there
-	pendingQuery bool // a count was asked for, not a job handed in
+	pendingQuery bool // not a submission
 }
 
+// observations returns what clients saw of the configuration, in the order of the responses.
 func (a *auditor) observations() []observation {
-	var sights []observation
-	add := func(try *Attempt, queue QueueName, count bool) {
+	var observations []observation
+	add := func(o observation) {
 		switch {
-		case try.Answered == Never:
-		case try.Status == 404:
-			sights = append(sights, observation{try, queue, false, count})
-		case try.Status/100 == 2:
-			sights = append(sights, observation{try, queue, true, count})
+		case !o.attempt.isAnswered():
+		case o.attempt.Status == http.StatusNotFound:
+			observations = append(observations, o)
+		case isSuccess(o.attempt.Status):
+			o.found = true
+			observations = append(observations, o)
 		}
 	}
 	for i := range a.PendingQueries {
-		add(&a.PendingQueries[i].Attempt, a.PendingQueries[i].Queue, true)
+		add(observation{attempt: &a.PendingQueries[i].Attempt, queue: a.PendingQueries[i].Queue, pendingQuery: true})
 	}
 	for _, job := range a.JobOrder {
 		for i := range job.Submissions {
-			add(&job.Submissions[i], job.Queue, false)
+			add(observation{attempt: &job.Submissions[i], queue: job.Queue})
 		}
 	}
-	slices.SortStableFunc(sights, func(x, y observation) int { return int(x.attempt.Answered - y.attempt.Answered) })
-	return sights
+	slices.SortStableFunc(observations, func(x, y observation) int { return int(x.attempt.Answered - y.attempt.Answered) })
+	return observations
 }
 
-// agreesWith tells whether a configuration shows what was seen.
-func (s *observation) agreesWith(record *ConfigurationRecord) bool {
-	_, there := record.Routes[s.queue]
-	return there == s.found
+// agreesWith reports whether a machine that follows a configuration would have given that response.
+func (o *observation) agreesWith(record *ConfigurationRecord) bool {
+	_, exists := record.Routes[o.queue]
+	return exists == o.found
 }
 
-// checkFollowed: machines in touch follow what was acknowledged, none follows what is not in force, and none goes back.
+// versionsOf returns the oldest and the newest version that a machine may have followed when it gave a response; -1 if
+// there is none.
+func (a *auditor) versionsOf(o *observation, records []*ConfigurationRecord) (oldest, newest int64) {
+	oldest, newest = -1, -1
+	for _, record := range records {
+		if len(record.Attempts) == 0 || record.Attempts[0].Sent > o.attempt.Answered || !o.agreesWith(record) {
+			continue
+		}
+		if oldest < 0 || record.Version < oldest {
+			oldest = record.Version
+		}
+		newest = max(newest, record.Version)
+	}
+	return oldest, newest
+}
+
+// checkFollowed: machines in touch follow what was acknowledged, none follows what is not in force, and none goes back to
+// an older version within an incarnation.
 func (a *auditor) checkFollowed() {
 	records := a.possiblyInForce()
-	type life struct {
-		machine string
-		life    int
+	type process struct {
+		machine     string
+		incarnation int
 	}
 	type evidence struct {
-		version int64
+		version int64 // that the process followed, at least
 		at      time.Duration
 	}
-	seen := map[life][]evidence{}
-	for _, s := range a.observations() {
-		floor := int64(0)
-		if a.isInTouch(s.attempt.Machine, s.attempt.Sent) && a.isInTouch(s.attempt.Machine, s.attempt.Answered) {
-			floor = a.newestAt(s.attempt.Sent - a.Bounds.ConfigApply - 1)
+	seen := map[process][]evidence{}
+	for _, o := range a.observations() {
+		attempt := o.attempt
+		floor := int64(0) // of the version, by the time that changes take to be followed
+		if a.isInTouch(attempt.Machine, attempt.Sent) && a.isInTouch(attempt.Machine, attempt.Answered) {
+			floor = a.newestAt(attempt.Sent - a.Bounds.ConfigApply - 1)
 		}
-		key := life{s.attempt.Machine, s.attempt.Incarnation}
-		held := floor
+		key := process{attempt.Machine, attempt.Incarnation}
+		followed := floor
 		for _, e := range seen[key] {
-			if s.attempt.Sent > e.at+a.Bounds.RollbackSlack {
-				held = max(held, e.version)
+			if attempt.Sent > e.at+a.Bounds.RollbackSlack {
+				followed = max(followed, e.version)
 			}
 		}
-		least, most := a.versionsOf(&s, records)
+		oldest, newest := a.versionsOf(&o, records)
 		switch {
-		case least < 0:
-			a.violated(RuleConfig, s.attempt.Answered, "%s answers %d for %v%v, which no configuration in force allows",
-				s.attempt.Machine, s.attempt.Status, s.queue.Host, s.queue.Prefix)
-		case most < floor:
-			a.violated(RuleConfig, s.attempt.Answered, "%s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
-				s.attempt.Machine, s.attempt.Status, s.queue.Key(), most, floor)
-		case most < held:
-			a.violated(RuleConfig, s.attempt.Answered, "%s answers %d for %s, as version %d or older would; it has followed %d before",
-				s.attempt.Machine, s.attempt.Status, s.queue.Key(), most, held)
+		case oldest < 0:
+			a.violated(RuleConfig, attempt.Answered, "%s answers %d for %s, which no configuration in force allows",
+				attempt.Machine, attempt.Status, o.queue.Key())
+		case newest < floor:
+			a.violated(RuleConfig, attempt.Answered, "%s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
+				attempt.Machine, attempt.Status, o.queue.Key(), newest, floor)
+		case newest < followed:
+			a.violated(RuleConfig, attempt.Answered, "%s answers %d for %s, as version %d or older would; it has followed %d before",
+				attempt.Machine, attempt.Status, o.queue.Key(), newest, followed)
 		}
-		if least > 0 {
-			seen[key] = append(seen[key], evidence{least, s.attempt.Answered})
+		if oldest > 0 {
+			seen[key] = append(seen[key], evidence{oldest, attempt.Answered})
 		}
 	}
 }
 
-// checkService: a job handed in by a machine in touch, long after a change was acknowledged, does not run at a service
-// that only an older version sends its queue to.
+// checkService: a job that was submitted to a machine in touch, long after a change was acknowledged, does not run at a
+// service that its queue has only in older versions.
 func (a *auditor) checkService(run *Run, job *JobRecord) {
 	if len(job.Submissions) == 0 {
 		return
@@ -172,24 +196,9 @@
 	}
 }
 
-// versionsOf returns the least and the greatest version that shows what was seen; 0 stands for no configuration yet, and
-// -1 for none.
-func (a *auditor) versionsOf(s *observation, records []*ConfigurationRecord) (least, most int64) {
-	least, most = -1, -1
-	for _, record := range records {
-		if len(record.Attempts) == 0 || record.Attempts[0].Sent > s.attempt.Answered || !s.agreesWith(record) {
-			continue
-		}
-		if least < 0 || record.Version < least {
-			least = record.Version
-		}
-		most = max(most, record.Version)
-	}
-	return least, most
-}
-
-// checkReads: what is read back at the end is the newest that was acknowledged, or one that may have been taken since.
-func (a *auditor) checkReads() {
+// checkReadBacks (CONFIG, or LOST after a final fault): what is read back at the end is the newest version that was
+// acknowledged, or one that may have come into force since.
+func (a *auditor) checkReadBacks() {
 	if a.Ends == 0 || len(a.Configuration) == 0 {
 		return
 	}
@@ -197,61 +206,66 @@
 	if a.FinalFault != Never {
 		rule = RuleLost
 	}
-	if len(a.ReadBacks) == 0 {
-		if a.newestAt(a.Ends) > 0 {
-			a.violated(rule, a.Ends, "the configuration is not read back")
-		}
-		return
+	if len(a.ReadBacks) == 0 && a.newestAt(a.Ends) > 0 {
+		a.violated(rule, a.Ends, "the configuration is not read back")
 	}
 	for _, read := range a.ReadBacks {
-		var head struct {
-			Version int64 `json:"version"`
-		}
-		if json.Unmarshal([]byte(read.Body), &head) != nil {
-			a.violated(rule, read.At, "what is read back is no configuration")
+		version, ok := versionOf(read.Body)
+		if !ok {
+			a.violated(rule, read.At, "what is read back is not a configuration")
 			continue
 		}
-		if newest := a.newestAt(read.At - a.Bounds.Contact); head.Version < newest {
-			a.violated(rule, read.At, "version %d is read back, %d was acknowledged", head.Version, newest)
+		if newest := a.newestAt(read.At - a.Bounds.Contact); version < newest {
+			a.violated(rule, read.At, "version %d is read back, %d was acknowledged", version, newest)
 			continue
 		}
-		sent := slices.ContainsFunc(a.possiblyInForce(), func(r *ConfigurationRecord) bool {
-			return r.Version == head.Version && r.Document == read.Body
+		wasSent := slices.ContainsFunc(a.possiblyInForce(), func(r *ConfigurationRecord) bool {
+			return r.Version == version && r.Document == read.Body
 		})
-		if !sent {
-			a.violated(rule, read.At, "version %d is read back, not as it was sent", head.Version)
+		if !wasSent {
+			a.violated(rule, read.At, "version %d is read back, not as it was sent", version)
 		}
 	}
 }
 
-// checkRecovery: after a final fault, requests are served again.
+// versionOf returns the version of a configuration in JSON, and whether it is one.
+func versionOf(body string) (version int64, ok bool) {
+	var head struct {
+		Version int64 `json:"version"`
+	}
+	err := json.Unmarshal([]byte(body), &head)
+	return head.Version, err == nil
+}
+
+// checkRecovery (RECOVER): after a final fault, submissions are accepted again.
 func (a *auditor) checkRecovery() {
 	if a.FinalFault == Never || a.Returned == Never {
 		return
 	}
-	const least = 0.25
+	const minFraction = 0.25
 	before := a.acceptedFraction(0, a.FinalFault)
 	after := a.acceptedFraction(a.Returned+a.Bounds.Recovery, a.TrafficEnds)
-	if before >= least && after >= 0 && after < least {
-		a.violated(RuleRecover, a.TrafficEnds, "%.2f of requests were served before the final fault, %.2f after it", before, after)
+	if before >= minFraction && after >= 0 && after < minFraction {
+		a.violated(RuleRecover, a.TrafficEnds, "%.2f of jobs were accepted before the final fault, %.2f after it", before, after)
 	}
 }
 
-// acceptedFraction is the share of jobs first sent in a span that were accepted within a client's time, or -1 without any.
+// acceptedFraction returns the fraction of the jobs first submitted in a span that were accepted within a client's time, or
+// -1 if there are none.
 func (a *auditor) acceptedFraction(from, to time.Duration) float64 {
-	const clientTime = 3 * time.Second
-	sent, served := 0, 0
+	const clientTimeout = 3 * time.Second
+	submitted, accepted := 0, 0
 	for _, job := range a.JobOrder {
 		if len(job.Submissions) == 0 || job.Submissions[0].Sent < from || job.Submissions[0].Sent >= to {
 			continue
 		}
-		sent++
-		if job.Accepted != Never && job.Accepted <= job.Submissions[0].Sent+clientTime {
-			served++
+		submitted++
+		if job.Accepted != Never && job.Accepted <= job.Submissions[0].Sent+clientTimeout {
+			accepted++
 		}
 	}
-	if sent == 0 {
+	if submitted == 0 {
 		return -1
 	}
-	return float64(served) / float64(sent)
+	return float64(accepted) / float64(submitted)
 }
--- a/internal/cluster/simulation/audit_jobs.go
+++ b/internal/cluster/simulation/audit_jobs.go
@@ -1,123 +1,86 @@
 package simulation
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
 	"ospreypond/internal/cluster/protocol"
 )
 
-// checkSubmitted: only what a client sent, as it was sent.
-func (a *auditor) checkSubmitted(run *Run, job *JobRecord, step *protocol.Step) {
-	if run.Spec != job.Spec.Spec {
-		a.violated(RuleUnasked, run.Started, "%s run %d started with another spec", run.TaskText, run.Number)
-	}
-	if run.Checkpoint == "" {
-		return
-	}
-	if _, ok := parseCheckpoint(run.Task, step.Gang, run.Checkpoint); !ok || !step.Checkpoints {
-		a.violated(RuleUnasked, run.Started, "%s run %d started from %q", run.TaskText, run.Number, run.Checkpoint)
-	}
-}
-
-// cancelBinding returns the moment from which a cancel must be followed, or Never: its acknowledgement, or the end of the
-// calm time it may take.
-func (a *auditor) cancelBinding(job *JobRecord) time.Duration {
-	if at := job.CancelAcknowledged(); at != Never {
-		return at
-	}
-	sent := job.CancelSent()
-	if sent == Never || job.Accepted == Never || sent < job.Accepted {
-		return Never
-	}
-	until := sent + a.Bounds.AckTimeout
-	if a.isCalm(sent, until, planned) {
-		return until
-	}
-	return Never
-}
-
-// checkCancelled: nothing starts, and nothing goes on, long after a cancel.
-func (a *auditor) checkCancelled(run *Run, job *JobRecord) {
-	since := a.cancelBinding(job)
-	if since == Never {
-		return
-	}
-	point := since + a.Bounds.Cancel
-	if run.Started > point && a.isInTouch(run.Runner.Machine, run.Started) {
-		a.violated(RuleUnasked, run.Started, "%s run %d started, the job was cancelled at %v", run.TaskText, run.Number, since)
-		return
-	}
-	stopped := point + a.Bounds.Stop
-	if run.Started <= point && !run.Over(stopped) && stopped < a.Ends && a.isCalm(since, stopped, plannedOrLeaving) {
-		a.violated(RuleUnasked, stopped, "%s run %d still runs, the job was cancelled at %v", run.TaskText, run.Number, since)
-	}
-}
-
-// checkJob holds what clients saw of a job against the rules.
+// checkJob checks what clients saw of a job.
 func (a *auditor) checkJob(job *JobRecord) {
 	a.checkRejected(job)
 	for i := range job.Queries {
 		a.checkQuery(job, &job.Queries[i])
 	}
-	a.checkEndOfDay(job)
+	a.checkKnownAtEnd(job)
+	a.checkStalled(job)
 }
 
-// checkRejected: a job whose every try was rejected never runs.
+// checkRejected (REFUSED): a job of which every submission was rejected never runs.
 func (a *auditor) checkRejected(job *JobRecord) {
 	runs := a.byJob[job.ID]
 	if len(runs) == 0 || len(job.Submissions) == 0 {
 		return
 	}
 	if !slices.ContainsFunc(job.Submissions, func(t Attempt) bool { return !t.rejected() }) {
-		a.violated(RuleRefused, runs[0].Started, "%s started, every try to hand it in was rejected", runs[0].TaskText)
+		a.violated(RuleRefused, runs[0].Started, "%s started, every submission was rejected", runs[0].TaskText)
 	}
 }
 
-// checkQuery: a state that is shown has a cause, and a job that was accepted is known.
-func (a *auditor) checkQuery(job *JobRecord, ask *Attempt) {
-	if ask.Answered == Never {
+// checkQuery (MIXED, LOST): a state that is shown has a cause, and a job that was accepted is known.
+func (a *auditor) checkQuery(job *JobRecord, query *Attempt) {
+	if !query.isAnswered() {
 		return
 	}
-	if ask.Status == 410 {
-		a.checkNotUnknown(job, ask)
+	if query.Status == http.StatusGone {
+		a.checkKnown(job, query)
 		return
 	}
-	if ask.Status != 200 {
+	if query.Status != http.StatusOK {
 		return
 	}
-	switch ask.State {
+	switch query.State {
 	case protocol.JobQueued, protocol.JobRunning:
 	case protocol.JobCompleted:
-		a.checkCompleted(job, ask)
+		a.checkCompleted(job, query)
 	case protocol.JobFailed:
-		if !a.failedByBudget(job, ask.Answered) {
-			a.violated(RuleLost, ask.Answered, "%s is shown as failed without cause", job.ID)
+		if !a.hasExhaustedBudget(job, query.Answered) {
+			a.violated(RuleLost, query.Answered, "%s is shown as failed without cause", job.ID)
 		}
 	case protocol.JobCancelled:
-		if sent := job.CancelSent(); sent == Never || sent > ask.Answered {
-			a.violated(RuleLost, ask.Answered, "%s is shown as cancelled, nobody cancelled it", job.ID)
+		if sent := job.CancelSent(); sent == Never || sent > query.Answered {
+			a.violated(RuleLost, query.Answered, "%s is shown as cancelled, nobody cancelled it", job.ID)
 		}
 	default:
-		a.violated(RuleMixed, ask.Answered, "%s is shown as %q", job.ID, ask.State)
+		a.violated(RuleMixed, query.Answered, "%s is shown as %q", job.ID, query.State)
 	}
 }
 
-func (a *auditor) checkNotUnknown(job *JobRecord, ask *Attempt) {
-	if job.Accepted == Never || job.CancelSent() != Never || ask.Sent <= job.Accepted+a.Bounds.Visible {
-		return
-	}
-	if a.isInTouch(ask.Machine, ask.Sent) && a.isInTouch(ask.Machine, ask.Answered) {
-		a.violated(RuleLost, ask.Answered, "%s is unknown to %s, it was accepted at %v", job.ID, ask.Machine, job.Accepted)
+// isUnknownTooLate reports whether a query was sent after a job must be known, and answered that it is unknown.
+func (a *auditor) isUnknownTooLate(job *JobRecord, query *Attempt) bool {
+	return query.isAnswered() && query.Status == http.StatusGone && query.Sent > job.Accepted+a.Bounds.Visible
+}
+
+// isWronglyUnknown reports whether a job that must be known was answered to be unknown. One that was cancelled need not be.
+func (a *auditor) isWronglyUnknown(job *JobRecord, query *Attempt) bool {
+	return job.Accepted != Never && job.CancelSent() == Never && a.isUnknownTooLate(job, query)
+}
+
+// checkKnown: a machine in touch knows a job that was accepted.
+func (a *auditor) checkKnown(job *JobRecord, query *Attempt) {
+	if a.isWronglyUnknown(job, query) && a.isInTouch(query.Machine, query.Sent) && a.isInTouch(query.Machine, query.Answered) {
+		a.violated(RuleLost, query.Answered, "%s is unknown to %s, it was accepted at %v", job.ID, query.Machine, job.Accepted)
 	}
 }
 
 // eachTask calls f for each task of a job until f returns false.
 func eachTask(job *JobRecord, f func(task TaskName, step *protocol.Step) bool) {
-	for k := range max(1, job.Spec.Repetitions) {
+	for repetition := range max(1, job.Spec.Repetitions) {
 		for s := range job.Spec.Steps {
 			for i := range job.Spec.Steps[s].Count {
-				if !f(TaskName{job.ID, k, s, i}, &job.Spec.Steps[s]) {
+				if !f(TaskName{job.ID, repetition, s, i}, &job.Spec.Steps[s]) {
 					return
 				}
 			}
@@ -125,18 +88,19 @@
 	}
 }
 
-func (a *auditor) checkCompleted(job *JobRecord, ask *Attempt) {
+// checkCompleted: a job is shown as completed only when all its tasks have ended done.
+func (a *auditor) checkCompleted(job *JobRecord, query *Attempt) {
 	eachTask(job, func(task TaskName, step *protocol.Step) bool {
-		if step.LongRunning || !a.isDoneBy(task, step, ask.Answered) {
-			a.violated(RuleMixed, ask.Answered, "%s is shown as completed, %s has not ended done", job.ID, task)
+		if step.LongRunning || !a.isDoneBy(task, step, query.Answered) {
+			a.violated(RuleMixed, query.Answered, "%s is shown as completed, %s has not ended done", job.ID, task)
 			return false
 		}
 		return true
 	})
 }
 
-// failedByBudget tells whether some task had failed as often as allowed by a time.
-func (a *auditor) failedByBudget(job *JobRecord, at time.Duration) bool {
+// hasExhaustedBudget reports whether by a time some task of a job had failed as often as it may.
+func (a *auditor) hasExhaustedBudget(job *JobRecord, at time.Duration) bool {
 	_, least := a.failureBudget(job.Queue)
 	if least == 0 {
 		return false
@@ -147,7 +111,7 @@
 			return true
 		}
 		failed := map[uint64]bool{}
-		for _, run := range a.runsSharingEnd(&Run{Task: task}, step) {
+		for _, run := range a.runsSharingEnd(task, step) {
 			if run.EndReason == protocol.EndFailed && run.Ended <= at {
 				failed[run.Number] = true
 			}
@@ -158,35 +122,42 @@
 	return found
 }
 
-// checkEndOfDay: after the traffic, each accepted job is known, and none that could run stands still.
-func (a *auditor) checkEndOfDay(job *JobRecord) {
+// checkKnownAtEnd (LOST): after the traffic, each accepted job is known.
+func (a *auditor) checkKnownAtEnd(job *JobRecord) {
 	if job.Accepted == Never || a.Ends == 0 {
 		return
 	}
-	known, asked, gone := false, false, Never
+	isKnown, wasQueried, unknownAt := false, false, Never
 	for i := range job.Queries {
-		ask := &job.Queries[i]
-		if ask.Sent < a.TrafficEnds {
+		query := &job.Queries[i]
+		if query.Sent < a.TrafficEnds {
 			continue
 		}
-		asked = true
-		if ask.Answered != Never && ask.Status == 200 {
-			known = true
+		wasQueried = true
+		if query.isAnswered() && query.Status == http.StatusOK {
+			isKnown = true
 		}
-		if ask.Answered != Never && ask.Status == 410 && ask.Sent > job.Accepted+a.Bounds.Visible {
-			gone = ask.Answered
+		if a.isUnknownTooLate(job, query) {
+			unknownAt = query.Answered
 		}
 	}
 	switch {
-	case !asked:
-	case gone != Never && job.CancelSent() == Never:
-		a.violated(RuleLost, gone, "%s is unknown at the end, it was accepted at %v", job.ID, job.Accepted)
-	case !known && gone == Never:
+	case !wasQueried:
+	case unknownAt != Never && job.CancelSent() == Never:
+		a.violated(RuleLost, unknownAt, "%s is unknown at the end, it was accepted at %v", job.ID, job.Accepted)
+	case !isKnown && unknownAt == Never:
 		a.violated(RuleLost, a.Ends, "%s gets no answer at the end", job.ID)
 	}
-	for _, idle := range a.StalledJobs {
-		if idle.ID == job.ID {
-			a.violated(RuleLost, idle.To, "%s has had nothing running since %v, though there is room", job.ID, idle.From)
+}
+
+// checkStalled (LOST): after the traffic, no accepted job is stalled.
+func (a *auditor) checkStalled(job *JobRecord) {
+	if job.Accepted == Never || a.Ends == 0 {
+		return
+	}
+	for _, stalled := range a.StalledJobs {
+		if stalled.ID == job.ID {
+			a.violated(RuleLost, stalled.To, "%s has had nothing running since %v, though there is capacity", job.ID, stalled.From)
 			return
 		}
 	}
--- a/internal/cluster/simulation/audit_promises.go
+++ b/internal/cluster/simulation/audit_promises.go
@@ -2,42 +2,39 @@
 
 import "time"
 
-// AuditPromises returns where a ledger breaks what the scheduler promises beyond the rules: some answers are right at all
-// times, and not only from machines that are in touch with the core.
-func AuditPromises(ledger *History) []Violation {
-	a := &auditor{History: ledger}
-	for _, job := range ledger.JobOrder {
+// AuditPromises returns the violations of what the scheduler promises beyond the rules: that some responses are right at
+// all times, and not only those of machines that are in touch with the control processes.
+func AuditPromises(history *History) []Violation {
+	a := &auditor{History: history}
+	for _, job := range history.JobOrder {
 		a.checkNeverUnknown(job)
 	}
-	a.checkExactAnswers()
+	a.checkExactResponses()
 	return a.found
 }
 
-// checkNeverUnknown: no machine answers that a job is unknown once it must be known everywhere.
+// checkNeverUnknown: no machine responds that a job is unknown once it must be known everywhere.
 func (a *auditor) checkNeverUnknown(job *JobRecord) {
-	if job.Accepted == Never || job.CancelSent() != Never {
-		return
-	}
 	for i := range job.Queries {
-		ask := &job.Queries[i]
-		if ask.Answered != Never && ask.Status == 410 && ask.Sent > job.Accepted+a.Bounds.Visible {
-			a.violated(RuleLost, ask.Answered, "promised: %s is unknown to %s, it was accepted at %v", job.ID, ask.Machine, job.Accepted)
+		if query := &job.Queries[i]; a.isWronglyUnknown(job, query) {
+			a.violated(RuleLost, query.Answered, "promised: %s is unknown to %s, it was accepted at %v", job.ID, query.Machine,
+				job.Accepted)
 		}
 	}
 }
 
-// checkExactAnswers: no machine says that there is no such queue, or counts one, by a configuration that was replaced
-// long before it was asked.
-func (a *auditor) checkExactAnswers() {
+// checkExactResponses: no machine responds that there is no such queue, or how many jobs are pending in one, by a
+// configuration that was replaced long before the request was sent.
+func (a *auditor) checkExactResponses() {
 	records := a.possiblyInForce()
-	for _, s := range a.observations() {
-		if s.found && !s.pendingQuery {
-			continue // a hand-in may go by an older one, which its owner checks
+	for _, o := range a.observations() {
+		if o.found && !o.pendingQuery {
+			continue // a submission may follow an older one, which the owner of the job's shard checks
 		}
-		floor := a.newestAt(s.attempt.Sent - a.Bounds.ConfigApply - time.Nanosecond)
-		if _, most := a.versionsOf(&s, records); most < floor {
-			a.violated(RuleConfig, s.attempt.Answered, "promised: %s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
-				s.attempt.Machine, s.attempt.Status, s.queue.Key(), most, floor)
+		floor := a.newestAt(o.attempt.Sent - a.Bounds.ConfigApply - time.Nanosecond)
+		if _, newest := a.versionsOf(&o, records); newest < floor {
+			a.violated(RuleConfig, o.attempt.Answered, "promised: %s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
+				o.attempt.Machine, o.attempt.Status, o.queue.Key(), newest, floor)
 		}
 	}
 }
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -7,7 +7,41 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// checkLimit: a runner that does not guard its capacity is not brought over it.
+// startSlack is how long after an acknowledgement that rules a start out a machine in touch may still make it.
+const startSlack = time.Second
+
+// checkRun checks one run against the rules for starts.
+func (a *auditor) checkRun(run *Run) {
+	job, step := a.stepOf(run.Task)
+	if step == nil {
+		a.violated(RuleUnasked, run.Started, "%s started on %s, nobody submitted it", run.TaskText, run.Runner.Instance)
+		return
+	}
+	a.checkSubmitted(run, job, step)
+	a.checkLimit(run, step)
+	a.checkTwice(run, job, step)
+	a.checkOrder(run, job, step)
+	a.checkRoute(run, job, step)
+	a.checkBudget(run, job, step)
+	a.checkGang(run, job, step)
+	a.checkCancelled(run, job)
+	a.checkDrain(run)
+}
+
+// checkSubmitted (UNASKED): what runs is what a client submitted, and its checkpoint is one of its own.
+func (a *auditor) checkSubmitted(run *Run, job *JobRecord, step *protocol.Step) {
+	if run.Spec != job.Spec.Spec {
+		a.violated(RuleUnasked, run.Started, "%s run %d started with another spec", run.TaskText, run.Number)
+	}
+	if run.Checkpoint == "" {
+		return
+	}
+	if _, ok := parseCheckpoint(run.Task, step.Gang, run.Checkpoint); !ok || !step.Checkpoints {
+		a.violated(RuleUnasked, run.Started, "%s run %d started from %q", run.TaskText, run.Number, run.Checkpoint)
+	}
+}
+
+// checkLimit (LIMIT): a runner that does not enforce its capacity is not brought over it.
 func (a *auditor) checkLimit(run *Run, step *protocol.Step) {
 	runner := run.Runner
 	if runner.EnforcesCapacity {
@@ -15,19 +49,19 @@
 	}
 	sum := step.Needs()
 	for _, other := range a.concurrentWith(run) {
-		if _, its := a.stepOf(other.Task); its != nil {
-			sum.CPU += its.CPU
-			sum.MemoryMB += its.MemoryMB
-			sum.GPU += its.GPU
+		if _, otherStep := a.stepOf(other.Task); otherStep != nil {
+			sum.CPU += otherStep.CPU
+			sum.MemoryMB += otherStep.MemoryMB
+			sum.GPU += otherStep.GPU
 		}
 	}
-	room := runner.Capacity
-	if sum.CPU > room.CPU || sum.MemoryMB > room.MemoryMB || sum.GPU > room.GPU {
-		a.violated(RuleLimit, run.Started, "%s run %d brings %s to %+v of %+v", run.TaskText, run.Number, runner.Instance, sum, room)
+	capacity := runner.Capacity
+	if sum.CPU > capacity.CPU || sum.MemoryMB > capacity.MemoryMB || sum.GPU > capacity.GPU {
+		a.violated(RuleLimit, run.Started, "%s run %d brings %s to %+v of %+v", run.TaskText, run.Number, runner.Instance, sum, capacity)
 	}
 }
 
-// concurrentWith are the runs that were on the same runner when a run started there.
+// concurrentWith returns the other runs that were on the same runner when a run started there.
 func (a *auditor) concurrentWith(run *Run) []*Run {
 	var others []*Run
 	for _, other := range a.byRunner[run.Runner] {
@@ -41,15 +75,15 @@
 	return others
 }
 
-// isAcknowledged tells whether a run's end was, then or later, taken note of.
+// isAcknowledged reports whether a run's end was acknowledged at some time, before the runner's lease expired.
 func isAcknowledged(run *Run) bool { return run.Acknowledged != Never && !run.LapsedBeforeAck }
 
-// isAcknowledgedDone tells whether a run ended done before a time, and that end was, then or later, taken note of.
-func isAcknowledgedDone(run *Run, before time.Duration) bool {
-	return run.EndReason == protocol.EndDone && run.Ended <= before && isAcknowledged(run)
+// isAcknowledgedDone reports whether a run ended done by a time, and that end was acknowledged at some time.
+func isAcknowledgedDone(run *Run, by time.Duration) bool {
+	return run.EndReason == protocol.EndDone && run.Ended <= by && isAcknowledged(run)
 }
 
-// checkTwice: no two runs of a task at one time, and none after its end.
+// checkTwice (TWICE): no two runs of a task at one time, and none after its end.
 func (a *auditor) checkTwice(run *Run, job *JobRecord, step *protocol.Step) {
 	if !step.AtMostOnce {
 		for _, other := range a.byTask[run.Task] {
@@ -65,59 +99,60 @@
 	if step.LongRunning {
 		return
 	}
-	for _, other := range a.runsSharingEnd(run, step) {
+	for _, other := range a.runsSharingEnd(run.Task, step) {
 		if !step.AtMostOnce && isAcknowledgedDone(other, run.Started) && other != run {
-			a.violated(RuleTwice, run.Started, "%s run %d started, run %d ended done at %v", run.TaskText, run.Number, other.Number, other.Ended)
+			a.violated(RuleTwice, run.Started, "%s run %d started, run %d ended done at %v", run.TaskText, run.Number,
+				other.Number, other.Ended)
 			return
 		}
 	}
-	a.checkStartedLate(run, job, step)
+	a.checkStartedAfterEnd(run, job, step)
 }
 
-// runsSharingEnd are the runs whose end done ends the task: for a gang, those of all members.
-func (a *auditor) runsSharingEnd(run *Run, step *protocol.Step) []*Run {
+// runsSharingEnd returns the runs of which one that ends done ends a task: of a gang, those of all members.
+func (a *auditor) runsSharingEnd(task TaskName, step *protocol.Step) []*Run {
 	if step.Gang {
-		return a.byStep[run.Task.step()]
+		return a.byStep[task.step()]
 	}
-	return a.byTask[run.Task]
+	return a.byTask[task]
 }
 
-// checkStartedLate: a machine in touch starts nothing over a second after its end was taken note of or shown.
-func (a *auditor) checkStartedLate(run *Run, job *JobRecord, step *protocol.Step) {
+// checkStartedAfterEnd (TWICE): a machine in touch starts nothing long after its end was acknowledged or shown.
+func (a *auditor) checkStartedAfterEnd(run *Run, job *JobRecord, step *protocol.Step) {
 	if !a.isInTouch(run.Runner.Machine, run.Started) {
 		return
 	}
-	since := run.Started - time.Second
-	for _, other := range a.runsSharingEnd(run, step) {
+	since := run.Started - startSlack
+	for _, other := range a.runsSharingEnd(run.Task, step) {
 		if other.EndReason == protocol.EndDone && isAcknowledged(other) && other.Acknowledged < since {
-			a.violated(RuleTwice, run.Started, "%s run %d started, the end of run %d was taken note of at %v",
+			a.violated(RuleTwice, run.Started, "%s run %d started, the end of run %d was acknowledged at %v",
 				run.TaskText, run.Number, other.Number, other.Acknowledged)
 			return
 		}
 	}
-	for _, ask := range job.Queries {
-		if ask.Answered != Never && ask.State == protocol.JobCompleted && ask.Answered < since {
-			a.violated(RuleTwice, run.Started, "%s run %d started, the job was shown as completed at %v", run.TaskText, run.Number, ask.Answered)
+	for i := range job.Queries {
+		query := &job.Queries[i]
+		if query.isAnswered() && query.State == protocol.JobCompleted && query.Answered < since {
+			a.violated(RuleTwice, run.Started, "%s run %d started, the job was shown as completed at %v", run.TaskText, run.Number,
+				query.Answered)
 			return
 		}
 	}
 }
 
-// isDoneBy tells whether a task had ended done by a time.
+// isDoneBy reports whether a task had ended done by a time.
 func (a *auditor) isDoneBy(task TaskName, step *protocol.Step, at time.Duration) bool {
-	runs := a.byTask[task]
-	if step.Gang {
-		runs = a.byStep[task.step()]
-	}
-	return slices.ContainsFunc(runs, func(r *Run) bool { return r.EndReason == protocol.EndDone && r.Ended <= at })
+	return slices.ContainsFunc(a.runsSharingEnd(task, step), func(r *Run) bool {
+		return r.EndReason == protocol.EndDone && r.Ended <= at
+	})
 }
 
-// checkOrder: not before the steps it depends on, nor before its time.
+// checkOrder (ORDER): nothing starts before the steps that it depends on are done, nor before it is due.
 func (a *auditor) checkOrder(run *Run, job *JobRecord, step *protocol.Step) {
-	for _, before := range step.DependsOn {
-		earlier := &job.Spec.Steps[before]
+	for _, number := range step.DependsOn {
+		earlier := &job.Spec.Steps[number]
 		for i := range earlier.Count {
-			task := TaskName{run.Task.Job, run.Task.Repetition, before, i}
+			task := TaskName{run.Task.Job, run.Task.Repetition, number, i}
 			if !a.isDoneBy(task, earlier, run.Started) {
 				a.violated(RuleOrder, run.Started, "%s run %d started before %s ended done", run.TaskText, run.Number, task)
 				return
@@ -128,26 +163,29 @@
 		return
 	}
 	slack := a.Bounds.Early
-	if a.clocksJump {
-		slack += 5 * time.Second
+	if a.clocksStep {
+		const maxStep = 5 * time.Second
+		slack += maxStep
 	}
 	if due := dueAt(&job.Spec, run.Task.Repetition); run.Started < due-slack {
-		a.violated(RuleOrder, run.Started, "%s run %d started, it falls due at %v", run.TaskText, run.Number, due)
+		a.violated(RuleOrder, run.Started, "%s run %d started, it is due at %v", run.TaskText, run.Number, due)
 	}
 }
 
-// checkRoute: only on runners of the queue's service with the label, and within antiAffinity.
+// checkRoute (ROUTE): a task runs on runners of its queue's service that have the required label, and on one of them at
+// most as many tasks of a step as antiAffinity allows.
 func (a *auditor) checkRoute(run *Run, job *JobRecord, step *protocol.Step) {
-	sent := slices.ContainsFunc(a.Configuration, func(c *ConfigurationRecord) bool {
+	isRouted := slices.ContainsFunc(a.Configuration, func(c *ConfigurationRecord) bool {
 		return c.Routes[job.Queue].Service == run.Runner.Service
 	})
-	if !sent {
+	if !isRouted {
 		a.violated(RuleRoute, run.Started, "%s run %d on a runner of %s", run.TaskText, run.Number, run.Runner.Service)
 		return
 	}
 	a.checkService(run, job)
 	if step.Requirements != "" && !slices.Contains(run.Runner.Labels, step.Requirements) {
-		a.violated(RuleRoute, run.Started, "%s run %d on %s without label %q", run.TaskText, run.Number, run.Runner.Instance, step.Requirements)
+		a.violated(RuleRoute, run.Started, "%s run %d on %s without label %q", run.TaskText, run.Number, run.Runner.Instance,
+			step.Requirements)
 	}
 	if step.AntiAffinity == 0 {
 		return
@@ -164,30 +202,31 @@
 	}
 }
 
-// checkBudget: no start once as many runs as allowed have ended failed.
+// checkBudget (BUDGET): nothing starts once as many runs as allowed have ended failed.
 func (a *auditor) checkBudget(run *Run, job *JobRecord, step *protocol.Step) {
-	most, _ := a.failureBudget(job.Queue)
-	if most == 0 || step.LongRunning {
+	budget, _ := a.failureBudget(job.Queue)
+	if budget == 0 || step.LongRunning {
 		return
 	}
 	failed := map[uint64]bool{}
 	last := Never
-	for _, other := range a.runsSharingEnd(run, step) {
+	for _, other := range a.runsSharingEnd(run.Task, step) {
 		if other.EndReason == protocol.EndFailed && isAcknowledged(other) && other.Ended <= run.Started {
 			failed[other.Number] = true
 			last = max(last, other.Acknowledged)
 		}
 	}
-	if len(failed) < most {
+	if len(failed) < budget {
 		return
 	}
-	if step.AtMostOnce && (!a.isInTouch(run.Runner.Machine, run.Started) || run.Started <= last+time.Second) {
+	if step.AtMostOnce && (!a.isInTouch(run.Runner.Machine, run.Started) || run.Started <= last+startSlack) {
 		return
 	}
-	a.violated(RuleBudget, run.Started, "%s run %d started after %d ends failed, %d are allowed", run.TaskText, run.Number, len(failed), most)
+	a.violated(RuleBudget, run.Started, "%s run %d started after %d ends failed, %d are allowed", run.TaskText, run.Number,
+		len(failed), budget)
 }
 
-// checkGang: in a calm, no member is left alone; and all bring the same checkpoint.
+// checkGang (GANG): in a calm no member waits for the others in vain, and all start from the same checkpoint.
 func (a *auditor) checkGang(run *Run, job *JobRecord, step *protocol.Step) {
 	if !step.Gang {
 		return
@@ -197,7 +236,8 @@
 			break
 		}
 		if other.Number == run.Number && other.Checkpoint != run.Checkpoint {
-			a.violated(RuleGang, run.Started, "%s run %d brings %q, another member %q", run.TaskText, run.Number, run.Checkpoint, other.Checkpoint)
+			a.violated(RuleGang, run.Started, "%s run %d brings %q, another member %q", run.TaskText, run.Number, run.Checkpoint,
+				other.Checkpoint)
 			break
 		}
 	}
@@ -208,12 +248,46 @@
 	if cancelled != Never && cancelled <= run.Ended {
 		return
 	}
-	if a.isInTouch(run.Runner.Machine, run.Started) && a.isCalm(run.Started, run.Ended, planned) {
+	if a.isInTouch(run.Runner.Machine, run.Started) && a.isCalm(run.Started, run.Ended, isPlanned) {
 		a.violated(RuleGang, run.Ended, "%s run %d on %s ended alone", run.TaskText, run.Number, run.Runner.Instance)
 	}
 }
 
-// checkDrain: nothing starts on a runner long after its draining was acknowledged.
+// cancelBinding returns the time from which a cancel must be followed: its acknowledgement, or the end of the time that
+// this may take in a calm; Never if there is none.
+func (a *auditor) cancelBinding(job *JobRecord) time.Duration {
+	if at := job.CancelAcknowledged(); at != Never {
+		return at
+	}
+	sent := job.CancelSent()
+	if sent == Never || job.Accepted == Never || sent < job.Accepted {
+		return Never
+	}
+	until := sent + a.Bounds.AckTimeout
+	if a.isCalm(sent, until, isPlanned) {
+		return until
+	}
+	return Never
+}
+
+// checkCancelled (UNASKED): nothing starts, and nothing goes on, long after a cancel.
+func (a *auditor) checkCancelled(run *Run, job *JobRecord) {
+	since := a.cancelBinding(job)
+	if since == Never {
+		return
+	}
+	lastStart := since + a.Bounds.Cancel
+	if run.Started > lastStart && a.isInTouch(run.Runner.Machine, run.Started) {
+		a.violated(RuleUnasked, run.Started, "%s run %d started, the job was cancelled at %v", run.TaskText, run.Number, since)
+		return
+	}
+	stopped := lastStart + a.Bounds.Stop
+	if run.Started <= lastStart && !run.Over(stopped) && stopped < a.Ends && a.isCalm(since, stopped, isPlannedOrRunnersLeave) {
+		a.violated(RuleUnasked, stopped, "%s run %d still runs, the job was cancelled at %v", run.TaskText, run.Number, since)
+	}
+}
+
+// checkDrain (DRAIN): nothing starts on a runner long after its `draining` was acknowledged.
 func (a *auditor) checkDrain(run *Run) {
 	acknowledged := run.Runner.DrainAcknowledged
 	if acknowledged == Never || run.Started <= acknowledged+a.Bounds.Drain {
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Bounds are the figures that the rules and the runners go by.
+// Bounds are the times that the scheduler's rules refer to, and those that the runners follow. They have the names of the
+// settings (docs/settings.md); a fault is near a time if it was on within Contact before it.
 type Bounds struct {
-	Contact       time.Duration // calm before a time-bounded rule holds
-	AckTimeout    time.Duration // time that a proper order of the operator, or a cancel, may take in a calm
-	Drain         time.Duration // after a `draining` was acknowledged nothing starts there
-	ConfigApply   time.Duration // a version is followed this long after its acknowledgement
-	RollbackSlack time.Duration // a version once followed is followed this long after
-	MaxSkew       time.Duration // how far clocks jump on days when they do
-	Recovery      time.Duration // after a final fault
-	MaxLease      time.Duration // longest hold
-	Stop          time.Duration // longest stop
-	Gang          time.Duration // how long a member waits for the others
-	Cancel        time.Duration // after a cancel's acknowledgement nothing of the job starts
-	Visible       time.Duration // after a job's acknowledgement its state is known everywhere
-	Early         time.Duration // how much too early a time may begin
-	Finish        time.Duration // between the end of traffic and the last questions
-	Status        time.Duration // how long an ended job's state is kept
+	Contact       time.Duration // rules that are bounded in time hold for what no fault was near
+	AckTimeout    time.Duration // in which a valid change, or a cancel, is acknowledged if no fault is near
+	Drain         time.Duration // nothing starts on a runner so long after its `draining` was acknowledged
+	ConfigApply   time.Duration // in which a version is followed after its acknowledgement
+	RollbackSlack time.Duration // in which a process that follows a version may still show an older one
+	MaxSkew       time.Duration // by which clocks are off at most
+	Recovery      time.Duration // in which requests are served again after a final fault
+	MaxLease      time.Duration // of a runner
+	Stop          time.Duration // a stop takes at most
+	Gang          time.Duration // a gang's member waits for the others at most
+	Cancel        time.Duration // nothing of a job starts so long after its cancel was acknowledged
+	Visible       time.Duration // in which a job is known everywhere after its acknowledgement
+	Early         time.Duration // by which a repetition may start before it is due
+	Finish        time.Duration // from the end of the traffic to the end of the scenario
+	Status        time.Duration // for which the state of an ended job is retained
 	Save          time.Duration // of work between two checkpoints
-	Restore       time.Duration // extra time of a start from a checkpoint
-	Far           float64       // times as long away from the data, or over racks
+	Restore       time.Duration // by which a start from a checkpoint takes longer
+	Far           float64       // slowdown of work away from its data, or across racks
 }
 
-// DefaultBounds are those of the small deployments.
+// DefaultBounds returns those of the users' small deployments.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Contact:       3 * time.Second,
@@ -48,5 +49,5 @@
 	}
 }
 
-// Grace is the time from the signal that asks a process to end until it is killed.
+// Grace is the time from the signal that asks a process to shut down until it is killed.
 const Grace = 6 * time.Second
--- a/internal/cluster/simulation/client.go
+++ b/internal/cluster/simulation/client.go
@@ -2,41 +2,44 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Frontend is what clients call. The reply is called at most once; without it the client hears nothing. Each call returns
-// what tells the frontend that the client has left.
+// Frontend is what clients call. A reply is called at most once, and never if the client gets no response. Each call
+// returns a function that informs the frontend that the client has disconnected.
 type Frontend interface {
-	Submit(queue QueueName, id string, job *protocol.JobSpec, deadline time.Duration, reply func(status int)) (left func())
-	State(queue QueueName, id string, deadline time.Duration, reply func(status int, state string)) (left func())
-	Cancel(queue QueueName, id string, deadline time.Duration, reply func(status int)) (left func())
-	CountPending(queue QueueName, deadline time.Duration, reply func(status int, pending int)) (left func())
+	Submit(queue QueueName, id string, job *protocol.JobSpec, timeout time.Duration, reply func(status int)) (disconnect func())
+	State(queue QueueName, id string, timeout time.Duration, reply func(status int, state string)) (disconnect func())
+	Cancel(queue QueueName, id string, timeout time.Duration, reply func(status int)) (disconnect func())
+	CountPending(queue QueueName, timeout time.Duration, reply func(status int, pending int)) (disconnect func())
 }
 
-// Clients hand jobs in, ask after them and cancel them.
+// Clients submit jobs, query their states and cancel them, with retries as the users' clients do.
 type Clients struct {
-	World           *World
-	Network         *Network
-	GroundTruth     *GroundTruth
-	History         *History
-	Frontends       []*Machine
-	Frontend        func(m *Machine) Frontend // nil while nothing listens there
-	OnAccepted      func(job *JobRecord, by *Machine)
-	Timeout         time.Duration
+	World       *World
+	GroundTruth *GroundTruth
+	History     *History
+	Frontends   []*Machine
+	// Frontend returns the process on a machine, or nil while none is listening there.
+	Frontend func(m *Machine) Frontend
+	// OnAccepted is called when a client learns that its job was accepted; nil: by nobody.
+	OnAccepted      func()
+	Timeout         time.Duration // of one call
 	MaxRetries      int
-	AbandonFraction float64 // share of clients that leave early now
+	AbandonFraction float64 // of submissions whose client disconnects early
 }
 
 // NewClients returns clients that call these frontends.
-func NewClients(world *World, network *Network, plant *GroundTruth, frontends []*Machine) *Clients {
-	return &Clients{World: world, Network: network, GroundTruth: plant, History: plant.History, Frontends: frontends,
+func NewClients(world *World, truth *GroundTruth, frontends []*Machine) *Clients {
+	return &Clients{World: world, GroundTruth: truth, History: truth.History, Frontends: frontends,
 		Timeout: 3 * time.Second, MaxRetries: 4}
 }
 
-// Submit begins a job: it is handed in, asked after until it has ended, and cancelled if cancelAfter is not Never.
+// Submit starts the client of a new job. It submits the job, polls its state until it is completed or the traffic ends,
+// and cancels it after a time if that is not Never.
 func (c *Clients) Submit(queue QueueName, spec protocol.JobSpec, work Work, cancelAfter time.Duration) *JobRecord {
 	job := &JobRecord{ID: fmt.Sprintf("%016x", c.World.Random.Uint64()), Queue: queue, Spec: spec, Accepted: Never}
 	c.History.AddJob(job)
@@ -49,53 +52,148 @@
 	return job
 }
 
-// call makes one call of a client to some frontend. Silence ends it at the client's deadline: the client leaves, of which
-// the frontend hears.
-func (c *Clients) call(try *Attempt, deadline time.Duration, ask func(f Frontend, answer func(status int, state string)) (left func()),
-	done func(status int)) {
+// QueryState queries a job's state once. done, which may be nil, gets noResponse and no state if there is no response.
+func (c *Clients) QueryState(job *JobRecord, done func(status int, state string)) {
+	c.recordCall(&job.Queries, c.Timeout, func(f Frontend, reply replyFunc) func() {
+		return f.State(job.Queue, job.ID, c.Timeout, reply)
+	}, func(status int, state string) {
+		if done != nil {
+			done(status, state)
+		}
+	})
+}
+
+// QueryPending queries once how many jobs are pending in a queue.
+func (c *Clients) QueryPending(queue QueueName) {
+	attempt := &Attempt{}
+	c.call(attempt, c.Timeout, func(f Frontend, reply replyFunc) func() {
+		return f.CountPending(queue, c.Timeout, func(status, _ int) { reply(status, "") })
+	}, func(int, string) {
+		c.History.PendingQueries = append(c.History.PendingQueries, PendingQuery{Queue: queue, Attempt: *attempt})
+	})
+}
+
+// submit submits a job, and again as long as retries remain and the response leaves hope.
+func (c *Clients) submit(job *JobRecord, retries int) {
+	timeout := c.Timeout
+	if c.World.Chance(c.AbandonFraction) {
+		timeout = c.World.Between(5*time.Millisecond, 300*time.Millisecond)
+	}
+	c.recordCall(&job.Submissions, timeout, func(f Frontend, reply replyFunc) func() {
+		return f.Submit(job.Queue, job.ID, &job.Spec, c.Timeout, func(status int) { reply(status, "") })
+	}, func(status int, _ string) {
+		if isSuccess(status) {
+			if job.Accepted == Never {
+				job.Accepted = c.World.now
+			}
+			if c.OnAccepted != nil {
+				c.OnAccepted()
+			}
+			return
+		}
+		mayRetry := status == noResponse || status == http.StatusTooManyRequests || status/100 == 5
+		if mayRetry && retries > 0 {
+			c.World.After(c.backoff(c.MaxRetries-retries), func() { c.submit(job, retries-1) })
+		}
+	})
+}
+
+// cancel cancels a job, until that is acknowledged or the job is unknown.
+func (c *Clients) cancel(job *JobRecord, attempts int) {
+	c.recordCall(&job.Cancels, c.Timeout, func(f Frontend, reply replyFunc) func() {
+		return f.Cancel(job.Queue, job.ID, c.Timeout, func(status int) { reply(status, "") })
+	}, func(status int, _ string) {
+		if !isSuccess(status) && status != http.StatusGone && attempts < c.MaxRetries {
+			c.World.After(c.backoff(attempts), func() { c.cancel(job, attempts+1) })
+		}
+	})
+}
+
+// pollState queries a job's state at drawn times, and once when all its tasks are done in truth.
+func (c *Clients) pollState(job *JobRecord) {
+	const interval, meanBetweenQueries = 250 * time.Millisecond, 4 * time.Second
+	queriedFinished := false
+	var poll func()
+	poll = func() {
+		if job.LastState() == protocol.JobCompleted || c.World.now > c.History.TrafficEnds {
+			return
+		}
+		isFinished := c.GroundTruth.IsFinished(job.ID)
+		if isFinished && !queriedFinished || c.World.Chance(float64(interval)/float64(meanBetweenQueries)) {
+			queriedFinished = queriedFinished || isFinished
+			c.QueryState(job, nil)
+		}
+		c.World.After(interval, poll)
+	}
+	c.World.After(interval, poll)
+}
+
+// noResponse stands for the status of a call that timed out, was reset, or found nobody listening.
+const noResponse = 0
+
+// replyFunc takes a frontend's response; the state is empty unless it was queried.
+type replyFunc func(status int, state string)
+
+// requestFunc sends a request to a frontend and returns a function that tells it that the client has disconnected.
+type requestFunc func(f Frontend, reply replyFunc) (disconnect func())
+
+// recordCall makes a call and keeps its attempt in a list: from now on as sent, and as answered when done is called.
+func (c *Clients) recordCall(attempts *[]Attempt, timeout time.Duration, request requestFunc, done replyFunc) {
+	attempt := &Attempt{}
+	position := len(*attempts)
+	c.call(attempt, timeout, request, func(status int, state string) {
+		(*attempts)[position] = *attempt
+		done(status, state)
+	})
+	*attempts = append(*attempts, *attempt)
+}
+
+// call makes one call of a client to a drawn frontend and calls done once, with noResponse if there is none. At the
+// timeout the client disconnects.
+func (c *Clients) call(attempt *Attempt, timeout time.Duration, request requestFunc, done replyFunc) {
 	machine := c.drawFrontend()
-	try.Machine, try.Incarnation, try.Sent, try.Answered = machine.Name, machine.incarnation, c.World.now, Never
+	attempt.Machine, attempt.Incarnation, attempt.Sent, attempt.Answered = machine.Name, machine.incarnation, c.World.now, Never
 	over := false
 	finish := func(status int) {
 		if !over {
 			over = true
-			done(status)
+			done(status, attempt.State)
 		}
 	}
-	left := func() {}
-	c.World.After(deadline, func() {
+	disconnect := func() {}
+	c.World.After(timeout, func() {
 		if !over {
-			finish(0)
-			c.World.After(ClientDelay, func() { left() })
+			finish(noResponse)
+			c.World.After(ClientDelay, func() { disconnect() })
 		}
 	})
 	c.World.After(c.delay(), func() {
 		frontend := c.Frontend(machine)
 		if frontend == nil {
-			c.World.After(c.delay(), func() { finish(0) })
+			c.World.After(c.delay(), func() { finish(noResponse) })
 			return
 		}
-		life := machine.incarnation
-		machine.onEnd = append(machine.onEnd, func() { c.World.After(c.delay(), func() { finish(0) }) })
-		machine.inIncarnation(life, func() {
-			leave := ask(frontend, func(status int, state string) {
+		incarnation := machine.incarnation
+		machine.onEnd = append(machine.onEnd, func() { c.World.After(c.delay(), func() { finish(noResponse) }) })
+		machine.inIncarnation(incarnation, func() {
+			clientLeft := request(frontend, func(status int, state string) {
 				c.World.After(c.delay(), func() {
-					if over || machine.incarnation != life {
+					if over || machine.incarnation != incarnation {
 						return
 					}
-					try.Answered, try.Status, try.State = c.World.now, status, state
+					attempt.Answered, attempt.Status, attempt.State = c.World.now, status, state
 					finish(status)
 				})
 			})
-			left = func() { machine.inIncarnation(life, leave) }
+			disconnect = func() { machine.inIncarnation(incarnation, clientLeft) }
 			if over {
-				leave() // while the machine stood still
+				clientLeft() // the client disconnected while the machine was frozen
 			}
 		})
 	})
 }
 
-// drawFrontend draws a frontend; the platform leaves out those that have long called themselves not ready, or are long down.
+// drawFrontend draws a frontend to which the platform routes new clients, or any if there is none.
 func (c *Clients) drawFrontend() *Machine {
 	var ready []*Machine
 	for _, m := range c.Frontends {
@@ -109,116 +207,9 @@
 	return Pick(c.World, ready)
 }
 
+// delay draws the time of a message between a client and a machine.
 func (c *Clients) delay() time.Duration { return c.World.Between(ClientDelay, 2*ClientDelay) }
 
-func (c *Clients) backoff(tries int) time.Duration {
-	return c.World.Between(50*time.Millisecond, 300*time.Millisecond*time.Duration(tries+1))
-}
-
-func (c *Clients) submit(job *JobRecord, left int) {
-	job.Submissions = append(job.Submissions, Attempt{})
-	position := len(job.Submissions) - 1
-	deadline := c.Timeout
-	if c.World.Chance(c.AbandonFraction) {
-		deadline = c.World.Between(5*time.Millisecond, 300*time.Millisecond)
-	}
-	held := &Attempt{}
-	c.call(held, deadline, func(f Frontend, answer func(int, string)) func() {
-		return f.Submit(job.Queue, job.ID, &job.Spec, c.Timeout, func(status int) { answer(status, "") })
-	}, func(status int) {
-		job.Submissions[position] = *held
-		if status/100 == 2 {
-			if job.Accepted == Never {
-				job.Accepted = c.World.now
-			}
-			if c.OnAccepted != nil {
-				c.OnAccepted(job, c.machine(held.Machine))
-			}
-			return
-		}
-		again := status == 0 || status == 429 || status/100 == 5
-		if again && left > 0 {
-			c.World.After(c.backoff(c.MaxRetries-left), func() { c.submit(job, left-1) })
-		}
-	})
-	job.Submissions[position] = *held
-}
-
-func (c *Clients) machine(name string) *Machine {
-	for _, m := range c.Frontends {
-		if m.Name == name {
-			return m
-		}
-	}
-	return nil
-}
-
-func (c *Clients) cancel(job *JobRecord, tries int) {
-	job.Cancels = append(job.Cancels, Attempt{})
-	position := len(job.Cancels) - 1
-	held := &Attempt{}
-	c.call(held, c.Timeout, func(f Frontend, answer func(int, string)) func() {
-		return f.Cancel(job.Queue, job.ID, c.Timeout, func(status int) { answer(status, "") })
-	}, func(status int) {
-		job.Cancels[position] = *held
-		if status/100 != 2 && status != 410 && tries < c.MaxRetries {
-			c.World.After(c.backoff(tries), func() { c.cancel(job, tries+1) })
-		}
-	})
-	job.Cancels[position] = *held
-}
-
-// QueryState asks for a job's state once; done gets "" without a clear answer.
-func (c *Clients) QueryState(job *JobRecord, done func(status int, state string)) {
-	job.Queries = append(job.Queries, Attempt{})
-	position := len(job.Queries) - 1
-	held := &Attempt{}
-	c.call(held, c.Timeout, func(f Frontend, answer func(int, string)) func() {
-		return f.State(job.Queue, job.ID, c.Timeout, answer)
-	}, func(status int) {
-		job.Queries[position] = *held
-		if done != nil {
-			done(status, held.State)
-		}
-	})
-	job.Queries[position] = *held
-}
-
-// pollState asks at drawn times, and once all tasks are known to have ended.
-func (c *Clients) pollState(job *JobRecord) {
-	const watch, mean = 250 * time.Millisecond, 4 * time.Second
-	told := false
-	var look func()
-	look = func() {
-		if job.LastState() == protocol.JobCompleted || c.World.now > c.History.TrafficEnds {
-			return
-		}
-		finished, _ := c.GroundTruth.Finished(job.ID)
-		if finished && !told || c.World.Chance(float64(watch)/float64(mean)) {
-			told = told || finished
-			c.QueryState(job, nil)
-		}
-		c.World.After(watch, look)
-	}
-	c.World.After(watch, look)
-}
-
-// LastState is what the job was last shown as.
-func (j *JobRecord) LastState() string {
-	for i := len(j.Queries) - 1; i >= 0; i-- {
-		if j.Queries[i].Answered != Never {
-			return j.Queries[i].State
-		}
-	}
-	return ""
-}
-
-// QueryPending asks a frontend for a queue's count.
-func (c *Clients) QueryPending(queue QueueName) {
-	held := &Attempt{}
-	c.call(held, c.Timeout, func(f Frontend, answer func(int, string)) func() {
-		return f.CountPending(queue, c.Timeout, func(status, _ int) { answer(status, "") })
-	}, func(int) {
-		c.History.PendingQueries = append(c.History.PendingQueries, PendingQuery{Queue: queue, Attempt: *held})
-	})
+func (c *Clients) backoff(attempts int) time.Duration {
+	return c.World.Between(50*time.Millisecond, 300*time.Millisecond*time.Duration(attempts+1))
 }
--- a/internal/cluster/simulation/cluster/agent.go
+++ b/internal/cluster/simulation/cluster/agent.go
@@ -1,7 +1,6 @@
 package cluster
 
 import (
-	"bytes"
 	"net/http"
 	"net/url"
 
@@ -11,7 +10,7 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// agentProcess is one life of an agent: the shipped one, without its sockets.
+// agentProcess is one incarnation of an agent: the shipped one, without its sockets. It implements simulation.Agent.
 type agentProcess struct {
 	shell   *shell
 	process *agent.Process
@@ -32,37 +31,37 @@
 	return a
 }
 
-// request sends the agent a runner's request.
-func (a *agentProcess) request(instance, verb string, body []byte, answered func(*response)) (left func()) {
-	return a.shell.serve(a.process, &http.Request{
-		Method: http.MethodPost, Host: a.shell.machine.Name, URL: &url.URL{Path: "/v1/instances/" + instance + "/" + verb},
-		Header: http.Header{}, Body: reader{bytes.NewReader(body)}, ContentLength: int64(len(body)),
-	}, answered)
+// request sends a runner's request to the agent.
+func (a *agentProcess) request(instance, verb string, body []byte, done func(*response)) (disconnect func()) {
+	request := &http.Request{Method: http.MethodPost, Host: a.shell.machine.Name,
+		URL: &url.URL{Path: "/v1/instances/" + instance + "/" + verb}, Header: http.Header{}}
+	setBody(request, body)
+	return a.shell.serve(a.process, request, done)
 }
 
-// Heartbeat carries a runner's heartbeat to the owner.
-func (a *agentProcess) Heartbeat(beat *protocol.Heartbeat, reply func(orders *protocol.Orders, err error)) (left func()) {
-	return a.request(beat.Instance, "heartbeat", mustJSON(beat), func(told *response) {
-		if err := told.err(); err != nil {
+// Heartbeat sends a runner's heartbeat to the agent.
+func (a *agentProcess) Heartbeat(heartbeat *protocol.Heartbeat, reply func(orders *protocol.Orders, err error)) (disconnect func()) {
+	return a.request(heartbeat.Instance, "heartbeat", mustJSON(heartbeat), func(r *response) {
+		if err := r.err(); err != nil {
 			reply(nil, err)
 			return
 		}
 		orders := new(protocol.Orders)
-		told.decode(orders)
+		r.decode(orders)
 		reply(orders, nil)
 	})
 }
 
-// Deregister carries a runner's planned end to the owner.
+// Deregister sends a runner's deregistration to the agent.
 func (a *agentProcess) Deregister(service, instance string, reply func(err error)) {
 	body := mustJSON(map[string]string{"service": service})
-	a.request(instance, "deregister", body, func(told *response) { reply(told.err()) })
+	a.request(instance, "deregister", body, func(r *response) { reply(r.err()) })
 }
 
-// err is the error that an answer other than a success stands for.
-func (a *response) err() error {
-	if a.status == http.StatusOK {
+// err returns an error unless the response is a success.
+func (r *response) err() error {
+	if r.status == http.StatusOK {
 		return nil
 	}
-	return failure.Newf(failure.Unavailable, "answered with %d", a.status)
+	return failure.Newf(failure.Unavailable, "status %d", r.status)
 }
--- a/internal/cluster/simulation/cluster/cluster.go
+++ b/internal/cluster/simulation/cluster/cluster.go
@@ -5,44 +5,48 @@
 	"slices"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"ospreypond/internal/cluster/consensus"
-	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/simulation"
 )
 
-// Cluster is the scheduler's processes on a deployment's machines.
+// Cluster is the scheduler's processes on the machines of a deployment.
 type Cluster struct {
-	world             *simulation.World
-	deployment        *simulation.Deployment
-	size              simulation.Size
-	controlMachines   []*simulation.Machine // that are or were part of the core
-	initialMembers    []*simulation.Machine // members of the very first start
-	byName            map[string]*simulation.Machine
-	processes         map[*simulation.Machine]*process
-	frontends         map[*simulation.Machine]*frontendProcess
-	agents            map[*simulation.Machine]*agentProcess
-	shells            map[*simulation.Machine]*shell
+	world           *simulation.World
+	deployment      *simulation.Deployment
+	controlMachines []*simulation.Machine // that are or were part of the deployment
+	initialMembers  []*simulation.Machine // that bootstrap the replica groups
+	byName          map[string]*simulation.Machine
+	processes       map[*simulation.Machine]*process // of control machines; nil until they have opened their disks
+	frontends       map[*simulation.Machine]*frontendProcess
+	agents          map[*simulation.Machine]*agentProcess
+	shells          map[*simulation.Machine]*shell
+	diskBytes       int64  // size of a control machine's disk
+	snapshotEvery   uint64 // entries of a group's log after which a snapshot replaces it
+	invocation      bool   // agents invoke their runners
+
+	// What is compared between replicas, see observer.
 	appliedEntries    map[logPosition]appliedEntry
 	stateDigests      map[logPosition]stateDigest
-	snapshotsRestored int // snapshots restored
 	identities        map[diskIncarnation]consensus.MemberID
-	diskBytes         int64    // of a core machine
-	snapshotEvery     uint64   // entries of a group's log after which it is replaced by a snapshot
-	divergences       []string // replicas that applied different entries
-	invocation        bool     // agents call their runners
+	snapshotsRestored int
+	divergences       []string
 }
 
-// New puts the scheduler on a deployment. Nothing moves before the machines are booted.
+// New puts the scheduler on a deployment. Nothing happens before the machines are booted, which must be done in a
+// testing/synctest bubble.
 func New(d *simulation.Deployment) *Cluster {
-	c := &Cluster{world: d.World, deployment: d, size: d.Size,
-		byName: map[string]*simulation.Machine{}, processes: map[*simulation.Machine]*process{},
-		frontends: map[*simulation.Machine]*frontendProcess{}, agents: map[*simulation.Machine]*agentProcess{},
+	c := &Cluster{
+		world: d.World, deployment: d, snapshotEvery: 300,
+		byName:         map[string]*simulation.Machine{},
+		processes:      map[*simulation.Machine]*process{},
+		frontends:      map[*simulation.Machine]*frontendProcess{},
+		agents:         map[*simulation.Machine]*agentProcess{},
 		shells:         map[*simulation.Machine]*shell{},
-		appliedEntries: map[logPosition]appliedEntry{}, stateDigests: map[logPosition]stateDigest{},
-		identities: map[diskIncarnation]consensus.MemberID{}, snapshotEvery: 300}
-	c.initialMembers = append(c.initialMembers, d.Controls...)
+		appliedEntries: map[logPosition]appliedEntry{},
+		stateDigests:   map[logPosition]stateDigest{},
+		identities:     map[diskIncarnation]consensus.MemberID{},
+	}
+	c.initialMembers = slices.Clone(d.Controls)
 	for _, m := range d.Controls {
 		c.addControl(m)
 	}
@@ -52,12 +56,13 @@
 	for _, m := range d.AgentMachines {
 		m.Start = func() { c.agents[m] = newAgent(c, m) }
 	}
-	c.connect(d)
+	c.connect()
 	return c
 }
 
-// connect lets clients, runners, the operator and troubles reach the processes.
-func (c *Cluster) connect(d *simulation.Deployment) {
+// connect makes the processes reachable for clients, runners, the operator and the faults.
+func (c *Cluster) connect() {
+	d := c.deployment
 	d.Clients.Frontend = func(m *simulation.Machine) simulation.Frontend {
 		if f := c.frontends[m]; m.Up() && f != nil {
 			return f
@@ -70,7 +75,7 @@
 		}
 		return nil
 	}
-	for _, runner := range append(append([]*simulation.Runner{}, d.Runners...), d.Spares...) {
+	for _, runner := range c.deployment.AllRunners() {
 		runner.Agent = func() simulation.Agent {
 			if a := c.agents[runner.Machine]; runner.Machine.Up() && a != nil {
 				return a
@@ -83,15 +88,26 @@
 	d.Terminate = c.terminate
 }
 
+// runnerAt returns the runner that has an address, or nil.
+func (c *Cluster) runnerAt(address string) *simulation.Runner {
+	for _, runner := range c.deployment.AllRunners() {
+		if runner.Address == address {
+			return runner
+		}
+	}
+	return nil
+}
+
 func (c *Cluster) addControl(m *simulation.Machine) {
 	c.controlMachines = append(c.controlMachines, m)
 	c.byName[m.Name] = m
 	m.Start = func() { c.startControl(m) }
 }
 
-// newControl makes an empty machine at a new address.
+// newControl returns a new control machine with an empty disk and an address of its own.
 func (c *Cluster) newControl() *simulation.Machine {
-	m := c.deployment.NewControlMachine(fmt.Sprintf("core-%d", len(c.controlMachines)), c.controlMachines[len(c.controlMachines)%len(c.initialMembers)].Zone)
+	number := len(c.controlMachines)
+	m := c.deployment.NewControlMachine(fmt.Sprintf("core-%d", number), c.controlMachines[number%len(c.initialMembers)].Zone)
 	c.addControl(m)
 	return m
 }
@@ -100,14 +116,25 @@
 	return slices.Contains(c.initialMembers, m)
 }
 
-// seeds are the core machines that the operator's list names now, at most three.
+// seeds returns the control machines that the operator's list of seeds names at present.
 func (c *Cluster) seeds() []*simulation.Machine {
-	const most = 3
-	cores := c.deployment.Controls
-	return cores[:min(most, len(cores))]
+	const maxSeeds = 3
+	controls := c.deployment.Controls
+	return controls[:min(maxSeeds, len(controls))]
+}
+
+// seedAddresses returns the addresses of the seeds. A control machine's address is its name.
+func (c *Cluster) seedAddresses() []string { return names(c.seeds()) }
+
+func names(machines []*simulation.Machine) []string {
+	var names []string
+	for _, m := range machines {
+		names = append(names, m.Name)
+	}
+	return names
 }
 
-// leader is a core machine that leads some group.
+// leader draws one of the control machines that lead replica groups, more likely one that leads more; nil if none does.
 func (c *Cluster) leader() *simulation.Machine {
 	var leaders []*simulation.Machine
 	for _, m := range c.deployment.Controls {
@@ -127,58 +154,19 @@
 	return simulation.Pick(c.world, leaders)
 }
 
-// terminate ends a process in good order.
+// terminate has a process shut down and calls done once it may end.
 func (c *Cluster) terminate(m *simulation.Machine, done func()) {
-	const frontDrain = 4 * time.Second // not ready, but serving; then what is in flight is finished
+	const (
+		frontendDrain = 4 * time.Second // not ready, but serving; then what is in flight is finished
+		agentShutdown = 50 * time.Millisecond
+	)
 	switch {
-	case m.Role == "front":
-		m.After(frontDrain, done)
-	case m.Role == "core" && c.processes[m] != nil:
+	case m.Role == simulation.RoleFrontend:
+		m.After(frontendDrain, done)
+	case m.Role == simulation.RoleControl && c.processes[m] != nil:
 		p := c.processes[m]
 		m.After(0, func() { p.decommission(done) })
 	default:
-		m.After(50*time.Millisecond, done)
+		m.After(agentShutdown, done)
 	}
 }
-
-// call asks a control process and calls done once, in the life of the caller: with the answer, or with an error once
-// time is over or nobody listens.
-func (c *Cluster) call(from *simulation.Machine, address string, request any, wait time.Duration, done func(any, error)) {
-	over := false
-	finish := func(response any, err error) {
-		if !over {
-			over = true
-			done(response, err)
-		}
-	}
-	timer := from.After(wait, func() { finish(nil, failure.New(failure.UnknownOutcome, "no answer in time")) })
-	settle := func(response any, err error) {
-		timer.Stop()
-		finish(response, err)
-	}
-	to := c.byName[address]
-	if to == nil {
-		from.After(0, func() { settle(nil, failure.New(failure.Unavailable, "nobody is at that address")) })
-		return
-	}
-	if !to.Up() || c.processes[to] == nil {
-		const refusal = 3 * time.Millisecond
-		from.After(refusal, func() { settle(nil, failure.New(failure.Unavailable, "connection refused")) })
-		return
-	}
-	network := c.deployment.Network
-	type outcome struct {
-		response any
-		err      error
-	}
-	simulation.Call(network, from, to, func(reply func(outcome)) {
-		p := c.processes[to]
-		if p == nil {
-			return
-		}
-		p.handle(from, request, func(response any, err error) { reply(outcome{response, err}) })
-	}, func(o outcome) { settle(o.response, o.err) })
-}
-
-// logger is what a machine's process logs to.
-func (c *Cluster) logger(*simulation.Machine) log.Logger { return log.NewNopLogger() }
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -5,6 +5,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"ospreypond/internal/cluster/boot"
 	"ospreypond/internal/cluster/consensus"
 	"ospreypond/internal/cluster/control"
@@ -14,13 +16,13 @@
 )
 
 const (
-	restartDelay  = 300 * time.Millisecond // after which a process that cannot begin is started again
-	openSyncs     = 2                      // that opening the disk takes
-	snapshotSyncs = 3                      // that writing a snapshot takes
+	restartDelay  = 300 * time.Millisecond // after which a process that could not open its disk is restarted
+	openSyncs     = 2                      // time of opening the disk
+	snapshotSyncs = 3                      // time of writing a snapshot
 )
 
-// process is one life of a control process: the shipped one, without its sockets. The world's goroutine takes the turns
-// of its engine; what it calls and answers runs in its shell.
+// process is one incarnation of a control process: the shipped one, without its sockets. The world's goroutine steps its
+// engine; the process's other goroutines run in its shell.
 type process struct {
 	cluster  *Cluster
 	machine  *simulation.Machine
@@ -30,22 +32,24 @@
 	driver   *replica.Driver
 	engine   *replica.Engine
 
-	signalled     atomic.Bool       // something waits for the engine
-	stepScheduled bool              // a turn comes at once
-	stepTimer     *simulation.Timer // the turn after a pause
+	signalled     atomic.Bool       // the engine has input, set by any goroutine
+	stepScheduled bool              // for the present time
+	stepTimer     *simulation.Timer // for the next step without input
 }
 
-// startControl begins a life: the engine opens what the disk holds.
+// startControl begins an incarnation: the engine opens the disk.
 func (c *Cluster) startControl(m *simulation.Machine) {
 	c.processes[m] = nil
 	p := &process{cluster: c, machine: m, shell: c.newShell(m)}
-	p.shell.afterStep = p.wakeIfSignalled
+	p.shell.afterInput = p.wakeIfSignalled
 	p.scheduleOpen()
 }
 
+// scheduleOpen has the disk opened once that has taken its time.
 func (p *process) scheduleOpen() { p.machine.Disk.Perform(p.machine, openSyncs, p.start) }
 
-// start opens the disk and takes part. One that cannot be opened ends the process, which the platform starts again.
+// start opens the disk and takes part in the cluster. If the disk can't be opened the process ends, and the platform
+// restarts it.
 func (p *process) start() {
 	err := p.open()
 	switch {
@@ -55,13 +59,14 @@
 	default:
 		p.cluster.checkIdentity(p)
 		p.cluster.processes[p.machine] = p
-		p.shell.step(p.control.Start)
+		p.shell.deliver(p.control.Start)
 		p.wake()
 		p.snapshotRegularly()
 		p.followSeeds()
 	}
 }
 
+// open opens the disk and makes the process.
 func (p *process) open() error {
 	c, m := p.cluster, p.machine
 	opened, err := control.New(control.Options{
@@ -75,7 +80,7 @@
 		Sender:     p,
 		Remote:     caller{p.shell},
 		Clock:      shellClock{shell: p.shell},
-		Logger:     c.logger(m),
+		Logger:     log.NewNopLogger(),
 		Seed:       c.world.Random.Uint64(),
 		Open:       p.openEngine,
 		Observe: func(id replica.GroupID, machine replica.StateMachine) replica.StateMachine {
@@ -89,6 +94,7 @@
 	return nil
 }
 
+// openEngine opens the replica engine with a driver that steps it in the world's goroutine.
 func (p *process) openEngine(options replica.Options) (*replica.Engine, error) {
 	driver, err := replica.OpenDriver(options, replica.DriverOptions{
 		Disk:         p.performDiskWork,
@@ -102,23 +108,20 @@
 	return p.engine, nil
 }
 
-// bootstrap names the first members at the very first start, and nobody later.
+// bootstrap returns the addresses of the initial members at the first start of one of them, and nil at any other.
 func (c *Cluster) bootstrap(m *simulation.Machine) []string {
 	if m.Incarnation() > 1 || !c.isInitialMember(m) {
 		return nil
 	}
-	var addresses []string
-	for _, first := range c.initialMembers {
-		addresses = append(addresses, first.Name)
-	}
-	return addresses
+	return names(c.initialMembers)
 }
 
+// drawIdentity draws a member's identity, which is never 0.
 func (c *Cluster) drawIdentity() (consensus.MemberID, error) {
 	return consensus.MemberID(c.world.Random.Uint64() | 1), nil
 }
 
-// bootBounds are the bounds as a process finds them in its settings.
+// bootBounds returns the bounds as a process finds them in its boot settings.
 func bootBounds(bounds simulation.Bounds) boot.Bounds {
 	return boot.Bounds{
 		Grace:    simulation.Grace,
@@ -132,6 +135,7 @@
 	}
 }
 
+// performDiskWork performs work of the engine that writes to the disk once that has taken its time.
 func (p *process) performDiskWork(kind replica.DiskWork, work func()) {
 	syncs := 1
 	if kind == replica.DiskSnapshot {
@@ -143,14 +147,15 @@
 	})
 }
 
-// wakeIfSignalled lets a turn come at once if something waits for the engine. It is called by the world's goroutine after whatever
-// may have given the engine something.
+// wakeIfSignalled schedules a step if the engine has input. The world's goroutine calls it after whatever may have given
+// the engine some.
 func (p *process) wakeIfSignalled() {
 	if p.signalled.Swap(false) {
 		p.wake()
 	}
 }
 
+// wake schedules a step for the present time.
 func (p *process) wake() {
 	if !p.stepScheduled {
 		p.stepScheduled = true
@@ -158,19 +163,20 @@
 	}
 }
 
+// step steps the engine and schedules the next step.
 func (p *process) step() {
 	p.stepScheduled = false
 	p.stepTimer.Stop()
-	p.shell.step(func() {
-		pause, err := p.driver.Step()
+	p.shell.deliver(func() {
+		next, err := p.driver.Step()
 		if err != nil {
 			panic(err)
 		}
-		p.stepTimer = p.machine.After(pause, p.step)
+		p.stepTimer = p.machine.After(next, p.step)
 	})
 }
 
-// leads tells whether this process takes itself for the owner of a group.
+// leads reports whether this process believes that it is the owner of a group.
 func (p *process) leads(group replica.GroupID) bool {
 	overview, _ := p.engine.Overview(group)
 	return overview.Ready
@@ -182,7 +188,8 @@
 	p.wakeIfSignalled()
 }
 
-// snapshotRegularly replaces logs by snapshots long before their bounds are reached: a day is too short for those.
+// snapshotRegularly has the group with the longest log write a snapshot, again and again. A scenario is too short for the
+// logs to reach the sizes at which the engine does so by itself.
 func (p *process) snapshotRegularly() {
 	const interval = 250 * time.Millisecond
 	p.machine.After(interval, func() {
@@ -192,18 +199,19 @@
 }
 
 func (p *process) snapshotLongestLog() {
-	longest, id := p.cluster.snapshotEvery, replica.GroupID(0)
+	maxEntries, id := p.cluster.snapshotEvery, replica.GroupID(0)
 	for _, group := range allGroups() {
 		overview, _ := p.engine.Overview(group)
-		if entries := overview.Applied - overview.SnapshotIndex; entries > longest {
-			longest, id = entries, group
+		if entries := overview.Applied - overview.SnapshotIndex; entries > maxEntries {
+			maxEntries, id = entries, group
 		}
 	}
-	if longest > p.cluster.snapshotEvery {
+	if maxEntries > p.cluster.snapshotEvery {
 		p.driver.Snapshot(id)
 	}
 }
 
+// allGroups returns the groups of all shards, that of the configuration first.
 func allGroups() []replica.GroupID {
 	var groups []replica.GroupID
 	for id := protocol.ConfigurationShard; id <= protocol.JobShards; id++ {
@@ -212,8 +220,8 @@
 	return groups
 }
 
-// followSeeds keeps the peers in step with the operator's list while nobody leads, as package seeds does by the settings
-// file.
+// followSeeds sets the engine's peers by the operator's list, again and again while it knows no leaders, as package seeds
+// does by the file of settings.
 func (p *process) followSeeds() {
 	const interval = 3 * time.Second
 	p.machine.After(interval, func() {
@@ -226,7 +234,7 @@
 	})
 }
 
-// Send carries an envelope to another process.
+// Send sends an envelope to another process. It implements the engine's sender.
 func (p *process) Send(address string, envelope *replica.Envelope) {
 	c := p.cluster
 	to := c.byName[address]
@@ -241,15 +249,15 @@
 	})
 }
 
-// handle answers a request that has come over the network.
+// handle handles a request that has arrived over the network.
 func (p *process) handle(from *simulation.Machine, request any, reply func(response any, err error)) {
 	p.control.Handle(from.Name, request, reply)
 	p.wakeIfSignalled()
 }
 
-// decommission leaves the replica groups, and calls done when the process may end, or after a while.
+// decommission leaves the replica groups, and calls done when the process may end, or after a timeout.
 func (p *process) decommission(done func()) {
-	p.shell.step(func() {
+	p.shell.deliver(func() {
 		p.control.Decommission(func() { p.shell.enqueue(processRequest, done) })
 	})
 }
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -9,14 +9,14 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// observer stands between an engine and a state machine: it compares what the replicas of a group apply, and the states
-// that they come to.
+// observer wraps a state machine and compares between the replicas of a group what they apply, and the states that they
+// come to. What differs is added to Cluster.divergences.
 type observer struct {
 	replica.StateMachine
 	leadership replica.LeadershipObserver
 	process    *process
 	group      replica.GroupID
-	index      uint64 // of the newest command applied here; 0: none since the start, or since a snapshot was restored
+	index      uint64 // of the last command applied; 0: none since the start, or since a snapshot was restored
 }
 
 // The engine finds these by type assertion: a wrapper that lacks one hides that of the state machine without an error.
@@ -26,39 +26,42 @@
 	_ replica.Digester           = (*observer)(nil)
 )
 
+// observe returns a state machine with its observer.
 func (c *Cluster) observe(p *process, group replica.GroupID, machine replica.StateMachine) replica.StateMachine {
 	leadership, _ := machine.(replica.LeadershipObserver)
 	return &observer{StateMachine: machine, leadership: leadership, process: p, group: group}
 }
 
+// Leading passes on that the replica leads.
 func (o *observer) Leading(term uint64) {
 	if o.leadership != nil {
 		o.leadership.Leading(term)
 	}
 }
 
+// Following passes on that the replica does not lead any more.
 func (o *observer) Following() {
 	if o.leadership != nil {
 		o.leadership.Following()
 	}
 }
 
-// digestInterval is the number of entries from one comparison of states to the next.
+// digestInterval is the number of entries between two comparisons of states.
 const digestInterval = 32
 
-// Apply carries out a committed command.
+// Apply applies a committed command.
 func (o *observer) Apply(index, term uint64, data []byte) any {
 	result := o.StateMachine.Apply(index, term, data)
 	c := o.process.cluster
 	c.checkApplied(o.process, o.group, index, term, data)
 	o.index = index
 	if index%digestInterval == 0 {
-		o.digest()
+		o.compareState()
 	}
 	return result
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the complete state.
 func (o *observer) Snapshot() ([]byte, error) {
 	data, err := o.StateMachine.Snapshot()
 	if err == nil {
@@ -67,7 +70,7 @@
 	return data, err
 }
 
-// Restore replaces the whole state, which must be the one of the snapshot from then on.
+// Restore replaces the complete state. A snapshot of it must be the same as the one that it was restored from.
 func (o *observer) Restore(data []byte) error {
 	if err := o.StateMachine.Restore(data); err != nil {
 		return err
@@ -75,13 +78,12 @@
 	o.index = 0
 	c := o.process.cluster
 	c.snapshotsRestored++
-	again, err := o.StateMachine.Snapshot()
+	restored, err := o.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
-	if digest(again) != digest(data) {
-		c.divergences = append(c.divergences, fmt.Sprintf("group %d: the state restored at %s is not that of the snapshot", o.group,
-			o.process.machine.Name))
+	if digest(restored) != digest(data) {
+		c.diverged("group %d: the state restored at %s is not that of the snapshot", o.group, o.process.machine.Name)
 	}
 	return nil
 }
@@ -92,29 +94,35 @@
 	return ok && deferrer.DefersTransfer()
 }
 
-// Digest tells in short what the state holds.
+// Digest returns the state machine's own digest of its state.
 func (o *observer) Digest() uint64 { return o.StateMachine.(replica.Digester).Digest() }
 
-// digest compares the state with those of the other replicas at the same index.
-func (o *observer) digest() {
+// compareState compares the state with those of the other replicas at the same index.
+func (o *observer) compareState() {
 	if _, err := o.Snapshot(); err != nil {
 		panic(err)
 	}
 }
 
-// logPosition is where a replica applied an entry.
+// diverged records a difference between replicas.
+func (c *Cluster) diverged(format string, args ...any) {
+	c.divergences = append(c.divergences, fmt.Sprintf(format, args...))
+}
+
+// logPosition is a position in a group's log.
 type logPosition struct {
 	group replica.GroupID
 	index uint64
 }
 
+// appliedEntry is what the first replica that got to a position applied there.
 type appliedEntry struct {
 	term   uint64
 	digest uint64 // of the entry's data
 	by     string
 }
 
-// checkApplied notes where two replicas apply different entries at one index.
+// checkApplied compares what a replica applies with what others applied at the same index.
 func (c *Cluster) checkApplied(p *process, group replica.GroupID, index, term uint64, data []byte) {
 	key, entry := logPosition{group, index}, appliedEntry{term, digest(data), p.machine.Name}
 	before, ok := c.appliedEntries[key]
@@ -123,12 +131,11 @@
 		return
 	}
 	if before.term != term || before.digest != entry.digest {
-		c.divergences = append(c.divergences, fmt.Sprintf("group %d index %d: %s applied term %d, %s applied term %d",
-			group, index, before.by, before.term, entry.by, term))
+		c.diverged("group %d index %d: %s applied term %d, %s applied term %d", group, index, before.by, before.term, entry.by, term)
 	}
 }
 
-// checkState notes where two replicas have different states after the same entry.
+// checkState compares a replica's state with those of others after the same entry.
 func (c *Cluster) checkState(p *process, group replica.GroupID, index uint64, state []byte) {
 	if index == 0 {
 		return
@@ -139,11 +146,11 @@
 	case !ok:
 		c.stateDigests[key] = stateDigest{found, p.machine.Name}
 	case before.digest != found:
-		c.divergences = append(c.divergences, fmt.Sprintf("group %d index %d: %s and %s have different states", group, index,
-			before.by, p.machine.Name))
+		c.diverged("group %d index %d: %s and %s have different states", group, index, before.by, p.machine.Name)
 	}
 }
 
+// stateDigest is the state of the first replica that was compared after an entry.
 type stateDigest struct {
 	digest uint64
 	by     string
@@ -153,18 +160,17 @@
 	return xxhash.Sum64(data)
 }
 
-// diskIncarnation is one disk of a machine, until it is wiped.
+// diskIncarnation is the disk of a machine from one wipe to the next.
 type diskIncarnation struct {
 	machine *simulation.Machine
 	wipes   int
 }
 
-// checkIdentity notes where a process takes the place of the one before it though the disk has not been lost.
+// checkIdentity checks that a process is the same member as the one before it if the disk was not lost.
 func (c *Cluster) checkIdentity(p *process) {
 	key, id := diskIncarnation{p.machine, p.machine.Disk.Wipes()}, p.engine.Self().ID
 	if before, ok := c.identities[key]; ok && before != id {
-		c.divergences = append(c.divergences, fmt.Sprintf("%s: member %x has taken its disk for lost and is %x", p.machine.Name,
-			uint64(before), uint64(id)))
+		c.diverged("%s: member %x has taken its disk for lost and is %x", p.machine.Name, uint64(before), uint64(id))
 	}
 	c.identities[key] = id
 }
--- a/internal/cluster/simulation/cluster/observer_test.go
+++ b/internal/cluster/simulation/cluster/observer_test.go
@@ -8,10 +8,10 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// text is a state machine whose state is all that was applied.
+// text is a state machine whose state is the concatenation of all commands.
 type text struct {
 	state string
-	wrong string // added by Restore
+	wrong string // appended by Restore
 }
 
 func (t *text) Apply(_, _ uint64, data []byte) any {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-var _ = Describe("The comparison of replicas", func() {
+var _ = Describe("The observer of state machines", func() {
 	var c *Cluster
 	var one, other replica.StateMachine
 	var theirs *text
@@ -38,7 +38,7 @@
 		other = c.observe(&process{cluster: c, machine: c.controlMachines[1]}, 1, theirs)
 	})
 
-	It("finds nothing where both do the same", func() {
+	It("finds nothing if both replicas do the same", func() {
 		for index := range uint64(3 * digestInterval) {
 			one.Apply(index+1, 1, []byte("x"))
 			other.Apply(index+1, 1, []byte("x"))
@@ -63,7 +63,7 @@
 		Expect(c.divergences).To(HaveLen(1))
 	})
 
-	It("finds a state that is not the one of the snapshot it was restored from", func() {
+	It("finds a restored state that differs from its snapshot", func() {
 		Expect(one.Restore([]byte("x"))).To(Succeed())
 		Expect(c.divergences).To(BeEmpty())
 		theirs.wrong = "more"
@@ -72,13 +72,13 @@
 	})
 })
 
-// deferrer is a state machine that wants to keep its leadership.
+// deferrer is a state machine that defers a transfer of its leadership.
 type deferrer struct{ text }
 
 func (deferrer) DefersTransfer() bool { return true }
 
-var _ = Describe("The observer of a state machine", func() {
-	It("passes on that the machine wants to keep its leadership", func() {
+var _ = Describe("An observer of a state machine", func() {
+	It("passes on that the machine defers a transfer of its leadership", func() {
 		c := New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), ShortBounds()))
 		p := &process{cluster: c, machine: c.controlMachines[0]}
 		Expect(c.observe(p, 1, &deferrer{}).(replica.TransferDeferrer).DefersTransfer()).To(BeTrue())
@@ -86,11 +86,11 @@
 	})
 })
 
-var _ = Describe("The days", func() {
-	It("have snapshots that are restored", func() {
+var _ = Describe("The scenarios", func() {
+	It("restore snapshots", func() {
 		restored := 0
 		for seed := range uint64(30) {
-			restored += playDay(1000+seed, Options{}).SnapshotsRestored
+			restored += play(1000+seed, Options{}).SnapshotsRestored
 		}
 		Expect(restored).To(BeNumerically(">", 10))
 	})
--- a/internal/cluster/simulation/cluster/operator.go
+++ b/internal/cluster/simulation/cluster/operator.go
@@ -1,35 +1,37 @@
 package cluster
 
 import (
-	"bytes"
 	"net/http"
 	"net/url"
 
 	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/simulation"
 )
 
-// operatorAPI is a control process's interface to the operator.
+// operatorAPI is a control process's interface to the operator. It implements simulation.ControlAPI.
 type operatorAPI struct{ process *process }
 
-// Configure sends an order.
-func (o *operatorAPI) Configure(update bool, base string, body []byte, reply func(status int)) (left func()) {
-	kind := protocol.ConfigurationReplace
-	if update {
-		kind = protocol.ConfigurationUpdate
+// Configure sends a change of the configuration.
+func (o *operatorAPI) Configure(kind simulation.ChangeKind, base string, body []byte,
+	reply func(status int)) (disconnect func()) {
+	verb := protocol.ConfigurationReplace
+	if kind == simulation.UpdateItems {
+		verb = protocol.ConfigurationUpdate
 	}
-	request := o.request(http.MethodPost, kind)
+	request := o.request(http.MethodPost, verb)
 	request.Header.Set("Ospreypond-Base-Version", base)
-	request.Body, request.ContentLength = reader{bytes.NewReader(body)}, int64(len(body))
-	return o.process.shell.serve(o.process.operator, request, func(a *response) { reply(a.status) })
+	setBody(request, body)
+	return o.process.shell.serve(o.process.operator, request, func(r *response) { reply(r.status) })
 }
 
 // Read reads the newest configuration.
 func (o *operatorAPI) Read(reply func(status int, body []byte)) {
 	request := o.request(http.MethodGet, "read")
-	o.process.shell.serve(o.process.operator, request, func(a *response) { reply(a.status, a.body.Bytes()) })
+	setBody(request, nil)
+	o.process.shell.serve(o.process.operator, request, func(r *response) { reply(r.status, r.body.Bytes()) })
 }
 
 func (o *operatorAPI) request(method, verb string) *http.Request {
 	return &http.Request{Method: method, Host: o.process.machine.Name, URL: &url.URL{Path: "/v1/configuration/" + verb},
-		Header: http.Header{}, Body: http.NoBody}
+		Header: http.Header{}}
 }
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -16,35 +16,37 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// runnerConn is an agent's connection to the runner of its machine, as net.Conn. Each Write is a whole request.
+// runnerConn is an agent's connection to the runner of its machine. It implements net.Conn: each Write is a complete HTTP
+// request, and one goroutine reads the responses. Where the simulated network drops messages, such a connection, which is
+// TCP, is reset now and then.
 type runnerConn struct {
 	shell   *shell
 	request uint64 // that its effects belong to
 	runner  *simulation.InvocationConn
 
-	incoming   chan []byte   // what the runner has sent
-	unread     []byte        // taken from incoming, by the one reader
-	peerClosed chan struct{} // closed when the runner ends
-	closed     chan struct{}
-	once       sync.Once
+	incoming chan []byte   // responses
+	unread   []byte        // received from incoming, by the reader
+	reset    chan struct{} // closed when the runner's side is gone
+	closed   chan struct{} // closed by Close
+	once     sync.Once
 
-	mutex   sync.Mutex
+	mutex   sync.Mutex    // guards what follows
 	expired chan struct{} // closed at the deadline
-	timer   *timer        // that does it
+	timer   *timer        // that closes it
 }
 
-// firstConnection is the number of a shell's first connection, beyond those of all requests.
+// firstConnection is the number of a shell's first connection, which orders its effects after those of all requests.
 const firstConnection uint64 = 1 << 40
 
 // dial connects to the runner at an address.
 func (s *shell) dial(ctx context.Context, address string) (net.Conn, error) {
-	const refusal = 100 * time.Microsecond
-	connection := &runnerConn{shell: s, request: s.nextConnection(), incoming: make(chan []byte, 1), peerClosed: make(chan struct{}),
-		closed: make(chan struct{}), expired: make(chan struct{})}
+	const handshakeDelay = 100 * time.Microsecond
+	conn := &runnerConn{shell: s, request: s.nextConnection(), incoming: make(chan []byte, 1),
+		reset: make(chan struct{}), closed: make(chan struct{}), expired: make(chan struct{})}
 	connected := make(chan error, 1)
-	s.enqueue(connection.request, func() {
-		s.machine.After(refusal, func() {
-			s.step(func() { connected <- connection.connect(s.cluster.runnerAt(address)) })
+	s.enqueue(conn.request, func() {
+		s.machine.After(handshakeDelay, func() {
+			s.deliver(func() { connected <- conn.connect(s.cluster.runnerAt(address)) })
 		})
 	})
 	select {
@@ -52,7 +54,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return connection, nil
+		return conn, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -65,23 +67,10 @@
 	return firstConnection + s.connections
 }
 
-// runnerAt returns the runner that has an address.
-func (c *Cluster) runnerAt(address string) *simulation.Runner {
-	for _, runners := range [][]*simulation.Runner{c.deployment.Runners, c.deployment.Spares} {
-		for _, runner := range runners {
-			if runner.Address == address {
-				return runner
-			}
-		}
-	}
-	return nil
-}
-
-// connect is called by the world's goroutine.
+// connect connects to a runner, which may be nil. The world's goroutine calls it.
 func (c *runnerConn) connect(runner *simulation.Runner) error {
 	if runner != nil {
-		s := c.shell
-		c.runner = runner.Connect(s.inIncarnation(func() { s.step(c.resetByPeer) }))
+		c.runner = runner.Connect(c.delivering(c.resetByPeer))
 	}
 	if c.runner == nil {
 		return syscall.ECONNREFUSED
@@ -89,28 +78,24 @@
 	return nil
 }
 
-// resetByPeer ends the connection from the runner's side.
+// delivering returns a function that delivers an input to the process, if it is still the same incarnation.
+func (c *runnerConn) delivering(input func()) func() {
+	return c.shell.inIncarnation(func() { c.shell.deliver(input) })
+}
+
+// resetByPeer resets the connection from the runner's side.
 func (c *runnerConn) resetByPeer() {
 	select {
-	case <-c.peerClosed:
+	case <-c.reset:
 	default:
-		close(c.peerClosed)
-	}
-}
-
-// inIncarnation returns a function that calls f in the present life of the process, or never.
-func (s *shell) inIncarnation(f func()) func() {
-	return func() {
-		if s.cluster.shells[s.machine] == s {
-			s.machine.After(0, f)
-		}
+		close(c.reset)
 	}
 }
 
-// Write sends a request.
+// Write sends a request, which data must hold completely.
 func (c *runnerConn) Write(data []byte) (int, error) {
 	select {
-	case <-c.peerClosed:
+	case <-c.reset:
 		return 0, syscall.ECONNRESET
 	case <-c.closed:
 		return 0, net.ErrClosed
@@ -129,45 +114,45 @@
 	return len(data), nil
 }
 
-// send carries a call over and its answer back. Where messages vanish, connections break: a call is then carried out
-// before that, later or never. It is called by the world's goroutine.
+// send delivers a call to the runner, and the response back. Where messages are dropped the connection may be reset
+// instead; the call is then executed before that, later or never. The world's goroutine calls it.
 func (c *runnerConn) send(path string, body []byte) {
-	const breaks = 0.25 // for each message that vanishes elsewhere
-	s := c.shell
-	world := s.cluster.world
-	breakOff := s.inIncarnation(func() { s.step(c.resetByPeer) })
-	broken := world.Chance(breaks * s.cluster.deployment.Network.Loss)
-	if broken && world.Chance(0.5) {
-		world.After(simulation.LoopbackDelay, breakOff)
+	const resetsPerLoss = 0.25 // for each message that is dropped elsewhere
+	world := c.shell.cluster.world
+	reset := c.delivering(c.resetByPeer)
+	isReset := world.Chance(resetsPerLoss * c.shell.cluster.deployment.Network.Loss)
+	if isReset && world.Chance(0.5) {
+		world.After(simulation.LoopbackDelay, reset)
 		if world.Chance(0.5) {
-			world.After(world.Between(0, time.Second), func() { c.runner.Call(path, body, func(int, []byte) {}) })
+			const maxDelay = time.Second
+			world.After(world.Between(0, maxDelay), func() { c.runner.Call(path, body, func(int, []byte) {}) })
 		}
 		return
 	}
 	world.After(simulation.LoopbackDelay, func() {
-		c.runner.Call(path, body, func(status int, answer []byte) {
-			arrive := s.inIncarnation(func() { s.step(func() { c.deliver(status, answer) }) })
-			if broken {
-				arrive = breakOff
+		c.runner.Call(path, body, func(status int, responseBody []byte) {
+			arrive := reset
+			if !isReset {
+				arrive = c.delivering(func() { c.receive(status, responseBody) })
 			}
 			world.After(simulation.LoopbackDelay, arrive)
 		})
 	})
 }
 
-// deliver brings an answer, unless the connection was reset or given up.
-func (c *runnerConn) deliver(status int, answer []byte) {
+// receive makes a response available to the reader. It is dropped if the one before has not been read.
+func (c *runnerConn) receive(status int, body []byte) {
 	var response bytes.Buffer
 	response.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	response.WriteString("Content-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(answer)) + "\r\n\r\n")
-	response.Write(answer)
+	response.WriteString("Content-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n")
+	response.Write(body)
 	select {
 	case c.incoming <- response.Bytes():
 	default:
 	}
 }
 
-// Read reads what the runner has sent.
+// Read reads what the runner has sent. One goroutine may call it at a time.
 func (c *runnerConn) Read(data []byte) (int, error) {
 	if len(c.unread) == 0 {
 		c.mutex.Lock()
@@ -177,7 +162,7 @@
 		case c.unread = <-c.incoming:
 		case <-expired:
 			return 0, os.ErrDeadlineExceeded
-		case <-c.peerClosed:
+		case <-c.reset:
 			return 0, syscall.ECONNRESET
 		case <-c.closed:
 			return 0, net.ErrClosed
@@ -188,7 +173,8 @@
 	return count, nil
 }
 
-// SetDeadline ends reads at a time of the bubble's clock, which stands still: what counts is how far off it is.
+// SetDeadline sets the time at which reads end, by the clock of the bubble. That clock stands still, so that the deadline
+// is as far off in virtual time as it is by that clock.
 func (c *runnerConn) SetDeadline(at time.Time) error {
 	left := time.Until(at)
 	c.mutex.Lock()
@@ -207,7 +193,7 @@
 	return nil
 }
 
-// expire ends reads now. The mutex is held.
+// expire ends reads now. The caller must hold the mutex.
 func (c *runnerConn) expire() {
 	select {
 	case <-c.expired:
@@ -216,10 +202,10 @@
 	}
 }
 
-// SetReadDeadline is SetDeadline.
+// SetReadDeadline is the same as SetDeadline.
 func (c *runnerConn) SetReadDeadline(at time.Time) error { return c.SetDeadline(at) }
 
-// SetWriteDeadline does nothing: writes don't wait.
+// SetWriteDeadline does nothing, because writes don't block.
 func (c *runnerConn) SetWriteDeadline(time.Time) error { return nil }
 
 // Close closes the connection.
@@ -228,8 +214,8 @@
 	return nil
 }
 
-// LocalAddr returns no address.
+// LocalAddr returns nil.
 func (c *runnerConn) LocalAddr() net.Addr { return nil }
 
-// RemoteAddr returns no address.
+// RemoteAddr returns nil.
 func (c *runnerConn) RemoteAddr() net.Addr { return nil }
--- a/internal/cluster/simulation/cluster/shell.go
+++ b/internal/cluster/simulation/cluster/shell.go
@@ -1,7 +1,6 @@
 package cluster
 
 import (
-	"bytes"
 	"cmp"
 	"context"
 	"net/http"
@@ -13,37 +12,39 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// shell runs one life of a process: shipped code, with its goroutines. Its clock, its messages
-// and its callers are the simulated world's. Days are played in a synctest bubble: after each input the world waits
-// until every goroutine is blocked, and only then carries out what they asked for, in an order that does not hang on
-// how they were scheduled. So at most one input is on its way in a shell, and a seed replays.
+// shell runs one incarnation of a process: shipped code, with its goroutines. Its clock, its messages and its callers are
+// the simulated world's.
+//
+// Two kinds of goroutines meet here. The world's goroutine executes events, one at a time. The process's goroutines run in
+// the same testing/synctest bubble, and only while the world's waits for them in deliver: it delivers one input, waits
+// until every goroutine is blocked, and only then performs the effects that they enqueued, in an order that doesn't depend
+// on how they were scheduled. So a seed replays, although the shipped code is concurrent.
 type shell struct {
 	cluster      *Cluster
 	machine      *simulation.Machine
-	ctx          context.Context // the life's
+	ctx          context.Context // ends with the incarnation
 	cancel       context.CancelFunc
-	clockStart   time.Time // what its clock shows at steady time 0: the time of day at the start
-	afterStep    func()    // if set, called after each input
-	requests     uint64    // taken so far
+	clockStart   time.Time // the reading of the process's clock at its start
+	afterInput   func()    // called after each input; nil: nothing is
+	requests     uint64    // served
 	closeProcess func()    // ends goroutines that don't end with ctx; nil: there are none
 
-	mutex   sync.Mutex
-	effects []effect // asked for since the newest input
-	killed  bool     // the process was killed: nothing that it does has an effect
-	// connections is how many were made to the machine's runner.
-	connections uint64
+	mutex       sync.Mutex // guards what follows, and the timers
+	effects     []effect   // enqueued since the last input
+	killed      bool       // nothing that the process still does has an effect
+	connections uint64     // made to the machine's runner
 }
 
-// effect is something that a goroutine of a shell wants of the world.
+// effect is something that a goroutine of the process does to the world.
 type effect struct {
-	request uint64 // that it belongs to
-	do      func()
+	request uint64 // that the goroutine works for
+	perform func()
 }
 
-// processRequest is the request that effects of the process itself belong to.
+// processRequest stands for the request of goroutines that work for the process itself.
 const processRequest uint64 = 0
 
-// newShell begins a life of a machine's process. What goes on of an earlier one ends without effect.
+// newShell begins an incarnation of a machine's process, and ends what still runs of an earlier one.
 func (c *Cluster) newShell(m *simulation.Machine) *shell {
 	if earlier := c.shells[m]; earlier != nil {
 		earlier.kill()
@@ -54,14 +55,14 @@
 	return s
 }
 
-// endShells ends all goroutines of all shells, as a bubble wants before its own end.
+// endShells ends all goroutines of all shells, as a bubble requires before its own end.
 func (c *Cluster) endShells() {
 	for _, s := range c.shells {
 		s.kill()
 	}
 }
 
-// kill ends the life's goroutines. Their process is gone, so that nothing they do now has an effect.
+// kill ends the goroutines of a process that is not running any more, without an effect, and waits for them.
 func (s *shell) kill() {
 	s.mutex.Lock()
 	s.killed = true
@@ -74,9 +75,9 @@
 	synctest.Wait()
 }
 
-// step brings an input into the shell, waits until nothing moves in it, and carries out what came of it. It is called
-// by the world's goroutine only, in the life of the process.
-func (s *shell) step(input func()) {
+// deliver calls input, waits until all goroutines of the process are blocked, and performs their effects in the order of
+// the requests that they belong to. It must be called by the world's goroutine, in the incarnation of the process.
+func (s *shell) deliver(input func()) {
 	input()
 	synctest.Wait()
 	s.mutex.Lock()
@@ -85,69 +86,63 @@
 	s.mutex.Unlock()
 	slices.SortStableFunc(effects, func(a, b effect) int { return cmp.Compare(a.request, b.request) })
 	for i := range effects {
-		effects[i].do()
+		effects[i].perform()
 	}
-	if s.afterStep != nil {
-		s.afterStep()
+	if s.afterInput != nil {
+		s.afterInput()
 	}
 }
 
-// enqueue has something done in the world once nothing moves in the shell.
-func (s *shell) enqueue(request uint64, do func()) {
+// enqueue has the world's goroutine perform an effect when deliver's input has been processed. Any goroutine may call it.
+func (s *shell) enqueue(request uint64, perform func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.killed {
-		s.effects = append(s.effects, effect{request, do})
+		s.effects = append(s.effects, effect{request, perform})
 	}
 }
 
-// run starts a goroutine of the process that goes on for its life.
+// inIncarnation returns a function that calls f in the present incarnation of the process, or never.
+func (s *shell) inIncarnation(f func()) func() {
+	return func() {
+		if s.cluster.shells[s.machine] == s {
+			s.machine.After(0, f)
+		}
+	}
+}
+
+// run starts a goroutine of the process, which must end with its context.
 func (s *shell) run(body func(ctx context.Context)) {
-	s.step(func() { go body(s.ctx) })
+	s.deliver(func() { go body(s.ctx) })
 }
 
-// requestKey finds the number of a caller's request in a context.
+// requestKey is the key of a request's number in a context.
 type requestKey struct{}
 
-// requestOf returns the number of the request that a context belongs to.
+// requestOf returns the number of the request that a context belongs to, or processRequest.
 func requestOf(ctx context.Context) uint64 {
 	number, _ := ctx.Value(requestKey{}).(uint64)
 	return number
 }
 
-// serve has a handler answer a caller's request. What it returns ends the request because the caller has left.
-func (s *shell) serve(handler http.Handler, request *http.Request, answered func(*response)) (left func()) {
+// serve has a handler serve a caller's request, and calls done with the response. What it returns ends the request's
+// context, because the caller has disconnected.
+func (s *shell) serve(handler http.Handler, request *http.Request, done func(*response)) (disconnect func()) {
 	s.requests++
 	number := 2 * s.requests
-	last := number + 1 // its answer comes after all else: what the handler has begun may go on beside it
+	last := number + 1 // orders the response after all else: goroutines that the handler started may go on beside it
 	ctx, cancel := context.WithCancel(context.WithValue(s.ctx, requestKey{}, number))
-	s.step(func() {
+	s.deliver(func() {
 		go func() {
 			defer cancel()
-			response := &response{header: http.Header{}, status: http.StatusOK}
+			response := newResponse()
 			handler.ServeHTTP(response, request.WithContext(ctx))
-			s.enqueue(last, func() { answered(response) })
+			s.enqueue(last, func() { done(response) })
 		}()
 	})
 	return func() {
 		if ctx.Err() == nil {
-			s.step(cancel)
+			s.deliver(cancel)
 		}
 	}
 }
-
-// response is what a handler answers.
-type response struct {
-	header http.Header
-	status int
-	body   bytes.Buffer
-}
-
-// Header returns the answer's header.
-func (a *response) Header() http.Header { return a.header }
-
-// WriteHeader sets the answer's status.
-func (a *response) WriteHeader(status int) { a.status = status }
-
-// Write adds to the answer's body.
-func (a *response) Write(data []byte) (int, error) { return a.body.Write(data) }
--- a/internal/cluster/simulation/cluster/shell_clock.go
+++ b/internal/cluster/simulation/cluster/shell_clock.go
@@ -2,24 +2,25 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"github.com/jonboulle/clockwork"
 )
 
-// shellClock is the steady clock of a shell's machine. Its timers fire in the life of the process only, and not while
-// the machine stands still. It implements deadline.Clock.
+// shellClock is the monotonic clock of a shell's machine. Its timers fire in the incarnation of the process only, and not
+// while the machine is frozen. It implements deadline.Clock.
 type shellClock struct {
 	shell   *shell
-	request uint64 // that its timers belong to
+	request uint64 // that its timers belong to, see shell.enqueue
 }
 
-// In returns the clock for the timers of a context's request.
+// In returns the clock whose timers belong to a context's request.
 func (c shellClock) In(ctx context.Context) clockwork.Clock {
 	return shellClock{c.shell, requestOf(ctx)}
 }
 
-// Now returns the time of day at the start of the process and the steady time since then.
+// Now returns the time of day at the start of the process plus the monotonic time since then.
 func (c shellClock) Now() time.Time { return c.shell.clockStart.Add(c.shell.machine.Monotonic()) }
 
 // Since returns the time since t.
@@ -28,13 +29,13 @@
 // Until returns the time until t.
 func (c shellClock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Sleep waits for a time.
+// Sleep returns once d has passed.
 func (c shellClock) Sleep(d time.Duration) { <-c.After(d) }
 
-// After returns a channel that brings the time once d has passed.
+// After returns a channel that delivers the time once d has passed.
 func (c shellClock) After(d time.Duration) <-chan time.Time { return c.NewTimer(d).Chan() }
 
-// NewTimer returns a timer that brings the time once d has passed.
+// NewTimer returns a timer that delivers the time once d has passed.
 func (c shellClock) NewTimer(d time.Duration) clockwork.Timer {
 	t := c.newTimer(nil)
 	t.onFire = t.sendTime
@@ -49,18 +50,18 @@
 	return t
 }
 
-// NewTicker returns a ticker that brings the time every d.
+// NewTicker returns a ticker that delivers the time every d.
 func (c shellClock) NewTicker(d time.Duration) clockwork.Ticker {
 	t := c.newTimer(nil)
 	t.onFire = func() {
-		t.Reset(d) // first: who is told may stop it
+		t.Reset(d) // first, because the receiver may stop the ticker
 		t.sendTime()
 	}
 	t.Reset(d)
 	return ticker{t}
 }
 
-// WithDeadline returns a context that ends with its parent, by its cancel function or at a time.
+// WithDeadline returns a context that ends with its parent, by its cancel function, or at a time of this clock.
 func (c shellClock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	if earlier, ok := parent.Deadline(); ok && earlier.Before(at) {
 		return context.WithCancel(parent)
@@ -83,9 +84,9 @@
 // Deadline returns when the context ends.
 func (c *deadlineContext) Deadline() (time.Time, bool) { return c.at, true }
 
-// Err returns why the context has ended, nil if it has not.
+// Err returns why the context has ended, or nil.
 func (c *deadlineContext) Err() error {
-	if context.Cause(c.Context) == context.DeadlineExceeded {
+	if errors.Is(context.Cause(c.Context), context.DeadlineExceeded) {
 		return context.DeadlineExceeded
 	}
 	return c.Context.Err()
@@ -94,56 +95,58 @@
 // timer is a timer of a shell. The shell's mutex guards what changes.
 type timer struct {
 	shell      *shell
-	request    uint64 // that it belongs to
+	request    uint64
 	channel    chan time.Time
 	onFire     func() // called by the world's goroutine
 	running    bool
-	generation uint64 // an event of an earlier start does nothing
+	generation uint64 // counts starts and stops; an event of an earlier one does nothing
 }
 
-func (c shellClock) newTimer(fired func()) *timer {
-	return &timer{shell: c.shell, request: c.request, channel: make(chan time.Time, 1), onFire: fired}
+// newTimer returns a timer that is not running and calls onFire, in the world's goroutine, when it fires.
+func (c shellClock) newTimer(onFire func()) *timer {
+	return &timer{shell: c.shell, request: c.request, channel: make(chan time.Time, 1), onFire: onFire}
 }
 
-// Chan returns the channel on which the time comes.
+// Chan returns the channel on which the time is delivered.
 func (t *timer) Chan() <-chan time.Time { return t.channel }
 
-// Reset starts the timer and tells whether it was running.
+// Reset starts the timer and reports whether it was running.
 func (t *timer) Reset(d time.Duration) bool {
-	was, start := t.setRunning(true)
-	t.shell.enqueue(t.request, func() { t.shell.machine.After(d, func() { t.fire(start) }) })
-	return was
+	wasRunning, generation := t.setRunning(true)
+	t.shell.enqueue(t.request, func() { t.shell.machine.After(d, func() { t.fire(generation) }) })
+	return wasRunning
 }
 
-// Stop stops the timer and tells whether it was running.
+// Stop stops the timer and reports whether it was running.
 func (t *timer) Stop() bool {
-	was, _ := t.setRunning(false)
-	return was
+	wasRunning, _ := t.setRunning(false)
+	return wasRunning
 }
 
-func (t *timer) setRunning(running bool) (was bool, start uint64) {
+// setRunning begins a generation of the timer, which is running or stopped.
+func (t *timer) setRunning(running bool) (wasRunning bool, generation uint64) {
 	t.shell.mutex.Lock()
 	defer t.shell.mutex.Unlock()
-	was = t.running
+	wasRunning = t.running
 	t.running = running
 	t.generation++
-	return was, t.generation
+	return wasRunning, t.generation
 }
 
-// fire is called by the world's goroutine when the time of a start has come.
-func (t *timer) fire(start uint64) {
+// fire is called by the world's goroutine at the time that was set in a generation.
+func (t *timer) fire(generation uint64) {
 	t.shell.mutex.Lock()
-	due := t.running && t.generation == start
-	if due {
+	isDue := t.running && t.generation == generation
+	if isDue {
 		t.running = false
 	}
 	t.shell.mutex.Unlock()
-	if due {
-		t.shell.step(t.onFire)
+	if isDue {
+		t.shell.deliver(t.onFire)
 	}
 }
 
-// sendTime brings the time, unless the last one has not been taken yet.
+// sendTime delivers the time, unless the one before has not been received yet.
 func (t *timer) sendTime() {
 	select {
 	case t.channel <- shellClock{shell: t.shell}.Now():
@@ -154,7 +157,8 @@
 // ticker is a timer that starts again by itself.
 type ticker struct{ *timer }
 
-// Reset starts the ticker anew; the shells don't, and its period stays.
+// Reset sets the time of the next tick only. The period after it stays what it was, unlike that of time.Ticker: the
+// shipped code resets no tickers.
 func (t ticker) Reset(d time.Duration) { t.timer.Reset(d) }
 
 // Stop stops the ticker.
--- a/internal/cluster/simulation/cluster/shell_test.go
+++ b/internal/cluster/simulation/cluster/shell_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"testing"
 	"testing/synctest"
@@ -15,8 +16,8 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// shellBed is one machine with a shell, and a deployment around it whose control processes are off.
-type shellBed struct {
+// shellBench is a machine with a shell, in a deployment whose control processes are off.
+type shellBench struct {
 	*WithT
 	world   *simulation.World
 	cluster *Cluster
@@ -25,11 +26,12 @@
 }
 
 // inBubble runs a test of a shell in a bubble.
-func inBubble(t *testing.T, body func(b *shellBed)) {
+func inBubble(t *testing.T, body func(b *shellBench)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		world := simulation.NewWorld(1)
 		deployment := simulation.NewDeployment(world, simulation.SmallSize(), ShortBounds())
-		b := &shellBed{WithT: NewWithT(t), world: world, cluster: New(deployment), machine: deployment.AgentMachines[0]}
+		b := &shellBench{WithT: NewWithT(t), world: world, cluster: New(deployment), machine: deployment.AgentMachines[0]}
 		b.machine.Start = func() { b.shell = b.cluster.newShell(b.machine) }
 		b.machine.Boot()
 		defer b.cluster.endShells()
@@ -37,10 +39,10 @@
 	})
 }
 
-func (b *shellBed) clock() shellClock { return shellClock{shell: b.shell} }
+func (b *shellBench) clock() shellClock { return shellClock{shell: b.shell} }
 
-func TestTimersFireByTheWorldsTime(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestTimersFireInVirtualTime(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		var fired []time.Duration
 		b.shell.run(func(context.Context) {
 			<-b.clock().After(time.Second)
@@ -59,8 +61,8 @@
 	})
 }
 
-func TestAMachineThatStandsStillKeepsItsTimersUntilItGoesOn(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestAFrozenMachineDefersItsTimersUntilItIsThawed(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		var fired time.Duration
 		b.shell.run(func(context.Context) {
 			<-b.clock().After(time.Second)
@@ -75,8 +77,8 @@
 	})
 }
 
-func TestNothingOfAKilledProcessHasAnEffect(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestAKilledProcessHasNoEffects(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		var effects int
 		ended := make(chan error, 2)
 		earlier := b.shell
@@ -91,34 +93,34 @@
 		b.world.Run(time.Second)
 		b.Expect(ended).NotTo(Receive())
 		b.machine.Boot()
-		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.UnknownOutcome), "the call was out")
+		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.UnknownOutcome), "the call was in flight")
 		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.Unavailable), "the call was not made")
 		b.world.Run(10 * time.Second)
 		b.Expect(effects).To(BeZero())
 	})
 }
 
-func TestADeadlineEndsAContextByTheMachinesTime(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestADeadlineEndsAContextByTheMachinesClock(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		ends := map[string]time.Duration{}
-		await := func(name string, ctx context.Context, want error) {
+		await := func(ctx context.Context, name string, want error) {
 			go func() {
 				<-ctx.Done()
-				if ctx.Err() == want {
+				if errors.Is(ctx.Err(), want) {
 					b.shell.enqueue(processRequest, func() { ends[name] = b.world.Now() })
 				}
 			}()
 		}
 		b.shell.run(func(ctx context.Context) {
 			long, _ := b.clock().WithDeadline(ctx, b.clock().Now().Add(2*time.Second))
-			await("long", long, context.DeadlineExceeded)
+			await(long, "long", context.DeadlineExceeded)
 			short, _ := b.clock().WithDeadline(long, b.clock().Now().Add(time.Second))
-			await("short", short, context.DeadlineExceeded)
+			await(short, "short", context.DeadlineExceeded)
 			bounded, _ := b.clock().WithDeadline(short, b.clock().Now().Add(time.Hour))
 			at, _ := bounded.Deadline()
 			b.Expect(b.clock().Until(at)).To(Equal(time.Second))
 			given, cancel := b.clock().WithDeadline(ctx, b.clock().Now().Add(time.Hour))
-			await("cancelled", given, context.Canceled)
+			await(given, "cancelled", context.Canceled)
 			b.clock().AfterFunc(500*time.Millisecond, cancel)
 		})
 		b.world.Run(5 * time.Second)
@@ -126,8 +128,8 @@
 	})
 }
 
-func TestWhatRequestsWantIsDoneInTheOrderInWhichTheyCame(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestEffectsArePerformedInTheOrderOfTheirRequests(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		const requests = 20
 		var order []int
 		open := make(chan struct{})
@@ -136,13 +138,13 @@
 				<-open
 				w.WriteHeader(http.StatusAccepted)
 			})
-			b.shell.serve(handler, &http.Request{}, func(a *response) {
-				b.Expect(a.status).To(Equal(http.StatusAccepted))
+			b.shell.serve(handler, &http.Request{}, func(r *response) {
+				b.Expect(r.status).To(Equal(http.StatusAccepted))
 				order = append(order, number)
 			})
 		}
 		b.Expect(order).To(BeEmpty())
-		b.shell.step(func() { close(open) })
+		b.shell.deliver(func() { close(open) })
 		b.Expect(order).To(HaveLen(requests))
 		for number := range requests {
 			b.Expect(order[number]).To(Equal(number))
@@ -150,8 +152,8 @@
 	})
 }
 
-func TestACallToNobodyEndsWithAnError(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestACallToAnUnreachableProcessFails(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		kinds := map[string]failure.Kind{}
 		for _, address := range []string{"core-0", "elsewhere"} {
 			b.shell.run(func(ctx context.Context) {
@@ -164,8 +166,8 @@
 	})
 }
 
-func TestTimersOfRequestsFireInTheOrderInWhichTheRequestsCame(t *testing.T) {
-	inBubble(t, func(b *shellBed) {
+func TestTimersFireInTheOrderOfTheirRequests(t *testing.T) {
+	inBubble(t, func(b *shellBench) {
 		const requests = 20
 		var order []int
 		open := make(chan struct{})
@@ -179,7 +181,7 @@
 			})
 			b.shell.serve(handler, &http.Request{}, func(*response) { order = append(order, number) })
 		}
-		b.shell.step(func() { close(open) })
+		b.shell.deliver(func() { close(open) })
 		b.world.Run(2 * time.Second)
 		b.Expect(order).To(HaveLen(requests))
 		for number := range requests {
--- a/internal/cluster/simulation/deployment.go
+++ b/internal/cluster/simulation/deployment.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"ospreypond/internal/cluster/protocol"
@@ -9,25 +10,27 @@
 
 // Size is how large a deployment is.
 type Size struct {
-	Frontends, Controls int
-	Services            []ServiceSize
-	SyncTime            time.Duration
-	JobsPerSecond       float64
+	Frontends     int
+	Controls      int
+	Services      []ServiceSize // one at least
+	SyncTime      time.Duration // of a control machine's disk
+	JobsPerSecond float64
 }
 
-// ServiceSize is one service's runners.
+// ServiceSize describes the runners of one service. Of kinds, sizes and speeds, runner i has number i modulo their count.
 type ServiceSize struct {
 	Name             string
 	Runners          int
-	Spare            int // more that may come during the day
-	Capacity         protocol.Resources
-	Kinds            []string
+	Spare            int                // further runners, which are off until a fault starts them
+	Capacity         protocol.Resources // of a runner of size 1; Sizes scale its CPU and memory
+	Kinds            []string           // the labels that steps may require
 	Sizes            []float64
 	Speeds           []float64
-	EnforcesCapacity bool
+	EnforcesCapacity bool // the runners reject what does not fit
 }
 
-// SmallSize is a deployment like the small sites, cut down so that a day plays in milliseconds.
+// SmallSize returns the size of a deployment like the users' small ones, so much smaller that a scenario plays in
+// milliseconds.
 func SmallSize() Size {
 	return Size{
 		Frontends: 2, Controls: 3, SyncTime: 9 * time.Millisecond, JobsPerSecond: 6,
@@ -42,7 +45,9 @@
 	}
 }
 
-// Deployment is a whole deployment without the scheduler's own processes, which its user puts onto the machines.
+// Deployment is a complete deployment but for the scheduler's processes. Whoever makes one sets Machine.Start of the
+// frontends, control and agent machines, Clients.Frontend, Operator.Control and Runner.Agent, and may set Leader,
+// AddControl and Terminate, before Play.
 type Deployment struct {
 	World         *World
 	Network       *Network
@@ -57,28 +62,29 @@
 	Clients       *Clients
 	Operator      *Operator
 	Racks         []string
-	// Leader returns a core machine that leads something, or nil.
+	// Leader returns a control machine that leads a replica group, or nil. If it is nil itself, faults strike any.
 	Leader func() *Machine
-	// AddControl makes an empty core machine at a new address part of the deployment; it is off.
+	// AddControl returns a new control machine with an empty disk and an address of its own, which is off. If it is nil,
+	// no control machine is ever replaced.
 	AddControl func() *Machine
-	// Terminate asks a machine's process to end by itself and calls done when it has.
+	// Terminate asks a machine's process to shut down and calls done once it has. If it is nil, processes are killed.
 	Terminate func(m *Machine, done func())
 
-	loadFactor       float64 // of jobs against the usual
-	failingFraction  float64 // share of jobs that can never be done
-	cancelFraction   float64 // share of jobs that are cancelled soon
+	loadFactor       float64 // of the rate of jobs, 1 usually
+	failingFraction  float64 // of jobs that always fail
+	cancelFraction   float64 // of jobs that are cancelled, whatever their class
 	unavailableUntil map[*Machine]time.Duration
-	finalFaultAt     time.Duration // of the final fault; 0: none comes
+	finalFaultAt     time.Duration // 0: there is no final fault
 }
 
 // NewDeployment returns a deployment whose machines are off.
 func NewDeployment(world *World, size Size, bounds Bounds) *Deployment {
-	ledger := NewHistory(bounds)
-	d := &Deployment{World: world, Network: NewNetwork(world), GroundTruth: NewGroundTruth(world, ledger), History: ledger, Size: size,
-		loadFactor: 1, unavailableUntil: map[*Machine]time.Duration{}}
+	history := NewHistory(bounds)
+	d := &Deployment{World: world, Network: NewNetwork(world), GroundTruth: NewGroundTruth(world, history), History: history,
+		Size: size, loadFactor: 1, unavailableUntil: map[*Machine]time.Duration{}}
 	zones := []string{"north", "centre", "south"}
 	for i := range size.Frontends {
-		d.Frontends = append(d.Frontends, NewMachine(world, fmt.Sprintf("front-%d", i), zones[i%len(zones)], "front"))
+		d.Frontends = append(d.Frontends, NewMachine(world, fmt.Sprintf("front-%d", i), zones[i%len(zones)], RoleFrontend))
 	}
 	for i := range size.Controls {
 		d.Controls = append(d.Controls, d.NewControlMachine(fmt.Sprintf("core-%d", i), zones[i%len(zones)]))
@@ -86,25 +92,26 @@
 	for s := range size.Services {
 		d.addService(&size.Services[s], zones)
 	}
-	d.Clients = NewClients(world, d.Network, d.GroundTruth, d.Frontends)
-	d.Operator = &Operator{World: world, History: ledger, Controls: d.Controls, Base: baseDocument(size)}
+	d.Clients = NewClients(world, d.GroundTruth, d.Frontends)
+	d.Operator = &Operator{World: world, History: history, Controls: d.Controls, Base: baseDocument(size)}
 	return d
 }
 
-// NewControlMachine returns a core machine with an empty disk.
+// NewControlMachine returns a control machine with an empty disk, which is off and not part of the deployment yet.
 func (d *Deployment) NewControlMachine(name, zone string) *Machine {
-	m := NewMachine(d.World, name, zone, "core")
+	m := NewMachine(d.World, name, zone, RoleControl)
 	m.Disk = NewDisk(d.Size.SyncTime)
 	return m
 }
 
+// addService adds the runners of a service, each with its agent's machine.
 func (d *Deployment) addService(service *ServiceSize, zones []string) {
-	const inRack = 2
+	const runnersPerRack = 2
 	for i := range service.Runners + service.Spare {
 		name := fmt.Sprintf("%s-%d", service.Name, i)
-		rack := fmt.Sprintf("r-%s-%d", service.Name, i/inRack)
+		rack := fmt.Sprintf("r-%s-%d", service.Name, i/runnersPerRack)
 		d.Racks = append(d.Racks, rack)
-		machine := NewMachine(d.World, name, zones[i%len(zones)], "side")
+		machine := NewMachine(d.World, name, zones[i%len(zones)], RoleAgent)
 		size := service.Sizes[i%len(service.Sizes)]
 		runner := NewRunner(d.GroundTruth, machine, RunnerOptions{
 			Service: service.Name, Zone: machine.Zone, Address: name + ":8080", Kind: service.Kinds[i%len(service.Kinds)],
@@ -122,14 +129,18 @@
 	}
 }
 
-// ClientHost is the host of all queues.
+// AllRunners returns the runners, the spare ones last.
+func (d *Deployment) AllRunners() []*Runner { return append(slices.Clone(d.Runners), d.Spares...) }
+
+// ClientHost is the host of all queues but those of probe routes.
 const ClientHost = "jobs.example"
 
+// baseDocument returns the first configuration: a route for each class of jobs. Its version is not set.
 func baseDocument(size Size) *Document {
 	first, second := size.Services[0].Name, size.Services[min(1, len(size.Services)-1)].Name
-	route := func(name, service string, priority, attempts int, aim int64, extension float64) Route {
+	route := func(name, service string, priority, attempts int, targetLatencyMs int64, extension float64) Route {
 		return Route{Name: name, Host: ClientHost, PathPrefix: "/" + name + "/", Kind: "non_idempotent", TimeoutMs: 3000,
-			TargetLatencyMs: aim, Priority: priority, Service: service, MaxAttempts: attempts, Extension: extension}
+			TargetLatencyMs: targetLatencyMs, Priority: priority, Service: service, MaxAttempts: attempts, Extension: extension}
 	}
 	document := &Document{
 		Routes: []Route{
@@ -148,7 +159,7 @@
 	return document
 }
 
-// BootAll starts all machines and runners within 0.3 s of each other.
+// BootAll starts all machines, and the runners soon after them.
 func (d *Deployment) BootAll() {
 	const spread = 300 * time.Millisecond
 	for _, machines := range [][]*Machine{d.Controls, d.Frontends, d.AgentMachines} {
@@ -161,50 +172,8 @@
 	}
 }
 
-// Traffic hands in jobs from now until a time.
-func (d *Deployment) Traffic(until time.Duration) {
-	if d.World.now >= until {
-		return
-	}
-	d.submitDrawnJob()
-	mean := time.Duration(float64(time.Second) / (d.Size.JobsPerSecond * d.loadFactor))
-	d.World.After(d.World.Exponential(mean), func() { d.Traffic(until) })
-}
-
-func (d *Deployment) submitDrawnJob() {
-	class := drawClass(d.World)
-	d.submitJob(class, QueueName{ClientHost, "/" + class.Route + "/"})
-}
-
-// submitJob makes up a job of a class and hands it in to a queue.
-func (d *Deployment) submitJob(class *JobClass, queue QueueName) {
-	w := d.World
-	kinds := []string{"a", "b"}
-	spec, work := drawJob(w, class, d.Racks, kinds)
-	work.AlwaysFails = w.Chance(d.failingFraction)
-	cancelAfter := Never
-	if w.Chance(max(class.Cancelled, d.cancelFraction)) {
-		cancelAfter = w.Between(200*time.Millisecond, 6*time.Second)
-	}
-	d.Clients.Submit(queue, spec, work, cancelAfter)
-}
-
-func drawClass(w *World) *JobClass {
-	classes := JobClasses()
-	luck := w.Random.Float64()
-	for i := range classes {
-		if luck < classes[i].Weight {
-			return &classes[i]
-		}
-		luck -= classes[i].Weight
-	}
-	return &classes[0]
-}
-
-// recordFault notes something done to the deployment.
-func (d *Deployment) recordFault(t Fault) {
-	if t.To < t.From {
-		t.To = t.From
-	}
-	d.History.Faults = append(d.History.Faults, t)
+// recordFault adds a fault to the history.
+func (d *Deployment) recordFault(fault Fault) {
+	fault.To = max(fault.To, fault.From)
+	d.History.Faults = append(d.History.Faults, fault)
 }
--- a/internal/cluster/simulation/disk.go
+++ b/internal/cluster/simulation/disk.go
@@ -9,27 +9,26 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// Disk is a machine's disk: files that lose at a loss of power what was not synced, and the time that it takes to write
-// to them. A process calls the file system only from within the work that it gives to Perform, or as it starts.
+// Disk is a machine's disk: files of which a loss of power may destroy what was not synced, and the time that writing to
+// them takes. A process must call the file system only within the work that it passes to Perform, or as it starts.
 type Disk struct {
-	Sync time.Duration // time of one sync
-	Slow float64       // times as long; 0 or 1: as usual
-	Full bool          // refuses writes
-	// Stalled disks answer nothing until they are released.
-	Stalled bool
+	Sync       time.Duration // mean time of a sync
+	SlowFactor float64       // by which syncs take longer; 0 is the same as 1
+	Full       bool          // writes fail with ENOSPC
+	Stalled    bool          // nothing completes until Release
 
 	files    *vfstest.Mem
 	inFlight []*diskWork
 	wipes    int
 }
 
-// diskWork is work that has not been carried out yet.
+// diskWork is work that has not been performed yet.
 type diskWork struct {
 	machine     *Machine
 	incarnation int
 	syncs       int
 	run         func()
-	isParked    bool // until the disk is released
+	isParked    bool // until Release
 }
 
 // NewDisk returns an empty disk.
@@ -39,20 +38,22 @@
 	return d
 }
 
+// use replaces the files.
 func (d *Disk) use(files *vfstest.Mem) {
 	d.files = files
 	d.files.SetOnCall(d.fault)
 }
 
-// Files is what the processes of the machine find and write, until power or disk are lost.
+// Files returns the file system. A loss of power or of the disk replaces it.
 func (d *Disk) Files() *vfstest.Mem { return d.files }
 
-// Wipes counts how often the disk was lost.
+// Wipes returns how often the disk was lost.
 func (d *Disk) Wipes() int { return d.wipes }
 
 // shortWriteBytes is how many bytes of a write reach a full disk.
 const shortWriteBytes = 7
 
+// fault returns what happens to a call of a process that lives.
 func (d *Disk) fault(call vfstest.Call) vfstest.Fault {
 	if d.Full && (call.Op == "write" || call.Op == "create") {
 		return vfstest.Fault{Err: syscall.ENOSPC, Short: shortWriteBytes}
@@ -60,14 +61,15 @@
 	return vfstest.Fault{}
 }
 
-// Perform carries out work of a machine's process that writes to the files, once the time of that many syncs has passed.
-// If the process ends before, the work is perhaps done in part.
+// Perform calls run, which writes to the files, once the time of that many syncs has passed. If the machine's process ends
+// before, run may still be called to perform the work in part: what it does beside writing must have no effect then.
 func (d *Disk) Perform(m *Machine, syncs int, run func()) {
 	work := &diskWork{machine: m, incarnation: m.incarnation, syncs: syncs, run: run}
 	d.inFlight = append(d.inFlight, work)
 	d.start(work)
 }
 
+// start begins a piece of work anew, or parks it while the disk is stalled.
 func (d *Disk) start(work *diskWork) {
 	if d.Stalled {
 		work.isParked = true
@@ -84,15 +86,16 @@
 	})
 }
 
+// duration draws the time of so many syncs.
 func (d *Disk) duration(w *World, syncs int) time.Duration {
 	took := d.Sync*2/3 + w.Between(0, d.Sync*2/3)
-	if d.Slow > 1 {
-		took = time.Duration(float64(took) * d.Slow)
+	if d.SlowFactor > 1 {
+		took = time.Duration(float64(took) * d.SlowFactor)
 	}
 	return took * time.Duration(syncs)
 }
 
-// Release ends a stall.
+// Release ends a stall: what was parked is begun anew.
 func (d *Disk) Release() {
 	d.Stalled = false
 	for _, work := range slices.Clone(d.inFlight) {
@@ -103,11 +106,11 @@
 	}
 }
 
-// processDied ends what the process had under way, in the middle of it or before it began.
+// processDied drops the work of a process that has ended, or performs it in part.
 func (d *Disk) processDied(w *World) {
-	underway := d.inFlight
+	inFlight := d.inFlight
 	d.inFlight = nil
-	for _, work := range underway {
+	for _, work := range inFlight {
 		if !d.Stalled && w.Chance(0.5) {
 			d.performInPart(w, work)
 		}
@@ -117,27 +120,29 @@
 
 var errProcessDied = errors.New("the process has died")
 
-// performInPart carries out the first calls of a work. What a process has asked to be synced is synced without it.
+// performInPart performs the first calls of a piece of work, the last of them perhaps a short write. A sync that directly
+// follows them is performed too, because the kernel completes a sync without the process that asked for it.
 func (d *Disk) performInPart(w *World, work *diskWork) {
-	const mostCalls, mostBytes = 6, 400
-	last := d.files.Calls() + w.Random.IntN(mostCalls)
-	short := w.Random.IntN(mostBytes)
-	dead := false
+	const maxCalls, maxShortBytes = 6, 400
+	last := d.files.Calls() + w.Random.IntN(maxCalls)
+	short := w.Random.IntN(maxShortBytes)
+	isDead := false
 	d.files.SetOnCall(func(call vfstest.Call) vfstest.Fault {
-		syncs := call.Op == "sync" || call.Op == "syncdir"
-		if call.N <= last || syncs && !dead {
+		isSync := call.Op == "sync" || call.Op == "syncdir"
+		if call.N <= last || isSync && !isDead {
 			return d.fault(call)
 		}
-		dead = true
+		isDead = true
 		return vfstest.Fault{Err: errProcessDied, Short: short}
 	})
 	work.run()
 	d.files.SetOnCall(d.fault)
 }
 
-// losePower keeps what was synced and, at luck, any part of what was written after it.
+// losePower keeps what was synced and a drawn part of what was written since.
 func (d *Disk) losePower(w *World) { d.use(d.files.Crash(w.Random)) }
 
+// wipe replaces the files by none. The process must not run.
 func (d *Disk) wipe() {
 	d.inFlight = nil
 	d.wipes++
--- a/internal/cluster/simulation/disk_test.go
+++ b/internal/cluster/simulation/disk_test.go
@@ -9,10 +9,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// diskMachine is a machine with a disk, on which a process writes one file, the content of which is synced.
-func diskMachine(seed uint64) *Machine {
+// newDiskMachine returns a machine with a disk, whose process is up.
+func newDiskMachine(seed uint64) *Machine {
 	const sync = 9 * time.Millisecond
-	m := NewMachine(NewWorld(seed), "core", "north", "core")
+	m := NewMachine(NewWorld(seed), "core", "north", RoleControl)
 	m.Disk = NewDisk(sync)
 	m.Boot()
 	return m
@@ -20,7 +20,7 @@
 
 const content = "a record that is longer than a few bytes"
 
-// writeFile writes the file whole and syncs it.
+// writeFile writes the complete file and syncs it.
 func writeFile(m *Machine) error {
 	file, err := m.Disk.Files().Create("file")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return m.Disk.Files().SyncDir(".")
 }
 
-// found is what the file holds; nothing if it is not there.
-func found(m *Machine) string {
+// readFile returns the file's content, or nothing if there is no file.
+func readFile(m *Machine) string {
 	data, err := vfs.ReadFile(m.Disk.Files(), "file")
 	if err != nil {
 		return ""
@@ -45,8 +45,8 @@
 }
 
 var _ = Describe("A simulated disk", func() {
-	It("carries work out once its time has passed, in the life that asked for it", func() {
-		m := diskMachine(1)
+	It("performs work once its time has passed", func() {
+		m := newDiskMachine(1)
 		done := 0
 		m.Disk.Perform(m, 1, func() { done++ })
 		m.World.Run(time.Millisecond)
@@ -55,8 +55,8 @@
 		Expect(done).To(Equal(1))
 	})
 
-	It("answers nothing while it is stalled", func() {
-		m := diskMachine(1)
+	It("completes nothing while it is stalled", func() {
+		m := newDiskMachine(1)
 		done := 0
 		m.Disk.Perform(m, 1, func() { done++ })
 		m.Disk.Stalled = true
@@ -68,32 +68,31 @@
 		Expect(done).To(Equal(2))
 	})
 
-	It("refuses writes while it is full", func() {
-		m := diskMachine(1)
+	It("fails writes while it is full", func() {
+		m := newDiskMachine(1)
 		m.Disk.Full = true
 		Expect(writeFile(m)).NotTo(Succeed())
 		m.Disk.Full = false
 		Expect(writeFile(m)).To(Succeed())
 	})
 
-	It("keeps what was synced when the power goes", func() {
+	It("keeps what was synced at a loss of power", func() {
 		for seed := range uint64(20) {
-			m := diskMachine(seed)
+			m := newDiskMachine(seed)
 			Expect(writeFile(m)).To(Succeed())
 			m.LosePower()
-			Expect(found(m)).To(Equal(content))
+			Expect(readFile(m)).To(Equal(content))
 		}
 	})
 
-	It("keeps any part of what was under way when the process is killed or the power goes", func() {
+	It("keeps any part of work in flight when the process is killed or loses power", func() {
 		for _, end := range []func(*Machine){(*Machine).Kill, (*Machine).LosePower} {
 			outcomes := map[int]int{}
 			for seed := range uint64(200) {
-				m := diskMachine(seed)
+				m := newDiskMachine(seed)
 				m.Disk.Perform(m, 1, func() { _ = writeFile(m) })
 				end(m)
-				left := found(m)
-				outcomes[len(left)]++
+				outcomes[len(readFile(m))]++
 			}
 			Expect(outcomes).To(HaveKey(0))
 			Expect(outcomes).To(HaveKey(len(content)))
@@ -101,20 +100,20 @@
 		}
 	})
 
-	It("loses all that a killed process did not ask for, and no more", func() {
-		m := diskMachine(3)
+	It("loses nothing else of a killed process than its work in flight", func() {
+		m := newDiskMachine(3)
 		Expect(writeFile(m)).To(Succeed())
 		m.Disk.Perform(m, 1, func() { _ = m.Disk.Files().Remove("other") })
 		m.Kill()
-		Expect(found(m)).To(Equal(content))
+		Expect(readFile(m)).To(Equal(content))
 	})
 
-	It("is empty once it was wiped", func() {
-		m := diskMachine(1)
+	It("is empty after a wipe", func() {
+		m := newDiskMachine(1)
 		Expect(writeFile(m)).To(Succeed())
 		m.LosePower()
 		m.Wipe()
-		Expect(found(m)).To(BeEmpty())
+		Expect(readFile(m)).To(BeEmpty())
 		Expect(m.Disk.Wipes()).To(Equal(1))
 	})
 })
--- a/internal/cluster/simulation/document.go
+++ b/internal/cluster/simulation/document.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Route is one route as the operator writes it.
+// Route is a route of the operator's document.
 type Route struct {
 	Name            string  `json:"name"`
 	Host            string  `json:"host"`
@@ -19,13 +19,13 @@
 	Service         string  `json:"service"`
 	MaxAttempts     int     `json:"maxAttempts"`
 	Extension       float64 `json:"extension"`
-	Note            string  `json:"note,omitempty"` // a field that the scheduler does not know
+	Unknown         string  `json:"note,omitempty"` // a field that the scheduler does not know, and must keep
 }
 
-// Queue returns where the route's queue is reached.
+// Queue returns the name of the route's queue.
 func (r *Route) Queue() QueueName { return QueueName{r.Host, r.PathPrefix} }
 
-// Service is one service as the operator writes it.
+// Service is a service of the operator's document.
 type Service struct {
 	Name           string `json:"name"`
 	HealthPath     string `json:"healthPath"`
@@ -35,7 +35,7 @@
 	Preconditions  bool   `json:"preconditions"`
 }
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Version  int64            `json:"version"`
 	Routes   []Route          `json:"routes"`
@@ -43,7 +43,7 @@
 	Limits   map[string]int64 `json:"limits"`
 }
 
-// Update changes named items of a configuration.
+// Update is a change of the items of a configuration that it names.
 type Update struct {
 	Version int64   `json:"version"`
 	Upsert  upserts `json:"upsert"`
@@ -60,13 +60,13 @@
 	Services []string `json:"services,omitempty"`
 }
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a deep copy.
 func (d *Document) clone() *Document {
 	return &Document{Version: d.Version, Routes: slices.Clone(d.Routes), Services: slices.Clone(d.Services),
 		Limits: maps.Clone(d.Limits)}
 }
 
-// apply carries out an update.
+// apply returns the document after an update.
 func (d *Document) apply(update *Update) *Document {
 	next := d.clone()
 	next.Version = update.Version
@@ -102,29 +102,30 @@
 	return routes
 }
 
-// Canonical returns a configuration's JSON in a form in which equal ones are equal: keys in order, named items by name.
-// It is empty for what is no JSON object.
+// Canonical returns a configuration's JSON in a form in which equal configurations have the same text: keys in order, named
+// items by name. It returns "" for what is not a JSON object.
 func Canonical(body []byte) string {
-	var whole map[string]any
+	var document map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
-	if decoder.Decode(&whole) != nil {
+	if decoder.Decode(&document) != nil {
 		return ""
 	}
-	for _, value := range whole {
+	for _, value := range document {
 		items, ok := value.([]any)
 		if !ok {
 			continue
 		}
 		slices.SortFunc(items, func(a, b any) int { return bytes.Compare([]byte(nameOf(a)), []byte(nameOf(b))) })
 	}
-	text, err := json.Marshal(whole)
+	text, err := json.Marshal(document)
 	if err != nil {
 		return ""
 	}
 	return string(text)
 }
 
+// nameOf returns the name of an item of a document, or "".
 func nameOf(item any) string {
 	fields, _ := item.(map[string]any)
 	name, _ := fields["name"].(string)
--- a/internal/cluster/simulation/execution.go
+++ b/internal/cluster/simulation/execution.go
@@ -6,32 +6,46 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// execution is one run that exists on a runner.
+// execution is a run that exists on a runner. Work is measured in ms on a runner of speed 1.
 type execution struct {
 	runner          *Runner
 	record          *Run
-	step            *stepTruth // nil: a task that nobody sent
+	step            *stepTruth // nil, as is task, if no client submitted the task
 	task            *taskTruth
 	isStopping      bool
-	isWorking       bool
-	isHung          bool
-	willFail        bool // ends failed at failsAtMs
+	isWorking       bool // not while a gang's member waits for the others
+	isHung          bool // it never gets on
+	willFail        bool // at failsAtMs
 	totalMs         float64
-	failsAtMs       float64 // work in ms at which it fails
-	doneMs          float64 // work in ms as of since
+	failsAtMs       float64
+	doneMs          float64 // at doneAsOf
 	doneAsOf        time.Duration
-	rate            float64 // ms of work a ms
+	rate            float64 // ms of work done per ms
 	workStarted     time.Duration
-	checkpointsMade int    // checkpoints made
-	checkpoint      string // newest checkpoint of this run, or what it began from
+	checkpointsMade int
+	checkpoint      string // the newest of this run, or what it started from
 	endTimer        *Timer
 	stopTimer       *Timer
-	gangTimer       *Timer // gang: until it ends alone
+	gangTimer       *Timer // ends a gang's member that waits for the others
 }
 
 const milliseconds = float64(time.Millisecond)
 
-// advance brings the work done up to now.
+// isGang reports whether the run is a member of a gang.
+func (e *execution) isGang() bool { return e.step != nil && e.step.spec.Gang }
+
+// isGangLeader reports whether this member's timer completes the gang.
+func (e *execution) isGangLeader() bool {
+	members := e.step.members[e.record.Number]
+	return len(members) > 0 && members[0] == e
+}
+
+// makesCheckpoints reports whether the run makes checkpoints of its work now.
+func (e *execution) makesCheckpoints() bool {
+	return e.isWorking && e.step != nil && e.step.spec.Checkpoints && !e.isHung
+}
+
+// advance brings doneMs up to date.
 func (e *execution) advance(now time.Duration) {
 	if e.isWorking {
 		if from := max(e.doneAsOf, e.workStarted); now > from {
@@ -41,76 +55,67 @@
 	e.doneAsOf = now
 }
 
-// updateCheckpoint renews the checkpoint for each save interval of work that has passed.
+// updateCheckpoint replaces the checkpoint by the newest that has fallen due since the work began.
 func (e *execution) updateCheckpoint(now time.Duration) {
-	if !e.isWorking || e.step == nil || !e.step.spec.Checkpoints || e.isHung {
+	if !e.makesCheckpoints() {
 		return
 	}
-	every := e.runner.groundTruth.History.Bounds.Save
-	saves := int((now - e.workStarted) / every)
-	if saves <= e.checkpointsMade {
+	interval := e.runner.bounds().Save
+	due := int((now - e.workStarted) / interval)
+	if due <= e.checkpointsMade {
 		return
 	}
 	e.advance(now)
-	e.checkpointsMade = saves
-	behind := (now - e.workStarted) - time.Duration(saves)*every
-	e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, max(0, e.doneMs-float64(behind)/milliseconds*e.rate))
+	e.checkpointsMade = due
+	sinceDue := (now - e.workStarted) - time.Duration(due)*interval
+	e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, max(0, e.doneMs-float64(sinceDue)/milliseconds*e.rate))
 }
 
-// startRun sets an execution to work, at a rate against its nominal one.
-func (e *execution) beginWork(far float64) {
+// beginWork starts the work, slowdown times as slow as the runner is.
+func (e *execution) beginWork(slowdown float64) {
 	now := e.runner.world.now
 	e.gangTimer.Stop()
 	e.isWorking = true
 	e.workStarted = now
 	e.doneAsOf = now
 	if e.record.Checkpoint != "" {
-		e.workStarted += e.runner.groundTruth.History.Bounds.Restore
+		e.workStarted += e.runner.bounds().Restore
 	}
-	e.rate = e.runner.speed() / far
+	e.rate = e.runner.speed() / slowdown
 	if e.isHung {
 		e.rate = 0
 	}
 	e.armEndTimer()
 }
 
-// armEndTimer sets the timer for the work's end.
+// armEndTimer sets the timer for the time at which the work is done or fails. Of a gang, the leader's timer completes it.
 func (e *execution) armEndTimer() {
 	e.endTimer.Stop()
-	goal := e.totalMs
+	goalMs := e.totalMs
 	if e.willFail {
-		goal = min(goal, e.failsAtMs)
+		goalMs = min(goalMs, e.failsAtMs)
 	}
 	if !e.isWorking || e.rate <= 0 || e.isGang() && !e.willFail && !e.isGangLeader() {
 		return
 	}
 	now := e.runner.world.now
-	left := time.Duration((goal - e.doneMs) / e.rate * milliseconds)
-	e.endTimer = e.runner.world.At(max(now, e.workStarted)+max(0, left), func() { e.finishWork() })
-}
-
-func (e *execution) isGang() bool { return e.step != nil && e.step.spec.Gang }
-
-// isGangLeader tells whether this member's timer ends the gang's work for all.
-func (e *execution) isGangLeader() bool {
-	members := e.step.members[e.record.Number]
-	return len(members) > 0 && members[0] == e
+	left := time.Duration((goalMs - e.doneMs) / e.rate * milliseconds)
+	e.endTimer = e.runner.world.At(max(now, e.workStarted)+max(0, left), e.finishWork)
 }
 
-// finishWork is called when the work is done, or fails.
+// finishWork ends the run because its work is done or fails.
 func (e *execution) finishWork() {
-	if e.willFail {
+	switch {
+	case e.willFail:
 		e.runner.endRun(e, protocol.EndFailed)
-		return
-	}
-	if e.isGang() {
+	case e.isGang():
 		e.runner.groundTruth.completeGang(e.step, e.record.Number)
-		return
+	default:
+		e.runner.endRun(e, protocol.EndDone)
 	}
-	e.runner.endRun(e, protocol.EndDone)
 }
 
-// scaleSpeed is called when the runner turns slow or well again.
+// scaleSpeed changes the rate of the work by a factor from now on.
 func (e *execution) scaleSpeed(factor float64) {
 	if !e.isWorking || e.isHung {
 		return
@@ -121,7 +126,7 @@
 	e.armEndTimer()
 }
 
-// percent is how far the task is, as it is listed.
+// percent returns how much of the work is done, as the runner reports it.
 func (e *execution) percent(now time.Duration) float64 {
 	e.advance(now)
 	if e.step == nil || e.step.spec.LongRunning || e.totalMs <= 0 {
@@ -130,7 +135,6 @@
 	return float64(int(e.doneMs / e.totalMs * 100))
 }
 
-// stopTimers stops all timers.
 func (e *execution) stopTimers() {
 	e.endTimer.Stop()
 	e.stopTimer.Stop()
--- a/internal/cluster/simulation/explain.go
+++ b/internal/cluster/simulation/explain.go
@@ -5,38 +5,40 @@
 	"strings"
 )
 
-// Explain tells all that a ledger holds of a job, and what was done to the deployment: to find out why a rule broke.
-func (l *History) Explain(id string) string {
-	var text strings.Builder
-	job := l.Jobs[id]
+// Explain returns everything that a history records of a job, and all faults: for finding out why a rule was broken.
+func (h *History) Explain(id string) string {
+	job := h.Jobs[id]
 	if job == nil {
 		return "no such job"
 	}
+	var text strings.Builder
 	fmt.Fprintf(&text, "job %s in %s, accepted %v: %+v\n", id, job.Queue.Key(), job.Accepted, job.Spec)
-	for _, tries := range []struct {
-		name  string
-		tries []Attempt
-	}{{"hand-in", job.Submissions}, {"cancel", job.Cancels}, {"ask", job.Queries}} {
-		for _, try := range tries.tries {
-			fmt.Fprintf(&text, "  %s at %s sent %v answered %v: %d %s\n", tries.name, try.Machine, try.Sent, try.Answered, try.Status, try.State)
+	for _, calls := range []struct {
+		kind     string
+		attempts []Attempt
+	}{{"submission", job.Submissions}, {"cancel", job.Cancels}, {"query", job.Queries}} {
+		for _, a := range calls.attempts {
+			fmt.Fprintf(&text, "  %s at %s sent %v answered %v: %d %s\n", calls.kind, a.Machine, a.Sent, a.Answered, a.Status, a.State)
 		}
 	}
 	runners := map[*RunnerIncarnation]bool{}
-	for _, run := range l.Runs {
+	for _, run := range h.Runs {
 		if run.Task.Job == id {
 			runners[run.Runner] = true
-			fmt.Fprintf(&text, "  %s run %d on %s sent %v started %v from %q ended %v %s, N %d noted %v (lapsed before: %v)\n", run.TaskText,
-				run.Number, run.Runner.Instance, run.Sent, run.Started, run.Checkpoint, run.Ended, run.EndReason, run.EndSequence, run.Acknowledged, run.LapsedBeforeAck)
+			fmt.Fprintf(&text, "  %s run %d on %s sent %v started %v from %q ended %v %s, end %d acknowledged %v (lease expired before: %v)\n",
+				run.TaskText, run.Number, run.Runner.Instance, run.Sent, run.Started, run.Checkpoint, run.Ended, run.EndReason,
+				run.EndSequence, run.Acknowledged, run.LapsedBeforeAck)
 		}
 	}
-	for _, life := range l.Runners {
-		if runners[life] {
-			fmt.Fprintf(&text, "  runner %s up %v down %v draining acknowledged %v lapses %v\n", life.Instance, life.Started, life.Ended,
-				life.DrainAcknowledged, life.LeaseExpiries)
+	for _, runner := range h.Runners {
+		if runners[runner] {
+			fmt.Fprintf(&text, "  runner %s started %v ended %v draining acknowledged %v leases expired %v\n", runner.Instance,
+				runner.Started, runner.Ended, runner.DrainAcknowledged, runner.LeaseExpiries)
 		}
 	}
-	for _, t := range l.Faults {
-		fmt.Fprintf(&text, "  trouble %s %v to %v %v core %v\n", t.Kind, t.From, t.To, t.Machines, t.ControlPlane)
+	for _, fault := range h.Faults {
+		fmt.Fprintf(&text, "  fault %s %v to %v %v control plane %v\n", fault.Kind, fault.From, fault.To, fault.Machines,
+			fault.ControlPlane)
 	}
 	return text.String()
 }
--- a/internal/cluster/simulation/fault_control.go
+++ b/internal/cluster/simulation/fault_control.go
@@ -1,70 +1,90 @@
 package simulation
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// catchUpTime is how long a machine that is back still counts as lost.
-const catchUpTime = 4 * time.Second
+const (
+	catchUpTime    = 4 * time.Second      // for which a control machine that is back still counts as unavailable
+	maxStrikeDelay = 4 * time.Millisecond // from an acknowledgement to the loss of the machine that sent it
+)
 
+// controlFaults returns the kinds that strike control machines.
 func controlFaults() []FaultKind {
 	return []FaultKind{
-		{"core_kill", func(d *Deployment, lasts time.Duration) {
-			d.strikeControl(lasts, func(m *Machine) { d.killMachine(m, max(lasts, restartDelay), d.World.Chance(0.5)) })
+		{"core_kill", func(d *Deployment, duration time.Duration) {
+			d.strikeControl(duration, func(m *Machine) { d.killOrPowerOff(m, max(duration, restartDelay)) })
 		}},
-		{"core_freeze", func(d *Deployment, lasts time.Duration) {
-			d.strikeControl(lasts, func(m *Machine) { d.freeze(m, lasts) })
+		{"core_freeze", func(d *Deployment, duration time.Duration) {
+			d.strikeControl(duration, func(m *Machine) { d.freeze(m, duration) })
 		}},
-		{"core_slow", func(d *Deployment, lasts time.Duration) {
-			d.strikeControl(lasts, func(m *Machine) { d.slowDown(m, lasts) })
+		{"core_slow", func(d *Deployment, duration time.Duration) {
+			d.strikeControl(duration, func(m *Machine) { d.slowDown(m, duration) })
 		}},
-		{"core_cut", func(d *Deployment, lasts time.Duration) {
-			d.strikeControl(lasts, func(m *Machine) { d.partitionControl(m, lasts) })
+		{"core_cut", func(d *Deployment, duration time.Duration) {
+			d.strikeControl(duration, func(m *Machine) { d.partitionControl(m, duration) })
 		}},
-		{"core_cut_all", func(d *Deployment, lasts time.Duration) {
-			d.strikeControl(lasts, func(m *Machine) { d.partitionControl(m, lasts); d.partitionFromOuter(m, lasts) })
+		{"core_cut_all", func(d *Deployment, duration time.Duration) {
+			d.strikeControl(duration, func(m *Machine) {
+				d.partitionControl(m, duration)
+				d.partitionLinks(m, d.Frontends, duration)
+				d.partitionLinks(m, d.AgentMachines, duration)
+			})
+		}},
+		{"core_herd_kill", func(d *Deployment, _ time.Duration) { d.loseAllControls(processKilled, restartDelay) }},
+		{"core_herd_power", func(d *Deployment, duration time.Duration) { d.powerOffControls(duration) }},
+		{"after_ack_kill", func(d *Deployment, duration time.Duration) { d.loseAfterAck(powerLost, duration) }},
+		{"after_ack_wipe", func(d *Deployment, duration time.Duration) { d.loseAfterAck(diskLost, duration) }},
+		{"after_taken_kill", func(d *Deployment, duration time.Duration) {
+			d.onceAccepted(func() { d.loseDrawnControl(powerLost, duration) })
+		}},
+		{"after_taken_wipe", func(d *Deployment, duration time.Duration) {
+			d.onceAccepted(func() { d.loseDrawnControl(diskLost, duration) })
 		}},
-		{"core_herd_kill", func(d *Deployment, lasts time.Duration) { d.killControls(lasts, false) }},
-		{"core_herd_power", func(d *Deployment, lasts time.Duration) { d.killControls(lasts, true) }},
-		{"after_ack_kill", func(d *Deployment, lasts time.Duration) { d.loseAfterAck(lasts, false) }},
-		{"after_ack_wipe", func(d *Deployment, lasts time.Duration) { d.loseAfterAck(lasts, true) }},
-		{"after_taken_kill", func(d *Deployment, lasts time.Duration) { d.loseAfterAccepted(lasts, false) }},
-		{"after_taken_wipe", func(d *Deployment, lasts time.Duration) { d.loseAfterAccepted(lasts, true) }},
-		{"disk_slow", func(d *Deployment, lasts time.Duration) {
-			d.strikeDisk(lasts, func(disk *Disk) { disk.Slow = 28 }, func(disk *Disk) { disk.Slow = 1 })
+		{"disk_slow", func(d *Deployment, duration time.Duration) {
+			d.strikeDisk(duration, func(disk *Disk) { disk.SlowFactor = 28 }, func(disk *Disk) { disk.SlowFactor = 1 })
 		}},
-		{"disk_full", func(d *Deployment, lasts time.Duration) {
-			d.strikeDisk(lasts, func(disk *Disk) { disk.Full = true }, func(disk *Disk) { disk.Full = false })
+		{"disk_full", func(d *Deployment, duration time.Duration) {
+			d.strikeDisk(duration, func(disk *Disk) { disk.Full = true }, func(disk *Disk) { disk.Full = false })
 		}},
-		{"disk_stall", func(d *Deployment, lasts time.Duration) {
-			d.strikeDisk(lasts, func(disk *Disk) { disk.Stalled = true }, (*Disk).Release)
+		{"disk_stall", func(d *Deployment, duration time.Duration) {
+			d.strikeDisk(duration, func(disk *Disk) { disk.Stalled = true }, (*Disk).Release)
 		}},
 		{"replace_core", (*Deployment).replaceControl},
 		{"replace_planned", (*Deployment).replacePlanned},
 		{"core_meet", (*Deployment).killControlDuringRaces},
 		{"core_cut_restart", (*Deployment).restartPartitioned},
 		{"after_sent_kill", (*Deployment).loseAfterSend},
-		{"after_taken_herd", func(d *Deployment, lasts time.Duration) {
-			d.onceAccepted(func() { d.killControls(lasts, true) })
+		{"after_taken_herd", func(d *Deployment, duration time.Duration) {
+			d.onceAccepted(func() { d.powerOffControls(duration) })
 		}},
 	}
 }
 
-// reserveLoss tells whether a core machine may be lost now for a time, and notes that it is: one at a time, counting the
-// time that a machine needs to catch up.
-func (d *Deployment) reserveLoss(m *Machine, lasts time.Duration) bool {
+// reserveLoss reports whether a control machine may be lost for a time from now on, and if so reserves that: only one may
+// be unavailable at a time, counting the time that it needs to catch up, and none shortly before the final fault.
+func (d *Deployment) reserveLoss(m *Machine, duration time.Duration) bool {
 	now := d.World.now
-	if d.finalFaultAt > 0 && now+lasts+catchUpTime > d.finalFaultAt {
+	until := now + duration + catchUpTime
+	if d.reachesFinalFault(until) {
 		return false
 	}
-	for other, until := range d.unavailableUntil {
-		if other != m && until > now {
+	for other, unavailableUntil := range d.unavailableUntil {
+		if other != m && unavailableUntil > now {
 			return false
 		}
 	}
-	d.unavailableUntil[m] = max(d.unavailableUntil[m], now+lasts+catchUpTime)
+	d.unavailableUntil[m] = max(d.unavailableUntil[m], until)
 	return true
 }
 
-// drawControl draws a core machine that is up: often one that leads.
+// reachesFinalFault reports whether what lasts until a time is still on when the final fault strikes.
+func (d *Deployment) reachesFinalFault(until time.Duration) bool {
+	return d.finalFaultAt > 0 && until > d.finalFaultAt
+}
+
+// drawControl draws a control machine that is up, often one that leads a replica group; nil if none is up.
 func (d *Deployment) drawControl() *Machine {
 	if d.Leader != nil && d.World.Chance(0.6) {
 		if leader := d.Leader(); leader != nil && leader.up {
@@ -83,68 +103,59 @@
 	return Pick(d.World, up)
 }
 
-func (d *Deployment) strikeControl(lasts time.Duration, strike func(m *Machine)) {
+// strikeControl draws a control machine and strikes it, if it may be lost.
+func (d *Deployment) strikeControl(duration time.Duration, strike func(m *Machine)) {
 	m := d.drawControl()
-	if m == nil || !d.reserveLoss(m, lasts) {
+	if m == nil || !d.reserveLoss(m, duration) {
 		return
 	}
 	strike(m)
 }
 
-// partitionControl cuts a core machine off from the others of the core.
-func (d *Deployment) partitionControl(m *Machine, lasts time.Duration) {
-	d.recordMachineFault("core_cut", m, lasts)
-	d.partitionLinks(m, d.Controls, lasts)
+// partitionControl partitions a control machine from the others.
+func (d *Deployment) partitionControl(m *Machine, duration time.Duration) {
+	d.recordMachineFault("core_cut", m, duration)
+	d.partitionLinks(m, d.Controls, duration)
 }
 
-func (d *Deployment) partitionFromOuter(m *Machine, lasts time.Duration) {
-	d.partitionLinks(m, d.Frontends, lasts)
-	d.partitionLinks(m, d.AgentMachines, lasts)
+// powerOffControls powers all control machines off.
+func (d *Deployment) powerOffControls(duration time.Duration) {
+	const maxDown = 3 * time.Second
+	d.loseAllControls(powerLost, max(restartDelay, min(duration, maxDown)))
 }
 
-func (d *Deployment) killControls(lasts time.Duration, power bool) {
-	back := restartDelay
-	if power {
-		back = max(back, min(lasts, 3*time.Second))
-	}
-	if d.finalFaultAt > 0 && d.World.now+back+catchUpTime > d.finalFaultAt {
+// loseAllControls strikes all control machines at once. They come back one after another.
+func (d *Deployment) loseAllControls(what loss, down time.Duration) {
+	until := d.World.now + down + catchUpTime
+	if d.reachesFinalFault(until) {
 		return
 	}
-	d.recordFault(Fault{From: d.World.now, To: d.World.now + back + catchUpTime, Kind: "herd", ControlPlane: true})
+	d.recordFault(Fault{From: d.World.now, To: until, Kind: "herd", ControlPlane: true})
 	for _, m := range d.Controls {
 		if !m.up {
 			continue
 		}
-		d.unavailableUntil[m] = d.World.now + back + catchUpTime
-		d.killMachine(m, back+d.World.Between(0, restartDelay), power)
+		d.unavailableUntil[m] = until
+		d.lose(m, what, down+d.World.Between(0, restartDelay))
 	}
 }
 
-// loseAfterAck takes the power of the machine that acknowledges the next change, and perhaps its disk.
-func (d *Deployment) loseAfterAck(lasts time.Duration, wipe bool) {
+// loseAfterAck strikes the control machine that acknowledges the next change, right after that.
+func (d *Deployment) loseAfterAck(what loss, duration time.Duration) {
 	done := false
 	d.Operator.OnAcknowledged = func(by *Machine) {
 		if !done {
 			done = true
-			d.World.After(d.World.Between(0, 4*time.Millisecond), func() { d.loseControl(by, lasts, wipe) })
+			d.World.After(d.World.Between(0, maxStrikeDelay), func() { d.loseControl(by, what, duration) })
 		}
 	}
 	d.Operator.Change(nil)
 }
 
-// loseAfterAccepted takes the power of a machine that leads right after a job was accepted.
-func (d *Deployment) loseAfterAccepted(lasts time.Duration, wipe bool) {
-	d.onceAccepted(func() {
-		if m := d.drawControl(); m != nil {
-			d.loseControl(m, lasts, wipe)
-		}
-	})
-}
-
-// onceAccepted strikes right after the next job is accepted.
+// onceAccepted calls strike when the next job is accepted.
 func (d *Deployment) onceAccepted(strike func()) {
 	done := false
-	d.Clients.OnAccepted = func(*JobRecord, *Machine) {
+	d.Clients.OnAccepted = func() {
 		if !done {
 			done = true
 			strike()
@@ -152,68 +163,70 @@
 	}
 }
 
-// loseAfterSend takes the power of a machine that leads a short time after a change was sent, acknowledged or not.
-func (d *Deployment) loseAfterSend(lasts time.Duration) {
+// loseAfterSend powers a control machine off a short time after a change was sent, acknowledged or not.
+func (d *Deployment) loseAfterSend(duration time.Duration) {
 	d.Operator.Change(nil)
-	d.World.After(d.World.Between(5*time.Millisecond, 400*time.Millisecond), func() {
-		if m := d.drawControl(); m != nil {
-			d.loseControl(m, lasts, false)
-		}
-	})
+	d.World.After(d.World.Between(5*time.Millisecond, 400*time.Millisecond), func() { d.loseDrawnControl(powerLost, duration) })
 }
 
-// killControlDuringRaces kills a core machine; changes race as it goes and as it returns, and runners leave soon after.
-func (d *Deployment) killControlDuringRaces(lasts time.Duration) {
-	back := max(lasts, restartDelay)
-	d.strikeControl(back, func(m *Machine) {
-		d.killMachine(m, back, d.World.Chance(0.5))
+// killControlDuringRaces kills a control machine. Changes race as it goes down and as it comes back, and runners leave
+// soon after that.
+func (d *Deployment) killControlDuringRaces(duration time.Duration) {
+	down := max(duration, restartDelay)
+	d.strikeControl(down, func(m *Machine) {
+		d.killOrPowerOff(m, down)
 		d.Operator.Race()
-		d.World.After(back, d.Operator.Race)
-		d.World.After(back+d.World.Between(0, time.Second), func() { d.scaleIn(time.Second) })
+		d.World.After(down, d.Operator.Race)
+		d.World.After(down+d.World.Between(0, time.Second), func() { d.scaleIn(time.Second) })
 	})
 }
 
-// restartPartitioned cuts a core machine off and restarts it while it is cut off.
-func (d *Deployment) restartPartitioned(lasts time.Duration) {
-	d.strikeControl(lasts, func(m *Machine) {
-		d.partitionControl(m, lasts)
-		d.World.After(lasts/3, func() { d.killMachine(m, restartDelay, false) })
+// restartPartitioned partitions a control machine and restarts it meanwhile.
+func (d *Deployment) restartPartitioned(duration time.Duration) {
+	d.strikeControl(duration, func(m *Machine) {
+		d.partitionControl(m, duration)
+		d.World.After(duration/3, func() { d.lose(m, processKilled, restartDelay) })
 	})
 }
 
-func (d *Deployment) loseControl(m *Machine, lasts time.Duration, wipe bool) {
-	if !m.up || !d.reserveLoss(m, lasts) {
-		return
+func (d *Deployment) loseDrawnControl(what loss, duration time.Duration) {
+	if m := d.drawControl(); m != nil {
+		d.loseControl(m, what, duration)
 	}
-	d.killMachine(m, max(restartDelay, lasts), true)
-	if wipe {
-		m.Wipe()
+}
+
+// loseControl strikes a control machine, if it is up and may be lost.
+func (d *Deployment) loseControl(m *Machine, what loss, duration time.Duration) {
+	if m.up && d.reserveLoss(m, duration) {
+		d.lose(m, what, max(restartDelay, duration))
 	}
 }
 
-func (d *Deployment) strikeDisk(lasts time.Duration, begin, end func(disk *Disk)) {
-	d.strikeControl(lasts, func(m *Machine) {
-		d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "disk", Machines: []string{m.Name}, ControlPlane: true})
+// strikeDisk gives the disk of a control machine a fault for a time.
+func (d *Deployment) strikeDisk(duration time.Duration, begin, end func(disk *Disk)) {
+	d.strikeControl(duration, func(m *Machine) {
+		d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "disk", Machines: []string{m.Name},
+			ControlPlane: true})
 		begin(m.Disk)
-		d.World.After(lasts, func() { end(m.Disk) })
+		d.World.After(duration, func() { end(m.Disk) })
 	})
 }
 
-// replaceControl loses a core machine for good; an empty one comes at another address.
+// replaceControl loses a control machine for good. A new one with an empty disk joins at another address.
 func (d *Deployment) replaceControl(time.Duration) {
-	const longestWait = 2 * time.Second
+	const maxWait = 2 * time.Second
 	if d.AddControl == nil {
 		return
 	}
-	d.strikeControl(longestWait+catchUpTime, func(m *Machine) {
+	d.strikeControl(maxWait+catchUpTime, func(m *Machine) {
 		d.recordMachineFault("replace", m, 0)
 		m.LosePower()
 		d.removeControl(m)
-		d.World.After(d.World.Between(0, longestWait), func() { d.joinControl() })
+		d.World.After(d.World.Between(0, maxWait), d.joinControl)
 	})
 }
 
-// replacePlanned brings a new core machine first; the old one ends in good order once the new one has had time.
+// replacePlanned adds a new control machine first. The old one shuts down once the new one has had time to catch up.
 func (d *Deployment) replacePlanned(time.Duration) {
 	if d.AddControl == nil || d.Terminate == nil {
 		return
@@ -234,17 +247,17 @@
 	})
 }
 
-// joinControl makes an empty machine part of the core.
+// joinControl adds a new control machine to the deployment and starts it.
 func (d *Deployment) joinControl() {
-	fresh := d.AddControl()
-	d.unavailableUntil[fresh] = d.World.now + catchUpTime
-	d.Controls = append(d.Controls, fresh)
+	added := d.AddControl()
+	d.unavailableUntil[added] = d.World.now + catchUpTime
+	d.Controls = append(d.Controls, added)
 	d.Operator.Controls = d.Controls
-	d.recordMachineFault("replace", fresh, 0)
-	fresh.Boot()
+	d.recordMachineFault("replace", added, 0)
+	added.Boot()
 }
 
-// removeControl takes a machine that is off out of the core.
+// removeControl takes a control machine that is off out of the deployment for good.
 func (d *Deployment) removeControl(m *Machine) {
 	m.Start = nil
 	d.unavailableUntil[m] = d.World.now + catchUpTime
@@ -252,12 +265,7 @@
 	d.Operator.Controls = d.Controls
 }
 
-func without(machines []*Machine, gone *Machine) []*Machine {
-	var left []*Machine
-	for _, m := range machines {
-		if m != gone {
-			left = append(left, m)
-		}
-	}
-	return left
+// without returns a copy of machines without one of them.
+func without(machines []*Machine, excluded *Machine) []*Machine {
+	return slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == excluded })
 }
--- a/internal/cluster/simulation/fault_frontend.go
+++ b/internal/cluster/simulation/fault_frontend.go
@@ -5,43 +5,38 @@
 	"time"
 )
 
+// frontendFaults returns the kinds that strike one frontend.
 func frontendFaults() []FaultKind {
 	return []FaultKind{
-		{"front_cut", func(d *Deployment, lasts time.Duration) {
-			d.partitionFromControls(Pick(d.World, d.Frontends), lasts)
+		{"front_cut", func(d *Deployment, duration time.Duration) {
+			d.partitionFromControls(Pick(d.World, d.Frontends), duration)
 		}},
 		{"front_lags", (*Deployment).staleFrontend},
 	}
 }
 
-// staleFrontend leaves a frontend only one machine of the core, while a queue moves and others are added and dropped: where
-// that machine does not own the configuration but some shards, the frontend works on with a configuration that is long
-// replaced.
-func (d *Deployment) staleFrontend(lasts time.Duration) {
-	const least = 5 * time.Second // beyond any age that an answer may have
-	lasts = max(lasts, least)
-	front := Pick(d.World, d.Frontends)
-	left := Pick(d.World, d.Controls)
-	var others []*Machine
-	for _, m := range d.Controls {
-		if m != left {
-			others = append(others, m)
-		}
-	}
-	d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "front_lags", Machines: []string{front.Name}})
-	d.partitionLinks(front, others, lasts)
+// staleFrontend leaves a frontend only one control machine, while a route moves and others are added and removed. If that
+// machine leads shards but not the configuration, the frontend goes on with a configuration that was replaced long ago.
+func (d *Deployment) staleFrontend(duration time.Duration) {
+	const minDuration = 5 * time.Second // longer than an exact answer may be cached
+	duration = max(duration, minDuration)
+	frontend := Pick(d.World, d.Frontends)
+	reachable := Pick(d.World, d.Controls)
+	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "front_lags", Machines: []string{frontend.Name}})
+	d.partitionLinks(frontend, without(d.Controls, reachable), duration)
 	d.moveRoute()
-	d.useNewQueue(lasts)
-	const counted = 16 // of which many were dropped a while ago
-	d.repeat(lasts, 400*time.Millisecond, func() { d.Operator.Change(nil) })
-	d.repeat(lasts, 50*time.Millisecond, func() { d.queryRecentProbe(counted) })
+	d.useNewQueue(duration)
+	const newest = 16 // of which many were removed a while ago
+	d.repeat(duration, 400*time.Millisecond, func() { d.Operator.Change(nil) })
+	d.repeat(duration, 50*time.Millisecond, func() { d.queryProbe(newest) })
 }
 
-// useNewQueue adds a queue and, once the operator knows that it is in force, hands jobs in to it for a time.
-func (d *Deployment) useNewQueue(lasts time.Duration) {
+// useNewQueue adds a queue and, once the operator knows that it exists, submits jobs to it, for a time.
+func (d *Deployment) useNewQueue(duration time.Duration) {
+	const interval = 200 * time.Millisecond
 	class := &JobClasses()[0]
 	name := fmt.Sprintf("new-%d", d.World.now.Milliseconds())
-	until := d.World.now + lasts
+	until := d.World.now + duration
 	var use func()
 	use = func() {
 		switch current := d.Operator.Current(); {
@@ -50,9 +45,9 @@
 		case current != nil && current.route(name) != nil:
 			d.submitJob(class, QueueName{ClientHost, "/" + name + "/"})
 		default:
-			d.Operator.Change(AddQueue(name, class.Route))
+			d.Operator.Change(AddRoute(name, class.Route))
 		}
-		d.World.After(200*time.Millisecond, use)
+		d.World.After(interval, use)
 	}
 	use()
 }
--- a/internal/cluster/simulation/fault_machine.go
+++ b/internal/cluster/simulation/fault_machine.go
@@ -1,68 +1,70 @@
 package simulation
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// restartDelay is how soon the platform starts a process again that was killed.
+// restartDelay is how soon the platform restarts a process that was killed.
 const restartDelay = 300 * time.Millisecond
 
+// machineFaults returns the kinds that strike frontends and agents, and the network and clocks of all machines.
 func machineFaults() []FaultKind {
 	return []FaultKind{
-		{"node_kill", func(d *Deployment, lasts time.Duration) {
+		{"node_kill", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.3) {
-				d.killMachine(m, restartDelay+d.World.Between(0, lasts), d.World.Chance(0.5))
+				d.killOrPowerOff(m, restartDelay+d.World.Between(0, duration))
 			}
 		}},
-		{"node_freeze", func(d *Deployment, lasts time.Duration) {
+		{"node_freeze", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.3) {
-				d.freeze(m, lasts)
+				d.freeze(m, duration)
 			}
 		}},
-		{"node_slow", func(d *Deployment, lasts time.Duration) {
+		{"node_slow", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.3) {
-				d.slowDown(m, lasts)
+				d.slowDown(m, duration)
 			}
 		}},
-		{"node_cut", func(d *Deployment, lasts time.Duration) {
+		{"node_cut", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.25) {
-				d.partitionFromControls(m, lasts)
+				d.partitionFromControls(m, duration)
 			}
 		}},
-		{"servers_cut", func(d *Deployment, lasts time.Duration) {
+		{"servers_cut", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.5) {
-				if m.Role == "side" {
-					d.partitionFromControls(m, lasts)
+				if m.Role == RoleAgent {
+					d.partitionFromControls(m, duration)
 				}
 			}
 		}},
 		{"herd_kill", func(d *Deployment, _ time.Duration) {
 			for _, m := range d.drawOuterMachines(0.6) {
-				d.killMachine(m, restartDelay, false)
+				d.lose(m, processKilled, restartDelay)
 			}
 		}},
 		{"roll_term", (*Deployment).restartInTurn},
-		{"reset_conns", func(d *Deployment, lasts time.Duration) {
-			d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "reset_conns", ControlPlane: true})
+		{"reset_conns", func(d *Deployment, duration time.Duration) {
+			d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "reset_conns", ControlPlane: true})
 			d.Network.Loss = 0.1
-			d.World.After(lasts, func() { d.Network.Loss = 0 })
+			d.World.After(duration, func() { d.Network.Loss = 0 })
 		}},
-		{"clock_step", func(d *Deployment, lasts time.Duration) {
+		{"clock_step", func(d *Deployment, duration time.Duration) {
 			for _, m := range append(d.drawOuterMachines(0.3), d.Controls...) {
 				if d.World.Chance(0.5) {
-					d.stepClock(m, lasts)
+					d.stepClock(m, duration)
 				}
 			}
 		}},
 	}
 }
 
-// drawOuterMachines draws a share of the machines outside the core, one at least.
-func (d *Deployment) drawOuterMachines(share float64) []*Machine {
+// drawOuterMachines draws a fraction of the frontends' and agents' machines that are up, one at least.
+func (d *Deployment) drawOuterMachines(fraction float64) []*Machine {
 	var drawn []*Machine
-	for _, machines := range [][]*Machine{d.Frontends, d.AgentMachines} {
-		for _, m := range machines {
-			if m.up && d.World.Chance(share) {
-				drawn = append(drawn, m)
-			}
+	for _, m := range slices.Concat(d.Frontends, d.AgentMachines) {
+		if m.up && d.World.Chance(fraction) {
+			drawn = append(drawn, m)
 		}
 	}
 	if len(drawn) == 0 {
@@ -71,111 +73,117 @@
 	return drawn
 }
 
-func isControl(m *Machine) bool { return m.Role == "core" }
+func isControl(m *Machine) bool { return m.Role == RoleControl }
 
-// recordMachineFault notes a trouble of one machine: of the core's, the moments at which it begins and ends disturb all.
-func (d *Deployment) recordMachineFault(kind string, m *Machine, lasts time.Duration) {
-	now := d.World.now
-	d.recordFault(Fault{From: now, To: now + lasts, Kind: kind, Machines: []string{m.Name}})
-	if !isControl(m) {
-		return
+// loss is what a machine loses.
+type loss int
+
+const (
+	processKilled loss = iota + 1
+	powerLost
+	diskLost // with the power
+)
+
+// lose has a machine lose its process, its power or its disk, and starts it again after a time.
+func (d *Deployment) lose(m *Machine, what loss, down time.Duration) {
+	d.recordMachineFault("kill", m, down)
+	switch what {
+	case processKilled:
+		m.Kill()
+	case powerLost:
+		m.LosePower()
+	case diskLost:
+		m.LosePower()
+		m.Wipe()
 	}
-	d.recordFault(Fault{From: now, To: now, Kind: kind, ControlPlane: true})
-	d.recordFault(Fault{From: now + lasts, To: now + lasts, Kind: kind, ControlPlane: true})
+	d.World.After(down, m.Boot)
 }
 
-func (d *Deployment) killMachine(m *Machine, back time.Duration, power bool) {
-	d.recordMachineFault("kill", m, back)
-	if power {
-		m.LosePower()
-	} else {
-		m.Kill()
+// killOrPowerOff draws whether a machine loses its process or its power.
+func (d *Deployment) killOrPowerOff(m *Machine, down time.Duration) {
+	what := processKilled
+	if d.World.Chance(0.5) {
+		what = powerLost
 	}
-	d.World.After(back, m.Boot)
+	d.lose(m, what, down)
 }
 
-func (d *Deployment) freeze(m *Machine, lasts time.Duration) {
-	d.recordMachineFault("freeze", m, lasts)
+func (d *Deployment) freeze(m *Machine, duration time.Duration) {
+	d.recordMachineFault("freeze", m, duration)
 	m.Freeze()
-	life := m.incarnation
-	d.World.After(lasts, func() {
-		if m.incarnation == life {
+	incarnation := m.incarnation
+	d.World.After(duration, func() {
+		if m.incarnation == incarnation {
 			m.Thaw()
 		}
 	})
 }
 
-func (d *Deployment) slowDown(m *Machine, lasts time.Duration) {
-	d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "slow", Machines: []string{m.Name}, ControlPlane: isControl(m)})
+func (d *Deployment) slowDown(m *Machine, duration time.Duration) {
+	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "slow", Machines: []string{m.Name},
+		ControlPlane: isControl(m)})
 	m.Lag = 40 * time.Millisecond
-	d.World.After(lasts, func() { m.Lag = 0 })
+	d.World.After(duration, func() { m.Lag = 0 })
 }
 
-func (d *Deployment) stepClock(m *Machine, lasts time.Duration) {
+// stepClock steps a machine's time of day, and back after a time.
+func (d *Deployment) stepClock(m *Machine, duration time.Duration) {
+	const maxStep = 5 * time.Second
 	now := d.World.now
-	step := d.World.Between(-5*time.Second, 5*time.Second)
-	d.recordFault(Fault{From: now, To: now, Kind: "clock", Machines: []string{m.Name}, ControlPlane: isControl(m), Clock: true})
-	d.recordFault(Fault{From: now + lasts, To: now + lasts, Kind: "clock", Machines: []string{m.Name}, ControlPlane: isControl(m), Clock: true})
-	m.SetClock(step)
-	d.World.After(lasts, func() { m.SetClock(0) })
+	offset := d.World.Between(-maxStep, maxStep)
+	for _, at := range []time.Duration{now, now + duration} {
+		d.recordFault(Fault{From: at, To: at, Kind: "clock", Machines: []string{m.Name}, ControlPlane: isControl(m), Clock: true})
+	}
+	m.SetClock(offset)
+	d.World.After(duration, func() { m.SetClock(0) })
 }
 
-// partitionFromControls cuts a machine off from all core machines, one way or both.
-func (d *Deployment) partitionFromControls(m *Machine, lasts time.Duration) {
-	d.recordFault(Fault{From: d.World.now, To: d.World.now + lasts, Kind: "cut", Machines: []string{m.Name}})
-	d.partitionLinks(m, d.Controls, lasts)
+// partitionFromControls partitions a machine from all control machines, one way or both.
+func (d *Deployment) partitionFromControls(m *Machine, duration time.Duration) {
+	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "cut", Machines: []string{m.Name}})
+	d.partitionLinks(m, d.Controls, duration)
 }
 
-// partitionLinks cuts the links between a machine and others for a time.
-func (d *Deployment) partitionLinks(m *Machine, others []*Machine, lasts time.Duration) {
-	way := d.World.Random.IntN(3)
-	others = append([]*Machine(nil), others...)
-	for _, other := range others {
-		if other == m {
-			continue
-		}
-		if way != 1 {
-			d.Network.Partition(m, other)
-		}
-		if way != 2 {
-			d.Network.Partition(other, m)
-		}
-	}
-	d.World.After(lasts, func() {
+// partitionLinks closes the links between a machine and others for a time: those of both ways, or only those of one.
+func (d *Deployment) partitionLinks(m *Machine, others []*Machine, duration time.Duration) {
+	const inwards, outwards = 1, 2 // otherwise both ways
+	direction := d.World.Random.IntN(3)
+	others = without(others, m)
+	eachLink := func(f func(from, to *Machine)) {
 		for _, other := range others {
-			if other == m {
-				continue
-			}
-			if way != 1 {
-				d.Network.Heal(m, other)
+			if direction != inwards {
+				f(m, other)
 			}
-			if way != 2 {
-				d.Network.Heal(other, m)
+			if direction != outwards {
+				f(other, m)
 			}
 		}
-	})
+	}
+	eachLink(d.Network.Partition)
+	d.World.After(duration, func() { eachLink(d.Network.Heal) })
 }
 
-// restartInTurn stops machines in turn, in good order, and starts them again.
+// restartInTurn shuts machines down one after another, as a rolling restart does, and starts each again.
 func (d *Deployment) restartInTurn(time.Duration) {
-	const gap = 1100 * time.Millisecond
-	machines := append(append([]*Machine{}, d.drawOuterMachines(0.4)...), Pick(d.World, d.Controls))
+	const interval = 1100 * time.Millisecond
+	machines := append(slices.Clone(d.drawOuterMachines(0.4)), Pick(d.World, d.Controls))
 	d.World.Random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	for i, m := range machines {
-		d.World.After(time.Duration(i)*gap, func() { d.terminate(m) })
+		d.World.After(time.Duration(i)*interval, func() { d.restartGracefully(m) })
 	}
 }
 
-func (d *Deployment) terminate(m *Machine) {
+// restartGracefully asks a process to shut down, kills it after the grace time, and starts it again.
+func (d *Deployment) restartGracefully(m *Machine) {
 	if !m.up || isControl(m) && !d.reserveLoss(m, restartDelay+Grace) {
 		return
 	}
 	d.recordMachineFault("term", m, restartDelay)
 	m.BeginShutdown()
-	life := m.incarnation
+	incarnation := m.incarnation
 	over := false
 	end := func() {
-		if over || m.incarnation != life {
+		if over || m.incarnation != incarnation {
 			return
 		}
 		over = true
--- a/internal/cluster/simulation/gang.go
+++ b/internal/cluster/simulation/gang.go
@@ -7,33 +7,34 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// scheduleDelivery counts a member of a gang as present; once all of a run are there, they work.
-func (p *GroundTruth) joinGang(e *execution) {
-	group, run := e.step, e.record.Number
-	group.members[run] = append(group.members[run], e)
-	present := group.members[run]
-	if len(present) < group.spec.Count {
-		e.gangTimer = p.World.After(p.History.Bounds.Gang, func() { e.runner.endRun(e, protocol.EndAlone) })
+// joinGang counts a member of a gang as present. Once all members of its run are, they begin to work, as fast as the
+// slowest of their runners; one that waits too long for that ends alone.
+func (g *GroundTruth) joinGang(e *execution) {
+	step, run := e.step, e.record.Number
+	step.members[run] = append(step.members[run], e)
+	present := step.members[run]
+	if len(present) < step.spec.Count {
+		e.gangTimer = g.World.After(g.History.Bounds.Gang, func() { e.runner.endRun(e, protocol.EndAlone) })
 		return
 	}
-	far := 1.0
-	if group.spec.RackLocal && !oneRack(present) {
-		far = p.History.Bounds.Far
+	slowdown := 1.0
+	if step.spec.RackLocal && !inOneRack(present) {
+		slowdown = g.History.Bounds.Far
 	}
-	slowest, hangs := present[0].runner.speed(), false
+	slowest, isHung := present[0].runner.speed(), false
 	for _, member := range present {
 		slowest = min(slowest, member.runner.speed())
-		hangs = hangs || member.isHung
+		isHung = isHung || member.isHung
 	}
 	for _, member := range present {
-		member.isHung = hangs
+		member.isHung = isHung
 	}
 	for _, member := range slices.Clone(present) {
-		member.beginWork(far * member.runner.speed() / slowest)
+		member.beginWork(slowdown * member.runner.speed() / slowest)
 	}
 }
 
-func oneRack(members []*execution) bool {
+func inOneRack(members []*execution) bool {
 	for _, member := range members {
 		if member.runner.Rack != members[0].runner.Rack {
 			return false
@@ -42,37 +43,36 @@
 	return true
 }
 
-// completeGang ends all members of a run done, together.
-func (p *GroundTruth) completeGang(group *stepTruth, run uint64) {
-	members := group.members[run]
-	delete(group.members, run)
+// completeGang ends all members of a run at once, done.
+func (g *GroundTruth) completeGang(step *stepTruth, run uint64) {
+	members := step.members[run]
+	delete(step.members, run)
 	for _, member := range members {
 		member.runner.endRun(member, protocol.EndDone)
 	}
 }
 
-// leaveGang takes a member out whose run is over; if it worked, or the others waited for it, they end broken.
-func (p *GroundTruth) leaveGang(e *execution) {
-	group, run := e.step, e.record.Number
-	members, there := group.members[run]
-	if !there {
+// leaveGang removes a member whose run has ended. If it was at work, the other members end broken soon after.
+func (g *GroundTruth) leaveGang(e *execution) {
+	step, run := e.step, e.record.Number
+	members, ok := step.members[run]
+	if !ok {
 		return
 	}
 	position := slices.Index(members, e)
 	if position < 0 {
 		return
 	}
-	worked := e.isWorking
 	members = slices.Delete(slices.Clone(members), position, position+1)
-	if !worked {
-		group.members[run] = members
+	if !e.isWorking {
+		step.members[run] = members
 		return
 	}
-	delete(group.members, run)
-	const longestNews = 20 * time.Millisecond
+	delete(step.members, run)
+	const maxDetection = 20 * time.Millisecond
 	for _, member := range members {
 		member.isHung = true
 		member.endTimer.Stop()
-		p.World.After(p.World.Between(0, longestNews), func() { member.runner.endRun(member, protocol.EndBroken) })
+		g.World.After(g.World.Between(0, maxDetection), func() { member.runner.endRun(member, protocol.EndBroken) })
 	}
 }
