--- a/internal/cluster/simulation/ground_truth.go
+++ b/internal/cluster/simulation/ground_truth.go
@@ -6,148 +6,149 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// jobTruth is what a job's tasks really take: the clients know it, the scheduler doesn't.
+// GroundTruth is what the scheduler can't know but runners find out: the tasks that clients submitted, the work that each
+// takes, which of them are done, and which members of a gang are present.
+type GroundTruth struct {
+	World   *World
+	History *History
+	jobs    map[string]*jobTruth
+}
+
+// NewGroundTruth returns a ground truth without jobs.
+func NewGroundTruth(world *World, history *History) *GroundTruth {
+	return &GroundTruth{World: world, History: history, jobs: map[string]*jobTruth{}}
+}
+
+// jobTruth is what the tasks of a job really take.
 type jobTruth struct {
 	record      *JobRecord
-	due         []time.Duration // by time K: when it falls due
+	due         []time.Duration // by repetition
 	steps       map[stepName]*stepTruth
-	alwaysFails bool // its tasks fail whenever they are tried
-	remaining   int  // tasks not done
-	lastDone    time.Duration
+	alwaysFails bool // each run of its tasks fails
+	remaining   int  // tasks that are not done
 }
 
-// stepTruth is one step at one time.
+// stepTruth is a step of one repetition.
 type stepTruth struct {
 	job       *jobTruth
 	name      stepName
 	spec      *protocol.Step
 	tasks     []taskTruth
 	remaining int
-	members   map[uint64][]*execution // gang: those present, by run
+	members   map[uint64][]*execution // of a gang: those present, by the number of their run
 }
 
 // taskTruth is one task.
 type taskTruth struct {
 	name          TaskName
 	workMs        float64 // on a runner of speed 1
-	failingStarts int     // of its first starts that fail by their own fault
+	failingStarts int     // so many of its first starts fail, on whatever runner
 	starts        int
 	done          bool
 }
 
-// GroundTruth is the reality behind the runners: which tasks there are, what they take, and which members of gangs are there.
-type GroundTruth struct {
-	World   *World
-	History *History
-	jobs    map[string]*jobTruth
-}
-
-// NewGroundTruth returns a plant without jobs.
-func NewGroundTruth(world *World, ledger *History) *GroundTruth {
-	return &GroundTruth{World: world, History: ledger, jobs: map[string]*jobTruth{}}
-}
-
-// Work says what a job's tasks take.
+// Work says what the tasks of a job take.
 type Work struct {
 	MeanMs          float64
-	Spread          float64 // share by which tasks differ
-	FirstStartFails float64 // share of tasks whose first start fails
+	Spread          float64 // fraction of the mean by which tasks differ from it at most
+	FirstStartFails float64 // fraction of tasks whose first start fails
 	AlwaysFails     bool
 }
 
-// AddJob makes a job's tasks known to the runners.
-func (p *GroundTruth) AddJob(record *JobRecord, work Work) {
-	job := &jobTruth{record: record, steps: map[stepName]*stepTruth{}, alwaysFails: work.AlwaysFails, lastDone: Never}
-	times := max(1, record.Spec.Repetitions)
-	for k := range times {
-		job.due = append(job.due, dueAt(&record.Spec, k))
-		for s := range record.Spec.Steps {
-			job.addStep(p.World, stepName{record.ID, k, s}, work)
+// AddJob draws what a job's tasks take and makes them known to the runners.
+func (g *GroundTruth) AddJob(record *JobRecord, work Work) {
+	job := &jobTruth{record: record, steps: map[stepName]*stepTruth{}, alwaysFails: work.AlwaysFails}
+	for repetition := range max(1, record.Spec.Repetitions) {
+		job.due = append(job.due, dueAt(&record.Spec, repetition))
+		for step := range record.Spec.Steps {
+			job.addStep(g.World, stepName{record.ID, repetition, step}, work)
 		}
 	}
-	p.jobs[record.ID] = job
+	g.jobs[record.ID] = job
 }
 
-// dueAt returns the true time at which time K of a job falls due; 0 without repetitions.
-func dueAt(spec *protocol.JobSpec, k int) time.Duration {
+// dueAt returns the true time at which a repetition of a job is due; 0 for a job without repetitions.
+func dueAt(spec *protocol.JobSpec, repetition int) time.Duration {
 	if spec.Repetitions == 0 {
 		return 0
 	}
-	return time.Duration(spec.FirstRunMs+int64(k)*spec.IntervalMs-EpochMs) * time.Millisecond
+	return time.Duration(spec.FirstRunMs+int64(repetition)*spec.IntervalMs-EpochMs) * time.Millisecond
 }
 
 func (j *jobTruth) addStep(w *World, name stepName, work Work) {
-	step := &j.record.Spec.Steps[name.Step]
-	group := &stepTruth{job: j, name: name, spec: step, remaining: step.Count, tasks: make([]taskTruth, step.Count)}
-	if step.Gang {
-		group.members = map[uint64][]*execution{}
+	spec := &j.record.Spec.Steps[name.Step]
+	step := &stepTruth{job: j, name: name, spec: spec, remaining: spec.Count, tasks: make([]taskTruth, spec.Count)}
+	if spec.Gang {
+		step.members = map[uint64][]*execution{}
 	}
-	shared := work.MeanMs * (1 + work.Spread*(2*w.Random.Float64()-1))
-	for i := range group.tasks {
-		task := &group.tasks[i]
+	gangMs := work.draw(w) // also drawn where it is not needed, so that what follows does not depend on the step
+	for i := range step.tasks {
+		task := &step.tasks[i]
 		task.name = TaskName{name.Job, name.Repetition, name.Step, i}
-		task.workMs = shared
-		if !step.Gang {
-			task.workMs = work.MeanMs * (1 + work.Spread*(2*w.Random.Float64()-1))
+		task.workMs = gangMs
+		if !spec.Gang {
+			task.workMs = work.draw(w)
 		}
 		if w.Chance(work.FirstStartFails) {
 			task.failingStarts = 1
 		}
 	}
-	j.steps[name] = group
-	j.remaining += step.Count
+	j.steps[name] = step
+	j.remaining += spec.Count
+}
+
+// draw returns the work of one task, in ms.
+func (w Work) draw(world *World) float64 {
+	return w.MeanMs * (1 + w.Spread*(2*world.Random.Float64()-1))
 }
 
-// find returns a task and its group, or nil if no client sent it.
-func (p *GroundTruth) find(name TaskName) (*stepTruth, *taskTruth) {
-	job := p.jobs[name.Job]
+// find returns a task and its step, or nil if no client submitted it.
+func (g *GroundTruth) find(name TaskName) (*stepTruth, *taskTruth) {
+	job := g.jobs[name.Job]
 	if job == nil {
 		return nil, nil
 	}
-	group := job.steps[name.step()]
-	if group == nil || name.Index >= len(group.tasks) {
+	step := job.steps[name.step()]
+	if step == nil || name.Index >= len(step.tasks) {
 		return nil, nil
 	}
-	return group, &group.tasks[name.Index]
+	return step, &step.tasks[name.Index]
 }
 
-// Finished tells whether every task of a job has ended done, and since when.
-func (p *GroundTruth) Finished(id string) (bool, time.Duration) {
-	job := p.jobs[id]
-	if job == nil || job.remaining > 0 {
-		return false, Never
-	}
-	return true, job.lastDone
+// IsFinished reports whether every task of a job has ended done.
+func (g *GroundTruth) IsFinished(id string) bool {
+	job := g.jobs[id]
+	return job != nil && job.remaining == 0
 }
 
-// completeTask notes that a task has ended done; for a gang, all of it.
-func (p *GroundTruth) completeTask(group *stepTruth, task *taskTruth) {
-	if !group.spec.Gang {
-		p.complete(group, task)
+// completeTask records that a task has ended done; of a gang, with it all members.
+func (g *GroundTruth) completeTask(step *stepTruth, task *taskTruth) {
+	if !step.spec.Gang {
+		step.complete(task)
 		return
 	}
-	for i := range group.tasks {
-		p.complete(group, &group.tasks[i])
+	for i := range step.tasks {
+		step.complete(&step.tasks[i])
 	}
 }
 
-func (p *GroundTruth) complete(group *stepTruth, task *taskTruth) {
-	if task.done || group.spec.LongRunning {
+func (s *stepTruth) complete(task *taskTruth) {
+	if task.done || s.spec.LongRunning {
 		return
 	}
 	task.done = true
-	group.remaining--
-	group.job.remaining--
-	group.job.lastDone = p.World.now
+	s.remaining--
+	s.job.remaining--
 }
 
-// isDue tells whether the turn of a group has come by now.
-func (g *stepTruth) isDue(now time.Duration) bool {
-	if now < g.job.due[g.name.Repetition] {
+// isDue reports whether tasks of the step may start: its time has come, and the steps that it depends on are done.
+func (s *stepTruth) isDue(now time.Duration) bool {
+	if now < s.job.due[s.name.Repetition] {
 		return false
 	}
-	for _, s := range g.spec.DependsOn {
-		if before := g.job.steps[stepName{g.name.Job, g.name.Repetition, s}]; before == nil || before.remaining > 0 {
+	for _, number := range s.spec.DependsOn {
+		earlier := s.job.steps[stepName{s.name.Job, s.name.Repetition, number}]
+		if earlier == nil || earlier.remaining > 0 {
 			return false
 		}
 	}
--- a/internal/cluster/simulation/machine.go
+++ b/internal/cluster/simulation/machine.go
@@ -5,52 +5,59 @@
 	"time"
 )
 
-// Machine is one machine of the system with its one process. A process lives from a start to a kill; what belongs to
-// an earlier life never runs in a later one. A frozen process gets all that came meanwhile when it thaws.
+// MachineRole says which of the scheduler's processes runs on a machine.
+type MachineRole int
+
+// Roles of machines.
+const (
+	RoleFrontend MachineRole = iota + 1
+	RoleAgent                // with the runner that the agent speaks for
+	RoleControl
+)
+
+// Machine is one machine with one process of the scheduler. Each start of the process begins an incarnation; what belongs
+// to an earlier one never runs in a later one. While a process is frozen, what is due in it waits until it is thawed.
 type Machine struct {
 	Name  string
 	Zone  string
-	Role  string // front, side or core
+	Role  MachineRole
 	World *World
-	Disk  *Disk // nil: none
-	Lag   time.Duration
-	// Start brings the process up: it is called at the beginning of each life.
+	Disk  *Disk         // nil: none
+	Lag   time.Duration // timers and messages are late by up to so much
+	// Start starts the process. It is called at the beginning of each incarnation; nil: nothing runs.
 	Start func()
 
 	up               bool
 	frozen           bool
 	incarnation      int
 	startedAt        time.Duration
-	unavailableSince time.Duration // when it was last killed, or began to end in good order
+	unavailableSince time.Duration // when the process was last killed, or asked to shut down
 	shuttingDown     bool
-	clockOffset      time.Duration // time of day against the true one
-	deferred         []func()
-	random           *rand.Rand // the machine's own
-	onEnd            []func()   // told when the process ends: their connections are reset
+	clockOffset      time.Duration // of the time of day from the true one
+	deferred         []func()      // due while frozen
+	random           *rand.Rand    // the machine's own
+	onEnd            []func()      // called when the process is killed: its connections are reset
 }
 
 // NewMachine returns a machine that is off.
-func NewMachine(world *World, name, zone, class string) *Machine {
-	return &Machine{Name: name, Zone: zone, Role: class, World: world, random: world.newStream(name)}
+func NewMachine(world *World, name, zone string, role MachineRole) *Machine {
+	return &Machine{Name: name, Zone: zone, Role: role, World: world, random: world.newStream(name)}
 }
 
-// Started tells whether the process runs (it may be frozen).
+// Up reports whether the process runs, frozen or not.
 func (m *Machine) Up() bool { return m.up }
 
-// Frozen tells whether the process stands still.
-func (m *Machine) Frozen() bool { return m.frozen }
-
-// Incarnation counts the starts of the process.
+// Incarnation returns how often the process has been started.
 func (m *Machine) Incarnation() int { return m.incarnation }
 
-// Monotonic is the process's steady clock: time since its start.
+// Monotonic returns the reading of the process's monotonic clock: the time since its start.
 func (m *Machine) Monotonic() time.Duration { return m.World.now - m.startedAt }
 
-// TimeOfDayMs is the machine's time of day in ms since 1970.
+// TimeOfDayMs returns the machine's time of day in ms since 1970.
 func (m *Machine) TimeOfDayMs() int64 { return EpochMs + (m.World.now + m.clockOffset).Milliseconds() }
 
-// SetClock sets how far the machine's time of day is off.
-func (m *Machine) SetClock(off time.Duration) { m.clockOffset = off }
+// SetClock sets how far the machine's time of day is ahead of the true one.
+func (m *Machine) SetClock(offset time.Duration) { m.clockOffset = offset }
 
 // Boot starts the process, unless it runs.
 func (m *Machine) Boot() {
@@ -66,16 +73,16 @@
 	}
 }
 
-// Kill ends the process; the files on its disk stay as they were written, and who is connected to it hears so.
+// Kill ends the process. Its connections are reset, and its files stay as they were written.
 func (m *Machine) Kill() {
-	callers := m.onEnd
+	resets := m.onEnd
 	m.endProcess()
-	for _, reset := range callers {
+	for _, reset := range resets {
 		reset()
 	}
 }
 
-// endProcess ends the process without a word.
+// endProcess ends the process without resetting its connections.
 func (m *Machine) endProcess() {
 	m.onEnd = nil
 	if !m.shuttingDown {
@@ -87,20 +94,20 @@
 	}
 }
 
-// BeginShutdown notes that the process has been asked to end.
+// BeginShutdown records that the process has been asked to shut down.
 func (m *Machine) BeginShutdown() {
 	m.shuttingDown = true
 	m.unavailableSince = m.World.now
 }
 
-// isDue tells whether the platform sends new clients there: it notices within two seconds that a process has ended or
-// calls itself not ready.
+// receivesClients reports whether the platform still routes new clients to the machine: it takes time to notice that a
+// process has ended or is not ready.
 func (m *Machine) receivesClients() bool {
-	const noticed = 2 * time.Second
-	return m.up && !m.shuttingDown || m.World.now-m.unavailableSince < noticed
+	const detectionTime = 2 * time.Second
+	return m.up && !m.shuttingDown || m.World.now-m.unavailableSince < detectionTime
 }
 
-// LosePower ends the process, and writes that were not synced are kept, lost or torn.
+// LosePower ends the process without resetting its connections. Writes that were not synced are kept, lost or torn.
 func (m *Machine) LosePower() {
 	m.endProcess()
 	if m.Disk != nil {
@@ -108,55 +115,57 @@
 	}
 }
 
-// Wipe loses the disk; the process must not run.
+// Wipe replaces the disk by an empty one. The process must not run.
 func (m *Machine) Wipe() {
 	if m.Disk != nil {
 		m.Disk.wipe()
 	}
 }
 
-// Freeze makes the process stand still.
+// Freeze freezes the process, as SIGSTOP does.
 func (m *Machine) Freeze() {
 	if m.up {
 		m.frozen = true
 	}
 }
 
-// Thaw lets a frozen process go on, with all that came meanwhile in the order in which it came.
+// Thaw resumes a frozen process. What was due meanwhile happens now, in the order in which it was due.
 func (m *Machine) Thaw() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	stalled := m.deferred
+	deferred := m.deferred
 	m.deferred = nil
-	for _, f := range stalled {
+	for _, f := range deferred {
 		m.inIncarnation(m.incarnation, f)
 	}
 }
 
-// inIncarnation calls f in a given life of the process: later if it is frozen, never if that life is over.
-func (m *Machine) inIncarnation(life int, f func()) {
+// inIncarnation calls f in an incarnation of the process: once it is thawed if it is frozen, and never if that
+// incarnation is over.
+func (m *Machine) inIncarnation(incarnation int, f func()) {
 	switch {
-	case !m.up || m.incarnation != life:
+	case !m.up || m.incarnation != incarnation:
 	case m.frozen:
-		m.deferred = append(m.deferred, func() { m.inIncarnation(life, f) })
+		m.deferred = append(m.deferred, func() { m.inIncarnation(incarnation, f) })
 	default:
 		f()
 	}
 }
 
-// Post calls f in this life of the process at the present time, after all that was asked for at that time.
+// Post calls f in this incarnation at the present time, after everything that is scheduled for it already. Unlike After
+// it is not subject to Lag.
 func (m *Machine) Post(f func()) {
-	life := m.incarnation
-	m.World.After(0, func() { m.inIncarnation(life, f) })
+	incarnation := m.incarnation
+	m.World.After(0, func() { m.inIncarnation(incarnation, f) })
 }
 
-// After calls f in this life of the process once d has passed, later on a machine that is slowed.
+// After calls f in this incarnation once d has passed, up to Lag later.
 func (m *Machine) After(d time.Duration, f func()) *Timer {
-	life := m.incarnation
+	incarnation := m.incarnation
 	if m.Lag > 0 {
 		d += time.Duration(m.random.Int64N(int64(m.Lag)))
 	}
-	return m.World.After(d, func() { m.inIncarnation(life, f) })
+	return m.World.After(d, func() { m.inIncarnation(incarnation, f) })
 }
--- a/internal/cluster/simulation/network.go
+++ b/internal/cluster/simulation/network.go
@@ -13,16 +13,23 @@
 	ClientDelay   = 3 * time.Millisecond
 )
 
+// Network carries messages between machines. Each link, one way between two machines, delivers in order what it delivers.
+type Network struct {
+	World *World
+	Loss  float64 // fraction of messages that are dropped
+	links map[link]*linkState
+}
+
 type link struct{ from, to *Machine }
 
 type linkState struct {
-	partitions  int // cuts in force
-	extraDelay  time.Duration
-	retained    []func() // what a cut holds up and may let go at its end
+	partitions  int      // in force; the link is open at 0
+	retained    []func() // messages sent during a partition, which its end delivers or drops
 	lastArrival time.Duration
-	random      *rand.Rand // the link's own, so that a run does not hang on the order of what is sent on different links
+	random      *rand.Rand // the link's own, so that a run does not depend on the order of messages on different links
 }
 
+// between draws a time evenly from [low, high).
 func (s *linkState) between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -30,14 +37,7 @@
 	return low + time.Duration(s.random.Int64N(int64(high-low)))
 }
 
-// Network carries what machines send each other. What two machines say one way arrives in order, or not at all.
-type Network struct {
-	World *World
-	Loss  float64 // share of messages that vanish
-	links map[link]*linkState
-}
-
-// NewNetwork returns a sound network.
+// NewNetwork returns a network without faults.
 func NewNetwork(world *World) *Network {
 	return &Network{World: world, links: map[link]*linkState{}}
 }
@@ -52,13 +52,14 @@
 	return state
 }
 
-// Partition cuts the way from one machine to another; Join undoes one Cut.
+// Partition closes the link from one machine to another, until as many calls of Heal.
 func (n *Network) Partition(from, to *Machine) { n.state(from, to).partitions++ }
 
-// PartitionBoth cuts both ways.
+// PartitionBoth closes both links between two machines.
 func (n *Network) PartitionBoth(a, b *Machine) { n.Partition(a, b); n.Partition(b, a) }
 
-// Heal undoes one cut. Bytes that the cut held up either arrive now or are lost.
+// Heal undoes one call of Partition. Once the link is open, the messages that were sent during the partition are either
+// all delivered or all dropped.
 func (n *Network) Heal(from, to *Machine) {
 	state := n.state(from, to)
 	if state.partitions == 0 {
@@ -68,28 +69,16 @@
 	if state.partitions > 0 {
 		return
 	}
-	held := state.retained
+	retained := state.retained
 	state.retained = nil
 	if state.random.Float64() < 0.5 {
 		return
 	}
-	for _, f := range held {
-		f()
+	for _, deliver := range retained {
+		deliver()
 	}
 }
 
-// HealBoth undoes one cut of both ways.
-func (n *Network) HealBoth(a, b *Machine) { n.Heal(a, b); n.Heal(b, a) }
-
-// SetDelay adds a delay to the way from one machine to another; 0 ends it.
-func (n *Network) SetDelay(from, to *Machine, by time.Duration) { n.state(from, to).extraDelay = by }
-
-// Connected tells whether the way from one machine to another is open.
-func (n *Network) Connected(from, to *Machine) bool {
-	state := n.links[link{from, to}]
-	return state == nil || state.partitions == 0
-}
-
 func baseDelay(from, to *Machine) time.Duration {
 	switch {
 	case from == to:
@@ -100,22 +89,22 @@
 	return ZoneDelay
 }
 
-// Send calls f in the present life of the machine `to`, after the link's delay. It is lost with the life of either end,
-// and a cut loses it or holds it up.
+// Send calls f in the present incarnation of machine to, after the link's delay. The message is dropped if that
+// incarnation is over by then, or by Loss. During a partition it is retained or dropped, see Heal.
 func (n *Network) Send(from, to *Machine, f func()) {
-	life, sender := to.incarnation, from.incarnation
+	receiver, sender := to.incarnation, from.incarnation
 	if from == to {
-		n.World.After(LoopbackDelay, func() { to.inIncarnation(life, f) })
+		n.World.After(LoopbackDelay, func() { to.inIncarnation(receiver, f) })
 		return
 	}
 	state := n.state(from, to)
 	if n.Loss > 0 && state.random.Float64() < n.Loss {
 		return
 	}
-	deliver := func() { n.scheduleDelivery(state, from, to, life, f) }
+	deliver := func() { n.scheduleDelivery(state, from, to, receiver, f) }
 	if state.partitions > 0 {
-		const mostHeld = 64
-		if len(state.retained) < mostHeld {
+		const maxRetained = 64
+		if len(state.retained) < maxRetained {
 			state.retained = append(state.retained, func() {
 				if from.incarnation == sender && from.up {
 					deliver()
@@ -127,10 +116,10 @@
 	deliver()
 }
 
-// scheduleDelivery schedules a delivery no earlier than that of what was sent before on the same link.
-func (n *Network) scheduleDelivery(state *linkState, from, to *Machine, life int, f func()) {
+// scheduleDelivery schedules the arrival of a message, not before that of one that was sent earlier on the link.
+func (n *Network) scheduleDelivery(state *linkState, from, to *Machine, receiver int, f func()) {
 	delay := baseDelay(from, to)
-	delay += state.between(0, delay/4) + state.extraDelay
+	delay += state.between(0, delay/4)
 	if to.Lag > 0 {
 		delay += state.between(0, to.Lag)
 	}
@@ -138,13 +127,14 @@
 	state.lastArrival = at
 	n.World.At(at, func() {
 		if state.partitions == 0 {
-			to.inIncarnation(life, f)
+			to.inIncarnation(receiver, f)
 		}
 	})
 }
 
-// Call carries a request to a machine and its answer back. The handler gets a function to answer with; of its calls only
-// the first counts. done is called at most once, in the life of the caller that asked; without an answer it never is.
+// Call carries a request to a machine, and its response back. handle gets a function to respond with, of which only the
+// first call counts. done is called at most once, in the incarnation of the caller that made the call; if the request or
+// the response is lost it never is, so that callers need a timeout.
 func Call[Response any](n *Network, from, to *Machine, handle func(reply func(Response)), done func(Response)) {
 	if !to.up {
 		return
--- a/internal/cluster/simulation/observer.go
+++ b/internal/cluster/simulation/observer.go
@@ -1,36 +1,36 @@
 package simulation
 
 import (
-	"encoding/json"
+	"net/http"
 	"time"
 )
 
-// ConfigurationRead is one reading of the configuration during a day.
+// ConfigurationRead is one read of the configuration during a scenario.
 type ConfigurationRead struct {
 	Machine  string
 	Sent     time.Duration
-	Answered time.Duration // Never: silence
+	Answered time.Duration // Never: there was no response
 	Status   int
 	Version  int64
 	Body     string // canonical JSON
 }
 
-// Observer asks for jobs' states and for the configuration all day long, at whatever frontend or control machine, so
-// that the histories of a day say much about what was served. The states are in the jobs' records.
+// Observer queries the states of jobs and reads the configuration throughout a scenario, at whatever frontend or control
+// machine, so that the history shows much of what was served. The states are in the jobs' records.
 type Observer struct {
+	Reads []*ConfigurationRead
+
 	deployment *Deployment
 	until      time.Duration
-	Reads      []*ConfigurationRead
 }
 
-// Times of an Observer.
 const (
-	stateQueryInterval        = 40 * time.Millisecond // a question for a state
-	configurationReadInterval = 60 * time.Millisecond // a reading of the configuration
-	maxObservedJobs           = 6                     // states are asked of so many of the newest jobs
+	stateQueryInterval        = 40 * time.Millisecond
+	configurationReadInterval = 60 * time.Millisecond
+	maxObservedJobs           = 6 // the newest
 )
 
-// Observe has a deployment observed from a time on until another.
+// Observe has a deployment observed from a time until another. It must be called before Deployment.Play.
 func Observe(d *Deployment, from, until time.Duration) *Observer {
 	o := &Observer{deployment: d, until: until}
 	d.World.At(from, o.queryStates)
@@ -38,7 +38,7 @@
 	return o
 }
 
-// queryStates asks for the state of one of the newest jobs, again and again.
+// queryStates queries the state of one of the newest jobs, again and again.
 func (o *Observer) queryStates() {
 	w := o.deployment.World
 	if w.now >= o.until {
@@ -57,34 +57,29 @@
 	if w.now >= o.until {
 		return
 	}
-	o.Reads = append(o.Reads, ReadAt(operator, Pick(w, operator.Controls)))
+	o.Reads = append(o.Reads, operator.ReadAt(Pick(w, operator.Controls)))
 	w.After(w.Between(configurationReadInterval/2, 2*configurationReadInterval), o.readConfiguration)
 }
 
-// ReadAt has the operator read the configuration at a machine, once.
-func ReadAt(operator *Operator, machine *Machine) *ConfigurationRead {
-	w := operator.World
-	read := &ConfigurationRead{Machine: machine.Name, Sent: w.now, Answered: Never}
-	operator.reach(machine, func(control ControlAPI, life int) {
+// ReadAt reads the configuration once at a machine. The result is filled in when the response arrives.
+func (o *Operator) ReadAt(machine *Machine) *ConfigurationRead {
+	read := &ConfigurationRead{Machine: machine.Name, Sent: o.World.now, Answered: Never}
+	o.reach(machine, func(control ControlAPI, incarnation int) {
 		control.Read(func(status int, body []byte) {
-			if machine.incarnation == life {
-				w.After(operator.delay(), func() { read.take(w.now, status, body) })
+			if machine.incarnation == incarnation {
+				o.World.After(o.delay(), func() { read.receive(o.World.now, status, body) })
 			}
 		})
 	}, func() {})
 	return read
 }
 
-func (r *ConfigurationRead) take(now time.Duration, status int, body []byte) {
+func (r *ConfigurationRead) receive(now time.Duration, status int, body []byte) {
 	r.Answered, r.Status = now, status
-	if status != 200 {
-		return
-	}
-	r.Body = Canonical(body)
-	var head struct {
-		Version int64 `json:"version"`
-	}
-	if err := json.Unmarshal(body, &head); err == nil {
-		r.Version = head.Version
+	if status == http.StatusOK {
+		r.Body = Canonical(body)
+		if version, ok := versionOf(string(body)); ok {
+			r.Version = version
+		}
 	}
 }
--- a/internal/cluster/simulation/operator.go
+++ b/internal/cluster/simulation/operator.go
@@ -2,99 +2,92 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 )
 
-// ControlAPI is what the operator calls. An order returns what tells the process that the operator has left.
+// ControlAPI is what the operator calls at a control process. A reply is called at most once, and never if the operator
+// gets no response. Configure returns a function that informs the process that the operator has disconnected.
 type ControlAPI interface {
-	Configure(update bool, base string, body []byte, reply func(status int)) (left func())
+	Configure(kind ChangeKind, base string, body []byte, reply func(status int)) (disconnect func())
 	Read(reply func(status int, body []byte))
 }
 
+// ChangeKind says how the operator sends a change of the configuration.
+type ChangeKind int
+
+// Kinds of changes.
 const (
-	operatorTimeout     = time.Second
-	maxProbes           = 4
-	maxOperatorAttempts = 40
+	ReplaceDocument ChangeKind = iota + 1 // the body is a Document
+	UpdateItems                           // the body is an Update
 )
 
-// Operator changes the configuration and reads it back.
+const (
+	operatorTimeout     = time.Second // of a call
+	maxOperatorAttempts = 40          // of one change
+	maxProbes           = 4           // probe routes in force
+)
+
+// Operator changes the configuration and reads it back. Only Race sends a change while another one is in flight.
 type Operator struct {
-	World           *World
-	History         *History
-	Controls        []*Machine
-	Control         func(m *Machine) ControlAPI // nil while nothing listens there
-	AckLossFraction float64                     // share of acknowledgements that are lost now
-	// Acknowledged is called with the machine that acknowledged a change, before the answer arrives.
+	World    *World
+	History  *History
+	Controls []*Machine
+	// Control returns the process on a machine, or nil while none is listening there.
+	Control         func(m *Machine) ControlAPI
+	AckLossFraction float64 // of responses that are lost on their way
+	// OnAcknowledged is called with the machine that acknowledges a change as it sends the response; nil: by nobody.
 	OnAcknowledged func(by *Machine)
-	Base           *Document // the configuration of the beginning
+	Base           *Document // the first configuration, without its version
 
-	current        *Document // newest that was acknowledged
-	retainedProbes []string  // names of probe routes in force
-	version        int64     // highest used so far
-	inFlight       int       // orders under way
+	current  *Document // the newest that was acknowledged, or nil
+	version  int64     // the highest that was used
+	inFlight int       // changes without a final response
 }
 
-// ProbeHost is the host of the routes that show which version is in force.
+// change is a change of the configuration that the operator sends until it gets a final response.
+type change struct {
+	record *ConfigurationRecord
+	kind   ChangeKind
+	result *Document // the configuration that it leads to
+}
+
+// ProbeHost is the host of the probe routes: routes that show by their presence which version a process follows.
 const ProbeHost = "probe.example"
 
+// ProbeQueue returns the queue of a version's probe route.
+func ProbeQueue(version int64) QueueName { return QueueName{ProbeHost, fmt.Sprintf("/v%d/", version)} }
+
 func probeRoute(version int64, service string) Route {
-	return Route{Name: fmt.Sprintf("probe-%d", version), Host: ProbeHost, PathPrefix: fmt.Sprintf("/v%d/", version),
+	queue := ProbeQueue(version)
+	return Route{Name: fmt.Sprintf("probe-%d", version), Host: queue.Host, PathPrefix: queue.Prefix,
 		Kind: "non_idempotent", TimeoutMs: 3000, TargetLatencyMs: 1000, Service: service, MaxAttempts: 1, Extension: 2}
 }
 
-// SubmitFirst sends the first configuration until it is taken.
+// SubmitFirst sends the first configuration until it gets a final response.
 func (o *Operator) SubmitFirst() {
 	first := o.Base.clone()
 	first.Version = 1 + int64(o.World.Random.IntN(5))
 	o.version = first.Version
 	first.Routes = append(first.Routes, probeRoute(first.Version, first.Services[0].Name))
-	o.retainedProbes = []string{fmt.Sprintf("probe-%d", first.Version)}
-	o.send(o.record(first, nil, mustJSON(first), false), 0, first, false, nil)
+	o.submit(&change{record: o.record(first, 0, mustJSON(first)), kind: ReplaceDocument, result: first})
 }
 
 // Current returns the newest configuration that was acknowledged, or nil.
 func (o *Operator) Current() *Document { return o.current }
 
-func (o *Operator) nextVersion() int64 {
-	o.version += 1 + int64(o.World.Random.IntN(3))
-	return o.version
-}
+// Edit changes a configuration in place and returns the names of the routes that it changed or added.
+type Edit func(next *Document) []string
 
-func (o *Operator) record(whole *Document, base *Document, body string, invalid bool) *ConfigurationRecord {
-	record := &ConfigurationRecord{Version: whole.Version, Body: body, Invalid: invalid, Acknowledged: Never, Alone: true}
-	if base != nil {
-		record.Base = base.Version
-	}
-	if !invalid {
-		record.Document = Canonical([]byte(mustJSON(whole)))
-		record.Routes = whole.records()
-	}
-	for _, other := range o.History.Configuration {
-		if o.mayTakeEffect(other) {
-			other.Alone, record.Alone = false, false
-		}
-	}
-	o.History.Configuration = append(o.History.Configuration, record)
-	return record
-}
-
-func (o *Operator) mayTakeEffect(record *ConfigurationRecord) bool {
-	if len(record.Attempts) == 0 {
-		return false
-	}
-	last := record.Attempts[len(record.Attempts)-1]
-	return last.Answered == Never || last.ReplyLost || last.Status >= 500
-}
-
-// Change sends one change; a nil edit changes a time-out. It does nothing while another is under way.
-func (o *Operator) Change(edit func(next *Document) []string) {
+// Change sends a change; a nil edit changes a drawn route's timeout. It does nothing while another change is in flight.
+func (o *Operator) Change(edit Edit) {
 	if o.inFlight > 0 || o.current == nil {
 		return
 	}
-	o.sendChange(o.current, o.nextVersion(), edit)
+	o.submitEdit(o.current, o.nextVersion(), edit)
 }
 
-// Race sends two changes on top of the same version at once; they may have the same number.
+// Race sends two changes at once on top of the same version. Sometimes both have the same number.
 func (o *Operator) Race() {
 	if o.inFlight > 0 || o.current == nil {
 		return
@@ -105,39 +98,44 @@
 	if o.World.Chance(0.5) {
 		second = o.nextVersion()
 	}
-	o.sendChange(base, first, nil)
-	o.sendChange(base, second, nil)
+	o.submitEdit(base, first, nil)
+	o.submitEdit(base, second, nil)
 }
 
-// sendChange adds a probe route, drops the oldest, and makes the edit. The edit returns the names of the routes that it
-// changed.
-func (o *Operator) sendChange(base *Document, version int64, edit func(next *Document) []string) {
+func (o *Operator) nextVersion() int64 {
+	o.version += 1 + int64(o.World.Random.IntN(3))
+	return o.version
+}
+
+// submitEdit sends an edit that also adds the version's probe route and removes the oldest ones.
+func (o *Operator) submitEdit(base *Document, version int64, edit Edit) {
 	next := base.clone()
 	next.Version = version
 	if edit == nil {
 		edit = o.changeTimeout
 	}
-	changed := edit(next)
 	update := Update{Version: version}
-	for _, name := range changed {
+	for _, name := range edit(next) {
 		if route := next.route(name); route != nil {
 			update.Upsert.Routes = append(update.Upsert.Routes, *route)
 		}
 	}
 	probe := probeRoute(version, next.Services[0].Name)
-	probe.Note = fmt.Sprintf("%08x", o.World.Random.Uint32())
+	probe.Unknown = fmt.Sprintf("%08x", o.World.Random.Uint32())
 	update.Upsert.Routes = append(update.Upsert.Routes, probe)
 	for _, route := range next.Routes {
 		if route.Host == ProbeHost && countProbes(next)-len(update.Remove.Routes) >= maxProbes {
 			update.Remove.Routes = append(update.Remove.Routes, route.Name)
 		}
 	}
-	whole := next.apply(&update)
+	result := next.apply(&update)
+	kind, body := ReplaceDocument, ""
 	if o.World.Chance(0.5) {
-		o.send(o.record(whole, base, mustJSON(&update), false), base.Version, whole, true, nil)
-		return
+		kind, body = UpdateItems, mustJSON(&update)
+	} else {
+		body = mustJSON(result)
 	}
-	o.send(o.record(whole, base, mustJSON(whole), false), base.Version, whole, false, nil)
+	o.submit(&change{record: o.record(result, base.Version, body), kind: kind, result: result})
 }
 
 func countProbes(d *Document) int {
@@ -150,22 +148,23 @@
 	return count
 }
 
+// changeTimeout is an Edit of a drawn route of the first configuration.
 func (o *Operator) changeTimeout(next *Document) []string {
 	route := &next.Routes[o.World.Random.IntN(len(o.Base.Routes))]
 	route.TimeoutMs = 2500 + int64(o.World.Random.IntN(1000))
 	return []string{route.Name}
 }
 
-// Move gives a queue another service.
-func Move(route, service string) func(next *Document) []string {
+// MoveRoute returns an Edit that gives a route another service.
+func MoveRoute(route, service string) Edit {
 	return func(next *Document) []string {
 		next.route(route).Service = service
 		return []string{route}
 	}
 }
 
-// AddQueue adds a queue of that name, which is otherwise like another one.
-func AddQueue(name, like string) func(next *Document) []string {
+// AddRoute returns an Edit that adds a route, and with it a queue, which is like another one but for its name.
+func AddRoute(name, like string) Edit {
 	return func(next *Document) []string {
 		added := *next.route(like)
 		added.Name, added.PathPrefix = name, "/"+name+"/"
@@ -174,174 +173,31 @@
 	}
 }
 
-// SubmitInvalid sends a configuration that must be refused.
-func (o *Operator) SubmitInvalid(how string) {
-	if o.current == nil || o.inFlight > 0 {
-		return
-	}
-	base, next := o.current, o.current.clone()
-	next.Version = o.version + 50
-	update := false
-	body := ""
-	switch how {
-	case "cut_short":
-		text := mustJSON(next)
-		body = text[:len(text)*2/3]
-	case "unknown_service":
-		next.Routes[0].Service = "nobody"
-	case "same_place":
-		twin := next.Routes[0]
-		twin.Name = "twin"
-		next.Routes = append(next.Routes, twin)
-	case "no_timeout":
-		next.Routes[0].TimeoutMs = 0
-	case "old_version":
-		next.Version = base.Version - 1
-	case "same_version":
-		next.Version = base.Version
-		next.Routes[0].TimeoutMs++
-	case "stale_match":
-		next.Routes[0].TimeoutMs++
-		stale := &Document{Version: base.Version - 1}
-		o.send(o.record(next, stale, mustJSON(next), true), stale.Version, next, false, nil)
-		return
-	case "dangling":
-		update = true
-		body = mustJSON(&Update{Version: next.Version, Remove: removes{Services: []string{base.Services[0].Name}}})
-	}
-	if body == "" {
-		body = mustJSON(next)
-	}
-	o.send(o.record(next, base, body, true), base.Version, next, update, nil)
-}
-
-// InvalidKinds are the ways in which Bad sends what must be refused.
-var InvalidKinds = []string{"cut_short", "unknown_service", "same_place", "no_timeout", "old_version", "same_version",
-	"stale_match", "dangling"}
-
-// send sends an order until it gets a clear answer.
-func (o *Operator) send(record *ConfigurationRecord, base int64, whole *Document, update bool, last *Machine) {
-	if len(record.Attempts) == 0 {
-		o.inFlight++
-	}
-	machine := Pick(o.World, o.Controls)
-	if machine == last {
-		machine = Pick(o.World, o.Controls)
-	}
-	record.Attempts = append(record.Attempts, Attempt{Machine: machine.Name, Incarnation: machine.incarnation, Sent: o.World.now, Answered: Never})
-	position := len(record.Attempts) - 1
-	over := false
-	finish := func(status int) {
-		if over {
-			return
-		}
-		over = true
-		o.resolve(record, base, whole, update, machine, status)
-	}
-	left, leave := false, func() {}
-	o.World.After(operatorTimeout, func() {
-		if over {
-			return
-		}
-		finish(0)
-		o.World.After(o.delay(), func() {
-			left = true
-			leave()
-		})
-	})
-	o.reach(machine, func(control ControlAPI, life int) {
-		leaving := control.Configure(update, fmt.Sprint(base), []byte(record.Body), func(status int) {
-			if machine.incarnation != life || left {
-				return
-			}
-			o.replyArrives(record, position, machine, status, finish)
-		})
-		leave = func() { machine.inIncarnation(life, leaving) }
-		if left {
-			leaving() // while the machine stood still
-		}
-	}, func() { finish(0) })
-}
-
-// replyArrives takes the answer on its way to the operator.
-func (o *Operator) replyArrives(record *ConfigurationRecord, position int, machine *Machine, status int, finish func(int)) {
-	if status == 200 && o.OnAcknowledged != nil {
-		o.OnAcknowledged(machine)
-	}
-	o.World.After(o.delay(), func() {
-		try := &record.Attempts[position]
-		if try.Answered != Never {
-			return
-		}
-		try.Answered, try.Status = o.World.now, status
-		try.ReplyLost = o.World.Chance(o.AckLossFraction)
-		if status == 200 && record.Acknowledged == Never {
-			record.Acknowledged = o.World.now
-		}
-		if !try.ReplyLost {
-			finish(status)
-		}
-	})
-}
-
-func (o *Operator) delay() time.Duration { return o.World.Between(ClientDelay, 2*ClientDelay) }
-
-// finishWork calls a control machine; the operator reaches each, whatever is cut.
-func (o *Operator) reach(machine *Machine, call func(control ControlAPI, life int), refused func()) {
-	o.World.After(o.delay(), func() {
-		control := o.Control(machine)
-		if control == nil {
-			o.World.After(o.delay(), refused)
-			return
-		}
-		life := machine.incarnation
-		machine.inIncarnation(life, func() { call(control, life) })
-	})
-}
-
-// advance ends an order with a clear answer, or sends it again.
-func (o *Operator) resolve(record *ConfigurationRecord, base int64, whole *Document, update bool, by *Machine, status int) {
-	clear := status == 200 || status >= 400 && status < 500 && status != 408 && status != 429
-	if clear || len(record.Attempts) >= maxOperatorAttempts {
-		o.inFlight--
-		if status == 200 && !record.Invalid && (o.current == nil || whole.Version > o.current.Version) {
-			o.current = whole
-			o.version = max(o.version, whole.Version)
-		}
-		return
-	}
-	pause := o.World.Between(50*time.Millisecond, 200*time.Millisecond+50*time.Millisecond*time.Duration(min(len(record.Attempts), 6)))
-	o.World.After(pause, func() { o.send(record, base, whole, update, by) })
+// record adds a valid change to the history.
+func (o *Operator) record(result *Document, base int64, body string) *ConfigurationRecord {
+	record := o.newRecord(result.Version, base, body)
+	record.Document = Canonical([]byte(mustJSON(result)))
+	record.Routes = result.records()
+	return record
 }
 
-// LastReadBack asks for the configuration again and again until a time.
-func (o *Operator) ReadBack(until time.Duration) {
-	if o.World.now > until {
-		return
-	}
-	machine := Pick(o.World, o.Controls)
-	over := false
-	again := func() {
-		if !over {
-			over = true
-			o.World.After(o.World.Between(100*time.Millisecond, 300*time.Millisecond), func() { o.ReadBack(until) })
+// newRecord adds a change to the history. It is not alone if one before it may still take effect.
+func (o *Operator) newRecord(version, base int64, body string) *ConfigurationRecord {
+	record := &ConfigurationRecord{Version: version, Base: base, Body: body, Acknowledged: Never, Alone: true}
+	for _, other := range o.History.Configuration {
+		if other.mayTakeEffect() {
+			other.Alone, record.Alone = false, false
 		}
 	}
-	o.World.After(operatorTimeout, again)
-	o.reach(machine, func(control ControlAPI, life int) {
-		control.Read(func(status int, body []byte) {
-			if machine.incarnation != life {
-				return
-			}
-			o.World.After(o.delay(), func() { o.recordReadBack(status, body); again() })
-		})
-	}, again)
+	o.History.Configuration = append(o.History.Configuration, record)
+	return record
 }
 
-func (o *Operator) recordReadBack(status int, body []byte) {
-	if status != 200 {
-		return
+// mayTakeEffect reports whether the last attempt leaves open what became of the change.
+func (r *ConfigurationRecord) mayTakeEffect() bool {
+	if len(r.Attempts) == 0 {
+		return false
 	}
-	o.History.LastReadBack = Canonical(body)
-	o.History.ReadBacks = append(o.History.ReadBacks, ReadBack{At: o.World.now, Body: o.History.LastReadBack})
+	last := &r.Attempts[len(r.Attempts)-1]
+	return !last.isAnswered() || last.ReplyLost || last.Status >= http.StatusInternalServerError
 }
--- /dev/null
+++ b/internal/cluster/simulation/operator_call.go
@@ -0,0 +1,138 @@
+package simulation
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// submit sends a change until it gets a final response.
+func (o *Operator) submit(c *change) {
+	o.inFlight++
+	o.attempt(c, nil)
+}
+
+// attempt sends a change once more, preferably not to the machine of the attempt before.
+func (o *Operator) attempt(c *change, last *Machine) {
+	machine := Pick(o.World, o.Controls)
+	if machine == last {
+		machine = Pick(o.World, o.Controls)
+	}
+	record := c.record
+	record.Attempts = append(record.Attempts, Attempt{Machine: machine.Name, Incarnation: machine.incarnation, Sent: o.World.now,
+		Answered: Never})
+	number := len(record.Attempts) - 1
+	over := false
+	finish := func(status int) {
+		if !over {
+			over = true
+			o.resolve(c, machine, status)
+		}
+	}
+	hasDisconnected, disconnect := false, func() {}
+	o.World.After(operatorTimeout, func() {
+		if over {
+			return
+		}
+		finish(noResponse)
+		o.World.After(o.delay(), func() {
+			hasDisconnected = true
+			disconnect()
+		})
+	})
+	o.reach(machine, func(control ControlAPI, incarnation int) {
+		clientLeft := control.Configure(c.kind, fmt.Sprint(record.Base), []byte(record.Body), func(status int) {
+			if machine.incarnation != incarnation || hasDisconnected {
+				return
+			}
+			o.sendReply(record, number, machine, status, finish)
+		})
+		disconnect = func() { machine.inIncarnation(incarnation, clientLeft) }
+		if hasDisconnected {
+			clientLeft() // the operator disconnected while the machine was frozen
+		}
+	}, func() { finish(noResponse) })
+}
+
+// sendReply carries a machine's response to an attempt to the operator. One that is lost on its way is recorded, because
+// it shows what the machine did, but the operator does not see it.
+func (o *Operator) sendReply(record *ConfigurationRecord, number int, machine *Machine, status int, finish func(status int)) {
+	if status == http.StatusOK && o.OnAcknowledged != nil {
+		o.OnAcknowledged(machine)
+	}
+	o.World.After(o.delay(), func() {
+		attempt := &record.Attempts[number]
+		if attempt.isAnswered() {
+			return
+		}
+		attempt.Answered, attempt.Status = o.World.now, status
+		attempt.ReplyLost = o.World.Chance(o.AckLossFraction)
+		if status == http.StatusOK && record.Acknowledged == Never {
+			record.Acknowledged = o.World.now
+		}
+		if !attempt.ReplyLost {
+			finish(status)
+		}
+	})
+}
+
+// resolve ends a change by a final response, or sends it again after a backoff.
+func (o *Operator) resolve(c *change, by *Machine, status int) {
+	attempts := len(c.record.Attempts)
+	if status == http.StatusOK || isFinalRejection(status) || attempts >= maxOperatorAttempts {
+		o.inFlight--
+		if status == http.StatusOK && !c.record.Invalid && (o.current == nil || c.result.Version > o.current.Version) {
+			o.current = c.result
+			o.version = max(o.version, c.result.Version)
+		}
+		return
+	}
+	backoff := o.World.Between(50*time.Millisecond, 200*time.Millisecond+50*time.Millisecond*time.Duration(min(attempts, 6)))
+	o.World.After(backoff, func() { o.attempt(c, by) })
+}
+
+// ReadBack reads the configuration again and again until a time, and records what it reads.
+func (o *Operator) ReadBack(until time.Duration) {
+	if o.World.now > until {
+		return
+	}
+	machine := Pick(o.World, o.Controls)
+	over := false
+	next := func() {
+		if !over {
+			over = true
+			o.World.After(o.World.Between(100*time.Millisecond, 300*time.Millisecond), func() { o.ReadBack(until) })
+		}
+	}
+	o.World.After(operatorTimeout, next)
+	o.reach(machine, func(control ControlAPI, incarnation int) {
+		control.Read(func(status int, body []byte) {
+			if machine.incarnation != incarnation {
+				return
+			}
+			o.World.After(o.delay(), func() {
+				if status == http.StatusOK {
+					o.History.ReadBacks = append(o.History.ReadBacks, ReadBack{At: o.World.now, Body: Canonical(body)})
+				}
+				next()
+			})
+		})
+	}, next)
+}
+
+// reach calls a control machine; the operator reaches each, whatever links are partitioned. refused is called if none is
+// listening there.
+func (o *Operator) reach(machine *Machine, call func(control ControlAPI, incarnation int), refused func()) {
+	o.World.After(o.delay(), func() {
+		control := o.Control(machine)
+		if control == nil {
+			o.World.After(o.delay(), refused)
+			return
+		}
+		incarnation := machine.incarnation
+		machine.inIncarnation(incarnation, func() { call(control, incarnation) })
+	})
+}
+
+// delay draws the time of a message between the operator and a machine.
+func (o *Operator) delay() time.Duration { return o.World.Between(ClientDelay, 2*ClientDelay) }
--- a/internal/cluster/simulation/runner_heartbeat.go
+++ b/internal/cluster/simulation/runner_heartbeat.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	heartbeatTimeout        = time.Second           // an answer that comes later is dropped
-	heartbeatDelayAfterEnd  = 50 * time.Millisecond // to the next heartbeat
-	maxFinishedPerHeartbeat = 500                   // ends in one heartbeat
+	heartbeatTimeout        = time.Second           // a later response is dropped
+	heartbeatDelayAfterEnd  = 50 * time.Millisecond // from the end of a run to the next heartbeat
+	maxFinishedPerHeartbeat = 500
 )
 
-// scheduleHeartbeat sets the time of the next heartbeat.
+// scheduleHeartbeat sets the time of the next heartbeat to d from now.
 func (r *Runner) scheduleHeartbeat(d time.Duration) {
 	r.heartbeatTimer.Stop()
-	life := r.incarnation
+	incarnation := r.incarnation
 	r.heartbeatTimer = r.world.After(d, func() {
-		if r.incarnation == life && life != nil {
+		if r.incarnation == incarnation && incarnation != nil {
 			r.sendHeartbeat()
 		}
 	})
 }
 
-// heartbeatSoon brings the next heartbeat forward because something ended.
+// heartbeatSoon brings the next heartbeat forward, because there is something to report.
 func (r *Runner) heartbeatSoon() {
 	if r.heartbeatInFlight {
 		r.heartbeatDue = true
@@ -34,105 +34,119 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat.
+// heartbeatCall is a heartbeat in flight.
+type heartbeatCall struct {
+	runner      *Runner
+	incarnation *RunnerIncarnation
+	sent        time.Duration
+	report      *protocol.Heartbeat
+	isFinished  bool
+}
+
+// sendHeartbeat sends a heartbeat to the agent. Whatever comes of it schedules the next one.
 func (r *Runner) sendHeartbeat() {
-	life, sent := r.incarnation, r.world.now
-	r.sequence++
+	r.heartbeats++
 	r.heartbeatInFlight, r.abandonHeartbeat = true, nil
-	settled := false
-	settle := func(next time.Duration) {
-		if settled || r.incarnation != life {
-			return
-		}
-		settled = true
-		r.heartbeatInFlight = false
-		r.responseTimer.Stop()
-		if r.heartbeatDue {
-			r.heartbeatDue = false
-			next = min(next, heartbeatDelayAfterEnd)
-		}
-		r.scheduleHeartbeat(next)
-	}
-	wait := time.Duration(float64(heartbeatTimeout) / r.ClockRate)
-	r.responseTimer = r.world.After(wait, func() {
-		r.abandon()
-		settle(r.retryBackoff())
+	call := &heartbeatCall{runner: r, incarnation: r.incarnation, sent: r.world.now}
+	r.responseTimer = r.world.After(time.Duration(float64(heartbeatTimeout)/r.ClockRate), func() {
+		r.disconnect()
+		call.finish(r.retryBackoff())
 	})
-	report := r.report()
+	call.report = r.report()
 	agent := r.Agent()
 	if agent == nil {
-		r.world.After(time.Millisecond, func() { settle(r.retryBackoff()) })
+		r.world.After(time.Millisecond, func() { call.finish(r.retryBackoff()) })
 		return
 	}
-	machine, agentLife := r.Machine, r.Machine.incarnation
+	machine, agentIncarnation := r.Machine, r.Machine.incarnation
 	r.world.After(r.heartbeatDelay(), func() {
-		machine.inIncarnation(agentLife, func() {
-			left := agent.Heartbeat(report, func(orders *protocol.Orders, err error) {
-				r.world.After(LoopbackDelay, func() {
-					if settled || r.incarnation != life {
-						return
-					}
-					if err != nil {
-						settle(r.retryBackoff())
-						return
-					}
-					next := r.Interval
-					if orders.RetryDelayMs > 0 {
-						next = time.Duration(orders.RetryDelayMs) * time.Millisecond
-					}
-					r.apply(orders, sent, report.State)
-					settle(next)
-				})
+		machine.inIncarnation(agentIncarnation, func() {
+			disconnect := agent.Heartbeat(call.report, func(orders *protocol.Orders, err error) {
+				r.world.After(LoopbackDelay, func() { call.receive(orders, err) })
 			})
-			if r.incarnation == life && r.sequence == report.Sequence {
-				r.abandonHeartbeat = func() { machine.inIncarnation(agentLife, left) }
+			if r.incarnation == call.incarnation && r.heartbeats == call.report.Sequence {
+				r.abandonHeartbeat = func() { machine.inIncarnation(agentIncarnation, disconnect) }
 			}
 		})
 	})
 }
 
-// abandon has the agent hear, if a heartbeat is out, that the runner does not wait for its answer.
-func (r *Runner) abandon() {
+// receive takes the agent's response, unless the call is over.
+func (c *heartbeatCall) receive(orders *protocol.Orders, err error) {
+	r := c.runner
+	if c.isFinished || r.incarnation != c.incarnation {
+		return
+	}
+	if err != nil {
+		c.finish(r.retryBackoff())
+		return
+	}
+	next := r.Interval
+	if orders.RetryDelayMs > 0 {
+		next = time.Duration(orders.RetryDelayMs) * time.Millisecond
+	}
+	r.apply(orders, c.sent, c.report.State)
+	c.finish(next)
+}
+
+// finish ends the call and schedules the next heartbeat.
+func (c *heartbeatCall) finish(next time.Duration) {
+	r := c.runner
+	if c.isFinished || r.incarnation != c.incarnation {
+		return
+	}
+	c.isFinished = true
+	r.heartbeatInFlight = false
+	r.responseTimer.Stop()
+	if r.heartbeatDue {
+		r.heartbeatDue = false
+		next = min(next, heartbeatDelayAfterEnd)
+	}
+	r.scheduleHeartbeat(next)
+}
+
+// disconnect informs the agent that the runner does not wait for the response to the heartbeat in flight, if there is one.
+func (r *Runner) disconnect() {
 	if !r.heartbeatInFlight || r.abandonHeartbeat == nil {
 		return
 	}
-	leave := r.abandonHeartbeat
+	abandon := r.abandonHeartbeat
 	r.abandonHeartbeat = nil
-	r.world.After(LoopbackDelay, leave)
+	r.world.After(LoopbackDelay, abandon)
 }
 
-// heartbeatDelay is how long a heartbeat takes to the agent.
+// heartbeatDelay draws how long a heartbeat takes to the agent.
 func (r *Runner) heartbeatDelay() time.Duration {
-	const least, most = 200 * time.Millisecond, 4 * time.Second
+	const minLate, maxLate = 200 * time.Millisecond, 4 * time.Second
 	if r.world.Chance(r.lateFraction) {
-		return r.world.Between(least, most)
+		return r.world.Between(minLate, maxLate)
 	}
 	return LoopbackDelay
 }
 
-// retryBackoff is the pause after a heartbeat that failed.
+// retryBackoff draws the time from a heartbeat that failed to the next one.
 func (r *Runner) retryBackoff() time.Duration {
 	return r.world.Between(50*time.Millisecond, 300*time.Millisecond)
 }
 
-// report is the runner's heartbeat as of now.
+// report returns the runner's heartbeat as of now.
 func (r *Runner) report() *protocol.Heartbeat {
-	beat := &protocol.Heartbeat{
+	heartbeat := &protocol.Heartbeat{
 		Instance: r.incarnation.Instance, Service: r.Service, Address: r.Address, Zone: r.Zone, Version: "v1", Slots: 8,
-		State: protocol.Ready, Capacity: r.Capacity, Labels: []string{r.Kind, r.Rack}, Sequence: r.sequence,
+		State: protocol.Ready, Capacity: r.Capacity, Labels: []string{r.Kind, r.Rack}, Sequence: r.heartbeats,
 		ClockMs: r.clockMs(),
 	}
 	if r.draining {
-		beat.State = protocol.Draining
-		beat.RemainingMs = max(0, r.leavesAt-r.world.now).Milliseconds()
+		heartbeat.State = protocol.Draining
+		heartbeat.RemainingMs = max(0, r.leavesAt-r.world.now).Milliseconds()
 	}
 	if !r.Invoked {
-		beat.Active, beat.Finished = r.lists()
+		heartbeat.Active, heartbeat.Finished = r.lists()
 	}
-	return beat
+	return heartbeat
 }
 
-// lists are what runs, and the ends that are not taken note of.
+// lists returns the runs that are active, and the first of those that ended and are not acknowledged.
 func (r *Runner) lists() (active []protocol.ActiveRun, finished []protocol.FinishedRun) {
 	for _, e := range r.active {
 		e.updateCheckpoint(r.world.now)
@@ -145,12 +159,10 @@
 	return active, finished
 }
 
-// apply carries out the answer to a heartbeat that was sent at a time.
+// apply carries out the response to a heartbeat, given when it was sent and the state that it reported.
 func (r *Runner) apply(orders *protocol.Orders, sent time.Duration, state string) {
-	life := r.incarnation
-	life.Heartbeats++
-	if state == protocol.Draining && life.DrainAcknowledged == Never {
-		life.DrainAcknowledged = r.world.now
+	if state == protocol.Draining && r.incarnation.DrainAcknowledged == Never {
+		r.incarnation.DrainAcknowledged = r.world.now
 	}
 	if orders.FenceToken < r.fenceToken {
 		return
@@ -171,6 +183,7 @@
 	}
 }
 
+// startAll carries out the starts of a response, which count only with a lease.
 func (r *Runner) startAll(orders *protocol.Orders, sent time.Duration) {
 	if orders.HoldMs <= 0 {
 		return
@@ -180,38 +193,38 @@
 	}
 }
 
-// acknowledgeEnds forgets the ends up to lastSeen.
+// acknowledgeEnds drops the ends up to a number from the list.
 func (r *Runner) acknowledgeEnds(lastSeen uint64) {
-	kept := 0
-	for kept < len(r.finished) && r.finished[kept].row.N <= lastSeen {
-		end := &r.finished[kept]
+	acknowledged := 0
+	for acknowledged < len(r.finished) && r.finished[acknowledged].row.N <= lastSeen {
+		end := &r.finished[acknowledged]
 		if end.record != nil {
 			end.record.Acknowledged = r.world.now
 			end.record.LapsedBeforeAck = len(r.incarnation.LeaseExpiries) > end.leaseExpiries
 		}
-		kept++
+		acknowledged++
 	}
-	r.finished = r.finished[kept:]
+	r.finished = r.finished[acknowledged:]
 }
 
-// extendLease holds everything for a time on the runner's own clock, counted from when the heartbeat was sent.
-func (r *Runner) extendLease(sent, hold time.Duration) {
-	hold = min(hold, r.groundTruth.History.Bounds.MaxLease)
-	until := sent + time.Duration(float64(hold)/r.ClockRate)
-	if until <= r.leaseExpiry {
+// extendLease extends the lease to a duration of the runner's own clock after the heartbeat was sent.
+func (r *Runner) extendLease(sent, duration time.Duration) {
+	duration = min(duration, r.bounds().MaxLease)
+	expiry := sent + time.Duration(float64(duration)/r.ClockRate)
+	if expiry <= r.leaseExpiry {
 		return
 	}
-	r.leaseExpiry = until
+	r.leaseExpiry = expiry
 	r.leaseTimer.Stop()
-	life := r.incarnation
-	r.leaseTimer = r.world.At(until, func() {
-		if r.incarnation == life {
+	incarnation := r.incarnation
+	r.leaseTimer = r.world.At(expiry, func() {
+		if r.incarnation == incarnation {
 			r.expireLease()
 		}
 	})
 }
 
-// expireLease kills everything: the hold is over.
+// expireLease ends all runs, because the lease has expired.
 func (r *Runner) expireLease() {
 	r.incarnation.LeaseExpiries = append(r.incarnation.LeaseExpiries, r.world.now)
 	for len(r.active) > 0 {
--- a/internal/cluster/simulation/runner_invocation.go
+++ b/internal/cluster/simulation/runner_invocation.go
@@ -8,47 +8,50 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Paths of the calls to a runner.
+// Paths of the calls to a runner that is invoked.
 const (
 	pathStart       = "/v1/run-start"
 	pathStop        = "/v1/run-stop"
 	pathExtendLease = "/v1/hold"
 )
 
-// Why a runner refuses a call.
+// rejection is the reason for which a runner rejects a call, as the response gives it; empty: it does not.
+type rejection string
+
 const (
-	rejectedFence    = "fence"
-	rejectedOld      = "old"
-	rejectedCapacity = "room"
+	rejectedFence    rejection = "fence" // a lower fencing token than the runner has seen
+	rejectedOld      rejection = "old"   // a run that has ended or was stopped, or a task of no such name
+	rejectedCapacity rejection = "room"
 )
 
-// call is the body of a call to a runner.
-type call struct {
-	Task         string `json:"task"`
-	RunID        uint64 `json:"runId"`
-	Spec         string `json:"spec"`
-	Checkpointed string `json:"checkpointed"`
-	DeadlineMs   int64  `json:"deadlineMs"`
-	FenceToken   uint64 `json:"fenceToken"`
-	LastSeen     uint64 `json:"lastSeen"`
-	WaitMs       int64  `json:"wait_ms"`
+// invocation is the body of a call to a runner.
+type invocation struct {
+	Task       string `json:"task"`
+	Run        uint64 `json:"runId"`
+	Spec       string `json:"spec"`
+	Checkpoint string `json:"checkpointed"`
+	DeadlineMs int64  `json:"deadlineMs"` // of the lease, on the runner's clock
+	FenceToken uint64 `json:"fenceToken"`
+	LastSeen   uint64 `json:"lastSeen"`
+	WaitMs     int64  `json:"wait_ms"` // for a run to end before the response is sent
 }
 
-// callResponse is what a runner answers.
-type callResponse struct {
-	ClockMs  int64                  `json:"clockMs"`
-	Why      string                 `json:"why,omitempty"`
-	Active   []protocol.ActiveRun   `json:"active,omitempty"`
-	Finished []protocol.FinishedRun `json:"finished,omitempty"`
+// invocationResponse is what a runner responds.
+type invocationResponse struct {
+	ClockMs   int64                  `json:"clockMs"`
+	Rejection rejection              `json:"why,omitempty"`
+	Active    []protocol.ActiveRun   `json:"active,omitempty"`
+	Finished  []protocol.FinishedRun `json:"finished,omitempty"`
 }
 
-// InvocationConn is a connection to one incarnation of a runner that is called.
+// InvocationConn is an agent's connection to one incarnation of a runner that is invoked.
 type InvocationConn struct {
 	runner      *Runner
 	incarnation *RunnerIncarnation
 }
 
-// Connect connects to the present incarnation; reset is called when it ends. It returns nil if the runner is down.
+// Connect connects to the present incarnation, or returns nil if the runner is down. reset is called when that
+// incarnation ends.
 func (r *Runner) Connect(reset func()) *InvocationConn {
 	if r.incarnation == nil {
 		return nil
@@ -57,69 +60,66 @@
 	return &InvocationConn{runner: r, incarnation: r.incarnation}
 }
 
-// Call hands a call over. reply is called at most once, and not if the incarnation ends before.
+// Call delivers a call. reply is called at most once, and not if the incarnation ends before.
 func (c *InvocationConn) Call(path string, body []byte, reply func(status int, body []byte)) {
 	r := c.runner
 	if r.incarnation != c.incarnation {
 		return
 	}
-	var asked call
-	if err := json.Unmarshal(body, &asked); err != nil {
+	var request invocation
+	if err := json.Unmarshal(body, &request); err != nil {
 		reply(http.StatusBadRequest, nil)
 		return
 	}
-	answer := func(told callResponse) {
+	respond := func(response invocationResponse) {
 		if r.incarnation != c.incarnation {
 			return
 		}
-		told.ClockMs = r.clockMs()
+		response.ClockMs = r.clockMs()
 		status := http.StatusOK
-		if told.Why != "" {
+		if response.Rejection != "" {
 			status = http.StatusConflict
 		}
-		reply(status, []byte(mustJSON(told)))
+		reply(status, []byte(mustJSON(response)))
 	}
-	if asked.FenceToken < r.fenceToken {
-		answer(callResponse{Why: rejectedFence})
+	if request.FenceToken < r.fenceToken {
+		respond(invocationResponse{Rejection: rejectedFence})
 		return
 	}
-	r.fenceToken = asked.FenceToken
+	r.fenceToken = request.FenceToken
 	switch path {
 	case pathStart:
-		r.extendLeaseUntil(asked.DeadlineMs)
-		order := &protocol.StartOrder{Task: asked.Task, Run: asked.RunID, Spec: asked.Spec, Saved: asked.Checkpointed}
-		answer(callResponse{Why: r.startRun(order, r.world.now)})
+		r.extendLeaseUntil(request.DeadlineMs)
+		order := &protocol.StartOrder{Task: request.Task, Run: request.Run, Spec: request.Spec, Saved: request.Checkpoint}
+		respond(invocationResponse{Rejection: r.startRun(order, r.world.now)})
 	case pathStop:
-		r.stopOrdered(protocol.StopOrder{Task: asked.Task, Run: asked.RunID})
-		answer(callResponse{})
+		r.stopOrdered(protocol.StopOrder{Task: request.Task, Run: request.Run})
+		respond(invocationResponse{})
 	case pathExtendLease:
-		r.extendLeaseUntil(asked.DeadlineMs)
-		r.acknowledgeEnds(asked.LastSeen)
-		r.awaitEnd(time.Duration(asked.WaitMs)*time.Millisecond, func() { answer(r.snapshot()) })
+		r.extendLeaseUntil(request.DeadlineMs)
+		r.acknowledgeEnds(request.LastSeen)
+		r.awaitEnd(time.Duration(request.WaitMs)*time.Millisecond, func() {
+			active, finished := r.lists()
+			respond(invocationResponse{Active: active, Finished: finished})
+		})
 	default:
 		reply(http.StatusNotFound, nil)
 	}
 }
 
-// clockMs is the runner's own clock.
+// clockMs returns the reading of the runner's own monotonic clock, in ms.
 func (r *Runner) clockMs() int64 {
 	return time.Duration(float64(r.world.now-r.incarnation.Started) * r.ClockRate).Milliseconds()
 }
 
-// extendLeaseUntil holds everything until a time of the runner's own clock.
+// extendLeaseUntil extends the lease to a time of the runner's own clock.
 func (r *Runner) extendLeaseUntil(deadlineMs int64) {
 	if left := deadlineMs - r.clockMs(); left > 0 {
 		r.extendLease(r.world.now, time.Duration(left)*time.Millisecond)
 	}
 }
 
-// snapshot is what the runner shows.
-func (r *Runner) snapshot() callResponse {
-	active, finished := r.lists()
-	return callResponse{Active: active, Finished: finished}
-}
-
-// awaitEnd calls f at the next end, or once the wait is over.
+// awaitEnd calls f once: when a run ends, or after the wait.
 func (r *Runner) awaitEnd(wait time.Duration, f func()) {
 	if wait <= 0 {
 		f()
@@ -136,20 +136,20 @@
 	r.world.After(wait, once)
 }
 
-// reportEnd makes an end known: by the next heartbeat, or to the looks that wait for one.
+// reportEnd has an end reported soon: by the next heartbeat, or to the calls that wait for one.
 func (r *Runner) reportEnd() {
 	if !r.Invoked {
 		r.heartbeatSoon()
 		return
 	}
-	awaiting := r.onNextEnd
+	waiting := r.onNextEnd
 	r.onNextEnd = nil
-	for _, f := range awaiting {
+	for _, f := range waiting {
 		r.world.After(0, f)
 	}
 }
 
-// resetConnections lets all who are connected hear that this incarnation has ended.
+// resetConnections resets all connections to this incarnation.
 func (r *Runner) resetConnections() {
 	for _, reset := range r.resets {
 		r.world.After(LoopbackDelay, reset)
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -7,33 +7,31 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// startOrdered begins a run as ordered, or lists it as refused.
+// startOrdered starts a run as a response to a heartbeat orders, or lists it as rejected.
 func (r *Runner) startOrdered(order *protocol.StartOrder, sent time.Duration) {
-	if why := r.startRun(order, sent); why != "" {
+	if r.startRun(order, sent) != "" {
 		r.reject(order.Task, order.Run)
 	}
 }
 
-// startRun begins a run as ordered, or tells why not.
-func (r *Runner) startRun(order *protocol.StartOrder, sent time.Duration) (why string) {
-	for _, e := range r.active {
-		if e.record.TaskText == order.Task && e.record.Number == order.Run {
-			return ""
-		}
-	}
-	name, readable := ParseTaskName(order.Task)
-	group, task := r.groundTruth.find(name)
-	if !readable || r.highestEnded[order.Task] >= order.Run {
+// startRun starts a run, given when the heartbeat was sent whose response has the order. A run that exists is left as it
+// is, because orders are repeated.
+func (r *Runner) startRun(order *protocol.StartOrder, sent time.Duration) rejection {
+	if r.find(order.Task, order.Run) != nil {
+		return ""
+	}
+	name, ok := ParseTaskName(order.Task)
+	step, task := r.groundTruth.find(name)
+	if !ok || r.highestEnded[order.Task] >= order.Run {
 		return rejectedOld
 	}
-	if r.EnforcesCapacity && group != nil && !r.fits(group.spec) {
-		r.incarnation.Rejected++
+	if r.EnforcesCapacity && step != nil && !r.fits(step.spec) {
 		return rejectedCapacity
 	}
 	record := &Run{TaskText: order.Task, Task: name, Number: order.Run, Runner: r.incarnation, Sent: sent, Started: r.world.now,
 		Spec: order.Spec, Checkpoint: order.Saved, Ended: Never, Acknowledged: Never}
 	r.groundTruth.History.Runs = append(r.groundTruth.History.Runs, record)
-	e := &execution{runner: r, record: record, step: group, task: task, checkpoint: order.Saved, doneAsOf: r.world.now}
+	e := &execution{runner: r, record: record, step: step, task: task, checkpoint: order.Saved, doneAsOf: r.world.now}
 	r.active = append(r.active, e)
 	r.prepare(e)
 	if r.leaseExpiry <= r.world.now {
@@ -42,16 +40,27 @@
 	return ""
 }
 
-// prepare decides what a run will come to and sets it to work.
+// find returns the execution of a run, or nil.
+func (r *Runner) find(task string, run uint64) *execution {
+	for _, e := range r.active {
+		if e.record.TaskText == task && e.record.Number == run {
+			return e
+		}
+	}
+	return nil
+}
+
+// prepare draws what becomes of a run and begins its work, or has it wait for the other members of its gang.
 func (r *Runner) prepare(e *execution) {
 	if e.step == nil {
-		e.totalMs = 1000
+		const unknownTaskMs = 1000
+		e.totalMs = unknownTaskMs
 		e.beginWork(1)
 		return
 	}
 	e.totalMs = e.task.workMs
-	if done, ok := parseCheckpoint(e.record.Task, e.step.spec.Gang, e.record.Checkpoint); ok {
-		e.doneMs = min(done, e.totalMs)
+	if doneMs, ok := parseCheckpoint(e.record.Task, e.step.spec.Gang, e.record.Checkpoint); ok {
+		e.doneMs = min(doneMs, e.totalMs)
 	}
 	e.task.starts++
 	r.drawOutcome(e)
@@ -59,17 +68,17 @@
 		r.groundTruth.joinGang(e)
 		return
 	}
-	far := 1.0
+	slowdown := 1.0
 	if e.step.spec.Affinity != "" && e.step.spec.Affinity != r.Rack {
-		far = r.groundTruth.History.Bounds.Far
+		slowdown = r.bounds().Far
 	}
-	e.beginWork(far)
+	e.beginWork(slowdown)
 }
 
-// drawOutcome draws whether a run fails, stands still or (of lasting tasks) how long it lasts.
+// drawOutcome draws whether a run fails or hangs and, of a long-running task, how long it runs.
 func (r *Runner) drawOutcome(e *execution) {
 	w := r.world
-	left := e.totalMs - e.doneMs
+	remainingMs := e.totalMs - e.doneMs
 	if e.step.spec.LongRunning {
 		e.totalMs = float64(w.Exponential(20*time.Second)) / milliseconds
 		e.willFail = w.Chance(0.5)
@@ -79,22 +88,20 @@
 	switch {
 	case w.Chance(r.failFraction):
 		e.willFail = true
-		e.failsAtMs = e.doneMs + min(left, 20+200*w.Random.Float64())
+		e.failsAtMs = e.doneMs + min(remainingMs, 20+200*w.Random.Float64())
 	case w.Chance(r.hangFraction):
 		e.isHung = true
 	case e.step.job.alwaysFails || e.task.starts <= e.task.failingStarts:
 		e.willFail = true
-		e.failsAtMs = e.doneMs + left*w.Random.Float64()
+		e.failsAtMs = e.doneMs + remainingMs*w.Random.Float64()
 	}
 }
 
-// stopOrdered ends a run within the time a stop takes, or bars it if it is not there.
+// stopOrdered stops a run. If it is not there, the runner will not start it any more.
 func (r *Runner) stopOrdered(order protocol.StopOrder) {
-	for _, e := range r.active {
-		if e.record.TaskText == order.Task && e.record.Number == order.Run {
-			r.stopRun(e)
-			return
-		}
+	if e := r.find(order.Task, order.Run); e != nil {
+		r.stopRun(e)
+		return
 	}
 	if r.highestEnded[order.Task] >= order.Run {
 		return
@@ -105,14 +112,15 @@
 	}
 }
 
+// stopRun ends a run within the time that a stop may take, with a last checkpoint.
 func (r *Runner) stopRun(e *execution) {
 	if e.isStopping {
 		return
 	}
 	e.isStopping = true
-	took := r.world.Between(0, r.groundTruth.History.Bounds.Stop*95/100)
+	took := r.world.Between(0, r.bounds().Stop*95/100)
 	e.stopTimer = r.world.After(took, func() {
-		if e.isWorking && e.step != nil && e.step.spec.Checkpoints && !e.isHung {
+		if e.makesCheckpoints() {
 			e.advance(r.world.now)
 			e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, e.doneMs)
 		}
@@ -120,22 +128,15 @@
 	})
 }
 
-// reject lists a run as not started.
+// reject lists a run as one that was not started.
 func (r *Runner) reject(task string, run uint64) {
-	r.appendFinished(task, run, protocol.EndRefused, "", nil)
-	r.highestEnded[task] = max(r.highestEnded[task], run)
+	r.appendFinished(protocol.FinishedRun{Task: task, Run: run, How: protocol.EndRefused}, nil)
+	r.markEnded(task, run)
 	r.reportEnd()
 }
 
-func (r *Runner) appendFinished(task string, run uint64, how, saved string, record *Run) uint64 {
-	r.endSequence++
-	row := protocol.FinishedRun{N: r.endSequence, Task: task, Run: run, How: how, Saved: saved}
-	r.finished = append(r.finished, finishedRun{row: row, record: record, leaseExpiries: len(r.incarnation.LeaseExpiries)})
-	return r.endSequence
-}
-
-// endProcess ends a run on this runner and lists it.
-func (r *Runner) endRun(e *execution, how string) {
+// endRun ends a run and lists its end. It does nothing to one that has ended.
+func (r *Runner) endRun(e *execution, reason string) {
 	position := slices.Index(r.active, e)
 	if position < 0 || r.incarnation == nil {
 		return
@@ -144,18 +145,32 @@
 	e.updateCheckpoint(r.world.now)
 	e.stopTimers()
 	record := e.record
-	record.Ended, record.EndReason = r.world.now, how
-	saved := e.checkpoint
-	if how == protocol.EndDone {
-		saved = ""
+	record.Ended, record.EndReason = r.world.now, reason
+	checkpoint := e.checkpoint
+	if reason == protocol.EndDone {
+		checkpoint = ""
 		if e.step != nil {
 			r.groundTruth.completeTask(e.step, e.task)
 		}
 	}
-	record.EndSequence = r.appendFinished(record.TaskText, record.Number, how, saved, record)
-	r.highestEnded[record.TaskText] = max(r.highestEnded[record.TaskText], record.Number)
-	if e.isGang() && how != protocol.EndDone {
+	row := protocol.FinishedRun{Task: record.TaskText, Run: record.Number, How: reason, Saved: checkpoint}
+	record.EndSequence = r.appendFinished(row, record)
+	r.markEnded(record.TaskText, record.Number)
+	if e.isGang() && reason != protocol.EndDone {
 		r.groundTruth.leaveGang(e)
 	}
 	r.reportEnd()
 }
+
+// appendFinished numbers an end, lists it and returns its number.
+func (r *Runner) appendFinished(row protocol.FinishedRun, record *Run) uint64 {
+	r.endSequence++
+	row.N = r.endSequence
+	r.finished = append(r.finished, finishedRun{row: row, record: record, leaseExpiries: len(r.incarnation.LeaseExpiries)})
+	return row.N
+}
+
+// markEnded has the runner start no run of a task up to that number any more.
+func (r *Runner) markEnded(task string, run uint64) {
+	r.highestEnded[task] = max(r.highestEnded[task], run)
+}
--- a/internal/cluster/simulation/stalled_test.go
+++ b/internal/cluster/simulation/stalled_test.go
@@ -6,21 +6,23 @@
 )
 
 var _ = Describe("The service of a job", func() {
-	It("is the one that runs its tasks, wherever its queue has moved since", func() {
-		p := newHistoryBuilder()
+	It("is the one that runs its tasks, wherever its queue has moved", func() {
+		b := newHistoryBuilder()
 		other := &RunnerIncarnation{Instance: "other", Service: "other"}
 		moved := &RunnerIncarnation{Instance: "first", Service: "first"}
-		p.Runs = append(p.Runs,
+		b.Runs = append(b.Runs,
 			&Run{Task: TaskName{Job: "another job"}, Runner: other},
 			&Run{Task: TaskName{Job: testJob}, Runner: moved},
 		)
-		d := &Deployment{History: p.History, Operator: &Operator{}}
-		Expect(d.serviceOfJob(p.submitted)).To(Equal("first"))
+		d := &Deployment{History: b.History, Operator: &Operator{}}
+		Expect(d.serviceOfJob(b.submitted)).To(Equal("first"))
 	})
 
-	It("is that of its queue while nothing of it has run", func() {
-		p := newHistoryBuilder()
-		d := &Deployment{History: p.History, Operator: &Operator{}}
-		Expect(d.serviceOfJob(p.submitted)).To(Equal(d.serviceOf(p.submitted.Queue)))
+	It("is that of its queue until something of it has run", func() {
+		b := newHistoryBuilder()
+		queue := b.submitted.Queue
+		current := &Document{Routes: []Route{{Host: queue.Host, PathPrefix: queue.Prefix, Service: "alfa"}}}
+		d := &Deployment{History: b.History, Operator: &Operator{current: current}}
+		Expect(d.serviceOfJob(b.submitted)).To(Equal("alfa"))
 	})
 })
--- a/internal/cluster/simulation/task_name.go
+++ b/internal/cluster/simulation/task_name.go
@@ -6,12 +6,20 @@
 	"strings"
 )
 
+// TaskName identifies a task: the parts of the name that runners get.
+type TaskName struct {
+	Job        string
+	Repetition int
+	Step       int
+	Index      int
+}
+
 // String returns the name as runners get it.
 func (t TaskName) String() string {
 	return t.Job + "." + strconv.Itoa(t.Repetition) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// ParseTaskName reads a task's name.
+// ParseTaskName returns the task of that name, and whether it is one.
 func ParseTaskName(text string) (TaskName, bool) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
@@ -28,16 +36,17 @@
 	return name, true
 }
 
-// stepName is a step of a job at one time.
+// step returns the name of the task's step.
+func (t TaskName) step() stepName { return stepName{t.Job, t.Repetition, t.Step} }
+
+// stepName identifies a step of one repetition of a job.
 type stepName struct {
 	Job        string
 	Repetition int
 	Step       int
 }
 
-func (t TaskName) step() stepName { return stepName{t.Job, t.Repetition, t.Step} }
-
-// formatCheckpoint is what a task (a gang for all its members) has saved.
+// formatCheckpoint returns the checkpoint of a task that has done so much work. All members of a gang have the same.
 func formatCheckpoint(task TaskName, gang bool, doneMs float64) string {
 	index := strconv.Itoa(task.Index)
 	if gang {
@@ -46,7 +55,7 @@
 	return fmt.Sprintf("%s/%d/%d/%s@%.1f", task.Job, task.Repetition, task.Step, index, doneMs)
 }
 
-// parseCheckpoint returns the work that a checkpoint of a task holds.
+// parseCheckpoint returns the work that a checkpoint records, and whether it is one of that task.
 func parseCheckpoint(task TaskName, gang bool, text string) (doneMs float64, ok bool) {
 	owner, amount, found := strings.Cut(text, "@")
 	want, _, _ := strings.Cut(formatCheckpoint(task, gang, 0), "@")
--- a/internal/cluster/simulation/load.go
+++ b/internal/cluster/simulation/traffic.go
@@ -8,33 +8,71 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// JobClass is a kind of jobs that clients hand in.
+// Traffic submits drawn jobs from now until a time, as a Poisson process.
+func (d *Deployment) Traffic(until time.Duration) {
+	if d.World.now >= until {
+		return
+	}
+	class := drawClass(d.World)
+	d.submitJob(class, QueueName{ClientHost, "/" + class.Route + "/"})
+	mean := time.Duration(float64(time.Second) / (d.Size.JobsPerSecond * d.loadFactor))
+	d.World.After(d.World.Exponential(mean), func() { d.Traffic(until) })
+}
+
+// submitJob draws a job of a class and submits it to a queue.
+func (d *Deployment) submitJob(class *JobClass, queue QueueName) {
+	w := d.World
+	kinds := []string{"a", "b"}
+	spec, work := drawJob(w, class, d.Racks, kinds)
+	work.AlwaysFails = w.Chance(d.failingFraction)
+	cancelAfter := Never
+	if w.Chance(max(class.Cancelled, d.cancelFraction)) {
+		cancelAfter = w.Between(200*time.Millisecond, 6*time.Second)
+	}
+	d.Clients.Submit(queue, spec, work, cancelAfter)
+}
+
+// drawClass draws a class by the weights.
+func drawClass(w *World) *JobClass {
+	classes := JobClasses()
+	drawn := w.Random.Float64()
+	for i := range classes {
+		if drawn < classes[i].Weight {
+			return &classes[i]
+		}
+		drawn -= classes[i].Weight
+	}
+	return &classes[0]
+}
+
+// JobClass is a class of jobs that clients submit. Fields of the name of a field of protocol.Step are the fraction of
+// steps that have it, unless they are values themselves.
 type JobClass struct {
 	Name            string
-	Route           string // whose queue it goes to
+	Route           string // whose queue the jobs are submitted to
 	Weight          float64
-	WorkMs          float64
-	MeanSteps       int // mean
-	MeanWidth       float64
+	WorkMs          float64 // mean
+	MeanSteps       int
+	MeanWidth       float64 // tasks of a step
 	CPU             int64
 	MemoryMB        int64
-	GPU             []int64
-	Spread          float64
-	FirstStartFails float64
+	GPU             []int64 // one of these; nil: none
+	Spread          float64 // see Work
+	FirstStartFails float64 // see Work
 	Gang            bool
-	RackLocal       float64 // share that is rackLocal
-	Affinity        float64 // share with affinity
-	AntiAffinity    float64 // share with antiAffinity
-	Requirements    float64 // share that requires a kind
-	AtMostOnce      float64 // share that may run twice
-	Repeated        float64 // share with repetitions
-	Checkpoints     float64 // share that checkpoints
-	Cancelled       float64 // share that is cancelled
+	RackLocal       float64
+	Affinity        float64
+	AntiAffinity    float64
+	Requirements    float64
+	AtMostOnce      float64
+	Repeated        float64 // fraction of jobs with repetitions
+	Checkpoints     float64
+	Cancelled       float64 // fraction of jobs that are cancelled
 	LongRunning     bool
 }
 
-// JobClasses are jobs as the small deployments have them, with work short enough for short days. The first three go to
-// the first service, whose runners have no GPU.
+// JobClasses returns the classes of the users' small deployments, with work that is short enough for short scenarios. The
+// first three go to the first service, whose runners have no GPU.
 func JobClasses() []JobClass {
 	return []JobClass{
 		{Name: "quick", Route: "quick", Weight: 0.70, WorkMs: 350, MeanSteps: 2, MeanWidth: 3, CPU: 240, MemoryMB: 440,
@@ -51,7 +89,7 @@
 	}
 }
 
-// drawJob makes up a job of a class.
+// drawJob draws a job of a class, and what its tasks take.
 func drawJob(w *World, class *JobClass, racks, kinds []string) (protocol.JobSpec, Work) {
 	work := Work{MeanMs: class.WorkMs * (0.5 + w.Random.Float64()), Spread: class.Spread, FirstStartFails: class.FirstStartFails}
 	job := protocol.JobSpec{Spec: fmt.Sprintf("%s-%016x", class.Name, w.Random.Uint64())}
@@ -101,6 +139,7 @@
 	return step
 }
 
+// drawWidth draws how many tasks a step has, one at least.
 func drawWidth(w *World, mean float64) int {
 	return max(1, int(w.Exponential(time.Duration(mean*float64(time.Second)))/time.Second))
 }
--- a/internal/cluster/simulation/world.go
+++ b/internal/cluster/simulation/world.go
@@ -9,23 +9,25 @@
 // EpochMs is the true time of day at which every world begins, in ms since 1970.
 const EpochMs int64 = 1_700_000_000_000
 
-// World is virtual time: events in the order of their times, and one seeded source of luck. Nothing in it runs at the
-// same time as anything else.
+// World is virtual time: a queue of events in the order of their times, and a seeded source of randomness. Events are
+// executed one at a time; one that is due at the same time as another runs after it if it was scheduled later.
 type World struct {
+	// Random is the source from which the faults, the traffic and most delays are drawn.
 	Random    *rand.Rand
 	seed      uint64
 	now       time.Duration
 	queue     eventQueue
-	lastOrder uint64
+	lastOrder uint64 // of the event that was scheduled last
 }
 
-// NewWorld returns a world at time 0. Worlds of the same seed that are given the same calls run the same.
+// NewWorld returns a world at time 0. Worlds of the same seed that get the same calls run the same.
 func NewWorld(seed uint64) *World {
 	const stream = 0x6f73707265790001
 	return &World{Random: rand.New(rand.NewPCG(seed, stream)), seed: seed}
 }
 
-// newStream returns a source of luck of its own for what has that name.
+// newStream returns a source of randomness of its own for what has that name, so that what it draws does not depend on
+// what others draw.
 func (w *World) newStream(name string) *rand.Rand {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
@@ -38,34 +40,34 @@
 // TimeOfDayMs returns the true time of day in ms since 1970.
 func (w *World) TimeOfDayMs() int64 { return EpochMs + w.now.Milliseconds() }
 
-// Timer is an event that can be called off.
+// Timer is a scheduled event that can be cancelled.
 type Timer struct {
 	at   time.Duration
-	call func()
+	call func() // nil once it has fired or was stopped
 }
 
-// Stop calls the event off. A nil timer, or one that has fired, is left as it is.
+// Stop cancels the event. It does nothing to a nil timer or to one that has fired.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.call = nil
 	}
 }
 
-// CountPending tells whether the event is still to come.
+// Pending reports whether the event is still to come. It may be called on a nil timer.
 func (t *Timer) Pending() bool { return t != nil && t.call != nil }
 
-// At calls f at a time; one that has passed means now, after what was asked for earlier.
+// At schedules f for a time. A time in the past means now, after the events that were scheduled earlier.
 func (w *World) At(at time.Duration, f func()) *Timer {
 	w.lastOrder++
 	timer := &Timer{at: max(at, w.now), call: f}
-	w.queue.push(queued{at: timer.at, order: w.lastOrder, timer: timer})
+	w.queue.push(event{at: timer.at, order: w.lastOrder, timer: timer})
 	return timer
 }
 
-// After calls f once d has passed.
+// After schedules f for d from now.
 func (w *World) After(d time.Duration, f func()) *Timer { return w.At(w.now+d, f) }
 
-// Number plays all events up to a time and stops there.
+// Run executes all events up to a time, those that they schedule included, and stops there.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		timer := w.queue.pop()
@@ -78,7 +80,7 @@
 	w.now = max(w.now, until)
 }
 
-// Between returns a time drawn evenly from [low, high).
+// Between returns a time drawn evenly from [low, high), or low if that is empty.
 func (w *World) Between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -86,31 +88,35 @@
 	return low + time.Duration(w.Random.Int64N(int64(high-low)))
 }
 
-// Chance is true with probability p.
+// Chance returns true with probability p. It draws nothing if p is 0.
 func (w *World) Chance(p float64) bool { return p > 0 && w.Random.Float64() < p }
 
-// Exponential returns a time drawn with the given mean, at most eight times as long.
+// Exponential returns a time drawn from the exponential distribution with that mean, cut off at eight times the mean.
 func (w *World) Exponential(mean time.Duration) time.Duration {
-	const longest = 8
-	return min(time.Duration(w.Random.ExpFloat64()*float64(mean)), longest*mean)
+	const maxMeans = 8
+	return min(time.Duration(w.Random.ExpFloat64()*float64(mean)), maxMeans*mean)
 }
 
-// Pick returns one of the values, drawn evenly.
+// Pick returns one of the values, drawn evenly. It panics if there are none.
 func Pick[T any](w *World, values []T) T { return values[w.Random.IntN(len(values))] }
 
-// eventQueue is a heap of events, the next one first. Times stand in it by value: looking at them is most of its work.
-type eventQueue []queued
+// eventQueue is a binary heap of events, the next one first. It is written out rather than built on container/heap, and
+// holds the times by value, because comparing them is most of a simulation's own work.
+type eventQueue []event
 
-type queued struct {
+// event is a timer's place in the queue. A timer that was stopped stays in it until its time.
+type event struct {
 	at    time.Duration
 	order uint64
 	timer *Timer
 }
 
-func (a *queued) before(b *queued) bool { return a.at < b.at || a.at == b.at && a.order < b.order }
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.order < other.order
+}
 
-func (q *eventQueue) push(event queued) {
-	heap := append(*q, event)
+func (q *eventQueue) push(added event) {
+	heap := append(*q, added)
 	child := len(heap) - 1
 	for child > 0 {
 		parent := (child - 1) / 2
@@ -128,7 +134,7 @@
 	first := heap[0].timer
 	last := len(heap) - 1
 	heap[0] = heap[last]
-	heap[last] = queued{}
+	heap[last] = event{}
 	heap = heap[:last]
 	for parent := 0; ; {
 		child := 2*parent + 1
