--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -8,219 +8,217 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Agent is what a runner calls on its machine. A heartbeat returns what tells the agent that the runner has left.
+// Agent is what a runner calls on its machine. A reply is called at most once, and never if there is no response.
+// Heartbeat returns a function that informs the agent that the runner no longer waits for the response.
 type Agent interface {
-	Heartbeat(beat *protocol.Heartbeat, reply func(orders *protocol.Orders, err error)) (left func())
+	Heartbeat(heartbeat *protocol.Heartbeat, reply func(orders *protocol.Orders, err error)) (disconnect func())
 	Deregister(service, instance string, reply func(err error))
 }
 
 // RunnerOptions describe a runner.
 type RunnerOptions struct {
-	Service   string
-	Zone      string
-	Address   string
-	Kind      string
-	Rack      string
-	Speed     float64 // 1: as usual
-	Capacity  protocol.Resources
-	Guards    bool
-	Interval  time.Duration // between heartbeats, unless it is told otherwise
-	ClockRate float64       // of its steady clock: 0.98 to 1
-	Called    bool          // it is told what to do by calls, and not in answers to its heartbeats
+	Service          string
+	Zone             string
+	Address          string
+	Kind             string // a label that steps may require
+	Rack             string
+	Speed            float64 // ms of work done per ms
+	Capacity         protocol.Resources
+	EnforcesCapacity bool          // it rejects what does not fit
+	Interval         time.Duration // between heartbeats, unless a response sets another
+	ClockRate        float64       // of its monotonic clock, 0.98 to 1
+	Invoked          bool          // it gets its orders by calls, not in responses to its heartbeats
 }
 
-// Runner runs tasks on a side machine, as it is told in answers to its heartbeats, or by calls.
+// Runner stands in for a user's runner: it runs tasks as it is ordered, and follows the protocol of runners (leases,
+// fencing tokens, numbered ends that are repeated until they are acknowledged). It has one incarnation after another.
 type Runner struct {
 	RunnerOptions
-	Machine *Machine
-	// Agent returns what listens at the machine's control address, or nil.
+	Machine *Machine // of its agent
+	// Agent returns the agent on Machine, or nil while none is listening there.
 	Agent func() Agent
 
-	world    *World
-	plant    *Plant
-	instance *RunnerLife // nil while it is down
-	lives    int
-
-	fence     uint64
-	heldUntil time.Duration // true time; 0: nothing is held
-	lapse     *Timer
-	active    []*execution
-	finished  []finishedEnd
-	counter   uint64
-	barred    map[string]uint64 // by task: highest run stopped or ended here
-
-	sequence  uint64
-	beatTimer *Timer
-	out       bool // a heartbeat is out
-	early     bool // an end came meanwhile
-	giveUp    *Timer
-	closeBeat func() // tells the agent that the runner waits no longer for its newest answer
-
-	resets   []func() // called when this incarnation ends
-	awaiting []func() // called at the next end
-
-	draining    bool
-	leaves      time.Duration // true time of its end while draining
-	slow        float64       // times as long; 0 or 1: as usual
-	lateShare   float64       // of heartbeats that come late
-	failShare   float64       // of starts that fail
-	hangShare   float64       // of starts that stand still
-	listStopped bool          // a stop for a run not there is listed as refused at once
-	startFirst  bool          // of an answer's orders, starts are taken before stops
+	world       *World
+	groundTruth *GroundTruth
+	incarnation *RunnerIncarnation // nil while it is down
+	starts      int
+
+	fenceToken   uint64
+	leaseExpiry  time.Duration // 0: there has been no lease
+	leaseTimer   *Timer
+	active       []*execution
+	finished     []finishedRun // that are not acknowledged, in the order of their numbers
+	endSequence  uint64        // number of the last of them
+	highestEnded map[string]uint64
+
+	heartbeats        uint64 // sent
+	heartbeatTimer    *Timer
+	heartbeatInFlight bool
+	heartbeatDue      bool // the next one follows soon after the one in flight
+	responseTimer     *Timer
+	abandonHeartbeat  func() // informs the agent that nobody waits for the response; nil: it has not got the request
+
+	resets    []func() // called when this incarnation ends
+	onNextEnd []func() // called when a run ends
+
+	draining          bool
+	leavesAt          time.Duration // its end, while draining
+	slowFactor        float64       // by which work takes longer; 0 is the same as 1
+	lateFraction      float64       // of heartbeats that are late
+	failFraction      float64       // of starts that fail
+	hangFraction      float64       // of starts that hang
+	listsUnknownStops bool          // a stop of a run that is not there is listed as an end at once
+	startsBeforeStops bool          // of the orders of one response
 }
 
-type finishedEnd struct {
-	row    protocol.FinishedRun
-	record *Run
-	lapses int // of the runner as it ended
+// finishedRun is an end that is listed until it is acknowledged.
+type finishedRun struct {
+	row           protocol.FinishedRun
+	record        *Run // nil: the run never started
+	leaseExpiries int  // of the incarnation until the end
 }
 
 // NewRunner returns a runner that is off.
-func NewRunner(plant *Plant, machine *Machine, options RunnerOptions) *Runner {
-	return &Runner{RunnerOptions: options, Machine: machine, world: plant.World, plant: plant,
-		listStopped: plant.World.Chance(0.5), startFirst: plant.World.Chance(0.5)}
+func NewRunner(truth *GroundTruth, machine *Machine, options RunnerOptions) *Runner {
+	return &Runner{RunnerOptions: options, Machine: machine, world: truth.World, groundTruth: truth,
+		listsUnknownStops: truth.World.Chance(0.5), startsBeforeStops: truth.World.Chance(0.5)}
 }
 
-// Up tells whether the runner is running.
-func (r *Runner) Up() bool { return r.instance != nil }
+// Up reports whether the runner is running.
+func (r *Runner) Up() bool { return r.incarnation != nil }
 
-// Life returns the runner's present incarnation, or nil.
-func (r *Runner) Life() *RunnerLife { return r.instance }
+func (r *Runner) bounds() *Bounds { return &r.groundTruth.History.Bounds }
 
-// Start brings the runner up with a new id.
+// Start begins an incarnation, unless the runner is up.
 func (r *Runner) Start() {
-	if r.instance != nil {
+	if r.incarnation != nil {
 		return
 	}
-	r.lives++
-	r.instance = &RunnerLife{
-		Instance: fmt.Sprintf("i-%s-%d", r.Machine.Name, r.lives), Machine: r.Machine.Name, Service: r.Service,
-		Labels: []string{r.Kind, r.Rack}, Rack: r.Rack, Capacity: r.Capacity, Guards: r.Guards,
-		Up: r.world.now, Down: Never, DrainAck: Never,
+	r.starts++
+	r.incarnation = &RunnerIncarnation{
+		Instance: fmt.Sprintf("i-%s-%d", r.Machine.Name, r.starts), Machine: r.Machine.Name, Service: r.Service,
+		Labels: []string{r.Kind, r.Rack}, Rack: r.Rack, Capacity: r.Capacity, EnforcesCapacity: r.EnforcesCapacity,
+		Started: r.world.now, Ended: Never, DrainAcknowledged: Never,
 	}
-	r.plant.Ledger.Runners = append(r.plant.Ledger.Runners, r.instance)
-	r.fence, r.heldUntil, r.counter, r.sequence = 0, 0, 0, 0
-	r.active, r.finished, r.barred = nil, nil, map[string]uint64{}
-	r.out, r.early, r.draining = false, false, false
-	r.beatIn(r.world.Between(0, 100*time.Millisecond))
+	r.groundTruth.History.Runners = append(r.groundTruth.History.Runners, r.incarnation)
+	r.fenceToken, r.leaseExpiry, r.endSequence, r.heartbeats = 0, 0, 0, 0
+	r.active, r.finished, r.highestEnded = nil, nil, map[string]uint64{}
+	r.heartbeatInFlight, r.heartbeatDue, r.draining = false, false, false
+	r.scheduleHeartbeat(r.world.Between(0, 100*time.Millisecond))
 }
 
-// Crash ends the runner without a word; everything on it dies.
+// Crash ends the incarnation at once, and with it all its runs.
 func (r *Runner) Crash() {
-	if r.instance == nil {
+	if r.incarnation == nil {
 		return
 	}
-	r.beatTimer.Stop()
-	r.giveUp.Stop()
-	r.lapse.Stop()
-	r.hangUp()
+	r.heartbeatTimer.Stop()
+	r.responseTimer.Stop()
+	r.leaseTimer.Stop()
+	r.disconnect()
 	r.resetConnections()
-	life := r.instance
-	life.Down = r.world.now
-	r.instance = nil
+	r.incarnation.Ended = r.world.now
+	r.incarnation = nil
 	for _, e := range slices.Clone(r.active) {
-		e.forget()
-		e.settle(r.world.now)
-		e.record.Ended, e.record.How = r.world.now, EndCrashed
+		e.stopTimers()
+		e.advance(r.world.now)
+		e.record.Ended, e.record.EndReason = r.world.now, EndCrashed
 		if e.isGang() {
-			r.plant.leaveGang(e)
+			r.groundTruth.leaveGang(e)
 		}
 	}
 	r.active, r.finished = nil, nil
 }
 
-// Drain makes the runner say that it leaves, and leave after a time.
+// Drain puts the runner into the state `draining`, from which it deregisters and ends after a time.
 func (r *Runner) Drain(after time.Duration) {
-	if r.instance == nil || r.draining {
+	if r.incarnation == nil || r.draining {
 		return
 	}
 	r.draining = true
-	r.leaves = r.world.now + after
-	life := r.instance
-	r.beatSoon()
-	r.world.At(r.leaves, func() {
-		if r.instance == life {
-			r.leave(life)
+	r.leavesAt = r.world.now + after
+	incarnation := r.incarnation
+	r.heartbeatSoon()
+	r.world.At(r.leavesAt, func() {
+		if r.incarnation == incarnation {
+			r.deregister(incarnation)
 		}
 	})
 }
 
-// leave says goodbye and ends, acknowledged or not.
-func (r *Runner) leave(life *RunnerLife) {
-	const longestGoodbye = time.Second
+// deregister deregisters an incarnation and ends it, whether that is acknowledged or not.
+func (r *Runner) deregister(incarnation *RunnerIncarnation) {
+	const maxWait = time.Second
 	end := func() {
-		if r.instance == life {
+		if r.incarnation == incarnation {
 			r.Crash()
 		}
 	}
-	if agent := r.Agent(); agent != nil {
-		r.Machine.inLife(r.Machine.life, func() {
-			agent.Deregister(r.Service, life.Instance, func(error) { r.world.After(time.Millisecond, end) })
-		})
-	}
-	r.world.After(longestGoodbye, end)
+	r.callDeregister(incarnation, func(error) { r.world.After(time.Millisecond, end) })
+	r.world.After(maxWait, end)
 }
 
-// LeaveUndrained makes the runner say goodbye without having said that it drains, serve on for a time, and end.
-func (r *Runner) LeaveUndrained(after time.Duration) {
-	life := r.instance
-	if life == nil || r.draining {
+// DeregisterUndrained deregisters the runner without `draining` before. It serves on for a time, and ends.
+func (r *Runner) DeregisterUndrained(after time.Duration) {
+	incarnation := r.incarnation
+	if incarnation == nil || r.draining {
 		return
 	}
-	if agent := r.Agent(); agent != nil {
-		r.Machine.inLife(r.Machine.life, func() {
-			agent.Deregister(r.Service, life.Instance, func(err error) {
-				if err == nil && r.instance == life {
-					life.DrainAck = r.world.now
-				}
-			})
-		})
-	}
+	r.callDeregister(incarnation, func(err error) {
+		if err == nil && r.incarnation == incarnation {
+			incarnation.DrainAcknowledged = r.world.now
+		}
+	})
 	r.world.After(after, func() {
-		if r.instance == life {
+		if r.incarnation == incarnation {
 			r.Crash()
 		}
 	})
 }
 
-// SetSlow makes all work take x times as long; 1 is as usual.
-func (r *Runner) SetSlow(x float64) {
+func (r *Runner) callDeregister(incarnation *RunnerIncarnation, reply func(err error)) {
+	if agent := r.Agent(); agent != nil {
+		r.Machine.inIncarnation(r.Machine.incarnation, func() { agent.Deregister(r.Service, incarnation.Instance, reply) })
+	}
+}
+
+// SetSlow sets the factor by which all work takes longer, 1 usually.
+func (r *Runner) SetSlow(factor float64) {
 	before := r.speed()
-	r.slow = x
+	r.slowFactor = factor
 	for _, e := range slices.Clone(r.active) {
-		e.changeSpeed(r.speed() / before)
+		e.scaleSpeed(r.speed() / before)
 	}
 }
 
-// SetGrey makes shares of the starts fail or stand still.
-func (r *Runner) SetGrey(fail, hang float64) { r.failShare, r.hangShare = fail, hang }
+// SetGrayFailure sets the fractions of starts that fail, and that hang, while the runner looks healthy.
+func (r *Runner) SetGrayFailure(fail, hang float64) { r.failFraction, r.hangFraction = fail, hang }
 
-// SetLate makes a share of the heartbeats come late, up to seconds.
-func (r *Runner) SetLate(share float64) { r.lateShare = share }
+// SetLate sets the fraction of heartbeats that arrive late, by up to seconds.
+func (r *Runner) SetLate(fraction float64) { r.lateFraction = fraction }
 
-// speed is the work a ms gives.
+// speed returns the ms of work that are done per ms.
 func (r *Runner) speed() float64 {
-	if r.slow > 1 {
-		return r.Speed / r.slow
+	if r.slowFactor > 1 {
+		return r.Speed / r.slowFactor
 	}
 	return r.Speed
 }
 
-// used is what everything running needs, what is being stopped included.
+// used returns the resources of all runs, those that are being stopped included.
 func (r *Runner) used() protocol.Resources {
 	var sum protocol.Resources
 	for _, e := range r.active {
-		if e.group == nil {
-			continue
+		if e.step != nil {
+			sum.CPU += e.step.spec.CPU
+			sum.MemoryMB += e.step.spec.MemoryMB
+			sum.GPU += e.step.spec.GPU
 		}
-		sum.CPU += e.group.step.CPU
-		sum.MemoryMB += e.group.step.MemoryMB
-		sum.GPU += e.group.step.GPU
 	}
 	return sum
 }
 
-// fits tells whether a step's task has room.
+// fits reports whether the runner has the free capacity for a task of a step.
 func (r *Runner) fits(step *protocol.Step) bool {
 	used := r.used()
 	return used.CPU+step.CPU <= r.Capacity.CPU && used.MemoryMB+step.MemoryMB <= r.Capacity.MemoryMB &&
