--- a/internal/dispatcher/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -114,7 +114,7 @@
 		log.WithField("addr", l.Addr()).Info("console listening")
 	}
 	working := life.Until(lifecycle.Stopped)
-	watcher.Keep(!cfg.Policy.AskList)
+	watcher.Keep(!cfg.Policy.ListOnDemand)
 	go watcher.Run(working)
 	ran.Go(func() { coord.Run(working) })
 	peers.start()
@@ -122,7 +122,7 @@
 	inForce := &atomic.Pointer[config.Config]{}
 	inForce.Store(cfg)
 	go reload(working, hups, inForce, getenv, watcher, retuner{coord, runners, server, peers}, files, log)
-	if !cfg.Policy.AskList {
+	if !cfg.Policy.ListOnDemand {
 		// What was pushed before counts as told from the first moment, and the list of the configuration may be old.
 		awaitList(watcher.First(), signals)
 	}
@@ -183,7 +183,7 @@
 				continue
 			}
 			watcher.Retune(next.Hold(), next.DrainGrace())
-			watcher.Keep(!next.Policy.AskList)
+			watcher.Keep(!next.Policy.ListOnDemand)
 			log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; requests under way keep theirs")
 		}
 		watcher.Move(next.Discovery)
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -79,7 +79,7 @@
 				"put each dispatcher's address at the place of its slotNo"}
 		}
 		fc.Refusals, fc.Roster = true, f.Roster
-		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.TipAfter/turns, second)}
+		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.OverloadWindow/turns, second)}
 	}
 	if err := p.fits(cfg); err != nil {
 		return nil, err
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -209,8 +209,8 @@
 // told some time after the hold's end at the latest, so a short hold keeps the list's age within what the
 // rules allow; a very short one would be a load on discovery, which all dispatchers share.
 func (c *Config) Hold() time.Duration {
-	hold := c.Policy.AskWithin / 2
-	if !c.Policy.AskList {
+	hold := c.Policy.MaxListAge / 2
+	if !c.Policy.ListOnDemand {
 		return pushedHold
 	}
 	if hold <= 0 {
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, defaultIdle, c.Policy.ConnIdle)
 	assert.Equal(t, logrus.InfoLevel, c.LogLevel)
 	assert.Equal(t, pushedHold, c.Hold(), "lists are pushed where nothing says otherwise")
-	c.Policy.AskList = true
+	c.Policy.ListOnDemand = true
 	assert.Equal(t, defaultHold, c.Hold())
 	assert.Equal(t, 900*time.Millisecond, c.StopWithin(), "the longest deadline")
 	assert.Equal(t, 1, c.Procs())
--- a/internal/dispatcher/config/settings.go
+++ b/internal/dispatcher/config/settings.go
@@ -73,22 +73,22 @@
 	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 	p := policy.Settings{
 		Zone: s.Zone, Number: s.SlotNo, Schedulers: s.Balancers, Period: us(s.PeriodUs),
-		AskList: s.Discovery == "ask", TellsStart: s.FamilyInfo.TellsStart,
+		ListOnDemand: s.Discovery == "ask", ReportsStarts: s.FamilyInfo.TellsStart,
 		Reports: s.Report.Via == "probe" || s.Report.Via == "answers",
 		Cancel:  s.Limits.Cancelling, Probes: s.Limits.Probes,
 		MaxAttempts: s.Limits.MaxAttempts, MaxOpen: s.Limits.MaxOpen,
 		ConnIdle:       us(s.Limits.ConnIdleUs),
-		ConnectTimeout: us(s.Limits.ConnectTimeoutUs), AnswerSlack: us(s.Rules.AnswerSlackUs),
-		AskWithin: us(s.Rules.AskWithinUs), ColdFrom: s.Rules.ColdFrom, ColdFor: us(s.Rules.ColdUs),
-		FallMultiple: s.Rules.FallMultiple, TipAfter: us(s.Rules.TipAfterUs), DrainClose: us(s.Rules.DrainCloseUs),
+		ConnectTimeout: us(s.Limits.ConnectTimeoutUs), ResponseGrace: us(s.Rules.AnswerSlackUs),
+		MaxListAge: us(s.Rules.AskWithinUs), MinWarmth: s.Rules.ColdFrom, WarmUpTime: us(s.Rules.ColdUs),
+		OverloadFactor: s.Rules.FallMultiple, OverloadWindow: us(s.Rules.TipAfterUs), DrainClose: us(s.Rules.DrainCloseUs),
 		CrossZonePrice: s.Tariffs.CrossZone, HandshakePrice: s.Tariffs.Handshake, ProbePrice: s.Tariffs.Probe,
 	}
 	if s.Limits.RetryAfter {
 		p.MaxRetryAfter = us(s.Limits.MaxRetryAfterUs)
 	}
 	for i, c := range s.Classes {
-		k := policy.Class{Name: c.Name, Window: us(c.MemorySpanUs), Aim: us(c.ObjectiveUs), Stretch: c.AimStretch,
-			LateWorth: c.LateWorth, Deadline: us(c.DeadlineUs), Streamed: c.Streamed}
+		k := policy.Class{Name: c.Name, Window: us(c.MemorySpanUs), LatencyTarget: us(c.ObjectiveUs), Stretch: c.AimStretch,
+			LateValue: c.LateWorth, Deadline: us(c.DeadlineUs), Streamed: c.Streamed}
 		switch c.Semantics {
 		case "safe":
 		case "keyed":
--- a/internal/dispatcher/coordinator/actions.go
+++ b/internal/dispatcher/coordinator/actions.go
@@ -116,7 +116,7 @@
 		c.reply(j, Answer{Kind: Served, Result: end.Result})
 	}
 	j.mod.events = append(j.mod.events, policy.Event{Kind: policy.AttemptEnded, ID: j.id, Attempt: n, Worker: target,
-		Outcome: end.Outcome, Doubtful: end.Doubtful, Elapsed: time.Since(state.sent), Complete: j.answered, Report: end.Report})
+		Outcome: end.Outcome, Indeterminate: end.Doubtful, Elapsed: time.Since(state.sent), Complete: j.answered, Report: end.Report})
 	c.forget(j)
 }
 
--- a/internal/dispatcher/coordinator/coordinator.go
+++ b/internal/dispatcher/coordinator/coordinator.go
@@ -159,7 +159,7 @@
 		until = now + sure
 	}
 	c.do(func() {
-		c.fleet = &policy.Event{Kind: policy.FleetTold, Numbers: numbers, Until: until, Living: living}
+		c.fleet = &policy.Event{Kind: policy.FleetUpdated, Numbers: numbers, Until: until, Living: living}
 		c.toAll(*c.fleet)
 	})
 }
--- a/internal/dispatcher/coordinator/coordinator_test.go
+++ b/internal/dispatcher/coordinator/coordinator_test.go
@@ -40,9 +40,9 @@
 func (e *targets) Subscribe()       {}
 
 func testSettings() policy.Settings {
-	return policy.Settings{Schedulers: 1, Period: time.Millisecond, TellsStart: true, Cancel: true, MaxAttempts: 4,
-		AnswerSlack: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
-		Classes: []policy.Class{{Name: "c", Semantics: policy.Unsafe, Aim: 80 * time.Millisecond, LateWorth: 1,
+	return policy.Settings{Schedulers: 1, Period: time.Millisecond, ReportsStarts: true, Cancel: true, MaxAttempts: 4,
+		ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
+		Classes: []policy.Class{{Name: "c", Semantics: policy.Unsafe, LatencyTarget: 80 * time.Millisecond, LateValue: 1,
 			Deadline: time.Minute}}}
 }
 
@@ -120,7 +120,7 @@
 // Guards against a module that forgets a request: the net under it answers.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	set := testSettings()
-	set.AnswerSlack = 0
+	set.ResponseGrace = 0
 	coordinator, e := run(t, set)
 	c := submit(context.Background(), coordinator, request(100*time.Millisecond))
 	<-e.attempts
--- a/internal/dispatcher/coordinator/jobs.go
+++ b/internal/dispatcher/coordinator/jobs.go
@@ -24,7 +24,7 @@
 	j.id, j.due, j.mod = c.nextID, c.clock.at(r.Deadline), c.mods[len(c.mods)-1]
 	c.jobs[j.id] = j
 	j.mod.open++
-	j.overdue = time.AfterFunc(time.Until(r.Deadline)+c.set.AnswerSlack+overdueAfter, func() {
+	j.overdue = time.AfterFunc(time.Until(r.Deadline)+c.set.ResponseGrace+overdueAfter, func() {
 		c.do(func() { c.overdue(j) })
 	})
 	j.mod.events = append(j.mod.events, policy.Event{Kind: policy.Request, ID: j.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key,
@@ -38,14 +38,14 @@
 	}
 	c.log.WithField("request", j.r.ID).Error("request overdue; answered as failed")
 	c.reply(j, Answer{Kind: Broken})
-	j.mod.events = append(j.mod.events, policy.Event{Kind: policy.ClientGone, ID: j.id})
+	j.mod.events = append(j.mod.events, policy.Event{Kind: policy.ClientDisconnected, ID: j.id})
 }
 
 // leave ends a request whose client has gone.
 func (c *Coordinator) leave(j *job) {
 	if !j.answered {
 		c.reply(j, Answer{Kind: Left})
-		j.mod.events = append(j.mod.events, policy.Event{Kind: policy.ClientGone, ID: j.id})
+		j.mod.events = append(j.mod.events, policy.Event{Kind: policy.ClientDisconnected, ID: j.id})
 	}
 }
 
--- a/internal/dispatcher/coordinator/restart.go
+++ b/internal/dispatcher/coordinator/restart.go
@@ -61,7 +61,7 @@
 		clear(c.members)
 	}
 	for _, m := range e.Members {
-		if m.State == policy.Gone {
+		if m.State == policy.Removed {
 			delete(c.members, m.Worker)
 		} else {
 			c.members[m.Worker] = m
--- a/internal/dispatcher/routetable/table.go
+++ b/internal/dispatcher/routetable/table.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return fmt.Errorf("hosts[%d].health: %w", i, err)
 		}
-		if h.Dial == "" && state != policy.Gone {
+		if h.Dial == "" && state != policy.Removed {
 			return fmt.Errorf("hosts[%d].dial: is empty", i)
 		}
 	}
@@ -53,9 +53,9 @@
 	case "DRAINING":
 		return policy.Draining, nil
 	case "DELETED":
-		return policy.Gone, nil
+		return policy.Removed, nil
 	}
-	return policy.Gone, fmt.Errorf("unknown value %q", h.Health)
+	return policy.Removed, fmt.Errorf("unknown value %q", h.Health)
 }
 
 // Route is what the table holds of one runner.
@@ -164,7 +164,7 @@
 		}
 		m := policy.Member{Worker: h.Host, Zone: h.Site, Cell: h.Block, Kind: h.Class, State: state,
 			Started: time.Duration(h.BornMs) * time.Millisecond}
-		if state == policy.Gone {
+		if state == policy.Removed {
 			delete(t.routes, h.Host)
 			delete(t.members, h.Host)
 		} else {
--- a/internal/dispatcher/simulator/wire.go
+++ b/internal/dispatcher/simulator/wire.go
@@ -222,13 +222,13 @@
 	case "QUERY":
 		e.Kind, second = policy.Request, "kind"
 	case "ACK_FIRST":
-		e.Kind = policy.AnswerStarted
+		e.Kind = policy.ResponseStarted
 	case "STATUS_NOTE":
 		e.Kind, second = policy.JobProgress, "topic"
 	case "VERDICT":
 		e.Kind, second = policy.AttemptEnded, "code"
 	case "GONE":
-		e.Kind = policy.ClientGone
+		e.Kind = policy.ClientDisconnected
 	case "DEADLINE_HIT":
 		e.Kind, must = policy.TimerFired, "tag"
 	case "PONG":
@@ -352,7 +352,7 @@
 			case "Terminating":
 				m.State = policy.Draining
 			case "Gone":
-				m.State = policy.Gone
+				m.State = policy.Removed
 			default:
 				err = fmt.Errorf("unknown value %q", f.val)
 			}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,14 +5,14 @@
 import "slices"
 
 const (
-	moveMemory  = 0.2  // weight of the newest moved attempt in whether moving helps
-	moveReturns = 0.01 // the same of each other attempt that starts: moves are tried again
-	movesLeast  = 0.5  // share of moved attempts that start soon, or none is moved
+	moveWeight     = 0.2  // weight of the newest moved attempt in moveSuccess
+	startWeight    = 0.01 // weight of any other attempt that starts, so that moves are tried again
+	minMoveSuccess = 0.5  // no attempt is moved below this moveSuccess
 )
 
-func (d *Dispatcher) withdraw(a *attempt) {
-	if d.set.Cancel && !a.withdraw && !a.j.streaming {
-		a.withdraw = true
+func (d *Dispatcher) cancel(a *attempt) {
+	if d.set.Cancel && !a.cancelled && !a.j.streaming {
+		a.cancelled = true
 		d.out = append(d.out, Action{Kind: Cancel, ID: a.j.id, Attempt: a.n})
 	}
 }
@@ -25,79 +25,79 @@
 }
 
 func (d *Dispatcher) start(a *attempt) {
-	a.w.alive = d.now
+	a.w.lastProgress = d.now
 	if !a.running {
-		a.running, a.started, a.w.turned = true, d.now, a.w.turned/2
-		d.moves += max(a.tells, moveReturns) * (1 - d.moves)
+		a.running, a.started, a.w.rejections = true, d.now, a.w.rejections/2
+		d.moveSuccess += max(a.moveWeight, startWeight) * (1 - d.moveSuccess)
 		a.w.running += a.j.slots
-		a.w.most = max(a.w.most, a.w.running)
-		a.w.kind.seen = max(a.w.kind.seen, a.w.most)
-		if rest := max(0, d.slots(a.w)-a.w.running); d.now <= a.sent+d.minAim/2 {
+		a.w.maxRunning = max(a.w.maxRunning, a.w.running)
+		a.w.kind.seen = max(a.w.kind.seen, a.w.maxRunning)
+		if rest := max(0, d.slots(a.w)-a.w.running); d.now <= a.sent+d.minTarget/2 {
 			a.w.others = min(a.w.others, rest)
-		} else { // it waited for a place, so others had all the rest
+		} else { // it waited for a slot, so others used all the rest
 			a.w.others, a.w.othersAt = max(a.w.others, rest), d.now
 		}
-		a.j.check = a.j.due + d.set.AnswerSlack/2
-		d.wantRound()
+		a.j.check = a.j.due + d.set.ResponseGrace/2
+		d.scheduleRound()
 	}
 }
 
 func (d *Dispatcher) endAttempt(e *Event) {
 	a := d.attempt(e)
-	if a == nil || a.over {
+	if a == nil || a.ended {
 		return
 	}
 	j, w := a.j, a.w
-	a.over, a.neverRan = true, NeverRan(e.Outcome) && !(e.Doubtful && j.class.Semantics == Unsafe)
-	w.drop(a, d.now)
+	a.ended, a.neverRan = true, NeverRan(e.Outcome) && (!e.Indeterminate || j.class.Semantics != Unsafe)
+	w.removeAttempt(a, d.now)
 	d.report(w, e.Report)
 	switch e.Outcome {
 	case OK:
-		w.alive, w.idle = d.now, append(w.idle, d.now)
-		w.fails, w.broken = max(0, w.fails-0.5), 0
+		w.lastProgress, w.idle = d.now, append(w.idle, d.now)
+		w.fails, w.brokenConns = max(0, w.fails-0.5), 0
 		d.learn(a)
 	case Full:
-		w.turned++
+		w.rejections++
 		w.others, w.othersAt = d.slots(w)-w.busy+1, d.now
 	case Reset:
-		if d.broke(w) && a.running {
-			w.suspect = d.now
+		if d.connectionBroke(w) && a.running {
+			w.suspectedAt = d.now
 		}
 	case Failed, TimedOut, ConnectFailed:
 		if e.Outcome == ConnectFailed && e.Elapsed < d.set.ConnectTimeout/2 {
-			w.suspect = d.now
+			w.suspectedAt = d.now
 		}
-		if e.Outcome != TimedOut || w.alive < a.sent {
-			d.fail(w)
+		if e.Outcome != TimedOut || w.lastProgress < a.sent {
+			d.recordFailure(w)
 		}
 	}
 	d.closeDrained(w)
 	if e.Complete || j.ended {
 		d.end(j)
 	} else if !j.streaming {
-		d.again(j)
+		d.retryOrFinish(j)
 	}
-	d.wantRound()
+	d.scheduleRound()
 }
 
-// again holds j for another attempt, or ends it where none can follow.
-func (d *Dispatcher) again(j *job) {
-	over := d.now >= j.due-d.set.Period || len(j.attempts) >= d.set.MaxAttempts
-	if over || slices.ContainsFunc(j.attempts, d.settled) {
+// retryOrFinish makes j pending for another attempt, or finishes it where none can follow.
+func (d *Dispatcher) retryOrFinish(j *job) {
+	last := d.now >= j.due-d.set.Period || len(j.attempts) >= d.set.MaxAttempts
+	if last || slices.ContainsFunc(j.attempts, d.barsRetry) {
 		d.finish(j)
 	} else {
-		j.held, j.check = true, j.due-d.set.Period
+		j.pending, j.check = true, j.due-d.set.Period
 		d.scanAt = min(d.scanAt, j.check)
 	}
 }
 
-// scan looks at the open jobs whose moment has come: it ends those out of time and deals with late attempts.
+// scan checks the open jobs whose check time has come.
 func (d *Dispatcher) scan() {
 	d.scanAt = never
 	d.open = slices.DeleteFunc(d.open, func(j *job) bool { return j.ended })
 	for _, j := range d.open {
 		if d.now >= j.check && !j.streaming {
-			d.look(j)
+			d.checkJob(j)
 		}
 		if !j.ended && !j.streaming {
 			d.scanAt = min(d.scanAt, j.check)
@@ -105,42 +105,42 @@
 	}
 }
 
-// look deals with a job whose check time has come.
-func (d *Dispatcher) look(j *job) {
-	last := d.set.AnswerSlack / 2
-	if j.held || d.now >= j.due+last {
+// checkJob finishes j if it is out of time, and gives up or moves its late attempts.
+func (d *Dispatcher) checkJob(j *job) {
+	last := d.set.ResponseGrace / 2
+	if j.pending || d.now >= j.due+last {
 		d.finish(j)
 		return
 	}
-	j.check = min(j.due+last, d.now+max(d.minAim/firstLook, d.set.Period))
+	j.check = min(j.due+last, d.now+max(d.minTarget/checksPerTarget, d.set.Period))
 	for _, a := range j.attempts {
-		if a.over || a.withdraw || a.running && d.set.TellsStart { // one that runs for long may just be long
+		if a.ended || a.cancelled || a.running && d.set.ReportsStarts { // a job that started may just be long
 			continue
 		}
-		if d.set.Cancel && !a.running && d.hopeless(j, a.predicted) { // else it would run in vain
+		if d.set.Cancel && !a.running && d.shouldGiveUp(j, a.predicted) { // uncancelled, it would run in vain
 			d.finish(j)
 			return
 		}
-		d.moves, a.tells = d.moves*(1-a.tells), 0
-		// Guards against hung, paused and vanished workers: nothing was heard from it since the send.
-		// A worker that is only slow loses some sends until its next sign of life.
-		silent := a.w.alive < a.sent && d.now >= a.sent+j.class.Aim>>min(2, a.w.turned)
-		if silent {
-			d.fail(a.w)
+		d.moveSuccess, a.moveWeight = d.moveSuccess*(1-a.moveWeight), 0
+		// Guards against hung, paused and vanished workers. One that is only slow misses some sends.
+		timeout := j.class.LatencyTarget >> min(2, a.w.rejections)
+		unresponsive := a.w.lastProgress < a.sent && d.now >= a.sent+timeout
+		if unresponsive {
+			d.recordFailure(a.w)
 		}
-		if (silent || !a.running) && d.canMove(a) {
-			a.w.turned++
-			d.withdraw(a)
+		if (unresponsive || !a.running) && d.canMove(a) {
+			a.w.rejections++
+			d.cancel(a)
 		}
 	}
 }
 
-// canMove tells whether a cancelled attempt could be made up for on another worker that has room now.
+// canMove reports whether a may be cancelled as another worker, by a fresh report, has a slot for its job.
 func (d *Dispatcher) canMove(a *attempt) bool {
-	a.over = true
-	defer func() { a.over = false }()
-	again := d.set.Cancel && a.j.class.Semantics != Unsafe && d.moves >= movesLeast
-	return again && slices.ContainsFunc(d.near(), func(w *worker) bool {
+	a.ended = true
+	defer func() { a.ended = false }()
+	allowed := d.set.Cancel && a.j.class.Semantics != Unsafe && d.moveSuccess >= minMoveSuccess
+	return allowed && slices.ContainsFunc(d.near(), func(w *worker) bool {
 		return w != a.w && d.now <= w.othersAt+reportAge && d.fits(w, a.j) && d.maySend(a.j, w)
 	})
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,11 +10,11 @@
 // A scheduler feeds in what it observes and carries out the actions that come back.
 func Example() {
 	d, err := policy.New(policy.Settings{
-		Schedulers: 1,
-		Period:     5 * time.Millisecond,
-		TellsStart: true,
-		Cancel:     true,
-		Classes: []policy.Class{{Name: "render", Aim: 200 * time.Millisecond, Stretch: 2,
+		Schedulers:    1,
+		Period:        5 * time.Millisecond,
+		ReportsStarts: true,
+		Cancel:        true,
+		Classes: []policy.Class{{Name: "render", LatencyTarget: 200 * time.Millisecond, Stretch: 2,
 			Deadline: 5 * time.Second}},
 	}, 42)
 	if err != nil {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// fleet is a number of schedulers round one cold worker, with a few requests each and nothing else to send to. The
+// testFleet is a number of schedulers round one cold worker, with a few requests each and nothing else to send to. The
 // worker has four cores and slots, starts at the settings' worst and reports its free slots when it is probed.
-type fleet struct {
+type testFleet struct {
 	t       *testing.T
 	all     []*Dispatcher
 	worker  string
 	start   time.Duration
-	waiting []fleetJob
+	queued  []fleetJob
 	running []fleetJob
 	inbox   [][]Event
 	sends   []fleetSend
 	served  int
 	nextID  uint32
-	sees    bool             // probes bring reports
+	reports bool             // probes bring reports
 	idle    func(n int) bool // schedulers that get no requests; nil: none
 }
 type fleetJob struct {
@@ -35,8 +35,8 @@
 
 const fleetWork = 60 * ms
 
-func newFleet(t *testing.T, schedulers int, sees bool) *fleet {
-	f := &fleet{t: t, worker: "a", start: 10 * time.Second, sees: sees, inbox: make([][]Event, schedulers)}
+func newFleet(t *testing.T, schedulers int, sees bool) *testFleet {
+	f := &testFleet{t: t, worker: "a", start: 10 * time.Second, reports: sees, inbox: make([][]Event, schedulers)}
 	for n := range schedulers {
 		s := testSettings()
 		s.Schedulers, s.Number, s.Probes, s.ProbePrice = schedulers, n, sees, 0.01
@@ -52,15 +52,15 @@
 	return f
 }
 
-func (f *fleet) warmth(at time.Duration) float64 { return min(1, 0.2+0.8*(at-f.start).Seconds()/5) }
+func (f *testFleet) warmth(at time.Duration) float64 { return min(1, 0.2+0.8*(at-f.start).Seconds()/5) }
 
-// run plays until the given time; each scheduler gets a request every so often, not in step with the others.
-func (f *fleet) run(until, every time.Duration) {
+// meanRun plays until the given time; each scheduler gets a request every so often, not in step with the others.
+func (f *testFleet) run(until, every time.Duration) {
 	const tick = 5 * ms
 	for at := f.start; at < until; at += tick {
-		for len(f.running) < 4 && len(f.waiting) > 0 {
-			j := f.waiting[0]
-			f.waiting, f.running = f.waiting[1:], append(f.running, j)
+		for len(f.running) < 4 && len(f.queued) > 0 {
+			j := f.queued[0]
+			f.queued, f.running = f.queued[1:], append(f.running, j)
 			f.inbox[j.by] = append(f.inbox[j.by], Event{Kind: JobStarted, ID: j.id, Attempt: j.attempt, Worker: f.worker})
 		}
 		rest := f.running[:0]
@@ -84,24 +84,24 @@
 			events := f.inbox[n]
 			f.inbox[n] = nil
 			for _, a := range d.Step(at, events, nil) {
-				f.act(n, at, a)
+				f.apply(n, at, a)
 			}
 		}
 	}
 }
 
-func (f *fleet) act(n int, at time.Duration, a Action) {
+func (f *testFleet) apply(n int, at time.Duration, a Action) {
 	switch a.Kind {
 	case Send:
 		f.sends = append(f.sends, fleetSend{at, fleetWork.Seconds()})
-		f.waiting = append(f.waiting, fleetJob{n, a.ID, len(f.all[n].jobs[a.ID].attempts) - 1, fleetWork.Seconds()})
+		f.queued = append(f.queued, fleetJob{n, a.ID, len(f.all[n].jobs[a.ID].attempts) - 1, fleetWork.Seconds()})
 	case Probe:
 		r := Report{FreeSlots: float64(4 - len(f.running)), FreeMemory: -1, Queued: -1, InFlight: -1, Load: -1}
 		f.inbox[n] = append(f.inbox[n], Event{Kind: ProbeEnded, Worker: a.Worker, Outcome: OK, Report: r})
 	case Cancel:
-		for i, j := range f.waiting {
+		for i, j := range f.queued {
 			if j.id == a.ID {
-				f.waiting = append(f.waiting[:i:i], f.waiting[i+1:]...)
+				f.queued = append(f.queued[:i:i], f.queued[i+1:]...)
 				break
 			}
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-// within returns the work sent in the window from a time on.
-func (f *fleet) within(from time.Duration) (sum float64) {
+// workWithin returns the work sent in the window from a time on.
+func (f *testFleet) workWithin(from time.Duration) (sum float64) {
 	for _, s := range f.sends {
 		if s.at >= from && s.at < from+time.Second {
 			sum += s.work
@@ -122,7 +122,7 @@
 
 // What all schedulers send to the one cold worker there is stays inside its budget, however many they are and though
 // each of them has far too many requests and sees by its probes that the worker has room now and then.
-func TestFleetDoesNotPushOverAColdWorkerItSees(t *testing.T) {
+func TestFleetStaysInWarmingBudgetWithReports(t *testing.T) {
 	for _, schedulers := range []int{3, 20, 80, 300} {
 		t.Run(fmt.Sprint(schedulers), func(t *testing.T) {
 			f := newFleet(t, schedulers, true)
@@ -132,7 +132,7 @@
 			}
 			for from := f.start; from < f.start+3*time.Second; from += 50 * ms {
 				budget := 3 * 4 * f.warmth(from+500*ms)
-				if sum := f.within(from); sum > budget {
+				if sum := f.workWithin(from); sum > budget {
 					t.Errorf("%.2f s of work within a second from %v, the budget is %.2f", sum, from, budget)
 				}
 			}
@@ -142,7 +142,7 @@
 
 // Where few schedulers have requests for a cold worker, the others' parts lie idle; those few see that it has room
 // and send more than their own.
-func TestFleetUsesIdlePartsOfAColdWorkerItSees(t *testing.T) {
+func TestFleetUsesIdlePartsOfWarmingBudgetWithReports(t *testing.T) {
 	served := func(sees bool) int {
 		f := newFleet(t, 80, sees)
 		f.idle = func(n int) bool { return n%10 > 0 }
@@ -156,24 +156,24 @@
 
 // A scheduler with few requests knows little of most workers: its probe goes to the one that the request at hand
 // would go to, and to the longest unasked where that one is known.
-func TestProbesAskWhatTheRequestAtHandWants(t *testing.T) {
+func TestProbesTargetThePendingRequestsWorker(t *testing.T) {
 	d := testDispatcher(t, func(s *Settings) { s.Probes, s.ProbePrice = true, 0.01 })
 	for _, w := range d.order {
-		w.slow, w.learnt = 1.9, time.Second
+		w.slow, w.learnedAt = 1.9, time.Second
 	}
 	best := d.order[len(d.order)-1]
-	best.slow, best.askedAt = 0.5, time.Second-2500*ms // the fastest by far, asked later than the others
+	best.slow, best.probedAt = 0.5, time.Second-2500*ms // the fastest by far, asked later than the others
 	for _, tt := range []struct {
 		name  string
 		asked time.Duration // when the best was asked
 		want  bool
 	}{{"long ago", 3 * time.Second, true}, {"of late", 9 * time.Second, false}} {
-		best.askedAt, best.probing = tt.asked, false
+		best.probedAt, best.probing = tt.asked, false
 		for _, w := range d.order[:len(d.order)-1] {
-			w.askedAt, w.probing = time.Second, false
+			w.probedAt, w.probing = time.Second, false
 		}
-		d.toAsk = 0
-		got := of(Probe, d.Step(10*time.Second, []Event{request(uint32(tt.asked), "safe")}, nil))
+		d.probesDue = 0
+		got := ofKind(Probe, d.Step(10*time.Second, []Event{request(uint32(tt.asked), "safe")}, nil))
 		if len(got) == 0 && tt.want || len(got) > 0 && (got[0].Worker == best.name) != tt.want {
 			t.Errorf("best asked %s: probes %v, the best is %s", tt.name, got, best.name)
 		}
@@ -181,9 +181,9 @@
 }
 
 // Windows too short to be cut into turns are settings like others: nothing is divided by them.
-func TestShortestColdWindow(t *testing.T) {
-	d := testDispatcher(t, func(s *Settings) { s.TipAfter = 1 })
+func TestShortestOverloadWindow(t *testing.T) {
+	d := testDispatcher(t, func(s *Settings) { s.OverloadWindow = 1 })
 	w := d.order[0]
 	w.started, d.now = 10*time.Second, 10*time.Second
-	d.coldRoom(w, 0.05)
+	d.inWarmingBudget(w, 0.05)
 }
--- a/policy/heard_test.go
+++ b/policy/heard_test.go
@@ -8,10 +8,10 @@
 // Guards against a scheduler that refuses everything for good: where only answers bring reports, and the first few showed
 // full workers, it held all to be full, sent nothing, and so never heard of the room that came. Seen at a deployment made
 // up for the bench, on a day without any fault: a third of 300 dispatchers sent nothing after their first second.
-func TestSchedulerThatHoldsAllToBeFullTriesAgain(t *testing.T) {
+func TestFullEstimateDecaysWithoutReports(t *testing.T) {
 	set := Settings{Schedulers: 30, Period: time.Millisecond, Reports: true, MaxAttempts: 3,
-		AnswerSlack: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
-		Classes: []Class{{Name: "c", Aim: 300 * time.Millisecond, Stretch: 2, Deadline: 2 * time.Second}}}
+		ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
+		Classes: []Class{{Name: "c", LatencyTarget: 300 * time.Millisecond, Stretch: 2, Deadline: 2 * time.Second}}}
 	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -73,10 +73,10 @@
 // Guards against answers that are thrown away: a job that waits unstarted at its worker and will be late is given up only
 // where it can be called off, as the worker would run it all the same. Seen on a day without any fault where that is not
 // allowed: 10,700 requests refused or failed, and 0.86 served where 0.94 is without.
-func TestWhatCannotBeCalledOffIsWaitedFor(t *testing.T) {
+func TestLateJobIsWaitedForWithoutCancel(t *testing.T) {
 	for cancel, want := range map[bool]ActionKind{true: Fail, false: -1} {
-		d, err := New(Settings{Period: time.Millisecond, TellsStart: true, Cancel: cancel, AnswerSlack: 8 * time.Millisecond,
-			Classes: []Class{{Name: "c", Semantics: Unsafe, Aim: 400 * time.Millisecond, Deadline: 9 * time.Second}}}, 1)
+		d, err := New(Settings{Period: time.Millisecond, ReportsStarts: true, Cancel: cancel, ResponseGrace: 8 * time.Millisecond,
+			Classes: []Class{{Name: "c", Semantics: Unsafe, LatencyTarget: 400 * time.Millisecond, Deadline: 9 * time.Second}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,10 +101,10 @@
 
 // Guards against all dispatchers sending to the workers that look best by reports that are old by then: a worker with one
 // free slot of four is passed over for an empty one that is a quarter slower, and not for one that is three times slower.
-func TestEmptyWorkersAreWorthSomeSpeed(t *testing.T) {
+func TestEmptyWorkerIsPreferredToSomewhatFasterOne(t *testing.T) {
 	for slow, want := range map[float64]string{1: "empty", 1.25: "empty", 3: "full"} {
-		d, err := New(Settings{Period: time.Millisecond, Reports: true, Probes: true, AnswerSlack: 8 * time.Millisecond,
-			Classes: []Class{{Name: "c", Aim: 400 * time.Millisecond, LateWorth: 1, Deadline: 9 * time.Second}}}, 1)
+		d, err := New(Settings{Period: time.Millisecond, Reports: true, Probes: true, ResponseGrace: 8 * time.Millisecond,
+			Classes: []Class{{Name: "c", LatencyTarget: 400 * time.Millisecond, LateValue: 1, Deadline: 9 * time.Second}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,8 +131,8 @@
 // Guards against a fresh dispatcher that refuses what it knows nothing of: where neither hints nor answers tell how long a
 // job runs, one that waited for its round is not held to be late already.
 func TestJobsOfUnknownLengthAreNotLateAtOnce(t *testing.T) {
-	d, err := New(Settings{Period: time.Millisecond, AnswerSlack: 8 * time.Millisecond,
-		Classes: []Class{{Name: "c", Aim: 3 * time.Second, Deadline: 6 * time.Second}}}, 1)
+	d, err := New(Settings{Period: time.Millisecond, ResponseGrace: 8 * time.Millisecond,
+		Classes: []Class{{Name: "c", LatencyTarget: 3 * time.Second, Deadline: 6 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,15 +165,15 @@
 
 // A word that an attempt never ran, which may be another request's, is no proof for a class that must not run twice: nothing
 // follows, and it is not refused. Others go out again by it.
-func TestDoubtfulProofIsNoneForWhatMustNotRunTwice(t *testing.T) {
+func TestIndeterminateOutcomeIsNoProofForUnsafeClass(t *testing.T) {
 	for _, tt := range []struct {
 		semantics Semantics
 		doubtful  bool
 		sends     int
 		end       ActionKind
 	}{{Unsafe, false, 2, -1}, {Unsafe, true, 1, Fail}, {Safe, true, 2, -1}} {
-		d, err := New(Settings{Period: time.Millisecond, MaxAttempts: 3, AnswerSlack: 8 * time.Millisecond,
-			Classes: []Class{{Name: "c", Semantics: tt.semantics, Aim: 400 * time.Millisecond, LateWorth: 1, Deadline: 9 * time.Second}}}, 1)
+		d, err := New(Settings{Period: time.Millisecond, MaxAttempts: 3, ResponseGrace: 8 * time.Millisecond,
+			Classes: []Class{{Name: "c", Semantics: tt.semantics, LatencyTarget: 400 * time.Millisecond, LateValue: 1, Deadline: 9 * time.Second}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -188,7 +188,7 @@
 				case Send:
 					if sends++; sends == 1 {
 						events = append(events, Event{Kind: AttemptEnded, ID: 1, Worker: a.Worker, Outcome: Full,
-							Doubtful: tt.doubtful, Report: NoReport})
+							Indeterminate: tt.doubtful, Report: NoReport})
 					}
 				case Fail, Refuse:
 					end = a.Kind
--- a/policy/moves_test.go
+++ b/policy/moves_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// moving plays one scheduler whose jobs wait unstarted at workers that report room, and counts the moves of the last half.
+// countMoves plays one scheduler whose jobs wait unstarted at workers that report room, and counts the moves of the last half.
 // Where starts is true a moved job starts at once at the next worker.
-func moving(t *testing.T, starts bool) (moved int) {
-	set := Settings{Schedulers: 1, Period: time.Millisecond, TellsStart: true, Reports: true, Probes: true, Cancel: true,
-		MaxAttempts: 4, AnswerSlack: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
-		Classes: []Class{{Name: "c", Aim: 400 * time.Millisecond, LateWorth: 1, Deadline: time.Minute}}}
+func countMoves(t *testing.T, starts bool) (moved int) {
+	set := Settings{Schedulers: 1, Period: time.Millisecond, ReportsStarts: true, Reports: true, Probes: true, Cancel: true,
+		MaxAttempts: 4, ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
+		Classes: []Class{{Name: "c", LatencyTarget: 400 * time.Millisecond, LateValue: 1, Deadline: time.Minute}}}
 	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		now += 20 * time.Millisecond
 		for _, w := range workers { // each is well, tells room, and starts other jobs
 			events = append(events, Event{Kind: ProbeEnded, Worker: w, Outcome: OK, Report: Report{4, -1, 0, 0, 0}})
-			d.workers[w].alive, d.workers[w].turned, d.workers[w].fails = now, 0, 0
+			d.workers[w].lastProgress, d.workers[w].rejections, d.workers[w].fails = now, 0, 0
 		}
 		if n%10 == 0 {
 			events = append(events, Event{Kind: Request, ID: uint32(n + 1), Class: "c", Left: 3 * time.Second, Work: time.Millisecond, Slots: 1})
@@ -57,7 +57,7 @@
 // them a whole job and a handshake, and the next worker is as full. Seen at farm-game-main, calm+mass: 32,020 of 51,500
 // attempts cancelled, and 0.76 served where 0.94 is without moves.
 func TestMovesStopWhereTheyDoNotHelp(t *testing.T) {
-	helps, not := moving(t, true), moving(t, false)
+	helps, not := countMoves(t, true), countMoves(t, false)
 	if helps < 50 {
 		t.Errorf("%d moves where each one helps", helps)
 	}
--- a/policy/noreport_test.go
+++ b/policy/noreport_test.go
@@ -10,7 +10,7 @@
 
 func withoutReports(t *testing.T, change func(*Settings)) *Dispatcher {
 	t.Helper()
-	return untold(t, func(s *Settings) {
+	return newWithoutReports(t, func(s *Settings) {
 		s.Reports = false
 		if change != nil {
 			change(s)
@@ -18,24 +18,24 @@
 	})
 }
 
-// begin has n jobs run at w that started as soon as they were sent.
-func begin(d *Dispatcher, w *worker, n int) {
+// runJobs has n jobs run at w that started as soon as they were sent.
+func runJobs(d *Dispatcher, w *worker, n int) {
 	for range n {
-		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1, due: d.now + time.Hour, aimBy: d.now + time.Hour}
+		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1, due: d.now + time.Hour, targetBy: d.now + time.Hour}
 		d.send(j, w)
 		d.start(j.attempts[len(j.attempts)-1])
 	}
 }
 
 // A worker that started every job at once has room for one more, whatever time passes: nothing says that others hold it.
-func TestPromptStartsLeaveRoomWithoutReports(t *testing.T) {
+func TestPromptStartsLeaveFreeSlotsWithoutReports(t *testing.T) {
 	d := withoutReports(t, nil)
 	d.now = time.Second
 	w := d.order[0]
-	begin(d, w, 3)
+	runJobs(d, w, 3)
 	for _, later := range []time.Duration{0, 100 * ms, 2 * time.Second} {
 		d.now = time.Second + later
-		if got := d.room(w); got != 1 {
+		if got := d.freeSlots(w); got != 1 {
 			t.Errorf("room %v beside three that run, %v after they started", got, later)
 		}
 	}
@@ -43,42 +43,42 @@
 
 // How many slots a cold worker has is taken from what ran at once at others of its kind: otherwise its part is that of
 // one slot and no job of usual size fits in.
-func TestColdShareFollowsTheKindWithoutReports(t *testing.T) {
+func TestWarmingBudgetFollowsTheKindWithoutReports(t *testing.T) {
 	d := withoutReports(t, func(s *Settings) { s.Schedulers = 1 })
 	d.now = 10 * time.Second
 	fresh, other := d.order[0], d.order[1]
 	fresh.started = d.now
 	d.born = 0
-	work := 3 * 0.2 * coldMargin * 2.0 / (coldTurns + 1) // what two slots' part holds
-	fresh.coldTurn, fresh.coldSent = d.now/(d.set.TipAfter/coldTurns), 1e-9
-	if d.coldRoom(fresh, work) {
+	work := 3 * 0.2 * budgetMargin * 2.0 / (budgetIntervals + 1) // what two slots' part holds
+	fresh.budgetInterval, fresh.budgetUsed = d.now/(d.set.OverloadWindow/budgetIntervals), 1e-9
+	if d.inWarmingBudget(fresh, work) {
 		t.Fatal("there is room before any slot was seen")
 	}
-	begin(d, other, 4)
-	if !d.coldRoom(fresh, work) {
+	runJobs(d, other, 4)
+	if !d.inWarmingBudget(fresh, work) {
 		t.Error("no room though four jobs ran at once at another of its kind")
 	}
 }
 
 // The share of slots in use is estimated as if all schedulers held as much as this one.
-func TestFullnessWithoutReports(t *testing.T) {
+func TestUseWithoutReports(t *testing.T) {
 	for _, tt := range []struct {
 		schedulers, running int
 		want                float64
 	}{{1, 0, 0}, {1, 4, 4.0 / 13}, {3, 4, 12.0 / 13}, {30, 4, 2}} {
 		d := withoutReports(t, func(s *Settings) { s.Schedulers = tt.schedulers })
 		d.now = time.Second
-		begin(d, d.order[0], tt.running)
+		runJobs(d, d.order[0], tt.running)
 		for _, w := range d.order {
 			w.kind.seen = 4
 		}
-		if got := d.likelyFull(); got != tt.want {
+		if got := d.estimatedUse(); got != tt.want {
 			t.Errorf("%d schedulers, %d own jobs: %v of the slots in use, want %v", tt.schedulers, tt.running, got, tt.want)
 		}
 		d.Step(time.Second, []Event{request(1, "safe")}, nil)
-		sent(d, time.Second+d.roundGap)
-		if (d.full > 0) != (tt.running > 0) {
-			t.Errorf("%d own jobs: rounds take %v of the slots for in use", tt.running, d.full)
+		sendsAt(d, time.Second+d.roundInterval)
+		if (d.use > 0) != (tt.running > 0) {
+			t.Errorf("%d own jobs: rounds take %v of the slots for in use", tt.running, d.use)
 		}
 	}
 }
@@ -92,21 +92,21 @@
 		all  bool    // every key has a home in the own zone
 	}{{"short", 0.052, true}, {"long", 0.15, false}} {
 		d := withoutReports(t, func(s *Settings) { s.CrossZonePrice = 0.03 })
-		d.now, d.run = time.Second, 0.05
+		d.now, d.meanRun = time.Second, 0.05
 		for n := range 60 {
 			w, j := d.order[0], &job{class: &d.set.Classes[0], size: 0.05, slots: 1, key: d.keyFor(uint32(n)), due: time.Hour}
-			if d.fetch(w, j) < fetchRuns*d.run/2 {
+			if d.fetch(w, j) < fetchRuns*d.meanRun/2 {
 				continue // at home, or so taken
 			}
 			d.send(j, w)
 			a := j.attempts[0]
 			d.start(a)
 			d.now += seconds(tt.took)
-			w.drop(a, d.now)
-			d.run, w.slow, w.kind.n, w.kind.table = 0.05, 1, 0, [40]tableRow{}
+			w.removeAttempt(a, d.now)
+			d.meanRun, w.slow, w.kind.n, w.kind.table = 0.05, 1, 0, [40]tableRow{}
 			d.learn(a)
 		}
-		d.run = 0.05
+		d.meanRun = 0.05
 		homes := 0
 		for n := range uint32(50) {
 			j := &job{key: d.keyFor(1000 + n), size: 0.05, class: &d.set.Classes[0]}
@@ -117,22 +117,22 @@
 			}
 		}
 		if (homes == 50) != tt.all {
-			t.Errorf("%s fetches: %d of 50 keys have a home in the own zone (learnt %.3f s)", tt.name, homes, d.fetched)
+			t.Errorf("%s fetches: %d of 50 keys have a home in the own zone (learnt %.3f s)", tt.name, homes, d.meanFetch)
 		}
 	}
 }
 
 // Where no reports are, a fetch counts against a job's aim as far as workers are full; where they are, always: what
 // fetches beside a full store costs large fleets and bursts more than it gives.
-func TestFetchCountsAgainstTheAimAsFarAsWorkersAreFull(t *testing.T) {
+func TestFetchCountsAgainstTheTargetAsFarAsWorkersAreFull(t *testing.T) {
 	for _, tt := range []struct {
 		reports bool
 		full    float64
 		late    bool
 	}{{false, 0, false}, {false, 1, true}, {true, 0, true}, {true, 1, true}} {
 		d := withoutReports(t, func(s *Settings) { s.Reports = tt.reports })
-		d.now, d.run, d.full = time.Second, 0.2, tt.full
-		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1, due: d.now + time.Second, aimBy: d.now + 150*ms}
+		d.now, d.meanRun, d.use = time.Second, 0.2, tt.full
+		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1, due: d.now + time.Second, targetBy: d.now + 150*ms}
 		for hash := uint32(0); j.key == nil || d.fetch(d.order[0], j) < 0.12; hash++ {
 			j.key = d.keyFor(hash)
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,15 +18,15 @@
 func testSettings() Settings {
 	return Settings{Zone: "z0", Number: 0, Schedulers: 2, Period: 5 * ms,
 		Classes: []Class{
-			{Name: "safe", Aim: 100 * ms, Stretch: 2, Deadline: 4 * time.Second},
-			{Name: "keyed", Semantics: Keyed, Aim: 100 * ms, Stretch: 2, Deadline: 4 * time.Second,
+			{Name: "safe", LatencyTarget: 100 * ms, Stretch: 2, Deadline: 4 * time.Second},
+			{Name: "keyed", Semantics: Keyed, LatencyTarget: 100 * ms, Stretch: 2, Deadline: 4 * time.Second,
 				Window: 3 * time.Second},
-			{Name: "unsafe", Semantics: Unsafe, Aim: 200 * ms, Stretch: 2, Deadline: 8 * time.Second},
+			{Name: "unsafe", Semantics: Unsafe, LatencyTarget: 200 * ms, Stretch: 2, Deadline: 8 * time.Second},
 		},
-		TellsStart: true, Reports: true, Cancel: true, MaxAttempts: 3,
+		ReportsStarts: true, Reports: true, Cancel: true, MaxAttempts: 3,
 		ConnIdle:       5 * time.Second,
-		ConnectTimeout: 100 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2, ColdFor: 5 * time.Second,
-		FallMultiple: 3, TipAfter: time.Second}
+		ConnectTimeout: 100 * ms, ResponseGrace: 20 * ms, MinWarmth: 0.2, WarmUpTime: 5 * time.Second,
+		OverloadFactor: 3, OverloadWindow: time.Second}
 }
 
 func testList() Event {
@@ -37,8 +37,8 @@
 	}}
 }
 
-// untold returns a dispatcher that has the list and no report.
-func untold(t testing.TB, change func(*Settings)) *Dispatcher {
+// newWithoutReports returns a dispatcher that has the list and no report.
+func newWithoutReports(t testing.TB, change func(*Settings)) *Dispatcher {
 	t.Helper()
 	s := testSettings()
 	if change != nil {
@@ -54,11 +54,11 @@
 
 func testDispatcher(t testing.TB, change func(*Settings)) *Dispatcher {
 	t.Helper()
-	d := untold(t, change)
+	d := newWithoutReports(t, change)
 	for _, w := range d.order {
 		d.report(w, Report{FreeSlots: 4, FreeMemory: -1, Queued: -1, InFlight: -1, Load: -1})
 	}
-	d.othersHeld = 0
+	d.othersUse = 0
 	d.Step(100*ms, nil, nil)
 	return d
 }
@@ -67,8 +67,8 @@
 	return Event{Kind: Request, ID: id, Class: class, Left: 4 * time.Second, Work: 50 * ms, Slots: 1}
 }
 
-// of returns the actions of one kind.
-func of(kind ActionKind, actions []Action) []Action {
+// ofKind returns the actions of one kind.
+func ofKind(kind ActionKind, actions []Action) []Action {
 	var r []Action
 	for _, a := range actions {
 		if a.Kind == kind {
@@ -78,9 +78,9 @@
 	return r
 }
 
-// sent steps past the next round and returns what was sent.
-func sent(d *Dispatcher, at time.Duration) []Action {
-	return of(Send, d.Step(at, nil, nil))
+// sendsAt steps past the next round and returns what was sent.
+func sendsAt(d *Dispatcher, at time.Duration) []Action {
+	return ofKind(Send, d.Step(at, nil, nil))
 }
 
 func TestAssignMatchesBruteForce(t *testing.T) {
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestGuards(t *testing.T) {
+func TestMaySendAndMayRefuse(t *testing.T) {
 	type earlier struct {
 		worker  int
 		over    bool
@@ -145,7 +145,7 @@
 	}{
 		{"first", "unsafe", Ready, nil, 0, true, true},
 		{"draining", "safe", Draining, nil, 0, false, true},
-		{"gone", "safe", Gone, nil, 0, false, true},
+		{"gone", "safe", Removed, nil, 0, false, true},
 		{"unsafe may have run", "unsafe", Ready, []earlier{{0, true, false, 0}}, 1, false, false},
 		{"unsafe never ran", "unsafe", Ready, []earlier{{0, true, true, 0}}, 1, true, true},
 		{"one at a time", "safe", Ready, []earlier{{0, false, false, 0}}, 1, false, true},
@@ -163,12 +163,12 @@
 			now := 10 * time.Second
 			d.Step(now, []Event{request(1, tt.class)}, nil)
 			j := d.jobs[1]
-			if j == nil || !j.held {
+			if j == nil || !j.pending {
 				t.Fatal("the request is not held")
 			}
 			for n, e := range tt.earlier {
 				j.attempts = append(j.attempts, &attempt{j: j, w: d.order[e.worker], n: n, sent: now - e.sentAgo,
-					over: e.over, neverRan: e.never})
+					ended: e.over, neverRan: e.never})
 			}
 			d.order[tt.to].state = tt.state
 			if got := d.maySend(j, d.order[tt.to]); got != tt.send {
@@ -183,7 +183,7 @@
 
 // However many schedulers there are, what all send to a cold worker stays inside its budget in every window, own
 // restarts included. Where each has a few requests only, most of the budget is used all the same.
-func TestColdBudgetIsSharedByAll(t *testing.T) {
+func TestWarmingBudgetIsSharedByAllSchedulers(t *testing.T) {
 	type work struct {
 		at     time.Duration
 		amount float64
@@ -207,7 +207,7 @@
 				fresh := func(at time.Duration, kind EventKind) *Dispatcher {
 					d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.Number = schedulers, n })
 					d.born = never
-					d.run = 0.6 / float64(1+n) // each has learned other runtimes
+					d.meanRun = 0.6 / float64(1+n) // each has learned other runtimes
 					e := list
 					e.Kind = kind
 					d.Step(at, []Event{e}, nil)
@@ -228,7 +228,7 @@
 						events = append(events, e)
 					}
 					var ended []Event
-					for _, a := range of(Send, d.Step(at, events, nil)) {
+					for _, a := range ofKind(Send, d.Step(at, events, nil)) {
 						sends = append(sends, work{at, size.Seconds()})
 						senders[n] = true
 						ended = append(ended, Event{Kind: AttemptEnded, ID: a.ID, Outcome: OK, Complete: true, Report: NoReport})
@@ -247,7 +247,7 @@
 				if sum > budget {
 					t.Errorf("%.2f s of work within a second from %v, the budget is %.2f", sum, from, budget)
 				}
-				if sum < tt.least*coldMargin*budget*coldTurns/(coldTurns+1) {
+				if sum < tt.least*budgetMargin*budget*budgetIntervals/(budgetIntervals+1) {
 					t.Errorf("only %.2f s of work within a second from %v, the budget is %.2f", sum, from, budget)
 				}
 			}
@@ -260,21 +260,21 @@
 
 // Workers start somewhat warmer and warm sooner than the settings' worst case: a job that makes its aim by the usual
 // course goes to one that just started, while the worst case alone bounds what all send.
-func TestColdWorkersAreTimedByTheUsualCourse(t *testing.T) {
+func TestWarmingWorkersArePredictedByUsualWarmUp(t *testing.T) {
 	d := testDispatcher(t, func(s *Settings) { s.Schedulers = 1 })
 	w := d.workers["a"]
 	w.started, d.now = 10*time.Second, 10*time.Second
-	if worst, usual := d.warmth(w), d.likely(w); worst != 0.2 || usual <= worst || usual > 0.4 {
+	if worst, usual := d.warmth(w), d.likelyWarmth(w); worst != 0.2 || usual <= worst || usual > 0.4 {
 		t.Errorf("warmth at the start %v at worst, %v by the usual course", worst, usual)
 	}
 	for at := time.Duration(0); at < 6*time.Second; at += 100 * ms {
 		d.now = 10*time.Second + at
-		if worst, usual := d.warmth(w), d.likely(w); usual < worst || usual > 1 {
+		if worst, usual := d.warmth(w), d.likelyWarmth(w); usual < worst || usual > 1 {
 			t.Errorf("%v after the start: %v at worst, %v by the usual course", at, worst, usual)
 		}
 	}
-	if d.now = 14 * time.Second; d.likely(w) < 1 {
-		t.Errorf("not warm after four fifths of the longest time: %v", d.likely(w))
+	if d.now = 14 * time.Second; d.likelyWarmth(w) < 1 {
+		t.Errorf("not warm after four fifths of the longest time: %v", d.likelyWarmth(w))
 	}
 	list := Event{Kind: ListReplaced, Members: []Member{{Worker: "a", Zone: "z0", Kind: "k", Started: 20 * time.Second}}}
 	d.Step(20*time.Second, []Event{list}, nil)
@@ -284,7 +284,7 @@
 	d.Step(20*time.Second, []Event{e}, nil)
 	sends := 0
 	for at := 20 * time.Second; at < 20*time.Second+200*ms; at += 5 * ms {
-		sends += len(of(Send, d.Step(at, nil, nil)))
+		sends += len(ofKind(Send, d.Step(at, nil, nil)))
 	}
 	if sends != 1 {
 		t.Errorf("sent %d times to a worker that just started", sends)
@@ -293,7 +293,7 @@
 
 // A scheduler that starts while a worker is cold does not know what its forerunner sent there in the window: it
 // sends a third of its part, not nothing, so that a runner put back during an upgrade still gets work.
-func TestOwnRestartSendsAThirdToColdWorkers(t *testing.T) {
+func TestOwnRestartSendsAThirdToWarmingWorkers(t *testing.T) {
 	start := 10 * time.Second
 	from, to := start+time.Second, start+2*time.Second // the window after the restart
 	list := []Event{{Kind: ListRestored, Members: []Member{{Worker: "a", Zone: "z0", Kind: "k", Started: start}}}}
@@ -306,12 +306,12 @@
 		}
 		d.Step(born, list, nil)
 		d.order[0].kind.seen = 4
-		d.run = 0.6
+		d.meanRun = 0.6
 		for id, at := uint32(1), born; at < to; id, at = id+1, at+5*ms {
 			e := request(id, "safe")
 			e.Work = 50 * ms
 			var ended []Event
-			for _, a := range of(Send, d.Step(at, []Event{e}, nil)) {
+			for _, a := range ofKind(Send, d.Step(at, []Event{e}, nil)) {
 				if at >= from {
 					work += 0.05
 				}
@@ -329,7 +329,7 @@
 
 // Many workers that restart at once refuse connections, or drop what runs, before the list says so: they count as
 // cold at once. A connection that is only slow to set up tells nothing of the kind.
-func TestRefusalsAndResetsLookLikeRestarts(t *testing.T) {
+func TestRefusalsAndResetsCountAsRestarts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		starts  bool
@@ -345,8 +345,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, nil)
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
-			w := d.workers[sent(d, time.Second+d.roundGap)[0].Worker]
-			w.broken = 1 // no more than a connection, by itself
+			w := d.workers[sendsAt(d, time.Second+d.roundInterval)[0].Worker]
+			w.brokenConns = 1 // no more than a connection, by itself
 			if tt.starts {
 				d.Step(1100*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
@@ -360,13 +360,13 @@
 
 // Guards against leaving out workers, or taking them for cold, for connections that break one by one: only where
 // nothing goes well between two is it the worker. Probes tell the same.
-func TestOneBrokenConnectionIsNotTheWorkersFault(t *testing.T) {
+func TestSingleBrokenConnectionIsNotAFailure(t *testing.T) {
 	d := testDispatcher(t, nil)
 	at, w := time.Second, (*worker)(nil)
 	attempt := func(id uint32, o Outcome) {
 		d.Step(at, []Event{request(id, "safe")}, nil)
-		at += d.roundGap
-		for _, a := range of(Send, d.Step(at, nil, nil)) {
+		at += d.roundInterval
+		for _, a := range ofKind(Send, d.Step(at, nil, nil)) {
 			w = d.workers[a.Worker]
 		}
 		d.Step(at+ms, []Event{{Kind: JobStarted, ID: id}}, nil)
@@ -377,74 +377,74 @@
 		d.Step(at, []Event{{Kind: ProbeEnded, Worker: w.name, Outcome: o, Report: NoReport}}, nil)
 	}
 	attempt(1, Reset)
-	if d.now < w.blocked || d.warmth(w) < 1 {
+	if d.now < w.blockedUntil || d.warmth(w) < 1 {
 		t.Fatal("one broken connection is held against its worker")
 	}
 	probe(OK)
 	probe(Reset)
-	if d.now < w.blocked {
+	if d.now < w.blockedUntil {
 		t.Fatal("one after a good probe is held against it")
 	}
 	probe(Reset)
-	if d.now >= w.blocked {
+	if d.now >= w.blockedUntil {
 		t.Fatal("two in a row are not")
 	}
 }
 
-func TestRoundsHoldAndBatch(t *testing.T) {
+func TestRoundsBatchRequests(t *testing.T) {
 	d := testDispatcher(t, nil)
 	for _, w := range d.order {
 		w.others, w.othersAt = d.slots(w)-1, time.Second // one place each, as a second job would wait for the first's start
 	}
 	two := []Event{request(1, "safe"), request(2, "safe")}
-	if got := of(Send, d.Step(time.Second, two, nil)); len(got) != 0 {
+	if got := ofKind(Send, d.Step(time.Second, two, nil)); len(got) != 0 {
 		t.Fatalf("sent outside a round: %v", got)
 	}
-	if got := sent(d, time.Second+d.roundGap); len(got) != 2 {
+	if got := sendsAt(d, time.Second+d.roundInterval); len(got) != 2 {
 		t.Fatalf("the round sent %d of 2", len(got))
 	}
 }
 
-func TestUnstartedJobClosesTheWorker(t *testing.T) {
+func TestUnstartedJobLeavesNoFreeSlots(t *testing.T) {
 	d := testDispatcher(t, nil)
 	d.Step(time.Second, []Event{request(1, "unsafe")}, nil)
-	first := sent(d, time.Second+d.roundGap)
+	first := sendsAt(d, time.Second+d.roundInterval)
 	if len(first) != 1 {
 		t.Fatal("nothing sent")
 	}
 	w := d.workers[first[0].Worker]
 	d.now = time.Second + 300*ms
-	if got := d.room(w); got != 0 {
+	if got := d.freeSlots(w); got != 0 {
 		t.Errorf("room %v beside a job that never started", got)
 	}
 	d.Step(d.now, []Event{{Kind: JobStarted, ID: 1, Attempt: 0}}, nil)
-	w.fails, w.blocked, w.others = 0, 0, 0
-	if got := d.room(w); got < 1 {
+	w.fails, w.blockedUntil, w.others = 0, 0, 0
+	if got := d.freeSlots(w); got < 1 {
 		t.Errorf("room %v after the job started", got)
 	}
 }
 
-func TestFailingWorkerIsLeftAloneAndComesBack(t *testing.T) {
+func TestFailingWorkerIsBlockedAndRecovers(t *testing.T) {
 	d := testDispatcher(t, nil)
 	w := d.order[0]
 	d.now = time.Second
-	d.fail(w)
-	if d.room(w) != 0 {
+	d.recordFailure(w)
+	if d.freeSlots(w) != 0 {
 		t.Error("room at a worker that has just failed")
 	}
-	d.now = w.blocked
-	if got := d.room(w); got != 1 {
+	d.now = w.blockedUntil
+	if got := d.freeSlots(w); got != 1 {
 		t.Errorf("room %v on the way back, want a single job", got)
 	}
 	for i := 0; i < 2; i++ {
 		w.fails = max(0, w.fails-0.5)
 	}
-	if got := d.room(w); got != 4 {
+	if got := d.freeSlots(w); got != 4 {
 		t.Errorf("room %v after successes", got)
 	}
 }
 
-func TestFinalAnswers(t *testing.T) {
+func TestFinalResponses(t *testing.T) {
 	tests := []struct {
 		name    string
 		class   string
@@ -459,9 +459,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, nil)
 			d.Step(time.Second, []Event{request(1, tt.class)}, nil)
-			sent(d, time.Second+d.roundGap)
+			sendsAt(d, time.Second+d.roundInterval)
 			out := d.Step(2*time.Second, []Event{{Kind: AttemptEnded, ID: 1, Outcome: tt.outcome}}, nil)
-			if len(of(tt.want, out)) != 1 {
+			if len(ofKind(tt.want, out)) != 1 {
 				t.Errorf("got %v", out)
 			}
 		})
@@ -469,7 +469,7 @@
 	t.Run("held until out of time", func(t *testing.T) {
 		d := testDispatcher(t, nil)
 		d.Step(time.Second, []Event{{Kind: ListReplaced}, request(1, "unsafe")}, nil)
-		if out := d.Step(5*time.Second-5*ms, nil, nil); len(of(Refuse, out)) != 1 {
+		if out := d.Step(5*time.Second-5*ms, nil, nil); len(ofKind(Refuse, out)) != 1 {
 			t.Errorf("got %v", out)
 		}
 	})
@@ -477,7 +477,7 @@
 		d := testDispatcher(t, nil)
 		e := request(1, "safe")
 		e.Left = -1
-		if out := d.Step(time.Second, []Event{e}, nil); len(of(Refuse, out)) != 1 {
+		if out := d.Step(time.Second, []Event{e}, nil); len(ofKind(Refuse, out)) != 1 {
 			t.Errorf("got %v", out)
 		}
 	})
@@ -494,29 +494,29 @@
 }
 
 type testAttempt struct {
-	worker      string
-	cell        int
-	at          time.Duration
-	out, mayRun bool
+	worker       string
+	cell         int
+	at           time.Duration
+	open, mayRun bool
 }
 
 type testRequest struct {
 	class    Class
 	due      time.Duration
-	answered bool
+	finished bool
 	attempts []testAttempt
 }
 
 func playRandom(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
-	s.TellsStart, s.Reports, s.Cancel = rng.IntN(3) > 0, rng.IntN(3) > 0, rng.IntN(3) > 0
-	s.AskList, s.Probes = rng.IntN(2) > 0, rng.IntN(2) > 0
-	if s.AskList {
-		s.AskWithin = 5 * time.Second
+	s.ReportsStarts, s.Reports, s.Cancel = rng.IntN(3) > 0, rng.IntN(3) > 0, rng.IntN(3) > 0
+	s.ListOnDemand, s.Probes = rng.IntN(2) > 0, rng.IntN(2) > 0
+	if s.ListOnDemand {
+		s.MaxListAge = 5 * time.Second
 	}
 	if seed%4 == 1 { // settings at their limits: one scheduler, one attempt, nothing cold, all traffic over its share
-		s.Schedulers, s.MaxAttempts, s.ConnIdle, s.ColdFor = 1, 1, 0, 0
+		s.Schedulers, s.MaxAttempts, s.ConnIdle, s.WarmUpTime = 1, 1, 0, 0
 		s.Tenants = []Tenant{{Name: "t"}}
 	}
 	if seed%3 == 0 {
@@ -555,12 +555,12 @@
 			r := reqs[id]
 			for k := range r.attempts {
 				a := &r.attempts[k]
-				if !a.out {
+				if !a.open {
 					continue
 				}
 				e := Event{Kind: AttemptEnded, ID: id, Attempt: k, Report: NoReport, Outcome: Cancelled}
 				switch {
-				case now >= r.due && !r.answered:
+				case now >= r.due && !r.finished:
 					e.Outcome = TimedOut
 				case rng.IntN(30) == 0:
 					e.Outcome = []Outcome{OK, OK, OK, Failed, Full, Reset, ConnectFailed, Cancelled}[rng.IntN(8)]
@@ -570,15 +570,15 @@
 				default:
 					continue
 				}
-				a.out = false
+				a.open = false
 				if state[a.worker] != Ready {
 					mustClose = append(mustClose, a.worker)
 				}
 				a.mayRun = e.Outcome != Full && e.Outcome != ConnectFailed
-				if e.Outcome == OK && !r.answered {
-					r.answered = true
+				if e.Outcome == OK && !r.finished {
+					r.finished = true
 				}
-				e.Complete = r.answered
+				e.Complete = r.finished
 				events = append(events, e)
 			}
 		}
@@ -601,11 +601,11 @@
 				Outcome: Outcome(rng.IntN(6)), Report: Report{float64(rng.IntN(5)), -1, -1, -1, -1}})
 		}
 		// odd events are harmless
-		events = append(events, Event{Kind: TimerFired, Token: rng.Uint64N(99)}, Event{Kind: ClientGone, ID: 1 << 30},
+		events = append(events, Event{Kind: TimerFired, Token: rng.Uint64N(99)}, Event{Kind: ClientDisconnected, ID: 1 << 30},
 			Event{Kind: AttemptEnded, ID: uint32(rng.IntN(50)), Attempt: 9})
 		actions := d.Step(now, events, nil)
 		closed := map[string]bool{}
-		for _, a := range of(CloseIdle, actions) {
+		for _, a := range ofKind(CloseIdle, actions) {
 			closed[a.Worker] = true
 		}
 		for _, w := range mustClose {
@@ -617,15 +617,15 @@
 			r := reqs[a.ID]
 			switch a.Kind {
 			case Send:
-				if r.answered || state[a.Worker] != Ready || now > r.due {
-					t.Fatalf("seed %d at %v: sent to %s: answered %v", seed, now, a.Worker, r.answered)
+				if r.finished || state[a.Worker] != Ready || now > r.due {
+					t.Fatalf("seed %d at %v: sent to %s: answered %v", seed, now, a.Worker, r.finished)
 				}
 				cell := 0
 				if a.Worker == "c" {
 					cell = 1
 				}
 				for _, e := range r.attempts {
-					if e.out || e.mayRun && r.class.Semantics == Unsafe {
+					if e.open || e.mayRun && r.class.Semantics == Unsafe {
 						t.Fatalf("seed %d at %v: a second attempt of %s", seed, now, r.class.Name)
 					}
 					if e.mayRun && r.class.Semantics == Keyed && (e.cell != cell || now > e.at+r.class.Window) {
@@ -637,10 +637,10 @@
 					t.Fatalf("seed %d: %d attempts", seed, len(r.attempts))
 				}
 			case Refuse, Fail:
-				if r.answered || now > r.due+s.AnswerSlack {
+				if r.finished || now > r.due+s.ResponseGrace {
 					t.Fatalf("seed %d at %v: answered twice or too late (due %v)", seed, now, r.due)
 				}
-				r.answered = true
+				r.finished = true
 				for _, e := range r.attempts {
 					if a.Kind == Refuse && e.mayRun && r.class.Semantics != Safe {
 						t.Fatalf("seed %d at %v: refused a %s that may have run", seed, now, r.class.Name)
@@ -650,7 +650,7 @@
 		}
 		all = append(all, actions...)
 		for id, r := range reqs {
-			if !r.answered && now > r.due+s.AnswerSlack {
+			if !r.finished && now > r.due+s.ResponseGrace {
 				t.Fatalf("seed %d at %v: request %d was lost", seed, now, id)
 			}
 		}
@@ -662,7 +662,7 @@
 	for name, change := range map[string]func(*Settings){
 		"no classes":      func(s *Settings) { s.Classes = nil },
 		"twin classes":    func(s *Settings) { s.Classes[1].Name = s.Classes[0].Name },
-		"negative aim":    func(s *Settings) { s.Classes[0].Aim = -1 },
+		"negative aim":    func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
 		"negative number": func(s *Settings) { s.Number = -1 },
 	} {
 		s := testSettings()
@@ -674,13 +674,13 @@
 }
 
 // A backlog past its aim must not hold up a job that can still make its own.
-func TestJobsThatMakeTheirAimGoFirst(t *testing.T) {
+func TestJobsThatMakeTheirTargetGoFirst(t *testing.T) {
 	d := testDispatcher(t, nil)
 	for _, w := range d.order {
 		w.busy = d.slots(w)
 	}
 	var old []Event
-	for id := uint32(1); id <= 2*roundJobs; id++ {
+	for id := uint32(1); id <= 2*maxRoundJobs; id++ {
 		old = append(old, request(id, "safe"))
 	}
 	d.Step(time.Second, old, nil)
@@ -689,8 +689,8 @@
 	fresh.Work = 90 * ms // longer than those that wait, so that cost alone would take them first
 	d.Step(at, []Event{fresh}, nil)
 	d.order[0].busy--
-	d.wantRound()
-	got := sent(d, at+2*d.roundGap)
+	d.scheduleRound()
+	got := sendsAt(d, at+2*d.roundInterval)
 	if len(got) != 1 || got[0].ID != 999 {
 		t.Errorf("got %v, want request 999 alone", got)
 	}
@@ -698,7 +698,7 @@
 
 // Crossing zones has a price: a job waits for its own zone while its slack allows, and not a moment where that
 // zone has no usable worker.
-func TestStaysInItsZoneWhileSlackAllows(t *testing.T) {
+func TestStaysInZoneWhileSlackAllows(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		price      float64
@@ -717,12 +717,12 @@
 			for _, w := range d.order[:2] {
 				w.busy = d.slots(w)
 				if tt.homeFailed {
-					w.state = Gone
+					w.state = Removed
 				}
 			}
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
-			d.wantRound()
-			got := sent(d, time.Second+tt.after)
+			d.scheduleRound()
+			got := sendsAt(d, time.Second+tt.after)
 			if (len(got) == 1 && got[0].Worker == "c") != tt.crosses {
 				t.Errorf("sent %v", got)
 			}
@@ -732,7 +732,7 @@
 
 // A fresh worker that warms faster than the settings' worst case is soon priced by what it does, while its
 // kind's runtimes learn nothing from it.
-func TestColdWorkerIsPricedByWhatItDoes(t *testing.T) {
+func TestWarmingWorkerIsPricedByItsRuntimes(t *testing.T) {
 	d := testDispatcher(t, nil)
 	w := d.order[0]
 	w.started = time.Second
@@ -743,7 +743,7 @@
 		a := j.attempts[0]
 		d.start(a)
 		d.now += 50 * ms // warm speed at once
-		w.drop(a, d.now)
+		w.removeAttempt(a, d.now)
 		d.learn(a)
 	}
 	if got, worst := d.predict(w, &job{size: 0.05}), 0.05/d.warmth(w); got > worst/2 {
@@ -756,7 +756,7 @@
 
 // The next job waits until the last one has started; a late start shows that others hold
 // the rest, a prompt one that they do not.
-func TestStartsTellWhatOthersHold(t *testing.T) {
+func TestStartsShowOthersSlots(t *testing.T) {
 	d := testDispatcher(t, nil)
 	w := d.order[0]
 	for _, tt := range []struct {
@@ -767,7 +767,7 @@
 		w.others, w.othersAt, w.fails = 0, d.now, 0
 		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1}
 		d.send(j, w)
-		if got := d.room(w); got != 0 {
+		if got := d.freeSlots(w); got != 0 {
 			t.Errorf("room %v beside an unstarted job", got)
 		}
 		w.others = tt.before
@@ -776,21 +776,21 @@
 		if w.others != tt.now {
 			t.Errorf("start after %v: others hold %v, want %v", tt.wait, w.others, tt.now)
 		}
-		w.drop(j.attempts[0], d.now)
+		w.removeAttempt(j.attempts[0], d.now)
 	}
 }
 
 // Avoiding sick workers must last while some others are healthy: half of the workers failing fast would otherwise
 // take nearly all jobs. Only where nearly all look sick is none avoided.
-func TestFailsOpenOnlyWhenNearlyAllLookSick(t *testing.T) {
+func TestFailsOpenOnlyWhenNearlyAllAreUnhealthy(t *testing.T) {
 	for sick, want := range map[int]bool{0: false, 1: false, 2: false, 3: true} {
 		d := testDispatcher(t, nil)
 		for _, w := range d.order[:sick] {
 			d.now = time.Second
-			d.fail(w)
+			d.recordFailure(w)
 		}
 		d.Step(time.Second, []Event{request(1, "safe")}, nil)
-		if d.wantRound(); d.roundAt < never {
+		if d.scheduleRound(); d.roundAt < never {
 			d.Step(d.roundAt, nil, nil)
 		}
 		if d.failOpen != want {
@@ -805,7 +805,7 @@
 		name       string
 		price      float64
 		want, most int
-	}{{"free", 0, probesMost, probesMost}, {"dear", probeShare / 2, 2, 2}, {"too dear", 2 * probeShare, 0, 0}} {
+	}{{"free", 0, maxProbes, maxProbes}, {"dear", maxProbeCost / 2, 2, 2}, {"too dear", 2 * maxProbeCost, 0, 0}} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.ProbePrice, s.Probes = 400, tt.price, true })
 			var list []Member
@@ -813,10 +813,10 @@
 				list = append(list, Member{Worker: string(rune('A' + n)), Zone: []string{"z0", "z1"}[n%2], Kind: "k"})
 			}
 			d.Step(time.Second, []Event{{Kind: ListReplaced, Members: list}}, nil)
-			if got := of(Probe, d.Step(2*time.Second, nil, nil)); len(got) != 0 {
+			if got := ofKind(Probe, d.Step(2*time.Second, nil, nil)); len(got) != 0 {
 				t.Errorf("probes without a request: %v", got)
 			}
-			got := of(Probe, d.Step(3*time.Second, []Event{request(1, "safe")}, nil))
+			got := ofKind(Probe, d.Step(3*time.Second, []Event{request(1, "safe")}, nil))
 			if len(got) != tt.want {
 				t.Errorf("%d probes, want %d", len(got), tt.want)
 			}
@@ -831,7 +831,7 @@
 
 // While workers are full on the whole, or where a late answer earns nothing, a job that misses its aim before it
 // starts is given up; at other times, and once it runs, it is served late.
-func TestOverloadGivesUpWhatMissesItsAim(t *testing.T) {
+func TestOverloadGivesUpJobsThatMissTheirTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		full, late   float64
@@ -849,17 +849,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, func(s *Settings) {
 				for i := range s.Classes {
-					s.Classes[i].LateWorth = tt.late
+					s.Classes[i].LateValue = tt.late
 				}
 			})
-			d.full, d.overload = tt.full, tt.full > packed
+			d.use, d.overload = tt.full, tt.full > overloadedAt
 			if !tt.sent {
 				for _, w := range d.order {
 					w.busy = d.slots(w)
 				}
 			}
 			d.Step(time.Second, []Event{request(1, "unsafe")}, nil)
-			if got := len(sent(d, time.Second+d.roundGap)); (got == 1) != tt.sent {
+			if got := len(sendsAt(d, time.Second+d.roundInterval)); (got == 1) != tt.sent {
 				t.Fatalf("%d sent", got)
 			}
 			if tt.starts {
@@ -868,7 +868,7 @@
 			answers := 0
 			for at := time.Second + 50*ms; at < 2*time.Second; at += 5 * ms {
 				out := d.Step(at, nil, nil)
-				answers += len(of(Refuse, out)) + len(of(Fail, out))
+				answers += len(ofKind(Refuse, out)) + len(ofKind(Fail, out))
 			}
 			if answers != tt.want {
 				t.Errorf("%d final answers, want %d", answers, tt.want)
@@ -879,7 +879,7 @@
 
 // Where a late answer earns nothing, a job is not sent where it would only be late: it waits for a better place. Where
 // no reports tell what workers hold, predictions err more: it goes out while there is room.
-func TestNothingLateIsSentWhereItEarnsNothing(t *testing.T) {
+func TestLateJobIsNotSentWhereLateValueIsZero(t *testing.T) {
 	for _, tt := range []struct {
 		late, full float64
 		reports    bool
@@ -888,53 +888,53 @@
 		d := testDispatcher(t, func(s *Settings) {
 			s.Reports = tt.reports
 			for i := range s.Classes {
-				s.Classes[i].LateWorth = tt.late
+				s.Classes[i].LateValue = tt.late
 			}
 		})
-		d.run, d.full = 0.01, tt.full
+		d.meanRun, d.use = 0.01, tt.full
 		for _, w := range d.order { // about as full where no reports tell it
 			w.busy = 4 * tt.full
-			w.running, w.most = w.busy, 8
+			w.running, w.maxRunning = w.busy, 8
 		}
 		for _, w := range d.order {
 			w.slow = 8
 		}
 		d.Step(time.Second, []Event{{Kind: Request, ID: 1, Class: "safe", Left: time.Second, Work: 50 * ms, Slots: 1}}, nil)
-		if got := len(sent(d, time.Second+d.roundGap)); got != tt.want {
+		if got := len(sendsAt(d, time.Second+d.roundInterval)); got != tt.want {
 			t.Errorf("late worth %v, %v of the slots in use, reports %v: %d sent, want %d", tt.late, tt.full, tt.reports, got, tt.want)
 		}
 	}
 }
 
 // The aim of a retry runs from the first try, also where clients do not mark retries: it has less time left.
-func TestUnmarkedRetryIsOlder(t *testing.T) {
+func TestUnmarkedRetryKeepsItsTarget(t *testing.T) {
 	d := testDispatcher(t, nil)
 	d.Step(time.Second, []Event{request(1, "safe")}, nil)
 	retry := request(2, "safe")
 	retry.Left -= time.Second
 	d.Step(time.Second, []Event{retry}, nil)
-	if got := d.jobs[1].aimBy - d.jobs[2].aimBy; got != time.Second {
+	if got := d.jobs[1].targetBy - d.jobs[2].targetBy; got != time.Second {
 		t.Errorf("the aim is %v earlier, want 1s", got)
 	}
 }
 
 // A worker that was slow is tried again after a while: left alone, it could never show that it has recovered.
-func TestSlownessFades(t *testing.T) {
+func TestSlownessDecays(t *testing.T) {
 	d := testDispatcher(t, nil)
 	j := &job{size: 0.05, slots: 1}
 	w := d.order[0]
-	w.slow, w.learnt = 8, d.now
+	w.slow, w.learnedAt = 8, d.now
 	if got := d.predict(w, j) / j.size; math.Abs(got-8) > 1e-9 {
 		t.Errorf("just learnt: %v runtimes, want 8", got)
 	}
-	d.now += 5 * slowFades
+	d.now += 5 * slowDecay
 	if got := d.predict(w, j) / j.size; got > 2.1 {
 		t.Errorf("long after: %v runtimes, want about 2", got)
 	}
 }
 
 // All schedulers send a key to the same worker while it has room, and to the same next one when it is sick.
-func TestKeysKeepToTheirWorker(t *testing.T) {
+func TestKeysPreferTheirHome(t *testing.T) {
 	members := []Member{}
 	for n := 0; n < 12; n++ {
 		members = append(members, Member{Worker: string(rune('a' + n)), Zone: "z0", Kind: "k"})
@@ -948,8 +948,8 @@
 				e := request(uint32(n+1), "safe")
 				e.Key = key
 				at := time.Duration(n+2) * time.Second
-				got := of(Send, d.Step(at, []Event{e}, nil))
-				got = append(got, sent(d, at+2*d.roundGap)...)
+				got := ofKind(Send, d.Step(at, []Event{e}, nil))
+				got = append(got, sendsAt(d, at+2*d.roundInterval)...)
 				if len(got) != 1 {
 					t.Fatalf("scheduler %d, %s, %s: %d sent", number, key, tried, len(got))
 				}
@@ -958,7 +958,7 @@
 					t.Errorf("scheduler %d sends %s to %s, another to %s", number, key, w, before)
 				}
 				seen[key+tried] = w
-				d.fail(d.workers[w])
+				d.recordFailure(d.workers[w])
 			}
 			if seen[key+"first"] == seen[key+"second"] {
 				t.Errorf("%s stays at a sick worker", key)
@@ -972,7 +972,7 @@
 	first := map[string]bool{}
 	for number := range 3 {
 		d := testDispatcher(t, func(s *Settings) { s.Number, s.Schedulers = number, 3 })
-		d.full = 1 // no own first worker for each zone
+		d.use = 1 // no own first worker for each zone
 		j := &job{key: d.keyFor(7), size: 0.05}
 		j.key.work, j.key.at = 3*d.slots(d.order[0]), d.now
 		for _, w := range d.order {
@@ -980,7 +980,7 @@
 				first[w.name] = true
 			}
 		}
-		if j.key.at -= time.Hour; d.fetch(d.order[0], j)+d.fetch(d.order[1], j)+d.fetch(d.order[2], j) < d.run {
+		if j.key.at -= time.Hour; d.fetch(d.order[0], j)+d.fetch(d.order[1], j)+d.fetch(d.order[2], j) < d.meanRun {
 			t.Error("a key that is not asked for any more stays at several workers")
 		}
 	}
@@ -991,12 +991,12 @@
 
 // Guards against crossings that nothing calls for: each key has a first worker in the scheduler's own zone while
 // there are slots, and jobs go there. Where slots are short, it has one for all zones, to spare the store.
-func TestKeyHasAHomeInTheOwnZone(t *testing.T) {
+func TestKeyHasAHomeInOwnZone(t *testing.T) {
 	for _, zone := range []string{"z0", "z1"} {
 		d := testDispatcher(t, func(s *Settings) { s.Zone, s.CrossZonePrice = zone, 0.03 })
-		d.fetched = 0 // they were seen to be short
+		d.meanFetch = 0 // they were seen to be short
 		for hash := range uint32(50) {
-			j := &job{key: d.keyFor(hash), size: 0.05, class: &d.set.Classes[0], due: time.Hour, aimBy: time.Hour}
+			j := &job{key: d.keyFor(hash), size: 0.05, class: &d.set.Classes[0], due: time.Hour, targetBy: time.Hour}
 			homes := map[bool]int{}
 			best := d.order[0]
 			for _, w := range d.order {
@@ -1010,14 +1010,14 @@
 			if homes[true] != 1 || best.zone != zone {
 				t.Errorf("key %d has %d homes in %s and goes to %s", hash, homes[true], zone, best.zone)
 			}
-			d.full = 1
+			d.use = 1
 			all := 0
 			for _, w := range d.order {
 				if d.fetch(w, j) == 0 {
 					all++
 				}
 			}
-			if d.full = 0; all != 1 {
+			if d.use = 0; all != 1 {
 				t.Errorf("key %d has %d homes where slots are short", hash, all)
 			}
 		}
@@ -1026,39 +1026,39 @@
 
 // Guards against workers that report room and yet turn away a part of what comes: a job that is turned away goes
 // to another, also while the one has room again, until that one starts others.
-func TestWorkerThatTurnsAwayIsDearer(t *testing.T) {
+func TestRejectionsRaiseAWorkersCost(t *testing.T) {
 	d := testDispatcher(t, nil)
-	j := &job{key: d.keyFor(7), size: 0.05, class: &d.set.Classes[0], due: time.Hour, aimBy: time.Hour}
+	j := &job{key: d.keyFor(7), size: 0.05, class: &d.set.Classes[0], due: time.Hour, targetBy: time.Hour}
 	best := func() *worker {
 		return slices.MinFunc(d.order[:2], func(a, b *worker) int { return cmp.Compare(d.cost(j, a, 1, 1), d.cost(j, b, 1, 1)) })
 	}
 	home := best()
-	home.turned = 2
+	home.rejections = 2
 	if best() == home {
 		t.Error("a worker that turned two jobs away is still the cheapest")
 	}
 	a := &attempt{j: j, w: home, sent: d.now}
-	home.out = append(home.out, a)
+	home.inFlight = append(home.inFlight, a)
 	d.jobs[9] = &job{id: 9, attempts: []*attempt{a}}
 	d.Step(d.now+ms, []Event{{Kind: JobStarted, ID: 9}}, nil)
-	if home.turned != 1 {
-		t.Errorf("%d jobs held against it after a start, want 1", home.turned)
+	if home.rejections != 1 {
+		t.Errorf("%d jobs held against it after a start, want 1", home.rejections)
 	}
 	d.Step(d.now+ms, []Event{{Kind: AttemptEnded, ID: 9, Outcome: Full, Report: NoReport}}, nil)
-	if home.turned != 2 {
-		t.Errorf("%d jobs held against it after one more, want 2", home.turned)
+	if home.rejections != 2 {
+		t.Errorf("%d jobs held against it after one more, want 2", home.rejections)
 	}
 }
 
 // A price that allows less than one probe a job brings one every few jobs, not none.
 func TestFractionalProbes(t *testing.T) {
-	d := testDispatcher(t, func(s *Settings) { s.ProbePrice, s.Probes, s.Reports = 2*probeShare, true, true })
+	d := testDispatcher(t, func(s *Settings) { s.ProbePrice, s.Probes, s.Reports = 2*maxProbeCost, true, true })
 	probes := 0
 	for n := range 8 {
 		at := time.Duration(n+3) * time.Second
-		d.Step(at-ms, []Event{{Kind: ClientGone, ID: uint32(n)}}, nil) // no round is due as the next job comes
+		d.Step(at-ms, []Event{{Kind: ClientDisconnected, ID: uint32(n)}}, nil) // no round is due as the next job comes
 		out := d.Step(at, []Event{request(uint32(n+1), "safe")}, nil)
-		for _, a := range of(Probe, out) {
+		for _, a := range ofKind(Probe, out) {
 			probes++
 			d.Step(time.Duration(n+3)*time.Second+ms, []Event{{Kind: ProbeEnded, Worker: a.Worker, Report: NoReport}}, nil)
 		}
@@ -1068,7 +1068,7 @@
 	}
 }
 
-func TestGroups(t *testing.T) {
+func TestSameGroup(t *testing.T) {
 	a := &worker{zone: "x", cell: 1}
 	for _, tt := range []struct {
 		scope Scope
@@ -1087,7 +1087,7 @@
 
 // Where the settings give a time for it, idle connections to a draining worker are closed at the notice, and once
 // more after what was still out there has ended.
-func TestClosesIdleConnectionsOnDrains(t *testing.T) {
+func TestIdleConnectionsCloseOnDrain(t *testing.T) {
 	drain := Event{Kind: ListChanged, Members: []Member{{Worker: "a", Zone: "z0", Kind: "k", State: Draining}}}
 	gone := Event{Kind: ListReplaced, Members: testList().Members[1:]}
 	ended := Event{Kind: AttemptEnded, ID: 1, Outcome: OK, Complete: true, Report: NoReport}
@@ -1111,15 +1111,15 @@
 			d := testDispatcher(t, func(s *Settings) { s.DrainClose, s.Probes = tt.within, false })
 			if tt.out {
 				for _, w := range []*worker{d.workers["b"], d.workers["c"]} {
-					w.state = Gone
+					w.state = Removed
 				}
 				d.Step(time.Second, []Event{request(1, "safe")}, nil)
-				if got := sent(d, time.Second+d.roundGap); len(got) != 1 || got[0].Worker != "a" {
+				if got := sendsAt(d, time.Second+d.roundInterval); len(got) != 1 || got[0].Worker != "a" {
 					t.Fatalf("sent %v", got)
 				}
 			}
 			for n, e := range tt.events {
-				got := of(CloseIdle, d.Step(2*time.Second+time.Duration(n)*ms, []Event{e}, nil))
+				got := ofKind(CloseIdle, d.Step(2*time.Second+time.Duration(n)*ms, []Event{e}, nil))
 				closes := 0
 				for _, a := range got {
 					if a.Worker == "a" {
@@ -1140,7 +1140,7 @@
 			t.Fatal(err)
 		}
 		restored := Event{Kind: ListRestored, Members: drain.Members}
-		if got := of(CloseIdle, d.Step(0, []Event{restored}, nil)); len(got) != 1 {
+		if got := ofKind(CloseIdle, d.Step(0, []Event{restored}, nil)); len(got) != 1 {
 			t.Errorf("got %v", got)
 		}
 	})
@@ -1148,7 +1148,7 @@
 
 // Nothing heard from a worker since a send means that it hangs or vanished; a job that started there and runs for
 // long may just be long: moving it runs it twice, and its worker is not at fault.
-func TestSilenceIsBlamedOnlyBeforeTheStart(t *testing.T) {
+func TestUnresponsiveWorkerFailsOnlyBeforeTheStart(t *testing.T) {
 	for _, tt := range []struct {
 		name                   string
 		tells, starts, signs   bool
@@ -1163,22 +1163,22 @@
 		{"starts are not told, others end there", false, false, true, 0, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d := testDispatcher(t, func(s *Settings) { s.TellsStart = tt.tells })
+			d := testDispatcher(t, func(s *Settings) { s.ReportsStarts = tt.tells })
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
-			w := d.workers[sent(d, time.Second+d.roundGap)[0].Worker]
-			w.broken, w.turned = 1, tt.turned // no more than a connection, by itself
+			w := d.workers[sendsAt(d, time.Second+d.roundInterval)[0].Worker]
+			w.brokenConns, w.rejections = 1, tt.turned // no more than a connection, by itself
 			if tt.starts {
 				d.Step(time.Second+50*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
 			cancels := 0
 			for at := time.Second + 50*ms; at < 3*time.Second; at += 5 * ms {
 				if tt.signs {
-					w.alive = at
+					w.lastProgress = at
 				}
 				for _, o := range d.order { // fresh reports show room elsewhere
 					o.othersAt = at
 				}
-				cancels += len(of(Cancel, d.Step(at, nil, nil)))
+				cancels += len(ofKind(Cancel, d.Step(at, nil, nil)))
 			}
 			if (w.fails > 0) != tt.wantFailed || (cancels > 0) != tt.wantCancel {
 				t.Errorf("fails %v, %d cancels", w.fails, cancels)
@@ -1189,7 +1189,7 @@
 
 // How full workers are on the whole comes from reports. Where these do not tell the queue, a worker without a free
 // slot counts as having one: else nothing would ever look overloaded.
-func TestFullnessByReports(t *testing.T) {
+func TestUseFromReports(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		free, queued float64
@@ -1203,21 +1203,21 @@
 			for range 200 {
 				d.report(d.order[0], Report{FreeSlots: tt.free, FreeMemory: -1, Queued: tt.queued})
 			}
-			if packed := d.full > packed; packed != tt.packed || tt.free == 0 && tt.queued < 0 && d.full <= 1 {
-				t.Errorf("fullness %v", d.full)
+			if packed := d.use > overloadedAt; packed != tt.packed || tt.free == 0 && tt.queued < 0 && d.use <= 1 {
+				t.Errorf("fullness %v", d.use)
 			}
 		})
 	}
 }
 
 // Staff are told once when something changes, and once when it is over.
-func TestLogsChanges(t *testing.T) {
+func TestConditionsAreLoggedOnce(t *testing.T) {
 	d := testDispatcher(t, nil)
 	at := time.Second
 	logs := func(events ...Event) []string {
 		var texts []string
 		for n := 0; n < 20; n++ {
-			for _, a := range of(Log, d.Step(at, events, nil)) {
+			for _, a := range ofKind(Log, d.Step(at, events, nil)) {
 				texts = append(texts, a.Text)
 			}
 			at, events = at+5*ms, nil
@@ -1233,13 +1233,13 @@
 		{"nothing", nil, func() {}, nil},
 		{"list lost", []Event{{Kind: ListUnavailable}, {Kind: ListUnavailable}}, func() {}, []string{listLost + ": true"}},
 		{"list back", []Event{testList()}, func() {}, []string{listLost + ": false"}},
-		{"full", []Event{request(1, "safe")}, func() { d.full = 1.2 },
+		{"full", []Event{request(1, "safe")}, func() { d.use = 1.2 },
 			[]string{"late jobs are given up: true"}},
-		{"room again", []Event{request(2, "safe")}, func() { d.full = 0.5 },
+		{"room again", []Event{request(2, "safe")}, func() { d.use = 0.5 },
 			[]string{"late jobs are given up: false"}},
 		{"all sick", []Event{request(3, "safe")}, func() {
 			for _, w := range d.order {
-				d.fail(w)
+				d.recordFailure(w)
 			}
 		}, []string{"nearly all workers near by look sick and none is avoided: true"}},
 	}
@@ -1293,14 +1293,14 @@
 }
 
 // Workers that are gone and connections that ended are forgotten: memory follows the fleet, not its history.
-func TestForgetsWhatIsGone(t *testing.T) {
+func TestStateOfRemovedWorkersIsDropped(t *testing.T) {
 	d := testDispatcher(t, nil)
 	for n := 0; n < 300; n++ {
 		at := time.Duration(n+1) * time.Second
 		events := []Event{{Kind: ListReplaced, Members: []Member{{Worker: fmt.Sprint("w", n), Zone: "z0", Kind: "k"}}},
 			request(uint32(n), "safe")}
 		for ; at < time.Duration(n+2)*time.Second; at += 5 * ms {
-			out := of(Send, d.Step(at, events, nil))
+			out := ofKind(Send, d.Step(at, events, nil))
 			events = nil
 			for _, a := range out {
 				events = append(events, Event{Kind: AttemptEnded, ID: a.ID, Outcome: OK, Complete: true, Report: NoReport})
@@ -1319,7 +1319,7 @@
 
 // Lists may shrink to nothing, repeat a worker, change its kind, go back in time or name no zone; reports may be
 // absurd. Nothing of it panics, and the next sound list is used.
-func TestOddListsAndReports(t *testing.T) {
+func TestImplausibleListsAndReports(t *testing.T) {
 	d := testDispatcher(t, nil)
 	m := Member{Worker: "a", Zone: "z0", Kind: "k"}
 	other, early, bare := m, m, Member{Worker: "x"}
@@ -1336,7 +1336,7 @@
 	}
 	at += time.Minute
 	d.Step(at, []Event{testList(), request(1, "safe")}, nil)
-	if got := sent(d, at+d.roundGap); len(got) != 1 {
+	if got := sendsAt(d, at+d.roundInterval); len(got) != 1 {
 		t.Errorf("sent %v", got)
 	}
 }
@@ -1356,10 +1356,10 @@
 		reach      int
 		want, home int
 	}{
-		{"many, crossing dear", "z0", 400, 0.1, 0, nearWorkers, nearWorkers},
-		{"many, crossing cheap", "z0", 400, 0, 0, 2 * nearWorkers, nearWorkers},
-		{"no place found", "z0", 400, 0.1, 1000, 7 * nearWorkers, nearWidest * nearWorkers},
-		{"own zone empty", "z2", 400, 0.1, 0, nearWorkers, 0},
+		{"many, crossing dear", "z0", 400, 0.1, 0, minNear, minNear},
+		{"many, crossing cheap", "z0", 400, 0, 0, 2 * minNear, minNear},
+		{"no place found", "z0", 400, 0.1, 1000, 7 * minNear, maxNearFactor * minNear},
+		{"own zone empty", "z2", 400, 0.1, 0, minNear, 0},
 		{"nearly alone", "z0", 2, 0.1, 0, 200, 100},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -1397,7 +1397,7 @@
 		asked := map[time.Duration]int{}
 		for number := 0; number < 200; number++ {
 			s := testSettings()
-			s.AskList, s.AskWithin, s.Schedulers, s.Number = true, 10*time.Second, 200, number
+			s.ListOnDemand, s.MaxListAge, s.Schedulers, s.Number = true, 10*time.Second, 200, number
 			d, err := New(s, uint64(number))
 			if err != nil {
 				t.Fatal(err)
@@ -1408,7 +1408,7 @@
 				d.Step(0, []Event{{Kind: kind}}, nil)
 			}
 			for at := 5 * ms; at <= 10*time.Second; at += 5 * ms {
-				if len(of(Subscribe, d.Step(at, nil, nil))) > 0 {
+				if len(ofKind(Subscribe, d.Step(at, nil, nil))) > 0 {
 					asked[at/(250*ms)]++
 					break
 				}
@@ -1428,7 +1428,7 @@
 
 // Where the settings do not tell how many schedulers there are, a scheduler's own number tells the fewest there can be:
 // its part of a cold worker's budget follows that, not a fleet of one.
-func TestOwnNumberTellsTheFewestSchedulers(t *testing.T) {
+func TestOwnNumberImpliesMinimumOfSchedulers(t *testing.T) {
 	for _, tt := range []struct{ told, number, want int }{{0, 0, 1}, {0, 7, 8}, {80, 7, 80}, {1, 0, 1}} {
 		d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.Number = tt.told, tt.number })
 		if d.set.Schedulers != tt.want {
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,21 +1,21 @@
 package policy
 
-// A request from its arrival to its final answer, and what may be sent for it.
+// A request from its arrival to its final response, and the guards on every attempt for it.
 
 import "slices"
 
-const keysMost = 1 << 14 // keys whose demand is known; then all are learnt anew
+const maxKeys = 1 << 14 // keys with a record of demand; one more clears them all
 
 func (d *Dispatcher) arrive(e *Event) {
 	row, ok := d.classes[e.Class]
 	if d.jobs[e.ID] != nil {
 		return
-	} else if !ok { // the settings do not know its class: nothing ever ran of it
+	} else if !ok { // no class of the settings, so it never ran
 		d.out = append(d.out, Action{Kind: Refuse, ID: e.ID})
 		return
 	}
 	c := &d.set.Classes[row]
-	j := &job{id: e.ID, arrived: d.now, due: d.now + e.Left, class: c, row: row, held: true,
+	j := &job{id: e.ID, arrived: d.now, due: d.now + e.Left, class: c, row: row, pending: true,
 		size: d.means[row], slots: max(1, e.Slots), memory: max(0, e.Memory)}
 	if e.Work > 0 {
 		j.size = e.Work.Seconds()
@@ -24,7 +24,7 @@
 	if e.Key != "" {
 		hash := hashOf(e.Key)
 		if d.keys[hash] == nil {
-			if len(d.keys) >= keysMost {
+			if len(d.keys) >= maxKeys {
 				clear(d.keys)
 			}
 			d.keys[hash] = &key{hash: hash}
@@ -33,18 +33,18 @@
 		j.key.work = j.key.demand(d.now) + j.size*j.slots
 		j.key.at = d.now
 	}
-	j.aimBy = d.now + c.Aim + seconds(c.Stretch*j.size)
-	// The aim runs from the first try. A retry has less time left, and shows by that where none is marked.
-	d.longest[row] = max(d.longest[row], e.Left)
-	whole := d.longest[row]
+	j.targetBy = d.now + c.LatencyTarget + seconds(c.Stretch*j.size)
+	// The target counts from the first attempt. A retry, marked or not, shows by the time that it has left.
+	d.maxLeft[row] = max(d.maxLeft[row], e.Left)
+	original := d.maxLeft[row]
 	if e.Retry {
-		whole = max(c.Deadline, e.Left)
+		original = max(c.Deadline, e.Left)
 	}
-	j.aimBy -= whole - e.Left
+	j.targetBy -= original - e.Left
 	if t, ok := d.tenants[e.Tenant]; ok {
-		b, rate := &d.buckets[t], d.set.Tenants[t].Allowance*d.share()
+		b, rate := &d.buckets[t], d.set.Tenants[t].Allowance*d.quota()
 		b.tokens, b.at = min(max(1, rate), b.tokens+rate*(d.now-b.at).Seconds()), d.now
-		if j.over = b.tokens < 1; !j.over {
+		if j.overQuota = b.tokens < 1; !j.overQuota {
 			b.tokens--
 		}
 	}
@@ -52,13 +52,13 @@
 	d.open = append(d.open, j)
 	j.check = j.due - d.set.Period
 	d.scanAt = min(d.scanAt, j.check)
-	d.toAsk += d.perJob
-	if d.wantRound(); e.Left <= 0 || d.closing || d.set.MaxOpen > 0 && len(d.jobs) >= d.set.MaxOpen {
+	d.probesDue += d.probesPerJob
+	if d.scheduleRound(); e.Left <= 0 || d.closing || d.set.MaxOpen > 0 && len(d.jobs) >= d.set.MaxOpen {
 		d.finish(j)
 	}
 }
 
-// maySend decides whether an attempt for j may go to w now. Every send passes here.
+// maySend reports whether an attempt for j may go to w now. Every send is checked by it.
 func (d *Dispatcher) maySend(j *job, w *worker) bool {
 	if j.ended || j.streaming || d.now >= j.due || w.state != Ready ||
 		len(j.attempts) >= d.set.MaxAttempts || j.class.Kind != "" && j.class.Kind != w.kind.name {
@@ -66,21 +66,21 @@
 	}
 	for _, a := range j.attempts {
 		other := j.class.Semantics == Keyed && !sameGroup(j.class.Scope, a.w, w)
-		if !a.neverRan && (!a.over || other) || d.settled(a) {
+		if !a.neverRan && (!a.ended || other) || d.barsRetry(a) {
 			return false
 		}
 	}
-	return d.coldRoom(w, w.kind.runtime(j.size)*j.slots)
+	return d.inWarmingBudget(w, w.kind.runtime(j.size)*j.slots)
 }
 
-// settled tells whether a may have run and nothing may follow it: workers may no longer know its key by then.
-func (d *Dispatcher) settled(a *attempt) bool {
+// barsRetry reports whether a may have run and none may follow: it is unsafe, or its key may be forgotten.
+func (d *Dispatcher) barsRetry(a *attempt) bool {
 	c := a.j.class
 	late := d.now+d.set.ConnectTimeout >= a.sent+c.Window
 	return !a.neverRan && (c.Semantics == Unsafe || c.Semantics == Keyed && late)
 }
 
-// mayRefuse decides whether j may be refused, which tells its client that a retry is harmless.
+// mayRefuse reports whether j may be refused, which promises its client that a retry is harmless.
 func (d *Dispatcher) mayRefuse(j *job) bool {
 	harmless := j.class.Semantics == Safe || j.class.Semantics == Keyed && j.class.Scope == ScopeAll
 	return !j.ended && !j.streaming && (harmless || !slices.ContainsFunc(j.attempts, mayHaveRun))
@@ -92,33 +92,33 @@
 	return s == ScopeAll || s == ScopeZone && a.zone == b.zone || s == ScopeCell && a.cell == b.cell
 }
 
-// finish gives j its final answer.
+// finish gives j its final response.
 func (d *Dispatcher) finish(j *job) {
 	if j.ended || j.streaming {
 		return
 	}
-	answer := Action{Kind: Fail, ID: j.id}
+	response := Action{Kind: Fail, ID: j.id}
 	if d.mayRefuse(j) {
-		answer.Kind, answer.RetryAfter = Refuse, d.set.MaxRetryAfter
+		response.Kind, response.RetryAfter = Refuse, d.set.MaxRetryAfter
 	}
-	d.out = append(d.out, answer)
+	d.out = append(d.out, response)
 	d.end(j)
 }
 
-// end forgets j and cancels the attempts that are still out, so that workers do not run them in vain.
+// end forgets j and cancels its attempts in flight, so that workers don't run them in vain.
 func (d *Dispatcher) end(j *job) {
-	j.ended, j.held = true, false
+	j.ended, j.pending = true, false
 	delete(d.jobs, j.id)
 	for _, a := range j.attempts {
-		if !a.over {
-			d.jobs[j.id] = j // its outcome has yet to come
-			d.withdraw(a)
+		if !a.ended {
+			d.jobs[j.id] = j // until its outcome arrives
+			d.cancel(a)
 		}
 	}
 }
 
-// hopeless tells whether j, not started yet, is given up: it would end late and, where workers are full on
-// the whole, make others late. It gives up the part of the worth that late answers earn.
-func (d *Dispatcher) hopeless(j *job, l float64) bool {
-	return (d.overload || j.class.LateWorth == 0) && d.now+seconds(l) > j.aimBy
+// shouldGiveUp reports whether j, not started yet, is given up, as it would miss its target if it ran for so
+// many seconds: where a late response is worth nothing, or under overload, where it would make others late.
+func (d *Dispatcher) shouldGiveUp(j *job, run float64) bool {
+	return (d.overload || j.class.LateValue == 0) && d.now+seconds(run) > j.targetBy
 }
--- a/policy/rounds.go
+++ b/policy/rounds.go
@@ -1,6 +1,6 @@
 package policy
 
-// Rounds: held jobs are priced against places and matched.
+// Rounds: pending jobs are priced against free slots and matched (the Kairos paper's batch matching).
 
 import (
 	"cmp"
@@ -12,74 +12,47 @@
 )
 
 const (
-	timeLeftTest  = 0.98 // a pairing must end within this share of the job's time left (design)
-	failPenalty   = 10   // a failing pairing costs so many times the round's largest time left
-	crossPatience = 5    // part of its slack that a job waits for its own zone, per unit of price
-	roundJobs     = 24   // held jobs looked at in one round, so that a round stays cheap
-	packed        = 0.95 // share of slots in use, with queues, at which late jobs are given up
-	overdueRuns   = 3    // an attempt is overdue after this many predicted runtimes plus its aim
-	sickShare     = 4    // sick workers for each healthy one from which on none is avoided
-	spread        = 0.6  // how much a full worker is dearer than an empty one, at equal runtimes
-	crossWeight   = 4    // how often the price of a crossing counts in a pairing's cost
-	turnedWeight  = 1.0  // how much each job that a worker turned away of late makes it dearer
+	maxTimeLeftPart   = 0.98 // a pairing must end within this fraction of the job's time left (design)
+	failPenalty       = 10   // cost of a pairing that fails the test, in largest times left
+	crossZoneWait     = 5    // part of its slack that a job waits for its zone, per unit of price
+	maxRoundJobs      = 24   // most jobs matched in one round, so that a round stays cheap
+	overloadedAt      = 0.95 // fraction of slots in use, queues included, at which late jobs are given up
+	overdueRuns       = 3    // an attempt is overdue after this many predicted runtimes plus its aim
+	maxUnhealthyRatio = 4    // unhealthy workers for each healthy one beyond which none is avoided
+	loadWeight        = 0.6  // how much more a full worker costs than an empty one
+	crossZoneWeight   = 4    // how often the price of crossing zones counts in a pairing's cost
+	rejectionWeight   = 1.0  // how much more each job that it recently rejected makes a worker cost
 )
 
-// wantRound has held jobs matched at the next moment of the round's grid. Schedulers' grids are shifted
-// against each other so that those in step do not all pick the same worker at once.
-func (d *Dispatcher) wantRound() {
-	shift := d.roundGap * time.Duration(d.set.Number) / time.Duration(d.set.Schedulers)
+// scheduleRound schedules a round at the next point of the scheduler's time grid. Grids are shifted, so that
+// schedulers in step don't all pick the same worker at once.
+func (d *Dispatcher) scheduleRound() {
+	shift := d.roundInterval * time.Duration(d.set.Number) / time.Duration(d.set.Schedulers)
 	if d.roundAt == never {
-		d.roundAt = (d.now-shift)/d.roundGap*d.roundGap + d.roundGap + shift
+		d.roundAt = (d.now-shift)/d.roundInterval*d.roundInterval + d.roundInterval + shift
 	}
 }
 
-// round matches held jobs to places one-to-one at the least total cost and sends what fits, cheapest first.
+// round matches pending jobs to free slots at the least total cost and sends what fits, cheapest first.
 func (d *Dispatcher) round() {
-	jobs := d.pick()
+	jobs := d.pendingJobs()
 	if len(jobs) == 0 {
 		return
 	}
-	sick, ready := 0, 0
-	d.home = false
-	near := d.near()
-	for _, w := range near {
-		if w.state == Ready && w.fails > 0 {
-			sick++
-		} else if w.state == Ready {
-			ready++
-			d.home = d.home || w.zone == d.set.Zone
-		}
-	}
-	if !d.set.Reports {
-		d.full += reportWeight * (d.likelyFull() - d.full)
-	}
-	d.note(&d.failOpen, sick > sickShare*ready, "nearly all workers near by look sick and none is avoided")
-	d.note(&d.overload, d.full > packed || d.overload && d.full > 0.9*packed, "late jobs are given up")
-	fastest, maxLeft := math.Inf(1), 0.0
-	for _, k := range d.fleet {
-		fastest = min(fastest, k.runtime(d.largest))
-	}
+	near, maxLeft := d.near(), 0.0
+	d.assess(near)
 	for _, j := range jobs {
 		maxLeft = max(maxLeft, (j.due - d.now).Seconds())
 	}
-	var places []*worker
-	costs := make([][]float64, len(jobs))
-	for _, w := range near {
-		n := min(int(d.room(w)), len(jobs))
-		c := fastest / max(w.kind.runtime(d.largest), 1e-9)
-		for i := 0; n > 0 && i < len(jobs); i++ {
-			costs[i] = append(costs[i], slices.Repeat([]float64{d.cost(jobs[i], w, c, maxLeft)}, n)...)
-		}
-		places = append(places, slices.Repeat([]*worker{w}, max(0, n))...)
-	}
+	costs, slots := d.costs(jobs, near, maxLeft)
 	var pairs []pair
-	dearest := failPenalty * maxLeft
-	if !d.set.Reports && d.full < calm { // such guesses may be wrong, and there is room
-		dearest *= 10
+	maxCost := failPenalty * maxLeft
+	if !d.set.Reports && d.use < lightLoad { // without reports the estimates may be wrong, and slots are free
+		maxCost *= 10
 	}
-	for i, p := range assignment.Solve(costs, len(places)) {
-		if p >= 0 && costs[i][p] < dearest {
-			pairs = append(pairs, pair{jobs[i], places[p], costs[i][p]})
+	for i, p := range assignment.Solve(costs, len(slots)) {
+		if p >= 0 && costs[i][p] < maxCost {
+			pairs = append(pairs, pair{jobs[i], slots[p], costs[i][p]})
 		}
 	}
 	slices.SortStableFunc(pairs, func(a, b pair) int { return cmp.Compare(a.cost, b.cost) })
@@ -89,65 +62,98 @@
 		}
 	}
 	for _, j := range jobs {
-		if j.held && d.hopeless(j, j.size) {
+		if j.pending && d.shouldGiveUp(j, j.size) {
 			d.finish(j)
 		}
 	}
 	if d.reach -= d.reach / 8; len(pairs) < len(jobs) {
 		d.reach *= 2
-		d.scanAt = min(d.scanAt, d.now+d.minAim/2) // time alone may bring room: blocks and cold windows end
+		d.scanAt = min(d.scanAt, d.now+d.minTarget/2) // time alone frees slots: blocks and warm-ups end
+	}
+}
+
+// assess updates what the round takes for granted of the workers near by: who is avoided, and the overload.
+func (d *Dispatcher) assess(near []*worker) {
+	unhealthy, healthy := 0, 0
+	d.zoneUsable = false
+	for _, w := range near {
+		if w.state == Ready && w.fails > 0 {
+			unhealthy++
+		} else if w.state == Ready {
+			healthy++
+			d.zoneUsable = d.zoneUsable || w.zone == d.set.Zone
+		}
+	}
+	if !d.set.Reports {
+		d.use += reportWeight * (d.estimatedUse() - d.use)
 	}
+	d.logChange(&d.failOpen, unhealthy > maxUnhealthyRatio*healthy, failingOpen)
+	d.logChange(&d.overload, d.use > overloadedAt || d.overload && d.use > 0.9*overloadedAt, givingUpLate)
 }
 
-// pick returns the jobs of this round: those inside their share first, in order of arrival.
-func (d *Dispatcher) pick() (jobs []*job) {
-	for _, j := range d.open {
-		if j.held {
-			jobs = append(jobs, j)
+// costs returns the cost of each job in each free slot of near, and the worker of each slot.
+func (d *Dispatcher) costs(jobs []*job, near []*worker, maxLeft float64) (_ [][]float64, slots []*worker) {
+	fastest := math.Inf(1)
+	for _, k := range d.fleet {
+		fastest = min(fastest, k.runtime(d.largest))
+	}
+	costs := make([][]float64, len(jobs))
+	for _, w := range near {
+		n := min(int(d.freeSlots(w)), len(jobs))
+		c := fastest / max(w.kind.runtime(d.largest), 1e-9)
+		for i := 0; n > 0 && i < len(jobs); i++ {
+			costs[i] = append(costs[i], slices.Repeat([]float64{d.cost(jobs[i], w, c, maxLeft)}, n)...)
 		}
+		slots = append(slots, slices.Repeat([]*worker{w}, max(0, n))...)
 	}
+	return costs, slots
+}
+
+// pendingJobs returns the jobs of this round by rank, and in order of arrival among equals.
+func (d *Dispatcher) pendingJobs() []*job {
+	jobs := slices.DeleteFunc(slices.Clone(d.open), func(j *job) bool { return !j.pending })
 	rank := func(j *job) float64 { return d.rank(j, j.size) }
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(rank(a), rank(b)) })
-	return jobs[:min(len(jobs), roundJobs)]
+	return jobs[:min(len(jobs), maxRoundJobs)]
 }
 
-// rank tells what goes first, in units of the round's largest time left: jobs inside their tenant's share,
-// and among them those that make their aim if they run for l seconds. Late ones may starve.
-func (d *Dispatcher) rank(j *job, l float64) (r float64) {
-	if j.over {
+// rank returns a job's rank, each step of which costs a pairing the round's largest time left: jobs within
+// their tenant's allowance first, then those that make their target if they run so long. Others may starve.
+func (d *Dispatcher) rank(j *job, run float64) (r float64) {
+	if j.overQuota {
 		r = 2
 	}
-	if d.now+seconds(l) > j.aimBy {
+	if d.now+seconds(run) > j.targetBy {
 		r++
 	}
 	return r
 }
 
 // cost prices a pairing: C_j x L_ij with the design's test and penalty; small factors choose among equals.
-// Where no reports are, a fetch counts against the aim as far as workers are full only.
+// Without reports a fetch counts against the target only as far as workers are full.
 func (d *Dispatcher) cost(j *job, w *worker, c, maxLeft float64) float64 {
-	if !d.maySend(j, w) || j.class.Semantics == Unsafe && w.fails > 0 && !d.failOpen || d.stayHome(j, w) {
+	if !d.maySend(j, w) || j.class.Semantics == Unsafe && w.fails > 0 && !d.failOpen || d.staysInZone(j, w) {
 		return 100 * failPenalty * maxLeft
 	}
 	l := d.predict(w, j)
 	price := c*l*d.factor(w) + d.rank(j, l)*maxLeft
-	if l > timeLeftTest*(j.due-d.now).Seconds() {
+	if l > maxTimeLeftPart*(j.due-d.now).Seconds() {
 		return 100 * failPenalty * maxLeft
 	}
 	if !d.set.Reports {
-		l -= d.fetch(w, j) * max(0, 1-d.full)
+		l -= d.fetch(w, j) * max(0, 1-d.use)
 	}
-	if j.class.LateWorth == 0 && d.now+seconds(l) > j.aimBy {
+	if j.class.LateValue == 0 && d.now+seconds(l) > j.targetBy {
 		return failPenalty*maxLeft + price
 	}
 	return price
 }
 
-// factor tells how much dearer a pairing with w is made by prices and by how full it is.
+// factor returns by how much prices, its jobs and its rejections raise the cost of a pairing with w.
 func (d *Dispatcher) factor(w *worker) float64 {
-	f := 1 + spread*(w.busy+d.held(w))/d.slots(w) + turnedWeight*float64(w.turned)
+	f := 1 + loadWeight*(w.busy+d.othersSlots(w))/d.slots(w) + rejectionWeight*float64(w.rejections)
 	if w.zone != d.set.Zone {
-		f += crossWeight * d.set.CrossZonePrice
+		f += crossZoneWeight * d.set.CrossZonePrice
 	}
 	if n := len(w.idle); n == 0 || w.idle[n-1] <= d.now-d.set.ConnIdle {
 		f += d.set.HandshakePrice
@@ -155,44 +161,45 @@
 	return f
 }
 
-// fits tells whether w has the slots and, where told, the memory for j.
+// fits reports whether w has the slots and, where reported, the memory for j.
 func (d *Dispatcher) fits(w *worker, j *job) bool {
-	return d.room(w) >= min(j.slots, d.slots(w)) &&
+	return d.freeSlots(w) >= min(j.slots, d.slots(w)) &&
 		(w.seenMemory <= 0 || w.memory == 0 || w.memory+j.memory <= w.seenMemory)
 }
 
-// stayHome keeps j from crossing zones for a part of its slack that grows with the price of a crossing.
-func (d *Dispatcher) stayHome(j *job, w *worker) bool {
-	if w.zone == d.set.Zone || d.set.CrossZonePrice <= cheapCrossing || !d.home || len(j.attempts) > 0 {
+// staysInZone keeps j from crossing zones for a part of its slack that grows with the price of crossing.
+func (d *Dispatcher) staysInZone(j *job, w *worker) bool {
+	if w.zone == d.set.Zone || d.set.CrossZonePrice <= cheapCrossing || !d.zoneUsable || len(j.attempts) > 0 {
 		return false
 	}
-	slack := (j.aimBy - j.arrived).Seconds() - j.size
-	return (d.now - j.arrived).Seconds() < min(1, crossPatience*d.set.CrossZonePrice)*slack
+	slack := (j.targetBy - j.arrived).Seconds() - j.size
+	return (d.now - j.arrived).Seconds() < min(1, crossZoneWait*d.set.CrossZonePrice)*slack
 }
 
 func (d *Dispatcher) send(j *job, w *worker) {
-	a := &attempt{j: j, w: w, n: len(j.attempts), sent: d.now, wasCold: d.warmth(w) < 1}
+	a := &attempt{j: j, w: w, n: len(j.attempts), sent: d.now, wasWarming: d.warmth(w) < 1}
 	a.predicted, a.fetch, a.slow = d.predict(w, j), d.fetch(w, j), d.slowness(w)
-	if a.n > 0 && j.attempts[a.n-1].withdraw {
-		a.tells = moveMemory
+	if a.n > 0 && j.attempts[a.n-1].cancelled {
+		a.moveWeight = moveWeight
 	}
 	j.attempts = append(j.attempts, a)
-	j.held = false
-	w.out = append(w.out, a)
+	j.pending = false
+	w.inFlight = append(w.inFlight, a)
 	w.busy += j.slots
 	w.memory += j.memory
 	if n := len(w.idle); n > 0 {
 		w.idle = w.idle[:n-1]
 	}
-	if a.wasCold {
-		w.coldSent += w.kind.runtime(j.size) * j.slots
+	if a.wasWarming {
+		w.budgetUsed += w.kind.runtime(j.size) * j.slots
 	}
-	j.check = d.now + j.class.Aim/firstLook
-	if !d.set.TellsStart { // as if it ran from the send on
-		a.running, a.started, j.check = true, d.now, d.now+seconds(overdueRuns*a.predicted)+j.class.Aim
+	j.check = d.now + j.class.LatencyTarget/checksPerTarget
+	if !d.set.ReportsStarts { // it counts as running from the send on
+		a.running, a.started = true, d.now
+		j.check = d.now + seconds(overdueRuns*a.predicted) + j.class.LatencyTarget
 		w.running += j.slots
 	}
-	j.check = min(j.check, j.due+d.set.AnswerSlack/2)
+	j.check = min(j.check, j.due+d.set.ResponseGrace/2)
 	d.scanAt = min(d.scanAt, j.check)
 	by := time.Duration(0)
 	first := j.attempts[slices.IndexFunc(j.attempts, mayHaveRun)]
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -8,10 +8,10 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-// dead has the schedulers for which is says so die as the worker starts, while those left are told whose numbers pass to
+// killSchedulers has the schedulers for which is says so die as the worker starts, while those left are told whose numbers pass to
 // them, as the real ledger has it; with view false nobody is told anything. What cut says are silent to each other: that is
 // no proof, so nothing passes.
-func (f *fleet) dead(is func(n int) bool, view bool) {
+func (f *testFleet) killSchedulers(is func(n int) bool, view bool) {
 	f.idle = is
 	for n := range f.all {
 		if is(n) || !view {
@@ -26,21 +26,21 @@
 				l.Refused(f.start-time.Second, d, f.start-time.Second)
 			}
 		}
-		e := Event{Kind: FleetTold, Numbers: l.Numbers(f.start), Until: f.start + time.Hour, Living: len(f.all)}
+		e := Event{Kind: FleetUpdated, Numbers: l.Numbers(f.start), Until: f.start + time.Hour, Living: len(f.all)}
 		f.inbox[n] = append([]Event{e}, f.inbox[n]...)
 	}
 }
 
 // Seven in ten schedulers die as a worker starts cold. Those left, who see nothing of it but what their shares allow, have
 // far too many requests. With the view they use the whole budget, without it three tenths, and never more than it.
-func TestSharesOfTheDeadAreUsed(t *testing.T) {
+func TestQuotasOfDeadSchedulersAreUsed(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		served := func(view bool, is func(int) bool) int {
 			f := newFleet(t, n, false)
-			f.dead(is, view)
+			f.killSchedulers(is, view)
 			f.run(f.start+4*time.Second, time.Duration(n)*2*ms)
 			for from := f.start; from < f.start+3*time.Second; from += 50 * ms {
-				if sum, budget := f.within(from), 3*4*f.warmth(from+500*ms); sum > budget {
+				if sum, budget := f.workWithin(from), 3*4*f.warmth(from+500*ms); sum > budget {
 					t.Errorf("%d schedulers: %.2f s of work within a second from %v, the budget is %.2f", n, sum, from, budget)
 				}
 			}
@@ -60,7 +60,7 @@
 }
 
 // A scheduler uses the parts of all its numbers while they are sure, then its own, and nothing while it has none.
-func TestNumbersAreUsedWhileTheyAreSure(t *testing.T) {
+func TestNumbersAreUsedUntilTheyExpire(t *testing.T) {
 	for name, tt := range map[string]struct {
 		numbers []int
 		now     time.Duration
@@ -72,20 +72,20 @@
 		"not for long": {[]int{0, 2, 3}, 6 * time.Second, []int{2}},
 	} {
 		d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.Number = 4, 2 })
-		d.Step(4*time.Second, []Event{{Kind: FleetTold, Numbers: tt.numbers, Until: 6 * time.Second, Living: 3}}, nil)
+		d.Step(4*time.Second, []Event{{Kind: FleetUpdated, Numbers: tt.numbers, Until: 6 * time.Second, Living: 3}}, nil)
 		d.now = tt.now
-		if got := d.mine(); !slices.Equal(got, tt.want) {
+		if got := d.activeNumbers(); !slices.Equal(got, tt.want) {
 			t.Errorf("%s: acts for %v, want %v", name, got, tt.want)
 		}
 		w := d.order[0]
 		w.started = d.now
 		sent := 0.0
 		for range 1000 {
-			if d.coldRoom(w, 0.001) {
-				sent, w.coldSent = sent+0.001, w.coldSent+0.001
+			if d.inWarmingBudget(w, 0.001) {
+				sent, w.budgetUsed = sent+0.001, w.budgetUsed+0.001
 			}
 		}
-		one := coldMargin * d.warmth(w) * max(1, w.kind.seen) * d.set.TipAfter.Seconds() / 4 * d.set.FallMultiple / (coldTurns + 1)
+		one := budgetMargin * d.warmth(w) * max(1, w.kind.seen) * d.set.OverloadWindow.Seconds() / 4 * d.set.OverloadFactor / (budgetIntervals + 1)
 		if want := one * float64(len(tt.want)); sent > want+0.001 || sent < want/2-0.002 {
 			t.Errorf("%s: %.3f s sent to a cold worker, its parts are %.3f", name, sent, want)
 		}
@@ -94,7 +94,7 @@
 
 // Seven in ten of 80 schedulers are dead and their clients come to the others. A tenant that stays inside its allowance has three
 // tenths of its requests ranked inside its share without the view, and nearly all with it; over all, never more than the allowance.
-func TestAllowancesFollowTheDead(t *testing.T) {
+func TestAllowancesOfDeadSchedulersAreUsed(t *testing.T) {
 	inside := func(view bool) (n int) {
 		f := newFleet(t, 80, false)
 		for i := range f.all { // newFleet's settings have no tenants
@@ -102,7 +102,7 @@
 			s.Schedulers, s.Number, s.Tenants = 80, i, []Tenant{{Name: "t", Allowance: 800}}
 			f.all[i], _ = New(s, uint64(i))
 		}
-		f.dead(func(n int) bool { return n%10 < 7 }, view)
+		f.killSchedulers(func(n int) bool { return n%10 < 7 }, view)
 		for i, d := range f.all {
 			if i%10 < 7 {
 				continue
@@ -113,7 +113,7 @@
 				e := request(uint32(k+1), "safe")
 				e.Tenant = "t"
 				d.Step(at, []Event{e}, nil)
-				if j := d.jobs[uint32(k+1)]; j != nil && !j.over {
+				if j := d.jobs[uint32(k+1)]; j != nil && !j.overQuota {
 					n++
 				}
 			}
--- a/policy/warming.go
+++ b/policy/warming.go
@@ -1,6 +1,6 @@
 package policy
 
-// Workers that started of late, and how much all schedulers together may send them.
+// Workers that are warming up after a start, and how much work all schedulers together may send them.
 
 import (
 	"math"
@@ -9,60 +9,59 @@
 )
 
 const (
-	coldMargin  = 0.6                    // share of the cold budget that is used; predictions err
-	warmsWithin = 0.7                    // part of the longest time within which most workers are warm
-	startsAbove = 0.15                   // part of the way from coldest to full at which most start
-	coldTurns   = 4                      // turns in the window of that budget; other schedulers lead in each
-	freshFor    = 200 * time.Millisecond // so long after a report came a worker is still much as it shows
+	budgetMargin    = 0.6                    // fraction of the warming budget to use, as predictions err
+	warmsWithin     = 0.7                    // fraction of WarmUpTime within which most workers are warm
+	startsAbove     = 0.15                   // fraction of the way from MinWarmth to 1 at which most start
+	budgetIntervals = 4                      // intervals in an OverloadWindow, each with another order
+	freshFor        = 200 * time.Millisecond // a load report that arrived within this time still holds
 )
 
-// warmth is the share of its capacity that w has at least. One that refused a connection at once, or dropped
-// what ran there, counts as cold until the list tells of a start: all may have restarted together.
+// warmth is the fraction of its capacity that w has at least. One that refused a connection at once, or
+// dropped what ran there, counts as restarted before the list shows it: all may have restarted together.
 func (d *Dispatcher) warmth(w *worker) float64 {
-	since := max(w.started, w.suspect)
-	if since == 0 || d.set.ColdFor <= 0 || d.now >= since+d.set.ColdFor {
+	since := max(w.started, w.suspectedAt)
+	if since == 0 || d.set.WarmUpTime <= 0 || d.now >= since+d.set.WarmUpTime {
 		return 1
 	}
-	return d.set.ColdFrom + (1-d.set.ColdFrom)*max(0, d.now-since).Seconds()/d.set.ColdFor.Seconds()
+	return d.set.MinWarmth + (1-d.set.MinWarmth)*max(0, d.now-since).Seconds()/d.set.WarmUpTime.Seconds()
 }
 
-// likely is the share of its capacity that w has by the usual course: the settings tell the coldest start and
-// the longest time, and hardly any worker has both. What w does then corrects it by its slowness.
-func (d *Dispatcher) likely(w *worker) float64 {
+// likelyWarmth is the fraction of its capacity that w usually has: the settings have the coldest start and
+// the longest time, and hardly any worker has both. Its slowness corrects what w differs by.
+func (d *Dispatcher) likelyWarmth(w *worker) float64 {
 	warm := d.warmth(w)
-	return min(1, (warm-d.set.ColdFrom)/warmsWithin+d.set.ColdFrom+startsAbove*(1-d.set.ColdFrom))
+	return min(1, (warm-d.set.MinWarmth)/warmsWithin+d.set.MinWarmth+startsAbove*(1-d.set.MinWarmth))
 }
 
-// coldRoom tells whether so much work, in seconds, may go to a cold worker now: all schedulers together stay
-// inside its budget. Time is cut into turns, in each of which every number has an equal part; a larger job
-// goes out as often as the part is large, by the numbers whose places come first in this turn. In any
-// window, turns that only touch it included, the sum stays inside. After an own restart a third is used for
-// a window, as what a forerunner did, or does beside us, is unknown. A fresh report of room lets more
-// through: only what all send until their reports show it comes beside what the worker does.
-func (d *Dispatcher) coldRoom(w *worker, work float64) bool {
+// inWarmingBudget reports whether so much work, in seconds, may go to w now. All schedulers together stay in
+// the budget of a worker that warms up. Every number has an equal part of each interval; a job larger than it
+// is sent by a fraction part/job of the numbers, the first in the interval's order. So any window's sum stays
+// inside, with all intervals that overlap it. After an own restart a third is used for a window, as what a
+// predecessor sends is unknown. After a fresh report of free slots only what is sent until the next counts.
+func (d *Dispatcher) inWarmingBudget(w *worker, work float64) bool {
 	warm := d.warmth(w)
-	if warm >= 1 || d.set.FallMultiple <= 0 || d.set.TipAfter <= 0 {
+	if warm >= 1 || d.set.OverloadFactor <= 0 || d.set.OverloadWindow <= 0 {
 		return true
 	}
-	window := d.set.TipAfter.Seconds()
-	mine := coldMargin * warm * max(1, w.kind.seen) * window * d.share()
-	part := mine * d.set.FallMultiple / (coldTurns + 1)
-	if d.now < d.born+d.set.TipAfter && d.born > w.started {
+	window := d.set.OverloadWindow.Seconds()
+	mine := budgetMargin * warm * max(1, w.kind.seen) * window * d.quota()
+	part := mine * d.set.OverloadFactor / (budgetIntervals + 1)
+	if d.now < d.born+d.set.OverloadWindow && d.born > w.started {
 		part /= 3
 	}
-	if w.roomAt > 0 && d.now < w.roomAt+freshFor {
-		part = max(part, mine*(d.set.FallMultiple-1)*window/coldTurns/freshFor.Seconds())
+	if w.freeAt > 0 && d.now < w.freeAt+freshFor {
+		part = max(part, mine*(d.set.OverloadFactor-1)*window/budgetIntervals/freshFor.Seconds())
 	}
-	turn := d.now / max(1, d.set.TipAfter/coldTurns)
-	if w.coldTurn != turn {
-		w.coldTurn, w.coldSent = turn, 0
+	interval := d.now / max(1, d.set.OverloadWindow/budgetIntervals)
+	if w.budgetInterval != interval {
+		w.budgetInterval, w.budgetUsed = interval, 0
 	}
-	if w.coldSent > 0 {
-		return w.coldSent+work <= part
+	if w.budgetUsed > 0 {
+		return w.budgetUsed+work <= part
 	}
-	first := float64(mix(uint32(turn), w.hash)) / (math.MaxUint32 + 1)
-	return slices.ContainsFunc(d.mine(), func(n int) bool { // each number has its own chance
-		_, place := math.Modf(first + float64(n)/float64(d.set.Schedulers))
-		return place*work < part/float64(len(d.mine()))
+	first := float64(mix(uint32(interval), w.hash)) / (math.MaxUint32 + 1)
+	return slices.ContainsFunc(d.activeNumbers(), func(n int) bool { // each has a chance of its own
+		_, order := math.Modf(first + float64(n)/float64(d.set.Schedulers))
+		return order*work < part/float64(len(d.activeNumbers()))
 	})
 }
