--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -28,7 +28,7 @@
 			Work: 80 * time.Millisecond},
 	}, nil)
 	for _, a := range actions {
-		if a.Kind == policy.Arm { // the request is held until the next round
+		if a.Kind == policy.Arm { // the request is pending until the next round
 			now = a.At
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testFleet is a number of schedulers round one cold worker, with a few requests each and nothing else to send to. The
+// testFleet is a number of schedulers round one warming worker, with a few requests each and no other worker. The
 // worker has four cores and slots, starts at the settings' worst and reports its free slots when it is probed.
 type testFleet struct {
 	t       *testing.T
@@ -16,30 +16,28 @@
 	queued  []fleetJob
 	running []fleetJob
 	inbox   [][]Event
-	sends   []fleetSend
+	sends   []sentWork
 	served  int
 	nextID  uint32
 	reports bool             // probes bring reports
 	idle    func(n int) bool // schedulers that get no requests; nil: none
 }
+
 type fleetJob struct {
 	by      int
 	id      uint32
 	attempt int
 	left    float64 // seconds of work
 }
-type fleetSend struct {
-	at   time.Duration
-	work float64
-}
 
 const fleetWork = 60 * ms
 
-func newFleet(t *testing.T, schedulers int, sees bool) *testFleet {
-	f := &testFleet{t: t, worker: "a", start: 10 * time.Second, reports: sees, inbox: make([][]Event, schedulers)}
+func newFleet(t *testing.T, schedulers int, reports bool) *testFleet {
+	t.Helper()
+	f := &testFleet{t: t, worker: "a", start: 10 * time.Second, reports: reports, inbox: make([][]Event, schedulers)}
 	for n := range schedulers {
 		s := testSettings()
-		s.Schedulers, s.Number, s.Probes, s.ProbePrice = schedulers, n, sees, 0.01
+		s.Schedulers, s.Number, s.Probes, s.ProbePrice = schedulers, n, reports, 0.01
 		d, err := New(s, uint64(n))
 		if err != nil {
 			t.Fatal(err)
@@ -54,7 +52,7 @@
 
 func (f *testFleet) warmth(at time.Duration) float64 { return min(1, 0.2+0.8*(at-f.start).Seconds()/5) }
 
-// meanRun plays until the given time; each scheduler gets a request every so often, not in step with the others.
+// run plays until the given time. Each scheduler gets a request at the given interval, out of step with the others.
 func (f *testFleet) run(until, every time.Duration) {
 	const tick = 5 * ms
 	for at := f.start; at < until; at += tick {
@@ -93,7 +91,7 @@
 func (f *testFleet) apply(n int, at time.Duration, a Action) {
 	switch a.Kind {
 	case Send:
-		f.sends = append(f.sends, fleetSend{at, fleetWork.Seconds()})
+		f.sends = append(f.sends, sentWork{at, fleetWork.Seconds()})
 		f.queued = append(f.queued, fleetJob{n, a.ID, len(f.all[n].jobs[a.ID].attempts) - 1, fleetWork.Seconds()})
 	case Probe:
 		r := Report{FreeSlots: float64(4 - len(f.running)), FreeMemory: -1, Queued: -1, InFlight: -1, Load: -1}
@@ -110,18 +108,8 @@
 	}
 }
 
-// workWithin returns the work sent in the window from a time on.
-func (f *testFleet) workWithin(from time.Duration) (sum float64) {
-	for _, s := range f.sends {
-		if s.at >= from && s.at < from+time.Second {
-			sum += s.work
-		}
-	}
-	return sum
-}
-
-// What all schedulers send to the one cold worker there is stays inside its budget, however many they are and though
-// each of them has far too many requests and sees by its probes that the worker has room now and then.
+// All schedulers together send the only worker, which is warming up, no more than its budget, however many they are,
+// though each has far too many requests and sees free slots by its probes now and then.
 func TestFleetStaysInWarmingBudgetWithReports(t *testing.T) {
 	for _, schedulers := range []int{3, 20, 80, 300} {
 		t.Run(fmt.Sprint(schedulers), func(t *testing.T) {
@@ -132,7 +120,7 @@
 			}
 			for from := f.start; from < f.start+3*time.Second; from += 50 * ms {
 				budget := 3 * 4 * f.warmth(from+500*ms)
-				if sum := f.workWithin(from); sum > budget {
+				if sum := sentBetween(f.sends, from, from+time.Second); sum > budget {
 					t.Errorf("%.2f s of work within a second from %v, the budget is %.2f", sum, from, budget)
 				}
 			}
@@ -140,8 +128,8 @@
 	}
 }
 
-// Where few schedulers have requests for a cold worker, the others' parts lie idle; those few see that it has room
-// and send more than their own.
+// Where few schedulers have requests for a warming worker, the others' parts are idle; the few see its free slots and
+// send more than their own parts.
 func TestFleetUsesIdlePartsOfWarmingBudgetWithReports(t *testing.T) {
 	served := func(sees bool) int {
 		f := newFleet(t, 80, sees)
@@ -153,37 +141,3 @@
 		t.Errorf("%d jobs served where reports are seen, %d without", seeing, blind)
 	}
 }
-
-// A scheduler with few requests knows little of most workers: its probe goes to the one that the request at hand
-// would go to, and to the longest unasked where that one is known.
-func TestProbesTargetThePendingRequestsWorker(t *testing.T) {
-	d := testDispatcher(t, func(s *Settings) { s.Probes, s.ProbePrice = true, 0.01 })
-	for _, w := range d.order {
-		w.slow, w.learnedAt = 1.9, time.Second
-	}
-	best := d.order[len(d.order)-1]
-	best.slow, best.probedAt = 0.5, time.Second-2500*ms // the fastest by far, asked later than the others
-	for _, tt := range []struct {
-		name  string
-		asked time.Duration // when the best was asked
-		want  bool
-	}{{"long ago", 3 * time.Second, true}, {"of late", 9 * time.Second, false}} {
-		best.probedAt, best.probing = tt.asked, false
-		for _, w := range d.order[:len(d.order)-1] {
-			w.probedAt, w.probing = time.Second, false
-		}
-		d.probesDue = 0
-		got := ofKind(Probe, d.Step(10*time.Second, []Event{request(uint32(tt.asked), "safe")}, nil))
-		if len(got) == 0 && tt.want || len(got) > 0 && (got[0].Worker == best.name) != tt.want {
-			t.Errorf("best asked %s: probes %v, the best is %s", tt.name, got, best.name)
-		}
-	}
-}
-
-// Windows too short to be cut into turns are settings like others: nothing is divided by them.
-func TestShortestOverloadWindow(t *testing.T) {
-	d := testDispatcher(t, func(s *Settings) { s.OverloadWindow = 1 })
-	w := d.order[0]
-	w.started, d.now = 10*time.Second, 10*time.Second
-	d.inWarmingBudget(w, 0.05)
-}
--- a/policy/noreport_test.go
+++ b/policy/noreports_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Tests of deployments whose workers report nothing: room, fullness and cold shares are estimated from what is out,
-// from starts and from outcomes alone.
+// Tests of deployments whose workers report nothing: free slots, the use of slots and warming budgets are estimated
+// from attempts in flight, starts and outcomes alone.
 
 func withoutReports(t *testing.T, change func(*Settings)) *Dispatcher {
 	t.Helper()
@@ -18,7 +18,7 @@
 	})
 }
 
-// runJobs has n jobs run at w that started as soon as they were sent.
+// runJobs has w run n jobs that started as soon as they were sent.
 func runJobs(d *Dispatcher, w *worker, n int) {
 	for range n {
 		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1, due: d.now + time.Hour, targetBy: d.now + time.Hour}
@@ -27,7 +27,8 @@
 	}
 }
 
-// A worker that started every job at once has room for one more, whatever time passes: nothing says that others hold it.
+// A worker that started every job at once has a free slot for one more, however much time passes: nothing shows that
+// others' jobs use it.
 func TestPromptStartsLeaveFreeSlotsWithoutReports(t *testing.T) {
 	d := withoutReports(t, nil)
 	d.now = time.Second
@@ -36,31 +37,31 @@
 	for _, later := range []time.Duration{0, 100 * ms, 2 * time.Second} {
 		d.now = time.Second + later
 		if got := d.freeSlots(w); got != 1 {
-			t.Errorf("room %v beside three that run, %v after they started", got, later)
+			t.Errorf("%v free slots beside three running jobs, %v after their start", got, later)
 		}
 	}
 }
 
-// How many slots a cold worker has is taken from what ran at once at others of its kind: otherwise its part is that of
-// one slot and no job of usual size fits in.
+// How many slots a warming worker has is estimated from what ran at once at others of its kind: otherwise its part is
+// that of one slot, and no job of usual size fits.
 func TestWarmingBudgetFollowsTheKindWithoutReports(t *testing.T) {
 	d := withoutReports(t, func(s *Settings) { s.Schedulers = 1 })
 	d.now = 10 * time.Second
 	fresh, other := d.order[0], d.order[1]
 	fresh.started = d.now
 	d.born = 0
-	work := 3 * 0.2 * budgetMargin * 2.0 / (budgetIntervals + 1) // what two slots' part holds
+	work := 3 * 0.2 * budgetMargin * 2.0 / (budgetIntervals + 1) // as much as two slots' part allows
 	fresh.budgetInterval, fresh.budgetUsed = d.now/(d.set.OverloadWindow/budgetIntervals), 1e-9
 	if d.inWarmingBudget(fresh, work) {
-		t.Fatal("there is room before any slot was seen")
+		t.Fatal("the job fits before any slot was observed")
 	}
 	runJobs(d, other, 4)
 	if !d.inWarmingBudget(fresh, work) {
-		t.Error("no room though four jobs ran at once at another of its kind")
+		t.Error("the job does not fit though four ran at once at another worker of its kind")
 	}
 }
 
-// The share of slots in use is estimated as if all schedulers held as much as this one.
+// The fraction of slots in use is estimated as if all schedulers used as many as this one.
 func TestUseWithoutReports(t *testing.T) {
 	for _, tt := range []struct {
 		schedulers, running int
@@ -83,20 +84,20 @@
 	}
 }
 
-// Fetches that take long, beside what a job runs, are worth a crossing: a key then has one home in all zones. How long
-// they take is learnt from jobs sent to workers that are nobody's home for them.
+// Fetches that take long compared with runtimes justify crossing zones: a key then has one home for all zones. How
+// long they take is learned from jobs that were not sent to a home of their key.
 func TestLongFetchesGiveAKeyOneHome(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		took float64 // seconds, beside 50 ms of running
-		all  bool    // every key has a home in the own zone
+		all  bool    // whether every key has a home in the own zone
 	}{{"short", 0.052, true}, {"long", 0.15, false}} {
 		d := withoutReports(t, func(s *Settings) { s.CrossZonePrice = 0.03 })
 		d.now, d.meanRun = time.Second, 0.05
 		for n := range 60 {
 			w, j := d.order[0], &job{class: &d.set.Classes[0], size: 0.05, slots: 1, key: d.keyFor(uint32(n)), due: time.Hour}
 			if d.fetch(w, j) < fetchRuns*d.meanRun/2 {
-				continue // at home, or so taken
+				continue // w is a home of the key, or counts as one
 			}
 			d.send(j, w)
 			a := j.attempts[0]
@@ -122,8 +123,8 @@
 	}
 }
 
-// Where no reports are, a fetch counts against a job's aim as far as workers are full; where they are, always: what
-// fetches beside a full store costs large fleets and bursts more than it gives.
+// Without reports, a fetch counts against a job's target only as far as workers are full; with them, always: fetches
+// from a busy store cost large fleets and bursts more than they give.
 func TestFetchCountsAgainstTheTargetAsFarAsWorkersAreFull(t *testing.T) {
 	for _, tt := range []struct {
 		reports bool
--- a/policy/shares_test.go
+++ b/policy/quota_test.go
@@ -8,9 +8,8 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-// killSchedulers has the schedulers for which is says so die as the worker starts, while those left are told whose numbers pass to
-// them, as the real ledger has it; with view false nobody is told anything. What cut says are silent to each other: that is
-// no proof, so nothing passes.
+// killSchedulers has the schedulers for which is returns true die as the worker starts. With view, the others are
+// notified of the numbers that pass to them, as the real quota has it; without, nobody is notified of anything.
 func (f *testFleet) killSchedulers(is func(n int) bool, view bool) {
 	f.idle = is
 	for n := range f.all {
@@ -31,8 +30,8 @@
 	}
 }
 
-// Seven in ten schedulers die as a worker starts cold. Those left, who see nothing of it but what their shares allow, have
-// far too many requests. With the view they use the whole budget, without it three tenths, and never more than it.
+// Seven in ten schedulers die as a worker starts to warm up. The others have far too many requests. With the fleet's
+// view they use the complete budget, without it three tenths, and never more than the budget.
 func TestQuotasOfDeadSchedulersAreUsed(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		served := func(view bool, is func(int) bool) int {
@@ -40,7 +39,7 @@
 			f.killSchedulers(is, view)
 			f.run(f.start+4*time.Second, time.Duration(n)*2*ms)
 			for from := f.start; from < f.start+3*time.Second; from += 50 * ms {
-				if sum, budget := f.workWithin(from), 3*4*f.warmth(from+500*ms); sum > budget {
+				if sum, budget := sentBetween(f.sends, from, from+time.Second), 3*4*f.warmth(from+500*ms); sum > budget {
 					t.Errorf("%d schedulers: %.2f s of work within a second from %v, the budget is %.2f", n, sum, from, budget)
 				}
 			}
@@ -48,7 +47,7 @@
 		}
 		most := func(k int) bool { return k%10 < 7 }
 		with, without, calm := served(true, most), served(false, most), served(false, func(int) bool { return false })
-		t.Logf("%d schedulers, seven in ten dead: %d jobs served by the cold worker with the view, %d without, %d if nobody dies", n, with, without, calm)
+		t.Logf("%d schedulers, seven in ten dead: %d jobs served by the warming worker with the view, %d without, %d if nobody dies", n, with, without, calm)
 		if float64(with) < 1.8*float64(without) {
 			t.Errorf("%d schedulers: %d jobs served with the view, %d without", n, with, without)
 		}
@@ -59,17 +58,17 @@
 	}
 }
 
-// A scheduler uses the parts of all its numbers while they are sure, then its own, and nothing while it has none.
+// A scheduler uses the parts of all its numbers until they expire, then its own, and none while it has no number.
 func TestNumbersAreUsedUntilTheyExpire(t *testing.T) {
 	for name, tt := range map[string]struct {
 		numbers []int
 		now     time.Duration
 		want    []int
 	}{
-		"none":         {nil, 5 * time.Second, nil},
-		"its own":      {[]int{2}, 5 * time.Second, []int{2}},
-		"the dead's":   {[]int{0, 2, 3}, 5 * time.Second, []int{0, 2, 3}},
-		"not for long": {[]int{0, 2, 3}, 6 * time.Second, []int{2}},
+		"none":                     {nil, 5 * time.Second, nil},
+		"its own number":           {[]int{2}, 5 * time.Second, []int{2}},
+		"dead schedulers' numbers": {[]int{0, 2, 3}, 5 * time.Second, []int{0, 2, 3}},
+		"after they expired":       {[]int{0, 2, 3}, 6 * time.Second, []int{2}},
 	} {
 		d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.Number = 4, 2 })
 		d.Step(4*time.Second, []Event{{Kind: FleetUpdated, Numbers: tt.numbers, Until: 6 * time.Second, Living: 3}}, nil)
@@ -87,13 +86,14 @@
 		}
 		one := budgetMargin * d.warmth(w) * max(1, w.kind.seen) * d.set.OverloadWindow.Seconds() / 4 * d.set.OverloadFactor / (budgetIntervals + 1)
 		if want := one * float64(len(tt.want)); sent > want+0.001 || sent < want/2-0.002 {
-			t.Errorf("%s: %.3f s sent to a cold worker, its parts are %.3f", name, sent, want)
+			t.Errorf("%s: %.3f s sent to a warming worker, its parts are %.3f", name, sent, want)
 		}
 	}
 }
 
-// Seven in ten of 80 schedulers are dead and their clients come to the others. A tenant that stays inside its allowance has three
-// tenths of its requests ranked inside its share without the view, and nearly all with it; over all, never more than the allowance.
+// Seven in ten of 80 schedulers are dead and their clients come to the others. Of a tenant within its allowance three
+// tenths of the requests rank as such without the fleet's view, and nearly all with it; over all schedulers never
+// more than the allowance.
 func TestAllowancesOfDeadSchedulersAreUsed(t *testing.T) {
 	inside := func(view bool) (n int) {
 		f := newFleet(t, 80, false)
@@ -121,7 +121,7 @@
 		return n
 	}
 	with, without := inside(true), inside(false)
-	t.Logf("of 7,920 requests inside the allowance %d rank so with the view, %d without", with, without)
+	t.Logf("of 7,920 requests within the allowance %d rank as such with the view, %d without", with, without)
 	if with > 8000+800 || with < 2*without {
 		t.Errorf("%d requests inside the share with the view, %d without", with, without)
 	}
--- a/policy/rounds.go
+++ b/policy/rounds.go
@@ -17,7 +17,7 @@
 	crossZoneWait     = 5    // part of its slack that a job waits for its zone, per unit of price
 	maxRoundJobs      = 24   // most jobs matched in one round, so that a round stays cheap
 	overloadedAt      = 0.95 // fraction of slots in use, queues included, at which late jobs are given up
-	overdueRuns       = 3    // an attempt is overdue after this many predicted runtimes plus its aim
+	overdueRuns       = 3    // an attempt is overdue after so many predicted runtimes and its target
 	maxUnhealthyRatio = 4    // unhealthy workers for each healthy one beyond which none is avoided
 	loadWeight        = 0.6  // how much more a full worker costs than an empty one
 	crossZoneWeight   = 4    // how often the price of crossing zones counts in a pairing's cost
--- a/policy/warming.go
+++ b/policy/warming.go
@@ -26,7 +26,7 @@
 	return d.set.MinWarmth + (1-d.set.MinWarmth)*max(0, d.now-since).Seconds()/d.set.WarmUpTime.Seconds()
 }
 
-// likelyWarmth is the fraction of its capacity that w usually has: the settings have the coldest start and
+// likelyWarmth is the fraction of its capacity that w usually has: the settings have the worst start and
 // the longest time, and hardly any worker has both. Its slowness corrects what w differs by.
 func (d *Dispatcher) likelyWarmth(w *worker) float64 {
 	warm := d.warmth(w)
