--- a/internal/dispatcher/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	watcher := routetable.NewWatcher(table, cfg.Discovery, cfg.Hold(), cfg.DrainGrace(), coord.News, log)
+	watcher := routetable.NewWatcher(table, cfg.Discovery, cfg.Hold(), cfg.DrainGrace(), coord.UpdateList, log)
 	clients, targets := cfg.SocketBudget()
 	runners := egress.New(table, cfg, targets, log)
 	coord.Attach(runners, watcher)
@@ -80,14 +80,14 @@
 		if err != nil {
 			return &StartError{"recording traffic", "mend the folder, or start without --record", err}
 		}
-		coord.Watch(rec)
+		coord.Observe(rec)
 		defer func() {
 			life.Advance(lifecycle.Stopped) // whatever ended it, so that the coordinator ends and tells of the last ones
 			ran.Wait()
 			_ = rec.Close() // it logs what it could not write
 		}()
 	}
-	coord.News(policy.Event{Kind: policy.ListRestored, Members: table.Apply(&cfg.Known)})
+	coord.UpdateList(policy.Event{Kind: policy.ListRestored, Members: table.Apply(&cfg.Known)})
 	peers, err := joinFleet(opt.Fleet, cfg, coord, log)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 		if err != nil {
 			return &StartError{`key "console"`, "take an address of this machine that no other program has", err}
 		}
-		ops := console.New(&operator{server: server, table: table, news: coord.News, reloads: files, peers: peers, dir: os.TempDir(), log: log}, log)
+		ops := console.New(&operator{server: server, table: table, news: coord.UpdateList, reloads: files, peers: peers, dir: os.TempDir(), log: log}, log)
 		defer ops.Close()
 		go func() {
 			if err := ops.Serve(l); err != nil {
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if p.size > 0 {
-		p.coord.Share(nil, 0, p.size)
+		p.coord.UpdateFleet(nil, 0, p.size)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -173,7 +173,7 @@
 		if !slices.Equal(h.Numbers, last.Numbers) {
 			p.log.WithFields(logrus.Fields{"numbers": h.Numbers, "living": h.Living}).Info("fleet: acting for other numbers")
 		}
-		p.coord.Share(h.Numbers, h.Sure, h.Living)
+		p.coord.UpdateFleet(h.Numbers, h.Sure, h.Living)
 		last, until, told = h, time.Now().Add(min(h.Sure, time.Hour)), true
 	}
 }
--- a/internal/dispatcher/coordinator/attempt.go
+++ b/internal/dispatcher/coordinator/attempt.go
@@ -8,43 +8,44 @@
 	"ospreypond/policy"
 )
 
-// attempt is an attempt as the coordinator's goroutine sees it. What a connection's goroutine asks as it is about to write
-// the first byte stands in start.
+// attempt is the state of an attempt that the goroutine of Run owns, and the gate that the goroutine of the
+// attempt's connection passes.
 type attempt struct {
 	cancel  context.CancelFunc
-	start   *start
+	gate    *firstByteGate
 	target  string
 	sent    time.Time
 	took    time.Duration
-	over    bool
+	ended   bool
 	outcome policy.Outcome
 }
 
-// start decides, under its lock, between an attempt's first byte and the end of its request: whichever comes first. So an
-// attempt that is still being dialled when its client leaves can always be given up, also where what was sent can't be.
-type start struct {
-	mu      sync.Mutex
-	by      time.Time // the first byte goes out before that
-	begun   bool
-	revoked bool
+// firstByteGate decides, under its lock, which comes first: an attempt's first byte or the end of its request. So an
+// attempt that is still being dialed when its client disconnects can always be cancelled, also where an attempt that
+// was sent must not be.
+type firstByteGate struct {
+	mu       sync.Mutex
+	deadline time.Time // the first byte must be written before it
+	begun    bool
+	revoked  bool
 }
 
-// begin is Attempt.Begin.
-func (s *start) begin(now time.Time) error {
+// activate is Attempt.Begin.
+func (s *firstByteGate) begin(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.revoked:
 		return ErrRevoked
-	case !now.Before(s.by):
+	case !now.Before(s.deadline):
 		return ErrTooLate
 	}
 	s.begun = true
 	return nil
 }
 
-// revoke keeps the attempt from beginning, and from beginning again on another connection. It tells whether it never began.
-func (s *start) revoke() (unbegun bool) {
+// revoke keeps the attempt from beginning, also on a further connection, and reports whether it never began.
+func (s *firstByteGate) revoke() (unbegun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revoked = true
--- a/internal/dispatcher/coordinator/attempt_test.go
+++ b/internal/dispatcher/coordinator/attempt_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 	"time"
 
@@ -12,17 +13,17 @@
 	"ospreypond/policy"
 )
 
-// dialling is an Egress whose attempts have no byte on the wire until the test lets them begin.
-type dialling struct {
-	*targets
-	began chan error // what Begin said
-	let   chan bool
+// dialingEgress is an Egress whose attempts write no byte until the test allows them to begin.
+type dialingEgress struct {
+	*fakeEgress
+	began chan error // what Begin returned
+	allow chan bool
 	ended chan error // how the attempt's context ended, if it did
 }
 
-func (e *dialling) Attempt(ctx context.Context, h *Attempt) AttemptEnd {
+func (e *dialingEgress) Attempt(ctx context.Context, h *Attempt) AttemptEnd {
 	e.attempts <- h
-	if <-e.let {
+	if <-e.allow {
 		e.began <- h.Begin(time.Now())
 	}
 	select {
@@ -34,35 +35,36 @@
 	}
 }
 
-func runDialling(t *testing.T, set policy.Settings) (*Coordinator, *dialling) {
-	d := &dialling{began: make(chan error, 9), let: make(chan bool, 9), ended: make(chan error, 9)}
-	coordinator, _ := runWith(t, set, func(e *targets) Egress { d.targets = e; return d })
+func runDialing(t *testing.T, set policy.Settings) (*Coordinator, *dialingEgress) {
+	t.Helper()
+	d := &dialingEgress{began: make(chan error, 9), allow: make(chan bool, 9), ended: make(chan error, 9)}
+	coordinator, _ := runWith(t, set, func(e *fakeEgress) Egress { d.fakeEgress = e; return d })
 	return coordinator, d
 }
 
-// An attempt that is still being dialled when its client leaves is given up, also where what was sent can't be called off:
-// its first byte is refused. One that began before goes on there.
-func TestLeavingGivesUpWhatHasNotBegun(t *testing.T) {
+// An attempt that is still being dialed when its client disconnects is cancelled, also where attempts that were sent
+// must not be: its first byte is refused. One that began before goes on.
+func TestDisconnectCancelsUnbegunAttempt(t *testing.T) {
 	set := testSettings()
 	set.Cancel = false
-	for name, begunFirst := range map[string]bool{"in the dial": false, "on the wire": true} {
+	for name, begunFirst := range map[string]bool{"while dialing": false, "on the wire": true} {
 		t.Run(name, func(t *testing.T) {
-			coordinator, e := runDialling(t, set)
-			ctx, leave := context.WithCancel(context.Background())
+			coordinator, e := runDialing(t, set)
+			ctx, disconnect := context.WithCancel(context.Background())
 			c := submit(ctx, coordinator, request(time.Minute))
 			h := <-e.attempts
-			e.let <- begunFirst
+			e.allow <- begunFirst
 			if begunFirst {
 				require.NoError(t, <-e.began)
 			}
-			leave()
-			assert.Equal(t, Left, answerOf(t, c).Kind)
+			disconnect()
+			assert.Equal(t, ClientDisconnected, receiveResponse(t, c).Kind)
 			if !begunFirst {
 				assert.ErrorIs(t, <-e.ended, context.Canceled)
 			} else {
-				require.Eventually(t, func() bool { return h.Begin(time.Now()) == ErrRevoked }, patience, time.Millisecond,
-					"not again on another connection")
-				assert.Empty(t, e.ended, "it can't be called off")
+				require.Eventually(t, func() bool { return errors.Is(h.Begin(time.Now()), ErrRevoked) }, testTimeout, time.Millisecond,
+					"must not begin on another connection")
+				assert.Empty(t, e.ended, "it must not be cancelled")
 				e.ends <- AttemptEnd{Outcome: policy.OK, Report: policy.NoReport}
 			}
 			assert.ErrorIs(t, h.Begin(time.Now()), ErrRevoked)
@@ -70,55 +72,54 @@
 	}
 }
 
-// A repeat goes out within the window of its key, counted as its first byte goes out: not as it was decided, before a
-// dial that took long.
-func TestRepeatBeginsWithinItsWindow(t *testing.T) {
+// A retry begins within the window of its key: its first byte counts, not the decision, as dialing may take long.
+func TestRetryBeginsWithinItsKeysWindow(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Semantics, set.Classes[0].Scope, set.Classes[0].Window = policy.Keyed, policy.ScopeAll, 30*time.Second
-	coordinator, e := runDialling(t, set)
+	coordinator, e := runDialing(t, set)
 	c := submit(context.Background(), coordinator, request(time.Minute))
 	sent := time.Now()
 	first := <-e.attempts
 	decided := time.Now() // the module sent it between the two, however busy the machine is
-	e.let <- true
+	e.allow <- true
 	require.NoError(t, <-e.began)
 	assert.NoError(t, first.Begin(sent.Add(40*time.Second)), "the first attempt has the client's time")
 	assert.ErrorIs(t, first.Begin(sent.Add(61*time.Second)), ErrTooLate)
 	e.ends <- AttemptEnd{Outcome: policy.Reset, Report: policy.NoReport}
-	again := <-e.attempts
-	assert.NoError(t, again.Begin(sent.Add(29*time.Second)))
-	assert.ErrorIs(t, again.Begin(decided.Add(30*time.Second)), ErrTooLate)
-	e.let <- true
+	retry := <-e.attempts
+	assert.NoError(t, retry.Begin(sent.Add(29*time.Second)))
+	assert.ErrorIs(t, retry.Begin(decided.Add(30*time.Second)), ErrTooLate)
+	e.allow <- true
 	require.NoError(t, <-e.began)
 	e.ends <- AttemptEnd{Outcome: policy.OK, Report: policy.NoReport}
-	assert.Equal(t, Served, answerOf(t, c).Kind)
+	assert.Equal(t, Served, receiveResponse(t, c).Kind)
 }
 
-// A client that leaves while the coordinator is busy is not waited for, and its request is never taken.
-func TestLeavingIsNoticedInTheInbox(t *testing.T) {
+// A client that disconnects while the inbox is full is not waited for, and its request never arrives.
+func TestDisconnectIsNoticedWhileQueued(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	busy, over := make(chan bool), make(chan bool)
-	coordinator.do(func() { busy <- true; <-over })
+	coordinator.enqueue(func() { busy <- true; <-over })
 	<-busy
 	for range inboxSize {
-		coordinator.do(func() {})
+		coordinator.enqueue(func() {})
 	}
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	c := submit(ctx, coordinator, request(time.Minute))
 	time.Sleep(10 * time.Millisecond)
-	leave()
-	assert.Equal(t, Left, answerOf(t, c).Kind)
+	disconnect()
+	assert.Equal(t, ClientDisconnected, receiveResponse(t, c).Kind)
 	close(over)
 	time.Sleep(20 * time.Millisecond)
 	assert.Empty(t, e.attempts)
 }
 
-// All orders of an attempt's tries, the end of its request and the time that passes: what was revoked or is late never begins,
-// and exactly what never began is called off.
-func TestAllOrdersOfAnAttemptsBeginning(t *testing.T) {
+// In all orders of begins, a revocation and the passing of time: what was revoked or is late never begins, and revoke
+// reports exactly whether it never began.
+func TestFirstByteGateInAllOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		s := &start{by: now.Add(time.Second)}
+		s := &firstByteGate{deadline: now.Add(time.Second)}
 		begun, revoked := false, false
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
@@ -126,14 +127,14 @@
 			},
 			"begin": func(t *rapid.T) {
 				err := s.begin(now)
-				if want := !revoked && now.Before(s.by); (err == nil) != want {
+				if want := !revoked && now.Before(s.deadline); (err == nil) != want {
 					t.Fatalf("begin: %v, revoked %v", err, revoked)
 				}
 				begun = begun || err == nil
 			},
 			"revoke": func(t *rapid.T) {
-				if s.revoke() == begun {
-					t.Fatal("called off though it began, or not though it did not")
+				if unbegun := s.revoke(); unbegun == begun {
+					t.Fatalf("begun %v, revoke reports that it never began: %v", begun, unbegun)
 				}
 				revoked = true
 			},
--- a/internal/dispatcher/coordinator/coordinator.go
+++ b/internal/dispatcher/coordinator/coordinator.go
@@ -1,7 +1,11 @@
-// Package coordinator is where the side of the clients and the side of the runners meet, and nowhere else. One
-// goroutine owns the decision module: it turns arrivals, ends of attempts, news of the list and timers into the
-// module's events and carries out the actions that come back. Any protocol that fills in a Request and waits
-// for its Answer gets the same decisions under the same rules.
+// Package coordinator connects the clients' side (ingress), the upstreams' side (egress) and discovery with the
+// decision module; they meet nowhere else.
+//
+// One goroutine, that of Run, owns the decision module: it turns arrivals, ends of attempts, changes of the list and
+// timers into the module's events and carries out the actions that come back. All other methods may be called from
+// any goroutine. A caller calls New, Attach, perhaps Observe, then Run, and Submit for each request. Submit returns
+// exactly one Response to each request; a request may still have attempts in flight by then. Egress must return
+// exactly one end of each attempt. Any protocol that fills in a Request gets the same decisions by the same rules.
 package coordinator
 
 import (
@@ -16,159 +20,159 @@
 )
 
 const (
-	// overdueAfter is how long after the client's deadline plus the settings' slack a request that the module left
-	// without an answer is ended. Guards against a module that loses a request; the rules leave 50 ms.
-	overdueAfter = 15 * time.Millisecond
-	// probeLimit is how long a probe is waited for.
-	probeLimit = 250 * time.Millisecond
+	// overdueGrace is how long after the client's deadline and the settings' grace a request that the module left
+	// without a response is ended. Guards against a module that loses a request; the rules allow 50 ms.
+	overdueGrace = 15 * time.Millisecond
+	// probeTimeout bounds a probe.
+	probeTimeout = 250 * time.Millisecond
 	// inboxSize is how many calls may be queued for the coordinator before its callers block.
 	inboxSize = 1024
-	// idMemory is how many ids of answered requests are remembered: one that comes again is not a new request,
-	// and a runner that gets it takes it for a second copy.
-	idMemory = 4096
+	// maxRespondedIDs is how many ids of requests with a response are remembered: a request with one of them is not
+	// new, and a runner would take it for a duplicate.
+	maxRespondedIDs = 4096
 )
 
 // Coordinator connects ingress, egress and the route table to the decision module.
 type Coordinator struct {
-	set    policy.Settings
-	seed   uint64
-	egress Egress
-	list   Directory
-	watch  Observer // nil: nobody
-	log    logrus.FieldLogger
-	clock  clock
-	inbox  chan func()
-	done   chan struct{}
+	set       policy.Settings
+	seed      uint64
+	egress    Egress
+	directory Directory
+	observer  Observer // may be nil
+	log       logrus.FieldLogger
+	clock     clock
+	inbox     chan func()
+	done      chan struct{}
 
 	// The rest belongs to the goroutine of Run.
-	mods    []*module // the last one takes new requests; those before finish what they took
-	ctx     context.Context
-	closing bool
-	members map[string]policy.Member // as last told, for a module that starts over
-	fleet   *policy.Event            // as last told; nil: no fleet
-	jobs    map[uint32]*job
-	nextID  uint32
-	ids     map[string]bool // of the requests taken, open ones and the last idMemory
-	oldIDs  []string        // the answered ones among them, a ring
-	oldest  int
-	actions []policy.Action
-	stepAt  time.Duration // of the last step
+	modules      []*module // the last one takes new requests; the others finish theirs
+	closing      bool
+	members      map[string]policy.Member // the list as last received, for a module that starts over
+	fleet        *policy.Event            // the last FleetUpdated; nil: none yet
+	jobs         map[uint32]*job
+	nextID       uint32
+	ids          map[string]bool // of requests: open ones and the last maxRespondedIDs
+	respondedIDs []string        // the ones with a response among them, a ring
+	nextEvicted  int
+	actions      []policy.Action
+	stepAt       time.Duration // of the last step
 }
 
-// job is a request that was taken, until it has its answer and all its attempts have ended.
+// job is a request from its arrival until it has its response and all its attempts have ended.
 type job struct {
-	id       uint32
-	mod      *module // the one that decides on it, with the settings it started with
-	r        *Request
-	due      time.Duration
-	answer   chan Answer // holds one, so that the coordinator never waits for a client's side
-	answered bool
-	kind     AnswerKind
-	at       time.Time   // of the answer
-	overdue  *time.Timer // runs out when the module has forgotten the request
-	attempts []*attempt
-	out      int // attempts that have not ended
+	id           uint32
+	module       *module // decides on it, with the settings in force at its arrival
+	request      *Request
+	deadline     time.Duration
+	response     chan Response // of capacity 1, so that the coordinator never blocks on it
+	responded    bool
+	responseKind ResponseKind
+	respondedAt  time.Time   // of the response
+	overdue      *time.Timer // fires if the module has forgotten the request
+	attempts     []*attempt
+	openAttempts int // attempts that have not ended
 }
 
-// New returns a coordinator round a fresh decision module. Attach must be called before Run.
+// New returns a coordinator with a fresh decision module. Attach must be called before Run.
 func New(set policy.Settings, seed uint64, log logrus.FieldLogger) (*Coordinator, error) {
 	d, err := policy.New(set, seed)
 	if err != nil {
 		return nil, fmt.Errorf("starting the decision module: %w", err)
 	}
-	return &Coordinator{set: set, seed: seed, log: log, mods: []*module{{d: d, set: set}}, clock: newClock(),
+	return &Coordinator{set: set, seed: seed, log: log, modules: []*module{{d: d, set: set}}, clock: newClock(),
 		inbox: make(chan func(), inboxSize),
 		done:  make(chan struct{}), members: map[string]policy.Member{}, jobs: map[uint32]*job{},
 		ids: map[string]bool{}}, nil
 }
 
-// Attach connects the upstreams' side and discovery's side.
-func (c *Coordinator) Attach(e Egress, d Directory) { c.egress, c.list = e, d }
+// Attach sets the upstreams' and discovery's side. It must be called once, before Run.
+func (c *Coordinator) Attach(e Egress, d Directory) { c.egress, c.directory = e, d }
 
-// Watch has o told how each request ended. It must be called before Run.
-func (c *Coordinator) Watch(o Observer) { c.watch = o }
+// Observe has o notified of the end of each request. It must be called before Run.
+func (c *Coordinator) Observe(o Observer) { c.observer = o }
 
-// Turned tells the observer of a request that was answered before it came here.
-func (c *Coordinator) Turned(r *Request, a Answer) {
-	if c.watch != nil {
-		c.watch.Ended(Ended{Request: r, Answer: a.Kind, Answered: time.Now()})
+// NotifyEnded notifies the observer of a request that got its response elsewhere, before Submit.
+func (c *Coordinator) NotifyEnded(r *Request, a Response) {
+	if c.observer != nil {
+		c.observer.RequestEnded(EndedRequest{Request: r, Response: a.Kind, RespondedAt: time.Now()})
 	}
 }
 
-// tell tells the observer of a job.
-func (c *Coordinator) tell(j *job) {
-	if c.watch == nil {
+// notifyJobEnded notifies the observer of a job's end.
+func (c *Coordinator) notifyJobEnded(j *job) {
+	if c.observer == nil {
 		return
 	}
-	e := Ended{Request: j.r, Answer: j.kind, Answered: j.at, Attempts: make([]EndedAttempt, len(j.attempts))}
+	e := EndedRequest{Request: j.request, Response: j.responseKind, RespondedAt: j.respondedAt, Attempts: make([]EndedAttempt, len(j.attempts))}
 	for i, attempt := range j.attempts {
-		e.Attempts[i] = EndedAttempt{Target: attempt.target, Sent: attempt.sent, Took: attempt.took, Over: attempt.over, Outcome: attempt.outcome}
+		e.Attempts[i] = EndedAttempt{Target: attempt.target, Sent: attempt.sent, Took: attempt.took, Ended: attempt.ended, Outcome: attempt.outcome}
 	}
-	c.watch.Ended(e)
+	c.observer.RequestEnded(e)
 }
 
-// do has f run by the coordinator's goroutine. Once the coordinator has ended it does nothing.
-func (c *Coordinator) do(f func()) {
+// enqueue has the goroutine of Run call f. It blocks while the inbox is full, and does nothing after Run has ended.
+func (c *Coordinator) enqueue(f func()) {
 	select {
 	case c.inbox <- f:
 	case <-c.done:
 	}
 }
 
-// Submit takes a request and waits for its final answer, or for its client to leave, which ends ctx.
-func (c *Coordinator) Submit(ctx context.Context, r *Request) Answer {
-	j := &job{r: r, answer: make(chan Answer, 1)}
+// Submit returns the final response to a request. The client's disconnect must end ctx: Submit then returns
+// ClientDisconnected and the request's attempts are cancelled. After Run has ended it returns InternalFault.
+func (c *Coordinator) Submit(ctx context.Context, r *Request) Response {
+	j := &job{request: r, response: make(chan Response, 1)}
 	select {
 	case c.inbox <- func() { c.arrive(j) }:
 	case <-c.done:
-	case <-ctx.Done(): // it left while others were waited for
-		a := Answer{Kind: Left}
-		c.Turned(r, a)
+	case <-ctx.Done(): // it disconnected while the inbox was full
+		a := Response{Kind: ClientDisconnected}
+		c.NotifyEnded(r, a)
 		return a
 	}
 	select {
-	case a := <-j.answer:
+	case a := <-j.response:
 		return a
 	case <-ctx.Done():
-		c.do(func() { c.leave(j) })
-		return Answer{Kind: Left}
+		c.enqueue(func() { c.disconnect(j) })
+		return Response{Kind: ClientDisconnected}
 	case <-c.done:
 		select {
-		case a := <-j.answer:
+		case a := <-j.response:
 			return a
 		default:
-			return Answer{Kind: Broken}
+			return Response{Kind: InternalFault}
 		}
 	}
 }
 
-// News takes in what discovery told.
-func (c *Coordinator) News(e policy.Event) {
-	c.do(func() {
-		c.remember(&e)
-		c.toAll(e)
+// UpdateList passes on a list event (policy.ListChanged, ListReplaced, ListRestored or ListUnavailable).
+func (c *Coordinator) UpdateList(e policy.Event) {
+	c.enqueue(func() {
+		c.applyList(&e)
+		c.broadcast(e)
 		c.egress.Prune()
 	})
 }
 
-// Share takes in which numbers of those that the dispatchers' budgets are cut into this one acts for: all of them for so
-// long from now, after that only its own. living is how many dispatchers are held to be there.
-func (c *Coordinator) Share(numbers []int, sure time.Duration, living int) {
+// UpdateFleet sets the dispatcher numbers whose parts of the fleet's budgets this one may use: all of numbers for the
+// time validFor from now on, after that only its own. living is how many dispatchers are assumed to live.
+func (c *Coordinator) UpdateFleet(numbers []int, validFor time.Duration, living int) {
 	until := time.Duration(math.MaxInt64)
-	if now := c.clock.now(); sure < until-now {
-		until = now + sure
+	if now := c.clock.now(); validFor < until-now {
+		until = now + validFor
 	}
-	c.do(func() {
+	c.enqueue(func() {
 		c.fleet = &policy.Event{Kind: policy.FleetUpdated, Numbers: numbers, Until: until, Living: living}
-		c.toAll(*c.fleet)
+		c.broadcast(*c.fleet)
 	})
 }
 
-// Close has every open request answered now, and every later one at once. The coordinator goes on so that the
-// answers get out.
+// Close has every open request and every later one get its response at once. Run goes on until its context ends, so
+// that the responses are delivered.
 func (c *Coordinator) Close() {
-	c.do(func() {
+	c.enqueue(func() {
 		c.closing = true
-		c.toAll(policy.Event{Kind: policy.Closing})
+		c.broadcast(policy.Event{Kind: policy.Closing})
 	})
 }
--- a/internal/dispatcher/coordinator/coordinator_test.go
+++ b/internal/dispatcher/coordinator/coordinator_test.go
@@ -14,16 +14,16 @@
 	"ospreypond/policy"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// targets is an Egress whose attempts end as the test says.
-type targets struct {
+// fakeEgress is an Egress whose attempts end as the test sends to ends.
+type fakeEgress struct {
 	attempts chan *Attempt
 	ends     chan AttemptEnd
 }
 
-func (e *targets) Attempt(ctx context.Context, h *Attempt) AttemptEnd {
-	h.News(policy.JobStarted)
+func (e *fakeEgress) Attempt(ctx context.Context, h *Attempt) AttemptEnd {
+	h.OnProgress(policy.JobStarted)
 	e.attempts <- h
 	select {
 	case end := <-e.ends:
@@ -32,12 +32,12 @@
 		return AttemptEnd{Outcome: policy.Cancelled, Report: policy.NoReport}
 	}
 }
-func (e *targets) Probe(context.Context, string) AttemptEnd {
+func (e *fakeEgress) Probe(context.Context, string) AttemptEnd {
 	return AttemptEnd{Report: policy.NoReport}
 }
-func (e *targets) CloseIdle(string) {}
-func (e *targets) Prune()           {}
-func (e *targets) Subscribe()       {}
+func (e *fakeEgress) CloseIdle(string) {}
+func (e *fakeEgress) Prune()           {}
+func (e *fakeEgress) Subscribe()       {}
 
 func testSettings() policy.Settings {
 	return policy.Settings{Schedulers: 1, Period: time.Millisecond, ReportsStarts: true, Cancel: true, MaxAttempts: 4,
@@ -46,23 +46,23 @@
 			Deadline: time.Minute}}}
 }
 
-func run(t *testing.T, set policy.Settings) (*Coordinator, *targets) {
+func run(t *testing.T, set policy.Settings) (*Coordinator, *fakeEgress) {
 	t.Helper()
-	return runWith(t, set, func(e *targets) Egress { return e })
+	return runWith(t, set, func(e *fakeEgress) Egress { return e })
 }
 
-// runWith has an Egress of the test's own before the targets.
-func runWith(t *testing.T, set policy.Settings, before func(*targets) Egress) (*Coordinator, *targets) {
+// runWith runs a coordinator whose Egress is made by wrap.
+func runWith(t *testing.T, set policy.Settings, wrap func(*fakeEgress) Egress) (*Coordinator, *fakeEgress) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	coordinator, err := New(set, 1, log)
 	require.NoError(t, err)
-	e := &targets{attempts: make(chan *Attempt, 16), ends: make(chan AttemptEnd, 16)}
-	coordinator.Attach(before(e), e)
+	e := &fakeEgress{attempts: make(chan *Attempt, 16), ends: make(chan AttemptEnd, 16)}
+	coordinator.Attach(wrap(e), e)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	coordinator.News(policy.Event{Kind: policy.ListRestored, Members: []policy.Member{{Worker: "w", Kind: "k"}}})
+	coordinator.UpdateList(policy.Event{Kind: policy.ListRestored, Members: []policy.Member{{Worker: "w", Kind: "k"}}})
 	go coordinator.Run(ctx)
 	return coordinator, e
 }
@@ -72,20 +72,20 @@
 	return &Request{ID: "r", Class: "c", Arrived: now, Deadline: now.Add(wait), Slots: 1, Work: time.Millisecond}
 }
 
-func submit(ctx context.Context, coordinator *Coordinator, r *Request) <-chan Answer {
-	c := make(chan Answer, 1)
+func submit(ctx context.Context, coordinator *Coordinator, r *Request) <-chan Response {
+	c := make(chan Response, 1)
 	go func() { c <- coordinator.Submit(ctx, r) }()
 	return c
 }
 
-func answerOf(t *testing.T, c <-chan Answer) Answer {
+func receiveResponse(t *testing.T, c <-chan Response) Response {
 	t.Helper()
 	select {
 	case a := <-c:
 		return a
-	case <-time.After(patience):
-		t.Fatal("no answer")
-		return Answer{}
+	case <-time.After(testTimeout):
+		t.Fatal("no response")
+		return Response{}
 	}
 }
 
@@ -94,125 +94,124 @@
 	c := submit(context.Background(), coordinator, request(time.Minute))
 	assert.Equal(t, "w", (<-e.attempts).Target)
 	e.ends <- AttemptEnd{Outcome: policy.OK, Result: []byte("made"), Report: policy.NoReport}
-	assert.Equal(t, Answer{Kind: Served, Result: []byte("made")}, answerOf(t, c))
+	assert.Equal(t, Response{Kind: Served, Result: []byte("made")}, receiveResponse(t, c))
 }
 
-// Guards against a module that panics: what is open is answered, and the next request is served.
-func TestPanicInTheModule(t *testing.T) {
+// Guards against a module that panics: open requests get a response, and the next request is served.
+func TestModulePanic(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	c := submit(context.Background(), coordinator, request(time.Minute))
 	<-e.attempts
-	coordinator.do(func() { // the module has no kind for this worker, and trips over it
-		m := coordinator.mods[len(coordinator.mods)-1]
+	coordinator.enqueue(func() { // the event makes the module without a Dispatcher panic
+		m := coordinator.modules[len(coordinator.modules)-1]
 		m.events = append(m.events, policy.Event{Kind: policy.AttemptEnded, ID: 1, Report: policy.NoReport,
 			Worker: "w", Outcome: policy.Failed})
 		m.d = nil
 	})
-	assert.Equal(t, Broken, answerOf(t, c).Kind)
+	assert.Equal(t, InternalFault, receiveResponse(t, c).Kind)
 	next := request(time.Minute)
 	next.ID = "next"
 	c = submit(context.Background(), coordinator, next)
 	<-e.attempts
 	e.ends <- AttemptEnd{Outcome: policy.OK, Report: policy.NoReport}
-	assert.Equal(t, Served, answerOf(t, c).Kind)
+	assert.Equal(t, Served, receiveResponse(t, c).Kind)
 }
 
-// Guards against a module that forgets a request: the net under it answers.
-func TestOverdueRequestIsAnswered(t *testing.T) {
+// Guards against a module that forgets a request: the coordinator responds.
+func TestOverdueRequestIsFailed(t *testing.T) {
 	set := testSettings()
 	set.ResponseGrace = 0
 	coordinator, e := run(t, set)
 	c := submit(context.Background(), coordinator, request(100*time.Millisecond))
 	<-e.attempts
-	coordinator.do(func() { coordinator.mods[len(coordinator.mods)-1].d, _ = policy.New(coordinator.set, 2) }) // it knows of nothing
-	assert.Equal(t, Broken, answerOf(t, c).Kind)
+	coordinator.enqueue(func() { coordinator.modules[len(coordinator.modules)-1].d, _ = policy.New(coordinator.set, 2) }) // it has no request
+	assert.Equal(t, InternalFault, receiveResponse(t, c).Kind)
 }
 
-// Guards against a client that uses the id of another's request, while that one is open or after it: the first
-// goes on, and the second is neither served nor sent to a runner, which would take it for a second copy.
-func TestRepeatedID(t *testing.T) {
+// Guards against a client that uses the id of another's request, while that one is open or after it: the first goes
+// on, and the second is neither served nor sent to a runner, which would take it for a duplicate.
+func TestDuplicateID(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	c := submit(context.Background(), coordinator, request(time.Minute))
 	<-e.attempts
-	assert.Equal(t, Repeated, answerOf(t, submit(context.Background(), coordinator, request(time.Minute))).Kind)
+	assert.Equal(t, DuplicateID, receiveResponse(t, submit(context.Background(), coordinator, request(time.Minute))).Kind)
 	e.ends <- AttemptEnd{Outcome: policy.OK, Report: policy.NoReport}
-	assert.Equal(t, Served, answerOf(t, c).Kind)
-	assert.Equal(t, Repeated, answerOf(t, submit(context.Background(), coordinator, request(time.Minute))).Kind)
+	assert.Equal(t, Served, receiveResponse(t, c).Kind)
+	assert.Equal(t, DuplicateID, receiveResponse(t, submit(context.Background(), coordinator, request(time.Minute))).Kind)
 	assert.Empty(t, e.attempts)
 }
 
-// The ids of answered requests are forgotten in order, so that memory stays bounded.
-func TestIDsAreForgotten(t *testing.T) {
+// The ids of requests with a response are dropped in order, so that memory stays bounded.
+func TestRespondedIDsAreBounded(t *testing.T) {
 	coordinator, _ := run(t, testSettings())
 	left := make(chan bool, 2)
-	coordinator.do(func() {
-		for n := range idMemory + 1 {
+	coordinator.enqueue(func() {
+		for n := range maxRespondedIDs + 1 {
 			coordinator.ids[fmt.Sprint(n)] = true
-			coordinator.retire(fmt.Sprint(n))
+			coordinator.rememberID(fmt.Sprint(n))
 		}
 		left <- coordinator.ids["0"]
-		left <- len(coordinator.ids) == idMemory && coordinator.ids["1"]
+		left <- len(coordinator.ids) == maxRespondedIDs && coordinator.ids["1"]
 	})
 	assert.False(t, <-left)
 	assert.True(t, <-left)
 }
 
-// Guards against one client's faulty requests making a runner look sick: it gets the next request at once.
-func TestRejectedRequestIsNotTheTargetsFault(t *testing.T) {
+// Guards against one client's invalid requests making a runner look unhealthy: it gets the next request at once.
+func TestUnusableRequestIsNotTheTargetsFault(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	for n := range 3 {
 		r := request(time.Minute)
 		r.ID = fmt.Sprint(n)
 		c := submit(context.Background(), coordinator, r)
 		<-e.attempts
-		e.ends <- AttemptEnd{Outcome: policy.Cancelled, Rejected: true, Report: policy.NoReport}
-		assert.Equal(t, Rejected, answerOf(t, c).Kind)
+		e.ends <- AttemptEnd{Outcome: policy.Cancelled, Unusable: true, Report: policy.NoReport}
+		assert.Equal(t, Unusable, receiveResponse(t, c).Kind)
 	}
-	assert.Empty(t, e.attempts, "sent again")
+	assert.Empty(t, e.attempts, "an unusable request is not retried")
 }
 
-// A client that leaves ends its attempt, whose one end still comes; nothing stays behind.
-func TestClientLeaves(t *testing.T) {
+// A client's disconnect cancels its attempt, whose end still arrives; no state is left.
+func TestClientDisconnects(t *testing.T) {
 	coordinator, e := run(t, testSettings())
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	c := submit(ctx, coordinator, request(time.Minute))
 	<-e.attempts
-	leave()
-	assert.Equal(t, Left, answerOf(t, c).Kind)
+	disconnect()
+	assert.Equal(t, ClientDisconnected, receiveResponse(t, c).Kind)
 	require.Eventually(t, func() bool {
 		left := make(chan int, 1)
-		coordinator.do(func() { left <- len(coordinator.jobs) })
+		coordinator.enqueue(func() { left <- len(coordinator.jobs) })
 		return <-left == 0
-	}, patience, time.Millisecond, "the attempt was not called off")
+	}, testTimeout, time.Millisecond, "the attempt was not cancelled")
 }
 
-// At a stop what may have run is failed, what never ran is refused, and what still comes is refused at once.
+// After Close what may have run fails, what never ran is shed, and later requests are shed at once.
 func TestClose(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	out := submit(context.Background(), coordinator, request(time.Minute))
 	<-e.attempts
 	coordinator.Close()
-	assert.Equal(t, Failed, answerOf(t, out).Kind)
+	assert.Equal(t, Failed, receiveResponse(t, out).Kind)
 	next := request(time.Minute)
 	next.ID = "next"
-	assert.Equal(t, Refused, answerOf(t, submit(context.Background(), coordinator, next)).Kind)
+	assert.Equal(t, Shed, receiveResponse(t, submit(context.Background(), coordinator, next)).Kind)
 }
 
-// The first end counts: an attempt that is sent after its request was answered is moot, and one that ends again
-// changes nothing.
-func TestSendAfterTheAnswerIsMoot(t *testing.T) {
+// Only the first response counts: an attempt that is sent after it is moot, and a second response changes nothing.
+func TestSendAfterTheResponseIsMoot(t *testing.T) {
 	coordinator, _ := run(t, testSettings())
 	got := make(chan policy.Event, 1)
-	coordinator.do(func() {
-		m := coordinator.mods[0]
-		j := &job{id: 7, r: request(time.Minute), answer: make(chan Answer, 1), overdue: time.NewTimer(time.Hour), out: 1,
-			mod: m}
+	coordinator.enqueue(func() {
+		m := coordinator.modules[0]
+		j := &job{id: 7, request: request(time.Minute), response: make(chan Response, 1), overdue: time.NewTimer(time.Hour), openAttempts: 1,
+			module: m}
 		coordinator.jobs[7] = j
-		coordinator.reply(j, Answer{Kind: Failed})
-		coordinator.reply(j, Answer{Kind: Served})
-		coordinator.act(m, &policy.Action{Kind: policy.Send, ID: 7, Worker: "w"})
+		coordinator.respond(j, Response{Kind: Failed})
+		coordinator.respond(j, Response{Kind: Served})
+		coordinator.apply(t.Context(), m, &policy.Action{Kind: policy.Send, ID: 7, Worker: "w"})
 		got <- m.events[len(m.events)-1]
-		assert.Equal(t, Failed, (<-j.answer).Kind)
+		assert.Equal(t, Failed, (<-j.response).Kind)
 	})
 	e := <-got
 	assert.Equal(t, policy.Moot, e.Outcome)
@@ -226,16 +225,16 @@
 	assert.Equal(t, time.Second, c.at(at)-c.at(at.Add(-time.Second)))
 }
 
-// Steps keep the settings' distance, however much comes in.
-func TestStepsKeepTheirDistance(t *testing.T) {
+// Steps are at least the settings' period apart, however many events arrive.
+func TestStepsKeepThePeriod(t *testing.T) {
 	set := testSettings()
 	set.Period = 20 * time.Millisecond
 	coordinator, _ := run(t, set)
 	var steps []time.Duration
 	for range 40 {
 		c := make(chan time.Duration, 1)
-		coordinator.do(func() {
-			coordinator.toAll(policy.Event{Kind: policy.TimerFired})
+		coordinator.enqueue(func() {
+			coordinator.broadcast(policy.Event{Kind: policy.TimerFired})
 			c <- coordinator.stepAt
 		})
 		if at := <-c; len(steps) == 0 || steps[len(steps)-1] != at {
--- a/internal/dispatcher/coordinator/loop.go
+++ b/internal/dispatcher/coordinator/loop.go
@@ -9,17 +9,16 @@
 	"ospreypond/policy"
 )
 
-// Run drives the module until ctx ends. A panic in the module costs the requests it held, which are answered
-// as broken, and the module starts over with the list that it had.
+// Run drives the decision module until ctx ends; attempts and probes get contexts derived from ctx. If the module
+// panics, its open requests end with InternalFault and a new module starts with the same list.
 func (c *Coordinator) Run(ctx context.Context) {
 	defer close(c.done)
-	c.ctx = ctx
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			c.breakAll()
+			c.failAll()
 			return
 		case f := <-c.inbox:
 			f()
@@ -35,17 +34,17 @@
 		}
 		now := c.clock.now()
 		if c.due() <= now {
-			c.step(now)
+			c.step(ctx, now)
 		}
 		wake.Reset(min(c.due()-c.clock.now(), time.Hour))
 	}
 }
 
-// due tells when the modules are to step next: no sooner than the settings' period after the last time.
+// due returns when the modules are to step next: no sooner than the settings' period after the last step.
 func (c *Coordinator) due() time.Duration {
 	first := c.stepAt + c.set.Period
 	next := first + time.Hour
-	for _, m := range c.mods {
+	for _, m := range c.modules {
 		switch {
 		case len(m.events) > 0:
 			return first
@@ -56,19 +55,19 @@
 	return next
 }
 
-// step has each module decide on what has come in for it and does as it says. A module that took no new
-// requests since the settings changed is let go once its requests have ended.
-func (c *Coordinator) step(now time.Duration) {
+// step steps each module that has events or due timers and applies its actions. A module of former settings is
+// dropped once its requests have ended.
+func (c *Coordinator) step(ctx context.Context, now time.Duration) {
 	c.stepAt = now
-	for _, m := range c.mods {
+	for _, m := range c.modules {
 		if !m.ready(now) {
 			continue
 		}
 		events := m.take(now)
 		for i := range events {
-			if e := &events[i]; e.Kind == policy.Request { // the client's time ran on while it waited here
+			if e := &events[i]; e.Kind == policy.Request { // the client's time elapsed while the event was queued
 				if j := c.jobs[e.ID]; j != nil {
-					e.Left = j.due - now
+					e.Left = j.deadline - now
 				}
 			}
 		}
@@ -76,15 +75,15 @@
 			return // every module was replaced
 		}
 		for i := range c.actions {
-			c.act(m, &c.actions[i])
+			c.apply(ctx, m, &c.actions[i])
 		}
 		m.done(events)
 	}
-	current := c.mods[len(c.mods)-1]
-	c.mods = slices.DeleteFunc(c.mods, func(m *module) bool { return m != current && m.open == 0 })
+	current := c.modules[len(c.modules)-1]
+	c.modules = slices.DeleteFunc(c.modules, func(m *module) bool { return m != current && m.openJobs == 0 })
 }
 
-// decide runs a module; ok is false if it panicked and every module was replaced.
+// decide steps a module into c.actions; ok is false if it panicked and every module was replaced.
 func (c *Coordinator) decide(m *module, now time.Duration, events []policy.Event) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dispatcher/coordinator/module.go
+++ b/internal/dispatcher/coordinator/module.go
@@ -9,23 +9,23 @@
 )
 
 // module is one decision module with the settings it was made with. When the settings change, a new module takes
-// the new requests while the one before decides on those it took until they have ended: a job keeps the class
-// and the attempts that it started with.
+// new requests while the former one decides on its own until they have ended: a job keeps the class and the limits
+// that it started with.
 type module struct {
-	d      *policy.Dispatcher
-	set    policy.Settings
-	events []policy.Event // since its last step
-	spare  []policy.Event
-	timers timerHeap
-	open   int // jobs that it holds
+	d        *policy.Dispatcher
+	set      policy.Settings
+	events   []policy.Event // since its last step
+	spare    []policy.Event
+	timers   timerHeap
+	openJobs int // jobs that it decides on
 }
 
-// ready tells whether the module has anything to decide on at now.
+// ready reports whether the module has an event or a due timer.
 func (m *module) ready(now time.Duration) bool {
 	return len(m.events) > 0 || len(m.timers) > 0 && m.timers[0].at <= now
 }
 
-// take returns the events of a step at now, the timers that are due among them.
+// take returns the events of a step at now, due timers included.
 func (m *module) take(now time.Duration) []policy.Event {
 	for len(m.timers) > 0 && m.timers[0].at <= now {
 		m.events = append(m.events, policy.Event{Kind: policy.TimerFired, Token: m.timers[0].token})
@@ -36,31 +36,29 @@
 	return events
 }
 
-// done gives back a step's events for reuse.
+// done returns a step's events for reuse.
 func (m *module) done(events []policy.Event) {
 	clear(events)
 	m.spare = events[:0]
 }
 
-// toAll tells every module of what concerns no one job.
-func (c *Coordinator) toAll(e policy.Event) {
-	for _, m := range c.mods {
+// broadcast passes an event that concerns no single job to every module.
+func (c *Coordinator) broadcast(e policy.Event) {
+	for _, m := range c.modules {
 		m.events = append(m.events, e)
 	}
 }
 
-// Retune has new requests decided on under new settings from now on; those under way keep theirs. It returns
-// once they are queued ahead of every request that is submitted later, so that whoever lets the new classes in
-// afterwards finds them decided on.
-// An error is one of settings that no module starts with.
+// Retune applies new settings to requests submitted after it has returned; open requests keep theirs. It returns
+// an error for settings that no module starts with, and then changes nothing.
 func (c *Coordinator) Retune(set policy.Settings) error {
 	d, err := policy.New(set, c.seed)
 	if err != nil {
 		return fmt.Errorf("starting the decision module: %w", err)
 	}
-	c.do(func() {
+	c.enqueue(func() {
 		c.set = set
-		c.begin(d, set)
+		c.activate(d, set)
 	})
 	return nil
 }
--- a/internal/dispatcher/coordinator/restart.go
+++ b/internal/dispatcher/coordinator/restart.go
@@ -1,37 +1,33 @@
 package coordinator
 
 import (
+	"cmp"
 	"slices"
 
 	"ospreypond/policy"
 )
 
-// restart replaces the module. Guards against one bad decision taking every request on this dispatcher along.
+// restart replaces the module. Guards against one bad decision that takes down every request of this dispatcher.
 func (c *Coordinator) restart() {
-	c.breakAll()
+	c.failAll()
 	d, err := policy.New(c.set, c.seed)
 	if err != nil {
 		c.log.WithError(err).Error("decision module does not start")
 		return
 	}
-	c.jobs, c.mods = map[uint32]*job{}, nil
-	c.begin(d, c.set)
+	c.jobs, c.modules = map[uint32]*job{}, nil
+	c.activate(d, c.set)
 }
 
-// begin puts a new module in charge of new requests, told of the list as it stands.
-func (c *Coordinator) begin(d *policy.Dispatcher, set policy.Settings) {
+// activate gives new requests to a new module, which starts with the present list and fleet.
+func (c *Coordinator) activate(d *policy.Dispatcher, set policy.Settings) {
 	m := &module{d: d, set: set}
-	c.mods = append(c.mods, m)
+	c.modules = append(c.modules, m)
 	e := policy.Event{Kind: policy.ListRestored}
 	for _, m := range c.members {
 		e.Members = append(e.Members, m)
 	}
-	slices.SortFunc(e.Members, func(a, b policy.Member) int {
-		if a.Worker < b.Worker {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(e.Members, func(a, b policy.Member) int { return cmp.Compare(a.Worker, b.Worker) })
 	m.events = append(m.events, e)
 	if c.fleet != nil {
 		m.events = append(m.events, *c.fleet)
@@ -41,22 +37,23 @@
 	}
 }
 
-// breakAll answers everything open as failed through this program and calls off its attempts.
-func (c *Coordinator) breakAll() {
+// failAll ends every open request with InternalFault and cancels its attempts.
+func (c *Coordinator) failAll() {
 	for _, j := range c.jobs {
-		c.reply(j, Answer{Kind: Broken})
+		c.respond(j, Response{Kind: InternalFault})
 		for _, attempt := range j.attempts {
 			attempt.cancel()
 		}
-		if c.jobs[j.id] == j { // its attempts' ends will find it gone
+		if c.jobs[j.id] == j { // its attempts' ends are ignored then
 			delete(c.jobs, j.id)
-			j.mod.open--
-			c.tell(j)
+			j.module.openJobs--
+			c.notifyJobEnded(j)
 		}
 	}
 }
 
-func (c *Coordinator) remember(e *policy.Event) {
+// applyList keeps c.members up to date.
+func (c *Coordinator) applyList(e *policy.Event) {
 	if e.Kind == policy.ListReplaced || e.Kind == policy.ListRestored {
 		clear(c.members)
 	}
--- a/internal/dispatcher/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -60,8 +60,8 @@
 		e.follow(ctx, attempt, lines, &c, &end)
 	} else {
 		end.Outcome = refused(resp)
-		end.Rejected = end.Outcome == policy.Cancelled
-		end.Doubtful = end.Outcome == policy.Full && c.own().hadJob()
+		end.Unusable = end.Outcome == policy.Cancelled
+		end.Indeterminate = end.Outcome == policy.Full && c.own().hadJob()
 		if resp.StatusCode != http.StatusInternalServerError && end.Outcome != policy.Full && e.warned.due(time.Now()) {
 			e.log.WithFields(logrus.Fields{"target": attempt.Target, "request": attempt.Request.ID, "status": resp.StatusCode}).
 				Warn("target answered with an unexpected status")
@@ -132,9 +132,9 @@
 		}
 		switch l.State {
 		case "started":
-			attempt.News(policy.JobStarted)
+			attempt.OnProgress(policy.JobStarted)
 		case "running":
-			attempt.News(policy.JobProgress)
+			attempt.OnProgress(policy.JobProgress)
 		case "done":
 			end.Outcome, end.Result = policy.OK, l.result()
 			return
--- a/internal/dispatcher/egress/egress_test.go
+++ b/internal/dispatcher/egress/egress_test.go
@@ -55,7 +55,7 @@
 }
 
 func attempt(ctx context.Context, e *Egress, body []byte) coordinator.AttemptEnd {
-	return e.Attempt(ctx, &coordinator.Attempt{Target: "w", Deadline: time.Now().Add(time.Minute), News: func(policy.EventKind) {}, Begin: func(time.Time) error { return nil },
+	return e.Attempt(ctx, &coordinator.Attempt{Target: "w", Deadline: time.Now().Add(time.Minute), OnProgress: func(policy.EventKind) {}, Begin: func(time.Time) error { return nil },
 		Request: &coordinator.Request{ID: "id", Method: "POST", Target: "/c", IdempotencyKey: "k", Body: body}})
 }
 
@@ -195,7 +195,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	}))
 	end := attempt(context.Background(), e, nil)
-	assert.True(t, end.Rejected)
+	assert.True(t, end.Unusable)
 	assert.Equal(t, policy.Cancelled, end.Outcome)
 }
 
--- a/internal/dispatcher/egress/endings_test.go
+++ b/internal/dispatcher/egress/endings_test.go
@@ -152,7 +152,7 @@
 			end := attempt(context.Background(), e, []byte("x"))
 			assert.Equal(t, tt.want, end.Outcome)
 			assert.Empty(t, end.Result)
-			assert.False(t, end.Doubtful, "nothing came on its connection before")
+			assert.False(t, end.Indeterminate, "nothing came on its connection before")
 			if tt.kept { // unless this machine takes longer than settleLimit to read what is there
 				for tries := 0; e.open.Load() == 0 && tries < 20; tries++ {
 					e, _ = testEgress(t, runner)
@@ -201,7 +201,7 @@
 				for range 20 {
 					end := attempt(context.Background(), e, nil)
 					if end.Outcome == policy.Full { // the machine was so slow that it came after the next request
-						require.True(t, end.Doubtful, "the second answer to the request before is no proof")
+						require.True(t, end.Indeterminate, "the second answer to the request before is no proof")
 						continue
 					}
 					require.Equal(t, policy.OK, end.Outcome)
@@ -305,10 +305,10 @@
 	assert.Equal(t, policy.Full, e.Probe(context.Background(), "w").Outcome)
 	fresh := attempt(context.Background(), e, nil)
 	assert.Equal(t, policy.Full, fresh.Outcome)
-	assert.False(t, fresh.Doubtful)
+	assert.False(t, fresh.Indeterminate)
 	assert.Eventually(t, func() bool { // as soon as the connection was used again
 		end := attempt(context.Background(), e, nil)
-		return end.Outcome == policy.Full && end.Doubtful
+		return end.Outcome == policy.Full && end.Indeterminate
 	}, time.Minute, time.Millisecond)
 }
 
@@ -335,7 +335,7 @@
 	}
 	deadline := time.Now().Add(wait)
 	for range 2 { // on a new connection, and on the kept one
-		end := e.Attempt(context.Background(), &coordinator.Attempt{Target: "w", Deadline: deadline, News: func(policy.EventKind) {},
+		end := e.Attempt(context.Background(), &coordinator.Attempt{Target: "w", Deadline: deadline, OnProgress: func(policy.EventKind) {},
 			Begin: func(time.Time) error { return nil }, Request: &coordinator.Request{ID: "id", Method: "POST", Target: "/c"}})
 		require.Equal(t, policy.OK, end.Outcome)
 		assert.LessOrEqual(t, <-told, wait-dialing)
--- a/internal/dispatcher/ingress/closing_test.go
+++ b/internal/dispatcher/ingress/closing_test.go
@@ -57,9 +57,9 @@
 func atSeam(t *testing.T) (s *Server, life *lifecycle.Lifecycle, at *seam, submitted *atomic.Int64) {
 	t.Helper()
 	submitted = new(atomic.Int64)
-	s, life = testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Answer {
+	s, life = testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
 		submitted.Add(1)
-		return coordinator.Answer{Kind: coordinator.Served, Result: []byte(r.ID)}
+		return coordinator.Response{Kind: coordinator.Served, Result: []byte(r.ID)}
 	})
 	life.Advance(lifecycle.Serving)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -212,11 +212,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			held, left := make(chan bool), make(chan time.Time, 1)
-			s, _ := testServer(20, func(ctx context.Context, _ *coordinator.Request) coordinator.Answer {
+			s, _ := testServer(20, func(ctx context.Context, _ *coordinator.Request) coordinator.Response {
 				held <- true
 				<-ctx.Done()
 				left <- time.Now()
-				return coordinator.Answer{Kind: coordinator.Left}
+				return coordinator.Response{Kind: coordinator.ClientDisconnected}
 			})
 			conn, _ := dial(t, listen(t, s), whole)
 			<-held
@@ -241,9 +241,9 @@
 // What came early is the next request, in order; where more came than is kept, the connection ends with the answer.
 func TestEarlyRequestsAreServedInOrder(t *testing.T) {
 	release := make(chan bool)
-	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Answer {
+	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
 		<-release
-		return coordinator.Answer{Kind: coordinator.Served, Result: r.Body}
+		return coordinator.Response{Kind: coordinator.Served, Result: r.Body}
 	})
 	addr := listen(t, s)
 	conn, from := dial(t, addr, head+"Content-Length: 3\r\n\r\none")
@@ -277,9 +277,9 @@
 // A newcomer for whom there is no room, as every connection has a request in hand, is told so, and may come again.
 func TestNewcomersAreToldThatThereIsNoRoom(t *testing.T) {
 	release := make(chan bool)
-	s, _ := testServer(2, func(context.Context, *coordinator.Request) coordinator.Answer {
+	s, _ := testServer(2, func(context.Context, *coordinator.Request) coordinator.Response {
 		<-release
-		return coordinator.Answer{Kind: coordinator.Served}
+		return coordinator.Response{Kind: coordinator.Served}
 	})
 	addr := listen(t, s)
 	_, one := dial(t, addr, whole)
@@ -326,9 +326,9 @@
 // A stop returns once the last answer was taken and each connection has ended: not while a client still reads.
 func TestStopWaitsForTheLastAnswers(t *testing.T) {
 	release := make(chan bool)
-	s, life := testServer(20, func(context.Context, *coordinator.Request) coordinator.Answer {
+	s, life := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 		<-release
-		return coordinator.Answer{Kind: coordinator.Served, Result: []byte("r")}
+		return coordinator.Response{Kind: coordinator.Served, Result: []byte("r")}
 	})
 	life.Advance(lifecycle.Serving)
 	conn, from := dial(t, listen(t, s), whole)
--- a/internal/dispatcher/ingress/deadline_test.go
+++ b/internal/dispatcher/ingress/deadline_test.go
@@ -32,8 +32,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Answer {
-				return coordinator.Answer{Kind: coordinator.Served, Result: r.Body}
+			s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
+				return coordinator.Response{Kind: coordinator.Served, Result: r.Body}
 			})
 			conn, from := dial(t, listen(t, s), "")
 			time.Sleep(c.first)
@@ -62,8 +62,8 @@
 // since its last byte goes first, so many that say nothing are pushed out before a client that sends in pieces.
 func TestPiecesKeepTheirPlaceAmongManySilent(t *testing.T) {
 	const room = 4
-	s, _ := testServer(room, func(_ context.Context, r *coordinator.Request) coordinator.Answer {
-		return coordinator.Answer{Kind: coordinator.Served, Result: r.Body}
+	s, _ := testServer(room, func(_ context.Context, r *coordinator.Request) coordinator.Response {
+		return coordinator.Response{Kind: coordinator.Served, Result: r.Body}
 	})
 	addr := listen(t, s)
 	const whole = head + "Content-Length: 2\r\n\r\nok"
--- a/internal/dispatcher/ingress/drain_test.go
+++ b/internal/dispatcher/ingress/drain_test.go
@@ -21,8 +21,8 @@
 // serving starts a server on a socket of its own, answering every job at once.
 func serving(t *testing.T) (*Server, string) {
 	t.Helper()
-	s, life := testServer(64, func(context.Context, *coordinator.Request) coordinator.Answer {
-		return coordinator.Answer{Kind: coordinator.Served, Result: []byte("r")}
+	s, life := testServer(64, func(context.Context, *coordinator.Request) coordinator.Response {
+		return coordinator.Response{Kind: coordinator.Served, Result: []byte("r")}
 	})
 	life.Advance(lifecycle.Serving)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,8 +101,8 @@
 
 // New settings: a request of a new class is taken at once, one of a class that vanished is told so.
 func TestRetuneChangesTheClassesTaken(t *testing.T) {
-	s, life := testServer(10, func(context.Context, *coordinator.Request) coordinator.Answer {
-		return coordinator.Answer{Kind: coordinator.Served}
+	s, life := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response {
+		return coordinator.Response{Kind: coordinator.Served}
 	})
 	life.Advance(lifecycle.Serving)
 	s.Retune(&policy.Settings{Classes: []policy.Class{{Name: "d"}}})
--- a/internal/dispatcher/ingress/giveup_test.go
+++ b/internal/dispatcher/ingress/giveup_test.go
@@ -33,9 +33,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Answer {
+			s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 				t.Error("submitted")
-				return coordinator.Answer{}
+				return coordinator.Response{}
 			})
 			conn, from := dial(t, listen(t, s), c.text)
 			if c.leave {
@@ -52,8 +52,8 @@
 // A connection that carried requests and then rests is no request given up when it closes, nor is one that never
 // said anything.
 func TestQuietConnectionsAreNoGiveUps(t *testing.T) {
-	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Answer {
-		return coordinator.Answer{Kind: coordinator.Served}
+	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
+		return coordinator.Response{Kind: coordinator.Served}
 	})
 	addr := listen(t, s)
 	used, from := dial(t, addr, head+"Content-Length: 0\r\n\r\n")
@@ -75,9 +75,9 @@
 // Transfer-Encoding, which net/http drops unseen, is still refused, also where it comes after other requests.
 func TestChunkedBodiesAreTakenAndSmugglingIsNot(t *testing.T) {
 	got := make(chan string, 10)
-	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Answer {
+	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
 		got <- string(r.Body)
-		return coordinator.Answer{Kind: coordinator.Served, Result: r.Body}
+		return coordinator.Response{Kind: coordinator.Served, Result: r.Body}
 	})
 	addr := listen(t, s)
 	const chunked = head + "Transfer-Encoding: chunked\r\n\r\n"
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -41,9 +41,9 @@
 
 // Submitter takes requests and brings their final answers; coordinator.Coordinator is one.
 type Submitter interface {
-	Submit(ctx context.Context, r *coordinator.Request) coordinator.Answer
+	Submit(ctx context.Context, r *coordinator.Request) coordinator.Response
 	// Turned is told of a request that was answered without it.
-	Turned(r *coordinator.Request, a coordinator.Answer)
+	NotifyEnded(r *coordinator.Request, a coordinator.Response)
 }
 
 // Server takes clients' requests.
@@ -228,14 +228,14 @@
 	_ = control.SetReadDeadline(time.Time{})
 	req.Arrived = time.Now()
 	req.Deadline = req.Arrived.Add(wait)
-	a := coordinator.Answer{Kind: coordinator.Refused, RetryAfter: s.retryAfter()}
+	a := coordinator.Response{Kind: coordinator.Shed, RetryAfter: s.retryAfter()}
 	n := s.taken.Add(1)
 	defer s.taken.Add(-1)
 	if !s.tooMany(n) {
 		a = s.to.Submit(r.Context(), req)
 	} else {
 		s.giveUps.add(tooMany)
-		s.to.Turned(req, a)
+		s.to.NotifyEnded(req, a)
 	}
 	_ = control.SetWriteDeadline(time.Now().Add(answerLimit))
 	s.answer(w, req, a)
@@ -300,7 +300,7 @@
 }
 
 // answer writes a request's final answer.
-func (s *Server) answer(w http.ResponseWriter, req *coordinator.Request, a coordinator.Answer) {
+func (s *Server) answer(w http.ResponseWriter, req *coordinator.Request, a coordinator.Response) {
 	if s.closing() { // it may have begun since the request came
 		w.Header().Set("Connection", "close")
 	}
@@ -313,21 +313,21 @@
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.Result)))
 		_, _ = w.Write(a.Result)
-	case coordinator.Refused:
+	case coordinator.Shed:
 		if a.RetryAfter > 0 {
 			w.Header().Set("Retry-After", retryText(a.RetryAfter))
 		}
 		s.text(w, http.StatusServiceUnavailable, "refused; a retry is harmless")
 	case coordinator.Failed:
 		s.text(w, http.StatusBadGateway, "failed; it may have had its effect")
-	case coordinator.Broken:
+	case coordinator.InternalFault:
 		s.text(w, http.StatusInternalServerError, "internal fault")
-	case coordinator.Rejected:
+	case coordinator.Unusable:
 		s.text(w, http.StatusBadRequest, "a runner cannot use this request")
-	case coordinator.Repeated:
+	case coordinator.DuplicateID:
 		w.Header().Set("Connection", "close")
 		s.text(w, http.StatusConflict, "X-Request-ID: a request with this id is open or was answered")
-	case coordinator.Left: // nobody reads it, or one that has closed only its sending: net/http would say 200
+	case coordinator.ClientDisconnected: // nobody reads it, or one that has closed only its sending: net/http would say 200
 		w.Header().Set("Connection", "close")
 		s.text(w, http.StatusBadGateway, "the client has left")
 	}
--- a/internal/dispatcher/ingress/ingress_test.go
+++ b/internal/dispatcher/ingress/ingress_test.go
@@ -22,11 +22,11 @@
 )
 
 // submitter answers as its function says.
-type submitter func(ctx context.Context, r *coordinator.Request) coordinator.Answer
+type submitter func(ctx context.Context, r *coordinator.Request) coordinator.Response
 
-func (f submitter) Turned(*coordinator.Request, coordinator.Answer) {}
+func (f submitter) NotifyEnded(*coordinator.Request, coordinator.Response) {}
 
-func (f submitter) Submit(ctx context.Context, r *coordinator.Request) coordinator.Answer {
+func (f submitter) Submit(ctx context.Context, r *coordinator.Request) coordinator.Response {
 	return f(ctx, r)
 }
 
@@ -84,15 +84,15 @@
 
 func TestAnswers(t *testing.T) {
 	for _, tt := range []struct {
-		a      coordinator.Answer
+		a      coordinator.Response
 		status int
 	}{
-		{coordinator.Answer{Kind: coordinator.Served, Result: []byte("r")}, 200},
-		{coordinator.Answer{Kind: coordinator.Refused, RetryAfter: 1500 * time.Millisecond}, 503},
-		{coordinator.Answer{Kind: coordinator.Failed}, 502},
-		{coordinator.Answer{Kind: coordinator.Broken}, 500},
+		{coordinator.Response{Kind: coordinator.Served, Result: []byte("r")}, 200},
+		{coordinator.Response{Kind: coordinator.Shed, RetryAfter: 1500 * time.Millisecond}, 503},
+		{coordinator.Response{Kind: coordinator.Failed}, 502},
+		{coordinator.Response{Kind: coordinator.InternalFault}, 500},
 	} {
-		s, life := testServer(10, func(context.Context, *coordinator.Request) coordinator.Answer { return tt.a })
+		s, life := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return tt.a })
 		life.Advance(lifecycle.Serving)
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, job())
@@ -110,7 +110,7 @@
 
 // Guards against a panic that cuts a client's connection: net/http would close it without an answer.
 func TestPanicIsAnswered(t *testing.T) {
-	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Answer { panic("fault") })
+	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { panic("fault") })
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, job())
 	assert.Equal(t, http.StatusInternalServerError, w.Code)
@@ -129,9 +129,9 @@
 // Guards against input that strconv or net/http takes and that a runner or the module would choke on: each is
 // turned away with a 4xx that names its header, and never submitted.
 func TestBadHeads(t *testing.T) {
-	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Answer {
+	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response {
 		t.Error("submitted")
-		return coordinator.Answer{}
+		return coordinator.Response{}
 	})
 	for name, values := range map[string][]string{
 		"X-Request-ID": {"", "two words", "a\"b", strings.Repeat("x", 129)}, "Idempotency-Key": {"k\xff"},
@@ -157,7 +157,7 @@
 
 // Guards against traffic that names no tenant, or an unknown one, and so would escape every allowance.
 func TestTenantsAreKnown(t *testing.T) {
-	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Answer { return coordinator.Answer{} })
+	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return coordinator.Response{} })
 	s.names.Load().tenants["t"] = true
 	for tenant, want := range map[string]int{"t": http.StatusOK, "u": http.StatusBadRequest, "": http.StatusBadRequest} {
 		r := job()
@@ -200,9 +200,9 @@
 // Guards against what stands on the wire and cannot be read: it gets an error and a close, in time, and nothing
 // of it is submitted. First of all a request hidden in the body of another.
 func TestBadFraming(t *testing.T) {
-	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Answer {
+	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 		t.Error("submitted")
-		return coordinator.Answer{}
+		return coordinator.Response{}
 	})
 	addr := listen(t, s)
 	const hidden = head + "Content-Length: 0\r\n\r\n"
@@ -234,7 +234,7 @@
 
 // Guards against bodies that together use up the memory.
 func TestBodiesInHandAreBounded(t *testing.T) {
-	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Answer { return coordinator.Answer{} })
+	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return coordinator.Response{} })
 	s.memory = 3
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, job())
@@ -247,15 +247,15 @@
 // a request in hand, nor an idle one of a usual client while others are there.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	const room = 4
-	answers := make(chan coordinator.Answer)
-	s, _ := testServer(room, func(context.Context, *coordinator.Request) coordinator.Answer { return <-answers })
+	answers := make(chan coordinator.Response)
+	s, _ := testServer(room, func(context.Context, *coordinator.Request) coordinator.Response { return <-answers })
 	taken := func(n int64) {
 		require.Eventually(t, func() bool { return s.taken.Load() == n }, 20*time.Second, time.Millisecond)
 	}
 	addr := listen(t, s)
 	usual := head + "Content-Length: 0\r\n\r\n"
 	kept, from := dial(t, addr, usual)
-	answers <- coordinator.Answer{Kind: coordinator.Served}
+	answers <- coordinator.Response{Kind: coordinator.Served}
 	require.Equal(t, http.StatusOK, response(t, from).StatusCode)
 	_, busy := dial(t, addr, usual)
 	taken(1)
@@ -268,7 +268,7 @@
 	require.NoError(t, err)
 	taken(3)
 	for _, r := range []*bufio.Reader{busy, last, from} {
-		answers <- coordinator.Answer{Kind: coordinator.Served}
+		answers <- coordinator.Response{Kind: coordinator.Served}
 		_ = r
 	}
 	for _, r := range []*bufio.Reader{busy, last, from} {
@@ -298,9 +298,9 @@
 func TestTooManyRequestsAreRefused(t *testing.T) {
 	const room = 10
 	release := make(chan struct{})
-	s, _ := testServer(room, func(context.Context, *coordinator.Request) coordinator.Answer {
+	s, _ := testServer(room, func(context.Context, *coordinator.Request) coordinator.Response {
 		<-release
-		return coordinator.Answer{Kind: coordinator.Served}
+		return coordinator.Response{Kind: coordinator.Served}
 	})
 	addr := listen(t, s)
 	for range 8 {
--- a/internal/dispatcher/traffic/record.go
+++ b/internal/dispatcher/traffic/record.go
@@ -58,15 +58,15 @@
 }
 
 // newRecord returns a record with its keys in clear, which seal hides. It holds nothing of the request's body.
-func newRecord(e *coordinator.Ended) Record {
+func newRecord(e *coordinator.EndedRequest) Record {
 	r := e.Request
 	rec := Record{ArrivedUs: r.Arrived.UnixMicro(), Class: r.Class, Tenant: r.Tenant, Key: r.Key,
 		Idempotency: r.IdempotencyKey, Retry: r.Retry, DeadlineUs: r.Deadline.Sub(r.Arrived).Microseconds(),
-		WorkUs: r.Work.Microseconds(), Slots: r.Slots, Memory: r.Memory, BodyBytes: len(r.Body), Answer: e.Answer.String(),
-		AnsweredUs: e.Answered.Sub(r.Arrived).Microseconds()}
+		WorkUs: r.Work.Microseconds(), Slots: r.Slots, Memory: r.Memory, BodyBytes: len(r.Body), Answer: e.Response.String(),
+		AnsweredUs: e.RespondedAt.Sub(r.Arrived).Microseconds()}
 	for _, h := range e.Attempts {
 		attempt := Attempt{Target: h.Target, SentUs: h.Sent.Sub(r.Arrived).Microseconds(), Outcome: "open"}
-		if h.Over {
+		if h.Ended {
 			attempt.TookUs, attempt.Outcome = h.Took.Microseconds(), h.Outcome.String()
 		}
 		rec.Attempts = append(rec.Attempts, attempt)
--- a/internal/dispatcher/traffic/recorder.go
+++ b/internal/dispatcher/traffic/recorder.go
@@ -93,8 +93,8 @@
 	return err
 }
 
-// Ended takes in how a request ended. It never waits.
-func (r *Recorder) Ended(e coordinator.Ended) {
+// RequestEnded takes in how a request ended. It never waits.
+func (r *Recorder) RequestEnded(e coordinator.EndedRequest) {
 	// Made here, so that the request's body is not held on to; the hashes are the writer's work.
 	select {
 	case r.queue <- newRecord(&e):
--- a/internal/dispatcher/traffic/recorder_test.go
+++ b/internal/dispatcher/traffic/recorder_test.go
@@ -27,12 +27,12 @@
 	return l
 }
 
-func ended(n int) coordinator.Ended {
+func ended(n int) coordinator.EndedRequest {
 	at := time.UnixMilli(1_700_000_000_000).Add(time.Duration(n) * time.Millisecond)
-	return coordinator.Ended{Request: &coordinator.Request{ID: fmt.Sprint(n), Class: "cobro", Tenant: "t", Key: "the-route",
+	return coordinator.EndedRequest{Request: &coordinator.Request{ID: fmt.Sprint(n), Class: "cobro", Tenant: "t", Key: "the-route",
 		IdempotencyKey: "the-key", Arrived: at, Deadline: at.Add(6 * time.Second), Work: 30 * time.Millisecond, Slots: 1,
-		Body: []byte("the body")}, Answer: coordinator.Failed, Answered: at.Add(70 * time.Millisecond),
-		Attempts: []coordinator.EndedAttempt{{Target: "r1", Sent: at.Add(5 * time.Millisecond), Took: 60 * time.Millisecond, Over: true, Outcome: policy.Reset},
+		Body: []byte("the body")}, Response: coordinator.Failed, RespondedAt: at.Add(70 * time.Millisecond),
+		Attempts: []coordinator.EndedAttempt{{Target: "r1", Sent: at.Add(5 * time.Millisecond), Took: 60 * time.Millisecond, Ended: true, Outcome: policy.Reset},
 			{Target: "r2", Sent: at.Add(66 * time.Millisecond)}}}
 }
 
@@ -42,7 +42,7 @@
 		r, err := Open(dir, store.Retention{}, quiet())
 		require.NoError(t, err)
 		for n := range 3 {
-			r.Ended(ended(n))
+			r.RequestEnded(ended(n))
 		}
 		require.NoError(t, r.Close())
 		require.Zero(t, r.Dropped())
@@ -94,7 +94,7 @@
 	began := time.Now()
 	const many = 3 * queueSize
 	for n := range many {
-		r.Ended(ended(n))
+		r.RequestEnded(ended(n))
 	}
 	require.Less(t, time.Since(began), 5*time.Second)
 	require.Positive(t, r.Dropped(), "the queue is bounded")
@@ -106,7 +106,7 @@
 	full.Store(false)
 	before := r.Dropped()
 	for n := range 10 {
-		r.Ended(ended(many + n))
+		r.RequestEnded(ended(many + n))
 	}
 	require.NoError(t, r.Close())
 	require.Equal(t, before, r.Dropped(), "it goes on once there is room")
