--- a/internal/dispatcher/ingress/client.go
+++ b/internal/dispatcher/ingress/client.go
@@ -9,331 +9,339 @@
 	"time"
 )
 
-// The states of a client's connection. All changes are made under limitedListener.mu, where reading and closing are decided
-// against each other: bytes that are read before the decision to close keep the connection open until the request
-// that they begin is answered, and bytes that are read after it never become a request.
+// connState is the state of a client's connection.
+type connState int
+
+// The states of a client's connection, in order. They change under limitedListener.mu, which orders reading and
+// closing: bytes that are read before the close begins keep the connection open until the request that they belong to
+// has its response; bytes that are read after it never become a request.
 const (
-	stateNew       = iota // no byte of a request yet
-	stateReading          // bytes of a request came; it is not whole, or the handler has not taken it yet
-	stateInHand           // the handler took the request; it is never closed from this side
-	stateResting          // the last request was answered and not a byte of a next one was read
-	stateClosing          // it is decided: nothing read from here on is a request
-	stateLingering        // the sending side is shut, what still comes is read and dropped
+	stateNew       connState = iota // no byte of a request yet
+	stateReading                    // bytes of a request were read; it is incomplete, or the handler has not claimed it yet
+	stateBusy                       // the handler has claimed the request; this side never closes it
+	stateIdle                       // the last request has its response and no byte of a next one was read
+	stateClosing                    // the close has begun: nothing read from here on is a request
+	stateLingering                  // the sending side is shut; what the client still sends is read and dropped
 	stateClosed
 )
 
 const (
-	// earlyMost bounds the bytes kept that a client sends before it has the answer it waits for; those beyond are
-	// dropped, and the connection ends with the answer. Clients send one request at a time, so there are hardly ever
-	// any, and what all connections may keep together must fit the smallest memory limit.
-	earlyMost = 2 * maxHead
-	// lingerWithin, lingerBytes bound a lingering close. A client that reads its answer closes at once; others are a
-	// nuisance, whose connections count against the listener's own bound for them.
-	lingerWithin = 500 * time.Millisecond
-	lingerBytes  = 1 << 20
+	// maxEarlyBytes bounds the bytes that are kept of what a client sends before it has its response; the rest is
+	// dropped, and the connection ends with the response. Clients send one request at a time, so there are hardly
+	// ever any; all connections' together must fit the smallest memory limit.
+	maxEarlyBytes = 2 * maxHead
+	// lingerTimeout and maxLingerBytes bound a lingering close. A client that reads its response closes at once; the
+	// others' connections count against limitedListener.maxLingering.
+	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = 1 << 20
 )
 
-// plainAnswer is an answer written without net/http, where that has no request to answer.
-func plainAnswer(status, more, line string) string {
+// rawResponse is a response that is written without net/http, where that has no request to respond to.
+func rawResponse(status, more, line string) string {
 	return "HTTP/1.1 " + status + "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n" + more +
 		"Content-Length: " + strconv.Itoa(len(line)+1) + "\r\n\r\n" + line + "\n"
 }
 
-// headLate is written on a connection whose head stopped coming, as net/http would close it without a word.
-var headLate = plainAnswer("408 Request Timeout", "", "the request's head stopped coming")
+// headTimeoutResponse is written on a connection whose head stopped arriving, which net/http would close without a
+// response.
+var headTimeoutResponse = rawResponse("408 Request Timeout", "", "the request's head stopped coming")
 
-// noRoom is what a connection is told that has to go before its request was read.
-func noRoom(retryAfter time.Duration) string {
+// evictedResponse is written on a connection that is evicted before its request was read.
+func evictedResponse(retryAfter time.Duration) string {
 	more := ""
 	if retryAfter > 0 {
-		more = "Retry-After: " + retryText(retryAfter) + "\r\n"
+		more = "Retry-After: " + formatRetryAfter(retryAfter) + "\r\n"
 	}
-	return plainAnswer("503 Service Unavailable", more, "this connection had to make room; a retry is harmless")
+	return rawResponse("503 Service Unavailable", more, "this connection had to make room; a retry is harmless")
 }
 
-// retryText is the value of a Retry-After: seconds with a fraction.
-func retryText(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+// formatRetryAfter returns the value of a Retry-After header: seconds with a fraction.
+func formatRetryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// client is a client's connection. It closes in order, whoever closes it (a lingering close): the sending side is
-// shut first, then what still comes is dropped until the client has closed too, so that no answer is destroyed by
-// bytes that nobody reads.
-type client struct {
+// clientConn is a client's connection. Whoever closes it, it lingers: the sending side is shut first, then what still
+// arrives is dropped until the client has closed too, so that no response is destroyed by unread bytes (RFC 9112,
+// 9.6).
+type clientConn struct {
 	net.Conn
-	in *limitedListener
+	listener *limitedListener
 
-	// The rest is guarded by in.mu.
-	state  int
-	list   *list.List    // the one of the listener's that it stands in
-	at     *list.Element // its place there
-	since  time.Time     // that it has been silent in that list
-	last   time.Time     // when the last bytes came, or the connection did
-	heard  bool          // the handler has the request
-	body   bool          // the handler reads its body
-	begun  bool          // bytes of a request were read since the last answer
-	wrote  bool          // something was written since the last answer
-	early  []byte        // what the client sent before it had its answer
-	over   bool          // it sent more than is kept: the connection ends with the answer
-	why    string        // the reason for which this side closes it; empty: it does not
-	frames framing
+	// The rest is guarded by listener.mu.
+	state         connState
+	list          *list.List    // the listener's list that it is in; nil: none
+	element       *list.Element // its element there
+	quietSince    time.Time     // the list is ordered by it: the last byte, response, or the accept
+	lastRead      time.Time     // when the last bytes were read, or it was accepted
+	handled       bool          // the handler has the request
+	readingBody   bool          // the handler is reading its body
+	requestBegun  bool          // bytes of a request were read since the last response
+	written       bool          // something was written since the last response
+	early         []byte        // what the client sent before it had its response
+	earlyOverflow bool          // it sent more than is kept: the connection ends with the response
+	closeReason   string        // the reason for which this side closes it; empty: none that counts
+	framing       framing
 
 	// How the last read failed, for the counts of requests given up.
-	late, broken bool
-	toldLate     bool // the client was told that its head stopped coming; net/http reads again after a timeout
+	timedOut, broken bool
+	sentTimeout      bool // headTimeoutResponse was written; net/http reads again after a timeout
 
-	want    time.Time // the read deadline that net/http set
-	applied time.Time // the one the socket has
+	httpDeadline   time.Time // the read deadline that net/http set
+	socketDeadline time.Time // the one set on the socket
 }
 
-func newClient(conn net.Conn, in *limitedListener, now time.Time) *client {
-	return &client{Conn: conn, in: in, since: now, last: now, frames: framing{length: -1}}
+func newClientConn(conn net.Conn, l *limitedListener, now time.Time) *clientConn {
+	return &clientConn{Conn: conn, listener: l, quietSince: now, lastRead: now, framing: framing{length: -1}}
 }
 
-// Read gives net/http the bytes of requests. While the handler has a request that was read whole, net/http reads
-// only to notice the client's leaving, and stops watching at the first byte; so bytes that come early are kept
-// here, and net/http goes on watching.
-func (k *client) Read(p []byte) (int, error) {
+// Read gives net/http the bytes of requests. While the handler has a complete request, net/http reads only to notice
+// the client's disconnect, and stops watching at the first byte; so bytes that arrive early are kept here, and
+// net/http goes on watching.
+func (k *clientConn) Read(p []byte) (int, error) {
 	for into := p; ; {
-		n, watch, silence, err := k.ahead(p)
+		n, watch, ownTimeout, err := k.nextRead(p)
 		if n > 0 || err != nil {
 			return n, err
 		}
 		if n, err = k.Conn.Read(into); watch && n > 0 {
-			if !k.keep(into[:n]) {
+			if !k.keepEarly(into[:n]) {
 				return 0, io.EOF
 			}
 			if err == nil {
-				into = make([]byte, 1<<10) // it is rare, so only the first byte goes into net/http's own
+				into = make([]byte, 1<<10) // rare, so only the first byte is read into net/http's buffer
 				continue
 			}
 			n = 0
 		}
-		return k.came(p[:n], err, silence)
+		return k.received(p[:n], err, ownTimeout)
 	}
 }
 
-// ahead tells what a read may do: give out what came early, or go to the socket, with watch only to notice the
-// client's leaving. silence tells whether it is the limit on silence that ends it.
-func (k *client) ahead(p []byte) (n int, watch, silence bool, err error) {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
+// nextRead copies early bytes to p, or else lets Read go to the socket: with watch, only to notice the client's
+// disconnect. ownTimeout reports whether the socket's deadline is one of this package's, not net/http's.
+func (k *clientConn) nextRead(p []byte) (n int, watch, ownTimeout bool, err error) {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
 	if k.state >= stateClosing {
 		return 0, false, false, io.EOF
 	}
-	// It stays as it is while a read is under way: net/http ends its watch before it lets the connection rest.
-	watch = k.frames.ended > k.frames.answered && !k.frames.lost
+	// This holds for the whole read: net/http ends its watch before the connection becomes idle.
+	watch = k.framing.complete > k.framing.responded && !k.framing.unparsable
 	if n = copy(p, k.early); !watch && n > 0 {
 		if k.early = k.early[n:]; len(k.early) == 0 {
 			k.early = nil
 		}
-		k.saw(p[:n], time.Now())
+		k.consume(p[:n], time.Now())
 		return n, false, false, nil
 	}
-	return 0, watch, k.limit(), nil
+	return 0, watch, k.applyDeadline(), nil
 }
 
-// keep holds back bytes that came early. It is false where the connection is being closed.
-func (k *client) keep(p []byte) bool {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	if len(k.early)+len(p) > earlyMost {
-		k.over = true
+// keepEarly keeps bytes that arrived early. It reports whether the connection stays open.
+func (k *clientConn) keepEarly(p []byte) bool {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
+	if len(k.early)+len(p) > maxEarlyBytes {
+		k.earlyOverflow = true
 	} else {
 		k.early = append(k.early, p...)
 	}
 	return k.state < stateClosing
 }
 
-// came takes in what a read of the socket brought: bytes of a request, unless it was decided meanwhile to close.
-func (k *client) came(p []byte, err error, silence bool) (int, error) {
+// received handles what a read of the socket returned: bytes of a request, unless the close has begun meanwhile.
+func (k *clientConn) received(p []byte, err error, ownTimeout bool) (int, error) {
 	now := time.Now()
-	k.in.mu.Lock()
+	k.listener.mu.Lock()
 	if k.state >= stateClosing {
-		k.in.mu.Unlock()
+		k.listener.mu.Unlock()
 		return 0, io.EOF
 	}
 	if len(p) > 0 {
-		k.saw(p, now)
+		k.consume(p, now)
 	}
 	var late net.Error
-	tell := false
+	respond := false
 	switch {
 	case err == nil:
 	case errors.As(err, &late) && late.Timeout():
-		k.late = true
-		tell = silence && !k.heard && k.begun && !k.toldLate
-		k.toldLate = k.toldLate || tell
+		k.timedOut = true
+		respond = ownTimeout && !k.handled && k.requestBegun && !k.sentTimeout
+		k.sentTimeout = k.sentTimeout || respond
 	default:
 		k.broken = true
 	}
-	k.in.mu.Unlock()
-	if tell {
-		_ = k.Conn.SetWriteDeadline(now.Add(answerLimit))
-		_, _ = io.WriteString(k.Conn, headLate)
+	k.listener.mu.Unlock()
+	if respond {
+		_ = k.SetWriteDeadline(now.Add(responseWriteTimeout))
+		_, _ = io.WriteString(k.Conn, headTimeoutResponse)
 	}
 	return len(p), err
 }
 
-// saw notes bytes of a request that go to net/http now: from here on the connection does not rest. in.mu is held.
-func (k *client) saw(p []byte, now time.Time) {
-	k.frames.see(p)
-	k.begun, k.last, k.since = true, now, now
-	if k.state != stateInHand {
+// consume notes bytes of a request that go to net/http now: from here on the connection is not idle. listener.mu is
+// held.
+func (k *clientConn) consume(p []byte, now time.Time) {
+	k.framing.feed(p)
+	k.requestBegun, k.lastRead, k.quietSince = true, now, now
+	if k.state != stateBusy {
 		k.state = stateReading
-		k.move(&k.in.silent)
+		k.moveTo(&k.listener.quiet)
 	}
 }
 
-// move puts k at the end of a list of the listener's; nil: of none. in.mu is held.
-func (k *client) move(to *list.List) {
+// moveTo moves k to the end of one of the listener's lists; nil: of none. listener.mu is held.
+func (k *clientConn) moveTo(to *list.List) {
 	if k.list == to && to != nil {
-		to.MoveToBack(k.at)
+		to.MoveToBack(k.element)
 		return
 	}
 	if k.list != nil {
-		k.list.Remove(k.at)
+		k.list.Remove(k.element)
 	}
 	if k.list = to; to != nil {
-		k.at = to.PushBack(k)
+		k.element = to.PushBack(k)
 	}
 }
 
-// hear notes that the handler has a request, and tells whether its head on the wire allows a chunked body.
-func (k *client) hear() (chunked bool) {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	k.heard = true
-	return k.frames.take()
+// startHandling notes that the handler has a request, and reports whether its head on the wire allows a chunked body.
+func (k *clientConn) startHandling() (chunked bool) {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
+	k.handled = true
+	return k.framing.nextVerdict()
 }
 
-// reads notes whether the handler reads the request's body, so that its silences are bounded.
-func (k *client) reads(body bool) {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	k.body, k.last = body, time.Now()
+// setReadingBody sets whether the handler is reading the request's body, which gapTimeout then applies to.
+func (k *clientConn) setReadingBody(reading bool) {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
+	k.readingBody, k.lastRead = reading, time.Now()
 }
 
-// take notes that a request was read whole. It is false where it was decided before to close the connection: the
-// request then counts as never read, and must not be sent on.
-func (k *client) take() bool {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
+// claim notes that a request was read completely. It reports false if the close had begun before: the request then
+// counts as never read and must not be forwarded.
+func (k *clientConn) claim() bool {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
 	if k.state >= stateClosing {
 		return false
 	}
-	k.state = stateInHand
-	k.move(&k.in.busy)
+	k.state = stateBusy
+	k.moveTo(&k.listener.busy)
 	return true
 }
 
-// rest notes that the request in hand was answered. Where bytes of the next one were read already, it is not idle.
-func (k *client) rest() {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
+// responded notes that the request has its response. If bytes of the next one were already read, the connection is
+// not idle.
+func (k *clientConn) responded() {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
 	if k.state >= stateClosing {
 		return
 	}
-	k.frames.answered++
-	k.heard, k.body, k.wrote, k.since = false, false, false, time.Now()
-	if k.begun = k.frames.midway(); k.begun || len(k.early) > 0 {
+	k.framing.responded++
+	k.handled, k.readingBody, k.written, k.quietSince = false, false, false, time.Now()
+	if k.requestBegun = k.framing.hasPartial(); k.requestBegun || len(k.early) > 0 {
 		k.state = stateReading
-		k.move(&k.in.silent)
+		k.moveTo(&k.listener.quiet)
 	} else {
-		k.state = stateResting
-		k.move(&k.in.idle)
+		k.state = stateIdle
+		k.moveTo(&k.listener.idle)
 	}
-	if k.over || k.in.draining && k.state == stateResting {
-		k.shut("")
+	if k.earlyOverflow || k.listener.draining && k.state == stateIdle {
+		k.startClose("")
 	}
 }
 
-// shut decides that the connection is closed, for a reason that is counted where a request was begun on it. Nothing
-// that is read from here on is a request. The goroutine that reads it wakes and closes it in order. in.mu is held.
-func (k *client) shut(why string) {
+// startClose begins the close, for a reason that is counted if a request was begun. Nothing that is read from here on
+// is a request. The goroutine that reads the connection wakes up and closes it. listener.mu is held.
+func (k *clientConn) startClose(why string) {
 	if k.state >= stateClosing {
 		return
 	}
-	if reason, ok := k.lost(why); ok && k.in.giveUps != nil {
-		k.in.giveUps.add(reason)
+	if reason, ok := k.giveUpReason(why); ok && k.listener.giveUps != nil {
+		k.listener.giveUps.add(reason)
 	}
-	k.state, k.why = stateClosing, why
-	k.move(&k.in.lingering)
-	k.in.boundLingering()
+	k.state, k.closeReason = stateClosing, why
+	k.moveTo(&k.listener.lingering)
+	k.listener.boundLingering()
 	_ = k.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// lost tells why a request begun on the connection is given up as the connection ends, if one was; by is the
-// reason where the dispatcher itself closes it. in.mu is held.
-func (k *client) lost(by string) (reason string, ok bool) {
+// giveUpReason returns why the request begun on the connection is given up as the connection ends; ok is false if
+// there was none. by is the reason if the dispatcher closes it. listener.mu is held.
+func (k *clientConn) giveUpReason(by string) (reason string, ok bool) {
 	switch {
-	case k.heard || !k.begun:
+	case k.handled || !k.requestBegun:
 		return "", false
-	case k.broken: // net/http answers 400 to a head cut short, but nobody reads it
-		return headLeft, true
-	case k.toldLate:
+	case k.broken: // net/http responds 400 to a truncated head, but nobody reads it
+		return headDisconnected, true
+	case k.sentTimeout:
 		return headSlow, true
-	case k.wrote: // only net/http writes before the handler: its 4xx for a head it cannot read
+	case k.written: // only net/http writes before the handler: its 4xx for an invalid head
 		return headRefused, true
 	case by != "":
 		return by, true
-	case k.late:
+	case k.timedOut:
 		return headSlow, true
 	}
 	return headClosed, true
 }
 
-func (k *client) Write(p []byte) (int, error) {
-	k.in.mu.Lock()
-	k.wrote = true
-	k.in.mu.Unlock()
+// Write notes that a response was begun, and writes to the socket.
+func (k *clientConn) Write(p []byte) (int, error) {
+	k.listener.mu.Lock()
+	k.written = true
+	k.listener.mu.Unlock()
 	return k.Conn.Write(p)
 }
 
-// CloseWrite shuts the sending side: net/http does so before it closes where a client is still sending.
-func (k *client) CloseWrite() error {
-	k.in.mu.Lock()
-	k.shut("")
+// CloseWrite shuts the sending side. net/http calls it before it closes a connection on which the client is still
+// sending.
+func (k *clientConn) CloseWrite() error {
+	k.listener.mu.Lock()
+	k.startClose("")
 	k.state = max(k.state, stateLingering)
-	k.in.mu.Unlock()
+	k.listener.mu.Unlock()
 	return k.closeWrite()
 }
 
-func (k *client) closeWrite() error {
+func (k *clientConn) closeWrite() error {
 	if c, ok := k.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
 
-// Close closes the connection in order. It returns when the client has closed its side too, or the bounds of that
-// wait are over.
-func (k *client) Close() error {
-	k.in.mu.Lock()
-	k.shut("")
-	words := ""
-	if k.why == headRoom && !k.wrote && (k.begun || k.frames.answered == 0) {
-		words = noRoom(k.in.retryAfter()) // one that rests between requests asked for nothing
+// Close closes the connection with a lingering close. It returns when the client has closed its side too, or after
+// lingerTimeout or maxLingerBytes.
+func (k *clientConn) Close() error {
+	k.listener.mu.Lock()
+	k.startClose("")
+	response := ""
+	if k.closeReason == headEvicted && !k.written && (k.requestBegun || k.framing.responded == 0) {
+		response = evictedResponse(k.listener.retryAfter()) // an idle one has no request
 	}
-	left, closed := k.broken, k.state == stateClosed
+	disconnected, closed := k.broken, k.state == stateClosed
 	k.state = max(k.state, stateLingering)
-	k.in.mu.Unlock()
+	k.listener.mu.Unlock()
 	if closed {
 		return net.ErrClosed
 	}
-	if words != "" {
-		_ = k.Conn.SetWriteDeadline(time.Now().Add(lingerWithin))
-		_, _ = io.WriteString(k.Conn, words)
+	if response != "" {
+		_ = k.SetWriteDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.WriteString(k.Conn, response)
 	}
-	if !left && k.closeWrite() == nil {
+	if !disconnected && k.closeWrite() == nil {
 		k.linger()
 	}
-	return k.drop()
+	return k.closeSocket()
 }
 
 // linger drops what the client still sends, until it closes.
-func (k *client) linger() {
-	_ = k.Conn.SetReadDeadline(time.Now().Add(lingerWithin))
+func (k *clientConn) linger() {
+	_ = k.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	buf := make([]byte, 512)
-	for all := 0; all < lingerBytes; {
+	for all := 0; all < maxLingerBytes; {
 		n, err := k.Conn.Read(buf)
 		if err != nil {
 			return
@@ -344,11 +352,11 @@
 	}
 }
 
-// drop closes the socket, whatever is still on it, and takes it out of the listener's lists.
-func (k *client) drop() error {
-	k.in.mu.Lock()
+// closeSocket closes the socket, whatever is still buffered, and removes the connection from the listener's lists.
+func (k *clientConn) closeSocket() error {
+	k.listener.mu.Lock()
 	k.state = stateClosed
-	k.move(nil)
-	k.in.mu.Unlock()
+	k.moveTo(nil)
+	k.listener.mu.Unlock()
 	return k.Conn.Close()
 }
--- a/internal/dispatcher/ingress/deadline.go
+++ b/internal/dispatcher/ingress/deadline.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// How long a client may take to send a request. A client that sends in pieces is given time for as long as the
-// pieces keep coming, while one that falls silent is cut off soon: what counts is the gap, not the whole.
+// How long a client may take to send a request. A client that sends in small chunks gets time for as long as they
+// keep arriving, while one that stops is closed soon: the gap between bytes counts, not the total.
 const (
-	// firstWithin is for the first byte on a new connection: some clients take 2 s to begin, while silent
-	// connections are owed a close within 3 s.
-	firstWithin = 2500 * time.Millisecond
-	// gapWithin is the longest silence within a head or a body.
-	gapWithin = 1500 * time.Millisecond
-	// headWithin and bodyWithin bound a head and a body however their pieces come.
-	headWithin = 10 * time.Second
-	bodyWithin = 10 * time.Second
+	// firstByteTimeout is for the first byte on a new connection: some clients take 2 s to begin, while the platform
+	// expects a close within 3 s on connections without any.
+	firstByteTimeout = 2500 * time.Millisecond
+	// gapTimeout is the longest gap within a head or a body.
+	gapTimeout = 1500 * time.Millisecond
+	// headTimeout and bodyTimeout bound a head and a body, however they are sent.
+	headTimeout = 10 * time.Second
+	bodyTimeout = 10 * time.Second
 )
 
-// SetReadDeadline keeps the deadline that net/http wants; limit applies it together with the silences. A connection
-// that closes has a deadline of its own.
-func (k *client) SetReadDeadline(t time.Time) error {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
+// SetReadDeadline keeps the deadline that net/http wants; applyDeadline combines it with this package's timeouts. A
+// connection that closes has a deadline of its own.
+func (k *clientConn) SetReadDeadline(t time.Time) error {
+	k.listener.mu.Lock()
+	defer k.listener.mu.Unlock()
 	if k.state >= stateClosing {
 		return nil
 	}
-	k.want, k.applied = t, t
+	k.httpDeadline, k.socketDeadline = t, t
 	return k.Conn.SetReadDeadline(t)
 }
 
-func (k *client) SetDeadline(t time.Time) error {
+// SetDeadline sets both deadlines, the one for reading as SetReadDeadline does.
+func (k *clientConn) SetDeadline(t time.Time) error {
 	if err := k.SetReadDeadline(t); err != nil {
 		return err
 	}
-	return k.Conn.SetWriteDeadline(t)
+	return k.SetWriteDeadline(t)
 }
 
-// limit sets the connection's read deadline to the earlier of net/http's and the one of silence, and tells
-// whether that of silence is the one in force. The socket is told only of a change, as reads come often. in.mu is held.
-func (k *client) limit() (silence bool) {
+// applyDeadline sets the socket's read deadline to the earlier one of net/http's and this package's, and reports
+// whether it is this package's. The socket is only set when it changes, as reads are frequent. listener.mu is held.
+func (k *clientConn) applyDeadline() (own bool) {
 	at := time.Time{}
 	switch {
 	case k.state == stateNew:
-		at = k.last.Add(firstWithin)
-	case k.body || k.begun && !k.heard:
-		// Not while a handler has the request: net/http's read for the client's leaving would take the
-		// deadline for a leaving.
-		at = k.last.Add(gapWithin)
+		at = k.lastRead.Add(firstByteTimeout)
+	case k.readingBody || k.requestBegun && !k.handled:
+		// Not while the handler has the request: net/http reads then to notice a disconnect, and would take the
+		// deadline for one.
+		at = k.lastRead.Add(gapTimeout)
 	}
-	silence = !at.IsZero() && (k.want.IsZero() || !k.want.Before(at))
-	if !silence {
-		at = k.want
+	own = !at.IsZero() && (k.httpDeadline.IsZero() || !k.httpDeadline.Before(at))
+	if !own {
+		at = k.httpDeadline
 	}
-	if !at.Equal(k.applied) {
-		k.applied = at
+	if !at.Equal(k.socketDeadline) {
+		k.socketDeadline = at
 		_ = k.Conn.SetReadDeadline(at)
 	}
-	return silence
+	return own
 }
--- a/internal/dispatcher/ingress/drain.go
+++ b/internal/dispatcher/ingress/drain.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// sweepEvery and sweeps: while drained, connections that carry nothing are closed again and again, as the
-	// front still sends new ones for a while and clients may open one and say nothing on it.
-	sweepEvery = 250 * time.Millisecond
-	sweeps     = 14
-	// stopSweep is the same at a stop, which is waited for.
-	stopSweep = 10 * time.Millisecond
-	// quietFor is how long a connection that never brought a request is left before a drain closes it: a
-	// client that has just connected is sending its request now.
-	quietFor = 300 * time.Millisecond
+	// sweepInterval and maxSweeps: while drained, connections without a request are closed repeatedly, as the front
+	// still sends new ones for a while and clients may open one and send nothing.
+	sweepInterval = 250 * time.Millisecond
+	maxSweeps     = 14
+	// stopSweepInterval is the interval of sweeps in Shutdown, which waits for them.
+	stopSweepInterval = 10 * time.Millisecond
+	// quietTimeout is how long a connection that never sent a byte stays open in a drain: a client that has just
+	// connected is sending its request.
+	quietTimeout = 300 * time.Millisecond
 )
 
-// net/http's own Shutdown and SetKeepAlivesEnabled are not used: both close connections that they hold to be idle
-// while a request is being read from them, and Shutdown drops one that was just read without an answer.
-
-// Shutdown goes on accepting for a while, as clients still come, then takes nothing new and returns when all
-// that was taken is answered and each connection has been closed in order, or when ctx ends. The phase must be
-// Draining, so that answers close connections.
+// Shutdown goes on accepting for acceptAfterStop, as clients still arrive, then closes the listener. It returns nil
+// when every request has its response and each connection has been closed, or, if ctx ends first, an error if
+// requests are left. The phase must be lifecycle.Draining, so that responses close connections.
+//
+// net/http's own Shutdown and SetKeepAlivesEnabled are not used: both close connections that they consider idle while
+// a request is being read from them, and Shutdown drops one that was just read without a response.
 func (s *Server) Shutdown(ctx context.Context) error {
 	select {
-	case <-time.After(acceptFor):
+	case <-time.After(acceptAfterStop):
 	case <-ctx.Done():
 	}
 	c := s.listener.Load()
@@ -34,53 +34,51 @@
 		return nil
 	}
 	s.stopping.Store(true)
-	_ = c.Listener.Close()
-	sweep := time.NewTicker(stopSweep)
+	_ = c.Close()
+	sweep := time.NewTicker(stopSweepInterval)
 	defer sweep.Stop()
-	for !c.gone() {
-		c.drain(true, time.Now())
+	for !c.empty() {
+		c.setDraining(true, time.Now())
 		select {
 		case <-sweep.C:
 		case <-ctx.Done():
-			n := s.inHand.Load()
+			n := s.unanswered.Load()
 			c.abort()
 			if n > 0 {
 				return fmt.Errorf("%d requests without an answer: %w", n, ctx.Err())
 			}
-			return nil // connections that never carried a request, or whose clients do not go
+			return nil // connections without a request, or whose clients do not close
 		}
 	}
 	return nil
 }
 
-// Drain has the clients' address say that it is not ready, every answer close its connection, and connections
-// that carry nothing be closed, so that clients go elsewhere. Requests in hand are answered as ever. It returns
-// at once.
+// Drain has Ready report false, every response close its connection, and connections without a request closed, so
+// that clients go elsewhere. Requests are served as before. It does not block; Undrain reverses it.
 func (s *Server) Drain() {
 	if s.drained.Swap(true) {
 		return
 	}
 	if c := s.listener.Load(); c != nil {
-		c.drain(true, time.Now())
+		c.setDraining(true, time.Now())
 		go s.sweep(c)
 	}
 }
 
-// Undrain has the clients' address take clients again.
+// Undrain reverses Drain.
 func (s *Server) Undrain() {
 	if c := s.listener.Load(); s.drained.Swap(false) && c != nil {
-		c.drain(false, time.Now())
+		c.setDraining(false, time.Now())
 	}
 }
 
-// sweep closes what carries nothing while the drain lasts, for as long as the front may still send or clients
-// still hold connections.
+// sweep closes connections without a request while the drain lasts, at most maxSweeps times.
 func (s *Server) sweep(c *limitedListener) {
-	for range sweeps {
-		time.Sleep(sweepEvery)
+	for range maxSweeps {
+		time.Sleep(sweepInterval)
 		if !s.drained.Load() {
 			return
 		}
-		c.drain(true, time.Now())
+		c.setDraining(true, time.Now())
 	}
 }
--- a/internal/dispatcher/ingress/framing.go
+++ b/internal/dispatcher/ingress/framing.go
@@ -5,58 +5,61 @@
 	"strings"
 )
 
-// framing follows the requests on a connection byte by byte as they are read, for what net/http hides: it
-// drops a Content-Length that stands beside Transfer-Encoding unseen, yet the two may tell of different ends,
-// and a request hidden in the body of another would then be passed on. For each head it keeps a verdict, in the
-// order of the requests, which the handler takes as its request comes.
+// framing follows the requests on a connection, byte by byte as they are read, for what net/http hides: it drops a
+// Content-Length beside Transfer-Encoding, though the two may imply different ends of the body, and a request hidden
+// in the body of another would be forwarded (request smuggling, RFC 9112, 6.3 and 11.2). For each head it keeps a
+// verdict, which the handler takes as it gets the request.
 //
-// It also tells whether a request was read whole, and whether bytes of a next one were, which decides whether the
+// It also counts the complete requests, and knows whether bytes of a next one were read, which decides whether the
 // connection may be closed.
 //
-// It follows the framing as net/http does: chunked where Transfer-Encoding is there, else Content-Length. Where
-// the two disagree on a request, that request is refused and its connection closed, so nothing after it is read.
-// It is guarded by the connection's lock.
+// It frames as net/http does: chunked with Transfer-Encoding, else by Content-Length. If the two disagree, the
+// request is refused and its connection closed, so nothing after it is read. It is guarded by the connection's lock.
 type framing struct {
-	state    int
-	line     []byte // the current line, in lower case, up to maxLine bytes
-	long     bool   // the current line was longer than that
-	lines    int    // lines of the head so far
-	length   int64  // Content-Length of the head, or -1
-	lengths  int    // Content-Length lines
-	chunked  bool   // Transfer-Encoding names chunked
-	left     int64  // bytes of a body or chunk still to come
-	verdicts []bool // of heads read and not yet taken: whether a chunked body of it is safe to read
-	lost     bool   // the bytes could not be followed; no verdict is safe from here on
-	ended    int    // requests read whole
-	answered int    // requests answered
+	state      framingState
+	line       []byte // the current line, in lower case, up to maxLine bytes
+	tooLong    bool   // the current line was longer than that
+	lines      int    // lines of the head so far
+	length     int64  // Content-Length of the head, or -1
+	lengths    int    // Content-Length lines
+	chunked    bool   // Transfer-Encoding names chunked
+	remaining  int64  // bytes of a body or chunk still to be read
+	chunkedOK  []bool // per head not yet taken by nextVerdict: whether its chunked body is safe to read
+	unparsable bool   // the bytes could not be followed; no verdict is safe from here on
+	complete   int    // requests read completely
+	responded  int    // requests with a response
 }
 
+// framingState is what the next byte is part of.
+type framingState int
+
 const (
-	inHead = iota
+	inHead framingState = iota
 	inBody
 	inChunkSize
 	inChunk
 	inChunkEnd
 	inTrailer
-	maxLine = 64 // enough for the lines that framing reads; longer ones are only counted
 )
 
-// midway tells whether bytes after the last request that was answered have been read.
-func (f *framing) midway() bool {
-	return f.ended > f.answered || f.state != inHead || f.lines > 0 || len(f.line) > 0 || f.long || f.lost
+const maxLine = 64 // enough for the lines that framing parses; longer ones are only counted
+
+// hasPartial reports whether bytes after the last request with a response have been read.
+func (f *framing) hasPartial() bool {
+	return f.complete > f.responded || f.state != inHead || f.lines > 0 || len(f.line) > 0 || f.tooLong || f.unparsable
 }
 
-// see follows p, the bytes read next.
-func (f *framing) see(p []byte) {
-	for len(p) > 0 && !f.lost {
+// feed follows p, the bytes read next.
+func (f *framing) feed(p []byte) {
+	for len(p) > 0 && !f.unparsable {
 		if f.state == inBody || f.state == inChunk {
-			n := min(int64(len(p)), f.left)
-			f.left -= n
+			n := min(int64(len(p)), f.remaining)
+			f.remaining -= n
 			p = p[n:]
-			if f.left == 0 && f.state == inBody {
+			if f.remaining == 0 && f.state == inBody {
 				f.state = inHead
-				f.ended++
-			} else if f.left == 0 {
+				f.complete++
+			} else if f.remaining == 0 {
 				f.state = inChunkEnd
 			}
 			continue
@@ -73,28 +76,28 @@
 			}
 			f.line = append(f.line, b)
 		default:
-			f.long = true
+			f.tooLong = true
 		}
 	}
 }
 
-// endLine acts on a line that has ended; f.mu is held.
+// endLine handles the end of the current line.
 func (f *framing) endLine() {
-	line, long := string(f.line), f.long
-	f.line, f.long = f.line[:0], false
+	line, long := string(f.line), f.tooLong
+	f.line, f.tooLong = f.line[:0], false
 	switch f.state {
 	case inHead:
 		switch {
 		case line == "" && !long && f.lines == 0: // net/http refuses an empty request line
 		case line == "" && !long:
-			f.verdicts = append(f.verdicts, f.chunked && f.lengths == 0)
-			f.state, f.left = inHead, 0
+			f.chunkedOK = append(f.chunkedOK, f.chunked && f.lengths == 0)
+			f.state, f.remaining = inHead, 0
 			if f.chunked {
 				f.state = inChunkSize
 			} else if f.length > 0 {
-				f.state, f.left = inBody, f.length
+				f.state, f.remaining = inBody, f.length
 			} else {
-				f.ended++
+				f.complete++
 			}
 			f.lines, f.length, f.lengths, f.chunked = 0, -1, 0, false
 		default:
@@ -105,26 +108,26 @@
 		size, ok := chunkSize(line)
 		switch {
 		case long || !ok:
-			f.lost = true
+			f.unparsable = true
 		case size == 0:
 			f.state = inTrailer
 		default:
-			f.state, f.left = inChunk, size
+			f.state, f.remaining = inChunk, size
 		}
 	case inChunkEnd:
 		f.state = inChunkSize
 		if line != "" || long {
-			f.lost = true
+			f.unparsable = true
 		}
 	case inTrailer:
 		if line == "" && !long {
 			f.state = inHead
-			f.ended++
+			f.complete++
 		}
 	}
 }
 
-// header notes what a line of a head tells of the framing; f.mu is held.
+// header parses a line of a head, if it concerns the framing.
 func (f *framing) header(line string, long bool) {
 	name, value, ok := strings.Cut(line, ":")
 	switch {
@@ -134,24 +137,24 @@
 		if n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 62); err == nil && !long {
 			f.length = int64(n)
 		} else {
-			f.lost = true // net/http refuses it, or it is beyond anything that follows
+			f.unparsable = true // net/http refuses it, or it is beyond anything that follows
 		}
 	case name == "transfer-encoding":
 		f.chunked = true // net/http takes chunked alone, and refuses the rest
 	}
 }
 
-// take returns the verdict on the next request's head: whether a chunked body may be read for it.
-func (f *framing) take() bool {
-	if len(f.verdicts) == 0 {
+// nextVerdict returns the verdict on the next request's head: whether its chunked body may be read.
+func (f *framing) nextVerdict() bool {
+	if len(f.chunkedOK) == 0 {
 		return false
 	}
-	v := f.verdicts[0]
-	f.verdicts = f.verdicts[1:]
-	return v && !f.lost
+	v := f.chunkedOK[0]
+	f.chunkedOK = f.chunkedOK[1:]
+	return v && !f.unparsable
 }
 
-// chunkSize reads a chunk's size line: hexadecimal, perhaps followed by extensions after ';'.
+// chunkSize parses a chunk's size line: hexadecimal, perhaps followed by extensions after ';'.
 func chunkSize(line string) (int64, bool) {
 	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 62)
--- a/internal/dispatcher/ingress/giveup_test.go
+++ b/internal/dispatcher/ingress/giveup_test.go
@@ -14,22 +14,22 @@
 	"ospreypond/internal/dispatcher/coordinator"
 )
 
-// Guards against requests that vanish unsaid: each one given up before the coordinator sees it is counted once, under
-// what went wrong, whether net/http, the listener or the handler gave it up.
+// Guards against requests that are given up without a trace: each one given up before the coordinator sees it is
+// counted once, by its reason, whether by net/http, the listener or the handler.
 func TestGiveUpsAreCountedByReason(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		leave      bool // the client closes after sending
+		disconnect bool // the client closes after sending
 		reason     string
 	}{
-		{"net/http cannot read it", head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", false, headRefused},
+		{"net/http refuses it", head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", false, headRefused},
 		{"the head never ends", head + "X-Never: ending", false, headSlow},
-		{"the client leaves in the head", head + "X-Half: ", true, headLeft},
+		{"the client disconnects within the head", head + "X-Half: ", true, headDisconnected},
 		{"the body never comes", head + "Content-Length: 9\r\n\r\nhalf", false, bodySlow},
-		{"the client leaves in the body", head + "Content-Length: 9\r\n\r\nhalf", true, bodyLeft},
+		{"the client disconnects within the body", head + "Content-Length: 9\r\n\r\nhalf", true, bodyDisconnected},
 		{"a bad header", "POST /c HTTP/1.1\r\nHost: h\r\nX-Request-ID: i\r\nX-Timeout: 9\r\nContent-Length: 0\r\n\r\n", false,
 			"header:X-Timeout"},
-		{"no such class", "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", false, noClass},
+		{"no such class", "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", false, unknownClass},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -38,7 +38,7 @@
 				return coordinator.Response{}
 			})
 			conn, from := dial(t, listen(t, s), c.text)
-			if c.leave {
+			if c.disconnect {
 				require.NoError(t, conn.(*net.TCPConn).CloseWrite())
 			}
 			_, _ = from.ReadByte()
@@ -49,31 +49,31 @@
 	}
 }
 
-// A connection that carried requests and then rests is no request given up when it closes, nor is one that never
-// said anything.
-func TestQuietConnectionsAreNoGiveUps(t *testing.T) {
+// A connection that is idle after its requests is no request given up when it closes, nor is one that never sent a
+// byte.
+func TestConnectionsWithoutRequestAreNoGiveUps(t *testing.T) {
 	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 		return coordinator.Response{Kind: coordinator.Served}
 	})
 	addr := listen(t, s)
 	used, from := dial(t, addr, head+"Content-Length: 0\r\n\r\n")
-	response(t, from)
-	silent, _ := dial(t, addr, "")
+	readResponse(t, from)
+	quiet, _ := dial(t, addr, "")
 	require.NoError(t, used.Close())
-	require.NoError(t, silent.Close())
+	require.NoError(t, quiet.Close())
 	c := s.listener.Load()
-	require.Eventually(t, func() bool { return c.gone() }, 5*time.Second,
-		time.Millisecond, "both are closed and out of the books")
-	// A request cut off after them is counted by the same server, so nothing was missed for want of counting.
-	cut, _ := dial(t, addr, head)
-	require.NoError(t, cut.Close())
+	require.Eventually(t, func() bool { return c.empty() }, 5*time.Second,
+		time.Millisecond, "both are closed and in no list")
+	// A truncated request after them is counted, so the server does count.
+	truncated, _ := dial(t, addr, head)
+	require.NoError(t, truncated.Close())
 	assert.Eventually(t, func() bool { return len(s.GiveUps().Counts()) > 0 }, 5*time.Second, 5*time.Millisecond)
-	assert.Equal(t, map[string]int64{headLeft: 1}, s.GiveUps().Counts())
+	assert.Equal(t, map[string]int64{headDisconnected: 1}, s.GiveUps().Counts())
 }
 
-// Chunked bodies are taken, in pieces and over a connection used again, while a Content-Length beside
-// Transfer-Encoding, which net/http drops unseen, is still refused, also where it comes after other requests.
-func TestChunkedBodiesAreTakenAndSmugglingIsNot(t *testing.T) {
+// Chunked bodies are read, in parts and over a connection with several requests, while a Content-Length beside
+// Transfer-Encoding, which net/http drops unseen, is refused, also after other requests.
+func TestChunkedBodiesAreReadAndSmugglingIsRefused(t *testing.T) {
 	got := make(chan string, 10)
 	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
 		got <- string(r.Body)
@@ -82,25 +82,25 @@
 	addr := listen(t, s)
 	const chunked = head + "Transfer-Encoding: chunked\r\n\r\n"
 	c, from := dial(t, addr, "")
-	for i, piece := range []string{chunked[:20], chunked[20:], "3\r\nab", "c\r\n", "2;x=1\r\nde\r\n0\r\n\r\n",
+	for i, part := range []string{chunked[:20], chunked[20:], "3\r\nab", "c\r\n", "2;x=1\r\nde\r\n0\r\n\r\n",
 		head + "Content-Length: 2\r\n\r\nfg" + chunked + "1\r\nh\r\n0\r\n\r\n"} {
 		if i > 0 {
 			time.Sleep(30 * time.Millisecond)
 		}
-		_, err := io.WriteString(c, piece)
+		_, err := io.WriteString(c, part)
 		require.NoError(t, err)
 	}
 	for _, want := range []string{"abcde", "fg", "h"} {
-		resp := response(t, from)
-		assert.Equal(t, http.StatusOK, resp.StatusCode)
+		resp := readResponse(t, from)
+		assert.Equal(t, http.StatusOK, resp.status)
 		assert.Equal(t, want, <-got)
 	}
 	_, err := io.WriteString(c, head+"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"+
 		head+"Content-Length: 0\r\n\r\n")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusBadRequest, response(t, from).StatusCode)
+	assert.Equal(t, http.StatusBadRequest, readResponse(t, from).status)
 	_, err = from.ReadByte()
-	assert.ErrorIs(t, err, io.EOF, "closed after the refusal")
+	assert.ErrorIs(t, err, io.EOF, "closed after the 400")
 	assert.Empty(t, got, "nothing hidden was submitted")
-	assert.Equal(t, map[string]int64{smuggled: 1}, s.GiveUps().Counts())
+	assert.Equal(t, map[string]int64{ambiguousFraming: 1}, s.GiveUps().Counts())
 }
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -1,5 +1,10 @@
-// Package ingress speaks to the clients: it takes their requests over HTTP/1.1, hands them on in a form that
-// knows no protocol, and writes the one answer to each.
+// Package ingress is the clients' side: it reads their requests over HTTP/1.1, passes them on in a form without any
+// protocol, and writes the one response to each.
+//
+// A caller makes a Server, calls Serve with a listener in a goroutine, and Shutdown once the lifecycle is at least
+// Draining. Server's methods may be called from any goroutine. A request that Submit was called for gets the response
+// that Submit returns; any other is counted by GiveUps, and it never ran. No response is lost to a close of its
+// connection by this side, except by Shutdown whose context has ended.
 package ingress
 
 import (
@@ -24,61 +29,60 @@
 
 const (
 	maxBody = 64 << 10
-	// maxHead bounds a request's head; net/http allows 4 KiB more. Usual heads have under 1 KiB.
+	// maxHead bounds a request's head; net/http allows 4 KiB more. Usual heads have less than 1 KiB.
 	maxHead = 4 << 10
-	// answerLimit is for a client to take its answer.
-	answerLimit = 5 * time.Second
-	idleLimit   = 2 * time.Minute
-	// acceptFor is how long connections are still accepted after the signal to stop: the front sends new ones
-	// for up to 0.4 s, and one that is in the kernel's backlog when the listener closes is lost.
-	acceptFor = 700 * time.Millisecond
-	// busyShare is the part of the clients' sockets from which on requests in hand are refused at once. The rest
-	// is there so that those beyond can still be told so.
-	busyShare = 0.85
-	// refusedRetry is when the client of such a request may come back, within what the settings allow to tell.
-	refusedRetry = time.Second
+	// responseWriteTimeout is how long a client may take to read its response.
+	responseWriteTimeout = 5 * time.Second
+	idleTimeout          = 2 * time.Minute
+	// acceptAfterStop is how long connections are still accepted after the signal to stop: the front sends new ones
+	// for up to 0.4 s, and one in the kernel's backlog when the listener closes is lost.
+	acceptAfterStop = 700 * time.Millisecond
+	// maxBusyFraction is the fraction of the clients' sockets with a request beyond which requests are shed at once.
+	// The others are for the responses that say so.
+	maxBusyFraction = 0.85
+	// shedRetryAfter is the Retry-After of a request that is shed here, within the settings' limit.
+	shedRetryAfter = time.Second
 )
 
-// Submitter takes requests and brings their final answers; coordinator.Coordinator is one.
+// Submitter takes requests and returns their final responses; *coordinator.Coordinator is one.
 type Submitter interface {
 	Submit(ctx context.Context, r *coordinator.Request) coordinator.Response
-	// Turned is told of a request that was answered without it.
+	// NotifyEnded is called with a request that got its response without Submit.
 	NotifyEnded(r *coordinator.Request, a coordinator.Response)
 }
 
-// Server takes clients' requests.
+// Server reads clients' requests and writes their responses. Use New.
 type Server struct {
-	http     http.Server
-	to       Submitter
-	life     *lifecycle.Lifecycle
-	names    atomic.Pointer[names] // of the settings in force
-	sockets  int
-	memory   int64        // for the bodies in hand
-	held     atomic.Int64 // bytes of them
-	inHand   atomic.Int64 // requests that have no answer yet
-	taken    atomic.Int64 // those among them that were read whole and are no client's fault
-	full     atomic.Bool
-	listener atomic.Pointer[limitedListener]
-	giveUps  *GiveUps
-	drained  atomic.Bool // asked by an operator to take nothing new, and reversible unlike the phase
-	// stopping: Shutdown has closed the listener.
-	stopping atomic.Bool
-	log      *logrus.Logger
+	http         http.Server
+	submitter    Submitter
+	lifecycle    *lifecycle.Lifecycle
+	names        atomic.Pointer[names] // of the settings in force
+	sockets      int
+	maxBodyBytes int64        // of all bodies being served
+	bodyBytes    atomic.Int64 // of the bodies being served
+	unanswered   atomic.Int64 // requests without a response, however far they were read
+	inFlight     atomic.Int64 // those among them that were read and accepted
+	shedding     atomic.Bool
+	listener     atomic.Pointer[limitedListener]
+	giveUps      *GiveUps
+	drained      atomic.Bool // by Drain; unlike the phase it is reversible
+	stopping     atomic.Bool // Shutdown has closed the listener
+	log          *logrus.Logger
 }
 
-// New returns a server of the configured classes and tenants that holds at most so many sockets, and bodies of at
-// most so many bytes in all.
-func New(to Submitter, life *lifecycle.Lifecycle, set *policy.Settings, sockets int, memory int64, log *logrus.Logger) *Server {
-	s := &Server{to: to, life: life, sockets: sockets, memory: memory, giveUps: newGiveUps(log), log: log}
+// New returns a server that accepts the classes and tenants of set, and keeps at most so many sockets, and bodies of
+// at most maxBodyBytes in all.
+func New(submitter Submitter, phases *lifecycle.Lifecycle, set *policy.Settings, sockets int, maxBodyBytes int64, log *logrus.Logger) *Server {
+	s := &Server{submitter: submitter, lifecycle: phases, sockets: sockets, maxBodyBytes: maxBodyBytes, giveUps: newGiveUps(log), log: log}
 	s.Retune(set)
-	s.http = http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleLimit, MaxHeaderBytes: maxHead,
-		ConnState: rested, ConnContext: withClient, ErrorLog: stdlog.New(log.WriterLevel(logrus.DebugLevel), "", 0),
+	s.http = http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead,
+		ConnState: connStateChanged, ConnContext: withClientConn, ErrorLog: stdlog.New(log.WriterLevel(logrus.DebugLevel), "", 0),
 		Protocols: new(http.Protocols)}
 	s.http.Protocols.SetHTTP1(true)
 	return s
 }
 
-// Serve takes requests from l until Shutdown.
+// Serve serves requests from l until Shutdown closes it, and returns nil then. It must be called once.
 func (s *Server) Serve(l net.Listener) error {
 	c := newLimitedListener(l, s.sockets, s.retryAfter, s.giveUps, s.log)
 	s.listener.Store(c)
@@ -91,23 +95,23 @@
 	return nil
 }
 
-// GiveUps counts the requests given up before the coordinator saw them.
+// GiveUps returns the counts of requests given up before the coordinator saw them.
 func (s *Server) GiveUps() *GiveUps { return s.giveUps }
 
 // names are the classes and tenants that requests may name.
 type names struct {
 	classes    map[string]bool
-	tenants    map[string]bool // empty: there are none to tell
-	retryAfter time.Duration   // that clients refused here are told; 0: nothing
+	tenants    map[string]bool // empty: any
+	retryAfter time.Duration   // of requests shed here; 0: none is sent
 }
 
-// retryAfter is what a client refused here is told by the settings in force; 0: nothing.
+// retryAfter returns the Retry-After of requests shed here by the settings in force; 0: none is sent.
 func (s *Server) retryAfter() time.Duration { return s.names.Load().retryAfter }
 
-// Retune takes the classes, the tenants and the longest Retry-After of new settings: requests that come from now on
-// are checked against them and refused by them.
+// Retune applies the classes, the tenants and the longest Retry-After of new settings to requests that arrive from
+// now on.
 func (s *Server) Retune(set *policy.Settings) {
-	n := &names{classes: map[string]bool{}, tenants: map[string]bool{}, retryAfter: min(refusedRetry, set.MaxRetryAfter)}
+	n := &names{classes: map[string]bool{}, tenants: map[string]bool{}, retryAfter: min(shedRetryAfter, set.MaxRetryAfter)}
 	for _, c := range set.Classes {
 		n.classes[c.Name] = true
 	}
@@ -117,67 +121,68 @@
 	s.names.Store(n)
 }
 
-type clientKey struct{}
+type clientConnKey struct{}
 
-func withClient(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, c)
+func withClientConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-func rested(c net.Conn, state http.ConnState) {
-	if k, ok := c.(*client); ok && state == http.StateIdle {
-		k.rest()
+// connStateChanged is net/http's hook: after a response it reports the connection as idle.
+func connStateChanged(c net.Conn, state http.ConnState) {
+	if k, ok := c.(*clientConn); ok && state == http.StateIdle {
+		k.responded()
 	}
 }
 
-// tooMany tells whether n requests in hand are so many that the last one is refused unseen.
-func (s *Server) tooMany(n int64) bool {
-	limit := busyShare * float64(s.sockets)
-	if s.full.Load() { // hysteresis: the log must not repeat the change again and again
+// shouldShed reports whether n requests in flight are so many that the last one is shed.
+func (s *Server) shouldShed(n int64) bool {
+	limit := maxBusyFraction * float64(s.sockets)
+	if s.shedding.Load() { // hysteresis, so that the log does not repeat the change
 		limit *= 0.9
 	}
-	full := float64(n) > limit
-	if s.full.Swap(full) != full {
-		s.log.WithField("requests", n).Warnf("too many requests in hand: %v", full)
+	shed := float64(n) > limit
+	if s.shedding.Swap(shed) != shed {
+		s.log.WithField("requests", n).Warnf("too many requests in hand: %v", shed)
 	}
-	return full
+	return shed
 }
 
-// ServeHTTP takes one request and writes its final answer.
+// ServeHTTP serves one request, or the probe of readiness.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Guards against a fault in the program: a panic that reached net/http would cut the client's connection.
+	// Guards against a fault in the program: after a panic net/http would close the connection without a response.
 	defer func() {
 		if p := recover(); p != nil {
 			s.log.WithField("panic", p).WithField("stack", string(debug.Stack())).Error("request panicked")
-			s.text(w, http.StatusInternalServerError, "internal fault")
+			s.writeText(w, http.StatusInternalServerError, "internal fault")
 		}
 	}()
-	s.inHand.Add(1)
-	defer s.inHand.Add(-1)
+	s.unanswered.Add(1)
+	defer s.unanswered.Add(-1)
 	chunked := false // whether a chunked body may be read
-	if k, ok := r.Context().Value(clientKey{}).(*client); ok {
-		chunked = k.hear() // from here on the handler counts what it gives up
+	if k, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
+		chunked = k.startHandling() // from here on the handler counts release-ups
 	}
-	if s.closing() {
+	if s.closesConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/health/ready" {
-		s.ready(w)
+		s.serveReady(w)
 		return
 	}
-	s.request(w, r, chunked)
+	s.serveRequest(w, r, chunked)
 }
 
-func (s *Server) ready(w http.ResponseWriter) {
+func (s *Server) serveReady(w http.ResponseWriter) {
 	if ok, why := s.Ready(); !ok {
-		s.text(w, http.StatusServiceUnavailable, why)
+		s.writeText(w, http.StatusServiceUnavailable, why)
 		return
 	}
-	s.text(w, http.StatusOK, "ready")
+	s.writeText(w, http.StatusOK, "ready")
 }
 
-// Ready tells whether clients are to be sent here, and if not, why not.
+// Ready reports whether clients are to be sent here, and if not, why not.
 func (s *Server) Ready() (bool, string) {
-	if p := s.life.Phase(); p != lifecycle.Serving {
+	if p := s.lifecycle.Phase(); p != lifecycle.Serving {
 		return false, p.String()
 	}
 	if s.drained.Load() {
@@ -186,122 +191,125 @@
 	return true, ""
 }
 
-// closing tells whether every answer is to close its connection.
-func (s *Server) closing() bool { return s.drained.Load() || s.life.Phase() >= lifecycle.Draining }
+// closesConnections reports whether every response is to close its connection.
+func (s *Server) closesConnections() bool {
+	return s.drained.Load() || s.lifecycle.Phase() >= lifecycle.Draining
+}
 
-func (s *Server) request(w http.ResponseWriter, r *http.Request, chunked bool) {
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, chunked bool) {
 	control := http.NewResponseController(w)
 	// Also for what is not read here: net/http reads the rest of a body before it closes.
-	_ = control.SetReadDeadline(time.Now().Add(bodyWithin))
-	k, _ := r.Context().Value(clientKey{}).(*client)
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
+	k, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	if k != nil {
-		k.reads(true)
+		k.setReadingBody(true)
 	}
-	req, wait, fault := s.head(r, chunked)
+	req, timeout, fault := s.parseHead(r, chunked)
 	if fault == nil {
-		var give func()
-		if give, fault = s.body(w, r, req); give != nil {
-			defer give()
+		var release func()
+		if release, fault = s.readBody(r, req); release != nil {
+			defer release()
 		}
 	}
 	if k != nil {
-		k.reads(false)
+		k.setReadingBody(false)
 	}
-	// Nothing is sent on that was read after the decision to close its connection.
-	if k != nil && !k.take() {
-		fault = &badRequest{http.StatusServiceUnavailable, "", "this connection had to make room", madeRoom}
+	// Nothing is forwarded that was read after the close of its connection had begun.
+	if k != nil && !k.claim() {
+		fault = &requestError{http.StatusServiceUnavailable, "", "this connection had to make room", connEvicted}
 	}
 	if fault != nil {
-		// net/http reads what is left of the body before it closes; a client that sends it slowly is not waited for.
-		_ = control.SetReadDeadline(time.Now().Add(gapWithin))
-		s.giveUps.add(fault.reason())
+		// net/http reads the rest of the body before it closes; a client that sends it slowly is not waited for.
+		_ = control.SetReadDeadline(time.Now().Add(gapTimeout))
+		s.giveUps.add(fault.giveUpReason())
 		if s.log.IsLevelEnabled(logrus.DebugLevel) {
 			s.log.WithError(fault).Debug("bad request")
 		}
 		w.Header().Set("Connection", "close")
 		if after := s.retryAfter(); fault.status == http.StatusServiceUnavailable && after > 0 {
-			w.Header().Set("Retry-After", retryText(after))
+			w.Header().Set("Retry-After", formatRetryAfter(after))
 		}
-		s.text(w, fault.status, fault.Error())
+		s.writeText(w, fault.status, fault.Error())
 		return
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	req.Arrived = time.Now()
-	req.Deadline = req.Arrived.Add(wait)
+	req.Deadline = req.Arrived.Add(timeout)
 	a := coordinator.Response{Kind: coordinator.Shed, RetryAfter: s.retryAfter()}
-	n := s.taken.Add(1)
-	defer s.taken.Add(-1)
-	if !s.tooMany(n) {
-		a = s.to.Submit(r.Context(), req)
+	n := s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	if !s.shouldShed(n) {
+		a = s.submitter.Submit(r.Context(), req)
 	} else {
-		s.giveUps.add(tooMany)
-		s.to.NotifyEnded(req, a)
+		s.giveUps.add(tooManyRequests)
+		s.submitter.NotifyEnded(req, a)
 	}
-	_ = control.SetWriteDeadline(time.Now().Add(answerLimit))
-	s.answer(w, req, a)
+	_ = control.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	s.writeResponse(w, req, a)
 }
 
-// body reads a request's body, whose length must be told. What it takes of the memory for bodies is given back
-// by give. Guards against bodies that use up the memory together, or that never end.
-func (s *Server) body(w http.ResponseWriter, r *http.Request, req *coordinator.Request) (give func(), fault *badRequest) {
+// readBody reads a request's body. release, if it is not nil, returns the body's part of maxBodyBytes and must be
+// called when the body is not used any more. Guards against bodies that use up the memory together, or that never
+// end.
+func (s *Server) readBody(r *http.Request, req *coordinator.Request) (release func(), fault *requestError) {
 	n := r.ContentLength
 	if n < 0 {
-		return s.chunkedBody(r, req)
+		return s.readChunkedBody(r, req)
 	}
 	if n > maxBody {
-		return nil, &badRequest{http.StatusRequestEntityTooLarge, "Content-Length", fmt.Sprintf("is over %d", maxBody), bodyLarge}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "Content-Length", fmt.Sprintf("is over %d", maxBody), bodyTooLarge}
 	}
-	give = func() { s.held.Add(-n) }
-	if s.held.Add(n) > s.memory {
-		return give, &badRequest{http.StatusServiceUnavailable, "", "no room for the body", bodyRoom}
+	release = func() { s.bodyBytes.Add(-n) }
+	if s.bodyBytes.Add(n) > s.maxBodyBytes {
+		return release, &requestError{http.StatusServiceUnavailable, "", "no room for the body", bodyMemory}
 	}
 	req.Body = make([]byte, n)
 	if _, err := io.ReadFull(r.Body, req.Body); err != nil {
-		return give, brokenBody(err, "Content-Length")
+		return release, bodyError(err, "Content-Length")
 	}
-	if n > 0 { // sees the end, so that net/http watches for the client's leaving
+	if n > 0 { // reads the end, so that net/http watches for the client's disconnect
 		_, _ = r.Body.Read(make([]byte, 1))
 	}
-	return give, nil
+	return release, nil
 }
 
-// chunkedBody reads a body of unknown length, taking of the memory for bodies as it grows.
-func (s *Server) chunkedBody(r *http.Request, req *coordinator.Request) (give func(), fault *badRequest) {
-	var held int64
-	give = func() { s.held.Add(-held) }
-	piece := make([]byte, 4<<10)
+// readChunkedBody reads a body of unknown length, and takes its part of maxBodyBytes as it grows.
+func (s *Server) readChunkedBody(r *http.Request, req *coordinator.Request) (release func(), fault *requestError) {
+	var size int64
+	release = func() { s.bodyBytes.Add(-size) }
+	chunk := make([]byte, 4<<10)
 	for {
-		n, err := r.Body.Read(piece)
-		if held += int64(n); held > maxBody {
-			return give, &badRequest{http.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is over %d", maxBody), bodyLarge}
+		n, err := r.Body.Read(chunk)
+		if size += int64(n); size > maxBody {
+			return release, &requestError{http.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is over %d", maxBody), bodyTooLarge}
 		}
-		if s.held.Add(int64(n)) > s.memory {
-			return give, &badRequest{http.StatusServiceUnavailable, "", "no room for the body", bodyRoom}
+		if s.bodyBytes.Add(int64(n)) > s.maxBodyBytes {
+			return release, &requestError{http.StatusServiceUnavailable, "", "no room for the body", bodyMemory}
 		}
-		req.Body = append(req.Body, piece[:n]...)
+		req.Body = append(req.Body, chunk[:n]...)
 		switch {
 		case errors.Is(err, io.EOF):
 			if req.Body == nil {
 				req.Body = []byte{}
 			}
-			return give, nil
+			return release, nil
 		case err != nil:
-			return give, brokenBody(err, "Transfer-Encoding")
+			return release, bodyError(err, "Transfer-Encoding")
 		}
 	}
 }
 
-// brokenBody tells why a body could not be read whole: it did not come in time, or it broke off.
-func brokenBody(err error, framing string) *badRequest {
+// bodyError returns why a body could not be read completely: it did not arrive in time, or the client disconnected.
+func bodyError(err error, framing string) *requestError {
 	if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
-		return &badRequest{http.StatusRequestTimeout, "", "the body did not come in time", bodySlow}
+		return &requestError{http.StatusRequestTimeout, "", "the body did not come in time", bodySlow}
 	}
-	return &badRequest{http.StatusBadRequest, framing, "the body broke off", bodyLeft}
+	return &requestError{http.StatusBadRequest, framing, "the body broke off", bodyDisconnected}
 }
 
-// answer writes a request's final answer.
-func (s *Server) answer(w http.ResponseWriter, req *coordinator.Request, a coordinator.Response) {
-	if s.closing() { // it may have begun since the request came
+// writeResponse writes a request's final response.
+func (s *Server) writeResponse(w http.ResponseWriter, req *coordinator.Request, a coordinator.Response) {
+	if s.closesConnections() { // perhaps only since the request arrived
 		w.Header().Set("Connection", "close")
 	}
 	if s.log.IsLevelEnabled(logrus.DebugLevel) {
@@ -315,26 +323,26 @@
 		_, _ = w.Write(a.Result)
 	case coordinator.Shed:
 		if a.RetryAfter > 0 {
-			w.Header().Set("Retry-After", retryText(a.RetryAfter))
+			w.Header().Set("Retry-After", formatRetryAfter(a.RetryAfter))
 		}
-		s.text(w, http.StatusServiceUnavailable, "refused; a retry is harmless")
+		s.writeText(w, http.StatusServiceUnavailable, "refused; a retry is harmless")
 	case coordinator.Failed:
-		s.text(w, http.StatusBadGateway, "failed; it may have had its effect")
+		s.writeText(w, http.StatusBadGateway, "failed; it may have had its effect")
 	case coordinator.InternalFault:
-		s.text(w, http.StatusInternalServerError, "internal fault")
+		s.writeText(w, http.StatusInternalServerError, "internal fault")
 	case coordinator.Unusable:
-		s.text(w, http.StatusBadRequest, "a runner cannot use this request")
+		s.writeText(w, http.StatusBadRequest, "a runner cannot use this request")
 	case coordinator.DuplicateID:
 		w.Header().Set("Connection", "close")
-		s.text(w, http.StatusConflict, "X-Request-ID: a request with this id is open or was answered")
-	case coordinator.ClientDisconnected: // nobody reads it, or one that has closed only its sending: net/http would say 200
+		s.writeText(w, http.StatusConflict, "X-Request-ID: a request with this id is open or was answered")
+	case coordinator.ClientDisconnected: // perhaps only its sending side is closed; net/http would respond 200
 		w.Header().Set("Connection", "close")
-		s.text(w, http.StatusBadGateway, "the client has left")
+		s.writeText(w, http.StatusBadGateway, "the client has left")
 	}
 }
 
-// text writes a short answer of one line.
-func (s *Server) text(w http.ResponseWriter, status int, line string) {
+// writeText writes a response of one line.
+func (s *Server) writeText(w http.ResponseWriter, status int, line string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1))
 	w.WriteHeader(status)
--- a/internal/dispatcher/ingress/ingress_test.go
+++ b/internal/dispatcher/ingress/ingress_test.go
@@ -21,12 +21,12 @@
 	"ospreypond/policy"
 )
 
-// submitter answers as its function says.
-type submitter func(ctx context.Context, r *coordinator.Request) coordinator.Response
+// submitFunc is a Submitter that returns the responses of a function.
+type submitFunc func(ctx context.Context, r *coordinator.Request) coordinator.Response
 
-func (f submitter) NotifyEnded(*coordinator.Request, coordinator.Response) {}
+func (f submitFunc) NotifyEnded(*coordinator.Request, coordinator.Response) {}
 
-func (f submitter) Submit(ctx context.Context, r *coordinator.Request) coordinator.Response {
+func (f submitFunc) Submit(ctx context.Context, r *coordinator.Request) coordinator.Response {
 	return f(ctx, r)
 }
 
@@ -36,53 +36,55 @@
 	return log
 }
 
-func testServer(budget int, to submitter) (*Server, *lifecycle.Lifecycle) {
-	life := lifecycle.New(nil)
-	return New(to, life, &policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: 2 * time.Second}, budget, 1<<20, discard()), life
+func testServer(budget int, to submitFunc) (*Server, *lifecycle.Lifecycle) {
+	phases := lifecycle.New(nil)
+	return New(to, phases, &policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: 2 * time.Second}, budget, 1<<20, discard()), phases
 }
 
-// addr waits until the server listens and tells where.
+// addr waits until the server listens and returns its address.
 func (s *Server) addr(t *testing.T) string {
+	t.Helper()
 	require.Eventually(t, func() bool { return s.listener.Load() != nil }, 20*time.Second, time.Millisecond)
 	return s.listener.Load().Addr().String()
 }
 
-func job() *http.Request {
-	r := httptest.NewRequest(http.MethodPost, "/c/x?y=1", strings.NewReader("body"))
+func newRequest(t *testing.T) *http.Request {
+	t.Helper()
+	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/c/x?y=1", strings.NewReader("body"))
 	r.Header.Set("X-Request-ID", "id")
 	r.Header.Set("X-Timeout", "1500m")
 	return r
 }
 
-func TestParsing(t *testing.T) {
-	r := job()
+func TestParseHead(t *testing.T) {
+	r := newRequest(t)
 	for k, v := range map[string]string{"X-Tenant-Id": "t", "X-Route-Key": "k", "Idempotency-Key": "i", "X-Cost": "2500",
 		"X-Retried": "1", "X-Attrs": "slots=2, memory=0.5,new=x", "X-Timeout": "1500u"} {
 		r.Header.Set(k, v)
 	}
 	s, _ := testServer(10, nil)
-	got, wait, fault := s.head(r, false)
+	got, wait, fault := s.parseHead(r, false)
 	require.Nil(t, fault)
 	assert.Equal(t, 1500*time.Microsecond, wait)
 	assert.Equal(t, &coordinator.Request{ID: "id", Class: "c", Tenant: "t", Key: "k", IdempotencyKey: "i", Retry: true,
 		Work: 2500 * time.Microsecond, Slots: 2, Memory: 0.5, Method: "POST", Target: "/c/x?y=1"}, got)
 }
 
-func TestWaits(t *testing.T) {
+func TestParseTimeout(t *testing.T) {
 	for s, want := range map[string]time.Duration{"480m": 480 * time.Millisecond, "0m": 0, "1.5m": 1500 * time.Microsecond,
-		"3600000m": maxWait} {
-		got, err := parseWait(s)
+		"3600000m": maxTimeout} {
+		got, err := parseTimeout(s)
 		assert.NoError(t, err, s)
 		assert.Equal(t, want, got, s)
 	}
 	for _, s := range []string{"", "m", "12", "12s", "-1m", "NaNm", "Infm", "1e3m", "0x10m", "1_0m", "+1m", "3600001m",
 		"99999999999999999999999m"} {
-		_, err := parseWait(s)
+		_, err := parseTimeout(s)
 		assert.Error(t, err, s)
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	for _, tt := range []struct {
 		a      coordinator.Response
 		status int
@@ -92,42 +94,42 @@
 		{coordinator.Response{Kind: coordinator.Failed}, 502},
 		{coordinator.Response{Kind: coordinator.InternalFault}, 500},
 	} {
-		s, life := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return tt.a })
-		life.Advance(lifecycle.Serving)
+		s, phases := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return tt.a })
+		phases.Advance(lifecycle.Serving)
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, job())
+		s.ServeHTTP(w, newRequest(t))
 		assert.Equal(t, tt.status, w.Code)
 		assert.Empty(t, w.Header().Get("Connection"))
 		if tt.a.RetryAfter > 0 {
 			assert.Equal(t, "1.500", w.Header().Get("Retry-After"))
 		}
-		life.Advance(lifecycle.Draining)
+		phases.Advance(lifecycle.Draining)
 		w = httptest.NewRecorder()
-		s.ServeHTTP(w, job())
-		assert.Equal(t, "close", w.Header().Get("Connection"), "an answer while draining keeps its connection")
+		s.ServeHTTP(w, newRequest(t))
+		assert.Equal(t, "close", w.Header().Get("Connection"), "a response while draining closes its connection")
 	}
 }
 
-// Guards against a panic that cuts a client's connection: net/http would close it without an answer.
-func TestPanicIsAnswered(t *testing.T) {
+// Guards against a panic that costs a client its connection: net/http would close it without a response.
+func TestPanicGetsAResponse(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { panic("fault") })
 	w := httptest.NewRecorder()
-	s.ServeHTTP(w, job())
+	s.ServeHTTP(w, newRequest(t))
 	assert.Equal(t, http.StatusInternalServerError, w.Code)
 }
 
 func TestReadyOnlyWhileServing(t *testing.T) {
-	s, life := testServer(10, nil)
+	s, phases := testServer(10, nil)
 	for _, p := range []lifecycle.Phase{lifecycle.Starting, lifecycle.Serving, lifecycle.Draining} {
-		life.Advance(p)
+		phases.Advance(p)
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/health/ready", nil))
+		s.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/health/ready", nil))
 		assert.Equal(t, p == lifecycle.Serving, w.Code == http.StatusOK, p)
 	}
 }
 
-// Guards against input that strconv or net/http takes and that a runner or the module would choke on: each is
-// turned away with a 4xx that names its header, and never submitted.
+// Guards against input that strconv or net/http accepts and a runner or the module would not: each is refused with a
+// 4xx that names its header, and never submitted.
 func TestBadHeads(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response {
 		t.Error("submitted")
@@ -139,7 +141,7 @@
 		"X-Retried": {"yes"}, "X-Attrs": {"slots=Inf", "slots=1e9", "slots=-1", "slots", "memory=x", "slots=2000"},
 	} {
 		for _, v := range values {
-			r := job()
+			r := newRequest(t)
 			r.Header.Set(name, v)
 			w := httptest.NewRecorder()
 			s.ServeHTTP(w, r)
@@ -147,7 +149,7 @@
 			assert.Contains(t, w.Body.String(), name)
 			assert.Equal(t, "close", w.Header().Get("Connection"))
 		}
-		r := job()
+		r := newRequest(t)
 		r.Header[http.CanonicalHeaderKey(name)] = []string{"1", "1"}
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, r)
@@ -155,12 +157,12 @@
 	}
 }
 
-// Guards against traffic that names no tenant, or an unknown one, and so would escape every allowance.
-func TestTenantsAreKnown(t *testing.T) {
+// Guards against requests without a tenant, or with an unknown one, that would escape every allowance.
+func TestUnknownTenantsAreRefused(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return coordinator.Response{} })
 	s.names.Load().tenants["t"] = true
 	for tenant, want := range map[string]int{"t": http.StatusOK, "u": http.StatusBadRequest, "": http.StatusBadRequest} {
-		r := job()
+		r := newRequest(t)
 		r.Header.Set("X-Tenant-Id", tenant)
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, r)
@@ -168,37 +170,62 @@
 	}
 }
 
-// listen serves on a socket, as only there net/http does its part.
+// listen serves on a TCP socket, so that net/http takes part.
 func listen(t *testing.T, s *Server) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
+	t.Helper()
+	l := newTCPListener(t)
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { _ = s.http.Close() })
 	return l.Addr().String()
 }
 
-func dial(t *testing.T, addr, text string) (net.Conn, *bufio.Reader) {
-	c, err := net.Dial("tcp", addr)
+func newTCPListener(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	return l
+}
+
+// connect opens a connection that the end of the test closes.
+func connect(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	_, err = io.WriteString(c, text)
+	return c
+}
+
+func dial(t *testing.T, addr, text string) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	c := connect(t, addr)
+	require.NoError(t, c.SetDeadline(time.Now().Add(20*time.Second)))
+	_, err := io.WriteString(c, text)
 	require.NoError(t, err)
 	return c, bufio.NewReader(c)
 }
 
-func response(t *testing.T, from *bufio.Reader) *http.Response {
+// response is a response that was read completely.
+type response struct {
+	status     int
+	retryAfter string
+	closes     bool // the server closes the connection after it
+	body       string
+}
+
+func readResponse(t *testing.T, from *bufio.Reader) response {
+	t.Helper()
 	resp, err := http.ReadResponse(from, nil)
 	require.NoError(t, err)
-	_, err = io.Copy(io.Discard, resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	return resp
+	require.NoError(t, resp.Body.Close())
+	return response{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(body)}
 }
 
 const head = "POST /c HTTP/1.1\r\nHost: h\r\nX-Request-ID: i\r\nX-Timeout: 9000m\r\n"
 
-// Guards against what stands on the wire and cannot be read: it gets an error and a close, in time, and nothing
-// of it is submitted. First of all a request hidden in the body of another.
+// Guards against invalid framing, request smuggling above all: it gets an error response and a close, in time, and
+// nothing of it is submitted.
 func TestBadFraming(t *testing.T) {
 	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 		t.Error("submitted")
@@ -222,63 +249,64 @@
 			t.Parallel()
 			_, from := dial(t, addr, text)
 			if want != 0 {
-				assert.Equal(t, want, response(t, from).StatusCode)
+				assert.Equal(t, want, readResponse(t, from).status)
 			}
 			_, err := from.ReadByte()
-			var late net.Error
-			assert.Error(t, err, "the connection stays")
-			assert.False(t, errors.As(err, &late) && late.Timeout(), "the connection stays")
+			var timeout net.Error
+			assert.Error(t, err, "the connection stays open")
+			assert.False(t, errors.As(err, &timeout) && timeout.Timeout(), "the connection stays open")
 		})
 	}
 }
 
 // Guards against bodies that together use up the memory.
-func TestBodiesInHandAreBounded(t *testing.T) {
+func TestBodyMemoryIsBounded(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return coordinator.Response{} })
-	s.memory = 3
+	s.maxBodyBytes = 3
 	w := httptest.NewRecorder()
-	s.ServeHTTP(w, job())
+	s.ServeHTTP(w, newRequest(t))
 	assert.Equal(t, http.StatusServiceUnavailable, w.Code)
 	assert.NotEmpty(t, w.Header().Get("Retry-After"))
-	assert.Zero(t, s.held.Load())
+	assert.Zero(t, s.bodyBytes.Load())
 }
 
-// Guards against connections that say nothing and shut others out: the longest silent of them go, but none with
-// a request in hand, nor an idle one of a usual client while others are there.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
-	const room = 4
-	answers := make(chan coordinator.Response)
-	s, _ := testServer(room, func(context.Context, *coordinator.Request) coordinator.Response { return <-answers })
-	taken := func(n int64) {
-		require.Eventually(t, func() bool { return s.taken.Load() == n }, 20*time.Second, time.Millisecond)
+// Guards against connections that say nothing and shut others out: the longest quiet are evicted, but none with a
+// request in the handler, nor an idle one of a usual client while there are others.
+func TestQuietConnectionsAreEvictedFirst(t *testing.T) {
+	const sockets = 4
+	responses := make(chan coordinator.Response)
+	s, _ := testServer(sockets, func(context.Context, *coordinator.Request) coordinator.Response { return <-responses })
+	inFlight := func(n int64) {
+		t.Helper()
+		require.Eventually(t, func() bool { return s.inFlight.Load() == n }, 20*time.Second, time.Millisecond)
 	}
 	addr := listen(t, s)
 	usual := head + "Content-Length: 0\r\n\r\n"
 	kept, from := dial(t, addr, usual)
-	answers <- coordinator.Response{Kind: coordinator.Served}
-	require.Equal(t, http.StatusOK, response(t, from).StatusCode)
+	responses <- coordinator.Response{Kind: coordinator.Served}
+	require.Equal(t, http.StatusOK, readResponse(t, from).status)
 	_, busy := dial(t, addr, usual)
-	taken(1)
-	for range 5 * room {
+	inFlight(1)
+	for range 5 * sockets {
 		dial(t, addr, "")
 	}
 	_, last := dial(t, addr, usual)
-	taken(2)
+	inFlight(2)
 	_, err := io.WriteString(kept, usual)
 	require.NoError(t, err)
-	taken(3)
+	inFlight(3)
 	for _, r := range []*bufio.Reader{busy, last, from} {
-		answers <- coordinator.Response{Kind: coordinator.Served}
+		responses <- coordinator.Response{Kind: coordinator.Served}
 		_ = r
 	}
 	for _, r := range []*bufio.Reader{busy, last, from} {
-		assert.Equal(t, http.StatusOK, response(t, r).StatusCode)
+		assert.Equal(t, http.StatusOK, readResponse(t, r).status)
 	}
 }
 
-// Guards against a burst that pushes out connections before their first bytes are read.
-func TestYoungConnectionsAreNotPushedOut(t *testing.T) {
-	c, now := newLimitedListener(nil, 2, untold, nil, nil), time.Now()
+// Guards against a burst that evicts connections before their first bytes are read.
+func TestYoungConnectionsAreNotEvicted(t *testing.T) {
+	c, now := newLimitedListener(nil, 2, noRetryAfter, nil, nil), time.Now()
 	pipe := func() net.Conn { a, _ := net.Pipe(); return a }
 	old, _ := c.admit(pipe(), now.Add(-time.Second))
 	young, _ := c.admit(pipe(), now)
@@ -287,18 +315,18 @@
 	assert.Zero(t, wait)
 	assert.Equal(t, stateClosing, old.state)
 	_, wait = c.admit(pipe(), now.Add(10*time.Millisecond))
-	assert.Equal(t, speakIn-10*time.Millisecond, wait)
+	assert.Equal(t, minQuietToEvict-10*time.Millisecond, wait)
 	assert.Equal(t, stateNew, young.state)
-	_, wait = c.admit(pipe(), now.Add(speakIn))
+	_, wait = c.admit(pipe(), now.Add(minQuietToEvict))
 	assert.Zero(t, wait)
 	assert.Equal(t, stateClosing, young.state)
 }
 
-// Guards against more requests than there are sockets for: the last ones are told so.
-func TestTooManyRequestsAreRefused(t *testing.T) {
-	const room = 10
+// Guards against more requests than there are sockets for: the last ones get a response that says so.
+func TestTooManyRequestsAreShed(t *testing.T) {
+	const sockets = 10
 	release := make(chan struct{})
-	s, _ := testServer(room, func(context.Context, *coordinator.Request) coordinator.Response {
+	s, _ := testServer(sockets, func(context.Context, *coordinator.Request) coordinator.Response {
 		<-release
 		return coordinator.Response{Kind: coordinator.Served}
 	})
@@ -306,10 +334,10 @@
 	for range 8 {
 		dial(t, addr, head+"Content-Length: 0\r\n\r\n")
 	}
-	require.Eventually(t, func() bool { return s.taken.Load() == 8 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.inFlight.Load() == 8 }, 20*time.Second, time.Millisecond)
 	_, from := dial(t, addr, head+"Content-Length: 0\r\n\r\n")
-	resp := response(t, from)
-	assert.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	assert.NotEmpty(t, resp.Header.Get("Retry-After"))
+	resp := readResponse(t, from)
+	assert.Equal(t, http.StatusServiceUnavailable, resp.status)
+	assert.NotEmpty(t, resp.retryAfter)
 	close(release)
 }
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -11,45 +11,46 @@
 	"ospreypond/internal/dispatcher/config"
 )
 
-// speakIn is how long a connection has to speak before it may have to make room. Guards against a burst of silent
-// ones that pushes out a usual client before its first bytes are read. Accept waits at most that long.
-const speakIn = 50 * time.Millisecond
-
-// restIn is how long a connection that brought requests is left to wait for its next one, while others that never
-// brought any have to make room as soon as they may.
-const restIn = time.Second
-
-// limitedListener is a listener that holds no more connections at once than it has room for. Where a further one comes,
-// the one that has been silent for the longest time makes room: first among those that have not brought a
-// whole request, silent since their last byte, then among those that wait for their next one. One with a request in
-// hand is never closed. Guards against connections that say nothing and shut others out; harms a client whose idle
-// connection is closed, which opens another.
+// minQuietToEvict is how long a connection that has sent no complete request is safe from eviction after its last
+// byte. Guards against a burst of quiet connections that evicts a usual client before its first bytes are read.
+// Accept waits at most that long.
+const minQuietToEvict = 50 * time.Millisecond
+
+// minIdleToEvict is the same for an idle connection that has brought requests.
+const minIdleToEvict = time.Second
+
+// limitedListener is a listener that keeps at most maxConns connections open at once. For a further one, the
+// connection that has been quiet for the longest time is evicted: first among those without a complete request, quiet
+// since their last byte, then among idle ones. One with a request in the handler is never closed. Guards against
+// connections that say nothing and shut others out; a client whose idle connection is evicted opens another.
 //
-// Its lock is the one under which each connection's state changes, see client.
+// Its lock guards the state of each connection, see clientConn.
 type limitedListener struct {
 	net.Listener
-	most       int
-	linger     int                  // connections that may linger beside those
-	retryAfter func() time.Duration // that one turned away is told; 0: nothing
-	giveUps    *GiveUps
-	log        logrus.FieldLogger
+	maxConns     int
+	maxLingering int                  // connections that may linger beside those
+	retryAfter   func() time.Duration // for refused connections; 0: no Retry-After
+	giveUps      *GiveUps
+	log          logrus.FieldLogger
 
 	mu        sync.Mutex
-	silent    list.List // of *client without a request that was read whole, the longest silent first
-	idle      list.List // of *client between requests, the longest silent first
-	busy      list.List // of *client with a request in hand
-	lingering list.List // of *client that are being closed, the first of them first
-	packed    bool      // newcomers are turned away
-	draining  bool      // what rests is closed, now and later
+	quiet     list.List // of *clientConn without a complete request, the longest quiet first
+	idle      list.List // of *clientConn between requests, the longest idle first
+	busy      list.List // of *clientConn with a request in the handler
+	lingering list.List // of *clientConn that are being closed, the earliest first
+	full      bool      // new connections are refused
+	draining  bool      // idle connections are closed, now and later
 }
 
-func newLimitedListener(l net.Listener, most int, retryAfter func() time.Duration, giveUps *GiveUps, log logrus.FieldLogger) *limitedListener {
-	return &limitedListener{Listener: l, most: most, linger: config.LingerRoom(most), retryAfter: retryAfter, giveUps: giveUps, log: log}
+func newLimitedListener(l net.Listener, maxConns int, retryAfter func() time.Duration, giveUps *GiveUps, log logrus.FieldLogger) *limitedListener {
+	return &limitedListener{Listener: l, maxConns: maxConns, maxLingering: config.LingerRoom(maxConns), retryAfter: retryAfter, giveUps: giveUps, log: log}
 }
 
-// open is how many connections are held, without those that linger. c.mu is held.
-func (c *limitedListener) open() int { return c.silent.Len() + c.idle.Len() + c.busy.Len() }
+// open returns the number of open connections, without lingering ones. c.mu is held.
+func (c *limitedListener) open() int { return c.quiet.Len() + c.idle.Len() + c.busy.Len() }
 
+// Accept returns the next connection as a *clientConn. It waits, for at most minIdleToEvict at a time, until one may
+// be evicted for it.
 func (c *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := c.Listener.Accept()
@@ -70,91 +71,107 @@
 	}
 }
 
-// admit makes room for a connection and takes it in; nil means that every one held has a request in hand, and the
-// newcomer is told so. With wait, it is to be tried again after that.
-func (c *limitedListener) admit(conn net.Conn, now time.Time) (k *client, wait time.Duration) {
+// admit makes a clientConn of conn, and evicts another for it if need be. It returns nil if every connection has a
+// request in the handler: conn is then closed with a response that says so. With wait, it is to be called again after
+// that.
+func (c *limitedListener) admit(conn net.Conn, now time.Time) (k *clientConn, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	full := c.open() >= c.most
-	for _, l := range []struct {
-		*list.List
-		least time.Duration
-	}{{&c.silent, speakIn}, {&c.idle, restIn}} {
-		if e := l.Front(); e != nil && full {
-			if young := l.least - now.Sub(e.Value.(*client).since); young <= 0 {
-				e.Value.(*client).shut(headRoom)
-				full = false
-			} else if wait == 0 || young < wait {
-				wait = young
-			}
-		}
-	}
+	full, wait := c.evict(now)
 	if full && wait > 0 {
 		return nil, wait
 	}
-	if full != c.packed && (full || c.busy.Len() < c.most*9/10) {
-		c.packed = full
+	if full != c.full && (full || c.busy.Len() < c.maxConns*9/10) {
+		c.full = full
 		c.log.WithField("connections", c.open()).Warnf("every client connection has a request and new ones are refused: %v", full)
 	}
-	k = newClient(conn, c, now)
+	k = newClientConn(conn, c, now)
 	if full {
-		k.begun = true // it is counted: clients that connect have something to ask
-		k.shut(headRoom)
-		go closeInOrder(k)
+		k.requestBegun = true // so that it is counted: clients connect for a request
+		k.startClose(headEvicted)
+		go closeGracefully(k)
 		return nil, 0
 	}
-	k.move(&c.silent)
+	k.moveTo(&c.quiet)
 	return k, 0
 }
 
-func closeInOrder(k *client) { _ = k.Close() }
+// evict makes room for one more connection, if need be. If it can't, full is true and wait is the time after which it
+// could, or 0 if every connection has a request in the handler. c.mu is held.
+func (c *limitedListener) evict(now time.Time) (full bool, wait time.Duration) {
+	if c.open() < c.maxConns {
+		return false, 0
+	}
+	for _, l := range []struct {
+		*list.List
+		minQuiet time.Duration
+	}{{&c.quiet, minQuietToEvict}, {&c.idle, minIdleToEvict}} {
+		e := l.Front()
+		if e == nil {
+			continue
+		}
+		k := e.Value.(*clientConn)
+		left := l.minQuiet - now.Sub(k.quietSince)
+		if left <= 0 {
+			k.startClose(headEvicted)
+			return false, 0
+		}
+		if wait == 0 || left < wait {
+			wait = left
+		}
+	}
+	return true, wait
+}
+
+// closeGracefully closes k, for use as a goroutine.
+func closeGracefully(k *clientConn) { _ = k.Close() }
 
-// boundLingering ends the lingering of those that began first where too many do. c.mu is held.
+// boundLingering closes the earliest lingering connections where there are more than maxLingering. c.mu is held.
 func (c *limitedListener) boundLingering() {
-	for over := c.lingering.Len() - c.linger; over > 0; over-- {
-		k := c.lingering.Front().Value.(*client)
+	for over := c.lingering.Len() - c.maxLingering; over > 0; over-- {
+		k := c.lingering.Front().Value.(*clientConn)
 		k.state = stateClosed
-		k.move(nil)
+		k.moveTo(nil)
 		_ = k.Conn.Close()
 	}
 }
 
-// drain says whether connections that rest are closed, those at once that do now. Those that never brought a byte
-// are closed once they have been silent for quietFor, by a later call. One of which a byte was read is left.
-func (c *limitedListener) drain(on bool, now time.Time) {
+// setDraining sets whether idle connections are closed, present ones at once. Those that never sent a byte are closed
+// by a call after they have been quiet for quietTimeout; any of which a byte was read stays open.
+func (c *limitedListener) setDraining(on bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.draining = on; !on {
 		return
 	}
 	for e := c.idle.Front(); e != nil; e = c.idle.Front() {
-		e.Value.(*client).shut("")
+		e.Value.(*clientConn).startClose("")
 	}
-	for e := c.silent.Front(); e != nil; {
-		k := e.Value.(*client)
-		if now.Sub(k.since) < quietFor {
-			break // the list is in the order of their coming
+	for e := c.quiet.Front(); e != nil; {
+		k := e.Value.(*clientConn)
+		if now.Sub(k.quietSince) < quietTimeout {
+			break // the list is ordered by quietSince
 		}
 		if e = e.Next(); k.state == stateNew {
-			k.shut("")
+			k.startClose("")
 		}
 	}
 }
 
-// gone tells whether no connection is left, not even one that lingers.
-func (c *limitedListener) gone() bool {
+// empty reports whether no connection is left, not even a lingering one.
+func (c *limitedListener) empty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open()+c.lingering.Len() == 0
 }
 
-// abort closes the sockets of all that are left, whatever is still owed on them.
+// abort closes the sockets of all connections, whatever is still to be sent on them.
 func (c *limitedListener) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range []*list.List{&c.silent, &c.idle, &c.busy, &c.lingering} {
+	for _, l := range []*list.List{&c.quiet, &c.idle, &c.busy, &c.lingering} {
 		for e := l.Front(); e != nil; e = e.Next() {
-			_ = e.Value.(*client).Conn.Close()
+			_ = e.Value.(*clientConn).Conn.Close()
 		}
 	}
 }
