--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -68,7 +68,7 @@
 	orders := w.orders(heartbeatOf("i1", 1))
 	Expect(orders.Start).To(HaveLen(1))
 	heartbeat := heartbeatOf("i1", 2)
-	heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: outcome}}
+	heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: protocol.RunEnd(outcome)}}
 	w.orders(heartbeat)
 }
 
