--- a/internal/cluster/jobs/retention.go
+++ b/internal/cluster/jobs/retention.go
@@ -11,7 +11,7 @@
 
 // Options are the retention times of a State. They must be the same on all replicas; 0 stands for the default.
 type Options struct {
-	StatusTime         time.Duration // the state of an ended job is kept one and a half times as long as this
+	StatusRetention    time.Duration // the state of an ended job is kept one and a half times as long as this
 	TombstoneRetention time.Duration // then its id is known for this long; so are fenced ids
 	RunnerRetention    time.Duration // a runner without runs is forgotten when no command has named it for this long
 }
@@ -21,7 +21,7 @@
 
 func newRetention(options Options) retention {
 	return retention{
-		statusMs:    milliseconds(options.StatusTime, DefaultStatusRetention) * 3 / 2,
+		statusMs:    milliseconds(options.StatusRetention, DefaultStatusRetention) * 3 / 2,
 		tombstoneMs: milliseconds(options.TombstoneRetention, DefaultTombstoneRetention),
 		runnerMs:    milliseconds(options.RunnerRetention, DefaultRunnerRetention),
 	}
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -40,7 +40,7 @@
 	Lingering int // runs
 	Runners   int
 
-	Taken     uint64 // jobs
+	Accepted  uint64 // jobs
 	Completed uint64 // jobs
 	Failed    uint64 // jobs
 	Cancelled uint64 // jobs
