--- a/internal/cluster/latency/reason.go
+++ b/internal/cluster/latency/reason.go
@@ -54,10 +54,10 @@
 }
 
 // String returns the reason's label in metrics and logs.
-func (c Reason) String() string { return labels[c] }
+func (r Reason) String() string { return labels[r] }
 
-// Causes returns all reasons, in their order.
-func Causes() []Reason {
+// Reasons returns all reasons, in their order.
+func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
 		all[i] = Reason(i)
--- a/internal/cluster/latency/recorder_test.go
+++ b/internal/cluster/latency/recorder_test.go
@@ -39,7 +39,7 @@
 // nonzero returns the parts of a time that are not 0, by label.
 func nonzero(times latency.Times) map[string]time.Duration {
 	parts := map[string]time.Duration{}
-	for _, reason := range latency.Causes() {
+	for _, reason := range latency.Reasons() {
 		if times[reason] != 0 {
 			parts[reason.String()] = times[reason]
 		}
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -9,8 +9,8 @@
 
 var errNewerHeartbeat = failure.New(failure.Conflict, "a newer heartbeat of this runner has come")
 
-// Heartbeat takes a runner's report. The reply comes within Options.MaxReplyDelay, by Flush. The heartbeat must not be
-// changed afterwards.
+// Heartbeat takes a runner's report. The reply comes within Options.MaxReplyDelay, by Flush. The owner keeps the
+// heartbeat's lists and sorts the finished runs: the caller must not use them afterwards.
 func (o *Owner) Heartbeat(now time.Duration, heartbeat *protocol.Heartbeat, reply func(*protocol.Orders, error)) {
 	if !o.leadership.isLeader {
 		reply(nil, errNotLeader)
