--- a/internal/cluster/jobs/doc.go
+++ b/internal/cluster/jobs/doc.go
@@ -9,8 +9,9 @@
 // replicas. A State may be used by one goroutine at a time; tasks and jobs that it returns may be read until the next
 // Restore, and are changed by Apply alone.
 //
-// Package jobs promises that at most one run of a task may exist, and that a run which may exist is recorded before it
-// is ordered. It does not choose runners: what is only an estimate (free capacity, predicted times) belongs to the owner
+// A State keeps at most one run of a task that may exist: a Start is applied only when the End or Loss of the run before
+// was. For that to be true of the runners as well, a start must be ordered only after its command was applied. The
+// package does not choose runners: what is only an estimate (free capacity, predicted times) belongs to the owner
 // of the shard, package scheduler.
 //
 // Commands and snapshots are written by hand (encoding.go): names of fields are free, the order of what is written and
--- a/internal/cluster/scheduler/doc.go
+++ b/internal/cluster/scheduler/doc.go
@@ -12,9 +12,10 @@
 // of leadership to Tick (Raft's read index: Ongaro 2014, section 6.4), asks for a new one while NeedsConfirmation, and
 // calls Flush after NextCommand. In return an Owner orders a start only after it was committed, acknowledges an end only
 // after it was committed, grants leases that end no later than Options.MaxLease after a confirmation was asked for, and
-// gives up a run only when no lease of its runner may last, its incarnation is over, or its runner has refused it for
-// good. An Owner that was replaced without noticing does no harm: its leases are counted from confirmations, its
-// proposals fail, and runners refuse its fencing token.
+// gives up a run only when it certainly exists nowhere: no lease of its runner may last, the runner's incarnation is
+// over, the runner does not list a start that no answer carries any more, or it has refused the run for good. An Owner
+// that was replaced without noticing does no harm: its leases are counted from confirmations, its proposals fail, and
+// runners refuse its fencing token.
 //
 // Where to look:
 //
@@ -23,6 +24,7 @@
 //	carrying out  proposals.go, orders.go, tick.go                   commands to the log, orders to runners, time
 //	inputs        requests.go, replies.go, reads.go                  clients
 //	              heartbeat.go, reports.go                           runners
-//	leases        leases.go, incarnations.go, losses.go              which runs can no longer exist
+//	leases        leadership.go, leases.go                           how long the owner may answer, and runners go on
+//	              incarnations.go, losses.go                         which runs can no longer exist
 //	observing     waitreasons.go, overview.go                        why tasks wait, what operators see
 package scheduler
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -18,7 +18,7 @@
 type LateJob struct {
 	ID    string
 	Queue string
-	State string // one of the protocol's job states
+	State jobs.JobState
 	latency.JobSummary
 }
 
@@ -35,7 +35,7 @@
 func (w *waitReasons) jobEnded(job *jobs.Job, took time.Duration) {
 	summary, ok := w.recorder.JobEnded(job, took)
 	if ok && summary.IsLate() && len(w.late) < maxLateJobs {
-		w.late = append(w.late, LateJob{ID: job.ID, Queue: job.Queue.Key, State: string(job.State), JobSummary: summary})
+		w.late = append(w.late, LateJob{ID: job.ID, Queue: job.Queue.Key, State: job.State, JobSummary: summary})
 	}
 }
 
