--- a/internal/cluster/consensus/chaos_test.go
+++ b/internal/cluster/consensus/chaos_test.go
@@ -54,7 +54,7 @@
 	return failures[:min(len(failures), 5)]
 }
 
-var _ = ginkgo.DescribeTable("a group into which faults are injected keeps all invariants, and recovers",
+var _ = ginkgo.DescribeTable("a group into which faults are injected violates no invariant, and recovers",
 	func(voters, spares int, seeds uint64) {
 		failures := playSeeds(seeds, func(seed uint64) error {
 			w := newWorld(seed, voters, spares)
--- a/internal/cluster/consensus/confirmation_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.DescribeTable("what a majority has reached",
+var _ = ginkgo.DescribeTable("the largest value that a majority has reached",
 	func(expected uint64, values ...uint64) {
 		Expect(reachedByMajority(values)).To(Equal(expected))
 	},
@@ -31,7 +31,7 @@
 		g.clearSent()
 	})
 
-	ginkgo.It("is there once a quorum has answered", func() {
+	ginkgo.It("is complete once a quorum has responded", func() {
 		g.drop = fromOrTo(3)
 		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", g.now))
@@ -39,7 +39,7 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("does not come from a minority, nor by time", func() {
+	ginkgo.It("is completed neither by a minority nor by the passage of time", func() {
 		g.drop = fromOrTo(1)
 		before := leader.Status().ConfirmedAt
 		leader.ConfirmLeadership(g.now)
@@ -50,22 +50,22 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
 	})
 
-	ginkgo.It("does not come from answers to what was sent before", func() {
+	ginkgo.It("is not completed by responses to heartbeats sent before the request", func() {
 		leader.ConfirmLeadership(g.now)
 		g.processOutput(leader)
 		delayed := g.inTransit
 		g.inTransit = nil
-		asked := g.now
+		requestedAt := g.now
 		g.now += 500 * time.Millisecond
 		leader.ConfirmLeadership(g.now)
 		g.processOutput(leader)
 		g.inTransit = delayed
-		g.drop = func(message Message) bool { return message.SentAt != asked }
+		g.drop = func(message Message) bool { return message.SentAt != requestedAt }
 		g.deliverAll()
-		Expect(leader.Status().ConfirmedAt).To(Equal(asked))
+		Expect(leader.Status().ConfirmedAt).To(Equal(requestedAt))
 	})
 
-	ginkgo.It("does not come from a learner", func() {
+	ginkgo.It("is not completed by a learner", func() {
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
 		g.deliverAll()
@@ -87,14 +87,14 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("comes with acknowledgements too", func() {
+	ginkgo.It("is completed by acknowledgements of appends too", func() {
 		g.drop = func(message Message) bool { return message.Kind == MessageHeartbeat }
 		g.propose(leader, "a")
 		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is shared by all that ask while a round is out", func() {
+	ginkgo.It("shares one round of heartbeats between requests until that is acknowledged", func() {
 		for range 10 {
 			leader.ConfirmLeadership(g.now)
 		}
@@ -113,7 +113,7 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is asked for anew when a round seems lost", func() {
+	ginkgo.It("sends another round when the last one seems lost", func() {
 		g.drop = ofKind(MessageHeartbeat)
 		leader.ConfirmLeadership(g.now)
 		g.deliverAll()
@@ -126,7 +126,7 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is forgotten with the leadership", func() {
+	ginkgo.It("ends with the leadership", func() {
 		leader.becomeFollower(leader.term+1, None)
 		Expect(leader.Status().ConfirmedAt).To(BeZero())
 		leader.ConfirmLeadership(g.now)
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -44,26 +44,26 @@
 	request.From, request.To = 2, 1
 	voter.Step(request, g.now)
 	output := voter.Output()
-	for _, answer := range append(output.Immediate, output.Deferred...) {
-		if answer.To != 2 || (answer.Kind != MessageVoteResponse && answer.Kind != MessagePreVoteResponse) {
+	for _, response := range append(output.Immediate, output.Deferred...) {
+		if response.To != 2 || (response.Kind != MessageVoteResponse && response.Kind != MessagePreVoteResponse) {
 			continue
 		}
-		if answer.Reject {
+		if response.Reject {
 			return voter, voteRejected
 		}
-		if answer.Kind == MessageVoteResponse && voter.vote != state.vote {
-			Expect(output.HardState).To(Equal(&HardState{Term: voter.term, Vote: 2}), "the vote is written before it leaves")
+		if response.Kind == MessageVoteResponse && voter.vote != state.vote {
+			Expect(output.HardState).To(Equal(&HardState{Term: voter.term, Vote: 2}), "the vote is on disk before it is sent")
 		}
 		return voter, voteGranted
 	}
 	return voter, noResponse
 }
 
-var _ = ginkgo.DescribeTable("answers to a request for a vote",
+var _ = ginkgo.DescribeTable("responses to a request for a vote",
 	func(state voterState, request Message, expected voteOutcome, term uint64, vote MemberID) {
 		request.Kind = MessageVote
-		voter, answer := requestVote(state, request)
-		Expect(answer).To(Equal(expected))
+		voter, outcome := requestVote(state, request)
+		Expect(outcome).To(Equal(expected))
 		Expect(voter.term).To(Equal(term))
 		Expect(voter.vote).To(Equal(vote))
 	},
@@ -77,65 +77,65 @@
 		Message{Term: 3, Index: 9, LogTerm: 1}, voteRejected, uint64(3), None),
 	ginkgo.Entry("a shorter log of a later term", voterState{term: 4},
 		Message{Term: 5, Index: 1, LogTerm: 3}, voteGranted, uint64(5), MemberID(2)),
-	ginkgo.Entry("the vote of the term is another's", voterState{term: 3, vote: 3},
+	ginkgo.Entry("the vote of the term was given to another", voterState{term: 3, vote: 3},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected, uint64(3), MemberID(3)),
-	ginkgo.Entry("the vote of the term is its own already", voterState{term: 3, vote: 2},
+	ginkgo.Entry("the vote of the term was given to the candidate already", voterState{term: 3, vote: 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("the vote of a term that was met before is free", voterState{term: 3},
+	ginkgo.Entry("the vote of the term, which the member has entered before, is free", voterState{term: 3},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
 	ginkgo.Entry("an earlier term", voterState{term: 4},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected, uint64(4), None),
 	ginkgo.Entry("the leader of the term is known", voterState{term: 3, sinceLeaderContact: electionTimeout},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected, uint64(3), None),
-	ginkgo.Entry("a leader was just heard", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
+	ginkgo.Entry("contact with a leader within an election timeout", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, noResponse, uint64(2), None),
-	ginkgo.Entry("a leader was just heard, but gives its role away", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
+	ginkgo.Entry("contact with a leader within an election timeout, which transfers its leadership", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
 		Message{Term: 3, Index: 3, LogTerm: 2, Forced: true}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("a leader was heard long ago", voterState{term: 2, sinceLeaderContact: electionTimeout},
+	ginkgo.Entry("last contact with a leader an election timeout ago", voterState{term: 2, sinceLeaderContact: electionTimeout},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("the leader itself is asked", voterState{term: 2, isLeader: true},
+	ginkgo.Entry("the voter is the leader", voterState{term: 2, isLeader: true},
 		Message{Term: 3, Index: 9, LogTerm: 2}, noResponse, uint64(2), None),
-	ginkgo.Entry("the leader itself is asked by its successor", voterState{term: 2, isLeader: true},
+	ginkgo.Entry("the voter is the leader, and the candidate its transferee", voterState{term: 2, isLeader: true},
 		Message{Term: 3, Index: 9, LogTerm: 2, Forced: true}, voteGranted, uint64(3), MemberID(2)),
 )
 
-var _ = ginkgo.DescribeTable("answers to the question before a vote, which change nothing",
+var _ = ginkgo.DescribeTable("responses to a request for a pre-vote, which change no state",
 	func(state voterState, request Message, expected voteOutcome) {
 		request.Kind = MessagePreVote
-		voter, answer := requestVote(state, request)
-		Expect(answer).To(Equal(expected))
+		voter, outcome := requestVote(state, request)
+		Expect(outcome).To(Equal(expected))
 		Expect(voter.term).To(Equal(state.term))
 		Expect(voter.vote).To(Equal(state.vote))
 	},
 	ginkgo.Entry("a later term, the same log", voterState{term: 2}, Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
-	ginkgo.Entry("the vote of the present term is given", voterState{term: 2, vote: 3},
+	ginkgo.Entry("the vote of the present term was given to another", voterState{term: 2, vote: 3},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
 	ginkgo.Entry("a shorter log", voterState{term: 2}, Message{Term: 3, Index: 2, LogTerm: 2}, voteRejected),
 	ginkgo.Entry("the present term", voterState{term: 3}, Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected),
 	ginkgo.Entry("an earlier term", voterState{term: 4}, Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected),
-	ginkgo.Entry("a leader was just heard", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
+	ginkgo.Entry("contact with a leader within an election timeout", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, noResponse),
-	ginkgo.Entry("a leader was heard long ago", voterState{term: 2, sinceLeaderContact: electionTimeout},
+	ginkgo.Entry("last contact with a leader an election timeout ago", voterState{term: 2, sinceLeaderContact: electionTimeout},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
-	ginkgo.Entry("the leader itself", voterState{term: 2, isLeader: true}, Message{Term: 3, Index: 9, LogTerm: 2}, noResponse),
+	ginkgo.Entry("the voter is the leader", voterState{term: 2, isLeader: true}, Message{Term: 3, Index: 9, LogTerm: 2}, noResponse),
 )
 
-var _ = ginkgo.DescribeTable("who stands for election when no leader is heard",
-	func(prepare func(member *testMember), stands bool) {
+var _ = ginkgo.DescribeTable("who campaigns when there is no contact with a leader",
+	func(prepare func(member *testMember), campaigns bool) {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		member := g.member(1)
 		prepare(member)
 		g.now += 2 * electionTimeout
 		member.Tick(g.now)
 		g.processOutput(member)
-		Expect(g.countSent(MessagePreVote) > 0).To(Equal(stands))
+		Expect(g.countSent(MessagePreVote) > 0).To(Equal(campaigns))
 		Expect(member.NextDeadline()).To(BeNumerically(">", g.now))
 	},
 	ginkgo.Entry("a voter", func(*testMember) {}, true),
 	ginkgo.Entry("a learner", func(member *testMember) { member.config.ID = 4 }, false),
-	ginkgo.Entry("no member", func(member *testMember) { member.config.ID = 9 }, false),
-	ginkgo.Entry("one whose disk is sick", func(member *testMember) { member.SetCampaign(false) }, false),
-	ginkgo.Entry("one whose disk is well again", func(member *testMember) {
+	ginkgo.Entry("a machine that is no member", func(member *testMember) { member.config.ID = 9 }, false),
+	ginkgo.Entry("a voter that is not allowed to", func(member *testMember) { member.SetCampaign(false) }, false),
+	ginkgo.Entry("a voter that is allowed to again", func(member *testMember) {
 		member.SetCampaign(false)
 		member.SetCampaign(true)
 	}, true),
@@ -145,7 +145,7 @@
 	var g *group
 	ginkgo.BeforeEach(func() { g = newGroup(memberList(1, 2, 3)...) })
 
-	ginkgo.It("falls between one and two election timeouts after the leader fell silent", func() {
+	ginkgo.It("starts between one and two election timeouts after the last contact with a leader", func() {
 		started := g.now
 		for _, member := range g.members {
 			Expect(member.NextDeadline()).To(BeNumerically(">=", started+electionTimeout))
@@ -156,9 +156,7 @@
 	ginkgo.It("sends requests for votes only after its own vote is on disk", func() {
 		candidate := g.member(1)
 		candidate.diskPaused = true
-		g.now = candidate.electionDeadline
-		candidate.Tick(g.now)
-		g.deliverAll()
+		g.runElection(candidate)
 		Expect(candidate.role).To(Equal(roleCandidate))
 		Expect(g.countSent(MessageVote)).To(BeZero())
 		g.syncDisk(candidate)
@@ -170,21 +168,17 @@
 		g.member(2).diskPaused = true
 		g.member(3).diskPaused = true
 		candidate := g.member(1)
-		g.now = candidate.electionDeadline
-		candidate.Tick(g.now)
-		g.deliverAll()
+		g.runElection(candidate)
 		Expect(g.countSent(MessageVoteResponse)).To(BeZero())
 		g.syncDisk(g.member(3))
 		g.deliverAll()
 		Expect(candidate.Status().IsLeader).To(BeTrue())
 	})
 
-	ginkgo.It("asks again when questions are lost", func() {
+	ginkgo.It("requests votes again when requests are lost", func() {
 		candidate := g.member(1)
 		g.drop = func(message Message) bool { return message.From == 1 }
-		g.now = candidate.electionDeadline
-		candidate.Tick(g.now)
-		g.deliverAll()
+		g.runElection(candidate)
 		g.drop = nil
 		g.now = candidate.NextDeadline()
 		Expect(g.now).To(BeNumerically("<", candidate.electionDeadline))
@@ -193,7 +187,7 @@
 		Expect(candidate.Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("leaves terms alone while a majority hears its leader", func() {
+	ginkgo.It("starts no new term while a majority has contact with its leader", func() {
 		g.elect(1)
 		g.drop = fromOrTo(3)
 		g.elapse(5 * electionTimeout)
@@ -204,7 +198,7 @@
 		Expect(g.member(3).Status().Leader).To(Equal(MemberID(1)))
 	})
 
-	ginkgo.It("ends the leadership of one that hears no quorum, and has another lead", func() {
+	ginkgo.It("replaces a leader that has no contact with a quorum, which steps down", func() {
 		g.elect(1)
 		g.drop = fromOrTo(1)
 		g.elapse(electionTimeout + heartbeatInterval)
@@ -213,7 +207,7 @@
 		Expect(g.member(2).Status().Ready || g.member(3).Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("is told of a later term by one that has seen it", func() {
+	ginkgo.It("enters a later term that a member has seen", func() {
 		g.elect(1)
 		g.member(3).becomeFollower(7, None)
 		g.elapse(3 * electionTimeout)
@@ -221,17 +215,15 @@
 		Expect(g.member(3).Status().Leader).NotTo(Equal(None))
 	})
 
-	ginkgo.It("is held off by a candidate's own sick disk", func() {
+	ginkgo.It("ends when the candidate is no longer allowed to campaign", func() {
 		candidate := g.member(1)
 		candidate.diskPaused = true
-		g.now = candidate.electionDeadline
-		candidate.Tick(g.now)
-		g.deliverAll()
+		g.runElection(candidate)
 		candidate.SetCampaign(false)
 		Expect(candidate.role).To(Equal(roleFollower))
 	})
 
-	ginkgo.It("takes the term of the newest entry where the disk tells an older one", func() {
+	ginkgo.It("is in the term of the newest entry if the hard state has an earlier one", func() {
 		torn := g.add(9, Restored{HardState: HardState{Term: 2, Vote: 1}, Entries: entriesOf(1, 1, 3)})
 		Expect(torn.term).To(Equal(uint64(3)))
 		Expect(torn.vote).To(Equal(None))
@@ -239,7 +231,7 @@
 })
 
 var _ = ginkgo.Describe("the only voter of a group", func() {
-	ginkgo.It("leads at once, and commits and sends nothing before its disk has it", func() {
+	ginkgo.It("leads at once, but commits and sends nothing before it is on its disk", func() {
 		g := newGroup(Member{ID: 1}, learner(2))
 		alone := g.member(1)
 		alone.diskPaused = true
@@ -257,18 +249,16 @@
 		Expect(g.countSent(MessageAppend)).NotTo(BeZero())
 	})
 
-	ginkgo.It("does not take what it may have had on disk for being there", func() {
+	ginkgo.It("does not rely on entries of earlier terms being on disk", func() {
 		g := &group{now: time.Minute}
 		alone := g.add(1, Restored{Snapshot: &Snapshot{Members: memberList(1)}, Entries: entriesOf(1, 1)})
 		alone.diskPaused = true
-		g.now = alone.electionDeadline
-		alone.Tick(g.now)
-		g.deliverAll()
+		g.runElection(alone)
 		alone.Persisted(g.now, 1, 1)
 		Expect(alone.Status().Commit).To(BeZero())
 	})
 
-	ginkgo.It("confirms at once", func() {
+	ginkgo.It("confirms its leadership at once", func() {
 		g := newGroup(memberList(1)...)
 		alone := g.elect(1)
 		g.now += 3 * time.Millisecond
--- a/internal/cluster/consensus/exhaustive_test.go
+++ b/internal/cluster/consensus/exhaustive_test.go
@@ -59,7 +59,7 @@
 
 // describeLongExplorations adds the explorations that take minutes.
 func describeLongExplorations() {
-	ginkgo.DescribeTable("three members and a successor, every order of steps and more troubles",
+	ginkgo.DescribeTable("three members and a successor, every order of steps with more faults",
 		func(limits bounds) {
 			limits.successor = true
 			limits.terms = max(limits.terms, 2)
@@ -68,12 +68,12 @@
 		ginkgo.Entry("it replaces a follower, a disk is lost", bounds{replaces: 3, diskLosses: 1, checkRecovery: true}),
 		ginkgo.Entry("it replaces the leader, a disk is lost", bounds{replaces: 1, diskLosses: 1, checkRecovery: true}),
 		ginkgo.Entry("it replaces a follower, another is removed", bounds{replaces: 3, removals: 1}),
-		ginkgo.Entry("it replaces a follower, one leaves", bounds{replaces: 3, transfers: 1}),
-		ginkgo.Entry("it replaces the leader, which leaves", bounds{replaces: 1, transfers: 1}),
+		ginkgo.Entry("it replaces a follower, a transfer of leadership", bounds{replaces: 3, transfers: 1}),
+		ginkgo.Entry("it replaces the leader, a transfer of leadership", bounds{replaces: 1, transfers: 1}),
 		ginkgo.Entry("it replaces a follower, a restart", bounds{replaces: 3, crashes: 1, checkRecovery: true}),
 		ginkgo.Entry("it replaces the leader, a restart", bounds{replaces: 1, crashes: 1, checkRecovery: true}),
-		ginkgo.Entry("it replaces a follower, syncs are late", bounds{replaces: 3, lateSyncs: true}),
-		ginkgo.Entry("it replaces a lost disk, one leaves, another is lost", bounds{diskLosses: 2, transfers: 1, checkRecovery: true}),
+		ginkgo.Entry("it replaces a follower, syncs at any later moment", bounds{replaces: 3, lateSyncs: true}),
+		ginkgo.Entry("it replaces a lost disk, a transfer of leadership, another disk is lost", bounds{diskLosses: 2, transfers: 1, checkRecovery: true}),
 		ginkgo.Entry("it replaces a follower, three terms", bounds{terms: 3, replaces: 3}),
 	)
 }
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -179,6 +179,33 @@
 	return member
 }
 
+// restart restarts a member from the log that a disk which syncs at once has, from a snapshot on.
+func (g *group) restart(id MemberID, snapshot *Snapshot) *testMember {
+	old := g.member(id)
+	restored := Restored{HardState: HardState{Term: old.term, Vote: old.vote}, Snapshot: snapshot, Entries: old.log.entries}
+	for position, member := range g.members {
+		if member == old {
+			g.members = append(g.members[:position], g.members[position+1:]...)
+			break
+		}
+	}
+	return g.add(id, restored)
+}
+
+// expireLeaderContacts makes all members consider their leader failed, so that they vote at once.
+func (g *group) expireLeaderContacts() {
+	for _, member := range g.members {
+		member.lastLeaderContact = 0
+	}
+}
+
+// runElection lets the election timeout of a member expire and delivers what follows.
+func (g *group) runElection(member *testMember) {
+	g.now = max(g.now, member.electionDeadline)
+	member.Tick(g.now)
+	g.deliverAll()
+}
+
 // propose proposes a command to a leader and returns its index.
 func (g *group) propose(leader *testMember, data string) uint64 {
 	index, _, err := leader.Propose(g.now, []byte(data))
@@ -217,6 +244,18 @@
 	return func(message Message) bool { return message.From == id || message.To == id }
 }
 
+// allExcept matches all messages but those from one member to some others.
+func allExcept(from MemberID, to ...MemberID) func(Message) bool {
+	return func(message Message) bool {
+		for _, id := range to {
+			if message.From == from && message.To == id {
+				return false
+			}
+		}
+		return true
+	}
+}
+
 // ofKind matches all messages of a kind.
 func ofKind(kind MessageKind) func(Message) bool {
 	return func(message Message) bool { return message.Kind == kind }
--- a/internal/cluster/consensus/joint_test.go
+++ b/internal/cluster/consensus/joint_test.go
@@ -7,45 +7,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// restart restarts a member from the log that a disk which syncs at once has, from a snapshot on.
-func (g *group) restart(id MemberID, snapshot *Snapshot) *testMember {
-	old := g.member(id)
-	restored := Restored{HardState: HardState{Term: old.term, Vote: old.vote}, Snapshot: snapshot, Entries: old.log.entries}
-	for position, member := range g.members {
-		if member == old {
-			g.members = append(g.members[:position], g.members[position+1:]...)
-			break
-		}
-	}
-	return g.add(id, restored)
-}
-
-// allExcept matches all messages but those from one member to some others.
-func allExcept(from MemberID, to ...MemberID) func(Message) bool {
-	return func(message Message) bool {
-		for _, id := range to {
-			if message.From == from && message.To == id {
-				return false
-			}
-		}
-		return true
-	}
-}
-
-// expireLeaderContacts makes all members consider their leader failed, so that they vote at once.
-func (g *group) expireLeaderContacts() {
-	for _, member := range g.members {
-		member.lastLeaderContact = 0
-	}
-}
-
-var _ = ginkgo.Describe("while a joint change is on its way", func() {
+var _ = ginkgo.Describe("while a joint change is under way", func() {
 	var g *group
 	var leader *testMember
 	first := append(memberList(1, 2, 3), learner(4))
 	next := memberList(1, 2, 4)
 
-	// begin proposes to replace voter 3 by 4, where only the leader's own messages to some members arrive.
+	// begin proposes to replace voter 3 by voter 4, and delivers only what the leader sends to some members.
 	begin := func(reached ...MemberID) {
 		g.drop = allExcept(1, reached...)
 		Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
@@ -69,18 +37,18 @@
 				return !answers
 			}
 			g.elapse(5 * heartbeatInterval)
-			asked := g.now
-			leader.ConfirmLeadership(asked)
+			requestedAt := g.now
+			leader.ConfirmLeadership(requestedAt)
 			g.deliverAll()
 			Expect(leader.Status().Commit >= joined).To(Equal(decided))
-			Expect(leader.Status().ConfirmedAt >= asked).To(Equal(decided))
+			Expect(leader.Status().ConfirmedAt >= requestedAt).To(Equal(decided))
 			g.elapse(2 * electionTimeout)
-			Expect(leader.Status().IsLeader).To(Equal(decided), "leads on after an election timeout")
+			Expect(leader.Status().IsLeader).To(Equal(decided), "still leads after two election timeouts")
 		},
-		ginkgo.Entry("the other that stays", true, MemberID(2)),
-		ginkgo.Entry("the old and the new one", true, MemberID(3), MemberID(4)),
-		ginkgo.Entry("the old one", false, MemberID(3)),
-		ginkgo.Entry("the new one", false, MemberID(4)),
+		ginkgo.Entry("the other voter of both configurations", true, MemberID(2)),
+		ginkgo.Entry("the removed and the added voter", true, MemberID(3), MemberID(4)),
+		ginkgo.Entry("the removed voter", false, MemberID(3)),
+		ginkgo.Entry("the added voter", false, MemberID(4)),
 		ginkgo.Entry("nobody", false),
 	)
 
@@ -99,19 +67,17 @@
 				}
 				return true
 			}
-			g.now = max(g.now, candidate.electionDeadline)
-			candidate.Tick(g.now)
-			g.deliverAll()
+			g.runElection(candidate)
 			Expect(candidate.Status().IsLeader).To(Equal(elected))
-			Expect(candidate.term > 1).To(Equal(elected), "nobody is disturbed by one that pre-votes keep down")
+			Expect(candidate.term > 1).To(Equal(elected), "a candidate without pre-votes starts no new term")
 		},
-		ginkgo.Entry("the other that stays", true, MemberID(1)),
-		ginkgo.Entry("the old and the new one", true, MemberID(3), MemberID(4)),
-		ginkgo.Entry("the old one", false, MemberID(3)),
-		ginkgo.Entry("the new one", false, MemberID(4)),
+		ginkgo.Entry("the other voter of both configurations", true, MemberID(1)),
+		ginkgo.Entry("the removed and the added voter", true, MemberID(3), MemberID(4)),
+		ginkgo.Entry("the removed voter", false, MemberID(3)),
+		ginkgo.Entry("the added voter", false, MemberID(4)),
 	)
 
-	ginkgo.It("a candidate needs votes from both, also once pre-votes have let it stand", func() {
+	ginkgo.It("a candidate needs votes of both configurations, also after the pre-vote", func() {
 		begin(2, 3, 4)
 		candidate := g.member(2)
 		candidate.campaign(campaignTransfer)
@@ -135,23 +101,21 @@
 		Expect(g.member(4).Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a new leader waits with the final membership until it has committed an entry of its own term", func() {
+	ginkgo.It("a new leader proposes the final membership only after it has committed an entry of its own term", func() {
 		begin(2, 3, 4)
 		g.expireLeaderContacts()
 		g.drop = ofKind(MessageAppendResponse)
 		candidate := g.member(2)
 		candidate.commitUpTo(candidate.memberships.newestIndex())
 		leader.becomeFollower(leader.term, None)
-		g.now = max(g.now, candidate.electionDeadline)
-		candidate.Tick(g.now)
-		g.deliverAll()
+		g.runElection(candidate)
 		Expect(candidate.Status().IsLeader).To(BeTrue())
 		Expect(candidate.Status().Commit).To(BeNumerically(">=", candidate.memberships.newestIndex()))
 		candidate.Tick(g.now)
 		Expect(IsJoint(candidate.Status().Members)).To(BeTrue())
 	})
 
-	ginkgo.It("the old membership is back once the joint one is truncated", func() {
+	ginkgo.It("the earlier membership is in force again once the joint one is truncated", func() {
 		begin()
 		g.drop = fromOrTo(1)
 		g.expireLeaderContacts()
@@ -163,7 +127,7 @@
 		}
 	})
 
-	ginkgo.It("the joint membership is back once the final one is truncated", func() {
+	ginkgo.It("the joint membership is in force again once the final one is truncated", func() {
 		begin(2, 3, 4)
 		joined := leader.log.last()
 		leader.peer(2).match = joined
@@ -177,7 +141,7 @@
 		Expect(leader.Status().ChangePending).To(BeTrue())
 	})
 
-	ginkgo.It("a restart from the log goes on with it, and finishes it", func() {
+	ginkgo.It("restarted members have the joint membership from the log, and finish the change", func() {
 		begin(2, 3, 4)
 		for _, id := range []MemberID{1, 2, 4} {
 			restarted := g.restart(id, &Snapshot{Members: first})
@@ -189,7 +153,7 @@
 		Expect(g.member(1).Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a snapshot from the joint stretch holds the joint membership, and a restart from it finishes the change", func() {
+	ginkgo.It("a snapshot contains the joint membership, and a restart from it finishes the change", func() {
 		begin(2, 3, 4)
 		joined := leader.log.last()
 		g.drop = ofKind(MessageAppendResponse)
@@ -212,7 +176,7 @@
 		Expect(g.member(4).Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a member that gets a snapshot from the joint stretch counts as it says", func() {
+	ginkgo.It("a member that receives a snapshot with the joint membership votes by it", func() {
 		begin(2, 3)
 		joined := leader.log.last()
 		leader.peer(2).match = joined
@@ -228,7 +192,7 @@
 		Expect(isVoter(g.member(4).Status().Members, 4)).To(BeTrue())
 	})
 
-	ginkgo.It("a transfer holds the final membership up, which the new leader proposes", func() {
+	ginkgo.It("a leadership transfer delays the final membership, which the new leader proposes", func() {
 		begin(2, 3, 4)
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
 		g.drop = fromOrTo(3)
@@ -238,7 +202,7 @@
 		Expect(leader.Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a transfer that comes to nothing holds the final membership up no longer", func() {
+	ginkgo.It("a leadership transfer that fails no longer delays the final membership", func() {
 		g.member(2).SetCampaign(false)
 		begin(2, 3, 4)
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
@@ -251,7 +215,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("a leader that a joint change leaves out", func() {
+var _ = ginkgo.Describe("a leader that a joint change removes", func() {
 	var g *group
 	var leader *testMember
 	ginkgo.BeforeEach(func() {
@@ -279,11 +243,11 @@
 		g.deliverAll()
 		before := leader.Status().Commit
 		g.now += heartbeatInterval
-		asked := g.now
-		leader.ConfirmLeadership(asked)
+		requestedAt := g.now
+		leader.ConfirmLeadership(requestedAt)
 		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().Commit).To(Equal(before))
-		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", asked))
+		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", requestedAt))
 		g.drop = nil
 		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().Commit).To(BeNumerically(">", before))
@@ -306,8 +270,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a group goes on", func() {
-	ginkgo.It("where the only newer log is that of a leader which left itself out", func() {
+var _ = ginkgo.Describe("a group remains available", func() {
+	ginkgo.It("if only a leader that removed itself has the newest log", func() {
 		g := newGroup(memberList(1, 2)...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(1)
@@ -320,7 +284,7 @@
 		Expect(g.member(2).Status().Members).To(Equal(memberList(2)))
 	})
 
-	ginkgo.DescribeTable("where a learner was fed by a leader whose disk is lost, and another counts it as a voter", func(next []Member) {
+	ginkgo.DescribeTable("if a learner has entries of a leader whose disk is lost, and counts as a voter at another member", func(next []Member) {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(1)
@@ -332,9 +296,7 @@
 			return message.From == 1 || message.To == 1 || fromOther && message.To == 3
 		}
 		other := g.member(2)
-		g.now = max(g.now, other.electionDeadline)
-		other.Tick(g.now)
-		g.deliverAll()
+		g.runElection(other)
 		Expect(other.Status().IsLeader).To(BeTrue())
 		Expect(other.Status().Ready).To(BeFalse())
 
@@ -352,7 +314,7 @@
 		ginkgo.Entry("by a simple change", memberList(1, 2, 3, 4)),
 	)
 
-	ginkgo.It("alone only if its one member is the only voter of both configurations", func() {
+	ginkgo.It("with a sole leader only if that is the only voter of both configurations", func() {
 		g := newGroup(Member{ID: 1, Transition: TransitionRemoved}, Member{ID: 2, Transition: TransitionAdded})
 		g.drop = fromOrTo(1)
 		g.elapse(5 * electionTimeout)
@@ -365,7 +327,7 @@
 })
 
 var _ = ginkgo.Describe("a learner", func() {
-	ginkgo.It("gets no more than what is committed, and that at once", func() {
+	ginkgo.It("receives only what is committed, and that at once", func() {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		leader := g.elect(1)
 		g.drop = ofKind(MessageAppendResponse)
@@ -380,7 +342,7 @@
 		Expect(g.member(4).log.last()).To(Equal(leader.log.last()))
 	})
 
-	ginkgo.It("does not stand, not even when asked to", func() {
+	ginkgo.It("does not campaign, not even when a leader asks it to", func() {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		g.elect(1)
 		g.drop = func(Message) bool { return true }
--- a/internal/cluster/consensus/late_test.go
+++ b/internal/cluster/consensus/late_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Messages may come long after they were sent, from earlier lives of either end.
-var _ = ginkgo.Describe("a message that comes very late", func() {
+// Messages may arrive long after they were sent, by when either end was restarted.
+var _ = ginkgo.Describe("a message that arrives very late", func() {
 	var g *group
 	var leader *testMember
 	ginkgo.BeforeEach(func() {
@@ -16,7 +16,7 @@
 		leader = g.elect(1)
 	})
 
-	// reelect lets member 1 lead again in a later term, and gives the newest message of a kind from the earlier one.
+	// reelect lets member 1 lead again in a later term, and returns the newest message of a kind from the earlier one.
 	reelect := func(kind MessageKind, to MemberID) Message {
 		late := g.lastSent(kind, to)
 		Expect(late.Term).To(Equal(uint64(1)))
@@ -50,7 +50,7 @@
 		Expect(leader.Status().Commit).To(Equal(before))
 	})
 
-	ginkgo.It("does not elect by votes of an earlier term, or of a member's earlier life", func() {
+	ginkgo.It("does not elect by votes of an earlier term, or from before a restart", func() {
 		candidate := g.member(2)
 		candidate.campaign(campaignTransfer)
 		g.processOutput(candidate)
@@ -66,7 +66,7 @@
 		Expect(restarted.role).To(Equal(roleCandidate))
 	})
 
-	ginkgo.It("makes nobody stand that was asked to in an earlier term", func() {
+	ginkgo.It("does not make a member campaign that was asked to in an earlier term", func() {
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		late := g.lastSent(MessageTimeoutNow, 2)
@@ -82,7 +82,7 @@
 		Expect(other.role).To(Equal(roleFollower))
 	})
 
-	ginkgo.It("costs no more than an election if it asks its receiver to stand in this term, after the transfer was given up", func() {
+	ginkgo.It("costs no more than an election if it asks a member to campaign after the transfer was given up", func() {
 		g.drop = ofKind(MessageTimeoutNow)
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
 		g.deliverAll()
@@ -109,7 +109,7 @@
 		g.processOutput(leader)
 		g.deliverAll()
 		late := g.lastSent(MessageHeartbeatResponse, 1)
-		Expect(late.Index).To(Equal(index), "it says what is in memory")
+		Expect(late.Index).To(Equal(index), "it reports what is in memory")
 		Expect(leader.Status().Commit).To(BeNumerically("<", index))
 
 		other.log.entries = other.log.entries[:index-1-other.log.base]
@@ -127,7 +127,7 @@
 })
 
 var _ = ginkgo.Describe("a member that was removed without knowing it", func() {
-	ginkgo.It("disturbs nobody, and is not elected", func() {
+	ginkgo.It("does not disturb the others, and is not elected", func() {
 		g := newGroup(memberList(1, 2, 3, 4)...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(4)
@@ -159,7 +159,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("a leader whose process stalls again and again", func() {
+var _ = ginkgo.Describe("a leader whose process stalls repeatedly", func() {
 	var g *group
 	var leader *testMember
 	ginkgo.BeforeEach(func() {
@@ -167,7 +167,7 @@
 		leader = g.elect(1)
 	})
 
-	// stall lets the leader act only now and then, with an interval after which it counts as having stalled.
+	// stall has the leader tick only at intervals that count as stalls.
 	stall := func(times int) {
 		for range times {
 			g.now += electionTimeout/2 + heartbeatInterval
@@ -177,12 +177,12 @@
 		}
 	}
 
-	ginkgo.It("leads on while it is answered", func() {
+	ginkgo.It("leads on while members respond", func() {
 		stall(20)
 		Expect(leader.Status().IsLeader).To(BeTrue())
 	})
 
-	ginkgo.It("steps down when it is cut off", func() {
+	ginkgo.It("steps down when it is partitioned", func() {
 		g.drop = fromOrTo(1)
 		for range 5 {
 			g.now += electionTimeout/2 + heartbeatInterval
--- a/internal/cluster/consensus/leadership_transfer_test.go
+++ b/internal/cluster/consensus/leadership_transfer_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("giving the leadership away", func() {
+var _ = ginkgo.Describe("a leadership transfer", func() {
 	var g *group
 	var leader *testMember
 	ginkgo.BeforeEach(func() {
@@ -13,14 +13,14 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("makes the other leader at once", func() {
+	ginkgo.It("makes a member that has caught up the leader at once", func() {
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		Expect(g.member(2).Status().Ready).To(BeTrue())
 		Expect(leader.Status().IsLeader).To(BeFalse())
 	})
 
-	ginkgo.It("waits until the other has caught up, and refuses proposals meanwhile", func() {
+	ginkgo.It("waits until the transferee has caught up, and refuses proposals meanwhile", func() {
 		g.drop = fromOrTo(2)
 		g.propose(leader, "a")
 		g.deliverAll()
@@ -44,7 +44,7 @@
 		g.propose(leader, "a")
 	})
 
-	ginkgo.It("is not taken by one that must not stand", func() {
+	ginkgo.It("fails if the transferee is not allowed to campaign", func() {
 		g.member(2).SetCampaign(false)
 		Expect(leader.Transfer(g.now, 2)).To(Succeed())
 		g.elapse(electionTimeout + heartbeatInterval)
@@ -59,6 +59,6 @@
 		ginkgo.Entry("by a follower", MemberID(2), MemberID(3), ErrNotLeader),
 		ginkgo.Entry("to itself", MemberID(1), MemberID(1), ErrUnknownMember),
 		ginkgo.Entry("to a learner", MemberID(1), MemberID(4), ErrUnknownMember),
-		ginkgo.Entry("to nobody known", MemberID(1), MemberID(9), ErrUnknownMember),
+		ginkgo.Entry("to a member that is not known", MemberID(1), MemberID(9), ErrUnknownMember),
 	)
 })
--- a/internal/cluster/consensus/log_test.go
+++ b/internal/cluster/consensus/log_test.go
@@ -7,31 +7,31 @@
 
 // logOf returns a log after a base of term 1.
 func logOf(base uint64, terms ...uint64) *entryLog {
-	made := &entryLog{base: base, baseTerm: 1, lastOutput: base}
-	made.entries = entriesOf(base+1, terms...)
-	return made
+	l := &entryLog{base: base, baseTerm: 1, lastOutput: base}
+	l.entries = entriesOf(base+1, terms...)
+	return l
 }
 
 var _ = ginkgo.DescribeTable("the term at an index",
 	func(index, term uint64, known bool) {
-		held, found := logOf(5, 1, 2, 2).term(index)
+		foundTerm, found := logOf(5, 1, 2, 2).term(index)
 		Expect(found).To(Equal(known))
-		Expect(held).To(Equal(term))
+		Expect(foundTerm).To(Equal(term))
 	},
-	ginkgo.Entry("compacted away", uint64(4), uint64(0), false),
-	ginkgo.Entry("last of the compacted", uint64(5), uint64(1), true),
-	ginkgo.Entry("first held", uint64(6), uint64(1), true),
-	ginkgo.Entry("last", uint64(8), uint64(2), true),
-	ginkgo.Entry("beyond", uint64(9), uint64(0), false),
+	ginkgo.Entry("of a compacted entry", uint64(4), uint64(0), false),
+	ginkgo.Entry("of the last compacted entry", uint64(5), uint64(1), true),
+	ginkgo.Entry("of the first entry", uint64(6), uint64(1), true),
+	ginkgo.Entry("of the last entry", uint64(8), uint64(2), true),
+	ginkgo.Entry("after the last entry", uint64(9), uint64(0), false),
 )
 
-var _ = ginkgo.DescribeTable("how many entries travel together",
+var _ = ginkgo.DescribeTable("how many entries are sent in one append",
 	func(after uint64, maxBytes, count int) {
-		made := logOf(5, 1, 1, 1)
-		for position := range made.entries {
-			made.entries[position].Data = make([]byte, 100-entryOverheadBytes)
+		l := logOf(5, 1, 1, 1)
+		for position := range l.entries {
+			l.entries[position].Data = make([]byte, 100-entryOverheadBytes)
 		}
-		Expect(made.batch(after, made.last(), maxBytes)).To(HaveLen(count))
+		Expect(l.batch(after, l.last(), maxBytes)).To(HaveLen(count))
 	},
 	ginkgo.Entry("all that fit", uint64(5), 200, 2),
 	ginkgo.Entry("at least one", uint64(5), 10, 1),
@@ -39,7 +39,7 @@
 	ginkgo.Entry("none", uint64(8), 1000, 0),
 )
 
-var _ = ginkgo.DescribeTable("where logs may still agree",
+var _ = ginkgo.DescribeTable("the newest index at which logs may agree",
 	func(from, term, index uint64) {
 		Expect(logOf(5, 2, 2, 4, 4).findAgreement(from, term)).To(Equal(index))
 	},
@@ -50,23 +50,23 @@
 )
 
 var _ = ginkgo.Describe("the log", func() {
-	ginkgo.It("never overwrites what it has given out", func() {
-		made := logOf(0, 1, 1, 1)
-		given := made.between(0, 3)
-		made.lastOutput = 3
-		made.truncateAndAppend(entriesOf(2, 5, 5, 5))
+	ginkgo.It("never overwrites entries that it has returned", func() {
+		l := logOf(0, 1, 1, 1)
+		given := l.between(0, 3)
+		l.lastOutput = 3
+		l.truncateAndAppend(entriesOf(2, 5, 5, 5))
 		Expect(given).To(Equal(entriesOf(1, 1, 1, 1)))
-		Expect(made.entries).To(Equal(entriesOf(1, 1, 5, 5, 5)))
-		Expect(made.lastOutput).To(Equal(uint64(1)))
+		Expect(l.entries).To(Equal(entriesOf(1, 1, 5, 5, 5)))
+		Expect(l.lastOutput).To(Equal(uint64(1)))
 	})
 
-	ginkgo.It("keeps the term before what was compacted", func() {
-		made := logOf(0, 1, 2, 3)
-		made.compact(2)
-		Expect(made.matches(2, 2)).To(BeTrue())
-		Expect(made.entries).To(Equal(entriesOf(3, 3)))
-		made.compact(1)
-		made.compact(9)
-		Expect(made.base).To(Equal(uint64(2)))
+	ginkgo.It("keeps the term of the last compacted entry", func() {
+		l := logOf(0, 1, 2, 3)
+		l.compact(2)
+		Expect(l.matches(2, 2)).To(BeTrue())
+		Expect(l.entries).To(Equal(entriesOf(3, 3)))
+		l.compact(1)
+		l.compact(9)
+		Expect(l.base).To(Equal(uint64(2)))
 	})
 })
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -16,7 +16,7 @@
 	jointChange
 )
 
-var _ = ginkgo.DescribeTable("how voters 1 to 3 and learner 4 become another membership",
+var _ = ginkgo.DescribeTable("the first step from voters 1 to 3 and learner 4 to another membership",
 	func(next []Member, expected changeKind) {
 		present := append(memberList(1, 2, 3), learner(4))
 		first, err := FirstStep(present, next)
@@ -34,28 +34,28 @@
 		Expect(votersOf(first, outgoingConfig)).To(ConsistOf(MemberID(1), MemberID(2), MemberID(3)))
 		Expect(votersOf(first, incomingConfig)).To(ConsistOf(votersOf(next, incomingConfig)))
 	},
-	ginkgo.Entry("a voter more", append(memberList(1, 2, 3, 5), learner(4)), simpleChange),
-	ginkgo.Entry("a voter less", append(memberList(1, 3), learner(4)), simpleChange),
-	ginkgo.Entry("a learner more", append(memberList(1, 2, 3), learner(4), learner(5)), simpleChange),
-	ginkgo.Entry("a learner less", memberList(1, 2, 3), simpleChange),
+	ginkgo.Entry("a voter added", append(memberList(1, 2, 3, 5), learner(4)), simpleChange),
+	ginkgo.Entry("a voter removed", append(memberList(1, 3), learner(4)), simpleChange),
+	ginkgo.Entry("a learner added", append(memberList(1, 2, 3), learner(4), learner(5)), simpleChange),
+	ginkgo.Entry("a learner removed", memberList(1, 2, 3), simpleChange),
 	ginkgo.Entry("a learner promoted", memberList(1, 2, 3, 4), simpleChange),
 	ginkgo.Entry("a voter demoted", append(memberList(1, 2), learner(3), learner(4)), simpleChange),
 	ginkgo.Entry("an address changed", append(memberList(1, 2), Member{ID: 3, Address: "a"}, learner(4)), simpleChange),
 	ginkgo.Entry("another order", append([]Member{learner(4), {ID: 5}}, memberList(3, 2, 1)...), simpleChange),
-	ginkgo.Entry("two learners more", append(memberList(1, 2, 3), learner(4), learner(5), learner(6)), simpleChange),
-	ginkgo.Entry("a voter less and another learner", append(memberList(1, 2), learner(5)), simpleChange),
+	ginkgo.Entry("two learners added", append(memberList(1, 2, 3), learner(4), learner(5), learner(6)), simpleChange),
+	ginkgo.Entry("a voter removed and a learner replaced", append(memberList(1, 2), learner(5)), simpleChange),
 	ginkgo.Entry("nothing", append(memberList(1, 2, 3), learner(4)), refusedChange),
 	ginkgo.Entry("nothing, in another order", append([]Member{learner(4)}, memberList(3, 2, 1)...), refusedChange),
 	ginkgo.Entry("a voter replaced by a new member", append(memberList(1, 2, 5), learner(4)), jointChange),
 	ginkgo.Entry("a voter replaced by the learner", memberList(1, 2, 4), jointChange),
-	ginkgo.Entry("a voter and the learner in each other's place", append(memberList(1, 2, 4), learner(3)), jointChange),
-	ginkgo.Entry("two voters more", append(memberList(1, 2, 3, 5, 6), learner(4)), jointChange),
-	ginkgo.Entry("two voters less", append(memberList(1), learner(4)), jointChange),
+	ginkgo.Entry("a voter and the learner exchanged", append(memberList(1, 2, 4), learner(3)), jointChange),
+	ginkgo.Entry("two voters added", append(memberList(1, 2, 3, 5, 6), learner(4)), jointChange),
+	ginkgo.Entry("two voters removed", append(memberList(1), learner(4)), jointChange),
 	ginkgo.Entry("two voters demoted", append(memberList(1), learner(2), learner(3), learner(4)), jointChange),
 	ginkgo.Entry("all voters replaced", memberList(5, 6, 7), jointChange),
 	ginkgo.Entry("a voter replaced and an address changed", append(memberList(1, 4), Member{ID: 2, Address: "a"}), jointChange),
-	ginkgo.Entry("a member twice", append(memberList(1, 2, 3, 3), learner(4)), refusedChange),
-	ginkgo.Entry("nobody's identity", append(memberList(1, 2, 3, None), learner(4)), refusedChange),
+	ginkgo.Entry("a duplicate member", append(memberList(1, 2, 3, 3), learner(4)), refusedChange),
+	ginkgo.Entry("a member without identity", append(memberList(1, 2, 3, None), learner(4)), refusedChange),
 	ginkgo.Entry("no member", []Member{}, refusedChange),
 	ginkgo.Entry("no voter", []Member{learner(1), learner(4)}, refusedChange),
 	ginkgo.Entry("a joint membership", append(memberList(1, 2), Member{ID: 3, Transition: TransitionRemoved}), refusedChange),
@@ -77,22 +77,22 @@
 	return jointMembers(append(memberList(1, 2, 3), learner(4)), memberList(1, 2, 4))
 }
 
-var _ = ginkgo.DescribeTable("who decides while voter 4 replaces voter 3",
+var _ = ginkgo.DescribeTable("who is a quorum while voter 4 replaces voter 3",
 	func(expected bool, ids ...MemberID) {
 		said := voteTally{granted: ids}
 		Expect(HasQuorum(threeToFour(), said.grantedBy)).To(Equal(expected))
 	},
-	ginkgo.Entry("both that stay", true, MemberID(1), MemberID(2)),
-	ginkgo.Entry("one that stays, with the old and the new one", true, MemberID(1), MemberID(3), MemberID(4)),
+	ginkgo.Entry("both voters of both configurations", true, MemberID(1), MemberID(2)),
+	ginkgo.Entry("one voter of both configurations, the removed and the added one", true, MemberID(1), MemberID(3), MemberID(4)),
 	ginkgo.Entry("all", true, MemberID(1), MemberID(2), MemberID(3), MemberID(4)),
 	ginkgo.Entry("a majority of the outgoing voters only", false, MemberID(1), MemberID(3)),
 	ginkgo.Entry("a majority of the incoming voters only", false, MemberID(2), MemberID(4)),
-	ginkgo.Entry("the old and the new one", false, MemberID(3), MemberID(4)),
-	ginkgo.Entry("one that stays, with strangers", false, MemberID(1), MemberID(8), MemberID(9)),
+	ginkgo.Entry("the removed and the added voter", false, MemberID(3), MemberID(4)),
+	ginkgo.Entry("one voter of both configurations, and two that are no members", false, MemberID(1), MemberID(8), MemberID(9)),
 	ginkgo.Entry("nobody", false),
 )
 
-var _ = ginkgo.Describe("memberships written before there were joint ones", func() {
+var _ = ginkgo.Describe("membership entries encoded by a version without joint memberships", func() {
 	// The data of a membership entry as a version without joint memberships encoded it.
 	const written = "0dff81020102ff820001ff800000447f030101064d656d62657201ff800001050102494401060001044e6f6465010c0001045a" +
 		"6f6e65010c00010741646472657373010c0001074c6561726e6572010200000062ff82000301010106636f72652d31010161010d31302e30" +
@@ -104,7 +104,7 @@
 		{ID: 1 << 63, Node: "core-3", Address: "10.0.0.3:7000", Learner: true},
 	}
 
-	ginkgo.It("are read unchanged", func() {
+	ginkgo.It("are decoded unchanged", func() {
 		data, err := hex.DecodeString(written)
 		Expect(err).NotTo(HaveOccurred())
 		read, err := DecodeMembers(data)
@@ -113,7 +113,7 @@
 		Expect(IsJoint(read)).To(BeFalse())
 	})
 
-	ginkgo.It("and joint ones come back as they were written", func() {
+	ginkgo.It("and joint ones are decoded as they were encoded", func() {
 		data, err := EncodeMembers(threeToFour())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(DecodeMembers(data)).To(Equal(threeToFour()))
@@ -140,7 +140,7 @@
 		}
 	})
 
-	ginkgo.It("admits no other change before the final membership is committed", func() {
+	ginkgo.It("refuses another change until the final membership is committed", func() {
 		refusesAnother := func() {
 			Expect(leader.Status().ChangePending).To(BeTrue())
 			Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrChangePending))
--- a/internal/cluster/consensus/membership_history_test.go
+++ b/internal/cluster/consensus/membership_history_test.go
@@ -28,21 +28,19 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("are in force when appended, and come back when replaced", func() {
+	ginkgo.It("are in force when appended, and no longer when truncated", func() {
 		g.drop = fromOrTo(1)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		g.deliverAll()
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2)))
-		for _, id := range []MemberID{2, 3} {
-			g.member(id).lastLeaderContact = 0
-		}
+		g.expireLeaderContacts()
 		g.elect(2)
 		g.drop = nil
 		g.elapse(3 * electionTimeout)
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2, 3)))
 	})
 
-	ginkgo.It("come one at a time", func() {
+	ginkgo.It("are made one at a time", func() {
 		g.drop = fromOrTo(1)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		Expect(leader.ProposeMembers(g.now, memberList(1))).To(MatchError(ErrChangePending))
@@ -51,13 +49,11 @@
 		Expect(leader.ProposeMembers(g.now, memberList(1))).To(Succeed())
 	})
 
-	ginkgo.It("are refused by others than a ready leader", func() {
+	ginkgo.It("are refused unless the member is a ready leader", func() {
 		Expect(g.member(2).ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotLeader))
 		g.drop = ofKind(MessageAppendResponse)
 		other := g.member(2)
-		for _, member := range g.members {
-			member.lastLeaderContact = 0
-		}
+		g.expireLeaderContacts()
 		g.now = max(g.now, other.electionDeadline)
 		leader.becomeFollower(leader.term, None)
 		other.Tick(g.now)
@@ -66,7 +62,7 @@
 		Expect(other.ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotReady))
 	})
 
-	ginkgo.It("tell a removed member, which then stands no more", func() {
+	ginkgo.It("are sent to a removed member, which no longer campaigns then", func() {
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		g.deliverAll()
 		Expect(g.member(3).Status().Members).To(Equal(memberList(1, 2)))
@@ -77,7 +73,7 @@
 		Expect(leader.Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("take a learner in, and promote it", func() {
+	ginkgo.It("add a learner, and promote it", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		fresh := g.add(4, Restored{})
@@ -112,19 +108,19 @@
 		g.elapse(3 * heartbeatInterval)
 		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
 		g.now += heartbeatInterval
-		before, asked := leader.Status().Commit, g.now
+		before, requestedAt := leader.Status().Commit, g.now
 		g.propose(leader, "a")
-		leader.ConfirmLeadership(asked)
+		leader.ConfirmLeadership(requestedAt)
 		g.deliverAll()
 		Expect(leader.Status().Commit).To(Equal(before))
-		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", asked))
+		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", requestedAt))
 		for _, id := range []MemberID{4, 5, 6} {
 			leader.Step(Message{Kind: MessageAppendResponse, From: id, To: 1, Term: 1, Index: leader.log.last()}, g.now)
 		}
 		Expect(leader.Status().Commit).To(Equal(before))
 	})
 
-	ginkgo.It("let a leader that removes itself step down once that is committed, and another lead soon", func() {
+	ginkgo.It("make a leader that removes itself step down once that is committed, and another lead soon", func() {
 		g.drop = ofKind(MessageAppendResponse)
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3))).To(Succeed())
 		g.deliverAll()
@@ -135,7 +131,7 @@
 		Expect(g.member(2).Status().Ready || g.member(3).Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("are not forgotten with the log before them", func() {
+	ginkgo.It("remain when the log before them is compacted", func() {
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		g.deliverAll()
 		g.propose(leader, "a")
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -321,14 +321,14 @@
 func (n *nemesis) randomVoters(members []Member) []Member {
 	next := append([]Member(nil), members...)
 	n.world.random.Shuffle(len(next), func(a, b int) { next[a], next[b] = next[b], next[a] })
-	kept, voters := 0, countVoters(members)
+	remaining, voters := 0, countVoters(members)
 	for index := range next {
 		if next[index].Learner {
 			next[index].Learner = n.world.chance(0.5)
 			continue
 		}
-		next[index].Learner = kept >= quorumSize(voters) && n.world.chance(0.5)
-		kept++
+		next[index].Learner = remaining >= quorumSize(voters) && n.world.chance(0.5)
+		remaining++
 	}
 	return next
 }
--- a/internal/cluster/consensus/replication_test.go
+++ b/internal/cluster/consensus/replication_test.go
@@ -26,41 +26,41 @@
 		message.Kind, message.From, message.To, message.Term = MessageAppend, 2, 1, 3
 		follower.Step(message, g.now)
 		output := follower.Output()
-		answers := append(output.Immediate, output.Deferred...)
-		Expect(answers).To(HaveLen(1))
-		result := appendOutcome{reject: answers[0].Reject, index: answers[0].Index, hint: answers[0].Hint, commit: follower.commit}
+		responses := append(output.Immediate, output.Deferred...)
+		Expect(responses).To(HaveLen(1))
+		result := appendOutcome{reject: responses[0].Reject, index: responses[0].Index, hint: responses[0].Hint, commit: follower.commit}
 		for _, entry := range follower.log.entries {
 			result.terms = append(result.terms, entry.Term)
 		}
 		Expect(result).To(Equal(expected))
-		Expect(len(output.Deferred) == 1).To(Equal(!expected.reject), "a promise waits for the disk")
+		Expect(len(output.Deferred) == 1).To(Equal(!expected.reject), "an acknowledgement waits for the disk, a rejection does not")
 	},
-	ginkgo.Entry("an empty one in agreement", Message{Index: 4, LogTerm: 2},
+	ginkgo.Entry("empty, where the logs agree", Message{Index: 4, LogTerm: 2},
 		appendOutcome{index: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3, 3)},
 		appendOutcome{index: 6, terms: []uint64{1, 1, 2, 2, 3, 3}, commit: 2}),
-	ginkgo.Entry("entries in place of others", Message{Index: 3, LogTerm: 2, Entries: entriesOf(4, 3)},
+	ginkgo.Entry("entries that replace others", Message{Index: 3, LogTerm: 2, Entries: entriesOf(4, 3)},
 		appendOutcome{index: 4, terms: []uint64{1, 1, 2, 3}, commit: 2}),
-	ginkgo.Entry("an earlier one that came late", Message{Index: 2, LogTerm: 1, Entries: entriesOf(3, 2)},
+	ginkgo.Entry("an earlier one that arrives late", Message{Index: 2, LogTerm: 1, Entries: entriesOf(3, 2)},
 		appendOutcome{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("one that begins in what is committed", Message{Index: 0, Entries: entriesOf(1, 1, 1, 2, 2, 3)},
+	ginkgo.Entry("entries that begin before the commit index", Message{Index: 0, Entries: entriesOf(1, 1, 1, 2, 2, 3)},
 		appendOutcome{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 2}),
-	ginkgo.Entry("one within what is committed", Message{Index: 0, Entries: entriesOf(1, 1)},
+	ginkgo.Entry("entries before the commit index", Message{Index: 0, Entries: entriesOf(1, 1)},
 		appendOutcome{index: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("a gap", Message{Index: 7, LogTerm: 3, Entries: entriesOf(8, 3)},
 		appendOutcome{reject: true, index: 7, hint: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("another term before it", Message{Index: 4, LogTerm: 3, Entries: entriesOf(5, 3)},
+	ginkgo.Entry("a later term before it", Message{Index: 4, LogTerm: 3, Entries: entriesOf(5, 3)},
 		appendOutcome{reject: true, index: 4, hint: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
 	ginkgo.Entry("an earlier term before it", Message{Index: 4, LogTerm: 1, Entries: entriesOf(5, 3)},
 		appendOutcome{reject: true, index: 4, hint: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("a commit as far as it agrees", Message{Index: 3, LogTerm: 2, Commit: 9},
+	ginkgo.Entry("a commit index beyond where the logs agree", Message{Index: 3, LogTerm: 2, Commit: 9},
 		appendOutcome{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 3}),
-	ginkgo.Entry("a commit of new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3), Commit: 5},
+	ginkgo.Entry("a commit index that covers new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3), Commit: 5},
 		appendOutcome{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 5}),
 )
 
 var _ = ginkgo.Describe("a follower", func() {
-	ginkgo.It("lets no heartbeat commit what may differ from the leader's log", func() {
+	ginkgo.It("commits by a heartbeat only what is known to agree with the leader's log", func() {
 		g := &group{now: time.Minute}
 		follower := g.add(1, Restored{HardState: HardState{Term: 3}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
 			Entries: entriesOf(1, 1, 1)})
@@ -71,7 +71,7 @@
 		Expect(follower.commit).To(Equal(uint64(2)))
 	})
 
-	ginkgo.It("answers an old leader with its own term", func() {
+	ginkgo.It("responds to a leader of an earlier term with its own term", func() {
 		g := newGroup(memberList(1, 2, 3)...)
 		follower := g.member(1)
 		follower.becomeFollower(5, None)
@@ -80,7 +80,7 @@
 		Expect(g.lastSent(MessageAppendResponse, 2).Term).To(Equal(uint64(5)))
 	})
 
-	ginkgo.It("takes no message that is not for it, of another group, or whose entries do not follow each other", func() {
+	ginkgo.It("ignores messages to others, of another group, from itself, or whose entries are not consecutive", func() {
 		g := newGroup(memberList(1, 2, 3)...)
 		follower := g.member(1)
 		good := Message{Kind: MessageAppend, From: 2, To: 1, Term: 1, Entries: entriesOf(1, 1)}
@@ -109,7 +109,7 @@
 		g.clearSent()
 	})
 
-	ginkgo.It("sends entries before they are on its own disk, and commits them by the others'", func() {
+	ginkgo.It("sends entries before they are on its own disk, and commits them once they are on those of a quorum", func() {
 		leader.diskPaused = true
 		g.propose(leader, "a")
 		g.deliverAll()
@@ -127,7 +127,7 @@
 		Expect(commandsOf(leader.committed)).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("does not count another entry than the one it has", func() {
+	ginkgo.It("counts on its disk only the entries that it has", func() {
 		leader.diskPaused = true
 		g.drop = fromOrTo(3)
 		index := g.propose(leader, "a")
@@ -141,12 +141,10 @@
 		g.drop = ofKind(MessageAppend)
 		old := g.propose(leader, "old")
 		g.deliverAll()
-		for _, member := range g.members {
-			member.lastLeaderContact = 0
-		}
+		g.expireLeaderContacts()
 		leader.becomeFollower(leader.term, None)
 		g.now = max(g.now, leader.electionDeadline)
-		// Only the entry of the earlier term comes through.
+		// Only the entry of the earlier term is delivered.
 		g.drop = func(message Message) bool {
 			return message.Kind == MessageAppend && message.Index >= old && g.member(message.To).log.last() >= old
 		}
@@ -171,7 +169,7 @@
 		Expect(g.countSent(MessageAppend)).To(Equal(2))
 	})
 
-	ginkgo.It("keeps to the window and to the size of an append", func() {
+	ginkgo.It("respects the window and the size of an append", func() {
 		g.drop = ofKind(MessageAppendResponse)
 		for range 20 {
 			g.propose(leader, "0123456789")
@@ -186,7 +184,7 @@
 		Expect(commandsOf(g.member(3).committed)).To(HaveLen(20))
 	})
 
-	ginkgo.DescribeTable("makes up for what was lost",
+	ginkgo.DescribeTable("sends again what was lost",
 		func(kind MessageKind) {
 			g.drop = ofKind(kind)
 			g.propose(leader, "a")
@@ -198,13 +196,13 @@
 			Expect(commandsOf(g.member(3).committed)).To(Equal([]string{"a"}))
 			g.clearSent()
 			g.elapse(10 * heartbeatInterval)
-			Expect(g.countSent(MessageAppend)).To(BeZero(), "it is calm afterwards")
+			Expect(g.countSent(MessageAppend)).To(BeZero(), "nothing is sent afterwards")
 		},
 		ginkgo.Entry("an append", MessageAppend),
 		ginkgo.Entry("an acknowledgement", MessageAppendResponse),
 	)
 
-	ginkgo.It("asks a member that has come back whether the logs still agree, though it has nothing to send", func() {
+	ginkgo.It("finds out that the log of a restarted member agrees, though there is nothing to send", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		stored := Restored{HardState: HardState{Term: 1}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
@@ -231,7 +229,7 @@
 		Expect(g.countSent(MessageAppend)).To(BeNumerically("<", 8))
 	})
 
-	ginkgo.It("does not take back what a member has on disk because of an old rejection", func() {
+	ginkgo.It("ignores a late rejection of entries that a member has on disk", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		match := leader.peer(2).match
@@ -240,7 +238,7 @@
 		Expect(leader.peer(2).match).To(Equal(match))
 	})
 
-	ginkgo.It("costs one heartbeat for each follower and interval when idle, and nothing on disk", func() {
+	ginkgo.It("sends one heartbeat to each follower in each interval when idle, and writes nothing", func() {
 		g.elapse(electionTimeout)
 		g.clearSent()
 		for _, member := range g.members {
@@ -255,7 +253,7 @@
 		}
 	})
 
-	ginkgo.It("waits for answers after it was held up, before it gives up its role", func() {
+	ginkgo.It("waits for responses after its process stalled before it steps down", func() {
 		g.now += 3 * electionTimeout
 		leader.Tick(g.now)
 		Expect(leader.Status().IsLeader).To(BeTrue())
@@ -264,7 +262,7 @@
 		Expect(leader.Status().IsLeader).To(BeTrue())
 	})
 
-	ginkgo.It("gives up its role after it was held up, if nobody answers", func() {
+	ginkgo.It("steps down after its process stalled if no member responds", func() {
 		g.drop = fromOrTo(1)
 		g.now += 3 * electionTimeout
 		leader.Tick(g.now)
@@ -272,7 +270,7 @@
 		Expect(leader.Status().IsLeader).To(BeFalse())
 	})
 
-	ginkgo.It("refuses proposals once it leads no more", func() {
+	ginkgo.It("refuses proposals once it no longer leads", func() {
 		leader.becomeFollower(9, None)
 		_, _, err := leader.Propose(g.now, nil)
 		Expect(err).To(MatchError(ErrNotLeader))
@@ -281,13 +279,13 @@
 	ginkgo.It("knows how far members lag", func() {
 		g.drop = fromOrTo(3)
 		index := g.propose(leader, "a")
-		heardBefore := leader.peer(3).lastContact
+		contactBefore := leader.peer(3).lastContact
 		g.deliverAll()
 		g.elapse(heartbeatInterval)
-		behind, heard, known := leader.Lag(3)
+		behind, lastContact, known := leader.Lag(3)
 		Expect(known).To(BeTrue())
 		Expect(behind).To(Equal(uint64(1)))
-		Expect(heard).To(Equal(heardBefore))
+		Expect(lastContact).To(Equal(contactBefore))
 		behind, _, known = leader.Lag(1)
 		Expect(known).To(BeTrue())
 		Expect(behind).To(BeZero())
--- a/internal/cluster/consensus/snapshot_test.go
+++ b/internal/cluster/consensus/snapshot_test.go
@@ -8,8 +8,8 @@
 )
 
 var _ = ginkgo.Describe("a snapshot", func() {
-	const text = "the state of the machine, longer than a piece"
-	const other = "THE STATE OF THE MACHINE, LONGER THAN A PIECE, written in another order"
+	const text = "the state of the machine, longer than a chunk"
+	const other = "THE STATE OF THE MACHINE, LONGER THAN A CHUNK, written in another order"
 	var g *group
 	var leader, behind *testMember
 	var snapshot Snapshot
@@ -27,7 +27,7 @@
 		g.clearSent()
 	})
 
-	// begin lets the member be heard again and sends the snapshot.
+	// begin ends the isolation of the member and sends it the snapshot.
 	begin := func() {
 		g.drop = nil
 		g.elapse(3 * heartbeatInterval)
@@ -36,12 +36,12 @@
 		Expect(leader.NeedSnapshot()).To(BeEmpty())
 	}
 
-	ginkgo.It("is asked for only for a member that is there", func() {
+	ginkgo.It("is needed only for a responsive member", func() {
 		g.elapse(3 * heartbeatInterval)
 		Expect(leader.NeedSnapshot()).To(BeEmpty())
 	})
 
-	ginkgo.It("comes in pieces, and the log goes on after it", func() {
+	ginkgo.It("is sent in chunks, and the log goes on after it", func() {
 		begin()
 		g.deliverAll()
 		Expect(g.countSent(MessageSnapshot)).To(Equal(5))
@@ -65,20 +65,20 @@
 		Expect(leader.peer(3).match).To(Equal(snapshot.Index))
 	})
 
-	ginkgo.DescribeTable("comes over a link on which an answer takes long",
+	ginkgo.DescribeTable("is received over a link with a long round trip",
 		func(roundTrip time.Duration) {
 			begin()
 			g.elapseWithDelay(3, roundTrip/2, 40*roundTrip)
 			Expect(behind.installed).NotTo(BeNil())
 			Expect(string(behind.installed.Data)).To(Equal(text))
 		},
-		ginkgo.Entry("a heartbeat's interval", heartbeatInterval),
-		ginkgo.Entry("two and a half", 5*heartbeatInterval/2),
-		ginkgo.Entry("four", 4*heartbeatInterval),
-		ginkgo.Entry("seven", 7*heartbeatInterval),
+		ginkgo.Entry("one heartbeat interval", heartbeatInterval),
+		ginkgo.Entry("two and a half heartbeat intervals", 5*heartbeatInterval/2),
+		ginkgo.Entry("four heartbeat intervals", 4*heartbeatInterval),
+		ginkgo.Entry("seven heartbeat intervals", 7*heartbeatInterval),
 	)
 
-	ginkgo.DescribeTable("goes on where it was after a loss",
+	ginkgo.DescribeTable("is resumed after the loss",
 		func(kind MessageKind) {
 			lost := false
 			begin()
@@ -94,28 +94,28 @@
 			Expect(string(behind.installed.Data)).To(Equal(text))
 			Expect(g.countSent(MessageSnapshot)).To(Equal(6))
 		},
-		ginkgo.Entry("of a piece", MessageSnapshot),
-		ginkgo.Entry("of an answer", MessageSnapshotResponse),
+		ginkgo.Entry("of a chunk", MessageSnapshot),
+		ginkgo.Entry("of a response", MessageSnapshotResponse),
 	)
 
-	ginkgo.It("bears pieces that come twice or out of order", func() {
+	ginkgo.It("tolerates chunks that arrive twice or out of order", func() {
 		g.drop = ofKind(MessageSnapshotResponse)
 		begin()
-		whole := []byte(text)
-		piece := func(start, end int) Message {
-			part := Snapshot{Index: snapshot.Index, Term: snapshot.Term, Members: memberList(1, 2, 3), Data: whole[start:end]}
+		data := []byte(text)
+		chunk := func(start, end int) Message {
+			part := Snapshot{Index: snapshot.Index, Term: snapshot.Term, Members: memberList(1, 2, 3), Data: data[start:end]}
 			return Message{Kind: MessageSnapshot, From: 1, To: 3, Term: leader.term, Index: part.Index, Snapshot: &part,
-				Offset: uint64(start), Last: end == len(whole)}
+				Offset: uint64(start), Last: end == len(data)}
 		}
-		for _, message := range []Message{piece(30, 40), piece(0, 10), piece(20, 30), piece(0, 10), piece(5, 20),
-			piece(20, 30), piece(40, len(whole)), piece(30, 40), piece(40, len(whole))} {
+		for _, message := range []Message{chunk(30, 40), chunk(0, 10), chunk(20, 30), chunk(0, 10), chunk(5, 20),
+			chunk(20, 30), chunk(40, len(data)), chunk(30, 40), chunk(40, len(data))} {
 			behind.Step(message, g.now)
 			g.processOutput(behind)
 		}
 		Expect(string(behind.installed.Data)).To(Equal(text))
 	})
 
-	ginkgo.It("begins anew at a member that was started again", func() {
+	ginkgo.It("is sent from the beginning to a restarted member", func() {
 		begin()
 		sent := 0
 		g.drop = func(message Message) bool {
@@ -132,7 +132,7 @@
 		Expect(string(back.installed.Data)).To(Equal(text))
 	})
 
-	ginkgo.It("is left when the member turns out to have it all", func() {
+	ginkgo.It("is abandoned when the member turns out to have all entries", func() {
 		begin()
 		g.inTransit = nil
 		behind.Step(Message{Kind: MessageAppend, From: 1, To: 3, Term: leader.term, Entries: g.member(2).log.entries}, g.now)
@@ -142,45 +142,45 @@
 		Expect(leader.peer(3).state).To(Equal(progressReplicate))
 	})
 
-	// another begins to send a snapshot of the same index whose bytes differ, in place of one whose first pieces are there,
-	// and gives the later pieces of the first.
-	another := func() (late []Message) {
+	// sendAnother sends a snapshot of the same index whose encoding differs, in place of one whose first chunks have arrived,
+	// and returns the later chunk of the first.
+	sendAnother := func() (late Message) {
 		begin()
 		g.drop = func(message Message) bool { return message.Kind == MessageSnapshot && message.Offset >= 20 }
 		g.deliverAll()
 		Expect(behind.receiving.data).To(HaveLen(20))
-		piece := g.lastSent(MessageSnapshot, 3)
-		rest := *piece.Snapshot
+		chunk := g.lastSent(MessageSnapshot, 3)
+		rest := *chunk.Snapshot
 		rest.Data = snapshot.Data[20:]
-		piece.Snapshot, piece.Offset, piece.Last = &rest, 20, true
+		chunk.Snapshot, chunk.Offset, chunk.Last = &rest, 20, true
 		g.drop = fromOrTo(3)
 		g.elapse((snapshotTimeoutFactor + 1) * electionTimeout)
 		Expect(leader.peer(3).outgoing).To(BeNil())
 		snapshot.Data = []byte(other)
 		g.clearSent()
 		begin()
-		return []Message{piece}
+		return chunk
 	}
 
-	ginkgo.It("is not mixed with an earlier one of the same index that was given up", func() {
-		another()
+	ginkgo.It("is not mixed with an abandoned one of the same index", func() {
+		sendAnother()
 		g.deliverAll()
 		Expect(string(behind.installed.Data)).To(Equal(other))
 	})
 
-	ginkgo.It("is not mixed with late pieces of an earlier one", func() {
-		late := another()
+	ginkgo.It("is not mixed with late chunks of an earlier one", func() {
+		late := sendAnother()
 		g.processOutput(leader)
 		first := g.inTransit[0]
 		g.inTransit = nil
 		behind.Step(first, g.now)
-		behind.Step(late[0], g.now)
+		behind.Step(late, g.now)
 		Expect(behind.pending.snapshot).To(BeNil())
 		g.elapse(5 * heartbeatInterval)
 		Expect(string(behind.installed.Data)).To(Equal(other))
 	})
 
-	ginkgo.It("is not mixed with that of a leader before, which lost its leadership on the way", func() {
+	ginkgo.It("is not mixed with the incomplete one of an earlier leader", func() {
 		begin()
 		g.drop = func(message Message) bool { return message.Kind == MessageSnapshot && message.Offset >= 20 }
 		g.deliverAll()
@@ -199,7 +199,7 @@
 		Expect(string(behind.installed.Data)).To(Equal(other))
 	})
 
-	ginkgo.It("that was overtaken by a newer one does not come back with late pieces", func() {
+	ginkgo.It("is not installed by late chunks once the member has newer entries", func() {
 		begin()
 		g.processOutput(leader)
 		late := g.inTransit
@@ -217,7 +217,7 @@
 		Expect(behind.receiving).To(BeNil())
 	})
 
-	ginkgo.It("is let go for a member that stays silent", func() {
+	ginkgo.It("is abandoned for a member that stays unresponsive", func() {
 		begin()
 		g.drop = fromOrTo(3)
 		g.elapse(snapshotTimeoutFactor*electionTimeout + 2*heartbeatInterval)
@@ -240,7 +240,7 @@
 		Expect(leader.NeedSnapshot()).To(Equal([]MemberID{3}))
 	})
 
-	ginkgo.It("that is empty travels too", func() {
+	ginkgo.It("that is empty is sent too", func() {
 		snapshot.Data = nil
 		begin()
 		g.deliverAll()
@@ -248,7 +248,7 @@
 		Expect(behind.Status().Commit).To(Equal(snapshot.Index))
 	})
 
-	ginkgo.It("is not taken from a member that needs none, or where it is too old", func() {
+	ginkgo.It("is not sent to a member that needs none, or if it is too old", func() {
 		leader.SendSnapshot(g.now, 2, snapshot)
 		Expect(leader.peer(2).outgoing).To(BeNil())
 		g.drop = nil
@@ -260,7 +260,7 @@
 })
 
 var _ = ginkgo.Describe("compaction", func() {
-	ginkgo.It("drops no more than was handed out to be applied", func() {
+	ginkgo.It("drops no entry that was not output as committed", func() {
 		g := newGroup(memberList(1, 2, 3)...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(1)
