--- a/internal/cluster/control/job_endpoints.go
+++ b/internal/cluster/control/job_endpoints.go
@@ -68,8 +68,8 @@
 
 func (c *Control) status(_ string, request *protocol.StatusRequest, reply func(*protocol.StatusResponse, error)) {
 	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
-		s.owner.Status(now, request.ID, func(state string, err error) {
-			reply(&protocol.StatusResponse{State: protocol.JobState(state)}, err)
+		s.owner.Status(now, request.ID, func(state protocol.JobState, err error) {
+			reply(&protocol.StatusResponse{State: state}, err)
 		})
 	}, func(err error) { reply(nil, err) })
 }
--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -1,6 +1,10 @@
 package jobs
 
-import "strings"
+import (
+	"strings"
+
+	"ospreypond/internal/cluster/protocol"
+)
 
 // maxAgeStepMs is by how much one command can advance the age by which retention is measured. A time of day that jumps
 // by an hour must not make the shard forget its jobs.
@@ -58,7 +62,7 @@
 	}
 	if !job.Ended() {
 		s.counters.Cancelled++
-		s.abandon(job, JobCancelled)
+		s.abandon(job, protocol.JobCancelled)
 	}
 	return true
 }
--- a/internal/cluster/jobs/command.go
+++ b/internal/cluster/jobs/command.go
@@ -40,8 +40,8 @@
 	N          uint64 // number of the end, rising by runner
 	Task       TaskID
 	Run        uint64
-	Outcome    Outcome
-	Checkpoint string // newest checkpoint of the run, or empty
+	Outcome    protocol.RunEnd // one that is unknown counts as protocol.EndStopped
+	Checkpoint string          // newest checkpoint of the run, or empty
 }
 
 // Loss states that a run exists nowhere and has no end that counts: it never reached its runner, or its runner's
@@ -67,17 +67,3 @@
 	Run    uint64
 	Runner string // incarnation
 }
-
-// Outcome is how a run ended. It may have a value that this version doesn't know, which is handled as OutcomeStopped is.
-type Outcome string
-
-// The outcomes that the protocol names.
-const (
-	OutcomeDone    Outcome = protocol.EndDone
-	OutcomeFailed  Outcome = protocol.EndFailed
-	OutcomeStopped Outcome = protocol.EndStopped
-	OutcomeLapsed  Outcome = protocol.EndLapsed
-	OutcomeBroken  Outcome = protocol.EndBroken
-	OutcomeAlone   Outcome = protocol.EndAlone
-	OutcomeRefused Outcome = protocol.EndRefused
-)
--- a/internal/cluster/jobs/command_codec.go
+++ b/internal/cluster/jobs/command_codec.go
@@ -1,6 +1,10 @@
 package jobs
 
-import "github.com/pkg/errors"
+import (
+	"github.com/pkg/errors"
+
+	"ospreypond/internal/cluster/protocol"
+)
 
 // The first byte of an encoded command is the version of its encoding.
 const (
@@ -10,14 +14,14 @@
 
 // outcomeCodes are the outcomes that are encoded as a number: their position here, from 1. Any other is encoded as 0 and
 // its text. The order is part of the encoding.
-var outcomeCodes = [...]Outcome{
-	OutcomeDone,
-	OutcomeFailed,
-	OutcomeStopped,
-	OutcomeLapsed,
-	OutcomeBroken,
-	OutcomeAlone,
-	OutcomeRefused,
+var outcomeCodes = [...]protocol.RunEnd{
+	protocol.EndDone,
+	protocol.EndFailed,
+	protocol.EndStopped,
+	protocol.EndLapsed,
+	protocol.EndBroken,
+	protocol.EndAlone,
+	protocol.EndRefused,
 }
 
 // previousTexts are the last job and runner written or read: they often repeat from item to item.
@@ -170,7 +174,7 @@
 	return id
 }
 
-func (w *writer) outcome(outcome Outcome) {
+func (w *writer) outcome(outcome protocol.RunEnd) {
 	for i, known := range outcomeCodes {
 		if known == outcome {
 			w.byte(byte(i + 1))
@@ -181,10 +185,10 @@
 	w.text(string(outcome))
 }
 
-func (r *reader) outcome() Outcome {
+func (r *reader) outcome() protocol.RunEnd {
 	code := int(r.byte())
 	if code == 0 {
-		return Outcome(r.text())
+		return protocol.RunEnd(r.text())
 	}
 	if code > len(outcomeCodes) {
 		r.fail()
--- a/internal/cluster/jobs/command_codec_test.go
+++ b/internal/cluster/jobs/command_codec_test.go
@@ -33,8 +33,8 @@
 		Cancels:     []string{jobA, ""},
 		Fences:      []jobs.Fence{{ID: jobB, Version: 1 << 50}, {}},
 		Ends: []jobs.End{
-			{Runner: "r1", N: 1 << 60, Task: id(jobA, 1, 2, 3), Run: 7, Outcome: jobs.OutcomeDone, Checkpoint: "00000bb87a21d94b"},
-			{Runner: "r1", N: 5, Task: id(jobA, 1, 2, 4), Run: 7, Outcome: jobs.OutcomeRefused},
+			{Runner: "r1", N: 1 << 60, Task: id(jobA, 1, 2, 3), Run: 7, Outcome: protocol.EndDone, Checkpoint: "00000bb87a21d94b"},
+			{Runner: "r1", N: 5, Task: id(jobA, 1, 2, 4), Run: 7, Outcome: protocol.EndRefused},
 			{Runner: "r2", N: 6, Task: id(jobB, -1, -2, -3), Run: 0, Outcome: "vanished"},
 		},
 		Losses:          []jobs.Loss{{Runner: "r2", Task: id(jobB, 0), Run: 3, Checkpoint: "x"}, {Runner: "", Task: jobs.TaskID{}}},
@@ -76,9 +76,9 @@
 	})
 
 	It("keep each outcome", func() {
-		for _, outcome := range []jobs.Outcome{
-			jobs.OutcomeDone, jobs.OutcomeFailed, jobs.OutcomeStopped, jobs.OutcomeLapsed,
-			jobs.OutcomeBroken, jobs.OutcomeAlone, jobs.OutcomeRefused, "", "other",
+		for _, outcome := range []protocol.RunEnd{
+			protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed,
+			protocol.EndBroken, protocol.EndAlone, protocol.EndRefused, "", "other",
 		} {
 			got, err := jobs.Decode(encode(&jobs.Command{Ends: []jobs.End{{Outcome: outcome}}}))
 			Expect(err).NotTo(HaveOccurred())
@@ -124,13 +124,13 @@
 	s.fence("0000000000000fff", 7)
 	s.submit(jobA, 2, step(3, gang, checkpoints), step(2, after(0)), fullStep())
 	s.startOn(1, "r1", id(jobA, 0), "r2", id(jobA, 1), "r2", id(jobA, 2))
-	s.end("r1", id(jobA, 0), 1, jobs.OutcomeFailed, "checkpoint of one")
+	s.end("r1", id(jobA, 0), 1, protocol.EndFailed, "checkpoint of one")
 	s.submitSpec(jobB, 2, protocol.JobSpec{
 		Steps: []protocol.Step{step(2, gang), step(1, after(0))}, Repetitions: 3, FirstRunMs: startMs, IntervalMs: 500,
 	})
 	s.pass(600)
 	s.startOn(1, "r1", id(jobB, 1, 0, 0), "r2", id(jobB, 1, 0, 1))
-	s.end("r2", id(jobB, 1, 0, 1), 1, jobs.OutcomeDone, "")
+	s.end("r2", id(jobB, 1, 0, 1), 1, protocol.EndDone, "")
 	s.submit(jobC, 2, step(2))
 	s.start("r3", 1, id(jobC, 0))
 	s.cancel(jobC)
@@ -175,7 +175,7 @@
 		s := newShard()
 		s.submit(jobA, 2, step(2), step(1, after(0)))
 		s.startOn(1, "r1", id(jobA, 0), "r2", id(jobA, 1))
-		s.end("r1", id(jobA, 0), 1, jobs.OutcomeDone, "")
+		s.end("r1", id(jobA, 0), 1, protocol.EndDone, "")
 		Expect(view(restored)).To(Equal(view(s.State)))
 		Expect(restored.Digest()).To(Equal(s.Digest()))
 	})
--- a/internal/cluster/jobs/cost_test.go
+++ b/internal/cluster/jobs/cost_test.go
@@ -21,7 +21,7 @@
 			Spec: strings.Repeat("x", 250), Steps: []protocol.Step{step(6), step(6, after(0))},
 		}})
 		task := jobs.TaskID{Job: job, Index: i}
-		c.Ends = append(c.Ends, jobs.End{Runner: runner, N: uint64(i), Task: task, Run: 1, Outcome: jobs.OutcomeDone})
+		c.Ends = append(c.Ends, jobs.End{Runner: runner, N: uint64(i), Task: task, Run: 1, Outcome: protocol.EndDone})
 		c.Starts = append(c.Starts, jobs.Start{Runner: runner, Task: task, Run: 1})
 	}
 	return c
@@ -100,7 +100,7 @@
 		n++
 		effects := s.Apply(&jobs.Command{
 			TimeOfDayMs: startMs + int64(n),
-			Ends:        []jobs.End{{Runner: runner, N: n, Task: task, Run: n, Outcome: jobs.OutcomeStopped}},
+			Ends:        []jobs.End{{Runner: runner, N: n, Task: task, Run: n, Outcome: protocol.EndStopped}},
 			Starts:      []jobs.Start{{Task: task, Run: n + 1, Runner: runner}},
 		})
 		if !effects.Starts[0] {
--- a/internal/cluster/jobs/fixtures_test.go
+++ b/internal/cluster/jobs/fixtures_test.go
@@ -26,14 +26,14 @@
 	s := busyShard()
 	s.submit(jobD, 1, step(2), step(1, after(0)))
 	s.startOn(1, "r1", id(jobD, 0), "r2", id(jobD, 1))
-	s.end("r1", id(jobD, 0), 1, jobs.OutcomeFailed, "saved before it failed")
+	s.end("r1", id(jobD, 0), 1, protocol.EndFailed, "saved before it failed")
 	s.submit(jobE, 1, step(1))
 	s.startOn(1, "r1", id(jobE, 0))
-	s.end("r1", id(jobE, 0), 1, jobs.OutcomeDone, "")
+	s.end("r1", id(jobE, 0), 1, protocol.EndDone, "")
 	s.submit(jobF, 1, step(1))
 	s.do(&jobs.Command{RunnerAddresses: []jobs.RunnerAddress{{Runner: "r1", Address: "10.0.0.1:8080"}, {Runner: "r3", Address: "10.0.0.3:8080"}}})
 	seen := map[jobs.Phase]bool{}
-	states := map[jobs.JobState]bool{}
+	states := map[protocol.JobState]bool{}
 	for _, id := range s.JobIDs("", "", 100) {
 		job := s.Job(id)
 		states[job.State] = true
@@ -74,7 +74,7 @@
 	ID         string
 	Queue      protocol.Queue
 	Spec       protocol.JobSpec
-	State      jobs.JobState
+	State      protocol.JobState
 	AcceptedMs int64
 	EndedMs    int64
 	Groups     []shownGroup
@@ -138,9 +138,9 @@
 // endedCommand has an end with each outcome.
 func endedCommand() *jobs.Command {
 	c := &jobs.Command{}
-	for i, outcome := range []jobs.Outcome{
-		jobs.OutcomeDone, jobs.OutcomeFailed, jobs.OutcomeStopped, jobs.OutcomeLapsed, jobs.OutcomeBroken, jobs.OutcomeAlone,
-		jobs.OutcomeRefused,
+	for i, outcome := range []protocol.RunEnd{
+		protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed, protocol.EndBroken, protocol.EndAlone,
+		protocol.EndRefused,
 	} {
 		c.Ends = append(c.Ends, jobs.End{Runner: "r1", N: uint64(i + 1), Task: id(jobA, i), Run: 1, Outcome: outcome})
 	}
--- a/internal/cluster/jobs/gang.go
+++ b/internal/cluster/jobs/gang.go
@@ -1,5 +1,7 @@
 package jobs
 
+import "ospreypond/internal/cluster/protocol"
+
 // recordGangStart records on the gang that a command starts one of its members.
 func (s *State) recordGangStart(start *Start) {
 	task := s.Task(start.Task)
@@ -31,14 +33,14 @@
 }
 
 // transitionGangMember gives a gang's member, whose run has just ended, and its gang their next phases.
-func (s *State) transitionGangMember(task *Task, outcome Outcome) {
+func (s *State) transitionGangMember(task *Task, outcome protocol.RunEnd) {
 	group := task.Group
 	task.Phase = GangEnding
-	if outcome == OutcomeDone && !group.Spec().LongRunning {
+	if outcome == protocol.EndDone && !group.Spec().LongRunning {
 		s.completeGang(group)
 		return
 	}
-	if outcome == OutcomeFailed && !group.Spec().LongRunning && group.failedRun < group.Run {
+	if outcome == protocol.EndFailed && !group.Spec().LongRunning && group.failedRun < group.Run {
 		group.failedRun = group.Run
 		group.Attempts++
 		if attemptsExhausted(group.Attempts, group.Job) {
--- a/internal/cluster/jobs/gang_test.go
+++ b/internal/cluster/jobs/gang_test.go
@@ -53,7 +53,7 @@
 
 	It("is done with the first member that is; the other runs linger until their own ends", func() {
 		startAll(1)
-		effects := s.end("r2", b, 1, jobs.OutcomeDone, "")
+		effects := s.end("r2", b, 1, protocol.EndDone, "")
 		Expect(effects.EndedRuns).To(HaveLen(3))
 		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Done, jobs.Done, jobs.Done}))
 		Expect(s.phase(id(jobA, 1, 0))).To(Equal(jobs.Pending))
@@ -62,7 +62,7 @@
 		needs := protocol.Resources{CPU: 500, MemoryMB: 64}
 		Expect(s.LingeringOn("r1")).To(Equal([]jobs.Lingering{{Task: a, Run: 1, Needs: needs}}))
 
-		effects = s.end("r1", a, 1, jobs.OutcomeDone, "")
+		effects = s.end("r1", a, 1, protocol.EndDone, "")
 		Expect(effects.Ends).To(Equal([]bool{false}))
 		Expect(effects.FreedRuns).To(Equal([]jobs.FreedRun{{Runner: "r1", Lingering: jobs.Lingering{Task: a, Run: 1, Needs: needs}}}))
 		Expect(s.LingeringOn("r1")).To(BeEmpty())
@@ -74,22 +74,22 @@
 	It("keeps lingering runs of a job whose details are dropped", func() {
 		s.submit(jobB, 2, step(2, gang))
 		s.startOn(1, "r1", id(jobB, 0), "r1", id(jobB, 1))
-		s.end("r1", id(jobB, 0), 1, jobs.OutcomeDone, "")
+		s.end("r1", id(jobB, 0), 1, protocol.EndDone, "")
 		Expect(s.stateOf(jobB)).To(Equal(protocol.JobCompleted))
 		Expect(s.LingeringOn("r1")).To(HaveLen(1))
-		s.end("r1", id(jobB, 1), 1, jobs.OutcomeDone, "")
+		s.end("r1", id(jobB, 1), 1, protocol.EndDone, "")
 		Expect(s.LingeringOn("r1")).To(BeEmpty())
 		Expect(s.Counters().Lingering).To(Equal(0))
 	})
 
 	It("becomes pending again once no run of it may exist, with one run number for all", func() {
 		startAll(1)
-		s.end("r1", a, 1, jobs.OutcomeBroken, "one")
+		s.end("r1", a, 1, protocol.EndBroken, "one")
 		s.lose("r2", b, 1, "")
 		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.GangEnding, jobs.GangEnding, jobs.Running}))
 		Expect(s.pendingIDs()).To(BeEmpty())
 		Expect(s.startOn(2, "r1", a, "r2", b, "r3", c)).To(Equal([]bool{false, false, false}))
-		effects := s.end("r3", c, 1, jobs.OutcomeAlone, "")
+		effects := s.end("r3", c, 1, protocol.EndAlone, "")
 		Expect(effects.Pending).To(HaveLen(3))
 		Expect(s.pendingIDs()).To(Equal([]string{a.String(), b.String(), c.String()}))
 		for _, member := range []jobs.TaskID{a, b, c} {
@@ -103,37 +103,37 @@
 	It("is done even if a member's run was over before", func() {
 		startAll(1)
 		s.lose("r1", a, 1, "")
-		s.end("r2", b, 1, jobs.OutcomeDone, "")
+		s.end("r2", b, 1, protocol.EndDone, "")
 		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Done, jobs.Done, jobs.Done}))
 		Expect(s.Runners()).To(Equal([]string{"r3"}))
 	})
 
 	It("counts a failed run once, however many members fail", func() {
 		startAll(1)
-		s.end("r1", a, 1, jobs.OutcomeFailed, "")
-		s.end("r2", b, 1, jobs.OutcomeFailed, "")
-		s.end("r3", c, 1, jobs.OutcomeBroken, "")
+		s.end("r1", a, 1, protocol.EndFailed, "")
+		s.end("r2", b, 1, protocol.EndFailed, "")
+		s.end("r3", c, 1, protocol.EndBroken, "")
 		Expect(s.Task(a).AttemptsOf()).To(Equal(1))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 		startAll(2)
 		member := s.Task(c)
-		s.end("r2", b, 2, jobs.OutcomeFailed, "")
+		s.end("r2", b, 2, protocol.EndFailed, "")
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobFailed))
 		Expect(s.phase(b)).To(Equal(jobs.Failed))
 		Expect(s.phase(c)).To(Equal(jobs.Running))
-		s.end("r1", a, 2, jobs.OutcomeBroken, "")
-		s.end("r3", c, 2, jobs.OutcomeBroken, "")
+		s.end("r1", a, 2, protocol.EndBroken, "")
+		s.end("r3", c, 2, protocol.EndBroken, "")
 		Expect(member.Phase).To(Equal(jobs.Cancelled))
 		Expect(s.Job(jobA).Groups).To(BeEmpty())
 	})
 
 	It("is cancelled: members that are ending at once, running ones with their end", func() {
 		startAll(1)
-		s.end("r1", a, 1, jobs.OutcomeBroken, "")
+		s.end("r1", a, 1, protocol.EndBroken, "")
 		s.cancel(jobA)
 		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Cancelled, jobs.Running, jobs.Running}))
-		s.end("r2", b, 1, jobs.OutcomeDone, "")
-		s.end("r3", c, 1, jobs.OutcomeStopped, "")
+		s.end("r2", b, 1, protocol.EndDone, "")
+		s.end("r3", c, 1, protocol.EndStopped, "")
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCancelled))
 		Expect(s.Runners()).To(BeEmpty())
 		Expect(s.pendingIDs()).To(BeEmpty())
@@ -142,7 +142,7 @@
 	It("prefers an end's checkpoint to that of a loss", func() {
 		startAll(1)
 		s.lose("r1", a, 1, "seen")
-		s.end("r2", b, 1, jobs.OutcomeBroken, "ended")
+		s.end("r2", b, 1, protocol.EndBroken, "ended")
 		s.lose("r3", c, 1, "seen too")
 		Expect(s.Task(a).Checkpoint).To(Equal("ended"))
 		startAll(2)
@@ -154,11 +154,11 @@
 
 	It("keeps in a snapshot that a run's failure was counted and that its checkpoint is an end's", func() {
 		startAll(1)
-		s.end("r1", a, 1, jobs.OutcomeFailed, "ended")
+		s.end("r1", a, 1, protocol.EndFailed, "ended")
 		data, err := s.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Restore(data)).To(Succeed())
-		s.end("r2", b, 1, jobs.OutcomeFailed, "")
+		s.end("r2", b, 1, protocol.EndFailed, "")
 		s.lose("r3", c, 1, "seen")
 		Expect(s.Task(a).AttemptsOf()).To(Equal(1))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
@@ -169,9 +169,9 @@
 		s.submit(jobB, 1, step(2, gang, longRunning))
 		for run := uint64(1); run <= 3; run++ {
 			s.startOn(run, "r1", id(jobB, 0), "r2", id(jobB, 1))
-			s.end("r1", id(jobB, 0), run, jobs.OutcomeDone, "")
+			s.end("r1", id(jobB, 0), run, protocol.EndDone, "")
 			Expect(s.phase(id(jobB, 0))).To(Equal(jobs.GangEnding))
-			s.end("r2", id(jobB, 1), run, jobs.OutcomeFailed, "")
+			s.end("r2", id(jobB, 1), run, protocol.EndFailed, "")
 			Expect(s.phase(id(jobB, 0))).To(Equal(jobs.Pending))
 		}
 		Expect(s.stateOf(jobB)).To(Equal(protocol.JobRunning))
--- a/internal/cluster/jobs/job.go
+++ b/internal/cluster/jobs/job.go
@@ -54,7 +54,7 @@
 	Queue      protocol.Queue
 	Spec       protocol.JobSpec
 	Groups     []*Group // by repetition, then step; those of repetitions that are due and not complete
-	State      JobState
+	State      protocol.JobState
 	AcceptedMs int64 // shard's time of day
 	EndedMs    int64 // shard's time of day at which it became completed, failed or cancelled; 0: not yet
 
@@ -65,7 +65,12 @@
 }
 
 // Ended reports whether the job is completed, failed or cancelled.
-func (j *Job) Ended() bool { return j.State.HasEnded() }
+func (j *Job) Ended() bool { return protocol.JobEnded(j.State) }
+
+// Abandoned reports whether the job was cancelled or has failed: its remaining runs are to be stopped.
+func (j *Job) Abandoned() bool {
+	return j.State == protocol.JobCancelled || j.State == protocol.JobFailed
+}
 
 // Progress counts the tasks of the job's open repetitions: those that are Done, those that are Running, and all. Tasks of
 // repetitions that are complete or not due yet are not counted.
--- a/internal/cluster/jobs/job_test.go
+++ b/internal/cluster/jobs/job_test.go
@@ -27,7 +27,7 @@
 		first := jobs.TaskID{Job: jobA}
 		second := jobs.TaskID{Job: jobA, Index: 1}
 		s.do(&jobs.Command{Starts: []jobs.Start{{Task: first, Run: 1, Runner: "r"}, {Task: second, Run: 1, Runner: "r"}}})
-		s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r", N: 1, Task: first, Run: 1, Outcome: jobs.OutcomeDone}}})
+		s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r", N: 1, Task: first, Run: 1, Outcome: protocol.EndDone}}})
 		done, running, all := s.Job(jobA).Progress()
 		Expect([]int{done, running, all}).To(Equal([]int{1, 1, 5}))
 	})
--- a/internal/cluster/jobs/jobs_suite_test.go
+++ b/internal/cluster/jobs/jobs_suite_test.go
@@ -73,7 +73,7 @@
 	return s.do(c).Starts
 }
 
-func (s *shard) end(runner string, id jobs.TaskID, run uint64, outcome jobs.Outcome, checkpoint string) *jobs.Effects {
+func (s *shard) end(runner string, id jobs.TaskID, run uint64, outcome protocol.RunEnd, checkpoint string) *jobs.Effects {
 	s.n[runner]++
 	return s.do(&jobs.Command{Ends: []jobs.End{
 		{Runner: runner, N: s.n[runner], Task: id, Run: run, Outcome: outcome, Checkpoint: checkpoint},
--- a/internal/cluster/jobs/model_draw_test.go
+++ b/internal/cluster/jobs/model_draw_test.go
@@ -102,9 +102,9 @@
 			c.Losses = append(c.Losses, jobs.Loss{Runner: run.runner, Task: run.task, Run: run.run, Checkpoint: checkpoint})
 			continue
 		}
-		outcome := rapid.SampledFrom([]jobs.Outcome{
-			jobs.OutcomeDone, jobs.OutcomeDone, jobs.OutcomeDone, jobs.OutcomeFailed,
-			jobs.OutcomeStopped, jobs.OutcomeLapsed, jobs.OutcomeBroken, jobs.OutcomeAlone, jobs.OutcomeRefused, "other",
+		outcome := rapid.SampledFrom([]protocol.RunEnd{
+			protocol.EndDone, protocol.EndDone, protocol.EndDone, protocol.EndFailed,
+			protocol.EndStopped, protocol.EndLapsed, protocol.EndBroken, protocol.EndAlone, protocol.EndRefused, "other",
 		}).Draw(t, "outcome")
 		n := m.lastSeen[run.runner] + uint64(len(c.Ends)) + 1
 		if rapid.IntRange(0, 9).Draw(t, "old") == 0 {
--- a/internal/cluster/jobs/model_test.go
+++ b/internal/cluster/jobs/model_test.go
@@ -31,7 +31,7 @@
 	newest    map[jobs.TaskID]uint64
 	lastSeen  map[string]uint64
 	fenced    map[string]uint64 // the newest version
-	ended     map[string]jobs.JobState
+	ended     map[string]protocol.JobState
 }
 
 func newModel() *model {
@@ -47,7 +47,7 @@
 		newest:    map[jobs.TaskID]uint64{},
 		lastSeen:  map[string]uint64{},
 		fenced:    map[string]uint64{},
-		ended:     map[string]jobs.JobState{},
+		ended:     map[string]protocol.JobState{},
 	}
 }
 
@@ -138,20 +138,20 @@
 	spec := m.specs[end.Task.Job]
 	gang := m.step(end.Task).Gang
 	switch {
-	case end.Outcome == jobs.OutcomeDone && gang:
+	case end.Outcome == protocol.EndDone && gang:
 		for index := range spec.Steps[end.Task.Step].Count {
 			member := end.Task
 			member.Index = index
 			m.done[member] = true
 		}
-	case end.Outcome == jobs.OutcomeDone:
+	case end.Outcome == protocol.EndDone:
 		m.done[end.Task] = true
-	case end.Outcome == jobs.OutcomeFailed && gang:
+	case end.Outcome == protocol.EndFailed && gang:
 		if m.failedRun[m.gangOf(end.Task)] < end.Run {
 			m.failedRun[m.gangOf(end.Task)] = end.Run
 			m.fails[m.gangOf(end.Task)]++
 		}
-	case end.Outcome == jobs.OutcomeFailed:
+	case end.Outcome == protocol.EndFailed:
 		m.fails[end.Task]++
 	}
 }
--- a/internal/cluster/jobs/phase.go
+++ b/internal/cluster/jobs/phase.go
@@ -1,7 +1,5 @@
 package jobs
 
-import "ospreypond/internal/cluster/protocol"
-
 // Phase is the phase of a task. Its number is part of the encoding of snapshots.
 type Phase uint8
 
@@ -28,21 +26,3 @@
 	}
 	return phaseNames[p]
 }
-
-// JobState is the state of a job, as the protocol shows it to clients.
-type JobState string
-
-// The states of a job.
-const (
-	JobQueued    JobState = protocol.JobQueued // accepted; no task has been started
-	JobRunning   JobState = protocol.JobRunning
-	JobCompleted JobState = protocol.JobCompleted
-	JobFailed    JobState = protocol.JobFailed
-	JobCancelled JobState = protocol.JobCancelled
-)
-
-// HasEnded reports whether a job never leaves the state.
-func (s JobState) HasEnded() bool { return protocol.JobEnded(string(s)) }
-
-// IsAbandoned reports whether the job's remaining runs are to be stopped: it was cancelled or has failed.
-func (s JobState) IsAbandoned() bool { return s == JobCancelled || s == JobFailed }
--- a/internal/cluster/jobs/phase_test.go
+++ b/internal/cluster/jobs/phase_test.go
@@ -5,6 +5,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var _ = DescribeTable("the name of a phase",
@@ -20,13 +21,14 @@
 )
 
 var _ = DescribeTable("a state of a job",
-	func(state jobs.JobState, ended, abandoned bool) {
-		Expect(state.HasEnded()).To(Equal(ended))
-		Expect(state.IsAbandoned()).To(Equal(abandoned))
+	func(state string, ended, abandoned bool) {
+		job := jobs.Job{State: protocol.JobState(state)}
+		Expect(job.Ended()).To(Equal(ended))
+		Expect(job.Abandoned()).To(Equal(abandoned))
 	},
-	Entry(nil, jobs.JobQueued, false, false),
-	Entry(nil, jobs.JobRunning, false, false),
-	Entry(nil, jobs.JobCompleted, true, false),
-	Entry(nil, jobs.JobFailed, true, true),
-	Entry(nil, jobs.JobCancelled, true, true),
+	Entry(nil, protocol.JobQueued, false, false),
+	Entry(nil, protocol.JobRunning, false, false),
+	Entry(nil, protocol.JobCompleted, true, false),
+	Entry(nil, protocol.JobFailed, true, true),
+	Entry(nil, protocol.JobCancelled, true, true),
 )
--- a/internal/cluster/jobs/repetitions.go
+++ b/internal/cluster/jobs/repetitions.go
@@ -1,5 +1,7 @@
 package jobs
 
+import "ospreypond/internal/cluster/protocol"
+
 import "slices"
 
 // maxOpenTasks limits the tasks of a job's open repetitions: those that are due and not complete. Repetitions that fall
@@ -63,5 +65,5 @@
 		return
 	}
 	s.counters.Completed++
-	s.endJob(job, JobCompleted)
+	s.endJob(job, protocol.JobCompleted)
 }
--- a/internal/cluster/jobs/repetitions_test.go
+++ b/internal/cluster/jobs/repetitions_test.go
@@ -17,7 +17,7 @@
 		task := id(job, k, step, index)
 		run := s.Task(task).Run + 1
 		Expect(s.start("r1", run, task)).To(Equal([]bool{true}))
-		Expect(s.end("r1", task, run, jobs.OutcomeDone, "").Ends).To(Equal([]bool{true}))
+		Expect(s.end("r1", task, run, protocol.EndDone, "").Ends).To(Equal([]bool{true}))
 	}
 
 	It("makes a step pending once every task that it depends on is done", func() {
@@ -90,7 +90,7 @@
 		due, _ := s.NextDueMs()
 		Expect(due).To(Equal(startMs + 700))
 		s.start("r1", 1, id(jobB, 0))
-		s.end("r1", id(jobB, 0), 1, jobs.OutcomeFailed, "")
+		s.end("r1", id(jobB, 0), 1, protocol.EndFailed, "")
 		_, ok := s.NextDueMs()
 		Expect(ok).To(BeFalse())
 		s.pass(10_000)
--- a/internal/cluster/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -1,6 +1,10 @@
 package jobs
 
-import "strings"
+import (
+	"strings"
+
+	"ospreypond/internal/cluster/protocol"
+)
 
 // applyStarts applies the starts of a command. Those of a gang are applied all or none.
 func (s *State) applyStarts(starts []Start) {
@@ -52,7 +56,7 @@
 	task.Group.Running++
 	job := task.Group.Job
 	job.running++
-	job.State = JobRunning
+	job.State = protocol.JobRunning
 	s.counters.Running++
 	s.counters.Started++
 }
@@ -90,7 +94,7 @@
 	s.counters.Lost++
 	s.detachFromRunner(task, record)
 	keepCheckpointOfLoss(task, loss.Checkpoint)
-	s.transitionAfterRun(task, OutcomeLapsed)
+	s.transitionAfterRun(task, protocol.EndLapsed)
 	return true
 }
 
--- a/internal/cluster/jobs/runs_test.go
+++ b/internal/cluster/jobs/runs_test.go
@@ -11,12 +11,12 @@
 )
 
 var _ = DescribeTable("the phase of a task after the end of its run",
-	func(outcome jobs.Outcome, phase jobs.Phase, state string, attempts int, change ...func(*protocol.Step)) {
+	func(outcome string, phase jobs.Phase, state string, attempts int, change ...func(*protocol.Step)) {
 		s := newShard()
 		s.submit(jobA, 2, step(2, change...))
 		s.start("r1", 1, id(jobA, 0))
 		task := s.Task(id(jobA, 0))
-		effects := s.end("r1", id(jobA, 0), 1, outcome, "")
+		effects := s.end("r1", id(jobA, 0), 1, protocol.RunEnd(outcome), "")
 		Expect(effects.Ends).To(Equal([]bool{true}))
 		Expect(effects.EndedRuns).To(Equal([]*jobs.Task{task}))
 		Expect(s.phase(id(jobA, 0))).To(Equal(phase))
@@ -26,16 +26,16 @@
 		Expect(s.runsOn("r1")).To(BeEmpty())
 		Expect(s.LastSeen("r1")).To(Equal(uint64(1)))
 	},
-	Entry("done", jobs.OutcomeDone, jobs.Done, protocol.JobRunning, 0),
-	Entry("failed", jobs.OutcomeFailed, jobs.Pending, protocol.JobRunning, 1),
-	Entry("stopped", jobs.OutcomeStopped, jobs.Pending, protocol.JobRunning, 0),
-	Entry("lapsed", jobs.OutcomeLapsed, jobs.Pending, protocol.JobRunning, 0),
-	Entry("broken", jobs.OutcomeBroken, jobs.Pending, protocol.JobRunning, 0),
-	Entry("alone", jobs.OutcomeAlone, jobs.Pending, protocol.JobRunning, 0),
-	Entry("refused", jobs.OutcomeRefused, jobs.Pending, protocol.JobRunning, 0),
-	Entry("an unknown outcome", jobs.Outcome("vanished"), jobs.Pending, protocol.JobRunning, 0),
-	Entry("done, long-running", jobs.OutcomeDone, jobs.Pending, protocol.JobRunning, 0, longRunning),
-	Entry("failed, long-running", jobs.OutcomeFailed, jobs.Pending, protocol.JobRunning, 0, longRunning),
+	Entry("done", protocol.EndDone, jobs.Done, protocol.JobRunning, 0),
+	Entry("failed", protocol.EndFailed, jobs.Pending, protocol.JobRunning, 1),
+	Entry("stopped", protocol.EndStopped, jobs.Pending, protocol.JobRunning, 0),
+	Entry("lapsed", protocol.EndLapsed, jobs.Pending, protocol.JobRunning, 0),
+	Entry("broken", protocol.EndBroken, jobs.Pending, protocol.JobRunning, 0),
+	Entry("alone", protocol.EndAlone, jobs.Pending, protocol.JobRunning, 0),
+	Entry("refused", protocol.EndRefused, jobs.Pending, protocol.JobRunning, 0),
+	Entry("an unknown outcome", "vanished", jobs.Pending, protocol.JobRunning, 0),
+	Entry("done, long-running", protocol.EndDone, jobs.Pending, protocol.JobRunning, 0, longRunning),
+	Entry("failed, long-running", protocol.EndFailed, jobs.Pending, protocol.JobRunning, 0, longRunning),
 )
 
 var _ = Describe("runs", func() {
@@ -60,11 +60,11 @@
 		Entry("of a running task", func() { s.start("r1", 1, id(jobA, 0)) }, id(jobA, 0), uint64(2)),
 		Entry("of a task that is done", func() {
 			s.start("r1", 1, id(jobA, 0))
-			s.end("r1", id(jobA, 0), 1, jobs.OutcomeDone, "")
+			s.end("r1", id(jobA, 0), 1, protocol.EndDone, "")
 		}, id(jobA, 0), uint64(2)),
 		Entry("with an old run", func() {
 			s.start("r1", 1, id(jobA, 0))
-			s.end("r1", id(jobA, 0), 1, jobs.OutcomeStopped, "")
+			s.end("r1", id(jobA, 0), 1, protocol.EndStopped, "")
 		}, id(jobA, 0), uint64(1)),
 		Entry("of a cancelled job", func() { s.cancel(jobA) }, id(jobA, 0), uint64(1)),
 	)
@@ -81,7 +81,7 @@
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
 		effects := s.do(&jobs.Command{
-			Ends:   []jobs.End{{Runner: "r1", N: 1, Task: id(jobA, 0), Run: 1, Outcome: jobs.OutcomeStopped}},
+			Ends:   []jobs.End{{Runner: "r1", N: 1, Task: id(jobA, 0), Run: 1, Outcome: protocol.EndStopped}},
 			Starts: []jobs.Start{{Task: id(jobA, 0), Run: 2, Runner: "r2"}},
 		})
 		Expect(effects.Ends).To(Equal([]bool{true}))
@@ -95,9 +95,9 @@
 			s.start("r1", 1, id(jobA, 0))
 			s.lose("r1", id(jobA, 0), 1, "")
 			s.start("r2", 2, id(jobA, 0))
-			s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r2", N: 5, Task: id(jobB, 0), Run: 1, Outcome: jobs.OutcomeDone}}})
+			s.do(&jobs.Command{Ends: []jobs.End{{Runner: "r2", N: 5, Task: id(jobB, 0), Run: 1, Outcome: protocol.EndDone}}})
 			effects := s.do(&jobs.Command{Ends: []jobs.End{
-				{Runner: runner, N: n, Task: id(jobA, 0), Run: run, Outcome: jobs.OutcomeDone},
+				{Runner: runner, N: n, Task: id(jobA, 0), Run: run, Outcome: protocol.EndDone},
 			}})
 			Expect(effects.Ends).To(Equal([]bool{false}))
 			Expect(s.phase(id(jobA, 0))).To(Equal(jobs.Running))
@@ -133,18 +133,18 @@
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
 		s.lose("r1", id(jobA, 0), 1, "")
-		Expect(s.end("", id(jobA, 0), 1, jobs.OutcomeDone, "").Ends).To(Equal([]bool{false}))
+		Expect(s.end("", id(jobA, 0), 1, protocol.EndDone, "").Ends).To(Equal([]bool{false}))
 		Expect(s.phase(id(jobA, 0))).To(Equal(jobs.Pending))
 	})
 
 	It("fails a job with the last attempt of a task, and cancels the rest", func() {
 		s.submit(jobA, 2, step(3), step(1, after(0)))
 		s.start("r1", 1, id(jobA, 0), id(jobA, 1))
-		s.end("r1", id(jobA, 0), 1, jobs.OutcomeFailed, "")
+		s.end("r1", id(jobA, 0), 1, protocol.EndFailed, "")
 		s.start("r2", 2, id(jobA, 0))
 		task, blocked := s.Task(id(jobA, 0)), s.Task(id(jobA, 1, 0))
 		running, pending := s.Task(id(jobA, 1)), s.Task(id(jobA, 2))
-		effects := s.end("r2", id(jobA, 0), 2, jobs.OutcomeFailed, "")
+		effects := s.end("r2", id(jobA, 0), 2, protocol.EndFailed, "")
 		Expect(effects.EndedJobs).To(HaveLen(1))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobFailed))
 		Expect(task.Phase).To(Equal(jobs.Failed))
@@ -154,7 +154,7 @@
 		Expect(s.PendingCount()).To(Equal(0))
 		Expect(s.Job(jobA).Groups).NotTo(BeEmpty())
 
-		s.end("r1", running.ID, 1, jobs.OutcomeDone, "")
+		s.end("r1", running.ID, 1, protocol.EndDone, "")
 		Expect(running.Phase).To(Equal(jobs.Cancelled))
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobFailed))
 		Expect(s.Job(jobA).Groups).To(BeEmpty())
@@ -167,8 +167,8 @@
 		s.submit(jobB, 1, step(1, longRunning))
 		for run := uint64(1); run <= 20; run++ {
 			s.start("r1", run, id(jobA, 0), id(jobB, 0))
-			s.end("r1", id(jobA, 0), run, jobs.OutcomeFailed, "")
-			s.end("r1", id(jobB, 0), run, jobs.OutcomeFailed, "")
+			s.end("r1", id(jobA, 0), run, protocol.EndFailed, "")
+			s.end("r1", id(jobB, 0), run, protocol.EndFailed, "")
 		}
 		Expect(s.pendingIDs()).To(ConsistOf(jobA+".0.0.0", jobB+".0.0.0"))
 	})
@@ -192,7 +192,7 @@
 	It("keeps a completed job completed when it is cancelled", func() {
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
-		s.end("r1", id(jobA, 0), 1, jobs.OutcomeDone, "")
+		s.end("r1", id(jobA, 0), 1, protocol.EndDone, "")
 		Expect(s.cancel(jobA)).To(BeTrue())
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCompleted))
 	})
@@ -203,7 +203,7 @@
 			for i, text := range checkpoints {
 				s.start("r1", uint64(i+1), id(jobA, 0))
 				if i%2 == 0 {
-					s.end("r1", id(jobA, 0), uint64(i+1), jobs.OutcomeFailed, text)
+					s.end("r1", id(jobA, 0), uint64(i+1), protocol.EndFailed, text)
 				} else {
 					s.lose("r1", id(jobA, 0), uint64(i+1), text)
 				}
@@ -225,7 +225,7 @@
 		s.pass(10)
 		s.do(&jobs.Command{Submits: []jobs.Submit{{ID: jobC, Queue: first, Job: one}}})
 		s.start("r1", 1, id(jobB, 0))
-		s.end("r1", id(jobB, 0), 1, jobs.OutcomeStopped, "")
+		s.end("r1", id(jobB, 0), 1, protocol.EndStopped, "")
 		Expect(s.pendingIDs()).To(Equal([]string{jobC + ".0.0.0", jobB + ".0.0.1", jobB + ".0.0.0", jobA + ".0.0.0"}))
 		Expect(s.Task(id(jobB, 0)).PendingSinceMs).To(Equal(startMs + 10))
 		seen := 0
@@ -237,7 +237,7 @@
 		s.submit(jobA, 2, step(2))
 		s.start("r1", 1, id(jobA, 0))
 		s.start("r2", 1, id(jobA, 1))
-		s.end("r2", id(jobA, 1), 1, jobs.OutcomeDone, "")
+		s.end("r2", id(jobA, 1), 1, protocol.EndDone, "")
 		s.passInSteps(10*time.Minute + 5*time.Second)
 		Expect(s.LastSeen("r2")).To(Equal(uint64(0)))
 		Expect(s.Counters().Runners).To(Equal(1))
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -5,6 +5,8 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"ospreypond/internal/cluster/protocol"
 )
 
 // The first byte of a snapshot is the version of its encoding.
@@ -14,12 +16,12 @@
 )
 
 // jobStateCodes are the states of a job; their positions are their numbers in a snapshot.
-var jobStateCodes = [...]JobState{
-	JobQueued,
-	JobRunning,
-	JobCompleted,
-	JobFailed,
-	JobCancelled,
+var jobStateCodes = [...]protocol.JobState{
+	protocol.JobQueued,
+	protocol.JobRunning,
+	protocol.JobCompleted,
+	protocol.JobFailed,
+	protocol.JobCancelled,
 }
 
 // Snapshot returns the complete state. Equal states give equal bytes. The error is always nil.
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -93,7 +93,7 @@
 }
 
 // StateOf returns the job's state as shown to clients, and whether the job is known.
-func (s *State) StateOf(id string) (state JobState, known bool) {
+func (s *State) StateOf(id string) (state protocol.JobState, known bool) {
 	job := s.jobs[id]
 	if job == nil {
 		return "", false
--- a/internal/cluster/jobs/submit.go
+++ b/internal/cluster/jobs/submit.go
@@ -32,7 +32,7 @@
 		ID:         strings.Clone(submit.ID),
 		Queue:      s.sharedQueue(submit.Queue),
 		Spec:       cloneSpec(&submit.Job),
-		State:      JobQueued,
+		State:      protocol.JobQueued,
 		AcceptedMs: s.clockMs,
 		dueIndex:   notScheduled,
 	}
--- a/internal/cluster/jobs/submit_test.go
+++ b/internal/cluster/jobs/submit_test.go
@@ -144,7 +144,7 @@
 		s.passInSteps(10 * time.Minute)
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCancelled))
 		Expect(s.runsOn("r1")).To(HaveLen(1))
-		s.end("r1", id(jobA, 0), 1, jobs.OutcomeStopped, "")
+		s.end("r1", id(jobA, 0), 1, protocol.EndStopped, "")
 		s.passInSteps(10 * time.Minute)
 		Expect(s.stateOf(jobA)).To(Equal("unknown"))
 	})
@@ -153,7 +153,7 @@
 		effects := s.submit(jobA, 2, step(1))
 		task := effects.Pending[0]
 		s.start("r1", 1, task.ID)
-		effects = s.end("r1", task.ID, 1, jobs.OutcomeDone, "")
+		effects = s.end("r1", task.ID, 1, protocol.EndDone, "")
 		Expect(effects.EndedRuns).To(Equal([]*jobs.Task{task}))
 		Expect(effects.EndedJobs).To(HaveLen(1))
 		Expect(effects.EndedJobs[0].Spec.Steps).To(HaveLen(1))
--- a/internal/cluster/jobs/transitions.go
+++ b/internal/cluster/jobs/transitions.go
@@ -1,5 +1,7 @@
 package jobs
 
+import "ospreypond/internal/cluster/protocol"
+
 // This file has the transitions of tasks and jobs between their phases and states; gang.go those that are a gang's alone.
 
 // release makes a group's tasks Pending for the first time.
@@ -28,7 +30,7 @@
 }
 
 // transitionAfterRun gives a task whose run has just ended its next phase.
-func (s *State) transitionAfterRun(task *Task, outcome Outcome) {
+func (s *State) transitionAfterRun(task *Task, outcome protocol.RunEnd) {
 	job := task.Group.Job
 	switch {
 	case job.Ended():
@@ -38,9 +40,9 @@
 		s.transitionGangMember(task, outcome)
 	case task.Group.Spec().LongRunning:
 		s.makePending(task)
-	case outcome == OutcomeDone:
+	case outcome == protocol.EndDone:
 		s.completeTask(task)
-	case outcome == OutcomeFailed:
+	case outcome == protocol.EndFailed:
 		s.countFailedAttempt(task)
 	default:
 		s.makePending(task)
@@ -104,12 +106,12 @@
 
 func (s *State) failJob(job *Job) {
 	s.counters.Failed++
-	s.abandon(job, JobFailed)
+	s.abandon(job, protocol.JobFailed)
 }
 
 // abandon ends a job as failed or cancelled: no task of it is started any more, and tasks with a run stay Running until
 // its end or loss.
-func (s *State) abandon(job *Job, state JobState) {
+func (s *State) abandon(job *Job, state protocol.JobState) {
 	for _, group := range job.Groups {
 		for _, task := range group.Tasks {
 			s.abandonTask(task)
@@ -130,7 +132,7 @@
 }
 
 // endJob puts a job into its final state, which is retained for a time.
-func (s *State) endJob(job *Job, state JobState) {
+func (s *State) endJob(job *Job, state protocol.JobState) {
 	job.State = state
 	job.EndedMs = s.clockMs
 	s.dueJobs.unschedule(job)
--- a/internal/cluster/latency/job.go
+++ b/internal/cluster/latency/job.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 // JobSummary is why a job that has ended took its time: the reasons along its longest chain of dependent steps.
@@ -26,7 +27,7 @@
 	for _, record := range records {
 		delete(r.groups, record.group)
 	}
-	if job.Spec.Repetitions > 0 || job.State == jobs.JobCancelled {
+	if job.Spec.Repetitions > 0 || job.State == protocol.JobCancelled {
 		return JobSummary{}, false
 	}
 	summary = JobSummary{Took: took}
--- a/internal/cluster/scheduler/health.go
+++ b/internal/cluster/scheduler/health.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 const (
@@ -78,16 +79,16 @@
 }
 
 // learn updates the runner's history and the predictor of runtimes by the end of a run.
-func (o *Owner) learn(now time.Duration, r *runner, key runKey, outcome jobs.Outcome) {
+func (o *Owner) learn(now time.Duration, r *runner, key runKey, outcome protocol.RunEnd) {
 	task := o.state.Task(key.task)
 	if task == nil || task.Run != key.run || o.proposals.isEnding(key) {
 		return
 	}
 	switch outcome {
-	case jobs.OutcomeDone:
+	case protocol.EndDone:
 		r.history.addDone()
 		o.learnRuntime(now, r, key, task)
-	case jobs.OutcomeFailed:
+	case protocol.EndFailed:
 		r.history.addFailed(o.faults.failureWeight(task.ID.Job, r.instance))
 	}
 }
--- a/internal/cluster/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -23,7 +23,7 @@
 		if task.Phase != jobs.Running || o.proposals.isEnding(key) || r.lists(key) {
 			continue
 		}
-		abandoned := task.Group.Job.State.IsAbandoned()
+		abandoned := task.Group.Job.Abandoned()
 		withdrawn := r.isDraining || r.isStopping(key) || o.isStartOverdue(now, r, task)
 		switch {
 		case !abandoned && !withdrawn:
--- a/internal/cluster/scheduler/losses_test.go
+++ b/internal/cluster/scheduler/losses_test.go
@@ -7,7 +7,6 @@
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/failure"
-	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 )
 
@@ -44,7 +43,7 @@
 			heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: heartbeat.Rejected[0].Task, Run: 1, How: protocol.EndDone}}
 		})
 		state, _ := w.state.StateOf(id)
-		Expect(state).To(Equal(jobs.JobCompleted))
+		Expect(string(state)).To(Equal(protocol.JobCompleted))
 		Expect(w.owner.Counters().Losses).To(BeZero())
 	})
 
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -60,7 +60,7 @@
 // isToStart reports whether a run that may exist on the runner is to be started there.
 func (o *Owner) isToStart(r *runner, task *jobs.Task) bool {
 	key := runKey{task.ID, task.Run}
-	if task.Phase != jobs.Running || o.proposals.isEnding(key) || task.Group.Job.State.IsAbandoned() || r.isDraining {
+	if task.Phase != jobs.Running || o.proposals.isEnding(key) || task.Group.Job.Abandoned() || r.isDraining {
 		return false
 	}
 	return !r.lists(key) && !r.isStopping(key)
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -7,7 +7,6 @@
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/failure"
-	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 )
 
@@ -55,7 +54,7 @@
 		orders = w.orders(ended)
 		Expect(orders.LastSeen).To(Equal(uint64(1)))
 		state, _ := w.state.StateOf(id)
-		Expect(state).To(Equal(jobs.JobCompleted))
+		Expect(string(state)).To(Equal(protocol.JobCompleted))
 	})
 
 	It("never orders more than a runner has capacity for, runs that are being stopped included", func() {
@@ -195,7 +194,7 @@
 		w.now++ // the next step: their times rise
 		var got error
 		answered := false
-		w.owner.Status(w.now, id, func(_ string, err error) { answered, got = true, err })
+		w.owner.Status(w.now, id, func(_ protocol.JobState, err error) { answered, got = true, err })
 		w.passUnconfirmed(10 * time.Millisecond)
 		Expect(answered).To(BeFalse())
 		w.pass(10 * time.Millisecond)
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -19,12 +19,12 @@
 type result struct {
 	replied bool
 	kind    failure.Kind
-	state   string
+	state   protocol.JobState
 	count   int
 	known   bool
 }
 
-func (r *result) status(state string, err error) {
+func (r *result) status(state protocol.JobState, err error) {
 	r.replied, r.state, r.kind = true, state, failure.KindOf(err)
 }
 
--- a/internal/cluster/scheduler/reports.go
+++ b/internal/cluster/scheduler/reports.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			continue
 		}
-		key, outcome := runKey{id, finished.Run}, jobs.Outcome(finished.How)
+		key, outcome := runKey{id, finished.Run}, finished.How
 		o.learn(now, r, key, outcome)
 		run := r.runRecord(now, key, reasonOf(outcome))
 		delete(r.stops, key)
@@ -76,7 +76,7 @@
 	if task == nil || task.Run != key.run || task.Runner != r.instance {
 		return o.isLingering(r, key)
 	}
-	return task.Phase == jobs.Running && !task.Group.Job.State.IsAbandoned()
+	return task.Phase == jobs.Running && !task.Group.Job.Abandoned()
 }
 
 // isLingering reports whether the gang of a run is done: it ends by itself.
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -5,6 +5,7 @@
 
 	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/jobs"
+	"ospreypond/internal/cluster/protocol"
 )
 
 var (
@@ -92,13 +93,13 @@
 
 // Status asks for a job's state. That a job has ended is committed and stays true, so it is answered at once. All else may
 // be out of date here, and is answered once leadership was confirmed after the question came.
-func (o *Owner) Status(now time.Duration, id string, reply func(state string, err error)) {
+func (o *Owner) Status(now time.Duration, id string, reply func(state protocol.JobState, err error)) {
 	if !o.leadership.isLeader {
 		reply("", errNotLeader)
 		return
 	}
-	if state, _ := o.state.StateOf(id); state.HasEnded() {
-		reply(string(state), nil)
+	if state, _ := o.state.StateOf(id); protocol.JobEnded(state) {
+		reply(state, nil)
 		return
 	}
 	o.reads.add(now, func(err error) {
@@ -111,7 +112,7 @@
 			reply("", errNoSuchJob)
 			return
 		}
-		reply(string(state), nil)
+		reply(state, nil)
 	})
 }
 
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -18,7 +18,7 @@
 type LateJob struct {
 	ID    string
 	Queue string
-	State jobs.JobState
+	State protocol.JobState
 	latency.JobSummary
 }
 
@@ -123,13 +123,13 @@
 }
 
 // reasonOf returns what the time of a run counts as, by its outcome.
-func reasonOf(outcome jobs.Outcome) latency.Reason {
+func reasonOf(outcome protocol.RunEnd) latency.Reason {
 	switch outcome {
-	case jobs.OutcomeDone:
+	case protocol.EndDone:
 		return latency.Running
-	case jobs.OutcomeFailed:
+	case protocol.EndFailed:
 		return latency.Failed
-	case jobs.OutcomeLapsed:
+	case protocol.EndLapsed:
 		return latency.Lost
 	default:
 		return latency.Stopped
