--- a/internal/cluster/jobs/repetitions.go
+++ b/internal/cluster/jobs/repetitions.go
@@ -1,8 +1,10 @@
 package jobs
 
-import "ospreypond/internal/cluster/protocol"
+import (
+	"slices"
 
-import "slices"
+	"ospreypond/internal/cluster/protocol"
+)
 
 // maxOpenTasks limits the tasks of a job's open repetitions: those that are due and not complete. Repetitions that fall
 // due beyond it are opened as earlier ones complete.
