--- a/internal/cluster/transport/answers_test.go
+++ b/internal/cluster/transport/answers_test.go
@@ -14,7 +14,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// lingering is a connection whose reads go on after it was closed, as bytes do that the kernel has handed over before.
+// lingering is a connection whose reads go on after it was closed, as for bytes that the kernel has received before.
 type lingering struct {
 	net.Conn
 	closed chan struct{}
@@ -37,13 +37,13 @@
 	if err != nil {
 		return nil, err
 	}
-	kept := &lingering{Conn: conn, closed: make(chan struct{})}
-	p.near <- kept
-	return kept, nil
+	near := &lingering{Conn: conn, closed: make(chan struct{})}
+	p.near <- near
+	return near, nil
 }
 
-// asked reads the next request and returns its number.
-func asked(in *inbox) uint64 {
+// nextRequest reads the next request and returns its id.
+func nextRequest(in *inbox) uint64 {
 	GinkgoHelper()
 	h, err := in.next()
 	Expect(err).NotTo(HaveOccurred())
@@ -52,30 +52,30 @@
 	return h.id
 }
 
-// answerer is the server's half of a pipe: what it sends comes from an outbox of its own.
-type answerer struct {
+// responder is the server's end of a pipe, with an outbox of its own.
+type responder struct {
 	far net.Conn
 	out *outbox
 }
 
-func newAnswerer(far net.Conn) *answerer {
-	a := &answerer{far: far}
-	a.out = newOutbox(StandardMaxFrameBytes, StandardMaxQueueBytes, time.Second, "", func() {})
+func newResponder(far net.Conn) *responder {
+	a := &responder{far: far}
+	a.out = newOutbox(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Second, "", func() {})
 	a.out.attach(far)
 	return a
 }
 
-func (a *answerer) answer(id uint64, text string) {
+func (a *responder) respond(id uint64, text string) {
 	_, err := a.out.put(header{kind: frameResponse, id: id}, &reply{Text: text})
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// meet reads the client's greeting and answers with an outbox's.
-func meet(far net.Conn) (*inbox, *answerer) {
-	in := newInbox(far, StandardMaxFrameBytes)
+// greetClient reads the client's greeting and sends the server's.
+func greetClient(far net.Conn) (*inbox, *responder) {
+	in := newInbox(far, DefaultMaxFrameBytes)
 	_, err := in.greeting()
 	Expect(err).NotTo(HaveOccurred())
-	return in, newAnswerer(far)
+	return in, newResponder(far)
 }
 
 // outcome is the end of a call.
@@ -84,16 +84,16 @@
 	Err  error
 }
 
-// askAside starts a call and returns where its end comes out.
-func askAside(ctx context.Context, client *Client, long bool) <-chan outcome {
+// startCallAside starts a call and returns where its outcome will be.
+func startCallAside(ctx context.Context, client *Client, long bool) <-chan outcome {
 	ended := make(chan outcome, 1)
 	go func() {
 		response := new(reply)
-		ask := client.Do
+		do := client.Do
 		if long {
-			ask = client.DoLong
+			do = client.DoLong
 		}
-		err := ask(ctx, "a", &question{Text: "?"}, response)
+		err := do(ctx, "a", &question{Text: "?"}, response)
 		if err != nil {
 			ended <- outcome{Err: err}
 			return
@@ -103,66 +103,66 @@
 	return ended
 }
 
-var _ = Describe("An answer", func() {
+var _ = Describe("A response", func() {
 	ctx := context.Background()
 
-	It("reaches the call of its number, whatever the order, and no call twice", func() {
+	It("reaches the call of its id, in any order, and no call twice", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
-		first := askAside(ctx, client, false)
-		in, server := meet(dialed.end())
-		one := asked(in)
-		second := askAside(ctx, client, false)
-		two := asked(in)
+		first := startCallAside(ctx, client, false)
+		in, server := greetClient(dialed.end())
+		one := nextRequest(in)
+		second := startCallAside(ctx, client, false)
+		two := nextRequest(in)
 		Expect(two).To(BeNumerically(">", one))
-		server.answer(two, "second")
-		server.answer(two, "second again")
-		server.answer(one, "first")
+		server.respond(two, "second")
+		server.respond(two, "second again")
+		server.respond(one, "first")
 		Eventually(second).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "second"})))
 		Eventually(first).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "first"})))
 	})
 
-	It("to a call that was given up reaches no later one: numbers are not used again on a connection", func() {
+	It("to an abandoned call reaches no later one: ids are not reused on a connection", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
 		waiting, giveUp := context.WithCancel(ctx)
-		first := askAside(waiting, client, false)
-		in, server := meet(dialed.end())
-		one := asked(in)
+		first := startCallAside(waiting, client, false)
+		in, server := greetClient(dialed.end())
+		one := nextRequest(in)
 		giveUp()
 		Eventually(first).WithTimeout(soon).Should(Receive(HaveField("Err", HaveOccurred())))
-		second := askAside(ctx, client, false)
-		two := asked(in)
+		second := startCallAside(ctx, client, false)
+		two := nextRequest(in)
 		Expect(two).NotTo(Equal(one))
-		server.answer(one, "late")
-		server.answer(two, "on time")
+		server.respond(one, "late")
+		server.respond(two, "on time")
 		Eventually(second).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "on time"})))
 	})
 
-	It("on a connection that was given up reaches no call of the next, whose numbers begin anew", func() {
+	It("on an abandoned connection reaches no call of the next one, whose ids begin anew", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := &lingeringPipes{pipes: newPipes(), near: make(chan *lingering, 10)}
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Clock: clock})
 		bounded, cancel := clockwork.WithTimeout(ctx, clock, time.Second)
 		defer cancel()
-		first := askAside(bounded, client, true)
-		before, oldServer := meet(dialed.end())
-		one := asked(before)
+		first := startCallAside(bounded, client, true)
+		before, oldServer := greetClient(dialed.end())
+		one := nextRequest(before)
 		var old *lingering
 		Eventually(dialed.near).WithTimeout(soon).Should(Receive(&old))
-		Eventually(func() bool { return isStanding(client, "a") }).WithTimeout(soon).Should(BeTrue())
+		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		setReadsBefore(client, "a")
 		clock.Advance(time.Second) // nothing was heard: the connection is cut
 		Eventually(first).WithTimeout(soon).Should(Receive(HaveField("Err", HaveOccurred())))
 		Eventually(old.closed).WithTimeout(soon).Should(BeClosed())
 
-		second := askAside(ctx, client, false)
-		in, server := meet(dialed.end())
-		two := asked(in)
+		second := startCallAside(ctx, client, false)
+		in, server := greetClient(dialed.end())
+		two := nextRequest(in)
 		Expect(two).To(Equal(one), "as after a restart of the peer")
-		oldServer.answer(one, "of the past")
+		oldServer.respond(one, "of the past")
 		Consistently(second, 30*time.Millisecond).ShouldNot(Receive())
-		server.answer(two, "of the present")
+		server.respond(two, "of the present")
 		Eventually(second).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "of the present"})))
 	})
 })
@@ -174,29 +174,29 @@
 		func(end func(far net.Conn), kind failure.Kind) {
 			dialed := newPipes()
 			client := newTestClient(ClientOptions{Dial: dialed.dial})
-			ended := askAside(ctx, client, false)
+			ended := startCallAside(ctx, client, false)
 			far := dialed.end()
-			in, _ := meet(far)
-			asked(in)
-			Eventually(func() bool { return isStanding(client, "a") }).WithTimeout(soon).Should(BeTrue())
+			in, _ := greetClient(far)
+			nextRequest(in)
+			Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 			end(far)
 			var got outcome
 			Eventually(ended).WithTimeout(soon).Should(Receive(&got))
 			Expect(failure.KindOf(got.Err)).To(Equal(kind))
 			Consistently(dialed.ends, 30*time.Millisecond).ShouldNot(Receive(), "nothing connects to send it again")
 
-			next := askAside(ctx, client, false)
-			again, server := meet(dialed.end())
-			server.answer(asked(again), "next")
+			next := startCallAside(ctx, client, false)
+			reconnected, server := greetClient(dialed.end())
+			server.respond(nextRequest(reconnected), "next")
 			Eventually(next).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "next"})))
 		},
-		Entry("closed", func(far net.Conn) { far.Close() }, failure.UnknownOutcome),
+		Entry("closed", func(far net.Conn) { Expect(far.Close()).To(Succeed()) }, failure.UnknownOutcome),
 		Entry("closed within a frame", func(far net.Conn) {
 			_, err := far.Write([]byte{0, 0, 0, 9, byte(frameResponse)})
 			Expect(err).NotTo(HaveOccurred())
-			far.Close()
+			Expect(far.Close()).To(Succeed())
 		}, failure.UnknownOutcome),
-		Entry("cut for an answer to nobody of this protocol", func(far net.Conn) {
+		Entry("closed after a response of another protocol", func(far net.Conn) {
 			_, err := io.WriteString(far, "HTTP/1.1 400 Bad Request\r\n\r\n")
 			Expect(err).To(Or(BeNil(), MatchError(io.ErrClosedPipe)))
 		}, failure.UnknownOutcome),
--- a/internal/cluster/transport/bench_test.go
+++ b/internal/cluster/transport/bench_test.go
@@ -6,9 +6,10 @@
 )
 
 func benchmarkServer(b *testing.B) (address string) {
+	b.Helper()
 	server := NewServer(Options{})
-	HandleAsync(server, func(_ string, q *question, answer func(*reply, error)) {
-		answer(&reply{Text: q.Text, Inner: inner{Values: []int{q.Number}}}, nil)
+	HandleAsync(server, func(_ string, q *question, respond func(*reply, error)) {
+		respond(&reply{Text: q.Text, Inner: inner{Values: []int{q.Number}}}, nil)
 	})
 	HandleOneWay(server, func(string, *notice) {})
 	listener, err := Listen(context.Background(), "127.0.0.1:0")
--- a/internal/cluster/transport/calls_test.go
+++ b/internal/cluster/transport/calls_test.go
@@ -27,22 +27,22 @@
 		address := serve(server)
 		client := newTestClient(ClientOptions{Name: "sur-1"})
 		for i := range 3 {
-			answer, err := Call[question, reply](ctx, client, address, &question{Text: "hello", Number: i})
+			response, err := Call[question, reply](ctx, client, address, &question{Text: "hello", Number: i})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer).To(Equal(&reply{Text: "sur-1 hello false", Inner: inner{Values: []int{i}}}))
+			Expect(response).To(Equal(&reply{Text: "sur-1 hello false", Inner: inner{Values: []int{i}}}))
 		}
 		bounded, cancel := context.WithTimeout(ctx, time.Hour)
 		defer cancel()
-		answer, err := Call[question, reply](bounded, client, address, &question{})
+		response, err := Call[question, reply](bounded, client, address, &question{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal("sur-1  true"))
+		Expect(response.Text).To(Equal("sur-1  true"))
 	})
 
 	It("are answered out of order", func() {
 		server := NewServer(Options{})
 		replies := map[int]func(*reply, error){}
-		HandleAsync(server, func(_ string, q *question, answer func(*reply, error)) {
-			replies[q.Number] = answer
+		HandleAsync(server, func(_ string, q *question, respond func(*reply, error)) {
+			replies[q.Number] = respond
 			if len(replies) < 3 {
 				return
 			}
@@ -57,15 +57,15 @@
 		for number := range 3 {
 			group.Go(func() {
 				defer GinkgoRecover()
-				answer, err := Call[question, reply](ctx, client, address, &question{Number: number})
+				response, err := Call[question, reply](ctx, client, address, &question{Number: number})
 				Expect(err).NotTo(HaveOccurred())
-				Expect(answer.Text).To(Equal(fmt.Sprint(number)))
+				Expect(response.Text).To(Equal(fmt.Sprint(number)))
 			})
 		}
 		group.Wait()
 	})
 
-	It("may carry nothing either way", func() {
+	It("may have a request or response without fields", func() {
 		server := NewServer(Options{})
 		Handle(server, func(context.Context, string, *nothing) (*nothing, error) { return nil, nil })
 		Handle(server, func(context.Context, string, *question) (*nothing, error) { return &nothing{}, nil })
@@ -77,7 +77,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("bring the error's kind, message and leader",
+	DescribeTable("return the error's kind, message and leader",
 		func(given error, kind failure.Kind, message, leader string) {
 			server := NewServer(Options{})
 			Handle(server, func(context.Context, string, *question) (*reply, error) { return nil, given })
@@ -94,7 +94,7 @@
 		Entry("of no kind", errors.New("disk on fire"), failure.UnknownOutcome, "disk on fire", ""),
 	)
 
-	It("to what nobody handles are Unavailable, and spoil nothing for the next", func() {
+	It("without a handler are Unavailable, and do not affect the next", func() {
 		server := NewServer(Options{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
@@ -102,12 +102,12 @@
 		_, err := Call[notice, reply](ctx, client, address, &notice{Text: "x", Inner: inner{Values: []int{1}}})
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
 		Expect(err.Error()).To(ContainSubstring("transport.notice"))
-		answer, err := Call[question, reply](ctx, client, address, &question{Text: "next"})
+		response, err := Call[question, reply](ctx, client, address, &question{Text: "next"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal("next"))
+		Expect(response.Text).To(Equal("next"))
 	})
 
-	It("that are answered by another type have an unknown outcome, and spoil nothing for the next", func() {
+	It("that are answered by another type have an unknown outcome, and do not affect the next", func() {
 		server := NewServer(Options{})
 		Handle(server, func(context.Context, string, *question) (*notice, error) { return &notice{Text: "x"}, nil })
 		Handle(server, func(context.Context, string, *nothing) (*reply, error) { return &reply{Text: "fine"}, nil })
@@ -115,12 +115,12 @@
 		client := newTestClient(ClientOptions{})
 		_, err := Call[question, reply](ctx, client, address, &question{})
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
-		answer, err := Call[nothing, reply](ctx, client, address, &nothing{})
+		response, err := Call[nothing, reply](ctx, client, address, &nothing{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal("fine"))
+		Expect(response.Text).To(Equal("fine"))
 	})
 
-	It("that are too large are refused without harm to the connection", func() {
+	It("that are too large are refused, and do not affect the connection", func() {
 		server := NewServer(Options{MaxFrameBytes: 2000})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) {
 			return &reply{Text: strings.Repeat("x", q.Number)}, nil
@@ -135,13 +135,13 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.TooLarge))
 		_, err = Call[question, reply](ctx, client, address, &question{Number: 3000})
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
-		answer, err := Call[question, reply](ctx, client, address, &question{Number: 10})
+		response, err := Call[question, reply](ctx, client, address, &question{Number: 10})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(HaveLen(10))
+		Expect(response.Text).To(HaveLen(10))
 		Expect(dialed).To(Equal(1))
 	})
 
-	It("that gob cannot carry are refused without harm to the connection", func() {
+	It("that gob cannot encode are refused, and do not affect the connection", func() {
 		type holed struct{ Inner []*inner }
 		server := NewServer(Options{})
 		Handle(server, func(_ context.Context, _ string, h *holed) (*reply, error) {
@@ -151,17 +151,17 @@
 		client := newTestClient(ClientOptions{})
 		_, err := Call[holed, reply](ctx, client, address, &holed{Inner: []*inner{nil}})
 		Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
-		answer, err := Call[holed, reply](ctx, client, address, &holed{Inner: []*inner{{Values: []int{1}}}})
+		response, err := Call[holed, reply](ctx, client, address, &holed{Inner: []*inner{{Values: []int{1}}}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Inner.Values).To(Equal([]int{1}))
+		Expect(response.Inner.Values).To(Equal([]int{1}))
 	})
 
 	It("beyond the limit of goroutines are Unavailable", func() {
 		server := NewServer(Options{MaxHandlers: 1})
-		entered, leave := make(chan struct{}), make(chan struct{})
+		entered, release := make(chan struct{}), make(chan struct{})
 		Handle(server, func(context.Context, string, *question) (*reply, error) {
 			close(entered)
-			<-leave
+			<-release
 			return &reply{}, nil
 		})
 		address := serve(server)
@@ -174,14 +174,14 @@
 		Eventually(entered).WithTimeout(soon).Should(BeClosed())
 		_, err := Call[question, reply](ctx, client, address, &question{})
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
-		close(leave)
+		close(release)
 		Eventually(first).WithTimeout(soon).Should(Receive(BeNil()))
 	})
 
 	It("beyond the limit of open calls are Unavailable", func() {
 		server := NewServer(Options{MaxOutstanding: 1})
-		held := make(chan func(*reply, error), 2)
-		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
+		replies := make(chan func(*reply, error), 2)
+		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
 		address := serve(server)
 		client := newTestClient(ClientOptions{})
 		first := make(chan error, 1)
@@ -189,11 +189,11 @@
 			_, err := Call[question, reply](ctx, client, address, &question{})
 			first <- err
 		}()
-		var answer func(*reply, error)
-		Eventually(held).WithTimeout(soon).Should(Receive(&answer))
+		var respond func(*reply, error)
+		Eventually(replies).WithTimeout(soon).Should(Receive(&respond))
 		_, err := Call[question, reply](ctx, client, address, &question{})
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
-		answer(&reply{}, nil)
+		respond(&reply{}, nil)
 		Eventually(first).WithTimeout(soon).Should(Receive(BeNil()))
 	})
 })
@@ -209,9 +209,9 @@
 		Send(client, address, &notice{Text: "a"})
 		Send(client, address, &question{Text: "nobody wants this"})
 		Send(client, address, &notice{Text: "b"})
-		answer, err := Call[notice, reply](context.Background(), client, address, &notice{Text: "c"})
+		response, err := Call[notice, reply](context.Background(), client, address, &notice{Text: "c"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal("called"))
+		Expect(response.Text).To(Equal("called"))
 		Expect(texts).To(HaveLen(2))
 		Expect(<-texts).To(Equal("norte-1 a"))
 		Expect(<-texts).To(Equal("norte-1 b"))
--- a/internal/cluster/transport/client.go
+++ b/internal/cluster/transport/client.go
@@ -11,26 +11,27 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// Client calls other processes. It keeps one connection for each address, made when first needed.
+// Client calls other processes. It has one connection for each address.
 type Client struct {
 	options ClientOptions
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	mutex   sync.Mutex
-	peers   map[string]*peer
-	probing bool // the next probe is due
-	closed  bool
+	mutex          sync.Mutex
+	peers          map[string]*peer
+	probeScheduled bool // a probe is scheduled
+	closed         bool
 }
 
-// NewClient returns a client.
+// NewClient returns a client. It must be closed.
 func NewClient(options ClientOptions) *Client {
-	c := &Client{options: options.complete(), peers: map[string]*peer{}}
+	c := &Client{options: options.withDefaults(), peers: map[string]*peer{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// Close ends all connections and calls.
+// Close closes all connections and fails all calls. It does not wait for them; the goroutines of the connections end
+// at once, or after a dial that ignores its context.
 func (c *Client) Close() {
 	c.cancel()
 	c.mutex.Lock()
@@ -51,7 +52,7 @@
 	return c.closed
 }
 
-// Call sends request to the process at address and waits for its answer, until ctx ends. See Client.Do for the error.
+// Call sends request to the process at address and returns its response, or an error as Client.Do.
 func Call[Req, Resp any](ctx context.Context, c *Client, address string, request *Req) (*Resp, error) {
 	response := new(Resp)
 	if err := c.Do(ctx, address, request, response); err != nil {
@@ -60,7 +61,7 @@
 	return response, nil
 }
 
-// CallLong is Call for a long poll, see Client.DoLong.
+// CallLong is Call for a long poll; see Client.DoLong.
 func CallLong[Req, Resp any](ctx context.Context, c *Client, address string, request *Req) (*Resp, error) {
 	response := new(Resp)
 	if err := c.DoLong(ctx, address, request, response); err != nil {
@@ -69,7 +70,7 @@
 	return response, nil
 }
 
-// Send sends a message that wants no answer. It never waits; a message that cannot be queued is dropped.
+// Send sends a one-way message. It never blocks; a message that cannot be queued is dropped.
 func Send[Msg any](c *Client, address string, message *Msg) {
 	connection, err := c.connection(address)
 	if err != nil {
@@ -78,20 +79,21 @@
 	_, _ = connection.out.put(header{kind: frameMessage}, message)
 }
 
-// Do is Call with pointers to the request and to the response, which must not be used after an error. The error has the
-// kind and the leader that the peer's handler gave; or Unavailable if the request certainly was not handed over, or
-// UnknownOutcome if it may have been; or TooLarge or Invalid if it can't be sent.
+// Do calls the process at address, until ctx ends. request and response are pointers; response must not be used after
+// an error. The error is a failure.Error: with the kind and leader that the peer's handler returned; Unavailable if
+// the request certainly was not written completely; UnknownOutcome if it may have been; TooLarge or Invalid if it
+// cannot be sent.
 func (c *Client) Do(ctx context.Context, address string, request, response any) error {
-	return c.do(ctx, address, request, response, false)
+	return c.do(ctx, address, request, response, shortCall)
 }
 
-// DoLong is Do for a call whose answer the peer may hold back. While only such calls are out, the peer is not probed;
-// if ctx's deadline passes with nothing heard from the peer meanwhile, the connection is cut.
+// DoLong is Do for a call whose response the peer may delay, as for a long poll. While only such calls are pending,
+// the peer is not probed. If nothing at all was received from the peer until ctx's deadline, the connection is closed.
 func (c *Client) DoLong(ctx context.Context, address string, request, response any) error {
-	return c.do(ctx, address, request, response, true)
+	return c.do(ctx, address, request, response, longCall)
 }
 
-func (c *Client) do(ctx context.Context, address string, request, response any, long bool) error {
+func (c *Client) do(ctx context.Context, address string, request, response any, kind callKind) error {
 	select {
 	case <-ctx.Done():
 		return failure.Newf(failure.Unavailable, "%s: not asked: %v", address, ctx.Err())
@@ -101,26 +103,27 @@
 	if err != nil {
 		return err
 	}
-	waiting := &call{long: long, response: response, done: make(chan error, 1)}
-	waiting.responseName = reflect.TypeOf(response).Elem().String()
-	if long {
-		waiting.readsBefore = connection.reads()
+	pending := &call{kind: kind, response: response, done: make(chan error, 1)}
+	pending.responseName = reflect.TypeOf(response).Elem().String()
+	if kind == longCall {
+		pending.readsBefore = connection.reads()
 	}
-	id, err := connection.start(waiting, request, c.remaining(ctx))
+	id, err := connection.start(pending, request, c.remaining(ctx))
 	if err != nil {
 		return err
 	}
-	if !long {
-		c.startProbing()
+	if kind == shortCall {
+		c.scheduleProbe()
 	}
 	select {
-	case err := <-waiting.done:
+	case err := <-pending.done:
 		return err
 	case <-ctx.Done():
-		return c.giveUp(ctx, connection, waiting, id)
+		return c.abandon(ctx, connection, pending, id)
 	}
 }
 
+// remaining returns the time until ctx's deadline, at least 1 ms; 0 if there is no deadline.
 func (c *Client) remaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -129,29 +132,30 @@
 	return max(c.options.Clock.Until(deadline), time.Millisecond)
 }
 
-// giveUp ends a call whose ctx has ended.
-func (c *Client) giveUp(ctx context.Context, from *connection, waiting *call, id uint64) error {
-	gone, neverLeft := from.giveUp(id)
-	if gone {
+// abandon ends a call whose ctx has ended.
+func (c *Client) abandon(ctx context.Context, from *connection, pending *call, id uint64) error {
+	state := from.abandon(id)
+	switch state {
+	case abandonedAnswered:
 		select {
-		case err := <-waiting.done:
+		case err := <-pending.done:
 			return err
-		default: // it is being read right now
+		default: // the response is being decoded
 		}
-	}
-	if neverLeft {
+	case abandonedUnsent:
 		return failure.Newf(failure.Unavailable, "%s: not sent: %v", from.peer.address, ctx.Err())
 	}
-	if waiting.long && errors.Is(ctx.Err(), context.DeadlineExceeded) && from.reads() == waiting.readsBefore {
-		from.end(errSilent)
+	deadlineExceeded := errors.Is(ctx.Err(), context.DeadlineExceeded)
+	if pending.kind == longCall && deadlineExceeded && from.reads() == pending.readsBefore {
+		from.end(errUnresponsive)
 	}
-	if !waiting.long {
-		c.startProbing()
+	if pending.kind == shortCall {
+		c.scheduleProbe()
 	}
 	return failure.Newf(failure.UnknownOutcome, "%s: no answer: %v", from.peer.address, ctx.Err())
 }
 
-// connection returns the connection to an address, a new one if need be.
+// connection returns the connection to an address, a new one if there is none.
 func (c *Client) connection(address string) (*connection, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -163,27 +167,27 @@
 		p = &peer{client: c, address: address}
 		c.peers[address] = p
 	}
-	return p.use()
+	return p.acquire()
 }
 
-// startProbing has the next probe made, unless it is due already.
-func (c *Client) startProbing() {
+// scheduleProbe schedules the next probe unless one is scheduled.
+func (c *Client) scheduleProbe() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.probing || c.closed {
+	if c.probeScheduled || c.closed {
 		return
 	}
-	c.probing = true
+	c.probeScheduled = true
 	c.options.Clock.AfterFunc(c.options.ProbeInterval, c.probe)
 }
 
-// probe looks after all connections, and goes on while calls are out.
+// probe probes all connections, and schedules the next probe as long as any needs it.
 func (c *Client) probe() {
 	c.mutex.Lock()
-	c.probing = false
+	c.probeScheduled = false
 	connections := make([]*connection, 0, len(c.peers))
 	for _, p := range c.peers {
-		if current := p.present(); current != nil {
+		if current := p.current(); current != nil {
 			connections = append(connections, current)
 		}
 	}
@@ -195,6 +199,6 @@
 		}
 	}
 	if busy {
-		c.startProbing()
+		c.scheduleProbe()
 	}
 }
--- a/internal/cluster/transport/connection.go
+++ b/internal/cluster/transport/connection.go
@@ -12,42 +12,59 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// call is one call that waits for its answer.
+// call is one pending call.
 type call struct {
-	long         bool // bounds itself: its silence is no sign of a dead peer
-	response     any  // pointer that the answer is decoded into
+	kind         callKind
+	response     any // pointer that the response is decoded into
 	responseName string
-	readsBefore  uint64 // long: the connection's count of reads when the call began
+	readsBefore  uint64 // longCall: the connection's count of reads when the call started
 	placed       span
-	done         chan error // gets one result
+	done         chan error // buffered; gets the result
 }
 
-// connection is the client's side of one connection, from before it stands until it is over.
+// callKind is whether the peer must respond at once.
+type callKind int
+
+const (
+	shortCall callKind = iota
+	longCall           // its response may be delayed, so the lack of one does not show that the peer is dead
+)
+
+// abandonedState is what became of a call that was abandoned.
+type abandonedState int
+
+const (
+	abandonedSent     abandonedState = iota // it may have been sent
+	abandonedUnsent                         // it certainly was not sent
+	abandonedAnswered                       // it was answered just before
+)
+
+// connection is the client's side of one connection, from before it is dialed until all of its calls have ended.
 type connection struct {
 	peer *peer
 	out  *outbox
-	in   *inbox // set before standing
+	in   *inbox // nil until the connection is established
 
-	mutex    sync.Mutex
-	calls    map[uint64]*call
-	newest   uint64 // id of the newest call
-	short    int    // calls out that are not long
-	doubtful bool   // a call was given up, and nothing was heard since
-	doubtAt  uint64 // count of reads then
-	standing bool   // the peer has greeted
-	over     bool
-	liveness liveness
-	cause    error // why it ended
+	mutex        sync.Mutex
+	calls        map[uint64]*call
+	lastID       uint64 // id of the newest call
+	shortCalls   int    // pending calls that are no longCall
+	suspect      bool   // a shortCall was abandoned, and nothing was received since
+	suspectReads uint64 // the count of reads at that time
+	established  bool   // the peer has greeted
+	ended        bool
+	liveness     liveness
+	cause        error // why it ended
 }
 
 func newConnection(p *peer) *connection {
 	options := &p.client.options
 	c := &connection{peer: p, calls: map[uint64]*call{}}
-	c.out = newOutbox(options.MaxFrameBytes, options.MaxQueueBytes, options.WriteTimeout, options.Name, c.finish)
+	c.out = newOutbox(options.MaxFrameBytes, options.MaxQueueBytes, options.WriteTimeout, options.Name, c.failCalls)
 	return c
 }
 
-// run connects, and reads until the connection is over.
+// run dials, and reads until the connection ends.
 func (c *connection) run(ctx context.Context) {
 	options := &c.peer.client.options
 	dialing, cancel := context.WithTimeout(ctx, options.DialTimeout)
@@ -69,21 +86,22 @@
 	if err := greet(conn, in, c.peer.client.options.GreetingTimeout); err != nil {
 		return err
 	}
-	c.stand(in)
+	c.establish(in)
 	for {
 		h, err := in.next()
 		if err != nil {
 			return err
 		}
-		if err := c.take(in, h); err != nil {
+		if err := c.handleFrame(in, h); err != nil {
 			return err
 		}
 	}
 }
 
-// greet waits for the server's greeting, for a bounded time: a frozen process still has its connections taken.
-func greet(conn net.Conn, in *inbox, patience time.Duration) error {
-	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+// greet waits for the server's greeting, for a bounded time: connections to a frozen process are accepted by its
+// kernel.
+func greet(conn net.Conn, in *inbox, timeout time.Duration) error {
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	if _, err := in.greeting(); err != nil {
@@ -92,22 +110,23 @@
 	return conn.SetReadDeadline(time.Time{})
 }
 
-func (c *connection) stand(in *inbox) {
+// establish records that the peer has greeted.
+func (c *connection) establish(in *inbox) {
 	c.mutex.Lock()
 	c.in = in
-	c.standing = true
+	c.established = true
 	c.mutex.Unlock()
-	c.peer.stood()
+	c.peer.recordEstablished()
 }
 
-// take handles one frame.
-func (c *connection) take(in *inbox, h header) error {
+// handleFrame handles one frame.
+func (c *connection) handleFrame(in *inbox, h header) error {
 	switch h.kind {
 	case frameResponse:
-		return c.answer(in, h)
+		return c.handleResponse(in, h)
 	case frameFailure:
-		if waiting := c.claim(h.id); waiting != nil {
-			waiting.done <- h.failure
+		if pending := c.takeCall(h.id); pending != nil {
+			pending.done <- h.failure
 		}
 		return in.skip()
 	case framePong:
@@ -117,64 +136,64 @@
 	}
 }
 
-func (c *connection) answer(in *inbox, h header) error {
-	waiting := c.claim(h.id)
-	if waiting == nil {
+func (c *connection) handleResponse(in *inbox, h header) error {
+	pending := c.takeCall(h.id)
+	if pending == nil {
 		return in.skip()
 	}
 	name := in.typeName(h.number)
-	if h.number != 0 && name != waiting.responseName {
-		waiting.done <- failure.Newf(failure.UnknownOutcome, "answered by a %s, not a %s", name, waiting.responseName)
+	if h.number != 0 && name != pending.responseName {
+		pending.done <- failure.Newf(failure.UnknownOutcome, "the response is a %s, not a %s", name, pending.responseName)
 		return in.skip()
 	}
-	err := in.value(waiting.response)
+	err := in.value(pending.response)
 	if err != nil {
-		waiting.done <- failure.Newf(failure.UnknownOutcome, "the answer cannot be read: %v", err)
+		pending.done <- failure.Newf(failure.UnknownOutcome, "the response cannot be decoded: %v", err)
 		return err
 	}
-	waiting.done <- nil
+	pending.done <- nil
 	return nil
 }
 
-// claim takes a call out of those that wait; nil: it is not there any more.
-func (c *connection) claim(id uint64) *call {
+// takeCall removes a call from the pending ones and returns it, or nil if it is not pending any more.
+func (c *connection) takeCall(id uint64) *call {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.remove(id)
+	return c.removeCall(id)
 }
 
-// remove is claim with the mutex held.
-func (c *connection) remove(id uint64) *call {
-	waiting := c.calls[id]
-	if waiting == nil {
+// removeCall is takeCall with the mutex locked.
+func (c *connection) removeCall(id uint64) *call {
+	pending := c.calls[id]
+	if pending == nil {
 		return nil
 	}
 	delete(c.calls, id)
-	if !waiting.long {
-		c.short--
+	if pending.kind == shortCall {
+		c.shortCalls--
 	}
-	return waiting
+	return pending
 }
 
-// start sends a call off and returns its id.
-func (c *connection) start(waiting *call, request any, remaining time.Duration) (uint64, error) {
+// start sends a call and returns its id.
+func (c *connection) start(pending *call, request any, remaining time.Duration) (uint64, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.over {
+	if c.ended {
 		return 0, failure.New(failure.Unavailable, errEnded.Error())
 	}
-	c.newest++
-	h := header{kind: frameRequest, id: c.newest, remainingMs: milliseconds(remaining)}
+	c.lastID++
+	h := header{kind: frameRequest, id: c.lastID, remainingMs: milliseconds(remaining)}
 	placed, err := c.out.put(h, request)
 	if err != nil {
 		return 0, err
 	}
-	waiting.placed = placed
-	c.calls[c.newest] = waiting
-	if !waiting.long {
-		c.short++
+	pending.placed = placed
+	c.calls[c.lastID] = pending
+	if pending.kind == shortCall {
+		c.shortCalls++
 	}
-	return c.newest, nil
+	return c.lastID, nil
 }
 
 func milliseconds(remaining time.Duration) uint64 {
@@ -184,104 +203,105 @@
 	return uint64(max(remaining.Milliseconds(), 1))
 }
 
-// giveUp ends a call whose caller waits no longer. gone: the answer was there first.
-func (c *connection) giveUp(id uint64) (gone, neverLeft bool) {
+// abandon removes a call whose caller does not wait any longer.
+func (c *connection) abandon(id uint64) abandonedState {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	waiting := c.remove(id)
-	if waiting == nil {
-		return true, false
+	pending := c.removeCall(id)
+	if pending == nil {
+		return abandonedAnswered
 	}
-	if c.out.takeBack(waiting.placed) {
-		return false, true
+	if c.out.cancel(pending.placed) {
+		return abandonedUnsent
 	}
-	if !waiting.long && c.standing {
-		c.doubtful, c.doubtAt = true, c.in.heard.count.Load()
+	if pending.kind == shortCall && c.established {
+		c.suspect, c.suspectReads = true, c.in.source.count.Load()
 	}
-	return false, false
+	return abandonedSent
 }
 
-// reads returns how many reads brought something so far.
+// reads returns how many reads of the connection have returned bytes.
 func (c *connection) reads() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.in == nil {
 		return 0
 	}
-	return c.in.heard.count.Load()
+	return c.in.source.count.Load()
 }
 
-// probe looks after a peer that may have fallen silent and tells whether it has to be looked after further.
+// probe pings a peer that may be unresponsive, or closes the connection. It reports whether the connection has to be
+// probed again.
 func (c *connection) probe() bool {
 	c.mutex.Lock()
-	judged := c.judge()
-	busy := c.short > 0 || c.doubtful
+	verdict := c.checkLiveness()
+	busy := c.shortCalls > 0 || c.suspect
 	c.mutex.Unlock()
-	switch judged {
+	switch verdict {
 	case verdictPing:
 		_, _ = c.out.put(header{kind: framePing}, nil)
-	case verdictCut:
-		c.end(errSilent)
+	case verdictDead:
+		c.end(errUnresponsive)
 	}
 	return busy
 }
 
-// judge is the part of probe under the mutex. A connection that does not stand yet is bounded by the time-outs of
-// dialing and greeting.
-func (c *connection) judge() verdict {
-	if c.over || c.in == nil {
-		return verdictCalm
+// checkLiveness is the part of probe that needs the mutex locked. A connection that is not established yet is bounded
+// by the timeouts of dialing and greeting.
+func (c *connection) checkLiveness() verdict {
+	if c.ended || c.in == nil {
+		return verdictIdle
 	}
-	heard := c.in.heard.count.Load()
-	if heard != c.doubtAt {
-		c.doubtful = false
+	reads := c.in.source.count.Load()
+	if reads != c.suspectReads {
+		c.suspect = false
 	}
-	return c.liveness.probe(c.short > 0 || c.doubtful, heard)
+	return c.liveness.probe(c.shortCalls > 0 || c.suspect, reads)
 }
 
-// end closes the connection; the first cause counts.
+// end closes the connection. The first cause counts.
 func (c *connection) end(cause error) {
 	c.mutex.Lock()
 	first := c.cause == nil
 	if first {
 		c.cause = cause
 	}
-	stood := c.standing
+	established := c.established
 	c.mutex.Unlock()
 	if first {
-		c.peer.ended(c, stood, cause)
+		c.peer.recordEnd(c, established, cause)
 		c.log(cause)
 	}
 	c.out.close()
 }
 
-// log tells of an end that should not happen; that peers come and go is no news.
+// log logs an end that should not happen, but not that peers come and go.
 func (c *connection) log(cause error) {
-	if isPlainEnd(cause) || c.peer.client.isClosed() {
+	if isExpectedEnd(cause) || c.peer.client.isClosed() {
 		return
 	}
 	logger := level.Warn(c.peer.client.options.Logger)
-	_ = logger.Log("message", "connection cut", "peer", c.peer.address, "cause", cause)
+	_ = logger.Log("message", "connection closed by a fault", "peer", c.peer.address, "cause", cause)
 }
 
-// finish gives every call that waits its end. The outbox calls it once nothing is being written any more.
-func (c *connection) finish() {
+// failCalls ends every pending call. The outbox calls it once nothing is being written any more.
+func (c *connection) failCalls() {
 	c.mutex.Lock()
 	calls := c.calls
 	c.calls = nil
-	c.short = 0
-	c.over = true
+	c.shortCalls = 0
+	c.ended = true
 	cause := c.cause
 	c.mutex.Unlock()
 	if cause == nil {
 		cause = errEnded
 		c.end(cause)
 	}
-	for _, waiting := range calls {
+	for _, pending := range calls {
 		kind := failure.UnknownOutcome
-		if c.out.neverLeft(waiting.placed) {
+		if c.out.unsent(pending.placed) {
 			kind = failure.Unavailable
 		}
-		waiting.done <- failure.Newf(kind, "%s: %v", c.peer.address, cause)
+		pending.done <- failure.Newf(kind, "%s: %v", c.peer.address, cause)
 	}
 }
--- a/internal/cluster/transport/faults_test.go
+++ b/internal/cluster/transport/faults_test.go
@@ -15,8 +15,8 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// calling starts a call and returns where its end comes out.
-func calling(ctx context.Context, client *Client, address string) <-chan error {
+// startCall starts a call and returns where its error will be.
+func startCall(ctx context.Context, client *Client, address string) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		_, err := Call[question, reply](ctx, client, address, &question{Text: "anyone?"})
@@ -35,19 +35,19 @@
 var _ = Describe("A client whose peer", func() {
 	ctx := context.Background()
 
-	It("refuses connections gets Unavailable, and tries again after a while that grows", func() {
+	It("refuses connections gets Unavailable, and connects again after a growing backoff", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := 0
 		client := newTestClient(ClientOptions{Clock: clock, Dial: func(context.Context, string) (net.Conn, error) {
 			dialed++
 			return nil, syscall.ECONNREFUSED
 		}})
-		for _, pause := range []time.Duration{50, 100, 200, 400, 500, 500} {
+		for _, backoff := range []time.Duration{50, 100, 200, 400, 500, 500} {
 			attempt := dialed
-			expectKind(calling(ctx, client, "a"), failure.Unavailable)
+			expectKind(startCall(ctx, client, "a"), failure.Unavailable)
 			Expect(dialed).To(Equal(attempt + 1))
-			clock.Advance(pause*time.Millisecond - 1)
-			expectKind(calling(ctx, client, "a"), failure.Unavailable)
+			clock.Advance(backoff*time.Millisecond - 1)
+			expectKind(startCall(ctx, client, "a"), failure.Unavailable)
 			Expect(dialed).To(Equal(attempt + 1))
 			clock.Advance(1)
 		}
@@ -58,10 +58,10 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}})
-		expectKind(calling(ctx, client, "a"), failure.Unavailable)
+		expectKind(startCall(ctx, client, "a"), failure.Unavailable)
 	})
 
-	It("is still being dialed when the caller gives up gets Unavailable, and sends nothing later", func() {
+	It("is still being dialed when the caller gives up gets Unavailable, and is sent nothing later", func() {
 		connect := make(chan struct{})
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: func(context.Context, string) (net.Conn, error) {
@@ -69,7 +69,7 @@
 			return dialed.dial(ctx, "a")
 		}})
 		waiting, cancel := context.WithCancel(ctx)
-		ended := calling(waiting, client, "a")
+		ended := startCall(waiting, client, "a")
 		Eventually(func() bool { return hasCalls(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		cancel()
 		expectKind(ended, failure.Unavailable)
@@ -84,16 +84,16 @@
 	It("closes after the request was read gets UnknownOutcome, and connects anew", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
-		ended := calling(ctx, client, "a")
+		ended := startCall(ctx, client, "a")
 		far := dialed.end()
 		in := greeted(far)
 		_, err := in.next()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(in.skip()).To(Succeed())
-		Eventually(func() bool { return isStanding(client, "a") }).WithTimeout(soon).Should(BeTrue()) // else the next one is put off
+		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue()) // else the next one is put off
 		_ = far.Close()
 		expectKind(ended, failure.UnknownOutcome)
-		ended = calling(ctx, client, "a")
+		ended = startCall(ctx, client, "a")
 		_ = dialed.end().Close()
 		expectKind(ended, failure.Unavailable)
 	})
@@ -101,22 +101,22 @@
 	It("closes in the middle of a request gets Unavailable", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
-		ended := calling(ctx, client, "a")
+		ended := startCall(ctx, client, "a")
 		far := dialed.end()
-		_, err := io.ReadFull(far, make([]byte, len(appendGreeting(nil, ""))+20))
+		_, err := io.ReadFull(far, make([]byte, len(greetingOf(""))+20))
 		Expect(err).NotTo(HaveOccurred())
 		_ = far.Close()
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("falls silent gets UnknownOutcome within the bound", func() {
+	It("becomes unresponsive gets UnknownOutcome within the bound", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Clock: clock, Dial: dialed.dial})
-		ended := calling(ctx, client, "a")
+		ended := startCall(ctx, client, "a")
 		far := dialed.end()
 		in := greeted(far)
-		Eventually(func() bool { return isStanding(client, "a") }).WithTimeout(soon).Should(BeTrue())
+		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		for range 3 {
 			advance(clock, StandardProbeInterval)
 		}
@@ -137,14 +137,14 @@
 	It("answers pings is waited for", func() {
 		clock := clockwork.NewFakeClock()
 		server := NewServer(Options{})
-		held := make(chan func(*reply, error), 1)
-		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
+		replies := make(chan func(*reply, error), 1)
+		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
 		address := serve(server)
 		client := newTestClient(ClientOptions{Clock: clock})
-		ended := calling(ctx, client, address)
-		var answer func(*reply, error)
-		Eventually(held).WithTimeout(soon).Should(Receive(&answer))
-		Eventually(func() bool { return isStanding(client, address) }).WithTimeout(soon).Should(BeTrue())
+		ended := startCall(ctx, client, address)
+		var respond func(*reply, error)
+		Eventually(replies).WithTimeout(soon).Should(Receive(&respond))
+		Eventually(func() bool { return isEstablished(client, address) }).WithTimeout(soon).Should(BeTrue())
 		advance(clock, StandardProbeInterval)
 		for range 10 {
 			before := readsOf(client, address)
@@ -152,19 +152,19 @@
 			Eventually(func() uint64 { return readsOf(client, address) }).WithTimeout(soon).Should(BeNumerically(">", before))
 			advance(clock, StandardProbeInterval)
 		}
-		answer(&reply{}, nil)
+		respond(&reply{}, nil)
 		Eventually(ended).WithTimeout(soon).Should(Receive(BeNil()))
 	})
 
-	It("takes nothing is cut after the write timeout", func() {
+	It("reads nothing is disconnected after the write timeout", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, WriteTimeout: time.Millisecond})
-		ended := calling(ctx, client, "a")
+		ended := startCall(ctx, client, "a")
 		dialed.end()
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("takes nothing holds up neither messages nor other peers", func() {
+	It("reads nothing blocks neither messages nor other peers", func() {
 		server := NewServer(Options{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
@@ -182,31 +182,31 @@
 		Expect(len(queued(client, "stuck"))).To(BeNumerically("<", 11000))
 		_, err := Call[question, reply](ctx, client, "stuck", &question{})
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
-		answer, err := Call[question, reply](ctx, client, address, &question{Text: "others"})
+		response, err := Call[question, reply](ctx, client, address, &question{Text: "others"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Text).To(Equal("others"))
+		Expect(response.Text).To(Equal("others"))
 	})
 
-	It("has not answered when ctx ends gets UnknownOutcome, and a late answer does no harm", func() {
+	It("has not answered when ctx ends gets UnknownOutcome, and a late response has no effect", func() {
 		server := NewServer(Options{})
-		held := make(chan func(*reply, error), 1)
-		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
+		replies := make(chan func(*reply, error), 1)
+		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
 		Handle(server, func(context.Context, string, *nothing) (*reply, error) { return &reply{Text: "on time"}, nil })
 		address := serve(server)
 		client := newTestClient(ClientOptions{})
 		waiting, cancel := context.WithCancel(ctx)
-		ended := calling(waiting, client, address)
-		var answer func(*reply, error)
-		Eventually(held).WithTimeout(soon).Should(Receive(&answer))
+		ended := startCall(waiting, client, address)
+		var respond func(*reply, error)
+		Eventually(replies).WithTimeout(soon).Should(Receive(&respond))
 		cancel()
 		expectKind(ended, failure.UnknownOutcome)
-		answer(&reply{Text: "late", Inner: inner{Values: []int{1}}}, nil)
+		respond(&reply{Text: "late", Inner: inner{Values: []int{1}}}, nil)
 		got, err := Call[nothing, reply](ctx, client, address, &nothing{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.Text).To(Equal("on time"))
 	})
 
-	It("is silent through a long call has its connection cut", func() {
+	It("is unresponsive through a long call is disconnected", func() {
 		dialed := newPipes()
 		clock := clockwork.NewFakeClock()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Clock: clock})
@@ -222,7 +222,7 @@
 		_, err := in.next()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(in.skip()).To(Succeed())
-		Eventually(func() bool { return isStanding(client, "a") }).WithTimeout(soon).Should(BeTrue())
+		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		setReadsBefore(client, "a")
 		clock.Advance(time.Second)
 		expectKind(ended, failure.UnknownOutcome)
@@ -234,9 +234,9 @@
 		dialed := newPipes()
 		logged := newLines()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Logger: logged})
-		ended := calling(ctx, client, "a")
+		ended := startCall(ctx, client, "a")
 		far := dialed.end()
-		_, err := newInbox(far, StandardMaxFrameBytes).greeting()
+		_, err := newInbox(far, DefaultMaxFrameBytes).greeting()
 		Expect(err).NotTo(HaveOccurred())
 		go func() { _, _ = far.Write([]byte("HTTP/1.1 400")) }()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -246,17 +246,17 @@
 })
 
 var _ = Describe("A client that is closed", func() {
-	It("ends its calls and takes no more", func() {
+	It("ends its calls and accepts no more", func() {
 		server := NewServer(Options{})
-		held := make(chan func(*reply, error), 1)
-		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
+		replies := make(chan func(*reply, error), 1)
+		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
 		address := serve(server)
 		client := NewClient(ClientOptions{})
-		ended := calling(context.Background(), client, address)
-		Eventually(held).WithTimeout(soon).Should(Receive())
+		ended := startCall(context.Background(), client, address)
+		Eventually(replies).WithTimeout(soon).Should(Receive())
 		client.Close()
 		expectKind(ended, failure.UnknownOutcome)
-		expectKind(calling(context.Background(), client, address), failure.Unavailable)
+		expectKind(startCall(context.Background(), client, address), failure.Unavailable)
 	})
 })
 
@@ -264,19 +264,19 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if p := c.peers[address]; p != nil {
-		return p.present()
+		return p.current()
 	}
 	return nil
 }
 
-func isStanding(c *Client, address string) bool {
+func isEstablished(c *Client, address string) bool {
 	current := connectionOf(c, address)
 	if current == nil {
 		return false
 	}
 	current.mutex.Lock()
 	defer current.mutex.Unlock()
-	return current.standing
+	return current.established
 }
 
 func hasCalls(c *Client, address string) bool {
@@ -291,7 +291,7 @@
 
 func readsOf(c *Client, address string) uint64 { return connectionOf(c, address).reads() }
 
-// setReadsBefore has the calls that are out count as begun after the greeting.
+// setReadsBefore makes the pending calls count as started after the greeting.
 func setReadsBefore(c *Client, address string) {
 	current := connectionOf(c, address)
 	count := current.reads()
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -132,9 +132,9 @@
 	for kind := failure.None + 1; kind < failure.Kinds; kind++ {
 		It("is read as the error "+kind.String(), func() {
 			refused := pingExchange
-			told := &failure.Error{Kind: kind, Message: "it was " + kind.String(), Leader: "10.0.0.1:7380"}
+			sent := &failure.Error{Kind: kind, Message: "it was " + kind.String(), Leader: "10.0.0.1:7380"}
 			fixturetest.Check(GinkgoTB(), "failure."+kind.String(), fixturetest.Codec{
-				Encode: func() (any, []byte, error) { return record(refused, told) },
+				Encode: func() (any, []byte, error) { return record(refused, sent) },
 				Decode: func(data []byte) (any, error) { return refusal(refused, data) },
 			})
 		})
@@ -143,11 +143,11 @@
 
 // recordRequest returns a filled request and what a client sends with it.
 func (e *exchange) recordRequest() (any, []byte, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := transport.Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }() // each exchange has its own
 	client := transport.NewClient(transport.ClientOptions{Name: recorder})
 	defer client.Close()
 	value, address := filled(e.request), listener.Addr().String()
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // what matters was read or written
 	data, err := untilValue(conn, recorder)
 	if err != nil {
 		return nil, nil, err
@@ -238,11 +238,11 @@
 
 // readResponse returns what a client makes of what a server answered.
 func (e *exchange) readResponse(data []byte) (any, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := transport.Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }() // each exchange has its own
 	go answerOnce(listener, data)
 	client := transport.NewClient(transport.ClientOptions{})
 	defer client.Close()
@@ -260,7 +260,7 @@
 	if err != nil {
 		return
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // what matters was read or written
 	if _, err := io.ReadFull(conn, make([]byte, greeting+1)); err != nil {
 		return
 	}
@@ -271,11 +271,11 @@
 // refusal returns the error that a client makes of what a server answered.
 func refusal(e exchange, data []byte) (any, error) {
 	_, err := e.readResponse(data)
-	var told *failure.Error
-	if !errors.As(err, &told) {
+	var got *failure.Error
+	if !errors.As(err, &got) {
 		return nil, errors.Errorf("no error of a kind: %v", err)
 	}
-	return told, nil
+	return got, nil
 }
 
 // dial starts a server and returns a connection to it.
@@ -283,11 +283,11 @@
 	GinkgoHelper()
 	server := transport.NewServer(transport.Options{})
 	register(server)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := transport.Listen(context.Background(), "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	go func() { _ = server.Serve(context.Background(), listener) }()
 	DeferCleanup(server.Close)
-	conn, err := net.Dial("tcp", listener.Addr().String())
+	conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", listener.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
 	Expect(conn.SetDeadline(time.Now().Add(soon))).To(Succeed())
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -12,44 +12,44 @@
 // A connection starts with a greeting from each side: magic, version, name. Frames follow: four bytes of length, then
 // the header, then in most kinds one gob value.
 const (
-	magic       = "OSPJ"
-	version     = 1
-	lengthBytes = 4
-	mostText    = 64 << 10 // bytes of a name or an error's message
+	magic        = "OSPJ"
+	version      = 1
+	lengthBytes  = 4
+	maxTextBytes = 64 << 10 // bytes of a name or an error's message
 )
 
-// frameKind tells what a frame is.
+// frameKind is the kind of a frame. Its values are on the wire.
 type frameKind byte
 
 const (
-	frameVoid     frameKind = iota // a request taken back before it left
+	frameVoid     frameKind = iota // a frame that was cancelled before it was written
 	frameDefine                    // the next type's name, and a zero value so that gob describes the type
 	frameRequest                   // a call
-	frameMessage                   // wants no answer
-	frameResponse                  // the answer to a call
-	frameFailure                   // an error as the answer to a call
+	frameMessage                   // a one-way message
+	frameResponse                  // the response to a call
+	frameFailure                   // an error in response to a call
 	framePing
 	framePong
 	frameKinds
 )
 
-// header is what stands before a frame's value. Which fields are used depends on the kind.
+// header precedes a frame's value. Which fields are used depends on the kind.
 type header struct {
 	kind        frameKind
 	id          uint64 // Request, Response, Failure: the call
 	number      uint64 // Define, Request, Message, Response: the type, counted from 1; 0: there is no value
-	remainingMs uint64 // Request: how long the caller waits; 0: no bound
+	remainingMs uint64 // Request: how long the caller waits; 0: without a deadline
 	name        string // Define: the type's name
 	failure     *failure.Error
 }
 
 func appendText(buffer []byte, text string) []byte {
-	text = text[:min(len(text), mostText)]
+	text = text[:min(len(text), maxTextBytes)]
 	buffer = binary.AppendUvarint(buffer, uint64(len(text)))
 	return append(buffer, text...)
 }
 
-// append adds the header's bytes to buffer.
+// append appends the encoded header.
 func (h *header) append(buffer []byte) []byte {
 	buffer = append(buffer, byte(h.kind))
 	switch h.kind {
@@ -80,7 +80,7 @@
 	io.ByteReader
 }
 
-// fieldReader reads a header's fields; after the first error the rest is empty.
+// fieldReader reads a header's fields. After the first error all further fields are zero.
 type fieldReader struct {
 	source byteSource
 	err    error
@@ -106,7 +106,7 @@
 
 func (r *fieldReader) text() string {
 	length := r.number()
-	if r.err == nil && length > mostText {
+	if r.err == nil && length > maxTextBytes {
 		r.err = errors.Errorf("a text of %d bytes", length)
 	}
 	if r.err != nil || length == 0 {
@@ -144,11 +144,10 @@
 	return h, fields.err
 }
 
-// appendGreeting adds a greeting's bytes to buffer.
-func appendGreeting(buffer []byte, name string) []byte {
-	buffer = append(buffer, magic...)
-	buffer = append(buffer, version)
-	return appendText(buffer, name)
+// greetingOf returns the greeting of a process of that name.
+func greetingOf(name string) []byte {
+	greeting := append([]byte(magic), version)
+	return appendText(greeting, name)
 }
 
 // readGreeting reads the peer's greeting and returns its name.
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -17,26 +17,26 @@
 			got, err := readHeader(bytes.NewReader(written))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(got).To(Equal(given))
-			for cut := range written {
-				_, err := readHeader(bytes.NewReader(written[:cut]))
-				Expect(err).To(HaveOccurred(), "cut at %d", cut)
+			for length := range written {
+				_, err := readHeader(bytes.NewReader(written[:length]))
+				Expect(err).To(HaveOccurred(), "truncated at %d", length)
 			}
 		},
-		Entry("taken back", header{kind: frameVoid}),
+		Entry("cancelled", header{kind: frameVoid}),
 		Entry("a type", header{kind: frameDefine, number: 300, name: "protocol.WatchRequest"}),
 		Entry("a call", header{kind: frameRequest, id: 1 << 40, number: 2, remainingMs: 600}),
 		Entry("a message", header{kind: frameMessage, number: 1}),
-		Entry("an answer", header{kind: frameResponse, id: 9, number: 4}),
+		Entry("a response", header{kind: frameResponse, id: 9, number: 4}),
 		Entry("an error", header{kind: frameFailure, id: 9,
 			failure: &failure.Error{Kind: failure.NotLeader, Message: "elsewhere", Leader: "10.0.0.1:7400"}}),
 		Entry("a ping", header{kind: framePing}),
 		Entry("a pong", header{kind: framePong}),
 	)
 
-	It("cut texts that are too long", func() {
-		given := header{kind: frameFailure, failure: &failure.Error{Message: strings.Repeat("x", mostText+1)}}
+	It("truncate texts that are too long", func() {
+		given := header{kind: frameFailure, failure: &failure.Error{Message: strings.Repeat("x", maxTextBytes+1)}}
 		got, err := readHeader(bytes.NewReader(given.append(nil)))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got.failure.Message).To(HaveLen(mostText))
+		Expect(got.failure.Message).To(HaveLen(maxTextBytes))
 	})
 })
--- a/internal/cluster/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -16,7 +16,7 @@
 type greetedResponse struct{ Number int }
 
 var _ = Describe("A process that is slow to greet", func() {
-	It("is waited for as long as the client's options say", func(ctx SpecContext) {
+	It("is waited for as long as the client's options allow", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
@@ -40,8 +40,12 @@
 		Handle(server, func(_ context.Context, _ string, request *greetedRequest) (*greetedResponse, error) {
 			return &greetedResponse{Number: request.Number}, nil
 		})
-		DeferCleanup(server.Close)
-		go server.Serve(ctx, listener)
+		served := make(chan error, 1)
+		go func() { served <- server.Serve(ctx, listener) }()
+		DeferCleanup(func() {
+			server.Close()
+			Eventually(served).WithTimeout(soon).Should(Receive(BeNil()))
+		})
 		Eventually(ctx, ended).Should(Receive(BeNil()))
 	}, NodeTimeout(time.Minute))
 })
--- a/internal/cluster/transport/inbox.go
+++ b/internal/cluster/transport/inbox.go
@@ -13,30 +13,29 @@
 
 const (
 	readBuffer = 4 << 10
-	mostTypes  = 1024 // described on one connection
+	maxTypes   = 1024 // described on one connection
 )
 
-// errShortFrame says that a frame ends before what it should hold.
-var errShortFrame = errors.New("a frame is too short for what it holds")
+// errShortFrame is returned for a frame that ends before its header or value does.
+var errShortFrame = errors.New("a frame is shorter than its content")
 
-// inbox is the incoming half of a connection. It reads frame by frame; while a frame is read it ends where the frame
-// ends.
+// inbox is the incoming half of a connection. It reads frame by frame, and never beyond the end of a frame.
 type inbox struct {
-	reader   *bufio.Reader
-	heard    *heardReader
-	decoder  *gob.Decoder
-	maxFrame int
-	left     int      // bytes of the present frame not yet read
-	types    []string // names by number, counted from 1
+	reader    *bufio.Reader
+	source    *countingReader
+	decoder   *gob.Decoder
+	maxFrame  int
+	remaining int      // unread bytes of the present frame
+	types     []string // names by number, counted from 1
 }
 
-// heardReader counts what is read, so that a silent peer is noticed.
-type heardReader struct {
+// countingReader counts reads, by which an unresponsive peer is noticed.
+type countingReader struct {
 	source io.Reader
-	count  atomic.Uint64 // reads that brought something
+	count  atomic.Uint64 // reads that returned bytes
 }
 
-func (r *heardReader) Read(buffer []byte) (int, error) {
+func (r *countingReader) Read(buffer []byte) (int, error) {
 	count, err := r.source.Read(buffer)
 	if count > 0 {
 		r.count.Add(1)
@@ -45,8 +44,8 @@
 }
 
 func newInbox(source io.Reader, maxFrame int) *inbox {
-	heard := &heardReader{source: source}
-	in := &inbox{reader: bufio.NewReaderSize(heard, readBuffer), heard: heard, maxFrame: maxFrame}
+	counting := &countingReader{source: source}
+	in := &inbox{reader: bufio.NewReaderSize(counting, readBuffer), source: counting, maxFrame: maxFrame}
 	in.decoder = gob.NewDecoder((*frameReader)(in))
 	return in
 }
@@ -55,21 +54,21 @@
 type frameReader inbox
 
 func (r *frameReader) Read(buffer []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, errShortFrame
 	}
-	count, err := r.reader.Read(buffer[:min(len(buffer), r.left)])
-	r.left -= count
+	count, err := r.reader.Read(buffer[:min(len(buffer), r.remaining)])
+	r.remaining -= count
 	return count, err
 }
 
 func (r *frameReader) ReadByte() (byte, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, errShortFrame
 	}
 	value, err := r.reader.ReadByte()
 	if err == nil {
-		r.left--
+		r.remaining--
 	}
 	return value, err
 }
@@ -77,17 +76,17 @@
 // greeting reads the peer's greeting and returns its name.
 func (in *inbox) greeting() (string, error) { return readGreeting(in.reader) }
 
-// next reads up to the next frame that is for the caller: descriptions of types are taken note of here, and frames
-// that were taken back are passed over. The caller must end the frame by value or skip.
+// next reads up to the next frame for the caller. It handles descriptions of types, and skips cancelled frames. The
+// caller must end the frame by value or skip.
 func (in *inbox) next() (header, error) {
 	for {
-		h, err := in.open()
+		h, err := in.nextHeader()
 		if err != nil {
 			return h, err
 		}
 		switch h.kind {
 		case frameDefine:
-			err = in.define(h)
+			err = in.addType(h)
 		case frameVoid:
 			err = in.discard()
 		default:
@@ -99,7 +98,7 @@
 	}
 }
 
-func (in *inbox) open() (header, error) {
+func (in *inbox) nextHeader() (header, error) {
 	var start [lengthBytes]byte
 	if _, err := io.ReadFull(in.reader, start[:]); err != nil {
 		return header{}, err
@@ -108,12 +107,12 @@
 	if length == 0 || int64(length) > int64(in.maxFrame) {
 		return header{}, errors.Errorf("a frame of %d bytes, %d allowed", length, in.maxFrame)
 	}
-	in.left = int(length)
+	in.remaining = int(length)
 	return readHeader((*frameReader)(in))
 }
 
-func (in *inbox) define(h header) error {
-	if h.number != uint64(len(in.types)+1) || h.number > mostTypes {
+func (in *inbox) addType(h header) error {
+	if h.number != uint64(len(in.types)+1) || h.number > maxTypes {
 		return errors.Errorf("type %d is described after %d others", h.number, len(in.types))
 	}
 	in.types = append(in.types, h.name)
@@ -127,7 +126,7 @@
 	return nil
 }
 
-// typeName returns the name of a type; the frame's number was checked by next.
+// typeName returns the name of a type. next has checked the number.
 func (in *inbox) typeName(number uint64) string {
 	if number == 0 {
 		return ""
@@ -135,10 +134,10 @@
 	return in.types[number-1]
 }
 
-// value reads the frame's value into target, a pointer, and ends the frame. A frame without a value leaves target as
-// it is.
+// value decodes the frame's value into target, a pointer, and ends the frame. A frame without a value leaves target
+// unchanged.
 func (in *inbox) value(target any) error {
-	if in.left > 0 {
+	if in.remaining > 0 {
 		if err := in.decoder.Decode(target); err != nil {
 			return errors.Wrapf(err, "reading a %T", target)
 		}
@@ -146,25 +145,25 @@
 	return in.end()
 }
 
-// skip passes over the frame's value.
+// skip skips the frame's value.
 func (in *inbox) skip() error {
-	if in.left > 0 {
+	if in.remaining > 0 {
 		if err := in.decoder.DecodeValue(reflect.Value{}); err != nil {
-			return errors.Wrap(err, "passing over a value")
+			return errors.Wrap(err, "skipping a value")
 		}
 	}
 	return in.end()
 }
 
 func (in *inbox) end() error {
-	if in.left != 0 {
-		return errors.Errorf("%d bytes behind a frame's value", in.left)
+	if in.remaining != 0 {
+		return errors.Errorf("%d bytes behind a frame's value", in.remaining)
 	}
 	return nil
 }
 
 func (in *inbox) discard() error {
-	_, err := in.reader.Discard(in.left)
-	in.left = 0
+	_, err := in.reader.Discard(in.remaining)
+	in.remaining = 0
 	return err
 }
--- a/internal/cluster/transport/inbox_test.go
+++ b/internal/cluster/transport/inbox_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("The incoming half", func() {
 	// stream returns what a client sends: a greeting, types, two calls and a ping.
 	stream := func() []byte {
-		out := newOutbox(StandardMaxFrameBytes, StandardMaxQueueBytes, time.Second, "norte-1", func() {})
+		out := newOutbox(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Second, "norte-1", func() {})
 		for id := range uint64(2) {
 			_, err := out.put(header{kind: frameRequest, id: id}, &notice{Text: "text", Inner: inner{Values: []int{1, 2, 300}}})
 			Expect(err).NotTo(HaveOccurred())
@@ -51,21 +51,21 @@
 		Expect(read(stream())).To(Equal([]notice{expected, expected}))
 	})
 
-	It("ends in order whichever byte is wrong", func() {
-		whole := stream()
-		for place := range whole {
-			for _, wrong := range []byte{0, 1, 0x7f, 0x80, 0xff, ^whole[place]} {
-				spoiled := bytes.Clone(whole)
-				spoiled[place] = wrong
-				Expect(func() { read(spoiled) }).NotTo(Panic(), "byte %d is %#x", place, wrong)
+	It("does not panic whichever byte is wrong", func() {
+		complete := stream()
+		for position := range complete {
+			for _, wrong := range []byte{0, 1, 0x7f, 0x80, 0xff, ^complete[position]} {
+				spoiled := bytes.Clone(complete)
+				spoiled[position] = wrong
+				Expect(func() { read(spoiled) }).NotTo(Panic(), "byte %d is %#x", position, wrong)
 			}
 		}
 	})
 
-	It("ends in order wherever it is cut", func() {
-		whole := stream()
-		for place := range whole {
-			Expect(func() { read(whole[:place]) }).NotTo(Panic(), "cut at %d", place)
+	It("does not panic wherever it is truncated", func() {
+		complete := stream()
+		for position := range complete {
+			Expect(func() { read(complete[:position]) }).NotTo(Panic(), "truncated at %d", position)
 		}
 	})
 })
--- a/internal/cluster/transport/liveness.go
+++ b/internal/cluster/transport/liveness.go
@@ -1,39 +1,39 @@
 package transport
 
-// mostSilentProbes is for how many probe intervals in a row a connection with calls out may be silent.
-const mostSilentProbes = 3
+// maxUnansweredProbes is for how many probe intervals in a row a connection with pending calls may be without a read.
+const maxUnansweredProbes = 3
 
-// liveness notices a connection whose peer has fallen silent while calls are out. It counts intervals of this process,
-// not time, so that a process that was frozen does not blame its peers.
+// liveness notices a connection whose peer is unresponsive while calls are pending. It counts intervals of this
+// process, not time, so that a process that was frozen does not blame its peers.
 type liveness struct {
-	watched bool   // calls were out at the last probe too
-	heard   uint64 // count of reads at the last probe
-	silent  int    // intervals in a row without a read
+	watched    bool   // calls were pending at the last probe too
+	reads      uint64 // count of reads at the last probe
+	unanswered int    // intervals in a row without a read
 }
 
-// verdict is what to do with a connection after a probe.
+// verdict is the result of a probe.
 type verdict int
 
 const (
-	verdictCalm verdict = iota // nothing is out
-	verdictGood
+	verdictIdle verdict = iota // no call is pending
+	verdictAlive
 	verdictPing
-	verdictCut
+	verdictDead
 )
 
-// probe is called once an interval with whether calls are out and how many reads there were, ever.
-func (l *liveness) probe(waiting bool, heard uint64) verdict {
-	if !waiting {
+// probe is called once an interval, with whether calls are pending and the count of reads.
+func (l *liveness) probe(pending bool, reads uint64) verdict {
+	if !pending {
 		*l = liveness{}
-		return verdictCalm
+		return verdictIdle
 	}
-	if !l.watched || heard != l.heard {
-		*l = liveness{watched: true, heard: heard}
-		return verdictGood
+	if !l.watched || reads != l.reads {
+		*l = liveness{watched: true, reads: reads}
+		return verdictAlive
 	}
-	l.silent++
-	if l.silent >= mostSilentProbes {
-		return verdictCut
+	l.unanswered++
+	if l.unanswered >= maxUnansweredProbes {
+		return verdictDead
 	}
 	return verdictPing
 }
--- a/internal/cluster/transport/outbox.go
+++ b/internal/cluster/transport/outbox.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	writePiece    = 64 << 10 // each piece of this many bytes gets the whole write timeout
-	keptBuffer    = 64 << 10 // buffers above this many bytes are not kept
-	farewellLimit = 300 * time.Millisecond
+	writeChunkBytes   = 64 << 10 // each chunk of this many bytes gets the full write timeout
+	maxRetainedBuffer = 64 << 10 // larger buffers are not reused
+	closeTimeout      = 300 * time.Millisecond
 )
 
-// errEnded says that a connection is over.
+// errEnded is returned for a connection that has ended.
 var errEnded = errors.New("the connection has ended")
 
 // typeEntry is a type as described on a connection.
 type typeEntry struct {
 	number uint64
-	empty  bool // has nothing that gob could carry
+	empty  bool // has nothing that gob could encode
 }
 
-// outbox is the outgoing half of a connection. Frames are encoded by who sends them and written by one goroutine, which
-// runs only while there is something to write; whatever gathers meanwhile goes with one write.
+// outbox is the outgoing half of a connection. Frames are encoded by the goroutine that sends them, and written by one
+// that runs only while there is something to write: all that was queued meanwhile goes out with one write.
 type outbox struct {
 	maxFrame     int
 	maxQueue     int
 	writeTimeout time.Duration
-	ended        func() // called once, when the connection is over and nothing is being written any more
+	onEnd        func() // called once, when the connection has ended and nothing is being written any more
 
 	mutex    sync.Mutex
 	conn     net.Conn // nil until there is one
 	encoder  *gob.Encoder
 	types    map[reflect.Type]typeEntry
-	pending  []byte // not yet taken by the writer
+	pending  []byte // queued, not yet taken by the writer
 	spare    []byte // the writer's other buffer
-	taken    uint64 // bytes that the writer has taken, ever
-	handed   uint64 // bytes that the kernel has taken, ever
+	taken    uint64 // bytes that the writer has taken, in total
+	written  uint64 // bytes that the kernel has taken, in total
 	flushing bool
-	closing  bool // close once all is written
+	closing  bool // close once everything is written
 	closed   bool
 }
 
 func newOutbox(maxFrame, maxQueue int, writeTimeout time.Duration, name string, ended func()) *outbox {
-	o := &outbox{maxFrame: maxFrame, maxQueue: maxQueue, writeTimeout: writeTimeout, ended: ended}
+	o := &outbox{maxFrame: maxFrame, maxQueue: maxQueue, writeTimeout: writeTimeout, onEnd: ended}
 	o.encoder = gob.NewEncoder((*pendingWriter)(o))
 	o.types = map[reflect.Type]typeEntry{}
-	o.pending = appendGreeting(nil, name)
+	o.pending = greetingOf(name)
 	return o
 }
 
-// pendingWriter lets the gob encoder append to the pending bytes. The mutex is held.
+// pendingWriter lets the gob encoder append to the pending bytes. The mutex must be locked.
 type pendingWriter outbox
 
 func (w *pendingWriter) Write(data []byte) (int, error) {
@@ -65,11 +65,11 @@
 	return len(data), nil
 }
 
-// span is where a frame stands among all bytes of a connection.
+// span is the position of a frame among all bytes of a connection.
 type span struct{ start, end uint64 }
 
-// put queues one frame. value is a pointer to the frame's value, or nil; its type stands for the header's number.
-// The error is of kind Unavailable, TooLarge or Invalid; then nothing was queued.
+// put queues one frame. value is a pointer to the frame's value, or nil; the header's number is set by its type. The
+// error is of kind Unavailable, TooLarge or Invalid; then nothing was queued.
 func (o *outbox) put(h header, value any) (span, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -80,7 +80,7 @@
 		return span{}, failure.Newf(failure.Unavailable, "%d bytes wait to be written", len(o.pending))
 	}
 	if value != nil {
-		entry, err := o.define(reflect.TypeOf(value).Elem())
+		entry, err := o.describe(reflect.TypeOf(value).Elem())
 		if err != nil {
 			return span{}, err
 		}
@@ -89,7 +89,7 @@
 			value = nil
 		}
 	}
-	placed, err := o.frame(h, value)
+	placed, err := o.appendFrame(h, value)
 	if err != nil {
 		return span{}, err
 	}
@@ -97,26 +97,26 @@
 	return placed, nil
 }
 
-// define returns the entry of a type, which is described on the connection at its first use. It is described with a
-// zero value in a frame of its own, so that a value that turns out too large can be taken back whole.
-func (o *outbox) define(valueType reflect.Type) (typeEntry, error) {
+// describe returns the entry of a type, which is described on the connection at its first use. That takes a frame of
+// its own with a zero value, so that a value that turns out to be too large can be removed completely.
+func (o *outbox) describe(valueType reflect.Type) (typeEntry, error) {
 	if entry, ok := o.types[valueType]; ok {
 		return entry, nil
 	}
-	entry := typeEntry{number: uint64(len(o.types) + 1), empty: nothingToCarry(valueType)}
+	entry := typeEntry{number: uint64(len(o.types) + 1), empty: hasNoExportedFields(valueType)}
 	var zero any
 	if !entry.empty {
 		zero = reflect.New(valueType).Interface()
 	}
-	if _, err := o.frame(header{kind: frameDefine, number: entry.number, name: valueType.String()}, zero); err != nil {
+	if _, err := o.appendFrame(header{kind: frameDefine, number: entry.number, name: valueType.String()}, zero); err != nil {
 		return typeEntry{}, err
 	}
 	o.types[valueType] = entry
 	return entry, nil
 }
 
-// frame appends one frame to the pending bytes, or leaves them as they were.
-func (o *outbox) frame(h header, value any) (span, error) {
+// appendFrame appends one frame to the pending bytes, or leaves them unchanged.
+func (o *outbox) appendFrame(h header, value any) (span, error) {
 	start := len(o.pending)
 	o.pending = append(o.pending, 0, 0, 0, 0)
 	o.pending = h.append(o.pending)
@@ -135,8 +135,9 @@
 	return span{start: o.taken + uint64(start), end: o.taken + uint64(len(o.pending))}, nil
 }
 
-// takeBack makes a frame void if the writer has not taken it yet, and tells whether it did.
-func (o *outbox) takeBack(placed span) bool {
+// cancel makes a frame void unless the writer has taken it, and reports whether it did: then the frame certainly has
+// no effect.
+func (o *outbox) cancel(placed span) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if placed.start < o.taken {
@@ -149,14 +150,14 @@
 	return true
 }
 
-// neverLeft tells of a connection that is over whether some of a frame's bytes stayed behind.
-func (o *outbox) neverLeft(placed span) bool {
+// unsent reports, of a connection that has ended, whether some of a frame's bytes were never taken by the kernel.
+func (o *outbox) unsent(placed span) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return placed.end > o.handed
+	return placed.end > o.written
 }
 
-// attach hands over the connection to write to. It returns false if the outbox was closed before.
+// attach sets the connection to write to. It returns false if the outbox was closed before.
 func (o *outbox) attach(conn net.Conn) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -168,7 +169,7 @@
 	return true
 }
 
-// startFlush starts the writer unless it runs. The mutex is held.
+// startFlush starts the writer unless it runs. The mutex must be locked.
 func (o *outbox) startFlush() {
 	if o.flushing || o.conn == nil || o.closed || len(o.pending) == 0 {
 		return
@@ -177,7 +178,7 @@
 	go o.flush()
 }
 
-// flush writes until nothing is left.
+// flush writes until nothing is pending.
 func (o *outbox) flush() {
 	for {
 		o.mutex.Lock()
@@ -191,11 +192,11 @@
 		conn, timeout := o.conn, o.writeTimeout
 		o.mutex.Unlock()
 
-		written, err := writePieces(conn, batch, timeout)
+		written, err := writeChunks(conn, batch, timeout)
 
 		o.mutex.Lock()
-		o.handed += uint64(written)
-		if cap(batch) <= keptBuffer {
+		o.written += uint64(written)
+		if cap(batch) <= maxRetainedBuffer {
 			o.spare = batch[:0]
 		}
 		o.mutex.Unlock()
@@ -205,7 +206,7 @@
 	}
 }
 
-// endFlush ends the writer. It takes over the mutex and gives it back.
+// endFlush ends the writer. The mutex must be locked, and is unlocked.
 func (o *outbox) endFlush() {
 	o.flushing = false
 	if o.closing && !o.closed {
@@ -215,19 +216,19 @@
 	over := o.closed
 	o.mutex.Unlock()
 	if over {
-		o.ended()
+		o.onEnd()
 	}
 }
 
-// writePieces writes data, giving each piece the whole timeout, and returns how many bytes were taken.
-func writePieces(conn net.Conn, data []byte, timeout time.Duration) (int, error) {
+// writeChunks writes data, giving each chunk the full timeout, and returns how many bytes were taken.
+func writeChunks(conn net.Conn, data []byte, timeout time.Duration) (int, error) {
 	written := 0
 	for written < len(data) {
-		piece := data[written:min(written+writePiece, len(data))]
+		chunk := data[written:min(written+writeChunkBytes, len(data))]
 		if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 			return written, err
 		}
-		count, err := conn.Write(piece)
+		count, err := conn.Write(chunk)
 		written += count
 		if err != nil {
 			return written, err
@@ -250,12 +251,12 @@
 	over := !o.flushing
 	o.mutex.Unlock()
 	if over {
-		o.ended()
+		o.onEnd()
 	}
 }
 
-// finish ends the connection once everything queued is written, or after a short time.
-func (o *outbox) finish() {
+// closeAfterFlush closes the connection once everything that is queued is written, or after closeTimeout.
+func (o *outbox) closeAfterFlush() {
 	o.mutex.Lock()
 	if !o.flushing || o.conn == nil {
 		o.mutex.Unlock()
@@ -263,13 +264,13 @@
 		return
 	}
 	o.closing = true
-	o.writeTimeout = farewellLimit
-	_ = o.conn.SetWriteDeadline(time.Now().Add(farewellLimit))
+	o.writeTimeout = closeTimeout
+	_ = o.conn.SetWriteDeadline(time.Now().Add(closeTimeout))
 	o.mutex.Unlock()
 }
 
-// nothingToCarry tells whether a type is a struct without exported fields, which gob refuses.
-func nothingToCarry(valueType reflect.Type) bool {
+// hasNoExportedFields reports whether a type is a struct without exported fields, which gob refuses to encode.
+func hasNoExportedFields(valueType reflect.Type) bool {
 	if valueType.Kind() != reflect.Struct {
 		return false
 	}
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -13,33 +13,33 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-var errSilent = errors.New("the peer has fallen silent")
+var errUnresponsive = errors.New("the peer is unresponsive")
 
-// dialError says that a connection never stood.
+// dialError is the cause of the end of a connection that was never established.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return "cannot connect: " + e.cause.Error() }
 
-// peer is an address that a client has called, with its present connection.
+// peer is an address that a client has called, with its current connection.
 type peer struct {
 	client  *Client
 	address string
 
 	mutex      sync.Mutex
 	connection *connection // nil: none
-	failures   int         // connections in a row that never stood
-	notBefore  time.Time   // when the next may be tried
+	failures   int         // connections in a row that were never established
+	retryAt    time.Time   // no connection is attempted before
 	lastCause  error
 }
 
-// use returns the present connection, or starts one. The error is of kind Unavailable.
-func (p *peer) use() (*connection, error) {
+// acquire returns the current connection, or starts one. The error is of kind Unavailable.
+func (p *peer) acquire() (*connection, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.connection != nil {
 		return p.connection, nil
 	}
-	if p.failures > 0 && p.client.options.Clock.Now().Before(p.notBefore) {
+	if p.failures > 0 && p.client.options.Clock.Now().Before(p.retryAt) {
 		return nil, failure.Newf(failure.Unavailable, "%s: %v", p.address, p.lastCause)
 	}
 	p.connection = newConnection(p)
@@ -47,64 +47,65 @@
 	return p.connection, nil
 }
 
-// present returns the present connection or nil.
-func (p *peer) present() *connection {
+// current returns the current connection, or nil.
+func (p *peer) current() *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.connection
 }
 
-// stood takes note that the peer has greeted.
-func (p *peer) stood() {
+// recordEstablished records that the peer has greeted.
+func (p *peer) recordEstablished() {
 	p.mutex.Lock()
 	p.failures = 0
 	p.mutex.Unlock()
 }
 
-// ended takes note that a connection is over; if it never stood, the next is tried only after a while.
-func (p *peer) ended(over *connection, stood bool, cause error) {
+// recordEnd records that a connection has ended. If it was never established, the next is attempted only after a
+// backoff.
+func (p *peer) recordEnd(ended *connection, established bool, cause error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.connection != over {
+	if p.connection != ended {
 		return
 	}
 	p.connection = nil
 	p.lastCause = cause
-	if stood {
+	if established {
 		return
 	}
 	p.failures++
 	options := &p.client.options
-	p.notBefore = options.Clock.Now().Add(backoff(p.failures, options.LeastBackoff, options.MostBackoff))
+	p.retryAt = options.Clock.Now().Add(backoff(p.failures, options.MinBackoff, options.MaxBackoff))
 }
 
 func (p *peer) close() {
-	if current := p.present(); current != nil {
+	if current := p.current(); current != nil {
 		current.end(errors.New("the client is closed"))
 	}
 }
 
 // backoff returns how long to wait after so many failures in a row.
-func backoff(failures int, least, most time.Duration) time.Duration {
-	wait := least
+func backoff(failures int, minBackoff, maxBackoff time.Duration) time.Duration {
+	wait := minBackoff
 	for range failures - 1 {
 		wait *= 2
-		if wait >= most {
-			return most
+		if wait >= maxBackoff {
+			return maxBackoff
 		}
 	}
 	return wait
 }
 
-// isPlainEnd tells whether a connection ended as connections do.
-func isPlainEnd(cause error) bool {
+// isExpectedEnd reports whether a connection ended as connections do: the peer went away, or cannot be reached.
+func isExpectedEnd(cause error) bool {
 	var dialing *dialError
 	if errors.As(cause, &dialing) || errors.Is(cause, os.ErrDeadlineExceeded) {
 		return true
 	}
-	for _, plain := range []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE,
-		syscall.ETIMEDOUT, errSilent} {
-		if errors.Is(cause, plain) {
+	for _, expected := range []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE,
+		syscall.ETIMEDOUT, errUnresponsive} {
+		if errors.Is(cause, expected) {
 			return true
 		}
 	}
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -10,28 +10,28 @@
 	"github.com/pkg/errors"
 )
 
-// acceptPause is how long a server that is out of descriptors waits before it takes connections again.
-const acceptPause = 50 * time.Millisecond
+// acceptBackoff is how long a server that is out of descriptors waits before it accepts connections again.
+const acceptBackoff = 50 * time.Millisecond
 
-// Server answers the calls of other processes. Its handlers are registered before Serve.
+// Server answers the calls of other processes.
 type Server struct {
-	options  Options
-	handlers map[string]handler // by name of the request's type
-	ctx      context.Context    // of handlers
-	cancel   context.CancelFunc
-	running  atomic.Int64 // goroutines of Handle
+	options         Options
+	handlers        map[string]handler // by name of the request's type
+	ctx             context.Context    // of handlers
+	cancel          context.CancelFunc
+	runningHandlers atomic.Int64 // goroutines of Handle
 
-	mutex     sync.Mutex
-	sessions  map[*session]struct{}
-	listeners map[net.Listener]struct{}
-	closed    bool
-	waiting   sync.WaitGroup // sessions
+	mutex        sync.Mutex
+	sessions     map[*session]struct{}
+	listeners    map[net.Listener]struct{}
+	closed       bool
+	sessionGroup sync.WaitGroup // sessions
 }
 
-// NewServer returns a server without handlers.
+// NewServer returns a server. Its handlers must be registered before Serve.
 func NewServer(options Options) *Server {
 	s := &Server{
-		options:   options.complete(),
+		options:   options.withDefaults(),
 		handlers:  map[string]handler{},
 		sessions:  map[*session]struct{}{},
 		listeners: map[net.Listener]struct{}{},
@@ -40,8 +40,8 @@
 	return s
 }
 
-// Serve takes connections until ctx ends or the server is closed. Then it ends the listener and the connections, as
-// Close does, and returns nil.
+// Serve accepts connections until ctx ends or the server is closed. Then it closes the listener and the connections,
+// as Close does, and returns nil. Any other end is an error.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	if !s.addListener(listener) {
 		_ = listener.Close()
@@ -53,20 +53,20 @@
 		conn, err := listener.Accept()
 		switch {
 		case err == nil:
-			s.add(conn)
+			s.addSession(conn)
 		case s.isClosed():
-			s.waiting.Wait()
+			s.sessionGroup.Wait()
 			return nil
-		case !isShortage(err):
+		case !isResourceShortage(err):
 			return errors.Wrap(err, "taking connections")
 		default:
-			s.options.Clock.Sleep(acceptPause)
+			s.options.Clock.Sleep(acceptBackoff)
 		}
 	}
 }
 
-// Close ends the listeners and, once the answers that are there are written, the connections. It waits for that, which
-// takes a fraction of a second at most; it does not wait for handlers.
+// Close closes the listeners and, once the responses that are there are written, the connections. It waits for that,
+// twice closeTimeout at most. It ends the contexts of handlers but does not wait for them.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -81,15 +81,15 @@
 		_ = listener.Close()
 	}
 	for _, each := range sessions {
-		each.out.finish()
+		each.out.closeAfterFlush()
 	}
-	farewell := time.AfterFunc(2*farewellLimit, func() {
+	forced := time.AfterFunc(2*closeTimeout, func() {
 		for _, each := range sessions {
 			each.out.close()
 		}
 	})
-	defer farewell.Stop()
-	s.waiting.Wait()
+	defer forced.Stop()
+	s.sessionGroup.Wait()
 }
 
 func (s *Server) isClosed() bool {
@@ -108,8 +108,8 @@
 	return true
 }
 
-// add starts a session, unless there are too many.
-func (s *Server) add(conn net.Conn) {
+// addSession starts a session, unless there are too many.
+func (s *Server) addSession(conn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed || len(s.sessions) >= s.options.MaxConnections {
@@ -118,14 +118,14 @@
 	}
 	opened := newSession(s, conn)
 	s.sessions[opened] = struct{}{}
-	s.waiting.Add(1)
+	s.sessionGroup.Add(1)
 	go opened.run()
 }
 
-// remove takes note that a session is over.
-func (s *Server) remove(over *session) {
+// removeSession records that a session has ended.
+func (s *Server) removeSession(over *session) {
 	s.mutex.Lock()
 	delete(s.sessions, over)
 	s.mutex.Unlock()
-	s.waiting.Done()
+	s.sessionGroup.Done()
 }
--- a/internal/cluster/transport/server_test.go
+++ b/internal/cluster/transport/server_test.go
@@ -20,9 +20,9 @@
 	frame := func(length uint32, content ...byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, length), content...)
 	}
-	hello := func(rest ...byte) []byte { return append(appendGreeting(nil, "sur-9"), rest...) }
+	hello := func(rest ...byte) []byte { return append(greetingOf("sur-9"), rest...) }
 
-	DescribeTable("cuts who sends nonsense, and names it",
+	DescribeTable("closes the connection of a client that breaks the protocol, and logs its name",
 		func(sent []byte, name string) {
 			logged := newLines()
 			server := NewServer(Options{Logger: logged, MaxFrameBytes: 1000})
@@ -33,7 +33,7 @@
 			DeferCleanup(conn.Close)
 			_, err = conn.Write(sent)
 			Expect(err).NotTo(HaveOccurred())
-			_, _ = io.Copy(io.Discard, conn) // until it is cut
+			_, _ = io.Copy(io.Discard, conn) // until it is closed
 			if name == "" {
 				name = conn.LocalAddr().String()
 			}
@@ -45,15 +45,15 @@
 		Entry("an empty frame", hello(frame(0)...), "sur-9"),
 		Entry("too large a frame", hello(frame(1001)...), "sur-9"),
 		Entry("a frame of no kind", hello(frame(1, 200)...), "sur-9"),
-		Entry("an answer", hello(frame(3, byte(frameResponse), 1, 0)...), "sur-9"),
+		Entry("a response", hello(frame(3, byte(frameResponse), 1, 0)...), "sur-9"),
 		Entry("a pong", hello(frame(1, byte(framePong))...), "sur-9"),
 		Entry("a type that was not described", hello(frame(4, byte(frameRequest), 1, 1, 0)...), "sur-9"),
-		Entry("a type out of turn", hello(frame(4, byte(frameDefine), 2, 1, 'x')...), "sur-9"),
+		Entry("a type out of sequence", hello(frame(4, byte(frameDefine), 2, 1, 'x')...), "sur-9"),
 		Entry("a value that is no gob", hello(frame(7, byte(frameDefine), 1, 1, 'x', 3, 0xff, 0xff)...), "sur-9"),
 		Entry("bytes behind a ping", hello(frame(3, byte(framePing), 1, 0)...), "sur-9"),
 	)
 
-	It("cuts who never reads its answers", func() {
+	It("closes the connection of a client that never reads responses", func() {
 		server := NewServer(Options{MaxQueueBytes: 1000, WriteTimeout: time.Hour})
 		Handle(server, func(context.Context, string, *question) (*reply, error) {
 			return &reply{Text: strings.Repeat("x", 1<<20)}, nil
@@ -61,18 +61,18 @@
 		address := serve(server)
 		conn, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
-		out := newOutbox(StandardMaxFrameBytes, StandardMaxQueueBytes, time.Hour, "", func() {})
+		out := newOutbox(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Hour, "", func() {})
 		Expect(out.attach(conn)).To(BeTrue())
-		asked := uint64(0)
+		id := uint64(0)
 		Eventually(func() error {
-			asked++
-			_, err := out.put(header{kind: frameRequest, id: asked}, &question{})
+			id++
+			_, err := out.put(header{kind: frameRequest, id: id}, &question{})
 			return err
 		}).WithTimeout(soon).WithPolling(time.Millisecond).Should(HaveOccurred())
 		out.close()
 	})
 
-	It("takes no more connections than allowed", func() {
+	It("accepts no more connections than allowed", func() {
 		server := NewServer(Options{MaxConnections: 1})
 		Handle(server, func(context.Context, string, *question) (*reply, error) { return &reply{}, nil })
 		address := serve(server)
@@ -82,7 +82,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("that is closed writes the answers that are there, and ends handlers' contexts", func() {
+	It("that is closed writes the responses that are there, and ends handlers' contexts", func() {
 		server := NewServer(Options{})
 		entered := make(chan struct{})
 		Handle(server, func(ctx context.Context, _ string, _ *question) (*reply, error) {
@@ -96,7 +96,7 @@
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(ctx, listener) }()
 		client := newTestClient(ClientOptions{})
-		ended := calling(context.Background(), client, listener.Addr().String())
+		ended := startCall(context.Background(), client, listener.Addr().String())
 		Eventually(entered).WithTimeout(soon).Should(BeClosed())
 		cancel()
 		Eventually(served).WithTimeout(soon).Should(Receive(BeNil()))
@@ -106,21 +106,21 @@
 		Expect(server.Serve(context.Background(), listener)).To(Succeed())
 	})
 
-	It("that cannot take connections any more says so", func() {
+	It("that cannot accept connections any more returns an error", func() {
 		listener, err := Listen(context.Background(), "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		_ = listener.Close()
 		Expect(NewServer(Options{}).Serve(context.Background(), listener)).NotTo(Succeed())
 	})
 
-	It("that is short of descriptors goes on after a pause", func() {
+	It("that is short of descriptors goes on after a backoff", func() {
 		clock := clockwork.NewFakeClock()
 		server := NewServer(Options{Clock: clock})
 		broken := &shortListener{closed: make(chan struct{}), results: []error{syscall.EMFILE, syscall.ECONNABORTED, os.ErrInvalid}}
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(context.Background(), broken) }()
-		advance(clock, acceptPause)
-		advance(clock, acceptPause)
+		advance(clock, acceptBackoff)
+		advance(clock, acceptBackoff)
 		var end error
 		Eventually(served).WithTimeout(soon).Should(Receive(&end))
 		Expect(errors.Is(end, os.ErrInvalid)).To(BeTrue())
--- a/internal/cluster/transport/session.go
+++ b/internal/cluster/transport/session.go
@@ -19,29 +19,29 @@
 	out         *outbox
 	in          *inbox
 	from        string       // the client's name, or its address if it gave none
-	outstanding atomic.Int64 // calls without an answer
+	outstanding atomic.Int64 // unanswered calls
 }
 
 func newSession(server *Server, conn net.Conn) *session {
 	s := &session{server: server, conn: conn, from: conn.RemoteAddr().String()}
 	options := &server.options
-	s.out = newOutbox(options.MaxFrameBytes, options.MaxQueueBytes, options.WriteTimeout, "", s.over)
+	s.out = newOutbox(options.MaxFrameBytes, options.MaxQueueBytes, options.WriteTimeout, "", s.ended)
 	s.in = newInbox(conn, options.MaxFrameBytes)
 	s.out.attach(conn)
 	return s
 }
 
-// over is called by the outbox once the connection has ended.
-func (s *session) over() { s.server.remove(s) }
+// ended is called by the outbox once the connection has ended.
+func (s *session) ended() { s.server.removeSession(s) }
 
-// run greets, and handles frames until the connection ends.
+// run handles frames until the connection ends.
 func (s *session) run() {
 	err := s.greet()
 	for err == nil {
 		var h header
 		h, err = s.in.next()
 		if err == nil {
-			err = s.take(h)
+			err = s.handleFrame(h)
 		}
 	}
 	s.log(err)
@@ -49,7 +49,7 @@
 }
 
 func (s *session) greet() error {
-	if err := s.conn.SetReadDeadline(time.Now().Add(StandardGreetingTimeout)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(DefaultGreetingTimeout)); err != nil {
 		return err
 	}
 	name, err := s.in.greeting()
@@ -62,31 +62,31 @@
 	return s.conn.SetReadDeadline(time.Time{})
 }
 
-// log tells of an end that should not happen; that peers come and go is no news.
+// log logs an end that should not happen, but not that peers come and go.
 func (s *session) log(cause error) {
-	if isPlainEnd(cause) || s.server.isClosed() {
+	if isExpectedEnd(cause) || s.server.isClosed() {
 		return
 	}
 	logger := level.Warn(s.server.options.Logger)
-	_ = logger.Log("message", "connection cut", "peer", s.from, "address", s.conn.RemoteAddr(), "cause", cause)
+	_ = logger.Log("message", "connection closed by a fault", "peer", s.from, "address", s.conn.RemoteAddr(), "cause", cause)
 }
 
-// take handles one frame.
-func (s *session) take(h header) error {
+// handleFrame handles one frame.
+func (s *session) handleFrame(h header) error {
 	switch h.kind {
 	case framePing:
 		s.send(header{kind: framePong}, nil)
 		return s.in.skip()
 	case frameMessage:
-		return s.message(h)
+		return s.handleMessage(h)
 	case frameRequest:
-		return s.request(h)
+		return s.handleRequest(h)
 	default:
 		return errors.Errorf("a client sent a frame of kind %d", h.kind)
 	}
 }
 
-func (s *session) message(h header) error {
+func (s *session) handleMessage(h header) error {
 	found, ok := s.server.handlers[s.in.typeName(h.number)]
 	if !ok || found.message == nil {
 		return s.in.skip()
@@ -94,46 +94,48 @@
 	return found.message(s)
 }
 
-func (s *session) request(h header) error {
+func (s *session) handleRequest(h header) error {
 	name := s.in.typeName(h.number)
 	found, ok := s.server.handlers[name]
 	switch {
 	case !ok || found.request == nil:
-		s.fail(h.id, failure.Newf(failure.Unavailable, "nothing here answers a %s", name))
+		s.sendFailure(h.id, failure.Newf(failure.Unavailable, "nothing here answers a %s", name))
 		return s.in.skip()
 	case s.outstanding.Load() >= int64(s.server.options.MaxOutstanding):
-		s.fail(h.id, failure.Newf(failure.Unavailable, "%d calls of one connection have no answer", s.outstanding.Load()))
+		s.sendFailure(h.id, failure.Newf(failure.Unavailable, "%d calls of one connection have no answer", s.outstanding.Load()))
 		return s.in.skip()
 	}
 	s.outstanding.Add(1)
-	return found.request(&answering{session: s, id: h.id, remainingMs: h.remainingMs})
+	return found.request(&pendingCall{session: s, id: h.id, remainingMs: h.remainingMs})
 }
 
-// send queues a frame. A peer that has let too many answers pile up is cut.
+// send queues a frame. The connection of a peer that has not read too many responses is closed.
 func (s *session) send(h header, value any) {
 	_, err := s.out.put(h, value)
 	switch failure.KindOf(err) {
 	case failure.None:
 	case failure.Unavailable:
 		s.out.close()
-	default: // the handler's answer cannot be sent; what was asked for may have been done
-		s.fail(h.id, failure.New(failure.UnknownOutcome, err.Error()))
+	default: // the response cannot be sent; what was requested may have been done
+		s.sendFailure(h.id, failure.New(failure.UnknownOutcome, err.Error()))
 	}
 }
 
-func (s *session) fail(id uint64, err error) {
-	told := &failure.Error{Kind: failure.KindOf(err), Message: err.Error(), Leader: failure.LeaderOf(err)}
-	var own *failure.Error
-	if errors.As(err, &own) {
-		told.Message = own.Message
+// sendFailure answers a call with an error. Only its kind, message and leader are sent.
+func (s *session) sendFailure(id uint64, err error) {
+	sent := &failure.Error{Kind: failure.KindOf(err), Message: err.Error(), Leader: failure.LeaderOf(err)}
+	var known *failure.Error
+	if errors.As(err, &known) {
+		sent.Message = known.Message
 	}
-	if _, err := s.out.put(header{kind: frameFailure, id: id, failure: told}, nil); err != nil {
+	if _, err := s.out.put(header{kind: frameFailure, id: id, failure: sent}, nil); err != nil {
 		s.out.close()
 	}
 }
 
-// isShortage tells whether taking a connection failed for want of something that may be there again soon.
-func isShortage(err error) bool {
+// isResourceShortage reports whether a connection was not accepted for lack of a resource that may be available again
+// soon.
+func isResourceShortage(err error) bool {
 	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, shortage) {
 			return true
--- a/internal/cluster/transport/transport_suite_test.go
+++ b/internal/cluster/transport/transport_suite_test.go
@@ -38,7 +38,7 @@
 
 type nothing struct{}
 
-// lines is a logger that keeps what is logged.
+// lines is a logger that records what is logged.
 type lines struct{ channel chan []any }
 
 func newLines() lines { return lines{channel: make(chan []any, 100)} }
@@ -50,7 +50,7 @@
 
 var _ log.Logger = lines{}
 
-// serve starts a server on a loopback address and returns that address.
+// serve starts a server on a loopback address and returns the address.
 func serve(s *Server) string {
 	listener, err := Listen(context.Background(), "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -69,7 +69,7 @@
 	return c
 }
 
-// pipes lets a client dial into the test: each dialing gives the test the other end.
+// pipes lets a client dial into the test, which gets the other end of each connection.
 type pipes struct{ ends chan net.Conn }
 
 func newPipes() *pipes { return &pipes{ends: make(chan net.Conn, 10)} }
@@ -88,7 +88,7 @@
 	return far
 }
 
-// advance lets a fake clock pass a span as soon as something waits for it.
+// advance lets a span pass on a fake clock as soon as something waits for it.
 func advance(clock *clockwork.FakeClock, span time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), soon)
 	defer cancel()
@@ -98,10 +98,10 @@
 
 // greeted writes a server's greeting to a client's other end and reads the client's.
 func greeted(far net.Conn) *inbox {
-	in := newInbox(far, StandardMaxFrameBytes)
+	in := newInbox(far, DefaultMaxFrameBytes)
 	_, err := in.greeting()
 	Expect(err).NotTo(HaveOccurred())
-	_, err = far.Write(appendGreeting(nil, ""))
+	_, err = far.Write(greetingOf(""))
 	Expect(err).NotTo(HaveOccurred())
 	return in
 }
