--- a/internal/cluster/control/account.go
+++ b/internal/cluster/control/account.go
@@ -18,11 +18,11 @@
 	logger  log.Logger
 	metrics *accountMetrics
 	toldAt  time.Duration
-	told    map[string]latency.Queue // by key of the queue, as of the newest line
+	told    map[string]latency.QueueSummary // by key of the queue, as of the newest line
 }
 
 func newAccountLog(logger log.Logger, metrics *accountMetrics) accountLog {
-	return accountLog{logger: logger, metrics: metrics, told: map[string]latency.Queue{}}
+	return accountLog{logger: logger, metrics: metrics, told: map[string]latency.QueueSummary{}}
 }
 
 // restart begins anew with a new account.
@@ -66,7 +66,7 @@
 	var fields []any
 	for cause, span := range times {
 		if ms := span.Milliseconds(); ms > 0 {
-			fields = append(fields, latency.Cause(cause).String(), ms)
+			fields = append(fields, latency.Reason(cause).String(), ms)
 		}
 	}
 	return log.WithSuffix(level.Info(a.logger), fields...)
--- a/internal/cluster/control/endpoint_test.go
+++ b/internal/cluster/control/endpoint_test.go
@@ -40,7 +40,7 @@
 		Bootstrap:  []string{"here"},
 		FileSystem: &vfstest.Mem{},
 		Dir:        "data",
-		Bounds:     boot.StandardBounds(),
+		Bounds:     boot.DefaultBounds(),
 		Sender:     discarded{},
 		Remote:     unreachable{},
 		Clock:      d.clock,
--- a/internal/cluster/control/metrics.go
+++ b/internal/cluster/control/metrics.go
@@ -16,10 +16,10 @@
 func newAccountMetrics() *accountMetrics { return &accountMetrics{set: metrics.NewSet()} }
 
 // add counts what was summed for a queue since the last time.
-func (m *accountMetrics) add(queue string, since *latency.Queue) {
+func (m *accountMetrics) add(queue string, since *latency.QueueSummary) {
 	for cause, span := range since.Tasks {
 		if span > 0 {
-			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Cause(cause).String())
+			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Reason(cause).String())
 			m.set.GetOrCreateFloatCounter(name).Add(span.Seconds())
 		}
 	}
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, failure.Newf(failure.Invalid, "%s is no version", baseVersionHeader)
 	}
-	if err := configuration.Readable(body); err != nil {
+	if err := configuration.CheckSyntax(body); err != nil {
 		return nil, err
 	}
 	return &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body}, nil
--- a/internal/cluster/control/outofdate_test.go
+++ b/internal/cluster/control/outofdate_test.go
@@ -316,7 +316,7 @@
 )
 
 func jobQuestionsOf(shard protocol.ShardID) []question {
-	beat := protocol.Heartbeat{Instance: wokenRunner, Service: wokenService, Address: "10.0.0.9:1", State: protocol.Ready, Sequence: 1}
+	beat := protocol.Heartbeat{Instance: wokenRunner, Service: wokenService, Address: "10.0.0.9:1", State: protocol.RunnerReady, Sequence: 1}
 	fenceOnly := protocol.Heartbeat{Instance: wokenRunner, Service: wokenService, FenceOnly: true}
 	invalid := submitted(unknownJob, 3)
 	invalid.Job.Steps = nil
--- a/internal/cluster/control/run.go
+++ b/internal/cluster/control/run.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	r := &running{Control: c, settings: settings, server: transport.NewServer(transport.Options{Logger: logger})}
+	r := &running{Control: c, settings: settings, server: transport.NewServer(transport.ServerOptions{Logger: logger})}
 	c.register(r.server)
 	listener, err := net.Listen("tcp", settings.InternalAddress())
 	if err != nil {
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -74,7 +74,7 @@
 		Zone:     c.options.Zone,
 		Version:  "stand-in",
 		Slots:    8,
-		State:    protocol.Ready,
+		State:    protocol.RunnerReady,
 		Capacity: c.options.Capacity,
 		Labels:   c.options.Labels,
 		ClockMs:  now.Milliseconds(),
@@ -82,7 +82,7 @@
 		Finished: slices.Clone(c.finished[:min(len(c.finished), mostFinished)]),
 	}
 	if c.draining {
-		beat.State = protocol.Draining
+		beat.State = protocol.RunnerDraining
 	}
 	for _, r := range c.active {
 		beat.Active = append(beat.Active, protocol.ActiveRun{Task: r.task, Run: r.number, Percent: r.percent(now)})
--- a/internal/cluster/transport/bench_test.go
+++ b/internal/cluster/transport/bench_test.go
@@ -7,7 +7,7 @@
 
 func benchmarkServer(b *testing.B) (address string) {
 	b.Helper()
-	server := NewServer(Options{})
+	server := NewServer(ServerOptions{})
 	HandleAsync(server, func(_ string, q *question, respond func(*reply, error)) {
 		respond(&reply{Text: q.Text, Inner: inner{Values: []int{q.Number}}}, nil)
 	})
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -31,13 +31,13 @@
 	DefaultDialTimeout     = 700 * time.Millisecond
 	DefaultGreetingTimeout = time.Second
 	DefaultWriteTimeout    = 1500 * time.Millisecond
-	StandardProbeInterval  = 300 * time.Millisecond
+	DefaultProbeInterval   = 300 * time.Millisecond
 	DefaultMinBackoff      = 50 * time.Millisecond
 	DefaultMaxBackoff      = 500 * time.Millisecond
 )
 
-// Options configure a Server. A field's zero value stands for its default.
-type Options struct {
+// ServerOptions configure a Server. A field's zero value stands for its default.
+type ServerOptions struct {
 	Logger         log.Logger // nil: nothing is logged
 	Clock          clockwork.Clock
 	MaxFrameBytes  int           // larger frames close the connection (received) or are refused (to be sent)
@@ -68,7 +68,7 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-func (o Options) withDefaults() Options {
+func (o ServerOptions) withDefaults() ServerOptions {
 	setCommonDefaults(&o.Logger, &o.Clock, &o.MaxFrameBytes, &o.MaxQueueBytes, &o.WriteTimeout)
 	o.MaxConnections = cmp.Or(o.MaxConnections, DefaultMaxConnections)
 	o.MaxOutstanding = cmp.Or(o.MaxOutstanding, DefaultMaxOutstanding)
@@ -83,7 +83,7 @@
 	}
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
 	o.GreetingTimeout = cmp.Or(o.GreetingTimeout, DefaultGreetingTimeout)
-	o.ProbeInterval = cmp.Or(o.ProbeInterval, StandardProbeInterval)
+	o.ProbeInterval = cmp.Or(o.ProbeInterval, DefaultProbeInterval)
 	o.MinBackoff = cmp.Or(o.MinBackoff, DefaultMinBackoff)
 	o.MaxBackoff = cmp.Or(o.MaxBackoff, DefaultMaxBackoff)
 	return o
