--- a/internal/cluster/deadline/deadline.go
+++ b/internal/cluster/deadline/deadline.go
@@ -1,5 +1,7 @@
-// Package deadline makes contexts that end by any clock. Package clockwork does so for its own clocks only, and lets
-// contexts of every other clock end by the real time.
+// Package deadline makes contexts that end by the time of any clock. Package clockwork does so only for clocks of its
+// own, and lets contexts with every other clock end by the system's time.
+//
+// All functions may be called from any goroutine if the clock's methods may.
 package deadline
 
 import (
@@ -9,18 +11,17 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Clock is a clock that makes contexts by itself.
+// Clock is a clock that makes contexts itself, as that of a simulation.
 type Clock interface {
 	clockwork.Clock
-	// WithDeadline returns a context that ends with its parent, by its cancel function, or once the clock has reached
-	// that time.
+	// WithDeadline returns a context that ends with parent, by its cancel function, or once the clock reaches the time at.
 	WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc)
-	// In returns the clock for timers of the work that ctx belongs to.
+	// In returns the clock for the timers of the work that ctx belongs to.
 	In(ctx context.Context) clockwork.Clock
 }
 
-// In returns the clock for timers of the work that ctx belongs to: a clock that carries out what is due at one moment in
-// an order of its own has to know.
+// In returns the clock for the timers of the work that ctx belongs to. A Clock that orders what is due at the same
+// time needs to know the work; any other clock is returned as it is.
 func In(ctx context.Context, clock clockwork.Clock) clockwork.Clock {
 	if own, ok := clock.(Clock); ok {
 		return own.In(ctx)
@@ -28,8 +29,7 @@
 	return clock
 }
 
-// WithDeadline returns a context that ends with its parent, by its cancel function, or once the clock has reached that
-// time.
+// WithDeadline returns a context that ends with parent, by its cancel function, or once the clock reaches the time at.
 func WithDeadline(parent context.Context, clock clockwork.Clock, at time.Time) (context.Context, context.CancelFunc) {
 	if own, ok := clock.(Clock); ok {
 		return own.WithDeadline(parent, at)
@@ -37,10 +37,10 @@
 	return clockwork.WithDeadline(parent, clock, at)
 }
 
-// WithTimeout is WithDeadline for a time from now on.
-func WithTimeout(parent context.Context, clock clockwork.Clock, span time.Duration) (context.Context, context.CancelFunc) {
+// WithTimeout is WithDeadline with the time that is timeout from now.
+func WithTimeout(parent context.Context, clock clockwork.Clock, timeout time.Duration) (context.Context, context.CancelFunc) {
 	if own, ok := clock.(Clock); ok {
-		return own.WithDeadline(parent, own.Now().Add(span))
+		return own.WithDeadline(parent, own.Now().Add(timeout))
 	}
-	return clockwork.WithTimeout(parent, clock, span)
+	return clockwork.WithTimeout(parent, clock, timeout)
 }
--- a/internal/cluster/deadline/deadline_test.go
+++ b/internal/cluster/deadline/deadline_test.go
@@ -12,33 +12,33 @@
 	"ospreypond/internal/cluster/deadline"
 )
 
-// asked is a clock that notes the deadlines it is asked for.
-type asked struct {
+// recordingClock is a clock that records the deadlines of the contexts it makes.
+type recordingClock struct {
 	*clockwork.FakeClock
 	deadlines []time.Time
 }
 
-func (a *asked) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
+func (a *recordingClock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	a.deadlines = append(a.deadlines, at)
 	return context.WithCancel(parent)
 }
 
-func (a *asked) In(ctx context.Context) clockwork.Clock {
+func (a *recordingClock) In(ctx context.Context) clockwork.Clock {
 	return clockwork.FromContext(ctx)
 }
 
-func TestAClockMayTellWorkApart(t *testing.T) {
+func TestInReturnsTheClockOfTheWork(t *testing.T) {
 	g := NewWithT(t)
 	other := clockwork.NewFakeClock()
 	ctx := clockwork.AddToContext(context.Background(), other)
-	g.Expect(deadline.In(ctx, &asked{})).To(BeIdenticalTo(other))
+	g.Expect(deadline.In(ctx, &recordingClock{})).To(BeIdenticalTo(other))
 	usual := clockwork.NewRealClock()
 	g.Expect(deadline.In(ctx, usual)).To(BeIdenticalTo(usual))
 }
 
-func TestAClockThatMakesContextsMakesThem(t *testing.T) {
+func TestContextsAreMadeByAClockThatCan(t *testing.T) {
 	g := NewWithT(t)
-	clock := &asked{FakeClock: clockwork.NewFakeClock()}
+	clock := &recordingClock{FakeClock: clockwork.NewFakeClock()}
 	at := clock.Now().Add(time.Minute)
 	_, cancelDeadline := deadline.WithDeadline(context.Background(), clock, at)
 	defer cancelDeadline()
@@ -47,7 +47,7 @@
 	g.Expect(clock.deadlines).To(Equal([]time.Time{at, clock.Now().Add(time.Hour)}))
 }
 
-func TestOtherClocksEndContextsAsBefore(t *testing.T) {
+func TestContextsOfOtherClocksEndAtTheirDeadline(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	first, cancelFirst := deadline.WithDeadline(context.Background(), clock, clock.Now().Add(time.Minute))
--- a/internal/cluster/failure/answers/answers_test.go
+++ b/internal/cluster/failure/answers/answers_test.go
@@ -9,20 +9,20 @@
 	"ospreypond/internal/cluster/failure/answers"
 )
 
-func TestEveryKindHasAnAnswerOfItsOwnName(t *testing.T) {
+func TestEveryKindHasAResponseOfItsOwnName(t *testing.T) {
 	g := NewWithT(t)
 	names := map[string]failure.Kind{}
 	for kind := range failure.Kinds {
-		told := answers.To(kind)
-		g.Expect(told.Name).NotTo(BeEmpty(), "kind %d", kind)
-		g.Expect(told.Advice).NotTo(BeEmpty(), told.Name)
-		g.Expect(told.Status).To(BeNumerically(">=", 200), told.Name)
-		g.Expect(names).NotTo(HaveKey(told.Name))
-		names[told.Name] = kind
+		answer := answers.To(kind)
+		g.Expect(answer.Name).NotTo(BeEmpty(), "kind %d", kind)
+		g.Expect(answer.Advice).NotTo(BeEmpty(), answer.Name)
+		g.Expect(answer.Status).To(BeNumerically(">=", 200), answer.Name)
+		g.Expect(names).NotTo(HaveKey(answer.Name))
+		names[answer.Name] = kind
 	}
 }
 
-func TestAnUnknownKindIsInDoubt(t *testing.T) {
+func TestAnUnknownKindHasAnUnknownOutcome(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(answers.To(failure.Kinds)).To(Equal(answers.To(failure.UnknownOutcome)))
 	g.Expect(failure.Kinds.String()).To(Equal(failure.UnknownOutcome.String()))
--- a/internal/cluster/failure/failure.go
+++ b/internal/cluster/failure/failure.go
@@ -1,10 +1,13 @@
-// Package failure has the closed list of error kinds of the scheduler. An error carries one kind through every layer and
-// over the internal protocol; what a caller over HTTP is told for it is in package answers.
+// Package failure has the closed list of error kinds of the scheduler. An error carries one kind through every layer
+// and over the internal protocol; package answers has the HTTP response for each.
+//
+// An error without a kind counts as UnknownOutcome: only a layer that knows that nothing was done may say so by a
+// kind.
 package failure
 
 import "github.com/pkg/errors"
 
-// Kind is what went wrong, as far as the caller has to act on it.
+// Kind is what went wrong, as far as the caller has to act on it. It is on the wire: values must not change.
 type Kind uint8
 
 // The kinds. The zero value means that nothing is wrong.
@@ -12,21 +15,21 @@
 	None           Kind = iota
 	NotLeader           // this process does not own the shard; certainly nothing was done
 	Unavailable         // nothing can be done now; certainly nothing was done
-	Overloaded          // refused for want of room; certainly nothing was done
+	Overloaded          // refused for lack of capacity; certainly nothing was done
 	UnknownOutcome      // it may have been done, or may still be
 	Invalid             // the request can never be accepted as it is
-	Conflict            // another version is in place
+	Conflict            // based on another version than the present one
 	TooLarge            // over a limit of size
 	NoRoute             // no such queue or path
 	Gone                // no such job
 	Stale               // the caller's configuration is older than the owner's; certainly nothing was done
 	Moved               // the job's queue belongs to another shard now; certainly nothing was done
-	Forgotten           // it was done or it was not, and no later try will tell which
+	Forgotten           // it was done or not, and no later attempt can show which
 
-	Kinds // the number of kinds
+	Kinds // the number of kinds, not a kind
 )
 
-// names are those of the kinds in logs and in the bodies of answers.
+// names are those of the kinds in logs and in the bodies of responses.
 var names = [Kinds]string{
 	None:           "none",
 	NotLeader:      "not_leader",
@@ -43,7 +46,7 @@
 	Forgotten:      "forgotten",
 }
 
-// String returns the kind's name; an unknown kind has that of UnknownOutcome.
+// String returns the kind's name. An unknown kind has the name of UnknownOutcome.
 func (k Kind) String() string {
 	if k >= Kinds {
 		k = UnknownOutcome
@@ -51,25 +54,25 @@
 	return names[k]
 }
 
-// Error is an error with its kind.
+// Error is an error with its kind. Package transport sends all of its fields.
 type Error struct {
 	Kind    Kind
 	Message string
-	Leader  string // NotLeader: internal address of the owner as far as known, else empty
+	Leader  string // NotLeader: internal address of the owner; empty if it is not known
 }
 
 // Error returns the kind's name and the message.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.Message }
 
-// New returns an error of kind k.
+// New returns an *Error of kind k.
 func New(k Kind, message string) error { return &Error{Kind: k, Message: message} }
 
-// Newf is New with a format.
+// Newf is New with a format as fmt.Sprintf's.
 func Newf(k Kind, format string, args ...any) error {
 	return &Error{Kind: k, Message: errors.Errorf(format, args...).Error()}
 }
 
-// KindOf returns the kind that err carries: None for nil, UnknownOutcome where it carries none.
+// KindOf returns the kind of err or of an error that it wraps: None for nil, UnknownOutcome if there is no kind.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -81,7 +84,7 @@
 	return UnknownOutcome
 }
 
-// LeaderOf returns the owner's internal address that a NotLeader error names, or "".
+// LeaderOf returns the Leader of err or of an error that it wraps, or "".
 func LeaderOf(err error) string {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/cluster/relay/caller.go
+++ b/internal/cluster/relay/caller.go
@@ -1,10 +1,13 @@
-// Package relay carries calls to control processes round a cut: one whose direct way is silent goes through a process
-// that still reaches the target. It is the indirect probe of SWIM with the call itself in the place of the ping.
+// Package relay lets calls reach control processes in spite of a partial partition: a call to a process that does not
+// answer directly goes through a process that still reaches it. That is the indirect probe of SWIM (Das, Gupta,
+// Motivala 2002), with the call itself in place of the ping.
 //
-// A relay holds nothing and confirms nothing. What it brings is the target's own answer to the request as it was sent,
-// except that a relayed heartbeat says so. Whatever is relayed may be sent twice, once directly and once through a relay,
-// so only calls are relayed of which the second is harmless: hand-ins, cancels and fences by the job's id, heartbeats by
-// their sequence, and questions.
+// A relay has no state and confirms nothing. What it returns is the target's own response to the request as it was
+// sent, except that a relayed heartbeat is marked so. A relayed call may be executed twice, once directly and once
+// through a relay. So only calls are relayed whose second execution is harmless: submits, cancels and fences, by the
+// job's id; heartbeats, by their sequence; and queries.
+//
+// A Caller may be used by any goroutine. It has no end: its probes end by their own timeouts.
 package relay
 
 import (
@@ -20,26 +23,28 @@
 )
 
 const (
-	// directPatience is how long a direct answer is waited for before a relay is asked. An owner answers a heartbeat within
-	// 60 ms and everything else once it is committed: one that is silent for so long is gone, frozen or cut off.
-	directPatience = 250 * time.Millisecond
-	// relayPatience is how long a relay is waited for.
-	relayPatience = 300 * time.Millisecond
-	// probePatience is how long the answer to a probe is waited for.
-	probePatience = 400 * time.Millisecond
-	// leastAttempt is the least time for which a relay is worth asking.
-	leastAttempt = 40 * time.Millisecond
-	// relaysTried is how many relays a call is handed to at most; a further one only if the one before certainly did nothing.
-	relaysTried = 2
+	// directTimeout is how long a direct response is waited for before a relay is called. An owner answers a heartbeat
+	// within 60 ms and everything else once it is committed: one that takes this long has ended, is frozen or
+	// partitioned.
+	directTimeout = 250 * time.Millisecond
+	// relayTimeout is how long the response of a relay is waited for.
+	relayTimeout = 300 * time.Millisecond
+	// probeTimeout is how long the response to a probe is waited for.
+	probeTimeout = 400 * time.Millisecond
+	// minRelayTime is the least time before the caller's deadline for which a relay is called.
+	minRelayTime = 40 * time.Millisecond
+	// maxRelayAttempts is through how many relays a call is made at most. A further one is called only if the one
+	// before certainly did nothing.
+	maxRelayAttempts = 2
 )
 
-// Client makes direct calls; transport.Client is one.
+// Client makes direct calls, as transport.Client does; see there for the errors.
 type Client interface {
 	Do(ctx context.Context, address string, request, response any) error
 	DoLong(ctx context.Context, address string, request, response any) error
 }
 
-// Caller calls control processes directly, or through relays where that way is silent.
+// Caller calls control processes directly, or through relays if they do not answer directly.
 type Caller struct {
 	direct Client
 	clock  clockwork.Clock
@@ -48,7 +53,7 @@
 	paths paths
 }
 
-// NewCaller returns a Caller that knows no relay yet. A nil clock stands for the real one.
+// NewCaller returns a Caller that knows no relay yet. A nil clock stands for the system's.
 func NewCaller(direct Client, clock clockwork.Clock) *Caller {
 	if clock == nil {
 		clock = clockwork.NewRealClock()
@@ -56,7 +61,7 @@
 	return &Caller{direct: direct, clock: clock, paths: newPaths()}
 }
 
-// SetRelays takes the relays that may be asked, the preferred ones first.
+// SetRelays sets the relays that may be called, the preferred ones first.
 func (c *Caller) SetRelays(relays []protocol.Relay) {
 	addresses := make([]string, len(relays))
 	for i := range relays {
@@ -67,7 +72,8 @@
 	c.paths.setRelays(addresses)
 }
 
-// Do makes a call as transport.Client.Do does.
+// Do calls as transport.Client.Do does. If the direct call may have been done and a relayed one failed, the outcome is
+// unknown, whatever the relayed one's error.
 func (c *Caller) Do(ctx context.Context, address string, request, response any) error {
 	wrapped := c.relayable(address, request)
 	if wrapped == nil {
@@ -76,18 +82,18 @@
 	if wrapped.Watch != nil {
 		return c.watch(ctx, wrapped, response, c.direct.Do)
 	}
-	if c.isDark(ctx, address) {
+	if c.mustRelay(ctx, address) {
 		return c.relay(ctx, wrapped, response)
 	}
 	began := c.clock.Now()
-	bounded, cancel := deadline.WithTimeout(ctx, c.clock, directPatience)
+	bounded, cancel := deadline.WithTimeout(ctx, c.clock, directTimeout)
 	err := c.direct.Do(bounded, address, request, response)
 	cancel()
 	if wasReached(err) {
-		c.noteAnswer(address)
+		c.recordAnswer(address)
 		return err
 	}
-	if !c.worthRelaying(ctx, address, began) {
+	if !c.shouldRelay(ctx, address, began) {
 		return err
 	}
 	relayed := c.relay(ctx, wrapped, response)
@@ -97,7 +103,7 @@
 	return relayed
 }
 
-// DoLong makes a call as transport.Client.DoLong does.
+// DoLong calls as transport.Client.DoLong does.
 func (c *Caller) DoLong(ctx context.Context, address string, request, response any) error {
 	wrapped := c.relayable(address, request)
 	if wrapped == nil {
@@ -109,33 +115,34 @@
 // directCall is Do or DoLong of a Client.
 type directCall func(ctx context.Context, address string, request, response any) error
 
-// watch makes a call that may be held back as long as its caller waits, so that silence says little of the way. A process
-// that does not answer in all that time is asked through a relay the next time, if a relay reaches it.
+// watch makes a call whose response may be delayed as long as its caller waits, so that a missing one says little
+// about the path. If nothing arrives in all that time, the next such call goes through a relay, provided that one
+// reaches the process.
 func (c *Caller) watch(ctx context.Context, wrapped *protocol.RelayRequest, response any, direct directCall) error {
 	address := wrapped.Target
-	if c.isDark(ctx, address) {
-		return c.relayTo(ctx, c.pick(), wrapped, response)
+	if c.mustRelay(ctx, address) {
+		return c.relayTo(ctx, c.preferredRelay(), wrapped, response)
 	}
 	began := c.clock.Now()
 	err := direct(ctx, address, wrapped.Watch, response)
 	if wasReached(err) {
-		c.noteAnswer(address)
-	} else if c.clock.Since(began) >= directPatience {
-		c.noteSilence(address)
+		c.recordAnswer(address)
+	} else if c.clock.Since(began) >= directTimeout {
+		c.recordTimeout(address)
 		go c.probeThroughRelay(context.WithoutCancel(ctx), address)
 	}
 	return err
 }
 
-// relayable returns the request to a relay, nil if there is no relay or the call is not relayed.
+// relayable returns the request to a relay, or nil if there is no relay or the call is not relayed.
 func (c *Caller) relayable(address string, request any) *protocol.RelayRequest {
-	if c.pick() == "" {
+	if c.preferredRelay() == "" {
 		return nil
 	}
 	return wrap(address, request)
 }
 
-// wasReached tells from a call's error that its target has answered.
+// wasReached reports whether a call's error shows that its target has answered.
 func wasReached(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.Unavailable, failure.UnknownOutcome:
@@ -144,16 +151,16 @@
 	return true
 }
 
-// worthRelaying tells whether a direct call that has failed is worth handing to a relay: if it was silent, or was silent of
-// late and fails at once now. A process that refuses connections is no longer there, for relays neither.
-func (c *Caller) worthRelaying(ctx context.Context, address string, began time.Time) bool {
+// shouldRelay reports whether a failed direct call should be relayed: if it timed out, or fails at once now and timed
+// out lately. A process that refuses connections has ended, and relays do not reach it either.
+func (c *Caller) shouldRelay(ctx context.Context, address string, began time.Time) bool {
 	select {
 	case <-ctx.Done():
 		return false
 	default:
 	}
-	if c.clock.Since(began) >= directPatience {
-		c.noteSilence(address)
+	if c.clock.Since(began) >= directTimeout {
+		c.recordTimeout(address)
 		return true
 	}
 	c.mutex.Lock()
@@ -164,19 +171,19 @@
 // relay makes a call through relays.
 func (c *Caller) relay(ctx context.Context, wrapped *protocol.RelayRequest, response any) error {
 	var err error
-	for range relaysTried {
-		if until, ok := ctx.Deadline(); ok && c.clock.Until(until) < leastAttempt {
+	for range maxRelayAttempts {
+		if until, ok := ctx.Deadline(); ok && c.clock.Until(until) < minRelayTime {
 			break
 		}
-		bounded, cancel := deadline.WithTimeout(ctx, c.clock, relayPatience)
-		err = c.relayTo(bounded, c.pick(), wrapped, response)
+		bounded, cancel := deadline.WithTimeout(ctx, c.clock, relayTimeout)
+		err = c.relayTo(bounded, c.preferredRelay(), wrapped, response)
 		cancel()
 		if failure.KindOf(err) != failure.Unavailable {
 			return err
 		}
 	}
 	if err == nil {
-		err = failure.Newf(failure.Unavailable, "%s: no time to ask a relay", wrapped.Target)
+		err = failure.Newf(failure.Unavailable, "%s: no time left to call a relay", wrapped.Target)
 	}
 	return err
 }
@@ -186,64 +193,64 @@
 	if relay == "" {
 		return failure.Newf(failure.Unavailable, "%s: no relay is known", wrapped.Target)
 	}
-	brought := &protocol.RelayResponse{}
+	relayed := &protocol.RelayResponse{}
 	var err error
 	if wrapped.Watch != nil {
-		err = c.direct.DoLong(ctx, relay, wrapped, brought)
+		err = c.direct.DoLong(ctx, relay, wrapped, relayed)
 	} else {
-		err = c.direct.Do(ctx, relay, wrapped, brought)
+		err = c.direct.Do(ctx, relay, wrapped, relayed)
 	}
 	if err == nil {
-		err = unwrap(brought, response)
+		err = unwrap(relayed, response)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if wasReached(err) {
-		c.paths.relayed(wrapped.Target, c.clock.Now())
+		c.paths.recordRelayed(wrapped.Target, c.clock.Now())
 	} else {
 		c.paths.demote(relay)
 	}
 	return err
 }
 
-// isDark tells whether relays alone reach a process, and sees to it that it is tried directly now and then.
-func (c *Caller) isDark(ctx context.Context, address string) bool {
+// mustRelay reports whether only relays reach a process, and probes it directly now and then.
+func (c *Caller) mustRelay(ctx context.Context, address string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.paths.takeProbe(address, c.clock.Now()) {
+	if c.paths.probeDue(address, c.clock.Now()) {
 		go c.probe(context.WithoutCancel(ctx), address)
 	}
-	return c.paths.isDark(address)
+	return c.paths.isUnreachable(address)
 }
 
-// probe tries a process directly.
+// probe probes a process directly.
 func (c *Caller) probe(ctx context.Context, address string) {
-	ctx, cancel := deadline.WithTimeout(ctx, c.clock, probePatience)
+	ctx, cancel := deadline.WithTimeout(ctx, c.clock, probeTimeout)
 	defer cancel()
 	if c.direct.Do(ctx, address, &protocol.PingRequest{Number: 1}, &protocol.PingResponse{}) == nil {
-		c.noteAnswer(address)
+		c.recordAnswer(address)
 	}
 }
 
-// probeThroughRelay finds out whether a relay reaches a process that was silent.
+// probeThroughRelay finds out whether a relay reaches a process that timed out.
 func (c *Caller) probeThroughRelay(ctx context.Context, address string) {
 	_ = c.relay(ctx, wrap(address, &protocol.PingRequest{Number: 1}), &protocol.PingResponse{})
 }
 
-func (c *Caller) pick() string {
+func (c *Caller) preferredRelay() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.paths.first()
+	return c.paths.preferred()
 }
 
-func (c *Caller) noteAnswer(address string) {
+func (c *Caller) recordAnswer(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.paths.answered(address)
+	c.paths.recordAnswer(address)
 }
 
-func (c *Caller) noteSilence(address string) {
+func (c *Caller) recordTimeout(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.paths.silent(address, c.clock.Now())
+	c.paths.recordTimeout(address, c.clock.Now())
 }
--- a/internal/cluster/relay/caller_test.go
+++ b/internal/cluster/relay/caller_test.go
@@ -20,41 +20,41 @@
 	relay2 = "10.0.0.3:1"
 )
 
-// network is a Client of a machine to which some ways are cut, and where relays pass on what they get.
+// network is the Client of a machine from which some processes are partitioned, and whose relays forward calls.
 type network struct {
-	mutex    sync.Mutex      // of what is counted: probes come beside calls
-	cut      map[string]bool // nothing comes back from there
-	dead     map[string]bool // refuses connections
-	farCut   map[string]bool // relays that do not reach the target either
-	refusal  error           // what the owner answers, in place of an answer
-	direct   int             // requests that came to the owner directly, pings apart
-	relayed  int             // requests that came to it through relays
-	asked    []string        // whom was called, in order
-	watching time.Duration   // how long watches are held back
-	holding  time.Duration   // the same for all calls
+	mutex            sync.Mutex      // of what is counted: probes run beside calls
+	partitioned      map[string]bool // calls there get no response
+	dead             map[string]bool // refuses connections
+	relayPartitioned map[string]bool // relays that do not reach the target either
+	refusal          error           // the owner's error, in place of a response
+	direct           int             // requests that the owner got directly, except pings
+	relayed          int             // requests that it got through relays
+	called           []string        // addresses that were called, in order
+	watchDelay       time.Duration   // of the responses to watches
+	delay            time.Duration   // of all responses
 }
 
 func newNetwork() *network {
-	return &network{cut: map[string]bool{}, dead: map[string]bool{}, farCut: map[string]bool{}}
+	return &network{partitioned: map[string]bool{}, dead: map[string]bool{}, relayPartitioned: map[string]bool{}}
 }
 
 func (n *network) Do(ctx context.Context, address string, request, response any) error {
-	n.count(func() { n.asked = append(n.asked, address) })
-	time.Sleep(n.holding)
+	n.count(func() { n.called = append(n.called, address) })
+	time.Sleep(n.delay)
 	switch {
-	case n.cut[address]:
+	case n.partitioned[address]:
 		<-ctx.Done()
 		return failure.New(failure.UnknownOutcome, "no answer")
 	case n.dead[address]:
 		return failure.New(failure.Unavailable, "cannot connect")
 	}
 	if address != owner {
-		return n.carry(ctx, address, request, response)
+		return n.forward(ctx, address, request, response)
 	}
 	if _, ping := request.(*protocol.PingRequest); !ping {
 		n.count(func() { n.direct++ })
 	}
-	return n.answer(response)
+	return n.respond(response)
 }
 
 func (n *network) count(change func()) {
@@ -64,26 +64,26 @@
 }
 
 func (n *network) DoLong(ctx context.Context, address string, request, response any) error {
-	time.Sleep(n.watching)
+	time.Sleep(n.watchDelay)
 	return n.Do(ctx, address, request, response)
 }
 
-// carry is what a relay does.
-func (n *network) carry(ctx context.Context, relay string, request, response any) error {
-	if n.farCut[relay] {
+// forward is what a relay does.
+func (n *network) forward(ctx context.Context, relay string, request, response any) error {
+	if n.relayPartitioned[relay] {
 		<-ctx.Done()
 		return failure.New(failure.UnknownOutcome, "the relay has no answer")
 	}
 	far := &network{refusal: n.refusal, dead: n.dead}
-	brought, err := (&service{client: far, known: func(string) bool { return true }}).carry(ctx, request.(*protocol.RelayRequest))
+	relayed, err := (&service{client: far, isKnown: func(string) bool { return true }}).forward(ctx, request.(*protocol.RelayRequest))
 	n.count(func() { n.relayed += far.direct })
 	if err == nil {
-		*response.(*protocol.RelayResponse) = *brought
+		*response.(*protocol.RelayResponse) = *relayed
 	}
 	return err
 }
 
-func (n *network) answer(response any) error {
+func (n *network) respond(response any) error {
 	if n.refusal != nil {
 		return n.refusal
 	}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// bubble runs a test in virtual time.
-func bubble(test func(n *network, c *Caller)) func() {
+// inVirtualTime runs a test in virtual time.
+func inVirtualTime(test func(n *network, c *Caller)) func() {
 	return func() {
 		synctest.Test(suite, func(*testing.T) {
 			n := newNetwork()
@@ -106,8 +106,8 @@
 	}
 }
 
-// ask asks the owner for a job's state, for as long as a runner waits.
-func ask(c *Caller) (state string, took time.Duration, err error) {
+// requestStatus asks the owner for a job's state, for as long as a runner waits.
+func requestStatus(c *Caller) (state string, took time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 880*time.Millisecond)
 	defer cancel()
 	began := time.Now()
@@ -117,88 +117,88 @@
 }
 
 var _ = Describe("A call to a control process", func() {
-	It("goes directly while that is answered", bubble(func(n *network, c *Caller) {
-		state, _, err := ask(c)
+	It("goes directly while that is answered", inVirtualTime(func(n *network, c *Caller) {
+		state, _, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(protocol.JobRunning))
-		Expect(n.asked).To(Equal([]string{owner}))
+		Expect(n.called).To(Equal([]string{owner}))
 	}))
 
-	It("goes through a relay once the direct way is silent, and at once from then on", bubble(func(n *network, c *Caller) {
-		n.cut[owner] = true
-		state, took, err := ask(c)
+	It("goes through a relay after a direct timeout, and at once from then on", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner] = true
+		state, took, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(protocol.JobRunning))
-		Expect(took).To(Equal(directPatience))
-		_, took, err = ask(c)
+		Expect(took).To(Equal(directTimeout))
+		_, took, err = requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(took).To(BeZero())
 		Expect(n.relayed).To(Equal(2))
 	}))
 
-	It("goes directly again once a probe was answered", bubble(func(n *network, c *Caller) {
-		n.cut[owner] = true
-		_, _, _ = ask(c)
-		n.cut[owner] = false
-		time.Sleep(probeEvery)
-		_, _, _ = ask(c) // probes beside
+	It("goes directly again once a probe was answered", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner] = true
+		_, _, _ = requestStatus(c)
+		n.partitioned[owner] = false
+		time.Sleep(probeInterval)
+		_, _, _ = requestStatus(c) // probes beside
 		synctest.Wait()
-		_, _, err := ask(c)
+		_, _, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n.direct).To(Equal(1))
 		Expect(n.relayed).To(Equal(2))
 	}))
 
-	It("that a dead process refuses is not relayed", bubble(func(n *network, c *Caller) {
+	It("that a process which has ended refuses is not relayed", inVirtualTime(func(n *network, c *Caller) {
 		n.dead[owner] = true
-		_, _, err := ask(c)
+		_, _, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
-		Expect(n.asked).To(Equal([]string{owner}))
+		Expect(n.called).To(Equal([]string{owner}))
 	}))
 
-	It("takes the next relay after one that is cut off as well", bubble(func(n *network, c *Caller) {
-		n.cut[owner], n.cut[relay1] = true, true
-		_, _, err := ask(c)
+	It("goes through the next relay after one that is partitioned as well", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner], n.partitioned[relay1] = true, true
+		_, _, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
-		state, _, err := ask(c)
+		state, _, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(protocol.JobRunning))
 	}))
 
-	It("takes the next relay at once if the first certainly did nothing", bubble(func(n *network, c *Caller) {
-		n.cut[owner], n.dead[relay1] = true, true
-		_, took, err := ask(c)
+	It("goes through the next relay at once if the first certainly did nothing", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner], n.dead[relay1] = true, true
+		_, took, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(took).To(Equal(directPatience))
+		Expect(took).To(Equal(directTimeout))
 	}))
 
-	It("does not take a refusal through a relay for that of the direct call, which may have been done", bubble(func(n *network, c *Caller) {
-		n.cut[owner] = true
+	It("has an unknown outcome if a relayed error follows a direct call that may have been done", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner] = true
 		n.refusal = failure.New(failure.Overloaded, "too many jobs")
-		_, _, err := ask(c)
+		_, _, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
-		_, _, err = ask(c) // through the relay alone
+		_, _, err = requestStatus(c) // through the relay alone
 		Expect(failure.KindOf(err)).To(Equal(failure.Overloaded))
 	}))
 
-	It("whose relay dies with the answer in its hand is in doubt", bubble(func(n *network, c *Caller) {
-		n.cut[owner] = true
-		_, _, _ = ask(c)
-		n.farCut[relay1], n.farCut[relay2] = true, true
-		_, took, err := ask(c)
+	It("whose relay ends before it returns the response has an unknown outcome", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner] = true
+		_, _, _ = requestStatus(c)
+		n.relayPartitioned[relay1], n.relayPartitioned[relay2] = true, true
+		_, took, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
-		Expect(took).To(Equal(relayPatience))
+		Expect(took).To(Equal(relayTimeout))
 	}))
 
-	It("that nobody relays waits for its own answer", bubble(func(n *network, c *Caller) {
-		n.cut[owner] = true
+	It("of a kind that is not relayed waits for its own response", inVirtualTime(func(n *network, c *Caller) {
+		n.partitioned[owner] = true
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		began := time.Now()
 		err := c.Do(ctx, owner, &protocol.ReadConfigurationRequest{}, &protocol.ReadConfigurationResponse{})
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
 		Expect(time.Since(began)).To(Equal(time.Second))
-		Expect(n.asked).To(Equal([]string{owner}))
+		Expect(n.called).To(Equal([]string{owner}))
 	}))
 })
 
@@ -209,9 +209,9 @@
 		return c.DoLong(ctx, owner, &protocol.WatchRequest{}, &protocol.WatchResponse{})
 	}
 
-	It("goes through a relay after one that was silent", bubble(func(n *network, c *Caller) {
-		n.watching = time.Second
-		n.cut[owner] = true
+	It("goes through a relay after one that timed out", inVirtualTime(func(n *network, c *Caller) {
+		n.watchDelay = time.Second
+		n.partitioned[owner] = true
 		Expect(failure.KindOf(watch(c))).To(Equal(failure.UnknownOutcome))
 		synctest.Wait()
 		Expect(watch(c)).To(Succeed())
@@ -219,52 +219,52 @@
 	}))
 })
 
-var _ = Describe("A watch that is waited for longer than others", func() {
-	It("is not given up sooner than its caller does", bubble(func(n *network, c *Caller) {
-		n.holding = time.Second
+var _ = Describe("A watch whose response is delayed", func() {
+	It("is waited for as long as its caller waits", inVirtualTime(func(n *network, c *Caller) {
+		n.delay = time.Second
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		Expect(c.Do(ctx, owner, &protocol.WatchRequest{}, &protocol.WatchResponse{})).To(Succeed())
-		Expect(n.asked).To(Equal([]string{owner}))
+		Expect(n.called).To(Equal([]string{owner}))
 	}))
 })
 
 var _ = Describe("A relay", func() {
 	var n *network
-	carry := func(request *protocol.RelayRequest) error {
-		s := &service{client: n, known: func(address string) bool { return address == owner }}
-		_, err := s.carry(context.Background(), request)
+	forward := func(request *protocol.RelayRequest) error {
+		s := &service{client: n, isKnown: func(address string) bool { return address == owner }}
+		_, err := s.forward(context.Background(), request)
 		return err
 	}
 	BeforeEach(func() { n = newNetwork() })
 
-	It("says of a heartbeat that it was relayed", func() {
+	It("marks a heartbeat as relayed", func() {
 		request := &protocol.HeartbeatRequest{}
-		Expect(carry(&protocol.RelayRequest{Target: owner, Heartbeat: request})).To(Succeed())
+		Expect(forward(&protocol.RelayRequest{Target: owner, Heartbeat: request})).To(Succeed())
 		Expect(request.Heartbeat.Relayed).To(BeTrue())
 		Expect(n.direct).To(Equal(1))
 	})
 
-	It("calls control processes alone, so that nothing goes in a circle", func() {
-		err := carry(&protocol.RelayRequest{Target: relay2, Status: &protocol.StatusRequest{}})
+	It("calls only control processes, so that no call goes in a circle", func() {
+		err := forward(&protocol.RelayRequest{Target: relay2, Status: &protocol.StatusRequest{}})
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
-		Expect(n.asked).To(BeEmpty())
+		Expect(n.called).To(BeEmpty())
 	})
 
 	It("refuses a request without a call", func() {
-		Expect(failure.KindOf(carry(&protocol.RelayRequest{Target: owner}))).To(Equal(failure.Invalid))
+		Expect(failure.KindOf(forward(&protocol.RelayRequest{Target: owner}))).To(Equal(failure.Invalid))
 	})
 })
 
 var _ = Describe("Relays", func() {
-	It("keep their order when they are told anew, the one that has answered first", func() {
+	It("keep their order when they are set again, the one that has answered first", func() {
 		p := newPaths()
 		p.setRelays([]string{"a", "b", "c"})
 		p.demote("a")
-		Expect(p.first()).To(Equal("b"))
+		Expect(p.preferred()).To(Equal("b"))
 		p.setRelays([]string{"a", "b", "d"})
 		Expect(p.relays).To(Equal([]string{"b", "a", "d"}))
 		p.setRelays([]string{"d"})
-		Expect(p.first()).To(Equal("d"))
+		Expect(p.preferred()).To(Equal("d"))
 	})
 })
--- /dev/null
+++ b/internal/cluster/relay/calls.go
@@ -0,0 +1,122 @@
+package relay
+
+import (
+	"context"
+
+	"ospreypond/internal/cluster/failure"
+	"ospreypond/internal/cluster/protocol"
+)
+
+// relayedCall is a kind of call that is relayed.
+type relayedCall interface {
+	// wrap puts the request into wrapped, and reports whether it is of this kind.
+	wrap(request any, wrapped *protocol.RelayRequest) bool
+	// unwrap sets response to the one in relayed. It reports whether response is of this kind and relayed has one.
+	unwrap(relayed *protocol.RelayResponse, response any) bool
+	// forward makes the call if wrapped has its request, and puts the response into relayed. It reports whether it made the
+	// call.
+	forward(ctx context.Context, client Client, wrapped *protocol.RelayRequest, relayed *protocol.RelayResponse) (bool, error)
+}
+
+// callKind is a relayedCall by its fields in the request and the response of a relay.
+type callKind[Req, Resp any] struct {
+	request  func(*protocol.RelayRequest) **Req
+	response func(*protocol.RelayResponse) **Resp
+}
+
+// relayedCalls are all kinds of calls that are relayed. The second execution of each is harmless: see the package comment.
+var relayedCalls = []relayedCall{
+	callKind[protocol.PingRequest, protocol.PingResponse]{
+		func(r *protocol.RelayRequest) **protocol.PingRequest { return &r.Ping },
+		func(r *protocol.RelayResponse) **protocol.PingResponse { return &r.Ping },
+	},
+	callKind[protocol.HeartbeatRequest, protocol.HeartbeatResponse]{
+		func(r *protocol.RelayRequest) **protocol.HeartbeatRequest { return &r.Heartbeat },
+		func(r *protocol.RelayResponse) **protocol.HeartbeatResponse { return &r.Heartbeat },
+	},
+	callKind[protocol.DeregisterRequest, protocol.DeregisterResponse]{
+		func(r *protocol.RelayRequest) **protocol.DeregisterRequest { return &r.Deregister },
+		func(r *protocol.RelayResponse) **protocol.DeregisterResponse { return &r.Deregister },
+	},
+	callKind[protocol.SubmitRequest, protocol.SubmitResponse]{
+		func(r *protocol.RelayRequest) **protocol.SubmitRequest { return &r.Submit },
+		func(r *protocol.RelayResponse) **protocol.SubmitResponse { return &r.Submit },
+	},
+	callKind[protocol.FenceRequest, protocol.FenceResponse]{
+		func(r *protocol.RelayRequest) **protocol.FenceRequest { return &r.Fence },
+		func(r *protocol.RelayResponse) **protocol.FenceResponse { return &r.Fence },
+	},
+	callKind[protocol.StatusRequest, protocol.StatusResponse]{
+		func(r *protocol.RelayRequest) **protocol.StatusRequest { return &r.Status },
+		func(r *protocol.RelayResponse) **protocol.StatusResponse { return &r.Status },
+	},
+	callKind[protocol.CancelRequest, protocol.CancelResponse]{
+		func(r *protocol.RelayRequest) **protocol.CancelRequest { return &r.Cancel },
+		func(r *protocol.RelayResponse) **protocol.CancelResponse { return &r.Cancel },
+	},
+	callKind[protocol.PendingRequest, protocol.PendingResponse]{
+		func(r *protocol.RelayRequest) **protocol.PendingRequest { return &r.Pending },
+		func(r *protocol.RelayResponse) **protocol.PendingResponse { return &r.Pending },
+	},
+	callKind[protocol.WatchRequest, protocol.WatchResponse]{
+		func(r *protocol.RelayRequest) **protocol.WatchRequest { return &r.Watch },
+		func(r *protocol.RelayResponse) **protocol.WatchResponse { return &r.Watch },
+	},
+}
+
+func (k callKind[Req, Resp]) wrap(request any, wrapped *protocol.RelayRequest) bool {
+	own, ok := request.(*Req)
+	if ok {
+		*k.request(wrapped) = own
+	}
+	return ok
+}
+
+func (k callKind[Req, Resp]) unwrap(relayed *protocol.RelayResponse, response any) bool {
+	own, ok := response.(*Resp)
+	returned := *k.response(relayed)
+	if !ok || returned == nil {
+		return false
+	}
+	*own = *returned
+	return true
+}
+
+func (k callKind[Req, Resp]) forward(ctx context.Context, client Client, wrapped *protocol.RelayRequest,
+	relayed *protocol.RelayResponse) (bool, error) {
+	request := *k.request(wrapped)
+	if request == nil {
+		return false, nil
+	}
+	response := new(Resp)
+	*k.response(relayed) = response
+	call := client.Do
+	switch own := any(request).(type) {
+	case *protocol.HeartbeatRequest:
+		own.Heartbeat.Relayed = true
+	case *protocol.WatchRequest:
+		call = client.DoLong // its response may be delayed
+	}
+	return true, call(ctx, wrapped.Target, request, response)
+}
+
+// wrap returns the request to a relay that makes the call, or nil for a call that is not relayed.
+func wrap(target string, request any) *protocol.RelayRequest {
+	wrapped := &protocol.RelayRequest{Target: target}
+	for _, kind := range relayedCalls {
+		if kind.wrap(request, wrapped) {
+			return wrapped
+		}
+	}
+	return nil
+}
+
+// unwrap sets response, a pointer to the type that answers the request, to what a relay has returned.
+func unwrap(relayed *protocol.RelayResponse, response any) error {
+	for _, kind := range relayedCalls {
+		if kind.unwrap(relayed, response) {
+			return nil
+		}
+	}
+	return failure.Newf(failure.UnknownOutcome, "a relay returned no %T", response)
+}
--- a/internal/cluster/relay/paths.go
+++ b/internal/cluster/relay/paths.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// paths is what is known of the ways to control processes: which of them this machine reaches by itself, and who could
-// relay. It is pure; the Caller guards it.
+// paths is what is known of the paths to control processes: which of them this machine reaches directly, and who could
+// relay. It has no I/O and no lock; the Caller guards it.
 type paths struct {
-	relays []string         // the one to be asked next first
-	ways   map[string]*path // by address of a control process
+	relays    []string         // the preferred one first
+	byAddress map[string]*path // by address of a control process
 }
 
-// path is the way to one control process.
+// path is the path to one control process.
 type path struct {
-	silentAt time.Time // when a direct call was given up without an answer; zero: not since one was answered
-	dark     bool      // relays reach it, and this machine does not
-	probeAt  time.Time // dark: when it is tried directly again
+	timedOutAt  time.Time // when a direct call last timed out; zero: not since one was answered
+	unreachable bool      // this machine does not reach it directly, but relays do
+	probeAt     time.Time // unreachable: when it is probed directly again
 }
 
 const (
-	// suspectFor is how long a process that was silent counts as suspect: a call that fails there at once is relayed too.
-	suspectFor = 5 * time.Second
-	// probeEvery is the time between two direct probes of a process that only relays reach.
-	probeEvery = 500 * time.Millisecond
+	// suspicionLifetime is how long a process counts as suspect after a timeout: a call that fails there at once is
+	// relayed too.
+	suspicionLifetime = 5 * time.Second
+	// probeInterval is the time between two direct probes of a process that only relays reach.
+	probeInterval = 500 * time.Millisecond
 )
 
-func newPaths() paths { return paths{ways: map[string]*path{}} }
+func newPaths() paths { return paths{byAddress: map[string]*path{}} }
 
-// setRelays takes the relays that may be asked. Those that are known keep their order, since the first ones have answered.
+// setRelays sets the relays that may be called. Those that are known keep their order, since the first ones have
+// answered.
 func (p *paths) setRelays(relays []string) {
-	kept := slices.DeleteFunc(slices.Clone(p.relays), func(known string) bool { return !slices.Contains(relays, known) })
+	ordered := slices.DeleteFunc(slices.Clone(p.relays), func(known string) bool { return !slices.Contains(relays, known) })
 	for _, each := range relays {
-		if !slices.Contains(kept, each) {
-			kept = append(kept, each)
+		if !slices.Contains(ordered, each) {
+			ordered = append(ordered, each)
 		}
 	}
-	p.relays = kept
+	p.relays = ordered
 }
 
-// first returns the relay to be asked, or "".
-func (p *paths) first() string {
+// preferred returns the relay to be called, or "".
+func (p *paths) preferred() string {
 	if len(p.relays) == 0 {
 		return ""
 	}
 	return p.relays[0]
 }
 
-// demote puts a relay behind the others.
+// demote makes a relay the least preferred one.
 func (p *paths) demote(relay string) {
 	at := slices.Index(p.relays, relay)
 	if at < 0 {
@@ -56,47 +58,47 @@
 	p.relays = append(slices.Delete(p.relays, at, at+1), relay)
 }
 
-func (p *paths) way(address string) *path {
-	known := p.ways[address]
+func (p *paths) path(address string) *path {
+	known := p.byAddress[address]
 	if known == nil {
 		known = &path{}
-		p.ways[address] = known
+		p.byAddress[address] = known
 	}
 	return known
 }
 
-// answered takes that a process has answered directly.
-func (p *paths) answered(address string) { delete(p.ways, address) }
+// recordAnswer records that a process has answered directly.
+func (p *paths) recordAnswer(address string) { delete(p.byAddress, address) }
 
-// silent takes that a direct call to a process was given up without an answer.
-func (p *paths) silent(address string, now time.Time) { p.way(address).silentAt = now }
+// recordTimeout records that a direct call to a process timed out.
+func (p *paths) recordTimeout(address string, now time.Time) { p.path(address).timedOutAt = now }
 
-// isSuspect tells whether a process was silent of late.
+// isSuspect reports whether a direct call to a process timed out lately.
 func (p *paths) isSuspect(address string, now time.Time) bool {
-	known := p.ways[address]
-	return known != nil && !known.silentAt.IsZero() && now.Sub(known.silentAt) < suspectFor
+	known := p.byAddress[address]
+	return known != nil && !known.timedOutAt.IsZero() && now.Sub(known.timedOutAt) < suspicionLifetime
 }
 
-// relayed takes that a relay reached a process that was silent here.
-func (p *paths) relayed(address string, now time.Time) {
-	if known := p.way(address); !known.dark {
-		known.dark = true
-		known.probeAt = now.Add(probeEvery)
+// recordRelayed records that a relay reached a process that had timed out here.
+func (p *paths) recordRelayed(address string, now time.Time) {
+	if known := p.path(address); !known.unreachable {
+		known.unreachable = true
+		known.probeAt = now.Add(probeInterval)
 	}
 }
 
-// isDark tells whether a process is reached by relays alone.
-func (p *paths) isDark(address string) bool {
-	known := p.ways[address]
-	return known != nil && known.dark
+// isUnreachable reports whether only relays reach a process.
+func (p *paths) isUnreachable(address string) bool {
+	known := p.byAddress[address]
+	return known != nil && known.unreachable
 }
 
-// takeProbe tells whether a process that is reached by relays alone is to be tried directly now, once.
-func (p *paths) takeProbe(address string, now time.Time) bool {
-	known := p.ways[address]
-	if known == nil || !known.dark || now.Before(known.probeAt) {
+// probeDue reports whether a process that only relays reach is to be probed directly now. It does so once an interval.
+func (p *paths) probeDue(address string, now time.Time) bool {
+	known := p.byAddress[address]
+	if known == nil || !known.unreachable || now.Before(known.probeAt) {
 		return false
 	}
-	known.probeAt = now.Add(probeEvery)
+	known.probeAt = now.Add(probeInterval)
 	return true
 }
--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -125,7 +125,10 @@
 	if star, ok := of.(*ast.StarExpr); ok {
 		of = star.X
 	}
-	if generic, ok := of.(*ast.IndexExpr); ok {
+	switch generic := of.(type) {
+	case *ast.IndexExpr:
+		of = generic.X
+	case *ast.IndexListExpr: // several type parameters
 		of = generic.X
 	}
 	return of.(*ast.Ident).Name + "."
