--- a/internal/cluster/frontend/connection_test.go
+++ b/internal/cluster/frontend/connection_test.go
@@ -15,62 +15,62 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// heldListener accepts connections whose reads can be held back after the bytes have come.
-type heldListener struct {
+// blockingListener accepts connections whose reads can be blocked after the bytes have arrived.
+type blockingListener struct {
 	net.Listener
 	holding atomic.Bool
-	held    chan struct{} // has an element for each read that is held back
-	release chan struct{} // closed: they go on
+	blocked chan struct{} // has an element for each blocked read
+	release chan struct{} // closed: blocked reads return
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heldConnection{Conn: accepted, listener: l}, nil
+	return &blockingConnection{Conn: accepted, listener: l}, nil
 }
 
-type heldConnection struct {
+type blockingConnection struct {
 	net.Conn
-	listener *heldListener
+	listener *blockingListener
 }
 
-// Read stands for a thread that the kernel has given the bytes and that then has to wait for the processor.
-func (c *heldConnection) Read(buffer []byte) (int, error) {
+// Read simulates a thread that has got the bytes from the kernel and then waits for the processor.
+func (c *blockingConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count > 0 && c.listener.holding.Load() {
-		c.listener.held <- struct{}{}
+		c.listener.blocked <- struct{}{}
 		<-c.listener.release
 	}
 	return count, err
 }
 
-// newHeldStand is newStand with a heldListener for clients.
-func newHeldStand() (*stand, *heldListener) {
-	listener := &heldListener{held: make(chan struct{}, 10), release: make(chan struct{})}
-	s := newStandBehind(func(clients net.Listener) net.Listener {
+// newBlockingFixture is newServerFixture with a blockingListener for clients.
+func newBlockingFixture() (*serverFixture, *blockingListener) {
+	listener := &blockingListener{blocked: make(chan struct{}, 10), release: make(chan struct{})}
+	s := newServerFixtureBehind(func(clients net.Listener) net.Listener {
 		listener.Listener = clients
 		return listener
 	})
 	return s, listener
 }
 
-// stopAccepting has the process stop and lets time pass until it ends its connections.
-func (s *stand) stopAccepting() {
+// stopAccepting shuts the server down and advances the fake clock until it ends its connections.
+func (s *serverFixture) stopAccepting() {
 	s.stop()
-	Eventually(s.server.stopping.Load).Should(BeTrue()) // its waits stand on the clock
-	s.clock.Advance(noticeTime)
-	Eventually(s.server.clients.isEnding).Should(BeTrue())
+	Eventually(s.server.stopping.Load).Should(BeTrue()) // its timers are on the fake clock
+	s.clock.Advance(readinessDelay)
+	Eventually(s.server.acceptor.isEnding).Should(BeTrue())
 }
 
-var _ = Describe("a request at a stop", func() {
+var _ = Describe("a request at a shutdown", func() {
 	const head = "GET /a/ HTTP/1.1\r\nHost: ficu95"
 	const rest = ".example\r\n\r\n"
 
-	DescribeTable("is answered if it was read and not yet looked at when connections ended",
+	DescribeTable("is answered if it was read but not yet processed when connections ended",
 		func(before int, first, second string) {
-			s, listener := newHeldStand()
+			s, listener := newBlockingFixture()
 			client := s.connect()
 			for range before {
 				client.send("GET", "/a/", "")
@@ -81,9 +81,9 @@
 			listener.holding.Store(true)
 			_, err := client.Write([]byte(first))
 			Expect(err).NotTo(HaveOccurred())
-			Eventually(listener.held).Should(Receive())
+			Eventually(listener.blocked).Should(Receive())
 			s.stopAccepting()
-			s.clock.Advance(firstRequestTime)
+			s.clock.Advance(firstRequestTimeout)
 			Consistently(s.ended, 30*time.Millisecond).ShouldNot(Receive())
 			listener.holding.Store(false)
 			close(listener.release)
@@ -94,15 +94,15 @@
 			Expect(last).To(BeTrue())
 			Eventually(s.ended).Should(Receive(BeNil()))
 		},
-		Entry("whole on a new connection", 0, head+rest, ""),
-		Entry("in part on a new connection", 0, head, rest),
-		Entry("whole on one that has served before", 1, head+rest, ""),
-		Entry("in part on one that has served before", 1, head, rest),
+		Entry("complete on a new connection", 0, head+rest, ""),
+		Entry("partly on a new connection", 0, head, rest),
+		Entry("complete on one that has served before", 1, head+rest, ""),
+		Entry("partly on one that has served before", 1, head, rest),
 	)
 
-	DescribeTable("is answered if its last bytes come after connections ended",
+	DescribeTable("is answered if its last bytes arrive after connections ended",
 		func(before int) {
-			s := newStand()
+			s := newServerFixture()
 			client := s.connect()
 			for range before {
 				client.send("GET", "/a/", "")
@@ -110,7 +110,7 @@
 			}
 			_, err := client.Write([]byte(head))
 			Expect(err).NotTo(HaveOccurred())
-			Eventually(s.server.clients.busy).Should(Equal(1))
+			Eventually(s.server.acceptor.busy).Should(Equal(1))
 			s.stopAccepting()
 			_, err = client.Write([]byte(rest))
 			Expect(err).NotTo(HaveOccurred())
@@ -123,8 +123,8 @@
 		Entry("on one that has served before", 2),
 	)
 
-	It("is answered if it began before the one before it was answered", func() {
-		s := newStand()
+	It("is answered if it began before the previous one was answered", func() {
+		s := newServerFixture()
 		release := make(chan struct{})
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
 			<-release
@@ -135,7 +135,7 @@
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 		_, err := client.Write([]byte(head[:1]))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(s.server.clients.early).Should(Equal(1))
+		Eventually(s.server.acceptor.early).Should(Equal(1))
 		close(release)
 		status, last := client.receive()
 		Expect(status).To(Equal(200))
@@ -149,23 +149,23 @@
 		Eventually(s.ended).Should(Receive(BeNil()))
 	})
 
-	It("is answered before the process ends, however late it was read whole and whoever is silent", func() {
-		s := newStand()
+	It("is answered before the process ends, however late it was complete and whoever is unresponsive", func() {
+		s := newServerFixture()
 		s.owners.submit = func(ctx context.Context, _ *protocol.SubmitRequest) error {
 			<-ctx.Done()
-			return failure.New(failure.UnknownOutcome, "no answer")
+			return failure.New(failure.UnknownOutcome, "no response")
 		}
 		client := s.connect()
 		body := oneStep
-		whole := "POST /a/" + jobID + " HTTP/1.1\r\nHost: ficu95.example\r\nContent-Length: "
-		whole += strconv.Itoa(len(body)) + "\r\n\r\n" + body
-		_, err := client.Write([]byte(whole[:len(head)]))
+		complete := "POST /a/" + jobID + " HTTP/1.1\r\nHost: ficu95.example\r\nContent-Length: "
+		complete += strconv.Itoa(len(body)) + "\r\n\r\n" + body
+		_, err := client.Write([]byte(complete[:len(head)]))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(s.server.clients.busy).Should(Equal(1))
+		Eventually(s.server.acceptor.busy).Should(Equal(1))
 		s.stopAccepting()
-		end := 6*time.Second - closeMargin
-		s.clock.Advance(end - answerMargin - noticeTime - 200*time.Millisecond)
-		_, err = client.Write([]byte(whole[len(head):]))
+		end := 6*time.Second - killMargin
+		s.clock.Advance(end - responseMargin - readinessDelay - 200*time.Millisecond)
+		_, err = client.Write([]byte(complete[len(head):]))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 		Consistently(s.ended, 30*time.Millisecond).ShouldNot(Receive())
@@ -176,20 +176,20 @@
 		Eventually(s.ended).Should(Receive(BeNil()))
 	})
 
-	It("that has not begun on a new connection is waited for a little, and not for the whole time", func() {
-		s := newStand()
+	It("is waited for on a new connection for firstRequestTimeout only", func() {
+		s := newServerFixture()
 		client := s.connect()
-		Eventually(s.server.clients.count).Should(Equal(1))
+		Eventually(s.server.acceptor.count).Should(Equal(1))
 		s.stopAccepting()
 		Consistently(s.ended, 30*time.Millisecond).ShouldNot(Receive())
-		s.clock.Advance(firstRequestTime)
+		s.clock.Advance(firstRequestTimeout)
 		Eventually(s.ended).Should(Receive(BeNil()))
 		_, err := client.reader.ReadByte()
 		Expect(err).To(HaveOccurred())
 	})
 
 	It("is not read on a connection that has ended", func() {
-		s := newStand()
+		s := newServerFixture()
 		client := s.connect()
 		client.send("GET", "/a/", "")
 		client.receive()
@@ -202,8 +202,8 @@
 })
 
 var _ = Describe("a new configuration's limits", func() {
-	It("cut no request that is being read or answered", func() {
-		s := newStand()
+	It("abort no request that is being read or answered", func() {
+		s := newServerFixture()
 		release := make(chan struct{})
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
 			<-release
@@ -214,7 +214,7 @@
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 		_, err := reading.Write([]byte("GET /a/ HTTP/1.1\r\n"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(s.server.clients.busy).Should(Equal(2))
+		Eventually(s.server.acceptor.busy).Should(Equal(2))
 
 		next := view(8, map[string]*Route{"/a/": route("/a/", 1)})
 		next.Limits.MaxHeaderBytes = 1 << 10
@@ -232,24 +232,24 @@
 	})
 })
 
-// busy returns on how many connections a request is being read or answered.
-func (e *entrance) busy() int {
-	return e.that(func(c *clientConnection) bool { return c.busy })
+// busy returns the number of connections on which a request is being read or answered.
+func (a *acceptor) busy() int {
+	return a.countWhere(func(c *clientConnection) bool { return c.busy })
 }
 
-// early returns on how many connections the next request has begun beside one that is being answered.
-func (e *entrance) early() int {
-	return e.that(func(c *clientConnection) bool { return c.early })
+// early returns the number of connections on which the next request has begun while one is being answered.
+func (a *acceptor) early() int {
+	return a.countWhere(func(c *clientConnection) bool { return c.hasEarlyByte })
 }
 
-// that returns how many connections are such.
-func (e *entrance) that(such func(c *clientConnection) bool) int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+// countWhere returns the number of connections that match.
+func (a *acceptor) countWhere(matches func(c *clientConnection) bool) int {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	count := 0
-	for connection := range e.open {
+	for connection := range a.open {
 		connection.mutex.Lock()
-		if such(connection) {
+		if matches(connection) {
 			count++
 		}
 		connection.mutex.Unlock()
@@ -257,11 +257,11 @@
 	return count
 }
 
-// count returns how many connections are open.
-func (e *entrance) count() int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return len(e.open)
+// count returns the number of open connections.
+func (a *acceptor) count() int {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return len(a.open)
 }
 
 func (s *Server) limitsInForce() Limits {
--- a/internal/cluster/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -16,11 +16,12 @@
 	"ospreypond/internal/cluster/failure"
 	"ospreypond/internal/cluster/failure/answers"
 	"ospreypond/internal/cluster/protocol"
+	"ospreypond/internal/cluster/uplink"
 )
 
-// stand is a Server on the loopback.
-type stand struct {
-	*bed
+// serverFixture is a fixture with a Server on the loopback interface.
+type serverFixture struct {
+	*fixture
 	server    *Server
 	clients   string // address
 	readiness string // address
@@ -28,34 +29,34 @@
 	ended     chan error
 }
 
-func newStand() *stand {
-	return newStandBehind(func(clients net.Listener) net.Listener { return clients })
+func newServerFixture() *serverFixture {
+	return newServerFixtureBehind(func(clients net.Listener) net.Listener { return clients })
 }
 
-// newStandBehind returns a stand whose server accepts clients from what is put before its listener.
-func newStandBehind(put func(clients net.Listener) net.Listener) *stand {
-	s := &stand{bed: newBed(), ended: make(chan error, 1)}
+// newServerFixtureBehind returns a serverFixture whose server accepts clients from what wrap returns for its listener.
+func newServerFixtureBehind(wrap func(clients net.Listener) net.Listener) *serverFixture {
+	s := &serverFixture{fixture: newFixture(), ended: make(chan error, 1)}
 	s.server = NewServer(s.service, 6*time.Second, log.NewNopLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	clients, err := listen(ctx, "127.0.0.1:0")
-	Expect(err).NotTo(HaveOccurred())
-	readiness, err := listen(ctx, "127.0.0.1:0")
+	loopback := uplink.Endpoint{Address: "127.0.0.1:0"}
+	listeners, err := uplink.Listen(ctx, loopback, loopback)
 	Expect(err).NotTo(HaveOccurred())
+	clients, readiness := listeners[0], listeners[1]
 	s.clients, s.readiness = clients.Addr().String(), readiness.Addr().String()
-	go func() { s.ended <- s.server.Run(ctx, put(clients), readiness) }()
+	go func() { s.ended <- s.server.Run(ctx, wrap(clients), readiness) }()
 	DeferCleanup(stop)
 	return s
 }
 
-// connection is a client's connection, kept open between requests.
+// connection is a client's persistent connection.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (s *stand) connect() *connection {
-	conn, err := net.Dial("tcp", s.clients)
+func (s *serverFixture) connect() *connection {
+	conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.clients)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
 	Expect(conn.SetDeadline(time.Now().Add(20 * time.Second))).To(Succeed())
@@ -67,65 +68,67 @@
 	Expect(r.Write(c.Conn)).To(Succeed())
 }
 
-// receive returns the next answer's status and whether it is the connection's last.
+// receive returns the next response's status, and whether it is the connection's last.
 func (c *connection) receive() (status int, last bool) {
 	response, err := http.ReadResponse(c.reader, nil)
 	Expect(err).NotTo(HaveOccurred())
-	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
 	Expect(err).NotTo(HaveOccurred())
+	Expect(response.Body.Close()).To(Succeed())
 	return response.StatusCode, response.Close
 }
 
-func (s *stand) ready() int {
-	response, err := http.Get("http://" + s.readiness + readinessPath)
+func (s *serverFixture) ready() int { return s.probe(readinessPath) }
+
+// probe returns the status of a path at the address of readiness.
+func (s *serverFixture) probe(path string) int {
+	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+s.readiness+path, nil)
+	Expect(err).NotTo(HaveOccurred())
+	response, err := http.DefaultClient.Do(r)
 	Expect(err).NotTo(HaveOccurred())
-	response.Body.Close()
+	Expect(response.Body.Close()).To(Succeed())
 	return response.StatusCode
 }
 
 var _ = Describe("readiness", func() {
-	It("needs a configuration and that it was confirmed lately", func() {
-		s := newStand()
+	It("requires a configuration that was confirmed recently", func() {
+		s := newServerFixture()
 		Expect(s.ready()).To(Equal(200))
-		s.directory.setAge(watchWait(0) + calmSlack + time.Millisecond)
+		s.directory.setAge(maxWatchWait(0) + normalAgeMargin + time.Millisecond)
 		Expect(s.ready()).To(Equal(503))
 
-		b := newBed()
+		b := newFixture()
 		b.service.Views = NewViews()
 		Expect(NewServer(b.service, 0, log.NewNopLogger()).Ready()).To(BeFalse())
 	})
 
 	It("is all that its address serves", func() {
-		s := newStand()
-		response, err := http.Get("http://" + s.readiness + "/a/")
-		Expect(err).NotTo(HaveOccurred())
-		response.Body.Close()
-		Expect(response.StatusCode).To(Equal(404))
+		s := newServerFixture()
+		Expect(s.probe("/a/")).To(Equal(404))
 	})
 })
 
-var _ = Describe("an orderly stop", func() {
-	It("serves until nobody is sent here, and cuts nothing", func() {
-		s := newStand()
+var _ = Describe("a shutdown", func() {
+	It("serves until no clients are sent here, and aborts nothing", func() {
+		s := newServerFixture()
 		release := make(chan struct{})
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
 			<-release
 			return nil
 		}
-		kept, busy := s.connect(), s.connect()
-		kept.send("GET", "/a/", "")
-		status, last := kept.receive()
+		idle, busy := s.connect(), s.connect()
+		idle.send("GET", "/a/", "")
+		status, last := idle.receive()
 		Expect(status).To(Equal(200))
 		Expect(last).To(BeFalse())
 		busy.send("POST", "/a/"+jobID, oneStep)
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 
 		s.stop()
-		Eventually(s.server.stopping.Load).Should(BeTrue()) // its waits stand on the clock
+		Eventually(s.server.stopping.Load).Should(BeTrue()) // its timers are on the fake clock
 		Expect(s.ready()).To(Equal(503))
-		kept.send("GET", "/a/", "")
-		status, last = kept.receive()
+		idle.send("GET", "/a/", "")
+		status, last = idle.receive()
 		Expect(status).To(Equal(200))
 		Expect(last).To(BeTrue())
 		late := s.connect()
@@ -134,11 +137,11 @@
 		Expect(status).To(Equal(200))
 		Expect(last).To(BeTrue())
 
-		s.clock.Advance(noticeTime)
+		s.clock.Advance(readinessDelay)
 		Eventually(func() error {
-			conn, err := net.Dial("tcp", s.clients)
+			conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.clients)
 			if err == nil {
-				conn.Close()
+				_ = conn.Close() // it only shows that the listener is still open
 			}
 			return err
 		}).Should(HaveOccurred())
@@ -151,7 +154,7 @@
 	})
 
 	It("ends before SIGKILL even if a request does not", func() {
-		s := newStand()
+		s := newServerFixture()
 		release := make(chan struct{})
 		defer close(release)
 		s.owners.submit = func(context.Context, *protocol.SubmitRequest) error {
@@ -163,9 +166,9 @@
 		Eventually(s.owners.calls).Should(ContainElement("submit 1"))
 		s.stop()
 		Eventually(s.server.stopping.Load).Should(BeTrue())
-		s.clock.Advance(noticeTime)
+		s.clock.Advance(readinessDelay)
 		Consistently(s.ended, 30*time.Millisecond).ShouldNot(Receive())
-		s.clock.Advance(6*time.Second - closeMargin - noticeTime)
+		s.clock.Advance(6*time.Second - killMargin - readinessDelay)
 		Eventually(s.ended, 5*time.Second).Should(Receive(HaveOccurred()))
 	})
 })
@@ -174,7 +177,7 @@
 	big := "GET /a/ HTTP/1.1\r\nHost: ficu95.example\r\nX-Big: " + strings.Repeat("x", 20<<10) + "\r\n\r\n"
 
 	It("are those of the configuration in force, for new connections", func() {
-		s := newStand()
+		s := newServerFixture()
 		before := s.connect()
 		before.send("GET", "/a/", "")
 		status, _ := before.receive()
@@ -197,7 +200,7 @@
 	})
 
 	It("close a connection whose body is too large", func() {
-		s := newStand()
+		s := newServerFixture()
 		client := s.connect()
 		client.send("POST", "/a/"+jobID, `{"spec":"`+strings.Repeat("x", 2000)+`"}`)
 		status, last := client.receive()
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -7,155 +7,170 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// start begins a run as ordered, or lists it as refused.
-func (r *Runner) start(order *protocol.StartOrder, sent time.Duration) {
-	if why := r.begin(order, sent); why != "" {
-		r.refuse(order.Task, order.Run)
+// startOrdered starts a run as a response to a heartbeat orders, or lists it as rejected.
+func (r *Runner) startOrdered(order *protocol.StartOrder, sent time.Duration) {
+	if r.startRun(order, sent) != "" {
+		r.reject(order.Task, order.Run)
 	}
 }
 
-// begin begins a run as ordered, or tells why not.
-func (r *Runner) begin(order *protocol.StartOrder, sent time.Duration) (why string) {
-	for _, e := range r.active {
-		if e.record.Text == order.Task && e.record.Run == order.Run {
-			return ""
-		}
-	}
-	name, readable := ParseTaskName(order.Task)
-	group, task := r.plant.find(name)
-	if !readable || r.barred[order.Task] >= order.Run {
-		return whyOld
-	}
-	if r.Guards && group != nil && !r.fits(group.step) {
-		r.instance.Refused++
-		return whyRoom
-	}
-	record := &Run{Text: order.Task, Task: name, Run: order.Run, Runner: r.instance, Sent: sent, Started: r.world.now,
-		Spec: order.Spec, Saved: order.Saved, Ended: Never, Noted: Never}
-	r.plant.Ledger.Runs = append(r.plant.Ledger.Runs, record)
-	e := &execution{runner: r, record: record, group: group, task: task, saved: order.Saved, since: r.world.now}
+// startRun starts a run, given when the heartbeat was sent whose response has the order. A run that exists is left as it
+// is, because orders are repeated.
+func (r *Runner) startRun(order *protocol.StartOrder, sent time.Duration) rejection {
+	if r.find(order.Task, order.Run) != nil {
+		return ""
+	}
+	name, ok := ParseTaskName(order.Task)
+	step, task := r.groundTruth.find(name)
+	if !ok || r.highestEnded[order.Task] >= order.Run {
+		return rejectedOld
+	}
+	if r.EnforcesCapacity && step != nil && !r.fits(step.spec) {
+		return rejectedCapacity
+	}
+	record := &Run{TaskText: order.Task, Task: name, Number: order.Run, Runner: r.incarnation, Sent: sent, Started: r.world.now,
+		Spec: order.Spec, Checkpoint: order.Saved, Ended: Never, Acknowledged: Never}
+	r.groundTruth.History.Runs = append(r.groundTruth.History.Runs, record)
+	e := &execution{runner: r, record: record, step: step, task: task, checkpoint: order.Saved, doneAsOf: r.world.now}
 	r.active = append(r.active, e)
 	r.prepare(e)
-	if r.heldUntil <= r.world.now {
-		r.end(e, protocol.EndLapsed)
+	if r.leaseExpiry <= r.world.now {
+		r.endRun(e, protocol.EndLapsed)
 	}
 	return ""
 }
 
-// prepare decides what a run will come to and sets it to work.
+// find returns the execution of a run, or nil.
+func (r *Runner) find(task string, run uint64) *execution {
+	for _, e := range r.active {
+		if e.record.TaskText == task && e.record.Number == run {
+			return e
+		}
+	}
+	return nil
+}
+
+// prepare draws what becomes of a run and begins its work, or has it wait for the other members of its gang.
 func (r *Runner) prepare(e *execution) {
-	if e.group == nil {
-		e.total = 1000
-		e.begin(1)
+	if e.step == nil {
+		const unknownTaskMs = 1000
+		e.totalMs = unknownTaskMs
+		e.beginWork(1)
 		return
 	}
-	e.total = e.task.workMs
-	if done, ok := readCheckpoint(e.record.Task, e.group.step.Gang, e.record.Saved); ok {
-		e.done = min(done, e.total)
+	e.totalMs = e.task.workMs
+	if doneMs, ok := parseCheckpoint(e.record.Task, e.step.spec.Gang, e.record.Checkpoint); ok {
+		e.doneMs = min(doneMs, e.totalMs)
 	}
-	e.task.started++
-	r.foresee(e)
+	e.task.starts++
+	r.drawOutcome(e)
 	if e.isGang() {
-		r.plant.arrive(e)
+		r.groundTruth.joinGang(e)
 		return
 	}
-	far := 1.0
-	if e.group.step.Affinity != "" && e.group.step.Affinity != r.Rack {
-		far = r.plant.Ledger.Bounds.Far
+	slowdown := 1.0
+	if e.step.spec.Affinity != "" && e.step.spec.Affinity != r.Rack {
+		slowdown = r.bounds().Far
 	}
-	e.begin(far)
+	e.beginWork(slowdown)
 }
 
-// foresee draws whether a run fails, stands still or (of lasting tasks) how long it lasts.
-func (r *Runner) foresee(e *execution) {
+// drawOutcome draws whether a run fails or hangs and, of a long-running task, how long it runs.
+func (r *Runner) drawOutcome(e *execution) {
 	w := r.world
-	left := e.total - e.done
-	if e.group.step.LongRunning {
-		e.total = float64(w.Exponential(20*time.Second)) / milliseconds
-		e.fails = w.Chance(0.5)
-		e.failAt = e.total
+	remainingMs := e.totalMs - e.doneMs
+	if e.step.spec.LongRunning {
+		e.totalMs = float64(w.Exponential(20*time.Second)) / milliseconds
+		e.willFail = w.Chance(0.5)
+		e.failsAtMs = e.totalMs
 		return
 	}
 	switch {
-	case w.Chance(r.failShare):
-		e.fails = true
-		e.failAt = e.done + min(left, 20+200*w.Random.Float64())
-	case w.Chance(r.hangShare):
-		e.hangs = true
-	case e.group.job.poisoned || e.task.started <= e.task.faults:
-		e.fails = true
-		e.failAt = e.done + left*w.Random.Float64()
+	case w.Chance(r.failFraction):
+		e.willFail = true
+		e.failsAtMs = e.doneMs + min(remainingMs, 20+200*w.Random.Float64())
+	case w.Chance(r.hangFraction):
+		e.isHung = true
+	case e.step.job.alwaysFails || e.task.starts <= e.task.failingStarts:
+		e.willFail = true
+		e.failsAtMs = e.doneMs + remainingMs*w.Random.Float64()
 	}
 }
 
-// stop ends a run within the time a stop takes, or bars it if it is not there.
-func (r *Runner) stop(order protocol.StopOrder) {
-	for _, e := range r.active {
-		if e.record.Text == order.Task && e.record.Run == order.Run {
-			r.stopRun(e)
-			return
-		}
+// stopOrdered stops a run. If it is not there, the runner will not start it any more.
+func (r *Runner) stopOrdered(order protocol.StopOrder) {
+	if e := r.find(order.Task, order.Run); e != nil {
+		r.stopRun(e)
+		return
 	}
-	if r.barred[order.Task] >= order.Run {
+	if r.highestEnded[order.Task] >= order.Run {
 		return
 	}
-	r.barred[order.Task] = order.Run
-	if r.listStopped {
-		r.refuse(order.Task, order.Run)
+	r.highestEnded[order.Task] = order.Run
+	if r.listsUnknownStops {
+		r.reject(order.Task, order.Run)
 	}
 }
 
+// stopRun ends a run within the time that a stop may take, with a last checkpoint.
 func (r *Runner) stopRun(e *execution) {
-	if e.stopping {
+	if e.isStopping {
 		return
 	}
-	e.stopping = true
-	took := r.world.Between(0, r.plant.Ledger.Bounds.Stop*95/100)
-	e.stopAt = r.world.After(took, func() {
-		if e.working && e.group != nil && e.group.step.Checkpoints && !e.hangs {
-			e.settle(r.world.now)
-			e.saved = checkpointText(e.record.Task, e.group.step.Gang, e.done)
+	e.isStopping = true
+	took := r.world.Between(0, r.bounds().Stop*95/100)
+	e.stopTimer = r.world.After(took, func() {
+		if e.makesCheckpoints() {
+			e.advance(r.world.now)
+			e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, e.doneMs)
 		}
-		r.end(e, protocol.EndStopped)
+		r.endRun(e, protocol.EndStopped)
 	})
 }
 
-// refuse lists a run as not started.
-func (r *Runner) refuse(task string, run uint64) {
-	r.list(task, run, protocol.EndRefused, "", nil)
-	r.barred[task] = max(r.barred[task], run)
-	r.tell()
-}
-
-func (r *Runner) list(task string, run uint64, how, saved string, record *Run) uint64 {
-	r.counter++
-	row := protocol.FinishedRun{N: r.counter, Task: task, Run: run, How: how, Saved: saved}
-	r.finished = append(r.finished, finishedEnd{row: row, record: record, lapses: len(r.instance.Lapses)})
-	return r.counter
+// reject lists a run as one that was not started.
+func (r *Runner) reject(task string, run uint64) {
+	r.appendFinished(protocol.FinishedRun{Task: task, Run: run, How: protocol.EndRefused}, nil)
+	r.markEnded(task, run)
+	r.reportEnd()
 }
 
-// end ends a run on this runner and lists it.
-func (r *Runner) end(e *execution, how string) {
+// endRun ends a run and lists its end. It does nothing to one that has ended.
+func (r *Runner) endRun(e *execution, reason string) {
 	position := slices.Index(r.active, e)
-	if position < 0 || r.instance == nil {
+	if position < 0 || r.incarnation == nil {
 		return
 	}
 	r.active = slices.Delete(r.active, position, position+1)
-	e.refreshSaved(r.world.now)
-	e.forget()
+	e.updateCheckpoint(r.world.now)
+	e.stopTimers()
 	record := e.record
-	record.Ended, record.How = r.world.now, how
-	saved := e.saved
-	if how == protocol.EndDone {
-		saved = ""
-		if e.group != nil {
-			r.plant.markDone(e.group, e.task)
+	record.Ended, record.EndReason = r.world.now, reason
+	checkpoint := e.checkpoint
+	if reason == protocol.EndDone {
+		checkpoint = ""
+		if e.step != nil {
+			r.groundTruth.completeTask(e.step, e.task)
 		}
 	}
-	record.N = r.list(record.Text, record.Run, how, saved, record)
-	r.barred[record.Text] = max(r.barred[record.Text], record.Run)
-	if e.isGang() && how != protocol.EndDone {
-		r.plant.leaveGang(e)
+	row := protocol.FinishedRun{Task: record.TaskText, Run: record.Number, How: protocol.RunEnd(reason), Saved: checkpoint}
+	record.EndSequence = r.appendFinished(row, record)
+	r.markEnded(record.TaskText, record.Number)
+	if e.isGang() && reason != protocol.EndDone {
+		r.groundTruth.leaveGang(e)
 	}
-	r.tell()
+	r.reportEnd()
+}
+
+// appendFinished numbers an end, lists it and returns its number.
+func (r *Runner) appendFinished(row protocol.FinishedRun, record *Run) uint64 {
+	r.endSequence++
+	row.N = r.endSequence
+	r.finished = append(r.finished, finishedRun{row: row, record: record, leaseExpiries: len(r.incarnation.LeaseExpiries)})
+	return row.N
+}
+
+// markEnded has the runner start no run of a task up to that number any more.
+func (r *Runner) markEnded(task string, run uint64) {
+	r.highestEnded[task] = max(r.highestEnded[task], run)
 }
