--- a/internal/cluster/jobs/submit.go
+++ b/internal/cluster/jobs/submit.go
@@ -20,7 +20,7 @@
 	case known.kind == fencedID && submit.Version <= known.version:
 		return Fenced
 	}
-	if s.Validate(&submit.Job) != nil {
+	if Validate(&submit.Job) != nil {
 		return Rejected
 	}
 	s.acceptJob(submit)
@@ -32,7 +32,7 @@
 		ID:         strings.Clone(submit.ID),
 		Queue:      s.sharedQueue(submit.Queue),
 		Spec:       cloneSpec(&submit.Job),
-		State:      JobQueued,
+		State:      protocol.JobQueued,
 		AcceptedMs: s.clockMs,
 		dueIndex:   notScheduled,
 	}
