--- a/internal/cluster/administration/archive/archive.go
+++ b/internal/cluster/administration/archive/archive.go
@@ -1,4 +1,8 @@
-// Package archive is a backup of a system in a file, and its way back into the folder of a new control process.
+// Package archive is a backup of a cluster in a file, and its restore into the data folder of a new control process.
+//
+// A backup has the state machine's snapshot of each shard, with the index and term at which its owner gave it. The shards
+// are not of one moment: each is consistent by itself. A file is written completely or not at all, and Decode detects any
+// change of it by a checksum.
 package archive
 
 import (
@@ -12,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// Archive is the state of a system.
+// Archive is the content of a backup. It and Shard are encoded by gob: the field names are the format.
 type Archive struct {
 	MadeMs int64 // ms since 1970
 	Shards []Shard
@@ -21,20 +25,20 @@
 // Shard is the state of one shard.
 type Shard struct {
 	ID    uint32
-	Index uint64 // of the newest entry that it holds
+	Index uint64 // of the newest entry that it includes
 	Term  uint64 // of the owner that gave it
 	Data  []byte // its state machine's snapshot
 }
 
-// A file: magic and version, the archive (gob), CRC-32C of all.
+// A file has the magic with the version, the Archive encoded by gob, and the CRC-32C of both.
 const (
-	magic   = "OPBACK\x00\x01"
-	sumSize = 4
+	magic        = "OPBACK\x00\x01"
+	checksumSize = 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns a file's content.
+// Encode returns the content of a file.
 func (a *Archive) Encode() ([]byte, error) {
 	var content bytes.Buffer
 	content.WriteString(magic)
@@ -45,14 +49,14 @@
 	return binary.LittleEndian.AppendUint32(body, crc32.Checksum(body, castagnoli)), nil
 }
 
-// Decode reads a file's content.
+// Decode decodes the content of a file. It fails if that is damaged, or of an unknown version.
 func Decode(content []byte) (*Archive, error) {
-	if len(content) < len(magic)+sumSize || string(content[:len(magic)]) != magic {
+	if len(content) < len(magic)+checksumSize || string(content[:len(magic)]) != magic {
 		return nil, errors.New("it is not a backup of a known version")
 	}
-	body := content[:len(content)-sumSize]
+	body := content[:len(content)-checksumSize]
 	if binary.LittleEndian.Uint32(content[len(body):]) != crc32.Checksum(body, castagnoli) {
-		return nil, errors.New("it is damaged: its sum is wrong")
+		return nil, errors.New("it is damaged: its checksum is wrong")
 	}
 	archive := &Archive{}
 	if err := gob.NewDecoder(bytes.NewReader(body[len(magic):])).Decode(archive); err != nil {
@@ -61,7 +65,7 @@
 	return archive, nil
 }
 
-// Read reads a file.
+// Read reads and decodes a file.
 func Read(path string) (*Archive, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -71,14 +75,14 @@
 	return archive, errors.Wrap(err, path)
 }
 
-// Write writes a file whole or not at all, and makes sure that it is on disk. A file that is there is left alone.
+// Write writes a file completely or not at all, and syncs it to disk. It fails if the file exists.
 func (a *Archive) Write(path string) error {
 	content, err := a.Encode()
 	if err != nil {
 		return err
 	}
 	if _, err := os.Lstat(path); err == nil {
-		return errors.Errorf("%s is there already", path)
+		return errors.Errorf("%s exists already", path)
 	}
 	temporary := path + ".new"
 	if err := writeSynced(temporary, content); err != nil {
@@ -88,9 +92,10 @@
 	if err := os.Rename(temporary, path); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDir(filepath.Dir(path))
 }
 
+// writeSynced writes a file and syncs its content.
 func writeSynced(path string, content []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -100,17 +105,21 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closing := file.Close(); err == nil {
-		err = closing
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-func syncFolder(dir string) error {
+// syncDir syncs the entries of a folder.
+func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	err = folder.Sync()
+	if closeErr := folder.Close(); err == nil {
+		err = closeErr
+	}
+	return err
 }
--- a/internal/cluster/administration/archive/archive_test.go
+++ b/internal/cluster/administration/archive/archive_test.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// sample is a backup of a system with a job in shard 2.
+// sample returns a backup of a cluster with a job in shard 2.
 func sample() *archive.Archive {
 	made := &archive.Archive{MadeMs: 1_700_000_000_000}
 	for id := uint32(1); id <= protocol.JobShards; id++ {
@@ -39,52 +39,52 @@
 var process = archive.Process{Node: "n1", Zone: "z", Address: "10.0.0.1:7380"}
 
 var _ = Describe("a backup's file", func() {
-	It("gives back what was put in", func() {
+	It("can be read back", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x")
 		Expect(sample().Write(path)).To(Succeed())
 		Expect(archive.Read(path)).To(Equal(sample()))
 		Expect(filepath.Glob(path + "*")).To(HaveLen(1))
 	})
 
-	It("is never written over", func() {
+	It("is never overwritten", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x")
 		Expect(os.WriteFile(path, []byte("dear"), 0o600)).To(Succeed())
-		Expect(sample().Write(path)).To(MatchError(ContainSubstring("is there already")))
+		Expect(sample().Write(path)).To(MatchError(ContainSubstring("exists already")))
 		Expect(os.ReadFile(path)).To(Equal([]byte("dear")))
 	})
 
-	It("is refused with any byte changed, and cut anywhere", func() {
+	It("is rejected with any byte changed, and truncated anywhere", func() {
 		content, err := sample().Encode()
 		Expect(err).NotTo(HaveOccurred())
 		for i := range content {
-			spoilt := append([]byte(nil), content...)
-			spoilt[i] ^= 0x10
-			_, err := archive.Decode(spoilt)
+			damaged := append([]byte(nil), content...)
+			damaged[i] ^= 0x10
+			_, err := archive.Decode(damaged)
 			Expect(err).To(HaveOccurred(), "byte %d", i)
 			_, err = archive.Decode(content[:i])
-			Expect(err).To(HaveOccurred(), "cut at %d", i)
+			Expect(err).To(HaveOccurred(), "truncated at %d", i)
 		}
 	})
 })
 
-var _ = DescribeTable("backups that are not whole",
-	func(change func(*archive.Archive), said string) {
-		spoilt := sample()
-		change(spoilt)
+var _ = DescribeTable("backups that can't be restored",
+	func(change func(*archive.Archive), message string) {
+		damaged := sample()
+		change(damaged)
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
-		Expect(spoilt.Restore(dir, process)).To(MatchError(ContainSubstring(said)))
+		Expect(damaged.Restore(dir, process)).To(MatchError(ContainSubstring(message)))
 		Expect(dir).NotTo(BeADirectory())
 	},
 	Entry("a shard is missing", func(a *archive.Archive) { a.Shards = a.Shards[1:] }, "shard 1 is missing"),
 	Entry("the configuration is missing", func(a *archive.Archive) { a.Shards = a.Shards[:4] }, "shard 0 is missing"),
-	Entry("a shard comes twice", func(a *archive.Archive) { a.Shards[1].ID = 1 }, "shard 1 comes twice"),
-	Entry("a shard is none", func(a *archive.Archive) { a.Shards[1].ID = 77 }, "shard 77: there is no such shard"),
-	Entry("a state is unreadable", func(a *archive.Archive) { a.Shards[1].Data = []byte{99} }, "shard 2: snapshot of version 99"),
-	Entry("a configuration is unreadable", func(a *archive.Archive) { a.Shards[4].Data = []byte("x") }, "shard 0: "),
+	Entry("a shard appears twice", func(a *archive.Archive) { a.Shards[1].ID = 1 }, "shard 1 appears twice"),
+	Entry("an unknown shard", func(a *archive.Archive) { a.Shards[1].ID = 77 }, "shard 77: there is no such shard"),
+	Entry("a state can't be decoded", func(a *archive.Archive) { a.Shards[1].Data = []byte{99} }, "shard 2: snapshot of version 99"),
+	Entry("a configuration can't be decoded", func(a *archive.Archive) { a.Shards[4].Data = []byte("x") }, "shard 0: "),
 )
 
 var _ = Describe("restoring", func() {
-	It("makes the process the only member of all groups, with terms above all that runners may have seen", func() {
+	It("makes the process the only member of all groups, with terms above any that runners may have seen", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
 		Expect(sample().Restore(dir, process)).To(Succeed())
 		identity, err := wal.ReadIdentity(vfs.OS{}, dir)
@@ -92,21 +92,21 @@
 		Expect(identity.First).To(BeEmpty())
 		log, groups, err := wal.Open(vfs.OS{}, dir, wal.Options{SegmentBytes: 1 << 20})
 		Expect(err).NotTo(HaveOccurred())
-		defer log.Close()
+		DeferCleanup(log.Close)
 		Expect(groups).To(HaveLen(protocol.JobShards + 1))
 		for i, shard := range sample().Shards {
-			held := groups[shard.ID]
-			Expect(held.Snapshot.Data).To(Equal(shard.Data), "shard %d", i)
-			Expect(held.Snapshot.Index).To(Equal(shard.Index))
-			Expect(held.HardState.Term).To(BeNumerically(">", shard.Term+1000))
-			Expect(held.Snapshot.Members).To(HaveLen(1))
-			Expect(held.Snapshot.Members[0].ID).To(Equal(identity.ID))
-			Expect(held.Snapshot.Members[0].Address).To(Equal(process.Address))
-			Expect(held.Snapshot.Members[0].Node).To(Equal(process.Node))
+			group := groups[shard.ID]
+			Expect(group.Snapshot.Data).To(Equal(shard.Data), "shard %d", i)
+			Expect(group.Snapshot.Index).To(Equal(shard.Index))
+			Expect(group.HardState.Term).To(BeNumerically(">", shard.Term+1000))
+			Expect(group.Snapshot.Members).To(HaveLen(1))
+			Expect(group.Snapshot.Members[0].ID).To(Equal(identity.ID))
+			Expect(group.Snapshot.Members[0].Address).To(Equal(process.Address))
+			Expect(group.Snapshot.Members[0].Node).To(Equal(process.Node))
 		}
 	})
 
-	It("draws another identity each time", func() {
+	It("creates another identity each time", func() {
 		var ids []any
 		for range 2 {
 			dir := filepath.Join(GinkgoT().TempDir(), "data")
@@ -118,7 +118,7 @@
 		Expect(ids[0]).NotTo(Equal(ids[1]))
 	})
 
-	It("leaves a folder alone that holds anything", func() {
+	It("doesn't touch a folder that is not empty", func() {
 		dir := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(dir, "identity"), []byte("dear"), 0o600)).To(Succeed())
 		Expect(sample().Restore(dir, process)).To(MatchError(ContainSubstring("is not empty: it has identity")))
--- a/internal/cluster/administration/archive/restore.go
+++ b/internal/cluster/administration/archive/restore.go
@@ -17,11 +17,11 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// termStep is how far the terms of a restored system stand above those of the backup: runners obey no term below the
-// highest that they have seen, and the old system may have gone on after the backup.
+// termStep is how far the terms of a restored cluster are above those of the backup. Runners obey no fencing token, which is
+// a term, below the highest one that they have seen, and the old cluster may have gone on after the backup.
 const termStep = 1 << 20
 
-// segmentBytes is beyond what a restored log has.
+// segmentBytes is more than a restored log has, so that it is one segment.
 const segmentBytes = 1 << 20
 
 // Process is the control process that a backup is restored for.
@@ -31,8 +31,10 @@
 	Address string // internal
 }
 
-// Restore writes the state into the folder of a control process, which must be empty or missing. The process is then
-// the only member of all groups; others that start with empty folders and know it as a seed join it.
+// Restore writes the state into the data folder of a control process, which must be empty or missing. The process is then
+// the only member of all groups; others that start with empty folders and have it as a seed join it. It must not be called
+// while a process runs on the folder. After an error the folder has no identity, and a control process doesn't take it for
+// a complete one.
 func (a *Archive) Restore(dir string, process Process) error {
 	if err := a.Check(); err != nil {
 		return err
@@ -40,7 +42,7 @@
 	if err := checkEmpty(dir); err != nil {
 		return err
 	}
-	id, err := drawIdentity()
+	id, err := newMemberID()
 	if err != nil {
 		return err
 	}
@@ -52,13 +54,15 @@
 	if err := a.writeLog(files, dir, member); err != nil {
 		return err
 	}
-	// The identity comes last: a log without one is nobody's, so that a restore that was cut off is not taken for whole.
+	// The identity comes last: a log without one belongs to no process, so that an interrupted restore isn't taken for a
+	// complete one.
 	if err := wal.WriteIdentity(files, dir, &wal.Identity{ID: id}); err != nil {
 		return err
 	}
 	return files.SyncDir(filepath.Dir(filepath.Clean(dir)))
 }
 
+// writeLog writes a log in which each group has its snapshot and one member.
 func (a *Archive) writeLog(files vfs.FS, dir string, member consensus.Member) error {
 	log, _, err := wal.Open(files, dir, wal.Options{SegmentBytes: segmentBytes})
 	if err != nil {
@@ -83,13 +87,13 @@
 	return log.Append(batch)
 }
 
-// Check tells whether the backup has every shard once, and whether this version of the program can read them.
+// Check returns an error unless the backup has each shard exactly once, and this version of the program can restore all.
 func (a *Archive) Check() error {
 	seen := map[uint32]bool{}
 	for i := range a.Shards {
 		shard := &a.Shards[i]
 		if seen[shard.ID] {
-			return errors.Errorf("shard %d comes twice", shard.ID)
+			return errors.Errorf("shard %d appears twice", shard.ID)
 		}
 		seen[shard.ID] = true
 		if err := shard.check(); err != nil {
@@ -115,6 +119,7 @@
 	}
 }
 
+// checkEmpty returns an error if a folder has any entry.
 func checkEmpty(dir string) error {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -129,7 +134,8 @@
 	return nil
 }
 
-func drawIdentity() (consensus.MemberID, error) {
+// newMemberID returns a random identity, which is never 0.
+func newMemberID() (consensus.MemberID, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return 0, errors.Wrap(err, "draw an identity")
--- a/internal/cluster/administration/document/difference.go
+++ b/internal/cluster/administration/document/difference.go
@@ -7,63 +7,68 @@
 	"io"
 	"maps"
 	"slices"
+	"strings"
 
 	"github.com/pkg/errors"
 
 	"ospreypond/internal/cluster/configuration"
 )
 
-// Difference is what leads from one configuration to another.
+// Difference is the changes from one configuration to another. It is printed as JSON or by Text.
 type Difference struct {
 	From    uint64   `json:"from"`
-	To      uint64   `json:"to"` // as the file says
+	To      uint64   `json:"to"` // the version that the file has
 	Changes []Change `json:"changes"`
 }
 
-// What a Change does.
+// ChangeKind is what happens to an item.
+type ChangeKind string
+
+// The kinds of changes; operators' scripts read them as JSON.
 const (
-	Added   = "added"
-	Removed = "removed"
-	Changed = "changed"
+	Added   ChangeKind = "added"
+	Removed ChangeKind = "removed"
+	Changed ChangeKind = "changed"
 )
 
-// Change is one item that comes, goes or changes.
+// Change is an item that is added, removed or changed.
 type Change struct {
 	Section string          `json:"section"`
-	Name    string          `json:"name,omitempty"` // empty: the section is no list of named items
-	Change  string          `json:"change"`
+	Name    string          `json:"name,omitempty"` // empty if the section is not a list of named items
+	Kind    ChangeKind      `json:"change"`
 	Fields  []Field         `json:"fields,omitempty"` // of a changed item
 	Before  json.RawMessage `json:"before,omitempty"`
 	After   json.RawMessage `json:"after,omitempty"`
 }
 
-// Field is one field of an item that changes; what is missing is null.
+// Field is a changed field of an item. A value is null if the field is missing.
 type Field struct {
 	Name   string          `json:"name"`
 	Before json.RawMessage `json:"before"`
 	After  json.RawMessage `json:"after"`
 }
 
-// Compare tells what applying a file to the configuration in force would change.
-func Compare(present, body []byte) (*Difference, error) {
-	said, raised, err := raisedVersion(present, body)
+// Compare returns what would change if a file were applied to the current configuration. The file's version need not be above
+// the current one.
+func Compare(current, body []byte) (*Difference, error) {
+	version, raised, err := raiseVersion(current, body)
 	if err != nil {
 		return nil, err
 	}
-	before, after, err := applied(present, raised)
+	before, after, err := applyTo(current, raised)
 	if err != nil {
 		return nil, err
 	}
-	difference := &Difference{From: before.Version(), To: said, Changes: []Change{}}
-	earlier, err := itemsOf(before)
+	difference := &Difference{From: before.Version(), To: version, Changes: []Change{}}
+	earlier, err := itemsByKey(before)
 	if err != nil {
 		return nil, err
 	}
-	later, err := itemsOf(after)
+	later, err := itemsByKey(after)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range keysOf(earlier, later) {
+	for _, key := range unionOfKeys(earlier, later) {
 		if change, differs := compareItem(key, earlier[key], later[key]); differs {
 			difference.Changes = append(difference.Changes, change)
 		}
@@ -71,28 +76,28 @@
 	return difference, nil
 }
 
-// itemKey names an item of a document.
+// itemKey identifies an item of a document; name is empty for a section that is not a list of named items.
 type itemKey struct{ section, name string }
 
-// itemsOf takes a document apart.
-func itemsOf(document *configuration.Document) (map[itemKey]json.RawMessage, error) {
+// itemsByKey returns the items of a document.
+func itemsByKey(document *configuration.Document) (map[itemKey]json.RawMessage, error) {
 	var sections map[string]json.RawMessage
 	if err := json.Unmarshal(document.JSON(), &sections); err != nil {
-		return nil, errors.Wrap(err, "take a configuration apart")
+		return nil, errors.Wrap(err, "parse a configuration")
 	}
 	delete(sections, "version")
 	items := map[itemKey]json.RawMessage{}
 	for section, value := range sections {
 		var list []json.RawMessage
-		if json.Unmarshal(value, &list) != nil || !addNamed(items, section, list) {
+		if json.Unmarshal(value, &list) != nil || !addNamedItems(items, section, list) {
 			items[itemKey{section, ""}] = value
 		}
 	}
 	return items, nil
 }
 
-// addNamed adds the items of a list; it tells false if they have no names.
-func addNamed(items map[itemKey]json.RawMessage, section string, list []json.RawMessage) bool {
+// addNamedItems adds the items of a list, and reports whether all have names.
+func addNamedItems(items map[itemKey]json.RawMessage, section string, list []json.RawMessage) bool {
 	for _, element := range list {
 		var named struct{ Name string }
 		if json.Unmarshal(element, &named) != nil || named.Name == "" {
@@ -103,7 +108,8 @@
 	return true
 }
 
-func keysOf(a, b map[itemKey]json.RawMessage) []itemKey {
+// unionOfKeys returns the keys of both maps, sorted.
+func unionOfKeys(a, b map[itemKey]json.RawMessage) []itemKey {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return slices.SortedFunc(maps.Keys(all), func(x, y itemKey) int {
@@ -114,25 +120,27 @@
 	})
 }
 
+// compareItem returns the change of an item, which is nil where it is missing, and whether there is one.
 func compareItem(key itemKey, before, after json.RawMessage) (Change, bool) {
 	change := Change{Section: key.section, Name: key.name, Before: before, After: after}
 	switch {
 	case before == nil:
-		change.Change = Added
+		change.Kind = Added
 	case after == nil:
-		change.Change = Removed
-	case equal(before, after):
+		change.Kind = Removed
+	case equalJSON(before, after):
 		return Change{}, false
 	default:
-		change.Change = Changed
+		change.Kind = Changed
 		change.Fields = compareFields(before, after)
 	}
 	return change, true
 }
 
-// equal tells whether two values are the same, spaces and the order of fields aside.
-func equal(a, b json.RawMessage) bool { return bytes.Equal(canonical(a), canonical(b)) }
+// equalJSON reports whether two values are the same but for white space and the order of fields.
+func equalJSON(a, b json.RawMessage) bool { return bytes.Equal(canonical(a), canonical(b)) }
 
+// canonical returns a JSON value without white space and with sorted fields, or the value itself if it can't be parsed.
 func canonical(value json.RawMessage) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.UseNumber()
@@ -147,6 +155,7 @@
 	return written
 }
 
+// compareFields returns the fields that differ between two objects, or nil if the values aren't objects.
 func compareFields(before, after json.RawMessage) []Field {
 	var earlier, later map[string]json.RawMessage
 	if json.Unmarshal(before, &earlier) != nil || json.Unmarshal(after, &later) != nil {
@@ -157,13 +166,14 @@
 	var fields []Field
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		a, b := orNull(earlier[name]), orNull(later[name])
-		if !equal(a, b) {
+		if !equalJSON(a, b) {
 			fields = append(fields, Field{Name: name, Before: a, After: b})
 		}
 	}
 	return fields
 }
 
+// orNull returns null in place of a missing value.
 func orNull(value json.RawMessage) json.RawMessage {
 	if value == nil {
 		return json.RawMessage("null")
@@ -171,44 +181,46 @@
 	return value
 }
 
-// Text writes the difference for people.
+// Text writes the difference for people, in one write. Errors of w are ignored, as for all output of commands.
 func (d *Difference) Text(w io.Writer) {
+	_, _ = io.WriteString(w, d.text())
+}
+
+func (d *Difference) text() string {
 	if len(d.Changes) == 0 && d.From == d.To {
-		fmt.Fprintf(w, "version %d: nothing changes\n", d.From)
-		return
+		return fmt.Sprintf("version %d: nothing changes\n", d.From)
 	}
-	fmt.Fprintf(w, "version %d to %d", d.From, d.To)
+	var text strings.Builder
+	fmt.Fprintf(&text, "version %d to %d", d.From, d.To)
 	if d.To <= d.From {
-		fmt.Fprint(w, ", which must be raised before it can be applied")
+		text.WriteString(", which must be raised before it can be applied")
 	}
 	if len(d.Changes) == 0 {
-		fmt.Fprint(w, ": nothing else changes")
+		text.WriteString(": nothing else changes")
 	}
-	fmt.Fprintln(w)
+	text.WriteString("\n")
 	for i := range d.Changes {
-		d.Changes[i].text(w)
+		d.Changes[i].writeText(&text)
 	}
+	return text.String()
 }
 
-func (c *Change) text(w io.Writer) {
-	signs := map[string]string{Added: "+", Removed: "-", Changed: "~"}
+func (c *Change) writeText(text *strings.Builder) {
 	title := c.Section
 	if c.Name != "" {
 		title += " " + c.Name
 	}
 	switch {
-	case c.Change != Changed:
-		value := c.Before
-		if c.Change == Added {
-			value = c.After
-		}
-		fmt.Fprintf(w, "%s %s  %s\n", signs[c.Change], title, canonical(value))
+	case c.Kind == Added:
+		fmt.Fprintf(text, "+ %s  %s\n", title, canonical(c.After))
+	case c.Kind == Removed:
+		fmt.Fprintf(text, "- %s  %s\n", title, canonical(c.Before))
 	case len(c.Fields) == 0:
-		fmt.Fprintf(w, "~ %s  %s -> %s\n", title, canonical(c.Before), canonical(c.After))
+		fmt.Fprintf(text, "~ %s  %s -> %s\n", title, canonical(c.Before), canonical(c.After))
 	default:
-		fmt.Fprintf(w, "~ %s\n", title)
+		fmt.Fprintf(text, "~ %s\n", title)
 		for _, field := range c.Fields {
-			fmt.Fprintf(w, "    %s: %s -> %s\n", field.Name, canonical(field.Before), canonical(field.After))
+			fmt.Fprintf(text, "    %s: %s -> %s\n", field.Name, canonical(field.Before), canonical(field.After))
 		}
 	}
 }
--- a/internal/cluster/administration/document/document.go
+++ b/internal/cluster/administration/document/document.go
@@ -1,4 +1,6 @@
-// Package document checks and compares configurations before they are applied.
+// Package document checks configurations and compares them with the current one, before an operator applies them. It
+// changes nothing and does no I/O. A file is the JSON of a complete configuration or of an update; the current configuration
+// is the JSON that the cluster returns, with version 0 before the first.
 package document
 
 import (
@@ -11,7 +13,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// KindOf tells whether a file is a whole configuration or an update, which has "upsert" or "remove".
+// KindOf returns whether a file is a complete configuration (protocol.ConfigurationReplace) or an update
+// (protocol.ConfigurationUpdate), which has a field "upsert" or "remove".
 func KindOf(body []byte) (string, error) {
 	if err := configuration.Readable(body); err != nil {
 		return "", err
@@ -28,22 +31,23 @@
 	return protocol.ConfigurationReplace, nil
 }
 
-// Check tells what is wrong with a file, on top of the configuration in force; nil: it is not known.
-func Check(body, present []byte) error {
-	_, _, err := applied(present, body)
+// Check returns an error if a file can't be applied to the current configuration. current may be nil if it isn't known; then
+// only a complete configuration can be checked.
+func Check(body, current []byte) error {
+	_, _, err := applyTo(current, body)
 	return err
 }
 
-// applied returns the configuration in force, and what it would be with the file.
-func applied(present, body []byte) (before, after *configuration.Document, err error) {
+// applyTo returns the current configuration, and what it would be after the file was applied.
+func applyTo(current, body []byte) (before, after *configuration.Document, err error) {
 	kind, err := KindOf(body)
 	if err != nil {
 		return nil, nil, err
 	}
-	if present == nil && kind == protocol.ConfigurationUpdate {
+	if current == nil && kind == protocol.ConfigurationUpdate {
 		return nil, nil, errors.New("it is an update, which builds on a running system's configuration: give --control")
 	}
-	state, err := stateOf(present)
+	state, err := stateWith(current)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -52,40 +56,41 @@
 	return before, state.Document(), result.Err()
 }
 
-func stateOf(present []byte) (*configuration.State, error) {
+// stateWith returns a state with the current configuration, or the first state if current is nil.
+func stateWith(current []byte) (*configuration.State, error) {
 	state := configuration.NewState()
-	if present == nil {
+	if current == nil {
 		return state, nil
 	}
 	var head struct{ Version uint64 }
-	if err := json.Unmarshal(present, &head); err != nil {
-		return nil, errors.Wrap(err, "the configuration in force")
+	if err := json.Unmarshal(current, &head); err != nil {
+		return nil, errors.Wrap(err, "the current configuration")
 	}
 	if head.Version == 0 {
 		return state, nil
 	}
-	result := state.Execute(configuration.Command{Kind: protocol.ConfigurationReplace, Body: present})
-	return state, errors.Wrap(result.Err(), "the configuration in force")
+	result := state.Execute(configuration.Command{Kind: protocol.ConfigurationReplace, Body: current})
+	return state, errors.Wrap(result.Err(), "the current configuration")
 }
 
-// raisedVersion returns the version that a file has, and the file with one that is above the one in force: what a change
-// does can be told before it is given its number.
-func raisedVersion(present, body []byte) (said uint64, raised []byte, err error) {
-	var head, in struct{ Version uint64 }
+// raiseVersion returns the version of a file, and the file with a version above the current one: a change can be compared before
+// it has its final number.
+func raiseVersion(current, body []byte) (version uint64, raised []byte, err error) {
+	var head, present struct{ Version uint64 }
 	if err := configuration.Readable(body); err != nil {
 		return 0, nil, err
 	}
-	if json.Unmarshal(body, &head) != nil || json.Unmarshal(present, &in) != nil {
-		return 0, body, nil // what is wrong is told when it is tried
+	if json.Unmarshal(body, &head) != nil || json.Unmarshal(current, &present) != nil {
+		return 0, body, nil // the error is found when it is applied
 	}
-	if head.Version > in.Version {
+	if head.Version > present.Version {
 		return head.Version, body, nil
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return 0, nil, err
 	}
-	fields["version"] = json.RawMessage(strconv.FormatUint(in.Version+1, 10))
+	fields["version"] = json.RawMessage(strconv.FormatUint(present.Version+1, 10))
 	raised, err = json.Marshal(fields)
 	return head.Version, raised, err
 }
--- a/internal/cluster/administration/document/document_test.go
+++ b/internal/cluster/administration/document/document_test.go
@@ -9,73 +9,73 @@
 	"ospreypond/internal/cluster/administration/document"
 )
 
-const present = `{"version":5,"routes":[
+const current = `{"version":5,"routes":[
 	{"name":"a","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"},
 	{"name":"b","host":"h","pathPrefix":"/b/","timeoutMs":9,"service":"s"}],
 	"services":[{"name":"s","note":1}],"limits":{"maxBodyBytes":5}}`
 
 const empty = `{"version":0}`
 
-var _ = DescribeTable("what would be taken",
-	func(present, body, fault string) {
-		var in []byte
-		if present != "" {
-			in = []byte(present)
+var _ = DescribeTable("a file that is checked",
+	func(current, body, fault string) {
+		var running []byte
+		if current != "" {
+			running = []byte(current)
 		}
-		err := document.Check([]byte(body), in)
+		err := document.Check([]byte(body), running)
 		if fault == "" {
 			Expect(err).NotTo(HaveOccurred())
 			return
 		}
 		Expect(err).To(MatchError(ContainSubstring(fault)))
 	},
-	Entry("a whole one", "", present, ""),
-	Entry("a whole one, the first", empty, present, ""),
-	Entry("a whole one again", present, present, "version 5 is not above the current 5"),
-	Entry("an update", present, `{"version":6,"remove":{"routes":["a"]}}`, ""),
-	Entry("an update that leaves routes without their service", present, `{"version":6,"remove":{"services":["s"]}}`, "service"),
-	Entry("an update on nothing known", "", `{"version":6,"remove":{}}`, "give --control"),
+	Entry("a complete configuration", "", current, ""),
+	Entry("a complete configuration, the first one", empty, current, ""),
+	Entry("the same complete configuration", current, current, "version 5 is not above the current 5"),
+	Entry("an update", current, `{"version":6,"remove":{"routes":["a"]}}`, ""),
+	Entry("an update that leaves routes without their service", current, `{"version":6,"remove":{"services":["s"]}}`, "service"),
+	Entry("an update without a current configuration", "", `{"version":6,"remove":{}}`, "give --control"),
 	Entry("nothing", "", "", "not exactly one JSON value"),
 	Entry("a list", "", "[]", "not a JSON object"),
-	Entry("text behind it", "", present+"x", "not exactly one JSON value"),
+	Entry("trailing text", "", current+"x", "not exactly one JSON value"),
 	Entry("no version", "", `{"routes":[]}`, "there is no version"),
-	Entry("two routes of one place", "", `{"version":1,"services":[{"name":"s"}],"routes":[
+	Entry("two routes of one queue", "", `{"version":1,"services":[{"name":"s"}],"routes":[
 		{"name":"a","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"},
 		{"name":"b","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}]}`, `share host "h" and prefix "/a/"`),
 	Entry("a time-out of 0", "", `{"version":1,"services":[{"name":"s"}],"routes":[
 		{"name":"a","host":"h","pathPrefix":"/a/","timeoutMs":0,"service":"s"}]}`, "timeoutMs"),
 )
 
-var _ = DescribeTable("what would change",
+var _ = DescribeTable("the difference",
 	func(body, text string) {
-		difference, err := document.Compare([]byte(present), []byte(body))
+		difference, err := document.Compare([]byte(current), []byte(body))
 		Expect(err).NotTo(HaveOccurred())
 		var out bytes.Buffer
 		difference.Text(&out)
 		Expect(out.String()).To(Equal(text))
 	},
-	Entry("nothing", present, "version 5: nothing changes\n"),
+	Entry("nothing", current, "version 5: nothing changes\n"),
 	Entry("the version alone", `{"version":7,"upsert":{}}`, "version 5 to 7: nothing else changes\n"),
 	Entry("a version that is too low", `{"version":4,"remove":{"routes":["a"]}}`,
 		"version 5 to 4, which must be raised before it can be applied\n"+
 			`- routes a  {"host":"h","name":"a","pathPrefix":"/a/","service":"s","timeoutMs":9}`+"\n"),
-	Entry("an item's fields, those too that nobody knows", `{"version":6,"upsert":{"services":[{"name":"s","note":2,"new":[1]}]}}`,
+	Entry("an item's fields, unknown ones included", `{"version":6,"upsert":{"services":[{"name":"s","note":2,"new":[1]}]}}`,
 		"version 5 to 6\n~ services s\n    new: null -> [1]\n    note: 1 -> 2\n"),
 	Entry("fields in another order", `{"version":6,"upsert":{"services":[{"note": 1.0, "name":"s"}]}}`,
 		"version 5 to 6\n~ services s\n    note: 1 -> 1.0\n"),
 	Entry("the limits", `{"version":6,"upsert":{"limits":{"maxBodyBytes":6}}}`,
 		"version 5 to 6\n~ limits\n    maxBodyBytes: 5 -> 6\n"),
-	Entry("a section that nobody knows", `{"version":6,"upsert":{"notes":["x"]}}`, "version 5 to 6\n+ notes  [\"x\"]\n"),
-	Entry("a whole one", `{"version":6,"routes":[{"name":"a","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}],"services":[{"name":"s","note":1}]}`,
+	Entry("an unknown section", `{"version":6,"upsert":{"notes":["x"]}}`, "version 5 to 6\n+ notes  [\"x\"]\n"),
+	Entry("a complete configuration", `{"version":6,"routes":[{"name":"a","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}],"services":[{"name":"s","note":1}]}`,
 		"version 5 to 6\n- limits  {\"maxBodyBytes\":5}\n"+
 			`- routes b  {"host":"h","name":"b","pathPrefix":"/b/","service":"s","timeoutMs":9}`+"\n"),
 )
 
-var _ = DescribeTable("what cannot be compared", func(body, fault string) {
-	_, err := document.Compare([]byte(present), []byte(body))
+var _ = DescribeTable("a file that can't be compared", func(body, fault string) {
+	_, err := document.Compare([]byte(current), []byte(body))
 	Expect(err).To(MatchError(ContainSubstring(fault)))
 },
-	Entry("a cut file", `{"version":6`, "not exactly one JSON value"),
-	Entry("a version that is none", `{"version":"x","upsert":{}}`, "version"),
+	Entry("a truncated file", `{"version":6`, "not exactly one JSON value"),
+	Entry("a version that is not a number", `{"version":"x","upsert":{}}`, "version"),
 	Entry("an unknown service", `{"version":6,"upsert":{"routes":[{"name":"c","host":"h","pathPrefix":"/c/","timeoutMs":9,"service":"t"}]}}`, `"t"`),
 )
--- a/internal/cluster/administration/identity/identity.go
+++ b/internal/cluster/administration/identity/identity.go
@@ -1,5 +1,5 @@
-// Package identity is how a control process's identity is shown: in hex, also in JSON, where a number of 64 bits would
-// not survive every reader.
+// Package identity is the form in which operators see the identity of a control process: hexadecimal, also in JSON, where
+// many readers would round a number of 64 bits.
 package identity
 
 import (
@@ -7,16 +7,16 @@
 	"strconv"
 )
 
-// ID is an identity; 0 is nobody.
+// ID is the identity of a control process; 0 means none.
 type ID uint64
 
-// String returns it in hex.
+// String returns the identity in hexadecimal, without leading zeros.
 func (i ID) String() string { return strconv.FormatUint(uint64(i), 16) }
 
-// MarshalJSON writes a text.
+// MarshalJSON encodes the identity as a JSON string, in the form of String.
 func (i ID) MarshalJSON() ([]byte, error) { return json.Marshal(i.String()) }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes what MarshalJSON encoded.
 func (i *ID) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -1,5 +1,5 @@
-// Package inspect reads the folder of a control process that does not run: who it is, what its groups hold, and what is
-// damaged. It changes nothing in the folder.
+// Package inspect reads the data folder of a control process that is not running: its identity, the logs and snapshots of its
+// groups, and what of them is damaged. It changes nothing in the folder, except that it takes the lock file if there is one.
 package inspect
 
 import (
@@ -15,10 +15,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Folder is what a folder holds.
+// Folder is the content of a data folder. It is printed as JSON; so are the types in it.
 type Folder struct {
 	Dir      string      `json:"dir"`
-	Identity identity.ID `json:"identity"` // 0: none, the folder is nobody's
+	Identity identity.ID `json:"identity"` // 0: none, the folder belongs to no process
 	First    []Member    `json:"first"`    // the first members of all groups, if the process was one of them
 	Files    []File      `json:"files"`
 	Groups   []Group     `json:"groups"`
@@ -26,7 +26,7 @@
 	Verified bool        `json:"verified"`
 }
 
-// File is one file.
+// File is a file of the folder.
 type File struct {
 	Name  string `json:"name"`
 	Bytes int64  `json:"bytes"`
@@ -41,35 +41,35 @@
 	Learner bool        `json:"learner"`
 }
 
-// Group is what the folder holds of one shard.
+// Group is the member's part of one shard's replicated log.
 type Group struct {
 	Shard         uint32      `json:"shard"`
 	Term          uint64      `json:"term"`
-	Vote          identity.ID `json:"vote"`          // whom this member voted for in the term; 0: nobody
-	Commit        uint64      `json:"commit"`        // as last written; it may be higher by now
+	Vote          identity.ID `json:"vote"`          // the member that this one voted for in the term; 0: none
+	Commit        uint64      `json:"commit"`        // as last written; more may be committed
 	SnapshotIndex uint64      `json:"snapshotIndex"` // 0: none
 	SnapshotTerm  uint64      `json:"snapshotTerm"`
 	SnapshotBytes int         `json:"snapshotBytes"`
-	Entries       int         `json:"entries"` // that follow the snapshot
+	Entries       int         `json:"entries"` // entries that follow the snapshot
 	First         uint64      `json:"first"`
 	Last          uint64      `json:"last"`
 	EntryBytes    int64       `json:"entryBytes"`
 	Members       []Member    `json:"members"`
-	Holds         string      `json:"holds"` // what the state machine has after all entries; only if verified
+	Holds         string      `json:"holds"` // a summary of the state machine after all entries; empty unless verified
 }
 
-// Fault is something that is not as it was written.
+// Fault is damage, or data that this version of the program can't read.
 type Fault struct {
-	File   string `json:"file"`   // empty: it is not one file's
+	File   string `json:"file"`   // empty if it is not in one file
 	Offset int64  `json:"offset"` // bytes
 	Reason string `json:"reason"`
 }
 
-// Read reads a folder. With verify, every snapshot is read, and the state machines carry out all entries. The
-// error is for a folder that cannot be read at all; what is wrong inside stands in Faults.
+// Read reads a folder. If verify is true, it reads every snapshot and applies all entries to the state machines. It returns
+// an error if the folder can't be read at all, or if a process runs on it; what is wrong inside is in Faults.
 func Read(dir string, verify bool) (*Folder, error) {
 	files := readOnly{vfs.OS{}}
-	unlock, err := takeLock(dir)
+	unlock, err := lockFolder(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -94,16 +94,17 @@
 
 const lockName = "lock"
 
-// takeLock makes sure that no process runs on the folder.
-func takeLock(dir string) (unlock func(), err error) {
+// lockFolder locks the folder as a running control process does, and fails if one runs. A folder without a lock file was
+// never run on, and stays without.
+func lockFolder(dir string) (unlock func(), err error) {
 	name := filepath.Join(dir, lockName)
-	there, err := vfs.Exists(vfs.OS{}, name)
-	if err != nil || !there {
+	exists, err := vfs.Exists(vfs.OS{}, name)
+	if err != nil || !exists {
 		return func() {}, err
 	}
 	lock, err := vfs.OS{}.Lock(name)
 	if errors.Is(err, vfs.ErrLocked) {
-		return nil, errors.Errorf("a process runs on %s; stop it first, or read a copy", dir)
+		return nil, errors.Errorf("a process runs on %s; stop it first, or read a copy of the folder", dir)
 	}
 	if err != nil {
 		return nil, err
@@ -111,6 +112,7 @@
 	return func() { _ = lock.Close() }, nil
 }
 
+// readFiles lists the files.
 func (f *Folder) readFiles(files vfs.FS) error {
 	names, err := files.List(f.Dir)
 	if err != nil {
@@ -131,33 +133,37 @@
 	if err != nil {
 		return 0, err
 	}
-	defer file.Close()
-	return file.Size()
+	size, err := file.Size()
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
+	}
+	return size, err
 }
 
-// fault takes note of damage; other errors are returned.
-func (f *Folder) fault(err error) error {
+// addDamage adds a fault for damage, each once, and returns all other errors.
+func (f *Folder) addDamage(err error) error {
 	var damage *wal.DamageError
 	if !errors.As(err, &damage) {
 		return err
 	}
-	found := Fault{File: damage.File, Offset: damage.Offset, Reason: damage.Reason}
+	fault := Fault{File: damage.File, Offset: damage.Offset, Reason: damage.Reason}
 	for _, known := range f.Faults {
-		if known == found {
+		if known == fault {
 			return nil
 		}
 	}
-	f.Faults = append(f.Faults, found)
+	f.Faults = append(f.Faults, fault)
 	return nil
 }
 
+// readIdentity reads the identity; a folder without one has a fault.
 func (f *Folder) readIdentity(files vfs.FS) error {
 	found, err := wal.ReadIdentity(files, f.Dir)
 	if err != nil {
-		return f.fault(err)
+		return f.addDamage(err)
 	}
 	if found == nil {
-		f.Faults = append(f.Faults, Fault{Reason: "there is no identity: no control process has run here, or its start was cut off"})
+		f.Faults = append(f.Faults, Fault{Reason: "there is no identity: no control process has run here, or its start was interrupted"})
 		return nil
 	}
 	f.Identity = identity.ID(found.ID)
@@ -175,79 +181,80 @@
 	return list
 }
 
-// readLog reads segments and the snapshots that they name.
+// readLog reads the segments and the snapshots that they refer to. Without an error the groups are nil if the log is damaged.
 func (f *Folder) readLog(files vfs.FS) (map[uint32]*wal.Group, error) {
 	log, groups, err := wal.Open(files, f.Dir, wal.Options{})
 	if err != nil {
-		return nil, f.fault(err)
+		return nil, f.addDamage(err)
 	}
 	log.Close()
 	for _, id := range sortedIDs(groups) {
-		f.Groups = append(f.Groups, f.groupOf(id, groups[id]))
+		f.Groups = append(f.Groups, f.newGroup(id, groups[id]))
 	}
 	return groups, nil
 }
 
-func (f *Folder) groupOf(id uint32, held *wal.Group) Group {
+func (f *Folder) newGroup(id uint32, read *wal.Group) Group {
 	group := Group{
 		Shard:   id,
-		Term:    held.HardState.Term,
-		Vote:    identity.ID(held.HardState.Vote),
-		Commit:  held.HardState.Commit,
-		Entries: len(held.Entries),
+		Term:    read.HardState.Term,
+		Vote:    identity.ID(read.HardState.Vote),
+		Commit:  read.HardState.Commit,
+		Entries: len(read.Entries),
 		Members: f.First,
 	}
-	if held.Snapshot != nil {
-		group.SnapshotIndex, group.SnapshotTerm = held.Snapshot.Index, held.Snapshot.Term
-		group.SnapshotBytes = len(held.Snapshot.Data)
-		group.Members = membersOf(held.Snapshot.Members)
+	if read.Snapshot != nil {
+		group.SnapshotIndex, group.SnapshotTerm = read.Snapshot.Index, read.Snapshot.Term
+		group.SnapshotBytes = len(read.Snapshot.Data)
+		group.Members = membersOf(read.Snapshot.Members)
 	}
-	for i := range held.Entries {
-		entry := &held.Entries[i]
+	for i := range read.Entries {
+		entry := &read.Entries[i]
 		group.EntryBytes += int64(len(entry.Data))
 		if entry.Kind == consensus.EntryMembership {
-			f.takeMembers(&group, entry)
+			f.applyMembership(&group, entry)
 		}
 	}
-	if len(held.Entries) > 0 {
-		group.First, group.Last = held.Entries[0].Index, held.Entries[len(held.Entries)-1].Index
+	if len(read.Entries) > 0 {
+		group.First, group.Last = read.Entries[0].Index, read.Entries[len(read.Entries)-1].Index
 	}
 	return group
 }
 
-func (f *Folder) takeMembers(group *Group, entry *consensus.Entry) {
+// applyMembership sets the members that a membership entry has.
+func (f *Folder) applyMembership(group *Group, entry *consensus.Entry) {
 	members, err := consensus.DecodeMembers(entry.Data)
 	if err != nil {
-		f.entryFault(group.Shard, entry, err)
+		f.addEntryFault(group.Shard, entry, err)
 		return
 	}
 	group.Members = membersOf(members)
 }
 
-// readOnly is a file system on which nothing can be changed.
+// readOnly is a file system that can't be modified.
 type readOnly struct{ vfs.FS }
 
-var errReadOnly = errors.New("the folder is only read")
+var errReadOnly = errors.New("the folder is opened for reading only")
 
-// Create refuses.
+// Create fails.
 func (readOnly) Create(string) (vfs.File, error) { return nil, errReadOnly }
 
-// OpenRW refuses.
+// OpenRW fails.
 func (readOnly) OpenRW(string) (vfs.File, error) { return nil, errReadOnly }
 
-// Rename refuses.
+// Rename fails.
 func (readOnly) Rename(string, string) error { return errReadOnly }
 
-// Remove refuses.
+// Remove fails.
 func (readOnly) Remove(string) error { return errReadOnly }
 
-// MkdirAll makes nothing; a folder that is missing is found so when it is listed.
+// MkdirAll does nothing; a missing folder makes the listing fail.
 func (readOnly) MkdirAll(string) error { return nil }
 
 // SyncDir does nothing.
 func (readOnly) SyncDir(string) error { return nil }
 
-// Lock refuses.
+// Lock fails.
 func (readOnly) Lock(string) (io.Closer, error) { return nil, errReadOnly }
 
 func isSnapshot(name string) bool {
--- a/internal/cluster/administration/inspect/inspect_test.go
+++ b/internal/cluster/administration/inspect/inspect_test.go
@@ -35,7 +35,7 @@
 	}}}))
 }
 
-// folder writes what a process may have left: shard 0 without a snapshot, shard 2 with one at 5 and entries after it.
+// folder returns a data folder: shard 0 without a snapshot, shard 2 with one at index 5 and entries after it.
 func folder() string {
 	dir := GinkgoT().TempDir()
 	files := vfs.OS{}
@@ -43,14 +43,14 @@
 	Expect(wal.WriteIdentity(files, dir, identity)).To(Succeed())
 	log, _, err := wal.Open(files, dir, wal.Options{SegmentBytes: 1 << 20})
 	Expect(err).NotTo(HaveOccurred())
-	defer log.Close()
-	order := must(configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: []byte(
+	DeferCleanup(log.Close)
+	command := must(configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: []byte(
 		`{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"service":"s"}],"services":[{"name":"s"}]}`)}))
 	state := must(jobs.New(jobs.Options{}).Snapshot())
 	snapshot := &consensus.Snapshot{Index: 5, Term: 2, Members: members[:1], Data: state}
 	Expect(wal.WriteSnapshot(files, dir, 2, snapshot)).To(Succeed())
 	batch := &wal.Batch{}
-	batch.Entries(0, []consensus.Entry{{Term: 1, Index: 1, Kind: consensus.EntryEmpty}, {Term: 1, Index: 2, Data: order}})
+	batch.Entries(0, []consensus.Entry{{Term: 1, Index: 1, Kind: consensus.EntryEmpty}, {Term: 1, Index: 2, Data: command}})
 	batch.HardState(0, consensus.HardState{Term: 3, Vote: 18, Commit: 2})
 	batch.Install(2, 5, 2)
 	batch.HardState(2, consensus.HardState{Term: 4, Vote: 17, Commit: 6})
@@ -65,8 +65,8 @@
 	return dir
 }
 
-// spoil changes the byte at an offset of the one file that matches.
-func spoil(dir, pattern string, offset int) string {
+// damage changes the byte at an offset of the only file that matches, and returns the file's name.
+func damage(dir, pattern string, offset int) string {
 	names := must(filepath.Glob(filepath.Join(dir, pattern)))
 	Expect(names).To(HaveLen(1))
 	content := must(os.ReadFile(names[0]))
@@ -75,8 +75,8 @@
 	return filepath.Base(names[0])
 }
 
-// picture is all that a folder holds, byte for byte.
-func picture(dir string) map[string]string {
+// contentsOf returns the content of each file in a folder.
+func contentsOf(dir string) map[string]string {
 	contents := map[string]string{}
 	for _, entry := range must(os.ReadDir(dir)) {
 		contents[entry.Name()] = string(must(os.ReadFile(filepath.Join(dir, entry.Name()))))
@@ -85,7 +85,7 @@
 }
 
 var _ = Describe("a folder", func() {
-	It("is told about, group by group", func() {
+	It("is described group by group", func() {
 		read := must(inspect.Read(folder(), true))
 		Expect(read.Faults).To(BeEmpty())
 		Expect(read.Identity.String()).To(Equal("11"))
@@ -100,22 +100,22 @@
 		Expect([]uint64{shard.First, shard.Last, shard.Commit}).To(Equal([]uint64{6, 8, 6}))
 		Expect(shard.Members).To(HaveLen(2), "the newest membership counts")
 		Expect(shard.Members[1].Learner).To(BeTrue())
-		Expect(shard.Holds).To(HavePrefix("2 jobs (4 tasks held, 0 running)"))
+		Expect(shard.Holds).To(HavePrefix("2 jobs (4 tasks pending, 0 running)"))
 	})
 
-	It("is not changed by being read, also with files that a start would remove", func() {
+	It("is not modified, even if it has files that a start would remove", func() {
 		dir := folder()
 		Expect(os.WriteFile(filepath.Join(dir, "identity.new"), []byte("half"), 0o600)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(dir, "log-00000000000000ff.segment"), []byte("half"), 0o600)).To(Succeed())
-		before := picture(dir)
+		before := contentsOf(dir)
 		must(inspect.Read(dir, true))
-		Expect(picture(dir)).To(Equal(before))
+		Expect(contentsOf(dir)).To(Equal(before))
 	})
 
 	It("is not read while a process runs on it", func() {
 		dir := folder()
 		lock := must(vfs.OS{}.Lock(filepath.Join(dir, "lock")))
-		defer lock.Close()
+		DeferCleanup(lock.Close)
 		_, err := inspect.Read(dir, false)
 		Expect(err).To(MatchError(ContainSubstring("a process runs on " + dir)))
 	})
@@ -128,7 +128,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("leaves out a torn end, which a loss of power may leave", func() {
+	It("ignores a torn end, which a power failure may leave", func() {
 		dir := folder()
 		names := must(filepath.Glob(filepath.Join(dir, "log-*")))
 		newest := names[len(names)-1]
@@ -140,16 +140,16 @@
 	})
 })
 
-var _ = DescribeTable("damage is named by file and offset",
+var _ = DescribeTable("damage is reported by file and offset",
 	func(pattern string, offset int, verify bool, reason string) {
 		dir := folder()
-		name := spoil(dir, pattern, offset)
+		name := damage(dir, pattern, offset)
 		read := must(inspect.Read(dir, verify))
 		Expect(read.Faults).NotTo(BeEmpty())
 		Expect(read.Faults[0].File).To(Equal(name))
 		Expect(read.Faults[0].Reason).To(ContainSubstring(reason))
 		for i, fault := range read.Faults {
-			Expect(read.Faults[:i]).NotTo(ContainElement(fault), "each is told once")
+			Expect(read.Faults[:i]).NotTo(ContainElement(fault), "each is reported once")
 		}
 	},
 	Entry("of the identity", "identity", 9, false, "its sum is wrong"),
@@ -159,8 +159,8 @@
 	Entry("of the log's first batch", "log-0000000000000001*", 40, false, "a sound batch follows"),
 )
 
-var _ = Describe("what cannot be carried out", func() {
-	It("is named by shard and entry", func() {
+var _ = Describe("an entry that can't be applied", func() {
+	It("is reported by shard and index", func() {
 		dir := folder()
 		log, _, err := wal.Open(vfs.OS{}, dir, wal.Options{SegmentBytes: 1 << 20})
 		Expect(err).NotTo(HaveOccurred())
@@ -176,7 +176,7 @@
 		}
 		Expect(strings.Join(reasons, "\n")).To(And(
 			ContainSubstring("shard 2, entry 9 of term 4: "),
-			ContainSubstring("shard 9 is none of this program's"),
+			ContainSubstring("shard 9 is unknown to this program"),
 		))
 	})
 })
--- a/internal/cluster/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -17,7 +17,7 @@
 
 func sortedIDs(groups map[uint32]*wal.Group) []uint32 { return slices.Sorted(maps.Keys(groups)) }
 
-// verifySnapshots reads every snapshot in the folder, those too that the log does not need any more.
+// verifySnapshots reads every snapshot in the folder, including those that the log no longer needs.
 func (f *Folder) verifySnapshots(files vfs.FS) {
 	for _, file := range f.Files {
 		if !isSnapshot(file.Name) {
@@ -26,77 +26,79 @@
 		var group uint32
 		var index, term uint64
 		if _, err := fmt.Sscanf(file.Name, "snapshot-%08x-%016x-%016x.state", &group, &index, &term); err != nil {
-			f.Faults = append(f.Faults, Fault{File: file.Name, Reason: "its name is not a snapshot's"})
+			f.Faults = append(f.Faults, Fault{File: file.Name, Reason: "its name is not that of a snapshot"})
 			continue
 		}
 		if _, err := wal.ReadSnapshot(files, f.Dir, group, index, term); err != nil {
-			if other := f.fault(err); other != nil {
+			if other := f.addDamage(err); other != nil {
 				f.Faults = append(f.Faults, Fault{File: file.Name, Reason: other.Error()})
 			}
 		}
 	}
 }
 
-func (f *Folder) entryFault(shard uint32, entry *consensus.Entry, err error) {
+// addEntryFault adds a fault of an entry.
+func (f *Folder) addEntryFault(shard uint32, entry *consensus.Entry, err error) {
 	reason := fmt.Sprintf("shard %d, entry %d of term %d: %v", shard, entry.Index, entry.Term, err)
 	f.Faults = append(f.Faults, Fault{Reason: reason})
 }
 
-// machine is a state machine that what is held is tried on.
-type machine interface {
+// stateMachine is a state machine to which the snapshot and the entries of a group are applied.
+type stateMachine interface {
 	Restore(data []byte) error
-	// carryOut applies an entry; one that cannot be decoded is a fault, an order that is refused is none.
-	carryOut(entry *consensus.Entry) error
-	holds() string
+	// apply applies an entry. It fails if the entry can't be decoded; a command that is rejected is no error.
+	apply(entry *consensus.Entry) error
+	// summary returns what the state has, for people.
+	summary() string
 }
 
-func machineOf(shard uint32) (machine, error) {
+func newStateMachine(shard uint32) (stateMachine, error) {
 	switch {
 	case shard == uint32(protocol.ConfigurationShard):
 		return &configurationMachine{configuration.NewState()}, nil
 	case shard <= protocol.JobShards:
 		return &jobsMachine{jobs.New(jobs.Options{})}, nil
 	default:
-		return nil, errors.Errorf("shard %d is none of this program's", shard)
+		return nil, errors.Errorf("shard %d is unknown to this program", shard)
 	}
 }
 
-// verifyGroups has the state machines take the snapshots and carry out all entries after them. Which of the newest ones
-// are committed is not on one disk alone.
+// verifyGroups restores the state machines from the snapshots and applies all entries after them. One folder doesn't show
+// which of the newest entries are committed.
 func (f *Folder) verifyGroups(groups map[uint32]*wal.Group) {
 	for i := range f.Groups {
 		f.verifyGroup(&f.Groups[i], groups[f.Groups[i].Shard])
 	}
 }
 
-func (f *Folder) verifyGroup(group *Group, held *wal.Group) {
-	tried, err := machineOf(group.Shard)
+func (f *Folder) verifyGroup(group *Group, read *wal.Group) {
+	machine, err := newStateMachine(group.Shard)
 	if err != nil {
 		f.Faults = append(f.Faults, Fault{Reason: err.Error()})
 		return
 	}
-	if held.Snapshot != nil {
-		if err := tried.Restore(held.Snapshot.Data); err != nil {
+	if read.Snapshot != nil {
+		if err := machine.Restore(read.Snapshot.Data); err != nil {
 			reason := fmt.Sprintf("shard %d: the snapshot at %d cannot be restored: %v", group.Shard, group.SnapshotIndex, err)
 			f.Faults = append(f.Faults, Fault{Reason: reason})
 			return
 		}
 	}
-	for i := range held.Entries {
-		entry := &held.Entries[i]
+	for i := range read.Entries {
+		entry := &read.Entries[i]
 		if entry.Kind != consensus.EntryCommand {
 			continue
 		}
-		if err := tried.carryOut(entry); err != nil {
-			f.entryFault(group.Shard, entry, err)
+		if err := machine.apply(entry); err != nil {
+			f.addEntryFault(group.Shard, entry, err)
 		}
 	}
-	group.Holds = tried.holds()
+	group.Holds = machine.summary()
 }
 
 type configurationMachine struct{ *configuration.State }
 
-func (m *configurationMachine) carryOut(entry *consensus.Entry) error {
+func (m *configurationMachine) apply(entry *consensus.Entry) error {
 	command, err := configuration.DecodeCommand(entry.Data)
 	if err != nil {
 		return err
@@ -105,7 +107,7 @@
 	return nil
 }
 
-func (m *configurationMachine) holds() string {
+func (m *configurationMachine) summary() string {
 	document := m.Document()
 	routes, services := 0, 0
 	for range document.Routes() {
@@ -119,7 +121,7 @@
 
 type jobsMachine struct{ *jobs.State }
 
-func (m *jobsMachine) carryOut(entry *consensus.Entry) error {
+func (m *jobsMachine) apply(entry *consensus.Entry) error {
 	command, err := jobs.Decode(entry.Data)
 	if err != nil {
 		return err
@@ -128,7 +130,7 @@
 	return nil
 }
 
-func (m *jobsMachine) holds() string {
+func (m *jobsMachine) summary() string {
 	c := m.Counters()
-	return fmt.Sprintf("%d jobs (%d tasks held, %d running), %d ended ones kept, %d runners", c.Jobs, c.Pending, c.Running, c.Retained, c.Runners)
+	return fmt.Sprintf("%d jobs (%d tasks pending, %d running), %d ended ones retained, %d runners", c.Jobs, c.Pending, c.Running, c.Retained, c.Runners)
 }
