--- a/internal/cluster/administration/archive/archive_test.go
+++ b/internal/cluster/administration/archive/archive_test.go
@@ -92,7 +92,7 @@
 		Expect(identity.First).To(BeEmpty())
 		log, groups, err := wal.Open(vfs.OS{}, dir, wal.Options{SegmentBytes: 1 << 20})
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(log.Close)
+		defer log.Close()
 		Expect(groups).To(HaveLen(protocol.JobShards + 1))
 		for i, shard := range sample().Shards {
 			group := groups[shard.ID]
--- a/internal/cluster/administration/inspect/inspect_test.go
+++ b/internal/cluster/administration/inspect/inspect_test.go
@@ -43,7 +43,7 @@
 	Expect(wal.WriteIdentity(files, dir, identity)).To(Succeed())
 	log, _, err := wal.Open(files, dir, wal.Options{SegmentBytes: 1 << 20})
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(log.Close)
+	defer log.Close()
 	command := must(configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: []byte(
 		`{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"service":"s"}],"services":[{"name":"s"}]}`)}))
 	state := must(jobs.New(jobs.Options{}).Snapshot())
