--- a/internal/cluster/directory/directory.go
+++ b/internal/cluster/directory/directory.go
@@ -3,9 +3,9 @@
 //
 // A Directory is a client of the control processes. Run keeps one watch open at the owner of the configuration, a long poll
 // that is answered when there is something newer; Call sends requests to the owner of a shard, follows hints to new owners
-// and retries what certainly didn't happen. What it knows may be out of date, but never goes back to an older configuration,
-// and Fresh and ConfirmedSince tell how recently it was confirmed. All methods may be called by many goroutines; Run by
-// one, which the caller waits for.
+// and retries as far as that is safe. What a Directory knows may be out of date, but it never goes back to an older
+// configuration, and Fresh and ConfirmedSince report how recently it was confirmed. Run must be called once, in a goroutine
+// that the caller waits for; all other methods, and Call, may be called by many goroutines.
 package directory
 
 import (
@@ -29,7 +29,7 @@
 	DoLong(ctx context.Context, address string, request, response any) error
 }
 
-// Options are the settings of a Directory. Client and Seeds are required.
+// Options are the settings of a Directory. Client is required; without seeds it knows no process until SetSeeds.
 type Options struct {
 	Client Caller
 	Seeds  []string // internal addresses of control processes to start from
@@ -74,12 +74,12 @@
 	if options.Logger == nil {
 		options.Logger = log.NewNopLogger()
 	}
-	bound := func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
+	withTimeout := func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
 		return deadline.WithTimeout(ctx, options.Clock, span)
 	}
 	d := &Directory{
 		options:     options,
-		withTimeout: bound,
+		withTimeout: withTimeout,
 		view:        newView(options.Seeds),
 		changed:     make(chan struct{}),
 	}
--- a/internal/cluster/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -55,7 +55,7 @@
 		Eventually(func() string { return d.Owner(1) }).WithTimeout(soon).Should(Equal(address))
 		status, err := Call[protocol.StatusRequest, protocol.StatusResponse](ctx, d, 1, &protocol.StatusRequest{ID: "known"}, true)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(status.State).To(Equal(protocol.JobRunning))
+		Expect(status.State).To(Equal(protocol.JobState(protocol.JobRunning)))
 		_, err = Call[protocol.StatusRequest, protocol.StatusResponse](ctx, d, 1, &protocol.StatusRequest{ID: "other"}, true)
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 		Expect(d.Fresh(time.Minute)).To(BeTrue())
--- a/internal/cluster/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -16,16 +16,16 @@
 	watchSlack         = 600 * time.Millisecond // beyond that it counts as unresponsive
 	minWatchBackoff    = 50 * time.Millisecond
 	maxWatchBackoff    = 400 * time.Millisecond
-	minWatchInterval   = 50 * time.Millisecond  // the wait after a watch that was answered sooner and update nothing new
+	minWatchInterval   = 50 * time.Millisecond  // the wait after a watch that was answered sooner and brought nothing new
 	minRefreshInterval = 200 * time.Millisecond // Refresh doesn't cancel a watch that was sent less than this ago
 	maxExtraTimeout    = 12 * time.Second       // the limit of watch.extraTimeout
 )
 
-// unansweredFraction is the fraction that counts of the time that the owner says it left a watch unanswered, since clocks may differ
-// in speed.
+// unansweredFraction is the fraction that counts of the time for which the owner says that it left a watch unanswered, since
+// clocks may differ in speed.
 const unansweredFraction = 0.97
 
-// failuresBeforeLog is how many failures in a row are logged.
+// failuresBeforeLog is the number of failures in a row after which they are logged, once.
 const failuresBeforeLog = 10
 
 // watch is the state of Run, over one watch after the other.
--- a/internal/cluster/placement/doc.go
+++ b/internal/cluster/placement/doc.go
@@ -1,8 +1,8 @@
 // Package placement decides in rounds which pending task starts on which runner.
 //
 // The algorithm is the query distribution of Kairos (Li et al., "Kairos: Building Cost-Efficient Machine Learning
-// Inference Systems with Heterogeneous Cloud Resources", HPDC '23, section 5.1), in which queries are tasks and
-// instances are runners: each round is a minimum-cost one-to-one assignment (equations 4 to 8) of tasks to the slots
+// Inference Systems with Heterogeneous Cloud Resources", arXiv:2210.05889v3, section 5.1), in which queries are tasks
+// and instances are runners: each round is a minimum-cost one-to-one assignment (equations 4 to 8) of tasks to the slots
 // that runners offer. The cost of task i on a runner of kind j is C_j x L_ij, i's predicted runtime weighted by the
 // heterogeneity coefficient of the kind (definition 1); a pairing that would end too late costs a fixed penalty instead.
 // The paper's instances take one query at a time and are alike for all queries. What goes beyond it is ours: runners that
