--- a/internal/cluster/configuration/image.go
+++ b/internal/cluster/configuration/image.go
@@ -93,7 +93,7 @@
 	for i, member := range items {
 		items[i] = &item{name: member.name, raw: member.raw, route: member.route, service: member.service, queue: member.queue}
 	}
-	made, err := newList(s.Name, items)
+	made, err := newItemList(s.Name, items)
 	return section{name: s.Name, isList: true, list: made}, err
 }
 
--- a/internal/cluster/configuration/itemlist.go
+++ b/internal/cluster/configuration/itemlist.go
@@ -14,8 +14,8 @@
 
 func compareNames(a, b *item) int { return strings.Compare(a.name, b.name) }
 
-// newList returns a list, and fails unless each item has a name of its own.
-func newList(section string, items []*item) (itemList, error) {
+// newItemList returns a list, and fails unless each item has a name of its own.
+func newItemList(section string, items []*item) (itemList, error) {
 	made := itemList{items: items, sorted: slices.IsSortedFunc(items, compareNames)}
 	ordered := items
 	if !made.sorted {
--- a/internal/cluster/configuration/parse.go
+++ b/internal/cluster/configuration/parse.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return section{}, err
 	}
-	made, err := newList(f.key, items)
+	made, err := newItemList(f.key, items)
 	return section{name: f.key, isList: true, list: made}, err
 }
 
--- a/internal/cluster/configuration/queueindex.go
+++ b/internal/cluster/configuration/queueindex.go
@@ -25,24 +25,24 @@
 		first.name, second.name, second.route.Host, second.route.PathPrefix)
 }
 
-func (p queueIndex) find(at queueKey) (int, bool) {
-	return slices.BinarySearchFunc(p, at, func(member *item, at queueKey) int { return member.queue.compare(at) })
+func (q queueIndex) find(at queueKey) (int, bool) {
+	return slices.BinarySearchFunc(q, at, func(member *item, at queueKey) int { return member.queue.compare(at) })
 }
 
 // get returns the item of that queue, or nil.
-func (p queueIndex) get(at queueKey) *item {
-	if i, found := p.find(at); found {
-		return p[i]
+func (q queueIndex) get(at queueKey) *item {
+	if i, found := q.find(at); found {
+		return q[i]
 	}
 	return nil
 }
 
 // with returns the index without some items and with others. It fails if two items then have the same queue.
-func (p queueIndex) with(removed, added []*item) (queueIndex, error) {
+func (q queueIndex) with(removed, added []*item) (queueIndex, error) {
 	if len(removed) == 0 && len(added) == 0 {
-		return p, nil
+		return q, nil
 	}
-	result := slices.Clone(p)
+	result := slices.Clone(q)
 	for _, member := range removed {
 		if i, found := result.find(member.queue); found {
 			result = slices.Delete(result, i, i+1)
