--- a/internal/cluster/administration/document/document.go
+++ b/internal/cluster/administration/document/document.go
@@ -16,7 +16,7 @@
 // KindOf returns whether a file is a complete configuration (protocol.ConfigurationReplace) or an update
 // (protocol.ConfigurationUpdate), which has a field "upsert" or "remove".
 func KindOf(body []byte) (string, error) {
-	if err := configuration.Readable(body); err != nil {
+	if err := configuration.CheckSyntax(body); err != nil {
 		return "", err
 	}
 	var fields map[string]json.RawMessage
@@ -77,7 +77,7 @@
 // it has its final number.
 func raiseVersion(current, body []byte) (version uint64, raised []byte, err error) {
 	var head, present struct{ Version uint64 }
-	if err := configuration.Readable(body); err != nil {
+	if err := configuration.CheckSyntax(body); err != nil {
 		return 0, nil, err
 	}
 	if json.Unmarshal(body, &head) != nil || json.Unmarshal(current, &present) != nil {
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -55,7 +55,7 @@
 	Last          uint64      `json:"last"`
 	EntryBytes    int64       `json:"entryBytes"`
 	Members       []Member    `json:"members"`
-	Holds         string      `json:"holds"` // a summary of the state machine after all entries; empty unless verified
+	Contents      string      `json:"holds"` // a summary of the state machine after all entries; empty unless verified
 }
 
 // Fault is damage, or data that this version of the program can't read.
--- a/internal/cluster/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -93,7 +93,7 @@
 			f.addEntryFault(group.Shard, entry, err)
 		}
 	}
-	group.Holds = machine.summary()
+	group.Contents = machine.summary()
 }
 
 type configurationMachine struct{ *configuration.State }
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -364,9 +364,9 @@
 		b.nextAttempt().reply <- result{}
 		Expect(responseOf(leaving).Code).To(Equal(200))
 		b.serve(heartbeatRequest(instance, 5))
-		Expect(b.nextAttempt().heartbeat.State).To(Equal(protocol.Draining))
+		Expect(b.nextAttempt().heartbeat.State).To(Equal(protocol.RunnerDraining))
 		b.serve(heartbeatRequest("i-next", 1))
-		Expect(b.nextAttempt().heartbeat.State).To(Equal(protocol.Ready))
+		Expect(b.nextAttempt().heartbeat.State).To(Equal(protocol.RunnerReady))
 	})
 
 	It("are not acknowledged before the owner has responded", func() {
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -233,7 +233,7 @@
 func (b *calledFixture) awaitReport(instance string, orders protocol.Orders) (*attempt, <-chan *httptest.ResponseRecorder) {
 	answers := map[uint64]<-chan *httptest.ResponseRecorder{}
 	for sequence := 1; sequence <= maxHeartbeats; sequence++ {
-		answers[uint64(sequence)] = b.sendHeartbeat(instance, sequence, protocol.Ready)
+		answers[uint64(sequence)] = b.sendHeartbeat(instance, sequence, protocol.RunnerReady)
 		for range stepsPerHeartbeat {
 			select {
 			case e := <-b.owners.attempts:
--- a/internal/cluster/agent/handlers.go
+++ b/internal/cluster/agent/handlers.go
@@ -28,7 +28,7 @@
 	}
 	if s.tracker.isDeregistered(instance) {
 		// The owner that knows this may have a successor by now, which would give the runner work.
-		request.Heartbeat.State, request.Heartbeat.RemainingMs = protocol.Draining, 0
+		request.Heartbeat.State, request.Heartbeat.RemainingMs = protocol.RunnerDraining, 0
 	}
 	response, err := s.callOwnerWithHeartbeat(ctx, request)
 	if isNewest := s.tracker.finish(instance, heartbeat); !isNewest {
--- a/internal/cluster/agent/loop_test.go
+++ b/internal/cluster/agent/loop_test.go
@@ -36,12 +36,12 @@
 	It("is polled without a lease, and reported as if it had sent a heartbeat", func() {
 		b.runner.finished = []protocol.FinishedRun{{N: 3, Task: "a.0.0.9", Run: 2, How: protocol.EndDone}}
 		b.runner.active = []protocol.ActiveRun{{Task: "a.0.0.8", Run: 2, Saved: "0c", Percent: 40}}
-		answered := b.sendHeartbeat(instance, 4, protocol.Ready)
+		answered := b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		e := b.nextExchange()
 		Expect(b.runner.next(pathLease)).To(Equal(receivedCall{Path: pathLease}))
 		Expect(e.heartbeat.ClockMs).To(And(BeNumerically(">=", b.runner.origin), BeNumerically("<=", b.runner.clockMs())))
 		Expect(*e.heartbeat).To(Equal(protocol.Heartbeat{
-			Instance: instance, Service: "huvo11a", Address: "10.0.0.9:1", State: protocol.Ready,
+			Instance: instance, Service: "huvo11a", Address: "10.0.0.9:1", State: protocol.RunnerReady,
 			Sequence: 4<<sequenceBits | 1, ClockMs: e.heartbeat.ClockMs,
 			Active: b.runner.active, Finished: b.runner.finished, Called: true,
 		}))
@@ -55,7 +55,7 @@
 	It("carries out orders, stops first, under a lease from before the report to the owner", func() {
 		running := protocol.ActiveRun{Task: "a.0.0.2", Run: 5}
 		b.runner.active = []protocol.ActiveRun{running}
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		e := b.nextExchange()
 		orders := startOrders("a.0.0.1")
 		orders.Stop = []protocol.StopOrder{{Task: "a.0.0.2", Run: 5}}
@@ -86,7 +86,7 @@
 	})
 
 	It("reports an end at once, until the owner has acknowledged it", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		ended := protocol.FinishedRun{N: 1, Task: "a.0.0.1", Run: 1, How: protocol.EndDone}
 		b.runner.set(func() { b.runner.finished = []protocol.FinishedRun{ended} })
@@ -103,7 +103,7 @@
 
 	It("that rejects a start is made to reject it for good, which is reported to the owner", func() {
 		b.runner.rejectReason = "room"
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: startOrders("a.0.0.1")}
 		e := b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool {
 			if len(heartbeat.Rejected) == 0 {
@@ -119,7 +119,7 @@
 	})
 
 	It("is made to reject for good what an earlier agent may have sent", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		orders := leaseOrders()
 		orders.Stop = []protocol.StopOrder{{Task: firstRun.Task, Run: firstRun.Run}}
 		b.nextExchange().reply <- result{orders: orders}
@@ -136,7 +136,7 @@
 
 	It("that has a newer owner is not made to reject anything", func() {
 		b.runner.rejectReason = reasonFence
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: startOrders("a.0.0.1")}
 		e := b.nextExchange()
 		Expect(e.heartbeat.Active).To(BeEmpty())
@@ -146,7 +146,7 @@
 
 	DescribeTable("whose start of a run is unconfirmed",
 		func(started bool) {
-			b.sendHeartbeat(instance, 4, protocol.Ready)
+			b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 			e := b.nextExchange()
 			b.runner.set(func() {
 				b.runner.abortNextStart = true
@@ -159,7 +159,7 @@
 			e.reply <- result{orders: startOrders("a.0.0.1")}
 			b.runner.next(pathStart)
 			b.clock.Advance(time.Second)
-			answered := b.sendHeartbeat(instance, 5, protocol.Ready)
+			answered := b.sendHeartbeat(instance, 5, protocol.RunnerReady)
 			e = b.nextExchange()
 			Expect(e.heartbeat.Active).To(ConsistOf(firstRun))
 			e.reply <- result{orders: leaseOrders()}
@@ -182,7 +182,7 @@
 	)
 
 	It("gets no start that has become too old", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		e := b.nextExchange()
 		b.runner.set(func() { b.runner.onStart = func() { b.clock.Advance(maxOrderAge) } })
 		e.reply <- result{orders: startOrders("a.0.0.1", "a.0.0.2")}
@@ -191,7 +191,7 @@
 	})
 
 	It("does not get the orders of a former owner", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		old := startOrders("a.0.0.1")
 		old.FenceToken = 6
@@ -200,19 +200,19 @@
 	})
 
 	It("gets its draining acknowledged only once the owner knows it", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		e := b.nextExchange()
-		draining := b.sendHeartbeat(instance, 5, protocol.Draining)
-		Expect(e.heartbeat.State).To(Equal(protocol.Ready))
+		draining := b.sendHeartbeat(instance, 5, protocol.RunnerDraining)
+		Expect(e.heartbeat.State).To(Equal(protocol.RunnerReady))
 		e.reply <- result{orders: leaseOrders()}
-		e = b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool { return heartbeat.State == protocol.Draining })
+		e = b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool { return heartbeat.State == protocol.RunnerDraining })
 		Expect(draining).NotTo(Receive())
 		e.reply <- result{orders: leaseOrders()}
 		Expect(responseOf(draining).Code).To(Equal(200))
 	})
 
 	It("has its heartbeat rejected when no owner responds", func() {
-		answered := b.sendHeartbeat(instance, 4, protocol.Ready)
+		answered := b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange()
 		b.clock.Advance(exchangeTimeout)
 		Expect(responseOf(answered).Code).To(Equal(503))
@@ -220,7 +220,7 @@
 
 	It("is polled by the current fencing token, and reported with rising sequences, after the agent's restart", func() {
 		b.runner.fence = 7
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		fence := b.nextExchange()
 		Expect(*fence.heartbeat).To(Equal(protocol.Heartbeat{Instance: instance, Service: "huvo11a", FenceOnly: true}))
 		fence.reply <- result{orders: protocol.Orders{FenceToken: 8}}
@@ -228,13 +228,13 @@
 		Expect(b.runner.fence).To(Equal(uint64(8)))
 		b.service.Close()
 		b.service = NewService(Options{Owners: b.owners, Service: "huvo11a", Clock: b.clock, Calls: true, App: b.runner.address()})
-		b.sendHeartbeat(instance, 5, protocol.Ready)
+		b.sendHeartbeat(instance, 5, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: protocol.Orders{FenceToken: 8}}
 		Expect(b.nextExchange().heartbeat.Sequence).To(BeNumerically(">", before))
 	})
 
 	It("is not confused with the incarnation that has replaced it", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		b.runner.next(pathLease)
 		b.clock.Advance(time.Second)
@@ -250,23 +250,23 @@
 		e, next := b.awaitReport("i-next", leaseOrders())
 		e.reply <- result{orders: leaseOrders()}
 		Expect(responseOf(next).Code).To(Equal(200))
-		Expect(responseOf(b.sendHeartbeat(instance, 9, protocol.Ready)).Code).To(Equal(410), "it has ended")
+		Expect(responseOf(b.sendHeartbeat(instance, 9, protocol.RunnerReady)).Code).To(Equal(410), "it has ended")
 	})
 
 	It("is not replaced by a late heartbeat of an earlier incarnation that is unknown to the agent", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
-		Expect(responseOf(b.sendHeartbeat("i-before", 90, protocol.Ready)).Code).To(Equal(503))
+		Expect(responseOf(b.sendHeartbeat("i-before", 90, protocol.RunnerReady)).Code).To(Equal(503))
 		e := b.nextExchange()
 		Expect(e.heartbeat.Instance).To(Equal(instance))
 		e.reply <- result{orders: leaseOrders()}
-		next := b.sendHeartbeat(instance, 5, protocol.Ready)
+		next := b.sendHeartbeat(instance, 5, protocol.RunnerReady)
 		b.nextExchangeWhere(leaseOrders(), func(heartbeat *protocol.Heartbeat) bool { return heartbeat.Sequence>>sequenceBits == 5 }).reply <- result{orders: leaseOrders()}
 		Expect(responseOf(next).Code).To(Equal(200))
 	})
 
 	It("is no longer called once it has deregistered", func() {
-		b.sendHeartbeat(instance, 4, protocol.Ready)
+		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		leaving := b.serve(post(instance, "deregister", ""))
 		for {
--- a/internal/cluster/agent/poll.go
+++ b/internal/cluster/agent/poll.go
@@ -74,7 +74,7 @@
 		return
 	}
 	interval, wait := minPollInterval, min(l.lease/pollWaitDivisor, maxPollWait)
-	if newest, _ := l.registration.get(); newest.Heartbeat.State == protocol.Draining {
+	if newest, _ := l.registration.get(); newest.Heartbeat.State == protocol.RunnerDraining {
 		wait = drainingPollWait
 	}
 	switch {
--- a/internal/cluster/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -100,7 +100,7 @@
 
 // newRelayServer returns a server that relays calls of other processes by client.
 func newRelayServer(client *transport.Client, known *directory.Directory, logger log.Logger) *transport.Server {
-	server := transport.NewServer(transport.Options{Logger: logger, MaxConnections: maxRelayConnections, MaxHandlers: maxRelayCalls})
+	server := transport.NewServer(transport.ServerOptions{Logger: logger, MaxConnections: maxRelayConnections, MaxHandlers: maxRelayCalls})
 	relay.Register(server, client, known.Knows)
 	return server
 }
--- a/internal/cluster/protocol/heartbeat.go
+++ b/internal/cluster/protocol/heartbeat.go
@@ -11,8 +11,8 @@
 
 // States of a runner.
 const (
-	Ready    RunnerState = "ready"
-	Draining RunnerState = "draining" // it finishes what it runs and starts nothing
+	RunnerReady    RunnerState = "ready"
+	RunnerDraining RunnerState = "draining" // it finishes what it runs and starts nothing
 )
 
 // RunEnd is how a run ended. The constants are untyped, as the state of the jobs' shards, which is on disk, has them as
