--- a/internal/cluster/consensus/leadership_transfer_test.go
+++ b/internal/cluster/consensus/leadership_transfer_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("giving the leadership away", func() {
+var _ = ginkgo.Describe("a leadership transfer", func() {
 	var g *group
 	var leader *testMember
 	ginkgo.BeforeEach(func() {
@@ -20,7 +20,7 @@
 		Expect(leader.Status().IsLeader).To(BeFalse())
 	})
 
-	ginkgo.It("waits until the other has caught up, and refuses proposals meanwhile", func() {
+	ginkgo.It("waits until the transferee has caught up, and refuses proposals meanwhile", func() {
 		g.drop = fromOrTo(2)
 		g.propose(leader, "a")
 		g.deliverAll()
@@ -59,6 +59,6 @@
 		ginkgo.Entry("by a follower", MemberID(2), MemberID(3), ErrNotLeader),
 		ginkgo.Entry("to itself", MemberID(1), MemberID(1), ErrUnknownMember),
 		ginkgo.Entry("to a learner", MemberID(1), MemberID(4), ErrUnknownMember),
-		ginkgo.Entry("to nobody known", MemberID(1), MemberID(9), ErrUnknownMember),
+		ginkgo.Entry("to a member that is not known", MemberID(1), MemberID(9), ErrUnknownMember),
 	)
 })
