--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -133,9 +133,9 @@
 	},
 	ginkgo.Entry("a voter", func(*testMember) {}, true),
 	ginkgo.Entry("a learner", func(member *testMember) { member.config.ID = 4 }, false),
-	ginkgo.Entry("no member", func(member *testMember) { member.config.ID = 9 }, false),
-	ginkgo.Entry("one whose disk is sick", func(member *testMember) { member.SetCampaignAllowed(false) }, false),
-	ginkgo.Entry("one whose disk is well again", func(member *testMember) {
+	ginkgo.Entry("a machine that is no member", func(member *testMember) { member.config.ID = 9 }, false),
+	ginkgo.Entry("a voter that is not allowed to", func(member *testMember) { member.SetCampaignAllowed(false) }, false),
+	ginkgo.Entry("a voter that is allowed to again", func(member *testMember) {
 		member.SetCampaignAllowed(false)
 		member.SetCampaignAllowed(true)
 	}, true),
@@ -218,9 +218,7 @@
 	ginkgo.It("ends when the candidate is no longer allowed to campaign", func() {
 		candidate := g.member(1)
 		candidate.diskPaused = true
-		g.now = candidate.electionDeadline
-		candidate.Tick(g.now)
-		g.deliverAll()
+		g.runElection(candidate)
 		candidate.SetCampaignAllowed(false)
 		Expect(candidate.role).To(Equal(roleFollower))
 	})
--- a/internal/cluster/consensus/joint_test.go
+++ b/internal/cluster/consensus/joint_test.go
@@ -202,7 +202,7 @@
 		Expect(leader.Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a transfer that comes to nothing holds the final membership up no longer", func() {
+	ginkgo.It("a leadership transfer that fails no longer delays the final membership", func() {
 		g.member(2).SetCampaignAllowed(false)
 		begin(2, 3, 4)
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
--- a/internal/cluster/consensus/late_test.go
+++ b/internal/cluster/consensus/late_test.go
@@ -66,7 +66,7 @@
 		Expect(restarted.role).To(Equal(roleCandidate))
 	})
 
-	ginkgo.It("makes nobody stand that was asked to in an earlier term", func() {
+	ginkgo.It("does not make a member campaign that was asked to in an earlier term", func() {
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		late := g.lastSent(MessageTimeoutNow, 2)
--- a/internal/cluster/consensus/leadership_transfer_test.go
+++ b/internal/cluster/consensus/leadership_transfer_test.go
@@ -13,7 +13,7 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("makes the other leader at once", func() {
+	ginkgo.It("makes a member that has caught up the leader at once", func() {
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		Expect(g.member(2).Status().Ready).To(BeTrue())
@@ -44,7 +44,7 @@
 		g.propose(leader, "a")
 	})
 
-	ginkgo.It("is not taken by one that must not stand", func() {
+	ginkgo.It("fails if the transferee is not allowed to campaign", func() {
 		g.member(2).SetCampaignAllowed(false)
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.elapse(electionTimeout + heartbeatInterval)
