--- a/internal/cluster/administration/archive/restore.go
+++ b/internal/cluster/administration/archive/restore.go
@@ -33,8 +33,8 @@
 
 // Restore writes the state into the data folder of a control process, which must be empty or missing. The process is then
 // the only member of all groups; others that start with empty folders and have it as a seed join it. It must not be called
-// while a process runs on the folder. After an error the folder has no identity, and a control process doesn't take it for
-// a complete one.
+// while a process runs on the folder. A restore that was interrupted leaves no identity, and a control process does not
+// take the folder for its own.
 func (a *Archive) Restore(dir string, process Process) error {
 	if err := a.Check(); err != nil {
 		return err
