--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -70,3 +70,15 @@
 func writef(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
+
+// memberText returns a member's node, or its address if the node is not known, and whether it is a learner.
+func memberText(node, address string, isLearner bool) string {
+	name := node
+	if name == "" {
+		name = address
+	}
+	if isLearner {
+		name += " (learner)"
+	}
+	return name
+}
--- a/internal/cli/shards.go
+++ b/internal/cli/shards.go
@@ -152,13 +152,7 @@
 func memberTexts(members []administration.ShardMember) string {
 	texts := make([]string, 0, len(members))
 	for _, m := range members {
-		name := m.Node
-		if name == "" {
-			name = m.Address
-		}
-		if m.Learner {
-			name += " (learner)"
-		}
+		name := memberText(m.Node, m.Address, m.Learner)
 		if !m.Answers {
 			texts = append(texts, name+" silent")
 			continue
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -95,14 +95,7 @@
 func folderMembers(members []inspect.Member) string {
 	var names []string
 	for _, member := range members {
-		name := member.Node
-		if name == "" {
-			name = member.Address
-		}
-		if member.Learner {
-			name += " (learner)"
-		}
-		names = append(names, name)
+		names = append(names, memberText(member.Node, member.Address, member.Learner))
 	}
 	return strings.Join(names, ", ")
 }
--- a/internal/cluster/control/administration_endpoints.go
+++ b/internal/cluster/control/administration_endpoints.go
@@ -29,6 +29,7 @@
 	return &administrator{control: c, sessions: map[uint64]*snapshotSession{}}
 }
 
+// report answers with what this process knows of itself and its groups.
 func (a *administrator) report(_ string, _ *administration.ReportRequest, reply func(*administration.Report, error)) {
 	a.control.engine.Do(func() { reply(a.makeReport(), nil) })
 }
@@ -148,14 +149,15 @@
 	return nil
 }
 
+// runners answers with the runners of a shard that this process owns.
 func (a *administrator) runners(_ string, request *administration.RunnersRequest, reply func(*administration.RunnersResponse, error)) {
-	a.control.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(a.control, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		response := &administration.RunnersResponse{}
 		for _, overview := range s.owner.Runners(now) {
 			response.Runners = append(response.Runners, runnerOf(request.Shard, &overview))
 		}
 		reply(response, nil)
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
 func runnerOf(shard protocol.ShardID, overview *scheduler.RunnerOverview) administration.Runner {
@@ -177,19 +179,20 @@
 	}
 }
 
+// jobs answers with a page of the jobs of a shard that this process owns.
 func (a *administrator) jobs(_ string, request *administration.JobsRequest, reply func(*administration.JobsResponse, error)) {
 	limit := request.Most
 	if limit <= 0 || limit > maxJobsPage {
 		limit = maxJobsPage
 	}
-	a.control.onOwner(request.Shard, func(s *jobShard, _ time.Duration) {
+	onOwner(a.control, request.Shard, reply, func(s *jobShard, _ time.Duration) {
 		ids := s.state.JobIDs(request.Queue, request.After, limit+1)
 		response := &administration.JobsResponse{More: len(ids) > limit}
 		for _, id := range ids[:min(limit, len(ids))] {
 			response.Jobs = append(response.Jobs, jobOf(s.state.Job(id)))
 		}
 		reply(response, nil)
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
 func jobOf(job *jobs.Job) administration.Job {
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -6,9 +6,9 @@
 // envelopes of other control processes (Receive) and the clock. Simulations drive it that way.
 //
 // All state belongs to the loop of the replica engine: a handler that needs it goes there by Engine.Do, and replies from
-// there. A reply that tells the caller something that may have changed is sent only after the shard's log has committed
-// an entry for it, or after a quorum has confirmed the leadership (the read index of section 6.4 of the Raft thesis).
-// What Control promises of answers that come late, from a process that is out of date, is held by stale_process_test.go.
+// there. A reply about state that may have changed is sent only after the shard's log has committed an entry for it, or after
+// a quorum has confirmed the leadership (read index, section 6.4 of the Raft thesis). So a process that has been superseded
+// without knowing it, as after a freeze, says nothing that is no longer true; stale_process_test.go checks each request.
 package control
 
 import (
@@ -32,8 +32,8 @@
 const (
 	heartbeatInterval = 75 * time.Millisecond
 	electionTimeout   = 320 * time.Millisecond
-	// decommissionQuarters is for how many quarters of graceS a process that ends waits until the others can do without it.
-	// The rest is for what ends after it.
+	// decommissionQuarters is how many quarters of graceS a process that ends waits until the others can do without it. The
+	// rest is for what has to end afterwards.
 	decommissionQuarters = 3
 	// decommissionMargin is how much later Decommission gives up waiting for the engine.
 	decommissionMargin = 200 * time.Millisecond
--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -122,7 +122,7 @@
 // BeginConfirmation reports whether the leadership must be confirmed now for a watch. If so, the caller must request that
 // from a quorum, and report the result by Confirmed or Unconfirmed.
 func (f *Feed) BeginConfirmation(now time.Duration) bool {
-	f.noteArrivals(now)
+	f.recordArrivals(now)
 	if !f.isLeader || f.confirming || !slices.ContainsFunc(f.watches, func(w *pendingWatch) bool { return f.mustRespond(now, w) }) {
 		return false
 	}
@@ -132,9 +132,9 @@
 	return true
 }
 
-// noteArrivals records for new watches a time by which they had certainly arrived, from which on their wait counts. The
+// recordArrivals records for new watches a time by which they had certainly arrived, from which on their wait counts. The
 // loop's time does not advance within a step, so that is the first time later than the one of their receipt.
-func (f *Feed) noteArrivals(now time.Duration) {
+func (f *Feed) recordArrivals(now time.Duration) {
 	for _, watch := range f.watches {
 		if watch.arrivedBy == unknownTime && now > watch.receivedAt {
 			watch.arrivedBy = now
@@ -197,7 +197,7 @@
 
 // respond answers a watch with what is new to it.
 func (f *Feed) respond(w *pendingWatch) {
-	response := &protocol.WatchResponse{Version: f.source.Version(), OwnersAt: f.revision, HeldMs: f.heldMs(w)}
+	response := &protocol.WatchResponse{Version: f.source.Version(), OwnersAt: f.revision, HeldMs: f.pendingMs(w)}
 	response.Relays = f.relays.pick(f.confirmationRequestedAt, w.request)
 	if response.Version > w.request.Version && !w.request.OwnersOnly {
 		body, err := f.source.Since(w.request.Version, w.request.Changes)
@@ -224,9 +224,9 @@
 	}
 }
 
-// heldMs returns for how many ms a watch was certainly pending when the newest confirmation was requested. What it is told
-// was current then, so its sender knows how old that is at most.
-func (f *Feed) heldMs(w *pendingWatch) int64 {
+// pendingMs returns for how many ms a watch was certainly pending when the newest confirmation was requested. The response
+// was current then, so the watcher knows how old it is at most.
+func (f *Feed) pendingMs(w *pendingWatch) int64 {
 	if w.arrivedBy == unknownTime {
 		return 0
 	}
--- a/internal/cluster/control/job_endpoints.go
+++ b/internal/cluster/control/job_endpoints.go
@@ -8,24 +8,22 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// onOwner runs input on the engine's loop if this process owns the shard, else reject with the reason. One of them is
-// called, once.
-func (c *Control) onOwner(id protocol.ShardID, input func(s *jobShard, now time.Duration), reject func(err error)) {
+// onOwner runs input, which replies, on the engine's loop if this process owns the shard; else it replies with the reason.
+func onOwner[Resp any](c *Control, id protocol.ShardID, reply func(*Resp, error), input func(s *jobShard, now time.Duration)) {
 	c.engine.Do(func() {
 		shard := c.shards[id]
-		if shard == nil {
-			reject(failure.Newf(failure.Invalid, "no shard %d", id))
-			return
-		}
-		if !shard.owner.Leading() {
-			reject(&failure.Error{
+		switch {
+		case shard == nil:
+			reply(nil, failure.Newf(failure.Invalid, "no shard %d", id))
+		case !shard.owner.Leading():
+			reply(nil, &failure.Error{
 				Kind:    failure.NotLeader,
 				Message: "this process does not own the shard",
 				Leader:  leaderHint(c.engine, uint32(id)),
 			})
-			return
+		default:
+			shard.do(func(now time.Duration) { input(shard, now) })
 		}
-		shard.do(func(now time.Duration) { input(shard, now) })
 	})
 }
 
@@ -34,8 +32,9 @@
 	reply(&protocol.PingResponse{Number: request.Number}, nil)
 }
 
+// heartbeat answers a runner's heartbeat with orders.
 func (c *Control) heartbeat(_ string, request *protocol.HeartbeatRequest, reply func(*protocol.HeartbeatResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Heartbeat(now, &request.Heartbeat, func(orders *protocol.Orders, err error) {
 			if err != nil {
 				reply(nil, err)
@@ -43,17 +42,19 @@
 			}
 			reply(&protocol.HeartbeatResponse{Orders: *orders}, nil)
 		})
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
+// deregister ends a runner's incarnation.
 func (c *Control) deregister(_ string, request *protocol.DeregisterRequest, reply func(*protocol.DeregisterResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Deregister(request.Instance, func(err error) { reply(&protocol.DeregisterResponse{}, err) })
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
+// submit answers when the job is committed, or was known before.
 func (c *Control) submit(_ string, request *protocol.SubmitRequest, reply func(*protocol.SubmitResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		submit := jobs.Submit{
 			ID:      request.ID,
 			Queue:   request.Queue,
@@ -63,36 +64,40 @@
 		s.owner.Submit(now, submit, func(known bool, err error) {
 			reply(&protocol.SubmitResponse{AlreadyKnown: known}, err)
 		})
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
+// status answers with a job's state, confirmed by a quorum if it may still change.
 func (c *Control) status(_ string, request *protocol.StatusRequest, reply func(*protocol.StatusResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Status(now, request.ID, func(state string, err error) {
 			reply(&protocol.StatusResponse{State: state}, err)
 		})
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
+// cancel answers when the job is cancelled by a committed entry, or was before.
 func (c *Control) cancel(_ string, request *protocol.CancelRequest, reply func(*protocol.CancelResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Cancel(now, request.ID, func(err error) { reply(&protocol.CancelResponse{}, err) })
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
+// fence answers when the shard has committed that it will not take a job of that id by an older configuration, or has it.
 func (c *Control) fence(_ string, request *protocol.FenceRequest, reply func(*protocol.FenceResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		fence := jobs.Fence{ID: request.ID, Version: request.ConfigurationVersion}
 		s.owner.Fence(now, fence, func(hasJob bool, err error) {
 			reply(&protocol.FenceResponse{HasJob: hasJob}, err)
 		})
-	}, func(err error) { reply(nil, err) })
+	})
 }
 
+// pending answers with the number of a queue's jobs that have not ended, confirmed by a quorum.
 func (c *Control) pending(_ string, request *protocol.PendingRequest, reply func(*protocol.PendingResponse, error)) {
-	c.onOwner(request.Shard, func(s *jobShard, now time.Duration) {
+	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Pending(now, request.Queue, func(pending int, err error) {
 			reply(&protocol.PendingResponse{Pending: pending}, err)
 		})
-	}, func(err error) { reply(nil, err) })
+	})
 }
--- a/internal/cluster/control/job_shard.go
+++ b/internal/cluster/control/job_shard.go
@@ -96,6 +96,7 @@
 	s.owner.Flush(now)
 }
 
+// propose proposes a command to the shard's log.
 func (s *jobShard) propose(command *jobs.Command) {
 	data, err := jobs.Encode(command)
 	if err != nil {
@@ -111,7 +112,7 @@
 	})
 }
 
-// proposalDone tells the owner what came of a command.
+// proposalDone gives the owner the result of a command.
 func (s *jobShard) proposalDone(command *jobs.Command, result any, err error) {
 	effects, ok := result.(*jobs.Effects)
 	if err == nil && !ok {
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -79,6 +79,7 @@
 	o.routes.ServeHTTP(writer, request)
 }
 
+// instances serves runners' heartbeats, where there is a handler for them.
 func (o *Operator) instances(writer http.ResponseWriter, request *http.Request) {
 	if o.Heartbeats == nil {
 		http.NotFound(writer, request)
@@ -136,6 +137,7 @@
 	return &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body}, nil
 }
 
+// readBody reads a body of at most maxChangeBytes, within bodyReadTimeout.
 func readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if request.ContentLength > maxChangeBytes {
 		return nil, bodyTooLarge()
@@ -163,6 +165,7 @@
 	return body, nil
 }
 
+// bodyTooLarge returns the error for a body above maxChangeBytes.
 func bodyTooLarge() error {
 	return failure.Newf(failure.TooLarge, "a change may have at most %d bytes", maxChangeBytes)
 }
@@ -175,6 +178,7 @@
 	return time.Duration(bytes/bytesPerExtraMs) * time.Millisecond
 }
 
+// rejectChange logs why a change is not acknowledged, and answers so.
 func (o *Operator) rejectChange(writer http.ResponseWriter, kind string, err error) {
 	_ = level.Info(o.logger).Log("msg", "a change of the configuration is not acknowledged", "kind", kind, "err", err)
 	writeError(writer, err)
@@ -211,6 +215,7 @@
 	writeJSON(writer, advice.Status, body)
 }
 
+// writeJSON answers with a status and a JSON body.
 func writeJSON(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Content-Type", contentTypeJSON)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- /dev/null
+++ b/internal/cluster/control/owners.go
@@ -0,0 +1,30 @@
+package control
+
+import (
+	"time"
+
+	"ospreypond/internal/cluster/protocol"
+)
+
+// ownersUpdateInterval is how often the feed gets the members and owners.
+const ownersUpdateInterval = 40 * time.Millisecond
+
+// updateOwners gives the feed the members and owners as this process knows them, once every ownersUpdateInterval.
+func (c *Control) updateOwners() {
+	now := c.engine.Now()
+	if c.ownersUpdatedAt > 0 && now-c.ownersUpdatedAt < ownersUpdateInterval {
+		return
+	}
+	c.ownersUpdatedAt = now
+	owners := map[protocol.ShardID]string{protocol.ConfigurationShard: c.address}
+	for id := range c.shards {
+		if address := c.engine.LeaderAddress(uint32(id)); address != "" {
+			owners[id] = address
+		}
+	}
+	var members []protocol.Member
+	for _, m := range c.engine.Members(c.configuration.group()) {
+		members = append(members, protocol.Member{ID: uint64(m.ID), Node: m.Node, Zone: m.Zone, Address: m.Address})
+	}
+	c.configuration.feed.OwnersChanged(members, owners)
+}
