--- a/internal/cluster/configuration/read.go
+++ b/internal/cluster/configuration/read.go
@@ -13,8 +13,8 @@
 	known *Document
 }
 
-// Readable says whether body is one whole JSON object. What is not can be refused without knowing the version in force.
-func Readable(body []byte) error {
+// CheckSyntax says whether body is one whole JSON object. What is not can be refused without knowing the version in force.
+func CheckSyntax(body []byte) error {
 	if !utf8.Valid(body) || !json.Valid(body) {
 		return invalidf("the body is not one whole JSON value")
 	}
@@ -26,7 +26,7 @@
 
 // readFields returns the members of the order but the version, and the version (0 where there is none).
 func readFields(body []byte) ([]field, uint64, error) {
-	if err := Readable(body); err != nil {
+	if err := CheckSyntax(body); err != nil {
 		return nil, 0, err
 	}
 	fields, _ := object(body)
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -403,7 +403,7 @@
 		}
 		step(fmt.Sprintf("transfer to %d at", member.ID), index, func(state *explored, leader *exploredMember) {
 			state.transfers++
-			_ = leader.node.Transfer(exploredTime, member.ID)
+			_ = leader.node.TransferLeadership(exploredTime, member.ID)
 		})
 	}
 }
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -172,11 +172,11 @@
 
 // sicken keeps a machine from standing for a while; a leader gives its role away.
 func (n *nemesis) sicken(victim *machine, lasting time.Duration) {
-	victim.node.SetCampaign(false)
+	victim.node.SetCampaignAllowed(false)
 	if victim.up && !victim.frozen && victim.node.role == roleLeader {
 		n.handOver()
 	}
-	n.world.after(lasting, func() { victim.node.SetCampaign(true) })
+	n.world.after(lasting, func() { victim.node.SetCampaignAllowed(true) })
 }
 
 // handOver asks a leader to give its role to a random voter.
@@ -189,7 +189,7 @@
 	if len(members) == 0 {
 		return
 	}
-	_ = leader.node.Transfer(leader.clock(), members[n.world.random.IntN(len(members))].ID)
+	_ = leader.node.TransferLeadership(leader.clock(), members[n.world.random.IntN(len(members))].ID)
 	leader.drain()
 }
 
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -276,8 +276,8 @@
 	return n.memberships.at(index)
 }
 
-// SetCampaign sets whether this member may stand for election: not while its disk is sick.
-func (n *Node) SetCampaign(allowed bool) {
+// SetCampaignAllowed sets whether this member may stand for election: not while its disk is sick.
+func (n *Node) SetCampaignAllowed(allowed bool) {
 	n.campaignAllowed = allowed
 	if !allowed && (n.role == rolePreCandidate || n.role == roleCandidate) {
 		n.becomeFollower(n.term, None)
--- a/internal/cluster/consensus/transfer.go
+++ b/internal/cluster/consensus/transfer.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Transfer gives the leadership to another voter once it has caught up. Until then, or until an election timeout and the
+// TransferLeadership gives the leadership to another voter once it has caught up. Until then, or until an election timeout and the
 // time that the disks need for votes have passed, proposals are refused.
-func (n *Node) Transfer(now time.Duration, to MemberID) error {
+func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
 	n.advance(now)
 	if n.role != roleLeader {
 		return ErrNotLeader
--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -88,7 +88,7 @@
 	s.jobs[job.ID] = job
 	s.pending[job.Queue.Key]++
 	s.counters.Jobs++
-	s.counters.Taken++
+	s.counters.Accepted++
 	s.open(job)
 }
 
--- a/internal/cluster/jobs/machine.go
+++ b/internal/cluster/jobs/machine.go
@@ -16,9 +16,9 @@
 
 // Options are the spans of a State. They must be the same on all replicas; 0 stands for the default.
 type Options struct {
-	StatusTime time.Duration // the state of an ended job is kept half as long again as this
-	ForgetTime time.Duration // then its id is known for this long; so are fenced ids
-	RunnerTime time.Duration // a runner with no runs is forgotten when no command has named it for this long
+	StatusRetention time.Duration // the state of an ended job is kept half as long again as this
+	ForgetTime      time.Duration // then its id is known for this long; so are fenced ids
+	RunnerTime      time.Duration // a runner with no runs is forgotten when no command has named it for this long
 }
 
 // State is the state of a shard of jobs. It is not safe for use by several goroutines at once.
@@ -55,7 +55,7 @@
 	Lingering int // runs
 	Runners   int
 
-	Taken     uint64 // jobs
+	Accepted  uint64 // jobs
 	Completed uint64 // jobs
 	Failed    uint64 // jobs
 	Cancelled uint64 // jobs
@@ -66,7 +66,7 @@
 // New returns an empty State.
 func New(options Options) *State {
 	s := &State{
-		statusMs: spanMs(options.StatusTime, DefaultStatusTime) * 3 / 2,
+		statusMs: spanMs(options.StatusRetention, DefaultStatusTime) * 3 / 2,
 		forgetMs: spanMs(options.ForgetTime, DefaultForgetTime),
 		runnerMs: spanMs(options.RunnerTime, DefaultRunnerTime),
 	}
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -48,7 +48,7 @@
 
 // totals returns the counts that can't be told from what the state holds.
 func (c *Counters) totals() [6]*uint64 {
-	return [...]*uint64{&c.Taken, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
+	return [...]*uint64{&c.Accepted, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
 }
 
 func (w *writer) expiries(entries []keptUntil) {
--- a/internal/cluster/latency/cause.go
+++ b/internal/cluster/latency/cause.go
@@ -5,13 +5,13 @@
 
 import "time"
 
-// Cause is why a task is not done yet.
-type Cause uint8
+// Reason is why a task is not done yet.
+type Reason uint8
 
 // The causes, in the order in which they are told.
 const (
 	// Unowned: nobody owned the shard, or an owner before this one did, which took its account along.
-	Unowned Cause = iota
+	Unowned Reason = iota
 	// Step: an earlier step of the job was not done.
 	Step
 	// Round: the next round of placement, or the commit of its decision, was waited for.
@@ -55,13 +55,13 @@
 }
 
 // String returns the name by which a cause is told.
-func (c Cause) String() string { return names[c] }
+func (c Reason) String() string { return names[c] }
 
 // Causes returns all causes, in their order.
-func Causes() []Cause {
-	all := make([]Cause, causes)
+func Causes() []Reason {
+	all := make([]Reason, causes)
 	for i := range all {
-		all[i] = Cause(i)
+		all[i] = Reason(i)
 	}
 	return all
 }
--- a/internal/cluster/latency/ledger.go
+++ b/internal/cluster/latency/ledger.go
@@ -13,11 +13,11 @@
 	began  time.Duration
 	groups map[*jobs.Group]*groupRecord
 	jobs   map[*jobs.Job][]*groupRecord
-	queues map[string]*Queue
+	queues map[string]*QueueSummary
 }
 
-// Queue is what is summed for a queue.
-type Queue struct {
+// QueueSummary is what is summed for a queue.
+type QueueSummary struct {
 	Tasks Times  // task-seconds by cause
 	Ended uint64 // jobs that were completed or failed
 	Late  uint64 // of these, beyond their objective
@@ -27,7 +27,7 @@
 type groupRecord struct {
 	group      *jobs.Group
 	releasedAt time.Duration
-	cause      Cause         // for which its held tasks wait at present
+	cause      Reason        // for which its held tasks wait at present
 	since      time.Duration // of that cause
 	waited     Times         // how long a task that was held all the while waited
 	tasks      []taskRecord  // by index
@@ -47,7 +47,7 @@
 	ListedAt      time.Duration // first listed by its runner
 	EndedAt       time.Duration // its end was listed
 	LastContactAt time.Duration // lost with its runner: the runner was heard for the last time; 0: never by this owner
-	Outcome       Cause         // Running if it ended well, else Failed, Stopped or Lost
+	Outcome       Reason        // Running if it ended well, else Failed, Stopped or Lost
 }
 
 // NewRecorder returns an account that begins now.
@@ -56,17 +56,17 @@
 		began:  now,
 		groups: map[*jobs.Group]*groupRecord{},
 		jobs:   map[*jobs.Job][]*groupRecord{},
-		queues: map[string]*Queue{},
+		queues: map[string]*QueueSummary{},
 	}
 }
 
 // Queues returns the sums by key of the queue. The map must not be changed.
-func (l *Recorder) Queues() map[string]*Queue { return l.queues }
+func (l *Recorder) Queues() map[string]*QueueSummary { return l.queues }
 
-func (l *Recorder) queue(key string) *Queue {
+func (l *Recorder) queue(key string) *QueueSummary {
 	known := l.queues[key]
 	if known == nil {
-		known = &Queue{}
+		known = &QueueSummary{}
 		l.queues[key] = known
 	}
 	return known
@@ -112,13 +112,13 @@
 }
 
 // Waits takes what the held tasks of a group wait for from now on.
-func (l *Recorder) Waits(now time.Duration, group *jobs.Group, cause Cause) {
+func (l *Recorder) Waits(now time.Duration, group *jobs.Group, cause Reason) {
 	if record := l.record(group, now); record != nil && record.cause != cause {
 		record.wait(now, cause)
 	}
 }
 
-func (r *groupRecord) wait(now time.Duration, cause Cause) {
+func (r *groupRecord) wait(now time.Duration, cause Reason) {
 	r.settle(now)
 	r.cause = cause
 }
--- a/internal/cluster/replica/health.go
+++ b/internal/cluster/replica/health.go
@@ -99,7 +99,7 @@
 // setCampaigns lets each group's member stand for election, or not.
 func (e *Engine) setCampaigns() {
 	for _, g := range e.groups {
-		g.node.SetCampaign(g.mayCampaign())
+		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 }
 
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -27,7 +27,7 @@
 	keeps    bool // its leadership
 }
 
-func (l *ledger) KeepsLeadership() bool { return l.keeps }
+func (l *ledger) DefersTransfer() bool { return l.keeps }
 
 func (l *ledger) Apply(index, term uint64, data []byte) any {
 	Expect(index).To(BeNumerically(">", l.Last), "entries are applied in order")
--- a/internal/cluster/replica/shifts.go
+++ b/internal/cluster/replica/shifts.go
@@ -99,7 +99,7 @@
 		return
 	}
 	g.handedOverAt = now
-	_ = g.node.Transfer(now, successor)
+	_ = g.node.TransferLeadership(now, successor)
 }
 
 // successor is the voter that is alive and willing and lacks least; None if there is none.
@@ -134,7 +134,7 @@
 			e.shifts.spreadAt = e.now
 			g.handedOverAt = e.now
 			_ = level.Info(e.options.Logger).Log("msg", "leadership moves to its preferred member", "group", g.id)
-			_ = g.node.Transfer(e.now, preferred)
+			_ = g.node.TransferLeadership(e.now, preferred)
 			return
 		}
 	}
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -59,7 +59,7 @@
 func (g *group) superintend() {
 	g.settleDigests()
 	if g.engine.reluctant() {
-		g.node.SetCampaign(g.mayCampaign())
+		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 	if !g.node.Status().IsLeader {
 		return
--- a/internal/cluster/scheduler/account.go
+++ b/internal/cluster/scheduler/account.go
@@ -25,7 +25,7 @@
 
 // Queues returns where the time of tasks went since this leadership began, by key of the queue. The map must not be
 // changed.
-func (o *Owner) Queues() map[string]*latency.Queue { return o.ledger.Queues() }
+func (o *Owner) Queues() map[string]*latency.QueueSummary { return o.ledger.Queues() }
 
 // TakeLate returns the jobs that have ended beyond their objective since it was called last, some of them if they are many.
 func (o *Owner) TakeLate() []LateJob {
@@ -35,7 +35,7 @@
 }
 
 // outcomeOf returns what the time of a run counts as, by how it ended.
-func outcomeOf(how string) latency.Cause {
+func outcomeOf(how string) latency.Reason {
 	switch how {
 	case protocol.EndDone:
 		return latency.Running
@@ -49,7 +49,7 @@
 }
 
 // runOf returns what is known of a run that ends now by an outcome.
-func (r *runner) runOf(now time.Duration, key runKey, outcome latency.Cause) latency.Run {
+func (r *runner) runOf(now time.Duration, key runKey, outcome latency.Reason) latency.Run {
 	run := latency.Run{EndedAt: now, LastContactAt: r.heardAt, Outcome: outcome}
 	if entry := r.listed[key]; entry != nil {
 		run.ListedAt = entry.since
@@ -133,7 +133,7 @@
 	return false
 }
 
-func causeOf(reason placement.Reason) latency.Cause {
+func causeOf(reason placement.Reason) latency.Reason {
 	switch reason {
 	case placement.NoGPU:
 		return latency.GPU
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -65,7 +65,7 @@
 	r.reported = true
 	r.sequence = beat.Sequence
 	r.heardAt = now
-	if beat.State == protocol.Draining {
+	if beat.State == protocol.RunnerDraining {
 		r.draining = true
 		r.leaving = now + time.Duration(beat.RemainingMs)*time.Millisecond
 	}
--- a/internal/cluster/scheduler/late_test.go
+++ b/internal/cluster/scheduler/late_test.go
@@ -77,7 +77,7 @@
 
 	It("from the same incarnation changes nothing and grants nothing", func() {
 		late := beatOf("i1", 6) // of before the start: it does not list the run
-		late.State = protocol.Draining
+		late.State = protocol.RunnerDraining
 		_, err := w.beat(late)
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 		other, err := w.beat(beatOf("i2", 1))
--- a/internal/cluster/scheduler/overview_test.go
+++ b/internal/cluster/scheduler/overview_test.go
@@ -26,7 +26,7 @@
 		Expect(runners[0].Free).To(Equal(runners[0].Capacity))
 		Expect(runners[1].Runs).To(Equal(1))
 		Expect(runners[1].Free).To(Equal(protocol.Resources{CPU: 15500, MemoryMB: 32668, GPU: 8}))
-		Expect(runners[1].State).To(Equal(protocol.Ready))
+		Expect(runners[1].State).To(Equal(protocol.RunnerReady))
 		Expect(runners[1].LeaseRemaining).To(BeNumerically(">", 0))
 		Expect(runners[1].Labels).To(Equal([]string{"a", "r1"}))
 	})
@@ -34,7 +34,7 @@
 	It("says who drains, who is silent and who has ended", func() {
 		w := newWorld()
 		leaving := beatOf("a", 1)
-		leaving.State = protocol.Draining
+		leaving.State = protocol.RunnerDraining
 		_, err := w.beat(leaving)
 		Expect(err).NotTo(HaveOccurred())
 		states := func() []string {
@@ -44,7 +44,7 @@
 			}
 			return list
 		}
-		Expect(states()).To(Equal([]string{protocol.Draining}))
+		Expect(states()).To(Equal([]string{protocol.RunnerDraining}))
 		w.pass(4 * time.Second)
 		Expect(states()).To(Equal([]string{scheduler.StateSilent}))
 		w.owner.Deregister("a", func(err error) { Expect(err).NotTo(HaveOccurred()) })
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -92,7 +92,7 @@
 		w.submit(id, small())
 		w.beat(beatOf("i1", 1))
 		leaving := beatOf("i1", 2)
-		leaving.State = protocol.Draining
+		leaving.State = protocol.RunnerDraining
 		orders, _ := w.beat(leaving)
 		Expect(orders.Start).To(BeEmpty())
 		orders, _ = w.beat(beatOf("i2", 1))
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// KeepsLeadership tells whether the state machine wants to keep its leadership.
-func (o *observer) KeepsLeadership() bool {
+// DefersTransfer tells whether the state machine wants to keep its leadership.
+func (o *observer) DefersTransfer() bool {
 	keeper, ok := o.StateMachine.(replica.TransferDeferrer)
 	return ok && keeper.DefersTransfer()
 }
--- a/internal/cluster/simulation/cluster/shell_caller.go
+++ b/internal/cluster/simulation/cluster/shell_caller.go
@@ -47,7 +47,7 @@
 			}
 		}
 		s.cluster.call(s.machine, address, request, wait, finish)
-		if probed && wait > mostSilentProbes*transport.StandardProbeInterval {
+		if probed && wait > mostSilentProbes*transport.DefaultProbeInterval {
 			s.probe(address, func() bool { return over || ctx.Err() != nil }, func() {
 				finish(nil, failure.New(failure.UnknownOutcome, "the peer is silent"))
 			})
@@ -94,9 +94,9 @@
 			return
 		}
 		network.Send(s.machine, to, func() { network.Send(to, s.machine, func() { heard = true }) })
-		s.machine.After(transport.StandardProbeInterval, look)
+		s.machine.After(transport.DefaultProbeInterval, look)
 	}
-	s.machine.After(transport.StandardProbeInterval, look)
+	s.machine.After(transport.DefaultProbeInterval, look)
 }
 
 // fill copies a control process's answer to where a caller wants it.
--- a/internal/cluster/simulation/runner_beat.go
+++ b/internal/cluster/simulation/runner_beat.go
@@ -119,11 +119,11 @@
 func (r *Runner) report() *protocol.Heartbeat {
 	beat := &protocol.Heartbeat{
 		Instance: r.instance.Instance, Service: r.Service, Address: r.Address, Zone: r.Zone, Version: "v1", Slots: 8,
-		State: protocol.Ready, Capacity: r.Capacity, Labels: []string{r.Kind, r.Rack}, Sequence: r.sequence,
+		State: protocol.RunnerReady, Capacity: r.Capacity, Labels: []string{r.Kind, r.Rack}, Sequence: r.sequence,
 		ClockMs: r.clockMs(),
 	}
 	if r.draining {
-		beat.State = protocol.Draining
+		beat.State = protocol.RunnerDraining
 		beat.RemainingMs = max(0, r.leaves-r.world.now).Milliseconds()
 	}
 	if !r.Called {
@@ -149,7 +149,7 @@
 func (r *Runner) obey(orders *protocol.Orders, sent time.Duration, state string) {
 	life := r.instance
 	life.Heartbeat++
-	if state == protocol.Draining && life.DrainAck == Never {
+	if state == protocol.RunnerDraining && life.DrainAck == Never {
 		life.DrainAck = r.world.now
 	}
 	if orders.FenceToken < r.fence {
