--- a/internal/cluster/administration/members.go
+++ b/internal/cluster/administration/members.go
@@ -14,6 +14,14 @@
 	RoleNone    = "none"
 )
 
+// States of a control process, in the words that operators know.
+const (
+	stateUp           = "up"
+	stateDraining     = "draining"
+	stateUnhealthy    = "sick"   // its disk
+	stateUnresponsive = "silent" // it did not answer
+)
+
 // MemberView is one control process as all reports together show it, as it is printed in JSON.
 type MemberView struct {
 	Node          string      `json:"node"`
@@ -34,13 +42,13 @@
 func (m MemberView) State() string {
 	switch {
 	case !m.Answers:
-		return "silent"
+		return stateUnresponsive
 	case m.Draining:
-		return "draining"
+		return stateDraining
 	case m.DiskUnhealthy:
-		return "sick"
+		return stateUnhealthy
 	default:
-		return "up"
+		return stateUp
 	}
 }
 
--- a/internal/cluster/control/stale_process_test.go
+++ b/internal/cluster/control/stale_process_test.go
@@ -29,19 +29,19 @@
 
 // Names in the scenario.
 const (
-	faultyService = "alfa"
-	faultyRunner  = "i1"
-	cancelledJob  = "00000000000000c0" // cancelled before the fault
-	runningJob    = "00000000000000a0" // submitted before the fault, cancelled during it
-	laterJob      = "00000000000000b0" // submitted during the fault
-	unknownJob    = "00000000000000f0"
+	testService  = "alfa"
+	testRunner   = "i1"
+	cancelledJob = "00000000000000c0" // cancelled before the fault
+	runningJob   = "00000000000000a0" // submitted before the fault, cancelled during it
+	laterJob     = "00000000000000b0" // submitted during the fault
+	unknownJob   = "00000000000000f0"
 )
 
 // trio is three control processes in a bubble of virtual time. They share nothing but their links.
 type trio struct {
 	mutex    sync.Mutex
 	controls []*Control
-	faulty   *Control // the process with the fault
+	target   *Control // the process with the fault
 	fault    fault
 }
 
@@ -123,10 +123,10 @@
 
 // partitioned reports whether what a process sends to another is lost.
 func (t *trio) partitioned(from string, to *Control) bool {
-	if t.faulty == nil || from == to.address {
+	if t.target == nil || from == to.address {
 		return false
 	}
-	return t.fault.outboundLost && t.faulty.address == from || t.fault.inboundLost && t.faulty == to
+	return t.fault.outboundLost && t.target.address == from || t.fault.inboundLost && t.target == to
 }
 
 // inject starts a fault at the owner of a shard, or at a follower. thaw ends the freeze.
@@ -136,7 +136,7 @@
 		faulty = t.controls[(slices.Index(t.controls, faulty)+1)%len(t.controls)]
 	}
 	t.mutex.Lock()
-	t.faulty, t.fault = faulty, what
+	t.target, t.fault = faulty, what
 	t.mutex.Unlock()
 	thawed := make(chan struct{})
 	if what.frozen {
@@ -182,7 +182,7 @@
 func (t *trio) owner(shard protocol.ShardID) *Control {
 	for {
 		for _, c := range t.controls {
-			if c != t.faulty && onLoop(c, func() bool { return c.owns(shard) }) {
+			if c != t.target && onLoop(c, func() bool { return c.owns(shard) }) {
 				return c
 			}
 		}
@@ -235,16 +235,16 @@
 
 func configureRequest(base, version uint64) *protocol.ConfigureRequest {
 	body := fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"host","pathPrefix":"/queue/","timeoutMs":3000,"service":"%s"}],
-		"services":[{"name":"%s"}]}`, version, faultyService, faultyService)
+		"services":[{"name":"%s"}]}`, version, testService, testService)
 	return &protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Base: base, Body: []byte(body)}
 }
 
 func submitRequest(id string, version uint64) *protocol.SubmitRequest {
 	step := protocol.Step{Count: 1, CPU: 100, EstimatedMs: 500, LongRunning: true}
 	return &protocol.SubmitRequest{
-		Shard:                protocol.ShardOf(faultyService),
+		Shard:                protocol.ShardOf(testService),
 		ID:                   id,
-		Queue:                protocol.Queue{Key: "host/queue/", Service: faultyService, MaxAttempts: 1},
+		Queue:                protocol.Queue{Key: "host/queue/", Service: testService, MaxAttempts: 1},
 		Job:                  protocol.JobSpec{Spec: "do", Steps: []protocol.Step{step}},
 		ConfigurationVersion: version,
 	}
@@ -257,7 +257,7 @@
 // with the fault, and ends its freeze. It returns the outcomes; nil for requests without a response.
 func outcomesAfterFault(shard protocol.ShardID, what fault, requests []any) (answers []*outcome) {
 	const responseWait = 1500 * time.Millisecond
-	jobsOf := protocol.ShardOf(faultyService)
+	jobsOf := protocol.ShardOf(testService)
 	synctest.Test(suite, func(*testing.T) {
 		t := &trio{}
 		stop := t.start()
@@ -275,7 +275,7 @@
 
 		pending := make([]<-chan outcome, 0, len(requests))
 		for _, request := range requests {
-			pending = append(pending, handle(t.faulty, request))
+			pending = append(pending, handle(t.target, request))
 		}
 		thaw()
 		time.Sleep(responseWait)
@@ -307,8 +307,8 @@
 	rejected           = []failure.Kind{failure.NotLeader, failure.Unavailable}
 	rejectedOrUnknown  = []failure.Kind{failure.NotLeader, failure.Unavailable, failure.UnknownOutcome}
 	served             = []failure.Kind{failure.None}
-	faultyShard        = protocol.ShardOf(faultyService)
-	jobCases           = newJobCases(faultyShard)
+	testShard          = protocol.ShardOf(testService)
+	jobCases           = newJobCases(testShard)
 	configurationCases = newConfigurationCases()
 	everyEndpoint      = append(slices.Clone(jobCases), configurationCases...)
 	// notTested do what is requested, or answer for an index of the log, which stays true, or say nothing about the state.
@@ -316,8 +316,8 @@
 )
 
 func newJobCases(shard protocol.ShardID) []requestCase {
-	heartbeat := protocol.Heartbeat{Instance: faultyRunner, Service: faultyService, Address: "10.0.0.9:1", State: protocol.RunnerReady, Sequence: 1}
-	tokenOnly := protocol.Heartbeat{Instance: faultyRunner, Service: faultyService, FenceOnly: true}
+	heartbeat := protocol.Heartbeat{Instance: testRunner, Service: testService, Address: "10.0.0.9:1", State: protocol.RunnerReady, Sequence: 1}
+	tokenOnly := protocol.Heartbeat{Instance: testRunner, Service: testService, FenceOnly: true}
 	invalid := submitRequest(unknownJob, 3)
 	invalid.Job.Steps = nil
 	return []requestCase{
@@ -340,7 +340,7 @@
 		}},
 		{"a heartbeat", &protocol.HeartbeatRequest{Shard: shard, Heartbeat: heartbeat}, rejected, nil},
 		{"a request for the fencing token", &protocol.HeartbeatRequest{Shard: shard, Heartbeat: tokenOnly}, rejected, nil},
-		{"a deregistration", &protocol.DeregisterRequest{Shard: shard, Instance: faultyRunner}, rejectedOrUnknown, nil},
+		{"a deregistration", &protocol.DeregisterRequest{Shard: shard, Instance: testRunner}, rejectedOrUnknown, nil},
 		{"a backup of jobs", &administration.SnapshotRequest{Shard: shard}, rejected, nil},
 		{"a list of jobs, for people", &administration.JobsRequest{Shard: shard}, served, func(any) {}},
 		{"a list of runners, for people", &administration.RunnersRequest{Shard: shard}, served, func(any) {}},
@@ -380,14 +380,14 @@
 				}
 			}
 		},
-		Entry("an owner of jobs that thaws, partitioned", faultyShard, partitionedAndFrozen, jobCases),
-		Entry("an owner of jobs that thaws", faultyShard, frozenOnly, jobCases),
-		Entry("an owner of jobs, partitioned", faultyShard, partitionedOnly, jobCases),
-		Entry("an owner of jobs, outbound messages lost", faultyShard, fault{outboundLost: true}, jobCases),
-		Entry("an owner of jobs, inbound messages lost", faultyShard, fault{inboundLost: true}, jobCases),
-		Entry("an owner of jobs that thaws, outbound messages lost", faultyShard, fault{frozen: true, outboundLost: true}, jobCases),
-		Entry("an owner of jobs that thaws, inbound messages lost", faultyShard, fault{frozen: true, inboundLost: true}, jobCases),
-		Entry("a follower, partitioned", faultyShard, fault{outboundLost: true, inboundLost: true, follower: true}, jobCases),
+		Entry("an owner of jobs that thaws, partitioned", testShard, partitionedAndFrozen, jobCases),
+		Entry("an owner of jobs that thaws", testShard, frozenOnly, jobCases),
+		Entry("an owner of jobs, partitioned", testShard, partitionedOnly, jobCases),
+		Entry("an owner of jobs, outbound messages lost", testShard, fault{outboundLost: true}, jobCases),
+		Entry("an owner of jobs, inbound messages lost", testShard, fault{inboundLost: true}, jobCases),
+		Entry("an owner of jobs that thaws, outbound messages lost", testShard, fault{frozen: true, outboundLost: true}, jobCases),
+		Entry("an owner of jobs that thaws, inbound messages lost", testShard, fault{frozen: true, inboundLost: true}, jobCases),
+		Entry("a follower, partitioned", testShard, fault{outboundLost: true, inboundLost: true, follower: true}, jobCases),
 		Entry("the configuration's owner that thaws, partitioned", protocol.ConfigurationShard, partitionedAndFrozen, configurationCases),
 		Entry("the configuration's owner that thaws", protocol.ConfigurationShard, frozenOnly, configurationCases),
 		Entry("the configuration's owner, partitioned", protocol.ConfigurationShard, partitionedOnly, configurationCases),
@@ -398,8 +398,8 @@
 	)
 
 	It("still takes itself for the owner when it thaws, and answers what stays true", func() {
-		requests := []any{&protocol.StatusRequest{Shard: faultyShard, ID: cancelledJob}}
-		answers := outcomesAfterFault(faultyShard, partitionedAndFrozen, requests)
+		requests := []any{&protocol.StatusRequest{Shard: testShard, ID: cancelledJob}}
+		answers := outcomesAfterFault(testShard, partitionedAndFrozen, requests)
 		Expect(answers[0].err).NotTo(HaveOccurred())
 		Expect(answers[0].response).To(Equal(&protocol.StatusResponse{State: protocol.JobCancelled}))
 	})
@@ -471,7 +471,7 @@
 			request.Header.Set(baseVersionHeader, base)
 		}
 		sentAt := time.Now()
-		t.faulty.Operator().ServeHTTP(response, request)
+		t.target.Operator().ServeHTTP(response, request)
 		took = time.Since(sentAt)
 	})
 	return response, took
