--- a/internal/cluster/consensus/confirm_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.DescribeTable("what a majority has reached",
+var _ = ginkgo.DescribeTable("the largest value that a majority has reached",
 	func(expected uint64, values ...uint64) {
 		Expect(reachedByMajority(values)).To(Equal(expected))
 	},
@@ -21,112 +21,112 @@
 
 var _ = ginkgo.Describe("a confirmation of the leadership", func() {
 	var g *group
-	var leader *scripted
+	var leader *testMember
 	ginkgo.BeforeEach(func() {
 		g = newGroup(memberList(1, 2, 3)...)
 		leader = g.elect(1)
 		g.now += 30 * time.Millisecond
 		leader.Tick(g.now)
-		g.settle()
-		g.forget()
+		g.deliverAll()
+		g.clearSent()
 	})
 
-	ginkgo.It("is there once a quorum has answered", func() {
-		g.lost = isolate(3)
+	ginkgo.It("is complete once a quorum has responded", func() {
+		g.drop = fromOrTo(3)
 		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", g.now))
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("does not come from a minority, nor by time", func() {
-		g.lost = isolate(1)
+	ginkgo.It("is completed neither by a minority nor by the passage of time", func() {
+		g.drop = fromOrTo(1)
 		before := leader.Status().ConfirmedAt
 		leader.ConfirmLeadership(g.now)
-		g.settle()
-		g.now += 10 * timeout
+		g.deliverAll()
+		g.now += 10 * electionTimeout
 		leader.Tick(g.now)
 		leader.ConfirmLeadership(g.now)
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
 	})
 
-	ginkgo.It("does not come from answers to what was sent before", func() {
+	ginkgo.It("is not completed by responses to heartbeats sent before the request", func() {
 		leader.ConfirmLeadership(g.now)
-		g.drain(leader)
-		delayed := g.waiting
-		g.waiting = nil
-		asked := g.now
+		g.processOutput(leader)
+		delayed := g.inTransit
+		g.inTransit = nil
+		requestedAt := g.now
 		g.now += 500 * time.Millisecond
 		leader.ConfirmLeadership(g.now)
-		g.drain(leader)
-		g.waiting = delayed
-		g.lost = func(message Message) bool { return message.SentAt != asked }
-		g.settle()
-		Expect(leader.Status().ConfirmedAt).To(Equal(asked))
+		g.processOutput(leader)
+		g.inTransit = delayed
+		g.drop = func(message Message) bool { return message.SentAt != requestedAt }
+		g.deliverAll()
+		Expect(leader.Status().ConfirmedAt).To(Equal(requestedAt))
 	})
 
-	ginkgo.It("does not come from a learner", func() {
+	ginkgo.It("is not completed by a learner", func() {
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
-		g.settle()
-		g.pass(3 * heartbeat)
-		g.lost = func(message Message) bool { return message.From == 2 || message.From == 3 }
-		g.pass(heartbeat)
+		g.deliverAll()
+		g.elapse(3 * heartbeatInterval)
+		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.elapse(heartbeatInterval)
 		before := leader.Status().ConfirmedAt
-		g.pass(3 * heartbeat)
+		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
 	})
 
 	ginkgo.It("does not wait for disks", func() {
 		for _, member := range g.members {
-			member.hold = true
+			member.diskPaused = true
 		}
 		g.propose(leader, "a")
 		leader.ConfirmLeadership(g.now)
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("comes with acknowledgements too", func() {
-		g.lost = func(message Message) bool { return message.Kind == MessageHeartbeat }
+	ginkgo.It("is completed by acknowledgements of appends too", func() {
+		g.drop = func(message Message) bool { return message.Kind == MessageHeartbeat }
 		g.propose(leader, "a")
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is shared by all that ask while a round is out", func() {
+	ginkgo.It("shares one round of heartbeats between requests until that is acknowledged", func() {
 		for range 10 {
 			leader.ConfirmLeadership(g.now)
 		}
-		g.drain(leader)
-		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
+		g.processOutput(leader)
+		Expect(g.countSent(MessageHeartbeat)).To(Equal(2))
 		g.now += time.Millisecond
 		leader.ConfirmLeadership(g.now)
 		leader.ConfirmLeadership(g.now)
-		g.settle()
-		Expect(g.sent(MessageHeartbeat)).To(Equal(2))
-		Expect(leader.NextDeadline()).To(BeNumerically("<=", g.now+lostRound))
+		g.deliverAll()
+		Expect(g.countSent(MessageHeartbeat)).To(Equal(2))
+		Expect(leader.NextDeadline()).To(BeNumerically("<=", g.now+confirmationTimeout))
 		g.now = leader.NextDeadline()
 		leader.Tick(g.now)
-		g.settle()
-		Expect(g.sent(MessageHeartbeat)).To(Equal(4))
+		g.deliverAll()
+		Expect(g.countSent(MessageHeartbeat)).To(Equal(4))
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is asked for anew when a round seems lost", func() {
-		g.lost = lose(MessageHeartbeat)
+	ginkgo.It("sends another round when the last one seems lost", func() {
+		g.drop = ofKind(MessageHeartbeat)
 		leader.ConfirmLeadership(g.now)
-		g.settle()
-		g.lost = nil
+		g.deliverAll()
+		g.drop = nil
 		g.now += time.Millisecond
 		leader.ConfirmLeadership(g.now)
 		g.now = leader.NextDeadline()
 		leader.Tick(g.now)
-		g.settle()
+		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is forgotten with the leadership", func() {
+	ginkgo.It("ends with the leadership", func() {
 		leader.becomeFollower(leader.term+1, None)
 		Expect(leader.Status().ConfirmedAt).To(BeZero())
 		leader.ConfirmLeadership(g.now)
--- a/internal/cluster/control/configuration_endpoints.go
+++ b/internal/cluster/control/configuration_endpoints.go
@@ -29,7 +29,7 @@
 // configure commits a change of the configuration.
 func (c *Control) configure(_ string, request *protocol.ConfigureRequest, reply func(*protocol.ConfigureResponse, error)) {
 	onConfigurationOwner(c, reply, func() {
-		command := configuration.Command{Kind: request.Kind, Base: request.Base, Body: request.Body}
+		command := configuration.Command{Kind: string(request.Kind), Base: request.Base, Body: request.Body}
 		c.configuration.propose(command, reply)
 	})
 }
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -134,7 +134,7 @@
 	if err := configuration.CheckSyntax(body); err != nil {
 		return nil, err
 	}
-	return &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body}, nil
+	return &protocol.ConfigureRequest{Kind: protocol.ChangeKind(kind), Base: base, Body: body}, nil
 }
 
 // readBody reads a body of at most maxChangeBytes, within bodyReadTimeout.
