--- a/internal/cluster/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -54,7 +54,7 @@
 	stopRelay := serveRelay(ctx, newRelayServer(client, process.Known, logger), listeners[1])
 	defer stopRelay()
 
-	level.Info(logger).Log("msg", "agent is up", "node", settings.NodeName, "service", settings.Service)
+	_ = level.Info(logger).Log("msg", "agent is up", "node", settings.NodeName, "service", settings.Service)
 	return serve(ctx, listeners[0], process)
 }
 
--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// boundKey ties a key of `bounds` to its field. Its unit is milliseconds or seconds, as the key's end says.
-type boundKey struct {
-	key      string
-	unit     time.Duration
-	field    func(*Bounds) *time.Duration
-	standard time.Duration // where the key is missing
+// durationKey maps a key of `bounds` to its field. Its unit is milliseconds or seconds, as the key's suffix says.
+type durationKey struct {
+	name         string
+	unit         time.Duration
+	field        func(*Bounds) *time.Duration
+	defaultValue time.Duration // if the key is absent
 }
 
-var boundKeys = []boundKey{
+var durationKeys = []durationKey{
 	{"seedLagS", time.Second, func(b *Bounds) *time.Duration { return &b.SeedLag }, 3 * time.Second},
 	{"addressReuseS", time.Second, func(b *Bounds) *time.Duration { return &b.AddressReuse }, 2 * time.Second},
 	{"contactMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Contact }, 3 * time.Second},
@@ -37,27 +37,27 @@
 
 const (
 	farKey      = "far_x"
-	standardFar = 1.5
-	longest     = 30 * 24 * time.Hour // a bound above this is taken for a slip
+	defaultFar  = 1.5
+	maxFar      = 1000
+	maxDuration = 30 * 24 * time.Hour // a duration above this is taken for a mistake
 )
 
-// StandardBounds returns the bounds that hold where the file leaves them out.
+// StandardBounds returns the bounds that apply to keys that the file leaves out.
 func StandardBounds() Bounds {
-	bounds := Bounds{Far: standardFar}
-	for _, known := range boundKeys {
-		*known.field(&bounds) = known.standard
+	bounds := Bounds{Far: defaultFar}
+	for _, key := range durationKeys {
+		*key.field(&bounds) = key.defaultValue
 	}
 	return bounds
 }
 
 func readBounds(object *object) Bounds {
 	bounds := StandardBounds()
-	for _, known := range boundKeys {
-		standard := float64(known.standard) / float64(known.unit)
-		most := float64(longest) / float64(known.unit)
-		amount := object.number(known.key, standard, 0, most)
-		*known.field(&bounds) = time.Duration(amount * float64(known.unit))
+	for _, key := range durationKeys {
+		unit := float64(key.unit)
+		amount := object.number(key.name, float64(key.defaultValue)/unit, 0, float64(maxDuration)/unit)
+		*key.field(&bounds) = time.Duration(amount * unit)
 	}
-	bounds.Far = object.number(farKey, standardFar, 1, 1000)
+	bounds.Far = object.number(farKey, defaultFar, 1, maxFar)
 	return bounds
 }
--- a/internal/cluster/boot/keys.go
+++ b/internal/cluster/boot/keys.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// Keys returns every key that a settings file may have, in order. Those inside an object follow its name and a dot.
+// Keys returns every key that a settings file may have, sorted. A key within an object is preceded by the object's key and
+// a dot. It reads an empty file, which asks for every key.
 func Keys() []string {
-	root := &object{values: map[string]json.RawMessage{}, faults: &faults{}}
+	root := &object{values: map[string]json.RawMessage{}, problems: &problems{}}
 	check(root, read(root))
-	keys := slices.Clone(root.faults.keys)
+	keys := slices.Clone(root.problems.keys)
 	for _, key := range []string{ListenFrontend, ListenReadiness, ListenControl} {
 		keys = append(keys, "listen."+key)
 	}
--- a/internal/cluster/boot/limits.go
+++ b/internal/cluster/boot/limits.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	memoryShare     = 0.6 // of the machine's limit at which the garbage collector works harder
-	collectorTarget = 100 // percent the heap may grow between collections; below 4 MB of heap it does not run at all
-	bytesPerMB      = 1 << 20
+	memoryFraction = 0.6 // of Limits.MemoryMB, from which the garbage collector works harder
+	gcPercent      = 100 // growth of the heap between two collections; below 4 MB of heap there are none at all
+	bytesPerMB     = 1 << 20
 )
 
-// MemoryLimit returns the amount of memory in bytes above which the garbage collector works harder, so that peaks
-// stay well below the limit at which the process is killed.
+// MemoryLimit returns the memory in bytes from which the garbage collector works harder. It is well below the limit at which
+// the platform kills the process, as the limit is a soft one (runtime/debug.SetMemoryLimit).
 func (l Limits) MemoryLimit() int64 {
-	return int64(float64(l.MemoryMB) * memoryShare * bytesPerMB)
+	return int64(float64(l.MemoryMB) * memoryFraction * bytesPerMB)
 }
 
-// Apply sets the limits of this process: one thread of Go code at a time (a process has a share of one core), the
-// memory at which the collector works harder, and how far the heap grows between collections.
+// Apply sets the limits of this process: one thread of Go code at a time, since a process has a fraction of one core, the
+// memory limit, and the growth of the heap between two collections.
 func (l Limits) Apply() {
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(collectorTarget)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(l.MemoryLimit())
 }
--- a/internal/cluster/boot/load.go
+++ b/internal/cluster/boot/load.go
@@ -12,124 +12,125 @@
 )
 
 const (
-	standardHeartbeatMs = 1500
-	standardMemoryMB    = 128
-	standardDescriptors = 1024
-	mostMB              = 1 << 30
-	mostCores           = 4096
-	mostDescriptors     = 1 << 30
-	mostMbps            = 1e9
-	mostPort            = 65535
-	mostTolerance       = 1 << 20
-	mostHeartbeatMs     = 3600 * 1000
+	defaultHeartbeatMs = 1500
+	defaultMemoryMB    = 128
+	defaultDescriptors = 1024
+	maxMB              = 1 << 30
+	maxCores           = 4096
+	maxDescriptors     = 1 << 30
+	maxMbps            = 1e9
+	maxPort            = 65535
+	maxTolerance       = 1 << 20
+	maxHeartbeatMs     = 3600 * 1000
 )
 
-// Load reads the settings file at path. Keys it does not know are passed over. The error is of kind Invalid and names
-// every fault by its key.
+// Load reads and validates the settings file at path. Unknown keys are ignored, so that an older program reads a newer
+// file. The error is of kind failure.Invalid and lists every problem with its key.
 func Load(path string) (*Settings, error) {
 	if path == "" {
-		return nil, failure.Newf(failure.Invalid, "the variable %s is not set: it names the settings file", Variable)
+		return nil, failure.Newf(failure.Invalid, "the environment variable %s, the path of the settings file, is not set", Variable)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, failure.Newf(failure.Invalid, "settings file (variable %s): %v", Variable, err)
+		return nil, failure.Newf(failure.Invalid, "settings file (environment variable %s): %v", Variable, err)
 	}
 	return Parse(data)
 }
 
-// Parse is Load for the file's content.
+// Parse is Load for the content of a file.
 func Parse(data []byte) (*Settings, error) {
-	root := &object{faults: &faults{}}
+	root := &object{problems: &problems{}}
 	if err := json.Unmarshal(data, &root.values); err != nil {
 		return nil, failure.Newf(failure.Invalid, "settings: not a JSON object: %v", err)
 	}
 	settings := read(root)
 	check(root, settings)
-	if found := root.faults.lines; len(found) > 0 {
+	if found := root.problems.lines; len(found) > 0 {
 		return nil, failure.New(failure.Invalid, "settings: "+strings.Join(found, "; "))
 	}
 	return settings, nil
 }
 
+// read decodes every key. Problems are collected by root.
 func read(root *object) *Settings {
 	return &Settings{
-		NodeName:          root.requiredText("nodeName"),
-		Role:              root.requiredText("role"),
-		MachineClass:      root.text("machineClass"),
-		Serves:            root.texts("serves"),
-		IP:                root.requiredText("ip"),
-		Zone:              root.requiredText("zone"),
-		Region:            root.text("region"),
-		Zones:             root.textsByName("zones"),
-		Listen:            root.textsByName("listen"),
+		NodeName:          root.requiredString("nodeName"),
+		Role:              root.requiredString("role"),
+		MachineClass:      root.string("machineClass"),
+		Serves:            root.strings("serves"),
+		IP:                root.requiredString("ip"),
+		Zone:              root.requiredString("zone"),
+		Region:            root.string("region"),
+		Zones:             root.stringMap("zones"),
+		Listen:            root.stringMap("listen"),
 		InternalPorts:     readPorts(root),
-		Seeds:             root.texts("seeds"),
-		Bootstrap:         root.truth("bootstrap"),
-		CountsForQuorum:   root.truth("countsForQuorum"),
+		Seeds:             root.strings("seeds"),
+		Bootstrap:         root.bool("bootstrap"),
+		CountsForQuorum:   root.bool("countsForQuorum"),
 		Limits:            readLimits(root.object("limits")),
-		DataDir:           root.text("dataDir"),
-		Discovery:         root.text("discovery"),
-		Entry:             root.text("entry"),
+		DataDir:           root.string("dataDir"),
+		Discovery:         root.string("discovery"),
+		Entry:             root.string("entry"),
 		HeartbeatInterval: readHeartbeatInterval(root),
-		Contracts:         root.texts("contracts"),
+		Contracts:         root.strings("contracts"),
 		FaultTolerance:    readTolerance(root.object("faultTolerance")),
 		Bounds:            readBounds(root.object("bounds")),
-		Commands:          root.text("commands"),
+		Commands:          root.string("commands"),
 		App:               root.address("app"),
-		Service:           root.text("service"),
+		Service:           root.string("service"),
 	}
 }
 
 func readHeartbeatInterval(root *object) time.Duration {
-	milliseconds := root.number("heartbeatIntervalMs", standardHeartbeatMs, 1, mostHeartbeatMs)
+	milliseconds := root.number("heartbeatIntervalMs", defaultHeartbeatMs, 1, maxHeartbeatMs)
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
 func readLimits(limits *object) Limits {
 	return Limits{
-		CPUShare:        limits.number("cpuShare", 1, 0, mostCores),
-		Cores:           limits.whole("cores", 1, 1, mostCores),
-		MemoryMB:        limits.whole("memoryMb", standardMemoryMB, 1, mostMB),
-		FileDescriptors: limits.whole("fileDescriptors", standardDescriptors, 1, mostDescriptors),
-		LinkMbps:        limits.number("linkMbps", 0, 0, mostMbps),
-		DiskMB:          limits.whole("diskMb", 0, 0, mostMB),
+		CPUShare:        limits.number("cpuShare", 1, 0, maxCores),
+		Cores:           limits.integer("cores", 1, 1, maxCores),
+		MemoryMB:        limits.integer("memoryMb", defaultMemoryMB, 1, maxMB),
+		FileDescriptors: limits.integer("fileDescriptors", defaultDescriptors, 1, maxDescriptors),
+		LinkMbps:        limits.number("linkMbps", 0, 0, maxMbps),
+		DiskMB:          limits.integer("diskMb", 0, 0, maxMB),
 	}
 }
 
 func readTolerance(tolerance *object) FaultTolerance {
 	return FaultTolerance{
-		Machines: tolerance.whole("machines", 0, 0, mostTolerance),
-		Zones:    tolerance.whole("zones", 0, 0, mostTolerance),
-		Regions:  tolerance.whole("regions", 0, 0, mostTolerance),
+		Machines: tolerance.integer("machines", 0, 0, maxTolerance),
+		Zones:    tolerance.integer("zones", 0, 0, maxTolerance),
+		Regions:  tolerance.integer("regions", 0, 0, maxTolerance),
 	}
 }
 
 func readPorts(root *object) [2]int {
 	const key = "internalPorts"
 	if _, ok := root.raw(key); !ok {
-		root.fault(key, "is missing")
+		root.addProblem(key, "is missing")
 		return [2]int{}
 	}
 	var ports []int
 	if !root.decode(key, &ports, "a list of two ports") {
 		return [2]int{}
 	}
-	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > mostPort {
-		root.fault(key, "the first and the last of some ports are due, found %v", ports)
+	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > maxPort {
+		root.addProblem(key, "expected the first and the last port of a range, found %v", ports)
 		return [2]int{}
 	}
 	return [2]int{ports[0], ports[1]}
 }
 
-// check looks at what a single key can't tell.
+// check validates what isn't known from a single key.
 func check(root *object, settings *Settings) {
 	if settings.IP != "" {
 		if _, err := netip.ParseAddr(settings.IP); err != nil {
-			root.fault("ip", "an IP address is due, found %q", settings.IP)
+			root.addProblem("ip", "expected an IP address, found %q", settings.IP)
 		}
 	}
 	if _, ok := root.raw("seeds"); !ok {
-		root.fault("seeds", "is missing")
+		root.addProblem("seeds", "is missing")
 	}
 	for i, seed := range settings.Seeds {
 		root.checkAddress(fmt.Sprintf("seeds[%d]", i), seed)
@@ -142,12 +143,12 @@
 	switch commands {
 	case "", CommandsHeartbeat, CommandsInvocation:
 	default:
-		root.fault("commands", "%q is neither %q nor %q", commands, CommandsHeartbeat, CommandsInvocation)
+		root.addProblem("commands", "%q is neither %q nor %q", commands, CommandsHeartbeat, CommandsInvocation)
 	}
 }
 
-// listensFor tells which addresses are needed for what a process serves.
-var listensFor = map[string][]string{
+// addressesByService has the keys of Settings.Listen that are required for a value of Settings.Serves.
+var addressesByService = map[string][]string{
 	ServesFrontend: {ListenFrontend, ListenReadiness},
 	ServesSide:     {ListenControl},
 	ServesControl:  {ListenControl},
@@ -160,9 +161,9 @@
 		}
 	}
 	for _, served := range settings.Serves {
-		for _, key := range listensFor[served] {
+		for _, key := range addressesByService[served] {
 			if _, ok := settings.Listen[key]; !ok {
-				root.fault("listen."+key, "is missing, needed to serve %q", served)
+				root.addProblem("listen."+key, "is missing, required to serve %q", served)
 			}
 		}
 	}
--- a/internal/cluster/boot/load_test.go
+++ b/internal/cluster/boot/load_test.go
@@ -50,7 +50,7 @@
 }
 
 var _ = Describe("Reading settings", func() {
-	It("takes every field", func() {
+	It("decodes every key", func() {
 		settings, err := parse(complete())
 		Expect(err).NotTo(HaveOccurred())
 		bounds := boot.StandardBounds()
@@ -79,7 +79,7 @@
 		}))
 	})
 
-	It("tells the internal addresses", func() {
+	It("returns the internal addresses", func() {
 		settings, err := parse(complete())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.InternalAddress()).To(Equal("10.3.0.7:7400"))
@@ -88,7 +88,7 @@
 		Expect(settings.ServesRole(boot.ServesSide)).To(BeFalse())
 	})
 
-	It("reads a runner's machine", func() {
+	It("decodes those of a runner's machine", func() {
 		changed := complete()
 		changed["serves"] = []any{"side"}
 		changed["dataDir"] = nil
@@ -101,7 +101,7 @@
 		Expect(settings.Service).To(Equal("prices"))
 	})
 
-	DescribeTable("does without",
+	DescribeTable("does not require",
 		func(key string) {
 			changed := complete()
 			delete(changed, key)
@@ -117,7 +117,7 @@
 		Entry(nil, "bounds"), Entry(nil, "commands"),
 	)
 
-	It("passes over keys it does not know", func() {
+	It("ignores unknown keys", func() {
 		changed := complete()
 		changed["tomorrow"] = map[string]any{"a": []any{1, "b"}}
 		changed["bounds"].(map[string]any)["later_ms"] = "soon"
@@ -125,7 +125,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("names the key of each fault",
+	DescribeTable("reports each problem with its key",
 		func(change func(map[string]any), keys ...string) {
 			changed := complete()
 			change(changed)
@@ -152,17 +152,17 @@
 		Entry("half a port", func(s map[string]any) { s["internalPorts"] = []any{7400.5, 7410} }, "internalPorts"),
 		Entry("no seeds", func(s map[string]any) { delete(s, "seeds") }, "seeds"),
 		Entry("a seed without port", func(s map[string]any) { s["seeds"] = []any{"10.1.0.2:9001", "10.2.0.2"} }, "seeds[1]"),
-		Entry("a text for a truth", func(s map[string]any) { s["bootstrap"] = "yes" }, "bootstrap"),
+		Entry("a string for a bool", func(s map[string]any) { s["bootstrap"] = "yes" }, "bootstrap"),
 		Entry("no memory", func(s map[string]any) { s["limits"] = map[string]any{"memoryMb": 0} }, "limits.memoryMb"),
-		Entry("half a core", func(s map[string]any) { s["limits"] = map[string]any{"cores": 1.5} }, "limits.cores"),
-		Entry("less than no share", func(s map[string]any) { s["limits"] = map[string]any{"cpuShare": -1} }, "limits.cpuShare"),
+		Entry("a fractional number of cores", func(s map[string]any) { s["limits"] = map[string]any{"cores": 1.5} }, "limits.cores"),
+		Entry("a negative CPU share", func(s map[string]any) { s["limits"] = map[string]any{"cpuShare": -1} }, "limits.cpuShare"),
 		Entry("limits that are a number", func(s map[string]any) { s["limits"] = 3 }, "limits"),
-		Entry("less than no loss", func(s map[string]any) { s["faultTolerance"] = map[string]any{"zones": -1} }, "faultTolerance.zones"),
+		Entry("a negative number of zones", func(s map[string]any) { s["faultTolerance"] = map[string]any{"zones": -1} }, "faultTolerance.zones"),
 		Entry("no time between heartbeats", func(s map[string]any) { s["heartbeatIntervalMs"] = 0 }, "heartbeatIntervalMs"),
-		Entry("a time in words", func(s map[string]any) { s["bounds"] = map[string]any{"graceS": "6s"} }, "bounds.graceS"),
-		Entry("less than no time", func(s map[string]any) { s["bounds"] = map[string]any{"gang_ms": -5} }, "bounds.gang_ms"),
-		Entry("a time of years", func(s map[string]any) { s["bounds"] = map[string]any{"status_s": 1e12} }, "bounds.status_s"),
-		Entry("data that is faster far away", func(s map[string]any) { s["bounds"] = map[string]any{"far_x": 0.5} }, "bounds.far_x"),
+		Entry("a string for a time", func(s map[string]any) { s["bounds"] = map[string]any{"graceS": "6s"} }, "bounds.graceS"),
+		Entry("a negative time", func(s map[string]any) { s["bounds"] = map[string]any{"gang_ms": -5} }, "bounds.gang_ms"),
+		Entry("a time above the limit", func(s map[string]any) { s["bounds"] = map[string]any{"status_s": 1e12} }, "bounds.status_s"),
+		Entry("a factor below 1", func(s map[string]any) { s["bounds"] = map[string]any{"far_x": 0.5} }, "bounds.far_x"),
 		Entry("unknown commands", func(s map[string]any) { s["commands"] = "shouting" }, "commands"),
 		Entry("a runner at no address", func(s map[string]any) { s["app"] = "here" }, "app"),
 		Entry("several at once", func(s map[string]any) {
@@ -172,17 +172,17 @@
 		}, "zone", "seeds[0]", "bounds.stop_ms"),
 	)
 
-	DescribeTable("refuses a file that is no object",
+	DescribeTable("rejects a file that is not a JSON object",
 		func(content string) {
 			path := filepath.Join(GinkgoT().TempDir(), "boot.json")
 			Expect(os.WriteFile(path, []byte(content), 0o600)).To(Succeed())
 			_, err := boot.Load(path)
 			Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
 		},
-		Entry("nothing", ""), Entry("a list", "[]"), Entry("half of it", `{"nodeName":`), Entry("null", "null"),
+		Entry("nothing", ""), Entry("a list", "[]"), Entry("truncated", `{"nodeName":`), Entry("null", "null"),
 	)
 
-	It("names the file that is not there", func() {
+	It("reports a missing file with its path", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "none.json")
 		_, err := boot.Load(path)
 		Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
@@ -192,7 +192,7 @@
 })
 
 var _ = Describe("Limits of the process", func() {
-	It("stay below what the machine allows", func() {
+	It("stay below the limit of the machine", func() {
 		processors, limit, percent := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1), debug.SetGCPercent(100)
 		DeferCleanup(func() {
 			runtime.GOMAXPROCS(processors)
--- a/internal/cluster/boot/role.go
+++ b/internal/cluster/boot/role.go
@@ -6,31 +6,31 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// Roles that a process may run.
+// Roles that a process may run. Each is also the command that runs it.
 const (
 	RoleControl  = "control"
 	RoleFrontend = "frontend"
 	RoleAgent    = "agent"
 )
 
-// needsOf has the addresses that a role cannot do without.
-var needsOf = map[string][]string{
+// addressesByRole has the keys of Settings.Listen that a role requires.
+var addressesByRole = map[string][]string{
 	RoleControl:  {ListenControl},
 	RoleFrontend: {ListenFrontend, ListenReadiness},
 	RoleAgent:    {ListenControl},
 }
 
-// CheckRole tells whether a process of the role can run with the settings. The error is of kind Invalid and names every
-// fault by its key.
+// CheckRole returns nil if a process of the role can run with the settings. The error is of kind failure.Invalid and lists
+// every problem with its key.
 func (s *Settings) CheckRole(role string) error {
-	found := &faults{}
-	for _, key := range needsOf[role] {
+	found := &problems{}
+	for _, key := range addressesByRole[role] {
 		if s.Listen[key] == "" {
-			found.add("listen."+key, "is missing, needed by the role %s", role)
+			found.add("listen."+key, "is missing, required by the role %s", role)
 		}
 	}
 	if role == RoleControl && s.DataDir == "" {
-		found.add("dataDir", "is missing, needed by the role %s", role)
+		found.add("dataDir", "is missing, required by the role %s", role)
 	}
 	if len(found.lines) > 0 {
 		return failure.New(failure.Invalid, "settings: "+strings.Join(found.lines, "; "))
--- a/internal/cluster/boot/role_test.go
+++ b/internal/cluster/boot/role_test.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-var _ = DescribeTable("what a role needs",
+var _ = DescribeTable("settings that a role requires",
 	func(role string, settings boot.Settings, faults ...string) {
 		err := settings.CheckRole(role)
 		if len(faults) == 0 {
@@ -17,7 +17,7 @@
 		}
 		Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
 		for _, fault := range faults {
-			Expect(err).To(MatchError(ContainSubstring(fault + ": is missing, needed by the role " + role)))
+			Expect(err).To(MatchError(ContainSubstring(fault + ": is missing, required by the role " + role)))
 		}
 	},
 	Entry("a control process", boot.RoleControl, boot.Settings{DataDir: "/d", Listen: map[string]string{"control": "a"}}),
--- a/internal/cluster/frontend/configuration.go
+++ b/internal/cluster/frontend/configuration.go
@@ -29,7 +29,7 @@
 	}
 	a.document = document
 	a.views.Set(viewOf(document))
-	level.Debug(a.logger).Log("msg", "a configuration is in force", "version", version)
+	_ = level.Debug(a.logger).Log("msg", "a configuration is in force", "version", version)
 	return nil
 }
 
--- a/internal/cluster/frontend/run.go
+++ b/internal/cluster/frontend/run.go
@@ -35,6 +35,6 @@
 		Logger: logger})
 	defer stop()
 
-	level.Info(logger).Log("msg", "frontend is up", "node", settings.NodeName, "clients", settings.Listen[boot.ListenFrontend])
+	_ = level.Info(logger).Log("msg", "frontend is up", "node", settings.NodeName, "clients", settings.Listen[boot.ListenFrontend])
 	return NewServer(process.Service, settings.Bounds.Grace, logger).Run(ctx, listeners[0], listeners[1])
 }
--- a/internal/cluster/frontend/server.go
+++ b/internal/cluster/frontend/server.go
@@ -161,7 +161,7 @@
 // shutdown ends serving after ctx has ended. Each request that was read completely gets its response: one that is still
 // being handled shortly before the end is answered with what is known of it by then, and so is one that comes later.
 func (s *Server) shutdown(ctx context.Context) error {
-	level.Info(s.logger).Log("msg", "stopping: not ready from now on")
+	_ = level.Info(s.logger).Log("msg", "stopping: not ready from now on")
 	defer s.endRequests()
 	end := s.grace - killMargin
 	ctx, cancel := deadline.WithTimeout(context.WithoutCancel(ctx), s.clock, end)
@@ -175,7 +175,7 @@
 	err := s.drainConnections(ctx)
 	_ = s.readinessServer.Close() // the process ends in any case
 	s.serving.Wait()
-	level.Info(s.logger).Log("msg", "stopped", "cut", err != nil)
+	_ = level.Info(s.logger).Log("msg", "stopped", "cut", err != nil)
 	return err
 }
 
