--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -42,8 +42,8 @@
 	maxDuration = 30 * 24 * time.Hour // a duration above this is taken for a mistake
 )
 
-// StandardBounds returns the bounds that apply to keys that the file leaves out.
-func StandardBounds() Bounds {
+// DefaultBounds returns the bounds that apply to keys that the file leaves out.
+func DefaultBounds() Bounds {
 	bounds := Bounds{Far: defaultFar}
 	for _, key := range durationKeys {
 		*key.field(&bounds) = key.defaultValue
@@ -52,7 +52,7 @@
 }
 
 func readBounds(object *object) Bounds {
-	bounds := StandardBounds()
+	bounds := DefaultBounds()
 	for _, key := range durationKeys {
 		unit := float64(key.unit)
 		amount := object.number(key.name, float64(key.defaultValue)/unit, 0, float64(maxDuration)/unit)
--- a/internal/cluster/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("Over the transport", func() {
 	It("a watch and calls find their owners", func() {
-		owner := transport.NewServer(transport.Options{})
+		owner := transport.NewServer(transport.ServerOptions{})
 		var address string
 		transport.HandleAsync(owner, func(_ string, r *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			if r.Version == 3 {
@@ -31,7 +31,7 @@
 			answer(&protocol.StatusResponse{State: protocol.JobRunning}, nil)
 		})
 		address = serve(owner)
-		other := transport.NewServer(transport.Options{})
+		other := transport.NewServer(transport.ServerOptions{})
 		transport.HandleAsync(other, func(_ string, _ *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			answer(nil, notLeader(address))
 		})
@@ -55,7 +55,7 @@
 		Eventually(func() string { return d.Owner(1) }).WithTimeout(soon).Should(Equal(address))
 		status, err := Call[protocol.StatusRequest, protocol.StatusResponse](ctx, d, 1, &protocol.StatusRequest{ID: "known"}, true)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(status.State).To(Equal(protocol.JobRunning))
+		Expect(status.State).To(Equal(protocol.JobState(protocol.JobRunning)))
 		_, err = Call[protocol.StatusRequest, protocol.StatusResponse](ctx, d, 1, &protocol.StatusRequest{ID: "other"}, true)
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 		Expect(d.Fresh(time.Minute)).To(BeTrue())
