--- a/internal/cluster/agent/supervisor.go
+++ b/internal/cluster/agent/supervisor.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// close ends the current loop and waits for it, and so for those before it.
+// close ends the current loop, if there is one, and waits for it and the loops that it has replaced.
 func (v *loopSupervisor) close() {
 	v.mutex.Lock()
 	ended := v.stopCurrent()
