--- a/internal/cluster/protocol/configure.go
+++ b/internal/cluster/protocol/configure.go
@@ -1,7 +1,7 @@
 package protocol
 
-// ChangeKind is the kind of a change that an operator makes to the configuration. The constants are untyped, as the
-// configuration's own command, which is on disk, has it as a string.
+// ChangeKind is the kind of a change that an operator makes to the configuration. The constants are untyped, as
+// configuration.Command, which is stored, has the kind as a string.
 type ChangeKind string
 
 // Kinds of changes.
--- a/internal/cluster/protocol/heartbeat.go
+++ b/internal/cluster/protocol/heartbeat.go
@@ -15,8 +15,8 @@
 	RunnerDraining RunnerState = "draining" // it finishes what it runs and starts nothing
 )
 
-// RunEnd is how a run ended. The constants are untyped, as the state of the jobs' shards, which is on disk, has them as
-// strings.
+// RunEnd is how a run ended, as its runner reports it. The constants are untyped, so that jobs.Outcome, the end as it is
+// stored, can be declared by them, too.
 type RunEnd string
 
 // Ends of runs.
@@ -73,9 +73,9 @@
 // absent. Encoded by gob: the field names are the wire format.
 type ActiveRun struct {
 	Task    string
-	Run     uint64 // number of the start of the task
-	Saved   string // newest checkpoint; empty: none
-	Percent float64
+	Run     uint64  // number of the start of the task
+	Saved   string  // newest checkpoint; empty: none
+	Percent float64 // of the work that is done
 }
 
 // FinishedRun is a run that ended on a runner. In JSON it is a row: [N, task, run, how, checkpoint]; the last may be
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -37,14 +37,14 @@
 type Queue struct {
 	Key             string // host and path prefix
 	Service         string
-	Priority        int // 0 is the highest
-	MaxAttempts     int // runs of one task that may end as EndFailed; 0: no limit
-	Extension       float64
-	TargetLatencyMs int64
+	Priority        int     // 0 is the highest
+	MaxAttempts     int     // runs of one task that may end as EndFailed; 0: no limit
+	Extension       float64 // factor on a job's longest chain of work, a part of its objective
+	TargetLatencyMs int64   // target of a job's latency, the other part of its objective
 }
 
-// JobState is the state of a job as clients see it. The constants are untyped, as the state of the jobs' shards, which
-// is on disk, has them as strings.
+// JobState is the state of a job as clients see it. The constants are untyped, so that jobs.JobState, the state as it is
+// stored, can be declared by them, too.
 type JobState string
 
 // States of a job.
