--- a/internal/dispatcher/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	watcher := routetable.NewWatcher(table, cfg.Discovery, cfg.Hold(), cfg.DrainGrace(), coord.UpdateList, log)
+	watcher := routetable.NewWatcher(table, cfg.Discovery, cfg.DiscoveryHold(), cfg.DrainGrace(), coord.UpdateList, log)
 	clients, targets := cfg.SocketBudget()
 	runners := egress.New(table, cfg, targets, log)
 	coord.Attach(runners, watcher)
@@ -114,7 +114,7 @@
 		log.WithField("addr", l.Addr()).Info("console listening")
 	}
 	working := life.Until(lifecycle.Stopped)
-	watcher.Keep(!cfg.Policy.ListOnDemand)
+	watcher.KeepOpen(!cfg.Policy.ListOnDemand)
 	go watcher.Run(working)
 	ran.Go(func() { coord.Run(working) })
 	peers.start()
@@ -124,7 +124,7 @@
 	go reload(working, hups, inForce, getenv, watcher, retuner{coord, runners, server, peers}, files, log)
 	if !cfg.Policy.ListOnDemand {
 		// What was pushed before counts as told from the first moment, and the list of the configuration may be old.
-		awaitList(watcher.First(), signals)
+		awaitList(watcher.FirstList(), signals)
 	}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
@@ -139,7 +139,7 @@
 	}
 	life.Advance(lifecycle.Draining)
 	peers.leave() // what it may use passes on; what it holds it still ends
-	err = drain(server, coord, inForce.Load().StopWithin())
+	err = drain(server, coord, inForce.Load().StopTimeout())
 	life.Advance(lifecycle.Stopped)
 	if err != nil {
 		log.WithError(err).Error("stopped with requests unanswered")
@@ -182,8 +182,8 @@
 				log.WithError(err).WithField("refused", files.refuse(err)).Error("new settings are faulty; the old ones stay")
 				continue
 			}
-			watcher.Retune(next.Hold(), next.DrainGrace())
-			watcher.Keep(!next.Policy.ListOnDemand)
+			watcher.Retune(next.DiscoveryHold(), next.DrainGrace())
+			watcher.KeepOpen(!next.Policy.ListOnDemand)
 			log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; requests under way keep theirs")
 		}
 		watcher.Move(next.Discovery)
--- a/internal/dispatcher/app/operator_test.go
+++ b/internal/dispatcher/app/operator_test.go
@@ -53,7 +53,7 @@
 // is still answered at once, and the module is told once it takes news again.
 func TestCallsDoNotWaitForTheCoordinator(t *testing.T) {
 	table := routetable.New()
-	table.Apply(&routetable.List{Whole: true, Hosts: []routetable.Host{{Host: "s-1", Dial: "127.0.0.1:1", Health: "SERVING"}}})
+	table.Apply(&routetable.List{Full: true, Hosts: []routetable.Host{{Host: "s-1", Dial: "127.0.0.1:1", Health: "SERVING"}}})
 	stuck := make(chan policy.Event) // nobody reads it until the end
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/dispatcher/config/check.go
+++ b/internal/dispatcher/config/check.go
@@ -9,27 +9,27 @@
 // that the deployments' page in docs tells. Its error is a *KeyError.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return setting("classes", "name at least one class", "is empty")
+		return settingError("classes", "name at least one class", "is empty")
 	}
 	for i, c := range s.Classes {
 		if c.Name == "" {
-			return setting(fmt.Sprintf("classes[%d].name", i), "give each class a name", "is empty")
+			return settingError(fmt.Sprintf("classes[%d].name", i), "give each class a name", "is empty")
 		}
 		if c.DeadlineUs <= 0 {
-			return setting(fmt.Sprintf("classes[%d].deadlineUs", i), "give the clients' total wait in microseconds", "%v is not over 0", c.DeadlineUs)
+			return settingError(fmt.Sprintf("classes[%d].deadlineUs", i), "give the clients' total wait in microseconds", "%v is not over 0", c.DeadlineUs)
 		}
 		if c.Semantics == "keyed" && !slices.Contains([]string{"all", "zone", "cell"}, c.KeyScope) {
-			return setting(fmt.Sprintf("classes[%d].keyScope", i), "say which runners drop a repeat", "%q is none of all, zone, cell, and the class is keyed", c.KeyScope)
+			return settingError(fmt.Sprintf("classes[%d].keyScope", i), "say which runners drop a repeat", "%q is none of all, zone, cell, and the class is keyed", c.KeyScope)
 		}
 		if c.LateWorth < 0 || c.LateWorth > 1 {
-			return setting(fmt.Sprintf("classes[%d].lateWorth", i), "it is a share", "%v is not within 0 and 1", c.LateWorth)
+			return settingError(fmt.Sprintf("classes[%d].lateWorth", i), "it is a share", "%v is not within 0 and 1", c.LateWorth)
 		}
 	}
 	if s.Balancers < 0 {
-		return setting("balancers", "leave it out where the number of dispatchers is not known", "%d is negative", s.Balancers)
+		return settingError("balancers", "leave it out where the number of dispatchers is not known", "%d is negative", s.Balancers)
 	}
 	if s.SlotNo < 0 || s.Balancers > 0 && s.SlotNo >= s.Balancers { // where it is not told, there are at least slotNo + 1
-		return setting("slotNo", "number the dispatchers from 0", "%d is not within 0 and balancers, %d", s.SlotNo, s.Balancers)
+		return settingError("slotNo", "number the dispatchers from 0", "%d is not within 0 and balancers, %d", s.SlotNo, s.Balancers)
 	}
 	for _, f := range []struct {
 		key     string
@@ -40,12 +40,12 @@
 		{"report.via", s.Report.Via, []string{"", "none", "probe", "answers"}},
 	} {
 		if !slices.Contains(f.allowed, f.v) {
-			return setting(f.key, "take one of them, or leave it out", "%q is none of %q", f.v, f.allowed[1:])
+			return settingError(f.key, "take one of them, or leave it out", "%q is none of %q", f.v, f.allowed[1:])
 		}
 	}
 	for i, n := range s.FamilyInfo.ClassKind {
 		if n >= len(s.Kinds) {
-			return setting(fmt.Sprintf("familyInfo.classKind[%d]", i), "-1 is any kind", "%d, but there are %d kinds", n, len(s.Kinds))
+			return settingError(fmt.Sprintf("familyInfo.classKind[%d]", i), "-1 is any kind", "%d, but there are %d kinds", n, len(s.Kinds))
 		}
 	}
 	return s.checkFigures()
@@ -67,11 +67,11 @@
 		{"tariffs.probe", s.Tariffs.Probe},
 	} {
 		if f.v < 0 {
-			return setting(f.key, "give 0 or more, or leave it out", "%v is negative", f.v)
+			return settingError(f.key, "give 0 or more, or leave it out", "%v is negative", f.v)
 		}
 	}
 	if s.Rules.ColdFrom > 1 {
-		return setting("rules.coldFrom", "it is a share of a runner's capacity", "%v is over 1", s.Rules.ColdFrom)
+		return settingError("rules.coldFrom", "it is a share of a runner's capacity", "%v is over 1", s.Rules.ColdFrom)
 	}
 	return nil
 }
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -45,17 +45,17 @@
 
 // Defaults for what may be left out.
 const (
-	defaultCores    = 1
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	defaultPeriod   = 2 * time.Millisecond
-	defaultConnect  = 200 * time.Millisecond
-	defaultIdle     = 5 * time.Second
-	defaultHold     = 5 * time.Second
-	pushedHold      = 2 * time.Second // a watch fallen silent is open anew well within the 6 s after which its news counts as told
-	maxHold         = time.Minute     // the longest that discovery holds a call
-	maxStop         = 3 * time.Second // the longest deadline that the platform waits for at a planned restart
-	minSockets      = 64              // fewer leave no room for clients and runners beside the program's own
+	defaultCores          = 1
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	defaultPeriod         = 2 * time.Millisecond
+	defaultConnectTimeout = 200 * time.Millisecond
+	defaultIdleTimeout    = 5 * time.Second
+	defaultDiscoveryHold  = 5 * time.Second
+	pushDiscoveryHold     = 2 * time.Second // a watch fallen silent is open anew well within the 6 s after which its news counts as told
+	maxDiscoveryHold      = time.Minute     // the longest that discovery holds a call
+	maxStopTimeout        = 3 * time.Second // the longest deadline that the platform waits for at a planned restart
+	minSockets            = 64              // fewer leave no room for clients and runners beside the program's own
 )
 
 // Load reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONSOLE, where set, replace what it
@@ -172,8 +172,8 @@
 	}
 	p := &c.Policy
 	setDefault(&p.Period, defaultPeriod)
-	setDefault(&p.ConnectTimeout, defaultConnect)
-	setDefault(&p.ConnIdle, defaultIdle)
+	setDefault(&p.ConnectTimeout, defaultConnectTimeout)
+	setDefault(&p.ConnIdle, defaultIdleTimeout)
 	return nil
 }
 
@@ -196,27 +196,27 @@
 // that say nothing be told from those. Attempts need the most: second copies, and connections kept for the next.
 func (c *Config) SocketBudget() (clients, targets int) {
 	clients = c.Limits.Sockets * 3 / 8
-	return clients, c.Limits.Sockets - minSockets/2 - clients - LingerRoom(clients)
+	return clients, c.Limits.Sockets - minSockets/2 - clients - MaxLingering(clients)
 }
 
-// LingerRoom is how many clients' connections may linger while they are closed, beside so many that are held.
-func LingerRoom(clients int) int { return max(2, clients/8) }
+// MaxLingering is how many clients' connections may linger while they are closed, beside so many that are held.
+func MaxLingering(clients int) int { return max(2, clients/8) }
 
 // BodyBudget is how many bytes of clients' bodies may be in hand at once.
 func (c *Config) BodyBudget() int64 { return int64(c.Limits.MemoryMB) << 20 / 8 }
 
-// Hold is how long discovery may hold a watch. Where the network is cut in silence, what changed counts as
+// DiscoveryHold is how long discovery may hold a watch. Where the network is cut in silence, what changed counts as
 // told some time after the hold's end at the latest, so a short hold keeps the list's age within what the
 // rules allow; a very short one would be a load on discovery, which all dispatchers share.
-func (c *Config) Hold() time.Duration {
+func (c *Config) DiscoveryHold() time.Duration {
 	hold := c.Policy.MaxListAge / 2
 	if !c.Policy.ListOnDemand {
-		return pushedHold
+		return pushDiscoveryHold
 	}
 	if hold <= 0 {
-		hold = defaultHold
+		hold = defaultDiscoveryHold
 	}
-	return min(hold, maxHold)
+	return min(hold, maxDiscoveryHold)
 }
 
 // DrainGrace is how long after it was told that a runner drains a dispatcher may still send it something; 0: not told.
@@ -224,12 +224,12 @@
 	return time.Duration(c.Settings.Rules.DrainGraceUs * float64(time.Microsecond))
 }
 
-// StopWithin is how long after the signal to stop open requests may still run: the longest deadline, as far
+// StopTimeout is how long after the signal to stop open requests may still run: the longest deadline, as far
 // as the platform waits for it. The platform kills no sooner than 0.7 s later.
-func (c *Config) StopWithin() time.Duration {
+func (c *Config) StopTimeout() time.Duration {
 	var longest time.Duration
 	for _, k := range c.Policy.Classes {
 		longest = max(longest, k.Deadline)
 	}
-	return min(longest, maxStop)
+	return min(longest, maxStopTimeout)
 }
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -33,13 +33,13 @@
 	assert.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, c.Limits)
 	assert.Equal(t, uint64(255), c.Seed)
 	assert.Equal(t, defaultPeriod, c.Policy.Period)
-	assert.Equal(t, defaultConnect, c.Policy.ConnectTimeout)
-	assert.Equal(t, defaultIdle, c.Policy.ConnIdle)
+	assert.Equal(t, defaultConnectTimeout, c.Policy.ConnectTimeout)
+	assert.Equal(t, defaultIdleTimeout, c.Policy.ConnIdle)
 	assert.Equal(t, logrus.InfoLevel, c.LogLevel)
-	assert.Equal(t, pushedHold, c.Hold(), "lists are pushed where nothing says otherwise")
+	assert.Equal(t, pushDiscoveryHold, c.DiscoveryHold(), "lists are pushed where nothing says otherwise")
 	c.Policy.ListOnDemand = true
-	assert.Equal(t, defaultHold, c.Hold())
-	assert.Equal(t, 900*time.Millisecond, c.StopWithin(), "the longest deadline")
+	assert.Equal(t, defaultDiscoveryHold, c.DiscoveryHold())
+	assert.Equal(t, 900*time.Millisecond, c.StopTimeout(), "the longest deadline")
 	assert.Equal(t, 1, c.Procs())
 	assert.Equal(t, int64(144<<20), c.MemoryTarget())
 	clients, targets := c.SocketBudget()
@@ -72,8 +72,8 @@
 	c, err := loadText(t, `{"listen":"a:1","discovery":"a:2","settings":{"discovery":"ask","rules":{"askWithinUs":900000000},
 		"classes":[{"name":"c","semantics":"safe","deadlineUs":9000000}]}}`, nil)
 	require.NoError(t, err)
-	assert.Equal(t, maxStop, c.StopWithin())
-	assert.Equal(t, maxHold, c.Hold())
+	assert.Equal(t, maxStopTimeout, c.StopTimeout())
+	assert.Equal(t, maxDiscoveryHold, c.DiscoveryHold())
 }
 
 // The file that replaces another names discovery's new address, also where LB_DISCOVERY gave the first one. A
@@ -114,7 +114,7 @@
 }
 
 // A broken file at a reload leaves the settings in force whole, and its error names the fault.
-func TestBrokenSettingsLeaveTheOldWhole(t *testing.T) {
+func TestInvalidReloadKeepsSettingsInForce(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string { return map[string]string{"LB_CONFIG": file}[name] }
 	good := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"periodUs":2000,
--- a/internal/dispatcher/config/errors.go
+++ b/internal/dispatcher/config/errors.go
@@ -32,7 +32,7 @@
 // Unwrap returns the cause, or nil.
 func (e *SourceError) Unwrap() error { return e.Err }
 
-// setting is a KeyError within settings.
-func setting(key, fix, problem string, args ...any) *KeyError {
+// settingError is a KeyError within settings.
+func settingError(key, fix, problem string, args ...any) *KeyError {
 	return &KeyError{Key: "settings." + key, Problem: fmt.Sprintf(problem, args...), Fix: fix}
 }
--- a/internal/dispatcher/config/keys.go
+++ b/internal/dispatcher/config/keys.go
@@ -41,7 +41,7 @@
 	if old != nil {
 		for _, k := range old.keys {
 			if _, found := slices.BinarySearch(keys, k); !found {
-				return setting(k, "write the whole file; one that is cut short would pass for figures at zero", "is missing, and the settings in force have it")
+				return settingError(k, "write the whole file; one that is cut short would pass for figures at zero", "is missing, and the settings in force have it")
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 	attempts := c.Settings.Limits.MaxAttempts
 	if _, found := slices.BinarySearch(keys, "limits.maxAttempts"); found && old != nil && attempts <= 0 &&
 		attempts != old.Settings.Limits.MaxAttempts {
-		return setting("limits.maxAttempts", "a limit in force is not lifted by a reload", "%d is not over 0", attempts)
+		return settingError("limits.maxAttempts", "a limit in force is not lifted by a reload", "%d is not over 0", attempts)
 	}
 	return nil
 }
--- a/internal/dispatcher/config/settings.go
+++ b/internal/dispatcher/config/settings.go
@@ -96,7 +96,7 @@
 		case "unsafe":
 			k.Semantics = policy.Unsafe
 		default:
-			return p, setting(fmt.Sprintf("classes[%d].semantics", i), "safe, keyed or unsafe", "unknown value %q", c.Semantics)
+			return p, settingError(fmt.Sprintf("classes[%d].semantics", i), "safe, keyed or unsafe", "unknown value %q", c.Semantics)
 		}
 		switch c.KeyScope {
 		case "all":
--- a/internal/dispatcher/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"net/http"
 	"time"
 
@@ -14,36 +13,36 @@
 )
 
 const (
-	// drainLimit is how long the rest of an answer is read for after its result, so that its connection
-	// can be used again.
-	drainLimit = time.Second
-	// settleLimit is the same after any other end, which is told only then: another attempt may follow it. The rest
-	// usually came with the last line.
-	settleLimit = 20 * time.Millisecond
+	// drainTimeout bounds the reading of the rest of a response after its result, so that its connection can be
+	// reused.
+	drainTimeout = time.Second
+	// endDrainTimeout is the same after any other end, which is returned only afterwards, as another attempt may
+	// follow it. The rest usually arrived with the last line.
+	endDrainTimeout = 20 * time.Millisecond
 )
 
-// Attempt makes one attempt at a request. It returns as soon as there is a result for the client; a goroutine then reads
-// the rest of the answer. Any other end is told once the attempt can have no effect any more on an open connection:
-// its answer was read to the end, or the connection is closed.
+// Attempt makes one attempt of a request. It returns as soon as there is a result for the client; a goroutine then
+// reads the rest of the response, for drainTimeout at most. Any other end is returned once the attempt can have no
+// further effect on an open connection: its response was read to the end, or the connection is closed.
 func (e *Egress) Attempt(outer context.Context, attempt *coordinator.Attempt) coordinator.AttemptEnd {
-	// The caller ends its context when the attempt has ended, but the connection is good for another attempt only once
-	// the answer was read to its end. So the call has a context of its own.
+	// The caller ends its context when the attempt has ended, but the connection can be reused only once the response
+	// was read to its end. So the call has a context of its own.
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(outer))
 	detach := context.AfterFunc(outer, func() { cancel(context.Cause(outer)) })
 	end := coordinator.AttemptEnd{Report: policy.NoReport}
 
-	c := call{e: e, job: true, until: attempt.Deadline}
+	c := call{e: e, isJob: true, deadline: attempt.Deadline}
 	gate := func() error {
 		if !e.table.Open(attempt.Target) {
 			return errNotOpen
 		}
 		return attempt.Begin(time.Now())
 	}
-	resp, err := c.do(ctx, attempt.Target, gate, func(base string) (*http.Request, error) {
-		return attemptRequest(base, attempt)
+	resp, err := c.do(ctx, attempt.Target, gate, func(ctx context.Context, base string) (*http.Request, error) {
+		return attemptRequest(ctx, base, attempt)
 	})
 	if err != nil {
-		if end.Outcome = c.broken(ctx); errors.Is(err, errNoSockets) {
+		if end.Outcome = c.abort(ctx); errors.Is(err, errNoSockets) {
 			end.Outcome = policy.Moot // not the target's fault
 		}
 		detach()
@@ -55,30 +54,30 @@
 	if report, ok := headerReport(e.tuned.Load().settings, resp.Header); ok {
 		end.Report = report
 	}
-	lines := newLines(resp.Body)
+	lines := newLineReader(resp.Body)
 	if resp.StatusCode == http.StatusOK {
-		e.follow(ctx, attempt, lines, &c, &end)
+		e.readProgress(ctx, attempt, lines, &c, &end)
 	} else {
-		end.Outcome = refused(resp)
+		end.Outcome = statusOutcome(resp)
 		end.Unusable = end.Outcome == policy.Cancelled
-		end.Indeterminate = end.Outcome == policy.Full && c.own().hadJob()
-		if resp.StatusCode != http.StatusInternalServerError && end.Outcome != policy.Full && e.warned.due(time.Now()) {
+		end.Indeterminate = end.Outcome == policy.Full && c.connection().hadEarlierJob()
+		if resp.StatusCode != http.StatusInternalServerError && end.Outcome != policy.Full && e.warnings.allow(time.Now()) {
 			e.log.WithFields(logrus.Fields{"target": attempt.Target, "request": attempt.Request.ID, "status": resp.StatusCode}).
 				Warn("target answered with an unexpected status")
 		}
 	}
 	if detach(); end.Outcome == policy.OK {
-		go drain(lines, resp.Body, &c, drainLimit, cancel)
+		go drain(resp, lines, &c, drainTimeout, cancel)
 	} else {
-		drain(lines, resp.Body, &c, settleLimit, cancel)
+		drain(resp, lines, &c, endDrainTimeout, cancel)
 	}
 	return end
 }
 
-// attemptRequest builds what the target gets: the client's request, unchanged. How long we wait is told at the last moment.
-func attemptRequest(base string, attempt *coordinator.Attempt) (*http.Request, error) {
+// attemptRequest builds what the target gets: the client's request, unchanged. setTimeoutHeader adds X-Timeout.
+func attemptRequest(ctx context.Context, base string, attempt *coordinator.Attempt) (*http.Request, error) {
 	r := attempt.Request
-	req, err := http.NewRequest(r.Method, base+r.Target, once(r.Body))
+	req, err := http.NewRequestWithContext(ctx, r.Method, base+r.Target, unrepeatable(r.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -94,37 +93,38 @@
 	return req, nil
 }
 
-// refused tells the outcome that a status other than 200 stands for.
-func refused(resp *http.Response) policy.Outcome {
+// statusOutcome returns the outcome for a status other than 200.
+func statusOutcome(resp *http.Response) policy.Outcome {
 	busy := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
 	case busy && resp.Header.Get("X-Not-Processed") == "1":
 		return policy.Full
 	case resp.StatusCode == http.StatusBadRequest:
-		// Guards against one client's faulty requests making runners look sick, which every client would pay for.
+		// Guards against one client's invalid requests making runners look unhealthy, which would cost every client.
 		return policy.Cancelled
 	}
 	return policy.Failed
 }
 
-// follow reads an answer's lines up to the one that ends the attempt. A line that names another request or none, or a
-// result that is not there, is no runner's word on this one: its connection is closed, and it may have run.
-func (e *Egress) follow(ctx context.Context, attempt *coordinator.Attempt, lines *lines, c *call, end *coordinator.AttemptEnd) {
+// readProgress reads a response's lines up to the one that ends the attempt. A line with another request's id or
+// none, or one without its result, does not count as the runner's: its connection is closed, and the attempt may have
+// run.
+func (e *Egress) readProgress(ctx context.Context, attempt *coordinator.Attempt, lines *lineReader, c *call, end *coordinator.AttemptEnd) {
 	for {
 		l, err := lines.next()
 		if err != nil {
-			if end.Outcome = c.broken(ctx); policy.NeverRan(end.Outcome) {
-				end.Outcome = policy.Reset // it answered, so it has the request
+			if end.Outcome = c.abort(ctx); policy.NeverRan(end.Outcome) {
+				end.Outcome = policy.Reset // it responded, so it has the request
 			}
 			return
 		}
 		if l.ID != attempt.Request.ID || l.State == "done" && !l.hasResult() {
-			if e.warned.due(time.Now()) {
+			if e.warnings.allow(time.Now()) {
 				e.log.WithFields(logrus.Fields{"target": attempt.Target, "request": attempt.Request.ID, "got": l.ID, "state": l.State}).
 					Error("target's answer is spoilt")
 			}
 			end.Outcome = policy.Failed
-			_ = c.broken(ctx)
+			_ = c.abort(ctx)
 			return
 		}
 		if l.Load != nil {
@@ -151,15 +151,16 @@
 	}
 }
 
-// drain reads an answer to its end within so much time, so that its connection goes back to the pool, or closes it.
-func drain(lines *lines, body io.ReadCloser, c *call, within time.Duration, cancel context.CancelCauseFunc) {
+// drain reads a response to its end within the given time, so that its connection returns to the pool, or closes the
+// connection.
+func drain(resp *http.Response, lines *lineReader, c *call, within time.Duration, cancel context.CancelCauseFunc) {
 	stop := time.AfterFunc(within, func() { c.abandon() })
 	if lines.discard() {
-		c.answerEnded()
+		c.responseEnded()
 	} else {
 		c.abandon()
 	}
 	stop.Stop()
-	_ = body.Close()
+	_ = resp.Body.Close()
 	cancel(nil)
 }
--- a/internal/dispatcher/egress/call.go
+++ b/internal/dispatcher/egress/call.go
@@ -16,144 +16,160 @@
 	"ospreypond/policy"
 )
 
-// maxDials is how many connections are tried for one request while each is refused, or breaks before it is
-// written. Guards against a network that resets single connections, which would make runners look as if they
-// were down. One that is down refuses all of them at once.
+// maxDials is how many connections are opened for one request while each is refused, or breaks before the request is
+// written. Guards against a network that resets single connections, which would make runners look as if they were
+// down. One that is down refuses all of them at once.
 const maxDials = 3
 
-// once returns a request's body that http.Transport cannot send again by itself. Guards against silent resends:
-// a transport repeats a request on which a kept connection broke if it has no body, or one that it can get
-// anew, and is a GET or carries an Idempotency-Key. So there is a body also where it is empty, and no GetBody.
-// It is of a type that the transport knows to be in memory: headers and body go out in one write.
-func once(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
+// unrepeatable returns a request's body that http.Transport cannot send again by itself. Guards against silent
+// resends: a transport repeats a request on which a reused connection broke if it has no body, or one that GetBody
+// can make anew, and is a GET or carries an Idempotency-Key. So there is a body even if it is empty, and no GetBody.
+// It is of a type that the transport knows to be in memory: headers and body are written at once.
+func unrepeatable(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
-// call is one request to a target on its way.
+// call is one request to a target, on one connection after the other until one has written it.
 type call struct {
-	e      *Egress
-	job    bool      // not a probe
-	until  time.Time // when the wait for the answer is over; zero: a probe, which tells none
-	mu     sync.Mutex
-	conn   *conn
-	turn   int  // the request's number on conn
-	reused bool // conn served a request before this one
-	idle   time.Duration
+	e         *Egress
+	isJob     bool          // not a probe
+	deadline  time.Time     // when the wait for the response is over; zero: a probe, without X-Timeout
+	request   *http.Request // the one being sent; of the goroutine of do
+	mu        sync.Mutex
+	conn      *conn
+	requestNo int           // of this request on conn
+	reused    bool          // conn carried a request before this one
+	idleFor   time.Duration // for which conn was idle before
 }
 
-// do sends a request with the trace that tells what became of it. The caller owns ctx. A kept connection that is
-// too old, or breaks before the request's last byte is written, is passed over for the next: what is not whole
+// do sends a request and returns its response. The caller owns ctx; build makes the request for a base URL, and gate
+// is called before its first byte is written, with the lock of its connection held. A reused connection that was idle
+// for too long, or breaks before the request's last byte is written, is passed over for the next one: what is incomplete
 // on the wire is no attempt, so this resends nothing.
-func (c *call) do(ctx context.Context, target string, gate func() error, build func(base string) (*http.Request, error)) (
-	*http.Response, error) {
-	var req *http.Request
+func (c *call) do(ctx context.Context, target string, gate func() error,
+	build func(ctx context.Context, base string) (*http.Request, error)) (*http.Response, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if own, ok := info.Conn.(*conn); ok {
-			tooOld := info.Reused && info.IdleTime > c.e.kept.limit(time.Now())
-			turn := own.begin(info.Reused, c.job, func() error {
-				if tooOld {
-					return errTooOld
-				}
-				return gate()
-			})
-			c.mu.Lock()
-			c.conn, c.turn, c.reused, c.idle = own, turn, info.Reused, info.IdleTime
-			c.mu.Unlock()
-			c.tellTime(req)
+			c.gotConn(own, info, gate)
 		}
 	}})
 	for dials := 0; ; {
-		route, ok := c.e.table.Lookup(target)
-		if !ok {
-			return nil, fmt.Errorf("%s: not in the route table", target)
-		}
-		var err error
-		if req, err = build("http://" + route.Dial); err != nil {
-			return nil, err
-		}
-		c.mu.Lock()
-		c.conn, c.reused = nil, false
-		c.mu.Unlock()
-		resp, err := c.e.transport(target).RoundTrip(req.WithContext(ctx))
-		c.mu.Lock()
-		own, reused, idle := c.conn, c.reused, c.idle
-		c.mu.Unlock()
-		if err == nil && own != nil && !own.answers() {
-			err = errStray
-			defer resp.Body.Close() // its connection is abandoned below
-		}
-		if err == nil || ctx.Err() != nil {
+		resp, err := c.roundTrip(ctx, target, build)
+		if err == nil || ctx.Err() != nil || !c.mayRedial(err, &dials) {
 			return resp, err
 		}
-		if own == nil { // no connection came up
-			if dials++; dials >= maxDials || !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, syscall.ECONNRESET) {
-				return nil, err
-			}
-			continue
-		}
-		unsent, no := c.abandon(), own.refusal()
-		switch {
-		case !reused:
-			dials++
-		case no == nil && !errors.Is(err, errStray):
-			c.e.kept.broke(time.Now(), idle)
-		}
-		if !unsent || final(no) || dials >= maxDials {
-			return nil, err
+	}
+}
+
+// gotConn notes the connection that the request is about to be written to. net/http calls it in the goroutine of
+// RoundTrip, before the headers are written.
+func (c *call) gotConn(own *conn, info httptrace.GotConnInfo, gate func() error) {
+	idleTooLong := info.Reused && info.IdleTime > c.e.idleLimit.at(time.Now())
+	requestNo := own.beginRequest(info.Reused, c.isJob, func() error {
+		if idleTooLong {
+			return errIdleTooLong
 		}
+		return gate()
+	})
+	c.mu.Lock()
+	c.conn, c.requestNo, c.reused, c.idleFor = own, requestNo, info.Reused, info.IdleTime
+	c.mu.Unlock()
+	c.setTimeoutHeader()
+}
+
+// roundTrip sends the request on one connection. Its error is errStray if what was read can't be the response.
+func (c *call) roundTrip(ctx context.Context, target string,
+	build func(ctx context.Context, base string) (*http.Request, error)) (*http.Response, error) {
+	c.mu.Lock()
+	c.conn, c.reused = nil, false
+	c.mu.Unlock()
+	route, ok := c.e.table.Lookup(target)
+	if !ok {
+		return nil, fmt.Errorf("%s: not in the route table", target)
+	}
+	var err error
+	if c.request, err = build(ctx, "http://"+route.Dial); err != nil {
+		return nil, err
+	}
+	resp, err := c.e.transport(target).RoundTrip(c.request)
+	if own := c.connection(); err == nil && own != nil && !own.mayBeResponse() {
+		c.abandon() // first, so that the connection can't be reused
+		_ = resp.Body.Close()
+		return nil, errStray
+	}
+	return resp, err
+}
+
+// mayRedial reports whether the request may be sent on another connection after err: it certainly was not written, and
+// fewer than maxDials connections were opened for it.
+func (c *call) mayRedial(err error, dials *int) bool {
+	c.mu.Lock()
+	own, reused, idleFor := c.conn, c.reused, c.idleFor
+	c.mu.Unlock()
+	if own == nil { // no connection came up
+		*dials++
+		return *dials < maxDials && (errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
+	}
+	unsent, gateErr := c.abandon(), own.gateError()
+	switch {
+	case !reused:
+		*dials++
+	case gateErr == nil && !errors.Is(err, errStray):
+		c.e.idleLimit.broke(time.Now(), idleFor)
 	}
+	return unsent && !isFinal(gateErr) && *dials < maxDials
 }
 
-// tellTime has the request tell how long its answer is waited for. Guards against a dial that takes long, of which the
-// time that the target was told knew nothing: it is called as the connection is there and before the headers are
-// written, by the goroutine that called RoundTrip.
-func (c *call) tellTime(req *http.Request) {
-	if !c.until.IsZero() {
-		left := max(0, time.Until(c.until))
-		req.Header.Set("X-Timeout", strconv.FormatInt(left.Microseconds(), 10)+"u")
+// setTimeoutHeader sets how long the response is waited for. Guards against a dial that takes long, which would make the
+// target believe in time that has elapsed: it is called once the connection is up, before the headers are written.
+func (c *call) setTimeoutHeader() {
+	if !c.deadline.IsZero() {
+		left := max(0, time.Until(c.deadline))
+		c.request.Header.Set("X-Timeout", strconv.FormatInt(left.Microseconds(), 10)+"u")
 	}
 }
 
-// final tells whether the gate's error holds for every connection, not only for one that was kept for too long.
-func final(no error) bool {
-	return no != nil && !errors.Is(no, errTooOld) && !errors.Is(no, errStray)
+// isFinal reports whether a gate's error holds for every connection, not only for one that can't be reused.
+func isFinal(gateErr error) bool {
+	return gateErr != nil && !errors.Is(gateErr, errIdleTooLong) && !errors.Is(gateErr, errStray)
 }
 
-// refusal returns why this side kept the request from its connection.
-func (c *call) refusal() error {
-	if own := c.own(); own != nil {
-		return own.refusal()
+// gateError returns why the request was not written to its connection, or nil.
+func (c *call) gateError() error {
+	if own := c.connection(); own != nil {
+		return own.gateError()
 	}
 	return nil
 }
 
-// own returns the connection that the request went to, or nil.
-func (c *call) own() *conn {
+// connection returns the connection of the request, or nil.
+func (c *call) connection() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn
 }
 
-// abandon closes the call's connection, if it has one, and tells whether the request certainly was not written whole.
+// abandon closes the call's connection, if it has one, and reports whether the request certainly was not written
+// completely.
 func (c *call) abandon() (unsent bool) {
 	c.mu.Lock()
-	own, turn := c.conn, c.turn
+	own, requestNo := c.conn, c.requestNo
 	c.mu.Unlock()
-	return own == nil || own.abandon(turn)
+	return own == nil || own.abandon(requestNo)
 }
 
-// answerEnded notes that the answer was read to its end.
-func (c *call) answerEnded() {
+// responseEnded notes that the response was read to its end.
+func (c *call) responseEnded() {
 	c.mu.Lock()
-	own, turn := c.conn, c.turn
+	own, requestNo := c.conn, c.requestNo
 	c.mu.Unlock()
-	own.answerEnded(turn)
+	own.responseEnded(requestNo)
 }
 
-// broken closes the connection of a call that brought no usable answer, if it has one, and tells the outcome. What
-// was never whole on the wire did not run, whatever ended it.
-func (c *call) broken(ctx context.Context) policy.Outcome {
+// abort closes the connection, if there is one, of a call without a usable response, and returns the outcome. What
+// was incomplete on the wire did not run, whatever ended it.
+func (c *call) abort(ctx context.Context) policy.Outcome {
 	unsent := c.abandon()
 	switch {
-	case unsent && (ctx.Err() != nil || final(c.refusal())):
+	case unsent && (ctx.Err() != nil || isFinal(c.gateError())):
 		return policy.Moot
 	case unsent:
 		return policy.ConnectFailed
--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -8,63 +8,64 @@
 	"time"
 )
 
-// errStray keeps a request from a connection on which bytes were read that answer no request.
+// errStray keeps a request from a connection on which bytes were read that belong to no request's response.
 var errStray = errors.New("bytes on the connection that answer no request")
 
 const (
-	// quarantine is how long a connection takes no request after bytes of a job's answer were read: some
-	// runners send a second answer some milliseconds late, which would pass for the answer to that one.
+	// quarantine is how long a connection takes no request after bytes of a job's response were read: some runners
+	// send a second response some milliseconds late, which would pass for the next request's.
 	quarantine = 25 * time.Millisecond
-	// quietWithin is how long the first write on a kept connection waits until the transport is in Read again, which
-	// shows that no bytes are left over from the answer before. http.Transport starts that read right after it gives a
-	// connection back, so this is a matter of scheduling alone.
-	quietWithin = 5 * time.Millisecond
-	quietPoll   = 50 * time.Microsecond
+	// quietTimeout is how long the first write on a reused connection waits until the transport is in Read again,
+	// which shows that no bytes of the former response are left. http.Transport starts that read right after it
+	// returns a connection to the pool, so this is a matter of scheduling alone.
+	quietTimeout      = 5 * time.Millisecond
+	quietPollInterval = 50 * time.Microsecond
 )
 
-// conn is a connection to an upstream that knows whether the present request was written to it.
-// Guards against mistakes that http.Transport hides: taking a request for unsent whose bytes are on the
-// wire, writing one after its target began to drain, because the dial took long, and taking a second answer to the
-// request before for the answer to this one.
+// conn is a connection to an upstream that knows whether the present request was written to it. Guards against
+// mistakes that http.Transport hides: taking a request for unsent whose bytes are on the wire, writing one after its
+// target began to drain because the dial took long, and taking a second response to the former request for the
+// response to this one.
 type conn struct {
 	net.Conn
-	closed   func() // called once, as the connection closes
+	onClose  func() // called once
 	once     sync.Once
 	reading  atomic.Bool  // the transport is in Read
 	lastRead atomic.Int64 // when bytes were last read, Unix time in nanoseconds
 
-	mu         sync.Mutex
-	turn       int          // the number of the present request on this connection
-	gate       func() error // asked before the next request's first byte
-	refused    error        // the gate's error for the present request, or nil
-	reused     bool         // an answer was read on the connection before
-	job        bool         // the present request is a job
-	afterJob   bool         // the request before it was a job
-	earlierJob bool         // any request before it was a job
-	answerRead bool         // the answer to the present request was read to its end: what is read after it is stray
-	stray      bool         // bytes were read that answer no request: after that end, or before a request was written
-	wrote      int          // bytes written of the present request
-	short      bool         // a write of it failed, so its last byte never went out
+	mu             sync.Mutex
+	requestNo      int          // of the present request on this connection
+	gate           func() error // called before the present request's first byte; nil after it returned nil
+	gateErr        error        // why the present request was not written, or nil
+	reused         bool         // a response was read on the connection before
+	isJob          bool         // the present request is a job
+	previousWasJob bool         // the request before it was a job
+	anyEarlierJob  bool         // any request before it was a job
+	responseRead   bool         // the present response was read to its end: what is read after it is stray
+	stray          bool         // bytes were read after that end, or before a request was written
+	written        int          // bytes of the present request
+	incomplete     bool         // a write of it failed, so its last byte was never sent
 }
 
-// begin makes the connection count anew for a request that is about to be written, and returns the request's number.
-func (c *conn) begin(reused, job bool, gate func() error) (turn int) {
+// beginRequest resets the state for a request that is about to be written, and returns the request's number.
+func (c *conn) beginRequest(reused, job bool, gate func() error) (requestNo int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.turn++
-	c.afterJob, c.job = c.job, job
-	c.earlierJob = c.earlierJob || c.afterJob
-	c.gate, c.refused, c.wrote, c.short, c.reused, c.answerRead = gate, nil, 0, false, reused, false
-	return c.turn
+	c.requestNo++
+	c.previousWasJob, c.isJob = c.isJob, job
+	c.anyEarlierJob = c.anyEarlierJob || c.previousWasJob
+	c.gate, c.gateErr, c.written, c.incomplete, c.reused, c.responseRead = gate, nil, 0, false, reused, false
+	return c.requestNo
 }
 
-// answerEnded notes that the answer to request number turn was read to its end, unless the next one has begun.
-func (c *conn) answerEnded(turn int) {
+// responseEnded notes that the response to request requestNo was read to its end, unless the next one has begun.
+func (c *conn) responseEnded(requestNo int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answerRead = c.answerRead || c.turn == turn
+	c.responseRead = c.responseRead || c.requestNo == requestNo
 }
 
+// Read notes bytes that belong to no response.
 func (c *conn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(b)
@@ -72,14 +73,15 @@
 	if n > 0 {
 		c.lastRead.Store(time.Now().UnixNano())
 		c.mu.Lock()
-		c.stray = c.stray || c.answerRead || c.wrote == 0
+		c.stray = c.stray || c.responseRead || c.written == 0
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
+// Write passes the gate before the first byte of a request.
 func (c *conn) Write(b []byte) (int, error) {
-	quiet := c.quiet()
+	quiet := c.waitQuiet()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gate != nil {
@@ -90,30 +92,30 @@
 			err = c.gate()
 		}
 		if err != nil {
-			c.refused, c.short = err, true
+			c.gateErr, c.incomplete = err, true
 			return 0, err
 		}
 		c.gate = nil
 	}
 	n, err := c.Conn.Write(b)
-	c.wrote += n
-	c.short = c.short || err != nil
+	c.written += n
+	c.incomplete = c.incomplete || err != nil
 	return n, err
 }
 
-// quiet waits until the quarantine of a kept connection is over, before its next request is written. It returns whether
-// nothing is left over from the answer before. Read sees the bytes that arrive meanwhile.
-func (c *conn) quiet() bool {
+// waitQuiet waits until the quarantine of a reused connection is over, before its next request is written. It reports
+// whether nothing is left of the former response; Read sees the bytes that arrive meanwhile.
+func (c *conn) waitQuiet() bool {
 	c.mu.Lock()
-	first, afterJob := c.gate != nil && c.reused, c.afterJob
+	first, afterJob := c.gate != nil && c.reused, c.previousWasJob
 	c.mu.Unlock()
 	if !first {
 		return true
 	}
-	if rest := quarantine - time.Since(time.Unix(0, c.lastRead.Load())); afterJob && rest > 0 {
-		time.Sleep(rest)
+	if left := quarantine - time.Since(time.Unix(0, c.lastRead.Load())); afterJob && left > 0 {
+		time.Sleep(left)
 	}
-	for until := time.Now().Add(quietWithin); !c.reading.Load(); time.Sleep(quietPoll) {
+	for until := time.Now().Add(quietTimeout); !c.reading.Load(); time.Sleep(quietPollInterval) {
 		if time.Now().After(until) {
 			return false
 		}
@@ -121,17 +123,18 @@
 	return true
 }
 
+// Close closes the connection and calls onClose, once.
 func (c *conn) Close() error {
-	c.once.Do(c.closed)
+	c.once.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-// abandon closes the connection and tells whether the last byte of request number turn certainly never went out.
-// Closing comes first: it ends a write that is under way, and none can follow. Where another request has begun on
-// the connection, that one was answered to its end, and nothing is done.
-func (c *conn) abandon(turn int) (unsent bool) {
+// abandon closes the connection and reports whether the last byte of request requestNo certainly was never sent.
+// Closing comes first: it ends a write in progress, and none can follow. If another request has begun on the
+// connection, the one was answered to its end, and nothing is done.
+func (c *conn) abandon(requestNo int) (unsent bool) {
 	c.mu.Lock()
-	other := c.turn != turn
+	other := c.requestNo != requestNo
 	c.mu.Unlock()
 	if other {
 		return false
@@ -139,26 +142,27 @@
 	_ = c.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wrote == 0 || c.short
+	return c.written == 0 || c.incomplete
 }
 
-// answers tells whether the bytes read may answer the present request: it was written, and none were read before that.
-func (c *conn) answers() bool {
+// mayBeResponse reports whether the bytes read may be the present request's response: it was written, and none were
+// read before that.
+func (c *conn) mayBeResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wrote > 0 && !c.short && !c.stray
+	return c.written > 0 && !c.incomplete && !c.stray
 }
 
-// hadJob tells whether a job was on the connection before the present request.
-func (c *conn) hadJob() bool {
+// hadEarlierJob reports whether a job was sent on the connection before the present request.
+func (c *conn) hadEarlierJob() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.earlierJob
+	return c.anyEarlierJob
 }
 
-// refusal returns the gate's error for the present request, or nil.
-func (c *conn) refusal() error {
+// gateError returns why the present request was not written, or nil.
+func (c *conn) gateError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refused
+	return c.gateErr
 }
--- a/internal/dispatcher/egress/connections.go
+++ b/internal/dispatcher/egress/connections.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// idleShare is the part of the runner's own limit for which an idle connection is kept. A runner closes at
-	// that limit, and what is written as it does ends as a reset.
-	idleShare = 0.85
-	// idlePerTarget is more than one target's share of the attempts at once: a connection closed only because too
-	// many are idle costs the runner a handshake when it is opened again.
-	idlePerTarget = 256
+	// idleTimeoutFraction is the fraction of the runner's own limit for which an idle connection is kept. A runner
+	// closes at that limit, and a request written at that moment ends as a reset.
+	idleTimeoutFraction = 0.85
+	// maxIdlePerTarget is more than one target's part of the attempts at once: a connection that is closed only
+	// because too many are idle costs the runner a handshake when it is opened again.
+	maxIdlePerTarget = 256
 )
 
-// transport returns the target's own transport.
+// transport returns the target's own transport, which it makes at the first call.
 func (e *Egress) transport(target string) *http.Transport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,8 +26,8 @@
 			DialContext:            e.dial,
 			Proxy:                  nil,
 			DisableCompression:     true,
-			MaxIdleConnsPerHost:    idlePerTarget,
-			IdleConnTimeout:        e.tuned.Load().idle,
+			MaxIdleConnsPerHost:    maxIdlePerTarget,
+			IdleConnTimeout:        e.tuned.Load().idleTimeout,
 			MaxResponseHeaderBytes: 64 << 10,
 			Protocols:              new(http.Protocols),
 		}
@@ -37,25 +37,25 @@
 	return tr
 }
 
-// dial opens a connection within the socket budget. Guards against running out of descriptors, which would
-// also keep clients out: idle connections are closed first, then dials fail.
+// dial opens a connection if fewer than maxConns are open. Guards against running out of descriptors, which would
+// shut out clients too: first idle connections are closed, then dials fail.
 func (e *Egress) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	if e.open.Add(1) > e.budget {
+	if e.openConns.Add(1) > e.maxConns {
 		e.closeAllIdle()
-		if e.open.Load() > e.budget {
-			e.open.Add(-1)
-			if e.warned.due(time.Now()) {
-				e.log.WithField("budget", e.budget).Warn("out of sockets for egress targets")
+		if e.openConns.Load() > e.maxConns {
+			e.openConns.Add(-1)
+			if e.warnings.allow(time.Now()) {
+				e.log.WithField("budget", e.maxConns).Warn("out of sockets for egress targets")
 			}
 			return nil, errNoSockets
 		}
 	}
 	c, err := e.tuned.Load().dialer.DialContext(ctx, network, addr)
 	if err != nil {
-		e.open.Add(-1)
+		e.openConns.Add(-1)
 		return nil, err
 	}
-	return &conn{Conn: c, closed: func() { e.open.Add(-1) }}, nil
+	return &conn{Conn: c, onClose: func() { e.openConns.Add(-1) }}, nil
 }
 
 func (e *Egress) closeAllIdle() {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Prune drops the state of targets that are gone from the route table.
+// Prune drops the state of targets that are not in the route table any more.
 func (e *Egress) Prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/dispatcher/egress/egress.go
+++ b/internal/dispatcher/egress/egress.go
@@ -1,5 +1,8 @@
-// Package egress speaks to the upstreams, which are the runners: it makes attempts and probes over HTTP and says how
-// each ended. It decides nothing.
+// Package egress is the upstreams' side: it makes attempts and probes of runners over HTTP and returns how each
+// ended. It decides nothing.
+//
+// An attempt returns an outcome for which policy.NeverRan holds only if not all of its request was written to a
+// connection, or the runner said so. Each call makes at most one complete request; nothing is resent.
 package egress
 
 import (
@@ -21,15 +24,15 @@
 	errNoSockets = errors.New("out of sockets for egress targets")
 )
 
-// Egress makes attempts and probes. It is safe for use by several goroutines.
+// Egress makes attempts and probes. It is safe for concurrent use.
 type Egress struct {
-	table  *routetable.Table
-	tuned  atomic.Pointer[tuning]
-	budget int64 // connections at once
-	open   atomic.Int64
-	kept   keep
-	warned rarely
-	log    logrus.FieldLogger
+	table     *routetable.Table
+	tuned     atomic.Pointer[tuning]
+	maxConns  int64
+	openConns atomic.Int64
+	idleLimit idleLimit
+	warnings  logLimiter
+	log       logrus.FieldLogger
 
 	mu      sync.Mutex
 	targets map[string]*http.Transport
@@ -37,43 +40,43 @@
 
 // tuning is what the settings in force say of connections and reports.
 type tuning struct {
-	settings *config.Settings
-	dialer   net.Dialer
-	idle     time.Duration // for which an idle connection is kept
+	settings    *config.Settings
+	dialer      net.Dialer
+	idleTimeout time.Duration // after which an idle connection is closed
 }
 
 func newTuning(c *config.Config) *tuning {
-	return &tuning{&c.Settings, net.Dialer{Timeout: c.Policy.ConnectTimeout}, time.Duration(idleShare * float64(c.Policy.ConnIdle))}
+	return &tuning{&c.Settings, net.Dialer{Timeout: c.Policy.ConnectTimeout}, time.Duration(idleTimeoutFraction * float64(c.Policy.ConnIdle))}
 }
 
-// New returns an Egress that opens at most budget connections.
-func New(t *routetable.Table, c *config.Config, budget int, log logrus.FieldLogger) *Egress {
-	e := &Egress{table: t, budget: int64(budget), log: log, targets: map[string]*http.Transport{}}
+// New returns an Egress that opens at most maxConns connections.
+func New(t *routetable.Table, c *config.Config, maxConns int, log logrus.FieldLogger) *Egress {
+	e := &Egress{table: t, maxConns: int64(maxConns), log: log, targets: map[string]*http.Transport{}}
 	e.tuned.Store(newTuning(c))
-	e.kept.allow(e.tuned.Load().idle)
+	e.idleLimit.reset(e.tuned.Load().idleTimeout)
 	return e
 }
 
-// Retune goes by c's settings from now on: by them reports are read, connections dialled, and idle ones kept. Attempts under
-// way are not touched.
+// Retune applies c's settings to attempts, dials and reports from now on. Attempts in flight are not affected.
 func (e *Egress) Retune(c *config.Config) {
 	next := newTuning(c)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if next.idle != e.tuned.Load().idle { // a transport keeps to the limit that it was made with
+	if next.idleTimeout != e.tuned.Load().idleTimeout { // a transport keeps to the limit that it was made with
 		for target, tr := range e.targets {
 			tr.CloseIdleConnections()
 			delete(e.targets, target)
 		}
-		e.kept.allow(next.idle)
+		e.idleLimit.reset(next.idleTimeout)
 	}
 	e.tuned.Store(next)
 }
 
-// rarely lets one line through each second. Guards against a log that one client, or one runner, fills.
-type rarely struct{ last atomic.Int64 }
+// logLimiter lets one line per second through. Guards against a log that one client, or one runner, fills.
+type logLimiter struct{ last atomic.Int64 }
 
-func (r *rarely) due(now time.Time) bool {
+// allow reports whether a line may be logged now.
+func (r *logLimiter) allow(now time.Time) bool {
 	last := r.last.Load()
 	return now.UnixNano()-last >= int64(time.Second) && r.last.CompareAndSwap(last, now.UnixNano())
 }
--- a/internal/dispatcher/egress/probe.go
+++ b/internal/dispatcher/egress/probe.go
@@ -10,12 +10,12 @@
 	"ospreypond/policy"
 )
 
-// Probe asks a target for its load. It uses the same connections as attempts.
+// Probe requests a target's load report. It uses the same connections as attempts.
 func (e *Egress) Probe(ctx context.Context, target string) coordinator.AttemptEnd {
 	end := coordinator.AttemptEnd{Report: policy.NoReport}
 	c := call{e: e}
-	resp, err := c.do(ctx, target, func() error { return nil }, func(base string) (*http.Request, error) {
-		req, err := http.NewRequest(http.MethodGet, base+"/stats", once(nil))
+	resp, err := c.do(ctx, target, func() error { return nil }, func(ctx context.Context, base string) (*http.Request, error) {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/stats", unrepeatable(nil))
 		if err == nil {
 			req.ContentLength = 0
 			req.Header["User-Agent"] = nil
@@ -23,18 +23,18 @@
 		return req, err
 	})
 	if err != nil {
-		if end.Outcome = c.broken(ctx); errors.Is(err, errNoSockets) {
+		if end.Outcome = c.abort(ctx); errors.Is(err, errNoSockets) {
 			end.Outcome = policy.Moot
 		}
 		return end
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLine))
 	switch {
 	case err != nil:
-		end.Outcome = c.broken(ctx)
+		end.Outcome = c.abort(ctx)
 	case resp.StatusCode == http.StatusOK:
-		c.answerEnded()
+		c.responseEnded()
 		end.Outcome, end.Report = policy.OK, textReport(e.tuned.Load().settings, string(body))
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		end.Outcome = policy.Full
--- a/internal/dispatcher/egress/answer.go
+++ b/internal/dispatcher/egress/response.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -13,22 +14,22 @@
 	"ospreypond/policy"
 )
 
-// maxLine bounds one line of an answer and maxAnswer all of it; by the protocol no body exceeds 64 KiB.
+// maxLine bounds one line of a response and maxResponse all of it; by the protocol no body exceeds 64 KiB.
 const (
-	maxLine   = 128 << 10
-	maxAnswer = 256 << 10
+	maxLine     = 128 << 10
+	maxResponse = 256 << 10
 )
 
-// line is one object of an answer.
-type line struct {
+// responseLine is one JSON object of a response.
+type responseLine struct {
 	ID     string             `json:"id"`
 	State  string             `json:"state"`
 	Result json.RawMessage    `json:"result"`
 	Load   map[string]float64 `json:"load"`
 }
 
-// result returns what the client gets: a text as it is, anything else as it was written.
-func (l *line) result() []byte {
+// result returns what the client gets: a JSON string's value, anything else as it was written.
+func (l *responseLine) result() []byte {
 	var s string
 	if json.Unmarshal(l.Result, &s) == nil {
 		return []byte(s)
@@ -36,31 +37,31 @@
 	return l.Result
 }
 
-// hasResult tells whether a runner put a result in.
-func (l *line) hasResult() bool { return len(l.Result) > 0 && string(l.Result) != "null" }
+// hasResult reports whether the line has a result.
+func (l *responseLine) hasResult() bool { return len(l.Result) > 0 && string(l.Result) != "null" }
 
-// lines reads an answer line by line, as it comes, up to maxAnswer.
-type lines struct {
-	r    *bufio.Reader
-	left *io.LimitedReader
+// lineReader reads a response line by line, as they arrive, up to maxResponse.
+type lineReader struct {
+	r     *bufio.Reader
+	limit *io.LimitedReader
 }
 
-func newLines(r io.Reader) *lines {
-	left := &io.LimitedReader{R: r, N: maxAnswer}
-	return &lines{bufio.NewReader(left), left}
+func newLineReader(r io.Reader) *lineReader {
+	limit := &io.LimitedReader{R: r, N: maxResponse}
+	return &lineReader{bufio.NewReader(limit), limit}
 }
 
-// next returns the next line. One that is not whole, because the connection broke in it, is an error.
-func (l *lines) next() (*line, error) {
+// next returns the next line that is not blank. A truncated one, because the connection broke, is an error.
+func (l *lineReader) next() (*responseLine, error) {
 	for {
-		b, err := l.read()
+		b, err := l.readLine()
 		if err != nil {
 			return nil, err
 		}
 		if b = bytes.TrimSpace(b); len(b) == 0 {
 			continue
 		}
-		var got line
+		var got responseLine
 		if err := json.Unmarshal(b, &got); err != nil {
 			return nil, err
 		}
@@ -68,7 +69,7 @@
 	}
 }
 
-func (l *lines) read() ([]byte, error) {
+func (l *lineReader) readLine() ([]byte, error) {
 	var all []byte
 	for {
 		b, err := l.r.ReadSlice('\n')
@@ -79,11 +80,11 @@
 		switch {
 		case err == nil:
 			return all, nil
-		case err == io.EOF && l.left.N <= 0:
+		case errors.Is(err, io.EOF) && l.limit.N <= 0:
 			return nil, bufio.ErrTooLong
-		case err == io.EOF && len(all) > 0:
-			return all, nil // the last line may have no end of line; a broken one does not parse
-		case err != bufio.ErrBufferFull:
+		case errors.Is(err, io.EOF) && len(all) > 0:
+			return all, nil // the last line may lack its newline; a truncated one does not parse
+		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
 		case len(all) > maxLine:
 			return nil, bufio.ErrTooLong
@@ -91,19 +92,19 @@
 	}
 }
 
-// discard reads the rest, and tells whether it came to the answer's end.
-func (l *lines) discard() (whole bool) {
+// discard reads the rest, and reports whether it reached the response's end.
+func (l *lineReader) discard() (complete bool) {
 	_, err := io.Copy(io.Discard, l.r)
-	return err == nil && l.left.N > 0
+	return err == nil && l.limit.N > 0
 }
 
-// textReport decodes a load report in the form "TEXT name=value, name=value". What it does not know, or what
-// is no number, it skips.
+// textReport parses a load report in the form "TEXT name=value, name=value". It skips what it does not know, and what
+// is not a number.
 func textReport(s *config.Settings, text string) policy.Report {
 	r := policy.NoReport
 	text = strings.TrimPrefix(strings.TrimSpace(text), "TEXT")
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
 		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); ok && err == nil {
 			setReport(s, &r, strings.TrimSpace(name), x)
 		}
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -43,7 +43,7 @@
 }
 
 func newLimitedListener(l net.Listener, maxConns int, retryAfter func() time.Duration, giveUps *GiveUps, log logrus.FieldLogger) *limitedListener {
-	return &limitedListener{Listener: l, maxConns: maxConns, maxLingering: config.LingerRoom(maxConns), retryAfter: retryAfter, giveUps: giveUps, log: log}
+	return &limitedListener{Listener: l, maxConns: maxConns, maxLingering: config.MaxLingering(maxConns), retryAfter: retryAfter, giveUps: giveUps, log: log}
 }
 
 // open returns the number of open connections, without lingering ones. c.mu is held.
--- a/internal/dispatcher/maintenance/disabled.go
+++ b/internal/dispatcher/maintenance/disabled.go
@@ -63,8 +63,8 @@
 	return born
 }
 
-// Held returns the ids that are out, in order, to hand on to the next process.
-func (d *Disabled) Held() []string {
+// Names returns the ids that are out, in order, to hand on to the next process.
+func (d *Disabled) Names() []string {
 	ids := make([]string, 0, len(d.out))
 	for id := range d.out {
 		ids = append(ids, id)
--- a/internal/dispatcher/maintenance/disabled_test.go
+++ b/internal/dispatcher/maintenance/disabled_test.go
@@ -25,7 +25,7 @@
 	_, err := d.Enable("s-404", false, 0)
 	assert.ErrorIs(t, err, ErrUnknown)
 	assert.False(t, d.Has("s-404"))
-	assert.Empty(t, d.Held())
+	assert.Empty(t, d.Names())
 }
 
 func TestDisablingOutlastsTheList(t *testing.T) {
@@ -60,8 +60,8 @@
 	d := New(nil)
 	require.NoError(t, d.Disable("s-2", true))
 	require.NoError(t, d.Disable("s-1", true))
-	next := New(d.Held())
-	assert.Equal(t, []string{"s-1", "s-2"}, next.Held())
+	next := New(d.Names())
+	assert.Equal(t, []string{"s-1", "s-2"}, next.Names())
 	assert.True(t, next.Has("s-1"))
 	enabled, err := next.Enable("s-1", false, time.Second)
 	require.NoError(t, err)
--- a/internal/dispatcher/routetable/clock.go
+++ b/internal/dispatcher/routetable/clock.go
@@ -3,48 +3,48 @@
 import "time"
 
 // The terms on which a list counts as told, whether lists are pushed or asked for. What a watch that fell silent
-// misses counts as told silenceTerm after the silence began, or holdTerm after the wait of its call is over, if that is
+// misses counts as told noticeAfterSilence after the silence began, or noticeAfterHold after the wait of its call is over, if that is
 // later.
 const (
-	silenceTerm = 6 * time.Second
-	holdTerm    = 2 * time.Second
+	noticeAfterSilence = 6 * time.Second
+	noticeAfterHold    = 2 * time.Second
 )
 
 const (
-	// callGrace is how much longer than its hold a call to discovery may take. Discovery serves its callers one
+	// callSlack is how much longer than its hold a call to discovery may take. Discovery serves its callers one
 	// after another and a call may wait its turn; a cut network is silent, so without this a call never ends.
-	callGrace = 1500 * time.Millisecond
-	// mostHold is the longest that a watch is held for. With it, a call that brings nothing is broken off a second
+	callSlack = 1500 * time.Millisecond
+	// maxHold is the longest that a watch is held for. With it, a call that brings nothing is broken off a second
 	// before anything that it missed counts as told, which leaves time for the next call's answer, and for one
 	// more call where that one fails.
-	mostHold = silenceTerm - callGrace - time.Second
+	maxHold = noticeAfterSilence - callSlack - time.Second
 )
 
-// clock holds the times of the watch that those terms are counted from. Its methods are given the time; only the watcher
+// watchClock holds the times of the watch that those terms are counted from. Its methods are given the time; only the watcher
 // uses it.
-type clock struct {
-	heard time.Time     // the last whole answer, or the start
-	began time.Time     // the call under way; zero: none
-	hold  time.Duration // of that call
+type watchClock struct {
+	lastResponse time.Time     // the last whole answer, or the start
+	callStarted  time.Time     // the call under way; zero: none
+	hold         time.Duration // of that call
 }
 
-// call notes that a call goes out that discovery may hold for so long. It returns when the call is to be broken off.
-func (c *clock) call(now time.Time, hold time.Duration) (until time.Time) {
-	c.began, c.hold = now, hold
-	if c.heard.IsZero() {
-		c.heard = now
+// startCall notes that a call goes out that discovery may hold for so long. It returns when the call is to be broken off.
+func (c *watchClock) startCall(now time.Time, hold time.Duration) (until time.Time) {
+	c.callStarted, c.hold = now, hold
+	if c.lastResponse.IsZero() {
+		c.lastResponse = now
 	}
-	return now.Add(hold + callGrace)
+	return now.Add(hold + callSlack)
 }
 
-// answer notes that a list came.
-func (c *clock) answer(now time.Time) { c.heard, c.began = now, time.Time{} }
+// responded notes that a list came.
+func (c *watchClock) responded(now time.Time) { c.lastResponse, c.callStarted = now, time.Time{} }
 
-// told returns from when on a change that was made right after the last sign of discovery counts as told, though no
+// noticedAt returns from when on a change that was made right after the last sign of discovery counts as told, though no
 // call brought it.
-func (c *clock) told() time.Time {
-	told := c.heard.Add(silenceTerm)
-	if held := c.began.Add(c.hold + holdTerm); !c.began.IsZero() && c.hold > 0 && held.After(told) {
+func (c *watchClock) noticedAt() time.Time {
+	told := c.lastResponse.Add(noticeAfterSilence)
+	if held := c.callStarted.Add(c.hold + noticeAfterHold); !c.callStarted.IsZero() && c.hold > 0 && held.After(told) {
 		return held
 	}
 	return told
--- a/internal/dispatcher/routetable/clock_test.go
+++ b/internal/dispatcher/routetable/clock_test.go
@@ -18,7 +18,7 @@
 )
 
 // When a silence counts as heard, by the last answer, the call under way and its wait.
-func TestWhenSilenceCountsAsTold(t *testing.T) {
+func TestWhenChangesCountAsNoticed(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	for name, tt := range map[string]struct {
 		heard, call, hold float64 // call under 0: none under way
@@ -34,37 +34,37 @@
 		"a call that may not wait, and late": {1, 5, 0, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var c clock
-			c.answer(at(tt.heard))
+			var c watchClock
+			c.responded(at(tt.heard))
 			if tt.call >= 0 {
-				c.call(at(tt.call), time.Duration(tt.hold*float64(time.Second)))
+				c.startCall(at(tt.call), time.Duration(tt.hold*float64(time.Second)))
 			}
-			assert.Equal(t, at(tt.told), c.told())
+			assert.Equal(t, at(tt.told), c.noticedAt())
 		})
 	}
-	var c clock
-	c.call(at(3), 0)
-	assert.Equal(t, at(9), c.told(), "before the first answer it counts from the first call")
+	var c watchClock
+	c.startCall(at(3), 0)
+	assert.Equal(t, at(9), c.noticedAt(), "before the first answer it counts from the first call")
 }
 
 // However a watch falls silent, its call is broken off at least a second before what it missed counts as told.
-func TestSilentCallsLeaveTimeForAnother(t *testing.T) {
+func TestHungCallsEndInTimeForAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c clock
+		var c watchClock
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 6).Draw(t, "calls") {
-			hold := min(mostHold, time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "hold")))
-			until := c.call(now, hold)
-			if spare := c.told().Sub(until); spare < time.Second {
+			hold := min(maxHold, time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "hold")))
+			until := c.startCall(now, hold)
+			if spare := c.noticedAt().Sub(until); spare < time.Second {
 				t.Fatalf("a call held for %v leaves %v", hold, spare)
 			}
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(hold)).Draw(t, "answered after")))
-			c.answer(now)
+			c.responded(now)
 		}
 	})
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -72,7 +72,7 @@
 
 // Guards against changes that are applied to a list they do not belong to: where discovery's version goes back, as when it
 // started over, the whole list is asked for at once.
-func TestVersionThatWentBackAsksForTheWholeList(t *testing.T) {
+func TestVersionThatWentBackFetchesTheFullList(t *testing.T) {
 	calls := make(chan string, 16)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
@@ -87,9 +87,9 @@
 	}))
 	defer srv.Close()
 	table := New()
-	table.Apply(&List{Seq: 90, Whole: true, Hosts: []Host{{Host: "a", Dial: "x:0", Health: "SERVING"}}})
+	table.Apply(&List{Seq: 90, Full: true, Hosts: []Host{{Host: "a", Dial: "x:0", Health: "SERVING"}}})
 	news := make(chan policy.Event, 16)
-	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { news <- e }, quiet())
+	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { news <- e }, discardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
@@ -103,12 +103,12 @@
 		_, ok := table.Lookup(gone)
 		assert.False(t, ok, gone)
 	}
-	assert.Equal(t, fmt.Sprintf("from=3&hold_ms=%d", mostHold.Milliseconds()), <-calls)
+	assert.Equal(t, fmt.Sprintf("from=3&hold_ms=%d", maxHold.Milliseconds()), <-calls)
 }
 
 // Where lists are pushed what is told at discovery's return counts at once: while it is down a watch is tried often
 // enough that one is open within the time in which a drain must be heeded.
-func TestPushedListIsBackWithinTheDrainsGrace(t *testing.T) {
+func TestPushedListIsRetriedWithinTheDrainGrace(t *testing.T) {
 	const grace = 300 * time.Millisecond
 	calls := make(chan time.Time, 1000)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -116,12 +116,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer srv.Close()
-	w := NewWatcher(New(), srv.Listener.Addr().String(), time.Second, grace, func(policy.Event) {}, quiet())
-	assert.Equal(t, grace/3, w.pace.Load().most)
+	w := NewWatcher(New(), srv.Listener.Addr().String(), time.Second, grace, func(policy.Event) {}, discardLogger())
+	assert.Equal(t, grace/3, w.pacing.Load().maxBackoff)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
-	w.Keep(true)
+	w.KeepOpen(true)
 	last := <-calls
 	for range 20 { // an outage of about 2 s, after which the waits would have grown to over a second
 		at := <-calls
@@ -129,7 +129,7 @@
 		last = at
 	}
 	select {
-	case <-w.First():
+	case <-w.FirstList():
 		t.Fatal("no list came")
 	default:
 	}
@@ -137,7 +137,7 @@
 
 // Guards against a drain that comes late because the module is busy with the news before it: the next call goes out, and
 // its answer counts in the table, while they wait. All of them are told in the end, in order.
-func TestBusyReaderHoldsUpNoDrain(t *testing.T) {
+func TestBusyModuleDelaysNoDrain(t *testing.T) {
 	const patience = 20 * time.Second
 	answers := make(chan string, 2)
 	answers <- `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"x:1","health":"SERVING"}]}`
@@ -152,7 +152,7 @@
 	defer srv.Close()
 	table := New()
 	busy, told := make(chan struct{}), make(chan policy.Event, 16)
-	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { <-busy; told <- e }, quiet())
+	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { <-busy; told <- e }, discardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
@@ -162,7 +162,7 @@
 		return ok && r.State == policy.Draining
 	}, patience, time.Millisecond)
 	select {
-	case <-w.First():
+	case <-w.FirstList():
 		t.Fatal("the first list was told by nobody yet")
 	default:
 	}
@@ -171,5 +171,5 @@
 	second := <-told
 	assert.Equal(t, policy.ListChanged, second.Kind)
 	assert.Equal(t, policy.Draining, second.Members[0].State)
-	<-w.First()
+	<-w.FirstList()
 }
--- a/internal/dispatcher/routetable/disabled_test.go
+++ b/internal/dispatcher/routetable/disabled_test.go
@@ -13,10 +13,10 @@
 
 // A runner taken out is closed to egress and drains for the module whatever the list says next, until it is let
 // back in; then it is told as started at that moment, so the module warms it as a cold one.
-func TestDisablingHoldsWhateverTheListSays(t *testing.T) {
+func TestDisabledRunnerDrainsWhateverTheListSays(t *testing.T) {
 	table := New()
 	a := Host{Host: "a", Dial: "1.2.3.4:5", Class: "m", Health: "SERVING", BornMs: 7}
-	table.Apply(&List{Seq: 1, Whole: true, Hosts: []Host{a}})
+	table.Apply(&List{Seq: 1, Full: true, Hosts: []Host{a}})
 
 	told, err := table.Disable("a")
 	require.NoError(t, err)
@@ -26,7 +26,7 @@
 	_, ok := table.Lookup("a")
 	assert.True(t, ok, "what it holds still ends")
 
-	got := table.Apply(&List{Seq: 2, Whole: true, Hosts: []Host{a}}) // discovery says it serves
+	got := table.Apply(&List{Seq: 2, Full: true, Hosts: []Host{a}}) // discovery says it serves
 	assert.Equal(t, policy.Draining, got[0].State)
 	assert.False(t, table.Open("a"))
 	_, err = table.Disable("a")
@@ -47,10 +47,10 @@
 }
 
 // A process that takes over starts with the disabled runners of the one before, before its list names the runner.
-func TestDisabledRunnersAreTakenOver(t *testing.T) {
+func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	table := New("a")
 	assert.Equal(t, []string{"a"}, table.Disabled())
-	got := table.Apply(&List{Seq: 1, Whole: true, Hosts: []Host{{Host: "a", Dial: "1.2.3.4:5", Health: "SERVING"}}})
+	got := table.Apply(&List{Seq: 1, Full: true, Hosts: []Host{{Host: "a", Dial: "1.2.3.4:5", Health: "SERVING"}}})
 	assert.Equal(t, policy.Draining, got[0].State)
 	assert.False(t, table.Open("a"))
 }
--- a/internal/dispatcher/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -20,7 +20,7 @@
 	table := New()
 	a := Host{Host: "a", Dial: "1.2.3.4:5", Site: "z", Class: "m", Block: 2, Health: "SERVING", BornMs: 7}
 	b := Host{Host: "b", Dial: "1.2.3.4:6", Health: "SERVING"}
-	got := table.Apply(&List{Seq: 3, Whole: true, Hosts: []Host{a, b}})
+	got := table.Apply(&List{Seq: 3, Full: true, Hosts: []Host{a, b}})
 	assert.Equal(t, policy.Member{Worker: "a", Zone: "z", Cell: 2, Kind: "m", Started: 7 * time.Millisecond}, got[0])
 	assert.True(t, table.Open("a"))
 
@@ -33,7 +33,7 @@
 	assert.False(t, ok)
 	assert.Equal(t, int64(4), table.Seq())
 
-	table.Apply(&List{Seq: 5, Whole: true, Hosts: []Host{b}})
+	table.Apply(&List{Seq: 5, Full: true, Hosts: []Host{b}})
 	_, ok = table.Lookup("a")
 	assert.False(t, ok, "what a whole list does not name is gone")
 }
@@ -88,7 +88,7 @@
 
 // Where lists are pushed nobody asks for them: the watch is opened from the first moment on, and anew when it fell silent or
 // failed, until that is switched off.
-func TestPushedListsAreWatchedUnasked(t *testing.T) {
+func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	calls := make(chan int, 64)
 	n := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -111,38 +111,38 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
-	w.Keep(true)
+	w.KeepOpen(true)
 	assert.Equal(t, policy.ListChanged, (<-news).Kind, "unasked")
 	for range 3 {
 		assert.Equal(t, policy.ListUnavailable, (<-news).Kind, "silent, and then refused")
 	}
 	assert.Equal(t, policy.ListChanged, (<-news).Kind, "and open again")
-	w.Keep(false)
+	w.KeepOpen(false)
 	for len(calls) > 0 {
 		<-calls
 	}
-	time.Sleep(2 * againFirst)
+	time.Sleep(2 * minRetryInterval)
 	for len(calls) > 0 { // one that was arranged before
 		<-calls
 	}
-	time.Sleep(3 * againMost / 2)
+	time.Sleep(3 * maxRetryInterval / 2)
 	assert.Empty(t, calls)
 }
 
 // Guards against a network cut in silence: a call that brings nothing ends by itself.
-func TestSilentCallEnds(t *testing.T) {
+func TestHungCallEnds(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer srv.Close()
 	w := NewWatcher(New(), srv.Listener.Addr().String(), time.Second, 0, nil, logrus.New())
 	before := time.Now()
-	_, err := w.call(context.Background(), newPlace(srv.Listener.Addr().String(), false), 0)
+	_, err := w.call(context.Background(), newEndpoint(srv.Listener.Addr().String(), false), 0)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
-	assert.GreaterOrEqual(t, time.Since(before), callGrace)
+	assert.GreaterOrEqual(t, time.Since(before), callSlack)
 }
 
 // Guards against a watch that is held at discovery's old address while the new one has news: the move breaks it
 // off, and the new service is asked for its whole list, as its versions need not go on from the old one's.
-func TestMoveBreaksOffAHeldWatch(t *testing.T) {
+func TestMoveCancelsAHungWatch(t *testing.T) {
 	serve := func(seq int, host string, held chan<- string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if hold := r.URL.Query().Get("hold_ms"); hold != "" && hold != "0" {
--- a/internal/dispatcher/routetable/table.go
+++ b/internal/dispatcher/routetable/table.go
@@ -25,7 +25,7 @@
 // List is what discovery answers, whole or as changes.
 type List struct {
 	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Full  bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
@@ -114,7 +114,7 @@
 	if !known {
 		return nil, nil
 	}
-	return []policy.Member{t.seen(m)}, nil
+	return []policy.Member{t.effective(m)}, nil
 }
 
 // Enable lets a runner serve again; it is told to the module as a process that starts now, cold.
@@ -126,19 +126,19 @@
 	if err != nil || !enabled || !known {
 		return nil, err
 	}
-	return []policy.Member{t.seen(m)}, nil
+	return []policy.Member{t.effective(m)}, nil
 }
 
 // Disabled returns the runners that are out, to hand on to a process that takes over.
 func (t *Table) Disabled() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.disabled.Held()
+	return t.disabled.Names()
 }
 
-// seen is a member as the module is to see it: draining while it is out, and started no sooner than it came
+// effective is a member as the module is to see it: draining while it is out, and started no sooner than it came
 // back. t.mu is held.
-func (t *Table) seen(m policy.Member) policy.Member {
+func (t *Table) effective(m policy.Member) policy.Member {
 	if t.disabled.Has(m.Worker) && m.State == policy.Ready {
 		m.State = policy.Draining
 	}
@@ -152,7 +152,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq = l.Seq
-	if l.Whole {
+	if l.Full {
 		clear(t.routes)
 		clear(t.members)
 	}
@@ -171,7 +171,7 @@
 			t.routes[h.Host] = Route{Dial: h.Dial, Site: h.Site, State: state}
 			t.members[h.Host] = m
 		}
-		members = append(members, t.seen(m))
+		members = append(members, t.effective(m))
 	}
 	return members
 }
