--- a/internal/dispatcher/routetable/clock.go
+++ b/internal/dispatcher/routetable/clock.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// The terms on which a list counts as told, whether lists are pushed or asked for. What a watch that fell silent
-// misses counts as told noticeAfterSilence after the silence began, or noticeAfterHold after the wait of its call is over, if that is
-// later.
+// By the platform's rules a dispatcher counts as notified of a change that its watch missed, because the network
+// carried nothing, noticeAfterSilence after the last response, or noticeAfterHold after the end of the hold of the
+// call in progress, whichever is later. They apply to lists that are pushed and that are requested.
 const (
 	noticeAfterSilence = 6 * time.Second
 	noticeAfterHold    = 2 * time.Second
 )
 
 const (
-	// callSlack is how much longer than its hold a call to discovery may take. Discovery serves its callers one
-	// after another and a call may wait its turn; a cut network is silent, so without this a call never ends.
+	// callSlack is how much longer than its hold a call to discovery may take. Discovery serves its callers one after
+	// another, so a call may be queued; and without a bound a call through a partitioned network never ends.
 	callSlack = 1500 * time.Millisecond
-	// maxHold is the longest that a watch is held for. With it, a call that brings nothing is broken off a second
-	// before anything that it missed counts as told, which leaves time for the next call's answer, and for one
-	// more call where that one fails.
+	// maxHold is the longest hold of a watch. With it, a call without a response is cancelled a second before the
+	// dispatcher counts as notified of what it missed. That leaves time for the next call's response, and for one
+	// more call if that one fails.
 	maxHold = noticeAfterSilence - callSlack - time.Second
 )
 
-// watchClock holds the times of the watch that those terms are counted from. Its methods are given the time; only the watcher
-// uses it.
+// watchClock holds the times of the watch that those rules count from. It is of the goroutine of Watcher.Run.
 type watchClock struct {
-	lastResponse time.Time     // the last whole answer, or the start
-	callStarted  time.Time     // the call under way; zero: none
+	lastResponse time.Time     // the last complete response, or the first call
+	callStarted  time.Time     // of the call in progress; zero: none
 	hold         time.Duration // of that call
 }
 
-// startCall notes that a call goes out that discovery may hold for so long. It returns when the call is to be broken off.
+// startCall notes the start of a call that discovery may hold for so long, and returns when the call is to be
+// cancelled.
 func (c *watchClock) startCall(now time.Time, hold time.Duration) (until time.Time) {
 	c.callStarted, c.hold = now, hold
 	if c.lastResponse.IsZero() {
@@ -37,15 +37,15 @@
 	return now.Add(hold + callSlack)
 }
 
-// responded notes that a list came.
+// responded notes that a list was received.
 func (c *watchClock) responded(now time.Time) { c.lastResponse, c.callStarted = now, time.Time{} }
 
-// noticedAt returns from when on a change that was made right after the last sign of discovery counts as told, though no
-// call brought it.
+// noticedAt returns when the dispatcher counts as notified of a change that discovery made right after its last
+// response, though no call brought it.
 func (c *watchClock) noticedAt() time.Time {
-	told := c.lastResponse.Add(noticeAfterSilence)
-	if held := c.callStarted.Add(c.hold + noticeAfterHold); !c.callStarted.IsZero() && c.hold > 0 && held.After(told) {
-		return held
+	at := c.lastResponse.Add(noticeAfterSilence)
+	if afterHold := c.callStarted.Add(c.hold + noticeAfterHold); !c.callStarted.IsZero() && c.hold > 0 && afterHold.After(at) {
+		return afterHold
 	}
-	return told
+	return at
 }
--- a/internal/dispatcher/routetable/clock_test.go
+++ b/internal/dispatcher/routetable/clock_test.go
@@ -17,37 +17,38 @@
 	"ospreypond/policy"
 )
 
-// When a silence counts as heard, by the last answer, the call under way and its wait.
+// When the dispatcher counts as notified of a missed change: by the last response, the call in progress and its hold.
 func TestWhenChangesCountAsNoticed(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	for name, tt := range map[string]struct {
-		heard, call, hold float64 // call under 0: none under way
-		told              float64
+		response, call, hold float64 // call under 0: none in progress
+		noticed              float64
 	}{
-		"no call under way":                  {1, -1, 0, 7},
-		"a call that may not wait":           {1, 1, 0, 7},
-		"a short wait":                       {1, 1, 2, 7},
-		"the longest wait of ours":           {1, 1, 3.5, 7},
-		"a wait as long as the term":         {1, 1, 4, 7},
-		"a longer wait: 2 s after its end":   {1, 1, 20, 23},
-		"a call some time after the answer":  {1, 4, 3.5, 9.5},
-		"a call that may not wait, and late": {1, 5, 0, 7},
+		"no call in progress":                 {1, -1, 0, 7},
+		"a call that is not held":             {1, 1, 0, 7},
+		"a short hold":                        {1, 1, 2, 7},
+		"the longest hold in use":             {1, 1, 3.5, 7},
+		"a hold as long as the term":          {1, 1, 4, 7},
+		"a longer hold: 2 s after its end":    {1, 1, 20, 23},
+		"a call some time after the response": {1, 4, 3.5, 9.5},
+		"a late call that is not held":        {1, 5, 0, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var c watchClock
-			c.responded(at(tt.heard))
+			c.responded(at(tt.response))
 			if tt.call >= 0 {
 				c.startCall(at(tt.call), time.Duration(tt.hold*float64(time.Second)))
 			}
-			assert.Equal(t, at(tt.told), c.noticedAt())
+			assert.Equal(t, at(tt.noticed), c.noticedAt())
 		})
 	}
 	var c watchClock
 	c.startCall(at(3), 0)
-	assert.Equal(t, at(9), c.noticedAt(), "before the first answer it counts from the first call")
+	assert.Equal(t, at(9), c.noticedAt(), "before the first response it counts from the first call")
 }
 
-// However a watch falls silent, its call is broken off at least a second before what it missed counts as told.
+// However a watch hangs, its call is cancelled at least a second before the dispatcher counts as notified of what it
+// missed.
 func TestHungCallsEndInTimeForAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c watchClock
@@ -70,17 +71,17 @@
 	return log
 }
 
-// Guards against changes that are applied to a list they do not belong to: where discovery's version goes back, as when it
-// started over, the whole list is asked for at once.
+// Guards against changes that are applied to a list they do not belong to: if discovery's version goes back, as after
+// a restart, the full list is requested at once.
 func TestVersionThatWentBackFetchesTheFullList(t *testing.T) {
 	calls := make(chan string, 16)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		switch {
 		case r.URL.RawQuery == "":
-			fmt.Fprint(w, `{"seq":3,"whole":true,"hosts":[{"host":"b","dial":"x:1","health":"SERVING"}]}`)
+			_, _ = io.WriteString(w, `{"seq":3,"whole":true,"hosts":[{"host":"b","dial":"x:1","health":"SERVING"}]}`)
 		case r.URL.Query().Get("from") == "90":
-			fmt.Fprint(w, `{"seq":2,"whole":false,"hosts":[{"host":"c","dial":"x:2","health":"SERVING"}]}`)
+			_, _ = io.WriteString(w, `{"seq":2,"whole":false,"hosts":[{"host":"c","dial":"x:2","health":"SERVING"}]}`)
 		default:
 			<-r.Context().Done()
 		}
@@ -88,26 +89,26 @@
 	defer srv.Close()
 	table := New()
 	table.Apply(&List{Seq: 90, Full: true, Hosts: []Host{{Host: "a", Dial: "x:0", Health: "SERVING"}}})
-	news := make(chan policy.Event, 16)
-	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { news <- e }, discardLogger())
+	events := make(chan policy.Event, 16)
+	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { events <- e }, discardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
 	w.Subscribe()
 	assert.Equal(t, "from=90&hold_ms=0", <-calls)
-	assert.Empty(t, <-calls, "the whole list")
-	e := <-news
+	assert.Empty(t, <-calls, "the full list")
+	e := <-events
 	assert.Equal(t, policy.ListReplaced, e.Kind)
 	assert.Equal(t, "b", e.Members[0].Worker)
-	for _, gone := range []string{"a", "c"} {
-		_, ok := table.Lookup(gone)
-		assert.False(t, ok, gone)
+	for _, removed := range []string{"a", "c"} {
+		_, ok := table.Lookup(removed)
+		assert.False(t, ok, removed)
 	}
 	assert.Equal(t, fmt.Sprintf("from=3&hold_ms=%d", maxHold.Milliseconds()), <-calls)
 }
 
-// Where lists are pushed what is told at discovery's return counts at once: while it is down a watch is tried often
-// enough that one is open within the time in which a drain must be heeded.
+// Where lists are pushed the dispatcher counts as notified as soon as discovery is back: during an outage a watch is
+// retried often enough that one is open within the time in which a drain must be heeded.
 func TestPushedListIsRetriedWithinTheDrainGrace(t *testing.T) {
 	const grace = 300 * time.Millisecond
 	calls := make(chan time.Time, 1000)
@@ -135,24 +136,24 @@
 	}
 }
 
-// Guards against a drain that comes late because the module is busy with the news before it: the next call goes out, and
-// its answer counts in the table, while they wait. All of them are told in the end, in order.
+// Guards against a drain that is delayed because the module is busy with earlier events: the next call starts, and
+// its response is in the table, while they wait. All of them are passed on in the end, in order.
 func TestBusyModuleDelaysNoDrain(t *testing.T) {
-	const patience = 20 * time.Second
-	answers := make(chan string, 2)
-	answers <- `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"x:1","health":"SERVING"}]}`
-	answers <- `{"seq":2,"whole":false,"hosts":[{"host":"a","dial":"x:1","health":"DRAINING"}]}`
+	const timeout = 20 * time.Second
+	responses := make(chan string, 2)
+	responses <- `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"x:1","health":"SERVING"}]}`
+	responses <- `{"seq":2,"whole":false,"hosts":[{"host":"a","dial":"x:1","health":"DRAINING"}]}`
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case answer := <-answers:
-			fmt.Fprint(w, answer)
+		case response := <-responses:
+			_, _ = io.WriteString(w, response)
 		case <-r.Context().Done():
 		}
 	}))
 	defer srv.Close()
 	table := New()
-	busy, told := make(chan struct{}), make(chan policy.Event, 16)
-	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { <-busy; told <- e }, discardLogger())
+	busy, noticed := make(chan struct{}), make(chan policy.Event, 16)
+	w := NewWatcher(table, srv.Listener.Addr().String(), time.Hour, 0, func(e policy.Event) { <-busy; noticed <- e }, discardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
@@ -160,15 +161,15 @@
 	require.Eventually(t, func() bool {
 		r, ok := table.Lookup("a")
 		return ok && r.State == policy.Draining
-	}, patience, time.Millisecond)
+	}, timeout, time.Millisecond)
 	select {
 	case <-w.FirstList():
-		t.Fatal("the first list was told by nobody yet")
+		t.Fatal("the first list was passed to nobody yet")
 	default:
 	}
 	close(busy)
-	assert.Equal(t, policy.ListReplaced, (<-told).Kind)
-	second := <-told
+	assert.Equal(t, policy.ListReplaced, (<-noticed).Kind)
+	second := <-noticed
 	assert.Equal(t, policy.ListChanged, second.Kind)
 	assert.Equal(t, policy.Draining, second.Members[0].State)
 	<-w.FirstList()
--- a/internal/dispatcher/routetable/disabled_test.go
+++ b/internal/dispatcher/routetable/disabled_test.go
@@ -11,42 +11,42 @@
 	"ospreypond/policy"
 )
 
-// A runner taken out is closed to egress and drains for the module whatever the list says next, until it is let
-// back in; then it is told as started at that moment, so the module warms it as a cold one.
+// A disabled runner is closed to egress and drains for the module whatever the list says, until it is enabled. Then
+// the module sees it as started at that time, so that it warms up.
 func TestDisabledRunnerDrainsWhateverTheListSays(t *testing.T) {
 	table := New()
 	a := Host{Host: "a", Dial: "1.2.3.4:5", Class: "m", Health: "SERVING", BornMs: 7}
 	table.Apply(&List{Seq: 1, Full: true, Hosts: []Host{a}})
 
-	told, err := table.Disable("a")
+	members, err := table.Disable("a")
 	require.NoError(t, err)
-	require.Len(t, told, 1)
-	assert.Equal(t, policy.Draining, told[0].State)
-	assert.False(t, table.Open("a"), "nothing new goes to it")
+	require.Len(t, members, 1)
+	assert.Equal(t, policy.Draining, members[0].State)
+	assert.False(t, table.Open("a"), "it gets nothing new")
 	_, ok := table.Lookup("a")
-	assert.True(t, ok, "what it holds still ends")
+	assert.True(t, ok, "its attempts still end")
 
 	got := table.Apply(&List{Seq: 2, Full: true, Hosts: []Host{a}}) // discovery says it serves
 	assert.Equal(t, policy.Draining, got[0].State)
 	assert.False(t, table.Open("a"))
 	_, err = table.Disable("a")
-	require.NoError(t, err, "a second call out")
+	require.NoError(t, err, "a second Disable")
 
 	back := time.Unix(1000, 0)
-	told, err = table.Enable("a", back)
+	members, err = table.Enable("a", back)
 	require.NoError(t, err)
-	require.Len(t, told, 1)
-	assert.Equal(t, policy.Ready, told[0].State, "one call back is enough")
-	assert.Equal(t, time.Duration(back.UnixNano()), told[0].Started, "it returns cold")
+	require.Len(t, members, 1)
+	assert.Equal(t, policy.Ready, members[0].State, "one Enable is enough")
+	assert.Equal(t, time.Duration(back.UnixNano()), members[0].Started, "it warms up")
 	assert.True(t, table.Open("a"))
 	got = table.Apply(&List{Seq: 3, Hosts: []Host{a}})
-	assert.Equal(t, time.Duration(back.UnixNano()), got[0].Started, "an older start from discovery does not warm it")
+	assert.Equal(t, time.Duration(back.UnixNano()), got[0].Started, "an older start from discovery does not change that")
 
 	_, err = table.Disable("nobody")
 	assert.ErrorIs(t, err, maintenance.ErrUnknown)
 }
 
-// A process that takes over starts with the disabled runners of the one before, before its list names the runner.
+// A process starts with the disabled runners of its predecessor, before its list names the runner.
 func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	table := New("a")
 	assert.Equal(t, []string{"a"}, table.Disabled())
--- a/internal/dispatcher/routetable/notifier.go
+++ b/internal/dispatcher/routetable/notifier.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// notifier tells what the watcher learned, in order, on a goroutine of its own. Guards against a busy reader that holds up
-// the watch: what is learned stands in the table before it is told, and the next call must be out meanwhile.
+// notifier passes on what the watcher learned, in order, on a goroutine of its own. Guards against a busy receiver
+// that delays the watch: a change is in the table before it is passed on, and the next call must start meanwhile.
 type notifier struct {
 	mu    sync.Mutex
 	queue []func()
@@ -15,26 +15,26 @@
 
 func newNotifier() *notifier { return &notifier{wake: make(chan struct{}, 1)} }
 
-// enqueue has f called after all that was to be told before. It does not block.
-func (t *notifier) enqueue(f func()) {
-	t.mu.Lock()
-	t.queue = append(t.queue, f)
-	t.mu.Unlock()
+// enqueue has run call f after all functions that were enqueued before. It does not block.
+func (n *notifier) enqueue(f func()) {
+	n.mu.Lock()
+	n.queue = append(n.queue, f)
+	n.mu.Unlock()
 	select {
-	case t.wake <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run tells until ctx ends.
-func (t *notifier) run(ctx context.Context) {
+// run calls the enqueued functions until ctx ends.
+func (n *notifier) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.wake:
+		case <-n.wake:
 		}
-		for _, f := range t.takeAll() {
+		for _, f := range n.takeAll() {
 			if ctx.Err() != nil {
 				return
 			}
@@ -43,10 +43,11 @@
 	}
 }
 
-func (t *notifier) takeAll() []func() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	waiting := t.queue
-	t.queue = nil
-	return waiting
+// takeAll empties the queue and returns what was in it.
+func (n *notifier) takeAll() []func() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	queue := n.queue
+	n.queue = nil
+	return queue
 }
--- a/internal/dispatcher/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -28,14 +28,14 @@
 	table.Apply(&List{Seq: 4, Hosts: []Host{a, {Host: "b", Health: "DELETED"}}})
 	assert.False(t, table.Open("a"))
 	_, ok := table.Lookup("a")
-	assert.True(t, ok, "what drains still ends its attempts")
+	assert.True(t, ok, "a draining runner still ends its attempts")
 	_, ok = table.Lookup("b")
 	assert.False(t, ok)
 	assert.Equal(t, int64(4), table.Seq())
 
 	table.Apply(&List{Seq: 5, Full: true, Hosts: []Host{b}})
 	_, ok = table.Lookup("a")
-	assert.False(t, ok, "what a whole list does not name is gone")
+	assert.False(t, ok, "a full list removes what it does not name")
 }
 
 func TestCheckNamesTheEntry(t *testing.T) {
@@ -49,8 +49,8 @@
 	assert.NoError(t, (&List{Hosts: []Host{{Host: "a", Health: "DELETED"}}}).Check())
 }
 
-// A subscription is answered at once, also where nothing changed: its first call is not held. A failed call is
-// told as such, and nothing is asked until the next subscription.
+// A subscription gets a response at once, even if nothing changed: its first call is not held. A failed call is
+// passed on as such, and there is no further call until the next subscription.
 func TestWatch(t *testing.T) {
 	calls := make(chan string, 16)
 	fail := make(chan bool, 16)
@@ -64,14 +64,14 @@
 				<-r.Context().Done()
 				return
 			}
-			fmt.Fprint(w, `{"seq":9,"whole":false,"hosts":[]}`)
+			_, _ = io.WriteString(w, `{"seq":9,"whole":false,"hosts":[]}`)
 		}
 	}))
 	defer srv.Close()
-	news := make(chan policy.Event, 16)
+	events := make(chan policy.Event, 16)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	w := NewWatcher(New(), srv.Listener.Addr().String(), 3*time.Second, 0, func(e policy.Event) { news <- e }, log)
+	w := NewWatcher(New(), srv.Listener.Addr().String(), 3*time.Second, 0, func(e policy.Event) { events <- e }, log)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
@@ -79,15 +79,15 @@
 	fail <- true
 	w.Subscribe()
 	assert.Equal(t, "from=0&hold_ms=0", <-calls)
-	assert.Equal(t, policy.ListUnavailable, (<-news).Kind)
+	assert.Equal(t, policy.ListUnavailable, (<-events).Kind)
 	w.Subscribe()
 	assert.Equal(t, "from=0&hold_ms=0", <-calls)
-	assert.Equal(t, policy.ListChanged, (<-news).Kind)
+	assert.Equal(t, policy.ListChanged, (<-events).Kind)
 	assert.Equal(t, "from=9&hold_ms=3000", <-calls, "the next call goes out at once and is held")
 }
 
-// Where lists are pushed nobody asks for them: the watch is opened from the first moment on, and anew when it fell silent or
-// failed, until that is switched off.
+// Where lists are pushed nobody subscribes: the watch is open from the start, and is reopened after it hung or
+// failed, until KeepOpen(false).
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	calls := make(chan int, 64)
 	n := 0
@@ -96,40 +96,40 @@
 		calls <- n
 		switch n {
 		case 1, 5:
-			fmt.Fprint(w, "{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n  ]\n}\n") // lists may come indented
-		case 2: // silent
+			_, _ = io.WriteString(w, "{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n  ]\n}\n") // lists may be indented
+		case 2: // hangs
 			<-r.Context().Done()
 		default:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
 	defer srv.Close()
-	news := make(chan policy.Event, 64)
+	events := make(chan policy.Event, 64)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	w := NewWatcher(New(), srv.Listener.Addr().String(), 10*time.Millisecond, 0, func(e policy.Event) { news <- e }, log)
+	w := NewWatcher(New(), srv.Listener.Addr().String(), 10*time.Millisecond, 0, func(e policy.Event) { events <- e }, log)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
 	w.KeepOpen(true)
-	assert.Equal(t, policy.ListChanged, (<-news).Kind, "unasked")
+	assert.Equal(t, policy.ListChanged, (<-events).Kind, "without a subscription")
 	for range 3 {
-		assert.Equal(t, policy.ListUnavailable, (<-news).Kind, "silent, and then refused")
+		assert.Equal(t, policy.ListUnavailable, (<-events).Kind, "hung, and then refused")
 	}
-	assert.Equal(t, policy.ListChanged, (<-news).Kind, "and open again")
+	assert.Equal(t, policy.ListChanged, (<-events).Kind, "and reopened")
 	w.KeepOpen(false)
 	for len(calls) > 0 {
 		<-calls
 	}
 	time.Sleep(2 * minRetryInterval)
-	for len(calls) > 0 { // one that was arranged before
+	for len(calls) > 0 { // one that was scheduled before
 		<-calls
 	}
 	time.Sleep(3 * maxRetryInterval / 2)
 	assert.Empty(t, calls)
 }
 
-// Guards against a network cut in silence: a call that brings nothing ends by itself.
+// Guards against a partitioned network: a call without a response ends by itself.
 func TestHungCallEnds(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer srv.Close()
@@ -140,49 +140,50 @@
 	assert.GreaterOrEqual(t, time.Since(before), callSlack)
 }
 
-// Guards against a watch that is held at discovery's old address while the new one has news: the move breaks it
-// off, and the new service is asked for its whole list, as its versions need not go on from the old one's.
+// Guards against a watch that is held at discovery's old address while the new one has changes: Move cancels it, and
+// the new service is called for its full list, as its versions are its own.
 func TestMoveCancelsAHungWatch(t *testing.T) {
-	serve := func(seq int, host string, held chan<- string) string {
+	serve := func(seq int, host string, calls chan<- string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if hold := r.URL.Query().Get("hold_ms"); hold != "" && hold != "0" {
-				held <- r.URL.Query().Get("from")
+			if holdMs := r.URL.Query().Get("hold_ms"); holdMs != "" && holdMs != "0" {
+				calls <- r.URL.Query().Get("from")
 				<-r.Context().Done()
 				return
 			}
-			fmt.Fprintf(w, `{"seq":%d,"whole":%v,"hosts":[{"host":%q,"dial":"x:1","health":"SERVING"}]}`, seq,
+			_, _ = fmt.Fprintf(w, `{"seq":%d,"whole":%v,"hosts":[{"host":%q,"dial":"x:1","health":"SERVING"}]}`, seq,
 				r.URL.RawQuery == "", host)
 		}))
 		t.Cleanup(srv.Close)
 		return srv.Listener.Addr().String()
 	}
-	held, heldNext := make(chan string, 9), make(chan string, 9)
-	first, next := serve(90, "old", held), serve(3, "new", heldNext)
-	news := make(chan policy.Event, 16)
+	calls, nextCalls := make(chan string, 9), make(chan string, 9)
+	first, next := serve(90, "old", calls), serve(3, "new", nextCalls)
+	events := make(chan policy.Event, 16)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	w := NewWatcher(New(), first, time.Hour, 0, func(e policy.Event) { news <- e }, log)
+	w := NewWatcher(New(), first, time.Hour, 0, func(e policy.Event) { events <- e }, log)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
 	w.Subscribe()
-	assert.Equal(t, "90", <-held)
-	assert.Equal(t, policy.ListChanged, (<-news).Kind)
+	assert.Equal(t, "90", <-calls)
+	assert.Equal(t, policy.ListChanged, (<-events).Kind)
 
 	w.Move(next)
-	assert.Equal(t, "3", <-heldNext)
-	e := <-news
-	assert.Equal(t, policy.ListReplaced, e.Kind, "and no failure is told in between")
+	assert.Equal(t, "3", <-nextCalls)
+	e := <-events
+	assert.Equal(t, policy.ListReplaced, e.Kind, "and no failure in between")
 	assert.Equal(t, "new", e.Members[0].Worker)
 	_, ok := w.table.Lookup("old")
 	assert.False(t, ok)
 
-	w.Move(next) // the same again: the watch goes on
-	assert.Empty(t, heldNext)
-	assert.Empty(t, news)
+	w.Move(next) // the same address: the watch goes on
+	assert.Empty(t, nextCalls)
+	assert.Empty(t, events)
 }
 
-// Guards against a move that waits for the module: after a failed call the new address is asked unasked.
+// Guards against a move that waits for the module: after a failed call the new address is called without a
+// subscription.
 func TestMoveAfterAFailure(t *testing.T) {
 	failed := make(chan policy.Event, 16)
 	log := logrus.New()
@@ -193,9 +194,9 @@
 	go w.Run(ctx)
 	w.Subscribe()
 	require.Equal(t, policy.ListUnavailable, (<-failed).Kind)
-	asked := make(chan bool, 16)
-	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- true }))
+	called := make(chan bool, 16)
+	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { called <- true }))
 	defer srv.Close()
 	w.Move(srv.Listener.Addr().String())
-	<-asked
+	<-called
 }
--- a/internal/dispatcher/routetable/table.go
+++ b/internal/dispatcher/routetable/table.go
@@ -1,5 +1,8 @@
-// Package routetable follows discovery: it keeps the route table, which tells for each runner where to dial
-// it and whether it may get anything new, and translates the list into the decision module's events.
+// Package routetable follows discovery. Its Table holds, for each runner, where to dial it and whether it may get new
+// requests; its Watcher keeps the table up to date and translates the list into the decision module's events.
+//
+// A change is in the table before the module is notified of it: egress, which checks Table.Open before the first byte
+// of an attempt, follows a drain even while the module is busy.
 package routetable
 
 import (
@@ -11,10 +14,10 @@
 	"ospreypond/policy"
 )
 
-// Host is one runner in discovery's list.
+// Host is one runner in discovery's list. The tags are discovery's format.
 type Host struct {
-	Host   string `json:"host"` // its name, the same at every dispatcher
-	Dial   string `json:"dial"` // where this dispatcher reaches it
+	Host   string `json:"host"` // its name, which all dispatchers share
+	Dial   string `json:"dial"` // the address by which this dispatcher reaches it
 	Site   string `json:"site"`
 	Class  string `json:"class"` // its machine kind
 	Block  int    `json:"block"`
@@ -22,14 +25,14 @@
 	BornMs int64  `json:"born_ms"` // its last start as Unix time; 0: long ago
 }
 
-// List is what discovery answers, whole or as changes.
+// List is discovery's response: the full list, or the changes since a version. The tags are discovery's format.
 type List struct {
 	Seq   int64  `json:"seq"`
 	Full  bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// Check returns an error that names the first faulty entry.
+// Check returns an error that names the first invalid entry, or nil.
 func (l *List) Check() error {
 	for i, h := range l.Hosts {
 		if h.Host == "" {
@@ -58,35 +61,35 @@
 	return policy.Removed, fmt.Errorf("unknown value %q", h.Health)
 }
 
-// Route is what the table holds of one runner.
+// Route is the table's entry of one runner.
 type Route struct {
 	Dial  string
 	Site  string
 	State policy.State
 }
 
-// Table is the route table. It is safe for use by several goroutines.
+// Table is the route table. It is safe for concurrent use.
 type Table struct {
 	mu       sync.RWMutex
 	seq      int64
 	routes   map[string]Route
-	members  map[string]policy.Member // as the list tells them, before any is disabled
+	members  map[string]policy.Member // as listed, whether disabled or not
 	disabled *maintenance.Disabled
 }
 
-// New returns an empty table in which the named runners are disabled.
+// New returns an empty table with the named runners disabled.
 func New(disabled ...string) *Table {
 	return &Table{routes: map[string]Route{}, members: map[string]policy.Member{}, disabled: maintenance.New(disabled)}
 }
 
-// Seq returns the version of the list that the table holds.
+// Seq returns the version of the list in the table; 0: none yet.
 func (t *Table) Seq() int64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.seq
 }
 
-// Lookup returns the route to a runner; ok is false for one that is gone.
+// Lookup returns the route to a runner; ok is false for one that is not listed.
 func (t *Table) Lookup(host string) (r Route, ok bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -94,7 +97,7 @@
 	return r, ok
 }
 
-// Open tells whether a runner may be sent anything new.
+// Open reports whether a runner may get new requests.
 func (t *Table) Open(host string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -102,8 +105,8 @@
 	return ok && r.State == policy.Ready && !t.disabled.Has(host)
 }
 
-// Disable takes a runner out until Enable, whatever the list says, and returns what the module is to be told
-// of it: an entry that drains.
+// Disable takes a runner out until Enable, whatever the list says. It returns the members for the module's event: the
+// runner as draining, or none for one that is not listed.
 func (t *Table) Disable(host string) ([]policy.Member, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,7 +120,8 @@
 	return []policy.Member{t.effective(m)}, nil
 }
 
-// Enable lets a runner serve again; it is told to the module as a process that starts now, cold.
+// Enable lets a runner serve again. It returns the members for the module's event: the runner as started now, so that
+// it warms up, or none if it was not disabled or is not listed.
 func (t *Table) Enable(host string, now time.Time) ([]policy.Member, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,15 +133,15 @@
 	return []policy.Member{t.effective(m)}, nil
 }
 
-// Disabled returns the runners that are out, to hand on to a process that takes over.
+// Disabled returns the names of the disabled runners, which a process hands over to its successor.
 func (t *Table) Disabled() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.disabled.Names()
 }
 
-// effective is a member as the module is to see it: draining while it is out, and started no sooner than it came
-// back. t.mu is held.
+// effective returns a member as the module is to see it: draining while it is disabled, and started no sooner than it
+// was enabled. t.mu is held.
 func (t *Table) effective(m policy.Member) policy.Member {
 	if t.disabled.Has(m.Worker) && m.State == policy.Ready {
 		m.State = policy.Draining
@@ -146,8 +150,8 @@
 	return m
 }
 
-// Apply takes in a list and returns the members for the module's event. Entries that make no sense are left
-// out: Check tells of them.
+// Apply updates the table from a list and returns the members for the module's event. It skips invalid entries, which
+// Check reports.
 func (t *Table) Apply(l *List) []policy.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
