--- /dev/null
+++ b/internal/cluster/control/task_time_metrics.go
@@ -0,0 +1,34 @@
+package control
+
+import (
+	"fmt"
+	"net/http"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"ospreypond/internal/cluster/latency"
+)
+
+// taskTimeMetrics counts the time of tasks by queue and wait reason, and jobs, over all shards that this process has
+// owned since it started. It serves them in Prometheus's text format. Safe for concurrent use.
+type taskTimeMetrics struct{ set *metrics.Set }
+
+func newTaskTimeMetrics() *taskTimeMetrics { return &taskTimeMetrics{set: metrics.NewSet()} }
+
+// add adds what a queue's tasks and jobs came to since the previous call.
+func (m *taskTimeMetrics) add(queue string, since *latency.QueueSummary) {
+	for cause, span := range since.Tasks {
+		if span > 0 {
+			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Reason(cause).String())
+			m.set.GetOrCreateFloatCounter(name).Add(span.Seconds())
+		}
+	}
+	m.set.GetOrCreateCounter(fmt.Sprintf("ospreypond_jobs_ended_total{queue=%q}", queue)).AddInt64(int64(since.Ended))
+	m.set.GetOrCreateCounter(fmt.Sprintf("ospreypond_jobs_late_total{queue=%q}", queue)).AddInt64(int64(since.Late))
+}
+
+// ServeHTTP answers with all counters, whatever the path.
+func (m *taskTimeMetrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
+	m.set.WritePrometheus(w)
+}
--- a/internal/cluster/simulation/execution.go
+++ b/internal/cluster/simulation/execution.go
@@ -6,133 +6,137 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// execution is one run that exists on a runner.
+// execution is a run that exists on a runner. Work is measured in ms on a runner of speed 1.
 type execution struct {
-	runner   *Runner
-	record   *Run
-	group    *groupTruth // nil: a task that nobody sent
-	task     *taskTruth
-	stopping bool
-	working  bool
-	hangs    bool
-	fails    bool // ends failed at failAt
-	total    float64
-	failAt   float64 // work in ms at which it fails
-	done     float64 // work in ms as of since
-	since    time.Duration
-	rate     float64 // ms of work a ms
-	begun    time.Duration
-	saves    int    // checkpoints made
-	saved    string // newest checkpoint of this run, or what it began from
-	timer    *Timer
-	stopAt   *Timer
-	waiting  *Timer // gang: until it ends alone
+	runner          *Runner
+	record          *Run
+	step            *stepTruth // nil, as is task, if no client submitted the task
+	task            *taskTruth
+	isStopping      bool
+	isWorking       bool // not while a gang's member waits for the others
+	isHung          bool // it never gets on
+	willFail        bool // at failsAtMs
+	totalMs         float64
+	failsAtMs       float64
+	doneMs          float64 // at doneAsOf
+	doneAsOf        time.Duration
+	rate            float64 // ms of work done per ms
+	workStarted     time.Duration
+	checkpointsMade int
+	checkpoint      string // the newest of this run, or what it started from
+	endTimer        *Timer
+	stopTimer       *Timer
+	gangTimer       *Timer // ends a gang's member that waits for the others
 }
 
 const milliseconds = float64(time.Millisecond)
 
-// settle brings the work done up to now.
-func (e *execution) settle(now time.Duration) {
-	if e.working {
-		if from := max(e.since, e.begun); now > from {
-			e.done = min(e.total, e.done+float64(now-from)/milliseconds*e.rate)
+// isGang reports whether the run is a member of a gang.
+func (e *execution) isGang() bool { return e.step != nil && e.step.spec.Gang }
+
+// isGangLeader reports whether this member's timer completes the gang.
+func (e *execution) isGangLeader() bool {
+	members := e.step.members[e.record.Number]
+	return len(members) > 0 && members[0] == e
+}
+
+// makesCheckpoints reports whether the run makes checkpoints of its work now.
+func (e *execution) makesCheckpoints() bool {
+	return e.isWorking && e.step != nil && e.step.spec.Checkpoints && !e.isHung
+}
+
+// advance brings doneMs up to date.
+func (e *execution) advance(now time.Duration) {
+	if e.isWorking {
+		if from := max(e.doneAsOf, e.workStarted); now > from {
+			e.doneMs = min(e.totalMs, e.doneMs+float64(now-from)/milliseconds*e.rate)
 		}
 	}
-	e.since = now
+	e.doneAsOf = now
 }
 
-// refreshSaved renews the checkpoint for each save interval of work that has passed.
-func (e *execution) refreshSaved(now time.Duration) {
-	if !e.working || e.group == nil || !e.group.step.Checkpoints || e.hangs {
+// updateCheckpoint replaces the checkpoint by the newest that has fallen due since the work began.
+func (e *execution) updateCheckpoint(now time.Duration) {
+	if !e.makesCheckpoints() {
 		return
 	}
-	every := e.runner.plant.Ledger.Bounds.Save
-	saves := int((now - e.begun) / every)
-	if saves <= e.saves {
+	interval := e.runner.bounds().Save
+	due := int((now - e.workStarted) / interval)
+	if due <= e.checkpointsMade {
 		return
 	}
-	e.settle(now)
-	e.saves = saves
-	behind := (now - e.begun) - time.Duration(saves)*every
-	e.saved = checkpointText(e.record.Task, e.group.step.Gang, max(0, e.done-float64(behind)/milliseconds*e.rate))
+	e.advance(now)
+	e.checkpointsMade = due
+	sinceDue := (now - e.workStarted) - time.Duration(due)*interval
+	e.checkpoint = formatCheckpoint(e.record.Task, e.step.spec.Gang, max(0, e.doneMs-float64(sinceDue)/milliseconds*e.rate))
 }
 
-// begin sets an execution to work, at a rate against its nominal one.
-func (e *execution) begin(far float64) {
+// beginWork starts the work, slowdown times as slow as the runner is.
+func (e *execution) beginWork(slowdown float64) {
 	now := e.runner.world.now
-	e.waiting.Stop()
-	e.working = true
-	e.begun = now
-	e.since = now
-	if e.record.Saved != "" {
-		e.begun += e.runner.plant.Ledger.Bounds.Restore
+	e.gangTimer.Stop()
+	e.isWorking = true
+	e.workStarted = now
+	e.doneAsOf = now
+	if e.record.Checkpoint != "" {
+		e.workStarted += e.runner.bounds().Restore
 	}
-	e.rate = e.runner.speed() / far
-	if e.hangs {
+	e.rate = e.runner.speed() / slowdown
+	if e.isHung {
 		e.rate = 0
 	}
-	e.arm()
+	e.armEndTimer()
 }
 
-// arm sets the timer for the work's end.
-func (e *execution) arm() {
-	e.timer.Stop()
-	goal := e.total
-	if e.fails {
-		goal = min(goal, e.failAt)
+// armEndTimer sets the timer for the time at which the work is done or fails. Of a gang, the leader's timer completes it.
+func (e *execution) armEndTimer() {
+	e.endTimer.Stop()
+	goalMs := e.totalMs
+	if e.willFail {
+		goalMs = min(goalMs, e.failsAtMs)
 	}
-	if !e.working || e.rate <= 0 || e.isGang() && !e.fails && !e.leadsGang() {
+	if !e.isWorking || e.rate <= 0 || e.isGang() && !e.willFail && !e.isGangLeader() {
 		return
 	}
 	now := e.runner.world.now
-	left := time.Duration((goal - e.done) / e.rate * milliseconds)
-	e.timer = e.runner.world.At(max(now, e.begun)+max(0, left), func() { e.reach() })
+	left := time.Duration((goalMs - e.doneMs) / e.rate * milliseconds)
+	e.endTimer = e.runner.world.At(max(now, e.workStarted)+max(0, left), e.finishWork)
 }
 
-func (e *execution) isGang() bool { return e.group != nil && e.group.step.Gang }
-
-// leadsGang tells whether this member's timer ends the gang's work for all.
-func (e *execution) leadsGang() bool {
-	members := e.group.members[e.record.Run]
-	return len(members) > 0 && members[0] == e
-}
-
-// reach is called when the work is done, or fails.
-func (e *execution) reach() {
-	if e.fails {
-		e.runner.end(e, protocol.EndFailed)
-		return
-	}
-	if e.isGang() {
-		e.runner.plant.gangDone(e.group, e.record.Run)
-		return
+// finishWork ends the run because its work is done or fails.
+func (e *execution) finishWork() {
+	switch {
+	case e.willFail:
+		e.runner.endRun(e, protocol.EndFailed)
+	case e.isGang():
+		e.runner.groundTruth.completeGang(e.step, e.record.Number)
+	default:
+		e.runner.endRun(e, protocol.EndDone)
 	}
-	e.runner.end(e, protocol.EndDone)
 }
 
-// changeSpeed is called when the runner turns slow or well again.
-func (e *execution) changeSpeed(factor float64) {
-	if !e.working || e.hangs {
+// scaleSpeed changes the rate of the work by a factor from now on.
+func (e *execution) scaleSpeed(factor float64) {
+	if !e.isWorking || e.isHung {
 		return
 	}
-	e.refreshSaved(e.runner.world.now)
-	e.settle(e.runner.world.now)
+	e.updateCheckpoint(e.runner.world.now)
+	e.advance(e.runner.world.now)
 	e.rate *= factor
-	e.arm()
+	e.armEndTimer()
 }
 
-// percent is how far the task is, as it is listed.
+// percent returns how much of the work is done, as the runner reports it.
 func (e *execution) percent(now time.Duration) float64 {
-	e.settle(now)
-	if e.group == nil || e.group.step.LongRunning || e.total <= 0 {
+	e.advance(now)
+	if e.step == nil || e.step.spec.LongRunning || e.totalMs <= 0 {
 		return 0
 	}
-	return float64(int(e.done / e.total * 100))
+	return float64(int(e.doneMs / e.totalMs * 100))
 }
 
-// forget stops all timers.
-func (e *execution) forget() {
-	e.timer.Stop()
-	e.stopAt.Stop()
-	e.waiting.Stop()
+func (e *execution) stopTimers() {
+	e.endTimer.Stop()
+	e.stopTimer.Stop()
+	e.gangTimer.Stop()
 }
