--- a/internal/dispatcher/config/check.go
+++ b/internal/dispatcher/config/check.go
@@ -5,30 +5,19 @@
 	"slices"
 )
 
-// check finds settings that no dispatcher can work with, or that contradict each other. What is absent gets the default
-// that the deployments' page in docs tells. Its error is a *KeyError.
+// check finds settings that no dispatcher can work with, or that contradict each other. What is absent gets a
+// default, see the deployments' page in docs. Its error is a *KeyError.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return settingError("classes", "name at least one class", "is empty")
 	}
-	for i, c := range s.Classes {
-		if c.Name == "" {
-			return settingError(fmt.Sprintf("classes[%d].name", i), "give each class a name", "is empty")
-		}
-		if c.DeadlineUs <= 0 {
-			return settingError(fmt.Sprintf("classes[%d].deadlineUs", i), "give the clients' total wait in microseconds", "%v is not over 0", c.DeadlineUs)
-		}
-		if c.Semantics == "keyed" && !slices.Contains([]string{"all", "zone", "cell"}, c.KeyScope) {
-			return settingError(fmt.Sprintf("classes[%d].keyScope", i), "say which runners drop a repeat", "%q is none of all, zone, cell, and the class is keyed", c.KeyScope)
-		}
-		if c.LateWorth < 0 || c.LateWorth > 1 {
-			return settingError(fmt.Sprintf("classes[%d].lateWorth", i), "it is a share", "%v is not within 0 and 1", c.LateWorth)
-		}
+	if err := s.checkClasses(); err != nil {
+		return err
 	}
 	if s.Balancers < 0 {
 		return settingError("balancers", "leave it out where the number of dispatchers is not known", "%d is negative", s.Balancers)
 	}
-	if s.SlotNo < 0 || s.Balancers > 0 && s.SlotNo >= s.Balancers { // where it is not told, there are at least slotNo + 1
+	if s.SlotNo < 0 || s.Balancers > 0 && s.SlotNo >= s.Balancers { // without balancers there are at least slotNo + 1
 		return settingError("slotNo", "number the dispatchers from 0", "%d is not within 0 and balancers, %d", s.SlotNo, s.Balancers)
 	}
 	for _, f := range []struct {
@@ -51,7 +40,26 @@
 	return s.checkFigures()
 }
 
-// checkFigures finds figures that are negative, or shares over 1.
+// checkClasses finds invalid classes.
+func (s *Settings) checkClasses() error {
+	for i, c := range s.Classes {
+		if c.Name == "" {
+			return settingError(fmt.Sprintf("classes[%d].name", i), "give each class a name", "is empty")
+		}
+		if c.DeadlineUs <= 0 {
+			return settingError(fmt.Sprintf("classes[%d].deadlineUs", i), "give the clients' total wait in microseconds", "%v is not over 0", c.DeadlineUs)
+		}
+		if c.Semantics == "keyed" && !slices.Contains([]string{"all", "zone", "cell"}, c.KeyScope) {
+			return settingError(fmt.Sprintf("classes[%d].keyScope", i), "say which runners drop a repeat", "%q is none of all, zone, cell, and the class is keyed", c.KeyScope)
+		}
+		if c.LateWorth < 0 || c.LateWorth > 1 {
+			return settingError(fmt.Sprintf("classes[%d].lateWorth", i), "it is a share", "%v is not within 0 and 1", c.LateWorth)
+		}
+	}
+	return nil
+}
+
+// checkFigures finds negative figures, and fractions over 1.
 func (s *Settings) checkFigures() error {
 	for _, f := range []struct {
 		key string
--- a/internal/dispatcher/config/check_test.go
+++ b/internal/dispatcher/config/check_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings that contradict each other, or that cannot be meant, are refused by their key; what is absent has a default.
+// Settings that contradict each other, or are out of range, are refused by their key; what is absent has a default.
 func TestSettingsThatContradictAreRefused(t *testing.T) {
 	const class = `{"name":"c","semantics":"safe","deadlineUs":900000}`
 	for _, tt := range []struct{ settings, key string }{
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -1,4 +1,6 @@
-// Package config is the one place where the program's configuration is read, checked and given defaults.
+// Package config reads and checks a dispatcher's configuration file and gives defaults; nothing else does. Load and
+// Reload return a Config that is complete and valid, or an error that names the key or variable at fault. A Config is
+// not changed after that and may be read from any goroutine.
 package config
 
 import (
@@ -18,12 +20,13 @@
 	"ospreypond/policy"
 )
 
-// Config is everything that a dispatcher is told when it starts.
+// Config is a dispatcher's configuration: the file, the variables that replace parts of it, and what follows from
+// them.
 type Config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
-	Console   string          `json:"console"` // the operators' address; empty: none
+	Console   string          `json:"console"` // the operators' address; empty: no console
 	SeedText  string          `json:"seed"`
 	Limits    Limits          `json:"limits"`
 	Known     routetable.List `json:"known"` // the list of runners as this dispatcher last had it
@@ -31,12 +34,12 @@
 
 	Seed     uint64          `json:"-"`
 	Policy   policy.Settings `json:"-"` // Settings, as the decision module takes them
-	inFile   string          // the file's own discovery, whatever LB_DISCOVERY says
+	inFile   string          // the file's own discovery, whatever LB_DISCOVERY is
 	keys     []string        // of the settings, as dotted paths
 	LogLevel logrus.Level    `json:"-"`
 }
 
-// Limits is what the platform allows the program.
+// Limits are the platform's limits for the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -52,24 +55,24 @@
 	defaultConnectTimeout = 200 * time.Millisecond
 	defaultIdleTimeout    = 5 * time.Second
 	defaultDiscoveryHold  = 5 * time.Second
-	pushDiscoveryHold     = 2 * time.Second // a watch fallen silent is open anew well within the 6 s after which its news counts as told
+	pushDiscoveryHold     = 2 * time.Second // a hung watch is reopened well before routetable's notice after silence
 	maxDiscoveryHold      = time.Minute     // the longest that discovery holds a call
 	maxStopTimeout        = 3 * time.Second // the longest deadline that the platform waits for at a planned restart
-	minSockets            = 64              // fewer leave no room for clients and runners beside the program's own
+	minSockets            = 64              // fewer are not enough for clients and runners beside the program's own
 )
 
-// Load reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONSOLE, where set, replace what it
-// says, and LB_LOG_LEVEL (default info) sets how much is logged. An error names the key or variable at fault.
+// Load reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONSOLE, if set, replace what it
+// has, and LB_LOG_LEVEL (default info) sets how much is logged. Its error is a *KeyError or *SourceError.
 func Load(getenv func(string) string) (*Config, error) { return load(getenv, nil) }
 
-// Reload reads and checks everything again and returns what is in force from then on: discovery is, if the
-// file names another than before, and then also over LB_DISCOVERY, which is as old as the process. Whoever
-// replaces the file later means the new address. Everything else is as it was; NeedRestart tells what waits.
-// After an error c stays in force.
+// Reload reads and checks the file again and returns the configuration in force from then on. Discovery is the new
+// file's if it names another than the former file, even over LB_DISCOVERY: whoever replaces the file later than the
+// process started means the new address. What needs a restart is named by NeedRestart. After an error c stays in
+// force.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) { return load(getenv, c) }
 
-// NeedRestart names the keys that differ in next and that only a restart applies. The seed and the known list
-// are for the start alone.
+// NeedRestart returns the keys that differ in next and that only a restart applies. The seed and the known list
+// matter at the start only.
 func (c *Config) NeedRestart(next *Config) (keys []string) {
 	for _, k := range []struct {
 		name string
@@ -184,30 +187,30 @@
 	}
 }
 
-// Procs is how many threads run Go code at once.
+// Procs returns how many threads may run Go code at once (GOMAXPROCS).
 func (c *Config) Procs() int { return max(1, int(math.Ceil(c.Limits.Cores))) }
 
-// MemoryTarget is where the garbage collector starts to work harder: the limit less what it does not count
-// and what it takes to react.
+// MemoryTarget returns the limit in bytes for the garbage collector (GOMEMLIMIT): the platform's limit less what it
+// does not count and what it needs to react.
 func (c *Config) MemoryTarget() int64 { return int64(c.Limits.MemoryMB) << 20 / 4 * 3 }
 
-// SocketBudget splits the allowed descriptors between clients and upstreams; some are left for
-// discovery, the listener and the runtime. Clients hold at most a third with requests; a little more lets those
-// that say nothing be told from those. Attempts need the most: second copies, and connections kept for the next.
+// SocketBudget divides the allowed descriptors between clients and upstreams; some are left for discovery, the
+// listener and the runtime. Clients with a request get at most a third, and some more tell them from quiet ones.
+// Attempts need the most, for hedged requests and idle connections.
 func (c *Config) SocketBudget() (clients, targets int) {
 	clients = c.Limits.Sockets * 3 / 8
 	return clients, c.Limits.Sockets - minSockets/2 - clients - MaxLingering(clients)
 }
 
-// MaxLingering is how many clients' connections may linger while they are closed, beside so many that are held.
+// MaxLingering returns how many clients' connections may linger while they are closed, beside so many open ones.
 func MaxLingering(clients int) int { return max(2, clients/8) }
 
-// BodyBudget is how many bytes of clients' bodies may be in hand at once.
+// BodyBudget returns how many bytes of clients' bodies may be in memory at once.
 func (c *Config) BodyBudget() int64 { return int64(c.Limits.MemoryMB) << 20 / 8 }
 
-// DiscoveryHold is how long discovery may hold a watch. Where the network is cut in silence, what changed counts as
-// told some time after the hold's end at the latest, so a short hold keeps the list's age within what the
-// rules allow; a very short one would be a load on discovery, which all dispatchers share.
+// DiscoveryHold returns how long discovery may hold a watch. In a partition a dispatcher counts as notified of
+// changes some time after the hold's end at the latest, so a short hold keeps the list's age within the rules; a very
+// short one would load discovery, which all dispatchers share.
 func (c *Config) DiscoveryHold() time.Duration {
 	hold := c.Policy.MaxListAge / 2
 	if !c.Policy.ListOnDemand {
@@ -219,17 +222,18 @@
 	return min(hold, maxDiscoveryHold)
 }
 
-// DrainGrace is how long after it was told that a runner drains a dispatcher may still send it something; 0: not told.
+// DrainGrace returns how long after the notice that a runner drains a dispatcher may still send it requests; 0: not
+// set.
 func (c *Config) DrainGrace() time.Duration {
 	return time.Duration(c.Settings.Rules.DrainGraceUs * float64(time.Microsecond))
 }
 
-// StopTimeout is how long after the signal to stop open requests may still run: the longest deadline, as far
-// as the platform waits for it. The platform kills no sooner than 0.7 s later.
+// StopTimeout returns how long after the signal to stop open requests may still run: the longest deadline, up to what
+// the platform waits for. It kills no sooner than 0.7 s later.
 func (c *Config) StopTimeout() time.Duration {
-	var longest time.Duration
+	var maxDeadline time.Duration
 	for _, k := range c.Policy.Classes {
-		longest = max(longest, k.Deadline)
+		maxDeadline = max(maxDeadline, k.Deadline)
 	}
-	return min(longest, maxStopTimeout)
+	return min(maxDeadline, maxStopTimeout)
 }
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const least = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",
+const minimal = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",
  "settings":{"classes":[{"name":"c","semantics":"safe","deadlineUs":900000}]}}`
 
 func loadText(t *testing.T, text string, env map[string]string) (*Config, error) {
@@ -28,7 +28,7 @@
 }
 
 func TestDefaults(t *testing.T) {
-	c, err := loadText(t, least, nil)
+	c, err := loadText(t, minimal, nil)
 	require.NoError(t, err)
 	assert.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, c.Limits)
 	assert.Equal(t, uint64(255), c.Seed)
@@ -36,7 +36,7 @@
 	assert.Equal(t, defaultConnectTimeout, c.Policy.ConnectTimeout)
 	assert.Equal(t, defaultIdleTimeout, c.Policy.ConnIdle)
 	assert.Equal(t, logrus.InfoLevel, c.LogLevel)
-	assert.Equal(t, pushDiscoveryHold, c.DiscoveryHold(), "lists are pushed where nothing says otherwise")
+	assert.Equal(t, pushDiscoveryHold, c.DiscoveryHold(), "lists are pushed by default")
 	c.Policy.ListOnDemand = true
 	assert.Equal(t, defaultDiscoveryHold, c.DiscoveryHold())
 	assert.Equal(t, 900*time.Millisecond, c.StopTimeout(), "the longest deadline")
@@ -48,7 +48,7 @@
 }
 
 func TestEnvironmentReplacesTheFile(t *testing.T) {
-	c, err := loadText(t, least, map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:7", "LB_LOG_LEVEL": "debug"})
+	c, err := loadText(t, minimal, map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:7", "LB_LOG_LEVEL": "debug"})
 	require.NoError(t, err)
 	assert.Equal(t, "n7", c.Name)
 	assert.Equal(t, "127.0.0.1:7", c.Listen)
@@ -61,7 +61,7 @@
 	assert.ErrorContains(t, err, "LB_CONFIG")
 	_, err = Load(func(string) string { return filepath.Join(t.TempDir(), "none") })
 	assert.ErrorContains(t, err, "LB_CONFIG")
-	_, err = loadText(t, least, map[string]string{"LB_LOG_LEVEL": "loud"})
+	_, err = loadText(t, minimal, map[string]string{"LB_LOG_LEVEL": "loud"})
 	assert.ErrorContains(t, err, "LB_LOG_LEVEL")
 	_, err = loadText(t, "{", nil)
 	assert.ErrorContains(t, err, "LB_CONFIG")
@@ -76,14 +76,14 @@
 	assert.Equal(t, maxDiscoveryHold, c.DiscoveryHold())
 }
 
-// The file that replaces another names discovery's new address, also where LB_DISCOVERY gave the first one. A
-// faulty file changes nothing and its key is named.
+// A file that replaces another has discovery's new address, even if LB_DISCOVERY set the first one. An invalid file
+// changes nothing and the error names its key.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"LB_CONFIG": file, "LB_DISCOVERY": "127.0.0.1:9"}
 	getenv := func(name string) string { return env[name] }
 	write := func(old, to string) {
-		require.NoError(t, os.WriteFile(file, []byte(strings.Replace(least, old, to, 1)), 0o600))
+		require.NoError(t, os.WriteFile(file, []byte(strings.Replace(minimal, old, to, 1)), 0o600))
 	}
 	write("", "")
 	c, err := Load(getenv)
@@ -105,7 +105,7 @@
 	assert.Empty(t, c.NeedRestart(next))
 	next, err = next.Reload(getenv)
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:3", next.Discovery, "read again")
+	assert.Equal(t, "127.0.0.1:3", next.Discovery, "reloaded")
 
 	write("900000", "800000")
 	next, err = c.Reload(getenv)
@@ -113,7 +113,7 @@
 	assert.Empty(t, c.NeedRestart(next), "new settings apply at once")
 }
 
-// A broken file at a reload leaves the settings in force whole, and its error names the fault.
+// An invalid file at a reload leaves the settings in force as they are, and its error names the key.
 func TestInvalidReloadKeepsSettingsInForce(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string { return map[string]string{"LB_CONFIG": file}[name] }
@@ -140,10 +140,10 @@
 	require.NoError(t, os.WriteFile(file, []byte(fewer), 0o600))
 	next, err := c.Reload(getenv)
 	require.NoError(t, err)
-	assert.Equal(t, 1, next.Policy.MaxAttempts, "fewer attempts are taken")
+	assert.Equal(t, 1, next.Policy.MaxAttempts, "fewer attempts are accepted")
 }
 
-// Clients get more than the third that requests may hold; attempts get the larger part.
+// Clients get more than the third that may have requests; attempts get the larger part.
 func TestSocketBudget(t *testing.T) {
 	for _, n := range []int{64, 256, 1024} {
 		c := &Config{Limits: Limits{Sockets: n}}
@@ -156,7 +156,7 @@
 	}
 }
 
-// At a start, attempts of 0 are the platform's word for no limit, and the program starts.
+// At a start, attempts of 0 mean no limit, and the program starts.
 func TestNoLimitOfAttemptsStarts(t *testing.T) {
 	c, err := loadText(t, `{"listen":"a:1","discovery":"a:2","settings":{"limits":{"maxAttempts":0},
 		"classes":[{"name":"c","semantics":"safe","deadlineUs":900000}]}}`, nil)
--- a/internal/dispatcher/config/errors.go
+++ b/internal/dispatcher/config/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// KeyError is a fault of the configuration file at one key.
+// KeyError is an invalid key of the configuration file.
 type KeyError struct {
 	Key     string // dotted path from the top of the file
 	Problem string
@@ -17,7 +17,7 @@
 	Variable string
 	Problem  string
 	Fix      string // what an operator can do
-	Err      error  // what the system or the parser said, if anything
+	Err      error  // from the system or the parser; may be nil
 }
 
 // Error names the variable, the problem, its cause and the remedy.
@@ -32,7 +32,7 @@
 // Unwrap returns the cause, or nil.
 func (e *SourceError) Unwrap() error { return e.Err }
 
-// settingError is a KeyError within settings.
+// settingError returns a KeyError of a key within settings.
 func settingError(key, fix, problem string, args ...any) *KeyError {
 	return &KeyError{Key: "settings." + key, Problem: fmt.Sprintf(problem, args...), Fix: fix}
 }
--- a/internal/dispatcher/config/keys.go
+++ b/internal/dispatcher/config/keys.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// settingKeys lists the keys of the settings object and of the objects in it, as dotted paths; what lies in
-// arrays (the classes, the tenants) may differ from one file to the next and is checked by its own rules.
+// settingKeys returns the sorted keys of the settings object and of the objects in it, as dotted paths. What is in
+// arrays (classes, tenants) may differ from one file to the next and has checks of its own.
 func settingKeys(text []byte) ([]string, error) {
 	var file struct {
 		Settings map[string]any `json:"settings"`
@@ -29,9 +29,8 @@
 	return keys, nil
 }
 
-// checkKeys refuses settings that lack a key that those in force have: a file cut short or written in part
-// would otherwise pass for settings with that figure at zero. Where a new file names the attempts allowed, they
-// must be over 0.
+// checkKeys refuses settings that lack a key of those in force: a truncated file would otherwise pass for settings
+// with that figure at zero. If a new file sets a limit of attempts, it must be over 0.
 func (c *Config) checkKeys(text []byte, old *Config) error {
 	keys, err := settingKeys(text)
 	if err != nil {
@@ -45,8 +44,7 @@
 			}
 		}
 	}
-	// At a start 0 is the platform's word for no limit; a reload that brings it where a limit was in force is
-	// a broken file.
+	// At a start 0 means no limit; a reload that sets it where a limit was in force has a broken file.
 	attempts := c.Settings.Limits.MaxAttempts
 	if _, found := slices.BinarySearch(keys, "limits.maxAttempts"); found && old != nil && attempts <= 0 &&
 		attempts != old.Settings.Limits.MaxAttempts {
--- a/internal/dispatcher/config/settings.go
+++ b/internal/dispatcher/config/settings.go
@@ -7,8 +7,9 @@
 	"ospreypond/policy"
 )
 
-// Settings is the deployment's settings object, as far as it is used: the simulator sends it in its first
-// message, a real dispatcher finds it under "settings" in its configuration.
+// Settings is the deployment's settings object, as far as it is used: the simulator sends it in its first message,
+// and a dispatcher finds it in its configuration under "settings". The fields are named like the keys, which
+// operators and the simulator know; policy.Settings has the field's terms.
 type Settings struct {
 	Zone      string   `json:"zone"`
 	SlotNo    int      `json:"slotNo"`
@@ -68,7 +69,7 @@
 	} `json:"tenants"`
 }
 
-// Policy translates the deployment's settings into the module's.
+// Policy translates the deployment's settings into the decision module's. Its error is a *KeyError.
 func (s *Settings) Policy() (policy.Settings, error) {
 	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 	p := policy.Settings{
@@ -120,8 +121,8 @@
 	return p, nil
 }
 
-// ReportField returns where the figure of that name goes in a load report, or nil for one that is not used.
-// Both the simulator's wire names and the names in real runners' reports are known.
+// ReportField returns the field of r for a load report's figure, or nil for one that is not used. It knows the names
+// of the simulator's protocol and those in real runners' reports.
 func (s *Settings) ReportField(r *policy.Report, name string) *float64 {
 	switch name {
 	case "depth", "queue":
--- a/internal/dispatcher/simulator/fields.go
+++ b/internal/dispatcher/simulator/fields.go
@@ -12,20 +12,20 @@
 	"ospreypond/policy"
 )
 
-// cut splits a line at its first tab.
-func cut(b []byte) (name, rest []byte) {
+// splitTab splits a line at its first tab.
+func splitTab(b []byte) (name, rest []byte) {
 	name, rest, _ = bytes.Cut(b, []byte{'\t'})
 	return name, rest
 }
 
-// fields walks over the name=value parts of a line.
+// fields iterates over the name=value fields of a line.
 type fields struct{ rest, key, val []byte }
 
 func (f *fields) next() bool {
 	for len(f.rest) > 0 {
-		var part []byte
-		part, f.rest = cut(f.rest)
-		if k, v, ok := bytes.Cut(part, []byte{'='}); ok {
+		var field []byte
+		field, f.rest = splitTab(f.rest)
+		if k, v, ok := bytes.Cut(field, []byte{'='}); ok {
 			f.key, f.val = k, v
 			return true
 		}
@@ -33,7 +33,7 @@
 	return false
 }
 
-// toEnd extends the present value to the end of the line, as text fields do.
+// toEnd extends the present value to the end of the line, as the last text field of a line may contain tabs.
 func (f *fields) toEnd() {
 	if len(f.rest) > 0 {
 		f.val = append(append(bytes.Clone(f.val), '\t'), f.rest...)
@@ -41,7 +41,7 @@
 	}
 }
 
-// maxMicros bounds times so that they fit a time.Duration with room to add.
+// maxMicros bounds times so that sums of some fit a time.Duration.
 const maxMicros = math.MaxInt64 / 4000
 
 func micros(b []byte) (time.Duration, error) {
@@ -63,7 +63,7 @@
 	return v, nil
 }
 
-func truth(b []byte) (bool, error) {
+func boolean(b []byte) (bool, error) {
 	switch string(b) {
 	case "1":
 		return true, nil
@@ -95,13 +95,13 @@
 	return policy.Failed, fmt.Errorf("unknown value %q", b)
 }
 
-// report decodes a load report: name:value pairs set apart by commas.
+// report parses a load report: name:value pairs separated by commas.
 func report(s *config.Settings, b []byte) (policy.Report, error) {
 	r := policy.NoReport
 	for len(b) > 0 {
-		var part []byte
-		part, b, _ = bytes.Cut(b, []byte{','})
-		k, v, ok := bytes.Cut(part, []byte{':'})
+		var field []byte
+		field, b, _ = bytes.Cut(b, []byte{','})
+		k, v, ok := bytes.Cut(field, []byte{':'})
 		if !ok {
 			continue
 		}
@@ -118,7 +118,7 @@
 	return r, nil
 }
 
-// appendAction writes one action line.
+// appendAction appends the line of an action.
 func appendAction(b []byte, a *policy.Action) []byte {
 	num := func(key string, v int64) { b = strconv.AppendInt(append(append(b, '\t'), key...), v, 10) }
 	text := func(key, v string) { b = append(append(append(b, '\t'), key...), v...) }
--- a/internal/dispatcher/simulator/wire_test.go
+++ b/internal/dispatcher/simulator/wire_test.go
@@ -13,11 +13,10 @@
 	`"classes":[{"name":"c","semantics":"safe","objectiveUs":80000,"deadlineUs":1000000,"new":1}],` +
 	`"limits":{"cancelling":true,"probes":false},"report":{"via":"none"},"unknown":{"a":[1]}}`
 
-func start(seed, id string) string {
-	return "SWITCH_TO\tschedulerId=scheduler/" + id + "\nSTART\tinitSeed=" + seed + "\tbootInfo=" + boot + "\n" +
-		"REGISTRY\tstamp=1\thow=restored\tmembersList=1\n" +
-		"ENTRY\tcell=0\tworker=1.2.3.4:7\taz=z\tmode=Ready\tscale=1\tmachine=k\n"
-}
+// start is the lines that start scheduler/0 with one worker.
+const start = "SWITCH_TO\tschedulerId=scheduler/0\nSTART\tinitSeed=7\tbootInfo=" + boot + "\n" +
+	"REGISTRY\tstamp=1\thow=restored\tmembersList=1\n" +
+	"ENTRY\tcell=0\tworker=1.2.3.4:7\taz=z\tmode=Ready\tscale=1\tmachine=k\n"
 
 func serve(t *testing.T, in string) string {
 	t.Helper()
@@ -29,7 +28,7 @@
 }
 
 func TestExchange(t *testing.T) {
-	got := serve(t, "BATCH\tmomentUs=1\nCOMMIT\n\nBATCH\tmomentUs=1000000\n"+start("7", "0")+
+	got := serve(t, "BATCH\tmomentUs=1\nCOMMIT\n\nBATCH\tmomentUs=1000000\n"+start+
 		"QUERY\tticket=9\tkind=c\tleftUs=1000000\tworkUs=20000\tfuture=1\nSOMETHING\tnew=1\nCOMMIT\n"+
 		"BATCH\tmomentUs=1010000\nSWITCH_TO\tschedulerId=scheduler/0\nDEADLINE_HIT\ttag=1\nCOMMIT\n"+
 		"BATCH\tmomentUs=1040000\nSWITCH_TO\tschedulerId=scheduler/0\nKILLED\nCOMMIT\n")
@@ -41,14 +40,14 @@
 }
 
 func TestMalformed(t *testing.T) {
-	head := "BATCH\tmomentUs=1\n" + start("7", "0")
+	head := "BATCH\tmomentUs=1\n" + start
 	tests := []struct{ name, in, want string }{
 		{"no batch", "HELLO\n", "BATCH"},
 		{"no time", "BATCH\n", "momentUs"},
 		{"bad number", head + "QUERY\tticket=x\tkind=c\nCOMMIT\n", "line 6: QUERY: field ticket"},
 		{"missing", head + "QUERY\tticket=4\nCOMMIT\n", "QUERY: field kind is missing"},
 		{"outcome", head + "VERDICT\tticket=4\tcode=odd\nCOMMIT\n", "VERDICT: field code"},
-		{"entries", "BATCH\tmomentUs=1\n" + start("7", "0") + "REGISTRY\thow=update\tmembersList=1\nCOMMIT\n", "membersList"},
+		{"entries", "BATCH\tmomentUs=1\n" + start + "REGISTRY\thow=update\tmembersList=1\nCOMMIT\n", "membersList"},
 		{"truncated", "BATCH\tmomentUs=1\n", "unexpected EOF"},
 		{"no instance", "BATCH\tmomentUs=1\nQUERY\tticket=4\tkind=c\nCOMMIT\n", "SWITCH_TO"},
 		{"settings", "BATCH\tmomentUs=1\nSWITCH_TO\tschedulerId=a\nSTART\tbootInfo={}\nCOMMIT\n", "bootInfo"},
@@ -86,8 +85,8 @@
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add("BATCH\tmomentUs=1\n" + start("7", "0") + "QUERY\tticket=9\tkind=c\tleftUs=-5\nCOMMIT\n")
-	f.Add("BATCH\tmomentUs=1\n" + start("7", "0") + "PONG\tworker=1.2.3.4:7\tcode=ok\tgauge=x0:3,depth:1\nCOMMIT\n")
+	f.Add("BATCH\tmomentUs=1\n" + start + "QUERY\tticket=9\tkind=c\tleftUs=-5\nCOMMIT\n")
+	f.Add("BATCH\tmomentUs=1\n" + start + "PONG\tworker=1.2.3.4:7\tcode=ok\tgauge=x0:3,depth:1\nCOMMIT\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
 		_ = Serve(strings.NewReader(in), &out)
