--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -46,7 +46,7 @@
 	o.takeActive(now, r)
 	o.takeRejected(r)
 	o.resolveUnlisted(now, r)
-	o.stopHopeless(now, r)
+	o.stopStalledOrDraining(now, r)
 	r.reply = reply
 	r.replyDue = now + o.options.MaxReplyDelay
 }
--- a/internal/cluster/scheduler/proposals.go
+++ b/internal/cluster/scheduler/proposals.go
@@ -76,8 +76,8 @@
 	return &command
 }
 
-// landed notes that no command is in flight any more, and returns the replies that are owed for it.
-func (p *proposals) landed() replies {
+// finish records that no command is in flight any more, and returns the replies that are owed for it.
+func (p *proposals) finish() replies {
 	owed := p.inFlightReplies
 	p.inFlight = nil
 	p.inFlightReplies = replies{}
@@ -136,7 +136,7 @@
 	if !o.leadership.isLeader || !own || o.proposals.inFlight == nil {
 		return
 	}
-	owed := o.proposals.landed()
+	owed := o.proposals.finish()
 	o.recordApplied(now, command, effects)
 	o.proposals.forgetEnding(command)
 	o.countStarts(now, command)
@@ -150,7 +150,7 @@
 	if !o.leadership.isLeader || o.proposals.inFlight == nil {
 		return
 	}
-	owed := o.proposals.landed()
+	owed := o.proposals.finish()
 	o.proposals.forgetEnding(command)
 	o.proposals.retryAt = now + proposeRetryInterval
 	owed.fail(err)
--- a/internal/cluster/scheduler/stops.go
+++ b/internal/cluster/scheduler/stops.go
@@ -22,8 +22,8 @@
 	o.counters.Stops++
 }
 
-// stopHopeless stops runs that make no progress, and those that cannot end before a draining runner is gone.
-func (o *Owner) stopHopeless(now time.Duration, r *runner) {
+// stopStalledOrDraining stops runs that make no progress, and those that cannot end before a draining runner is gone.
+func (o *Owner) stopStalledOrDraining(now time.Duration, r *runner) {
 	for _, task := range o.state.RunsOn(r.instance) {
 		key := runKey{task.ID, task.Run}
 		entry := r.listed[key]
