--- a/internal/cluster/consensus/confirmation_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -7,18 +7,6 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.DescribeTable("the largest value that a majority has reached",
-	func(expected uint64, values ...uint64) {
-		Expect(reachedByMajority(values)).To(Equal(expected))
-	},
-	ginkgo.Entry("nobody", uint64(0)),
-	ginkgo.Entry("one", uint64(7), uint64(7)),
-	ginkgo.Entry("both of two", uint64(3), uint64(7), uint64(3)),
-	ginkgo.Entry("two of three", uint64(5), uint64(5), uint64(9), uint64(1)),
-	ginkgo.Entry("three of four", uint64(2), uint64(9), uint64(2), uint64(8), uint64(1)),
-	ginkgo.Entry("three of five", uint64(4), uint64(1), uint64(9), uint64(4), uint64(2), uint64(8)),
-)
-
 var _ = ginkgo.Describe("a confirmation of the leadership", func() {
 	var g *group
 	var leader *testMember
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -26,11 +26,9 @@
 
 // requestVote requests the vote of a member with a log of terms 1, 2 and 2, and returns the member and its response.
 func requestVote(state voterState, request Message) (*testMember, voteOutcome) {
-	g := newGroup(memberList(1, 2, 3)...)
-	members := &Snapshot{Members: memberList(1, 2, 3)}
-	g.members = nil
-	voter := g.add(1, Restored{HardState: HardState{Term: state.term, Vote: state.vote}, Snapshot: members,
-		Entries: entriesOf(1, 1, 2, 2)})
+	g := &group{now: time.Minute}
+	voter := g.add(1, Restored{HardState: HardState{Term: state.term, Vote: state.vote},
+		Snapshot: &Snapshot{Members: memberList(1, 2, 3)}, Entries: entriesOf(1, 1, 2, 2)})
 	if state.sinceLeaderContact > 0 {
 		voter.Step(Message{Kind: MessageHeartbeat, From: 3, To: 1, Term: state.term}, g.now)
 		voter.Output()
--- a/internal/cluster/consensus/exhaustive_test.go
+++ b/internal/cluster/consensus/exhaustive_test.go
@@ -13,12 +13,12 @@
 
 // exploreAll visits all states within bounds, of which there must be fewer than a limit, and fails if one violates an
 // invariant.
-func exploreAll(limits bounds, states int) {
-	limits.maxStates = states
-	broken, visited := explore(limits)
+func exploreAll(limits bounds, maxStates int) {
+	limits.maxStates = maxStates
+	violating, visited := explore(limits)
 	ginkgo.AddReportEntry("states", visited)
-	if broken != nil {
-		ginkgo.Fail(fmt.Sprintf("%s after %v", broken.violation, broken.path))
+	if violating != nil {
+		ginkgo.Fail(fmt.Sprintf("%s after %v", violating.violation, violating.path))
 	}
 	Expect(visited).To(BeNumerically("<", limits.maxStates), "the exploration is not complete")
 }
@@ -28,7 +28,7 @@
 	ginkgo.Entry("two terms", bounds{terms: 2}),
 	ginkgo.Entry("two terms, two proposals", bounds{terms: 2, proposals: 2}),
 	ginkgo.Entry("three terms", bounds{terms: 3}),
-	ginkgo.Entry("two terms, a restart that loses what was not synced", bounds{terms: 2, crashes: 1, lateSyncs: true}),
+	ginkgo.Entry("two terms, a restart that loses what was not synced", bounds{terms: 2, crashes: 1, syncs: syncLater}),
 	ginkgo.Entry("two terms, a lost disk", bounds{terms: 2, diskLosses: 1, checkRecovery: true}),
 	ginkgo.Entry("two terms, a lost disk, a restart", bounds{terms: 2, diskLosses: 1, crashes: 1}),
 )
@@ -48,9 +48,9 @@
 var _ = ginkgo.DescribeTable("three members and a successor, every order of the first steps",
 	func(limits bounds) {
 		limits.terms, limits.successor, limits.maxStates = 2, true, 25_000
-		broken, _ := explore(limits)
-		if broken != nil {
-			ginkgo.Fail(fmt.Sprintf("%s after %v", broken.violation, broken.path))
+		violating, _ := explore(limits)
+		if violating != nil {
+			ginkgo.Fail(fmt.Sprintf("%s after %v", violating.violation, violating.path))
 		}
 	},
 	ginkgo.Entry("it replaces a follower, a disk is lost", bounds{replaces: 3, diskLosses: 1, checkRecovery: true}),
@@ -72,7 +72,7 @@
 		ginkgo.Entry("it replaces the leader, a transfer of leadership", bounds{replaces: 1, transfers: 1}),
 		ginkgo.Entry("it replaces a follower, a restart", bounds{replaces: 3, crashes: 1, checkRecovery: true}),
 		ginkgo.Entry("it replaces the leader, a restart", bounds{replaces: 1, crashes: 1, checkRecovery: true}),
-		ginkgo.Entry("it replaces a follower, syncs at any later moment", bounds{replaces: 3, lateSyncs: true}),
+		ginkgo.Entry("it replaces a follower, syncs at any later moment", bounds{replaces: 3, syncs: syncLater}),
 		ginkgo.Entry("it replaces a lost disk, a transfer of leadership, another disk is lost", bounds{diskLosses: 2, transfers: 1, checkRecovery: true}),
 		ginkgo.Entry("it replaces a follower, three terms", bounds{terms: 3, replaces: 3}),
 	)
--- a/internal/cluster/consensus/explore_state_test.go
+++ b/internal/cluster/consensus/explore_state_test.go
@@ -95,7 +95,7 @@
 	if limits.replaces != None {
 		position := slices.IndexFunc(members, func(member Member) bool { return member.ID == limits.replaces })
 		first.violateOnError(first.members[0].node.ProposeMembers(frozenTime, replacedBySuccessor(members, position)))
-		first.processOutput(0, limits.lateSyncs)
+		first.processOutput(0, limits.syncs)
 	}
 	return first
 }
@@ -151,7 +151,7 @@
 }
 
 // processOutput carries out the output of the member at a position.
-func (s *groupState) processOutput(index int, late bool) {
+func (s *groupState) processOutput(index int, syncs syncMode) {
 	member := &s.members[index]
 	for member.node.HasOutput() {
 		output := member.node.Output()
@@ -161,13 +161,13 @@
 		}
 		s.applyCommitted(member, output.Committed)
 		s.checkLeader(member)
-		if !late {
+		if syncs == syncAtOnce {
 			s.sync(index)
 		}
 	}
 }
 
-// transmit adds messages to the network. Heartbeats are left out: without time nothing depends on them.
+// transmit adds messages to the network. Heartbeats are left out: without time they do nothing that appends don't.
 func (s *groupState) transmit(messages []Message) {
 	for _, message := range messages {
 		if message.Kind == MessageHeartbeat || s.indexOf(message.To) < 0 {
--- a/internal/cluster/consensus/explore_steps_test.go
+++ b/internal/cluster/consensus/explore_steps_test.go
@@ -25,7 +25,7 @@
 		state := s.clone(index)
 		state.path = &pathStep{previous: s.path, action: action, member: s.members[index].node.config.ID}
 		do(state, &state.members[index])
-		state.processOutput(index, limits.lateSyncs)
+		state.processOutput(index, limits.syncs)
 		state.network = slices.DeleteFunc(state.network, state.isIrrelevant)
 		found = append(found, state)
 	}
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -21,11 +21,19 @@
 	replaces      MemberID // not None: the voter that the leader begins to replace by the successor at once, by a joint change
 	removals      int      // changes that remove member 2, proposed at any moment, even while another is under way
 	transfers     int      // leadership transfers, as by a member that is decommissioned
-	lateSyncs     bool     // syncs are steps of their own; otherwise writes are synced at once
-	checkRecovery bool     // check for every state that the group can go on from it
-	maxStates     int      // no more states than this are visited
+	syncs         syncMode
+	checkRecovery bool // check for every state that the group can go on from it
+	maxStates     int  // no more states than this are visited
 }
 
+// syncMode is when the writes of members are synced.
+type syncMode uint8
+
+const (
+	syncAtOnce syncMode = iota // with the output that contains them
+	syncLater                  // by a step of its own, or never
+)
+
 // explorer explores the states of a group breadth first, each once, and checks them. A state (groupState) is a complete
 // group without time; explore_steps_test.go contains the steps from one state to the next, explore_fingerprint_test.go
 // decides which states are the same, recovery_test.go whether a group can go on from a state.
@@ -40,7 +48,7 @@
 
 // explore visits all states within bounds, breadth first. It returns the first one that violates an invariant, nil if
 // none does, and how many were visited.
-func explore(limits bounds) (broken *groupState, visited int) {
+func explore(limits bounds) (violating *groupState, visited int) {
 	x := &explorer{bounds: limits, seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}}
 	frontier := []*groupState{initialState(limits)}
 	for len(frontier) > 0 && x.violating == nil && len(x.seen) < limits.maxStates {
--- a/internal/cluster/consensus/joint_test.go
+++ b/internal/cluster/consensus/joint_change_test.go
@@ -1,7 +1,7 @@
 package consensus
 
 import (
-	"time"
+	"slices"
 
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -26,21 +26,15 @@
 	})
 
 	ginkgo.DescribeTable("the leader commits and is confirmed by majorities of both configurations only",
-		func(decided bool, answering ...MemberID) {
+		func(decided bool, responding ...MemberID) {
 			begin()
-			joined := leader.log.last()
-			g.drop = func(message Message) bool {
-				answers := message.To != 1
-				for _, id := range answering {
-					answers = answers || message.From == id
-				}
-				return !answers
-			}
+			jointIndex := leader.log.last()
+			g.drop = func(message Message) bool { return message.To == 1 && !slices.Contains(responding, message.From) }
 			g.elapse(5 * heartbeatInterval)
 			requestedAt := g.now
 			leader.ConfirmLeadership(requestedAt)
 			g.deliverAll()
-			Expect(leader.Status().Commit >= joined).To(Equal(decided))
+			Expect(leader.Status().Commit >= jointIndex).To(Equal(decided))
 			Expect(leader.Status().ConfirmedAt >= requestedAt).To(Equal(decided))
 			g.elapse(2 * electionTimeout)
 			Expect(leader.Status().IsLeader).To(Equal(decided), "still leads after two election timeouts")
@@ -60,12 +54,7 @@
 			g.expireLeaderContacts()
 			leader.becomeFollower(leader.term, None)
 			g.drop = func(message Message) bool {
-				for _, id := range voting {
-					if message.From == id || message.To == id {
-						return false
-					}
-				}
-				return true
+				return !slices.Contains(voting, message.From) && !slices.Contains(voting, message.To)
 			}
 			g.runElection(candidate)
 			Expect(candidate.Status().IsLeader).To(Equal(elected))
@@ -129,14 +118,14 @@
 
 	ginkgo.It("the joint membership is in force again once the final one is truncated", func() {
 		begin(2, 3, 4)
-		joined := leader.log.last()
-		leader.peer(2).match = joined
+		jointIndex := leader.log.last()
+		leader.peer(2).match = jointIndex
 		leader.advanceCommit()
 		leader.finishJointChange()
 		Expect(leader.Status().Members).To(Equal(next))
-		replacing := []Entry{{Term: 2, Index: joined + 1, Kind: EntryEmpty}}
-		leader.Step(Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, Index: joined, LogTerm: 1, Entries: replacing}, g.now)
-		Expect(leader.log.last()).To(Equal(joined + 1))
+		replacing := []Entry{{Term: 2, Index: jointIndex + 1, Kind: EntryEmpty}}
+		leader.Step(Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, Index: jointIndex, LogTerm: 1, Entries: replacing}, g.now)
+		Expect(leader.log.last()).To(Equal(jointIndex + 1))
 		Expect(leader.Status().Members).To(ConsistOf(threeToFour()))
 		Expect(leader.Status().ChangePending).To(BeTrue())
 	})
@@ -155,18 +144,18 @@
 
 	ginkgo.It("a snapshot contains the joint membership, and a restart from it finishes the change", func() {
 		begin(2, 3, 4)
-		joined := leader.log.last()
+		jointIndex := leader.log.last()
 		g.drop = ofKind(MessageAppendResponse)
-		leader.peer(2).match = joined
+		leader.peer(2).match = jointIndex
 		leader.advanceCommit()
-		Expect(leader.Status().Commit).To(Equal(joined))
+		Expect(leader.Status().Commit).To(Equal(jointIndex))
 		g.processOutput(leader)
-		Expect(leader.MembersAt(joined)).To(ConsistOf(threeToFour()))
-		Expect(leader.MembersAt(joined - 1)).To(Equal(first))
-		leader.Compact(joined)
-		Expect(leader.MembersAt(joined)).To(ConsistOf(threeToFour()))
+		Expect(leader.MembersAt(jointIndex)).To(ConsistOf(threeToFour()))
+		Expect(leader.MembersAt(jointIndex - 1)).To(Equal(first))
+		leader.Compact(jointIndex)
+		Expect(leader.MembersAt(jointIndex)).To(ConsistOf(threeToFour()))
 
-		snapshot := &Snapshot{Index: joined, Term: leader.term, Members: leader.MembersAt(joined)}
+		snapshot := &Snapshot{Index: jointIndex, Term: leader.term, Members: leader.MembersAt(jointIndex)}
 		restarted := g.restart(1, snapshot)
 		Expect(restarted.Status().Members).To(ConsistOf(threeToFour()))
 		Expect(restarted.Status().ChangePending).To(BeTrue())
@@ -178,15 +167,15 @@
 
 	ginkgo.It("a member that receives a snapshot with the joint membership votes by it", func() {
 		begin(2, 3)
-		joined := leader.log.last()
-		leader.peer(2).match = joined
+		jointIndex := leader.log.last()
+		leader.peer(2).match = jointIndex
 		leader.advanceCommit()
 		g.processOutput(leader)
-		leader.Compact(joined)
+		leader.Compact(jointIndex)
 		leader.peer(4).becomeSnapshot()
 		leader.peer(4).active = true
 		g.drop = func(message Message) bool { return message.To == 2 || message.To == 3 }
-		leader.SendSnapshot(g.now, 4, Snapshot{Index: joined, Term: leader.term, Data: make([]byte, 25)})
+		leader.SendSnapshot(g.now, 4, Snapshot{Index: jointIndex, Term: leader.term, Data: make([]byte, 25)})
 		g.deliverAll()
 		Expect(g.member(4).installed.Members).To(ConsistOf(threeToFour()))
 		Expect(isVoter(g.member(4).Status().Members, 4)).To(BeTrue())
@@ -254,15 +243,15 @@
 	})
 
 	ginkgo.It("does not count itself for the final membership", func() {
-		joined := uint64(0)
-		g.drop = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > joined }
-		joined = leader.log.last() + 1
+		jointIndex := uint64(0)
+		g.drop = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > jointIndex }
+		jointIndex = leader.log.last() + 1
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3, 4))).To(Succeed())
 		g.deliverAll()
-		Expect(leader.Status().Commit).To(Equal(joined))
+		Expect(leader.Status().Commit).To(Equal(jointIndex))
 		g.drop = func(message Message) bool { return message.From == 3 || message.From == 4 }
 		g.elapse(3 * heartbeatInterval)
-		Expect(leader.Status().Commit).To(Equal(joined))
+		Expect(leader.Status().Commit).To(Equal(jointIndex))
 		Expect(leader.Status().IsLeader).To(BeTrue())
 		g.drop = fromOrTo(4)
 		g.elapse(3 * heartbeatInterval)
@@ -284,32 +273,33 @@
 		Expect(g.member(2).Status().Members).To(Equal(memberList(2)))
 	})
 
-	ginkgo.DescribeTable("if a learner has entries of a leader whose disk is lost, and counts as a voter at another member", func(next []Member) {
-		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
-		leader := g.elect(1)
-		g.drop = fromOrTo(1)
-		Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
-		g.deliverAll()
-		g.expireLeaderContacts()
-		g.drop = func(message Message) bool {
-			fromOther := message.From == 2 && message.Kind != MessageVote && message.Kind != MessagePreVote
-			return message.From == 1 || message.To == 1 || fromOther && message.To == 3
-		}
-		other := g.member(2)
-		g.runElection(other)
-		Expect(other.Status().IsLeader).To(BeTrue())
-		Expect(other.Status().Ready).To(BeFalse())
+	ginkgo.DescribeTable("if a learner has entries of a leader whose disk is lost, and counts as a voter at another member",
+		func(next []Member) {
+			g := newGroup(append(memberList(1, 2, 3), learner(4))...)
+			leader := g.elect(1)
+			g.drop = fromOrTo(1)
+			Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
+			g.deliverAll()
+			g.expireLeaderContacts()
+			g.drop = func(message Message) bool {
+				fromOther := message.From == 2 && message.Kind != MessageVote && message.Kind != MessagePreVote
+				return message.From == 1 || message.To == 1 || fromOther && message.To == 3
+			}
+			other := g.member(2)
+			g.runElection(other)
+			Expect(other.Status().IsLeader).To(BeTrue())
+			Expect(other.Status().Ready).To(BeFalse())
 
-		g.drop = fromOrTo(2) // its disk is lost
-		g.elapse(8 * electionTimeout)
-		ready := 0
-		for _, id := range []MemberID{1, 3, 4} {
-			if g.member(id).Status().Ready {
-				ready++
+			g.drop = fromOrTo(2) // its disk is lost
+			g.elapse(8 * electionTimeout)
+			ready := 0
+			for _, id := range []MemberID{1, 3, 4} {
+				if g.member(id).Status().Ready {
+					ready++
+				}
 			}
-		}
-		Expect(ready).To(Equal(1))
-	},
+			Expect(ready).To(Equal(1))
+		},
 		ginkgo.Entry("by a joint change", memberList(2, 3, 4)),
 		ginkgo.Entry("by a simple change", memberList(1, 2, 3, 4)),
 	)
@@ -325,34 +315,3 @@
 		Expect(g.member(2).Status().Members).To(Equal(memberList(2)))
 	})
 })
-
-var _ = ginkgo.Describe("a learner", func() {
-	ginkgo.It("receives only what is committed, and that at once", func() {
-		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
-		leader := g.elect(1)
-		g.drop = ofKind(MessageAppendResponse)
-		g.propose(leader, "a")
-		g.deliverAll()
-		Expect(g.member(2).log.last()).To(Equal(leader.log.last()))
-		Expect(g.member(4).log.last()).To(BeNumerically("<", leader.log.last()))
-		g.drop = nil
-		g.now += 2 * time.Millisecond
-		g.propose(leader, "b")
-		g.deliverAll()
-		Expect(g.member(4).log.last()).To(Equal(leader.log.last()))
-	})
-
-	ginkgo.It("does not campaign, not even when a leader asks it to", func() {
-		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
-		g.elect(1)
-		g.drop = func(Message) bool { return true }
-		g.clearSent()
-		g.member(4).Step(Message{Kind: MessageTimeoutNow, From: 1, To: 4, Term: 1}, g.now)
-		for range 100 {
-			g.now += heartbeatInterval
-			g.member(4).Tick(g.now)
-			g.processOutput(g.member(4))
-		}
-		Expect(g.countSent(MessagePreVote) + g.countSent(MessageVote)).To(BeZero())
-	})
-})
--- a/internal/cluster/consensus/late_test.go
+++ b/internal/cluster/consensus/late_messages_test.go
@@ -1,8 +1,6 @@
 package consensus
 
 import (
-	"time"
-
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
@@ -125,70 +123,3 @@
 		Expect(leader.Status().Commit).To(Equal(index))
 	})
 })
-
-var _ = ginkgo.Describe("a member that was removed without knowing it", func() {
-	ginkgo.It("does not disturb the others, and is not elected", func() {
-		g := newGroup(memberList(1, 2, 3, 4)...)
-		leader := g.elect(1)
-		g.drop = fromOrTo(4)
-		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 3))).To(Succeed())
-		g.deliverAll()
-		g.propose(leader, "a")
-		g.deliverAll()
-		removed := g.member(4)
-		Expect(isVoter(removed.Status().Members, 4)).To(BeTrue())
-		g.drop = nil
-		g.elapse(5 * electionTimeout)
-		Expect(leader.Status().Ready).To(BeTrue())
-		Expect(leader.term).To(Equal(uint64(1)))
-
-		g.expireLeaderContacts()
-		leader.becomeFollower(leader.term, None)
-		removed.campaign(campaignTransfer)
-		g.deliverAll()
-		Expect(removed.Status().IsLeader).To(BeFalse())
-		g.elapse(4 * electionTimeout)
-		Expect(removed.Status().IsLeader).To(BeFalse())
-		ready := 0
-		for _, id := range []MemberID{1, 2, 3} {
-			if g.member(id).Status().Ready {
-				ready++
-			}
-		}
-		Expect(ready).To(Equal(1))
-	})
-})
-
-var _ = ginkgo.Describe("a leader whose process stalls repeatedly", func() {
-	var g *group
-	var leader *testMember
-	ginkgo.BeforeEach(func() {
-		g = newGroup(memberList(1, 2, 3)...)
-		leader = g.elect(1)
-	})
-
-	// stall has the leader tick only at intervals that count as stalls.
-	stall := func(times int) {
-		for range times {
-			g.now += electionTimeout/2 + heartbeatInterval
-			leader.Tick(g.now)
-			g.deliverAll()
-			g.elapse(10 * time.Millisecond)
-		}
-	}
-
-	ginkgo.It("leads on while members respond", func() {
-		stall(20)
-		Expect(leader.Status().IsLeader).To(BeTrue())
-	})
-
-	ginkgo.It("steps down when it is partitioned", func() {
-		g.drop = fromOrTo(1)
-		for range 5 {
-			g.now += electionTimeout/2 + heartbeatInterval
-			leader.Tick(g.now)
-			g.processOutput(leader)
-		}
-		Expect(leader.Status().IsLeader).To(BeFalse())
-	})
-})
--- /dev/null
+++ b/internal/cluster/consensus/leader_test.go
@@ -0,0 +1,42 @@
+package consensus
+
+import (
+	"time"
+
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+var _ = ginkgo.Describe("a leader whose process stalls repeatedly", func() {
+	var g *group
+	var leader *testMember
+	ginkgo.BeforeEach(func() {
+		g = newGroup(memberList(1, 2, 3)...)
+		leader = g.elect(1)
+	})
+
+	// stall has the leader tick only at intervals that count as stalls.
+	stall := func(times int) {
+		for range times {
+			g.now += electionTimeout/2 + heartbeatInterval
+			leader.Tick(g.now)
+			g.deliverAll()
+			g.elapse(10 * time.Millisecond)
+		}
+	}
+
+	ginkgo.It("leads on while members respond", func() {
+		stall(20)
+		Expect(leader.Status().IsLeader).To(BeTrue())
+	})
+
+	ginkgo.It("steps down when it is partitioned", func() {
+		g.drop = fromOrTo(1)
+		for range 5 {
+			g.now += electionTimeout/2 + heartbeatInterval
+			leader.Tick(g.now)
+			g.processOutput(leader)
+		}
+		Expect(leader.Status().IsLeader).To(BeFalse())
+	})
+})
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -77,21 +77,6 @@
 	return jointMembers(append(memberList(1, 2, 3), learner(4)), memberList(1, 2, 4))
 }
 
-var _ = ginkgo.DescribeTable("who is a quorum while voter 4 replaces voter 3",
-	func(expected bool, ids ...MemberID) {
-		said := voteTally{granted: ids}
-		Expect(HasQuorum(threeToFour(), said.grantedBy)).To(Equal(expected))
-	},
-	ginkgo.Entry("both voters of both configurations", true, MemberID(1), MemberID(2)),
-	ginkgo.Entry("one voter of both configurations, the removed and the added one", true, MemberID(1), MemberID(3), MemberID(4)),
-	ginkgo.Entry("all", true, MemberID(1), MemberID(2), MemberID(3), MemberID(4)),
-	ginkgo.Entry("a majority of the outgoing voters only", false, MemberID(1), MemberID(3)),
-	ginkgo.Entry("a majority of the incoming voters only", false, MemberID(2), MemberID(4)),
-	ginkgo.Entry("the removed and the added voter", false, MemberID(3), MemberID(4)),
-	ginkgo.Entry("one voter of both configurations, and two that are no members", false, MemberID(1), MemberID(8), MemberID(9)),
-	ginkgo.Entry("nobody", false),
-)
-
 var _ = ginkgo.Describe("membership entries encoded by a version without joint memberships", func() {
 	// The data of a membership entry as a version without joint memberships encoded it.
 	const written = "0dff81020102ff820001ff800000447f030101064d656d62657201ff800001050102494401060001044e6f6465010c0001045a" +
@@ -151,10 +136,10 @@
 		refusesAnother()
 
 		// The joint entry is committed, and the final one appended.
-		joined := leader.log.last()
-		g.drop = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > joined }
+		jointIndex := leader.log.last()
+		g.drop = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > jointIndex }
 		g.elapse(3 * heartbeatInterval)
-		Expect(leader.Status().Commit).To(Equal(joined))
+		Expect(leader.Status().Commit).To(Equal(jointIndex))
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2, 4)))
 		refusesAnother()
 
@@ -164,3 +149,157 @@
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 	})
 })
+
+var _ = ginkgo.Describe("changes of the membership", func() {
+	var g *group
+	var leader *testMember
+	ginkgo.BeforeEach(func() {
+		g = newGroup(memberList(1, 2, 3)...)
+		leader = g.elect(1)
+	})
+
+	ginkgo.It("are in force when appended, and no longer when truncated", func() {
+		g.drop = fromOrTo(1)
+		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
+		g.deliverAll()
+		Expect(leader.Status().Members).To(Equal(memberList(1, 2)))
+		g.expireLeaderContacts()
+		g.elect(2)
+		g.drop = nil
+		g.elapse(3 * electionTimeout)
+		Expect(leader.Status().Members).To(Equal(memberList(1, 2, 3)))
+	})
+
+	ginkgo.It("are made one at a time", func() {
+		g.drop = fromOrTo(1)
+		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
+		Expect(leader.ProposeMembers(g.now, memberList(1))).To(MatchError(ErrChangePending))
+		g.drop = nil
+		g.elapse(3 * heartbeatInterval)
+		Expect(leader.ProposeMembers(g.now, memberList(1))).To(Succeed())
+	})
+
+	ginkgo.It("are refused unless the member is a ready leader", func() {
+		Expect(g.member(2).ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotLeader))
+		g.drop = ofKind(MessageAppendResponse)
+		other := g.member(2)
+		g.expireLeaderContacts()
+		g.now = max(g.now, other.electionDeadline)
+		leader.becomeFollower(leader.term, None)
+		other.Tick(g.now)
+		g.deliverAll()
+		Expect(other.Status().IsLeader).To(BeTrue())
+		Expect(other.ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotReady))
+	})
+
+	ginkgo.It("are sent to a removed member, which no longer campaigns then", func() {
+		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
+		g.deliverAll()
+		Expect(g.member(3).Status().Members).To(Equal(memberList(1, 2)))
+		g.drop = fromOrTo(3)
+		g.clearSent()
+		g.elapse(5 * electionTimeout)
+		Expect(g.countSent(MessagePreVote)).To(BeZero())
+		Expect(leader.Status().Ready).To(BeTrue())
+	})
+
+	ginkgo.It("add a learner, and promote it", func() {
+		g.propose(leader, "a")
+		g.deliverAll()
+		fresh := g.add(4, Restored{})
+		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
+		g.elapse(3 * heartbeatInterval)
+		behind, _, known := leader.Lag(4)
+		Expect(known).To(BeTrue())
+		Expect(behind).To(BeZero())
+		Expect(commandsOf(fresh.committed)).To(Equal([]string{"a"}))
+		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 3, 4))).To(Succeed())
+		g.elapse(3 * heartbeatInterval)
+		Expect(isVoter(fresh.Status().Members, 4)).To(BeTrue())
+	})
+
+	ginkgo.It("do not count a learner", func() {
+		g.add(4, Restored{})
+		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
+		g.elapse(3 * heartbeatInterval)
+		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		before := leader.Status().Commit
+		g.propose(leader, "a")
+		g.deliverAll()
+		Expect(leader.Status().Commit).To(Equal(before))
+	})
+
+	ginkgo.It("do not count learners, however many", func() {
+		next := append(memberList(1, 2, 3), learner(4), learner(5), learner(6))
+		for _, id := range []MemberID{4, 5, 6} {
+			g.add(id, Restored{})
+		}
+		Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
+		g.elapse(3 * heartbeatInterval)
+		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.now += heartbeatInterval
+		before, requestedAt := leader.Status().Commit, g.now
+		g.propose(leader, "a")
+		leader.ConfirmLeadership(requestedAt)
+		g.deliverAll()
+		Expect(leader.Status().Commit).To(Equal(before))
+		Expect(leader.Status().ConfirmedAt).To(BeNumerically("<", requestedAt))
+		for _, id := range []MemberID{4, 5, 6} {
+			leader.Step(Message{Kind: MessageAppendResponse, From: id, To: 1, Term: 1, Index: leader.log.last()}, g.now)
+		}
+		Expect(leader.Status().Commit).To(Equal(before))
+	})
+
+	ginkgo.It("make a leader that removes itself step down once that is committed, and another lead soon", func() {
+		g.drop = ofKind(MessageAppendResponse)
+		Expect(leader.ProposeMembers(g.now, memberList(2, 3))).To(Succeed())
+		g.deliverAll()
+		Expect(leader.Status().IsLeader).To(BeTrue())
+		g.drop = nil
+		g.elapse(5 * heartbeatInterval)
+		Expect(leader.Status().IsLeader).To(BeFalse())
+		Expect(g.member(2).Status().Ready || g.member(3).Status().Ready).To(BeTrue())
+	})
+
+	ginkgo.It("remain when the log before them is compacted", func() {
+		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
+		g.deliverAll()
+		g.propose(leader, "a")
+		g.deliverAll()
+		leader.Compact(leader.Status().Commit)
+		Expect(leader.MembersAt(leader.Status().Commit)).To(Equal(memberList(1, 2)))
+	})
+})
+
+var _ = ginkgo.Describe("a member that was removed without knowing it", func() {
+	ginkgo.It("does not disturb the others, and is not elected", func() {
+		g := newGroup(memberList(1, 2, 3, 4)...)
+		leader := g.elect(1)
+		g.drop = fromOrTo(4)
+		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 3))).To(Succeed())
+		g.deliverAll()
+		g.propose(leader, "a")
+		g.deliverAll()
+		removed := g.member(4)
+		Expect(isVoter(removed.Status().Members, 4)).To(BeTrue())
+		g.drop = nil
+		g.elapse(5 * electionTimeout)
+		Expect(leader.Status().Ready).To(BeTrue())
+		Expect(leader.term).To(Equal(uint64(1)))
+
+		g.expireLeaderContacts()
+		leader.becomeFollower(leader.term, None)
+		removed.campaign(campaignTransfer)
+		g.deliverAll()
+		Expect(removed.Status().IsLeader).To(BeFalse())
+		g.elapse(4 * electionTimeout)
+		Expect(removed.Status().IsLeader).To(BeFalse())
+		ready := 0
+		for _, id := range []MemberID{1, 2, 3} {
+			if g.member(id).Status().Ready {
+				ready++
+			}
+		}
+		Expect(ready).To(Equal(1))
+	})
+})
--- a/internal/cluster/consensus/recovery_test.go
+++ b/internal/cluster/consensus/recovery_test.go
@@ -23,9 +23,9 @@
 // deliverAll syncs all disks and delivers all messages, oldest first.
 func (s *groupState) deliverAll() {
 	for index := range s.members {
-		s.processOutput(index, false)
+		s.processOutput(index, syncAtOnce)
 		s.sync(index)
-		s.processOutput(index, false)
+		s.processOutput(index, syncAtOnce)
 	}
 	for len(s.network) > 0 && s.violation == "" {
 		message := s.network[0]
@@ -35,7 +35,7 @@
 			continue
 		}
 		s.members[index].node.Step(message.Message, frozenTime)
-		s.processOutput(index, false)
+		s.processOutput(index, syncAtOnce)
 	}
 }
 
