--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -85,7 +85,7 @@
 			strconv.FormatUint(group.First, 10), strconv.FormatUint(group.Last, 10), folderMembers(group.Members),
 		}
 		if folder.Verified {
-			row = append(row, group.Holds)
+			row = append(row, group.Contents)
 		}
 		rows = append(rows, row)
 	}
@@ -95,14 +95,7 @@
 func folderMembers(members []inspect.Member) string {
 	var names []string
 	for _, member := range members {
-		name := member.Node
-		if name == "" {
-			name = member.Address
-		}
-		if member.Learner {
-			name += " (learner)"
-		}
-		names = append(names, name)
+		names = append(names, memberText(member.Node, member.Address, member.Learner))
 	}
 	return strings.Join(names, ", ")
 }
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -132,10 +132,10 @@
 	ginkgo.Entry("a voter", func(*testMember) {}, true),
 	ginkgo.Entry("a learner", func(member *testMember) { member.config.ID = 4 }, false),
 	ginkgo.Entry("a machine that is no member", func(member *testMember) { member.config.ID = 9 }, false),
-	ginkgo.Entry("a voter that is not allowed to", func(member *testMember) { member.SetCampaign(false) }, false),
+	ginkgo.Entry("a voter that is not allowed to", func(member *testMember) { member.SetCampaignAllowed(false) }, false),
 	ginkgo.Entry("a voter that is allowed to again", func(member *testMember) {
-		member.SetCampaign(false)
-		member.SetCampaign(true)
+		member.SetCampaignAllowed(false)
+		member.SetCampaignAllowed(true)
 	}, true),
 )
 
@@ -217,7 +217,7 @@
 		candidate := g.member(1)
 		candidate.diskPaused = true
 		g.runElection(candidate)
-		candidate.SetCampaign(false)
+		candidate.SetCampaignAllowed(false)
 		Expect(candidate.role).To(Equal(roleFollower))
 	})
 
--- a/internal/cluster/consensus/joint_change_test.go
+++ b/internal/cluster/consensus/joint_change_test.go
@@ -183,7 +183,7 @@
 
 	ginkgo.It("a leadership transfer delays the final membership, which the new leader proposes", func() {
 		begin(2, 3, 4)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.drop = fromOrTo(3)
 		g.elapse(3 * heartbeatInterval)
 		Expect(g.member(2).Status().Ready).To(BeTrue())
@@ -192,9 +192,9 @@
 	})
 
 	ginkgo.It("a leadership transfer that fails no longer delays the final membership", func() {
-		g.member(2).SetCampaign(false)
+		g.member(2).SetCampaignAllowed(false)
 		begin(2, 3, 4)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.drop = fromOrTo(3)
 		g.elapse(3 * heartbeatInterval)
 		Expect(IsJoint(leader.Status().Members)).To(BeTrue())
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -5,6 +5,8 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"ospreypond/internal/cluster/protocol"
 )
 
 // The first byte of a snapshot is the version of its encoding.
@@ -14,12 +16,12 @@
 )
 
 // jobStateCodes are the states of a job; their positions are their numbers in a snapshot.
-var jobStateCodes = [...]JobState{
-	JobQueued,
-	JobRunning,
-	JobCompleted,
-	JobFailed,
-	JobCancelled,
+var jobStateCodes = [...]protocol.JobState{
+	protocol.JobQueued,
+	protocol.JobRunning,
+	protocol.JobCompleted,
+	protocol.JobFailed,
+	protocol.JobCancelled,
 }
 
 // Snapshot returns the complete state. Equal states give equal bytes. The error is always nil.
@@ -46,7 +48,7 @@
 
 // totals returns the counters that can't be derived from the rest of the state, in the order of the encoding.
 func (c *Counters) totals() [6]*uint64 {
-	return [...]*uint64{&c.Taken, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
+	return [...]*uint64{&c.Accepted, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
 }
 
 func (w *writer) expiries(entries []retainedID) {
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -9,8 +9,8 @@
 
 var errNewerHeartbeat = failure.New(failure.Conflict, "a newer heartbeat of this runner has come")
 
-// Heartbeat takes a runner's report. The reply comes within Options.MaxReplyDelay, by Flush. The heartbeat must not be
-// changed afterwards.
+// Heartbeat takes a runner's report. The reply comes within Options.MaxReplyDelay, by Flush. The owner keeps the
+// heartbeat's lists and sorts the finished runs: the caller must not use them afterwards.
 func (o *Owner) Heartbeat(now time.Duration, heartbeat *protocol.Heartbeat, reply func(*protocol.Orders, error)) {
 	if !o.leadership.isLeader {
 		reply(nil, errNotLeader)
@@ -67,7 +67,7 @@
 	r.report = *heartbeat
 	r.hasReported = true
 	r.lastContact = now
-	if heartbeat.State == protocol.Draining {
+	if heartbeat.State == protocol.RunnerDraining {
 		r.isDraining = true
 		r.drainsUntil = now + time.Duration(heartbeat.RemainingMs)*time.Millisecond
 	}
--- a/internal/cluster/scheduler/losses_test.go
+++ b/internal/cluster/scheduler/losses_test.go
@@ -7,7 +7,6 @@
 	. "github.com/onsi/gomega"
 
 	"ospreypond/internal/cluster/failure"
-	"ospreypond/internal/cluster/jobs"
 	"ospreypond/internal/cluster/protocol"
 )
 
@@ -44,7 +43,7 @@
 			heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: heartbeat.Rejected[0].Task, Run: 1, How: protocol.EndDone}}
 		})
 		state, _ := w.state.StateOf(id)
-		Expect(state).To(Equal(jobs.JobCompleted))
+		Expect(string(state)).To(Equal(protocol.JobCompleted))
 		Expect(w.owner.Counters().Losses).To(BeZero())
 	})
 
@@ -100,7 +99,7 @@
 			Expect(orders.Stop).To(BeEmpty())
 			Expect(w.owner.Counters().Losses).To(Equal(uint64(1)))
 		},
-		Entry("since the runner drains", func(heartbeat *protocol.Heartbeat) { heartbeat.State = protocol.Draining }),
+		Entry("since the runner drains", func(heartbeat *protocol.Heartbeat) { heartbeat.State = protocol.RunnerDraining }),
 		Entry("since it is overdue", func(*protocol.Heartbeat) { w.pass(5 * time.Second) }),
 		Entry("since its job is cancelled", func(*protocol.Heartbeat) {
 			w.owner.Cancel(w.now, id, func(error) {})
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -15,16 +15,16 @@
 // unknownID is that of a job that was never submitted.
 const unknownID = "00000000000000ff"
 
-// complete is what a caller got from the owner.
+// result is what a caller got from the owner.
 type result struct {
 	replied bool
 	kind    failure.Kind
-	state   string
+	state   protocol.JobState
 	count   int
 	known   bool
 }
 
-func (r *result) status(state string, err error) {
+func (r *result) status(state protocol.JobState, err error) {
 	r.replied, r.state, r.kind = true, state, failure.KindOf(err)
 }
 
@@ -68,7 +68,7 @@
 	orders := w.orders(heartbeatOf("i1", 1))
 	Expect(orders.Start).To(HaveLen(1))
 	heartbeat := heartbeatOf("i1", 2)
-	heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: outcome}}
+	heartbeat.Finished = []protocol.FinishedRun{{N: 1, Task: orders.Start[0].Task, Run: 1, How: protocol.RunEnd(outcome)}}
 	w.orders(heartbeat)
 }
 
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -79,7 +79,7 @@
 				"put each dispatcher's address at the place of its slotNo"}
 		}
 		fc.Refusals, fc.Roster = true, f.Roster
-		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.TipAfter/turns, second)}
+		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.OverloadWindow/turns, second)}
 	}
 	if err := p.fits(cfg); err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 		return
 	}
 	if p.size > 0 {
-		p.coord.Share(nil, 0, p.size)
+		p.coord.UpdateFleet(nil, 0, p.size)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -173,7 +173,7 @@
 		if !slices.Equal(h.Numbers, last.Numbers) {
 			p.log.WithFields(logrus.Fields{"numbers": h.Numbers, "living": h.Living}).Info("fleet: acting for other numbers")
 		}
-		p.coord.Share(h.Numbers, h.Sure, h.Living)
+		p.coord.UpdateFleet(h.Numbers, h.Sure, h.Living)
 		last, until, told = h, time.Now().Add(min(h.Sure, time.Hour)), true
 	}
 }
