--- a/internal/cluster/administration/running_test.go
+++ b/internal/cluster/administration/running_test.go
@@ -135,7 +135,7 @@
 		Expect(runners).To(HaveLen(1))
 		Expect(runners[0].Free).To(Equal(protocol.Resources{CPU: 1000, MemoryMB: 1000}))
 		Expect(runners[0].Runs).To(Equal(3))
-		Expect(runners[0].State).To(Equal(protocol.RunnerReady))
+		Expect(runners[0].State).To(Equal(string(protocol.RunnerReady)))
 		Expect(runners[0].HoldMs).To(BeNumerically(">", 0))
 		Expect(runners[0].Labels).To(Equal([]string{"kind", "rack"}))
 
