--- a/internal/cluster/localcluster/folder.go
+++ b/internal/cluster/localcluster/folder.go
@@ -41,8 +41,8 @@
 
 // prepare writes the settings of all processes and, if there is one, the backup.
 func (s *System) prepare(ctx context.Context) error {
-	first := s.isFirst()
-	if !first {
+	isNew := s.isNew()
+	if !isNew {
 		if err := s.checkNetwork(); err != nil {
 			return err
 		}
@@ -50,14 +50,12 @@
 	if err := checkAddressesFree(ctx, s.machines); err != nil {
 		return err
 	}
-	if s.backup != nil {
-		if !first {
-			return errors.Errorf("folder %s already contains a system; a backup is restored into a new folder", s.options.Dir)
-		}
-		first = false
+	if s.backup != nil && !isNew {
+		return errors.Errorf("folder %s already contains a system; a backup is restored into a new folder", s.options.Dir)
 	}
+	bootstrap := isNew && s.backup == nil
 	for _, m := range s.machines {
-		if err := m.writeSettings(s.machines, first); err != nil {
+		if err := m.writeSettings(s.machines, bootstrap); err != nil {
 			return err
 		}
 	}
@@ -87,8 +85,8 @@
 	return nil
 }
 
-// isFirst reports whether no control process has run in the folder yet.
-func (s *System) isFirst() bool {
+// isNew reports whether no control process has run in the folder yet.
+func (s *System) isNew() bool {
 	for _, m := range withRole(s.machines, boot.RoleControl) {
 		if entries, err := os.ReadDir(m.dataDir()); err == nil && len(entries) > 0 {
 			return false
--- a/internal/cluster/localcluster/machines_test.go
+++ b/internal/cluster/localcluster/machines_test.go
@@ -61,11 +61,11 @@
 		s := &System{options: Options{Dir: dir, Network: network, Program: os.Args[0]}}
 		Expect(s.checkOptions()).To(Succeed())
 		Expect(s.prepare(GinkgoT().Context())).To(Succeed())
-		Expect(s.isFirst()).To(BeTrue())
+		Expect(s.isNew()).To(BeTrue())
 		Expect(os.MkdirAll(filepath.Join(dir, "control-2", "data"), 0o700)).To(Succeed())
-		Expect(s.isFirst()).To(BeTrue())
+		Expect(s.isNew()).To(BeTrue())
 		Expect(os.WriteFile(filepath.Join(dir, "control-2", "data", "identity"), nil, 0o600)).To(Succeed())
-		Expect(s.isFirst()).To(BeFalse())
+		Expect(s.isNew()).To(BeFalse())
 		s.backup = &archive.Archive{}
 		Expect(s.prepare(GinkgoT().Context())).To(MatchError(ContainSubstring("already contains a system")))
 		s.options.Network = "127.9.7"
--- a/internal/cluster/localcluster/system.go
+++ b/internal/cluster/localcluster/system.go
@@ -1,3 +1,8 @@
+// Package localcluster runs a small system on this machine, for trying it out: three control processes, two frontends and
+// two agents, each at a loopback address of its own as if on a machine of its own, with stand-in runners. The processes
+// are those of a real system, with settings files, logs and data in one folder; only the runners are in this process.
+//
+// Run is all there is to call. One system runs in a folder at a time.
 package localcluster
 
 import (
