--- a/internal/cluster/control/job_endpoints.go
+++ b/internal/cluster/control/job_endpoints.go
@@ -70,8 +70,8 @@
 // status answers with a job's state, confirmed by a quorum if it may still change.
 func (c *Control) status(_ string, request *protocol.StatusRequest, reply func(*protocol.StatusResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
-		s.owner.Status(now, request.ID, func(state string, err error) {
-			reply(&protocol.StatusResponse{State: protocol.JobState(state)}, err)
+		s.owner.Status(now, request.ID, func(state protocol.JobState, err error) {
+			reply(&protocol.StatusResponse{State: state}, err)
 		})
 	})
 }
