--- a/internal/cluster/control/task_time_metrics.go
+++ b/internal/cluster/control/task_time_metrics.go
@@ -17,9 +17,9 @@
 
 // add adds what a queue's tasks and jobs came to since the previous call.
 func (m *taskTimeMetrics) add(queue string, since *latency.QueueSummary) {
-	for cause, span := range since.Tasks {
+	for reason, span := range since.Tasks {
 		if span > 0 {
-			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Reason(cause).String())
+			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Reason(reason).String())
 			m.set.GetOrCreateFloatCounter(name).Add(span.Seconds())
 		}
 	}
--- a/internal/cluster/control/task_times.go
+++ b/internal/cluster/control/task_times.go
@@ -65,9 +65,9 @@
 // withTimes returns a logger whose lines end with the wait reasons that took at least a millisecond, in ms.
 func (r *taskTimeReporter) withTimes(times *latency.Times) log.Logger {
 	var fields []any
-	for cause, span := range times {
+	for reason, span := range times {
 		if ms := span.Milliseconds(); ms > 0 {
-			fields = append(fields, latency.Reason(cause).String(), ms)
+			fields = append(fields, latency.Reason(reason).String(), ms)
 		}
 	}
 	return log.WithSuffix(level.Info(r.logger), fields...)
--- a/internal/cluster/localcluster/folder.go
+++ b/internal/cluster/localcluster/folder.go
@@ -18,7 +18,7 @@
 const lockName = "lock"
 
 // checkOptions checks the options and completes the System by them. It changes nothing on disk.
-func (s *System) checkOptions() error {
+func (s *system) checkOptions() error {
 	dir, err := filepath.Abs(s.options.Dir)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 }
 
 // prepare writes the settings of all processes and, if there is one, the backup.
-func (s *System) prepare(ctx context.Context) error {
+func (s *system) prepare(ctx context.Context) error {
 	isNew := s.isNew()
 	if !isNew {
 		if err := s.checkNetwork(); err != nil {
@@ -66,7 +66,7 @@
 }
 
 // lock takes the lock that keeps a second local system out of the folder, until it is closed.
-func (s *System) lock() (io.Closer, error) {
+func (s *system) lock() (io.Closer, error) {
 	lock, err := vfs.OS{}.Lock(filepath.Join(s.options.Dir, lockName))
 	if errors.Is(err, vfs.ErrLocked) {
 		return nil, errors.Errorf("a local system already runs in %s", s.options.Dir)
@@ -76,7 +76,7 @@
 
 // checkNetwork returns an error if the system in the folder has other addresses. Its members know each other by them, so they
 // must not change.
-func (s *System) checkNetwork() error {
+func (s *system) checkNetwork() error {
 	m := withRole(s.machines, boot.RoleControl)[0]
 	settings, err := boot.Load(m.settingsPath())
 	if err == nil && settings.IP != m.ip {
@@ -86,7 +86,7 @@
 }
 
 // isNew reports whether no control process has run in the folder yet.
-func (s *System) isNew() bool {
+func (s *system) isNew() bool {
 	for _, m := range withRole(s.machines, boot.RoleControl) {
 		if entries, err := os.ReadDir(m.dataDir()); err == nil && len(entries) > 0 {
 			return false
@@ -96,7 +96,7 @@
 }
 
 // restore writes the backup into the first control process's folder; the others join it with empty ones.
-func (s *System) restore() error {
+func (s *system) restore() error {
 	m := withRole(s.machines, boot.RoleControl)[0]
 	return s.backup.Restore(m.dataDir(), archive.Process{Node: m.name, Zone: m.zone, Address: m.address(internalPort)})
 }
--- a/internal/cluster/localcluster/introduction.go
+++ b/internal/cluster/localcluster/introduction.go
@@ -7,7 +7,7 @@
 )
 
 // printIntroduction prints the addresses and pids of the processes, and commands to try.
-func (s *System) printIntroduction() {
+func (s *system) printIntroduction() {
 	for _, p := range s.processes {
 		m := p.machine
 		s.printf("%-11s %s  pid %d  %s", m.name, m.describe(), p.pid(), m.zone)
@@ -21,7 +21,7 @@
   curl -H 'Host: %s' http://%s%s0123456789abcdef
   %s jobs list
 Ctrl-C ends all`,
-		s.options.Dir, strings.Join(s.controlAddresses(), ","), s.options.Program, Host, frontend, Prefix, Host, frontend, Prefix,
+		s.options.Dir, strings.Join(s.controlAddresses(), ","), s.options.Program, demoHost, frontend, demoPrefix, demoHost, frontend, demoPrefix,
 		s.options.Program)
 }
 
--- a/internal/cluster/localcluster/machines.go
+++ b/internal/cluster/localcluster/machines.go
@@ -25,8 +25,8 @@
 	lastPort      = 7395
 )
 
-// Service is the service of the stand-in runners.
-const Service = "demo"
+// demoService is the service of the stand-in runners.
+const demoService = "demo"
 
 // graceSeconds is short: no load balancer has to notice first that a frontend stops.
 const graceSeconds = 2
@@ -177,7 +177,7 @@
 	}
 	if m.role == boot.RoleAgent {
 		settings.App = m.address(runnerPort)
-		settings.Service = Service
+		settings.Service = demoService
 	}
 	data, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
--- a/internal/cluster/localcluster/machines_test.go
+++ b/internal/cluster/localcluster/machines_test.go
@@ -58,7 +58,7 @@
 	It("start for the first time only if no control process has left data", func() {
 		dir := GinkgoT().TempDir()
 		network := freeNetwork()
-		s := &System{options: Options{Dir: dir, Network: network, Program: os.Args[0]}}
+		s := &system{options: Options{Dir: dir, Network: network, Program: os.Args[0]}}
 		Expect(s.checkOptions()).To(Succeed())
 		Expect(s.prepare(GinkgoT().Context())).To(Succeed())
 		Expect(s.isNew()).To(BeTrue())
@@ -76,12 +76,12 @@
 	It("are rejected if the folder is a file", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "file")
 		Expect(os.WriteFile(file, nil, 0o600)).To(Succeed())
-		s := &System{options: Options{Dir: file, Network: "127.9.9", Program: os.Args[0]}}
+		s := &system{options: Options{Dir: file, Network: "127.9.9", Program: os.Args[0]}}
 		Expect(s.checkOptions()).To(MatchError(ContainSubstring(file + " is not a folder")))
 	})
 
 	It("belong to one system at a time", func() {
-		s := &System{options: Options{Dir: GinkgoT().TempDir()}}
+		s := &system{options: Options{Dir: GinkgoT().TempDir()}}
 		lock, err := s.lock()
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.lock()
--- a/internal/cluster/localcluster/ready.go
+++ b/internal/cluster/localcluster/ready.go
@@ -19,7 +19,7 @@
 )
 
 // controlAddresses returns the internal addresses of the control processes.
-func (s *System) controlAddresses() []string {
+func (s *system) controlAddresses() []string {
 	var addresses []string
 	for _, m := range withRole(s.machines, boot.RoleControl) {
 		addresses = append(addresses, m.address(internalPort))
@@ -29,7 +29,7 @@
 
 // becomeReady waits until the configuration has an owner, applies the first configuration if there is none, and waits until
 // the frontends are ready.
-func (s *System) becomeReady(ctx context.Context) error {
+func (s *system) becomeReady(ctx context.Context) error {
 	if err := s.configure(ctx); err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 }
 
 // configure applies the first configuration, if there is none.
-func (s *System) configure(ctx context.Context) error {
+func (s *system) configure(ctx context.Context) error {
 	client, err := administration.Dial(s.controlAddresses())
 	if err != nil {
 		return err
--- a/internal/cluster/localcluster/system.go
+++ b/internal/cluster/localcluster/system.go
@@ -36,8 +36,8 @@
 	Out     io.Writer // gets messages for the user
 }
 
-// System is a local system. Its processes are those of a real one; its runners are stand-ins in this process.
-type System struct {
+// system is a local system. Its processes are those of a real one; its runners are stand-ins in this process.
+type system struct {
 	options   Options
 	backup    *archive.Archive // to start from; nil: none
 	machines  []*machine
@@ -50,7 +50,7 @@
 // stops everything in order, runners first and control processes last, and returns nil. It returns an error if the system
 // cannot be started, is not ready in time, or a process ends again and again.
 func Run(ctx context.Context, options Options) error {
-	s := &System{options: options}
+	s := &system{options: options}
 	if err := s.checkOptions(); err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 }
 
 // serve waits until the system is ready, prints the introduction, and waits until ctx ends or a process fails.
-func (s *System) serve(ctx context.Context, failed <-chan error) error {
+func (s *system) serve(ctx context.Context, failed <-chan error) error {
 	starting, cancel := context.WithTimeout(ctx, readyTimeout)
 	ready := make(chan error, 1)
 	var goroutine sync.WaitGroup
@@ -121,7 +121,7 @@
 
 // startRole keeps the processes of a role running until stop is called, which waits for their end. A process that cannot be
 // kept running is reported to failed.
-func (s *System) startRole(ctx context.Context, role string, failed chan<- error) (stop func()) {
+func (s *system) startRole(ctx context.Context, role string, failed chan<- error) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	for _, m := range withRole(s.machines, role) {
@@ -140,13 +140,13 @@
 }
 
 // startRunners runs a stand-in runner beside each agent until stop is called, which waits for their end.
-func (s *System) startRunners(ctx context.Context) (stop func()) {
+func (s *system) startRunners(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	for i, m := range withRole(s.machines, boot.RoleAgent) {
 		options := runner.Options{
 			Instance: "i-" + m.name + "-" + randomSuffix(),
-			Service:  Service,
+			Service:  demoService,
 			Address:  m.address(runnerPort),
 			Zone:     m.zone,
 			Capacity: protocol.Resources{CPU: 8000, MemoryMB: 16384, GPU: 1},
@@ -171,7 +171,7 @@
 }
 
 // printf prints one message for the user.
-func (s *System) printf(format string, arguments ...any) {
+func (s *system) printf(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	_, _ = fmt.Fprintf(s.options.Out, format+"\n", arguments...)
