--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -8,9 +8,9 @@
 //   - The runner is called. Its own heartbeats only announce it; the agent polls it, reports to the owner as if the runner
 //     had sent a heartbeat, and calls it for each start and stop; see loop.
 //
-// The agent promises that a response belongs to the newest heartbeat of an incarnation, that no order of an owner reaches
-// a runner after one of a later owner has (by the fencing token, which the runner checks), and that a run whose start may
-// or may not have reached the runner is reported as active until that is known.
+// The agent promises that orders are the response to the newest heartbeat of an incarnation, that a call of a runner
+// carries the highest fencing token that the agent has seen, so that the runner rejects orders of a former owner, and that
+// a run whose start may or may not have reached the runner is reported as active until that is known.
 //
 // It stores nothing durably: a restarted agent learns the fencing token from the owner before it polls its runner. It
 // never decides that a runner is dead; owners do, by the absence of heartbeats.
--- a/internal/cluster/frontend/frontend.go
+++ b/internal/cluster/frontend/frontend.go
@@ -1,10 +1,12 @@
 // Package frontend is the role that clients talk to. It finds a request's queue by the configuration in force, carries the
 // request to the owner of the queue's shard, and responds to each request once and in time.
 //
-// A response of success or of a final error is true whatever the configuration is that was acknowledged before the request
-// arrived: where a version that this process doesn't know yet could make the response wrong, the request waits for a
-// confirmation that there is none, and without it gets a 503. A job is never accepted by two shards: before it is
-// submitted to the present shard of its queue, the earlier ones have promised not to accept it (protocol.FenceRequest).
+// A final error or a count is true by every version of the configuration that was acknowledged Bounds.ConfigApply before
+// the request arrived, and 410 (the job is unknown) by every one that was acknowledged before. Where a version that this
+// process doesn't know yet could make such a response wrong, the request waits for a confirmation that there is none, and
+// without one gets a 503. A submission takes along the version by which its queue was chosen, which the owner checks. A job
+// is never accepted by two shards: before it is submitted to the present shard of its queue, the earlier ones have promised
+// not to accept it (protocol.FenceRequest).
 // An error that a client may answer by a retry (429, 503) means that the job was certainly not accepted; if that is
 // unknown the response is 504.
 //
