--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -131,6 +131,7 @@
 
 // nextAttempt returns the next call of an owner.
 func (b *fixture) nextAttempt() *attempt {
+	GinkgoHelper()
 	var e *attempt
 	Eventually(b.owners.attempts).Should(Receive(&e))
 	return e
@@ -138,12 +139,14 @@
 
 // awaitTimers returns once the fake clock has the timers of an attempt, or of the pause after it.
 func (b *fixture) awaitTimers() {
+	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	Expect(b.clock.BlockUntilContext(ctx, timersPerAttempt)).To(Succeed())
 }
 
 func responseOf(answered <-chan *httptest.ResponseRecorder) *httptest.ResponseRecorder {
+	GinkgoHelper()
 	var w *httptest.ResponseRecorder
 	Eventually(answered).Should(Receive(&w))
 	return w
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -72,6 +72,7 @@
 
 // restart closes the runner and returns a later incarnation at the same address.
 func (f *fakeRunner) restart() *fakeRunner {
+	GinkgoHelper()
 	address := f.address()
 	f.close()
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
@@ -151,6 +152,7 @@
 
 // next returns the next call to the runner on a path.
 func (f *fakeRunner) next(path string) receivedCall {
+	GinkgoHelper()
 	var got receivedCall
 	Eventually(func() string {
 		select {
@@ -197,6 +199,7 @@
 
 // nextExchange advances the fake clock until the next exchange with the owner.
 func (b *calledFixture) nextExchange() *attempt {
+	GinkgoHelper()
 	for range maxSteps {
 		select {
 		case e := <-b.owners.attempts:
@@ -211,6 +214,7 @@
 
 // nextExchangeWhere answers each exchange by orders until one matches, which it returns.
 func (b *calledFixture) nextExchangeWhere(orders protocol.Orders, matches func(heartbeat *protocol.Heartbeat) bool) *attempt {
+	GinkgoHelper()
 	for range maxSteps {
 		e := b.nextExchange()
 		if matches(e.heartbeat) {
@@ -231,6 +235,7 @@
 // awaitReport has a runner send heartbeats until one of them is reported to the owner; earlier exchanges are answered by
 // orders. It returns that report and the response to the heartbeat.
 func (b *calledFixture) awaitReport(instance string, orders protocol.Orders) (*attempt, <-chan *httptest.ResponseRecorder) {
+	GinkgoHelper()
 	answers := map[uint64]<-chan *httptest.ResponseRecorder{}
 	for sequence := 1; sequence <= maxHeartbeats; sequence++ {
 		answers[uint64(sequence)] = b.sendHeartbeat(instance, sequence, protocol.RunnerReady)
--- a/internal/cluster/agent/link_test.go
+++ b/internal/cluster/agent/link_test.go
@@ -30,6 +30,7 @@
 }
 
 func newRawRunner() *rawRunner {
+	GinkgoHelper()
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	r := &rawRunner{listener: listener, accepted: make(chan *rawConnection, 10)}
@@ -48,6 +49,7 @@
 
 // link returns a new link to the runner, and the runner's end of it.
 func (r *rawRunner) link() (*link, *rawConnection) {
+	GinkgoHelper()
 	l, err := dialLink(context.Background(), nil, r.listener.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.close)
@@ -60,6 +62,7 @@
 
 // receive reads a complete request.
 func (c *rawConnection) receive() {
+	GinkgoHelper()
 	request, err := http.ReadRequest(c.reader)
 	Expect(err).NotTo(HaveOccurred())
 	_, err = io.Copy(io.Discard, request.Body)
@@ -67,12 +70,14 @@
 }
 
 func (c *rawConnection) send(text string) {
+	GinkgoHelper()
 	_, err := io.WriteString(c.Conn, text)
 	Expect(err).NotTo(HaveOccurred())
 }
 
 // reset closes the connection by a TCP reset.
 func (c *rawConnection) reset() {
+	GinkgoHelper()
 	Expect(c.Conn.(*net.TCPConn).SetLinger(0)).To(Succeed())
 	Expect(c.Close()).To(Succeed())
 }
--- a/internal/cluster/boot/load_test.go
+++ b/internal/cluster/boot/load_test.go
@@ -44,6 +44,7 @@
 }
 
 func parse(settings map[string]any) (*boot.Settings, error) {
+	GinkgoHelper()
 	data, err := json.Marshal(settings)
 	Expect(err).NotTo(HaveOccurred())
 	return boot.Parse(data)
--- a/internal/cluster/frontend/cancel_test.go
+++ b/internal/cluster/frontend/cancel_test.go
@@ -113,6 +113,7 @@
 
 // awaitResponse advances the fake clock until the response arrives.
 func awaitResponse(b *fixture, answered <-chan *httptest.ResponseRecorder) *httptest.ResponseRecorder {
+	GinkgoHelper()
 	var w *httptest.ResponseRecorder
 	Eventually(func() bool {
 		select {
--- a/internal/cluster/frontend/configuration_test.go
+++ b/internal/cluster/frontend/configuration_test.go
@@ -15,6 +15,7 @@
 
 // replaced returns the state's document, encoded, after a replacement of all routes.
 func replaced(state *configuration.State, version, base string, routes string) []byte {
+	GinkgoHelper()
 	body := `{"version":` + version + `,"routes":[` + routes + `],"services":[` + service + `],` +
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 	result := state.Execute(configuration.Command{Kind: protocol.ConfigurationReplace, Base: uint64(base[0] - '0'), Body: []byte(body)})
--- a/internal/cluster/frontend/connection_test.go
+++ b/internal/cluster/frontend/connection_test.go
@@ -58,6 +58,7 @@
 
 // stopAccepting shuts the server down and advances the fake clock until it ends its connections.
 func (s *serverFixture) stopAccepting() {
+	GinkgoHelper()
 	s.stop()
 	Eventually(s.server.stopping.Load).Should(BeTrue()) // its timers are on the fake clock
 	s.clock.Advance(readinessDelay)
--- a/internal/cluster/frontend/frontend_test.go
+++ b/internal/cluster/frontend/frontend_test.go
@@ -208,6 +208,7 @@
 
 // awaitTimers returns once the fake clock has n timers.
 func (b *fixture) awaitTimers(n int) {
+	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	Expect(b.clock.BlockUntilContext(ctx, n)).To(Succeed())
--- a/internal/cluster/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -35,6 +35,7 @@
 
 // newServerFixtureBehind returns a serverFixture whose server accepts clients from what wrap returns for its listener.
 func newServerFixtureBehind(wrap func(clients net.Listener) net.Listener) *serverFixture {
+	GinkgoHelper()
 	s := &serverFixture{fixture: newFixture(), ended: make(chan error, 1)}
 	s.server = NewServer(s.service, 6*time.Second, log.NewNopLogger())
 	ctx, stop := context.WithCancel(context.Background())
@@ -56,6 +57,7 @@
 }
 
 func (s *serverFixture) connect() *connection {
+	GinkgoHelper()
 	conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.clients)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
@@ -64,12 +66,14 @@
 }
 
 func (c *connection) send(method, path, body string) {
+	GinkgoHelper()
 	r := request(method, path, body)
 	Expect(r.Write(c.Conn)).To(Succeed())
 }
 
 // receive returns the next response's status, and whether it is the connection's last.
 func (c *connection) receive() (status int, last bool) {
+	GinkgoHelper()
 	response, err := http.ReadResponse(c.reader, nil)
 	Expect(err).NotTo(HaveOccurred())
 	_, err = io.Copy(io.Discard, response.Body)
@@ -82,6 +86,7 @@
 
 // probe returns the status of a path at the address of readiness.
 func (s *serverFixture) probe(path string) int {
+	GinkgoHelper()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+s.readiness+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	response, err := http.DefaultClient.Do(r)
