--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -26,7 +26,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			log := newLog(std.Err)
 			if err := app.Serve(opt, getenv, log); err != nil {
-				var faults script.Faults
+				var faults script.FileErrors
 				if errors.As(err, &faults) {
 					for _, f := range faults {
 						log.WithError(f).Error("the settings file has a fault")
--- a/internal/dispatcher/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -1,4 +1,4 @@
-// Package app puts one running dispatcher together from its configuration, and stops it in order.
+// Package app makes one running dispatcher of its configuration, and stops it in order.
 package app
 
 import (
@@ -7,7 +7,6 @@
 	"net"
 	"os"
 	"os/signal"
-	"reflect"
 	"runtime"
 	"runtime/debug"
 	"sync"
@@ -29,24 +28,24 @@
 	"ospreypond/policy"
 )
 
-// Options are what the command line tells of a dispatcher.
+// Options are a dispatcher's command line.
 type Options struct {
-	// Record is a folder to record traffic in; empty: none is recorded.
+	// Record is the folder to record traffic in; empty: none is recorded.
 	Record string
 	// Keep is how long recorded traffic is kept.
 	Keep store.Retention
-	// Fleet is the operator's own settings file; empty: this dispatcher keeps to itself.
+	// Fleet is the path of the fleet script; empty: the dispatcher takes part in no fleet.
 	Fleet string
 }
 
-// Serve runs one dispatcher until SIGTERM or an interrupt has ended it in order. SIGHUP has it read its configuration
-// again.
+// Serve runs one dispatcher until SIGTERM or an interrupt, by which it stops in order. SIGHUP has it reload its
+// configuration. It returns an error if a part can't be started, or clients can't be served any more.
 func Serve(opt Options, getenv func(string) string, log *logrus.Logger) error {
-	// From the first moment on: a SIGHUP that comes early waits its turn instead of ending the program.
+	// Registered first: a SIGHUP during the start must not end the program, and a signal to stop is handled as soon as
+	// the dispatcher would serve.
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
 	defer signal.Stop(hups)
-	// A signal to stop that comes while the program starts is seen as soon as it could serve.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(signals)
@@ -58,78 +57,23 @@
 	runtime.GOMAXPROCS(cfg.Procs())
 	debug.SetMemoryLimit(cfg.MemoryTarget())
 
-	life := lifecycle.New(func(from, to lifecycle.Phase) {
-		log.WithFields(logrus.Fields{"name": cfg.Name, "from": from, "to": to}).Info("phase changed")
-	})
-	disabled, err := loadDisabled(os.TempDir())
-	if err != nil {
-		log.WithError(err).Error("the runners taken out before this process are not known")
-	}
-	table := routetable.New(disabled...)
-	coord, err := coordinator.New(cfg.Policy, cfg.Seed, log)
-	if err != nil {
+	d := newDispatcher(cfg, log)
+	defer d.close()
+	if err := d.prepare(opt); err != nil {
 		return err
 	}
-	watcher := routetable.NewWatcher(table, cfg.Discovery, cfg.DiscoveryHold(), cfg.DrainGrace(), coord.UpdateList, log)
-	clients, targets := cfg.SocketBudget()
-	runners := egress.New(table, cfg, targets, log)
-	coord.Attach(runners, watcher)
-	var ran sync.WaitGroup
-	if opt.Record != "" {
-		rec, err := traffic.Open(opt.Record, opt.Keep, log)
-		if err != nil {
-			return &StartError{"recording traffic", "mend the folder, or start without --record", err}
-		}
-		coord.Observe(rec)
-		defer func() {
-			life.Advance(lifecycle.Stopped) // whatever ended it, so that the coordinator ends and tells of the last ones
-			ran.Wait()
-			_ = rec.Close() // it logs what it could not write
-		}()
-	}
-	coord.UpdateList(policy.Event{Kind: policy.ListRestored, Members: table.Apply(&cfg.Known)})
-	peers, err := joinFleet(opt.Fleet, cfg, coord, log)
-	if err != nil {
+	if err := d.listen(); err != nil {
 		return err
 	}
-
-	listener, err := listen(context.Background(), cfg.Listen)
-	if err != nil {
-		return &StartError{`key "listen"`, "take an address of this machine that no other program has", err}
-	}
-	server := ingress.New(coord, life, &cfg.Policy, clients, cfg.BodyBudget(), log)
-	files := &reloads{}
-	if cfg.Console != "" {
-		l, err := net.Listen("tcp", cfg.Console)
-		if err != nil {
-			return &StartError{`key "console"`, "take an address of this machine that no other program has", err}
-		}
-		ops := console.New(&operator{server: server, table: table, news: coord.UpdateList, reloads: files, peers: peers, dir: os.TempDir(), log: log}, log)
-		defer ops.Close()
-		go func() {
-			if err := ops.Serve(l); err != nil {
-				log.WithError(err).Error("the console stopped")
-			}
-		}()
-		log.WithField("addr", l.Addr()).Info("console listening")
-	}
-	working := life.Until(lifecycle.Stopped)
-	watcher.KeepOpen(!cfg.Policy.ListOnDemand)
-	go watcher.Run(working)
-	ran.Go(func() { coord.Run(working) })
-	peers.start()
-	defer peers.leave()
-	inForce := &atomic.Pointer[config.Config]{}
-	inForce.Store(cfg)
-	go reload(working, hups, inForce, getenv, watcher, retuner{coord, runners, server, peers}, files, log)
+	d.run(hups, getenv)
 	if !cfg.Policy.ListOnDemand {
-		// What was pushed before counts as told from the first moment, and the list of the configuration may be old.
-		awaitList(watcher.FirstList(), signals)
+		// The dispatcher counts as notified of what was pushed before its start, and the configuration's list may be old.
+		awaitList(d.watcher.FirstList(), signals)
 	}
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
-	life.Advance(lifecycle.Serving)
-	log.WithField("addr", listener.Addr()).Info("listening")
+	go func() { served <- d.server.Serve(d.listener) }()
+	d.phases.Advance(lifecycle.Serving)
+	log.WithField("addr", d.listener.Addr()).Info("listening")
 
 	select {
 	case err := <-served:
@@ -137,94 +81,149 @@
 	case s := <-signals:
 		log.WithField("signal", s).Info("asked to stop")
 	}
-	life.Advance(lifecycle.Draining)
-	peers.leave() // what it may use passes on; what it holds it still ends
-	err = drain(server, coord, inForce.Load().StopTimeout())
-	life.Advance(lifecycle.Stopped)
-	if err != nil {
-		log.WithError(err).Error("stopped with requests unanswered")
-	}
+	d.stop()
 	return nil
 }
 
-// listWithin is how long a start waits for the list where lists are pushed. What pushes them is near; where it is
-// silent, it has nothing to tell.
-const listWithin = time.Second
+// dispatcher is the parts of a running dispatcher.
+type dispatcher struct {
+	cfg      *config.Config // at the start
+	inForce  atomic.Pointer[config.Config]
+	log      *logrus.Logger
+	phases   *lifecycle.Lifecycle
+	table    *routetable.Table
+	coord    *coordinator.Coordinator
+	watcher  *routetable.Watcher
+	egress   *egress.Egress
+	server   *ingress.Server
+	listener net.Listener
+	console  *console.Server   // nil: none
+	recorder *traffic.Recorder // nil: none
+	peers    *peers
+	reloads  *reloads
+	ran      sync.WaitGroup // the coordinator's Run
+}
 
-// awaitList waits until a list came, a signal to stop, which is put back, or listWithin.
-func awaitList(first <-chan struct{}, signals chan os.Signal) {
-	select {
-	case <-first:
-	case s := <-signals:
-		signals <- s
-	case <-time.After(listWithin):
-	}
+func newDispatcher(cfg *config.Config, log *logrus.Logger) *dispatcher {
+	d := &dispatcher{cfg: cfg, log: log, peers: &peers{}, reloads: &reloads{}}
+	d.inForce.Store(cfg)
+	d.phases = lifecycle.New(func(from, to lifecycle.Phase) {
+		log.WithFields(logrus.Fields{"name": cfg.Name, "from": from, "to": to}).Info("phase changed")
+	})
+	return d
 }
 
-// reload takes up a new configuration at each signal, in place of the one in force: the whole file is read and
-// checked, and a faulty one changes nothing.
-func reload(ctx context.Context, signals <-chan os.Signal, inForce *atomic.Pointer[config.Config], getenv func(string) string,
-	watcher *routetable.Watcher, tune retuner, files *reloads, log *logrus.Logger) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-signals:
-		}
-		cfg := inForce.Load()
-		next, err := cfg.Reload(getenv)
-		if err != nil {
-			log.WithError(err).WithField("refused", files.refuse(err)).Error("new configuration is faulty; the old one stays")
-			continue
-		}
-		if !reflect.DeepEqual(cfg.Settings, next.Settings) {
-			if err := tune.retune(next); err != nil {
-				log.WithError(err).WithField("refused", files.refuse(err)).Error("new settings are faulty; the old ones stay")
-				continue
-			}
-			watcher.Retune(next.DiscoveryHold(), next.DrainGrace())
-			watcher.KeepOpen(!next.Policy.ListOnDemand)
-			log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; requests under way keep theirs")
-		}
-		watcher.Move(next.Discovery)
-		entry := log.WithField("discovery", next.Discovery)
-		if keys := cfg.NeedRestart(next); len(keys) > 0 {
-			entry = entry.WithField("needs_restart", keys)
+// prepare makes and connects the parts. None of them runs yet.
+func (d *dispatcher) prepare(opt Options) error {
+	disabled, err := loadDisabled(os.TempDir())
+	if err != nil {
+		d.log.WithError(err).Error("the runners taken out before this process are not known")
+	}
+	d.table = routetable.New(disabled...)
+	if d.coord, err = coordinator.New(d.cfg.Policy, d.cfg.Seed, d.log); err != nil {
+		return err
+	}
+	d.watcher = routetable.NewWatcher(d.table, d.cfg.Discovery, d.cfg.DiscoveryHold(), d.cfg.DrainGrace(), d.coord.UpdateList, d.log)
+	clients, targets := d.cfg.SocketBudget()
+	d.egress = egress.New(d.table, d.cfg, targets, d.log)
+	d.coord.Attach(d.egress, d.watcher)
+	if opt.Record != "" {
+		if d.recorder, err = traffic.Open(opt.Record, opt.Keep, d.log); err != nil {
+			return &StartError{"recording traffic", "mend the folder, or start without --record", err}
 		}
-		entry.WithField("taken", files.take()).Info("configuration reloaded")
-		inForce.Store(next)
+		d.coord.Observe(d.recorder)
 	}
+	d.coord.UpdateList(policy.Event{Kind: policy.ListRestored, Members: d.table.Apply(&d.cfg.Known)})
+	if d.peers, err = joinFleet(opt.Fleet, d.cfg, d.coord, d.log); err != nil {
+		d.peers = &peers{}
+		return err
+	}
+	d.server = ingress.New(d.coord, d.phases, &d.cfg.Policy, clients, d.cfg.BodyBudget(), d.log)
+	return nil
 }
 
-// retuner takes new settings: the coordinator for the decisions, the egress for connections and reports, the ingress for the
-// names that requests may use.
-type retuner struct {
-	coord   *coordinator.Coordinator
-	runners *egress.Egress
-	server  *ingress.Server
-	peers   *peers
+// listen opens the clients' listener, and opens and serves the console's.
+func (d *dispatcher) listen() error {
+	ctx := d.phases.Until(lifecycle.Stopped)
+	var err error
+	if d.listener, err = listen(ctx, d.cfg.Listen); err != nil {
+		return &StartError{`key "listen"`, "take an address of this machine that no other program has", err}
+	}
+	if d.cfg.Console == "" {
+		return nil
+	}
+	l, err := new(net.ListenConfig).Listen(ctx, "tcp", d.cfg.Console)
+	if err != nil {
+		return &StartError{`key "console"`, "take an address of this machine that no other program has", err}
+	}
+	d.console = console.New(&operator{server: d.server, table: d.table, notify: d.coord.UpdateList, reloads: d.reloads,
+		peers: d.peers, dir: os.TempDir(), log: d.log}, d.log)
+	go func() {
+		if err := d.console.Serve(l); err != nil {
+			d.log.WithError(err).Error("the console stopped")
+		}
+	}()
+	d.log.WithField("addr", l.Addr()).Info("console listening")
+	return nil
 }
 
-func (r retuner) retune(next *config.Config) error {
-	if err := r.peers.fits(next); err != nil {
-		return err
+// run starts the goroutines that work until the phase Stopped.
+func (d *dispatcher) run(hups <-chan os.Signal, getenv func(string) string) {
+	working := d.phases.Until(lifecycle.Stopped)
+	d.watcher.KeepOpen(!d.cfg.Policy.ListOnDemand)
+	go d.watcher.Run(working)
+	d.ran.Go(func() { d.coord.Run(working) })
+	d.peers.start()
+	go d.reloadAt(working, hups, getenv)
+}
+
+// stop serves the requests that are open, for StopTimeout at most, and ends the goroutines of run.
+func (d *dispatcher) stop() {
+	d.phases.Advance(lifecycle.Draining)
+	d.peers.leave() // its parts of budgets pass on; open requests are still served
+	err := d.drain(d.inForce.Load().StopTimeout())
+	d.phases.Advance(lifecycle.Stopped)
+	if err != nil {
+		d.log.WithError(err).Error("stopped with requests unanswered")
 	}
-	if err := r.coord.Retune(next.Policy); err != nil {
-		return err
+}
+
+// close releases what prepare, listen and run opened, however far they got.
+func (d *dispatcher) close() {
+	d.peers.leave()
+	if d.console != nil {
+		_ = d.console.Close() // the process ends
+	}
+	if d.recorder != nil {
+		d.phases.Advance(lifecycle.Stopped) // so that the coordinator ends and notifies of the last requests
+		d.ran.Wait()
+		_ = d.recorder.Close() // it logs what it could not write
 	}
-	r.runners.Retune(next)
-	r.server.Retune(&next.Policy)
-	return nil
 }
 
-// drain stops taking requests and answers those taken: what is still open after the given time is ended.
-func drain(server *ingress.Server, coord *coordinator.Coordinator, within time.Duration) error {
-	end := time.AfterFunc(within, coord.Close)
+// drain waits until the open requests have their response, and ends those that are open after the timeout.
+func (d *dispatcher) drain(timeout time.Duration) error {
+	end := time.AfterFunc(timeout, d.coord.Close)
 	defer end.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), within+closeGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout+shutdownGrace)
 	defer cancel()
-	return server.Shutdown(ctx)
+	return d.server.Shutdown(ctx)
 }
 
-// closeGrace is for the last answers to get out.
-const closeGrace = 300 * time.Millisecond
+// shutdownGrace is how long after the timeout the last responses may take to be delivered.
+const shutdownGrace = 300 * time.Millisecond
+
+// firstListTimeout bounds the wait for the first list at a start where lists are pushed. Their source is near; if it
+// does not respond, there is no newer list.
+const firstListTimeout = time.Second
+
+// awaitList waits until the first list was received, for a signal to stop, which it puts back, or for
+// firstListTimeout.
+func awaitList(first <-chan struct{}, signals chan os.Signal) {
+	select {
+	case <-first:
+	case s := <-signals:
+		signals <- s
+	case <-time.After(firstListTimeout):
+	}
+}
--- a/internal/dispatcher/app/errors.go
+++ b/internal/dispatcher/app/errors.go
@@ -4,7 +4,7 @@
 
 // StartError is a part of the dispatcher that can't be started.
 type StartError struct {
-	Part string // the key, variable or flag that it hangs on
+	Part string // the key, variable or flag that it depends on
 	Fix  string // what an operator can do
 	Err  error
 }
--- a/internal/dispatcher/app/errors_test.go
+++ b/internal/dispatcher/app/errors_test.go
@@ -27,14 +27,8 @@
 			if err != nil {
 				return err
 			}
-			for _, decl := range f.Decls {
-				if fn, ok := decl.(*ast.FuncDecl); ok && fn.Recv != nil && fn.Name.Name == "Error" {
-					of := fn.Recv.List[0].Type
-					if star, ok := of.(*ast.StarExpr); ok {
-						of = star.X
-					}
-					inCode[f.Name.Name+"."+of.(*ast.Ident).Name] = true
-				}
+			for _, name := range errorTypes(f) {
+				inCode[f.Name.Name+"."+name] = true
 			}
 			return nil
 		}))
@@ -50,3 +44,19 @@
 	}
 	assert.Equal(t, inCode, listed)
 }
+
+// errorTypes returns the names of the types in a file with a method Error.
+func errorTypes(f *ast.File) (names []string) {
+	for _, decl := range f.Decls {
+		fn, ok := decl.(*ast.FuncDecl)
+		if !ok || fn.Recv == nil || fn.Name.Name != "Error" {
+			continue
+		}
+		receiver := fn.Recv.List[0].Type
+		if star, ok := receiver.(*ast.StarExpr); ok {
+			receiver = star.X
+		}
+		names = append(names, receiver.(*ast.Ident).Name)
+	}
+	return names
+}
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -18,11 +18,12 @@
 	"ospreypond/internal/dispatcher/script"
 )
 
-// turns is how often within tipAfterUs the module counts anew what it sent to a cold runner, and second the time in which it
-// counts a tenant's requests: parts that pass on must not be counted twice within either.
+// budgetIntervals is into how many intervals the module divides OverloadWindow to count what it sent to a warming
+// runner, and allowanceWindow the time over which it counts a tenant's requests: parts that pass to another
+// dispatcher must not be counted twice within either.
 const (
-	turns  = 4
-	second = time.Second
+	budgetIntervals = 4
+	allowanceWindow = time.Second
 )
 
 // FleetError is a fleet that this dispatcher can't take part in.
@@ -37,26 +38,27 @@
 	return fmt.Sprintf("fleet: %s: %s (%s)", e.Key, e.Problem, e.Fix)
 }
 
-// peers is this dispatcher's part in a fleet; without one it does nothing, and all its methods may be called.
+// peers is this dispatcher's part in a fleet. All its methods may be called without a fleet, and do nothing then.
 type peers struct {
 	node  *udp.Node
 	own   int
-	size  int // 0: numbers do not pass
+	size  int // number of dispatchers; 0: numbers do not pass on
 	coord *coordinator.Coordinator
 	log   logrus.FieldLogger
 
-	once sync.Once
-	stop context.CancelFunc
-	done chan struct{}
-	held chan udp.Held // the newest, for the coordinator
+	once    sync.Once
+	stop    context.CancelFunc
+	done    chan struct{}
+	updates chan udp.Held // of capacity 1: the newest, for forward
 }
 
-// joinFleet reads the file at path and prepares this dispatcher's part; start begins it. Without a path there is none.
+// joinFleet reads the fleet script at path and prepares this dispatcher's part, which start begins. Without a path
+// there is no fleet.
 func joinFleet(path string, cfg *config.Config, coord *coordinator.Coordinator, log *logrus.Logger) (*peers, error) {
 	if path == "" {
 		return &peers{}, nil
 	}
-	s, err := script.Read(path, script.Me{Name: cfg.Name, Number: cfg.Settings.SlotNo})
+	s, err := script.Read(path, script.Self{Name: cfg.Name, Number: cfg.Settings.SlotNo})
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +69,7 @@
 	if cfg.Name == "" {
 		return nil, &FleetError{"name", "is empty", "give each dispatcher a name of its own in its configuration, or by LB_NAME"}
 	}
-	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), held: make(chan udp.Held, 1)}
+	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), updates: make(chan udp.Held, 1)}
 	fc := fleet.Config{Interval: f.Interval, Seeds: f.Seeds, Seed: cfg.Seed}
 	if len(fc.Seeds) == 0 {
 		fc.Seeds = f.Roster
@@ -79,9 +81,9 @@
 				"put each dispatcher's address at the place of its slotNo"}
 		}
 		fc.Refusals, fc.Roster = true, f.Roster
-		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.OverloadWindow/turns, second)}
+		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.OverloadWindow/budgetIntervals, allowanceWindow)}
 	}
-	if err := p.fits(cfg); err != nil {
+	if err := p.checkConfig(cfg); err != nil {
 		return nil, err
 	}
 	codec, err := packet.New(f.Name, []byte(f.Key))
@@ -89,12 +91,13 @@
 		return nil, err
 	}
 	p.node = udp.New(udp.Options{Listen: f.Listen, Self: fleet.Record{Name: cfg.Name, Addr: f.Advertise, Zone: cfg.Settings.Zone}, Config: fc,
-		Codec: codec, Held: p.hold, Log: log})
+		Codec: codec, Held: p.update, Log: log})
 	return p, nil
 }
 
-// fits tells whether numbers can pass under a configuration: there must be as many parts as addresses.
-func (p *peers) fits(cfg *config.Config) error {
+// checkConfig returns an error if numbers can't pass on under a configuration: there must be as many dispatchers as
+// addresses in the roster.
+func (p *peers) checkConfig(cfg *config.Config) error {
 	if p.size > 0 && (cfg.Settings.Balancers != p.size || cfg.Settings.SlotNo != p.own) {
 		return &FleetError{"settings.balancers", fmt.Sprintf("is %d with slotNo %d, but roster has %d addresses and this is number %d",
 			cfg.Settings.Balancers, cfg.Settings.SlotNo, p.size, p.own), "make both the same and restart"}
@@ -102,7 +105,7 @@
 	return nil
 }
 
-// start begins to take part. Until the fleet says otherwise this dispatcher uses no number that may pass.
+// start begins to take part. Until the fleet's first update this dispatcher uses no number that may pass on.
 func (p *peers) start() {
 	if p.node == nil {
 		return
@@ -112,7 +115,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	go p.pass()
+	go p.forward()
 	go func() {
 		defer close(p.done)
 		if err := p.node.Run(ctx); err != nil {
@@ -121,7 +124,7 @@
 	}()
 }
 
-// leave ends this dispatcher's part; a second call does nothing.
+// leave ends this dispatcher's part and waits for it; further calls do nothing.
 func (p *peers) leave() {
 	if p.node == nil {
 		return
@@ -134,46 +137,47 @@
 	})
 }
 
-// hold takes what the fleet lets this dispatcher use. Only the newest waits for the coordinator, so nothing blocks here.
-func (p *peers) hold(h udp.Held) {
+// update is called with what the fleet lets this dispatcher use. Only the newest is kept for forward, so it does not
+// block.
+func (p *peers) update(h udp.Held) {
 	select {
-	case <-p.held:
+	case <-p.updates:
 	default:
 	}
-	p.held <- h
+	p.updates <- h
 }
 
-// pass tells the coordinator what changed, and what would run out.
-func (p *peers) pass() {
+// forward passes updates to the coordinator: changes, and renewals before they expire. It ends after the node has.
+func (p *peers) forward() {
 	var (
 		last  udp.Held
 		until time.Time
-		told  bool
+		sent  bool
 	)
 	for {
 		var h udp.Held
 		select {
 		case <-p.done:
 			select {
-			case h = <-p.held: // that it uses nothing any more
+			case h = <-p.updates: // the last one: it may use nothing any more
 			default:
 				return
 			}
-		case h = <-p.held:
+		case h = <-p.updates:
 		}
 		if p.size == 0 {
 			h.Numbers, h.Sure = []int{p.own}, time.Duration(1<<62)
 		}
-		if h.Living == 0 { // it leaves; the others are there as before
+		if h.Living == 0 { // it leaves; the others live as before
 			h.Living = max(1, last.Living)
 		}
-		if told && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.Sure/2) {
+		if sent && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.Sure/2) {
 			continue
 		}
 		if !slices.Equal(h.Numbers, last.Numbers) {
 			p.log.WithFields(logrus.Fields{"numbers": h.Numbers, "living": h.Living}).Info("fleet: acting for other numbers")
 		}
 		p.coord.UpdateFleet(h.Numbers, h.Sure, h.Living)
-		last, until, told = h, time.Now().Add(min(h.Sure, time.Hour)), true
+		last, until, sent = h, time.Now().Add(min(h.Sure, time.Hour)), true
 	}
 }
--- a/internal/dispatcher/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -7,7 +7,7 @@
 	"ospreypond/internal/dispatcher/fleet"
 )
 
-// fleetView is what GET /fleet answers.
+// fleetView is the response to GET /fleet.
 type fleetView struct {
 	Name        string           `json:"name"`
 	Addr        string           `json:"addr"`
@@ -16,10 +16,10 @@
 	Living      int              `json:"living"` // with this one
 	Digest      uint64           `json:"digest"` // equal views of the living have equal ones
 	Settled     bool             `json:"settled"`
-	ForMs       int64            `json:"for_ms"` // how long it has been settled, or not
+	ForMs       int64            `json:"for_ms"` // how long Settled has been as it is
 	Superseded  bool             `json:"superseded"`
-	Health      int              `json:"health"`  // 0: well; 8: this process is slow or hears nobody
-	Numbers     []int            `json:"numbers"` // it acts for; null: numbers do not pass
+	Health      int              `json:"health"`  // 0: healthy; 8: this process is slow or has no contact
+	Numbers     []int            `json:"numbers"` // whose parts it uses; null: numbers do not pass on
 	Members     []fleetMember    `json:"members"`
 	Dropped     map[string]int64 `json:"dropped"` // datagrams, by reason
 }
@@ -34,19 +34,19 @@
 	ForMs       int64  `json:"for_ms"`
 }
 
-// waiting is what GET /fleet answers while another process has the fleet's address.
-type waiting struct {
+// fleetWaiting is the response to GET /fleet while another process has the fleet's address.
+type fleetWaiting struct {
 	Waiting string `json:"waiting"`
 }
 
-// look returns the newest view, for JSON; nil without a fleet.
-func (p *peers) look() any {
+// view returns the newest view, for JSON; nil without a fleet.
+func (p *peers) view() any {
 	if p.node == nil {
 		return nil
 	}
 	v := p.node.View()
 	if v == nil {
-		return waiting{"the fleet's address is not had yet"}
+		return fleetWaiting{"the fleet's address is not had yet"}
 	}
 	since := func(t time.Duration) int64 { return int64(math.Max(0, float64(v.At-t)) / float64(time.Millisecond)) }
 	out := fleetView{Name: v.Self.Name, Addr: v.Self.Addr, Life: v.Self.Life, Incarnation: v.Self.Incarnation, Living: v.Living,
--- a/internal/dispatcher/app/operator.go
+++ b/internal/dispatcher/app/operator.go
@@ -18,20 +18,20 @@
 	"ospreypond/policy"
 )
 
-// disabledFile holds the runners that operators took out, under $TMPDIR: a process that takes over at an upgrade
-// starts with them, since a runner stays disabled until it is enabled, whatever process serves.
+// disabledFile has the runners that operators disabled, under $TMPDIR: the next process at an upgrade starts with
+// them, as a runner stays disabled until it is enabled, whatever process serves. Its name and form are read by other
+// versions.
 const disabledFile = "ospreypond-bans.json"
 
-// operator carries out the console's calls on the running parts. Each call returns at once: the module is
-// told through the coordinator's inbox from a goroutine of its own.
+// operator carries out the console's calls. No call waits for the coordinator: the module is notified from a
+// goroutine.
 type operator struct {
-	server *ingress.Server
-	table  *routetable.Table
-	news   func(policy.Event)
-	// reloads counts the files read at SIGHUP.
+	server  *ingress.Server
+	table   *routetable.Table
+	notify  func(policy.Event)
 	reloads *reloads
 	peers   *peers
-	dir     string // where the disabled runners are kept for the next process
+	dir     string // of disabledFile
 	log     logrus.FieldLogger
 }
 
@@ -40,21 +40,22 @@
 func (o *operator) Undrain()                  { o.server.Undrain() }
 func (o *operator) GivenUp() map[string]int64 { return o.server.GiveUps().Counts() }
 func (o *operator) Reloads() string           { return o.reloads.String() }
-func (o *operator) Fleet() any                { return o.peers.look() }
+func (o *operator) Fleet() any                { return o.peers.view() }
 
 func (o *operator) Disable(id string) error {
 	changed, err := o.table.Disable(id)
-	return o.tell(changed, err)
+	return o.apply(changed, err)
 }
 
 func (o *operator) Enable(id string) error {
 	changed, err := o.table.Enable(id, time.Now())
-	return o.tell(changed, err)
+	return o.apply(changed, err)
 }
 
-func (o *operator) tell(changed []policy.Member, err error) error {
-	if errors.Is(err, maintenance.ErrUnknown) {
-		return console.ErrUnknown // it says what is at fault; the console names the id
+// apply saves the disabled runners and notifies the module of the changed members.
+func (o *operator) apply(changed []policy.Member, err error) error {
+	if errors.Is(err, maintenance.ErrUnknownRunner) {
+		return console.ErrUnknownRunner // the console adds the id
 	}
 	if err != nil {
 		return err
@@ -63,13 +64,12 @@
 		o.log.WithError(err).Error("the runners taken out could not be kept for the next process")
 	}
 	if len(changed) > 0 {
-		go o.news(policy.Event{Kind: policy.ListChanged, Members: changed})
+		go o.notify(policy.Event{Kind: policy.ListChanged, Members: changed})
 	}
 	return nil
 }
 
-// saveDisabled replaces the file whole and durably, so that a process that reads it meanwhile sees the old list or
-// the new.
+// saveDisabled replaces the file atomically and durably, so that a process reads either the old list or the new one.
 func saveDisabled(dir string, ids []string) error {
 	text, err := json.Marshal(ids)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return renameio.WriteFile(filepath.Join(dir, disabledFile), text, 0o600, renameio.WithTempDir(dir))
 }
 
-// loadDisabled reads what a process before this one kept; no file: none is disabled.
+// loadDisabled reads what the process before this one saved; without a file none is disabled.
 func loadDisabled(dir string) ([]string, error) {
 	text, err := os.ReadFile(filepath.Join(dir, disabledFile))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/dispatcher/app/operator_test.go
+++ b/internal/dispatcher/app/operator_test.go
@@ -18,9 +18,9 @@
 	"ospreypond/policy"
 )
 
-// Disabled runners go to the next process whole: what one saves, the next loads; no file means none, a spoilt one an error
-// that names the file.
-func TestDisabledRunnersAreHandedToTheNextProcess(t *testing.T) {
+// Disabled runners pass to the next process: what one saves, the next loads. No file means none; a corrupt one is an
+// error that names the file.
+func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	dir := t.TempDir()
 	ids, err := loadDisabled(dir)
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 	assert.Equal(t, []string{"s-2"}, ids)
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
-	assert.Len(t, left, 1, "no temporary file stays behind")
+	assert.Len(t, left, 1, "no temporary file is left")
 
 	require.NoError(t, os.WriteFile(filepath.Join(dir, disabledFile), []byte(`["s-`), 0o600))
 	_, err = loadDisabled(dir)
@@ -43,14 +43,14 @@
 func TestTwoProcessesListenAtOneAddress(t *testing.T) {
 	first, err := listen(context.Background(), "127.0.0.1:0")
 	require.NoError(t, err)
-	defer first.Close()
+	t.Cleanup(func() { _ = first.Close() })
 	second, err := listen(context.Background(), first.Addr().String())
 	require.NoError(t, err, "the second listener beside the first")
-	defer second.Close()
+	t.Cleanup(func() { _ = second.Close() })
 }
 
-// Guards against a call that waits for a busy coordinator: with the coordinator's inbox stuck, every call of the console
-// is still answered at once, and the module is told once it takes news again.
+// Guards against a call that waits for a busy coordinator: while its inbox is full, every call of the console returns
+// at once, and the module is notified later.
 func TestCallsDoNotWaitForTheCoordinator(t *testing.T) {
 	table := routetable.New()
 	table.Apply(&routetable.List{Full: true, Hosts: []routetable.Host{{Host: "s-1", Dial: "127.0.0.1:1", Health: "SERVING"}}})
@@ -58,7 +58,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	server := ingress.New(nil, lifecycle.New(nil), &policy.Settings{}, 10, 1<<20, log)
-	o := &operator{server: server, table: table, news: func(e policy.Event) { stuck <- e }, dir: t.TempDir(), log: log}
+	o := &operator{server: server, table: table, notify: func(e policy.Event) { stuck <- e }, dir: t.TempDir(), log: log}
 	for _, call := range []func() error{
 		func() error { return o.Disable("s-1") },
 		func() error { return o.Enable("s-1") },
@@ -71,16 +71,16 @@
 		select {
 		case err := <-done:
 			require.NoError(t, err)
-		case <-time.After(time.Second): // what a caller waits
+		case <-time.After(time.Second): // the callers' timeout
 			t.Fatal("a call waited for the coordinator")
 		}
 	}
-	for range 2 { // the module hears of both changes
+	for range 2 { // the module is notified of both changes
 		select {
 		case e := <-stuck:
 			assert.Equal(t, policy.ListChanged, e.Kind)
 		case <-time.After(5 * time.Second):
-			t.Fatal("the module was never told")
+			t.Fatal("the module was never notified")
 		}
 	}
 }
--- a/internal/dispatcher/app/reloads.go
+++ b/internal/dispatcher/app/reloads.go
@@ -5,39 +5,39 @@
 	"sync"
 )
 
-// reloads counts the configuration files read at SIGHUP: those taken, and those refused with the last fault, so
-// that operators can see that a file they wrote changed nothing. Safe for concurrent use: the reload goroutine
-// counts, the console reads.
+// reloads counts the configuration files read at SIGHUP, those accepted and those refused, with the last error, so
+// that operators can see that a file changed nothing. It is safe for concurrent use: the reload goroutine counts, the
+// console reads.
 type reloads struct {
-	mu      sync.Mutex
-	taken   int
-	refused int
-	last    string
+	mu        sync.Mutex
+	accepted  int
+	refused   int
+	lastError string
 }
 
-// take counts a file taken and returns how many were.
-func (r *reloads) take() int {
+// accept counts an accepted file and returns how many there were.
+func (r *reloads) accept() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taken++
-	return r.taken
+	r.accepted++
+	return r.accepted
 }
 
-// refuse counts a file refused for err and returns how many were.
+// refuse counts a file refused for err and returns how many there were.
 func (r *reloads) refuse(err error) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused++
-	r.last = err.Error()
+	r.lastError = err.Error()
 	return r.refused
 }
 
-// String tells the counts in one line, with the last fault.
+// String returns the counts in one line, with the last error.
 func (r *reloads) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.refused == 0 {
-		return fmt.Sprintf("%d taken, 0 refused", r.taken)
+		return fmt.Sprintf("%d taken, 0 refused", r.accepted)
 	}
-	return fmt.Sprintf("%d taken, %d refused, the last for: %s", r.taken, r.refused, r.last)
+	return fmt.Sprintf("%d taken, %d refused, the last for: %s", r.accepted, r.refused, r.lastError)
 }
--- a/internal/dispatcher/app/reloads_test.go
+++ b/internal/dispatcher/app/reloads_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Files refused at SIGHUP are counted beside those taken, and the last fault is named.
+// Files refused at SIGHUP are counted beside the accepted ones, and the last error is named.
 func TestReloadsAreCounted(t *testing.T) {
 	r := &reloads{}
 	assert.Equal(t, "0 taken, 0 refused", r.String())
-	assert.Equal(t, 1, r.take())
+	assert.Equal(t, 1, r.accept())
 	assert.Equal(t, 1, r.refuse(errors.New("settings.periodUs: is not over 0")))
 	assert.Equal(t, 2, r.refuse(errors.New("unexpected end of JSON input")))
 	assert.Equal(t, "1 taken, 2 refused, the last for: unexpected end of JSON input", r.String())
--- a/internal/dispatcher/console/console_test.go
+++ b/internal/dispatcher/console/console_test.go
@@ -16,16 +16,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fake keeps what the calls did.
-type fake struct {
-	mu      sync.Mutex
-	drained bool
-	out     map[string]bool
-	known   map[string]bool
-	fleet   any
+// fakeOperations records what the calls did.
+type fakeOperations struct {
+	mu       sync.Mutex
+	drained  bool
+	disabled map[string]bool
+	known    map[string]bool
+	fleet    any
 }
 
-func (f *fake) Ready() (bool, string) {
+func (f *fakeOperations) Ready() (bool, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.drained {
@@ -33,41 +33,41 @@
 	}
 	return true, ""
 }
-func (f *fake) Drain()   { f.mu.Lock(); f.drained = true; f.mu.Unlock() }
-func (f *fake) Undrain() { f.mu.Lock(); f.drained = false; f.mu.Unlock() }
-func (f *fake) Disable(id string) error {
+func (f *fakeOperations) Drain()   { f.mu.Lock(); f.drained = true; f.mu.Unlock() }
+func (f *fakeOperations) Undrain() { f.mu.Lock(); f.drained = false; f.mu.Unlock() }
+func (f *fakeOperations) Disable(id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.known[id] {
-		return fmt.Errorf("disable: %w", ErrUnknown)
+		return fmt.Errorf("disable: %w", ErrUnknownRunner)
 	}
-	f.out[id] = true
+	f.disabled[id] = true
 	return nil
 }
-func (f *fake) Enable(id string) error {
+func (f *fakeOperations) Enable(id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.known[id] {
-		return fmt.Errorf("enable: %w", ErrUnknown)
+		return fmt.Errorf("enable: %w", ErrUnknownRunner)
 	}
-	delete(f.out, id)
+	delete(f.disabled, id)
 	return nil
 }
 
-func (f *fake) GivenUp() map[string]int64 {
+func (f *fakeOperations) GivenUp() map[string]int64 {
 	return map[string]int64{"head-slow": 3, "header:X-Timeout": 1, "body-left": 3}
 }
 
-func (f *fake) Reloads() string { return "1 taken, 0 refused" }
-func (f *fake) Fleet() any      { return f.fleet }
+func (f *fakeOperations) Reloads() string { return "1 taken, 0 refused" }
+func (f *fakeOperations) Fleet() any      { return f.fleet }
 
-func start(t *testing.T) (string, *fake) {
+func start(t *testing.T) (string, *fakeOperations) {
 	t.Helper()
-	f := &fake{out: map[string]bool{}, known: map[string]bool{"s-1": true}}
+	f := &fakeOperations{disabled: map[string]bool{}, known: map[string]bool{"s-1": true}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := New(f, log)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { _ = s.Close() })
@@ -76,15 +76,15 @@
 
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(method, url, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	require.NoError(t, err)
 	c := http.Client{Timeout: time.Second}
 	resp, err := c.Do(req)
 	require.NoError(t, err)
-	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	assert.True(t, resp.Close, "one call to a connection")
+	require.NoError(t, resp.Body.Close())
+	assert.True(t, resp.Close, "one call per connection")
 	return resp.StatusCode, strings.TrimSpace(string(text))
 }
 
@@ -105,10 +105,10 @@
 
 	code, _ = call(t, "POST", at+"/runners/disable", "s-1\n")
 	assert.Equal(t, 200, code)
-	assert.True(t, f.out["s-1"], "white space round the id is no part of it")
+	assert.True(t, f.disabled["s-1"], "white space around the id is ignored")
 	code, _ = call(t, "POST", at+"/runners/enable", "s-1")
 	assert.Equal(t, 200, code)
-	assert.False(t, f.out["s-1"])
+	assert.False(t, f.disabled["s-1"])
 
 	code, text = call(t, "GET", at+"/givenup", "")
 	assert.Equal(t, 200, code)
@@ -118,7 +118,7 @@
 	assert.Equal(t, "1 taken, 0 refused", text)
 }
 
-func TestNonsenseIsANoThatNamesItsFault(t *testing.T) {
+func TestInvalidCallsAreRefused(t *testing.T) {
 	at, _ := start(t)
 	for _, c := range []struct {
 		method, path, body string
@@ -143,13 +143,13 @@
 	}
 }
 
-// Callers that connect and finish no call hold nobody else up, and are cut off soon.
-func TestCallersWhoNeverFinishDelayNobody(t *testing.T) {
+// Callers that connect and finish no call delay no others, and are closed soon.
+func TestUnfinishedCallsDelayNoOthers(t *testing.T) {
 	at, _ := start(t)
 	host := strings.TrimPrefix(at, "http://")
 	var hung []net.Conn
 	for i := range 20 {
-		c, err := net.Dial("tcp", host)
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp", host)
 		require.NoError(t, err)
 		hung = append(hung, c)
 		if i%2 == 0 { // half send part of a head, half nothing
@@ -164,7 +164,7 @@
 	for _, c := range hung {
 		_ = c.SetReadDeadline(time.Now().Add(2 * time.Second))
 		_, err := bufio.NewReader(c).ReadByte()
-		assert.Error(t, err, "a caller who never finishes is cut off")
+		assert.Error(t, err, "an unfinished call is closed")
 		_ = c.Close()
 	}
 	assert.Less(t, time.Since(began), 2*time.Second)
--- a/internal/dispatcher/lifecycle/lifecycle.go
+++ b/internal/dispatcher/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package lifecycle holds the phase that the program is in, from its start to its exit.
+// Package lifecycle holds the phase of the program, from its start to its exit.
 package lifecycle
 
 import (
@@ -7,15 +7,15 @@
 	"sync"
 )
 
-// Phase is one of the program's named states.
+// Phase is a state of the program.
 type Phase int
 
-// The phases, in the only order in which they follow each other. Any of them may be skipped.
+// The phases, in their order. Any of them may be skipped; none is entered again.
 const (
-	Starting Phase = iota // configuration is read, nothing is taken
-	Serving               // requests are taken
-	Draining              // asked to stop: requests are still taken, and every answer closes its connection
-	Stopped               // nothing is taken any more and all that was taken has its answer
+	Starting Phase = iota // the configuration is read, no request is accepted
+	Serving               // requests are accepted
+	Draining              // asked to stop: requests are still accepted, and every response closes its connection
+	Stopped               // no request is accepted and every request has its response
 )
 
 // String returns the phase's name.
@@ -33,22 +33,23 @@
 	return fmt.Sprintf("Phase(%d)", int(p))
 }
 
-// Lifecycle is the program's present phase. It is safe for use by several goroutines.
+// Lifecycle is the program's present phase. It is safe for concurrent use.
 type Lifecycle struct {
 	mu       sync.Mutex
 	phase    Phase
 	onChange func(from, to Phase)
 	reached  [Stopped + 1]context.Context
-	enter    [Stopped + 1]context.CancelFunc
+	cancel   [Stopped + 1]context.CancelFunc
 }
 
-// New returns a Lifecycle in the phase Starting. onChange, if not nil, is told of every change, in order.
+// New returns a Lifecycle in the phase Starting. onChange, if not nil, is called with every change, in order, with
+// the Lifecycle's lock held: it must not call back.
 func New(onChange func(from, to Phase)) *Lifecycle {
 	l := &Lifecycle{onChange: onChange}
 	for p := range l.reached {
-		l.reached[p], l.enter[p] = context.WithCancel(context.Background())
+		l.reached[p], l.cancel[p] = context.WithCancel(context.Background())
 	}
-	l.enter[Starting]()
+	l.cancel[Starting]()
 	return l
 }
 
@@ -59,8 +60,8 @@
 	return l.phase
 }
 
-// Advance moves on to a later phase. It reports whether it did: a phase that was reached before, or passed,
-// is not entered again, so that two signals do not drain twice.
+// Advance enters a later phase. It reports whether it did: a phase that was reached or skipped before is not entered
+// again, so that two signals do not drain twice.
 func (l *Lifecycle) Advance(to Phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +74,7 @@
 		l.onChange(from, to)
 	}
 	for p := from + 1; p <= to; p++ {
-		l.enter[p]()
+		l.cancel[p]()
 	}
 	return true
 }
--- a/internal/dispatcher/maintenance/disabled.go
+++ b/internal/dispatcher/maintenance/disabled.go
@@ -1,5 +1,5 @@
-// Package maintenance decides which runners operators have disabled: one stays disabled whatever discovery lists,
-// until it is enabled, and a runner that comes back is cold. It does no I/O and knows no clock; times are given.
+// Package maintenance keeps which runners operators have disabled: a runner stays disabled whatever discovery lists,
+// until it is enabled, and then it warms up. It does no I/O and has no clock; times are passed in.
 package maintenance
 
 import (
@@ -8,65 +8,65 @@
 	"time"
 )
 
-// ErrUnknown is for an id that no list names and that is not disabled.
-var ErrUnknown = errors.New("no runner has this id")
+// ErrUnknownRunner is returned for an id that is neither listed nor disabled.
+var ErrUnknownRunner = errors.New("no runner has this id")
 
-// Disabled are the runners taken out, each with the number of calls that took it out. One call brings a runner
-// back however many took it out: operators restart it in between, and one call back is owed one yes.
+// Disabled are the disabled runners. One Enable undoes any number of Disable calls, as operators restart the runner
+// in between. It is not safe for concurrent use.
 type Disabled struct {
-	out      map[string]int
-	returned map[string]time.Duration // when a runner was let back in: it starts cold from then
+	disabled  map[string]int           // by id: the number of Disable calls
+	enabledAt map[string]time.Duration // by id: it warms up from then on
 }
 
-// New returns the set of the given ids, as handed over by a process before this one.
-func New(held []string) *Disabled {
-	d := &Disabled{out: map[string]int{}, returned: map[string]time.Duration{}}
-	for _, id := range held {
-		d.out[id]++
+// New returns the set of the given ids, which the process before this one passed on.
+func New(ids []string) *Disabled {
+	d := &Disabled{disabled: map[string]int{}, enabledAt: map[string]time.Duration{}}
+	for _, id := range ids {
+		d.disabled[id]++
 	}
 	return d
 }
 
-// Disable takes a runner out. known tells whether the list names it; an id that is neither listed
-// nor disabled is refused.
+// Disable takes a runner out. known is whether the list names it; an id that is neither listed nor disabled is
+// ErrUnknownRunner.
 func (d *Disabled) Disable(id string, known bool) error {
-	if !known && d.out[id] == 0 {
-		return ErrUnknown
+	if !known && d.disabled[id] == 0 {
+		return ErrUnknownRunner
 	}
-	d.out[id]++
+	d.disabled[id]++
 	return nil
 }
 
-// Enable lets a runner serve again from now on. It reports whether the runner was disabled, so that it is
-// told to the module as a new, cold process.
+// Enable lets a runner serve again from now on. It reports whether the runner was disabled: the module then sees it
+// as a new process that warms up.
 func (d *Disabled) Enable(id string, known bool, now time.Duration) (enabled bool, err error) {
-	if d.out[id] == 0 {
+	if d.disabled[id] == 0 {
 		if !known {
-			return false, ErrUnknown
+			return false, ErrUnknownRunner
 		}
 		return false, nil
 	}
-	delete(d.out, id)
-	d.returned[id] = now
+	delete(d.disabled, id)
+	d.enabledAt[id] = now
 	return true, nil
 }
 
-// Has tells whether a runner is out.
-func (d *Disabled) Has(id string) bool { return d.out[id] > 0 }
+// Has reports whether a runner is disabled.
+func (d *Disabled) Has(id string) bool { return d.disabled[id] > 0 }
 
-// Started is when a runner that discovery says started at born is to be taken to have started: no sooner than
-// it was let back in, since operators restart a runner while it is out.
+// Started returns when a runner that discovery lists as started at born counts as started: no sooner than it was
+// enabled, as operators restart a runner while it is disabled.
 func (d *Disabled) Started(id string, born time.Duration) time.Duration {
-	if at, ok := d.returned[id]; ok && at > born {
+	if at, ok := d.enabledAt[id]; ok && at > born {
 		return at
 	}
 	return born
 }
 
-// Names returns the ids that are out, in order, to hand on to the next process.
+// Names returns the ids of disabled runners, sorted.
 func (d *Disabled) Names() []string {
-	ids := make([]string, 0, len(d.out))
-	for id := range d.out {
+	ids := make([]string, 0, len(d.disabled))
+	for id := range d.disabled {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/internal/dispatcher/maintenance/disabled_test.go
+++ b/internal/dispatcher/maintenance/disabled_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTwoCallsOutNeedOneCallBack(t *testing.T) {
+func TestOneEnableUndoesTwoDisables(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
 	require.NoError(t, d.Disable("s-1", true))
@@ -19,19 +19,19 @@
 	assert.False(t, d.Has("s-1"))
 }
 
-func TestIDsThatNobodyHasAreOwedANo(t *testing.T) {
+func TestUnknownIDsAreRefused(t *testing.T) {
 	d := New(nil)
-	assert.ErrorIs(t, d.Disable("s-404", false), ErrUnknown)
+	assert.ErrorIs(t, d.Disable("s-404", false), ErrUnknownRunner)
 	_, err := d.Enable("s-404", false, 0)
-	assert.ErrorIs(t, err, ErrUnknown)
+	assert.ErrorIs(t, err, ErrUnknownRunner)
 	assert.False(t, d.Has("s-404"))
 	assert.Empty(t, d.Names())
 }
 
-func TestDisablingOutlastsTheList(t *testing.T) {
+func TestDisabledRunnerMayLeaveTheList(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
-	// The runner left the list meanwhile: it stays disabled, and may still be enabled.
+	// The runner was removed from the list meanwhile: it stays disabled, and can be enabled.
 	require.NoError(t, d.Disable("s-1", false))
 	assert.True(t, d.Has("s-1"))
 	enabled, err := d.Enable("s-1", false, time.Second)
@@ -39,24 +39,24 @@
 	assert.True(t, enabled)
 }
 
-func TestEnablingOneThatIsInIsAYesAndChangesNothing(t *testing.T) {
+func TestEnablingAnEnabledRunnerChangesNothing(t *testing.T) {
 	d := New(nil)
 	enabled, err := d.Enable("s-1", true, time.Second)
 	require.NoError(t, err)
 	assert.False(t, enabled)
-	assert.Equal(t, 3*time.Second, d.Started("s-1", 3*time.Second), "it was never out, so it is not cold")
+	assert.Equal(t, 3*time.Second, d.Started("s-1", 3*time.Second), "it was never disabled, so it does not warm up")
 }
 
-func TestOneLetBackInStartsCold(t *testing.T) {
+func TestEnabledRunnerCountsAsStartedNow(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
 	_, err := d.Enable("s-1", true, 100*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, 100*time.Second, d.Started("s-1", 0), "an old start from discovery is older than the return")
-	assert.Equal(t, 120*time.Second, d.Started("s-1", 120*time.Second), "a later start from discovery wins")
+	assert.Equal(t, 100*time.Second, d.Started("s-1", 0), "a start from discovery before Enable does not count")
+	assert.Equal(t, 120*time.Second, d.Started("s-1", 120*time.Second), "a later one does")
 }
 
-func TestDisabledRunnersAreHandedOn(t *testing.T) {
+func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-2", true))
 	require.NoError(t, d.Disable("s-1", true))
--- a/internal/dispatcher/routetable/disabled_test.go
+++ b/internal/dispatcher/routetable/disabled_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, time.Duration(back.UnixNano()), got[0].Started, "an older start from discovery does not change that")
 
 	_, err = table.Disable("nobody")
-	assert.ErrorIs(t, err, maintenance.ErrUnknown)
+	assert.ErrorIs(t, err, maintenance.ErrUnknownRunner)
 }
 
 // A process starts with the disabled runners of its predecessor, before its list names the runner.
--- a/internal/dispatcher/script/duration.go
+++ b/internal/dispatcher/script/duration.go
@@ -9,8 +9,8 @@
 	"go.starlark.net/syntax"
 )
 
-// Duration is a time with its unit, as scripts write it: 500 * ms. A number is no duration, and two of them make no third by
-// multiplication.
+// Duration is a time with its unit, as scripts write it: 500 * ms. A number is not a duration, and durations can't be
+// multiplied.
 type Duration time.Duration
 
 var (
@@ -18,7 +18,7 @@
 	_ starlark.Comparable = Duration(0)
 )
 
-// String returns the duration as Go writes it.
+// String returns the duration in Go's form.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // Type returns the type's name in scripts.
@@ -27,10 +27,10 @@
 // Freeze does nothing: a duration never changes.
 func (d Duration) Freeze() {}
 
-// Truth tells whether the duration isn't 0.
+// Truth reports whether the duration isn't 0.
 func (d Duration) Truth() starlark.Bool { return d != 0 }
 
-// Hash is a duration's own number.
+// Hash returns a hash of the duration.
 func (d Duration) Hash() (uint32, error) { return uint32(d) ^ uint32(d>>32), nil }
 
 // CompareSameType orders durations.
@@ -52,26 +52,27 @@
 	}
 }
 
-// Binary multiplies with a number, and adds and subtracts durations; nil for what makes no sense.
+// Binary multiplies by numbers, and adds and subtracts durations; it returns nil for other operations.
 func (d Duration) Binary(op syntax.Token, y starlark.Value, _ starlark.Side) (starlark.Value, error) {
 	switch y := y.(type) {
 	case Duration:
 		switch op {
 		case syntax.PLUS:
-			return fits(float64(d) + float64(y))
+			return checkedDuration(float64(d) + float64(y))
 		case syntax.MINUS:
-			return fits(float64(d) - float64(y))
+			return checkedDuration(float64(d) - float64(y))
 		}
 	case starlark.Int, starlark.Float:
 		if op == syntax.STAR {
 			n, _ := starlark.AsFloat(y)
-			return fits(float64(d) * n)
+			return checkedDuration(float64(d) * n)
 		}
 	}
 	return nil, nil
 }
 
-func fits(ns float64) (starlark.Value, error) {
+// checkedDuration returns a duration of so many nanoseconds, or an error if it is out of range.
+func checkedDuration(ns float64) (starlark.Value, error) {
 	if math.IsNaN(ns) || math.Abs(ns) > math.MaxInt64/2 {
 		return nil, fmt.Errorf("a duration of %g seconds", ns/1e9)
 	}
--- a/internal/dispatcher/script/settings.go
+++ b/internal/dispatcher/script/settings.go
@@ -1,7 +1,8 @@
-// Package settings reads the operator's own file, a script in Starlark that switches on what is ours: what the platform
-// tells stays in its JSON. The script can compute, but it reads no file, calls nothing outside and is bounded in its steps.
+// Package script reads the operator's fleet script, in Starlark, which configures what is ours: what the platform
+// sets stays in its JSON. A script can compute, but it reads no file, calls nothing outside and is bounded in its
+// steps.
 //
-// Every fault of the file is told at once, each with file, line, column, the call, the argument and what would be right.
+// All errors of a file are reported together, each with file, line, column, call, argument and remedy.
 package script
 
 import (
@@ -21,11 +22,11 @@
 	maxBytes = 1 << 20
 )
 
-// Fleet is what fleet(...) says: how this dispatcher takes part in a fleet.
+// Fleet is the call fleet(...): how this dispatcher takes part in a fleet.
 type Fleet struct {
 	Name   string // the fleet's
 	Listen string // ip:port of this dispatcher's socket
-	// Advertise is where others reach that socket, where that is not Listen; Roster and Seeds have such addresses.
+	// Advertise is the address by which others reach that socket; Roster and Seeds have such addresses.
 	Advertise string
 	Seeds     []string
 	Key       string
@@ -35,83 +36,83 @@
 	Lease     time.Duration
 }
 
-// Settings is all that a file says.
+// Settings is what a script configures.
 type Settings struct {
 	Fleet *Fleet // nil: no fleet
 }
 
-// Me is what a script may ask about the dispatcher that reads it.
-type Me struct {
+// Self is what a script can read about its dispatcher.
+type Self struct {
 	Name   string // as `dispatcher`
 	Number int    // as `number`
 }
 
-// Fault is one thing wrong in a file.
-type Fault struct {
-	At       string // file:line:column
-	Call     string // the built-in, empty for a fault of the script itself
-	Argument string // empty for a fault of the whole call
+// FileError is one error in a script.
+type FileError struct {
+	Position string // file:line:column
+	Call     string // the built-in; empty: the script itself
+	Argument string // empty: the call as a whole
 	Problem  string
 	Fix      string // what an operator can do
-	Err      error  // what the system said, if anything
+	Err      error  // from the system; may be nil
 }
 
 // Unwrap returns the cause, or nil.
-func (f *Fault) Unwrap() error { return f.Err }
+func (e *FileError) Unwrap() error { return e.Err }
 
-// Error names the place, the call and its argument, the problem and the remedy.
-func (f *Fault) Error() string {
-	what := f.Call
-	if f.Argument != "" {
-		what += ": " + f.Argument
+// Error names the position, the call and its argument, the problem and the remedy.
+func (e *FileError) Error() string {
+	what := e.Call
+	if e.Argument != "" {
+		what += ": " + e.Argument
 	}
 	if what != "" {
 		what += ": "
 	}
 	fix := ""
-	if f.Fix != "" {
-		fix = " (" + f.Fix + ")"
+	if e.Fix != "" {
+		fix = " (" + e.Fix + ")"
 	}
-	return f.At + ": " + what + f.Problem + fix
+	return e.Position + ": " + what + e.Problem + fix
 }
 
-// Faults are all that is wrong in a file.
-type Faults []*Fault
+// FileErrors are all errors in a script. errors.As finds each FileError.
+type FileErrors []*FileError
 
-// Error returns the faults, one a line.
-func (fs Faults) Error() string {
-	lines := make([]string, len(fs))
-	for i, f := range fs {
-		lines[i] = f.Error()
+// Error returns the errors, one per line.
+func (es FileErrors) Error() string {
+	lines := make([]string, len(es))
+	for i, e := range es {
+		lines[i] = e.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the faults.
-func (fs Faults) Unwrap() []error {
-	errs := make([]error, len(fs))
-	for i, f := range fs {
-		errs[i] = f
+// Unwrap returns the errors.
+func (es FileErrors) Unwrap() []error {
+	errs := make([]error, len(es))
+	for i, e := range es {
+		errs[i] = e
 	}
 	return errs
 }
 
-// Read reads and checks the file at path. Its error is Faults.
-func Read(path string, me Me) (*Settings, error) {
+// Read reads and checks the script at path. Its error is FileErrors.
+func Read(path string, self Self) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{{At: path, Problem: "can't be read: " + err.Error(), Fix: "name a file that this user may read", Err: err}}
+		return nil, FileErrors{{Position: path, Problem: "can't be read: " + err.Error(), Fix: "name a file that this user may read", Err: err}}
 	}
 	if len(text) > maxBytes {
-		return nil, Faults{{At: path, Problem: fmt.Sprintf("is %d bytes long", len(text)), Fix: fmt.Sprintf("at most %d are read", maxBytes)}}
+		return nil, FileErrors{{Position: path, Problem: fmt.Sprintf("is %d bytes long", len(text)), Fix: fmt.Sprintf("at most %d are read", maxBytes)}}
 	}
-	return Parse(filepath.Base(path), text, me)
+	return Parse(filepath.Base(path), text, self)
 }
 
-// Parse is Read on a text.
-func Parse(name string, text []byte, me Me) (*Settings, error) {
+// Parse is Read of a text; name is used in errors.
+func Parse(name string, text []byte, self Self) (*Settings, error) {
 	s := &Settings{}
-	var faults Faults
+	var errs FileErrors
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {},
 		Load: func(*starlark.Thread, string) (starlark.StringDict, error) {
 			return nil, errors.New("a settings file loads no other")
@@ -119,42 +120,42 @@
 	thread.SetMaxExecutionSteps(maxSteps)
 	predeclared := starlark.StringDict{
 		"ms": Duration(time.Millisecond), "s": Duration(time.Second), "minute": Duration(time.Minute), "hour": Duration(time.Hour),
-		"dispatcher": starlark.String(me.Name), "number": starlark.MakeInt(me.Number),
+		"dispatcher": starlark.String(self.Name), "number": starlark.MakeInt(self.Number),
 		"fleet": starlark.NewBuiltin("fleet", func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 			c := newCall("fleet", t.CallFrame(1).Pos.String(), args, kwargs)
 			if s.Fleet != nil {
-				c.fault("", "is called twice", "one file has one fleet")
+				c.addError("", "is called twice", "one file has one fleet")
 			}
 			s.Fleet = c.fleet()
-			faults = append(faults, c.faults...)
+			errs = append(errs, c.errors...)
 			return starlark.None, nil
 		}),
 	}
 	opts := &syntax.FileOptions{TopLevelControl: true, Set: true}
 	if _, err := starlark.ExecFileOptions(opts, thread, name, text, predeclared); err != nil {
-		faults = append(faults, faultOf(name, err))
+		errs = append(errs, scriptError(name, err))
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return s, nil
 }
 
-// faultOf is a fault of the script itself.
-func faultOf(name string, err error) *Fault {
+// scriptError returns the error of a script that can't be parsed or executed.
+func scriptError(name string, err error) *FileError {
 	var (
-		bad  syntax.Error
-		eval *starlark.EvalError
+		syntaxErr syntax.Error
+		eval      *starlark.EvalError
 	)
 	switch {
-	case errors.As(err, &bad):
-		return &Fault{At: bad.Pos.String(), Problem: bad.Msg}
+	case errors.As(err, &syntaxErr):
+		return &FileError{Position: syntaxErr.Pos.String(), Problem: syntaxErr.Msg}
 	case errors.As(err, &eval) && len(eval.CallStack) > 0:
 		fix := ""
 		if strings.Contains(eval.Msg, "too many steps") {
 			fix = fmt.Sprintf("a script may take %d steps", maxSteps)
 		}
-		return &Fault{At: eval.CallStack.At(min(1, len(eval.CallStack)-1)).Pos.String(), Problem: eval.Msg, Fix: fix}
+		return &FileError{Position: eval.CallStack.At(min(1, len(eval.CallStack)-1)).Pos.String(), Problem: eval.Msg, Fix: fix}
 	}
-	return &Fault{At: name, Problem: err.Error()} // it names its own place, if it has one
+	return &FileError{Position: name, Problem: err.Error()} // it has its own position, if any
 }
--- a/internal/dispatcher/script/settings_test.go
+++ b/internal/dispatcher/script/settings_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTheExampleWorks(t *testing.T) {
+func TestExample(t *testing.T) {
 	for number, listen := range []string{"127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"} {
-		s, err := Read("../../../deploy/fleet.star", Me{Name: "d", Number: number})
+		s, err := Read("../../../deploy/fleet.star", Self{Name: "d", Number: number})
 		require.NoError(t, err)
 		assert.Equal(t, listen, s.Fleet.Listen)
 		assert.Equal(t, 500*time.Millisecond, s.Fleet.Interval)
@@ -20,7 +20,7 @@
 	}
 }
 
-// Every fault of a file is told at once, each with its place, its argument and what would be right.
+// Every error of a file is reported, each with its position, argument and remedy.
 func TestFaultsAreNamed(t *testing.T) {
 	const fine = `name = "f", key = "0123456789abcdef", listen = "127.0.0.1:1", seeds = ["127.0.0.1:2"]`
 	for text, want := range map[string][]string{
@@ -47,18 +47,18 @@
 		`fleet(` + fine + `, interval = 1 + ms)`: {`unknown binary op: int + duration`},
 		`fleet(` + fine + `, roster = [["127.0.0.1:1"]])`: {`roster[0]: ""`},
 	} {
-		_, err := Parse("f.star", []byte(text), Me{})
+		_, err := Parse("f.star", []byte(text), Self{})
 		require.Error(t, err, text)
-		var faults Faults
-		require.ErrorAs(t, err, &faults, text)
+		var errs FileErrors
+		require.ErrorAs(t, err, &errs, text)
 		for _, w := range want {
 			assert.ErrorContains(t, err, w, text)
 		}
-		var one *Fault
+		var one *FileError
 		require.ErrorAs(t, err, &one)
-		assert.NotEmpty(t, one.At)
+		assert.NotEmpty(t, one.Position)
 	}
-	_, err := Read("none.star", Me{})
+	_, err := Read("none.star", Self{})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
@@ -66,7 +66,7 @@
 	s, err := Parse("f.star", []byte(`
 base = 2 * (100 * ms) + s - 0.2 * s
 fleet(name = "f", key = "0123456789abcdef", listen = "127.0.0.1:1", seeds = ["127.0.0.1:2"],
-      interval = base if base == 1 * s and base < minute and hour >= minute else ms)`), Me{})
+      interval = base if base == 1 * s and base < minute and hour >= minute else ms)`), Self{})
 	require.NoError(t, err)
 	assert.Equal(t, time.Second, s.Fleet.Interval)
 }
--- a/internal/dispatcher/traffic/export.go
+++ b/internal/dispatcher/traffic/export.go
@@ -13,26 +13,27 @@
 	"ospreypond/internal/store"
 )
 
-// Format is a form to export in.
+// Format is an export format.
 type Format string
 
-// The formats. CSV has one line a request; its attempts are one field, hops, "target;sent_us;took_us;outcome" set apart by spaces.
+// The formats. CSV has one line per request; its attempts are one field, hops, of "target;sent_us;took_us;outcome"
+// separated by spaces.
 const (
 	CSV   Format = "csv"
 	JSONL Format = "jsonl"
 )
 
-// Formats are all of them.
+// Formats are all formats.
 var Formats = []Format{CSV, JSONL}
 
-// Export writes the requests that arrived within a stretch of time, in the order of their arrival. Zero times do not
-// bound. It returns how many there were. The store may not be open elsewhere.
+// Export writes the requests that arrived from one time until another, in order of arrival, and returns their number.
+// Zero times do not bound. The store must not be open elsewhere.
 func Export(ctx context.Context, dir string, f Format, from, to time.Time, w io.Writer) (int, error) {
 	s, err := store.Open(dir, store.Options{Existing: true})
 	if err != nil {
 		return 0, err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }() // nothing was written
 	space, err := s.Lookup(spaceName)
 	if err != nil {
 		return 0, fmt.Errorf("%s holds no recorded traffic: %w", dir, err)
@@ -110,8 +111,8 @@
 		attempts[i] = fmt.Sprintf("%s;%d;%d;%s", h.Target, h.SentUs, h.TookUs, strings.ReplaceAll(h.Outcome, " ", "_"))
 	}
 	return w.Write([]string{number(r.ArrivedUs), r.Class, r.Tenant, r.Key, r.Idempotency, strconv.FormatBool(r.Retry),
-		number(r.DeadlineUs), number(r.WorkUs), float(r.Slots), float(r.Memory), strconv.Itoa(r.BodyBytes), r.Answer,
-		number(r.AnsweredUs), strings.Join(attempts, " ")})
+		number(r.DeadlineUs), number(r.WorkUs), float(r.Slots), float(r.Memory), strconv.Itoa(r.BodyBytes), r.Response,
+		number(r.RespondedUs), strings.Join(attempts, " ")})
 }
 
 func (w csvWriter) flush() error {
--- a/internal/dispatcher/traffic/recorder.go
+++ b/internal/dispatcher/traffic/recorder.go
@@ -17,48 +17,49 @@
 )
 
 const (
-	// spaceName is the keyspace of the records, and metaName the one of what goes with them.
+	// spaceName is the keyspace of the records, and metaName that of the salt.
 	spaceName = "traffic"
 	metaName  = "traffic.meta"
 	saltKey   = "salt"
-	// queueSize is how many requests may wait to be written.
+	// queueSize is how many records may be queued for writing.
 	queueSize = 2048
-	// batchMost bounds the records of one commit, and batchEvery is how long the first of them may wait.
-	batchMost  = 512
-	batchEvery = 100 * time.Millisecond
-	// syncEvery is what a power cut may cost.
-	syncEvery = time.Second
-	// sayEvery bounds how often drops are logged.
-	sayEvery = 10 * time.Second
+	// maxBatch bounds the records of a commit, and batchInterval is how long the first of them may be delayed.
+	maxBatch      = 512
+	batchInterval = 100 * time.Millisecond
+	// syncInterval is how much a power failure may lose.
+	syncInterval = time.Second
+	// dropLogInterval is the minimum interval between log lines about drops.
+	dropLogInterval = 10 * time.Second
 )
 
-// Recorder writes how requests ended. It is a coordinator.Observer.
+// Recorder records how requests ended. It is a coordinator.Observer and safe for concurrent use. Close must be
+// called.
 type Recorder struct {
-	s       *store.Store
+	store   *store.Store
 	space   *store.Space
 	salt    []byte
 	log     logrus.FieldLogger
 	queue   chan Record
 	stop    chan struct{}
 	done    sync.WaitGroup
-	run     uint64 // random: keeps this run's records apart from another's of the same microsecond
+	seq     uint64 // of the next record; starts at random, to separate runs within a microsecond
 	dropped atomic.Uint64
 	written atomic.Uint64
 }
 
-// Open starts to record in a folder.
+// Open opens or creates the store in a folder and starts to record. keep is how long records are kept.
 func Open(dir string, keep store.Retention, log logrus.FieldLogger) (*Recorder, error) {
 	return open(dir, keep, log, store.Options{})
 }
 
 func open(dir string, keep store.Retention, log logrus.FieldLogger, opt store.Options) (*Recorder, error) {
-	opt.SyncEvery, opt.SegmentBytes, opt.Log = syncEvery, 8<<20, log
-	opt.CacheBytes, opt.PassBytesPerS = 256<<10, 8<<20 // next to the dispatcher's own work in little memory
+	opt.SyncEvery, opt.SegmentBytes, opt.Log = syncInterval, 8<<20, log
+	opt.CacheBytes, opt.PassBytesPerS = 256<<10, 8<<20 // little memory, beside the dispatcher's own work
 	s, err := store.Open(dir, opt)
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{s: s, log: log, queue: make(chan Record, queueSize), stop: make(chan struct{})}
+	r := &Recorder{store: s, log: log, queue: make(chan Record, queueSize), stop: make(chan struct{})}
 	if err := r.prepare(keep); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
@@ -68,18 +69,18 @@
 }
 
 func (r *Recorder) prepare(keep store.Retention) error {
-	meta, err := r.s.Space(metaName, store.Retention{})
+	meta, err := r.store.Space(metaName, store.Retention{})
 	if err != nil {
 		return err
 	}
-	if r.space, err = r.s.Space(spaceName, keep); err != nil {
+	if r.space, err = r.store.Space(spaceName, keep); err != nil {
 		return err
 	}
 	var run [8]byte
 	if _, err := rand.Read(run[:]); err != nil {
 		return err
 	}
-	r.run = binary.BigEndian.Uint64(run[:])
+	r.seq = binary.BigEndian.Uint64(run[:])
 	if r.salt, _, err = meta.Get([]byte(saltKey)); !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
@@ -89,13 +90,13 @@
 	}
 	var b store.Batch
 	b.Put(meta, []byte(saltKey), r.salt)
-	_, err = r.s.Commit(&b)
+	_, err = r.store.Commit(&b)
 	return err
 }
 
-// RequestEnded takes in how a request ended. It never waits.
+// RequestEnded queues the record of a request. It never blocks.
 func (r *Recorder) RequestEnded(e coordinator.EndedRequest) {
-	// Made here, so that the request's body is not held on to; the hashes are the writer's work.
+	// The record is made here, so that the request's body is not retained; the hashes are the writer's work.
 	select {
 	case r.queue <- newRecord(&e):
 	default:
@@ -103,22 +104,22 @@
 	}
 }
 
-// Dropped tells how many requests were not recorded, for lack of time or room.
+// Dropped returns how many requests were not recorded, because the queue was full or the store failed.
 func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
 
-// write is the goroutine that writes.
+// write commits queued records until Close.
 func (r *Recorder) write() {
 	defer r.done.Done()
-	tick := time.NewTicker(batchEvery)
+	tick := time.NewTicker(batchInterval)
 	defer tick.Stop()
 	var b store.Batch
-	var said time.Time
-	var told uint64
+	var loggedAt time.Time
+	var logged uint64
 	for open := true; open; {
 		select {
 		case rec := <-r.queue:
 			r.add(&b, rec)
-			if b.Len() < batchMost {
+			if b.Len() < maxBatch {
 				continue
 			}
 		case <-tick.C:
@@ -134,23 +135,23 @@
 			}
 		}
 		err := r.flush(&b)
-		if n := r.dropped.Load(); n != told && (time.Since(said) >= sayEvery || !open) {
-			r.log.WithError(err).WithFields(logrus.Fields{"dropped": n - told, "written": r.written.Load()}).
+		if n := r.dropped.Load(); n != logged && (time.Since(loggedAt) >= dropLogInterval || !open) {
+			r.log.WithError(err).WithFields(logrus.Fields{"dropped": n - logged, "written": r.written.Load()}).
 				Warn("requests were not recorded")
-			said, told = time.Now(), n
+			loggedAt, logged = time.Now(), n
 		}
 	}
 }
 
 func (r *Recorder) add(b *store.Batch, rec Record) {
-	rec.seal(r.salt)
+	rec.hashKeys(r.salt)
 	value, err := json.Marshal(rec)
-	if err != nil { // a figure that JSON has no word for
+	if err != nil { // a float that JSON can't express
 		r.dropped.Add(1)
 		return
 	}
-	r.run++
-	b.Put(r.space, recordKey(time.UnixMicro(rec.ArrivedUs), r.run), value)
+	r.seq++
+	b.Put(r.space, recordKey(time.UnixMicro(rec.ArrivedUs), r.seq), value)
 }
 
 func (r *Recorder) flush(b *store.Batch) error {
@@ -158,7 +159,7 @@
 		return nil
 	}
 	n := uint64(b.Len())
-	_, err := r.s.Commit(b)
+	_, err := r.store.Commit(b)
 	b.Reset()
 	if err != nil {
 		r.dropped.Add(n)
@@ -168,12 +169,12 @@
 	return nil
 }
 
-// Close writes what is waiting and closes the store. Nothing may be recorded any more then.
+// Close writes the queued records and closes the store. RequestEnded must not be called any more.
 func (r *Recorder) Close() error {
 	close(r.stop)
 	r.done.Wait()
 	r.log.WithFields(logrus.Fields{"written": r.written.Load(), "dropped": r.dropped.Load()}).Info("recording ended")
-	if err := r.s.Close(); err != nil {
+	if err := r.store.Close(); err != nil {
 		return fmt.Errorf("traffic: %w", err)
 	}
 	return nil
--- a/internal/dispatcher/traffic/recorder_test.go
+++ b/internal/dispatcher/traffic/recorder_test.go
@@ -21,7 +21,7 @@
 	"ospreypond/policy"
 )
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
@@ -36,10 +36,10 @@
 			{Target: "r2", Sent: at.Add(66 * time.Millisecond)}}}
 }
 
-func TestWhatWasRecordedIsExported(t *testing.T) {
+func TestRecordAndExport(t *testing.T) {
 	dir := t.TempDir()
-	for range 2 { // a second run goes on in the same store
-		r, err := Open(dir, store.Retention{}, quiet())
+	for range 2 { // a second run continues the same store
+		r, err := Open(dir, store.Retention{}, discardLogger())
 		require.NoError(t, err)
 		for n := range 3 {
 			r.RequestEnded(ended(n))
@@ -65,7 +65,7 @@
 	rec := recs[0]
 	rec.Key, rec.Idempotency = "", ""
 	require.Equal(t, Record{ArrivedUs: 1_700_000_000_000_000, Class: "cobro", Tenant: "t", DeadlineUs: 6_000_000, WorkUs: 30_000,
-		Slots: 1, BodyBytes: 8, Answer: "failed", AnsweredUs: 70_000,
+		Slots: 1, BodyBytes: 8, Response: "failed", RespondedUs: 70_000,
 		Attempts: []Attempt{{"r1", 5_000, 60_000, "reset"}, {"r2", 66_000, 0, "open"}}}, rec)
 
 	out.Reset()
@@ -75,8 +75,8 @@
 	require.Contains(t, out.String(), "r1;5000;60000;reset r2;66000;0;open")
 }
 
-// A disk that stands still, or is full, costs records and never the time of a request.
-func TestRecordingNeverMakesARequestWait(t *testing.T) {
+// A disk that hangs, or is full, costs records and never delays a request.
+func TestRecordingNeverBlocksARequest(t *testing.T) {
 	var full, stuck atomic.Bool
 	release := make(chan struct{})
 	fsys := &vfstest.Mem{OnCall: func(c vfstest.Call) vfstest.Fault {
@@ -88,7 +88,7 @@
 		}
 		return vfstest.Fault{}
 	}}
-	r, err := open("/traffic", store.Retention{}, quiet(), store.Options{FS: fsys})
+	r, err := open("/traffic", store.Retention{}, discardLogger(), store.Options{FS: fsys})
 	require.NoError(t, err)
 	stuck.Store(true)
 	began := time.Now()
@@ -102,13 +102,13 @@
 	full.Store(true)
 	close(release)
 	require.Eventually(t, func() bool { return len(r.queue) == 0 }, 20*time.Second, time.Millisecond)
-	time.Sleep(2 * batchEvery)
+	time.Sleep(2 * batchInterval)
 	full.Store(false)
 	before := r.Dropped()
 	for n := range 10 {
 		r.RequestEnded(ended(many + n))
 	}
 	require.NoError(t, r.Close())
-	require.Equal(t, before, r.Dropped(), "it goes on once there is room")
+	require.Equal(t, before, r.Dropped(), "it continues once the disk has space")
 	require.EqualValues(t, many+10, r.Dropped()+r.written.Load(), "each is written or counted")
 }
