--- a/internal/fixturetest/fields.go
+++ b/internal/fixturetest/fields.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Field is one field of a value that holds no others: where it stands, with the names of today, and what it holds.
+// Field is one scalar field of a value: its path, with the present names, and its value.
 type Field struct {
 	Path  string
 	Value string
@@ -17,7 +17,7 @@
 // String returns the field as a line of a fixture.
 func (f Field) String() string { return f.Path + " = " + f.Value }
 
-// Fields lists the exported fields of value, and of all that it holds, in their order. Fields that are zero or empty are
+// Fields lists the exported scalar fields of value, nested ones included, in the order of their declaration. Fields that are zero or empty are
 // left out, since what was added to a type later is zero in what was written before.
 func Fields(value any) []Field {
 	var l lister
@@ -62,7 +62,7 @@
 	}
 }
 
-// element adds an element of a list or a map, which is told even if it is zero: it says how many there are.
+// element adds an element of a list or a map. A zero element is listed too, so that their number shows.
 func (l *lister) element(path string, v reflect.Value) {
 	before := len(l.fields)
 	l.add(path, v)
--- a/internal/fixturetest/fill.go
+++ b/internal/fixturetest/fill.go
@@ -7,11 +7,11 @@
 
 const (
 	elements   = 2    // of each list and map
-	smallest   = 1000 // number that is filled in, where the type has room for it
+	smallest   = 1000 // first number that is filled in, where the type can represent it
 	bytesRange = 255  // numbers that a byte has but 0
 )
 
-// Fill sets every exported field of what pointer points to, and of all that it holds, to a value that is not zero. The
+// Fill sets every exported field of what pointer points to, nested ones included, to a value that is not zero. The
 // values are distinct, but for those of bool and of a byte, which come again.
 func Fill(pointer any) {
 	var f filler
--- a/internal/fixturetest/fixturetest.go
+++ b/internal/fixturetest/fixturetest.go
@@ -26,9 +26,9 @@
 var writeMissing = flag.Bool("write-missing-fixtures", false, "write the fixtures that are not there, see package fixturetest")
 
 const (
-	folder     = "testdata"
-	extension  = ".fixture"
-	hexPerLine = 60 // bytes
+	folder      = "testdata"
+	extension   = ".fixture"
+	bytesPerRow = 60 // bytes
 )
 
 // Codec writes and reads one kind of data.
@@ -78,7 +78,7 @@
 	}
 }
 
-// WriteMissing tells whether fixtures that are not there are to be written.
+// WriteMissing reports whether fixtures that are not there are to be written.
 func WriteMissing() bool { return *writeMissing }
 
 func write(name string, codec Codec) ([]byte, error) {
@@ -97,7 +97,7 @@
 func format(data []byte, fields []Field) []byte {
 	var text strings.Builder
 	for len(data) > 0 {
-		line := data[:min(len(data), hexPerLine)]
+		line := data[:min(len(data), bytesPerRow)]
 		data = data[len(line):]
 		text.WriteString(hex.EncodeToString(line) + "\n")
 	}
@@ -114,7 +114,7 @@
 		encoded, listed, found = "", text[1:], true
 	}
 	if !found {
-		return nil, nil, errors.New("has no empty line between data and fields")
+		return nil, nil, errors.New("has no blank row between data and fields")
 	}
 	if data, err = hex.DecodeString(strings.ReplaceAll(encoded, "\n", "")); err != nil {
 		return nil, nil, err
@@ -129,15 +129,15 @@
 	return data, fields, nil
 }
 
-// difference tells what was written and is not read, and the other way round; empty: the same values in the same order.
+// difference describes what was written and is not read, and the reverse; it is empty for the same values in the same order.
 func difference(expected, actual []Field) string {
-	common := longestCommon(expected, actual)
+	common := longestCommonSubsequence(expected, actual)
 	if len(common) == len(expected) && len(common) == len(actual) {
 		return ""
 	}
 	var said strings.Builder
 	i, j := 0, 0
-	tell := func(untilI, untilJ int) {
+	describe := func(untilI, untilJ int) {
 		for ; i < untilI; i++ {
 			fmt.Fprintf(&said, "  written, not read: %s\n", expected[i])
 		}
@@ -146,15 +146,15 @@
 		}
 	}
 	for _, pair := range common {
-		tell(pair[0], pair[1])
+		describe(pair[0], pair[1])
 		i, j = pair[0]+1, pair[1]+1
 	}
-	tell(len(expected), len(actual))
+	describe(len(expected), len(actual))
 	return said.String()
 }
 
-// longestCommon returns the longest list of positions at which both have the same values in the same order.
-func longestCommon(a, b []Field) [][2]int {
+// longestCommonSubsequence returns the longest list of positions at which both have the same values in the same order.
+func longestCommonSubsequence(a, b []Field) [][2]int {
 	lengths := make([][]int, len(a)+1)
 	for i := range lengths {
 		lengths[i] = make([]int, len(b)+1)
--- a/internal/fixturetest/fixturetest_test.go
+++ b/internal/fixturetest/fixturetest_test.go
@@ -21,7 +21,7 @@
 	Pointer *inner
 	Map     map[uint32]string
 	Sum     [3]byte
-	Share   float64
+	Ratio   float64
 	hidden  int
 }
 
@@ -34,7 +34,7 @@
 	Pointer *renamedInner
 	Map     map[uint32]string
 	Sum     [3]byte
-	Share   float64
+	Ratio   float64
 }
 
 type renamedInner struct {
@@ -64,7 +64,7 @@
 		Pointer: &inner{Text: "text 6", Bytes: []byte("data 7")},
 		Map:     map[uint32]string{1008: "text 9", 1010: "text 11"},
 		Sum:     [3]byte{13, 14, 15},
-		Share:   15.5,
+		Ratio:   15.5,
 	}, value)
 	assert.Zero(t, value.hidden)
 	paths := []string{}
@@ -73,7 +73,7 @@
 	}
 	assert.Equal(t, []string{
 		"Number", "Flag", "List[0].Text", "List[0].Bytes", "List[1].Text", "List[1].Bytes", "Pointer.Text", "Pointer.Bytes",
-		"Map[1008]", "Map[1008]", "Map[1010]", "Map[1010]", "Sum", "Share",
+		"Map[1008]", "Map[1008]", "Map[1010]", "Map[1010]", "Sum", "Ratio",
 	}, paths)
 }
 
@@ -85,7 +85,7 @@
 
 func TestFixtureIsReadAsItWasWritten(t *testing.T) {
 	data := bytes.Repeat([]byte("data"), 40)
-	for _, written := range [][]byte{data, data[:hexPerLine], nil} {
+	for _, written := range [][]byte{data, data[:bytesPerRow], nil} {
 		read, fields, err := parse(string(format(written, Fields(filled()))))
 		require.NoError(t, err)
 		assert.Equal(t, written, append([]byte(nil), read...))
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestGobFieldsThatAreRenamedAreTold(t *testing.T) {
+func TestRenamedGobFieldsAreReported(t *testing.T) {
 	var data bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&data).Encode(filled()))
 	var read renamed
@@ -102,13 +102,13 @@
 		difference(Fields(filled()), Fields(&read)))
 }
 
-func TestGobFieldsThatAreNotWrittenAnyMoreAreTold(t *testing.T) {
+func TestGobFieldsNoLongerWrittenAreReported(t *testing.T) {
 	var earlier, present bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&earlier).Encode(filled()))
 	value := &renamed{}
 	Fill(value)
 	require.NoError(t, gob.NewEncoder(&present).Encode(value))
-	assert.Equal(t, []string{"Number", "Flag", "List", "Pointer", "Map", "Sum", "Share", "Text", "Bytes"}, fieldNames(earlier.Bytes()))
+	assert.Equal(t, []string{"Number", "Flag", "List", "Pointer", "Map", "Sum", "Ratio", "Text", "Bytes"}, fieldNames(earlier.Bytes()))
 	assert.Equal(t, []string{"Flag"}, missingNames(earlier.Bytes(), present.Bytes()))
 	assert.Equal(t, []string{"Marked", "Added", "Label", "Bytes"}, missingNames(present.Bytes(), earlier.Bytes()))
 	assert.Empty(t, missingNames(earlier.Bytes(), earlier.Bytes()))
@@ -120,7 +120,7 @@
 	assert.ElementsMatch(t, []string{"Value", "Only"}, fieldNames(data.Bytes()))
 }
 
-func TestFieldsThatChangePlacesAreTold(t *testing.T) {
+func TestReorderedFieldsAreReported(t *testing.T) {
 	assert.NotEmpty(t, difference([]Field{{"A", "1"}, {"B", "2"}}, []Field{{"A", "2"}, {"B", "1"}}))
 	assert.NotEmpty(t, difference([]Field{{"A", "1"}}, []Field{{"A", "1"}, {"B", "1"}}))
 	assert.Empty(t, difference([]Field{{"A", "1"}}, []Field{{"B", "1"}}))
--- a/internal/fixturetest/names.go
+++ b/internal/fixturetest/names.go
@@ -41,7 +41,7 @@
 	return names
 }
 
-// isTypeName tells whether a name that follows data is that of a slice, a struct or a map.
+// isTypeName reports whether a name that follows data is that of a slice, a struct or a map.
 func isTypeName(data []byte) bool {
 	const slice, structure, mapping = 2, 3, 4
 	if len(data) < 3 || data[len(data)-2] != 1 {
--- a/internal/fixturetest/packages_test.go
+++ b/internal/fixturetest/packages_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against data that is encoded with gob and that no fixture tells of.
+// Guards against data that is encoded with gob and that no fixture covers.
 func TestEveryPackageThatEncodesWithGobHasFixtures(t *testing.T) {
 	users := map[string]bool{}
 	require.NoError(t, filepath.WalkDir(internalFolder(t), func(path string, _ fs.DirEntry, err error) error {
