--- a/internal/cluster/consensus/confirmation_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -58,7 +58,7 @@
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
 		g.deliverAll()
 		g.elapse(3 * heartbeatInterval)
-		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.drop = from(2, 3)
 		g.elapse(heartbeatInterval)
 		before := leader.Status().ConfirmedAt
 		g.elapse(3 * heartbeatInterval)
@@ -76,7 +76,7 @@
 	})
 
 	ginkgo.It("is completed by acknowledgements of appends too", func() {
-		g.drop = func(message Message) bool { return message.Kind == MessageHeartbeat }
+		g.drop = ofKind(MessageHeartbeat)
 		g.propose(leader, "a")
 		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -51,4 +51,10 @@
 // finish writes within the time that elections allow for. Status.Members may be uncommitted and may be replaced by the
 // earlier membership. Status.IsLeader is what the member believes: only ConfirmedAt shows that it was so. How far clocks of
 // different members may drift, for leases built on ConfirmedAt, is for the caller to bound.
+//
+// # Where to begin reading
+//
+// node.go has the inputs of all members, output.go what comes out. election.go, leader.go and replication.go are Raft's core,
+// with the log in log.go and what a leader knows of each member in progress.go. Quorums, of one or two configurations, are
+// computed in quorum.go, and the membership changes by membership_change.go.
 package consensus
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -175,7 +175,7 @@
 
 	ginkgo.It("requests votes again when requests are lost", func() {
 		candidate := g.member(1)
-		g.drop = func(message Message) bool { return message.From == 1 }
+		g.drop = from(1)
 		g.runElection(candidate)
 		g.drop = nil
 		g.now = candidate.NextDeadline()
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"slices"
 	"time"
 
 	. "github.com/onsi/gomega"
@@ -183,12 +184,7 @@
 func (g *group) restart(id MemberID, snapshot *Snapshot) *testMember {
 	old := g.member(id)
 	restored := Restored{HardState: HardState{Term: old.term, Vote: old.vote}, Snapshot: snapshot, Entries: old.log.entries}
-	for position, member := range g.members {
-		if member == old {
-			g.members = append(g.members[:position], g.members[position+1:]...)
-			break
-		}
-	}
+	g.members = slices.DeleteFunc(g.members, func(member *testMember) bool { return member == old })
 	return g.add(id, restored)
 }
 
@@ -206,6 +202,17 @@
 	g.deliverAll()
 }
 
+// countReady returns how many of these members are leaders that are ready.
+func (g *group) countReady(ids ...MemberID) int {
+	count := 0
+	for _, id := range ids {
+		if g.member(id).Status().Ready {
+			count++
+		}
+	}
+	return count
+}
+
 // propose proposes a command to a leader and returns its index.
 func (g *group) propose(leader *testMember, data string) uint64 {
 	index, _, err := leader.Propose(g.now, []byte(data))
@@ -246,14 +253,12 @@
 
 // allExcept matches all messages but those from one member to some others.
 func allExcept(from MemberID, to ...MemberID) func(Message) bool {
-	return func(message Message) bool {
-		for _, id := range to {
-			if message.From == from && message.To == id {
-				return false
-			}
-		}
-		return true
-	}
+	return func(message Message) bool { return message.From != from || !slices.Contains(to, message.To) }
+}
+
+// from matches all messages from these members.
+func from(ids ...MemberID) func(Message) bool {
+	return func(message Message) bool { return slices.Contains(ids, message.From) }
 }
 
 // ofKind matches all messages of a kind.
--- a/internal/cluster/consensus/joint_change_test.go
+++ b/internal/cluster/consensus/joint_change_test.go
@@ -227,7 +227,7 @@
 	})
 
 	ginkgo.It("does not count itself where two voters remain, both of which are needed", func() {
-		g.drop = func(message Message) bool { return message.From == 3 }
+		g.drop = from(3)
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3))).To(Succeed())
 		g.deliverAll()
 		before := leader.Status().Commit
@@ -249,7 +249,7 @@
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3, 4))).To(Succeed())
 		g.deliverAll()
 		Expect(leader.Status().Commit).To(Equal(jointIndex))
-		g.drop = func(message Message) bool { return message.From == 3 || message.From == 4 }
+		g.drop = from(3, 4)
 		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().Commit).To(Equal(jointIndex))
 		Expect(leader.Status().IsLeader).To(BeTrue())
@@ -292,13 +292,7 @@
 
 			g.drop = fromOrTo(2) // its disk is lost
 			g.elapse(8 * electionTimeout)
-			ready := 0
-			for _, id := range []MemberID{1, 3, 4} {
-				if g.member(id).Status().Ready {
-					ready++
-				}
-			}
-			Expect(ready).To(Equal(1))
+			Expect(g.countReady(1, 3, 4)).To(Equal(1))
 		},
 		ginkgo.Entry("by a joint change", memberList(2, 3, 4)),
 		ginkgo.Entry("by a simple change", memberList(1, 2, 3, 4)),
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -222,7 +222,7 @@
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
 		g.elapse(3 * heartbeatInterval)
-		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.drop = from(2, 3)
 		before := leader.Status().Commit
 		g.propose(leader, "a")
 		g.deliverAll()
@@ -236,7 +236,7 @@
 		}
 		Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
 		g.elapse(3 * heartbeatInterval)
-		g.drop = func(message Message) bool { return message.From == 2 || message.From == 3 }
+		g.drop = from(2, 3)
 		g.now += heartbeatInterval
 		before, requestedAt := leader.Status().Commit, g.now
 		g.propose(leader, "a")
@@ -294,12 +294,6 @@
 		Expect(removed.Status().IsLeader).To(BeFalse())
 		g.elapse(4 * electionTimeout)
 		Expect(removed.Status().IsLeader).To(BeFalse())
-		ready := 0
-		for _, id := range []MemberID{1, 2, 3} {
-			if g.member(id).Status().Ready {
-				ready++
-			}
-		}
-		Expect(ready).To(Equal(1))
+		Expect(g.countReady(1, 2, 3)).To(Equal(1))
 	})
 })
