--- a/internal/cluster/localcluster/machines.go
+++ b/internal/cluster/localcluster/machines.go
@@ -1,8 +1,3 @@
-// Package localcluster runs a small system on this machine, for trying it out: three control processes, two frontends and
-// two agents, each at a loopback address of its own as if on a machine of its own, with stand-in runners. The processes
-// are those of a real system, with settings files, logs and data in one folder; only the runners are in this process.
-//
-// Run is all there is to call. One system runs in a folder at a time.
 package localcluster
 
 import (
@@ -30,8 +25,8 @@
 	lastPort      = 7395
 )
 
-// Service is the service of the stand-in runners.
-const Service = "demo"
+// demoService is the service of the stand-in runners.
+const demoService = "demo"
 
 // graceSeconds is short: no load balancer has to notice first that a frontend stops.
 const graceSeconds = 2
@@ -182,7 +177,7 @@
 	}
 	if m.role == boot.RoleAgent {
 		settings.App = m.address(runnerPort)
-		settings.Service = Service
+		settings.Service = demoService
 	}
 	data, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
