--- a/internal/cluster/consensus/election.go
+++ b/internal/cluster/consensus/election.go
@@ -32,7 +32,7 @@
 
 const (
 	campaignElection campaignKind = iota // a quorum granted its pre-vote
-	campaignTransfer                     // the leader transfers the leadership to it, so live leaders don't prevent votes
+	campaignTransfer                     // the leader transfers its leadership: members vote though that leader is live
 )
 
 // SetCampaignAllowed sets whether this member may campaign. It may unless the caller forbids it, as it should while the
--- a/internal/cluster/consensus/heartbeat.go
+++ b/internal/cluster/consensus/heartbeat.go
@@ -33,7 +33,7 @@
 	n.send(Message{Kind: MessageHeartbeatResponse, To: message.From, Index: n.verified, SentAt: message.SentAt})
 }
 
-// handleHeartbeatResponse records a confirmation, and sends again what was lost on the way to the member.
+// handleHeartbeatResponse records a confirmation, and sends again what was probably lost on the way to the member.
 func (n *Node) handleHeartbeatResponse(message *Message) {
 	peer := n.peer(message.From)
 	if n.role != roleLeader || peer == nil {
@@ -44,7 +44,7 @@
 	case peer.state == progressSnapshot:
 		n.resendChunk(peer)
 	case message.Index < peer.lastSent && peer.appendSentAt < message.SentAt:
-		// Links usually deliver in order: a member that responds to a later heartbeat lacks an append that was lost.
+		// The newest append was sent before this heartbeat, and the member still lacks it: it was probably lost.
 		n.resendLost(peer, message.Index)
 	case n.isAckOverdue(peer):
 		n.requestAck(peer)
--- a/internal/cluster/consensus/message.go
+++ b/internal/cluster/consensus/message.go
@@ -26,7 +26,10 @@
 	Kind     MessageKind
 	From, To MemberID
 	Term     uint64
-	Index    uint64 // Append: index before the entries; PreVote, Vote: last index of the log; responses: last matching index
+	// Index is, by kind: PreVote and Vote: the last index of the candidate's log; Append: the index before the entries, and of
+	// a rejected one in its response; AppendResponse: the last index that agrees and is on disk; HeartbeatResponse: the last
+	// index that agrees, in memory; Snapshot and its response: the index of the snapshot.
+	Index    uint64
 	LogTerm  uint64 // term of the entry at Index; in a rejection, of the entry at Hint
 	Commit   uint64
 	Entries  []Entry
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -149,7 +149,7 @@
 		n.handlePreVote(message)
 		return false
 	case MessagePreVoteResponse:
-		if !message.Reject {
+		if !message.Reject { // its term is the one that this member would campaign in: nobody need be in it yet
 			n.handlePreVoteResponse(message)
 			return false
 		}
--- a/internal/cluster/consensus/replication.go
+++ b/internal/cluster/consensus/replication.go
@@ -62,7 +62,7 @@
 	return true
 }
 
-// resendLost sends again what a member certainly has not received. agreed is the last index at which its log, in memory,
+// resendLost sends again what a member has probably not received. agreed is the last index at which its log, in memory,
 // agrees with this one.
 func (n *Node) resendLost(peer *progress, agreed uint64) {
 	next := peer.next
