--- a/test/integration/deployments_test.go
+++ b/test/integration/deployments_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Settings of each deployment's shape. The first has reports, one keyed class and prices for probes; the second none of
-// these, but classes of unlike length and effect, slots and memory, and keys dropped by cells.
+// Settings like those of two deployments. The first has load reports, one keyed class and prices for probes; the
+// second none of these, but classes of different length and effect, slots and memory, and keys deduplicated by cells.
 const (
 	payments = `{"zone":"z","zones":["z","y"],"balancers":5,"slotNo":2,"periodUs":2000,"discovery":"ask","kinds":["m","n"],
  "classes":[{"name":"keyed","semantics":"keyed","keyScope":"zone","memorySpanUs":10000000,"objectiveUs":500000,"deadlineUs":6000000}],
@@ -35,9 +35,9 @@
   "tipAfterUs":2000000},"tariffs":{"crossZone":0.03,"probe":0.002,"lateFail":0.03,"waste":0.05},"tenants":[]}`
 )
 
-// One program serves both deployments by their settings alone: every class is answered with what a runner made, an
-// unstarted job that a runner turns away goes to another, and one refused everywhere has Retry-After only where the
-// settings allow it. Requests that a deployment's settings do not know are turned away by name.
+// One program serves both deployments by their settings alone: every class gets a runner's result, an unstarted job
+// that a runner rejects goes to another, and one rejected everywhere gets Retry-After only if the settings allow it.
+// Requests that the settings do not know are refused.
 func TestServesBothDeployments(t *testing.T) {
 	for _, tt := range []struct {
 		name, settings string
@@ -49,7 +49,7 @@
 		{"rendering", rendering, []string{"safe", "long", "keyed", "unsafe"}, "", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			good, full := newRunner(t, "s-1", "z", done), newRunner(t, "s-2", "z", status(http.StatusServiceUnavailable, true))
+			good, full := newRunner(t, "s-1", "z", serveDone), newRunner(t, "s-2", "z", serveStatus(http.StatusServiceUnavailable, true))
 			p := startAs(t, tt.settings, nil, good, full)
 			from := func(r *http.Request) {
 				if tt.tenant != "" {
@@ -59,14 +59,14 @@
 			}
 			for i, class := range tt.classes {
 				for n := range 3 {
-					a := p.ask(context.Background(), "/"+class, fmt.Sprintf("%s-%d-%d", tt.name, i, n), 5*time.Second, from)
+					a := p.send(context.Background(), "/"+class, fmt.Sprintf("%s-%d-%d", tt.name, i, n), 5*time.Second, from)
 					assert.Equal(t, http.StatusOK, a.status, "%s: %s", class, a.body)
 				}
 			}
-			assert.Equal(t, http.StatusNotFound, p.ask(context.Background(), "/unknown", tt.name+"-x", time.Second, from).status)
+			assert.Equal(t, http.StatusNotFound, p.send(context.Background(), "/unknown", tt.name+"-x", time.Second, from).status)
 
-			alone := startAs(t, tt.settings, nil, newRunner(t, "s-3", "z", status(http.StatusServiceUnavailable, true)))
-			a := alone.ask(context.Background(), "/"+tt.classes[0], tt.name+"-full", 2*time.Second, from)
+			alone := startAs(t, tt.settings, nil, newRunner(t, "s-3", "z", serveStatus(http.StatusServiceUnavailable, true)))
+			a := alone.send(context.Background(), "/"+tt.classes[0], tt.name+"-full", 2*time.Second, from)
 			assert.Equal(t, http.StatusServiceUnavailable, a.status, a.body)
 			assert.Equal(t, tt.retryAfter, a.header.Get("Retry-After") != "", "Retry-After %q", a.header.Get("Retry-After"))
 		})
--- a/test/integration/program_test.go
+++ b/test/integration/program_test.go
@@ -17,12 +17,12 @@
 
 var background = context.Background()
 
-const long = 20 * time.Second // a client's patience where it must not matter
+const clientTimeout = 20 * time.Second // where the client's timeout must not matter
 
-func TestServesWhatARunnerMade(t *testing.T) {
-	rn := newRunner(t, "r1", "z", done)
+func TestServesRunnersResult(t *testing.T) {
+	rn := newRunner(t, "r1", "z", serveDone)
 	p := start(t, rn)
-	a := p.ask(background, "/keyed/a%20b?q=1", "id1", long, func(r *http.Request) {
+	a := p.send(background, "/keyed/a%20b?q=1", "id1", clientTimeout, func(r *http.Request) {
 		r.Header.Set("X-Attrs", "slots=1,other=7")
 		r.Header.Set("X-Route-Key", "fn:1")
 	})
@@ -40,37 +40,37 @@
 	assert.Positive(t, rn.probes, "requests pay for probes")
 }
 
-// The connection of an answered attempt is used again: a new one costs the runner work.
-func TestConnectionsAreKept(t *testing.T) {
+// The connection of an attempt is reused: a new one costs the runner work.
+func TestConnectionsAreReused(t *testing.T) {
 	from := map[string]bool{}
 	var rn *runner
 	rn = newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
 		rn.mu.Lock()
 		from[r.RemoteAddr] = true
 		rn.mu.Unlock()
-		done(w, r)
+		serveDone(w, r)
 	})
 	p := start(t, rn)
 	for n := range 20 {
-		require.Equal(t, http.StatusOK, p.ask(background, "/keyed", fmt.Sprint("id", n), long).status)
+		require.Equal(t, http.StatusOK, p.send(background, "/keyed", fmt.Sprint("id", n), clientTimeout).status)
 	}
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	assert.Less(t, len(from), 10, "attempts on %d connections", len(from))
 }
 
-func TestRefusesWhatNeverRan(t *testing.T) {
-	p := start(t, dead(t, "r1", "z"))
+func TestUnstartedRequestIsShed(t *testing.T) {
+	p := start(t, newDeadRunner(t, "r1", "z"))
 	before := time.Now()
-	a := p.ask(background, "/keyed", "id1", 500*time.Millisecond)
+	a := p.send(background, "/keyed", "id1", 500*time.Millisecond)
 	require.NoError(t, a.err)
 	assert.Equal(t, http.StatusServiceUnavailable, a.status)
 	assert.NotEmpty(t, a.header.Get("Retry-After"))
-	assert.Less(t, time.Since(before), patience)
+	assert.Less(t, time.Since(before), testTimeout)
 }
 
-// Each way in which an attempt can end, at the only runner, and what the client gets. Only what proves that the job
-// never ran may be refused or sent again; the class is one that allows nothing else.
+// Each way in which an attempt can end at the only runner, and what the client gets. Only what proves that the job
+// never ran may be shed or retried; the class is one that allows nothing else.
 func TestOutcomes(t *testing.T) {
 	const short = 300 * time.Millisecond
 	for name, tt := range map[string]struct {
@@ -78,22 +78,22 @@
 		want int
 		once bool
 	}{
-		"done":                  {done, http.StatusOK, true},
-		"failed":                {ends("failed"), http.StatusBadGateway, true},
-		"500":                   {status(http.StatusInternalServerError, false), http.StatusBadGateway, true},
-		"lost":                  {ends("lost"), http.StatusBadGateway, true},
-		"cut":                   {cut, http.StatusBadGateway, true},
-		"ends early":            {ends("started"), http.StatusBadGateway, true},
-		"503 that may have run": {status(http.StatusServiceUnavailable, false), http.StatusBadGateway, true},
-		"times out":             {hang, http.StatusBadGateway, true},
-		"returned":              {ends("returned"), http.StatusServiceUnavailable, false},
-		"503 unstarted":         {status(http.StatusServiceUnavailable, true), http.StatusServiceUnavailable, false},
-		"504 unstarted":         {status(http.StatusGatewayTimeout, true), http.StatusServiceUnavailable, false},
+		"done":                  {serveDone, http.StatusOK, true},
+		"failed":                {serveState("failed"), http.StatusBadGateway, true},
+		"500":                   {serveStatus(http.StatusInternalServerError, false), http.StatusBadGateway, true},
+		"lost":                  {serveState("lost"), http.StatusBadGateway, true},
+		"broken":                {serveBreak, http.StatusBadGateway, true},
+		"ends early":            {serveState("started"), http.StatusBadGateway, true},
+		"503 that may have run": {serveStatus(http.StatusServiceUnavailable, false), http.StatusBadGateway, true},
+		"times out":             {serveHang, http.StatusBadGateway, true},
+		"returned":              {serveState("returned"), http.StatusServiceUnavailable, false},
+		"503 unstarted":         {serveStatus(http.StatusServiceUnavailable, true), http.StatusServiceUnavailable, false},
+		"504 unstarted":         {serveStatus(http.StatusGatewayTimeout, true), http.StatusServiceUnavailable, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rn := newRunner(t, "r1", "z", tt.do)
-			a := start(t, rn).ask(background, "/unsafe", "id1", short)
+			a := start(t, rn).send(background, "/unsafe", "id1", short)
 			require.NoError(t, a.err)
 			assert.Equal(t, tt.want, a.status, a.body)
 			if tt.once {
@@ -104,18 +104,22 @@
 }
 
 // A job that certainly never ran goes to the next runner.
-func TestMovesOnFromARunnerThatRefuses(t *testing.T) {
-	for name, first := range map[string]func(t *testing.T) *runner{
-		"no connection": func(t *testing.T) *runner { return dead(t, "r1", "z") },
-		"turned away": func(t *testing.T) *runner {
-			return newRunner(t, "r1", "z", status(http.StatusServiceUnavailable, true))
+func TestRejectedRequestGoesToAnotherRunner(t *testing.T) {
+	for name, first := range map[string]func(*testing.T) *runner{
+		"no connection": func(t *testing.T) *runner {
+			t.Helper()
+			return newDeadRunner(t, "r1", "z")
+		},
+		"rejected": func(t *testing.T) *runner {
+			t.Helper()
+			return newRunner(t, "r1", "z", serveStatus(http.StatusServiceUnavailable, true))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			good := newRunner(t, "r2", "z", done)
+			good := newRunner(t, "r2", "z", serveDone)
 			p := start(t, first(t), good)
 			for n := range 10 {
-				a := p.ask(background, "/unsafe", fmt.Sprint("id", n), long)
+				a := p.send(background, "/unsafe", fmt.Sprint("id", n), clientTimeout)
 				require.Equal(t, http.StatusOK, a.status, a.body)
 			}
 			assert.Equal(t, 10, good.total())
@@ -123,9 +127,9 @@
 	}
 }
 
-// Guards against http.Transport's silent resends: a kept connection that breaks under a request with an
+// Guards against http.Transport's silent resends: a reused connection that breaks under a request with an
 // Idempotency-Key must not bring it to the runner twice, with a body or without one.
-func TestNoSilentResend(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	for name, body := range map[string]func(*http.Request){
 		"body":  func(*http.Request) {},
 		"empty": func(r *http.Request) { r.Body, r.ContentLength, r.GetBody = http.NoBody, 0, nil },
@@ -133,16 +137,16 @@
 		t.Run(name, func(t *testing.T) {
 			rn := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
 				if strings.HasPrefix(r.Header.Get("X-Request-ID"), "bad") {
-					cut(w, r)
+					serveBreak(w, r)
 					return
 				}
-				done(w, r)
+				serveDone(w, r)
 			})
 			p := start(t, rn)
-			for n := range 3 { // so that connections are there to be used again
-				require.Equal(t, http.StatusOK, p.ask(background, "/unsafe", fmt.Sprint("good", n), long, body).status)
+			for n := range 3 { // so that there are connections to reuse
+				require.Equal(t, http.StatusOK, p.send(background, "/unsafe", fmt.Sprint("good", n), clientTimeout, body).status)
 			}
-			a := p.ask(background, "/unsafe", "bad", long, body)
+			a := p.send(background, "/unsafe", "bad", clientTimeout, body)
 			require.NoError(t, a.err)
 			assert.Equal(t, http.StatusBadGateway, a.status)
 			assert.Equal(t, 1, rn.count("bad"))
@@ -150,17 +154,17 @@
 	}
 }
 
-// A keyed job that may have run goes only to runners of its zone.
+// A keyed job that may have run is only retried at runners of its zone.
 func TestKeyedStaysInItsZone(t *testing.T) {
-	away := newRunner(t, "r2", "y", done)
-	once := newRunner(t, "r1", "z", cut)
+	away := newRunner(t, "r2", "y", serveDone)
+	once := newRunner(t, "r1", "z", serveBreak)
 	p := start(t, once, away)
-	// More at once than one runner has places for, so that some go to each.
+	// More at once than one runner has slots, so that some go to each.
 	var all sync.WaitGroup
 	for n := range 16 {
 		all.Go(func() {
 			id := fmt.Sprint("id", n)
-			a := p.ask(background, "/keyed", id, long)
+			a := p.send(background, "/keyed", id, clientTimeout)
 			assert.NoError(t, a.err)
 			if once.count(id) > 0 {
 				assert.Zero(t, away.count(id))
@@ -173,66 +177,66 @@
 }
 
 func TestDrainingRunnerGetsNothingNew(t *testing.T) {
-	old, next := newRunner(t, "r1", "z", done), newRunner(t, "r2", "z", done)
+	old, next := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
 	p := start(t, old, next)
 	for _, health := range []string{"DRAINING", "DELETED"} {
 		p.disc.change(t, old, health)
 		before := old.total()
 		for n := range 20 {
-			require.Equal(t, http.StatusOK, p.ask(background, "/keyed", fmt.Sprint(health, n), long).status)
+			require.Equal(t, http.StatusOK, p.send(background, "/keyed", fmt.Sprint(health, n), clientTimeout).status)
 		}
 		assert.Equal(t, before, old.total(), "new work for a runner that is %s", health)
 	}
 }
 
-func TestWatchIsTakenUpAgain(t *testing.T) {
-	old, next := newRunner(t, "r1", "z", done), newRunner(t, "r2", "z", done)
+func TestWatchIsReopened(t *testing.T) {
+	old, next := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
 	p := start(t, old)
 	p.disc.change(t, old, "SERVING")
 	p.disc.setDown(true)
 	eventually(t, "the loss is not logged", func() bool { return strings.Contains(p.log(), "discovery call failed") })
-	require.Equal(t, http.StatusOK, p.ask(background, "/keyed", "id1", long).status, "the old list still serves")
+	require.Equal(t, http.StatusOK, p.send(background, "/keyed", "id1", clientTimeout).status, "the old list still serves")
 	p.disc.setDown(false)
 	p.disc.change(t, next, "SERVING")
 	p.disc.change(t, old, "DELETED")
-	require.Equal(t, http.StatusOK, p.ask(background, "/keyed", "id2", long).status)
+	require.Equal(t, http.StatusOK, p.send(background, "/keyed", "id2", clientTimeout).status)
 	assert.Equal(t, 1, next.count("id2"))
 }
 
-func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	left := make(chan struct{})
 	rn := newRunner(t, "r1", "z", func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(left)
 	})
 	p := start(t, rn)
-	ctx, leave := context.WithCancel(background)
-	a := p.later(ctx, "/keyed", "id1", long)
+	ctx, disconnect := context.WithCancel(background)
+	a := p.sendAsync(ctx, "/keyed", "id1", clientTimeout)
 	eventually(t, "the job does not reach its runner", func() bool { return rn.count("id1") == 1 })
-	leave()
+	disconnect()
 	assert.Error(t, (<-a).err)
 	select {
 	case <-left:
-	case <-time.After(patience):
-		t.Fatal("the attempt goes on for nobody")
+	case <-time.After(testTimeout):
+		t.Fatal("the attempt is not cancelled")
 	}
 }
 
 func TestBadInputNamesItsHeader(t *testing.T) {
-	rn := newRunner(t, "r1", "z", done)
+	rn := newRunner(t, "r1", "z", serveDone)
 	p := start(t, rn)
 	for header, value := range map[string]string{"X-Request-ID": "", "X-Timeout": "12x", "X-Cost": "much",
 		"X-Retried": "yes", "X-Attrs": "slots=many"} {
-		a := p.ask(background, "/keyed", "id1", long, func(r *http.Request) { r.Header.Set(header, value) })
+		a := p.send(background, "/keyed", "id1", clientTimeout, func(r *http.Request) { r.Header.Set(header, value) })
 		assert.Equal(t, http.StatusBadRequest, a.status, header)
 		assert.Contains(t, a.body, header)
 	}
-	assert.Equal(t, http.StatusNotFound, p.ask(background, "/nothing", "id1", long).status)
+	assert.Equal(t, http.StatusNotFound, p.send(background, "/nothing", "id1", clientTimeout).status)
 	large := strings.Repeat("x", 64<<10+1)
-	a := p.ask(background, "/keyed", "id1", long, func(r *http.Request) {
+	a := p.send(background, "/keyed", "id1", clientTimeout, func(r *http.Request) {
 		*r = *r.Clone(background)
 		r.Body, r.ContentLength = http.NoBody, 0
-		req, err := http.NewRequest(http.MethodPost, r.URL.String(), strings.NewReader(large))
+		req, err := http.NewRequestWithContext(background, http.MethodPost, r.URL.String(), strings.NewReader(large))
 		require.NoError(t, err)
 		req.Header = r.Header
 		*r = *req
@@ -241,30 +245,30 @@
 	assert.Zero(t, rn.total())
 }
 
-func TestStopFinishesWhatWasTaken(t *testing.T) {
+func TestStopServesOpenRequests(t *testing.T) {
 	release := make(chan struct{})
 	rn := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("X-Request-ID") {
 		case "slow":
-			say(w, r, "started", "")
+			writeState(w, r, "started", "")
 			<-release
-			done(w, r)
+			serveDone(w, r)
 		case "stuck":
-			hang(w, r)
+			serveHang(w, r)
 		default:
-			done(w, r)
+			serveDone(w, r)
 		}
 	})
 	p := start(t, rn)
-	slow := p.later(background, "/keyed", "slow", long)
-	stuck := p.later(background, "/keyed", "stuck", long)
+	slow := p.sendAsync(background, "/keyed", "slow", clientTimeout)
+	stuck := p.sendAsync(background, "/keyed", "stuck", clientTimeout)
 	eventually(t, "the jobs do not reach their runner", func() bool { return rn.total() == 2 })
 	p.stop()
 	eventually(t, "the signal is not seen", func() bool { return strings.Contains(p.log(), "to=draining") })
 
 	// The front still sends connections for a while.
 	fresh := &http.Transport{DisableKeepAlives: false}
-	req, err := http.NewRequest(http.MethodPost, p.url+"/keyed", strings.NewReader(""))
+	req, err := http.NewRequestWithContext(background, http.MethodPost, p.url+"/keyed", strings.NewReader(""))
 	require.NoError(t, err)
 	req.Header.Set("X-Request-ID", "late")
 	req.Header.Set("X-Timeout", "20000m")
@@ -284,24 +288,24 @@
 	select {
 	case err := <-p.exit:
 		assert.NoError(t, err, "exit status")
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the program does not end")
 	}
 	assert.Contains(t, p.log(), "to=stopped")
 }
 
-// Guards against a reload that ends the program, loses what is in hand or stays with the old discovery. A faulty
-// file is named in the log and changes nothing.
+// Guards against a reload that ends the program, loses open requests or stays with the old discovery. An invalid file
+// is named in the log and changes nothing.
 func TestReloadMovesToAnotherDiscovery(t *testing.T) {
 	release := make(chan struct{})
 	old := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
-		say(w, r, "started", "")
+		writeState(w, r, "started", "")
 		<-release
-		done(w, r)
+		serveDone(w, r)
 	})
-	next := newRunner(t, "r2", "z", done)
+	next := newRunner(t, "r2", "z", serveDone)
 	p := start(t, old)
-	inHand := p.later(background, "/keyed", "before", long)
+	open := p.sendAsync(background, "/keyed", "before", clientTimeout)
 	eventually(t, "the job does not reach its runner", func() bool { return old.total() == 1 })
 
 	p.reload("nowhere")
@@ -310,13 +314,13 @@
 	})
 	p.disc = newDiscovery(t)
 	p.reload(p.disc.addr)
-	eventually(t, "the file taken is not counted", func() bool { return strings.Contains(p.log(), "taken=1") })
+	eventually(t, "the accepted file is not counted", func() bool { return strings.Contains(p.log(), "taken=1") })
 	p.disc.change(t, next, "SERVING")
 	p.disc.change(t, old, "DELETED")
-	require.Equal(t, http.StatusOK, p.ask(background, "/keyed", "after", long).status)
+	require.Equal(t, http.StatusOK, p.send(background, "/keyed", "after", clientTimeout).status)
 	assert.Equal(t, 1, next.count("after"))
 	close(release)
-	a := <-inHand
+	a := <-open
 	require.NoError(t, a.err)
 	assert.Equal(t, http.StatusOK, a.status)
 }
@@ -357,7 +361,7 @@
 			select {
 			case err := <-p.exit:
 				assert.Error(t, err)
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the program goes on")
 			}
 			assert.Contains(t, p.log(), key)
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After SIGTERM clients go on sending on every connection that stays open. Each such request gets its whole answer, or its
-// connection was closed in order: not a byte of an answer came on it.
+// After SIGTERM clients go on sending on every connection that stays open. Each such request gets its complete
+// response, or its connection was closed cleanly: not a byte of a response was sent.
 func TestConnectionsThatStayOpenAfterSIGTERMAreServed(t *testing.T) {
-	p := start(t, newRunner(t, "r1", "z", done))
+	p := start(t, newRunner(t, "r1", "z", serveDone))
 	const conns = 12
 	var (
 		wait           sync.WaitGroup
@@ -27,12 +27,12 @@
 	)
 	stopping := make(chan struct{})
 	for i := range conns {
-		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp", strings.TrimPrefix(p.url, "http://"))
 		require.NoError(t, err)
-		defer c.Close()
+		t.Cleanup(func() { _ = c.Close() })
 		in := bufio.NewReader(c)
-		ask := func(n int) (whole, none bool) {
-			_ = c.SetDeadline(time.Now().Add(patience))
+		send := func(n int) (complete, none bool) {
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			id := fmt.Sprintf("c%d-%d", i, n)
 			_, _ = fmt.Fprintf(c, "POST /keyed HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nIdempotency-Key: key-%s\r\nX-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id, id)
 			if _, err := in.Peek(1); err != nil {
@@ -42,25 +42,25 @@
 			if err != nil {
 				return false, false
 			}
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			body, err := io.ReadAll(resp.Body)
 			return err == nil && resp.StatusCode == http.StatusOK && string(body) == `made "here"`, false
 		}
-		whole, _ := ask(0)
-		require.True(t, whole)
+		complete, _ := send(0)
+		require.True(t, complete)
 		wait.Go(func() {
 			<-stopping
-			time.Sleep(time.Duration(i) * 100 * time.Millisecond) // within the time that is accepted, and after it
+			time.Sleep(time.Duration(i) * 100 * time.Millisecond) // before the listener closes, and after it
 			for n := 1; ; n++ {
-				whole, none := ask(n)
+				complete, none := send(n)
 				mu.Lock()
 				if none {
 					closed++
-				} else if assert.True(t, whole, "an answer that is not whole") {
+				} else if assert.True(t, complete, "an incomplete response") {
 					served++
 				}
 				mu.Unlock()
-				if !whole {
+				if !complete {
 					return
 				}
 			}
--- a/test/integration/store_test.go
+++ b/test/integration/store_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/csv"
 	"encoding/json"
 	"fmt"
@@ -21,10 +22,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// run runs a command of the program to its end.
-func run(in string, args ...string) (out, errs string, status int) {
+// runCommand runs a command of the program to its end.
+func runCommand(in string, args ...string) (out, errs string, status int) {
 	var o, e bytes.Buffer
-	cmd := exec.Command(program, args...)
+	cmd := exec.CommandContext(context.Background(), program, args...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(in), &o, &e
 	_ = cmd.Run()
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
@@ -39,7 +40,8 @@
 }
 
 func dump(t *testing.T, dir string) map[string]record {
-	out, errs, status := run("", "store", "dump", dir)
+	t.Helper()
+	out, errs, status := runCommand("", "store", "dump", dir)
 	require.Zero(t, status, errs)
 	all := map[string]record{}
 	last := ""
@@ -53,10 +55,12 @@
 	return all
 }
 
-// dumpOfKilled is dump for a program that may have been killed before it made the store: then it has told of nothing.
-func dumpOfKilled(t *testing.T, dir string, told int) map[string]record {
-	if _, errs, status := run("", "store", "dump", dir); status != 0 && strings.Contains(errs, "there is none") {
-		require.Zero(t, told, errs)
+// dumpOfKilled is dump for a program that may have been killed before it created the store: then it has acknowledged
+// nothing.
+func dumpOfKilled(t *testing.T, dir string, acked int) map[string]record {
+	t.Helper()
+	if _, errs, status := runCommand("", "store", "dump", dir); status != 0 && strings.Contains(errs, "there is none") {
+		require.Zero(t, acked, errs)
 		return nil
 	}
 	return dump(t, dir)
@@ -64,6 +68,7 @@
 
 // killRounds is how often the appending program is killed; STORE_KILLS sets it for a long run.
 func killRounds(t *testing.T) int {
+	t.Helper()
 	if s := os.Getenv("STORE_KILLS"); s != "" {
 		n, err := strconv.Atoi(s)
 		require.NoError(t, err)
@@ -72,7 +77,7 @@
 	return 8
 }
 
-// Killed at any moment, the program has told of nothing that is not there again, and nothing is there that was not
+// Killed at any moment, the program has acknowledged nothing that is lost, and nothing is in the store that was not
 // sent.
 func TestEveryOkOfAppendSurvivesSIGKILL(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
@@ -84,7 +89,7 @@
 		args := []string{"store", "append", dir}
 		batch := 1 + rnd.IntN(3)
 		args = append(args, "--batch", fmt.Sprint(batch))
-		cmd := exec.Command(program, args...)
+		cmd := exec.CommandContext(context.Background(), program, args...)
 		in, err := cmd.StdinPipe()
 		require.NoError(t, err)
 		out, err := cmd.StdoutPipe()
@@ -125,39 +130,39 @@
 		}
 	}
 	require.Greater(t, len(acked), 100)
-	out, errs, status := run("", "store", "check", dir)
+	out, errs, status := runCommand("", "store", "check", dir)
 	require.Zero(t, status, out+errs)
 }
 
 func TestStoreCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	out, errs, status := run("{\"space\":\"b\",\"key_text\":\"x\",\"value_text\":\"1\"}\n{\"space\":\"b\",\"key\":\"AP8=\",\"value\":\"\"}\n",
+	out, errs, status := runCommand("{\"space\":\"b\",\"key_text\":\"x\",\"value_text\":\"1\"}\n{\"space\":\"b\",\"key\":\"AP8=\",\"value\":\"\"}\n",
 		"store", "append", dir, "--batch", "2")
 	require.Zero(t, status, errs)
 	require.Regexp(t, `^ok \d+\n$`, out)
-	out, _, _ = run("", "store", "dump", dir)
+	out, _, _ = runCommand("", "store", "dump", dir)
 	copied := filepath.Join(t.TempDir(), "copy")
-	_, errs, status = run(out, "store", "append", copied)
+	_, errs, status = runCommand(out, "store", "append", copied)
 	require.Zero(t, status, errs)
-	again, _, _ := run("", "store", "dump", copied, "--space", "b")
-	require.Equal(t, 2, strings.Count(again, "\n"))
+	second, _, _ := runCommand("", "store", "dump", copied, "--space", "b")
+	require.Equal(t, 2, strings.Count(second, "\n"))
 	for _, line := range []string{"nonsense", `{"key_text":"x","value_text":""}`, `{"space":"b","key_text":"x"}`,
 		`{"space":"b","key":"?","value":""}`, `{"space":"b","key_text":"x","value_text":"1","colour":1}`,
 		`{"space":"b","key_text":"x","value_text":"1"}{}`} {
-		_, errs, status = run("\n"+line+"\n", "store", "append", dir)
+		_, errs, status = runCommand("\n"+line+"\n", "store", "append", dir)
 		assert.Equal(t, 1, status, line)
 		assert.Contains(t, errs, "line 2: ", line)
 	}
 	for _, args := range [][]string{{"store"}, {"store", "dump"}, {"store", "nonsense"}, {"nonsense"}, {"store", "dump", dir, "--x"},
 		{"store", "append", dir, "--batch", "0"}, {"store", "repair", dir}, {"traffic", "export", dir, "--format", "x"},
 		{"traffic", "export", dir, "--from", "noon"}, {"serve", "more"}} {
-		out, errs, status = run("", args...)
+		out, errs, status = runCommand("", args...)
 		assert.Equal(t, 2, status, args)
 		assert.Empty(t, out)
 		assert.Contains(t, errs, "--help")
 	}
 	for _, args := range [][]string{{"store", "dump", dir + "none"}, {"store", "check", dir + "none"}, {"traffic", "export", dir}} {
-		out, errs, status = run("", args...)
+		out, errs, status = runCommand("", args...)
 		assert.Equal(t, 1, status, args)
 		assert.Empty(t, out)
 		assert.Contains(t, errs, dir)
@@ -165,7 +170,7 @@
 	assert.NoDirExists(t, dir+"none")
 	for _, args := range [][]string{{"version"}, {"store", "stats", dir}, {"store", "compact", dir}, {"store", "check", dir},
 		{"--help"}, {"store", "--help"}, {"completion", "bash"}} {
-		out, errs, status = run("", args...)
+		out, errs, status = runCommand("", args...)
 		assert.Zero(t, status, args)
 		assert.NotEmpty(t, out)
 		assert.Empty(t, errs)
@@ -177,36 +182,36 @@
 	require.NoError(t, err)
 	b[70] ^= 1
 	require.NoError(t, os.WriteFile(segments[0], b, 0o600))
-	out, errs, status = run("", "store", "check", dir)
+	out, errs, status = runCommand("", "store", "check", dir)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, errs, filepath.Base(segments[0])+": offset 64")
 	assert.Contains(t, out, "faults")
 	repaired := filepath.Join(t.TempDir(), "repaired")
-	out, errs, status = run("", "store", "repair", dir, "--into", repaired)
+	out, errs, status = runCommand("", "store", "repair", dir, "--into", repaired)
 	assert.Zero(t, status, errs)
 	assert.Contains(t, out, filepath.Base(segments[0]))
-	_, errs, status = run("", "store", "check", repaired)
+	_, errs, status = runCommand("", "store", "check", repaired)
 	assert.Zero(t, status, errs)
 }
 
-// Recording tells of each request what it was and how it ended, and no key or body in clear.
-func TestRecordedTrafficTellsHowRequestsEnded(t *testing.T) {
+// A recording has what each request was and how it ended, and no key or body in clear text.
+func TestRecordedTraffic(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "traffic")
-	p := startWith(t, []string{"serve", "--record", dir}, newRunner(t, "r1", "z", done))
+	p := startWith(t, []string{"serve", "--record", dir}, newRunner(t, "r1", "z", serveDone))
 	const good = 20
 	for n := range good {
-		require.Equal(t, http.StatusOK, p.ask(background, "/safe", fmt.Sprint("good", n), long, func(r *http.Request) {
+		require.Equal(t, http.StatusOK, p.send(background, "/safe", fmt.Sprint("good", n), clientTimeout, func(r *http.Request) {
 			r.Header.Set("X-Route-Key", "secret-route")
 			r.Header.Set("Idempotency-Key", "secret-key")
 		}).status)
 	}
-	_, errs, status := run("", "traffic", "export", dir)
+	_, errs, status := runCommand("", "traffic", "export", dir)
 	assert.Equal(t, 1, status, "while it is being recorded")
 	assert.Contains(t, errs, "held by another process")
 	p.stop()
 	require.NoError(t, <-p.exit)
 
-	out, errs, status := run("", "traffic", "export", dir)
+	out, errs, status := runCommand("", "traffic", "export", dir)
 	require.Zero(t, status, errs)
 	rows, err := csv.NewReader(strings.NewReader(out)).ReadAll()
 	require.NoError(t, err)
@@ -223,9 +228,9 @@
 		assert.Len(t, r[column["idempotency"]], 16)
 		assert.NotEqual(t, r[column["key"]], r[column["idempotency"]])
 	}
-	lines, _, _ := run("", "traffic", "export", dir, "--format", "jsonl")
+	lines, _, _ := runCommand("", "traffic", "export", dir, "--format", "jsonl")
 	assert.Equal(t, good, strings.Count(lines, "\n"))
-	later, _, _ := run("", "traffic", "export", dir, "--format", "jsonl", "--from", "2999-01-01T00:00:00Z")
+	later, _, _ := runCommand("", "traffic", "export", dir, "--format", "jsonl", "--from", "2999-01-01T00:00:00Z")
 	assert.Empty(t, later)
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
--- a/test/integration/upgrade_test.go
+++ b/test/integration/upgrade_test.go
@@ -17,48 +17,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an upgrade in place that turns clients back: a second program starts at the same clients'
-// address with a console of its own and says ready, the first takes SIGTERM and exits 0, and a client that opens a
-// new connection for each job all the while is served throughout, but for a few caught in the old one's backlog.
-func TestUpgradeInPlace(t *testing.T) {
-	rn := newRunner(t, "r1", "z", done)
-	old := start(t, rn)
-	console := freeAddr(t)
+// steadyClient sends one job after another, each on a new connection. Its counts may be read after stop.
+type steadyClient struct {
+	url    string
+	served int
+	failed []string
 
-	var mu sync.Mutex
-	served, failed := 0, []string{}
-	stop := make(chan struct{})
-	var asking sync.WaitGroup
-	asking.Go(func() {
-		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
+	done  chan struct{}
+	works sync.WaitGroup
+}
+
+func (c *steadyClient) start(t *testing.T) {
+	t.Helper()
+	c.done = make(chan struct{})
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
+	c.works.Go(func() {
 		for n := 0; ; n++ {
 			select {
-			case <-stop:
+			case <-c.done:
 				return
 			default:
 			}
-			req, err := http.NewRequest(http.MethodPost, old.url+"/keyed", strings.NewReader("the job"))
-			require.NoError(t, err)
+			req, err := http.NewRequestWithContext(background, http.MethodPost, c.url+"/keyed", strings.NewReader("the job"))
+			if !assert.NoError(t, err) {
+				return
+			}
 			req.Header.Set("X-Request-ID", fmt.Sprintf("up-%d", n))
 			req.Header.Set("X-Timeout", "3000m")
-			resp, err := fresh.Do(req)
-			mu.Lock()
-			switch {
-			case err != nil:
-				failed = append(failed, err.Error())
-			case resp.StatusCode != http.StatusOK:
-				failed = append(failed, resp.Status)
-			default:
-				served++
-			}
-			mu.Unlock()
-			if err == nil {
-				_ = resp.Body.Close()
-			}
+			c.count(client.Do(req))
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
+}
+
+func (c *steadyClient) count(resp *http.Response, err error) {
+	if err != nil {
+		c.failed = append(c.failed, err.Error())
+		return
+	}
+	_ = resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		c.failed = append(c.failed, resp.Status)
+		return
+	}
+	c.served++
+}
+
+func (c *steadyClient) stop() {
+	close(c.done)
+	c.works.Wait()
+}
 
+// Guards against an upgrade in place that refuses clients: a second program starts at the same clients' address with
+// a console of its own and gets ready, the first gets SIGTERM and exits with 0, and a client that opens a new
+// connection for each job is served throughout, but for a few in the old one's backlog.
+func TestUpgradeInPlace(t *testing.T) {
+	rn := newRunner(t, "r1", "z", serveDone)
+	old := start(t, rn)
+	console := freeAddr(t)
+
+	client := &steadyClient{url: old.url}
+	client.start(t)
 	next := &dispatcher{t: t, disc: old.disc, exit: make(chan error, 1)}
 	conf := maps.Clone(old.conf)
 	conf["listen"], conf["console"] = strings.TrimPrefix(old.url, "http://"), console
@@ -66,51 +85,43 @@
 	ready := regexp.MustCompile(`msg="console listening"`)
 	eventually(t, "the second program does not start", func() bool { return ready.MatchString(next.log()) })
 	eventually(t, "the second program is not ready", func() bool {
-		resp, err := http.Get("http://" + console + "/ready")
-		if err != nil {
-			return false
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
+		return call(http.MethodGet, "http://"+console+"/ready", "") == http.StatusOK
 	})
 	time.Sleep(300 * time.Millisecond) // both serve
 	old.stop()
 	select {
 	case err := <-old.exit:
 		assert.NoError(t, err, "the old program's exit status")
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the old program does not end")
 	}
 	time.Sleep(300 * time.Millisecond) // the new one alone
-	close(stop)
-	asking.Wait()
-
-	mu.Lock()
-	defer mu.Unlock()
-	assert.Greater(t, served, 10, "jobs served through the upgrade")
-	assert.LessOrEqual(t, len(failed), 2, "turned back: %v", failed)
+	client.stop()
+	assert.Greater(t, client.served, 10, "jobs served through the upgrade")
+	assert.LessOrEqual(t, len(client.failed), 2, "refused: %v", client.failed)
 	assert.Contains(t, next.log(), "msg=\"request ended\"", "the new program served some")
 }
 
-// ownLoopback returns an address of loopback drawn at random, with any port. A port that was free there stays free until the
-// program under test has it; at 127.0.0.1 another program's connection could take it meanwhile.
+// ownLoopback returns a random loopback address without a port. A port that was free there stays free until the
+// program under test listens at it; at 127.0.0.1 another program's connection could take it meanwhile.
 func ownLoopback() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// freeAddr is an address on loopback that nobody listens at.
+// freeAddr returns a loopback address at which nobody listens.
 func freeAddr(t *testing.T) string {
-	l, err := net.Listen("tcp", ownLoopback())
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", ownLoopback())
 	require.NoError(t, err)
-	defer l.Close()
+	require.NoError(t, l.Close())
 	return l.Addr().String()
 }
 
-// Guards against a runner that is enabled as the process ends that disabled it: one disabled at the old program's console
-// gets nothing from the new one, whatever discovery lists, until it is put back at the new console.
-func TestDisablingHoldsOverAnUpgrade(t *testing.T) {
-	out, in := newRunner(t, "r1", "z", done), newRunner(t, "r2", "z", done)
-	shared := []string{"TMPDIR=" + t.TempDir()} // where the disabled runners are handed on
+// Guards against a runner that is enabled because the process that disabled it ends: one disabled at the old
+// program's console gets nothing from the new one, whatever discovery lists, until it is enabled at the new console.
+func TestDisabledRunnerStaysDisabledOverAnUpgrade(t *testing.T) {
+	out, in := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
+	shared := []string{"TMPDIR=" + t.TempDir()} // where the disabled runners pass to the next process
 	old := &dispatcher{t: t, env: shared, disc: newDiscovery(t), exit: make(chan error, 1)}
 	listen, consoles := freeAddr(t), []string{freeAddr(t), freeAddr(t)}
 	old.run(map[string]any{"name": "n0", "listen": listen, "console": consoles[0], "discovery": old.disc.addr,
@@ -118,42 +129,30 @@
 		"known":    map[string]any{"seq": 0, "whole": true, "hosts": []any{out.entry("SERVING"), in.entry("SERVING")}},
 		"settings": json.RawMessage(settings)})
 	old.url = "http://" + listen
-	call := func(console, path, body string) int {
-		resp, err := http.Post("http://"+console+path, "text/plain", strings.NewReader(body))
-		if err != nil {
-			return 0
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode
-	}
-	eventually(t, "the old console does not say yes", func() bool { return call(consoles[0], "/runners/disable", "r1") == 200 })
+	post := func(console, path, body string) int { return call(http.MethodPost, "http://"+console+path, body) }
+	eventually(t, "the old console does not disable", func() bool { return post(consoles[0], "/runners/disable", "r1") == 200 })
 
 	next := &dispatcher{t: t, env: shared, disc: old.disc, exit: make(chan error, 1), url: old.url}
 	conf := maps.Clone(old.conf)
 	conf["console"] = consoles[1]
 	next.run(conf)
 	eventually(t, "the new program is not ready", func() bool {
-		resp, err := http.Get("http://" + consoles[1] + "/ready")
-		if err != nil {
-			return false
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
+		return call(http.MethodGet, "http://"+consoles[1]+"/ready", "") == http.StatusOK
 	})
 	old.stop()
 	require.NoError(t, <-old.exit)
 	before := out.total()
 	for n := range 20 {
-		a := next.ask(background, "/safe", fmt.Sprintf("after-%d", n), 3*time.Second)
+		a := next.send(background, "/safe", fmt.Sprintf("after-%d", n), 3*time.Second)
 		require.NoError(t, a.err)
 		assert.Equal(t, http.StatusOK, a.status, a.body)
 	}
 	assert.Equal(t, before, out.total(), "the disabled runner got work from the new program")
 	assert.Positive(t, in.total())
 
-	require.Equal(t, 200, call(consoles[1], "/runners/enable", "r1"))
-	eventually(t, "the runner put back gets no work", func() bool {
-		_ = next.ask(background, "/safe", fmt.Sprintf("back-%d", time.Now().UnixNano()), 3*time.Second)
+	require.Equal(t, 200, post(consoles[1], "/runners/enable", "r1"))
+	eventually(t, "the enabled runner gets no work", func() bool {
+		_ = next.send(background, "/safe", fmt.Sprintf("back-%d", time.Now().UnixNano()), 3*time.Second)
 		return out.total() > before
 	})
 }
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -1,5 +1,5 @@
-// Package integration starts the built program as a process and speaks to it over sockets as clients, runners
-// and discovery do.
+// Package integration starts the built program as a process and speaks to it over sockets, as clients, runners and
+// discovery do.
 package integration
 
 import (
@@ -25,8 +25,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// patience is how long a condition is waited for. It is long so that a noisy machine changes no verdict.
-const patience = 20 * time.Second
+// testTimeout is how long a condition is waited for: long enough that a busy machine changes no verdict.
+const testTimeout = 20 * time.Second
 
 var program string
 
@@ -40,7 +40,7 @@
 	if raceEnabled {
 		args = append(args, "-race")
 	}
-	if out, err := exec.Command("go", append(args, "ospreypond/cmd/ospreypond")...).CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(context.Background(), "go", append(args, "ospreypond/cmd/ospreypond")...).CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -48,7 +48,7 @@
 	os.Exit(code)
 }
 
-// runner is an upstream. It counts what reaches it.
+// runner is an upstream. It counts what arrives.
 type runner struct {
 	name, addr, site string
 	mu               sync.Mutex
@@ -58,24 +58,24 @@
 	probes           int
 }
 
-// job is how a runner deals with a request whose last byte has arrived.
+// job is how a runner responds to a request that arrived completely.
 type job func(w http.ResponseWriter, r *http.Request)
 
-func say(w http.ResponseWriter, r *http.Request, state, more string) {
-	fmt.Fprintf(w, "{\"id\":%q,\"from\":\"x\",\"state\":%q%s}\n", r.Header.Get("X-Request-ID"), state, more)
+func writeState(w http.ResponseWriter, r *http.Request, state, more string) {
+	_, _ = fmt.Fprintf(w, "{\"id\":%q,\"from\":\"x\",\"state\":%q%s}\n", r.Header.Get("X-Request-ID"), state, more)
 	_ = http.NewResponseController(w).Flush()
 }
 
-func done(w http.ResponseWriter, r *http.Request) {
-	say(w, r, "started", "")
-	say(w, r, "done", `,"result":"made \"here\""`)
+func serveDone(w http.ResponseWriter, r *http.Request) {
+	writeState(w, r, "started", "")
+	writeState(w, r, "done", `,"result":"made \"here\""`)
 }
 
-func ends(state string) job {
-	return func(w http.ResponseWriter, r *http.Request) { say(w, r, state, "") }
+func serveState(state string) job {
+	return func(w http.ResponseWriter, r *http.Request) { writeState(w, r, state, "") }
 }
 
-func status(code int, notRun bool) job {
+func serveStatus(code int, notRun bool) job {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if notRun {
 			w.Header().Set("X-Not-Processed", "1")
@@ -84,21 +84,22 @@
 	}
 }
 
-// hang starts and never ends; the dispatcher gives it up.
-func hang(w http.ResponseWriter, r *http.Request) {
-	say(w, r, "started", "")
+// serveHang starts a job and never ends it, until the dispatcher gives it up.
+func serveHang(w http.ResponseWriter, r *http.Request) {
+	writeState(w, r, "started", "")
 	<-r.Context().Done()
 }
 
-// cut breaks the connection without an answer.
-func cut(w http.ResponseWriter, _ *http.Request) {
+// serveBreak breaks the connection without a response.
+func serveBreak(w http.ResponseWriter, _ *http.Request) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		_ = c.Close()
 	}
 }
 
 func newRunner(t *testing.T, name, site string, do job) *runner {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	rn := &runner{name: name, addr: l.Addr().String(), site: site, got: map[string]int{}}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +108,7 @@
 		if r.URL.Path == "/stats" {
 			rn.probes++
 			rn.mu.Unlock()
-			fmt.Fprint(w, "TEXT qps=1, util=0.2, x0=4")
+			_, _ = io.WriteString(w, "TEXT qps=1, util=0.2, x0=4")
 			return
 		}
 		rn.got[r.Header.Get("X-Request-ID")]++
@@ -120,9 +121,10 @@
 	return rn
 }
 
-// dead is a runner whose address refuses connections.
-func dead(t *testing.T, name, site string) *runner {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newDeadRunner returns a runner whose address refuses connections.
+func newDeadRunner(t *testing.T, name, site string) *runner {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
 	return &runner{name: name, addr: l.Addr().String(), site: site, got: map[string]int{}}
@@ -143,7 +145,7 @@
 	return n
 }
 
-// discovery is the list of runners.
+// discovery serves the list of runners.
 type discovery struct {
 	addr string
 	mu   sync.Mutex
@@ -151,14 +153,15 @@
 	seq  int
 	log  []map[string]any // change n made version n+1
 	down bool
-	seen int // the highest version that the program asked to go on from
-	// held, where not nil, is told of each call, which waits until let is closed.
-	held chan struct{}
-	let  chan struct{}
+	seen int // the highest version that the program requested changes since
+	// calls, if not nil, receives each call, which then waits until release is closed.
+	calls   chan struct{}
+	release chan struct{}
 }
 
 func newDiscovery(t *testing.T) *discovery {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	d := &discovery{addr: l.Addr().String()}
 	d.cond = sync.NewCond(&d.mu)
@@ -169,25 +172,25 @@
 }
 
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if d.held != nil {
-		d.held <- struct{}{}
+	if d.calls != nil {
+		d.calls <- struct{}{}
 		select {
-		case <-d.let:
+		case <-d.release:
 		case <-r.Context().Done():
 			return
 		}
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	over := time.Now().Add(time.Duration(hold) * time.Millisecond)
-	wake := time.AfterFunc(time.Until(over), d.cond.Broadcast)
+	holdMs, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	end := time.Now().Add(time.Duration(holdMs) * time.Millisecond)
+	wake := time.AfterFunc(time.Until(end), d.cond.Broadcast)
 	defer wake.Stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seen = max(d.seen, from); d.seen > 0 {
 		d.cond.Broadcast()
 	}
-	for !d.down && d.seq <= from && time.Now().Before(over) {
+	for !d.down && d.seq <= from && time.Now().Before(end) {
 		d.cond.Wait()
 	}
 	if d.down {
@@ -197,8 +200,9 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"seq": d.seq, "whole": false, "hosts": d.log[min(from, d.seq):d.seq]})
 }
 
-// change lists a runner anew and waits until the program has taken that in: it asks to go on from there.
+// change adds a change of a runner and waits until the program has received it: it requests the changes since.
 func (d *discovery) change(t *testing.T, rn *runner, health string) {
+	t.Helper()
 	d.mu.Lock()
 	d.seq++
 	d.log = append(d.log, rn.entry(health))
@@ -209,7 +213,7 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.seen >= version
-	}, patience, time.Millisecond, "the program never asked for what follows version %d", version)
+	}, testTimeout, time.Millisecond, "the program never requested the changes since version %d", version)
 }
 
 func (d *discovery) setDown(down bool) {
@@ -239,8 +243,8 @@
 	logs bytes.Buffer
 }
 
-// The aim is short, as the module's rounds follow it, and answers after it are worth something, so that a slow
-// machine changes no answer.
+// The latency target is short, as the module's rounds follow it, and late responses have a value, so that a slow
+// machine changes no response.
 const settings = `{"zone":"z","balancers":1,"slotNo":0,"periodUs":2000,"discovery":"ask","kinds":["m"],
  "classes":[{"name":"keyed","semantics":"keyed","keyScope":"zone","memorySpanUs":10000000,"objectiveUs":400000,"lateWorth":0.5,"deadlineUs":25000000},
   {"name":"safe","semantics":"safe","objectiveUs":400000,"lateWorth":0.5,"deadlineUs":25000000},
@@ -251,22 +255,28 @@
  "rules":{"answerSlackUs":8000,"askWithinUs":10000000}}`
 
 // start runs the program with a list of runners, and waits until it is ready.
-func start(t *testing.T, known ...*runner) *dispatcher { return startWith(t, nil, known...) }
+func start(t *testing.T, known ...*runner) *dispatcher {
+	t.Helper()
+	return startWith(t, nil, known...)
+}
 
-// startWith has arguments for the program too.
+// startWith is start with arguments for the program.
 func startWith(t *testing.T, args []string, known ...*runner) *dispatcher {
+	t.Helper()
 	return startAs(t, settings, args, known...)
 }
 
-// startAs has the settings of another deployment too.
+// startAs is startWith with the settings of another deployment.
 func startAs(t *testing.T, settings string, args []string, known ...*runner) *dispatcher {
+	t.Helper()
 	p := launch(t, newDiscovery(t), settings, args, known...)
 	p.ready()
 	return p
 }
 
-// launch runs the program, and waits for nothing.
+// launch runs the program and does not wait for anything.
 func launch(t *testing.T, disc *discovery, settings string, args []string, known ...*runner) *dispatcher {
+	t.Helper()
 	p := &dispatcher{t: t, args: args, disc: disc, exit: make(chan error, 1)}
 	hosts := []any{}
 	for _, rn := range known {
@@ -279,7 +289,7 @@
 	return p
 }
 
-// ready waits until the program takes clients.
+// ready waits until the program accepts clients.
 func (p *dispatcher) ready() {
 	t := p.t
 	listening := regexp.MustCompile(`msg=listening addr="?([0-9.:]+)`)
@@ -288,11 +298,8 @@
 			p.url = "http://" + m[1]
 		}
 		return p.url != ""
-	}, patience, time.Millisecond, "the program does not listen")
-	resp, err := http.Get(p.url + "/health/ready")
-	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, resp.StatusCode)
-	_ = resp.Body.Close()
+	}, testTimeout, time.Millisecond, "the program does not listen")
+	require.Equal(t, http.StatusOK, call(http.MethodGet, p.url+"/health/ready", ""))
 }
 
 func (p *dispatcher) run(config map[string]any) {
@@ -300,7 +307,7 @@
 	require.NoError(p.t, err)
 	p.conf, p.file = config, filepath.Join(p.t.TempDir(), "config.json")
 	require.NoError(p.t, os.WriteFile(p.file, text, 0o600))
-	p.cmd = exec.Command(program, p.args...)
+	p.cmd = exec.CommandContext(context.Background(), program, p.args...)
 	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.file, "LB_LOG_LEVEL=debug", "LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=")
 	p.cmd.Env = append(p.cmd.Env, p.env...)
 	out, err := p.cmd.StderrPipe()
@@ -330,8 +337,8 @@
 	return p.logs.String()
 }
 
-// answer is what a client got.
-type answer struct {
+// response is what a client got.
+type response struct {
 	status int
 	body   string
 	header http.Header
@@ -339,11 +346,11 @@
 	err    error
 }
 
-// ask sends one job as a client does.
-func (p *dispatcher) ask(ctx context.Context, path, id string, wait time.Duration, change ...func(*http.Request)) answer {
+// send sends one job as a client does, and returns the response.
+func (p *dispatcher) send(ctx context.Context, path, id string, wait time.Duration, change ...func(*http.Request)) response {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+path, strings.NewReader("the job"))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("X-Request-ID", id)
 	req.Header.Set("X-Timeout", fmt.Sprintf("%dm", wait.Milliseconds()))
@@ -354,24 +361,24 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, string(body), resp.Header, resp.Close, err}
+	return response{resp.StatusCode, string(body), resp.Header, resp.Close, err}
 }
 
-// later asks without waiting for the answer.
-func (p *dispatcher) later(ctx context.Context, path, id string, wait time.Duration) <-chan answer {
-	c := make(chan answer, 1)
-	go func() { c <- p.ask(ctx, path, id, wait) }()
+// sendAsync is send without waiting for the response.
+func (p *dispatcher) sendAsync(ctx context.Context, path, id string, wait time.Duration) <-chan response {
+	c := make(chan response, 1)
+	go func() { c <- p.send(ctx, path, id, wait) }()
 	return c
 }
 
-// reload names another discovery in the configuration file and tells the program so.
+// reload writes another discovery to the configuration file and signals the program.
 func (p *dispatcher) reload(addr string) { p.configure("discovery", addr) }
 
-// configure changes a key of the configuration file and tells the program so.
+// configure changes a key of the configuration file and signals the program.
 func (p *dispatcher) configure(key string, value any) {
 	p.conf[key] = value
 	text, err := json.Marshal(p.conf)
@@ -384,7 +391,21 @@
 	require.NoError(p.t, p.cmd.Process.Signal(syscall.SIGTERM))
 }
 
+// call makes an HTTP call and returns the status of its response, or 0 without one.
+func call(method, url, body string) (status int) {
+	req, err := http.NewRequestWithContext(context.Background(), method, url, strings.NewReader(body))
+	if err != nil {
+		return 0
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return 0
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode
+}
+
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	require.Eventually(t, f, patience, time.Millisecond, what)
+	require.Eventually(t, f, testTimeout, time.Millisecond, what)
 }
