--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -158,7 +158,6 @@
 		MaxLease:  bounds.MaxLease,
 		StopTime:  bounds.Stop,
 		GangWait:  bounds.Gang,
-		SaveEvery: bounds.Save,
 		Restore:   bounds.Restore,
 		FarFactor: bounds.Far,
 		ServiceOf: c.configuration.serviceOf,
--- a/internal/cluster/control/job_shard.go
+++ b/internal/cluster/control/job_shard.go
@@ -122,7 +122,7 @@
 		s.owner.Failed(s.engine.Now(), command, err)
 		return
 	}
-	s.owner.Applied(s.engine.Now(), command, effects, true)
+	s.owner.Applied(s.engine.Now(), command, effects)
 }
 
 // tick lets time pass.
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -204,7 +204,7 @@
 	return err
 }
 
-// rejectWatches answers with the status of the error's kind.
+// writeError answers with the status of the error's kind.
 func writeError(writer http.ResponseWriter, err error) {
 	kind := failure.KindOf(err)
 	advice := answers.To(kind)
--- a/internal/cluster/control/task_times_test.go
+++ b/internal/cluster/control/task_times_test.go
@@ -25,7 +25,7 @@
 		step := func() {
 			owner.Tick(now, now.Milliseconds(), now)
 			for command := owner.NextCommand(now); command != nil; command = owner.NextCommand(now) {
-				owner.Applied(now, command, state.Apply(command), true)
+				owner.Applied(now, command, state.Apply(command))
 			}
 			owner.Flush(now)
 		}
@@ -80,7 +80,7 @@
 			Job: protocol.JobSpec{Spec: "do", Steps: []protocol.Step{stage}}}, func(bool, error) {})
 		for command := shard.owner.NextCommand(now); command != nil; command = shard.owner.NextCommand(now) {
 			now += 50 * time.Millisecond
-			shard.owner.Applied(now, command, shard.state.Apply(command), true)
+			shard.owner.Applied(now, command, shard.state.Apply(command))
 		}
 		shard.Following()
 		response := httptest.NewRecorder()
--- a/internal/cluster/directory/directory.go
+++ b/internal/cluster/directory/directory.go
@@ -126,13 +126,6 @@
 	return d.view.owners[shard]
 }
 
-// Members returns a copy of the control processes that are known.
-func (d *Directory) Members() []protocol.Member {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return slices.Clone(d.view.members)
-}
-
 // Knows reports whether an address is a seed or that of a known control process.
 func (d *Directory) Knows(address string) bool {
 	d.mutex.Lock()
--- a/internal/cluster/directory/view.go
+++ b/internal/cluster/directory/view.go
@@ -48,7 +48,7 @@
 	v.addresses = addresses
 }
 
-// viewUpdate is what the response to a watch update.
+// viewUpdate is what the response to a watch brought.
 type viewUpdate struct {
 	stale         bool   // older than the present version: it was ignored
 	incomplete    bool   // newer, but without the document: the complete one has to be requested
--- a/internal/cluster/directory/watch_test.go
+++ b/internal/cluster/directory/watch_test.go
@@ -5,6 +5,7 @@
 	"compress/flate"
 	"context"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
@@ -75,7 +76,7 @@
 		Expect(*request(second)).To(Equal(protocol.WatchRequest{Version: 7, Owners: 4, WaitMs: 1000, Node: d.options.Node, Changes: true, Compressed: true}))
 		Expect(d.Version()).To(Equal(uint64(7)))
 		Expect(d.Owner(3)).To(Equal("m1"))
-		Expect(d.Members()).To(Equal([]protocol.Member{{ID: 1, Address: "m1"}}))
+		Expect(d.members()).To(Equal([]protocol.Member{{ID: 1, Address: "m1"}}))
 		Expect(d.ConfirmedAt()).To(Equal(first.at))
 		Expect(changes).To(Receive(Equal(change{7, "seven", 0})))
 		second.answer(response(8, "eight"), nil)
@@ -337,3 +338,10 @@
 		Expect(s.next().address).To(Equal("n1"))
 	})
 })
+
+// members returns a copy of the control processes that d knows.
+func (d *Directory) members() []protocol.Member {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return slices.Clone(d.view.members)
+}
--- a/internal/cluster/frontend/connection.go
+++ b/internal/cluster/frontend/connection.go
@@ -64,7 +64,7 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// serve records that a complete request was read.
+// begin records that a complete request was read.
 func (c *clientConnection) begin() { c.markBusy(false) }
 
 // markAnswered records that the request was answered, and ends the connection if end is true and the next request has not
--- a/internal/cluster/jobs/job.go
+++ b/internal/cluster/jobs/job.go
@@ -40,14 +40,6 @@
 // Spec returns the step as the client submitted it.
 func (g *Group) Spec() *protocol.Step { return &g.Job.Spec.Steps[g.Step] }
 
-// AttemptsOf returns how many failed runs count against t: its own, or those of its gang.
-func (t *Task) AttemptsOf() int {
-	if t.Group.Spec().Gang {
-		return t.Group.Attempts
-	}
-	return t.Attempts
-}
-
 // Job is one job. Once it has ended and no run of it may exist, State.Job returns a copy without Spec and Groups.
 type Job struct {
 	ID         string
--- a/internal/cluster/jobs/replicas_test.go
+++ b/internal/cluster/jobs/replicas_test.go
@@ -61,7 +61,7 @@
 	text := fmt.Sprint(s.ClockMs(), s.Counters(), s.Runners())
 	text += fmt.Sprint(s.NextDueMs())
 	s.EachPending(func(task *jobs.Task) bool {
-		text += fmt.Sprint("\n", task.ID, task.Run, task.Checkpoint, task.PendingSinceMs, task.AttemptsOf())
+		text += fmt.Sprint("\n", task.ID, task.Run, task.Checkpoint, task.PendingSinceMs, attemptsOf(task))
 		return true
 	})
 	for _, runner := range modelRunners {
@@ -94,3 +94,11 @@
 		})
 	})
 })
+
+// attemptsOf returns how many failed runs count against a task: its own, or those of its gang.
+func attemptsOf(task *jobs.Task) int {
+	if task.Group.Spec().Gang {
+		return task.Group.Attempts
+	}
+	return task.Attempts
+}
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -18,8 +18,7 @@
 const second = time.Second
 
 var testOptions = Options{
-	FarFactor: 1.5, GangWait: 3 * second, StopTime: 900 * time.Millisecond, SaveEvery: 2 * second,
-	Restore: 600 * time.Millisecond,
+	FarFactor: 1.5, StopTime: 900 * time.Millisecond, Restore: 600 * time.Millisecond,
 }
 
 // cpu returns needs of so many cores, and 1 GB for each.
--- a/internal/cluster/placement/scenarios_test.go
+++ b/internal/cluster/placement/scenarios_test.go
@@ -13,7 +13,7 @@
 
 func newScenario(seed uint64, classes []*class, fleet []Runner) *scenario {
 	return &scenario{rng: rand.New(rand.NewPCG(seed, 7)), classes: classes, fleet: fleet, running: make([][]*scenarioRun, len(fleet)),
-		planner: NewPlanner(Options{FarFactor: trueFarFactor, GangWait: 3 * second, StopTime: stopDelay, SaveEvery: 2 * second})}
+		planner: NewPlanner(Options{FarFactor: trueFarFactor, StopTime: stopDelay})}
 }
 
 func lightFleet() (fleet []Runner) {
--- a/internal/cluster/placement/types.go
+++ b/internal/cluster/placement/types.go
@@ -62,9 +62,7 @@
 // Options are the settings of a deployment.
 type Options struct {
 	FarFactor float64       // how many times longer a task runs outside its rack, or a gang over several racks; at least 1
-	GangWait  time.Duration // how long a gang's member waits on its runner for the others; no decision depends on it
 	StopTime  time.Duration // the longest time that it takes to stop a run
-	SaveEvery time.Duration // the work between two checkpoints; no decision depends on it
 	Restore   time.Duration // the time that it takes to resume from a checkpoint
 }
 
--- a/internal/cluster/protocol/heartbeat.go
+++ b/internal/cluster/protocol/heartbeat.go
@@ -15,8 +15,8 @@
 	RunnerDraining RunnerState = "draining" // it finishes what it runs and starts nothing
 )
 
-// RunEnd is how a run ended, as its runner reports it. The constants are untyped, so that jobs.Outcome, the end as it is
-// stored, can be declared by them, too.
+// RunEnd is how a run ended, as its runner reports it and the shard's log has it. The constants are untyped: histories
+// of the simulation have the same texts as plain strings.
 type RunEnd string
 
 // Ends of runs.
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -43,8 +43,8 @@
 	TargetLatencyMs int64   // target of a job's latency, the other part of its objective
 }
 
-// JobState is the state of a job as clients see it. The constants are untyped, so that jobs.JobState, the state as it is
-// stored, can be declared by them, too.
+// JobState is the state of a job as clients see it and the shard's snapshots have it. The constants are untyped: histories of
+// the simulation have the same texts as plain strings.
 type JobState string
 
 // States of a job.
@@ -56,7 +56,7 @@
 	JobCancelled = "cancelled"
 )
 
-// JobEnded reports whether state, a JobState or the string that a job is stored with, is final: a job never leaves it.
-func JobEnded[S ~string](state S) bool {
+// JobEnded reports whether state is final: a job never leaves it.
+func JobEnded(state JobState) bool {
 	return state == JobCompleted || state == JobFailed || state == JobCancelled
 }
--- a/internal/cluster/scheduler/health.go
+++ b/internal/cluster/scheduler/health.go
@@ -63,7 +63,7 @@
 // jobFaults are the runners on which a job has failed, by job.
 type jobFaults map[string]map[string]bool
 
-// failureWeight notes a failure of the job on the runner, and returns how much of it is the runner's fault: a job that
+// failureWeight records a failure of the job on the runner, and returns how much of it is the runner's fault: a job that
 // fails on several runners is probably at fault itself.
 func (f jobFaults) failureWeight(job, instance string) float64 {
 	failedOn := f[job]
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -60,6 +60,7 @@
 	reply(&protocol.Orders{FenceToken: o.leadership.term}, nil)
 }
 
+// takeReport replaces the runner's report by a newer one.
 func (o *Owner) takeReport(now time.Duration, r *runner, heartbeat *protocol.Heartbeat) {
 	if !r.hasReported || r.report.State != heartbeat.State || r.report.Capacity != heartbeat.Capacity {
 		o.roundRequested = true
@@ -73,7 +74,7 @@
 	}
 }
 
-// Deregister notes that a runner ends. It is acknowledged once it is committed: a runner does not repeat it, and a
+// Deregister records that a runner is about to end. It is acknowledged once it is committed: a runner does not repeat it, and a
 // successor would go on giving it work. What runs there may go on until the runner's lease is over, since some runners
 // serve on for seconds, and an acknowledgement may be lost; no lease is granted any more.
 func (o *Owner) Deregister(instance string, reply func(err error)) {
--- a/internal/cluster/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -68,7 +68,7 @@
 	return heartbeat.Relayed || !before.hasEnded && now-max(before.lastContact, o.leadership.since) < maxHeartbeatDelay
 }
 
-// takeAddress notes that the runner serves at its address: an earlier incarnation there is over.
+// takeAddress records that the runner serves at its address: an earlier incarnation there has ended.
 func (o *Owner) takeAddress(now time.Duration, r *runner) {
 	address := r.report.Address
 	if address == "" {
--- a/internal/cluster/scheduler/options.go
+++ b/internal/cluster/scheduler/options.go
@@ -7,7 +7,6 @@
 	MaxLease          time.Duration // longest lease that a runner is granted
 	StopTime          time.Duration // longest time that a stop takes
 	GangWait          time.Duration // how long members of a gang wait for each other
-	SaveEvery         time.Duration // work between two checkpoints
 	Restore           time.Duration // start-up of a run that resumes from a checkpoint
 	FarFactor         float64       // slowdown away from the data, or of a gang that spans racks
 	MaxUnfinishedJobs int           // jobs that have not ended, from which submits are refused
@@ -24,7 +23,6 @@
 	defaultMaxLease          = 6 * time.Second
 	defaultStopTime          = time.Second
 	defaultGangWait          = 3 * time.Second
-	defaultSaveEvery         = 2 * time.Second
 	defaultRestore           = 500 * time.Millisecond
 	defaultFarFactor         = 1.5
 	defaultMaxUnfinishedJobs = 20000
@@ -37,7 +35,6 @@
 	setDuration(&options.MaxLease, defaultMaxLease)
 	setDuration(&options.StopTime, defaultStopTime)
 	setDuration(&options.GangWait, defaultGangWait)
-	setDuration(&options.SaveEvery, defaultSaveEvery)
 	setDuration(&options.Restore, defaultRestore)
 	setDuration(&options.BusyPollInterval, defaultBusyPollInterval)
 	setDuration(&options.IdlePollInterval, defaultIdlePollInterval)
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -17,7 +17,8 @@
 	maxEscapedBytes    = 6  // that JSON takes for one byte of a text
 )
 
-// complete sends the orders for a runner's newest heartbeat.
+// replyToHeartbeat answers a runner's newest heartbeat with its orders, or by an error without a recent confirmation of
+// leadership. Starts are sent with a lease only.
 func (o *Owner) replyToHeartbeat(now time.Duration, r *runner) {
 	if !o.leadership.isConfirmed(now) {
 		r.respond(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -57,9 +57,7 @@
 func (o *Owner) reset() {
 	o.planner = placement.NewPlanner(placement.Options{
 		FarFactor: o.options.FarFactor,
-		GangWait:  o.options.GangWait,
 		StopTime:  o.options.StopTime,
-		SaveEvery: o.options.SaveEvery,
 		Restore:   o.options.Restore,
 	})
 	o.runners = newIncarnations()
--- a/internal/cluster/scheduler/proposals.go
+++ b/internal/cluster/scheduler/proposals.go
@@ -130,10 +130,10 @@
 	}
 }
 
-// Applied is called for each command that the state machine has applied while this process leads. own is whether this
-// owner proposed it.
-func (o *Owner) Applied(now time.Duration, command *jobs.Command, effects *jobs.Effects, own bool) {
-	if !o.leadership.isLeader || !own || o.proposals.inFlight == nil {
+// Applied is called once the command in flight is committed and applied, with what it changed. It sends the replies that
+// waited for it, and is ignored after leadership has ended.
+func (o *Owner) Applied(now time.Duration, command *jobs.Command, effects *jobs.Effects) {
+	if !o.leadership.isLeader || o.proposals.inFlight == nil {
 		return
 	}
 	owed := o.proposals.finish()
@@ -145,7 +145,8 @@
 	o.roundRequested = true
 }
 
-// Failed is called when the outcome of a command will not be known, or when it was not proposed at all.
+// Failed is called when the outcome of the command in flight will not be known, or when it was not proposed at all; err is
+// the reply to all that waited for it. The next command is proposed after proposeRetryInterval at the earliest.
 func (o *Owner) Failed(now time.Duration, command *jobs.Command, err error) {
 	if !o.leadership.isLeader || o.proposals.inFlight == nil {
 		return
--- a/internal/cluster/scheduler/reads.go
+++ b/internal/cluster/scheduler/reads.go
@@ -27,7 +27,7 @@
 func (c *confirmedReads) isEmpty() bool { return len(c.waiting) == 0 }
 
 // complete answers the reads that a confirmation covers, and those whose time is over by an error. A confirmation that was
-// asked for at the time of the step in which a read came left after the read, see replica.Engine.Confirm.
+// asked for at the time of the step in which a read came left after the read, see replica.Engine.ConfirmLeadership.
 func (c *confirmedReads) complete(now, confirmedAt time.Duration) {
 	var remaining, confirmed, expired []confirmedRead
 	for _, r := range c.waiting {
--- a/internal/cluster/scheduler/reports.go
+++ b/internal/cluster/scheduler/reports.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// takeActive notes what the runner lists as active, and orders stops for what should not run.
+// takeActive records which runs the runner lists as active, and orders stops for those that should not run.
 func (o *Owner) takeActive(now time.Duration, r *runner) {
 	before := r.listed
 	r.listed = make(map[runKey]*listedRun, len(r.report.Active))
--- a/internal/cluster/scheduler/runners.go
+++ b/internal/cluster/scheduler/runners.go
@@ -79,7 +79,7 @@
 // isStopping reports whether the run was ordered to stop.
 func (r *runner) isStopping(key runKey) bool { return r.stops[key] }
 
-// complete replies to the heartbeat that is not answered yet, if there is one.
+// respond replies to the heartbeat that is not answered yet, if there is one.
 func (r *runner) respond(orders *protocol.Orders, err error) {
 	reply := r.reply
 	r.reply = nil
@@ -88,7 +88,7 @@
 	}
 }
 
-// depart notes that the runner has deregistered: it gets no work and no lease any more.
+// depart records that the runner has deregistered: it gets no work and no lease any more.
 func (r *runner) depart() {
 	r.hasEnded = true
 	r.isDraining = true
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -68,7 +68,7 @@
 	for _, command := range w.proposed {
 		w.log = append(w.log, command)
 		effects := w.state.Apply(command)
-		w.owner.Applied(w.now, command, effects, true)
+		w.owner.Applied(w.now, command, effects)
 	}
 	w.proposed = nil
 }
