--- a/internal/cluster/replica/decommission.go
+++ b/internal/cluster/replica/decommission.go
@@ -42,44 +42,52 @@
 // asks again. It ends once all leaders approve: a quorum of the others has on disk all that it has. If that takes
 // long, it goes back to the first phase, since a group may need it.
 type decommission struct {
-	started         bool
-	attempt         uint64
-	quiesced        bool
+	phase           decommissionPhase
+	attempt         uint64 // number of the phase; higher than those of earlier incarnations
 	quiesceDeadline time.Duration
 	leaders         map[GroupID]string // addresses, as of the start of the second phase
-	approved        map[GroupID]bool
+	approved        map[GroupID]bool   // in this phase
 }
 
+// decommissionPhase is how far a decommission is.
+type decommissionPhase int
+
+const (
+	notDecommissioned decommissionPhase = iota
+	participating                       // the first phase
+	quiesced                            // the second phase
+)
+
 // Decommission does what Resign does, and then waits until this process can be spared in all groups, at most for
 // timeout. done is called on the loop in either case. The process must end then: it takes no part in its groups any
 // more.
 func (e *Engine) Decommission(timeout time.Duration, done func()) {
 	e.Resign(done)
 	e.transfers.resignDeadline = e.now + timeout
-	if !e.decommission.started {
-		e.decommission.started = true
+	if e.decommission.phase == notDecommissioned {
 		e.decommission.attempt = uint64(e.started.UnixNano())
-		e.decommission.enter(false)
+		e.decommission.enter(participating)
 	}
 }
 
 // enter starts a phase.
-func (d *decommission) enter(quiet bool) {
-	d.quiesced = quiet
+func (d *decommission) enter(phase decommissionPhase) {
+	d.phase = phase
 	d.attempt++ // approvals of earlier phases don't count
 	d.approved = map[GroupID]bool{}
 }
 
-// stepDecommission continues the decommission, and reports whether this process may end.
-func (e *Engine) stepDecommission(led int) bool {
+// continueDecommission asks the leaders for their approval, moves on to the next phase when that is due, and reports
+// whether this process may end. led is the number of groups that it leads.
+func (e *Engine) continueDecommission(led int) bool {
 	d := &e.decommission
 	e.maintainAt = e.now + decommissionInterval
 	switch {
 	case led > 0:
 		return false
-	case d.quiesced && e.now >= d.quiesceDeadline:
-		e.resume() // even if all have approved: this process was frozen, and the others may need it by now
-	case len(d.approved) == len(e.groups) && d.quiesced:
+	case d.phase == quiesced && e.now >= d.quiesceDeadline:
+		e.endQuiesce() // even if all have approved: this process was frozen, and the others may need it by now
+	case len(d.approved) == len(e.groups) && d.phase == quiesced:
 		return true
 	case len(d.approved) == len(e.groups):
 		e.quiesce()
@@ -90,9 +98,9 @@
 	return false
 }
 
-// resume goes back to the first phase.
-func (e *Engine) resume() {
-	e.decommission.enter(false)
+// endQuiesce goes back to the first phase.
+func (e *Engine) endQuiesce() {
+	e.decommission.enter(participating)
 	for _, g := range e.groups {
 		g.leaderSeenAt = e.now // leaders were not tracked meanwhile
 	}
@@ -101,7 +109,7 @@
 // quiesce enters the second phase. Its requests go to the leaders as of now: this process learns of no others.
 func (e *Engine) quiesce() {
 	d := &e.decommission
-	d.enter(true)
+	d.enter(quiesced)
 	d.quiesceDeadline = e.now + quiesceTimeout
 	d.leaders = map[GroupID]string{}
 	for _, g := range e.groups {
@@ -114,7 +122,7 @@
 	e := g.engine
 	d := &e.decommission
 	leader := e.LeaderAddress(g.id)
-	if d.quiesced {
+	if d.phase == quiesced {
 		leader = d.leaders[g.id]
 	}
 	if d.approved[g.id] || leader == "" || leader == e.self.Address {
@@ -123,20 +131,21 @@
 	e.outbox.addDecommissionRequest(leader, DecommissionRequest{
 		Group:   g.id,
 		Attempt: d.attempt,
-		Quiet:   d.quiesced,
+		Quiet:   d.phase == quiesced,
 		Last:    g.node.Status().LastIndex,
 	})
 }
 
 // handleApproval records a leader's approval. That of a leader of an earlier term does not count: it may not know all
 // that was committed with this process's vote.
-func (e *Engine) handleApproval(release *DecommissionApproval) {
+func (e *Engine) handleApproval(approval *DecommissionApproval) {
 	d := &e.decommission
-	g := e.byID[release.Group]
-	if g == nil || !d.started || release.Attempt != d.attempt || release.Term < g.node.Status().Term {
+	g := e.byID[approval.Group]
+	if g == nil || d.phase == notDecommissioned || approval.Attempt != d.attempt ||
+		approval.Term < g.node.Status().Term {
 		return
 	}
-	d.approved[release.Group] = true
+	d.approved[approval.Group] = true
 	e.maintainAt = e.now
 }
 
@@ -211,8 +220,8 @@
 // approvedRecently reports whether this process has approved a member's decommission in any group, and the member may
 // have ended since. Of two members that are decommissioned at once only one can be spared in all groups.
 func (e *Engine) approvedRecently(id consensus.MemberID) bool {
-	at, released := e.approvedAt[id]
-	if !released || e.now-at >= approvalLifetime {
+	at, approved := e.approvedAt[id]
+	if !approved || e.now-at >= approvalLifetime {
 		return false
 	}
 	back := e.peers.acceptsLeadership(id, e.now) && e.peers.get(id).lastContact > at
@@ -222,9 +231,11 @@
 // warnUnapproved logs the groups that this process leaves without approval.
 func (e *Engine) warnUnapproved() {
 	for _, g := range e.groups {
-		if !e.decommission.quiesced || !e.decommission.approved[g.id] {
-			_ = level.Warn(e.options.Logger).Log("msg", "the group did not approve the decommission in time; the process ends anyway",
-				"group", g.id, "leads", g.node.Status().IsLeader, "leader", uint64(g.node.Status().Leader))
+		if e.decommission.phase == quiesced && e.decommission.approved[g.id] {
+			continue
 		}
+		status := g.node.Status()
+		_ = level.Warn(e.options.Logger).Log("msg", "the group did not approve the decommission in time; the process ends anyway",
+			"group", g.id, "leads", status.IsLeader, "leader", uint64(status.Leader))
 	}
 }
--- a/internal/cluster/replica/decommission_test.go
+++ b/internal/cluster/replica/decommission_test.go
@@ -222,7 +222,7 @@
 			three(seed)
 			leaving := c.machines[seed%3]
 			exit := leaving.decommission(timeout)
-			Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.quiesced })).To(BeTrue())
+			Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.phase == quiesced })).To(BeTrue())
 			leaving.frozen = true
 			c.run(20 * time.Millisecond)
 			wiped := others(leaving)[c.random.IntN(2)]
@@ -244,7 +244,7 @@
 		three(5)
 		leaving := c.machines[0]
 		leaving.decommission(timeout)
-		Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.quiesced })).To(BeTrue())
+		Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.phase == quiesced })).To(BeTrue())
 		attempt := leaving.engine.decommission.attempt
 		leaving.kill()
 		leaving.start(nil)
@@ -260,7 +260,7 @@
 				leaving.engine.handleApproval(approval)
 			}
 		}
-		Expect(leaving.engine.decommission.started).To(BeTrue())
+		Expect(leaving.engine.decommission.phase).NotTo(Equal(notDecommissioned))
 		Expect(leaving.engine.decommission.approved).To(BeEmpty())
 	})
 
--- a/internal/cluster/replica/disk_health.go
+++ b/internal/cluster/replica/disk_health.go
@@ -105,10 +105,12 @@
 	}
 }
 
+// mayCampaign reports whether this member may campaign: not while its process avoids leadership, unless there has been
+// no leader for some time.
 func (g *group) mayCampaign() bool {
 	e := g.engine
 	switch {
-	case e.writer.health.failing || e.decommission.quiesced:
+	case e.writer.health.failing || e.decommission.phase == quiesced:
 		return false
 	case e.transfers.resigning:
 		return e.now-g.leaderSeenAt >= resignedCampaignTimeout
--- a/internal/cluster/replica/engine.go
+++ b/internal/cluster/replica/engine.go
@@ -125,16 +125,16 @@
 // until the process ends.
 func (e *Engine) closeDisk(stopDisk func()) {
 	stopDisk()
-	left := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		e.diskWorkers.Wait()
 		_ = e.lock.Close()
-		close(left)
+		close(closed)
 	}()
 	timer := e.options.Clock.NewTimer(diskCloseTimeout)
 	defer timer.Stop()
 	select {
-	case <-left:
+	case <-closed:
 	case <-timer.Chan():
 	}
 }
--- a/internal/cluster/replica/joins.go
+++ b/internal/cluster/replica/joins.go
@@ -37,8 +37,8 @@
 	interval := never
 	var joins []Join
 	for _, g := range e.groups {
-		if wish := g.joinRequestInterval(); wish != never {
-			interval = min(interval, wish)
+		if own := g.joinRequestInterval(); own != never {
+			interval = min(interval, own)
 			joins = append(joins, Join{Group: g.id, Member: e.self})
 		}
 	}
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -101,11 +101,11 @@
 	for _, learner := range view.promotable() {
 		lost, found := view.replaceableVoter(learner)
 		if !found || !view.alive(view.voters()) {
-			continue // else as many live afterwards, for the learner is alive
+			continue // a minority cannot change anything; else no fewer voters are alive afterwards, as the learner is
 		}
 		plan := view.with(voting(learner))
 		plan.members = slices.DeleteFunc(plan.members, func(m consensus.Member) bool { return m.ID == lost })
-		plan.reason = fmt.Sprintf("voter %x gives its place to %x", uint64(lost), uint64(learner.ID))
+		plan.reason = fmt.Sprintf("voter %x is replaced by %x", uint64(lost), uint64(learner.ID))
 		return plan, true
 	}
 	return membershipPlan{}, false
@@ -120,7 +120,7 @@
 			continue
 		}
 		plan := view.with(voting(learner))
-		plan.reason = fmt.Sprintf("learner %x votes", uint64(learner.ID))
+		plan.reason = fmt.Sprintf("learner %x becomes a voter", uint64(learner.ID))
 		return plan, true
 	}
 	return membershipPlan{}, false
@@ -181,7 +181,7 @@
 		goes := member.avoidsLeadership || member.unresponsiveFor() >= surplusVoterTimeout
 		if goes && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
 			plan := view.without(member.ID)
-			plan.reason = fmt.Sprintf("voter %x is one too many", uint64(member.ID))
+			plan.reason = fmt.Sprintf("voter %x is surplus", uint64(member.ID))
 			return plan, true
 		}
 	}
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -75,20 +75,28 @@
 		return
 	}
 	g.snapshots.sendAt = now + snapshotSendInterval
-	data, err := g.machine.Snapshot()
+	snapshot, err := g.takeSnapshot()
 	if err != nil {
 		g.logSnapshot(err)
 		return
 	}
-	snapshot := consensus.Snapshot{
+	for _, id := range recipients {
+		g.node.SendSnapshot(now, id, *snapshot)
+	}
+}
+
+// takeSnapshot returns a snapshot of the machine's present state.
+func (g *group) takeSnapshot() (*consensus.Snapshot, error) {
+	data, err := g.machine.Snapshot()
+	if err != nil {
+		return nil, err
+	}
+	return &consensus.Snapshot{
 		Index:   g.appliedIndex,
 		Term:    g.appliedTerm,
 		Members: g.node.MembersAt(g.appliedIndex),
 		Data:    data,
-	}
-	for _, id := range recipients {
-		g.node.SendSnapshot(now, id, snapshot)
-	}
+	}, nil
 }
 
 // compactLogs replaces a log that is too long by a snapshot, one group at a time.
@@ -119,18 +127,12 @@
 	if g.appliedIndex <= g.snapshots.index || e.now < g.snapshots.retryAt {
 		return false
 	}
-	data, err := g.machine.Snapshot()
+	snapshot, err := g.takeSnapshot()
 	if err != nil {
 		g.snapshots.retryAt = e.now + snapshotRetryInterval
 		g.logSnapshot(err)
 		return false
 	}
-	snapshot := &consensus.Snapshot{
-		Index:   g.appliedIndex,
-		Term:    g.appliedTerm,
-		Members: g.node.MembersAt(g.appliedIndex),
-		Data:    data,
-	}
 	covered := g.snapshots.logBytes
 	e.writingSnapshot = true
 	e.background(func() func() {
--- a/internal/cluster/replica/step.go
+++ b/internal/cluster/replica/step.go
@@ -70,7 +70,7 @@
 	for i := range envelope.Releases {
 		e.handleApproval(&envelope.Releases[i])
 	}
-	if e.decommission.quiesced {
+	if e.decommission.phase == quiesced {
 		return
 	}
 	for i := range envelope.Messages {
@@ -123,7 +123,7 @@
 // maintain resolves digests that timed out, and reviews snapshots and membership as a leader.
 func (g *group) maintain() {
 	g.resolveDigests()
-	if g.engine.avoidsLeadership() {
+	if g.engine.avoidsLeadership() { // by now there may have been no leader for long enough to campaign all the same
 		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 	if !g.node.Status().IsLeader {
--- a/internal/cluster/replica/transfers.go
+++ b/internal/cluster/replica/transfers.go
@@ -69,23 +69,26 @@
 	e.finishResigning(led)
 }
 
+// finishResigning calls back Resign and Decommission once this process may end, or at their deadline. led is the
+// number of groups that it leads.
 func (e *Engine) finishResigning(led int) {
 	if !e.transfers.resigning || len(e.transfers.resignCallbacks) == 0 {
 		return
 	}
 	ready := led == 0
-	if e.decommission.started {
-		ready = e.stepDecommission(led)
+	decommissioned := e.decommission.phase != notDecommissioned
+	if decommissioned {
+		ready = e.continueDecommission(led)
 	}
 	if !ready && e.now < e.transfers.resignDeadline {
 		return
 	}
-	if !ready && e.decommission.started {
+	if !ready && decommissioned {
 		e.warnUnapproved()
 	}
-	waiting := e.transfers.resignCallbacks
+	callbacks := e.transfers.resignCallbacks
 	e.transfers.resignCallbacks = nil
-	for _, done := range waiting {
+	for _, done := range callbacks {
 		done()
 	}
 }
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -83,16 +83,16 @@
 	if w.execute != nil {
 		return func() {}
 	}
-	works := make(chan *diskWrite, 1)
-	w.execute = func(next *diskWrite) { works <- next }
+	writes := make(chan *diskWrite, 1)
+	w.execute = func(next *diskWrite) { writes <- next }
 	w.engine.diskWorkers.Go(func() {
 		defer w.log.Close()
-		for next := range works {
+		for next := range writes {
 			usage, err := w.write(next)
 			w.engine.Do(func() { w.finish(next, usage, err) })
 		}
 	})
-	return func() { close(works) }
+	return func() { close(writes) }
 }
 
 // write executes a write. It is called by the disk's goroutine.
@@ -205,10 +205,10 @@
 	w.finished = done.number
 	w.usage = usage
 	w.recordSuccess(w.engine.now - done.started)
-	for _, t := range done.groups {
+	for _, written := range done.groups {
 		// Only if no newer hard state is pending: Persisted acknowledges all that the node has put out.
-		if t.group.lastHardStateWrite <= w.finished {
-			t.group.node.Persisted(w.engine.now, t.index, t.term)
+		if written.group.lastHardStateWrite <= w.finished {
+			written.group.node.Persisted(w.engine.now, written.index, written.term)
 		}
 	}
 	for i := range done.deferred {
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -20,6 +20,9 @@
 
 func (e *dialError) Error() string { return "cannot connect: " + e.cause.Error() }
 
+// Unwrap returns the error of dialing.
+func (e *dialError) Unwrap() error { return e.cause }
+
 // peer is an address that a client has called, with its current connection.
 type peer struct {
 	client  *Client
