--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -39,6 +39,7 @@
 
 // inCalm measures joins, a crash, a cut, and what a member sends while nothing happens.
 func inCalm(t *testing.T, codec *packet.Codec, n int, loss float64) {
+	t.Helper()
 	opt := options(uint64(n))
 	largest := 0
 	opt.Size = func(p *fleet.Packet) int {
@@ -96,6 +97,7 @@
 
 // inADisaster measures how soon the parts of many dead are used.
 func inADisaster(t *testing.T, n int) {
+	t.Helper()
 	opt := options(uint64(n))
 	opt.Config.Refusals = true
 	opt.Config.Share = quota.Config{Size: n, Lease: 15 * tick, Pause: 2 * tick}
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -113,6 +113,15 @@
 		}
 		within(t, w, 30*tick, "all are back")
 	})
+	t.Run("a leave is known at once", func(t *testing.T) {
+		w := startAll(t, 100, options(10))
+		w.Leave(w.Nodes[50])
+		within(t, w, 8*tick, "the others know")
+	})
+}
+
+// Of several processes under one name the latest is the member.
+func TestLivesOfOneName(t *testing.T) {
 	t.Run("a new life follows the old one for good", func(t *testing.T) {
 		w := startAll(t, 10, options(7))
 		p := &fleet.Packet{Kind: fleet.Ping, From: w.Nodes[4].Core.Snapshot().Self} // that the network holds back
@@ -153,11 +162,6 @@
 			assert.Equal(t, 10, n.Core.Living(), "one name is one member")
 		}
 	})
-	t.Run("a leave is known at once", func(t *testing.T) {
-		w := startAll(t, 100, options(10))
-		w.Leave(w.Nodes[50])
-		within(t, w, 8*tick, "the others know")
-	})
 }
 
 // Whatever was cut off is found again, without anyone's help, and soon, however long it lasted.
--- a/internal/dispatcher/fleet/quota/share.go
+++ b/internal/dispatcher/fleet/quota/share.go
@@ -1,6 +1,6 @@
-// Package share tells which numbers a dispatcher acts for. A budget that a fleet holds together is cut into as many equal
-// parts as the fleet has numbers, one number to a dispatcher. When a dispatcher is proven dead, exactly one other may use
-// its part; nobody may on a guess.
+// Package quota decides which numbers a dispatcher owns. A budget that a fleet shares is divided into as many equal quotas as
+// the fleet has numbers, one number to a dispatcher. When a dispatcher is proven dead, exactly one other may use its quota;
+// nobody may on a guess.
 //
 // # The rule
 //
--- a/internal/dispatcher/fleet/quota/share_test.go
+++ b/internal/dispatcher/fleet/quota/share_test.go
@@ -117,7 +117,6 @@
 		out = append(out, c)
 	}
 	add(func(c *model) { c.now += unit })
-	late := len(m.flights) == 0 // one datagram at a time is late, as long as it may be; the others arrive at once
 	for i, p := range m.procs {
 		if p.up {
 			add(func(c *model) { c.procs[i].up = false })
@@ -125,21 +124,8 @@
 			add(func(c *model) { c.start(i) })
 		}
 		for j := range m.procs {
-			switch {
-			case i == j || !p.up:
-			case !m.procs[j].up: // its machine refuses
-				add(func(c *model) { c.procs[i].ledger.Refused(c.now, j, c.now) })
-				if late {
-					add(func(c *model) { c.flights = append(c.flights, flight{to: i, life: p.life, number: j, sent: c.now}) })
-				}
-			case len(m.procs[j].ledger.Proofs(m.now, 9)) > 0: // it answers, with what it knows
-				proofs := m.procs[j].ledger.Proofs(m.now, 9)
-				add(func(c *model) { c.procs[i].ledger.Merge(c.now, c.now, proofs) })
-				if late {
-					add(func(c *model) {
-						c.flights = append(c.flights, flight{to: i, life: p.life, number: -1, sent: c.now, proofs: proofs})
-					})
-				}
+			if i != j && p.up {
+				m.contact(i, j, add)
 			}
 		}
 	}
@@ -156,6 +142,29 @@
 	return out
 }
 
+// contact adds what can follow when process i sends a datagram to process j. One datagram at a time is late, as long as it may
+// be; the others arrive at once.
+func (m *model) contact(i, j int, add func(change func(c *model))) {
+	life, late := m.procs[i].life, len(m.flights) == 0
+	if !m.procs[j].up { // its machine refuses
+		add(func(c *model) { c.procs[i].ledger.Refused(c.now, j, c.now) })
+		if late {
+			add(func(c *model) { c.flights = append(c.flights, flight{to: i, life: life, number: j, sent: c.now}) })
+		}
+		return
+	}
+	proofs := m.procs[j].ledger.Proofs(m.now, 9)
+	if len(proofs) == 0 { // it answers, but knows nothing
+		return
+	}
+	add(func(c *model) { c.procs[i].ledger.Merge(c.now, c.now, proofs) })
+	if late {
+		add(func(c *model) {
+			c.flights = append(c.flights, flight{to: i, life: life, number: -1, sent: c.now, proofs: proofs})
+		})
+	}
+}
+
 func (m *model) start(i int) {
 	l, err := New(Config{Size: len(m.procs), Own: i, Lease: lease * unit, Pause: pause * unit}, m.now)
 	if err != nil {
@@ -164,6 +173,16 @@
 	m.procs[i] = proc{up: true, life: m.procs[i].life + 1, ledger: l}
 }
 
+// successors returns how many processes own more than one number.
+func (m *model) successors() (n int) {
+	for _, p := range m.procs {
+		if p.up && len(p.ledger.Numbers(m.now)) > 1 {
+			n++
+		}
+	}
+	return n
+}
+
 // Every state that three dispatchers can come to within some steps, with crashes, restarts, silence and late datagrams at
 // any point: no number is ever used by two in the same span.
 func TestNoNumberIsUsedByTwo(t *testing.T) {
@@ -181,20 +200,19 @@
 	}
 	first.now += 10 * unit
 	level, seen, gained := []*model{first}, map[uint64]bool{}, 0
+	visit := func(c *model) (isNew bool) {
+		require.NoError(t, c.check())
+		gained += c.successors()
+		k := c.key()
+		isNew = !seen[k]
+		seen[k] = true
+		return isNew
+	}
 	for range depth {
 		var following []*model
 		for _, m := range level {
 			for _, c := range m.next(2) {
-				if err := c.check(); err != nil {
-					t.Fatal(err)
-				}
-				for _, p := range c.procs {
-					if p.up && len(p.ledger.Numbers(c.now)) > 1 {
-						gained++
-					}
-				}
-				if k := c.key(); !seen[k] {
-					seen[k] = true
+				if visit(c) {
 					following = append(following, c)
 				}
 			}
--- a/internal/dispatcher/fleet/receive.go
+++ b/internal/dispatcher/fleet/receive.go
@@ -125,21 +125,10 @@
 	if len(p.Sums) != buckets {
 		return
 	}
-	var tell []Record // the living before the others, each from a random one on: pages that do not hold all tell all in time
-	for _, living := range []bool{true, false} {
-		first := c.rng.IntN(buckets)
-		for i := range buckets {
-			b := (first + i) % buckets
-			if part := c.parts[b]; p.Sums[b] != c.sums[b] && len(part) > 0 && len(tell) < recordsMost {
-				k := c.rng.IntN(len(part))
-				for j := range part {
-					if m := part[(k+j)%len(part)]; m.State.Living() == living && m.Name != p.From.Name {
-						tell = append(tell, c.aged(m))
-					}
-				}
-			}
-		}
-	}
+	// The living come before the others, and each list begins at a random record: where the pages don't take all records,
+	// repeated comparisons send each of them in time.
+	tell := c.differing(p, true, nil)
+	tell = c.differing(p, false, tell)
 	for sent := 0; sent < pagesMost && c.pages < pagesBudget; sent++ {
 		page := &Packet{Kind: News, ToLife: p.From.Life}
 		room := c.cfg.Room
@@ -159,6 +148,25 @@
 	}
 }
 
+// differing appends the records of the living members, or of the others, in the buckets whose sum in p is not this view's.
+func (c *Core) differing(p *Packet, living bool, records []Record) []Record {
+	first := c.rng.IntN(buckets)
+	for i := range buckets {
+		b := (first + i) % buckets
+		bucket := c.parts[b]
+		if p.Sums[b] == c.sums[b] || len(bucket) == 0 || len(records) >= recordsMost {
+			continue
+		}
+		start := c.rng.IntN(len(bucket))
+		for j := range bucket {
+			if m := bucket[(start+j)%len(bucket)]; m.State.Living() == living && m.Name != p.From.Name {
+				records = append(records, c.aged(m))
+			}
+		}
+	}
+	return records
+}
+
 // look tells whether the view is settled.
 func (c *Core) look() {
 	settled := c.now-c.differed >= quiet*c.cfg.Interval && (c.now-c.agreed < 2*quiet*c.scaled(c.cfg.Interval) || len(c.living) == 0)
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -121,7 +121,11 @@
 	if err != nil || conn == nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() {
+		if err := conn.Close(); err != nil { // the reader has reported what made the socket fail
+			n.opt.Log.WithError(err).Debug("fleet: closing the socket failed")
+		}
+	}()
 	self := n.opt.Self
 	self.Life = uint64(time.Now().UnixMilli())
 	if n.core, err = fleet.New(n.opt.Config, self, now()); err != nil {
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -30,9 +30,11 @@
 
 // free is an address for datagrams that nobody uses.
 func free(t *testing.T) string {
-	c, err := net.ListenPacket("udp4", ownLoopback())
+	t.Helper()
+	var lc net.ListenConfig
+	c, err := lc.ListenPacket(t.Context(), "udp4", ownLoopback())
 	require.NoError(t, err)
-	defer c.Close()
+	require.NoError(t, c.Close())
 	return c.LocalAddr().String()
 }
 
@@ -51,6 +53,7 @@
 }
 
 func run(t *testing.T, name string, number int, roster []string) *member {
+	t.Helper()
 	codec, err := packet.New("f", []byte("sixteen bytes or more"))
 	require.NoError(t, err)
 	log := logrus.New()
@@ -91,9 +94,10 @@
 	eventually("both know both", func() bool { return living(a) == 2 && living(b) == 2 })
 	eventually("each has its own", func() bool { return len(a.numbers()) == 1 && len(b.numbers()) == 1 })
 
-	noise, err := net.Dial("udp4", roster[0])
+	var dialer net.Dialer
+	noise, err := dialer.DialContext(t.Context(), "udp4", roster[0])
 	require.NoError(t, err)
-	defer noise.Close()
+	t.Cleanup(func() { assert.NoError(t, noise.Close()) })
 	for _, d := range []string{"", "x", strings.Repeat("y", 1401), "\x01\x01g" + strings.Repeat("z", 40), "\x01\x01f" + strings.Repeat("z", 40)} {
 		_, err := noise.Write([]byte(d))
 		require.NoError(t, err)
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -62,6 +63,7 @@
 var exploreNow = time.Unix(1_800_000_000, 0)
 
 func newState(t *testing.T) *state {
+	t.Helper()
 	s := &state{now: exploreNow, versions: map[string]int{}, records: map[string]Record{}, finished: map[string]bool{}, saved: map[string]bool{}, up: [3]bool{true, true, true}}
 	for _, n := range []string{"g", "h"} {
 		need := Need{Class: "c", Slots: 1, Work: time.Hour, Saved: 1}
@@ -106,27 +108,28 @@
 // key names a state; times are left out but for what they decide.
 func (s *state) key() uint64 {
 	d := xxhash.New()
+	write := func(values ...any) { _, _ = fmt.Fprint(d, values...) } // a digest takes everything
 	for i, c := range s.cores {
 		if c == nil {
-			fmt.Fprint(d, "-")
+			write("-")
 			continue
 		}
-		fmt.Fprint(d, s.alone[i], c.marks)
+		write(s.alone[i], c.marks)
 		for _, n := range slices.Sorted(maps.Keys(c.gangs)) {
 			g := c.gangs[n]
-			fmt.Fprint(d, n, g.rec.Mark, g.version, g.seen, g.stale, g.mine, g.members, s.now.Sub(g.began) > c.cfg.Start, s.now.Sub(g.changed) > c.cfg.Backoff, s.now.Sub(g.savedAt) >= c.cfg.Every)
+			write(n, g.rec.Mark, g.version, g.seen, g.stale, g.mine, g.members, s.now.Sub(g.began) > c.cfg.Start, s.now.Sub(g.changed) > c.cfg.Backoff, s.now.Sub(g.savedAt) >= c.cfg.Every)
 			if g.writing != nil {
-				fmt.Fprint(d, "w", g.writing.Mark)
+				write("w", g.writing.Mark)
 			}
 		}
 	}
 	for _, n := range []string{"g", "h"} {
-		fmt.Fprint(d, n, s.versions[n], s.records[n].Mark)
+		write(n, s.versions[n], s.records[n].Mark)
 	}
 	for _, m := range s.msgs {
-		fmt.Fprint(d, m.to, m.life, m.kind, m.gang, m.rec.Mark, m.version, m.outcome, m.gen, m.number, m.member, m.news)
+		write(m.to, m.life, m.kind, m.gang, m.rec.Mark, m.version, m.outcome, m.gen, m.number, m.member, m.news)
 	}
-	fmt.Fprint(d, s.jobs, s.up, s.lives, s.crashes, len(s.finished), len(s.saved))
+	write(s.jobs, s.up, s.lives, s.crashes, len(s.finished), len(s.saved))
 	return d.Sum64()
 }
 
@@ -256,6 +259,7 @@
 
 // next returns every state that can follow.
 func (s *state) next(t *testing.T) (out []*state) {
+	t.Helper()
 	add := func(why string, change func(c *state) error) {
 		c := s.clone(why)
 		if err := change(c); err != nil {
@@ -266,15 +270,33 @@
 		}
 		out = append(out, c)
 	}
+	s.addDeliveries(add)
+	s.addDispatchers(t, add)
+	s.addMembers(add)
+	s.addRunnerDeaths(add)
+	add("time", func(c *state) error { c.now = c.now.Add(61 * time.Second); return nil })
+	return out
+}
+
+// addState adds what a state becomes by a change that why describes.
+type addState func(why string, change func(c *state) error)
+
+// addDeliveries adds the arrival of each message that may come next.
+func (s *state) addDeliveries(add addState) {
 	for k, m := range s.msgs {
 		if slices.ContainsFunc(s.msgs[:k], func(o msg) bool { return o.kind == m.kind && o.gang == m.gang && o.to == m.to && o.member == m.member }) {
-			continue // the same kind of news of the same thing keeps its order, as on one connection
+			continue // messages of one kind on the same thing keep their order, as on one connection
 		}
 		add(fmt.Sprint("arrives: ", m.kind, " ", m.gang, " d", m.to, " ", m.rec.Phase, m.outcome, m.news), func(c *state) error { return c.deliver(k, false) })
 		if m.kind == "write" {
 			add(fmt.Sprint("arrives, answer lost: ", m.kind, " ", m.gang, " d", m.to, " ", m.rec.Phase), func(c *state) error { return c.deliver(k, true) })
 		}
 	}
+}
+
+// addDispatchers adds starts, ticks, crashes and wrong views of dispatchers.
+func (s *state) addDispatchers(t *testing.T, add addState) {
+	t.Helper()
 	for i, core := range s.cores {
 		switch {
 		case core == nil:
@@ -284,18 +306,24 @@
 			add(fmt.Sprint("tick d", i), func(c *state) error { c.tick(i); return nil })
 		}
 		if s.crashes < 2 {
-			add(fmt.Sprint("crash d", i), func(c *state) error {
-				c.cores[i], c.crashes = nil, c.crashes+1
-				for k := range c.jobs {
-					c.jobs[k].alive = c.jobs[k].alive && c.jobs[k].owner != i
-				}
-				return nil
-			})
+			add(fmt.Sprint("crash d", i), func(c *state) error { c.crash(i); return nil })
 		}
 		if !s.alone[i] && !s.alone[1-i] {
 			add(fmt.Sprint("d", i, " holds the other dead"), func(c *state) error { c.alone[i] = true; return nil })
 		}
 	}
+}
+
+// crash ends dispatcher i, and with its connections the members that it sent.
+func (s *state) crash(i int) {
+	s.cores[i], s.crashes = nil, s.crashes+1
+	for k := range s.jobs {
+		s.jobs[k].alive = s.jobs[k].alive && s.jobs[k].owner != i
+	}
+}
+
+// addMembers adds the begin, the end and the save of each run whose members live.
+func (s *state) addMembers(add addState) {
 	byRun := map[string][]int{}
 	for k, j := range s.jobs {
 		if j.alive {
@@ -308,86 +336,103 @@
 		for _, k := range members {
 			all = all && s.jobs[k].began
 		}
-		tell := func(c *state, n News, members ...int) {
-			for _, k := range members {
-				j := c.jobs[k]
-				c.msgs = append(c.msgs, msg{to: j.owner, life: j.life, kind: "member", gang: j.gang, gen: j.generation, member: j.member, news: n})
-			}
-		}
-		j := s.jobs[members[0]]
 		switch {
 		case !all && len(members) == 2 && !s.jobs[members[0]].began:
 			add("begins: "+run, func(c *state) error {
 				for _, k := range members {
 					c.jobs[k].began = true
 				}
-				tell(c, Began, members...)
+				c.report(Began, members...)
 				return nil
 			})
 		case all && !s.finished[run]:
-			for x, k := range members {
-				if !s.jobs[k].done && (x == 0 || s.jobs[members[0]].done) {
-					add(fmt.Sprint("ends: ", run, " ", x), func(c *state) error {
-						c.jobs[k].done, c.finished[run] = true, x == 1
-						tell(c, Finished, k)
-						return nil
-					})
-				}
-			}
-			if r := s.records[j.gang]; !j.done && r.Phase == Saving && r.Generation == j.generation {
-				add("saves: "+run, func(c *state) error { c.saved[fmt.Sprint(run, "/", r.Number)] = true; return nil })
-			}
+			s.addProgress(run, members, add)
 		}
 	}
-	for k, up := range s.up {
-		if up && s.up == [3]bool{true, true, true} {
-			add(fmt.Sprint("runner ", k, " dies"), func(c *state) error {
-				c.up[k] = false
-				for x := range c.jobs {
-					if j := &c.jobs[x]; j.alive && !j.done && j.runner == k {
-						j.alive = false
-						c.msgs = append(c.msgs, msg{to: j.owner, life: j.life, kind: "member", gang: j.gang, gen: j.generation, member: j.member, news: Broke})
-					}
-				}
+}
+
+// addProgress adds the end of the member that ends next, and a save, of a run whose members all advance.
+func (s *state) addProgress(run string, members []int, add addState) {
+	for x, k := range members {
+		if !s.jobs[k].done && (x == 0 || s.jobs[members[0]].done) {
+			add(fmt.Sprint("ends: ", run, " ", x), func(c *state) error {
+				c.jobs[k].done, c.finished[run] = true, x == 1
+				c.report(Finished, k)
 				return nil
 			})
 		}
 	}
-	add("time", func(c *state) error { c.now = c.now.Add(61 * time.Second); return nil })
-	return out
+	j := s.jobs[members[0]]
+	if r := s.records[j.gang]; !j.done && r.Phase == Saving && r.Generation == j.generation {
+		add("saves: "+run, func(c *state) error { c.saved[fmt.Sprint(run, "/", r.Number)] = true; return nil })
+	}
+}
+
+// report sends what came of members to their dispatchers.
+func (s *state) report(n News, members ...int) {
+	for _, k := range members {
+		j := s.jobs[k]
+		s.msgs = append(s.msgs, msg{to: j.owner, life: j.life, kind: "member", gang: j.gang, gen: j.generation, member: j.member, news: n})
+	}
+}
+
+// addRunnerDeaths adds the death of each runner, unless one is dead already.
+func (s *state) addRunnerDeaths(add addState) {
+	if s.up != [3]bool{true, true, true} {
+		return
+	}
+	for k := range s.up {
+		add(fmt.Sprint("runner ", k, " dies"), func(c *state) error {
+			c.up[k] = false
+			for x := range c.jobs {
+				if j := &c.jobs[x]; j.alive && !j.done && j.runner == k {
+					j.alive = false
+					c.report(Broke, x)
+				}
+			}
+			return nil
+		})
+	}
+}
+
+// reach goes on in order until the gang g is in a phase.
+func reach(t *testing.T, phase Phase) *state {
+	t.Helper()
+	s := newState(t)
+	for n := 0; s.records["g"].Phase != phase; n++ {
+		require.Less(t, n, 200, "never %s", phase)
+		if len(s.msgs) > 0 {
+			require.NoError(t, s.deliver(0, false))
+			continue
+		}
+		for _, c := range s.next(t) {
+			if strings.HasPrefix(c.last, "begins") || c.last == "time" && s.records["g"].Phase == Running && phase == Saving {
+				s = c
+				break
+			}
+		}
+		s.tick(n % 2)
+	}
+	return s
 }
 
 // Everything that two dispatchers can come to within some steps from each phase of a gang, with crashes, wrong views, lost
 // answers and late messages at any point.
 func TestEveryStateKeepsThePromises(t *testing.T) {
 	for _, phase := range []Phase{Waiting, Starting, Running, Saving} {
-		first := newState(t)
-		for n := 0; first.records["g"].Phase != phase; n++ { // go on in order until the gang is there
-			require.Less(t, n, 200, "never %s", phase)
-			switch {
-			case len(first.msgs) > 0:
-				require.NoError(t, first.deliver(0, false))
-			default:
-				for _, c := range first.next(t) {
-					if len(c.last) > 6 && c.last[:6] == "begins" || c.last == "time" && first.records["g"].Phase == Running && phase == Saving {
-						first = c
-						break
-					}
-				}
-				first.tick(n % 2)
-			}
-		}
-		level, seen, done := []*state{first}, map[uint64]bool{}, 0
+		level, seen, done := []*state{reach(t, phase)}, map[uint64]bool{}, 0
 		for range *depth {
 			var following []*state
 			for _, s := range level {
 				for _, c := range s.next(t) {
-					if k := c.key(); !seen[k] {
-						seen[k] = true
-						following = append(following, c)
-						if c.records["g"].Phase == Done {
-							done++
-						}
+					k := c.key()
+					if seen[k] {
+						continue
+					}
+					seen[k] = true
+					following = append(following, c)
+					if c.records["g"].Phase == Done {
+						done++
 					}
 				}
 			}
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -35,6 +35,7 @@
 }
 
 func measure(t *testing.T, every time.Duration, policy gang.Policy, s uint64) {
+	t.Helper()
 	opt := options(s)
 	opt.Step, opt.Poll, opt.Latency, opt.Start = time.Second, 5*time.Second, 2*time.Second, 10*time.Second
 	c := &opt.Config
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -30,6 +30,7 @@
 
 // world has dispatchers, and runners of four slots in zones a and b by turns.
 func world(t *testing.T, opt virtual.Options, dispatchers, runners int) *virtual.World {
+	t.Helper()
 	w := virtual.New(epoch, opt)
 	for i := range dispatchers {
 		_, err := w.Add(fmt.Sprint("d", i))
@@ -86,6 +87,7 @@
 }
 
 func faults(t *testing.T, s uint64) map[gang.Step]int {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(s, 9))
 	opt := options(s)
 	opt.Jitter = 3 * time.Second
@@ -97,33 +99,7 @@
 	chance := func(p float64) func() bool { return func() bool { return !calm && rng.Float64() < p } }
 	w.Lose, w.Damage, w.Hang = chance(0.1), chance(0.05), chance(0.05)
 	for range 12 {
-		d, r := w.Dispatchers[rng.IntN(3)], w.Runners[rng.IntN(6)]
-		switch rng.IntN(9) {
-		case 0:
-			w.Kill(d)
-		case 1:
-			d.Stopped = !d.Stopped && d.Core != nil
-		case 2:
-			d.CutOff = !d.CutOff
-		case 3:
-			r.Up, r.Mute = !r.Up, rng.IntN(2) == 0
-		case 4: // retires at short notice, or is not to after all
-			if r.Announced, r.Retires = w.Now, w.Now.Add(time.Duration(10+rng.IntN(60))*time.Second); rng.IntN(3) == 0 {
-				r.Retires = time.Time{}
-			}
-		case 5:
-			w.Silent = !w.Silent
-		case 6: // a wrong view: two believe that they act
-			if d.Sees = nil; rng.IntN(2) == 0 {
-				d.Sees = func(*virtual.Dispatcher) bool { return false }
-			}
-		case 7:
-			r.FailStarts = rng.IntN(3)
-		case 8: // all at once
-			for _, all := range w.Dispatchers {
-				w.Kill(all)
-			}
-		}
+		injectFault(w, rng)
 		w.For(time.Duration(1+rng.IntN(15)) * time.Second)
 		for _, all := range w.Dispatchers {
 			if all.Core == nil && rng.IntN(2) == 0 {
@@ -132,15 +108,8 @@
 		}
 		require.Empty(t, w.Broken(), "seed %d at %v", s, w.Now.Sub(epoch))
 	}
-	calm, w.Silent = true, false
-	for _, d := range w.Dispatchers {
-		if d.CutOff, d.Sees, d.Stopped = false, nil, false; d.Core == nil {
-			require.NoError(t, w.Start(d))
-		}
-	}
-	for _, r := range w.Runners {
-		r.Up, r.Retires, r.FailStarts = true, time.Time{}, 0
-	}
+	calm = true
+	endFaults(t, w)
 	done := w.Until(30*time.Minute, allDone(w))
 	require.Empty(t, w.Broken(), "seed %d", s)
 	if !assert.True(t, done, "seed %d: a gang is not done", s) {
@@ -151,6 +120,51 @@
 	return w.Steps
 }
 
+// injectFault has one fault happen that rng draws, or ends one.
+func injectFault(w *virtual.World, rng *rand.Rand) {
+	d, r := w.Dispatchers[rng.IntN(3)], w.Runners[rng.IntN(6)]
+	switch rng.IntN(9) {
+	case 0:
+		w.Kill(d)
+	case 1:
+		d.Stopped = !d.Stopped && d.Core != nil
+	case 2:
+		d.CutOff = !d.CutOff
+	case 3:
+		r.Up, r.Mute = !r.Up, rng.IntN(2) == 0
+	case 4: // a retirement at short notice, or none after all
+		if r.Announced, r.Retires = w.Now, w.Now.Add(time.Duration(10+rng.IntN(60))*time.Second); rng.IntN(3) == 0 {
+			r.Retires = time.Time{}
+		}
+	case 5:
+		w.Silent = !w.Silent
+	case 6: // a wrong view: two dispatchers believe that they own the gang
+		if d.Sees = nil; rng.IntN(2) == 0 {
+			d.Sees = func(*virtual.Dispatcher) bool { return false }
+		}
+	case 7:
+		r.FailStarts = rng.IntN(3)
+	case 8: // all dispatchers at once
+		for _, all := range w.Dispatchers {
+			w.Kill(all)
+		}
+	}
+}
+
+// endFaults starts every dispatcher that is down and ends all faults that last.
+func endFaults(t *testing.T, w *virtual.World) {
+	t.Helper()
+	w.Silent = false
+	for _, d := range w.Dispatchers {
+		if d.CutOff, d.Sees, d.Stopped = false, nil, false; d.Core == nil {
+			require.NoError(t, w.Start(d))
+		}
+	}
+	for _, r := range w.Runners {
+		r.Up, r.Retires, r.FailStarts = true, time.Time{}, 0
+	}
+}
+
 // A retirement that is announced in time costs no work but what the save and the start take.
 func TestMovedOffARetiringRunner(t *testing.T) {
 	w := world(t, options(1), 3, 4)
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -84,27 +84,8 @@
 	}) {
 		return // nothing to write, so nothing to think about
 	}
-	free := map[string]float64{}
-	for n, r := range c.runners {
-		if r.Usable {
-			free[n] = r.Slots
-		}
-	}
-	var waiting []string
-	for _, name := range slices.Sorted(maps.Keys(c.gangs)) {
-		g := c.gangs[name]
-		switch {
-		case !g.seen:
-		case g.rec.Phase == Waiting:
-			waiting = append(waiting, name)
-		case !g.rec.Phase.Ended():
-			for i, p := range g.rec.Placement {
-				free[p] -= g.rec.Needs[i].Slots
-			}
-		}
-	}
-	slices.SortStableFunc(waiting, func(a, b string) int { return c.order(c.gangs[a], c.gangs[b]) })
-	for _, name := range waiting {
+	free := c.usableSlots()
+	for _, name := range c.waiting(free) {
 		g := c.gangs[name]
 		if c.now.Before(g.rec.NotBefore) {
 			continue
@@ -126,6 +107,35 @@
 	}
 }
 
+// usableSlots returns the free slots of each runner that may have members.
+func (c *Core) usableSlots() map[string]float64 {
+	free := map[string]float64{}
+	for n, r := range c.runners {
+		if r.Usable {
+			free[n] = r.Slots
+		}
+	}
+	return free
+}
+
+// waiting returns the gangs that wait, the most urgent first, and takes off free what the members of the others have.
+func (c *Core) waiting(free map[string]float64) (waiting []string) {
+	for _, name := range slices.Sorted(maps.Keys(c.gangs)) {
+		g := c.gangs[name]
+		switch {
+		case !g.seen:
+		case g.rec.Phase == Waiting:
+			waiting = append(waiting, name)
+		case !g.rec.Phase.Ended():
+			for i, p := range g.rec.Placement {
+				free[p] -= g.rec.Needs[i].Slots
+			}
+		}
+	}
+	slices.SortStableFunc(waiting, func(a, b string) int { return c.order(c.gangs[a], c.gangs[b]) })
+	return waiting
+}
+
 func (c *Core) any(is func(name string, g *gang) bool) bool {
 	for name, g := range c.gangs {
 		if is(name, g) {
@@ -185,33 +195,43 @@
 	}
 	least := math.Inf(1)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		costs := make([][]float64, len(g.rec.Needs))
-		for i, n := range g.rec.Needs {
-			for _, p := range places {
-				x := 1 / max(p.Speed, 1e-6)
-				if p.Zone != zone {
-					x *= 1 + c.cfg.Apart
-				}
-				if n.Kind != "" && n.Kind != p.Kind {
-					x = math.Inf(1)
-				}
-				costs[i] = append(costs[i], min(x, impossible))
-			}
-		}
-		total, on := 0.0, make([]string, len(g.rec.Needs))
-		for i, p := range policy.Assign(costs, len(places)) {
-			if p < 0 || costs[i][p] >= impossible {
-				total = math.Inf(1)
-				break
-			}
-			total, on[i] = total+costs[i][p], places[p].Name
-		}
-		if total < least {
+		if total, on := c.assign(g.rec.Needs, places, zone); total < least {
 			least, best = total, on
 		}
 	}
 	return best
 }
 
-// impossible is dearer than any time.
+// impossible is the cost of a runner that a member cannot have; no time is as long.
 const impossible = 1e8
+
+// assign returns a slot's runner for each member at the least total cost, with members outside the zone at a penalty, and that
+// cost: infinite if not all of them get one.
+func (c *Core) assign(needs []Need, slots []Runner, zone string) (total float64, on []string) {
+	costs := make([][]float64, len(needs))
+	for i, n := range needs {
+		for _, s := range slots {
+			costs[i] = append(costs[i], c.cost(n, s, zone))
+		}
+	}
+	on = make([]string, len(needs))
+	for i, s := range policy.Assign(costs, len(slots)) {
+		if s < 0 || costs[i][s] >= impossible {
+			return math.Inf(1), nil
+		}
+		total, on[i] = total+costs[i][s], slots[s].Name
+	}
+	return total, on
+}
+
+// cost is the time that a unit of work takes on a runner, with the penalty if it is outside the zone.
+func (c *Core) cost(n Need, r Runner, zone string) float64 {
+	if n.Kind != "" && n.Kind != r.Kind {
+		return impossible
+	}
+	x := 1 / max(r.Speed, 1e-6)
+	if r.Zone != zone {
+		x *= 1 + c.cfg.Apart
+	}
+	return min(x, impossible)
+}
--- a/internal/dispatcher/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return "", &Error{call, "no answer", "look at the register and the way to it; gangs go on as they are", err}
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	if resp.StatusCode != http.StatusOK {
 		return "", &Error{call, "answered " + resp.Status, "look at the register's log", nil}
 	}
@@ -139,7 +139,7 @@
 	if err != nil {
 		return gang.Unknown, "", &Error{call, "no answer", "look at the register and the way to it; the record is read again", err}
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxRecord)) // so that the connection serves again
 	switch v := gang.Version(resp.Header.Get("ETag")); {
 	case resp.StatusCode == http.StatusPreconditionFailed:
@@ -149,3 +149,6 @@
 	}
 	return gang.Unknown, "", &Error{call, "answered " + resp.Status, "look at the register's log; the record is read again", nil}
 }
+
+// closeBody closes an answer's body. What was needed of it has been read by then, so an error changes nothing.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() }
--- a/internal/dispatcher/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -113,62 +113,67 @@
 	Equal: func(a, b any) bool { return a.(held) == b.(held) },
 }
 
+// history is what clients did with one record and what came of it.
+type history struct {
+	began time.Time
+	mu    sync.Mutex
+	ops   []porcupine.Operation
+}
+
+func (h *history) add(client int, in input, out output, call, end time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(end)})
+}
+
+// use reads and writes the record g by turns, and adds to the history what says anything of it.
+func (h *history) use(ctx context.Context, c *Client, client int) {
+	still := gang.Version("")
+	for n := range 12 {
+		in, out := input{put: n%2 == 1, mark: fmt.Sprint(client, "/", n), still: still}, output{}
+		call := time.Since(h.began)
+		if in.put {
+			out.outcome, out.version, _ = c.Put(ctx, record("g", in.mark), still)
+		} else {
+			r, v, err := c.Get(ctx, "g")
+			var fault *Error
+			isAbsent := errors.As(err, &fault) && fault.Problem == "answered 404 Not Found"
+			if err != nil && !isAbsent {
+				continue // it says nothing
+			}
+			out.version, out.mark = v, r.Mark
+		}
+		end := time.Since(h.began)
+		if in.put && out.outcome == gang.Unknown {
+			out.version, end = "", time.Hour // it may take effect at any time yet
+		} else {
+			still = out.version
+		}
+		h.add(client*100+n, in, out, call, end)
+	}
+}
+
 // Histories of many writers through the real client, with answers lost before and after the effect, are those of one record that
 // changes by conditional writes alone.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for round := range 20 {
-		var lot sync.Mutex
+		var mu sync.Mutex
 		rng := rand.New(rand.NewPCG(uint64(round), 1))
 		reg := registertest.New()
 		reg.Fault = func(*http.Request, bool) bool {
-			lot.Lock()
-			defer lot.Unlock()
+			mu.Lock()
+			defer mu.Unlock()
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Microsecond)
 			return rng.IntN(12) == 0
 		}
 		srv := httptest.NewServer(reg)
-		c, began := New(srv.URL, time.Second), time.Now()
-		var (
-			mu  sync.Mutex
-			ops []porcupine.Operation
-			all sync.WaitGroup
-		)
+		c, h := New(srv.URL, time.Second), &history{began: time.Now()}
+		var clients sync.WaitGroup
 		for client := range 5 {
-			all.Go(func() {
-				still := gang.Version("")
-				for n := range 12 {
-					in, out := input{put: n%2 == 1, mark: fmt.Sprint(client, "/", n), still: still}, output{}
-					call := time.Since(began)
-					var err error
-					if in.put {
-						out.outcome, out.version, err = c.Put(context.Background(), record("g", in.mark), still)
-					} else {
-						var r gang.Record
-						r, out.version, err = c.Get(context.Background(), "g")
-						out.mark = r.Mark
-					}
-					var fault *Error
-					notThere := errors.As(err, &fault) && fault.Problem == "answered 404 Not Found"
-					if !in.put && err != nil && !notThere {
-						continue // it says nothing
-					}
-					if out.outcome == gang.Unknown && in.put {
-						out.version = ""
-					} else {
-						still = out.version
-					}
-					end := time.Since(began)
-					if in.put && out.outcome == gang.Unknown {
-						end = time.Hour // it may take effect at any time yet
-					}
-					mu.Lock()
-					ops = append(ops, porcupine.Operation{ClientId: client*100 + n, Input: in, Output: out, Call: int64(call), Return: int64(end)})
-					mu.Unlock()
-				}
-			})
+			clients.Go(func() { h.use(t.Context(), c, client) })
 		}
-		all.Wait()
+		clients.Wait()
 		srv.Close()
-		require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model.ToModel(), ops, 20*time.Second), "round %d", round)
+		require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model.ToModel(), h.ops, 20*time.Second), "round %d", round)
 	}
 }
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -215,25 +215,9 @@
 // drive has a dispatcher look round and do what it decides.
 func (w *World) drive(d *Dispatcher) {
 	if w.Now.Sub(d.polled) >= w.opt.Poll {
-		var living []gang.Holder
-		for _, o := range w.Dispatchers {
-			if o == d || o.Core != nil && (d.Sees == nil && !o.Stopped || d.Sees != nil && d.Sees(o)) {
-				living = append(living, gang.Holder{Name: o.Name, Life: o.life})
-			}
-		}
-		d.Core.Fleet(w.Now, living, true)
+		d.Core.Fleet(w.Now, w.living(d), true)
 		d.polled = w.Now
-		var runners []gang.Runner
-		for _, r := range w.Runners {
-			if r.Up {
-				known := gang.Runner{Name: r.Name, Zone: r.Zone, Kind: r.Kind, Speed: r.Speed, Slots: r.Slots, Usable: true}
-				if !w.Now.Before(r.Announced) {
-					known.Retires = r.Retires
-				}
-				runners = append(runners, known)
-			}
-		}
-		d.Core.Runners(w.Now, runners)
+		d.Core.Runners(w.Now, w.known())
 		w.ask(d, func() func() {
 			versions := map[string]gang.Version{}
 			for n := range w.reg.entries {
@@ -246,6 +230,31 @@
 	w.carry(d)
 }
 
+// living returns the dispatchers that d's view has as living.
+func (w *World) living(d *Dispatcher) (living []gang.Holder) {
+	for _, o := range w.Dispatchers {
+		if o == d || o.Core != nil && (d.Sees == nil && !o.Stopped || d.Sees != nil && d.Sees(o)) {
+			living = append(living, gang.Holder{Name: o.Name, Life: o.life})
+		}
+	}
+	return living
+}
+
+// known returns the runners that are up, with the retirements that are announced by now.
+func (w *World) known() (runners []gang.Runner) {
+	for _, r := range w.Runners {
+		if !r.Up {
+			continue
+		}
+		known := gang.Runner{Name: r.Name, Zone: r.Zone, Kind: r.Kind, Speed: r.Speed, Slots: r.Slots, Usable: true}
+		if !w.Now.Before(r.Announced) {
+			known.Retires = r.Retires
+		}
+		runners = append(runners, known)
+	}
+	return runners
+}
+
 // ask calls the register: what happens there returns what the answer does. lost is for an answer that never comes.
 func (w *World) ask(d *Dispatcher, there func() func(), lost func()) {
 	life := d.life
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -83,51 +83,23 @@
 func (w *World) work() {
 	for _, k := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[k]
-		name := r.members[0].gang
-		rec := w.Record(name)
-		all, speed := len(r.members) == len(rec.Needs), 1e9
-		for _, j := range r.members {
-			if !j.over && !j.runner.Up {
-				if j.over = true; !j.runner.Mute {
-					w.tell(j, gang.Broke)
-				}
-			}
-			if d := j.owner; !j.over && (d.Core == nil || d.life != j.life) { // its connection is gone
-				j.over = true
-			}
-			if !j.over && !j.began && !w.Now.Before(j.begins) {
-				w.begin(j)
-			}
-			if j.began && !j.over && !w.Now.Before(j.beat) {
-				j.beat = w.Now.Add(beatEvery)
-				w.tell(j, gang.Goes)
-			}
-			all, speed = all && j.began && !j.over, min(speed, j.runner.Speed)
-		}
-		if live := slices.ContainsFunc(r.members, func(j *job) bool { return !j.over }); !live {
-			if rec.Generation != r.members[0].generation || rec.Phase == gang.Done {
+		rec, generation := w.Record(r.members[0].gang), r.members[0].generation
+		advances, speed := w.members(r, len(rec.Needs))
+		if !slices.ContainsFunc(r.members, func(j *job) bool { return !j.over }) {
+			if rec.Generation != generation || rec.Phase == gang.Done {
 				delete(w.runs, k)
 			}
 			continue
 		}
-		saving := rec.Phase == gang.Saving && rec.Generation == r.members[0].generation
-		if all && saving && r.saved != rec.Number && !w.Silent {
-			r.saved = rec.Number
-			sk := saveKey{name, rec.Generation, rec.Number}
-			w.reg.saves[sk] = make([]part, len(rec.Needs))
-			for i, j := range r.members {
-				w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.member, left: float64(rec.Needs[i].Saved), job: j,
-					stuck: w.Hang != nil && w.Hang()})
-			}
-		}
-		if all && !saving {
+		saving := rec.Phase == gang.Saving && rec.Generation == generation
+		switch {
+		case advances && saving && r.saved != rec.Number && !w.Silent:
+			w.upload(r, rec)
+		case advances && !saving:
 			r.share = min(1, r.share+speed*w.opt.Step.Seconds()/work(rec))
 		}
-		for _, j := range r.members {
-			if all && r.share >= 1 && !j.told {
-				j.told, j.over = true, true
-				w.tell(j, gang.Finished)
-			}
+		if advances && r.share >= 1 {
+			w.finish(r)
 		}
 	}
 	for name := range w.first {
@@ -138,6 +110,56 @@
 	}
 }
 
+// members takes each member of a run a step on. advances reports whether all n members run, and speed is the slowest one's.
+func (w *World) members(r *run, n int) (advances bool, speed float64) {
+	advances, speed = len(r.members) == n, 1e9
+	for _, j := range r.members {
+		w.member(j)
+		advances, speed = advances && j.began && !j.over, min(speed, j.runner.Speed)
+	}
+	return advances, speed
+}
+
+// member takes a member a step on: it ends with its runner or its owner, starts, or sends a heartbeat.
+func (w *World) member(j *job) {
+	if !j.over && !j.runner.Up {
+		if j.over = true; !j.runner.Mute {
+			w.tell(j, gang.Broke)
+		}
+	}
+	if d := j.owner; !j.over && (d.Core == nil || d.life != j.life) { // its connection is closed
+		j.over = true
+	}
+	if !j.over && !j.began && !w.Now.Before(j.begins) {
+		w.begin(j)
+	}
+	if j.began && !j.over && !w.Now.Before(j.beat) {
+		j.beat = w.Now.Add(beatEvery)
+		w.tell(j, gang.Goes)
+	}
+}
+
+// upload has the members of a run begin to write the parts of the save that its record asks for.
+func (w *World) upload(r *run, rec gang.Record) {
+	r.saved = rec.Number
+	sk := saveKey{rec.Name, rec.Generation, rec.Number}
+	w.reg.saves[sk] = make([]part, len(rec.Needs))
+	for i, j := range r.members {
+		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.member, left: float64(rec.Needs[i].Saved), job: j,
+			stuck: w.Hang != nil && w.Hang()})
+	}
+}
+
+// finish ends the members of a run whose work is done.
+func (w *World) finish(r *run) {
+	for _, j := range r.members {
+		if !j.told {
+			j.told, j.over = true, true
+			w.tell(j, gang.Finished)
+		}
+	}
+}
+
 // begin has a member say that it started, from its part of the state if there is one.
 func (w *World) begin(j *job) {
 	if j.runner.FailStarts > 0 {
--- a/test/stories/gangs_test.go
+++ b/test/stories/gangs_test.go
@@ -26,6 +26,15 @@
 		}
 		return ctx, err
 	})
+	s.setupSteps(sc)
+	s.runnerSteps(sc)
+	s.dispatcherSteps(sc)
+	s.registerSteps(sc)
+	s.outcomeSteps(sc)
+}
+
+// setupSteps describe the world, and let time pass.
+func (s *gangStory) setupSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^(\d+) dispatchers and (\d+) runners of (\d+) slots$`, s.begin)
 	sc.Step(`^a gang (\w+) of (\d+) members that takes (\d+) minutes$`, func(name string, n, m int) { s.submit(name, n, m) })
 	sc.Step(`^(\d+) gangs of (\d+) members that take (\d+) minutes$`, func(k, n, m int) {
@@ -36,6 +45,10 @@
 	sc.Step(`^(\d+) (minute|second)s? pass(?:es)?$`, func(n int, unit string) {
 		s.w.For(time.Duration(n) * map[string]time.Duration{"minute": time.Minute, "second": time.Second}[unit])
 	})
+}
+
+// runnerSteps retire runners and let them die.
+func (s *gangStory) runnerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^a runner of (\w+) is to retire in (\d+) seconds$`, func(name string, n int) { s.retire(s.runner(name), n) })
 	sc.Step(`^zone (\w) is to retire in (\d+) seconds$`, func(z string, n int) {
 		for _, r := range s.w.Runners {
@@ -55,6 +68,11 @@
 		}
 	})
 	sc.Step(`^a runner of (\w+) dies$`, func(name string) { s.runner(name).Up = false })
+	sc.Step(`^the next (\d+) starts fail$`, s.failStarts)
+}
+
+// dispatcherSteps kill dispatchers, stall them and mislead their views.
+func (s *gangStory) dispatcherSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the dispatcher of (\w+) is killed$`, func(name string) { s.w.Kill(s.holder(name)) })
 	sc.Step(`^the dispatcher of (\w+) sleeps for (\d+) seconds$`, func(name string, n int) {
 		d := s.holder(name)
@@ -79,6 +97,10 @@
 			d.Sees = func(*virtual.Dispatcher) bool { return false }
 		}
 	})
+}
+
+// registerSteps break the register.
+func (s *gangStory) registerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the register is silent for (\d+) seconds$`, func(n int) {
 		s.w.Silent = true
 		s.w.For(time.Duration(n) * time.Second)
@@ -87,7 +109,10 @@
 	sc.Step(`^saves never end$`, func() { s.hang = true })
 	sc.Step(`^saves end again$`, func() { s.hang = false })
 	sc.Step(`^states are damaged from now on$`, func() { s.w.Damage = func() bool { return true } })
-	sc.Step(`^the next (\d+) starts fail$`, s.failStarts)
+}
+
+// outcomeSteps look at what became of the gangs.
+func (s *gangStory) outcomeSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^(\w+) is done within (\d+) minutes$`, func(name string, n int) error { return s.done(n, name) })
 	sc.Step(`^all gangs are done within (\d+) minutes$`, func(n int) error { return s.done(n, s.w.Gangs()...) })
 	sc.Step(`^(\w+) was started (\d+) times?$`, func(name string, n int) error {
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -55,6 +55,14 @@
 		return ctx, err
 	})
 	gangSteps(sc, s)
+	s.processSteps(sc)
+	s.networkSteps(sc)
+	s.viewSteps(sc)
+	s.quotaSteps(sc)
+}
+
+// processSteps start, stop and stall processes.
+func (s *story) processSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^a fleet of (\d+) dispatchers( that share budgets)?$`, s.fleet)
 	sc.Step(`^a running fleet of (\d+) dispatchers( that share budgets)?$`, s.running)
 	sc.Step(`^(d\d+|d\d+ to d\d+|all) (?:is|are) (started|killed|stopped|continued)$`, s.each)
@@ -64,6 +72,11 @@
 	sc.Step(`^(d\d+) is started again in life (\d+)$`, func(who string, life int) error { return s.w.Restart(s.node(who), uint64(life)) })
 	sc.Step(`^(d\d+) sleeps for (\d+) intervals$`, s.sleep)
 	sc.Step(`^the clock of (d\d+) jumps (ahead|back) by an hour$`, s.jump)
+	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.pass(n) })
+}
+
+// networkSteps break links and mend them.
+func (s *story) networkSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^zone (\w) is cut off$`, func(z string) { s.cut(func(a, b *virtual.Node) bool { return (a.Zone == z) != (b.Zone == z) }) })
 	sc.Step(`^the fleet is cut in two at d(\d+)$`, func(k int) { s.cut(func(a, b *virtual.Node) bool { return (a.Number < k) != (b.Number < k) }) })
 	sc.Step(`^the link between (d\d+) and (d\d+) is cut$`, func(x, y string) {
@@ -76,8 +89,10 @@
 		})
 	})
 	sc.Step(`^the links are mended$`, func() { s.w.Links(nil) })
-	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.pass(n) })
+}
 
+// viewSteps look at the views.
+func (s *story) viewSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals all know each other$`, func(n int) error { return s.within(n, "they agree", func() bool { return s.w.Agree() }) })
 	sc.Step(`^within (\d+) more intervals every view is settled$`, func(n int) error { return s.within(n, "every view is settled", s.settled) })
 	sc.Step(`^(d\d+) knows (nobody|\d+ others)$`, s.knows)
@@ -85,6 +100,10 @@
 	sc.Step(`^nobody (?:but (d\d+) )?was held dead$`, s.nobodyDied)
 	sc.Step(`^every dispatcher is in its life number (\d+)$`, s.lives)
 	sc.Step(`^what the old life of (d\d+) still sends is dropped$`, s.oldLife)
+}
+
+// quotaSteps look at which dispatcher uses which quota.
+func (s *story) quotaSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals every part is used( by its own dispatcher)?$`, s.whole)
 	sc.Step(`^every part is used( by its own dispatcher)?$`, func(own string) error { return s.whole(0, own) })
 	sc.Step(`^no part is used$`, func() error {
