--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -302,7 +302,7 @@
 
 // sendSnapshots sends a snapshot to the members that need one.
 func (m *machine) sendSnapshots() {
-	for _, id := range m.node.NeedSnapshot() {
+	for _, id := range m.node.MembersNeedingSnapshot() {
 		m.node.SendSnapshot(m.clock(), id, m.snapshot())
 	}
 }
--- a/internal/cluster/consensus/membership_change.go
+++ b/internal/cluster/consensus/membership_change.go
@@ -32,7 +32,7 @@
 	if !n.isReady() {
 		return ErrNotReady
 	}
-	first, err := FirstStep(n.memberships.current(), members)
+	first, err := FirstMembers(n.memberships.current(), members)
 	if err != nil {
 		return err
 	}
@@ -44,9 +44,9 @@
 	return n.memberships.newestIndex() > n.commit || IsJoint(n.memberships.current())
 }
 
-// FirstStep returns the first membership that is appended to the log for a change from present to next: the joint
+// FirstMembers returns the first membership that is appended to the log for a change from present to next: the joint
 // membership of both if their voters differ by more than one, else next itself. Its error is ErrChangeRefused.
-func FirstStep(present, next []Member) ([]Member, error) {
+func FirstMembers(present, next []Member) ([]Member, error) {
 	if err := validateMembers(next); err != nil {
 		return nil, err
 	}
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -19,7 +19,7 @@
 var _ = ginkgo.DescribeTable("the first step from voters 1 to 3 and learner 4 to another membership",
 	func(next []Member, expected changeKind) {
 		present := append(memberList(1, 2, 3), learner(4))
-		first, err := FirstStep(present, next)
+		first, err := FirstMembers(present, next)
 		if expected == refusedChange {
 			Expect(err).To(MatchError(ErrChangeRefused))
 			return
--- a/internal/cluster/consensus/snapshot_send.go
+++ b/internal/cluster/consensus/snapshot_send.go
@@ -22,9 +22,9 @@
 	sentAt      time.Duration // when it was last sent
 }
 
-// NeedSnapshot returns the responsive members that can go on only from a snapshot and to which none is being sent. At a member
+// MembersNeedingSnapshot returns the responsive members that can go on only from a snapshot and to which none is being sent. At a member
 // that does not lead there are none.
-func (n *Node) NeedSnapshot() []MemberID {
+func (n *Node) MembersNeedingSnapshot() []MemberID {
 	var needing []MemberID
 	for _, peer := range n.leadership.peers {
 		if peer.state == progressSnapshot && peer.outgoing == nil && n.isResponsive(peer) {
@@ -34,7 +34,7 @@
 	return needing
 }
 
-// SendSnapshot begins to send a snapshot of the state machine to a member that NeedSnapshot returned. If snapshot.Members
+// SendSnapshot begins to send a snapshot of the state machine to a member that MembersNeedingSnapshot returned. If snapshot.Members
 // is nil it is filled in; snapshot.Data must not be modified afterwards. The call is ignored if the member needs no
 // snapshot (any more), or one newer than this.
 func (n *Node) SendSnapshot(now time.Duration, to MemberID, snapshot Snapshot) {
--- a/internal/cluster/consensus/snapshot_test.go
+++ b/internal/cluster/consensus/snapshot_test.go
@@ -31,14 +31,14 @@
 	begin := func() {
 		g.drop = nil
 		g.elapse(3 * heartbeatInterval)
-		Expect(leader.NeedSnapshot()).To(Equal([]MemberID{3}))
+		Expect(leader.MembersNeedingSnapshot()).To(Equal([]MemberID{3}))
 		leader.SendSnapshot(g.now, 3, snapshot)
-		Expect(leader.NeedSnapshot()).To(BeEmpty())
+		Expect(leader.MembersNeedingSnapshot()).To(BeEmpty())
 	}
 
 	ginkgo.It("is needed only for a responsive member", func() {
 		g.elapse(3 * heartbeatInterval)
-		Expect(leader.NeedSnapshot()).To(BeEmpty())
+		Expect(leader.MembersNeedingSnapshot()).To(BeEmpty())
 	})
 
 	ginkgo.It("is sent in chunks, and the log goes on after it", func() {
@@ -192,7 +192,7 @@
 		g.elect(2)
 		Expect(behind.receiving).To(BeNil())
 		g.elapse(3 * heartbeatInterval)
-		Expect(next.NeedSnapshot()).To(Equal([]MemberID{3}))
+		Expect(next.MembersNeedingSnapshot()).To(Equal([]MemberID{3}))
 		snapshot.Data = []byte(other)
 		next.SendSnapshot(g.now, 3, snapshot)
 		g.deliverAll()
@@ -224,7 +224,7 @@
 		Expect(leader.peer(3).outgoing).To(BeNil())
 		g.drop = nil
 		g.elapse(2 * heartbeatInterval)
-		Expect(leader.NeedSnapshot()).To(Equal([]MemberID{3}))
+		Expect(leader.MembersNeedingSnapshot()).To(Equal([]MemberID{3}))
 	})
 
 	ginkgo.It("is replaced by a newer one if the log was compacted further meanwhile", func() {
@@ -237,7 +237,7 @@
 		leader.Compact(leader.Status().Commit)
 		g.inTransit = inFlight
 		g.deliverAll()
-		Expect(leader.NeedSnapshot()).To(Equal([]MemberID{3}))
+		Expect(leader.MembersNeedingSnapshot()).To(Equal([]MemberID{3}))
 	})
 
 	ginkgo.It("that is empty is sent too", func() {
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -70,7 +70,7 @@
 	if now < g.snapshots.sendAt || g.appliedIndex == 0 {
 		return
 	}
-	recipients := g.node.NeedSnapshot()
+	recipients := g.node.MembersNeedingSnapshot()
 	if len(recipients) == 0 {
 		return
 	}
