--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -17,29 +18,75 @@
 // pagesOfNames are the pages that lead a reader into the code: each name on them must be one that the code declares.
 var pagesOfNames = []string{"ARCHITECTURE.md", "control-safety"}
 
-// nameInPage is a name as the pages write it: `package.Function`, `package.Type.Method`.
-var nameInPage = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]\\w*)((?:\\.\\w+)?)`")
+var (
+	// qualifiedName is a name as the pages write it: `package.Function`, `package.Type.Method`, or `Type.Method` where the
+	// package was named before.
+	qualifiedName = regexp.MustCompile("`(\\w+)\\.([A-Za-z]\\w*)((?:\\.\\w+)?)`")
+	// plainName is a name of several words without its package: `maxRetainedBytes`; settings are written so, too.
+	plainName = regexp.MustCompile("`([a-z]+[A-Z]\\w*)`")
+	word      = regexp.MustCompile(`\w+`)
+)
+
+// otherPackages are packages of the standard library that the pages name, and the placeholder of such a name.
+var otherPackages = []string{"http", "net", "package"}
+
+// fileExtensions end names of files, which the pages also write with a dot.
+var fileExtensions = []string{"go", "md", "json", "toml"}
 
 var _ = Describe("the pages about the code", func() {
 	It("name only what the code declares", func() {
 		declared := declaredNames()
-		packages := map[string]bool{}
+		unqualified := map[string]bool{}
 		for name := range declared {
-			packages[name[:strings.IndexByte(name, '.')]] = true
+			_, rest, _ := strings.Cut(name, ".")
+			unqualified[rest] = true
 		}
 		var unknown []string
 		for page, text := range textsOf(pagesOfNames) {
-			for _, found := range nameInPage.FindAllStringSubmatch(text, -1) {
+			for _, found := range qualifiedName.FindAllStringSubmatch(text, -1) {
 				name := found[1] + "." + found[2] + found[3]
-				if packages[found[1]] && !declared[name] {
+				isOther := slices.Contains(otherPackages, found[1]) || slices.Contains(fileExtensions, found[2])
+				if !isOther && !declared[name] && !unqualified[name] {
 					unknown = append(unknown, page+": "+name)
 				}
 			}
 		}
-		Expect(unknown).To(BeEmpty())
+		Expect(unknown).To(BeEmpty(), strings.Join(unknown, "\n"))
+	})
+
+	It("name only what stands in the code, without a package too", func() {
+		words := wordsOfCode()
+		var unknown []string
+		for page, text := range textsOf(append(pagesOfNames, "constants.md", "decisions.md")) {
+			for _, found := range plainName.FindAllStringSubmatch(text, -1) {
+				if !words[found[1]] {
+					unknown = append(unknown, page+": "+found[1])
+				}
+			}
+		}
+		Expect(unknown).To(BeEmpty(), strings.Join(unknown, "\n"))
 	})
 })
 
+// wordsOfCode returns all words of the code: names, texts and comments.
+func wordsOfCode() map[string]bool {
+	words := map[string]bool{}
+	for _, root := range []string{"internal", "policy"} {
+		err := filepath.WalkDir(filepath.Join("..", "..", root), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
+				return err
+			}
+			text, err := os.ReadFile(path)
+			for _, found := range word.FindAllString(string(text), -1) {
+				words[found] = true
+			}
+			return err
+		})
+		Expect(err).NotTo(HaveOccurred())
+	}
+	return words
+}
+
 // textsOf returns the texts of pages, and of all pages in folders of pages, by their paths.
 func textsOf(pages []string) map[string]string {
 	texts := map[string]string{}
@@ -58,11 +105,11 @@
 	return texts
 }
 
-// declaredNames returns all functions, types, constants and variables of the scheduler's packages as package.Name, and
+// declaredNames returns all functions, types, constants and variables of the packages as package.Name, and
 // methods and fields as package.Type.Name, exported or not.
 func declaredNames() map[string]bool {
 	names := map[string]bool{}
-	root := filepath.Join("..", "..", "internal", "cluster")
+	root := filepath.Join("..", "..", "internal")
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
