--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -85,7 +85,7 @@
 			strconv.FormatUint(group.First, 10), strconv.FormatUint(group.Last, 10), folderMembers(group.Members),
 		}
 		if folder.Verified {
-			row = append(row, group.Holds)
+			row = append(row, group.Contents)
 		}
 		rows = append(rows, row)
 	}
--- a/internal/cluster/administration/document/document.go
+++ b/internal/cluster/administration/document/document.go
@@ -13,7 +13,7 @@
 
 // KindOf tells whether a file is a whole configuration or an update, which has "upsert" or "remove".
 func KindOf(body []byte) (string, error) {
-	if err := configuration.Readable(body); err != nil {
+	if err := configuration.CheckSyntax(body); err != nil {
 		return "", err
 	}
 	var fields map[string]json.RawMessage
@@ -72,7 +72,7 @@
 // does can be told before it is given its number.
 func raisedVersion(present, body []byte) (said uint64, raised []byte, err error) {
 	var head, in struct{ Version uint64 }
-	if err := configuration.Readable(body); err != nil {
+	if err := configuration.CheckSyntax(body); err != nil {
 		return 0, nil, err
 	}
 	if json.Unmarshal(body, &head) != nil || json.Unmarshal(present, &in) != nil {
--- a/internal/cluster/administration/fake_test.go
+++ b/internal/cluster/administration/fake_test.go
@@ -30,7 +30,7 @@
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	f := &fakeControl{address: listener.Addr().String()}
-	server := transport.NewServer(transport.Options{})
+	server := transport.NewServer(transport.ServerOptions{})
 	handle[administration.ReportRequest, administration.Report](server, f)
 	handle[administration.RunnersRequest, administration.RunnersResponse](server, f)
 	handle[administration.JobsRequest, administration.JobsResponse](server, f)
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -55,7 +55,7 @@
 	Last          uint64      `json:"last"`
 	EntryBytes    int64       `json:"entryBytes"`
 	Members       []Member    `json:"members"`
-	Holds         string      `json:"holds"` // what the state machine has after all entries; only if verified
+	Contents      string      `json:"holds"` // what the state machine has after all entries; only if verified
 }
 
 // Fault is something that is not as it was written.
--- a/internal/cluster/administration/inspect/inspect_test.go
+++ b/internal/cluster/administration/inspect/inspect_test.go
@@ -94,13 +94,13 @@
 		Expect(configured.Members).To(HaveLen(1))
 		Expect(configured.Members[0].Node).To(Equal("n1"))
 		Expect(configured.Vote.String()).To(Equal("12"))
-		Expect(configured.Holds).To(Equal("configuration 5: 1 routes, 1 services"))
+		Expect(configured.Contents).To(Equal("configuration 5: 1 routes, 1 services"))
 		Expect(shard.Term).To(Equal(uint64(4)))
 		Expect(shard.SnapshotIndex).To(Equal(uint64(5)))
 		Expect([]uint64{shard.First, shard.Last, shard.Commit}).To(Equal([]uint64{6, 8, 6}))
 		Expect(shard.Members).To(HaveLen(2), "the newest membership counts")
 		Expect(shard.Members[1].Learner).To(BeTrue())
-		Expect(shard.Holds).To(HavePrefix("2 jobs (4 tasks held, 0 running)"))
+		Expect(shard.Contents).To(HavePrefix("2 jobs (4 tasks held, 0 running)"))
 	})
 
 	It("is not changed by being read, also with files that a start would remove", func() {
--- a/internal/cluster/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -91,7 +91,7 @@
 			f.entryFault(group.Shard, entry, err)
 		}
 	}
-	group.Holds = tried.holds()
+	group.Contents = tried.holds()
 }
 
 type configurationMachine struct{ *configuration.State }
--- a/internal/cluster/administration/running_test.go
+++ b/internal/cluster/administration/running_test.go
@@ -42,7 +42,7 @@
 		InternalPorts: [2]int{internal, internal},
 		Seeds:         []string{net.JoinHostPort(ip, "1")}, // of itself: the ports are the same on all machines
 		Bootstrap:     bootstrap,
-		Bounds:        boot.StandardBounds(),
+		Bounds:        boot.DefaultBounds(),
 		DataDir:       dir,
 		Limits:        boot.Limits{DiskMB: 128},
 	}
@@ -79,7 +79,7 @@
 	carrier := transport.NewClient(transport.ClientOptions{})
 	defer carrier.Close()
 	message := protocol.Heartbeat{
-		Instance: "i-1", Service: "s", Address: "127.0.0.1:8080", Zone: "z", State: protocol.Ready, Sequence: sequence,
+		Instance: "i-1", Service: "s", Address: "127.0.0.1:8080", Zone: "z", State: protocol.RunnerReady, Sequence: sequence,
 		Capacity: protocol.Resources{CPU: 4000, MemoryMB: 1000}, Labels: []string{"kind", "rack"},
 	}
 	change(&message)
@@ -135,7 +135,7 @@
 		Expect(runners).To(HaveLen(1))
 		Expect(runners[0].Free).To(Equal(protocol.Resources{CPU: 1000, MemoryMB: 1000}))
 		Expect(runners[0].Runs).To(Equal(3))
-		Expect(runners[0].State).To(Equal(protocol.Ready))
+		Expect(runners[0].State).To(Equal(protocol.RunnerReady))
 		Expect(runners[0].HoldMs).To(BeNumerically(">", 0))
 		Expect(runners[0].Labels).To(Equal([]string{"kind", "rack"}))
 
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -364,9 +364,9 @@
 		b.attempt().reply <- result{}
 		Expect(answerOf(leaving).Code).To(Equal(200))
 		b.begin(beatOf(instance, 5))
-		Expect(b.attempt().beat.State).To(Equal(protocol.Draining))
+		Expect(b.attempt().beat.State).To(Equal(protocol.RunnerDraining))
 		b.begin(beatOf("i-next", 1))
-		Expect(b.attempt().beat.State).To(Equal(protocol.Ready))
+		Expect(b.attempt().beat.State).To(Equal(protocol.RunnerReady))
 	})
 
 	It("are not acknowledged before the owner has answered", func() {
--- a/internal/cluster/agent/exchange.go
+++ b/internal/cluster/agent/exchange.go
@@ -30,7 +30,7 @@
 	}
 	if s.beats.isEnding(instance) {
 		// The owner that heard so may have a successor by now, which would give the runner work.
-		request.Heartbeat.State, request.Heartbeat.RemainingMs = protocol.Draining, 0
+		request.Heartbeat.State, request.Heartbeat.RemainingMs = protocol.RunnerDraining, 0
 	}
 	var response *protocol.HeartbeatResponse
 	err = s.attempt(ctx, request.Shard, func(ctx context.Context) (err error) {
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -222,7 +222,7 @@
 func (b *calledBed) untilBeating(instance string, orders protocol.Orders) (*exchange, <-chan *httptest.ResponseRecorder) {
 	answers := map[uint64]<-chan *httptest.ResponseRecorder{}
 	for sequence := 1; sequence <= mostBeats; sequence++ {
-		answers[uint64(sequence)] = b.own(instance, sequence, protocol.Ready)
+		answers[uint64(sequence)] = b.own(instance, sequence, protocol.RunnerReady)
 		for range beatSteps {
 			select {
 			case e := <-b.owners.attempts:
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -236,7 +236,7 @@
 		return
 	}
 	gap, wait := lookGap, min(l.hold/waitShare, mostWait)
-	if newest, _ := l.registration.get(); newest.Heartbeat.State == protocol.Draining {
+	if newest, _ := l.registration.get(); newest.Heartbeat.State == protocol.RunnerDraining {
 		wait = leavingWait
 	}
 	switch {
--- a/internal/cluster/agent/loop_test.go
+++ b/internal/cluster/agent/loop_test.go
@@ -35,12 +35,12 @@
 	It("is looked at without a grant, and reported as if it had sent a heartbeat", func() {
 		b.runner.finished = []protocol.FinishedRun{{N: 3, Task: "a.0.0.9", Run: 2, How: protocol.EndDone}}
 		b.runner.active = []protocol.ActiveRun{{Task: "a.0.0.8", Run: 2, Saved: "0c", Percent: 40}}
-		answered := b.own(instance, 4, protocol.Ready)
+		answered := b.own(instance, 4, protocol.RunnerReady)
 		e := b.turn()
 		Expect(b.runner.next(pathHold)).To(Equal(called{Path: pathHold}))
 		Expect(e.beat.ClockMs).To(And(BeNumerically(">=", b.runner.origin), BeNumerically("<=", b.runner.clockMs())))
 		Expect(*e.beat).To(Equal(protocol.Heartbeat{
-			Instance: instance, Service: "huvo11a", Address: "10.0.0.9:1", State: protocol.Ready,
+			Instance: instance, Service: "huvo11a", Address: "10.0.0.9:1", State: protocol.RunnerReady,
 			Sequence: 4<<sequenceBits | 1, ClockMs: e.beat.ClockMs,
 			Active: b.runner.active, Finished: b.runner.finished, Called: true,
 		}))
@@ -54,7 +54,7 @@
 	It("does as ordered, stops first, held from before the owner was told", func() {
 		running := protocol.ActiveRun{Task: "a.0.0.2", Run: 5}
 		b.runner.active = []protocol.ActiveRun{running}
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		e := b.turn()
 		orders := starting("a.0.0.1")
 		orders.Stop = []protocol.StopOrder{{Task: "a.0.0.2", Run: 5}}
@@ -85,7 +85,7 @@
 	})
 
 	It("tells of an end at once, until the owner has acknowledged it", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: granted()}
 		ended := protocol.FinishedRun{N: 1, Task: "a.0.0.1", Run: 1, How: protocol.EndDone}
 		b.runner.set(func() { b.runner.finished = []protocol.FinishedRun{ended} })
@@ -102,7 +102,7 @@
 
 	It("that refuses a start is made to refuse it for good, which the owner is told", func() {
 		b.runner.refuse = "room"
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: starting("a.0.0.1")}
 		e := b.until(granted(), func(beat *protocol.Heartbeat) bool {
 			if len(beat.Rejected) == 0 {
@@ -118,7 +118,7 @@
 	})
 
 	It("is made to refuse for good what an agent before this one may have sent", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		orders := granted()
 		orders.Stop = []protocol.StopOrder{{Task: one.Task, Run: one.Run}}
 		b.turn().reply <- result{orders: orders}
@@ -135,7 +135,7 @@
 
 	It("that has a newer owner is not made to refuse anything", func() {
 		b.runner.refuse = whyFence
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: starting("a.0.0.1")}
 		e := b.turn()
 		Expect(e.beat.Active).To(BeEmpty())
@@ -145,7 +145,7 @@
 
 	DescribeTable("of which it is unknown whether it has started a run",
 		func(started bool) {
-			b.own(instance, 4, protocol.Ready)
+			b.own(instance, 4, protocol.RunnerReady)
 			e := b.turn()
 			b.runner.set(func() {
 				b.runner.cut = true
@@ -158,7 +158,7 @@
 			e.reply <- result{orders: starting("a.0.0.1")}
 			b.runner.next(pathStart)
 			b.clock.Advance(time.Second)
-			answered := b.own(instance, 5, protocol.Ready)
+			answered := b.own(instance, 5, protocol.RunnerReady)
 			e = b.turn()
 			Expect(e.beat.Active).To(ConsistOf(one))
 			e.reply <- result{orders: granted()}
@@ -181,7 +181,7 @@
 	)
 
 	It("is given no start that has become old", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		e := b.turn()
 		b.runner.set(func() { b.runner.onStart = func() { b.clock.Advance(orderTime) } })
 		e.reply <- result{orders: starting("a.0.0.1", "a.0.0.2")}
@@ -190,7 +190,7 @@
 	})
 
 	It("is not given the orders of an owner of the past", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: granted()}
 		old := starting("a.0.0.1")
 		old.FenceToken = 6
@@ -199,19 +199,19 @@
 	})
 
 	It("is told that its draining is known only once it is", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		e := b.turn()
-		draining := b.own(instance, 5, protocol.Draining)
-		Expect(e.beat.State).To(Equal(protocol.Ready))
+		draining := b.own(instance, 5, protocol.RunnerDraining)
+		Expect(e.beat.State).To(Equal(protocol.RunnerReady))
 		e.reply <- result{orders: granted()}
-		e = b.until(granted(), func(beat *protocol.Heartbeat) bool { return beat.State == protocol.Draining })
+		e = b.until(granted(), func(beat *protocol.Heartbeat) bool { return beat.State == protocol.RunnerDraining })
 		Expect(draining).NotTo(Receive())
 		e.reply <- result{orders: granted()}
 		Expect(answerOf(draining).Code).To(Equal(200))
 	})
 
 	It("has its heartbeat refused when no owner answers", func() {
-		answered := b.own(instance, 4, protocol.Ready)
+		answered := b.own(instance, 4, protocol.RunnerReady)
 		b.turn()
 		b.clock.Advance(exchangeTime)
 		Expect(answerOf(answered).Code).To(Equal(503))
@@ -219,7 +219,7 @@
 
 	It("is looked at by the present token, and reported with rising numbers, after the agent's restart", func() {
 		b.runner.fence = 7
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		fence := b.turn()
 		Expect(*fence.beat).To(Equal(protocol.Heartbeat{Instance: instance, Service: "huvo11a", FenceOnly: true}))
 		fence.reply <- result{orders: protocol.Orders{FenceToken: 8}}
@@ -227,13 +227,13 @@
 		Expect(b.runner.fence).To(Equal(uint64(8)))
 		b.service.Close()
 		b.service = NewService(Options{Owners: b.owners, Service: "huvo11a", Clock: b.clock, Calls: true, App: b.runner.address()})
-		b.own(instance, 5, protocol.Ready)
+		b.own(instance, 5, protocol.RunnerReady)
 		b.turn().reply <- result{orders: protocol.Orders{FenceToken: 8}}
 		Expect(b.turn().beat.Sequence).To(BeNumerically(">", before))
 	})
 
 	It("is not taken for the one that has followed it", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: granted()}
 		b.runner.next(pathHold)
 		b.clock.Advance(time.Second)
@@ -249,23 +249,23 @@
 		e, next := b.untilBeating("i-next", granted())
 		e.reply <- result{orders: granted()}
 		Expect(answerOf(next).Code).To(Equal(200))
-		Expect(answerOf(b.own(instance, 9, protocol.Ready)).Code).To(Equal(410), "it is over")
+		Expect(answerOf(b.own(instance, 9, protocol.RunnerReady)).Code).To(Equal(410), "it is over")
 	})
 
 	It("is not ended by a late heartbeat of the one before, of which the agent has never heard", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: granted()}
-		Expect(answerOf(b.own("i-before", 90, protocol.Ready)).Code).To(Equal(503))
+		Expect(answerOf(b.own("i-before", 90, protocol.RunnerReady)).Code).To(Equal(503))
 		e := b.turn()
 		Expect(e.beat.Instance).To(Equal(instance))
 		e.reply <- result{orders: granted()}
-		next := b.own(instance, 5, protocol.Ready)
+		next := b.own(instance, 5, protocol.RunnerReady)
 		b.until(granted(), func(beat *protocol.Heartbeat) bool { return beat.Sequence>>sequenceBits == 5 }).reply <- result{orders: granted()}
 		Expect(answerOf(next).Code).To(Equal(200))
 	})
 
 	It("is called no more once it has said that it ends", func() {
-		b.own(instance, 4, protocol.Ready)
+		b.own(instance, 4, protocol.RunnerReady)
 		b.turn().reply <- result{orders: granted()}
 		leaving := b.begin(post(instance, "deregister", ""))
 		for {
--- a/internal/cluster/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -63,7 +63,7 @@
 		Logger:    logger,
 	})
 	defer process.Close()
-	server := transport.NewServer(transport.Options{Logger: logger, MaxConnections: relayConnections, MaxHandlers: relayCalls})
+	server := transport.NewServer(transport.ServerOptions{Logger: logger, MaxConnections: relayConnections, MaxHandlers: relayCalls})
 	defer server.Close()
 	relay.Register(server, client, process.Known.Knows)
 	go server.Serve(serving, others)
--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -41,8 +41,8 @@
 	longest     = 30 * 24 * time.Hour // a bound above this is taken for a slip
 )
 
-// StandardBounds returns the bounds that hold where the file leaves them out.
-func StandardBounds() Bounds {
+// DefaultBounds returns the bounds that hold where the file leaves them out.
+func DefaultBounds() Bounds {
 	bounds := Bounds{Far: standardFar}
 	for _, known := range boundKeys {
 		*known.field(&bounds) = known.standard
@@ -51,7 +51,7 @@
 }
 
 func readBounds(object *object) Bounds {
-	bounds := StandardBounds()
+	bounds := DefaultBounds()
 	for _, known := range boundKeys {
 		standard := float64(known.standard) / float64(known.unit)
 		most := float64(longest) / float64(known.unit)
--- a/internal/cluster/boot/load_test.go
+++ b/internal/cluster/boot/load_test.go
@@ -53,7 +53,7 @@
 	It("takes every field", func() {
 		settings, err := parse(complete())
 		Expect(err).NotTo(HaveOccurred())
-		bounds := boot.StandardBounds()
+		bounds := boot.DefaultBounds()
 		bounds.Contact = 2500 * time.Millisecond
 		bounds.Grace = 7 * time.Second
 		bounds.Gang = 1200 * time.Millisecond
--- a/internal/cluster/configuration/parse.go
+++ b/internal/cluster/configuration/parse.go
@@ -13,9 +13,9 @@
 	previous *Document
 }
 
-// Readable returns an error of kind failure.Invalid unless body is exactly one JSON object. Otherwise it can be rejected
+// CheckSyntax returns an error of kind failure.Invalid unless body is exactly one JSON object. Otherwise it can be rejected
 // without knowing the current version.
-func Readable(body []byte) error {
+func CheckSyntax(body []byte) error {
 	if !utf8.Valid(body) || !json.Valid(body) {
 		return invalidf("the body is not exactly one JSON value")
 	}
@@ -28,7 +28,7 @@
 // parseFields returns the fields of a command's body other than the version, and the version. They must be distinct, and
 // there must be a version.
 func parseFields(body []byte) ([]jsonField, uint64, error) {
-	if err := Readable(body); err != nil {
+	if err := CheckSyntax(body); err != nil {
 		return nil, 0, err
 	}
 	fields, _ := jsonObject(body)
--- a/internal/cluster/consensus/election.go
+++ b/internal/cluster/consensus/election.go
@@ -35,9 +35,9 @@
 	campaignTransfer                     // the leader transfers the leadership to it, so live leaders don't prevent votes
 )
 
-// SetCampaign sets whether this member may campaign. It may unless the caller forbids it, as it should while the
+// SetCampaignAllowed sets whether this member may campaign. It may unless the caller forbids it, as it should while the
 // disk is unhealthy: a leader needs its disk. If it is forbidden an election that this member has begun ends.
-func (n *Node) SetCampaign(allowed bool) {
+func (n *Node) SetCampaignAllowed(allowed bool) {
 	n.campaignAllowed = allowed
 	if !allowed && (n.role == rolePreCandidate || n.role == roleCandidate) {
 		n.becomeFollower(n.term, None)
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -134,10 +134,10 @@
 	ginkgo.Entry("a voter", func(*testMember) {}, true),
 	ginkgo.Entry("a learner", func(member *testMember) { member.config.ID = 4 }, false),
 	ginkgo.Entry("no member", func(member *testMember) { member.config.ID = 9 }, false),
-	ginkgo.Entry("one whose disk is sick", func(member *testMember) { member.SetCampaign(false) }, false),
+	ginkgo.Entry("one whose disk is sick", func(member *testMember) { member.SetCampaignAllowed(false) }, false),
 	ginkgo.Entry("one whose disk is well again", func(member *testMember) {
-		member.SetCampaign(false)
-		member.SetCampaign(true)
+		member.SetCampaignAllowed(false)
+		member.SetCampaignAllowed(true)
 	}, true),
 )
 
@@ -227,7 +227,7 @@
 		g.now = candidate.electionDeadline
 		candidate.Tick(g.now)
 		g.deliverAll()
-		candidate.SetCampaign(false)
+		candidate.SetCampaignAllowed(false)
 		Expect(candidate.role).To(Equal(roleFollower))
 	})
 
--- a/internal/cluster/consensus/explore_steps_test.go
+++ b/internal/cluster/consensus/explore_steps_test.go
@@ -159,7 +159,7 @@
 		}
 		step(fmt.Sprintf("transfer to %d at", member.ID), index, func(state *groupState, leader *memberState) {
 			state.transfers++
-			_ = leader.node.Transfer(frozenTime, member.ID)
+			_ = leader.node.TransferLeadership(frozenTime, member.ID)
 		})
 	}
 }
--- a/internal/cluster/consensus/joint_test.go
+++ b/internal/cluster/consensus/joint_test.go
@@ -230,7 +230,7 @@
 
 	ginkgo.It("a transfer holds the final membership up, which the new leader proposes", func() {
 		begin(2, 3, 4)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.drop = fromOrTo(3)
 		g.elapse(3 * heartbeatInterval)
 		Expect(g.member(2).Status().Ready).To(BeTrue())
@@ -239,9 +239,9 @@
 	})
 
 	ginkgo.It("a transfer that comes to nothing holds the final membership up no longer", func() {
-		g.member(2).SetCampaign(false)
+		g.member(2).SetCampaignAllowed(false)
 		begin(2, 3, 4)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.drop = fromOrTo(3)
 		g.elapse(3 * heartbeatInterval)
 		Expect(IsJoint(leader.Status().Members)).To(BeTrue())
--- a/internal/cluster/consensus/late_test.go
+++ b/internal/cluster/consensus/late_test.go
@@ -67,13 +67,13 @@
 	})
 
 	ginkgo.It("makes nobody stand that was asked to in an earlier term", func() {
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		late := g.lastSent(MessageTimeoutNow, 2)
 		Expect(late.Term).To(Equal(uint64(1)))
 		other := g.member(2)
 		Expect(other.Status().Ready).To(BeTrue())
-		Expect(other.Transfer(g.now, 1)).To(Succeed())
+		Expect(other.TransferLeadership(g.now, 1)).To(Succeed())
 		g.deliverAll()
 		Expect(leader.Status().Ready).To(BeTrue())
 		term := other.term
@@ -84,7 +84,7 @@
 
 	ginkgo.It("costs no more than an election if it asks its receiver to stand in this term, after the transfer was given up", func() {
 		g.drop = ofKind(MessageTimeoutNow)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		late := g.lastSent(MessageTimeoutNow, 2)
 		g.elapse(2 * electionTimeout)
--- a/internal/cluster/consensus/leadership_transfer.go
+++ b/internal/cluster/consensus/leadership_transfer.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Transfer transfers the leadership to another voter as soon as that has the complete log (section 3.10). Until
+// TransferLeadership transfers the leadership to another voter as soon as that has the complete log (section 3.10). Until
 // then proposals are refused. The transfer is given up after an election timeout and the time that disks need for votes,
 // and this member leads on; Status().Transferee is the target meanwhile. It returns ErrNotLeader if this member does not
 // lead and ErrUnknownMember if the target is not another voter.
-func (n *Node) Transfer(now time.Duration, to MemberID) error {
+func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
 	n.advanceClock(now)
 	if n.role != roleLeader {
 		return ErrNotLeader
--- a/internal/cluster/consensus/leadership_transfer_test.go
+++ b/internal/cluster/consensus/leadership_transfer_test.go
@@ -14,7 +14,7 @@
 	})
 
 	ginkgo.It("makes the other leader at once", func() {
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		Expect(g.member(2).Status().Ready).To(BeTrue())
 		Expect(leader.Status().IsLeader).To(BeFalse())
@@ -24,7 +24,7 @@
 		g.drop = fromOrTo(2)
 		g.propose(leader, "a")
 		g.deliverAll()
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		Expect(leader.Status().Transferee).To(Equal(MemberID(2)))
 		_, _, err := leader.Propose(g.now, nil)
@@ -38,15 +38,15 @@
 
 	ginkgo.It("is given up after an election timeout", func() {
 		g.drop = fromOrTo(2)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.elapse(electionTimeout + heartbeatInterval)
 		Expect(leader.Status().Transferee).To(Equal(None))
 		g.propose(leader, "a")
 	})
 
 	ginkgo.It("is not taken by one that must not stand", func() {
-		g.member(2).SetCampaign(false)
-		Expect(leader.Transfer(g.now, 2)).To(Succeed())
+		g.member(2).SetCampaignAllowed(false)
+		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.elapse(electionTimeout + heartbeatInterval)
 		Expect(leader.Status().Ready).To(BeTrue())
 		Expect(leader.term).To(Equal(uint64(1)))
@@ -54,7 +54,7 @@
 
 	ginkgo.DescribeTable("is refused",
 		func(from, to MemberID, expected error) {
-			Expect(g.member(from).Transfer(g.now, to)).To(MatchError(expected))
+			Expect(g.member(from).TransferLeadership(g.now, to)).To(MatchError(expected))
 		},
 		ginkgo.Entry("by a follower", MemberID(2), MemberID(3), ErrNotLeader),
 		ginkgo.Entry("to itself", MemberID(1), MemberID(1), ErrUnknownMember),
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -175,11 +175,11 @@
 
 // forbidCampaign forbids a member to campaign for a while, as for an unhealthy disk. A leader transfers its leadership.
 func (n *nemesis) forbidCampaign(victim *machine, duration time.Duration) {
-	victim.node.SetCampaign(false)
+	victim.node.SetCampaignAllowed(false)
 	if victim.up && !victim.frozen && victim.node.role == roleLeader {
 		n.transferLeadership()
 	}
-	n.world.after(duration, func() { victim.node.SetCampaign(true) })
+	n.world.after(duration, func() { victim.node.SetCampaignAllowed(true) })
 }
 
 // transferLeadership has a leader transfer its leadership to a random member.
@@ -192,7 +192,7 @@
 	if len(members) == 0 {
 		return
 	}
-	_ = leader.node.Transfer(leader.clock(), members[n.world.random.IntN(len(members))].ID)
+	_ = leader.node.TransferLeadership(leader.clock(), members[n.world.random.IntN(len(members))].ID)
 	leader.processOutput()
 }
 
--- a/internal/cluster/consensus/world_test.go
+++ b/internal/cluster/consensus/world_test.go
@@ -202,6 +202,6 @@
 	for _, machine := range w.machines {
 		machine.thaw()
 		machine.start()
-		machine.node.SetCampaign(true)
+		machine.node.SetCampaignAllowed(true)
 	}
 }
--- a/internal/cluster/control/administration_endpoints.go
+++ b/internal/cluster/control/administration_endpoints.go
@@ -122,7 +122,7 @@
 		Runners: counters.Runners,
 	}
 	group.Counters = administration.Counters{
-		Taken:     counters.Taken,
+		Taken:     counters.Accepted,
 		Completed: counters.Completed,
 		Failed:    counters.Failed,
 		Cancelled: counters.Cancelled,
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -114,7 +114,7 @@
 	timeOfDay := func() int64 { return start.UnixMilli() + c.clock.Since(start).Milliseconds() }
 	c.configuration = newConfigurationShard(c.logger)
 	groups := map[replica.GroupID]replica.StateMachine{uint32(protocol.ConfigurationShard): c.configuration}
-	jobOptions := jobs.Options{StatusTime: c.options.Bounds.Status}
+	jobOptions := jobs.Options{StatusRetention: c.options.Bounds.Status}
 	for id := protocol.ShardID(1); id <= protocol.JobShards; id++ {
 		shard := newJobShard(id, c.schedulerOptions(), jobOptions, timeOfDay, c.logger, c.metrics)
 		c.shards[id] = shard
--- a/internal/cluster/control/endpoints_test.go
+++ b/internal/cluster/control/endpoints_test.go
@@ -40,7 +40,7 @@
 		Bootstrap:  []string{"here"},
 		FileSystem: &vfstest.Mem{},
 		Dir:        "data",
-		Bounds:     boot.StandardBounds(),
+		Bounds:     boot.DefaultBounds(),
 		Sender:     discarded{},
 		Remote:     unreachable{},
 		Clock:      d.clock,
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, failure.Newf(failure.Invalid, "%s is not a version", baseVersionHeader)
 	}
-	if err := configuration.Readable(body); err != nil {
+	if err := configuration.CheckSyntax(body); err != nil {
 		return nil, err
 	}
 	return &protocol.ConfigureRequest{Kind: kind, Base: base, Body: body}, nil
--- a/internal/cluster/control/process.go
+++ b/internal/cluster/control/process.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	p := &process{Control: c, settings: settings, server: transport.NewServer(transport.Options{Logger: logger})}
+	p := &process{Control: c, settings: settings, server: transport.NewServer(transport.ServerOptions{Logger: logger})}
 	c.register(p.server)
 	// Decommissioning starts when ctx has ended, and needs all that is served.
 	serving := context.WithoutCancel(ctx)
--- a/internal/cluster/control/sole_member_test.go
+++ b/internal/cluster/control/sole_member_test.go
@@ -112,7 +112,7 @@
 		entry, err := configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: order})
 		Expect(err).NotTo(HaveOccurred())
 		envelopes := make(chan *replica.Envelope, 1)
-		server := transport.NewServer(transport.Options{})
+		server := transport.NewServer(transport.ServerOptions{})
 		transport.HandleOneWay(server, func(_ string, envelope *replica.Envelope) { envelopes <- envelope })
 		transport.HandleAsync(server, func(_ string, r *protocol.ConfigureRequest, reply func(*protocol.ConfigureResponse, error)) {
 			reply(&protocol.ConfigureResponse{Version: uint64(len(r.Body))}, nil)
--- a/internal/cluster/control/stale_process_test.go
+++ b/internal/cluster/control/stale_process_test.go
@@ -316,7 +316,7 @@
 )
 
 func newJobCases(shard protocol.ShardID) []requestCase {
-	heartbeat := protocol.Heartbeat{Instance: faultyRunner, Service: faultyService, Address: "10.0.0.9:1", State: protocol.Ready, Sequence: 1}
+	heartbeat := protocol.Heartbeat{Instance: faultyRunner, Service: faultyService, Address: "10.0.0.9:1", State: protocol.RunnerReady, Sequence: 1}
 	tokenOnly := protocol.Heartbeat{Instance: faultyRunner, Service: faultyService, FenceOnly: true}
 	invalid := submitRequest(unknownJob, 3)
 	invalid.Job.Steps = nil
--- a/internal/cluster/control/task_time_metrics.go
+++ b/internal/cluster/control/task_time_metrics.go
@@ -16,10 +16,10 @@
 func newTaskTimeMetrics() *taskTimeMetrics { return &taskTimeMetrics{set: metrics.NewSet()} }
 
 // add adds what a queue's tasks and jobs came to since the previous call.
-func (m *taskTimeMetrics) add(queue string, since *latency.Queue) {
+func (m *taskTimeMetrics) add(queue string, since *latency.QueueSummary) {
 	for cause, span := range since.Tasks {
 		if span > 0 {
-			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Cause(cause).String())
+			name := fmt.Sprintf("ospreypond_task_seconds_total{queue=%q,cause=%q}", queue, latency.Reason(cause).String())
 			m.set.GetOrCreateFloatCounter(name).Add(span.Seconds())
 		}
 	}
--- a/internal/cluster/control/task_times.go
+++ b/internal/cluster/control/task_times.go
@@ -19,11 +19,11 @@
 	logger     log.Logger
 	metrics    *taskTimeMetrics
 	reportedAt time.Duration
-	reported   map[string]latency.Queue // by queue key, as of the newest line
+	reported   map[string]latency.QueueSummary // by queue key, as of the newest line
 }
 
 func newTaskTimeReporter(logger log.Logger, metrics *taskTimeMetrics) taskTimeReporter {
-	return taskTimeReporter{logger: logger, metrics: metrics, reported: map[string]latency.Queue{}}
+	return taskTimeReporter{logger: logger, metrics: metrics, reported: map[string]latency.QueueSummary{}}
 }
 
 // restart forgets what was reported of an earlier leadership.
@@ -67,7 +67,7 @@
 	var fields []any
 	for cause, span := range times {
 		if ms := span.Milliseconds(); ms > 0 {
-			fields = append(fields, latency.Cause(cause).String(), ms)
+			fields = append(fields, latency.Reason(cause).String(), ms)
 		}
 	}
 	return log.WithSuffix(level.Info(r.logger), fields...)
--- a/internal/cluster/control/task_times_test.go
+++ b/internal/cluster/control/task_times_test.go
@@ -30,7 +30,7 @@
 			owner.Flush(now)
 		}
 		heartbeat := func(sequence uint64, active []protocol.ActiveRun, finished ...protocol.FinishedRun) {
-			owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.Ready, Sequence: sequence,
+			owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.RunnerReady, Sequence: sequence,
 				Capacity: protocol.Resources{CPU: 1000, MemoryMB: 1000}, Active: active, Finished: finished}, func(*protocol.Orders, error) {})
 			step()
 			now += 300 * time.Millisecond
@@ -73,7 +73,7 @@
 		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return 1000 }, log.NewNopLogger(), counters)
 		now := time.Second
 		shard.owner.BecomeLeader(now, now.Milliseconds(), 1)
-		shard.owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.Ready, Sequence: 1,
+		shard.owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.RunnerReady, Sequence: 1,
 			Capacity: protocol.Resources{CPU: 1000, MemoryMB: 1000}}, func(*protocol.Orders, error) {})
 		stage := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 10}
 		shard.owner.Submit(now, jobs.Submit{ID: "00000000000000aa", Queue: protocol.Queue{Key: "h/q/", Service: "s"},
--- a/internal/cluster/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("Over the transport", func() {
 	It("a watch and calls find their owners", func() {
-		owner := transport.NewServer(transport.Options{})
+		owner := transport.NewServer(transport.ServerOptions{})
 		var address string
 		transport.HandleAsync(owner, func(_ string, r *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			if r.Version == 3 {
@@ -31,7 +31,7 @@
 			answer(&protocol.StatusResponse{State: protocol.JobRunning}, nil)
 		})
 		address = serve(owner)
-		other := transport.NewServer(transport.Options{})
+		other := transport.NewServer(transport.ServerOptions{})
 		transport.HandleAsync(other, func(_ string, _ *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			answer(nil, notLeader(address))
 		})
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -46,7 +46,7 @@
 
 // totals returns the counters that can't be derived from the rest of the state, in the order of the encoding.
 func (c *Counters) totals() [6]*uint64 {
-	return [...]*uint64{&c.Taken, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
+	return [...]*uint64{&c.Accepted, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
 }
 
 func (w *writer) expiries(entries []retainedID) {
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -16,7 +16,7 @@
 
 // Options are the retention times of a State. They must be the same on all replicas; 0 stands for the default.
 type Options struct {
-	StatusTime         time.Duration // the state of an ended job is kept one and a half times as long as this
+	StatusRetention    time.Duration // the state of an ended job is kept one and a half times as long as this
 	TombstoneRetention time.Duration // then its id is known for this long; so are fenced ids
 	RunnerRetention    time.Duration // a runner without runs is forgotten when no command has named it for this long
 }
@@ -55,7 +55,7 @@
 	Lingering int // runs
 	Runners   int
 
-	Taken     uint64 // jobs
+	Accepted  uint64 // jobs
 	Completed uint64 // jobs
 	Failed    uint64 // jobs
 	Cancelled uint64 // jobs
@@ -66,7 +66,7 @@
 // New returns an empty State.
 func New(options Options) *State {
 	s := &State{
-		statusRetentionMs:    retentionMs(options.StatusTime, DefaultStatusRetention) * 3 / 2,
+		statusRetentionMs:    retentionMs(options.StatusRetention, DefaultStatusRetention) * 3 / 2,
 		tombstoneRetentionMs: retentionMs(options.TombstoneRetention, DefaultTombstoneRetention),
 		runnerRetentionMs:    retentionMs(options.RunnerRetention, DefaultRunnerRetention),
 	}
--- a/internal/cluster/jobs/submit.go
+++ b/internal/cluster/jobs/submit.go
@@ -40,7 +40,7 @@
 	s.jobs[job.ID] = job
 	s.unfinishedJobs[job.Queue.Key]++
 	s.counters.Jobs++
-	s.counters.Taken++
+	s.counters.Accepted++
 	s.openDueRepetitions(job)
 }
 
--- a/internal/cluster/latency/reason.go
+++ b/internal/cluster/latency/reason.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Cause is why a task is not done yet.
-type Cause uint8
+// Reason is why a task is not done yet.
+type Reason uint8
 
 // The wait reasons. The last ones are what the time of a run counts as. Their order is the order in logs.
 const (
 	// Unowned: no process owned the shard, or an owner before this one did, whose record is gone.
-	Unowned Cause = iota
+	Unowned Reason = iota
 	// EarlierStep: an earlier step of the job was not done.
 	EarlierStep
 	// NextRound: the next round of placement, or the commit of its decision, was awaited.
@@ -54,13 +54,13 @@
 }
 
 // String returns the reason's label in metrics and logs.
-func (c Cause) String() string { return labels[c] }
+func (c Reason) String() string { return labels[c] }
 
 // Causes returns all reasons, in their order.
-func Causes() []Cause {
-	all := make([]Cause, reasonCount)
+func Causes() []Reason {
+	all := make([]Reason, reasonCount)
 	for i := range all {
-		all[i] = Cause(i)
+		all[i] = Reason(i)
 	}
 	return all
 }
--- a/internal/cluster/latency/recorder.go
+++ b/internal/cluster/latency/recorder.go
@@ -13,11 +13,11 @@
 	startedAt time.Duration
 	groups    map[*jobs.Group]*groupRecord
 	jobs      map[*jobs.Job][]*groupRecord
-	queues    map[string]*Queue
+	queues    map[string]*QueueSummary
 }
 
-// Queue sums up the tasks and jobs of a queue.
-type Queue struct {
+// QueueSummary sums up the tasks and jobs of a queue.
+type QueueSummary struct {
 	Tasks Times  // time of tasks by reason
 	Ended uint64 // jobs that were completed or failed
 	Late  uint64 // of these, beyond their objective
@@ -27,7 +27,7 @@
 type groupRecord struct {
 	group         *jobs.Group
 	releasedAt    time.Duration
-	reason        Cause // for which its pending tasks wait at present
+	reason        Reason // for which its pending tasks wait at present
 	reasonSince   time.Duration
 	waited        Times         // of a task that had been pending all the time
 	tasks         []taskRecord  // by index
@@ -47,7 +47,7 @@
 	ListedAt      time.Duration // first listed by its runner
 	EndedAt       time.Duration // its end was listed
 	LastContactAt time.Duration // last contact with its runner, if it was lost with it
-	Outcome       Cause         // Running if it ended well, else Failed, Stopped or Lost
+	Outcome       Reason        // Running if it ended well, else Failed, Stopped or Lost
 }
 
 // NewRecorder returns a Recorder whose record begins now.
@@ -56,12 +56,12 @@
 		startedAt: now,
 		groups:    map[*jobs.Group]*groupRecord{},
 		jobs:      map[*jobs.Job][]*groupRecord{},
-		queues:    map[string]*Queue{},
+		queues:    map[string]*QueueSummary{},
 	}
 }
 
 // Queues returns the sums by key of the queue. The map must not be changed; it changes with the record.
-func (r *Recorder) Queues() map[string]*Queue { return r.queues }
+func (r *Recorder) Queues() map[string]*QueueSummary { return r.queues }
 
 // TaskPending records that a task became pending, for the first time or again.
 func (r *Recorder) TaskPending(now time.Duration, task *jobs.Task) {
@@ -74,7 +74,7 @@
 }
 
 // SetReason records why the pending tasks of a group wait from now on.
-func (r *Recorder) SetReason(now time.Duration, group *jobs.Group, reason Cause) {
+func (r *Recorder) SetReason(now time.Duration, group *jobs.Group, reason Reason) {
 	if record := r.record(group, now); record != nil && record.reason != reason {
 		record.setReason(now, reason)
 	}
@@ -151,10 +151,10 @@
 	r.queue(task.Group.Job.Queue.Key).Tasks.Add(times)
 }
 
-func (r *Recorder) queue(key string) *Queue {
+func (r *Recorder) queue(key string) *QueueSummary {
 	known := r.queues[key]
 	if known == nil {
-		known = &Queue{}
+		known = &QueueSummary{}
 		r.queues[key] = known
 	}
 	return known
@@ -171,7 +171,7 @@
 }
 
 // setReason sets the reason from now on.
-func (g *groupRecord) setReason(now time.Duration, reason Cause) {
+func (g *groupRecord) setReason(now time.Duration, reason Reason) {
 	g.addWaited(now)
 	g.reason = reason
 }
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -77,7 +77,7 @@
 		Zone:     c.options.Zone,
 		Version:  "stand-in",
 		Slots:    8,
-		State:    protocol.Ready,
+		State:    protocol.RunnerReady,
 		Capacity: c.options.Capacity,
 		Labels:   c.options.Labels,
 		ClockMs:  now.Milliseconds(),
@@ -85,7 +85,7 @@
 		Finished: slices.Clone(c.finished[:min(len(c.finished), maxFinished)]),
 	}
 	if c.draining {
-		heartbeat.State = protocol.Draining
+		heartbeat.State = protocol.RunnerDraining
 	}
 	for _, r := range c.active {
 		heartbeat.Active = append(heartbeat.Active, protocol.ActiveRun{Task: r.task, Run: r.number, Percent: r.percent(now)})
--- a/internal/cluster/localcluster/runner/core_test.go
+++ b/internal/cluster/localcluster/runner/core_test.go
@@ -65,10 +65,10 @@
 		core := newCore()
 		first, next := core.Report(0), core.Report(second)
 		Expect(first.Service).To(Equal("s"))
-		Expect(first.State).To(Equal(protocol.Ready))
+		Expect(first.State).To(Equal(protocol.RunnerReady))
 		Expect(next.Sequence).To(BeNumerically(">", first.Sequence))
 		core.Drain()
-		Expect(core.Report(2 * second).State).To(Equal(protocol.Draining))
+		Expect(core.Report(2 * second).State).To(Equal(protocol.RunnerDraining))
 	})
 
 	It("reports the progress of a run", func() {
--- a/internal/cluster/localcluster/system.go
+++ b/internal/cluster/localcluster/system.go
@@ -147,7 +147,7 @@
 			Capacity: protocol.Resources{CPU: 8000, MemoryMB: 16384, GPU: 1},
 			Labels:   []string{"stand-in", "rack-" + strconv.Itoa(i+1)},
 			Interval: 1500 * time.Millisecond,
-			MaxLease: boot.StandardBounds().MaxLease,
+			MaxLease: boot.DefaultBounds().MaxLease,
 		}
 		started := runner.New(options, m.address(controlPort), nil)
 		running.Go(func() { started.Run(ctx) })
--- a/internal/cluster/protocol/runner.go
+++ b/internal/cluster/protocol/runner.go
@@ -10,8 +10,8 @@
 
 // Runner states in a heartbeat.
 const (
-	Ready    = "ready"
-	Draining = "draining"
+	RunnerReady    = "ready"
+	RunnerDraining = "draining"
 )
 
 // How a run ended.
--- a/internal/cluster/replica/decommission_test.go
+++ b/internal/cluster/replica/decommission_test.go
@@ -335,7 +335,7 @@
 func (c *cluster) moveLeadership(id GroupID, to *machine) {
 	GinkgoHelper()
 	from := c.leader(id)
-	from.engine.Do(func() { _ = from.engine.byID[id].node.Transfer(from.engine.now, to.engine.self.ID) })
+	from.engine.Do(func() { _ = from.engine.byID[id].node.TransferLeadership(from.engine.now, to.engine.self.ID) })
 	from.wake()
 	Expect(c.until(time.Second, func() bool { return c.leader(id) == to })).To(BeTrue())
 }
--- a/internal/cluster/replica/disk_health.go
+++ b/internal/cluster/replica/disk_health.go
@@ -101,7 +101,7 @@
 // setCampaigns sets for each group whether its member may campaign.
 func (e *Engine) setCampaigns() {
 	for _, g := range e.groups {
-		g.node.SetCampaign(g.mayCampaign())
+		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 }
 
--- a/internal/cluster/replica/engine_test.go
+++ b/internal/cluster/replica/engine_test.go
@@ -53,7 +53,7 @@
 		}
 		for id := range GroupID(c.groups) {
 			if led := c.leader(id); led != first {
-				Expect(led.engine.byID[id].node.Transfer(led.engine.now, first.engine.self.ID)).To(Succeed())
+				Expect(led.engine.byID[id].node.TransferLeadership(led.engine.now, first.engine.self.ID)).To(Succeed())
 				led.wake()
 			}
 		}
--- a/internal/cluster/replica/step.go
+++ b/internal/cluster/replica/step.go
@@ -124,7 +124,7 @@
 func (g *group) maintain() {
 	g.resolveDigests()
 	if g.engine.avoidsLeadership() {
-		g.node.SetCampaign(g.mayCampaign())
+		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 	if !g.node.Status().IsLeader {
 		return
--- a/internal/cluster/replica/transfers.go
+++ b/internal/cluster/replica/transfers.go
@@ -107,7 +107,7 @@
 		return
 	}
 	g.lastTransferAt = now
-	_ = g.node.Transfer(now, successor)
+	_ = g.node.TransferLeadership(now, successor)
 }
 
 // successor returns the voter that can lead and lacks least, or None.
@@ -143,7 +143,7 @@
 			e.transfers.lastBalancedAt = e.now
 			g.lastTransferAt = e.now
 			_ = level.Info(e.options.Logger).Log("msg", "transferring leadership to the preferred member", "group", g.id)
-			_ = g.node.Transfer(e.now, preferred)
+			_ = g.node.TransferLeadership(e.now, preferred)
 			return
 		}
 	}
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -67,7 +67,7 @@
 	r.report = *heartbeat
 	r.hasReported = true
 	r.lastContact = now
-	if heartbeat.State == protocol.Draining {
+	if heartbeat.State == protocol.RunnerDraining {
 		r.isDraining = true
 		r.drainsUntil = now + time.Duration(heartbeat.RemainingMs)*time.Millisecond
 	}
--- a/internal/cluster/scheduler/late_heartbeat_test.go
+++ b/internal/cluster/scheduler/late_heartbeat_test.go
@@ -70,7 +70,7 @@
 
 	It("from the same incarnation changes nothing and grants nothing", func() {
 		late := heartbeatOf("i1", 6) // from before the start: it does not list the run
-		late.State = protocol.Draining
+		late.State = protocol.RunnerDraining
 		_, err := w.heartbeat(late)
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 		other := w.orders(heartbeatOf("i2", 1))
--- a/internal/cluster/scheduler/losses_test.go
+++ b/internal/cluster/scheduler/losses_test.go
@@ -100,7 +100,7 @@
 			Expect(orders.Stop).To(BeEmpty())
 			Expect(w.owner.Counters().Losses).To(Equal(uint64(1)))
 		},
-		Entry("since the runner drains", func(heartbeat *protocol.Heartbeat) { heartbeat.State = protocol.Draining }),
+		Entry("since the runner drains", func(heartbeat *protocol.Heartbeat) { heartbeat.State = protocol.RunnerDraining }),
 		Entry("since it is overdue", func(*protocol.Heartbeat) { w.pass(5 * time.Second) }),
 		Entry("since its job is cancelled", func(*protocol.Heartbeat) {
 			w.owner.Cancel(w.now, id, func(error) {})
--- a/internal/cluster/scheduler/overview_test.go
+++ b/internal/cluster/scheduler/overview_test.go
@@ -23,7 +23,7 @@
 		Expect(runners[0].Free).To(Equal(runners[0].Capacity))
 		Expect(runners[1].Runs).To(Equal(1))
 		Expect(runners[1].Free).To(Equal(protocol.Resources{CPU: 15500, MemoryMB: 32668, GPU: 8}))
-		Expect(runners[1].State).To(Equal(protocol.Ready))
+		Expect(runners[1].State).To(Equal(protocol.RunnerReady))
 		Expect(runners[1].LeaseRemaining).To(BeNumerically(">", 0))
 		Expect(runners[1].Labels).To(Equal([]string{"a", "r1"}))
 	})
@@ -31,7 +31,7 @@
 	It("shows which are draining, unresponsive or ended", func() {
 		w := newWorld()
 		draining := heartbeatOf("a", 1)
-		draining.State = protocol.Draining
+		draining.State = protocol.RunnerDraining
 		w.orders(draining)
 		states := func() []string {
 			var list []string
@@ -40,7 +40,7 @@
 			}
 			return list
 		}
-		Expect(states()).To(Equal([]string{protocol.Draining}))
+		Expect(states()).To(Equal([]string{protocol.RunnerDraining}))
 		w.pass(4 * time.Second)
 		Expect(states()).To(Equal([]string{scheduler.StateUnresponsive}))
 		w.owner.Deregister("a", func(err error) { Expect(err).NotTo(HaveOccurred()) })
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -90,7 +90,7 @@
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
 		draining := heartbeatOf("i1", 2)
-		draining.State = protocol.Draining
+		draining.State = protocol.RunnerDraining
 		orders := w.orders(draining)
 		Expect(orders.Start).To(BeEmpty())
 		orders = w.orders(heartbeatOf("i2", 1))
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -41,7 +41,7 @@
 
 // Queues returns where the time of tasks went since this leadership began, by key of the queue. The map must not be
 // changed.
-func (o *Owner) Queues() map[string]*latency.Queue { return o.reasons.recorder.Queues() }
+func (o *Owner) Queues() map[string]*latency.QueueSummary { return o.reasons.recorder.Queues() }
 
 // TakeLate returns the jobs that have ended beyond their objective since the last call, at most 32 of them.
 func (o *Owner) TakeLate() []LateJob {
@@ -114,7 +114,7 @@
 }
 
 // runRecord returns what is known of a run that ends now.
-func (r *runner) runRecord(now time.Duration, key runKey, outcome latency.Cause) latency.Run {
+func (r *runner) runRecord(now time.Duration, key runKey, outcome latency.Reason) latency.Run {
 	run := latency.Run{EndedAt: now, LastContactAt: r.lastContact, Outcome: outcome}
 	if entry := r.listed[key]; entry != nil {
 		run.ListedAt = entry.since
@@ -123,7 +123,7 @@
 }
 
 // reasonOf returns what the time of a run counts as, by its outcome.
-func reasonOf(outcome jobs.Outcome) latency.Cause {
+func reasonOf(outcome jobs.Outcome) latency.Reason {
 	switch outcome {
 	case jobs.OutcomeDone:
 		return latency.Running
@@ -137,7 +137,7 @@
 }
 
 // waitReasonOf returns the wait reason of a task that the planner did not assign.
-func waitReasonOf(reason placement.Reason) latency.Cause {
+func waitReasonOf(reason placement.Reason) latency.Reason {
 	switch reason {
 	case placement.NoGPU:
 		return latency.NoGPU
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -110,7 +110,7 @@
 // beatOf is a heartbeat of a runner with 16 cores.
 func heartbeatOf(instance string, sequence uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
-		Instance: instance, Service: service, Address: "10.0.0.1:1-" + instance, Zone: "z", State: protocol.Ready,
+		Instance: instance, Service: service, Address: "10.0.0.1:1-" + instance, Zone: "z", State: protocol.RunnerReady,
 		Capacity: protocol.Resources{CPU: 16000, MemoryMB: 32768, GPU: 8}, Labels: []string{"a", "r1"}, Sequence: sequence,
 	}
 }
--- a/internal/cluster/simulation/cluster/shell_caller.go
+++ b/internal/cluster/simulation/cluster/shell_caller.go
@@ -64,7 +64,7 @@
 			}
 		}
 		s.cluster.call(s.machine, address, request, timeout, finish)
-		if probing == withProbes && timeout > maxUnansweredProbes*transport.StandardProbeInterval {
+		if probing == withProbes && timeout > maxUnansweredProbes*transport.DefaultProbeInterval {
 			s.probe(address, func() bool { return over || ctx.Err() != nil }, func() {
 				finish(nil, failure.New(failure.UnknownOutcome, "the peer does not respond to probes"))
 			})
@@ -103,9 +103,9 @@
 			return
 		}
 		network.Send(s.machine, to, func() { network.Send(to, s.machine, func() { answered = true }) })
-		s.machine.After(transport.StandardProbeInterval, sendProbe)
+		s.machine.After(transport.DefaultProbeInterval, sendProbe)
 	}
-	s.machine.After(transport.StandardProbeInterval, sendProbe)
+	s.machine.After(transport.DefaultProbeInterval, sendProbe)
 }
 
 // storeResponse copies a control process's response to where the caller wants it.
--- a/internal/cluster/simulation/runner_heartbeat.go
+++ b/internal/cluster/simulation/runner_heartbeat.go
@@ -133,11 +133,11 @@
 func (r *Runner) report() *protocol.Heartbeat {
 	heartbeat := &protocol.Heartbeat{
 		Instance: r.incarnation.Instance, Service: r.Service, Address: r.Address, Zone: r.Zone, Version: "v1", Slots: 8,
-		State: protocol.Ready, Capacity: r.Capacity, Labels: []string{r.Kind, r.Rack}, Sequence: r.heartbeats,
+		State: protocol.RunnerReady, Capacity: r.Capacity, Labels: []string{r.Kind, r.Rack}, Sequence: r.heartbeats,
 		ClockMs: r.clockMs(),
 	}
 	if r.draining {
-		heartbeat.State = protocol.Draining
+		heartbeat.State = protocol.RunnerDraining
 		heartbeat.RemainingMs = max(0, r.leavesAt-r.world.now).Milliseconds()
 	}
 	if !r.Invoked {
@@ -161,7 +161,7 @@
 
 // apply carries out the response to a heartbeat, given when it was sent and the state that it reported.
 func (r *Runner) apply(orders *protocol.Orders, sent time.Duration, state string) {
-	if state == protocol.Draining && r.incarnation.DrainAcknowledged == Never {
+	if state == protocol.RunnerDraining && r.incarnation.DrainAcknowledged == Never {
 		r.incarnation.DrainAcknowledged = r.world.now
 	}
 	if orders.FenceToken < r.fenceToken {
--- a/internal/cluster/transport/bench_test.go
+++ b/internal/cluster/transport/bench_test.go
@@ -6,7 +6,7 @@
 )
 
 func benchmarkServer(b *testing.B) (address string) {
-	server := NewServer(Options{})
+	server := NewServer(ServerOptions{})
 	HandleAsync(server, func(_ string, q *question, answer func(*reply, error)) {
 		answer(&reply{Text: q.Text, Inner: inner{Values: []int{q.Number}}}, nil)
 	})
--- a/internal/cluster/transport/calls_test.go
+++ b/internal/cluster/transport/calls_test.go
@@ -19,7 +19,7 @@
 	ctx := context.Background()
 
 	It("are answered, with the caller's name and time known to the handler", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(ctx context.Context, from string, q *question) (*reply, error) {
 			_, bounded := ctx.Deadline()
 			return &reply{Text: fmt.Sprintf("%s %s %v", from, q.Text, bounded), Inner: inner{Values: []int{q.Number}}}, nil
@@ -39,7 +39,7 @@
 	})
 
 	It("are answered out of order", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		replies := map[int]func(*reply, error){}
 		HandleAsync(server, func(_ string, q *question, answer func(*reply, error)) {
 			replies[q.Number] = answer
@@ -66,7 +66,7 @@
 	})
 
 	It("may carry nothing either way", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(context.Context, string, *nothing) (*nothing, error) { return nil, nil })
 		Handle(server, func(context.Context, string, *question) (*nothing, error) { return &nothing{}, nil })
 		address := serve(server)
@@ -79,7 +79,7 @@
 
 	DescribeTable("bring the error's kind, message and leader",
 		func(given error, kind failure.Kind, message, leader string) {
-			server := NewServer(Options{})
+			server := NewServer(ServerOptions{})
 			Handle(server, func(context.Context, string, *question) (*reply, error) { return nil, given })
 			address := serve(server)
 			_, err := Call[question, reply](ctx, newTestClient(ClientOptions{}), address, &question{})
@@ -95,7 +95,7 @@
 	)
 
 	It("to what nobody handles are Unavailable, and spoil nothing for the next", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
 		client := newTestClient(ClientOptions{})
@@ -108,7 +108,7 @@
 	})
 
 	It("that are answered by another type have an unknown outcome, and spoil nothing for the next", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(context.Context, string, *question) (*notice, error) { return &notice{Text: "x"}, nil })
 		Handle(server, func(context.Context, string, *nothing) (*reply, error) { return &reply{Text: "fine"}, nil })
 		address := serve(server)
@@ -121,7 +121,7 @@
 	})
 
 	It("that are too large are refused without harm to the connection", func() {
-		server := NewServer(Options{MaxFrameBytes: 2000})
+		server := NewServer(ServerOptions{MaxFrameBytes: 2000})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) {
 			return &reply{Text: strings.Repeat("x", q.Number)}, nil
 		})
@@ -143,7 +143,7 @@
 
 	It("that gob cannot carry are refused without harm to the connection", func() {
 		type holed struct{ Inner []*inner }
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, h *holed) (*reply, error) {
 			return &reply{Inner: inner{Values: []int{len(h.Inner)}}}, nil
 		})
@@ -157,7 +157,7 @@
 	})
 
 	It("beyond the limit of goroutines are Unavailable", func() {
-		server := NewServer(Options{MaxHandlers: 1})
+		server := NewServer(ServerOptions{MaxHandlers: 1})
 		entered, leave := make(chan struct{}), make(chan struct{})
 		Handle(server, func(context.Context, string, *question) (*reply, error) {
 			close(entered)
@@ -179,7 +179,7 @@
 	})
 
 	It("beyond the limit of open calls are Unavailable", func() {
-		server := NewServer(Options{MaxOutstanding: 1})
+		server := NewServer(ServerOptions{MaxOutstanding: 1})
 		held := make(chan func(*reply, error), 2)
 		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
 		address := serve(server)
@@ -200,7 +200,7 @@
 
 var _ = Describe("Messages", func() {
 	It("arrive in order, beside calls", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		texts := make(chan string, 10)
 		HandleOneWay(server, func(from string, n *notice) { texts <- from + " " + n.Text })
 		Handle(server, func(context.Context, string, *notice) (*reply, error) { return &reply{Text: "called"}, nil })
@@ -220,7 +220,7 @@
 
 var _ = Describe("Registering", func() {
 	It("one type twice panics", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		HandleOneWay(server, func(string, *notice) {})
 		Expect(func() { HandleOneWay(server, func(string, *notice) {}) }).To(Panic())
 		Handle(server, func(context.Context, string, *notice) (*reply, error) { return nil, nil })
--- a/internal/cluster/transport/faults_test.go
+++ b/internal/cluster/transport/faults_test.go
@@ -118,7 +118,7 @@
 		in := greeted(far)
 		Eventually(func() bool { return isStanding(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		for range 3 {
-			advance(clock, StandardProbeInterval)
+			advance(clock, DefaultProbeInterval)
 		}
 		pings := 0
 		for pings < 2 { // reading on keeps the client's writes from waiting
@@ -130,13 +130,13 @@
 			}
 		}
 		Expect(ended).NotTo(Receive())
-		advance(clock, StandardProbeInterval)
+		advance(clock, DefaultProbeInterval)
 		expectKind(ended, failure.UnknownOutcome)
 	})
 
 	It("answers pings is waited for", func() {
 		clock := clockwork.NewFakeClock()
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		held := make(chan func(*reply, error), 1)
 		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
 		address := serve(server)
@@ -145,12 +145,12 @@
 		var answer func(*reply, error)
 		Eventually(held).WithTimeout(soon).Should(Receive(&answer))
 		Eventually(func() bool { return isStanding(client, address) }).WithTimeout(soon).Should(BeTrue())
-		advance(clock, StandardProbeInterval)
+		advance(clock, DefaultProbeInterval)
 		for range 10 {
 			before := readsOf(client, address)
-			advance(clock, StandardProbeInterval)
+			advance(clock, DefaultProbeInterval)
 			Eventually(func() uint64 { return readsOf(client, address) }).WithTimeout(soon).Should(BeNumerically(">", before))
-			advance(clock, StandardProbeInterval)
+			advance(clock, DefaultProbeInterval)
 		}
 		answer(&reply{}, nil)
 		Eventually(ended).WithTimeout(soon).Should(Receive(BeNil()))
@@ -165,7 +165,7 @@
 	})
 
 	It("takes nothing holds up neither messages nor other peers", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
 		stuck := newPipes()
@@ -188,7 +188,7 @@
 	})
 
 	It("has not answered when ctx ends gets UnknownOutcome, and a late answer does no harm", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		held := make(chan func(*reply, error), 1)
 		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
 		Handle(server, func(context.Context, string, *nothing) (*reply, error) { return &reply{Text: "on time"}, nil })
@@ -247,7 +247,7 @@
 
 var _ = Describe("A client that is closed", func() {
 	It("ends its calls and takes no more", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		held := make(chan func(*reply, error), 1)
 		HandleAsync(server, func(_ string, _ *question, answer func(*reply, error)) { held <- answer })
 		address := serve(server)
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -281,7 +281,7 @@
 // dial starts a server and returns a connection to it.
 func dial(register func(*transport.Server)) net.Conn {
 	GinkgoHelper()
-	server := transport.NewServer(transport.Options{})
+	server := transport.NewServer(transport.ServerOptions{})
 	register(server)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -36,7 +36,7 @@
 		_, err = Call[greetedRequest, greetedResponse](ctx, hasty, address, &greetedRequest{Number: 2})
 		Expect(failure.KindOf(err)).To(Or(Equal(failure.Unavailable), Equal(failure.UnknownOutcome)))
 
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, request *greetedRequest) (*greetedResponse, error) {
 			return &greetedResponse{Number: request.Number}, nil
 		})
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -24,13 +24,13 @@
 	StandardDialTimeout     = 700 * time.Millisecond
 	StandardGreetingTimeout = time.Second
 	StandardWriteTimeout    = 1500 * time.Millisecond
-	StandardProbeInterval   = 300 * time.Millisecond
+	DefaultProbeInterval    = 300 * time.Millisecond
 	StandardLeastBackoff    = 50 * time.Millisecond
 	StandardMostBackoff     = 500 * time.Millisecond
 )
 
-// Options sets up a Server. The zero value of each field stands for its standard value.
-type Options struct {
+// ServerOptions sets up a Server. The zero value of each field stands for its standard value.
+type ServerOptions struct {
 	Logger         log.Logger // nil: nothing is logged
 	Clock          clockwork.Clock
 	MaxFrameBytes  int           // larger frames close the connection (incoming) or are refused (outgoing)
@@ -58,7 +58,7 @@
 	Dial            func(ctx context.Context, address string) (net.Conn, error)
 }
 
-func (o Options) complete() Options {
+func (o ServerOptions) complete() ServerOptions {
 	if o.Logger == nil {
 		o.Logger = log.NewNopLogger()
 	}
@@ -89,7 +89,7 @@
 	o.DialTimeout = cmp.Or(o.DialTimeout, StandardDialTimeout)
 	o.GreetingTimeout = cmp.Or(o.GreetingTimeout, StandardGreetingTimeout)
 	o.WriteTimeout = cmp.Or(o.WriteTimeout, StandardWriteTimeout)
-	o.ProbeInterval = cmp.Or(o.ProbeInterval, StandardProbeInterval)
+	o.ProbeInterval = cmp.Or(o.ProbeInterval, DefaultProbeInterval)
 	o.LeastBackoff = cmp.Or(o.LeastBackoff, StandardLeastBackoff)
 	o.MostBackoff = cmp.Or(o.MostBackoff, StandardMostBackoff)
 	return o
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -15,7 +15,7 @@
 
 // Server answers the calls of other processes. Its handlers are registered before Serve.
 type Server struct {
-	options  Options
+	options  ServerOptions
 	handlers map[string]handler // by name of the request's type
 	ctx      context.Context    // of handlers
 	cancel   context.CancelFunc
@@ -29,7 +29,7 @@
 }
 
 // NewServer returns a server without handlers.
-func NewServer(options Options) *Server {
+func NewServer(options ServerOptions) *Server {
 	s := &Server{
 		options:   options.complete(),
 		handlers:  map[string]handler{},
--- a/internal/cluster/transport/server_test.go
+++ b/internal/cluster/transport/server_test.go
@@ -25,7 +25,7 @@
 	DescribeTable("cuts who sends nonsense, and names it",
 		func(sent []byte, name string) {
 			logged := newLines()
-			server := NewServer(Options{Logger: logged, MaxFrameBytes: 1000})
+			server := NewServer(ServerOptions{Logger: logged, MaxFrameBytes: 1000})
 			Handle(server, func(context.Context, string, *question) (*reply, error) { return &reply{}, nil })
 			address := serve(server)
 			conn, err := net.Dial("tcp", address)
@@ -54,7 +54,7 @@
 	)
 
 	It("cuts who never reads its answers", func() {
-		server := NewServer(Options{MaxQueueBytes: 1000, WriteTimeout: time.Hour})
+		server := NewServer(ServerOptions{MaxQueueBytes: 1000, WriteTimeout: time.Hour})
 		Handle(server, func(context.Context, string, *question) (*reply, error) {
 			return &reply{Text: strings.Repeat("x", 1<<20)}, nil
 		})
@@ -73,7 +73,7 @@
 	})
 
 	It("takes no more connections than allowed", func() {
-		server := NewServer(Options{MaxConnections: 1})
+		server := NewServer(ServerOptions{MaxConnections: 1})
 		Handle(server, func(context.Context, string, *question) (*reply, error) { return &reply{}, nil })
 		address := serve(server)
 		_, err := Call[question, reply](context.Background(), newTestClient(ClientOptions{}), address, &question{})
@@ -83,7 +83,7 @@
 	})
 
 	It("that is closed writes the answers that are there, and ends handlers' contexts", func() {
-		server := NewServer(Options{})
+		server := NewServer(ServerOptions{})
 		entered := make(chan struct{})
 		Handle(server, func(ctx context.Context, _ string, _ *question) (*reply, error) {
 			close(entered)
@@ -110,12 +110,12 @@
 		listener, err := Listen(context.Background(), "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		_ = listener.Close()
-		Expect(NewServer(Options{}).Serve(context.Background(), listener)).NotTo(Succeed())
+		Expect(NewServer(ServerOptions{}).Serve(context.Background(), listener)).NotTo(Succeed())
 	})
 
 	It("that is short of descriptors goes on after a pause", func() {
 		clock := clockwork.NewFakeClock()
-		server := NewServer(Options{Clock: clock})
+		server := NewServer(ServerOptions{Clock: clock})
 		broken := &shortListener{closed: make(chan struct{}), results: []error{syscall.EMFILE, syscall.ECONNABORTED, os.ErrInvalid}}
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(context.Background(), broken) }()
