--- a/internal/cluster/administration/jobs.go
+++ b/internal/cluster/administration/jobs.go
@@ -68,7 +68,7 @@
 		response, err := read[protocol.StatusRequest, protocol.StatusResponse](
 			ctx, c, shard, &protocol.StatusRequest{Shard: shard, ID: id})
 		if err == nil {
-			return response.State, shard, nil
+			return string(response.State), shard, nil
 		}
 		if failure.KindOf(err) != failure.Gone {
 			return "", 0, err
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"slices"
 	"time"
 
 	. "github.com/onsi/gomega"
@@ -179,6 +180,39 @@
 	return member
 }
 
+// restart restarts a member from the log that a disk which syncs at once has, from a snapshot on.
+func (g *group) restart(id MemberID, snapshot *Snapshot) *testMember {
+	old := g.member(id)
+	restored := Restored{HardState: HardState{Term: old.term, Vote: old.vote}, Snapshot: snapshot, Entries: old.log.entries}
+	g.members = slices.DeleteFunc(g.members, func(member *testMember) bool { return member == old })
+	return g.add(id, restored)
+}
+
+// expireLeaderContacts makes all members consider their leader failed, so that they vote at once.
+func (g *group) expireLeaderContacts() {
+	for _, member := range g.members {
+		member.lastLeaderContact = 0
+	}
+}
+
+// runElection lets the election timeout of a member expire and delivers what follows.
+func (g *group) runElection(member *testMember) {
+	g.now = max(g.now, member.electionDeadline)
+	member.Tick(g.now)
+	g.deliverAll()
+}
+
+// countReady returns how many of these members are leaders that are ready.
+func (g *group) countReady(ids ...MemberID) int {
+	count := 0
+	for _, id := range ids {
+		if g.member(id).Status().Ready {
+			count++
+		}
+	}
+	return count
+}
+
 // propose proposes a command to a leader and returns its index.
 func (g *group) propose(leader *testMember, data string) uint64 {
 	index, _, err := leader.Propose(g.now, []byte(data))
@@ -217,6 +251,16 @@
 	return func(message Message) bool { return message.From == id || message.To == id }
 }
 
+// allExcept matches all messages but those from one member to some others.
+func allExcept(from MemberID, to ...MemberID) func(Message) bool {
+	return func(message Message) bool { return message.From != from || !slices.Contains(to, message.To) }
+}
+
+// from matches all messages from these members.
+func from(ids ...MemberID) func(Message) bool {
+	return func(message Message) bool { return slices.Contains(ids, message.From) }
+}
+
 // ofKind matches all messages of a kind.
 func ofKind(kind MessageKind) func(Message) bool {
 	return func(message Message) bool { return message.Kind == kind }
--- a/internal/cluster/jobs/repetitions.go
+++ b/internal/cluster/jobs/repetitions.go
@@ -1,6 +1,10 @@
 package jobs
 
-import "slices"
+import (
+	"slices"
+
+	"ospreypond/internal/cluster/protocol"
+)
 
 // maxOpenTasks limits the tasks of a job's open repetitions: those that are due and not complete. Repetitions that fall
 // due beyond it are opened as earlier ones complete.
@@ -63,5 +67,5 @@
 		return
 	}
 	s.counters.Completed++
-	s.endJob(job, JobCompleted)
+	s.endJob(job, protocol.JobCompleted)
 }
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -203,7 +203,7 @@
 // report adds an ended run to the next heartbeats, and has one sent soon.
 func (c *Core) report(now time.Duration, task string, number uint64, how string) {
 	c.lastNumber++
-	c.finished = append(c.finished, protocol.FinishedRun{N: c.lastNumber, Task: task, Run: number, How: how})
+	c.finished = append(c.finished, protocol.FinishedRun{N: c.lastNumber, Task: task, Run: number, How: protocol.RunEnd(how)})
 	c.endedRuns[task] = max(c.endedRuns[task], number)
 	c.nextHeartbeat = min(c.nextHeartbeat, now+endReportDelay)
 }
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -75,6 +75,6 @@
 	case !r.hasReported || now-r.lastContact > shownUnresponsiveAfter:
 		return StateUnresponsive
 	default:
-		return r.report.State
+		return string(r.report.State)
 	}
 }
--- a/internal/cluster/simulation/runner_heartbeat.go
+++ b/internal/cluster/simulation/runner_heartbeat.go
@@ -160,7 +160,7 @@
 }
 
 // apply carries out the response to a heartbeat, given when it was sent and the state that it reported.
-func (r *Runner) apply(orders *protocol.Orders, sent time.Duration, state string) {
+func (r *Runner) apply(orders *protocol.Orders, sent time.Duration, state protocol.RunnerState) {
 	if state == protocol.RunnerDraining && r.incarnation.DrainAcknowledged == Never {
 		r.incarnation.DrainAcknowledged = r.world.now
 	}
