--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -8,27 +8,45 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Names of the scheduler's rules, as the users' bench has them.
+// Rule is the name of one of the scheduler's rules, as the users' bench has it.
+type Rule string
+
+// The scheduler's rules. What is said of machines in touch with the control processes, or of a calm, holds only if no fault
+// is near, see Bounds.
 const (
-	RuleLimit   = "LIMIT"
-	RuleTwice   = "TWICE"
-	RuleOrder   = "ORDER"
-	RuleRoute   = "ROUTE"
-	RuleBudget  = "BUDGET"
-	RuleGang    = "GANG"
-	RuleUnasked = "UNASKED"
-	RuleRefused = "REFUSED"
-	RuleDrain   = "DRAIN"
-	RuleMixed   = "MIXED"
-	RuleLost    = "LOST"
-	RuleConfig  = "CONFIG"
-	RuleRecover = "RECOVER"
-	RuleAcks    = "ACKS" // the bench's gate on the operator's changes
+	// RuleLimit: no runner is brought over its capacity, unless it enforces that itself.
+	RuleLimit Rule = "LIMIT"
+	// RuleTwice: a task runs once at a time, and not again after it has ended done.
+	RuleTwice Rule = "TWICE"
+	// RuleOrder: no task starts before the steps that its step depends on are done, or before it is due.
+	RuleOrder Rule = "ORDER"
+	// RuleRoute: a task runs on runners of its queue's service that have the required label, within antiAffinity.
+	RuleRoute Rule = "ROUTE"
+	// RuleBudget: no task starts again once it has failed as often as its route allows.
+	RuleBudget Rule = "BUDGET"
+	// RuleGang: the members of a gang start together, and from the same checkpoint.
+	RuleGang Rule = "GANG"
+	// RuleUnasked: nothing runs that no client submitted, or long after it was cancelled.
+	RuleUnasked Rule = "UNASKED"
+	// RuleRefused: a job of which every submission was rejected never runs.
+	RuleRefused Rule = "REFUSED"
+	// RuleDrain: nothing starts on a runner long after its `draining` was acknowledged.
+	RuleDrain Rule = "DRAIN"
+	// RuleMixed: a job is shown as completed only when all its tasks have ended done.
+	RuleMixed Rule = "MIXED"
+	// RuleLost: an accepted job stays known and is not stalled, and what is shown of it has a cause.
+	RuleLost Rule = "LOST"
+	// RuleConfig: the configuration is what the operator was told, and is followed in time.
+	RuleConfig Rule = "CONFIG"
+	// RuleRecover: after a final fault, submissions are accepted again.
+	RuleRecover Rule = "RECOVER"
+	// RuleAcks is the bench's gate: valid changes are acknowledged in time.
+	RuleAcks Rule = "ACKS"
 )
 
 // Violation is a place where a history breaks a rule.
 type Violation struct {
-	Rule string
+	Rule Rule
 	At   time.Duration
 	What string
 }
@@ -72,7 +90,7 @@
 }
 
 // violated records a violation.
-func (a *auditor) violated(rule string, at time.Duration, format string, args ...any) {
+func (a *auditor) violated(rule Rule, at time.Duration, format string, args ...any) {
 	a.found = append(a.found, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
 }
 
@@ -140,9 +158,9 @@
 	})
 }
 
-// failureBudget returns how many ends `failed` the tasks of a queue may have, by the most and the least generous
-// configuration; 0 is any number.
-func (a *auditor) failureBudget(queue QueueName) (most, least int) {
+// failureBudget returns how many ends `failed` the tasks of a queue may have, by the configuration that allows most and by
+// the one that allows fewest; 0 is any number.
+func (a *auditor) failureBudget(queue QueueName) (highest, lowest int) {
 	seen := false
 	for _, record := range a.Configuration {
 		route, ok := record.Routes[queue]
@@ -151,17 +169,17 @@
 		}
 		budget := route.MaxAttempts
 		if !seen {
-			most, least, seen = budget, budget, true
+			highest, lowest, seen = budget, budget, true
 			continue
 		}
-		if budget == 0 || most == 0 {
-			most = 0
+		if budget == 0 || highest == 0 {
+			highest = 0
 		} else {
-			most = max(most, budget)
+			highest = max(highest, budget)
 		}
-		if budget > 0 && (least == 0 || budget < least) {
-			least = budget
+		if budget > 0 && (lowest == 0 || budget < lowest) {
+			lowest = budget
 		}
 	}
-	return most, least
+	return highest, lowest
 }
--- a/internal/cluster/simulation/audit_configuration_test.go
+++ b/internal/cluster/simulation/audit_configuration_test.go
@@ -25,11 +25,11 @@
 
 var _ = Describe("The auditor of the configuration", func() {
 	DescribeTable("checks a history against the rules", expectAudit,
-		Entry("a change is followed", "", func(b *historyBuilder) {
+		Entry("a change is followed", noViolation, func(b *historyBuilder) {
 			b.secondVersion()
 			b.pendingQuery(3, 200)
 		}),
-		Entry("a change need not be followed at once", "", func(b *historyBuilder) {
+		Entry("a change need not be followed at once", noViolation, func(b *historyBuilder) {
 			b.secondVersion()
 			b.pendingQuery(2.2, 404)
 		}),
@@ -37,7 +37,7 @@
 			b.secondVersion()
 			b.pendingQuery(2.3, 404)
 		}),
-		Entry("a change is not followed in time, by a machine out of touch", "", func(b *historyBuilder) {
+		Entry("a change is not followed in time, by a machine out of touch", noViolation, func(b *historyBuilder) {
 			b.secondVersion()
 			b.pendingQuery(2.3, 404)
 			b.fault(1, 2, Fault{ControlPlane: true})
@@ -60,7 +60,7 @@
 			b.submitted.Submissions[0].Sent, b.submitted.Submissions[0].Answered = at(2.3), at(2.4)
 			b.run(b.first, 0, 0, 1, 3, 4, protocol.EndDone)
 		}),
-		Entry("a job runs at the old service that was submitted soon after the change", "", func(b *historyBuilder) {
+		Entry("a job runs at the old service that was submitted soon after the change", noViolation, func(b *historyBuilder) {
 			b.configuration(2, 1, map[QueueName]RouteRecord{b.submitted.Queue: {Service: "beta", MaxAttempts: 2}})
 			b.ReadBacks = nil
 			b.read(59.5, 2)
@@ -72,12 +72,12 @@
 			b.pendingQuery(0.4, 200)
 			b.pendingQuery(0.8, 404)
 		}),
-		Entry("a machine goes back within the slack", "", func(b *historyBuilder) {
+		Entry("a machine goes back within the slack", noViolation, func(b *historyBuilder) {
 			b.secondVersion()
 			b.pendingQuery(0.4, 200)
 			b.pendingQuery(0.6, 404)
 		}),
-		Entry("a machine goes back with a new incarnation", "", func(b *historyBuilder) {
+		Entry("a machine goes back with a new incarnation", noViolation, func(b *historyBuilder) {
 			b.secondVersion()
 			b.pendingQuery(0.4, 200)
 			b.pendingQuery(0.8, 404)
@@ -90,7 +90,7 @@
 			rejected.Base = 0
 			b.pendingQuery(1, 200)
 		}),
-		Entry("what has an unknown outcome is in force", "", func(b *historyBuilder) {
+		Entry("what has an unknown outcome is in force", noViolation, func(b *historyBuilder) {
 			unknown := b.secondVersion()
 			unknown.Acknowledged = Never
 			unknown.Attempts[0].Answered = Never
@@ -119,7 +119,7 @@
 			record.Attempts[0].ReplyLost = true
 			record.Attempts = append(record.Attempts, Attempt{Sent: at(2), Answered: at(2.1), Status: 412})
 		}),
-		Entry("what was acknowledged is acknowledged again", "", func(b *historyBuilder) {
+		Entry("what was acknowledged is acknowledged again", noViolation, func(b *historyBuilder) {
 			record := b.secondVersion()
 			record.Attempts[0].ReplyLost = true
 			record.Attempts = append(record.Attempts, Attempt{Sent: at(2), Answered: at(2.1), Status: 200})
@@ -129,7 +129,7 @@
 			record.Acknowledged = Never
 			record.Attempts[0].Answered = Never
 		}),
-		Entry("a change is not acknowledged near a fault", "", func(b *historyBuilder) {
+		Entry("a change is not acknowledged near a fault", noViolation, func(b *historyBuilder) {
 			record := b.configuration(2, 1, b.routesWith())
 			record.Acknowledged = Never
 			record.Attempts[0].Answered = Never
--- a/internal/cluster/simulation/audit_jobs.go
+++ b/internal/cluster/simulation/audit_jobs.go
@@ -101,8 +101,8 @@
 
 // hasExhaustedBudget reports whether by a time some task of a job had failed as often as it may.
 func (a *auditor) hasExhaustedBudget(job *JobRecord, at time.Duration) bool {
-	_, least := a.failureBudget(job.Queue)
-	if least == 0 {
+	_, budget := a.failureBudget(job.Queue)
+	if budget == 0 {
 		return false
 	}
 	found := false
@@ -116,7 +116,7 @@
 				failed[run.Number] = true
 			}
 		}
-		found = len(failed) >= least
+		found = len(failed) >= budget
 		return !found
 	})
 	return found
--- a/internal/cluster/simulation/audit_promises_test.go
+++ b/internal/cluster/simulation/audit_promises_test.go
@@ -6,23 +6,23 @@
 )
 
 var _ = DescribeTable("What is promised beyond the rules",
-	func(rule string, build func(b *historyBuilder)) {
+	func(rule Rule, build func(b *historyBuilder)) {
 		b := newHistoryBuilder()
 		b.fault(0, 60, Fault{ControlPlane: true, Machines: []string{"front-0"}})
 		build(b)
 		found := AuditPromises(b.History)
-		if rule == "" {
+		if rule == noViolation {
 			Expect(found).To(BeEmpty())
 			return
 		}
 		Expect(found).To(HaveLen(1))
 		Expect(found[0].Rule).To(Equal(rule), found[0].String())
 	},
-	Entry("a job may be unknown soon after its acceptance", "", func(b *historyBuilder) { b.query(3.9, 410, "") }),
+	Entry("a job may be unknown soon after its acceptance", noViolation, func(b *historyBuilder) { b.query(3.9, 410, "") }),
 	Entry("a job is never unknown later", RuleLost, func(b *historyBuilder) { b.query(4.1, 410, "") }),
-	Entry("a job that was cancelled may be unknown", "", func(b *historyBuilder) { b.cancel(3); b.query(14, 410, "") }),
-	Entry("a job that was not accepted may be unknown", "", func(b *historyBuilder) { b.submitted.Accepted = Never; b.query(14, 410, "") }),
-	Entry("a change need not be followed at once", "", func(b *historyBuilder) {
+	Entry("a job that was cancelled may be unknown", noViolation, func(b *historyBuilder) { b.cancel(3); b.query(14, 410, "") }),
+	Entry("a job that was not accepted may be unknown", noViolation, func(b *historyBuilder) { b.submitted.Accepted = Never; b.query(14, 410, "") }),
+	Entry("a change need not be followed at once", noViolation, func(b *historyBuilder) {
 		b.secondVersion()
 		b.pendingQuery(2.2, 404)
 	}),
@@ -35,7 +35,7 @@
 		b.configuration(3, 2, b.routesWith())
 		b.pendingQuery(5, 200)
 	}),
-	Entry("a submission by an older version is left to the owner of its shard", "", func(b *historyBuilder) {
+	Entry("a submission by an older version is left to the owner of its shard", noViolation, func(b *historyBuilder) {
 		b.secondVersion()
 		b.configuration(3, 2, b.routesWith())
 		b.submitted.Queue = QueueName{"h", "/v2/"}
--- a/internal/cluster/simulation/audit_test.go
+++ b/internal/cluster/simulation/audit_test.go
@@ -8,8 +8,8 @@
 
 var _ = Describe("The auditor", func() {
 	DescribeTable("checks a history against the rules", expectAudit,
-		Entry("nothing has happened", "", func(b *historyBuilder) {}),
-		Entry("all goes well", "", func(b *historyBuilder) {
+		Entry("nothing has happened", noViolation, func(b *historyBuilder) {}),
+		Entry("all goes well", noViolation, func(b *historyBuilder) {
 			b.completeFirstStep()
 			for i := range 2 {
 				b.run(b.first, 1, i, 1, 4, 5, protocol.EndDone)
@@ -18,7 +18,7 @@
 			b.query(6, 200, protocol.JobCompleted)
 		}),
 
-		Entry("LIMIT: full to the brim", "", func(b *historyBuilder) {
+		Entry("LIMIT: full to the brim", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 4, protocol.EndDone)
 			b.run(b.first, 0, 1, 1, 3, 4, protocol.EndDone)
 		}),
@@ -36,13 +36,13 @@
 			b.submitted.Spec.Steps[0].GPU = 1
 			b.run(b.first, 0, 0, 1, 2, 4, protocol.EndStopped)
 		}),
-		Entry("LIMIT: a runner that guards its capacity", "", func(b *historyBuilder) {
+		Entry("LIMIT: a runner that guards its capacity", noViolation, func(b *historyBuilder) {
 			b.first.EnforcesCapacity = true
 			b.submitted.Spec.Steps[0].CPU = 9000
 			b.run(b.first, 0, 0, 1, 2, 4, protocol.EndStopped)
 		}),
 
-		Entry("TWICE: one after the other", "", func(b *historyBuilder) {
+		Entry("TWICE: one after the other", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndStopped)
 			b.run(b.second, 0, 0, 2, 3, 4, protocol.EndDone)
 		}),
@@ -50,12 +50,12 @@
 			b.run(b.first, 0, 0, 1, 2, 3.1, protocol.EndStopped)
 			b.run(b.second, 0, 0, 2, 3, 4, protocol.EndStopped)
 		}),
-		Entry("TWICE: at one time, where a task may run twice", "", func(b *historyBuilder) {
+		Entry("TWICE: at one time, where a task may run twice", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].AtMostOnce = true
 			b.run(b.first, 0, 0, 1, 2, 3.1, protocol.EndStopped)
 			b.run(b.second, 0, 0, 2, 3, 4, protocol.EndStopped)
 		}),
-		Entry("TWICE: the first died with its runner", "", func(b *historyBuilder) {
+		Entry("TWICE: the first died with its runner", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 2.5, EndCrashed).Acknowledged = Never
 			b.run(b.second, 0, 0, 2, 3, 4, protocol.EndDone)
 		}),
@@ -67,15 +67,15 @@
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone).Acknowledged = at(9)
 			b.run(b.second, 0, 0, 2, 3.5, 4, protocol.EndStopped)
 		}),
-		Entry("TWICE: after an end that was never acknowledged", "", func(b *historyBuilder) {
+		Entry("TWICE: after an end that was never acknowledged", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone).Acknowledged = Never
 			b.run(b.second, 0, 0, 2, 3.5, 4, protocol.EndStopped)
 		}),
-		Entry("TWICE: after an end whose runner's lease expired before it was acknowledged", "", func(b *historyBuilder) {
+		Entry("TWICE: after an end whose runner's lease expired before it was acknowledged", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone).LapsedBeforeAck = true
 			b.run(b.second, 0, 0, 2, 5.5, 6, protocol.EndStopped)
 		}),
-		Entry("TWICE: a second run soon after the end", "", func(b *historyBuilder) {
+		Entry("TWICE: a second run soon after the end", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].AtMostOnce = true
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.second, 0, 0, 2, 4, 5, protocol.EndStopped)
@@ -85,7 +85,7 @@
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.second, 0, 0, 2, 4.2, 5, protocol.EndStopped)
 		}),
-		Entry("TWICE: a second run long after the end, by a machine out of touch", "", func(b *historyBuilder) {
+		Entry("TWICE: a second run long after the end, by a machine out of touch", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].AtMostOnce = true
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.second, 0, 0, 2, 4.2, 5, protocol.EndStopped)
@@ -95,7 +95,7 @@
 			b.run(b.first, 2, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.second, 2, 1, 2, 3.5, 4, protocol.EndStopped)
 		}),
-		Entry("TWICE: a long-running task is started again", "", func(b *historyBuilder) {
+		Entry("TWICE: a long-running task is started again", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].LongRunning = true
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.second, 0, 0, 2, 6, 7, protocol.EndDone)
@@ -111,7 +111,7 @@
 			b.run(b.second, 0, 1, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 1, 0, 1, 3.5, 5, protocol.EndDone)
 		}),
-		Entry("ORDER: when it is due", "", func(b *historyBuilder) {
+		Entry("ORDER: when it is due", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Repetitions, b.submitted.Spec.FirstRunMs = 1, EpochMs+2200
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
@@ -119,7 +119,7 @@
 			b.submitted.Spec.Repetitions, b.submitted.Spec.FirstRunMs = 1, EpochMs+2300
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
-		Entry("ORDER: before it is due, while clocks are stepped", "", func(b *historyBuilder) {
+		Entry("ORDER: before it is due, while clocks are stepped", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Repetitions, b.submitted.Spec.FirstRunMs = 1, EpochMs+7200
 			b.fault(30, 30, Fault{Clock: true})
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
@@ -134,7 +134,7 @@
 		Entry("ROUTE: another service", RuleRoute, func(b *historyBuilder) {
 			b.run(b.runner("i-3", "beta", "a"), 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
-		Entry("ROUTE: a service that some configuration sends the queue to", "", func(b *historyBuilder) {
+		Entry("ROUTE: a service that some configuration sends the queue to", noViolation, func(b *historyBuilder) {
 			b.configuration(5, 1, map[QueueName]RouteRecord{b.submitted.Queue: {Service: "beta", MaxAttempts: 2}})
 			b.read(59.6, 5)
 			b.ReadBacks = b.ReadBacks[1:]
@@ -144,7 +144,7 @@
 			b.submitted.Spec.Steps[0].Requirements = "b"
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
-		Entry("ROUTE: with the label", "", func(b *historyBuilder) {
+		Entry("ROUTE: with the label", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].Requirements = "b"
 			b.run(b.second, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
@@ -153,13 +153,13 @@
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.first, 0, 1, 1, 2.5, 3, protocol.EndDone)
 		}),
-		Entry("ROUTE: within antiAffinity, one after the other", "", func(b *historyBuilder) {
+		Entry("ROUTE: within antiAffinity, one after the other", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].AntiAffinity = 1
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 			b.run(b.first, 0, 1, 1, 3, 4, protocol.EndDone)
 		}),
 
-		Entry("BUDGET: within it", "", func(b *historyBuilder) {
+		Entry("BUDGET: within it", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 0, 0, 2, 4, 5, protocol.EndFailed)
 		}),
@@ -168,12 +168,12 @@
 			b.run(b.first, 0, 0, 2, 4, 5, protocol.EndFailed)
 			b.run(b.first, 0, 0, 3, 6, 7, protocol.EndDone)
 		}),
-		Entry("BUDGET: an end that was never acknowledged", "", func(b *historyBuilder) {
+		Entry("BUDGET: an end that was never acknowledged", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 0, 0, 2, 4, 5, protocol.EndFailed).Acknowledged = Never
 			b.run(b.first, 0, 0, 3, 6, 7, protocol.EndDone)
 		}),
-		Entry("BUDGET: a gang's runs count once each", "", func(b *historyBuilder) {
+		Entry("BUDGET: a gang's runs count once each", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 2, 0, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 2, 1, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 2, 0, 2, 4, 5, protocol.EndDone)
@@ -184,7 +184,7 @@
 			b.run(b.first, 2, 1, 2, 4, 5, protocol.EndFailed)
 			b.run(b.first, 2, 0, 3, 6, 7, protocol.EndDone)
 		}),
-		Entry("BUDGET: none for long-running tasks", "", func(b *historyBuilder) {
+		Entry("BUDGET: none for long-running tasks", noViolation, func(b *historyBuilder) {
 			b.submitted.Spec.Steps[0].LongRunning = true
 			for i := range 5 {
 				b.run(b.first, 0, 0, uint64(i+1), 2+float64(i), 2.5+float64(i), protocol.EndFailed)
@@ -194,7 +194,7 @@
 		Entry("GANG: alone in a calm", RuleGang, func(b *historyBuilder) {
 			b.run(b.first, 2, 0, 1, 5, 8, protocol.EndAlone)
 		}),
-		Entry("GANG: alone near a fault", "", func(b *historyBuilder) {
+		Entry("GANG: alone near a fault", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 2, 0, 1, 5, 8, protocol.EndAlone)
 			b.fault(6, 7, Fault{Kind: "srv_crash"})
 		}),
@@ -202,7 +202,7 @@
 			b.run(b.first, 2, 0, 1, 5, 8, protocol.EndAlone)
 			b.fault(6, 7, Fault{Kind: "config", Planned: true})
 		}),
-		Entry("GANG: alone after its job was cancelled", "", func(b *historyBuilder) {
+		Entry("GANG: alone after its job was cancelled", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 2, 0, 1, 5, 8, protocol.EndAlone)
 			b.cancel(6)
 		}),
@@ -220,7 +220,7 @@
 		Entry("UNASKED: another spec", RuleUnasked, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone).Spec = "another text"
 		}),
-		Entry("UNASKED: its own checkpoint", "", func(b *historyBuilder) {
+		Entry("UNASKED: its own checkpoint", noViolation, func(b *historyBuilder) {
 			b.completeFirstStep()
 			b.run(b.first, 1, 1, 1, 4, 5, protocol.EndDone).Checkpoint = formatCheckpoint(TaskName{testJob, 0, 1, 1}, false, 7)
 		}),
@@ -231,7 +231,7 @@
 		Entry("UNASKED: a checkpoint where there is none", RuleUnasked, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 4, 5, protocol.EndDone).Checkpoint = formatCheckpoint(TaskName{testJob, 0, 0, 0}, false, 7)
 		}),
-		Entry("UNASKED: a start soon after the cancel", "", func(b *historyBuilder) {
+		Entry("UNASKED: a start soon after the cancel", noViolation, func(b *historyBuilder) {
 			b.cancel(4)
 			b.run(b.first, 0, 0, 1, 7, 7.5, protocol.EndStopped)
 		}),
@@ -248,7 +248,7 @@
 			b.cancel(4)
 			b.run(b.first, 0, 0, 1, 3, 8.2, protocol.EndStopped)
 		}),
-		Entry("UNASKED: it goes on after the cancel, near a fault", "", func(b *historyBuilder) {
+		Entry("UNASKED: it goes on after the cancel, near a fault", noViolation, func(b *historyBuilder) {
 			b.cancel(4)
 			b.run(b.first, 0, 0, 1, 3, 8.2, protocol.EndStopped)
 			b.fault(6, 7, Fault{Kind: "cut", Machines: []string{"side-i-1"}})
@@ -259,18 +259,18 @@
 			b.submitted.Submissions = []Attempt{{Sent: at(1), Answered: at(1.1), Status: 503}, {Sent: at(1.5), Answered: at(1.6), Status: 429}}
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
-		Entry("REFUSED: one submission was not answered", "", func(b *historyBuilder) {
+		Entry("REFUSED: one submission was not answered", noViolation, func(b *historyBuilder) {
 			b.submitted.Accepted = Never
 			b.submitted.Submissions = []Attempt{{Sent: at(1), Answered: Never}, {Sent: at(1.5), Answered: at(1.6), Status: 429}}
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
-		Entry("REFUSED: one submission got 504", "", func(b *historyBuilder) {
+		Entry("REFUSED: one submission got 504", noViolation, func(b *historyBuilder) {
 			b.submitted.Accepted = Never
 			b.submitted.Submissions = []Attempt{{Sent: at(1), Answered: at(1.1), Status: 504}, {Sent: at(1.5), Answered: at(1.6), Status: 429}}
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
 		}),
 
-		Entry("DRAIN: within drainMs", "", func(b *historyBuilder) {
+		Entry("DRAIN: within drainMs", noViolation, func(b *historyBuilder) {
 			b.first.DrainAcknowledged = at(4)
 			b.run(b.first, 0, 0, 1, 6, 7, protocol.EndDone)
 		}),
@@ -278,7 +278,7 @@
 			b.first.DrainAcknowledged = at(4)
 			b.run(b.first, 0, 0, 1, 6.1, 7, protocol.EndDone)
 		}),
-		Entry("DRAIN: after drainMs, by a machine out of touch", "", func(b *historyBuilder) {
+		Entry("DRAIN: after drainMs, by a machine out of touch", noViolation, func(b *historyBuilder) {
 			b.first.DrainAcknowledged = at(4)
 			b.run(b.first, 0, 0, 1, 6.1, 7, protocol.EndDone)
 			b.fault(5, 5, Fault{ControlPlane: true})
@@ -292,19 +292,19 @@
 			b.query(6, 200, "done")
 		}),
 
-		Entry("LOST: unknown soon after its acceptance", "", func(b *historyBuilder) { b.query(3.9, 410, "") }),
+		Entry("LOST: unknown soon after its acceptance", noViolation, func(b *historyBuilder) { b.query(3.9, 410, "") }),
 		Entry("LOST: unknown long after its acceptance", RuleLost, func(b *historyBuilder) { b.query(4.1, 410, "") }),
-		Entry("LOST: unknown, by a machine out of touch", "", func(b *historyBuilder) {
+		Entry("LOST: unknown, by a machine out of touch", noViolation, func(b *historyBuilder) {
 			b.query(4.1, 410, "")
 			b.fault(3, 4, Fault{Machines: []string{"front-0"}})
 		}),
-		Entry("LOST: unknown after a cancel", "", func(b *historyBuilder) { b.cancel(3); b.query(14, 410, "") }),
+		Entry("LOST: unknown after a cancel", noViolation, func(b *historyBuilder) { b.cancel(3); b.query(14, 410, "") }),
 		Entry("LOST: failed without cause", RuleLost, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 0, 0, 2, 4, 5, protocol.EndLapsed)
 			b.query(6, 200, protocol.JobFailed)
 		}),
-		Entry("LOST: failed with cause", "", func(b *historyBuilder) {
+		Entry("LOST: failed with cause", noViolation, func(b *historyBuilder) {
 			b.run(b.first, 0, 0, 1, 2, 3, protocol.EndFailed)
 			b.run(b.first, 0, 0, 2, 4, 5, protocol.EndFailed)
 			b.query(6, 200, protocol.JobFailed)
@@ -324,7 +324,7 @@
 			b.FinalFault, b.Returned = at(10), at(12)
 			b.AddJob(&JobRecord{ID: "00000000000000cc", Accepted: Never, Submissions: []Attempt{{Sent: at(30), Answered: Never}}})
 		}),
-		Entry("RECOVER: a quarter is accepted", "", func(b *historyBuilder) {
+		Entry("RECOVER: a quarter is accepted", noViolation, func(b *historyBuilder) {
 			b.FinalFault, b.Returned = at(10), at(12)
 			for i := range 4 {
 				job := &JobRecord{ID: string(rune('0' + i)), Accepted: Never, Submissions: []Attempt{{Sent: at(30), Answered: Never}}}
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -3,9 +3,10 @@
 import "time"
 
 // Bounds are the times that the scheduler's rules refer to, and those that the runners follow. They have the names of the
-// settings (docs/settings.md); a fault is near a time if it was on within Contact before it.
+// settings (docs/settings.md). A fault is near a time if it is on then, or was on within Contact before; a calm is a span
+// without a fault near it.
 type Bounds struct {
-	Contact       time.Duration // rules that are bounded in time hold for what no fault was near
+	Contact       time.Duration // from the end of a fault until it is not near any more
 	AckTimeout    time.Duration // in which a valid change, or a cancel, is acknowledged if no fault is near
 	Drain         time.Duration // nothing starts on a runner so long after its `draining` was acknowledged
 	ConfigApply   time.Duration // in which a version is followed after its acknowledgement
--- a/internal/cluster/simulation/client.go
+++ b/internal/cluster/simulation/client.go
@@ -52,7 +52,7 @@
 	return job
 }
 
-// QueryState queries a job's state once. done, which may be nil, gets noResponse and no state if there is no response.
+// QueryState queries a job's state once. done, which may be nil, gets status 0 and no state if there is no response.
 func (c *Clients) QueryState(job *JobRecord, done func(status int, state string)) {
 	c.recordCall(&job.Queries, c.Timeout, func(f Frontend, reply replyFunc) func() {
 		return f.State(job.Queue, job.ID, c.Timeout, reply)
@@ -128,13 +128,13 @@
 	c.World.After(interval, poll)
 }
 
-// noResponse stands for the status of a call that timed out, was reset, or found nobody listening.
+// noResponse is the status of a call that timed out, was reset, or found nobody listening.
 const noResponse = 0
 
 // replyFunc takes a frontend's response; the state is empty unless it was queried.
 type replyFunc func(status int, state string)
 
-// requestFunc sends a request to a frontend and returns a function that tells it that the client has disconnected.
+// requestFunc sends a request to a frontend and returns a function that informs it that the client has disconnected.
 type requestFunc func(f Frontend, reply replyFunc) (disconnect func())
 
 // recordCall makes a call and keeps its attempt in a list: from now on as sent, and as answered when done is called.
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Write sends a request, which data must hold completely.
+// Write sends a request, which must be complete in data.
 func (c *runnerConn) Write(data []byte) (int, error) {
 	select {
 	case <-c.reset:
--- a/internal/cluster/simulation/cluster/shell_caller.go
+++ b/internal/cluster/simulation/cluster/shell_caller.go
@@ -37,7 +37,7 @@
 	return c.do(ctx, address, request, response, withoutProbes)
 }
 
-// probing says whether a call ends when its peer does not respond to probes.
+// probing is the way in which a call ends if its peer becomes unresponsive: by probes, or only by its timeout.
 type probing int
 
 const (
--- a/internal/cluster/simulation/deployment.go
+++ b/internal/cluster/simulation/deployment.go
@@ -159,8 +159,8 @@
 	return document
 }
 
-// BootAll starts all machines, and the runners soon after them.
-func (d *Deployment) BootAll() {
+// bootAll starts all machines, and the runners soon after them.
+func (d *Deployment) bootAll() {
 	const spread = 300 * time.Millisecond
 	for _, machines := range [][]*Machine{d.Controls, d.Frontends, d.AgentMachines} {
 		for _, m := range machines {
--- a/internal/cluster/simulation/disk.go
+++ b/internal/cluster/simulation/disk.go
@@ -26,7 +26,7 @@
 type diskWork struct {
 	machine     *Machine
 	incarnation int
-	syncs       int
+	syncs       int // its time
 	run         func()
 	isParked    bool // until Release
 }
@@ -34,12 +34,12 @@
 // NewDisk returns an empty disk.
 func NewDisk(sync time.Duration) *Disk {
 	d := &Disk{Sync: sync}
-	d.use(&vfstest.Mem{})
+	d.setFiles(&vfstest.Mem{})
 	return d
 }
 
-// use replaces the files.
-func (d *Disk) use(files *vfstest.Mem) {
+// setFiles replaces the files.
+func (d *Disk) setFiles(files *vfstest.Mem) {
 	d.files = files
 	d.files.SetOnCall(d.fault)
 }
@@ -53,7 +53,7 @@
 // shortWriteBytes is how many bytes of a write reach a full disk.
 const shortWriteBytes = 7
 
-// fault returns what happens to a call of a process that lives.
+// fault returns the fault, if any, of a call of the running process.
 func (d *Disk) fault(call vfstest.Call) vfstest.Fault {
 	if d.Full && (call.Op == "write" || call.Op == "create") {
 		return vfstest.Fault{Err: syscall.ENOSPC, Short: shortWriteBytes}
@@ -66,11 +66,11 @@
 func (d *Disk) Perform(m *Machine, syncs int, run func()) {
 	work := &diskWork{machine: m, incarnation: m.incarnation, syncs: syncs, run: run}
 	d.inFlight = append(d.inFlight, work)
-	d.start(work)
+	d.begin(work)
 }
 
-// start begins a piece of work anew, or parks it while the disk is stalled.
-func (d *Disk) start(work *diskWork) {
+// begin lets work take its time from now on, or parks it while the disk is stalled.
+func (d *Disk) begin(work *diskWork) {
 	if d.Stalled {
 		work.isParked = true
 		return
@@ -95,13 +95,13 @@
 	return took * time.Duration(syncs)
 }
 
-// Release ends a stall: what was parked is begun anew.
+// Release ends a stall. What was parked takes its time from now on.
 func (d *Disk) Release() {
 	d.Stalled = false
 	for _, work := range slices.Clone(d.inFlight) {
 		if work.isParked {
 			work.isParked = false
-			work.machine.inIncarnation(work.incarnation, func() { d.start(work) })
+			work.machine.inIncarnation(work.incarnation, func() { d.begin(work) })
 		}
 	}
 }
@@ -120,7 +120,7 @@
 
 var errProcessDied = errors.New("the process has died")
 
-// performInPart performs the first calls of a piece of work, the last of them perhaps a short write. A sync that directly
+// performInPart performs the first calls of some work, the last of them perhaps a short write. A sync that directly
 // follows them is performed too, because the kernel completes a sync without the process that asked for it.
 func (d *Disk) performInPart(w *World, work *diskWork) {
 	const maxCalls, maxShortBytes = 6, 400
@@ -140,11 +140,11 @@
 }
 
 // losePower keeps what was synced and a drawn part of what was written since.
-func (d *Disk) losePower(w *World) { d.use(d.files.Crash(w.Random)) }
+func (d *Disk) losePower(w *World) { d.setFiles(d.files.Crash(w.Random)) }
 
 // wipe replaces the files by none. The process must not run.
 func (d *Disk) wipe() {
 	d.inFlight = nil
 	d.wipes++
-	d.use(&vfstest.Mem{})
+	d.setFiles(&vfstest.Mem{})
 }
--- a/internal/cluster/simulation/fault_machine.go
+++ b/internal/cluster/simulation/fault_machine.go
@@ -43,7 +43,7 @@
 				d.lose(m, processKilled, restartDelay)
 			}
 		}},
-		{"roll_term", (*Deployment).restartInTurn},
+		{"roll_term", (*Deployment).rollingRestart},
 		{"reset_conns", func(d *Deployment, duration time.Duration) {
 			d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "reset_conns", ControlPlane: true})
 			d.Network.Loss = 0.1
@@ -163,8 +163,8 @@
 	d.World.After(duration, func() { eachLink(d.Network.Heal) })
 }
 
-// restartInTurn shuts machines down one after another, as a rolling restart does, and starts each again.
-func (d *Deployment) restartInTurn(time.Duration) {
+// rollingRestart shuts machines down one after another, as a rolling restart does, and starts each again.
+func (d *Deployment) rollingRestart(time.Duration) {
 	const interval = 1100 * time.Millisecond
 	machines := append(slices.Clone(d.drawOuterMachines(0.4)), Pick(d.World, d.Controls))
 	d.World.Random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
--- a/internal/cluster/simulation/history.go
+++ b/internal/cluster/simulation/history.go
@@ -21,8 +21,8 @@
 	Configuration  []*ConfigurationRecord
 	PendingQueries []PendingQuery
 	Faults         []Fault
-	TrafficEnds    time.Duration
-	Ends           time.Duration
+	TrafficEnds    time.Duration // when the last new job may be submitted
+	Ends           time.Duration // when the scenario ends, or 0 in a history that does not go so far
 	ReadBacks      []ReadBack
 	FinalFault     time.Duration // Never: none
 	Returned       time.Duration // when the machines were back from the final fault
@@ -73,7 +73,7 @@
 	Capacity          protocol.Resources
 	EnforcesCapacity  bool // it rejects what does not fit
 	Started           time.Duration
-	Ended             time.Duration // Never while it lives
+	Ended             time.Duration // Never while it is up
 	DrainAcknowledged time.Duration // when its state `draining` was acknowledged, or Never
 	LeaseExpiries     []time.Duration
 }
@@ -202,8 +202,8 @@
 	From, To     time.Duration
 	Kind         string
 	Machines     []string // that it strikes
-	ControlPlane bool     // it destabilises the control processes as long as it lasts
-	Clock        bool     // it steps a time of day
-	Planned      bool     // changes, cancels, jobs that always fail, new runners: no excuse for a gang that starts alone
-	RunnersLeave bool     // runners leave in good order
+	ControlPlane bool     // it disturbs all control processes as long as it lasts
+	Clock        bool     // it steps a clock
+	Planned      bool     // normal operation, such as changes, cancels and new runners: what is promised for a calm holds
+	RunnersLeave bool     // runners drain or deregister, which a calm includes for some rules
 }
--- a/internal/cluster/simulation/history_builder_test.go
+++ b/internal/cluster/simulation/history_builder_test.go
@@ -36,7 +36,8 @@
 		{Count: 2, CPU: 1000, Gang: true, Checkpoints: true},
 	}}
 	b.submitted.Submissions = []Attempt{{Machine: "front-0", Incarnation: 1, Sent: at(0.9), Answered: at(1), Status: 200}}
-	b.submitted.Queries = []Attempt{{Machine: "front-0", Incarnation: 1, Sent: at(50), Answered: at(50.1), Status: 200, State: protocol.JobRunning}}
+	b.submitted.Queries = []Attempt{{Machine: "front-0", Incarnation: 1, Sent: at(50), Answered: at(50.1), Status: 200,
+		State: protocol.JobRunning}}
 	b.AddJob(b.submitted)
 	b.first, b.second = b.runner("i-1", "alfa", "a"), b.runner("i-2", "alfa", "b")
 	b.configuration(1, 0, map[QueueName]RouteRecord{b.submitted.Queue: {Service: "alfa", MaxAttempts: 2}})
@@ -111,13 +112,16 @@
 	b.Faults = append(b.Faults, fault)
 }
 
-// expectAudit builds a history and expects that it breaks a rule and no other, or none if rule is empty.
-func expectAudit(rule string, build func(b *historyBuilder)) {
+// noViolation stands for the rule that is broken by a history that breaks none.
+const noViolation Rule = ""
+
+// expectAudit builds a history and expects that it breaks a rule and no other.
+func expectAudit(rule Rule, build func(b *historyBuilder)) {
 	GinkgoHelper()
 	b := newHistoryBuilder()
 	build(b)
 	found := Audit(b.History)
-	if rule == "" {
+	if rule == noViolation {
 		Expect(found).To(BeEmpty())
 		return
 	}
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -47,9 +47,9 @@
 	leaseExpiry  time.Duration // 0: there has been no lease
 	leaseTimer   *Timer
 	active       []*execution
-	finished     []finishedRun // that are not acknowledged, in the order of their numbers
-	endSequence  uint64        // number of the last of them
-	highestEnded map[string]uint64
+	finished     []finishedRun     // that are not acknowledged, in the order of their numbers
+	endSequence  uint64            // number of the last of them
+	highestEnded map[string]uint64 // by task, the number of the last run that ended or was stopped: none up to it starts
 
 	heartbeats        uint64 // sent
 	heartbeatTimer    *Timer
--- a/internal/cluster/simulation/scenario.go
+++ b/internal/cluster/simulation/scenario.go
@@ -42,7 +42,7 @@
 func (d *Deployment) Play(scenario Scenario) {
 	w := d.World
 	d.recordFault(Fault{From: 0, To: scenario.Warmup / 2, Kind: "start", ControlPlane: true})
-	d.BootAll()
+	d.bootAll()
 	w.After(200*time.Millisecond, d.Operator.SubmitFirst)
 	trafficEnds := scenario.Warmup + scenario.Length
 	if scenario.FinalFault != NoFinalFault {
@@ -50,7 +50,7 @@
 	}
 	d.History.TrafficEnds = trafficEnds
 	d.History.Ends = trafficEnds + d.History.Bounds.Finish
-	w.At(scenario.Warmup, func() { d.Traffic(trafficEnds) })
+	w.At(scenario.Warmup, func() { d.runTraffic(trafficEnds) })
 	w.At(scenario.Warmup, func() { d.queryProbes(trafficEnds) })
 	for _, name := range scenario.Faults {
 		d.scheduleFault(name, &scenario)
--- a/internal/cluster/simulation/traffic.go
+++ b/internal/cluster/simulation/traffic.go
@@ -8,15 +8,15 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Traffic submits drawn jobs from now until a time, as a Poisson process.
-func (d *Deployment) Traffic(until time.Duration) {
+// runTraffic submits drawn jobs from now until a time, as a Poisson process.
+func (d *Deployment) runTraffic(until time.Duration) {
 	if d.World.now >= until {
 		return
 	}
 	class := drawClass(d.World)
 	d.submitJob(class, QueueName{ClientHost, "/" + class.Route + "/"})
 	mean := time.Duration(float64(time.Second) / (d.Size.JobsPerSecond * d.loadFactor))
-	d.World.After(d.World.Exponential(mean), func() { d.Traffic(until) })
+	d.World.After(d.World.Exponential(mean), func() { d.runTraffic(until) })
 }
 
 // submitJob draws a job of a class and submits it to a queue.
@@ -45,8 +45,8 @@
 	return &classes[0]
 }
 
-// JobClass is a class of jobs that clients submit. Fields of the name of a field of protocol.Step are the fraction of
-// steps that have it, unless they are values themselves.
+// JobClass is a class of jobs that clients submit. A float64 of the name of a field of protocol.Step is the fraction of steps
+// in which that field is set.
 type JobClass struct {
 	Name            string
 	Route           string // whose queue the jobs are submitted to
--- a/internal/cluster/simulation/world.go
+++ b/internal/cluster/simulation/world.go
@@ -91,7 +91,7 @@
 // Chance returns true with probability p. It draws nothing if p is 0.
 func (w *World) Chance(p float64) bool { return p > 0 && w.Random.Float64() < p }
 
-// Exponential returns a time drawn from the exponential distribution with that mean, cut off at eight times the mean.
+// Exponential returns a time drawn from the exponential distribution with that mean, limited to eight times the mean.
 func (w *World) Exponential(mean time.Duration) time.Duration {
 	const maxMeans = 8
 	return min(time.Duration(w.Random.ExpFloat64()*float64(mean)), maxMeans*mean)
