--- a/internal/cluster/replica/bench_test.go
+++ b/internal/cluster/replica/bench_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// BenchmarkIdle tells what five machines with five idle groups cost in a second of virtual time.
+// BenchmarkIdle measures a second of virtual time of five machines with five idle groups.
 func BenchmarkIdle(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCluster(1, 5)
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkCommit tells what a hundred commands cost, in batches of ten, on three machines.
+// BenchmarkCommit measures a hundred commands, in batches of ten, on three machines.
 func BenchmarkCommit(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCluster(1, 1)
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -98,7 +98,7 @@
 	return l.term > other.term || l.term == other.term && l.index >= other.index
 }
 
-// start starts the machine's process on what its disk holds.
+// start starts the machine's process from its disk.
 func (m *machine) start(bootstrap []string) {
 	Expect(m.open(bootstrap)).To(Succeed())
 }
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -43,7 +43,7 @@
 	return members
 }
 
-// faultOf is what a plan does that no plan may do; empty if nothing.
+// faultOf returns what a plan does that no plan may do; empty if nothing.
 func faultOf(view membershipView, plan membershipPlan) string {
 	if plan.members == nil {
 		return ""
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// faultOfMember is what a plan does to one member that no plan may do.
+// faultOfMember returns what a plan does to one member that no plan may do.
 func faultOfMember(view membershipView, plan membershipPlan, member memberView) string {
 	votes := slices.Contains(sortedVoters(plan.members), member.ID)
 	switch {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The conditions of a voter and of a successor in the views that are checked.
+// voterConditions are the conditions of a voter in the views that are checked.
 var voterConditions = []func(m memberView) memberView{
 	present,
 	unresponsive(time.Second),
@@ -120,6 +120,7 @@
 	return m
 }
 
+// successorConditions are the conditions of a successor in the views that are checked.
 var successorConditions = []func(m memberView) memberView{
 	func(m memberView) memberView { return learning(m, 0) },
 	func(m memberView) memberView { return learning(m, maxCaughtUpAge+1) },
@@ -145,7 +146,7 @@
 	return list
 }
 
-// eachView calls f with every view of so many voters, each in one of some conditions, and one successor.
+// eachView calls f with every view of that many voters, each in one of some conditions, and one successor.
 func eachView(voters int, possible []func(m memberView) memberView, f func(membershipView)) {
 	conditions := make([]int, voters)
 	for {
