--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -9,7 +9,7 @@
 )
 
 // errStray keeps a request from a connection on which bytes were read that belong to no request's response.
-var errStray = errors.New("bytes on the connection that answer no request")
+var errStray = errors.New("bytes on the connection that belong to no response")
 
 const (
 	// quarantine is how long a connection takes no request after bytes of a job's response were read: some runners
@@ -131,7 +131,7 @@
 
 // abandon closes the connection and reports whether the last byte of request requestNo certainly was never sent.
 // Closing comes first: it ends a write in progress, and none can follow. If another request has begun on the
-// connection, the one was answered to its end, and nothing is done.
+// connection, this one has its complete response, and nothing is done.
 func (c *conn) abandon(requestNo int) (unsent bool) {
 	c.mu.Lock()
 	other := c.requestNo != requestNo
--- a/internal/dispatcher/egress/idlelimit.go
+++ b/internal/dispatcher/egress/idlelimit.go
@@ -8,7 +8,7 @@
 )
 
 // errIdleTooLong keeps a request from a connection that was idle for too long.
-var errIdleTooLong = errors.New("the kept connection is too old")
+var errIdleTooLong = errors.New("the connection was idle for too long")
 
 const (
 	// idleSafetyFraction is the fraction of the idle time after which a reused connection broke that others may be
--- a/internal/dispatcher/ingress/drain.go
+++ b/internal/dispatcher/ingress/drain.go
@@ -45,7 +45,7 @@
 			n := s.unanswered.Load()
 			c.abort()
 			if n > 0 {
-				return fmt.Errorf("%d requests without an answer: %w", n, ctx.Err())
+				return fmt.Errorf("%d requests without a response: %w", n, ctx.Err())
 			}
 			return nil // connections without a request, or whose clients do not close
 		}
--- a/internal/dispatcher/ingress/ingress_test.go
+++ b/internal/dispatcher/ingress/ingress_test.go
@@ -282,7 +282,7 @@
 	}
 	addr := listen(t, s)
 	usual := head + "Content-Length: 0\r\n\r\n"
-	kept, from := dial(t, addr, usual)
+	idle, from := dial(t, addr, usual)
 	responses <- coordinator.Response{Kind: coordinator.Served}
 	require.Equal(t, http.StatusOK, readResponse(t, from).status)
 	_, busy := dial(t, addr, usual)
@@ -292,7 +292,7 @@
 	}
 	_, last := dial(t, addr, usual)
 	inFlight(2)
-	_, err := io.WriteString(kept, usual)
+	_, err := io.WriteString(idle, usual)
 	require.NoError(t, err)
 	inFlight(3)
 	for _, r := range []*bufio.Reader{busy, last, from} {
--- a/internal/dispatcher/routetable/clock_test.go
+++ b/internal/dispatcher/routetable/clock_test.go
@@ -59,7 +59,7 @@
 			if spare := c.noticedAt().Sub(until); spare < time.Second {
 				t.Fatalf("a call held for %v leaves %v", hold, spare)
 			}
-			now = now.Add(time.Duration(rapid.Int64Range(0, int64(hold)).Draw(t, "answered after")))
+			now = now.Add(time.Duration(rapid.Int64Range(0, int64(hold)).Draw(t, "responds after")))
 			c.responded(now)
 		}
 	})
@@ -131,7 +131,7 @@
 	}
 	select {
 	case <-w.FirstList():
-		t.Fatal("no list came")
+		t.Fatal("no list was sent")
 	default:
 	}
 }
--- a/internal/dispatcher/routetable/watch.go
+++ b/internal/dispatcher/routetable/watch.go
@@ -114,7 +114,7 @@
 	if old := w.endpoint.Load(); old.addr != addr {
 		w.endpoint.Store(newEndpoint(addr, true))
 		old.replace()
-		w.Subscribe() // it may be waiting to be asked, after a call that failed
+		w.Subscribe() // after a failed call Run waits for it
 	}
 }
 
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -32,10 +32,10 @@
 		a.w.running += a.j.slots
 		a.w.maxRunning = max(a.w.maxRunning, a.w.running)
 		a.w.kind.seen = max(a.w.kind.seen, a.w.maxRunning)
-		if rest := max(0, d.slots(a.w)-a.w.running); d.now <= a.sent+d.minTarget/2 {
-			a.w.others = min(a.w.others, rest)
+		if free := max(0, d.slots(a.w)-a.w.running); d.now <= a.sent+d.minTarget/2 {
+			a.w.others = min(a.w.others, free)
 		} else { // it waited for a slot, so others used all the rest
-			a.w.others, a.w.othersAt = max(a.w.others, rest), d.now
+			a.w.others, a.w.othersAt = max(a.w.others, free), d.now
 		}
 		a.j.check = a.j.due + d.set.ResponseGrace/2
 		d.scheduleRound()
--- a/policy/noreports_test.go
+++ b/policy/noreports_test.go
@@ -118,7 +118,7 @@
 			}
 		}
 		if (homes == 50) != tt.all {
-			t.Errorf("%s fetches: %d of 50 keys have a home in the own zone (learnt %.3f s)", tt.name, homes, d.meanFetch)
+			t.Errorf("%s fetches: %d of 50 keys have a home in the own zone (learned %.3f s)", tt.name, homes, d.meanFetch)
 		}
 	}
 }
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -11,7 +11,7 @@
 		name  string
 		price float64
 		want  int
-	}{{"free", 0, maxProbes}, {"dear", maxProbeCost / 2, 2}, {"too dear", 2 * maxProbeCost, 0}} {
+	}{{"free", 0, maxProbes}, {"expensive", maxProbeCost / 2, 2}, {"too expensive", 2 * maxProbeCost, 0}} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.ProbePrice, s.Probes = 400, tt.price, true })
 			var list []Member
@@ -41,7 +41,7 @@
 	probes := 0
 	for n := range 8 {
 		at := time.Duration(n+3) * time.Second
-		d.Step(at-ms, []Event{{Kind: ClientDisconnected, ID: uint32(n)}}, nil) // no round is due as the next job comes
+		d.Step(at-ms, []Event{{Kind: ClientDisconnected, ID: uint32(n)}}, nil) // no round is due as the next job arrives
 		out := d.Step(at, []Event{request(uint32(n+1), "safe")}, nil)
 		for _, a := range ofKind(Probe, out) {
 			probes++
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -46,14 +46,14 @@
 			return f.served
 		}
 		most := func(k int) bool { return k%10 < 7 }
-		with, without, calm := served(true, most), served(false, most), served(false, func(int) bool { return false })
-		t.Logf("%d schedulers, seven in ten dead: %d jobs served by the warming worker with the view, %d without, %d if nobody dies", n, with, without, calm)
+		with, without, noDeaths := served(true, most), served(false, most), served(false, func(int) bool { return false })
+		t.Logf("%d schedulers, seven in ten dead: %d jobs served by the warming worker with the view, %d without, %d if nobody dies", n, with, without, noDeaths)
 		if float64(with) < 1.8*float64(without) {
 			t.Errorf("%d schedulers: %d jobs served with the view, %d without", n, with, without)
 		}
 		nobody := func(int) bool { return false }
-		if same := served(true, nobody); same != calm {
-			t.Errorf("%d schedulers, all alive: %d jobs served with the view, %d without", n, same, calm)
+		if same := served(true, nobody); same != noDeaths {
+			t.Errorf("%d schedulers, all alive: %d jobs served with the view, %d without", n, same, noDeaths)
 		}
 	}
 }
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -22,7 +22,7 @@
 	}{
 		{"first", "unsafe", Ready, nil, 0, true, true},
 		{"draining", "safe", Draining, nil, 0, false, true},
-		{"gone", "safe", Removed, nil, 0, false, true},
+		{"removed", "safe", Removed, nil, 0, false, true},
 		{"unsafe may have run", "unsafe", Ready, []earlier{{0, true, false, 0}}, 1, false, false},
 		{"unsafe never ran", "unsafe", Ready, []earlier{{0, true, true, 0}}, 1, true, true},
 		{"one at a time", "safe", Ready, []earlier{{0, false, false, 0}}, 1, false, true},
@@ -138,13 +138,13 @@
 			if tt.starts {
 				d.Step(time.Second+50*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
-			answers := 0
+			responses := 0
 			for at := time.Second + 50*ms; at < 2*time.Second; at += 5 * ms {
 				out := d.Step(at, nil, nil)
-				answers += len(ofKind(Refuse, out)) + len(ofKind(Fail, out))
+				responses += len(ofKind(Refuse, out)) + len(ofKind(Fail, out))
 			}
-			if answers != tt.want {
-				t.Errorf("%d final answers, want %d", answers, tt.want)
+			if responses != tt.want {
+				t.Errorf("%d final responses, want %d", responses, tt.want)
 			}
 		})
 	}
--- a/policy/rounds_test.go
+++ b/policy/rounds_test.go
@@ -104,8 +104,8 @@
 		after      time.Duration
 		crosses    bool
 	}{
-		{"dear, at once", 0.1, false, 20 * ms, false},
-		{"dear, slack half used", 0.1, false, 110 * ms, true},
+		{"expensive, at once", 0.1, false, 20 * ms, false},
+		{"expensive, slack half used", 0.1, false, 110 * ms, true},
 		{"cheap", cheapCrossing, false, 20 * ms, true},
 		{"free", 0, false, 20 * ms, true},
 		{"own zone unusable", 0.1, true, 20 * ms, true},
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -141,7 +141,7 @@
 // attempt or probe there has ended.
 func TestIdleConnectionsCloseOnDrain(t *testing.T) {
 	drain := Event{Kind: ListChanged, Members: []Member{{Worker: "a", Zone: "z0", Kind: "k", State: Draining}}}
-	gone := Event{Kind: ListReplaced, Members: testList().Members[1:]}
+	removed := Event{Kind: ListReplaced, Members: testList().Members[1:]}
 	ended := Event{Kind: AttemptEnded, ID: 1, Outcome: OK, Complete: true, Report: NoReport}
 	probe := Event{Kind: ProbeEnded, Worker: "a", Outcome: OK, Report: NoReport}
 	for _, tt := range []struct {
@@ -155,7 +155,7 @@
 		{"no such rule", 0, true, []Event{drain, ended}, []int{0, 0}},
 		{"attempt out", time.Second, true, []Event{drain, ended}, []int{1, 1}},
 		{"probe out", time.Second, false, []Event{drain, probe}, []int{1, 1}},
-		{"not on the list", time.Second, true, []Event{gone, ended}, []int{1, 1}},
+		{"not on the list", time.Second, true, []Event{removed, ended}, []int{1, 1}},
 		{"within less than a period", time.Millisecond, true, []Event{drain, ended}, []int{1, 1}},
 		{"still ready", time.Second, true, []Event{testList(), ended}, []int{0, 0}},
 	} {
@@ -242,7 +242,7 @@
 }
 
 // Among many workers, schedulers consider a few, each in an order of its own, and more after a round that found no
-// slot: the own zone first where crossing is dear, all zones where a scheduler is nearly alone or its zone is empty.
+// slot: the own zone first where crossing is expensive, all zones where a scheduler is nearly alone or its zone is empty.
 func TestNearWorkers(t *testing.T) {
 	list := Event{Kind: ListReplaced}
 	for n := 0; n < 200; n++ {
@@ -256,7 +256,7 @@
 		reach      int
 		want, home int
 	}{
-		{"many, crossing dear", "z0", 400, 0.1, 0, minNear, minNear},
+		{"many, crossing expensive", "z0", 400, 0.1, 0, minNear, minNear},
 		{"many, crossing cheap", "z0", 400, 0, 0, 2 * minNear, minNear},
 		{"no slot found", "z0", 400, 0.1, 1000, 7 * minNear, maxNearFactor * minNear},
 		{"own zone empty", "z2", 400, 0.1, 0, minNear, 0},
--- a/test/integration/program_test.go
+++ b/test/integration/program_test.go
@@ -362,7 +362,7 @@
 			case err := <-p.exit:
 				assert.Error(t, err)
 			case <-time.After(testTimeout):
-				t.Fatal("the program goes on")
+				t.Fatal("the program does not end")
 			}
 			assert.Contains(t, p.log(), key)
 		})
--- a/test/integration/rare_test.go
+++ b/test/integration/rare_test.go
@@ -133,7 +133,7 @@
 	})
 	p := startAs(t, strings.ReplaceAll(settings, `"deadlineUs":25000000`, `"deadlineUs":500000`), nil, rn)
 	p.configure("settings", json.RawMessage(settings))
-	eventually(t, "the settings are not taken", func() bool { return strings.Contains(p.log(), "configuration reloaded") })
+	eventually(t, "the settings are not accepted", func() bool { return strings.Contains(p.log(), "configuration reloaded") })
 	response := p.sendAsync(background, "/unsafe", "id", 9*time.Second)
 	eventually(t, "the job does not reach its runner", func() bool { return rn.count("id") == 1 })
 	p.stop()
