--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -3,19 +3,19 @@
 // apply is the applier's goroutine: it has readers see what was written, and answers, while the writer's is at the
 // next group.
 func (w *writer) apply(s *Store) {
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	for g := range w.written {
-		if g.settled != nil {
-			close(g.settled)
+		if g.applied != nil {
+			close(g.applied)
 			continue
 		}
 		// Those who wait are answered before the index has their batches: whoever reads first takes them in.
 		s.mu.Lock()
 		for _, r := range g.group {
-			s.pending = append(s.pending, pending{r.b.ops, r.seq, g.segment, g.at})
-			g.at += uint32(len(r.b.frame))
+			s.pending = append(s.pending, pendingBatch{r.batch.ops, r.seq, g.segment, g.offset})
+			g.offset += uint32(len(r.batch.frame))
 			s.seq = r.seq
-			r.b.ops = nil // the caller may use the batch anew
+			r.batch.ops = nil // the caller may use the batch anew
 		}
 		s.mu.Unlock()
 		for _, r := range g.group {
@@ -23,39 +23,39 @@
 		}
 		clear(g.group)
 		select {
-		case w.spare <- g.group[:0]:
+		case w.freeGroups <- g.group[:0]:
 		default:
 		}
 		s.mu.Lock()
-		s.takeIn()
+		s.applyPending()
 		s.mu.Unlock()
 	}
 }
 
-// pending is a batch that is committed and not in the index yet.
-type pending struct {
+// pendingBatch is a batch that is committed and not in the index yet.
+type pendingBatch struct {
 	ops     []op
 	seq     uint64
 	segment uint32
-	at      uint32
+	offset  uint32
 }
 
-// takeIn has the index know all that is committed. s.mu must be held for writing.
-func (s *Store) takeIn() {
+// applyPending has the index know all that is committed. s.mu must be held for writing.
+func (s *Store) applyPending() {
 	for _, p := range s.pending {
-		apply(s.over, p.ops, p.seq, p.segment, p.at)
+		apply(s.top, p.ops, p.seq, p.segment, p.offset)
 	}
 	clear(s.pending)
 	s.pending = s.pending[:0]
 }
 
-// lockRead locks s.mu for reading, with all in the index that is committed.
-func (s *Store) lockRead() {
+// rLockApplied locks s.mu for reading, with all in the index that is committed.
+func (s *Store) rLockApplied() {
 	s.mu.RLock()
 	for len(s.pending) > 0 {
 		s.mu.RUnlock()
 		s.mu.Lock()
-		s.takeIn()
+		s.applyPending()
 		s.mu.Unlock()
 		s.mu.RLock()
 	}
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -21,7 +21,7 @@
 	end string // deletes up to here, if not empty
 }
 
-func (b *Batch) space() {
+func (b *Batch) reserveHeader() {
 	if len(b.frame) == 0 {
 		b.frame = append(b.frame, make([]byte, segment.FrameSize)...)
 	}
@@ -33,7 +33,7 @@
 	}
 }
 
-func (b *Batch) key(s *Space, key []byte) (string, bool) {
+func (b *Batch) indexKey(s *Space, key []byte) (string, bool) {
 	switch {
 	case s == nil:
 		b.fail("store: no space")
@@ -47,7 +47,7 @@
 
 // Put sets a key's value. Both are copied.
 func (b *Batch) Put(s *Space, key, value []byte) {
-	k, ok := b.key(s, key)
+	k, ok := b.indexKey(s, key)
 	if !ok {
 		return
 	}
@@ -55,7 +55,7 @@
 		b.fail("%w: value of %d bytes for key %q in %q, at most %d", ErrTooLarge, len(value), key, s.name, MaxValue)
 		return
 	}
-	b.space()
+	b.reserveHeader()
 	b.frame = segment.AppendOp(b.frame, segment.Op{Kind: segment.Put, Key: []byte(k), Value: value})
 	b.ops = append(b.ops, op{item: item{key: k, loc: table.Loc{Segment: 1, Offset: uint32(len(b.frame) - len(value)),
 		Size: uint32(len(value)), Sum: segment.Sum([]byte(k), value)}}})
@@ -63,11 +63,11 @@
 
 // Delete removes a key, whether it is there or not.
 func (b *Batch) Delete(s *Space, key []byte) {
-	k, ok := b.key(s, key)
+	k, ok := b.indexKey(s, key)
 	if !ok {
 		return
 	}
-	b.space()
+	b.reserveHeader()
 	b.frame = segment.AppendOp(b.frame, segment.Op{Kind: segment.Delete, Key: []byte(k)})
 	b.ops = append(b.ops, op{item: item{key: k}})
 }
@@ -75,20 +75,20 @@
 // DeleteRange removes all keys from from up to, not including, to. Nil stands for the space's start and end. It
 // costs the same for many keys as for few.
 func (b *Batch) DeleteRange(s *Space, from, to []byte) {
-	lo, ok := b.key(s, from)
+	lo, ok := b.indexKey(s, from)
 	if !ok {
 		return
 	}
 	hi := spaceSpan(s.id).hi
 	if to != nil {
-		if hi, ok = b.key(s, to); !ok {
+		if hi, ok = b.indexKey(s, to); !ok {
 			return
 		}
 	}
 	if lo >= hi {
 		return
 	}
-	b.space()
+	b.reserveHeader()
 	b.frame = segment.AppendOp(b.frame, segment.Op{Kind: segment.DeleteRange, Key: []byte(lo), End: []byte(hi)})
 	b.ops = append(b.ops, op{item: item{key: lo}, end: hi})
 }
@@ -117,7 +117,7 @@
 	for i := range ops {
 		o := &ops[i]
 		if o.end != "" {
-			l.cut(span{o.key, o.end})
+			l.deleteRange(span{o.key, o.end})
 			continue
 		}
 		it := item{key: o.key}
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -30,7 +30,7 @@
 // Err joins the faults: with none of them the store opens and all of it can be read.
 func (r *Report) Err() error { return errors.Join(r.faults...) }
 
-func (r *Report) fault(err error) {
+func (r *Report) addFault(err error) {
 	r.faults = append(r.faults, err)
 	r.Faults = append(r.Faults, err.Error())
 }
@@ -53,7 +53,7 @@
 		if errors.Is(err, manifest.ErrNone) {
 			return nil, fmt.Errorf("store %s: %w", dir, err)
 		}
-		r.fault(err)
+		r.addFault(err)
 		return r, nil
 	}
 	if healed != nil {
@@ -62,7 +62,7 @@
 	c := checker{Report: r, s: &Store{dir: dir, opt: Options{FS: fsys}, cache: table.NewCache(1 << 20)}, man: man}
 	r.Store, r.Segments = man.Store, len(man.Segments)
 	if err := decodeID(man.Store, &c.s.id); err != nil {
-		r.fault(err)
+		r.addFault(err)
 		return r, nil
 	}
 	return r, c.run(ctx)
@@ -79,17 +79,17 @@
 	if c.man.Table != nil {
 		upTo = c.man.Table.Seq
 	}
-	known, all := newGather(), newGather() // of what the index on disk knows, and of all that is sealed
+	known, all := newIndexBuilder(), newIndexBuilder() // of what the index on disk knows, and of all that is sealed
 	good := true
 	for _, g := range c.man.Segments {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		into := []*gather{all}
+		into := []*indexBuilder{all}
 		if g.Sealed && (g.Kind == plan.Output || g.Last <= upTo) {
 			into = append(into, known)
 		}
-		good = c.segment(g, into) && good
+		good = c.readSegment(g, into) && good
 	}
 	if good {
 		c.Records = len(all.entries(c.man.Floors))
@@ -105,38 +105,38 @@
 		}
 	}
 	if err != nil {
-		c.fault(err)
+		c.addFault(err)
 		return nil
 	}
 	if good {
-		c.compare(b, known)
+		c.compareIndex(b, known)
 	}
 	return nil
 }
 
-// segment reads a segment and tells whether it is well.
-func (c *checker) segment(g plan.Segment, into []*gather) bool {
+// readSegment reads a segment and tells whether it is well.
+func (c *checker) readSegment(g plan.Segment, into []*indexBuilder) bool {
 	name := segmentName(g.ID)
 	before := len(c.faults)
 	f, err := c.s.opt.FS.Open(c.s.path(name))
 	if err != nil {
-		c.fault(&FileError{File: name, Offset: -1, Err: err})
+		c.addFault(&FileError{File: name, Offset: -1, Err: err})
 		return false
 	}
 	defer f.Close()
 	if err := checkSegment(f, g, c.s.id); err != nil {
 		err.File = name
-		c.fault(err)
+		c.addFault(err)
 		return false
 	}
 	if !g.Sealed {
-		c.open(f, g, name, into[0])
+		c.readOpenSegment(f, g, name, into[0])
 		return len(c.faults) == before
 	}
 	for i, to := range into {
-		n, _ := to.segment(f, g, func(at int64, err error) error {
+		n, _ := to.addSegment(f, g, func(at int64, err error) error {
 			if i == 0 {
-				c.fault(&FileError{File: name, Offset: at, Err: err})
+				c.addFault(&FileError{File: name, Offset: at, Err: err})
 			}
 			return nil
 		})
@@ -147,11 +147,11 @@
 	return len(c.faults) == before
 }
 
-// open reads the open segment, whose end may be torn.
-func (c *checker) open(f vfs.File, g plan.Segment, name string, all *gather) {
+// readOpenSegment reads the open segment, whose end may be torn.
+func (c *checker) readOpenSegment(f vfs.File, g plan.Segment, name string, all *indexBuilder) {
 	size, err := f.Size()
 	if err != nil {
-		c.fault(&FileError{File: name, Offset: -1, Err: err})
+		c.addFault(&FileError{File: name, Offset: -1, Err: err})
 		return
 	}
 	at := int64(0)
@@ -164,11 +164,11 @@
 				break
 			}
 			if fr.Seq != next {
-				c.fault(&FileError{File: name, Offset: at, Err: fmt.Errorf("%w: commit %d, and %d is due", ErrCorrupt, fr.Seq, next)})
+				c.addFault(&FileError{File: name, Offset: at, Err: fmt.Errorf("%w: commit %d, and %d is due", ErrCorrupt, fr.Seq, next)})
 				return
 			}
-			if err := all.frame(fr, g, at); err != nil {
-				c.fault(&FileError{File: name, Offset: at, Err: err})
+			if err := all.addFrame(fr, g, at); err != nil {
+				c.addFault(&FileError{File: name, Offset: at, Err: err})
 				return
 			}
 			next++
@@ -185,7 +185,7 @@
 			err = errors.Join(tornEnd(sc, next, err), zerr)
 		}
 		if err != nil {
-			c.fault(&FileError{File: name, Offset: at, Err: err})
+			c.addFault(&FileError{File: name, Offset: at, Err: err})
 			return
 		}
 	}
@@ -193,8 +193,8 @@
 	c.Notes = append(c.Notes, fmt.Sprintf("%s: offset %d: the end is torn and will be cut off at the next opening", name, at))
 }
 
-// compare holds the index on disk against the one that the segments give.
-func (c *checker) compare(b *baseTable, known *gather) {
+// compareIndex holds the index on disk against the one that the segments give.
+func (c *checker) compareIndex(b *baseTable, known *indexBuilder) {
 	it := b.t.Seek(nil)
 	for _, want := range known.entries(c.man.Floors) {
 		for it.Next() {
@@ -203,7 +203,7 @@
 				continue // too old, and not dropped yet
 			}
 			if !bytes.Equal(e.Key, want.Key) || e.Loc != want.Loc {
-				c.fault(&FileError{File: b.h.name, Offset: -1, Err: fmt.Errorf(
+				c.addFault(&FileError{File: b.h.name, Offset: -1, Err: fmt.Errorf(
 					"%w: the index has key %x at %+v, and the segments have key %x at %+v", ErrCorrupt, e.Key, e.Loc, want.Key, want.Loc)})
 				return
 			}
@@ -212,7 +212,7 @@
 	}
 	for it.Next() {
 		if e := it.Entry(); e.Loc.Seq > c.man.Floors[spaceOf(e.Key)] {
-			c.fault(&FileError{File: b.h.name, Offset: -1, Err: fmt.Errorf(
+			c.addFault(&FileError{File: b.h.name, Offset: -1, Err: fmt.Errorf(
 				"%w: the index has key %x at %+v, and the segments have no such key", ErrCorrupt, e.Key, e.Loc)})
 			return
 		}
--- a/internal/store/gather.go
+++ b/internal/store/index_builder.go
@@ -15,10 +15,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// gather makes the index out of segments alone, read in any order.
-type gather struct {
-	items map[string]gathered
-	cuts  []gatheredCut
+// indexBuilder makes the index out of segments alone, read in any order.
+type indexBuilder struct {
+	items        map[string]builtItem
+	rangeDeletes []rankedSpan
 }
 
 // rank orders operations: by commit, then by their place in it. What compaction kept of a commit stood behind all
@@ -28,23 +28,23 @@
 	n   int
 }
 
-func (a rank) under(b rank) bool { return a.seq < b.seq || a.seq == b.seq && a.n < b.n }
+func (a rank) before(b rank) bool { return a.seq < b.seq || a.seq == b.seq && a.n < b.n }
 
-type gathered struct {
+type builtItem struct {
 	rank
 	loc table.Loc
 }
 
-type gatheredCut struct {
+type rankedSpan struct {
 	rank
 	span
 }
 
-func newGather() *gather { return &gather{items: map[string]gathered{}} }
+func newIndexBuilder() *indexBuilder { return &indexBuilder{items: map[string]builtItem{}} }
 
-// segment takes in a whole segment and returns how many frames it had. At a bad frame it asks bad what to do: an error
+// addSegment reads a complete segment and returns how many frames it had. At a bad frame it asks bad what to do: an error
 // ends it, nil has it go on behind.
-func (g *gather) segment(f vfs.File, m plan.Segment, bad func(at int64, err error) error) (frames int, err error) {
+func (g *indexBuilder) addSegment(f vfs.File, m plan.Segment, bad func(at int64, err error) error) (frames int, err error) {
 	sc := segment.NewScanner(f, segment.HeaderSize, m.Size)
 	for {
 		fr, at, err := sc.Next()
@@ -52,13 +52,13 @@
 			return frames, nil
 		}
 		if err == nil {
-			err = g.frame(fr, m, at)
+			err = g.addFrame(fr, m, at)
 		}
 		if err == nil {
 			frames++
 			continue
 		}
-		sc.Back(at)
+		sc.SeekTo(at)
 		if zeros, zerr := sc.RestZero(); !m.Sealed && zerr == nil && zeros {
 			return frames, nil
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (g *gather) frame(f segment.Frame, m plan.Segment, at int64) error {
+func (g *indexBuilder) addFrame(f segment.Frame, m plan.Segment, at int64) error {
 	n := 0
 	return segment.Ops(f.Payload, func(o segment.Op) error {
 		if len(o.Key) < 2 || o.Kind == segment.DeleteRange && len(o.End) < 2 {
@@ -89,13 +89,13 @@
 			r.n = math.MaxInt
 		}
 		if o.Kind == segment.DeleteRange {
-			g.cuts = append(g.cuts, gatheredCut{r, span{string(o.Key), string(o.End)}})
+			g.rangeDeletes = append(g.rangeDeletes, rankedSpan{r, span{string(o.Key), string(o.End)}})
 			return nil
 		}
-		if had, ok := g.items[string(o.Key)]; ok && r.under(had.rank) {
+		if had, ok := g.items[string(o.Key)]; ok && r.before(had.rank) {
 			return nil
 		}
-		it := gathered{rank: r}
+		it := builtItem{rank: r}
 		if o.Kind == segment.Put {
 			it.loc = table.Loc{Seq: f.Seq, Segment: uint32(m.ID), Offset: uint32(at) + uint32(o.At), Size: uint32(len(o.Value)),
 				Sum: segment.Sum(o.Key, o.Value)}
@@ -106,23 +106,23 @@
 }
 
 // entries returns what is there, in order of the keys.
-func (g *gather) entries(floors map[uint16]uint64) []table.Entry {
+func (g *indexBuilder) entries(floors map[uint16]uint64) []table.Entry {
 	keys := make([]string, 0, len(g.items))
 	for k := range g.items {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
-	slices.SortFunc(g.cuts, func(a, b gatheredCut) int { return cmp.Compare(a.lo, b.lo) })
+	slices.SortFunc(g.rangeDeletes, func(a, b rankedSpan) int { return cmp.Compare(a.lo, b.lo) })
 	var out []table.Entry
-	var over []gatheredCut // those that reach the present key
-	cuts := g.cuts
+	var over []rankedSpan // those that reach the present key
+	cuts := g.rangeDeletes
 	for _, k := range keys {
 		for len(cuts) > 0 && cuts[0].lo <= k {
 			over, cuts = append(over, cuts[0]), cuts[1:]
 		}
-		over = slices.DeleteFunc(over, func(c gatheredCut) bool { return strings.Compare(c.hi, k) <= 0 })
+		over = slices.DeleteFunc(over, func(c rankedSpan) bool { return strings.Compare(c.hi, k) <= 0 })
 		it := g.items[k]
-		hidden := slices.ContainsFunc(over, func(c gatheredCut) bool { return it.under(c.rank) })
+		hidden := slices.ContainsFunc(over, func(c rankedSpan) bool { return it.before(c.rank) })
 		if it.loc.Segment != 0 && !hidden && it.loc.Seq > floors[spaceOf([]byte(k))] {
 			out = append(out, table.Entry{Key: []byte(k), Loc: it.loc})
 		}
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -37,8 +37,8 @@
 		btree.Options{NoLocks: true, Degree: 64})}
 }
 
-// copy returns a layer that later changes of l do not reach.
-func (l *layer) copy() *layer {
+// clone returns a layer that later changes of l do not reach.
+func (l *layer) clone() *layer {
 	return &layer{tree: l.tree.Copy(), spans: l.spans, keys: l.keys}
 }
 
@@ -58,8 +58,8 @@
 	return i < len(l.spans) && l.spans[i].lo <= key
 }
 
-// cut deletes a range of keys.
-func (l *layer) cut(s span) {
+// deleteRange deletes a range of keys.
+func (l *layer) deleteRange(s span) {
 	if s.lo >= s.hi {
 		return
 	}
@@ -137,72 +137,72 @@
 func (c tableCursor) entry() table.Entry { return c.it.Entry() }
 func (c tableCursor) err() error         { return c.it.Err() }
 
-// merge goes over several layers and a table as one: of each key the uppermost word counts.
-type merge struct {
-	parts  []part // the uppermost first
-	floors map[uint16]uint64
-	entry  table.Entry
-	key    []byte
-	fault  error
+// mergeIterator goes over several layers and a table as one: of each key the uppermost word counts.
+type mergeIterator struct {
+	sources []mergeSource // the uppermost first
+	floors  map[uint16]uint64
+	entry   table.Entry
+	key     []byte
+	err     error
 }
 
-type part struct {
+type mergeSource struct {
 	cursor
-	spans []span
-	head  table.Entry
-	left  bool // there is a head
+	spans   []span
+	current table.Entry
+	valid   bool // there is a head
 }
 
-func newMerge(floors map[uint16]uint64, from string, base *table.Table, layers ...*layer) *merge {
-	m := &merge{floors: floors}
+func newMergeIterator(floors map[uint16]uint64, from string, base *table.Table, layers ...*layer) *mergeIterator {
+	m := &mergeIterator{floors: floors}
 	for _, l := range layers {
 		if l != nil {
-			m.parts = append(m.parts, part{cursor: l.cursor(from), spans: l.spans})
+			m.sources = append(m.sources, mergeSource{cursor: l.cursor(from), spans: l.spans})
 		}
 	}
 	if base != nil {
-		m.parts = append(m.parts, part{cursor: tableCursor{base.Seek([]byte(from))}})
+		m.sources = append(m.sources, mergeSource{cursor: tableCursor{base.Seek([]byte(from))}})
 	}
-	for i := range m.parts {
+	for i := range m.sources {
 		m.advance(i)
 	}
 	return m
 }
 
-func (m *merge) advance(i int) {
-	p := &m.parts[i]
-	if p.left = p.next(); p.left {
-		p.head = p.entry()
+func (m *mergeIterator) advance(i int) {
+	p := &m.sources[i]
+	if p.valid = p.next(); p.valid {
+		p.current = p.entry()
 	} else if err := p.err(); err != nil {
-		m.fault = err
+		m.err = err
 	}
 }
 
 // next goes to the next key that is there. The entry's key is good until the next call.
-func (m *merge) next() bool {
-	for m.fault == nil {
+func (m *mergeIterator) next() bool {
+	for m.err == nil {
 		low := -1
-		for i := range m.parts {
-			if m.parts[i].left && (low < 0 || string(m.parts[i].head.Key) < string(m.parts[low].head.Key)) {
+		for i := range m.sources {
+			if m.sources[i].valid && (low < 0 || string(m.sources[i].current.Key) < string(m.sources[low].current.Key)) {
 				low = i
 			}
 		}
 		if low < 0 {
 			return false
 		}
-		m.key = append(m.key[:0], m.parts[low].head.Key...)
-		m.entry = table.Entry{Key: m.key, Loc: m.parts[low].head.Loc}
+		m.key = append(m.key[:0], m.sources[low].current.Key...)
+		m.entry = table.Entry{Key: m.key, Loc: m.sources[low].current.Loc}
 		gone := m.entry.Loc.Segment == 0 || m.entry.Loc.Seq <= m.floors[spaceOf(m.key)]
-		for i := range m.parts[:low] {
-			gone = gone || (&layer{spans: m.parts[i].spans}).covers(string(m.key))
+		for i := range m.sources[:low] {
+			gone = gone || (&layer{spans: m.sources[i].spans}).covers(string(m.key))
 		}
-		for i := low; i < len(m.parts); i++ {
-			if p := &m.parts[i]; p.left && string(p.head.Key) == string(m.key) {
+		for i := low; i < len(m.sources); i++ {
+			if p := &m.sources[i]; p.valid && string(p.current.Key) == string(m.key) {
 				m.advance(i)
 			}
 		}
 		if !gone {
-			return m.fault == nil
+			return m.err == nil
 		}
 	}
 	return false
--- a/internal/store/manifest/manifest.go
+++ b/internal/store/manifest/manifest.go
@@ -64,10 +64,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return append([]byte(headLine(m.Format, body)), append(body, '\n')...), nil
+	return append([]byte(checksumLine(m.Format, body)), append(body, '\n')...), nil
 }
 
-func headLine(format int, body []byte) string {
+func checksumLine(format int, body []byte) string {
 	return fmt.Sprintf("ospreystore %d %d %08x\n", format, len(body), crc32.Checksum(body, segment.Castagnoli))
 }
 
@@ -88,7 +88,7 @@
 	if len(body) != length+1 || length < 0 {
 		return nil, fmt.Errorf("%w: offset %d: %d bytes instead of %d", segment.ErrBad, len(b), len(body), length+1)
 	}
-	if headLine(format, body[:length]) != string(line)+"\n" || body[length] != '\n' {
+	if checksumLine(format, body[:length]) != string(line)+"\n" || body[length] != '\n' {
 		return nil, fmt.Errorf("%w: offset %d: checksum", segment.ErrBad, len(line)+1)
 	}
 	m := &Manifest{}
@@ -107,16 +107,16 @@
 	}
 	// What a full disk would refuse comes first, while nothing is in force yet.
 	for i, name := range Names {
-		if err := writeFile(fsys, filepath.Join(dir, name+fresh), text); err != nil {
+		if err := writeFile(fsys, filepath.Join(dir, name+newSuffix), text); err != nil {
 			if i > 0 {
-				_ = fsys.Remove(filepath.Join(dir, Names[0]+fresh))
+				_ = fsys.Remove(filepath.Join(dir, Names[0]+newSuffix))
 			}
 			return false, fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	for _, name := range Names {
 		path := filepath.Join(dir, name)
-		if err := fsys.Rename(path+fresh, path); err != nil {
+		if err := fsys.Rename(path+newSuffix, path); err != nil {
 			return true, fmt.Errorf("%s: %w", name, err)
 		}
 		if err := fsys.SyncDir(dir); err != nil {
@@ -126,8 +126,8 @@
 	return false, nil
 }
 
-// fresh ends the name of a copy that is not in force yet.
-const fresh = ".new"
+// newSuffix ends the name of a copy that is not in force yet.
+const newSuffix = ".new"
 
 func writeFile(fsys vfs.FS, path string, text []byte) error {
 	f, err := fsys.Create(path)
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -27,35 +27,35 @@
 	if err := opt.defaults(); err != nil {
 		return nil, err
 	}
-	s := &Store{dir: dir, opt: opt, over: newLayer(), spaces: map[string]*Space{}, cache: table.NewCache(opt.CacheBytes),
+	s := &Store{dir: dir, opt: opt, top: newLayer(), spaces: map[string]*Space{}, cache: table.NewCache(opt.CacheBytes),
 		limits: plan.Limits{SegmentBytes: opt.SegmentBytes, Garbage: opt.Garbage, Tombstones: 0.2,
 			PassBytes: 16 * opt.SegmentBytes}}
 	if opt.PassBytesPerS > 0 {
-		s.pace = rate.NewLimiter(rate.Limit(opt.PassBytesPerS), max(opt.PassBytesPerS/16, pieceBytes))
+		s.limiter = rate.NewLimiter(rate.Limit(opt.PassBytesPerS), max(opt.PassBytesPerS/16, chunkBytes))
 	}
-	s.w.wake, s.w.written, s.w.spare = make(chan struct{}, 1), make(chan written, 1), make(chan []*request, 4)
-	s.w.spares = make(chan *spare, 1)
-	s.p = passer{turn: make(chan struct{}, 1), wake: make(chan struct{}, 1), spared: map[uint64]bool{}}
-	s.p.turn <- struct{}{}
+	s.writer.wake, s.writer.written, s.writer.freeGroups = make(chan struct{}, 1), make(chan writtenGroup, 1), make(chan []*request, 4)
+	s.writer.preparedSegments = make(chan *preparedSegment, 1)
+	s.compactor = compactor{idle: make(chan struct{}, 1), wake: make(chan struct{}, 1), damaged: map[uint64]bool{}}
+	s.compactor.idle <- struct{}{}
 	lock, err := lockDir(opt.FS, dir, !opt.Existing)
 	if err != nil {
 		return nil, err
 	}
 	s.lock = lock
 	if err := s.open(); err != nil {
-		if s.cur != nil {
-			s.cur.unref()
+		if s.version != nil {
+			s.version.unref()
 		}
-		if s.w.h != nil {
-			s.w.h.unref()
+		if s.writer.file != nil {
+			s.writer.file.unref()
 		}
 		return nil, errors.Join(fmt.Errorf("store %s: %w", dir, err), lock.Close())
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.running.Add(3)
-	go s.w.run(s)
-	go s.w.apply(s)
-	go s.p.loop(s)
+	s.goroutines.Add(3)
+	go s.writer.run(s)
+	go s.writer.apply(s)
+	go s.compactor.run(s)
 	return s, nil
 }
 
@@ -83,7 +83,7 @@
 		return ErrNoStore
 	}
 	if errors.Is(err, manifest.ErrNone) {
-		if man, err = s.create(); err != nil {
+		if man, err = s.initialize(); err != nil {
 			return err
 		}
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	s.cur = newVersion(nil, base, segs, man.Clone().Floors)
+	s.version = newVersion(nil, base, segs, man.Clone().Floors)
 	if base != nil {
 		base.h.unref()
 	}
@@ -127,20 +127,20 @@
 			return err
 		}
 	}
-	if err := s.sweep(); err != nil {
+	if err := s.removeUnreferenced(); err != nil {
 		return err
 	}
 	return s.loadSpaces()
 }
 
-// create makes an empty store. Nothing of one may be there but what a crash left of this very step.
-func (s *Store) create() (*manifest.Manifest, error) {
+// initialize makes an empty store. Nothing of one may be there but what a crash left of this very step.
+func (s *Store) initialize() (*manifest.Manifest, error) {
 	names, err := s.opt.FS.List(s.dir)
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range names {
-		if !ours(n) {
+		if !isStoreFile(n) {
 			continue
 		}
 		f, err := s.opt.FS.Open(s.path(n))
@@ -170,8 +170,8 @@
 	return man, err
 }
 
-// ours tells whether a file's name is one that the store gives.
-func ours(name string) bool {
+// isStoreFile tells whether a file's name is one that the store gives.
+func isStoreFile(name string) bool {
 	return strings.HasSuffix(name, ".seg") || strings.HasSuffix(name, ".tab") || strings.HasPrefix(name, "MANIFEST-")
 }
 
@@ -274,7 +274,7 @@
 
 // rebuild makes the index anew, up to the open segment, from all that is sealed.
 func (s *Store) rebuild(man *manifest.Manifest, segs map[uint32]*handle) (*baseTable, error) {
-	g := newGather()
+	g := newIndexBuilder()
 	var upTo uint64
 	for _, m := range man.Segments {
 		if !m.Sealed {
@@ -282,7 +282,7 @@
 			continue
 		}
 		h := segs[uint32(m.ID)]
-		if _, err := g.segment(h.f, m, func(at int64, err error) error {
+		if _, err := g.addSegment(h.f, m, func(at int64, err error) error {
 			return &FileError{File: h.name, Offset: at, Err: err}
 		}); err != nil {
 			return nil, err
@@ -335,8 +335,8 @@
 	return size, err
 }
 
-// sweep removes files that no manifest names: what a crash left of a pass or of the opening of a segment.
-func (s *Store) sweep() error {
+// removeUnreferenced removes files that no manifest names: what a crash left of a pass or of the opening of a segment.
+func (s *Store) removeUnreferenced() error {
 	names, err := s.opt.FS.List(s.dir)
 	if err != nil {
 		return err
@@ -349,7 +349,7 @@
 		keep[tableName(s.man.Table.ID)] = true
 	}
 	for _, n := range names {
-		if ours(n) && !keep[n] {
+		if isStoreFile(n) && !keep[n] {
 			s.remove(n)
 		}
 	}
--- a/internal/store/output.go
+++ b/internal/store/output.go
@@ -19,33 +19,33 @@
 	frame []byte
 }
 
-// copy puts a record into the output and returns where its value lies then.
-func (p *pass) copy(e table.Entry, value []byte) (seg uint32, at uint32, err error) {
+// copyRecord puts a record into the output and returns where its value lies then.
+func (p *pass) copyRecord(e table.Entry, value []byte) (seg uint32, at uint32, err error) {
 	if err := p.openOutput(spaceOf(e.Key), len(e.Key)+len(value)+segment.FrameSize+16); err != nil {
 		return 0, 0, err
 	}
-	o := p.out
+	o := p.output
 	o.frame = segment.AppendOp(o.frame[:segment.FrameSize], segment.Op{Kind: segment.Put, Key: e.Key, Value: value})
-	end, err := p.append(e.Loc.Seq, time.Time{})
+	end, err := p.appendFrame(e.Loc.Seq, time.Time{})
 	o.meta.Puts += plan.PutBytes(len(e.Key), len(value))
 	return uint32(o.meta.ID), uint32(end) - uint32(len(value)), err
 }
 
-// putTombstone puts a deletion into the output.
-func (p *pass) putTombstone(op segment.Op, f segment.Frame) error {
+// copyTombstone puts a deletion into the output.
+func (p *pass) copyTombstone(op segment.Op, f segment.Frame) error {
 	if err := p.openOutput(spaceOf(op.Key), len(op.Key)+len(op.End)+segment.FrameSize+16); err != nil {
 		return err
 	}
-	o := p.out
+	o := p.output
 	o.frame = segment.AppendOp(o.frame[:segment.FrameSize], op)
-	_, err := p.append(f.Seq, f.Time)
+	_, err := p.appendFrame(f.Seq, f.Time)
 	o.meta.Tombstones += tombstoneBytes(len(op.Key), len(op.End))
 	return err
 }
 
-// append writes the output's frame and returns where the next one will start.
-func (p *pass) append(seq uint64, at time.Time) (int64, error) {
-	o := p.out
+// appendFrame writes the output's frame and returns where the next one will start.
+func (p *pass) appendFrame(seq uint64, at time.Time) (int64, error) {
+	o := p.output
 	segment.FinishFrame(o.frame, segment.Frame{Seq: seq, Time: at})
 	if _, err := o.file.Write(o.frame); err != nil {
 		return 0, err
@@ -58,10 +58,10 @@
 // openOutput sees to it that there is an output for next more bytes of a space. A space whose records grow old gets
 // segments of its own, so that they can be dropped whole.
 func (p *pass) openOutput(space uint16, next int) error {
-	if o := p.out; o != nil {
-		_, a := p.keep[space]
-		_, b := p.keep[o.space]
-		if !plan.Full(o.meta.Size, int64(next), p.s.limits) && (space == o.space || !a && !b) {
+	if o := p.output; o != nil {
+		_, a := p.retentions[space]
+		_, b := p.retentions[o.space]
+		if !plan.SegmentFull(o.meta.Size, int64(next), p.s.limits) && (space == o.space || !a && !b) {
 			return nil
 		}
 		if err := p.finishOutput(); err != nil {
@@ -74,17 +74,17 @@
 	if err != nil {
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
-	p.out = &output{h: newHandle(f, name), file: &pacedFile{pass: p, f: f, name: name}, space: space,
+	p.output = &output{h: newHandle(f, name), file: &pacedFile{pass: p, f: f, name: name}, space: space,
 		frame: make([]byte, segment.FrameSize),
 		meta: plan.Segment{ID: id, Kind: plan.Output, Sealed: true, Clean: p.upTo, First: math.MaxUint64,
 			Size: segment.HeaderSize}}
-	_, err = p.out.file.Write(segment.AppendHeader(nil, segment.Header{Kind: segment.Output, Store: p.s.id, ID: id}))
+	_, err = p.output.file.Write(segment.AppendHeader(nil, segment.Header{Kind: segment.Output, Store: p.s.id, ID: id}))
 	return err
 }
 
 // finishOutput has the present output be on disk.
 func (p *pass) finishOutput() error {
-	o := p.out
+	o := p.output
 	if o == nil {
 		return nil
 	}
@@ -94,6 +94,6 @@
 	if err := o.h.f.Sync(); err != nil {
 		return fmt.Errorf("store: syncing %s: %w", o.h.name, err)
 	}
-	p.outputs, p.handles, p.out = append(p.outputs, o.meta), append(p.handles, o.h), nil
+	p.outputs, p.handles, p.output = append(p.outputs, o.meta), append(p.handles, o.h), nil
 	return nil
 }
--- a/internal/store/pass.go
+++ b/internal/store/pass.go
@@ -17,33 +17,33 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// passer makes passes, one at a time, in its own goroutine or in that of whoever asks for one. A pass writes the
+// compactor makes passes, one at a time, in its own goroutine or in that of whoever asks for one. A pass writes the
 // index down as it was at a frozen layer's end and rewrites segments along the way.
-type passer struct {
-	turn   chan struct{} // holds one while nobody makes a pass
-	wake   chan struct{}
-	spared map[uint64]bool // segments found damaged, which are left as they are; guarded by turn
+type compactor struct {
+	idle    chan struct{} // holds one while nobody makes a pass
+	wake    chan struct{}
+	damaged map[uint64]bool // segments found damaged, which are left as they are; guarded by idle
 }
 
 // The waits after a pass that failed, and between looks at whether records have grown old.
 const (
-	retryLeast = time.Second
-	retryMost  = time.Minute
-	ageLook    = 10 * time.Second
+	minRetryBackoff        = time.Second
+	maxRetryBackoff        = time.Minute
+	retentionCheckInterval = 10 * time.Second
 )
 
-func (p *passer) kick() {
+func (p *compactor) kick() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// loop is the passer's goroutine.
-func (p *passer) loop(s *Store) {
-	defer s.running.Done()
-	wait := retryLeast
-	look := time.NewTicker(ageLook)
+// run is the compactor's goroutine.
+func (p *compactor) run(s *Store) {
+	defer s.goroutines.Done()
+	wait := minRetryBackoff
+	look := time.NewTicker(retentionCheckInterval)
 	defer look.Stop()
 	var retry <-chan time.Time
 	for {
@@ -54,27 +54,27 @@
 		case <-p.wake:
 		case <-retry:
 		case <-look.C:
-			if freeze = s.aging(); !freeze {
+			if freeze = s.openSegmentAging(); !freeze {
 				continue
 			}
 		}
 		retry = nil
-		if _, err := p.run(s.ctx, s, freeze, false); err != nil && s.ctx.Err() == nil && s.fault.Load() == nil {
+		if _, err := p.runPass(s.ctx, s, freeze, false); err != nil && s.ctx.Err() == nil && s.fault.Load() == nil {
 			s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "again_in": wait}).
 				Warn("index not written down, compaction put off")
 			retry = time.After(wait)
-			wait = min(2*wait, retryMost)
+			wait = min(2*wait, maxRetryBackoff)
 		} else {
-			wait = retryLeast
+			wait = minRetryBackoff
 		}
 	}
 }
 
-// aging tells whether the open segment has been open for a good part of the time that some space's records are kept:
+// openSegmentAging tells whether the open segment has been open for a good part of the time that some space's records are kept:
 // they grow old a segment at a time, so it must be sealed though it is not full.
-func (s *Store) aging() bool {
+func (s *Store) openSegmentAging() bool {
 	var least time.Duration
-	for _, r := range s.retained() {
+	for _, r := range s.retentions() {
 		if age := time.Duration(r.AgeMs) * time.Millisecond; age > 0 && (least == 0 || age < least) {
 			least = age
 		}
@@ -83,41 +83,41 @@
 		return false
 	}
 	var old bool
-	err := s.w.control(s, func() error {
-		old = s.w.size.Load() > segment.HeaderSize && s.opt.Now().Sub(s.w.begun) > least/8
+	err := s.writer.runInWriter(s, func() error {
+		old = s.writer.size.Load() > segment.HeaderSize && s.opt.Now().Sub(s.writer.firstCommitAt) > least/8
 		return nil
 	})
 	return err == nil && old
 }
 
-// run makes a pass. With freeze it seals the open segment first, so that all that was committed is in it; with
+// runPass makes a pass. With freeze it seals the open segment first, so that all that was committed is in it; with
 // onlyIndex it rewrites no segments. again tells that another pass would find more to rewrite.
-func (p *passer) run(ctx context.Context, s *Store, freeze, onlyIndex bool) (again bool, err error) {
+func (p *compactor) runPass(ctx context.Context, s *Store, freeze, onlyIndex bool) (again bool, err error) {
 	select {
-	case <-p.turn:
+	case <-p.idle:
 	case <-ctx.Done():
 		return false, ctx.Err()
 	}
-	defer func() { p.turn <- struct{}{} }()
+	defer func() { p.idle <- struct{}{} }()
 	if freeze {
-		if err := s.w.control(s, func() error {
+		if err := s.writer.runInWriter(s, func() error {
 			if err := s.Err(); err != nil {
 				return err
 			}
-			if err := s.w.roll(s); err != nil {
+			if err := s.writer.roll(s); err != nil {
 				return err
 			}
 			s.mu.RLock()
-			again = s.cur.frozen != nil // left by a pass that failed; what came since needs one more
+			again = s.version.frozen != nil // left by a pass that failed; what came since needs one more
 			s.mu.RUnlock()
-			s.w.freeze(s)
+			s.writer.freeze(s)
 			return nil
 		}); err != nil {
 			return false, err
 		}
 	}
 	s.mu.RLock()
-	v := s.cur.ref()
+	v := s.version.ref()
 	s.mu.RUnlock()
 	defer v.unref()
 	if v.frozen == nil {
@@ -126,46 +126,46 @@
 	if err := s.Err(); err != nil {
 		return false, err
 	}
-	ps := &pass{s: s, ctx: ctx, v: v, upTo: v.frozen.upTo, onlyIndex: onlyIndex, live: map[uint64]int64{},
-		held: map[uint16][]int64{}}
-	err = ps.make(p.spared)
+	ps := &pass{s: s, ctx: ctx, version: v, upTo: v.frozen.upTo, onlyIndex: onlyIndex, live: map[uint64]int64{},
+		bytesByMark: map[uint16][]int64{}}
+	err = ps.run(p.damaged)
 	if err != nil {
 		ps.discard()
 		var fe *FileError
-		if errors.As(err, &fe) && errors.Is(err, ErrCorrupt) && ps.reading != 0 {
+		if errors.As(err, &fe) && errors.Is(err, ErrCorrupt) && ps.readingVictim != 0 {
 			// Guards against one damaged record keeping all the rest from being compacted.
-			p.spared[ps.reading] = true
+			p.damaged[ps.readingVictim] = true
 		}
 		return false, err
 	}
 	s.passes.Add(1)
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
-	next := ps.victimsOf(s.man.Segments, p.spared)
-	return again || len(next) > 0 && !slices.Equal(next, ps.victims) || ps.aged, nil
+	next := ps.victimsOf(s.man.Segments, p.damaged)
+	return again || len(next) > 0 && !slices.Equal(next, ps.victims) || ps.floorsRaised, nil
 }
 
 // pass is one pass on its way.
 type pass struct {
-	s    *Store
-	ctx  context.Context
-	v    *version
-	upTo uint64
+	s       *Store
+	ctx     context.Context
+	version *version
+	upTo    uint64
 	// onlyIndex: no segments are rewritten.
-	onlyIndex bool
-	victims   []uint64
-	staying   []plan.Segment
-	marks     []plan.Mark
-	reading   uint64 // the victim read last
+	onlyIndex     bool
+	victims       []uint64
+	remaining     []plan.Segment
+	marks         []plan.Mark
+	readingVictim uint64 // the victim read last
 
-	out     *output
-	outputs []plan.Segment
-	handles []*handle
-	base    *baseTable
-	live    map[uint64]int64   // put bytes that are live, by segment
-	held    map[uint16][]int64 // put bytes by space and mark, of spaces that are bounded in bytes
-	keep    map[uint16]plan.Retention
-	aged    bool // floors have risen
+	output       *output
+	outputs      []plan.Segment
+	handles      []*handle
+	base         *baseTable
+	live         map[uint64]int64   // put bytes that are live, by segment
+	bytesByMark  map[uint16][]int64 // put bytes by space and mark, of spaces that are bounded in bytes
+	retentions   map[uint16]plan.Retention
+	floorsRaised bool // floors have risen
 }
 
 func (p *pass) victimsOf(segments []plan.Segment, spared map[uint64]bool) []uint64 {
@@ -178,7 +178,7 @@
 	return plan.Victims(may, p.upTo, p.s.limits)
 }
 
-func (p *pass) make(spared map[uint64]bool) error {
+func (p *pass) run(spared map[uint64]bool) error {
 	s := p.s
 	s.manMu.Lock()
 	man := s.man.Clone()
@@ -188,19 +188,19 @@
 	}
 	for _, g := range man.Segments {
 		if !slices.Contains(p.victims, g.ID) {
-			p.staying = append(p.staying, g)
+			p.remaining = append(p.remaining, g)
 		}
 	}
-	p.marks, p.keep = man.Marks, s.retained()
-	for space, r := range p.keep {
+	p.marks, p.retentions = man.Marks, s.retentions()
+	for space, r := range p.retentions {
 		if r.Bytes > 0 {
-			p.held[space] = make([]int64, len(p.marks))
+			p.bytesByMark[space] = make([]int64, len(p.marks))
 		}
 	}
 	if err := p.writeTable(); err != nil {
 		return err
 	}
-	if err := p.keepTombstones(man); err != nil {
+	if err := p.copyTombstones(man); err != nil {
 		return err
 	}
 	if err := p.finishOutput(); err != nil {
@@ -224,26 +224,26 @@
 	p.base = &baseTable{h: newHandle(f, name)}
 	file := &pacedFile{pass: p, f: f, name: name}
 	w := table.NewWriter(file, table.Info{Store: s.id, ID: id, Seq: p.upTo})
-	m := newMerge(p.v.floors, "", p.v.table(), p.v.frozen)
+	m := newMergeIterator(p.version.floors, "", p.version.table(), p.version.frozen)
 	var value []byte
 	for m.next() {
 		e := m.entry
 		space := spaceOf(e.Key)
-		if held := p.held[space]; held != nil {
+		if held := p.bytesByMark[space]; held != nil {
 			if i := sort.Search(len(p.marks), func(i int) bool { return p.marks[i].Seq >= e.Loc.Seq }); i < len(held) {
 				held[i] += plan.PutBytes(len(e.Key), int(e.Loc.Size))
 			}
 		}
 		if slices.Contains(p.victims, uint64(e.Loc.Segment)) {
-			p.reading = uint64(e.Loc.Segment)
-			if value, err = p.v.read(e.Key, e.Loc, value); err != nil {
+			p.readingVictim = uint64(e.Loc.Segment)
+			if value, err = p.version.read(e.Key, e.Loc, value); err != nil {
 				return err
 			}
-			p.reading = 0
-			if err := p.wait(len(value)); err != nil {
+			p.readingVictim = 0
+			if err := p.pace(len(value)); err != nil {
 				return err
 			}
-			if e.Loc.Segment, e.Loc.Offset, err = p.copy(e, value); err != nil {
+			if e.Loc.Segment, e.Loc.Offset, err = p.copyRecord(e, value); err != nil {
 				return err
 			}
 		}
@@ -252,8 +252,8 @@
 			return err
 		}
 	}
-	if m.fault != nil {
-		return fileError(p.v.base.h.name, m.fault)
+	if m.err != nil {
+		return fileError(p.version.base.h.name, m.err)
 	}
 	size, _, err := w.Finish()
 	if err == nil {
@@ -272,21 +272,21 @@
 	return nil
 }
 
-// keepTombstones copies those deletions out of the victims that shadow something which stays.
-func (p *pass) keepTombstones(man *manifest.Manifest) error {
+// copyTombstones copies those deletions out of the victims that shadow something which stays.
+func (p *pass) copyTombstones(man *manifest.Manifest) error {
 	for _, g := range man.Segments {
-		if g.Tombstones == 0 || !slices.Contains(p.victims, g.ID) || !plan.TombstoneNeeded(g.Last, p.staying) {
+		if g.Tombstones == 0 || !slices.Contains(p.victims, g.ID) || !plan.TombstoneNeeded(g.Last, p.remaining) {
 			continue // what the newest deletion does not need, no older one does
 		}
-		p.reading = g.ID
-		h := p.v.segs[uint32(g.ID)]
+		p.readingVictim = g.ID
+		h := p.version.segments[uint32(g.ID)]
 		sc := segment.NewScanner(h.f, segment.HeaderSize, g.Size)
 		for sc.Offset() < g.Size {
 			f, at, err := sc.Next()
 			if err != nil {
 				return &FileError{File: h.name, Offset: at, Err: err}
 			}
-			if !plan.TombstoneNeeded(f.Seq, p.staying) {
+			if !plan.TombstoneNeeded(f.Seq, p.remaining) {
 				continue
 			}
 			if err := segment.Ops(f.Payload, func(o segment.Op) error {
@@ -298,12 +298,12 @@
 						return err // it was put again, and that word outlasts this one
 					}
 				}
-				return p.putTombstone(o, f)
+				return p.copyTombstone(o, f)
 			}); err != nil {
 				return err
 			}
 		}
-		p.reading = 0
+		p.readingVictim = 0
 	}
 	return nil
 }
@@ -327,11 +327,11 @@
 		}
 		info := p.base.t.Info()
 		m.Table = &manifest.Table{ID: info.ID, Size: p.base.size, Seq: info.Seq, Count: info.Count}
-		for space, r := range p.keep {
+		for space, r := range p.retentions {
 			r.AgeMs = 0 // has been looked at when the segment was sealed
-			if f := plan.Floor(m.Floors[space], r, p.marks, p.held[space], now); f > m.Floors[space] {
+			if f := plan.Floor(m.Floors[space], r, p.marks, p.bytesByMark[space], now); f > m.Floors[space] {
 				m.Floors[space] = f
-				p.aged = true
+				p.floorsRaised = true
 			}
 		}
 	})
@@ -339,7 +339,7 @@
 		return err
 	}
 	s.swap(func(v *version) *version {
-		segs := cloneSegs(v.segs)
+		segs := cloneSegments(v.segments)
 		for _, id := range p.victims {
 			delete(segs, uint32(id))
 		}
@@ -371,8 +371,8 @@
 
 // discard removes what a pass that failed has written.
 func (p *pass) discard() {
-	if p.out != nil {
-		p.handles = append(p.handles, p.out.h)
+	if p.output != nil {
+		p.handles = append(p.handles, p.output.h)
 	}
 	if p.base != nil {
 		p.handles = append(p.handles, p.base.h)
@@ -383,19 +383,19 @@
 			_ = p.s.opt.FS.Remove(p.s.path(h.name))
 		}
 	}
-	p.handles, p.base, p.out = nil, nil, nil
+	p.handles, p.base, p.output = nil, nil, nil
 }
 
-// wait keeps the pass within its bytes a second.
-func (p *pass) wait(n int) error {
+// pace keeps the pass within its bytes a second.
+func (p *pass) pace(n int) error {
 	if err := p.ctx.Err(); err != nil {
 		return err
 	}
-	if p.s.pace == nil {
+	if p.s.limiter == nil {
 		return nil
 	}
-	for burst := p.s.pace.Burst(); n > 0; n -= burst {
-		if err := p.s.pace.WaitN(p.ctx, min(n, burst)); err != nil {
+	for burst := p.s.limiter.Burst(); n > 0; n -= burst {
+		if err := p.s.limiter.WaitN(p.ctx, min(n, burst)); err != nil {
 			return err
 		}
 	}
@@ -405,22 +405,22 @@
 // pacedFile writes a file from its start on, in large pieces, and syncs it now and then: a sync of much at once
 // would have commits wait behind it.
 type pacedFile struct {
-	pass    *pass
-	f       vfs.File
-	name    string
-	buf     []byte
-	off     int64
-	unsaved int
+	pass     *pass
+	f        vfs.File
+	name     string
+	buf      []byte
+	off      int64
+	unsynced int
 }
 
 const (
-	pieceBytes = 128 << 10
-	syncBytes  = 1 << 20
+	chunkBytes   = 128 << 10
+	bytesPerSync = 1 << 20
 )
 
 func (p *pacedFile) Write(b []byte) (int, error) {
 	p.buf = append(p.buf, b...)
-	if len(p.buf) >= pieceBytes {
+	if len(p.buf) >= chunkBytes {
 		return len(b), p.flush()
 	}
 	return len(b), nil
@@ -430,15 +430,15 @@
 	if len(p.buf) == 0 {
 		return nil
 	}
-	if err := p.pass.wait(len(p.buf)); err != nil {
+	if err := p.pass.pace(len(p.buf)); err != nil {
 		return err
 	}
 	if _, err := p.f.WriteAt(p.buf, p.off); err != nil {
 		return fmt.Errorf("store: writing %s: %w", p.name, err)
 	}
 	p.off += int64(len(p.buf))
-	if p.unsaved += len(p.buf); p.unsaved >= syncBytes {
-		p.unsaved = 0
+	if p.unsynced += len(p.buf); p.unsynced >= bytesPerSync {
+		p.unsynced = 0
 		if err := p.f.Sync(); err != nil {
 			return fmt.Errorf("store: syncing %s: %w", p.name, err)
 		}
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -64,15 +64,15 @@
 	PassBytes int64
 }
 
-// Full tells whether a segment of size bytes is to be sealed before next more are written. A batch larger than a
+// SegmentFull tells whether a segment of size bytes is to be sealed before next more are written. A batch larger than a
 // segment gets one of its own.
-func Full(size, next int64, l Limits) bool {
+func SegmentFull(size, next int64, l Limits) bool {
 	return size > Header && size+next > l.SegmentBytes
 }
 
-// Prepare tells whether the next segment should be made ready ahead, given how long the last one took to fill: it costs
+// PrepareNext tells whether the next segment should be made ready ahead, given how long the last one took to fill: it costs
 // writing a segment's bytes twice, which only many commits a second are worth.
-func Prepare(filled time.Duration) bool { return filled < 5*time.Second }
+func PrepareNext(filled time.Duration) bool { return filled < 5*time.Second }
 
 // Tail is what has come since the index was last written down.
 type Tail struct {
@@ -81,17 +81,17 @@
 	Table   int64 // bytes of the part on disk, which a pass writes anew
 }
 
-// overlayMost bounds the part of the index in memory, however large the part on disk is.
-const overlayMost = 16 << 20
+// maxOverlay bounds the part of the index in memory, however large the part on disk is.
+const maxOverlay = 16 << 20
 
-// Due tells whether a pass is worth its cost when a segment is sealed. The index is written anew each time, so it must
+// PassDue tells whether a pass is worth its cost when a segment is sealed. The index is written anew each time, so it must
 // have grown by a part of itself; or it must be small beside the log, as where few keys are written over and over, so
 // that what is dead goes soon; or opening would take long.
-func Due(t Tail, l Limits) bool {
+func PassDue(t Tail, l Limits) bool {
 	if t.Log == 0 {
 		return false
 	}
-	grown := t.Overlay >= min(overlayMost, max(t.Table/4, l.SegmentBytes*3/8))
+	grown := t.Overlay >= min(maxOverlay, max(t.Table/4, l.SegmentBytes*3/8))
 	cheap := t.Log >= 2*l.SegmentBytes && t.Table+t.Overlay <= t.Log/4
 	return grown || cheap || t.Log >= 8*l.SegmentBytes
 }
@@ -145,9 +145,9 @@
 	return ids
 }
 
-// Unknown returns the log segments with commits over known, in the order of their commits. That is not the order of their
+// UnindexedLogs returns the log segments with commits over known, in the order of their commits. That is not the order of their
 // numbers: a segment that was made ready early may be opened after one with a higher number.
-func Unknown(segments []Segment, known uint64) []Segment {
+func UnindexedLogs(segments []Segment, known uint64) []Segment {
 	var log []Segment
 	for _, s := range segments {
 		if s.Kind == Log && (!s.Sealed || s.Last > known) {
@@ -206,9 +206,9 @@
 	return floor
 }
 
-// Trim drops marks that no floor can need any more, so that their number stays bounded: the newest most marks stay,
+// TrimMarks drops marks that no floor can need any more, so that their number stays bounded: the newest most marks stay,
 // and of the older ones every second.
-func Trim(marks []Mark, most int) []Mark {
+func TrimMarks(marks []Mark, most int) []Mark {
 	if len(marks) <= most {
 		return marks
 	}
--- a/internal/store/plan/plan_test.go
+++ b/internal/store/plan/plan_test.go
@@ -79,7 +79,7 @@
 		if floor == was && r == (Retention{}) {
 			return
 		}
-		trimmed := Trim(marks, 8)
+		trimmed := TrimMarks(marks, 8)
 		require.LessOrEqual(t, len(trimmed), max(8, len(marks)))
 		if len(marks) > 0 {
 			require.Equal(t, marks[len(marks)-1], trimmed[len(trimmed)-1])
@@ -88,15 +88,15 @@
 }
 
 func TestAPassIsDueWhenTheIndexHasGrownOrTheLogIsLong(t *testing.T) {
-	require.False(t, Due(Tail{Log: 1 << 10, Overlay: 1 << 10}, limits))
-	require.True(t, Due(Tail{Log: 1 << 20, Overlay: 400 << 10}, limits))
-	require.False(t, Due(Tail{Log: 1 << 20, Overlay: 400 << 10, Table: 4 << 20}, limits))
-	require.True(t, Due(Tail{Log: 8 << 20, Overlay: 1, Table: 4 << 20}, limits))
-	require.True(t, Due(Tail{Log: 2 << 20, Overlay: 100 << 10, Table: 100 << 10}, limits), "few keys, much of the log is dead")
-	require.False(t, Due(Tail{Log: 2 << 20, Overlay: 100 << 10, Table: 1 << 20}, limits))
-	require.True(t, Due(Tail{Log: 1 << 20, Overlay: 16 << 20, Table: 1 << 30}, limits), "memory is bounded")
-	require.False(t, Full(Header, 2<<20, limits), "a batch larger than a segment gets an empty one")
-	require.True(t, Full(Header+1, 1<<20, limits))
+	require.False(t, PassDue(Tail{Log: 1 << 10, Overlay: 1 << 10}, limits))
+	require.True(t, PassDue(Tail{Log: 1 << 20, Overlay: 400 << 10}, limits))
+	require.False(t, PassDue(Tail{Log: 1 << 20, Overlay: 400 << 10, Table: 4 << 20}, limits))
+	require.True(t, PassDue(Tail{Log: 8 << 20, Overlay: 1, Table: 4 << 20}, limits))
+	require.True(t, PassDue(Tail{Log: 2 << 20, Overlay: 100 << 10, Table: 100 << 10}, limits), "few keys, much of the log is dead")
+	require.False(t, PassDue(Tail{Log: 2 << 20, Overlay: 100 << 10, Table: 1 << 20}, limits))
+	require.True(t, PassDue(Tail{Log: 1 << 20, Overlay: 16 << 20, Table: 1 << 30}, limits), "memory is bounded")
+	require.False(t, SegmentFull(Header, 2<<20, limits), "a batch larger than a segment gets an empty one")
+	require.True(t, SegmentFull(Header+1, 1<<20, limits))
 }
 
 func TestTheLogIsReadInTheOrderOfItsCommits(t *testing.T) {
@@ -107,6 +107,6 @@
 		{ID: 8, Kind: Log, Sealed: true, First: 20, Last: 30},
 		{ID: 9, Kind: Log, Sealed: true, First: 10, Last: 19},
 	}
-	require.Equal(t, []Segment{s[4], s[3], s[2]}, Unknown(s, 9))
-	require.Equal(t, []Segment{s[2]}, Unknown(s, 30))
+	require.Equal(t, []Segment{s[4], s[3], s[2]}, UnindexedLogs(s, 9))
+	require.Equal(t, []Segment{s[2]}, UnindexedLogs(s, 30))
 }
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -21,7 +21,7 @@
 
 // read returns the value at loc, in buf if it is large enough.
 func (v *version) read(key []byte, loc table.Loc, buf []byte) ([]byte, error) {
-	h := v.segs[loc.Segment]
+	h := v.segments[loc.Segment]
 	if h == nil {
 		return nil, &FileError{File: segmentName(uint64(loc.Segment)), Offset: -1,
 			Err: fmt.Errorf("%w: the index points at it, and there is no such segment", ErrCorrupt)}
@@ -42,17 +42,17 @@
 // Snapshot is the store as it was at one commit. Later commits and compactions do not reach it. It holds files and
 // memory until it is closed.
 type Snapshot struct {
-	over *layer
-	v    *version
-	seq  uint64
+	top     *layer
+	version *version
+	seq     uint64
 }
 
 // Snapshot returns the store as it is now.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock() // copying marks the tree
 	defer s.mu.Unlock()
-	s.takeIn()
-	return &Snapshot{over: s.over.copy(), v: s.cur.ref(), seq: s.seq}
+	s.applyPending()
+	return &Snapshot{top: s.top.clone(), version: s.version.ref(), seq: s.seq}
 }
 
 // Seq is the number of the last commit in the snapshot.
@@ -60,17 +60,17 @@
 
 // Close lets go of the snapshot. Its iterators must not be used any more.
 func (n *Snapshot) Close() {
-	if n.v != nil {
-		n.v.unref()
-		n.v = nil
+	if n.version != nil {
+		n.version.unref()
+		n.version = nil
 	}
 }
 
 // Get returns a key's value and the number of the commit that set it, or ErrNotFound.
 func (n *Snapshot) Get(sp *Space, key []byte) (value []byte, seq uint64, err error) {
 	k := spaceKey(sp.id, key)
-	it, found := n.over.get(k)
-	return n.v.get(k, it, found, !found && n.over.covers(k))
+	it, found := n.top.get(k)
+	return n.version.get(k, it, found, !found && n.top.covers(k))
 }
 
 // Range returns an iterator over the keys of a space from from up to, not including, to, in order. Nil stands for
@@ -80,7 +80,7 @@
 	if to != nil {
 		end = spaceKey(sp.id, to)
 	}
-	return &Iterator{v: n.v, end: end, m: newMerge(n.v.floors, spaceKey(sp.id, from), n.v.table(), n.over, n.v.frozen)}
+	return &Iterator{version: n.version, end: end, merged: newMergeIterator(n.version.floors, spaceKey(sp.id, from), n.version.table(), n.top, n.version.frozen)}
 }
 
 // Prefix returns an iterator over the keys of a space that start with prefix.
@@ -98,34 +98,34 @@
 
 // Iterator goes over a range of keys. It belongs to one goroutine and to its snapshot.
 type Iterator struct {
-	v   *version
-	m   *merge
-	end string
-	ok  bool
-	buf []byte
+	version *version
+	merged  *mergeIterator
+	end     string
+	valid   bool
+	buf     []byte
 }
 
 // Next goes to the next key. It returns false at the end and after a fault, which Err tells.
 func (it *Iterator) Next() bool {
-	it.ok = it.m.next() && string(it.m.entry.Key) < it.end
-	return it.ok
+	it.valid = it.merged.next() && string(it.merged.entry.Key) < it.end
+	return it.valid
 }
 
 // Key returns the present key. It is good until Next.
-func (it *Iterator) Key() []byte { return it.m.entry.Key[2:] }
+func (it *Iterator) Key() []byte { return it.merged.entry.Key[2:] }
 
 // Seq is the number of the commit that set the present key.
-func (it *Iterator) Seq() uint64 { return it.m.entry.Loc.Seq }
+func (it *Iterator) Seq() uint64 { return it.merged.entry.Loc.Seq }
 
 // Size is the length of the present key's value, bytes.
-func (it *Iterator) Size() int { return int(it.m.entry.Loc.Size) }
+func (it *Iterator) Size() int { return int(it.merged.entry.Loc.Size) }
 
 // Value reads the present key's value. It is good until the next call of Value.
 func (it *Iterator) Value() ([]byte, error) {
-	if !it.ok {
+	if !it.valid {
 		return nil, ErrNotFound
 	}
-	value, err := it.v.read(it.m.entry.Key, it.m.entry.Loc, it.buf)
+	value, err := it.version.read(it.merged.entry.Key, it.merged.entry.Loc, it.buf)
 	if err == nil {
 		it.buf = value
 	}
@@ -134,11 +134,11 @@
 
 // Err returns what ended the iterator early, or nil.
 func (it *Iterator) Err() error {
-	if it.m.fault == nil || it.v.base == nil {
-		return it.m.fault
+	if it.merged.err == nil || it.version.base == nil {
+		return it.merged.err
 	}
-	return fileError(it.v.base.h.name, it.m.fault)
+	return fileError(it.version.base.h.name, it.merged.err)
 }
 
 // Close lets go of the iterator.
-func (it *Iterator) Close() { it.ok = false }
+func (it *Iterator) Close() { it.valid = false }
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -49,7 +49,7 @@
 	} else if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: repair into %s: %w", into, err)
 	}
-	r := &repairer{Repaired: &Repaired{Lost: []Lost{}}, s: &Store{dir: dir, opt: opt}, files: map[uint32]vfs.File{}, g: newGather()}
+	r := &repairer{Repaired: &Repaired{Lost: []Lost{}}, s: &Store{dir: dir, opt: opt}, files: map[uint32]vfs.File{}, index: newIndexBuilder()}
 	defer func() {
 		for _, f := range r.files {
 			_ = f.Close()
@@ -63,13 +63,13 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		r.read(g)
+		r.readSegment(g)
 	}
 	to, err := Open(into, opt)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.write(ctx, to, r.g.entries(man.Floors)); err != nil {
+	if err := r.write(ctx, to, r.index.entries(man.Floors)); err != nil {
 		return nil, errors.Join(err, to.Close())
 	}
 	return r.Repaired, to.Close()
@@ -79,10 +79,10 @@
 	*Repaired
 	s     *Store
 	files map[uint32]vfs.File
-	g     *gather
+	index *indexBuilder
 }
 
-func (r *repairer) lose(file string, at int64, err error) {
+func (r *repairer) addLost(file string, at int64, err error) {
 	r.Lost = append(r.Lost, Lost{file, at, err.Error()})
 }
 
@@ -97,7 +97,7 @@
 		return nil, lerr
 	}
 	r.Guessed = true
-	r.lose("MANIFEST", -1, err)
+	r.addLost("MANIFEST", -1, err)
 	man = &manifest.Manifest{}
 	for _, n := range names {
 		var id uint64
@@ -111,22 +111,22 @@
 	return man, nil
 }
 
-// read takes in what is good in a segment.
-func (r *repairer) read(g plan.Segment) {
+// readSegment takes in what is good in a segment.
+func (r *repairer) readSegment(g plan.Segment) {
 	name := segmentName(g.ID)
 	f, err := r.s.opt.FS.Open(r.s.path(name))
 	if err != nil {
-		r.lose(name, -1, err)
+		r.addLost(name, -1, err)
 		return
 	}
 	r.files[uint32(g.ID)] = f
 	size, err := f.Size()
 	if err != nil {
-		r.lose(name, -1, err)
+		r.addLost(name, -1, err)
 		return
 	}
 	if g.Sealed && size != g.Size {
-		r.lose(name, min(size, g.Size), fmt.Errorf("%w: is %d bytes long instead of %d", ErrCorrupt, size, g.Size))
+		r.addLost(name, min(size, g.Size), fmt.Errorf("%w: is %d bytes long instead of %d", ErrCorrupt, size, g.Size))
 	}
 	g.Size = size
 	head := make([]byte, min(size, segment.HeaderSize))
@@ -140,28 +140,28 @@
 		}
 		if err == nil && h.ID != g.ID {
 			// Its records are another segment's, and come by that one's name if it is here.
-			r.lose(name, 0, fmt.Errorf("%w: is another segment, number %d", ErrCorrupt, h.ID))
+			r.addLost(name, 0, fmt.Errorf("%w: is another segment, number %d", ErrCorrupt, h.ID))
 			return
 		}
 	}
 	if err != nil {
-		r.lose(name, 0, err)
+		r.addLost(name, 0, err)
 		if r.Guessed {
 			return // not even its kind is known
 		}
 	}
-	n, err := r.g.segment(f, g, func(at int64, err error) error {
-		r.lose(name, at, err)
+	n, err := r.index.addSegment(f, g, func(at int64, err error) error {
+		r.addLost(name, at, err)
 		return nil
 	})
 	r.Frames += n
 	if err != nil {
-		r.lose(name, -1, err)
+		r.addLost(name, -1, err)
 	}
 }
 
-// repairBatch is about how many bytes are written to the new store at once.
-const repairBatch = 1 << 20
+// repairBatchBytes is about how many bytes are written to the new store at once.
+const repairBatchBytes = 1 << 20
 
 // write puts the records into the new store in the order of their commits.
 func (r *repairer) write(ctx context.Context, to *Store, entries []table.Entry) error {
@@ -187,7 +187,7 @@
 		// The keys of the index are taken as they are, the names of the spaces among them.
 		b.Put(&Space{id: spaceOf(e.Key)}, e.Key[2:], value)
 		r.Records++
-		if b.Size() >= repairBatch {
+		if b.Size() >= repairBatchBytes {
 			if err := flush(); err != nil {
 				return err
 			}
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -20,7 +20,7 @@
 		known = man.Table.Seq
 	}
 	next := known + 1
-	for _, g := range plan.Unknown(man.Segments, known) {
+	for _, g := range plan.UnindexedLogs(man.Segments, known) {
 		h := segs[uint32(g.ID)]
 		if g.First != next {
 			return &FileError{File: h.name, Offset: 0,
@@ -36,10 +36,10 @@
 			return err
 		}
 	}
-	if s.w.h == nil {
+	if s.writer.file == nil {
 		return fmt.Errorf("%w: manifest: no open segment", ErrCorrupt)
 	}
-	s.seq, s.w.seq = next-1, next-1
+	s.seq, s.writer.seq = next-1, next-1
 	s.durable.Store(next - 1)
 	return nil
 }
@@ -53,7 +53,7 @@
 	if err != io.EOF {
 		return next, &FileError{File: h.name, Offset: sc.Offset(), Err: err}
 	}
-	s.w.since.Add(g.Size)
+	s.writer.unindexed.Add(g.Size)
 	return next, nil
 }
 
@@ -69,17 +69,17 @@
 			return next, err
 		}
 		if f.Seq != next {
-			sc.Back(at)
+			sc.SeekTo(at)
 			return next, fmt.Errorf("%w: %w: commit %d, and %d is due", errContent, ErrCorrupt, f.Seq, next)
 		}
 		if err := segment.Ops(f.Payload, func(o segment.Op) error {
 			return s.replayOp(o, f.Seq, uint32(g.ID), uint32(at), !g.Sealed)
 		}); err != nil {
-			sc.Back(at)
+			sc.SeekTo(at)
 			return next, fmt.Errorf("%w: %w", errContent, err)
 		}
 		if !g.Sealed && at == segment.HeaderSize {
-			s.w.begun = f.Time
+			s.writer.firstCommitAt = f.Time
 		}
 		next++
 	}
@@ -91,19 +91,19 @@
 	}
 	switch o.Kind {
 	case segment.Put:
-		s.over.set(item{key: string(o.Key), loc: table.Loc{Seq: seq, Segment: seg, Offset: at + uint32(o.At),
+		s.top.set(item{key: string(o.Key), loc: table.Loc{Seq: seq, Segment: seg, Offset: at + uint32(o.At),
 			Size: uint32(len(o.Value)), Sum: segment.Sum(o.Key, o.Value)}})
 		if open {
-			s.w.puts += plan.PutBytes(len(o.Key), len(o.Value))
+			s.writer.puts += plan.PutBytes(len(o.Key), len(o.Value))
 		}
 		return nil
 	case segment.Delete:
-		s.over.set(item{key: string(o.Key), loc: table.Loc{Seq: seq}})
+		s.top.set(item{key: string(o.Key), loc: table.Loc{Seq: seq}})
 	case segment.DeleteRange:
-		s.over.cut(span{string(o.Key), string(o.End)})
+		s.top.deleteRange(span{string(o.Key), string(o.End)})
 	}
 	if open {
-		s.w.tombstones += tombstoneBytes(len(o.Key), len(o.End))
+		s.writer.tombstones += tombstoneBytes(len(o.Key), len(o.End))
 	}
 	return nil
 }
@@ -122,13 +122,13 @@
 			if !errors.Is(err, ErrCorrupt) || errors.Is(err, errContent) {
 				return next, &FileError{File: h.name, Offset: good, Err: err}
 			}
-			sc.Back(good)
+			sc.SeekTo(good)
 			zeros, zerr := sc.RestZero()
 			if zerr != nil {
 				return next, &FileError{File: h.name, Offset: good, Err: zerr}
 			}
 			if zeros { // the segment was made ready for more
-				s.w.prepared, size = true, good
+				s.writer.mayHaveZeros, size = true, good
 			} else if rerr := tornEnd(sc, next, err); rerr != nil {
 				return next, &FileError{File: h.name, Offset: good, Err: rerr}
 			}
@@ -154,9 +154,9 @@
 		s.opt.Log.WithFields(logrus.Fields{"store": s.dir, "file": h.name, "offset": good, "cut": max(0, size-good),
 			"last": next - 1}).Warn("torn end of the log is cut off; all before it is there")
 	}
-	s.w.h, s.w.id = h.ref(), g.ID
-	s.w.size.Store(good)
-	s.w.since.Add(good)
+	s.writer.file, s.writer.segmentID = h.ref(), g.ID
+	s.writer.size.Store(good)
+	s.writer.unindexed.Add(good)
 	return next, nil
 }
 
--- a/internal/store/segment/op.go
+++ b/internal/store/segment/op.go
@@ -55,17 +55,17 @@
 		o := Op{Kind: OpKind(payload[at])}
 		at++
 		var err error
-		if o.Key, at, err = part(payload, at); err != nil {
+		if o.Key, at, err = readPart(payload, at); err != nil {
 			return err
 		}
 		switch o.Kind {
 		case Put:
-			if o.Value, at, err = part(payload, at); err != nil {
+			if o.Value, at, err = readPart(payload, at); err != nil {
 				return err
 			}
 			o.At = FrameSize + at - len(o.Value)
 		case DeleteRange:
-			if o.End, at, err = part(payload, at); err != nil {
+			if o.End, at, err = readPart(payload, at); err != nil {
 				return err
 			}
 		case Delete:
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func part(b []byte, at int) ([]byte, int, error) {
+func readPart(b []byte, at int) ([]byte, int, error) {
 	n, size := binary.Uvarint(b[at:])
 	if size <= 0 || n > uint64(len(b)-at-size) {
 		return nil, at, fmt.Errorf("%w: length in an operation", ErrBad)
--- a/internal/store/segment/scan.go
+++ b/internal/store/segment/scan.go
@@ -8,14 +8,14 @@
 
 // Scanner reads a segment's frames one after the other.
 type Scanner struct {
-	r    io.ReaderAt
-	off  int64
-	size int64
-	win  []byte // bytes from winAt on
-	at   int64
+	r        io.ReaderAt
+	off      int64
+	size     int64
+	window   []byte // bytes from windowAt on
+	windowAt int64
 }
 
-const window = 256 << 10
+const windowBytes = 256 << 10
 
 // NewScanner returns a Scanner of the bytes of r from offset from up to size.
 func NewScanner(r io.ReaderAt, from, size int64) *Scanner {
@@ -78,31 +78,31 @@
 
 // bytes returns up to n bytes from off on, fewer only at the end.
 func (s *Scanner) bytes(off int64, n int) ([]byte, error) {
-	if end := min(off+int64(n), s.size); off < s.at || end > s.at+int64(len(s.win)) {
-		n := max(int64(n), window)
+	if end := min(off+int64(n), s.size); off < s.windowAt || end > s.windowAt+int64(len(s.window)) {
+		n := max(int64(n), windowBytes)
 		n = min(n, s.size-off)
-		if int64(cap(s.win)) < n {
-			s.win = make([]byte, n)
+		if int64(cap(s.window)) < n {
+			s.window = make([]byte, n)
 		}
-		s.win = s.win[:n]
-		s.at = off
-		if got, err := s.r.ReadAt(s.win, off); err != nil && !(errors.Is(err, io.EOF) && int64(got) == n) {
-			s.win = s.win[:0]
+		s.window = s.window[:n]
+		s.windowAt = off
+		if got, err := s.r.ReadAt(s.window, off); err != nil && !(errors.Is(err, io.EOF) && int64(got) == n) {
+			s.window = s.window[:0]
 			return nil, err
 		}
 	}
-	b := s.win[off-s.at:]
+	b := s.window[off-s.windowAt:]
 	return b[:min(len(b), n)], nil
 }
 
-// Back has the Scanner stand at an offset that Next returned.
-func (s *Scanner) Back(off int64) { s.off = off }
+// SeekTo has the Scanner stand at an offset that Next returned.
+func (s *Scanner) SeekTo(off int64) { s.off = off }
 
 // RestZero tells whether all from where the Scanner stands is zero, as in a segment that was made ready for more. It
 // stays where it is.
 func (s *Scanner) RestZero() (bool, error) {
-	for off := s.off; off < s.size; off += window {
-		b, err := s.bytes(off, window)
+	for off := s.off; off < s.size; off += windowBytes {
+		b, err := s.bytes(off, windowBytes)
 		if err != nil {
 			return false, err
 		}
--- a/internal/store/space.go
+++ b/internal/store/space.go
@@ -20,10 +20,10 @@
 
 // Space is a keyspace of a store: keys in it are apart from all others.
 type Space struct {
-	s    *Store
-	id   uint16
-	name string
-	keep plan.Retention // guarded by the store's mu
+	s         *Store
+	id        uint16
+	name      string
+	retention plan.Retention // guarded by the store's mu
 }
 
 // spaceRecord is what is stored of a space.
@@ -44,13 +44,13 @@
 		return nil, fmt.Errorf("store: space %q: negative retention", name)
 	}
 	want := plan.Retention{AgeMs: keep.Age.Milliseconds(), Bytes: keep.Bytes}
-	s.naming.Lock()
-	defer s.naming.Unlock()
+	s.spaceMu.Lock()
+	defer s.spaceMu.Unlock()
 	s.mu.RLock()
 	sp := s.spaces[name]
 	id := uint16(len(s.spaces) + 1)
 	s.mu.RUnlock()
-	if sp != nil && sp.keep == want {
+	if sp != nil && sp.retention == want {
 		return sp, nil
 	}
 	if sp != nil {
@@ -73,7 +73,7 @@
 		sp = &Space{s: s, id: id, name: name}
 		s.spaces[name] = sp
 	}
-	sp.keep = want
+	sp.retention = want
 	return sp, nil
 }
 
@@ -102,20 +102,20 @@
 func (sp *Space) Retention() Retention {
 	sp.s.mu.RLock()
 	defer sp.s.mu.RUnlock()
-	return Retention{Age: time.Duration(sp.keep.AgeMs) * time.Millisecond, Bytes: sp.keep.Bytes}
+	return Retention{Age: time.Duration(sp.retention.AgeMs) * time.Millisecond, Bytes: sp.retention.Bytes}
 }
 
-// retained returns the spaces whose records grow old.
-func (s *Store) retained() map[uint16]plan.Retention {
+// retentions returns the spaces whose records grow old.
+func (s *Store) retentions() map[uint16]plan.Retention {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var m map[uint16]plan.Retention
 	for _, sp := range s.spaces {
-		if sp.keep != (plan.Retention{}) {
+		if sp.retention != (plan.Retention{}) {
 			if m == nil {
 				m = map[uint16]plan.Retention{}
 			}
-			m[sp.id] = sp.keep
+			m[sp.id] = sp.retention
 		}
 	}
 	return m
@@ -144,7 +144,7 @@
 			return fmt.Errorf("%w: record of space %q: %v", ErrCorrupt, it.Key(), err)
 		}
 		name := string(it.Key())
-		s.spaces[name] = &Space{s: s, id: r.ID, name: name, keep: r.Retention}
+		s.spaces[name] = &Space{s: s, id: r.ID, name: name, retention: r.Retention}
 	}
 	return it.Err()
 }
@@ -153,14 +153,14 @@
 func (sp *Space) Get(key []byte) (value []byte, seq uint64, err error) {
 	s := sp.s
 	k := spaceKey(sp.id, key)
-	s.lockRead()
+	s.rLockApplied()
 	if s.closed {
 		s.mu.RUnlock()
 		return nil, 0, ErrClosed
 	}
-	it, found := s.over.get(k)
-	covered := !found && s.over.covers(k)
-	v := s.cur.ref()
+	it, found := s.top.get(k)
+	covered := !found && s.top.covers(k)
+	v := s.version.ref()
 	s.mu.RUnlock()
 	defer v.unref()
 	return v.get(k, it, found, covered)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -105,22 +105,22 @@
 
 // Store is an open store. It is safe for use by several goroutines.
 type Store struct {
-	dir    string
-	opt    Options
-	limits plan.Limits
-	id     [16]byte
-	lock   io.Closer
-	cache  *table.Cache
-	pace   *rate.Limiter
-	ctx    context.Context // ends when the store is closed
-	cancel context.CancelFunc
-	fault  atomic.Pointer[error] // why it takes no more writes
+	dir     string
+	opt     Options
+	limits  plan.Limits
+	id      [16]byte
+	lock    io.Closer
+	cache   *table.Cache
+	limiter *rate.Limiter
+	ctx     context.Context // ends when the store is closed
+	cancel  context.CancelFunc
+	fault   atomic.Pointer[error] // why it takes no more writes
 
 	// mu guards what readers see.
 	mu      sync.RWMutex
-	over    *layer    // commits since the last freeze
-	pending []pending // the last of them, which over does not have yet; see takeIn
-	cur     *version
+	top     *layer         // commits since the last freeze
+	pending []pendingBatch // the last of them, which top does not have yet; see applyPending
+	version *version
 	seq     uint64 // of the last commit that readers see
 	spaces  map[string]*Space
 	closed  bool
@@ -129,13 +129,13 @@
 	manMu sync.Mutex
 	man   *manifest.Manifest
 
-	w writer
-	p passer
+	writer    writer
+	compactor compactor
 
-	naming  sync.Mutex // one Space at a time names a new space
-	running sync.WaitGroup
-	durable atomic.Uint64
-	passes  atomic.Uint64
+	spaceMu    sync.Mutex // one Space at a time names a new space
+	goroutines sync.WaitGroup
+	durable    atomic.Uint64
+	passes     atomic.Uint64
 }
 
 // Stats are figures of a store.
@@ -158,11 +158,11 @@
 func (s *Store) Stats() Stats {
 	s.manMu.Lock()
 	st := Stats{Segments: len(s.man.Segments), Passes: s.passes.Load(), Durable: s.durable.Load(),
-		Syncs: s.w.syncs.Load(), Commits: s.w.commits.Load()}
+		Syncs: s.writer.syncs.Load(), Commits: s.writer.commits.Load()}
 	for _, g := range s.man.Segments {
 		size, live := g.Size, g.Live
 		if !g.Sealed {
-			size = s.w.size.Load()
+			size = s.writer.size.Load()
 			live = size
 		}
 		st.Bytes += size
@@ -173,16 +173,16 @@
 		st.TableKeys = t.Count
 	}
 	s.manMu.Unlock()
-	s.lockRead()
+	s.rLockApplied()
 	defer s.mu.RUnlock()
 	st.Seq = s.seq
-	st.MemoryKeys, st.MemoryBytes = s.over.tree.Len(), s.over.bytes()
-	if f := s.cur.frozen; f != nil {
+	st.MemoryKeys, st.MemoryBytes = s.top.tree.Len(), s.top.bytes()
+	if f := s.version.frozen; f != nil {
 		st.MemoryKeys += f.tree.Len()
 		st.MemoryBytes += f.bytes()
 	}
-	if s.cur.base != nil {
-		st.MemoryBytes += int64(s.cur.base.t.Memory())
+	if s.version.base != nil {
+		st.MemoryBytes += int64(s.version.base.t.Memory())
 	}
 	if f := s.fault.Load(); f != nil {
 		st.ReadOnly = (*f).Error()
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// poison has the store take no more writes.
-func (s *Store) poison(what string, err error) error {
+// turnReadOnly has the store take no more writes.
+func (s *Store) turnReadOnly(what string, err error) error {
 	e := fmt.Errorf("%w: %s: %w", ErrReadOnly, what, err)
 	if s.fault.CompareAndSwap(nil, &e) {
 		s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "what": what}).
@@ -225,7 +225,7 @@
 	edit(next)
 	next.Generation++
 	if maybe, err := manifest.Write(s.opt.FS, s.dir, next); maybe {
-		return s.poison("writing the manifest", err)
+		return s.turnReadOnly("writing the manifest", err)
 	} else if err != nil {
 		return fmt.Errorf("store: writing the manifest: %w", err)
 	}
@@ -243,13 +243,15 @@
 }
 
 // Sync returns when all that was committed is on disk.
-func (s *Store) Sync() error { return s.w.control(s, func() error { return s.w.sync(s) }) }
+func (s *Store) Sync() error {
+	return s.writer.runInWriter(s, func() error { return s.writer.sync(s) })
+}
 
 // Compact has the index written down and all rewritten that is worth it, until passes find nothing more.
 func (s *Store) Compact(ctx context.Context) error {
 	least := s.Stats().Bytes
-	for idle := 0; idle < compactIdle; idle++ {
-		again, err := s.p.run(ctx, s, true, false)
+	for idle := 0; idle < maxIdlePasses; idle++ {
+		again, err := s.compactor.runPass(ctx, s, true, false)
 		if err != nil || !again {
 			return err
 		}
@@ -260,12 +262,12 @@
 	return nil
 }
 
-// compactIdle is how many passes in a row may find something to rewrite and yet gain nothing: deletions take a few to
+// maxIdlePasses is how many passes in a row may find something to rewrite and yet gain nothing: deletions take a few to
 // become needless.
-const compactIdle = 4
+const maxIdlePasses = 4
 
-// closeTail is how many bytes of log an orderly end leaves to be read at the next opening.
-const closeTail = 2 << 20
+// maxCloseTail is how many bytes of log an orderly end leaves to be read at the next opening.
+const maxCloseTail = 2 << 20
 
 // Close ends the store when all that was committed is on disk. Snapshots and iterators must be closed before.
 func (s *Store) Close() error {
@@ -279,25 +281,25 @@
 	var err error
 	if s.fault.Load() == nil {
 		err = s.Sync()
-		if err == nil && s.w.tail() > closeTail {
-			if s.pace != nil {
-				s.pace.SetLimit(rate.Inf) // nobody else is waiting for the disk now
+		if err == nil && s.writer.unindexedBytes() > maxCloseTail {
+			if s.limiter != nil {
+				s.limiter.SetLimit(rate.Inf) // nobody else is waiting for the disk now
 			}
 			// Only saves time at the next opening, so that a fault of it harms nothing.
-			if _, perr := s.p.run(s.ctx, s, true, true); perr != nil {
+			if _, perr := s.compactor.runPass(s.ctx, s, true, true); perr != nil {
 				s.opt.Log.WithError(perr).WithField("store", s.dir).Warn("index not written down at the end")
 			}
 		}
 	}
 	if s.fault.Load() == nil {
-		err = errors.Join(err, s.w.control(s, func() error { return s.w.trim(s) }))
+		err = errors.Join(err, s.writer.runInWriter(s, func() error { return s.writer.trimZeros(s) }))
 	}
 	s.cancel()
-	s.w.stop()
-	s.running.Wait()
-	s.w.dropSpares(s)
+	s.writer.stop()
+	s.goroutines.Wait()
+	s.writer.removePrepared(s)
 	s.mu.Lock()
-	s.cur.unref()
+	s.version.unref()
 	s.mu.Unlock()
 	if cerr := s.lock.Close(); err == nil {
 		err = cerr
--- a/internal/store/table/table.go
+++ b/internal/store/table/table.go
@@ -156,7 +156,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-func bad(off int64, format string, args ...any) error {
+func corrupt(off int64, format string, args ...any) error {
 	return &Error{off, fmt.Errorf("%w: %s", segment.ErrBad, fmt.Sprintf(format, args...))}
 }
 
@@ -177,19 +177,19 @@
 
 // Table is an open table. It is safe for use by several goroutines.
 type Table struct {
-	r     io.ReaderAt
-	info  Info
-	cache *Cache
-	keys  []byte
-	rows  []byte
-	n     int
-	size  int64
+	r      io.ReaderAt
+	info   Info
+	cache  *Cache
+	keys   []byte
+	rows   []byte
+	blocks int
+	size   int64
 }
 
 // Open reads a table's footer and index. Errors about its content wrap segment.ErrBad or segment.ErrNewer.
 func Open(r io.ReaderAt, size int64, cache *Cache) (*Table, error) {
 	if size < footerSize {
-		return nil, bad(size, "ends early")
+		return nil, corrupt(size, "ends early")
 	}
 	// Footer and index come in one read where the index is small.
 	tail := make([]byte, min(size, 64<<10))
@@ -199,23 +199,23 @@
 	foot := tail[len(tail)-footerSize:]
 	at := size - footerSize
 	if string(foot[:8]) != magic {
-		return nil, bad(at, "no table's footer")
+		return nil, corrupt(at, "no table's footer")
 	}
 	if v := binary.LittleEndian.Uint32(foot[8:]); v > Version {
 		return nil, &Error{at, fmt.Errorf("%w: %d, this one reads up to %d", segment.ErrNewer, v, Version)}
 	}
 	if binary.LittleEndian.Uint32(foot[footerSize-4:]) != crc32.Checksum(foot[:footerSize-4], segment.Castagnoli) {
-		return nil, bad(at, "footer's checksum")
+		return nil, corrupt(at, "footer's checksum")
 	}
-	t := &Table{r: r, cache: cache, n: int(binary.LittleEndian.Uint32(foot[12:])), size: size}
+	t := &Table{r: r, cache: cache, blocks: int(binary.LittleEndian.Uint32(foot[12:])), size: size}
 	copy(t.info.Store[:], foot[16:])
 	t.info.ID = binary.LittleEndian.Uint64(foot[32:])
 	t.info.Count = binary.LittleEndian.Uint64(foot[40:])
 	indexAt := int64(binary.LittleEndian.Uint64(foot[48:]))
 	t.info.Seq = binary.LittleEndian.Uint64(foot[56:])
 	length := int64(binary.LittleEndian.Uint64(foot[64:]))
-	if indexAt+length != at || indexAt < 0 || length < int64(t.n)*rowSize {
-		return nil, bad(at, "index of %d bytes at %d", length, indexAt)
+	if indexAt+length != at || indexAt < 0 || length < int64(t.blocks)*rowSize {
+		return nil, corrupt(at, "index of %d bytes at %d", length, indexAt)
 	}
 	index := make([]byte, length)
 	if have := int64(len(tail)) - footerSize; length <= have {
@@ -224,16 +224,16 @@
 		return nil, err
 	}
 	if binary.LittleEndian.Uint32(foot[72:]) != crc32.Checksum(index, segment.Castagnoli) {
-		return nil, bad(indexAt, "index's checksum")
+		return nil, corrupt(indexAt, "index's checksum")
 	}
-	t.keys, t.rows = index[:len(index)-t.n*rowSize], index[len(index)-t.n*rowSize:]
+	t.keys, t.rows = index[:len(index)-t.blocks*rowSize], index[len(index)-t.blocks*rowSize:]
 	return t, nil
 }
 
 func readFull(r io.ReaderAt, b []byte, off int64) error {
 	if n, err := r.ReadAt(b, off); n < len(b) {
 		if err == io.EOF {
-			return bad(off+int64(n), "ends early")
+			return corrupt(off+int64(n), "ends early")
 		}
 		return err
 	}
@@ -246,7 +246,7 @@
 // Memory is how many bytes the table holds in memory, the cache aside.
 func (t *Table) Memory() int { return len(t.keys) + len(t.rows) }
 
-func (t *Table) first(n int) []byte {
+func (t *Table) firstKey(n int) []byte {
 	from := uint32(0)
 	if n > 0 {
 		from = binary.LittleEndian.Uint32(t.rows[(n-1)*rowSize:])
@@ -263,14 +263,14 @@
 
 // find returns the block in which key is if it is anywhere; -1: before the first.
 func (t *Table) find(key []byte) int {
-	return sort.Search(t.n, func(i int) bool { return bytes.Compare(t.first(i), key) > 0 }) - 1
+	return sort.Search(t.blocks, func(i int) bool { return bytes.Compare(t.firstKey(i), key) > 0 }) - 1
 }
 
-// block reads block n and checks it. buf may be used for it.
-func (t *Table) block(n int, buf []byte) ([]byte, error) {
+// readBlock reads block n and checks it. buf may be used for it.
+func (t *Table) readBlock(n int, buf []byte) ([]byte, error) {
 	from, to := t.bounds(n)
 	if to-from < 4 || to > t.size {
-		return nil, bad(from, "block %d of %d bytes", n, to-from)
+		return nil, corrupt(from, "block %d of %d bytes", n, to-from)
 	}
 	b := slices.Grow(buf[:0], int(to-from))[:to-from]
 	if err := readFull(t.r, b, from); err != nil {
@@ -278,17 +278,17 @@
 	}
 	sum := len(b) - 4
 	if binary.LittleEndian.Uint32(b[sum:]) != crc32.Checksum(b[:sum], segment.Castagnoli) {
-		return nil, bad(from, "block's checksum")
+		return nil, corrupt(from, "block's checksum")
 	}
 	return b[:sum], nil
 }
 
-func (t *Table) cached(n int) ([]byte, error) {
+func (t *Table) cachedBlock(n int) ([]byte, error) {
 	name := Block{t.info.ID, n}
 	if b, ok := t.cache.Get(name); ok {
 		return b, nil
 	}
-	b, err := t.block(n, nil)
+	b, err := t.readBlock(n, nil)
 	if err == nil {
 		t.cache.Add(name, b)
 	}
@@ -301,14 +301,14 @@
 	if n < 0 {
 		return Loc{}, false, nil
 	}
-	b, err := t.cached(n)
+	b, err := t.cachedBlock(n)
 	if err != nil {
 		return Loc{}, false, err
 	}
 	it := Iterator{t: t, rest: b}
 	for it.step() {
-		if c := bytes.Compare(it.e.Key, key); c >= 0 {
-			return it.e.Loc, c == 0, nil
+		if c := bytes.Compare(it.entry.Key, key); c >= 0 {
+			return it.entry.Loc, c == 0, nil
 		}
 	}
 	return Loc{}, false, it.err
@@ -322,46 +322,46 @@
 		n++
 	}
 	if it.err == nil && n != t.info.Count {
-		return bad(t.size, "%d entries instead of %d", n, t.info.Count)
+		return corrupt(t.size, "%d entries instead of %d", n, t.info.Count)
 	}
 	return it.err
 }
 
 // Iterator goes over a table's entries in order.
 type Iterator struct {
-	t    *Table
-	n    int // the next block
-	buf  []byte
-	rest []byte // of the present block
-	from []byte // the first key wanted
-	e    Entry
-	err  error
+	t         *Table
+	nextBlock int // the next block
+	buf       []byte
+	rest      []byte // of the present block
+	from      []byte // the first key wanted
+	entry     Entry
+	err       error
 }
 
 // Seek returns an Iterator that stands before the first entry whose key is not under the given one. It keeps the
 // cache as it is.
 func (t *Table) Seek(key []byte) *Iterator {
-	return &Iterator{t: t, n: max(0, t.find(key)), from: key}
+	return &Iterator{t: t, nextBlock: max(0, t.find(key)), from: key}
 }
 
 // Next goes to the next entry; at the end and after a fault it returns false.
 func (it *Iterator) Next() bool {
 	for it.err == nil {
 		for it.step() {
-			if it.from == nil || bytes.Compare(it.e.Key, it.from) >= 0 {
+			if it.from == nil || bytes.Compare(it.entry.Key, it.from) >= 0 {
 				it.from = nil
 				return true
 			}
 		}
-		if it.err != nil || it.n >= it.t.n {
+		if it.err != nil || it.nextBlock >= it.t.blocks {
 			return false
 		}
-		if it.buf, it.err = it.t.block(it.n, it.buf); it.err != nil {
+		if it.buf, it.err = it.t.readBlock(it.nextBlock, it.buf); it.err != nil {
 			return false
 		}
 		it.rest = it.buf
-		it.e.Key = it.e.Key[:0]
-		it.n++
+		it.entry.Key = it.entry.Key[:0]
+		it.nextBlock++
 	}
 	return false
 }
@@ -375,7 +375,7 @@
 	next := func() uint64 {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			it.err = bad(0, "an entry's number")
+			it.err = corrupt(0, "an entry's number")
 			b = nil
 			return 0
 		}
@@ -383,29 +383,29 @@
 		return v
 	}
 	shared, rest := next(), next()
-	if shared > uint64(len(it.e.Key)) || rest > uint64(len(b)) {
-		it.err = bad(0, "an entry's key")
+	if shared > uint64(len(it.entry.Key)) || rest > uint64(len(b)) {
+		it.err = corrupt(0, "an entry's key")
 		return false
 	}
-	it.e.Key = append(it.e.Key[:shared], b[:rest]...)
+	it.entry.Key = append(it.entry.Key[:shared], b[:rest]...)
 	b = b[rest:]
-	it.e.Loc.Seq = next()
-	it.e.Loc.Segment = uint32(next())
-	it.e.Loc.Offset = uint32(next())
-	it.e.Loc.Size = uint32(next())
+	it.entry.Loc.Seq = next()
+	it.entry.Loc.Segment = uint32(next())
+	it.entry.Loc.Offset = uint32(next())
+	it.entry.Loc.Size = uint32(next())
 	if it.err != nil || len(b) < 4 {
 		if it.err == nil {
-			it.err = bad(0, "an entry's checksum")
+			it.err = corrupt(0, "an entry's checksum")
 		}
 		return false
 	}
-	it.e.Loc.Sum = binary.LittleEndian.Uint32(b)
+	it.entry.Loc.Sum = binary.LittleEndian.Uint32(b)
 	it.rest = b[4:]
 	return true
 }
 
 // Entry returns the present entry, whose key is good until the next call of Next.
-func (it *Iterator) Entry() Entry { return it.e }
+func (it *Iterator) Entry() Entry { return it.entry }
 
 // Err returns what ended the Iterator early.
 func (it *Iterator) Err() error { return it.err }
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -39,16 +39,16 @@
 // version is what lies under the uppermost layer at one time. It does not change, and the files in it stay readable
 // while somebody holds it.
 type version struct {
-	frozen *layer // on its way into the table; nil: none
-	base   *baseTable
-	segs   map[uint32]*handle
-	floors map[uint16]uint64
-	refs   atomic.Int32
+	frozen   *layer // on its way into the table; nil: none
+	base     *baseTable
+	segments map[uint32]*handle
+	floors   map[uint16]uint64
+	refs     atomic.Int32
 }
 
 // newVersion returns a version that holds all its files, and one hold on itself.
 func newVersion(frozen *layer, base *baseTable, segs map[uint32]*handle, floors map[uint16]uint64) *version {
-	v := &version{frozen: frozen, base: base, segs: segs, floors: floors}
+	v := &version{frozen: frozen, base: base, segments: segs, floors: floors}
 	v.refs.Store(1)
 	for _, h := range segs {
 		h.ref()
@@ -65,7 +65,7 @@
 	if v.refs.Add(-1) != 0 {
 		return
 	}
-	for _, h := range v.segs {
+	for _, h := range v.segments {
 		h.unref()
 	}
 	if v.base != nil {
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -52,7 +52,7 @@
 	return info.Size(), nil
 }
 
-func wrap(f *os.File, err error) (File, error) {
+func wrapFile(f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -61,14 +61,14 @@
 
 // Create creates a file for reading and writing, or cuts the one that is there.
 func (OS) Create(name string) (File, error) {
-	return wrap(os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600))
+	return wrapFile(os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600))
 }
 
 // Open opens a file for reading.
-func (OS) Open(name string) (File, error) { return wrap(os.Open(name)) }
+func (OS) Open(name string) (File, error) { return wrapFile(os.Open(name)) }
 
 // OpenRW opens a file that is there for reading and writing.
-func (OS) OpenRW(name string) (File, error) { return wrap(os.OpenFile(name, os.O_RDWR, 0)) }
+func (OS) OpenRW(name string) (File, error) { return wrapFile(os.OpenFile(name, os.O_RDWR, 0)) }
 
 // Rename renames a file; one that has the new name is replaced.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
