--- a/internal/store/manifest/manifest.go
+++ b/internal/store/manifest/manifest.go
@@ -93,7 +93,7 @@
 	}
 	m := &Manifest{}
 	if err := json.Unmarshal(body, m); err != nil {
-		return nil, fmt.Errorf("%w: offset %d: %v", segment.ErrBad, len(line)+1, err)
+		return nil, fmt.Errorf("%w: offset %d: %w", segment.ErrBad, len(line)+1, err)
 	}
 	return m, nil
 }
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -49,6 +49,9 @@
 // body is what a segment holds beside its head, which is no garbage: a small segment would be rewritten forever.
 func (s Segment) body() int64 { return max(s.Size-Header, 0) }
 
+// garbage is the fraction of the segment that is neither live nor a deletion.
+func (s Segment) garbage() float64 { return 1 - float64(s.Live+s.Tombstones)/float64(max(s.body(), 1)) }
+
 // Header is how many bytes of a segment file are its head.
 const Header = 64
 
@@ -96,8 +99,9 @@
 	return grown || cheap || t.Log >= 8*l.SegmentBytes
 }
 
-// Victims chooses the segments that a pass rewrites or drops, the emptiest first. The pass has the index up to the
-// sequence number upTo, so only segments that end there or before can be chosen.
+// Victims chooses the segments that a pass rewrites or drops, and returns their numbers in ascending order. It prefers those
+// with most garbage. The pass has the index up to the sequence number upTo, so only segments that end there or before can be
+// chosen.
 func Victims(segments []Segment, upTo uint64, l Limits) []uint64 {
 	var all, tombstones int64
 	var sealed []Segment
@@ -108,41 +112,59 @@
 			tombstones += s.Tombstones
 		}
 	}
-	garbage := func(s Segment) float64 { return 1 - float64(s.Live+s.Tombstones)/float64(max(s.body(), 1)) }
-	byGarbage := slices.SortedFunc(slices.Values(sealed), func(a, b Segment) int {
-		return cmp.Or(cmp.Compare(garbage(b), garbage(a)), cmp.Compare(a.ID, b.ID))
-	})
-	var ids []uint64
-	var copied int64
-	take := func(s Segment) bool {
-		if slices.Contains(ids, s.ID) {
-			return true
-		}
-		cost := s.Live + s.Tombstones
-		if copied+cost > l.PassBytes && copied > 0 {
-			return false
-		}
-		ids, copied = append(ids, s.ID), copied+cost
+	p := picker{limit: l.PassBytes}
+	p.pickGarbage(sealed, l.Garbage)
+	if float64(tombstones) > l.Tombstones*float64(all) {
+		p.pickUncleaned(sealed, upTo)
+	}
+	slices.Sort(p.ids)
+	return p.ids
+}
+
+// picker collects the victims of one pass.
+type picker struct {
+	ids    []uint64
+	copied int64 // bytes that the pass will copy out of them
+	limit  int64 // of copied
+}
+
+// pick reports whether a segment is a victim now. The first one always is, whatever it costs, or a large segment would
+// never be rewritten.
+func (p *picker) pick(s Segment) bool {
+	if slices.Contains(p.ids, s.ID) {
 		return true
 	}
+	cost := s.Live + s.Tombstones
+	if p.copied+cost > p.limit && p.copied > 0 {
+		return false
+	}
+	p.ids, p.copied = append(p.ids, s.ID), p.copied+cost
+	return true
+}
+
+// pickGarbage picks the segments whose fraction of garbage is at least minGarbage, those with most of it first.
+func (p *picker) pickGarbage(sealed []Segment, minGarbage float64) {
+	byGarbage := slices.SortedFunc(slices.Values(sealed), func(a, b Segment) int {
+		return cmp.Or(cmp.Compare(b.garbage(), a.garbage()), cmp.Compare(a.ID, b.ID))
+	})
 	for _, s := range byGarbage {
-		if garbage(s) < l.Garbage || !take(s) {
-			break
+		if s.garbage() < minGarbage || !p.pick(s) {
+			return
 		}
 	}
-	// Deletions go once nothing older than they are is left uncleaned: the segments cleaned longest ago go first.
-	if float64(tombstones) > l.Tombstones*float64(all) {
-		slices.SortFunc(sealed, func(a, b Segment) int {
-			return cmp.Or(cmp.Compare(a.Clean, b.Clean), cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID))
-		})
-		for _, s := range sealed {
-			if (s.Clean < upTo || s.Tombstones > 0) && !take(s) {
-				break
-			}
+}
+
+// pickUncleaned picks segments so that deletions go, which they can once no older segment is left uncleaned: the segments
+// that were cleaned longest ago go first.
+func (p *picker) pickUncleaned(sealed []Segment, upTo uint64) {
+	byClean := slices.SortedFunc(slices.Values(sealed), func(a, b Segment) int {
+		return cmp.Or(cmp.Compare(a.Clean, b.Clean), cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID))
+	})
+	for _, s := range byClean {
+		if (s.Clean < upTo || s.Tombstones > 0) && !p.pick(s) {
+			return
 		}
 	}
-	slices.Sort(ids)
-	return ids
 }
 
 // UnindexedLogs returns the log segments with commits over known, in the order of their commits. That is not the order of their
--- a/internal/store/plan/plan_test.go
+++ b/internal/store/plan/plan_test.go
@@ -26,7 +26,7 @@
 	require.Equal(t, []uint64{2, 3}, Victims(s, 39, small), "one is always taken, or nothing would ever go on")
 }
 
-func TestADeletionIsKeptWhileSomethingOlderMayStandBehindIt(t *testing.T) {
+func TestATombstoneOutlastsItsSegmentWhileAnOlderRecordMayExist(t *testing.T) {
 	old := Segment{ID: 1, First: 1, Last: 50, Sealed: true}
 	clean := Segment{ID: 2, First: 1, Last: 50, Clean: 100, Sealed: true}
 	later := Segment{ID: 3, First: 70}
@@ -47,33 +47,28 @@
 	require.Empty(t, Victims(s, 19, limits))
 }
 
-func TestFloorsNeverFallAndKeepWhatIsAskedFor(t *testing.T) {
+func TestFloorsNeverFallAndRespectRetention(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var marks []Mark
-		var held []int64
+		var bytesByMark []int64
 		seq, ms := uint64(0), int64(0)
 		for range rapid.IntRange(0, 20).Draw(t, "marks") {
 			seq += rapid.Uint64Range(1, 9).Draw(t, "seq")
 			ms += rapid.Int64Range(0, 9).Draw(t, "ms")
-			marks, held = append(marks, Mark{seq, ms}), append(held, rapid.Int64Range(0, 9).Draw(t, "held"))
+			marks, bytesByMark = append(marks, Mark{seq, ms}), append(bytesByMark, rapid.Int64Range(0, 9).Draw(t, "bytes by mark"))
 		}
 		r := Retention{AgeMs: rapid.Int64Range(0, 50).Draw(t, "age"), Bytes: rapid.Int64Range(0, 50).Draw(t, "bytes")}
 		was := rapid.Uint64Range(0, seq+1).Draw(t, "was")
 		now := ms + rapid.Int64Range(0, 50).Draw(t, "now")
-		floor := Floor(was, r, marks, held, now)
+		floor := Floor(was, r, marks, bytesByMark, now)
 		require.GreaterOrEqual(t, floor, was)
-		var over int64
 		for i, m := range marks {
+			tooOld := r.AgeMs > 0 && m.UnixMs <= now-r.AgeMs
 			if m.Seq <= floor && floor > was {
-				tooOld := r.AgeMs > 0 && m.UnixMs <= now-r.AgeMs
-				for _, h := range held[i:] {
-					over += h
-				}
-				require.True(t, tooOld || r.Bytes > 0 && over > r.Bytes, "dropped without need")
-				over = 0
+				require.True(t, tooOld || r.Bytes > 0 && sum(bytesByMark[i:]) > r.Bytes, "dropped without need")
 			}
-			if m.Seq > floor && r.AgeMs > 0 {
-				require.Greater(t, m.UnixMs, now-r.AgeMs, "too old and kept")
+			if m.Seq > floor {
+				require.False(t, tooOld, "too old and retained")
 			}
 		}
 		if floor == was && r == (Retention{}) {
@@ -87,6 +82,13 @@
 	})
 }
 
+func sum(values []int64) (total int64) {
+	for _, v := range values {
+		total += v
+	}
+	return total
+}
+
 func TestAPassIsDueWhenTheIndexHasGrownOrTheLogIsLong(t *testing.T) {
 	require.False(t, PassDue(Tail{Log: 1 << 10, Overlay: 1 << 10}, limits))
 	require.True(t, PassDue(Tail{Log: 1 << 20, Overlay: 400 << 10}, limits))
--- a/internal/store/segment/scan.go
+++ b/internal/store/segment/scan.go
@@ -86,7 +86,7 @@
 		}
 		s.window = s.window[:n]
 		s.windowAt = off
-		if got, err := s.r.ReadAt(s.window, off); err != nil && !(errors.Is(err, io.EOF) && int64(got) == n) {
+		if got, err := s.r.ReadAt(s.window, off); err != nil && (!errors.Is(err, io.EOF) || int64(got) != n) {
 			s.window = s.window[:0]
 			return nil, err
 		}
--- /dev/null
+++ b/internal/store/table/iterator.go
@@ -0,0 +1,89 @@
+package table
+
+import (
+	"bytes"
+	"encoding/binary"
+)
+
+// Iterator goes over a table's entries in order.
+type Iterator struct {
+	t         *Table
+	nextBlock int // the next block
+	buf       []byte
+	rest      []byte // of the present block
+	from      []byte // the first key wanted
+	entry     Entry
+	err       error
+}
+
+// Seek returns an Iterator that stands before the first entry whose key is not under the given one. It keeps the
+// cache as it is.
+func (t *Table) Seek(key []byte) *Iterator {
+	return &Iterator{t: t, nextBlock: max(0, t.find(key)), from: key}
+}
+
+// Next goes to the next entry; at the end and after a fault it returns false.
+func (it *Iterator) Next() bool {
+	for it.err == nil {
+		for it.step() {
+			if it.from == nil || bytes.Compare(it.entry.Key, it.from) >= 0 {
+				it.from = nil
+				return true
+			}
+		}
+		if it.err != nil || it.nextBlock >= it.t.blocks {
+			return false
+		}
+		if it.buf, it.err = it.t.readBlock(it.nextBlock, it.buf); it.err != nil {
+			return false
+		}
+		it.rest = it.buf
+		it.entry.Key = it.entry.Key[:0]
+		it.nextBlock++
+	}
+	return false
+}
+
+// step reads one entry of the present block. The key is the Iterator's own.
+func (it *Iterator) step() bool {
+	b := it.rest
+	if len(b) == 0 {
+		return false
+	}
+	next := func() uint64 {
+		v, n := binary.Uvarint(b)
+		if n <= 0 {
+			it.err = corrupt(0, "an entry's number")
+			b = nil
+			return 0
+		}
+		b = b[n:]
+		return v
+	}
+	shared, rest := next(), next()
+	if shared > uint64(len(it.entry.Key)) || rest > uint64(len(b)) {
+		it.err = corrupt(0, "an entry's key")
+		return false
+	}
+	it.entry.Key = append(it.entry.Key[:shared], b[:rest]...)
+	b = b[rest:]
+	it.entry.Loc.Seq = next()
+	it.entry.Loc.Segment = uint32(next())
+	it.entry.Loc.Offset = uint32(next())
+	it.entry.Loc.Size = uint32(next())
+	if it.err != nil || len(b) < 4 {
+		if it.err == nil {
+			it.err = corrupt(0, "an entry's checksum")
+		}
+		return false
+	}
+	it.entry.Loc.Sum = binary.LittleEndian.Uint32(b)
+	it.rest = b[4:]
+	return true
+}
+
+// Entry returns the present entry, whose key is good until the next call of Next.
+func (it *Iterator) Entry() Entry { return it.entry }
+
+// Err returns what ended the Iterator early.
+func (it *Iterator) Err() error { return it.err }
--- /dev/null
+++ b/internal/store/table/writer.go
@@ -0,0 +1,102 @@
+package table
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"io"
+
+	"ospreypond/internal/store/segment"
+)
+
+// Writer writes a table. Entries must come in order of their keys.
+type Writer struct {
+	w     io.Writer
+	info  Info
+	off   uint64
+	block []byte
+	last  []byte
+	first []byte
+	keys  []byte
+	rows  []byte
+}
+
+// NewWriter returns a Writer of a table of that name; its Count is counted.
+func NewWriter(w io.Writer, info Info) *Writer {
+	info.Count = 0
+	return &Writer{w: w, info: info}
+}
+
+// Add appends an entry.
+func (w *Writer) Add(e Entry) error {
+	if w.info.Count > 0 && bytes.Compare(e.Key, w.last) <= 0 {
+		return fmt.Errorf("table: key %x does not follow %x", e.Key, w.last)
+	}
+	shared := 0
+	if len(w.block) == 0 {
+		w.first = append(w.first[:0], e.Key...)
+	} else {
+		for shared < len(w.last) && shared < len(e.Key) && w.last[shared] == e.Key[shared] {
+			shared++
+		}
+	}
+	b := binary.AppendUvarint(w.block, uint64(shared))
+	b = binary.AppendUvarint(b, uint64(len(e.Key)-shared))
+	b = append(b, e.Key[shared:]...)
+	b = binary.AppendUvarint(b, e.Loc.Seq)
+	b = binary.AppendUvarint(b, uint64(e.Loc.Segment))
+	b = binary.AppendUvarint(b, uint64(e.Loc.Offset))
+	b = binary.AppendUvarint(b, uint64(e.Loc.Size))
+	w.block = binary.LittleEndian.AppendUint32(b, e.Loc.Sum)
+	w.last = append(w.last[:0], e.Key...)
+	w.info.Count++
+	if len(w.block) >= blockSize {
+		return w.flush()
+	}
+	return nil
+}
+
+func (w *Writer) flush() error {
+	if len(w.block) == 0 {
+		return nil
+	}
+	w.block = binary.LittleEndian.AppendUint32(w.block, crc32.Checksum(w.block, segment.Castagnoli))
+	if err := w.write(w.block); err != nil {
+		return err
+	}
+	w.block = w.block[:0]
+	w.keys = append(w.keys, w.first...)
+	w.rows = binary.LittleEndian.AppendUint32(w.rows, uint32(len(w.keys)))
+	w.rows = binary.LittleEndian.AppendUint64(w.rows, w.off)
+	return nil
+}
+
+func (w *Writer) write(b []byte) error {
+	n, err := w.w.Write(b)
+	w.off += uint64(n)
+	return err
+}
+
+// Finish writes what remains and returns the table's size.
+func (w *Writer) Finish() (size int64, info Info, err error) {
+	if err := w.flush(); err != nil {
+		return 0, info, err
+	}
+	at := w.off
+	index := append(w.keys, w.rows...)
+	if err := w.write(index); err != nil {
+		return 0, info, err
+	}
+	b := append(make([]byte, 0, footerSize), magic...)
+	b = binary.LittleEndian.AppendUint32(b, Version)
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(w.rows)/rowSize))
+	b = append(b, w.info.Store[:]...)
+	for _, v := range []uint64{w.info.ID, w.info.Count, at, w.info.Seq, uint64(len(index))} {
+		b = binary.LittleEndian.AppendUint64(b, v)
+	}
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(index, segment.Castagnoli))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, segment.Castagnoli))
+	err = w.write(b)
+	return int64(w.off), w.info, err
+}
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -110,13 +110,13 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // opened for reading: nothing can be lost
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
 	}
 	b := make([]byte, size)
-	if n, err := f.ReadAt(b, 0); err != nil && !(errors.Is(err, io.EOF) && n == len(b)) {
+	if n, err := f.ReadAt(b, 0); err != nil && (!errors.Is(err, io.EOF) || n != len(b)) {
 		return nil, err
 	}
 	return b, nil
