--- /dev/null
+++ b/internal/store/append.go
@@ -0,0 +1,110 @@
+package store
+
+import (
+	"fmt"
+	"time"
+
+	"ospreypond/internal/store/plan"
+	"ospreypond/internal/store/segment"
+)
+
+// write appends a group to the open segment, after rolling to the next one if it is full, and syncs it unless
+// Options.SyncEvery leaves that to later. It returns the offset of the group's first frame.
+func (w *writer) write(s *Store, group []*request) (uint32, error) {
+	if err := s.Err(); err != nil {
+		return 0, err
+	}
+	total := 0
+	for _, r := range group {
+		total += len(r.batch.frame)
+	}
+	if plan.SegmentFull(w.size.Load(), int64(total), s.limits) {
+		if err := w.roll(s); err != nil {
+			return 0, err
+		}
+		w.awaitApplied()
+		w.freezeIfDue(s)
+	}
+	now := s.opt.Now()
+	start, buf, seq := w.size.Load(), w.writeBuf[:0], w.seq
+	for _, r := range group {
+		seq++
+		r.seq = seq
+		segment.FinishFrame(r.batch.frame, segment.Frame{Seq: seq, Durable: s.durable.Load(), Time: now})
+		if len(group) > 1 {
+			buf = append(buf, r.batch.frame...)
+		}
+	}
+	if len(group) == 1 {
+		buf = group[0].batch.frame
+	} else if w.writeBuf = buf; cap(buf) > maxGroupBytes {
+		w.writeBuf = nil
+	}
+	if _, err := w.file.f.WriteAt(buf, start); err != nil {
+		return 0, w.undoWrite(s, start, err)
+	}
+	w.seq, w.dirty = seq, true
+	w.size.Add(int64(total))
+	w.unindexed.Add(int64(total))
+	if start == segment.HeaderSize {
+		w.firstCommitAt = now
+	}
+	if s.opt.SyncEvery == 0 {
+		if err := w.sync(s); err != nil {
+			return 0, err
+		}
+	}
+	for _, r := range group {
+		w.countOps(r.batch)
+	}
+	return uint32(start), nil
+}
+
+// countOps adds a batch's operations to the open segment's puts and tombstones.
+func (w *writer) countOps(b *Batch) {
+	for i := range b.ops {
+		if o := &b.ops[i]; o.end != "" || o.dead() {
+			w.tombstones += tombstoneBytes(len(o.key), len(o.end))
+		} else {
+			w.puts += plan.PutBytes(len(o.key), int(o.loc.Size))
+		}
+	}
+}
+
+// tombstoneBytes is what a deletion counts for in plan.Segment.Tombstones.
+func tombstoneBytes(key, end int) int64 { return int64(segment.FrameSize + key + end + 4) }
+
+// undoWrite truncates the open segment to size after a write that failed, so that no frame of it is found later and the
+// next write begins where this one did. It returns the error for the group.
+func (w *writer) undoWrite(s *Store, size int64, cause error) error {
+	err := fmt.Errorf("store: writing %s: %w", w.file.name, cause)
+	if terr := w.file.f.Truncate(size); terr != nil {
+		return s.turnReadOnly("taking back a write that failed with "+cause.Error(), terr)
+	}
+	// Without this sync a power failure could bring back what was reported as failed.
+	if serr := w.file.f.Sync(); serr != nil {
+		return s.turnReadOnly("taking back a write that failed with "+cause.Error(), serr)
+	}
+	w.dirty = false
+	s.durable.Store(w.seq)
+	return err
+}
+
+// sync returns when all that was written is on disk. After a sync that failed the store is read-only.
+func (w *writer) sync(s *Store) error {
+	if err := s.Err(); err != nil {
+		return err
+	}
+	if !w.dirty {
+		return nil
+	}
+	w.syncs.Add(1)
+	at := time.Now()
+	if err := w.file.f.Sync(); err != nil {
+		return s.turnReadOnly("syncing "+w.file.name, err)
+	}
+	w.meanSync += (time.Since(at) - w.meanSync) / 8
+	w.dirty = false
+	s.durable.Store(w.seq)
+	return nil
+}
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 
 	"ospreypond/internal/store/manifest"
 	"ospreypond/internal/store/plan"
@@ -35,9 +34,9 @@
 	r.Faults = append(r.Faults, err.Error())
 }
 
-// Check reads a whole store and changes nothing. It compares every frame and every block with its checksum, and the
-// index with what the segments alone give. An error means that it could not look, not what it found; ErrLocked that the
-// store is open.
+// Check reads a store completely and changes nothing. It compares every frame and every block with its checksum, and the
+// index with what the segments alone yield. What it finds is in the report; an error means that it could not check:
+// ErrLocked that the store is open. A nil fsys stands for the operating system's.
 func Check(ctx context.Context, dir string, fsys vfs.FS) (*Report, error) {
 	if fsys == nil {
 		fsys = vfs.OS{}
@@ -46,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }() // only gives the lock back
 	r := &Report{TornFrom: -1}
 	man, healed, err := manifest.Read(fsys, dir)
 	if err != nil {
@@ -80,7 +79,7 @@
 		upTo = c.man.Table.Seq
 	}
 	known, all := newIndexBuilder(), newIndexBuilder() // of what the index on disk knows, and of all that is sealed
-	good := true
+	undamaged := true
 	for _, g := range c.man.Segments {
 		if err := ctx.Err(); err != nil {
 			return err
@@ -89,9 +88,9 @@
 		if g.Sealed && (g.Kind == plan.Output || g.Last <= upTo) {
 			into = append(into, known)
 		}
-		good = c.readSegment(g, into) && good
+		undamaged = c.readSegment(g, into) && undamaged
 	}
-	if good {
+	if undamaged {
 		c.Records = len(all.entries(c.man.Floors))
 	}
 	if c.man.Table == nil {
@@ -108,13 +107,13 @@
 		c.addFault(err)
 		return nil
 	}
-	if good {
+	if undamaged {
 		c.compareIndex(b, known)
 	}
 	return nil
 }
 
-// readSegment reads a segment and tells whether it is well.
+// readSegment reads a segment into the indexes and reports whether it is undamaged.
 func (c *checker) readSegment(g plan.Segment, into []*indexBuilder) bool {
 	name := segmentName(g.ID)
 	before := len(c.faults)
@@ -123,7 +122,7 @@
 		c.addFault(&FileError{File: name, Offset: -1, Err: err})
 		return false
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // opened for reading: nothing can be lost
 	if err := checkSegment(f, g, c.s.id); err != nil {
 		err.File = name
 		c.addFault(err)
@@ -157,43 +156,47 @@
 	at := int64(0)
 	if size >= segment.HeaderSize {
 		sc := segment.NewScanner(f, segment.HeaderSize, size)
-		next := g.First
-		for {
-			var fr segment.Frame
-			if fr, at, err = sc.Next(); err != nil {
-				break
-			}
-			if fr.Seq != next {
-				c.addFault(&FileError{File: name, Offset: at, Err: fmt.Errorf("%w: commit %d, and %d is due", ErrCorrupt, fr.Seq, next)})
-				return
-			}
-			if err := all.addFrame(fr, g, at); err != nil {
-				c.addFault(&FileError{File: name, Offset: at, Err: err})
-				return
-			}
-			next++
-			c.Frames++
-		}
-		if err == io.EOF {
-			return
-		}
-		if errors.Is(err, ErrCorrupt) {
-			zeros, zerr := sc.RestZero()
-			if zerr == nil && zeros {
-				return
-			}
-			err = errors.Join(tornEnd(sc, next, err), zerr)
+		next, cause, err := c.readCommits(sc, g, all)
+		at = sc.Offset()
+		end := cleanEnd
+		if err == nil {
+			end, err = inspectEnd(sc, next, cause)
 		}
 		if err != nil {
 			c.addFault(&FileError{File: name, Offset: at, Err: err})
 			return
 		}
+		if end != tornEnd {
+			return
+		}
 	}
 	c.TornFile, c.TornFrom = name, at
 	c.Notes = append(c.Notes, fmt.Sprintf("%s: offset %d: the end is torn and will be cut off at the next opening", name, at))
 }
 
-// compareIndex holds the index on disk against the one that the segments give.
+// readCommits adds all frames of the open segment to the index until one is not as it should be, before which the Scanner
+// then stands. It returns the number of the commit that would have been next and the cause why no frame was read there. err
+// says what is wrong with a frame that is complete.
+func (c *checker) readCommits(sc *segment.Scanner, g plan.Segment, all *indexBuilder) (next uint64, cause, err error) {
+	for next = g.First; ; next++ {
+		f, at, cause := sc.Next()
+		if cause != nil {
+			return next, cause, nil
+		}
+		if f.Seq != next {
+			err = fmt.Errorf("%w: commit %d, and %d is due", ErrCorrupt, f.Seq, next)
+		} else {
+			err = all.addFrame(f, g, at)
+		}
+		if err != nil {
+			sc.SeekTo(at)
+			return next, nil, err
+		}
+		c.Frames++
+	}
+}
+
+// compareIndex compares the index on disk with the one that the segments yield.
 func (c *checker) compareIndex(b *baseTable, known *indexBuilder) {
 	it := b.t.Seek(nil)
 	for _, want := range known.entries(c.man.Floors) {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -127,7 +127,7 @@
 	opt.FS = fsys
 	s, err := store.Open(dir, opt)
 	require.NoError(t, err, what...)
-	defer s.Close()
+	defer closeStore(t, s)
 	seq := s.Stats().Seq
 	require.GreaterOrEqual(t, seq, least, what...)
 	want, ok := h.states[seq]
@@ -244,6 +244,7 @@
 
 // openSegment returns the name of the segment that is written to.
 func openSegment(t *testing.T, files map[string][]byte) string {
+	t.Helper()
 	_, body, _ := bytes.Cut(files[dir+"/MANIFEST-A"], []byte("\n"))
 	var m struct {
 		Segments []struct {
@@ -318,7 +319,7 @@
 	require.NotEmpty(t, r.Lost)
 	s, err := store.Open("/repaired", opt)
 	require.NoError(t, err)
-	defer s.Close()
+	defer closeStore(t, s)
 	for key, value := range state(t, s) {
 		ever := false
 		for _, st := range h.states {
@@ -359,36 +360,7 @@
 				said["open"]++
 				continue
 			}
-			// What opens holds one of the states, or says where reading fails.
-			want := h.states[s.Stats().Seq]
-			require.NotNil(t, want)
-			// Only the last commit cannot be told from a torn end: a later one calls each other durable.
-			require.GreaterOrEqual(t, s.Stats().Seq, h.acked-1, "%s, offset %d", name, at)
-			if s.Stats().Seq < h.acked {
-				said["torn"]++
-			}
-			snap := s.Snapshot()
-			for _, n := range spaceNames {
-				sp, err := s.Lookup(n)
-				if err != nil {
-					continue
-				}
-				it := snap.Range(sp, nil, nil)
-				for it.Next() {
-					v, err := it.Value()
-					if err != nil {
-						require.ErrorIs(t, err, store.ErrCorrupt)
-						said["read"]++
-						continue
-					}
-					require.Equal(t, want[n+"/"+string(it.Key())], string(v))
-				}
-				if it.Err() != nil {
-					require.ErrorIs(t, it.Err(), store.ErrCorrupt)
-					said["read"]++
-				}
-			}
-			snap.Close()
+			h.readDamaged(t, s, said, fmt.Sprintf("%s, offset %d", name, at))
 			require.NoError(t, s.Close())
 		}
 	}
@@ -398,6 +370,41 @@
 	require.Positive(t, said["torn"])
 }
 
+// readDamaged reads all of a store that has a flipped bit and opens nevertheless: it holds one of the states, or says where
+// reading fails. said counts what it says.
+func (h *history) readDamaged(t *testing.T, s *store.Store, said map[string]int, where string) {
+	t.Helper()
+	want := h.states[s.Stats().Seq]
+	require.NotNil(t, want)
+	// Only the last commit cannot be told from a torn end: a later one calls each other durable.
+	require.GreaterOrEqual(t, s.Stats().Seq, h.acked-1, where)
+	if s.Stats().Seq < h.acked {
+		said["torn"]++
+	}
+	snap := s.Snapshot()
+	defer snap.Close()
+	for _, n := range spaceNames {
+		sp, err := s.Lookup(n)
+		if err != nil {
+			continue
+		}
+		it := snap.Range(sp, nil, nil)
+		for it.Next() {
+			v, err := it.Value()
+			if err != nil {
+				require.ErrorIs(t, err, store.ErrCorrupt)
+				said["read"]++
+				continue
+			}
+			require.Equal(t, want[n+"/"+string(it.Key())], string(v))
+		}
+		if it.Err() != nil {
+			require.ErrorIs(t, it.Err(), store.ErrCorrupt)
+			said["read"]++
+		}
+	}
+}
+
 func TestMissingAndSwappedSegmentsAreNotPassedOver(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 11, store.Options{PassBytesPerS: -1})
 	require.NoError(t, h.run(150))
--- a/internal/store/index_builder.go
+++ b/internal/store/index_builder.go
@@ -48,7 +48,7 @@
 	sc := segment.NewScanner(f, segment.HeaderSize, m.Size)
 	for {
 		fr, at, err := sc.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return frames, nil
 		}
 		if err == nil {
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -20,11 +20,11 @@
 // span is a deleted range, from lo up to, not including, hi.
 type span struct{ lo, hi string }
 
-// layer is a part of the index in memory: what came after the layers and the table under it. Its spans hide what
-// lies under it and nothing of its own.
+// layer is a part of the index in memory: what was committed after the layers and the table under it. Its spans hide what
+// lies under it and nothing of its own. A layer has no lock: Store.mu guards the uppermost one, a frozen one does not change.
 type layer struct {
 	tree  *btree.BTreeG[item]
-	spans []span // apart from each other, in order; replaced whole, so that copies can share it
+	spans []span // disjoint and in order; never changed in place, so that clones can share it
 	keys  int64  // bytes of the keys
 	upTo  uint64 // of a frozen layer: the last commit in it
 }
@@ -37,7 +37,7 @@
 		btree.Options{NoLocks: true, Degree: 64})}
 }
 
-// clone returns a layer that later changes of l do not reach.
+// clone returns a layer that later changes to l do not affect, in constant time.
 func (l *layer) clone() *layer {
 	return &layer{tree: l.tree.Copy(), spans: l.spans, keys: l.keys}
 }
@@ -52,13 +52,13 @@
 	}
 }
 
-// covers tells whether what lies under l is deleted at key.
+// covers reports whether l hides what lies under it at key.
 func (l *layer) covers(key string) bool {
 	i := sort.Search(len(l.spans), func(i int) bool { return l.spans[i].hi > key })
 	return i < len(l.spans) && l.spans[i].lo <= key
 }
 
-// deleteRange deletes a range of keys.
+// deleteRange deletes the keys of a range, in this layer and in what lies under it.
 func (l *layer) deleteRange(s span) {
 	if s.lo >= s.hi {
 		return
@@ -78,7 +78,7 @@
 	l.spans = addSpan(l.spans, s)
 }
 
-// addSpan returns spans with s in it, joined with those that it meets.
+// addSpan returns a copy of spans with s added, merged with those that it overlaps or touches.
 func addSpan(spans []span, s span) []span {
 	from := sort.Search(len(spans), func(i int) bool { return spans[i].hi >= s.lo })
 	to := from
@@ -97,7 +97,7 @@
 	return append(out, spans[to:]...)
 }
 
-// cursor goes over one layer or table in order of the keys.
+// cursor iterates over one layer or table in order of the keys.
 type cursor interface {
 	next() bool
 	entry() table.Entry // the key is good until next
@@ -137,7 +137,7 @@
 func (c tableCursor) entry() table.Entry { return c.it.Entry() }
 func (c tableCursor) err() error         { return c.it.Err() }
 
-// mergeIterator goes over several layers and a table as one: of each key the uppermost word counts.
+// mergeIterator iterates over several layers and a table as one: of each key the uppermost entry counts.
 type mergeIterator struct {
 	sources []mergeSource // the uppermost first
 	floors  map[uint16]uint64
@@ -150,7 +150,7 @@
 	cursor
 	spans   []span
 	current table.Entry
-	valid   bool // there is a head
+	valid   bool // there is a current entry
 }
 
 func newMergeIterator(floors map[uint16]uint64, from string, base *table.Table, layers ...*layer) *mergeIterator {
@@ -178,40 +178,57 @@
 	}
 }
 
-// next goes to the next key that is there. The entry's key is good until the next call.
+// next goes to the next key that is there and reports whether there is one. The entry's key is good until the next call.
 func (m *mergeIterator) next() bool {
 	for m.err == nil {
-		low := -1
-		for i := range m.sources {
-			if m.sources[i].valid && (low < 0 || string(m.sources[i].current.Key) < string(m.sources[low].current.Key)) {
-				low = i
-			}
-		}
+		low := m.lowest()
 		if low < 0 {
 			return false
 		}
 		m.key = append(m.key[:0], m.sources[low].current.Key...)
 		m.entry = table.Entry{Key: m.key, Loc: m.sources[low].current.Loc}
-		gone := m.entry.Loc.Segment == 0 || m.entry.Loc.Seq <= m.floors[spaceOf(m.key)]
-		for i := range m.sources[:low] {
-			gone = gone || (&layer{spans: m.sources[i].spans}).covers(string(m.key))
-		}
+		deleted := m.deletedAbove(low)
 		for i := low; i < len(m.sources); i++ {
 			if p := &m.sources[i]; p.valid && string(p.current.Key) == string(m.key) {
 				m.advance(i)
 			}
 		}
-		if !gone {
+		if !deleted {
 			return m.err == nil
 		}
 	}
 	return false
 }
 
+// lowest returns the uppermost source of those whose current key is the lowest, or -1 if all are at their end.
+func (m *mergeIterator) lowest() int {
+	low := -1
+	for i := range m.sources {
+		if m.sources[i].valid && (low < 0 || string(m.sources[i].current.Key) < string(m.sources[low].current.Key)) {
+			low = i
+		}
+	}
+	return low
+}
+
+// deletedAbove reports whether the entry, which is source low's, is a deletion, has expired, or lies in a range that was
+// deleted in a layer above that source.
+func (m *mergeIterator) deletedAbove(low int) bool {
+	if m.entry.Loc.Segment == 0 || m.entry.Loc.Seq <= m.floors[spaceOf(m.key)] {
+		return true
+	}
+	for i := range m.sources[:low] {
+		if (&layer{spans: m.sources[i].spans}).covers(string(m.key)) {
+			return true
+		}
+	}
+	return false
+}
+
 // spaceOf returns the number of the space that a key of the index belongs to.
 func spaceOf(key []byte) uint16 { return uint16(key[0])<<8 | uint16(key[1]) }
 
-// spaceSpan is all that a space can hold.
+// spaceSpan is the range of all keys of a space.
 func spaceSpan(id uint16) span {
 	hi := "\xff\xff\xff"
 	if id < 0xffff {
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -21,16 +21,16 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// machine holds a store against a map, whatever is done to it in whatever order.
+// machine compares a store with a map, whatever is done to them in whatever order.
 type machine struct {
 	opt   store.Options
 	s     *store.Store
 	space *store.Space
 	model map[string]string
-	snaps []heldSnapshot
+	snaps []openSnapshot
 }
 
-type heldSnapshot struct {
+type openSnapshot struct {
 	snap  *store.Snapshot
 	model map[string]string
 }
@@ -78,9 +78,9 @@
 	m.open(t)
 }
 
-func (m *machine) hold(*rapid.T) {
+func (m *machine) snapshot(*rapid.T) {
 	if len(m.snaps) < 4 {
-		m.snaps = append(m.snaps, heldSnapshot{m.s.Snapshot(), maps.Clone(m.model)})
+		m.snaps = append(m.snaps, openSnapshot{m.s.Snapshot(), maps.Clone(m.model)})
 	}
 }
 
@@ -161,7 +161,7 @@
 			_ = m.s.Close()
 		}()
 		t.Repeat(map[string]func(*rapid.T){"write": m.write, "write more": m.write, "compact": m.compact, "reopen": m.reopen,
-			"hold": m.hold, "range": m.rangeOf, "get": m.get, "": m.check})
+			"snapshot": m.snapshot, "range": m.rangeOf, "get": m.get, "": m.check})
 	})
 }
 
@@ -172,48 +172,10 @@
 	var writers, others sync.WaitGroup
 	last := make([]int, 8)
 	for w := range last {
-		writers.Go(func() {
-			var b store.Batch
-			for n := 0; time.Now().Before(stop); n++ {
-				b.Reset()
-				// Two keys that only ever change together.
-				for _, half := range []string{"a", "b"} {
-					b.Put(sp, fmt.Appendf(nil, "%s%d", half, w), fmt.Appendf(nil, "%d%s", n, strings.Repeat(".", n%300)))
-				}
-				if _, err := s.Commit(&b); err != nil {
-					t.Error(err)
-					return
-				}
-				v, _, err := sp.Get(fmt.Appendf(nil, "a%d", w))
-				if err != nil || !bytes.HasPrefix(v, fmt.Append(nil, n)) {
-					t.Errorf("reads %q, %v after writing %d", v, err, n)
-					return
-				}
-				last[w] = n
-			}
-		})
+		writers.Go(func() { last[w] = writePairs(t, s, sp, w, stop) })
 	}
 	for range 4 {
-		others.Go(func() {
-			for time.Now().Before(stop) {
-				snap := s.Snapshot()
-				values := map[string]string{}
-				for it := snap.Range(sp, nil, nil); it.Next(); {
-					v, err := it.Value()
-					if err != nil {
-						t.Error(err)
-						return
-					}
-					values[string(it.Key())] = string(v)
-				}
-				for w := range last {
-					if a, b := values[fmt.Sprint("a", w)], values[fmt.Sprint("b", w)]; a != b {
-						t.Errorf("half a batch: %q and %q", a, b)
-					}
-				}
-				snap.Close()
-			}
-		})
+		others.Go(func() { readPairs(t, s, sp, len(last), stop) })
 	}
 	others.Go(func() {
 		for time.Now().Before(stop) {
@@ -234,27 +196,14 @@
 	var acked sync.Map
 	var late sync.WaitGroup
 	for w := range 8 {
-		late.Go(func() {
-			for n := 0; ; n++ {
-				var b store.Batch
-				key := fmt.Sprintf("late%d-%d", w, n)
-				b.Put(sp, []byte(key), nil)
-				if _, err := s.Commit(&b); err != nil {
-					if !errors.Is(err, store.ErrClosed) {
-						t.Error(err)
-					}
-					return
-				}
-				acked.Store(key, true)
-			}
-		})
+		late.Go(func() { writeUntilClosed(t, s, sp, w, &acked) })
 	}
 	time.Sleep(20 * time.Millisecond)
 	dir := s.Dir()
 	require.NoError(t, s.Close())
 	late.Wait()
 	s = open(t, dir, store.Options{})
-	defer s.Close()
+	defer closeStore(t, s)
 	sp = space(t, s, "x")
 	acked.Range(func(key, _ any) bool {
 		_, _, err := sp.Get([]byte(key.(string)))
@@ -263,6 +212,70 @@
 	})
 }
 
+// writePairs writes two keys that only ever change together, with a growing number, and reads one of them back. It returns
+// the last number that was acknowledged.
+func writePairs(t *testing.T, s *store.Store, sp *store.Space, w int, stop time.Time) (last int) {
+	t.Helper()
+	var b store.Batch
+	for n := 0; time.Now().Before(stop); n++ {
+		b.Reset()
+		for _, half := range []string{"a", "b"} {
+			b.Put(sp, fmt.Appendf(nil, "%s%d", half, w), fmt.Appendf(nil, "%d%s", n, strings.Repeat(".", n%300)))
+		}
+		if _, err := s.Commit(&b); err != nil {
+			t.Error(err)
+			return last
+		}
+		v, _, err := sp.Get(fmt.Appendf(nil, "a%d", w))
+		if err != nil || !bytes.HasPrefix(v, fmt.Append(nil, n)) {
+			t.Errorf("reads %q, %v after writing %d", v, err, n)
+			return last
+		}
+		last = n
+	}
+	return last
+}
+
+// readPairs takes snapshots and expects the two keys of each writer to be the same in them.
+func readPairs(t *testing.T, s *store.Store, sp *store.Space, writers int, stop time.Time) {
+	t.Helper()
+	for time.Now().Before(stop) {
+		snap := s.Snapshot()
+		values := map[string]string{}
+		for it := snap.Range(sp, nil, nil); it.Next(); {
+			v, err := it.Value()
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			values[string(it.Key())] = string(v)
+		}
+		for w := range writers {
+			if a, b := values[fmt.Sprint("a", w)], values[fmt.Sprint("b", w)]; a != b {
+				t.Errorf("half a batch: %q and %q", a, b)
+			}
+		}
+		snap.Close()
+	}
+}
+
+// writeUntilClosed commits one key after the other until the store is closed, and notes those that were acknowledged.
+func writeUntilClosed(t *testing.T, s *store.Store, sp *store.Space, w int, acked *sync.Map) {
+	t.Helper()
+	for n := 0; ; n++ {
+		var b store.Batch
+		key := fmt.Sprintf("late%d-%d", w, n)
+		b.Put(sp, []byte(key), nil)
+		if _, err := s.Commit(&b); err != nil {
+			if !errors.Is(err, store.ErrClosed) {
+				t.Error(err)
+			}
+			return
+		}
+		acked.Store(key, true)
+	}
+}
+
 func TestRetentionDropsWholeOldDataAndNothingElse(t *testing.T) {
 	var now atomic.Int64 // ms; passes look at the clock too
 	now.Store(1_000_000_000_000)
--- a/internal/store/pace_test.go
+++ b/internal/store/pace_test.go
@@ -16,7 +16,7 @@
 // A pass keeps to its bytes a second, and commits go on beside it.
 func TestAPassIsBoundedAndCommitsGoOnBesideIt(t *testing.T) {
 	s := open(t, dir, store.Options{FS: &vfstest.Mem{}, SegmentBytes: 1 << 20, PassBytesPerS: 512 << 10})
-	defer s.Close()
+	defer closeStore(t, s)
 	sp := space(t, s, "x")
 	value := strings.Repeat("v", 1000)
 	for n := range 900 {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -28,7 +28,7 @@
 	}
 	value := slices.Grow(buf[:0], int(loc.Size))[:loc.Size]
 	if n, err := h.f.ReadAt(value, int64(loc.Offset)); n < len(value) {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			err = fmt.Errorf("%w: ends early", ErrCorrupt)
 		}
 		return nil, &FileError{File: h.name, Offset: int64(loc.Offset) + int64(n), Err: err}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }() // only gives the lock back
 	if names, err := opt.FS.List(into); err == nil && len(names) > 0 {
 		return nil, fmt.Errorf("store: repair into %s: the folder is not empty", into)
 	} else if err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -13,7 +13,7 @@
 	"ospreypond/internal/store/table"
 )
 
-// replay reads what of the log the index on disk does not know.
+// replay reads the part of the log that the table does not cover into the uppermost layer.
 func (s *Store) replay(man *manifest.Manifest, segs map[uint32]*handle) error {
 	var known uint64
 	if man.Table != nil {
@@ -44,25 +44,26 @@
 	return nil
 }
 
+// replaySealed reads a sealed segment, all of which must be there.
 func (s *Store) replaySealed(g plan.Segment, h *handle, next uint64) (uint64, error) {
 	sc := segment.NewScanner(h.f, segment.HeaderSize, g.Size)
-	next, err := s.replayFrames(sc, g, h, next)
-	if err == io.EOF && next != g.Last+1 {
+	next, err := s.replayFrames(sc, g, next)
+	if errors.Is(err, io.EOF) && next != g.Last+1 {
 		err = fmt.Errorf("%w: ends with commit %d instead of %d", ErrCorrupt, next-1, g.Last)
 	}
-	if err != io.EOF {
+	if !errors.Is(err, io.EOF) {
 		return next, &FileError{File: h.name, Offset: sc.Offset(), Err: err}
 	}
 	s.writer.unindexed.Add(g.Size)
 	return next, nil
 }
 
-// errContent tells of a frame that is whole and yet not what was written there. No cut leaves such a thing.
+// errContent is wrapped by errors about a frame that is complete and yet not what was written there. No crash leaves one.
 var errContent = errors.New("whole frame")
 
-// replayFrames has all frames take effect until one is not as it should be; then it returns why. The Scanner stands
-// before that one.
-func (s *Store) replayFrames(sc *segment.Scanner, g plan.Segment, h *handle, next uint64) (uint64, error) {
+// replayFrames applies all frames until one is not as it should be, and returns why and the commit that would have been
+// next: io.EOF if the segment ends. The Scanner then stands before that frame.
+func (s *Store) replayFrames(sc *segment.Scanner, g plan.Segment, next uint64) (uint64, error) {
 	for {
 		f, at, err := sc.Next()
 		if err != nil {
@@ -85,6 +86,7 @@
 	}
 }
 
+// replayOp applies one operation of a frame at offset at. Those of the open segment count for its figures.
 func (s *Store) replayOp(o segment.Op, seq uint64, seg, at uint32, open bool) error {
 	if len(o.Key) < 2 || o.Kind == segment.DeleteRange && len(o.End) < 2 {
 		return fmt.Errorf("%w: key of %d bytes", ErrCorrupt, len(o.Key))
@@ -108,47 +110,25 @@
 	return nil
 }
 
-// replayOpen reads the open segment and cuts a torn end off it.
+// replayOpen reads the open segment and truncates a torn end.
 func (s *Store) replayOpen(g plan.Segment, h *handle, next uint64) (uint64, error) {
 	size, err := h.f.Size()
 	if err != nil {
 		return next, &FileError{File: h.name, Offset: -1, Err: err}
 	}
-	good := size
+	good, end := int64(segment.HeaderSize), tornEnd
 	if size >= segment.HeaderSize {
 		sc := segment.NewScanner(h.f, segment.HeaderSize, size)
-		if next, err = s.replayFrames(sc, g, h, next); err != io.EOF {
-			good = sc.Offset()
-			if !errors.Is(err, ErrCorrupt) || errors.Is(err, errContent) {
-				return next, &FileError{File: h.name, Offset: good, Err: err}
-			}
-			sc.SeekTo(good)
-			zeros, zerr := sc.RestZero()
-			if zerr != nil {
-				return next, &FileError{File: h.name, Offset: good, Err: zerr}
-			}
-			if zeros { // the segment was made ready for more
-				s.writer.mayHaveZeros, size = true, good
-			} else if rerr := tornEnd(sc, next, err); rerr != nil {
-				return next, &FileError{File: h.name, Offset: good, Err: rerr}
-			}
+		var cause error
+		next, cause = s.replayFrames(sc, g, next)
+		good = sc.Offset()
+		if end, err = inspectEnd(sc, next, cause); err != nil {
+			return next, &FileError{File: h.name, Offset: good, Err: err}
 		}
+		s.writer.mayHaveZeros = end == zeroEnd
 	}
-	if size < segment.HeaderSize {
-		good = segment.HeaderSize
-		if err = h.f.Truncate(0); err == nil {
-			_, err = h.f.WriteAt(segment.AppendHeader(nil, segment.Header{Kind: segment.Log, Store: s.id, ID: g.ID, First: g.First}), 0)
-		}
-	} else if good < size {
-		err = h.f.Truncate(good)
-	} else {
-		err = nil
-	}
-	if good != size {
-		if err == nil {
-			err = h.f.Sync()
-		}
-		if err != nil {
+	if end == tornEnd {
+		if err := s.truncateTornEnd(g, h, size, good); err != nil {
 			return next, &FileError{File: h.name, Offset: good, Err: fmt.Errorf("cutting a torn end off: %w", err)}
 		}
 		s.opt.Log.WithFields(logrus.Fields{"store": s.dir, "file": h.name, "offset": good, "cut": max(0, size-good),
@@ -160,15 +140,58 @@
 	return next, nil
 }
 
-// tornEnd tells whether what follows a bad frame, which would have been commit next, is a torn end: nil. Commits are
-// synced in their order, so a later frame that is whole and calls the bad one durable proves that it was whole once.
-func tornEnd(sc *segment.Scanner, next uint64, cause error) error {
-	was, err := sc.Resync(func(f segment.Frame) bool { return f.Durable >= next })
-	if err != nil {
+// truncateTornEnd truncates the open segment from size to good bytes. A header that is not complete is written anew.
+func (s *Store) truncateTornEnd(g plan.Segment, h *handle, size, good int64) error {
+	if size >= segment.HeaderSize {
+		if err := h.f.Truncate(good); err != nil {
+			return err
+		}
+		return h.f.Sync()
+	}
+	if err := h.f.Truncate(0); err != nil {
 		return err
 	}
-	if was {
-		return fmt.Errorf("%w; the frame at offset %d tells that it was whole once", cause, sc.Offset())
+	header := segment.Header{Kind: segment.Log, Store: s.id, ID: g.ID, First: g.First}
+	if _, err := h.f.WriteAt(segment.AppendHeader(nil, header), 0); err != nil {
+		return err
 	}
-	return nil
+	return h.f.Sync()
+}
+
+// logEnd is how the frames of the open segment end.
+type logEnd int
+
+const (
+	cleanEnd logEnd = iota // with the file
+	zeroEnd                // with zeros up to the file's end: the segment was prepared, see prepareSegment
+	tornEnd                // with a write that a crash interrupted
+)
+
+// inspectEnd decides how the open segment ends, given why commit next could not be read where the Scanner stands. An error
+// means that it is damaged there, or that the disk does not read.
+//
+// Commits are synced in their order. So a later frame that is complete and calls commit next durable proves that this one
+// was complete once, and is no torn end.
+func inspectEnd(sc *segment.Scanner, next uint64, cause error) (logEnd, error) {
+	if errors.Is(cause, io.EOF) {
+		return cleanEnd, nil
+	}
+	if !errors.Is(cause, ErrCorrupt) || errors.Is(cause, errContent) {
+		return tornEnd, cause
+	}
+	zeros, err := sc.RestZero()
+	if err != nil {
+		return tornEnd, err
+	}
+	if zeros {
+		return zeroEnd, nil
+	}
+	wasDurable, err := sc.Resync(func(f segment.Frame) bool { return f.Durable >= next })
+	if err != nil {
+		return tornEnd, err
+	}
+	if wasDurable {
+		return tornEnd, fmt.Errorf("%w; the frame at offset %d tells that it was whole once", cause, sc.Offset())
+	}
+	return tornEnd, nil
 }
--- a/internal/store/space.go
+++ b/internal/store/space.go
@@ -141,7 +141,7 @@
 		}
 		var r spaceRecord
 		if err := json.Unmarshal(value, &r); err != nil {
-			return fmt.Errorf("%w: record of space %q: %v", ErrCorrupt, it.Key(), err)
+			return fmt.Errorf("%w: record of space %q: %w", ErrCorrupt, it.Key(), err)
 		}
 		name := string(it.Key())
 		s.spaces[name] = &Space{s: s, id: r.ID, name: name, retention: r.Retention}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -242,16 +242,23 @@
 	return id
 }
 
+// remove removes a file that nothing names any more. If that fails, the next opening does it.
+func (s *Store) remove(name string) {
+	if err := s.opt.FS.Remove(s.path(name)); err != nil {
+		s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "file": name}).Warn("file left behind")
+	}
+}
+
 // Sync returns when all that was committed is on disk.
 func (s *Store) Sync() error {
-	return s.writer.runInWriter(s, func() error { return s.writer.sync(s) })
+	return s.writer.runInWriter(func() error { return s.writer.sync(s) })
 }
 
 // Compact has the index written down and all rewritten that is worth it, until passes find nothing more.
 func (s *Store) Compact(ctx context.Context) error {
 	least := s.Stats().Bytes
 	for idle := 0; idle < maxIdlePasses; idle++ {
-		again, err := s.compactor.runPass(ctx, s, true, false)
+		again, err := s.compactor.runPass(ctx, s, passOptions{freeze: true})
 		if err != nil || !again {
 			return err
 		}
@@ -281,18 +288,18 @@
 	var err error
 	if s.fault.Load() == nil {
 		err = s.Sync()
-		if err == nil && s.writer.unindexedBytes() > maxCloseTail {
+		if err == nil && s.writer.unindexed.Load() > maxCloseTail {
 			if s.limiter != nil {
 				s.limiter.SetLimit(rate.Inf) // nobody else is waiting for the disk now
 			}
 			// Only saves time at the next opening, so that a fault of it harms nothing.
-			if _, perr := s.compactor.runPass(s.ctx, s, true, true); perr != nil {
+			if _, perr := s.compactor.runPass(s.ctx, s, passOptions{freeze: true, indexOnly: true}); perr != nil {
 				s.opt.Log.WithError(perr).WithField("store", s.dir).Warn("index not written down at the end")
 			}
 		}
 	}
 	if s.fault.Load() == nil {
-		err = errors.Join(err, s.writer.runInWriter(s, func() error { return s.writer.trimZeros(s) }))
+		err = errors.Join(err, s.writer.runInWriter(func() error { return s.writer.trimZeros(s) }))
 	}
 	s.cancel()
 	s.writer.stop()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -56,6 +56,12 @@
 	return all
 }
 
+// closeStore closes a store at the end of a test.
+func closeStore(t *testing.T, s *store.Store) {
+	t.Helper()
+	require.NoError(t, s.Close())
+}
+
 func TestWhatIsCommittedIsThereAgain(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, store.Options{})
@@ -65,7 +71,7 @@
 	require.NoError(t, s.Close())
 
 	s = open(t, dir, store.Options{})
-	defer s.Close()
+	defer closeStore(t, s)
 	a, b = space(t, s, "a"), space(t, s, "b")
 	require.Equal(t, []string{"k=1", "l=2"}, content(t, s, a))
 	require.Equal(t, []string{"k=3"}, content(t, s, b))
@@ -124,7 +130,7 @@
 
 func TestSnapshotsStayAsTheyWere(t *testing.T) {
 	s := open(t, t.TempDir(), store.Options{SegmentBytes: 4 << 10})
-	defer s.Close()
+	defer closeStore(t, s)
 	a := space(t, s, "a")
 	put(t, s, a, "x", "1", "y", "1")
 	snap := s.Snapshot()
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -99,3 +99,22 @@
 	}
 	return loc, ok, err
 }
+
+// swap replaces the version that readers get. next is called with s.mu locked and returns a version with a reference for
+// the store.
+func (s *Store) swap(next func(v *version) *version) {
+	s.mu.Lock()
+	old := s.version
+	s.version = next(old)
+	s.mu.Unlock()
+	old.unref()
+}
+
+// cloneSegments returns a copy of the map; it takes no references.
+func cloneSegments(segs map[uint32]*handle) map[uint32]*handle {
+	c := make(map[uint32]*handle, len(segs)+1)
+	for id, h := range segs {
+		c[id] = h
+	}
+	return c
+}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -1,65 +1,67 @@
 package store
 
 import (
-	"fmt"
 	"runtime"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
+)
 
-	"ospreypond/internal/store/manifest"
-	"ospreypond/internal/store/plan"
-	"ospreypond/internal/store/segment"
+const (
+	// maxGroupBytes bounds what is written and synced at once, so that a commit waits for no more than that before its own.
+	maxGroupBytes = 4 << 20
+	// maxGroupWait bounds how long a commit waits for others to join its group, however slow the disk is.
+	maxGroupWait = 2 * time.Millisecond
 )
 
-// maxGroupBytes bounds what is written and synced at once, so that a commit waits for no more than that before its own.
-const maxGroupBytes = 4 << 20
+// writer owns the open segment: it appends commits in groups, one write and one sync a group. Its goroutine alone changes
+// the segment; append.go has what it does with a group, roll.go how one segment follows another.
+type writer struct {
+	mu      sync.Mutex // guards queue and stopped
+	queue   []*request
+	stopped bool
+	wake    chan struct{}
 
-// maxMarks bounds how many points of time the manifest remembers.
-const maxMarks = 256
+	written    chan writtenGroup // to the applier
+	freeGroups chan []*request   // slices that the applier is done with
 
-// writer owns the open segment. All that changes it happens in its goroutine.
-type writer struct {
-	mu           sync.Mutex
-	queue        []*request
-	stopped      bool
-	wake         chan struct{}
-	written      chan writtenGroup // to the applier
-	freeGroups   chan []*request   // and back
-	lastGroupLen int               // in the last group
-	meanSync     time.Duration     // on average, lately
+	// What follows belongs to the writer's goroutine, but for the atomics, which others read.
 
-	file             *handle
+	lastGroupLen int           // how many commits were in the last group
+	meanSync     time.Duration // how long a sync takes: a moving average
+
+	file             *handle // of the open segment
 	segmentID        uint64
-	size             atomic.Int64
+	size             atomic.Int64          // of the open segment, without zeros at its end
 	seq              uint64                // of the last frame written
-	preparedSegments chan *preparedSegment // the next segment, once it is ready
+	preparedSegments chan *preparedSegment // the next segment once it is ready; nil if preparing it failed
 	preparing        bool
-	mayHaveZeros     bool  // there may be zeros behind what was written
-	dirty            bool  // something written is not synced
-	tombstones       int64 // as in plan.Segment, of the open segment
-	puts             int64
-	firstCommitAt    time.Time // of the first frame in the open segment
+	mayHaveZeros     bool      // the file may be longer than what was written, filled with zeros
+	dirty            bool      // something written is not synced
+	tombstones       int64     // as in plan.Segment, of the open segment
+	puts             int64     // as in plan.Segment, of the open segment
+	firstCommitAt    time.Time // when the first frame in the open segment was written
 	writeBuf         []byte
-	unindexed        atomic.Int64 // bytes of log that the index on disk, or on its way there, does not know
 
+	unindexed      atomic.Int64 // bytes of log that neither the table nor a frozen layer covers
 	syncs, commits atomic.Uint64
 }
 
-// request is a batch to commit, or something else for the writer's goroutine to do.
+// request is a batch to commit, or with fn set, a function to call in the writer's goroutine.
 type request struct {
 	batch *Batch
 	fn    func() error
-	seq   uint64
+	seq   uint64 // of the batch's commit, once there is one
 	done  chan error
 }
 
 var requestPool = sync.Pool{New: func() any { return &request{done: make(chan error, 1)} }}
 
-// Commit has a batch take effect and returns its sequence number. Numbers count up by one with each batch. Once it
-// returns, readers see the batch; whether it is on disk then is up to Options.SyncEvery. After an error the batch had
-// no effect, except for ErrReadOnly, after which that is unknown.
+// Commit applies a batch and returns its sequence number, which is one higher than the previous batch's. Once it returns,
+// readers see the batch; whether it is on disk by then depends on Options.SyncEvery. After an error the batch had no
+// effect, except after ErrReadOnly: whether it had one is then known only when the store is opened again. An empty batch
+// commits nothing and returns the number of the last commit.
 func (s *Store) Commit(b *Batch) (uint64, error) {
 	if err := b.check(); err != nil {
 		return 0, err
@@ -80,6 +82,7 @@
 	return r.seq, err
 }
 
+// submit queues a request. It returns ErrClosed once the writer was stopped.
 func (w *writer) submit(r *request) error {
 	w.mu.Lock()
 	if w.stopped {
@@ -92,6 +95,7 @@
 	return nil
 }
 
+// wakeUp has the goroutine look at the queue.
 func (w *writer) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
@@ -99,8 +103,8 @@
 	}
 }
 
-// runInWriter has f run in the writer's goroutine.
-func (w *writer) runInWriter(s *Store, f func() error) error {
+// runInWriter calls f in the writer's goroutine, once the commits before it are in the index, and returns its error.
+func (w *writer) runInWriter(f func() error) error {
 	r := &request{fn: f, done: make(chan error, 1)}
 	if err := w.submit(r); err != nil {
 		return err
@@ -108,7 +112,7 @@
 	return <-r.done
 }
 
-// stop has the goroutine end once the queue is empty; nothing more can be submitted.
+// stop has the goroutine end once the queue is empty. From then on submit refuses.
 func (w *writer) stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -116,8 +120,6 @@
 	w.wakeUp()
 }
 
-func (w *writer) unindexedBytes() int64 { return w.unindexed.Load() }
-
 // run is the writer's goroutine.
 func (w *writer) run(s *Store) {
 	defer s.goroutines.Done()
@@ -165,16 +167,16 @@
 	}
 }
 
-// awaitGroup waits a moment for those whose commits have just been answered and who may come again. Without it writers
+// awaitGroup waits a moment for the callers whose commits were just acknowledged to commit again. Without it callers
 // fall into two halves, of which each waits for the other's sync and then for its own: two syncs where one would do.
-// It waits no longer than half a sync takes, and only where several came together the last time.
+// It waits for no longer than half a sync takes, and only if the last group had several commits.
 func (w *writer) awaitGroup() {
 	last := w.lastGroupLen
 	w.lastGroupLen = 0
 	if last < 2 {
 		return
 	}
-	// By yielding, as timers are too coarse: the processor goes to those who are waited for.
+	// It yields, as timers are too coarse, so that the callers get the processor.
 	want := -1
 	for began, limit := time.Now(), min(w.meanSync/2, maxGroupWait); time.Since(began) < limit; runtime.Gosched() {
 		w.mu.Lock()
@@ -189,9 +191,7 @@
 	}
 }
 
-// maxGroupWait bounds what a commit waits for others, however slow the disk is.
-const maxGroupWait = 2 * time.Millisecond
-
+// size is how many bytes of log the request takes.
 func (r *request) size() int {
 	if r.batch == nil {
 		return 0
@@ -199,7 +199,7 @@
 	return len(r.batch.frame)
 }
 
-// writtenGroup is a group that is on its way from the log to the index.
+// writtenGroup is a group that is in the log and not in the index yet.
 type writtenGroup struct {
 	group   []*request
 	segment uint32
@@ -207,7 +207,7 @@
 	applied chan struct{} // instead of a group: closed once all before is in the index
 }
 
-// commit writes batches, syncs once, and hands them on to the applier.
+// commit writes a group, syncs once, and passes it on to the applier; if that fails, it answers the group itself.
 func (w *writer) commit(s *Store, group []*request) {
 	if len(group) == 0 {
 		return
@@ -225,14 +225,14 @@
 	w.written <- writtenGroup{group: group, segment: uint32(w.segmentID), offset: at}
 }
 
-// awaitApplied waits until all that was written is in the index.
+// awaitApplied returns when all that was written is in the index.
 func (w *writer) awaitApplied() {
 	done := make(chan struct{})
 	w.written <- writtenGroup{applied: done}
 	<-done
 }
 
-// takeGroup returns an empty slice for a group, one that the applier is done with if there is any.
+// takeGroup returns an empty slice for a group, if possible one that the applier is done with.
 func (w *writer) takeGroup() []*request {
 	select {
 	case g := <-w.freeGroups:
@@ -241,221 +241,3 @@
 		return nil
 	}
 }
-
-// write returns where the group's first frame lies.
-func (w *writer) write(s *Store, group []*request) (uint32, error) {
-	if err := s.Err(); err != nil {
-		return 0, err
-	}
-	total := 0
-	for _, r := range group {
-		total += len(r.batch.frame)
-	}
-	if plan.SegmentFull(w.size.Load(), int64(total), s.limits) {
-		if err := w.roll(s); err != nil {
-			return 0, err
-		}
-		w.awaitApplied()
-		w.freezeIfDue(s)
-	}
-	now := s.opt.Now()
-	start, buf, seq := w.size.Load(), w.writeBuf[:0], w.seq
-	for _, r := range group {
-		seq++
-		r.seq = seq
-		segment.FinishFrame(r.batch.frame, segment.Frame{Seq: seq, Durable: s.durable.Load(), Time: now})
-		if len(group) > 1 {
-			buf = append(buf, r.batch.frame...)
-		}
-	}
-	if len(group) == 1 {
-		buf = group[0].batch.frame
-	} else if w.writeBuf = buf; cap(buf) > maxGroupBytes {
-		w.writeBuf = nil
-	}
-	if _, err := w.file.f.WriteAt(buf, start); err != nil {
-		return 0, w.undoWrite(s, start, err)
-	}
-	w.seq, w.dirty = seq, true
-	w.size.Add(int64(total))
-	w.unindexed.Add(int64(total))
-	if start == segment.HeaderSize {
-		w.firstCommitAt = now
-	}
-	if s.opt.SyncEvery == 0 {
-		if err := w.sync(s); err != nil {
-			return 0, err
-		}
-	}
-	for _, r := range group {
-		w.countOps(r.batch)
-	}
-	return uint32(start), nil
-}
-
-// countOps keeps the open segment's figures.
-func (w *writer) countOps(b *Batch) {
-	for i := range b.ops {
-		if o := &b.ops[i]; o.end != "" || o.dead() {
-			w.tombstones += tombstoneBytes(len(o.key), len(o.end))
-		} else {
-			w.puts += plan.PutBytes(len(o.key), int(o.loc.Size))
-		}
-	}
-}
-
-func tombstoneBytes(key, end int) int64 { return int64(segment.FrameSize + key + end + 4) }
-
-// undoWrite takes back a write that failed, so that nothing half-written counts and the next one begins where this did.
-func (w *writer) undoWrite(s *Store, size int64, cause error) error {
-	err := fmt.Errorf("store: writing %s: %w", w.file.name, cause)
-	if terr := w.file.f.Truncate(size); terr != nil {
-		return s.turnReadOnly("taking back a write that failed with "+cause.Error(), terr)
-	}
-	// Without the sync a power cut could bring back what was reported as failed.
-	if serr := w.file.f.Sync(); serr != nil {
-		return s.turnReadOnly("taking back a write that failed with "+cause.Error(), serr)
-	}
-	w.dirty = false
-	s.durable.Store(w.seq)
-	return err
-}
-
-// sync has all that was written be on disk.
-func (w *writer) sync(s *Store) error {
-	if err := s.Err(); err != nil {
-		return err
-	}
-	if !w.dirty {
-		return nil
-	}
-	w.syncs.Add(1)
-	at := time.Now()
-	if err := w.file.f.Sync(); err != nil {
-		return s.turnReadOnly("syncing "+w.file.name, err)
-	}
-	w.meanSync += (time.Since(at) - w.meanSync) / 8
-	w.dirty = false
-	s.durable.Store(w.seq)
-	return nil
-}
-
-// roll seals the open segment and opens the next. With nothing in the open one it does nothing.
-func (w *writer) roll(s *Store) error {
-	if w.size.Load() == segment.HeaderSize {
-		return nil
-	}
-	if err := w.sync(s); err != nil {
-		return err
-	}
-	if err := w.trimZeros(s); err != nil {
-		return fmt.Errorf("store: sealing %s: %w", w.file.name, err)
-	}
-	id, h, prepared, err := w.nextSegment(s)
-	if err != nil {
-		return fmt.Errorf("store: opening the next segment: %w", err)
-	}
-	now := s.opt.Now().UnixMilli()
-	retained := s.retentions()
-	err = s.install(func(m *manifest.Manifest) {
-		for i := range m.Segments {
-			if g := &m.Segments[i]; g.ID == w.segmentID {
-				g.Sealed, g.Last, g.Size = true, w.seq, w.size.Load()
-				g.Tombstones, g.Puts = w.tombstones, w.puts
-				g.Live = g.LiveBytes(g.Puts)
-			}
-		}
-		m.Segments = append(m.Segments, plan.Segment{ID: id, Kind: plan.Log, First: w.seq + 1})
-		m.Marks = plan.TrimMarks(append(m.Marks, plan.Mark{Seq: w.seq, UnixMs: now}), maxMarks)
-		for space, r := range retained {
-			byAge := plan.Retention{AgeMs: r.AgeMs}
-			if f := plan.Floor(m.Floors[space], byAge, m.Marks, nil, now); f > 0 {
-				m.Floors[space] = f
-			}
-		}
-	})
-	if err != nil {
-		h.unref()
-		if s.fault.Load() == nil { // otherwise the manifest on disk may name it
-			_ = s.opt.FS.Remove(s.path(h.name))
-		}
-		return err
-	}
-	s.swap(func(v *version) *version {
-		segs := cloneSegments(v.segments)
-		segs[uint32(id)] = h
-		return newVersion(v.frozen, v.base, segs, s.floors())
-	})
-	w.file.unref()
-	w.file, w.segmentID, w.tombstones, w.puts, w.mayHaveZeros = h, id, 0, 0, prepared
-	w.size.Store(segment.HeaderSize)
-	w.prepareNext(s)
-	return nil
-}
-
-// newSegment makes a segment file that is on disk with its header when it returns.
-func (s *Store) newSegment(head segment.Header) (*handle, error) {
-	name := segmentName(head.ID)
-	f, err := s.opt.FS.Create(s.path(name))
-	if err != nil {
-		return nil, err
-	}
-	if _, err = f.WriteAt(segment.AppendHeader(nil, head), 0); err == nil {
-		if err = f.Sync(); err == nil {
-			err = s.opt.FS.SyncDir(s.dir)
-		}
-	}
-	if err != nil {
-		_ = f.Close()
-		_ = s.opt.FS.Remove(s.path(name))
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	return newHandle(f, name), nil
-}
-
-// freezeIfDue hands the index in memory to the passer when it is worth a pass.
-func (w *writer) freezeIfDue(s *Store) {
-	s.mu.RLock()
-	tail := plan.Tail{Log: w.unindexed.Load(), Overlay: s.top.bytes()}
-	if s.version.base != nil {
-		tail.Table = s.version.base.size
-	}
-	busy := s.version.frozen != nil
-	s.mu.RUnlock()
-	if !busy && plan.PassDue(tail, s.limits) {
-		w.freeze(s)
-		s.compactor.kick()
-	}
-}
-
-// freeze puts a new layer over the present one. All of the present one must be in sealed segments.
-func (w *writer) freeze(s *Store) {
-	s.swap(func(v *version) *version {
-		if v.frozen != nil {
-			return v.ref()
-		}
-		s.applyPending()
-		old := s.top
-		old.upTo = w.seq
-		s.top = newLayer()
-		w.unindexed.Store(0)
-		return newVersion(old, v.base, v.segments, v.floors)
-	})
-}
-
-// swap replaces the version. next is called with the lock held and returns one with a hold for the store.
-func (s *Store) swap(next func(v *version) *version) {
-	s.mu.Lock()
-	old := s.version
-	s.version = next(old)
-	s.mu.Unlock()
-	old.unref()
-}
-
-func cloneSegments(segs map[uint32]*handle) map[uint32]*handle {
-	c := make(map[uint32]*handle, len(segs)+1)
-	for id, h := range segs {
-		c[id] = h
-	}
-	return c
-}
