--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -48,7 +48,7 @@
 	once sync.Once
 	stop context.CancelFunc
 	done chan struct{}
-	held chan udp.Held // the newest, for the coordinator
+	held chan udp.Ownership // the newest, for the coordinator
 }
 
 // joinFleet reads the file at path and prepares this dispatcher's part; start begins it. Without a path there is none.
@@ -67,7 +67,7 @@
 	if cfg.Name == "" {
 		return nil, &FleetError{"name", "is empty", "give each dispatcher a name of its own in its configuration, or by LB_NAME"}
 	}
-	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), held: make(chan udp.Held, 1)}
+	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), held: make(chan udp.Ownership, 1)}
 	fc := fleet.Config{Interval: f.Interval, Seeds: f.Seeds, Seed: cfg.Seed}
 	if len(fc.Seeds) == 0 {
 		fc.Seeds = f.Roster
@@ -78,8 +78,8 @@
 			return nil, &FleetError{"roster", fmt.Sprintf("has %s for number %d, but this dispatcher is at %s", at, p.own, f.Advertise),
 				"put each dispatcher's address at the place of its slotNo"}
 		}
-		fc.Refusals, fc.Roster = true, f.Roster
-		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.OverloadWindow/turns, second)}
+		fc.TrustRefusals, fc.Roster = true, f.Roster
+		fc.Quota = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, GuardTime: max(cfg.Policy.OverloadWindow/turns, second)}
 	}
 	if err := p.fits(cfg); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	p.node = udp.New(udp.Options{Listen: f.Listen, Self: fleet.Record{Name: cfg.Name, Addr: f.Advertise, Zone: cfg.Settings.Zone}, Config: fc,
-		Codec: codec, Held: p.hold, Log: log})
+		Codec: codec, OnOwnership: p.hold, Log: log})
 	return p, nil
 }
 
@@ -135,7 +135,7 @@
 }
 
 // hold takes what the fleet lets this dispatcher use. Only the newest waits for the coordinator, so nothing blocks here.
-func (p *peers) hold(h udp.Held) {
+func (p *peers) hold(h udp.Ownership) {
 	select {
 	case <-p.held:
 	default:
@@ -146,12 +146,12 @@
 // pass tells the coordinator what changed, and what would run out.
 func (p *peers) pass() {
 	var (
-		last  udp.Held
+		last  udp.Ownership
 		until time.Time
 		told  bool
 	)
 	for {
-		var h udp.Held
+		var h udp.Ownership
 		select {
 		case <-p.done:
 			select {
@@ -162,18 +162,18 @@
 		case h = <-p.held:
 		}
 		if p.size == 0 {
-			h.Numbers, h.Sure = []int{p.own}, time.Duration(1<<62)
+			h.Numbers, h.ValidFor = []int{p.own}, time.Duration(1<<62)
 		}
 		if h.Living == 0 { // it leaves; the others are there as before
 			h.Living = max(1, last.Living)
 		}
-		if told && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.Sure/2) {
+		if told && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.ValidFor/2) {
 			continue
 		}
 		if !slices.Equal(h.Numbers, last.Numbers) {
 			p.log.WithFields(logrus.Fields{"numbers": h.Numbers, "living": h.Living}).Info("fleet: acting for other numbers")
 		}
-		p.coord.UpdateFleet(h.Numbers, h.Sure, h.Living)
-		last, until, told = h, time.Now().Add(min(h.Sure, time.Hour)), true
+		p.coord.UpdateFleet(h.Numbers, h.ValidFor, h.Living)
+		last, until, told = h, time.Now().Add(min(h.ValidFor, time.Hour)), true
 	}
 }
--- a/internal/dispatcher/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -49,8 +49,8 @@
 		return waiting{"the fleet's address is not had yet"}
 	}
 	since := func(t time.Duration) int64 { return int64(math.Max(0, float64(v.At-t)) / float64(time.Millisecond)) }
-	out := fleetView{Name: v.Self.Name, Addr: v.Self.Addr, Life: v.Self.Life, Incarnation: v.Self.Incarnation, Living: v.Living,
-		Digest: v.Digest, Settled: v.Settled, ForMs: since(v.Since), Superseded: v.Superseded, Health: v.Health, Numbers: v.Numbers,
+	out := fleetView{Name: v.Self.Name, Addr: v.Self.Addr, Life: v.Self.Epoch, Incarnation: v.Self.Incarnation, Living: v.Living,
+		Digest: v.Digest, Settled: v.Converged, ForMs: since(v.Since), Superseded: v.Superseded, Health: v.Health, Numbers: v.Numbers,
 		Members: []fleetMember{}, Dropped: v.Dropped}
 	for _, m := range v.Members {
 		out.Members = append(out.Members, memberOf(m, since))
@@ -59,6 +59,6 @@
 }
 
 func memberOf(m fleet.Member, since func(time.Duration) int64) fleetMember {
-	return fleetMember{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Life: m.Life, Incarnation: m.Incarnation,
+	return fleetMember{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Life: m.Epoch, Incarnation: m.Incarnation,
 		State: m.State.String(), ForMs: since(m.Since)}
 }
--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -87,7 +87,7 @@
 	require.NoError(t, w.Start(w.Nodes[n-1]))
 	until("join")
 	w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link {
-		return virtual.Link{Loss: loss, Cut: (a.Number < n/2) != (b.Number < n/2)}
+		return virtual.Link{Loss: loss, Down: (a.Number < n/2) != (b.Number < n/2)}
 	})
 	w.For(240 * tick)
 	w.Links(bad)
@@ -99,8 +99,8 @@
 func inADisaster(t *testing.T, n int) {
 	t.Helper()
 	opt := options(uint64(n))
-	opt.Config.Refusals = true
-	opt.Config.Share = quota.Config{Size: n, Lease: 15 * tick, Pause: 2 * tick}
+	opt.Config.TrustRefusals = true
+	opt.Config.Quota = quota.Config{Size: n, Lease: 15 * tick, GuardTime: 2 * tick}
 	w := virtual.New(n, opt)
 	for _, node := range w.Nodes {
 		require.NoError(t, w.Start(node))
--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -53,7 +53,7 @@
 	Addr string // where its socket is, host:port
 	Zone string
 	// Life is the number of its process: of two processes under one name the later one has the higher.
-	Life uint64
+	Epoch uint64
 	// Incarnation rises within a life whenever the member refutes that it is suspect or dead.
 	Incarnation uint32
 	State       State
@@ -71,44 +71,44 @@
 	Seeds []string
 	// Refusals says that a refused datagram proves that its address has no process: the network has no box that refuses on
 	// behalf of machines it does not reach.
-	Refusals bool
+	TrustRefusals bool
 	// Roster has the address of each number's socket. With Refusals, numbers of the dead pass to the living by it.
 	Roster []string
 	// Share cuts budgets by number; it is used with Refusals and a Roster.
-	Share quota.Config
+	Quota quota.Config
 	// Forget is how long a member that is dead is remembered and knocked at. 0: 24 hours.
 	Forget time.Duration
-	// MostMembers bounds the view. 0: 4096.
-	MostMembers int
+	// MaxMembers bounds the view. 0: 4096.
+	MaxMembers int
 	// Room is how many bytes the records in one datagram may take. 0: 1,100.
-	Room int
+	MaxRecordBytes int
 	// Seed is for random choices.
 	Seed uint64
 }
 
 const (
-	defaultForget  = 24 * time.Hour
-	defaultMembers = 4096
-	defaultRoom    = 1100
-
-	helpers      = 3  // members asked to probe one that did not answer
-	steps        = 6  // a probe's time has so many steps: it is repeated after the first ...
-	repeats      = 2  // ... this often, and a step later helpers are asked
-	slowest      = 8  // Lifeguard's highest local health score: probes then take 9 times as long
-	suspectTimes = 4  // a suspect has at least this many times log10 of the members' number in intervals
-	suspectMost  = 6  // and without confirmation this many times as long
-	confirmers   = 3  // as many others who suspect it too bring the least time
-	newsTimes    = 3  // news is told this many times log2 of the members' number
-	newsMost     = 64 // news at once; what is dropped then is found by comparing views
-	hurried      = 8  // probes in an interval while they are refused
-	knocks       = 8  // members held dead that are knocked at in an interval where proofs count; else one
-	stallAfter   = 1  // intervals by which a tick may be late before this process counts as having slept
-	quiet        = 3  // intervals without a difference after which a view is settled
-	pagesMost    = 4  // pages of records that answer one comparison
-	proofsMost   = 120
-	buckets      = 32  // parts of the view that are compared by themselves
-	recordsMost  = 100 // records looked out for them
-	pagesBudget  = 16  // pages sent in one interval, however many ask
+	defaultForget         = 24 * time.Hour
+	defaultMaxMembers     = 4096
+	defaultMaxRecordBytes = 1100
+
+	indirectProbes      = 3  // members asked to probe one that did not answer
+	probeSteps          = 6  // a probe's time has so many steps: it is repeated after the first ...
+	probeRepeats        = 2  // ... this often, and a step later helpers are asked
+	maxHealthScore      = 8  // Lifeguard's highest local health score: probes then take 9 times as long
+	suspicionMult       = 4  // a suspect has at least this many times log10 of the members' number in intervals
+	maxSuspicionMult    = 6  // and without confirmation this many times as long
+	maxConfirmations    = 3  // as many others who suspect it too bring the least time
+	retransmitMult      = 3  // news is told this many times log2 of the members' number
+	maxUpdates          = 64 // news at once; what is dropped then is found by comparing views
+	refusedProbeRate    = 8  // probes in an interval while they are refused
+	maxDeadProbes       = 8  // members held dead that are knocked at in an interval where proofs count; else one
+	stallIntervals      = 1  // intervals by which a tick may be late before this process counts as having slept
+	convergedIntervals  = 3  // intervals without a difference after which a view is settled
+	maxPagesPerReply    = 4  // pages of records that answer one comparison
+	maxProofs           = 120
+	buckets             = 32  // parts of the view that are compared by themselves
+	maxSyncRecords      = 100 // records looked out for them
+	maxPagesPerInterval = 16  // pages sent in one interval, however many ask
 )
 
 // Member is one member as a view holds it.
@@ -157,8 +157,8 @@
 	Digest  uint64   // of the living, this one among them; equal views have equal digests
 	// Settled says that nobody is suspected and that those probed of late had the same view. Since is when that began, or
 	// when it ended.
-	Settled bool
-	Since   time.Duration
+	Converged bool
+	Since     time.Duration
 	// Superseded says that a later life of this name is there and that this one has stepped back for good.
 	Superseded bool
 	// Health is Lifeguard's score of this process itself: 0 is well, 8 the slowest.
@@ -179,70 +179,70 @@
 
 // Core is one member's side of the protocol.
 type Core struct {
-	cfg     Config
-	rng     *rand.Rand
-	self    Record
-	shares  *quota.Ledger
-	members map[string]*member
-	byAddr  map[string]*member
-	living  []*member // in the order of the present round of probes; those behind next come next
-	next    int
-	gone    []*member // dead and left, to be knocked at in turn
-	knocked int
-	seeded  int
-	news    map[string]*news
-	doubted map[string]*member // those suspected
-	read    time.Duration      // off the clock
-	now     time.Duration      // as read, but for what the clock went back
-	due     time.Duration      // when the next tick was asked for
-
-	probeAt  time.Duration
-	probe    *probe
-	probes   map[uint64]sent // lately sent probes by their number
-	relays   map[uint64]relay
-	lastID   uint64
-	syncAt   time.Duration // no comparison before this
-	pages    int           // pages sent in this interval
-	health   int
-	proven   bool // somebody answered this life
-	ended    bool // superseded or left
-	differed time.Duration
-	agreed   time.Duration
-	settled  bool
-	since    time.Duration
-	sums     [buckets]uint64
-	parts    [buckets][]*member // everybody, for comparing
-	out      []Datagram
-	changes  []Change
+	cfg           Config
+	rng           *rand.Rand
+	self          Record
+	tracker       *quota.Tracker
+	members       map[string]*member
+	byAddr        map[string]*member
+	living        []*member // in the order of the present round of probes; those behind next come next
+	next          int
+	notLiving     []*member // dead and left, to be knocked at in turn
+	nextDeadProbe int
+	nextSeed      int
+	updates       map[string]*update
+	suspects      map[string]*member // those suspected
+	clockReading  time.Duration      // off the clock
+	now           time.Duration      // as read, but for what the clock went back
+	tickDue       time.Duration      // when the next tick was asked for
+
+	probeAt        time.Duration
+	probe          *probe
+	probes         map[uint64]sent // lately sent probes by their number
+	relays         map[uint64]relay
+	lastID         uint64
+	syncAt         time.Duration // no comparison before this
+	pagesSent      int           // pages sent in this interval
+	health         int
+	isAcknowledged bool // somebody answered this life
+	hasEnded       bool // superseded or left
+	differedAt     time.Duration
+	agreedAt       time.Duration
+	converged      bool
+	since          time.Duration
+	sums           [buckets]uint64
+	byBucket       [buckets][]*member // everybody, for comparing
+	out            []Datagram
+	changes        []Change
 }
 
 type member struct {
 	Member
-	doubt *doubt
-	index int // in living, or in gone
-	part  int // in its part of parts
+	suspicion   *suspicion
+	index       int // in living, or in gone
+	bucketIndex int // in its part of parts
 }
 
 // New returns a member that begins now. self needs Name, Addr and Life; a Life of Unix milliseconds serves.
 func New(cfg Config, self Record, now time.Duration) (*Core, error) {
-	if self.Name == "" || self.Addr == "" || self.Life == 0 {
+	if self.Name == "" || self.Addr == "" || self.Epoch == 0 {
 		return nil, &ConfigError{"Self", fmt.Sprintf("%+v", self), "a member needs a name, an address and a life"}
 	}
 	if cfg.Interval <= 0 {
 		return nil, &ConfigError{"Interval", cfg.Interval.String(), "it has to be over 0"}
 	}
 	setDefault(&cfg.Forget, defaultForget)
-	setDefault(&cfg.MostMembers, defaultMembers)
-	setDefault(&cfg.Room, defaultRoom)
+	setDefault(&cfg.MaxMembers, defaultMaxMembers)
+	setDefault(&cfg.MaxRecordBytes, defaultMaxRecordBytes)
 	self.State, self.Incarnation, self.By, self.Age = Alive, 0, 0, 0
-	c := &Core{cfg: cfg, self: self, members: map[string]*member{}, byAddr: map[string]*member{}, doubted: map[string]*member{}, news: map[string]*news{}, probes: map[uint64]sent{},
-		relays: map[uint64]relay{}, read: now, now: now, due: now, since: now, differed: now, agreed: now - time.Hour,
-		rng: rand.New(rand.NewPCG(cfg.Seed, self.Life))}
+	c := &Core{cfg: cfg, self: self, members: map[string]*member{}, byAddr: map[string]*member{}, suspects: map[string]*member{}, updates: map[string]*update{}, probes: map[uint64]sent{},
+		relays: map[uint64]relay{}, clockReading: now, now: now, tickDue: now, since: now, differedAt: now, agreedAt: now - time.Hour,
+		rng: rand.New(rand.NewPCG(cfg.Seed, self.Epoch))}
 	c.probeAt = now + time.Duration(c.rng.Int64N(int64(cfg.Interval)))/8
 	c.lastID = c.rng.Uint64() >> 16
-	if cfg.Refusals && len(cfg.Roster) > 0 {
+	if cfg.TrustRefusals && len(cfg.Roster) > 0 {
 		var err error
-		if c.shares, err = quota.New(cfg.Share, now); err != nil {
+		if c.tracker, err = quota.New(cfg.Quota, now); err != nil {
 			return nil, fmt.Errorf("fleet: shares: %w", err)
 		}
 	}
@@ -266,8 +266,8 @@
 
 // Snapshot returns the view as it is.
 func (c *Core) Snapshot() Snapshot {
-	s := Snapshot{Self: c.self, Living: len(c.living) + 1, Digest: c.Digest(), Settled: c.settled, Since: c.since,
-		Superseded: c.ended, Health: c.health, Members: make([]Member, 0, len(c.members)), Numbers: c.Numbers(c.read)}
+	s := Snapshot{Self: c.self, Living: len(c.living) + 1, Digest: c.Digest(), Converged: c.converged, Since: c.since,
+		Superseded: c.hasEnded, Health: c.health, Members: make([]Member, 0, len(c.members)), Numbers: c.Numbers(c.clockReading)}
 	for _, m := range c.members {
 		s.Members = append(s.Members, m.Member)
 	}
@@ -288,18 +288,18 @@
 
 // Numbers returns the numbers that this dispatcher acts for at a moment; nil without proofs or after the end of this life.
 func (c *Core) Numbers(now time.Duration) []int {
-	if c.shares == nil || c.ended {
+	if c.tracker == nil || c.hasEnded {
 		return nil
 	}
 	c.advance(now)
-	return c.shares.Numbers(c.now)
+	return c.tracker.Numbers(c.now)
 }
 
-// Held returns the numbers that this dispatcher acts for now and for how long, at least, all of them may be used without
+// OwnedNumbers returns the numbers that this dispatcher acts for now and for how long, at least, all of them may be used without
 // asking anew. After that only its own number is sure, if it is among them.
-func (c *Core) Held(now time.Duration) (numbers []int, sure time.Duration) {
-	if numbers = c.Numbers(now); c.shares != nil {
-		sure = c.shares.Until(c.now) - c.now
+func (c *Core) OwnedNumbers(now time.Duration) (numbers []int, sure time.Duration) {
+	if numbers = c.Numbers(now); c.tracker != nil {
+		sure = c.tracker.Until(c.now) - c.now
 	}
 	return numbers, sure
 }
@@ -308,32 +308,32 @@
 // after what Take returns was sent.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
-	c.self.State, c.ended = Left, true
-	for _, m := range c.some(2*helpers, nil) {
-		c.send(m.Addr, &Packet{Kind: News})
+	c.self.State, c.hasEnded = Left, true
+	for _, m := range c.randomMembers(2*indirectProbes, nil) {
+		c.send(m.Addr, &Packet{Kind: Gossip})
 	}
 }
 
 // advance takes in the time as read off the clock. What is past stays past: where the clock went back, how much time went by
 // is not known, so that proofs, which hold for a time, are worth nothing.
 func (c *Core) advance(read time.Duration) {
-	if read < c.read {
-		if c.shares != nil {
-			c.shares.Restart(c.now)
+	if read < c.clockReading {
+		if c.tracker != nil {
+			c.tracker.Restart(c.now)
 		}
 	} else {
-		c.now += read - c.read
+		c.now += read - c.clockReading
 	}
-	c.read = read
+	c.clockReading = read
 }
 
 // scaled is a time limit, longer where this process itself is slow.
 func (c *Core) scaled(d time.Duration) time.Duration { return d * time.Duration(c.health+1) }
 
-func (c *Core) blame(n int) { c.health = min(slowest, max(0, c.health+n)) }
+func (c *Core) adjustHealth(n int) { c.health = min(maxHealthScore, max(0, c.health+n)) }
 
-// some returns up to n living members at random, others than not.
-func (c *Core) some(n int, not *member) (out []*member) {
+// randomMembers returns up to n living members at random, others than not.
+func (c *Core) randomMembers(n int, not *member) (out []*member) {
 	for tries := 0; len(out) < n && tries < 4*n && len(c.living) > 0; tries++ {
 		m := c.living[c.rng.IntN(len(c.living))]
 		if m != not && !slices.Contains(out, m) {
@@ -343,7 +343,7 @@
 	return out
 }
 
-// changed notes a change of m for whoever uses the view.
-func (c *Core) changed(k ChangeKind, m *member) {
+// noteChange notes a change of m for whoever uses the view.
+func (c *Core) noteChange(k ChangeKind, m *member) {
 	c.changes = append(c.changes, Change{Kind: k, At: c.now, Member: m.Member})
 }
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 	t.Run("a seed that is cut off", func(t *testing.T) {
 		opt := options(4)
 		opt.Link = func(_ time.Duration, from, to *virtual.Node) virtual.Link {
-			return virtual.Link{Cut: from.Name == "d0" || to.Name == "d0"}
+			return virtual.Link{Down: from.Name == "d0" || to.Name == "d0"}
 		}
 		w := virtual.New(20, opt)
 		for _, n := range w.Nodes {
@@ -130,29 +130,29 @@
 		w.For(2 * tick)
 		require.NoError(t, w.Start(w.Nodes[4]))
 		within(t, w, 20*tick, "the new life")
-		life := w.Nodes[4].Core.Snapshot().Self.Life
-		assert.Equal(t, fleet.EarlierLife, w.Nodes[1].Core.Receive(w.Now, w.Nodes[4].Addr, p))
+		life := w.Nodes[4].Core.Snapshot().Self.Epoch
+		assert.Equal(t, fleet.StaleEpoch, w.Nodes[1].Core.Receive(w.Now, w.Nodes[4].Addr, p))
 		for _, m := range w.Nodes[1].Core.Snapshot().Members {
 			if m.Name == "d4" {
-				assert.Equal(t, life, m.Life)
+				assert.Equal(t, life, m.Epoch)
 			}
 		}
 	})
 	t.Run("a machine whose clock stands behind", func(t *testing.T) {
 		w := startAll(t, 10, options(8))
-		before := w.Nodes[4].Core.Snapshot().Self.Life
+		before := w.Nodes[4].Core.Snapshot().Self.Epoch
 		w.Kill(w.Nodes[4])
 		w.For(4 * tick)
-		require.NoError(t, w.Restart(w.Nodes[4], before+1000))
+		require.NoError(t, w.StartWithEpoch(w.Nodes[4], before+1000))
 		within(t, w, 20*tick, "a later life")
 		w.Kill(w.Nodes[4])
-		require.NoError(t, w.Restart(w.Nodes[4], before))
+		require.NoError(t, w.StartWithEpoch(w.Nodes[4], before))
 		within(t, w, 20*tick, "the new life")
-		assert.Greater(t, w.Nodes[4].Core.Snapshot().Self.Life, before+1000)
+		assert.Greater(t, w.Nodes[4].Core.Snapshot().Self.Epoch, before+1000)
 	})
 	t.Run("two lives of one name", func(t *testing.T) {
 		w := startAll(t, 10, options(9))
-		again, err := w.Beside(w.Nodes[4])
+		again, err := w.StartDuplicate(w.Nodes[4])
 		require.NoError(t, err)
 		_, ok := w.Until(tick, 20*tick, func() bool { return w.Nodes[4].Core.Snapshot().Superseded })
 		assert.True(t, ok, "the older one steps back")
@@ -180,7 +180,7 @@
 				t.Parallel()
 				opt, from, to := options(11), time.Duration(0), time.Duration(0)
 				opt.Link = func(now time.Duration, a, b *virtual.Node) virtual.Link {
-					return virtual.Link{Cut: now >= from && now < to && cut(a, b)}
+					return virtual.Link{Down: now >= from && now < to && cut(a, b)}
 				}
 				w := startAll(t, 30, opt)
 				from, to = w.Now, w.Now+last
@@ -215,7 +215,7 @@
 		"all of it": {func(time.Duration) virtual.Link {
 			return virtual.Link{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second}
 		}, false},
-		"bursts of 1 s": {func(now time.Duration) virtual.Link { return virtual.Link{Cut: now%(7*time.Second) < time.Second} }, true},
+		"bursts of 1 s": {func(now time.Duration) virtual.Link { return virtual.Link{Down: now%(7*time.Second) < time.Second} }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -249,7 +249,7 @@
 		},
 		"stopped while it suspects another": func(w *virtual.World, n *virtual.Node) {
 			w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link {
-				return virtual.Link{Cut: a.Name == "d8" || b.Name == "d8"}
+				return virtual.Link{Down: a.Name == "d8" || b.Name == "d8"}
 			})
 			w.Until(tick/4, 40*tick, func() bool { return suspects(n, "d8") })
 			w.Stop(n)
@@ -292,15 +292,15 @@
 	w := startAll(t, 30, options(14))
 	w.For(20 * tick)
 	for _, n := range w.Nodes {
-		require.True(t, n.Core.Snapshot().Settled, n.Name)
+		require.True(t, n.Core.Snapshot().Converged, n.Name)
 	}
 	w.Kill(w.Nodes[3])
-	_, ok := w.Until(tick/2, 20*tick, func() bool { return !w.Nodes[8].Core.Snapshot().Settled })
+	_, ok := w.Until(tick/2, 20*tick, func() bool { return !w.Nodes[8].Core.Snapshot().Converged })
 	require.True(t, ok, "someone is suspected")
 	within(t, w, 40*tick, "dead")
 	w.For(20 * tick)
 	s := w.Nodes[8].Core.Snapshot()
-	assert.True(t, s.Settled)
+	assert.True(t, s.Converged)
 	assert.Positive(t, s.Since)
 	var kinds []string
 	for _, c := range w.Nodes[8].Changes {
@@ -314,8 +314,8 @@
 // Where refusals count, the dead are known at once, and those left act for all numbers together, each for its own ones.
 func TestNumbersFollowTheDead(t *testing.T) {
 	opt := options(15)
-	opt.Config.Refusals = true
-	opt.Config.Share = quota.Config{Size: 40, Lease: 15 * tick, Pause: tick}
+	opt.Config.TrustRefusals = true
+	opt.Config.Quota = quota.Config{Size: 40, Lease: 15 * tick, GuardTime: tick}
 	w := startAll(t, 40, opt)
 	once := func() (held int) {
 		by := map[int]string{}
@@ -355,7 +355,7 @@
 
 	cut := w.Now // a partition moves nothing
 	opt2 := func(_ time.Duration, a, b *virtual.Node) virtual.Link {
-		return virtual.Link{Cut: (a.Number < 20) != (b.Number < 20)}
+		return virtual.Link{Down: (a.Number < 20) != (b.Number < 20)}
 	}
 	w.Links(opt2)
 	for w.Now < cut+60*tick {
--- a/internal/dispatcher/fleet/news.go
+++ b/internal/dispatcher/fleet/news.go
@@ -7,68 +7,70 @@
 	"time"
 )
 
-// news is a record that is being told.
-type news struct {
-	r    Record
-	told int
+// updates is a record that is being told.
+type update struct {
+	record    Record
+	transmits int
 }
 
-// tell has a record ride on the next packets. Where there is too much to tell, what was told most is dropped.
-func (c *Core) tell(r Record) {
-	if c.news[r.Name] == nil && len(c.news) >= newsMost {
-		var most *news
-		for _, n := range c.news {
-			if n.r.Name != c.self.Name && (most == nil || n.told > most.told || n.told == most.told && n.r.Name < most.r.Name) {
+// broadcast has a record ride on the next packets. Where there is too much to tell, what was told most is dropped.
+func (c *Core) broadcast(r Record) {
+	if c.updates[r.Name] == nil && len(c.updates) >= maxUpdates {
+		var most *update
+		for _, n := range c.updates {
+			if n.record.Name != c.self.Name && (most == nil || n.transmits > most.transmits || n.transmits == most.transmits && n.record.Name < most.record.Name) {
 				most = n
 			}
 		}
-		delete(c.news, most.r.Name)
+		delete(c.updates, most.record.Name)
 	}
-	c.news[r.Name] = &news{r: r}
+	c.updates[r.Name] = &update{record: r}
 }
 
-// addNews puts news into p, those told least first, and first of all what the receiver has to refute.
-func (c *Core) addNews(p *Packet, to string) {
-	room := c.cfg.Room - len(p.Proofs)*10 - len(p.Sums)*9
+// piggyback puts news into p, those told least first, and first of all what the receiver has to refute.
+func (c *Core) piggyback(p *Packet, to string) {
+	room := c.cfg.MaxRecordBytes - len(p.Proofs)*10 - len(p.Sums)*9
 	for i := range p.Records {
-		room -= p.Records[i].room()
+		room -= p.Records[i].maxSize()
 	}
-	if m := c.at(to); m != nil && (m.State == Suspect || m.State == Dead) {
-		p.Records, room = append(p.Records, c.aged(m)), room-m.room()
+	if m := c.memberAt(to); m != nil && (m.State == Suspect || m.State == Dead) {
+		p.Records, room = append(p.Records, c.recordOf(m)), room-m.maxSize()
 	}
-	if len(c.news) == 0 {
+	if len(c.updates) == 0 {
 		return
 	}
-	queue := make([]*news, 0, len(c.news))
-	for _, n := range c.news {
+	queue := make([]*update, 0, len(c.updates))
+	for _, n := range c.updates {
 		queue = append(queue, n)
 	}
-	slices.SortFunc(queue, func(a, b *news) int { return cmp.Or(a.told-b.told, cmp.Compare(a.r.Name, b.r.Name)) })
-	most := newsTimes * int(math.Ceil(math.Log2(float64(len(c.living)+2))))
+	slices.SortFunc(queue, func(a, b *update) int {
+		return cmp.Or(a.transmits-b.transmits, cmp.Compare(a.record.Name, b.record.Name))
+	})
+	most := retransmitMult * int(math.Ceil(math.Log2(float64(len(c.living)+2))))
 	for _, n := range queue {
-		if room -= n.r.room(); room < 0 {
+		if room -= n.record.maxSize(); room < 0 {
 			break
 		}
-		if m := c.members[n.r.Name]; m != nil {
-			n.r.Age = c.aged(m).Age
+		if m := c.members[n.record.Name]; m != nil {
+			n.record.Age = c.recordOf(m).Age
 		}
-		p.Records = append(p.Records, n.r)
-		if n.told++; n.told >= most {
-			delete(c.news, n.r.Name)
+		p.Records = append(p.Records, n.record)
+		if n.transmits++; n.transmits >= most {
+			delete(c.updates, n.record.Name)
 		}
 	}
 }
 
-// at returns who is held to be at an address.
-func (c *Core) at(addr string) *member {
-	if p := c.probe; p != nil && p.m.Addr == addr { // nearly always
-		return p.m
+// memberAt returns who is held to be at an address.
+func (c *Core) memberAt(addr string) *member {
+	if p := c.probe; p != nil && p.member.Addr == addr { // nearly always
+		return p.member
 	}
 	return c.byAddr[addr]
 }
 
-// aged returns m's record as it is told now.
-func (c *Core) aged(m *member) Record {
+// recordOf returns m's record as it is told now.
+func (c *Core) recordOf(m *member) Record {
 	r := m.Record
 	if !r.State.Living() {
 		r.Age = c.now - m.Since
@@ -83,166 +85,166 @@
 		return
 	}
 	if r.Name == c.self.Name {
-		c.aboutSelf(r)
+		c.mergeSelf(r)
 		return
 	}
 	m := c.members[r.Name]
 	switch {
 	case m == nil:
-		c.meet(r)
-	case r.Life < m.Life:
-	case r.Life > m.Life:
-		c.succeed(m, r)
+		c.addMember(r)
+	case r.Epoch < m.Epoch:
+	case r.Epoch > m.Epoch:
+		c.replaceEpoch(m, r)
 	case m.State == Left: // a life that ended by its own word does not come back
 	case r.State == Alive && r.Incarnation > m.Incarnation:
 		was := m.State
-		c.set(m, r)
+		c.refute(m, r)
 		if was != Alive {
-			c.changed(Refuted, m)
+			c.noteChange(Refuted, m)
 		}
-		c.tell(m.Record)
+		c.broadcast(m.Record)
 	case r.State == Suspect && r.Incarnation >= m.Incarnation && m.State.Living():
 		c.suspect(m, r.Incarnation, r.By)
 	case r.State == Dead && r.Incarnation >= m.Incarnation && m.State.Living():
 		if whole {
-			c.warn(m, r)
+			c.askToRefute(m, r)
 			return
 		}
-		c.markGone(m, Dead, r.Incarnation, r.Age)
+		c.markNotLiving(m, Dead, r.Incarnation, r.Age)
 	case r.State == Left:
-		c.markGone(m, Left, r.Incarnation, r.Age)
+		c.markNotLiving(m, Left, r.Incarnation, r.Age)
 	}
 }
 
-// warn tells a living member who is held dead elsewhere, so that it says otherwise.
-func (c *Core) warn(m *member, r Record) {
-	if c.pages < 2*pagesBudget {
-		c.pages++
-		c.ping(m.Addr, m.Life, 0, r) // whose refusal would prove it
+// askToRefute tells a living member who is held dead elsewhere, so that it says otherwise.
+func (c *Core) askToRefute(m *member, r Record) {
+	if c.pagesSent < 2*maxPagesPerInterval {
+		c.pagesSent++
+		c.ping(m.Addr, m.Epoch, 0, r) // whose refusal would prove it
 	}
 }
 
-// meet takes up a name that was not known.
-func (c *Core) meet(r Record) {
-	if len(c.members) >= c.cfg.MostMembers || r.Age > c.cfg.Forget {
+// addMember takes up a name that was not known.
+func (c *Core) addMember(r Record) {
+	if len(c.members) >= c.cfg.MaxMembers || r.Age > c.cfg.Forget {
 		return
 	}
 	m := &member{Member: Member{Record: r, Since: c.now}, index: -1}
 	b := bucketOf(r.Name)
-	m.part, c.parts[b] = len(c.parts[b]), append(c.parts[b], m)
+	m.bucketIndex, c.byBucket[b] = len(c.byBucket[b]), append(c.byBucket[b], m)
 	if !r.State.Living() { // so that an earlier life of it does not come back
 		m.Since = c.now - r.Age
 		m.Age = 0
 		c.members[r.Name] = m
-		c.place(m, r.Addr)
-		c.lay(m)
+		c.setAddr(m, r.Addr)
+		c.addNotLiving(m)
 		return
 	}
 	by := m.By
 	m.State, m.By = Alive, 0
 	c.members[r.Name] = m
-	c.place(m, r.Addr)
-	c.raise(m)
-	c.changed(Joined, m)
-	if c.tell(m.Record); r.State == Suspect {
+	c.setAddr(m, r.Addr)
+	c.addLiving(m)
+	c.noteChange(Joined, m)
+	if c.broadcast(m.Record); r.State == Suspect {
 		c.suspect(m, r.Incarnation, by)
 	}
 }
 
-// succeed replaces a life by a later one.
-func (c *Core) succeed(m *member, r Record) {
+// replaceEpoch replaces a life by a later one.
+func (c *Core) replaceEpoch(m *member, r Record) {
 	living := m.State.Living()
 	if !r.State.Living() {
 		c.forget(m)
-		c.meet(r)
+		c.addMember(r)
 		return
 	}
-	c.sum(m, -1)
-	c.trust(m)
+	c.updateSum(m, -1)
+	c.clearSuspicion(m)
 	state, by := r.State, r.By
 	r.State, r.By, r.Age = Alive, 0, 0
-	c.place(m, r.Addr)
+	c.setAddr(m, r.Addr)
 	m.Record, m.Since = r, c.now
-	if c.sum(m, 1); living {
-		c.changed(Replaced, m)
+	if c.updateSum(m, 1); living {
+		c.noteChange(Replaced, m)
 	} else {
-		c.gone = drop(c.gone, m)
-		c.insert(m)
-		c.changed(Joined, m)
+		c.notLiving = removeFrom(c.notLiving, m)
+		c.insertLiving(m)
+		c.noteChange(Joined, m)
 	}
-	if c.tell(m.Record); state == Suspect {
+	if c.broadcast(m.Record); state == Suspect {
 		c.suspect(m, r.Incarnation, by)
 	}
 }
 
-// set has m be alive as r says, which is of the same life and a higher incarnation.
-func (c *Core) set(m *member, r Record) {
+// refute has m be alive as r says, which is of the same life and a higher incarnation.
+func (c *Core) refute(m *member, r Record) {
 	living := m.State.Living()
-	c.sum(m, -1)
-	c.place(m, r.Addr)
+	c.updateSum(m, -1)
+	c.setAddr(m, r.Addr)
 	if m.State != Alive {
 		m.Since = c.now
 	}
-	c.trust(m)
+	c.clearSuspicion(m)
 	m.Incarnation, m.State, m.By, m.Zone = r.Incarnation, Alive, 0, r.Zone
 	if !living {
-		c.gone = drop(c.gone, m)
-		c.raise(m)
+		c.notLiving = removeFrom(c.notLiving, m)
+		c.addLiving(m)
 		return
 	}
-	c.sum(m, 1)
+	c.updateSum(m, 1)
 }
 
-// markGone has m be dead or gone for age already.
-func (c *Core) markGone(m *member, s State, incarnation uint32, age time.Duration) {
+// markNotLiving has m be dead or gone for age already.
+func (c *Core) markNotLiving(m *member, s State, incarnation uint32, age time.Duration) {
 	living := m.State.Living()
-	c.sum(m, -1)
-	c.trust(m)
+	c.updateSum(m, -1)
+	c.clearSuspicion(m)
 	m.State, m.Incarnation, m.Since = s, max(incarnation, m.Incarnation), c.now-age
 	if living {
-		c.living = drop(c.living, m)
-		c.lay(m)
-		c.changed(map[State]ChangeKind{Dead: Died, Left: Departed}[s], m)
-		c.tell(c.aged(m))
+		c.living = removeFrom(c.living, m)
+		c.addNotLiving(m)
+		c.noteChange(map[State]ChangeKind{Dead: Died, Left: Departed}[s], m)
+		c.broadcast(c.recordOf(m))
 	}
 }
 
-// aboutSelf takes in what others say of this member, and refutes what is not so.
-func (c *Core) aboutSelf(r Record) {
+// mergeSelf takes in what others say of this member, and refutes what is not so.
+func (c *Core) mergeSelf(r Record) {
 	switch {
-	case r.Life < c.self.Life || c.ended:
-	case r.Life > c.self.Life && c.proven:
-		c.ended = true // a later process has this name: an upgrade, or one name given twice
-		c.settle(false)
-	case r.Life > c.self.Life: // this machine's clock stands behind that of its last life
-		c.renew(func() { c.self.Life, c.self.Incarnation = r.Life+1, 0 })
+	case r.Epoch < c.self.Epoch || c.hasEnded:
+	case r.Epoch > c.self.Epoch && c.isAcknowledged:
+		c.hasEnded = true // a later process has this name: an upgrade, or one name given twice
+		c.setConverged(false)
+	case r.Epoch > c.self.Epoch: // this machine's clock stands behind that of its last life
+		c.updateSelf(func() { c.self.Epoch, c.self.Incarnation = r.Epoch+1, 0 })
 	case r.State == Left || r.State == Alive && r.Incarnation <= c.self.Incarnation:
 	case r.Incarnation >= c.self.Incarnation:
 		if r.State != Alive {
-			c.blame(1)
+			c.adjustHealth(1)
 		}
-		c.renew(func() { c.self.Incarnation = r.Incarnation + 1 })
+		c.updateSelf(func() { c.self.Incarnation = r.Incarnation + 1 })
 	}
 }
 
-// renew changes what this member says of itself.
-func (c *Core) renew(change func()) {
+// updateSelf changes what this member says of itself.
+func (c *Core) updateSelf(change func()) {
 	b := bucketOf(c.self.Name)
 	c.sums[b] -= sumOf(&c.self)
 	change()
 	c.sums[b] += sumOf(&c.self)
-	c.tell(c.self)
+	c.broadcast(c.self)
 }
 
-// sum adds a living member to its part's sum, or takes it off.
-func (c *Core) sum(m *member, sign int) {
+// updateSum adds a living member to its part's sum, or takes it off.
+func (c *Core) updateSum(m *member, sign int) {
 	if m.State.Living() {
 		c.sums[bucketOf(m.Name)] += uint64(sign) * sumOf(&m.Record)
 	}
 }
 
-// place notes who is at an address.
-func (c *Core) place(m *member, addr string) {
+// setAddr notes who is at an address.
+func (c *Core) setAddr(m *member, addr string) {
 	if c.byAddr[m.Addr] == m {
 		delete(c.byAddr, m.Addr)
 	}
@@ -250,53 +252,53 @@
 	c.byAddr[addr] = m
 }
 
-// raise makes m, whose state says so, one of the living.
-func (c *Core) raise(m *member) {
-	c.insert(m)
-	c.sum(m, 1)
+// addLiving makes m, whose state says so, one of the living.
+func (c *Core) addLiving(m *member) {
+	c.insertLiving(m)
+	c.updateSum(m, 1)
 }
 
-// insert puts m at a random place of the rounds of probes.
-func (c *Core) insert(m *member) {
+// insertLiving puts m at a random place of the rounds of probes.
+func (c *Core) insertLiving(m *member) {
 	c.living = append(c.living, m)
 	i, last := c.rng.IntN(len(c.living)), len(c.living)-1
 	c.living[i], c.living[last] = c.living[last], c.living[i]
 	c.living[i].index, c.living[last].index = i, last
 }
 
-// drop takes m off the list that its index is in.
-func drop(list []*member, m *member) []*member {
+// removeFrom takes m off the list that its index is in.
+func removeFrom(list []*member, m *member) []*member {
 	last := len(list) - 1
 	list[m.index] = list[last]
 	list[m.index].index = m.index
 	return list[:last]
 }
 
-func (c *Core) lay(m *member) {
-	m.index = len(c.gone)
-	c.gone = append(c.gone, m)
+func (c *Core) addNotLiving(m *member) {
+	m.index = len(c.notLiving)
+	c.notLiving = append(c.notLiving, m)
 }
 
-// trust ends a suspicion.
-func (c *Core) trust(m *member) {
-	m.doubt = nil
-	delete(c.doubted, m.Name)
+// clearSuspicion ends a suspicion.
+func (c *Core) clearSuspicion(m *member) {
+	m.suspicion = nil
+	delete(c.suspects, m.Name)
 }
 
 // forget drops m from the view.
 func (c *Core) forget(m *member) {
-	c.trust(m)
-	c.sum(m, -1)
+	c.clearSuspicion(m)
+	c.updateSum(m, -1)
 	if m.State.Living() {
-		c.living = drop(c.living, m)
+		c.living = removeFrom(c.living, m)
 	} else {
-		c.gone = drop(c.gone, m)
+		c.notLiving = removeFrom(c.notLiving, m)
 	}
 	b := bucketOf(m.Name)
-	last := len(c.parts[b]) - 1
-	c.parts[b][m.part] = c.parts[b][last]
-	c.parts[b][m.part].part = m.part
-	c.parts[b] = c.parts[b][:last]
+	last := len(c.byBucket[b]) - 1
+	c.byBucket[b][m.bucketIndex] = c.byBucket[b][last]
+	c.byBucket[b][m.bucketIndex].bucketIndex = m.bucketIndex
+	c.byBucket[b] = c.byBucket[b][:last]
 	delete(c.members, m.Name)
 	if c.byAddr[m.Addr] == m {
 		delete(c.byAddr, m.Addr)
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -28,8 +28,8 @@
 const (
 	version = 1
 	macSize = 16
-	// Most is the largest datagram in bytes. It passes every usual network whole.
-	Most = 1400
+	// MaxSize is the largest datagram in bytes. It passes every usual network whole.
+	MaxSize = 1400
 )
 
 // Reason says why a datagram is dropped.
@@ -96,7 +96,7 @@
 		_       struct{} `cbor:",toarray"`
 		Kind    uint8
 		From    wireRecord
-		ToLife  uint64
+		ToEpoch uint64
 		Seq     uint64
 		Probe   uint64
 		Target  string
@@ -111,7 +111,7 @@
 		Name        string
 		Addr        string
 		Zone        string
-		Life        uint64
+		Epoch       uint64
 		Incarnation uint32
 		State       uint8
 		By          uint32
@@ -126,7 +126,7 @@
 
 // Encode returns p as a datagram; an error if it would be too long.
 func (c *Codec) Encode(p *fleet.Packet) ([]byte, error) {
-	w := wirePacket{Kind: uint8(p.Kind), From: toWire(&p.From), ToLife: p.ToLife, Seq: p.Seq, Probe: p.Probe,
+	w := wirePacket{Kind: uint8(p.Kind), From: toWire(&p.From), ToEpoch: p.ToEpoch, Seq: p.Seq, Probe: p.Probe,
 		Target: p.Target, At: p.TargetAddr, Digest: p.Digest, Sums: p.Sums}
 	for i := range p.Records {
 		w.Records = append(w.Records, toWire(&p.Records[i]))
@@ -141,15 +141,15 @@
 	d := append([]byte{version, byte(len(c.name))}, c.name...)
 	d = append(d, body...)
 	d = append(d, c.mac(d)...)
-	if len(d) > Most {
-		return nil, &Error{Reason: TooLong, Err: fmt.Errorf("%d bytes, %d allowed", len(d), Most)}
+	if len(d) > MaxSize {
+		return nil, &Error{Reason: TooLong, Err: fmt.Errorf("%d bytes, %d allowed", len(d), MaxSize)}
 	}
 	return d, nil
 }
 
 // Decode returns the packet in a datagram. Its error is an *Error.
 func (c *Codec) Decode(d []byte) (*fleet.Packet, error) {
-	if len(d) > Most {
+	if len(d) > MaxSize {
 		return nil, &Error{Reason: TooLong}
 	}
 	if len(d) < 2+macSize {
@@ -169,7 +169,7 @@
 	if err := c.dec.Unmarshal(d[end:len(d)-macSize], &w); err != nil {
 		return nil, &Error{Reason: Malformed, Err: err}
 	}
-	p := &fleet.Packet{Kind: fleet.Kind(w.Kind), From: fromWire(&w.From), ToLife: w.ToLife, Seq: w.Seq, Probe: w.Probe,
+	p := &fleet.Packet{Kind: fleet.Kind(w.Kind), From: fromWire(&w.From), ToEpoch: w.ToEpoch, Seq: w.Seq, Probe: w.Probe,
 		Target: w.Target, TargetAddr: w.At, Digest: w.Digest, Sums: w.Sums}
 	for i := range w.Records {
 		p.Records = append(p.Records, fromWire(&w.Records[i]))
@@ -209,12 +209,12 @@
 }
 
 func toWire(r *fleet.Record) wireRecord {
-	return wireRecord{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Life: r.Life, Incarnation: r.Incarnation,
+	return wireRecord{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Epoch: r.Epoch, Incarnation: r.Incarnation,
 		State: uint8(r.State), By: r.By, AgeMs: uint64(max(0, r.Age) / time.Millisecond)}
 }
 
 func fromWire(w *wireRecord) fleet.Record {
-	return fleet.Record{Name: w.Name, Addr: w.Addr, Zone: w.Zone, Life: w.Life, Incarnation: w.Incarnation,
+	return fleet.Record{Name: w.Name, Addr: w.Addr, Zone: w.Zone, Epoch: w.Epoch, Incarnation: w.Incarnation,
 		State: fleet.State(w.State), By: w.By, Age: bounded(w.AgeMs, time.Millisecond)}
 }
 
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -25,11 +25,11 @@
 	name := rapid.StringMatching(`[a-z0-9-]{1,16}`)
 	record := rapid.Custom(func(t *rapid.T) fleet.Record {
 		return fleet.Record{Name: name.Draw(t, "name"), Addr: "10.200.200.200:65535", Zone: name.Draw(t, "zone"),
-			Life: rapid.Uint64().Draw(t, "life"), Incarnation: rapid.Uint32().Draw(t, "inc"), State: fleet.State(rapid.IntRange(0, 3).Draw(t, "state")),
+			Epoch: rapid.Uint64().Draw(t, "life"), Incarnation: rapid.Uint32().Draw(t, "inc"), State: fleet.State(rapid.IntRange(0, 3).Draw(t, "state")),
 			By: rapid.Uint32().Draw(t, "by"), Age: time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "age")) * time.Millisecond}
 	})
 	return &fleet.Packet{Kind: fleet.Kind(rapid.IntRange(1, 6).Draw(t, "kind")), From: record.Draw(t, "from"),
-		ToLife: rapid.Uint64().Draw(t, "to"), Seq: rapid.Uint64().Draw(t, "seq"), Probe: rapid.Uint64().Draw(t, "probe"),
+		ToEpoch: rapid.Uint64().Draw(t, "to"), Seq: rapid.Uint64().Draw(t, "seq"), Probe: rapid.Uint64().Draw(t, "probe"),
 		Digest: rapid.Uint64().Draw(t, "digest"), Records: rapid.SliceOfN(record, 0, 9).Draw(t, "records"),
 		Sums: rapid.SliceOfN(rapid.Uint64(), 0, 32).Draw(t, "sums"), Proofs: []quota.Proof{{Number: 7, Age: 3 * time.Microsecond}}}
 }
@@ -63,7 +63,7 @@
 
 func TestDropsWhatIsNotItsOwn(t *testing.T) {
 	c := codec(t, "fleet-a", key)
-	good, err := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Life: 1}})
+	good, err := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Epoch: 1}})
 	require.NoError(t, err)
 	other, err := codec(t, "fleet-b", key).Encode(&fleet.Packet{Kind: fleet.Ping})
 	require.NoError(t, err)
@@ -75,7 +75,7 @@
 	}
 	next := append([]byte{version + 1}, good[1:]...)
 	for want, d := range map[Reason][]byte{
-		TooLong: []byte(strings.Repeat("x", Most+1)), Version: next, Foreign: other, Forged: forged, Malformed: good[:17],
+		TooLong: []byte(strings.Repeat("x", MaxSize+1)), Version: next, Foreign: other, Forged: forged, Malformed: good[:17],
 	} {
 		_, err := c.Decode(d)
 		var fault *Error
@@ -88,7 +88,7 @@
 		require.ErrorAs(t, err, &fault, name)
 		assert.Equal(t, Malformed, fault.Reason, name)
 	}
-	_, err = c.Encode(&fleet.Packet{Kind: fleet.News, Records: make([]fleet.Record, 300)})
+	_, err = c.Encode(&fleet.Packet{Kind: fleet.Gossip, Records: make([]fleet.Record, 300)})
 	assert.ErrorContains(t, err, string(TooLong))
 	for _, bad := range []struct{ name, key string }{{"", key}, {strings.Repeat("n", 65), key}, {"f", "short"}} {
 		_, err := New(bad.name, []byte(bad.key))
@@ -98,7 +98,7 @@
 
 func FuzzDecode(f *testing.F) {
 	c := codec(f, "f", key)
-	d, _ := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Life: 1}})
+	d, _ := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Epoch: 1}})
 	f.Add(d)
 	f.Fuzz(func(_ *testing.T, d []byte) {
 		_, _ = c.Seq(d)
--- a/internal/dispatcher/fleet/quota/share.go
+++ b/internal/dispatcher/fleet/quota/share.go
@@ -41,7 +41,7 @@
 	// Lease is how long a proof of death holds, from the moment its datagram was sent.
 	Lease time.Duration
 	// Pause is the longest time in which a user of the parts counts what it spends.
-	Pause time.Duration
+	GuardTime time.Duration
 }
 
 // ConfigError names the field that no ledger can work with.
@@ -61,22 +61,22 @@
 	Age time.Duration
 }
 
-// Ledger holds one dispatcher's proofs.
-type Ledger struct {
-	cfg   Config
-	bound time.Duration
-	proof []proof // by number
+// Tracker holds one dispatcher's proofs.
+type Tracker struct {
+	cfg     Config
+	boundAt time.Duration
+	proofs  []proof // by number
 }
 
-// proof is what is known of one number: at is when the newest proof's datagram was sent, since when proofs have held
+// proofs is what is known of one number: at is when the newest proof's datagram was sent, since when proofs have held
 // without a gap; both only count where held is set.
 type proof struct {
-	held      bool
-	at, since time.Duration
+	isValid       bool
+	sentAt, since time.Duration
 }
 
 // New returns the ledger of a dispatcher that got its socket at the time bound.
-func New(cfg Config, bound time.Duration) (*Ledger, error) {
+func New(cfg Config, bound time.Duration) (*Tracker, error) {
 	switch {
 	case cfg.Size < 1:
 		return nil, &ConfigError{"Size", cfg.Size, "a fleet has one dispatcher at least"}
@@ -84,33 +84,33 @@
 		return nil, &ConfigError{"Own", cfg.Own, fmt.Sprintf("numbers run from 0 to %d", cfg.Size-1)}
 	case cfg.Lease <= 0:
 		return nil, &ConfigError{"Lease", cfg.Lease, "a proof has to hold for some time"}
-	case cfg.Pause < 0:
-		return nil, &ConfigError{"Pause", cfg.Pause, "it cannot be negative"}
+	case cfg.GuardTime < 0:
+		return nil, &ConfigError{"Pause", cfg.GuardTime, "it cannot be negative"}
 	}
-	return &Ledger{cfg: cfg, bound: bound, proof: make([]proof, cfg.Size)}, nil
+	return &Tracker{cfg: cfg, boundAt: bound, proofs: make([]proof, cfg.Size)}, nil
 }
 
 // Restart has the ledger be as that of a dispatcher that got its socket now: it knows of no proofs and uses no number.
-func (l *Ledger) Restart(now time.Duration) {
-	l.bound = now
-	clear(l.proof)
+func (l *Tracker) Restart(now time.Duration) {
+	l.boundAt = now
+	clear(l.proofs)
 }
 
 // Refused takes in that a datagram to a number's address, sent at the time sent, was refused there.
-func (l *Ledger) Refused(now time.Duration, number int, sent time.Duration) {
+func (l *Tracker) Refused(now time.Duration, number int, sent time.Duration) {
 	if number < 0 || number >= l.cfg.Size || number == l.cfg.Own || sent > now || now >= sent+l.cfg.Lease {
 		return
 	}
-	p := &l.proof[number]
-	if !p.held || now >= p.at+l.cfg.Lease {
-		*p = proof{held: true, at: sent, since: now}
+	p := &l.proofs[number]
+	if !p.isValid || now >= p.sentAt+l.cfg.Lease {
+		*p = proof{isValid: true, sentAt: sent, since: now}
 	}
-	p.at = max(p.at, sent)
+	p.sentAt = max(p.sentAt, sent)
 }
 
 // Merge takes in another's proofs out of an answer to something that was asked at the time asked. An answer's proofs are as
 // old as they say when it is given, and it is given after it was asked for, whatever time the answer took.
-func (l *Ledger) Merge(now, asked time.Duration, proofs []Proof) {
+func (l *Tracker) Merge(now, asked time.Duration, proofs []Proof) {
 	for _, p := range proofs {
 		if p.Age >= 0 && p.Age < l.cfg.Lease {
 			l.Refused(now, p.Number, asked-p.Age)
@@ -119,30 +119,30 @@
 }
 
 // Proofs returns at most n of the proofs that hold, the youngest first, for an answer that is sent now.
-func (l *Ledger) Proofs(now time.Duration, n int) (out []Proof) {
-	for i := range l.proof {
-		if l.dead(now, i) {
-			out = append(out, Proof{i, now - l.proof[i].at})
+func (l *Tracker) Proofs(now time.Duration, n int) (out []Proof) {
+	for i := range l.proofs {
+		if l.isProvenDead(now, i) {
+			out = append(out, Proof{i, now - l.proofs[i].sentAt})
 		}
 	}
 	slices.SortFunc(out, func(a, b Proof) int { return cmp.Or(cmp.Compare(a.Age, b.Age), a.Number-b.Number) })
 	return out[:min(n, len(out))]
 }
 
-// dead tells whether a proof for the number holds.
-func (l *Ledger) dead(now time.Duration, number int) bool {
-	p := &l.proof[number]
-	return p.held && now < p.at+l.cfg.Lease
+// isProvenDead tells whether a proof for the number holds.
+func (l *Tracker) isProvenDead(now time.Duration, number int) bool {
+	p := &l.proofs[number]
+	return p.isValid && now < p.sentAt+l.cfg.Lease
 }
 
 // Numbers returns the numbers that this dispatcher acts for now, in rising order: none until what others may have done for
 // it is over, then its own and those that it succeeds to. To be asked anew at each use.
-func (l *Ledger) Numbers(now time.Duration) (own []int) {
+func (l *Tracker) Numbers(now time.Duration) (own []int) {
 	if now < l.Ready() {
 		return nil
 	}
-	for n := range l.proof {
-		if n == l.cfg.Own || l.dead(now, n) && now >= l.proof[n].since+l.cfg.Pause && l.succeeds(now, n) {
+	for n := range l.proofs {
+		if n == l.cfg.Own || l.isProvenDead(now, n) && now >= l.proofs[n].since+l.cfg.GuardTime && l.succeeds(now, n) {
 			own = append(own, n)
 		}
 	}
@@ -150,38 +150,38 @@
 }
 
 // Until returns how long what Numbers says now holds at least: until the next proof that it rests on is over.
-func (l *Ledger) Until(now time.Duration) time.Duration {
+func (l *Tracker) Until(now time.Duration) time.Duration {
 	until := time.Duration(math.MaxInt64)
-	for n := range l.proof {
-		if l.dead(now, n) {
-			until = min(until, l.proof[n].at+l.cfg.Lease)
+	for n := range l.proofs {
+		if l.isProvenDead(now, n) {
+			until = min(until, l.proofs[n].sentAt+l.cfg.Lease)
 		}
 	}
 	return until
 }
 
 // Ready returns when this dispatcher may use a number first.
-func (l *Ledger) Ready() time.Duration {
-	return l.bound + time.Duration(math.Ceil(float64(l.cfg.Lease)*(1+drift))) + l.cfg.Pause
+func (l *Tracker) Ready() time.Duration {
+	return l.boundAt + time.Duration(math.Ceil(float64(l.cfg.Lease)*(1+drift))) + l.cfg.GuardTime
 }
 
 // succeeds tells whether everybody before this dispatcher in the number's order has been proven dead for Pause.
-func (l *Ledger) succeeds(now time.Duration, number int) bool {
-	mine := place(number, l.cfg.Own)
-	for n := range l.proof {
+func (l *Tracker) succeeds(now time.Duration, number int) bool {
+	mine := rank(number, l.cfg.Own)
+	for n := range l.proofs {
 		if n == number || n == l.cfg.Own {
 			continue
 		}
-		gone := l.dead(now, n) && now >= l.proof[n].since+l.cfg.Pause
-		if theirs := place(number, n); !gone && (theirs > mine || theirs == mine && n < l.cfg.Own) {
+		gone := l.isProvenDead(now, n) && now >= l.proofs[n].since+l.cfg.GuardTime
+		if theirs := rank(number, n); !gone && (theirs > mine || theirs == mine && n < l.cfg.Own) {
 			return false
 		}
 	}
 	return true
 }
 
-// place orders the successors of a number by rendezvous hashing, the same at every dispatcher: the highest comes first.
-func place(number, successor int) uint64 {
+// rank orders the successors of a number by rendezvous hashing, the same at every dispatcher: the highest comes first.
+func rank(number, successor int) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(number))
 	binary.LittleEndian.PutUint64(b[8:], uint64(successor))
--- a/internal/dispatcher/fleet/quota/share_test.go
+++ b/internal/dispatcher/fleet/quota/share_test.go
@@ -29,7 +29,7 @@
 type proc struct {
 	up     bool
 	life   int
-	ledger *Ledger
+	ledger *Tracker
 }
 
 // flight is a refusal or an answer on its way to a process.
@@ -51,7 +51,7 @@
 	for i := range c.procs {
 		if c.procs[i].up {
 			l := *c.procs[i].ledger
-			l.proof = slices.Clone(l.proof)
+			l.proofs = slices.Clone(l.proofs)
 			c.procs[i].ledger = &l
 		}
 	}
@@ -72,10 +72,10 @@
 		if b = append(b, '|'); !p.up {
 			continue
 		}
-		b = append(b, old(p.ledger.bound))
-		for n := range p.ledger.proof {
-			if p.ledger.dead(m.now, n) {
-				b = append(b, ',', byte(n), old(p.ledger.proof[n].at), old(p.ledger.proof[n].since))
+		b = append(b, old(p.ledger.boundAt))
+		for n := range p.ledger.proofs {
+			if p.ledger.isProvenDead(m.now, n) {
+				b = append(b, ',', byte(n), old(p.ledger.proofs[n].sentAt), old(p.ledger.proofs[n].since))
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 func (m *model) start(i int) {
-	l, err := New(Config{Size: len(m.procs), Own: i, Lease: lease * unit, Pause: pause * unit}, m.now)
+	l, err := New(Config{Size: len(m.procs), Own: i, Lease: lease * unit, GuardTime: pause * unit}, m.now)
 	if err != nil {
 		panic(err)
 	}
@@ -228,7 +228,7 @@
 	const size, dead = 300, 210
 	all, most := 0, 0
 	for own := dead; own < size; own++ {
-		l, err := New(Config{Size: size, Own: own, Lease: time.Minute, Pause: time.Second}, 0)
+		l, err := New(Config{Size: size, Own: own, Lease: time.Minute, GuardTime: time.Second}, 0)
 		require.NoError(t, err)
 		for n := range dead {
 			l.Refused(2*time.Minute, n, 2*time.Minute)
@@ -242,7 +242,7 @@
 
 func TestConfigIsChecked(t *testing.T) {
 	for field, cfg := range map[string]Config{
-		"Size": {Lease: 1}, "Own": {Size: 3, Own: 3, Lease: 1}, "Lease": {Size: 3}, "Pause": {Size: 3, Lease: 1, Pause: -1},
+		"Size": {Lease: 1}, "Own": {Size: 3, Own: 3, Lease: 1}, "Lease": {Size: 3}, "Pause": {Size: 3, Lease: 1, GuardTime: -1},
 	} {
 		_, err := New(cfg, 0)
 		var fault *ConfigError
@@ -254,7 +254,7 @@
 // A proof is as old as what was refused, however late the refusal comes; a start waits for every proof that there may be,
 // and for what was counted with one.
 func TestTimesAreCountedFromTheSafeSide(t *testing.T) {
-	l, err := New(Config{Size: 2, Own: 0, Lease: 10 * time.Second, Pause: time.Second}, 0)
+	l, err := New(Config{Size: 2, Own: 0, Lease: 10 * time.Second, GuardTime: time.Second}, 0)
 	require.NoError(t, err)
 	assert.Equal(t, 11100*time.Millisecond, l.Ready(), "the lease, and as much more as clocks may differ, and the pause")
 	assert.Empty(t, l.Numbers(l.Ready()-1))
--- a/internal/dispatcher/fleet/udp/read.go
+++ b/internal/dispatcher/fleet/udp/read.go
@@ -12,52 +12,52 @@
 	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
-// read brings what comes through the socket, until it is closed.
-func (n *Node) read(conn *net.UDPConn, events chan<- event) error {
+// readLoop brings what comes through the socket, until it is closed.
+func (n *Node) readLoop(conn *net.UDPConn, events chan<- event) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	buf := make([]byte, packet.Most+1) // one byte more shows what is too long
+	buf := make([]byte, packet.MaxSize+1) // one byte more shows what is too long
 	for {
 		size, from, err := conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case err == nil:
-			n.datagram(buf[:size], from, events)
+			n.receive(buf[:size], from, events)
 		case errors.Is(err, net.ErrClosed):
 			return err
 		}
 		// Refusals wake the reader with an error, which may be of any datagram: the queue tells of which.
-		if err := n.refusals(raw, events); err != nil {
+		if err := n.readRefusals(raw, events); err != nil {
 			return err
 		}
 	}
 }
 
-func (n *Node) datagram(d []byte, from netip.AddrPort, events chan<- event) {
+func (n *Node) receive(d []byte, from netip.AddrPort, events chan<- event) {
 	p, err := n.opt.Codec.Decode(d)
 	if err != nil {
 		var fault *packet.Error
 		if errors.As(err, &fault) {
-			n.drop(string(fault.Reason))
+			n.countDropped(string(fault.Reason))
 		}
 		return
 	}
-	n.bring(event{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), p: p}, events)
+	n.enqueue(event{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), packet: p}, events)
 }
 
-func (n *Node) bring(e event, events chan<- event) {
+func (n *Node) enqueue(e event, events chan<- event) {
 	select {
 	case events <- e:
 	default:
-		n.drop("inbox full")
+		n.countDropped("inbox full")
 	}
 }
 
-// refusals reads the socket's queue of errors (ip(7), IP_RECVERR). Only a port that is not open, said by the very machine
+// readRefusals reads the socket's queue of errors (ip(7), IP_RECVERR). Only a port that is not open, said by the very machine
 // that the datagram was for, is a refusal: what a router or a box between says is not.
-func (n *Node) refusals(raw syscall.RawConn, events chan<- event) error {
-	data, control := make([]byte, packet.Most), make([]byte, 512)
+func (n *Node) readRefusals(raw syscall.RawConn, events chan<- event) error {
+	data, control := make([]byte, packet.MaxSize), make([]byte, 512)
 	return raw.Control(func(fd uintptr) {
 		for {
 			size, oob, _, to, err := unix.Recvmsg(int(fd), data, control, unix.MSG_ERRQUEUE|unix.MSG_DONTWAIT)
@@ -65,12 +65,12 @@
 				return
 			}
 			seq, ok := n.opt.Codec.Seq(data[:size])
-			if !ok || !refusedByItself(control[:oob], to) {
+			if !ok || !refusedByDestination(control[:oob], to) {
 				continue
 			}
 			a := to.(*unix.SockaddrInet4)
 			addr := netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
-			n.bring(event{from: addr.String(), seq: seq}, events)
+			n.enqueue(event{from: addr.String(), seq: seq}, events)
 		}
 	})
 }
@@ -84,7 +84,7 @@
 	icmpUnreachable, icmpPort             = 3, 3
 )
 
-func refusedByItself(control []byte, to unix.Sockaddr) bool {
+func refusedByDestination(control []byte, to unix.Sockaddr) bool {
 	a, ok := to.(*unix.SockaddrInet4)
 	messages, err := unix.ParseSocketControlMessage(control)
 	if !ok || err != nil {
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// inbox is how many datagrams wait for the core; more are dropped and counted, as the network would.
-	inbox = 512
-	// bindAgain is how often an address is tried that another process has: at an upgrade in place the one before.
-	bindAgain = 250 * time.Millisecond
+	// maxInbox is how many datagrams wait for the core; more are dropped and counted, as the network would.
+	maxInbox = 512
+	// bindRetryInterval is how often an address is tried that another process has: at an upgrade in place the one before.
+	bindRetryInterval = 250 * time.Millisecond
 	// leaveGrace is for the last datagrams to get out.
 	leaveGrace = 50 * time.Millisecond
 )
@@ -39,16 +39,16 @@
 	Codec  *packet.Codec
 	// Held, if set, is told of the numbers that this dispatcher acts for, whenever they change or their time runs on, and of
 	// how many are held to live. It must not block.
-	Held func(Held)
-	Log  logrus.FieldLogger
+	OnOwnership func(Ownership)
+	Log         logrus.FieldLogger
 }
 
-// Held are the numbers that a dispatcher acts for.
-type Held struct {
+// Ownership are the numbers that a dispatcher acts for.
+type Ownership struct {
 	Numbers []int // rising; none until it has its socket and what others may have done for it is over
 	// Sure is how long all of them may be used from now on without hearing more; then only its own.
-	Sure   time.Duration
-	Living int // a guess, for what costs time only
+	ValidFor time.Duration
+	Living   int // a guess, for what costs time only
 }
 
 // View is what others may ask.
@@ -69,16 +69,16 @@
 	dropped map[string]int64
 
 	// The rest belongs to Run's goroutine.
-	core  *fleet.Core
-	ended bool // superseded, which was logged
-	aims  map[string]netip.AddrPort
+	core             *fleet.Core
+	supersededLogged bool // superseded, which was logged
+	addrs            map[string]netip.AddrPort
 }
 
 // event is something that came through the socket.
 type event struct {
-	from string
-	p    *fleet.Packet // nil: a refusal of the datagram seq
-	seq  uint64
+	from   string
+	packet *fleet.Packet // nil: a refusal of the datagram seq
+	seq    uint64
 }
 
 // SocketError is the fleet's socket, which can't be had or broke.
@@ -98,7 +98,7 @@
 
 // New returns a node that does nothing until Run.
 func New(opt Options) *Node {
-	return &Node{opt: opt, dropped: map[string]int64{}, aims: map[string]netip.AddrPort{}}
+	return &Node{opt: opt, dropped: map[string]int64{}, addrs: map[string]netip.AddrPort{}}
 }
 
 // View returns the newest view; nil before the socket is had.
@@ -127,29 +127,29 @@
 		}
 	}()
 	self := n.opt.Self
-	self.Life = uint64(time.Now().UnixMilli())
+	self.Epoch = uint64(time.Now().UnixMilli())
 	if n.core, err = fleet.New(n.opt.Config, self, now()); err != nil {
 		return err
 	}
-	n.opt.Log.WithFields(logrus.Fields{"addr": self.Addr, "life": self.Life}).Info("fleet: taking part")
-	events := make(chan event, inbox)
+	n.opt.Log.WithFields(logrus.Fields{"addr": self.Addr, "life": self.Epoch}).Info("fleet: taking part")
+	events := make(chan event, maxInbox)
 	reading := make(chan error, 1)
-	go func() { reading <- n.read(conn, events) }()
+	go func() { reading <- n.readLoop(conn, events) }()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			n.core.Leave(now())
-			n.tell(Held{}) // from here on nothing is used, and the socket may go
+			n.notify(Ownership{}) // from here on nothing is used, and the socket may go
 			n.send(conn)
 			time.Sleep(leaveGrace)
 			return nil
 		case err := <-reading:
-			n.tell(Held{})
+			n.notify(Ownership{})
 			return &SocketError{n.opt.Listen, "restart this dispatcher; it serves on, without any part of what is shared", err}
 		case e := <-events:
-			n.take(e)
+			n.handle(e)
 		case <-wake.C:
 			n.core.Tick(now())
 		}
@@ -179,22 +179,22 @@
 		select {
 		case <-ctx.Done():
 			return nil, nil
-		case <-time.After(bindAgain):
+		case <-time.After(bindRetryInterval):
 		}
 	}
 }
 
-func (n *Node) take(e event) {
-	if e.p == nil {
+func (n *Node) handle(e event) {
+	if e.packet == nil {
 		n.core.Refused(now(), e.from, e.seq)
 		return
 	}
-	if v := n.core.Receive(now(), e.from, e.p); v != fleet.Taken {
-		n.drop(v.String())
+	if v := n.core.Receive(now(), e.from, e.packet); v != fleet.Accepted {
+		n.countDropped(v.String())
 	}
 }
 
-func (n *Node) drop(reason string) {
+func (n *Node) countDropped(reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropped[reason]++
@@ -204,27 +204,27 @@
 func (n *Node) send(conn *net.UDPConn) (changed bool) {
 	out, changes := n.core.Take()
 	for _, c := range changes {
-		n.opt.Log.WithFields(logrus.Fields{"member": c.Member.Name, "addr": c.Member.Addr, "life": c.Member.Life,
+		n.opt.Log.WithFields(logrus.Fields{"member": c.Member.Name, "addr": c.Member.Addr, "life": c.Member.Epoch,
 			"incarnation": c.Member.Incarnation}).Info("fleet: " + c.Kind.String())
 	}
 	for _, d := range out {
 		text, err := n.opt.Codec.Encode(d.Packet)
 		if err != nil {
-			n.drop("not sent: too long")
+			n.countDropped("not sent: too long")
 			continue
 		}
-		to, ok := n.aims[d.To]
+		to, ok := n.addrs[d.To]
 		if !ok {
 			if to, err = netip.ParseAddrPort(d.To); err != nil {
-				n.drop("not sent: no address")
+				n.countDropped("not sent: no address")
 				continue
 			}
-			n.aims[d.To] = to
+			n.addrs[d.To] = to
 		}
 		// An error may be an earlier datagram's refusal, which is read where refusals are; then this one was not sent.
 		if _, err := conn.WriteToUDPAddrPort(text, to); err != nil {
 			if _, err = conn.WriteToUDPAddrPort(text, to); err != nil {
-				n.drop("not sent: network")
+				n.countDropped("not sent: network")
 			}
 		}
 	}
@@ -235,22 +235,22 @@
 // members.
 func (n *Node) publish(changed bool) {
 	at := now()
-	numbers, sure := n.core.Held(at)
-	n.tell(Held{Numbers: numbers, Sure: sure, Living: n.core.Living()})
+	numbers, sure := n.core.OwnedNumbers(at)
+	n.notify(Ownership{Numbers: numbers, ValidFor: sure, Living: n.core.Living()})
 	if last := n.view.Load(); !changed && last != nil && at-last.At < n.opt.Config.Interval/2 {
 		return
 	}
 	v := &View{Snapshot: n.core.Snapshot(), At: at}
 	n.view.Store(v)
-	if v.Superseded && !n.ended {
-		n.ended = true
-		n.opt.Log.WithField("life", v.Self.Life).Warn("fleet: a later process has this name; this one takes no part any more")
+	if v.Superseded && !n.supersededLogged {
+		n.supersededLogged = true
+		n.opt.Log.WithField("life", v.Self.Epoch).Warn("fleet: a later process has this name; this one takes no part any more")
 	}
 }
 
-func (n *Node) tell(h Held) {
-	if n.opt.Held != nil {
-		n.opt.Held(h)
+func (n *Node) notify(h Ownership) {
+	if n.opt.OnOwnership != nil {
+		n.opt.OnOwnership(h)
 	}
 }
 
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -43,7 +43,7 @@
 	*Node
 	stop func()
 	mu   sync.Mutex
-	held Held
+	held Ownership
 }
 
 func (m *member) numbers() []int {
@@ -61,9 +61,9 @@
 	const interval = 50 * time.Millisecond
 	m := &member{}
 	m.Node = New(Options{Listen: roster[number], Self: fleet.Record{Name: name, Addr: roster[number]}, Codec: codec, Log: log,
-		Config: fleet.Config{Interval: interval, Seeds: roster, Refusals: true, Roster: roster,
-			Share: quota.Config{Size: len(roster), Own: number, Lease: 10 * interval, Pause: interval}},
-		Held: func(h Held) { m.mu.Lock(); m.held = h; m.mu.Unlock() }})
+		Config: fleet.Config{Interval: interval, Seeds: roster, TrustRefusals: true, Roster: roster,
+			Quota: quota.Config{Size: len(roster), Own: number, Lease: 10 * interval, GuardTime: interval}},
+		OnOwnership: func(h Ownership) { m.mu.Lock(); m.held = h; m.mu.Unlock() }})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- m.Run(ctx) }()
@@ -108,7 +108,7 @@
 	})
 
 	again := run(t, "b", 1, roster) // an upgrade in place: the old one still has the socket
-	time.Sleep(4 * bindAgain)
+	time.Sleep(4 * bindRetryInterval)
 	assert.Nil(t, again.View())
 	assert.Empty(t, again.numbers())
 	b.stop()
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -17,7 +17,7 @@
 type Link struct {
 	Loss, Double, Late float64       // shares
 	By                 time.Duration // how late the late ones are
-	Cut                bool
+	Down               bool
 }
 
 // Options describe a world.
@@ -45,14 +45,14 @@
 	Changes          []fleet.Change
 	// Skew is added to the time that the process reads.
 	Skew    time.Duration
-	lives   uint64
+	starts  uint64
 	tickAt  time.Duration
 	stopped bool
-	held    []*event // what came while it was stopped
+	queued  []*event // what came while it was stopped
 }
 
-// Runs tells whether a process runs here and is not stopped.
-func (n *Node) Runs() bool { return n.Core != nil && !n.stopped }
+// IsRunning tells whether a process runs here and is not stopped.
+func (n *Node) IsRunning() bool { return n.Core != nil && !n.stopped }
 
 // World is a fleet with its network.
 type World struct {
@@ -66,14 +66,14 @@
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	node  *Node
-	core  *fleet.Core // a tick of this process
-	from  string
-	p     *fleet.Packet // a datagram, or
-	no    bool          // its refusal, which comes back to node
-	to    string
+	at      time.Duration
+	order   uint64
+	node    *Node
+	core    *fleet.Core // a tick of this process
+	from    string
+	packet  *fleet.Packet // a datagram, or
+	refused bool          // its refusal, which comes back to node
+	to      string
 }
 
 type events []*event
@@ -107,19 +107,19 @@
 
 // Start begins a process at a place; one that runs there is killed.
 func (w *World) Start(n *Node) error {
-	n.lives++
-	return w.Restart(n, max(n.lives, 1+uint64(max(0, w.Now+n.Skew)/time.Millisecond)))
+	n.starts++
+	return w.StartWithEpoch(n, max(n.starts, 1+uint64(max(0, w.Now+n.Skew)/time.Millisecond)))
 }
 
-// Beside begins a later process under the name of one that runs, at a place of its own.
-func (w *World) Beside(n *Node) (*Node, error) {
+// StartDuplicate begins a later process under the name of one that runs, at a place of its own.
+func (w *World) StartDuplicate(n *Node) (*Node, error) {
 	again := &Node{Name: n.Name, Addr: n.Addr + "1", Zone: n.Zone, Number: n.Number}
 	w.Nodes, w.byAddr[again.Addr] = append(w.Nodes, again), again
 	return again, w.Start(again)
 }
 
-// Restart is Start with a life of the caller's.
-func (w *World) Restart(n *Node, life uint64) error {
+// StartWithEpoch is Start with a life of the caller's.
+func (w *World) StartWithEpoch(n *Node, life uint64) error {
 	cfg := w.opt.Config
 	cfg.Seed = w.rng.Uint64()
 	if cfg.Seeds == nil {
@@ -127,23 +127,23 @@
 			cfg.Seeds = append(cfg.Seeds, s.Addr)
 		}
 	}
-	if cfg.Share.Size > 0 {
-		cfg.Share.Own, cfg.Roster = n.Number, make([]string, cfg.Share.Size)
+	if cfg.Quota.Size > 0 {
+		cfg.Quota.Own, cfg.Roster = n.Number, make([]string, cfg.Quota.Size)
 		for i := range cfg.Roster {
 			cfg.Roster[i] = w.Nodes[i].Addr
 		}
 	}
-	c, err := fleet.New(cfg, fleet.Record{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Life: life}, w.Now+n.Skew)
+	c, err := fleet.New(cfg, fleet.Record{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: life}, w.Now+n.Skew)
 	if err != nil {
 		return err
 	}
-	n.Core, n.Began, n.stopped, n.held, n.Changes, n.tickAt = c, w.Now, false, nil, nil, 0
-	w.tick(n)
+	n.Core, n.Began, n.stopped, n.queued, n.Changes, n.tickAt = c, w.Now, false, nil, nil, 0
+	w.scheduleTick(n)
 	return nil
 }
 
 // Kill ends a process at once.
-func (w *World) Kill(n *Node) { n.Core, n.stopped, n.held = nil, false, nil }
+func (w *World) Kill(n *Node) { n.Core, n.stopped, n.queued = nil, false, nil }
 
 // Leave ends a process in order.
 func (w *World) Leave(n *Node) {
@@ -160,8 +160,8 @@
 	if n.stopped = false; n.Core == nil {
 		return
 	}
-	held := n.held
-	n.held, n.tickAt = nil, w.Now
+	held := n.queued
+	n.queued, n.tickAt = nil, w.Now
 	w.push(&event{at: w.Now, node: n, core: n.Core}) // its timer, before it reads anything: the worst that can be
 	for _, e := range held[:min(len(held), 500)] {   // what a socket keeps
 		e.at = w.Now
@@ -174,7 +174,7 @@
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(*event)
 		w.Now = max(w.Now, e.at)
-		w.happen(e)
+		w.handle(e)
 	}
 	w.Now = until
 }
@@ -200,8 +200,8 @@
 	heap.Push(&w.events, e)
 }
 
-// tick has the process at n ticked when it asks for, if that is sooner than what it asked for before.
-func (w *World) tick(n *Node) {
+// scheduleTick has the process at n ticked when it asks for, if that is sooner than what it asked for before.
+func (w *World) scheduleTick(n *Node) {
 	if wait := n.Core.Wait(); wait < time.Hour {
 		if at := w.Now + wait; n.tickAt <= w.Now || at < n.tickAt {
 			n.tickAt = at
@@ -210,19 +210,19 @@
 	}
 }
 
-func (w *World) happen(e *event) {
+func (w *World) handle(e *event) {
 	n := e.node
 	switch {
-	case n.Core == nil && e.p != nil && !e.no:
-		if from := w.byAddr[e.from]; from.Core != nil && !w.link(n, from).Cut { // the machine lives and refuses
-			w.push(&event{at: w.Now + w.opt.Delay, node: from, core: from.Core, to: n.Addr, p: e.p, no: true})
+	case n.Core == nil && e.packet != nil && !e.refused:
+		if from := w.byAddr[e.from]; from.Core != nil && !w.link(n, from).Down { // the machine lives and refuses
+			w.push(&event{at: w.Now + w.opt.Delay, node: from, core: from.Core, to: n.Addr, packet: e.packet, refused: true})
 		}
 		return
 	case n.Core == nil || e.core != nil && e.core != n.Core:
 		return
 	case n.stopped:
-		if e.p != nil {
-			n.held = append(n.held, e)
+		if e.packet != nil {
+			n.queued = append(n.queued, e)
 		}
 		return
 	}
@@ -231,10 +231,10 @@
 		n.tickAt = 0
 	}
 	switch {
-	case e.no:
-		n.Core.Refused(now, e.to, e.p.Seq)
-	case e.p != nil:
-		v := n.Core.Receive(now, e.from, e.p)
+	case e.refused:
+		n.Core.Refused(now, e.to, e.packet.Seq)
+	case e.packet != nil:
+		v := n.Core.Receive(now, e.from, e.packet)
 		if w.opt.Verdict != nil {
 			w.opt.Verdict(v)
 		}
@@ -242,7 +242,7 @@
 		n.Core.Tick(now)
 	}
 	w.send(n)
-	w.tick(n)
+	w.scheduleTick(n)
 }
 
 func (w *World) link(from, to *Node) Link {
@@ -270,7 +270,7 @@
 			copies = 2
 		}
 		for range copies {
-			if l.Cut || w.rng.Float64() < l.Loss {
+			if l.Down || w.rng.Float64() < l.Loss {
 				continue
 			}
 			at := w.Now + w.opt.Delay
@@ -280,13 +280,13 @@
 			if w.rng.Float64() < l.Late {
 				at += l.By
 			}
-			w.push(&event{at: at, node: to, from: n.Addr, p: copied(d.Packet)})
+			w.push(&event{at: at, node: to, from: n.Addr, packet: clonePacket(d.Packet)})
 		}
 	}
 }
 
-// copied is what another process reads of a packet: nothing is shared with it.
-func copied(p *fleet.Packet) *fleet.Packet {
+// clonePacket is what another process reads of a packet: nothing is shared with it.
+func clonePacket(p *fleet.Packet) *fleet.Packet {
 	c := *p
 	c.Records, c.Sums, c.Proofs = slices.Clone(p.Records), slices.Clone(p.Sums), slices.Clone(p.Proofs)
 	return &c
@@ -295,7 +295,7 @@
 // Running returns the places whose processes run.
 func (w *World) Running() (out []*Node) {
 	for _, n := range w.Nodes {
-		if n.Runs() {
+		if n.IsRunning() {
 			out = append(out, n)
 		}
 	}
@@ -324,5 +324,5 @@
 	return true
 }
 
-// Lives returns how many processes were begun here.
-func (n *Node) Lives() int { return int(n.lives) }
+// Starts returns how many processes were begun here.
+func (n *Node) Starts() int { return int(n.starts) }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -16,7 +16,7 @@
 		if is(n) || !view {
 			continue
 		}
-		l, err := quota.New(quota.Config{Size: len(f.all), Own: n, Lease: time.Hour, Pause: time.Millisecond}, f.start-2*time.Hour)
+		l, err := quota.New(quota.Config{Size: len(f.all), Own: n, Lease: time.Hour, GuardTime: time.Millisecond}, f.start-2*time.Hour)
 		if err != nil {
 			f.t.Fatal(err)
 		}
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -69,7 +69,7 @@
 	sc.Step(`^(d\d+) (leaves)$`, s.each)
 	sc.Step(`^all are started one by one$`, func() error { return s.inTurn(1, 4, true) })
 	sc.Step(`^all are restarted (\d+) at a time, (\d+) intervals apart$`, func(n, gap int) error { return s.inTurn(n, gap, false) })
-	sc.Step(`^(d\d+) is started again in life (\d+)$`, func(who string, life int) error { return s.w.Restart(s.node(who), uint64(life)) })
+	sc.Step(`^(d\d+) is started again in life (\d+)$`, func(who string, life int) error { return s.w.StartWithEpoch(s.node(who), uint64(life)) })
 	sc.Step(`^(d\d+) sleeps for (\d+) intervals$`, s.sleep)
 	sc.Step(`^the clock of (d\d+) jumps (ahead|back) by an hour$`, s.jump)
 	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.pass(n) })
@@ -136,7 +136,7 @@
 func (s *story) fleet(n int, shared string) error {
 	s.opt = virtual.Options{Seed: s.seed, Config: fleet.Config{Interval: interval}, Delay: time.Millisecond, Jitter: 10 * time.Millisecond}
 	if shared != "" {
-		s.opt.Config.Refusals, s.opt.Config.Share = true, quota.Config{Size: n, Lease: 15 * interval, Pause: 2 * interval}
+		s.opt.Config.TrustRefusals, s.opt.Config.Quota = true, quota.Config{Size: n, Lease: 15 * interval, GuardTime: 2 * interval}
 	}
 	s.w = virtual.New(n, s.opt)
 	return nil
@@ -227,14 +227,14 @@
 }
 
 func (s *story) cut(is func(a, b *virtual.Node) bool) {
-	s.w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Cut: is(a, b)} })
+	s.w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Down: is(a, b)} })
 }
 
 // pass lets intervals pass and looks, several times in each, whether two act for one number.
 func (s *story) pass(n int) {
 	for range 4 * n {
 		s.w.For(interval / 4)
-		if s.opt.Config.Refusals {
+		if s.opt.Config.TrustRefusals {
 			s.parts()
 		}
 	}
@@ -269,7 +269,7 @@
 
 func (s *story) settled() bool {
 	for _, n := range s.w.Running() {
-		if !n.Core.Snapshot().Settled {
+		if !n.Core.Snapshot().Converged {
 			return false
 		}
 	}
@@ -310,8 +310,8 @@
 
 func (s *story) lives(n int) error {
 	for _, node := range s.w.Nodes {
-		if node.Lives() != n {
-			return fmt.Errorf("%s is in its life number %d", node.Name, node.Lives())
+		if node.Starts() != n {
+			return fmt.Errorf("%s is in its life number %d", node.Name, node.Starts())
 		}
 	}
 	return nil
@@ -323,7 +323,7 @@
 		if other == n {
 			continue
 		}
-		if v := other.Core.Receive(s.w.Now, n.Addr, s.old[who]); v != fleet.EarlierLife {
+		if v := other.Core.Receive(s.w.Now, n.Addr, s.old[who]); v != fleet.StaleEpoch {
 			return fmt.Errorf("%s took it: %s", other.Name, v)
 		}
 	}
