--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -16,7 +16,7 @@
 
 var (
 	figures = flag.Bool("figures", false, "measure the figures in docs/view.md; takes minutes")
-	most    = flag.Int("most", 1000, "the largest fleet to measure")
+	largest = flag.Int("most", 1000, "the largest fleet to measure")
 )
 
 // TestFigures measures what docs/view.md states, in multiples of the probe interval.
@@ -27,25 +27,25 @@
 	codec, err := packet.New("pagos-mercados", []byte("sixteen bytes or more"))
 	require.NoError(t, err)
 	for _, n := range []int{3, 30, 300, 1000} {
-		if n > *most {
+		if n > *largest {
 			break
 		}
 		for _, loss := range []float64{0, 0.05, 0.2} {
-			t.Run("", func(t *testing.T) { t.Parallel(); inCalm(t, codec, n, loss) })
+			t.Run("", func(t *testing.T) { t.Parallel(); measureCalm(t, codec, n, loss) })
 		}
-		t.Run("", func(t *testing.T) { t.Parallel(); inADisaster(t, n) })
+		t.Run("", func(t *testing.T) { t.Parallel(); measureDeaths(t, n) })
 	}
 }
 
-// inCalm measures joins, a crash, a cut, and what a member sends while nothing happens.
-func inCalm(t *testing.T, codec *packet.Codec, n int, loss float64) {
+// measureCalm measures joins, a crash, a partition, and what a member sends while nothing happens.
+func measureCalm(t *testing.T, codec *packet.Codec, n int, loss float64) {
 	t.Helper()
 	opt := options(uint64(n))
-	largest := 0
+	maxSize := 0
 	opt.Size = func(p *fleet.Packet) int {
 		d, err := codec.Encode(p)
 		require.NoError(t, err)
-		largest = max(largest, len(d))
+		maxSize = max(maxSize, len(d))
 		return len(d)
 	}
 	bad := func(time.Duration, *virtual.Node, *virtual.Node) virtual.Link { return virtual.Link{Loss: loss} }
@@ -92,11 +92,11 @@
 	w.For(240 * tick)
 	w.Links(bad)
 	until("equal after a cut in two")
-	fmt.Printf("%slargest datagram %d bytes\n", line, largest)
+	fmt.Printf("%slargest datagram %d bytes\n", line, maxSize)
 }
 
-// inADisaster measures how soon the parts of many dead are used.
-func inADisaster(t *testing.T, n int) {
+// measureDeaths measures how soon the numbers of many dead members are owned again.
+func measureDeaths(t *testing.T, n int) {
 	t.Helper()
 	opt := options(uint64(n))
 	opt.Config.TrustRefusals = true
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -15,31 +15,31 @@
 
 const tick = 500 * time.Millisecond // the probe interval
 
-// options are a usual network's; a failing run is repeated by its seed alone.
+// options are those of an ordinary network; the seed alone repeats a failing run.
 func options(seed uint64) virtual.Options {
 	return virtual.Options{Seed: seed, Config: fleet.Config{Interval: tick}, Delay: time.Millisecond, Jitter: 10 * time.Millisecond}
 }
 
-// startAll starts n processes at once and waits until they agree.
+// startAll starts n processes at once and waits until their views agree.
 func startAll(t *testing.T, n int, opt virtual.Options) *virtual.World {
 	t.Helper()
 	w := virtual.New(n, opt)
 	for _, node := range w.Nodes {
 		require.NoError(t, w.Start(node))
 	}
-	within(t, w, 60*tick, "all are met")
+	within(t, w, 60*tick, "all have joined")
 	return w
 }
 
-// within waits until all that run agree.
-func within(t *testing.T, w *virtual.World, most time.Duration, what string) time.Duration {
+// within waits until the views of all running processes agree.
+func within(t *testing.T, w *virtual.World, limit time.Duration, what string) time.Duration {
 	t.Helper()
-	took, ok := w.Until(tick/2, most, func() bool { return w.Agree() })
-	require.True(t, ok, "%s: not within %v", what, most)
+	took, ok := w.Until(tick/2, limit, func() bool { return w.Agree() })
+	require.True(t, ok, "%s: not within %v", what, limit)
 	return took
 }
 
-// count returns how many changes of a kind the processes noted since a moment.
+// count returns how many changes of a kind the processes have seen since a moment.
 func count(w *virtual.World, k fleet.ChangeKind, since time.Duration) (n int) {
 	for _, node := range w.Nodes {
 		for _, c := range node.Changes {
@@ -67,12 +67,12 @@
 		}
 		w.For(60 * tick)
 		for _, n := range w.Nodes[3:] {
-			require.Equal(t, 1, n.Core.Living(), "nobody to be met yet")
+			require.Equal(t, 1, n.Core.Living(), "nobody to join yet")
 		}
 		require.NoError(t, w.Start(w.Nodes[1]))
 		within(t, w, 20*tick, "once a seed is there")
 	})
-	t.Run("a seed that is cut off", func(t *testing.T) {
+	t.Run("a seed behind a partition", func(t *testing.T) {
 		opt := options(4)
 		opt.Link = func(_ time.Duration, from, to *virtual.Node) virtual.Link {
 			return virtual.Link{Down: from.Name == "d0" || to.Name == "d0"}
@@ -107,64 +107,64 @@
 		for _, n := range w.Nodes[:70] {
 			w.Kill(n)
 		}
-		within(t, w, 60*tick, "the others know")
+		within(t, w, 60*tick, "the others have seen it")
 		for _, n := range w.Nodes[:70] {
 			require.NoError(t, w.Start(n))
 		}
 		within(t, w, 30*tick, "all are back")
 	})
-	t.Run("a leave is known at once", func(t *testing.T) {
+	t.Run("a member leaves", func(t *testing.T) {
 		w := startAll(t, 100, options(10))
 		w.Leave(w.Nodes[50])
-		within(t, w, 8*tick, "the others know")
+		within(t, w, 8*tick, "the others have seen it")
 	})
 }
 
-// Of several processes under one name the latest is the member.
-func TestLivesOfOneName(t *testing.T) {
-	t.Run("a new life follows the old one for good", func(t *testing.T) {
+// Of several processes under one name the one with the highest epoch is the member.
+func TestProcessesOfOneName(t *testing.T) {
+	t.Run("a stale epoch is rejected", func(t *testing.T) {
 		w := startAll(t, 10, options(7))
-		p := &fleet.Packet{Kind: fleet.Ping, From: w.Nodes[4].Core.Snapshot().Self} // that the network holds back
+		p := &fleet.Packet{Kind: fleet.Ping, From: w.Nodes[4].Core.Snapshot().Self} // that the network delays
 		p.From.Incarnation = 99
 		w.Kill(w.Nodes[4])
 		w.For(2 * tick)
 		require.NoError(t, w.Start(w.Nodes[4]))
-		within(t, w, 20*tick, "the new life")
-		life := w.Nodes[4].Core.Snapshot().Self.Epoch
+		within(t, w, 20*tick, "the new process")
+		epoch := w.Nodes[4].Core.Snapshot().Self.Epoch
 		assert.Equal(t, fleet.StaleEpoch, w.Nodes[1].Core.Receive(w.Now, w.Nodes[4].Addr, p))
 		for _, m := range w.Nodes[1].Core.Snapshot().Members {
 			if m.Name == "d4" {
-				assert.Equal(t, life, m.Epoch)
+				assert.Equal(t, epoch, m.Epoch)
 			}
 		}
 	})
-	t.Run("a machine whose clock stands behind", func(t *testing.T) {
+	t.Run("a machine whose clock is behind", func(t *testing.T) {
 		w := startAll(t, 10, options(8))
 		before := w.Nodes[4].Core.Snapshot().Self.Epoch
 		w.Kill(w.Nodes[4])
 		w.For(4 * tick)
 		require.NoError(t, w.StartWithEpoch(w.Nodes[4], before+1000))
-		within(t, w, 20*tick, "a later life")
+		within(t, w, 20*tick, "the process with a later clock")
 		w.Kill(w.Nodes[4])
 		require.NoError(t, w.StartWithEpoch(w.Nodes[4], before))
-		within(t, w, 20*tick, "the new life")
+		within(t, w, 20*tick, "the new process")
 		assert.Greater(t, w.Nodes[4].Core.Snapshot().Self.Epoch, before+1000)
 	})
-	t.Run("two lives of one name", func(t *testing.T) {
+	t.Run("two processes of one name at once", func(t *testing.T) {
 		w := startAll(t, 10, options(9))
-		again, err := w.StartDuplicate(w.Nodes[4])
+		duplicate, err := w.StartDuplicate(w.Nodes[4])
 		require.NoError(t, err)
 		_, ok := w.Until(tick, 20*tick, func() bool { return w.Nodes[4].Core.Snapshot().Superseded })
-		assert.True(t, ok, "the older one steps back")
+		assert.True(t, ok, "the older one is superseded")
 		w.For(20 * tick)
-		assert.False(t, again.Core.Snapshot().Superseded)
+		assert.False(t, duplicate.Core.Snapshot().Superseded)
 		for _, n := range w.Nodes[:4] {
 			assert.Equal(t, 10, n.Core.Living(), "one name is one member")
 		}
 	})
 }
 
-// Whatever was cut off is found again, without anyone's help, and soon, however long it lasted.
+// Views converge by themselves after a partition, and soon, however long it lasted.
 func TestPartitionsHeal(t *testing.T) {
 	zone := func(n *virtual.Node) int { return int(n.Zone[0] - 'a') }
 	for name, cut := range map[string]func(from, to *virtual.Node) bool{
@@ -189,13 +189,13 @@
 				w.Run(to)
 				took := within(t, w, 40*tick, "healed")
 				if last > 20*time.Second && name != "some links" && name != "one way" {
-					assert.True(t, parted, "the cut was seen")
+					assert.True(t, parted, "the partition was seen")
 				}
-				if last > 5*time.Minute { // suspicions that run at the end of a short one still end it
-					assert.Zero(t, count(w, fleet.Died, to), "the other side's word kills nobody on this one")
+				if last > 5*time.Minute { // after a short one, suspicions of before its end still expire
+					assert.Zero(t, count(w, fleet.Died, to), "a death that only the other side saw is refuted")
 				}
 				if name == "some links" {
-					assert.Zero(t, count(w, fleet.Died, 0), "others reach whom one does not")
+					assert.Zero(t, count(w, fleet.Died, 0), "indirect probes reach whom direct ones do not")
 				}
 				t.Logf("agreed %.1f intervals after", float64(took)/float64(tick))
 			})
@@ -203,11 +203,11 @@
 	}
 }
 
-// A bad network shuts nobody out for good, and one that is only lossy nobody at all.
+// A bad network excludes no member for good, and one that only loses datagrams none at all.
 func TestBadNetworks(t *testing.T) {
 	for name, tt := range map[string]struct {
-		link  func(now time.Duration) virtual.Link
-		never bool // nobody may be held dead
+		link     func(now time.Duration) virtual.Link
+		noDeaths bool // no member may be declared dead
 	}{
 		"a fifth lost": {func(time.Duration) virtual.Link { return virtual.Link{Loss: 0.2} }, true},
 		"doubled":      {func(time.Duration) virtual.Link { return virtual.Link{Double: 0.3} }, true},
@@ -229,7 +229,7 @@
 			w := startAll(t, 50, opt)
 			bad = true
 			w.For(200 * tick)
-			if died := count(w, fleet.Died, 0); tt.never {
+			if died := count(w, fleet.Died, 0); tt.noDeaths {
 				assert.Zero(t, died)
 			}
 			bad = false
@@ -238,8 +238,8 @@
 	}
 }
 
-// A process that slept accuses nobody for the time it slept, and is itself back within seconds. A clock that jumps looks
-// like sleep one way and like nothing the other way.
+// A process that slept suspects nobody for the time it slept, and is alive in all views again within seconds. A clock that jumps ahead
+// looks like sleep, one that jumps back like no time at all.
 func TestSleepersAndClocks(t *testing.T) {
 	for name, do := range map[string]func(w *virtual.World, n *virtual.Node){
 		"stopped for 20 s": func(w *virtual.World, n *virtual.Node) {
@@ -254,7 +254,7 @@
 			w.Until(tick/4, 40*tick, func() bool { return suspects(n, "d8") })
 			w.Stop(n)
 			w.Links(nil)
-			w.For(30 * time.Second) // longer than any suspicion runs
+			w.For(30 * time.Second) // longer than any suspicion lasts
 			w.Continue(n)
 		},
 		"clock an hour ahead": func(_ *virtual.World, n *virtual.Node) { n.Skew = time.Hour },
@@ -264,12 +264,12 @@
 			w := startAll(t, 50, options(13))
 			since := w.Now
 			do(w, w.Nodes[7])
-			within(t, w, 20*tick, "it is back")
+			within(t, w, 20*tick, "it is alive in all views")
 			w.For(40 * tick)
 			for _, n := range w.Nodes {
 				for _, c := range n.Changes {
 					if c.At > since && c.Kind == fleet.Died {
-						require.Equal(t, "d7", c.Member.Name, "held dead by %s at %v", n.Name, c.At)
+						require.Equal(t, "d7", c.Member.Name, "declared dead by %s at %v", n.Name, c.At)
 					}
 				}
 			}
@@ -287,8 +287,8 @@
 	return false
 }
 
-// The snapshot says whether the view is settled, and since when.
-func TestSettled(t *testing.T) {
+// The snapshot says whether the view has converged, and since when.
+func TestConverged(t *testing.T) {
 	w := startAll(t, 30, options(14))
 	w.For(20 * tick)
 	for _, n := range w.Nodes {
@@ -296,7 +296,7 @@
 	}
 	w.Kill(w.Nodes[3])
 	_, ok := w.Until(tick/2, 20*tick, func() bool { return !w.Nodes[8].Core.Snapshot().Converged })
-	require.True(t, ok, "someone is suspected")
+	require.True(t, ok, "a member is suspected")
 	within(t, w, 40*tick, "dead")
 	w.For(20 * tick)
 	s := w.Nodes[8].Core.Snapshot()
@@ -311,37 +311,37 @@
 	assert.Equal(t, []string{"joined", "suspected", "died"}, kinds, "changes come in order")
 }
 
-// Where refusals count, the dead are known at once, and those left act for all numbers together, each for its own ones.
+// Where refusals are trusted, deaths are known at once, and the living own all numbers together, none of them twice.
 func TestNumbersFollowTheDead(t *testing.T) {
 	opt := options(15)
 	opt.Config.TrustRefusals = true
 	opt.Config.Quota = quota.Config{Size: 40, Lease: 15 * tick, GuardTime: tick}
 	w := startAll(t, 40, opt)
-	once := func() (held int) {
+	owned := func() (n int) {
 		by := map[int]string{}
 		for _, n := range w.Running() {
 			for _, k := range n.Core.Numbers(w.Now) {
-				require.Empty(t, by[k], "number %d is used by %s too", k, n.Name)
+				require.Empty(t, by[k], "number %d is owned by %s too", k, n.Name)
 				by[k] = n.Name
 			}
 		}
 		return len(by)
 	}
 	w.For(20 * tick)
-	require.Equal(t, 40, once())
+	require.Equal(t, 40, owned())
 	for _, n := range w.Nodes[:28] {
 		w.Kill(n)
 	}
-	took := within(t, w, 60*tick, "the others know")
-	assert.LessOrEqual(t, took, 20*tick, "refusals proves it")
+	took := within(t, w, 60*tick, "the others have seen it")
+	assert.LessOrEqual(t, took, 20*tick, "refusals prove it")
 	for range 40 {
 		w.For(tick)
-		once()
+		owned()
 	}
-	assert.GreaterOrEqual(t, once(), 38, "nearly every number is acted for")
+	assert.GreaterOrEqual(t, owned(), 38, "nearly every number is owned")
 	w.Nodes[30].Skew = -time.Hour
 	w.For(tick)
-	assert.Empty(t, w.Nodes[30].Core.Numbers(w.Now-time.Hour), "how long proofs were held is not known where a clock went back")
+	assert.Empty(t, w.Nodes[30].Core.Numbers(w.Now-time.Hour), "how long proofs are still valid is unknown after a clock went back")
 	w.Nodes[30].Skew = 0
 	w.For(40 * tick)
 	for _, n := range w.Nodes[:28] {
@@ -349,17 +349,17 @@
 	}
 	for range 40 {
 		w.For(tick / 2)
-		once()
+		owned()
 	}
-	assert.Equal(t, 40, once())
+	assert.Equal(t, 40, owned())
 
-	cut := w.Now // a partition moves nothing
-	opt2 := func(_ time.Duration, a, b *virtual.Node) virtual.Link {
+	partitioned := w.Now // a partition moves no number
+	inTwo := func(_ time.Duration, a, b *virtual.Node) virtual.Link {
 		return virtual.Link{Down: (a.Number < 20) != (b.Number < 20)}
 	}
-	w.Links(opt2)
-	for w.Now < cut+60*tick {
+	w.Links(inTwo)
+	for w.Now < partitioned+60*tick {
 		w.For(tick)
-		require.Equal(t, 40, once())
+		require.Equal(t, 40, owned())
 	}
 }
--- a/internal/dispatcher/fleet/news.go
+++ b/internal/dispatcher/fleet/members.go
@@ -1,67 +1,10 @@
 package fleet
 
 import (
-	"cmp"
-	"math"
-	"slices"
 	"time"
 )
 
-// updates is a record that is being told.
-type update struct {
-	record    Record
-	transmits int
-}
-
-// broadcast has a record ride on the next packets. Where there is too much to tell, what was told most is dropped.
-func (c *Core) broadcast(r Record) {
-	if c.updates[r.Name] == nil && len(c.updates) >= maxUpdates {
-		var most *update
-		for _, n := range c.updates {
-			if n.record.Name != c.self.Name && (most == nil || n.transmits > most.transmits || n.transmits == most.transmits && n.record.Name < most.record.Name) {
-				most = n
-			}
-		}
-		delete(c.updates, most.record.Name)
-	}
-	c.updates[r.Name] = &update{record: r}
-}
-
-// piggyback puts news into p, those told least first, and first of all what the receiver has to refute.
-func (c *Core) piggyback(p *Packet, to string) {
-	room := c.cfg.MaxRecordBytes - len(p.Proofs)*10 - len(p.Sums)*9
-	for i := range p.Records {
-		room -= p.Records[i].maxSize()
-	}
-	if m := c.memberAt(to); m != nil && (m.State == Suspect || m.State == Dead) {
-		p.Records, room = append(p.Records, c.recordOf(m)), room-m.maxSize()
-	}
-	if len(c.updates) == 0 {
-		return
-	}
-	queue := make([]*update, 0, len(c.updates))
-	for _, n := range c.updates {
-		queue = append(queue, n)
-	}
-	slices.SortFunc(queue, func(a, b *update) int {
-		return cmp.Or(a.transmits-b.transmits, cmp.Compare(a.record.Name, b.record.Name))
-	})
-	most := retransmitMult * int(math.Ceil(math.Log2(float64(len(c.living)+2))))
-	for _, n := range queue {
-		if room -= n.record.maxSize(); room < 0 {
-			break
-		}
-		if m := c.members[n.record.Name]; m != nil {
-			n.record.Age = c.recordOf(m).Age
-		}
-		p.Records = append(p.Records, n.record)
-		if n.transmits++; n.transmits >= most {
-			delete(c.updates, n.record.Name)
-		}
-	}
-}
-
-// memberAt returns who is held to be at an address.
+// memberAt returns the member at an address; nil if none is known.
 func (c *Core) memberAt(addr string) *member {
 	if p := c.probe; p != nil && p.member.Addr == addr { // nearly always
 		return p.member
@@ -69,7 +12,7 @@
 	return c.byAddr[addr]
 }
 
-// recordOf returns m's record as it is told now.
+// recordOf returns m's record as it is sent now, with its age.
 func (c *Core) recordOf(m *member) Record {
 	r := m.Record
 	if !r.State.Living() {
@@ -78,9 +21,17 @@
 	return r
 }
 
-// merge takes in a record. whole says that it came in a comparison of views: a death told there may be old, as where a
-// partition heals, so its subject is told of it and can refute it.
-func (c *Core) merge(r Record, whole bool) {
+// origin is how a record came here.
+type origin uint8
+
+const (
+	gossiped origin = iota // as an update, soon after it became true
+	compared               // in a comparison of views, however old it is
+)
+
+// merge takes in a record, by the rules of SWIM: the later epoch wins, then the higher incarnation, then the state that overrides.
+// A death that is known by a comparison may be of before a partition healed, so its subject is asked to refute it first.
+func (c *Core) merge(r Record, from origin) {
 	if r.Name == "" || r.Addr == "" || r.State > Left {
 		return
 	}
@@ -95,36 +46,36 @@
 	case r.Epoch < m.Epoch:
 	case r.Epoch > m.Epoch:
 		c.replaceEpoch(m, r)
-	case m.State == Left: // a life that ended by its own word does not come back
+	case m.State == Left: // a process that left does not come back
 	case r.State == Alive && r.Incarnation > m.Incarnation:
-		was := m.State
+		wasAlive := m.State == Alive
 		c.refute(m, r)
-		if was != Alive {
-			c.noteChange(Refuted, m)
+		if !wasAlive {
+			c.addChange(Refuted, m)
 		}
 		c.broadcast(m.Record)
 	case r.State == Suspect && r.Incarnation >= m.Incarnation && m.State.Living():
 		c.suspect(m, r.Incarnation, r.By)
 	case r.State == Dead && r.Incarnation >= m.Incarnation && m.State.Living():
-		if whole {
-			c.askToRefute(m, r)
+		if from == compared {
+			c.sendForRefutation(m, r)
 			return
 		}
-		c.markNotLiving(m, Dead, r.Incarnation, r.Age)
+		c.endMember(m, Dead, r.Incarnation, r.Age)
 	case r.State == Left:
-		c.markNotLiving(m, Left, r.Incarnation, r.Age)
+		c.endMember(m, Left, r.Incarnation, r.Age)
 	}
 }
 
-// askToRefute tells a living member who is held dead elsewhere, so that it says otherwise.
-func (c *Core) askToRefute(m *member, r Record) {
+// sendForRefutation sends a living member the record of its death that another view has, so that it refutes it by a higher incarnation.
+func (c *Core) sendForRefutation(m *member, r Record) {
 	if c.pagesSent < 2*maxPagesPerInterval {
 		c.pagesSent++
-		c.ping(m.Addr, m.Epoch, 0, r) // whose refusal would prove it
+		c.ping(m.Addr, m.Epoch, 0, r) // as a probe, whose refusal would prove the death
 	}
 }
 
-// addMember takes up a name that was not known.
+// addMember adds a name that was not known, unless the view is full or its death is long past.
 func (c *Core) addMember(r Record) {
 	if len(c.members) >= c.cfg.MaxMembers || r.Age > c.cfg.Forget {
 		return
@@ -132,7 +83,7 @@
 	m := &member{Member: Member{Record: r, Since: c.now}, index: -1}
 	b := bucketOf(r.Name)
 	m.bucketIndex, c.byBucket[b] = len(c.byBucket[b]), append(c.byBucket[b], m)
-	if !r.State.Living() { // so that an earlier life of it does not come back
+	if !r.State.Living() { // it is remembered so that earlier epochs are not taken for new members
 		m.Since = c.now - r.Age
 		m.Age = 0
 		c.members[r.Name] = m
@@ -145,13 +96,13 @@
 	c.members[r.Name] = m
 	c.setAddr(m, r.Addr)
 	c.addLiving(m)
-	c.noteChange(Joined, m)
+	c.addChange(Joined, m)
 	if c.broadcast(m.Record); r.State == Suspect {
 		c.suspect(m, r.Incarnation, by)
 	}
 }
 
-// replaceEpoch replaces a life by a later one.
+// replaceEpoch replaces a process by a later one of its name.
 func (c *Core) replaceEpoch(m *member, r Record) {
 	living := m.State.Living()
 	if !r.State.Living() {
@@ -166,18 +117,18 @@
 	c.setAddr(m, r.Addr)
 	m.Record, m.Since = r, c.now
 	if c.updateSum(m, 1); living {
-		c.noteChange(Replaced, m)
+		c.addChange(Replaced, m)
 	} else {
 		c.notLiving = removeFrom(c.notLiving, m)
 		c.insertLiving(m)
-		c.noteChange(Joined, m)
+		c.addChange(Joined, m)
 	}
 	if c.broadcast(m.Record); state == Suspect {
 		c.suspect(m, r.Incarnation, by)
 	}
 }
 
-// refute has m be alive as r says, which is of the same life and a higher incarnation.
+// refute makes m alive as r says, which is of the same epoch and a higher incarnation.
 func (c *Core) refute(m *member, r Record) {
 	living := m.State.Living()
 	c.updateSum(m, -1)
@@ -195,8 +146,8 @@
 	c.updateSum(m, 1)
 }
 
-// markNotLiving has m be dead or gone for age already.
-func (c *Core) markNotLiving(m *member, s State, incarnation uint32, age time.Duration) {
+// endMember makes m Dead or Left, since age ago.
+func (c *Core) endMember(m *member, s State, incarnation uint32, age time.Duration) {
 	living := m.State.Living()
 	c.updateSum(m, -1)
 	c.clearSuspicion(m)
@@ -204,19 +155,19 @@
 	if living {
 		c.living = removeFrom(c.living, m)
 		c.addNotLiving(m)
-		c.noteChange(map[State]ChangeKind{Dead: Died, Left: Departed}[s], m)
+		c.addChange(map[State]ChangeKind{Dead: Died, Left: Departed}[s], m)
 		c.broadcast(c.recordOf(m))
 	}
 }
 
-// mergeSelf takes in what others say of this member, and refutes what is not so.
+// mergeSelf takes in what others say of this member, and refutes what is wrong.
 func (c *Core) mergeSelf(r Record) {
 	switch {
 	case r.Epoch < c.self.Epoch || c.hasEnded:
 	case r.Epoch > c.self.Epoch && c.isAcknowledged:
-		c.hasEnded = true // a later process has this name: an upgrade, or one name given twice
+		c.hasEnded = true // superseded: an upgrade, or one name given to two dispatchers
 		c.setConverged(false)
-	case r.Epoch > c.self.Epoch: // this machine's clock stands behind that of its last life
+	case r.Epoch > c.self.Epoch: // this machine's clock is behind the one that the last process had
 		c.updateSelf(func() { c.self.Epoch, c.self.Incarnation = r.Epoch+1, 0 })
 	case r.State == Left || r.State == Alive && r.Incarnation <= c.self.Incarnation:
 	case r.Incarnation >= c.self.Incarnation:
@@ -227,7 +178,7 @@
 	}
 }
 
-// updateSelf changes what this member says of itself.
+// updateSelf changes this member's own record and gossips it.
 func (c *Core) updateSelf(change func()) {
 	b := bucketOf(c.self.Name)
 	c.sums[b] -= sumOf(&c.self)
@@ -236,14 +187,14 @@
 	c.broadcast(c.self)
 }
 
-// updateSum adds a living member to its part's sum, or takes it off.
+// updateSum adds a living member to its bucket's sum, or with sign -1 subtracts it.
 func (c *Core) updateSum(m *member, sign int) {
 	if m.State.Living() {
 		c.sums[bucketOf(m.Name)] += uint64(sign) * sumOf(&m.Record)
 	}
 }
 
-// setAddr notes who is at an address.
+// setAddr moves m to an address.
 func (c *Core) setAddr(m *member, addr string) {
 	if c.byAddr[m.Addr] == m {
 		delete(c.byAddr, m.Addr)
@@ -252,13 +203,13 @@
 	c.byAddr[addr] = m
 }
 
-// addLiving makes m, whose state says so, one of the living.
+// addLiving adds m, whose state is one of the living, to them.
 func (c *Core) addLiving(m *member) {
 	c.insertLiving(m)
 	c.updateSum(m, 1)
 }
 
-// insertLiving puts m at a random place of the rounds of probes.
+// insertLiving puts m at a random position of the rounds of probes, as SWIM does.
 func (c *Core) insertLiving(m *member) {
 	c.living = append(c.living, m)
 	i, last := c.rng.IntN(len(c.living)), len(c.living)-1
@@ -266,7 +217,7 @@
 	c.living[i].index, c.living[last].index = i, last
 }
 
-// removeFrom takes m off the list that its index is in.
+// removeFrom removes m from the list that its index is in, and returns the list.
 func removeFrom(list []*member, m *member) []*member {
 	last := len(list) - 1
 	list[m.index] = list[last]
@@ -274,18 +225,13 @@
 	return list[:last]
 }
 
+// addNotLiving adds m, which is dead or left, to the members that are probed now and then.
 func (c *Core) addNotLiving(m *member) {
 	m.index = len(c.notLiving)
 	c.notLiving = append(c.notLiving, m)
 }
 
-// clearSuspicion ends a suspicion.
-func (c *Core) clearSuspicion(m *member) {
-	m.suspicion = nil
-	delete(c.suspects, m.Name)
-}
-
-// forget drops m from the view.
+// forget removes m from the view.
 func (c *Core) forget(m *member) {
 	c.clearSuspicion(m)
 	c.updateSum(m, -1)
--- a/internal/dispatcher/fleet/packet.go
+++ b/internal/dispatcher/fleet/packet.go
@@ -14,43 +14,47 @@
 
 // The kinds of packets.
 const (
-	Ping    Kind = iota + 1 // are you there?
-	PingReq                 // is Target there, whom I can't reach?
-	Ack                     // yes, to a Ping or a PingReq of the same Probe
-	Nack                    // to a PingReq: I got no answer either, but I am here
-	Sync                    // these are the sums of my view's parts; tell me of those where yours differ
+	Ping    Kind = iota + 1 // a probe
+	PingReq                 // SWIM's indirect probe: a request to probe Target, which did not answer the sender
+	Ack                     // the answer to a Ping or a PingReq of the same Probe
+	Nack                    // Lifeguard's answer to a PingReq: Target did not answer either, but the helper works
+	Sync                    // the sums of the sender's buckets, a request for the records of those that differ
 	Gossip                  // records alone
 )
 
-// Packet is what one member sends another. Every packet carries its sender as it sees itself, and news.
+// Packet is what one member sends another. Every packet carries the record of its sender and as many updates as fit.
 type Packet struct {
 	Kind Kind
 	From Record
-	// ToEpoch is the life that the receiver is taken to be in; 0: not known.
+	// ToEpoch is the epoch that the sender takes the receiver to be in; 0: not known.
 	ToEpoch uint64
-	// Seq numbers what one life sends, so that a refusal tells which datagram it is for.
+	// Seq numbers the packets of one process, so that a refusal can be matched with the datagram it is for.
 	Seq uint64
-	// Probe is what an Ack or Nack answers.
+	// Probe identifies a probe: Acks and Nacks repeat that of their Ping or PingReq.
 	Probe uint64
-	// Target is whom a PingReq is about.
+	// Target and TargetAddr are the member that a PingReq is about.
 	Target, TargetAddr string
-	Digest             uint64
-	Records            []Record
-	Sums               []uint64
-	Proofs             []quota.Proof
+	Digest             uint64        // of the sender's view
+	Records            []Record      // of the sender's view
+	Sums               []uint64      // of the sender's buckets, in a Sync and in the first page that answers it
+	Proofs             []quota.Proof // in an Ack
 }
 
-// maxRecordOverhead is what a record takes beside its name, address and zone, at most.
-const maxRecordOverhead = 30
+// Upper bounds of encoded sizes in bytes, by which packets are filled.
+const (
+	maxRecordOverhead = 30 // of a record beside its name, address and zone
+	maxProofSize      = 10
+	maxSumSize        = 9
+)
 
 func (r *Record) maxSize() int { return maxRecordOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) }
 
-// hashOf names a member in few bytes.
+// hashOf identifies a member in few bytes.
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % buckets) }
 
-// sumOf is what a living member adds to its part's sum. Incarnations are left out: they only say how often it was doubted.
+// sumOf is what a living member adds to its bucket's sum. Incarnations are left out: they only count its suspicions.
 func sumOf(r *Record) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], r.Epoch)
@@ -60,7 +64,7 @@
 	return d.Sum64()
 }
 
-// send sends p to an address, with its sender, news and the view's digest.
+// send queues p for an address, completed by its sender, updates and the view's digest.
 func (c *Core) send(to string, p *Packet) {
 	c.lastID++
 	p.From, p.Seq, p.Digest = c.self, c.lastID, c.Digest()
@@ -68,9 +72,9 @@
 	c.out = append(c.out, Datagram{To: to, Packet: p})
 }
 
-// sent is a probe that was sent lately.
+// sent is a probe that was sent lately, which an answer or a refusal may still be for.
 type sent struct {
 	to    string
-	epoch uint64 // of whom it was sent to; 0: not known
+	epoch uint64 // of the receiver; 0: not known
 	at    time.Duration
 }
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -5,7 +5,7 @@
 //	1 byte   length of the fleet's name
 //	n bytes  the fleet's name
 //	...      the packet: CBOR, every struct an array of fixed length, so that a field missing or too many is a fault
-//	16 bytes HMAC-SHA256 over all before it, cut to 16 bytes
+//	16 bytes HMAC-SHA256 over all before it, its first 16 bytes
 //
 // CBOR was weighed against msgpack and protobuf. All three are small enough; a record takes 60 to 70 bytes in each, most of
 // it names. CBOR's decoder refuses what it was not asked for (indefinite lengths, other types, elements over a bound,
@@ -28,11 +28,11 @@
 const (
 	version = 1
 	macSize = 16
-	// MaxSize is the largest datagram in bytes. It passes every usual network whole.
+	// MaxSize is the largest datagram in bytes. It passes every usual network without fragmentation.
 	MaxSize = 1400
 )
 
-// Reason says why a datagram is dropped.
+// Reason is why a datagram is dropped, as logs and counters have it.
 type Reason string
 
 // The reasons.
@@ -44,10 +44,10 @@
 	Malformed Reason = "malformed"
 )
 
-// Error is a datagram that is dropped.
+// Error is a datagram that is dropped, or too long to send.
 type Error struct {
 	Reason Reason
-	Err    error // what the decoder said, if anything
+	Err    error // the decoder's; may be nil
 }
 
 // Error names the reason and its cause.
@@ -69,7 +69,8 @@
 	dec  cbor.DecMode
 }
 
-// New returns the codec of the fleet of that name, whose members all have the same key.
+// New returns the codec of the fleet of that name, whose members all have the same key. Its error is a *fleet.ConfigError if the
+// name or the key has a wrong length.
 func New(name string, key []byte) (*Codec, error) {
 	if name == "" || len(name) > 64 {
 		return nil, &fleet.ConfigError{Field: "Name", Value: fmt.Sprintf("%d bytes long", len(name)), Want: "1 to 64 are allowed"}
@@ -90,7 +91,8 @@
 	return &Codec{name: name, key: key, enc: enc, dec: dec}, nil
 }
 
-// The forms on the wire. They are apart from the core's types so that a change there is no change here.
+// The wire format: CBOR arrays, in which the order of fields counts and their names do not. It is separate from the core's types so
+// that a change there doesn't change it.
 type (
 	wirePacket struct {
 		_       struct{} `cbor:",toarray"`
@@ -124,14 +126,14 @@
 	}
 )
 
-// Encode returns p as a datagram; an error if it would be too long.
+// Encode returns p as a datagram; an *Error if it would be longer than MaxSize.
 func (c *Codec) Encode(p *fleet.Packet) ([]byte, error) {
 	w := wirePacket{Kind: uint8(p.Kind), From: toWire(&p.From), ToEpoch: p.ToEpoch, Seq: p.Seq, Probe: p.Probe,
 		Target: p.Target, At: p.TargetAddr, Digest: p.Digest, Sums: p.Sums}
 	for i := range p.Records {
 		w.Records = append(w.Records, toWire(&p.Records[i]))
 	}
-	for _, f := range p.Proofs { // rounded up: a proof must not look younger than it is
+	for _, f := range p.Proofs { // rounded up: a proof must not appear younger than it is
 		w.Proofs = append(w.Proofs, wireProof{Number: uint32(f.Number), AgeUs: uint64((f.Age + time.Microsecond - 1) / time.Microsecond)})
 	}
 	body, err := c.enc.Marshal(&w)
@@ -180,21 +182,22 @@
 	return p, nil
 }
 
-// Seq returns the number of a datagram that this codec wrote, of which no more than the beginning may be left: a machine
-// that refuses a datagram sends back its first bytes only. It looks at no digest: refusals are matched with what was sent.
+// Seq returns the Seq of a datagram that this codec encoded, of which only the beginning may be there: a machine that refuses a
+// datagram returns its first bytes only. It checks no digest, as refusals are matched with what was sent. ok reports whether the
+// bytes are the beginning of such a datagram.
 func (c *Codec) Seq(d []byte) (seq uint64, ok bool) {
 	end := 2 + len(c.name)
 	if len(d) <= end || d[0] != version || int(d[1]) != len(c.name) || string(d[2:end]) != c.name || d[end]>>5 != 4 {
 		return 0, false
 	}
 	var (
-		rest   = d[end+1:]
-		kind   uint8
-		from   cbor.RawMessage
-		toLife uint64
-		err    error
+		rest    = d[end+1:]
+		kind    uint8
+		from    cbor.RawMessage
+		toEpoch uint64
+		err     error
 	)
-	for _, v := range []any{&kind, &from, &toLife, &seq} {
+	for _, v := range []any{&kind, &from, &toEpoch, &seq} {
 		if rest, err = c.dec.UnmarshalFirst(rest, v); err != nil {
 			return 0, false
 		}
@@ -218,7 +221,7 @@
 		State: fleet.State(w.State), By: w.By, Age: bounded(w.AgeMs, time.Millisecond)}
 }
 
-// bounded is n units, or the longest duration where that is more.
+// bounded returns n units, or the longest duration that is safe to add if that is less.
 func bounded(n uint64, unit time.Duration) time.Duration {
 	return time.Duration(min(n, uint64(1<<62)/uint64(unit))) * unit
 }
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -34,8 +34,7 @@
 		Sums: rapid.SliceOfN(rapid.Uint64(), 0, 32).Draw(t, "sums"), Proofs: []quota.Proof{{Number: 7, Age: 3 * time.Microsecond}}}
 }
 
-// What is written is read again, whole; its number is found in its first bytes alone; any byte changed, cut or put after it
-// is noticed.
+// Decode returns what Encode got, Seq reads the number from the first bytes alone, and a change of any byte is an error.
 func TestReadsWhatItWrites(t *testing.T) {
 	c := codec(t, "f", key)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dispatcher/fleet/probe.go
+++ b/internal/dispatcher/fleet/probe.go
@@ -1,41 +1,33 @@
 package fleet
 
 import (
-	"cmp"
 	"maps"
 	"math"
 	"slices"
 	"time"
 )
 
-// probe is the one that is under way. It is over when the next one is due.
+// probe is the probe of this round. It ends when the next round begins.
 type probe struct {
 	member          *member
 	epoch           uint64
 	id              uint64
 	at              time.Duration
-	nextAt          time.Duration // of its next step
+	nextAt          time.Duration // of its next step: a repetition, or the indirect probes
 	step            int
-	indirect, nacks int
+	indirect, nacks int // members that were asked to probe, and their Nacks
 	answered        bool
 }
 
-// relay is a probe for somebody else.
+// relay is an indirect probe that this member sends for another.
 type relay struct {
-	to     string
-	probe  uint64
-	nackAt time.Duration // 0: sent already
+	to     string        // who asked for it
+	probe  uint64        // the probe of the PingReq, which the answer repeats
+	nackAt time.Duration // 0: the Nack is sent
 	endAt  time.Duration
 }
 
-// suspicion is a suspicion that runs.
-type suspicion struct {
-	startedAt   time.Duration
-	confirmedBy map[uint32]bool
-	expiresAt   time.Duration
-}
-
-// Wait returns how long after the last call that told the time Tick is to be called.
+// Wait returns after how long Tick is to be called, counted from the last call with a time.
 func (c *Core) Wait() time.Duration {
 	if c.hasEnded {
 		return math.MaxInt64
@@ -56,7 +48,7 @@
 	return c.tickDue - c.now
 }
 
-// Tick does what is due.
+// Tick takes the time and does what is due by it. A Tick that comes more than an interval late counts as this process having slept.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	if c.hasEnded {
@@ -68,6 +60,16 @@
 	if p := c.probe; p != nil && !p.answered && c.now >= p.nextAt {
 		c.escalate(p)
 	}
+	c.expireRelays()
+	c.expireSuspicions()
+	if c.now >= c.probeAt {
+		c.startRound()
+	}
+	c.updateConverged()
+}
+
+// expireRelays sends the Nacks that are due and drops the relays that are over.
+func (c *Core) expireRelays() {
 	for _, id := range slices.Sorted(maps.Keys(c.relays)) {
 		r := c.relays[id]
 		if r.nackAt > 0 && c.now >= r.nackAt {
@@ -79,24 +81,10 @@
 			delete(c.relays, id)
 		}
 	}
-	var over []*member
-	for _, m := range c.suspects {
-		if c.now >= m.suspicion.expiresAt {
-			over = append(over, m)
-		}
-	}
-	slices.SortFunc(over, func(a, b *member) int { return cmp.Compare(a.Name, b.Name) })
-	for _, m := range over {
-		m.By = hashOf(c.self.Name)
-		c.markNotLiving(m, Dead, m.Incarnation, 0)
-	}
-	if c.now >= c.probeAt {
-		c.startRound()
-	}
-	c.updateConverged()
 }
 
-// resume is for a process that was stopped, or starved, for so long: what ran out meanwhile says nothing of others.
+// resume is for a process that was stopped, or got no CPU, for as long as late: time limits that ran out meanwhile say nothing of
+// the others, so all of them are extended.
 func (c *Core) resume(late time.Duration) {
 	c.health, c.probe = maxHealthScore, nil
 	clear(c.relays)
@@ -105,43 +93,49 @@
 	}
 	c.probeAt = c.now
 	c.setConverged(false)
-	for _, m := range c.randomMembers(indirectProbes, nil) { // others may hold it dead: it hears so at once
+	for _, m := range c.randomMembers(indirectProbes, nil) { // others may have it as dead: their answers say so at once
 		c.ping(m.Addr, m.Epoch, 0)
 	}
 }
 
-// ping sends a probe, repeating that of the number id if that is not 0, with these records before other news.
-func (c *Core) ping(to string, life uint64, id uint64, first ...Record) uint64 {
-	p := &Packet{Kind: Ping, ToEpoch: life, Probe: id, Records: first}
+// ping sends a probe with these records before other updates and returns its id. An id other than 0 repeats that probe. epoch is
+// the receiver's; 0: not known.
+func (c *Core) ping(to string, epoch uint64, id uint64, first ...Record) uint64 {
+	p := &Packet{Kind: Ping, ToEpoch: epoch, Probe: id, Records: first}
 	if id == 0 {
 		p.Probe = c.lastID + 1
 	}
 	c.send(to, p)
-	if _, again := c.probes[p.Probe]; !again {
-		c.probes[p.Probe] = sent{to: to, epoch: life, at: c.now}
+	if _, isRepeated := c.probes[p.Probe]; !isRepeated {
+		c.probes[p.Probe] = sent{to: to, epoch: epoch, at: c.now}
 	}
 	if p.Seq != p.Probe {
-		c.probes[p.Seq] = sent{to: to, epoch: life, at: c.now}
+		c.probes[p.Seq] = sent{to: to, epoch: epoch, at: c.now}
 	}
 	return p.Probe
 }
 
-// startRound ends the probe under way and starts the next one.
-func (c *Core) startRound() {
-	if p := c.probe; p != nil {
-		if !p.answered {
-			if p.nacks == 0 { // one that answers that it gets none either shows that this side works
-				c.adjustHealth(1)
-			}
-			if p.member.State.Living() && p.member.Epoch == p.epoch && c.members[p.member.Name] == p.member {
-				c.suspect(p.member, p.member.Incarnation, hashOf(c.self.Name))
-			}
-		}
-		c.probe = nil
+// endProbe ends the probe of the last round: a member that did not answer is suspected.
+func (c *Core) endProbe() {
+	p := c.probe
+	c.probe = nil
+	if p == nil || p.answered {
+		return
 	}
-	keep := max(c.scaled(c.cfg.Interval)*2, c.cfg.Quota.Lease)
+	if p.nacks == 0 { // a Nack shows that this member and its network work
+		c.adjustHealth(1)
+	}
+	if p.member.State.Living() && p.member.Epoch == p.epoch && c.members[p.member.Name] == p.member {
+		c.suspect(p.member, p.member.Incarnation, hashOf(c.self.Name))
+	}
+}
+
+// startRound ends the last round and starts the next one, with a probe of the next member in a random order of all.
+func (c *Core) startRound() {
+	c.endProbe()
+	retention := max(c.scaled(c.cfg.Interval)*2, c.cfg.Quota.Lease)
 	for id, s := range c.probes {
-		if c.now > s.at+keep {
+		if c.now > s.at+retention {
 			delete(c.probes, id)
 		}
 	}
@@ -166,7 +160,7 @@
 	c.probe.id = c.ping(m.Addr, m.Epoch, 0)
 }
 
-// escalate repeats the probe under way, and then asks others to probe.
+// escalate repeats the probe, and after some repetitions asks others to probe the member too.
 func (c *Core) escalate(p *probe) {
 	limit := c.scaled(c.cfg.Interval)
 	if p.step++; p.step <= probeRepeats {
@@ -181,8 +175,9 @@
 	}
 }
 
-// probeNotLiving probes members held dead, and addresses to begin at where nobody is known to be: whoever was cut off, or comes
-// back, is found by it. Where refusals count, knocks renew the proofs.
+// probeNotLiving probes members that are dead or left, and seeds at whose address no member is known, so that members behind a
+// healed partition and restarted ones are found. Where refusals are trusted, the refusals of these probes renew the proofs of
+// death, and the roster's addresses take the place of the seeds.
 func (c *Core) probeNotLiving() {
 	n := 1
 	if c.tracker != nil {
@@ -197,7 +192,7 @@
 	if c.tracker != nil {
 		addrs = c.cfg.Roster
 	}
-	for tries := 0; n > 0 && tries < 4*n && tries < len(addrs); tries++ {
+	for attempts := 0; n > 0 && attempts < 4*n && attempts < len(addrs); attempts++ {
 		if c.nextSeed++; c.nextSeed%len(addrs) == 0 || c.nextSeed < 0 {
 			c.nextSeed = c.rng.IntN(len(addrs))
 		}
@@ -208,7 +203,7 @@
 	}
 }
 
-// reap forgets those dead for long. One of them is looked at a round.
+// reap forgets a member that has been dead for longer than Config.Forget. Each round one of them is checked.
 func (c *Core) reap() {
 	if len(c.notLiving) == 0 {
 		return
@@ -216,41 +211,12 @@
 	m := c.notLiving[c.rng.IntN(len(c.notLiving))]
 	if c.now-m.Since > c.cfg.Forget {
 		c.forget(m)
-		c.noteChange(Forgotten, m)
-	}
-}
-
-// suspect notes that by suspects m.
-func (c *Core) suspect(m *member, incarnation uint32, by uint32) {
-	if m.State == Alive || incarnation > m.Incarnation {
-		c.updateSum(m, -1)
-		if m.State == Alive {
-			m.State, m.Since = Suspect, c.now
-			c.noteChange(Suspected, m)
-		}
-		m.Incarnation, m.By = incarnation, by
-		c.updateSum(m, 1)
-		m.suspicion = &suspicion{startedAt: c.now, confirmedBy: map[uint32]bool{}}
-		c.suspects[m.Name] = m
-	}
-	if m.suspicion.confirmedBy[by] || len(m.suspicion.confirmedBy) > maxConfirmations {
-		return
-	}
-	m.suspicion.confirmedBy[by] = true
-	n := float64(len(c.living) + 1)
-	least := time.Duration(suspicionMult * max(1, math.Log10(n)) * float64(c.cfg.Interval))
-	most := maxSuspicionMult * least
-	others := float64(min(maxConfirmations, len(c.living)-1)) // who could suspect it too
-	if m.suspicion.expiresAt = m.suspicion.startedAt + least; others > 0 {
-		sure := min(1, math.Log(float64(len(m.suspicion.confirmedBy)))/math.Log(others+1))
-		m.suspicion.expiresAt += time.Duration((1 - sure) * float64(most-least))
+		c.addChange(Forgotten, m)
 	}
-	r := m.Record // told on with who says so, so that others count different ones
-	r.By = by
-	c.broadcast(r)
 }
 
-// Refused takes in that the datagram with the number seq to an address was refused there: no process has it.
+// Refused takes in that the datagram numbered seq was refused by the machine of its address: no process has that socket. It has no
+// effect unless Config.TrustRefusals is set.
 func (c *Core) Refused(now time.Duration, to string, seq uint64) {
 	c.advance(now)
 	s, ok := c.probes[seq]
@@ -266,8 +232,8 @@
 	}
 	if m := c.byAddr[to]; m != nil && s.epoch != 0 && m.Epoch == s.epoch && m.State.Living() {
 		m.By = hashOf(c.self.Name)
-		c.markNotLiving(m, Dead, m.Incarnation, 0)
-		if c.probe != nil && c.probe.member == m { // it is over; where one is dead, many may be
+		c.endMember(m, Dead, m.Incarnation, 0)
+		if c.probe != nil && c.probe.member == m { // the round is over; where one member is dead many may be, so the next comes soon
 			c.probe, c.probeAt = nil, min(c.probeAt, c.now+c.cfg.Interval/refusedProbeRate)
 		}
 	}
--- a/internal/dispatcher/fleet/quota/share_test.go
+++ b/internal/dispatcher/fleet/quota/quota_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The exploration's clock ticks in units. Proofs hold for lease units, and users count by pause units.
+// The exploration's clock ticks in units. Proofs hold for lease units, and users count in windows of guardTime units.
 const (
-	unit  = time.Second
-	lease = 2
-	pause = 1
+	unit      = time.Second
+	lease     = 2
+	guardTime = 1
 )
 
-// model is a fleet at one moment: for each place the ledger of its process, if one runs, and what is on its way.
+// model is a fleet at one moment: for each number the tracker of its process, if one runs, and the datagrams in flight.
 type model struct {
 	now     time.Duration
 	procs   []proc
@@ -27,22 +27,22 @@
 }
 
 type proc struct {
-	up     bool
-	life   int
-	ledger *Tracker
+	up      bool
+	epoch   int
+	tracker *Tracker
 }
 
 // flight is a refusal or an answer on its way to a process.
 type flight struct {
-	to, life int
-	number   int           // of a refusal; -1: an answer
-	sent     time.Duration // when what it answers was sent, by its receiver's clock
-	proofs   []Proof
+	to, epoch int
+	number    int           // of a refusal; -1: an answer
+	sent      time.Duration // when what it answers was sent, by its receiver's clock
+	proofs    []Proof
 }
 
 type use struct {
-	who, life int
-	at        time.Duration
+	who, epoch int
+	at         time.Duration
 }
 
 func (m *model) clone() *model {
@@ -50,15 +50,15 @@
 		used: append([]use(nil), m.used...)}
 	for i := range c.procs {
 		if c.procs[i].up {
-			l := *c.procs[i].ledger
+			l := *c.procs[i].tracker
 			l.proofs = slices.Clone(l.proofs)
-			c.procs[i].ledger = &l
+			c.procs[i].tracker = &l
 		}
 	}
 	return c
 }
 
-// key names a state, with every time counted from now and what is long past left out.
+// key identifies a state: times count from now, and what is long past is left out.
 func (m *model) key() uint64 {
 	old := func(t time.Duration) byte { return byte(min(9, (m.now-t)/unit)) }
 	is := func(b bool) byte {
@@ -72,44 +72,44 @@
 		if b = append(b, '|'); !p.up {
 			continue
 		}
-		b = append(b, old(p.ledger.boundAt))
-		for n := range p.ledger.proofs {
-			if p.ledger.isProvenDead(m.now, n) {
-				b = append(b, ',', byte(n), old(p.ledger.proofs[n].sentAt), old(p.ledger.proofs[n].since))
+		b = append(b, old(p.tracker.boundAt))
+		for n := range p.tracker.proofs {
+			if p.tracker.isProvenDead(m.now, n) {
+				b = append(b, ',', byte(n), old(p.tracker.proofs[n].sentAt), old(p.tracker.proofs[n].since))
 			}
 		}
 	}
 	for _, f := range m.flights {
-		b = append(b, 'f', byte(f.to), byte(f.number), old(f.sent), is(f.life == m.procs[f.to].life))
+		b = append(b, 'f', byte(f.to), byte(f.number), old(f.sent), is(f.epoch == m.procs[f.to].epoch))
 		for _, p := range f.proofs {
 			b = append(b, byte(p.Number), byte(p.Age/unit))
 		}
 	}
 	for _, u := range m.used {
-		b = append(b, 'u', byte(u.who), old(u.at), is(u.life == m.procs[max(0, u.who)].life))
+		b = append(b, 'u', byte(u.who), old(u.at), is(u.epoch == m.procs[max(0, u.who)].epoch))
 	}
 	return xxhash.Sum64(b)
 }
 
-// check has every process use all its numbers, and finds two that use one within the same span.
+// check lets every process use all its numbers, and returns an error if two use one within the same window.
 func (m *model) check() error {
 	for i, p := range m.procs {
 		if !p.up {
 			continue
 		}
-		for _, n := range p.ledger.Numbers(m.now) {
+		for _, n := range p.tracker.Numbers(m.now) {
 			u := &m.used[n]
-			if (u.who != i || u.life != p.life) && u.who >= 0 && m.now < u.at+pause*unit {
+			if (u.who != i || u.epoch != p.epoch) && u.who >= 0 && m.now < u.at+guardTime*unit {
 				return fmt.Errorf("at %v number %d is used by %d, and was by %d at %v", m.now, n, i, u.who, u.at)
 			}
-			*u = use{i, p.life, m.now}
+			*u = use{i, p.epoch, m.now}
 		}
 	}
 	return nil
 }
 
 // next returns every state that can follow: a crash, a start, time, a datagram that is refused or answered at once or late.
-// What is never chosen stands for what is lost or cut off.
+// Choices that are not made stand for datagrams that are lost or partitioned.
 func (m *model) next(starts int) (out []*model) {
 	add := func(change func(c *model)) {
 		c := m.clone()
@@ -120,7 +120,7 @@
 	for i, p := range m.procs {
 		if p.up {
 			add(func(c *model) { c.procs[i].up = false })
-		} else if p.life < starts {
+		} else if p.epoch < starts {
 			add(func(c *model) { c.start(i) })
 		}
 		for j := range m.procs {
@@ -132,10 +132,10 @@
 	for k, f := range m.flights {
 		add(func(c *model) { // it arrives
 			c.flights = append(c.flights[:k:k], c.flights[k+1:]...)
-			if p := &c.procs[f.to]; p.up && p.life == f.life && f.number >= 0 {
-				p.ledger.Refused(c.now, f.number, f.sent)
-			} else if p.up && p.life == f.life {
-				p.ledger.Merge(c.now, f.sent, f.proofs)
+			if p := &c.procs[f.to]; p.up && p.epoch == f.epoch && f.number >= 0 {
+				p.tracker.Refused(c.now, f.number, f.sent)
+			} else if p.up && p.epoch == f.epoch {
+				p.tracker.Merge(c.now, f.sent, f.proofs)
 			}
 		})
 	}
@@ -145,47 +145,47 @@
 // contact adds what can follow when process i sends a datagram to process j. One datagram at a time is late, as long as it may
 // be; the others arrive at once.
 func (m *model) contact(i, j int, add func(change func(c *model))) {
-	life, late := m.procs[i].life, len(m.flights) == 0
+	epoch, late := m.procs[i].epoch, len(m.flights) == 0
 	if !m.procs[j].up { // its machine refuses
-		add(func(c *model) { c.procs[i].ledger.Refused(c.now, j, c.now) })
+		add(func(c *model) { c.procs[i].tracker.Refused(c.now, j, c.now) })
 		if late {
-			add(func(c *model) { c.flights = append(c.flights, flight{to: i, life: life, number: j, sent: c.now}) })
+			add(func(c *model) { c.flights = append(c.flights, flight{to: i, epoch: epoch, number: j, sent: c.now}) })
 		}
 		return
 	}
-	proofs := m.procs[j].ledger.Proofs(m.now, 9)
+	proofs := m.procs[j].tracker.Proofs(m.now, 9)
 	if len(proofs) == 0 { // it answers, but knows nothing
 		return
 	}
-	add(func(c *model) { c.procs[i].ledger.Merge(c.now, c.now, proofs) })
+	add(func(c *model) { c.procs[i].tracker.Merge(c.now, c.now, proofs) })
 	if late {
 		add(func(c *model) {
-			c.flights = append(c.flights, flight{to: i, life: life, number: -1, sent: c.now, proofs: proofs})
+			c.flights = append(c.flights, flight{to: i, epoch: epoch, number: -1, sent: c.now, proofs: proofs})
 		})
 	}
 }
 
 func (m *model) start(i int) {
-	l, err := New(Config{Size: len(m.procs), Own: i, Lease: lease * unit, GuardTime: pause * unit}, m.now)
+	l, err := New(Config{Size: len(m.procs), Own: i, Lease: lease * unit, GuardTime: guardTime * unit}, m.now)
 	if err != nil {
 		panic(err)
 	}
-	m.procs[i] = proc{up: true, life: m.procs[i].life + 1, ledger: l}
+	m.procs[i] = proc{up: true, epoch: m.procs[i].epoch + 1, tracker: l}
 }
 
 // successors returns how many processes own more than one number.
 func (m *model) successors() (n int) {
 	for _, p := range m.procs {
-		if p.up && len(p.ledger.Numbers(m.now)) > 1 {
+		if p.up && len(p.tracker.Numbers(m.now)) > 1 {
 			n++
 		}
 	}
 	return n
 }
 
-// Every state that three dispatchers can come to within some steps, with crashes, restarts, silence and late datagrams at
-// any point: no number is ever used by two in the same span.
-func TestNoNumberIsUsedByTwo(t *testing.T) {
+// In every state that three dispatchers can reach within some steps, with crashes, restarts, lost and late datagrams at any point, no
+// number is used by two within the same window.
+func TestNoNumberHasTwoOwners(t *testing.T) {
 	depth := 9
 	if testing.Short() {
 		depth = 8
@@ -199,10 +199,10 @@
 		first.start(i)
 	}
 	first.now += 10 * unit
-	level, seen, gained := []*model{first}, map[uint64]bool{}, 0
+	level, seen, successions := []*model{first}, map[uint64]bool{}, 0
 	visit := func(c *model) (isNew bool) {
 		require.NoError(t, c.check())
-		gained += c.successors()
+		successions += c.successors()
 		k := c.key()
 		isNew = !seen[k]
 		seen[k] = true
@@ -219,14 +219,14 @@
 		}
 		level = following
 	}
-	t.Logf("%d states, %d of them with somebody who acts for more than itself", len(seen), gained)
-	assert.Positive(t, gained, "a rule under which nobody ever gains is safe and useless")
+	t.Logf("%d states, %d owners of more than one number", len(seen), successions)
+	assert.Positive(t, successions, "a rule under which nobody ever succeeds is safe and useless")
 }
 
-// Heirs are spread: where seven in ten of 300 are dead, no one acts for more than a few times the mean.
-func TestHeirsAreSpread(t *testing.T) {
+// Where seven in ten of 300 are dead, no dispatcher owns more than a few times the mean.
+func TestSuccessorsAreSpread(t *testing.T) {
 	const size, dead = 300, 210
-	all, most := 0, 0
+	total, largest := 0, 0
 	for own := dead; own < size; own++ {
 		l, err := New(Config{Size: size, Own: own, Lease: time.Minute, GuardTime: time.Second}, 0)
 		require.NoError(t, err)
@@ -234,15 +234,15 @@
 			l.Refused(2*time.Minute, n, 2*time.Minute)
 		}
 		got := len(l.Numbers(2*time.Minute + 2*time.Second))
-		all, most = all+got, max(most, got)
+		total, largest = total+got, max(largest, got)
 	}
-	assert.Equal(t, size, all, "each number is used by exactly one")
-	assert.LessOrEqual(t, most, 12)
+	assert.Equal(t, size, total, "each number has exactly one owner")
+	assert.LessOrEqual(t, largest, 12)
 }
 
 func TestConfigIsChecked(t *testing.T) {
 	for field, cfg := range map[string]Config{
-		"Size": {Lease: 1}, "Own": {Size: 3, Own: 3, Lease: 1}, "Lease": {Size: 3}, "Pause": {Size: 3, Lease: 1, GuardTime: -1},
+		"Size": {Lease: 1}, "Own": {Size: 3, Own: 3, Lease: 1}, "Lease": {Size: 3}, "GuardTime": {Size: 3, Lease: 1, GuardTime: -1},
 	} {
 		_, err := New(cfg, 0)
 		var fault *ConfigError
@@ -251,21 +251,21 @@
 	}
 }
 
-// A proof is as old as what was refused, however late the refusal comes; a start waits for every proof that there may be,
-// and for what was counted with one.
-func TestTimesAreCountedFromTheSafeSide(t *testing.T) {
+// A proof counts from when the refused datagram was sent, however late the refusal comes. A dispatcher that starts waits until every
+// proof against it has expired, and for the guard time.
+func TestProofsExpireConservatively(t *testing.T) {
 	l, err := New(Config{Size: 2, Own: 0, Lease: 10 * time.Second, GuardTime: time.Second}, 0)
 	require.NoError(t, err)
-	assert.Equal(t, 11100*time.Millisecond, l.Ready(), "the lease, and as much more as clocks may differ, and the pause")
+	assert.Equal(t, 11100*time.Millisecond, l.Ready(), "the lease, and as much more as clocks may differ, and the guard time")
 	assert.Empty(t, l.Numbers(l.Ready()-1))
 	assert.Equal(t, []int{0}, l.Numbers(l.Ready()))
 	l.Refused(28*time.Second, 1, 20*time.Second)
-	assert.Equal(t, []int{0}, l.Numbers(28*time.Second), "not before the pause is over")
+	assert.Equal(t, []int{0}, l.Numbers(28*time.Second), "not before the guard time is over")
 	assert.Equal(t, []int{0, 1}, l.Numbers(29*time.Second))
 	assert.Equal(t, []int{0}, l.Numbers(30*time.Second))
 	l.Refused(41*time.Second, 1, 30*time.Second)
-	assert.Empty(t, l.Proofs(41*time.Second, 9), "it came when it was over")
+	assert.Empty(t, l.Proofs(41*time.Second, 9), "the refusal came after the proof had expired")
 	l.Refused(50*time.Second, 1, 50*time.Second)
 	l.Restart(52 * time.Second)
-	assert.Empty(t, l.Numbers(53*time.Second), "nothing is known where the clock went back")
+	assert.Empty(t, l.Numbers(53*time.Second), "after a clock that went back it owns nothing")
 }
--- a/internal/dispatcher/fleet/udp/read.go
+++ b/internal/dispatcher/fleet/udp/read.go
@@ -12,13 +12,13 @@
 	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
-// readLoop brings what comes through the socket, until it is closed.
+// readLoop reads datagrams and refusals from the socket until it is closed, which is an error that wraps net.ErrClosed.
 func (n *Node) readLoop(conn *net.UDPConn, events chan<- event) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	buf := make([]byte, packet.MaxSize+1) // one byte more shows what is too long
+	buf := make([]byte, packet.MaxSize+1) // a datagram that fills it is too long
 	for {
 		size, from, err := conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -27,13 +27,14 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		}
-		// Refusals wake the reader with an error, which may be of any datagram: the queue tells of which.
+		// A refusal wakes the reader with an error that doesn't say of which datagram it is: the error queue does.
 		if err := n.readRefusals(raw, events); err != nil {
 			return err
 		}
 	}
 }
 
+// receive decodes a datagram and enqueues its packet.
 func (n *Node) receive(d []byte, from netip.AddrPort, events chan<- event) {
 	p, err := n.opt.Codec.Decode(d)
 	if err != nil {
@@ -46,6 +47,7 @@
 	n.enqueue(event{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), packet: p}, events)
 }
 
+// enqueue passes an event to Run's goroutine, or drops it if too many wait.
 func (n *Node) enqueue(e event, events chan<- event) {
 	select {
 	case events <- e:
@@ -54,8 +56,8 @@
 	}
 }
 
-// readRefusals reads the socket's queue of errors (ip(7), IP_RECVERR). Only a port that is not open, said by the very machine
-// that the datagram was for, is a refusal: what a router or a box between says is not.
+// readRefusals reads the socket's error queue (ip(7), IP_RECVERR). Only a port-unreachable message from the very machine that the
+// datagram was for is a refusal; what a router or firewall in between says is not.
 func (n *Node) readRefusals(raw syscall.RawConn, events chan<- event) error {
 	data, control := make([]byte, packet.MaxSize), make([]byte, 512)
 	return raw.Control(func(fd uintptr) {
@@ -84,6 +86,8 @@
 	icmpUnreachable, icmpPort             = 3, 3
 )
 
+// refusedByDestination reports whether the control messages of a queued error say that the very machine at to refused the datagram as
+// it has no socket at that port.
 func refusedByDestination(control []byte, to unix.Sockaddr) bool {
 	a, ok := to.(*unix.SockaddrInet4)
 	messages, err := unix.ParseSocketControlMessage(control)
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -1,4 +1,5 @@
-// Package udp is the shell round the fleet's core: one UDP socket, one clock, and one goroutine that owns the core.
+// Package udp is the shell around the fleet's core: one UDP socket, one clock, and one goroutine that owns the core. Linux only: it
+// reads refusals from the socket's error queue and times from CLOCK_BOOTTIME.
 package udp
 
 import (
@@ -23,44 +24,44 @@
 const (
 	// maxInbox is how many datagrams wait for the core; more are dropped and counted, as the network would.
 	maxInbox = 512
-	// bindRetryInterval is how often an address is tried that another process has: at an upgrade in place the one before.
+	// bindRetryInterval is the time between two attempts to bind an address that another process has, as in an upgrade in place.
 	bindRetryInterval = 250 * time.Millisecond
-	// leaveGrace is for the last datagrams to get out.
+	// leaveGrace is the time that the last datagrams have to be sent before the socket closes.
 	leaveGrace = 50 * time.Millisecond
 )
 
-// Options say how a dispatcher takes part.
+// Options configure a node.
 type Options struct {
 	// Listen is the socket's own ip:port.
 	Listen string
-	// Self needs Name, Addr (where others reach the socket) and Zone; its Life is taken from this machine's clock.
+	// Self needs Name, Addr (where others reach the socket) and Zone; its Epoch is taken from this machine's clock.
 	Self   fleet.Record
 	Config fleet.Config
 	Codec  *packet.Codec
-	// Held, if set, is told of the numbers that this dispatcher acts for, whenever they change or their time runs on, and of
-	// how many are held to live. It must not block.
+	// OnOwnership, if set, is called by Run's goroutine with the numbers that this dispatcher owns, at least whenever they or the
+	// number of living members change. It must not block.
 	OnOwnership func(Ownership)
 	Log         logrus.FieldLogger
 }
 
-// Ownership are the numbers that a dispatcher acts for.
+// Ownership is which numbers a dispatcher owns.
 type Ownership struct {
-	Numbers []int // rising; none until it has its socket and what others may have done for it is over
-	// Sure is how long all of them may be used from now on without hearing more; then only its own.
+	Numbers []int // rising; none until the socket is bound and every proof of death against this dispatcher has expired
+	// ValidFor is how long from now on all of them may be used without a further report; then only the dispatcher's own.
 	ValidFor time.Duration
-	Living   int // a guess, for what costs time only
+	Living   int // members that live, by the view: an estimate, on which no safety may rest
 }
 
-// View is what others may ask.
+// View is a copy of the view, for operators.
 type View struct {
 	fleet.Snapshot
-	// At is when this was, by the clock that its Since and the members' are read off.
+	// At is when it was taken, by the clock of its Since and the members'.
 	At time.Duration
-	// Dropped counts datagrams by the reason why nothing came of them.
+	// Dropped counts the datagrams that had no effect, by reason.
 	Dropped map[string]int64
 }
 
-// Node is one dispatcher's part in the fleet. Its methods are safe for concurrent use.
+// Node is one dispatcher's member of the fleet. View may be called by any goroutine, Run once.
 type Node struct {
 	opt  Options
 	view atomic.Pointer[View]
@@ -74,14 +75,14 @@
 	addrs            map[string]netip.AddrPort
 }
 
-// event is something that came through the socket.
+// event is a packet or a refusal that came through the socket.
 type event struct {
 	from   string
 	packet *fleet.Packet // nil: a refusal of the datagram seq
 	seq    uint64
 }
 
-// SocketError is the fleet's socket, which can't be had or broke.
+// SocketError is a failure to bind the fleet's socket, or of the bound socket.
 type SocketError struct {
 	Addr string
 	Fix  string // what an operator can do
@@ -101,7 +102,7 @@
 	return &Node{opt: opt, dropped: map[string]int64{}, addrs: map[string]netip.AddrPort{}}
 }
 
-// View returns the newest view; nil before the socket is had.
+// View returns the newest view; nil before the socket is bound.
 func (n *Node) View() *View {
 	v := n.view.Load()
 	if v == nil {
@@ -114,14 +115,17 @@
 	return &c
 }
 
-// Run takes part until ctx ends, and then leaves in order. While another process has the address it waits: of two under one
-// name only the one with the socket takes part.
+// Run takes part in the fleet until ctx ends, then leaves and returns nil. While another process has the address it waits, so that of
+// two processes at one address only one takes part. An error is a *SocketError or the core's *fleet.ConfigError; the last
+// Ownership it reported then has no numbers.
 func (n *Node) Run(ctx context.Context) error {
 	conn, err := n.bind(ctx)
 	if err != nil || conn == nil {
 		return err
 	}
+	var reader sync.WaitGroup
 	defer func() {
+		defer reader.Wait()                  // closing the socket ends it
 		if err := conn.Close(); err != nil { // the reader has reported what made the socket fail
 			n.opt.Log.WithError(err).Debug("fleet: closing the socket failed")
 		}
@@ -134,14 +138,14 @@
 	n.opt.Log.WithFields(logrus.Fields{"addr": self.Addr, "life": self.Epoch}).Info("fleet: taking part")
 	events := make(chan event, maxInbox)
 	reading := make(chan error, 1)
-	go func() { reading <- n.readLoop(conn, events) }()
+	reader.Go(func() { reading <- n.readLoop(conn, events) })
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			n.core.Leave(now())
-			n.notify(Ownership{}) // from here on nothing is used, and the socket may go
+			n.notify(Ownership{}) // from here on no number is used, and the socket may be closed
 			n.send(conn)
 			time.Sleep(leaveGrace)
 			return nil
@@ -158,14 +162,14 @@
 	}
 }
 
-// bind gets the socket; nil if ctx ends first.
+// bind binds the socket, with the queue of refusals on; nil without an error if ctx ends first.
 func (n *Node) bind(ctx context.Context) (*net.UDPConn, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var set error
 		err := c.Control(func(fd uintptr) { set = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_RECVERR, 1) })
 		return errors.Join(err, set)
 	}}
-	for told := false; ; told = true {
+	for logged := false; ; logged = true {
 		pc, err := lc.ListenPacket(ctx, "udp4", n.opt.Listen)
 		if err == nil {
 			return pc.(*net.UDPConn), nil
@@ -173,7 +177,7 @@
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, &SocketError{n.opt.Listen, "take an ip:port of this machine", err}
 		}
-		if !told {
+		if !logged {
 			n.opt.Log.WithField("addr", n.opt.Listen).Warn("fleet: another process has the address; waiting for it to end")
 		}
 		select {
@@ -184,6 +188,7 @@
 	}
 }
 
+// handle passes an event to the core.
 func (n *Node) handle(e event) {
 	if e.packet == nil {
 		n.core.Refused(now(), e.from, e.seq)
@@ -194,13 +199,14 @@
 	}
 }
 
+// countDropped counts a datagram that had no effect.
 func (n *Node) countDropped(reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropped[reason]++
 }
 
-// send sends what the core has to say and logs what it saw; it tells whether anything changed.
+// send sends the core's datagrams and logs its changes; it reports whether there were any changes.
 func (n *Node) send(conn *net.UDPConn) (changed bool) {
 	out, changes := n.core.Take()
 	for _, c := range changes {
@@ -208,7 +214,7 @@
 			"incarnation": c.Member.Incarnation}).Info("fleet: " + c.Kind.String())
 	}
 	for _, d := range out {
-		text, err := n.opt.Codec.Encode(d.Packet)
+		datagram, err := n.opt.Codec.Encode(d.Packet)
 		if err != nil {
 			n.countDropped("not sent: too long")
 			continue
@@ -221,9 +227,10 @@
 			}
 			n.addrs[d.To] = to
 		}
-		// An error may be an earlier datagram's refusal, which is read where refusals are; then this one was not sent.
-		if _, err := conn.WriteToUDPAddrPort(text, to); err != nil {
-			if _, err = conn.WriteToUDPAddrPort(text, to); err != nil {
+		// An error may be the refusal of an earlier datagram, which readRefusals handles. This one was not sent then, so it is
+		// sent again.
+		if _, err := conn.WriteToUDPAddrPort(datagram, to); err != nil {
+			if _, err = conn.WriteToUDPAddrPort(datagram, to); err != nil {
 				n.countDropped("not sent: network")
 			}
 		}
@@ -231,12 +238,12 @@
 	return len(changes) > 0
 }
 
-// publish tells of the numbers, and lets others see the view: when it changed, and else now and then, as it is a copy of all
-// members.
+// publish reports the owned numbers, and copies the view for View: when it changed, else only twice an interval, as it is a copy of
+// all members.
 func (n *Node) publish(changed bool) {
 	at := now()
-	numbers, sure := n.core.OwnedNumbers(at)
-	n.notify(Ownership{Numbers: numbers, ValidFor: sure, Living: n.core.Living()})
+	numbers, validFor := n.core.OwnedNumbers(at)
+	n.notify(Ownership{Numbers: numbers, ValidFor: validFor, Living: n.core.Living()})
 	if last := n.view.Load(); !changed && last != nil && at-last.At < n.opt.Config.Interval/2 {
 		return
 	}
@@ -248,13 +255,14 @@
 	}
 }
 
+// notify calls OnOwnership, if it is set.
 func (n *Node) notify(h Ownership) {
 	if n.opt.OnOwnership != nil {
 		n.opt.OnOwnership(h)
 	}
 }
 
-// now reads a clock that never jumps and that goes on while the machine sleeps: leases hold by it.
+// now reads a clock that never jumps and goes on while the machine sleeps, which leases need.
 func now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -20,16 +20,16 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// ownLoopback returns an address of loopback drawn at random, with any port. A port that was free there stays free until the
+// ownLoopback returns a random loopback address, with any port. A port that was free there stays free until the
 // program under test has it; at 127.0.0.1 another program's connection could take it meanwhile.
 func ownLoopback() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// free is an address for datagrams that nobody uses.
-func free(t *testing.T) string {
+// freeAddr returns a UDP address that nobody uses.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	var lc net.ListenConfig
 	c, err := lc.ListenPacket(t.Context(), "udp4", ownLoopback())
@@ -41,15 +41,15 @@
 // member is a node that runs until stop.
 type member struct {
 	*Node
-	stop func()
-	mu   sync.Mutex
-	held Ownership
+	stop  func()
+	mu    sync.Mutex
+	owned Ownership
 }
 
 func (m *member) numbers() []int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held.Numbers
+	return m.owned.Numbers
 }
 
 func run(t *testing.T, name string, number int, roster []string) *member {
@@ -63,7 +63,7 @@
 	m.Node = New(Options{Listen: roster[number], Self: fleet.Record{Name: name, Addr: roster[number]}, Codec: codec, Log: log,
 		Config: fleet.Config{Interval: interval, Seeds: roster, TrustRefusals: true, Roster: roster,
 			Quota: quota.Config{Size: len(roster), Own: number, Lease: 10 * interval, GuardTime: interval}},
-		OnOwnership: func(h Ownership) { m.mu.Lock(); m.held = h; m.mu.Unlock() }})
+		OnOwnership: func(o Ownership) { m.mu.Lock(); m.owned = o; m.mu.Unlock() }})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- m.Run(ctx) }()
@@ -82,17 +82,17 @@
 	return 0
 }
 
-// On real sockets: members meet, a socket that closes is proof enough for its number to pass to the other, the next process
-// at the address waits for it and gets the number back, and what is no packet is counted and harms nobody.
-func TestSocketsAreTheProof(t *testing.T) {
-	roster := []string{free(t), free(t)}
+// On real sockets: members join, a socket that closes is proof enough for its number to pass to the other member, the next process
+// at the address waits for the socket and gets the number back, and malformed datagrams are counted and change nothing.
+func TestNumbersFollowSockets(t *testing.T) {
+	roster := []string{freeAddr(t), freeAddr(t)}
 	a, b := run(t, "a", 0, roster), run(t, "b", 1, roster)
 	eventually := func(what string, ok func() bool) {
 		t.Helper()
-		require.Eventually(t, ok, patience, 10*time.Millisecond, what)
+		require.Eventually(t, ok, waitTimeout, 10*time.Millisecond, what)
 	}
-	eventually("both know both", func() bool { return living(a) == 2 && living(b) == 2 })
-	eventually("each has its own", func() bool { return len(a.numbers()) == 1 && len(b.numbers()) == 1 })
+	eventually("both have joined", func() bool { return living(a) == 2 && living(b) == 2 })
+	eventually("each owns its number", func() bool { return len(a.numbers()) == 1 && len(b.numbers()) == 1 })
 
 	var dialer net.Dialer
 	noise, err := dialer.DialContext(t.Context(), "udp4", roster[0])
@@ -102,7 +102,7 @@
 		_, err := noise.Write([]byte(d))
 		require.NoError(t, err)
 	}
-	eventually("noise is counted by reason", func() bool {
+	eventually("malformed datagrams are counted by reason", func() bool {
 		d := a.View().Dropped
 		return d[string(packet.TooLong)] == 1 && d[string(packet.Foreign)] == 1 && d[string(packet.Forged)] == 1 && d[string(packet.Malformed)] == 2
 	})
@@ -112,18 +112,18 @@
 	assert.Nil(t, again.View())
 	assert.Empty(t, again.numbers())
 	b.stop()
-	assert.Empty(t, b.numbers(), "who leaves uses nothing before its socket goes")
-	eventually("the new one takes part", func() bool { return living(again) == 2 })
-	eventually("with its own number", func() bool { return len(again.numbers()) == 1 })
+	assert.Empty(t, b.numbers(), "a member that leaves owns nothing before its socket closes")
+	eventually("the new process takes part", func() bool { return living(again) == 2 })
+	eventually("and owns its number", func() bool { return len(again.numbers()) == 1 })
 
 	again.stop()
-	eventually("the number of the dead passes", func() bool { return len(a.numbers()) == 2 })
+	eventually("the number of the dead member passes", func() bool { return len(a.numbers()) == 2 })
 	assert.Equal(t, 1, living(a))
 	last := run(t, "b", 1, roster)
 	eventually("and passes back", func() bool { return len(a.numbers()) == 1 && len(last.numbers()) == 1 })
 }
 
-func TestAnAddressThatCannotBe(t *testing.T) {
+func TestAddressOfAnotherMachine(t *testing.T) {
 	codec, err := packet.New("f", []byte("sixteen bytes or more"))
 	require.NoError(t, err)
 	n := New(Options{Listen: "192.0.2.1:9", Self: fleet.Record{Name: "a", Addr: "192.0.2.1:9"}, Codec: codec, Config: fleet.Config{Interval: time.Second}, Log: logrus.New()})
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -1,6 +1,6 @@
 // Package virtual runs many members of a fleet, the real cores, in one goroutine and in virtual time. Links lose, double,
-// delay and reorder datagrams and are cut one way or both; members are killed, stopped, continued and started anew. A run is
-// a function of its seed.
+// delay and reorder datagrams and are down one way or both; members are killed, stopped, continued and restarted. A run is a
+// function of its seed. A World is not safe for concurrent use.
 package virtual
 
 import (
@@ -13,29 +13,32 @@
 	"ospreypond/internal/dispatcher/fleet"
 )
 
-// Link is what happens to a datagram on its way.
+// maxSocketQueue is how many datagrams the socket of a stopped process keeps.
+const maxSocketQueue = 500
+
+// Link is the state of the network from one member to another.
 type Link struct {
-	Loss, Double, Late float64       // shares
+	Loss, Double, Late float64       // fractions of the datagrams
 	By                 time.Duration // how late the late ones are
 	Down               bool
 }
 
-// Options describe a world.
+// Options configure a world.
 type Options struct {
 	Seed uint64
 	// Config is every member's; its Seeds, Roster, Share.Own and Seed are filled in by the world where they are empty.
 	Config fleet.Config
 	// Link returns the state of the way between two members at a moment. nil: all ways are open.
 	Link func(now time.Duration, from, to *Node) Link
-	// Delay is the shortest time on the way, Jitter what may come to it.
+	// Delay is the shortest time that a datagram takes, Jitter the longest random time added to it.
 	Delay, Jitter time.Duration
-	// Size returns the bytes that a packet takes; nil: bytes are not counted.
+	// Size returns the size of a packet in bytes; nil: bytes are not counted.
 	Size func(*fleet.Packet) int
-	// Verdict, if set, is told what became of each packet that arrived.
+	// Verdict, if set, is called with the verdict on each packet that arrived.
 	Verdict func(fleet.Verdict)
 }
 
-// Node is one member's place: its name and address. Its process comes and goes.
+// Node is one member: its name, its address and, while one runs, its process.
 type Node struct {
 	Name, Addr, Zone string
 	Number           int
@@ -51,7 +54,7 @@
 	queued  []*event // what came while it was stopped
 }
 
-// IsRunning tells whether a process runs here and is not stopped.
+// IsRunning reports whether the node has a process that is not stopped.
 func (n *Node) IsRunning() bool { return n.Core != nil && !n.stopped }
 
 // World is a fleet with its network.
@@ -65,17 +68,19 @@
 	order  uint64
 }
 
+// event is a tick, a datagram or a refusal that is scheduled for a node.
 type event struct {
 	at      time.Duration
 	order   uint64
 	node    *Node
-	core    *fleet.Core // a tick of this process
+	core    *fleet.Core // of a tick: the process that it is for
 	from    string
 	packet  *fleet.Packet // a datagram, or
 	refused bool          // its refusal, which comes back to node
 	to      string
 }
 
+// events is a heap by time, then by order of scheduling.
 type events []*event
 
 func (e events) Len() int { return len(e) }
@@ -91,7 +96,7 @@
 	return x
 }
 
-// New returns a world with n places, in three zones by turns, in which no process runs.
+// New returns a world of n nodes in three zones, none of which has a process.
 func New(n int, opt Options) *World {
 	w := &World{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), byAddr: map[string]*Node{}}
 	for i := range n {
@@ -102,24 +107,24 @@
 	return w
 }
 
-// Links changes what happens to datagrams from now on.
+// Links sets the state of the network from now on; nil: all links are up.
 func (w *World) Links(link func(now time.Duration, from, to *Node) Link) { w.opt.Link = link }
 
-// Start begins a process at a place; one that runs there is killed.
+// Start starts a node's process; one that runs is killed.
 func (w *World) Start(n *Node) error {
 	n.starts++
 	return w.StartWithEpoch(n, max(n.starts, 1+uint64(max(0, w.Now+n.Skew)/time.Millisecond)))
 }
 
-// StartDuplicate begins a later process under the name of one that runs, at a place of its own.
+// StartDuplicate starts another, later process under a node's name, at an address of its own, and returns its node.
 func (w *World) StartDuplicate(n *Node) (*Node, error) {
-	again := &Node{Name: n.Name, Addr: n.Addr + "1", Zone: n.Zone, Number: n.Number}
-	w.Nodes, w.byAddr[again.Addr] = append(w.Nodes, again), again
-	return again, w.Start(again)
+	duplicate := &Node{Name: n.Name, Addr: n.Addr + "1", Zone: n.Zone, Number: n.Number}
+	w.Nodes, w.byAddr[duplicate.Addr] = append(w.Nodes, duplicate), duplicate
+	return duplicate, w.Start(duplicate)
 }
 
-// StartWithEpoch is Start with a life of the caller's.
-func (w *World) StartWithEpoch(n *Node, life uint64) error {
+// StartWithEpoch is Start with an epoch of the caller's.
+func (w *World) StartWithEpoch(n *Node, epoch uint64) error {
 	cfg := w.opt.Config
 	cfg.Seed = w.rng.Uint64()
 	if cfg.Seeds == nil {
@@ -133,7 +138,7 @@
 			cfg.Roster[i] = w.Nodes[i].Addr
 		}
 	}
-	c, err := fleet.New(cfg, fleet.Record{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: life}, w.Now+n.Skew)
+	c, err := fleet.New(cfg, fleet.Record{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: epoch}, w.Now+n.Skew)
 	if err != nil {
 		return err
 	}
@@ -142,34 +147,34 @@
 	return nil
 }
 
-// Kill ends a process at once.
+// Kill ends a node's process at once, as by SIGKILL.
 func (w *World) Kill(n *Node) { n.Core, n.stopped, n.queued = nil, false, nil }
 
-// Leave ends a process in order.
+// Leave ends a node's process in order.
 func (w *World) Leave(n *Node) {
 	n.Core.Leave(w.Now)
 	w.send(n)
 	w.Kill(n)
 }
 
-// Stop halts a process as SIGSTOP does: its socket stays and keeps what comes. Continue lets it go on.
+// Stop halts a node's process as SIGSTOP does: its socket stays bound and queues datagrams.
 func (w *World) Stop(n *Node) { n.stopped = true }
 
-// Continue lets a stopped process go on.
+// Continue resumes a stopped process, which first handles its timer and then the datagrams that its socket kept.
 func (w *World) Continue(n *Node) {
 	if n.stopped = false; n.Core == nil {
 		return
 	}
-	held := n.queued
+	queued := n.queued
 	n.queued, n.tickAt = nil, w.Now
-	w.push(&event{at: w.Now, node: n, core: n.Core}) // its timer, before it reads anything: the worst that can be
-	for _, e := range held[:min(len(held), 500)] {   // what a socket keeps
+	w.push(&event{at: w.Now, node: n, core: n.Core}) // its timer, before it reads anything: the worst case
+	for _, e := range queued[:min(len(queued), maxSocketQueue)] {
 		e.at = w.Now
 		w.push(e)
 	}
 }
 
-// Run lets time pass until the moment.
+// Run advances time until a moment.
 func (w *World) Run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(*event)
@@ -179,14 +184,14 @@
 	w.Now = until
 }
 
-// For lets time pass.
+// For advances time by d.
 func (w *World) For(d time.Duration) { w.Run(w.Now + d) }
 
-// Until lets time pass in steps until ok says so, for most at the longest; it returns how long that took.
-func (w *World) Until(step, most time.Duration, ok func() bool) (time.Duration, bool) {
+// Until advances time in steps until ok, for limit at the longest. It returns how long that took and whether ok was reached.
+func (w *World) Until(step, limit time.Duration, ok func() bool) (time.Duration, bool) {
 	begin := w.Now
 	for !ok() {
-		if w.Now-begin >= most {
+		if w.Now-begin >= limit {
 			return w.Now - begin, false
 		}
 		w.For(step)
@@ -200,7 +205,7 @@
 	heap.Push(&w.events, e)
 }
 
-// scheduleTick has the process at n ticked when it asks for, if that is sooner than what it asked for before.
+// scheduleTick schedules the Tick that n's process asks for, unless an earlier one is scheduled.
 func (w *World) scheduleTick(n *Node) {
 	if wait := n.Core.Wait(); wait < time.Hour {
 		if at := w.Now + wait; n.tickAt <= w.Now || at < n.tickAt {
@@ -210,11 +215,12 @@
 	}
 }
 
+// handle passes an event to its node's process; where none runs, the machine refuses datagrams.
 func (w *World) handle(e *event) {
 	n := e.node
 	switch {
 	case n.Core == nil && e.packet != nil && !e.refused:
-		if from := w.byAddr[e.from]; from.Core != nil && !w.link(n, from).Down { // the machine lives and refuses
+		if from := w.byAddr[e.from]; from.Core != nil && !w.link(n, from).Down { // the machine is up and refuses
 			w.push(&event{at: w.Now + w.opt.Delay, node: from, core: from.Core, to: n.Addr, packet: e.packet, refused: true})
 		}
 		return
@@ -252,6 +258,7 @@
 	return w.opt.Link(w.Now, from, to)
 }
 
+// send puts the datagrams of n's core on the network.
 func (w *World) send(n *Node) {
 	out, changes := n.Core.Take()
 	n.Changes = append(n.Changes, changes...)
@@ -285,14 +292,14 @@
 	}
 }
 
-// clonePacket is what another process reads of a packet: nothing is shared with it.
+// clonePacket returns a copy of a packet that shares nothing with it, as another process reads it.
 func clonePacket(p *fleet.Packet) *fleet.Packet {
 	c := *p
 	c.Records, c.Sums, c.Proofs = slices.Clone(p.Records), slices.Clone(p.Sums), slices.Clone(p.Proofs)
 	return &c
 }
 
-// Running returns the places whose processes run.
+// Running returns the nodes whose processes run and are not stopped.
 func (w *World) Running() (out []*Node) {
 	for _, n := range w.Nodes {
 		if n.IsRunning() {
@@ -302,7 +309,7 @@
 	return out
 }
 
-// Agree tells whether all running processes, or those given, hold just each other living.
+// Agree reports whether all running nodes, or those given, have exactly each other as living.
 func (w *World) Agree(nodes ...*Node) bool {
 	if nodes == nil {
 		nodes = w.Running()
@@ -324,5 +331,5 @@
 	return true
 }
 
-// Starts returns how many processes were begun here.
+// Starts returns how many processes the node has had.
 func (n *Node) Starts() int { return int(n.starts) }
