--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -8,31 +8,31 @@
 // Config is what all dispatchers of a fleet have in common.
 type Config struct {
 	// Me is this dispatcher in this life.
-	Me Holder
+	Self Owner
 	// Start is how long a member takes to start from its state at the longest; more is a failed start.
-	Start time.Duration
+	StartTimeout time.Duration
 	// Silence is how long a member that began may say nothing; longer, and it is lost.
-	Silence time.Duration
+	MemberTimeout time.Duration
 	// Bandwidth is what the register takes of saved state, in bytes a second, from the whole fleet together.
 	Bandwidth float64
 	// Margin is kept between the end of a save and the retirement that it is for.
 	Margin time.Duration
 	// Every is how often a running gang saves its state for crashes; 0: for retirements only.
-	Every time.Duration
-	// SaveLimit is how long a save may take at the longest.
-	SaveLimit time.Duration
-	// Backoff is the wait after a start that failed, doubled with each up to BackoffMost.
-	Backoff, BackoffMost time.Duration
+	CheckpointInterval time.Duration
+	// SaveTimeout is how long a save may take at the longest.
+	SaveTimeout time.Duration
+	// Backoff is the wait after a start that failed, doubled with each up to MaxBackoff.
+	Backoff, MaxBackoff time.Duration
 	// Starve is how long a gang that fits nowhere waits until nothing that comes after it is placed before it.
-	Starve time.Duration
+	StarvationTimeout time.Duration
 	// AgeStep is the wait that raises a gang's priority by one.
 	AgeStep time.Duration
 	// Apart is what a member in another zone than most makes a placement dearer by, as a share of its time.
-	Apart float64
-	// MostGangs bounds what is taken up; MostMoves the gangs that one dispatcher starts or saves at once.
-	MostGangs, MostMoves int
+	ZonePenalty float64
+	// MaxGangs bounds what is taken up; MaxMoves the gangs that one dispatcher starts or saves at once.
+	MaxGangs, MaxMoves int
 	// Retire says when states are saved before retirements.
-	Retire Policy
+	RetirePolicy Policy
 }
 
 // Policy says when a gang's state is saved before its runners retire.
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -55,7 +55,7 @@
 	gen     uint64
 	number  int
 	member  int
-	news    News
+	news    Event
 }
 
 var depth = flag.Int("depth", 5, "steps to explore from each phase")
@@ -66,7 +66,7 @@
 	t.Helper()
 	s := &state{now: exploreNow, versions: map[string]int{}, records: map[string]Record{}, finished: map[string]bool{}, saved: map[string]bool{}, up: [3]bool{true, true, true}}
 	for _, n := range []string{"g", "h"} {
-		need := Need{Class: "c", Slots: 1, Work: time.Hour, Saved: 1}
+		need := Need{Class: "c", Slots: 1, Work: time.Hour, StateBytes: 1}
 		s.records[n], s.versions[n] = Record{Name: n, Needs: []Need{need, need}, Phase: Waiting, Submitted: s.now}, 1
 	}
 	for i := range s.cores {
@@ -77,13 +77,13 @@
 
 func (s *state) start(t require.TestingT, i int) {
 	s.lives[i]++
-	c, err := New(Config{Me: s.me(i), Start: 10 * time.Second, Silence: time.Hour, Bandwidth: 1, Margin: time.Second, Every: time.Minute, SaveLimit: 20 * time.Second,
-		Backoff: time.Second, BackoffMost: time.Second, MostGangs: 9, MostMoves: 9})
+	c, err := New(Config{Self: s.me(i), StartTimeout: 10 * time.Second, MemberTimeout: time.Hour, Bandwidth: 1, Margin: time.Second, CheckpointInterval: time.Minute, SaveTimeout: 20 * time.Second,
+		Backoff: time.Second, MaxBackoff: time.Second, MaxGangs: 9, MaxMoves: 9})
 	require.NoError(t, err)
 	s.cores[i] = c
 }
 
-func (s *state) me(i int) Holder { return Holder{Name: fmt.Sprint("d", i), Life: s.lives[i]} }
+func (s *state) me(i int) Owner { return Owner{Name: fmt.Sprint("d", i), Epoch: s.lives[i]} }
 
 func (s *state) clone(why string) *state {
 	c := *s
@@ -114,20 +114,20 @@
 			write("-")
 			continue
 		}
-		write(s.alone[i], c.marks)
+		write(s.alone[i], c.writes)
 		for _, n := range slices.Sorted(maps.Keys(c.gangs)) {
 			g := c.gangs[n]
-			write(n, g.rec.Mark, g.version, g.seen, g.stale, g.mine, g.members, s.now.Sub(g.began) > c.cfg.Start, s.now.Sub(g.changed) > c.cfg.Backoff, s.now.Sub(g.savedAt) >= c.cfg.Every)
+			write(n, g.record.WriteID, g.version, g.isCurrent, g.needsRead, g.ownGeneration, g.members, s.now.Sub(g.phaseStartedAt) > c.cfg.StartTimeout, s.now.Sub(g.changedAt) > c.cfg.Backoff, s.now.Sub(g.checkpointAt) >= c.cfg.CheckpointInterval)
 			if g.writing != nil {
-				write("w", g.writing.Mark)
+				write("w", g.writing.WriteID)
 			}
 		}
 	}
 	for _, n := range []string{"g", "h"} {
-		write(n, s.versions[n], s.records[n].Mark)
+		write(n, s.versions[n], s.records[n].WriteID)
 	}
 	for _, m := range s.msgs {
-		write(m.to, m.life, m.kind, m.gang, m.rec.Mark, m.version, m.outcome, m.gen, m.number, m.member, m.news)
+		write(m.to, m.life, m.kind, m.gang, m.rec.WriteID, m.version, m.outcome, m.gen, m.number, m.member, m.news)
 	}
 	write(s.jobs, s.up, s.lives, s.crashes, len(s.finished), len(s.saved))
 	return d.Sum64()
@@ -137,20 +137,20 @@
 func (s *state) act(i int) {
 	actions, _ := s.cores[i].Take()
 	for _, a := range actions {
-		m := msg{to: i, life: s.lives[i], gang: a.Gang, gen: a.Generation, number: a.Number}
+		m := msg{to: i, life: s.lives[i], gang: a.Gang, gen: a.Generation, number: a.SaveNumber}
 		switch a.Kind {
 		case Read:
 			m.kind = "read"
 		case Write:
 			m.kind, m.rec = "write", *a.Record
-			_, _ = fmt.Sscan(string(a.If), &m.version)
-		case Look:
+			_, _ = fmt.Sscan(string(a.IfVersion), &m.version)
+		case ListParts:
 			m.kind = "look"
 		case Send:
 			runner := int(a.Runner[1] - '0')
 			s.jobs = append(s.jobs, expJob{a.Gang, a.Generation, a.Member, runner, i, s.lives[i], false, s.up[runner], false})
 			if !s.up[runner] {
-				s.msgs = append(s.msgs, msg{to: i, life: s.lives[i], kind: "member", gang: a.Gang, gen: a.Generation, member: a.Member, news: Broke})
+				s.msgs = append(s.msgs, msg{to: i, life: s.lives[i], kind: "member", gang: a.Gang, gen: a.Generation, member: a.Member, news: Failed})
 			}
 			continue
 		case Stop:
@@ -227,8 +227,8 @@
 		return fmt.Errorf("%s is done in generation %d, which did not end", r.Name, r.Generation)
 	case r.Checkpoint != nil && !s.saved[fmt.Sprint(r.Name, r.Checkpoint.Generation, "/", r.Checkpoint.Number)]:
 		return fmt.Errorf("%s has a checkpoint that is not there", r.Name)
-	case !slices.ContainsFunc(Table, func(st Step) bool { return st == Step{before.Phase, Cause(r.Why), r.Phase} }):
-		return fmt.Errorf("%s goes from %s to %s for %q", r.Name, before.Phase, r.Phase, r.Why)
+	case !slices.ContainsFunc(Table, func(st Step) bool { return st == Step{before.Phase, Cause(r.Cause), r.Phase} }):
+		return fmt.Errorf("%s goes from %s to %s for %q", r.Name, before.Phase, r.Phase, r.Cause)
 	}
 	return nil
 }
@@ -236,7 +236,7 @@
 // tick has core i look round.
 func (s *state) tick(i int) {
 	c := s.cores[i]
-	living := []Holder{s.me(i)}
+	living := []Owner{s.me(i)}
 	if other := 1 - i; s.cores[other] != nil && !s.alone[i] {
 		living = append(living, s.me(other))
 	}
@@ -364,12 +364,12 @@
 	}
 	j := s.jobs[members[0]]
 	if r := s.records[j.gang]; !j.done && r.Phase == Saving && r.Generation == j.generation {
-		add("saves: "+run, func(c *state) error { c.saved[fmt.Sprint(run, "/", r.Number)] = true; return nil })
+		add("saves: "+run, func(c *state) error { c.saved[fmt.Sprint(run, "/", r.SaveNumber)] = true; return nil })
 	}
 }
 
 // report sends what came of members to their dispatchers.
-func (s *state) report(n News, members ...int) {
+func (s *state) report(n Event, members ...int) {
 	for _, k := range members {
 		j := s.jobs[k]
 		s.msgs = append(s.msgs, msg{to: j.owner, life: j.life, kind: "member", gang: j.gang, gen: j.generation, member: j.member, news: n})
@@ -387,7 +387,7 @@
 			for x := range c.jobs {
 				if j := &c.jobs[x]; j.alive && !j.done && j.runner == k {
 					j.alive = false
-					c.report(Broke, x)
+					c.report(Failed, x)
 				}
 			}
 			return nil
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -39,8 +39,8 @@
 	opt := options(s)
 	opt.Step, opt.Poll, opt.Latency, opt.Start = time.Second, 5*time.Second, 2*time.Second, 10*time.Second
 	c := &opt.Config
-	c.Start, c.Silence, c.Bandwidth, c.Margin = time.Minute, time.Minute, 500e6, 20*time.Second
-	c.SaveLimit, c.Every, c.Retire = 5*time.Minute, every, policy
+	c.StartTimeout, c.MemberTimeout, c.Bandwidth, c.Margin = time.Minute, time.Minute, 500e6, 20*time.Second
+	c.SaveTimeout, c.CheckpointInterval, c.RetirePolicy = 5*time.Minute, every, policy
 	w := virtual.New(epoch, opt)
 	for i := range 300 {
 		_, err := w.Add(fmt.Sprint("d", i))
@@ -55,7 +55,7 @@
 		work := time.Duration(20+rng.IntN(60)) * time.Minute
 		r := gang.Record{Name: fmt.Sprint("g", i), Due: epoch.Add(work*13/10 + 10*time.Minute), Priority: rng.IntN(3)}
 		for range 2 + rng.IntN(6) {
-			r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, Saved: 200e6})
+			r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, StateBytes: 200e6})
 		}
 		due[r.Name] = r.Due
 		w.Submit(r)
@@ -81,16 +81,16 @@
 		}
 	}
 	require.True(t, w.Until(8*time.Hour, allDone(w)), "not all are done")
-	require.Empty(t, w.Broken())
+	require.Empty(t, w.Violation())
 	inTime, still := 0, 0.0
 	for _, n := range w.Gangs() {
 		if at, _ := w.Ended(n); !at.After(due[n]) {
 			inTime++
 		}
-		still += w.Still(n).Seconds()
+		still += w.Stalled(n).Seconds()
 	}
 	fmt.Printf("every %v, %s, seed %d: lost %.0f runner-seconds, %d of 200 by their due time, stood still %.1f s a gang, "+
 		"%.1f GB to the register, %d writes of records; %d had to move, at least %.1f s each\n",
-		every, []string{"latest safe start", "all at the announcement", "killed by the retirement"}[policy], s, w.LostWS, inTime,
+		every, []string{"latest safe start", "all at the announcement", "killed by the retirement"}[policy], s, w.LostWork, inTime,
 		still/200, w.Bytes()/1e9, w.Writes(), moved, limit/float64(max(1, moved)))
 }
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -23,9 +23,9 @@
 
 func options(s uint64) virtual.Options {
 	return virtual.Options{Seed: s, Step: 250 * time.Millisecond, Poll: time.Second, Latency: 100 * time.Millisecond, Start: 2 * time.Second,
-		Config: gang.Config{Start: 8 * time.Second, Silence: 15 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveLimit: 30 * time.Second, Backoff: 2 * time.Second,
-			BackoffMost: 20 * time.Second, Every: 40 * time.Second, Starve: 10 * time.Minute, AgeStep: 5 * time.Minute, Apart: 0.1,
-			MostGangs: 1000, MostMoves: 20}}
+		Config: gang.Config{StartTimeout: 8 * time.Second, MemberTimeout: 15 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveTimeout: 30 * time.Second, Backoff: 2 * time.Second,
+			MaxBackoff: 20 * time.Second, CheckpointInterval: 40 * time.Second, StarvationTimeout: 10 * time.Minute, AgeStep: 5 * time.Minute, ZonePenalty: 0.1,
+			MaxGangs: 1000, MaxMoves: 20}}
 }
 
 // world has dispatchers, and runners of four slots in zones a and b by turns.
@@ -45,7 +45,7 @@
 func submit(w *virtual.World, name string, members int, work time.Duration) {
 	r := gang.Record{Name: name, Due: w.Now.Add(3 * work)}
 	for range members {
-		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, Saved: 10e6})
+		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, StateBytes: 10e6})
 	}
 	w.Submit(r)
 }
@@ -106,12 +106,12 @@
 				require.NoError(t, w.Start(all))
 			}
 		}
-		require.Empty(t, w.Broken(), "seed %d at %v", s, w.Now.Sub(epoch))
+		require.Empty(t, w.Violation(), "seed %d at %v", s, w.Now.Sub(epoch))
 	}
 	calm = true
 	endFaults(t, w)
 	done := w.Until(30*time.Minute, allDone(w))
-	require.Empty(t, w.Broken(), "seed %d", s)
+	require.Empty(t, w.Violation(), "seed %d", s)
 	if !assert.True(t, done, "seed %d: a gang is not done", s) {
 		for _, n := range w.Gangs() {
 			t.Logf("%+v", w.Record(n))
@@ -129,7 +129,7 @@
 	case 1:
 		d.Stopped = !d.Stopped && d.Core != nil
 	case 2:
-		d.CutOff = !d.CutOff
+		d.Partitioned = !d.Partitioned
 	case 3:
 		r.Up, r.Mute = !r.Up, rng.IntN(2) == 0
 	case 4: // a retirement at short notice, or none after all
@@ -137,7 +137,7 @@
 			r.Retires = time.Time{}
 		}
 	case 5:
-		w.Silent = !w.Silent
+		w.Unresponsive = !w.Unresponsive
 	case 6: // a wrong view: two dispatchers believe that they own the gang
 		if d.Sees = nil; rng.IntN(2) == 0 {
 			d.Sees = func(*virtual.Dispatcher) bool { return false }
@@ -154,9 +154,9 @@
 // endFaults starts every dispatcher that is down and ends all faults that last.
 func endFaults(t *testing.T, w *virtual.World) {
 	t.Helper()
-	w.Silent = false
+	w.Unresponsive = false
 	for _, d := range w.Dispatchers {
-		if d.CutOff, d.Sees, d.Stopped = false, nil, false; d.Core == nil {
+		if d.Partitioned, d.Sees, d.Stopped = false, nil, false; d.Core == nil {
 			require.NoError(t, w.Start(d))
 		}
 	}
@@ -179,7 +179,7 @@
 	}
 	require.True(t, w.Until(time.Hour, allDone(w)))
 	assert.Equal(t, uint64(2), w.Record("g").Generation)
-	assert.Less(t, w.LostWS, 20.0, "runner-seconds")
-	assert.Less(t, w.Still("g"), 20*time.Second)
-	assert.Empty(t, w.Broken())
+	assert.Less(t, w.LostWork, 20.0, "runner-seconds")
+	assert.Less(t, w.Stalled("g"), 20*time.Second)
+	assert.Empty(t, w.Violation())
 }
--- a/internal/dispatcher/gang/messages.go
+++ b/internal/dispatcher/gang/messages.go
@@ -26,16 +26,16 @@
 	Unknown          // no answer, or one that proves nothing
 )
 
-// News is what came of one member.
-type News uint8
+// Event is what came of one member.
+type Event uint8
 
 // What members tell.
 const (
-	Began    News = iota
-	Goes          // a line of progress: its heartbeat
-	Finished      // its result is there
-	Broke         // it ended otherwise, whatever the way
-	BadPart       // it could not start, as its part of the checkpoint is damaged
+	Began       Event = iota
+	Progressed        // a line of progress: its heartbeat
+	Finished          // its result is there
+	Failed            // it ended otherwise, whatever the way
+	DamagedPart       // it could not start, as its part of the checkpoint is damaged
 )
 
 // ActionKind says what is to be done.
@@ -43,11 +43,11 @@
 
 // The actions.
 const (
-	Read  ActionKind = iota // the record Gang
-	Write                   // Record, if its version is still If
-	Send                    // Member of Gang in Generation to Runner, from From
-	Stop                    // Member of Gang in Generation
-	Look                    // at which parts of the save Number in Generation are there
+	Read      ActionKind = iota // the record Gang
+	Write                       // Record, if its version is still If
+	Send                        // Member of Gang in Generation to Runner, from From
+	Stop                        // Member of Gang in Generation
+	ListParts                   // at which parts of the save Number in Generation are there
 )
 
 // Action is one thing to do now.
@@ -55,10 +55,10 @@
 	Kind       ActionKind
 	Gang       string
 	Record     *Record
-	If         Version
+	IfVersion  Version
 	Member     int
 	Generation uint64
-	Number     int
+	SaveNumber int
 	Runner     string
-	From       *Save
+	Checkpoint *Checkpoint
 }
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -13,10 +13,10 @@
 // saveSlack is how much longer than its bytes and the bandwidth say a save is taken to last.
 const saveSlack = 1.25
 
-// plan returns when the state of each gang that has to leave its runners is to be saved at the latest. It follows from the
+// planSaves returns when the state of each gang that has to leave its runners is to be saved at the latest. It follows from the
 // records and the retirements alone, so that all dispatchers come to the same without a word: backwards from the last
 // retirement, one save after another, as the register's bandwidth is the whole fleet's.
-func (c *Core) plan() map[string]time.Time {
+func (c *Core) planSaves() map[string]time.Time {
 	type leaving struct {
 		name string
 		by   time.Time
@@ -24,15 +24,15 @@
 	}
 	var all []leaving
 	for name, g := range c.gangs {
-		if g.seen && (g.rec.Phase == Running || g.rec.Phase == Saving) && c.leaves(g) {
-			all = append(all, leaving{name, c.retires(g), g.rec.saved()})
+		if g.isCurrent && (g.record.Phase == Running || g.record.Phase == Saving) && c.mustRelocate(g) {
+			all = append(all, leaving{name, c.retiresAt(g), g.record.stateBytes()})
 		}
 	}
 	slices.SortFunc(all, func(a, b leaving) int { return cmp.Or(b.by.Compare(a.by), cmp.Compare(a.name, b.name)) })
 	at := map[string]time.Time{}
 	var next time.Time
 	for _, l := range all {
-		switch c.cfg.Retire {
+		switch c.cfg.RetirePolicy {
 		case Latest:
 			end := l.by.Add(-c.cfg.Margin)
 			if !next.IsZero() && next.Before(end) {
@@ -47,9 +47,9 @@
 	return at
 }
 
-// retires is when the first of a gang's runners retires; the zero time: none is known to.
-func (c *Core) retires(g *gang) (first time.Time) {
-	for _, p := range g.rec.Placement {
+// retiresAt is when the first of a gang's runners retires; the zero time: none is known to.
+func (c *Core) retiresAt(g *gang) (first time.Time) {
+	for _, p := range g.record.Placement {
 		if r := c.runners[p].Retires; !r.IsZero() && (first.IsZero() || r.Before(first)) {
 			first = r
 		}
@@ -57,50 +57,50 @@
 	return first
 }
 
-// leaves tells whether a gang has to leave its runners before its end.
-func (c *Core) leaves(g *gang) bool {
-	by := c.retires(g)
-	return !by.IsZero() && c.now.Add(c.left(g, g.rec.Placement)).After(by.Add(-c.cfg.Margin))
+// mustRelocate tells whether a gang has to leave its runners before its end.
+func (c *Core) mustRelocate(g *gang) bool {
+	by := c.retiresAt(g)
+	return !by.IsZero() && c.now.Add(c.remaining(g, g.record.Placement)).After(by.Add(-c.cfg.Margin))
 }
 
-// left is how long a gang still runs on these runners, as the slowest of them goes.
-func (c *Core) left(g *gang, on []string) time.Duration {
+// remaining is how long a gang still runs on these runners, as the slowest of them goes.
+func (c *Core) remaining(g *gang, on []string) time.Duration {
 	speed := math.Inf(1)
 	for _, p := range on {
 		speed = min(speed, c.runners[p].Speed)
 	}
-	share := g.rec.share()
-	if g.mine != 0 {
+	share := g.record.progress()
+	if g.ownGeneration != 0 {
 		share = c.progress(g)
 	}
-	return time.Duration((1 - share) * float64(g.rec.work()) / max(speed, 1e-6))
+	return time.Duration((1 - share) * float64(g.record.work()) / max(speed, 1e-6))
 }
 
-// place starts the waiting gangs that there is room for, the most urgent first. All dispatchers go through all of them in the
+// placeWaiting starts the waiting gangs that there is room for, the most urgent first. All dispatchers go through all of them in the
 // same order with the same rule, and each writes for its own only, so that they seldom choose the same places.
-func (c *Core) place(moves int) {
+func (c *Core) placeWaiting(moves int) {
 	if !c.any(func(name string, g *gang) bool {
-		return g.seen && g.rec.Phase == Waiting && g.writing == nil && !g.stale && c.holds(name, g)
+		return g.isCurrent && g.record.Phase == Waiting && g.writing == nil && !g.needsRead && c.actsFor(name, g)
 	}) {
 		return // nothing to write, so nothing to think about
 	}
 	free := c.usableSlots()
 	for _, name := range c.waiting(free) {
 		g := c.gangs[name]
-		if c.now.Before(g.rec.NotBefore) {
+		if c.now.Before(g.record.NotBefore) {
 			continue
 		}
 		on := c.match(g, free)
 		if on == nil {
-			if c.cfg.Starve > 0 && c.now.Sub(g.rec.Submitted) > c.cfg.Starve { // else smaller ones would always take its places
+			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // else smaller ones would always take its places
 				return
 			}
 			continue
 		}
 		for i, p := range on {
-			free[p] -= g.rec.Needs[i].Slots
+			free[p] -= g.record.Needs[i].Slots
 		}
-		if g.writing == nil && !g.stale && c.holds(name, g) && moves < c.cfg.MostMoves {
+		if g.writing == nil && !g.needsRead && c.actsFor(name, g) && moves < c.cfg.MaxMoves {
 			moves++
 			c.write(name, g, Placed, func(r *Record) { r.Generation, r.Placement = r.Generation+1, on })
 		}
@@ -123,16 +123,16 @@
 	for _, name := range slices.Sorted(maps.Keys(c.gangs)) {
 		g := c.gangs[name]
 		switch {
-		case !g.seen:
-		case g.rec.Phase == Waiting:
+		case !g.isCurrent:
+		case g.record.Phase == Waiting:
 			waiting = append(waiting, name)
-		case !g.rec.Phase.Ended():
-			for i, p := range g.rec.Placement {
-				free[p] -= g.rec.Needs[i].Slots
+		case !g.record.Phase.Ended():
+			for i, p := range g.record.Placement {
+				free[p] -= g.record.Needs[i].Slots
 			}
 		}
 	}
-	slices.SortStableFunc(waiting, func(a, b string) int { return c.order(c.gangs[a], c.gangs[b]) })
+	slices.SortStableFunc(waiting, func(a, b string) int { return c.compare(c.gangs[a], c.gangs[b]) })
 	return waiting
 }
 
@@ -145,16 +145,16 @@
 	return false
 }
 
-// order puts first what has the higher priority, which waiting raises, then what is due sooner, then what came sooner.
-func (c *Core) order(a, b *gang) int {
+// compare puts first what has the higher priority, which waiting raises, then what is due sooner, then what came sooner.
+func (c *Core) compare(a, b *gang) int {
 	rank := func(g *gang) float64 {
 		if c.cfg.AgeStep <= 0 {
-			return float64(g.rec.Priority)
+			return float64(g.record.Priority)
 		}
-		return float64(g.rec.Priority) + math.Floor(float64(c.now.Sub(g.rec.Submitted))/float64(c.cfg.AgeStep))
+		return float64(g.record.Priority) + math.Floor(float64(c.now.Sub(g.record.Submitted))/float64(c.cfg.AgeStep))
 	}
-	return cmp.Or(cmp.Compare(rank(b), rank(a)), a.rec.Due.Compare(b.rec.Due), a.rec.Submitted.Compare(b.rec.Submitted),
-		cmp.Compare(a.rec.Name, b.rec.Name))
+	return cmp.Or(cmp.Compare(rank(b), rank(a)), a.record.Due.Compare(b.record.Due), a.record.Submitted.Compare(b.record.Submitted),
+		cmp.Compare(a.record.Name, b.record.Name))
 }
 
 // match returns a runner for each member, all of them or nil: none that retires before the gang's end, which the slowest of
@@ -162,11 +162,11 @@
 func (c *Core) match(g *gang, free map[string]float64) []string {
 	without := map[string]bool{}
 	for {
-		on := c.cheapest(g, free, without)
+		on := c.cheapestAssignment(g, free, without)
 		if on == nil {
 			return nil
 		}
-		end, leaves := c.now.Add(c.cfg.Start+c.cfg.Margin+c.left(g, on)), false
+		end, leaves := c.now.Add(c.cfg.StartTimeout+c.cfg.Margin+c.remaining(g, on)), false
 		for _, p := range on {
 			if by := c.runners[p].Retires; !by.IsZero() && end.After(by) {
 				without[p], leaves = true, true
@@ -178,24 +178,24 @@
 	}
 }
 
-// cheapest returns a runner for each member at the least total time, near one another: each zone in turn is taken for theirs.
-func (c *Core) cheapest(g *gang, free map[string]float64, without map[string]bool) (best []string) {
+// cheapestAssignment returns a runner for each member at the least total time, near one another: each zone in turn is taken for theirs.
+func (c *Core) cheapestAssignment(g *gang, free map[string]float64, without map[string]bool) (best []string) {
 	most := 0.0
-	for _, n := range g.rec.Needs {
+	for _, n := range g.record.Needs {
 		most = max(most, n.Slots)
 	}
 	var places []Runner
 	zones := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(free)) {
 		r := c.runners[name]
-		if n := min(int(free[name]/most+1e-9), len(g.rec.Needs)); !without[name] && n > 0 {
+		if n := min(int(free[name]/most+1e-9), len(g.record.Needs)); !without[name] && n > 0 {
 			places = append(places, slices.Repeat([]Runner{r}, n)...)
 			zones[r.Zone] = true
 		}
 	}
 	least := math.Inf(1)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if total, on := c.assign(g.rec.Needs, places, zone); total < least {
+		if total, on := c.assign(g.record.Needs, places, zone); total < least {
 			least, best = total, on
 		}
 	}
@@ -231,7 +231,7 @@
 	}
 	x := 1 / max(r.Speed, 1e-6)
 	if r.Zone != zone {
-		x *= 1 + c.cfg.Apart
+		x *= 1 + c.cfg.ZonePenalty
 	}
 	return min(x, impossible)
 }
--- a/internal/dispatcher/gang/readwrite.go
+++ b/internal/dispatcher/gang/readwrite.go
@@ -13,19 +13,19 @@
 	for _, name := range slices.Sorted(maps.Keys(versions)) {
 		g := c.gangs[name]
 		if g == nil {
-			if len(c.gangs) >= c.cfg.MostGangs {
-				c.faults = append(c.faults, &LimitError{name, "gangs", c.cfg.MostGangs, "let ended ones be removed from the register, or raise the bound"})
+			if len(c.gangs) >= c.cfg.MaxGangs {
+				c.errs = append(c.errs, &LimitError{name, "gangs", c.cfg.MaxGangs, "let ended ones be removed from the register, or raise the bound"})
 				continue
 			}
 			g = &gang{}
 			c.gangs[name] = g
 		}
-		if g.writing == nil && (!g.seen || g.version != versions[name]) {
+		if g.writing == nil && (!g.isCurrent || g.version != versions[name]) {
 			c.read(name, g)
 		}
 	}
 	for name, g := range c.gangs {
-		if _, there := versions[name]; !there && g.writing == nil && g.seen && c.now.Sub(g.asked) > c.cfg.Start {
+		if _, there := versions[name]; !there && g.writing == nil && g.isCurrent && c.now.Sub(g.requestedAt) > c.cfg.StartTimeout {
 			c.abandon(name, g)
 			delete(c.gangs, name)
 		}
@@ -33,7 +33,7 @@
 }
 
 func (c *Core) read(name string, g *gang) {
-	g.stale, g.asked = true, c.now
+	g.needsRead, g.requestedAt = true, c.now
 	c.out = append(c.out, Action{Kind: Read, Gang: name})
 }
 
@@ -41,17 +41,17 @@
 func (c *Core) Got(now time.Time, name string, version Version, r Record) {
 	c.now = now
 	g := c.gangs[name]
-	if g == nil || g.writing != nil && !g.stale {
+	if g == nil || g.writing != nil && !g.needsRead {
 		return
 	}
 	if r.Name = name; r.Check() != nil {
-		c.faults = append(c.faults, r.Check())
+		c.errs = append(c.errs, r.Check())
 		c.abandon(name, g)
-		g.rec, g.version, g.seen, g.stale, g.writing = r, version, false, false, nil
+		g.record, g.version, g.isCurrent, g.needsRead, g.writing = r, version, false, false, nil
 		return
 	}
-	if w := g.writing; w != nil && w.Mark == r.Mark { // the write whose answer was lost took effect
-		c.took(name, g, version)
+	if w := g.writing; w != nil && w.WriteID == r.WriteID { // the write whose answer was lost took effect
+		c.handleWritten(name, g, version)
 		return
 	}
 	g.writing = nil
@@ -60,14 +60,14 @@
 
 // adopt takes a record as what holds. Members of another generation than its, or held by another, are this one's no more.
 func (c *Core) adopt(name string, g *gang, version Version, r Record) {
-	if g.rec.Phase != r.Phase || g.rec.Generation != r.Generation || !g.seen {
-		g.began = c.now
+	if g.record.Phase != r.Phase || g.record.Generation != r.Generation || !g.isCurrent {
+		g.phaseStartedAt = c.now
 	}
 	if g.version != version {
-		g.changed = c.now
+		g.changedAt = c.now
 	}
-	g.rec, g.version, g.seen, g.stale = r, version, true, false
-	if g.mine != 0 && (r.Generation != g.mine || r.Holder != c.cfg.Me || r.Phase == Waiting || r.Phase.Ended()) {
+	g.record, g.version, g.isCurrent, g.needsRead = r, version, true, false
+	if g.ownGeneration != 0 && (r.Generation != g.ownGeneration || r.Owner != c.cfg.Self || r.Phase == Waiting || r.Phase.Ended()) {
 		c.abandon(name, g)
 	}
 }
@@ -76,10 +76,10 @@
 func (c *Core) abandon(name string, g *gang) {
 	for i, m := range g.members {
 		if !m.over() {
-			c.out = append(c.out, Action{Kind: Stop, Gang: name, Member: i, Generation: g.mine})
+			c.out = append(c.out, Action{Kind: Stop, Gang: name, Member: i, Generation: g.ownGeneration})
 		}
 	}
-	g.members, g.mine = nil, 0
+	g.members, g.ownGeneration = nil, 0
 }
 
 // Wrote takes in how a write ended.
@@ -91,7 +91,7 @@
 	}
 	switch o {
 	case Written:
-		c.took(name, g, version)
+		c.handleWritten(name, g, version)
 	case Conflict, Unknown:
 		if o == Conflict {
 			g.writing = nil
@@ -100,32 +100,32 @@
 	}
 }
 
-// took has a write of this dispatcher's be what holds, and does what follows from it.
-func (c *Core) took(name string, g *gang, version Version) {
+// handleWritten has a write of this dispatcher's be what holds, and does what follows from it.
+func (c *Core) handleWritten(name string, g *gang, version Version) {
 	w := *g.writing
 	g.writing = nil
 	c.adopt(name, g, version, w)
 	if w.Phase == Starting {
-		g.mine, g.members, g.savedAt = w.Generation, make([]member, len(w.Needs)), c.now
+		g.ownGeneration, g.members, g.checkpointAt = w.Generation, make([]member, len(w.Needs)), c.now
 		for i, runner := range w.Placement {
-			c.out = append(c.out, Action{Kind: Send, Gang: name, Member: i, Generation: w.Generation, Runner: runner, From: w.Checkpoint})
+			c.out = append(c.out, Action{Kind: Send, Gang: name, Member: i, Generation: w.Generation, Runner: runner, Checkpoint: w.Checkpoint})
 		}
 	}
 }
 
 // write goes one step of the table on, by a conditional write. change fills in what else is new.
 func (c *Core) write(name string, g *gang, why Cause, change func(r *Record)) {
-	r := g.rec
+	r := g.record
 	r.Needs, r.Placement = slices.Clone(r.Needs), slices.Clone(r.Placement)
-	r.Phase, r.Why, r.Holder = next(r.Phase, why), string(why), c.cfg.Me
+	r.Phase, r.Cause, r.Owner = next(r.Phase, why), string(why), c.cfg.Self
 	if change != nil {
 		change(&r)
 	}
 	if r.Phase == Waiting {
 		r.Placement = nil
 	}
-	c.marks++
-	r.Mark = fmt.Sprintf("%s/%d/%d", c.cfg.Me.Name, c.cfg.Me.Life, c.marks)
-	g.writing, g.asked = &r, c.now
-	c.out = append(c.out, Action{Kind: Write, Gang: name, Record: &r, If: g.version})
+	c.writes++
+	r.WriteID = fmt.Sprintf("%s/%d/%d", c.cfg.Self.Name, c.cfg.Self.Epoch, c.writes)
+	g.writing, g.requestedAt = &r, c.now
+	c.out = append(c.out, Action{Kind: Write, Gang: name, Record: &r, IfVersion: g.version})
 }
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -34,7 +34,7 @@
 	Done     Phase = "done"   // every member of one generation ended well
 )
 
-// Ended tells whether nothing follows.
+// AllEnded tells whether nothing follows.
 func (p Phase) Ended() bool { return p == Done }
 
 // Need is what one member asks of its runner.
@@ -45,23 +45,23 @@
 	// Work is how long it runs on a runner of speed 1.
 	Work time.Duration `json:"work_ns"`
 	// Saved is how many bytes its state takes.
-	Saved int64 `json:"saved_bytes"`
+	StateBytes int64 `json:"saved_bytes"`
 }
 
-// Save names one state of a whole gang: the parts are in the register under the generation and the number.
-type Save struct {
+// Checkpoint names one state of a whole gang: the parts are in the register under the generation and the number.
+type Checkpoint struct {
 	Generation uint64 `json:"generation"`
 	Number     int    `json:"number"`
 	// Share is how much of the gang's work it holds, 0 to 1.
-	Share float64 `json:"share"`
+	Progress float64 `json:"share"`
 	// Digests are of each member's part.
 	Digests []string `json:"digests"`
 }
 
-// Holder is a dispatcher that acts for a gang, in one life.
-type Holder struct {
-	Name string `json:"name"`
-	Life uint64 `json:"life"`
+// Owner is a dispatcher that acts for a gang, in one life.
+type Owner struct {
+	Name  string `json:"name"`
+	Epoch uint64 `json:"life"`
 }
 
 // Record is what the register holds of a gang. A submitter writes one in phase waiting, with Needs, Priority, Due and
@@ -73,26 +73,26 @@
 	Due       time.Time `json:"due"`
 	Submitted time.Time `json:"submitted"`
 
-	Phase      Phase     `json:"phase"`
-	Generation uint64    `json:"generation"`
-	Holder     Holder    `json:"holder"`
-	Placement  []string  `json:"placement,omitempty"` // runners, by member
-	Checkpoint *Save     `json:"checkpoint,omitempty"`
-	Before     *Save     `json:"before,omitempty"` // the checkpoint before, for when a part is damaged
-	Number     int       `json:"number"`           // of the save that is being written, or was last
-	Leave      bool      `json:"leave"`            // the save is to move the gang: it waits for a place after it
-	Tries      int       `json:"tries"`            // starts that failed since one went well
-	NotBefore  time.Time `json:"not_before"`       // no start before
-	Taken      int       `json:"taken"`            // times that it was taken over since a state of it was saved
-	Why        string    `json:"why,omitempty"`    // of the last step
+	Phase              Phase       `json:"phase"`
+	Generation         uint64      `json:"generation"`
+	Owner              Owner       `json:"holder"`
+	Placement          []string    `json:"placement,omitempty"` // runners, by member
+	Checkpoint         *Checkpoint `json:"checkpoint,omitempty"`
+	PreviousCheckpoint *Checkpoint `json:"before,omitempty"` // the checkpoint before, for when a part is damaged
+	SaveNumber         int         `json:"number"`           // of the save that is being written, or was last
+	Relocate           bool        `json:"leave"`            // the save is to move the gang: it waits for a place after it
+	FailedStarts       int         `json:"tries"`            // starts that failed since one went well
+	NotBefore          time.Time   `json:"not_before"`       // no start before
+	Takeovers          int         `json:"taken"`            // times that it was taken over since a state of it was saved
+	Cause              string      `json:"why,omitempty"`    // of the last step
 	// Mark is of the write that made this version: its writer's life and count.
-	Mark string `json:"mark"`
+	WriteID string `json:"mark"`
 }
 
 // The bounds on what is taken up.
 const (
-	LeastMembers = 2
-	MostMembers  = 64
+	MinMembers = 2
+	MaxMembers = 64
 )
 
 // RecordError is a record that no dispatcher can act on.
@@ -112,8 +112,8 @@
 	if r.Name == "" {
 		return bad("name", "is empty", "name it")
 	}
-	if n := len(r.Needs); n < LeastMembers || n > MostMembers {
-		return bad("needs", fmt.Sprintf("%d members", n), fmt.Sprintf("%d to %d are a gang", LeastMembers, MostMembers))
+	if n := len(r.Needs); n < MinMembers || n > MaxMembers {
+		return bad("needs", fmt.Sprintf("%d members", n), fmt.Sprintf("%d to %d are a gang", MinMembers, MaxMembers))
 	}
 	for i, n := range r.Needs {
 		field := fmt.Sprintf("needs[%d]", i)
@@ -124,8 +124,8 @@
 			return bad(field+".slots", fmt.Sprint(n.Slots), "give what it takes, over 0")
 		case n.Work <= 0:
 			return bad(field+".work_ns", n.Work.String(), "give how long it runs at speed 1")
-		case n.Saved < 0:
-			return bad(field+".saved_bytes", fmt.Sprint(n.Saved), "give 0 or more")
+		case n.StateBytes < 0:
+			return bad(field+".saved_bytes", fmt.Sprint(n.StateBytes), "give 0 or more")
 		}
 	}
 	if _, known := phases[r.Phase]; !known {
@@ -137,12 +137,12 @@
 	return nil
 }
 
-// share is how much of the work is saved.
-func (r *Record) share() float64 {
+// progress is how much of the work is saved.
+func (r *Record) progress() float64 {
 	if r.Checkpoint == nil {
 		return 0
 	}
-	return r.Checkpoint.Share
+	return r.Checkpoint.Progress
 }
 
 // work is the longest member's, at speed 1: all advance together.
@@ -153,10 +153,10 @@
 	return w
 }
 
-// saved is how many bytes a whole state takes.
-func (r *Record) saved() (n int64) {
+// stateBytes is how many bytes a whole state takes.
+func (r *Record) stateBytes() (n int64) {
 	for _, m := range r.Needs {
-		n += m.Saved
+		n += m.StateBytes
 	}
 	return n
 }
--- a/internal/dispatcher/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -22,7 +22,7 @@
 
 func record(name, mark string) *gang.Record {
 	need := gang.Need{Class: "c", Slots: 1, Work: time.Minute}
-	return &gang.Record{Name: name, Phase: gang.Waiting, Needs: []gang.Need{need, need}, Mark: mark}
+	return &gang.Record{Name: name, Phase: gang.Waiting, Needs: []gang.Need{need, need}, WriteID: mark}
 }
 
 func TestCalls(t *testing.T) {
@@ -39,7 +39,7 @@
 	r, got, err := c.Get(ctx, "g h")
 	require.NoError(t, err)
 	assert.Equal(t, v, got)
-	assert.Equal(t, "1", r.Mark)
+	assert.Equal(t, "1", r.WriteID)
 }
 
 // What is no answer to go by is an error of its type that names the call; a write that may have taken effect is unknown.
@@ -141,7 +141,7 @@
 			if err != nil && !isAbsent {
 				continue // it says nothing
 			}
-			out.version, out.mark = v, r.Mark
+			out.version, out.mark = v, r.WriteID
 		}
 		end := time.Since(h.began)
 		if in.put && out.outcome == gang.Unknown {
--- a/internal/dispatcher/gang/register/registertest/registertest.go
+++ b/internal/dispatcher/gang/register/registertest/registertest.go
@@ -31,7 +31,7 @@
 	mu      sync.Mutex
 	records map[string]Effect
 	saves   map[string][]string // digests by member
-	ledger  []Effect
+	log     []Effect
 	count   int
 }
 
@@ -40,11 +40,11 @@
 	return &Register{records: map[string]Effect{}, saves: map[string][]string{}}
 }
 
-// Ledger returns all writes of records that took effect, in order.
-func (g *Register) Ledger() []Effect {
+// Log returns all writes of records that took effect, in order.
+func (g *Register) Log() []Effect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Effect(nil), g.ledger...)
+	return append([]Effect(nil), g.log...)
 }
 
 // ServeHTTP answers a call as a register does, but for what Fault does to it.
@@ -56,7 +56,7 @@
 	if g.Fault != nil && g.Fault(r, false) {
 		panic(http.ErrAbortHandler)
 	}
-	status, header, answer := g.do(r, body)
+	status, header, answer := g.handle(r, body)
 	if g.Fault != nil && g.Fault(r, true) {
 		panic(http.ErrAbortHandler) // it took effect, and nobody hears of it
 	}
@@ -71,7 +71,7 @@
 
 func etag(version int) string { return fmt.Sprintf("%q", strconv.Itoa(version)) }
 
-func (g *Register) do(r *http.Request, body []byte) (int, map[string]string, any) {
+func (g *Register) handle(r *http.Request, body []byte) (int, map[string]string, any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	parts := strings.Split(strings.TrimPrefix(r.URL.Path, "/gangs"), "/")
@@ -93,7 +93,7 @@
 	case len(parts) == 4 && r.Method == http.MethodGet:
 		return http.StatusOK, nil, map[string]any{"parts": g.saves[parts[1]+"/"+parts[3]]}
 	case len(parts) == 5 && r.Method == http.MethodPut:
-		return g.save(r, parts, body)
+		return g.putPart(r, parts, body)
 	}
 	return http.StatusMethodNotAllowed, nil, nil
 }
@@ -113,7 +113,7 @@
 	}
 	g.count++
 	e = Effect{name, g.count, rec}
-	g.records[name], g.ledger = e, append(g.ledger, e)
+	g.records[name], g.log = e, append(g.log, e)
 	return http.StatusOK, map[string]string{"ETag": etag(e.Version)}, nil
 }
 
@@ -123,7 +123,7 @@
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 }
 
-func (g *Register) save(r *http.Request, parts []string, body []byte) (int, map[string]string, any) {
+func (g *Register) putPart(r *http.Request, parts []string, body []byte) (int, map[string]string, any) {
 	e, there := g.records[parts[1]]
 	member, err := strconv.Atoi(parts[4])
 	if !there || err != nil || member < 0 || member >= len(e.Record.Needs) || r.Header.Get("If-None-Match") != "*" {
--- a/internal/dispatcher/gang/table.go
+++ b/internal/dispatcher/gang/table.go
@@ -7,16 +7,16 @@
 
 // The causes.
 const (
-	Placed     Cause = "placed"             // there is room for all members
-	AllStarted Cause = "all started"        // every member said so
-	Lost       Cause = "a member was lost"  // it failed, its runner died, or it never started
-	Orphaned   Cause = "its holder is gone" // and with it the members' connections
-	SaveDue    Cause = "a save is due"
-	Saved      Cause = "saved"                // every part is in the register and whole
-	SavedLeave Cause = "saved, to be moved"   // the same, before a retirement
-	SaveFailed Cause = "the save never ended" // the checkpoint before stays
-	Damaged    Cause = "a part is damaged"    // the checkpoint before is used
-	Ended      Cause = "every member ended well"
+	Placed               Cause = "placed"             // there is room for all members
+	AllStarted           Cause = "all started"        // every member said so
+	Lost                 Cause = "a member was lost"  // it failed, its runner died, or it never started
+	OwnerGone            Cause = "its holder is gone" // and with it the members' connections
+	SaveDue              Cause = "a save is due"
+	SaveComplete         Cause = "saved"                // every part is in the register and whole
+	SaveCompleteRelocate Cause = "saved, to be moved"   // the same, before a retirement
+	SaveFailed           Cause = "the save never ended" // the checkpoint before stays
+	PartDamaged          Cause = "a part is damaged"    // the checkpoint before is used
+	AllEnded             Cause = "every member ended well"
 )
 
 // Step is one transition.
@@ -31,18 +31,18 @@
 	{Waiting, Placed, Starting},
 	{Starting, AllStarted, Running},
 	{Starting, Lost, Waiting},
-	{Starting, Orphaned, Waiting},
-	{Starting, Damaged, Waiting},
-	{Running, Ended, Done},
+	{Starting, OwnerGone, Waiting},
+	{Starting, PartDamaged, Waiting},
+	{Running, AllEnded, Done},
 	{Running, SaveDue, Saving},
 	{Running, Lost, Waiting},
-	{Running, Orphaned, Waiting},
-	{Saving, Saved, Running},
-	{Saving, SavedLeave, Waiting},
+	{Running, OwnerGone, Waiting},
+	{Saving, SaveComplete, Running},
+	{Saving, SaveCompleteRelocate, Waiting},
 	{Saving, SaveFailed, Running},
-	{Saving, Ended, Done},
+	{Saving, AllEnded, Done},
 	{Saving, Lost, Waiting},
-	{Saving, Orphaned, Waiting},
+	{Saving, OwnerGone, Waiting},
 }
 
 var phases = map[Phase]bool{Waiting: true, Starting: true, Running: true, Saving: true, Done: true}
--- a/internal/dispatcher/gang/virtual/register.go
+++ b/internal/dispatcher/gang/virtual/register.go
@@ -8,14 +8,14 @@
 
 // register is the store that the gangs' records and states are in, with a bandwidth of its own.
 type register struct {
-	entries  map[string]*entry
-	saves    map[saveKey][]part
-	uploads  []*upload
-	rate     float64 // bytes a second
-	count    int
-	Bytes    float64 // of states taken
-	Writes   int     // of records
-	afterEnd string
+	entries         map[string]*entry
+	saves           map[saveKey][]part
+	uploads         []*upload
+	rate            float64 // bytes a second
+	lastVersion     int
+	Bytes           float64 // of states taken
+	Writes          int     // of records
+	changedAfterEnd string
 }
 
 type entry struct {
@@ -58,17 +58,17 @@
 	if r.version(rec.Name) != if_ {
 		return gang.Conflict, ""
 	}
-	r.count++
+	r.lastVersion++
 	r.Writes++
 	if e := r.entries[rec.Name]; e != nil && e.rec.Phase == gang.Done {
-		r.afterEnd = rec.Name
+		r.changedAfterEnd = rec.Name
 	}
-	r.entries[rec.Name] = &entry{r.count, rec}
+	r.entries[rec.Name] = &entry{r.lastVersion, rec}
 	return gang.Written, r.version(rec.Name)
 }
 
-// digests are those of the parts that are there of a save.
-func (r *register) digests(k saveKey, members int) []string {
+// partDigests are those of the parts that are there of a save.
+func (r *register) partDigests(k saveKey, members int) []string {
 	out := make([]string, members)
 	for i, p := range r.saves[k] {
 		out[i] = p.digest
@@ -80,13 +80,13 @@
 func (r *register) step(dt float64, damage func() bool) {
 	active := 0
 	for _, u := range r.uploads {
-		if !u.stuck && !u.job.over {
+		if !u.stuck && !u.job.ended {
 			active++
 		}
 	}
 	rest := r.uploads[:0]
 	for _, u := range r.uploads {
-		if u.job.over { // cut short: a part that is not whole is not taken
+		if u.job.ended { // cut short: a part that is not whole is not taken
 			continue
 		}
 		if !u.stuck {
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -36,11 +36,11 @@
 
 // Dispatcher is a dispatcher's place; its process comes and goes.
 type Dispatcher struct {
-	Name    string
-	Core    *gang.Core
-	life    uint64
-	Stopped bool // as by SIGSTOP
-	CutOff  bool // from the register
+	Name        string
+	Core        *gang.Core
+	epoch       uint64
+	Stopped     bool // as by SIGSTOP
+	Partitioned bool // from the register
 	// Sees tells whom it holds living; nil: those that are.
 	Sees   func(other *Dispatcher) bool
 	polled time.Time
@@ -48,25 +48,25 @@
 
 // job is a member at a runner.
 type job struct {
-	gang       string
-	generation uint64
-	member     int
-	runner     *Runner
-	owner      *Dispatcher
-	life       uint64 // of its owner: the connection ends with it
-	begins     time.Time
-	from       *gang.Save
-	began      bool
-	over       bool
-	told       bool // that it finished
-	beat       time.Time
+	gang          string
+	generation    uint64
+	member        int
+	runner        *Runner
+	owner         *Dispatcher
+	ownerEpoch    uint64 // of its owner: the connection ends with it
+	startsAt      time.Time
+	checkpoint    *gang.Checkpoint
+	started       bool
+	ended         bool
+	reported      bool // that it finished
+	nextHeartbeat time.Time
 }
 
 // run is one generation of a gang, in truth.
 type run struct {
-	share, base float64
-	members     []*job
-	saved       int // number of the save that its members last began
+	progress, startProgress float64
+	members                 []*job
+	saveNumber              int // number of the save that its members last began
 }
 
 // World is a fleet with its register and runners.
@@ -78,24 +78,24 @@
 	// Lose tells whether the next answer of the register gets lost; Damage whether the next part is damaged, and Hang whether it
 	// never ends. nil: no.
 	Lose, Damage, Hang func() bool
-	Silent             bool // the register answers nobody
+	Unresponsive       bool // the register answers nobody
 	// Steps counts the records' steps that took effect.
 	Steps map[gang.Step]int
 
-	opt    Options
-	rng    *rand.Rand
-	reg    *register
-	runs   map[string]*run // by gang and generation
-	later  []call
-	first  map[string]time.Time // first submitted
-	ended  map[string]time.Time
-	still  map[string]time.Duration // stood still after its first start
-	LostWS float64                  // runner-seconds of work that was done and is in no state
-	wrong  string
+	opt         Options
+	rng         *rand.Rand
+	reg         *register
+	runs        map[string]*run // by gang and generation
+	pending     []call
+	submittedAt map[string]time.Time // first submitted
+	endedAt     map[string]time.Time
+	stalled     map[string]time.Duration // stood still after its first start
+	LostWork    float64                  // runner-seconds of work that was done and is in no state
+	violation   string
 }
 
-// beatEvery is how often a member tells of its progress.
-const beatEvery = 2 * time.Second
+// heartbeatInterval is how often a member tells of its progress.
+const heartbeatInterval = 2 * time.Second
 
 // call is something on its way.
 type call struct {
@@ -106,7 +106,7 @@
 // New returns a world without dispatchers and runners, at a moment.
 func New(now time.Time, opt Options) *World {
 	return &World{Now: now, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 3)), reg: newRegister(opt.Config.Bandwidth),
-		runs: map[string]*run{}, first: map[string]time.Time{}, ended: map[string]time.Time{}, still: map[string]time.Duration{},
+		runs: map[string]*run{}, submittedAt: map[string]time.Time{}, endedAt: map[string]time.Time{}, stalled: map[string]time.Duration{},
 		Steps: map[gang.Step]int{}}
 }
 
@@ -120,8 +120,8 @@
 // Start begins a process at d's place.
 func (w *World) Start(d *Dispatcher) error {
 	cfg := w.opt.Config
-	d.life++
-	cfg.Me = gang.Holder{Name: d.Name, Life: d.life}
+	d.epoch++
+	cfg.Self = gang.Owner{Name: d.Name, Epoch: d.epoch}
 	c, err := gang.New(cfg)
 	d.Core, d.polled, d.Stopped = c, w.Now.Add(-time.Duration(w.rng.Int64N(int64(w.opt.Poll)))), false
 	return err
@@ -133,7 +133,7 @@
 // Submit writes a gang's record, as a submitter does.
 func (w *World) Submit(r gang.Record) {
 	r.Phase, r.Submitted = gang.Waiting, w.Now
-	w.first[r.Name] = w.Now
+	w.submittedAt[r.Name] = w.Now
 	w.reg.put(r, w.reg.version(r.Name))
 }
 
@@ -142,7 +142,7 @@
 
 // Gangs returns the names of all gangs submitted.
 func (w *World) Gangs() (names []string) {
-	for n := range w.first {
+	for n := range w.submittedAt {
 		names = append(names, n)
 	}
 	slices.Sort(names)
@@ -150,10 +150,10 @@
 }
 
 // Ended returns when a gang was done; ok is false while it is not.
-func (w *World) Ended(name string) (at time.Time, ok bool) { at, ok = w.ended[name]; return at, ok }
+func (w *World) Ended(name string) (at time.Time, ok bool) { at, ok = w.endedAt[name]; return at, ok }
 
-// Still returns how long a gang stood still between its first start and its end.
-func (w *World) Still(name string) time.Duration { return w.still[name] }
+// Stalled returns how long a gang stood still between its first start and its end.
+func (w *World) Stalled(name string) time.Duration { return w.stalled[name] }
 
 // Bytes returns what the register took of states, and Writes how often a record was written.
 func (w *World) Bytes() float64 { return w.reg.Bytes }
@@ -161,12 +161,12 @@
 // Writes returns how often a record was written.
 func (w *World) Writes() int { return w.reg.Writes }
 
-// Broken says what of the promises was broken, if anything.
-func (w *World) Broken() string {
-	if w.reg.afterEnd != "" {
-		return w.reg.afterEnd + " was changed after it was done"
+// Violation says what of the promises was broken, if anything.
+func (w *World) Violation() string {
+	if w.reg.changedAfterEnd != "" {
+		return w.reg.changedAfterEnd + " was changed after it was done"
 	}
-	return w.wrong
+	return w.violation
 }
 
 // For lets time pass.
@@ -189,11 +189,11 @@
 
 func (w *World) step() {
 	w.Now = w.Now.Add(w.opt.Step)
-	due := w.later
-	w.later = nil
+	due := w.pending
+	w.pending = nil
 	for _, c := range due {
 		if c.at.After(w.Now) {
-			w.later = append(w.later, c)
+			w.pending = append(w.pending, c)
 		} else {
 			c.do()
 		}
@@ -203,22 +203,22 @@
 			r.Up = false
 		}
 	}
-	w.work()
+	w.runMembers()
 	w.reg.step(w.opt.Step.Seconds(), func() bool { return w.Damage != nil && w.Damage() })
 	for _, d := range w.Dispatchers {
 		if d.Core != nil && !d.Stopped {
-			w.drive(d)
+			w.runDispatcher(d)
 		}
 	}
 }
 
-// drive has a dispatcher look round and do what it decides.
-func (w *World) drive(d *Dispatcher) {
+// runDispatcher has a dispatcher look round and do what it decides.
+func (w *World) runDispatcher(d *Dispatcher) {
 	if w.Now.Sub(d.polled) >= w.opt.Poll {
-		d.Core.Fleet(w.Now, w.living(d), true)
+		d.Core.Fleet(w.Now, w.livingOwners(d), true)
 		d.polled = w.Now
-		d.Core.Runners(w.Now, w.known())
-		w.ask(d, func() func() {
+		d.Core.Runners(w.Now, w.knownRunners())
+		w.request(d, func() func() {
 			versions := map[string]gang.Version{}
 			for n := range w.reg.entries {
 				versions[n] = w.reg.version(n)
@@ -227,21 +227,21 @@
 		}, nil)
 		d.Core.Tick(w.Now)
 	}
-	w.carry(d)
+	w.apply(d)
 }
 
-// living returns the dispatchers that d's view has as living.
-func (w *World) living(d *Dispatcher) (living []gang.Holder) {
+// livingOwners returns the dispatchers that d's view has as living.
+func (w *World) livingOwners(d *Dispatcher) (living []gang.Owner) {
 	for _, o := range w.Dispatchers {
 		if o == d || o.Core != nil && (d.Sees == nil && !o.Stopped || d.Sees != nil && d.Sees(o)) {
-			living = append(living, gang.Holder{Name: o.Name, Life: o.life})
+			living = append(living, gang.Owner{Name: o.Name, Epoch: o.epoch})
 		}
 	}
 	return living
 }
 
-// known returns the runners that are up, with the retirements that are announced by now.
-func (w *World) known() (runners []gang.Runner) {
+// knownRunners returns the runners that are up, with the retirements that are announced by now.
+func (w *World) knownRunners() (runners []gang.Runner) {
 	for _, r := range w.Runners {
 		if !r.Up {
 			continue
@@ -255,23 +255,23 @@
 	return runners
 }
 
-// ask calls the register: what happens there returns what the answer does. lost is for an answer that never comes.
-func (w *World) ask(d *Dispatcher, there func() func(), lost func()) {
-	life := d.life
+// request calls the register: what happens there returns what the answer does. lost is for an answer that never comes.
+func (w *World) request(d *Dispatcher, there func() func(), lost func()) {
+	life := d.epoch
 	back := func(f func()) {
 		w.after(w.opt.Latency/2, func() {
-			if f != nil && d.Core != nil && d.life == life {
+			if f != nil && d.Core != nil && d.epoch == life {
 				if d.Stopped { // it reads it when it goes on
-					w.after(w.opt.Step, func() { w.ask(d, func() func() { return f }, nil) })
+					w.after(w.opt.Step, func() { w.request(d, func() func() { return f }, nil) })
 					return
 				}
 				f()
-				w.carry(d)
+				w.apply(d)
 			}
 		})
 	}
 	w.after(w.opt.Latency/2, func() {
-		if w.Silent || d.CutOff {
+		if w.Unresponsive || d.Partitioned {
 			back(lost)
 			return
 		}
@@ -283,10 +283,12 @@
 	})
 }
 
-func (w *World) after(d time.Duration, do func()) { w.later = append(w.later, call{w.Now.Add(d), do}) }
+func (w *World) after(d time.Duration, do func()) {
+	w.pending = append(w.pending, call{w.Now.Add(d), do})
+}
 
-// carry carries out what a core decided.
-func (w *World) carry(d *Dispatcher) {
+// apply carries out what a core decided.
+func (w *World) apply(d *Dispatcher) {
 	if d.Core == nil || d.Stopped {
 		return
 	}
@@ -295,7 +297,7 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case gang.Read:
-			w.ask(d, func() func() {
+			w.request(d, func() func() {
 				e := w.reg.entries[a.Gang]
 				if e == nil {
 					return nil
@@ -305,28 +307,28 @@
 			}, nil)
 		case gang.Write:
 			rec := *a.Record
-			w.ask(d, func() func() {
-				o, version := w.write(rec, a.If)
+			w.request(d, func() func() {
+				o, version := w.write(rec, a.IfVersion)
 				return func() { d.Core.Wrote(w.Now, a.Gang, o, version) }
 			}, func() { d.Core.Wrote(w.Now, a.Gang, gang.Unknown, "") })
 		case gang.Send:
-			w.start(d, a)
+			w.assignMember(d, a)
 		case gang.Stop:
 			for _, j := range w.jobs(a.Gang, a.Generation) {
 				if j.member == a.Member && j.owner == d {
-					j.over = true
+					j.ended = true
 				}
 			}
-		case gang.Look:
-			w.ask(d, func() func() {
-				found := w.reg.digests(saveKey{a.Gang, a.Generation, a.Number}, len(w.Record(a.Gang).Needs))
-				return func() { d.Core.Parts(w.Now, a.Gang, a.Generation, a.Number, found) }
+		case gang.ListParts:
+			w.request(d, func() func() {
+				found := w.reg.partDigests(saveKey{a.Gang, a.Generation, a.SaveNumber}, len(w.Record(a.Gang).Needs))
+				return func() { d.Core.Parts(w.Now, a.Gang, a.Generation, a.SaveNumber, found) }
 			}, nil)
 		}
 	}
 }
 
-func key(name string, generation uint64) string { return fmt.Sprint(name, "/", generation) }
+func runKey(name string, generation uint64) string { return fmt.Sprint(name, "/", generation) }
 
 // write has the register take a record, and checks what is promised of it.
 func (w *World) write(rec gang.Record, if_ gang.Version) (gang.Outcome, gang.Version) {
@@ -335,31 +337,31 @@
 	if o != gang.Written {
 		return o, version
 	}
-	w.Steps[gang.Step{From: before.Phase, Cause: gang.Cause(rec.Why), To: rec.Phase}]++
-	r := w.runs[key(rec.Name, rec.Generation)]
+	w.Steps[gang.Step{From: before.Phase, Cause: gang.Cause(rec.Cause), To: rec.Phase}]++
+	r := w.runs[runKey(rec.Name, rec.Generation)]
 	switch {
 	case rec.Generation < before.Generation:
-		w.wrong = fmt.Sprintf("%s went back from generation %d to %d", rec.Name, before.Generation, rec.Generation)
+		w.violation = fmt.Sprintf("%s went back from generation %d to %d", rec.Name, before.Generation, rec.Generation)
 	case rec.Phase == gang.Done:
-		w.ended[rec.Name] = w.Now
-		if r == nil || r.share < 1 {
-			w.wrong = fmt.Sprintf("%s is done, but its generation %d did not do all of the work", rec.Name, rec.Generation)
+		w.endedAt[rec.Name] = w.Now
+		if r == nil || r.progress < 1 {
+			w.violation = fmt.Sprintf("%s is done, but its generation %d did not do all of the work", rec.Name, rec.Generation)
 		}
 	}
-	if c := rec.Checkpoint; c != nil && !same(c, before.Checkpoint) && !same(c, before.Before) {
-		if slices.Contains(w.reg.digests(saveKey{rec.Name, c.Generation, c.Number}, len(rec.Needs)), "") {
-			w.wrong = fmt.Sprintf("%s has a checkpoint of which parts are missing", rec.Name)
+	if c := rec.Checkpoint; c != nil && !isSameCheckpoint(c, before.Checkpoint) && !isSameCheckpoint(c, before.PreviousCheckpoint) {
+		if slices.Contains(w.reg.partDigests(saveKey{rec.Name, c.Generation, c.Number}, len(rec.Needs)), "") {
+			w.violation = fmt.Sprintf("%s has a checkpoint of which parts are missing", rec.Name)
 		}
-		if r != nil && c.Share > r.share+0.05 {
-			w.wrong = fmt.Sprintf("%s has a checkpoint of %.2f, but %.2f was done", rec.Name, c.Share, r.share)
+		if r != nil && c.Progress > r.progress+0.05 {
+			w.violation = fmt.Sprintf("%s has a checkpoint of %.2f, but %.2f was done", rec.Name, c.Progress, r.progress)
 		}
 	}
 	if before.Phase != gang.Waiting && rec.Phase == gang.Waiting && r != nil { // what it did since its state is lost
-		kept := r.base
+		kept := r.startProgress
 		if c := rec.Checkpoint; c != nil {
-			kept = c.Share
+			kept = c.Progress
 		}
-		w.LostWS += max(0, r.share-kept) * work(rec) * float64(len(rec.Needs))
+		w.LostWork += max(0, r.progress-kept) * workSeconds(rec) * float64(len(rec.Needs))
 	}
 	return o, version
 }
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -11,81 +11,81 @@
 )
 
 func (w *World) jobs(name string, generation uint64) []*job {
-	if r := w.runs[key(name, generation)]; r != nil {
+	if r := w.runs[runKey(name, generation)]; r != nil {
 		return r.members
 	}
 	return nil
 }
 
-func same(a, b *gang.Save) bool {
+func isSameCheckpoint(a, b *gang.Checkpoint) bool {
 	return b != nil && a.Generation == b.Generation && a.Number == b.Number
 }
 
-func work(r gang.Record) (s float64) {
+func workSeconds(r gang.Record) (s float64) {
 	for _, n := range r.Needs {
 		s = max(s, n.Work.Seconds())
 	}
 	return s
 }
 
-// start has a member come to its runner.
-func (w *World) start(d *Dispatcher, a gang.Action) {
-	k := key(a.Gang, a.Generation)
+// assignMember has a member come to its runner.
+func (w *World) assignMember(d *Dispatcher, a gang.Action) {
+	k := runKey(a.Gang, a.Generation)
 	if w.runs[k] == nil {
 		r := &run{}
-		if a.From != nil {
-			r.share, r.base = a.From.Share, a.From.Share
+		if a.Checkpoint != nil {
+			r.progress, r.startProgress = a.Checkpoint.Progress, a.Checkpoint.Progress
 		}
 		w.runs[k] = r
 	}
 	i := slices.IndexFunc(w.Runners, func(r *Runner) bool { return r.Name == a.Runner })
 	r := w.Runners[i]
-	j := &job{gang: a.Gang, generation: a.Generation, member: a.Member, runner: r, owner: d, life: d.life, from: a.From,
-		begins: w.Now.Add(w.opt.Start)}
+	j := &job{gang: a.Gang, generation: a.Generation, member: a.Member, runner: r, owner: d, ownerEpoch: d.epoch, checkpoint: a.Checkpoint,
+		startsAt: w.Now.Add(w.opt.Start)}
 	need, used := w.Record(a.Gang).Needs[a.Member].Slots, 0.0
-	for _, other := range w.all() {
-		if other.runner == r && !other.over {
+	for _, other := range w.allJobs() {
+		if other.runner == r && !other.ended {
 			used += w.Record(other.gang).Needs[other.member].Slots
 		}
 	}
 	if w.runs[k].members = append(w.runs[k].members, j); !r.Up || used+need > r.Slots+1e-9 {
-		j.over = true
-		w.tell(j, gang.Broke)
+		j.ended = true
+		w.report(j, gang.Failed)
 	}
 }
 
-func (w *World) all() (out []*job) {
+func (w *World) allJobs() (out []*job) {
 	for _, k := range slices.Sorted(maps.Keys(w.runs)) {
 		out = append(out, w.runs[k].members...)
 	}
 	return out
 }
 
-// tell brings news of a member to its dispatcher, if that still has the connection.
-func (w *World) tell(j *job, n gang.News) {
+// report brings news of a member to its dispatcher, if that still has the connection.
+func (w *World) report(j *job, n gang.Event) {
 	late := w.opt.Latency / 2
 	if w.opt.Jitter > 0 {
 		late += time.Duration(w.rng.Int64N(int64(w.opt.Jitter)))
 	}
 	w.after(late, func() {
-		if d := j.owner; d.Core != nil && d.life == j.life {
+		if d := j.owner; d.Core != nil && d.epoch == j.ownerEpoch {
 			if d.Stopped {
-				w.tell(j, n)
+				w.report(j, n)
 				return
 			}
 			d.Core.Member(w.Now, j.gang, j.generation, j.member, n)
-			w.carry(d)
+			w.apply(d)
 		}
 	})
 }
 
-// work lets members start, advance, save and end.
-func (w *World) work() {
+// workSeconds lets members start, advance, save and end.
+func (w *World) runMembers() {
 	for _, k := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[k]
 		rec, generation := w.Record(r.members[0].gang), r.members[0].generation
-		advances, speed := w.members(r, len(rec.Needs))
-		if !slices.ContainsFunc(r.members, func(j *job) bool { return !j.over }) {
+		advances, speed := w.stepRun(r, len(rec.Needs))
+		if !slices.ContainsFunc(r.members, func(j *job) bool { return !j.ended }) {
 			if rec.Generation != generation || rec.Phase == gang.Done {
 				delete(w.runs, k)
 			}
@@ -93,59 +93,59 @@
 		}
 		saving := rec.Phase == gang.Saving && rec.Generation == generation
 		switch {
-		case advances && saving && r.saved != rec.Number && !w.Silent:
-			w.upload(r, rec)
+		case advances && saving && r.saveNumber != rec.SaveNumber && !w.Unresponsive:
+			w.startUploads(r, rec)
 		case advances && !saving:
-			r.share = min(1, r.share+speed*w.opt.Step.Seconds()/work(rec))
+			r.progress = min(1, r.progress+speed*w.opt.Step.Seconds()/workSeconds(rec))
 		}
-		if advances && r.share >= 1 {
+		if advances && r.progress >= 1 {
 			w.finish(r)
 		}
 	}
-	for name := range w.first {
+	for name := range w.submittedAt {
 		rec := w.Record(name)
 		if rec.Generation > 0 && rec.Phase != gang.Done && rec.Phase != gang.Running {
-			w.still[name] += w.opt.Step
+			w.stalled[name] += w.opt.Step
 		}
 	}
 }
 
-// members takes each member of a run a step on. advances reports whether all n members run, and speed is the slowest one's.
-func (w *World) members(r *run, n int) (advances bool, speed float64) {
+// stepRun takes each member of a run a step on. advances reports whether all n members run, and speed is the slowest one's.
+func (w *World) stepRun(r *run, n int) (advances bool, speed float64) {
 	advances, speed = len(r.members) == n, 1e9
 	for _, j := range r.members {
-		w.member(j)
-		advances, speed = advances && j.began && !j.over, min(speed, j.runner.Speed)
+		w.stepMember(j)
+		advances, speed = advances && j.started && !j.ended, min(speed, j.runner.Speed)
 	}
 	return advances, speed
 }
 
-// member takes a member a step on: it ends with its runner or its owner, starts, or sends a heartbeat.
-func (w *World) member(j *job) {
-	if !j.over && !j.runner.Up {
-		if j.over = true; !j.runner.Mute {
-			w.tell(j, gang.Broke)
+// stepMember takes a member a step on: it ends with its runner or its owner, starts, or sends a heartbeat.
+func (w *World) stepMember(j *job) {
+	if !j.ended && !j.runner.Up {
+		if j.ended = true; !j.runner.Mute {
+			w.report(j, gang.Failed)
 		}
 	}
-	if d := j.owner; !j.over && (d.Core == nil || d.life != j.life) { // its connection is closed
-		j.over = true
+	if d := j.owner; !j.ended && (d.Core == nil || d.epoch != j.ownerEpoch) { // its connection is closed
+		j.ended = true
 	}
-	if !j.over && !j.began && !w.Now.Before(j.begins) {
-		w.begin(j)
+	if !j.ended && !j.started && !w.Now.Before(j.startsAt) {
+		w.startMember(j)
 	}
-	if j.began && !j.over && !w.Now.Before(j.beat) {
-		j.beat = w.Now.Add(beatEvery)
-		w.tell(j, gang.Goes)
+	if j.started && !j.ended && !w.Now.Before(j.nextHeartbeat) {
+		j.nextHeartbeat = w.Now.Add(heartbeatInterval)
+		w.report(j, gang.Progressed)
 	}
 }
 
-// upload has the members of a run begin to write the parts of the save that its record asks for.
-func (w *World) upload(r *run, rec gang.Record) {
-	r.saved = rec.Number
-	sk := saveKey{rec.Name, rec.Generation, rec.Number}
+// startUploads has the members of a run begin to write the parts of the save that its record asks for.
+func (w *World) startUploads(r *run, rec gang.Record) {
+	r.saveNumber = rec.SaveNumber
+	sk := saveKey{rec.Name, rec.Generation, rec.SaveNumber}
 	w.reg.saves[sk] = make([]part, len(rec.Needs))
 	for i, j := range r.members {
-		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.member, left: float64(rec.Needs[i].Saved), job: j,
+		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.member, left: float64(rec.Needs[i].StateBytes), job: j,
 			stuck: w.Hang != nil && w.Hang()})
 	}
 }
@@ -153,29 +153,29 @@
 // finish ends the members of a run whose work is done.
 func (w *World) finish(r *run) {
 	for _, j := range r.members {
-		if !j.told {
-			j.told, j.over = true, true
-			w.tell(j, gang.Finished)
+		if !j.reported {
+			j.reported, j.ended = true, true
+			w.report(j, gang.Finished)
 		}
 	}
 }
 
-// begin has a member say that it started, from its part of the state if there is one.
-func (w *World) begin(j *job) {
+// startMember has a member say that it started, from its part of the state if there is one.
+func (w *World) startMember(j *job) {
 	if j.runner.FailStarts > 0 {
 		j.runner.FailStarts--
-		j.over = true
-		w.tell(j, gang.Broke)
+		j.ended = true
+		w.report(j, gang.Failed)
 		return
 	}
-	if j.from != nil {
-		parts := w.reg.saves[saveKey{j.gang, j.from.Generation, j.from.Number}]
+	if j.checkpoint != nil {
+		parts := w.reg.saves[saveKey{j.gang, j.checkpoint.Generation, j.checkpoint.Number}]
 		if j.member >= len(parts) || parts[j.member].damaged {
-			j.over = true
-			w.tell(j, gang.BadPart)
+			j.ended = true
+			w.report(j, gang.DamagedPart)
 			return
 		}
 	}
-	j.began = true
-	w.tell(j, gang.Began)
+	j.started = true
+	w.report(j, gang.Began)
 }
--- a/test/stories/gangs_test.go
+++ b/test/stories/gangs_test.go
@@ -21,8 +21,8 @@
 func gangSteps(sc *godog.ScenarioContext, base *story) {
 	s := &gangStory{story: base}
 	sc.After(func(ctx context.Context, _ *godog.Scenario, err error) (context.Context, error) {
-		if s.w != nil && s.w.Broken() != "" {
-			return ctx, fmt.Errorf("%s", s.w.Broken())
+		if s.w != nil && s.w.Violation() != "" {
+			return ctx, fmt.Errorf("%s", s.w.Violation())
 		}
 		return ctx, err
 	})
@@ -102,9 +102,9 @@
 // registerSteps break the register.
 func (s *gangStory) registerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the register is silent for (\d+) seconds$`, func(n int) {
-		s.w.Silent = true
+		s.w.Unresponsive = true
 		s.w.For(time.Duration(n) * time.Second)
-		s.w.Silent = false
+		s.w.Unresponsive = false
 	})
 	sc.Step(`^saves never end$`, func() { s.hang = true })
 	sc.Step(`^saves end again$`, func() { s.hang = false })
@@ -122,8 +122,8 @@
 		return nil
 	})
 	sc.Step(`^at most (\d+) runner-seconds of work were lost$`, func(n int) error {
-		if s.w.LostWS > float64(n) {
-			return fmt.Errorf("%.0f were", s.w.LostWS)
+		if s.w.LostWork > float64(n) {
+			return fmt.Errorf("%.0f were", s.w.LostWork)
 		}
 		return nil
 	})
@@ -132,10 +132,10 @@
 
 func (s *gangStory) begin(dispatchers, runners, slots int) error {
 	s.w = virtual.New(time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC), virtual.Options{Seed: s.seed, Step: 250 * time.Millisecond, Poll: time.Second,
-		Latency: 100 * time.Millisecond, Start: 2 * time.Second, Jitter: 500 * time.Millisecond, Config: gang.Config{Start: 10 * time.Second,
-			Silence: 10 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveLimit: 30 * time.Second, Backoff: 2 * time.Second,
-			BackoffMost: 20 * time.Second, Every: 45 * time.Second, Starve: 5 * time.Minute, AgeStep: 5 * time.Minute, Apart: 0.1,
-			MostGangs: 100, MostMoves: 20}})
+		Latency: 100 * time.Millisecond, Start: 2 * time.Second, Jitter: 500 * time.Millisecond, Config: gang.Config{StartTimeout: 10 * time.Second,
+			MemberTimeout: 10 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveTimeout: 30 * time.Second, Backoff: 2 * time.Second,
+			MaxBackoff: 20 * time.Second, CheckpointInterval: 45 * time.Second, StarvationTimeout: 5 * time.Minute, AgeStep: 5 * time.Minute, ZonePenalty: 0.1,
+			MaxGangs: 100, MaxMoves: 20}})
 	s.w.Hang = func() bool { return s.hang }
 	for i := range runners {
 		s.w.Runners = append(s.w.Runners, &virtual.Runner{Name: fmt.Sprint("r", i), Zone: string(rune('a' + i%2)), Speed: 1, Slots: float64(slots), Up: true})
@@ -151,7 +151,7 @@
 func (s *gangStory) submit(name string, members, minutes int) {
 	r := gang.Record{Name: name, Due: s.w.Now.Add(time.Hour)}
 	for range members {
-		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: time.Duration(minutes) * time.Minute, Saved: 10e6})
+		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: time.Duration(minutes) * time.Minute, StateBytes: 10e6})
 	}
 	s.w.Submit(r)
 }
@@ -172,7 +172,7 @@
 
 func (s *gangStory) holder(name string) *virtual.Dispatcher {
 	for _, d := range s.w.Dispatchers {
-		if d.Name == s.w.Record(name).Holder.Name {
+		if d.Name == s.w.Record(name).Owner.Name {
 			return d
 		}
 	}
