--- a/internal/cluster/transport/handle.go
+++ b/internal/cluster/transport/handle.go
@@ -65,14 +65,16 @@
 			call.reply(nil, failure.Newf(failure.Unavailable, "%d calls are being handled", s.options.MaxHandlers))
 			return nil
 		}
-		go runHandler(s, call, request, f)
+		go runHandler(s.ctx, s, call, request, f)
 		return nil
 	}})
 }
 
-func runHandler[Req, Resp any](s *Server, call *pendingCall, request *Req, f func(context.Context, string, *Req) (*Resp, error)) {
+// runHandler responds to a call with what f returns. ctx is the server's; the call's own ends with its caller's deadline.
+func runHandler[Req, Resp any](
+	ctx context.Context, s *Server, call *pendingCall, request *Req, f func(context.Context, string, *Req) (*Resp, error),
+) {
 	defer s.runningHandlers.Add(-1)
-	ctx := s.ctx
 	if call.remainingMs > 0 {
 		var cancel context.CancelFunc
 		remaining := time.Duration(min(call.remainingMs, maxRemainingMs)) * time.Millisecond
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -34,7 +34,7 @@
 	Done     Phase = "done"   // every member of one generation ended well
 )
 
-// AllEnded tells whether nothing follows.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Done }
 
 // Need is what one member asks of its runner.
