--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -49,7 +49,7 @@
 	once    sync.Once
 	stop    context.CancelFunc
 	done    chan struct{}
-	updates chan udp.Held // of capacity 1: the newest, for forward
+	updates chan udp.Ownership // of capacity 1: the newest, for forward
 }
 
 // joinFleet reads the fleet script at path and prepares this dispatcher's part, which start begins. Without a path
@@ -69,7 +69,7 @@
 	if cfg.Name == "" {
 		return nil, &FleetError{"name", "is empty", "give each dispatcher a name of its own in its configuration, or by LB_NAME"}
 	}
-	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), updates: make(chan udp.Held, 1)}
+	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), updates: make(chan udp.Ownership, 1)}
 	fc := fleet.Config{Interval: f.Interval, Seeds: f.Seeds, Seed: cfg.Seed}
 	if len(fc.Seeds) == 0 {
 		fc.Seeds = f.Roster
@@ -80,8 +80,8 @@
 			return nil, &FleetError{"roster", fmt.Sprintf("has %s for number %d, but this dispatcher is at %s", at, p.own, f.Advertise),
 				"put each dispatcher's address at the place of its slotNo"}
 		}
-		fc.Refusals, fc.Roster = true, f.Roster
-		fc.Share = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, Pause: max(cfg.Policy.OverloadWindow/budgetIntervals, allowanceWindow)}
+		fc.TrustRefusals, fc.Roster = true, f.Roster
+		fc.Quota = quota.Config{Size: p.size, Own: p.own, Lease: f.Lease, GuardTime: max(cfg.Policy.OverloadWindow/budgetIntervals, allowanceWindow)}
 	}
 	if err := p.checkConfig(cfg); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	p.node = udp.New(udp.Options{Listen: f.Listen, Self: fleet.Record{Name: cfg.Name, Addr: f.Advertise, Zone: cfg.Settings.Zone}, Config: fc,
-		Codec: codec, Held: p.update, Log: log})
+		Codec: codec, OnOwnership: p.update, Log: log})
 	return p, nil
 }
 
@@ -139,7 +139,7 @@
 
 // update is called with what the fleet lets this dispatcher use. Only the newest is kept for forward, so it does not
 // block.
-func (p *peers) update(h udp.Held) {
+func (p *peers) update(h udp.Ownership) {
 	select {
 	case <-p.updates:
 	default:
@@ -150,12 +150,12 @@
 // forward passes updates to the coordinator: changes, and renewals before they expire. It ends after the node has.
 func (p *peers) forward() {
 	var (
-		last  udp.Held
+		last  udp.Ownership
 		until time.Time
 		sent  bool
 	)
 	for {
-		var h udp.Held
+		var h udp.Ownership
 		select {
 		case <-p.done:
 			select {
@@ -166,18 +166,18 @@
 		case h = <-p.updates:
 		}
 		if p.size == 0 {
-			h.Numbers, h.Sure = []int{p.own}, time.Duration(1<<62)
+			h.Numbers, h.ValidFor = []int{p.own}, time.Duration(1<<62)
 		}
 		if h.Living == 0 { // it leaves; the others live as before
 			h.Living = max(1, last.Living)
 		}
-		if sent && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.Sure/2) {
+		if sent && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.ValidFor/2) {
 			continue
 		}
 		if !slices.Equal(h.Numbers, last.Numbers) {
 			p.log.WithFields(logrus.Fields{"numbers": h.Numbers, "living": h.Living}).Info("fleet: acting for other numbers")
 		}
-		p.coord.UpdateFleet(h.Numbers, h.Sure, h.Living)
-		last, until, sent = h, time.Now().Add(min(h.Sure, time.Hour)), true
+		p.coord.UpdateFleet(h.Numbers, h.ValidFor, h.Living)
+		last, until, sent = h, time.Now().Add(min(h.ValidFor, time.Hour)), true
 	}
 }
