--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -21,7 +21,7 @@
 //  4. Replace the state machine by Snapshot if there is one, then apply Committed in order, each entry exactly once. This
 //     need not wait for the disk: a quorum has the entries.
 //
-// Call Tick at NextDeadline at the latest. Pass the time of a steady clock that never runs backwards; its zero may differ
+// Call Tick at NextDeadline at the latest. Pass the time of a monotonic clock; its zero may differ
 // between members and between restarts.
 //
 // Serve a leader's followers: when MembersNeedingSnapshot lists a member, pass a snapshot of the state machine to SendSnapshot. To
--- a/internal/cluster/consensus/message.go
+++ b/internal/cluster/consensus/message.go
@@ -35,7 +35,7 @@
 	Entries  []Entry
 	Reject   bool
 	Hint     uint64        // rejected Append: newest index at which the logs may agree
-	SentAt   time.Duration // time of the leader's steady clock; responses echo it, which confirms the leadership at that time
+	SentAt   time.Duration // time of the leader's monotonic clock; responses echo it, which confirms the leadership at that time
 	Snapshot *Snapshot     // one chunk: Data is the part of the snapshot's data that begins at Offset
 	Offset   uint64        // Snapshot: where the chunk begins; SnapshotResponse: how many bytes have arrived
 	Transfer uint64        // Snapshot: number of this transfer of a snapshot among those of the leader in its term
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -12,7 +12,7 @@
 	Commit     uint64
 	LastIndex  uint64
 	FirstIndex uint64
-	// ConfirmedAt is the newest time of this member's steady clock at which a quorum is known to have followed this leader;
+	// ConfirmedAt is the newest time of this member's monotonic clock at which a quorum is known to have followed this leader;
 	// 0 if there is none or this member does not lead.
 	ConfirmedAt time.Duration
 	// Members is the membership in force: the newest in the log, committed or not. It is joint while a change of more than
--- a/internal/cluster/control/job_endpoints.go
+++ b/internal/cluster/control/job_endpoints.go
@@ -15,7 +15,7 @@
 		switch {
 		case shard == nil:
 			reply(nil, failure.Newf(failure.Invalid, "no shard %d", id))
-		case !shard.owner.Leading():
+		case !shard.owner.IsLeader():
 			reply(nil, &failure.Error{
 				Kind:    failure.NotLeader,
 				Message: "this process does not own the shard",
--- a/internal/cluster/control/job_shard.go
+++ b/internal/cluster/control/job_shard.go
@@ -76,7 +76,7 @@
 
 // Following ends this process's ownership of the shard, if it was the owner.
 func (s *jobShard) Following() {
-	if s.owner.Leading() {
+	if s.owner.IsLeader() {
 		_ = level.Info(s.logger).Log("msg", "this process no longer owns the shard")
 		s.taskTimes.reportQueues(s.owner)
 	}
@@ -127,7 +127,7 @@
 
 // tick lets time pass.
 func (s *jobShard) tick() {
-	if !s.owner.Leading() {
+	if !s.owner.IsLeader() {
 		return
 	}
 	s.owner.Tick(s.engine.Now(), s.clock(), s.confirmedAt())
--- a/internal/cluster/control/trio_test.go
+++ b/internal/cluster/control/trio_test.go
@@ -177,7 +177,7 @@
 	if shard == protocol.ConfigurationShard {
 		return c.configuration.leading
 	}
-	return c.shards[shard].owner.Leading()
+	return c.shards[shard].owner.IsLeader()
 }
 
 func onLoop[T any](c *Control, f func() T) T {
--- a/internal/cluster/latency/recorder.go
+++ b/internal/cluster/latency/recorder.go
@@ -8,7 +8,7 @@
 )
 
 // Recorder records the wait reasons of one owner's shard, from the owner's election on. All times are of the owner's
-// steady clock.
+// monotonic clock.
 type Recorder struct {
 	startedAt time.Duration
 	groups    map[*jobs.Group]*groupRecord
@@ -94,7 +94,8 @@
 	r.addTimes(task, entry, &waited)
 }
 
-// RunEnded records that the end or the loss of a task's run was committed. The task has its phase and group of afterwards.
+// RunEnded records that the end or the loss of a task's run was committed. The command is applied: the task has its next
+// phase already.
 func (r *Recorder) RunEnded(now time.Duration, task *jobs.Task, run Run) {
 	record := r.record(task.Group, now)
 	if record == nil {
--- a/internal/cluster/scheduler/doc.go
+++ b/internal/cluster/scheduler/doc.go
@@ -2,7 +2,7 @@
 // pending tasks start where, which runs are stopped, and which can no longer exist.
 //
 // The package is pure: no I/O, no clock, no goroutines. Inputs (requests of clients, heartbeats, applied commands, the
-// steady time) go in by methods of Owner; commands for the shard's log come out of NextCommand, replies by the callbacks
+// monotonic time) go in by methods of Owner; commands for the shard's log come out of NextCommand, replies by the callbacks
 // that came with the requests. All methods of an Owner are called by one goroutine, with times that never go back.
 //
 // What must outlast the owner is in package jobs and changes only by committed commands. All that an Owner has beside it
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -83,7 +83,7 @@
 		return
 	}
 	if r := o.runners.current[instance]; r != nil {
-		r.depart()
+		r.markDeregistered()
 	}
 	o.proposals.addDeparture(instance, reply)
 }
--- a/internal/cluster/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -65,7 +65,7 @@
 	if before == nil {
 		return false
 	}
-	return heartbeat.Relayed || !before.hasEnded && now-max(before.lastContact, o.leadership.since) < maxHeartbeatDelay
+	return heartbeat.Relayed || !before.hasDeregistered && now-max(before.lastContact, o.leadership.since) < maxHeartbeatDelay
 }
 
 // takeAddress records that the runner serves at its address: an earlier incarnation there has ended.
--- a/internal/cluster/scheduler/leases.go
+++ b/internal/cluster/scheduler/leases.go
@@ -22,7 +22,7 @@
 
 // grantLease grants a lease that ends no later than MaxLease after the newest confirmation of leadership was asked for.
 func (o *Owner) grantLease(now time.Duration, r *runner, orders *protocol.Orders) {
-	if r.hasEnded {
+	if r.hasDeregistered {
 		return
 	}
 	lease := o.options.MaxLease - (now - o.leadership.confirmedAt)
@@ -36,7 +36,7 @@
 // expireLeases gives up the runs of unresponsive runners, and of those that have ended, once no lease of theirs may last.
 func (o *Owner) expireLeases(now time.Duration) {
 	expired := o.runners.sorted(func(r *runner) bool {
-		return now >= r.leaseExpiry && (r.hasEnded || r.isUnresponsive(now))
+		return now >= r.leaseExpiry && (r.hasDeregistered || r.isUnresponsive(now))
 	})
 	for _, instance := range expired {
 		r := o.runners.current[instance]
@@ -52,7 +52,7 @@
 // run since its lease is not over. A successor would wait anew, for the longest lease.
 func (o *Owner) AwaitsLeaseExpiry(now time.Duration) bool {
 	for instance, r := range o.runners.current {
-		awaited := (r.hasEnded || r.isUnresponsive(now)) && now < r.leaseExpiry
+		awaited := (r.hasDeregistered || r.isUnresponsive(now)) && now < r.leaseExpiry
 		if awaited && (len(o.state.RunsOn(instance)) > 0 || len(o.state.LingeringOn(instance)) > 0) {
 			return true
 		}
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -70,7 +70,7 @@
 
 func (o *Owner) stateOf(now time.Duration, r *runner) string {
 	switch {
-	case r.hasEnded:
+	case r.hasDeregistered:
 		return StateEnded
 	case !r.hasReported || now-r.lastContact > shownUnresponsiveAfter:
 		return StateUnresponsive
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Leading reports whether this process owns the shard.
-func (o *Owner) Leading() bool { return o.leadership.isLeader }
+// IsLeader reports whether this process leads the shard, and so owns it.
+func (o *Owner) IsLeader() bool { return o.leadership.isLeader }
 
 // Counters returns what was counted since the process started.
 func (o *Owner) Counters() Counters { return o.counters }
--- a/internal/cluster/scheduler/runners.go
+++ b/internal/cluster/scheduler/runners.go
@@ -12,14 +12,14 @@
 
 // runner is what the owner knows of one incarnation of a runner.
 type runner struct {
-	instance    string
-	report      protocol.Heartbeat // the newest
-	hasReported bool               // in this term
-	lastContact time.Duration      // when report came
-	leaseExpiry time.Duration      // after this, nothing runs there unless another lease is granted
-	isDraining  bool
-	drainsUntil time.Duration // draining: when it may be gone at the earliest; 0: unknown
-	hasEnded    bool          // it has deregistered
+	instance        string
+	report          protocol.Heartbeat // the newest
+	hasReported     bool               // in this term
+	lastContact     time.Duration      // when report came
+	leaseExpiry     time.Duration      // after this, nothing runs there unless another lease is granted
+	isDraining      bool
+	drainsUntil     time.Duration // draining: when it may be gone at the earliest; 0: unknown
+	hasDeregistered bool          // it gets no work and no lease any more, and may serve on for seconds
 
 	reply    func(*protocol.Orders, error) // to the heartbeat that is not answered yet, or nil
 	replyDue time.Duration
@@ -70,7 +70,7 @@
 
 // isSchedulable reports whether tasks may be placed there.
 func (r *runner) isSchedulable(now time.Duration) bool {
-	return !r.isDraining && !r.hasEnded && r.isResponsive(now)
+	return !r.isDraining && !r.hasDeregistered && r.isResponsive(now)
 }
 
 // lists reports whether the newest heartbeat lists the run as active.
@@ -88,9 +88,9 @@
 	}
 }
 
-// depart records that the runner has deregistered: it gets no work and no lease any more.
-func (r *runner) depart() {
-	r.hasEnded = true
+// markDeregistered records that the runner has deregistered: it is about to end, and gets no work and no lease any more.
+func (r *runner) markDeregistered() {
+	r.hasDeregistered = true
 	r.isDraining = true
 }
 
@@ -108,7 +108,7 @@
 		r.inherited[runKey{task.ID, task.Run}] = true
 	}
 	if o.state.Departed(instance) {
-		r.depart()
+		r.markDeregistered()
 	}
 	return r
 }
