--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -16,7 +16,7 @@
 )
 
 // pagesOfNames are the pages that lead a reader into the code: each name on them must be one that the code declares.
-var pagesOfNames = []string{"ARCHITECTURE.md", "control-safety", "endings.md", "fleet.md", "view.md", "gangs.md", "system.md"}
+var pagesOfNames = []string{"ARCHITECTURE.md", "control-safety", "endings.md", "fleet.md", "view.md", "gangs.md", "system.md", "CAPACITY.md"}
 
 var (
 	// qualifiedName is a name as the pages write it: `package.Function`, `package.Type.Method`, or `Type.Method` where the
@@ -27,8 +27,9 @@
 	word      = regexp.MustCompile(`\w+`)
 )
 
-// otherPackages are packages of the standard library that the pages name, and the placeholder of such a name.
-var otherPackages = []string{"http", "net", "package"}
+// otherPrefixes precede names that the code does not declare: packages of the standard library, an object of the settings,
+// and the placeholder of a name.
+var otherPrefixes = []string{"http", "net", "limits", "package"}
 
 // fileExtensions end names of files, which the pages also write with a dot.
 var fileExtensions = []string{"go", "md", "json", "toml"}
@@ -45,7 +46,7 @@
 		for page, text := range textsOf(pagesOfNames) {
 			for _, found := range qualifiedName.FindAllStringSubmatch(text, -1) {
 				name := found[1] + "." + found[2] + found[3]
-				isOther := slices.Contains(otherPackages, found[1]) || slices.Contains(fileExtensions, found[2])
+				isOther := slices.Contains(otherPrefixes, found[1]) || slices.Contains(fileExtensions, found[2])
 				if !isOther && !declared[name] && !unqualified[name] {
 					unknown = append(unknown, page+": "+name)
 				}
