--- a/test/docs/specs_test.go
+++ b/test/docs/specs_test.go
@@ -21,6 +21,7 @@
 	"control-safety/mutations.md",
 	"control-safety/configuration-commands.md",
 	"control-safety/catching-up.md",
+	"incidents/hardening.md",
 }
 
 var (
