--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -16,7 +16,7 @@
 	jointChange
 )
 
-var _ = ginkgo.DescribeTable("the first step from voters 1 to 3 and learner 4 to another membership",
+var _ = ginkgo.DescribeTable("the first membership of a change from voters 1 to 3 and learner 4",
 	func(next []Member, expected changeKind) {
 		present := append(memberList(1, 2, 3), learner(4))
 		first, err := FirstMembers(present, next)
--- a/internal/cluster/consensus/snapshot_send.go
+++ b/internal/cluster/consensus/snapshot_send.go
@@ -22,8 +22,8 @@
 	sentAt      time.Duration // when it was last sent
 }
 
-// MembersNeedingSnapshot returns the responsive members that can go on only from a snapshot and to which none is being sent. At a member
-// that does not lead there are none.
+// MembersNeedingSnapshot returns the responsive members that can go on only from a snapshot and to which none is being
+// sent. At a member that does not lead there are none.
 func (n *Node) MembersNeedingSnapshot() []MemberID {
 	var needing []MemberID
 	for _, peer := range n.leadership.peers {
