--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -24,8 +24,8 @@
 // Call Tick at NextDeadline at the latest. Pass the time of a steady clock that never runs backwards; its zero may differ
 // between members and between restarts.
 //
-// Serve a leader's followers: when MembersNeedingSnapshot lists a member, pass a snapshot of the state machine to SendSnapshot. To
-// bound memory, write a snapshot to the disk first and then call Compact with its index or an earlier one.
+// Serve a leader's followers: when MembersNeedingSnapshot lists a member, pass a snapshot of the state machine to
+// SendSnapshot. To bound memory, write a snapshot to the disk first and then call Compact with its index or an earlier one.
 //
 // After a restart, pass to New what the disk has. The state machine starts from Restored.Snapshot, and all entries after
 // it come out in Committed again. A member whose disk was lost or replaced must come back under a new MemberID: the old
--- a/internal/cluster/consensus/snapshot_send.go
+++ b/internal/cluster/consensus/snapshot_send.go
@@ -34,9 +34,9 @@
 	return needing
 }
 
-// SendSnapshot begins to send a snapshot of the state machine to a member that MembersNeedingSnapshot returned. If snapshot.Members
-// is nil it is filled in; snapshot.Data must not be modified afterwards. The call is ignored if the member needs no
-// snapshot (any more), or one newer than this.
+// SendSnapshot begins to send a snapshot of the state machine to a member that MembersNeedingSnapshot returned. If
+// snapshot.Members is nil it is filled in; snapshot.Data must not be modified afterwards. The call is ignored if the member
+// needs no snapshot (any more), or one newer than this.
 func (n *Node) SendSnapshot(now time.Duration, to MemberID, snapshot Snapshot) {
 	n.advanceClock(now)
 	peer := n.peer(to)
