--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -1,7 +1,7 @@
 package store
 
-// apply is the applier's goroutine: it has readers see what was written, and answers, while the writer's is at the
-// next group.
+// apply is the applier's goroutine. It makes the written groups visible to readers and acknowledges them, while the writer
+// is already at the next group. It ends when the writer closes the channel.
 func (w *writer) apply(s *Store) {
 	defer s.goroutines.Done()
 	for g := range w.written {
@@ -9,13 +9,13 @@
 			close(g.applied)
 			continue
 		}
-		// Those who wait are answered before the index has their batches: whoever reads first takes them in.
+		// Callers are acknowledged before the index has their batches: whoever reads first applies them.
 		s.mu.Lock()
 		for _, r := range g.group {
 			s.pending = append(s.pending, pendingBatch{r.batch.ops, r.seq, g.segment, g.offset})
 			g.offset += uint32(len(r.batch.frame))
 			s.seq = r.seq
-			r.batch.ops = nil // the caller may use the batch anew
+			r.batch.ops = nil // the caller may use the batch again
 		}
 		s.mu.Unlock()
 		for _, r := range g.group {
@@ -32,7 +32,7 @@
 	}
 }
 
-// pendingBatch is a batch that is committed and not in the index yet.
+// pendingBatch is a batch that is committed and not yet in the index.
 type pendingBatch struct {
 	ops     []op
 	seq     uint64
@@ -40,7 +40,7 @@
 	offset  uint32
 }
 
-// applyPending has the index know all that is committed. s.mu must be held for writing.
+// applyPending adds the pending batches to the index. s.mu must be locked for writing.
 func (s *Store) applyPending() {
 	for _, p := range s.pending {
 		apply(s.top, p.ops, p.seq, p.segment, p.offset)
@@ -49,7 +49,7 @@
 	s.pending = s.pending[:0]
 }
 
-// rLockApplied locks s.mu for reading, with all in the index that is committed.
+// rLockApplied locks s.mu for reading at a time when no batch is pending.
 func (s *Store) rLockApplied() {
 	s.mu.RLock()
 	for len(s.pending) > 0 {
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -7,32 +7,36 @@
 	"ospreypond/internal/store/table"
 )
 
-// Batch collects operations that take effect together, in their order. The zero value is empty and ready. A batch
-// must not be used while it is being committed; afterwards Reset makes it ready again.
+// Batch collects operations that take effect together, in their order. The zero value is empty and ready. A batch belongs
+// to one goroutine and must not be used while it is being committed; afterwards Reset makes it ready again. An operation
+// that is not allowed, such as one with a key over MaxKey, has Commit return its error.
 type Batch struct {
 	frame []byte
-	ops   []op // none after a commit
+	ops   []op // empty after a commit
 	err   error
 }
 
-// op is what an operation does to the index. Of its loc, Offset counts from the start of the frame.
+// op is what an operation does to the index. The Offset in its loc counts from the start of the frame.
 type op struct {
 	item
-	end string // deletes up to here, if not empty
+	end string // if not empty, it deletes all keys up to, not including, this one
 }
 
+// reserveHeader leaves space for the frame's header before the first operation.
 func (b *Batch) reserveHeader() {
 	if len(b.frame) == 0 {
 		b.frame = append(b.frame, make([]byte, segment.FrameSize)...)
 	}
 }
 
+// fail keeps the first error for Commit.
 func (b *Batch) fail(format string, args ...any) {
 	if b.err == nil {
 		b.err = fmt.Errorf(format, args...)
 	}
 }
 
+// indexKey returns the index's key for a space's key, and false if there is no space or the key is too large.
 func (b *Batch) indexKey(s *Space, key []byte) (string, bool) {
 	switch {
 	case s == nil:
@@ -105,6 +109,7 @@
 	b.frame, b.ops, b.err = b.frame[:0], b.ops[:0], nil
 }
 
+// check returns the first error of an operation, or that the batch is too large.
 func (b *Batch) check() error {
 	if b.err == nil && len(b.frame) > MaxBatch {
 		b.fail("%w: batch of %d bytes, at most %d", ErrTooLarge, len(b.frame), MaxBatch)
@@ -112,7 +117,7 @@
 	return b.err
 }
 
-// apply has a batch's operations take effect in a layer. at is where its frame lies.
+// apply applies a batch's operations to a layer. Its frame lies in segment seg at offset at.
 func apply(l *layer, ops []op, seq uint64, seg uint32, at uint32) {
 	for i := range ops {
 		o := &ops[i]
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -47,7 +47,7 @@
 	}
 	defer func() { _ = lock.Close() }() // only gives the lock back
 	r := &Report{TornFrom: -1}
-	man, healed, err := manifest.Read(fsys, dir)
+	man, otherFault, err := manifest.Read(fsys, dir)
 	if err != nil {
 		if errors.Is(err, manifest.ErrNone) {
 			return nil, fmt.Errorf("store %s: %w", dir, err)
@@ -55,8 +55,8 @@
 		r.addFault(err)
 		return r, nil
 	}
-	if healed != nil {
-		r.Notes = append(r.Notes, healed.Error())
+	if otherFault != nil {
+		r.Notes = append(r.Notes, otherFault.Error())
 	}
 	c := checker{Report: r, s: &Store{dir: dir, opt: Options{FS: fsys}, cache: table.NewCache(1 << 20)}, man: man}
 	r.Store, r.Segments = man.Store, len(man.Segments)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -23,14 +23,14 @@
 
 const dir = "/store"
 
-// history is a row of batches and, for each sequence number, what the store holds after it.
+// history is a sequence of batches and, for each sequence number, the content of the store after that commit.
 type history struct {
 	fs     *vfstest.Mem
 	opt    store.Options
 	rnd    *rand.Rand
 	states map[uint64]map[string]string // by sequence number: "space/key" to value
-	acked  uint64                       // the highest that a commit returned
-	tried  uint64                       // the highest that a commit may have got
+	acked  uint64                       // the highest number that a commit returned
+	tried  uint64                       // the highest number that a commit may have got
 }
 
 var spaceNames = []string{"a", "b"}
@@ -44,7 +44,7 @@
 		states: map[uint64]map[string]string{0: {}}}
 }
 
-// begin names the spaces.
+// begin creates the spaces.
 func (h *history) begin(s *store.Store) ([]*store.Space, error) {
 	var all []*store.Space
 	for _, name := range spaceNames {
@@ -60,7 +60,7 @@
 	return all, nil
 }
 
-// commit makes up a batch and commits it.
+// commit commits a random batch.
 func (h *history) commit(s *store.Store, spaces []*store.Space) error {
 	var b store.Batch
 	next := maps.Clone(h.states[h.acked])
@@ -98,7 +98,7 @@
 	return err
 }
 
-// run plays a history until something fails.
+// run opens a store, commits that many batches, and closes it; it ends at the first error.
 func (h *history) run(commits int) error {
 	s, err := store.Open(dir, h.opt)
 	if err != nil {
@@ -119,9 +119,9 @@
 	return err
 }
 
-// verify opens what is in a file system and holds it against the history: it must be one of its states, and none
-// before least.
-func (h *history) verify(t *testing.T, fsys *vfstest.Mem, least uint64, what ...any) {
+// verify opens what is in a file system and compares it with the history: it must be one of its states, and none before
+// that of commit minSeq.
+func (h *history) verify(t *testing.T, fsys *vfstest.Mem, minSeq uint64, what ...any) {
 	t.Helper()
 	opt := h.opt
 	opt.FS = fsys
@@ -129,13 +129,13 @@
 	require.NoError(t, err, what...)
 	defer closeStore(t, s)
 	seq := s.Stats().Seq
-	require.GreaterOrEqual(t, seq, least, what...)
+	require.GreaterOrEqual(t, seq, minSeq, what...)
 	want, ok := h.states[seq]
 	require.True(t, ok, "commit %d never was; %v", seq, what)
 	require.Equal(t, want, state(t, s, what...), what...)
 }
 
-// state returns all that a store holds, read by iterators and key by key.
+// state returns the content of a store. It reads it with iterators and key by key, and expects the same.
 func state(t *testing.T, s *store.Store, what ...any) map[string]string {
 	t.Helper()
 	got := map[string]string{}
@@ -191,16 +191,16 @@
 				left = left.Crash(rnd)
 			}
 			h.verify(t, left, h.acked, "call", n, "seed", seed)
-			again := *h
-			again.fs, again.opt.FS, again.states = left, left, maps.Clone(h.states)
-			again.goOn(t, "call", n, "seed", seed)
+			recovered := *h
+			recovered.fs, recovered.opt.FS, recovered.states = left, left, maps.Clone(h.states)
+			recovered.resume(t, "call", n, "seed", seed)
 		}
 	}
 	require.Greater(t, crashes, 60)
 }
 
-// goOn commits to a store that was recovered and opens it once more.
-func (h *history) goOn(t *testing.T, what ...any) {
+// resume commits to a store that was recovered and opens it once more.
+func (h *history) resume(t *testing.T, what ...any) {
 	t.Helper()
 	s, err := store.Open(dir, h.opt)
 	require.NoError(t, err, what...)
@@ -262,7 +262,7 @@
 	return ""
 }
 
-func TestEveryFileCutAtEveryOffset(t *testing.T) {
+func TestEveryFileTruncatedAtEveryOffset(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 3, store.Options{PassBytesPerS: -1, Garbage: 0.3})
 	require.NoError(t, h.run(150))
 	files := h.fs.Files()
@@ -274,18 +274,18 @@
 	last := openSegment(t, files)
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		for at := 0; at < len(files[name]); at += step {
-			cut := maps.Clone(files)
-			cut[name] = files[name][:at]
-			fsys := vfstest.Of(cut)
+			truncated := maps.Clone(files)
+			truncated[name] = files[name][:at]
+			fsys := vfstest.Of(truncated)
 			opt := h.opt
 			opt.FS = fsys
 			if !strings.HasSuffix(name, ".seg") || name == last {
-				// The open segment may be cut anywhere; the rest is there a second time.
-				least := h.acked
+				// The open segment may end anywhere; what the other files have exists a second time.
+				minSeq := h.acked
 				if name == last {
-					least = 0
+					minSeq = 0
 				}
-				h.verify(t, fsys, least, "file", name, "offset", at)
+				h.verify(t, fsys, minSeq, "file", name, "offset", at)
 				kinds["opens"]++
 				continue
 			}
@@ -295,7 +295,7 @@
 			require.ErrorAs(t, err, &fe)
 			require.Equal(t, filepath.Base(name), fe.File)
 			require.EqualValues(t, at, fe.Offset)
-			require.Equal(t, cut, fsys.Files(), "a store that does not open stays as it is")
+			require.Equal(t, truncated, fsys.Files(), "a store that does not open stays as it is")
 			kinds["refuses"]++
 			if at%97 == 0 {
 				h.repair(t, fsys)
@@ -309,7 +309,7 @@
 	require.Greater(t, kinds["repairs"], 3)
 }
 
-// repair has a store repaired and looks that nothing in it was made up.
+// repair repairs a store and expects each key to have a value that it had at some time.
 func (h *history) repair(t *testing.T, fsys *vfstest.Mem) {
 	t.Helper()
 	opt := h.opt
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -8,15 +8,18 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The errors that callers can act on; the ones returned wrap them and name the thing at fault.
+// The errors that callers can act on. Those that are returned wrap them and name what they are about.
 var (
+	// ErrNotFound: there is no such key, or no space of that name.
 	ErrNotFound = errors.New("store: no such key")
-	ErrClosed   = errors.New("store: is closed")
-	// ErrReadOnly: a fault of the disk left it unknown what is on it. Reading goes on; only opening the store again
-	// tells. A commit that got this error may be found then or not.
+	// ErrClosed: the store was closed, or is being closed.
+	ErrClosed = errors.New("store: is closed")
+	// ErrReadOnly: after an error of the disk it is unknown what is on it. Reads go on. Whether a commit that got this
+	// error took effect is known only when the store is opened again.
 	ErrReadOnly = errors.New("store: takes no more writes after a fault of the disk")
-	ErrNoStore  = errors.New("store: there is none")
-	// ErrTooLarge: a key, a value or a batch is over its limit.
+	// ErrNoStore: Options.Existing is set and the folder has no store.
+	ErrNoStore = errors.New("store: there is none")
+	// ErrTooLarge: a key, a value or a batch is over its limit, MaxKey, MaxValue or MaxBatch.
 	ErrTooLarge = errors.New("store: too large")
 	// ErrCorrupt: bytes on disk are not what was written.
 	ErrCorrupt = segment.ErrBad
@@ -26,10 +29,10 @@
 	ErrLocked = vfs.ErrLocked
 )
 
-// FileError is a fault of one of the store's files.
+// FileError is an error about one of the store's files, most often damage: then it wraps ErrCorrupt.
 type FileError struct {
 	File   string
-	Offset int64 // of the first byte at fault; -1: the whole file
+	Offset int64 // of the first byte concerned; -1: the complete file
 	Err    error
 }
 
--- a/internal/store/index_builder.go
+++ b/internal/store/index_builder.go
@@ -15,14 +15,15 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// indexBuilder makes the index out of segments alone, read in any order.
+// indexBuilder builds the index out of segments alone, in whatever order they are added. It keeps all keys in memory, so it
+// serves opening with a damaged table, checking and repairing only.
 type indexBuilder struct {
 	items        map[string]builtItem
 	rangeDeletes []rankedSpan
 }
 
-// rank orders operations: by commit, then by their place in it. What compaction kept of a commit stood behind all
-// deletions in it that would have hidden it.
+// rank orders operations: by commit, then by their position in it. A record that compaction copied has the highest position:
+// no deletion in its commit came after it, or the record would have been dead.
 type rank struct {
 	seq uint64
 	n   int
@@ -42,8 +43,8 @@
 
 func newIndexBuilder() *indexBuilder { return &indexBuilder{items: map[string]builtItem{}} }
 
-// addSegment reads a complete segment and returns how many frames it had. At a bad frame it asks bad what to do: an error
-// ends it, nil has it go on behind.
+// addSegment reads a segment and returns how many frames it has. At a damaged frame it calls bad: if that returns nil,
+// addSegment continues with the next undamaged frame, otherwise it returns that error.
 func (g *indexBuilder) addSegment(f vfs.File, m plan.Segment, bad func(at int64, err error) error) (frames int, err error) {
 	sc := segment.NewScanner(f, segment.HeaderSize, m.Size)
 	for {
@@ -65,10 +66,10 @@
 		if err := bad(at, err); err != nil {
 			return frames, err
 		}
-		if !errors.Is(err, ErrCorrupt) { // the disk does not read there: nothing behind can be told
+		if !errors.Is(err, ErrCorrupt) { // the disk does not read there: no search behind it is possible
 			return frames, nil
 		}
-		// Whatever claims to be a frame of this segment must fit into it.
+		// A frame of this segment has a number that belongs to it.
 		if _, err := sc.Resync(func(f segment.Frame) bool {
 			return f.Seq >= m.First && (m.Last == 0 || f.Seq <= m.Last)
 		}); err != nil {
@@ -77,6 +78,7 @@
 	}
 }
 
+// addFrame adds the operations of a frame at offset at.
 func (g *indexBuilder) addFrame(f segment.Frame, m plan.Segment, at int64) error {
 	n := 0
 	return segment.Ops(f.Payload, func(o segment.Op) error {
@@ -105,7 +107,7 @@
 	})
 }
 
-// entries returns what is there, in order of the keys.
+// entries returns all live records in order of their keys. Records up to their space's floor have expired.
 func (g *indexBuilder) entries(floors map[uint16]uint64) []table.Entry {
 	keys := make([]string, 0, len(g.items))
 	for k := range g.items {
@@ -114,15 +116,15 @@
 	slices.Sort(keys)
 	slices.SortFunc(g.rangeDeletes, func(a, b rankedSpan) int { return cmp.Compare(a.lo, b.lo) })
 	var out []table.Entry
-	var over []rankedSpan // those that reach the present key
-	cuts := g.rangeDeletes
+	var covering []rankedSpan   // the ranges that the present key is in
+	following := g.rangeDeletes // those that start behind the present key
 	for _, k := range keys {
-		for len(cuts) > 0 && cuts[0].lo <= k {
-			over, cuts = append(over, cuts[0]), cuts[1:]
+		for len(following) > 0 && following[0].lo <= k {
+			covering, following = append(covering, following[0]), following[1:]
 		}
-		over = slices.DeleteFunc(over, func(c rankedSpan) bool { return strings.Compare(c.hi, k) <= 0 })
+		covering = slices.DeleteFunc(covering, func(c rankedSpan) bool { return strings.Compare(c.hi, k) <= 0 })
 		it := g.items[k]
-		hidden := slices.ContainsFunc(over, func(c rankedSpan) bool { return it.before(c.rank) })
+		hidden := slices.ContainsFunc(covering, func(c rankedSpan) bool { return it.before(c.rank) })
 		if it.loc.Segment != 0 && !hidden && it.loc.Seq > floors[spaceOf([]byte(k))] {
 			out = append(out, table.Entry{Key: []byte(k), Loc: it.loc})
 		}
--- a/internal/store/manifest/manifest.go
+++ b/internal/store/manifest/manifest.go
@@ -1,5 +1,8 @@
-// Package manifest is the list of what a store consists of. It is small and replaced whole, and lies in two
-// copies that are written one after the other, so that damage to one loses nothing.
+// Package manifest is the list of what a store consists of. It is small and always written completely, in two copies one
+// after the other, so that damage to one loses nothing.
+//
+// Write has replaced both copies when it returns without an error; only then may files be removed that the new manifest no
+// longer names. Read returns the newest undamaged copy. The caller serializes calls of Write for a folder.
 package manifest
 
 import (
@@ -16,33 +19,33 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Names are the two copies, in the order in which they are written.
+// Names are the file names of the two copies, in the order in which they are written.
 var Names = [2]string{"MANIFEST-A", "MANIFEST-B"}
 
-// Version is the newest format that this release reads and writes.
+// Version is the format that this release writes, and the newest that it reads.
 const Version = 1
 
-// Manifest is what a store consists of.
+// Manifest is what a store consists of. Its JSON, plan.Segment and plan.Mark among it, is on disk: the keys are the format.
 type Manifest struct {
 	Format     int               `json:"format"`
-	Store      string            `json:"store"` // hexadecimal; also in the head of each file
-	Generation uint64            `json:"generation"`
-	NextID     uint64            `json:"next_id"` // of files
+	Store      string            `json:"store"`      // the store's id, hexadecimal; also in the header of each file
+	Generation uint64            `json:"generation"` // one higher with each Write
+	NextID     uint64            `json:"next_id"`    // of a new file
 	Segments   []plan.Segment    `json:"segments"`
 	Table      *Table            `json:"table,omitempty"`
-	Floors     map[uint16]uint64 `json:"floors,omitempty"` // by space: records up to this number are too old
-	Marks      []plan.Mark       `json:"marks,omitempty"`
+	Floors     map[uint16]uint64 `json:"floors,omitempty"` // by space: records up to this sequence number have expired
+	Marks      []plan.Mark       `json:"marks,omitempty"`  // in order
 }
 
-// Table names the checkpoint of the index.
+// Table describes the table file, the checkpoint of the index.
 type Table struct {
 	ID    uint64 `json:"id"`
 	Size  int64  `json:"size"`
-	Seq   uint64 `json:"seq"`
-	Count uint64 `json:"count"`
+	Seq   uint64 `json:"seq"`   // commits up to this one are in it
+	Count uint64 `json:"count"` // of its entries
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (m *Manifest) Clone() *Manifest {
 	c := *m
 	c.Segments = append([]plan.Segment(nil), m.Segments...)
@@ -67,6 +70,7 @@
 	return append([]byte(checksumLine(m.Format, body)), append(body, '\n')...), nil
 }
 
+// checksumLine is the first line of a manifest, with its line end.
 func checksumLine(format int, body []byte) string {
 	return fmt.Sprintf("ospreystore %d %d %08x\n", format, len(body), crc32.Checksum(body, segment.Castagnoli))
 }
@@ -98,14 +102,14 @@
 	return m, nil
 }
 
-// Write puts both copies on disk, one after the other; when it returns without an error, both are.
-// maybe tells after an error whether the new manifest may be the one in force after a crash all the same.
-func Write(fsys vfs.FS, dir string, m *Manifest) (maybe bool, err error) {
+// Write replaces both copies, one after the other; they are on disk when it returns without an error. After an error
+// mayBeInForce reports whether the new manifest may be found all the same when the store is opened again.
+func Write(fsys vfs.FS, dir string, m *Manifest) (mayBeInForce bool, err error) {
 	text, err := Encode(m)
 	if err != nil {
 		return false, err
 	}
-	// What a full disk would refuse comes first, while nothing is in force yet.
+	// Both are written before the first is renamed, so that a full disk fails while the old manifest is in force.
 	for i, name := range Names {
 		if err := writeFile(fsys, filepath.Join(dir, name+newSuffix), text); err != nil {
 			if i > 0 {
@@ -129,6 +133,7 @@
 // newSuffix ends the name of a copy that is not in force yet.
 const newSuffix = ".new"
 
+// writeFile creates a file and syncs it, or removes it if that fails.
 func writeFile(fsys vfs.FS, path string, text []byte) error {
 	f, err := fsys.Create(path)
 	if err != nil {
@@ -144,12 +149,12 @@
 	return err
 }
 
-// ErrNone tells that there is no copy at all.
+// ErrNone is returned by Read when neither copy exists.
 var ErrNone = errors.New("no manifest")
 
-// Read returns the newest good copy. A fault of the other one comes back as healed: it is to be written again before
-// anything is removed. With no good copy the error names the faults of both.
-func Read(fsys vfs.FS, dir string) (m *Manifest, healed error, err error) {
+// Read returns the newest undamaged copy. otherFault is what is wrong with the other copy, or nil: the caller must call Write
+// before it removes any file. If neither copy is undamaged, err names the faults of both; if neither exists, it is ErrNone.
+func Read(fsys vfs.FS, dir string) (m *Manifest, otherFault, err error) {
 	var faults []error
 	missing := 0
 	var found [2]*Manifest
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -276,7 +276,7 @@
 	}
 }
 
-func TestRetentionDropsWholeOldDataAndNothingElse(t *testing.T) {
+func TestRetentionExpiresOldRecordsOnly(t *testing.T) {
 	var now atomic.Int64 // ms; passes look at the clock too
 	now.Store(1_000_000_000_000)
 	opt := store.Options{FS: &vfstest.Mem{}, SegmentBytes: 8 << 10, PassBytesPerS: -1,
@@ -286,7 +286,7 @@
 	require.NoError(t, err)
 	sized, err := s.Space("sized", store.Retention{Bytes: 40 << 10})
 	require.NoError(t, err)
-	kept := space(t, s, "kept")
+	unbounded := space(t, s, "kept")
 	value := strings.Repeat("v", 200)
 	for n := range 1000 {
 		now.Add(10_000) // 2 h 46 min in all
@@ -294,11 +294,11 @@
 		put(t, s, aged, key, value)
 		put(t, s, sized, key, value)
 		if n%50 == 0 {
-			put(t, s, kept, key, value)
+			put(t, s, unbounded, key, value)
 		}
 	}
 	require.NoError(t, s.Compact(context.Background()))
-	look := func() {
+	check := func() {
 		t.Helper()
 		got := content(t, s, aged)
 		require.GreaterOrEqual(t, len(got), 360, "all of the last hour")
@@ -308,9 +308,9 @@
 		require.Less(t, len(got), 40<<10/200+40)
 		require.Greater(t, len(got), 100)
 		require.True(t, strings.HasPrefix(got[len(got)-1], "0999="))
-		require.Len(t, content(t, s, kept), 20, "other spaces in the same segments keep theirs")
+		require.Len(t, content(t, s, unbounded), 20, "other spaces in the same segments keep theirs")
 	}
-	look()
+	check()
 	require.Less(t, s.Stats().Bytes, int64(200<<10), "400 KiB were written")
 	require.NoError(t, s.Close())
 	r, err := store.Check(context.Background(), dir, opt.FS)
@@ -319,8 +319,8 @@
 	s = open(t, dir, opt)
 	aged, _ = s.Lookup("aged")
 	sized, _ = s.Lookup("sized")
-	kept, _ = s.Lookup("kept")
-	look()
+	unbounded, _ = s.Lookup("kept")
+	check()
 	require.NoError(t, s.Close())
 }
 
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -20,9 +20,10 @@
 
 const lockName = "LOCK"
 
-// Open opens the store in a folder, which is made if it is not there. What a crash left torn at the end of the log is
-// cut off, and said in the log; any other damage is an error that names file and offset (ErrCorrupt), and nothing is
-// changed then. ErrLocked: somebody has the store open. ErrNewer: it is of a newer release.
+// Open opens the store in a folder. Unless Options.Existing is set, it creates the folder and the store if there are none.
+// If a crash interrupted the last write, its remains are truncated and logged. Any other damage to the log is an error that
+// names file and offset and wraps ErrCorrupt; Open changes nothing then. It returns ErrLocked if the store is open, in this
+// process or another, and ErrNewer if a newer release wrote it. The caller must close the store.
 func Open(dir string, opt Options) (*Store, error) {
 	if err := opt.defaults(); err != nil {
 		return nil, err
@@ -59,6 +60,7 @@
 	return s, nil
 }
 
+// lockDir locks a store's folder, and creates the folder first if create is set.
 func lockDir(fsys vfs.FS, dir string, create bool) (io.Closer, error) {
 	if create {
 		if err := fsys.MkdirAll(dir); err != nil {
@@ -77,52 +79,38 @@
 	return lock, nil
 }
 
+// open reads the files of the locked folder.
 func (s *Store) open() error {
-	man, healed, err := manifest.Read(s.opt.FS, s.dir)
-	if errors.Is(err, manifest.ErrNone) && s.opt.Existing {
-		return ErrNoStore
-	}
-	if errors.Is(err, manifest.ErrNone) {
-		if man, err = s.initialize(); err != nil {
-			return err
-		}
-	}
+	otherFault, err := s.readManifest()
 	if err != nil {
 		return err
 	}
-	if err := decodeID(man.Store, &s.id); err != nil {
-		return err
-	}
-	s.man = man
-	if man.Floors == nil {
-		man.Floors = map[uint16]uint64{}
-	}
 	segs := map[uint32]*handle{}
-	defer func() { // the version has holds of its own
+	defer func() { // the version has references of its own
 		for _, h := range segs {
 			h.unref()
 		}
 	}()
-	for _, g := range man.Segments {
+	for _, g := range s.man.Segments {
 		h, err := s.openSegment(g)
 		if err != nil {
 			return err
 		}
 		segs[uint32(g.ID)] = h
 	}
-	base, err := s.openTable(man, segs)
+	base, err := s.openTable(s.man, segs)
 	if err != nil {
 		return err
 	}
-	s.version = newVersion(nil, base, segs, man.Clone().Floors)
+	s.version = newVersion(nil, base, segs, s.man.Clone().Floors)
 	if base != nil {
 		base.h.unref()
 	}
-	if err := s.replay(man, segs); err != nil {
+	if err := s.replay(s.man, segs); err != nil {
 		return err
 	}
-	if healed != nil {
-		s.opt.Log.WithError(healed).WithField("store", s.dir).Warn("a copy of the manifest is made anew from the other")
+	if otherFault != nil {
+		s.opt.Log.WithError(otherFault).WithField("store", s.dir).Warn("a copy of the manifest is made anew from the other")
 		if err := s.install(func(*manifest.Manifest) {}); err != nil {
 			return err
 		}
@@ -133,7 +121,33 @@
 	return s.loadSpaces()
 }
 
-// initialize makes an empty store. Nothing of one may be there but what a crash left of this very step.
+// readManifest reads the manifest, or creates an empty store if there is none and Options.Existing is not set. otherFault is
+// what is wrong with the copy that is not in force, or nil.
+func (s *Store) readManifest() (otherFault, err error) {
+	man, otherFault, err := manifest.Read(s.opt.FS, s.dir)
+	if errors.Is(err, manifest.ErrNone) && s.opt.Existing {
+		return nil, ErrNoStore
+	}
+	if errors.Is(err, manifest.ErrNone) {
+		if man, err = s.initialize(); err != nil {
+			return nil, err
+		}
+	}
+	if err != nil {
+		return nil, err
+	}
+	if err := decodeID(man.Store, &s.id); err != nil {
+		return nil, err
+	}
+	s.man = man
+	if man.Floors == nil {
+		man.Floors = map[uint16]uint64{}
+	}
+	return otherFault, nil
+}
+
+// initialize creates an empty store. The folder may have files of a store only if a crash interrupted an earlier call: any
+// other means that both copies of the manifest were lost.
 func (s *Store) initialize() (*manifest.Manifest, error) {
 	names, err := s.opt.FS.List(s.dir)
 	if err != nil {
@@ -170,11 +184,12 @@
 	return man, err
 }
 
-// isStoreFile tells whether a file's name is one that the store gives.
+// isStoreFile reports whether a name is one of the kinds that the store gives to its files.
 func isStoreFile(name string) bool {
 	return strings.HasSuffix(name, ".seg") || strings.HasSuffix(name, ".tab") || strings.HasPrefix(name, "MANIFEST-")
 }
 
+// decodeID reads a store's id as it is in the manifest.
 func decodeID(text string, id *[16]byte) error {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(id) {
@@ -184,7 +199,7 @@
 	return nil
 }
 
-// openSegment opens a segment and looks at its size and its head.
+// openSegment opens a segment, the open one for writing too, and checks its size and header.
 func (s *Store) openSegment(g plan.Segment) (*handle, error) {
 	name := segmentName(g.ID)
 	open := s.opt.FS.Open
@@ -201,8 +216,8 @@
 	return newHandle(f, name), nil
 }
 
-// checkSegment looks at what a segment is without reading it. The open one may be shorter than a head: then it is
-// torn, not damaged.
+// checkSegment compares a segment's size and header with the manifest, without reading its frames. The open segment may be
+// shorter than a header: a crash interrupted its creation, which is no damage. The error's File is left to the caller.
 func checkSegment(f vfs.File, g plan.Segment, store [16]byte) *FileError {
 	size, err := f.Size()
 	if err != nil {
@@ -234,7 +249,8 @@
 	return nil
 }
 
-// openTable opens the index on disk. It holds nothing that the segments do not, so a faulty one is made anew.
+// openTable opens the table that the manifest names, or returns nil if it names none. A table has nothing that the segments
+// don't have, so a damaged one is replaced.
 func (s *Store) openTable(man *manifest.Manifest, segs map[uint32]*handle) (*baseTable, error) {
 	if man.Table == nil {
 		return nil, nil
@@ -247,6 +263,7 @@
 	return s.rebuild(man, segs)
 }
 
+// readTable opens a table and checks that it is the one in the manifest.
 func (s *Store) readTable(m *manifest.Table) (*baseTable, error) {
 	name := tableName(m.ID)
 	f, err := s.opt.FS.Open(s.path(name))
@@ -272,7 +289,7 @@
 	return &baseTable{t: t, h: newHandle(f, name), size: size}, nil
 }
 
-// rebuild makes the index anew, up to the open segment, from all that is sealed.
+// rebuild makes a new table of all sealed segments and puts it into the manifest.
 func (s *Store) rebuild(man *manifest.Manifest, segs map[uint32]*handle) (*baseTable, error) {
 	g := newIndexBuilder()
 	var upTo uint64
@@ -307,7 +324,6 @@
 		err = s.install(func(m *manifest.Manifest) {
 			i := t.Info()
 			m.Table = &manifest.Table{ID: id, Size: size, Seq: i.Seq, Count: i.Count}
-			*man = *m
 		})
 	}
 	if err != nil {
@@ -317,6 +333,7 @@
 	return &baseTable{t: t, h: h, size: size}, nil
 }
 
+// writeRebuilt writes a table and syncs it. It returns its size.
 func (s *Store) writeRebuilt(f vfs.File, info table.Info, entries []table.Entry) (int64, error) {
 	file := &pacedFile{pass: &pass{s: &Store{}, ctx: context.Background()}, f: f, name: tableName(info.ID)}
 	w := table.NewWriter(file, info)
@@ -335,7 +352,7 @@
 	return size, err
 }
 
-// removeUnreferenced removes files that no manifest names: what a crash left of a pass or of the opening of a segment.
+// removeUnreferenced removes files that the manifest does not name, which a crash left of a pass or a new segment.
 func (s *Store) removeUnreferenced() error {
 	names, err := s.opt.FS.List(s.dir)
 	if err != nil {
--- a/internal/store/output.go
+++ b/internal/store/output.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/store/table"
 )
 
-// output is a segment that a pass writes.
+// output is a segment that a pass writes, and its description for the manifest.
 type output struct {
 	h     *handle
 	file  *pacedFile
@@ -19,7 +19,7 @@
 	frame []byte
 }
 
-// copyRecord puts a record into the output and returns where its value lies then.
+// copyRecord writes a record to the output and returns the segment and offset of its value there.
 func (p *pass) copyRecord(e table.Entry, value []byte) (seg uint32, at uint32, err error) {
 	if err := p.openOutput(spaceOf(e.Key), len(e.Key)+len(value)+segment.FrameSize+16); err != nil {
 		return 0, 0, err
@@ -31,7 +31,7 @@
 	return uint32(o.meta.ID), uint32(end) - uint32(len(value)), err
 }
 
-// copyTombstone puts a deletion into the output.
+// copyTombstone writes a deletion of frame f to the output.
 func (p *pass) copyTombstone(op segment.Op, f segment.Frame) error {
 	if err := p.openOutput(spaceOf(op.Key), len(op.Key)+len(op.End)+segment.FrameSize+16); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return err
 }
 
-// appendFrame writes the output's frame and returns where the next one will start.
+// appendFrame completes and writes the output's frame and returns the offset behind it.
 func (p *pass) appendFrame(seq uint64, at time.Time) (int64, error) {
 	o := p.output
 	segment.FinishFrame(o.frame, segment.Frame{Seq: seq, Time: at})
@@ -55,13 +55,13 @@
 	return o.meta.Size, nil
 }
 
-// openOutput sees to it that there is an output for next more bytes of a space. A space whose records grow old gets
-// segments of its own, so that they can be dropped whole.
+// openOutput opens a new output unless the present one takes next more bytes of a space. A space with a retention gets
+// segments of its own, so that they can be removed without being rewritten.
 func (p *pass) openOutput(space uint16, next int) error {
 	if o := p.output; o != nil {
-		_, a := p.retentions[space]
-		_, b := p.retentions[o.space]
-		if !plan.SegmentFull(o.meta.Size, int64(next), p.s.limits) && (space == o.space || !a && !b) {
+		_, expires := p.retentions[space]
+		_, outputExpires := p.retentions[o.space]
+		if !plan.SegmentFull(o.meta.Size, int64(next), p.s.limits) && (space == o.space || !expires && !outputExpires) {
 			return nil
 		}
 		if err := p.finishOutput(); err != nil {
@@ -82,7 +82,7 @@
 	return err
 }
 
-// finishOutput has the present output be on disk.
+// finishOutput syncs the present output, if there is one, and adds it to the outputs.
 func (p *pass) finishOutput() error {
 	o := p.output
 	if o == nil {
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan makes the store's decisions: when a segment is full, when the index is written down, which
-// segments are rewritten or dropped, what of them must be kept, and what is too old. It has no files, no clock and
-// no goroutines.
+// Package plan makes the store's decisions: when a segment is full, when a compaction pass is due, which segments it
+// rewrites or removes, which deletions must outlast their segment, and which records have expired. Its functions depend on
+// their arguments only: it has no files, clock or goroutines.
 package plan
 
 import (
@@ -9,36 +9,38 @@
 	"time"
 )
 
-// Kind tells what a segment holds.
+// Kind is what a segment consists of. Its values are on disk, in the manifest.
 type Kind string
 
-// The kinds.
+// The kinds of segments.
 const (
 	Log    Kind = "log"    // commits in their order
 	Output Kind = "output" // records that compaction kept, by key
 )
 
-// Segment is what is known of one segment file. It is part of the manifest.
+// Segment is what is known of one segment file. It is part of the manifest: the JSON keys are on disk.
 type Segment struct {
 	ID     uint64 `json:"id"`
 	Kind   Kind   `json:"kind"`
-	Sealed bool   `json:"sealed,omitempty"` // nothing is written to it any more
-	First  uint64 `json:"first"`            // lowest sequence number; of the open one, the first to come
+	Sealed bool   `json:"sealed,omitempty"` // complete: nothing is written to it any more
+	First  uint64 `json:"first"`            // lowest sequence number; of the open segment, that of its first commit
 	Last   uint64 `json:"last,omitempty"`   // highest sequence number, when sealed
 	Size   int64  `json:"size,omitempty"`   // bytes, when sealed
 	Puts   int64  `json:"puts,omitempty"`   // bytes of the keys and values put, see PutBytes
-	// Live is how many of its bytes were the newest record of their key when a pass last looked; all puts until then.
+	// Live is how many bytes of it are live, as the last pass counted: each the newest record of its key. Until a pass has
+	// counted, all puts are.
 	Live int64 `json:"live"`
-	// Tombstones is how many bytes its deletions take. They matter as long as an older record may be found elsewhere.
+	// Tombstones is how many bytes its deletions take. A deletion must be kept as long as an older record of its key may
+	// exist in another segment.
 	Tombstones int64 `json:"graves,omitempty"`
-	// Clean: no record in it is shadowed by a deletion with a number up to this one.
+	// Clean is the sequence number up to which no deletion shadows a record in it.
 	Clean uint64 `json:"clean,omitempty"`
 }
 
-// PutBytes is what a record counts for in Segment.Puts.
+// PutBytes is what a record counts for in Segment.Puts, given the lengths of its key and value.
 func PutBytes(key, value int) int64 { return int64(key + value + 8) }
 
-// LiveBytes is the part of a segment that is live if that many of its put bytes are.
+// LiveBytes returns how many bytes of a segment are live if that many of its put bytes are.
 func (s Segment) LiveBytes(puts int64) int64 {
 	if s.Puts <= 0 {
 		return 0
@@ -46,50 +48,49 @@
 	return int64(float64(s.body()-s.Tombstones) * min(1, float64(puts)/float64(s.Puts)))
 }
 
-// body is what a segment holds beside its head, which is no garbage: a small segment would be rewritten forever.
+// body is the segment without its header, which is no garbage: otherwise a small segment would be rewritten forever.
 func (s Segment) body() int64 { return max(s.Size-Header, 0) }
 
 // garbage is the fraction of the segment that is neither live nor a deletion.
 func (s Segment) garbage() float64 { return 1 - float64(s.Live+s.Tombstones)/float64(max(s.body(), 1)) }
 
-// Header is how many bytes of a segment file are its head.
+// Header is the size of a segment file's header in bytes.
 const Header = 64
 
-// Limits are the settings that decisions depend on. All must be set.
+// Limits are the settings that decisions depend on. All must be over 0.
 type Limits struct {
 	SegmentBytes int64
-	// Garbage is the share of a segment that must be dead before it is rewritten, 0 to 1.
+	// Garbage is the fraction of a segment that must be dead before it is rewritten, 0 to 1.
 	Garbage float64
-	// Tombstones is the share of all bytes that deletions may take before the segments that they are kept for are
-	// rewritten.
+	// Tombstones is the fraction of all bytes that deletions may take before segments are rewritten to get rid of them.
 	Tombstones float64
 	// PassBytes bounds what one pass copies.
 	PassBytes int64
 }
 
-// SegmentFull tells whether a segment of size bytes is to be sealed before next more are written. A batch larger than a
-// segment gets one of its own.
+// SegmentFull reports whether a segment of size bytes is to be sealed before next more bytes are written. A batch larger than
+// a segment gets one of its own.
 func SegmentFull(size, next int64, l Limits) bool {
 	return size > Header && size+next > l.SegmentBytes
 }
 
-// PrepareNext tells whether the next segment should be made ready ahead, given how long the last one took to fill: it costs
-// writing a segment's bytes twice, which only many commits a second are worth.
+// PrepareNext reports whether the next segment should be prepared in advance, given how long the last one took to fill. It
+// costs writing each byte of a segment twice, which only pays at many commits a second.
 func PrepareNext(filled time.Duration) bool { return filled < 5*time.Second }
 
-// Tail is what has come since the index was last written down.
+// Tail is what was committed since the last layer was frozen, and what it has to be merged with.
 type Tail struct {
-	Log     int64 // bytes to be read again at the next opening
-	Overlay int64 // bytes that the part of the index in memory takes
-	Table   int64 // bytes of the part on disk, which a pass writes anew
+	Log     int64 // bytes of log that the next Open would read
+	Overlay int64 // bytes that the uppermost layer takes in memory
+	Table   int64 // bytes of the table, which a pass writes anew
 }
 
-// maxOverlay bounds the part of the index in memory, however large the part on disk is.
+// maxOverlay is the size of the uppermost layer from which a pass is due however large the table is.
 const maxOverlay = 16 << 20
 
-// PassDue tells whether a pass is worth its cost when a segment is sealed. The index is written anew each time, so it must
-// have grown by a part of itself; or it must be small beside the log, as where few keys are written over and over, so
-// that what is dead goes soon; or opening would take long.
+// PassDue reports whether a pass is worth its cost when a segment is sealed. A pass writes the index anew, so one is due when
+// the index has grown by a fraction of its size; when the index is small compared with the log, as where few keys are
+// written over and over, so that dead records are removed soon; or when Open would take long.
 func PassDue(t Tail, l Limits) bool {
 	if t.Log == 0 {
 		return false
@@ -167,8 +168,8 @@
 	}
 }
 
-// UnindexedLogs returns the log segments with commits over known, in the order of their commits. That is not the order of their
-// numbers: a segment that was made ready early may be opened after one with a higher number.
+// UnindexedLogs returns the log segments with commits after known, the last one in the table, in the order of their commits.
+// That is not the order of their numbers: a prepared segment may be opened after one with a higher number.
 func UnindexedLogs(segments []Segment, known uint64) []Segment {
 	var log []Segment
 	for _, s := range segments {
@@ -180,10 +181,10 @@
 	return log
 }
 
-// TombstoneNeeded tells whether a deletion with that number must outlast its segment: whether one of the segments that
-// stay may hold a record that it shadows, which an index made anew from the segments would find.
-func TombstoneNeeded(seq uint64, staying []Segment) bool {
-	for _, s := range staying {
+// TombstoneNeeded reports whether the deletion of commit seq must outlast its segment: whether one of the segments that
+// remain may have a record that it shadows, which an index rebuilt from the segments would bring back.
+func TombstoneNeeded(seq uint64, remaining []Segment) bool {
+	for _, s := range remaining {
 		if s.First < seq && s.Clean < seq {
 			return true
 		}
@@ -191,23 +192,23 @@
 	return false
 }
 
-// Mark tells that sequence numbers up to Seq were given by that time.
+// Mark relates sequence numbers to time: those up to Seq were assigned by then. It is part of the manifest.
 type Mark struct {
 	Seq    uint64 `json:"seq"`
 	UnixMs int64  `json:"ms"`
 }
 
-// Retention is how long a space's records are kept. Zero fields do not bound.
+// Retention bounds the records of a space; a zero field sets no bound. Its JSON is on disk, in the records of the spaces.
 type Retention struct {
-	AgeMs int64 `json:"age_ms,omitempty"`
-	Bytes int64 `json:"bytes,omitempty"`
+	AgeMs int64 `json:"age_ms,omitempty"` // since the commit
+	Bytes int64 `json:"bytes,omitempty"`  // as PutBytes counts them
 }
 
-// Floor returns the sequence number up to which a space's records are too old. held tells for each mark how many
-// of the space's bytes have numbers over the previous mark's and up to its own; marks are in order. The floor is
-// always a mark's number or what it was, so records go a whole stretch between two marks at a time, and some are kept
-// up to a stretch longer than asked.
-func Floor(was uint64, r Retention, marks []Mark, held []int64, nowMs int64) uint64 {
+// Floor returns the sequence number up to which a space's records have expired, given that it was that number before. Marks
+// are in order; bytesByMark has for each mark how many of the space's bytes have numbers after the previous mark's and up to
+// its own, and may be nil if r.Bytes is 0. The floor only ever rises, to the number of a mark: all records between two marks
+// expire together, so some are retained that much longer than r says.
+func Floor(was uint64, r Retention, marks []Mark, bytesByMark []int64, nowMs int64) uint64 {
 	floor := was
 	if r.AgeMs > 0 {
 		for _, m := range marks {
@@ -219,7 +220,7 @@
 	if r.Bytes > 0 {
 		var sum int64
 		for i := len(marks) - 1; i >= 0; i-- {
-			if sum += held[i]; sum > r.Bytes {
+			if sum += bytesByMark[i]; sum > r.Bytes {
 				floor = max(floor, marks[i].Seq)
 				break
 			}
@@ -228,18 +229,18 @@
 	return floor
 }
 
-// TrimMarks drops marks that no floor can need any more, so that their number stays bounded: the newest most marks stay,
-// and of the older ones every second.
-func TrimMarks(marks []Mark, most int) []Mark {
-	if len(marks) <= most {
+// TrimMarks bounds the number of marks. If there are more than maxMarks, the newest maxMarks/2 stay and of the older ones
+// every second, so that old records expire in larger steps.
+func TrimMarks(marks []Mark, maxMarks int) []Mark {
+	if len(marks) <= maxMarks {
 		return marks
 	}
-	old := marks[:len(marks)-most/2]
-	var kept []Mark
+	old := marks[:len(marks)-maxMarks/2]
+	var trimmed []Mark
 	for i, m := range old {
 		if i%2 == 1 || i == len(old)-1 {
-			kept = append(kept, m)
+			trimmed = append(trimmed, m)
 		}
 	}
-	return append(kept, marks[len(marks)-most/2:]...)
+	return append(trimmed, marks[len(marks)-maxMarks/2:]...)
 }
--- a/internal/store/prepare.go
+++ b/internal/store/prepare.go
@@ -5,17 +5,17 @@
 	"ospreypond/internal/store/segment"
 )
 
-// A sync of what was written over bytes that the file has already takes about half as long as one of what made the file
-// longer, which must write down the new length too. So while a segment fills fast, the next one is made ready behind the
-// writer's back: filled with zeros and synced. Zeros are no frame, and the end of a segment may consist of them.
+// A sync takes about half as long if the writes before it did not make the file longer, as the new length would have to
+// reach the disk too. So while segments fill fast, the next one is prepared in the background: filled with zeros and
+// synced. Zeros are no frame, and the open segment may end in them.
 
-// preparedSegment is a segment file that is ready to be opened, but for its head.
+// preparedSegment is a segment file of zeros: it lacks its header.
 type preparedSegment struct {
 	id uint64
 	h  *handle
 }
 
-// prepareNext has the next segment made ready if the present one is worth it: if the one before filled fast.
+// prepareNext prepares the next segment in a goroutine if the previous one filled fast enough to be worth it.
 func (w *writer) prepareNext(s *Store) {
 	filled := s.opt.Now().Sub(w.firstCommitAt)
 	if s.opt.SyncEvery > 0 || w.preparing || !plan.PrepareNext(filled) {
@@ -27,11 +27,11 @@
 	go func() {
 		defer s.goroutines.Done()
 		sp := s.prepareSegment(id)
-		w.preparedSegments <- sp // has room for the one that there is
+		w.preparedSegments <- sp // never blocks: there is at most one, and the channel takes one
 	}()
 }
 
-// prepareSegment makes a segment file of zeros; nil if that fails or the store is closed.
+// prepareSegment makes a segment file of zeros. It returns nil if that fails or the store is closed.
 func (s *Store) prepareSegment(id uint64) *preparedSegment {
 	name := segmentName(id)
 	f, err := s.opt.FS.Create(s.path(name))
@@ -40,13 +40,13 @@
 	}
 	sp := &preparedSegment{id, newHandle(f, name)}
 	zeros := make([]byte, chunkBytes)
-	unsaved := 0
+	unsynced := 0
 	for off := int64(0); off < s.opt.SegmentBytes && err == nil; off += int64(len(zeros)) {
 		if err = s.ctx.Err(); err == nil {
 			_, err = f.WriteAt(zeros[:min(int64(len(zeros)), s.opt.SegmentBytes-off)], off)
 		}
-		if unsaved += len(zeros); unsaved >= bytesPerSync && err == nil {
-			unsaved = 0
+		if unsynced += len(zeros); unsynced >= bytesPerSync && err == nil {
+			unsynced = 0
 			err = f.Sync()
 		}
 	}
@@ -56,19 +56,20 @@
 	if err == nil {
 		err = s.opt.FS.SyncDir(s.dir)
 	}
-	if err != nil { // no harm: the writer makes a segment itself
+	if err != nil { // no harm: the writer creates a segment itself
 		s.removePreparedSegment(sp)
 		return nil
 	}
 	return sp
 }
 
+// removePreparedSegment closes and removes a segment that is not going to be used.
 func (s *Store) removePreparedSegment(sp *preparedSegment) {
 	sp.h.unref()
 	_ = s.opt.FS.Remove(s.path(sp.h.name))
 }
 
-// nextSegment returns the segment to go on in: the one that is ready, or a new one. prepared tells which.
+// nextSegment returns the segment to continue in: the prepared one, if there is one, or a new one. prepared reports which.
 func (w *writer) nextSegment(s *Store) (id uint64, h *handle, prepared bool, err error) {
 	head := segment.Header{Kind: segment.Log, Store: s.id, First: w.seq + 1}
 	select {
@@ -91,7 +92,7 @@
 	return head.ID, h, false, err
 }
 
-// trimZeros cuts the zeros off the open segment when it is sealed or the store is closed.
+// trimZeros truncates the zeros at the end of the open segment, when it is sealed or the store is closed.
 func (w *writer) trimZeros(s *Store) error {
 	if !w.mayHaveZeros {
 		return nil
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// removePrepared removes a segment that was made ready and is not needed. Nobody prepares any more.
+// removePrepared removes a prepared segment that was not used. It may be called once no goroutine prepares one any more.
 func (w *writer) removePrepared(s *Store) {
 	select {
 	case sp := <-w.preparedSegments:
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/store/table"
 )
 
-// fileError names the file of a fault.
+// fileError adds the file's name to an error, and the offset if it is a table.Error.
 func fileError(name string, err error) error {
 	var te *table.Error
 	if errors.As(err, &te) {
@@ -19,7 +19,7 @@
 	return &FileError{File: name, Offset: -1, Err: err}
 }
 
-// read returns the value at loc, in buf if it is large enough.
+// read returns the value at loc, in buf if that is large enough. It checks the value and its key against the checksum.
 func (v *version) read(key []byte, loc table.Loc, buf []byte) ([]byte, error) {
 	h := v.segments[loc.Segment]
 	if h == nil {
@@ -39,8 +39,8 @@
 	return value, nil
 }
 
-// Snapshot is the store as it was at one commit. Later commits and compactions do not reach it. It holds files and
-// memory until it is closed.
+// Snapshot is the store as of one commit; later commits and compactions don't change it. Until it is closed it keeps files
+// open, also those that were removed, and memory. One goroutine may use it at a time.
 type Snapshot struct {
 	top     *layer
 	version *version
@@ -49,16 +49,16 @@
 
 // Snapshot returns the store as it is now.
 func (s *Store) Snapshot() *Snapshot {
-	s.mu.Lock() // copying marks the tree
+	s.mu.Lock() // cloning marks the tree, which is a write
 	defer s.mu.Unlock()
 	s.applyPending()
 	return &Snapshot{top: s.top.clone(), version: s.version.ref(), seq: s.seq}
 }
 
-// Seq is the number of the last commit in the snapshot.
+// Seq returns the number of the last commit in the snapshot.
 func (n *Snapshot) Seq() uint64 { return n.seq }
 
-// Close lets go of the snapshot. Its iterators must not be used any more.
+// Close releases the snapshot's files and memory. Neither it nor its iterators may be used afterwards.
 func (n *Snapshot) Close() {
 	if n.version != nil {
 		n.version.unref()
@@ -66,15 +66,15 @@
 	}
 }
 
-// Get returns a key's value and the number of the commit that set it, or ErrNotFound.
+// Get returns a key's value and the number of the commit that put it, or ErrNotFound.
 func (n *Snapshot) Get(sp *Space, key []byte) (value []byte, seq uint64, err error) {
 	k := spaceKey(sp.id, key)
 	it, found := n.top.get(k)
 	return n.version.get(k, it, found, !found && n.top.covers(k))
 }
 
-// Range returns an iterator over the keys of a space from from up to, not including, to, in order. Nil stands for
-// the space's start and end.
+// Range returns an iterator over the keys of a space in order, from from up to, not including, to. A nil from is the space's
+// first key, a nil to its end.
 func (n *Snapshot) Range(sp *Space, from, to []byte) *Iterator {
 	end := spaceSpan(sp.id).hi
 	if to != nil {
@@ -96,7 +96,7 @@
 	return n.Range(sp, prefix, to)
 }
 
-// Iterator goes over a range of keys. It belongs to one goroutine and to its snapshot.
+// Iterator iterates over a range of keys. It belongs to one goroutine and must not outlive its snapshot.
 type Iterator struct {
 	version *version
 	merged  *mergeIterator
@@ -105,22 +105,23 @@
 	buf     []byte
 }
 
-// Next goes to the next key. It returns false at the end and after a fault, which Err tells.
+// Next goes to the next key, at first to the first one, and reports whether there is one. Err returns why there is none, if
+// that is not the end of the range.
 func (it *Iterator) Next() bool {
 	it.valid = it.merged.next() && string(it.merged.entry.Key) < it.end
 	return it.valid
 }
 
-// Key returns the present key. It is good until Next.
+// Key returns the current key. It is valid until Next.
 func (it *Iterator) Key() []byte { return it.merged.entry.Key[2:] }
 
-// Seq is the number of the commit that set the present key.
+// Seq returns the number of the commit that put the current key.
 func (it *Iterator) Seq() uint64 { return it.merged.entry.Loc.Seq }
 
-// Size is the length of the present key's value, bytes.
+// Size returns the length of the current key's value in bytes, without reading it.
 func (it *Iterator) Size() int { return int(it.merged.entry.Loc.Size) }
 
-// Value reads the present key's value. It is good until the next call of Value.
+// Value reads the current key's value. It is valid until the next call of Value.
 func (it *Iterator) Value() ([]byte, error) {
 	if !it.valid {
 		return nil, ErrNotFound
@@ -132,7 +133,7 @@
 	return value, err
 }
 
-// Err returns what ended the iterator early, or nil.
+// Err returns the error that ended the iteration early, or nil.
 func (it *Iterator) Err() error {
 	if it.merged.err == nil || it.version.base == nil {
 		return it.merged.err
@@ -140,5 +141,5 @@
 	return fileError(it.version.base.h.name, it.merged.err)
 }
 
-// Close lets go of the iterator.
+// Close ends the iteration. It is optional: the iterator's resources are its snapshot's.
 func (it *Iterator) Close() { it.valid = false }
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -15,26 +15,26 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Lost is a stretch of a file that Repair had to leave out.
+// Lost is a range of a file that Repair had to leave out.
 type Lost struct {
 	File   string `json:"file"`
-	Offset int64  `json:"offset"` // -1: the whole file
+	Offset int64  `json:"offset"` // -1: the complete file
 	Why    string `json:"why"`
 }
 
-// Repaired is what Repair did.
+// Repaired is the report of Repair. Its JSON is printed by the command.
 type Repaired struct {
 	Records int    `json:"records"` // in the new store
 	Frames  int    `json:"frames"`  // read
 	Lost    []Lost `json:"lost"`
-	// Guessed: no copy of the manifest was good, so the segments were taken as found in the folder. Records that had
-	// grown too old may be back.
+	// Guessed: both copies of the manifest were damaged, so the segments were taken as found in the folder. Records that
+	// had expired may be back.
 	Guessed bool `json:"guessed,omitempty"`
 }
 
-// Repair makes a new store in the folder into, which must be empty or not there, of what is good in the one in dir,
-// which stays as it is. A key whose newest record or deletion was lost has the state before it, or is missing; nothing
-// is there that never was. Sequence numbers are given anew, in the old order.
+// Repair makes a new store in the folder into, which must be empty or missing, of what is undamaged in the one in dir, which
+// it does not change. A key whose newest record or deletion was lost has an earlier value or is missing; no key has a value
+// that it never had. Sequence numbers are assigned anew, in the old order. Repair returns ErrLocked while the store is open.
 func Repair(ctx context.Context, dir, into string, opt Options) (*Repaired, error) {
 	if err := opt.defaults(); err != nil {
 		return nil, err
@@ -82,11 +82,12 @@
 	index *indexBuilder
 }
 
+// addLost reports a range as lost.
 func (r *repairer) addLost(file string, at int64, err error) {
 	r.Lost = append(r.Lost, Lost{file, at, err.Error()})
 }
 
-// manifest returns the one in force, or one made of the segments that are there.
+// manifest returns the manifest in force, or one of all segments in the folder if neither copy is undamaged.
 func (r *repairer) manifest() (*manifest.Manifest, error) {
 	man, _, err := manifest.Read(r.s.opt.FS, r.s.dir)
 	if err == nil || errors.Is(err, ErrNewer) {
@@ -111,7 +112,7 @@
 	return man, nil
 }
 
-// readSegment takes in what is good in a segment.
+// readSegment adds the undamaged frames of a segment to the index and reports the rest as lost.
 func (r *repairer) readSegment(g plan.Segment) {
 	name := segmentName(g.ID)
 	f, err := r.s.opt.FS.Open(r.s.path(name))
@@ -139,7 +140,7 @@
 			}
 		}
 		if err == nil && h.ID != g.ID {
-			// Its records are another segment's, and come by that one's name if it is here.
+			// Its records are another segment's, which has them under its own name if it is here.
 			r.addLost(name, 0, fmt.Errorf("%w: is another segment, number %d", ErrCorrupt, h.ID))
 			return
 		}
@@ -147,7 +148,7 @@
 	if err != nil {
 		r.addLost(name, 0, err)
 		if r.Guessed {
-			return // not even its kind is known
+			return // its kind is unknown
 		}
 	}
 	n, err := r.index.addSegment(f, g, func(at int64, err error) error {
@@ -160,10 +161,10 @@
 	}
 }
 
-// repairBatchBytes is about how many bytes are written to the new store at once.
+// repairBatchBytes is the size from which a batch is committed to the new store.
 const repairBatchBytes = 1 << 20
 
-// write puts the records into the new store in the order of their commits.
+// write commits the records to the new store in the order of their commits.
 func (r *repairer) write(ctx context.Context, to *Store, entries []table.Entry) error {
 	slices.SortStableFunc(entries, func(a, b table.Entry) int { return cmp.Compare(a.Loc.Seq, b.Loc.Seq) })
 	var b Batch
@@ -184,7 +185,7 @@
 			return &FileError{File: segmentName(uint64(e.Loc.Segment)), Offset: int64(e.Loc.Offset),
 				Err: fmt.Errorf("%w: value's checksum", ErrCorrupt)}
 		}
-		// The keys of the index are taken as they are, the names of the spaces among them.
+		// Keys of the index are copied as they are, so the records of the spaces come along.
 		b.Put(&Space{id: spaceOf(e.Key)}, e.Key[2:], value)
 		r.Records++
 		if b.Size() >= repairBatchBytes {
--- a/internal/store/segment/op.go
+++ b/internal/store/segment/op.go
@@ -6,7 +6,7 @@
 	"hash/crc32"
 )
 
-// OpKind tells what an operation does.
+// OpKind is what an operation does.
 type OpKind byte
 
 // The operations. Their numbers are the ones on disk.
@@ -22,11 +22,11 @@
 	Key   []byte
 	End   []byte
 	Value []byte
-	// At is where the value starts, counted from the start of the frame.
+	// At is the offset of the value from the start of the frame. Ops sets it; AppendOp does not use it.
 	At int
 }
 
-// AppendOp appends an operation: its kind, then each part behind its length as a varint.
+// AppendOp appends an encoded operation: its kind, then the key and the value or end, each after its length as a varint.
 func AppendOp(b []byte, o Op) []byte {
 	b = append(b, byte(o.Kind))
 	b = appendPart(b, o.Key)
@@ -43,13 +43,14 @@
 	return append(binary.AppendUvarint(b, uint64(len(part))), part...)
 }
 
-// Sum is the checksum by which a value is known to be the key's own. It is kept in the index, so that a value can be
-// read without the rest of its batch.
+// Sum is the checksum of a key and its value. The index has it, so that a value can be read and checked without the rest of
+// its batch.
 func Sum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, Castagnoli), Castagnoli, value)
 }
 
-// Ops calls f with each operation of a payload, in order. What f gets is part of the payload.
+// Ops calls f with each operation of a payload, in order, and stops at the first error, of f or of decoding; the latter wraps
+// ErrBad. The slices that f gets are part of the payload.
 func Ops(payload []byte, f func(Op) error) error {
 	for at := 0; at < len(payload); {
 		o := Op{Kind: OpKind(payload[at])}
@@ -79,6 +80,7 @@
 	return nil
 }
 
+// readPart returns the part whose length is at offset at, and the offset behind it.
 func readPart(b []byte, at int) ([]byte, int, error) {
 	n, size := binary.Uvarint(b[at:])
 	if size <= 0 || n > uint64(len(b)-at-size) {
--- a/internal/store/segment/scan.go
+++ b/internal/store/segment/scan.go
@@ -6,27 +6,28 @@
 	"io"
 )
 
-// Scanner reads a segment's frames one after the other.
+// Scanner reads a segment's frames one after the other. It belongs to one goroutine.
 type Scanner struct {
 	r        io.ReaderAt
 	off      int64
 	size     int64
-	window   []byte // bytes from windowAt on
+	window   []byte // bytes from windowAt on that were read
 	windowAt int64
 }
 
+// windowBytes is how much a Scanner reads at once, if a frame is not larger.
 const windowBytes = 256 << 10
 
-// NewScanner returns a Scanner of the bytes of r from offset from up to size.
+// NewScanner returns a Scanner of the bytes of r from offset from up to, not including, size.
 func NewScanner(r io.ReaderAt, from, size int64) *Scanner {
 	return &Scanner{r: r, off: from, size: size}
 }
 
-// Offset is where the next frame starts; after an error of Next, where the bad one does.
+// Offset returns the offset of the next frame; after an error of Next that of the damaged one.
 func (s *Scanner) Offset() int64 { return s.off }
 
-// Next returns the next frame, which is good until the next call, and where it starts. At the end it returns io.EOF;
-// a frame that is not whole gives an error that wraps ErrBad, and Next stays where it is.
+// Next returns the next frame, which is valid until the next call, and its offset. At the end it returns io.EOF. For a frame
+// that is incomplete or damaged it returns an error that wraps ErrBad, and does not advance.
 func (s *Scanner) Next() (Frame, int64, error) {
 	if s.off >= s.size {
 		return Frame{}, s.off, io.EOF
@@ -36,9 +37,9 @@
 		return Frame{}, s.off, err
 	}
 	if len(b) >= FrameSize {
-		whole := FrameSize + int64(binary.LittleEndian.Uint32(b[4:]))
-		if s.off+whole <= s.size {
-			if b, err = s.bytes(s.off, int(whole)); err != nil {
+		size := FrameSize + int64(binary.LittleEndian.Uint32(b[4:]))
+		if s.off+size <= s.size {
+			if b, err = s.bytes(s.off, int(size)); err != nil {
 				return Frame{}, s.off, err
 			}
 		}
@@ -52,20 +53,20 @@
 	return f, at, nil
 }
 
-// Resync goes on behind a bad frame: it looks at each byte for the start of a whole frame that ok takes, and stands
-// there. It reports whether there was one.
+// Resync searches behind a damaged frame, byte by byte, for the start of an undamaged one that ok accepts. It reports whether
+// there is one; then Next returns it, and otherwise the Scanner is at the end.
 func (s *Scanner) Resync(ok func(Frame) bool) (bool, error) {
 	for s.off++; s.off+FrameSize < s.size; s.off++ {
 		b, err := s.bytes(s.off, FrameSize)
 		if err != nil {
 			return false, err
 		}
-		whole := FrameSize + int64(binary.LittleEndian.Uint32(b[4:]))
-		// Most places are ruled out by what they would say, without a checksum.
-		if whole == FrameSize || s.off+whole > s.size || binary.LittleEndian.Uint64(b[8:]) <= binary.LittleEndian.Uint64(b[16:]) {
+		size := FrameSize + int64(binary.LittleEndian.Uint32(b[4:]))
+		// Most offsets are ruled out by the fields that a header would have there, without a checksum.
+		if size == FrameSize || s.off+size > s.size || binary.LittleEndian.Uint64(b[8:]) <= binary.LittleEndian.Uint64(b[16:]) {
 			continue
 		}
-		if b, err = s.bytes(s.off, int(whole)); err != nil {
+		if b, err = s.bytes(s.off, int(size)); err != nil {
 			return false, err
 		}
 		if f, _, err := ParseFrame(b); err == nil && ok(f) {
@@ -95,11 +96,10 @@
 	return b[:min(len(b), n)], nil
 }
 
-// SeekTo has the Scanner stand at an offset that Next returned.
+// SeekTo sets the offset of the next frame to one that Next returned.
 func (s *Scanner) SeekTo(off int64) { s.off = off }
 
-// RestZero tells whether all from where the Scanner stands is zero, as in a segment that was made ready for more. It
-// stays where it is.
+// RestZero reports whether all bytes from the Scanner's offset on are zero, as in a prepared segment. It does not advance.
 func (s *Scanner) RestZero() (bool, error) {
 	for off := s.off; off < s.size; off += windowBytes {
 		b, err := s.bytes(off, windowBytes)
--- a/internal/store/segment/segment.go
+++ b/internal/store/segment/segment.go
@@ -1,5 +1,5 @@
-// Package segment is the form of the store's segment files on disk, byte by byte; it reads and writes nothing
-// itself. docs/store.md has the same as a table.
+// Package segment encodes and decodes the store's segment files. It writes nothing itself and reads only what a Scanner is
+// given. docs/store.md has the format byte by byte. All numbers are little-endian, all checksums CRC-32C.
 //
 // A segment is a header of HeaderSize bytes followed by frames without gaps. A log segment's frames are
 // commits: one frame a batch, sequence numbers counting up by one. An output segment, which compaction wrote, has
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// Version is the newest format that this release reads and writes.
+// Version is the format that this release writes, and the newest that it reads.
 const Version = 1
 
 // Sizes in bytes.
 const (
 	HeaderSize = 64
-	FrameSize  = 32 // what a frame has before its payload
+	FrameSize  = 32 // of a frame's header, before its payload
 )
 
-// Kind tells what a segment holds.
+// Kind is what a segment consists of.
 type Kind uint32
 
-// The kinds.
+// The kinds of segments. Their numbers are the ones on disk.
 const (
-	Log    Kind = 1
-	Output Kind = 2
+	Log    Kind = 1 // commits in their order
+	Output Kind = 2 // records and deletions that compaction copied
 )
 
 const magic = "OSPRSEG\n"
@@ -38,11 +38,11 @@
 	// Castagnoli is the polynomial of all checksums here (CRC-32C, RFC 3720, appendix B.4).
 	Castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-	// ErrBad is wrapped by every error about bytes that are not what was written.
+	// ErrBad is wrapped by all errors about bytes that are not what was written.
 	ErrBad = errors.New("damaged")
-	// ErrNewer tells of a format from a newer release.
+	// ErrNewer is wrapped by errors about a format of a newer release.
 	ErrNewer = errors.New("format of a newer release")
-	// errShort tells of bytes that end too early.
+	// errShort is returned for bytes that end too early.
 	errShort = fmt.Errorf("%w: ends early", ErrBad)
 )
 
@@ -69,7 +69,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], Castagnoli))
 }
 
-// ParseHeader reads a header.
+// ParseHeader decodes a header. Its errors wrap ErrBad or ErrNewer.
 func ParseHeader(b []byte) (Header, error) {
 	var h Header
 	if len(b) < HeaderSize {
@@ -79,7 +79,7 @@
 	if string(b[:8]) != magic {
 		return h, fmt.Errorf("%w: no segment", ErrBad)
 	}
-	// The version is looked at before the checksum, whose place a newer release may have moved.
+	// The version is checked before the checksum, whose position a newer release may have changed.
 	if v := binary.LittleEndian.Uint32(b[8:]); v > Version {
 		return h, fmt.Errorf("%w: %d, this one reads up to %d", ErrNewer, v, Version)
 	}
@@ -96,17 +96,18 @@
 	return h, nil
 }
 
-// Frame is one batch, or one record that compaction kept.
+// Frame is one batch, or one record or deletion that compaction copied.
 type Frame struct {
 	Seq uint64
-	// Durable is the highest sequence number that was on disk when the frame was written. It tells a torn end
-	// from damage: a bad frame whose number a later, good frame calls durable was whole once.
+	// Durable is the highest sequence number that was on disk when the frame was written. It distinguishes damage from an
+	// interrupted write: a damaged frame whose number a later, undamaged frame calls durable was complete once.
 	Durable uint64
-	Time    time.Time // of the commit, to the millisecond
+	Time    time.Time // of the commit, in milliseconds; zero for a copied record
 	Payload []byte    // operations, see Op
 }
 
-// FinishFrame fills in the first FrameSize bytes of b, the rest of which is the payload.
+// FinishFrame fills in the header of a frame, the first FrameSize bytes of b. The rest of b is the payload; f.Payload is not
+// used.
 //
 //	0  checksum of all that follows   4  payload's length   8  sequence number
 //	16 durable number                24  time, ms since 1970
@@ -118,7 +119,8 @@
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], Castagnoli))
 }
 
-// ParseFrame reads the frame at the start of b and tells its whole size. The payload is part of b.
+// ParseFrame decodes the frame at the start of b and returns its size with the header. The payload is part of b, not a copy.
+// Its errors wrap ErrBad.
 func ParseFrame(b []byte) (f Frame, size int, err error) {
 	if len(b) < FrameSize {
 		return f, 0, errShort
--- a/internal/store/segment/segment_test.go
+++ b/internal/store/segment/segment_test.go
@@ -43,7 +43,7 @@
 	require.Equal(t, ops, got)
 }
 
-func TestResyncFindsTheNextWholeFrame(t *testing.T) {
+func TestResyncFindsTheNextCompleteFrame(t *testing.T) {
 	one := frame(1, 0, segment.Op{Kind: segment.Put, Key: []byte("a"), Value: bytes.Repeat([]byte("x"), 300<<10)})
 	two := frame(2, 1, segment.Op{Kind: segment.Put, Key: []byte("b"), Value: []byte("y")})
 	b := append(append([]byte{}, one...), two...)
--- a/internal/store/space.go
+++ b/internal/store/space.go
@@ -8,25 +8,25 @@
 	"ospreypond/internal/store/plan"
 )
 
-// namesSpace is the space in which the names of the others lie.
+// namesSpace is the space that has a record for each other space, by its name.
 const namesSpace = 0
 
-// Retention is how long a space's records are kept. Zero fields do not bound. Records go in stretches of about a
-// segment of the log, oldest first, without being rewritten; some stay up to a stretch longer than asked.
+// Retention bounds the records that a space retains. A zero field sets no bound. Records expire oldest first, about a
+// segment of the log at a time, so some are retained that much longer than the bounds say.
 type Retention struct {
-	Age   time.Duration
-	Bytes int64 // of keys and values
+	Age   time.Duration // since the commit
+	Bytes int64         // of keys and values
 }
 
-// Space is a keyspace of a store: keys in it are apart from all others.
+// Space is a keyspace of a store: the same key in two spaces is two keys. It is safe for use by several goroutines.
 type Space struct {
 	s         *Store
 	id        uint16
 	name      string
-	retention plan.Retention // guarded by the store's mu
+	retention plan.Retention // guarded by Store.mu
 }
 
-// spaceRecord is what is stored of a space.
+// spaceRecord is the record of a space in namesSpace. Its JSON is on disk.
 type spaceRecord struct {
 	ID        uint16         `json:"id"`
 	Retention plan.Retention `json:"retention"`
@@ -35,7 +35,8 @@
 // Name returns the space's name.
 func (sp *Space) Name() string { return sp.name }
 
-// Space returns the keyspace of that name, which is made if there is none, with that retention from now on.
+// Space returns the keyspace of that name, with that retention from now on. It creates the space if there is none, which is
+// a commit.
 func (s *Store) Space(name string, keep Retention) (*Space, error) {
 	if name == "" || len(name) > 128 {
 		return nil, fmt.Errorf("store: %q is no name for a space", name)
@@ -77,7 +78,7 @@
 	return sp, nil
 }
 
-// Lookup returns the keyspace of that name as it is, or ErrNotFound.
+// Lookup returns the keyspace of that name, its retention unchanged, or ErrNotFound.
 func (s *Store) Lookup(name string) (*Space, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -98,14 +99,14 @@
 	return all
 }
 
-// Retention returns how long the space's records are kept.
+// Retention returns the bounds on the records that the space retains.
 func (sp *Space) Retention() Retention {
 	sp.s.mu.RLock()
 	defer sp.s.mu.RUnlock()
 	return Retention{Age: time.Duration(sp.retention.AgeMs) * time.Millisecond, Bytes: sp.retention.Bytes}
 }
 
-// retentions returns the spaces whose records grow old.
+// retentions returns the retention of the spaces that have one, by number; nil if none has.
 func (s *Store) retentions() map[uint16]plan.Retention {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -121,14 +122,14 @@
 	return m
 }
 
-// floors returns the sequence numbers up to which records are too old, by space.
+// floors returns, by space, the sequence number up to which records have expired.
 func (s *Store) floors() map[uint16]uint64 {
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
 	return s.man.Clone().Floors
 }
 
-// loadSpaces reads the names of the spaces when the store is opened.
+// loadSpaces reads the records of all spaces when the store is opened.
 func (s *Store) loadSpaces() error {
 	snap := s.Snapshot()
 	defer snap.Close()
@@ -166,7 +167,8 @@
 	return v.get(k, it, found, covered)
 }
 
-// get goes on under the uppermost layer, which said it, found and covered, and reads the value.
+// get completes a lookup of which the uppermost layer yielded it, found and covered: if need be it looks under that layer,
+// then it reads the value.
 func (v *version) get(key string, it item, found, covered bool) ([]byte, uint64, error) {
 	loc := it.loc
 	if !found && !covered {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,22 +1,28 @@
-// Package store is an ordered key-value store for one process that survives a cut at any byte. docs/store.md has
-// the design and the form on disk.
+// Package store is an ordered key-value store for one process. It survives the end of the process and of the machine at
+// any point. docs/store.md has the design and the form on disk.
 //
 // What it promises:
 //
-//   - A batch is there whole or not at all, and batches are there in the order of their commits: after a crash the
-//     store holds a prefix of what was committed, never a mix.
-//   - By default Commit returns when the batch is on disk (fdatasync). Batches that wait together share one sync.
+//   - Batches are atomic and ordered: after a crash the store has a prefix of the batches that were committed, in the order
+//     of their commits, and no part of any other.
+//   - By default Commit returns when the batch is on disk (fdatasync). Batches that wait at the same time share one sync.
 //   - With Options.SyncEvery, Commit returns when the operating system has the batch, and a sync follows within that
-//     time. The end of the process loses nothing; a power cut may lose the commits of about the last SyncEvery, the
-//     newest ones, and still leaves a prefix. Sync waits until all is on disk.
-//   - A commit that failed for lack of room has no effect and later ones may do. After a failed sync the store takes
-//     no more writes (ErrReadOnly): what of the last ones is on disk shows only when it is opened again.
-//   - What is damaged is never passed over: Open refuses, and reads fail, with the file and the offset. Repair makes
-//     a new store of what is good.
+//     time. The end of the process loses nothing; a power failure may lose the newest commits, those of about the last
+//     SyncEvery, and still leaves a prefix. Sync waits until all is on disk.
+//   - A commit that failed because the disk is full has no effect, and later ones may succeed. After a failed sync the
+//     store accepts no more writes (ErrReadOnly): which of the last ones are on disk is known only when it is opened again.
+//   - Damage is always reported: Open fails, or reads do, with the file and the offset (FileError). Repair makes a new
+//     store of what is undamaged.
 //
-// Commits are appended to a log of segments; values stay there. The index has what came lately in memory, in a
-// B-tree, and the rest in one sorted table on disk, which a pass writes anew from time to time; the same pass
-// rewrites segments that are mostly dead (Kreps' and Bitcask's log, with WiscKey's split of keys and values).
+// What it does not promise: that damage to the very last commits before a crash can be told from a write that the crash
+// interrupted; isolation beyond that of a Snapshot (there are no transactions that read); more than one process at a time.
+//
+// What callers must do: close snapshots and iterators before the store, and treat ErrReadOnly as the end of the store until
+// it is opened again. Store and Space may be used by several goroutines; a Batch, a Snapshot and an Iterator by one at a time.
+//
+// Commits are appended to a log of segments, in which values stay. The index has the newest records in memory, in a
+// B-tree, and the rest in one sorted table on disk. A compaction pass writes that table anew from time to time, and
+// rewrites the segments that are mostly dead. The log is Kreps' and Bitcask's, the split of keys and values WiscKey's.
 package store
 
 import (
@@ -38,35 +44,36 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Limits on sizes, bytes.
+// Limits on the sizes of keys, values and batches, in bytes. What is over one fails with ErrTooLarge.
 const (
 	MaxKey   = 4 << 10
 	MaxValue = 16 << 20
 	MaxBatch = 32 << 20
 )
 
-// Options are a store's settings. The zero value works.
+// Options are the settings of a store. The zero value is valid.
 type Options struct {
-	// Existing has Open fail with ErrNoStore instead of making a store.
+	// Existing has Open fail with ErrNoStore if there is no store, instead of creating one.
 	Existing bool
 	// SyncEvery, if over 0, lets commits return before they are on disk; see the package comment.
 	SyncEvery time.Duration
 	// SegmentBytes is the size at which a segment is sealed; 16 MiB if 0, at most 1 GiB.
 	SegmentBytes int64
-	// Garbage is the dead share at which a segment is rewritten; 0.5 if 0.
+	// Garbage is the fraction of a segment that must be dead before it is rewritten, 0.05 to 1; 0.5 if 0.
 	Garbage float64
-	// PassBytesPerS bounds what compaction reads and writes; 64 MiB if 0, none if negative.
+	// PassBytesPerS bounds the bytes that compaction reads and writes in a second; 64 MiB if 0, no bound if negative.
 	PassBytesPerS int
-	// CacheBytes is for blocks of the index; 4 MiB if 0.
+	// CacheBytes is the size of the cache for blocks of the index; 4 MiB if 0.
 	CacheBytes int
-	// Log is told what an operator should know; nil: nobody is.
+	// Log gets what an operator should know; nil discards it.
 	Log logrus.FieldLogger
 	// FS is the file system; nil: the operating system's.
 	FS vfs.FS
-	// Now is the clock by which records grow old; nil: time.Now.
+	// Now is the clock by which records expire; nil: time.Now.
 	Now func() time.Time
 }
 
+// defaults fills in what is zero and checks the rest.
 func (o *Options) defaults() error {
 	if o.SegmentBytes == 0 {
 		o.SegmentBytes = 16 << 20
@@ -103,7 +110,8 @@
 	return nil
 }
 
-// Store is an open store. It is safe for use by several goroutines.
+// Store is an open store. It is safe for use by several goroutines. It has three goroutines of its own, the writer's, the
+// applier's and the compactor's, which Close ends and waits for.
 type Store struct {
 	dir     string
 	opt     Options
@@ -114,7 +122,7 @@
 	limiter *rate.Limiter
 	ctx     context.Context // ends when the store is closed
 	cancel  context.CancelFunc
-	fault   atomic.Pointer[error] // why it takes no more writes
+	fault   atomic.Pointer[error] // why it is read-only; nil: it is not
 
 	// mu guards what readers see.
 	mu      sync.RWMutex
@@ -125,36 +133,36 @@
 	spaces  map[string]*Space
 	closed  bool
 
-	// manMu guards the manifest in force, which the writer's and the passer's goroutines replace.
+	// manMu guards the manifest in force, which the writer and the compactor replace.
 	manMu sync.Mutex
 	man   *manifest.Manifest
 
 	writer    writer
 	compactor compactor
 
-	spaceMu    sync.Mutex // one Space at a time names a new space
+	spaceMu    sync.Mutex // one call of Space at a time changes a space
 	goroutines sync.WaitGroup
 	durable    atomic.Uint64
 	passes     atomic.Uint64
 }
 
-// Stats are figures of a store.
+// Stats are the figures of a store at one time.
 type Stats struct {
-	Seq         uint64 `json:"seq"`          // of the last commit
-	Durable     uint64 `json:"durable"`      // up to here all is on disk
-	Segments    int    `json:"segments"`     // files
-	Bytes       int64  `json:"bytes"`        // of the segments and the index on disk
-	LiveBytes   int64  `json:"live_bytes"`   // as a pass last counted, and all that came since
-	TableKeys   uint64 `json:"table_keys"`   // in the index on disk
-	MemoryKeys  int    `json:"memory_keys"`  // in the part of the index in memory, deletions too
-	MemoryBytes int64  `json:"memory_bytes"` // that the index takes in memory, about
-	Passes      uint64 `json:"passes"`       // since the store was opened
-	Syncs       uint64 `json:"syncs"`        // of the log, since the store was opened
-	Commits     uint64 `json:"commits"`      // since the store was opened
-	ReadOnly    string `json:"read_only,omitempty"`
+	Seq         uint64 `json:"seq"`                 // of the last commit
+	Durable     uint64 `json:"durable"`             // all commits up to this one are on disk
+	Segments    int    `json:"segments"`            // files
+	Bytes       int64  `json:"bytes"`               // of the segments and the index on disk
+	LiveBytes   int64  `json:"live_bytes"`          // as the last pass counted, and all that was written since
+	TableKeys   uint64 `json:"table_keys"`          // in the index on disk
+	MemoryKeys  int    `json:"memory_keys"`         // in the part of the index in memory, deletions among them
+	MemoryBytes int64  `json:"memory_bytes"`        // that the index takes in memory, estimated
+	Passes      uint64 `json:"passes"`              // since the store was opened
+	Syncs       uint64 `json:"syncs"`               // of the log, since the store was opened
+	Commits     uint64 `json:"commits"`             // since the store was opened
+	ReadOnly    string `json:"read_only,omitempty"` // why the store is read-only; empty: it is not
 }
 
-// Stats returns the store's present figures.
+// Stats returns the store's figures. Those of the manifest and those of the index are not taken at the same instant.
 func (s *Store) Stats() Stats {
 	s.manMu.Lock()
 	st := Stats{Segments: len(s.man.Segments), Passes: s.passes.Load(), Durable: s.durable.Load(),
@@ -193,7 +201,7 @@
 // Dir returns the store's folder.
 func (s *Store) Dir() string { return s.dir }
 
-// Err returns why the store takes no more writes, or nil.
+// Err returns why the store is read-only, an error that wraps ErrReadOnly, or nil while it accepts writes.
 func (s *Store) Err() error {
 	if f := s.fault.Load(); f != nil {
 		return *f
@@ -201,7 +209,8 @@
 	return nil
 }
 
-// turnReadOnly has the store take no more writes.
+// turnReadOnly has the store reject writes from now on, and returns the error for the one that failed. Only the first
+// cause is kept.
 func (s *Store) turnReadOnly(what string, err error) error {
 	e := fmt.Errorf("%w: %s: %w", ErrReadOnly, what, err)
 	if s.fault.CompareAndSwap(nil, &e) {
@@ -216,15 +225,15 @@
 func segmentName(id uint64) string { return fmt.Sprintf("%08d.seg", id) }
 func tableName(id uint64) string   { return fmt.Sprintf("%08d.tab", id) }
 
-// installed replaces the manifest in force. edit changes a copy. After an error the old one is in force, or the store
-// takes no more writes.
+// install replaces the manifest in force by a copy that edit has changed. After an error the old one is still in force, or
+// the store is read-only.
 func (s *Store) install(edit func(m *manifest.Manifest)) error {
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
 	next := s.man.Clone()
 	edit(next)
 	next.Generation++
-	if maybe, err := manifest.Write(s.opt.FS, s.dir, next); maybe {
+	if mayBeInForce, err := manifest.Write(s.opt.FS, s.dir, next); mayBeInForce {
 		return s.turnReadOnly("writing the manifest", err)
 	} else if err != nil {
 		return fmt.Errorf("store: writing the manifest: %w", err)
@@ -233,7 +242,7 @@
 	return nil
 }
 
-// nextID returns a number for a new file.
+// nextID returns the number of a new file.
 func (s *Store) nextID() uint64 {
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
@@ -242,41 +251,43 @@
 	return id
 }
 
-// remove removes a file that nothing names any more. If that fails, the next opening does it.
+// remove removes a file that no manifest names any more. If that fails, the next Open removes it.
 func (s *Store) remove(name string) {
 	if err := s.opt.FS.Remove(s.path(name)); err != nil {
 		s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "file": name}).Warn("file left behind")
 	}
 }
 
-// Sync returns when all that was committed is on disk.
+// Sync returns when every commit before it is on disk.
 func (s *Store) Sync() error {
 	return s.writer.runInWriter(func() error { return s.writer.sync(s) })
 }
 
-// Compact has the index written down and all rewritten that is worth it, until passes find nothing more.
+// Compact runs compaction passes until they find nothing more to rewrite or no longer make the store smaller. Commits and
+// reads go on meanwhile. It returns early with ctx's error once that is done.
 func (s *Store) Compact(ctx context.Context) error {
-	least := s.Stats().Bytes
+	smallest := s.Stats().Bytes
 	for idle := 0; idle < maxIdlePasses; idle++ {
-		again, err := s.compactor.runPass(ctx, s, passOptions{freeze: true})
-		if err != nil || !again {
+		more, err := s.compactor.runPass(ctx, s, passOptions{freeze: true})
+		if err != nil || !more {
 			return err
 		}
-		if now := s.Stats().Bytes; now < least {
-			idle, least = -1, now
+		if size := s.Stats().Bytes; size < smallest {
+			idle, smallest = -1, size
 		}
 	}
 	return nil
 }
 
-// maxIdlePasses is how many passes in a row may find something to rewrite and yet gain nothing: deletions take a few to
-// become needless.
+// maxIdlePasses is how many passes in a row may rewrite something without making the store smaller: it takes several until
+// no record is left that a deletion must hide.
 const maxIdlePasses = 4
 
-// maxCloseTail is how many bytes of log an orderly end leaves to be read at the next opening.
+// maxCloseTail is how many bytes of log Close may leave for the next Open to read.
 const maxCloseTail = 2 << 20
 
-// Close ends the store when all that was committed is on disk. Snapshots and iterators must be closed before.
+// Close writes what is not yet on disk, ends the store's goroutines and unlocks its folder. Commits that are in flight either
+// succeed or fail with ErrClosed. Snapshots and iterators must be closed before. A second call returns ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -290,9 +301,9 @@
 		err = s.Sync()
 		if err == nil && s.writer.unindexed.Load() > maxCloseTail {
 			if s.limiter != nil {
-				s.limiter.SetLimit(rate.Inf) // nobody else is waiting for the disk now
+				s.limiter.SetLimit(rate.Inf) // no commit waits for the disk any more
 			}
-			// Only saves time at the next opening, so that a fault of it harms nothing.
+			// This only shortens the next Open, so an error does no harm.
 			if _, perr := s.compactor.runPass(s.ctx, s, passOptions{freeze: true, indexOnly: true}); perr != nil {
 				s.opt.Log.WithError(perr).WithField("store", s.dir).Warn("index not written down at the end")
 			}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -62,7 +62,7 @@
 	require.NoError(t, s.Close())
 }
 
-func TestWhatIsCommittedIsThereAgain(t *testing.T) {
+func TestCommittedRecordsAreReadAfterReopening(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, store.Options{})
 	a, b := space(t, s, "a"), space(t, s, "b")
--- a/internal/store/table/iterator.go
+++ b/internal/store/table/iterator.go
@@ -5,24 +5,24 @@
 	"encoding/binary"
 )
 
-// Iterator goes over a table's entries in order.
+// Iterator iterates over a table's entries in order. It belongs to one goroutine.
 type Iterator struct {
 	t         *Table
-	nextBlock int // the next block
+	nextBlock int // the block to read next
 	buf       []byte
-	rest      []byte // of the present block
-	from      []byte // the first key wanted
+	rest      []byte // of the current block
+	from      []byte // entries before this key are skipped; nil: none any more
 	entry     Entry
 	err       error
 }
 
-// Seek returns an Iterator that stands before the first entry whose key is not under the given one. It keeps the
-// cache as it is.
+// Seek returns an Iterator before the first entry whose key is not lower than the given one. It reads past the cache, so that
+// a pass over the complete table does not evict what lookups need.
 func (t *Table) Seek(key []byte) *Iterator {
 	return &Iterator{t: t, nextBlock: max(0, t.find(key)), from: key}
 }
 
-// Next goes to the next entry; at the end and after a fault it returns false.
+// Next goes to the next entry and reports whether there is one. Err returns why there is none, if that is not the end.
 func (it *Iterator) Next() bool {
 	for it.err == nil {
 		for it.step() {
@@ -44,7 +44,7 @@
 	return false
 }
 
-// step reads one entry of the present block. The key is the Iterator's own.
+// step decodes one entry of the current block and reports whether there was one. The key is the Iterator's own.
 func (it *Iterator) step() bool {
 	b := it.rest
 	if len(b) == 0 {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// Entry returns the present entry, whose key is good until the next call of Next.
+// Entry returns the current entry, whose key is valid until the next call of Next.
 func (it *Iterator) Entry() Entry { return it.entry }
 
-// Err returns what ended the Iterator early.
+// Err returns the error that ended the iteration early, or nil.
 func (it *Iterator) Err() error { return it.err }
--- a/internal/store/table/table.go
+++ b/internal/store/table/table.go
@@ -1,9 +1,10 @@
-// Package table is the checkpoint of the store's index: one sorted file that tells for each key where its value
-// lies. It is written once, whole, and read a block at a time, so that opening costs one read whatever the store holds.
+// Package table is the checkpoint of the store's index: one sorted file that has for each key the location of its value. It
+// is written once, by a Writer, and read a block at a time, so that opening it costs one read whatever its size.
 //
-// A table is a row of blocks, an index of the blocks, and a footer of fixed size at the end (docs/store.md has it
-// byte by byte). In a block each key is written as the length it shares with the one before and the rest; every
-// block ends in its checksum. Blocks are checked when they are read, index and footer when the table is opened.
+// A table consists of blocks, an index of the blocks, and a footer of fixed size (docs/store.md has it byte by byte). In a
+// block each key is encoded as the length of the prefix that it has in common with the previous key, and the rest; every
+// block ends in its checksum. Blocks are checked when they are read, index and footer when the table is opened. Errors about
+// content are of type Error and wrap segment.ErrBad or segment.ErrNewer.
 package table
 
 import (
@@ -20,17 +21,17 @@
 	"ospreypond/internal/store/segment"
 )
 
-// Version is the newest format that this release reads and writes.
+// Version is the format that this release writes, and the newest that it reads.
 const Version = 1
 
 const (
 	magic      = "OSPRTAB\n"
 	footerSize = 80
 	blockSize  = 4 << 10
-	rowSize    = 12 // of the index, one for each block: where its first key ends and where it ends
+	rowSize    = 12 // of a row of the index, one for each block: where its first key ends (4) and where the block ends (8)
 )
 
-// Loc tells where a value lies.
+// Loc is the location of a value: which segment has it at which offset, and which commit put it.
 type Loc struct {
 	Seq     uint64
 	Segment uint32
@@ -39,21 +40,21 @@
 	Sum     uint32 // segment.Sum of key and value
 }
 
-// Entry is one key and where its value lies.
+// Entry is one key and the location of its value.
 type Entry struct {
 	Key []byte
 	Loc Loc
 }
 
-// Info names a table.
+// Info identifies a table.
 type Info struct {
 	Store [16]byte
 	ID    uint64
-	Seq   uint64 // every operation up to this number is in it
+	Seq   uint64 // all commits up to this one are in it
 	Count uint64 // of entries
 }
 
-// Error names a fault of a table and where it is.
+// Error is an error about a table's content, with the offset in the file.
 type Error struct {
 	Offset int64
 	Err    error
@@ -65,14 +66,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
+// corrupt returns an Error that wraps segment.ErrBad.
 func corrupt(off int64, format string, args ...any) error {
 	return &Error{off, fmt.Errorf("%w: %s", segment.ErrBad, fmt.Sprintf(format, args...))}
 }
 
-// Cache holds blocks of tables that were read and found good.
+// Cache is a cache of blocks that were read and checked; several tables may use it, from several goroutines.
 type Cache = lru.Cache[Block, []byte]
 
-// Block names a block.
+// Block identifies a block of a table.
 type Block struct {
 	Table uint64
 	N     int
@@ -80,11 +82,12 @@
 
 // NewCache returns a cache of about that many bytes.
 func NewCache(bytes int) *Cache {
-	c, _ := lru.New[Block, []byte](max(1, bytes/blockSize)) // it fails for less than one block only
+	c, _ := lru.New[Block, []byte](max(1, bytes/blockSize)) // New fails only for a size under 1
 	return c
 }
 
-// Table is an open table. It is safe for use by several goroutines.
+// Table is an open table. It is safe for use by several goroutines and keeps its index in memory. Its file is the caller's to
+// close.
 type Table struct {
 	r      io.ReaderAt
 	info   Info
@@ -95,7 +98,7 @@
 	size   int64
 }
 
-// Open reads a table's footer and index. Errors about its content wrap segment.ErrBad or segment.ErrNewer.
+// Open reads the footer and index of a table of size bytes. It reads no block.
 func Open(r io.ReaderAt, size int64, cache *Cache) (*Table, error) {
 	if size < footerSize {
 		return nil, corrupt(size, "ends early")
@@ -139,6 +142,7 @@
 	return t, nil
 }
 
+// readFull fills b from offset off on.
 func readFull(r io.ReaderAt, b []byte, off int64) error {
 	if n, err := r.ReadAt(b, off); n < len(b) {
 		if err == io.EOF {
@@ -149,12 +153,13 @@
 	return nil
 }
 
-// Info returns the table's name.
+// Info returns what identifies the table.
 func (t *Table) Info() Info { return t.info }
 
-// Memory is how many bytes the table holds in memory, the cache aside.
+// Memory returns how many bytes the table takes in memory, without the cache.
 func (t *Table) Memory() int { return len(t.keys) + len(t.rows) }
 
+// firstKey returns the first key of block n.
 func (t *Table) firstKey(n int) []byte {
 	from := uint32(0)
 	if n > 0 {
@@ -163,6 +168,7 @@
 	return t.keys[from:binary.LittleEndian.Uint32(t.rows[n*rowSize:])]
 }
 
+// bounds returns the offsets of the start and the end of block n.
 func (t *Table) bounds(n int) (from, to int64) {
 	if n > 0 {
 		from = int64(binary.LittleEndian.Uint64(t.rows[(n-1)*rowSize+4:]))
@@ -170,12 +176,12 @@
 	return from, int64(binary.LittleEndian.Uint64(t.rows[n*rowSize+4:]))
 }
 
-// find returns the block in which key is if it is anywhere; -1: before the first.
+// find returns the block that has the key if any has, or -1 if the key is before the first block's.
 func (t *Table) find(key []byte) int {
 	return sort.Search(t.blocks, func(i int) bool { return bytes.Compare(t.firstKey(i), key) > 0 }) - 1
 }
 
-// readBlock reads block n and checks it. buf may be used for it.
+// readBlock reads and checks block n, in buf if that is large enough. It returns the block without its checksum.
 func (t *Table) readBlock(n int, buf []byte) ([]byte, error) {
 	from, to := t.bounds(n)
 	if to-from < 4 || to > t.size {
@@ -192,6 +198,7 @@
 	return b[:sum], nil
 }
 
+// cachedBlock returns block n from the cache, or reads it into the cache.
 func (t *Table) cachedBlock(n int) ([]byte, error) {
 	name := Block{t.info.ID, n}
 	if b, ok := t.cache.Get(name); ok {
@@ -204,7 +211,7 @@
 	return b, err
 }
 
-// Get looks a key up.
+// Get looks up a key and reports whether the table has it. It reads at most one block, through the cache.
 func (t *Table) Get(key []byte) (Loc, bool, error) {
 	n := t.find(key)
 	if n < 0 {
@@ -223,7 +230,7 @@
 	return Loc{}, false, it.err
 }
 
-// Check reads the whole table.
+// Check reads the complete table, past the cache, and returns the first fault.
 func (t *Table) Check() error {
 	it := t.Seek(nil)
 	var n uint64
--- a/internal/store/table/writer.go
+++ b/internal/store/table/writer.go
@@ -10,7 +10,8 @@
 	"ospreypond/internal/store/segment"
 )
 
-// Writer writes a table. Entries must come in order of their keys.
+// Writer writes a table. Entries must be added in order of their keys, and Finish be called after the last one. After an
+// error the table is of no use.
 type Writer struct {
 	w     io.Writer
 	info  Info
@@ -22,13 +23,13 @@
 	rows  []byte
 }
 
-// NewWriter returns a Writer of a table of that name; its Count is counted.
+// NewWriter returns a Writer to w. It sets the Count of info itself.
 func NewWriter(w io.Writer, info Info) *Writer {
 	info.Count = 0
 	return &Writer{w: w, info: info}
 }
 
-// Add appends an entry.
+// Add appends an entry. It fails if the key is not higher than the previous one.
 func (w *Writer) Add(e Entry) error {
 	if w.info.Count > 0 && bytes.Compare(e.Key, w.last) <= 0 {
 		return fmt.Errorf("table: key %x does not follow %x", e.Key, w.last)
@@ -57,6 +58,7 @@
 	return nil
 }
 
+// flush writes the current block, if it has entries, and adds it to the index.
 func (w *Writer) flush() error {
 	if len(w.block) == 0 {
 		return nil
@@ -78,7 +80,7 @@
 	return err
 }
 
-// Finish writes what remains and returns the table's size.
+// Finish writes the last block, the index and the footer, and returns the table's size. Flushing w is left to the caller.
 func (w *Writer) Finish() (size int64, info Info, err error) {
 	if err := w.flush(); err != nil {
 		return 0, info, err
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -7,8 +7,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// handle is an open file that several versions share. The last one closes it; a file that was removed meanwhile
-// can be read until then.
+// handle is an open file with a count of references. The last one closes it; until then a file that was removed can still
+// be read.
 type handle struct {
 	f    vfs.File
 	name string
@@ -21,32 +21,34 @@
 	return h
 }
 
+// ref adds a reference.
 func (h *handle) ref() *handle { h.refs.Add(1); return h }
 
+// unref drops a reference and closes the file if it was the last one.
 func (h *handle) unref() {
 	if h.refs.Add(-1) == 0 {
 		_ = h.f.Close() // opened for reading, or synced before
 	}
 }
 
-// baseTable is the index on disk with its file.
+// baseTable is the table, the part of the index on disk, with its file.
 type baseTable struct {
 	t    *table.Table
 	h    *handle
 	size int64
 }
 
-// version is what lies under the uppermost layer at one time. It does not change, and the files in it stay readable
-// while somebody holds it.
+// version is all that lies under the uppermost layer at one time. It is immutable, and its files can be read as long as
+// there is a reference to it.
 type version struct {
-	frozen   *layer // on its way into the table; nil: none
+	frozen   *layer // being written into a new table; nil: none
 	base     *baseTable
 	segments map[uint32]*handle
 	floors   map[uint16]uint64
 	refs     atomic.Int32
 }
 
-// newVersion returns a version that holds all its files, and one hold on itself.
+// newVersion returns a version with one reference, the caller's. It has references to all its files.
 func newVersion(frozen *layer, base *baseTable, segs map[uint32]*handle, floors map[uint16]uint64) *version {
 	v := &version{frozen: frozen, base: base, segments: segs, floors: floors}
 	v.refs.Store(1)
@@ -59,8 +61,10 @@
 	return v
 }
 
+// ref adds a reference.
 func (v *version) ref() *version { v.refs.Add(1); return v }
 
+// unref drops a reference, and with the last one those to the files.
 func (v *version) unref() {
 	if v.refs.Add(-1) != 0 {
 		return
@@ -73,6 +77,7 @@
 	}
 }
 
+// table returns the table, or nil if none has been written yet.
 func (v *version) table() *table.Table {
 	if v.base == nil {
 		return nil
@@ -80,7 +85,7 @@
 	return v.base.t
 }
 
-// find looks a key up under the uppermost layer.
+// find looks up a key, first in the frozen layer, then in the table.
 func (v *version) find(key string) (table.Loc, bool, error) {
 	if v.frozen != nil {
 		if it, ok := v.frozen.get(key); ok {
--- a/internal/store/vfs/lock_unix.go
+++ b/internal/store/vfs/lock_unix.go
@@ -10,7 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Lock takes an advisory lock that the kernel drops when the process ends, however it ends.
+// Lock takes an advisory lock (flock) on a file, which it creates if need be. The kernel drops the lock when the process ends,
+// however it ends.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/vfs/sync_linux.go
+++ b/internal/store/vfs/sync_linux.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/sys/unix"
 
-// Sync leaves out what a reader of the data does not need, such as the time of the last change.
+// Sync calls fdatasync, which leaves out what reading the data does not need, such as the modification time.
 func (f osFile) Sync() error {
 	for {
 		if err := unix.Fdatasync(int(f.Fd())); err != unix.EINTR {
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -1,5 +1,9 @@
-// Package vfs is the file system as the durable store uses it: few calls, each of which a test can fail, cut or
-// forget. OS is the real one; vfstest has one in memory that loses what was not synced.
+// Package vfs is the file system as the durable store and the replicated log use it: few calls, each of which a test can have
+// fail, write only in part, or lose. OS is the real one; package vfstest has one in memory that loses what was not synced.
+//
+// What callers must do to have something on disk: Sync a file after writing to it, and SyncDir a folder after a name in it
+// was created, renamed or removed. An FS is safe for use by several goroutines. Errors of a name that is missing match
+// fs.ErrNotExist.
 package vfs
 
 import (
@@ -11,32 +15,34 @@
 	"sort"
 )
 
-// ErrLocked is returned by FS.Lock for a file that another process holds, or another part of this one.
+// ErrLocked is returned by FS.Lock for a file that is locked already, by another process or by this one.
 var ErrLocked = errors.New("is held by another process")
 
-// File is an open file. Reads may run beside a write.
+// File is an open file. Reads may run concurrently with a write elsewhere in the file.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Sync returns when what was written is on disk. After an error nothing is known of it: the kernel may have
-	// dropped the pages and marked them clean, so that a second call proves nothing.
+	// Sync returns when what was written is on disk. After an error it is unknown what is: the kernel may have dropped the
+	// pages and marked them clean, so that a second call that succeeds proves nothing.
 	Sync() error
+	// Truncate sets the file's size, and fills it with zeros if that is larger than before.
 	Truncate(size int64) error
+	// Size returns the file's size in bytes.
 	Size() (int64, error)
 }
 
 // FS is a file system. A name that was created, renamed or removed is on disk only after SyncDir of its folder.
 type FS interface {
-	Create(name string) (File, error) // for reading and writing; cuts one that is there
+	Create(name string) (File, error) // for reading and writing; truncates a file that exists
 	Open(name string) (File, error)   // for reading
-	OpenRW(name string) (File, error) // for reading and writing; the file must be there
-	Rename(from, to string) error     // replaces what is there
+	OpenRW(name string) (File, error) // for reading and writing; the file must exist
+	Rename(from, to string) error     // replaces a file that exists
 	Remove(name string) error
-	List(dir string) ([]string, error) // names of plain files, sorted
-	MkdirAll(dir string) error
-	SyncDir(dir string) error
-	Lock(name string) (io.Closer, error) // ErrLocked if somebody holds it; ends with the process
+	List(dir string) ([]string, error)   // names of plain files, sorted
+	MkdirAll(dir string) error           // with its parents
+	SyncDir(dir string) error            // returns when the names in it are on disk
+	Lock(name string) (io.Closer, error) // ErrLocked if it is locked; closing unlocks, and so does the end of the process
 }
 
 // OS is the operating system's file system.
@@ -59,7 +65,7 @@
 	return osFile{f}, nil
 }
 
-// Create creates a file for reading and writing, or cuts the one that is there.
+// Create creates a file for reading and writing, or truncates the one that exists.
 func (OS) Create(name string) (File, error) {
 	return wrapFile(os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600))
 }
@@ -67,7 +73,7 @@
 // Open opens a file for reading.
 func (OS) Open(name string) (File, error) { return wrapFile(os.Open(name)) }
 
-// OpenRW opens a file that is there for reading and writing.
+// OpenRW opens a file that exists for reading and writing.
 func (OS) OpenRW(name string) (File, error) { return wrapFile(os.OpenFile(name, os.O_RDWR, 0)) }
 
 // Rename renames a file; one that has the new name is replaced.
@@ -76,7 +82,7 @@
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// MkdirAll makes a folder and those above it, as far as they are missing.
+// MkdirAll creates a folder and its parents, as far as they are missing.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // List returns the names of a folder's plain files, sorted.
@@ -104,7 +110,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// ReadFile returns a file's whole content.
+// ReadFile returns a file's content.
 func ReadFile(fsys FS, name string) ([]byte, error) {
 	f, err := fsys.Open(name)
 	if err != nil {
@@ -122,7 +128,7 @@
 	return b, nil
 }
 
-// Exists tells whether a file is there.
+// Exists reports whether a file exists.
 func Exists(fsys FS, name string) (bool, error) {
 	f, err := fsys.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/store/vfs/vfstest/file.go
+++ b/internal/store/vfs/vfstest/file.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// inode is a file's content.
+// inode is a file's content, as processes see it and as it is on disk.
 type inode struct {
 	now     []byte
 	disk    []byte   // as of the last sync
 	pending []change // since then
 }
 
-// change is a write, or with data nil a cut at off.
+// change is a write, or with data nil a truncation to off bytes.
 type change struct {
 	off  int64
 	data []byte
@@ -87,8 +87,8 @@
 	return fault.Err
 }
 
-// Sync makes the content last. When it fails, every second change is dropped and never written, though it can still be
-// read, as kernels do that mark the pages clean.
+// Sync makes the content durable. When it fails, every second change is never written, though it can still be read, as with
+// kernels that mark the pages clean.
 func (f *file) Sync() error {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
--- a/internal/store/vfs/vfstest/mem.go
+++ b/internal/store/vfs/vfstest/mem.go
@@ -1,5 +1,5 @@
-// Package vfstest has a file system in memory that forgets, as a disk does at a power cut, whatever was not synced,
-// and on which each call can be made to fail.
+// Package vfstest has a file system in memory for tests. Crash loses what was not synced, as a disk does at a power failure,
+// and OnCall can have each call fail.
 package vfstest
 
 import (
@@ -15,33 +15,34 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// ErrCrashed is what every call returns once the power is off.
+// ErrCrashed is returned by every call that uses files once the power is off.
 var ErrCrashed = errors.New("power is off")
 
-// Call is one call of the file system that changes something or should make a change last.
+// Call is one call of the file system that changes something or makes changes durable.
 type Call struct {
 	N    int    // counts from 1
 	Op   string // create, write, truncate, sync, rename, remove, syncdir
 	Name string // without its folder
 }
 
-// Fault is what becomes of a call. With a zero Fault it succeeds.
+// Fault is how a call fails. With the zero Fault it succeeds.
 type Fault struct {
 	Err   error
-	Short int  // of a write: how many bytes are written all the same
+	Short int  // of a write: how many bytes are written nevertheless
 	Off   bool // the power goes off with the call, which may have had its effect
 }
 
-// Mem is a file system in memory. The zero value is empty and ready.
+// Mem is a file system in memory. The zero value is empty and ready. It is safe for use by several goroutines.
 type Mem struct {
-	// OnCall, if set, is asked before each call. It is called with a lock held and must not use the file system.
+	// OnCall, if set, decides before each call how it ends. It runs under the file system's lock and must not use the file
+	// system.
 	OnCall func(Call) Fault
 
 	mu      sync.Mutex
 	calls   int
 	off     bool
 	now     map[string]*inode // as processes see it
-	disk    map[string]*inode // directory entries that last
+	disk    map[string]*inode // directory entries that are durable
 	pending []entryChange     // entries changed since the last SyncDir
 	dirs    map[string]bool
 	locks   map[string]bool
@@ -56,7 +57,7 @@
 	}
 }
 
-// call counts a call and asks what becomes of it.
+// call counts a call and returns how it ends.
 func (m *Mem) call(op, name string) Fault {
 	m.init()
 	if m.off {
@@ -81,15 +82,15 @@
 	m.OnCall = f
 }
 
-// Calls tells how many calls there were.
+// Calls returns how many calls there were.
 func (m *Mem) Calls() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// Crash returns what a power cut leaves: all that was synced, and of the rest any part in any order, writes cut
-// anywhere. The file system itself is dead from then on.
+// Crash returns what a power failure leaves: all that was synced, and of the rest any part, also parts of single writes, as
+// rnd decides. From then on the file system itself returns ErrCrashed.
 func (m *Mem) Crash(rnd *rand.Rand) *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,10 +107,10 @@
 			c(entries)
 		}
 	}
-	kept := map[*inode]*inode{} // a file with two names stays one
+	survivors := map[*inode]*inode{} // a file with two names stays one
 	for _, name := range slices.Sorted(maps.Keys(entries)) {
 		n := entries[name]
-		if kept[n] == nil {
+		if survivors[n] == nil {
 			b := slices.Clone(n.disk)
 			for _, c := range n.pending {
 				if !lucky() {
@@ -121,15 +122,15 @@
 				}
 				b = c.apply(b)
 			}
-			kept[n] = &inode{now: b, disk: slices.Clone(b)}
+			survivors[n] = &inode{now: b, disk: slices.Clone(b)}
 		}
-		left.now[name], left.disk[name] = kept[n], kept[n]
+		left.now[name], left.disk[name] = survivors[n], survivors[n]
 	}
 	return left
 }
 
-// EndProcess releases what the process holds that uses the file system, as when it is killed. What it wrote stays, whether
-// it was synced or not.
+// EndProcess drops all locks, as when the process that uses the file system is killed. What it wrote remains, whether it was
+// synced or not.
 func (m *Mem) EndProcess() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -147,7 +148,7 @@
 	return files
 }
 
-// Of returns a file system that holds these files.
+// Of returns a file system with these files.
 func Of(files map[string][]byte) *Mem {
 	m := &Mem{}
 	m.init()
@@ -258,7 +259,7 @@
 	return names, nil
 }
 
-// MkdirAll makes a folder, which lasts.
+// MkdirAll creates a folder, which is durable at once.
 func (m *Mem) MkdirAll(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -267,7 +268,7 @@
 	return nil
 }
 
-// SyncDir makes all entries last, whatever their folder.
+// SyncDir makes all entries durable, whatever their folder.
 func (m *Mem) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -279,7 +280,7 @@
 	return nil
 }
 
-// Lock takes a lock, which lasts until it is closed or the power goes off.
+// Lock takes a lock, which lasts until it is closed or EndProcess is called. What Crash returns has no locks.
 func (m *Mem) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
