--- a/internal/dispatcher/fleet/udp/read.go
+++ b/internal/dispatcher/fleet/udp/read.go
@@ -12,52 +12,54 @@
 	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
-// read brings what comes through the socket, until it is closed.
-func (n *Node) read(conn *net.UDPConn, events chan<- event) error {
+// readLoop reads datagrams and refusals from the socket until it is closed, which is an error that wraps net.ErrClosed.
+func (n *Node) readLoop(conn *net.UDPConn, events chan<- event) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	buf := make([]byte, packet.Most+1) // one byte more shows what is too long
+	buf := make([]byte, packet.MaxSize+1) // a datagram that fills it is too long
 	for {
 		size, from, err := conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case err == nil:
-			n.datagram(buf[:size], from, events)
+			n.receive(buf[:size], from, events)
 		case errors.Is(err, net.ErrClosed):
 			return err
 		}
-		// Refusals wake the reader with an error, which may be of any datagram: the queue tells of which.
-		if err := n.refusals(raw, events); err != nil {
+		// A refusal wakes the reader with an error that doesn't say of which datagram it is: the error queue does.
+		if err := n.readRefusals(raw, events); err != nil {
 			return err
 		}
 	}
 }
 
-func (n *Node) datagram(d []byte, from netip.AddrPort, events chan<- event) {
+// receive decodes a datagram and enqueues its packet.
+func (n *Node) receive(d []byte, from netip.AddrPort, events chan<- event) {
 	p, err := n.opt.Codec.Decode(d)
 	if err != nil {
 		var fault *packet.Error
 		if errors.As(err, &fault) {
-			n.drop(string(fault.Reason))
+			n.countDropped(string(fault.Reason))
 		}
 		return
 	}
-	n.bring(event{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), p: p}, events)
+	n.enqueue(event{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), packet: p}, events)
 }
 
-func (n *Node) bring(e event, events chan<- event) {
+// enqueue passes an event to Run's goroutine, or drops it if too many wait.
+func (n *Node) enqueue(e event, events chan<- event) {
 	select {
 	case events <- e:
 	default:
-		n.drop("inbox full")
+		n.countDropped("inbox full")
 	}
 }
 
-// refusals reads the socket's queue of errors (ip(7), IP_RECVERR). Only a port that is not open, said by the very machine
-// that the datagram was for, is a refusal: what a router or a box between says is not.
-func (n *Node) refusals(raw syscall.RawConn, events chan<- event) error {
-	data, control := make([]byte, packet.Most), make([]byte, 512)
+// readRefusals reads the socket's error queue (ip(7), IP_RECVERR). Only a port-unreachable message from the very machine that the
+// datagram was for is a refusal; what a router or firewall in between says is not.
+func (n *Node) readRefusals(raw syscall.RawConn, events chan<- event) error {
+	data, control := make([]byte, packet.MaxSize), make([]byte, 512)
 	return raw.Control(func(fd uintptr) {
 		for {
 			size, oob, _, to, err := unix.Recvmsg(int(fd), data, control, unix.MSG_ERRQUEUE|unix.MSG_DONTWAIT)
@@ -65,12 +67,12 @@
 				return
 			}
 			seq, ok := n.opt.Codec.Seq(data[:size])
-			if !ok || !refusedByItself(control[:oob], to) {
+			if !ok || !refusedByDestination(control[:oob], to) {
 				continue
 			}
 			a := to.(*unix.SockaddrInet4)
 			addr := netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
-			n.bring(event{from: addr.String(), seq: seq}, events)
+			n.enqueue(event{from: addr.String(), seq: seq}, events)
 		}
 	})
 }
@@ -84,7 +86,9 @@
 	icmpUnreachable, icmpPort             = 3, 3
 )
 
-func refusedByItself(control []byte, to unix.Sockaddr) bool {
+// refusedByDestination reports whether the control messages of a queued error say that the very machine at to refused the datagram as
+// it has no socket at that port.
+func refusedByDestination(control []byte, to unix.Sockaddr) bool {
 	a, ok := to.(*unix.SockaddrInet4)
 	messages, err := unix.ParseSocketControlMessage(control)
 	if !ok || err != nil {
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -23,13 +23,14 @@
 
 func options(s uint64) virtual.Options {
 	return virtual.Options{Seed: s, Step: 250 * time.Millisecond, Poll: time.Second, Latency: 100 * time.Millisecond, Start: 2 * time.Second,
-		Config: gang.Config{Start: 8 * time.Second, Silence: 15 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveLimit: 30 * time.Second, Backoff: 2 * time.Second,
-			BackoffMost: 20 * time.Second, Every: 40 * time.Second, Starve: 10 * time.Minute, AgeStep: 5 * time.Minute, Apart: 0.1,
-			MostGangs: 1000, MostMoves: 20}}
+		Config: gang.Config{StartTimeout: 8 * time.Second, MemberTimeout: 15 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveTimeout: 30 * time.Second, Backoff: 2 * time.Second,
+			MaxBackoff: 20 * time.Second, CheckpointInterval: 40 * time.Second, StarvationTimeout: 10 * time.Minute, AgeStep: 5 * time.Minute, ZonePenalty: 0.1,
+			MaxGangs: 1000, MaxMoves: 20}}
 }
 
 // world has dispatchers, and runners of four slots in zones a and b by turns.
 func world(t *testing.T, opt virtual.Options, dispatchers, runners int) *virtual.World {
+	t.Helper()
 	w := virtual.New(epoch, opt)
 	for i := range dispatchers {
 		_, err := w.Add(fmt.Sprint("d", i))
@@ -44,7 +45,7 @@
 func submit(w *virtual.World, name string, members int, work time.Duration) {
 	r := gang.Record{Name: name, Due: w.Now.Add(3 * work)}
 	for range members {
-		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, Saved: 10e6})
+		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, StateBytes: 10e6})
 	}
 	w.Submit(r)
 }
@@ -86,6 +87,7 @@
 }
 
 func faults(t *testing.T, s uint64) map[gang.Step]int {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(s, 9))
 	opt := options(s)
 	opt.Jitter = 3 * time.Second
@@ -97,52 +99,19 @@
 	chance := func(p float64) func() bool { return func() bool { return !calm && rng.Float64() < p } }
 	w.Lose, w.Damage, w.Hang = chance(0.1), chance(0.05), chance(0.05)
 	for range 12 {
-		d, r := w.Dispatchers[rng.IntN(3)], w.Runners[rng.IntN(6)]
-		switch rng.IntN(9) {
-		case 0:
-			w.Kill(d)
-		case 1:
-			d.Stopped = !d.Stopped && d.Core != nil
-		case 2:
-			d.CutOff = !d.CutOff
-		case 3:
-			r.Up, r.Mute = !r.Up, rng.IntN(2) == 0
-		case 4: // retires at short notice, or is not to after all
-			if r.Announced, r.Retires = w.Now, w.Now.Add(time.Duration(10+rng.IntN(60))*time.Second); rng.IntN(3) == 0 {
-				r.Retires = time.Time{}
-			}
-		case 5:
-			w.Silent = !w.Silent
-		case 6: // a wrong view: two believe that they act
-			if d.Sees = nil; rng.IntN(2) == 0 {
-				d.Sees = func(*virtual.Dispatcher) bool { return false }
-			}
-		case 7:
-			r.FailStarts = rng.IntN(3)
-		case 8: // all at once
-			for _, all := range w.Dispatchers {
-				w.Kill(all)
-			}
-		}
+		injectFault(w, rng)
 		w.For(time.Duration(1+rng.IntN(15)) * time.Second)
 		for _, all := range w.Dispatchers {
 			if all.Core == nil && rng.IntN(2) == 0 {
 				require.NoError(t, w.Start(all))
 			}
 		}
-		require.Empty(t, w.Broken(), "seed %d at %v", s, w.Now.Sub(epoch))
-	}
-	calm, w.Silent = true, false
-	for _, d := range w.Dispatchers {
-		if d.CutOff, d.Sees, d.Stopped = false, nil, false; d.Core == nil {
-			require.NoError(t, w.Start(d))
-		}
-	}
-	for _, r := range w.Runners {
-		r.Up, r.Retires, r.FailStarts = true, time.Time{}, 0
+		require.Empty(t, w.Violation(), "seed %d at %v", s, w.Now.Sub(epoch))
 	}
+	calm = true
+	endFaults(t, w)
 	done := w.Until(30*time.Minute, allDone(w))
-	require.Empty(t, w.Broken(), "seed %d", s)
+	require.Empty(t, w.Violation(), "seed %d", s)
 	if !assert.True(t, done, "seed %d: a gang is not done", s) {
 		for _, n := range w.Gangs() {
 			t.Logf("%+v", w.Record(n))
@@ -151,6 +120,51 @@
 	return w.Steps
 }
 
+// injectFault has one fault happen that rng draws, or ends one.
+func injectFault(w *virtual.World, rng *rand.Rand) {
+	d, r := w.Dispatchers[rng.IntN(3)], w.Runners[rng.IntN(6)]
+	switch rng.IntN(9) {
+	case 0:
+		w.Kill(d)
+	case 1:
+		d.Stopped = !d.Stopped && d.Core != nil
+	case 2:
+		d.Partitioned = !d.Partitioned
+	case 3:
+		r.Up, r.Mute = !r.Up, rng.IntN(2) == 0
+	case 4: // a retirement at short notice, or none after all
+		if r.Announced, r.Retires = w.Now, w.Now.Add(time.Duration(10+rng.IntN(60))*time.Second); rng.IntN(3) == 0 {
+			r.Retires = time.Time{}
+		}
+	case 5:
+		w.Unresponsive = !w.Unresponsive
+	case 6: // a wrong view: two dispatchers believe that they own the gang
+		if d.Sees = nil; rng.IntN(2) == 0 {
+			d.Sees = func(*virtual.Dispatcher) bool { return false }
+		}
+	case 7:
+		r.FailStarts = rng.IntN(3)
+	case 8: // all dispatchers at once
+		for _, all := range w.Dispatchers {
+			w.Kill(all)
+		}
+	}
+}
+
+// endFaults starts every dispatcher that is down and ends all faults that last.
+func endFaults(t *testing.T, w *virtual.World) {
+	t.Helper()
+	w.Unresponsive = false
+	for _, d := range w.Dispatchers {
+		if d.Partitioned, d.Sees, d.Stopped = false, nil, false; d.Core == nil {
+			require.NoError(t, w.Start(d))
+		}
+	}
+	for _, r := range w.Runners {
+		r.Up, r.Retires, r.FailStarts = true, time.Time{}, 0
+	}
+}
+
 // A retirement that is announced in time costs no work but what the save and the start take.
 func TestMovedOffARetiringRunner(t *testing.T) {
 	w := world(t, options(1), 3, 4)
@@ -165,7 +179,7 @@
 	}
 	require.True(t, w.Until(time.Hour, allDone(w)))
 	assert.Equal(t, uint64(2), w.Record("g").Generation)
-	assert.Less(t, w.LostWS, 20.0, "runner-seconds")
-	assert.Less(t, w.Still("g"), 20*time.Second)
-	assert.Empty(t, w.Broken())
+	assert.Less(t, w.LostWork, 20.0, "runner-seconds")
+	assert.Less(t, w.Stalled("g"), 20*time.Second)
+	assert.Empty(t, w.Violation())
 }
--- a/test/stories/gangs_test.go
+++ b/test/stories/gangs_test.go
@@ -21,11 +21,20 @@
 func gangSteps(sc *godog.ScenarioContext, base *story) {
 	s := &gangStory{story: base}
 	sc.After(func(ctx context.Context, _ *godog.Scenario, err error) (context.Context, error) {
-		if s.w != nil && s.w.Broken() != "" {
-			return ctx, fmt.Errorf("%s", s.w.Broken())
+		if s.w != nil && s.w.Violation() != "" {
+			return ctx, fmt.Errorf("%s", s.w.Violation())
 		}
 		return ctx, err
 	})
+	s.setupSteps(sc)
+	s.runnerSteps(sc)
+	s.dispatcherSteps(sc)
+	s.registerSteps(sc)
+	s.outcomeSteps(sc)
+}
+
+// setupSteps describe the world, and let time pass.
+func (s *gangStory) setupSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^(\d+) dispatchers and (\d+) runners of (\d+) slots$`, s.begin)
 	sc.Step(`^a gang (\w+) of (\d+) members that takes (\d+) minutes$`, func(name string, n, m int) { s.submit(name, n, m) })
 	sc.Step(`^(\d+) gangs of (\d+) members that take (\d+) minutes$`, func(k, n, m int) {
@@ -36,6 +45,10 @@
 	sc.Step(`^(\d+) (minute|second)s? pass(?:es)?$`, func(n int, unit string) {
 		s.w.For(time.Duration(n) * map[string]time.Duration{"minute": time.Minute, "second": time.Second}[unit])
 	})
+}
+
+// runnerSteps retire runners and let them die.
+func (s *gangStory) runnerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^a runner of (\w+) is to retire in (\d+) seconds$`, func(name string, n int) { s.retire(s.runner(name), n) })
 	sc.Step(`^zone (\w) is to retire in (\d+) seconds$`, func(z string, n int) {
 		for _, r := range s.w.Runners {
@@ -55,6 +68,11 @@
 		}
 	})
 	sc.Step(`^a runner of (\w+) dies$`, func(name string) { s.runner(name).Up = false })
+	sc.Step(`^the next (\d+) starts fail$`, s.failStarts)
+}
+
+// dispatcherSteps kill dispatchers, stall them and mislead their views.
+func (s *gangStory) dispatcherSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the dispatcher of (\w+) is killed$`, func(name string) { s.w.Kill(s.holder(name)) })
 	sc.Step(`^the dispatcher of (\w+) sleeps for (\d+) seconds$`, func(name string, n int) {
 		d := s.holder(name)
@@ -79,15 +97,22 @@
 			d.Sees = func(*virtual.Dispatcher) bool { return false }
 		}
 	})
+}
+
+// registerSteps break the register.
+func (s *gangStory) registerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the register is silent for (\d+) seconds$`, func(n int) {
-		s.w.Silent = true
+		s.w.Unresponsive = true
 		s.w.For(time.Duration(n) * time.Second)
-		s.w.Silent = false
+		s.w.Unresponsive = false
 	})
 	sc.Step(`^saves never end$`, func() { s.hang = true })
 	sc.Step(`^saves end again$`, func() { s.hang = false })
 	sc.Step(`^states are damaged from now on$`, func() { s.w.Damage = func() bool { return true } })
-	sc.Step(`^the next (\d+) starts fail$`, s.failStarts)
+}
+
+// outcomeSteps look at what became of the gangs.
+func (s *gangStory) outcomeSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^(\w+) is done within (\d+) minutes$`, func(name string, n int) error { return s.done(n, name) })
 	sc.Step(`^all gangs are done within (\d+) minutes$`, func(n int) error { return s.done(n, s.w.Gangs()...) })
 	sc.Step(`^(\w+) was started (\d+) times?$`, func(name string, n int) error {
@@ -97,8 +122,8 @@
 		return nil
 	})
 	sc.Step(`^at most (\d+) runner-seconds of work were lost$`, func(n int) error {
-		if s.w.LostWS > float64(n) {
-			return fmt.Errorf("%.0f were", s.w.LostWS)
+		if s.w.LostWork > float64(n) {
+			return fmt.Errorf("%.0f were", s.w.LostWork)
 		}
 		return nil
 	})
@@ -107,10 +132,10 @@
 
 func (s *gangStory) begin(dispatchers, runners, slots int) error {
 	s.w = virtual.New(time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC), virtual.Options{Seed: s.seed, Step: 250 * time.Millisecond, Poll: time.Second,
-		Latency: 100 * time.Millisecond, Start: 2 * time.Second, Jitter: 500 * time.Millisecond, Config: gang.Config{Start: 10 * time.Second,
-			Silence: 10 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveLimit: 30 * time.Second, Backoff: 2 * time.Second,
-			BackoffMost: 20 * time.Second, Every: 45 * time.Second, Starve: 5 * time.Minute, AgeStep: 5 * time.Minute, Apart: 0.1,
-			MostGangs: 100, MostMoves: 20}})
+		Latency: 100 * time.Millisecond, Start: 2 * time.Second, Jitter: 500 * time.Millisecond, Config: gang.Config{StartTimeout: 10 * time.Second,
+			MemberTimeout: 10 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveTimeout: 30 * time.Second, Backoff: 2 * time.Second,
+			MaxBackoff: 20 * time.Second, CheckpointInterval: 45 * time.Second, StarvationTimeout: 5 * time.Minute, AgeStep: 5 * time.Minute, ZonePenalty: 0.1,
+			MaxGangs: 100, MaxMoves: 20}})
 	s.w.Hang = func() bool { return s.hang }
 	for i := range runners {
 		s.w.Runners = append(s.w.Runners, &virtual.Runner{Name: fmt.Sprint("r", i), Zone: string(rune('a' + i%2)), Speed: 1, Slots: float64(slots), Up: true})
@@ -126,7 +151,7 @@
 func (s *gangStory) submit(name string, members, minutes int) {
 	r := gang.Record{Name: name, Due: s.w.Now.Add(time.Hour)}
 	for range members {
-		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: time.Duration(minutes) * time.Minute, Saved: 10e6})
+		r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: time.Duration(minutes) * time.Minute, StateBytes: 10e6})
 	}
 	s.w.Submit(r)
 }
@@ -147,7 +172,7 @@
 
 func (s *gangStory) holder(name string) *virtual.Dispatcher {
 	for _, d := range s.w.Dispatchers {
-		if d.Name == s.w.Record(name).Holder.Name {
+		if d.Name == s.w.Record(name).Owner.Name {
 			return d
 		}
 	}
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -55,15 +55,28 @@
 		return ctx, err
 	})
 	gangSteps(sc, s)
+	s.processSteps(sc)
+	s.networkSteps(sc)
+	s.viewSteps(sc)
+	s.quotaSteps(sc)
+}
+
+// processSteps start, stop and stall processes.
+func (s *story) processSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^a fleet of (\d+) dispatchers( that share budgets)?$`, s.fleet)
 	sc.Step(`^a running fleet of (\d+) dispatchers( that share budgets)?$`, s.running)
 	sc.Step(`^(d\d+|d\d+ to d\d+|all) (?:is|are) (started|killed|stopped|continued)$`, s.each)
 	sc.Step(`^(d\d+) (leaves)$`, s.each)
 	sc.Step(`^all are started one by one$`, func() error { return s.inTurn(1, 4, true) })
 	sc.Step(`^all are restarted (\d+) at a time, (\d+) intervals apart$`, func(n, gap int) error { return s.inTurn(n, gap, false) })
-	sc.Step(`^(d\d+) is started again in life (\d+)$`, func(who string, life int) error { return s.w.Restart(s.node(who), uint64(life)) })
+	sc.Step(`^(d\d+) is started again in life (\d+)$`, func(who string, life int) error { return s.w.StartWithEpoch(s.node(who), uint64(life)) })
 	sc.Step(`^(d\d+) sleeps for (\d+) intervals$`, s.sleep)
 	sc.Step(`^the clock of (d\d+) jumps (ahead|back) by an hour$`, s.jump)
+	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.pass(n) })
+}
+
+// networkSteps break links and mend them.
+func (s *story) networkSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^zone (\w) is cut off$`, func(z string) { s.cut(func(a, b *virtual.Node) bool { return (a.Zone == z) != (b.Zone == z) }) })
 	sc.Step(`^the fleet is cut in two at d(\d+)$`, func(k int) { s.cut(func(a, b *virtual.Node) bool { return (a.Number < k) != (b.Number < k) }) })
 	sc.Step(`^the link between (d\d+) and (d\d+) is cut$`, func(x, y string) {
@@ -76,8 +89,10 @@
 		})
 	})
 	sc.Step(`^the links are mended$`, func() { s.w.Links(nil) })
-	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.pass(n) })
+}
 
+// viewSteps look at the views.
+func (s *story) viewSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals all know each other$`, func(n int) error { return s.within(n, "they agree", func() bool { return s.w.Agree() }) })
 	sc.Step(`^within (\d+) more intervals every view is settled$`, func(n int) error { return s.within(n, "every view is settled", s.settled) })
 	sc.Step(`^(d\d+) knows (nobody|\d+ others)$`, s.knows)
@@ -85,6 +100,10 @@
 	sc.Step(`^nobody (?:but (d\d+) )?was held dead$`, s.nobodyDied)
 	sc.Step(`^every dispatcher is in its life number (\d+)$`, s.lives)
 	sc.Step(`^what the old life of (d\d+) still sends is dropped$`, s.oldLife)
+}
+
+// quotaSteps look at which dispatcher uses which quota.
+func (s *story) quotaSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals every part is used( by its own dispatcher)?$`, s.whole)
 	sc.Step(`^every part is used( by its own dispatcher)?$`, func(own string) error { return s.whole(0, own) })
 	sc.Step(`^no part is used$`, func() error {
@@ -117,7 +136,7 @@
 func (s *story) fleet(n int, shared string) error {
 	s.opt = virtual.Options{Seed: s.seed, Config: fleet.Config{Interval: interval}, Delay: time.Millisecond, Jitter: 10 * time.Millisecond}
 	if shared != "" {
-		s.opt.Config.Refusals, s.opt.Config.Share = true, quota.Config{Size: n, Lease: 15 * interval, Pause: 2 * interval}
+		s.opt.Config.TrustRefusals, s.opt.Config.Quota = true, quota.Config{Size: n, Lease: 15 * interval, GuardTime: 2 * interval}
 	}
 	s.w = virtual.New(n, s.opt)
 	return nil
@@ -208,14 +227,14 @@
 }
 
 func (s *story) cut(is func(a, b *virtual.Node) bool) {
-	s.w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Cut: is(a, b)} })
+	s.w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Down: is(a, b)} })
 }
 
 // pass lets intervals pass and looks, several times in each, whether two act for one number.
 func (s *story) pass(n int) {
 	for range 4 * n {
 		s.w.For(interval / 4)
-		if s.opt.Config.Refusals {
+		if s.opt.Config.TrustRefusals {
 			s.parts()
 		}
 	}
@@ -250,7 +269,7 @@
 
 func (s *story) settled() bool {
 	for _, n := range s.w.Running() {
-		if !n.Core.Snapshot().Settled {
+		if !n.Core.Snapshot().Converged {
 			return false
 		}
 	}
@@ -291,8 +310,8 @@
 
 func (s *story) lives(n int) error {
 	for _, node := range s.w.Nodes {
-		if node.Lives() != n {
-			return fmt.Errorf("%s is in its life number %d", node.Name, node.Lives())
+		if node.Starts() != n {
+			return fmt.Errorf("%s is in its life number %d", node.Name, node.Starts())
 		}
 	}
 	return nil
@@ -304,7 +323,7 @@
 		if other == n {
 			continue
 		}
-		if v := other.Core.Receive(s.w.Now, n.Addr, s.old[who]); v != fleet.EarlierLife {
+		if v := other.Core.Receive(s.w.Now, n.Addr, s.old[who]); v != fleet.StaleEpoch {
 			return fmt.Errorf("%s took it: %s", other.Name, v)
 		}
 	}
