--- a/internal/store/compactor.go
+++ b/internal/store/compactor.go
@@ -15,7 +15,7 @@
 // compactor runs compaction passes, one at a time, either in its own goroutine or in that of a caller of Compact or Close.
 // What a pass does is in pass.go; which segments it rewrites is decided by plan.Victims.
 type compactor struct {
-	idle    chan struct{} // holds a token while no pass runs; whoever takes it may run one
+	idle    chan struct{} // has a token while no pass runs; whoever takes it may run one
 	wake    chan struct{}
 	damaged map[uint64]bool // segments found damaged, which are left as they are; guarded by idle
 }
@@ -119,7 +119,7 @@
 		return false, err
 	}
 	p := &pass{s: s, ctx: ctx, version: v, upTo: v.frozen.upTo, indexOnly: opt.indexOnly, live: map[uint64]int64{},
-		bytesByMark: map[uint16][]int64{}}
+		bytesByTime: map[uint16][]int64{}}
 	if err := p.run(c.damaged); err != nil {
 		p.discard()
 		var fe *FileError
@@ -137,8 +137,9 @@
 }
 
 // sealAndFreeze seals the open segment and freezes the layer over it, unless a layer is frozen already: one that a failed
-// pass left. Then again is true, as what came since needs one more pass.
-func (s *Store) sealAndFreeze() (again bool, err error) {
+// pass left. Then another is true: what was committed since needs another
+// pass.
+func (s *Store) sealAndFreeze() (another bool, err error) {
 	err = s.writer.runInWriter(func() error {
 		if err := s.Err(); err != nil {
 			return err
@@ -147,12 +148,12 @@
 			return err
 		}
 		s.mu.RLock()
-		again = s.version.frozen != nil
+		another = s.version.frozen != nil
 		s.mu.RUnlock()
 		s.writer.freeze(s)
 		return nil
 	})
-	return again, err
+	return another, err
 }
 
 // pickVictims chooses the segments that the pass rewrites, none of the damaged ones.
--- a/internal/store/manifest/manifest.go
+++ b/internal/store/manifest/manifest.go
@@ -25,7 +25,7 @@
 // Version is the format that this release writes, and the newest that it reads.
 const Version = 1
 
-// Manifest is what a store consists of. Its JSON, plan.Segment and plan.Mark among it, is on disk: the keys are the format.
+// Manifest is what a store consists of. Its JSON, plan.Segment and plan.TimePoint among it, is on disk: the keys are the format.
 type Manifest struct {
 	Format     int               `json:"format"`
 	Store      string            `json:"store"`      // the store's id, hexadecimal; also in the header of each file
@@ -34,7 +34,7 @@
 	Segments   []plan.Segment    `json:"segments"`
 	Table      *Table            `json:"table,omitempty"`
 	Floors     map[uint16]uint64 `json:"floors,omitempty"` // by space: records up to this sequence number have expired
-	Marks      []plan.Mark       `json:"marks,omitempty"`  // in order
+	TimeIndex  []plan.TimePoint  `json:"marks,omitempty"`  // in order
 }
 
 // Table describes the table file, the checkpoint of the index.
@@ -49,7 +49,7 @@
 func (m *Manifest) Clone() *Manifest {
 	c := *m
 	c.Segments = append([]plan.Segment(nil), m.Segments...)
-	c.Marks = append([]plan.Mark(nil), m.Marks...)
+	c.TimeIndex = append([]plan.TimePoint(nil), m.TimeIndex...)
 	c.Floors = map[uint16]uint64{}
 	for k, v := range m.Floors {
 		c.Floors[k] = v
--- a/internal/store/pass.go
+++ b/internal/store/pass.go
@@ -23,7 +23,7 @@
 	indexOnly     bool   // no segments are rewritten
 	victims       []uint64
 	remaining     []plan.Segment // all others
-	marks         []plan.Mark
+	timeIndex     []plan.TimePoint
 	retentions    map[uint16]plan.Retention
 	readingVictim uint64 // 0: none is being read
 
@@ -32,7 +32,7 @@
 	handles      []*handle // of outputs
 	base         *baseTable
 	live         map[uint64]int64   // put bytes that are live, by segment
-	bytesByMark  map[uint16][]int64 // put bytes by space and mark, of spaces that are bounded in bytes
+	bytesByTime  map[uint16][]int64 // put bytes by space and point of timeIndex, of spaces that are bounded in bytes
 	floorsRaised bool               // records have expired, so there may be more to rewrite
 }
 
@@ -50,10 +50,10 @@
 			p.remaining = append(p.remaining, g)
 		}
 	}
-	p.marks, p.retentions = man.Marks, s.retentions()
+	p.timeIndex, p.retentions = man.TimeIndex, s.retentions()
 	for space, r := range p.retentions {
 		if r.Bytes > 0 {
-			p.bytesByMark[space] = make([]int64, len(p.marks))
+			p.bytesByTime[space] = make([]int64, len(p.timeIndex))
 		}
 	}
 	if err := p.writeTable(); err != nil {
@@ -110,7 +110,7 @@
 	for m.next() {
 		e := m.entry
 		putBytes := plan.PutBytes(len(e.Key), int(e.Loc.Size))
-		p.countByMark(e, putBytes)
+		p.countByTime(e, putBytes)
 		if slices.Contains(p.victims, uint64(e.Loc.Segment)) {
 			var err error
 			if e.Loc, buf, err = p.moveRecord(e, buf); err != nil {
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// countByMark adds an entry of a space that is bounded in bytes to the first mark at or after its commit.
-func (p *pass) countByMark(e table.Entry, putBytes int64) {
-	byMark := p.bytesByMark[spaceOf(e.Key)]
-	if byMark == nil {
+// countByTime counts an entry of a space that is bounded in bytes at the first point in time at or after its commit.
+func (p *pass) countByTime(e table.Entry, putBytes int64) {
+	byTime := p.bytesByTime[spaceOf(e.Key)]
+	if byTime == nil {
 		return
 	}
-	if i := sort.Search(len(p.marks), func(i int) bool { return p.marks[i].Seq >= e.Loc.Seq }); i < len(byMark) {
-		byMark[i] += putBytes
+	if i := sort.Search(len(p.timeIndex), func(i int) bool { return p.timeIndex[i].Seq >= e.Loc.Seq }); i < len(byTime) {
+		byTime[i] += putBytes
 	}
 }
 
@@ -261,7 +261,7 @@
 	m.Table = &manifest.Table{ID: info.ID, Size: p.base.size, Seq: info.Seq, Count: info.Count}
 	for space, r := range p.retentions {
 		byBytes := plan.Retention{Bytes: r.Bytes} // by age floors rise when a segment is sealed
-		if f := plan.Floor(m.Floors[space], byBytes, p.marks, p.bytesByMark[space], 0); f > m.Floors[space] {
+		if f := plan.Floor(m.Floors[space], byBytes, p.timeIndex, p.bytesByTime[space], 0); f > m.Floors[space] {
 			m.Floors[space] = f
 			p.floorsRaised = true
 		}
--- a/internal/store/plan/plan_test.go
+++ b/internal/store/plan/plan_test.go
@@ -49,23 +49,23 @@
 
 func TestFloorsNeverFallAndRespectRetention(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var marks []Mark
-		var bytesByMark []int64
+		var index []TimePoint
+		var bytesByTime []int64
 		seq, ms := uint64(0), int64(0)
-		for range rapid.IntRange(0, 20).Draw(t, "marks") {
+		for range rapid.IntRange(0, 20).Draw(t, "points") {
 			seq += rapid.Uint64Range(1, 9).Draw(t, "seq")
 			ms += rapid.Int64Range(0, 9).Draw(t, "ms")
-			marks, bytesByMark = append(marks, Mark{seq, ms}), append(bytesByMark, rapid.Int64Range(0, 9).Draw(t, "bytes by mark"))
+			index, bytesByTime = append(index, TimePoint{seq, ms}), append(bytesByTime, rapid.Int64Range(0, 9).Draw(t, "bytes by time"))
 		}
 		r := Retention{AgeMs: rapid.Int64Range(0, 50).Draw(t, "age"), Bytes: rapid.Int64Range(0, 50).Draw(t, "bytes")}
 		was := rapid.Uint64Range(0, seq+1).Draw(t, "was")
 		now := ms + rapid.Int64Range(0, 50).Draw(t, "now")
-		floor := Floor(was, r, marks, bytesByMark, now)
+		floor := Floor(was, r, index, bytesByTime, now)
 		require.GreaterOrEqual(t, floor, was)
-		for i, m := range marks {
+		for i, m := range index {
 			tooOld := r.AgeMs > 0 && m.UnixMs <= now-r.AgeMs
 			if m.Seq <= floor && floor > was {
-				require.True(t, tooOld || r.Bytes > 0 && sum(bytesByMark[i:]) > r.Bytes, "dropped without need")
+				require.True(t, tooOld || r.Bytes > 0 && sum(bytesByTime[i:]) > r.Bytes, "dropped without need")
 			}
 			if m.Seq > floor {
 				require.False(t, tooOld, "too old and retained")
@@ -74,10 +74,10 @@
 		if floor == was && r == (Retention{}) {
 			return
 		}
-		trimmed := TrimMarks(marks, 8)
-		require.LessOrEqual(t, len(trimmed), max(8, len(marks)))
-		if len(marks) > 0 {
-			require.Equal(t, marks[len(marks)-1], trimmed[len(trimmed)-1])
+		trimmed := TrimTimeIndex(index, 8)
+		require.LessOrEqual(t, len(trimmed), max(8, len(index)))
+		if len(index) > 0 {
+			require.Equal(t, index[len(index)-1], trimmed[len(trimmed)-1])
 		}
 	})
 }
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -59,7 +59,7 @@
 }
 
 // errContent is wrapped by errors about a frame that is complete and yet not what was written there. No crash leaves one.
-var errContent = errors.New("whole frame")
+var errContent = errors.New("complete frame")
 
 // replayFrames applies all frames until one is not as it should be, and returns why and the commit that would have been
 // next: io.EOF if the segment ends. The Scanner then stands before that frame.
@@ -191,7 +191,7 @@
 		return tornEnd, err
 	}
 	if wasDurable {
-		return tornEnd, fmt.Errorf("%w; the frame at offset %d tells that it was whole once", cause, sc.Offset())
+		return tornEnd, fmt.Errorf("%w; the frame at offset %d shows that it was complete once", cause, sc.Offset())
 	}
 	return tornEnd, nil
 }
--- a/internal/store/roll.go
+++ b/internal/store/roll.go
@@ -8,8 +8,8 @@
 	"ospreypond/internal/store/segment"
 )
 
-// maxMarks bounds how many marks the manifest keeps.
-const maxMarks = 256
+// maxTimePoints bounds the time index of the manifest.
+const maxTimePoints = 256
 
 // roll seals the open segment and opens the next one. It does nothing if the open one has no frames. Commits before it are
 // on disk when it returns without an error.
@@ -32,7 +32,7 @@
 	err = s.install(func(m *manifest.Manifest) {
 		w.sealInManifest(m)
 		m.Segments = append(m.Segments, plan.Segment{ID: id, Kind: plan.Log, First: w.seq + 1})
-		m.Marks = plan.TrimMarks(append(m.Marks, plan.Mark{Seq: w.seq, UnixMs: now}), maxMarks)
+		m.TimeIndex = plan.TrimTimeIndex(append(m.TimeIndex, plan.TimePoint{Seq: w.seq, UnixMs: now}), maxTimePoints)
 		raiseFloorsByAge(m, retentions, now)
 	})
 	if err != nil {
@@ -69,7 +69,7 @@
 func raiseFloorsByAge(m *manifest.Manifest, retentions map[uint16]plan.Retention, nowMs int64) {
 	for space, r := range retentions {
 		byAge := plan.Retention{AgeMs: r.AgeMs}
-		if f := plan.Floor(m.Floors[space], byAge, m.Marks, nil, nowMs); f > 0 {
+		if f := plan.Floor(m.Floors[space], byAge, m.TimeIndex, nil, nowMs); f > 0 {
 			m.Floors[space] = f
 		}
 	}
