--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -49,7 +49,7 @@
 	return "", false
 }
 
-// Put sets a key's value. Both are copied.
+// Put sets a key's value. It copies both.
 func (b *Batch) Put(s *Space, key, value []byte) {
 	k, ok := b.indexKey(s, key)
 	if !ok {
@@ -65,7 +65,7 @@
 		Size: uint32(len(value)), Sum: segment.Sum([]byte(k), value)}}})
 }
 
-// Delete removes a key, whether it is there or not.
+// Delete removes a key. It is no error if the key does not exist.
 func (b *Batch) Delete(s *Space, key []byte) {
 	k, ok := b.indexKey(s, key)
 	if !ok {
@@ -76,8 +76,8 @@
 	b.ops = append(b.ops, op{item: item{key: k}})
 }
 
-// DeleteRange removes all keys from from up to, not including, to. Nil stands for the space's start and end. It
-// costs the same for many keys as for few.
+// DeleteRange removes all keys from from up to, not including, to. A nil from is the space's first key, a nil to its end. It
+// costs the log the same for many keys as for few.
 func (b *Batch) DeleteRange(s *Space, from, to []byte) {
 	lo, ok := b.indexKey(s, from)
 	if !ok {
@@ -97,13 +97,13 @@
 	b.ops = append(b.ops, op{item: item{key: lo}, end: hi})
 }
 
-// Len is the number of operations.
+// Len returns the number of operations; it is 0 after a commit.
 func (b *Batch) Len() int { return len(b.ops) }
 
-// Size is how many bytes of log the batch takes.
+// Size returns how many bytes of log the batch takes.
 func (b *Batch) Size() int { return len(b.frame) }
 
-// Reset empties the batch.
+// Reset empties the batch, and forgets its error, so that it can be used again.
 func (b *Batch) Reset() {
 	clear(b.ops)
 	b.frame, b.ops, b.err = b.frame[:0], b.ops[:0], nil
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -335,7 +335,7 @@
 
 // writeRebuilt writes a table and syncs it. It returns its size.
 func (s *Store) writeRebuilt(f vfs.File, info table.Info, entries []table.Entry) (int64, error) {
-	file := &pacedFile{pass: &pass{s: &Store{}, ctx: context.Background()}, f: f, name: tableName(info.ID)}
+	file := &pacedFile{f: f, name: tableName(info.ID)}
 	w := table.NewWriter(file, info)
 	for _, e := range entries {
 		if err := w.Add(e); err != nil {
--- a/internal/store/output.go
+++ b/internal/store/output.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
-	p.output = &output{h: newHandle(f, name), file: &pacedFile{pass: p, f: f, name: name}, space: space,
+	p.output = &output{h: newHandle(f, name), file: &pacedFile{pace: p.pace, f: f, name: name}, space: space,
 		frame: make([]byte, segment.FrameSize),
 		meta: plan.Segment{ID: id, Kind: plan.Output, Sealed: true, Clean: p.upTo, First: math.MaxUint64,
 			Size: segment.HeaderSize}}
--- a/internal/store/paced_file.go
+++ b/internal/store/paced_file.go
@@ -6,10 +6,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// pacedFile writes a file from its start on, in chunks of chunkBytes, at the pace of its pass. It syncs every bytesPerSync
+// pacedFile writes a file from its start on, in chunks of chunkBytes, at the given pace. It syncs every bytesPerSync
 // bytes: one large sync at the end would delay the commits whose syncs queue up behind it.
 type pacedFile struct {
-	pass     *pass
+	pace     func(n int) error // waits until n more bytes may be written; nil: no bound
 	f        vfs.File
 	name     string
 	buf      []byte
@@ -22,6 +22,7 @@
 	bytesPerSync = 1 << 20
 )
 
+// Write appends to the file. What is shorter than a chunk stays in memory until flush.
 func (p *pacedFile) Write(b []byte) (int, error) {
 	p.buf = append(p.buf, b...)
 	if len(p.buf) >= chunkBytes {
@@ -30,12 +31,15 @@
 	return len(b), nil
 }
 
+// flush writes what is in memory, and syncs if bytesPerSync bytes were written since the last sync.
 func (p *pacedFile) flush() error {
 	if len(p.buf) == 0 {
 		return nil
 	}
-	if err := p.pass.pace(len(p.buf)); err != nil {
-		return err
+	if p.pace != nil {
+		if err := p.pace(len(p.buf)); err != nil {
+			return err
+		}
 	}
 	if _, err := p.f.WriteAt(p.buf, p.off); err != nil {
 		return fmt.Errorf("store: writing %s: %w", p.name, err)
--- a/internal/store/pass.go
+++ b/internal/store/pass.go
@@ -81,7 +81,7 @@
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
 	p.base = &baseTable{h: newHandle(f, name)}
-	file := &pacedFile{pass: p, f: f, name: name}
+	file := &pacedFile{pace: p.pace, f: f, name: name}
 	w := table.NewWriter(file, table.Info{Store: s.id, ID: id, Seq: p.upTo})
 	if err := p.addEntries(w); err != nil {
 		return err
@@ -236,7 +236,7 @@
 		h.unref()
 	}
 	p.handles, p.base = nil, nil
-	// Both copies of the manifest are on disk, so nothing names these any more.
+	// Both copies of the manifest are on disk, so neither names these any more.
 	for _, id := range p.victims {
 		s.remove(segmentName(id))
 	}
@@ -268,7 +268,7 @@
 	}
 }
 
-// discard removes what a pass that failed has written.
+// discard removes the files of a pass that failed.
 func (p *pass) discard() {
 	if p.output != nil {
 		p.handles = append(p.handles, p.output.h)
@@ -285,7 +285,7 @@
 	p.handles, p.base, p.output = nil, nil, nil
 }
 
-// pace keeps the pass within its bytes a second.
+// pace waits until the pass may read or write n more bytes (Options.PassBytesPerS), or its context is done.
 func (p *pass) pace(n int) error {
 	if err := p.ctx.Err(); err != nil {
 		return err
