--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"ospreypond/internal/store/segment"
+	"ospreypond/internal/store/table"
 	"ospreypond/internal/store/vfs"
 )
 
@@ -46,3 +47,12 @@
 
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
+
+// fileError adds the file's name to an error, and the offset if it is a table.Error.
+func fileError(name string, err error) error {
+	var te *table.Error
+	if errors.As(err, &te) {
+		return &FileError{File: name, Offset: te.Offset, Err: te.Err}
+	}
+	return &FileError{File: name, Offset: -1, Err: err}
+}
--- /dev/null
+++ b/internal/store/merge_iterator.go
@@ -0,0 +1,135 @@
+package store
+
+import (
+	"github.com/tidwall/btree"
+
+	"ospreypond/internal/store/table"
+)
+
+// cursor iterates over one layer or table in order of the keys.
+type cursor interface {
+	next() bool
+	entry() table.Entry // the key is good until next
+	err() error
+}
+
+type layerCursor struct {
+	it    btree.IterG[item]
+	from  string
+	begun bool
+	key   []byte
+}
+
+func (l *layer) cursor(from string) *layerCursor {
+	return &layerCursor{it: l.tree.Iter(), from: from}
+}
+
+func (c *layerCursor) next() bool {
+	if c.begun {
+		return c.it.Next()
+	}
+	c.begun = true
+	return c.it.Seek(item{key: c.from})
+}
+
+func (c *layerCursor) entry() table.Entry {
+	it := c.it.Item()
+	c.key = append(c.key[:0], it.key...)
+	return table.Entry{Key: c.key, Loc: it.loc}
+}
+
+func (c *layerCursor) err() error { return nil }
+
+type tableCursor struct{ it *table.Iterator }
+
+func (c tableCursor) next() bool         { return c.it.Next() }
+func (c tableCursor) entry() table.Entry { return c.it.Entry() }
+func (c tableCursor) err() error         { return c.it.Err() }
+
+// mergeIterator iterates over several layers and a table as one: of each key the uppermost entry counts.
+type mergeIterator struct {
+	sources []mergeSource // the uppermost first
+	floors  map[uint16]uint64
+	entry   table.Entry
+	key     []byte
+	err     error
+}
+
+type mergeSource struct {
+	cursor
+	spans   []span
+	current table.Entry
+	valid   bool // there is a current entry
+}
+
+func newMergeIterator(floors map[uint16]uint64, from string, base *table.Table, layers ...*layer) *mergeIterator {
+	m := &mergeIterator{floors: floors}
+	for _, l := range layers {
+		if l != nil {
+			m.sources = append(m.sources, mergeSource{cursor: l.cursor(from), spans: l.spans})
+		}
+	}
+	if base != nil {
+		m.sources = append(m.sources, mergeSource{cursor: tableCursor{base.Seek([]byte(from))}})
+	}
+	for i := range m.sources {
+		m.advance(i)
+	}
+	return m
+}
+
+func (m *mergeIterator) advance(i int) {
+	p := &m.sources[i]
+	if p.valid = p.next(); p.valid {
+		p.current = p.entry()
+	} else if err := p.err(); err != nil {
+		m.err = err
+	}
+}
+
+// next goes to the next key that is there and reports whether there is one. The entry's key is good until the next call.
+func (m *mergeIterator) next() bool {
+	for m.err == nil {
+		low := m.lowest()
+		if low < 0 {
+			return false
+		}
+		m.key = append(m.key[:0], m.sources[low].current.Key...)
+		m.entry = table.Entry{Key: m.key, Loc: m.sources[low].current.Loc}
+		deleted := m.deletedAbove(low)
+		for i := low; i < len(m.sources); i++ {
+			if p := &m.sources[i]; p.valid && string(p.current.Key) == string(m.key) {
+				m.advance(i)
+			}
+		}
+		if !deleted {
+			return m.err == nil
+		}
+	}
+	return false
+}
+
+// lowest returns the uppermost source of those whose current key is the lowest, or -1 if all are at their end.
+func (m *mergeIterator) lowest() int {
+	low := -1
+	for i := range m.sources {
+		if m.sources[i].valid && (low < 0 || string(m.sources[i].current.Key) < string(m.sources[low].current.Key)) {
+			low = i
+		}
+	}
+	return low
+}
+
+// deletedAbove reports whether the entry, which is source low's, is a deletion, has expired, or lies in a range that was
+// deleted in a layer above that source.
+func (m *mergeIterator) deletedAbove(low int) bool {
+	if m.entry.Loc.Segment == 0 || m.entry.Loc.Seq <= m.floors[spaceOf(m.key)] {
+		return true
+	}
+	for i := range m.sources[:low] {
+		if (&layer{spans: m.sources[i].spans}).covers(string(m.key)) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/store/read.go
+++ b/internal/store/snapshot.go
@@ -1,44 +1,9 @@
 package store
 
 import (
-	"errors"
-	"fmt"
-	"io"
 	"slices"
-
-	"ospreypond/internal/store/segment"
-	"ospreypond/internal/store/table"
 )
 
-// fileError adds the file's name to an error, and the offset if it is a table.Error.
-func fileError(name string, err error) error {
-	var te *table.Error
-	if errors.As(err, &te) {
-		return &FileError{File: name, Offset: te.Offset, Err: te.Err}
-	}
-	return &FileError{File: name, Offset: -1, Err: err}
-}
-
-// read returns the value at loc, in buf if that is large enough. It checks the value and its key against the checksum.
-func (v *version) read(key []byte, loc table.Loc, buf []byte) ([]byte, error) {
-	h := v.segments[loc.Segment]
-	if h == nil {
-		return nil, &FileError{File: segmentName(uint64(loc.Segment)), Offset: -1,
-			Err: fmt.Errorf("%w: the index points at it, and there is no such segment", ErrCorrupt)}
-	}
-	value := slices.Grow(buf[:0], int(loc.Size))[:loc.Size]
-	if n, err := h.f.ReadAt(value, int64(loc.Offset)); n < len(value) {
-		if errors.Is(err, io.EOF) {
-			err = fmt.Errorf("%w: ends early", ErrCorrupt)
-		}
-		return nil, &FileError{File: h.name, Offset: int64(loc.Offset) + int64(n), Err: err}
-	}
-	if segment.Sum(key, value) != loc.Sum {
-		return nil, &FileError{File: h.name, Offset: int64(loc.Offset), Err: fmt.Errorf("%w: value's checksum", ErrCorrupt)}
-	}
-	return value, nil
-}
-
 // Snapshot is the store as of one commit; later commits and compactions don't change it. Until it is closed it keeps files
 // open, also those that were removed, and memory. One goroutine may use it at a time.
 type Snapshot struct {
--- a/internal/store/space.go
+++ b/internal/store/space.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"strings"
 	"time"
 
 	"ospreypond/internal/store/plan"
@@ -167,19 +168,24 @@
 	return v.get(k, it, found, covered)
 }
 
-// get completes a lookup of which the uppermost layer yielded it, found and covered: if need be it looks under that layer,
-// then it reads the value.
-func (v *version) get(key string, it item, found, covered bool) ([]byte, uint64, error) {
-	loc := it.loc
-	if !found && !covered {
-		var err error
-		if loc, found, err = v.find(key); err != nil {
-			return nil, 0, err
-		}
-	}
-	if !found || loc.Segment == 0 || loc.Seq <= v.floors[spaceOf([]byte(key))] {
-		return nil, 0, ErrNotFound
+// spaceOf returns the number of the space that a key of the index belongs to.
+func spaceOf(key []byte) uint16 { return uint16(key[0])<<8 | uint16(key[1]) }
+
+// spaceSpan is the range of all keys of a space.
+func spaceSpan(id uint16) span {
+	hi := "\xff\xff\xff"
+	if id < 0xffff {
+		hi = spaceKey(id+1, nil)
 	}
-	value, err := v.read([]byte(key), loc, nil)
-	return value, loc.Seq, err
+	return span{spaceKey(id, nil), hi}
+}
+
+// spaceKey returns the key of the index for a space's key.
+func spaceKey(id uint16, key []byte) string {
+	var b strings.Builder
+	b.Grow(2 + len(key))
+	b.WriteByte(byte(id >> 8))
+	b.WriteByte(byte(id))
+	b.Write(key)
+	return b.String()
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -33,7 +33,6 @@
 	"path/filepath"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/time/rate"
@@ -41,7 +40,6 @@
 	"ospreypond/internal/store/manifest"
 	"ospreypond/internal/store/plan"
 	"ospreypond/internal/store/table"
-	"ospreypond/internal/store/vfs"
 )
 
 // Limits on the sizes of keys, values and batches, in bytes. What is over one fails with ErrTooLarge.
@@ -51,65 +49,6 @@
 	MaxBatch = 32 << 20
 )
 
-// Options are the settings of a store. The zero value is valid.
-type Options struct {
-	// Existing has Open fail with ErrNoStore if there is no store, instead of creating one.
-	Existing bool
-	// SyncEvery, if over 0, lets commits return before they are on disk; see the package comment.
-	SyncEvery time.Duration
-	// SegmentBytes is the size at which a segment is sealed; 16 MiB if 0, at most 1 GiB.
-	SegmentBytes int64
-	// Garbage is the fraction of a segment that must be dead before it is rewritten, 0.05 to 1; 0.5 if 0.
-	Garbage float64
-	// PassBytesPerS bounds the bytes that compaction reads and writes in a second; 64 MiB if 0, no bound if negative.
-	PassBytesPerS int
-	// CacheBytes is the size of the cache for blocks of the index; 4 MiB if 0.
-	CacheBytes int
-	// Log gets what an operator should know; nil discards it.
-	Log logrus.FieldLogger
-	// FS is the file system; nil: the operating system's.
-	FS vfs.FS
-	// Now is the clock by which records expire; nil: time.Now.
-	Now func() time.Time
-}
-
-// defaults fills in what is zero and checks the rest.
-func (o *Options) defaults() error {
-	if o.SegmentBytes == 0 {
-		o.SegmentBytes = 16 << 20
-	}
-	if o.SegmentBytes < 4<<10 || o.SegmentBytes > 1<<30 {
-		return fmt.Errorf("store: SegmentBytes: %d is not within 4 KiB and 1 GiB", o.SegmentBytes)
-	}
-	if o.Garbage == 0 {
-		o.Garbage = 0.5
-	}
-	if o.Garbage < 0.05 || o.Garbage > 1 {
-		return fmt.Errorf("store: Garbage: %v is not within 0.05 and 1", o.Garbage)
-	}
-	if o.SyncEvery < 0 {
-		return fmt.Errorf("store: SyncEvery: %v is negative", o.SyncEvery)
-	}
-	if o.PassBytesPerS == 0 {
-		o.PassBytesPerS = 64 << 20
-	}
-	if o.CacheBytes == 0 {
-		o.CacheBytes = 4 << 20
-	}
-	if o.Log == nil {
-		l := logrus.New()
-		l.SetOutput(io.Discard)
-		o.Log = l
-	}
-	if o.FS == nil {
-		o.FS = vfs.OS{}
-	}
-	if o.Now == nil {
-		o.Now = time.Now
-	}
-	return nil
-}
-
 // Store is an open store. It is safe for use by several goroutines. It has three goroutines of its own, the writer's, the
 // applier's and the compactor's, which Close ends and waits for.
 type Store struct {
@@ -146,58 +85,6 @@
 	passes     atomic.Uint64
 }
 
-// Stats are the figures of a store at one time.
-type Stats struct {
-	Seq         uint64 `json:"seq"`                 // of the last commit
-	Durable     uint64 `json:"durable"`             // all commits up to this one are on disk
-	Segments    int    `json:"segments"`            // files
-	Bytes       int64  `json:"bytes"`               // of the segments and the index on disk
-	LiveBytes   int64  `json:"live_bytes"`          // as the last pass counted, and all that was written since
-	TableKeys   uint64 `json:"table_keys"`          // in the index on disk
-	MemoryKeys  int    `json:"memory_keys"`         // in the part of the index in memory, deletions among them
-	MemoryBytes int64  `json:"memory_bytes"`        // that the index takes in memory, estimated
-	Passes      uint64 `json:"passes"`              // since the store was opened
-	Syncs       uint64 `json:"syncs"`               // of the log, since the store was opened
-	Commits     uint64 `json:"commits"`             // since the store was opened
-	ReadOnly    string `json:"read_only,omitempty"` // why the store is read-only; empty: it is not
-}
-
-// Stats returns the store's figures. Those of the manifest and those of the index are not taken at the same instant.
-func (s *Store) Stats() Stats {
-	s.manMu.Lock()
-	st := Stats{Segments: len(s.man.Segments), Passes: s.passes.Load(), Durable: s.durable.Load(),
-		Syncs: s.writer.syncs.Load(), Commits: s.writer.commits.Load()}
-	for _, g := range s.man.Segments {
-		size, live := g.Size, g.Live
-		if !g.Sealed {
-			size = s.writer.size.Load()
-			live = size
-		}
-		st.Bytes += size
-		st.LiveBytes += live
-	}
-	if t := s.man.Table; t != nil {
-		st.Bytes += t.Size
-		st.TableKeys = t.Count
-	}
-	s.manMu.Unlock()
-	s.rLockApplied()
-	defer s.mu.RUnlock()
-	st.Seq = s.seq
-	st.MemoryKeys, st.MemoryBytes = s.top.tree.Len(), s.top.bytes()
-	if f := s.version.frozen; f != nil {
-		st.MemoryKeys += f.tree.Len()
-		st.MemoryBytes += f.bytes()
-	}
-	if s.version.base != nil {
-		st.MemoryBytes += int64(s.version.base.t.Memory())
-	}
-	if f := s.fault.Load(); f != nil {
-		st.ReadOnly = (*f).Error()
-	}
-	return st
-}
-
 // Dir returns the store's folder.
 func (s *Store) Dir() string { return s.dir }
 
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -1,8 +1,13 @@
 package store
 
 import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
 	"sync/atomic"
 
+	"ospreypond/internal/store/segment"
 	"ospreypond/internal/store/table"
 	"ospreypond/internal/store/vfs"
 )
@@ -105,6 +110,52 @@
 	return loc, ok, err
 }
 
+// cloneSegments returns a copy of the map; it takes no references.
+func cloneSegments(segs map[uint32]*handle) map[uint32]*handle {
+	c := make(map[uint32]*handle, len(segs)+1)
+	for id, h := range segs {
+		c[id] = h
+	}
+	return c
+}
+
+// get completes a lookup of which the uppermost layer yielded it, found and covered: if need be it looks under that layer,
+// then it reads the value.
+func (v *version) get(key string, it item, found, covered bool) ([]byte, uint64, error) {
+	loc := it.loc
+	if !found && !covered {
+		var err error
+		if loc, found, err = v.find(key); err != nil {
+			return nil, 0, err
+		}
+	}
+	if !found || loc.Segment == 0 || loc.Seq <= v.floors[spaceOf([]byte(key))] {
+		return nil, 0, ErrNotFound
+	}
+	value, err := v.read([]byte(key), loc, nil)
+	return value, loc.Seq, err
+}
+
+// read returns the value at loc, in buf if that is large enough. It checks the value and its key against the checksum.
+func (v *version) read(key []byte, loc table.Loc, buf []byte) ([]byte, error) {
+	h := v.segments[loc.Segment]
+	if h == nil {
+		return nil, &FileError{File: segmentName(uint64(loc.Segment)), Offset: -1,
+			Err: fmt.Errorf("%w: the index points at it, and there is no such segment", ErrCorrupt)}
+	}
+	value := slices.Grow(buf[:0], int(loc.Size))[:loc.Size]
+	if n, err := h.f.ReadAt(value, int64(loc.Offset)); n < len(value) {
+		if errors.Is(err, io.EOF) {
+			err = fmt.Errorf("%w: ends early", ErrCorrupt)
+		}
+		return nil, &FileError{File: h.name, Offset: int64(loc.Offset) + int64(n), Err: err}
+	}
+	if segment.Sum(key, value) != loc.Sum {
+		return nil, &FileError{File: h.name, Offset: int64(loc.Offset), Err: fmt.Errorf("%w: value's checksum", ErrCorrupt)}
+	}
+	return value, nil
+}
+
 // swap replaces the version that readers get. next is called with s.mu locked and returns a version with a reference for
 // the store.
 func (s *Store) swap(next func(v *version) *version) {
@@ -114,12 +165,3 @@
 	s.mu.Unlock()
 	old.unref()
 }
-
-// cloneSegments returns a copy of the map; it takes no references.
-func cloneSegments(segs map[uint32]*handle) map[uint32]*handle {
-	c := make(map[uint32]*handle, len(segs)+1)
-	for id, h := range segs {
-		c[id] = h
-	}
-	return c
-}
