--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -13,22 +13,23 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Report is what Check found.
+// Report is what Check found. Its JSON is printed by the command.
 type Report struct {
 	Store    string   `json:"store"` // its id
 	Segments int      `json:"segments"`
 	Frames   int      `json:"frames"`
-	Records  int      `json:"records"`   // keys that are there
-	TornFrom int64    `json:"torn_from"` // where the torn end of the open segment starts; -1: it is whole
+	Records  int      `json:"records"`   // live ones; 0 if a segment is damaged
+	TornFrom int64    `json:"torn_from"` // offset of the torn end of the open segment; -1: it has none
 	TornFile string   `json:"torn_file,omitempty"`
-	Notes    []string `json:"notes,omitempty"` // what opening puts right by itself
+	Notes    []string `json:"notes,omitempty"` // what Open repairs by itself
 	Faults   []string `json:"faults,omitempty"`
 	faults   []error
 }
 
-// Err joins the faults: with none of them the store opens and all of it can be read.
+// Err joins the faults. If there are none, it is nil: the store can be opened and all of it be read.
 func (r *Report) Err() error { return errors.Join(r.faults...) }
 
+// addFault adds an error to both lists of faults.
 func (r *Report) addFault(err error) {
 	r.faults = append(r.faults, err)
 	r.Faults = append(r.Faults, err.Error())
@@ -67,18 +68,20 @@
 	return r, c.run(ctx)
 }
 
+// checker is one run of Check.
 type checker struct {
 	*Report
-	s   *Store
+	s   *Store // never opened: it only finds and reads files
 	man *manifest.Manifest
 }
 
+// run reads all segments and the table, and compares them if the segments are undamaged.
 func (c *checker) run(ctx context.Context) error {
 	var upTo uint64
 	if c.man.Table != nil {
 		upTo = c.man.Table.Seq
 	}
-	known, all := newIndexBuilder(), newIndexBuilder() // of what the index on disk knows, and of all that is sealed
+	known, all := newIndexBuilder(), newIndexBuilder() // of what the table covers, and of all segments
 	undamaged := true
 	for _, g := range c.man.Segments {
 		if err := ctx.Err(); err != nil {
--- a/internal/store/index_builder.go
+++ b/internal/store/index_builder.go
@@ -45,7 +45,7 @@
 
 // addSegment reads a segment and returns how many frames it has. At a damaged frame it calls bad: if that returns nil,
 // addSegment continues with the next undamaged frame, otherwise it returns that error.
-func (g *indexBuilder) addSegment(f vfs.File, m plan.Segment, bad func(at int64, err error) error) (frames int, err error) {
+func (b *indexBuilder) addSegment(f vfs.File, m plan.Segment, bad func(at int64, err error) error) (frames int, err error) {
 	sc := segment.NewScanner(f, segment.HeaderSize, m.Size)
 	for {
 		fr, at, err := sc.Next()
@@ -53,7 +53,7 @@
 			return frames, nil
 		}
 		if err == nil {
-			err = g.addFrame(fr, m, at)
+			err = b.addFrame(fr, m, at)
 		}
 		if err == nil {
 			frames++
@@ -79,7 +79,7 @@
 }
 
 // addFrame adds the operations of a frame at offset at.
-func (g *indexBuilder) addFrame(f segment.Frame, m plan.Segment, at int64) error {
+func (b *indexBuilder) addFrame(f segment.Frame, m plan.Segment, at int64) error {
 	n := 0
 	return segment.Ops(f.Payload, func(o segment.Op) error {
 		if len(o.Key) < 2 || o.Kind == segment.DeleteRange && len(o.End) < 2 {
@@ -91,10 +91,10 @@
 			r.n = math.MaxInt
 		}
 		if o.Kind == segment.DeleteRange {
-			g.rangeDeletes = append(g.rangeDeletes, rankedSpan{r, span{string(o.Key), string(o.End)}})
+			b.rangeDeletes = append(b.rangeDeletes, rankedSpan{r, span{string(o.Key), string(o.End)}})
 			return nil
 		}
-		if had, ok := g.items[string(o.Key)]; ok && r.before(had.rank) {
+		if had, ok := b.items[string(o.Key)]; ok && r.before(had.rank) {
 			return nil
 		}
 		it := builtItem{rank: r}
@@ -102,28 +102,28 @@
 			it.loc = table.Loc{Seq: f.Seq, Segment: uint32(m.ID), Offset: uint32(at) + uint32(o.At), Size: uint32(len(o.Value)),
 				Sum: segment.Sum(o.Key, o.Value)}
 		}
-		g.items[string(o.Key)] = it
+		b.items[string(o.Key)] = it
 		return nil
 	})
 }
 
 // entries returns all live records in order of their keys. Records up to their space's floor have expired.
-func (g *indexBuilder) entries(floors map[uint16]uint64) []table.Entry {
-	keys := make([]string, 0, len(g.items))
-	for k := range g.items {
+func (b *indexBuilder) entries(floors map[uint16]uint64) []table.Entry {
+	keys := make([]string, 0, len(b.items))
+	for k := range b.items {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
-	slices.SortFunc(g.rangeDeletes, func(a, b rankedSpan) int { return cmp.Compare(a.lo, b.lo) })
+	slices.SortFunc(b.rangeDeletes, func(x, y rankedSpan) int { return cmp.Compare(x.lo, y.lo) })
 	var out []table.Entry
 	var covering []rankedSpan   // the ranges that the present key is in
-	following := g.rangeDeletes // those that start behind the present key
+	following := b.rangeDeletes // those that start behind the present key
 	for _, k := range keys {
 		for len(following) > 0 && following[0].lo <= k {
 			covering, following = append(covering, following[0]), following[1:]
 		}
 		covering = slices.DeleteFunc(covering, func(c rankedSpan) bool { return strings.Compare(c.hi, k) <= 0 })
-		it := g.items[k]
+		it := b.items[k]
 		hidden := slices.ContainsFunc(covering, func(c rankedSpan) bool { return it.before(c.rank) })
 		if it.loc.Segment != 0 && !hidden && it.loc.Seq > floors[spaceOf([]byte(k))] {
 			out = append(out, table.Entry{Key: []byte(k), Loc: it.loc})
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -291,7 +291,7 @@
 
 // rebuild makes a new table of all sealed segments and puts it into the manifest.
 func (s *Store) rebuild(man *manifest.Manifest, segs map[uint32]*handle) (*baseTable, error) {
-	g := newIndexBuilder()
+	index := newIndexBuilder()
 	var upTo uint64
 	for _, m := range man.Segments {
 		if !m.Sealed {
@@ -299,7 +299,7 @@
 			continue
 		}
 		h := segs[uint32(m.ID)]
-		if _, err := g.addSegment(h.f, m, func(at int64, err error) error {
+		if _, err := index.addSegment(h.f, m, func(at int64, err error) error {
 			return &FileError{File: h.name, Offset: at, Err: err}
 		}); err != nil {
 			return nil, err
@@ -312,7 +312,7 @@
 		return nil, err
 	}
 	h := newHandle(f, name)
-	size, err := s.writeRebuilt(f, table.Info{Store: s.id, ID: id, Seq: upTo}, g.entries(man.Floors))
+	size, err := s.writeRebuilt(f, table.Info{Store: s.id, ID: id, Seq: upTo}, index.entries(man.Floors))
 	var t *table.Table
 	if err == nil {
 		t, err = table.Open(f, size, s.cache)
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -27,7 +27,7 @@
 	Records int    `json:"records"` // in the new store
 	Frames  int    `json:"frames"`  // read
 	Lost    []Lost `json:"lost"`
-	// Guessed: both copies of the manifest were damaged, so the segments were taken as found in the folder. Records that
+	// Guessed: neither copy of the manifest could be read, so the segments were taken as found in the folder. Records that
 	// had expired may be back.
 	Guessed bool `json:"guessed,omitempty"`
 }
@@ -75,9 +75,10 @@
 	return r.Repaired, to.Close()
 }
 
+// repairer is one run of Repair.
 type repairer struct {
 	*Repaired
-	s     *Store
+	s     *Store // never opened: it only finds files
 	files map[uint32]vfs.File
 	index *indexBuilder
 }
