--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -1,14 +1,19 @@
 package store
 
 import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
 	"sync/atomic"
 
+	"ospreypond/internal/store/segment"
 	"ospreypond/internal/store/table"
 	"ospreypond/internal/store/vfs"
 )
 
-// handle is an open file that several versions share. The last one closes it; a file that was removed meanwhile
-// can be read until then.
+// handle is an open file with a count of references. The last one closes it; until then a file that was removed can still
+// be read.
 type handle struct {
 	f    vfs.File
 	name string
@@ -21,32 +26,34 @@
 	return h
 }
 
+// ref adds a reference.
 func (h *handle) ref() *handle { h.refs.Add(1); return h }
 
+// unref drops a reference and closes the file if it was the last one.
 func (h *handle) unref() {
 	if h.refs.Add(-1) == 0 {
 		_ = h.f.Close() // opened for reading, or synced before
 	}
 }
 
-// baseTable is the index on disk with its file.
+// baseTable is the table, the part of the index on disk, with its file.
 type baseTable struct {
 	t    *table.Table
 	h    *handle
 	size int64
 }
 
-// version is what lies under the uppermost layer at one time. It does not change, and the files in it stay readable
-// while somebody holds it.
+// version is all that lies under the uppermost layer at one time. It is immutable, and its files can be read as long as
+// there is a reference to it.
 type version struct {
-	frozen   *layer // on its way into the table; nil: none
+	frozen   *layer // being written into a new table; nil: none
 	base     *baseTable
 	segments map[uint32]*handle
 	floors   map[uint16]uint64
 	refs     atomic.Int32
 }
 
-// newVersion returns a version that holds all its files, and one hold on itself.
+// newVersion returns a version with one reference, the caller's. It has references to all its files.
 func newVersion(frozen *layer, base *baseTable, segs map[uint32]*handle, floors map[uint16]uint64) *version {
 	v := &version{frozen: frozen, base: base, segments: segs, floors: floors}
 	v.refs.Store(1)
@@ -59,8 +66,10 @@
 	return v
 }
 
+// ref adds a reference.
 func (v *version) ref() *version { v.refs.Add(1); return v }
 
+// unref drops a reference, and with the last one those to the files.
 func (v *version) unref() {
 	if v.refs.Add(-1) != 0 {
 		return
@@ -73,6 +82,7 @@
 	}
 }
 
+// table returns the table, or nil if none has been written yet.
 func (v *version) table() *table.Table {
 	if v.base == nil {
 		return nil
@@ -80,7 +90,7 @@
 	return v.base.t
 }
 
-// find looks a key up under the uppermost layer.
+// find looks up a key, first in the frozen layer, then in the table.
 func (v *version) find(key string) (table.Loc, bool, error) {
 	if v.frozen != nil {
 		if it, ok := v.frozen.get(key); ok {
@@ -100,6 +110,52 @@
 	return loc, ok, err
 }
 
+// cloneSegments returns a copy of the map; it takes no references.
+func cloneSegments(segs map[uint32]*handle) map[uint32]*handle {
+	c := make(map[uint32]*handle, len(segs)+1)
+	for id, h := range segs {
+		c[id] = h
+	}
+	return c
+}
+
+// get completes a lookup of which the uppermost layer yielded it, found and covered: if need be it looks under that layer,
+// then it reads the value.
+func (v *version) get(key string, it item, found, covered bool) ([]byte, uint64, error) {
+	loc := it.loc
+	if !found && !covered {
+		var err error
+		if loc, found, err = v.find(key); err != nil {
+			return nil, 0, err
+		}
+	}
+	if !found || loc.Segment == 0 || loc.Seq <= v.floors[spaceOf([]byte(key))] {
+		return nil, 0, ErrNotFound
+	}
+	value, err := v.read([]byte(key), loc, nil)
+	return value, loc.Seq, err
+}
+
+// read returns the value at loc, in buf if that is large enough. It checks the value and its key against the checksum.
+func (v *version) read(key []byte, loc table.Loc, buf []byte) ([]byte, error) {
+	h := v.segments[loc.Segment]
+	if h == nil {
+		return nil, &FileError{File: segmentName(uint64(loc.Segment)), Offset: -1,
+			Err: fmt.Errorf("%w: the index points at it, and there is no such segment", ErrCorrupt)}
+	}
+	value := slices.Grow(buf[:0], int(loc.Size))[:loc.Size]
+	if n, err := h.f.ReadAt(value, int64(loc.Offset)); n < len(value) {
+		if errors.Is(err, io.EOF) {
+			err = fmt.Errorf("%w: ends early", ErrCorrupt)
+		}
+		return nil, &FileError{File: h.name, Offset: int64(loc.Offset) + int64(n), Err: err}
+	}
+	if segment.Sum(key, value) != loc.Sum {
+		return nil, &FileError{File: h.name, Offset: int64(loc.Offset), Err: fmt.Errorf("%w: value's checksum", ErrCorrupt)}
+	}
+	return value, nil
+}
+
 // swap replaces the version that readers get. next is called with s.mu locked and returns a version with a reference for
 // the store.
 func (s *Store) swap(next func(v *version) *version) {
@@ -109,12 +165,3 @@
 	s.mu.Unlock()
 	old.unref()
 }
-
-// cloneSegments returns a copy of the map; it takes no references.
-func cloneSegments(segs map[uint32]*handle) map[uint32]*handle {
-	c := make(map[uint32]*handle, len(segs)+1)
-	for id, h := range segs {
-		c[id] = h
-	}
-	return c
-}
