--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -24,7 +24,7 @@
 // Call Tick at NextDeadline at the latest. Pass the time of a steady clock that never runs backwards; its zero may differ
 // between members and between restarts.
 //
-// Serve a leader's followers: when NeedSnapshot lists a member, pass a snapshot of the state machine to SendSnapshot. To
+// Serve a leader's followers: when MembersNeedingSnapshot lists a member, pass a snapshot of the state machine to SendSnapshot. To
 // bound memory, write a snapshot to the disk first and then call Compact with its index or an earlier one.
 //
 // After a restart, pass to New what the disk has. The state machine starts from Restored.Snapshot, and all entries after
@@ -51,4 +51,10 @@
 // finish writes within the time that elections allow for. Status.Members may be uncommitted and may be replaced by the
 // earlier membership. Status.IsLeader is what the member believes: only ConfirmedAt shows that it was so. How far clocks of
 // different members may drift, for leases built on ConfirmedAt, is for the caller to bound.
+//
+// # Where to begin reading
+//
+// node.go has the inputs of all members, output.go what comes out. election.go, leader.go and replication.go are Raft's core,
+// with the log in log.go and what a leader knows of each member in progress.go. Quorums, of one or two configurations, are
+// computed in quorum.go, and the membership changes by membership_change.go.
 package consensus
