--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// Config is what all dispatchers of a fleet have in common.
+// Config configures a core. All dispatchers of a fleet should have the same but for Self.
 type Config struct {
-	// Me is this dispatcher in this life.
+	// Self is this dispatcher.
 	Self Owner
-	// Start is how long a member takes to start from its state at the longest; more is a failed start.
+	// StartTimeout is the longest time that the start of all members may take, checkpoint included; then the start has failed.
 	StartTimeout time.Duration
-	// Silence is how long a member that began may say nothing; longer, and it is lost.
+	// MemberTimeout is how long ago the last contact of a member that started may be; then the member is lost.
 	MemberTimeout time.Duration
-	// Bandwidth is what the register takes of saved state, in bytes a second, from the whole fleet together.
+	// Bandwidth is how much of checkpoints the register takes from the fleet, in bytes per second.
 	Bandwidth float64
 	// Margin is kept between the end of a save and the retirement that it is for.
 	Margin time.Duration
-	// Every is how often a running gang saves its state for crashes; 0: for retirements only.
+	// CheckpointInterval is the time between two periodic saves of a running gang; 0: it is saved before retirements only.
 	CheckpointInterval time.Duration
-	// SaveTimeout is how long a save may take at the longest.
+	// SaveTimeout is the longest time that a save may take.
 	SaveTimeout time.Duration
-	// Backoff is the wait after a start that failed, doubled with each up to MaxBackoff.
+	// Backoff is the wait after a failed start, doubled with each further one up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// Starve is how long a gang that fits nowhere waits until nothing that comes after it is placed before it.
+	// StarvationTimeout is how long a gang that fits nowhere waits before no less urgent gang is started ahead of it; 0: forever.
 	StarvationTimeout time.Duration
-	// AgeStep is the wait that raises a gang's priority by one.
+	// AgeStep is the time of waiting that raises a gang's priority by one; 0: waiting does not.
 	AgeStep time.Duration
-	// Apart is what a member in another zone than most makes a placement dearer by, as a share of its time.
+	// ZonePenalty is the fraction by which a member outside the gang's zone costs more.
 	ZonePenalty float64
-	// MaxGangs bounds what is taken up; MaxMoves the gangs that one dispatcher starts or saves at once.
+	// MaxGangs is the largest number of gangs in the register, MaxMoves of starts and saves of one dispatcher at once.
 	MaxGangs, MaxMoves int
-	// Retire says when states are saved before retirements.
+	// RetirePolicy is when gangs are saved before retirements.
 	RetirePolicy Policy
 }
 
-// Policy says when a gang's state is saved before its runners retire.
+// Policy is when a gang is saved before its runners retire.
 type Policy uint8
 
-// The policies. The last two are the plain ones that the first is measured against.
+// The policies. The last two are the baselines that Latest is measured against.
 const (
-	Latest Policy = iota // as late as is safe, one after another, so that the register's bandwidth suffices
-	AtOnce               // all at the announcement
-	Never                // not at all: the last periodic save is used
+	Latest Policy = iota // as late as the register's bandwidth allows, one after another
+	AtOnce               // all when the retirement is announced
+	Never                // not at all: the last periodic checkpoint is used
 )
 
-// ConfigError names the field that no core can work with.
+// ConfigError is a fault of a configuration.
 type ConfigError struct{ Field, Problem string }
 
 // Error names the field and the problem.
 func (e *ConfigError) Error() string { return "gang: " + e.Field + ": " + e.Problem }
 
-// LimitError is a bound that was reached; nothing is lost by it.
+// LimitError is a limit that was reached. Nothing is lost by it: the record stays in the register.
 type LimitError struct {
 	Gang, Bound string
 	Limit       int
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -227,7 +227,7 @@
 		return fmt.Errorf("%s is done in generation %d, which did not end", r.Name, r.Generation)
 	case r.Checkpoint != nil && !s.saved[fmt.Sprint(r.Name, r.Checkpoint.Generation, "/", r.Checkpoint.Number)]:
 		return fmt.Errorf("%s has a checkpoint that is not there", r.Name)
-	case !slices.ContainsFunc(Table, func(st Step) bool { return st == Step{before.Phase, Cause(r.Cause), r.Phase} }):
+	case !slices.ContainsFunc(Table, func(st Step) bool { return st == Step{before.Phase, r.Cause, r.Phase} }):
 		return fmt.Errorf("%s goes from %s to %s for %q", r.Name, before.Phase, r.Phase, r.Cause)
 	}
 	return nil
--- a/internal/dispatcher/gang/members.go
+++ b/internal/dispatcher/gang/members.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Member takes in what came of a member that this dispatcher sent.
-func (c *Core) Member(now time.Time, name string, generation uint64, i int, n Event) {
+// Member takes an event of a member i that this dispatcher sent. Events of other generations have no effect.
+func (c *Core) Member(now time.Time, name string, generation uint64, i int, e Event) {
 	c.now = now
 	g := c.gangs[name]
-	if g == nil || g.ownGeneration != generation || generation == 0 || i < 0 || i >= len(g.members) || g.members[i].over() {
-		return // of an older generation: it takes no effect
+	if g == nil || g.ownGeneration != generation || generation == 0 || i < 0 || i >= len(g.members) || g.members[i].hasEnded() {
+		return
 	}
 	m := &g.members[i]
 	m.lastContact = c.now
-	switch n {
+	switch e {
 	case Began, Progressed:
 		m.started = true
 	case Finished:
 		m.started, m.done = true, true
 	case Failed, DamagedPart:
-		m.failed, m.damaged = true, n == DamagedPart
+		m.failed, m.damaged = true, e == DamagedPart
 	}
-	if g.writing == nil && !g.needsRead { // else at the next tick after what is under way has ended
+	if g.writing == nil && !g.needsRead { // else the Tick after the read or write handles it
 		c.handleEnds(name, g)
 	}
 }
 
-// handleEnds does what members' ends lead to; done tells whether that was anything.
-func (c *Core) handleEnds(name string, g *gang) (done bool) {
-	ended, broke := 0, false
+// handleEnds writes the step that the ends of members lead to; wrote reports whether there was one.
+func (c *Core) handleEnds(name string, g *gang) (wrote bool) {
+	done, anyFailed := 0, false
 	for _, m := range g.members {
 		if m.done {
-			ended++
+			done++
 		}
-		broke = broke || m.failed
+		anyFailed = anyFailed || m.failed
 	}
 	switch {
-	case broke:
+	case anyFailed:
 		c.restart(name, g)
-	case ended == len(g.members) && (g.record.Phase == Running || g.record.Phase == Saving):
+	case done == len(g.members) && (g.record.Phase == Running || g.record.Phase == Saving):
 		c.write(name, g, AllEnded, nil)
 	default:
 		return false
@@ -47,29 +47,31 @@
 	return true
 }
 
-// restart has a gang that lost a member wait for a new start.
+// restart makes a gang that lost a member wait for a new start, from its checkpoint or, if a part of that is damaged, from the one
+// before.
 func (c *Core) restart(name string, g *gang) {
-	why := Lost
+	cause := Lost
 	if g.record.Phase == Starting && slices.ContainsFunc(g.members, func(m member) bool { return m.damaged }) {
-		why = PartDamaged
+		cause = PartDamaged
 	}
-	c.write(name, g, why, func(r *Record) {
-		if why == PartDamaged { // the one before may be whole; where there is none it starts over
+	c.write(name, g, cause, func(r *Record) {
+		if cause == PartDamaged { // without a previous one it starts from the beginning
 			r.Checkpoint, r.PreviousCheckpoint = r.PreviousCheckpoint, nil
 		}
-		if g.record.Phase == Starting && why == Lost {
+		if g.record.Phase == Starting && cause == Lost {
 			r.FailedStarts++
 			r.NotBefore = c.now.Add(c.backoff(r.FailedStarts))
 		}
 	})
 }
 
-func (c *Core) backoff(tries int) time.Duration {
-	return min(c.cfg.MaxBackoff, c.cfg.Backoff<<min(20, tries-1))
+// backoff returns the wait after a number of failed starts, 1 or more.
+func (c *Core) backoff(failedStarts int) time.Duration {
+	return min(c.cfg.MaxBackoff, c.cfg.Backoff<<min(20, failedStarts-1))
 }
 
-// Parts takes in the digests of the parts that are there of a save; one that is missing is empty. Whether a part is whole the
-// register tells: it takes none whose digest is not its own.
+// Parts takes the digests of a save's parts by member, the answer to a ListParts; a part that is missing has an empty one. Whether a
+// part is complete need not be checked here: the register rejects a part that doesn't match its digest.
 func (c *Core) Parts(now time.Time, name string, generation uint64, number int, digests []string) {
 	c.now = now
 	g := c.gangs[name]
@@ -77,11 +79,11 @@
 		g.record.SaveNumber != number || len(digests) != len(g.record.Needs) || slices.Contains(digests, "") {
 		return
 	}
-	why := SaveComplete
-	if g.record.Relocate && c.mustRelocate(g) { // it may have been called off meanwhile
-		why = SaveCompleteRelocate
+	cause := SaveComplete
+	if g.record.Relocate && c.mustRelocate(g) { // the retirement may have been called off meanwhile
+		cause = SaveCompleteRelocate
 	}
-	c.write(name, g, why, func(r *Record) {
+	c.write(name, g, cause, func(r *Record) {
 		r.PreviousCheckpoint, r.Checkpoint = r.Checkpoint, &Checkpoint{Generation: generation, Number: number, Progress: g.saveProgress, Digests: digests}
 		r.Relocate, r.FailedStarts, r.Takeovers, r.NotBefore = false, 0, 0, time.Time{}
 	})
--- a/internal/dispatcher/gang/messages.go
+++ b/internal/dispatcher/gang/messages.go
@@ -5,52 +5,52 @@
 // Runner is a runner as this dispatcher knows it.
 type Runner struct {
 	Name, Zone, Kind string
-	Speed            float64 // of its kind
-	Slots            float64 // free ones, gangs' members that the records tell of not counted
-	// Usable says that the module's rules on health and cold runners let it have a member now.
+	Speed            float64 // of its kind; work of a second at speed 1 takes 1/Speed seconds
+	Slots            float64 // free ones, as if it had no members of gangs: those the core subtracts by the records
+	// Usable is whether the decision module's rules on unhealthy runners and slow start allow it a member now.
 	Usable bool
-	// Retires is when it is to end; the zero time: not known to.
+	// Retires is when it retires; the zero time if that is not announced.
 	Retires time.Time
 }
 
-// Version is a record's version in the register, its ETag; empty: there is none.
+// Version is the version of a record in the register, its ETag; empty for a record that does not exist.
 type Version string
 
-// Outcome is how a write ended.
+// Outcome is the outcome of a write.
 type Outcome uint8
 
-// The outcomes of a write.
+// The outcomes.
 const (
 	Written  Outcome = iota
-	Conflict         // another version is there
-	Unknown          // no answer, or one that proves nothing
+	Conflict         // the record has another version
+	Unknown          // it may have taken effect or not
 )
 
-// Event is what came of one member.
+// Event is what a member reports, or what its connection shows.
 type Event uint8
 
-// What members tell.
+// The events.
 const (
 	Began       Event = iota
-	Progressed        // a line of progress: its heartbeat
-	Finished          // its result is there
-	Failed            // it ended otherwise, whatever the way
-	DamagedPart       // it could not start, as its part of the checkpoint is damaged
+	Progressed        // its heartbeat
+	Finished          // it has a result
+	Failed            // it ended without a result, or its connection did
+	DamagedPart       // it can't start, as its part of the checkpoint is damaged
 )
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions, with the answer that the caller passes to the core.
 const (
-	Read      ActionKind = iota // the record Gang
-	Write                       // Record, if its version is still If
-	Send                        // Member of Gang in Generation to Runner, from From
+	Read      ActionKind = iota // the record of Gang: Got
+	Write                       // Record, if the register has IfVersion: Wrote
+	Send                        // Member of Gang in Generation to Runner, to go on from Checkpoint: Member, for each event
 	Stop                        // Member of Gang in Generation
-	ListParts                   // at which parts of the save Number in Generation are there
+	ListParts                   // of the save SaveNumber in Generation: Parts
 )
 
-// Action is one thing to do now.
+// Action is a call to the register or a runner that the caller makes. The fields that its kind has no use for are empty.
 type Action struct {
 	Kind       ActionKind
 	Gang       string
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -10,44 +10,46 @@
 	"ospreypond/policy"
 )
 
-// saveSlack is how much longer than its bytes and the bandwidth say a save is taken to last.
+// saveSlack is the factor by which a save is planned longer than its bytes and the bandwidth say.
 const saveSlack = 1.25
 
-// planSaves returns when the state of each gang that has to leave its runners is to be saved at the latest. It follows from the
-// records and the retirements alone, so that all dispatchers come to the same without a word: backwards from the last
-// retirement, one save after another, as the register's bandwidth is the whole fleet's.
+// planSaves returns the latest start of the save of each gang that has to relocate. The plan follows from the records and the
+// retirements alone, so all dispatchers come to the same one without communication: backwards from the last retirement, one save
+// after another, as the fleet shares the register's bandwidth.
 func (c *Core) planSaves() map[string]time.Time {
-	type leaving struct {
-		name string
-		by   time.Time
-		size int64
+	type relocation struct {
+		name     string
+		deadline time.Time
+		bytes    int64
 	}
-	var all []leaving
+	var relocations []relocation
 	for name, g := range c.gangs {
 		if g.isCurrent && (g.record.Phase == Running || g.record.Phase == Saving) && c.mustRelocate(g) {
-			all = append(all, leaving{name, c.retiresAt(g), g.record.stateBytes()})
+			relocations = append(relocations, relocation{name, c.retiresAt(g), g.record.stateBytes()})
 		}
 	}
-	slices.SortFunc(all, func(a, b leaving) int { return cmp.Or(b.by.Compare(a.by), cmp.Compare(a.name, b.name)) })
-	at := map[string]time.Time{}
+	slices.SortFunc(relocations, func(a, b relocation) int {
+		return cmp.Or(b.deadline.Compare(a.deadline), cmp.Compare(a.name, b.name))
+	})
+	startAt := map[string]time.Time{}
 	var next time.Time
-	for _, l := range all {
+	for _, r := range relocations {
 		switch c.cfg.RetirePolicy {
 		case Latest:
-			end := l.by.Add(-c.cfg.Margin)
+			end := r.deadline.Add(-c.cfg.Margin)
 			if !next.IsZero() && next.Before(end) {
 				end = next
 			}
-			next = end.Add(-time.Duration(saveSlack * float64(l.size) / c.cfg.Bandwidth * float64(time.Second)))
-			at[l.name] = next
+			next = end.Add(-time.Duration(saveSlack * float64(r.bytes) / c.cfg.Bandwidth * float64(time.Second)))
+			startAt[r.name] = next
 		case AtOnce:
-			at[l.name] = time.Time{}
+			startAt[r.name] = time.Time{}
 		}
 	}
-	return at
+	return startAt
 }
 
-// retiresAt is when the first of a gang's runners retires; the zero time: none is known to.
+// retiresAt returns when the first of a gang's runners retires; the zero time if none is to.
 func (c *Core) retiresAt(g *gang) (first time.Time) {
 	for _, p := range g.record.Placement {
 		if r := c.runners[p].Retires; !r.IsZero() && (first.IsZero() || r.Before(first)) {
@@ -57,32 +59,30 @@
 	return first
 }
 
-// mustRelocate tells whether a gang has to leave its runners before its end.
+// mustRelocate reports whether a runner of the gang retires before the gang is done.
 func (c *Core) mustRelocate(g *gang) bool {
-	by := c.retiresAt(g)
-	return !by.IsZero() && c.now.Add(c.remaining(g, g.record.Placement)).After(by.Add(-c.cfg.Margin))
+	retiresAt := c.retiresAt(g)
+	return !retiresAt.IsZero() && c.now.Add(c.remaining(g, g.record.Placement)).After(retiresAt.Add(-c.cfg.Margin))
 }
 
-// remaining is how long a gang still runs on these runners, as the slowest of them goes.
-func (c *Core) remaining(g *gang, on []string) time.Duration {
+// remaining returns how long a gang still has to run on these runners, by the speed of the slowest.
+func (c *Core) remaining(g *gang, runners []string) time.Duration {
 	speed := math.Inf(1)
-	for _, p := range on {
-		speed = min(speed, c.runners[p].Speed)
+	for _, name := range runners {
+		speed = min(speed, c.runners[name].Speed)
 	}
-	share := g.record.progress()
+	progress := g.record.progress()
 	if g.ownGeneration != 0 {
-		share = c.progress(g)
+		progress = c.progress(g)
 	}
-	return time.Duration((1 - share) * float64(g.record.work()) / max(speed, 1e-6))
+	return time.Duration((1 - progress) * float64(g.record.work()) / max(speed, 1e-6))
 }
 
-// placeWaiting starts the waiting gangs that there is room for, the most urgent first. All dispatchers go through all of them in the
-// same order with the same rule, and each writes for its own only, so that they seldom choose the same places.
-func (c *Core) placeWaiting(moves int) {
-	if !c.any(func(name string, g *gang) bool {
-		return g.isCurrent && g.record.Phase == Waiting && g.writing == nil && !g.needsRead && c.actsFor(name, g)
-	}) {
-		return // nothing to write, so nothing to think about
+// placeWaiting starts the waiting gangs that fit on the runners, the most urgent first. All dispatchers go through all gangs in the
+// same order by the same rules, and each writes only those that it acts for, so that they seldom choose the same slots.
+func (c *Core) placeWaiting() {
+	if !c.hasStartable() {
+		return // the assignment is expensive
 	}
 	free := c.usableSlots()
 	for _, name := range c.waiting(free) {
@@ -90,19 +90,19 @@
 		if c.now.Before(g.record.NotBefore) {
 			continue
 		}
-		on := c.match(g, free)
-		if on == nil {
-			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // else smaller ones would always take its places
+		placement := c.match(g, free)
+		if placement == nil {
+			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // else smaller ones would always take its slots
 				return
 			}
 			continue
 		}
-		for i, p := range on {
-			free[p] -= g.record.Needs[i].Slots
+		for i, runner := range placement {
+			free[runner] -= g.record.Needs[i].Slots
 		}
-		if g.writing == nil && !g.needsRead && c.actsFor(name, g) && moves < c.cfg.MaxMoves {
-			moves++
-			c.write(name, g, Placed, func(r *Record) { r.Generation, r.Placement = r.Generation+1, on })
+		if g.writing == nil && !g.needsRead && c.actsFor(name, g) && c.moves < c.cfg.MaxMoves {
+			c.moves++
+			c.write(name, g, Placed, func(r *Record) { r.Generation, r.Placement = r.Generation+1, placement })
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	return free
 }
 
-// waiting returns the gangs that wait, the most urgent first, and takes off free what the members of the others have.
+// waiting returns the waiting gangs, the most urgent first, and subtracts from free the slots of the other gangs' members.
 func (c *Core) waiting(free map[string]float64) (waiting []string) {
 	for _, name := range slices.Sorted(maps.Keys(c.gangs)) {
 		g := c.gangs[name]
@@ -127,8 +127,8 @@
 		case g.record.Phase == Waiting:
 			waiting = append(waiting, name)
 		case !g.record.Phase.Ended():
-			for i, p := range g.record.Placement {
-				free[p] -= g.record.Needs[i].Slots
+			for i, runner := range g.record.Placement {
+				free[runner] -= g.record.Needs[i].Slots
 			}
 		}
 	}
@@ -136,67 +136,69 @@
 	return waiting
 }
 
-func (c *Core) any(is func(name string, g *gang) bool) bool {
+// hasStartable reports whether there is a waiting gang whose start this dispatcher may write now.
+func (c *Core) hasStartable() bool {
 	for name, g := range c.gangs {
-		if is(name, g) {
+		if g.isCurrent && g.record.Phase == Waiting && g.writing == nil && !g.needsRead && c.actsFor(name, g) {
 			return true
 		}
 	}
 	return false
 }
 
-// compare puts first what has the higher priority, which waiting raises, then what is due sooner, then what came sooner.
+// compare orders gangs by priority, which rises while a gang waits, then by due time, then by submission.
 func (c *Core) compare(a, b *gang) int {
-	rank := func(g *gang) float64 {
+	priority := func(g *gang) float64 {
 		if c.cfg.AgeStep <= 0 {
 			return float64(g.record.Priority)
 		}
 		return float64(g.record.Priority) + math.Floor(float64(c.now.Sub(g.record.Submitted))/float64(c.cfg.AgeStep))
 	}
-	return cmp.Or(cmp.Compare(rank(b), rank(a)), a.record.Due.Compare(b.record.Due), a.record.Submitted.Compare(b.record.Submitted),
+	return cmp.Or(cmp.Compare(priority(b), priority(a)), a.record.Due.Compare(b.record.Due), a.record.Submitted.Compare(b.record.Submitted),
 		cmp.Compare(a.record.Name, b.record.Name))
 }
 
-// match returns a runner for each member, all of them or nil: none that retires before the gang's end, which the slowest of
-// them says.
+// match returns a runner for each member, or nil if not all of them get one. None of the runners retires before the gang is done,
+// which depends on the slowest of them: those that would are excluded and the rest is tried again.
 func (c *Core) match(g *gang, free map[string]float64) []string {
-	without := map[string]bool{}
+	excluded := map[string]bool{}
 	for {
-		on := c.cheapestAssignment(g, free, without)
-		if on == nil {
+		placement := c.cheapestAssignment(g, free, excluded)
+		if placement == nil {
 			return nil
 		}
-		end, leaves := c.now.Add(c.cfg.StartTimeout+c.cfg.Margin+c.remaining(g, on)), false
-		for _, p := range on {
-			if by := c.runners[p].Retires; !by.IsZero() && end.After(by) {
-				without[p], leaves = true, true
+		end, retiresBefore := c.now.Add(c.cfg.StartTimeout+c.cfg.Margin+c.remaining(g, placement)), false
+		for _, runner := range placement {
+			if at := c.runners[runner].Retires; !at.IsZero() && end.After(at) {
+				excluded[runner], retiresBefore = true, true
 			}
 		}
-		if !leaves {
-			return on
+		if !retiresBefore {
+			return placement
 		}
 	}
 }
 
-// cheapestAssignment returns a runner for each member at the least total time, near one another: each zone in turn is taken for theirs.
-func (c *Core) cheapestAssignment(g *gang, free map[string]float64, without map[string]bool) (best []string) {
-	most := 0.0
+// cheapestAssignment returns a runner for each member at the least total cost, or nil. It tries each zone as the gang's home, outside of
+// which members cost more, and takes the cheapest.
+func (c *Core) cheapestAssignment(g *gang, free map[string]float64, excluded map[string]bool) (best []string) {
+	maxSlots := 0.0
 	for _, n := range g.record.Needs {
-		most = max(most, n.Slots)
+		maxSlots = max(maxSlots, n.Slots)
 	}
-	var places []Runner
+	var slots []Runner // a runner, once for each member that it can take
 	zones := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(free)) {
 		r := c.runners[name]
-		if n := min(int(free[name]/most+1e-9), len(g.record.Needs)); !without[name] && n > 0 {
-			places = append(places, slices.Repeat([]Runner{r}, n)...)
+		if n := min(int(free[name]/maxSlots+1e-9), len(g.record.Needs)); !excluded[name] && n > 0 {
+			slots = append(slots, slices.Repeat([]Runner{r}, n)...)
 			zones[r.Zone] = true
 		}
 	}
-	least := math.Inf(1)
+	minCost := math.Inf(1)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if total, on := c.assign(g.record.Needs, places, zone); total < least {
-			least, best = total, on
+		if cost, placement := c.assign(g.record.Needs, slots, zone); cost < minCost {
+			minCost, best = cost, placement
 		}
 	}
 	return best
@@ -205,26 +207,26 @@
 // impossible is the cost of a runner that a member cannot have; no time is as long.
 const impossible = 1e8
 
-// assign returns a slot's runner for each member at the least total cost, with members outside the zone at a penalty, and that
-// cost: infinite if not all of them get one.
-func (c *Core) assign(needs []Need, slots []Runner, zone string) (total float64, on []string) {
+// assign returns the runners of the members at the least total cost, with members outside the zone at a penalty, and that cost:
+// infinite if not all members get one.
+func (c *Core) assign(needs []Need, slots []Runner, zone string) (total float64, placement []string) {
 	costs := make([][]float64, len(needs))
 	for i, n := range needs {
 		for _, s := range slots {
 			costs[i] = append(costs[i], c.cost(n, s, zone))
 		}
 	}
-	on = make([]string, len(needs))
+	placement = make([]string, len(needs))
 	for i, s := range policy.Assign(costs, len(slots)) {
 		if s < 0 || costs[i][s] >= impossible {
 			return math.Inf(1), nil
 		}
-		total, on[i] = total+costs[i][s], slots[s].Name
+		total, placement[i] = total+costs[i][s], slots[s].Name
 	}
-	return total, on
+	return total, placement
 }
 
-// cost is the time that a unit of work takes on a runner, with the penalty if it is outside the zone.
+// cost returns the time that a unit of work takes on a runner, with the penalty if it is outside the zone.
 func (c *Core) cost(n Need, r Runner, zone string) float64 {
 	if n.Kind != "" && n.Kind != r.Kind {
 		return impossible
--- a/internal/dispatcher/gang/readwrite.go
+++ b/internal/dispatcher/gang/readwrite.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Listed takes in which gangs the register has, and their versions; what changed is read.
+// Listed takes all gangs of the register with their versions. Records that changed are read; gangs that the register no longer has
+// are dropped.
 func (c *Core) Listed(now time.Time, versions map[string]Version) {
 	c.now = now
 	for _, name := range slices.Sorted(maps.Keys(versions)) {
 		g := c.gangs[name]
 		if g == nil {
 			if len(c.gangs) >= c.cfg.MaxGangs {
-				c.errs = append(c.errs, &LimitError{name, "gangs", c.cfg.MaxGangs, "let ended ones be removed from the register, or raise the bound"})
+				c.errs = append(c.errs, &LimitError{name, "gangs", c.cfg.MaxGangs, "let ended ones be removed from the register, or raise the limit"})
 				continue
 			}
 			g = &gang{}
@@ -25,19 +26,20 @@
 		}
 	}
 	for name, g := range c.gangs {
-		if _, there := versions[name]; !there && g.writing == nil && g.isCurrent && c.now.Sub(g.requestedAt) > c.cfg.StartTimeout {
+		if _, exists := versions[name]; !exists && g.writing == nil && g.isCurrent && c.now.Sub(g.requestedAt) > c.cfg.StartTimeout {
 			c.abandon(name, g)
 			delete(c.gangs, name)
 		}
 	}
 }
 
+// read requests a gang's record. Nothing is written until the answer is there.
 func (c *Core) read(name string, g *gang) {
 	g.needsRead, g.requestedAt = true, c.now
 	c.out = append(c.out, Action{Kind: Read, Gang: name})
 }
 
-// Got takes in a record as it was read.
+// Got takes a record as it was read, the answer to a Read.
 func (c *Core) Got(now time.Time, name string, version Version, r Record) {
 	c.now = now
 	g := c.gangs[name]
@@ -58,7 +60,8 @@
 	c.adopt(name, g, version, r)
 }
 
-// adopt takes a record as what holds. Members of another generation than its, or held by another, are this one's no more.
+// adopt makes a record the current one. Members that this dispatcher sent are stopped if the record has another generation or
+// owner by now.
 func (c *Core) adopt(name string, g *gang, version Version, r Record) {
 	if g.record.Phase != r.Phase || g.record.Generation != r.Generation || !g.isCurrent {
 		g.phaseStartedAt = c.now
@@ -72,17 +75,17 @@
 	}
 }
 
-// abandon stops what this dispatcher still has out of a gang.
+// abandon stops the members of a gang that this dispatcher sent and that still run.
 func (c *Core) abandon(name string, g *gang) {
 	for i, m := range g.members {
-		if !m.over() {
+		if !m.hasEnded() {
 			c.out = append(c.out, Action{Kind: Stop, Gang: name, Member: i, Generation: g.ownGeneration})
 		}
 	}
 	g.members, g.ownGeneration = nil, 0
 }
 
-// Wrote takes in how a write ended.
+// Wrote takes the outcome of a Write, and with Written the new version.
 func (c *Core) Wrote(now time.Time, name string, o Outcome, version Version) {
 	c.now = now
 	g := c.gangs[name]
@@ -96,11 +99,11 @@
 		if o == Conflict {
 			g.writing = nil
 		}
-		c.read(name, g) // what is there now tells
+		c.read(name, g) // the id of its last write shows whether this one took effect
 	}
 }
 
-// handleWritten has a write of this dispatcher's be what holds, and does what follows from it.
+// handleWritten adopts a record that this dispatcher wrote. If it is a start, the members are sent.
 func (c *Core) handleWritten(name string, g *gang, version Version) {
 	w := *g.writing
 	g.writing = nil
@@ -113,11 +116,11 @@
 	}
 }
 
-// write goes one step of the table on, by a conditional write. change fills in what else is new.
-func (c *Core) write(name string, g *gang, why Cause, change func(r *Record)) {
+// write takes a step of the table by a conditional write. change, if not nil, sets what else is new.
+func (c *Core) write(name string, g *gang, cause Cause, change func(r *Record)) {
 	r := g.record
 	r.Needs, r.Placement = slices.Clone(r.Needs), slices.Clone(r.Placement)
-	r.Phase, r.Cause, r.Owner = next(r.Phase, why), string(why), c.cfg.Self
+	r.Phase, r.Cause, r.Owner = next(r.Phase, cause), cause, c.cfg.Self
 	if change != nil {
 		change(&r)
 	}
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -1,20 +1,20 @@
 // Package gang decides on gangs: 2 to 64 long jobs that only advance while all of them run. It starts a gang's members
-// together, has them save their state before runners retire, moves all of them to runners that stay, and takes up after
-// crashes whatever the register and the runners still have.
+// together, saves a checkpoint of all of them before runners retire, relocates them to runners that stay, and after crashes goes on
+// from what the register and the runners still have.
 //
 // # Who acts, and what is safe
 //
-// A dispatcher that acts for a gang is its holder; who that is follows the view of the fleet, a guess. Safety does not: the
-// gang's record in the register is changed by conditional writes alone, each names the version that it follows, and every
-// start of a gang has a generation of its own, written before any member goes out. Of two that believe they act one write
-// wins; the other one reads what is there and steps back. What belongs to an older generation (a late state, a late end,
-// a runner that goes on) is in no record and takes no effect.
+// The dispatcher that acts for a gang is its owner; which one that is follows the view of the fleet, which may be wrong. Safety does
+// not depend on it: a gang's record in the register changes by conditional writes alone, each of which names the version that it
+// follows, and every start of a gang has a generation of its own, written before any member is sent. Of two dispatchers that both
+// act, one write wins; the other one reads the record and abandons the gang. What belongs to an older generation (a late part of a
+// checkpoint, a late end, a runner that still runs) is in no record and has no effect.
 //
-// The register may be slow: nothing is assumed until an answer is there. It may be silent: the gang goes on as it is and
-// nothing of it changes. It may take a write and lose the answer: the record is read, and the write's own mark in it tells
-// whether it took effect.
+// The register may be slow: nothing is assumed until the answer is there. It may be unresponsive: gangs run on as they are, and no
+// record changes. It may apply a write and lose the answer: the record is read, and the id of its last write shows whether this one
+// took effect.
 //
-// Core is free of I/O, clocks and goroutines. Its times are Unix time, as records last longer than processes.
+// Core has no I/O, clock or goroutine. Its times are Unix time, as records outlast processes.
 package gang
 
 import (
@@ -22,50 +22,51 @@
 	"time"
 )
 
-// Phase is where a gang stands.
+// Phase is a gang's state in its record.
 type Phase string
 
-// The phases. Table says what leads from one to another.
+// The phases. Table has the steps between them.
 const (
-	Waiting  Phase = "waiting"  // to be placed, at first or from its checkpoint
-	Starting Phase = "starting" // its members go out to their runners
+	Waiting  Phase = "waiting"  // for runners, at first or to go on from its checkpoint
+	Starting Phase = "starting" // its members are sent to their runners
 	Running  Phase = "running"
-	Saving   Phase = "saving" // its members write their state
-	Done     Phase = "done"   // every member of one generation ended well
+	Saving   Phase = "saving" // its members write the parts of a checkpoint
+	Done     Phase = "done"   // every member of one generation finished
 )
 
-// AllEnded tells whether nothing follows.
+// Ended reports whether no step leads on from the phase.
 func (p Phase) Ended() bool { return p == Done }
 
-// Need is what one member asks of its runner.
+// Need is what one member requires of its runner.
 type Need struct {
 	Class string  `json:"class"`
-	Kind  string  `json:"kind,omitempty"` // of runner; empty: any
+	Kind  string  `json:"kind,omitempty"` // of the runner; empty: any
 	Slots float64 `json:"slots"`
 	// Work is how long it runs on a runner of speed 1.
+	// In JSON it is in nanoseconds.
 	Work time.Duration `json:"work_ns"`
-	// Saved is how many bytes its state takes.
+	// StateBytes is the size of its part of a checkpoint.
 	StateBytes int64 `json:"saved_bytes"`
 }
 
-// Checkpoint names one state of a whole gang: the parts are in the register under the generation and the number.
+// Checkpoint is a saved state of a complete gang. The register has its parts, one a member, under the generation and the number.
 type Checkpoint struct {
 	Generation uint64 `json:"generation"`
 	Number     int    `json:"number"`
-	// Share is how much of the gang's work it holds, 0 to 1.
+	// Progress is the fraction of the gang's work that is done in it, 0 to 1.
 	Progress float64 `json:"share"`
-	// Digests are of each member's part.
+	// Digests are those of the parts, by member.
 	Digests []string `json:"digests"`
 }
 
-// Owner is a dispatcher that acts for a gang, in one life.
+// Owner is a dispatcher that acts for a gang. Epoch identifies its process, as in package fleet.
 type Owner struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"life"`
 }
 
-// Record is what the register holds of a gang. A submitter writes one in phase waiting, with Needs, Priority, Due and
-// Submitted; the rest is the dispatchers'.
+// Record is a gang's record in the register, as JSON: its keys are the stored form. A submitter writes it in phase waiting, with
+// Needs, Priority, Due and Submitted; the other fields are the dispatchers'.
 type Record struct {
 	Name      string    `json:"name"`
 	Needs     []Need    `json:"needs"`
@@ -78,24 +79,24 @@
 	Owner              Owner       `json:"holder"`
 	Placement          []string    `json:"placement,omitempty"` // runners, by member
 	Checkpoint         *Checkpoint `json:"checkpoint,omitempty"`
-	PreviousCheckpoint *Checkpoint `json:"before,omitempty"` // the checkpoint before, for when a part is damaged
-	SaveNumber         int         `json:"number"`           // of the save that is being written, or was last
-	Relocate           bool        `json:"leave"`            // the save is to move the gang: it waits for a place after it
-	FailedStarts       int         `json:"tries"`            // starts that failed since one went well
-	NotBefore          time.Time   `json:"not_before"`       // no start before
-	Takeovers          int         `json:"taken"`            // times that it was taken over since a state of it was saved
-	Cause              string      `json:"why,omitempty"`    // of the last step
-	// Mark is of the write that made this version: its writer's life and count.
+	PreviousCheckpoint *Checkpoint `json:"before,omitempty"` // for when a part of Checkpoint is damaged
+	SaveNumber         int         `json:"number"`           // of the save under way, or of the last one
+	Relocate           bool        `json:"leave"`            // after the save under way the gang waits for other runners
+	FailedStarts       int         `json:"tries"`            // since the last start that succeeded
+	NotBefore          time.Time   `json:"not_before"`       // no start before then
+	Takeovers          int         `json:"taken"`            // by other owners since the last checkpoint
+	Cause              Cause       `json:"why,omitempty"`    // of the last step
+	// WriteID identifies the write of this version, by the writer's name, epoch and count.
 	WriteID string `json:"mark"`
 }
 
-// The bounds on what is taken up.
+// The bounds of a gang's number of members.
 const (
 	MinMembers = 2
 	MaxMembers = 64
 )
 
-// RecordError is a record that no dispatcher can act on.
+// RecordError is a fault of a record that no dispatcher can act on.
 type RecordError struct {
 	Gang, Field, Problem string
 	Fix                  string // what the submitter can do
@@ -106,7 +107,7 @@
 	return fmt.Sprintf("gang %q: %s: %s (%s)", e.Gang, e.Field, e.Problem, e.Fix)
 }
 
-// Check tells what is wrong with a record as submitted; its error is a *RecordError.
+// Check returns a *RecordError with the first fault of a record, or nil.
 func (r *Record) Check() error {
 	bad := func(field, problem, fix string) error { return &RecordError{r.Name, field, problem, fix} }
 	if r.Name == "" {
@@ -128,7 +129,7 @@
 			return bad(field+".saved_bytes", fmt.Sprint(n.StateBytes), "give 0 or more")
 		}
 	}
-	if _, known := phases[r.Phase]; !known {
+	if _, isKnown := phases[r.Phase]; !isKnown {
 		return bad("phase", fmt.Sprintf("%q is not known", r.Phase), "submit it as waiting")
 	}
 	if r.Phase != Waiting && !r.Phase.Ended() && len(r.Placement) != len(r.Needs) {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// progress is how much of the work is saved.
+// progress returns the fraction of the work that the checkpoint has.
 func (r *Record) progress() float64 {
 	if r.Checkpoint == nil {
 		return 0
@@ -145,7 +146,7 @@
 	return r.Checkpoint.Progress
 }
 
-// work is the longest member's, at speed 1: all advance together.
+// work returns the longest member's work at speed 1, as all advance together.
 func (r *Record) work() (w time.Duration) {
 	for _, n := range r.Needs {
 		w = max(w, n.Work)
@@ -153,7 +154,7 @@
 	return w
 }
 
-// stateBytes is how many bytes a whole state takes.
+// stateBytes returns the size of a complete checkpoint.
 func (r *Record) stateBytes() (n int64) {
 	for _, m := range r.Needs {
 		n += m.StateBytes
--- a/internal/dispatcher/gang/table.go
+++ b/internal/dispatcher/gang/table.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Cause is why a gang goes from one phase to another.
+// Cause is why a gang takes a step. Records have its text.
 type Cause string
 
 // The causes.
 const (
-	Placed               Cause = "placed"             // there is room for all members
-	AllStarted           Cause = "all started"        // every member said so
-	Lost                 Cause = "a member was lost"  // it failed, its runner died, or it never started
-	OwnerGone            Cause = "its holder is gone" // and with it the members' connections
+	Placed               Cause = "placed"             // all members have runners
+	AllStarted           Cause = "all started"        // every member has started
+	Lost                 Cause = "a member was lost"  // it failed, is unresponsive, or did not start in time
+	OwnerGone            Cause = "its holder is gone" // and with it the members' connections; owners were called holders
 	SaveDue              Cause = "a save is due"
-	SaveComplete         Cause = "saved"                // every part is in the register and whole
+	SaveComplete         Cause = "saved"                // every part is in the register
 	SaveCompleteRelocate Cause = "saved, to be moved"   // the same, before a retirement
-	SaveFailed           Cause = "the save never ended" // the checkpoint before stays
-	PartDamaged          Cause = "a part is damaged"    // the checkpoint before is used
+	SaveFailed           Cause = "the save never ended" // the last checkpoint stays
+	PartDamaged          Cause = "a part is damaged"    // the previous checkpoint is used
 	AllEnded             Cause = "every member ended well"
 )
 
@@ -26,7 +26,7 @@
 	To    Phase
 }
 
-// Table has every step that there is. A record changes by a step of it or not at all.
+// Table has all steps. Every write of a record but a submitter's takes one of them.
 var Table = []Step{
 	{Waiting, Placed, Starting},
 	{Starting, AllStarted, Running},
@@ -47,12 +47,12 @@
 
 var phases = map[Phase]bool{Waiting: true, Starting: true, Running: true, Saving: true, Done: true}
 
-// next returns where a cause leads; a step that is not in the table is a fault of the program.
-func next(from Phase, why Cause) Phase {
+// next returns the phase that a cause leads to. It panics if the table has no such step.
+func next(from Phase, cause Cause) Phase {
 	for _, s := range Table {
-		if s.From == from && s.Cause == why {
+		if s.From == from && s.Cause == cause {
 			return s.To
 		}
 	}
-	panic(fmt.Sprintf("gang: no step from %s because %s", from, why))
+	panic(fmt.Sprintf("gang: no step from %s because %s", from, cause))
 }
--- a/internal/dispatcher/gang/tick.go
+++ b/internal/dispatcher/gang/tick.go
@@ -8,23 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// readRetryInterval is how long a read or a write is waited for before the record is asked for again.
+// readRetryInterval is the timeout of a read or write, after which the record is read again.
 const readRetryInterval = 5 * time.Second
 
-// maxSaveBacklog is how much the register may have to take in before another save by the clock begins. Gangs stand still while they
-// save: many at once take no longer in all, but each of them does.
+// maxSaveBacklog is the time that the register may need for the saves under way before another periodic save begins. Gangs stand
+// still while they save: many saves at once take no longer in total, but each of them does.
 const maxSaveBacklog = 10 * time.Second
 
-// partsPollInterval is how often the parts of a save are looked for.
+// partsPollInterval is the time between two ListParts of a save under way.
 const partsPollInterval = 500 * time.Millisecond
 
-// Tick does what is due.
+// Tick takes the time and does what is due: timeouts, takeovers, saves and starts.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
-	moves := 0
+	c.moves = 0
 	for _, g := range c.gangs {
 		if g.ownGeneration != 0 && (g.record.Phase == Starting || g.record.Phase == Saving) {
-			moves++
+			c.moves++
 		}
 	}
 	plan := c.planSaves()
@@ -36,37 +36,36 @@
 				c.read(name, g)
 			}
 		case !g.isCurrent || g.record.Phase.Ended() || g.record.Phase == Waiting || !c.actsFor(name, g):
-		case g.ownGeneration == 0: // its members hung on a holder, or a life, that is gone
-			// Where views are wrong for good, each would take it from the other again and again: each time is later.
+		case g.ownGeneration == 0: // its members ended with the connections of an owner that no longer lives
+			// Dispatchers whose views stay wrong would take it from each other again and again, so each takeover waits longer.
 			if c.now.Sub(g.changedAt) >= c.cfg.Backoff<<min(16, g.record.Takeovers) {
 				c.write(name, g, OwnerGone, func(r *Record) { r.Takeovers++ })
 			}
 		default:
-			c.drive(name, g, plan, &moves)
+			c.drive(name, g, plan)
 		}
 	}
-	c.placeWaiting(moves)
+	c.placeWaiting()
 }
 
-// drive does what is due for a gang whose members are this dispatcher's.
-func (c *Core) drive(name string, g *gang, plan map[string]time.Time, moves *int) {
+// drive does what is due for a gang whose members this dispatcher sent.
+func (c *Core) drive(name string, g *gang, plan map[string]time.Time) {
 	if c.handleEnds(name, g) {
 		return
 	}
-	began, ended, gone := true, false, false
+	allStarted, anyDone, anyLost := true, false, false
 	for i, m := range g.members {
-		began, ended = began && m.started, ended || m.done
-		r, there := c.runners[g.record.Placement[i]]
-		gone = gone || !m.done && (m.started && c.now.Sub(m.lastContact) > c.cfg.MemberTimeout || !there || !r.Retires.IsZero() && !c.now.Before(r.Retires))
+		allStarted, anyDone = allStarted && m.started, anyDone || m.done
+		anyLost = anyLost || !m.done && c.isLost(m, g.record.Placement[i])
 	}
 	switch {
-	case gone, g.record.Phase == Starting && !began && c.now.Sub(g.phaseStartedAt) > c.cfg.StartTimeout:
+	case anyLost, g.record.Phase == Starting && !allStarted && c.now.Sub(g.phaseStartedAt) > c.cfg.StartTimeout:
 		c.restart(name, g)
-	case g.record.Phase == Starting && began:
+	case g.record.Phase == Starting && allStarted:
 		c.write(name, g, AllStarted, func(r *Record) { r.FailedStarts, r.NotBefore = 0, time.Time{} })
-		g.checkpointAt = c.now // from here on it advances
-	case g.record.Phase == Running && !ended: // once a member is done the others soon are
-		c.startSave(name, g, plan, moves)
+		g.checkpointAt = c.now // from here on its work advances
+	case g.record.Phase == Running && !anyDone: // once a member is done the others soon are, so no save is worth it
+		c.startSave(name, g, plan)
 	case g.record.Phase == Saving && c.now.Sub(g.phaseStartedAt) > c.cfg.SaveTimeout:
 		c.write(name, g, SaveFailed, func(r *Record) { r.Relocate = false })
 		g.checkpointAt = c.now
@@ -76,27 +75,33 @@
 	}
 }
 
-// startSave begins a save that is due, for a retirement or by the clock.
-func (c *Core) startSave(name string, g *gang, plan map[string]time.Time, moves *int) {
-	at, leaves := plan[name]
-	leaves = leaves && !c.now.Before(at)
-	if !leaves && (*moves >= c.cfg.MaxMoves || !c.isPeriodicSaveDue(name, g, plan)) {
+// isLost reports whether a member that is not done is lost: it is unresponsive, or its runner is removed or has retired.
+func (c *Core) isLost(m member, runner string) bool {
+	r, isKnown := c.runners[runner]
+	return m.started && c.now.Sub(m.lastContact) > c.cfg.MemberTimeout || !isKnown || !r.Retires.IsZero() && !c.now.Before(r.Retires)
+}
+
+// startSave begins a save if one is due, for a retirement or periodically.
+func (c *Core) startSave(name string, g *gang, plan map[string]time.Time) {
+	at, relocate := plan[name]
+	relocate = relocate && !c.now.Before(at)
+	if !relocate && (c.moves >= c.cfg.MaxMoves || !c.isPeriodicSaveDue(name, g, plan)) {
 		return
 	}
-	*moves++
+	c.moves++
 	g.saveProgress = c.progress(g)
-	c.write(name, g, SaveDue, func(r *Record) { r.SaveNumber, r.Relocate = r.SaveNumber+1, leaves })
+	c.write(name, g, SaveDue, func(r *Record) { r.SaveNumber, r.Relocate = r.SaveNumber+1, relocate })
 }
 
-// isPeriodicSaveDue tells whether a save by the clock is due: at a time of its own within Every, and only while the register has room
-// for it beside the saves that run, and no save for a retirement is soon to begin.
+// isPeriodicSaveDue reports whether a periodic save is due. Each gang has a time of its own within CheckpointInterval, so that saves are
+// spread. None begins while the backlog of the register is too long, or when a save for a retirement begins soon.
 func (c *Core) isPeriodicSaveDue(name string, g *gang, plan map[string]time.Time) bool {
 	if c.cfg.CheckpointInterval <= 0 || c.now.Sub(g.checkpointAt) < c.cfg.CheckpointInterval/4 {
 		return false
 	}
-	own := time.Duration(xxhash.Sum64String(name) % uint64(c.cfg.CheckpointInterval))
-	turn := func(t time.Time) int64 { return (t.UnixNano() + int64(own)) / int64(c.cfg.CheckpointInterval) }
-	if turn(c.now) == turn(g.checkpointAt) {
+	offset := time.Duration(xxhash.Sum64String(name) % uint64(c.cfg.CheckpointInterval))
+	period := func(t time.Time) int64 { return (t.UnixNano() + int64(offset)) / int64(c.cfg.CheckpointInterval) }
+	if period(c.now) == period(g.checkpointAt) {
 		return false
 	}
 	for _, at := range plan {
@@ -113,11 +118,11 @@
 	return float64(bytes)/c.cfg.Bandwidth < maxSaveBacklog.Seconds()
 }
 
-// progress is how much of a gang's work is done by now, as the slowest of its runners goes.
+// progress returns the fraction of a gang's work that is done by now, estimated by the speed of its slowest runner.
 func (c *Core) progress(g *gang) float64 {
-	share := g.record.progress()
+	progress := g.record.progress()
 	if g.record.Phase == Waiting || g.record.Phase == Starting || g.record.work() <= 0 {
-		return share
+		return progress
 	}
 	speed := 0.0
 	for _, p := range g.record.Placement {
@@ -125,5 +130,5 @@
 			speed = s
 		}
 	}
-	return min(1, share+speed*c.now.Sub(g.checkpointAt).Seconds()/g.record.work().Seconds())
+	return min(1, progress+speed*c.now.Sub(g.checkpointAt).Seconds()/g.record.work().Seconds())
 }
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -337,7 +337,7 @@
 	if o != gang.Written {
 		return o, version
 	}
-	w.Steps[gang.Step{From: before.Phase, Cause: gang.Cause(rec.Cause), To: rec.Phase}]++
+	w.Steps[gang.Step{From: before.Phase, Cause: rec.Cause, To: rec.Phase}]++
 	r := w.runs[runKey(rec.Name, rec.Generation)]
 	switch {
 	case rec.Generation < before.Generation:
