--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -14,48 +14,61 @@
 	"github.com/stretchr/testify/require"
 )
 
-// state is everything of two dispatchers, two gangs and three runners at one moment, what is on its way included.
+// state is that of two dispatchers, two gangs, three runners and the messages in flight at one moment.
 type state struct {
-	now      time.Time
-	cores    [2]*Core // nil: no process
-	lives    [2]uint64
-	alone    [2]bool // holds the other one dead
-	versions map[string]int
-	records  map[string]Record
-	msgs     []msg
-	jobs     []expJob
-	up       [3]bool
-	finished map[string]bool // generations of which every member ended well
-	saved    map[string]bool // saves of which every part is there
-	crashes  int
-	last     string // what led here, for a failing run
-	from     *state
+	now       time.Time
+	cores     [2]*Core // nil: no process
+	epochs    [2]uint64
+	isolated  [2]bool // has the other one as dead
+	versions  map[string]int
+	records   map[string]Record
+	messages  []message
+	members   []runningMember
+	runnersUp [3]bool
+	finished  map[string]bool // generations of which every member finished
+	complete  map[string]bool // saves of which the register has every part
+	crashes   int
+	step      string // what led here, for the log of a failing run
+	previous  *state
 }
 
-type expJob struct {
-	gang         string
-	generation   uint64
-	member       int
-	runner       int
-	owner        int
-	life         uint64
-	began, alive bool
-	done         bool
+type runningMember struct {
+	gang           string
+	generation     uint64
+	index          int
+	runner         int
+	owner          int
+	ownerEpoch     uint64
+	started, alive bool
+	done           bool
 }
 
-// msg is a call to the register, its answer, or news of a member, on its way to or from a dispatcher.
-type msg struct {
-	to      int
-	life    uint64
-	kind    string // write, read, look; wrote, got, parts; member
-	gang    string
-	rec     Record
-	version int // that a write is for, or that an answer tells
-	outcome Outcome
-	gen     uint64
-	number  int
-	member  int
-	news    Event
+// messageKind is a call to the register, an answer, or an event of a member.
+type messageKind string
+
+const (
+	writeSent   messageKind = "write"
+	readSent    messageKind = "read"
+	listSent    messageKind = "list parts"
+	wroteReply  messageKind = "wrote"
+	gotReply    messageKind = "got"
+	partsReply  messageKind = "parts"
+	memberEvent messageKind = "member"
+)
+
+// message is a message that is in flight to or from a dispatcher.
+type message struct {
+	to         int
+	epoch      uint64
+	kind       messageKind
+	gang       string
+	record     Record
+	version    int // that a write names, or an answer returns
+	outcome    Outcome
+	generation uint64
+	saveNumber int
+	member     int
+	event      Event
 }
 
 var depth = flag.Int("depth", 5, "steps to explore from each phase")
@@ -64,7 +77,7 @@
 
 func newState(t *testing.T) *state {
 	t.Helper()
-	s := &state{now: exploreNow, versions: map[string]int{}, records: map[string]Record{}, finished: map[string]bool{}, saved: map[string]bool{}, up: [3]bool{true, true, true}}
+	s := &state{now: exploreNow, versions: map[string]int{}, records: map[string]Record{}, finished: map[string]bool{}, complete: map[string]bool{}, runnersUp: [3]bool{true, true, true}}
 	for _, n := range []string{"g", "h"} {
 		need := Need{Class: "c", Slots: 1, Work: time.Hour, StateBytes: 1}
 		s.records[n], s.versions[n] = Record{Name: n, Needs: []Need{need, need}, Phase: Waiting, Submitted: s.now}, 1
@@ -76,20 +89,20 @@
 }
 
 func (s *state) start(t require.TestingT, i int) {
-	s.lives[i]++
-	c, err := New(Config{Self: s.me(i), StartTimeout: 10 * time.Second, MemberTimeout: time.Hour, Bandwidth: 1, Margin: time.Second, CheckpointInterval: time.Minute, SaveTimeout: 20 * time.Second,
+	s.epochs[i]++
+	c, err := New(Config{Self: s.owner(i), StartTimeout: 10 * time.Second, MemberTimeout: time.Hour, Bandwidth: 1, Margin: time.Second, CheckpointInterval: time.Minute, SaveTimeout: 20 * time.Second,
 		Backoff: time.Second, MaxBackoff: time.Second, MaxGangs: 9, MaxMoves: 9})
 	require.NoError(t, err)
 	s.cores[i] = c
 }
 
-func (s *state) me(i int) Owner { return Owner{Name: fmt.Sprint("d", i), Epoch: s.lives[i]} }
+func (s *state) owner(i int) Owner { return Owner{Name: fmt.Sprint("d", i), Epoch: s.epochs[i]} }
 
-func (s *state) clone(why string) *state {
+func (s *state) clone(step string) *state {
 	c := *s
-	c.last, c.from = why, s
-	c.versions, c.records, c.finished, c.saved = maps.Clone(s.versions), maps.Clone(s.records), maps.Clone(s.finished), maps.Clone(s.saved)
-	c.msgs, c.jobs = slices.Clone(s.msgs), slices.Clone(s.jobs)
+	c.step, c.previous = step, s
+	c.versions, c.records, c.finished, c.complete = maps.Clone(s.versions), maps.Clone(s.records), maps.Clone(s.finished), maps.Clone(s.complete)
+	c.messages, c.members = slices.Clone(s.messages), slices.Clone(s.members)
 	for i, core := range s.cores {
 		if core != nil {
 			k := *core
@@ -105,7 +118,7 @@
 	return &c
 }
 
-// key names a state; times are left out but for what they decide.
+// key identifies a state; of times it has only what they decide.
 func (s *state) key() uint64 {
 	d := xxhash.New()
 	write := func(values ...any) { _, _ = fmt.Fprint(d, values...) } // a digest takes everything
@@ -114,7 +127,7 @@
 			write("-")
 			continue
 		}
-		write(s.alone[i], c.writes)
+		write(s.isolated[i], c.writes)
 		for _, n := range slices.Sorted(maps.Keys(c.gangs)) {
 			g := c.gangs[n]
 			write(n, g.record.WriteID, g.version, g.isCurrent, g.needsRead, g.ownGeneration, g.members, s.now.Sub(g.phaseStartedAt) > c.cfg.StartTimeout, s.now.Sub(g.changedAt) > c.cfg.Backoff, s.now.Sub(g.checkpointAt) >= c.cfg.CheckpointInterval)
@@ -126,96 +139,96 @@
 	for _, n := range []string{"g", "h"} {
 		write(n, s.versions[n], s.records[n].WriteID)
 	}
-	for _, m := range s.msgs {
-		write(m.to, m.life, m.kind, m.gang, m.rec.WriteID, m.version, m.outcome, m.gen, m.number, m.member, m.news)
+	for _, m := range s.messages {
+		write(m.to, m.epoch, m.kind, m.gang, m.record.WriteID, m.version, m.outcome, m.generation, m.saveNumber, m.member, m.event)
 	}
-	write(s.jobs, s.up, s.lives, s.crashes, len(s.finished), len(s.saved))
+	write(s.members, s.runnersUp, s.epochs, s.crashes, len(s.finished), len(s.complete))
 	return d.Sum64()
 }
 
-// act takes in what core i decided.
+// act applies the actions of core i.
 func (s *state) act(i int) {
 	actions, _ := s.cores[i].Take()
 	for _, a := range actions {
-		m := msg{to: i, life: s.lives[i], gang: a.Gang, gen: a.Generation, number: a.SaveNumber}
+		m := message{to: i, epoch: s.epochs[i], gang: a.Gang, generation: a.Generation, saveNumber: a.SaveNumber}
 		switch a.Kind {
 		case Read:
-			m.kind = "read"
+			m.kind = readSent
 		case Write:
-			m.kind, m.rec = "write", *a.Record
+			m.kind, m.record = writeSent, *a.Record
 			_, _ = fmt.Sscan(string(a.IfVersion), &m.version)
 		case ListParts:
-			m.kind = "look"
+			m.kind = listSent
 		case Send:
 			runner := int(a.Runner[1] - '0')
-			s.jobs = append(s.jobs, expJob{a.Gang, a.Generation, a.Member, runner, i, s.lives[i], false, s.up[runner], false})
-			if !s.up[runner] {
-				s.msgs = append(s.msgs, msg{to: i, life: s.lives[i], kind: "member", gang: a.Gang, gen: a.Generation, member: a.Member, news: Failed})
+			s.members = append(s.members, runningMember{a.Gang, a.Generation, a.Member, runner, i, s.epochs[i], false, s.runnersUp[runner], false})
+			if !s.runnersUp[runner] {
+				s.messages = append(s.messages, message{to: i, epoch: s.epochs[i], kind: memberEvent, gang: a.Gang, generation: a.Generation, member: a.Member, event: Failed})
 			}
 			continue
 		case Stop:
-			for k := range s.jobs {
-				if j := &s.jobs[k]; j.gang == a.Gang && j.generation == a.Generation && j.member == a.Member && j.owner == i {
+			for k := range s.members {
+				if j := &s.members[k]; j.gang == a.Gang && j.generation == a.Generation && j.index == a.Member && j.owner == i {
 					j.alive = false
 				}
 			}
 			continue
 		}
-		s.msgs = append(s.msgs, m)
+		s.messages = append(s.messages, m)
 	}
 }
 
-// deliver has message k arrive; lost says that its answer, or the message itself if it is one, does not.
+// deliver lets message k arrive; of a write whose answer is lost, the outcome is unknown.
 func (s *state) deliver(k int, lost bool) error {
-	m := s.msgs[k]
-	s.msgs = append(s.msgs[:k:k], s.msgs[k+1:]...)
+	m := s.messages[k]
+	s.messages = append(s.messages[:k:k], s.messages[k+1:]...)
 	answer := m
 	switch m.kind {
-	case "write":
-		answer.kind, answer.outcome = "wrote", Conflict
+	case writeSent:
+		answer.kind, answer.outcome = wroteReply, Conflict
 		if s.versions[m.gang] == m.version {
-			if err := s.check(m.rec); err != nil {
+			if err := s.check(m.record); err != nil {
 				return err
 			}
 			s.versions[m.gang]++
-			s.records[m.gang], answer.outcome, answer.version = m.rec, Written, s.versions[m.gang]
+			s.records[m.gang], answer.outcome, answer.version = m.record, Written, s.versions[m.gang]
 		}
 		if lost {
 			answer.outcome = Unknown
 		}
-		s.msgs = append(s.msgs, answer)
+		s.messages = append(s.messages, answer)
 		return nil
-	case "read":
-		answer.kind, answer.rec, answer.version = "got", s.records[m.gang], s.versions[m.gang]
-		s.msgs = append(s.msgs, answer)
+	case readSent:
+		answer.kind, answer.record, answer.version = gotReply, s.records[m.gang], s.versions[m.gang]
+		s.messages = append(s.messages, answer)
 		return nil
-	case "look":
-		answer.kind = "parts"
-		if s.saved[fmt.Sprint(m.gang, m.gen, "/", m.number)] {
-			s.msgs = append(s.msgs, answer)
+	case listSent:
+		answer.kind = partsReply
+		if s.complete[fmt.Sprint(m.gang, m.generation, "/", m.saveNumber)] {
+			s.messages = append(s.messages, answer)
 		}
 		return nil
 	}
 	c := s.cores[m.to]
-	if c == nil || m.life != s.lives[m.to] {
+	if c == nil || m.epoch != s.epochs[m.to] {
 		return nil
 	}
 	version := Version(fmt.Sprint(m.version))
 	switch m.kind {
-	case "wrote":
+	case wroteReply:
 		c.Wrote(s.now, m.gang, m.outcome, version)
-	case "got":
-		c.Got(s.now, m.gang, version, m.rec)
-	case "parts":
-		c.Parts(s.now, m.gang, m.gen, m.number, []string{"x", "y"})
-	case "member":
-		c.Member(s.now, m.gang, m.gen, m.member, m.news)
+	case gotReply:
+		c.Got(s.now, m.gang, version, m.record)
+	case partsReply:
+		c.Parts(s.now, m.gang, m.generation, m.saveNumber, []string{"x", "y"})
+	case memberEvent:
+		c.Member(s.now, m.gang, m.generation, m.member, m.event)
 	}
 	s.act(m.to)
 	return nil
 }
 
-// check is what has to hold of every write that takes effect.
+// check returns an error if a write that takes effect violates an invariant.
 func (s *state) check(r Record) error {
 	before := s.records[r.Name]
 	switch {
@@ -225,7 +238,7 @@
 		return fmt.Errorf("%s goes from generation %d to %d", r.Name, before.Generation, r.Generation)
 	case r.Phase == Done && !s.finished[fmt.Sprint(r.Name, r.Generation)]:
 		return fmt.Errorf("%s is done in generation %d, which did not end", r.Name, r.Generation)
-	case r.Checkpoint != nil && !s.saved[fmt.Sprint(r.Name, r.Checkpoint.Generation, "/", r.Checkpoint.Number)]:
+	case r.Checkpoint != nil && !s.complete[fmt.Sprint(r.Name, r.Checkpoint.Generation, "/", r.Checkpoint.Number)]:
 		return fmt.Errorf("%s has a checkpoint that is not there", r.Name)
 	case !slices.ContainsFunc(Table, func(st Step) bool { return st == Step{before.Phase, r.Cause, r.Phase} }):
 		return fmt.Errorf("%s goes from %s to %s for %q", r.Name, before.Phase, r.Phase, r.Cause)
@@ -233,17 +246,17 @@
 	return nil
 }
 
-// tick has core i look round.
+// tick lets core i poll the view, the runners and the register, and ticks it.
 func (s *state) tick(i int) {
 	c := s.cores[i]
-	living := []Owner{s.me(i)}
-	if other := 1 - i; s.cores[other] != nil && !s.alone[i] {
-		living = append(living, s.me(other))
+	living := []Owner{s.owner(i)}
+	if other := 1 - i; s.cores[other] != nil && !s.isolated[i] {
+		living = append(living, s.owner(other))
 	}
 	c.Fleet(s.now, living, true)
 	var runners []Runner
 	versions := map[string]Version{}
-	for k, up := range s.up {
+	for k, up := range s.runnersUp {
 		if up {
 			runners = append(runners, Runner{Name: fmt.Sprint("r", k), Zone: "z", Speed: 1, Slots: 2, Usable: true})
 		}
@@ -260,11 +273,11 @@
 // next returns every state that can follow.
 func (s *state) next(t *testing.T) (out []*state) {
 	t.Helper()
-	add := func(why string, change func(c *state) error) {
-		c := s.clone(why)
+	add := func(step string, change func(c *state) error) {
+		c := s.clone(step)
 		if err := change(c); err != nil {
-			for p := c; p != nil; p = p.from {
-				t.Log(p.last)
+			for p := c; p != nil; p = p.previous {
+				t.Log(p.step)
 			}
 			t.Fatal(err)
 		}
@@ -278,18 +291,20 @@
 	return out
 }
 
-// addState adds what a state becomes by a change that why describes.
-type addState func(why string, change func(c *state) error)
+// addState adds the state that a change leads to; step describes it.
+type addState func(step string, change func(c *state) error)
 
 // addDeliveries adds the arrival of each message that may come next.
 func (s *state) addDeliveries(add addState) {
-	for k, m := range s.msgs {
-		if slices.ContainsFunc(s.msgs[:k], func(o msg) bool { return o.kind == m.kind && o.gang == m.gang && o.to == m.to && o.member == m.member }) {
+	for k, m := range s.messages {
+		if slices.ContainsFunc(s.messages[:k], func(o message) bool {
+			return o.kind == m.kind && o.gang == m.gang && o.to == m.to && o.member == m.member
+		}) {
 			continue // messages of one kind on the same thing keep their order, as on one connection
 		}
-		add(fmt.Sprint("arrives: ", m.kind, " ", m.gang, " d", m.to, " ", m.rec.Phase, m.outcome, m.news), func(c *state) error { return c.deliver(k, false) })
-		if m.kind == "write" {
-			add(fmt.Sprint("arrives, answer lost: ", m.kind, " ", m.gang, " d", m.to, " ", m.rec.Phase), func(c *state) error { return c.deliver(k, true) })
+		add(fmt.Sprint("arrives: ", m.kind, " ", m.gang, " d", m.to, " ", m.record.Phase, m.outcome, m.event), func(c *state) error { return c.deliver(k, false) })
+		if m.kind == writeSent {
+			add(fmt.Sprint("arrives, answer lost: ", m.kind, " ", m.gang, " d", m.to, " ", m.record.Phase), func(c *state) error { return c.deliver(k, true) })
 		}
 	}
 }
@@ -302,14 +317,14 @@
 		case core == nil:
 			add(fmt.Sprint("start d", i), func(c *state) error { c.start(t, i); return nil })
 			continue
-		case len(s.msgs) < 4:
+		case len(s.messages) < 4:
 			add(fmt.Sprint("tick d", i), func(c *state) error { c.tick(i); return nil })
 		}
 		if s.crashes < 2 {
 			add(fmt.Sprint("crash d", i), func(c *state) error { c.crash(i); return nil })
 		}
-		if !s.alone[i] && !s.alone[1-i] {
-			add(fmt.Sprint("d", i, " holds the other dead"), func(c *state) error { c.alone[i] = true; return nil })
+		if !s.isolated[i] && !s.isolated[1-i] {
+			add(fmt.Sprint("d", i, " has the other as dead"), func(c *state) error { c.isolated[i] = true; return nil })
 		}
 	}
 }
@@ -317,15 +332,15 @@
 // crash ends dispatcher i, and with its connections the members that it sent.
 func (s *state) crash(i int) {
 	s.cores[i], s.crashes = nil, s.crashes+1
-	for k := range s.jobs {
-		s.jobs[k].alive = s.jobs[k].alive && s.jobs[k].owner != i
+	for k := range s.members {
+		s.members[k].alive = s.members[k].alive && s.members[k].owner != i
 	}
 }
 
-// addMembers adds the begin, the end and the save of each run whose members live.
+// addMembers adds the start, the end and the save of each run whose members are alive.
 func (s *state) addMembers(add addState) {
 	byRun := map[string][]int{}
-	for k, j := range s.jobs {
+	for k, j := range s.members {
 		if j.alive {
 			byRun[fmt.Sprint(j.gang, j.generation)] = append(byRun[fmt.Sprint(j.gang, j.generation)], k)
 		}
@@ -334,13 +349,13 @@
 		members := byRun[run]
 		all := len(members) == 2
 		for _, k := range members {
-			all = all && s.jobs[k].began
+			all = all && s.members[k].started
 		}
 		switch {
-		case !all && len(members) == 2 && !s.jobs[members[0]].began:
+		case !all && len(members) == 2 && !s.members[members[0]].started:
 			add("begins: "+run, func(c *state) error {
 				for _, k := range members {
-					c.jobs[k].began = true
+					c.members[k].started = true
 				}
 				c.report(Began, members...)
 				return nil
@@ -351,41 +366,41 @@
 	}
 }
 
-// addProgress adds the end of the member that ends next, and a save, of a run whose members all advance.
+// addProgress adds the end of the member that ends next, and a save, of a run whose members have all started.
 func (s *state) addProgress(run string, members []int, add addState) {
 	for x, k := range members {
-		if !s.jobs[k].done && (x == 0 || s.jobs[members[0]].done) {
+		if !s.members[k].done && (x == 0 || s.members[members[0]].done) {
 			add(fmt.Sprint("ends: ", run, " ", x), func(c *state) error {
-				c.jobs[k].done, c.finished[run] = true, x == 1
+				c.members[k].done, c.finished[run] = true, x == 1
 				c.report(Finished, k)
 				return nil
 			})
 		}
 	}
-	j := s.jobs[members[0]]
+	j := s.members[members[0]]
 	if r := s.records[j.gang]; !j.done && r.Phase == Saving && r.Generation == j.generation {
-		add("saves: "+run, func(c *state) error { c.saved[fmt.Sprint(run, "/", r.SaveNumber)] = true; return nil })
+		add("saves: "+run, func(c *state) error { c.complete[fmt.Sprint(run, "/", r.SaveNumber)] = true; return nil })
 	}
 }
 
-// report sends what came of members to their dispatchers.
-func (s *state) report(n Event, members ...int) {
+// report sends an event of members to their dispatchers.
+func (s *state) report(e Event, members ...int) {
 	for _, k := range members {
-		j := s.jobs[k]
-		s.msgs = append(s.msgs, msg{to: j.owner, life: j.life, kind: "member", gang: j.gang, gen: j.generation, member: j.member, news: n})
+		j := s.members[k]
+		s.messages = append(s.messages, message{to: j.owner, epoch: j.ownerEpoch, kind: memberEvent, gang: j.gang, generation: j.generation, member: j.index, event: e})
 	}
 }
 
 // addRunnerDeaths adds the death of each runner, unless one is dead already.
 func (s *state) addRunnerDeaths(add addState) {
-	if s.up != [3]bool{true, true, true} {
+	if s.runnersUp != [3]bool{true, true, true} {
 		return
 	}
-	for k := range s.up {
+	for k := range s.runnersUp {
 		add(fmt.Sprint("runner ", k, " dies"), func(c *state) error {
-			c.up[k] = false
-			for x := range c.jobs {
-				if j := &c.jobs[x]; j.alive && !j.done && j.runner == k {
+			c.runnersUp[k] = false
+			for x := range c.members {
+				if j := &c.members[x]; j.alive && !j.done && j.runner == k {
 					j.alive = false
 					c.report(Failed, x)
 				}
@@ -395,18 +410,18 @@
 	}
 }
 
-// reach goes on in order until the gang g is in a phase.
+// reach returns the first state in which the gang g is in a phase, when nothing fails.
 func reach(t *testing.T, phase Phase) *state {
 	t.Helper()
 	s := newState(t)
 	for n := 0; s.records["g"].Phase != phase; n++ {
 		require.Less(t, n, 200, "never %s", phase)
-		if len(s.msgs) > 0 {
+		if len(s.messages) > 0 {
 			require.NoError(t, s.deliver(0, false))
 			continue
 		}
 		for _, c := range s.next(t) {
-			if strings.HasPrefix(c.last, "begins") || c.last == "time" && s.records["g"].Phase == Running && phase == Saving {
+			if strings.HasPrefix(c.step, "begins") || c.step == "time" && s.records["g"].Phase == Running && phase == Saving {
 				s = c
 				break
 			}
@@ -416,9 +431,9 @@
 	return s
 }
 
-// Everything that two dispatchers can come to within some steps from each phase of a gang, with crashes, wrong views, lost
-// answers and late messages at any point.
-func TestEveryStateKeepsThePromises(t *testing.T) {
+// In every state that two dispatchers can reach within some steps from each phase of a gang, with crashes, wrong views, lost answers
+// and late messages at any point, the invariants of check hold.
+func TestInvariantsInEveryState(t *testing.T) {
 	for _, phase := range []Phase{Waiting, Starting, Running, Saving} {
 		level, seen, done := []*state{reach(t, phase)}, map[uint64]bool{}, 0
 		for range *depth {
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	seed = flag.Uint64("seed", 0, "the seed of the one run of random faults to repeat; 0: all")
+	seed = flag.Uint64("seed", 0, "seed of the one run of random faults to repeat; 0: all")
 	runs = flag.Int("runs", 1000, "runs of random faults")
 )
 
@@ -28,7 +28,7 @@
 			MaxGangs: 1000, MaxMoves: 20}}
 }
 
-// world has dispatchers, and runners of four slots in zones a and b by turns.
+// world returns a world of dispatchers, and of runners with four slots in zones a and b by turns.
 func world(t *testing.T, opt virtual.Options, dispatchers, runners int) *virtual.World {
 	t.Helper()
 	w := virtual.New(epoch, opt)
@@ -61,14 +61,14 @@
 	}
 }
 
-// Whatever fails, and when: no gang is lost, none is done twice, and no work of two generations is counted as one.
+// Under random faults no gang is lost, none is done twice, and no work of two generations is counted as one.
 func TestRandomFaults(t *testing.T) {
 	taken := map[gang.Step]int{}
 	for s := uint64(1); s <= uint64(*runs); s++ {
 		if *seed != 0 {
 			s = *seed
 		}
-		for step, n := range faults(t, s) {
+		for step, n := range runFaults(t, s) {
 			taken[step] += n
 		}
 		if t.Failed() {
@@ -86,7 +86,8 @@
 	assert.Empty(t, taken, "steps that are not in the table")
 }
 
-func faults(t *testing.T, s uint64) map[gang.Step]int {
+// runFaults runs a world with random faults, which it checks, and returns the steps that the records took.
+func runFaults(t *testing.T, s uint64) map[gang.Step]int {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(s, 9))
 	opt := options(s)
@@ -120,7 +121,7 @@
 	return w.Steps
 }
 
-// injectFault has one fault happen that rng draws, or ends one.
+// injectFault causes or ends a fault that rng draws.
 func injectFault(w *virtual.World, rng *rand.Rand) {
 	d, r := w.Dispatchers[rng.IntN(3)], w.Runners[rng.IntN(6)]
 	switch rng.IntN(9) {
@@ -165,8 +166,8 @@
 	}
 }
 
-// A retirement that is announced in time costs no work but what the save and the start take.
-func TestMovedOffARetiringRunner(t *testing.T) {
+// A retirement that is announced in time costs no work but the time of the save and the start.
+func TestRelocatedBeforeRetirement(t *testing.T) {
 	w := world(t, options(1), 3, 4)
 	submit(w, "g", 4, 5*time.Minute)
 	w.For(time.Minute)
--- a/internal/dispatcher/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -1,6 +1,6 @@
-// Package register is the client of the store that gangs' records and states are in. It speaks plain HTTP (RFC 9110): a record
+// Package register is the client of the store of gangs' records and checkpoints. It speaks plain HTTP (RFC 9110): a record
 // is a resource with an ETag, every write of it is conditional (If-Match, or If-None-Match: * for a first one), and a part of a
-// state is written once (If-None-Match: *) with its digest (RFC 9530), which the store checks.
+// checkpoint is written once (If-None-Match: *) with its digest (RFC 9530), which the store checks.
 //
 //	GET  /gangs                                      {"gangs":{"NAME":"ETAG",...}}
 //	GET  /gangs/NAME                                 the record, with its ETag
@@ -8,7 +8,7 @@
 //	GET  /gangs/NAME/saves/GENERATION-NUMBER         {"parts":["DIGEST",...]}, empty where one is missing
 //	PUT  /gangs/NAME/saves/GENERATION-NUMBER/MEMBER  If-None-Match: *, Content-Digest; written by the member itself
 //
-// The client tries nothing again by itself. What a lost answer leaves open is said as gang.Unknown, and the core finds out.
+// The client retries nothing. A write whose answer is lost has the outcome gang.Unknown; the core then reads the record.
 package register
 
 import (
@@ -24,13 +24,13 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-// The bounds on what is read of an answer.
+// The largest answers that are read, in bytes.
 const (
 	maxList   = 4 << 20
 	maxRecord = 256 << 10
 )
 
-// Error is a call to the register that brought nothing to go by.
+// Error is a call to the register without a usable answer.
 type Error struct {
 	Call    string // method and path
 	Problem string
@@ -56,13 +56,13 @@
 	http *http.Client
 }
 
-// New returns a client of the register at base, such as http://10.0.0.9:8600. A call takes limit at the longest.
-func New(base string, limit time.Duration) *Client {
-	return &Client{base: base, http: &http.Client{Timeout: limit, Transport: &http.Transport{Proxy: nil, DisableCompression: true},
+// New returns a client of the register at base, such as http://10.0.0.9:8600, with a timeout for each call.
+func New(base string, timeout time.Duration) *Client {
+	return &Client{base: base, http: &http.Client{Timeout: timeout, Transport: &http.Transport{Proxy: nil, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// List returns all gangs with their versions.
+// List returns all gangs with their versions. The errors of all calls are of type *Error.
 func (c *Client) List(ctx context.Context) (map[string]gang.Version, error) {
 	var l struct {
 		Gangs map[string]gang.Version `json:"gangs"`
@@ -75,12 +75,12 @@
 func (c *Client) Get(ctx context.Context, name string) (r gang.Record, v gang.Version, err error) {
 	path := "/gangs/" + url.PathEscape(name)
 	if v, err = c.get(ctx, path, maxRecord, &r); err == nil && v == "" {
-		err = &Error{Call: "GET " + path, Problem: "the answer has no ETag", Fix: "writes can't be conditional; use a register that tells versions"}
+		err = &Error{Call: "GET " + path, Problem: "the answer has no ETag", Fix: "writes can't be conditional; use a register that returns versions"}
 	}
 	return r, v, err
 }
 
-// Parts returns the digests of the parts that are there of a save, by member; one that is missing is empty.
+// Parts returns the digests of a save's parts by member; a part that is missing has an empty one.
 func (c *Client) Parts(ctx context.Context, name string, generation uint64, number int) ([]string, error) {
 	var l struct {
 		Parts []string `json:"parts"`
@@ -89,11 +89,12 @@
 	return l.Parts, err
 }
 
-func (c *Client) get(ctx context.Context, path string, most int64, into any) (gang.Version, error) {
+// get reads an answer of at most maxBytes as JSON, and returns its ETag.
+func (c *Client) get(ctx context.Context, path string, maxBytes int64, into any) (gang.Version, error) {
 	call := "GET " + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
-		return "", &Error{call, "is no request", "mend the register's address", err}
+		return "", &Error{call, "is no request", "correct the register's address", err}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -103,9 +104,9 @@
 	if resp.StatusCode != http.StatusOK {
 		return "", &Error{call, "answered " + resp.Status, "look at the register's log", nil}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
-	if err == nil && int64(len(body)) > most {
-		err = fmt.Errorf("over %d bytes", most)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
+	if err == nil && int64(len(body)) > maxBytes {
+		err = fmt.Errorf("over %d bytes", maxBytes)
 	}
 	if err == nil {
 		err = json.Unmarshal(body, into)
@@ -116,9 +117,9 @@
 	return gang.Version(resp.Header.Get("ETag")), nil
 }
 
-// Put writes a record if its version is still the one given, or if there is none where that is empty. Unknown says that it may
-// have taken effect or not, with an error that says why.
-func (c *Client) Put(ctx context.Context, r *gang.Record, still gang.Version) (gang.Outcome, gang.Version, error) {
+// Put writes a record if the register has ifVersion of it, or no record if that is empty. The error is not nil if and only if the
+// outcome is gang.Unknown: the write may have taken effect or not.
+func (c *Client) Put(ctx context.Context, r *gang.Record, ifVersion gang.Version) (gang.Outcome, gang.Version, error) {
 	path := "/gangs/" + url.PathEscape(r.Name)
 	call := "PUT " + path
 	body, err := json.Marshal(r)
@@ -127,20 +128,20 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return gang.Unknown, "", &Error{call, "is no request", "mend the register's address", err}
+		return gang.Unknown, "", &Error{call, "is no request", "correct the register's address", err}
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if still == "" {
+	if ifVersion == "" {
 		req.Header.Set("If-None-Match", "*")
 	} else {
-		req.Header.Set("If-Match", string(still))
+		req.Header.Set("If-Match", string(ifVersion))
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return gang.Unknown, "", &Error{call, "no answer", "look at the register and the way to it; the record is read again", err}
 	}
 	defer closeBody(resp)
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxRecord)) // so that the connection serves again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxRecord)) // so that the connection can be reused
 	switch v := gang.Version(resp.Header.Get("ETag")); {
 	case resp.StatusCode == http.StatusPreconditionFailed:
 		return gang.Conflict, "", nil
--- a/internal/dispatcher/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -20,9 +20,9 @@
 	"ospreypond/internal/dispatcher/gang/register/registertest"
 )
 
-func record(name, mark string) *gang.Record {
+func record(name, writeID string) *gang.Record {
 	need := gang.Need{Class: "c", Slots: 1, Work: time.Minute}
-	return &gang.Record{Name: name, Phase: gang.Waiting, Needs: []gang.Need{need, need}, WriteID: mark}
+	return &gang.Record{Name: name, Phase: gang.Waiting, Needs: []gang.Need{need, need}, WriteID: writeID}
 }
 
 func TestCalls(t *testing.T) {
@@ -35,22 +35,22 @@
 	require.Equal(t, gang.Written, o)
 	o, _, err = c.Put(ctx, record("g h", "2"), "")
 	require.NoError(t, err)
-	assert.Equal(t, gang.Conflict, o, "there is one")
+	assert.Equal(t, gang.Conflict, o, "the record exists")
 	r, got, err := c.Get(ctx, "g h")
 	require.NoError(t, err)
 	assert.Equal(t, v, got)
 	assert.Equal(t, "1", r.WriteID)
 }
 
-// What is no answer to go by is an error of its type that names the call; a write that may have taken effect is unknown.
-func TestFaultsAreNamed(t *testing.T) {
+// A call without a usable answer returns an *Error that names it; the outcome of a write is unknown then.
+func TestErrors(t *testing.T) {
 	for name, do := range map[string]http.HandlerFunc{
-		"down":    func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"error":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"no json": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) },
-		"silent":  func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"huge":    func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(bytes.Repeat([]byte(" "), maxList+1)) },
-		"no etag": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
+		"down":      func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"error":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+		"no json":   func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) },
+		"no answer": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"huge":      func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(bytes.Repeat([]byte(" "), maxList+1)) },
+		"no etag":   func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv := httptest.NewServer(do)
@@ -69,48 +69,48 @@
 }
 
 type input struct {
-	put   bool
-	mark  string
-	still gang.Version
+	isPut     bool
+	writeID   string
+	ifVersion gang.Version
 }
 
 type output struct {
 	outcome gang.Outcome
 	version gang.Version
-	mark    string
+	writeID string
 }
 
-type held struct {
+type recordState struct {
 	version gang.Version
-	mark    string
+	writeID string
 }
 
-// model is one record: a write takes effect if its version holds. What version it makes is told by its answer, or by whoever
-// reads it later where that was lost: then it is "?" and the mark.
+// model is one record: a write takes effect if the record has the version that it names. The new version is known from its answer,
+// or if that was lost from a later read: until then it is "?".
 var model = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{held{}} },
+	Init: func() []any { return []any{recordState{}} },
 	Step: func(state, in, out any) []any {
-		s, i, o := state.(held), in.(input), out.(output)
+		s, i, o := state.(recordState), in.(input), out.(output)
 		switch {
-		case !i.put && (o.mark != s.mark || o.version != s.version && s.version != "?"):
+		case !i.isPut && (o.writeID != s.writeID || o.version != s.version && s.version != "?"):
 			return nil
-		case !i.put:
-			return []any{held{o.version, o.mark}}
-		case o.outcome == gang.Conflict && (s.version != i.still || s.version == "?"):
+		case !i.isPut:
+			return []any{recordState{o.version, o.writeID}}
+		case o.outcome == gang.Conflict && (s.version != i.ifVersion || s.version == "?"):
 			return []any{s}
 		case o.outcome == gang.Conflict:
 			return nil
-		case s.version != i.still && s.version != "?":
+		case s.version != i.ifVersion && s.version != "?":
 			if o.outcome == gang.Unknown {
 				return []any{s}
 			}
 			return nil
 		case o.outcome == gang.Written:
-			return []any{held{o.version, i.mark}}
+			return []any{recordState{o.version, i.writeID}}
 		}
-		return []any{s, held{"?", i.mark}} // unknown: it took effect or not
+		return []any{s, recordState{"?", i.writeID}} // unknown: it took effect or not
 	},
-	Equal: func(a, b any) bool { return a.(held) == b.(held) },
+	Equal: func(a, b any) bool { return a.(recordState) == b.(recordState) },
 }
 
 // history is what clients did with one record and what came of it.
@@ -126,35 +126,35 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(end)})
 }
 
-// use reads and writes the record g by turns, and adds to the history what says anything of it.
+// use reads and writes the record g by turns, and adds to the history each call that shows anything of it.
 func (h *history) use(ctx context.Context, c *Client, client int) {
-	still := gang.Version("")
+	version := gang.Version("")
 	for n := range 12 {
-		in, out := input{put: n%2 == 1, mark: fmt.Sprint(client, "/", n), still: still}, output{}
+		in, out := input{isPut: n%2 == 1, writeID: fmt.Sprint(client, "/", n), ifVersion: version}, output{}
 		call := time.Since(h.began)
-		if in.put {
-			out.outcome, out.version, _ = c.Put(ctx, record("g", in.mark), still)
+		if in.isPut {
+			out.outcome, out.version, _ = c.Put(ctx, record("g", in.writeID), version)
 		} else {
 			r, v, err := c.Get(ctx, "g")
 			var fault *Error
 			isAbsent := errors.As(err, &fault) && fault.Problem == "answered 404 Not Found"
 			if err != nil && !isAbsent {
-				continue // it says nothing
+				continue // it shows nothing
 			}
-			out.version, out.mark = v, r.WriteID
+			out.version, out.writeID = v, r.WriteID
 		}
 		end := time.Since(h.began)
-		if in.put && out.outcome == gang.Unknown {
+		if in.isPut && out.outcome == gang.Unknown {
 			out.version, end = "", time.Hour // it may take effect at any time yet
 		} else {
-			still = out.version
+			version = out.version
 		}
 		h.add(client*100+n, in, out, call, end)
 	}
 }
 
-// Histories of many writers through the real client, with answers lost before and after the effect, are those of one record that
-// changes by conditional writes alone.
+// Histories of many writers through the real client, with answers lost before and after the effect, are linearizable as those of one
+// record that changes by conditional writes alone.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for round := range 20 {
 		var mu sync.Mutex
--- a/internal/dispatcher/gang/register/registertest/registertest.go
+++ b/internal/dispatcher/gang/register/registertest/registertest.go
@@ -1,5 +1,5 @@
-// Package registertest is a stand-in for the register, in memory, with faults: it answers slowly, not at all, or takes a write and
-// loses the answer. It keeps a ledger of what took effect.
+// Package registertest is a fake register in memory, with faults: it answers slowly, not at all, or applies a write and loses the
+// answer. It logs the writes that took effect.
 package registertest
 
 import (
@@ -16,16 +16,16 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-// Effect is one write that took effect.
+// Effect is one write of a record that took effect.
 type Effect struct {
 	Gang    string
 	Version int
 	Record  gang.Record
 }
 
-// Register is a handler of the register's calls.
+// Register serves the register's calls over HTTP. It is safe for concurrent use.
 type Register struct {
-	// Fault is asked before a call is carried out and after: an answer that it says is lost is never sent. nil: no faults.
+	// Fault is called before and after a call is applied, and reports whether the connection is aborted then. nil: no faults.
 	Fault func(r *http.Request, after bool) (lost bool)
 
 	mu      sync.Mutex
@@ -47,7 +47,7 @@
 	return append([]Effect(nil), g.log...)
 }
 
-// ServeHTTP answers a call as a register does, but for what Fault does to it.
+// ServeHTTP serves a call as a register does, unless Fault aborts it.
 func (g *Register) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	status, header, answer := g.handle(r, body)
 	if g.Fault != nil && g.Fault(r, true) {
-		panic(http.ErrAbortHandler) // it took effect, and nobody hears of it
+		panic(http.ErrAbortHandler) // it took effect, and the answer is lost
 	}
 	for k, v := range header {
 		w.Header().Set(k, v)
@@ -99,12 +99,12 @@
 }
 
 func (g *Register) put(r *http.Request, name string, body []byte) (int, map[string]string, any) {
-	e, there := g.records[name]
+	e, exists := g.records[name]
 	match, none := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
 	if match == "" && none != "*" {
 		return http.StatusPreconditionRequired, nil, nil
 	}
-	if none == "*" && there || match != "" && (!there || match != etag(e.Version)) {
+	if none == "*" && exists || match != "" && (!exists || match != etag(e.Version)) {
 		return http.StatusPreconditionFailed, nil, nil
 	}
 	var rec gang.Record
@@ -117,7 +117,7 @@
 	return http.StatusOK, map[string]string{"ETag": etag(e.Version)}, nil
 }
 
-// Digest is a part's Content-Digest.
+// Digest returns a part's Content-Digest (RFC 9530).
 func Digest(part []byte) string {
 	sum := sha256.Sum256(part)
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
@@ -129,7 +129,7 @@
 	if !there || err != nil || member < 0 || member >= len(e.Record.Needs) || r.Header.Get("If-None-Match") != "*" {
 		return http.StatusBadRequest, nil, nil
 	}
-	if r.Header.Get("Content-Digest") != Digest(body) { // cut short or damaged on the way
+	if r.Header.Get("Content-Digest") != Digest(body) { // truncated or damaged in transit
 		return http.StatusUnprocessableEntity, nil, nil
 	}
 	k := parts[1] + "/" + parts[3]
--- a/internal/dispatcher/gang/virtual/register.go
+++ b/internal/dispatcher/gang/virtual/register.go
@@ -6,21 +6,21 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-// register is the store that the gangs' records and states are in, with a bandwidth of its own.
+// register is the store of the gangs' records and checkpoints. All uploads share its bandwidth.
 type register struct {
-	entries         map[string]*entry
-	saves           map[saveKey][]part
+	records         map[string]*entry
+	parts           map[saveKey][]part
 	uploads         []*upload
-	rate            float64 // bytes a second
+	rate            float64 // bytes per second
 	lastVersion     int
-	Bytes           float64 // of states taken
-	Writes          int     // of records
+	checkpointBytes float64 // taken so far
+	recordWrites    int     // of records
 	changedAfterEnd string
 }
 
 type entry struct {
 	version int
-	rec     gang.Record
+	record  gang.Record
 }
 
 type saveKey struct {
@@ -31,74 +31,74 @@
 
 type part struct {
 	digest  string
-	damaged bool // found out when it is read
+	damaged bool // which only shows when it is read
 }
 
 type upload struct {
-	key    saveKey
-	member int
-	left   float64
-	job    *job
-	stuck  bool
+	key       saveKey
+	member    int
+	bytesLeft float64
+	from      *member
+	hangs     bool
 }
 
 func newRegister(rate float64) *register {
-	return &register{entries: map[string]*entry{}, saves: map[saveKey][]part{}, rate: rate}
+	return &register{records: map[string]*entry{}, parts: map[saveKey][]part{}, rate: rate}
 }
 
 func (r *register) version(name string) gang.Version {
-	if e := r.entries[name]; e != nil {
+	if e := r.records[name]; e != nil {
 		return gang.Version(fmt.Sprint(e.version))
 	}
 	return ""
 }
 
-// put is a conditional write.
-func (r *register) put(rec gang.Record, if_ gang.Version) (gang.Outcome, gang.Version) {
-	if r.version(rec.Name) != if_ {
+// write is a conditional write, as of package register.
+func (r *register) write(rec gang.Record, ifVersion gang.Version) (gang.Outcome, gang.Version) {
+	if r.version(rec.Name) != ifVersion {
 		return gang.Conflict, ""
 	}
 	r.lastVersion++
-	r.Writes++
-	if e := r.entries[rec.Name]; e != nil && e.rec.Phase == gang.Done {
+	r.recordWrites++
+	if e := r.records[rec.Name]; e != nil && e.record.Phase == gang.Done {
 		r.changedAfterEnd = rec.Name
 	}
-	r.entries[rec.Name] = &entry{r.lastVersion, rec}
+	r.records[rec.Name] = &entry{r.lastVersion, rec}
 	return gang.Written, r.version(rec.Name)
 }
 
-// partDigests are those of the parts that are there of a save.
+// partDigests returns the digests of a save's parts by member; a part that is missing has an empty one.
 func (r *register) partDigests(k saveKey, members int) []string {
 	out := make([]string, members)
-	for i, p := range r.saves[k] {
+	for i, p := range r.parts[k] {
 		out[i] = p.digest
 	}
 	return out
 }
 
-// step lets states come in for dt seconds; all share the bandwidth.
+// step advances the uploads by dt seconds.
 func (r *register) step(dt float64, damage func() bool) {
 	active := 0
 	for _, u := range r.uploads {
-		if !u.stuck && !u.job.ended {
+		if !u.hangs && !u.from.ended {
 			active++
 		}
 	}
-	rest := r.uploads[:0]
+	unfinished := r.uploads[:0]
 	for _, u := range r.uploads {
-		if u.job.ended { // cut short: a part that is not whole is not taken
+		if u.from.ended { // the connection was aborted, and an incomplete part is not taken
 			continue
 		}
-		if !u.stuck {
+		if !u.hangs {
 			got := r.rate * dt / float64(active)
-			r.Bytes += min(got, u.left)
-			u.left -= got
+			r.checkpointBytes += min(got, u.bytesLeft)
+			u.bytesLeft -= got
 		}
-		if u.left > 0 || u.stuck {
-			rest = append(rest, u)
+		if u.bytesLeft > 0 || u.hangs {
+			unfinished = append(unfinished, u)
 			continue
 		}
-		r.saves[u.key][u.member] = part{fmt.Sprintf("sha-256:%s/%d/%d/%d", u.key.gang, u.key.generation, u.key.number, u.member), damage()}
+		r.parts[u.key][u.member] = part{fmt.Sprintf("sha-256:%s/%d/%d/%d", u.key.gang, u.key.generation, u.key.number, u.member), damage()}
 	}
-	r.uploads = rest
+	r.uploads = unfinished
 }
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -1,5 +1,6 @@
-// Package virtual runs gangs, the real cores, over an in-memory fleet in virtual time: a register, runners that retire and
-// die, dispatchers that crash, sleep and are cut off, answers that get lost. A run is a function of its seed.
+// Package virtual runs gangs, the real cores, on an in-memory fleet in virtual time: a register, runners that retire and die,
+// dispatchers that crash, sleep and are partitioned, answers that get lost. A run is a function of its seed. A World is not safe for
+// concurrent use.
 package virtual
 
 import (
@@ -11,62 +12,63 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-// Options describe a world.
+// Options configure a world.
 type Options struct {
 	Seed   uint64
-	Config gang.Config // Me is filled in
-	// Step is how finely time goes, Poll how often dispatchers list the register, Latency how long a call to it takes.
+	Config gang.Config // Self is set by the world
+	// Step is the resolution of time, Poll the time between two lists of the register by a dispatcher, Latency how long a call to
+	// it takes.
 	Step, Poll, Latency time.Duration
-	// Start is how long a member takes to start.
+	// Start is the time that a member takes to start.
 	Start time.Duration
-	// Jitter is how late members' news may come.
+	// Jitter is the longest random delay of a member's event.
 	Jitter time.Duration
 }
 
-// Runner is a runner. Its jobs end when it does.
+// Runner is a runner. Its members end when it does.
 type Runner struct {
 	Name, Zone, Kind string
 	Speed, Slots     float64
 	Up               bool
 	Retires          time.Time // the zero time: never
-	Announced        time.Time // before then nobody knows
-	FailStarts       int       // so many jobs die while they start
-	Mute             bool      // when it ends, its connections stay open and quiet
+	Announced        time.Time // when dispatchers learn of Retires
+	FailStarts       int       // the next so many members fail when they start
+	Mute             bool      // when it ends, its connections stay open without events
 }
 
-// Dispatcher is a dispatcher's place; its process comes and goes.
+// Dispatcher is a dispatcher and, while Core is not nil, its process.
 type Dispatcher struct {
 	Name        string
 	Core        *gang.Core
 	epoch       uint64
 	Stopped     bool // as by SIGSTOP
 	Partitioned bool // from the register
-	// Sees tells whom it holds living; nil: those that are.
+	// Sees reports whether another dispatcher lives by this one's view; nil: the view is right.
 	Sees   func(other *Dispatcher) bool
 	polled time.Time
 }
 
-// job is a member at a runner.
-type job struct {
+// member is a gang's member on its runner, in one generation.
+type member struct {
 	gang          string
 	generation    uint64
-	member        int
+	index         int
 	runner        *Runner
 	owner         *Dispatcher
-	ownerEpoch    uint64 // of its owner: the connection ends with it
+	ownerEpoch    uint64 // the connection ends with the owner's process
 	startsAt      time.Time
 	checkpoint    *gang.Checkpoint
 	started       bool
 	ended         bool
-	reported      bool // that it finished
+	reported      bool // its end is reported
 	nextHeartbeat time.Time
 }
 
-// run is one generation of a gang, in truth.
+// run is one generation of a gang: the ground truth.
 type run struct {
 	progress, startProgress float64
-	members                 []*job
-	saveNumber              int // number of the save that its members last began
+	members                 []*member
+	saveNumber              int // of the save that its members began last
 }
 
 // World is a fleet with its register and runners.
@@ -75,35 +77,35 @@
 	Runners     []*Runner
 	Dispatchers []*Dispatcher
 	Faults      []error
-	// Lose tells whether the next answer of the register gets lost; Damage whether the next part is damaged, and Hang whether it
-	// never ends. nil: no.
+	// Lose reports whether the next answer of the register gets lost, Damage whether the next part is damaged, and Hang whether its
+	// upload never ends. nil: never.
 	Lose, Damage, Hang func() bool
 	Unresponsive       bool // the register answers nobody
-	// Steps counts the records' steps that took effect.
+	// Steps counts the steps of records that took effect.
 	Steps map[gang.Step]int
 
 	opt         Options
 	rng         *rand.Rand
 	reg         *register
 	runs        map[string]*run // by gang and generation
-	pending     []call
-	submittedAt map[string]time.Time // first submitted
+	pending     []callback
+	submittedAt map[string]time.Time // by gang
 	endedAt     map[string]time.Time
-	stalled     map[string]time.Duration // stood still after its first start
-	LostWork    float64                  // runner-seconds of work that was done and is in no state
+	stalled     map[string]time.Duration // by gang: time without progress since its first start
+	LostWork    float64                  // runner-seconds of work that was done and is in no checkpoint
 	violation   string
 }
 
-// heartbeatInterval is how often a member tells of its progress.
+// heartbeatInterval is the time between two heartbeats of a member.
 const heartbeatInterval = 2 * time.Second
 
-// call is something on its way.
-type call struct {
+// callback is a call that is scheduled, such as the arrival of an answer.
+type callback struct {
 	at time.Time
 	do func()
 }
 
-// New returns a world without dispatchers and runners, at a moment.
+// New returns a world at the time now, without dispatchers and runners.
 func New(now time.Time, opt Options) *World {
 	return &World{Now: now, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 3)), reg: newRegister(opt.Config.Bandwidth),
 		runs: map[string]*run{}, submittedAt: map[string]time.Time{}, endedAt: map[string]time.Time{}, stalled: map[string]time.Duration{},
@@ -117,7 +119,7 @@
 	return d, w.Start(d)
 }
 
-// Start begins a process at d's place.
+// Start starts d's process.
 func (w *World) Start(d *Dispatcher) error {
 	cfg := w.opt.Config
 	d.epoch++
@@ -127,18 +129,18 @@
 	return err
 }
 
-// Kill ends a process; its connections end with it.
+// Kill ends d's process and with it its connections.
 func (w *World) Kill(d *Dispatcher) { d.Core = nil }
 
 // Submit writes a gang's record, as a submitter does.
 func (w *World) Submit(r gang.Record) {
 	r.Phase, r.Submitted = gang.Waiting, w.Now
 	w.submittedAt[r.Name] = w.Now
-	w.reg.put(r, w.reg.version(r.Name))
+	w.reg.write(r, w.reg.version(r.Name))
 }
 
 // Record returns a gang's record.
-func (w *World) Record(name string) gang.Record { return w.reg.entries[name].rec }
+func (w *World) Record(name string) gang.Record { return w.reg.records[name].record }
 
 // Gangs returns the names of all gangs submitted.
 func (w *World) Gangs() (names []string) {
@@ -149,19 +151,19 @@
 	return names
 }
 
-// Ended returns when a gang was done; ok is false while it is not.
+// Ended returns when a gang was done; ok reports whether it is.
 func (w *World) Ended(name string) (at time.Time, ok bool) { at, ok = w.endedAt[name]; return at, ok }
 
-// Stalled returns how long a gang stood still between its first start and its end.
+// Stalled returns how long a gang made no progress between its first start and its end.
 func (w *World) Stalled(name string) time.Duration { return w.stalled[name] }
 
-// Bytes returns what the register took of states, and Writes how often a record was written.
-func (w *World) Bytes() float64 { return w.reg.Bytes }
+// Bytes returns how many bytes of checkpoints the register has taken.
+func (w *World) Bytes() float64 { return w.reg.checkpointBytes }
 
-// Writes returns how often a record was written.
-func (w *World) Writes() int { return w.reg.Writes }
+// Writes returns how many writes of records have taken effect.
+func (w *World) Writes() int { return w.reg.recordWrites }
 
-// Violation says what of the promises was broken, if anything.
+// Violation describes an invariant that was violated; empty: none was.
 func (w *World) Violation() string {
 	if w.reg.changedAfterEnd != "" {
 		return w.reg.changedAfterEnd + " was changed after it was done"
@@ -169,16 +171,16 @@
 	return w.violation
 }
 
-// For lets time pass.
+// For advances time by d.
 func (w *World) For(d time.Duration) {
 	for end := w.Now.Add(d); w.Now.Before(end); {
 		w.step()
 	}
 }
 
-// Until lets time pass until ok, for most at the longest.
-func (w *World) Until(most time.Duration, ok func() bool) bool {
-	for end := w.Now.Add(most); w.Now.Before(end); {
+// Until advances time until ok, for limit at the longest, and reports whether ok was reached.
+func (w *World) Until(limit time.Duration, ok func() bool) bool {
+	for end := w.Now.Add(limit); w.Now.Before(end); {
 		if ok() {
 			return true
 		}
@@ -187,6 +189,7 @@
 	return ok()
 }
 
+// step advances time by one step: due calls, retirements, members, uploads, then dispatchers.
 func (w *World) step() {
 	w.Now = w.Now.Add(w.opt.Step)
 	due := w.pending
@@ -212,7 +215,7 @@
 	}
 }
 
-// runDispatcher has a dispatcher look round and do what it decides.
+// runDispatcher lets a dispatcher poll, if it is time, and applies its actions.
 func (w *World) runDispatcher(d *Dispatcher) {
 	if w.Now.Sub(d.polled) >= w.opt.Poll {
 		d.Core.Fleet(w.Now, w.livingOwners(d), true)
@@ -220,7 +223,7 @@
 		d.Core.Runners(w.Now, w.knownRunners())
 		w.request(d, func() func() {
 			versions := map[string]gang.Version{}
-			for n := range w.reg.entries {
+			for n := range w.reg.records {
 				versions[n] = w.reg.version(n)
 			}
 			return func() { d.Core.Listed(w.Now, versions) }
@@ -230,7 +233,7 @@
 	w.apply(d)
 }
 
-// livingOwners returns the dispatchers that d's view has as living.
+// livingOwners returns the dispatchers that live by d's view.
 func (w *World) livingOwners(d *Dispatcher) (living []gang.Owner) {
 	for _, o := range w.Dispatchers {
 		if o == d || o.Core != nil && (d.Sees == nil && !o.Stopped || d.Sees != nil && d.Sees(o)) {
@@ -240,7 +243,7 @@
 	return living
 }
 
-// knownRunners returns the runners that are up, with the retirements that are announced by now.
+// knownRunners returns the runners that are up, with the retirements that are announced.
 func (w *World) knownRunners() (runners []gang.Runner) {
 	for _, r := range w.Runners {
 		if !r.Up {
@@ -255,13 +258,14 @@
 	return runners
 }
 
-// request calls the register: what happens there returns what the answer does. lost is for an answer that never comes.
+// request sends a call to the register. there runs at the register and returns what the answer's arrival does; lost, if not nil, runs
+// instead if no answer comes.
 func (w *World) request(d *Dispatcher, there func() func(), lost func()) {
 	life := d.epoch
 	back := func(f func()) {
 		w.after(w.opt.Latency/2, func() {
 			if f != nil && d.Core != nil && d.epoch == life {
-				if d.Stopped { // it reads it when it goes on
+				if d.Stopped { // it reads the answer when it continues
 					w.after(w.opt.Step, func() { w.request(d, func() func() { return f }, nil) })
 					return
 				}
@@ -283,11 +287,12 @@
 	})
 }
 
+// after schedules a call.
 func (w *World) after(d time.Duration, do func()) {
-	w.pending = append(w.pending, call{w.Now.Add(d), do})
+	w.pending = append(w.pending, callback{w.Now.Add(d), do})
 }
 
-// apply carries out what a core decided.
+// apply carries out the actions of d's core.
 func (w *World) apply(d *Dispatcher) {
 	if d.Core == nil || d.Stopped {
 		return
@@ -298,11 +303,11 @@
 		switch a.Kind {
 		case gang.Read:
 			w.request(d, func() func() {
-				e := w.reg.entries[a.Gang]
+				e := w.reg.records[a.Gang]
 				if e == nil {
 					return nil
 				}
-				rec, version := e.rec, w.reg.version(a.Gang)
+				rec, version := e.record, w.reg.version(a.Gang)
 				return func() { d.Core.Got(w.Now, a.Gang, version, rec) }
 			}, nil)
 		case gang.Write:
@@ -314,8 +319,8 @@
 		case gang.Send:
 			w.assignMember(d, a)
 		case gang.Stop:
-			for _, j := range w.jobs(a.Gang, a.Generation) {
-				if j.member == a.Member && j.owner == d {
+			for _, j := range w.membersOf(a.Gang, a.Generation) {
+				if j.index == a.Member && j.owner == d {
 					j.ended = true
 				}
 			}
@@ -328,12 +333,13 @@
 	}
 }
 
+// runKey identifies a generation of a gang.
 func runKey(name string, generation uint64) string { return fmt.Sprint(name, "/", generation) }
 
-// write has the register take a record, and checks what is promised of it.
-func (w *World) write(rec gang.Record, if_ gang.Version) (gang.Outcome, gang.Version) {
-	before := w.reg.entries[rec.Name].rec
-	o, version := w.reg.put(rec, if_)
+// write writes a record to the register and checks the invariants.
+func (w *World) write(rec gang.Record, ifVersion gang.Version) (gang.Outcome, gang.Version) {
+	before := w.reg.records[rec.Name].record
+	o, version := w.reg.write(rec, ifVersion)
 	if o != gang.Written {
 		return o, version
 	}
@@ -356,12 +362,12 @@
 			w.violation = fmt.Sprintf("%s has a checkpoint of %.2f, but %.2f was done", rec.Name, c.Progress, r.progress)
 		}
 	}
-	if before.Phase != gang.Waiting && rec.Phase == gang.Waiting && r != nil { // what it did since its state is lost
-		kept := r.startProgress
+	if before.Phase != gang.Waiting && rec.Phase == gang.Waiting && r != nil { // what was done since its checkpoint is lost
+		progress := r.startProgress
 		if c := rec.Checkpoint; c != nil {
-			kept = c.Progress
+			progress = c.Progress
 		}
-		w.LostWork += max(0, r.progress-kept) * workSeconds(rec) * float64(len(rec.Needs))
+		w.LostWork += max(0, r.progress-progress) * workSeconds(rec) * float64(len(rec.Needs))
 	}
 	return o, version
 }
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -1,7 +1,5 @@
 package virtual
 
-// The runners of the world and the work that they do.
-
 import (
 	"maps"
 	"slices"
@@ -10,17 +8,20 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-func (w *World) jobs(name string, generation uint64) []*job {
+// membersOf returns the members of a generation of a gang.
+func (w *World) membersOf(name string, generation uint64) []*member {
 	if r := w.runs[runKey(name, generation)]; r != nil {
 		return r.members
 	}
 	return nil
 }
 
+// isSameCheckpoint reports whether a is b.
 func isSameCheckpoint(a, b *gang.Checkpoint) bool {
 	return b != nil && a.Generation == b.Generation && a.Number == b.Number
 }
 
+// workSeconds returns a gang's work in seconds at speed 1.
 func workSeconds(r gang.Record) (s float64) {
 	for _, n := range r.Needs {
 		s = max(s, n.Work.Seconds())
@@ -28,7 +29,7 @@
 	return s
 }
 
-// assignMember has a member come to its runner.
+// assignMember puts a member on the runner that an action names. It fails if the runner is down or has no free slots.
 func (w *World) assignMember(d *Dispatcher, a gang.Action) {
 	k := runKey(a.Gang, a.Generation)
 	if w.runs[k] == nil {
@@ -40,12 +41,12 @@
 	}
 	i := slices.IndexFunc(w.Runners, func(r *Runner) bool { return r.Name == a.Runner })
 	r := w.Runners[i]
-	j := &job{gang: a.Gang, generation: a.Generation, member: a.Member, runner: r, owner: d, ownerEpoch: d.epoch, checkpoint: a.Checkpoint,
+	j := &member{gang: a.Gang, generation: a.Generation, index: a.Member, runner: r, owner: d, ownerEpoch: d.epoch, checkpoint: a.Checkpoint,
 		startsAt: w.Now.Add(w.opt.Start)}
 	need, used := w.Record(a.Gang).Needs[a.Member].Slots, 0.0
-	for _, other := range w.allJobs() {
+	for _, other := range w.allMembers() {
 		if other.runner == r && !other.ended {
-			used += w.Record(other.gang).Needs[other.member].Slots
+			used += w.Record(other.gang).Needs[other.index].Slots
 		}
 	}
 	if w.runs[k].members = append(w.runs[k].members, j); !r.Up || used+need > r.Slots+1e-9 {
@@ -54,15 +55,16 @@
 	}
 }
 
-func (w *World) allJobs() (out []*job) {
+// allMembers returns all members, in a fixed order.
+func (w *World) allMembers() (out []*member) {
 	for _, k := range slices.Sorted(maps.Keys(w.runs)) {
 		out = append(out, w.runs[k].members...)
 	}
 	return out
 }
 
-// report brings news of a member to its dispatcher, if that still has the connection.
-func (w *World) report(j *job, n gang.Event) {
+// report sends an event of a member to its owner, whose process must still be the one that sent the member.
+func (w *World) report(j *member, n gang.Event) {
 	late := w.opt.Latency / 2
 	if w.opt.Jitter > 0 {
 		late += time.Duration(w.rng.Int64N(int64(w.opt.Jitter)))
@@ -73,19 +75,19 @@
 				w.report(j, n)
 				return
 			}
-			d.Core.Member(w.Now, j.gang, j.generation, j.member, n)
+			d.Core.Member(w.Now, j.gang, j.generation, j.index, n)
 			w.apply(d)
 		}
 	})
 }
 
-// workSeconds lets members start, advance, save and end.
+// runMembers advances all members by one step: starts, heartbeats, work, saves and ends.
 func (w *World) runMembers() {
 	for _, k := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[k]
 		rec, generation := w.Record(r.members[0].gang), r.members[0].generation
 		advances, speed := w.stepRun(r, len(rec.Needs))
-		if !slices.ContainsFunc(r.members, func(j *job) bool { return !j.ended }) {
+		if !slices.ContainsFunc(r.members, func(j *member) bool { return !j.ended }) {
 			if rec.Generation != generation || rec.Phase == gang.Done {
 				delete(w.runs, k)
 			}
@@ -110,7 +112,7 @@
 	}
 }
 
-// stepRun takes each member of a run a step on. advances reports whether all n members run, and speed is the slowest one's.
+// stepRun advances each member of a run by one step. advances reports whether all n members run, and speed is the slowest one's.
 func (w *World) stepRun(r *run, n int) (advances bool, speed float64) {
 	advances, speed = len(r.members) == n, 1e9
 	for _, j := range r.members {
@@ -120,8 +122,8 @@
 	return advances, speed
 }
 
-// stepMember takes a member a step on: it ends with its runner or its owner, starts, or sends a heartbeat.
-func (w *World) stepMember(j *job) {
+// stepMember advances a member by one step: it ends with its runner or its owner, starts, or sends a heartbeat.
+func (w *World) stepMember(j *member) {
 	if !j.ended && !j.runner.Up {
 		if j.ended = true; !j.runner.Mute {
 			w.report(j, gang.Failed)
@@ -139,14 +141,14 @@
 	}
 }
 
-// startUploads has the members of a run begin to write the parts of the save that its record asks for.
+// startUploads starts the uploads of the parts of the save that the record requests.
 func (w *World) startUploads(r *run, rec gang.Record) {
 	r.saveNumber = rec.SaveNumber
 	sk := saveKey{rec.Name, rec.Generation, rec.SaveNumber}
-	w.reg.saves[sk] = make([]part, len(rec.Needs))
+	w.reg.parts[sk] = make([]part, len(rec.Needs))
 	for i, j := range r.members {
-		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.member, left: float64(rec.Needs[i].StateBytes), job: j,
-			stuck: w.Hang != nil && w.Hang()})
+		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.index, bytesLeft: float64(rec.Needs[i].StateBytes), from: j,
+			hangs: w.Hang != nil && w.Hang()})
 	}
 }
 
@@ -160,8 +162,8 @@
 	}
 }
 
-// startMember has a member say that it started, from its part of the state if there is one.
-func (w *World) startMember(j *job) {
+// startMember starts a member from its part of the checkpoint, if there is one.
+func (w *World) startMember(j *member) {
 	if j.runner.FailStarts > 0 {
 		j.runner.FailStarts--
 		j.ended = true
@@ -169,8 +171,8 @@
 		return
 	}
 	if j.checkpoint != nil {
-		parts := w.reg.saves[saveKey{j.gang, j.checkpoint.Generation, j.checkpoint.Number}]
-		if j.member >= len(parts) || parts[j.member].damaged {
+		parts := w.reg.parts[saveKey{j.gang, j.checkpoint.Generation, j.checkpoint.Number}]
+		if j.index >= len(parts) || parts[j.index].damaged {
 			j.ended = true
 			w.report(j, gang.DamagedPart)
 			return
