--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -22,10 +22,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var soak = flag.Duration("soak", 0, "go on with faults at random for so long, with a seed that is printed")
+var soak = flag.Duration("soak", 0, "inject random faults for so long")
 
-// patience is how long a condition is waited for. It is long so that a noisy machine changes no verdict.
-const patience = 40 * time.Second
+// waitTimeout is how long a condition is waited for. It is long so that a busy machine changes no result.
+const waitTimeout = 40 * time.Second
 
 var program string
 
@@ -44,7 +44,7 @@
 	os.Exit(code)
 }
 
-// dispatcher is one place of the fleet; its process comes and goes.
+// dispatcher is one dispatcher of the fleet and, while cmd is not nil, its process.
 type dispatcher struct {
 	t       *testing.T
 	number  int
@@ -54,8 +54,8 @@
 	log     *os.File
 }
 
-// look is what its console says of the fleet.
-type look struct {
+// fleetView is the console's answer to GET /fleet.
+type fleetView struct {
 	Name       string
 	Living     int
 	Digest     uint64
@@ -66,10 +66,11 @@
 	Waiting    string
 }
 
-type rig struct {
-	t     *testing.T
-	all   []*dispatcher
-	relay *Relay // nil: they speak to each other directly
+// cluster is a fleet of processes.
+type cluster struct {
+	t           *testing.T
+	dispatchers []*dispatcher
+	relay       *Relay // nil: they speak to each other directly
 }
 
 // ownLoopback returns an address of loopback drawn at random, with any port. A port that was free there stays free until the
@@ -94,10 +95,10 @@
 	return l.Addr().String()
 }
 
-// start starts n dispatchers and waits until all know all and each acts for its own number.
-func start(t *testing.T, n int, relayed bool) *rig {
+// start starts n dispatchers and waits until their views agree and each owns its number.
+func start(t *testing.T, n int, relayed bool) *cluster {
 	t.Helper()
-	r := &rig{t: t}
+	r := &cluster{t: t}
 	real := make([]string, n)
 	for i := range real {
 		real[i] = freeUDP(t)
@@ -108,21 +109,21 @@
 		r.relay, err = NewRelay(real)
 		require.NoError(t, err)
 		t.Cleanup(r.relay.Close)
-		front = r.relay.Front
+		front = r.relay.Addrs
 	}
 	for i := range n {
 		d := &dispatcher{t: t, number: i, dir: t.TempDir(), console: freeTCP(t)}
-		d.write("fleet.star", fmt.Sprintf("real = %s\nroster = %s\nfleet(name = \"test\", key = \"sixteen bytes or more\", listen = real[number],\n"+
+		d.writeFile("fleet.star", fmt.Sprintf("real = %s\nroster = %s\nfleet(name = \"test\", key = \"sixteen bytes or more\", listen = real[number],\n"+
 			"    advertise = roster[number], roster = roster, refusals = True, interval = 100 * ms, lease = 2 * s)\n", list(real), list(front)))
-		d.write("config.json", fmt.Sprintf(`{"name":"d%d","listen":%q,"discovery":"127.0.0.1:1","console":%q,"seed":"%x","settings":{"zone":"z",
+		d.writeFile("config.json", fmt.Sprintf(`{"name":"d%d","listen":%q,"discovery":"127.0.0.1:1","console":%q,"seed":"%x","settings":{"zone":"z",
 			"slotNo":%d,"balancers":%d,"discovery":"ask","rules":{"askWithinUs":60000000},
 			"classes":[{"name":"c","semantics":"safe","objectiveUs":500000,"deadlineUs":1000000}]}}`, i, freeTCP(t), d.console, i+1, i, n))
 		d.start()
 		t.Cleanup(d.kill)
-		r.all = append(r.all, d)
+		r.dispatchers = append(r.dispatchers, d)
 	}
-	r.agree("all are met")
-	r.whole("each has its own")
+	r.agree("all have joined")
+	r.allOwned("each owns its number")
 	return r
 }
 
@@ -131,7 +132,7 @@
 	return string(b)
 }
 
-func (d *dispatcher) write(name, text string) {
+func (d *dispatcher) writeFile(name, text string) {
 	require.NoError(d.t, os.WriteFile(filepath.Join(d.dir, name), []byte(text), 0o600))
 }
 
@@ -163,7 +164,7 @@
 	}
 }
 
-// stop ends a process in order.
+// stop ends the process in order.
 func (d *dispatcher) stop() {
 	d.signal(syscall.SIGTERM)
 	require.NoError(d.t, d.cmd.Wait(), "a stop in order exits with 0")
@@ -172,8 +173,8 @@
 
 var client = &http.Client{Timeout: 5 * time.Second}
 
-// look asks the console; ok is false while it does not answer.
-func (d *dispatcher) look() (l look, ok bool) {
+// fleetView queries the console; ok reports whether it answered.
+func (d *dispatcher) fleetView() (l fleetView, ok bool) {
 	request, err := http.NewRequestWithContext(d.t.Context(), http.MethodGet, "http://"+d.console+"/fleet", nil)
 	if err != nil {
 		return l, false
@@ -186,9 +187,9 @@
 	return l, errors.Join(err, response.Body.Close()) == nil
 }
 
-// running returns those whose processes run.
-func (r *rig) running() (out []*dispatcher) {
-	for _, d := range r.all {
+// running returns the dispatchers whose processes run.
+func (r *cluster) running() (out []*dispatcher) {
+	for _, d := range r.dispatchers {
 		if d.cmd != nil {
 			out = append(out, d)
 		}
@@ -196,25 +197,25 @@
 	return out
 }
 
-func (r *rig) eventually(what string, ok func() bool) {
+func (r *cluster) eventually(what string, ok func() bool) {
 	r.t.Helper()
-	if !assert.Eventually(r.t, ok, patience, 50*time.Millisecond, what) {
+	if !assert.Eventually(r.t, ok, waitTimeout, 50*time.Millisecond, what) {
 		for _, d := range r.running() {
-			l, _ := d.look()
+			l, _ := d.fleetView()
 			r.t.Logf("d%d: %+v", d.number, l)
 		}
 		r.t.FailNow()
 	}
 }
 
-// agree waits until those that run hold just each other living.
-func (r *rig) agree(what string) {
+// agree waits until the views of the running dispatchers have exactly each other as living.
+func (r *cluster) agree(what string) {
 	r.t.Helper()
 	among := r.running()
 	r.eventually(what, func() bool {
 		var digest uint64
 		for _, d := range among {
-			l, ok := d.look()
+			l, ok := d.fleetView()
 			if !ok || l.Living != len(among) || digest != 0 && l.Digest != digest {
 				return false
 			}
@@ -224,26 +225,26 @@
 	})
 }
 
-// held returns who acts for each number, at one moment, and fails if two do.
-func (r *rig) held() map[int]int {
+// owners returns the owner of each number at one moment, and fails if one has two; nil if it took too long to be one moment.
+func (r *cluster) owners() map[int]int {
 	r.t.Helper()
-	looks := make([]look, len(r.all))
+	looks := make([]fleetView, len(r.dispatchers))
 	var all sync.WaitGroup
 	began := time.Now()
-	for i, d := range r.all {
+	for i, d := range r.dispatchers {
 		if d.cmd != nil {
-			all.Go(func() { looks[i], _ = d.look() })
+			all.Go(func() { looks[i], _ = d.fleetView() })
 		}
 	}
 	all.Wait()
-	if time.Since(began) > time.Second { // not one moment any more: parts may have passed
+	if time.Since(began) > time.Second { // not one moment any more: numbers may have passed
 		return nil
 	}
 	by := map[int]int{}
 	for i, l := range looks {
 		for _, n := range l.Numbers {
 			if other, two := by[n]; two {
-				require.Fail(r.t, "two act for one number", "number %d: d%d and d%d", n, other, i)
+				require.Fail(r.t, "two own one number", "number %d: d%d and d%d", n, other, i)
 			}
 			by[n] = i
 		}
@@ -251,87 +252,87 @@
 	return by
 }
 
-// whole waits until every number is acted for.
-func (r *rig) whole(what string) {
+// allOwned waits until every number is owned.
+func (r *cluster) allOwned(what string) {
 	r.t.Helper()
-	r.eventually(what, func() bool { return len(r.held()) == len(r.all) })
+	r.eventually(what, func() bool { return len(r.owners()) == len(r.dispatchers) })
 }
 
-// watch looks at the numbers for a while.
-func (r *rig) watch(d time.Duration) {
+// checkOwners checks for a while that no number has two owners.
+func (r *cluster) checkOwners(d time.Duration) {
 	r.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		r.held()
+		r.owners()
 	}
 }
 
-// Two of five are killed: the others know, act for their numbers, and give them back when they are there again.
+// Two of five are killed: the others see it, own their numbers, and give them back after the restart.
 func TestKilled(t *testing.T) {
 	r := start(t, 5, false)
-	r.all[1].kill()
-	r.all[4].kill()
-	r.agree("the others know")
-	r.whole("the numbers of the dead have passed")
-	r.all[1].start()
-	r.all[4].start()
-	r.watch(3 * time.Second)
-	r.agree("all are back")
-	r.whole("each has its own again")
-	for n, d := range r.held() {
+	r.dispatchers[1].kill()
+	r.dispatchers[4].kill()
+	r.agree("the others have seen it")
+	r.allOwned("the numbers of the dead have passed")
+	r.dispatchers[1].start()
+	r.dispatchers[4].start()
+	r.checkOwners(3 * time.Second)
+	r.agree("all have rejoined")
+	r.allOwned("each owns its number again")
+	for n, d := range r.owners() {
 		assert.Equal(t, n, d)
 	}
 }
 
-// A process that is stopped and continued keeps its number, shuts nobody out, and is back soon.
+// A process that is stopped and continued keeps its number, declares nobody dead, and is alive in all views soon.
 func TestStoppedAndContinued(t *testing.T) {
 	r := start(t, 4, false)
-	r.all[2].signal(syscall.SIGSTOP)
+	r.dispatchers[2].signal(syscall.SIGSTOP)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, i := range []int{0, 1, 3} {
-			if l, ok := r.all[i].look(); ok {
-				require.NotContains(t, l.Numbers, 2, "silence is no proof")
+			if l, ok := r.dispatchers[i].fleetView(); ok {
+				require.NotContains(t, l.Numbers, 2, "a timeout is no proof")
 			}
 		}
 	}
-	r.all[2].signal(syscall.SIGCONT)
-	r.agree("it is back")
-	r.whole("with its number")
-	for _, d := range r.all {
-		l, _ := d.look()
+	r.dispatchers[2].signal(syscall.SIGCONT)
+	r.agree("it is alive in all views")
+	r.allOwned("and owns its number")
+	for _, d := range r.dispatchers {
+		l, _ := d.fleetView()
 		assert.Len(t, l.Members, 3)
 	}
 }
 
-// All are restarted in order, one after another, as at an upgrade; then one is upgraded in place, with both processes there
-// at once: one share, not two.
+// All are restarted in order, one after another, as in an upgrade; then one is upgraded in place, with both processes at once, of
+// which only one owns the number.
 func TestUpgrades(t *testing.T) {
 	r := start(t, 4, false)
-	for _, d := range r.all {
+	for _, d := range r.dispatchers {
 		d.stop()
-		r.watch(300 * time.Millisecond)
+		r.checkOwners(300 * time.Millisecond)
 		d.start()
-		r.watch(300 * time.Millisecond)
+		r.checkOwners(300 * time.Millisecond)
 	}
 	r.agree("after the last")
-	r.whole("all numbers")
+	r.allOwned("all numbers are owned")
 
-	old, d := r.all[1].cmd, r.all[1]
+	old, d := r.dispatchers[1].cmd, r.dispatchers[1]
 	oldConsole := d.console
 	text, err := os.ReadFile(filepath.Join(d.dir, "config.json"))
 	require.NoError(t, err)
 	d.console = freeTCP(t)
-	d.write("config.json", strings.Replace(string(text), oldConsole, d.console, 1))
+	d.writeFile("config.json", strings.Replace(string(text), oldConsole, d.console, 1))
 	d.start()
-	r.eventually("the new one waits for the old", func() bool { l, ok := d.look(); return ok && l.Waiting != "" })
-	r.watch(time.Second)
+	r.eventually("the new process waits for the old one", func() bool { l, ok := d.fleetView(); return ok && l.Waiting != "" })
+	r.checkOwners(time.Second)
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
-	r.agree("the new one takes part")
-	r.whole("with the number")
+	r.agree("the new process takes part")
+	r.allOwned("and owns the number")
 }
 
-// Links are cut in several ways, long enough for each side to hold the other dead. No number moves; once the links are
-// mended the views meet again by themselves.
+// The fleet is partitioned in several ways, long enough for each side to declare the other dead. No number moves, and once the links
+// are up again the views converge by themselves.
 func TestPartitions(t *testing.T) {
 	r := start(t, 5, true)
 	for _, tt := range []struct {
@@ -344,41 +345,41 @@
 		{"one way", func(a, b int) bool { return a == 3 }, []int{0, 1, 2, 4}},
 		{"in three", func(a, b int) bool { return a/2 != b/2 }, []int{2, 3}},
 	} {
-		r.relay.Break(func(a, b int) Fault { return Fault{Cut: tt.cut(a, b)} })
-		r.eventually(tt.name+": one side knows just itself", func() bool {
+		r.relay.SetFaults(func(a, b int) Fault { return Fault{Down: tt.cut(a, b)} })
+		r.eventually(tt.name+": one side has only itself as living", func() bool {
 			for _, i := range tt.part {
-				if l, ok := r.all[i].look(); !ok || l.Living != len(tt.part) {
+				if l, ok := r.dispatchers[i].fleetView(); !ok || l.Living != len(tt.part) {
 					return false
 				}
 			}
 			return true
 		})
-		for n, d := range r.held() {
+		for n, d := range r.owners() {
 			assert.Equal(t, n, d, "%s: a number moved", tt.name)
 		}
-		r.relay.Break(nil)
+		r.relay.SetFaults(nil)
 		r.agree(tt.name + ": healed")
-		r.whole(tt.name + ": each has its own")
+		r.allOwned(tt.name + ": each owns its number")
 	}
 }
 
-// A bad network: lost, doubled, late and reordered. All are there when it is over, and all numbers stay where they are.
+// A bad network loses, doubles, delays and reorders datagrams. No number moves, and afterwards all views agree.
 func TestBadNetwork(t *testing.T) {
 	r := start(t, 5, true)
-	r.relay.Break(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
+	r.relay.SetFaults(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for n, d := range r.held() {
+		for n, d := range r.owners() {
 			require.Equal(t, n, d)
 		}
 	}
-	r.relay.Break(nil)
+	r.relay.SetFaults(nil)
 	r.agree("afterwards")
 }
 
-// Nonsense in the file stops the program at once, each fault told by file, line and name.
-func TestNonsenseIsRefused(t *testing.T) {
+// An invalid script stops the program at once, with each fault by file, line and name.
+func TestInvalidScripts(t *testing.T) {
 	d := &dispatcher{t: t, dir: t.TempDir(), console: freeTCP(t)}
-	d.write("config.json", `{"name":"d0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"c","semantics":"safe","deadlineUs":1000000}]}}`)
+	d.writeFile("config.json", `{"name":"d0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"c","semantics":"safe","deadlineUs":1000000}]}}`)
 	for text, want := range map[string][]string{
 		"x = 1\nfleet(name = 7, interval = 500)": {"fleet.star:2:6: fleet: name: is int 7", "interval: is int 500", "key: is missing"},
 		"fleet(":                                 {"fleet.star:1:7"},
@@ -386,7 +387,7 @@
 		`fleet(name = "f", key = "sixteen bytes or more", listen = "127.0.0.1:9", roster = ["127.0.0.1:9", "127.0.0.1:10"], refusals = True)`: {
 			"settings.balancers: is 0 with slotNo 0, but roster has 2 addresses"},
 	} {
-		d.write("fleet.star", text)
+		d.writeFile("fleet.star", text)
 		c := d.command()
 		c.Stderr = nil
 		out, err := c.CombinedOutput()
@@ -399,18 +400,18 @@
 	}
 }
 
-// TestSoak goes on with faults at random for as long as -soak says.
+// TestSoak injects random faults for as long as -soak says.
 func TestSoak(t *testing.T) {
 	if *soak == 0 {
 		t.Skip("-soak is not set")
 	}
 	r := start(t, 7, false)
 	for end := time.Now().Add(*soak); time.Now().Before(end); {
-		d := r.all[time.Now().UnixNano()%7]
+		d := r.dispatchers[time.Now().UnixNano()%7]
 		switch time.Now().UnixNano() / 7 % 3 {
 		case 0:
 			d.kill()
-			r.watch(time.Duration(time.Now().UnixNano()%5) * time.Second)
+			r.checkOwners(time.Duration(time.Now().UnixNano()%5) * time.Second)
 			d.start()
 		case 1:
 			d.signal(syscall.SIGSTOP)
@@ -420,8 +421,8 @@
 			d.stop()
 			d.start()
 		}
-		r.watch(2 * time.Second)
+		r.checkOwners(2 * time.Second)
 	}
 	r.agree("in the end")
-	r.whole("all numbers")
+	r.allOwned("all numbers are owned")
 }
--- a/test/fleet/relay.go
+++ b/test/fleet/relay.go
@@ -1,5 +1,5 @@
-// Package fleet starts several dispatchers of the built program as processes that form a fleet, with relays between them
-// that break links, and looks at what they hold of each other and which numbers they act for.
+// Package fleet starts dispatchers of the built program as processes that form a fleet, with a relay between them that injects network
+// faults, and checks their views and which numbers they own.
 package fleet
 
 import (
@@ -11,29 +11,30 @@
 	"time"
 )
 
-// Fault is what happens to datagrams on the way from one dispatcher to another.
+// Fault is what happens to the datagrams from one dispatcher to another.
 type Fault struct {
-	Cut          bool
-	Loss, Double float64
-	// Late is the share that is delayed, by up to By, and so comes in another order.
+	Down         bool
+	Loss, Double float64 // fractions of the datagrams
+	// Late is the fraction that is delayed, by up to By, and so reordered.
 	Late float64
 	By   time.Duration
 }
 
-// Relay stands between dispatchers: it has an address for each, where the others send to, and passes on what comes there as
-// if from the sender's own address at the relay.
+// Relay forwards datagrams between dispatchers, and injects faults. It has an address for each dispatcher, to which the others send;
+// what comes there is forwarded from the sender's address at the relay. It is safe for concurrent use. Callers call Close.
 type Relay struct {
-	mu    sync.Mutex
-	fault func(from, to int) Fault
-	real  map[netip.AddrPort]int // the dispatchers' own sockets
-	conns []*net.UDPConn         // the relay's address for each
-	addrs []netip.AddrPort
-	Front []string // the same as text
+	forwarders sync.WaitGroup
+	mu         sync.Mutex
+	fault      func(from, to int) Fault
+	senders    map[netip.AddrPort]int // the numbers of the dispatchers, by their sockets' addresses
+	conns      []*net.UDPConn         // the relay's socket for each dispatcher
+	targets    []netip.AddrPort
+	Addrs      []string // of conns, host:port
 }
 
-// NewRelay returns a running relay for the dispatchers at these addresses.
+// NewRelay returns a running relay for dispatchers whose sockets have these addresses, host:port.
 func NewRelay(real []string) (*Relay, error) {
-	r := &Relay{real: map[netip.AddrPort]int{}}
+	r := &Relay{senders: map[netip.AddrPort]int{}}
 	for i, a := range real {
 		addr, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -43,31 +44,32 @@
 		if err != nil {
 			return nil, err
 		}
-		r.real[addr] = i
-		r.addrs, r.conns, r.Front = append(r.addrs, addr), append(r.conns, c), append(r.Front, c.LocalAddr().String())
+		r.senders[addr] = i
+		r.targets, r.conns, r.Addrs = append(r.targets, addr), append(r.conns, c), append(r.Addrs, c.LocalAddr().String())
 	}
 	for i := range r.conns {
-		go r.pass(i)
+		r.forwarders.Go(func() { r.forward(i) })
 	}
 	return r, nil
 }
 
-// Break has every link be as fault says from now on; nil mends all.
-func (r *Relay) Break(fault func(from, to int) Fault) {
+// SetFaults sets the faults of all links from now on; nil: none.
+func (r *Relay) SetFaults(fault func(from, to int) Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = fault
 }
 
-// Close ends the relay.
+// Close ends the relay and waits for its goroutines. Delayed datagrams that are due later are lost.
 func (r *Relay) Close() {
 	for _, c := range r.conns {
 		_ = c.Close()
 	}
+	r.forwarders.Wait()
 }
 
-// pass takes what is sent to dispatcher to.
-func (r *Relay) pass(to int) {
+// forward forwards the datagrams to dispatcher to until its socket is closed.
+func (r *Relay) forward(to int) {
 	buf := make([]byte, 2048)
 	for {
 		n, from, err := r.conns[to].ReadFromUDPAddrPort(buf)
@@ -75,9 +77,9 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a refusal of something passed on
+			continue // the refusal of a datagram that was forwarded
 		}
-		sender, known := r.real[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		sender, known := r.senders[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !known {
 			continue
 		}
@@ -88,14 +90,14 @@
 		}
 		r.mu.Unlock()
 		d := append([]byte(nil), buf[:n]...)
-		forward := func() { _, _ = r.conns[sender].WriteToUDPAddrPort(d, r.addrs[to]) } // a dead one's refusal stays here
+		forward := func() { _, _ = r.conns[sender].WriteToUDPAddrPort(d, r.targets[to]) } // refusals are not forwarded
 		copies := 1
 		if rand.Float64() < f.Double {
 			copies = 2
 		}
 		for range copies {
 			switch {
-			case f.Cut || rand.Float64() < f.Loss:
+			case f.Down || rand.Float64() < f.Loss:
 			case rand.Float64() < f.Late:
 				time.AfterFunc(time.Duration(rand.Int64N(int64(f.By))), forward)
 			default:
--- a/test/stories/features/gangs.feature
+++ b/test/stories/features/gangs.feature
@@ -1,6 +1,6 @@
 Feature: Gangs of long jobs
-  A gang only advances while all of its members run. Before a runner retires, all of the gang is saved and moved to runners that
-  stay. Whatever fails, no gang is lost and none is done twice.
+  A gang only advances while all of its members run. Before a runner retires, a checkpoint of the gang is saved and the gang
+  relocated to runners that stay. Whatever fails, no gang is lost and none is done twice.
 
   Background:
     Given 3 dispatchers and 6 runners of 4 slots
@@ -55,7 +55,7 @@
     When 1 minute passes
     And zone a is to retire in 60 seconds
     And 3 minutes pass
-    Then every gang is running or waiting with its state
+    Then every gang is running or waiting with a checkpoint
     When zone a is back
     Then all gangs are done within 40 minutes
 
@@ -70,35 +70,35 @@
     When 1 minute passes
     And a runner of m is to retire in 20 seconds
     And 15 seconds pass
-    And all dispatchers are killed and started again
+    And all dispatchers are killed and restarted
     Then m is done within 8 minutes
 
   Scenario: Two dispatchers believe that they act
     Given a gang m of 4 members that takes 5 minutes
     When 1 minute passes
-    And each dispatcher holds all others dead
+    And each dispatcher sees all others as dead
     Then m is done within 60 minutes
 
   Scenario: The register is cut off during a retirement
     Given a gang m of 4 members that takes 5 minutes
     When 1 minute passes
     And a runner of m is to retire in 30 seconds
-    And the register is silent for 60 seconds
+    And the register is unresponsive for 60 seconds
     Then m is done within 8 minutes
 
   Scenario: A save never ends
     Given a gang m of 4 members that takes 5 minutes
-    And saves never end
+    And uploads of checkpoints hang
     When 1 minute passes
     And a runner of m is to retire in 60 seconds
     And 2 minutes pass
-    And saves end again
+    And uploads of checkpoints work again
     Then m is done within 10 minutes
 
   Scenario: A part of the newest state is damaged
     Given a gang m of 4 members that takes 10 minutes
     When 2 minutes pass
-    And states are damaged from now on
+    And checkpoints are damaged from now on
     And 1 minute passes
     And a runner of m dies
     Then m is done within 15 minutes
@@ -112,7 +112,7 @@
   Scenario: A dispatcher sleeps, and its gang has moved on when it wakes
     Given a gang m of 4 members that takes 5 minutes
     When 1 minute passes
-    And the dispatcher of m sleeps for 60 seconds
+    And the dispatcher of m is stalled for 60 seconds
     Then m is done within 12 minutes
 
   Scenario: A large gang waits for many small ones and is done
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -1,4 +1,5 @@
-// Package stories runs the operators' stories, in Gherkin, over an in-memory fleet of the real cores in virtual time.
+// Package stories runs the operators' scenarios, in Gherkin, on an in-memory fleet of the real cores in virtual time. A scenario's
+// title is its seed: another title is another run.
 package stories
 
 import (
@@ -17,13 +18,13 @@
 	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
-var seed = flag.Uint64("seed", 0, "the seed of every story; 0: each has its own, which a failing one prints")
+var seed = flag.Uint64("seed", 0, "seed of every scenario; 0: each has its own, which a failing one prints")
 
 func TestStories(t *testing.T) {
 	suite := godog.TestSuite{Name: "stories", ScenarioInitializer: scenario,
 		Options: &godog.Options{Format: "progress", Paths: []string{"features"}, TestingT: t, Strict: true, NoColors: true}}
 	if suite.Run() != 0 {
-		t.Fatal("a story failed")
+		t.Fatal("a scenario failed")
 	}
 }
 
@@ -31,15 +32,15 @@
 
 // story is one scenario's world.
 type story struct {
-	seed uint64
-	w    *virtual.World
-	opt  virtual.Options
-	two  string // two that did so at once
-	old  map[string]*fleet.Packet
+	seed      uint64
+	world     *virtual.World
+	opt       virtual.Options
+	conflict  string // a number that had two owners, if any
+	lastPings map[string]*fleet.Packet
 }
 
 func scenario(sc *godog.ScenarioContext) {
-	s := &story{old: map[string]*fleet.Packet{}}
+	s := &story{lastPings: map[string]*fleet.Packet{}}
 	sc.Before(func(ctx context.Context, sc *godog.Scenario) (context.Context, error) {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(sc.Name))
@@ -63,103 +64,103 @@
 
 // processSteps start, stop and stall processes.
 func (s *story) processSteps(sc *godog.ScenarioContext) {
-	sc.Step(`^a fleet of (\d+) dispatchers( that share budgets)?$`, s.fleet)
-	sc.Step(`^a running fleet of (\d+) dispatchers( that share budgets)?$`, s.running)
-	sc.Step(`^(d\d+|d\d+ to d\d+|all) (?:is|are) (started|killed|stopped|continued)$`, s.each)
-	sc.Step(`^(d\d+) (leaves)$`, s.each)
-	sc.Step(`^all are started one by one$`, func() error { return s.inTurn(1, 4, true) })
-	sc.Step(`^all are restarted (\d+) at a time, (\d+) intervals apart$`, func(n, gap int) error { return s.inTurn(n, gap, false) })
-	sc.Step(`^(d\d+) is started again in life (\d+)$`, func(who string, life int) error { return s.w.StartWithEpoch(s.node(who), uint64(life)) })
-	sc.Step(`^(d\d+) sleeps for (\d+) intervals$`, s.sleep)
-	sc.Step(`^the clock of (d\d+) jumps (ahead|back) by an hour$`, s.jump)
-	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.pass(n) })
+	sc.Step(`^a fleet of (\d+) dispatchers( that share budgets)?$`, s.newFleet)
+	sc.Step(`^a running fleet of (\d+) dispatchers( that share budgets)?$`, s.runningFleet)
+	sc.Step(`^(d\d+|d\d+ to d\d+|all) (?:is|are) (started|killed|stopped|continued)$`, s.apply)
+	sc.Step(`^(d\d+) (leaves)$`, s.apply)
+	sc.Step(`^all are started one by one$`, func() error { return s.startInGroups(1, 4, false) })
+	sc.Step(`^all are restarted (\d+) at a time, (\d+) intervals apart$`, func(n, gap int) error { return s.startInGroups(n, gap, true) })
+	sc.Step(`^(d\d+) is restarted with epoch (\d+)$`, func(who string, epoch int) error { return s.world.StartWithEpoch(s.node(who), uint64(epoch)) })
+	sc.Step(`^(d\d+) is stalled for (\d+) intervals$`, s.stall)
+	sc.Step(`^the clock of (d\d+) jumps (ahead|back) by an hour$`, s.jumpClock)
+	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.advance(n) })
 }
 
-// networkSteps break links and mend them.
+// networkSteps take links down and up.
 func (s *story) networkSteps(sc *godog.ScenarioContext) {
-	sc.Step(`^zone (\w) is cut off$`, func(z string) { s.cut(func(a, b *virtual.Node) bool { return (a.Zone == z) != (b.Zone == z) }) })
-	sc.Step(`^the fleet is cut in two at d(\d+)$`, func(k int) { s.cut(func(a, b *virtual.Node) bool { return (a.Number < k) != (b.Number < k) }) })
-	sc.Step(`^the link between (d\d+) and (d\d+) is cut$`, func(x, y string) {
-		s.cut(func(a, b *virtual.Node) bool { return a.Name == x && b.Name == y || a.Name == y && b.Name == x })
+	sc.Step(`^zone (\w) is partitioned from the others$`, func(z string) { s.partition(func(a, b *virtual.Node) bool { return (a.Zone == z) != (b.Zone == z) }) })
+	sc.Step(`^the fleet is partitioned at d(\d+)$`, func(k int) { s.partition(func(a, b *virtual.Node) bool { return (a.Number < k) != (b.Number < k) }) })
+	sc.Step(`^the link between (d\d+) and (d\d+) is down$`, func(x, y string) {
+		s.partition(func(a, b *virtual.Node) bool { return a.Name == x && b.Name == y || a.Name == y && b.Name == x })
 	})
-	sc.Step(`^(d\d+) can't be heard$`, func(x string) { s.cut(func(a, _ *virtual.Node) bool { return a.Name == x }) })
+	sc.Step(`^all links from (d\d+) are down$`, func(x string) { s.partition(func(a, _ *virtual.Node) bool { return a.Name == x }) })
 	sc.Step(`^(\d+)% of datagrams are lost$`, func(n int) {
-		s.w.Links(func(time.Duration, *virtual.Node, *virtual.Node) virtual.Link {
+		s.world.Links(func(time.Duration, *virtual.Node, *virtual.Node) virtual.Link {
 			return virtual.Link{Loss: float64(n) / 100}
 		})
 	})
-	sc.Step(`^the links are mended$`, func() { s.w.Links(nil) })
+	sc.Step(`^all links are up$`, func() { s.world.Links(nil) })
 }
 
-// viewSteps look at the views.
+// viewSteps check the views.
 func (s *story) viewSteps(sc *godog.ScenarioContext) {
-	sc.Step(`^within (\d+) intervals all know each other$`, func(n int) error { return s.within(n, "they agree", func() bool { return s.w.Agree() }) })
-	sc.Step(`^within (\d+) more intervals every view is settled$`, func(n int) error { return s.within(n, "every view is settled", s.settled) })
-	sc.Step(`^(d\d+) knows (nobody|\d+ others)$`, s.knows)
-	sc.Step(`^(d\d+) holds (d\d+) (dead|left|alive)$`, s.holds)
-	sc.Step(`^nobody (?:but (d\d+) )?was held dead$`, s.nobodyDied)
-	sc.Step(`^every dispatcher is in its life number (\d+)$`, s.lives)
-	sc.Step(`^what the old life of (d\d+) still sends is dropped$`, s.oldLife)
+	sc.Step(`^within (\d+) intervals all views agree$`, func(n int) error { return s.within(n, "all views agree", func() bool { return s.world.Agree() }) })
+	sc.Step(`^within (\d+) more intervals every view has converged$`, func(n int) error { return s.within(n, "every view has converged", s.allConverged) })
+	sc.Step(`^(d\d+) sees (nobody|\d+ others)$`, s.seesLiving)
+	sc.Step(`^(d\d+) sees (d\d+) as (dead|left|alive)$`, s.sees)
+	sc.Step(`^no dispatcher (?:but (d\d+) )?was declared dead$`, s.noDeaths)
+	sc.Step(`^every dispatcher was started (\d+) times$`, s.startCounts)
+	sc.Step(`^packets of the previous epoch of (d\d+) are rejected$`, s.rejectsStale)
 }
 
-// quotaSteps look at which dispatcher uses which quota.
+// quotaSteps check which dispatcher owns which number.
 func (s *story) quotaSteps(sc *godog.ScenarioContext) {
-	sc.Step(`^within (\d+) intervals every part is used( by its own dispatcher)?$`, s.whole)
-	sc.Step(`^every part is used( by its own dispatcher)?$`, func(own string) error { return s.whole(0, own) })
-	sc.Step(`^no part is used$`, func() error {
-		if by := s.parts(); len(by) > 0 {
-			return fmt.Errorf("used are %v", by)
+	sc.Step(`^within (\d+) intervals every number is owned( by its own dispatcher)?$`, s.allOwned)
+	sc.Step(`^every number is owned( by its own dispatcher)?$`, func(own string) error { return s.allOwned(0, own) })
+	sc.Step(`^no number is owned$`, func() error {
+		if by := s.owners(); len(by) > 0 {
+			return fmt.Errorf("owned are %v", by)
 		}
 		return nil
 	})
-	sc.Step(`^no part was ever used by two$`, func() error {
-		if s.two != "" {
-			return fmt.Errorf("%s", s.two)
+	sc.Step(`^no number ever had two owners$`, func() error {
+		if s.conflict != "" {
+			return fmt.Errorf("%s", s.conflict)
 		}
 		return nil
 	})
-	sc.Step(`^the part of d(\d+) is used by nobody else$`, func(n int) error {
-		if by, ok := s.parts()[n]; ok && by != fmt.Sprint("d", n) {
-			return fmt.Errorf("it is used by %s", by)
+	sc.Step(`^number (\d+) has no other owner$`, func(n int) error {
+		if by, ok := s.owners()[n]; ok && by != fmt.Sprint("d", n) {
+			return fmt.Errorf("it is owned by %s", by)
 		}
 		return nil
 	})
-	sc.Step(`^the part of d(\d+) is used on the side of d0$`, func(n int) error {
-		by := s.node(s.parts()[n])
+	sc.Step(`^number (\d+) is owned on the side of d0$`, func(n int) error {
+		by := s.node(s.owners()[n])
 		if by == nil || by.Number >= 9 {
-			return fmt.Errorf("it is used by %v", s.parts()[n])
+			return fmt.Errorf("it is owned by %v", s.owners()[n])
 		}
 		return nil
 	})
 }
 
-func (s *story) fleet(n int, shared string) error {
+func (s *story) newFleet(n int, shared string) error {
 	s.opt = virtual.Options{Seed: s.seed, Config: fleet.Config{Interval: interval}, Delay: time.Millisecond, Jitter: 10 * time.Millisecond}
 	if shared != "" {
 		s.opt.Config.TrustRefusals, s.opt.Config.Quota = true, quota.Config{Size: n, Lease: 15 * interval, GuardTime: 2 * interval}
 	}
-	s.w = virtual.New(n, s.opt)
+	s.world = virtual.New(n, s.opt)
 	return nil
 }
 
-func (s *story) running(n int, shared string) error {
-	if err := s.fleet(n, shared); err != nil {
+func (s *story) runningFleet(n int, shared string) error {
+	if err := s.newFleet(n, shared); err != nil {
 		return err
 	}
-	for _, node := range s.w.Nodes {
-		if err := s.w.Start(node); err != nil {
+	for _, node := range s.world.Nodes {
+		if err := s.world.Start(node); err != nil {
 			return err
 		}
 	}
-	s.pass(30)
-	if !s.w.Agree() {
-		return fmt.Errorf("the fleet does not come up")
+	s.advance(30)
+	if !s.world.Agree() {
+		return fmt.Errorf("the views do not agree")
 	}
 	return nil
 }
 
 func (s *story) node(name string) *virtual.Node {
-	for _, n := range s.w.Nodes {
+	for _, n := range s.world.Nodes {
 		if n.Name == name {
 			return n
 		}
@@ -167,86 +168,87 @@
 	return nil
 }
 
-// nodes returns those that "d1", "d1 to d3" or "all" names.
+// nodes returns the nodes that "d1", "d1 to d3" or "all" names.
 func (s *story) nodes(which string) []*virtual.Node {
 	if which == "all" {
-		return s.w.Nodes
+		return s.world.Nodes
 	}
 	first, last, span := strings.Cut(which, " to ")
 	if !span {
 		last = first
 	}
-	return s.w.Nodes[s.node(first).Number : s.node(last).Number+1]
+	return s.world.Nodes[s.node(first).Number : s.node(last).Number+1]
 }
 
-func (s *story) each(which, what string) error {
+func (s *story) apply(which, what string) error {
 	for _, n := range s.nodes(which) {
 		switch what {
 		case "started":
-			if err := s.w.Start(n); err != nil {
+			if err := s.world.Start(n); err != nil {
 				return err
 			}
 		case "killed":
-			s.old[n.Name] = &fleet.Packet{Kind: fleet.Ping, From: n.Core.Snapshot().Self}
-			s.w.Kill(n)
+			s.lastPings[n.Name] = &fleet.Packet{Kind: fleet.Ping, From: n.Core.Snapshot().Self}
+			s.world.Kill(n)
 		case "leaves":
-			s.w.Leave(n)
+			s.world.Leave(n)
 		case "stopped":
-			s.w.Stop(n)
+			s.world.Stop(n)
 		case "continued":
-			s.w.Continue(n)
+			s.world.Continue(n)
 		}
 	}
 	return nil
 }
 
-func (s *story) inTurn(n, gap int, fresh bool) error {
-	for i := 0; i < len(s.w.Nodes); i += n {
-		for _, node := range s.w.Nodes[i:min(i+n, len(s.w.Nodes))] {
-			if !fresh {
-				s.w.Kill(node)
-				s.pass(1)
+// startInGroups starts n nodes at a time, gap intervals apart; with restart, those that run are killed first.
+func (s *story) startInGroups(n, gap int, restart bool) error {
+	for i := 0; i < len(s.world.Nodes); i += n {
+		for _, node := range s.world.Nodes[i:min(i+n, len(s.world.Nodes))] {
+			if restart {
+				s.world.Kill(node)
+				s.advance(1)
 			}
-			if err := s.w.Start(node); err != nil {
+			if err := s.world.Start(node); err != nil {
 				return err
 			}
 		}
-		s.pass(gap)
+		s.advance(gap)
 	}
 	return nil
 }
 
-func (s *story) sleep(who string, n int) {
-	s.w.Stop(s.node(who))
-	s.pass(n)
-	s.w.Continue(s.node(who))
+func (s *story) stall(who string, n int) {
+	s.world.Stop(s.node(who))
+	s.advance(n)
+	s.world.Continue(s.node(who))
 }
 
-func (s *story) jump(who, way string) {
+func (s *story) jumpClock(who, way string) {
 	s.node(who).Skew = map[string]time.Duration{"ahead": time.Hour, "back": -time.Hour}[way]
 }
 
-func (s *story) cut(is func(a, b *virtual.Node) bool) {
-	s.w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Down: is(a, b)} })
+func (s *story) partition(is func(a, b *virtual.Node) bool) {
+	s.world.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Down: is(a, b)} })
 }
 
-// pass lets intervals pass and looks, several times in each, whether two act for one number.
-func (s *story) pass(n int) {
+// advance advances time by n intervals, and checks several times in each that no number has two owners.
+func (s *story) advance(n int) {
 	for range 4 * n {
-		s.w.For(interval / 4)
+		s.world.For(interval / 4)
 		if s.opt.Config.TrustRefusals {
-			s.parts()
+			s.owners()
 		}
 	}
 }
 
-// parts returns who acts for which number now.
-func (s *story) parts() map[int]string {
+// owners returns the name of the owner of each number.
+func (s *story) owners() map[int]string {
 	by := map[int]string{}
-	for _, n := range s.w.Running() {
-		for _, k := range n.Core.Numbers(s.w.Now + n.Skew) {
+	for _, n := range s.world.Running() {
+		for _, k := range n.Core.Numbers(s.world.Now + n.Skew) {
 			if by[k] != "" {
-				s.two = fmt.Sprintf("at %v part %d is used by %s and %s", s.w.Now, k, by[k], n.Name)
+				s.conflict = fmt.Sprintf("at %v number %d is owned by %s and %s", s.world.Now, k, by[k], n.Name)
 			}
 			by[k] = n.Name
 		}
@@ -259,16 +261,16 @@
 		if ok() {
 			return nil
 		}
-		s.pass(1)
+		s.advance(1)
 	}
 	if !ok() {
-		return fmt.Errorf("%d intervals on it is not so that %s", n, what)
+		return fmt.Errorf("not after %d intervals: %s", n, what)
 	}
 	return nil
 }
 
-func (s *story) settled() bool {
-	for _, n := range s.w.Running() {
+func (s *story) allConverged() bool {
+	for _, n := range s.world.Running() {
 		if !n.Core.Snapshot().Converged {
 			return false
 		}
@@ -276,68 +278,68 @@
 	return true
 }
 
-func (s *story) knows(who, whom string) error {
+func (s *story) seesLiving(who, whom string) error {
 	want := 0
 	_, _ = fmt.Sscan(whom, &want) // nobody is 0
 	if got := s.node(who).Core.Living() - 1; got != want {
-		return fmt.Errorf("%s knows %d", who, got)
+		return fmt.Errorf("%s sees %d", who, got)
 	}
 	return nil
 }
 
-func (s *story) holds(who, whom, state string) error {
+func (s *story) sees(who, whom, state string) error {
 	for _, m := range s.node(who).Core.Snapshot().Members {
 		if m.Name == whom {
 			if m.State.String() != state {
-				return fmt.Errorf("%s holds it %s", who, m.State)
+				return fmt.Errorf("%s sees it as %s", who, m.State)
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("%s does not know %s", who, whom)
+	return fmt.Errorf("%s does not see %s", who, whom)
 }
 
-func (s *story) nobodyDied(but string) error {
-	for _, n := range s.w.Nodes {
+func (s *story) noDeaths(but string) error {
+	for _, n := range s.world.Nodes {
 		for _, c := range n.Changes {
 			if c.Kind == fleet.Died && c.Member.Name != but {
-				return fmt.Errorf("%s held %s dead at %v", n.Name, c.Member.Name, c.At)
+				return fmt.Errorf("%s declared %s dead at %v", n.Name, c.Member.Name, c.At)
 			}
 		}
 	}
 	return nil
 }
 
-func (s *story) lives(n int) error {
-	for _, node := range s.w.Nodes {
+func (s *story) startCounts(n int) error {
+	for _, node := range s.world.Nodes {
 		if node.Starts() != n {
-			return fmt.Errorf("%s is in its life number %d", node.Name, node.Starts())
+			return fmt.Errorf("%s was started %d times", node.Name, node.Starts())
 		}
 	}
 	return nil
 }
 
-func (s *story) oldLife(who string) error {
+func (s *story) rejectsStale(who string) error {
 	n := s.node(who)
-	for _, other := range s.w.Nodes {
+	for _, other := range s.world.Nodes {
 		if other == n {
 			continue
 		}
-		if v := other.Core.Receive(s.w.Now, n.Addr, s.old[who]); v != fleet.StaleEpoch {
-			return fmt.Errorf("%s took it: %s", other.Name, v)
+		if v := other.Core.Receive(s.world.Now, n.Addr, s.lastPings[who]); v != fleet.StaleEpoch {
+			return fmt.Errorf("%s did not reject it: %s", other.Name, v)
 		}
 	}
 	return nil
 }
 
-func (s *story) whole(n int, own string) error {
-	return s.within(n, "every part is used"+own, func() bool {
-		by := s.parts()
+func (s *story) allOwned(n int, own string) error {
+	return s.within(n, "every number is owned"+own, func() bool {
+		by := s.owners()
 		for k, who := range by {
 			if own != "" && who != fmt.Sprint("d", k) {
 				return false
 			}
 		}
-		return len(by) == len(s.w.Nodes)
+		return len(by) == len(s.world.Nodes)
 	})
 }
