--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -108,12 +108,12 @@
 	p.sentAt = max(p.sentAt, sent)
 }
 
-// Merge records another dispatcher's proofs, which came with the answer to a request of the time asked. Their ages count from when
+// Merge records another dispatcher's proofs, which came with the answer to a request sent at requestedAt. Their ages count from when
 // the answer was sent, which is not before the request was, so counting them from the request is safe.
-func (t *Tracker) Merge(now, asked time.Duration, proofs []Proof) {
+func (t *Tracker) Merge(now, requestedAt time.Duration, proofs []Proof) {
 	for _, p := range proofs {
 		if p.Age >= 0 && p.Age < t.cfg.Lease {
-			t.Refused(now, p.Number, asked-p.Age)
+			t.Refused(now, p.Number, requestedAt-p.Age)
 		}
 	}
 }
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -107,16 +107,16 @@
 		return d[string(packet.TooLong)] == 1 && d[string(packet.Foreign)] == 1 && d[string(packet.Forged)] == 1 && d[string(packet.Malformed)] == 2
 	})
 
-	again := run(t, "b", 1, roster) // an upgrade in place: the old one still has the socket
+	upgraded := run(t, "b", 1, roster) // an upgrade in place: the old one still has the socket
 	time.Sleep(4 * bindRetryInterval)
-	assert.Nil(t, again.View())
-	assert.Empty(t, again.numbers())
+	assert.Nil(t, upgraded.View())
+	assert.Empty(t, upgraded.numbers())
 	b.stop()
 	assert.Empty(t, b.numbers(), "a member that leaves owns nothing before its socket closes")
-	eventually("the new process takes part", func() bool { return living(again) == 2 })
-	eventually("and owns its number", func() bool { return len(again.numbers()) == 1 })
+	eventually("the new process takes part", func() bool { return living(upgraded) == 2 })
+	eventually("and owns its number", func() bool { return len(upgraded.numbers()) == 1 })
 
-	again.stop()
+	upgraded.stop()
 	eventually("the number of the dead member passes", func() bool { return len(a.numbers()) == 2 })
 	assert.Equal(t, 1, living(a))
 	last := run(t, "b", 1, roster)
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -272,11 +272,11 @@
 			continue
 		}
 		l := w.link(n, to)
-		copies := 1
+		deliveries := 1
 		if w.rng.Float64() < l.Double {
-			copies = 2
+			deliveries = 2
 		}
-		for range copies {
+		for range deliveries {
 			if l.Down || w.rng.Float64() < l.Loss {
 				continue
 			}
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -63,7 +63,7 @@
 	kind       messageKind
 	gang       string
 	record     Record
-	version    int // that a write names, or an answer returns
+	version    int // that a write names, or a reply returns
 	outcome    Outcome
 	generation uint64
 	saveNumber int
@@ -178,34 +178,34 @@
 	}
 }
 
-// deliver lets message k arrive; of a write whose answer is lost, the outcome is unknown.
+// deliver lets message k arrive; of a write whose reply is lost, the outcome is unknown.
 func (s *state) deliver(k int, lost bool) error {
 	m := s.messages[k]
 	s.messages = append(s.messages[:k:k], s.messages[k+1:]...)
-	answer := m
+	reply := m
 	switch m.kind {
 	case writeSent:
-		answer.kind, answer.outcome = wroteReply, Conflict
+		reply.kind, reply.outcome = wroteReply, Conflict
 		if s.versions[m.gang] == m.version {
 			if err := s.check(m.record); err != nil {
 				return err
 			}
 			s.versions[m.gang]++
-			s.records[m.gang], answer.outcome, answer.version = m.record, Written, s.versions[m.gang]
+			s.records[m.gang], reply.outcome, reply.version = m.record, Written, s.versions[m.gang]
 		}
 		if lost {
-			answer.outcome = Unknown
+			reply.outcome = Unknown
 		}
-		s.messages = append(s.messages, answer)
+		s.messages = append(s.messages, reply)
 		return nil
 	case readSent:
-		answer.kind, answer.record, answer.version = gotReply, s.records[m.gang], s.versions[m.gang]
-		s.messages = append(s.messages, answer)
+		reply.kind, reply.record, reply.version = gotReply, s.records[m.gang], s.versions[m.gang]
+		s.messages = append(s.messages, reply)
 		return nil
 	case listSent:
-		answer.kind = partsReply
+		reply.kind = partsReply
 		if s.complete[fmt.Sprint(m.gang, m.generation, "/", m.saveNumber)] {
-			s.messages = append(s.messages, answer)
+			s.messages = append(s.messages, reply)
 		}
 		return nil
 	}
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -69,13 +69,13 @@
 	}
 	for _, n := range w.Gangs() {
 		rec := w.Record(n)
-		leaves := false
+		relocates := false
 		for _, p := range rec.Placement {
 			var at int
 			_, _ = fmt.Sscanf(p, "r%d", &at)
-			leaves = leaves || at%3 == 0
+			relocates = relocates || at%3 == 0
 		}
-		if left := rec.Needs[0].Work - w.Now.Sub(epoch); leaves && left > 12*time.Minute {
+		if left := rec.Needs[0].Work - w.Now.Sub(epoch); relocates && left > 12*time.Minute {
 			moved++
 			limit += float64(len(rec.Needs))*200e6/c.Bandwidth + opt.Start.Seconds()
 		}
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -261,10 +261,10 @@
 // request sends a call to the register. there runs at the register and returns what the answer's arrival does; lost, if not nil, runs
 // instead if no answer comes.
 func (w *World) request(d *Dispatcher, there func() func(), lost func()) {
-	life := d.epoch
+	epoch := d.epoch
 	back := func(f func()) {
 		w.after(w.opt.Latency/2, func() {
-			if f != nil && d.Core != nil && d.epoch == life {
+			if f != nil && d.Core != nil && d.epoch == epoch {
 				if d.Stopped { // it reads the answer when it continues
 					w.after(w.opt.Step, func() { w.request(d, func() func() { return f }, nil) })
 					return
