--- a/internal/cluster/control/snapshot_sessions.go
+++ b/internal/cluster/control/snapshot_sessions.go
@@ -64,7 +64,7 @@
 func (a *administrator) readChunk(request *administration.SnapshotRequest) (*administration.SnapshotResponse, error) {
 	session := a.sessions[request.Session]
 	if session == nil || session.shard != request.Shard || request.Offset < 0 || request.Offset > len(session.data) {
-		return nil, failure.New(failure.Conflict, "this snapshot is no longer kept: start again")
+		return nil, failure.New(failure.Conflict, "the snapshot has expired: restart the transfer")
 	}
 	session.lastReadAt = a.control.engine.Now()
 	end := min(request.Offset+snapshotChunkBytes, len(session.data))
--- a/internal/cluster/localcluster/system.go
+++ b/internal/cluster/localcluster/system.go
@@ -111,7 +111,7 @@
 				return nil
 			}
 			if err != nil {
-				return errors.Wrapf(err, "the system is not ready; look at the logs under %s", s.options.Dir)
+				return errors.Wrapf(err, "the system is not ready; see the logs under %s", s.options.Dir)
 			}
 			s.printIntroduction()
 			ready = nil
--- a/internal/cluster/transport/client.go
+++ b/internal/cluster/transport/client.go
@@ -96,7 +96,7 @@
 func (c *Client) do(ctx context.Context, address string, request, response any, kind callKind) error {
 	select {
 	case <-ctx.Done():
-		return failure.Newf(failure.Unavailable, "%s: not asked: %v", address, ctx.Err())
+		return failure.Newf(failure.Unavailable, "%s: not sent: %v", address, ctx.Err())
 	default:
 	}
 	connection, err := c.connection(address)
@@ -152,7 +152,7 @@
 	if pending.kind == shortCall {
 		c.scheduleProbe()
 	}
-	return failure.Newf(failure.UnknownOutcome, "%s: no answer: %v", from.peer.address, ctx.Err())
+	return failure.Newf(failure.UnknownOutcome, "%s: no response: %v", from.peer.address, ctx.Err())
 }
 
 // connection returns the connection to an address, a new one if there is none.
--- a/internal/cluster/transport/session.go
+++ b/internal/cluster/transport/session.go
@@ -102,7 +102,7 @@
 		s.sendFailure(h.id, failure.Newf(failure.Unavailable, "nothing here answers a %s", name))
 		return s.in.skip()
 	case s.outstanding.Load() >= int64(s.server.options.MaxOutstanding):
-		s.sendFailure(h.id, failure.Newf(failure.Unavailable, "%d calls of one connection have no answer", s.outstanding.Load()))
+		s.sendFailure(h.id, failure.Newf(failure.Unavailable, "%d calls of one connection are pending", s.outstanding.Load()))
 		return s.in.skip()
 	}
 	s.outstanding.Add(1)
