--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -110,9 +110,9 @@
 	})
 }
 
-// OwnersChanged sets the members and owners. Their revision is a hash of them, so that successive owners of the
+// SetOwners sets the members and owners. Their revision is a hash of them, so that successive owners of the
 // configuration that know the same give it the same number.
-func (f *Feed) OwnersChanged(members []protocol.Member, owners map[protocol.ShardID]string) {
+func (f *Feed) SetOwners(members []protocol.Member, owners map[protocol.ShardID]string) {
 	f.members = slices.Clone(members)
 	slices.SortFunc(f.members, func(a, b protocol.Member) int { return cmp.Compare(a.ID, b.ID) })
 	f.owners = maps.Clone(owners)
--- a/internal/cluster/control/feed_test.go
+++ b/internal/cluster/control/feed_test.go
@@ -63,7 +63,7 @@
 		source = &fakeSource{version: 5}
 		feed = NewFeed(source)
 		feed.BecomeLeader()
-		feed.OwnersChanged(members, owners)
+		feed.SetOwners(members, owners)
 		revision = feed.revision
 	})
 
@@ -169,7 +169,7 @@
 
 	It("needs a confirmation at once when owners or members change", func() {
 		pending := current(0)
-		feed.OwnersChanged(members, map[protocol.ShardID]string{0: "10.0.0.1:7380", 3: "10.0.0.1:7380"})
+		feed.SetOwners(members, map[protocol.ShardID]string{0: "10.0.0.1:7380", 3: "10.0.0.1:7380"})
 		Expect(feed.BeginConfirmation(10 * at)).To(BeTrue())
 		feed.Confirmed(13 * at)
 		Expect(pending.response.OwnersAt).NotTo(Equal(revision))
@@ -179,7 +179,7 @@
 
 	It("gives the same owners the same revision in every process", func() {
 		other := NewFeed(source)
-		other.OwnersChanged([]protocol.Member{members[1], members[0]}, owners)
+		other.SetOwners([]protocol.Member{members[1], members[0]}, owners)
 		Expect(other.revision).To(Equal(revision))
 		Expect(NewFeed(source).revision).To(BeZero())
 	})
@@ -205,7 +205,7 @@
 		result := &answered{}
 		feed.Watch(0, &protocol.WatchRequest{Version: 4, Owners: revision, WaitMs: 1000, OwnersOnly: true}, result.reply)
 		Expect(feed.BeginConfirmation(0)).To(BeFalse())
-		feed.OwnersChanged(members, map[protocol.ShardID]string{3: "10.0.0.1:7380"})
+		feed.SetOwners(members, map[protocol.ShardID]string{3: "10.0.0.1:7380"})
 		Expect(feed.BeginConfirmation(10 * at)).To(BeTrue())
 		feed.Confirmed(13 * at)
 		Expect(result.response.Configuration).To(BeNil())
--- a/internal/cluster/control/owners.go
+++ b/internal/cluster/control/owners.go
@@ -26,5 +26,5 @@
 	for _, m := range c.engine.Members(c.configuration.group()) {
 		members = append(members, protocol.Member{ID: uint64(m.ID), Node: m.Node, Zone: m.Zone, Address: m.Address})
 	}
-	c.configuration.feed.OwnersChanged(members, owners)
+	c.configuration.feed.SetOwners(members, owners)
 }
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -178,8 +178,8 @@
 		return membershipPlan{}, false
 	}
 	for _, member := range voters {
-		goes := member.avoidsLeadership || member.unresponsiveFor() >= surplusVoterTimeout
-		if goes && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
+		isSurplus := member.avoidsLeadership || member.unresponsiveFor() >= surplusVoterTimeout
+		if isSurplus && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
 			plan := view.without(member.ID)
 			plan.reason = fmt.Sprintf("voter %x is surplus", uint64(member.ID))
 			return plan, true
