--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -34,7 +34,7 @@
 	Done     Phase = "done"   // every member of one generation finished
 )
 
-// Ended reports whether no step leads on from the phase.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Done }
 
 // Need is what one member requires of its runner.
@@ -42,8 +42,7 @@
 	Class string  `json:"class"`
 	Kind  string  `json:"kind,omitempty"` // of the runner; empty: any
 	Slots float64 `json:"slots"`
-	// Work is how long it runs on a runner of speed 1.
-	// In JSON it is in nanoseconds.
+	// Work is how long it runs on a runner of speed 1; in JSON, nanoseconds.
 	Work time.Duration `json:"work_ns"`
 	// StateBytes is the size of its part of a checkpoint.
 	StateBytes int64 `json:"saved_bytes"`
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -1,65 +1,67 @@
 package store
 
 import (
-	"fmt"
 	"runtime"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"ospreypond/internal/store/manifest"
-	"ospreypond/internal/store/plan"
-	"ospreypond/internal/store/segment"
 )
 
-// groupBytes bounds what is written and synced at once, so that a commit waits for no more than that before its own.
-const groupBytes = 4 << 20
-
-// marksMost bounds how many points of time the manifest remembers.
-const marksMost = 256
+const (
+	// maxGroupBytes bounds what is written and synced at once, so that a commit waits for no more than that before its own.
+	maxGroupBytes = 4 << 20
+	// maxGroupWait bounds how long a commit waits for others to join its group, however slow the disk is.
+	maxGroupWait = 2 * time.Millisecond
+)
 
-// writer owns the open segment. All that changes it happens in its goroutine.
+// writer owns the open segment: it appends commits in groups, one write and one sync a group. Its goroutine alone changes
+// the segment; append.go has what it does with a group, roll.go how one segment follows another.
 type writer struct {
-	mu       sync.Mutex
-	queue    []*request
-	stopped  bool
-	wake     chan struct{}
-	written  chan written    // to the applier
-	spare    chan []*request // and back
-	last     int             // in the last group
-	syncTook time.Duration   // on average, lately
-
-	h          *handle
-	id         uint64
-	size       atomic.Int64
-	seq        uint64      // of the last frame written
-	spares     chan *spare // the next segment, once it is ready
-	preparing  bool
-	prepared   bool  // there may be zeros behind what was written
-	dirty      bool  // something written is not synced
-	tombstones int64 // as in plan.Segment, of the open segment
-	puts       int64
-	begun      time.Time // of the first frame in the open segment
-	buf        []byte
-	since      atomic.Int64 // bytes of log that the index on disk, or on its way there, does not know
-
+	mu      sync.Mutex // guards queue and stopped
+	queue   []*request
+	stopped bool
+	wake    chan struct{}
+
+	written    chan writtenGroup // to the applier
+	freeGroups chan []*request   // slices that the applier is done with
+
+	// What follows belongs to the writer's goroutine, but for the atomics, which others read.
+
+	lastGroupLen int           // how many commits were in the last group
+	meanSync     time.Duration // how long a sync takes: a moving average
+
+	file             *handle // of the open segment
+	segmentID        uint64
+	size             atomic.Int64          // of the open segment, without zeros at its end
+	seq              uint64                // of the last frame written
+	preparedSegments chan *preparedSegment // the next segment once it is ready; nil if preparing it failed
+	preparing        bool
+	mayHaveZeros     bool      // the file may be longer than what was written, filled with zeros
+	dirty            bool      // something written is not synced
+	tombstones       int64     // as in plan.Segment, of the open segment
+	puts             int64     // as in plan.Segment, of the open segment
+	firstCommitAt    time.Time // when the first frame in the open segment was written
+	writeBuf         []byte
+
+	unindexed      atomic.Int64 // bytes of log that neither the table nor a frozen layer covers
 	syncs, commits atomic.Uint64
 }
 
-// request is a batch to commit, or something else for the writer's goroutine to do.
+// request is a batch to commit, or with fn set, a function to call in the writer's goroutine.
 type request struct {
-	b    *Batch
-	do   func() error
-	seq  uint64
-	done chan error
+	batch *Batch
+	fn    func() error
+	seq   uint64 // of the batch's commit, once there is one
+	done  chan error
 }
 
-var requests = sync.Pool{New: func() any { return &request{done: make(chan error, 1)} }}
+var requestPool = sync.Pool{New: func() any { return &request{done: make(chan error, 1)} }}
 
-// Commit has a batch take effect and returns its sequence number. Numbers count up by one with each batch. Once it
-// returns, readers see the batch; whether it is on disk then is up to Options.SyncEvery. After an error the batch had
-// no effect, except for ErrReadOnly, after which that is unknown.
+// Commit applies a batch and returns its sequence number, which is one higher than the previous batch's. Once it returns,
+// readers see the batch; whether it is on disk by then depends on Options.SyncEvery. After an error the batch had no
+// effect, except after ErrReadOnly: whether it had one is then known only when the store is opened again. An empty batch
+// commits nothing and returns the number of the last commit.
 func (s *Store) Commit(b *Batch) (uint64, error) {
 	if err := b.check(); err != nil {
 		return 0, err
@@ -69,17 +71,18 @@
 		defer s.mu.RUnlock()
 		return s.seq, nil
 	}
-	r := requests.Get().(*request)
-	defer requests.Put(r)
-	r.b, r.do, r.seq = b, nil, 0
-	if err := s.w.submit(r); err != nil {
+	r := requestPool.Get().(*request)
+	defer requestPool.Put(r)
+	r.batch, r.fn, r.seq = b, nil, 0
+	if err := s.writer.submit(r); err != nil {
 		return 0, err
 	}
 	err := <-r.done
-	r.b = nil
+	r.batch = nil
 	return r.seq, err
 }
 
+// submit queues a request. It returns ErrClosed once the writer was stopped.
 func (w *writer) submit(r *request) error {
 	w.mu.Lock()
 	if w.stopped {
@@ -88,39 +91,38 @@
 	}
 	w.queue = append(w.queue, r)
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 	return nil
 }
 
-func (w *writer) rouse() {
+// wakeUp has the goroutine look at the queue.
+func (w *writer) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// control has f run in the writer's goroutine.
-func (w *writer) control(s *Store, f func() error) error {
-	r := &request{do: f, done: make(chan error, 1)}
+// runInWriter calls f in the writer's goroutine, once the commits before it are in the index, and returns its error.
+func (w *writer) runInWriter(f func() error) error {
+	r := &request{fn: f, done: make(chan error, 1)}
 	if err := w.submit(r); err != nil {
 		return err
 	}
 	return <-r.done
 }
 
-// stop has the goroutine end once the queue is empty; nothing more can be submitted.
+// stop has the goroutine end once the queue is empty. From then on submit refuses.
 func (w *writer) stop() {
 	w.mu.Lock()
 	w.stopped = true
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 }
 
-func (w *writer) tail() int64 { return w.since.Load() }
-
 // run is the writer's goroutine.
 func (w *writer) run(s *Store) {
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	var tick <-chan time.Time
 	if s.opt.SyncEvery > 0 {
 		t := time.NewTicker(s.opt.SyncEvery)
@@ -132,25 +134,25 @@
 		select {
 		case <-tick:
 			if s.fault.Load() == nil {
-				_ = w.sync(s) // it poisons the store
+				_ = w.sync(s) // it turns the store read-only
 			}
 			continue
 		case <-w.wake:
 		}
-		w.gather()
+		w.awaitGroup()
 		w.mu.Lock()
 		queue, w.queue = w.queue, queue[:0]
 		open = !w.stopped
 		w.mu.Unlock()
 		group, bytes := w.takeGroup(), 0
 		for _, r := range queue {
-			if r.do != nil || bytes+r.size() > groupBytes {
+			if r.fn != nil || bytes+r.size() > maxGroupBytes {
 				w.commit(s, group)
 				group, bytes = w.takeGroup(), 0
 			}
-			if r.do != nil {
-				w.settle()
-				r.done <- r.do()
+			if r.fn != nil {
+				w.awaitApplied()
+				r.done <- r.fn()
 				continue
 			}
 			group, bytes = append(group, r), bytes+r.size()
@@ -158,27 +160,27 @@
 		w.commit(s, group)
 		clear(queue)
 	}
-	w.settle()
+	w.awaitApplied()
 	close(w.written)
 	if s.opt.SyncEvery > 0 && s.fault.Load() == nil {
 		_ = w.sync(s)
 	}
 }
 
-// gather waits a moment for those whose commits have just been answered and who may come again. Without it writers
+// awaitGroup waits a moment for the callers whose commits were just acknowledged to commit again. Without it callers
 // fall into two halves, of which each waits for the other's sync and then for its own: two syncs where one would do.
-// It waits no longer than half a sync takes, and only where several came together the last time.
-func (w *writer) gather() {
-	last := w.last
-	w.last = 0
+// It waits for no longer than half a sync takes, and only if the last group had several commits.
+func (w *writer) awaitGroup() {
+	last := w.lastGroupLen
+	w.lastGroupLen = 0
 	if last < 2 {
 		return
 	}
-	// By yielding, as timers are too coarse: the processor goes to those who are waited for.
+	// It yields, as timers are too coarse, so that the callers get the processor.
 	want := -1
-	for began, limit := time.Now(), min(w.syncTook/2, gatherMost); time.Since(began) < limit; runtime.Gosched() {
+	for began, limit := time.Now(), min(w.meanSync/2, maxGroupWait); time.Since(began) < limit; runtime.Gosched() {
 		w.mu.Lock()
-		n, stopped := len(w.queue), w.stopped || slices.ContainsFunc(w.queue, func(r *request) bool { return r.do != nil })
+		n, stopped := len(w.queue), w.stopped || slices.ContainsFunc(w.queue, func(r *request) bool { return r.fn != nil })
 		w.mu.Unlock()
 		if want < 0 {
 			want = n + last
@@ -189,25 +191,23 @@
 	}
 }
 
-// gatherMost bounds what a commit waits for others, however slow the disk is.
-const gatherMost = 2 * time.Millisecond
-
+// size is how many bytes of log the request takes.
 func (r *request) size() int {
-	if r.b == nil {
+	if r.batch == nil {
 		return 0
 	}
-	return len(r.b.frame)
+	return len(r.batch.frame)
 }
 
-// written is a group that is on its way from the log to the index.
-type written struct {
+// writtenGroup is a group that is in the log and not in the index yet.
+type writtenGroup struct {
 	group   []*request
 	segment uint32
-	at      uint32        // where its first frame lies
-	settled chan struct{} // instead of a group: closed once all before is in the index
+	offset  uint32        // where its first frame lies
+	applied chan struct{} // instead of a group: closed once all before is in the index
 }
 
-// commit writes batches, syncs once, and hands them on to the applier.
+// commit writes a group, syncs once, and passes it on to the applier; if that fails, it answers the group itself.
 func (w *writer) commit(s *Store, group []*request) {
 	if len(group) == 0 {
 		return
@@ -221,241 +221,23 @@
 		return
 	}
 	w.commits.Add(uint64(len(group)))
-	w.last = len(group)
-	w.written <- written{group: group, segment: uint32(w.id), at: at}
+	w.lastGroupLen = len(group)
+	w.written <- writtenGroup{group: group, segment: uint32(w.segmentID), offset: at}
 }
 
-// settle waits until all that was written is in the index.
-func (w *writer) settle() {
+// awaitApplied returns when all that was written is in the index.
+func (w *writer) awaitApplied() {
 	done := make(chan struct{})
-	w.written <- written{settled: done}
+	w.written <- writtenGroup{applied: done}
 	<-done
 }
 
-// takeGroup returns an empty slice for a group, one that the applier is done with if there is any.
+// takeGroup returns an empty slice for a group, if possible one that the applier is done with.
 func (w *writer) takeGroup() []*request {
 	select {
-	case g := <-w.spare:
+	case g := <-w.freeGroups:
 		return g
 	default:
 		return nil
 	}
 }
-
-// write returns where the group's first frame lies.
-func (w *writer) write(s *Store, group []*request) (uint32, error) {
-	if err := s.Err(); err != nil {
-		return 0, err
-	}
-	total := 0
-	for _, r := range group {
-		total += len(r.b.frame)
-	}
-	if plan.Full(w.size.Load(), int64(total), s.limits) {
-		if err := w.roll(s); err != nil {
-			return 0, err
-		}
-		w.settle()
-		w.freezeIfDue(s)
-	}
-	now := s.opt.Now()
-	start, buf, seq := w.size.Load(), w.buf[:0], w.seq
-	for _, r := range group {
-		seq++
-		r.seq = seq
-		segment.FinishFrame(r.b.frame, segment.Frame{Seq: seq, Durable: s.durable.Load(), Time: now})
-		if len(group) > 1 {
-			buf = append(buf, r.b.frame...)
-		}
-	}
-	if len(group) == 1 {
-		buf = group[0].b.frame
-	} else if w.buf = buf; cap(buf) > groupBytes {
-		w.buf = nil
-	}
-	if _, err := w.h.f.WriteAt(buf, start); err != nil {
-		return 0, w.undo(s, start, err)
-	}
-	w.seq, w.dirty = seq, true
-	w.size.Add(int64(total))
-	w.since.Add(int64(total))
-	if start == segment.HeaderSize {
-		w.begun = now
-	}
-	if s.opt.SyncEvery == 0 {
-		if err := w.sync(s); err != nil {
-			return 0, err
-		}
-	}
-	for _, r := range group {
-		w.count(r.b)
-	}
-	return uint32(start), nil
-}
-
-// count keeps the open segment's figures.
-func (w *writer) count(b *Batch) {
-	for i := range b.ops {
-		if o := &b.ops[i]; o.end != "" || o.dead() {
-			w.tombstones += tombstoneBytes(len(o.key), len(o.end))
-		} else {
-			w.puts += plan.PutBytes(len(o.key), int(o.loc.Size))
-		}
-	}
-}
-
-func tombstoneBytes(key, end int) int64 { return int64(segment.FrameSize + key + end + 4) }
-
-// undo takes back a write that failed, so that nothing half-written counts and the next one begins where this did.
-func (w *writer) undo(s *Store, size int64, cause error) error {
-	err := fmt.Errorf("store: writing %s: %w", w.h.name, cause)
-	if terr := w.h.f.Truncate(size); terr != nil {
-		return s.poison("taking back a write that failed with "+cause.Error(), terr)
-	}
-	// Without the sync a power cut could bring back what was reported as failed.
-	if serr := w.h.f.Sync(); serr != nil {
-		return s.poison("taking back a write that failed with "+cause.Error(), serr)
-	}
-	w.dirty = false
-	s.durable.Store(w.seq)
-	return err
-}
-
-// sync has all that was written be on disk.
-func (w *writer) sync(s *Store) error {
-	if err := s.Err(); err != nil {
-		return err
-	}
-	if !w.dirty {
-		return nil
-	}
-	w.syncs.Add(1)
-	at := time.Now()
-	if err := w.h.f.Sync(); err != nil {
-		return s.poison("syncing "+w.h.name, err)
-	}
-	w.syncTook += (time.Since(at) - w.syncTook) / 8
-	w.dirty = false
-	s.durable.Store(w.seq)
-	return nil
-}
-
-// roll seals the open segment and opens the next. With nothing in the open one it does nothing.
-func (w *writer) roll(s *Store) error {
-	if w.size.Load() == segment.HeaderSize {
-		return nil
-	}
-	if err := w.sync(s); err != nil {
-		return err
-	}
-	if err := w.trim(s); err != nil {
-		return fmt.Errorf("store: sealing %s: %w", w.h.name, err)
-	}
-	id, h, prepared, err := w.nextSegment(s)
-	if err != nil {
-		return fmt.Errorf("store: opening the next segment: %w", err)
-	}
-	now := s.opt.Now().UnixMilli()
-	retained := s.retained()
-	err = s.install(func(m *manifest.Manifest) {
-		for i := range m.Segments {
-			if g := &m.Segments[i]; g.ID == w.id {
-				g.Sealed, g.Last, g.Size = true, w.seq, w.size.Load()
-				g.Tombstones, g.Puts = w.tombstones, w.puts
-				g.Live = g.LiveBytes(g.Puts)
-			}
-		}
-		m.Segments = append(m.Segments, plan.Segment{ID: id, Kind: plan.Log, First: w.seq + 1})
-		m.Marks = plan.Trim(append(m.Marks, plan.Mark{Seq: w.seq, UnixMs: now}), marksMost)
-		for space, r := range retained {
-			byAge := plan.Retention{AgeMs: r.AgeMs}
-			if f := plan.Floor(m.Floors[space], byAge, m.Marks, nil, now); f > 0 {
-				m.Floors[space] = f
-			}
-		}
-	})
-	if err != nil {
-		h.unref()
-		if s.fault.Load() == nil { // otherwise the manifest on disk may name it
-			_ = s.opt.FS.Remove(s.path(h.name))
-		}
-		return err
-	}
-	s.swap(func(v *version) *version {
-		segs := cloneSegs(v.segs)
-		segs[uint32(id)] = h
-		return newVersion(v.frozen, v.base, segs, s.floors())
-	})
-	w.h.unref()
-	w.h, w.id, w.tombstones, w.puts, w.prepared = h, id, 0, 0, prepared
-	w.size.Store(segment.HeaderSize)
-	w.prepareNext(s)
-	return nil
-}
-
-// newSegment makes a segment file that is on disk with its header when it returns.
-func (s *Store) newSegment(head segment.Header) (*handle, error) {
-	name := segmentName(head.ID)
-	f, err := s.opt.FS.Create(s.path(name))
-	if err != nil {
-		return nil, err
-	}
-	if _, err = f.WriteAt(segment.AppendHeader(nil, head), 0); err == nil {
-		if err = f.Sync(); err == nil {
-			err = s.opt.FS.SyncDir(s.dir)
-		}
-	}
-	if err != nil {
-		_ = f.Close()
-		_ = s.opt.FS.Remove(s.path(name))
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	return newHandle(f, name), nil
-}
-
-// freezeIfDue hands the index in memory to the passer when it is worth a pass.
-func (w *writer) freezeIfDue(s *Store) {
-	s.mu.RLock()
-	tail := plan.Tail{Log: w.since.Load(), Overlay: s.over.bytes()}
-	if s.cur.base != nil {
-		tail.Table = s.cur.base.size
-	}
-	busy := s.cur.frozen != nil
-	s.mu.RUnlock()
-	if !busy && plan.Due(tail, s.limits) {
-		w.freeze(s)
-		s.p.kick()
-	}
-}
-
-// freeze puts a new layer over the present one. All of the present one must be in sealed segments.
-func (w *writer) freeze(s *Store) {
-	s.swap(func(v *version) *version {
-		if v.frozen != nil {
-			return v.ref()
-		}
-		s.takeIn()
-		old := s.over
-		old.upTo = w.seq
-		s.over = newLayer()
-		w.since.Store(0)
-		return newVersion(old, v.base, v.segs, v.floors)
-	})
-}
-
-// swap replaces the version. next is called with the lock held and returns one with a hold for the store.
-func (s *Store) swap(next func(v *version) *version) {
-	s.mu.Lock()
-	old := s.cur
-	s.cur = next(old)
-	s.mu.Unlock()
-	old.unref()
-}
-
-func cloneSegs(segs map[uint32]*handle) map[uint32]*handle {
-	c := make(map[uint32]*handle, len(segs)+1)
-	for id, h := range segs {
-		c[id] = h
-	}
-	return c
-}
