--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -65,7 +65,23 @@
 	}
 	until("all at once")
 	w.For(40 * tick)
-	intervals := 7200 // an hour
+	line += measureTraffic(w, loss)
+	w.Kill(w.Nodes[n-1])
+	until("crash")
+	require.NoError(t, w.Start(w.Nodes[n-1]))
+	until("join")
+	w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link {
+		return virtual.Link{Loss: loss, Down: (a.Number < n/2) != (b.Number < n/2)}
+	})
+	w.For(240 * tick)
+	w.Links(bad)
+	until("equal after a partition in two")
+	fmt.Printf("%slargest datagram %d bytes\n", line, maxSize)
+}
+
+// measureTraffic measures what each member sends, and what it costs, in an hour without events; in less where that takes too long.
+func measureTraffic(w *virtual.World, loss float64) string {
+	n, intervals := len(w.Nodes), 7200
 	if n > 300 || loss > 0.1 {
 		intervals /= 8
 	}
@@ -80,19 +96,8 @@
 		datagrams, bytes = datagrams+node.Datagrams, bytes+node.Bytes
 	}
 	each := float64(n) * float64(intervals) * tick.Seconds()
-	line += fmt.Sprintf("%.2f datagrams, %.0f bytes, %.0f us of CPU (coding and the world included) a member and second, %d suspected and %d held dead in %.2f h of the fleet, ",
+	return fmt.Sprintf("%.2f datagrams, %.0f bytes, %.0f us of CPU (coding and the world included) a member and second, %d suspected and %d declared dead in %.2f h of the fleet, ",
 		float64(datagrams)/each, float64(bytes)/each, float64(cpu.Microseconds())/each, count(w, fleet.Suspected, since)/n, count(w, fleet.Died, since), float64(intervals)*tick.Hours())
-	w.Kill(w.Nodes[n-1])
-	until("crash")
-	require.NoError(t, w.Start(w.Nodes[n-1]))
-	until("join")
-	w.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link {
-		return virtual.Link{Loss: loss, Down: (a.Number < n/2) != (b.Number < n/2)}
-	})
-	w.For(240 * tick)
-	w.Links(bad)
-	until("equal after a cut in two")
-	fmt.Printf("%slargest datagram %d bytes\n", line, maxSize)
 }
 
 // measureDeaths measures how soon the numbers of many dead members are owned again.
@@ -109,7 +114,7 @@
 	for _, node := range w.Nodes[:n*7/10] {
 		w.Kill(node)
 	}
-	line, began := fmt.Sprintf("%4d members, seven in ten killed, refusals count: parts in use ", n), w.Now
+	line, began := fmt.Sprintf("%4d members, seven in ten killed, refusals trusted: numbers owned ", n), w.Now
 	for _, at := range []int{2, 5, 10, 15, 20, 30, 40} {
 		w.Run(began + time.Duration(at)*tick)
 		used := 0
--- a/internal/dispatcher/fleet/members.go
+++ b/internal/dispatcher/fleet/members.go
@@ -1,8 +1,6 @@
 package fleet
 
-import (
-	"time"
-)
+import "time"
 
 // memberAt returns the member at an address; nil if none is known.
 func (c *Core) memberAt(addr string) *member {
@@ -43,7 +41,7 @@
 	switch {
 	case m == nil:
 		c.addMember(r)
-	case r.Epoch < m.Epoch:
+	case r.Epoch < m.Epoch: // of a process that has ended
 	case r.Epoch > m.Epoch:
 		c.replaceEpoch(m, r)
 	case m.State == Left: // a process that left does not come back
--- a/internal/dispatcher/fleet/packet.go
+++ b/internal/dispatcher/fleet/packet.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-// Kind says what a packet is for.
+// Kind is the kind of a packet.
 type Kind uint8
 
 // The kinds of packets.
@@ -47,11 +47,13 @@
 	maxSumSize        = 9
 )
 
+// maxSize returns an upper bound of the encoded size in bytes.
 func (r *Record) maxSize() int { return maxRecordOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) }
 
 // hashOf identifies a member in few bytes.
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
+// bucketOf returns the bucket of a member.
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % buckets) }
 
 // sumOf is what a living member adds to its bucket's sum. Incarnations are left out: they only count its suspicions.
--- a/internal/dispatcher/fleet/receive.go
+++ b/internal/dispatcher/fleet/receive.go
@@ -14,7 +14,7 @@
 	Ended               // this member has left or is superseded
 )
 
-// String returns the verdict as logs and counters of dropped datagrams have it.
+// String returns the verdict as the counters of dropped datagrams have it, by older words.
 func (v Verdict) String() string {
 	return [...]string{"taken", "earlier life", "misdirected", "senseless", "over"}[v]
 }
@@ -52,16 +52,18 @@
 	if p.ToEpoch == c.self.Epoch {
 		c.isAcknowledged = true
 	}
+	c.handleKind(from, p)
+	c.updateConverged()
+	return Accepted
+}
+
+// handleKind does what the kind of an accepted packet asks for.
+func (c *Core) handleKind(from string, p *Packet) {
 	switch p.Kind {
 	case Ping:
 		c.ack(from, p)
 	case PingReq:
-		epoch := uint64(0)
-		if m := c.members[p.Target]; m != nil {
-			epoch = m.Epoch
-		}
-		id := c.ping(p.TargetAddr, epoch, 0)
-		c.relays[id] = relay{to: from, probe: p.Probe, nackAt: c.now + c.cfg.Interval/probeSteps, endAt: c.now + 2*c.cfg.Interval}
+		c.probeFor(from, p)
 	case Ack:
 		c.handleAck(from, p)
 	case Nack:
@@ -75,8 +77,6 @@
 			c.replyToSync(from, p, false)
 		}
 	}
-	c.updateConverged()
-	return Accepted
 }
 
 // ack answers a probe, and passes on the proofs of death that this member has.
@@ -107,3 +107,13 @@
 		c.compareDigest(from, p)
 	}
 }
+
+// probeFor sends an indirect probe for the member that sent a PingReq.
+func (c *Core) probeFor(from string, p *Packet) {
+	epoch := uint64(0)
+	if m := c.members[p.Target]; m != nil {
+		epoch = m.Epoch
+	}
+	id := c.ping(p.TargetAddr, epoch, 0)
+	c.relays[id] = relay{to: from, probe: p.Probe, nackAt: c.now + c.cfg.Interval/probeSteps, endAt: c.now + 2*c.cfg.Interval}
+}
--- a/internal/dispatcher/fleet/sync.go
+++ b/internal/dispatcher/fleet/sync.go
@@ -1,8 +1,6 @@
 package fleet
 
-import (
-	"slices"
-)
+import "slices"
 
 // compareDigest compares this view with that of the sender of an Ack by their digests. Where they differ it asks, not too often,
 // for the records that do.
@@ -72,6 +70,7 @@
 	c.setConverged(isEqual && len(c.suspects) == 0)
 }
 
+// setConverged notes whether the view has converged, and since when.
 func (c *Core) setConverged(converged bool) {
 	if c.converged != converged {
 		c.converged, c.since = converged, c.now
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -71,8 +71,8 @@
 
 	// The rest belongs to Run's goroutine.
 	core             *fleet.Core
-	supersededLogged bool // superseded, which was logged
-	addrs            map[string]netip.AddrPort
+	supersededLogged bool
+	addrs            map[string]netip.AddrPort // parsed, by their text
 }
 
 // event is a packet or a refusal that came through the socket.
@@ -151,7 +151,7 @@
 			return nil
 		case err := <-reading:
 			n.notify(Ownership{})
-			return &SocketError{n.opt.Listen, "restart this dispatcher; it serves on, without any part of what is shared", err}
+			return &SocketError{n.opt.Listen, "restart this dispatcher; it serves on, without any quota of what is shared", err}
 		case e := <-events:
 			n.handle(e)
 		case <-wake.C:
@@ -256,9 +256,9 @@
 }
 
 // notify calls OnOwnership, if it is set.
-func (n *Node) notify(h Ownership) {
+func (n *Node) notify(o Ownership) {
 	if n.opt.OnOwnership != nil {
-		n.opt.OnOwnership(h)
+		n.opt.OnOwnership(o)
 	}
 }
 
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -34,13 +34,9 @@
 	}
 }
 
-func measure(t *testing.T, every time.Duration, policy gang.Policy, s uint64) {
+// zoneWorld returns a world of 300 dispatchers, 200 runners in three zones and 200 gangs.
+func zoneWorld(t *testing.T, opt virtual.Options) *virtual.World {
 	t.Helper()
-	opt := options(s)
-	opt.Step, opt.Poll, opt.Latency, opt.Start = time.Second, 5*time.Second, 2*time.Second, 10*time.Second
-	c := &opt.Config
-	c.StartTimeout, c.MemberTimeout, c.Bandwidth, c.Margin = time.Minute, time.Minute, 500e6, 20*time.Second
-	c.SaveTimeout, c.CheckpointInterval, c.RetirePolicy = 5*time.Minute, every, policy
 	w := virtual.New(epoch, opt)
 	for i := range 300 {
 		_, err := w.Add(fmt.Sprint("d", i))
@@ -50,47 +46,63 @@
 		w.Runners = append(w.Runners, &virtual.Runner{Name: fmt.Sprint("r", i), Zone: string(rune('a' + i%3)), Kind: "k",
 			Speed: []float64{1, 1, 0.8}[i/3%3], Slots: 8, Up: true})
 	}
-	rng, due := rand.New(rand.NewPCG(s, 4)), map[string]time.Time{}
+	rng := rand.New(rand.NewPCG(opt.Seed, 4))
 	for i := range 200 {
 		work := time.Duration(20+rng.IntN(60)) * time.Minute
 		r := gang.Record{Name: fmt.Sprint("g", i), Due: epoch.Add(work*13/10 + 10*time.Minute), Priority: rng.IntN(3)}
 		for range 2 + rng.IntN(6) {
 			r.Needs = append(r.Needs, gang.Need{Class: "mosaic", Slots: 1, Work: work, StateBytes: 200e6})
 		}
-		due[r.Name] = r.Due
 		w.Submit(r)
 	}
-	w.For(9 * time.Minute)
-	moved, limit := 0, 0.0
-	for _, r := range w.Runners {
-		if r.Zone == "a" {
-			r.Announced, r.Retires = w.Now, w.Now.Add(12*time.Minute)
-		}
-	}
-	for _, n := range w.Gangs() {
-		rec := w.Record(n)
-		relocates := false
+	return w
+}
+
+// relocations returns how many gangs have to leave zone a when it retires in 12 minutes, and the sum of the least times that their
+// saves and starts take, in seconds.
+func relocations(w *virtual.World, opt virtual.Options) (n int, minTime float64) {
+	for _, name := range w.Gangs() {
+		rec := w.Record(name)
+		isInZone := false
 		for _, p := range rec.Placement {
 			var at int
 			_, _ = fmt.Sscanf(p, "r%d", &at)
-			relocates = relocates || at%3 == 0
+			isInZone = isInZone || at%3 == 0
 		}
-		if left := rec.Needs[0].Work - w.Now.Sub(epoch); relocates && left > 12*time.Minute {
-			moved++
-			limit += float64(len(rec.Needs))*200e6/c.Bandwidth + opt.Start.Seconds()
+		if left := rec.Needs[0].Work - w.Now.Sub(epoch); isInZone && left > 12*time.Minute {
+			n++
+			minTime += float64(len(rec.Needs))*200e6/opt.Config.Bandwidth + opt.Start.Seconds()
+		}
+	}
+	return n, minTime
+}
+
+func measure(t *testing.T, every time.Duration, policy gang.Policy, s uint64) {
+	t.Helper()
+	opt := options(s)
+	opt.Step, opt.Poll, opt.Latency, opt.Start = time.Second, 5*time.Second, 2*time.Second, 10*time.Second
+	c := &opt.Config
+	c.StartTimeout, c.MemberTimeout, c.Bandwidth, c.Margin = time.Minute, time.Minute, 500e6, 20*time.Second
+	c.SaveTimeout, c.CheckpointInterval, c.RetirePolicy = 5*time.Minute, every, policy
+	w := zoneWorld(t, opt)
+	w.For(9 * time.Minute)
+	for _, r := range w.Runners {
+		if r.Zone == "a" {
+			r.Announced, r.Retires = w.Now, w.Now.Add(12*time.Minute)
 		}
 	}
+	moved, minTime := relocations(w, opt)
 	require.True(t, w.Until(8*time.Hour, allDone(w)), "not all are done")
 	require.Empty(t, w.Violation())
-	inTime, still := 0, 0.0
+	inTime, stalled := 0, 0.0
 	for _, n := range w.Gangs() {
-		if at, _ := w.Ended(n); !at.After(due[n]) {
+		if at, _ := w.Ended(n); !at.After(w.Record(n).Due) {
 			inTime++
 		}
-		still += w.Stalled(n).Seconds()
+		stalled += w.Stalled(n).Seconds()
 	}
 	fmt.Printf("every %v, %s, seed %d: lost %.0f runner-seconds, %d of 200 by their due time, stood still %.1f s a gang, "+
 		"%.1f GB to the register, %d writes of records; %d had to move, at least %.1f s each\n",
 		every, []string{"latest safe start", "all at the announcement", "killed by the retirement"}[policy], s, w.LostWork, inTime,
-		still/200, w.Bytes()/1e9, w.Writes(), moved, limit/float64(max(1, moved)))
+		stalled/200, w.Bytes()/1e9, w.Writes(), moved, minTime/float64(max(1, moved)))
 }
