--- a/test/fleet/cluster_test.go
+++ b/test/fleet/cluster_test.go
@@ -47,7 +47,7 @@
 type cluster struct {
 	t           *testing.T
 	dispatchers []*dispatcher
-	relay       *Relay // nil: they speak to each other directly
+	relay       *Relay // nil: they send to each other directly
 }
 
 // ownLoopback returns an address of loopback drawn at random, with any port. A port that was free there stays free until the
@@ -56,6 +56,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
+// freeUDP returns a UDP address that nobody uses.
 func freeUDP(t *testing.T) string {
 	t.Helper()
 	c, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", ownLoopback())
@@ -64,6 +65,7 @@
 	return c.LocalAddr().String()
 }
 
+// freeTCP returns a TCP address that nobody uses.
 func freeTCP(t *testing.T) string {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", ownLoopback())
@@ -75,35 +77,36 @@
 // start starts n dispatchers and waits until their views agree and each owns its number.
 func start(t *testing.T, n int, relayed bool) *cluster {
 	t.Helper()
-	r := &cluster{t: t}
-	real := make([]string, n)
-	for i := range real {
-		real[i] = freeUDP(t)
+	c := &cluster{t: t}
+	sockets := make([]string, n)
+	for i := range sockets {
+		sockets[i] = freeUDP(t)
 	}
-	front := real
+	advertised := sockets
 	if relayed {
 		var err error
-		r.relay, err = NewRelay(real)
+		c.relay, err = NewRelay(sockets)
 		require.NoError(t, err)
-		t.Cleanup(r.relay.Close)
-		front = r.relay.Addrs
+		t.Cleanup(c.relay.Close)
+		advertised = c.relay.Addrs
 	}
 	for i := range n {
 		d := &dispatcher{t: t, number: i, dir: t.TempDir(), console: freeTCP(t)}
 		d.writeFile("fleet.star", fmt.Sprintf("real = %s\nroster = %s\nfleet(name = \"test\", key = \"sixteen bytes or more\", listen = real[number],\n"+
-			"    advertise = roster[number], roster = roster, refusals = True, interval = 100 * ms, lease = 2 * s)\n", list(real), list(front)))
+			"    advertise = roster[number], roster = roster, refusals = True, interval = 100 * ms, lease = 2 * s)\n", list(sockets), list(advertised)))
 		d.writeFile("config.json", fmt.Sprintf(`{"name":"d%d","listen":%q,"discovery":"127.0.0.1:1","console":%q,"seed":"%x","settings":{"zone":"z",
 			"slotNo":%d,"balancers":%d,"discovery":"ask","rules":{"askWithinUs":60000000},
 			"classes":[{"name":"c","semantics":"safe","objectiveUs":500000,"deadlineUs":1000000}]}}`, i, freeTCP(t), d.console, i+1, i, n))
 		d.start()
 		t.Cleanup(d.kill)
-		r.dispatchers = append(r.dispatchers, d)
+		c.dispatchers = append(c.dispatchers, d)
 	}
-	r.agree("all have joined")
-	r.allOwned("each owns its number")
-	return r
+	c.agree("all have joined")
+	c.allOwned("each owns its number")
+	return c
 }
 
+// list returns a Starlark list of strings.
 func list(s []string) string {
 	b, _ := json.Marshal(s)
 	return string(b)
@@ -130,6 +133,7 @@
 
 func (d *dispatcher) signal(s syscall.Signal) { require.NoError(d.t, d.cmd.Process.Signal(s)) }
 
+// kill ends the process, if there is one, and fails if the race detector reported anything.
 func (d *dispatcher) kill() {
 	if d.cmd != nil {
 		_ = d.cmd.Process.Kill()
@@ -151,22 +155,22 @@
 var client = &http.Client{Timeout: 5 * time.Second}
 
 // fleetView queries the console; ok reports whether it answered.
-func (d *dispatcher) fleetView() (l fleetView, ok bool) {
+func (d *dispatcher) fleetView() (v fleetView, ok bool) {
 	request, err := http.NewRequestWithContext(d.t.Context(), http.MethodGet, "http://"+d.console+"/fleet", nil)
 	if err != nil {
-		return l, false
+		return v, false
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return l, false
+		return v, false
 	}
-	err = json.NewDecoder(response.Body).Decode(&l)
-	return l, errors.Join(err, response.Body.Close()) == nil
+	err = json.NewDecoder(response.Body).Decode(&v)
+	return v, errors.Join(err, response.Body.Close()) == nil
 }
 
 // running returns the dispatchers whose processes run.
-func (r *cluster) running() (out []*dispatcher) {
-	for _, d := range r.dispatchers {
+func (c *cluster) running() (out []*dispatcher) {
+	for _, d := range c.dispatchers {
 		if d.cmd != nil {
 			out = append(out, d)
 		}
@@ -174,54 +178,54 @@
 	return out
 }
 
-func (r *cluster) eventually(what string, ok func() bool) {
-	r.t.Helper()
-	if !assert.Eventually(r.t, ok, waitTimeout, 50*time.Millisecond, what) {
-		for _, d := range r.running() {
-			l, _ := d.fleetView()
-			r.t.Logf("d%d: %+v", d.number, l)
+func (c *cluster) eventually(what string, ok func() bool) {
+	c.t.Helper()
+	if !assert.Eventually(c.t, ok, waitTimeout, 50*time.Millisecond, what) {
+		for _, d := range c.running() {
+			v, _ := d.fleetView()
+			c.t.Logf("d%d: %+v", d.number, v)
 		}
-		r.t.FailNow()
+		c.t.FailNow()
 	}
 }
 
 // agree waits until the views of the running dispatchers have exactly each other as living.
-func (r *cluster) agree(what string) {
-	r.t.Helper()
-	among := r.running()
-	r.eventually(what, func() bool {
+func (c *cluster) agree(what string) {
+	c.t.Helper()
+	among := c.running()
+	c.eventually(what, func() bool {
 		var digest uint64
 		for _, d := range among {
-			l, ok := d.fleetView()
-			if !ok || l.Living != len(among) || digest != 0 && l.Digest != digest {
+			v, ok := d.fleetView()
+			if !ok || v.Living != len(among) || digest != 0 && v.Digest != digest {
 				return false
 			}
-			digest = l.Digest
+			digest = v.Digest
 		}
 		return true
 	})
 }
 
 // owners returns the owner of each number at one moment, and fails if one has two; nil if it took too long to be one moment.
-func (r *cluster) owners() map[int]int {
-	r.t.Helper()
-	looks := make([]fleetView, len(r.dispatchers))
-	var all sync.WaitGroup
+func (c *cluster) owners() map[int]int {
+	c.t.Helper()
+	views := make([]fleetView, len(c.dispatchers))
+	var queries sync.WaitGroup
 	began := time.Now()
-	for i, d := range r.dispatchers {
+	for i, d := range c.dispatchers {
 		if d.cmd != nil {
-			all.Go(func() { looks[i], _ = d.fleetView() })
+			queries.Go(func() { views[i], _ = d.fleetView() })
 		}
 	}
-	all.Wait()
+	queries.Wait()
 	if time.Since(began) > time.Second { // not one moment any more: numbers may have passed
 		return nil
 	}
 	by := map[int]int{}
-	for i, l := range looks {
-		for _, n := range l.Numbers {
-			if other, two := by[n]; two {
-				require.Fail(r.t, "two own one number", "number %d: d%d and d%d", n, other, i)
+	for i, v := range views {
+		for _, n := range v.Numbers {
+			if other, hasTwo := by[n]; hasTwo {
+				require.Fail(c.t, "two own one number", "number %d: d%d and d%d", n, other, i)
 			}
 			by[n] = i
 		}
@@ -230,15 +234,15 @@
 }
 
 // allOwned waits until every number is owned.
-func (r *cluster) allOwned(what string) {
-	r.t.Helper()
-	r.eventually(what, func() bool { return len(r.owners()) == len(r.dispatchers) })
+func (c *cluster) allOwned(what string) {
+	c.t.Helper()
+	c.eventually(what, func() bool { return len(c.owners()) == len(c.dispatchers) })
 }
 
 // checkOwners checks for a while that no number has two owners.
-func (r *cluster) checkOwners(d time.Duration) {
-	r.t.Helper()
+func (c *cluster) checkOwners(d time.Duration) {
+	c.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		r.owners()
+		c.owners()
 	}
 }
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -39,73 +39,73 @@
 
 // Two of five are killed: the others see it, own their numbers, and give them back after the restart.
 func TestKilled(t *testing.T) {
-	r := start(t, 5, false)
-	r.dispatchers[1].kill()
-	r.dispatchers[4].kill()
-	r.agree("the others have seen it")
-	r.allOwned("the numbers of the dead have passed")
-	r.dispatchers[1].start()
-	r.dispatchers[4].start()
-	r.checkOwners(3 * time.Second)
-	r.agree("all have rejoined")
-	r.allOwned("each owns its number again")
-	for n, d := range r.owners() {
+	c := start(t, 5, false)
+	c.dispatchers[1].kill()
+	c.dispatchers[4].kill()
+	c.agree("the others have seen it")
+	c.allOwned("the numbers of the dead have passed")
+	c.dispatchers[1].start()
+	c.dispatchers[4].start()
+	c.checkOwners(3 * time.Second)
+	c.agree("all have rejoined")
+	c.allOwned("each owns its number again")
+	for n, d := range c.owners() {
 		assert.Equal(t, n, d)
 	}
 }
 
 // A process that is stopped and continued keeps its number, declares nobody dead, and is alive in all views soon.
 func TestStoppedAndContinued(t *testing.T) {
-	r := start(t, 4, false)
-	r.dispatchers[2].signal(syscall.SIGSTOP)
+	c := start(t, 4, false)
+	c.dispatchers[2].signal(syscall.SIGSTOP)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, i := range []int{0, 1, 3} {
-			if l, ok := r.dispatchers[i].fleetView(); ok {
-				require.NotContains(t, l.Numbers, 2, "a timeout is no proof")
+			if v, ok := c.dispatchers[i].fleetView(); ok {
+				require.NotContains(t, v.Numbers, 2, "a timeout is no proof")
 			}
 		}
 	}
-	r.dispatchers[2].signal(syscall.SIGCONT)
-	r.agree("it is alive in all views")
-	r.allOwned("and owns its number")
-	for _, d := range r.dispatchers {
-		l, _ := d.fleetView()
-		assert.Len(t, l.Members, 3)
+	c.dispatchers[2].signal(syscall.SIGCONT)
+	c.agree("it is alive in all views")
+	c.allOwned("and owns its number")
+	for _, d := range c.dispatchers {
+		v, _ := d.fleetView()
+		assert.Len(t, v.Members, 3)
 	}
 }
 
 // All are restarted in order, one after another, as in an upgrade; then one is upgraded in place, with both processes at once, of
 // which only one owns the number.
 func TestUpgrades(t *testing.T) {
-	r := start(t, 4, false)
-	for _, d := range r.dispatchers {
+	c := start(t, 4, false)
+	for _, d := range c.dispatchers {
 		d.stop()
-		r.checkOwners(300 * time.Millisecond)
+		c.checkOwners(300 * time.Millisecond)
 		d.start()
-		r.checkOwners(300 * time.Millisecond)
+		c.checkOwners(300 * time.Millisecond)
 	}
-	r.agree("after the last")
-	r.allOwned("all numbers are owned")
+	c.agree("after the last")
+	c.allOwned("all numbers are owned")
 
-	old, d := r.dispatchers[1].cmd, r.dispatchers[1]
+	old, d := c.dispatchers[1].cmd, c.dispatchers[1]
 	oldConsole := d.console
 	text, err := os.ReadFile(filepath.Join(d.dir, "config.json"))
 	require.NoError(t, err)
 	d.console = freeTCP(t)
 	d.writeFile("config.json", strings.Replace(string(text), oldConsole, d.console, 1))
 	d.start()
-	r.eventually("the new process waits for the old one", func() bool { l, ok := d.fleetView(); return ok && l.Waiting != "" })
-	r.checkOwners(time.Second)
+	c.eventually("the new process waits for the old one", func() bool { v, ok := d.fleetView(); return ok && v.Waiting != "" })
+	c.checkOwners(time.Second)
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
-	r.agree("the new process takes part")
-	r.allOwned("and owns the number")
+	c.agree("the new process takes part")
+	c.allOwned("and owns the number")
 }
 
 // The fleet is partitioned in several ways, long enough for each side to declare the other dead. No number moves, and once the links
 // are up again the views converge by themselves.
 func TestPartitions(t *testing.T) {
-	r := start(t, 5, true)
+	c := start(t, 5, true)
 	for _, tt := range []struct {
 		name string
 		cut  func(from, to int) bool
@@ -116,35 +116,35 @@
 		{"one way", func(a, b int) bool { return a == 3 }, []int{0, 1, 2, 4}},
 		{"in three", func(a, b int) bool { return a/2 != b/2 }, []int{2, 3}},
 	} {
-		r.relay.SetFaults(func(a, b int) Fault { return Fault{Down: tt.cut(a, b)} })
-		r.eventually(tt.name+": one side has only itself as living", func() bool {
+		c.relay.SetFaults(func(a, b int) Fault { return Fault{Down: tt.cut(a, b)} })
+		c.eventually(tt.name+": one side has only itself as living", func() bool {
 			for _, i := range tt.part {
-				if l, ok := r.dispatchers[i].fleetView(); !ok || l.Living != len(tt.part) {
+				if v, ok := c.dispatchers[i].fleetView(); !ok || v.Living != len(tt.part) {
 					return false
 				}
 			}
 			return true
 		})
-		for n, d := range r.owners() {
+		for n, d := range c.owners() {
 			assert.Equal(t, n, d, "%s: a number moved", tt.name)
 		}
-		r.relay.SetFaults(nil)
-		r.agree(tt.name + ": healed")
-		r.allOwned(tt.name + ": each owns its number")
+		c.relay.SetFaults(nil)
+		c.agree(tt.name + ": healed")
+		c.allOwned(tt.name + ": each owns its number")
 	}
 }
 
 // A bad network loses, doubles, delays and reorders datagrams. No number moves, and afterwards all views agree.
 func TestBadNetwork(t *testing.T) {
-	r := start(t, 5, true)
-	r.relay.SetFaults(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
+	c := start(t, 5, true)
+	c.relay.SetFaults(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for n, d := range r.owners() {
+		for n, d := range c.owners() {
 			require.Equal(t, n, d)
 		}
 	}
-	r.relay.SetFaults(nil)
-	r.agree("afterwards")
+	c.relay.SetFaults(nil)
+	c.agree("afterwards")
 }
 
 // An invalid script stops the program at once, with each fault by file, line and name.
@@ -176,13 +176,13 @@
 	if *soak == 0 {
 		t.Skip("-soak is not set")
 	}
-	r := start(t, 7, false)
+	c := start(t, 7, false)
 	for end := time.Now().Add(*soak); time.Now().Before(end); {
-		d := r.dispatchers[time.Now().UnixNano()%7]
+		d := c.dispatchers[time.Now().UnixNano()%7]
 		switch time.Now().UnixNano() / 7 % 3 {
 		case 0:
 			d.kill()
-			r.checkOwners(time.Duration(time.Now().UnixNano()%5) * time.Second)
+			c.checkOwners(time.Duration(time.Now().UnixNano()%5) * time.Second)
 			d.start()
 		case 1:
 			d.signal(syscall.SIGSTOP)
@@ -192,8 +192,8 @@
 			d.stop()
 			d.start()
 		}
-		r.checkOwners(2 * time.Second)
+		c.checkOwners(2 * time.Second)
 	}
-	r.agree("in the end")
-	r.allOwned("all numbers are owned")
+	c.agree("in the end")
+	c.allOwned("all numbers are owned")
 }
