--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -76,7 +76,7 @@
 	Now         time.Time
 	Runners     []*Runner
 	Dispatchers []*Dispatcher
-	Faults      []error
+	Errors      []error // of all cores
 	// Lose reports whether the next answer of the register gets lost, Damage whether the next part is damaged, and Hang whether its
 	// upload never ends. nil: never.
 	Lose, Damage, Hang func() bool
@@ -258,9 +258,9 @@
 	return runners
 }
 
-// request sends a call to the register. there runs at the register and returns what the answer's arrival does; lost, if not nil, runs
+// request sends a call to the register. atRegister runs at the register and returns what the answer's arrival does; lost, if not nil, runs
 // instead if no answer comes.
-func (w *World) request(d *Dispatcher, there func() func(), lost func()) {
+func (w *World) request(d *Dispatcher, atRegister func() func(), lost func()) {
 	epoch := d.epoch
 	back := func(f func()) {
 		w.after(w.opt.Latency/2, func() {
@@ -279,7 +279,7 @@
 			back(lost)
 			return
 		}
-		answer := there()
+		answer := atRegister()
 		if w.Lose != nil && w.Lose() {
 			answer = lost
 		}
@@ -297,8 +297,8 @@
 	if d.Core == nil || d.Stopped {
 		return
 	}
-	actions, faults := d.Core.Take()
-	w.Faults = append(w.Faults, faults...)
+	actions, errs := d.Core.Take()
+	w.Errors = append(w.Errors, errs...)
 	for _, a := range actions {
 		switch a.Kind {
 		case gang.Read:
@@ -319,9 +319,9 @@
 		case gang.Send:
 			w.assignMember(d, a)
 		case gang.Stop:
-			for _, j := range w.membersOf(a.Gang, a.Generation) {
-				if j.index == a.Member && j.owner == d {
-					j.ended = true
+			for _, m := range w.membersOf(a.Gang, a.Generation) {
+				if m.index == a.Member && m.owner == d {
+					m.ended = true
 				}
 			}
 		case gang.ListParts:
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -2,18 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"flag"
-	"fmt"
-	"math/rand/v2"
-	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -44,297 +37,75 @@
 	os.Exit(code)
 }
 
-// dispatcher is one dispatcher of the fleet and, while cmd is not nil, its process.
-type dispatcher struct {
-	t       *testing.T
-	number  int
-	dir     string
-	console string
-	cmd     *exec.Cmd
-	log     *os.File
-}
-
-// fleetView is the console's answer to GET /fleet.
-type fleetView struct {
-	Name       string
-	Living     int
-	Digest     uint64
-	Settled    bool
-	Superseded bool
-	Numbers    []int
-	Members    []struct{ Name, State string }
-	Waiting    string
-}
-
-// cluster is a fleet of processes.
-type cluster struct {
-	t           *testing.T
-	dispatchers []*dispatcher
-	relay       *Relay // nil: they speak to each other directly
-}
-
-// ownLoopback returns an address of loopback drawn at random, with any port. A port that was free there stays free until the
-// program under test has it; at 127.0.0.1 another program's connection could take it meanwhile.
-func ownLoopback() string {
-	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
-}
-
-func freeUDP(t *testing.T) string {
-	t.Helper()
-	c, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", ownLoopback())
-	require.NoError(t, err)
-	defer func() { require.NoError(t, c.Close()) }()
-	return c.LocalAddr().String()
-}
-
-func freeTCP(t *testing.T) string {
-	t.Helper()
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", ownLoopback())
-	require.NoError(t, err)
-	defer func() { require.NoError(t, l.Close()) }()
-	return l.Addr().String()
-}
-
-// start starts n dispatchers and waits until their views agree and each owns its number.
-func start(t *testing.T, n int, relayed bool) *cluster {
-	t.Helper()
-	r := &cluster{t: t}
-	real := make([]string, n)
-	for i := range real {
-		real[i] = freeUDP(t)
-	}
-	front := real
-	if relayed {
-		var err error
-		r.relay, err = NewRelay(real)
-		require.NoError(t, err)
-		t.Cleanup(r.relay.Close)
-		front = r.relay.Addrs
-	}
-	for i := range n {
-		d := &dispatcher{t: t, number: i, dir: t.TempDir(), console: freeTCP(t)}
-		d.writeFile("fleet.star", fmt.Sprintf("real = %s\nroster = %s\nfleet(name = \"test\", key = \"sixteen bytes or more\", listen = real[number],\n"+
-			"    advertise = roster[number], roster = roster, refusals = True, interval = 100 * ms, lease = 2 * s)\n", list(real), list(front)))
-		d.writeFile("config.json", fmt.Sprintf(`{"name":"d%d","listen":%q,"discovery":"127.0.0.1:1","console":%q,"seed":"%x","settings":{"zone":"z",
-			"slotNo":%d,"balancers":%d,"discovery":"ask","rules":{"askWithinUs":60000000},
-			"classes":[{"name":"c","semantics":"safe","objectiveUs":500000,"deadlineUs":1000000}]}}`, i, freeTCP(t), d.console, i+1, i, n))
-		d.start()
-		t.Cleanup(d.kill)
-		r.dispatchers = append(r.dispatchers, d)
-	}
-	r.agree("all have joined")
-	r.allOwned("each owns its number")
-	return r
-}
-
-func list(s []string) string {
-	b, _ := json.Marshal(s)
-	return string(b)
-}
-
-func (d *dispatcher) writeFile(name, text string) {
-	require.NoError(d.t, os.WriteFile(filepath.Join(d.dir, name), []byte(text), 0o600))
-}
-
-func (d *dispatcher) command() *exec.Cmd {
-	c := exec.CommandContext(context.Background(), program, "serve", "--fleet", filepath.Join(d.dir, "fleet.star"))
-	c.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(d.dir, "config.json"), "TMPDIR="+d.dir)
-	c.Stderr = d.log
-	return c
-}
-
-func (d *dispatcher) start() {
-	var err error
-	d.log, err = os.OpenFile(filepath.Join(d.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	require.NoError(d.t, err)
-	d.cmd = d.command()
-	require.NoError(d.t, d.cmd.Start())
-}
-
-func (d *dispatcher) signal(s syscall.Signal) { require.NoError(d.t, d.cmd.Process.Signal(s)) }
-
-func (d *dispatcher) kill() {
-	if d.cmd != nil {
-		_ = d.cmd.Process.Kill()
-		_ = d.cmd.Wait()
-		d.cmd = nil
-		if text, _ := os.ReadFile(filepath.Join(d.dir, "log")); strings.Contains(string(text), "DATA RACE") {
-			d.t.Errorf("d%d:\n%s", d.number, text)
-		}
-	}
-}
-
-// stop ends the process in order.
-func (d *dispatcher) stop() {
-	d.signal(syscall.SIGTERM)
-	require.NoError(d.t, d.cmd.Wait(), "a stop in order exits with 0")
-	d.cmd = nil
-}
-
-var client = &http.Client{Timeout: 5 * time.Second}
-
-// fleetView queries the console; ok reports whether it answered.
-func (d *dispatcher) fleetView() (l fleetView, ok bool) {
-	request, err := http.NewRequestWithContext(d.t.Context(), http.MethodGet, "http://"+d.console+"/fleet", nil)
-	if err != nil {
-		return l, false
-	}
-	response, err := client.Do(request)
-	if err != nil {
-		return l, false
-	}
-	err = json.NewDecoder(response.Body).Decode(&l)
-	return l, errors.Join(err, response.Body.Close()) == nil
-}
-
-// running returns the dispatchers whose processes run.
-func (r *cluster) running() (out []*dispatcher) {
-	for _, d := range r.dispatchers {
-		if d.cmd != nil {
-			out = append(out, d)
-		}
-	}
-	return out
-}
-
-func (r *cluster) eventually(what string, ok func() bool) {
-	r.t.Helper()
-	if !assert.Eventually(r.t, ok, waitTimeout, 50*time.Millisecond, what) {
-		for _, d := range r.running() {
-			l, _ := d.fleetView()
-			r.t.Logf("d%d: %+v", d.number, l)
-		}
-		r.t.FailNow()
-	}
-}
-
-// agree waits until the views of the running dispatchers have exactly each other as living.
-func (r *cluster) agree(what string) {
-	r.t.Helper()
-	among := r.running()
-	r.eventually(what, func() bool {
-		var digest uint64
-		for _, d := range among {
-			l, ok := d.fleetView()
-			if !ok || l.Living != len(among) || digest != 0 && l.Digest != digest {
-				return false
-			}
-			digest = l.Digest
-		}
-		return true
-	})
-}
-
-// owners returns the owner of each number at one moment, and fails if one has two; nil if it took too long to be one moment.
-func (r *cluster) owners() map[int]int {
-	r.t.Helper()
-	looks := make([]fleetView, len(r.dispatchers))
-	var all sync.WaitGroup
-	began := time.Now()
-	for i, d := range r.dispatchers {
-		if d.cmd != nil {
-			all.Go(func() { looks[i], _ = d.fleetView() })
-		}
-	}
-	all.Wait()
-	if time.Since(began) > time.Second { // not one moment any more: numbers may have passed
-		return nil
-	}
-	by := map[int]int{}
-	for i, l := range looks {
-		for _, n := range l.Numbers {
-			if other, two := by[n]; two {
-				require.Fail(r.t, "two own one number", "number %d: d%d and d%d", n, other, i)
-			}
-			by[n] = i
-		}
-	}
-	return by
-}
-
-// allOwned waits until every number is owned.
-func (r *cluster) allOwned(what string) {
-	r.t.Helper()
-	r.eventually(what, func() bool { return len(r.owners()) == len(r.dispatchers) })
-}
-
-// checkOwners checks for a while that no number has two owners.
-func (r *cluster) checkOwners(d time.Duration) {
-	r.t.Helper()
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		r.owners()
-	}
-}
-
 // Two of five are killed: the others see it, own their numbers, and give them back after the restart.
 func TestKilled(t *testing.T) {
-	r := start(t, 5, false)
-	r.dispatchers[1].kill()
-	r.dispatchers[4].kill()
-	r.agree("the others have seen it")
-	r.allOwned("the numbers of the dead have passed")
-	r.dispatchers[1].start()
-	r.dispatchers[4].start()
-	r.checkOwners(3 * time.Second)
-	r.agree("all have rejoined")
-	r.allOwned("each owns its number again")
-	for n, d := range r.owners() {
+	c := start(t, 5, false)
+	c.dispatchers[1].kill()
+	c.dispatchers[4].kill()
+	c.agree("the others have seen it")
+	c.allOwned("the numbers of the dead have passed")
+	c.dispatchers[1].start()
+	c.dispatchers[4].start()
+	c.checkOwners(3 * time.Second)
+	c.agree("all have rejoined")
+	c.allOwned("each owns its number again")
+	for n, d := range c.owners() {
 		assert.Equal(t, n, d)
 	}
 }
 
 // A process that is stopped and continued keeps its number, declares nobody dead, and is alive in all views soon.
 func TestStoppedAndContinued(t *testing.T) {
-	r := start(t, 4, false)
-	r.dispatchers[2].signal(syscall.SIGSTOP)
+	c := start(t, 4, false)
+	c.dispatchers[2].signal(syscall.SIGSTOP)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, i := range []int{0, 1, 3} {
-			if l, ok := r.dispatchers[i].fleetView(); ok {
-				require.NotContains(t, l.Numbers, 2, "a timeout is no proof")
+			if v, ok := c.dispatchers[i].fleetView(); ok {
+				require.NotContains(t, v.Numbers, 2, "a timeout is no proof")
 			}
 		}
 	}
-	r.dispatchers[2].signal(syscall.SIGCONT)
-	r.agree("it is alive in all views")
-	r.allOwned("and owns its number")
-	for _, d := range r.dispatchers {
-		l, _ := d.fleetView()
-		assert.Len(t, l.Members, 3)
+	c.dispatchers[2].signal(syscall.SIGCONT)
+	c.agree("it is alive in all views")
+	c.allOwned("and owns its number")
+	for _, d := range c.dispatchers {
+		v, _ := d.fleetView()
+		assert.Len(t, v.Members, 3)
 	}
 }
 
 // All are restarted in order, one after another, as in an upgrade; then one is upgraded in place, with both processes at once, of
 // which only one owns the number.
 func TestUpgrades(t *testing.T) {
-	r := start(t, 4, false)
-	for _, d := range r.dispatchers {
+	c := start(t, 4, false)
+	for _, d := range c.dispatchers {
 		d.stop()
-		r.checkOwners(300 * time.Millisecond)
+		c.checkOwners(300 * time.Millisecond)
 		d.start()
-		r.checkOwners(300 * time.Millisecond)
+		c.checkOwners(300 * time.Millisecond)
 	}
-	r.agree("after the last")
-	r.allOwned("all numbers are owned")
+	c.agree("after the last")
+	c.allOwned("all numbers are owned")
 
-	old, d := r.dispatchers[1].cmd, r.dispatchers[1]
+	old, d := c.dispatchers[1].cmd, c.dispatchers[1]
 	oldConsole := d.console
 	text, err := os.ReadFile(filepath.Join(d.dir, "config.json"))
 	require.NoError(t, err)
 	d.console = freeTCP(t)
 	d.writeFile("config.json", strings.Replace(string(text), oldConsole, d.console, 1))
 	d.start()
-	r.eventually("the new process waits for the old one", func() bool { l, ok := d.fleetView(); return ok && l.Waiting != "" })
-	r.checkOwners(time.Second)
+	c.eventually("the new process waits for the old one", func() bool { v, ok := d.fleetView(); return ok && v.Waiting != "" })
+	c.checkOwners(time.Second)
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
-	r.agree("the new process takes part")
-	r.allOwned("and owns the number")
+	c.agree("the new process takes part")
+	c.allOwned("and owns the number")
 }
 
 // The fleet is partitioned in several ways, long enough for each side to declare the other dead. No number moves, and once the links
 // are up again the views converge by themselves.
 func TestPartitions(t *testing.T) {
-	r := start(t, 5, true)
+	c := start(t, 5, true)
 	for _, tt := range []struct {
 		name string
 		cut  func(from, to int) bool
@@ -345,35 +116,35 @@
 		{"one way", func(a, b int) bool { return a == 3 }, []int{0, 1, 2, 4}},
 		{"in three", func(a, b int) bool { return a/2 != b/2 }, []int{2, 3}},
 	} {
-		r.relay.SetFaults(func(a, b int) Fault { return Fault{Down: tt.cut(a, b)} })
-		r.eventually(tt.name+": one side has only itself as living", func() bool {
+		c.relay.SetFaults(func(a, b int) Fault { return Fault{Down: tt.cut(a, b)} })
+		c.eventually(tt.name+": one side has only itself as living", func() bool {
 			for _, i := range tt.part {
-				if l, ok := r.dispatchers[i].fleetView(); !ok || l.Living != len(tt.part) {
+				if v, ok := c.dispatchers[i].fleetView(); !ok || v.Living != len(tt.part) {
 					return false
 				}
 			}
 			return true
 		})
-		for n, d := range r.owners() {
+		for n, d := range c.owners() {
 			assert.Equal(t, n, d, "%s: a number moved", tt.name)
 		}
-		r.relay.SetFaults(nil)
-		r.agree(tt.name + ": healed")
-		r.allOwned(tt.name + ": each owns its number")
+		c.relay.SetFaults(nil)
+		c.agree(tt.name + ": healed")
+		c.allOwned(tt.name + ": each owns its number")
 	}
 }
 
 // A bad network loses, doubles, delays and reorders datagrams. No number moves, and afterwards all views agree.
 func TestBadNetwork(t *testing.T) {
-	r := start(t, 5, true)
-	r.relay.SetFaults(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
+	c := start(t, 5, true)
+	c.relay.SetFaults(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for n, d := range r.owners() {
+		for n, d := range c.owners() {
 			require.Equal(t, n, d)
 		}
 	}
-	r.relay.SetFaults(nil)
-	r.agree("afterwards")
+	c.relay.SetFaults(nil)
+	c.agree("afterwards")
 }
 
 // An invalid script stops the program at once, with each fault by file, line and name.
@@ -405,13 +176,13 @@
 	if *soak == 0 {
 		t.Skip("-soak is not set")
 	}
-	r := start(t, 7, false)
+	c := start(t, 7, false)
 	for end := time.Now().Add(*soak); time.Now().Before(end); {
-		d := r.dispatchers[time.Now().UnixNano()%7]
+		d := c.dispatchers[time.Now().UnixNano()%7]
 		switch time.Now().UnixNano() / 7 % 3 {
 		case 0:
 			d.kill()
-			r.checkOwners(time.Duration(time.Now().UnixNano()%5) * time.Second)
+			c.checkOwners(time.Duration(time.Now().UnixNano()%5) * time.Second)
 			d.start()
 		case 1:
 			d.signal(syscall.SIGSTOP)
@@ -421,8 +192,8 @@
 			d.stop()
 			d.start()
 		}
-		r.checkOwners(2 * time.Second)
+		c.checkOwners(2 * time.Second)
 	}
-	r.agree("in the end")
-	r.allOwned("all numbers are owned")
+	c.agree("in the end")
+	c.allOwned("all numbers are owned")
 }
--- a/test/fleet/relay.go
+++ b/test/fleet/relay.go
@@ -33,9 +33,9 @@
 }
 
 // NewRelay returns a running relay for dispatchers whose sockets have these addresses, host:port.
-func NewRelay(real []string) (*Relay, error) {
+func NewRelay(sockets []string) (*Relay, error) {
 	r := &Relay{senders: map[netip.AddrPort]int{}}
-	for i, a := range real {
+	for i, a := range sockets {
 		addr, err := netip.ParseAddrPort(a)
 		if err != nil {
 			return nil, err
