--- a/internal/store/fixtures_test.go
+++ b/internal/store/fixtures_test.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -42,7 +43,9 @@
 	var read []dumpedRecord
 	snapshot := opened.Snapshot()
 	defer snapshot.Close()
-	for _, space := range opened.Spaces() {
+	spaces := opened.Spaces()
+	slices.SortFunc(spaces, func(a, b *store.Space) int { return strings.Compare(a.Name(), b.Name()) })
+	for _, space := range spaces {
 		records := snapshot.Range(space, nil, nil)
 		for records.Next() {
 			value, err := records.Value()
