--- a/internal/dispatcher/gang/core.go
+++ b/internal/dispatcher/gang/core.go
@@ -42,9 +42,11 @@
 	saveProgress   float64 // the fraction of the work that was done when the save under way was requested
 }
 
+// member is the state of a member that this dispatcher sent.
 type member struct {
-	started, done, failed, damaged bool
-	lastContact                    time.Time
+	started, done, failed bool
+	damaged               bool // it failed as its part of the checkpoint is damaged
+	lastContact           time.Time
 }
 
 // hasEnded reports whether nothing more comes of the member.
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -42,8 +42,7 @@
 	Class string  `json:"class"`
 	Kind  string  `json:"kind,omitempty"` // of the runner; empty: any
 	Slots float64 `json:"slots"`
-	// Work is how long it runs on a runner of speed 1.
-	// In JSON it is in nanoseconds.
+	// Work is how long it runs on a runner of speed 1; in JSON, nanoseconds.
 	Work time.Duration `json:"work_ns"`
 	// StateBytes is the size of its part of a checkpoint.
 	StateBytes int64 `json:"saved_bytes"`
@@ -109,31 +108,31 @@
 
 // Check returns a *RecordError with the first fault of a record, or nil.
 func (r *Record) Check() error {
-	bad := func(field, problem, fix string) error { return &RecordError{r.Name, field, problem, fix} }
+	newError := func(field, problem, fix string) error { return &RecordError{r.Name, field, problem, fix} }
 	if r.Name == "" {
-		return bad("name", "is empty", "name it")
+		return newError("name", "is empty", "name it")
 	}
 	if n := len(r.Needs); n < MinMembers || n > MaxMembers {
-		return bad("needs", fmt.Sprintf("%d members", n), fmt.Sprintf("%d to %d are a gang", MinMembers, MaxMembers))
+		return newError("needs", fmt.Sprintf("%d members", n), fmt.Sprintf("%d to %d are a gang", MinMembers, MaxMembers))
 	}
 	for i, n := range r.Needs {
 		field := fmt.Sprintf("needs[%d]", i)
 		switch {
 		case n.Class == "":
-			return bad(field+".class", "is empty", "name a class of the settings")
+			return newError(field+".class", "is empty", "name a class of the settings")
 		case !(n.Slots > 0):
-			return bad(field+".slots", fmt.Sprint(n.Slots), "give what it takes, over 0")
+			return newError(field+".slots", fmt.Sprint(n.Slots), "give what it takes, over 0")
 		case n.Work <= 0:
-			return bad(field+".work_ns", n.Work.String(), "give how long it runs at speed 1")
+			return newError(field+".work_ns", n.Work.String(), "give how long it runs at speed 1")
 		case n.StateBytes < 0:
-			return bad(field+".saved_bytes", fmt.Sprint(n.StateBytes), "give 0 or more")
+			return newError(field+".saved_bytes", fmt.Sprint(n.StateBytes), "give 0 or more")
 		}
 	}
 	if _, isKnown := phases[r.Phase]; !isKnown {
-		return bad("phase", fmt.Sprintf("%q is not known", r.Phase), "submit it as waiting")
+		return newError("phase", fmt.Sprintf("%q is not known", r.Phase), "submit it as waiting")
 	}
 	if r.Phase != Waiting && !r.Phase.Ended() && len(r.Placement) != len(r.Needs) {
-		return bad("placement", fmt.Sprintf("%d runners for %d members", len(r.Placement), len(r.Needs)), "it was not written by a dispatcher; submit the gang anew")
+		return newError("placement", fmt.Sprintf("%d runners for %d members", len(r.Placement), len(r.Needs)), "it was not written by a dispatcher; submit the gang anew")
 	}
 	return nil
 }
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -41,7 +41,7 @@
 	}
 	i := slices.IndexFunc(w.Runners, func(r *Runner) bool { return r.Name == a.Runner })
 	r := w.Runners[i]
-	j := &member{gang: a.Gang, generation: a.Generation, index: a.Member, runner: r, owner: d, ownerEpoch: d.epoch, checkpoint: a.Checkpoint,
+	m := &member{gang: a.Gang, generation: a.Generation, index: a.Member, runner: r, owner: d, ownerEpoch: d.epoch, checkpoint: a.Checkpoint,
 		startsAt: w.Now.Add(w.opt.Start)}
 	need, used := w.Record(a.Gang).Needs[a.Member].Slots, 0.0
 	for _, other := range w.allMembers() {
@@ -49,9 +49,9 @@
 			used += w.Record(other.gang).Needs[other.index].Slots
 		}
 	}
-	if w.runs[k].members = append(w.runs[k].members, j); !r.Up || used+need > r.Slots+1e-9 {
-		j.ended = true
-		w.report(j, gang.Failed)
+	if w.runs[k].members = append(w.runs[k].members, m); !r.Up || used+need > r.Slots+1e-9 {
+		m.ended = true
+		w.report(m, gang.Failed)
 	}
 }
 
@@ -64,18 +64,18 @@
 }
 
 // report sends an event of a member to its owner, whose process must still be the one that sent the member.
-func (w *World) report(j *member, n gang.Event) {
+func (w *World) report(m *member, n gang.Event) {
 	late := w.opt.Latency / 2
 	if w.opt.Jitter > 0 {
 		late += time.Duration(w.rng.Int64N(int64(w.opt.Jitter)))
 	}
 	w.after(late, func() {
-		if d := j.owner; d.Core != nil && d.epoch == j.ownerEpoch {
+		if d := m.owner; d.Core != nil && d.epoch == m.ownerEpoch {
 			if d.Stopped {
-				w.report(j, n)
+				w.report(m, n)
 				return
 			}
-			d.Core.Member(w.Now, j.gang, j.generation, j.index, n)
+			d.Core.Member(w.Now, m.gang, m.generation, m.index, n)
 			w.apply(d)
 		}
 	})
@@ -87,7 +87,7 @@
 		r := w.runs[k]
 		rec, generation := w.Record(r.members[0].gang), r.members[0].generation
 		advances, speed := w.stepRun(r, len(rec.Needs))
-		if !slices.ContainsFunc(r.members, func(j *member) bool { return !j.ended }) {
+		if !slices.ContainsFunc(r.members, func(m *member) bool { return !m.ended }) {
 			if rec.Generation != generation || rec.Phase == gang.Done {
 				delete(w.runs, k)
 			}
@@ -115,29 +115,29 @@
 // stepRun advances each member of a run by one step. advances reports whether all n members run, and speed is the slowest one's.
 func (w *World) stepRun(r *run, n int) (advances bool, speed float64) {
 	advances, speed = len(r.members) == n, 1e9
-	for _, j := range r.members {
-		w.stepMember(j)
-		advances, speed = advances && j.started && !j.ended, min(speed, j.runner.Speed)
+	for _, m := range r.members {
+		w.stepMember(m)
+		advances, speed = advances && m.started && !m.ended, min(speed, m.runner.Speed)
 	}
 	return advances, speed
 }
 
 // stepMember advances a member by one step: it ends with its runner or its owner, starts, or sends a heartbeat.
-func (w *World) stepMember(j *member) {
-	if !j.ended && !j.runner.Up {
-		if j.ended = true; !j.runner.Mute {
-			w.report(j, gang.Failed)
+func (w *World) stepMember(m *member) {
+	if !m.ended && !m.runner.Up {
+		if m.ended = true; !m.runner.Mute {
+			w.report(m, gang.Failed)
 		}
 	}
-	if d := j.owner; !j.ended && (d.Core == nil || d.epoch != j.ownerEpoch) { // its connection is closed
-		j.ended = true
+	if d := m.owner; !m.ended && (d.Core == nil || d.epoch != m.ownerEpoch) { // its connection is closed
+		m.ended = true
 	}
-	if !j.ended && !j.started && !w.Now.Before(j.startsAt) {
-		w.startMember(j)
+	if !m.ended && !m.started && !w.Now.Before(m.startsAt) {
+		w.startMember(m)
 	}
-	if j.started && !j.ended && !w.Now.Before(j.nextHeartbeat) {
-		j.nextHeartbeat = w.Now.Add(heartbeatInterval)
-		w.report(j, gang.Progressed)
+	if m.started && !m.ended && !w.Now.Before(m.nextHeartbeat) {
+		m.nextHeartbeat = w.Now.Add(heartbeatInterval)
+		w.report(m, gang.Progressed)
 	}
 }
 
@@ -146,38 +146,38 @@
 	r.saveNumber = rec.SaveNumber
 	sk := saveKey{rec.Name, rec.Generation, rec.SaveNumber}
 	w.reg.parts[sk] = make([]part, len(rec.Needs))
-	for i, j := range r.members {
-		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: j.index, bytesLeft: float64(rec.Needs[i].StateBytes), from: j,
+	for i, m := range r.members {
+		w.reg.uploads = append(w.reg.uploads, &upload{key: sk, member: m.index, bytesLeft: float64(rec.Needs[i].StateBytes), from: m,
 			hangs: w.Hang != nil && w.Hang()})
 	}
 }
 
 // finish ends the members of a run whose work is done.
 func (w *World) finish(r *run) {
-	for _, j := range r.members {
-		if !j.reported {
-			j.reported, j.ended = true, true
-			w.report(j, gang.Finished)
+	for _, m := range r.members {
+		if !m.reported {
+			m.reported, m.ended = true, true
+			w.report(m, gang.Finished)
 		}
 	}
 }
 
 // startMember starts a member from its part of the checkpoint, if there is one.
-func (w *World) startMember(j *member) {
-	if j.runner.FailStarts > 0 {
-		j.runner.FailStarts--
-		j.ended = true
-		w.report(j, gang.Failed)
+func (w *World) startMember(m *member) {
+	if m.runner.FailStarts > 0 {
+		m.runner.FailStarts--
+		m.ended = true
+		w.report(m, gang.Failed)
 		return
 	}
-	if j.checkpoint != nil {
-		parts := w.reg.parts[saveKey{j.gang, j.checkpoint.Generation, j.checkpoint.Number}]
-		if j.index >= len(parts) || parts[j.index].damaged {
-			j.ended = true
-			w.report(j, gang.DamagedPart)
+	if m.checkpoint != nil {
+		parts := w.reg.parts[saveKey{m.gang, m.checkpoint.Generation, m.checkpoint.Number}]
+		if m.index >= len(parts) || parts[m.index].damaged {
+			m.ended = true
+			w.report(m, gang.DamagedPart)
 			return
 		}
 	}
-	j.started = true
-	w.report(j, gang.Began)
+	m.started = true
+	w.report(m, gang.Began)
 }
