--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -16,7 +16,7 @@
 )
 
 // ErrLocked is returned by FS.Lock for a file that is locked already, by another process or by this one.
-var ErrLocked = errors.New("is held by another process")
+var ErrLocked = errors.New("is locked by another process")
 
 // File is an open file. Reads may run concurrently with a write elsewhere in the file.
 type File interface {
