--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -6,12 +6,13 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxAgeStepMs is by how much one command can advance the age by which retention is measured. A time of day that jumps
-// by an hour must not make the shard forget its jobs.
+// maxAgeStepMs limits how many ms of age one command can add to State.ageMs, in which retention is measured. Without the
+// limit, a time of day that jumps forward by an hour would make the shard forget its ended jobs and fences at once.
 const maxAgeStepMs = 5000
 
-// Apply applies a command and returns what it did. The command's parts are applied in the order of its fields. The State
-// keeps none of the command's memory.
+// Apply applies a command and returns its effects. The order of application is the order of the loops below and is the same
+// on every replica: Starts come last, after the ends that make their tasks Pending again and after the runners' departures.
+// The State keeps no reference to the command's memory.
 func (s *State) Apply(c *Command) *Effects {
 	effects := &Effects{}
 	s.effects = effects
@@ -43,7 +44,8 @@
 	return effects
 }
 
-// advanceClock moves the clock and opens all repetitions that fall due.
+// advanceClock advances the shard's clock and age, unless the time of day is behind the clock, and opens the repetitions
+// that are due by then.
 func (s *State) advanceClock(timeOfDayMs int64) {
 	if timeOfDayMs > s.clockMs {
 		s.ageMs += min(timeOfDayMs-s.clockMs, maxAgeStepMs)
@@ -54,7 +56,7 @@
 	}
 }
 
-// applyCancel ends a job as cancelled unless it has ended, and reports whether the job is known.
+// applyCancel ends the job as cancelled if it has not ended, and reports whether the State has a job with this id.
 func (s *State) applyCancel(id string) bool {
 	job := s.jobs[id]
 	if job == nil {
@@ -67,8 +69,8 @@
 	return true
 }
 
-// applyFence reports whether the shard has or had the job. If not, the shard will never accept it by the fence's version
-// of the configuration or an older one.
+// applyFence reports whether the shard has or had the job. If not, it stores a tombstone: while that is retained,
+// applySubmit rejects the job if its queue was chosen by the fence's version of the configuration or an older one.
 func (s *State) applyFence(fence Fence) bool {
 	if s.jobs[fence.ID] != nil {
 		return true
--- a/internal/cluster/jobs/command_codec.go
+++ b/internal/cluster/jobs/command_codec.go
@@ -6,14 +6,31 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// The first byte of an encoded command is the version of its encoding.
+// An encoded command is a version byte and then the fields of Command in the order below. A list is the number of its items
+// and then the items, whose fields are written in the order given here.
+//
+//	TimeOfDayMs
+//	Submits:         ID, Queue, Job (both in spec_codec.go), Version
+//	Cancels:         id
+//	Fences:          ID, Version
+//	Ends:            Runner*, N, Task, Run, Outcome, Checkpoint
+//	Losses:          Runner*, Task, Run, Checkpoint
+//	Starts:          Task, Run, Runner*
+//	RunnerAddresses: Runner, Address
+//	Departures:      incarnation (only since version 4)
+//
+// A Task is Job*, Repetition, Step, Index. A text marked with * is written by writer.repeated, which shortens a text that
+// equals the previous one marked so, of runners or of jobs.
+//
+// Log entries of earlier releases stay in logs and are read again after a restart. So a change of this order needs a new
+// version, and Decode must keep reading the old one.
 const (
 	commandVersion                  = 4
 	commandVersionWithoutDepartures = 3 // written by earlier releases
 )
 
-// outcomeCodes are the outcomes that are encoded as a number: their position here, from 1. Any other is encoded as 0 and
-// its text. The order is part of the encoding.
+// outcomeCodes are the outcomes that are encoded as one byte: their position here plus 1. Any other outcome is encoded as
+// the byte 0 and its text. The order is part of the encoding: new outcomes can only be appended.
 var outcomeCodes = [...]protocol.RunEnd{
 	protocol.EndDone,
 	protocol.EndFailed,
@@ -24,10 +41,11 @@
 	protocol.EndRefused,
 }
 
-// previousTexts are the last job and runner written or read: they often repeat from item to item.
+// previousTexts are the last job id and the last runner that were written or read. Both often repeat from item to item, so
+// writer.repeated encodes a repetition as one byte.
 type previousTexts struct{ job, runner string }
 
-// Encode returns the command as an entry of the shard's log. The error is always nil.
+// Encode encodes the command as an entry of the shard's log. The error is always nil.
 func Encode(c *Command) ([]byte, error) {
 	w := &writer{data: make([]byte, 0, sizeHint(c))}
 	last := &previousTexts{}
@@ -63,9 +81,9 @@
 	return w.data, nil
 }
 
-// sizeHint estimates the size of the encoded command, so that its buffer seldom grows.
+// sizeHint estimates the size of the encoded command in bytes, so that its buffer seldom has to grow.
 func sizeHint(c *Command) int {
-	const head, item, perSubmit, perStep = 32, 64, 128, 48
+	const head, item, perSubmit, perStep = 32, 64, 128, 48 // bytes
 	size := head + item*(len(c.Cancels)+len(c.Fences)+len(c.Ends)+len(c.Losses)+len(c.Starts)+len(c.RunnerAddresses)+len(c.Departures))
 	for i := range c.Submits {
 		size += perSubmit + len(c.Submits[i].Job.Spec) + perStep*len(c.Submits[i].Job.Steps)
@@ -73,17 +91,17 @@
 	return size
 }
 
-// Decode decodes an entry of the shard's log, also one of an earlier release. The texts of the command share memory: what
-// is retained must be cloned.
+// Decode decodes an entry of the shard's log, also one that an earlier release wrote. All strings of the command share one
+// copy of the entry: a caller that keeps a string must clone it, or else it keeps the memory of the complete entry.
 func Decode(data []byte) (*Command, error) {
 	r := newReader(data)
 	version := r.byte()
 	if version != commandVersion && version != commandVersionWithoutDepartures {
-		return nil, errors.Errorf("command of version %d, this release reads up to %d", version, commandVersion)
+		return nil, errors.Errorf("command of version %d: the newest version that this release reads is %d", version, commandVersion)
 	}
 	last := &previousTexts{}
 	c := &Command{TimeOfDayMs: r.signed()}
-	c.Submits = items[Submit](r)
+	c.Submits = makeItems[Submit](r)
 	for i := range c.Submits {
 		c.Submits[i].ID = r.text()
 		c.Submits[i].Queue = r.queue()
@@ -92,19 +110,19 @@
 	}
 	c.Cancels = r.texts()
 	c.Fences = r.fences()
-	c.Ends = items[End](r)
+	c.Ends = makeItems[End](r)
 	for i := range c.Ends {
 		r.end(&c.Ends[i], last)
 	}
-	c.Losses = items[Loss](r)
+	c.Losses = makeItems[Loss](r)
 	for i := range c.Losses {
 		r.loss(&c.Losses[i], last)
 	}
-	c.Starts = items[Start](r)
+	c.Starts = makeItems[Start](r)
 	for i := range c.Starts {
 		r.start(&c.Starts[i], last)
 	}
-	c.RunnerAddresses = items[RunnerAddress](r)
+	c.RunnerAddresses = makeItems[RunnerAddress](r)
 	for i := range c.RunnerAddresses {
 		c.RunnerAddresses[i].Runner = r.text()
 		c.RunnerAddresses[i].Address = r.text()
@@ -118,8 +136,9 @@
 	return c, nil
 }
 
-// items returns a slice for the items that follow, or nil if there are none.
-func items[T any](r *reader) []T {
+// makeItems reads the number of the items that follow and returns a slice for them, or nil if there are none. The caller
+// reads the items.
+func makeItems[T any](r *reader) []T {
 	count := r.count()
 	if count == 0 {
 		return nil
@@ -135,7 +154,7 @@
 }
 
 func (r *reader) texts() []string {
-	texts := items[string](r)
+	texts := makeItems[string](r)
 	for i := range texts {
 		texts[i] = r.text()
 	}
@@ -151,7 +170,7 @@
 }
 
 func (r *reader) fences() []Fence {
-	fences := items[Fence](r)
+	fences := makeItems[Fence](r)
 	for i := range fences {
 		fences[i].ID = r.text()
 		fences[i].Version = r.unsigned()
--- a/internal/cluster/jobs/command_codec_test.go
+++ b/internal/cluster/jobs/command_codec_test.go
@@ -12,7 +12,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// fullStep has every field set.
+// fullStep returns a step with every field set.
 func fullStep() protocol.Step {
 	return protocol.Step{
 		Count: 3, CPU: 15_000, MemoryMB: 1 << 17, GPU: 8, EstimatedMs: 912.25, DependsOn: []int{0, 1}, Gang: true,
@@ -21,7 +21,7 @@
 	}
 }
 
-// fullCommand has every field set.
+// fullCommand returns a command with every field set, and with some items that have zero values.
 func fullCommand() *jobs.Command {
 	spec := protocol.JobSpec{
 		Spec: strings.Repeat("é", 2000), Steps: []protocol.Step{step(1), step(2), fullStep()},
@@ -45,6 +45,7 @@
 	}
 }
 
+// encode returns the encoding of a command.
 func encode(c *jobs.Command) []byte {
 	GinkgoHelper()
 	data, err := jobs.Encode(c)
@@ -52,30 +53,30 @@
 	return data
 }
 
-var _ = Describe("encoded commands", func() {
-	DescribeTable("decode to what was encoded",
+var _ = Describe("The encoding of a command", func() {
+	DescribeTable("decodes to an equal command",
 		func(c *jobs.Command) {
 			got, err := jobs.Decode(encode(c))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(got).To(Equal(c))
 		},
-		Entry("empty", &jobs.Command{}),
+		Entry("that is empty", &jobs.Command{}),
 		Entry("with a time before 1970", &jobs.Command{TimeOfDayMs: -5}),
-		Entry("full", fullCommand()),
-		Entry("one start", &jobs.Command{Starts: []jobs.Start{{Task: id(jobA, 0), Run: 1, Runner: "r1"}}}),
+		Entry("that has every field", fullCommand()),
+		Entry("that has one start", &jobs.Command{Starts: []jobs.Start{{Task: id(jobA, 0), Run: 1, Runner: "r1"}}}),
 	)
 
-	It("of an earlier release, without departures, are read", func() {
+	It("is decoded if an earlier release wrote it without departures", func() {
 		c := fullCommand()
 		c.Departures = nil
 		data := encode(c)
-		data[0] = 3
-		got, err := jobs.Decode(data[:len(data)-1]) // without the count of departures
+		data[0] = 3                                 // the version without departures
+		got, err := jobs.Decode(data[:len(data)-1]) // the last byte is the number of departures, 0
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal(c))
 	})
 
-	It("keep each outcome", func() {
+	It("preserves every outcome, also an unknown one", func() {
 		for _, outcome := range []protocol.RunEnd{
 			protocol.EndDone, protocol.EndFailed, protocol.EndStopped, protocol.EndLapsed,
 			protocol.EndBroken, protocol.EndAlone, protocol.EndRefused, "", "other",
@@ -86,7 +87,7 @@
 		}
 	})
 
-	It("are rejected if truncated anywhere, with bytes left over, or of an unknown version", func() {
+	It("is rejected if it is truncated anywhere, if bytes follow it, or if its version is unknown", func() {
 		c := fullCommand()
 		c.Submits[0].Job.Spec = "short"
 		data := encode(c)
@@ -101,7 +102,7 @@
 		Expect(err).To(MatchError(ContainSubstring("version 99")))
 	})
 
-	It("never make the reader panic, whatever the bytes", func() {
+	It("never makes Decode or Apply panic, whichever bytes are damaged", func() {
 		data := encode(fullCommand())
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
 			damaged := append([]byte(nil), data...)
@@ -116,11 +117,12 @@
 	})
 })
 
-// busyShard returns a shard with something of everything that a snapshot has.
-func busyShard() *shard {
+// populatedShard returns a shard with at least one item of everything that a snapshot has: fences, a gang of which one run
+// has ended, repetitions, a lingering run, ended jobs with and without a run, and departed runners.
+func populatedShard() *shard {
 	s := newShard()
 	s.fence("0000000000000fff", 5)
-	s.pass(1)
+	s.advance(1)
 	s.fence("0000000000000fff", 7)
 	s.submit(jobA, 2, step(3, gang, checkpoints), step(2, after(0)), fullStep())
 	s.startOn(1, "r1", id(jobA, 0), "r2", id(jobA, 1), "r2", id(jobA, 2))
@@ -128,7 +130,7 @@
 	s.submitSpec(jobB, 2, protocol.JobSpec{
 		Steps: []protocol.Step{step(2, gang), step(1, after(0))}, Repetitions: 3, FirstRunMs: startMs, IntervalMs: 500,
 	})
-	s.pass(600)
+	s.advance(600)
 	s.startOn(1, "r1", id(jobB, 1, 0, 0), "r2", id(jobB, 1, 0, 1))
 	s.end("r2", id(jobB, 1, 0, 1), 1, protocol.EndDone, "")
 	s.submit(jobC, 2, step(2))
@@ -140,9 +142,9 @@
 	return s
 }
 
-var _ = Describe("snapshots", func() {
-	It("restore what every accessor returns", func() {
-		s := busyShard()
+var _ = Describe("A snapshot", func() {
+	It("restores a state whose accessors return the same", func() {
+		s := populatedShard()
 		data, err := s.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		restored := jobs.New(jobs.Options{})
@@ -163,7 +165,7 @@
 		}
 	})
 
-	It("of an earlier release, without departures, are read", func() {
+	It("is restored if an earlier release wrote it without departures", func() {
 		const written = "0380a0abfef962904e04010000000200020272320000904e000272310001904e000110303030303030303030303030303061" +
 			"610a686f73742f706174682f07736572766963650204000000000000f83f000180a0abfef962001874657874206f66203030" +
 			"303030303030303030303030616100020004e80780010000000000208c40800102e80780010000000000208c400100010002" +
@@ -180,18 +182,18 @@
 		Expect(restored.Digest()).To(Equal(s.Digest()))
 	})
 
-	It("replace the complete state", func() {
+	It("replaces the complete state when it is restored", func() {
 		empty, err := jobs.New(jobs.Options{}).Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		s := busyShard()
+		s := populatedShard()
 		Expect(s.Restore(empty)).To(Succeed())
 		Expect(s.Counters()).To(Equal(jobs.Counters{}))
 		Expect(s.Runners()).To(BeEmpty())
 		Expect(s.pendingIDs()).To(BeEmpty())
 	})
 
-	It("are rejected if truncated anywhere, or of an unknown version, and then change nothing", func() {
-		s := busyShard()
+	It("is rejected without changing the state if it is truncated anywhere, if a byte follows it, or if its version is unknown", func() {
+		s := populatedShard()
 		data, _ := s.Snapshot()
 		before := view(s.State)
 		for length := range data {
@@ -202,8 +204,8 @@
 		Expect(view(s.State)).To(Equal(before))
 	})
 
-	It("never make the reader panic, whatever the bytes", func() {
-		data, _ := busyShard().Snapshot()
+	It("never makes Restore panic, whichever bytes are damaged", func() {
+		data, _ := populatedShard().Snapshot()
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
 			damaged := append([]byte(nil), data...)
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
@@ -214,8 +216,8 @@
 		})
 	})
 
-	It("restore a state that keeps none of their memory", func() {
-		s := busyShard()
+	It("shares no memory with the state that was restored from it", func() {
+		s := populatedShard()
 		data, _ := s.Snapshot()
 		restored := jobs.New(jobs.Options{})
 		Expect(restored.Restore(data)).To(Succeed())
--- a/internal/cluster/jobs/cost_test.go
+++ b/internal/cluster/jobs/cost_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// roundCommand is what an owner decides in one round on a busy shard: submits, ends, starts.
+// roundCommand returns a command like that of one round of an owner with much work: size submits, ends and starts each.
 func roundCommand(size int) *jobs.Command {
 	c := &jobs.Command{TimeOfDayMs: startMs}
 	for i := range size {
@@ -27,8 +27,10 @@
 	return c
 }
 
-var commandSizes = []int{1, 4, 32}
+var commandSizes = []int{1, 4, 32} // arguments of roundCommand
 
+// BenchmarkCodec measures the time of encoding and decoding a command and the size of its encoding. BenchmarkGob does the
+// same with package gob, for comparison.
 func BenchmarkCodec(b *testing.B) {
 	for _, size := range commandSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -45,6 +47,7 @@
 	}
 }
 
+// BenchmarkGob is BenchmarkCodec with the encoding of package gob.
 func BenchmarkGob(b *testing.B) {
 	for _, size := range commandSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -65,36 +68,39 @@
 	}
 }
 
+// Sizes of largeShard.
 const (
-	largeTasks   = 49_000
-	largePerJob  = 49
-	largeRunners = 1_000
+	largeTaskCount   = 49_000
+	largeTasksPerJob = 49
+	largeRunnerCount = 1_000
 )
 
-// largeShard has 49,000 running tasks on 1,000 runners.
+// largeShard returns a shard with 49,000 running tasks of 1,000 jobs on 1,000 runners.
 func largeShard() *jobs.State {
 	s := jobs.New(jobs.Options{})
-	for i := range largeTasks / largePerJob {
+	for i := range largeTaskCount / largeTasksPerJob {
 		job := fmt.Sprintf("%016x", i)
 		c := &jobs.Command{TimeOfDayMs: startMs, Submits: []jobs.Submit{{ID: job, Queue: queue(3), Job: protocol.JobSpec{
-			Spec: strings.Repeat("x", 250), Steps: []protocol.Step{step(largePerJob)},
+			Spec: strings.Repeat("x", 250), Steps: []protocol.Step{step(largeTasksPerJob)},
 		}}}}
-		for index := range largePerJob {
+		for index := range largeTasksPerJob {
 			task := jobs.TaskID{Job: job, Index: index}
-			c.Starts = append(c.Starts, jobs.Start{Task: task, Run: 1, Runner: largeRunner(i*largePerJob + index)})
+			c.Starts = append(c.Starts, jobs.Start{Task: task, Run: 1, Runner: largeRunner(i*largeTasksPerJob + index)})
 		}
 		s.Apply(c)
 	}
 	return s
 }
 
-func largeRunner(number int) string { return fmt.Sprintf("i-%08x", number%largeRunners) }
+// largeRunner returns the runner of a task of largeShard, given the number of the task.
+func largeRunner(number int) string { return fmt.Sprintf("i-%08x", number%largeRunnerCount) }
 
+// BenchmarkApplyEndAndStart measures a command that ends one run of a large shard and starts the task's next one.
 func BenchmarkApplyEndAndStart(b *testing.B) {
 	s := largeShard()
 	n := uint64(0)
 	task := jobs.TaskID{Job: fmt.Sprintf("%016x", 500), Index: 7}
-	runner := largeRunner(500*largePerJob + 7)
+	runner := largeRunner(500*largeTasksPerJob + 7)
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
@@ -109,6 +115,7 @@
 	}
 }
 
+// BenchmarkSnapshotLarge measures the time and the bytes of the snapshot of a large shard.
 func BenchmarkSnapshotLarge(b *testing.B) {
 	s := largeShard()
 	b.ReportAllocs()
@@ -118,6 +125,7 @@
 	}
 }
 
+// BenchmarkRestoreLarge measures the time to restore a large shard from its snapshot.
 func BenchmarkRestoreLarge(b *testing.B) {
 	data, _ := largeShard().Snapshot()
 	b.ReportAllocs()
--- a/internal/cluster/jobs/doc.go
+++ b/internal/cluster/jobs/doc.go
@@ -1,19 +1,32 @@
-// Package jobs is the replicated state machine of one shard of jobs: the jobs that clients submitted, every run that may
-// exist, and how runs ended.
+// Package jobs is the replicated state machine of one shard of jobs. Its State holds the jobs that clients submitted, the
+// runs that may exist on runners, and the results of runs that have ended.
 //
-// The package is pure and deterministic. It has no clock, no randomness, no I/O and no goroutines: the same commands in
-// the same order give the same State on each replica, byte by byte (Snapshot, Digest). That is what Raft asks of a state
-// machine (Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 2.1).
+// # Determinism
 //
-// Callers must apply each committed command exactly once, in the order of the log, and use the same Options on all
-// replicas. A State may be used by one goroutine at a time; tasks and jobs that it returns may be read until the next
-// Restore, and are changed by Apply alone.
+// Raft requires a deterministic state machine (Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 2.1).
+// Replicas that have applied the same commands in the same order therefore have equal states, and equal states have the
+// same Snapshot, byte by byte, and the same Digest. The package keeps this as follows:
+//   - It has no clock, no random numbers, no I/O and no goroutines. Time comes with the commands (Command.TimeOfDayMs).
+//   - No result depends on the iteration order of a map: keys are sorted before they are used.
+//   - Limits such as those of Validate, maxAgeStepMs and maxOpenTasks decide the result of a command. Replicas of two
+//     releases with different limits would diverge.
 //
-// A State keeps at most one run of a task that may exist: a Start is applied only when the End or Loss of the run before
-// was. For that to be true of the runners as well, a start must be ordered only after its command was applied. The
-// package does not choose runners: what is only an estimate (free capacity, predicted times) belongs to the owner
-// of the shard, package scheduler.
+// Callers must apply each committed command exactly once, in the order of the log, and must use the same Options on all
+// replicas. Only one goroutine may use a State at a time. Tasks and jobs that it returns may be read until the next
+// Restore; only Apply changes them.
 //
-// Commands and snapshots are written by hand (encoding.go): names of fields are free, the order of what is written and
-// the numbers of phases, states and outcomes are the stored form and must not change.
+// # Runs
+//
+// A run is one execution of a task on a runner. A State records at most one run of a task that may exist: it applies a
+// Start only after the End or the Loss of the task's previous run was applied. For this to hold on the runners too, the
+// caller must send a start order only after the command with the Start was applied.
+//
+// The package does not choose runners. Estimates, such as free capacity and predicted times, are not replicated: the owner
+// of the shard keeps them, in package scheduler.
+//
+// # Stored form
+//
+// Commands and snapshots are encoded without field names (encoding.go), so Go fields may be renamed. The order in which
+// fields are written and the numbers of phases, job states, outcomes, flags and tombstone kinds are stored in logs and
+// snapshots. They must not change without a new version number of the encoding, or else stored data could not be read.
 package jobs
--- a/internal/cluster/jobs/encoding.go
+++ b/internal/cluster/jobs/encoding.go
@@ -8,10 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// errMalformed is the error of a reader whose input is truncated or not what a writer writes.
-var errMalformed = errors.New("malformed encoding")
-
-// writer writes the compact form of commands and snapshots: numbers as varints, texts after their length.
+// errMalformed is the error of a reader whose input is truncated or has a value that no writer writes.
+var errMalformed = errors.New("encoding is truncated or has a value out of range")
+
+// writer encodes commands and snapshots in a compact form without field names:
+//   - unsigned, count: varint as in encoding/binary
+//   - signed: zigzag varint as in encoding/binary
+//   - float: IEEE 754 double, little-endian, 8 bytes
+//   - flag: one byte, 0 or 1
+//   - text: its length in bytes as a varint, and its bytes
+//
+// Equal values must give equal bytes, since replicas compare digests of their snapshots.
 type writer struct{ data []byte }
 
 func (w *writer) byte(value byte)       { w.data = append(w.data, value) }
@@ -19,6 +26,7 @@
 func (w *writer) signed(value int64)    { w.data = binary.AppendVarint(w.data, value) }
 func (w *writer) count(value int)       { w.unsigned(uint64(value)) }
 
+// flag writes a boolean as one byte.
 func (w *writer) flag(set bool) {
 	if set {
 		w.byte(1)
@@ -36,7 +44,8 @@
 	w.data = append(w.data, value...)
 }
 
-// repeated writes a text that is often the same as the one written before it in this field, which previous points to.
+// repeated writes a text that often equals *previous, the text that was written here before: as 0 if it does, else as its
+// length plus 1 and its bytes. It sets *previous to the text.
 func (w *writer) repeated(value string, previous *string) {
 	if value == *previous {
 		w.byte(0)
@@ -47,16 +56,18 @@
 	w.data = append(w.data, value...)
 }
 
-// reader reads what a writer has written. Its first error stays, and everything read after it is zero. The texts that it
-// returns share one copy of the input: what is retained must be cloned, as ownedText does.
+// reader decodes the output of a writer. After an error it is at the end of its input, so that every later read returns a
+// zero value; the caller needs to check the error once, with done. The texts that it returns share one copy of the input: a
+// text that is kept must be cloned, as ownedText does.
 type reader struct {
 	data   string
-	offset int
-	err    error
+	offset int   // of the next byte to read, in data
+	err    error // nil until a read fails
 }
 
 func newReader(data []byte) *reader { return &reader{data: string(data)} }
 
+// fail records that the input is malformed, and skips the rest of it.
 func (r *reader) fail() { r.err, r.offset = errMalformed, len(r.data) }
 
 func (r *reader) byte() byte {
@@ -90,7 +101,8 @@
 // integer reads a signed number as an int.
 func (r *reader) integer() int { return int(r.signed()) }
 
-// count reads the number of items that follow. Each takes a byte at least, so that a larger number is malformed.
+// count reads the number of items, or of bytes, that follow. Each item takes at least one byte: a number above that of the
+// bytes left is malformed, and is rejected before memory is allocated for it.
 func (r *reader) count() int {
 	value := r.unsigned()
 	if value > uint64(len(r.data)-r.offset) {
@@ -100,7 +112,7 @@
 	return int(value)
 }
 
-// float reads a number of eight bytes.
+// float reads a little-endian IEEE 754 double.
 func (r *reader) float() float64 {
 	const size = 8
 	if len(r.data)-r.offset < size {
@@ -115,18 +127,20 @@
 	return math.Float64frombits(bits)
 }
 
+// text returns a text that shares the memory of the input.
 func (r *reader) text() string { return r.take(r.count()) }
 
-// ownedText returns a text that doesn't keep the input alive.
+// ownedText returns a text with memory of its own, which doesn't keep the input in memory.
 func (r *reader) ownedText() string { return strings.Clone(r.text()) }
 
+// take returns the next bytes of the input. The caller has checked that there are so many.
 func (r *reader) take(length int) string {
 	value := r.data[r.offset : r.offset+length]
 	r.offset += length
 	return value
 }
 
-// repeated reads what writer.repeated has written.
+// repeated reads a text that writer.repeated has written, and sets *previous to the text.
 func (r *reader) repeated(previous *string) string {
 	length := r.unsigned()
 	if length == 0 {
@@ -140,10 +154,10 @@
 	return *previous
 }
 
-// done returns the first error, or one if input is left over.
+// done returns the error of the reads before it, or an error if the input has bytes that were not read.
 func (r *reader) done() error {
 	if r.err == nil && r.offset != len(r.data) {
-		r.err = errors.Errorf("%d bytes left over", len(r.data)-r.offset)
+		r.err = errors.Errorf("%d bytes follow the end of the encoding", len(r.data)-r.offset)
 	}
 	return r.err
 }
--- a/internal/cluster/jobs/fixtures_test.go
+++ b/internal/cluster/jobs/fixtures_test.go
@@ -19,11 +19,11 @@
 	jobs.Blocked, jobs.Pending, jobs.Running, jobs.Done, jobs.Failed, jobs.Cancelled, jobs.GangEnding,
 }
 
-// eventfulShard is a shard in which jobs are in every state and tasks in every phase: those of busyShard, one that has
-// failed, one that is completed and one that is queued.
-func eventfulShard() *shard {
+// shardInEveryPhase returns a shard that has jobs in every state and tasks in every phase: the jobs of populatedShard, and
+// one that has failed, one that has completed and one that is queued. It checks that it has them.
+func shardInEveryPhase() *shard {
 	GinkgoHelper()
-	s := busyShard()
+	s := populatedShard()
 	s.submit(jobD, 1, step(2), step(1, after(0)))
 	s.startOn(1, "r1", id(jobD, 0), "r2", id(jobD, 1))
 	s.end("r1", id(jobD, 0), 1, protocol.EndFailed, "saved before it failed")
@@ -50,7 +50,8 @@
 	return s
 }
 
-// shownTask, shownJob and shownState have what a state shows of its parts, without the links between them.
+// shownTask and the other shown types below have the exported values of a State without the pointers between them, so that
+// they can be compared and listed in a fixture.
 type shownTask struct {
 	ID             string
 	Phase          jobs.Phase
@@ -95,9 +96,10 @@
 	Jobs     []shownJob
 	Runners  []shownRunner
 	Pending  []string
-	Digest   uint64 // of every field that a snapshot has
+	Digest   uint64 // covers the fields that no accessor returns
 }
 
+// show returns the exported values of a state.
 func show(state *jobs.State) *shownState {
 	all := &shownState{ClockMs: state.ClockMs(), Counters: state.Counters(), Digest: state.Digest()}
 	for _, id := range state.JobIDs("", "", 100) {
@@ -135,7 +137,7 @@
 	return shown
 }
 
-// endedCommand has an end with each outcome.
+// endedCommand returns a command that has an end with each outcome.
 func endedCommand() *jobs.Command {
 	c := &jobs.Command{}
 	for i, outcome := range []protocol.RunEnd{
@@ -147,8 +149,8 @@
 	return c
 }
 
-var _ = Describe("what the version of the fixtures wrote", func() {
-	DescribeTable("is read as a command, and written the same again",
+var _ = Describe("A fixture, which an earlier version of the program wrote,", func() {
+	DescribeTable("is decoded as a command and encoded again to the same bytes",
 		func(name string, command func() *jobs.Command) {
 			fixturetest.Check(GinkgoTB(), name, fixturetest.Codec{
 				Encode: func() (any, []byte, error) {
@@ -172,10 +174,10 @@
 		Entry("with all outcomes", "ends", endedCommand),
 	)
 
-	It("is read as a snapshot, and written the same again", func() {
+	It("is restored as a snapshot and encoded again to the same bytes", func() {
 		fixturetest.Check(GinkgoTB(), "snapshot", fixturetest.Codec{
 			Encode: func() (any, []byte, error) {
-				s := eventfulShard()
+				s := shardInEveryPhase()
 				data, err := s.Snapshot()
 				return show(s.State), data, err
 			},
--- a/internal/cluster/jobs/gang.go
+++ b/internal/cluster/jobs/gang.go
@@ -2,7 +2,9 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// recordGangStart records on the gang that a command starts one of its members.
+// recordGangStart prepares the decision on a gang: it counts a valid Start of one of the gang's tasks, or records that the
+// gang has an invalid one. It does nothing for tasks that are in no gang. Only after this was called for all Starts of the
+// command does startsCompletely know whether the gang may start.
 func (s *State) recordGangStart(start *Start) {
 	task := s.Task(start.Task)
 	if task == nil || !task.Group.Spec().Gang {
@@ -13,26 +15,32 @@
 		return
 	}
 	task.isStarting = true
-	task.Group.starting++
+	task.Group.startingMembers++
 }
 
-// clearGangStart clears what recordGangStart recorded.
+// clearGangStart resets the fields that recordGangStart has set, before the next command.
 func (s *State) clearGangStart(start *Start) {
 	task := s.Task(start.Task)
 	if task == nil {
 		return
 	}
 	task.isStarting = false
-	task.Group.starting = 0
+	task.Group.startingMembers = 0
 	task.Group.hasInvalidStart = false
 }
 
-// startsCompletely reports whether the command being applied starts all members of the gang, and each as it may be.
+// startsCompletely reports whether the command being applied has exactly one valid Start for each member of the gang.
 func (g *Group) startsCompletely() bool {
-	return !g.hasInvalidStart && g.starting == len(g.Tasks)
+	return !g.hasInvalidStart && g.startingMembers == len(g.Tasks)
 }
 
-// transitionGangMember gives a gang's member, whose run has just ended, and its gang their next phases.
+// transitionGangMember sets the next phase of a gang member whose run has just ended, and of the gang's other members if the
+// end concerns them:
+//   - EndDone completes the complete gang, unless its step is long-running.
+//   - The first EndFailed of a gang's run counts as one failed attempt. The last allowed attempt fails the job.
+//   - Otherwise the member is GangEnding. When no member is Running any more, all members become Pending again.
+//
+// So a gang never starts again while a run of it may exist.
 func (s *State) transitionGangMember(task *Task, outcome protocol.RunEnd) {
 	group := task.Group
 	task.Phase = GangEnding
@@ -54,7 +62,8 @@
 	}
 }
 
-// makeGangPending makes a gang's members Pending again, once no run of it may exist.
+// makeGangPending makes all members of a gang Pending again. No run of the gang may exist. The next run of every member
+// starts from the gang's checkpoint.
 func (s *State) makeGangPending(group *Group) {
 	for _, task := range group.Tasks {
 		task.Checkpoint = group.Checkpoint
@@ -62,11 +71,12 @@
 	}
 }
 
-// completeGang makes all members Done by the end of one; the runs of the others linger until their own ends.
+// completeGang makes all members of a gang Done because one of them is. The runs of members that are still Running linger
+// until their own End or Loss is applied.
 func (s *State) completeGang(group *Group) {
 	for _, task := range group.Tasks {
 		if task.Phase == Running {
-			s.linger(task)
+			s.makeRunLinger(task)
 		}
 	}
 	for _, task := range group.Tasks {
@@ -74,7 +84,8 @@
 	}
 }
 
-func (s *State) linger(task *Task) {
+// makeRunLinger moves the run of a Running task to the lingering runs of its runner. The caller sets the task's phase.
+func (s *State) makeRunLinger(task *Task) {
 	record := s.runners.records[task.Runner]
 	s.detachFromRunner(task, record)
 	record.lingering = append(record.lingering, Lingering{
--- a/internal/cluster/jobs/gang_test.go
+++ b/internal/cluster/jobs/gang_test.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("gangs", func() {
+var _ = Describe("A gang", func() {
 	var (
 		s       *shard
 		a, b, c = id(jobA, 0), id(jobA, 1), id(jobA, 2)
@@ -18,30 +18,31 @@
 		s.submit(jobA, 2, step(3, gang, checkpoints), step(1, after(0)))
 	})
 
+	// startAll starts one run of each of the three members.
 	startAll := func(run uint64) {
 		GinkgoHelper()
 		Expect(s.startOn(run, "r1", a, "r2", b, "r3", c)).To(Equal([]bool{true, true, true}))
 	}
 
-	DescribeTable("starts all members or none",
+	DescribeTable("starts either all members or none",
 		func(starts []jobs.Start, want []bool) {
 			Expect(s.do(&jobs.Command{Starts: starts}).Starts).To(Equal(want))
 			Expect(s.Counters().Running).To(Equal(count(want)))
-			startsAfter := s.Task(a).Run
-			Expect(startsAfter == 1).To(Equal(count(want) > 0))
+			newestRun := s.Task(a).Run
+			Expect(newestRun == 1).To(Equal(count(want) > 0))
 		},
-		Entry("all", []jobs.Start{{Task: a, Run: 1}, {Task: c, Run: 1}, {Task: b, Run: 1}}, []bool{true, true, true}),
-		Entry("one missing", []jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}}, []bool{false, false}),
-		Entry("one twice instead of another",
+		Entry("if each member has one start", []jobs.Start{{Task: a, Run: 1}, {Task: c, Run: 1}, {Task: b, Run: 1}}, []bool{true, true, true}),
+		Entry("if one member has no start", []jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}}, []bool{false, false}),
+		Entry("if one member has two starts and another has none",
 			[]jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}, {Task: b, Run: 1}}, []bool{false, false, false}),
-		Entry("one twice in addition to all",
+		Entry("if one member has two starts and the others have one",
 			[]jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 1}, {Task: c, Run: 1}, {Task: c, Run: 1}},
 			[]bool{false, false, false, false}),
-		Entry("one with another run",
+		Entry("if one start has another run number",
 			[]jobs.Start{{Task: a, Run: 1}, {Task: b, Run: 2}, {Task: c, Run: 1}}, []bool{false, false, false}),
 	)
 
-	It("does not reject a gang's starts for another gang's invalid ones", func() {
+	It("starts although the same command has invalid starts of another gang", func() {
 		s.submit(jobB, 2, step(2, gang))
 		starts := []jobs.Start{
 			{Task: a, Run: 1, Runner: "r1"}, {Task: id(jobB, 0), Run: 1, Runner: "r1"},
@@ -51,7 +52,7 @@
 		startAll(1)
 	})
 
-	It("is done with the first member that is; the other runs linger until their own ends", func() {
+	It("is Done as soon as one member is, and the runs of the others linger until their own ends", func() {
 		startAll(1)
 		effects := s.end("r2", b, 1, protocol.EndDone, "")
 		Expect(effects.EndedRuns).To(HaveLen(3))
@@ -71,7 +72,7 @@
 		Expect(s.phases(a, b, c)).To(Equal([]jobs.Phase{jobs.Done, jobs.Done, jobs.Done}))
 	})
 
-	It("keeps lingering runs of a job whose details are dropped", func() {
+	It("keeps its lingering runs when the details of its job are dropped", func() {
 		s.submit(jobB, 2, step(2, gang))
 		s.startOn(1, "r1", id(jobB, 0), "r1", id(jobB, 1))
 		s.end("r1", id(jobB, 0), 1, protocol.EndDone, "")
@@ -82,7 +83,7 @@
 		Expect(s.Counters().Lingering).To(Equal(0))
 	})
 
-	It("becomes pending again once no run of it may exist, with one run number for all", func() {
+	It("becomes Pending again once no run of it may exist, and all members get the same run number", func() {
 		startAll(1)
 		s.end("r1", a, 1, protocol.EndBroken, "one")
 		s.lose("r2", b, 1, "")
@@ -100,7 +101,7 @@
 		Expect(s.Task(a).Group.Run).To(Equal(uint64(2)))
 	})
 
-	It("is done even if a member's run was over before", func() {
+	It("is Done although the run of another member was lost before", func() {
 		startAll(1)
 		s.lose("r1", a, 1, "")
 		s.end("r2", b, 1, protocol.EndDone, "")
@@ -108,7 +109,7 @@
 		Expect(s.Runners()).To(Equal([]string{"r3"}))
 	})
 
-	It("counts a failed run once, however many members fail", func() {
+	It("counts a failed run as one attempt, however many members fail in it", func() {
 		startAll(1)
 		s.end("r1", a, 1, protocol.EndFailed, "")
 		s.end("r2", b, 1, protocol.EndFailed, "")
@@ -127,7 +128,7 @@
 		Expect(s.Job(jobA).Groups).To(BeEmpty())
 	})
 
-	It("is cancelled: members that are ending at once, running ones with their end", func() {
+	It("is cancelled with its job: members without a run at once, Running ones when their run ends", func() {
 		startAll(1)
 		s.end("r1", a, 1, protocol.EndBroken, "")
 		s.cancel(jobA)
@@ -139,7 +140,7 @@
 		Expect(s.pendingIDs()).To(BeEmpty())
 	})
 
-	It("prefers an end's checkpoint to that of a loss", func() {
+	It("keeps the checkpoint of an end rather than that of a loss of the same run", func() {
 		startAll(1)
 		s.lose("r1", a, 1, "seen")
 		s.end("r2", b, 1, protocol.EndBroken, "ended")
@@ -152,7 +153,7 @@
 		Expect(s.Task(b).Checkpoint).To(Equal("later"))
 	})
 
-	It("keeps in a snapshot that a run's failure was counted and that its checkpoint is an end's", func() {
+	It("still counts a failed run once, and keeps the checkpoint of an end, after its state was restored from a snapshot", func() {
 		startAll(1)
 		s.end("r1", a, 1, protocol.EndFailed, "ended")
 		data, err := s.Snapshot()
@@ -165,7 +166,7 @@
 		Expect(s.Task(a).Checkpoint).To(Equal("ended"))
 	})
 
-	It("that is long-running becomes pending again however it ends", func() {
+	It("becomes Pending again after every end if its step is long-running", func() {
 		s.submit(jobB, 1, step(2, gang, longRunning))
 		for run := uint64(1); run <= 3; run++ {
 			s.startOn(run, "r1", id(jobB, 0), "r2", id(jobB, 1))
@@ -178,7 +179,8 @@
 	})
 })
 
-// startOn starts pairs of runner and task in one command.
+// startOn starts tasks in one command and returns which starts were applied. pairs has a runner (string) and a task
+// (jobs.TaskID) for each start.
 func (s *shard) startOn(run uint64, pairs ...any) []bool {
 	command := &jobs.Command{}
 	for i := 0; i < len(pairs); i += 2 {
@@ -188,6 +190,7 @@
 	return s.do(command).Starts
 }
 
+// count returns how many of the flags are set.
 func count(flags []bool) (set int) {
 	for _, flag := range flags {
 		if flag {
--- a/internal/cluster/jobs/job.go
+++ b/internal/cluster/jobs/job.go
@@ -2,70 +2,73 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// Task is one task of a job, in one of its repetitions. The owner reads its fields; only State.Apply changes them.
+// Task is one task of a job in one repetition. The owner of the shard reads its fields; only State.Apply changes them.
 type Task struct {
 	ID             TaskID
 	Group          *Group
 	Phase          Phase
-	Run            uint64 // newest run; 0: none yet
-	Runner         string // incarnation that has the newest run while Phase is Running, else empty
-	Checkpoint     string // newest checkpoint, or empty; the same for all members of a gang while they are Pending
-	Attempts       int    // failed runs that count; those of a gang are counted by its group
-	PendingSinceMs int64  // shard's time of day at which it last became Pending
-
-	sequence       uint64 // rises each time a task becomes Pending or Running; orders the lists below
-	previous, next *Task  // neighbours in the list of pending tasks, or in that of its runner's running ones
-	isStarting     bool   // member of a gang: the command being applied has a start of it
+	Run            uint64 // number of the newest run, from 1; 0 before the first run
+	Runner         string // while Phase is Running: incarnation of the runner of the newest run; else empty
+	Checkpoint     string // newest checkpoint, or empty; in a gang, all Pending members have the gang's checkpoint
+	Attempts       int    // runs that ended with protocol.EndFailed; 0 in gangs (see Group.Attempts) and long-running steps
+	PendingSinceMs int64  // State.ClockMs when the task last became Pending
+
+	sequence       uint64 // set from State.sequence when the task becomes Pending or Running; orders each taskList
+	previous, next *Task  // neighbours in the task's taskList
+	isStarting     bool   // gangs only: the command being applied has a valid Start of this task
 }
 
-// Group is one step of a job in one repetition: the unit of gangs, anti-affinity and dependsOn.
+// Group is all tasks of one step of a job in one repetition. Gangs, anti-affinity and dependsOn refer to groups. The fields
+// marked "gang" are used only if the step is a gang, whose tasks must all run at the same time.
 type Group struct {
 	Job        *Job
-	Repetition int
-	Step       int
+	Repetition int // from 0
+	Step       int // index in Job.Spec.Steps
 	Tasks      []*Task
-	Unfinished int    // tasks that are not Done
-	Run        uint64 // gang: newest run of all members
-	Attempts   int    // gang: runs that failed
-	Running    int    // tasks that are Running
-	Checkpoint string // gang: newest checkpoint that any member's end or loss brought
-
-	isReleased       bool   // its tasks are no longer Blocked
-	failedRun        uint64 // gang: newest run whose failure was counted
-	endCheckpointRun uint64 // gang: newest run of which an end brought Checkpoint; an end is newer than any loss
-	starting         int    // gang: members that the command being applied starts
-	hasInvalidStart  bool   // gang: the command being applied has a start that doesn't fit
+	Unfinished int    // number of tasks that are not Done
+	Run        uint64 // gang: number of the newest run, which is the same for all members
+	Attempts   int    // gang: runs in which a member ended with protocol.EndFailed; 0 for a long-running step
+	Running    int    // number of tasks that are Running
+	Checkpoint string // gang: checkpoint from which the next run starts; see keepCheckpointOfLoss
+
+	isReleased       bool   // the tasks were made Pending at least once
+	failedRun        uint64 // gang: newest run that Attempts counts, so that each run counts at most once
+	endCheckpointRun uint64 // gang: newest run whose checkpoint came with an End
+	startingMembers  int    // gang: number of tasks of which the command being applied has a valid Start
+	hasInvalidStart  bool   // gang: the command being applied has an invalid Start of a task, or a second one
 }
 
 // Spec returns the step as the client submitted it.
 func (g *Group) Spec() *protocol.Step { return &g.Job.Spec.Steps[g.Step] }
 
-// Job is one job. Once it has ended and no run of it may exist, State.Job returns a copy without Spec and Groups.
+// Job is one job. Once it has ended and none of its tasks is Running, State.Job returns a copy without Spec and Groups.
 type Job struct {
 	ID         string
-	Queue      protocol.Queue
+	Queue      protocol.Queue // the configuration of the job's queue when the job was submitted
 	Spec       protocol.JobSpec
-	Groups     []*Group // by repetition, then step; those of repetitions that are due and not complete
+	Groups     []*Group // groups of the open repetitions, ordered by repetition and then by step
 	State      protocol.JobState
-	AcceptedMs int64 // shard's time of day
-	EndedMs    int64 // shard's time of day at which it became completed, failed or cancelled; 0: not yet
-
-	opened    int // repetitions whose groups were made
-	completed int // repetitions all of whose tasks are done
-	running   int // tasks that are Running
-	dueIndex  int // position in State.dueJobs, or notScheduled
+	AcceptedMs int64 // State.ClockMs when the job was accepted
+	EndedMs    int64 // State.ClockMs when the job became completed, failed or cancelled; 0 before that
+
+	// A repetition is open from when its groups are created, at the earliest when it falls due, until all its tasks are
+	// Done. Repetitions are opened in order, but may complete in any order.
+	openedRepetitions    int // number of repetitions opened so far, complete ones included
+	completedRepetitions int
+	runningTasks         int // number of tasks that are Running
+	dueIndex             int // position in State.dueJobs, or notScheduled
 }
 
 // Ended reports whether the job is completed, failed or cancelled.
 func (j *Job) Ended() bool { return protocol.JobEnded(j.State) }
 
-// Abandoned reports whether the job was cancelled or has failed: its remaining runs are to be stopped.
+// Abandoned reports whether the job was cancelled or has failed. The remaining runs of such a job must be stopped.
 func (j *Job) Abandoned() bool {
 	return j.State == protocol.JobCancelled || j.State == protocol.JobFailed
 }
 
-// Progress counts the tasks of the job's open repetitions: those that are Done, those that are Running, and all. Tasks of
-// repetitions that are complete or not due yet are not counted.
+// Progress returns how many tasks of the job's open repetitions are Done, how many are Running, and how many there are.
+// Tasks of repetitions that are complete or not open yet are not counted.
 func (j *Job) Progress() (done, running, all int) {
 	for _, group := range j.Groups {
 		all += len(group.Tasks)
@@ -75,13 +78,14 @@
 	return done, running, all
 }
 
-// repetitions returns how often the steps run: 1 for a job without repetitions.
+// repetitions returns how many times the job's steps must run: 1 for a job without repetitions.
 func (j *Job) repetitions() int { return max(1, j.Spec.Repetitions) }
 
-// dueMs returns the time of day at which repetition k falls due; only for jobs with repetitions.
+// dueMs returns the time of day, in ms since 1970, at which repetition k (from 0) falls due. The job must have repetitions.
 func (j *Job) dueMs(k int) int64 { return j.Spec.FirstRunMs + int64(k)*j.Spec.IntervalMs }
 
-// GroupsOf returns the groups of repetition k, by step, or nil if it is not open.
+// GroupsOf returns the groups of repetition k, one for each step in order, or nil if the repetition is not open. It is a
+// binary search: Groups has all steps of an open repetition, in ascending order of repetitions.
 func (j *Job) GroupsOf(k int) []*Group {
 	steps := len(j.Spec.Steps)
 	if steps == 0 {
@@ -102,7 +106,7 @@
 	return j.Groups[low*steps : (low+1)*steps]
 }
 
-// Group returns the group of a step in repetition k, or nil if the repetition is not due yet or complete.
+// Group returns the group of a step in repetition k, or nil if the repetition is not open or has no such step.
 func (j *Job) Group(k, step int) *Group {
 	groups := j.GroupsOf(k)
 	if step < 0 || step >= len(groups) {
@@ -111,7 +115,7 @@
 	return groups[step]
 }
 
-// task returns the task that id names, or nil.
+// task returns the task that id names, or nil if its repetition is not open or its step or index doesn't exist.
 func (j *Job) task(id TaskID) *Task {
 	group := j.Group(id.Repetition, id.Step)
 	if group == nil || id.Index < 0 || id.Index >= len(group.Tasks) {
@@ -120,6 +124,7 @@
 	return group.Tasks[id.Index]
 }
 
+// newGroup returns a group with all tasks of the step, each Blocked. It doesn't add the group to the job.
 func newGroup(job *Job, repetition, step int) *Group {
 	count := job.Spec.Steps[step].Count
 	group := &Group{Job: job, Repetition: repetition, Step: step, Unfinished: count}
--- a/internal/cluster/jobs/job_test.go
+++ b/internal/cluster/jobs/job_test.go
@@ -8,8 +8,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("jobs as operators see them", func() {
-	It("are listed in order of id, by page and by queue", func() {
+var _ = Describe("The jobs of a shard", func() {
+	It("are listed in ascending order of id, in pages and by queue", func() {
 		s := newShard()
 		for _, id := range []string{jobC, jobA, jobB} {
 			s.submit(id, 3, protocol.Step{Count: 1})
@@ -21,7 +21,7 @@
 		Expect(s.JobIDs("host/other/", "", 2)).To(BeEmpty())
 	})
 
-	It("count their tasks", func() {
+	It("report how many of their tasks are Done and Running", func() {
 		s := newShard()
 		s.submit(jobA, 3, protocol.Step{Count: 3}, protocol.Step{Count: 2, DependsOn: []int{0}})
 		first := jobs.TaskID{Job: jobA}
--- a/internal/cluster/jobs/jobs_suite_test.go
+++ b/internal/cluster/jobs/jobs_suite_test.go
@@ -21,39 +21,41 @@
 	jobB = "00000000000000bb"
 	jobC = "00000000000000cc"
 
-	startMs = int64(1_700_000_000_000) // time of day at which each shard of the tests begins
+	startMs = int64(1_700_000_000_000) // time of day, in ms since 1970, of each shard's first command
 )
 
-// shard is a State with a clock and helpers for the tests.
+// shard is a State with a clock and with methods that apply commands of one item.
 type shard struct {
 	*jobs.State
-	nowMs int64
-	n     map[string]uint64 // newest N of each runner
+	nowMs   int64             // TimeOfDayMs of the next command
+	lastEnd map[string]uint64 // newest End.N of each runner
 }
 
 func newShard() *shard {
-	s := &shard{State: jobs.New(jobs.Options{}), nowMs: startMs, n: map[string]uint64{}}
+	s := &shard{State: jobs.New(jobs.Options{}), nowMs: startMs, lastEnd: map[string]uint64{}}
 	s.do(&jobs.Command{})
 	return s
 }
 
-// do applies a command at the shard's present time.
+// do applies a command at the shard's current time.
 func (s *shard) do(c *jobs.Command) *jobs.Effects {
 	GinkgoHelper()
 	c.TimeOfDayMs = s.nowMs
 	return s.Apply(c)
 }
 
-// pass advances the clock.
-func (s *shard) pass(ms int64) *jobs.Effects {
+// advance advances the clock and applies an empty command.
+func (s *shard) advance(ms int64) *jobs.Effects {
 	s.nowMs += ms
 	return s.do(&jobs.Command{})
 }
 
+// queue returns a queue that allows this number of failed attempts; 0: no limit.
 func queue(maxAttempts int) protocol.Queue {
 	return protocol.Queue{Key: "host/path/", Service: "service", Priority: 1, MaxAttempts: maxAttempts, Extension: 1.5}
 }
 
+// submit submits a job of these steps without repetitions.
 func (s *shard) submit(id string, maxAttempts int, steps ...protocol.Step) *jobs.Effects {
 	return s.submitSpec(id, maxAttempts, protocol.JobSpec{Spec: "text of " + id, Steps: steps})
 }
@@ -65,6 +67,7 @@
 	return effects
 }
 
+// start starts tasks on one runner in one command, and returns which starts were applied.
 func (s *shard) start(runner string, run uint64, ids ...jobs.TaskID) []bool {
 	c := &jobs.Command{}
 	for _, id := range ids {
@@ -73,10 +76,11 @@
 	return s.do(c).Starts
 }
 
+// end applies an end of a run, with the next N of its runner.
 func (s *shard) end(runner string, id jobs.TaskID, run uint64, outcome protocol.RunEnd, checkpoint string) *jobs.Effects {
-	s.n[runner]++
+	s.lastEnd[runner]++
 	return s.do(&jobs.Command{Ends: []jobs.End{
-		{Runner: runner, N: s.n[runner], Task: id, Run: run, Outcome: outcome, Checkpoint: checkpoint},
+		{Runner: runner, N: s.lastEnd[runner], Task: id, Run: run, Outcome: outcome, Checkpoint: checkpoint},
 	}})
 }
 
@@ -84,15 +88,17 @@
 	return s.do(&jobs.Command{Losses: []jobs.Loss{{Runner: runner, Task: id, Run: run, Checkpoint: checkpoint}}})
 }
 
+// cancel cancels a job and reports whether it is known.
 func (s *shard) cancel(id string) bool {
 	return s.do(&jobs.Command{Cancels: []string{id}}).Cancels[0]
 }
 
+// fence fences an id and reports whether the shard has or had the job.
 func (s *shard) fence(id string, version uint64) bool {
 	return s.do(&jobs.Command{Fences: []jobs.Fence{{ID: id, Version: version}}}).Fences[0]
 }
 
-// submitBy submits a job of one task by a version of the configuration.
+// submitBy submits a job of one task whose queue comes from this version of the configuration.
 func (s *shard) submitBy(id string, version uint64) jobs.SubmitEffect {
 	submit := jobs.Submit{ID: id, Queue: queue(2), Job: protocol.JobSpec{Steps: []protocol.Step{step(1)}}, Version: version}
 	return s.do(&jobs.Command{Submits: []jobs.Submit{submit}}).Submits[0]
@@ -107,7 +113,7 @@
 	return string(state)
 }
 
-// phase returns the phase of a task, which must be there.
+// phase returns the phase of a task and fails if there is no such task.
 func (s *shard) phase(id jobs.TaskID) jobs.Phase {
 	GinkgoHelper()
 	task := s.Task(id)
@@ -124,7 +130,7 @@
 	return phases
 }
 
-// pendingIDs returns the pending tasks in their order.
+// pendingIDs returns the ids of the Pending tasks in the order of EachPending.
 func (s *shard) pendingIDs() (ids []string) {
 	s.EachPending(func(task *jobs.Task) bool {
 		ids = append(ids, task.ID.String())
@@ -133,6 +139,7 @@
 	return ids
 }
 
+// runsOn returns the runs on a runner, each as the task's id, "/" and the number of the run.
 func (s *shard) runsOn(runner string) (ids []string) {
 	for _, task := range s.RunsOn(runner) {
 		ids = append(ids, fmt.Sprintf("%s/%d", task.ID, task.Run))
@@ -140,12 +147,14 @@
 	return ids
 }
 
+// id returns the id of a task. numbers are its repetition, step and index; the first ones may be left out and are 0 then.
 func id(job string, numbers ...int) jobs.TaskID {
 	full := [3]int{}
 	copy(full[3-len(numbers):], numbers)
 	return jobs.TaskID{Job: job, Repetition: full[0], Step: full[1], Index: full[2]}
 }
 
+// step returns a step of count tasks, changed by the given functions.
 func step(count int, change ...func(*protocol.Step)) protocol.Step {
 	s := protocol.Step{Count: count, CPU: 500, MemoryMB: 64, EstimatedMs: 900}
 	for _, f := range change {
@@ -158,6 +167,7 @@
 func longRunning(s *protocol.Step) { s.LongRunning = true }
 func checkpoints(s *protocol.Step) { s.Checkpoints = true }
 
+// after makes a step depend on earlier ones.
 func after(earlier ...int) func(*protocol.Step) {
 	return func(s *protocol.Step) { s.DependsOn = earlier }
 }
--- a/internal/cluster/jobs/model_draw_test.go
+++ b/internal/cluster/jobs/model_draw_test.go
@@ -11,20 +11,22 @@
 
 var modelRunners = []string{"r1", "r2", "r3"}
 
+// drawID draws one of eight job ids, so that ids often repeat.
 func drawID(t *rapid.T) string { return fmt.Sprintf("%016x", rapid.IntRange(1, 8).Draw(t, "job")) }
 
+// drawSpec draws a valid spec of one to three steps.
 func drawSpec(t *rapid.T) protocol.JobSpec {
 	spec := protocol.JobSpec{Spec: rapid.StringN(0, 10, 40).Draw(t, "spec")}
 	for i := range rapid.IntRange(1, 3).Draw(t, "steps") {
 		s := step(rapid.IntRange(1, 3).Draw(t, "count"))
 		s.Gang = rapid.Bool().Draw(t, "gang")
-		s.LongRunning = rapid.IntRange(0, 7).Draw(t, "lasting") == 0
+		s.LongRunning = rapid.IntRange(0, 7).Draw(t, "longRunning") == 0
 		s.Checkpoints = rapid.Bool().Draw(t, "checkpoints")
 		s.AtMostOnce = rapid.Bool().Draw(t, "atMostOnce")
 		s.GPU = int64(rapid.IntRange(0, 1).Draw(t, "gpu"))
 		s.AntiAffinity = rapid.IntRange(0, 1).Draw(t, "antiAffinity")
 		s.Affinity = rapid.SampledFrom([]string{"", "rack"}).Draw(t, "affinity")
-		if i > 0 && rapid.Bool().Draw(t, "depends") {
+		if i > 0 && rapid.Bool().Draw(t, "dependsOn") {
 			s.DependsOn = []int{rapid.IntRange(0, i-1).Draw(t, "earlier")}
 		}
 		spec.Steps = append(spec.Steps, s)
@@ -40,9 +42,9 @@
 // drawVersion draws a version of the configuration.
 func drawVersion(t *rapid.T) uint64 { return uint64(rapid.IntRange(1, 6).Draw(t, "version")) }
 
-// drawCommand draws a command that fits the state in most of its parts.
+// drawCommand draws a command most of whose items are valid in the current state.
 func (m *model) drawCommand(t *rapid.T) *jobs.Command {
-	m.nowMs += int64(rapid.SampledFrom([]int{0, 0, 10, 50, 200, 6000, -300}).Draw(t, "pass"))
+	m.nowMs += int64(rapid.SampledFrom([]int{0, 0, 10, 50, 200, 6000, -300}).Draw(t, "elapsedMs"))
 	c := &jobs.Command{TimeOfDayMs: m.nowMs}
 	switch rapid.IntRange(0, 11).Draw(t, "kind") {
 	case 0, 1:
@@ -65,6 +67,7 @@
 	return c
 }
 
+// drawStarts draws starts of most Pending tasks; a few have a wrong run number or are in the command twice.
 func (m *model) drawStarts(t *rapid.T, c *jobs.Command) {
 	var pending []*jobs.Task
 	m.state.EachPending(func(task *jobs.Task) bool {
@@ -87,6 +90,7 @@
 	}
 }
 
+// drawEnds draws ends and losses of runs that may exist; a few have a wrong run number or an N that was applied before.
 func (m *model) drawEnds(t *rapid.T, c *jobs.Command) {
 	alive := m.sortedPossible()
 	for range rapid.IntRange(0, 3).Draw(t, "ends") {
--- a/internal/cluster/jobs/model_test.go
+++ b/internal/cluster/jobs/model_test.go
@@ -10,47 +10,49 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// possibleRun is a run that may exist, according to a model.
+// possibleRun is a run that may exist according to the model.
 type possibleRun struct {
 	task   jobs.TaskID
 	run    uint64
 	runner string
 }
 
-// model is an independent model of a shard, derived only from commands and effects.
+// model is a second, simple implementation of the rules of a shard. It knows only the commands and their effects, and fails
+// the test if an effect or an accessor of the state contradicts it.
 type model struct {
 	state *jobs.State
-	nowMs int64
+	nowMs int64 // TimeOfDayMs of the newest command
 
-	specs     map[string]protocol.JobSpec
-	queues    map[string]protocol.Queue
-	running   map[possibleRun]bool
-	done      map[jobs.TaskID]bool
-	fails     map[jobs.TaskID]int // ends `failed` of current runs; those of a gang under its index 0
-	failedRun map[jobs.TaskID]uint64
-	newest    map[jobs.TaskID]uint64
-	lastSeen  map[string]uint64
-	fenced    map[string]uint64 // the newest version
-	ended     map[string]protocol.JobState
+	specs         map[string]protocol.JobSpec // by id, of the jobs that were accepted
+	queues        map[string]protocol.Queue   // by id, of the jobs that were accepted
+	running       map[possibleRun]bool        // lingering runs included
+	done          map[jobs.TaskID]bool
+	failures      map[jobs.TaskID]int          // counted failed runs; those of a gang under the id of its first task
+	failedRun     map[jobs.TaskID]uint64       // newest run of a gang that is counted in failures, under the same id
+	newestRun     map[jobs.TaskID]uint64       // number of the newest run that was started
+	lastSeen      map[string]uint64            // highest End.N by runner
+	fencedVersion map[string]uint64            // newest fenced version by job id
+	endState      map[string]protocol.JobState // state of the jobs that have ended
 }
 
 func newModel() *model {
 	return &model{
-		state:     jobs.New(jobs.Options{}),
-		nowMs:     startMs,
-		specs:     map[string]protocol.JobSpec{},
-		queues:    map[string]protocol.Queue{},
-		running:   map[possibleRun]bool{},
-		done:      map[jobs.TaskID]bool{},
-		fails:     map[jobs.TaskID]int{},
-		failedRun: map[jobs.TaskID]uint64{},
-		newest:    map[jobs.TaskID]uint64{},
-		lastSeen:  map[string]uint64{},
-		fenced:    map[string]uint64{},
-		ended:     map[string]protocol.JobState{},
+		state:         jobs.New(jobs.Options{}),
+		nowMs:         startMs,
+		specs:         map[string]protocol.JobSpec{},
+		queues:        map[string]protocol.Queue{},
+		running:       map[possibleRun]bool{},
+		done:          map[jobs.TaskID]bool{},
+		failures:      map[jobs.TaskID]int{},
+		failedRun:     map[jobs.TaskID]uint64{},
+		newestRun:     map[jobs.TaskID]uint64{},
+		lastSeen:      map[string]uint64{},
+		fencedVersion: map[string]uint64{},
+		endState:      map[string]protocol.JobState{},
 	}
 }
 
+// sortedPossible returns the runs that may exist, sorted so that drawing from them is reproducible.
 func (m *model) sortedPossible() []possibleRun {
 	return slices.SortedFunc(maps.Keys(m.running), func(a, b possibleRun) int {
 		return slices.Compare([]string{a.task.String(), a.runner}, []string{b.task.String(), b.runner})
@@ -62,12 +64,13 @@
 	return &spec.Steps[id.Step]
 }
 
+// gangOf returns the id under which the model counts the failures of a task's gang: that of its first task.
 func (m *model) gangOf(id jobs.TaskID) jobs.TaskID {
 	id.Index = 0
 	return id
 }
 
-// observe applies a command and its effects to the model, and fails where they break a rule.
+// observe applies a command and its effects to the model, and fails the test if an effect contradicts the model.
 func (m *model) observe(t *rapid.T, c *jobs.Command, effects *jobs.Effects) {
 	for i, submit := range c.Submits {
 		m.observeSubmit(t, submit, effects.Submits[i])
@@ -75,10 +78,10 @@
 	for i, fence := range c.Fences {
 		_, has := m.specs[fence.ID]
 		if effects.Fences[i] != has {
-			t.Fatalf("fence of %s says %v", fence.ID, effects.Fences[i])
+			t.Fatalf("fence of job %s returned %v", fence.ID, effects.Fences[i])
 		}
 		if !has {
-			m.fenced[fence.ID] = max(m.fenced[fence.ID], fence.Version)
+			m.fencedVersion[fence.ID] = max(m.fencedVersion[fence.ID], fence.Version)
 		}
 	}
 	for i, end := range c.Ends {
@@ -87,16 +90,16 @@
 	for i, loss := range c.Losses {
 		run := possibleRun{loss.Task, loss.Run, loss.Runner}
 		if effects.Losses[i] && !m.running[run] {
-			t.Fatalf("loss of %v counts, which does not exist", run)
+			t.Fatalf("loss of run %v was applied, but the run does not exist", run)
 		}
 		delete(m.running, run)
 	}
 	m.observeStarts(t, c.Starts, effects.Starts)
 	for _, job := range effects.EndedJobs {
-		if before := m.ended[job.ID]; before != "" {
+		if before := m.endState[job.ID]; before != "" {
 			t.Fatalf("job %s ended twice, %s and %s", job.ID, before, job.State)
 		}
-		m.ended[job.ID] = job.State
+		m.endState[job.ID] = job.State
 	}
 }
 
@@ -106,11 +109,11 @@
 	switch {
 	case has:
 		want = jobs.Duplicate
-	case submit.Version <= m.fenced[submit.ID]:
+	case submit.Version <= m.fencedVersion[submit.ID]:
 		want = jobs.Fenced
 	}
 	if effect != want {
-		t.Fatalf("submit of %s: %d, want %d", submit.ID, effect, want)
+		t.Fatalf("submit of job %s had effect %d, want %d", submit.ID, effect, want)
 	}
 	if effect == jobs.Accepted {
 		m.specs[submit.ID] = submit.Job
@@ -122,7 +125,7 @@
 	run := possibleRun{end.Task, end.Run, end.Runner}
 	fresh := end.N > m.lastSeen[end.Runner]
 	if counts && (!fresh || !m.running[run] || m.done[end.Task]) {
-		t.Fatalf("end of %v counts", run)
+		t.Fatalf("end of run %v was applied, but the run does not exist or the end is not new", run)
 	}
 	if !fresh {
 		return
@@ -132,7 +135,7 @@
 		return
 	}
 	delete(m.running, run)
-	if !counts || m.ended[end.Task.Job] != "" || m.step(end.Task).LongRunning {
+	if !counts || m.endState[end.Task.Job] != "" || m.step(end.Task).LongRunning {
 		return
 	}
 	spec := m.specs[end.Task.Job]
@@ -149,10 +152,10 @@
 	case end.Outcome == protocol.EndFailed && gang:
 		if m.failedRun[m.gangOf(end.Task)] < end.Run {
 			m.failedRun[m.gangOf(end.Task)] = end.Run
-			m.fails[m.gangOf(end.Task)]++
+			m.failures[m.gangOf(end.Task)]++
 		}
 	case end.Outcome == protocol.EndFailed:
-		m.fails[end.Task]++
+		m.failures[end.Task]++
 	}
 }
 
@@ -169,22 +172,23 @@
 	}
 	for gang, members := range gangs {
 		if members != m.step(gang).Count {
-			t.Fatalf("%d members of %v were started", members, gang)
+			t.Fatalf("%d members of gang %v were started", members, gang)
 		}
 	}
 	for i, start := range starts {
 		if applied[i] {
 			m.running[possibleRun{start.Task, start.Run, start.Runner}] = true
-			m.newest[start.Task] = start.Run
+			m.newestRun[start.Task] = start.Run
 		}
 	}
 }
 
+// checkStart fails the test if a start that the state applied breaks a rule.
 func (m *model) checkStart(t *rapid.T, start jobs.Start) {
 	for run := range m.running {
 		sameGang := m.step(start.Task).Gang && m.gangOf(run.task) == m.gangOf(start.Task)
 		if run.task == start.Task || sameGang {
-			t.Fatalf("start of %v while %v may exist", start, run)
+			t.Fatalf("start %v was applied while run %v may exist", start, run)
 		}
 	}
 	spec := m.specs[start.Task.Job]
@@ -195,19 +199,19 @@
 	maxAttempts := m.queues[start.Task.Job].MaxAttempts
 	switch {
 	case m.done[start.Task]:
-		t.Fatalf("start of %v, which is done", start)
-	case m.ended[start.Task.Job] != "":
-		t.Fatalf("start of %v, whose job has ended", start)
-	case start.Run != m.newest[start.Task]+1:
-		t.Fatalf("start of %v after run %d", start, m.newest[start.Task])
-	case maxAttempts > 0 && m.fails[counted] >= maxAttempts:
-		t.Fatalf("start of %v after %d failures", start, m.fails[counted])
+		t.Fatalf("start %v was applied, but the task is done", start)
+	case m.endState[start.Task.Job] != "":
+		t.Fatalf("start %v was applied, but the job has ended", start)
+	case start.Run != m.newestRun[start.Task]+1:
+		t.Fatalf("start %v was applied after run %d", start, m.newestRun[start.Task])
+	case maxAttempts > 0 && m.failures[counted] >= maxAttempts:
+		t.Fatalf("start %v was applied after %d failures", start, m.failures[counted])
 	case spec.Repetitions > 0 && spec.FirstRunMs+int64(start.Task.Repetition)*spec.IntervalMs > m.state.ClockMs():
-		t.Fatalf("start of %v before its time", start)
+		t.Fatalf("start %v was applied before its repetition fell due", start)
 	}
 	for _, earlier := range m.step(start.Task).DependsOn {
 		if !m.allDone(start.Task.Job, start.Task.Repetition, earlier) {
-			t.Fatalf("start of %v before step %d is done", start, earlier)
+			t.Fatalf("start %v was applied before step %d was done", start, earlier)
 		}
 	}
 }
@@ -233,19 +237,19 @@
 	return true
 }
 
-// check compares what the state shows with the model.
+// check compares the accessors of the state with the model.
 func (m *model) check(t *rapid.T) {
 	m.checkRuns(t)
 	pending := map[jobs.TaskID]bool{}
 	m.state.EachPending(func(task *jobs.Task) bool {
 		pending[task.ID] = true
 		if task.Phase != jobs.Pending || m.state.Task(task.ID) != task {
-			t.Fatalf("%v is listed as pending", task.ID)
+			t.Fatalf("%v is listed as pending but has another phase", task.ID)
 		}
 		return true
 	})
 	if len(pending) != m.state.PendingCount() {
-		t.Fatalf("%d tasks pending, %d counted", len(pending), m.state.PendingCount())
+		t.Fatalf("%d tasks are pending, but the state counts %d", len(pending), m.state.PendingCount())
 	}
 	unfinished := 0
 	for job := range m.queues {
@@ -254,22 +258,22 @@
 			continue
 		}
 		completed := state == protocol.JobCompleted
-		if completed != (m.allRepetitionsDone(job) && m.ended[job] != protocol.JobCancelled) && m.ended[job] != protocol.JobFailed {
-			t.Fatalf("job %s is %s, all done %v", job, state, m.allRepetitionsDone(job))
+		if completed != (m.allRepetitionsDone(job) && m.endState[job] != protocol.JobCancelled) && m.endState[job] != protocol.JobFailed {
+			t.Fatalf("job %s is %s; all its tasks are done: %v", job, state, m.allRepetitionsDone(job))
 		}
-		if m.ended[job] != "" && state != m.ended[job] {
-			t.Fatalf("job %s is %s after %s", job, state, m.ended[job])
+		if m.endState[job] != "" && state != m.endState[job] {
+			t.Fatalf("job %s is %s after it ended as %s", job, state, m.endState[job])
 		}
-		if m.ended[job] == "" {
+		if m.endState[job] == "" {
 			unfinished++
 		}
 	}
 	if unfinished != m.state.UnfinishedJobs("q") {
-		t.Fatalf("%d jobs unfinished, %d counted", unfinished, m.state.UnfinishedJobs("q"))
+		t.Fatalf("%d jobs are unfinished, but the state counts %d", unfinished, m.state.UnfinishedJobs("q"))
 	}
 }
 
-// checkRuns compares the runs that occupy capacity, runner by runner.
+// checkRuns compares the runs of all runners, lingering ones included, with the model.
 func (m *model) checkRuns(t *rapid.T) {
 	var shown []possibleRun
 	for _, runner := range m.state.Runners() {
@@ -281,11 +285,11 @@
 		}
 	}
 	if len(shown) != len(m.running) {
-		t.Fatalf("%d runs shown, %d may exist: %v, %v", len(shown), len(m.running), shown, m.sortedPossible())
+		t.Fatalf("the state has %d runs, the model %d: %v, %v", len(shown), len(m.running), shown, m.sortedPossible())
 	}
 	for _, run := range shown {
 		if !m.running[run] {
-			t.Fatalf("%v is shown, and cannot exist", run)
+			t.Fatalf("the state has run %v, which cannot exist", run)
 		}
 	}
 }
--- a/internal/cluster/jobs/phase_test.go
+++ b/internal/cluster/jobs/phase_test.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = DescribeTable("the name of a phase",
+var _ = DescribeTable("The name of a phase is returned by String",
 	func(phase jobs.Phase, name string) { Expect(phase.String()).To(Equal(name)) },
 	Entry(nil, jobs.Blocked, "blocked"),
 	Entry(nil, jobs.Pending, "pending"),
@@ -20,7 +20,7 @@
 	Entry(nil, jobs.GangEnding+1, "unknown"),
 )
 
-var _ = DescribeTable("a state of a job",
+var _ = DescribeTable("A job reports whether its state is a final one and whether it was abandoned",
 	func(state string, ended, abandoned bool) {
 		job := jobs.Job{State: protocol.JobState(state)}
 		Expect(job.Ended()).To(Equal(ended))
--- a/internal/cluster/jobs/repetitions.go
+++ b/internal/cluster/jobs/repetitions.go
@@ -6,31 +6,33 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxOpenTasks limits the tasks of a job's open repetitions: those that are due and not complete. Repetitions that fall
-// due beyond it are opened as earlier ones complete.
+// maxOpenTasks limits the number of tasks of a job's open repetitions. A repetition that would exceed it is opened late,
+// when earlier ones have completed. Without the limit, a job with many overdue repetitions would have the tasks of all of
+// them, up to maxTasksOfJob, in the memory of each replica.
 const maxOpenTasks = 20_000
 
-// openDueRepetitions opens all repetitions of the job that are due, and schedules the job for its next one if there is
-// one.
+// openDueRepetitions opens all repetitions of the job that are due, as far as maxOpenTasks allows. Then the job is in
+// State.dueJobs only if it has a further repetition that maxOpenTasks allows; otherwise completeRepetition tries again.
 func (s *State) openDueRepetitions(job *Job) {
-	for job.opened < job.repetitions() && job.mayOpenRepetition() && s.isRepetitionDue(job) {
+	for job.openedRepetitions < job.repetitions() && job.mayOpenRepetition() && s.isRepetitionDue(job) {
 		s.openRepetition(job)
 	}
-	if job.opened < job.repetitions() && job.mayOpenRepetition() {
+	if job.openedRepetitions < job.repetitions() && job.mayOpenRepetition() {
 		s.dueJobs.schedule(job)
 	} else {
 		s.dueJobs.unschedule(job)
 	}
 }
 
-// isRepetitionDue reports whether the job's next repetition is due.
+// isRepetitionDue reports whether the job's next repetition is due. A job without repetitions is due at once.
 func (s *State) isRepetitionDue(job *Job) bool {
-	return job.Spec.Repetitions <= 0 || job.dueMs(job.opened) <= s.clockMs
+	return job.Spec.Repetitions <= 0 || job.dueMs(job.openedRepetitions) <= s.clockMs
 }
 
-// mayOpenRepetition reports whether maxOpenTasks allows one more open repetition. One is always allowed.
+// mayOpenRepetition reports whether maxOpenTasks allows one more open repetition. One open repetition is always allowed,
+// even if it has more tasks, or else a large job would never start.
 func (j *Job) mayOpenRepetition() bool {
-	open := j.opened - j.completed
+	open := j.openedRepetitions - j.completedRepetitions
 	return open == 0 || (open+1)*j.tasksPerRepetition() <= maxOpenTasks
 }
 
@@ -42,10 +44,10 @@
 	return tasks
 }
 
-// openRepetition makes the groups of a job's next repetition and releases those that depend on nothing.
+// openRepetition creates the groups of the job's next repetition and releases those that depend on no other step.
 func (s *State) openRepetition(job *Job) {
-	repetition := job.opened
-	job.opened++
+	repetition := job.openedRepetitions
+	job.openedRepetitions++
 	for step := range job.Spec.Steps {
 		job.Groups = append(job.Groups, newGroup(job, repetition, step))
 	}
@@ -56,13 +58,14 @@
 	}
 }
 
-// completeRepetition drops the groups of a repetition whose tasks are all Done. The job completes with the last one.
+// completeRepetition drops the groups of a repetition whose tasks are all Done. It opens the repetitions that are due and
+// that maxOpenTasks allows now; after the last repetition it completes the job.
 func (s *State) completeRepetition(job *Job, repetition int) {
 	steps := len(job.Spec.Steps)
 	at := slices.IndexFunc(job.Groups, func(group *Group) bool { return group.Repetition == repetition })
 	job.Groups = slices.Delete(job.Groups, at, at+steps)
-	job.completed++
-	if job.completed < job.repetitions() {
+	job.completedRepetitions++
+	if job.completedRepetitions < job.repetitions() {
 		s.openDueRepetitions(job)
 		return
 	}
--- a/internal/cluster/jobs/replicas_test.go
+++ b/internal/cluster/jobs/replicas_test.go
@@ -10,10 +10,12 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// twin is another replica: it applies each command from its encoded form, and is at times restored from its own snapshot.
-type twin struct{ state *jobs.State }
+// otherReplica is a second replica. It decodes each command from its encoding and applies it. At random times it is replaced
+// by a State that was restored from its snapshot.
+type otherReplica struct{ state *jobs.State }
 
-func (w *twin) follow(t *rapid.T, c *jobs.Command, want *jobs.Effects) {
+// apply applies a command and fails the test if the effects differ from those of the first replica.
+func (r *otherReplica) apply(t *rapid.T, c *jobs.Command, want *jobs.Effects) {
 	data, err := jobs.Encode(c)
 	if err != nil {
 		t.Fatalf("encode: %v", err)
@@ -22,16 +24,16 @@
 	if err != nil {
 		t.Fatalf("decode: %v", err)
 	}
-	got := w.state.Apply(decoded)
+	got := r.state.Apply(decoded)
 	if a, b := describe(got), describe(want); a != b {
-		t.Fatalf("replicas differ:\n%s\n%s", a, b)
+		t.Fatalf("effects differ between replicas:\n%s\n%s", a, b)
 	}
 	if rapid.IntRange(0, 4).Draw(t, "restore") == 0 {
 		fresh := jobs.New(jobs.Options{})
-		if err := fresh.Restore(snapshotOf(t, w.state)); err != nil {
+		if err := fresh.Restore(snapshotOf(t, r.state)); err != nil {
 			t.Fatalf("restore: %v", err)
 		}
-		w.state = fresh
+		r.state = fresh
 	}
 }
 
@@ -43,7 +45,7 @@
 	return data
 }
 
-// describe returns effects as text, in their order.
+// describe returns the effects of a command as text, which two replicas must have in common.
 func describe(e *jobs.Effects) string {
 	text := fmt.Sprintf("%v %v %v %v %v %v %v", e.Submits, e.Cancels, e.Fences, e.Ends, e.Losses, e.Starts, e.FreedRuns)
 	for _, task := range slices.Concat(e.Pending, e.EndedRuns) {
@@ -56,7 +58,7 @@
 	return text
 }
 
-// view returns all that the state shows as text, in order.
+// view returns the results of the state's accessors as text, which two replicas must have in common.
 func view(s *jobs.State) string {
 	text := fmt.Sprint(s.ClockMs(), s.Counters(), s.Runners())
 	text += fmt.Sprint(s.NextDueMs())
@@ -73,19 +75,19 @@
 	return text
 }
 
-var _ = Describe("random commands", func() {
-	It("break no rule, and leave replicas equal", func() {
+var _ = Describe("Random commands", func() {
+	It("have effects that agree with the model, and leave two replicas equal", func() {
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
 			m := newModel()
-			other := &twin{state: jobs.New(jobs.Options{})}
+			other := &otherReplica{state: jobs.New(jobs.Options{})}
 			for range rapid.IntRange(1, 60).Draw(t, "commands") {
 				c := m.drawCommand(t)
 				effects := m.state.Apply(c)
 				m.observe(t, c, effects)
 				m.check(t)
-				other.follow(t, c, effects)
+				other.apply(t, c, effects)
 				if a, b := view(m.state), view(other.state); a != b {
-					t.Fatalf("replicas show:\n%s\n%s", a, b)
+					t.Fatalf("states differ between replicas:\n%s\n%s", a, b)
 				}
 			}
 			if string(snapshotOf(t, m.state)) != string(snapshotOf(t, other.state)) {
@@ -95,7 +97,7 @@
 	})
 })
 
-// attemptsOf returns how many failed runs count against a task: its own, or those of its gang.
+// attemptsOf returns the failed attempts of a task or, if it is in a gang, of its gang.
 func attemptsOf(task *jobs.Task) int {
 	if task.Group.Spec().Gang {
 		return task.Group.Attempts
--- a/internal/cluster/jobs/restore.go
+++ b/internal/cluster/jobs/restore.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// Restore replaces the complete state by that of a snapshot, also of one of an earlier release. If it returns an error,
-// the state is unchanged. Jobs and tasks that were returned before must not be used any more.
+// Restore replaces the complete state by that of a snapshot, which an earlier release may have written. If it returns an
+// error, the state is unchanged. After it, callers must not use jobs and tasks that the State returned before.
 func (s *State) Restore(data []byte) error {
 	r := newReader(data)
 	version := r.byte()
 	if version != snapshotVersion && version != snapshotVersionWithoutDepartures {
-		return errors.Errorf("snapshot of version %d, this release reads up to %d", version, snapshotVersion)
+		return errors.Errorf("snapshot of version %d: the newest version that this release reads is %d", version, snapshotVersion)
 	}
 	fresh := newState(s.retention)
 	if err := r.state(fresh, version != snapshotVersionWithoutDepartures); err != nil {
@@ -24,7 +24,8 @@
 	return nil
 }
 
-// state reads a snapshot into an empty State; hasDepartures is whether the snapshot has the runners that departed.
+// state reads a snapshot, after its version, into an empty State; see snapshot.go for the order. hasDepartures tells whether
+// the version has a byte for each runner that says whether it departed.
 func (r *reader) state(s *State, hasDepartures bool) error {
 	s.clockMs = r.signed()
 	s.ageMs = r.signed()
@@ -43,20 +44,22 @@
 	}
 	for _, entry := range s.endedJobs.entries {
 		if s.jobs[entry.id] == nil {
-			return errors.Errorf("ended job %q is missing", entry.id)
+			return errors.Errorf("job %q is listed as ended, but the snapshot has no such job", entry.id)
 		}
 	}
 	return nil
 }
 
+// expiries reads the entries of an expiryQueue.
 func (r *reader) expiries() []retainedID {
-	entries := items[retainedID](r)
+	entries := makeItems[retainedID](r)
 	for i := range entries {
 		entries[i] = retainedID{id: r.ownedText(), untilMs: r.signed()}
 	}
 	return entries
 }
 
+// tombstones reads all tombstones into an empty set.
 func (r *reader) tombstones(set *tombstoneSet) {
 	set.order.entries = r.expiries()
 	for _, entry := range set.order.entries {
@@ -68,6 +71,7 @@
 	}
 }
 
+// runners reads the records of runners, which were written in the order of runnerTable. The runs on them come with the jobs.
 func (r *reader) runners(s *State, hasDepartures bool) {
 	for range r.count() {
 		record := s.runners.touch(r.ownedText(), 0)
@@ -84,7 +88,7 @@
 
 func (r *reader) lingering() []Lingering {
 	last := &previousTexts{}
-	runs := items[Lingering](r)
+	runs := makeItems[Lingering](r)
 	for i := range runs {
 		runs[i].Task = r.task(last)
 		runs[i].Task.Job = strings.Clone(runs[i].Task.Job)
@@ -96,28 +100,29 @@
 	return runs
 }
 
-// jobs reads all jobs and links their tasks.
+// jobs reads all jobs and adds their Pending and Running tasks to their lists. The order within a list is that of
+// Task.sequence, which differs from the order in the snapshot.
 func (r *reader) jobs(s *State) error {
-	var linked []*Task
+	var listed []*Task
 	for range r.count() {
 		job := &Job{dueIndex: notScheduled}
 		tasks, err := r.job(s, job)
 		if err != nil {
 			return errors.Wrapf(err, "job %q", job.ID)
 		}
-		linked = append(linked, tasks...)
+		listed = append(listed, tasks...)
 		s.addRestoredJob(job)
 	}
-	slices.SortFunc(linked, func(a, b *Task) int { return cmp.Compare(a.sequence, b.sequence) })
-	for _, task := range linked {
-		if err := s.linkRestoredTask(task); err != nil {
+	slices.SortFunc(listed, func(a, b *Task) int { return cmp.Compare(a.sequence, b.sequence) })
+	for _, task := range listed {
+		if err := s.listRestoredTask(task); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addRestoredJob adds a job to the tables of jobs.
+// addRestoredJob adds a job to the State's maps, counters and dueJobs.
 func (s *State) addRestoredJob(job *Job) {
 	s.jobs[job.ID] = job
 	if job.Ended() {
@@ -125,13 +130,13 @@
 	}
 	s.unfinishedJobs[job.Queue.Key]++
 	s.counters.Jobs++
-	if job.opened < job.repetitions() && job.mayOpenRepetition() {
+	if job.openedRepetitions < job.repetitions() && job.mayOpenRepetition() {
 		s.dueJobs.schedule(job)
 	}
 }
 
-// linkRestoredTask adds a Pending or Running task to the list of its priority or runner.
-func (s *State) linkRestoredTask(task *Task) error {
+// listRestoredTask adds a Pending task to the list of its priority, or a Running task to that of its runner, and counts it.
+func (s *State) listRestoredTask(task *Task) error {
 	if task.Phase == Pending {
 		s.pendingList(task.Group.Job.Queue.Priority).push(task)
 		s.counters.Pending++
@@ -139,31 +144,31 @@
 	}
 	record := s.runners.records[task.Runner]
 	if record == nil {
-		return errors.Errorf("task %s runs on %q, which is missing", task.ID, task.Runner)
+		return errors.Errorf("task %s runs on runner %q, which the snapshot doesn't have", task.ID, task.Runner)
 	}
 	task.Runner = record.id
 	record.running.push(task)
 	task.Group.Running++
-	task.Group.Job.running++
+	task.Group.Job.runningTasks++
 	s.counters.Running++
 	return nil
 }
 
-// job reads one job and returns its tasks that are Pending or Running: the caller links them in order of sequence.
+// job reads one job and returns its Pending and Running tasks, which are in no taskList yet.
 func (r *reader) job(s *State, job *Job) ([]*Task, error) {
 	job.ID = r.ownedText()
 	job.Queue = s.sharedQueue(r.queue())
 	state := int(r.byte())
 	if state >= len(jobStateCodes) {
-		return nil, errors.Errorf("unknown job state %d", state)
+		return nil, errors.Errorf("unknown job state number %d", state)
 	}
 	job.State = jobStateCodes[state]
 	job.AcceptedMs = r.signed()
 	job.EndedMs = r.signed()
 	r.spec(&job.Spec)
 	job.Spec = cloneSpec(&job.Spec)
-	job.opened = int(r.unsigned())
-	job.completed = int(r.unsigned())
+	job.openedRepetitions = int(r.unsigned())
+	job.completedRepetitions = int(r.unsigned())
 	groups := r.count()
 	if r.err != nil {
 		return nil, r.err
@@ -177,29 +182,32 @@
 	return r.groups(job, groups)
 }
 
+// groups reads the groups of a job's open repetitions and returns their Pending and Running tasks. count must be a multiple
+// of the number of steps, since a repetition has a group for each step.
 func (r *reader) groups(job *Job, count int) ([]*Task, error) {
 	steps := len(job.Spec.Steps)
 	if count%steps != 0 {
-		return nil, errors.Errorf("%d groups of %d steps", count, steps)
+		return nil, errors.Errorf("%d groups are no multiple of %d steps", count, steps)
 	}
-	var linked []*Task
+	var listed []*Task
 	previous := &previousTask{pendingSinceMs: job.AcceptedMs}
 	for i := range count {
 		repetition := int(r.unsigned())
-		if job.Spec.Steps[i%steps].Count > len(r.data)-r.offset {
+		if job.Spec.Steps[i%steps].Count > len(r.data)-r.offset { // each task takes at least one byte
 			return nil, errMalformed
 		}
 		group := newGroup(job, repetition, i%steps)
 		job.Groups = append(job.Groups, group)
-		linked = append(linked, r.group(group, previous)...)
+		listed = append(listed, r.group(group, previous)...)
 		if r.err != nil {
 			return nil, r.err
 		}
 	}
-	return linked, nil
+	return listed, nil
 }
 
-func (r *reader) group(group *Group, previous *previousTask) (linked []*Task) {
+// group reads a group with its tasks, and returns those that are Pending or Running.
+func (r *reader) group(group *Group, previous *previousTask) (listed []*Task) {
 	group.Run = r.unsigned()
 	group.Attempts = int(r.unsigned())
 	group.Checkpoint = r.ownedText()
@@ -210,14 +218,15 @@
 		r.taskState(task, previous)
 		switch task.Phase {
 		case Pending, Running:
-			linked = append(linked, task)
+			listed = append(listed, task)
 		case Done:
 			group.Unfinished--
 		}
 	}
-	return linked
+	return listed
 }
 
+// taskState reads the state of a task as writer.taskState wrote it.
 func (r *reader) taskState(task *Task, previous *previousTask) {
 	task.Phase = Phase(r.byte())
 	if task.Phase == Blocked {
@@ -238,7 +247,7 @@
 	}
 }
 
-// checkpoint reads a checkpoint; neighbours that have the same one share a copy.
+// checkpoint reads a checkpoint. Neighbouring tasks with the same checkpoint share one copy of it.
 func (r *reader) checkpoint(previous *previousTask) string {
 	before := previous.checkpoint
 	text := r.repeated(&previous.checkpoint)
--- a/internal/cluster/jobs/retention.go
+++ b/internal/cluster/jobs/retention.go
@@ -2,21 +2,27 @@
 
 import "time"
 
-// How long things are retained by default.
+// Default retention times, used for Options that are 0.
 const (
 	DefaultStatusRetention    = 120 * time.Second
 	DefaultTombstoneRetention = 20 * time.Minute
 	DefaultRunnerRetention    = 10 * time.Minute
 )
 
-// Options are the retention times of a State. They must be the same on all replicas; 0 stands for the default.
+// Options are the retention times of a State, measured in State.ageMs; 0 or less stands for the default. They must be the
+// same on all replicas, since they decide the command with which something is forgotten.
 type Options struct {
-	StatusRetention    time.Duration // the state of an ended job is kept one and a half times as long as this
-	TombstoneRetention time.Duration // then its id is known for this long; so are fenced ids
-	RunnerRetention    time.Duration // a runner without runs is forgotten when no command has named it for this long
+	// StatusRetention is the minimum time for which the state of an ended job is retained. A State retains it for one and a
+	// half times this.
+	StatusRetention time.Duration
+	// TombstoneRetention is the time for which the id of a job is known after its state was dropped, so that the job can't
+	// be accepted again. It is also the time for which a fence holds.
+	TombstoneRetention time.Duration
+	// RunnerRetention is the time after which a runner without runs is forgotten if no command has named it.
+	RunnerRetention time.Duration
 }
 
-// retention is how long things are retained, in ms of the shard's age.
+// retention are the retention times of a State, in ms of State.ageMs.
 type retention struct{ statusMs, tombstoneMs, runnerMs int64 }
 
 func newRetention(options Options) retention {
@@ -27,32 +33,35 @@
 	}
 }
 
-func milliseconds(value, standard time.Duration) int64 {
+// milliseconds returns value in ms, or defaultValue if value is not positive.
+func milliseconds(value, defaultValue time.Duration) int64 {
 	if value <= 0 {
-		value = standard
+		value = defaultValue
 	}
 	return value.Milliseconds()
 }
 
-// retainedID is an id that is retained until the shard has the age given.
+// retainedID is the id of a job whose state or tombstone is retained.
 type retainedID struct {
 	id      string
-	untilMs int64
+	untilMs int64 // expires when State.ageMs is greater than this
 }
 
-// expiryQueue is a queue of ids in order of expiry.
+// expiryQueue is a queue of ids in ascending order of expiry.
 type expiryQueue struct {
 	entries []retainedID
-	head    int
+	head    int // index of the first entry that was not popped
 }
 
+// push appends an id. untilMs must not be less than that of the last entry. Callers add a constant to State.ageMs, which
+// never decreases.
 func (q *expiryQueue) push(id string, untilMs int64) {
 	q.entries = append(q.entries, retainedID{id, untilMs})
 }
 
-// pop removes the first id if it expired before now; ok is false if none did.
-func (q *expiryQueue) pop(now int64) (id string, ok bool) {
-	if q.head == len(q.entries) || q.entries[q.head].untilMs >= now {
+// pop removes and returns the first id if it has expired at the given age; ok is false if none has.
+func (q *expiryQueue) pop(ageMs int64) (id string, ok bool) {
+	if q.head == len(q.entries) || q.entries[q.head].untilMs >= ageMs {
 		return "", false
 	}
 	id = q.entries[q.head].id
@@ -65,14 +74,15 @@
 	return id, true
 }
 
-// all returns the entries, the first to expire first.
+// all returns the entries that were not popped, in ascending order of expiry.
 func (q *expiryQueue) all() []retainedID { return q.entries[q.head:] }
 
-// expireRetained drops states of ended jobs, tombstones and runners whose retention time is over.
+// expireRetained drops the states of ended jobs, the tombstones and the runners whose retention time is over. An ended job
+// leaves a tombstone, so that a repeated Submit of it is a Duplicate.
 func (s *State) expireRetained() {
 	for id, ok := s.endedJobs.pop(s.ageMs); ok; id, ok = s.endedJobs.pop(s.ageMs) {
 		job := s.jobs[id]
-		if job.running > 0 { // a run may exist: retained for another period
+		if job.runningTasks > 0 { // a run may exist: its End needs the job, which is retained for another period
 			s.endedJobs.push(id, s.ageMs+s.retention.statusMs)
 			continue
 		}
--- a/internal/cluster/jobs/runners.go
+++ b/internal/cluster/jobs/runners.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// runnerRecord is what a shard knows of one incarnation of a runner.
+// runnerRecord is the state of one incarnation of a runner.
 type runnerRecord struct {
-	id          string
-	address     string // at which it serves; empty: unknown
-	lastSeen    uint64 // N of its newest end that was applied
-	lastNamedMs int64  // shard's age when a command last named it
+	id          string // of the incarnation
+	address     string // address at which the runner serves; empty if no command has brought it
+	lastSeen    uint64 // highest End.N that was applied; see State.LastSeen
+	lastNamedMs int64  // State.ageMs when a command other than a Loss last named the runner, or expire found runs on it
 	running     taskList
 	lingering   []Lingering
-	departed    bool // it has deregistered
+	departed    bool // the incarnation has deregistered
 
-	earlier, later *runnerRecord // neighbours by lastNamedMs
+	earlier, later *runnerRecord // neighbours in the list of runnerTable
 }
 
+// hasRuns reports whether runs on the runner may exist.
 func (r *runnerRecord) hasRuns() bool { return r.running.count > 0 || len(r.lingering) > 0 }
 
-// removeLingering removes a lingering run; ok is false if it is not there.
+// removeLingering removes and returns a lingering run; ok is false if the runner has no such run.
 func (r *runnerRecord) removeLingering(id TaskID, run uint64) (removed Lingering, ok bool) {
 	for i := range r.lingering {
 		if r.lingering[i].Run == run && r.lingering[i].Task == id {
@@ -32,16 +33,18 @@
 	return Lingering{}, false
 }
 
-// runnerTable has the records of runners, linked in the order in which commands last named them.
+// runnerTable has the records of the runners, and a list of them in ascending order of lastNamedMs. Snapshots have the
+// records in the order of this list, since expire depends on it.
 type runnerTable struct {
-	records     map[string]*runnerRecord
-	first, last *runnerRecord
+	records     map[string]*runnerRecord // by id
+	first, last *runnerRecord            // ends of the list
 }
 
 func newRunnerTable() runnerTable { return runnerTable{records: map[string]*runnerRecord{}} }
 
-// touch returns the runner's record, made if need be, and moves it to the end of the order.
-func (t *runnerTable) touch(id string, now int64) *runnerRecord {
+// touch returns the runner's record, which it creates if necessary. It records that the runner was named at this age of the
+// shard, and moves the record to the end of the list.
+func (t *runnerTable) touch(id string, ageMs int64) *runnerRecord {
 	record := t.records[id]
 	if record == nil {
 		record = &runnerRecord{id: strings.Clone(id)}
@@ -49,11 +52,12 @@
 	} else {
 		t.unlink(record)
 	}
-	record.lastNamedMs = now
+	record.lastNamedMs = ageMs
 	t.append(record)
 	return record
 }
 
+// append adds a record to the end of the list.
 func (t *runnerTable) append(record *runnerRecord) {
 	record.earlier, record.later = t.last, nil
 	if t.last == nil {
@@ -64,6 +68,7 @@
 	t.last = record
 }
 
+// unlink removes a record from the list.
 func (t *runnerTable) unlink(record *runnerRecord) {
 	if record.earlier == nil {
 		t.first = record.later
@@ -77,12 +82,13 @@
 	}
 }
 
-// expire forgets runners that no command has named for longer than retention, unless they have runs.
-func (t *runnerTable) expire(now, retention int64) {
-	for t.first != nil && t.first.lastNamedMs+retention < now {
+// expire forgets the runners that no command has named for longer than retentionMs. A runner that has runs is kept and is
+// checked again after retentionMs.
+func (t *runnerTable) expire(ageMs, retentionMs int64) {
+	for t.first != nil && t.first.lastNamedMs+retentionMs < ageMs {
 		record := t.first
 		if record.hasRuns() {
-			t.touch(record.id, now)
+			t.touch(record.id, ageMs)
 			continue
 		}
 		t.unlink(record)
@@ -103,8 +109,8 @@
 	return tasks
 }
 
-// LingeringOn returns the runs on the runner of tasks that another member of their gang has made Done. They occupy
-// capacity there until their own end or loss is applied. The slice must not be changed, and is valid until the next Apply.
+// LingeringOn returns the lingering runs on the runner. They occupy capacity there until their End or Loss is applied. The
+// caller must not change the slice, which is valid until the next Apply.
 func (s *State) LingeringOn(runner string) []Lingering {
 	if record := s.runners.records[runner]; record != nil {
 		return record.lingering
@@ -112,7 +118,7 @@
 	return nil
 }
 
-// Runners returns the runners that have runs, lingering ones included, sorted.
+// Runners returns the sorted ids of the runners that have runs, lingering ones included.
 func (s *State) Runners() []string {
 	var ids []string
 	for id, record := range s.runners.records {
@@ -124,7 +130,7 @@
 	return ids
 }
 
-// AddressOf returns the address at which a runner serves, or "" if no command has brought it.
+// AddressOf returns the address at which a runner serves, or "" if no RunnerAddress of it was applied.
 func (s *State) AddressOf(runner string) string {
 	if record := s.runners.records[runner]; record != nil {
 		return record.address
@@ -132,13 +138,14 @@
 	return ""
 }
 
-// Departed reports whether a runner has deregistered.
+// Departed reports whether this incarnation of a runner has deregistered.
 func (s *State) Departed(runner string) bool {
 	record := s.runners.records[runner]
 	return record != nil && record.departed
 }
 
-// LastSeen returns the N up to which the ends of a runner are applied: it need not report them any more.
+// LastSeen returns the highest N of a runner's ends that were applied, or 0. The runner doesn't need to report ends up to
+// this N any more.
 func (s *State) LastSeen(runner string) uint64 {
 	if record := s.runners.records[runner]; record != nil {
 		return record.lastSeen
--- a/internal/cluster/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -6,7 +6,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// applyStarts applies the starts of a command. Those of a gang are applied all or none.
+// applyStarts applies the valid starts of a command. A gang starts only if the command has a valid start of each member. So
+// the starts of gangs are counted first, in a pass of their own, before any task changes.
 func (s *State) applyStarts(starts []Start) {
 	if len(starts) == 0 {
 		return
@@ -35,7 +36,7 @@
 	}
 }
 
-// isNextRun reports whether run may be started as the next one of the task.
+// isNextRun reports whether the task is Pending and run is the number of its next run.
 func isNextRun(task *Task, run uint64) bool {
 	return task.Phase == Pending && run == task.Run+1
 }
@@ -55,13 +56,15 @@
 	}
 	task.Group.Running++
 	job := task.Group.Job
-	job.running++
+	job.runningTasks++
 	job.State = protocol.JobRunning
 	s.counters.Running++
 	s.counters.Started++
 }
 
-// applyEnd records an end that a runner reported, and reports whether it ended the task's current run.
+// applyEnd applies an end and reports whether it ended the task's current run. An end whose N is not above the runner's
+// lastSeen was applied before and is ignored: runners repeat their reports until they are acknowledged. Every other end
+// advances lastSeen, also if it is of an old or a lingering run.
 func (s *State) applyEnd(end *End) bool {
 	record := s.runners.touch(end.Runner, s.ageMs)
 	if end.N <= record.lastSeen {
@@ -81,7 +84,7 @@
 	return true
 }
 
-// applyLoss records that a run exists nowhere, and reports whether it ended the task's current run.
+// applyLoss applies a loss and reports whether it ended the task's current run. It doesn't count as a failed attempt.
 func (s *State) applyLoss(loss *Loss) bool {
 	record := s.runners.records[loss.Runner]
 	if record == nil || s.freeLingering(record, loss.Task, loss.Run) {
@@ -98,7 +101,7 @@
 	return true
 }
 
-// freeLingering removes a run from the runner's lingering ones, and reports whether it was one of them.
+// freeLingering removes a run from the lingering runs of a runner, and reports whether it was one of them.
 func (s *State) freeLingering(record *runnerRecord, id TaskID, run uint64) bool {
 	lingering, ok := record.removeLingering(id, run)
 	if ok {
@@ -108,7 +111,7 @@
 	return ok
 }
 
-// currentRun returns the task if run is its current one and may exist on the runner, else nil.
+// currentRun returns the task if it is Running and its current run has this number and is on this runner, else nil.
 func (s *State) currentRun(id TaskID, run uint64, record *runnerRecord) *Task {
 	task := s.Task(id)
 	if task == nil || task.Phase != Running || task.Run != run || task.Runner != record.id {
@@ -117,17 +120,18 @@
 	return task
 }
 
-// detachFromRunner takes a run off its runner; the caller sets the task's phase.
+// detachFromRunner removes a Running task from the list of its runner and from the counters. The caller sets the task's next
+// phase.
 func (s *State) detachFromRunner(task *Task, record *runnerRecord) {
 	record.running.remove(task)
 	task.Runner = ""
 	task.Group.Running--
-	task.Group.Job.running--
+	task.Group.Job.runningTasks--
 	s.counters.Running--
 	s.effects.EndedRuns = append(s.effects.EndedRuns, task)
 }
 
-// keepCheckpointOfEnd keeps the checkpoint that came with an end.
+// keepCheckpointOfEnd stores the checkpoint that an End brought, if there is one and the step has checkpoints.
 func keepCheckpointOfEnd(task *Task, checkpoint string) {
 	if checkpoint == "" || !task.Group.Spec().Checkpoints {
 		return
@@ -138,8 +142,9 @@
 	task.setCheckpoint(checkpoint)
 }
 
-// keepCheckpointOfLoss keeps the checkpoint that came with a loss. It was reported before what any end of the same run of
-// a gang brings, so an end's stays.
+// keepCheckpointOfLoss stores the checkpoint that a Loss brought, if there is one and the step has checkpoints. All members
+// of a gang store one checkpoint. That of a loss comes from a report during the run, so it is older than that of an end of
+// the same run and doesn't replace it.
 func keepCheckpointOfLoss(task *Task, checkpoint string) {
 	if checkpoint == "" || !task.Group.Spec().Checkpoints {
 		return
@@ -150,7 +155,8 @@
 	task.setCheckpoint(checkpoint)
 }
 
-// setCheckpoint sets the checkpoint of the task, or of its gang.
+// setCheckpoint sets the checkpoint of the task or, if the task is in a gang, of the gang. It clones the string, which
+// belongs to the command.
 func (t *Task) setCheckpoint(checkpoint string) {
 	if t.Group.Spec().Gang {
 		t.Group.Checkpoint = strings.Clone(checkpoint)
--- a/internal/cluster/jobs/runs_test.go
+++ b/internal/cluster/jobs/runs_test.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = DescribeTable("the phase of a task after the end of its run",
+var _ = DescribeTable("The phase of a task after the end of its run",
 	func(outcome string, phase jobs.Phase, state string, attempts int, change ...func(*protocol.Step)) {
 		s := newShard()
 		s.submit(jobA, 2, step(2, change...))
@@ -26,23 +26,23 @@
 		Expect(s.runsOn("r1")).To(BeEmpty())
 		Expect(s.LastSeen("r1")).To(Equal(uint64(1)))
 	},
-	Entry("done", protocol.EndDone, jobs.Done, protocol.JobRunning, 0),
-	Entry("failed", protocol.EndFailed, jobs.Pending, protocol.JobRunning, 1),
-	Entry("stopped", protocol.EndStopped, jobs.Pending, protocol.JobRunning, 0),
-	Entry("lapsed", protocol.EndLapsed, jobs.Pending, protocol.JobRunning, 0),
-	Entry("broken", protocol.EndBroken, jobs.Pending, protocol.JobRunning, 0),
-	Entry("alone", protocol.EndAlone, jobs.Pending, protocol.JobRunning, 0),
-	Entry("refused", protocol.EndRefused, jobs.Pending, protocol.JobRunning, 0),
-	Entry("an unknown outcome", "vanished", jobs.Pending, protocol.JobRunning, 0),
-	Entry("done, long-running", protocol.EndDone, jobs.Pending, protocol.JobRunning, 0, longRunning),
-	Entry("failed, long-running", protocol.EndFailed, jobs.Pending, protocol.JobRunning, 0, longRunning),
+	Entry("that is done", protocol.EndDone, jobs.Done, protocol.JobRunning, 0),
+	Entry("that failed", protocol.EndFailed, jobs.Pending, protocol.JobRunning, 1),
+	Entry("that was stopped", protocol.EndStopped, jobs.Pending, protocol.JobRunning, 0),
+	Entry("that lapsed", protocol.EndLapsed, jobs.Pending, protocol.JobRunning, 0),
+	Entry("that ended because its gang's run did", protocol.EndBroken, jobs.Pending, protocol.JobRunning, 0),
+	Entry("that was alone in its gang", protocol.EndAlone, jobs.Pending, protocol.JobRunning, 0),
+	Entry("that was refused", protocol.EndRefused, jobs.Pending, protocol.JobRunning, 0),
+	Entry("that has an unknown outcome", "vanished", jobs.Pending, protocol.JobRunning, 0),
+	Entry("that is done, in a long-running step", protocol.EndDone, jobs.Pending, protocol.JobRunning, 0, longRunning),
+	Entry("that failed, in a long-running step", protocol.EndFailed, jobs.Pending, protocol.JobRunning, 0, longRunning),
 )
 
-var _ = Describe("runs", func() {
+var _ = Describe("A run", func() {
 	var s *shard
 	BeforeEach(func() { s = newShard() })
 
-	DescribeTable("an invalid start is not applied",
+	DescribeTable("is not started by an invalid start",
 		func(before func(), task jobs.TaskID, run uint64) {
 			s.submit(jobA, 2, step(1), step(1, after(0)))
 			before()
@@ -69,7 +69,7 @@
 		Entry("of a cancelled job", func() { s.cancel(jobA) }, id(jobA, 0), uint64(1)),
 	)
 
-	It("applies a start once, even if a command has it twice", func() {
+	It("is started once, even if the command has its start twice", func() {
 		s.submit(jobA, 2, step(2))
 		Expect(s.start("r1", 1, id(jobA, 0), id(jobA, 0), id(jobA, 1))).To(Equal([]bool{true, false, true}))
 		Expect(s.runsOn("r1")).To(Equal([]string{jobA + ".0.0.0/1", jobA + ".0.0.1/1"}))
@@ -77,7 +77,7 @@
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobRunning))
 	})
 
-	It("applies ends before starts of the same task in one command", func() {
+	It("is started in the same command as the end of the task's previous run", func() {
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
 		effects := s.do(&jobs.Command{
@@ -89,7 +89,7 @@
 		Expect(s.runsOn("r2")).To(HaveLen(1))
 	})
 
-	DescribeTable("an end that is not of the current run only advances lastSeen",
+	DescribeTable("is not ended, and at most LastSeen advances,",
 		func(runner string, n uint64, run uint64, lastSeen uint64) {
 			s.submit(jobA, 2, step(1))
 			s.start("r1", 1, id(jobA, 0))
@@ -103,16 +103,16 @@
 			Expect(s.phase(id(jobA, 0))).To(Equal(jobs.Running))
 			Expect(s.LastSeen(runner)).To(Equal(lastSeen))
 		},
-		Entry("an old run on its own runner", "r1", uint64(1), uint64(1), uint64(1)),
-		Entry("the current run on an old runner", "r1", uint64(1), uint64(2), uint64(1)),
-		Entry("an old run on the current runner", "r2", uint64(6), uint64(1), uint64(6)),
-		Entry("a future run", "r2", uint64(6), uint64(3), uint64(6)),
-		Entry("the current run with an N that was applied", "r2", uint64(5), uint64(2), uint64(5)),
-		Entry("the current run with a lower N", "r2", uint64(3), uint64(2), uint64(5)),
-		Entry("an unknown runner", "r3", uint64(9), uint64(2), uint64(9)),
+		Entry("by an end of an old run from its own runner", "r1", uint64(1), uint64(1), uint64(1)),
+		Entry("by an end of the current run from an old runner", "r1", uint64(1), uint64(2), uint64(1)),
+		Entry("by an end of an old run from the current runner", "r2", uint64(6), uint64(1), uint64(6)),
+		Entry("by an end of a future run", "r2", uint64(6), uint64(3), uint64(6)),
+		Entry("by an end whose N was applied before", "r2", uint64(5), uint64(2), uint64(5)),
+		Entry("by an end with a lower N", "r2", uint64(3), uint64(2), uint64(5)),
+		Entry("by an end from an unknown runner", "r3", uint64(9), uint64(2), uint64(9)),
 	)
 
-	DescribeTable("a loss counts for the current run on its runner only",
+	DescribeTable("is lost only by a loss that names its number and its runner, as one that names",
 		func(runner string, run uint64, counts bool) {
 			s.submit(jobA, 1, step(1))
 			s.start("r1", 1, id(jobA, 0))
@@ -124,12 +124,12 @@
 				Expect(s.phase(id(jobA, 0))).To(Equal(jobs.Running))
 			}
 		},
-		Entry("the current run", "r1", uint64(1), true),
+		Entry("the number and the runner of the current run", "r1", uint64(1), true),
 		Entry("another runner", "r2", uint64(1), false),
-		Entry("another run", "r1", uint64(2), false),
+		Entry("another number", "r1", uint64(2), false),
 	)
 
-	It("ignores an end of a pending task from a runner without an id", func() {
+	It("does not exist while its task is Pending: an end from a runner with an empty id is ignored", func() {
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
 		s.lose("r1", id(jobA, 0), 1, "")
@@ -137,7 +137,7 @@
 		Expect(s.phase(id(jobA, 0))).To(Equal(jobs.Pending))
 	})
 
-	It("fails a job with the last attempt of a task, and cancels the rest", func() {
+	It("fails the job if it was the last attempt of a task, and the job's other tasks are cancelled", func() {
 		s.submit(jobA, 2, step(3), step(1, after(0)))
 		s.start("r1", 1, id(jobA, 0), id(jobA, 1))
 		s.end("r1", id(jobA, 0), 1, protocol.EndFailed, "")
@@ -162,7 +162,7 @@
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobFailed))
 	})
 
-	It("never fails a task without a limit of attempts, nor a long-running one", func() {
+	It("never fails the job if the queue has no limit of attempts or the step is long-running", func() {
 		s.submit(jobA, 0, step(1))
 		s.submit(jobB, 1, step(1, longRunning))
 		for run := uint64(1); run <= 20; run++ {
@@ -173,7 +173,7 @@
 		Expect(s.pendingIDs()).To(ConsistOf(jobA+".0.0.0", jobB+".0.0.0"))
 	})
 
-	It("cancels pending tasks at once, running ones with their end", func() {
+	It("delays the cancellation of its task until it ends, while Pending tasks are cancelled at once", func() {
 		s.submit(jobA, 2, step(2))
 		s.start("r1", 1, id(jobA, 0))
 		running := s.Task(id(jobA, 0))
@@ -189,7 +189,7 @@
 		Expect(s.Counters().Cancelled).To(Equal(uint64(1)))
 	})
 
-	It("keeps a completed job completed when it is cancelled", func() {
+	It("that completed its job is not undone by a later cancellation", func() {
 		s.submit(jobA, 2, step(1))
 		s.start("r1", 1, id(jobA, 0))
 		s.end("r1", id(jobA, 0), 1, protocol.EndDone, "")
@@ -197,7 +197,7 @@
 		Expect(s.stateOf(jobA)).To(Equal(protocol.JobCompleted))
 	})
 
-	DescribeTable("checkpoints",
+	DescribeTable("brings checkpoints to its task",
 		func(want string, change []func(*protocol.Step), checkpoints ...string) {
 			s.submit(jobA, 0, step(1, change...))
 			for i, text := range checkpoints {
@@ -210,19 +210,19 @@
 			}
 			Expect(s.Task(id(jobA, 0)).Checkpoint).To(Equal(want))
 		},
-		Entry("the newest is kept", "b", []func(*protocol.Step){checkpoints}, "a", "b"),
-		Entry("an empty one changes nothing", "b", []func(*protocol.Step){checkpoints}, "a", "b", ""),
-		Entry("a long-running task keeps it too", "c", []func(*protocol.Step){checkpoints, longRunning}, "a", "b", "c"),
-		Entry("steps without checkpoints keep none", "", nil, "a", "b"),
+		Entry("of which the newest is kept", "b", []func(*protocol.Step){checkpoints}, "a", "b"),
+		Entry("and an empty one changes nothing", "b", []func(*protocol.Step){checkpoints}, "a", "b", ""),
+		Entry("also in a long-running step", "c", []func(*protocol.Step){checkpoints, longRunning}, "a", "b", "c"),
+		Entry("but not in a step without checkpoints", "", nil, "a", "b"),
 	)
 
-	It("orders pending tasks by priority, then by when they became pending", func() {
+	It("that was stopped returns its task to the Pending tasks, which are ordered by priority and then by when they became Pending", func() {
 		first := protocol.Queue{Key: "first", Priority: 0, MaxAttempts: 2}
 		last := protocol.Queue{Key: "last", Priority: 2, MaxAttempts: 2}
 		one := protocol.JobSpec{Steps: []protocol.Step{step(1)}}
 		s.do(&jobs.Command{Submits: []jobs.Submit{{ID: jobA, Queue: last, Job: one}}})
 		s.submit(jobB, 2, step(2))
-		s.pass(10)
+		s.advance(10)
 		s.do(&jobs.Command{Submits: []jobs.Submit{{ID: jobC, Queue: first, Job: one}}})
 		s.start("r1", 1, id(jobB, 0))
 		s.end("r1", id(jobB, 0), 1, protocol.EndStopped, "")
@@ -233,12 +233,12 @@
 		Expect(seen).To(Equal(2))
 	})
 
-	It("forgets a runner without runs, and keeps one that has runs", func() {
+	It("keeps the record of its runner, while a runner without runs is forgotten", func() {
 		s.submit(jobA, 2, step(2))
 		s.start("r1", 1, id(jobA, 0))
 		s.start("r2", 1, id(jobA, 1))
 		s.end("r2", id(jobA, 1), 1, protocol.EndDone, "")
-		s.passInSteps(10*time.Minute + 5*time.Second)
+		s.advanceInSteps(10*time.Minute + 5*time.Second)
 		Expect(s.LastSeen("r2")).To(Equal(uint64(0)))
 		Expect(s.Counters().Runners).To(Equal(1))
 		Expect(s.runsOn("r1")).To(HaveLen(1))
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -9,13 +9,25 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// The first byte of a snapshot is the version of its encoding.
+// A snapshot is a version byte and then the state in the order below. A list is the number of its items and then the items.
+//
+//	clockMs, ageMs, sequence
+//	the totals of Counters (Accepted, Completed, Failed, Cancelled, Started, Lost)
+//	runners in the order of runnerTable: id, address, lastSeen, lastNamedMs, departed (since version 4), lingering runs
+//	jobs by id: ID, Queue, State, AcceptedMs, EndedMs, Spec, opened and completed repetitions, Groups with their tasks
+//	ended jobs in order of expiry: id, untilMs
+//	tombstones in order of expiry: all ids with untilMs, and then for each id its kind and, if it is fenced, its version
+//
+// Restore derives everything else: the lists of Pending and Running tasks, the heap of due jobs and the other counters.
+//
+// Replicas compare digests of their snapshots, and snapshots are stored on disk and sent to other replicas. So a change of
+// this order needs a new version, and Restore must keep reading the old one.
 const (
 	snapshotVersion                  = 4
 	snapshotVersionWithoutDepartures = 3 // written by earlier releases
 )
 
-// jobStateCodes are the states of a job; their positions are their numbers in a snapshot.
+// jobStateCodes are the states of a job. A snapshot has a state's position in this list, so new states can only be appended.
 var jobStateCodes = [...]protocol.JobState{
 	protocol.JobQueued,
 	protocol.JobRunning,
@@ -24,7 +36,7 @@
 	protocol.JobCancelled,
 }
 
-// Snapshot returns the complete state. Equal states give equal bytes. The error is always nil.
+// Snapshot encodes the complete state. Equal states have equal bytes. The error is always nil.
 func (s *State) Snapshot() ([]byte, error) {
 	w := &writer{data: make([]byte, 0, s.snapshotSizeHint)}
 	w.byte(snapshotVersion)
@@ -40,17 +52,19 @@
 	return w.data, nil
 }
 
+// totals writes those counters that Restore can't derive.
 func (w *writer) totals(c *Counters) {
 	for _, total := range c.totals() {
 		w.unsigned(*total)
 	}
 }
 
-// totals returns the counters that can't be derived from the rest of the state, in the order of the encoding.
+// totals returns the counters that can't be derived from the rest of the state, in the order of their encoding.
 func (c *Counters) totals() [6]*uint64 {
 	return [...]*uint64{&c.Accepted, &c.Completed, &c.Failed, &c.Cancelled, &c.Started, &c.Lost}
 }
 
+// expiries writes the entries of an expiryQueue.
 func (w *writer) expiries(entries []retainedID) {
 	w.count(len(entries))
 	for _, entry := range entries {
@@ -59,6 +73,7 @@
 	}
 }
 
+// tombstones writes the tombstones without outdated entries: replicas that were restored from a snapshot have none.
 func (w *writer) tombstones(set *tombstoneSet) {
 	entries := set.current()
 	w.expiries(entries)
@@ -109,8 +124,8 @@
 	w.signed(job.AcceptedMs)
 	w.signed(job.EndedMs)
 	w.spec(&job.Spec)
-	w.count(job.opened)
-	w.count(job.completed)
+	w.count(job.openedRepetitions)
+	w.count(job.completedRepetitions)
 	w.count(len(job.Groups))
 	previous := &previousTask{pendingSinceMs: job.AcceptedMs}
 	for _, group := range job.Groups {
@@ -119,7 +134,8 @@
 	}
 }
 
-// previousTask has fields of the task written or read before: neighbours are much alike.
+// previousTask has fields of the task that was written or read before, in the same job. Neighbouring tasks often have the
+// same runner and checkpoint and similar numbers, so these are encoded as repetitions and differences.
 type previousTask struct {
 	pendingSinceMs int64
 	sequence       uint64
@@ -139,6 +155,7 @@
 	}
 }
 
+// taskState writes the state of a task. A Blocked task has no state besides its phase.
 func (w *writer) taskState(task *Task, previous *previousTask) {
 	w.byte(byte(task.Phase))
 	if task.Phase == Blocked {
@@ -155,7 +172,7 @@
 	}
 }
 
-// Digest returns the same number for equal states: the 64-bit xxHash of Snapshot. Replicas compare it.
+// Digest returns the 64-bit xxHash of Snapshot. Replicas compare it to detect that their states have diverged.
 func (s *State) Digest() uint64 {
 	data, err := s.Snapshot()
 	if err != nil {
--- a/internal/cluster/jobs/spec_codec.go
+++ b/internal/cluster/jobs/spec_codec.go
@@ -2,7 +2,9 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// Bits of a step's flags. Those named stepHas… mean that the field follows. They are part of the encoding.
+// Bits of the flags with which an encoded step begins. The first five are boolean fields of protocol.Step. The others, named
+// stepHas…, mean that the optional fields of this name follow the required ones; without the bit the fields are zero. The
+// bits and the order of the fields in writer.step are part of the encoding of commands and snapshots.
 const (
 	stepGang = 1 << iota
 	stepRackLocal
@@ -15,6 +17,7 @@
 	stepHasAntiAffinity
 )
 
+// stepFlags returns the flags of the step's encoding.
 func stepFlags(step *protocol.Step) uint64 {
 	var flags uint64
 	set := func(bit uint64, on bool) {
@@ -34,6 +37,7 @@
 	return flags
 }
 
+// step writes the flags, Count, CPU, MemoryMB and EstimatedMs, and then those optional fields that the flags name.
 func (w *writer) step(step *protocol.Step) {
 	flags := stepFlags(step)
 	w.unsigned(flags)
@@ -88,6 +92,7 @@
 	}
 }
 
+// spec writes Spec, Repetitions, FirstRunMs and IntervalMs if Repetitions isn't 0, and the steps.
 func (w *writer) spec(spec *protocol.JobSpec) {
 	w.text(spec.Spec)
 	w.signed(int64(spec.Repetitions))
@@ -117,6 +122,7 @@
 	}
 }
 
+// queue writes all fields of a queue.
 func (w *writer) queue(queue *protocol.Queue) {
 	w.text(queue.Key)
 	w.text(queue.Service)
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -6,46 +6,46 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// State is the state of a shard of jobs. It may be used by one goroutine at a time.
+// State is the state of one shard of jobs. Only one goroutine may use it at a time.
 type State struct {
 	retention retention
 
-	clockMs  int64  // newest time of day that a command brought
-	ageMs    int64  // rises with the clock, but by maxAgeStepMs at most; retention is measured by it
-	sequence uint64 // of the newest task that became Pending or Running
+	clockMs  int64  // highest Command.TimeOfDayMs applied so far, in ms since 1970
+	ageMs    int64  // ms that retention is measured in: advances with clockMs, but at most maxAgeStepMs per command
+	sequence uint64 // last Task.sequence that was assigned
 
-	jobs           map[string]*Job
-	sharedQueues   map[protocol.Queue]protocol.Queue // one copy of each queue's texts
-	unfinishedJobs map[string]int                    // jobs that have not ended, by key of the queue
+	jobs           map[string]*Job                   // unfinished and retained ended jobs, by id
+	sharedQueues   map[protocol.Queue]protocol.Queue // shares each queue's strings between its jobs; see sharedQueue
+	unfinishedJobs map[string]int                    // number of jobs that have not ended, by queue key; no zeros
 	pending        map[int]*taskList                 // pending tasks by priority
-	priorities     []int                             // keys of pending, rising
-	dueJobs        dueHeap
+	priorities     []int                             // keys of pending, in ascending order
+	dueJobs        dueHeap                           // jobs that wait for their next repetition to fall due
 	runners        runnerTable
 	tombstones     tombstoneSet
-	endedJobs      expiryQueue // ended jobs whose states are retained
+	endedJobs      expiryQueue // ended jobs in jobs, until their state expires
 
-	counters Counters
-	effects  *Effects // of the command being applied
+	counters Counters // Retained, Forgotten and Runners stay 0 here: method Counters derives them
+	effects  *Effects // effects of the command being applied; nil outside Apply
 
-	snapshotSizeHint int // bytes that the next snapshot will probably take
+	snapshotSizeHint int // expected size of the next snapshot, in bytes
 }
 
-// Counters count what a State has now (Jobs to Runners), and what has become of jobs since the shard began.
+// Counters are the sizes of a State (Jobs to Runners), and totals since the shard was created (Accepted to Lost).
 type Counters struct {
-	Jobs      int // not ended
-	Retained  int // ended, state still kept
-	Forgotten int // ids that are known or fenced without a state
-	Pending   int // tasks
-	Running   int // tasks
-	Lingering int // runs
-	Runners   int
-
-	Accepted  uint64 // jobs
-	Completed uint64 // jobs
-	Failed    uint64 // jobs
-	Cancelled uint64 // jobs
-	Started   uint64 // runs
-	Lost      uint64 // runs
+	Jobs      int // jobs that have not ended
+	Retained  int // jobs that have ended and still have a state
+	Forgotten int // job ids with a tombstone: forgotten jobs and fenced ids
+	Pending   int // tasks that are Pending
+	Running   int // tasks that are Running
+	Lingering int // runs that linger; see type Lingering
+	Runners   int // runner incarnations with a record
+
+	Accepted  uint64 // jobs accepted
+	Completed uint64 // jobs that completed
+	Failed    uint64 // jobs that failed
+	Cancelled uint64 // jobs that were cancelled
+	Started   uint64 // runs started
+	Lost      uint64 // runs that ended by a Loss
 }
 
 // New returns an empty State.
@@ -63,24 +63,26 @@
 	}
 }
 
-// ClockMs returns the shard's time of day in ms since 1970: the newest that any command has brought.
+// ClockMs returns the shard's time of day in ms since 1970: the highest TimeOfDayMs of the commands applied so far.
 func (s *State) ClockMs() int64 { return s.clockMs }
 
-// NextDueMs returns the time of day, in ms since 1970, at which the next repetition falls due; ok is false if no job
-// waits for one.
+// NextDueMs returns the time of day, in ms since 1970, at which the next repetition of any job falls due. ok is false if no
+// job waits for a repetition to fall due.
 func (s *State) NextDueMs() (dueMs int64, ok bool) {
 	if len(s.dueJobs) == 0 {
 		return 0, false
 	}
 	next := s.dueJobs[0]
-	return next.dueMs(next.opened), true
+	return next.dueMs(next.openedRepetitions), true
 }
 
-// Job returns the job, or nil if it is unknown or forgotten. Pointers to jobs and tasks are valid until the next Restore.
+// Job returns the job with this id, or nil if the id is unknown or the job's state is no longer retained. Pointers to jobs
+// and tasks are valid until the next Restore.
 func (s *State) Job(id string) *Job { return s.jobs[id] }
 
-// JobIDs returns the ids of jobs whose state is retained, sorted: at most limit of those that come after the id given
-// (empty: from the first). If queue isn't empty, only jobs of the queue with this key are listed.
+// JobIDs returns one page of the sorted ids of all jobs that have a state, unfinished or ended. The page has at most limit
+// ids that are greater than after; an empty after starts at the first id. If queue isn't empty, only jobs of the queue with
+// this key are listed.
 func (s *State) JobIDs(queue, after string, limit int) []string {
 	var ids []string
 	for id, job := range s.jobs {
@@ -92,7 +94,8 @@
 	return ids[:min(limit, len(ids))]
 }
 
-// StateOf returns the job's state as shown to clients, and whether the job is known.
+// StateOf returns the state of the job as clients see it. known is false if there is no job with this id, or if its state is
+// no longer retained.
 func (s *State) StateOf(id string) (state protocol.JobState, known bool) {
 	job := s.jobs[id]
 	if job == nil {
@@ -101,7 +104,8 @@
 	return job.State, true
 }
 
-// Task returns the task, or nil if its job is unknown or its repetition is not due yet or complete.
+// Task returns the task with this id. It returns nil if the State has no such job, if the job's details were dropped after
+// its end, if the repetition is not open, or if the step or the index doesn't exist.
 func (s *State) Task(id TaskID) *Task {
 	job := s.jobs[id.Job]
 	if job == nil {
@@ -110,8 +114,8 @@
 	return job.task(id)
 }
 
-// EachPending calls f for each pending task, by priority and then by when it became pending, until f returns false.
-// Members of a gang follow one another.
+// EachPending calls f for each Pending task until f returns false. Tasks come in ascending order of their queue's priority
+// number and, within a priority, in the order in which they became Pending. The tasks of a gang are neighbours.
 func (s *State) EachPending(f func(*Task) bool) {
 	for _, priority := range s.priorities {
 		for task := s.pending[priority].first; task != nil; task = task.next {
@@ -125,10 +129,10 @@
 // PendingCount returns the number of pending tasks.
 func (s *State) PendingCount() int { return s.counters.Pending }
 
-// UnfinishedJobs returns how many jobs of the queue have not ended.
+// UnfinishedJobs returns the number of the queue's jobs that have not ended.
 func (s *State) UnfinishedJobs(queueKey string) int { return s.unfinishedJobs[queueKey] }
 
-// Counters returns the present counts.
+// Counters returns the current counters.
 func (s *State) Counters() Counters {
 	counters := s.counters
 	counters.Retained = len(s.jobs) - counters.Jobs
@@ -137,7 +141,7 @@
 	return counters
 }
 
-// pendingList returns the list of pending tasks of a priority.
+// pendingList returns the list of the pending tasks of a priority, which it creates if necessary.
 func (s *State) pendingList(priority int) *taskList {
 	list := s.pending[priority]
 	if list == nil {
--- a/internal/cluster/jobs/submit.go
+++ b/internal/cluster/jobs/submit.go
@@ -6,9 +6,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxSharedQueues limits how many queues are remembered for sharing their texts.
+// maxSharedQueues limits the number of queues in State.sharedQueues. Beyond it, all are dropped and collected again: jobs
+// that have their texts already keep them.
 const maxSharedQueues = 4096
 
+// applySubmit accepts a job unless its id is known, is fenced for the submit's version of the configuration, or its spec is
+// invalid. An id stays known after its job ended: first by the job's state, then by a tombstone.
 func (s *State) applySubmit(submit *Submit) SubmitEffect {
 	if s.jobs[submit.ID] != nil {
 		return Duplicate
@@ -27,6 +30,7 @@
 	return Accepted
 }
 
+// acceptJob adds a queued job and opens the repetitions that are due.
 func (s *State) acceptJob(submit *Submit) {
 	job := &Job{
 		ID:         strings.Clone(submit.ID),
@@ -44,7 +48,8 @@
 	s.openDueRepetitions(job)
 }
 
-// sharedQueue returns q with texts that all jobs of the queue share.
+// sharedQueue returns a queue that equals q and whose strings are shared by the jobs of the queue, so that the memory of
+// the strings is needed once per queue instead of once per job. It doesn't affect snapshots.
 func (s *State) sharedQueue(q protocol.Queue) protocol.Queue {
 	known, ok := s.sharedQueues[q]
 	if !ok {
@@ -59,7 +64,8 @@
 	return known
 }
 
-// cloneSpec copies a spec, so that it doesn't keep the command's bytes alive.
+// cloneSpec returns a deep copy of a spec. A decoded spec shares memory with the complete entry of the log, and would keep
+// it in memory as long as the job.
 func cloneSpec(spec *protocol.JobSpec) protocol.JobSpec {
 	clone := *spec
 	clone.Spec = strings.Clone(spec.Spec)
--- a/internal/cluster/jobs/tombstones.go
+++ b/internal/cluster/jobs/tombstones.go
@@ -2,25 +2,26 @@
 
 import "strings"
 
-// tombstoneKind is why an id is known without a state. Its number is part of the encoding of snapshots.
+// tombstoneKind is the reason why an id without a job has a tombstone. Its number is part of the encoding of snapshots.
 type tombstoneKind uint8
 
 const (
-	forgottenJob tombstoneKind = iota + 1 // a job that ended, and whose state is no longer retained
-	fencedID                              // an id that the shard won't accept by some versions of the configuration
+	forgottenJob tombstoneKind = iota + 1 // the job has ended and its state was dropped
+	fencedID                              // the id was fenced; see Fence
 )
 
-// tombstone is what is known of an id without a state. Its zero value stands for nothing.
+// tombstone records that the shard must not accept a job id. The zero value means that there is no tombstone.
 type tombstone struct {
 	kind    tombstoneKind
-	version uint64 // fencedID: the newest version of the configuration that is fenced
-	untilMs int64  // by the shard's age
+	version uint64 // fencedID only: the id can't be accepted with this version of the configuration or an older one
+	untilMs int64  // the tombstone expires when State.ageMs is greater than this
 }
 
-// tombstoneSet has the ids that a shard must not accept.
+// tombstoneSet has the tombstones of a shard by job id.
 type tombstoneSet struct {
 	byID map[string]tombstone
-	// order has an entry for each tombstone, and outdated ones of tombstones that were replaced or removed.
+	// order has an entry for each tombstone. Entries of tombstones that were replaced or removed stay in it until they
+	// expire. Such an entry is outdated: its id has no tombstone, or one with another untilMs.
 	order expiryQueue
 }
 
@@ -28,10 +29,10 @@
 
 func (t *tombstoneSet) count() int { return len(t.byID) }
 
-// get returns the tombstone of an id, or the zero value.
+// get returns the tombstone of an id, or the zero value if there is none.
 func (t *tombstoneSet) get(id string) tombstone { return t.byID[id] }
 
-// put sets the tombstone of an id, in place of an earlier one.
+// put sets the tombstone of an id, replacing an existing one. It adds no entry to order if the expiry stays the same.
 func (t *tombstoneSet) put(id string, next tombstone) {
 	before, known := t.byID[id]
 	if known && before.untilMs == next.untilMs {
@@ -43,18 +44,20 @@
 	t.order.push(id, next.untilMs)
 }
 
-// remove forgets an id that is accepted after all.
+// remove deletes the tombstone of an id that is accepted after a fence, with a newer version of the configuration.
 func (t *tombstoneSet) remove(id string) { delete(t.byID, id) }
 
-func (t *tombstoneSet) expire(now int64) {
-	for id, ok := t.order.pop(now); ok; id, ok = t.order.pop(now) {
-		if t.byID[id].untilMs < now {
+// expire deletes the tombstones that have expired at the given age. The entry that it pops may be outdated, so that the
+// tombstone's own expiry decides.
+func (t *tombstoneSet) expire(ageMs int64) {
+	for id, ok := t.order.pop(ageMs); ok; id, ok = t.order.pop(ageMs) {
+		if t.byID[id].untilMs < ageMs {
 			delete(t.byID, id)
 		}
 	}
 }
 
-// current returns the entries of the order that are not outdated.
+// current returns the entries of order that are not outdated, in ascending order of expiry.
 func (t *tombstoneSet) current() []retainedID {
 	entries := make([]retainedID, 0, len(t.byID))
 	for _, entry := range t.order.all() {
--- a/internal/cluster/jobs/transitions.go
+++ b/internal/cluster/jobs/transitions.go
@@ -2,9 +2,10 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// This file has the transitions of tasks and jobs between their phases and states; gang.go those that are a gang's alone.
+// This file has the transitions of tasks between phases and of jobs between states. Those that only gangs have are in
+// gang.go.
 
-// release makes a group's tasks Pending for the first time.
+// release makes the Blocked tasks of a group Pending, when all steps on which the group depends are done.
 func (s *State) release(group *Group) {
 	group.isReleased = true
 	for _, task := range group.Tasks {
@@ -12,7 +13,7 @@
 	}
 }
 
-// makePending makes a task Pending. The caller has taken it off whatever list it was in.
+// makePending makes a task Pending and adds it to the end of the list of its priority. The task must not be in a list.
 func (s *State) makePending(task *Task) {
 	s.sequence++
 	task.Phase = Pending
@@ -23,13 +24,18 @@
 	s.effects.Pending = append(s.effects.Pending, task)
 }
 
-// removePending takes a Pending task off its list; the caller sets its phase.
+// removePending removes a Pending task from the list of its priority. The caller sets its next phase.
 func (s *State) removePending(task *Task) {
 	s.pendingList(task.Group.Job.Queue.Priority).remove(task)
 	s.counters.Pending--
 }
 
-// transitionAfterRun gives a task whose run has just ended its next phase.
+// transitionAfterRun sets the next phase of a task after the end or loss of its run:
+//   - The job has ended: Cancelled.
+//   - A gang member: see transitionGangMember.
+//   - A long-running step: Pending again, whatever the outcome.
+//   - EndDone: Done. EndFailed: counted as a failed attempt.
+//   - Any other outcome, unknown ones included: Pending again, without counting an attempt.
 func (s *State) transitionAfterRun(task *Task, outcome protocol.RunEnd) {
 	job := task.Group.Job
 	switch {
@@ -49,8 +55,8 @@
 	}
 }
 
-// completeTask makes a task Done, releases the steps for which that was awaited, and completes the repetition with its
-// last task.
+// completeTask makes a task Done. After the last task of a group it releases the groups that depended on it and have no
+// other unfinished dependency. After the last task of a repetition it completes the repetition.
 func (s *State) completeTask(task *Task) {
 	group := task.Group
 	task.Phase = Done
@@ -69,7 +75,8 @@
 	}
 }
 
-// dependenciesDone reports whether all that a group depends on is done; groups are those of its repetition.
+// dependenciesDone reports whether all tasks of the steps on which a group depends are Done. groups are the groups of its
+// repetition.
 func dependenciesDone(group *Group, groups []*Group) bool {
 	for _, step := range group.Spec().DependsOn {
 		if groups[step].Unfinished > 0 {
@@ -79,6 +86,7 @@
 	return true
 }
 
+// allDone reports whether all tasks of the groups are Done.
 func allDone(groups []*Group) bool {
 	for _, group := range groups {
 		if group.Unfinished > 0 {
@@ -88,7 +96,8 @@
 	return true
 }
 
-// countFailedAttempt counts a failed run of a task that is in no gang.
+// countFailedAttempt counts a failed run of a task that is in no gang. The task becomes Pending again or, if no attempt is
+// left, Failed together with its job.
 func (s *State) countFailedAttempt(task *Task) {
 	task.Attempts++
 	if !attemptsExhausted(task.Attempts, task.Group.Job) {
@@ -99,18 +108,20 @@
 	s.failJob(task.Group.Job)
 }
 
-// attemptsExhausted reports whether the job's queue allows no more attempts after so many failed ones.
+// attemptsExhausted reports whether the job's queue allows no further attempt after this number of failed ones. A MaxAttempts
+// of 0 is no limit.
 func attemptsExhausted(attempts int, job *Job) bool {
 	return job.Queue.MaxAttempts > 0 && attempts >= job.Queue.MaxAttempts
 }
 
+// failJob ends a job as failed.
 func (s *State) failJob(job *Job) {
 	s.counters.Failed++
 	s.abandon(job, protocol.JobFailed)
 }
 
-// abandon ends a job as failed or cancelled: no task of it is started any more, and tasks with a run stay Running until
-// its end or loss.
+// abandon ends a job as failed or cancelled. No task of it can be started any more. Running tasks stay Running until the
+// End or Loss of their run, since the run may still exist.
 func (s *State) abandon(job *Job, state protocol.JobState) {
 	for _, group := range job.Groups {
 		for _, task := range group.Tasks {
@@ -120,6 +131,7 @@
 	s.endJob(job, state)
 }
 
+// abandonTask makes a task of an abandoned job Cancelled, unless it is Running or has a final phase.
 func (s *State) abandonTask(task *Task) {
 	switch task.Phase {
 	case Pending:
@@ -131,7 +143,7 @@
 	}
 }
 
-// endJob puts a job into its final state, which is retained for a time.
+// endJob sets the final state of a job, which is retained for retention.statusMs.
 func (s *State) endJob(job *Job, state protocol.JobState) {
 	job.State = state
 	job.EndedMs = s.clockMs
@@ -146,10 +158,10 @@
 	s.dropDetails(job)
 }
 
-// dropDetails replaces a job that has ended, and of which no run may exist, by a copy without its spec and groups. The
-// original stays unchanged for callers that still refer to its tasks.
+// dropDetails saves memory: it replaces a job that has ended and has no Running task by a copy without its spec and groups.
+// The original stays unchanged, because Effects and callers may still refer to its tasks.
 func (s *State) dropDetails(job *Job) {
-	if !job.Ended() || job.running > 0 {
+	if !job.Ended() || job.runningTasks > 0 {
 		return
 	}
 	s.jobs[job.ID] = &Job{
