--- a/internal/cluster/latency/doc.go
+++ b/internal/cluster/latency/doc.go
@@ -1,8 +1,10 @@
-// Package latency records why tasks are not done yet: each moment between a job's acceptance and its end has one wait
-// reason of a closed list, as pending tasks of Kubernetes and Slurm have an unschedulable or pending reason.
+// Package latency records why tasks are not done yet. It assigns each moment of a task's time to one wait reason of a closed
+// list, similar to the pending reasons of Slurm and the unschedulable reasons of Kubernetes.
 //
-// A Recorder is pure: the owner of a shard calls it with what happens and the time of its monotonic clock, which never goes
-// back. It is used by one goroutine, and no call iterates over all tasks. Its record begins with the owner's election and
-// ends with it: time before that counts as Unowned. Sums by queue (QueueSummary) and the summaries of ended jobs are all
-// that comes out; records of jobs that have ended are dropped.
+// The owner of a shard calls a Recorder for each event of its tasks and jobs, with the time of the owner's monotonic clock.
+// A Recorder has no clock and no I/O, and is used by one goroutine. No call iterates over all tasks of the shard.
+//
+// A record begins when the owner is elected and ends with its leadership, because it is not replicated: the time of a job
+// before the record counts as Unowned. The results are sums for each queue (QueueSummary) and a summary of each job that
+// ends (JobSummary). The records of jobs that have ended are dropped.
 package latency
--- a/internal/cluster/latency/job.go
+++ b/internal/cluster/latency/job.go
@@ -8,19 +8,25 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// JobSummary is why a job that has ended took its time: the reasons along its longest chain of dependent steps.
+// JobSummary says where the time of a job that has ended was spent. It covers the job's critical path: the chain of
+// dependent steps that finished last, see lastFinished.
 type JobSummary struct {
-	Took      time.Duration // from its acceptance on
-	Objective time.Duration
-	Times     Times // its sum is Took
+	Took      time.Duration // from the job's acceptance to its end
+	Objective time.Duration // the time in which the job should have ended
+	Times     Times         // Took by wait reason; the sum exceeds Took if the steps' own times do
 }
 
-// IsLate reports whether the job ended beyond its objective.
+// IsLate reports whether the job took longer than its objective.
 func (j *JobSummary) IsLate() bool { return j.Took > j.Objective }
 
-// JobEnded records that a job has ended, took being its time from its acceptance on, and returns its summary. The
-// objective is that of its queue over the runs on the chain, those that failed included: which of them failed by the job's
-// own fault is unknown. ok is false for jobs that were cancelled or have repetitions: they have no summary.
+// JobEnded records that a job has ended, returns its summary, and drops its records. took is the time from its acceptance to
+// its end. The summary is computed as follows:
+//   - Times is the sum of the times of the last task of each step on the critical path. What is missing to took counts as
+//     Unowned: it was before this record began.
+//   - Objective is TargetLatencyMs of the queue, plus Extension (at least 1) times the time of runs on the critical path.
+//     Runs that failed are included, because it is unknown whether the job or its runner was at fault.
+//
+// ok is false for jobs that were cancelled or have repetitions, which have no summary.
 func (r *Recorder) JobEnded(job *jobs.Job, took time.Duration) (summary JobSummary, ok bool) {
 	records := r.jobs[job]
 	delete(r.jobs, job)
@@ -46,8 +52,8 @@
 	return summary, true
 }
 
-// lastFinished returns the record that finished last: of all if later is nil, else of those on which later's group
-// depends. It returns nil if there is none.
+// lastFinished is one step backwards on the critical path. It returns the step that finished last among those on which later
+// depends or, if later is nil, among all steps of the job. It returns nil if no such step has finished.
 func lastFinished(records []*groupRecord, later *groupRecord) (last *groupRecord) {
 	for _, record := range records {
 		if record.finishedAt == 0 || later != nil && !dependsOn(later.group, record.group) {
@@ -60,6 +66,7 @@
 	return last
 }
 
+// dependsOn reports whether later must wait for earlier: both are in the same repetition and later's step names earlier's.
 func dependsOn(later, earlier *jobs.Group) bool {
 	if later.Repetition != earlier.Repetition {
 		return false
--- a/internal/cluster/latency/reason.go
+++ b/internal/cluster/latency/reason.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// Reason is why a task is not done yet.
+// Reason is the reason why a task was not done yet at some moment.
 type Reason uint8
 
-// The wait reasons. The last ones are what the time of a run counts as. Their order is the order in logs.
+// The wait reasons. Up to Outranked they apply to a task before its run, from StartOrder on to the time of a run. Log lines
+// have them in this order.
 const (
-	// Unowned: no process owned the shard, or an owner before this one did, whose record is gone.
+	// Unowned: the time before this record began. No process owned the shard, or an earlier owner did and its record is lost.
 	Unowned Reason = iota
-	// EarlierStep: an earlier step of the job was not done.
+	// EarlierStep: the task waited for an earlier step of its job.
 	EarlierStep
-	// NextRound: the next round of placement, or the commit of its decision, was awaited.
+	// NextRound: the task waited for the next placement round, or for its start to be committed.
 	NextRound
-	// NoCPU: no runner that may run the task had enough free processors.
+	// NoCPU: no runner that could run the task had enough free processors.
 	NoCPU
-	// NoMemory: none had enough free memory.
+	// NoMemory: no runner that could run the task had enough free memory.
 	NoMemory
-	// NoGPU: none had enough free accelerators.
+	// NoGPU: no runner that could run the task had enough free accelerators.
 	NoGPU
-	// NoRunner: no runner was known that could run the task at all, by its label, its size or its anti-affinity.
+	// NoRunner: no known runner could run the task even if it were idle, because of its label or its size, or anti-affinity
+	// ruled every runner out.
 	NoRunner
-	// ReservedCapacity: what was free is reserved for urgent work, a gang or a large task.
+	// ReservedCapacity: the free capacity was reserved for urgent work, a gang or a large task.
 	ReservedCapacity
-	// UnreliableRunner: what was free is on runners that fail what they start.
+	// UnreliableRunner: the free capacity was on runners that are avoided because their runs fail.
 	UnreliableRunner
-	// BetterLater: a runner that suits the task better is expected to become free soon.
+	// BetterLater: a more suitable runner was expected to become free soon.
 	BetterLater
-	// Outranked: the job has no value any more, and the capacity went to others that still had.
+	// Outranked: the job had no value left, so that jobs with value got the capacity first.
 	Outranked
-	// StartOrder: the start was committed, and the runner had not listed the run yet.
+	// StartOrder: the start was committed, but the runner had not listed the run yet.
 	StartOrder
-	// Running: the run that ended well was at work.
+	// Running: a run was executing that was done in the end.
 	Running
-	// EndReport: that run had ended, and its end was not committed yet.
+	// EndReport: a run was done, but its end was not committed yet.
 	EndReport
-	// UnresponsiveRunner: the runner was unresponsive, and what it ran could not be given to another yet.
+	// UnresponsiveRunner: after the last contact with the runner of a lost run, until the loss was committed.
 	UnresponsiveRunner
-	// Failed: a run was at work that failed.
+	// Failed: a run was executing that failed in the end.
 	Failed
-	// Stopped: a run was at work that was stopped, or whose gang was.
+	// Stopped: a run was executing that was stopped, or that ended with another member of its gang.
 	Stopped
-	// Lost: a run was at work that was lost with its runner.
+	// Lost: a run was executing that was lost with its runner or whose lease expired, until the last contact with the runner.
 	Lost
 
-	reasonCount
+	reasonCount // number of reasons
 )
 
-// labels are the values of metric labels and the keys of log lines. Dashboards and alerts refer to them: they stay.
+// labels are the values of the metrics' label and the keys in log lines. They must not change, since dashboards and alerts
+// refer to them.
 var labels = [reasonCount]string{
 	Unowned: "unowned", EarlierStep: "step", NextRound: "round", NoCPU: "cpu", NoMemory: "memory", NoGPU: "gpu",
 	NoRunner: "runner", ReservedCapacity: "reserved", UnreliableRunner: "distrust", BetterLater: "better",
@@ -58,7 +61,7 @@
 // String returns the reason's label in metrics and logs.
 func (r Reason) String() string { return labels[r] }
 
-// Reasons returns all reasons, in their order.
+// Reasons returns all reasons in ascending order.
 func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
@@ -67,10 +70,10 @@
 	return all
 }
 
-// Times is a span of time, split by reason.
+// Times is a span of time split by wait reason: the element with the index of a Reason is that reason's part.
 type Times [reasonCount]time.Duration
 
-// Sum returns the complete span.
+// Sum returns the length of the complete span.
 func (t *Times) Sum() time.Duration {
 	var sum time.Duration
 	for _, span := range t {
--- a/internal/cluster/latency/recorder.go
+++ b/internal/cluster/latency/recorder.go
@@ -7,50 +7,52 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// Recorder records the wait reasons of one owner's shard, from the owner's election on. All times are of the owner's
-// monotonic clock.
+// Recorder records the wait reasons of the tasks of a shard during one leadership of its owner. All times are readings of
+// the owner's monotonic clock.
 type Recorder struct {
-	startedAt time.Duration
-	groups    map[*jobs.Group]*groupRecord
-	jobs      map[*jobs.Job][]*groupRecord
-	queues    map[string]*QueueSummary
+	startedAt time.Duration                // when the record began
+	groups    map[*jobs.Group]*groupRecord // of jobs that have not ended
+	jobs      map[*jobs.Job][]*groupRecord // the same records by job
+	queues    map[string]*QueueSummary     // by queue key
 }
 
-// QueueSummary sums up the tasks and jobs of a queue.
+// QueueSummary has the sums of a queue since the record began.
 type QueueSummary struct {
-	Tasks Times  // time of tasks by reason
-	Ended uint64 // jobs that were completed or failed
-	Late  uint64 // of these, beyond their objective
+	Tasks Times  // time of all tasks by reason
+	Ended uint64 // jobs that completed or failed; those with repetitions are not counted
+	Late  uint64 // those of Ended that took longer than their objective
 }
 
-// groupRecord is what is known of the tasks of one step in one repetition.
+// groupRecord is the record of one group: the tasks of one step in one repetition. All pending tasks of a group have the
+// same wait reason, so a change of the reason takes the same time however many tasks there are. A task's own waiting time is
+// the difference between waited when it starts and waited when it became pending.
 type groupRecord struct {
 	group         *jobs.Group
-	releasedAt    time.Duration
-	reason        Reason // for which its pending tasks wait at present
-	reasonSince   time.Duration
-	waited        Times         // of a task that had been pending all the time
+	releasedAt    time.Duration // when this record first had the group; usually when the group was released
+	reason        Reason        // for which the group's pending tasks wait now
+	reasonSince   time.Duration // the time from then on is not yet in waited
+	waited        Times         // waiting time of an imaginary task that was pending since releasedAt
 	tasks         []taskRecord  // by index
-	finishedAt    time.Duration // when its last task was done, or one had failed for good; 0: not yet
-	lastTaskTimes Times         // of that task
+	finishedAt    time.Duration // when the last task was Done, or one was Failed; 0: not yet
+	lastTaskTimes Times         // times of the task that finished the group at finishedAt
 }
 
-// taskRecord is what is known of a task.
+// taskRecord is the record of one task.
 type taskRecord struct {
-	waitedBefore Times         // its group's waited when it last became pending
-	startedAt    time.Duration // commit of its newest start; 0: before this record began
-	times        Times
+	waitedBefore Times         // groupRecord.waited when the task last became pending
+	startedAt    time.Duration // when the newest start was committed; 0: before this record began
+	times        Times         // the task's time so far, without waiting for earlier steps
 }
 
-// Run is what is known of a run that has ended. Times that are 0 are unknown.
+// Run describes a run that has ended. A time of 0 is unknown.
 type Run struct {
-	ListedAt      time.Duration // first listed by its runner
-	EndedAt       time.Duration // its end was listed
-	LastContactAt time.Duration // last contact with its runner, if it was lost with it
-	Outcome       Reason        // Running if it ended well, else Failed, Stopped or Lost
+	ListedAt      time.Duration // when the runner first listed the run
+	EndedAt       time.Duration // when the runner listed the run's end
+	LastContactAt time.Duration // the last contact with the runner, if the run was lost
+	Outcome       Reason        // Running if the run was done, else Failed, Stopped or Lost
 }
 
-// NewRecorder returns a Recorder whose record begins now.
+// NewRecorder returns a Recorder whose record begins at now.
 func NewRecorder(now time.Duration) *Recorder {
 	return &Recorder{
 		startedAt: now,
@@ -60,10 +62,11 @@
 	}
 }
 
-// Queues returns the sums by key of the queue. The map must not be changed; it changes with the record.
+// Queues returns the sums by queue key. The caller must not change the map. Later calls of the Recorder change it.
 func (r *Recorder) Queues() map[string]*QueueSummary { return r.queues }
 
-// TaskPending records that a task became pending, for the first time or again.
+// TaskPending records that a task became pending, for the first time or after a run. All pending tasks of its group wait for
+// the next round from now on.
 func (r *Recorder) TaskPending(now time.Duration, task *jobs.Task) {
 	record := r.record(task.Group, now)
 	if record == nil {
@@ -73,14 +76,14 @@
 	record.tasks[task.ID.Index].waitedBefore = record.waited
 }
 
-// SetReason records why the pending tasks of a group wait from now on.
+// SetReason records that the pending tasks of a group wait for this reason from now on.
 func (r *Recorder) SetReason(now time.Duration, group *jobs.Group, reason Reason) {
 	if record := r.record(group, now); record != nil && record.reason != reason {
 		record.setReason(now, reason)
 	}
 }
 
-// RunStarted records that a task's start was committed.
+// RunStarted records that a task's start was committed, and adds the time since the task became pending to its times.
 func (r *Recorder) RunStarted(now time.Duration, task *jobs.Task) {
 	record := r.record(task.Group, now)
 	if record == nil {
@@ -94,27 +97,27 @@
 	r.addTimes(task, entry, &waited)
 }
 
-// RunEnded records that the end or the loss of a task's run was committed. The command is applied: the task has its next
-// phase already.
+// RunEnded records that the end or the loss of a task's run was committed. The command must have been applied, so that the
+// task is in its next phase.
 func (r *Recorder) RunEnded(now time.Duration, task *jobs.Task, run Run) {
 	record := r.record(task.Group, now)
 	if record == nil {
 		return
 	}
 	entry := &record.tasks[task.ID.Index]
-	if entry.startedAt == 0 { // by an earlier owner
+	if entry.startedAt == 0 { // an earlier owner started the run: only the time of this record counts
 		entry.startedAt = r.startedAt
 	}
 	times := run.times(entry.startedAt, now)
 	r.addTimes(task, entry, &times)
 	if task.Phase == jobs.Failed || task.Phase == jobs.Done && task.Group.Unfinished == 0 {
 		record.finishedAt, record.lastTaskTimes = now, entry.times
-		r.forgetRepetition(record)
+		r.forgetFinishedGroup(record)
 	}
 }
 
-// record returns a group's record, or nil if its job has ended. A group without a record was released before this record
-// began, unless it is being released now.
+// record returns the record of a group, which it creates if necessary, or nil if the group has none and its job has ended. A
+// group without a record is being released now, or was released before this record began.
 func (r *Recorder) record(group *jobs.Group, now time.Duration) *groupRecord {
 	known := r.groups[group]
 	if known == nil && !group.Job.Ended() {
@@ -132,26 +135,27 @@
 	return known
 }
 
-// addStepWait adds to the queue how long the tasks of a step waited for earlier ones: since the first step of their
-// repetition was released, as far back as this record goes. It is no part of the tasks' own times, since the chain of a
-// job has those of the earlier steps.
+// addStepWait adds to the queue's sums how long the tasks of a step waited for earlier steps: from the release of the first
+// step of their repetition in this record to their own release. This is not added to the tasks' own times, because the
+// critical path of a job has the times of the earlier steps already.
 func (r *Recorder) addStepWait(released *groupRecord) {
-	first := released.releasedAt
+	firstReleasedAt := released.releasedAt
 	for _, known := range r.jobs[released.group.Job] {
 		if known.group.Repetition == released.group.Repetition {
-			first = min(first, known.releasedAt)
+			firstReleasedAt = min(firstReleasedAt, known.releasedAt)
 		}
 	}
-	waited := released.releasedAt - first
+	waited := released.releasedAt - firstReleasedAt
 	r.queue(released.group.Job.Queue.Key).Tasks[EarlierStep] += waited * time.Duration(len(released.tasks))
 }
 
-// addTimes adds to the times of a task and of its queue.
+// addTimes adds times to those of a task and to the sums of its queue.
 func (r *Recorder) addTimes(task *jobs.Task, entry *taskRecord, times *Times) {
 	entry.times.Add(times)
 	r.queue(task.Group.Job.Queue.Key).Tasks.Add(times)
 }
 
+// queue returns the sums of a queue, which it creates if necessary.
 func (r *Recorder) queue(key string) *QueueSummary {
 	known := r.queues[key]
 	if known == nil {
@@ -161,8 +165,9 @@
 	return known
 }
 
-// forgetRepetition drops the record of a step that has finished, of a job with repetitions: it has no summary.
-func (r *Recorder) forgetRepetition(record *groupRecord) {
+// forgetFinishedGroup drops the record of a group that has finished if its job has repetitions. Such a job has no summary,
+// and may last so long that its records would accumulate.
+func (r *Recorder) forgetFinishedGroup(record *groupRecord) {
 	job := record.group.Job
 	if job.Spec.Repetitions <= 0 {
 		return
@@ -171,35 +176,40 @@
 	r.jobs[job] = slices.DeleteFunc(r.jobs[job], func(known *groupRecord) bool { return known == record })
 }
 
-// setReason sets the reason from now on.
+// setReason adds the time until now to the current reason and sets the reason of the time after it.
 func (g *groupRecord) setReason(now time.Duration, reason Reason) {
 	g.addWaited(now)
 	g.reason = reason
 }
 
-// addWaited adds the time until now to the present reason.
+// addWaited adds the time until now to the current reason.
 func (g *groupRecord) addWaited(now time.Duration) {
 	g.waited[g.reason] += now - g.reasonSince
 	g.reasonSince = now
 }
 
-// times splits the span from the commit of a run's start to the commit of its end.
-func (r *Run) times(started, now time.Duration) (times Times) {
-	listed := clamp(r.ListedAt, started, now, started)
+// times splits the span from the commit of a run's start, startedAt, to the commit of its end, now:
+//   - Running: StartOrder until the run was listed, Running until it ended, EndReport until now.
+//   - Lost: Lost until the last contact with the runner, UnresponsiveRunner until now.
+//   - Failed, Stopped: the complete span has this reason.
+//
+// If ListedAt or LastContactAt is unknown, it counts as startedAt; if EndedAt is unknown, it counts as now.
+func (r *Run) times(startedAt, now time.Duration) (times Times) {
+	listedAt := clamp(r.ListedAt, startedAt, now, startedAt)
 	switch r.Outcome {
 	case Running:
-		ended := clamp(r.EndedAt, listed, now, now)
-		times[StartOrder], times[Running], times[EndReport] = listed-started, ended-listed, now-ended
+		endedAt := clamp(r.EndedAt, listedAt, now, now)
+		times[StartOrder], times[Running], times[EndReport] = listedAt-startedAt, endedAt-listedAt, now-endedAt
 	case Lost:
-		lastContact := clamp(r.LastContactAt, started, now, started)
-		times[Lost], times[UnresponsiveRunner] = lastContact-started, now-lastContact
+		lastContactAt := clamp(r.LastContactAt, startedAt, now, startedAt)
+		times[Lost], times[UnresponsiveRunner] = lastContactAt-startedAt, now-lastContactAt
 	default:
-		times[r.Outcome] = now - started
+		times[r.Outcome] = now - startedAt
 	}
 	return times
 }
 
-// clamp returns at within limits, or ifUnknown if at is 0.
+// clamp returns at, limited to the span from earliest to latest, or ifUnknown if at is 0.
 func clamp(at, earliest, latest, ifUnknown time.Duration) time.Duration {
 	if at == 0 {
 		return ifUnknown
--- a/internal/cluster/latency/recorder_test.go
+++ b/internal/cluster/latency/recorder_test.go
@@ -13,7 +13,8 @@
 
 const queueKey = "host/queue/"
 
-// job returns a job of steps of one task each, and its groups; each step depends on those listed for it.
+// job returns a job and its groups. The job has a step of one task for each argument, which lists the steps on which it
+// depends.
 func job(dependsOn ...[]int) (*jobs.Job, []*jobs.Group) {
 	made := &jobs.Job{ID: "aa", State: protocol.JobRunning, Queue: protocol.Queue{Key: queueKey, Extension: 2, TargetLatencyMs: 1000}}
 	var groups []*jobs.Group
@@ -26,17 +27,17 @@
 	return made, groups
 }
 
-// at returns a time in ms.
+// at converts ms to a time of the owner's clock, or to a span.
 func at(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// done marks a group's only task as dended.
+// done marks a group's only task as Done and returns it.
 func done(group *jobs.Group) *jobs.Task {
 	group.Unfinished = 0
 	group.Tasks[0].Phase = jobs.Done
 	return group.Tasks[0]
 }
 
-// nonzero returns the parts of a time that are not 0, by label.
+// nonzero returns the parts of times that are not 0, by the label of their reason.
 func nonzero(times latency.Times) map[string]time.Duration {
 	parts := map[string]time.Duration{}
 	for _, reason := range latency.Reasons() {
@@ -51,17 +52,17 @@
 	var recorder *latency.Recorder
 	BeforeEach(func() { recorder = latency.NewRecorder(at(1)) })
 
-	// run has a task become pending at a time and start 20 ms later.
+	// run records that a task became pending at a time in ms and started 20 ms later.
 	run := func(from int, task *jobs.Task) {
 		recorder.TaskPending(at(from), task)
 		recorder.RunStarted(at(from+20), task)
 	}
-	// end has the run of such a task end well, after 100 ms of work.
+	// end records that the run of such a task, listed from from+40 on, was done after 100 ms. Its end is committed at from+150.
 	end := func(from int, group *jobs.Group) {
 		recorder.RunEnded(at(from+150), done(group), latency.Run{ListedAt: at(from + 40), EndedAt: at(from + 140), Outcome: latency.Running})
 	}
 
-	It("splits the time of a job by what its task waited for", func() {
+	It("splits the time of a job by the reasons for which its task waited", func() {
 		ended, groups := job(nil)
 		task := groups[0].Tasks[0]
 		recorder.TaskPending(at(100), task)
@@ -78,7 +79,7 @@
 		Expect(summary.IsLate()).To(BeFalse())
 	})
 
-	It("counts runs without success by how they ended", func() {
+	It("counts the time of runs that were not done under their outcome", func() {
 		ended, groups := job(nil)
 		task := groups[0].Tasks[0]
 		recorder.TaskPending(at(100), task)
@@ -97,10 +98,10 @@
 		Expect(recorder.Queues()[queueKey].Late).To(Equal(uint64(1)))
 	})
 
-	It("follows the longest chain of a job's steps", func() {
+	It("follows the steps that finished last on the job's critical path", func() {
 		ended, groups := job(nil, nil, []int{0, 1})
 		run(100, groups[0].Tasks[0])
-		run(300, groups[1].Tasks[0]) // the later one of two that the last depends on
+		run(300, groups[1].Tasks[0]) // finishes later than groups[0]; the last step depends on both
 		end(100, groups[0])
 		end(300, groups[1])
 		run(450, groups[2].Tasks[0])
@@ -110,14 +111,14 @@
 		Expect(summary.Times[latency.Unowned]).To(Equal(at(200)), "the time before the first step of the chain")
 	})
 
-	It("counts the time before its owner as unowned", func() {
+	It("counts the time before its record began as unowned", func() {
 		ended, groups := job(nil)
 		recorder.RunEnded(at(501), done(groups[0]), latency.Run{ListedAt: at(101), EndedAt: at(501), Outcome: latency.Running})
 		summary, _ := recorder.JobEnded(ended, at(900))
 		Expect(nonzero(summary.Times)).To(Equal(map[string]time.Duration{"unowned": at(400), "order": at(100), "running": at(400)}))
 	})
 
-	It("has no summary of jobs with repetitions", func() {
+	It("returns no summary of a job with repetitions", func() {
 		ended, groups := job(nil)
 		ended.Spec.Repetitions = 3
 		run(100, groups[0].Tasks[0])
@@ -128,7 +129,7 @@
 		Expect(recorder.Queues()[queueKey].Tasks[latency.Running]).To(Equal(at(100)))
 	})
 
-	It("keeps no record of a finished step of such a job, nor of any job that has ended", func() {
+	It("drops the record of a finished step of a job with repetitions, and all records of a job that has ended", func() {
 		ended, groups := job(nil)
 		ended.Spec.Repetitions = 3
 		run(100, groups[0].Tasks[0])
@@ -143,7 +144,7 @@
 		Expect(recorder.RecordedSteps()).To(BeZero())
 	})
 
-	It("counts what a later step waited for an earlier one", func() {
+	It("counts the time for which a step waited for an earlier one", func() {
 		_, groups := job(nil, []int{0})
 		run(100, groups[0].Tasks[0])
 		end(100, groups[0])
@@ -163,7 +164,7 @@
 		Expect(nonzero(summary.Times)).To(Equal(map[string]time.Duration{"unowned": at(5), "round": at(20), "failed": at(200)}))
 	})
 
-	It("counts a lost run as unresponsive whose runner never reported to the owner", func() {
+	It("counts the time of a lost run as that of an unresponsive runner if the runner never contacted this owner", func() {
 		_, groups := job(nil)
 		recorder.RunEnded(at(1201), groups[0].Tasks[0], latency.Run{Outcome: latency.Lost})
 		Expect(nonzero(recorder.Queues()[queueKey].Tasks)).To(Equal(map[string]time.Duration{"silent": at(1200)}))
