--- a/internal/cluster/control/administration_endpoints.go
+++ b/internal/cluster/control/administration_endpoints.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	maxJobsPage       = 500 // jobs in one response
+	maxJobsPage       = 500 // maximum number of jobs in one response
 	totalMemoryMetric = "/memory/classes/total:bytes"
 )
 
-// administrator serves the requests of the operator's commands (package administration). Its state belongs to the engine's
-// loop. What it reports, but for snapshots, is not confirmed by a quorum: it is for people to look at.
+// administrator serves the requests of the operator's commands (package administration). Only the engine's loop uses its
+// state. Only snapshots are confirmed by a quorum: the other responses are for people to read and may be out of date.
 type administrator struct {
 	control     *Control
-	sessions    map[uint64]*snapshotSession // by number
-	lastSession uint64                      // the number given last
+	sessions    map[uint64]*snapshotSession // by session number
+	lastSession uint64                      // number of the newest session
 }
 
 func newAdministrator(c *Control) *administrator {
 	return &administrator{control: c, sessions: map[uint64]*snapshotSession{}}
 }
 
-// report answers with what this process knows of itself and its groups.
+// report replies with the state of this process and of its replicas.
 func (a *administrator) report(_ string, _ *administration.ReportRequest, reply func(*administration.Report, error)) {
 	a.control.engine.Do(func() { reply(a.makeReport(), nil) })
 }
 
+// makeReport returns the report of this process. It must run on the engine's loop.
 func (a *administrator) makeReport() *administration.Report {
 	engine := a.control.engine
 	self, disk := engine.Self(), engine.Disk()
@@ -57,7 +58,7 @@
 	return report
 }
 
-// processMemory returns how much memory the Go runtime has from the system, in bytes; 0 if that is not known.
+// processMemory returns the memory that the Go runtime has mapped, in bytes, or 0 if the runtime doesn't report it.
 func processMemory() uint64 {
 	sample := []metrics.Sample{{Name: totalMemoryMetric}}
 	metrics.Read(sample)
@@ -67,6 +68,7 @@
 	return sample[0].Value.Uint64()
 }
 
+// groupReport returns the report of this process's replica of a shard.
 func (a *administrator) groupReport(shard protocol.ShardID, overview replica.GroupOverview) administration.GroupReport {
 	status := overview.Status
 	group := administration.GroupReport{
@@ -87,6 +89,7 @@
 	return group
 }
 
+// memberReports returns the reports of a group's members. Only a leader knows lags, those of the other members.
 func memberReports(members []consensus.Member, lags []replica.Lag) []administration.MemberReport {
 	reports := make([]administration.MemberReport, 0, len(members))
 	for _, member := range members {
@@ -105,7 +108,7 @@
 	return reports
 }
 
-// changeOf returns how a joint membership changes a member's vote, in the operators' words.
+// changeOf returns how a membership change in progress affects a member: administration.MemberJoining, MemberLeaving or "".
 func changeOf(transition consensus.Transition) string {
 	switch transition {
 	case consensus.TransitionAdded:
@@ -117,7 +120,7 @@
 	}
 }
 
-// addOwnerReport adds what only a shard's owner knows.
+// addOwnerReport adds the values that only the owner of a shard reports.
 func (a *administrator) addOwnerReport(group *administration.GroupReport) {
 	if data, err := a.stateMachine(group.Shard).Snapshot(); err == nil {
 		group.StateBytes = len(data)
@@ -151,7 +154,7 @@
 	}
 }
 
-// stateMachine returns a shard's state machine; nil if there is no such shard.
+// stateMachine returns the state machine of a shard, or nil if there is no such shard.
 func (a *administrator) stateMachine(shard protocol.ShardID) replica.StateMachine {
 	if shard == protocol.ConfigurationShard {
 		return a.control.configuration
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// runners answers with the runners of a shard that this process owns.
+// runners replies with the runners of a shard, if this process owns it.
 func (a *administrator) runners(_ string, request *administration.RunnersRequest, reply func(*administration.RunnersResponse, error)) {
 	onOwner(a.control, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		response := &administration.RunnersResponse{}
@@ -173,6 +176,7 @@
 	})
 }
 
+// runnerOf converts an overview of a runner to the form in which it is sent.
 func runnerOf(shard protocol.ShardID, overview *scheduler.RunnerOverview) administration.Runner {
 	return administration.Runner{
 		Shard:    shard,
@@ -192,7 +196,8 @@
 	}
 }
 
-// jobs answers with a page of the jobs of a shard that this process owns.
+// jobs replies with a page of the jobs of a shard, if this process owns it. It looks up one job more than the page may have,
+// to know whether there are more.
 func (a *administrator) jobs(_ string, request *administration.JobsRequest, reply func(*administration.JobsResponse, error)) {
 	limit := request.Most
 	if limit <= 0 || limit > maxJobsPage {
@@ -208,6 +213,7 @@
 	})
 }
 
+// jobOf converts a job to the form in which it is sent.
 func jobOf(job *jobs.Job) administration.Job {
 	done, running, all := job.Progress()
 	return administration.Job{
@@ -223,7 +229,8 @@
 	}
 }
 
-// digest answers with the digest of this process's own state of a shard as of an index of its log.
+// digest replies with the digest of this process's replica of a shard as of an index of the log. All processes must have the
+// same digest for the same index.
 func (a *administrator) digest(_ string, request *administration.DigestRequest, reply func(*administration.DigestResponse, error)) {
 	engine := a.control.engine
 	engine.Do(func() {
@@ -233,7 +240,7 @@
 	})
 }
 
-// resign transfers all leaderships of this process, and answers how many it could not.
+// resign transfers all leaderships of this process and replies with the number of those that it could not transfer.
 func (a *administrator) resign(_ string, _ *administration.ResignRequest, reply func(*administration.ResignResponse, error)) {
 	engine := a.control.engine
 	engine.Do(func() {
--- a/internal/cluster/control/compressor.go
+++ b/internal/cluster/control/compressor.go
@@ -5,18 +5,18 @@
 	"compress/flate"
 )
 
-// minCompressedBytes is the size from which a configuration is compressed for its followers.
+// minCompressedBytes is the smallest size of a configuration that is compressed for followers.
 const minCompressedBytes = 32 << 10
 
-// compressor remembers its last result, because many followers are sent the same bytes. It is not safe for concurrent
-// use.
+// compressor compresses configurations and keeps its last result, because many followers get the same bytes. It is not safe
+// for concurrent use.
 type compressor struct {
-	plain      []byte
-	compressed []byte
+	plain      []byte // last argument of compress that was compressed
+	compressed []byte // plain, compressed
 }
 
-// compress returns data compressed with DEFLATE (RFC 1951), and false where data is too small to be worth it. The caller
-// must not change data afterwards: the next call recognizes it by its address.
+// compress returns data compressed with DEFLATE (RFC 1951). It returns false if data is smaller than minCompressedBytes or
+// can't be compressed. The caller must not change data afterwards: the next call recognizes the same data by its address.
 func (c *compressor) compress(data []byte) ([]byte, bool) {
 	if len(data) < minCompressedBytes {
 		return nil, false
--- a/internal/cluster/control/compressor_test.go
+++ b/internal/cluster/control/compressor_test.go
@@ -12,7 +12,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// BenchmarkCompress packs and unpacks the whole configuration of 20,000 routes as a follower gets it.
+// BenchmarkCompress compresses and decompresses a complete configuration of 20,000 routes in the form that followers get.
 func BenchmarkCompress(b *testing.B) {
 	body := []byte(`{"version":1,"services":[{"name":"a"}],"routes":[`)
 	for i := range 20000 {
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -1,14 +1,16 @@
-// Package control is the program of the control machines. Each control process has a replica of every shard; for the
-// shards that it owns it decides: it runs the scheduler on shards of jobs, and feeds configuration and owners to frontends
-// and agents. Any control process serves the operator's HTTP interface and the operator's commands.
+// Package control is the process of the control machines. Each control process has a replica of every shard and may own
+// shards: the owner of a shard is the leader of its Raft group. The owner of a shard of jobs runs the scheduler on it. The
+// owner of the configuration's shard sends the configuration and the shards' owners to frontends and agents (Feed). Every
+// control process serves the operator's HTTP interface and the operator's commands.
 //
-// Control is all of that without goroutines, sockets and signals, which only Run adds. Its inputs are requests (Handle),
-// envelopes of other control processes (Receive) and the clock. Simulations drive it that way.
+// Control does all this without goroutines, sockets and signals, which only Run adds. Its inputs are requests (Handle),
+// envelopes of other control processes (Receive) and the clock. Simulations drive a Control in this form.
 //
-// All state belongs to the loop of the replica engine: a handler that needs it goes there by Engine.Do, and replies from
-// there. A reply about state that may have changed is sent only after the shard's log has committed an entry for it, or after
-// a quorum has confirmed the leadership (read index, section 6.4 of the Raft thesis). So a process that has been superseded
-// without knowing it, as after a freeze, says nothing that is no longer true; stale_process_test.go checks each request.
+// All state belongs to the loop of the replica engine. A handler that needs state runs on the loop by Engine.Do and replies
+// from there. A reply about state that may have changed is sent only after the shard's log has committed an entry for it, or
+// after a quorum has confirmed the leadership (read index, section 6.4 of the Raft thesis). Without this, a process that was
+// frozen and has lost its leadership without noticing could reply with state that is out of date. stale_process_test.go
+// checks each request.
 package control
 
 import (
@@ -32,44 +34,45 @@
 const (
 	heartbeatInterval = 75 * time.Millisecond
 	electionTimeout   = 320 * time.Millisecond
-	// decommissionQuarters is how many quarters of graceS a process that ends waits until the others can do without it. The
-	// rest is for what has to end afterwards.
+	// decommissionQuarters is the part of the setting graceS, in quarters, for which a process that ends waits for its
+	// decommissioning. The rest is left for the steps after it.
 	decommissionQuarters = 3
-	// decommissionMargin is how much later Decommission gives up waiting for the engine.
+	// decommissionMargin is added to the engine's timeout before Decommission stops waiting for the engine, which may be
+	// stuck.
 	decommissionMargin = 200 * time.Millisecond
 )
 
 // Options configure a Control. FileSystem, Sender, Remote, Clock and Logger are required.
 type Options struct {
-	Self       consensus.Member // Node, Zone and internal Address; the engine assigns the ID
+	Self       consensus.Member // Node, Zone and internal Address of this process; the engine assigns the ID
 	Bootstrap  []string         // see replica.Options
-	Peers      []string         // internal addresses at which to ask to join
+	Peers      []string         // internal addresses of the processes that this one asks to join the replica groups
 	FileSystem vfs.FS
-	Dir        string // of the replicas' log
-	DiskBytes  int64  // see replica.Options
-	Bounds     boot.Bounds
+	Dir        string      // directory of the replicas' log
+	DiskBytes  int64       // see replica.Options
+	Bounds     boot.Bounds // time limits of the settings
 	Sender     replica.Sender
 	Remote     Remote
 	Clock      clockwork.Clock
 	Logger     log.Logger
-	Seed       uint64 // of the random part of election timeouts
+	Seed       uint64 // seed of the random part of election timeouts
 
-	// Open opens the engine; nil: replica.Open. Simulations use it to drive the engine.
+	// Open opens the engine; nil stands for replica.Open. Simulations set it to drive the engine themselves.
 	Open func(replica.Options) (*replica.Engine, error)
-	// Observe, if set, returns the state machine to use in place of a group's own. Simulations wrap it to audit what is
-	// applied.
+	// Observe, if set, returns the state machine that a group uses instead of machine. Simulations return a wrapper that
+	// audits the applied entries.
 	Observe func(id replica.GroupID, machine replica.StateMachine) replica.StateMachine
 }
 
 // Remote calls other control processes.
 type Remote interface {
-	// Do sends a request and waits for the response, which it stores where response points to, until ctx ends. Errors carry
-	// a kind of package failure, which says whether the request may have arrived. It is safe for concurrent use.
+	// Do sends a request and waits until ctx ends for the response, which it stores in the value that response points to.
+	// Errors have a kind of package failure, which says whether the request may have arrived. Do is safe for concurrent use.
 	Do(ctx context.Context, address string, request, response any) error
 }
 
-// Control is one control process without goroutines, sockets and signals. Its exported methods may be called from any
-// goroutine; its fields belong to the engine's loop.
+// Control is one control process without goroutines, sockets and signals. Any goroutine may call its exported methods. Only
+// the engine's loop uses the fields that change: configuration, shards, ownersUpdatedAt and the state behind them.
 type Control struct {
 	options         Options
 	address         string
@@ -81,10 +84,10 @@
 	shards          map[protocol.ShardID]*jobShard
 	metrics         *taskTimeMetrics
 	ticker          *ticker
-	ownersUpdatedAt time.Duration // when the feed last got members and owners; 0: never
+	ownersUpdatedAt time.Duration // engine's time of the last Feed.SetOwners; 0: not called yet
 }
 
-// New opens the replicas of all shards. It starts nothing: the caller runs or drives the engine, and calls Start.
+// New opens the replicas of all shards. It starts nothing: the caller must run or drive the engine, and call Start.
 func New(options Options) (*Control, error) {
 	c := &Control{
 		options: options,
@@ -108,7 +111,7 @@
 	return c, nil
 }
 
-// newShards makes the shards, and returns the state machines of their groups.
+// newShards creates the replicas of all shards and returns the state machines of their groups.
 func (c *Control) newShards() map[replica.GroupID]replica.StateMachine {
 	start := c.clock.Now()
 	timeOfDay := func() int64 { return start.UnixMilli() + c.clock.Since(start).Milliseconds() }
@@ -128,6 +131,7 @@
 	return groups
 }
 
+// open opens the engine with the state machines of all groups.
 func (c *Control) open(groups map[replica.GroupID]replica.StateMachine) error {
 	open := c.options.Open
 	if open == nil {
@@ -164,15 +168,15 @@
 	}
 }
 
-// Start begins the ticks of the shards. The engine must run, or be driven, from then on.
+// Start starts the ticks of the shards. The engine must run or be driven from then on.
 func (c *Control) Start() { c.ticker.wake() }
 
-// Receive hands an envelope of another control process to the replicas.
+// Receive passes an envelope of another control process to the engine.
 func (c *Control) Receive(envelope *replica.Envelope) { c.engine.Receive(envelope) }
 
-// Decommission leaves the replica groups. It transfers all leaderships of this process, and waits until the other members
-// have everything that is committed and, if there is a process to do so, another one has replaced it. It gives up after
-// three quarters of graceS. done is called once, from any goroutine, when it has finished or given up.
+// Decommission leaves the replica groups. It transfers all leaderships of this process and waits until the other members
+// have all committed entries. If another process can take this one's place, it also waits until that has happened. It gives
+// up after decommissionTimeout. It calls done once, from any goroutine, when it has finished or given up.
 func (c *Control) Decommission(done func()) {
 	_ = level.Info(c.logger).Log("msg", "leaving the replica groups before the end")
 	timeout := c.decommissionTimeout()
@@ -186,12 +190,12 @@
 	})
 }
 
-// decommissionTimeout is how long a process that ends waits until the others can do without it.
+// decommissionTimeout returns how long a process that ends waits for its decommissioning.
 func (c *Control) decommissionTimeout() time.Duration {
 	return c.options.Bounds.Grace * decommissionQuarters / 4
 }
 
-// tick lets time pass for all shards, and returns the time until it must be called again.
+// tick runs the time-dependent work of all shards and returns the time after which it must be called again.
 func (c *Control) tick() time.Duration {
 	now := c.engine.Now()
 	next := now + maxTickInterval
--- a/internal/cluster/control/endpoints.go
+++ b/internal/cluster/control/endpoints.go
@@ -16,8 +16,8 @@
 	handle   func(from string, request any, reply func(response any, err error))
 }
 
-// newEndpoint makes an endpoint of f, which must call reply once for each request; it may do so later, in any order and
-// from any goroutine.
+// newEndpoint returns an endpoint that serves requests with f. f must call reply once for each request. It may do so after
+// it has returned, in any order of the requests and from any goroutine.
 func newEndpoint[Req, Resp any](f func(from string, request *Req, reply func(*Resp, error))) endpoint {
 	return endpoint{
 		request:  reflect.TypeFor[*Req](),
@@ -34,7 +34,8 @@
 	}
 }
 
-// newEndpoints lists the requests of frontends, agents, other control processes and operators that are served.
+// newEndpoints returns the endpoints of all requests that a control process serves: those of frontends, agents, other
+// control processes and the operator's commands.
 func (c *Control) newEndpoints() []endpoint {
 	a := newAdministrator(c)
 	return []endpoint{
@@ -58,7 +59,7 @@
 	}
 }
 
-// register has a server serve all endpoints and receive envelopes of other control processes.
+// register registers all endpoints, and the receipt of envelopes of other control processes, with a server.
 func (c *Control) register(server *transport.Server) {
 	transport.HandleOneWay(server, func(_ string, envelope *replica.Envelope) { c.Receive(envelope) })
 	for i := range c.endpoints {
@@ -66,9 +67,9 @@
 	}
 }
 
-// Handle serves a request, which is a pointer to one of the types of newEndpoints, as if it came over the network from the
-// process named from. reply is called once, with a pointer to the response or with an error: for several requests in any
-// order, and from any goroutine.
+// Handle serves a request as if it came over the network from the process named from. request must be a pointer to a request
+// type of newEndpoints. Handle calls reply once, with a pointer to the response or with an error. Replies to several
+// requests may come in any order and from any goroutine.
 func (c *Control) Handle(from string, request any, reply func(response any, err error)) {
 	requested := reflect.TypeOf(request)
 	for i := range c.endpoints {
@@ -77,5 +78,5 @@
 			return
 		}
 	}
-	reply(nil, failure.New(failure.Invalid, fmt.Sprintf("no endpoint serves %v", requested)))
+	reply(nil, failure.New(failure.Invalid, fmt.Sprintf("no endpoint serves requests of type %v", requested)))
 }
--- a/internal/cluster/control/endpoints_test.go
+++ b/internal/cluster/control/endpoints_test.go
@@ -17,19 +17,19 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// unreachable is a Remote without any other process.
+// unreachable is a Remote that reaches no other process.
 type unreachable struct{}
 
 func (unreachable) Do(_ context.Context, _ string, _, _ any) error {
 	return failure.New(failure.Unavailable, "no process at this address")
 }
 
-// drivenControl is a control process without goroutines, the only member of its groups.
+// drivenControl is a Control without goroutines that is the only member of its groups. The test drives its engine.
 type drivenControl struct {
-	control *Control
-	driver  *replica.Driver
-	clock   *clockwork.FakeClock
-	works   []func()
+	control  *Control
+	driver   *replica.Driver
+	clock    *clockwork.FakeClock
+	diskWork []func() // disk work that the engine has requested and that was not run yet
 }
 
 func newDrivenControl() *drivenControl {
@@ -47,7 +47,7 @@
 		Logger:     log.NewNopLogger(),
 		Open: func(options replica.Options) (*replica.Engine, error) {
 			driver, err := replica.OpenDriver(options, replica.DriverOptions{
-				Disk: func(_ replica.DiskWork, work func()) { d.works = append(d.works, work) },
+				Disk: func(_ replica.DiskWork, work func()) { d.diskWork = append(d.diskWork, work) },
 				Wake: func() {},
 			})
 			if err != nil {
@@ -62,24 +62,24 @@
 	return d
 }
 
-// until steps the engine, runs its disk work, and advances the clock, until the condition holds.
+// until steps the engine, runs its disk work and advances the clock until the condition holds. It fails after 1000 steps.
 func (d *drivenControl) until(condition func() bool) {
 	GinkgoHelper()
 	for steps := 0; !condition(); steps++ {
 		Expect(steps).To(BeNumerically("<", 1000))
 		wait, err := d.driver.Step()
 		Expect(err).NotTo(HaveOccurred())
-		works := d.works
-		d.works = nil
-		for _, work := range works {
+		diskWork := d.diskWork
+		d.diskWork = nil
+		for _, work := range diskWork {
 			work()
 		}
 		d.clock.Advance(wait)
 	}
 }
 
-var _ = Describe("a control process without goroutines", func() {
-	It("serves requests by their types", func() {
+var _ = Describe("A Control that is driven by its caller", func() {
+	It("serves a request by the endpoint of its type", func() {
 		d := newDrivenControl()
 		d.control.Start()
 		d.until(func() bool { return d.control.configuration.leading })
@@ -92,7 +92,7 @@
 		Expect(response).To(Equal(&protocol.ConfigureResponse{Version: 3}))
 	})
 
-	It("answers a rejected request with an error alone", func() {
+	It("replies to a rejected request with an error and without a response", func() {
 		d := newDrivenControl()
 		rejected := false
 		d.control.Handle("test", &protocol.StatusRequest{Shard: 1, ID: "job"}, func(got any, err error) {
@@ -113,7 +113,7 @@
 		Expect(rejected).To(BeTrue())
 	})
 
-	It("gives up decommissioning after a timeout if the engine is stuck", func() {
+	It("stops waiting for its decommissioning after a timeout if the engine is stuck", func() {
 		d := newDrivenControl()
 		left := make(chan struct{})
 		d.control.Decommission(func() { close(left) })
@@ -122,7 +122,7 @@
 		Eventually(left).Should(BeClosed())
 	})
 
-	It("reports the end of decommissioning once", func() {
+	It("calls done only once if the decommissioning ends before the timeout", func() {
 		d := newDrivenControl()
 		left := make(chan struct{}, 2)
 		d.control.Decommission(func() { left <- struct{}{} })
@@ -132,13 +132,13 @@
 	})
 })
 
-var _ = Describe("the ticker", func() {
-	It("ticks when it is due, or soon after wake", func() {
+var _ = Describe("The ticker", func() {
+	It("ticks when it is due, and minTickInterval after wake", func() {
 		clock := clockwork.NewFakeClock()
-		began := clock.Now()
+		startedAt := clock.Now()
 		ticks := make(chan time.Duration, 10)
 		t := newTicker(clock, func(f func()) { f() }, func() time.Duration {
-			ticks <- clock.Since(began)
+			ticks <- clock.Since(startedAt)
 			return 100 * time.Millisecond
 		})
 		next := func(after time.Duration) {
@@ -156,6 +156,6 @@
 		t.wake()
 		t.wake()
 		next(minTickInterval)
-		Expect(clock.Since(began)).To(Equal(100*time.Millisecond + 3*minTickInterval))
+		Expect(clock.Since(startedAt)).To(Equal(100*time.Millisecond + 3*minTickInterval))
 	})
 })
--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -13,105 +13,111 @@
 )
 
 const (
-	// earlyResponseFraction is the fraction of a watch's wait by which its response may be early, so that one leadership
-	// confirmation serves many watches.
+	// earlyResponseFraction is the fraction of a watch's wait by which its response may be early. Watches that are nearly due
+	// are answered together with one that is due, so that one leadership confirmation serves many watches.
 	earlyResponseFraction = 0.2
-	// maxWatchWait bounds the wait that a caller may request.
+	// maxWatchWait limits the wait that a caller may request.
 	maxWatchWait = 30 * time.Second
-	// maxWatches bounds the watches that are pending at once.
+	// maxWatches limits the number of pending watches.
 	maxWatches = 4096
 )
 
-// feedSource holds the newest configuration that is committed.
+// feedSource has the newest committed configuration.
 type feedSource interface {
-	// Version returns its version; 0: there is none yet.
+	// Version returns the version of the configuration, or 0 if there is none yet.
 	Version() uint64
-	// Since returns what a follower needs to get there from an older version: changes only, where it can take those.
+	// Since returns the data with which a follower gets from an older version to the newest: only the changes since that
+	// version if canTakeChanges is set and they are known, else the complete configuration.
 	Since(version uint64, canTakeChanges bool) ([]byte, error)
 }
 
-// Feed answers the watches of the frontends and agents that follow the configuration and the owners of the shards. Only the
-// owner of the configuration's shard feeds. Feed has no clock, goroutines or I/O, and is used by one goroutine.
+// Feed answers watches: the long polls of frontends and agents that follow the configuration and the owners of the shards.
+// Only the owner of the configuration's shard answers them; other processes reject them with the owner's address. Feed has
+// no clock, goroutines or I/O, and is used by one goroutine.
 //
-// A watch is answered when something is newer than what its request names, or when its wait is nearly over, and only
-// after a quorum has confirmed the leadership by a confirmation that was requested after the watch came: so no process
-// that has been superseded says that nothing is new. One confirmation serves all watches that are pending by then.
+// A watch is answered when the feed has something newer than its request names, when its wait is over, or when its wait is
+// nearly over and another watch is answered. Before any response, a quorum must have confirmed the leadership, and this
+// confirmation must have been requested after the watch was received. Otherwise a process that has lost its leadership
+// without noticing could respond that nothing is new. One confirmation serves all watches that were received before it was
+// requested.
 //
-// Its user asks BeginConfirmation after each input and by Deadline. When that returns true it has a quorum confirm the
-// leadership, and then calls Confirmed or Unconfirmed.
+// The caller calls BeginConfirmation after each input, and at the latest at Deadline. When it returns true, the caller must
+// request a confirmation from a quorum, and then call Confirmed or Unconfirmed.
 type Feed struct {
 	source     feedSource
 	isLeader   bool
-	leaderHint string // while not leader: internal address of the owner as far as known
+	leaderHint string // while not leader: internal address of the owner, or "" if it is unknown
 	watches    []*pendingWatch
-	revision   uint64 // of members and owners, see revisionOf
+	revision   uint64 // identifies members and owners; see revisionOf
 	members    []protocol.Member
 	owners     map[protocol.ShardID]string
 	relays     relayTable
 	compressor compressor
 
-	confirmation            uint64        // counts the confirmations requested
-	confirming              bool          // the newest one is under way
-	confirmationRequestedAt time.Duration // of the newest one
+	confirmationsRequested  uint64        // number of confirmations requested so far
+	isConfirming            bool          // the newest confirmation is in progress
+	confirmationRequestedAt time.Duration // when the newest confirmation was requested
 }
 
 // pendingWatch is a watch without a response yet.
 type pendingWatch struct {
-	request          *protocol.WatchRequest
-	reply            func(*protocol.WatchResponse, error)
-	deadline         time.Duration // when it must be answered
-	earliestResponse time.Duration // when it may be answered along with others, though nothing is new
-	receivedAt       time.Duration // the loop's time when it was received
-	arrivedBy        time.Duration // a later time of the loop, by which it had certainly arrived; or unknownTime
-	confirmation     uint64        // the newest confirmation that was requested before it came
+	request             *protocol.WatchRequest
+	reply               func(*protocol.WatchResponse, error)
+	deadline            time.Duration // the end of its wait, when a confirmation is requested although nothing is new
+	earliestResponse    time.Duration // from then on, a confirmation for other watches serves it although nothing is new
+	receivedAt          time.Duration // the loop's time when it was received
+	arrivedBy           time.Duration // the first later time of the loop, or unknownTime; see recordArrivals
+	confirmationsBefore uint64        // Feed.confirmationsRequested when it was received
 }
 
-// unknownTime is a time that is not known yet.
+// unknownTime is the value of pendingWatch.arrivedBy before it is known.
 const unknownTime time.Duration = -1
 
-// NewFeed returns the feed of a process that is not the leader.
+// NewFeed returns a feed that is not the leader's.
 func NewFeed(source feedSource) *Feed { return &Feed{source: source, relays: newRelayTable()} }
 
-// BecomeLeader starts the ownership of the configuration's shard.
+// BecomeLeader is called when this process has become the owner of the configuration's shard. A confirmation in progress
+// belongs to an earlier leadership and is ignored.
 func (f *Feed) BecomeLeader() {
 	f.isLeader = true
-	f.confirming = false
+	f.isConfirming = false
 }
 
-// BecomeFollower ends the ownership, and rejects all pending watches. leader is the new owner's internal address, or "".
+// BecomeFollower ends the ownership and rejects all pending watches. leader is the internal address of the new owner, or ""
+// if it is unknown.
 func (f *Feed) BecomeFollower(leader string) {
 	f.isLeader = false
 	f.leaderHint = leader
-	f.confirming = false
+	f.isConfirming = false
 	f.rejectWatches(func(*pendingWatch) bool { return true })
 }
 
-// Watch adds a watch that was received at now. reply is called once: now, or by a later call of another method.
+// Watch adds a watch that was received at now. reply is called once, by Watch or by a later call of another method.
 func (f *Feed) Watch(now time.Duration, request *protocol.WatchRequest, reply func(*protocol.WatchResponse, error)) {
 	if !f.isLeader {
 		reply(nil, notConfigurationOwner(f.leaderHint))
 		return
 	}
 	if len(f.watches) >= maxWatches {
-		reply(nil, failure.New(failure.Overloaded, "too many watches are pending"))
+		reply(nil, failure.New(failure.Overloaded, "the limit of pending watches is reached"))
 		return
 	}
 	f.relays.record(now, request)
 	wait := min(max(time.Duration(request.WaitMs)*time.Millisecond, 0), maxWatchWait)
-	early := wait - time.Duration(float64(wait)*earlyResponseFraction)
+	earliestAfter := wait - time.Duration(float64(wait)*earlyResponseFraction)
 	f.watches = append(f.watches, &pendingWatch{
-		request:          request,
-		reply:            reply,
-		deadline:         now + wait,
-		earliestResponse: now + early,
-		receivedAt:       now,
-		arrivedBy:        unknownTime,
-		confirmation:     f.confirmation,
+		request:             request,
+		reply:               reply,
+		deadline:            now + wait,
+		earliestResponse:    now + earliestAfter,
+		receivedAt:          now,
+		arrivedBy:           unknownTime,
+		confirmationsBefore: f.confirmationsRequested,
 	})
 }
 
-// SetOwners sets the members and owners. Their revision is a hash of them, so that successive owners of the
-// configuration that know the same give it the same number.
+// SetOwners sets the members of the configuration's group and the owners of the shards. Their revision is a hash, so that
+// successive owners of the configuration that know the same members and owners give them the same revision.
 func (f *Feed) SetOwners(members []protocol.Member, owners map[protocol.ShardID]string) {
 	f.members = slices.Clone(members)
 	slices.SortFunc(f.members, func(a, b protocol.Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -119,21 +125,22 @@
 	f.revision = revisionOf(f.members, f.owners)
 }
 
-// BeginConfirmation reports whether the leadership must be confirmed now for a watch. If so, the caller must request that
-// from a quorum, and report the result by Confirmed or Unconfirmed.
+// BeginConfirmation reports whether a watch needs a leadership confirmation now. If so, the caller must request one from a
+// quorum and report the result by Confirmed or Unconfirmed.
 func (f *Feed) BeginConfirmation(now time.Duration) bool {
 	f.recordArrivals(now)
-	if !f.isLeader || f.confirming || !slices.ContainsFunc(f.watches, func(w *pendingWatch) bool { return f.mustRespond(now, w) }) {
+	if !f.isLeader || f.isConfirming || !slices.ContainsFunc(f.watches, func(w *pendingWatch) bool { return f.mustRespond(now, w) }) {
 		return false
 	}
-	f.confirming = true
+	f.isConfirming = true
 	f.confirmationRequestedAt = now
-	f.confirmation++
+	f.confirmationsRequested++
 	return true
 }
 
-// recordArrivals records for new watches a time by which they had certainly arrived, from which on their wait counts. The
-// loop's time does not advance within a step, so that is the first time later than the one of their receipt.
+// recordArrivals sets arrivedBy of new watches: a time that is not before their arrival. The loop's time stays the same
+// during a step, so a watch may have arrived after receivedAt by the real clock. The first later time of the loop is
+// certainly not before its arrival.
 func (f *Feed) recordArrivals(now time.Duration) {
 	for _, watch := range f.watches {
 		if watch.arrivedBy == unknownTime && now > watch.receivedAt {
@@ -142,31 +149,34 @@
 	}
 }
 
-// Confirmed is called when a quorum has confirmed the leadership. It answers the watches that came before that was
-// requested, if there is something new for them or they have waited nearly long enough.
+// Confirmed is called when a quorum has confirmed the leadership. It answers the watches that were received before the
+// confirmation was requested, if there is something new for them or their wait is nearly over.
 func (f *Feed) Confirmed(now time.Duration) {
-	if !f.isLeader || !f.confirming {
+	if !f.isLeader || !f.isConfirming {
 		return
 	}
-	f.confirming = false
-	f.finish(func(w *pendingWatch) bool { return w.confirmation < f.confirmation && f.mayRespond(now, w) }, f.respond)
+	f.isConfirming = false
+	f.finish(func(w *pendingWatch) bool {
+		return w.confirmationsBefore < f.confirmationsRequested && f.mayRespond(now, w)
+	}, f.respond)
 }
 
-// Unconfirmed is called when the confirmation failed. It rejects the watches that came before it was requested. leader is
-// the internal address of the owner as far as known, or "".
+// Unconfirmed is called when a confirmation has failed. It rejects the watches that were received before the confirmation
+// was requested. leader is the internal address of the owner, or "" if it is unknown.
 func (f *Feed) Unconfirmed(leader string) {
-	if !f.confirming {
+	if !f.isConfirming {
 		return
 	}
-	f.confirming = false
+	f.isConfirming = false
 	f.leaderHint = leader
-	f.rejectWatches(func(w *pendingWatch) bool { return w.confirmation < f.confirmation })
+	f.rejectWatches(func(w *pendingWatch) bool { return w.confirmationsBefore < f.confirmationsRequested })
 }
 
-// Deadline returns when BeginConfirmation must be called again at the latest: at once if there is something new for a
-// watch, else when the first wait is over. It returns false while a confirmation is under way or no watch is pending.
+// Deadline returns the time at which BeginConfirmation must be called at the latest: 0, which means at once, if there is
+// something new for a watch, else the first deadline of a watch. It returns false while a confirmation is in progress or if
+// no watch is pending.
 func (f *Feed) Deadline() (time.Duration, bool) {
-	if len(f.watches) == 0 || f.confirming {
+	if len(f.watches) == 0 || f.isConfirming {
 		return 0, false
 	}
 	deadline := f.watches[0].deadline
@@ -179,23 +189,24 @@
 	return deadline, true
 }
 
-// mustRespond reports whether a watch is due, so that a confirmation is worth requesting for it.
+// mustRespond reports whether a watch is due: a confirmation must be requested for it.
 func (f *Feed) mustRespond(now time.Duration, w *pendingWatch) bool {
 	return now >= w.deadline || f.hasUpdate(w)
 }
 
-// mayRespond reports whether a watch may be answered if a confirmation is there, requested for others.
+// mayRespond reports whether a watch is due or nearly due: it is answered by a confirmation that was requested for another
+// watch.
 func (f *Feed) mayRespond(now time.Duration, w *pendingWatch) bool {
 	return now >= w.earliestResponse || f.hasUpdate(w)
 }
 
-// hasUpdate reports whether something is newer than what a watch's request names.
+// hasUpdate reports whether the feed has a newer configuration, or other members and owners, than a watch's request names.
 func (f *Feed) hasUpdate(w *pendingWatch) bool {
 	newer := !w.request.OwnersOnly && f.source.Version() > w.request.Version
 	return newer || f.revision != w.request.Owners
 }
 
-// respond answers a watch with what is new to it.
+// respond answers a watch with the parts that are new for it.
 func (f *Feed) respond(w *pendingWatch) {
 	response := &protocol.WatchResponse{Version: f.source.Version(), OwnersAt: f.revision, HeldMs: f.pendingMs(w)}
 	response.Relays = f.relays.pick(f.confirmationRequestedAt, w.request)
@@ -217,15 +228,16 @@
 	w.reply(response, nil)
 }
 
-// compress compresses a response's configuration if it is large.
+// compress compresses the configuration of a response if it is large.
 func (f *Feed) compress(response *protocol.WatchResponse) {
 	if packed, ok := f.compressor.compress(response.Configuration); ok {
 		response.Configuration, response.Compressed = packed, true
 	}
 }
 
-// pendingMs returns for how many ms a watch was certainly pending when the newest confirmation was requested. The response
-// was current then, so the watcher knows how old it is at most.
+// pendingMs returns a lower bound of the time, in ms, for which a watch had been pending when the newest confirmation was
+// requested. The response was current at that time. So the watcher can compute an upper bound of the response's age: the
+// time since it sent the request, minus this.
 func (f *Feed) pendingMs(w *pendingWatch) int64 {
 	if w.arrivedBy == unknownTime {
 		return 0
@@ -233,16 +245,16 @@
 	return max(f.confirmationRequestedAt-w.arrivedBy, 0).Milliseconds()
 }
 
-// rejectWatches ends the selected watches with an error that names the owner as far as known.
-func (f *Feed) rejectWatches(which func(w *pendingWatch) bool) {
-	f.finish(which, func(w *pendingWatch) { w.reply(nil, notConfigurationOwner(f.leaderHint)) })
+// rejectWatches rejects the selected watches with an error that has the owner's address, if it is known.
+func (f *Feed) rejectWatches(isSelected func(w *pendingWatch) bool) {
+	f.finish(isSelected, func(w *pendingWatch) { w.reply(nil, notConfigurationOwner(f.leaderHint)) })
 }
 
-// finish removes the watches that which selects, then ends each.
-func (f *Feed) finish(which func(w *pendingWatch) bool, end func(w *pendingWatch)) {
+// finish removes the selected watches, and then calls end for each of them.
+func (f *Feed) finish(isSelected func(w *pendingWatch) bool, end func(w *pendingWatch)) {
 	var ending []*pendingWatch
 	f.watches = slices.DeleteFunc(f.watches, func(w *pendingWatch) bool {
-		if !which(w) {
+		if !isSelected(w) {
 			return false
 		}
 		ending = append(ending, w)
@@ -253,7 +265,8 @@
 	}
 }
 
-// revisionOf returns a hash of members and owners, which is never 0: that is a watcher's revision when it knows none.
+// revisionOf returns a hash of members and owners. It is never 0, because a watcher that knows no members and owners has
+// revision 0.
 func revisionOf(members []protocol.Member, owners map[protocol.ShardID]string) uint64 {
 	hash := fnv.New64a()
 	write := func(text string) {
--- a/internal/cluster/control/feed_test.go
+++ b/internal/cluster/control/feed_test.go
@@ -15,12 +15,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// fakeSource is a feedSource whose configuration is little more than a version.
+// fakeSource is a feedSource. Its configuration is a text that describes the arguments of Since, or the field text.
 type fakeSource struct {
 	version uint64
-	err     error
-	text    string // if set, what Since returns
-	shared  []byte // text as bytes, shared by all results as those of configuration.State are
+	err     error  // error of Since
+	text    string // if set, Since returns it
+	shared  []byte // text as bytes; as with configuration.State, all results of Since share the same memory
 }
 
 func (s *fakeSource) Version() uint64 { return s.version }
@@ -35,11 +35,11 @@
 	return fmt.Appendf(nil, "%d to %d, changes %t", version, s.version, canTakeChanges), s.err
 }
 
-// answered records the response to one watch, and how often there was one.
+// answered records the reply to one watch.
 type answered struct {
 	response *protocol.WatchResponse
 	err      error
-	count    int
+	count    int // number of calls of reply
 }
 
 func (a *answered) reply(response *protocol.WatchResponse, err error) {
@@ -48,9 +48,9 @@
 	a.count++
 }
 
-const at = time.Millisecond // unit of the tests' times
+const ms = time.Millisecond
 
-var _ = Describe("the feed", func() {
+var _ = Describe("The feed", func() {
 	var (
 		source   *fakeSource
 		feed     *Feed
@@ -67,20 +67,22 @@
 		revision = feed.revision
 	})
 
+	// watch adds the watch of a caller that has this version and this revision of the owners.
 	watch := func(now time.Duration, version, owners uint64, waitMs int64) *answered {
 		result := &answered{}
 		request := &protocol.WatchRequest{Version: version, Owners: owners, WaitMs: waitMs}
 		feed.Watch(now, request, result.reply)
 		return result
 	}
+	// current adds the watch of a caller that has everything, with a wait of 1 s.
 	current := func(now time.Duration) *answered { return watch(now, 5, revision, 1000) }
 
-	It("answers a new watcher with everything, once leadership is confirmed", func() {
+	It("answers a caller that has nothing with everything, after the leadership was confirmed", func() {
 		newcomer := watch(0, 0, 0, 1000)
 		Expect(newcomer.count).To(BeZero())
 		Expect(feed.BeginConfirmation(0)).To(BeTrue())
 		Expect(newcomer.count).To(BeZero())
-		feed.Confirmed(3 * at)
+		feed.Confirmed(3 * ms)
 		Expect(newcomer.count).To(Equal(1))
 		Expect(newcomer.err).NotTo(HaveOccurred())
 		Expect(newcomer.response.Version).To(Equal(uint64(5)))
@@ -90,7 +92,7 @@
 		Expect(newcomer.response.Owners).To(Equal(owners))
 	})
 
-	It("sends changes alone to a watcher that can take them", func() {
+	It("sends only the changes to a caller that accepts changes", func() {
 		result := &answered{}
 		feed.Watch(0, &protocol.WatchRequest{Version: 4, Owners: revision, WaitMs: 1000, Changes: true}, result.reply)
 		feed.BeginConfirmation(0)
@@ -100,7 +102,7 @@
 		Expect(result.response.Members).To(BeNil())
 	})
 
-	It("compresses a large configuration once for all watchers that can take that", func() {
+	It("compresses a large configuration once for all callers that accept that", func() {
 		source.text = strings.Repeat("route ", 100_000)
 		var answers []*answered
 		for range 3 {
@@ -140,15 +142,15 @@
 		Expect(string(result.response.Configuration)).To(Equal("0 to 5, changes false"))
 	})
 
-	It("answers a watch for which nothing is new when its wait is over", func() {
+	It("answers a watch without anything new when its wait is over", func() {
 		pending := current(0)
 		Expect(feed.BeginConfirmation(0)).To(BeFalse())
 		deadline, ok := feed.Deadline()
 		Expect(ok).To(BeTrue())
-		Expect(deadline).To(Equal(1000 * at))
-		Expect(feed.BeginConfirmation(999 * at)).To(BeFalse())
-		Expect(feed.BeginConfirmation(1000 * at)).To(BeTrue())
-		feed.Confirmed(1003 * at)
+		Expect(deadline).To(Equal(1000 * ms))
+		Expect(feed.BeginConfirmation(999 * ms)).To(BeFalse())
+		Expect(feed.BeginConfirmation(1000 * ms)).To(BeTrue())
+		feed.Confirmed(1003 * ms)
 		Expect(pending.response.Version).To(Equal(uint64(5)))
 		Expect(pending.response.Configuration).To(BeEmpty())
 		Expect(pending.response.Members).To(BeNil())
@@ -156,82 +158,82 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("needs a confirmation at once when there is a new version", func() {
+	It("needs a confirmation at once if there is a new version", func() {
 		pending := current(0)
 		source.version = 6
 		deadline, ok := feed.Deadline()
 		Expect(ok).To(BeTrue())
 		Expect(deadline).To(BeZero())
-		Expect(feed.BeginConfirmation(10 * at)).To(BeTrue())
-		feed.Confirmed(13 * at)
+		Expect(feed.BeginConfirmation(10 * ms)).To(BeTrue())
+		feed.Confirmed(13 * ms)
 		Expect(string(pending.response.Configuration)).To(Equal("5 to 6, changes false"))
 	})
 
-	It("needs a confirmation at once when owners or members change", func() {
+	It("needs a confirmation at once if owners or members have changed", func() {
 		pending := current(0)
 		feed.SetOwners(members, map[protocol.ShardID]string{0: "10.0.0.1:7380", 3: "10.0.0.1:7380"})
-		Expect(feed.BeginConfirmation(10 * at)).To(BeTrue())
-		feed.Confirmed(13 * at)
+		Expect(feed.BeginConfirmation(10 * ms)).To(BeTrue())
+		feed.Confirmed(13 * ms)
 		Expect(pending.response.OwnersAt).NotTo(Equal(revision))
 		Expect(pending.response.Owners).To(HaveKeyWithValue(protocol.ShardID(3), "10.0.0.1:7380"))
 		Expect(pending.response.Configuration).To(BeEmpty())
 	})
 
-	It("gives the same owners the same revision in every process", func() {
+	It("has the same revision of the same members and owners in every process", func() {
 		other := NewFeed(source)
 		other.SetOwners([]protocol.Member{members[1], members[0]}, owners)
 		Expect(other.revision).To(Equal(revision))
 		Expect(NewFeed(source).revision).To(BeZero())
 	})
 
-	It("reports for how long a watch was certainly pending when the confirmation was requested", func() {
-		pending := current(100 * at)
-		Expect(feed.BeginConfirmation(100 * at)).To(BeFalse())
-		Expect(feed.BeginConfirmation(105 * at)).To(BeFalse()) // it had certainly arrived by then
-		Expect(feed.BeginConfirmation(1100 * at)).To(BeTrue())
-		feed.Confirmed(1130 * at)
+	It("reports a lower bound of the time for which a watch was pending when the confirmation was requested", func() {
+		pending := current(100 * ms)
+		Expect(feed.BeginConfirmation(100 * ms)).To(BeFalse())
+		Expect(feed.BeginConfirmation(105 * ms)).To(BeFalse()) // the watch has certainly arrived before this
+		Expect(feed.BeginConfirmation(1100 * ms)).To(BeTrue())
+		feed.Confirmed(1130 * ms)
 		Expect(pending.response.HeldMs).To(Equal(int64(995)))
 	})
 
-	It("reports no pending time for a watch received in the step that requested the confirmation", func() {
-		newcomer := watch(100*at, 0, 0, 1000)
-		feed.BeginConfirmation(100 * at)
-		feed.BeginConfirmation(105 * at)
-		feed.Confirmed(110 * at)
+	It("reports a pending time of 0 for a watch received in the same step as the request of the confirmation", func() {
+		newcomer := watch(100*ms, 0, 0, 1000)
+		feed.BeginConfirmation(100 * ms)
+		feed.BeginConfirmation(105 * ms)
+		feed.Confirmed(110 * ms)
 		Expect(newcomer.response.HeldMs).To(BeZero())
 	})
 
-	It("sends no configuration to those that watch owners only", func() {
+	It("sends no configuration to a caller that watches only the owners", func() {
 		result := &answered{}
 		feed.Watch(0, &protocol.WatchRequest{Version: 4, Owners: revision, WaitMs: 1000, OwnersOnly: true}, result.reply)
 		Expect(feed.BeginConfirmation(0)).To(BeFalse())
 		feed.SetOwners(members, map[protocol.ShardID]string{3: "10.0.0.1:7380"})
-		Expect(feed.BeginConfirmation(10 * at)).To(BeTrue())
-		feed.Confirmed(13 * at)
+		Expect(feed.BeginConfirmation(10 * ms)).To(BeTrue())
+		feed.Confirmed(13 * ms)
 		Expect(result.response.Configuration).To(BeNil())
 		Expect(result.response.Owners).To(HaveKey(protocol.ShardID(3)))
 	})
 
 	It("serves all pending watches with one confirmation", func() {
-		first, second, third := current(0), current(150*at), current(300*at)
-		Expect(feed.BeginConfirmation(1000 * at)).To(BeTrue())
-		Expect(feed.BeginConfirmation(1001 * at)).To(BeFalse())
-		feed.Confirmed(1003 * at)
+		first, second, third := current(0), current(150*ms), current(300*ms)
+		Expect(feed.BeginConfirmation(1000 * ms)).To(BeTrue())
+		Expect(feed.BeginConfirmation(1001 * ms)).To(BeFalse())
+		feed.Confirmed(1003 * ms)
 		Expect(first.count).To(Equal(1))
-		Expect(second.count).To(Equal(1), "its wait is nearly over")
-		Expect(third.count).To(BeZero(), "its wait is not")
-		Expect(feed.BeginConfirmation(1004 * at)).To(BeFalse())
+		Expect(second.count).To(Equal(1), "more than 80 % of its wait is over")
+		Expect(third.count).To(BeZero(), "less than 80 % of its wait is over")
+		Expect(feed.BeginConfirmation(1004 * ms)).To(BeFalse())
 	})
 
-	It("never answers by a confirmation requested before the watch came", func() {
+	It("never answers a watch by a confirmation that was requested before the watch was received", func() {
 		first := watch(0, 0, 0, 1000)
 		Expect(feed.BeginConfirmation(0)).To(BeTrue())
-		late := watch(1*at, 0, 0, 1000)
-		feed.Confirmed(3 * at)
+		late := watch(1*ms, 0, 0, 1000)
+		feed.Confirmed(3 * ms)
 		Expect(first.count).To(Equal(1))
 		Expect(late.count).To(BeZero())
-		Expect(feed.BeginConfirmation(3 * at)).To(BeTrue())
-		feed.Confirmed(6 * at)
+		Expect(feed.BeginConfirmation(3 * ms)).To(BeTrue())
+		feed.Confirmed(6 * ms)
 		Expect(late.count).To(Equal(1))
 	})
 
@@ -241,40 +243,40 @@
 		_, ok := feed.Deadline()
 		Expect(ok).To(BeFalse())
 		source.version = 6
-		feed.Confirmed(3 * at)
+		feed.Confirmed(3 * ms)
 		Expect(newcomer.response.Version).To(Equal(uint64(6)))
 		Expect(pending.response.Version).To(Equal(uint64(6)))
 	})
 
-	DescribeTable("sends watchers to another process",
+	DescribeTable("rejects watches with the address of the owner",
 		func(end func(), leader string) {
 			pending := watch(0, 0, 0, 1000)
 			feed.BeginConfirmation(0)
-			late := watch(1*at, 5, revision, 1000)
+			late := watch(1*ms, 5, revision, 1000)
 			end()
 			Expect(failure.KindOf(pending.err)).To(Equal(failure.NotLeader))
 			Expect(failure.LeaderOf(pending.err)).To(Equal(leader))
-			feed.Confirmed(2 * at)
+			feed.Confirmed(2 * ms)
 			Expect(pending.count).To(Equal(1))
 			feed.BecomeFollower("")
 			Expect(late.count).To(Equal(1))
 			Expect(failure.KindOf(late.err)).To(Equal(failure.NotLeader))
 		},
-		Entry("leadership lost", func() { feed.BecomeFollower("10.0.0.2:7380") }, "10.0.0.2:7380"),
-		Entry("leadership lost, the new leader unknown", func() { feed.BecomeFollower("") }, ""),
-		Entry("not confirmed", func() { feed.Unconfirmed("10.0.0.2:7380") }, "10.0.0.2:7380"),
+		Entry("when the leadership is lost", func() { feed.BecomeFollower("10.0.0.2:7380") }, "10.0.0.2:7380"),
+		Entry("when the leadership is lost and the new owner is unknown, without an address", func() { feed.BecomeFollower("") }, ""),
+		Entry("when the leadership is not confirmed", func() { feed.Unconfirmed("10.0.0.2:7380") }, "10.0.0.2:7380"),
 	)
 
-	It("keeps watches that came after the request of the confirmation that failed", func() {
+	It("keeps watches that were received after the request of a confirmation that failed", func() {
 		feed.Watch(0, &protocol.WatchRequest{}, (&answered{}).reply)
 		feed.BeginConfirmation(0)
-		late := watch(1*at, 0, 0, 1000)
+		late := watch(1*ms, 0, 0, 1000)
 		feed.Unconfirmed("")
 		Expect(late.count).To(BeZero())
-		Expect(feed.BeginConfirmation(2 * at)).To(BeTrue())
+		Expect(feed.BeginConfirmation(2 * ms)).To(BeTrue())
 	})
 
-	It("rejects at once while it is not the leader", func() {
+	It("rejects watches at once while it is not the leader's", func() {
 		feed.BecomeFollower("10.0.0.2:7380")
 		rejected := watch(0, 0, 0, 1000)
 		Expect(failure.KindOf(rejected.err)).To(Equal(failure.NotLeader))
@@ -286,17 +288,17 @@
 		Expect(watch(0, 0, 0, 1000).count).To(BeZero())
 	})
 
-	It("ignores the confirmation of an earlier leadership", func() {
+	It("ignores a confirmation that an earlier leadership requested", func() {
 		feed.Watch(0, &protocol.WatchRequest{}, (&answered{}).reply)
 		feed.BeginConfirmation(0)
 		feed.BecomeFollower("")
 		feed.BecomeLeader()
-		second := watch(1*at, 0, 0, 1000)
-		feed.Confirmed(2 * at)
+		second := watch(1*ms, 0, 0, 1000)
+		feed.Confirmed(2 * ms)
 		Expect(second.count).To(BeZero())
 	})
 
-	It("bounds waits and the number of watches", func() {
+	It("limits the wait of a watch and the number of pending watches", func() {
 		watch(0, 5, revision, 1<<40)
 		deadline, _ := feed.Deadline()
 		Expect(deadline).To(Equal(maxWatchWait))
@@ -318,12 +320,14 @@
 		Expect(failure.KindOf(failing.err)).To(Equal(failure.Unavailable))
 	})
 
-	Describe("offering relays", func() {
+	Describe("when it offers relays,", func() {
+		// watchAsRelay adds the watch of a process that offers to be a relay.
 		watchAsRelay := func(now time.Duration, node, zone string) *protocol.WatchRequest {
 			request := &protocol.WatchRequest{Version: 5, Owners: revision, WaitMs: 1000, Node: node, Zone: zone, Relay: node + ":1"}
 			feed.Watch(now, request, func(*protocol.WatchResponse, error) {})
 			return request
 		}
+		// offeredTo returns the addresses of the relays that are offered to a caller, at time 1 s.
 		offeredTo := func(node, zone string) []string {
 			var offered []string
 			request := &protocol.WatchRequest{Version: 0, Node: node, Zone: zone, Relay: node + ":1"}
@@ -338,7 +342,7 @@
 			return offered
 		}
 
-		It("offers some of the caller's zone first, then some of others, and never the caller", func() {
+		It("offers first two of the caller's zone, then two of other zones, and never the caller", func() {
 			for _, node := range []string{"a1", "a2", "a3"} {
 				watchAsRelay(0, node, "a")
 			}
@@ -351,7 +355,7 @@
 			Expect(offered[2:]).To(HaveEach(HavePrefix("b")))
 		})
 
-		It("offers none whose last contact was long ago", func() {
+		It("offers none whose last watch is older than relayTTL", func() {
 			watchAsRelay(-20*time.Second, "a1", "a")
 			Expect(offeredTo("a2", "a")).To(BeEmpty())
 		})
--- a/internal/cluster/control/fixtures_test.go
+++ b/internal/cluster/control/fixtures_test.go
@@ -7,9 +7,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// Package transport has fixtures of all messages of these packages, see its fixtures_test.go.
-var _ = Describe("the requests that a control process serves", func() {
-	It("are messages of which there are fixtures", func() {
+// The fixtures of package transport (its fixtures_test.go) cover the messages of the two packages below. A request type of
+// another package would have no fixture that guards its encoding.
+var _ = Describe("The requests that a control process serves", func() {
+	It("are messages of the packages for which there are fixtures", func() {
 		endpoints := (&Control{}).newEndpoints()
 		Expect(endpoints).NotTo(BeEmpty())
 		for i := range endpoints {
--- a/internal/cluster/control/job_endpoints.go
+++ b/internal/cluster/control/job_endpoints.go
@@ -8,13 +8,14 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// onOwner runs input, which replies, on the engine's loop if this process owns the shard; else it replies with the reason.
+// onOwner runs input on the engine's loop if this process owns the shard; input must then reply. Otherwise onOwner replies
+// with an error, which names the shard's owner if it is known.
 func onOwner[Resp any](c *Control, id protocol.ShardID, reply func(*Resp, error), input func(s *jobShard, now time.Duration)) {
 	c.engine.Do(func() {
 		shard := c.shards[id]
 		switch {
 		case shard == nil:
-			reply(nil, failure.Newf(failure.Invalid, "no shard %d", id))
+			reply(nil, failure.Newf(failure.Invalid, "there is no shard %d of jobs", id))
 		case !shard.owner.IsLeader():
 			reply(nil, &failure.Error{
 				Kind:    failure.NotLeader,
@@ -22,17 +23,17 @@
 				Leader:  leaderHint(c.engine, uint32(id)),
 			})
 		default:
-			shard.do(func(now time.Duration) { input(shard, now) })
+			shard.handleInput(func(now time.Duration) { input(shard, now) })
 		}
 	})
 }
 
-// ping answers at once, also while the engine's loop is busy: it shows that this process is reachable, and no more.
+// ping replies at once, also while the engine's loop is busy. A reply shows only that the process is reachable.
 func (c *Control) ping(_ string, request *protocol.PingRequest, reply func(*protocol.PingResponse, error)) {
 	reply(&protocol.PingResponse{Number: request.Number}, nil)
 }
 
-// heartbeat answers a runner's heartbeat with orders.
+// heartbeat replies to a runner's heartbeat with the orders for the runner.
 func (c *Control) heartbeat(_ string, request *protocol.HeartbeatRequest, reply func(*protocol.HeartbeatResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Heartbeat(now, &request.Heartbeat, func(orders *protocol.Orders, err error) {
@@ -45,14 +46,14 @@
 	})
 }
 
-// deregister ends a runner's incarnation.
+// deregister ends a runner's incarnation, and replies when this is committed.
 func (c *Control) deregister(_ string, request *protocol.DeregisterRequest, reply func(*protocol.DeregisterResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Deregister(request.Instance, func(err error) { reply(&protocol.DeregisterResponse{}, err) })
 	})
 }
 
-// submit answers when the job is committed, or was known before.
+// submit replies when the job is committed. If it was committed before, submit replies so at once.
 func (c *Control) submit(_ string, request *protocol.SubmitRequest, reply func(*protocol.SubmitResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		submit := jobs.Submit{
@@ -67,7 +68,7 @@
 	})
 }
 
-// status answers with a job's state, confirmed by a quorum if it may still change.
+// status replies with a job's state. If the state may still change, a quorum has confirmed the leadership before the reply.
 func (c *Control) status(_ string, request *protocol.StatusRequest, reply func(*protocol.StatusResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Status(now, request.ID, func(state protocol.JobState, err error) {
@@ -76,14 +77,15 @@
 	})
 }
 
-// cancel answers when the job is cancelled by a committed entry, or was before.
+// cancel replies when the cancellation is committed. A job that ended before keeps its state; an unknown job is
+// failure.Gone.
 func (c *Control) cancel(_ string, request *protocol.CancelRequest, reply func(*protocol.CancelResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Cancel(now, request.ID, func(err error) { reply(&protocol.CancelResponse{}, err) })
 	})
 }
 
-// fence answers when the shard has committed that it will not take a job of that id by an older configuration, or has it.
+// fence replies when the fence of a job id is committed, or else that the shard has or had the job; see jobs.Fence.
 func (c *Control) fence(_ string, request *protocol.FenceRequest, reply func(*protocol.FenceResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		fence := jobs.Fence{ID: request.ID, Version: request.ConfigurationVersion}
@@ -93,7 +95,7 @@
 	})
 }
 
-// pending answers with the number of a queue's jobs that have not ended, confirmed by a quorum.
+// pending replies with the number of a queue's jobs that have not ended, after a quorum has confirmed the leadership.
 func (c *Control) pending(_ string, request *protocol.PendingRequest, reply func(*protocol.PendingResponse, error)) {
 	onOwner(c, request.Shard, reply, func(s *jobShard, now time.Duration) {
 		s.owner.Pending(now, request.Queue, func(pending int, err error) {
--- a/internal/cluster/control/job_shard.go
+++ b/internal/cluster/control/job_shard.go
@@ -13,8 +13,8 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-// jobShard is this process's replica of one shard of jobs, with the scheduler that decides on it while this process owns
-// it. All of it runs on the engine's loop.
+// jobShard is this process's replica of one shard of jobs, with the scheduler that makes the decisions while this process
+// owns the shard. All methods run on the engine's loop.
 type jobShard struct {
 	id     protocol.ShardID
 	engine *replica.Engine
@@ -22,12 +22,13 @@
 	owner  *scheduler.Owner
 	clock  timeOfDay
 	logger log.Logger
-	wake   func() // asks for tick soon
+	wake   func() // requests a tick soon; see ticker.wake
 
 	taskTimes taskTimeReporter
 }
 
-// timeOfDay returns the Unix time in ms. It advances with the engine's clock, so it never goes back.
+// timeOfDay returns the Unix time in ms. It is the time at the start of the process plus the time that the clock measured
+// since, so an adjustment of the system's time doesn't set it back.
 type timeOfDay func() int64
 
 var _ replica.StateMachine = (*jobShard)(nil)
@@ -60,13 +61,13 @@
 // Snapshot returns the encoded state.
 func (s *jobShard) Snapshot() ([]byte, error) { return s.state.Snapshot() }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state by one that Snapshot has encoded.
 func (s *jobShard) Restore(data []byte) error { return s.state.Restore(data) }
 
-// Digest returns a hash of the state, the same for equal states.
+// Digest returns a hash of the state, which is equal on replicas with equal states.
 func (s *jobShard) Digest() uint64 { return s.state.Digest() }
 
-// Leading starts this process's ownership of the shard.
+// Leading is called when this process has become the owner of the shard.
 func (s *jobShard) Leading(term uint64) {
 	_ = level.Info(s.logger).Log("msg", "this process owns the shard", "term", term)
 	s.owner.BecomeLeader(s.engine.Now(), s.clock(), term)
@@ -74,7 +75,7 @@
 	s.wake()
 }
 
-// Following ends this process's ownership of the shard, if it was the owner.
+// Following is called when this process is a follower of the shard's group. It ends the ownership, if there was one.
 func (s *jobShard) Following() {
 	if s.owner.IsLeader() {
 		_ = level.Info(s.logger).Log("msg", "this process no longer owns the shard")
@@ -83,12 +84,12 @@
 	s.owner.BecomeFollower()
 }
 
-// DefersTransfer reports whether a leadership transfer would now delay the restart of runs that were lost with a runner:
-// a new owner would wait for their leases from the beginning.
+// DefersTransfer reports whether a leadership transfer would now delay the restart of runs that were lost with a runner. A
+// new owner doesn't know how much of the runner's lease is left, so it would wait for the longest lease.
 func (s *jobShard) DefersTransfer() bool { return s.owner.AwaitsLeaseExpiry(s.engine.Now()) }
 
-// pump proposes the owner's next command, if there is one, and sends the replies that are due.
-func (s *jobShard) pump() {
+// proposeAndReply proposes the owner's next command, if there is one, and sends the replies to heartbeats that are due.
+func (s *jobShard) proposeAndReply() {
 	now := s.engine.Now()
 	if command := s.owner.NextCommand(now); command != nil {
 		s.propose(command)
@@ -96,7 +97,7 @@
 	s.owner.Flush(now)
 }
 
-// propose proposes a command to the shard's log.
+// propose proposes a command to the shard's log and passes the result to the owner.
 func (s *jobShard) propose(command *jobs.Command) {
 	data, err := jobs.Encode(command)
 	if err != nil {
@@ -107,16 +108,18 @@
 	s.engine.Propose(uint32(s.id), data, func(result any, err error) {
 		s.proposalDone(command, result, err)
 		if err == nil {
-			s.pump() // not after a refusal, which may come before Propose returns: the next tick tries again
+			// Not after an error: the engine may report it before Propose returns, which would lead to endless recursion.
+			// The next tick proposes again.
+			s.proposeAndReply()
 		}
 	})
 }
 
-// proposalDone gives the owner the result of a command.
+// proposalDone passes the result of a command to the owner.
 func (s *jobShard) proposalDone(command *jobs.Command, result any, err error) {
 	effects, ok := result.(*jobs.Effects)
 	if err == nil && !ok {
-		err = failure.New(failure.UnknownOutcome, "the entry could not be applied")
+		err = failure.New(failure.UnknownOutcome, "the committed command could not be decoded")
 	}
 	if err != nil {
 		s.owner.Failed(s.engine.Now(), command, err)
@@ -125,18 +128,18 @@
 	s.owner.Applied(s.engine.Now(), command, effects)
 }
 
-// tick lets time pass.
+// tick runs the owner's time-dependent work, if this process is the owner.
 func (s *jobShard) tick() {
 	if !s.owner.IsLeader() {
 		return
 	}
 	s.owner.Tick(s.engine.Now(), s.clock(), s.confirmedAt())
 	s.confirmReads()
-	s.pump()
+	s.proposeAndReply()
 	s.taskTimes.report(s.engine.Now(), s.owner)
 }
 
-// confirmReads asks a quorum to confirm the leadership while reads wait for that.
+// confirmReads requests a leadership confirmation from a quorum if reads wait for one.
 func (s *jobShard) confirmReads() {
 	if !s.owner.NeedsConfirmation() {
 		return
@@ -144,23 +147,24 @@
 	s.engine.ConfirmLeadership(uint32(s.id), func(err error) {
 		if err == nil {
 			s.owner.Tick(s.engine.Now(), 0, s.confirmedAt())
-			s.pump()
+			s.proposeAndReply()
 		}
 	})
 }
 
-// confirmedAt returns when the newest leadership confirmation was requested; see replica.Engine.
+// confirmedAt returns when the newest successful leadership confirmation was requested; see consensus.Status.
 func (s *jobShard) confirmedAt() time.Duration { return s.engine.Status(uint32(s.id)).ConfirmedAt }
 
-// deadline returns when tick must be called next.
+// deadline returns the time at which tick must be called next, at the latest.
 func (s *jobShard) deadline(now time.Duration) time.Duration { return s.owner.NextDeadline(now) }
 
-// do gives the owner an input. Time passes first, so that the owner decides on it with its timeouts up to date.
-func (s *jobShard) do(input func(now time.Duration)) {
+// handleInput calls input, which passes a request to the owner, and then sends the owner's commands and replies. The owner's
+// time is advanced before, so that expired leases and other timeouts are taken into account.
+func (s *jobShard) handleInput(input func(now time.Duration)) {
 	now := s.engine.Now()
 	s.owner.Tick(now, 0, s.confirmedAt())
 	input(now)
 	s.confirmReads()
-	s.pump()
+	s.proposeAndReply()
 	s.wake()
 }
--- a/internal/cluster/control/job_shard_test.go
+++ b/internal/cluster/control/job_shard_test.go
@@ -16,17 +16,19 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// discarded is a Sender that drops all envelopes.
+// discarded is a Sender that discards all envelopes.
 type discarded struct{}
 
 func (discarded) Send(string, *replica.Envelope) {}
 
-var _ = Describe("a shard of jobs", func() {
+var _ = Describe("A shard of jobs", func() {
 	const timeOfDay = 1_000_000
 
-	It("waits for the next tick after its engine has rejected a command", func() {
-		const enough = 8 << 20 // bytes of stack: endless recursion fails the test before it uses up the memory
-		defer debug.SetMaxStack(debug.SetMaxStack(enough))
+	It("proposes a rejected command again only in the next tick", func() {
+		// The engine rejects the command before Propose returns. Proposing again at once would be endless recursion, which this
+		// limit of the stack stops before the memory is exhausted.
+		const maxStackBytes = 8 << 20
+		defer debug.SetMaxStack(debug.SetMaxStack(maxStackBytes))
 
 		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return timeOfDay }, log.NewNopLogger(), newTaskTimeMetrics())
 		engine, err := replica.Open(replica.Options{
@@ -48,7 +50,7 @@
 		_, due := shard.state.NextDueMs()
 		Expect(due).To(BeTrue())
 
-		shard.Leading(1) // as after a freeze: the owner still takes itself for the leader, the engine knows better
+		shard.Leading(1) // as after a freeze, the shard takes itself for the owner although the engine is not the leader
 		for range 3 {
 			shard.tick()
 			Expect(shard.deadline(0)).To(BeNumerically(">=", 10*time.Millisecond))
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -20,13 +20,13 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Bounds and names of the operator's HTTP interface.
+// Limits and names of the operator's HTTP interface.
 const (
-	maxChangeBytes      = 8 << 20                // the longest body of a change
-	maxOperatorRequests = 16                     // requests served at once, but for readiness
-	operatorTimeout     = 800 * time.Millisecond // a request is answered by then, but for large changes
-	bytesPerExtraMs     = 2 << 10                // a change gets a ms more for each so many bytes
-	bodyReadTimeout     = 10 * time.Second       // the longest that a body may take to arrive
+	maxChangeBytes      = 8 << 20                // maximum length of a change's body
+	maxOperatorRequests = 16                     // reads and changes of the configuration that are served at the same time
+	operatorTimeout     = 800 * time.Millisecond // for a read or a change; large changes get more, see changeTimeout
+	bytesPerExtraMs     = 2 << 10                // a change's timeout is 1 ms longer for each 2 KiB of its body
+	bodyReadTimeout     = 10 * time.Second       // for the complete body of a change to arrive
 	baseVersionHeader   = "Ospreypond-Base-Version"
 	retryAfterSeconds   = "1"
 	contentTypeJSON     = "application/json"
@@ -35,29 +35,30 @@
 	configurationPaths  = "/v1/configuration/"
 )
 
-// OwnerCaller calls the owner of the configuration's shard. Calls may be repeated: a change is applied once. Errors carry
-// a kind of package failure, which says whether the change may have been applied. It is safe for concurrent use.
+// OwnerCaller calls the owner of the configuration's shard. A caller may repeat a change, which is applied only once. Errors
+// have a kind of package failure, which says whether the change may have been applied. An OwnerCaller is safe for concurrent
+// use.
 type OwnerCaller interface {
 	Configure(ctx context.Context, request *protocol.ConfigureRequest) (*protocol.ConfigureResponse, error)
 	ReadConfiguration(ctx context.Context, request *protocol.ReadConfigurationRequest) (*protocol.ReadConfigurationResponse, error)
 }
 
-// Operator is the operator's HTTP interface at the `control` address: readiness, and reading and changing the
-// configuration. Every control process serves it; the owner of the configuration's shard decides. It is safe for
-// concurrent use.
+// Operator is the operator's HTTP interface at the address listen.control of the settings. It serves readiness, and reads
+// and changes of the configuration. Every control process serves it and passes reads and changes to the owner of the
+// configuration's shard. It is safe for concurrent use.
 type Operator struct {
-	// Heartbeats serves /v1/instances/; nil: that is not found. Set before serving.
+	// Heartbeats serves /v1/instances/; with nil, requests for it get status 404. It must be set before serving.
 	Heartbeats http.Handler
 	// Clock measures the timeouts of requests. Set before serving.
 	Clock clockwork.Clock
 
 	caller OwnerCaller
 	logger log.Logger
-	slots  chan struct{} // holds an element for each request that is being served
+	slots  chan struct{} // has an element for each read or change that is being served; its capacity is the limit
 	routes *http.ServeMux
 }
 
-// NewOperator returns a handler without heartbeats, with the real clock.
+// NewOperator returns an Operator with the real clock that serves no heartbeats.
 func NewOperator(caller OwnerCaller, logger log.Logger) *Operator {
 	o := &Operator{
 		Clock:  clockwork.NewRealClock(),
@@ -79,7 +80,7 @@
 	o.routes.ServeHTTP(writer, request)
 }
 
-// instances serves runners' heartbeats, where there is a handler for them.
+// instances passes requests of runners to Heartbeats, if it is set.
 func (o *Operator) instances(writer http.ResponseWriter, request *http.Request) {
 	if o.Heartbeats == nil {
 		http.NotFound(writer, request)
@@ -88,7 +89,7 @@
 	o.Heartbeats.ServeHTTP(writer, request)
 }
 
-// limited rejects requests while maxOperatorRequests are being served.
+// limited returns a handler that calls serve, but rejects requests while maxOperatorRequests are being served.
 func (o *Operator) limited(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		select {
@@ -101,7 +102,7 @@
 	}
 }
 
-// change serves changes of one kind, protocol.ConfigurationReplace or ConfigurationUpdate.
+// change returns the handler of changes of one kind: protocol.ConfigurationReplace or protocol.ConfigurationUpdate.
 func (o *Operator) change(kind string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		call, err := readChange(writer, request, kind)
@@ -121,7 +122,8 @@
 	}
 }
 
-// readChange reads a complete request. What it rejects as invalid is so whatever version is in force.
+// readChange reads a change and checks its syntax. An error of kind failure.Invalid doesn't depend on the current version of
+// the configuration, so the owner needn't be called.
 func readChange(writer http.ResponseWriter, request *http.Request, kind string) (*protocol.ConfigureRequest, error) {
 	body, err := readBody(writer, request)
 	if err != nil {
@@ -129,7 +131,7 @@
 	}
 	base, err := strconv.ParseUint(request.Header.Get(baseVersionHeader), 10, 64)
 	if err != nil {
-		return nil, failure.Newf(failure.Invalid, "%s is not a version", baseVersionHeader)
+		return nil, failure.Newf(failure.Invalid, "header %s is not a version number", baseVersionHeader)
 	}
 	if err := configuration.CheckSyntax(body); err != nil {
 		return nil, err
@@ -137,13 +139,13 @@
 	return &protocol.ConfigureRequest{Kind: protocol.ChangeKind(kind), Base: base, Body: body}, nil
 }
 
-// readBody reads a body of at most maxChangeBytes, within bodyReadTimeout.
+// readBody reads a body of at most maxChangeBytes within bodyReadTimeout.
 func readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if request.ContentLength > maxChangeBytes {
 		return nil, bodyTooLarge()
 	}
 	connection := http.NewResponseController(writer)
-	_ = connection.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not supported by tests' recorders
+	_ = connection.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // the recorders of tests don't support deadlines
 	defer func() { _ = connection.SetReadDeadline(time.Time{}) }()
 	limited := http.MaxBytesReader(writer, request.Body, maxChangeBytes)
 	var body []byte
@@ -154,31 +156,31 @@
 	} else {
 		body, err = io.ReadAll(limited)
 	}
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return nil, bodyTooLarge()
 	}
 	if err != nil {
-		// Not the request's fault but that of a slow or broken link: it may be sent again.
-		return nil, failure.Newf(failure.Unavailable, "the body did not arrive completely: %v", err)
+		// The connection was slow or broken, so the client may repeat the request: the error must not be Invalid.
+		return nil, failure.Newf(failure.Unavailable, "the request body did not arrive completely: %v", err)
 	}
 	return body, nil
 }
 
-// bodyTooLarge returns the error for a body above maxChangeBytes.
+// bodyTooLarge returns the error for a body of more than maxChangeBytes.
 func bodyTooLarge() error {
-	return failure.Newf(failure.TooLarge, "a change may have at most %d bytes", maxChangeBytes)
+	return failure.Newf(failure.TooLarge, "the request body of a change may have at most %d bytes", maxChangeBytes)
 }
 
-// changeTimeout is how long a change of that many bytes may take.
+// changeTimeout returns the timeout of a change with a body of this size.
 func changeTimeout(bytes int) time.Duration { return operatorTimeout + extraTimeForSize(bytes) }
 
-// extraTimeForSize is how much longer a change may take because of its size.
+// extraTimeForSize returns the time that a change with a body of this size may take in addition to that of a small one.
 func extraTimeForSize(bytes int) time.Duration {
 	return time.Duration(bytes/bytesPerExtraMs) * time.Millisecond
 }
 
-// rejectChange logs why a change is not acknowledged, and answers so.
+// rejectChange logs the error for which a change is not acknowledged, and responds with it.
 func (o *Operator) rejectChange(writer http.ResponseWriter, kind string, err error) {
 	_ = level.Info(o.logger).Log("msg", "a change of the configuration is not acknowledged", "kind", kind, "err", err)
 	writeError(writer, err)
@@ -196,7 +198,8 @@
 	writeJSON(writer, http.StatusOK, response.Body)
 }
 
-// readFailure turns an unknown outcome into unavailable: a read that got no response changed nothing, so it may be retried.
+// readFailure converts an unknown outcome into failure.Unavailable: a read changes nothing, so it can be retried even if its
+// outcome is unknown.
 func readFailure(err error) error {
 	if failure.KindOf(err) == failure.UnknownOutcome {
 		return failure.New(failure.Unavailable, err.Error())
@@ -204,21 +207,21 @@
 	return err
 }
 
-// writeError answers with the status of the error's kind.
+// writeError responds with the HTTP status of the error's kind, the error as JSON and, if a retry is useful, Retry-After.
 func writeError(writer http.ResponseWriter, err error) {
 	kind := failure.KindOf(err)
 	advice := answers.To(kind)
 	if advice.Retry {
 		writer.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	body, _ := json.Marshal(map[string]string{"error": kind.String(), "message": err.Error()}) // strings can always be encoded
+	body, _ := json.Marshal(map[string]string{"error": kind.String(), "message": err.Error()}) // encoding strings can't fail
 	writeJSON(writer, advice.Status, body)
 }
 
-// writeJSON answers with a status and a JSON body.
+// writeJSON responds with a status and a JSON body.
 func writeJSON(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Content-Type", contentTypeJSON)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.WriteHeader(status)
-	_, _ = writer.Write(body) // fails if the caller has disconnected
+	_, _ = writer.Write(body) // fails if the client has disconnected
 }
--- a/internal/cluster/control/operator_test.go
+++ b/internal/cluster/control/operator_test.go
@@ -18,18 +18,19 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// fakeOwner is an OwnerCaller that fails with err, if set, and records the changes.
+// fakeOwner is an OwnerCaller that records the changes. Its calls fail with err, if it is set.
 type fakeOwner struct {
-	err      error
-	changes  []*protocol.ConfigureRequest
-	deadline time.Duration // timeout of the last call
-	block    chan struct{} // if set, calls block until it is closed
-	entered  chan struct{} // if set, receives a value for each call
+	err     error
+	changes []*protocol.ConfigureRequest
+	timeout time.Duration // time from the last call to the deadline of its context
+	block   chan struct{} // if set, calls block until it is closed
+	entered chan struct{} // if set, each call sends a value when it starts
 }
 
-func (o *fakeOwner) take(ctx context.Context) error {
+// enter records the timeout of a call, blocks the call if block is set, and returns err.
+func (o *fakeOwner) enter(ctx context.Context) error {
 	if end, ok := ctx.Deadline(); ok {
-		o.deadline = time.Until(end)
+		o.timeout = time.Until(end)
 	}
 	if o.entered != nil {
 		o.entered <- struct{}{}
@@ -44,19 +45,20 @@
 	if o.block == nil {
 		o.changes = append(o.changes, request)
 	}
-	if err := o.take(ctx); err != nil {
+	if err := o.enter(ctx); err != nil {
 		return nil, err
 	}
 	return &protocol.ConfigureResponse{Version: 7}, nil
 }
 
 func (o *fakeOwner) ReadConfiguration(ctx context.Context, _ *protocol.ReadConfigurationRequest) (*protocol.ReadConfigurationResponse, error) {
-	if err := o.take(ctx); err != nil {
+	if err := o.enter(ctx); err != nil {
 		return nil, err
 	}
 	return &protocol.ReadConfigurationResponse{Version: 7, Body: []byte(`{"version":7}`)}, nil
 }
 
+// serveRequest sends a request to a handler. base is the header of the base version; empty: no header.
 func serveRequest(handler http.Handler, method, path, base, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequestWithContext(GinkgoT().Context(), method, path, strings.NewReader(body))
 	if base != "" {
@@ -67,7 +69,7 @@
 	return recorder
 }
 
-var _ = DescribeTable("the operator's requests",
+var _ = DescribeTable("The operator's interface responds with the right status to",
 	func(method, path, base, body string, err error, status int, retry bool, calls int) {
 		owner := &fakeOwner{err: err}
 		response := serveRequest(NewOperator(owner, log.NewNopLogger()), method, path, base, body)
@@ -78,39 +80,39 @@
 			Expect(response.Body.String()).To(ContainSubstring(`"error":`))
 		}
 	},
-	Entry("a replacement applied", "POST", "/v1/configuration/replace", "5", `{"version":7}`, nil, 200, false, 1),
-	Entry("an update applied", "POST", "/v1/configuration/update", "5", `{"version":7}`, nil, 200, false, 1),
-	Entry("the first version", "POST", "/v1/configuration/replace", "0", `{"version":7}`, nil, 200, false, 1),
-	Entry("another version is current", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.Conflict, ""), 412, false, 1),
-	Entry("rejected by the owner as invalid", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.Invalid, ""), 400, false, 1),
-	Entry("no owner reachable", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.Unavailable, ""), 503, true, 1),
-	Entry("not the owner", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.NotLeader, ""), 503, true, 1),
-	Entry("unknown outcome", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.UnknownOutcome, ""), 504, false, 1),
-	Entry("an error without a kind", "POST", "/v1/configuration/update", "5", `{}`, errors.New("?"), 504, false, 1),
-	Entry("deadline exceeded", "POST", "/v1/configuration/update", "5", `{}`, context.DeadlineExceeded, 504, false, 1),
-	Entry("no base version", "POST", "/v1/configuration/replace", "", `{}`, nil, 400, false, 0),
-	Entry("a base version that is not a number", "POST", "/v1/configuration/replace", "five", `{}`, nil, 400, false, 0),
-	Entry("a negative base version", "POST", "/v1/configuration/replace", "-1", `{}`, nil, 400, false, 0),
-	Entry("a truncated body", "POST", "/v1/configuration/replace", "5", `{"version":7`, nil, 400, false, 0),
-	Entry("bytes after the document", "POST", "/v1/configuration/update", "5", `{"version":7}}`, nil, 400, false, 0),
-	Entry("an empty body", "POST", "/v1/configuration/update", "5", ``, nil, 400, false, 0),
-	Entry("a body that is too large", "POST", "/v1/configuration/replace", "5", strings.Repeat(" ", maxChangeBytes+1), nil, 413, false, 0),
+	Entry("a replacement that is applied", "POST", "/v1/configuration/replace", "5", `{"version":7}`, nil, 200, false, 1),
+	Entry("an update that is applied", "POST", "/v1/configuration/update", "5", `{"version":7}`, nil, 200, false, 1),
+	Entry("a change to the first version", "POST", "/v1/configuration/replace", "0", `{"version":7}`, nil, 200, false, 1),
+	Entry("a change of which the owner says that another version is current", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.Conflict, ""), 412, false, 1),
+	Entry("a change that the owner rejects as invalid", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.Invalid, ""), 400, false, 1),
+	Entry("a change for which no owner can be reached", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.Unavailable, ""), 503, true, 1),
+	Entry("a change that was sent to a process that is not the owner", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.NotLeader, ""), 503, true, 1),
+	Entry("a change with an unknown outcome", "POST", "/v1/configuration/replace", "5", `{}`, failure.New(failure.UnknownOutcome, ""), 504, false, 1),
+	Entry("a change that failed with an error without a kind", "POST", "/v1/configuration/update", "5", `{}`, errors.New("?"), 504, false, 1),
+	Entry("a change that exceeded its deadline", "POST", "/v1/configuration/update", "5", `{}`, context.DeadlineExceeded, 504, false, 1),
+	Entry("a change without a base version", "POST", "/v1/configuration/replace", "", `{}`, nil, 400, false, 0),
+	Entry("a change with a base version that is not a number", "POST", "/v1/configuration/replace", "five", `{}`, nil, 400, false, 0),
+	Entry("a change with a negative base version", "POST", "/v1/configuration/replace", "-1", `{}`, nil, 400, false, 0),
+	Entry("a change with a truncated body", "POST", "/v1/configuration/replace", "5", `{"version":7`, nil, 400, false, 0),
+	Entry("a change with bytes after the document", "POST", "/v1/configuration/update", "5", `{"version":7}}`, nil, 400, false, 0),
+	Entry("a change with an empty body", "POST", "/v1/configuration/update", "5", ``, nil, 400, false, 0),
+	Entry("a change with a body that is too large", "POST", "/v1/configuration/replace", "5", strings.Repeat(" ", maxChangeBytes+1), nil, 413, false, 0),
 	Entry("a read", "GET", "/v1/configuration/read", "", "", nil, 200, false, 0),
-	Entry("a read without an owner", "GET", "/v1/configuration/read", "", "", failure.New(failure.Unavailable, ""), 503, true, 0),
-	Entry("a read without a response", "GET", "/v1/configuration/read", "", "", failure.New(failure.UnknownOutcome, ""), 503, true, 0),
-	Entry("readiness", "GET", "/v1/readiness", "", "", nil, 200, false, 0),
-	Entry("another method", "GET", "/v1/configuration/replace", "5", "", nil, 405, false, 0),
-	Entry("another path", "POST", "/v1/configuration/erase", "5", `{}`, nil, 404, false, 0),
-	Entry("the root", "GET", "/", "", "", nil, 404, false, 0),
-	Entry("heartbeats without a handler for them", "POST", "/v1/instances/i-1/heartbeat", "", `{}`, nil, 404, false, 0),
+	Entry("a read for which no owner can be reached", "GET", "/v1/configuration/read", "", "", failure.New(failure.Unavailable, ""), 503, true, 0),
+	Entry("a read with an unknown outcome", "GET", "/v1/configuration/read", "", "", failure.New(failure.UnknownOutcome, ""), 503, true, 0),
+	Entry("a request for the readiness", "GET", "/v1/readiness", "", "", nil, 200, false, 0),
+	Entry("a request with an unsupported method", "GET", "/v1/configuration/replace", "5", "", nil, 405, false, 0),
+	Entry("a request for an unknown path", "POST", "/v1/configuration/erase", "5", `{}`, nil, 404, false, 0),
+	Entry("a request for the root path", "GET", "/", "", "", nil, 404, false, 0),
+	Entry("a heartbeat without a handler of heartbeats", "POST", "/v1/instances/i-1/heartbeat", "", `{}`, nil, 404, false, 0),
 )
 
-// brokenBody ends in the middle, as when the connection is aborted.
+// brokenBody is a body that fails to arrive, as when the connection is aborted.
 type brokenBody struct{}
 
 func (brokenBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-var _ = Describe("the operator's interface", func() {
+var _ = Describe("The operator's interface", func() {
 	It("passes a change to the owner unchanged", func() {
 		owner := &fakeOwner{}
 		body := " {\"version\": 7}\n"
@@ -120,13 +122,13 @@
 		Expect(response.Header().Get("Content-Type")).To(Equal("application/json"))
 	})
 
-	It("returns the configuration as the owner has it", func() {
+	It("returns the configuration as the owner returned it", func() {
 		response := serveRequest(NewOperator(&fakeOwner{}, log.NewNopLogger()), "GET", "/v1/configuration/read", "", "")
 		Expect(response.Body.String()).To(Equal(`{"version":7}`))
 		Expect(response.Header().Get("Content-Type")).To(Equal("application/json"))
 	})
 
-	It("accepts a body of unknown length, unless it is too long", func() {
+	It("accepts a body of unknown length unless it is too large", func() {
 		for status, body := range map[int]string{200: `{"version":7}`, 413: strings.Repeat(" ", maxChangeBytes+1)} {
 			request := httptest.NewRequestWithContext(GinkgoT().Context(), "POST", "/v1/configuration/update", io.MultiReader(strings.NewReader(body)))
 			request.ContentLength = -1
@@ -137,7 +139,7 @@
 		}
 	})
 
-	It("does not report a change as invalid if its body did not arrive", func() {
+	It("asks for a retry, instead of reporting an invalid change, if the body did not arrive", func() {
 		request := httptest.NewRequestWithContext(GinkgoT().Context(), "POST", "/v1/configuration/update", brokenBody{})
 		request.ContentLength = 100
 		request.Header.Set(baseVersionHeader, "5")
@@ -152,11 +154,11 @@
 		owner := &fakeOwner{}
 		operator := NewOperator(owner, log.NewNopLogger())
 		serveRequest(operator, "POST", "/v1/configuration/update", "5", `{"version":7}`)
-		Expect(owner.deadline).To(BeNumerically("~", operatorTimeout, 100*time.Millisecond))
+		Expect(owner.timeout).To(BeNumerically("~", operatorTimeout, 100*time.Millisecond))
 		serveRequest(operator, "POST", "/v1/configuration/update", "5", fmt.Sprintf(`{"version":7,"text":"%04000000d"}`, 1))
-		Expect(owner.deadline).To(BeNumerically(">", operatorTimeout+time.Second))
+		Expect(owner.timeout).To(BeNumerically(">", operatorTimeout+time.Second))
 		serveRequest(operator, "GET", "/v1/configuration/read", "", "")
-		Expect(owner.deadline).To(BeNumerically("~", operatorTimeout, 100*time.Millisecond))
+		Expect(owner.timeout).To(BeNumerically("~", operatorTimeout, 100*time.Millisecond))
 	})
 
 	It("rejects requests at once while too many are being served", func() {
--- a/internal/cluster/control/owners.go
+++ b/internal/cluster/control/owners.go
@@ -6,10 +6,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// ownersUpdateInterval is how often the feed gets the members and owners.
+// ownersUpdateInterval is the minimum time between two updates of the feed's members and owners.
 const ownersUpdateInterval = 40 * time.Millisecond
 
-// updateOwners gives the feed the members and owners as this process knows them, once every ownersUpdateInterval.
+// updateOwners updates the feed with the members of the configuration's group and the owners of the shards, as far as this
+// process knows them. It does nothing if the last update was less than ownersUpdateInterval ago. The caller must own the
+// configuration's shard.
 func (c *Control) updateOwners() {
 	now := c.engine.Now()
 	if c.ownersUpdatedAt > 0 && now-c.ownersUpdatedAt < ownersUpdateInterval {
--- a/internal/cluster/control/peers_test.go
+++ b/internal/cluster/control/peers_test.go
@@ -22,14 +22,14 @@
 
 // fakeReplicas is a peerEngine that runs functions at once and records its peers.
 type fakeReplicas struct {
-	mutex     sync.Mutex
-	knowsAll  bool
-	addresses []string
+	mutex           sync.Mutex // guards addresses
+	knowsAllLeaders bool
+	addresses       []string
 }
 
 func (f *fakeReplicas) Do(work func()) { work() }
 
-func (f *fakeReplicas) KnowsLeaders() bool { return f.knowsAll }
+func (f *fakeReplicas) KnowsLeaders() bool { return f.knowsAllLeaders }
 
 func (f *fakeReplicas) SetPeers(addresses []string) {
 	f.mutex.Lock()
@@ -43,19 +43,19 @@
 	return f.addresses
 }
 
-var _ = Describe("peers", func() {
-	It("are fresh while an owner of every shard is known", func() {
-		engine := &fakeReplicas{knowsAll: true}
+var _ = Describe("The peers of a control process", func() {
+	It("are fresh while the process knows an owner of every shard", func() {
+		engine := &fakeReplicas{knowsAllLeaders: true}
 		Expect(peers{engine: engine}.Fresh(time.Second)).To(BeTrue())
-		engine.knowsAll = false
+		engine.knowsAllLeaders = false
 		Expect(peers{engine: engine}.Fresh(time.Second)).To(BeFalse())
 	})
 
-	It("are replaced by those of the changed settings at SIGHUP", func() {
+	It("are replaced by those of the changed settings file after SIGHUP", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "boot.json")
 		Expect(os.WriteFile(path, []byte(`{"nodeName":"n","role":"r","ip":"10.0.0.9","zone":"z",`+
 			`"internalPorts":[7380,7395],"seeds":["10.0.0.2:8144"]}`), 0o600)).To(Succeed())
-		engine := &fakeReplicas{knowsAll: true}
+		engine := &fakeReplicas{knowsAllLeaders: true}
 		hangups := make(chan os.Signal, 1)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
@@ -67,8 +67,8 @@
 	})
 })
 
-var _ = Describe("a control process", func() {
-	It("survives SIGHUP, whether or not its seeds have changed", func() {
+var _ = Describe("A running control process", func() {
+	It("keeps running after SIGHUP although its seeds have not changed", func() {
 		folder := GinkgoT().TempDir()
 		path := filepath.Join(folder, "boot.json")
 		ip, internal, operator, err := loopbacktest.FreePorts()
--- a/internal/cluster/control/process.go
+++ b/internal/cluster/control/process.go
@@ -22,24 +22,24 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// headerTimeout bounds how long an HTTP client may take to send its request's header.
+// headerTimeout limits the time that an HTTP client may take to send the header of a request.
 const headerTimeout = 5 * time.Second
 
-// process is a Control with its goroutines, sockets and signals.
+// process adds goroutines, sockets and signals to a Control.
 type process struct {
 	*Control
 	settings *boot.Settings
 	server   *transport.Server
 
-	internal net.Listener // for frontends, agents and other control processes
-	operator net.Listener
-	scrapes  net.Listener // for Prometheus; nil: metrics are not served
+	internalListener net.Listener // for frontends, agents and other control processes
+	operatorListener net.Listener // for the operator's HTTP interface
+	metricsListener  net.Listener // for Prometheus; nil: metrics are not served
 
 	goroutines sync.WaitGroup
 }
 
-// Run serves until ctx ends, then leaves the replica groups and returns nil. It returns an error if the process cannot
-// start or if its replicas fail. All goroutines that it started have ended when it returns.
+// Run runs a control process until ctx ends, then leaves the replica groups and returns nil. It returns an error if the
+// process can't start or if the replica engine fails. When it returns, all goroutines that it started have ended.
 func Run(ctx context.Context, settings *boot.Settings, logger log.Logger) error {
 	hangups := seeds.Hangups()
 	client := transport.NewClient(transport.ClientOptions{Logger: logger})
@@ -50,7 +50,8 @@
 	}
 	p := &process{Control: c, settings: settings, server: transport.NewServer(transport.ServerOptions{Logger: logger})}
 	c.register(p.server)
-	// Decommissioning starts when ctx has ended, and needs all that is served.
+	// Decommissioning starts when ctx has ended and needs the connections to the other processes, so serving continues
+	// without ctx.
 	serving := context.WithoutCancel(ctx)
 	if err := p.listen(serving); err != nil {
 		return err
@@ -58,6 +59,7 @@
 	return p.serve(ctx, serving, hangups)
 }
 
+// optionsOf returns the options of a Control with these settings, the real clock and the real file system.
 func optionsOf(settings *boot.Settings, client *transport.Client, logger log.Logger) Options {
 	options := Options{
 		Self:       consensus.Member{Node: settings.NodeName, Zone: settings.Zone, Address: settings.InternalAddress()},
@@ -78,30 +80,31 @@
 	return options
 }
 
-// listen opens the sockets, all or none.
+// listen opens all listeners. If one can't be opened, it closes the others.
 func (p *process) listen(ctx context.Context) error {
 	var config net.ListenConfig
 	var err error
-	if p.internal, err = config.Listen(ctx, "tcp", p.settings.InternalAddress()); err != nil {
-		return errors.Wrap(err, "listening for the other processes")
+	if p.internalListener, err = config.Listen(ctx, "tcp", p.settings.InternalAddress()); err != nil {
+		return errors.Wrap(err, "listening on the internal address")
 	}
-	if p.operator, err = config.Listen(ctx, "tcp", p.settings.Listen[boot.ListenControl]); err != nil {
-		_ = p.internal.Close()
-		return errors.Wrap(err, "listening for the operator")
+	if p.operatorListener, err = config.Listen(ctx, "tcp", p.settings.Listen[boot.ListenControl]); err != nil {
+		_ = p.internalListener.Close()
+		return errors.Wrap(err, "listening on the address of the operator's interface")
 	}
 	if p.settings.MetricsPort <= 0 {
 		return nil
 	}
 	address := net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.MetricsPort))
-	if p.scrapes, err = config.Listen(ctx, "tcp", address); err != nil {
-		_ = p.internal.Close()
-		_ = p.operator.Close()
-		return errors.Wrap(err, "listening for scrapes of metrics")
+	if p.metricsListener, err = config.Listen(ctx, "tcp", address); err != nil {
+		_ = p.internalListener.Close()
+		_ = p.operatorListener.Close()
+		return errors.Wrap(err, "listening on the address of the metrics")
 	}
 	return nil
 }
 
-// serve starts everything, waits until ctx ends or the replicas fail, and stops everything again. serving outlives ctx.
+// serve starts all goroutines, waits until ctx ends or the engine fails, and stops them again. When ctx ends, it first
+// leaves the replica groups; serving, which outlives ctx, keeps everything running until then.
 func (p *process) serve(ctx, serving context.Context, hangups <-chan os.Signal) error {
 	serving, stop := context.WithCancel(serving)
 	defer p.server.Close()
@@ -110,43 +113,43 @@
 
 	engineEnded := make(chan error, 1)
 	p.goroutines.Go(func() { engineEnded <- p.engine.Run(serving) })
-	p.goroutines.Go(func() { _ = p.server.Serve(serving, p.internal) }) // fails only if accepting connections does
+	p.goroutines.Go(func() { _ = p.server.Serve(serving, p.internalListener) }) // an error means that the listener failed
 	p.goroutines.Go(func() { p.follower(serving).Run(serving, hangups) })
-	if p.scrapes != nil {
-		defer p.serveHTTP(p.scrapes, p.metrics)()
+	if p.metricsListener != nil {
+		defer p.serveHTTP(p.metricsListener, p.metrics)()
 	}
-	defer p.serveHTTP(p.operator, p.Operator())()
+	defer p.serveHTTP(p.operatorListener, p.Operator())()
 	p.Start()
 	_ = level.Info(p.logger).Log("msg", "control is up", "node", p.settings.NodeName, "address", p.address)
 
 	select {
 	case err := <-engineEnded:
-		return errors.Wrap(err, "the replicas ended")
+		return errors.Wrap(err, "the replica engine ended")
 	case <-ctx.Done():
 	}
-	left := make(chan struct{})
-	p.Decommission(func() { close(left) })
-	<-left
+	decommissioned := make(chan struct{})
+	p.Decommission(func() { close(decommissioned) })
+	<-decommissioned
 	return nil
 }
 
-// serveHTTP serves until the function that it returns is called.
+// serveHTTP serves HTTP requests on the listener until stop is called.
 func (p *process) serveHTTP(listener net.Listener, handler http.Handler) (stop func()) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	p.goroutines.Go(func() { _ = server.Serve(listener) }) // it always returns an error, also after Close
+	p.goroutines.Go(func() { _ = server.Serve(listener) }) // Serve always returns an error, also after Close
 	return func() { _ = server.Close() }
 }
 
-// follower updates the peers when the settings file changes, until serving ends.
+// follower returns a follower of the settings file that updates the peers when the seeds in the file have changed.
 func (p *process) follower(serving context.Context) *seeds.Follower {
 	return seeds.NewFollower(seeds.Options{Path: os.Getenv(boot.Variable), Seeds: p.settings.SeedInternalAddresses(),
 		Directory: peers{engine: p.engine, stopped: serving.Done()}, Logger: p.logger})
 }
 
-// sender sends envelopes of the replicas over the network.
+// sender is the replica.Sender that uses the network.
 type sender struct{ client *transport.Client }
 
-// Send sends one envelope; it may be lost.
+// Send sends one envelope, which may be lost.
 func (s *sender) Send(address string, envelope *replica.Envelope) {
 	transport.Send(s.client, address, envelope)
 }
--- a/internal/cluster/control/relay_table.go
+++ b/internal/cluster/control/relay_table.go
@@ -10,50 +10,53 @@
 )
 
 const (
-	// relayTTL is how long a relay is offered after its newest watch. Agents watch at least every ten seconds.
+	// relayTTL is the time after its newest watch for which a relay is offered. It must be longer than the time between two
+	// watches of an agent, which is at most ten seconds.
 	relayTTL = 15 * time.Second
-	// maxRelaysSameZone and maxRelaysOtherZones bound the relays that one response offers.
+	// maxRelaysSameZone and maxRelaysOtherZones limit the relays that one response offers, by their zone.
 	maxRelaysSameZone   = 2
 	maxRelaysOtherZones = 2
 )
 
-// relayTable holds the processes that offer to relay calls for others. They say so in their watches, so the table is not
-// replicated: a new owner of the configuration learns of them within the time of one watch.
+// relayTable has the processes that offer to relay calls for others. The table is not replicated: each watch of a relay
+// repeats the offer, so a new owner of the configuration knows all relays after the time of one watch.
 type relayTable struct {
 	relays map[string]relayRecord // by address
 }
 
+// relayRecord is one relay and the time of its newest watch.
 type relayRecord struct {
 	protocol.Relay
-	lastContact time.Duration
+	lastContact time.Duration // engine's time
 }
 
 func newRelayTable() relayTable { return relayTable{relays: map[string]relayRecord{}} }
 
-// record adds or refreshes the relay that a watch offers, if it offers one.
+// record adds the relay that a watch offers, if it offers one, or updates its last contact.
 func (t *relayTable) record(now time.Duration, request *protocol.WatchRequest) {
 	if request.Relay != "" {
 		t.relays[request.Relay] = relayRecord{protocol.Relay{Address: request.Relay, Zone: request.Zone}, now}
 	}
 }
 
-// pick returns relays for a caller, those of its own zone first, and never the caller itself. Rendezvous hashing of node
-// and address spreads the callers over the relays. It also forgets relays that have been unresponsive for relayTTL.
+// pick returns relays for a caller: first some of the caller's zone, then some of other zones, and never the caller itself.
+// Within a zone, rendezvous hashing of the caller's node and the relay's address spreads the callers over the relays and
+// keeps the choice stable. It also deletes relays whose last contact is more than relayTTL ago.
 func (t *relayTable) pick(now time.Duration, request *protocol.WatchRequest) []protocol.Relay {
 	type ranked struct {
 		relay protocol.Relay
 		rank  uint64
 	}
-	var near, far []ranked
+	var sameZone, otherZones []ranked
 	for address, known := range t.relays {
 		switch {
 		case now-known.lastContact > relayTTL:
 			delete(t.relays, address)
 		case address == request.Relay:
 		case known.Zone == request.Zone:
-			near = append(near, ranked{known.Relay, rankOf(request.Node, address)})
+			sameZone = append(sameZone, ranked{known.Relay, rankOf(request.Node, address)})
 		default:
-			far = append(far, ranked{known.Relay, rankOf(request.Node, address)})
+			otherZones = append(otherZones, ranked{known.Relay, rankOf(request.Node, address)})
 		}
 	}
 	var picked []protocol.Relay
@@ -63,12 +66,12 @@
 			picked = append(picked, each.relay)
 		}
 	}
-	take(near, maxRelaysSameZone)
-	take(far, maxRelaysOtherZones)
+	take(sameZone, maxRelaysSameZone)
+	take(otherZones, maxRelaysOtherZones)
 	return picked
 }
 
-// rankOf is the hash by which pick orders relays for one caller.
+// rankOf returns the hash of a caller's node and a relay's address by which pick orders the relays.
 func rankOf(node, address string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node))
--- a/internal/cluster/control/snapshot_sessions.go
+++ b/internal/cluster/control/snapshot_sessions.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	snapshotChunkBytes  = 256 << 10
-	maxSnapshotSessions = 8                // at a time
-	snapshotReadTimeout = 15 * time.Second // for the next chunk to be requested
+	snapshotChunkBytes  = 256 << 10        // maximum data of one response
+	maxSnapshotSessions = 8                // sessions at the same time; each keeps a complete encoded state in memory
+	snapshotReadTimeout = 15 * time.Second // a session ends if no chunk of it was requested for this long
 )
 
-// snapshotSession is a shard's encoded state as of one index, while an operator reads it in chunks.
+// snapshotSession is a shard's encoded state as of one index of its log, while an operator reads it in chunks.
 type snapshotSession struct {
 	shard       protocol.ShardID
-	index, term uint64
+	index, term uint64 // index of the last applied entry, and the leader's term when the session was opened
 	data        []byte
-	lastReadAt  time.Duration
+	lastReadAt  time.Duration // engine's time of the newest request for a chunk
 }
 
-// snapshot answers with a chunk of a shard's state. A request without a session starts one; that reads only what a quorum
-// has confirmed, so a process that has been superseded serves no backup.
+// snapshot replies with a chunk of a shard's state. A request without a session opens one, after a quorum has confirmed the
+// leadership, so that a process that has lost the leadership without noticing can't serve an outdated backup.
 func (a *administrator) snapshot(_ string, request *administration.SnapshotRequest, reply func(*administration.SnapshotResponse, error)) {
 	engine := a.control.engine
 	engine.Do(func() {
@@ -41,7 +41,7 @@
 	})
 }
 
-// openSnapshot starts a session and returns its first chunk.
+// openSnapshot opens a session and returns its first chunk.
 func (a *administrator) openSnapshot(shard protocol.ShardID) (*administration.SnapshotResponse, error) {
 	if len(a.sessions) >= maxSnapshotSessions {
 		return nil, failure.New(failure.Overloaded, "too many snapshots are being read")
@@ -60,7 +60,7 @@
 	return a.readChunk(&administration.SnapshotRequest{Shard: shard, Session: session})
 }
 
-// readChunk answers with the chunk at the request's offset. The session ends with its last chunk.
+// readChunk returns the chunk at the request's offset. The session ends with its last chunk.
 func (a *administrator) readChunk(request *administration.SnapshotRequest) (*administration.SnapshotResponse, error) {
 	session := a.sessions[request.Session]
 	if session == nil || session.shard != request.Shard || request.Offset < 0 || request.Offset > len(session.data) {
@@ -80,12 +80,13 @@
 	}, nil
 }
 
-// scheduleExpiry has expireSnapshots run after snapshotReadTimeout. One timer runs while there are sessions.
+// scheduleExpiry schedules expireSnapshots after snapshotReadTimeout. One timer runs while there are sessions, so a session
+// may end up to twice that time after its last chunk was requested.
 func (a *administrator) scheduleExpiry() {
 	a.control.clock.AfterFunc(snapshotReadTimeout, func() { a.control.engine.Do(a.expireSnapshots) })
 }
 
-// expireSnapshots ends the sessions whose next chunk was not requested in time.
+// expireSnapshots ends the sessions of which no chunk was requested for snapshotReadTimeout.
 func (a *administrator) expireSnapshots() {
 	now := a.control.engine.Now()
 	for number, session := range a.sessions {
--- a/internal/cluster/control/sole_member_test.go
+++ b/internal/cluster/control/sole_member_test.go
@@ -20,12 +20,13 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// soleMember is a control process that is the only member of the configuration's group, and its leader.
+// soleMember is a control process without shards of jobs that is the only member of the configuration's group and leads it.
 type soleMember struct {
 	control *Control
 	engine  *replica.Engine
 }
 
+// newSoleMember starts the process and waits until it is the leader.
 func newSoleMember() *soleMember {
 	GinkgoHelper()
 	const address = "127.0.0.1:1"
@@ -61,7 +62,7 @@
 	return <-leading
 }
 
-// freeze blocks the loop until thaw is called.
+// freeze blocks the engine's loop until thaw is called.
 func (m *soleMember) freeze() (thaw func()) {
 	frozen, thawed := make(chan struct{}), make(chan struct{})
 	m.engine.Do(func() {
@@ -72,13 +73,14 @@
 	return func() { close(thawed) }
 }
 
+// replaceRequest returns the change of an empty configuration to one with this version, from 1 to 9.
 func replaceRequest(version uint64) *protocol.ConfigureRequest {
 	body := []byte(`{"version":` + string(rune('0'+version)) + `,"routes":[],"services":[]}`)
 	return &protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Base: 0, Body: body}
 }
 
-var _ = Describe("a change sent to a process whose loop is frozen", func() {
-	It("has an unknown outcome, and is not started after its caller has left", func() {
+var _ = Describe("A change that is sent to a process while its loop is frozen", func() {
+	It("has an unknown outcome, and is not applied after its caller has given up", func() {
 		m := newSoleMember()
 		caller := &ownerCaller{m.control}
 		thaw := m.freeze()
@@ -92,13 +94,13 @@
 		Expect(failure.KindOf(<-outcome)).To(Equal(failure.UnknownOutcome))
 		thaw()
 		response, err := caller.Configure(context.Background(), replaceRequest(5))
-		Expect(err).NotTo(HaveOccurred(), "nothing was applied on version 0 before")
+		Expect(err).NotTo(HaveOccurred(), "the first change must not have been applied to version 0")
 		Expect(response.Version).To(Equal(uint64(5)))
 	})
 })
 
-var _ = Describe("an owner of the configuration", func() {
-	It("does not name itself as the leader", func() {
+var _ = Describe("The owner of the configuration", func() {
+	It("does not name itself as the leader to which callers should go", func() {
 		m := newSoleMember()
 		named := make(chan string, 1)
 		m.engine.Do(func() { named <- m.control.configuration.leader() })
@@ -106,10 +108,10 @@
 	})
 })
 
-var _ = Describe("the largest change", func() {
-	It("fits in every message between processes that carries it", func() {
-		order := bytes.Repeat([]byte{' '}, maxChangeBytes)
-		entry, err := configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: order})
+var _ = Describe("A change of the maximum size", func() {
+	It("fits in every message that carries it between processes", func() {
+		document := bytes.Repeat([]byte{' '}, maxChangeBytes)
+		entry, err := configuration.EncodeCommand(configuration.Command{Kind: protocol.ConfigurationReplace, Body: document})
 		Expect(err).NotTo(HaveOccurred())
 		envelopes := make(chan *replica.Envelope, 1)
 		server := transport.NewServer(transport.ServerOptions{})
@@ -118,10 +120,10 @@
 			reply(&protocol.ConfigureResponse{Version: uint64(len(r.Body))}, nil)
 		})
 		transport.HandleAsync(server, func(_ string, _ *protocol.ReadConfigurationRequest, reply func(*protocol.ReadConfigurationResponse, error)) {
-			reply(&protocol.ReadConfigurationResponse{Body: order}, nil)
+			reply(&protocol.ReadConfigurationResponse{Body: document}, nil)
 		})
 		transport.HandleAsync(server, func(_ string, _ *protocol.WatchRequest, reply func(*protocol.WatchResponse, error)) {
-			reply(&protocol.WatchResponse{Configuration: order}, nil)
+			reply(&protocol.WatchResponse{Configuration: document}, nil)
 		})
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -138,7 +140,7 @@
 		defer cancel()
 
 		configured, err := transport.Call[protocol.ConfigureRequest, protocol.ConfigureResponse](ctx, client, address,
-			&protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Body: order})
+			&protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Body: document})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(configured.Version).To(Equal(uint64(maxChangeBytes)))
 		read, err := transport.Call[protocol.ReadConfigurationRequest, protocol.ReadConfigurationResponse](ctx, client, address,
--- a/internal/cluster/control/suite_test.go
+++ b/internal/cluster/control/suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// suite is the test that bubbles are made in.
+// suite is the test in which specs start the bubbles of package synctest, which needs a *testing.T.
 var suite *testing.T
 
 func TestControl(t *testing.T) {
--- a/internal/cluster/control/task_times.go
+++ b/internal/cluster/control/task_times.go
@@ -10,30 +10,31 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-// reportInterval is the time between two log lines about where the time of a queue's tasks went.
+// reportInterval is the time between two log lines about the time of a queue's tasks.
 const reportInterval = 5 * time.Second
 
-// taskTimeReporter writes to the log, and adds to the metrics, where the time of tasks and of late jobs went. An owner's
-// sums start at zero with its leadership, so the reporter logs differences. It is used on the engine's loop alone.
+// taskTimeReporter reports the time of tasks and of late jobs by wait reason, in the log and in the metrics. The owner has
+// sums since its election, so the reporter reports their increase since the previous report. Only the engine's loop uses it.
 type taskTimeReporter struct {
 	logger     log.Logger
 	metrics    *taskTimeMetrics
-	reportedAt time.Duration
-	reported   map[string]latency.QueueSummary // by queue key, as of the newest line
+	reportedAt time.Duration                   // engine's time of the newest report of the queues
+	reported   map[string]latency.QueueSummary // by queue key: the owner's sums when the queue was last reported
 }
 
 func newTaskTimeReporter(logger log.Logger, metrics *taskTimeMetrics) taskTimeReporter {
 	return taskTimeReporter{logger: logger, metrics: metrics, reported: map[string]latency.QueueSummary{}}
 }
 
-// restart forgets what was reported of an earlier leadership.
+// restart clears the sums of an earlier leadership. It must be called when a leadership starts, since the owner's sums start
+// at zero then.
 func (r *taskTimeReporter) restart(now time.Duration) {
 	r.reportedAt = now
 	clear(r.reported)
 }
 
-// report writes a line for each job that ended after its latency target and, once every reportInterval, one for each
-// queue whose tasks have spent time since.
+// report writes a log line for each job that took longer than its objective. Once every reportInterval it also reports the
+// queues.
 func (r *taskTimeReporter) report(now time.Duration, owner *scheduler.Owner) {
 	for _, job := range owner.TakeLate() {
 		_ = r.withTimes(&job.Times).Log("msg", "job late", "job", job.ID, "queue", job.Queue, "state", job.State,
@@ -45,8 +46,8 @@
 	}
 }
 
-// reportQueues writes what was added since the previous report. It is also called when a leadership ends, because the
-// owner's sums end with it.
+// reportQueues writes a log line for each queue whose tasks have spent time since the previous report, and adds the time to
+// the metrics. It must also be called when a leadership ends, because the owner's sums are dropped then.
 func (r *taskTimeReporter) reportQueues(owner *scheduler.Owner) {
 	for key, queue := range owner.Queues() {
 		since := *queue
@@ -62,7 +63,7 @@
 	}
 }
 
-// withTimes returns a logger whose lines end with the wait reasons that took at least a millisecond, in ms.
+// withTimes returns a logger whose lines end with the time of each wait reason in ms, without those below 1 ms.
 func (r *taskTimeReporter) withTimes(times *latency.Times) log.Logger {
 	var fields []any
 	for reason, span := range times {
--- a/internal/cluster/control/task_times_test.go
+++ b/internal/cluster/control/task_times_test.go
@@ -14,14 +14,15 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-var _ = Describe("the time of tasks", func() {
-	It("is written to the log and the metrics, by queue and wait reason", func() {
+var _ = Describe("The time of tasks", func() {
+	It("is written to the log and to the metrics by queue and wait reason", func() {
 		written := &bytes.Buffer{}
 		counters := newTaskTimeMetrics()
 		reporter := newTaskTimeReporter(log.NewLogfmtLogger(written), counters)
 		state := jobs.New(jobs.Options{})
 		owner := scheduler.New(scheduler.Options{}, state)
 		now := time.Second
+		// step applies the owner's commands at once and sends the replies that are due.
 		step := func() {
 			owner.Tick(now, now.Milliseconds(), now)
 			for command := owner.NextCommand(now); command != nil; command = owner.NextCommand(now) {
@@ -29,6 +30,7 @@
 			}
 			owner.Flush(now)
 		}
+		// heartbeat sends a heartbeat of the runner and advances the time by 300 ms.
 		heartbeat := func(sequence uint64, active []protocol.ActiveRun, finished ...protocol.FinishedRun) {
 			owner.Heartbeat(now, &protocol.Heartbeat{Instance: "i", Service: "s", Address: "a:1", State: protocol.RunnerReady, Sequence: sequence,
 				Capacity: protocol.Resources{CPU: 1000, MemoryMB: 1000}, Active: active, Finished: finished}, func(*protocol.Orders, error) {})
@@ -68,7 +70,7 @@
 		Expect(response.Body.String()).To(ContainSubstring(`ospreypond_jobs_ended_total{queue="h/q/"} 2`), "each job counts once")
 	})
 
-	It("is reported once more when the ownership ends", func() {
+	It("is reported to the metrics when the ownership ends", func() {
 		counters := newTaskTimeMetrics()
 		shard := newJobShard(1, scheduler.Options{}, jobs.Options{}, func() int64 { return 1000 }, log.NewNopLogger(), counters)
 		now := time.Second
--- a/internal/cluster/control/trio_test.go
+++ b/internal/cluster/control/test_cluster_test.go
@@ -20,20 +20,21 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// trio is three control processes in a bubble of virtual time. They share nothing but their links.
-type trio struct {
-	mutex    sync.Mutex
+// testCluster is a cluster of three control processes in a bubble of package synctest, whose time is virtual. The processes
+// exchange only messages.
+type testCluster struct {
+	mutex    sync.Mutex // guards target and fault, and the start of the processes
 	controls []*Control
 	target   *Control // the process with the fault
 	fault    fault
 }
 
-// fault is what happens to one of three control processes.
+// fault is a fault of one of the processes.
 type fault struct {
-	frozen       bool // until it gets the requests
-	outboundLost bool // everything it sends is lost
-	inboundLost  bool // everything sent to it is lost
-	follower     bool // the process is not the owner of the shard
+	frozen       bool // the engine's loop is blocked until thaw is called; see inject
+	outboundLost bool // all messages from the process are lost
+	inboundLost  bool // all messages to the process are lost
+	follower     bool // the process is a follower of the shard's group, not the owner
 }
 
 var (
@@ -42,22 +43,22 @@
 	partitionedOnly      = fault{outboundLost: true, inboundLost: true}
 )
 
-// links sends what one process sends: it is its Sender and Remote.
+// links is the Sender and the Remote of one process.
 type links struct {
-	trio    *trio
-	address string
+	cluster *testCluster
+	address string // of the process
 }
 
-const linkDelay = 1500 * time.Microsecond
+const linkDelay = 1500 * time.Microsecond // from the sending of an envelope to its receipt
 
-// Send encodes the envelope, so that processes share no memory.
+// Send sends an envelope. It encodes and decodes it, so that processes share no memory.
 func (w links) Send(address string, envelope *replica.Envelope) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(envelope); err != nil {
 		panic(err)
 	}
 	time.AfterFunc(linkDelay, func() {
-		to := w.trio.reached(w.address, address)
+		to := w.cluster.destination(w.address, address)
 		if to == nil {
 			return
 		}
@@ -69,9 +70,9 @@
 	})
 }
 
-// Do calls another process. During a partition there is no response.
+// Do calls another process. While the destination can't be reached, the call waits until ctx ends.
 func (w links) Do(ctx context.Context, address string, request, response any) error {
-	to := w.trio.reached(w.address, address)
+	to := w.cluster.destination(w.address, address)
 	if to == nil {
 		<-ctx.Done()
 		return failure.New(failure.UnknownOutcome, "no answer")
@@ -88,8 +89,8 @@
 	}
 }
 
-// reached returns the process at an address, or nil if the link to it is partitioned.
-func (t *trio) reached(from, address string) *Control {
+// destination returns the process at an address, or nil if the fault loses messages to it from the process at from.
+func (t *testCluster) destination(from, address string) *Control {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, c := range t.controls {
@@ -104,32 +105,32 @@
 	return nil
 }
 
-// partitioned reports whether what a process sends to another is lost.
-func (t *trio) partitioned(from string, to *Control) bool {
+// partitioned reports whether the fault loses the messages from one process to another.
+func (t *testCluster) partitioned(from string, to *Control) bool {
 	if t.target == nil || from == to.address {
 		return false
 	}
 	return t.fault.outboundLost && t.target.address == from || t.fault.inboundLost && t.target == to
 }
 
-// inject starts a fault at the owner of a shard, or at a follower. thaw ends the freeze.
-func (t *trio) inject(shard protocol.ShardID, what fault) (thaw func()) {
+// inject starts a fault of the owner of a shard or of a follower of its group. thaw ends the freeze.
+func (t *testCluster) inject(shard protocol.ShardID, injected fault) (thaw func()) {
 	faulty := t.owner(shard)
-	if what.follower {
+	if injected.follower {
 		faulty = t.controls[(slices.Index(t.controls, faulty)+1)%len(t.controls)]
 	}
 	t.mutex.Lock()
-	t.target, t.fault = faulty, what
+	t.target, t.fault = faulty, injected
 	t.mutex.Unlock()
 	thawed := make(chan struct{})
-	if what.frozen {
+	if injected.frozen {
 		faulty.engine.Do(func() { <-thawed })
 	}
 	return func() { close(thawed) }
 }
 
-// start starts the three processes; stop ends them.
-func (t *trio) start() (stop func()) {
+// start starts the three processes. stop ends them and waits until they have ended.
+func (t *testCluster) start() (stop func()) {
 	addresses := []string{"a", "b", "c"}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -162,7 +163,7 @@
 }
 
 // owner waits for an owner of a shard among the processes without a fault.
-func (t *trio) owner(shard protocol.ShardID) *Control {
+func (t *testCluster) owner(shard protocol.ShardID) *Control {
 	for {
 		for _, c := range t.controls {
 			if c != t.target && onLoop(c, func() bool { return c.owns(shard) }) {
@@ -173,6 +174,7 @@
 	}
 }
 
+// owns reports whether the process takes itself for the owner of a shard. It must run on the engine's loop.
 func (c *Control) owns(shard protocol.ShardID) bool {
 	if shard == protocol.ConfigurationShard {
 		return c.configuration.leading
@@ -180,19 +182,21 @@
 	return c.shards[shard].owner.IsLeader()
 }
 
+// onLoop runs f on a process's loop and returns its result.
 func onLoop[T any](c *Control, f func() T) T {
 	result := make(chan T, 1)
 	c.engine.Do(func() { result <- f() })
 	return <-result
 }
 
-// outcome is the result of a request.
+// outcome is the reply to a request.
 type outcome struct {
 	response any
 	err      error
-	took     time.Duration
+	took     time.Duration // from the request to the reply
 }
 
+// handle sends a request to a process and returns the channel that receives the reply.
 func handle(c *Control, request any) <-chan outcome {
 	answers := make(chan outcome, 1)
 	sentAt := time.Now()
@@ -202,8 +206,8 @@
 	return answers
 }
 
-// must sends a request to the owner of a shard until it succeeds.
-func (t *trio) must(shard protocol.ShardID, request any) {
+// mustSucceed sends a request to the owner of a shard until it succeeds. It panics after 100 failures.
+func (t *testCluster) mustSucceed(shard protocol.ShardID, request any) {
 	for attempts := 0; ; attempts++ {
 		answered := <-handle(t.owner(shard), request)
 		if answered.err == nil {
@@ -216,8 +220,8 @@
 	}
 }
 
-// heal ends the fault, but for a freeze.
-func (t *trio) heal() {
+// heal ends the loss of messages. It doesn't end a freeze.
+func (t *testCluster) heal() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.fault = fault{}
--- a/internal/cluster/control/ticker.go
+++ b/internal/cluster/control/ticker.go
@@ -7,6 +7,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
+// Bounds of the time from the end of a tick to the start of the next one.
 const (
 	minTickInterval = 5 * time.Millisecond
 	maxTickInterval = 250 * time.Millisecond
@@ -15,21 +16,22 @@
 // ticker calls tick on the engine's loop when it is due.
 type ticker struct {
 	clock clockwork.Clock
-	do    func(f func())       // runs f on the loop
-	tick  func() time.Duration // returns the time until it is due again
+	do    func(f func())       // runs f on the engine's loop
+	tick  func() time.Duration // returns the time after which it must be called again
 
-	mutex sync.Mutex // guards what follows
+	mutex sync.Mutex // guards the fields below
 	timer clockwork.Timer
-	dueAt time.Time // when timer fires; zero while a tick runs
+	dueAt time.Time // when timer fires; zero from then until the tick has returned
 }
 
 func newTicker(clock clockwork.Clock, do func(f func()), tick func() time.Duration) *ticker {
 	return &ticker{clock: clock, do: do, tick: tick}
 }
 
-// wake has the next tick run after minTickInterval. Any goroutine may call it.
+// wake schedules a tick in minTickInterval, unless one is due before. Any goroutine may call it.
 func (t *ticker) wake() { t.schedule(minTickInterval) }
 
+// schedule schedules a tick after wait, unless one is due before.
 func (t *ticker) schedule(wait time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -46,6 +48,7 @@
 	t.timer.Reset(wait)
 }
 
+// fire runs a tick on the engine's loop and schedules the next one.
 func (t *ticker) fire() {
 	t.mutex.Lock()
 	t.dueAt = time.Time{}
