--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -155,12 +155,12 @@
 func (c *Control) schedulerOptions() scheduler.Options {
 	bounds := c.options.Bounds
 	return scheduler.Options{
-		MaxLease:  bounds.MaxLease,
-		StopTime:  bounds.Stop,
-		GangWait:  bounds.Gang,
-		Restore:   bounds.Restore,
-		FarFactor: bounds.Far,
-		ServiceOf: c.configuration.serviceOf,
+		MaxLease:       bounds.MaxLease,
+		StopTime:       bounds.Stop,
+		GangWait:       bounds.Gang,
+		RestoreTime:    bounds.Restore,
+		NonLocalFactor: bounds.Far,
+		ServiceOf:      c.configuration.serviceOf,
 	}
 }
 
--- a/internal/cluster/placement/bench_test.go
+++ b/internal/cluster/placement/bench_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// busyFleet returns a fleet that is about half full, and pending tasks of all kinds.
+// busyFleet returns runners of which about half the capacity is used, and pending tasks of all sorts.
 func busyFleet(taskCount, runnerCount int) ([]Task, []Runner) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	runners := make([]Runner, runnerCount)
--- a/internal/cluster/placement/candidate.go
+++ b/internal/cluster/placement/candidate.go
@@ -3,37 +3,37 @@
 import "cmp"
 
 const (
-	rescueAfter        = 1.5 // seconds after which a task of a step that has nothing running goes wherever there is capacity
-	runtimeRankWeight  = 0.5 // how much a second of runtime counts in the rank beside a second of time left
-	maxLongRunningRank = 1.0 // seconds of time left that a long-running task ranks with, at most
+	minStarvingWait    = 1.5 // seconds that a task has waited when its step counts as starving; see candidate.starving
+	runtimeRankWeight  = 0.5 // weight of a second of runtime, or of waiting, in the rank; a second of time left weighs 1
+	maxLongRunningRank = 1.0 // largest rank of a long-running task, in seconds
 )
 
-// candidate is a task in the present round.
+// candidate is a task in the current round.
 type candidate struct {
 	task     *Task
-	index    int     // in the planner's tasks
-	timeLeft float64 // seconds
-	lateness lateness
-	rescue   bool    // its step has nothing running, and should have by now
-	rank     float64 // seconds; lower ones go first
-	order    int     // the index of the first task of its gang, so that members stay together, or its own
-	large    bool    // it needs so much of a runner that capacity is reserved for it as for a gang
-	attempts int     // matchings that it took part in
-	placed   bool
+	index    int      // index into the planner's tasks
+	timeLeft float64  // Task.TimeLeft in seconds
+	lateness lateness // deadline that the task can still meet
+	starving bool     // it has waited for minStarvingWait, its step has no running task, and the service is mostly free
+	rank     float64  // order among tasks of the same priority and lateness, in seconds; lower ranks are placed first
+	order    int      // index of the first task of its gang, or its own index; keeps members adjacent
+	large    bool     // it needs so much of any runner that capacity is reserved for it as for a gang
+	attempts int      // number of matchings in which it took part; maxAttempts: it takes part in no other
+	placed   bool     // the round has placed it
 
-	reliableAlternative tristate // see Planner.hasReliableAlternative
+	reliableAlternative tristate // result of Planner.hasReliableAlternative
 }
 
-// lateness is what a task that starts now can still earn, by whether its job's objective can be met.
+// lateness says which of its job's two deadlines a task can meet if it starts now.
 type lateness uint8
 
 const (
-	onTime    lateness = iota // it can meet its objective
-	late                      // it can still earn the value of a late job
-	worthless                 // neither
+	onTime  lateness = iota // the job can meet its objective
+	late                    // the job can end before its expiry, when its value drops to zero
+	expired                 // the job can't end before its expiry
 )
 
-// tristate is a bool that is found out when it is first needed.
+// tristate is a boolean that is computed when it is first needed.
 type tristate uint8
 
 const (
@@ -42,7 +42,8 @@
 	yes
 )
 
-// orderingWork returns the work by which what is on time is ordered; 0 for all else.
+// orderingWork returns the remaining work of the job, in core-seconds, by which tasks that can be on time are ordered. It
+// is 0 for all other tasks, which are ordered by rank.
 func (c *candidate) orderingWork() float64 {
 	if c.lateness == onTime {
 		return c.task.RemainingWork
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// reservationKey is what capacity is reserved under for the task: the key of its gang, or its own.
+// reservationKey returns the key of the task's reservations: its gang, or the task itself.
 func (c *candidate) reservationKey() any {
 	if c.task.Gang {
 		return c.task.Group
@@ -58,7 +59,15 @@
 	return c.task.Key
 }
 
-// newCandidate ranks the task of the given index. A gang ranks as its first member.
+// newCandidate returns the candidate for the task of an index. All members of a gang get the rank and lateness of the first
+// one. The rank depends on the task, with the runtime predicted on the fastest kind of runner:
+//
+//	long-running:  time left, at most maxLongRunningRank
+//	on time:       time left + runtimeRankWeight * runtime
+//	otherwise:     runtime - runtimeRankWeight * waited
+//
+// So among tasks on time the most urgent and shortest come first, and among the others the shortest, with priority for
+// those that have waited long.
 func (p *Planner) newCandidate(index int) candidate {
 	task := &p.tasks[index]
 	if task.Gang {
@@ -83,12 +92,13 @@
 	default:
 		c.rank = fastest - runtimeRankWeight*waited
 	}
-	c.rescue = waited >= rescueAfter && p.mostlyFree && !p.hasRunning(task.Group)
+	c.starving = waited >= minStarvingWait && p.mostlyFree && !p.hasRunning(task.Group)
 	return c
 }
 
-// latenessOf returns what a task can still earn if it starts now and runs for so many seconds. An aged task counts as late,
-// so that it is not passed over forever, and never as on time, so that it costs nobody else their objective.
+// latenessOf returns the lateness of a task that starts now and runs for runtime seconds. A long-running task has no end
+// that could be late. An aged task counts as late: not as expired, so that it doesn't starve, and not as on time, so that
+// it doesn't make another task miss its objective.
 func latenessOf(task *Task, runtime float64) lateness {
 	switch {
 	case task.LongRunning:
@@ -97,14 +107,15 @@
 		return late
 	case runtime <= timeLeftFraction*task.TimeLeft.Seconds():
 		return onTime
-	case runtime <= task.ValueLeft.Seconds():
+	case runtime <= task.TimeToExpiry.Seconds():
 		return late
 	default:
-		return worthless
+		return expired
 	}
 }
 
-// firstMember returns the index of the first task of a gang, which is index if none came before.
+// firstMember returns the index of the first task of a gang. That is index if the function is called for the gang for the
+// first time in this round.
 func (p *Planner) firstMember(group any, index int) int {
 	first, known := p.firstOfGang[group]
 	if !known {
@@ -114,13 +125,16 @@
 	return first
 }
 
-// compareCandidates orders by priority, then rescues, then what can still be on time before what is late. Among what is on
-// time, the job with the least work left goes first: it earns the most for the capacity that it takes, and where there is
-// too little for all, an order by deadlines makes each late job delay the next one. What is late goes by rank.
+// compareCandidates orders candidates by priority, then starving ones first, then by lateness. Candidates that can be on
+// time are ordered by the remaining work of their jobs, the least first, then by rank; all others by rank.
+//
+// A job with little remaining work meets its objective for the least capacity. If there is too little capacity for all
+// jobs, an order by deadline would make each late job delay the next one. A job with only long-running tasks has no
+// remaining work, so its tasks come first.
 func compareCandidates(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.task.Priority, b.task.Priority),
-		compareBool(b.rescue, a.rescue),
+		compareBool(b.starving, a.starving),
 		cmp.Compare(a.lateness, b.lateness),
 		cmp.Compare(a.orderingWork(), b.orderingWork()),
 		cmp.Compare(a.rank, b.rank),
@@ -129,7 +143,7 @@
 	)
 }
 
-// compareBool orders false before true.
+// compareBool compares two booleans; false is less than true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/cluster/placement/filter.go
+++ b/internal/cluster/placement/filter.go
@@ -1,22 +1,25 @@
 package placement
 
-// passesFilters reports whether a task may start on a runner now: its constraints, and the reliability and the
-// reservations of the runner allow it.
+// passesFilters reports whether a task may start on a runner now. It must meet the hard constraints (hasCapacityFor) and
+// two soft ones, which protect other tasks or avoid failures: the runner's reliability and its reservation.
 func (p *Planner) passesFilters(c *candidate, r *runnerState) bool {
 	return r.hasCapacityFor(c.task) && p.passesReliability(c, r) && p.respectsReservation(c, r)
 }
 
-// passesReliability reports whether the reliability of a runner allows a task there. An unreliable runner that is idle
-// still gets one task at a time, as a probe: without any run its failure score would never fall.
+// passesReliability reports whether a task may start on a runner as far as its reliability is concerned. A task avoids an
+// unreliable runner unless it is starving, no reliable runner could ever run it, or nearly all runners are unreliable.
+//
+// An unreliable runner without a run still gets a single task as a probe, because its failure score only falls when runs
+// succeed there. Members of gangs and long-running tasks are no probes.
 func (p *Planner) passesReliability(c *candidate, r *runnerState) bool {
-	if !r.unreliable || p.failOpen || p.isRescue(c) || !p.hasReliableAlternative(c) {
+	if !r.unreliable || p.failOpen || p.bypassesSoftFilters(c) || !p.hasReliableAlternative(c) {
 		return true
 	}
 	probe := len(r.runner.Running) == 0 && len(r.assumed) == 0
 	return probe && !c.task.Gang && !c.task.LongRunning
 }
 
-// hasReliableAlternative reports whether a task could run on any reliable runner, if that were free.
+// hasReliableAlternative reports whether any reliable runner could run the task if all its capacity were free.
 func (p *Planner) hasReliableAlternative(c *candidate) bool {
 	if c.reliableAlternative == unknown {
 		c.reliableAlternative = no
@@ -30,24 +33,31 @@
 	return c.reliableAlternative == yes
 }
 
-// isRescue reports whether a task is the first of its step to be rescued; after it the step has a task that runs. Of a
-// gang, all members are rescued.
-func (p *Planner) isRescue(c *candidate) bool {
-	return c.rescue && !p.rescued[c.task.Group]
+// bypassesSoftFilters reports whether a task may ignore reliability and reservations because its step is starving. Once the
+// round has placed one task of the step, the step is no longer starving, and the others obey the filters. A gang is planned
+// before any member is placed, so that all its members bypass them.
+func (p *Planner) bypassesSoftFilters(c *candidate) bool {
+	return c.starving && !p.servedStarving[c.task.Group]
 }
 
-// respectsReservation reports whether a task may start in spite of the runner's reservation: it is the task's own or for
-// less priority, or the task ends before the capacity is needed, or fits in beside it. A task without value has no priority,
-// and respects what earlier rounds of the same moment have reserved too.
+// respectsReservation reports whether a task may start on a runner as far as the runner's reservation for another unit is
+// concerned. As in EASY backfilling, it may if it doesn't delay that unit:
+//
+//   - it ends before the unit needs the capacity (neededIn); or
+//   - it fits into the capacity that is free in addition to what the unit needs (spare).
+//
+// It may also if its priority is higher than the unit's, or if its step is starving. An expired task gets no advantage
+// from its priority. Instead of the reservations of this round it respects those of an earlier round at the same time, in
+// which the unexpired tasks took part.
 func (p *Planner) respectsReservation(c *candidate, r *runnerState) bool {
 	reserved := &r.reserved
-	if c.lateness == worthless {
+	if c.lateness == expired {
 		reserved = &r.reservedBefore
 	}
 	switch {
-	case !reserved.isForOther(c.reservationKey()) || p.isRescue(c):
+	case !reserved.isForOther(c.reservationKey()) || p.bypassesSoftFilters(c):
 		return true
-	case c.task.Priority < reserved.priority && c.lateness != worthless:
+	case c.task.Priority < reserved.priority && c.lateness != expired:
 		return true
 	case !c.task.LongRunning && p.runtime(c, r) <= reserved.neededIn:
 		return true
--- a/internal/cluster/placement/matching.go
+++ b/internal/cluster/placement/matching.go
@@ -6,40 +6,47 @@
 )
 
 const (
-	maxBatchTasks        = 32  // tasks in one matching
-	maxColumns           = 96  // columns of one matching, about
-	maxUnfilteredRunners = 48  // runners up to which all take part in each matching
-	spareColumns         = 4   // columns looked for beyond those that tasks equivalent to one would fill
-	maxAttempts          = 3   // matchings that a task takes part in, in one round
-	minSlowdownToWait    = 1.2 // a task may wait for a better runner if its best one now is so many times slower than the best of all
-	maxWaitCostRatio     = 0.9 // and if waiting costs no more than that fraction of the cost now
+	maxBatchTasks        = 32 // largest number of tasks in one matching
+	maxColumns           = 96 // approximate largest number of columns in one matching
+	maxUnfilteredRunners = 48 // largest number of runners at which all of them take part in each matching
+	spareColumns         = 4  // slots that are selected for a group of equivalent tasks beyond one for each task
+	maxAttempts          = 3  // largest number of matchings in one round in which a task takes part
+
+	// A task may wait for a better runner only if its expected runtime on the matched one is more than minSlowdownToWait
+	// times the shortest one on any runner, and the cost of waiting is less than maxWaitCostRatio times the cost of the
+	// match.
+	minSlowdownToWait = 1.2
+	maxWaitCostRatio  = 0.9
 )
 
 // batchMatching has the buffers of one matching: a minimum-cost one-to-one assignment of the tasks of a batch (the rows) to
 // slots of runners (the columns). A runner with capacity for several tasks has several columns.
 type batchMatching struct {
-	batch      []*candidate // by row
-	columns    []*runnerState
-	costs      [][]float64 // by row and column
-	flatCosts  []float64   // the memory of costs
-	runners    []*runnerState
-	isSelected []bool // whether a runner takes part, by its index; not used while there are few runners
-	cheapest   []pairing
-	pairings   []pairing
+	batch      []*candidate   // tasks, by row
+	columns    []*runnerState // runners, by column; the columns of a runner are adjacent
+	costs      [][]float64    // by row and column
+	flatCosts  []float64      // backing array of costs
+	runners    []*runnerState // runners that take part
+	isSelected []bool         // whether a runner takes part, by its index; unused if all runners take part
+	cheapest   []pairing      // buffer of selectCheapest
+	pairings   []pairing      // solution of the matching
 
-	bestRuntimeOf *candidate // nil: bestRuntime is not valid
+	bestRuntimeOf *candidate // candidate for which bestRuntime was computed; nil: none
 	bestRuntime   float64    // see Planner.bestRuntime
 }
 
-// pairing is a task on a runner and its cost.
+// pairing is a task, a runner and the cost of the task on the runner.
 type pairing struct {
 	candidate *candidate
 	runner    *runnerState
 	cost      float64
 }
 
-// assignSingles assigns the tasks of a level that are neither large nor members of gangs: batch by batch in the order of
-// their rank, until nothing more fits.
+// assignSingles places the candidates of one priority that are neither large nor members of gangs:
+//
+//  1. It places the long-running ones, one by one.
+//  2. It matches the others in batches, in order of rank, until each is placed or has taken part in maxAttempts matchings.
+//  3. It makes those that weren't placed candidates for preemption.
 func (p *Planner) assignSingles(level []*candidate) {
 	for _, c := range level {
 		if c.task.LongRunning && !c.task.Gang {
@@ -63,9 +70,9 @@
 	}
 }
 
-// assignLongRunning assigns a long-running task to the cheapest runner. Each such task raises the cost of its runner and
-// rack for the next, which one matching of many couldn't express; as those of a step are alike, one by one costs the least
-// too.
+// assignLongRunning places a long-running task on the cheapest runner. Each long-running task raises the cost of its
+// runner and rack for the next one, which the fixed costs of a matching can't express. As the tasks of a step are alike,
+// placing them one by one leads to the lowest total cost as well.
 func (p *Planner) assignLongRunning(c *candidate) {
 	c.attempts = maxAttempts
 	var cheapest *runnerState
@@ -84,7 +91,7 @@
 	}
 }
 
-// nextBatch gathers the next tasks that still look for a runner, and reports whether there are any.
+// nextBatch fills the batch with the next candidates that need a runner, and reports whether there are any.
 func (p *Planner) nextBatch(level []*candidate) bool {
 	m := &p.matching
 	m.batch = m.batch[:0]
@@ -100,15 +107,15 @@
 	return len(m.batch) > 0
 }
 
-// countAttempts counts so many attempts for each task of the batch.
+// countAttempts adds attempts to each candidate of the batch.
 func (p *Planner) countAttempts(attempts int) {
 	for _, c := range p.matching.batch {
 		c.attempts += attempts
 	}
 }
 
-// offerFreeCapacity gives each runner that takes part as many columns as its free capacity has slots for the smallest
-// task of the batch.
+// offerFreeCapacity makes the columns: for each runner that takes part, as many as its free capacity has slots for that
+// task of the batch of which most fit. The number for one runner is limited so that all columns are about maxColumns.
 func (p *Planner) offerFreeCapacity() {
 	m := &p.matching
 	p.selectRunners()
@@ -133,7 +140,8 @@
 	}
 }
 
-// selectRunners selects the runners that take part: all if there are few, else the cheapest for each task of the batch.
+// selectRunners selects the runners that take part in the matching: all if there are at most maxUnfilteredRunners, else the
+// cheapest ones for each task of the batch.
 func (p *Planner) selectRunners() {
 	m := &p.matching
 	m.runners = m.runners[:0]
@@ -157,7 +165,7 @@
 	}
 }
 
-// selectCheapest selects the cheapest runners that together have the given number of slots for a task.
+// selectCheapest selects the cheapest runners for a task that together have the given number of slots for it.
 func (p *Planner) selectCheapest(c *candidate, slots int) {
 	m := &p.matching
 	m.cheapest = m.cheapest[:0]
@@ -177,6 +185,7 @@
 	}
 }
 
+// comparePairings orders pairings by cost, then by runner.
 func comparePairings(a, b pairing) int {
 	switch {
 	case a.cost < b.cost:
@@ -188,12 +197,13 @@
 	}
 }
 
-// repeatsRow reports whether the row's task is equivalent to that of the row before, which then stands for both.
+// repeatsRow reports whether the task of a row is equivalent to that of the row before, so that results for that row can be
+// reused.
 func (m *batchMatching) repeatsRow(row int) bool {
 	return row > 0 && equivalent(m.batch[row], m.batch[row-1])
 }
 
-// countEquivalent returns how many tasks of the batch, from the given row on, are equivalent.
+// countEquivalent returns the number of adjacent tasks, from the given row on, that are equivalent to that of the row.
 func (m *batchMatching) countEquivalent(row int) int {
 	count := 1
 	for row+count < len(m.batch) && equivalent(m.batch[row], m.batch[row+count]) {
@@ -202,16 +212,16 @@
 	return count
 }
 
-// equivalent reports whether two tasks cost the same on each runner and pass the same filters.
+// equivalent reports whether two tasks have the same cost on each runner and pass the same filters.
 func equivalent(a, b *candidate) bool {
 	s, t := a.task, b.task
 	return s.Group == t.Group && s.Queue == t.Queue && s.SizeMs == t.SizeMs && s.Needs == t.Needs &&
 		s.Affinity == t.Affinity && s.Requirements == t.Requirements && s.AntiAffinity == t.AntiAffinity &&
 		s.TimeLeft == t.TimeLeft && s.HasCheckpoint == t.HasCheckpoint && s.Remaining == t.Remaining &&
-		s.LongRunning == t.LongRunning && a.rescue == b.rescue
+		s.LongRunning == t.LongRunning && a.starving == b.starving
 }
 
-// fillCostMatrix fills in the cost of each task of the batch in each column.
+// fillCostMatrix computes the cost of each task of the batch in each column.
 func (p *Planner) fillCostMatrix() {
 	m := &p.matching
 	columns := len(m.columns)
@@ -228,7 +238,7 @@
 	}
 }
 
-// fillCostRow fills in the cost of a task in each column; those of one runner are next to each other.
+// fillCostRow computes the cost of a task in each column.
 func (p *Planner) fillCostRow(c *candidate, row []float64) {
 	var last *runnerState
 	cost := 0.0
@@ -243,8 +253,9 @@
 	}
 }
 
-// assignBatch solves the matching and assigns its pairings, the cheapest first. As a column is a slot for the smallest
-// task, and each assignment changes what the filters see, some pairings don't fit any more; their tasks try again.
+// assignBatch solves the matching and places its pairings, the cheapest first. Some pairings don't fit any more when
+// their turn comes, because a column may be too small a slot for the task and each placement changes what the filters
+// see. Their tasks take part in the next matching. A task that should wait for a better runner takes part in no other.
 func (p *Planner) assignBatch() {
 	m := &p.matching
 	m.pairings = m.pairings[:0]
@@ -266,10 +277,15 @@
 	}
 }
 
-// shouldWait reports whether it costs a task less to wait for a better runner that will be free soon than to start on this
-// one: a runner near its data, or one that is not slow. It waits no longer in all than it can gain.
+// shouldWait reports whether a task should wait for a better runner that is expected to be free soon, such as one near
+// its data or one that isn't slow, instead of starting on r. It should if all of these hold:
+//
+//   - the task isn't starving;
+//   - its expected runtime on r exceeds minSlowdownToWait times the shortest expected runtime on any runner;
+//   - it has waited for no longer than the difference of these runtimes, so that it never waits longer than it can gain;
+//   - on another runner, with the wait added to the runtime, the cost is less than maxWaitCostRatio times the cost on r.
 func (p *Planner) shouldWait(c *candidate, r *runnerState) bool {
-	if c.rescue {
+	if c.starving {
 		return false
 	}
 	here, best := p.expectedRuntime(c, r), p.bestRuntime(c)
@@ -294,8 +310,8 @@
 	return false
 }
 
-// bestRuntime returns the shortest expected runtime of a task, in seconds, on any runner that could take it if that were
-// free. It is remembered for the next call, which is often for an equivalent task.
+// bestRuntime returns the shortest expected runtime of a task, in seconds, on any runner that could run the task if its
+// capacity were free. It caches the result, because the next call is often for an equivalent task.
 func (p *Planner) bestRuntime(c *candidate) float64 {
 	m := &p.matching
 	if m.bestRuntimeOf != nil && (m.bestRuntimeOf == c || equivalent(m.bestRuntimeOf, c)) {
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -18,10 +18,10 @@
 const second = time.Second
 
 var testOptions = Options{
-	FarFactor: 1.5, StopTime: 900 * time.Millisecond, Restore: 600 * time.Millisecond,
+	NonLocalFactor: 1.5, StopTime: 900 * time.Millisecond, RestoreTime: 600 * time.Millisecond,
 }
 
-// cpu returns needs of so many cores, and 1 GB for each.
+// cpu returns needs of some cores, with 1 GB for each.
 func cpu(cores int64) protocol.Resources {
 	return protocol.Resources{CPU: 1000 * cores, MemoryMB: 1000 * cores}
 }
@@ -31,7 +31,7 @@
 	return protocol.Resources{CPU: 1000 * count, MemoryMB: 1000 * count, GPU: count}
 }
 
-// taskOf returns a task of one core that takes a second, with ten left.
+// taskOf returns a task that needs one core, has a hint of one second and ten seconds left to its objective.
 func taskOf(key string, change ...func(*Task)) Task {
 	task := Task{Key: key, Queue: "q", SizeMs: 1000, Needs: cpu(1), TimeLeft: 10 * second, Group: key + "-step", Remaining: 1}
 	for _, apply := range change {
@@ -40,7 +40,7 @@
 	return task
 }
 
-// runnerOf returns an empty runner of 16 cores.
+// runnerOf returns a runner of 16 cores without runs. Its free capacity is what the runs leave that change adds.
 func runnerOf(id string, change ...func(*Runner)) Runner {
 	runner := Runner{ID: id, Kind: "a", Rack: "r1", Zone: "z1", Labels: []string{"a", "r1"},
 		Capacity: cpu(16), Slowness: 1, GroupCount: map[any]int{}}
@@ -56,15 +56,15 @@
 	return runner
 }
 
-// fullRunner leaves no free capacity on a runner.
+// fullRunner removes the free capacity of a runner.
 func fullRunner(r *Runner) { r.Free = protocol.Resources{CPU: -1} }
 
-// inRack puts a runner into a rack.
+// inRack returns a change that puts a runner into a rack.
 func inRack(rack string) func(*Runner) {
 	return func(r *Runner) { r.Rack, r.Labels = rack, []string{r.Kind, rack} }
 }
 
-// placed returns the ID of its runner by the key of each task that was assigned.
+// placed returns the IDs of the runners on which tasks were placed, by the keys of the tasks.
 func placed(tasks []Task, runners []Runner, result Result) map[string]string {
 	where := map[string]string{}
 	for _, p := range result.Placements {
@@ -73,13 +73,13 @@
 	return where
 }
 
-// round returns what a new planner assigns in one round.
+// round returns the placements of one round of a new planner, as placed does.
 func round(tasks []Task, runners []Runner) map[string]string {
 	return placed(tasks, runners, NewPlanner(testOptions).Round(0, tasks, runners))
 }
 
 var _ = Describe("a round", func() {
-	It("assigns a task to the only runner", func() {
+	It("places a task on the only runner", func() {
 		Expect(round([]Task{taskOf("t")}, []Runner{runnerOf("r")})).To(Equal(map[string]string{"t": "r"}))
 	})
 	It("decides nothing without tasks or without runners", func() {
--- a/internal/cluster/placement/plan.go
+++ b/internal/cluster/placement/plan.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-const maxRacks = 16 // racks that are tried for a unit
+const maxRacks = 16 // largest number of racks for each of which a plan is made
 
-// slot is capacity for members of a unit on one runner.
+// slot is capacity for members of a unit on one runner, which is available from a time on.
 type slot struct {
 	runner  *runnerState
-	count   int     // members
-	start   float64 // seconds from now
-	runtime float64 // seconds
-	cost    float64 // lower ones are taken first: the cost if the unit starts now, the end in seconds if it waits
+	count   int     // number of members for which there is capacity
+	start   float64 // time from which on the capacity is available, in seconds from now
+	runtime float64 // expected runtime of a member on the runner, in seconds
+	cost    float64 // order in which slots are used: the cost of a member for a start now, start + runtime for a later start
 }
 
-// plan is one way to start all members of a unit together.
+// plan is one way to start all members of a unit at the same time.
 type plan struct {
 	runners      []*runnerState // by member
-	start        float64        // seconds from now; infinity: there is no way
-	runtime      float64        // of the slowest member, seconds
-	spreadFactor float64        // how many times longer it runs for being spread over racks; included in runtime
-	cost         float64
+	start        float64        // time of the start, in seconds from now; infinity: the plan is infeasible
+	runtime      float64        // expected runtime of the slowest member, in seconds
+	spreadFactor float64        // slowdown because a rack-local gang spans racks, or 1; runtime includes it
+	cost         float64        // sum of the members' costs
 }
 
-// end returns the seconds from now until all members have ended.
+// end returns the time at which all members are expected to have ended, in seconds from now.
 func (p *plan) end() float64 { return p.start + p.runtime }
 
-// feasible reports whether there is a runner for each member.
+// feasible reports whether the plan has a runner for each member.
 func (p *plan) feasible() bool { return !math.IsInf(p.start, 1) }
 
-// planNow leaves in best the cheapest way to start a unit at once.
+// planNow sets best to the cheapest plan that starts the unit now.
 func (p *Planner) planNow(u *unit, best *plan) {
 	p.collectSlotsNow(u)
 	p.choosePlan(u, best, func(a, b *plan) bool { return a.cost < b.cost })
 }
 
-// planLater leaves in best the way to start a unit, as runs end, by which it ends soonest.
+// planLater sets best to the plan whose expected end is earliest, among plans that start the unit as runs end.
 func (p *Planner) planLater(u *unit, best *plan) {
 	p.collectSlotsLater(u)
 	p.choosePlan(u, best, func(a, b *plan) bool { return a.end() < b.end() })
 }
 
-// collectSlotsNow collects the slots that a unit's members could take now.
+// collectSlotsNow collects the slots in which the unit's members could start now, one for each runner.
 func (p *Planner) collectSlotsNow(u *unit) {
 	p.planning.slots = p.planning.slots[:0]
 	c := u.first()
@@ -60,7 +60,8 @@
 	}
 }
 
-// collectSlotsLater collects the slots that they could take as runs end, one for each member that a runner could take.
+// collectSlotsLater collects the slots in which the unit's members could start as runs end: for each runner, one slot for
+// the first member, one for the second, and so on, each with the time from which on there is capacity for that many.
 func (p *Planner) collectSlotsLater(u *unit) {
 	p.planning.slots = p.planning.slots[:0]
 	c := u.first()
@@ -80,8 +81,11 @@
 	}
 }
 
-// choosePlan leaves in best the best plan from the collected slots: over any racks or, for a rack-local gang, also within
-// one of the racks that are the first to have slots for all members. It is infeasible if there are too few slots.
+// choosePlan sets best to the best plan from the collected slots, by the given comparison. best is infeasible if there
+// are too few slots.
+//
+// The first plan uses the cheapest slots in any racks. For a rack-local gang, choosePlan also makes a plan within each of
+// up to maxRacks racks. It takes the racks in the order in which the cheapest slots of one rack suffice for all members.
 func (p *Planner) choosePlan(u *unit, best *plan, better func(a, b *plan) bool) {
 	best.start = math.Inf(1)
 	slots, members := p.planning.slots, len(u.members)
@@ -107,7 +111,7 @@
 	}
 }
 
-// tryRack replaces best by the plan from those of the slots that are in a rack, if that is better.
+// tryRack makes a plan from those of the slots that are in a rack, and replaces best with it if it is better.
 func (p *Planner) tryRack(u *unit, rack int, slots []slot, best *plan, better func(a, b *plan) bool) {
 	g := &p.planning
 	g.rackSlots = g.rackSlots[:0]
@@ -122,7 +126,7 @@
 	}
 }
 
-// countMembers returns how many members the slots have capacity for.
+// countMembers returns the number of members for which the slots have capacity.
 func countMembers(slots []slot) (members int) {
 	for i := range slots {
 		members += slots[i].count
@@ -130,7 +134,8 @@
 	return members
 }
 
-// fillPlan makes a plan with a runner for each member, from the first slots on. There must be enough of them.
+// fillPlan sets made to the plan that puts the members into the slots, in the order of the slots. There must be enough
+// slots.
 func (p *Planner) fillPlan(u *unit, made *plan, slots []slot) {
 	*made = plan{runners: made.runners[:0], spreadFactor: 1}
 	c, members := u.first(), len(u.members)
@@ -141,7 +146,7 @@
 		made.start = max(made.start, s.start)
 		made.runtime = max(made.runtime, s.runtime)
 		if c.task.RackLocal && s.runner.rack != slots[0].runner.rack {
-			made.spreadFactor = p.options.FarFactor
+			made.spreadFactor = p.options.NonLocalFactor
 		}
 		if len(made.runners) == members {
 			break
@@ -149,10 +154,11 @@
 	}
 	made.runtime *= made.spreadFactor
 	for _, r := range made.runners {
-		made.cost += p.costOf(c, r, made.runtime) // each member occupies its runner until the slowest has ended
+		made.cost += p.costOf(c, r, made.runtime) // each member occupies its runner until the slowest member has ended
 	}
 }
 
+// compareSlots orders slots by cost, then by runner and start.
 func compareSlots(a, b slot) int {
 	switch {
 	case a.cost < b.cost:
--- a/internal/cluster/placement/planner.go
+++ b/internal/cluster/placement/planner.go
@@ -6,16 +6,16 @@
 	"ospreypond/internal/assignment"
 )
 
-// Planner decides the rounds of one owner. From one round to the next it keeps only predictions and reservations;
-// everything else comes with each round. One planner may serve several services, each in rounds of its own. It serves one
-// goroutine at a time.
+// Planner runs the rounds of one owner. From one round to the next it keeps only runtime predictions and the ages of
+// reservations; all other state is passed to each round. One planner may serve several services, each in separate rounds.
+// It may be used by one goroutine at a time.
 type Planner struct {
 	options      Options
 	predictor    *Predictor
 	reservations map[any]*reservationRecord // by reservation key
 	solver       assignment.Solver
 
-	// The state of the present round; its buffers are reused by the next one.
+	// State of the current round, whose buffers the next round reuses.
 	now     time.Duration
 	tasks   []Task
 	runners []Runner
@@ -27,21 +27,23 @@
 	preemption preemption
 }
 
-// NewPlanner returns a planner that has learnt nothing yet.
+// NewPlanner returns a planner without observed runtimes.
 func NewPlanner(options Options) *Planner {
-	options.FarFactor = max(options.FarFactor, 1)
+	options.NonLocalFactor = max(options.NonLocalFactor, 1)
 	p := &Planner{options: options, predictor: NewPredictor(), reservations: map[any]*reservationRecord{}, selection: newSelection()}
-	p.predictor.SetFarFactor(options.FarFactor)
+	p.predictor.SetNonLocalFactor(options.NonLocalFactor)
 	return p
 }
 
-// Predictor returns the planner's predictor, to which the caller reports the runs that ended. It is never nil.
+// Predictor returns the planner's predictor, which isn't nil. The caller reports the runtimes of runs to it.
 func (p *Planner) Predictor() *Predictor { return p.predictor }
 
-// Round decides which of the tasks, all ready to start, go to which runners now, and which runs are preempted for others.
-// The runners are all those of the tasks' service, and all members of a gang must be among the tasks. now is the time on
-// any clock that does not go back. The result is valid until the next round. Round doesn't change tasks and runners, but
-// keeps them for Why.
+// Round decides which tasks start on which runners now, and which runs are preempted. The package comment describes its
+// steps.
+//
+// All tasks are of one service and may start now. If a member of a gang is among them, all its members must be. runners are
+// the service's runners. now is the time of a clock that never goes back. The result is valid until the next round. Round
+// doesn't change tasks and runners, but keeps them for PendingReason.
 func (p *Planner) Round(now time.Duration, tasks []Task, runners []Runner) Result {
 	p.now, p.tasks, p.runners = now, tasks, runners
 	p.result.Placements = p.result.Placements[:0]
@@ -69,8 +71,8 @@
 	return p.result
 }
 
-// assignLevel assigns the tasks of one priority in the order of their rank: first those that need much capacity at once,
-// so that small tasks don't take it from them, then all others.
+// assignLevel places the candidates of one priority, in order of rank: first units, which need much capacity at once, so
+// that small tasks don't take it from them; then all others.
 func (p *Planner) assignLevel(level []*candidate) {
 	p.formUnits(level)
 	for i := range p.planning.units {
@@ -79,22 +81,22 @@
 	p.assignSingles(level)
 }
 
-// assign starts a task on a runner, where it is predicted to run for so many seconds.
+// assign places a task on a runner. runtime is its predicted runtime there in seconds.
 func (p *Planner) assign(c *candidate, r *runnerState, runtime float64) {
 	c.placed = true
 	r.assume(c, runtime)
 	if c.task.LongRunning {
 		p.longRunningInRack[r.rack]++
 	}
-	if c.rescue {
-		p.rescued[c.task.Group] = true
+	if c.starving {
+		p.servedStarving[c.task.Group] = true
 	}
 	p.result.Placements = append(p.result.Placements, Placement{
 		Task: c.index, Runner: r.index, Predicted: seconds(runtime),
 	})
 }
 
-// seconds returns s seconds as a duration, for which very long and infinite times are shortened.
+// seconds returns s seconds as a duration. Longer times than maxSeconds, even infinite ones, are shortened to it.
 func seconds(s float64) time.Duration {
 	const maxSeconds = 1e6
 	return time.Duration(min(s, maxSeconds) * float64(time.Second))
--- a/internal/cluster/placement/predictor.go
+++ b/internal/cluster/placement/predictor.go
@@ -6,41 +6,46 @@
 )
 
 const (
-	unknownSizeMs    = 1000.0 // the size of a task without a hint in a queue without runs
-	minRuntimeMs     = 1.0    // no run is taken to be shorter
-	defaultFarFactor = 1.5    // the far factor until it is set
+	unknownSizeMs         = 1000.0 // size of a task without a hint in a queue without observed runs
+	minRuntimeMs          = 1.0    // shorter runtimes, observed or predicted, count as this
+	defaultNonLocalFactor = 1.5    // nonLocalFactor of a predictor on which SetNonLocalFactor wasn't called
 )
 
-// Predictor predicts runtimes from the runs that have ended, as the Kairos paper does at the end of section 5.1: each queue
-// starts with a linear fit of runtime on the size hint, and a table by kind of runner and size takes over as it fills. Two
-// things are ours, because hints may be far off: runs with exactly the same hint, which are mostly of one step, count most;
-// and the fit's slope is no steeper than the hints have proved right, so where they are noise the queue's mean remains.
+// Predictor predicts the runtimes of tasks from the runtimes of earlier runs. The size of a task, also called its hint, is
+// the client's estimate of its runtime in ms.
 //
-// It never forgets queues and kinds, of which there are few. It serves one goroutine at a time.
+// As in the Kairos paper (end of section 5.1), each queue starts with a linear fit of the runtime to the size. A table by
+// kind of runner and size takes over as it fills. This package adds two things, because hints may be very inaccurate:
+//
+//   - Runs with exactly the same hint have the largest weight, because most of them are tasks of one step.
+//   - The slope of the fit reflects how well the hints have predicted differences in runtime. If the hints are noise, the
+//     slope is near 0, and the prediction is near the mean of the queue.
+//
+// A Predictor never forgets queues and kinds, of which there are few. It may be used by one goroutine at a time.
 type Predictor struct {
-	farFactor float64
-	queues    map[string]*queueModel
-	kinds     map[string]*ratioEstimate // the kind's runtimes over the usual ones, in all queues
+	nonLocalFactor float64
+	queues         map[string]*queueModel    // by queue
+	kinds          map[string]*ratioEstimate // by kind: runtimes on the kind over base runtimes, in all queues
 }
 
-// NewPredictor returns a predictor that has seen no runs: it predicts the hints.
+// NewPredictor returns a predictor without observed runs, whose predictions are the hints.
 func NewPredictor() *Predictor {
-	return &Predictor{farFactor: defaultFarFactor, queues: map[string]*queueModel{}, kinds: map[string]*ratioEstimate{}}
+	return &Predictor{nonLocalFactor: defaultNonLocalFactor, queues: map[string]*queueModel{}, kinds: map[string]*ratioEstimate{}}
 }
 
-// SetFarFactor sets how many times longer tasks run outside the rack of their data. It ignores factors below 1.
-func (p *Predictor) SetFarFactor(factor float64) {
+// SetNonLocalFactor sets how many times longer tasks run outside the rack of their data. It ignores a factor below 1.
+func (p *Predictor) SetNonLocalFactor(factor float64) {
 	if factor >= 1 {
-		p.farFactor = factor
+		p.nonLocalFactor = factor
 	}
 }
 
-// Observe learns from a run that succeeded: its queue, the kind of its runner, its size hint in ms, its runtime, and
-// whether it ran far from its data.
-func (p *Predictor) Observe(queue, kind string, sizeMs float64, duration time.Duration, far bool) {
+// Observe records the runtime of a run that succeeded. sizeMs is its hint in ms; 0 or less stands for no hint. nonLocal
+// reports whether it ran outside the rack of its data; its runtime is then divided by the factor for that.
+func (p *Predictor) Observe(queue, kind string, sizeMs float64, duration time.Duration, nonLocal bool) {
 	runtime := max(milliseconds(duration), minRuntimeMs)
-	if far {
-		runtime /= p.farFactor
+	if nonLocal {
+		runtime /= p.nonLocalFactor
 	}
 	model := p.queues[queue]
 	if model == nil {
@@ -48,13 +53,13 @@
 		p.queues[queue] = model
 	}
 	if sizeMs = cleanSize(sizeMs); sizeMs == 0 {
-		sizeMs = model.usualSize()
+		sizeMs = model.defaultSize()
 	}
 	model.observe(p.kind(kind), kind, sizeMs, runtime)
 }
 
-// Predict returns the expected runtime of a run with a size hint in ms, near its data, on a runner of a kind that is
-// neither slow nor warming up. An empty kind stands for the usual one. The prediction is never 0 or negative.
+// Predict returns the expected runtime of a task with a hint in ms, in the rack of its data, on a runner of a kind that is
+// neither slow nor warming up. An empty kind stands for the average over all kinds. The prediction is always positive.
 func (p *Predictor) Predict(queue, kind string, sizeMs float64) time.Duration {
 	sizeMs = cleanSize(sizeMs)
 	model := p.queues[queue]
@@ -65,13 +70,14 @@
 		return fromMilliseconds(sizeMs * p.kindRatio(kind))
 	}
 	if sizeMs == 0 {
-		sizeMs = model.usualSize()
+		sizeMs = model.defaultSize()
 	}
 	return fromMilliseconds(model.predict(kind, sizeMs, p.kindRatio(kind)))
 }
 
-// PredictUpperBound returns a time that the longest of count runs with a size hint nearly always ends within, on the usual
-// kind: longer than predicted by how far the queue's runtimes have deviated from their predictions.
+// PredictUpperBound returns a runtime that the longest of count runs with a hint in ms almost never exceeds, on the
+// average kind of runner. It exceeds the prediction according to the deviation of the queue's earlier runtimes from their
+// predictions.
 func (p *Predictor) PredictUpperBound(queue string, sizeMs float64, count int) time.Duration {
 	model := p.queues[queue]
 	if model == nil {
@@ -80,7 +86,7 @@
 	return time.Duration(float64(p.Predict(queue, "", sizeMs)) * model.upperBoundFactor(count))
 }
 
-// kind returns the ratio of a kind, to be updated.
+// kind returns the estimated ratio of a kind, to be updated.
 func (p *Predictor) kind(name string) *ratioEstimate {
 	known := p.kinds[name]
 	if known == nil {
@@ -90,7 +96,7 @@
 	return known
 }
 
-// kindRatio returns the runtimes on a kind over those on the usual one, in all queues.
+// kindRatio returns the estimated ratio of runtimes on a kind to base runtimes, in all queues; 1 if it is unknown.
 func (p *Predictor) kindRatio(name string) float64 {
 	if known := p.kinds[name]; known != nil && name != "" {
 		return known.value(1)
@@ -98,7 +104,7 @@
 	return 1
 }
 
-// cleanSize returns a size hint within bounds, and 0 for none and for one that makes no sense.
+// cleanSize returns a hint in ms, limited to a day, or 0 for a hint that isn't a positive number.
 func cleanSize(sizeMs float64) float64 {
 	if math.IsNaN(sizeMs) || sizeMs <= 0 {
 		return 0
--- a/internal/cluster/placement/predictor_test.go
+++ b/internal/cluster/placement/predictor_test.go
@@ -11,7 +11,7 @@
 
 func ms(value float64) time.Duration { return time.Duration(value * float64(time.Millisecond)) }
 
-// near reports whether a prediction is within a fraction of what it should be.
+// near reports whether a prediction deviates from the wanted one by at most a fraction of it.
 func near(got time.Duration, wantMs, tolerance float64) bool {
 	return math.Abs(milliseconds(got)-wantMs) <= tolerance*wantMs
 }
@@ -24,12 +24,12 @@
 		rng = rand.New(rand.NewPCG(3, 4))
 	})
 
-	It("believe the hints at first", func() {
+	It("equal the hints before any run", func() {
 		Expect(p.Predict("q", "a", 700)).To(Equal(ms(700)))
 		Expect(p.kindRatio("a")).To(Equal(1.0))
 	})
 
-	It("make do without hints", func() {
+	It("need no hints", func() {
 		Expect(p.Predict("q", "a", 0)).To(BeNumerically(">", 0))
 		for range 20 {
 			p.Observe("q", "a", 0, ms(4000), false)
@@ -37,16 +37,16 @@
 		Expect(near(p.Predict("q", "a", 0), 4000, 0.15)).To(BeTrue())
 	})
 
-	DescribeTable("stay sane whatever the hint", func(size float64) {
+	DescribeTable("are positive and limited for any hint", func(size float64) {
 		p.Observe("q", "a", 500, ms(900), false)
 		p.Observe("q", "a", size, ms(900), false)
 		Expect(p.Predict("q", "b", size)).To(And(BeNumerically(">", 0), BeNumerically("<=", 25*time.Hour)))
 	},
-		Entry("nothing", 0.0), Entry("negative", -5.0), Entry("no number", math.NaN()),
+		Entry("none", 0.0), Entry("negative", -5.0), Entry("not a number", math.NaN()),
 		Entry("infinite", math.Inf(1)), Entry("tiny", 1e-9), Entry("huge", 1e300),
 	)
 
-	It("follow a linear law after some runs", func() {
+	It("follow a linear dependence on the hints after some runs", func() {
 		for i := range 40 {
 			size := float64(300 + 97*i)
 			p.Observe("q", "a", size, ms(200+1.5*size), false)
@@ -55,7 +55,7 @@
 		Expect(near(p.Predict("q", "a", 3333), 200+1.5*3333, 0.08)).To(BeTrue())
 	})
 
-	It("fall back to the queue's mean where hints are noise", func() {
+	It("approach the queue's mean if the hints are noise", func() {
 		for range 150 {
 			p.Observe("q", "a", 200+3000*rng.Float64(), ms(1000+100*rng.Float64()), false)
 		}
@@ -77,7 +77,7 @@
 		Expect(ownError).To(BeNumerically("<", 0.75*hintError))
 	})
 
-	It("trust runs of exactly the same hint most", func() {
+	It("give the largest weight to runs with exactly the same hint", func() {
 		for range 50 {
 			p.Observe("q", "a", 400+1000*rng.Float64(), ms(1000), false)
 		}
@@ -87,14 +87,14 @@
 		Expect(p.Predict("q", "a", 778)).To(BeNumerically("<", ms(1500)))
 	})
 
-	It("remember a bounded number of hints", func() {
-		for i := range 10 * maxSiblingHints {
+	It("average the runs of a limited number of hints", func() {
+		for i := range 10 * maxHints {
 			p.Observe("q", "a", float64(100+i), ms(500), false)
 		}
-		Expect(p.queues["q"].siblings).To(HaveLen(maxSiblingHints))
+		Expect(p.queues["q"].byHint).To(HaveLen(maxHints))
 	})
 
-	It("distinguish kinds, and runs far from their data", func() {
+	It("distinguish kinds of runners, and runs outside the rack of their data", func() {
 		for i := range 200 {
 			size := float64(300 + 10*(i%100))
 			p.Observe("q", "a", size, ms(size), false)
@@ -106,7 +106,7 @@
 		Expect(p.kindRatio("a") / p.kindRatio("b")).To(BeNumerically("~", 0.5, 0.03))
 	})
 
-	It("apply what is known of a kind to other queues", func() {
+	It("apply the ratio of a kind of runner to other queues", func() {
 		for i := range 200 {
 			size := float64(300 + 10*(i%100))
 			p.Observe("q", "a", size, ms(size), false)
@@ -116,7 +116,7 @@
 		Expect(ratio).To(BeNumerically("~", 2, 0.1))
 	})
 
-	It("are hardly changed by a few runs that stalled", func() {
+	It("change little after a few runs that stalled", func() {
 		for i := range 100 {
 			took := 1000.0
 			if i%20 == 19 {
@@ -127,7 +127,7 @@
 		Expect(p.Predict("q", "a", 900)).To(BeNumerically("<", ms(1500)))
 	})
 
-	It("follow a change", func() {
+	It("follow a change of the runtimes", func() {
 		for range 200 {
 			p.Observe("q", "a", 1000, ms(1000), false)
 		}
--- a/internal/cluster/placement/preemption.go
+++ b/internal/cluster/placement/preemption.go
@@ -9,39 +9,38 @@
 )
 
 const (
-	maxUnschedulable = 16   // units for which runs may be preempted in one round
-	maxStops         = 12   // runs preempted in one round
-	maxLostFraction  = 0.25 // the work that preemption loses may be such a fraction of the unit's own
-	minLostAllowance = 0.5  // plus so many core-seconds in any case
-	endsSoonMargin   = 0.3  // a run that ends within the time of a stop and so many seconds isn't preempted
+	maxUnschedulable = 16   // largest number of units that one round considers for preemption
+	maxStops         = 12   // largest number of runs that one round preempts
+	maxLostFraction  = 0.25 // the work lost for a unit may be at most this fraction of the unit's own work,
+	minLostAllowance = 0.5  // plus this many core-seconds
+	endsSoonMargin   = 0.3  // seconds; a run isn't preempted if it ends at most this much later than a stop would end it
 	anyRack          = -1
 )
 
-// preemption has the units that could not be assigned in the present round, and the buffers of the phase that preempts runs
-// for them.
+// preemption has the units that the current round couldn't place, and the buffers of preempt.
 type preemption struct {
 	unschedulable []unit
-	singles       []*candidate // the members of the units that are no gangs
-	evictions     []eviction   // for the present unit, the cheapest first
-	victims       []int        // indices into the Running of their runners
+	singles       []*candidate // backing array of the members of units with one task
+	evictions     []eviction   // evictions for the current unit, the one that loses the least work first
+	victims       []int        // victims of the evictions: indices into Runner.Running of their runners
 }
 
-// eviction is the victims on one runner that have to stop for one member of a unit.
+// eviction is a set of runs on one runner (its victims) whose stop makes enough capacity free for one member of a unit.
 type eviction struct {
-	runner *runnerState
-	lost   float64 // core-seconds
-	first  int     // index of its first victim in preemption.victims
-	count  int
+	runner      *runnerState
+	lost        float64 // work that the victims lose, in core-seconds
+	firstVictim int     // index of its first victim in preemption.victims
+	count       int     // number of victims
 }
 
-// addUnschedulable adds a unit that could not be assigned.
+// addUnschedulable adds a unit that couldn't be placed.
 func (p *Planner) addUnschedulable(u unit) {
 	if len(p.preemption.unschedulable) < maxUnschedulable {
 		p.preemption.unschedulable = append(p.preemption.unschedulable, u)
 	}
 }
 
-// addUnschedulableTask adds a task that could not be assigned, as a unit of its own.
+// addUnschedulableTask adds a task that couldn't be placed, as a unit of one member.
 func (p *Planner) addUnschedulableTask(c *candidate) {
 	s := &p.preemption
 	if len(s.unschedulable) < maxUnschedulable {
@@ -50,7 +49,13 @@
 	}
 }
 
-// preempt stops runs of less priority for units that could not be assigned and would miss their objectives by waiting.
+// preempt stops runs of lower priority for units that couldn't be placed and would miss their objectives by waiting. It
+// considers the units in order of priority, without long-running ones and without those that can't meet their objectives
+// anyway.
+//
+// It preserves two invariants. A stopped run has a lower priority than the unit, is neither in a gang nor long-running,
+// and isn't being stopped already. And no capacity is counted on by two units: capacity for which one unit waits is
+// committed to it.
 func (p *Planner) preempt() {
 	if len(p.preemption.unschedulable) == 0 {
 		return
@@ -67,7 +72,7 @@
 	}
 }
 
-// lowestRunningPriority returns the lowest priority of any run, which is the highest number.
+// lowestRunningPriority returns the lowest priority of any run, which is the largest number.
 func (p *Planner) lowestRunningPriority() int {
 	lowest := math.MinInt
 	for i := range p.runnerStates {
@@ -78,8 +83,8 @@
 	return lowest
 }
 
-// preemptFor preempts runs for a unit, unless it can still be on time by waiting for runs that end by themselves. In both
-// cases the capacity that it waits for is committed to it, so that the next unit doesn't count on it too.
+// preemptFor preempts runs for a unit, unless the unit can be on time if it waits for runs to end. In both cases it
+// commits the capacity for which the unit then waits, so that the next unit doesn't count on the same capacity.
 func (p *Planner) preemptFor(u *unit) {
 	c := u.first()
 	later := &p.planning.later
@@ -97,8 +102,9 @@
 	}
 }
 
-// cheapestEvictions returns the evictions, one for each member, that lose the least work; none if that is too much work,
-// or if they would stop too many runs.
+// cheapestEvictions returns the evictions, one for each member of the unit, that lose the least work. All are in one rack
+// for a rack-local gang. It returns none if there are too few evictions, if they lose more work than minLostAllowance
+// plus maxLostFraction of the unit's own work, or if the round would preempt more than maxStops runs.
 func (p *Planner) cheapestEvictions(u *unit) []eviction {
 	c := u.first()
 	p.findEvictions(c)
@@ -123,8 +129,8 @@
 	return best
 }
 
-// cheapestInRack returns the evictions, one for each member, that lose the least work in a rack, and the core-seconds
-// lost; infinity if there are too few evictions.
+// cheapestInRack returns the evictions in a rack, one for each member of the unit, that lose the least work, and that
+// work in core-seconds. The work is infinite if there are too few evictions. rack may be anyRack.
 func (p *Planner) cheapestInRack(u *unit, rack int) (best []eviction, lost float64) {
 	for _, e := range p.preemption.evictions { // the cheapest first
 		if rack == anyRack || e.runner.rack == rack {
@@ -138,7 +144,8 @@
 	return nil, math.Inf(1)
 }
 
-// findEvictions finds the eviction on each runner where a task would still be on time, and sorts them by the work lost.
+// findEvictions collects an eviction on each runner on which the task would be on time after the stops, and sorts the
+// evictions by the work that they lose.
 func (p *Planner) findEvictions(c *candidate) {
 	p.preemption.evictions, p.preemption.victims = p.preemption.evictions[:0], p.preemption.victims[:0]
 	stopTime := p.options.StopTime.Seconds()
@@ -157,8 +164,9 @@
 	})
 }
 
-// evictionOn finds the victims on a runner that have to stop for a task: those that lose the least work, but for the ones
-// that turn out not to be needed. ok is false if there aren't enough.
+// evictionOn chooses the victims on a runner for a task. It adds the runs that lose the least work until the task fits,
+// then removes victims that turn out not to be needed. ok is false if the task wouldn't fit even if all preemptible runs
+// stopped.
 func (p *Planner) evictionOn(c *candidate, r *runnerState) (e eviction, ok bool) {
 	free, first := p.preemptible(c, r)
 	victims := p.preemption.victims[first:]
@@ -176,7 +184,7 @@
 	}
 	count = reprieveVictims(r, victims[:count], free, c.task.Needs)
 	p.preemption.victims = p.preemption.victims[:first+count]
-	e = eviction{runner: r, first: first, count: count}
+	e = eviction{runner: r, firstVictim: first, count: count}
 	for _, run := range p.preemption.victims[first:] {
 		e.lost += lostWork(r, run)
 	}
@@ -184,7 +192,8 @@
 }
 
 // preemptible appends to the victims all runs on a runner that may be preempted for a task, and returns the index of the
-// first one, and what will be free by the time that they could have stopped, without their own capacity.
+// first one. free is the capacity that is expected to be free without preemption by the time at which they would have
+// stopped.
 func (p *Planner) preemptible(c *candidate, r *runnerState) (free protocol.Resources, first int) {
 	free, first = r.free, len(p.preemption.victims)
 	subtract(&free, r.committed)
@@ -199,8 +208,8 @@
 	return free, first
 }
 
-// reprieveVictims removes the victims that need not stop after all, the most expensive first, and returns how many are
-// left. free is what is free if all of them stop.
+// reprieveVictims removes victims without which the task still fits, trying those that lose the most work first, and
+// returns the number of victims that remain. free is the capacity that is free if all victims stop.
 func reprieveVictims(r *runnerState, victims []int, free, needs protocol.Resources) int {
 	count := len(victims)
 	for i := count - 1; i >= 0; i-- {
@@ -216,21 +225,22 @@
 	return count
 }
 
-// isPreemptible reports whether a run may be stopped for a task. A gang would lose all its members, and a long-running task
-// would have to start again at once.
+// isPreemptible reports whether a run may be preempted for a task. The stop of a gang's member would stop the whole gang,
+// and a long-running task would have to start again at once.
 func isPreemptible(run *Run, task *Task) bool {
 	return run.Priority > task.Priority && !run.Gang && !run.LongRunning && !run.Stopping
 }
 
-// lostWork returns the core-seconds that are lost if a run is stopped.
+// lostWork returns the work that is lost if a run is stopped, in core-seconds.
 func lostWork(r *runnerState, run int) float64 {
 	victim := &r.runner.Running[run]
 	return victim.CheckpointAge.Seconds() * cores(victim.Needs)
 }
 
-// evict stops the victims; from now on their release is expected after the time of a stop.
+// evict adds the stops of an eviction's victims to the result, and expects the victims to release their capacity after
+// the time of a stop.
 func (p *Planner) evict(e *eviction) {
-	for _, run := range p.preemption.victims[e.first : e.first+e.count] {
+	for _, run := range p.preemption.victims[e.firstVictim : e.firstVictim+e.count] {
 		p.result.Stops = append(p.result.Stops, Stop{Runner: e.runner.index, Run: run})
 		for i := range e.runner.releases {
 			if e.runner.releases[i].run == run {
--- a/internal/cluster/placement/property_test.go
+++ b/internal/cluster/placement/property_test.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// drawRunners draws a fleet of some runners with runs on them.
+// drawRunners draws some runners with runs.
 func drawRunners(t *rapid.T) []Runner {
 	runners := make([]Runner, rapid.IntRange(1, 8).Draw(t, "runners"))
 	gpus := rapid.Bool().Draw(t, "gpus")
@@ -57,7 +57,7 @@
 	}
 }
 
-// drawTasks draws steps of some pending tasks each.
+// drawTasks draws some steps of pending tasks each, in a random order.
 func drawTasks(t *rapid.T) []Task {
 	var tasks []Task
 	for g := range rapid.IntRange(0, 8).Draw(t, "steps") {
@@ -84,7 +84,7 @@
 	return rapid.Permutation(tasks).Draw(t, "order")
 }
 
-// checkRules checks a round against the constraints, which it must never violate.
+// checkRules checks that the decisions of a round violate no constraint.
 func checkRules(t *rapid.T, tasks []Task, runners []Runner, result Result) {
 	t.Helper()
 	rules := placementRules{tasks: tasks, runners: runners, free: map[int]protocol.Resources{}, started: map[int]bool{},
@@ -100,17 +100,17 @@
 	checkStops(t, tasks, runners, result)
 }
 
-// placementRules is what the placements of a round have used up so far.
+// placementRules checks the placements of a round, and has what the checked ones use.
 type placementRules struct {
 	tasks    []Task
 	runners  []Runner
-	free     map[int]protocol.Resources // by runner
-	started  map[int]bool               // by task
-	members  map[any]int                // tasks started, by group
-	together map[string]int             // tasks started, by group and runner
+	free     map[int]protocol.Resources // remaining free capacity, by index of the runner
+	started  map[int]bool               // whether a task was placed, by its index
+	members  map[any]int                // number of placed tasks, by group
+	together map[string]int             // number of placed tasks, by group and runner
 }
 
-// check checks one more placement.
+// check checks a placement after those before it.
 func (c *placementRules) check(t *rapid.T, p Placement) {
 	t.Helper()
 	task, runner := &c.tasks[p.Task], &c.runners[p.Runner]
@@ -144,7 +144,7 @@
 	}
 }
 
-// checkStops checks that each stop is of a run that may be preempted, and once.
+// checkStops checks that each stopped run may be preempted, and is stopped once.
 func checkStops(t *rapid.T, tasks []Task, runners []Runner, result Result) {
 	t.Helper()
 	seen, highest := map[Stop]bool{}, 9
@@ -161,11 +161,11 @@
 }
 
 var _ = Describe("any round", func() {
-	It("violates no constraint and decides the same when repeated", func() {
+	It("violates no constraint, and makes the same decisions if it is repeated", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			planner, again := NewPlanner(testOptions), NewPlanner(testOptions)
 			now := time.Duration(0)
-			for range 3 { // with reused buffers and reservations
+			for range 3 { // later rounds reuse buffers and reservation records
 				tasks, runners := drawTasks(t), drawRunners(t)
 				result := planner.Round(now, tasks, runners)
 				checkRules(t, tasks, runners, result)
@@ -177,7 +177,7 @@
 		})
 	})
 
-	It("leaves no simple task pending while there is capacity for it", func() {
+	It("leaves no task without soft constraints pending for which there is capacity", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			tasks, runners := drawTasks(t), drawRunners(t)
 			for i := range tasks {
@@ -194,7 +194,7 @@
 	})
 })
 
-// checkNothingFits checks that no pending task fits on any runner.
+// checkNothingFits checks that no runner has capacity for a task that is still pending.
 func checkNothingFits(t *rapid.T, tasks []Task, runners []Runner, result Result) {
 	t.Helper()
 	started := map[int]bool{}
--- a/internal/cluster/placement/reason.go
+++ b/internal/cluster/placement/reason.go
@@ -2,26 +2,26 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// Reason is why a task was not assigned in a round, in the order from what is farthest from an assignment to what is
-// nearest.
+// Reason is the reason for which a round hasn't placed a task. The reasons are ordered: a larger one means that the task
+// was closer to a placement.
 type Reason uint8
 
-// The reasons.
+// Reasons of pending tasks.
 const (
-	NoRunner         Reason = iota // no runner could ever take it
-	NoGPU                          // the runners that could have too few accelerators free
-	NoCPU                          // the runners that could have too few cores free
-	NoMemory                       // the runners that could have too little memory free
-	UnreliableRunner               // the free capacity is on runners that are avoided for their failures
+	NoRunner         Reason = iota // even an empty runner couldn't run the task, or anti-affinity forbids it
+	NoGPU                          // every runner that could run the task lacks free accelerators
+	NoCPU                          // one of them has enough free accelerators, but none has enough free cores as well
+	NoMemory                       // one has enough free accelerators and cores, but none has enough free memory as well
+	UnreliableRunner               // the free capacity is on unreliable runners, which the task avoids
 	ReservedCapacity               // the free capacity is reserved for another task or gang
-	BetterLater                    // a better runner is expected to be free soon
-	LaterRound                     // there is capacity; the round didn't come to it
+	BetterLater                    // the task waits for a better runner, which is expected to be free soon
+	LaterRound                     // there is free capacity, but the task didn't take part in the round or lost it to others
 )
 
-// Why returns why a task of the latest round was not assigned, by its index among that round's tasks: the reason on the
-// runner that came nearest to taking it. It must be called before the next round, and its answer is of no use for a task
-// that was assigned.
-func (p *Planner) Why(task int) Reason {
+// PendingReason returns the reason for which the latest round hasn't placed a task. task is the index of the task in that
+// round. Each runner has its own reason; the result is the largest, that of the runner on which the task was closest to a
+// placement. PendingReason must be called before the next round. The result has no meaning for a task that was placed.
+func (p *Planner) PendingReason(task int) Reason {
 	c := candidate{task: &p.tasks[task], index: task}
 	nearest := NoRunner
 	for i := range p.runnerStates {
@@ -32,7 +32,7 @@
 	return nearest
 }
 
-// reasonOn returns why a runner that could take a task did not.
+// reasonOn returns the reason for which a task wasn't placed on a runner that could run it.
 func (p *Planner) reasonOn(c *candidate, r *runnerState) Reason {
 	task := c.task
 	switch {
@@ -51,7 +51,8 @@
 	}
 }
 
-// missingResource returns the reason for needs that don't fit into free.
+// missingResource returns the reason for needs that don't fit into free: the first lacking resource in the order of
+// reasons.
 func missingResource(free, needs protocol.Resources) Reason {
 	switch {
 	case needs.GPU > free.GPU:
--- a/internal/cluster/placement/reason_test.go
+++ b/internal/cluster/placement/reason_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-func TestReasonWhyTaskIsPending(t *testing.T) {
+func TestPendingReason(t *testing.T) {
 	full := protocol.Resources{CPU: 16000, MemoryMB: 32768, GPU: 8}
 	runner := func(free protocol.Resources) Runner {
 		return Runner{ID: "i", Kind: "a", Rack: "r", Labels: []string{"a", "r"}, Capacity: full, Free: free, GroupCount: map[any]int{}}
@@ -19,8 +19,8 @@
 	labelled.Requirements = "none"
 	antiAffine := task
 	antiAffine.AntiAffinity = 1
-	beside := runner(full)
-	beside.GroupCount = map[any]int{"g": 1}
+	sameStep := runner(full)
+	sameStep.GroupCount = map[any]int{"g": 1}
 	unreliable := runner(full)
 	unreliable.FailureScore = 1
 	unreliable.Running = []Run{{Key: "other", Group: "h", Predicted: time.Second}}
@@ -30,14 +30,14 @@
 		runners []Runner
 		reason  Reason
 	}{
-		"too few processors":                     {task, []Runner{runner(protocol.Resources{CPU: 3000, MemoryMB: 9000, GPU: 8})}, NoCPU},
-		"too little memory":                      {task, []Runner{runner(protocol.Resources{CPU: 9000, MemoryMB: 4000, GPU: 8})}, NoMemory},
-		"too few accelerators":                   {task, []Runner{runner(protocol.Resources{CPU: 9000, MemoryMB: 9000, GPU: 1})}, NoGPU},
-		"no runner with its label":               {labelled, []Runner{runner(full)}, NoRunner},
-		"anti-affinity to all runners":           {antiAffine, []Runner{beside}, NoRunner},
-		"capacity on a runner that is avoided":   {task, []Runner{unreliable, reliable}, UnreliableRunner},
-		"what the nearest runner lacks":          {task, []Runner{runner(protocol.Resources{}), runner(protocol.Resources{CPU: 9000, GPU: 8})}, NoMemory},
-		"capacity that the round didn't come to": {task, []Runner{runner(full)}, LaterRound},
+		"too few processors":                    {task, []Runner{runner(protocol.Resources{CPU: 3000, MemoryMB: 9000, GPU: 8})}, NoCPU},
+		"too little memory":                     {task, []Runner{runner(protocol.Resources{CPU: 9000, MemoryMB: 4000, GPU: 8})}, NoMemory},
+		"too few accelerators":                  {task, []Runner{runner(protocol.Resources{CPU: 9000, MemoryMB: 9000, GPU: 1})}, NoGPU},
+		"no runner with its label":              {labelled, []Runner{runner(full)}, NoRunner},
+		"anti-affinity to all runners":          {antiAffine, []Runner{sameStep}, NoRunner},
+		"free capacity on an unreliable runner": {task, []Runner{unreliable, reliable}, UnreliableRunner},
+		"largest reason of two runners":         {task, []Runner{runner(protocol.Resources{}), runner(protocol.Resources{CPU: 9000, GPU: 8})}, NoMemory},
+		"capacity that the round has not used":  {task, []Runner{runner(full)}, LaterRound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -45,7 +45,7 @@
 			p.now, p.tasks, p.runners = 0, []Task{c.task}, c.runners
 			p.takeSnapshot()
 			p.predictRuntimes()
-			g.Expect(p.Why(0)).To(gomega.Equal(c.reason))
+			g.Expect(p.PendingReason(0)).To(gomega.Equal(c.reason))
 		})
 	}
 }
--- a/internal/cluster/placement/release.go
+++ b/internal/cluster/placement/release.go
@@ -9,19 +9,23 @@
 )
 
 const (
-	overdueFraction = 0.1 // an overdue run is expected to go on for that fraction of the time it has run
-	minOverdue      = 0.2 // and for so many seconds at least
-	assumedRun      = -1  // instead of a run's index: the task was assigned in this round
+	// A run that is about to exceed its predicted runtime, or has exceeded it, is expected to continue for
+	// overdueFraction of the time for which it has run, and for at least minOverdue seconds.
+	overdueFraction = 0.1
+	minOverdue      = 0.2
+	// assumedRun is the release.run of a task that was placed in this round.
+	assumedRun = -1
 )
 
 // release is the expected end of a run, which releases its capacity.
 type release struct {
-	in    float64 // seconds from now
-	needs protocol.Resources
-	run   int // index into Running, or assumedRun
+	in    float64            // time of the end, in seconds from now; infinity for a long-running task
+	needs protocol.Resources // capacity that is released
+	run   int                // index into Runner.Running, or assumedRun
 }
 
-// expectedReleases returns the releases of all that runs or was assigned there, the first one first.
+// expectedReleases returns the expected releases of all runs on the runner and of all tasks placed there in this round, the
+// earliest first.
 func (p *Planner) expectedReleases(r *runnerState) []release {
 	if r.releasesKnown {
 		return r.releases
@@ -36,11 +40,12 @@
 	return r.releases
 }
 
+// sortReleases sorts releases by time, then by run.
 func sortReleases(releases []release) {
 	slices.SortFunc(releases, func(a, b release) int { return cmp.Or(cmp.Compare(a.in, b.in), cmp.Compare(a.run, b.run)) })
 }
 
-// timeToEnd returns the seconds until a run is expected to end.
+// timeToEnd returns the expected remaining time of a run, in seconds.
 func (p *Planner) timeToEnd(run *Run) float64 {
 	if run.Stopping {
 		return p.options.StopTime.Seconds()
@@ -54,8 +59,8 @@
 	return max(overdueFraction*run.Elapsed.Seconds(), minOverdue)
 }
 
-// timeUntilFree returns the seconds until the runner is expected to have free capacity for count times needs, besides what
-// is committed to others; infinity if it is not expected to.
+// timeUntilFree returns the time, in seconds from now, at which the runner is expected to have free capacity for count
+// times needs, without the capacity that is committed to other units. It is infinite if that isn't expected.
 func (p *Planner) timeUntilFree(r *runnerState, needs protocol.Resources, count int) float64 {
 	free := r.free
 	subtract(&free, r.committed)
--- a/internal/cluster/placement/reservation.go
+++ b/internal/cluster/placement/reservation.go
@@ -7,30 +7,34 @@
 )
 
 const (
-	maxReservationAge  = 10 * time.Second // capacity is reserved for a unit for at most that long
-	reservationBackoff = 3 * time.Second  // and then not for so long
-	reservationExpiry  = 10 * time.Second // time after which the record of a unit that takes part no more is removed
-	maxReservations    = 6                // units with a record at the same time
+	maxReservationAge  = 10 * time.Second // longest time for which rounds reserve capacity for a unit without a pause
+	reservationBackoff = 3 * time.Second  // length of the pause after that
+	reservationExpiry  = 10 * time.Second // time since a unit last needed a reservation after which its record is removed
+	maxReservations    = 6                // largest number of units with a record, and so with a reservation
 )
 
-// Reservation is capacity of a runner that a round keeps for a unit that has to wait. The zero Reservation reserves nothing.
+// Reservation is capacity of one runner that a round reserves for a unit that must wait. It is a reservation as in EASY
+// backfilling: neededIn is the shadow time, spare the extra capacity. The zero Reservation reserves nothing.
 type Reservation struct {
-	key      any // the unit's reservation key; nil: there is no reservation
-	priority int
-	neededIn float64            // seconds from now
-	spare    protocol.Resources // what is free beside it once it is needed
+	key      any                // reservation key of the unit; nil: there is no reservation
+	priority int                // priority of the unit
+	neededIn float64            // time at which the unit is expected to start, in seconds from now
+	spare    protocol.Resources // capacity expected to be free at that time in addition to what the unit needs
 }
 
-// isForOther reports whether it is a reservation for another unit than that of the given key.
+// isForOther reports whether the reservation is for another unit than the one with the given key.
 func (r *Reservation) isForOther(key any) bool { return r.key != nil && r.key != key }
 
-// reservationRecord bounds, over the rounds, how long capacity is reserved for a unit.
+// reservationRecord limits the time for which rounds reserve capacity for a unit. startedAt is the time of the first
+// reservation, or of the first one after the latest pause. lastSeen is the time of the latest round that tried to reserve
+// capacity for the unit.
 type reservationRecord struct {
 	startedAt, lastSeen time.Duration
 }
 
-// reserve reserves the capacity of a plan for later. Tasks of no more priority that would still run when it is needed can't
-// take it: see Planner.respectsReservation.
+// reserve reserves the capacity of a plan for a later start, if mayReserve. A runner is reserved for one unit at most,
+// because collectSlotsLater skips runners that are reserved for another one. Planner.respectsReservation has the rules
+// for other tasks.
 func (p *Planner) reserve(u *unit, later *plan) {
 	if !p.mayReserve(u) {
 		return
@@ -50,7 +54,7 @@
 	}
 }
 
-// listReservations adds the round's reservations to its result.
+// listReservations adds the reservations of the round to its result.
 func (p *Planner) listReservations() {
 	for i := range p.runnerStates {
 		if r := &p.runnerStates[i]; r.reserved.key != nil {
@@ -59,8 +63,9 @@
 	}
 }
 
-// mayReserve reports whether capacity may be reserved for a unit now: for maxReservationAge, then not for
-// reservationBackoff, so that a plan that is never fulfilled doesn't leave capacity idle forever.
+// mayReserve reports whether the round may reserve capacity for a unit. It may for maxReservationAge, then not for
+// reservationBackoff, and so on, so that a unit that never starts doesn't keep capacity idle forever. It may not if
+// maxReservations other units have a record.
 func (p *Planner) mayReserve(u *unit) bool {
 	record := p.reservations[u.reservationKey()]
 	if record == nil {
@@ -77,8 +82,8 @@
 	return p.now-record.startedAt < maxReservationAge
 }
 
-// expireReservations removes the records of units that no longer need one: they were assigned, have ended or can start
-// nowhere.
+// expireReservations removes the records of units that haven't needed a reservation for reservationExpiry, because they
+// have ended or can't start anywhere.
 func (p *Planner) expireReservations() {
 	for key, record := range p.reservations {
 		if p.now-record.lastSeen > reservationExpiry {
--- a/internal/cluster/placement/resources.go
+++ b/internal/cluster/placement/resources.go
@@ -3,16 +3,16 @@
 import "ospreypond/internal/cluster/protocol"
 
 const (
-	coresPerGPU       = 8.0 // cores that an accelerator counts as (rules)
+	coresPerGPU       = 8.0 // price of an accelerator, in cores
 	milliCoresPerCore = 1000.0
 )
 
-// fits reports whether needs fit into free, which may be negative.
+// fits reports whether needs fit into free. Negative free capacity, of an overcommitted runner, fits nothing.
 func fits(free, needs protocol.Resources) bool {
 	return needs.CPU <= free.CPU && needs.MemoryMB <= free.MemoryMB && needs.GPU <= free.GPU
 }
 
-// maxFitting returns how many times needs fit into free, at most limit.
+// maxFitting returns the number of times that needs fit into free, at most limit.
 func maxFitting(free, needs protocol.Resources, limit int) int {
 	if !fits(free, needs) {
 		return 0
@@ -22,6 +22,7 @@
 	return maxFittingOf(free.GPU, needs.GPU, limit)
 }
 
+// maxFittingOf is maxFitting for one resource, of which free isn't negative.
 func maxFittingOf(free, need int64, limit int) int {
 	if need <= 0 {
 		return limit
@@ -41,18 +42,18 @@
 	sum.GPU -= less.GPU
 }
 
-// cores returns resources as the rules price them: in cores, with accelerators counted as cores.
+// cores converts resources to cores. An accelerator counts as coresPerGPU cores; memory doesn't count.
 func cores(r protocol.Resources) float64 {
 	return float64(r.CPU)/milliCoresPerCore + coresPerGPU*float64(r.GPU)
 }
 
-// dominantFraction returns the largest fraction of a capacity that needs take of any resource: the dominant share of
+// dominantFraction returns the largest fraction that needs take of any resource of a capacity. It is the dominant share of
 // Ghodsi et al., "Dominant Resource Fairness" (NSDI '11).
 func dominantFraction(needs, capacity protocol.Resources) float64 {
 	return max(ratio(needs.CPU, capacity.CPU), ratio(needs.MemoryMB, capacity.MemoryMB), ratio(needs.GPU, capacity.GPU))
 }
 
-// ratio returns part over total, and 0 where there is no total.
+// ratio returns part divided by total, or 0 if total isn't positive.
 func ratio(part, total int64) float64 {
 	if total <= 0 {
 		return 0
--- a/internal/cluster/placement/runnerstate.go
+++ b/internal/cluster/placement/runnerstate.go
@@ -7,32 +7,34 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// runnerState is a runner in the present round: as the caller described it, less what the round has assigned to it.
+// runnerState is the state of a runner in the current round: the state that the caller passed, with the tasks that the
+// round has placed there.
 type runnerState struct {
 	runner          *Runner
-	index           int // in the planner's runners
-	kind            int // index into the snapshot's kinds
-	rack            int // index into the snapshot's racks
-	free            protocol.Resources
-	slowness        float64
-	unreliable      bool
-	longRunning     int          // long-running tasks there
-	assumed         []groupCount // tasks assigned in this round, by group
-	assumedReleases []release    // of the tasks assigned in this round
-	releases        []release    // of all that runs there, by time; see Planner.expectedReleases
-	releasesKnown   bool
-	committed       protocol.Resources // capacity yet to be released that unschedulable tasks already wait for
-	reserved        Reservation        // in this round
-	reservedBefore  Reservation        // in earlier rounds of the same moment
+	index           int                // index into the planner's runners
+	kind            int                // index into the snapshot's kinds
+	rack            int                // index into the snapshot's racks
+	free            protocol.Resources // free capacity, less the needs of the tasks placed in this round
+	slowness        float64            // Runner.Slowness, at least minSlowness; 1 if it is unknown
+	unreliable      bool               // the failure score is at least minUnreliableScore
+	longRunning     int                // number of long-running tasks on the runner
+	assumed         []groupCount       // number of tasks placed in this round, by group
+	assumedReleases []release          // expected releases of the tasks placed in this round
+	releases        []release          // all expected releases, by time; see Planner.expectedReleases
+	releasesKnown   bool               // releases is up to date
+	committed       protocol.Resources // capacity, free or still to be released, on which preempt counts for units that wait
+	reserved        Reservation        // made in this round
+	reservedBefore  Reservation        // made in an earlier round at the same time
 }
 
+// groupCount is a number of tasks of a group.
 type groupCount struct {
 	group any
 	count int
 }
 
-// reset makes r the state of a runner at the start of a round, in the buffers of an earlier one. Kind and rack are left
-// to the caller.
+// reset sets r to the state of a runner at the start of a round, and reuses the buffers of r. The caller sets kind and
+// rack.
 func (r *runnerState) reset(runner *Runner, index int) {
 	*r = runnerState{runner: runner, index: index, free: runner.Free, reservedBefore: runner.Reserved, slowness: 1,
 		unreliable: runner.FailureScore >= minUnreliableScore,
@@ -47,7 +49,9 @@
 	}
 }
 
-// assume counts in a task that is assigned in this round. runtime is in seconds.
+// assume updates the state for a task that the round places on the runner. runtime is the task's predicted runtime in
+// seconds. The task also uses the spare capacity of another unit's reservation if it still runs when that needs its
+// capacity.
 func (r *runnerState) assume(c *candidate, runtime float64) {
 	task := c.task
 	subtract(&r.free, task.Needs)
@@ -71,7 +75,7 @@
 	r.assumed = append(r.assumed, groupCount{task.Group, 1})
 }
 
-// count returns how many tasks of a group run there or are assigned to it.
+// count returns the number of tasks of a group that run on the runner or that the round has placed there.
 func (r *runnerState) count(group any) int {
 	count := 0
 	if len(r.runner.GroupCount) > 0 {
@@ -85,7 +89,8 @@
 	return count
 }
 
-// couldRun reports whether the runner could take the task if all its capacity were free.
+// couldRun reports whether the task could start on the runner if all its capacity were free. It doesn't check
+// anti-affinity.
 func (r *runnerState) couldRun(task *Task) bool {
 	if r.runner.Draining || !fits(r.runner.Capacity, task.Needs) {
 		return false
@@ -93,8 +98,8 @@
 	return task.Requirements == "" || slices.Contains(r.runner.Labels, task.Requirements)
 }
 
-// hasCapacityFor reports whether the constraints let the task start there now: free capacity, label, anti-affinity and
-// no draining.
+// hasCapacityFor reports whether the runner meets the hard constraints of the task now: it has the free capacity and the
+// label, isn't draining, and may have another task of the group by its anti-affinity.
 func (r *runnerState) hasCapacityFor(task *Task) bool {
 	if !fits(r.free, task.Needs) || !r.couldRun(task) {
 		return false
@@ -102,13 +107,14 @@
 	return task.AntiAffinity <= 0 || r.count(task.Group) < task.AntiAffinity
 }
 
-// capacityFor returns how many tasks like this one fit into the free capacity, at most limit.
+// capacityFor returns the number of tasks like this one that fit into the free capacity and the group's anti-affinity, at
+// most limit.
 func (r *runnerState) capacityFor(task *Task, limit int) int {
 	return max(r.limitByAntiAffinity(task, maxFitting(r.free, task.Needs, limit)), 0)
 }
 
-// limitByAntiAffinity returns how many more tasks of the task's group may go there, at most limit. It is negative if there
-// are too many already.
+// limitByAntiAffinity returns the number of further tasks of the task's group that anti-affinity allows on the runner, at
+// most limit. It is negative if there are too many already.
 func (r *runnerState) limitByAntiAffinity(task *Task, limit int) int {
 	if task.AntiAffinity > 0 {
 		return min(limit, task.AntiAffinity-r.count(task.Group))
--- a/internal/cluster/placement/scenario_test.go
+++ b/internal/cluster/placement/scenario_test.go
@@ -9,42 +9,43 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// A scenario runs the jobs of a service against the planner in virtual time: with wrong hints, kinds of runners that differ
-// by queue, and delayed orders and reports. Its result is how much of the jobs' value is earned.
+// A scenario simulates the jobs of a service in virtual time. It calls the planner every scenarioTick and runs its
+// placements. Hints are inaccurate, the speed of a kind of runner depends on the queue, and orders and reports are
+// delayed. The result is the fraction of the jobs' value that is earned by ending them in time.
 
 const (
-	arrivalPeriod = 34 * time.Second
-	drainPeriod   = 60 * time.Second // after the last arrival, until most jobs have ended
-	scenarioTick  = 20 * time.Millisecond
-	orderDelay    = 80 * time.Millisecond // from a round to the start on the runner
-	reportDelay   = 60 * time.Millisecond // from the end of a run until its capacity is free
-	stopDelay     = 400 * time.Millisecond
-	trueFarFactor = 1.5
+	arrivalPeriod      = 34 * time.Second // during which jobs arrive
+	drainPeriod        = 60 * time.Second // simulated time after the arrivals, in which most jobs end
+	scenarioTick       = 20 * time.Millisecond
+	orderDelay         = 80 * time.Millisecond  // time from a round to the start on the runner
+	reportDelay        = 60 * time.Millisecond  // time from the end of a run until its capacity counts as free
+	stopDelay          = 400 * time.Millisecond // time from a round to the end of a run that it stops
+	trueNonLocalFactor = 1.5                    // actual slowdown outside the rack of the data, or of a gang across racks
 )
 
-// class is a kind of jobs. Fractions are of its jobs.
+// class describes a sort of jobs. Fractions are fractions of its jobs.
 type class struct {
 	name              string
-	perSecond         float64
-	steps             float64 // mean
-	width             float64 // mean tasks of a step
-	workMs            float64 // mean
-	maxWidth          int
+	perSecond         float64 // mean arrival rate
+	steps             float64 // mean number of steps of a job
+	width             float64 // mean number of tasks of a step
+	workMs            float64 // mean runtime of a task on a kind with factor 1, in ms
+	maxWidth          int     // largest number of tasks of a step
 	needs             protocol.Resources
-	gpus              []int64
-	hintError         float64
-	spread            float64
-	priority          int
-	target            time.Duration
-	extension         float64
-	checkpointing     float64 // fraction that takes checkpoints
-	localFraction     float64 // fraction with data in a rack
+	gpus              []int64       // accelerators of a task; each job has one of these numbers
+	hintError         float64       // largest relative error of hints
+	spread            float64       // standard deviation of ln(runtime) of the tasks of a step
+	priority          int           // 0 is the highest
+	target            time.Duration // target latency of the queue
+	extension         float64       // extension factor of the queue
+	checkpointing     float64       // fraction whose runs write checkpoints
+	localFraction     float64       // fraction whose data is in a rack
 	gang              bool
 	rackLocalFraction float64 // fraction of gangs that are rack-local
 	longRunning       bool
 	runtimeByKind     map[string]float64 // factor of the runtime, by kind of runner
-	value             float64
-	lateValue         float64
+	value             float64            // value of a job of mean work
+	lateValue         float64            // value of such a job if it ends late
 }
 
 type scenarioJob struct {
@@ -52,46 +53,46 @@
 	number        int
 	arrived       time.Duration
 	steps         [][]*scenarioTask
-	next          int // first step that is not done
-	ended         time.Duration
+	next          int           // first step that is not done
+	ended         time.Duration // negative while the job has not ended
 	affinity      string
 	gpus          int64
-	hints         []float64
-	rackOnly      bool
+	hints         []float64 // in ms, by step
+	rackOnly      bool      // the gang is rack-local
 	checkpointing bool
-	criticalPath  time.Duration // the true one, on the usual kind
-	runningTime   time.Duration // of all its tasks, if it is long-running
+	criticalPath  time.Duration // actual one, on a kind with factor 1
+	runningTime   time.Duration // sum over the tasks of a long-running job
 }
 
 type scenarioTask struct {
 	job          *scenarioJob
 	step         int
-	work         time.Duration
+	work         time.Duration // runtime on a kind with factor 1
 	done         bool
 	pendingSince time.Duration
 	run          *scenarioRun
-	checkpoint   float64 // fraction of the work, 0 to 1
+	checkpoint   float64 // fraction of the work that the newest checkpoint has, 0 to 1
 }
 
 type scenarioRun struct {
 	task      *scenarioTask
-	runner    int
-	from      time.Duration
-	until     time.Duration
+	runner    int           // index into the fleet
+	from      time.Duration // start on the runner
+	until     time.Duration // end on the runner
 	predicted time.Duration
 	stopped   bool
 }
 
-// scenario is one run of it. Its runs are kept by runner.
+// scenario is the state of one simulation.
 type scenario struct {
 	rng     *rand.Rand
 	planner *Planner
 	classes []*class
 	fleet   []Runner
-	running [][]*scenarioRun
+	running [][]*scenarioRun // by runner
 	jobs    []*scenarioJob
 	now     time.Duration
-	lost    float64 // core-seconds of preempted work without a checkpoint
+	lost    float64 // work that preemption lost for lack of a checkpoint, in core-seconds
 	stops   int
 }
 
@@ -137,7 +138,7 @@
 	return needs
 }
 
-// timeLeft returns the time left as the scheduler computes it, from predictions.
+// timeLeft returns the time left of a step as package scheduler computes it from predictions.
 func (d *scenario) timeLeft(job *scenarioJob, step int) time.Duration {
 	total, after := time.Duration(0), time.Duration(0)
 	for i, hint := range job.hints {
@@ -151,7 +152,7 @@
 	return job.arrived - d.now + objective - after
 }
 
-// pending returns the tasks that may start, and the scenario's own task of each.
+// pending returns the tasks that may start, as the planner's tasks and as the scenario's.
 func (d *scenario) pending() (tasks []Task, of []*scenarioTask) {
 	for _, job := range d.jobs {
 		if job.next >= len(job.steps) {
@@ -172,7 +173,7 @@
 	return tasks, of
 }
 
-// runnersNow returns the runners as their agents would report them.
+// runnersNow returns the current state of the runners, as package scheduler would describe it to the planner.
 func (d *scenario) runnersNow() []Runner {
 	runners := slices.Clone(d.fleet)
 	for i := range runners {
@@ -215,7 +216,7 @@
 		task := of[p.Task]
 		length := time.Duration(float64(d.trueRuntime(task, p.Runner)) * (1 - task.checkpoint))
 		if task.job.rackOnly && len(racks[task.job]) > 1 {
-			length = time.Duration(trueFarFactor * float64(length))
+			length = time.Duration(trueNonLocalFactor * float64(length))
 		}
 		task.run = &scenarioRun{task: task, runner: p.Runner, from: d.now + orderDelay, predicted: p.Predicted}
 		task.run.until = task.run.from + length
@@ -240,7 +241,7 @@
 	run.until = d.now + stopDelay
 }
 
-// trueRuntime returns how long a task runs on a runner, whatever is predicted.
+// trueRuntime returns the actual runtime of a task on a runner.
 func (d *scenario) trueRuntime(task *scenarioTask, runner int) time.Duration {
 	job, r := task.job, &d.fleet[runner]
 	if job.class.longRunning {
@@ -248,7 +249,7 @@
 	}
 	factor := job.class.runtimeByKind[r.Kind] * r.Slowness
 	if job.affinity != "" && job.affinity != r.Rack {
-		factor *= trueFarFactor
+		factor *= trueNonLocalFactor
 	}
 	return time.Duration(factor * float64(task.work))
 }
@@ -296,7 +297,7 @@
 	}
 }
 
-// run lets jobs arrive for the given time, at a multiple of their usual rate, and goes on until most have ended.
+// run simulates the arrival of jobs for the given time, at a multiple of their usual rate, and then the drainPeriod.
 func (d *scenario) run(length time.Duration, rate float64) {
 	due := make([]float64, len(d.classes))
 	for i, c := range d.classes {
@@ -314,7 +315,9 @@
 	}
 }
 
-// valueOf returns the value of a job and how much of it was earned, by the rules.
+// valueOf returns the value of a job and the part of it that was earned. The value of a job rises with its work. All of
+// it is earned by the objective, a part up to three times the objective, and nothing later. A long-running job earns the
+// fraction of the time for which its tasks have run.
 func (d *scenario) valueOf(job *scenarioJob) (value, earned float64) {
 	c := job.class
 	if c.longRunning {
--- a/internal/cluster/placement/scenarios_test.go
+++ b/internal/cluster/placement/scenarios_test.go
@@ -13,7 +13,7 @@
 
 func newScenario(seed uint64, classes []*class, fleet []Runner) *scenario {
 	return &scenario{rng: rand.New(rand.NewPCG(seed, 7)), classes: classes, fleet: fleet, running: make([][]*scenarioRun, len(fleet)),
-		planner: NewPlanner(Options{FarFactor: trueFarFactor, StopTime: stopDelay})}
+		planner: NewPlanner(Options{NonLocalFactor: trueNonLocalFactor, StopTime: stopDelay})}
 }
 
 func lightFleet() (fleet []Runner) {
@@ -58,7 +58,8 @@
 	}
 }
 
-// earnedFraction returns the fraction of the jobs' value that is earned over some scenarios, and the mean core-seconds lost.
+// earnedFraction returns the fraction of the jobs' value that is earned in some scenarios, and the mean work that
+// preemption loses in one, in core-seconds.
 func earnedFraction(classes []*class, fleet []Runner, rate float64) (fraction, lost float64) {
 	const scenarios = 2
 	value, earned := 0.0, 0.0
@@ -75,14 +76,14 @@
 	return earned / value, lost
 }
 
-var _ = DescribeTable("complete scenarios", func(classes []*class, fleet []Runner, rate, minEarned, maxLost float64) {
+var _ = DescribeTable("a simulated service earns most of its jobs' value", func(classes []*class, fleet []Runner, rate, minEarned, maxLost float64) {
 	earned, lost := earnedFraction(classes, fleet, rate)
 	GinkgoWriter.Printf("earned %.3f, lost %.1f core-seconds\n", earned, lost)
 	Expect(earned).To(BeNumerically(">=", minEarned))
 	Expect(lost).To(BeNumerically("<=", maxLost))
 },
-	Entry("small, batch and long-running tasks", lightClasses(), lightFleet(), 1.0, 0.98, 1.0),
-	Entry("the same under more load", lightClasses(), lightFleet(), 1.4, 0.96, 5.0),
-	Entry("gangs and single tasks with accelerators", heavyClasses(), heavyFleet(), 1.0, 0.75, 50.0),
-	Entry("the same at half the load", heavyClasses(), heavyFleet(), 0.5, 0.88, 50.0),
+	Entry("with small, batch and long-running jobs", lightClasses(), lightFleet(), 1.0, 0.98, 1.0),
+	Entry("with these jobs at 1.4 times the load", lightClasses(), lightFleet(), 1.4, 0.96, 5.0),
+	Entry("with gangs and single tasks that need accelerators", heavyClasses(), heavyFleet(), 1.0, 0.75, 50.0),
+	Entry("with these jobs at half the load", heavyClasses(), heavyFleet(), 0.5, 0.88, 50.0),
 )
--- a/internal/cluster/placement/score.go
+++ b/internal/cluster/placement/score.go
@@ -2,28 +2,29 @@
 
 import "slices"
 
-// The cost of a pairing, by section 5.1 of the Kairos paper.
+// Parameters of the cost of a pairing, from section 5.1 of the Kairos paper.
 const (
-	timeLeftFraction   = 0.98 // the paper's xi: a pairing must end within this fraction of the task's time left
-	latePenaltyFactor  = 10   // a pairing that doesn't costs so many times the round's largest time left (equation 8)
-	minLargestTimeLeft = 1.0  // seconds; the round's largest time left counts as at least that
+	timeLeftFraction   = 0.98 // the paper's xi: a pairing is late if its runtime exceeds this part of the task's time left
+	latePenaltyFactor  = 10   // cost of a late pairing, divided by the round's largest time left (equation 8)
+	minLargestTimeLeft = 1.0  // seconds; a smaller largest time left counts as this
 )
 
-// What is ours in the cost: terms that choose among pairings of about the same cost, and what changes the runtime.
+// Additions to the cost of the paper. Two change the runtime. The weights are fractions of the runtime that are added to
+// the cost of a pairing, and so choose among pairings whose costs by the paper are nearly equal.
 const (
-	failureScoreWeight = 2.0  // how much longer a task is expected to take where everything fails
-	warmingUpFraction  = 0.5  // fraction of the time of warming up by which a task runs longer
-	speedWeight        = 0.02 // of the runtime: the faster of equal ones
-	packWeight         = 0.02 // of the runtime: where least is left over, so that large tasks still fit elsewhere
-	sameStepWeight     = 0.01 // of the runtime: beside its own step, as the loss of a runner then hits one job
-	gpuWasteWeight     = 0.05 // of the runtime: accelerators are left to those that need them
-	spreadWeight       = 0.3  // of the runtime: for each other long-running task there
-	rackWeight         = 0.05 // of the runtime: for each long-running task in the rack
-	forbiddenCost      = 1e7  // the cost of a pairing that the filters rule out
+	failureScoreWeight = 2.0  // the expected runtime is longer by this factor times the runner's failure score
+	warmingUpFraction  = 0.5  // the runtime on a runner that warms up is longer by this fraction of the rest of the warm-up
+	speedWeight        = 0.02 // prefers the faster of two runners
+	packWeight         = 0.02 // prefers the runner with the least capacity left over, so that large tasks fit on others
+	sameStepWeight     = 0.01 // prefers a runner with tasks of the same step, so that the loss of a runner affects fewer jobs
+	gpuWasteWeight     = 0.05 // avoids accelerators for tasks that don't need any
+	spreadWeight       = 0.3  // avoids other long-running tasks on the runner; for each of them
+	rackWeight         = 0.05 // avoids other long-running tasks in the rack; for each of them
+	forbiddenCost      = 1e7  // cost of a pairing that the filters forbid
 )
 
-// pairingCost is the cost of equations 4 and 8: weight (C_j) x runtime (L_ij), or the penalty if the runtime is longer
-// than 0.98 of the time left (equation 5). Times are in seconds.
+// pairingCost returns the cost of equations 4 and 8: weight (C_j) x runtime (L_ij), or the penalty if the runtime exceeds
+// timeLeftFraction of the time left (equation 5). Times are in seconds.
 func pairingCost(weight, runtime, timeLeft, largestTimeLeft float64) float64 {
 	if runtime > timeLeftFraction*timeLeft {
 		return latePenaltyFactor * largestTimeLeft
@@ -31,8 +32,8 @@
 	return weight * runtime
 }
 
-// predictRuntimes predicts each task on each kind, and from that the weight of each kind (definition 1): the runtime of the
-// largest task on the fastest kind over its runtime on this one.
+// predictRuntimes predicts the runtime of each task on each kind of runner, and computes the weight of each kind
+// (definition 1): the runtime of the largest task on its fastest kind, divided by its runtime on this kind.
 func (p *Planner) predictRuntimes() {
 	width := len(p.kinds)
 	p.runtimes = p.runtimes[:0]
@@ -56,16 +57,16 @@
 	}
 }
 
-// runtimesOf returns the predicted runtimes of a task by kind, in seconds.
+// runtimesOf returns the predicted runtimes of a task in seconds, by kind of runner.
 func (p *Planner) runtimesOf(task int) []float64 {
 	width := len(p.kinds)
 	return p.runtimes[task*width : (task+1)*width]
 }
 
-// fastestRuntime returns the predicted runtime of a task on the kind where it is shortest, in seconds.
+// fastestRuntime returns the shortest of the predicted runtimes of a task, in seconds.
 func (p *Planner) fastestRuntime(task int) float64 { return slices.Min(p.runtimesOf(task)) }
 
-// runtime returns the seconds that a task is predicted to run on a runner, if nothing fails.
+// runtime returns the predicted runtime of a task on a runner in seconds, if the run doesn't fail.
 func (p *Planner) runtime(c *candidate, r *runnerState) float64 {
 	task := c.task
 	runtime := p.runtimesOf(c.index)[r.kind] * r.slowness
@@ -73,10 +74,10 @@
 		runtime *= task.Remaining
 	}
 	if task.Affinity != "" && task.Affinity != r.runner.Rack {
-		runtime *= p.options.FarFactor
+		runtime *= p.options.NonLocalFactor
 	}
 	if task.HasCheckpoint {
-		runtime += p.options.Restore.Seconds()
+		runtime += p.options.RestoreTime.Seconds()
 	}
 	if r.runner.WarmingUp > 0 {
 		runtime += warmingUpFraction * r.runner.WarmingUp.Seconds()
@@ -84,22 +85,24 @@
 	return runtime
 }
 
-// expectedRuntime returns L_ij, in seconds: the runtime, longer where runs are likely to fail and be repeated.
+// expectedRuntime returns L_ij in seconds: the predicted runtime, lengthened by the runner's failure score, because a
+// failed run is repeated.
 func (p *Planner) expectedRuntime(c *candidate, r *runnerState) float64 {
 	return p.runtime(c, r) * (1 + failureScoreWeight*r.runner.FailureScore)
 }
 
-// cost returns what a task costs on a runner that passes the filters.
+// cost returns the cost of a task on a runner that passes the filters.
 func (p *Planner) cost(c *candidate, r *runnerState) float64 {
 	return p.costOf(c, r, p.expectedRuntime(c, r))
 }
 
-// costOf returns what a task costs on a runner if it occupies it for so many seconds.
+// costOf returns the cost of a task on a runner that it occupies for runtime seconds.
 func (p *Planner) costOf(c *candidate, r *runnerState, runtime float64) float64 {
 	return pairingCost(p.weights[r.kind], runtime, c.timeLeft, p.largestTimeLeft) + runtime*p.preference(c, r)
 }
 
-// preference chooses among runners of about the same cost. It is a fraction of the runtime; lower is better.
+// preference returns the cost of a pairing beyond that of the paper, as a fraction of the runtime. A lower value is
+// better. A long-running task prefers the runner with the most capacity left over, and avoids other long-running tasks.
 func (p *Planner) preference(c *candidate, r *runnerState) float64 {
 	task := c.task
 	preference := speedWeight
@@ -117,8 +120,8 @@
 	return preference
 }
 
-// fractionLeftOver returns the fraction of the runner that stays free beside the task: the mean over the resources, in
-// which accelerators count as much as cores and memory together.
+// fractionLeftOver returns the fraction of the runner's capacity that stays free after the task is placed there. It is
+// the mean over the resources, where accelerators weigh as much as cores and memory together.
 func fractionLeftOver(r *runnerState, task *Task) float64 {
 	capacity := r.runner.Capacity
 	left := ratio(r.free.CPU-task.Needs.CPU, capacity.CPU) + ratio(r.free.MemoryMB-task.Needs.MemoryMB, capacity.MemoryMB)
--- a/internal/cluster/placement/selection.go
+++ b/internal/cluster/placement/selection.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	maxSingles     = 200 // tasks in a round, besides the members of gangs and large tasks
-	maxGangMembers = 200 // members of gangs in a round; the last gang is completed beyond it
-	maxLarge       = 40  // large tasks in a round
+	maxSingles     = 200 // largest number of tasks in a round that are neither members of gangs nor large
+	maxGangMembers = 200 // largest number of members of gangs in a round; the last gang takes part completely beyond it
+	maxLarge       = 40  // largest number of large tasks in a round
 )
 
-// selection is the tasks of the present round, those that take part in it, and what was found out about them.
+// selection has the candidates of the current round, those that take part, and data derived from them.
 type selection struct {
-	runtimes        []float64 // predicted seconds, by task and kind: see Planner.runtimesOf
-	weights         []float64 // the heterogeneity coefficient C_j (Kairos, definition 1), by kind
-	candidates      []candidate
-	selected        []*candidate // those that take part, in their order
-	largestTimeLeft float64      // seconds
-	firstOfGang     map[any]int  // index of each gang's first task
+	runtimes        []float64    // predicted runtimes in seconds, by task and kind: see Planner.runtimesOf
+	weights         []float64    // heterogeneity coefficients C_j (Kairos, definition 1), by kind
+	candidates      []candidate  // of all tasks, in the order of compareCandidates
+	selected        []*candidate // candidates that take part, in the same order
+	largestTimeLeft float64      // of the selected candidates, in seconds
+	firstOfGang     map[any]int  // index of the first task of each gang, by group
 	shapes          map[shape]shapeFacts
-	rescued         map[any]bool // groups with a task that was rescued in this round
+	servedStarving  map[any]bool // groups of which the round has placed a starving task
 }
 
 func newSelection() selection {
-	return selection{firstOfGang: map[any]int{}, shapes: map[shape]shapeFacts{}, rescued: map[any]bool{}}
+	return selection{firstOfGang: map[any]int{}, shapes: map[shape]shapeFacts{}, servedStarving: map[any]bool{}}
 }
 
-// shape is what decides whether any runner has capacity for a task. Many tasks have the same.
+// shape has the properties of a task that decide which runners could run it. Many tasks have the same shape.
 type shape struct {
 	needs        protocol.Resources
 	requirements string
 }
 
-// shapeFacts is what follows from a shape.
+// shapeFacts has properties of all tasks of a shape.
 type shapeFacts struct {
-	hasCapacity bool // some runner has free capacity now
-	large       bool // it takes much of each runner that could take it
+	hasCapacity bool // a runner had free capacity for the task at the start of the round
+	large       bool // the task needs at least minLargeFraction of each runner that could run it
 }
 
-// selectCandidates selects the tasks that take part in the round, in the order of compareCandidates. Tasks for which no
-// runner has free capacity don't count towards the limits, so that they don't hide those behind them.
+// selectCandidates ranks the tasks and selects those that take part in the round, up to the limits for each sort of task.
+// A task for which no runner has free capacity doesn't count towards maxSingles, so that such tasks don't keep those
+// behind them out of the round. It only takes part in preemption.
 func (p *Planner) selectCandidates() {
 	p.candidates = slices.Grow(p.candidates[:0], len(p.tasks))[:len(p.tasks)]
 	clear(p.firstOfGang)
@@ -53,14 +54,14 @@
 	p.selected, p.preemption.singles = p.selected[:0], p.preemption.singles[:0]
 	p.largestTimeLeft = minLargestTimeLeft
 	clear(p.shapes)
-	clear(p.rescued)
+	clear(p.servedStarving)
 	singles, large, members := 0, 0, 0
 	for i := range p.candidates {
 		c := &p.candidates[i]
 		switch {
 		case c.task.Gang:
 			if members >= maxGangMembers && p.candidates[i-1].order != c.order {
-				members = math.MaxInt // no further gang
+				members = math.MaxInt // no further gang takes part
 			}
 			if members == math.MaxInt {
 				continue
@@ -82,16 +83,16 @@
 	}
 }
 
-// isLarge reports whether a task needs much of a runner and has waited, so that small tasks could starve it. One without
-// value may be starved until it is aged.
+// isLarge reports whether a task needs much of any runner and has waited for minLargeWait, so that small tasks could
+// starve it. An expired task isn't protected from starvation in this way; aging does that.
 func (p *Planner) isLarge(c *candidate) bool {
-	if c.task.Waited < minLargeWait || c.task.LongRunning || c.lateness == worthless {
+	if c.task.Waited < minLargeWait || c.task.LongRunning || c.lateness == expired {
 		return false
 	}
 	return p.factsOf(c.task).large
 }
 
-// factsOf returns what follows from a task's shape. What it says of free capacity is as of the start of the round.
+// factsOf returns the facts of a task's shape, and computes them for the first task of a shape in the round.
 func (p *Planner) factsOf(task *Task) shapeFacts {
 	key := shape{task.Needs, task.Requirements}
 	facts, known := p.shapes[key]
--- a/internal/cluster/placement/snapshot.go
+++ b/internal/cluster/placement/snapshot.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	minUnreliableScore   = 0.5  // failure score from which on a runner is avoided
-	maxUnhealthyFraction = 0.67 // if a larger fraction of the runners is unreliable, none is avoided for it
-	minSlowness          = 0.05
+	minUnreliableScore   = 0.5  // failure score from which on a runner is unreliable, so that tasks avoid it
+	maxUnhealthyFraction = 0.67 // if a larger fraction of the runners is unreliable, no runner is avoided (fail open)
+	minSlowness          = 0.05 // a smaller slowness counts as this one
 )
 
-// snapshot is the runners as they were at the start of the round, and what the round has assigned to them since.
+// snapshot is the state of the runners at the start of the round, with the tasks that the round has placed since.
 type snapshot struct {
 	runnerStates      []runnerState // in the order of the runners
-	kinds             []string
-	racks             []string
-	longRunningInRack []int        // long-running tasks, by rack
-	failOpen          bool         // so many runners are unreliable that none is avoided for it
-	mostlyFree        bool         // less than half of the service's cores, or of its accelerators, are in use
-	runningGroups     map[any]bool // groups with a running task; nil until hasRunning needs it
+	kinds             []string      // distinct kinds of the runners
+	racks             []string      // distinct racks of the runners
+	longRunningInRack []int         // number of long-running tasks, by index of the rack
+	failOpen          bool          // so many runners are unreliable that no runner is avoided
+	mostlyFree        bool          // less than half of the service's cores, or of its accelerators, are in use
+	runningGroups     map[any]bool  // groups with a running task at the start of the round; computed by hasRunning
 }
 
-// takeSnapshot starts a round with the state of all runners.
+// takeSnapshot copies the state of all runners at the start of a round.
 func (p *Planner) takeSnapshot() {
 	p.kinds, p.racks, p.longRunningInRack = p.kinds[:0], p.racks[:0], p.longRunningInRack[:0]
 	p.runnerStates = slices.Grow(p.runnerStates[:0], len(p.runners))[:len(p.runners)]
@@ -49,7 +49,7 @@
 	p.mostlyFree = 2*free.CPU > capacity.CPU || capacity.GPU > 0 && 2*free.GPU > capacity.GPU
 }
 
-// intern returns the index of name in names, and appends it if it is not there.
+// intern returns the index of name in names, and appends name if it isn't there.
 func intern(names *[]string, name string) int {
 	if i := slices.Index(*names, name); i >= 0 {
 		return i
@@ -58,7 +58,7 @@
 	return len(*names) - 1
 }
 
-// hasRunning reports whether any task of a group runs.
+// hasRunning reports whether any task of a group was running at the start of the round.
 func (p *Planner) hasRunning(group any) bool {
 	if p.runningGroups == nil {
 		p.runningGroups = map[any]bool{}
--- a/internal/cluster/placement/types.go
+++ b/internal/cluster/placement/types.go
@@ -6,90 +6,93 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Task is a pending task that may be started at once.
+// Task is a pending task that may be started now.
 type Task struct {
-	Key           any     // the caller's own; comparable
-	Queue         string  // runtimes are learnt by queue
-	Priority      int     // 0 goes first
-	SizeMs        float64 // the client's hint of the runtime in ms, which may be far off; 0 or less: none
+	Key           any     // identifies the task for the caller; comparable
+	Queue         string  // the predictor learns runtimes by queue
+	Priority      int     // 0 is the highest
+	SizeMs        float64 // the client's hint of the runtime in ms, which may be very inaccurate; 0 or less: none
 	Needs         protocol.Resources
-	TimeLeft      time.Duration // to its job's objective; negative once that has passed
-	ValueLeft     time.Duration // to the moment from which its job earns nothing any more; not less than TimeLeft
-	RemainingWork float64       // of its job's repetition, in core-seconds; 0 for a long-running task
-	Aged          bool          // it earns nothing any more and is run all the same, as a late task
-	Waited        time.Duration // since it became pending
-	Requirements  string        // a label that the runner must have, or empty
-	Affinity      string        // the rack of its data, or empty
-	Group         any           // the step that it belongs to; comparable
-	AntiAffinity  int           // how many tasks of Group may run on one runner; 0: any number
-	Gang          bool          // it starts together with all other tasks of Group, or not at all
-	RackLocal     bool          // of a gang: it runs longer if it is spread over racks
-	LongRunning   bool          // it has no end of its own
-	HasCheckpoint bool          // it resumes from a checkpoint
+	TimeLeft      time.Duration // time until the task must end for its job to meet its objective; may be negative
+	TimeToExpiry  time.Duration // time until the task must end for its job to keep any value; at least TimeLeft
+	RemainingWork float64       // work that is left of its job's repetition, in core-seconds, without long-running tasks
+	Aged          bool          // the task is expired and was promoted against starvation; it ranks as a late task
+	Waited        time.Duration // time since the task became pending
+	Requirements  string        // label that the runner must have; empty: any runner
+	Affinity      string        // rack of the task's data; empty: no preference
+	Group         any           // identifies the step of the task; comparable
+	AntiAffinity  int           // largest number of tasks of Group on one runner; 0: no limit
+	Gang          bool          // the task starts together with all other tasks of Group, or not at all
+	RackLocal     bool          // only for a gang: it runs NonLocalFactor times longer if its members are in several racks
+	LongRunning   bool          // the task runs until it is stopped
+	HasCheckpoint bool          // the task resumes from a checkpoint
 	Remaining     float64       // fraction of its work that is left, above 0 and at most 1; 1 if unknown
 }
 
-// Runner is what the caller knows of a runner.
+// Runner is the state of a runner as the caller knows it.
 type Runner struct {
 	ID           string
-	Kind         string // of hardware, as far as runtimes depend on it
+	Kind         string // kind of hardware, on which runtimes depend
 	Rack         string
 	Zone         string
 	Labels       []string
 	Capacity     protocol.Resources
-	Free         protocol.Resources // Capacity less that of all runs, also of those that are being stopped or were ordered
-	Slowness     float64            // its runtimes over those of its kind; 1 and 0: as its kind
-	FailureScore float64            // how often it failed what it started: 0 never, 1 always
-	WarmingUp    time.Duration      // how much longer it stays slow after its start
-	Draining     bool               // it starts nothing any more
+	Free         protocol.Resources // Capacity less the needs of all runs, including runs that are being started or stopped
+	Slowness     float64            // runtimes on this runner over the runtimes on its kind; 0 stands for 1
+	FailureScore float64            // recent failures: 0 if no run has failed, up to 1 if all have
+	WarmingUp    time.Duration      // remaining time during which the runner is slow after its start
+	Draining     bool               // no task may be started on the runner
 
-	GroupCount map[any]int // running tasks by Group
-	Running    []Run
-	Reserved   Reservation // by earlier rounds of the same moment; only tasks without value respect it
+	GroupCount map[any]int // number of running tasks by Group
+	Running    []Run       // runs whose ends release capacity; some of them may be preempted
+	Reserved   Reservation // reservation of an earlier round at the same time; only expired tasks respect it
 }
 
-// Run is a task that runs on a runner or was ordered there.
+// Run is a run of a task on a runner.
 type Run struct {
-	Key           any // the caller's own; comparable
+	Key           any // identifies the run for the caller; comparable
 	Queue         string
-	Priority      int
+	Priority      int // 0 is the highest
 	Needs         protocol.Resources
-	Predicted     time.Duration // the complete runtime, as predicted at its start
-	Elapsed       time.Duration
-	CheckpointAge time.Duration // the work that is lost if it is stopped now
+	Predicted     time.Duration // predicted runtime of the complete run
+	Elapsed       time.Duration // time since its start
+	CheckpointAge time.Duration // runtime that is lost if the run is stopped now
 	LongRunning   bool
 	Gang          bool
-	Stopping      bool // it was ordered to stop and has not ended yet
-	Group         any
+	Stopping      bool // the run was ordered to stop and hasn't ended
+	Group         any  // identifies the step of its task; comparable
 }
 
 // Options are the settings of a deployment.
 type Options struct {
-	FarFactor float64       // how many times longer a task runs outside its rack, or a gang over several racks; at least 1
-	StopTime  time.Duration // the longest time that it takes to stop a run
-	Restore   time.Duration // the time that it takes to resume from a checkpoint
+	// NonLocalFactor is how many times longer a task runs outside the rack of its data, or a rack-local gang across
+	// racks. It is at least 1.
+	NonLocalFactor float64
+	StopTime       time.Duration // longest time that it takes to stop a run
+	RestoreTime    time.Duration // extra start-up time of a run that resumes from a checkpoint
 }
 
-// Placement starts a task on a runner. Task and Runner are indices into what Round was given.
+// Placement starts a task on a runner. Task and Runner are indices into the arguments of Round.
 type Placement struct {
 	Task      int
 	Runner    int
-	Predicted time.Duration // its runtime there
+	Predicted time.Duration // predicted runtime of the task on the runner
 }
 
-// Stop preempts a run. Runner is an index into what Round was given, Run one into that runner's Running.
+// Stop preempts a run. Runner is an index into the argument of Round, Run an index into that runner's Running.
 type Stop struct {
 	Runner int
 	Run    int
 }
 
-// RunnerReservation is capacity that a round keeps for a unit that has to wait. Runner is an index into what Round was given.
+// RunnerReservation is capacity that a round has reserved for a unit that must wait. Runner is an index into the argument
+// of Round.
 type RunnerReservation struct {
 	Runner      int
 	Reservation Reservation
 }
 
-// Result is the decisions of a round.
+// Result has the decisions of a round.
 type Result struct {
 	Placements   []Placement
 	Stops        []Stop
--- a/internal/cluster/placement/unit.go
+++ b/internal/cluster/placement/unit.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	minLargeFraction = 0.3                    // fraction of each runner from which on a task is large
-	minLargeWait     = 300 * time.Millisecond // until then a large task takes part in the matching as others do
-	maxWaitEndRatio  = 0.9                    // a unit waits if it then ends before that fraction of its runtime now
+	minLargeFraction = 0.3                    // a large task needs at least this part of every runner that could run it
+	minLargeWait     = 300 * time.Millisecond // a large task that has waited for less takes part in the matching like others
+	maxWaitEndRatio  = 0.9                    // a unit waits only if it then ends before this fraction of its runtime now
 )
 
-// unit is what starts together: the members of a gang, or one large task.
+// unit is a set of tasks that the round places together or not at all: the members of a gang, or one task.
 type unit struct {
-	members []*candidate // at least one; all of a gang are alike
+	members []*candidate // at least one; the members of a gang have the same needs, constraints and predictions
 }
 
+// first returns the first member, which represents all members in filters, costs and order.
 func (u *unit) first() *candidate { return u.members[0] }
 
 func (u *unit) reservationKey() any { return u.first().reservationKey() }
 
-// unitPlanning has the units of a level, and the buffers of their plans.
+// unitPlanning has the units of one priority, and buffers for their plans.
 type unitPlanning struct {
 	units       []unit
-	slots       []slot // on all runners
-	rackSlots   []slot // on those of one rack
-	rackPlan    plan   // from rackSlots
-	slotsInRack []int  // slots by rack
+	slots       []slot // slots on all runners
+	rackSlots   []slot // slots on the runners of one rack
+	rackPlan    plan   // plan from rackSlots
+	slotsInRack []int  // number of members for which there are slots, by rack
 	now, later  plan
 }
 
-// formUnits gathers the gangs and large tasks of a level, in their order.
+// formUnits makes units of the gangs and the large tasks of one priority, in order of rank. Members of a gang are adjacent.
 func (p *Planner) formUnits(level []*candidate) {
 	p.planning.units = p.planning.units[:0]
 	for first := 0; first < len(level); {
@@ -44,12 +45,17 @@
 	}
 }
 
-// assignUnit assigns all members of a unit, or none; for one that can't start, or had better wait, it reserves capacity
-// unless it has no value any more.
+// assignUnit places all members of a unit, or none:
+//
+//  1. It makes the cheapest plan to start the unit now.
+//  2. If there is one and the unit wouldn't end earlier by waiting, it places the members by that plan.
+//  3. Otherwise it reserves the capacity of the plan for a later start, unless the unit is expired.
+//
+// A unit that can't start now is also a candidate for preemption.
 func (p *Planner) assignUnit(u *unit) {
 	now, later := &p.planning.now, &p.planning.later
 	p.planNow(u, now)
-	if now.feasible() && !p.endsSoonerByWaiting(u, now, later) {
+	if now.feasible() && !p.endsEarlierByWaiting(u, now, later) {
 		p.assignMembers(u, now)
 		return
 	}
@@ -57,12 +63,13 @@
 		p.planLater(u, later)
 		p.addUnschedulable(*u)
 	}
-	if later.feasible() && u.first().lateness != worthless {
+	if later.feasible() && u.first().lateness != expired {
 		p.reserve(u, later)
 	}
 }
 
-// assignMembers carries out a plan for now. All members end with the slowest.
+// assignMembers places the members of a unit by a plan that starts now. All members occupy their runners until the
+// slowest one ends.
 func (p *Planner) assignMembers(u *unit, now *plan) {
 	runtime := 0.0
 	for i, c := range u.members {
@@ -74,12 +81,13 @@
 	delete(p.reservations, u.reservationKey())
 }
 
-// endsSoonerByWaiting reports whether a unit would end sooner if it waited for slots in one rack, or in the rack of its
-// data. It waits no longer in all than it can gain. If it returns true, the plan to wait is left in later.
-func (p *Planner) endsSoonerByWaiting(u *unit, now, later *plan) bool {
+// endsEarlierByWaiting reports whether a unit should wait for slots in one rack, or in the rack of its data, because it
+// would then end clearly earlier (maxWaitEndRatio). A unit never waits if it is starving, or once it has waited for
+// longer than the runtime that it would gain. If the result is true, later is the plan for the later start.
+func (p *Planner) endsEarlierByWaiting(u *unit, now, later *plan) bool {
 	task := u.first().task
 	gainsInOneRack := task.RackLocal && len(u.members) > 1
-	if u.first().rescue || task.Affinity == "" && !gainsInOneRack {
+	if u.first().starving || task.Affinity == "" && !gainsInOneRack {
 		return false
 	}
 	if now.runtime <= minSlowdownToWait*p.bestRuntime(u.first()) {
--- a/internal/cluster/scheduler/aged.go
+++ b/internal/cluster/scheduler/aged.go
@@ -8,50 +8,57 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Steps without value run on what the others leave over. So that each accepted job ends even if that is nothing, the
-// oldest of them get a share of the service's capacity: they are placed as late tasks of the lowest priority.
+// Expired steps run only on capacity that unexpired ones leave, so under constant load they would starve. Aging prevents
+// that: expired steps that have waited long are promoted (they are aged) until they use a small share of the service's
+// capacity. The planner ranks aged tasks like late tasks of the lowest priority, so each accepted job ends even if the
+// unexpired steps need all capacity.
 const (
-	agedAfter    = 30 * time.Second // that a step has been pending before it gets part of the share
-	agedFraction = 0.05             // of the service's processors, or accelerators, that aged steps may use
-	agedTimeout  = 10 * time.Second // after which an aged step that could not start gives its place to the next one
+	agingThreshold   = 30 * time.Second // time for which an expired step must have been pending before it is promoted
+	agedShare        = 0.05             // largest sum of the aged steps' dominant fractions of the service's capacity
+	agedStartTimeout = 10 * time.Second // time after its promotion at which an aged step with no running task is demoted
 )
 
-// age chooses the steps that are run though they have no value, and returns pending tasks of them: at most
-// maxWorthlessPerRound, but a gang is complete.
-func (p *pendingSteps) age(now time.Duration, clockMs int64, service string, capacity protocol.Resources) (tasks []*jobs.Task) {
+// promoteAged demotes aged steps that are done or couldn't start (see demoteAged). It then promotes expired steps from
+// the front of their queue, until one hasn't reached agingThreshold or would raise the needs of the unfinished tasks of
+// all aged steps above agedShare of the capacity. If no step is aged, it promotes the first one whatever that needs,
+// because a step wider than the share would otherwise never be promoted.
+//
+// It returns pending tasks of the aged steps: at most maxExpiredPerRound, but the last gang completely.
+func (p *pendingSteps) promoteAged(now time.Duration, clockMs int64, service string, capacity protocol.Resources) (tasks []*jobs.Task) {
 	s := p.service(service)
 	used := 0.0
-	s.aged = slices.DeleteFunc(s.aged, func(step *pendingStep) bool { return p.losesShare(now, s, step) })
+	s.aged = slices.DeleteFunc(s.aged, func(step *pendingStep) bool { return p.demoteAged(now, s, step) })
 	for _, step := range s.aged {
 		used += dominantFraction(step.group.Spec().Needs(), step.group.Unfinished, capacity)
 	}
-	for front := s.worthless.Front(); front != nil; front = s.worthless.Front() {
+	for front := s.expired.Front(); front != nil; front = s.expired.Front() {
 		step := front.Value.(*pendingStep)
 		needs := dominantFraction(step.group.Spec().Needs(), step.group.Unfinished, capacity)
-		if len(s.aged) > 0 && used+needs > agedFraction || clockMs-oldestPendingMs(step.group) < agedAfter.Milliseconds() {
+		if len(s.aged) > 0 && used+needs > agedShare || clockMs-oldestPendingMs(step.group) < agingThreshold.Milliseconds() {
 			break
 		}
-		s.worthless.Remove(front)
+		s.expired.Remove(front)
 		step.list, step.element = nil, nil
-		step.aged, step.agedSince = true, now
+		step.aged, step.promotedAt = true, now
 		s.aged = append(s.aged, step)
 		used += needs
 	}
 	for _, step := range s.aged {
-		tasks = appendPending(tasks, step.group, maxWorthlessPerRound)
+		tasks = appendPending(tasks, step.group, maxExpiredPerRound)
 	}
 	return tasks
 }
 
-// losesShare reports whether a step no longer uses the share of the aged: it is done, or it could not start for long, and
-// waits for its next turn.
-func (p *pendingSteps) losesShare(now time.Duration, s *servicePending, step *pendingStep) bool {
+// demoteAged reports whether a step is no longer aged. It removes a step from the index that is done or whose job has
+// ended. It moves a step that has no running task agedStartTimeout after its promotion to the end of the expired steps,
+// where it waits for its next promotion.
+func (p *pendingSteps) demoteAged(now time.Duration, s *servicePending, step *pendingStep) bool {
 	group := step.group
 	switch {
 	case group.Unfinished == 0 || group.Job.Ended():
 		delete(p.steps, group)
-	case group.Running == 0 && now-step.agedSince >= agedTimeout:
-		step.list, step.element = &s.worthless, s.worthless.PushBack(step)
+	case group.Running == 0 && now-step.promotedAt >= agedStartTimeout:
+		step.list, step.element = &s.expired, s.expired.PushBack(step)
 	default:
 		return false
 	}
@@ -59,13 +66,14 @@
 	return true
 }
 
-// isAged reports whether a group is run though it has no value.
+// isAged reports whether a group's step is aged, that is, expired and promoted.
 func (p *pendingSteps) isAged(group *jobs.Group) bool {
 	step := p.steps[group]
 	return step != nil && step.aged
 }
 
-// oldestPendingMs returns the time of day at which the first of a group's pending tasks became so.
+// oldestPendingMs returns the time of day, in ms since 1970, at which the first pending task in the group's list became
+// pending; without one, the time at which the job was accepted.
 func oldestPendingMs(group *jobs.Group) int64 {
 	for _, task := range group.Tasks {
 		if task.Phase == jobs.Pending {
@@ -75,7 +83,8 @@
 	return group.Job.AcceptedMs
 }
 
-// dominantFraction returns the largest fraction of any resource of a service that count tasks of the same needs use.
+// dominantFraction returns the fraction of a service's capacity that count tasks of the same needs use of their dominant
+// resource, which is the one of which they use the largest fraction.
 func dominantFraction(needs protocol.Resources, count int, capacity protocol.Resources) float64 {
 	largest := 0.0
 	for _, pair := range [][2]int64{{needs.CPU, capacity.CPU}, {needs.MemoryMB, capacity.MemoryMB}, {needs.GPU, capacity.GPU}} {
@@ -86,8 +95,8 @@
 	return largest
 }
 
-// isWorthless reports whether a group's pending tasks have no value any more.
-func (p *pendingSteps) isWorthless(group *jobs.Group) bool {
+// isExpired reports whether a group's step is in classExpired, aged or not.
+func (p *pendingSteps) isExpired(group *jobs.Group) bool {
 	step := p.steps[group]
-	return step != nil && step.class == noValue
+	return step != nil && step.class == classExpired
 }
--- a/internal/cluster/scheduler/deregister_test.go
+++ b/internal/cluster/scheduler/deregister_test.go
@@ -10,21 +10,21 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("A runner that deregisters and serves on", func() {
+var _ = Describe("A runner that keeps running after it has deregistered", func() {
 	const heartbeatInterval = 100 * time.Millisecond
 	var (
 		w      *world
 		orders *protocol.Orders
 	)
-	// reportRun sends heartbeats that list the run for the time given.
-	reportRun := func(span time.Duration, seen func(*protocol.Orders)) {
+	// reportRun sends heartbeats that list the run for a time, and calls check with the answer to each.
+	reportRun := func(span time.Duration, check func(*protocol.Orders)) {
 		for sequence := uint64(10); span > 0; sequence++ {
 			w.pass(heartbeatInterval)
 			span -= heartbeatInterval
 			heartbeat := heartbeatOf("i1", sequence)
 			heartbeat.Active = activeRuns(orders.Start)
 			got := w.orders(heartbeat)
-			seen(got)
+			check(got)
 		}
 	}
 
@@ -40,18 +40,18 @@
 		w.commitAll()
 	})
 
-	DescribeTable("keeps what it runs until its lease is over, and no longer",
+	DescribeTable("keeps its runs until its lease has expired, and no longer",
 		func(elapsed time.Duration, starts int) {
 			w.pass(elapsed)
 			other := w.orders(heartbeatOf("i2", 1))
 			Expect(other.Start).To(HaveLen(starts))
 		},
 		Entry("after a second", time.Second, 0),
-		Entry("at the lease's end on a slow clock", lease*102/100, 0),
-		Entry("after that", lease*104/100, 1),
+		Entry("when the lease ends on a slow clock", lease*102/100, 0),
+		Entry("when the lease has ended on the slowest clock", lease*104/100, 1),
 	)
 
-	It("has its owner keep the leadership until its lease is over: a successor would wait anew", func() {
+	It("makes its owner defer leadership transfers until its lease has expired", func() {
 		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeTrue())
 		w.pass(lease)
 		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeTrue())
@@ -59,7 +59,7 @@
 		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse())
 	})
 
-	It("is given no lease and no work any more, even long after its lease", func() {
+	It("gets neither leases nor work, even long after its last lease", func() {
 		reportRun(4*lease, func(got *protocol.Orders) {
 			Expect(got.HoldMs).To(BeZero())
 			Expect(got.Start).To(BeEmpty())
@@ -81,7 +81,7 @@
 		w.commitAll()
 	}
 
-	It("is acknowledged once it is committed, and not before", func() {
+	It("is acknowledged only after it is committed", func() {
 		w.stalled = true
 		deregister("i1")
 		w.pass(time.Second)
@@ -90,7 +90,7 @@
 		Expect(*got).To(Equal(result{replied: true}))
 	})
 
-	It("has an unknown outcome if leadership is lost before", func() {
+	It("fails if leadership is lost before the commit", func() {
 		w.stalled = true
 		deregister("i1")
 		w.owner.BecomeFollower()
@@ -98,7 +98,7 @@
 		Expect(got.kind).NotTo(Equal(failure.None))
 	})
 
-	DescribeTable("is in force for every later owner, even if the runner had not reported to this one",
+	DescribeTable("holds for every later owner, even if the runner had not reported to this one",
 		func(reported bool) {
 			if reported {
 				w.orders(heartbeatOf("i1", 1))
@@ -126,11 +126,11 @@
 })
 
 var _ = Describe("A runner that becomes unresponsive", func() {
-	It("has its owner keep the leadership while it may still run something", func() {
+	It("makes its owner defer leadership transfers while its runs may exist", func() {
 		w := newWorld()
 		w.orders(heartbeatOf("i2", 1))
 		w.pass(time.Second)
-		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "one that runs nothing is not waited for")
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "it has no runs")
 		w.submit(id, small())
 		orders := w.orders(heartbeatOf("i1", 1))
 		Expect(orders.Start).To(HaveLen(1))
@@ -138,12 +138,12 @@
 		w.pass(time.Second)
 		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeTrue())
 		w.pass(lease)
-		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "what it ran is lost")
+		Expect(w.owner.AwaitsLeaseExpiry(w.now)).To(BeFalse(), "its run is lost")
 	})
 })
 
 var _ = Describe("An owner that has just been elected", func() {
-	It("answers no heartbeat before leadership was confirmed, however recently it was elected", func() {
+	It("answers no heartbeat before its leadership was confirmed, even right after the election", func() {
 		w := newWorld()
 		w.owner.BecomeFollower()
 		w.owner.BecomeLeader(w.now, w.clock(), 8)
@@ -151,7 +151,7 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
 
-	It("counts leases from when the confirmation was asked for, not from when it learnt that it leads", func() {
+	It("counts leases from the request of the confirmation, not from the time at which it became the leader", func() {
 		const frozen = 500 * time.Millisecond
 		w := newWorld()
 		w.owner.BecomeFollower()
@@ -164,7 +164,7 @@
 		Expect(orders.HoldMs).To(BeNumerically(">", 0))
 	})
 
-	It("answers no heartbeat on the confirmation that elected it, if it was frozen since", func() {
+	It("answers no heartbeat if the confirmation is older than a freeze of its process", func() {
 		w := newWorld()
 		w.owner.BecomeFollower()
 		elected := w.now
--- a/internal/cluster/scheduler/export_test.go
+++ b/internal/cluster/scheduler/export_test.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// IndexedTasks returns the pending tasks that the owner's index has, sorted.
+// IndexedTasks returns the pending tasks in the owner's index of pending steps, sorted.
 func (o *Owner) IndexedTasks() (tasks []string) {
 	for group := range o.pending.steps {
 		for _, task := range appendPending(nil, group, math.MaxInt) {
@@ -19,12 +19,12 @@
 	return tasks
 }
 
-// AgedTasks returns the tasks of the steps that are run though they have no value, as a round would take them.
+// AgedTasks promotes aged steps as a round does, and returns the tasks that the round would consider.
 func (o *Owner) AgedTasks(now time.Duration, service string) []*jobs.Task {
-	return o.pending.age(now, o.clockMs(now), service, o.capacities[service])
+	return o.pending.promoteAged(now, o.clockMs(now), service, o.capacities[service])
 }
 
-// TakeWorthless returns at most limit tasks without value, as a round would take them.
-func (o *Owner) TakeWorthless(service string, limit int) []*jobs.Task {
-	return o.pending.takeWorthless(service, limit)
+// TakeExpired returns at most limit expired tasks, as a round takes them.
+func (o *Owner) TakeExpired(service string, limit int) []*jobs.Task {
+	return o.pending.takeExpired(service, limit)
 }
--- a/internal/cluster/scheduler/headroom.go
+++ b/internal/cluster/scheduler/headroom.go
@@ -10,27 +10,32 @@
 )
 
 const (
-	peakHalfLife      = 20 * time.Second // in which the remembered peak of urgent work halves
-	maxHeadroom       = 0.35             // of a service's processors that may be reserved for urgent work
-	minHeadroom       = 0.08             // of a service's processors that are reserved if it has urgent work
-	largeTaskFraction = 0.4              // of a runner's processors from which a task is exempt from the reservation
+	peakHalfLife      = 20 * time.Second // time in which the remembered peak of the urgent demand halves
+	maxHeadroom       = 0.35             // largest fraction of a service's processors that is reserved for urgent tasks
+	minHeadroom       = 0.08             // smallest such fraction, once the service has had unexpired tasks
+	largeTaskFraction = 0.4              // a task that needs more than this part of the largest runner's processors is exempt
 )
 
-// headroom is the urgent work of each service: the tasks of the best priority that it has. Capacity is reserved for them
-// by their recent peak.
+// headroom is free capacity that rounds keep for urgent tasks that may arrive next, so that these needn't wait for other
+// tasks to end. The urgent tasks of a service are those of the highest priority that it has had during this leadership.
+// The headroom is based on the recent peak of their demand.
 type headroom struct{ byService map[string]*urgentDemand }
 
-// urgentDemand is what the urgent tasks of a service use. Processors are in thousandths of a core.
+// urgentDemand is the demand of a service's urgent tasks for processors, in thousandths of a core.
 type urgentDemand struct {
-	priority  int
-	peak      float64 // remembered, decaying
-	updatedAt time.Duration
+	priority  int           // priority of the urgent tasks; 0 is the highest
+	peak      float64       // recent peak of the demand, decaying
+	updatedAt time.Duration // time of the newest updatePeak
 }
 
-// update returns how many of the pending tasks, which are in order of priority, are urgent: they are assigned first and
-// may use all capacity; and the fraction of each runner's processors that is reserved from the others: as much as urgent
-// work used at its recent peak beyond what it uses now. A service with gangs in its best priority, or with one priority
-// only, reserves nothing.
+// update updates the urgent demand of a service. pending has the service's unexpired tasks in order of priority, followed
+// by the aged ones.
+//
+// urgent is the number of tasks at the start of pending that are urgent. The round places them first, on all capacity.
+// reserved is the fraction of each runner's processors that the other tasks must leave free. It is the peak of the urgent
+// demand less the current one, within minHeadroom and maxHeadroom. A service with a pending gang among its urgent tasks
+// reserves nothing, and treats all tasks as urgent. In a service with one priority all unexpired tasks are urgent, so that
+// the headroom is reserved from expired tasks only.
 func (h *headroom) update(now time.Duration, service string, pending []*jobs.Task, runners []placement.Runner) (urgent int, reserved float64) {
 	d := h.byService[service]
 	if len(pending) == 0 && d == nil {
@@ -55,7 +60,8 @@
 	return urgent, d.headroom(float64(using), float64(capacity)) / float64(capacity)
 }
 
-// urgentUsage returns the best priority of what is pending or runs, what runs of it use, and the capacity.
+// urgentUsage returns the highest priority of the pending tasks and of the runs (gangs and long-running ones aside), the
+// processors that runs of that priority use, and the processors of all runners.
 func urgentUsage(pending []*jobs.Task, runners []placement.Runner) (priority int, using, capacity int64) {
 	priority = math.MaxInt
 	if len(pending) > 0 {
@@ -77,34 +83,38 @@
 	return priority, using, capacity
 }
 
-// updatePeak lets the peak decay, by half in peakHalfLife (linearly between two updates), but not below the present use.
+// updatePeak updates the peak of the demand. The old peak decays by half per peakHalfLife, linearly between two updates;
+// the new one is at least the current use.
 func (d *urgentDemand) updatePeak(now time.Duration, using float64) {
 	halfLives := float64(now-d.updatedAt) / float64(peakHalfLife)
 	d.updatedAt = now
 	d.peak = max(using, d.peak*(1-min(halfLives/2, 1)))
 }
 
-// headroom returns how much is to be kept free.
+// headroom returns the processors to keep free, in thousandths of a core.
 func (d *urgentDemand) headroom(using, capacity float64) float64 {
 	return min(max(d.peak-using, minHeadroom*capacity), maxHeadroom*capacity)
 }
 
-// splitExempt splits tasks into those from which no capacity is reserved, and the others. Exempt are tasks that might
-// never fit otherwise, long-running ones, and the first one of a job of which nothing runs though much of the service is
-// free.
+// splitExempt splits tasks into those that may use the headroom for urgent tasks (the exempt ones) and the others. Exempt
+// are:
+//
+//   - tasks so large that they might never fit without the headroom (largeTaskFraction);
+//   - long-running tasks;
+//   - while the service is mostly free, the first pending task of each job without a running task, unless it is in a gang.
 func splitExempt(pending []*jobs.Task, runners []placement.Runner) (exempt, others []*jobs.Task) {
 	largest := int64(0)
 	for i := range runners {
 		largest = max(largest, runners[i].Capacity.CPU)
 	}
-	idle := isMostlyFree(runners)
+	mostlyFree := isMostlyFree(runners)
 	seen := map[*jobs.Job]bool{}
 	for _, task := range pending {
 		step := task.Group.Spec()
 		isFirst := !seen[task.Group.Job]
 		seen[task.Group.Job] = true
-		unblocks := idle && !step.Gang && isFirst && nothingRuns(task.Group.Job)
-		if step.LongRunning || unblocks || float64(step.CPU) > largeTaskFraction*float64(largest) {
+		startsIdleJob := mostlyFree && !step.Gang && isFirst && hasNoRuns(task.Group.Job)
+		if step.LongRunning || startsIdleJob || float64(step.CPU) > largeTaskFraction*float64(largest) {
 			exempt = append(exempt, task)
 		} else {
 			others = append(others, task)
@@ -113,12 +123,13 @@
 	return exempt, others
 }
 
-func nothingRuns(job *jobs.Job) bool {
+// hasNoRuns reports whether none of the job's tasks is running.
+func hasNoRuns(job *jobs.Job) bool {
 	_, running, _ := job.Progress()
 	return running == 0
 }
 
-// isMostlyFree reports whether less than half of a service's processors is in use.
+// isMostlyFree reports whether listed runs use less than half of a service's processors.
 func isMostlyFree(runners []placement.Runner) bool {
 	var using, capacity int64
 	for i := range runners {
@@ -130,19 +141,19 @@
 	return 2*using < capacity
 }
 
-// reserve takes a fraction of each runner's processors out of its free capacity; a negative one puts it back.
+// reserve subtracts a fraction of each runner's processors from its free capacity. A negative fraction adds it again.
 func reserve(runners []placement.Runner, fraction float64) {
 	for i := range runners {
 		subtract(&runners[i].Free, reservation(&runners[i], fraction))
 	}
 }
 
-// reservation returns what is reserved on a runner.
+// reservation returns the processors that are reserved on a runner, as a fraction of its capacity.
 func reservation(runner *placement.Runner, fraction float64) protocol.Resources {
 	return protocol.Resources{CPU: int64(fraction * float64(runner.Capacity.CPU))}
 }
 
-// totalCapacity returns the capacity of all runners.
+// totalCapacity returns the sum of the runners' capacities.
 func totalCapacity(runners []placement.Runner) (total protocol.Resources) {
 	for i := range runners {
 		total.CPU += runners[i].Capacity.CPU
--- a/internal/cluster/scheduler/headroom_test.go
+++ b/internal/cluster/scheduler/headroom_test.go
@@ -9,12 +9,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("Headroom for urgent work", func() {
+var _ = Describe("Headroom for urgent tasks", func() {
 	urgent := protocol.Queue{Key: "host/urgent/", Service: service, Priority: 0, MaxAttempts: 3, Extension: 1.5, TargetLatencyMs: 800}
 	patient := protocol.Queue{Key: "host/patient/", Service: service, Priority: 2, MaxAttempts: 3, Extension: 4, TargetLatencyMs: 4000}
 	wide := protocol.Step{Count: 40, CPU: 1000, MemoryMB: 10, EstimatedMs: 5000}
 
-	It("is reserved once there was urgent work", func() {
+	It("is reserved from other tasks after urgent tasks have run", func() {
 		w := newWorld()
 		w.submitTo(urgent, "00000000000000a1", protocol.Step{Count: 3, CPU: 1000, MemoryMB: 10, EstimatedMs: 500})
 		first := w.orders(heartbeatOf("i1", 1))
@@ -36,7 +36,7 @@
 		Expect(running).To(BeNumerically("<", 16))
 	})
 
-	It("is not reserved from the first task of a job of which nothing runs while most of the service is free", func() {
+	It("is not reserved from the first task of a job without a running task while most of the service is free", func() {
 		w := newWorld()
 		rare := func(sequence uint64) *protocol.Heartbeat {
 			heartbeat := heartbeatOf("i1", sequence)
@@ -63,7 +63,7 @@
 		w.orders(ended)
 		w.submitTo(patient, "00000000000000b1", step(16))
 		wide := w.orders(rare(3))
-		Expect(wide.Start).To(HaveLen(14), "capacity for two is reserved")
+		Expect(wide.Start).To(HaveLen(14), "the headroom is two cores")
 		others(2)
 		w.submitTo(patient, "00000000000000b2", step(5))
 		listed := rare(4)
@@ -73,7 +73,7 @@
 		Expect(late.Start[0].Task).To(HavePrefix("00000000000000b2"))
 	})
 
-	It("is available to others if there is no urgent work", func() {
+	It("is not reserved if there have been no urgent tasks", func() {
 		w := newWorld()
 		w.submitTo(patient, "00000000000000b1", wide)
 		orders := w.orders(heartbeatOf("i1", 1))
--- a/internal/cluster/scheduler/health.go
+++ b/internal/cluster/scheduler/health.go
@@ -8,24 +8,26 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
+// Outcomes of runs, for the failure score.
 const (
-	historyDecay        = 0.8  // what each new outcome leaves of the weights before it
-	sharedFailureWeight = 0.25 // of a failure of a job that has failed on another runner too
-	minFailureWeight    = 0.9  // weight of failures from which the failure score is above 0
+	historyDecay        = 0.8  // factor on the weights of all earlier outcomes when another run ends
+	sharedFailureWeight = 0.25 // weight of a failure of a job that has failed on another runner too; other failures weigh 1
+	minFailureWeight    = 0.9  // weight of failures below which the failure score is 0
 )
 
+// Ratios of the actual runtime to the predicted one, for the slowness.
 const (
-	slownessDecay     = 0.85 // what each new ratio leaves of the smoothed one
-	minRuntimeRatio   = 0.25 // limits of one ratio
-	maxRuntimeRatio   = 12.0
-	toleratedSlowness = 1.8 // up to which a runner counts as fast as its kind: estimates are far off, one by one
+	slownessDecay     = 0.85 // weight of the earlier ratios in their moving average when another ratio is added
+	minRuntimeRatio   = 0.25 // one ratio counts as at least this
+	maxRuntimeRatio   = 12.0 // and as at most this
+	toleratedSlowness = 1.8  // a smaller slowness counts as 1, because single predictions are inaccurate
 )
 
-// runHistory summarizes how runs of a runner ended of late: exponentially decaying weights of those that it did and of
-// those that it failed or did not advance, and how their runtimes compare with those predicted for its kind.
+// runHistory summarizes the recent runs of a runner, for its failure score and its slowness. doneWeight is the exponentially
+// decayed count of runs that were done; failedWeight is that of runs that failed or made no progress, each with its weight.
 type runHistory struct {
 	doneWeight, failedWeight float64
-	logRatio                 float64 // smoothed logarithm of actual over predicted runtime
+	logRatio                 float64 // moving average of the logarithm of actual over predicted runtime; 0 without runs
 }
 
 func (h *runHistory) addDone() { h.add(1, 0) }
@@ -37,7 +39,8 @@
 	h.failedWeight = h.failedWeight*historyDecay + failed
 }
 
-// failureScore returns 0 for a runner without a history of failures, up to 1 for one that fails all that it starts.
+// failureScore returns the weight of failures over the weight of all outcomes plus 0.5: below 1, and near 1 for a runner
+// on which every run fails. It returns 0 for a runner with few or old failures, whose weight is below minFailureWeight.
 func (h *runHistory) failureScore() float64 {
 	if h.failedWeight < minFailureWeight {
 		return 0
@@ -45,13 +48,13 @@
 	return h.failedWeight / (h.doneWeight + h.failedWeight + 0.5)
 }
 
-// addRuntimeRatio adds the ratio of a run's runtime to the predicted one.
+// addRuntimeRatio adds the ratio of a run's runtime to the runtime predicted for the runner's kind.
 func (h *runHistory) addRuntimeRatio(ratio float64) {
 	ratio = min(max(ratio, minRuntimeRatio), maxRuntimeRatio)
 	h.logRatio = h.logRatio*slownessDecay + math.Log(ratio)*(1-slownessDecay)
 }
 
-// slowness returns 1 for a runner that is as fast as its kind, more for a slower one.
+// slowness returns how many times longer runs take on the runner than predicted for its kind: 1 up to toleratedSlowness.
 func (h *runHistory) slowness() float64 {
 	slowness := math.Exp(h.logRatio)
 	if slowness <= toleratedSlowness {
@@ -60,12 +63,12 @@
 	return slowness
 }
 
-// jobFaults are the runners on which a job has failed, by job.
-type jobFaults map[string]map[string]bool
+// jobFailures has, by job, the instances of the runners on which a run of the job has failed.
+type jobFailures map[string]map[string]bool
 
-// failureWeight records a failure of the job on the runner, and returns how much of it is the runner's fault: a job that
-// fails on several runners is probably at fault itself.
-func (f jobFaults) failureWeight(job, instance string) float64 {
+// failureWeight records a failure of the job on the runner, and returns its weight in the runner's history. A job that has
+// failed on several runners probably causes the failures itself, so such a failure weighs less.
+func (f jobFailures) failureWeight(job, instance string) float64 {
 	failedOn := f[job]
 	if failedOn == nil {
 		failedOn = map[string]bool{}
@@ -78,8 +81,9 @@
 	return 1
 }
 
-// learn updates the runner's history and the predictor of runtimes by the end of a run.
-func (o *Owner) learn(now time.Duration, r *runner, key runKey, outcome protocol.RunEnd) {
+// recordOutcome updates the runner's history and the runtime predictor with the end of a run, unless it was recorded
+// before: a run whose end or loss has been proposed or committed isn't recorded again.
+func (o *Owner) recordOutcome(now time.Duration, r *runner, key runKey, outcome protocol.RunEnd) {
 	task := o.state.Task(key.task)
 	if task == nil || task.Run != key.run || o.proposals.isEnding(key) {
 		return
@@ -87,37 +91,40 @@
 	switch outcome {
 	case protocol.EndDone:
 		r.history.addDone()
-		o.learnRuntime(now, r, key, task)
+		o.recordRuntime(now, r, key, task)
 	case protocol.EndFailed:
-		r.history.addFailed(o.faults.failureWeight(task.ID.Job, r.instance))
+		r.history.addFailed(o.jobFailures.failureWeight(task.ID.Job, r.instance))
 	}
 }
 
-func (o *Owner) learnRuntime(now time.Duration, r *runner, key runKey, task *jobs.Task) {
+// recordRuntime updates the runner's slowness and the runtime predictor with the runtime of a run that is done. It
+// ignores runs whose full runtime is unknown, because this owner hasn't started them or they resumed from a checkpoint;
+// long-running runs; and members of rack-local gangs, whose runtime depends on the racks of the whole gang.
+func (o *Owner) recordRuntime(now time.Duration, r *runner, key runKey, task *jobs.Task) {
 	entry := r.listed[key]
 	step := task.Group.Spec()
 	if entry == nil || !entry.startedHere || task.Checkpoint != "" || step.LongRunning {
 		return
 	}
-	far := step.Affinity != "" && step.Affinity != r.rack()
+	nonLocal := step.Affinity != "" && step.Affinity != r.rack()
 	if step.Gang && step.RackLocal {
 		return
 	}
 	took := now - entry.since
 	predicted := o.predict(r, task)
-	if far {
-		predicted = time.Duration(float64(predicted) * o.options.FarFactor)
+	if nonLocal {
+		predicted = time.Duration(float64(predicted) * o.options.NonLocalFactor)
 	}
 	if predicted > 0 {
 		r.history.addRuntimeRatio(float64(took) / float64(predicted))
 	}
 	if r.history.slowness() > 1 {
-		return // the runtime on a slow runner says nothing of its kind
+		return // the runtime on a slow runner isn't representative of its kind
 	}
-	o.planner.Predictor().Observe(task.Group.Job.Queue.Key, r.kind(), step.EstimatedMs, took, far)
+	o.planner.Predictor().Observe(task.Group.Job.Queue.Key, r.kind(), step.EstimatedMs, took, nonLocal)
 }
 
-// predict returns the predicted runtime of the task on a runner of this kind.
+// predict returns the predicted runtime of the task on a runner of r's kind.
 func (o *Owner) predict(r *runner, task *jobs.Task) time.Duration {
 	return o.planner.Predictor().Predict(task.Group.Job.Queue.Key, r.kind(), task.Group.Spec().EstimatedMs)
 }
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -7,10 +7,10 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var errNewerHeartbeat = failure.New(failure.Conflict, "a newer heartbeat of this runner has come")
+var errNewerHeartbeat = failure.New(failure.Conflict, "a newer heartbeat of this runner has arrived")
 
-// Heartbeat takes a runner's report. The reply comes within Options.MaxReplyDelay, by Flush. The owner keeps the
-// heartbeat's lists and sorts the finished runs: the caller must not use them afterwards.
+// Heartbeat processes a runner's report. Flush sends the reply, at most Options.MaxReplyDelay later. The owner keeps the
+// heartbeat's lists and sorts the finished runs, so the caller must not use them afterwards.
 func (o *Owner) Heartbeat(now time.Duration, heartbeat *protocol.Heartbeat, reply func(*protocol.Orders, error)) {
 	if !o.leadership.isLeader {
 		reply(nil, errNotLeader)
@@ -26,7 +26,7 @@
 	}
 	r := o.runners.current[heartbeat.Instance]
 	if r == nil && o.isAddressContested(now, heartbeat) {
-		reply(nil, failure.New(failure.Conflict, "another incarnation at this address reported a moment ago"))
+		reply(nil, failure.New(failure.Conflict, "another incarnation at this address reported within the last second"))
 		return
 	}
 	if r == nil {
@@ -40,18 +40,18 @@
 		return
 	}
 	r.respond(nil, errNewerHeartbeat)
-	o.takeReport(now, r, heartbeat)
-	o.takeAddress(now, r)
-	o.takeFinished(now, r)
-	o.takeActive(now, r)
-	o.takeRejected(r)
+	o.recordReport(now, r, heartbeat)
+	o.recordAddress(now, r)
+	o.proposeEnds(now, r)
+	o.recordActive(now, r)
+	o.proposeRejectedLosses(r)
 	o.resolveUnlisted(now, r)
 	o.stopStalledOrDraining(now, r)
 	r.reply = reply
 	r.replyDue = now + o.options.MaxReplyDelay
 }
 
-// replyFencingToken answers with the fencing token alone.
+// replyFencingToken answers a request for the fencing token, and records nothing about the runner.
 func (o *Owner) replyFencingToken(now time.Duration, reply func(*protocol.Orders, error)) {
 	if !o.leadership.isConfirmed(now) {
 		reply(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
@@ -60,8 +60,8 @@
 	reply(&protocol.Orders{FenceToken: o.leadership.term}, nil)
 }
 
-// takeReport replaces the runner's report by a newer one.
-func (o *Owner) takeReport(now time.Duration, r *runner, heartbeat *protocol.Heartbeat) {
+// recordReport replaces the runner's report with a newer one.
+func (o *Owner) recordReport(now time.Duration, r *runner, heartbeat *protocol.Heartbeat) {
 	if !r.hasReported || r.report.State != heartbeat.State || r.report.Capacity != heartbeat.Capacity {
 		o.roundRequested = true
 	}
@@ -70,13 +70,14 @@
 	r.lastContact = now
 	if heartbeat.State == protocol.RunnerDraining {
 		r.isDraining = true
-		r.drainsUntil = now + time.Duration(heartbeat.RemainingMs)*time.Millisecond
+		r.drainDeadline = now + time.Duration(heartbeat.RemainingMs)*time.Millisecond
 	}
 }
 
-// Deregister records that a runner is about to end. It is acknowledged once it is committed: a runner does not repeat it, and a
-// successor would go on giving it work. What runs there may go on until the runner's lease is over, since some runners
-// serve on for seconds, and an acknowledgement may be lost; no lease is granted any more.
+// Deregister records that a runner is about to end. The reply comes after the deregistration is committed: a runner doesn't
+// repeat it, so a new owner that didn't know of it would give the runner work. The owner grants the runner no lease any
+// more. Its runs may continue until its last lease expires, because some runners keep running for seconds after they have
+// deregistered, and because the acknowledgement may be lost.
 func (o *Owner) Deregister(instance string, reply func(err error)) {
 	if !o.leadership.isLeader {
 		reply(errNotLeader)
--- a/internal/cluster/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// maxHeartbeatDelay is the longest time that a heartbeat takes to arrive.
+	// maxHeartbeatDelay is the longest time from the sending of a heartbeat to its arrival, if no relay forwards it.
 	maxHeartbeatDelay = time.Second
-	// endedRetention is how long heartbeats of an incarnation that is over are still refused.
+	// endedRetention is the time for which the owner refuses heartbeats of an incarnation after it has learnt of its end.
 	endedRetention = 5 * time.Minute
 )
 
-var errIncarnationOver = failure.New(failure.Gone, "this incarnation of the runner is over")
+var errIncarnationOver = failure.New(failure.Gone, "this incarnation of the runner has ended")
 
-// incarnations are the incarnations of runners that the owner knows, by instance.
+// incarnations are the incarnations of runners that the owner knows. An incarnation is one process of a runner; a restart
+// makes another one. Its instance is its unique name.
 type incarnations struct {
-	current   map[string]*runner
-	byAddress map[string]string        // address: the newest instance that serves there
-	ended     map[string]time.Duration // instances that are certainly over: when that was learnt
+	current   map[string]*runner       // by instance
+	byAddress map[string]string        // instance of the newest incarnation at each address
+	ended     map[string]time.Duration // by instance: time at which the owner learnt that the incarnation has ended
 }
 
 func newIncarnations() incarnations {
@@ -34,8 +35,8 @@
 
 func (i *incarnations) add(r *runner) { i.current[r.instance] = r }
 
-// sorted returns the instances of the runners that match, sorted: what is done with several at once is done in the same
-// order each time.
+// sorted returns the instances of the runners that match, sorted. Callers iterate over it instead of the map, so that the
+// order of their decisions is deterministic.
 func (i *incarnations) sorted(matches func(r *runner) bool) []string {
 	var found []string
 	for instance, r := range i.current {
@@ -47,7 +48,7 @@
 	return found
 }
 
-// forgetEnded forgets incarnations that have been over for long.
+// forgetEnded drops the incarnations whose end the owner learnt of more than endedRetention ago.
 func (i *incarnations) forgetEnded(now time.Duration) {
 	for instance, at := range i.ended {
 		if now-at > endedRetention {
@@ -56,10 +57,14 @@
 	}
 }
 
-// isAddressContested reports whether another incarnation at the heartbeat's address had its last contact so lately that
-// the heartbeat may be an old one that was long under way. For an incarnation that is known only from the shard, contact
-// counts from the beginning of this leadership: it gets the time to report here before a heartbeat of another can end it.
-// A relayed heartbeat may have been delayed by its relay for any time, and never ends another incarnation.
+// isAddressContested reports whether it is uncertain which of two incarnations at one address is the newer one: the
+// sender of the heartbeat, whose instance isn't known, or the incarnation that is recorded there.
+//
+// The recorded incarnation may be the newer one if it had contact less than maxHeartbeatDelay ago, because the heartbeat
+// may have been sent before that contact. An incarnation that this owner knows only from the shard's state counts as
+// having had contact at the start of the leadership, so it gets time to report before another one's heartbeat can end it.
+// A relay may delay a heartbeat for any time, so a relayed heartbeat never ends another incarnation. An incarnation that
+// has deregistered may be ended at once by a heartbeat that isn't relayed.
 func (o *Owner) isAddressContested(now time.Duration, heartbeat *protocol.Heartbeat) bool {
 	before := o.runners.current[o.runners.byAddress[heartbeat.Address]]
 	if before == nil {
@@ -68,8 +73,8 @@
 	return heartbeat.Relayed || !before.hasDeregistered && now-max(before.lastContact, o.leadership.since) < maxHeartbeatDelay
 }
 
-// takeAddress records that the runner serves at its address: an earlier incarnation there has ended.
-func (o *Owner) takeAddress(now time.Duration, r *runner) {
+// recordAddress records that the runner serves at its address. An earlier incarnation at that address has therefore ended.
+func (o *Owner) recordAddress(now time.Duration, r *runner) {
 	address := r.report.Address
 	if address == "" {
 		return
@@ -86,7 +91,7 @@
 	o.roundRequested = true
 }
 
-// endIncarnation ends an incarnation that is certainly over: its runs are lost.
+// endIncarnation records that an incarnation has ended, and declares its runs lost.
 func (o *Owner) endIncarnation(now time.Duration, instance string) {
 	o.runners.ended[instance] = now
 	r := o.runners.current[instance]
@@ -94,6 +99,6 @@
 		return
 	}
 	r.respond(nil, errIncarnationOver)
-	o.loseAll(r)
+	o.proposeAllLosses(r)
 	delete(o.runners.current, instance)
 }
--- a/internal/cluster/scheduler/late_heartbeat_test.go
+++ b/internal/cluster/scheduler/late_heartbeat_test.go
@@ -13,10 +13,10 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("A heartbeat that comes late", func() {
+var _ = Describe("A delayed heartbeat", func() {
 	var (
 		w      *world
-		listed *protocol.Heartbeat // of the runner that serves there now, with its run
+		listed *protocol.Heartbeat // newest heartbeat of the current incarnation, which lists its run
 	)
 	BeforeEach(func() {
 		w = newWorld()
@@ -28,7 +28,7 @@
 		w.orders(listed)
 	})
 
-	It("from an earlier incarnation does not end the current one at an owner to which neither has reported", func() {
+	It("from an earlier incarnation does not end the current one if neither has reported to the new owner", func() {
 		w.owner.BecomeFollower()
 		w.lead(8)
 		late := heartbeatOf("i0", 40)
@@ -40,36 +40,36 @@
 		Expect(orders.Stop).To(BeEmpty())
 		Expect(orders.HoldMs).To(BeNumerically(">", 0))
 		other := w.orders(heartbeatOf("i2", 1))
-		Expect(other.Start).To(BeEmpty(), "the run is where it was")
+		Expect(other.Start).To(BeEmpty(), "the run must not be started elsewhere")
 	})
 
-	DescribeTable("to a new owner, before any other, does not make a run lost that its runner's lease still covers",
+	DescribeTable("that is the first one to a new owner does not make a run lost while the runner's lease lasts",
 		func(before func(), wait time.Duration) {
 			before()
 			w.owner.BecomeFollower()
 			w.lead(8)
 			w.pass(wait)
-			w.orders(heartbeatOf("i1", 6)) // from before the start: it does not list the run
+			w.orders(heartbeatOf("i1", 6)) // sent before the start, so it does not list the run
 			other := w.orders(heartbeatOf("i2", 1))
-			Expect(other.Start).To(BeEmpty(), "the run is where it was")
+			Expect(other.Start).To(BeEmpty(), "the run must not be started elsewhere")
 			runs := w.state.RunsOn("i1")
 			Expect(runs).To(HaveLen(1))
 			Expect(runs[0].Run).To(Equal(listed.Active[0].Run))
-			w.pass(lease) // longer than the earlier owner's leases: the run is not there if nothing lists it
+			w.pass(lease) // twice the lease: the earlier owner's leases expire, and no heartbeat has listed the run
 			w.pass(lease)
 			third := w.orders(heartbeatOf("i3", 1))
 			Expect(third.Start).To(HaveLen(1))
 		},
-		Entry("at once", func() {}, time.Duration(0)),
-		Entry("after a start is overdue", func() {}, 4500*time.Millisecond),
-		Entry("of a runner that has deregistered", func() {
+		Entry("right after the election", func() {}, time.Duration(0)),
+		Entry("after the start has become overdue", func() {}, 4500*time.Millisecond),
+		Entry("from a runner that has deregistered", func() {
 			w.owner.Deregister("i1", func(err error) { Expect(err).NotTo(HaveOccurred()) })
 			w.commitAll()
 		}, time.Duration(0)),
 	)
 
-	It("from the same incarnation changes nothing and grants nothing", func() {
-		late := heartbeatOf("i1", 6) // from before the start: it does not list the run
+	It("from the same incarnation is answered with an error and ignored", func() {
+		late := heartbeatOf("i1", 6) // sent before the start, so it does not list the run
 		late.State = protocol.RunnerDraining
 		_, err := w.heartbeat(late)
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
@@ -77,10 +77,10 @@
 		Expect(other.Start).To(BeEmpty())
 		listed.Sequence++
 		orders := w.orders(listed)
-		Expect(orders.Stop).To(BeEmpty(), "it is not taken for draining")
+		Expect(orders.Stop).To(BeEmpty(), "the runner does not count as draining")
 	})
 
-	It("with the sequence of one that was answered is not answered again", func() {
+	It("with the sequence number of an answered one is answered with an error", func() {
 		_, err := w.heartbeat(listed)
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 	})
@@ -92,9 +92,9 @@
 		tasks            = 400
 	)
 
-	It("is never larger than a runner accepts, and the rest comes with the next", func() {
+	It("is never larger than a runner accepts, and the next answers have the remaining starts", func() {
 		w := newWorld()
-		spec := strings.Repeat("\x01", 4000) // six bytes each in JSON
+		spec := strings.Repeat("\x01", 4000) // JSON escapes each byte as six
 		step := protocol.Step{Count: tasks, MemoryMB: 1, EstimatedMs: 500}
 		w.owner.Submit(w.now, jobs.Submit{ID: id, Queue: protocol.Queue{Key: queue, Service: service, MaxAttempts: 2},
 			Job: protocol.JobSpec{Spec: spec, Steps: []protocol.Step{step}}}, func(_ bool, err error) { Expect(err).NotTo(HaveOccurred()) })
--- a/internal/cluster/scheduler/leadership.go
+++ b/internal/cluster/scheduler/leadership.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// maxConfirmationAge is the oldest confirmation of leadership on which a heartbeat is still answered.
+	// maxConfirmationAge is the time from the request of a confirmation of leadership during which it allows the owner to
+	// answer heartbeats.
 	maxConfirmationAge = 900 * time.Millisecond
-	// neverConfirmed is a time before all confirmations that count.
+	// neverConfirmed is the confirmedAt of a leadership without a confirmation: at any time since 0 it is too old to count.
 	neverConfirmed = -maxConfirmationAge
 )
 
-// leadership is what is known of the present, or last, leadership of this process.
+// leadership describes the current leadership of this process, or its last one.
 type leadership struct {
 	isLeader    bool
-	term        uint64
-	since       time.Duration
-	confirmedAt time.Duration // when the newest confirmation was asked for
-	timeOfDayMs int64         // estimate at timeOfDayAt
+	term        uint64        // Raft term; the fencing token of the orders
+	since       time.Duration // time of the call of BecomeLeader
+	confirmedAt time.Duration // time at which the newest confirmation was requested
+	timeOfDayMs int64         // estimated time of day at timeOfDayAt, in ms since 1970
 	timeOfDayAt time.Duration
 }
 
@@ -24,14 +25,14 @@
 	l.timeOfDayAt = now
 }
 
-// timeOfDayMsAt returns the estimated time of day at now.
+// timeOfDayMsAt returns the estimated time of day at now, in ms since 1970.
 func (l *leadership) timeOfDayMsAt(now time.Duration) int64 {
 	return l.timeOfDayMs + (now - l.timeOfDayAt).Milliseconds()
 }
 
-// isConfirmed reports whether heartbeats may be answered. What an owner that was replaced since the confirmation answers
-// does no harm: its leases count from the confirmation, its starts and ends are committed, and a runner that has had
-// contact with its successor refuses its fencing token.
+// isConfirmed reports whether the newest confirmation of leadership is recent enough to answer heartbeats. The process may
+// have been replaced since that confirmation, but its answers do no harm: its leases are counted from the confirmation, the
+// starts and ends in its answers are committed, and a runner that had contact with its successor refuses its fencing token.
 func (l *leadership) isConfirmed(now time.Duration) bool {
 	return now-l.confirmedAt < maxConfirmationAge
 }
--- a/internal/cluster/scheduler/leases.go
+++ b/internal/cluster/scheduler/leases.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// leaseClockFactor is by how much longer than granted a lease may last, since a runner's clock may be slow, with some
-	// margin.
+	// leaseClockFactor is the longest real duration of a lease divided by its granted duration. It exceeds 1 because a
+	// runner measures the lease with its own clock, which may be slow; it includes a margin.
 	leaseClockFactor = 1.03
-	// unresponsiveRetention is how long an unresponsive runner is kept after its lease, so that one which has deregistered
-	// and still sends heartbeats is not taken for a new one.
+	// unresponsiveRetention is the time for which the owner keeps the record of an unresponsive runner after its lease
+	// has expired. Without the record, a runner that has deregistered and sends another heartbeat would count as a new
+	// one and be given work.
 	unresponsiveRetention = 30 * time.Second
 )
 
-// maxLeaseTime returns the longest real time that a lease granted now may last, on the slowest clock.
+// maxLeaseTime returns the longest real time for which a lease granted now may last, on the slowest runner's clock.
 func (o *Owner) maxLeaseTime() time.Duration {
 	return time.Duration(float64(o.options.MaxLease) * leaseClockFactor)
 }
 
-// grantLease grants a lease that ends no later than MaxLease after the newest confirmation of leadership was asked for.
+// grantLease grants a lease that ends at most MaxLease after the newest confirmation of leadership was requested. A runner
+// that has deregistered gets none; nor does any runner if less than a millisecond of that time is left.
 func (o *Owner) grantLease(now time.Duration, r *runner, orders *protocol.Orders) {
 	if r.hasDeregistered {
 		return
@@ -33,14 +35,15 @@
 	r.leaseExpiry = max(r.leaseExpiry, now+time.Duration(float64(lease)*leaseClockFactor))
 }
 
-// expireLeases gives up the runs of unresponsive runners, and of those that have ended, once no lease of theirs may last.
+// expireLeases declares lost the runs of runners that are unresponsive or have deregistered, once every lease of such a
+// runner has expired. It then forgets the record of an unresponsive runner without runs after unresponsiveRetention.
 func (o *Owner) expireLeases(now time.Duration) {
 	expired := o.runners.sorted(func(r *runner) bool {
 		return now >= r.leaseExpiry && (r.hasDeregistered || r.isUnresponsive(now))
 	})
 	for _, instance := range expired {
 		r := o.runners.current[instance]
-		o.loseAll(r)
+		o.proposeAllLosses(r)
 		isForgettable := r.isUnresponsive(now) && now-r.leaseExpiry > unresponsiveRetention && r.reply == nil
 		if isForgettable && len(o.state.RunsOn(instance)) == 0 {
 			delete(o.runners.current, instance)
@@ -48,12 +51,13 @@
 	}
 }
 
-// AwaitsLeaseExpiry reports whether something was running on a runner that is unresponsive or has ended, and may still
-// run since its lease is not over. A successor would wait anew, for the longest lease.
+// AwaitsLeaseExpiry reports whether a runner that is unresponsive or has deregistered may still have runs, because its
+// lease hasn't expired. While it returns true the leadership should not be transferred: a new owner doesn't know when the
+// lease was granted, and would wait for the longest possible lease from its own election on.
 func (o *Owner) AwaitsLeaseExpiry(now time.Duration) bool {
 	for instance, r := range o.runners.current {
-		awaited := (r.hasDeregistered || r.isUnresponsive(now)) && now < r.leaseExpiry
-		if awaited && (len(o.state.RunsOn(instance)) > 0 || len(o.state.LingeringOn(instance)) > 0) {
+		mayHaveRuns := (r.hasDeregistered || r.isUnresponsive(now)) && now < r.leaseExpiry
+		if mayHaveRuns && (len(o.state.RunsOn(instance)) > 0 || len(o.state.LingeringOn(instance)) > 0) {
 			return true
 		}
 	}
--- a/internal/cluster/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -7,13 +7,22 @@
 	"ospreypond/internal/cluster/latency"
 )
 
-// startTimeout is how long a start may take to reach its runner. Members of a gang must start together, and so get less.
+// startTimeout is the time from the commit of a start after which the owner withdraws it if its runner hasn't listed the
+// run. For members of a gang, which must start together, it is at most half of Options.GangWait.
 const startTimeout = 4 * time.Second
 
-// resolveUnlisted decides on runs that were to start on the runner and that its newest heartbeat does not list. Every
-// earlier answer is void by now, so such a run exists only if this heartbeat's answer orders it. A runner that is called
-// may still be reached by a start of an agent that has ended since: there a run is over only once the runner has refused
-// it for good.
+// resolveUnlisted decides about the runs that the shard has on the runner and that its newest heartbeat doesn't list.
+//
+// A runner that polls the owner ignores the answers to earlier heartbeats once it has sent this one. An unlisted run
+// therefore doesn't exist unless the answer to this heartbeat orders its start. The owner repeats the start in that
+// answer, or withdraws it and declares the run lost. It withdraws the start if the job was cancelled or has failed, the
+// runner is draining, the run was ordered to stop, or the start is overdue. Except for a cancelled or failed job, it
+// waits while mayRunUnlisted. A lingering run that isn't listed is declared lost at once.
+//
+// A runner that its agent calls (Heartbeat.Called) may still receive a start from an agent that has ended. The owner
+// orders it to stop such a run, and declares the run lost only after the runner has rejected it (proposeRejectedLosses).
+//
+// The function does nothing while ends may be missing from the heartbeat, because an unlisted run may be one of them.
 func (o *Owner) resolveUnlisted(now time.Duration, r *runner) {
 	if r.mayHaveMoreEnds() {
 		return
@@ -30,7 +39,7 @@
 		case r.report.Called:
 			o.stop(r, key)
 		case abandoned || !o.mayRunUnlisted(now, r, key):
-			o.lose(r, task)
+			o.proposeLoss(r, task)
 		}
 	}
 	for _, l := range o.state.LingeringOn(r.instance) {
@@ -40,19 +49,21 @@
 		case r.report.Called:
 			o.stop(r, key)
 		default:
-			o.loseLingering(r, key)
+			o.proposeLingeringLoss(r, key)
 		}
 	}
 }
 
-// mayRunUnlisted reports whether a run that an earlier owner started may exist although the newest heartbeat here does not
-// list it: that heartbeat may have been delayed until after the earlier owner had answered a newer one. No such run exists
-// any more once the leases of that owner are over, unless a heartbeat lists it here.
+// mayRunUnlisted reports whether a run that an earlier owner started may exist although the newest heartbeat here doesn't
+// list it. That heartbeat may have been sent before the run started, and have arrived only after the earlier owner had
+// answered a newer one. Once all leases of the earlier owner have expired, such a run exists only if a heartbeat to this
+// owner has listed it.
 func (o *Owner) mayRunUnlisted(now time.Duration, r *runner, key runKey) bool {
 	return r.inherited[key] && now < o.leadership.since+o.maxLeaseTime()
 }
 
-// isStartOverdue reports whether a start has not reached its runner for so long that it is better made elsewhere.
+// isStartOverdue reports whether a run hasn't been listed by its runner for so long after the commit of its start that it
+// should be started elsewhere. The time counts from this leadership's start if an earlier owner started the run.
 func (o *Owner) isStartOverdue(now time.Duration, r *runner, task *jobs.Task) bool {
 	at, ok := r.startedAt[runKey{task.ID, task.Run}]
 	if !ok {
@@ -65,8 +76,8 @@
 	return now-at > limit
 }
 
-// lose proposes that a run exists no more.
-func (o *Owner) lose(r *runner, task *jobs.Task) {
+// proposeLoss proposes to declare a run lost: it no longer exists, and its task may be started again.
+func (o *Owner) proposeLoss(r *runner, task *jobs.Task) {
 	key := runKey{task.ID, task.Run}
 	if o.proposals.isEnding(key) {
 		return
@@ -85,8 +96,9 @@
 	)
 }
 
-// loseLingering proposes that a run, of a gang's member that is done, exists no more.
-func (o *Owner) loseLingering(r *runner, key runKey) {
+// proposeLingeringLoss proposes that a lingering run no longer exists: its task is already done, by the end of another
+// member of its gang.
+func (o *Owner) proposeLingeringLoss(r *runner, key runKey) {
 	delete(r.stops, key)
 	o.proposals.addLoss(
 		jobs.Loss{Runner: r.instance, Task: key.task, Run: key.run},
@@ -94,16 +106,16 @@
 	)
 }
 
-// loseAll proposes that no run of the runner exists any more.
-func (o *Owner) loseAll(r *runner) {
+// proposeAllLosses proposes that none of the runner's runs exists any more, lingering ones included.
+func (o *Owner) proposeAllLosses(r *runner) {
 	for _, task := range o.state.RunsOn(r.instance) {
 		if task.Phase == jobs.Running {
-			o.lose(r, task)
+			o.proposeLoss(r, task)
 		}
 	}
 	for _, l := range o.state.LingeringOn(r.instance) {
 		if key := (runKey{l.Task, l.Run}); !o.proposals.isEnding(key) {
-			o.loseLingering(r, key)
+			o.proposeLingeringLoss(r, key)
 		}
 	}
 }
--- a/internal/cluster/scheduler/objective.go
+++ b/internal/cluster/scheduler/objective.go
@@ -8,18 +8,26 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxLateObjectives is the multiple of its objective after which a job earns nothing any more.
-const maxLateObjectives = 3
+// expiryFactor is the expiry of a job divided by its objective. The value of a job is
+// reduced if it takes longer than its objective, and zero if it takes longer than its expiry.
+const expiryFactor = 3
 
-// valueTimes are how long a step has until it can no longer contribute to the job's value, less what the steps that follow
-// it will take. They are negative once that moment has passed.
-type valueTimes struct {
-	toObjective time.Duration // the job is late afterwards
-	toWorthless time.Duration // the job earns nothing afterwards
+// timeLeft has the times by which a step must end so that its job can still meet its two deadlines: the deadline of the
+// job, less the predicted runtime of the steps that follow. Both are relative to now, and negative once they have passed.
+type timeLeft struct {
+	toObjective time.Duration // a step that ends later makes its job late
+	toExpiry    time.Duration // a step that ends later makes its job lose all value
 }
 
-// valueTimesOf returns the value times of a group at a time of day, from the predicted runtimes.
-func (o *Owner) valueTimesOf(clockMs int64, group *jobs.Group) valueTimes {
+// timeLeftOf returns the time left of a group at a time of day, in ms since 1970. The time of a job with repetitions counts
+// from the planned start of the group's repetition, that of any other job from its acceptance.
+//
+//	toObjective = objective(typical chain) - following - elapsed
+//	toExpiry    = expiryFactor * objective(upper bound of the chain) - following - elapsed
+//
+// The expiry is computed from the upper bound because the exact objective depends on actual runtimes, which may exceed the
+// predictions. A step therefore expires only when its job has almost certainly lost all value.
+func (o *Owner) timeLeftOf(clockMs int64, group *jobs.Group) timeLeft {
 	job := group.Job
 	begunMs := job.AcceptedMs
 	if job.Spec.Repetitions > 0 {
@@ -27,30 +35,31 @@
 	}
 	path := o.criticalPath(job, group.Step)
 	sinceBegun := time.Duration(clockMs-begunMs) * time.Millisecond
-	return valueTimes{
+	return timeLeft{
 		toObjective: objectiveOf(&job.Queue, path.typical) - path.following - sinceBegun,
-		toWorthless: maxLateObjectives*objectiveOf(&job.Queue, path.upperBound) - path.following - sinceBegun,
+		toExpiry:    expiryFactor*objectiveOf(&job.Queue, path.upperBound) - path.following - sinceBegun,
 	}
 }
 
-// objectiveOf returns the objective of a job of a queue, from the runtime of its longest chain of steps.
+// objectiveOf returns the objective of a job: the target latency of its queue plus the extension factor of the queue, at
+// least 1, times the runtime of the job's longest chain of dependent steps.
 func objectiveOf(queue *protocol.Queue, chain time.Duration) time.Duration {
 	extension := max(queue.Extension, 1)
 	return time.Duration(queue.TargetLatencyMs)*time.Millisecond + time.Duration(extension*float64(chain))
 }
 
-// criticalPath is the predicted runtime of a job's longest chain of dependent steps.
+// criticalPath has predicted runtimes of a job's longest chain of dependent steps.
 type criticalPath struct {
-	typical    time.Duration // if each step takes as long as one of its tasks
-	upperBound time.Duration // that it nearly always ends within: the job's objective may count that much
-	following  time.Duration // of the typical chain that follows a step
+	typical    time.Duration // runtime of the longest chain if each step takes as long as predicted for one task
+	upperBound time.Duration // runtime that the longest chain almost never exceeds
+	following  time.Duration // typical runtime of the longest chain that follows the given step
 }
 
-// criticalPath returns the critical path of a job, and what of it follows a step.
+// criticalPath returns the critical path of a job, with following for the given step.
 func (o *Owner) criticalPath(job *jobs.Job, step int) (path criticalPath) {
 	steps := job.Spec.Steps
-	typical := make([]time.Duration, len(steps)) // the chain from the step's start to the end
-	bounds := make([]time.Duration, len(steps))  // the same of upper bounds
+	typical := make([]time.Duration, len(steps)) // by step: the longest chain that begins with the step
+	bounds := make([]time.Duration, len(steps))  // the same with the upper bounds of the steps
 	for i := len(steps) - 1; i >= 0; i-- {
 		own := o.planner.Predictor().Predict(job.Queue.Key, "", steps[i].EstimatedMs)
 		typical[i] += own
@@ -70,30 +79,32 @@
 	return path
 }
 
-// stepUpperBound returns a time that a step nearly always ends within: that of the task that takes longest, several times if
-// the step is so wide that it runs in waves.
+// stepUpperBound returns a runtime that a step almost never exceeds: the upper bound for the slowest of its tasks, times
+// the number of waves in which a wide step runs.
 func (o *Owner) stepUpperBound(queue *protocol.Queue, step *protocol.Step) time.Duration {
 	bound := o.planner.Predictor().PredictUpperBound(queue.Key, step.EstimatedMs, step.Count)
 	return bound * time.Duration(o.wavesOf(queue.Service, step))
 }
 
-// objectiveFraction is the fraction of a service that one step may use at once, as objectives are reckoned.
-const objectiveFraction = 0.25
+// waveFraction is the fraction of a service's capacity, by dominant resource, that the upper bound of a chain assumes one
+// step to use at a time. A step that needs more is assumed to run in several waves.
+const waveFraction = 0.25
 
-// wavesOf returns how many times a step's runtime counts in the objective of its job.
+// wavesOf returns the number of waves in which a step is assumed to run. A gang and a long-running step run in one.
 func (o *Owner) wavesOf(service string, step *protocol.Step) int {
 	if step.Gang || step.LongRunning {
 		return 1
 	}
 	width := dominantFraction(step.Needs(), step.Count, o.capacities[service])
-	return max(1, int(math.Ceil(width/objectiveFraction)))
+	return max(1, int(math.Ceil(width/waveFraction)))
 }
 
-// coresPerGPU is what an accelerator counts as when work is compared, as it is priced.
+// coresPerGPU is the price of an accelerator in cores. It converts the work on accelerators to core-seconds.
 const coresPerGPU = 8
 
-// remainingWork returns the work that is left of a group's job, in its repetition, in core-seconds. Long-running steps count
-// as none.
+// remainingWork returns the work that is left of a group's job in the group's repetition, in core-seconds: the sum over
+// all unfinished tasks of predicted runtime times cores, with accelerators converted to cores. Long-running steps aren't
+// counted, because they have no end.
 func (o *Owner) remainingWork(group *jobs.Group) float64 {
 	job := group.Job
 	work := 0.0
@@ -109,20 +120,21 @@
 	return work
 }
 
-// classify returns what a group's pending tasks can still contribute to their job's value, and when that changes.
-func (o *Owner) classify(now time.Duration, group *jobs.Group) (class valueClass, changesAt time.Duration) {
+// classify returns the deadline class of a group whose tasks start now, and the time at which the class is expected to
+// change. A long-running step has no end that could be late: it is always in classOnTime.
+func (o *Owner) classify(now time.Duration, group *jobs.Group) (class deadlineClass, changesAt time.Duration) {
 	step := group.Spec()
 	if step.LongRunning {
-		return fullValue, never
+		return classOnTime, never
 	}
-	times := o.valueTimesOf(o.clockMs(now), group)
+	left := o.timeLeftOf(o.clockMs(now), group)
 	runtime := o.planner.Predictor().Predict(group.Job.Queue.Key, "", step.EstimatedMs)
 	switch {
-	case times.toObjective > runtime:
-		return fullValue, now + times.toObjective - runtime
-	case times.toWorthless > runtime:
-		return lateValue, now + times.toWorthless - runtime
+	case left.toObjective > runtime:
+		return classOnTime, now + left.toObjective - runtime
+	case left.toExpiry > runtime:
+		return classLate, now + left.toExpiry - runtime
 	default:
-		return noValue, never
+		return classExpired, never
 	}
 }
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -10,15 +10,16 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Limits of the starts in one answer. A runner drops an answer of more than 4 MiB, again and again.
+// Limits of the starts in one answer. A runner drops an answer of more than 4 MiB. The owner would repeat the same
+// answer, so the runner would never start anything.
 const (
-	maxStartBytes      = 3 << 20
-	startOverheadBytes = 16 // of one start, beside its texts
-	maxEscapedBytes    = 6  // that JSON takes for one byte of a text
+	maxStartBytes      = 3 << 20 // bytes of all starts in one answer
+	startOverheadBytes = 16      // bytes of one start without its strings: brackets, quotes, commas, the number of the run
+	maxEscapedBytes    = 6       // largest number of bytes that JSON needs for one byte of a string, as in \u0001
 )
 
-// replyToHeartbeat answers a runner's newest heartbeat with its orders, or by an error without a recent confirmation of
-// leadership. Starts are sent with a lease only.
+// replyToHeartbeat answers a runner's newest heartbeat with orders, or with an error if the leadership wasn't confirmed
+// recently. It orders starts only together with a lease.
 func (o *Owner) replyToHeartbeat(now time.Duration, r *runner) {
 	if !o.leadership.isConfirmed(now) {
 		r.respond(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
@@ -37,14 +38,14 @@
 	r.respond(orders, nil)
 }
 
-// startOrders returns the starts that the shard has for the runner and that the runner does not list, the oldest first, as
-// many as an answer may carry; the rest comes with the next one. A start that an earlier answer carried is sent again:
-// that answer is void.
+// startOrders returns the starts of the runs that the shard has on the runner and that the runner doesn't list, the oldest
+// first. It returns at most as many as fit into one answer, and at least one; the next answer has the others. It repeats
+// starts of earlier answers, because the runner may not have received those.
 func (o *Owner) startOrders(r *runner) []protocol.StartOrder {
 	var starts []protocol.StartOrder
 	bytes := 0
 	for _, task := range o.state.RunsOn(r.instance) {
-		if !o.isToStart(r, task) {
+		if !o.shouldStart(r, task) {
 			continue
 		}
 		order := protocol.StartOrder{
@@ -58,8 +59,8 @@
 	return starts
 }
 
-// isToStart reports whether a run that may exist on the runner is to be started there.
-func (o *Owner) isToStart(r *runner, task *jobs.Task) bool {
+// shouldStart reports whether the answer must order the start of a run that the shard has on the runner.
+func (o *Owner) shouldStart(r *runner, task *jobs.Task) bool {
 	key := runKey{task.ID, task.Run}
 	if task.Phase != jobs.Running || o.proposals.isEnding(key) || task.Group.Job.Abandoned() || r.isDraining {
 		return false
@@ -67,11 +68,13 @@
 	return !r.lists(key) && !r.isStopping(key)
 }
 
-// startBytes returns the most bytes that a start takes in an answer.
+// startBytes returns an upper bound of the bytes of a start in the JSON of an answer.
 func startBytes(order *protocol.StartOrder) int {
 	return startOverheadBytes + maxEscapedBytes*(len(order.Task)+len(order.Spec)+len(order.Saved))
 }
 
+// stopOrders returns the stops for the runner, sorted. A run that the runner doesn't list needs no stop, unless the
+// runner is one that its agent calls: a start may still reach that one, and the stop prevents it from taking effect.
 func stopOrders(r *runner) []protocol.StopOrder {
 	stops := make([]protocol.StopOrder, 0, len(r.stops))
 	for key := range r.stops {
@@ -85,10 +88,10 @@
 	return stops
 }
 
-// pollInterval returns the time to the runner's next heartbeat.
+// pollInterval returns the time until the runner's next heartbeat.
 func (o *Owner) pollInterval(r *runner) time.Duration {
 	if r.report.Relayed {
-		return o.options.IdlePollInterval // each exchange takes a relay's time as well
+		return o.options.IdlePollInterval // each exchange also costs the relay's processing time
 	}
 	if len(r.listed) > 0 || len(r.stops) > 0 || o.state.PendingCount() > 0 || len(o.state.RunsOn(r.instance)) > 0 {
 		return o.options.BusyPollInterval
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -8,27 +8,27 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// RunnerOverview is what operators see of a runner.
+// RunnerOverview is the state of a runner as operators see it.
 type RunnerOverview struct {
 	Instance       string
 	Service        string
 	Address        string
 	Zone           string
 	Labels         []string
-	State          string // as it reported it, or StateEnded, StateUnresponsive
+	State          string // reported by the runner, or StateEnded or StateUnresponsive
 	Capacity       protocol.Resources
-	Free           protocol.Resources // estimated: what may run there counts as used
-	Runs           int                // that may exist there
-	Stops          int                // ordered, of runs whose end is not listed yet
-	FailureScore   float64            // 0: none; 1: what it starts fails or makes no progress
-	SinceHeartbeat time.Duration      // since its newest heartbeat, or since this owner's election if none has come
-	LeaseRemaining time.Duration      // after which nothing runs there unless a new lease is granted; never below 0
+	Free           protocol.Resources // capacity without that of all runs that may exist there
+	Runs           int                // number of runs that may exist there
+	Stops          int                // number of runs that are ordered to stop and haven't ended
+	FailureScore   float64            // 0: no recent failures; near 1: all recent runs failed or made no progress
+	SinceHeartbeat time.Duration      // time since its newest heartbeat, or since this owner's election if there was none
+	LeaseRemaining time.Duration      // time until no run exists there unless a new lease is granted; 0 after that
 }
 
-// States of a runner that it does not report itself.
+// States that the owner determines. The others are reported by the runner.
 const (
-	StateEnded        = "ended"  // it has deregistered
-	StateUnresponsive = "silent" // it has not reported to this owner, or not for a while
+	StateEnded        = "ended"  // the runner has deregistered
+	StateUnresponsive = "silent" // the runner has sent this owner no heartbeat, or none for shownUnresponsiveAfter
 )
 
 // Runners returns an overview of all runners that this owner knows, sorted by service and instance.
@@ -65,7 +65,8 @@
 	return overview
 }
 
-// shownUnresponsiveAfter is how long ago the last contact of a runner is that is shown as unresponsive.
+// shownUnresponsiveAfter is the time since its last heartbeat after which the overview shows a runner as unresponsive. It
+// is longer than runnerTimeout, so that single missed heartbeats don't show.
 const shownUnresponsiveAfter = 3 * time.Second
 
 func (o *Owner) stateOf(now time.Duration, r *runner) string {
--- a/internal/cluster/scheduler/overview_test.go
+++ b/internal/cluster/scheduler/overview_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("the overview of runners", func() {
-	It("has what they reported and what may run there", func() {
+	It("shows what the runners reported, and the runs that may exist on them", func() {
 		w := newWorld()
 		w.submit("00000000000000aa", small())
 		orders := w.orders(heartbeatOf("b", 1))
@@ -28,7 +28,7 @@
 		Expect(runners[1].Labels).To(Equal([]string{"a", "r1"}))
 	})
 
-	It("shows which are draining, unresponsive or ended", func() {
+	It("shows which runners are draining, unresponsive or deregistered", func() {
 		w := newWorld()
 		draining := heartbeatOf("a", 1)
 		draining.State = protocol.RunnerDraining
