--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -9,46 +9,46 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Owner decides for one shard while its process leads it. It is used by one goroutine.
+// Owner makes the decisions for one shard while its process leads the shard's replica group. One goroutine uses it.
 type Owner struct {
 	options Options
 	state   *jobs.State
 	planner *placement.Planner
 
-	leadership leadership
-	runners    incarnations
-	pending    pendingSteps
-	capacities map[string]protocol.Resources // of the schedulable runners of each service, at its latest round
-	proposals  proposals
-	reads      confirmedReads
-	headroom   headroom
-	faults     jobFaults
-	reasons    waitReasons
+	leadership  leadership
+	runners     incarnations
+	pending     pendingSteps
+	capacities  map[string]protocol.Resources // total of the schedulable runners, by service, as of its latest round
+	proposals   proposals
+	reads       confirmedReads
+	headroom    headroom
+	jobFailures jobFailures
+	reasons     waitReasons
 
-	roundRequested bool // something changed that a round may use
+	roundRequested bool // something has changed since the last round, so that another round may place more tasks
 	lastRound      time.Duration
 	counters       Counters
 }
 
-// Counters count what the owner did since the process started.
+// Counters count what this process has done as an owner since it started, over all its leaderships.
 type Counters struct {
-	Rounds    uint64 // of placement
-	Starts    uint64 // of runs, committed
-	Stops     uint64 // of runs, ordered
-	Losses    uint64 // of runs, proposed
-	Refused   uint64 // submits, since too many jobs had not ended
-	Stale     uint64 // submits by an outdated configuration
-	Preempted uint64 // runs stopped for others
-	Stalled   uint64 // runs stopped since they made no progress
+	Rounds    uint64 // placement rounds
+	Starts    uint64 // runs whose start was committed
+	Stops     uint64 // runs that the owner decided to stop, for any reason
+	Losses    uint64 // runs that the owner proposed to declare lost; without lingering runs of gangs
+	Refused   uint64 // submits refused because too many jobs had not ended
+	Stale     uint64 // submits refused because they were routed by an outdated configuration
+	Preempted uint64 // runs stopped for tasks of higher priority
+	Stalled   uint64 // runs stopped because they made no progress
 }
 
-// runKey identifies a run.
+// runKey identifies one run of a task.
 type runKey struct {
 	task jobs.TaskID
 	run  uint64
 }
 
-// New returns an owner that does not lead yet.
+// New returns an Owner that isn't the leader yet.
 func New(options Options, state *jobs.State) *Owner {
 	setDefaults(&options)
 	o := &Owner{options: options, state: state}
@@ -56,12 +56,13 @@
 	return o
 }
 
-// reset drops all that belongs to one leadership. Counters and the late jobs that were not taken yet stay.
+// reset drops all state that belongs to one leadership. The counters, and late jobs that TakeLate hasn't returned yet,
+// stay.
 func (o *Owner) reset() {
 	o.planner = placement.NewPlanner(placement.Options{
-		FarFactor: o.options.FarFactor,
-		StopTime:  o.options.StopTime,
-		Restore:   o.options.Restore,
+		NonLocalFactor: o.options.NonLocalFactor,
+		StopTime:       o.options.StopTime,
+		RestoreTime:    o.options.RestoreTime,
 	})
 	o.runners = newIncarnations()
 	o.pending = newPendingSteps(o.classify)
@@ -69,15 +70,17 @@
 	o.proposals = newProposals()
 	o.reads = confirmedReads{}
 	o.headroom = headroom{}
-	o.faults = jobFaults{}
+	o.jobFailures = jobFailures{}
 	o.reasons.reset(o.leadership.since)
 	o.roundRequested = true
 	o.lastRound = 0
 }
 
-// BecomeLeader is called when this process leads the shard and has applied an entry of its own term. timeOfDayMs is its
-// estimate of the time of day, in ms since 1970. A process may have been frozen, and replaced, between the quorum's votes
-// and this call: so there is no confirmation of leadership until Tick brings one.
+// BecomeLeader starts the ownership. The caller calls it when this process leads the shard and has applied an entry of its
+// own term. timeOfDayMs is the process's estimate of the time of day, in ms since 1970.
+//
+// The election doesn't count as a confirmation of leadership, because the process may have been frozen and replaced between
+// the quorum's votes and this call. The first confirmation comes with a call of Tick.
 func (o *Owner) BecomeLeader(now time.Duration, timeOfDayMs int64, term uint64) {
 	o.reset()
 	o.leadership = leadership{isLeader: true, term: term, since: now, confirmedAt: neverConfirmed}
@@ -95,8 +98,9 @@
 	}
 }
 
-// BecomeFollower is called when leadership ends. All that is unanswered is answered by an error: what is in flight by
-// failure.UnknownOutcome, the rest by failure.NotLeader.
+// BecomeFollower ends the ownership and answers everything that still waits for a reply with an error. The error is
+// failure.UnknownOutcome for requests in the command in flight, which may still be committed, and failure.NotLeader for all
+// others.
 func (o *Owner) BecomeFollower() {
 	if !o.leadership.isLeader {
 		return
@@ -114,13 +118,14 @@
 	}
 }
 
-// IsLeader reports whether this process leads the shard, and so owns it.
+// IsLeader reports whether this process is the leader, and so the owner, of the shard.
 func (o *Owner) IsLeader() bool { return o.leadership.isLeader }
 
-// Counters returns what was counted since the process started.
+// Counters returns the counts since the process started.
 func (o *Owner) Counters() Counters { return o.counters }
 
-// clockMs returns the estimated time of day at now, which is never before the shard's clock.
+// clockMs returns the estimated time of day at now, in ms since 1970. It is never before the shard's clock, which the
+// commands of earlier owners may have set ahead of this process's estimate.
 func (o *Owner) clockMs(now time.Duration) int64 {
 	return max(o.leadership.timeOfDayMsAt(now), o.state.ClockMs())
 }
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -57,7 +57,7 @@
 		Expect(string(state)).To(Equal(protocol.JobCompleted))
 	})
 
-	It("never orders more than a runner has capacity for, runs that are being stopped included", func() {
+	It("never orders more runs than fit on a runner together with those that are being stopped", func() {
 		w.submit(id, protocol.Step{Count: 40, CPU: 1000, MemoryMB: 10, EstimatedMs: 500})
 		orders := w.orders(heartbeatOf("i1", 1))
 		Expect(orders.Start).To(HaveLen(16))
@@ -68,10 +68,10 @@
 		listed.Active = activeRuns(orders.Start)
 		orders = w.orders(listed)
 		Expect(orders.Stop).To(HaveLen(16))
-		Expect(orders.Start).To(BeEmpty(), "what is being stopped still uses its capacity")
+		Expect(orders.Start).To(BeEmpty(), "runs that are being stopped still use capacity")
 	})
 
-	It("grants leases that end no later than the longest lease after the newest confirmation", func() {
+	It("grants leases that end at most the longest lease after the newest confirmation", func() {
 		w.pass(0)
 		w.passUnconfirmed(300 * time.Millisecond)
 		orders := w.orders(heartbeatOf("i1", 1))
@@ -85,7 +85,7 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
 
-	It("starts nothing on a draining runner, and withdraws starts that it does not list", func() {
+	It("starts nothing on a draining runner, and withdraws starts of runs that the runner does not list", func() {
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
 		draining := heartbeatOf("i1", 2)
@@ -97,7 +97,7 @@
 		Expect(orders.Start[0].Run).To(Equal(uint64(2)))
 	})
 
-	DescribeTable("starts a silent runner's work elsewhere only once no lease may last",
+	DescribeTable("starts the tasks of an unresponsive runner elsewhere only after every lease has expired",
 		func(elapsed time.Duration, started bool) {
 			w.submit(id, small())
 			first := w.orders(heartbeatOf("i1", 1))
@@ -108,13 +108,13 @@
 			orders := w.orders(heartbeatOf("i2", 1))
 			Expect(len(orders.Start) > 0).To(Equal(started))
 		},
-		Entry("early", 3*time.Second, false),
-		Entry("at the lease's end on an exact clock", lease, false),
-		Entry("at the lease's end on a slow clock", lease*102/100, false),
-		Entry("after that", lease*104/100+50*time.Millisecond, true),
+		Entry("before the lease ends", 3*time.Second, false),
+		Entry("when the lease ends on an exact clock", lease, false),
+		Entry("when the lease ends on a slow clock", lease*102/100, false),
+		Entry("when the lease has ended on the slowest clock", lease*104/100+50*time.Millisecond, true),
 	)
 
-	It("waits for the leases of the owner before it", func() {
+	It("waits until the leases of the previous owner have expired", func() {
 		w.submit(id, small())
 		first := w.orders(heartbeatOf("i1", 1))
 		w.owner.BecomeFollower()
@@ -128,13 +128,13 @@
 		Expect(first.Start).To(HaveLen(1))
 	})
 
-	It("ends an incarnation once another serves at its address", func() {
+	It("ends an incarnation after another one has reported from its address", func() {
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
 		again := heartbeatOf("i2", 1)
 		again.Address = heartbeatOf("i1", 1).Address
 		_, early := w.heartbeat(again)
-		Expect(failure.KindOf(early)).To(Equal(failure.Conflict), "it may be older than the other")
+		Expect(failure.KindOf(early)).To(Equal(failure.Conflict), "the heartbeat may be older than the first incarnation's")
 		w.pass(time.Second)
 		again.Sequence++
 		orders := w.orders(again)
@@ -144,7 +144,7 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 	})
 
-	It("knows from the shard the addresses of incarnations that have not reported to it", func() {
+	It("knows the addresses of incarnations that have not reported to it from the shard's state", func() {
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
 		w.owner.BecomeFollower()
@@ -152,7 +152,7 @@
 		again := heartbeatOf("i2", 1)
 		again.Address = heartbeatOf("i1", 1).Address
 		_, early := w.heartbeat(again)
-		Expect(failure.KindOf(early)).To(Equal(failure.Conflict), "it may be older than the other")
+		Expect(failure.KindOf(early)).To(Equal(failure.Conflict), "the heartbeat may be older than the first incarnation's")
 		w.pass(time.Second)
 		again.Sequence++
 		orders := w.orders(again)
@@ -160,7 +160,7 @@
 		Expect(orders.Start[0].Run).To(Equal(uint64(2)))
 	})
 
-	It("does not end an incarnation for a relayed heartbeat of another", func() {
+	It("does not end an incarnation because of another one's relayed heartbeat", func() {
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
 		w.pass(2 * time.Second)
@@ -175,7 +175,7 @@
 		Expect(orders.Start).To(HaveLen(1))
 	})
 
-	It("polls less often through a relay", func() {
+	It("asks for heartbeats less often if they are relayed", func() {
 		w.submit(id, small())
 		relayed := heartbeatOf("i1", 1)
 		relayed.Relayed = true
@@ -183,15 +183,15 @@
 		Expect(orders.RetryDelayMs).To(Equal(int64(100)))
 	})
 
-	It("answers an outdated heartbeat by an error", func() {
+	It("answers an outdated heartbeat with an error", func() {
 		w.orders(heartbeatOf("i1", 5))
 		_, err := w.heartbeat(heartbeatOf("i1", 4))
 		Expect(failure.KindOf(err)).To(Equal(failure.Conflict))
 	})
 
-	It("answers that a job is unknown only after a confirmation", func() {
+	It("answers that a job is unknown only after a confirmation of leadership", func() {
 		w.pass(0)
-		w.now++ // the next step: their times rise
+		w.now++ // the next step, whose time is later
 		var got error
 		answered := false
 		w.owner.Status(w.now, id, func(_ protocol.JobState, err error) { answered, got = true, err })
@@ -202,7 +202,7 @@
 		Expect(failure.KindOf(got)).To(Equal(failure.Gone))
 	})
 
-	It("distinguishes an unknown outcome from a submit that was never proposed when leadership ends", func() {
+	It("tells submits with an unknown outcome from submits that were never proposed when leadership ends", func() {
 		w.stalled = true
 		var first, second error
 		w.owner.Submit(w.now, submitOf(id), func(_ bool, err error) { first = err })
@@ -213,7 +213,7 @@
 		Expect(failure.KindOf(second)).To(Equal(failure.NotLeader))
 	})
 
-	It("pauses after a command that could not be proposed, whatever is due", func() {
+	It("proposes nothing for a while after a command could not be proposed", func() {
 		refused := failure.New(failure.NotLeader, "leadership is being transferred")
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
@@ -227,7 +227,7 @@
 		Expect(w.owner.NextCommand(w.now)).NotTo(BeNil())
 	})
 
-	It("starts a gang's members together with one run", func() {
+	It("starts the members of a gang together, with the same run number", func() {
 		w.orders(heartbeatOf("i1", 1))
 		w.orders(heartbeatOf("i2", 1))
 		w.submit(id, protocol.Step{Count: 2, CPU: 15000, MemoryMB: 100, GPU: 8, EstimatedMs: 500, Gang: true})
@@ -238,7 +238,7 @@
 		Expect(one.Start[0].Run).To(Equal(two.Start[0].Run))
 	})
 
-	It("stops the remaining members of a gang of which one has ended", func() {
+	It("stops the other members of a gang when one has ended without completing it", func() {
 		w.orders(heartbeatOf("i1", 1))
 		w.orders(heartbeatOf("i2", 1))
 		w.submit(id, protocol.Step{Count: 2, CPU: 15000, MemoryMB: 100, GPU: 8, EstimatedMs: 500, Gang: true})
--- a/internal/cluster/scheduler/pending.go
+++ b/internal/cluster/scheduler/pending.go
@@ -11,58 +11,64 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// valueClass is what a pending step can still contribute to its job's value, if it is started now.
-type valueClass uint8
+// deadlineClass says which deadline of its job a step can still meet if its tasks start now. A job has two deadlines: its
+// objective, after which it is late and its value is reduced, and its expiry, after which its value is zero (see timeLeft).
+type deadlineClass uint8
 
 const (
-	fullValue valueClass = iota // the job can meet its objective
-	lateValue                   // the job can still earn the value of a late one
-	noValue                     // neither
+	classOnTime  deadlineClass = iota // the job can end by its objective
+	classLate                         // the job can end by its expiry, but not by its objective
+	classExpired                      // the job can't end by its expiry
 )
 
-// minReclassifyInterval is the least time until the class of a step is looked at again.
+// minReclassifyInterval is the shortest time between two classifications of a step at which its class was due to change.
 const minReclassifyInterval = 50 * time.Millisecond
 
-// pendingStep is a group with pending tasks.
+// pendingStep is the entry of a group in the index of pending steps.
 type pendingStep struct {
-	group     *jobs.Group
-	class     valueClass
-	changesAt time.Duration // when its class is expected to change
-	heapIndex int           // in pendingSteps.changes; notInHeap if its class does not change
-	list      *list.List    // that of its class
-	element   *list.Element // in list
-	aged      bool          // it is run though it has no value
-	agedSince time.Duration
+	group      *jobs.Group
+	class      deadlineClass
+	changesAt  time.Duration // time at which the class is expected to change; only valid while the step is in the heap
+	heapIndex  int           // position in pendingSteps.changes, or notInHeap
+	list       *list.List    // the list of its class; nil while it is aged
+	element    *list.Element // its element of list
+	aged       bool          // the step is expired and promoted, see promoteAged
+	promotedAt time.Duration // time of that promotion
 }
 
-// never is the time of what does not happen.
+// never is the changesAt of a step whose class doesn't change with time.
 const never = time.Duration(math.MaxInt64)
 
-// pendingSteps are the groups with pending tasks, by service and by value class, so that a round considers those first
-// that can earn most, at a cost that does not grow with those that have no value any more. A step changes its class when
-// its time is over, by a heap of these times. Tasks that have started are found out when a round comes to their step.
+// pendingSteps is an index of the groups with pending tasks, by service, deadline class and priority. A round takes the
+// tasks that it considers from it in order of rank, at a cost that doesn't grow with the number of expired tasks.
+//
+// The index learns of groups when a task becomes pending, and of jobs when they end. It doesn't learn of starts: a group
+// without pending tasks stays until a round takes its step. A heap orders the steps by the time at which their class
+// is expected to change.
 type pendingSteps struct {
-	classify func(now time.Duration, group *jobs.Group) (class valueClass, changesAt time.Duration)
+	classify func(now time.Duration, group *jobs.Group) (class deadlineClass, changesAt time.Duration)
 	steps    map[*jobs.Group]*pendingStep
 	changes  changeHeap
 	services map[string]*servicePending
 }
 
-// servicePending are the pending steps of one service.
+// servicePending has the pending steps of one service. Each step is in exactly one of the lists, or in aged.
 type servicePending struct {
-	earning   map[int]*earningSteps // by priority
-	worthless list.List             // of *pendingStep; the one that has waited longest for its turn is the first
-	aged      []*pendingStep        // taken from worthless, the oldest first
+	unexpired map[int]*unexpiredSteps // by priority
+	expired   list.List               // of *pendingStep, a round-robin queue: the first has waited longest for its turn
+	aged      []*pendingStep          // steps promoted from expired, by time of promotion
 }
 
-// earningSteps are the steps of one priority that still have value, in the order in which they became pending.
-type earningSteps struct {
-	full, late list.List // of *pendingStep
+// unexpiredSteps has the unexpired steps of one priority. Its lists are round-robin queues: a step is added at the end
+// when it becomes pending or changes its class, and moves there when a round that couldn't consider all steps hasn't
+// started it.
+type unexpiredSteps struct {
+	onTime, late list.List // of *pendingStep
 }
 
-// newPendingSteps returns an index without steps. classify returns the present class of a group and when it changes; never
-// if it stays.
-func newPendingSteps(classify func(time.Duration, *jobs.Group) (valueClass, time.Duration)) pendingSteps {
+// newPendingSteps returns an index without steps. classify returns the class of a group at a time, and when the class is
+// expected to change: never if it stays.
+func newPendingSteps(classify func(time.Duration, *jobs.Group) (deadlineClass, time.Duration)) pendingSteps {
 	return pendingSteps{
 		classify: classify,
 		steps:    map[*jobs.Group]*pendingStep{},
@@ -70,7 +76,7 @@
 	}
 }
 
-// add adds a group of which a task has become pending.
+// add adds a group of which a task has become pending, unless the index has it or its job has ended.
 func (p *pendingSteps) add(now time.Duration, group *jobs.Group) {
 	if p.steps[group] != nil || group.Job.Ended() {
 		return
@@ -80,7 +86,7 @@
 	p.enqueue(now, step)
 }
 
-// remove removes a group that has no pending task any more.
+// remove removes a group, if the index has it.
 func (p *pendingSteps) remove(group *jobs.Group) {
 	step := p.steps[group]
 	if step == nil {
@@ -97,7 +103,7 @@
 	}
 }
 
-// reclassify moves the steps whose class has changed by now.
+// reclassify classifies each step again whose class was expected to change by now, and moves it to the list of its class.
 func (p *pendingSteps) reclassify(now time.Duration) {
 	for len(p.changes) > 0 && p.changes[0].changesAt <= now {
 		step := p.changes[0]
@@ -106,17 +112,17 @@
 	}
 }
 
-// enqueue puts a step into the list of its present class.
+// enqueue classifies a step and adds it to the list of its class, and to the heap unless its class never changes.
 func (p *pendingSteps) enqueue(now time.Duration, step *pendingStep) {
 	class, changesAt := p.classify(now, step.group)
 	step.class = class
 	service := p.service(step.group.Job.Queue.Service)
-	if class == noValue {
-		step.list = &service.worthless
-		step.element = service.addWorthless(step)
+	if class == classExpired {
+		step.list = &service.expired
+		step.element = service.addExpired(step)
 		return
 	}
-	step.list = service.earningList(step.group.Job.Queue.Priority, class)
+	step.list = service.unexpiredList(step.group.Job.Queue.Priority, class)
 	step.element = step.list.PushBack(step)
 	if changesAt != never {
 		step.changesAt = max(changesAt, now+minReclassifyInterval)
@@ -124,15 +130,16 @@
 	}
 }
 
-// addWorthless adds a step that has no value; those of jobs that have begun go first, so that these are completed.
-func (s *servicePending) addWorthless(step *pendingStep) *list.Element {
+// addExpired adds an expired step: at the front if tasks of its job are done or running, so that jobs that have begun are
+// completed first, else at the end.
+func (s *servicePending) addExpired(step *pendingStep) *list.Element {
 	if done, running, _ := step.group.Job.Progress(); done+running > 0 {
-		return s.worthless.PushFront(step)
+		return s.expired.PushFront(step)
 	}
-	return s.worthless.PushBack(step)
+	return s.expired.PushBack(step)
 }
 
-// detach takes a step out of its list and out of the heap.
+// detach removes a step from its list or from the aged steps, and from the heap.
 func (p *pendingSteps) detach(step *pendingStep) {
 	if step.heapIndex != notInHeap {
 		heap.Remove(&p.changes, step.heapIndex)
@@ -152,26 +159,26 @@
 func (p *pendingSteps) service(name string) *servicePending {
 	known := p.services[name]
 	if known == nil {
-		known = &servicePending{earning: map[int]*earningSteps{}}
+		known = &servicePending{unexpired: map[int]*unexpiredSteps{}}
 		p.services[name] = known
 	}
 	return known
 }
 
-// earningList returns the list of the steps of a priority and a class that has value.
-func (s *servicePending) earningList(priority int, class valueClass) *list.List {
-	known := s.earning[priority]
+// unexpiredList returns the list of the steps of a priority and a class, which isn't classExpired.
+func (s *servicePending) unexpiredList(priority int, class deadlineClass) *list.List {
+	known := s.unexpired[priority]
 	if known == nil {
-		known = &earningSteps{}
-		s.earning[priority] = known
+		known = &unexpiredSteps{}
+		s.unexpired[priority] = known
 	}
-	if class == fullValue {
-		return &known.full
+	if class == classOnTime {
+		return &known.onTime
 	}
 	return &known.late
 }
 
-// serviceNames returns the services with pending steps, sorted.
+// serviceNames returns the services with pending steps, sorted, and forgets the others.
 func (p *pendingSteps) serviceNames() []string {
 	maps.DeleteFunc(p.services, func(_ string, s *servicePending) bool { return s.isEmpty() })
 	return slices.Sorted(maps.Keys(p.services))
@@ -179,25 +186,26 @@
 
 // isEmpty reports whether the service has no pending step.
 func (s *servicePending) isEmpty() bool {
-	for _, steps := range s.earning {
-		if steps.full.Len()+steps.late.Len() > 0 {
+	for _, steps := range s.unexpired {
+		if steps.onTime.Len()+steps.late.Len() > 0 {
 			return false
 		}
 	}
-	return s.worthless.Len() == 0 && len(s.aged) == 0
+	return s.expired.Len() == 0 && len(s.aged) == 0
 }
 
-// takeEarning returns the pending tasks of a service that still have value, in order of priority: at most limit, but a
-// gang is complete. What can be on time is preferred to what is late, whatever the priority. truncated reports whether
-// there are more.
-func (p *pendingSteps) takeEarning(service string, limit int) (tasks []*jobs.Task, truncated bool) {
+// takeUnexpired returns unexpired pending tasks of a service: at most limit, but the last gang completely. It selects all
+// tasks that can be on time before late ones, whatever their priorities, and by priority within a class. It returns the
+// selected tasks in order of priority, and by class within a priority. truncated reports whether the limit was reached,
+// so that there may be more tasks.
+func (p *pendingSteps) takeUnexpired(service string, limit int) (tasks []*jobs.Task, truncated bool) {
 	s := p.service(service)
-	priorities := slices.Sorted(maps.Keys(s.earning))
+	priorities := slices.Sorted(maps.Keys(s.unexpired))
 	byPriority := make([][]*jobs.Task, len(priorities))
 	taken := 0
-	for _, class := range []valueClass{fullValue, lateValue} {
+	for _, class := range []deadlineClass{classOnTime, classLate} {
 		for i, priority := range priorities {
-			tasks := p.take(s.earningList(priority, class), limit-taken)
+			tasks := p.take(s.unexpiredList(priority, class), limit-taken)
 			taken += len(tasks)
 			byPriority[i] = append(byPriority[i], tasks...)
 		}
@@ -205,8 +213,8 @@
 	return slices.Concat(byPriority...), taken >= limit
 }
 
-// take returns the pending tasks of the steps in a list, from the first on: at most limit, but a gang is complete. Steps
-// without pending tasks are removed.
+// take returns the pending tasks of the steps in a list, from the first step on: at most limit, but the last gang
+// completely. It removes steps without pending tasks.
 func (p *pendingSteps) take(steps *list.List, limit int) (tasks []*jobs.Task) {
 	for element := steps.Front(); element != nil && len(tasks) < limit; {
 		step := element.Value.(*pendingStep)
@@ -216,7 +224,8 @@
 	return tasks
 }
 
-// takeStep appends the pending tasks of a step, up to limit in all, but a gang completely. It removes a step without any.
+// takeStep appends the pending tasks of a step to tasks, up to a total of limit; a gang is appended completely. It
+// removes a step without pending tasks.
 func (p *pendingSteps) takeStep(step *pendingStep, tasks []*jobs.Task, limit int) []*jobs.Task {
 	before := len(tasks)
 	tasks = appendPending(tasks, step.group, limit)
@@ -226,7 +235,7 @@
 	return tasks
 }
 
-// appendPending appends the pending tasks of a group, up to limit in all, but a gang completely.
+// appendPending appends the pending tasks of a group to tasks, up to a total of limit; a gang is appended completely.
 func appendPending(tasks []*jobs.Task, group *jobs.Group, limit int) []*jobs.Task {
 	for _, task := range group.Tasks {
 		if len(tasks) >= limit && !group.Spec().Gang {
@@ -239,14 +248,15 @@
 	return tasks
 }
 
-// takeWorthless returns pending tasks of a service that have no value any more, at most limit, but a gang is complete.
-func (p *pendingSteps) takeWorthless(service string, limit int) []*jobs.Task {
-	return p.take(&p.service(service).worthless, limit)
+// takeExpired returns expired pending tasks of a service, without aged ones: at most limit, but the last gang completely.
+func (p *pendingSteps) takeExpired(service string, limit int) []*jobs.Task {
+	return p.take(&p.service(service).expired, limit)
 }
 
-// passOver moves the steps that a round has considered and of which it has started nothing behind the others of their
-// class, so that each gets its turn. Their class is found anew, as predictions may have changed.
-func (p *pendingSteps) passOver(now time.Duration, considered []*jobs.Task, started map[*jobs.Group]bool) {
+// requeueUnstarted moves each step that a round has considered without starting any of its tasks to the end of its list, so
+// that the steps of a list take turns. It also classifies these steps again, because the runtime predictions on which the
+// class depends may have changed, and moves a step whose class has changed to the list of that class. Aged steps stay.
+func (p *pendingSteps) requeueUnstarted(now time.Duration, considered []*jobs.Task, started map[*jobs.Group]bool) {
 	for _, group := range groupsOf(considered) {
 		step := p.steps[group]
 		if step == nil || step.list == nil || started[group] {
@@ -261,7 +271,7 @@
 	}
 }
 
-// groupsOf returns the groups of tasks in their order; tasks of one group follow one another.
+// groupsOf returns the groups of tasks, in the order of the tasks. Tasks of one group must be adjacent.
 func groupsOf(tasks []*jobs.Task) (groups []*jobs.Group) {
 	for i, task := range tasks {
 		if i == 0 || task.Group != tasks[i-1].Group {
--- a/internal/cluster/scheduler/pending_test.go
+++ b/internal/cluster/scheduler/pending_test.go
@@ -15,21 +15,21 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("Pending work that has lost its value", func() {
+var _ = Describe("Expired tasks", func() {
 	urgent := protocol.Queue{Key: "host/urgent/", Service: service, Priority: 0, MaxAttempts: 3, Extension: 1.5, TargetLatencyMs: 800}
 	patient := protocol.Queue{Key: "host/patient/", Service: service, Priority: 2, MaxAttempts: 3, Extension: 4, TargetLatencyMs: 60_000}
 	oneCore := func(count int) protocol.Step {
 		return protocol.Step{Count: count, CPU: 1000, MemoryMB: 10, EstimatedMs: 500}
 	}
-	// submitDead submits urgent jobs of 100 tasks each, and lets so much time pass that they earn nothing any more.
-	submitDead := func(w *world, count int, step protocol.Step) {
+	// submitExpired submits urgent jobs of one step each, and advances the time beyond their expiry.
+	submitExpired := func(w *world, count int, step protocol.Step) {
 		for i := range count {
-			w.submitTo(urgent, fmt.Sprintf("dead%012x", i), step)
+			w.submitTo(urgent, fmt.Sprintf("expd%012x", i), step)
 		}
 		w.pass(20 * time.Second)
 		w.pass(200 * time.Millisecond)
 	}
-	// jobsOf counts orders by the first letters of their jobs.
+	// jobsOf counts starts by the first four letters of their job's ID.
 	jobsOf := func(orders *protocol.Orders) map[string]int {
 		counts := map[string]int{}
 		for _, order := range orders.Start {
@@ -38,91 +38,91 @@
 		return counts
 	}
 
-	It("goes behind a fresh job, however much of it there is and whatever the priorities are", func() {
+	It("are placed after tasks that can be on time, whatever their number and priority", func() {
 		w := newWorld()
-		submitDead(w, 100, oneCore(100))
+		submitExpired(w, 100, oneCore(100))
 		w.submitTo(patient, "fresh00000000001", oneCore(8))
 		Expect(jobsOf(w.orders(heartbeatOf("i1", 1)))).To(HaveKeyWithValue("fres", 8))
 	})
 
-	It("runs on what the others leave over", func() {
+	It("are placed on the capacity that other tasks leave", func() {
 		w := newWorld()
-		submitDead(w, 1, oneCore(100))
+		submitExpired(w, 1, oneCore(100))
 		w.submitTo(patient, "fresh00000000001", oneCore(4))
 		started := jobsOf(w.orders(heartbeatOf("i1", 1)))
 		Expect(started).To(HaveKeyWithValue("fres", 4))
-		Expect(started["dead"]).To(BeNumerically(">=", 6))
+		Expect(started["expd"]).To(BeNumerically(">=", 6))
 	})
 
-	It("does not cost a round more the more of it there is", func() {
+	It("are considered by a round up to a limit, whatever their number", func() {
 		w := newWorld()
-		submitDead(w, 100, oneCore(100))
-		Expect(w.owner.TakeWorthless(service, 200)).To(HaveLen(200))
+		submitExpired(w, 100, oneCore(100))
+		Expect(w.owner.TakeExpired(service, 200)).To(HaveLen(200))
 	})
 
-	It("costs a round no more if it has aged and is wide", func() {
+	It("are considered up to the same limit if they belong to a wide aged step", func() {
 		w := newWorld()
-		submitDead(w, 1, oneCore(5000))
+		submitExpired(w, 1, oneCore(5000))
 		w.pass(15 * time.Second)
 		Expect(w.owner.AgedTasks(w.now, service)).To(HaveLen(200))
 	})
 
-	It("does not hide what is behind it and could start", func() {
+	It("do not keep others that could start from taking part in a round if they cannot start themselves", func() {
 		w := newWorld()
 		nowhere := oneCore(100)
 		nowhere.Requirements = "nowhere"
 		for i := range 10 {
 			w.submitTo(urgent, fmt.Sprintf("none%012x", i), nowhere)
 		}
-		submitDead(w, 1, oneCore(1))
+		submitExpired(w, 1, oneCore(1))
 		w.submitTo(patient, "fresh00000000001", protocol.Step{Count: 1, CPU: 15_000, MemoryMB: 10, EstimatedMs: 60_000})
 		started := jobsOf(w.orders(heartbeatOf("i1", 1)))
-		for i := uint64(2); i < 12 && started["dead"] == 0; i++ {
+		for i := uint64(2); i < 12 && started["expd"] == 0; i++ {
 			w.pass(200 * time.Millisecond)
 			listed := heartbeatOf("i1", i)
 			listed.Active = activeRuns([]protocol.StartOrder{{Task: "fresh00000000001.0.0.0", Run: 1}})
 			started = jobsOf(w.orders(listed))
 		}
-		Expect(started).To(HaveKeyWithValue("dead", 1))
+		Expect(started).To(HaveKeyWithValue("expd", 1))
 	})
 
-	It("is started within seconds where most of the service is free, whatever waits before it", func() {
+	It("are started within seconds if most of the service is free, whatever waits before them", func() {
 		w := newWorld()
 		nowhere := oneCore(100)
 		nowhere.Requirements = "nowhere"
 		for i := range 50 {
 			w.submitTo(urgent, fmt.Sprintf("none%012x", i), nowhere)
 		}
-		submitDead(w, 1, oneCore(1))
-		Expect(startsWithin(w, 3*time.Second)).To(ContainElement(HavePrefix("dead")))
+		submitExpired(w, 1, oneCore(1))
+		Expect(startsWithin(w, 3*time.Second)).To(ContainElement(HavePrefix("expd")))
 	})
 
-	It("gets a share ahead of late work once it has waited for long, so that each accepted job ends", func() {
+	It("are placed before late tasks once they have aged, so that each accepted job ends", func() {
 		w := newWorld()
-		submitDead(w, 1, oneCore(1))
+		submitExpired(w, 1, oneCore(1))
 		w.pass(15 * time.Second)
 		w.submitTo(urgent, "late000000000001", oneCore(100))
-		w.pass(2 * time.Second) // beyond its objective, and not beyond its value
+		w.pass(2 * time.Second) // after its objective and before its expiry
 		started := jobsOf(w.orders(heartbeatOf("i1", 1)))
-		Expect(started).To(HaveKeyWithValue("dead", 1))
+		Expect(started).To(HaveKeyWithValue("expd", 1))
 		Expect(started["late"]).To(BeNumerically(">", 0))
 	})
 
-	It("does not get that share ahead of work that can be on time", func() {
+	It("are placed after tasks that can be on time even if they have aged", func() {
 		w := newWorld()
-		submitDead(w, 1, oneCore(1))
+		submitExpired(w, 1, oneCore(1))
 		w.pass(15 * time.Second)
 		w.submitTo(patient, "fresh00000000001", oneCore(100))
-		Expect(jobsOf(w.orders(heartbeatOf("i1", 1)))).NotTo(HaveKey("dead"))
+		Expect(jobsOf(w.orders(heartbeatOf("i1", 1)))).NotTo(HaveKey("expd"))
 	})
 
-	It("waits for the reason that others go first", func() {
+	It("have the wait reason Outranked while others use the capacity", func() {
 		w := newWorld()
 		w.submitTo(patient, "fresh00000000001", protocol.Step{Count: 1, CPU: 16_000, MemoryMB: 10, EstimatedMs: 60_000})
 		w.orders(heartbeatOf("i1", 1))
 		listed := heartbeatOf("i1", 2)
 		listed.Active = activeRuns([]protocol.StartOrder{{Task: "fresh00000000001.0.0.0", Run: 1}})
-		w.submitTo(urgent, "dead000000000001", oneCore(1))
+		w.submitTo(urgent, "expd000000000001", oneCore(1))
 		for sequence := uint64(3); sequence < 80; sequence++ {
 			listed.Sequence = sequence
 			w.orders(listed)
@@ -130,14 +130,14 @@
 		}
 		ended := heartbeatOf("i1", 80)
 		ended.Finished = []protocol.FinishedRun{{N: 1, Task: "fresh00000000001.0.0.0", Run: 1, How: protocol.EndDone}}
-		Expect(jobsOf(w.orders(ended))).To(HaveKeyWithValue("dead", 1))
+		Expect(jobsOf(w.orders(ended))).To(HaveKeyWithValue("expd", 1))
 		waited := w.owner.Queues()[urgent.Key].Tasks
 		Expect(waited[latency.Outranked]).To(BeNumerically(">", 6*time.Second))
 	})
 
-	It("is known to a new owner", func() {
+	It("are in the index of a new owner", func() {
 		w := newWorld()
-		submitDead(w, 10, oneCore(10))
+		submitExpired(w, 10, oneCore(10))
 		indexed := w.owner.IndexedTasks()
 		w.lead(8)
 		Expect(w.owner.IndexedTasks()).To(Equal(indexed))
@@ -145,7 +145,7 @@
 	})
 })
 
-var _ = It("Work that can be on time is started within seconds, however much that can't start waits before it", func() {
+var _ = It("A task that can be on time is started within seconds, whatever number of tasks that cannot start wait before it", func() {
 	w := newWorld()
 	patient := protocol.Queue{Key: "host/patient/", Service: service, MaxAttempts: 3, Extension: 4, TargetLatencyMs: 600_000}
 	nowhere := protocol.Step{Count: 100, CPU: 1000, EstimatedMs: 500, Requirements: "nowhere"}
@@ -156,7 +156,7 @@
 	Expect(startsWithin(w, 3*time.Second)).To(ContainElement(HavePrefix("fresh")))
 })
 
-var _ = It("The job with the least work left goes first among those that can be on time", func() {
+var _ = It("Among jobs that can be on time, the one with the least remaining work is placed first", func() {
 	w := newWorld()
 	patient := protocol.Queue{Key: "host/patient/", Service: service, MaxAttempts: 3, Extension: 4, TargetLatencyMs: 600_000}
 	step := func(count int) protocol.Step { return protocol.Step{Count: count, CPU: 1000, EstimatedMs: 500} }
@@ -170,7 +170,8 @@
 	Expect(started).To(Equal(map[string]int{"small": 3, "chain": 3, "large": 10}))
 })
 
-// startsWithin returns the tasks that an empty runner is ordered to start within a time, at heartbeats each 200 ms.
+// startsWithin returns the tasks that a runner without runs is ordered to start within a time, with a heartbeat every 200
+// ms.
 func startsWithin(w *world, limit time.Duration) (tasks []string) {
 	var active []protocol.ActiveRun
 	sequence := uint64(0)
@@ -186,7 +187,7 @@
 	return tasks
 }
 
-// pendingTasks returns the tasks that are pending by the shard's state, sorted.
+// pendingTasks returns the pending tasks of the shard's state, sorted.
 func (w *world) pendingTasks() (tasks []string) {
 	w.state.EachPending(func(task *jobs.Task) bool {
 		tasks = append(tasks, task.ID.String())
@@ -196,7 +197,7 @@
 	return tasks
 }
 
-var _ = It("The index of pending work has what the shard's state has, whatever happens", func() {
+var _ = It("The index of pending steps has exactly the pending tasks of the shard's state after any sequence of events", func() {
 	rapid.Check(GinkgoT(), func(t *rapid.T) {
 		w := newWorld()
 		sequence, ends, term, submitted := uint64(0), uint64(0), uint64(7), 0
--- a/internal/cluster/scheduler/proposals.go
+++ b/internal/cluster/scheduler/proposals.go
@@ -7,17 +7,18 @@
 	"ospreypond/internal/cluster/latency"
 )
 
-// proposeRetryInterval is the time after a command that could not be proposed, as during a transfer of leadership.
+// proposeRetryInterval is the pause after a command that failed, for instance because the leadership was being transferred.
 const proposeRetryInterval = 50 * time.Millisecond
 
-// proposals collect the next command, and track the one that is in flight: one at a time.
+// proposals collect the parts of the next command, and track the one command that is in flight: proposed to the shard's
+// log and neither applied nor failed.
 type proposals struct {
 	next            jobs.Command
-	pendingReplies  replies // for next
-	inFlight        *jobs.Command
-	inFlightReplies replies                // for inFlight
+	pendingReplies  replies                // of the requests in next
+	inFlight        *jobs.Command          // nil: none
+	inFlightReplies replies                // of the requests in inFlight
 	ending          map[runKey]latency.Run // runs whose end or loss is in next or inFlight
-	retryAt         time.Duration          // no command is proposed before this, after one could not be
+	retryAt         time.Duration          // earliest time to propose again after a failure
 }
 
 func newProposals() proposals { return proposals{ending: map[runKey]latency.Run{}} }
@@ -60,14 +61,14 @@
 	return ending
 }
 
-// hasNext reports whether there is something to propose.
+// hasNext reports whether the next command has any part.
 func (p *proposals) hasNext() bool {
 	c := &p.next
 	return len(c.Submits)+len(c.Cancels)+len(c.Fences)+len(c.Ends)+len(c.Losses)+len(c.Starts)+len(c.Departures) > 0
 }
 
-// send returns the next command, which is in flight from now on.
-func (p *proposals) send(timeOfDayMs int64) *jobs.Command {
+// dispatch returns the next command and records it as the one in flight.
+func (p *proposals) dispatch(timeOfDayMs int64) *jobs.Command {
 	command := p.next
 	command.TimeOfDayMs = timeOfDayMs
 	p.next = jobs.Command{}
@@ -76,15 +77,15 @@
 	return &command
 }
 
-// finish records that no command is in flight any more, and returns the replies that are owed for it.
+// finish records that no command is in flight, and returns the callbacks of the one that was.
 func (p *proposals) finish() replies {
-	owed := p.inFlightReplies
+	waiting := p.inFlightReplies
 	p.inFlight = nil
 	p.inFlightReplies = replies{}
-	return owed
+	return waiting
 }
 
-// forgetEnding forgets the ends and losses of a command that is no longer in flight.
+// forgetEnding removes from ending the runs that a command ended. The command is no longer in flight.
 func (p *proposals) forgetEnding(command *jobs.Command) {
 	for _, end := range command.Ends {
 		delete(p.ending, runKey{end.Task, end.Run})
@@ -94,8 +95,8 @@
 	}
 }
 
-// NextCommand returns the next command to propose, or nil. One command is in flight at a time: the caller reports its
-// outcome by Applied or Failed.
+// NextCommand returns the next command to propose, or nil. It runs a placement round first if one is due. Only one command
+// is in flight at a time: the caller must report its outcome by Applied or Failed before NextCommand returns another.
 func (o *Owner) NextCommand(now time.Duration) *jobs.Command {
 	if !o.leadership.isLeader || o.proposals.inFlight != nil || now < o.proposals.retryAt {
 		return nil
@@ -105,17 +106,18 @@
 		return nil
 	}
 	o.addRunnerAddresses()
-	return o.proposals.send(o.clockMs(now))
+	return o.proposals.dispatch(o.clockMs(now))
 }
 
-// isRepetitionDue reports whether a repetition has fallen due: any command moves the shard's clock and so opens it.
+// isRepetitionDue reports whether the time of a job's next repetition has come. Any command, even an empty one, advances
+// the shard's clock and thereby makes the tasks of the repetition pending.
 func (o *Owner) isRepetitionDue(now time.Duration) bool {
 	due, ok := o.state.NextDueMs()
 	return ok && due <= o.clockMs(now)
 }
 
-// addRunnerAddresses adds to the next command the addresses of the runners on which it starts something for the first
-// time.
+// addRunnerAddresses adds to the next command the addresses of the runners in its starts, unless the shard has them
+// already. With the address, a later owner can tell that a new incarnation there has replaced the runner.
 func (o *Owner) addRunnerAddresses() {
 	next := &o.proposals.next
 	added := map[string]bool{}
@@ -130,34 +132,35 @@
 	}
 }
 
-// Applied is called once the command in flight is committed and applied, with what it changed. It sends the replies that
-// waited for it, and is ignored after leadership has ended.
+// Applied reports that the command in flight was committed and applied, with its effects. It replies to the requests in the
+// command. It does nothing after the leadership has ended.
 func (o *Owner) Applied(now time.Duration, command *jobs.Command, effects *jobs.Effects) {
 	if !o.leadership.isLeader || o.proposals.inFlight == nil {
 		return
 	}
-	owed := o.proposals.finish()
+	waiting := o.proposals.finish()
 	o.recordApplied(now, command, effects)
 	o.proposals.forgetEnding(command)
 	o.countStarts(now, command)
-	owed.succeed(effects)
+	waiting.succeed(effects)
 	o.stopBrokenGangs(effects)
 	o.roundRequested = true
 }
 
-// Failed is called when the outcome of the command in flight will not be known, or when it was not proposed at all; err is
-// the reply to all that waited for it. The next command is proposed after proposeRetryInterval at the earliest.
+// Failed reports that the command in flight was not proposed, or that its outcome will not become known. It replies err
+// to the requests in the command. NextCommand returns nil for proposeRetryInterval after it.
 func (o *Owner) Failed(now time.Duration, command *jobs.Command, err error) {
 	if !o.leadership.isLeader || o.proposals.inFlight == nil {
 		return
 	}
-	owed := o.proposals.finish()
+	waiting := o.proposals.finish()
 	o.proposals.forgetEnding(command)
 	o.proposals.retryAt = now + proposeRetryInterval
-	owed.fail(err)
+	waiting.fail(err)
 	o.roundRequested = true
 }
 
+// countStarts counts the starts of an applied command that took effect, and records the time of their commit.
 func (o *Owner) countStarts(now time.Duration, command *jobs.Command) {
 	for _, start := range command.Starts {
 		task := o.state.Task(start.Task)
--- a/internal/cluster/scheduler/reads.go
+++ b/internal/cluster/scheduler/reads.go
@@ -6,18 +6,18 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// readTimeout is how long a read waits for a confirmation of leadership.
+// readTimeout is the longest time for which a read waits for a confirmation of leadership.
 const readTimeout = 800 * time.Millisecond
 
-// confirmedRead is a question that is answered once leadership was confirmed by a round of messages that left after it
-// came.
+// confirmedRead is a request whose reply waits until a round of messages to the replicas, sent after the request arrived,
+// has confirmed the leadership.
 type confirmedRead struct {
-	requestedAt time.Duration
-	deadline    time.Duration
-	reply       func(err error) // nil: leadership was confirmed
+	requestedAt time.Duration   // time of arrival
+	deadline    time.Duration   // time at which the request fails if there was no such confirmation
+	reply       func(err error) // called with nil if the leadership was confirmed
 }
 
-// confirmedReads are the questions that wait for a confirmation of leadership.
+// confirmedReads are the requests that wait for a confirmation of leadership.
 type confirmedReads struct{ waiting []confirmedRead }
 
 func (c *confirmedReads) add(now time.Duration, reply func(err error)) {
@@ -26,8 +26,9 @@
 
 func (c *confirmedReads) isEmpty() bool { return len(c.waiting) == 0 }
 
-// complete answers the reads that a confirmation covers, and those whose time is over by an error. A confirmation that was
-// asked for at the time of the step in which a read came left after the read, see replica.Engine.ConfirmLeadership.
+// complete answers the reads that a confirmation requested at confirmedAt covers, and fails those whose deadline has
+// passed. A confirmation covers a read that has arrived at the same time: the engine sends the messages of a step after
+// it has processed the step's requests, see replica.Engine.ConfirmLeadership.
 func (c *confirmedReads) complete(now, confirmedAt time.Duration) {
 	var remaining, confirmed, expired []confirmedRead
 	for _, r := range c.waiting {
@@ -49,7 +50,7 @@
 	}
 }
 
-// fail answers all reads by err.
+// fail replies err to all reads.
 func (c *confirmedReads) fail(err error) {
 	for _, r := range c.waiting {
 		r.reply(err)
--- a/internal/cluster/scheduler/reads_test.go
+++ b/internal/cluster/scheduler/reads_test.go
@@ -12,10 +12,10 @@
 	"ospreypond/internal/cluster/scheduler"
 )
 
-// unknownID is that of a job that was never submitted.
+// unknownID is the ID of a job that was never submitted.
 const unknownID = "00000000000000ff"
 
-// result is what a caller got from the owner.
+// result is the owner's reply to a request; its methods are the callbacks.
 type result struct {
 	replied bool
 	kind    failure.Kind
@@ -38,7 +38,7 @@
 	r.replied, r.known, r.kind = true, known, failure.KindOf(err)
 }
 
-// limitedWorld returns a world whose owner accepts so many unfinished jobs at most.
+// limitedWorld returns a world whose owner refuses submits while maxJobs jobs have not ended.
 func limitedWorld(maxJobs int) *world {
 	w := &world{state: jobs.New(jobs.Options{}), now: time.Second}
 	limited := options()
@@ -48,8 +48,8 @@
 	return w
 }
 
-// ended submits a job and brings it into a final state.
-func (w *world) ended(jobID, state string) {
+// submitAndEnd submits a job and brings it into the given final state.
+func (w *world) submitAndEnd(jobID, state string) {
 	q := protocol.Queue{Key: queue, Service: service, MaxAttempts: 1}
 	w.submitTo(q, jobID, small())
 	switch state {
@@ -63,7 +63,7 @@
 	}
 }
 
-// endRun has a runner start and end the first run of the only task there is.
+// endRun makes a runner start and end the first run of the only task.
 func (w *world) endRun(outcome string) {
 	orders := w.orders(heartbeatOf("i1", 1))
 	Expect(orders.Start).To(HaveLen(1))
@@ -73,7 +73,7 @@
 }
 
 var _ = Describe("An owner that may have been replaced", func() {
-	// A confirmation, however recent, says nothing of now.
+	// However recent a confirmation is, another process may have become the leader since.
 	const moment = time.Millisecond
 	var (
 		w   *world
@@ -84,7 +84,7 @@
 		got = &result{}
 	})
 
-	DescribeTable("waits for a confirmation that was asked for after the question",
+	DescribeTable("waits for a confirmation of leadership that was requested after the call",
 		func(prepare func(), ask func(), check func()) {
 			prepare()
 			w.pass(moment)
@@ -94,7 +94,7 @@
 			w.commitAll()
 			Expect(got.replied).To(BeFalse())
 			w.now += moment
-			w.owner.Tick(w.now, w.clock(), asked-1) // its messages left before the question came
+			w.owner.Tick(w.now, w.clock(), asked-1) // the messages of this confirmation were sent before the call
 			w.commitAll()
 			Expect(got.replied).To(BeFalse())
 			w.owner.Tick(w.now, w.clock(), asked)
@@ -102,27 +102,27 @@
 			Expect(got.replied).To(BeTrue())
 			check()
 		},
-		Entry("to show a job as queued", func() { w.submit(id, small()) },
+		Entry("before it shows a job as queued", func() { w.submit(id, small()) },
 			func() { w.owner.Status(w.now, id, got.status) },
 			func() { Expect(*got).To(Equal(result{replied: true, state: protocol.JobQueued})) }),
-		Entry("to show a job as running", func() {
+		Entry("before it shows a job as running", func() {
 			w.submit(id, small())
 			w.orders(heartbeatOf("i1", 1))
 		},
 			func() { w.owner.Status(w.now, id, got.status) },
 			func() { Expect(*got).To(Equal(result{replied: true, state: protocol.JobRunning})) }),
-		Entry("to reply that there is no such job", func() {},
+		Entry("before it replies that a job is unknown", func() {},
 			func() { w.owner.Status(w.now, unknownID, got.status) },
 			func() { Expect(got.kind).To(Equal(failure.Gone)) }),
-		Entry("to count", func() { w.submit(id, small()) },
+		Entry("before it replies how many jobs of a queue have not ended", func() { w.submit(id, small()) },
 			func() { w.owner.Pending(w.now, queue, got.pending) },
 			func() { Expect(*got).To(Equal(result{replied: true, count: 1})) }),
-		Entry("to refuse a submit since too many jobs have not ended", func() { w.submit(id, small()) },
+		Entry("before it refuses a submit because too many jobs have not ended", func() { w.submit(id, small()) },
 			func() { w.owner.Submit(w.now, submitOf(unknownID), got.submitted) },
 			func() { Expect(got.kind).To(Equal(failure.Overloaded)) }),
 	)
 
-	It("accepts a submit if few enough jobs are left by the time of the confirmation", func() {
+	It("accepts a submit if enough jobs have ended by the time of the confirmation", func() {
 		w.submit(id, small())
 		w.now += moment
 		w.owner.Submit(w.now, submitOf(unknownID), got.submitted)
@@ -135,7 +135,7 @@
 		Expect(known).To(BeTrue())
 	})
 
-	DescribeTable("answers by an error after a time without a confirmation",
+	DescribeTable("fails a read if no confirmation comes within the time limit",
 		func(ask func()) {
 			w.submit(id, small())
 			w.pass(moment)
@@ -146,34 +146,34 @@
 			w.passUnconfirmed(20 * time.Millisecond)
 			Expect(*got).To(Equal(result{replied: true, kind: failure.NotLeader}))
 		},
-		Entry("of a job", func() { w.owner.Status(w.now, id, got.status) }),
-		Entry("of a job that it does not know", func() { w.owner.Status(w.now, unknownID, got.status) }),
-		Entry("of a count", func() { w.owner.Pending(w.now, queue, got.pending) }),
-		Entry("of a submit beyond the limit", func() { w.owner.Submit(w.now, submitOf(unknownID), got.submitted) }),
+		Entry("the state of a job", func() { w.owner.Status(w.now, id, got.status) }),
+		Entry("the state of an unknown job", func() { w.owner.Status(w.now, unknownID, got.status) }),
+		Entry("the number of jobs that have not ended", func() { w.owner.Pending(w.now, queue, got.pending) }),
+		Entry("a submit beyond the limit of unfinished jobs", func() { w.owner.Submit(w.now, submitOf(unknownID), got.submitted) }),
 	)
 
-	DescribeTable("answers at once what stays true",
+	DescribeTable("answers at once if the answer can never change",
 		func(prepare func(), ask func(), want result) {
 			prepare()
 			w.passUnconfirmed(time.Minute)
 			ask()
 			Expect(*got).To(Equal(want))
 		},
-		Entry("a job that is completed", func() { w.ended(id, protocol.JobCompleted) },
+		Entry("a job is completed", func() { w.submitAndEnd(id, protocol.JobCompleted) },
 			func() { w.owner.Status(w.now, id, got.status) }, result{replied: true, state: protocol.JobCompleted}),
-		Entry("a job that has failed", func() { w.ended(id, protocol.JobFailed) },
+		Entry("a job has failed", func() { w.submitAndEnd(id, protocol.JobFailed) },
 			func() { w.owner.Status(w.now, id, got.status) }, result{replied: true, state: protocol.JobFailed}),
-		Entry("a job that is cancelled", func() { w.ended(id, protocol.JobCancelled) },
+		Entry("a job is cancelled", func() { w.submitAndEnd(id, protocol.JobCancelled) },
 			func() { w.owner.Status(w.now, id, got.status) }, result{replied: true, state: protocol.JobCancelled}),
-		Entry("that it has a job which is submitted again", func() {
+		Entry("a job that is submitted again is known", func() {
 			w.submit(id, small())
 			w.owner.Cancel(w.now, id, func(error) {})
 			w.commitAll()
 		},
 			func() { w.owner.Submit(w.now, submitOf(id), got.submitted) }, result{replied: true, known: true}),
-		Entry("that it has a job which is fenced", func() { w.submit(id, small()) },
+		Entry("a job that is to be fenced is known", func() { w.submit(id, small()) },
 			func() { w.owner.Fence(w.now, jobs.Fence{ID: id, Version: 9}, got.submitted) }, result{replied: true, known: true}),
-		Entry("that a job can never be done", func() {},
+		Entry("a submitted job is invalid", func() {},
 			func() { w.owner.Submit(w.now, jobs.Submit{ID: id}, got.submitted) }, result{replied: true, kind: failure.Invalid}),
 	)
 })
--- a/internal/cluster/scheduler/replies.go
+++ b/internal/cluster/scheduler/replies.go
@@ -5,7 +5,7 @@
 	"ospreypond/internal/cluster/jobs"
 )
 
-// replies are the replies owed for a command, in the order of its parts.
+// replies are the callbacks of the requests in one command. Each list has the order of the command's list of the same name.
 type replies struct {
 	submits    []func(known bool, err error)
 	cancels    []func(err error)
@@ -13,7 +13,7 @@
 	departures []func(err error)
 }
 
-// succeed sends the replies to a command that was applied.
+// succeed replies to the requests of a command that was applied.
 func (r *replies) succeed(effects *jobs.Effects) {
 	for i, reply := range r.submits {
 		replySubmit(reply, effects.Submits[i])
@@ -36,17 +36,17 @@
 func replySubmit(reply func(known bool, err error), effect jobs.SubmitEffect) {
 	switch effect {
 	case jobs.Fenced:
-		reply(false, failure.New(failure.Moved, "the queue belongs to another shard now"))
+		reply(false, failure.New(failure.Moved, "the queue now belongs to another shard"))
 	case jobs.Duplicate:
 		reply(true, nil)
 	case jobs.Rejected:
-		reply(false, failure.New(failure.Invalid, "the job cannot be carried out as it is"))
+		reply(false, failure.New(failure.Invalid, "the shard rejected the job as invalid"))
 	default:
 		reply(false, nil)
 	}
 }
 
-// fail sends err to all.
+// fail replies err to all requests.
 func (r *replies) fail(err error) {
 	for _, reply := range r.submits {
 		reply(false, err)
--- a/internal/cluster/scheduler/reports.go
+++ b/internal/cluster/scheduler/reports.go
@@ -9,11 +9,12 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxFinishedPerHeartbeat is the most ends that one heartbeat lists: with that many there may be more.
+// maxFinishedPerHeartbeat is the number of ends at which a runner cuts off the list in its heartbeat. A heartbeat with that
+// many may omit further ends.
 const maxFinishedPerHeartbeat = 500
 
-// takeFinished proposes the ends that the shard has not applied yet.
-func (o *Owner) takeFinished(now time.Duration, r *runner) {
+// proposeEnds proposes the ends in the heartbeat that the shard hasn't applied yet.
+func (o *Owner) proposeEnds(now time.Duration, r *runner) {
 	seen := o.state.LastSeen(r.instance)
 	slices.SortFunc(r.report.Finished, func(a, b protocol.FinishedRun) int { return cmp.Compare(a.N, b.N) })
 	for i := range r.report.Finished {
@@ -26,8 +27,8 @@
 			continue
 		}
 		key, outcome := runKey{id, finished.Run}, finished.How
-		o.learn(now, r, key, outcome)
-		run := r.runRecord(now, key, reasonOf(outcome))
+		o.recordOutcome(now, r, key, outcome)
+		run := r.runRecord(now, key, reasonOfOutcome(outcome))
 		delete(r.stops, key)
 		delete(r.listed, key)
 		delete(r.startedAt, key)
@@ -41,8 +42,9 @@
 	}
 }
 
-// takeActive records which runs the runner lists as active, and orders stops for those that should not run.
-func (o *Owner) takeActive(now time.Duration, r *runner) {
+// recordActive records the runs that the runner lists as active, with their progress, and orders a stop for each that
+// should not continue.
+func (o *Owner) recordActive(now time.Duration, r *runner) {
 	before := r.listed
 	r.listed = make(map[runKey]*listedRun, len(r.report.Active))
 	for i := range r.report.Active {
@@ -64,14 +66,15 @@
 		entry.checkpoint = active.Saved
 		r.listed[key] = entry
 		delete(r.inherited, key)
-		if !o.shouldGoOn(r, key) {
+		if !o.shouldContinue(r, key) {
 			o.stop(r, key)
 		}
 	}
 }
 
-// shouldGoOn reports whether a run that a runner lists is to go on.
-func (o *Owner) shouldGoOn(r *runner, key runKey) bool {
+// shouldContinue reports whether a run that a runner lists may continue: it is the current run of its task on this runner
+// and its job was neither cancelled nor has failed, or it lingers and ends without an order.
+func (o *Owner) shouldContinue(r *runner, key runKey) bool {
 	task := o.state.Task(key.task)
 	if task == nil || task.Run != key.run || task.Runner != r.instance {
 		return o.isLingering(r, key)
@@ -79,7 +82,7 @@
 	return task.Phase == jobs.Running && !task.Group.Job.Abandoned()
 }
 
-// isLingering reports whether the gang of a run is done: it ends by itself.
+// isLingering reports whether the gang of a run is done by the end of another member. The run then ends without an order.
 func (o *Owner) isLingering(r *runner, key runKey) bool {
 	for _, l := range o.state.LingeringOn(r.instance) {
 		if l.Task == key.task && l.Run == key.run {
@@ -89,9 +92,10 @@
 	return false
 }
 
-// takeRejected gives up the runs that the runner certainly never starts. While ends may be missing from the heartbeat,
-// that is left to a later one: the run may have ended.
-func (o *Owner) takeRejected(r *runner) {
+// proposeRejectedLosses declares lost the runs that the runner reports it will never start. It does nothing while ends
+// may be missing from the heartbeat, because a rejected run may be one that has ended; a later heartbeat rejects it
+// again.
+func (o *Owner) proposeRejectedLosses(r *runner) {
 	if r.mayHaveMoreEnds() {
 		return
 	}
@@ -107,15 +111,15 @@
 		}
 		delete(r.stops, key)
 		if o.isLingering(r, key) {
-			o.loseLingering(r, key)
+			o.proposeLingeringLoss(r, key)
 			continue
 		}
 		task := o.state.Task(id)
 		if task != nil && task.Run == key.run && task.Runner == r.instance && task.Phase == jobs.Running {
-			o.lose(r, task)
+			o.proposeLoss(r, task)
 		}
 	}
 }
 
-// mayHaveMoreEnds reports whether ends may be missing from the newest heartbeat.
+// mayHaveMoreEnds reports whether the newest heartbeat may omit ends because its list is full.
 func (r *runner) mayHaveMoreEnds() bool { return len(r.report.Finished) >= maxFinishedPerHeartbeat }
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -13,9 +13,11 @@
 	errNotLeader = failure.New(failure.NotLeader, "this process does not own the shard")
 )
 
-// Submit submits a job. The reply comes once it is committed; known is whether it was committed before, which stays true.
-// It is refused as failure.Overloaded only by an owner whose leadership was confirmed after the request came: the jobs
-// known to an owner that was replaced may have ended long since.
+// Submit submits a job. The reply comes after the job is committed; known reports whether an earlier request had
+// committed it.
+//
+// The owner refuses a job as failure.Overloaded only after its leadership was confirmed by a confirmation requested after
+// the submit. Without that, an owner that has been replaced could refuse jobs because of others that have ended since.
 func (o *Owner) Submit(now time.Duration, submit jobs.Submit, reply func(known bool, err error)) {
 	if !o.leadership.isLeader {
 		reply(false, errNotLeader)
@@ -34,7 +36,7 @@
 	o.propose(submit, reply)
 }
 
-// propose adds the submit to the next command, unless it can be answered at once.
+// propose adds the submit to the next command, or replies at once if the job is known or not accepted.
 func (o *Owner) propose(submit jobs.Submit, reply func(known bool, err error)) {
 	if _, known := o.state.StateOf(submit.ID); known {
 		reply(true, nil)
@@ -47,11 +49,12 @@
 	o.proposals.addSubmit(submit, reply)
 }
 
-// isFull reports whether as many jobs have not ended as may be.
+// isFull reports whether the number of jobs that have not ended has reached its limit.
 func (o *Owner) isFull() bool { return o.state.Counters().Jobs >= o.options.MaxUnfinishedJobs }
 
-// validate returns why a submit is not proposed, or nil. Whether it is invalid depends on nothing but itself; that a newer
-// configuration than the one by which it was routed gives its queue another service cannot change any more.
+// validate returns the reason for which a submit must not be proposed, or nil. The reasons Invalid and Stale need no
+// confirmation of leadership, because they never cease to hold: Invalid depends on the submit alone, and a known
+// configuration at least as new as the one that routed the submit has assigned its queue to another service.
 func (o *Owner) validate(submit *jobs.Submit) error {
 	if err := jobs.Validate(&submit.Job); err != nil {
 		return err
@@ -59,7 +62,7 @@
 	service, version := o.options.ServiceOf(submit.Queue.Key)
 	if version > 0 && submit.Version <= version && service != submit.Queue.Service {
 		o.counters.Stale++
-		return failure.New(failure.Stale, "a newer configuration gives the queue another service")
+		return failure.New(failure.Stale, "a newer configuration assigns the queue to another service")
 	}
 	if o.isFull() {
 		o.counters.Refused++
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// Cancel cancels a job. The reply comes once that is committed; for an unknown job it is failure.Gone.
+// Cancel cancels a job. The reply comes after the cancellation is committed. It is failure.Gone for an unknown job.
 func (o *Owner) Cancel(_ time.Duration, id string, reply func(err error)) {
 	if !o.leadership.isLeader {
 		reply(errNotLeader)
@@ -77,8 +80,8 @@
 	o.proposals.addCancel(id, reply)
 }
 
-// Fence asks whether the shard has a job, and makes it promise, if it has not, never to accept it by the fence's version
-// of the configuration or an older one.
+// Fence asks whether the shard has a job. If it doesn't, the shard commits a promise never to accept the job from a submit
+// that was routed by the fence's version of the configuration or an older one.
 func (o *Owner) Fence(_ time.Duration, fence jobs.Fence, reply func(hasJob bool, err error)) {
 	if !o.leadership.isLeader {
 		reply(false, errNotLeader)
@@ -91,8 +94,9 @@
 	o.proposals.addFence(fence, reply)
 }
 
-// Status asks for a job's state. That a job has ended is committed and stays true, so it is answered at once. All else may
-// be out of date here, and is answered once leadership was confirmed after the question came.
+// Status asks for a job's state. A final state is committed and never changes, so the owner returns it at once. Any other
+// state may be out of date on an owner that was replaced, so the reply waits for a confirmation of leadership that was
+// requested after the call.
 func (o *Owner) Status(now time.Duration, id string, reply func(state protocol.JobState, err error)) {
 	if !o.leadership.isLeader {
 		reply("", errNotLeader)
@@ -116,8 +120,8 @@
 	})
 }
 
-// Pending asks how many jobs of a queue have not ended. It is answered once leadership was confirmed after the question
-// came.
+// Pending asks how many jobs of a queue have not ended. The reply waits for a confirmation of leadership that was requested
+// after the call.
 func (o *Owner) Pending(now time.Duration, queue string, reply func(pending int, err error)) {
 	if !o.leadership.isLeader {
 		reply(0, errNotLeader)
--- a/internal/cluster/scheduler/round.go
+++ b/internal/cluster/scheduler/round.go
@@ -9,18 +9,21 @@
 )
 
 const (
-	// minRoundInterval is the least time between two rounds of placement.
+	// minRoundInterval is the shortest time between two rounds.
 	minRoundInterval = 10 * time.Millisecond
-	// maxRoundInterval is the longest time between two rounds while tasks are pending.
+	// maxRoundInterval is the longest time between two rounds while tasks are pending, even if nothing has changed:
+	// reservations, aging and the wait for a better runner depend on time.
 	maxRoundInterval = 200 * time.Millisecond
-	// maxPendingPerRound is how many pending tasks of one service a round considers. A gang that has begun is considered
-	// completely.
+	// maxPendingPerRound is the largest number of unexpired tasks of one service that a round considers, and of expired
+	// ones while the service is mostly free. The last gang is considered completely beyond it.
 	maxPendingPerRound = 2000
-	// maxWorthlessPerRound is how many of them may have no value any more while most of the service is in use.
-	maxWorthlessPerRound = 200
+	// maxExpiredPerRound is the largest number of expired tasks of one service that a round considers while the service
+	// isn't mostly free, and of aged ones. The last gang is considered completely beyond it.
+	maxExpiredPerRound = 200
 )
 
-// round assigns pending tasks to runners, if something has changed or the last round was long ago.
+// round places pending tasks of all services on runners, if a round is due: maxRoundInterval after the last one, or
+// minRoundInterval after it if something has changed.
 func (o *Owner) round(now time.Duration) {
 	if o.state.PendingCount() == 0 {
 		return
@@ -39,35 +42,43 @@
 	}
 }
 
-// roundOfService assigns the pending tasks of one service: those that can earn something, then those that have no value
-// any more on what is left over. Where there are more than a round considers, they take turns.
+// roundOfService places the pending tasks of one service.
+//
+//  1. It takes the first unexpired tasks, those that can be on time before late ones.
+//  2. It promotes expired steps that have waited long (see aged.go), and places their tasks together with the unexpired
+//     ones.
+//  3. It places expired tasks on the capacity that is left.
+//  4. If there are more steps than one round considers, it moves the steps of which it has started nothing to the end of
+//     their queue, so that all steps take part in turn (round robin). Expired steps always rotate in this way.
 func (o *Owner) roundOfService(now time.Duration, service string) {
-	earning, truncated := o.pending.takeEarning(service, maxPendingPerRound)
+	unexpired, truncated := o.pending.takeUnexpired(service, maxPendingPerRound)
 	runners := o.snapshotRunners(now, service)
 	if len(runners) == 0 {
-		o.explainNoRunner(now, append(earning, o.pending.takeWorthless(service, maxWorthlessPerRound)...))
+		o.explainNoRunner(now, append(unexpired, o.pending.takeExpired(service, maxExpiredPerRound)...))
 		return
 	}
 	o.capacities[service] = totalCapacity(runners)
-	aged := o.pending.age(now, o.clockMs(now), service, o.capacities[service])
-	reserved, started := o.roundOfEarning(now, service, slices.Concat(earning, aged), runners)
+	aged := o.pending.promoteAged(now, o.clockMs(now), service, o.capacities[service])
+	reserved, started := o.roundOfUnexpired(now, service, slices.Concat(unexpired, aged), runners)
 	if truncated {
-		o.pending.passOver(now, earning, started)
+		o.pending.requeueUnstarted(now, unexpired, started)
 	}
-	limit := maxWorthlessPerRound
+	limit := maxExpiredPerRound
 	if isMostlyFree(runners) {
 		limit = maxPendingPerRound
 	}
-	worthless := o.pending.takeWorthless(service, limit)
-	started = o.roundOfWorthless(now, worthless, runners, reserved)
-	o.pending.passOver(now, worthless, started)
+	expired := o.pending.takeExpired(service, limit)
+	started = o.roundOfExpired(now, expired, runners, reserved)
+	o.pending.requeueUnstarted(now, expired, started)
 }
 
-// roundOfEarning assigns the tasks that can earn something, and the aged ones: urgent ones first, then those from which no
-// capacity is reserved, then the others, to which the headroom for urgent work is not available. It returns the fraction
-// of the processors that is reserved for urgent work, which is subtracted from what is free on the runners, and the groups
-// of which it started some.
-func (o *Owner) roundOfEarning(now time.Duration, service string, tasks []*jobs.Task, runners []placement.Runner) (reserved float64, started map[*jobs.Group]bool) {
+// roundOfUnexpired places unexpired and aged tasks in three passes, each on the capacity that the earlier ones have left:
+// first urgent tasks; then tasks that are exempt from the headroom for urgent work (see splitExempt); then, without that
+// headroom, all others.
+//
+// It returns the fraction of each runner's processors that is reserved as headroom, and the groups of which it has started
+// tasks. When it returns, the headroom is subtracted from Free of the runners.
+func (o *Owner) roundOfUnexpired(now time.Duration, service string, tasks []*jobs.Task, runners []placement.Runner) (reserved float64, started map[*jobs.Group]bool) {
 	started = map[*jobs.Group]bool{}
 	urgent, reserved := o.headroom.update(now, service, tasks, runners)
 	exempt, others := splitExempt(tasks[urgent:], runners)
@@ -78,9 +89,10 @@
 	return reserved, started
 }
 
-// roundOfWorthless assigns tasks that have no value any more, and returns the groups of which it started some. The headroom
-// for urgent work is not available to them, but to those that might never fit otherwise.
-func (o *Owner) roundOfWorthless(now time.Duration, tasks []*jobs.Task, runners []placement.Runner, reserved float64) map[*jobs.Group]bool {
+// roundOfExpired places expired tasks and returns the groups of which it has started tasks. It places most of them
+// without the headroom for urgent work, then adds the headroom to Free again and places the exempt ones (see
+// splitExempt). reserved is the fraction of each runner's processors that roundOfUnexpired has reserved as headroom.
+func (o *Owner) roundOfExpired(now time.Duration, tasks []*jobs.Task, runners []placement.Runner, reserved float64) map[*jobs.Group]bool {
 	started := map[*jobs.Group]bool{}
 	if len(tasks) == 0 {
 		return started
@@ -92,15 +104,16 @@
 	return started
 }
 
-// addGroups adds the groups of the tasks that a round has placed.
+// addGroups adds the groups of the placed tasks to groups.
 func addGroups(groups map[*jobs.Group]bool, tasks []*jobs.Task, result placement.Result) {
 	for _, p := range result.Placements {
 		groups[tasks[p.Task].Group] = true
 	}
 }
 
-// assign has the planner assign some pending tasks to runners, and applies what it decides. reserved is the fraction of
-// the processors that is reserved from them. The result is valid until the next call.
+// assign runs a round of the planner for some pending tasks, and applies its decisions. reserved is the fraction of each
+// runner's processors that is not available to these tasks; it only affects their wait reasons. The result is valid until
+// the next call.
 func (o *Owner) assign(now time.Duration, pending []*jobs.Task, runners []placement.Runner, reserved float64) placement.Result {
 	if len(pending) == 0 {
 		return placement.Result{}
@@ -111,33 +124,34 @@
 	return result
 }
 
-// candidates describes pending tasks to the planner. Aged ones go behind all others that can be on time, as late ones of
-// the lowest priority.
+// candidates describes pending tasks to the planner. It gives aged tasks the lowest priority of all tasks in pending. As
+// the planner treats aged tasks as late, they rank after all tasks that can be on time, and compete with late tasks of
+// that priority.
 func (o *Owner) candidates(now time.Duration, pending []*jobs.Task) []placement.Task {
 	clockMs := o.clockMs(now)
 	tasks := make([]placement.Task, len(pending))
-	lowest := 0
+	lowestPriority := 0 // the largest number
 	for _, task := range pending {
-		lowest = max(lowest, task.Group.Job.Queue.Priority)
+		lowestPriority = max(lowestPriority, task.Group.Job.Queue.Priority)
 	}
-	var times valueTimes
+	var left timeLeft
 	work := 0.0
 	for i, task := range pending {
 		if i == 0 || task.Group != pending[i-1].Group {
-			times, work = o.valueTimesOf(clockMs, task.Group), o.remainingWork(task.Group)
+			left, work = o.timeLeftOf(clockMs, task.Group), o.remainingWork(task.Group)
 		}
-		tasks[i] = candidate(clockMs, task, times)
+		tasks[i] = candidate(clockMs, task, left)
 		tasks[i].RemainingWork = work
 		if o.pending.isAged(task.Group) {
 			tasks[i].Aged = true
-			tasks[i].Priority = lowest
+			tasks[i].Priority = lowestPriority
 		}
 	}
 	return tasks
 }
 
-// apply turns the planner's decisions into starts of the next command and stops, and updates the snapshots of the runners
-// by them.
+// apply adds the planner's placements to the next command as starts, and decides the stops of the runs that it preempts. It
+// updates Free, GroupCount and Reserved of the runners for the next pass of the round.
 func (o *Owner) apply(pending []*jobs.Task, runners []placement.Runner, result placement.Result) {
 	for _, p := range result.Placements {
 		task := pending[p.Task]
@@ -159,7 +173,7 @@
 	}
 }
 
-// nextRun returns the number of the task's next run; all members of a gang have the same.
+// nextRun returns the number of the task's next run. All members of a gang have the same.
 func nextRun(task *jobs.Task) uint64 {
 	if task.Group.Spec().Gang {
 		return task.Group.Run + 1
--- a/internal/cluster/scheduler/runners.go
+++ b/internal/cluster/scheduler/runners.go
@@ -6,44 +6,44 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// runnerTimeout is how long ago a runner's last contact may be for it to be given tasks. Orders wait for its next
-// heartbeat.
+// runnerTimeout is the time since its last heartbeat after which a runner is unresponsive and is given no tasks. A start
+// reaches the runner only with the answer to its next heartbeat, so a task placed on a silent runner would wait.
 const runnerTimeout = 700 * time.Millisecond
 
-// runner is what the owner knows of one incarnation of a runner.
+// runner is the owner's record of one incarnation of a runner.
 type runner struct {
 	instance        string
-	report          protocol.Heartbeat // the newest
-	hasReported     bool               // in this term
-	lastContact     time.Duration      // when report came
-	leaseExpiry     time.Duration      // after this, nothing runs there unless another lease is granted
-	isDraining      bool
-	drainsUntil     time.Duration // draining: when it may be gone at the earliest; 0: unknown
-	hasDeregistered bool          // it gets no work and no lease any more, and may serve on for seconds
-
-	reply    func(*protocol.Orders, error) // to the heartbeat that is not answered yet, or nil
-	replyDue time.Duration
-
-	listed    map[runKey]*listedRun    // runs that its newest heartbeat lists as active
-	startedAt map[runKey]time.Duration // runs started there by this owner: when that was committed
-	stops     map[runKey]bool          // runs ordered to stop, until their end is listed
-	inherited map[runKey]bool          // runs that an earlier owner started there, until a heartbeat lists them here
+	report          protocol.Heartbeat // newest heartbeat
+	hasReported     bool               // a heartbeat has arrived during this leadership
+	lastContact     time.Duration      // arrival of report
+	leaseExpiry     time.Duration      // time from which on the runner has no runs, unless another lease is granted
+	isDraining      bool               // the runner is given no work any more
+	drainDeadline   time.Duration      // earliest time at which a draining runner may end; 0: it hasn't reported one
+	hasDeregistered bool               // the runner gets neither work nor leases; its runs may continue until leaseExpiry
+
+	reply    func(*protocol.Orders, error) // callback of the newest heartbeat; nil after the reply
+	replyDue time.Duration                 // time at which the reply must be sent at the latest
+
+	listed    map[runKey]*listedRun    // runs that the newest heartbeat lists as active
+	startedAt map[runKey]time.Duration // commit times of the starts of this owner, until the run's end or loss is proposed
+	stops     map[runKey]bool          // runs to stop, until their end or loss is proposed
+	inherited map[runKey]bool          // runs that earlier owners started, until a heartbeat to this owner lists them
 	history   runHistory
 }
 
-// listedRun is what is known of a run that a runner lists as active.
+// listedRun is what the heartbeats to this owner say about a run that its runner lists as active.
 type listedRun struct {
-	since        time.Duration // first listed
-	firstPercent float64       // then
-	percent      float64
-	progressAt   time.Duration // when percent last rose
-	checkpoint   string
-	startedHere  bool // by this owner, so that its runtime can be learnt
+	since        time.Duration // arrival of the first heartbeat that listed the run
+	firstPercent float64       // progress in that heartbeat
+	percent      float64       // highest progress so far
+	progressAt   time.Duration // time at which percent last rose
+	checkpoint   string        // newest checkpoint
+	startedHere  bool          // this owner has started the run, so since is the start of its runtime
 }
 
-// Positions of a runner's labels.
+// Positions in a runner's list of labels.
 const (
-	kindLabel = 0
+	kindLabel = 0 // kind of hardware
 	rackLabel = 1
 )
 
@@ -58,29 +58,30 @@
 	return labels[position]
 }
 
-// isResponsive reports whether the runner's last contact with this owner is recent enough to give it tasks.
+// isResponsive reports whether the runner's last heartbeat to this owner is less than runnerTimeout ago.
 func (r *runner) isResponsive(now time.Duration) bool {
 	return r.hasReported && now-r.lastContact < runnerTimeout
 }
 
-// isUnresponsive reports whether the runner's last contact is too long ago. At exactly runnerTimeout a runner is neither
-// given tasks nor given up.
+// isUnresponsive reports whether the runner's last heartbeat to this owner is more than runnerTimeout ago, or none has
+// arrived. At exactly runnerTimeout a runner is neither responsive nor unresponsive: it is given no tasks, and its runs
+// aren't declared lost.
 func (r *runner) isUnresponsive(now time.Duration) bool {
 	return !r.hasReported || now-r.lastContact > runnerTimeout
 }
 
-// isSchedulable reports whether tasks may be placed there.
+// isSchedulable reports whether tasks may be placed on the runner.
 func (r *runner) isSchedulable(now time.Duration) bool {
 	return !r.isDraining && !r.hasDeregistered && r.isResponsive(now)
 }
 
-// lists reports whether the newest heartbeat lists the run as active.
+// lists reports whether the runner's newest heartbeat lists the run as active.
 func (r *runner) lists(key runKey) bool { return r.listed[key] != nil }
 
-// isStopping reports whether the run was ordered to stop.
+// isStopping reports whether the owner has decided to stop the run.
 func (r *runner) isStopping(key runKey) bool { return r.stops[key] }
 
-// respond replies to the heartbeat that is not answered yet, if there is one.
+// respond replies to the newest heartbeat if it hasn't been answered.
 func (r *runner) respond(orders *protocol.Orders, err error) {
 	reply := r.reply
 	r.reply = nil
@@ -89,13 +90,13 @@
 	}
 }
 
-// markDeregistered records that the runner has deregistered: it is about to end, and gets no work and no lease any more.
+// markDeregistered records that the runner has deregistered: it will end soon, and is given neither work nor leases.
 func (r *runner) markDeregistered() {
 	r.hasDeregistered = true
 	r.isDraining = true
 }
 
-// newRunner returns a runner that may have a lease of an earlier owner.
+// newRunner returns the record of an incarnation to which an earlier owner may have granted a lease just before now.
 func (o *Owner) newRunner(instance string, now time.Duration) *runner {
 	r := &runner{
 		instance:    instance,
--- a/internal/cluster/scheduler/snapshot.go
+++ b/internal/cluster/scheduler/snapshot.go
@@ -8,7 +8,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// snapshotRunners returns the service's schedulable runners with the capacity that is certainly free on them, sorted.
+// snapshotRunners describes the service's schedulable runners to the planner, sorted by instance. Free is the capacity that
+// certainly no run uses.
 func (o *Owner) snapshotRunners(now time.Duration, service string) []placement.Runner {
 	instances := o.runners.sorted(func(r *runner) bool { return r.report.Service == service && r.isSchedulable(now) })
 	snapshots := make([]placement.Runner, len(instances))
@@ -18,8 +19,8 @@
 	return snapshots
 }
 
-// snapshotRunner describes a runner to the planner. A run uses its capacity until its end is listed, or it is certain
-// that it is not there.
+// snapshotRunner describes a runner to the planner. Each run that may exist on the runner uses capacity, whether the shard
+// wants it there or not: see hasReleasedCapacity.
 func (o *Owner) snapshotRunner(now time.Duration, r *runner) placement.Runner {
 	snapshot := placement.Runner{
 		ID:           r.instance,
@@ -38,34 +39,36 @@
 	for _, task := range o.state.RunsOn(r.instance) {
 		key := runKey{task.ID, task.Run}
 		known[key] = true
-		if o.hasVacated(r, key) {
+		if o.hasReleasedCapacity(r, key) {
 			continue
 		}
 		subtract(&snapshot.Free, task.Group.Spec().Needs())
 		snapshot.GroupCount[task.Group]++
-		if r.lists(key) { // a run whose start is under way is not worth preempting
+		if r.lists(key) { // a run whose start has not been confirmed is no candidate for preemption
 			snapshot.Running = append(snapshot.Running, o.snapshotRun(now, r, task, key))
 		}
 	}
 	for _, l := range o.state.LingeringOn(r.instance) {
 		key := runKey{l.Task, l.Run}
 		known[key] = true
-		if !o.hasVacated(r, key) {
+		if !o.hasReleasedCapacity(r, key) {
 			subtract(&snapshot.Free, l.Needs)
 		}
 	}
-	o.subtractUnknown(r, known, &snapshot)
+	o.subtractUnwanted(r, known, &snapshot)
 	return snapshot
 }
 
-// hasVacated reports whether the runner has listed the run's end, or the run certainly is not there: its capacity is free.
-func (o *Owner) hasVacated(r *runner, key runKey) bool {
+// hasReleasedCapacity reports whether the run no longer uses capacity of the runner: its end or loss has been proposed,
+// and the runner doesn't list it as active.
+func (o *Owner) hasReleasedCapacity(r *runner, key runKey) bool {
 	return o.proposals.isEnding(key) && !r.lists(key)
 }
 
-// subtractUnknown subtracts the needs of runs that the runner lists and the shard does not want there: they are being
-// stopped. If the needs of one are unknown, the runner has no free capacity.
-func (o *Owner) subtractUnknown(r *runner, known map[runKey]bool, snapshot *placement.Runner) {
+// subtractUnwanted subtracts the needs of runs that the runner lists and that the shard doesn't have there. They are being
+// stopped and use capacity until they end. If the needs of one are unknown, because its job is no longer in the state, the
+// runner counts as full.
+func (o *Owner) subtractUnwanted(r *runner, known map[runKey]bool, snapshot *placement.Runner) {
 	for key := range r.listed {
 		if known[key] {
 			continue
@@ -85,7 +88,7 @@
 	free.GPU -= needs.GPU
 }
 
-// snapshotRun describes a run to the planner, as a possible victim of preemption.
+// snapshotRun describes a run to the planner, which may preempt it.
 func (o *Owner) snapshotRun(now time.Duration, r *runner, task *jobs.Task, key runKey) placement.Run {
 	step := task.Group.Spec()
 	run := placement.Run{
@@ -103,14 +106,14 @@
 		run.Elapsed = now - entry.since
 		run.CheckpointAge = run.Elapsed
 		if step.Checkpoints {
-			run.CheckpointAge = 0 // a stop writes a checkpoint
+			run.CheckpointAge = 0 // the run writes a checkpoint when it is stopped, so no work is lost
 		}
 	}
 	return run
 }
 
-// candidate describes a pending task to the planner. The value times are those of its group.
-func candidate(clockMs int64, task *jobs.Task, times valueTimes) placement.Task {
+// candidate describes a pending task to the planner. left is the time left of its group.
+func candidate(clockMs int64, task *jobs.Task, left timeLeft) placement.Task {
 	group := task.Group
 	step := group.Spec()
 	job := group.Job
@@ -120,8 +123,8 @@
 		Priority:      job.Queue.Priority,
 		SizeMs:        step.EstimatedMs,
 		Needs:         step.Needs(),
-		TimeLeft:      times.toObjective,
-		ValueLeft:     times.toWorthless,
+		TimeLeft:      left.toObjective,
+		TimeToExpiry:  left.toExpiry,
 		Waited:        time.Duration(clockMs-task.PendingSinceMs) * time.Millisecond,
 		Requirements:  step.Requirements,
 		Affinity:      step.Affinity,
--- a/internal/cluster/scheduler/stops.go
+++ b/internal/cluster/scheduler/stops.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	minStallTimeout = 2500 * time.Millisecond // least time without progress after which a run is stopped
-	stallFraction   = 0.3                     // the same, of the predicted runtime
-	// endReportTime is the time from the end of a run until its report has certainly left its runner, with some margin: what
-	// ends later than that before a runner is gone may never be known to have ended.
+	// A run is stopped after it has made no progress for minStallTimeout or for stallFraction of its predicted runtime,
+	// whichever is longer.
+	minStallTimeout = 2500 * time.Millisecond
+	stallFraction   = 0.3
+	// endReportTime is the longest time from the end of a run until the runner has reported it, with a margin. A draining
+	// runner may not live long enough to report the end of a run that ends later.
 	endReportTime = 500 * time.Millisecond
-	// minPercentSeen is the progress of a run, in percent, from which on it tells more of the time that is left than the
-	// prediction does.
+	// minPercentSeen is the progress, in percent of the run's work since it was first listed, from which on the progress
+	// predicts the remaining time better than the runtime predictor does.
 	minPercentSeen = 10
-	// stopOrderTime is the time from the decision to stop a run until the order reaches its runner, with some margin.
+	// stopOrderTime is the longest time from the decision to stop a run until the order reaches its runner, with a margin.
 	stopOrderTime = 500 * time.Millisecond
 )
 
-// stop orders a run to be stopped, in each answer until its end is listed.
+// stop decides to stop a run. Each answer to the runner orders the stop until the end or loss of the run is proposed.
 func (o *Owner) stop(r *runner, key runKey) {
 	if r.isStopping(key) {
 		return
@@ -28,7 +30,7 @@
 	o.counters.Stops++
 }
 
-// stopStalledOrDraining stops runs that make no progress, and those that cannot end before a draining runner is gone.
+// stopStalledOrDraining stops runs that make no progress, and runs on a draining runner that mustEvict selects.
 func (o *Owner) stopStalledOrDraining(now time.Duration, r *runner) {
 	for _, task := range o.state.RunsOn(r.instance) {
 		key := runKey{task.ID, task.Run}
@@ -42,13 +44,13 @@
 			o.stop(r, key)
 			continue
 		}
-		if r.isDraining && o.mustMove(now, r, task, entry) {
+		if r.isDraining && o.mustEvict(now, r, task, entry) {
 			o.stop(r, key)
 		}
 	}
 }
 
-// isStalled reports whether a run has made no progress for too long, and was not stopped for it yet.
+// isStalled reports whether a run has made no progress for too long and is not being stopped yet.
 func (o *Owner) isStalled(now time.Duration, r *runner, task *jobs.Task, entry *listedRun) bool {
 	step := task.Group.Spec()
 	if step.LongRunning || r.isStopping(runKey{task.ID, task.Run}) {
@@ -56,20 +58,24 @@
 	}
 	timeout := max(minStallTimeout, time.Duration(stallFraction*float64(o.predict(r, task))))
 	if step.Gang {
-		timeout += o.options.GangWait // it may be waiting for the others
+		timeout += o.options.GangWait // the member may be waiting for the others to start
 	}
 	return now-entry.progressAt > timeout
 }
 
-// mustMove reports whether a run on a draining runner is to be stopped now so that it can go on elsewhere: a long-running
-// one at once; one with checkpoints as late as its checkpoint can still be written; any other at once if it can't end in
-// time.
-func (o *Owner) mustMove(now time.Duration, r *runner, task *jobs.Task, entry *listedRun) bool {
+// mustEvict reports whether a run on a draining runner must be stopped now, so that its task can run elsewhere:
+//
+//   - A long-running one must be stopped at once.
+//   - One that is expected to end, and to be reported, before the runner ends may continue.
+//   - One that writes checkpoints may continue until just enough time is left to stop it. The stop writes a checkpoint,
+//     which then covers as much work as possible.
+//   - Any other must be stopped at once, because its work is lost in any case.
+func (o *Owner) mustEvict(now time.Duration, r *runner, task *jobs.Task, entry *listedRun) bool {
 	step := task.Group.Spec()
 	if step.LongRunning {
 		return true
 	}
-	left := r.drainsUntil - now
+	left := r.drainDeadline - now
 	if entry.timeToEnd(now, o.predict(r, task))+endReportTime < left {
 		return false
 	}
@@ -79,7 +85,8 @@
 	return true
 }
 
-// timeToEnd returns how long the run will go on: by its progress here, or by the predicted runtime while there is too little.
+// timeToEnd returns the expected remaining time of the run. It extrapolates the progress since the run was first listed, or
+// uses the predicted runtime of the complete run while that progress is below minPercentSeen.
 func (e *listedRun) timeToEnd(now, predicted time.Duration) time.Duration {
 	left := 100 - min(e.percent, 100)
 	seen := e.percent - e.firstPercent
@@ -89,7 +96,7 @@
 	return time.Duration(left / seen * float64(now-e.since))
 }
 
-// stopBrokenGangs stops the remaining members of a gang's run of which one has ended.
+// stopBrokenGangs stops the other members of each gang of which a member's run has ended without completing the gang.
 func (o *Owner) stopBrokenGangs(effects *jobs.Effects) {
 	for _, task := range effects.EndedRuns {
 		if !task.Group.Spec().Gang || task.Phase == jobs.Done {
--- a/internal/cluster/scheduler/stops_test.go
+++ b/internal/cluster/scheduler/stops_test.go
@@ -28,10 +28,10 @@
 	draining.State, draining.RemainingMs = protocol.RunnerDraining, remaining.Milliseconds()
 	Expect(w.orders(draining).Stop).To(HaveLen(map[bool]int{true: 1}[wantStop]))
 },
-	Entry("goes on if it ends in time, as predicted", []float64{0, 5}, 11*time.Second, false),
-	Entry("is stopped if it does not", []float64{0, 5}, 9*time.Second, true),
-	Entry("is stopped if its end could not be reported any more", []float64{0, 5}, 9700*time.Millisecond, true),
-	Entry("is stopped if its progress shows that it does not", []float64{0, 5, 10, 15, 20}, 11*time.Second, true),
-	Entry("goes on if its progress shows that it does", []float64{0, 20, 40, 60}, 4*time.Second, false),
-	Entry("is stopped if its progress shows that its end could not be reported any more", []float64{0, 20, 40, 60}, 3*time.Second, true),
+	Entry("continues if its predicted runtime ends before the runner does", []float64{0, 5}, 11*time.Second, false),
+	Entry("is stopped if its predicted runtime ends after the runner does", []float64{0, 5}, 9*time.Second, true),
+	Entry("is stopped if its predicted runtime ends too late to be reported", []float64{0, 5}, 9700*time.Millisecond, true),
+	Entry("is stopped if its progress shows that it ends after the runner does", []float64{0, 5, 10, 15, 20}, 11*time.Second, true),
+	Entry("continues if its progress shows that it ends before the runner does", []float64{0, 20, 40, 60}, 4*time.Second, false),
+	Entry("is stopped if its progress shows that it ends too late to be reported", []float64{0, 20, 40, 60}, 3*time.Second, true),
 )
--- a/internal/cluster/scheduler/tick.go
+++ b/internal/cluster/scheduler/tick.go
@@ -2,14 +2,17 @@
 
 import "time"
 
+// The longest times between two calls of Tick: while isBusy, while the owner is idle, and while this process isn't the
+// leader.
 const (
 	busyTickInterval     = 20 * time.Millisecond
 	idleTickInterval     = 100 * time.Millisecond
 	followerTickInterval = time.Second
 )
 
-// Tick lets time pass: reads are answered, leases expire. confirmedAt is when the newest confirmation of leadership was
-// asked for; timeOfDayMs is the newest estimate of the time of day, 0 if there is none.
+// Tick advances the owner's time: it answers reads that a confirmation covers or that have timed out, and acts on leases
+// that have expired. confirmedAt is the time at which the newest confirmation of leadership was requested. timeOfDayMs is
+// the newest estimate of the time of day, in ms since 1970, or 0 if there is no new one.
 func (o *Owner) Tick(now time.Duration, timeOfDayMs int64, confirmedAt time.Duration) {
 	if !o.leadership.isLeader {
 		return
@@ -23,8 +26,9 @@
 	o.runners.forgetEnded(now)
 }
 
-// Flush sends the replies to heartbeats that are due, in the order of their instances: those whose time is over, and all
-// if there is nothing that they should wait for. The caller calls it after NextCommand.
+// Flush answers the heartbeats whose replies are due, ordered by instance. A reply is due once its delay has reached
+// Options.MaxReplyDelay. All replies are due if there is nothing to wait for: no command is in flight or ready to
+// propose, and no round is about to place tasks. The caller calls Flush after NextCommand.
 func (o *Owner) Flush(now time.Duration) {
 	if !o.leadership.isLeader {
 		return
@@ -37,7 +41,7 @@
 	}
 }
 
-// NextDeadline returns when Tick is to be called next at the latest.
+// NextDeadline returns the latest time at which the caller must call Tick again.
 func (o *Owner) NextDeadline(now time.Duration) time.Duration {
 	if !o.leadership.isLeader {
 		return now + followerTickInterval
@@ -53,7 +57,7 @@
 	return now + idleTickInterval
 }
 
-// isBusy reports whether someone waits for what the owner does next.
+// isBusy reports whether a client, a runner or a pending task waits for the owner.
 func (o *Owner) isBusy() bool {
 	if !o.reads.isEmpty() || o.proposals.inFlight != nil || o.proposals.hasNext() || o.state.PendingCount() > 0 {
 		return true
@@ -66,5 +70,5 @@
 	return false
 }
 
-// NeedsConfirmation reports whether some read waits for a new confirmation of leadership.
+// NeedsConfirmation reports whether a read waits for a new confirmation of leadership.
 func (o *Owner) NeedsConfirmation() bool { return o.leadership.isLeader && !o.reads.isEmpty() }
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxLateJobs        = 32 // that are kept between two calls of TakeLate
-	maxExplainedGroups = 16 // of pending tasks for which a round finds out why they wait
+	maxLateJobs        = 32 // late jobs that are kept between two calls of TakeLate; further ones are dropped
+	maxExplainedGroups = 16 // groups for which one assignment determines the wait reason individually
 )
 
-// LateJob is a job that has ended beyond its objective, and why.
+// LateJob is a job that has ended later than its objective, with the times that it spent by wait reason.
 type LateJob struct {
 	ID    string
 	Queue string
@@ -22,16 +22,16 @@
 	latency.JobSummary
 }
 
-// waitReasons record why tasks are not done yet.
+// waitReasons record why tasks are not done, during one leadership.
 type waitReasons struct {
 	recorder *latency.Recorder
-	late     []LateJob
+	late     []LateJob // that TakeLate hasn't returned; they outlast the leadership
 }
 
-// reset begins a new record. Late jobs stay until they are taken.
+// reset begins a new record. Late jobs stay until TakeLate returns them.
 func (w *waitReasons) reset(now time.Duration) { w.recorder = latency.NewRecorder(now) }
 
-// jobEnded records that a job has ended after the time given.
+// jobEnded records that a job has ended. took is the time since its acceptance.
 func (w *waitReasons) jobEnded(job *jobs.Job, took time.Duration) {
 	summary, ok := w.recorder.JobEnded(job, took)
 	if ok && summary.IsLate() && len(w.late) < maxLateJobs {
@@ -39,23 +39,23 @@
 	}
 }
 
-// Queues returns where the time of tasks went since this leadership began, by key of the queue. The map must not be
-// changed.
+// Queues returns the time that tasks have spent since this leadership began, split by wait reason, by key of the queue. The
+// caller must not change the map.
 func (o *Owner) Queues() map[string]*latency.QueueSummary { return o.reasons.recorder.Queues() }
 
-// TakeLate returns the jobs that have ended beyond their objective since the last call, at most 32 of them.
+// TakeLate returns the jobs that have ended later than their objective since the last call, at most maxLateJobs of them.
 func (o *Owner) TakeLate() []LateJob {
 	late := o.reasons.late
 	o.reasons.late = nil
 	return late
 }
 
-// recordApplied records what a command has done.
+// recordApplied records the effects of an applied command in the wait reasons and in the index of pending steps.
 func (o *Owner) recordApplied(now time.Duration, command *jobs.Command, effects *jobs.Effects) {
 	recorder := o.reasons.recorder
 	for _, task := range effects.EndedRuns {
 		run, known := o.proposals.ending[runKey{task.ID, task.Run}]
-		if !known { // a gang's member that another one's end has ended
+		if !known { // the end of another member of the gang has ended this one's run
 			run = latency.Run{Outcome: latency.Stopped}
 			if task.Phase == jobs.Done {
 				run.Outcome = latency.Running
@@ -78,8 +78,10 @@
 	}
 }
 
-// explain records why pending tasks wait that a round has not assigned: for the first groups each by itself, for the others
-// by those that need the same. reserved is the fraction of the processors that was reserved from them.
+// explain records the wait reason of each group with pending tasks that an assignment has not placed. It determines the
+// reasons of the first maxExplainedGroups groups individually. Another group gets the reason of one of these with the
+// same explainedNeeds, or keeps its old reason if there is none. reserved is the fraction of the processors that was not
+// available to the tasks because it is reserved for urgent ones.
 func (o *Owner) explain(now time.Duration, pending []*jobs.Task, runners []placement.Runner, result placement.Result, reserved float64) {
 	assigned := make(map[int]bool, len(result.Placements))
 	for _, p := range result.Placements {
@@ -96,7 +98,7 @@
 		reason, isKnown := known[needsToExplain(newest)]
 		if explained < maxExplainedGroups {
 			explained++
-			reason, isKnown = o.whyNot(i, task, runners, reserved), true
+			reason, isKnown = o.pendingReason(i, task, runners, reserved), true
 			known[needsToExplain(newest)] = reason
 		}
 		if isKnown {
@@ -105,7 +107,7 @@
 	}
 }
 
-// explainedNeeds is what decides, nearly always, why a group waits.
+// explainedNeeds are the properties of a group that nearly always determine its wait reason.
 type explainedNeeds struct {
 	queue        string
 	needs        protocol.Resources
@@ -118,19 +120,20 @@
 	return explainedNeeds{group.Job.Queue.Key, step.Needs(), step.Requirements, step.Gang}
 }
 
-// whyNot returns why the planner did not assign a task of the latest round, by its index there.
-func (o *Owner) whyNot(index int, task *jobs.Task, runners []placement.Runner, reserved float64) latency.Reason {
-	reason := waitReasonOf(o.planner.Why(index))
+// pendingReason returns why the planner's latest round has not placed a task. index is the index of the task in that round.
+// An expired task that only lacks capacity waits because others rank before it.
+func (o *Owner) pendingReason(index int, task *jobs.Task, runners []placement.Runner, reserved float64) latency.Reason {
+	reason := waitReasonOf(o.planner.PendingReason(index))
 	if reason == latency.NoCPU && reserved > 0 && fitsWithoutReservation(runners, task.Group.Spec().Needs(), reserved) {
 		reason = latency.ReservedCapacity
 	}
-	if o.pending.isWorthless(task.Group) && isLackOfCapacity(reason) {
+	if o.pending.isExpired(task.Group) && isLackOfCapacity(reason) {
 		return latency.Outranked
 	}
 	return reason
 }
 
-// isLackOfCapacity reports whether a task waits for capacity that goes to others first.
+// isLackOfCapacity reports whether a reason means that the task waits for capacity, which others are given first.
 func isLackOfCapacity(reason latency.Reason) bool {
 	switch reason {
 	case latency.NoCPU, latency.NoMemory, latency.NoGPU, latency.ReservedCapacity, latency.NextRound:
@@ -140,14 +143,14 @@
 	}
 }
 
-// explainNoRunner records that tasks wait since their service has no runner.
+// explainNoRunner records that tasks wait because their service has no schedulable runner.
 func (o *Owner) explainNoRunner(now time.Duration, pending []*jobs.Task) {
 	for _, group := range groupsOf(pending) {
 		o.reasons.recorder.SetReason(now, group, latency.NoRunner)
 	}
 }
 
-// fitsWithoutReservation reports whether a task would fit if no processors were reserved.
+// fitsWithoutReservation reports whether a task would fit on a runner if no processors were reserved for urgent tasks.
 func fitsWithoutReservation(runners []placement.Runner, needs protocol.Resources, reserved float64) bool {
 	for i := range runners {
 		free := runners[i].Free
@@ -159,7 +162,7 @@
 	return false
 }
 
-// runRecord returns what is known of a run that ends now.
+// runRecord returns the latency record of a run that ends now.
 func (r *runner) runRecord(now time.Duration, key runKey, outcome latency.Reason) latency.Run {
 	run := latency.Run{EndedAt: now, LastContactAt: r.lastContact, Outcome: outcome}
 	if entry := r.listed[key]; entry != nil {
@@ -168,8 +171,8 @@
 	return run
 }
 
-// reasonOf returns what the time of a run counts as, by its outcome.
-func reasonOf(outcome protocol.RunEnd) latency.Reason {
+// reasonOfOutcome returns the wait reason to which the time of a run is attributed, by its outcome.
+func reasonOfOutcome(outcome protocol.RunEnd) latency.Reason {
 	switch outcome {
 	case protocol.EndDone:
 		return latency.Running
@@ -182,7 +185,7 @@
 	}
 }
 
-// waitReasonOf returns the wait reason of a task that the planner did not assign.
+// waitReasonOf returns the wait reason for the planner's reason not to place a task.
 func waitReasonOf(reason placement.Reason) latency.Reason {
 	switch reason {
 	case placement.NoGPU:
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -18,14 +18,14 @@
 	startMs = int64(1_700_000_000_000)
 )
 
-// world is one owner over one state, with a log that commits at once unless it is stalled.
+// world is an owner and the state of its shard, with a log that commits each command at once unless it is stalled.
 type world struct {
 	state    *jobs.State
 	owner    *scheduler.Owner
 	now      time.Duration
-	stalled  bool // commands are proposed and not committed
-	proposed []*jobs.Command
-	log      []*jobs.Command
+	stalled  bool            // commands are proposed but not committed until commit is called
+	proposed []*jobs.Command // not committed yet
+	log      []*jobs.Command // committed
 }
 
 func newWorld() *world {
@@ -35,7 +35,7 @@
 	return w
 }
 
-// lead makes the owner lead in a term, with a confirmation of this moment.
+// lead makes the owner the leader in a term, with a confirmation requested now.
 func (w *world) lead(term uint64) {
 	w.owner.BecomeLeader(w.now, w.clock(), term)
 	w.owner.Tick(w.now, w.clock(), w.now)
@@ -47,7 +47,7 @@
 
 func (w *world) clock() int64 { return startMs + w.now.Milliseconds() }
 
-// commitAll commits what the owner proposes until it proposes nothing more, then lets it reply.
+// commitAll commits the owner's commands until it has no more, then lets it reply to heartbeats.
 func (w *world) commitAll() {
 	for range 20 {
 		command := w.owner.NextCommand(w.now)
@@ -63,7 +63,7 @@
 	w.owner.Flush(w.now)
 }
 
-// commit applies what is proposed.
+// commit applies the proposed commands.
 func (w *world) commit() {
 	for _, command := range w.proposed {
 		w.log = append(w.log, command)
@@ -73,27 +73,27 @@
 	w.proposed = nil
 }
 
-// pass lets time pass, with leadership confirmed at its end.
+// pass advances the time, and confirms the leadership at the end.
 func (w *world) pass(d time.Duration) {
 	w.now += d
 	w.owner.Tick(w.now, w.clock(), w.now)
 	w.commitAll()
 }
 
-// passUnconfirmed lets time pass without any confirmation.
+// passUnconfirmed advances the time without a confirmation of leadership.
 func (w *world) passUnconfirmed(d time.Duration) {
 	w.now += d
 	w.owner.Tick(w.now, w.clock(), 0)
 	w.commitAll()
 }
 
-// submit submits a job, which must succeed unless commits are stalled.
+// submit submits a job to the default queue. The submit must succeed, unless commits are stalled.
 func (w *world) submit(id string, steps ...protocol.Step) {
 	GinkgoHelper()
 	w.submitTo(protocol.Queue{Key: queue, Service: service, MaxAttempts: 2, Extension: 2, TargetLatencyMs: 800}, id, steps...)
 }
 
-// submitTo is submit to a queue.
+// submitTo submits a job to a queue. The submit must succeed, unless commits are stalled.
 func (w *world) submitTo(q protocol.Queue, id string, steps ...protocol.Step) {
 	GinkgoHelper()
 	replied := false
@@ -103,11 +103,11 @@
 	})
 	w.commitAll()
 	if !w.stalled {
-		Expect(replied).To(BeTrue(), "a submit is answered once it is committed")
+		Expect(replied).To(BeTrue(), "a submit must be answered once it is committed")
 	}
 }
 
-// heartbeatOf returns a heartbeat of a runner with 16 cores.
+// heartbeatOf returns a heartbeat of a ready runner with 16 cores and 8 accelerators.
 func heartbeatOf(instance string, sequence uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Instance: instance, Service: service, Address: "10.0.0.1:1-" + instance, Zone: "z", State: protocol.RunnerReady,
@@ -115,7 +115,7 @@
 	}
 }
 
-// heartbeat sends a heartbeat and returns its answer, which must come within the time that answers may wait.
+// heartbeat sends a heartbeat and returns the answer, which must come within 200 ms.
 func (w *world) heartbeat(heartbeat *protocol.Heartbeat) (orders *protocol.Orders, err error) {
 	GinkgoHelper()
 	replied := false
@@ -127,11 +127,11 @@
 		}
 		w.pass(10 * time.Millisecond)
 	}
-	Expect(replied).To(BeTrue(), "a heartbeat is answered")
+	Expect(replied).To(BeTrue(), "a heartbeat must be answered")
 	return orders, err
 }
 
-// orders is heartbeat for one that must succeed.
+// orders sends a heartbeat, which must succeed, and returns the orders.
 func (w *world) orders(heartbeat *protocol.Heartbeat) *protocol.Orders {
 	GinkgoHelper()
 	orders, err := w.heartbeat(heartbeat)
@@ -139,10 +139,12 @@
 	return orders
 }
 
+// small returns a step of one task that needs half a core and is estimated to take half a second.
 func small() protocol.Step {
 	return protocol.Step{Count: 1, CPU: 500, MemoryMB: 100, EstimatedMs: 500}
 }
 
+// activeRuns returns the runs of some starts, as a heartbeat lists them.
 func activeRuns(orders []protocol.StartOrder) []protocol.ActiveRun {
 	var rows []protocol.ActiveRun
 	for _, o := range orders {
@@ -151,6 +153,7 @@
 	return rows
 }
 
+// submitOf returns a submit of a job with one small task.
 func submitOf(id string) jobs.Submit {
 	return jobs.Submit{
 		ID:    id,
