--- a/internal/cluster/scheduler/late_heartbeat_test.go
+++ b/internal/cluster/scheduler/late_heartbeat_test.go
@@ -55,7 +55,7 @@
 			runs := w.state.RunsOn("i1")
 			Expect(runs).To(HaveLen(1))
 			Expect(runs[0].Run).To(Equal(listed.Active[0].Run))
-			w.pass(lease) // twice the lease: the earlier owner's leases expire, and no heartbeat has listed the run
+			w.pass(lease) // after twice the lease, the earlier owner's leases have expired and no heartbeat has listed the run
 			w.pass(lease)
 			third := w.orders(heartbeatOf("i3", 1))
 			Expect(third.Start).To(HaveLen(1))
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -144,7 +144,7 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.Gone))
 	})
 
-	It("knows the addresses of incarnations that have not reported to it from the shard's state", func() {
+	It("takes from the shard's state the addresses of incarnations that have not reported to it", func() {
 		w.submit(id, small())
 		w.orders(heartbeatOf("i1", 1))
 		w.owner.BecomeFollower()
--- a/internal/cluster/scheduler/pending_test.go
+++ b/internal/cluster/scheduler/pending_test.go
@@ -145,7 +145,7 @@
 	})
 })
 
-var _ = It("A task that can be on time is started within seconds, whatever number of tasks that cannot start wait before it", func() {
+var _ = It("A task that can be on time is started within seconds, however many tasks that cannot start wait before it", func() {
 	w := newWorld()
 	patient := protocol.Queue{Key: "host/patient/", Service: service, MaxAttempts: 3, Extension: 4, TargetLatencyMs: 600_000}
 	nowhere := protocol.Step{Count: 100, CPU: 1000, EstimatedMs: 500, Requirements: "nowhere"}
@@ -170,8 +170,8 @@
 	Expect(started).To(Equal(map[string]int{"small": 3, "chain": 3, "large": 10}))
 })
 
-// startsWithin returns the tasks that a runner without runs is ordered to start within a time, with a heartbeat every 200
-// ms.
+// startsWithin returns the tasks that a runner without runs is ordered to start within a time. It sends a heartbeat every
+// 200 ms.
 func startsWithin(w *world, limit time.Duration) (tasks []string) {
 	var active []protocol.ActiveRun
 	sequence := uint64(0)
