--- a/internal/cluster/administration/inspect/inspect_test.go
+++ b/internal/cluster/administration/inspect/inspect_test.go
@@ -152,11 +152,11 @@
 			Expect(read.Faults[:i]).NotTo(ContainElement(fault), "each is reported once")
 		}
 	},
-	Entry("of the identity", "identity", 9, false, "its sum is wrong"),
+	Entry("of the identity", "identity", 9, false, "its checksum is wrong"),
 	Entry("of the identity's version", "identity", 7, false, "it is not an identity of a known version"),
-	Entry("of a snapshot", "snapshot-*", -1, false, "its sum is wrong"),
-	Entry("of a snapshot, verified", "snapshot-*", 20, true, "its sum is wrong"),
-	Entry("of the log's first batch", "log-0000000000000001*", 40, false, "a sound batch follows"),
+	Entry("of a snapshot", "snapshot-*", -1, false, "its checksum is wrong"),
+	Entry("of a snapshot, verified", "snapshot-*", 20, true, "its checksum is wrong"),
+	Entry("of the log's first batch", "log-0000000000000001*", 40, false, "its first batches are not valid, but a later one is"),
 )
 
 var _ = Describe("an entry that can't be applied", func() {
--- a/internal/cluster/replica/wal/crash_test.go
+++ b/internal/cluster/replica/wal/crash_test.go
@@ -14,20 +14,21 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// halves writes each range in two, so that a failing sync, which drops every second write, drops half of it.
-type halves struct{ *vfstest.Mem }
+// splitWrites is a file system that writes each range as two halves. A failing sync of vfstest.Mem drops every second
+// write, so here it drops one half of a range.
+type splitWrites struct{ *vfstest.Mem }
 
-type halvedFile struct{ vfs.File }
+type splitFile struct{ vfs.File }
 
-func (h halves) Create(name string) (vfs.File, error) {
-	file, err := h.Mem.Create(name)
+func (s splitWrites) Create(name string) (vfs.File, error) {
+	file, err := s.Mem.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	return halvedFile{file}, nil
+	return splitFile{file}, nil
 }
 
-func (f halvedFile) WriteAt(data []byte, offset int64) (int, error) {
+func (f splitFile) WriteAt(data []byte, offset int64) (int, error) {
 	half := len(data) / 2
 	written, err := f.File.WriteAt(data[:half], offset)
 	if err != nil {
@@ -37,13 +38,14 @@
 	return written + more, err
 }
 
-// model is what a group's log must have.
+// model is the state of one group that the log is expected to have.
 type model struct {
 	hard     consensus.HardState
-	snapshot uint64
-	entries  []consensus.Entry
+	snapshot uint64            // index of the newest snapshot; 0 if there is none
+	entries  []consensus.Entry // after the snapshot
 }
 
+// last returns the index of the newest entry, or of the snapshot if no entry follows it.
 func (m *model) last() uint64 {
 	if len(m.entries) == 0 {
 		return m.snapshot
@@ -56,16 +58,19 @@
 	return m
 }
 
+// replace appends entries in place of those at the same and higher indexes.
 func (m *model) replace(list []consensus.Entry) {
 	m.entries = m.entries[:list[0].Index-m.snapshot-1]
 	m.entries = append(m.entries, list...)
 }
 
+// compact replaces the entries up to index with a snapshot.
 func (m *model) compact(index uint64) {
 	m.entries = m.entries[index-m.snapshot:]
 	m.snapshot = index
 }
 
+// sameAs reports whether Open returned this state. Open limits the commit index to the newest entry.
 func (m *model) sameAs(g *Group) bool {
 	if g == nil {
 		g = &Group{}
@@ -80,17 +85,21 @@
 	return same && (len(m.entries) == 0 || reflect.DeepEqual(g.Entries, m.entries))
 }
 
-// randomRun writes at random to a disk that fails, or loses power, at random.
+// randomRun appends random batches for two groups to a log on a disk with random faults: calls that fail, and power
+// failures.
 type randomRun struct {
 	random *rand.Rand
 	files  *vfstest.Mem
 	log    *Log
-	models [2]model   // what the log has, as far as its user knows
-	older  [][2]model // what a loss of power may bring back: nothing was acknowledged since
-	term   uint64
+	models [2]model // by group, the state that Open returned, or that a later Append has acknowledged
+	// older has the states before models that a power failure may restore. Open returned models, but the batch that led
+	// to it was never acknowledged, so it may not be on disk.
+	older [][2]model
+	term  uint64
 }
 
-// next fills a batch, and returns the models as they are once it is on disk; false if its snapshot could not be written.
+// next fills a batch, and returns the models that are right once the batch is on disk. It returns false if a snapshot
+// could not be written, so that the batch must not be appended.
 func (t *randomRun) next(batch *Batch) ([2]model, bool) {
 	after := [2]model{t.models[0].clone(), t.models[1].clone()}
 	for group := range after {
@@ -115,7 +124,7 @@
 			}
 			index := m.entries[t.random.IntN(len(m.entries))].Index
 			snapshot := &consensus.Snapshot{Index: index, Term: t.term, Data: []byte(fmt.Sprint("state ", index))}
-			if WriteSnapshot(halves{t.files}, folder, id, snapshot) != nil {
+			if WriteSnapshot(splitWrites{t.files}, folder, id, snapshot) != nil {
 				return t.models, false
 			}
 			m.compact(index)
@@ -123,7 +132,7 @@
 		case 4:
 			index := m.last() + uint64(1+t.random.IntN(9))
 			snapshot := &consensus.Snapshot{Index: index, Term: t.term, Data: []byte(fmt.Sprint("state ", index))}
-			if t.random.IntN(3) > 0 || WriteSnapshot(halves{t.files}, folder, id, snapshot) != nil {
+			if t.random.IntN(3) > 0 || WriteSnapshot(splitWrites{t.files}, folder, id, snapshot) != nil {
 				continue
 			}
 			m.snapshot, m.entries = index, nil
@@ -133,10 +142,11 @@
 	return after, true
 }
 
-// reopen opens the log anew and expects the state that was acknowledged last, or a later one.
+// reopen opens the log again, as the next process does. It expects the state that was acknowledged last, a state that an
+// earlier reopen has returned since then, or the state after the batch whose Append failed or was interrupted.
 func (t *randomRun) reopen(after [2]model) {
 	GinkgoHelper()
-	log, groups, err := Open(halves{t.files}, folder, smallSegments)
+	log, groups, err := Open(splitWrites{t.files}, folder, smallSegments)
 	Expect(err).NotTo(HaveOccurred())
 	t.log = log
 	t.older = append(t.older, t.models)
@@ -146,15 +156,19 @@
 			return
 		}
 	}
-	Fail(fmt.Sprintf("the disk has %+v %+v, none of %+v or %+v", groups[0], groups[1], t.older, after))
+	Fail(fmt.Sprintf("Open returned %+v and %+v, which is neither one of the older states %+v nor the state after the batch %+v",
+		groups[0], groups[1], t.older, after))
 }
 
+// acknowledged records the state after an Append that returned nil. No power failure may undo it.
 func (t *randomRun) acknowledged(models [2]model) {
 	t.models, t.older = models, nil
 }
 
 var faults = []error{syscall.EIO, syscall.ENOSPC}
 
+// step appends one batch. One of the calls of the file system that this takes may fail, or the power may fail in it.
+// After that the process starts again, or it appends the same batch again.
 func (t *randomRun) step() {
 	GinkgoHelper()
 	batch := &Batch{}
@@ -181,13 +195,13 @@
 	err := t.log.Append(batch)
 	if err == nil && !batch.Empty() {
 		t.acknowledged(after)
-		_, _ = t.log.Release()
+		_, _ = t.log.RemoveObsolete()
 	}
 	switch {
 	case powerOff || t.random.IntN(10) == 0:
 		t.files = t.files.Crash(t.random)
 		t.reopen(after)
-	case err != nil && t.random.IntN(3) == 0: // the process dies instead of trying again
+	case err != nil && t.random.IntN(3) == 0: // the process ends instead of appending the batch again
 		t.files.SetOnCall(nil)
 		t.reopen(after)
 	case err != nil:
@@ -197,11 +211,14 @@
 	}
 }
 
-var _ = Describe("Log on a bad disk", func() {
-	It("has what was acknowledged, and of the rest all of a batch or nothing", func() {
+// The log must not lose an acknowledged batch, and must not return part of a batch. That could happen after a torn write,
+// a failed sync that dropped half of a batch, a power failure while a segment or snapshot is created or removed, or a
+// process that ends between the write and the sync of a batch.
+var _ = Describe("Log on a faulty disk", func() {
+	It("keeps every acknowledged batch, and of other batches returns all or nothing", func() {
 		for seed := range uint64(500) {
 			t := &randomRun{random: rand.New(rand.NewPCG(seed, 1)), files: &vfstest.Mem{}, term: 1}
-			t.log, _ = open(halves{t.files}, smallSegments)
+			t.log, _ = open(splitWrites{t.files}, smallSegments)
 			for range 30 {
 				By(fmt.Sprintf("seed %d", seed))
 				t.step()
--- a/internal/cluster/replica/wal/decode.go
+++ b/internal/cluster/replica/wal/decode.go
@@ -9,80 +9,85 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// errUnknownFrame is returned for a batch with a right checksum and wrong frames: another program wrote it.
-var errUnknownFrame = errors.New("it has a frame of an unknown kind or length")
+// errMalformedFrame is returned for a batch whose checksum is right but whose frames cannot be decoded. The disk has not
+// damaged such a batch: a program with another format wrote it.
+var errMalformedFrame = errors.New("the batch has a frame of an unknown kind, or one that ends too early")
 
-// reader reads the frames of a batch. Once something is missing, bad stays set.
+// reader reads the frames of a batch. malformed is set, and stays set, once a frame has an unknown kind or the bytes end
+// within a field; the fields read from then on are zero.
 type reader struct {
-	rest []byte
-	bad  bool
+	unread    []byte // not read yet
+	malformed bool
 }
 
 func (r *reader) byte() byte {
-	if len(r.rest) == 0 {
-		r.bad = true
+	if len(r.unread) == 0 {
+		r.malformed = true
 		return 0
 	}
-	value := r.rest[0]
-	r.rest = r.rest[1:]
+	value := r.unread[0]
+	r.unread = r.unread[1:]
 	return value
 }
 
-func (r *reader) number() uint64 {
-	value, size := binary.Uvarint(r.rest)
+func (r *reader) uvarint() uint64 {
+	value, size := binary.Uvarint(r.unread)
 	if size <= 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.unread = r.unread[size:]
 	return value
 }
 
+// bytes reads a length and a copy of that many bytes; nil if the length is 0.
 func (r *reader) bytes() []byte {
-	length := r.number()
-	if r.bad || length > uint64(len(r.rest)) {
-		r.bad = true
+	length := r.uvarint()
+	if r.malformed || length > uint64(len(r.unread)) {
+		r.malformed = true
 		return nil
 	}
-	value := r.rest[:length]
-	r.rest = r.rest[length:]
+	value := r.unread[:length]
+	r.unread = r.unread[length:]
 	if length == 0 {
 		return nil
 	}
 	return bytes.Clone(value)
 }
 
-// decodeFrames calls visit with each of the frames, and with the entry if it has one.
+// decodeFrames calls visit with each frame. The entry is the zero Entry unless the frame is a frameEntry. The visits
+// before an error have taken place.
 func decodeFrames(frames []byte, visit func(frameInfo, consensus.Entry)) error {
-	r := reader{rest: frames}
-	for len(r.rest) > 0 {
-		n, entry := r.frame()
-		if r.bad {
-			return errUnknownFrame
+	r := reader{unread: frames}
+	for len(r.unread) > 0 {
+		frame, entry := r.frame()
+		if r.malformed {
+			return errMalformedFrame
 		}
-		visit(n, entry)
+		visit(frame, entry)
 	}
 	return nil
 }
 
+// frame reads the next frame. Its result is meaningless if malformed is set.
 func (r *reader) frame() (frameInfo, consensus.Entry) {
-	n := frameInfo{kind: frameKind(r.byte()), group: uint32(r.number())}
+	info := frameInfo{kind: frameKind(r.byte()), group: uint32(r.uvarint())}
 	var entry consensus.Entry
-	switch n.kind {
+	switch info.kind {
 	case frameHardState:
-		n.hard.Term = r.number()
-		n.hard.Vote = consensus.MemberID(r.number())
-		n.hard.Commit = r.number()
+		info.hard.Term = r.uvarint()
+		info.hard.Vote = consensus.MemberID(r.uvarint())
+		info.hard.Commit = r.uvarint()
 	case frameEntry:
-		entry.Index = r.number()
-		entry.Term = r.number()
+		entry.Index = r.uvarint()
+		entry.Term = r.uvarint()
 		entry.Kind = consensus.EntryKind(r.byte())
 		entry.Data = r.bytes()
-		n.index, n.term = entry.Index, entry.Term
+		info.index, info.term = entry.Index, entry.Term
 	case frameInstall, frameCompact:
-		n.index, n.term = r.number(), r.number()
+		info.index, info.term = r.uvarint(), r.uvarint()
 	default:
-		r.bad = true
+		r.malformed = true
 	}
-	return n, entry
+	return info, entry
 }
--- a/internal/cluster/replica/wal/fixtures_test.go
+++ b/internal/cluster/replica/wal/fixtures_test.go
@@ -13,10 +13,12 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// fixtureLog is the folder of a log whose files the version of the fixtures wrote.
+// fixtureLog is the folder of a log that the release which made the fixtures has written.
 const fixtureLog = "testdata/log"
 
-var _ = Describe("what the version of the fixtures wrote", func() {
+// A process that is upgraded reads what the release before has written. These specs fail if a change of the code changes
+// how files of an earlier release are read.
+var _ = Describe("A file that the release of the fixtures has written", func() {
 	var files *vfstest.Mem
 
 	BeforeEach(func() {
@@ -24,9 +26,9 @@
 		Expect(files.MkdirAll(folder)).To(Succeed())
 	})
 
-	// content returns the file of that name, and place puts it there.
+	// content reads the file with a name, and write writes it.
 	content := func(name string) ([]byte, error) { return vfs.ReadFile(files, filepath.Join(folder, name)) }
-	place := func(name string, data []byte) {
+	write := func(name string, data []byte) {
 		Expect(writeAtomically(files, folder, name, [][]byte{data})).To(Succeed())
 	}
 
@@ -40,7 +42,7 @@
 				return written, data, err
 			},
 			Decode: func(data []byte) (any, error) {
-				place("identity", data)
+				write("identity", data)
 				return ReadIdentity(files, folder)
 			},
 		})
@@ -57,7 +59,7 @@
 				return written, data, err
 			},
 			Decode: func(data []byte) (any, error) {
-				place("snapshot-00000003-00000000000003e9-00000000000003ea.state", data)
+				write("snapshot-00000003-00000000000003e9-00000000000003ea.state", data)
 				return ReadSnapshot(files, folder, group, written.Index, written.Term)
 			},
 		})
@@ -75,7 +77,8 @@
 	})
 })
 
-// writeFixtureLog writes a log that has everything a log can have.
+// writeFixtureLog writes a log of three groups in several segments, with every kind of frame and entry, a compacted and
+// an installed snapshot, and entries that replace others.
 func writeFixtureLog(files vfs.FS, dir string) {
 	GinkgoHelper()
 	log, _, err := Open(files, dir, Options{SegmentBytes: 400})
@@ -109,12 +112,12 @@
 		Expect(log.Append(batch)).To(Succeed())
 	}
 	batch := &Batch{}
-	batch.Entries(0, entries(19, 22, 6)) // in place of two that were never committed
+	batch.Entries(0, entries(19, 22, 6)) // replace entries 19 and 20 of term 5, which were not committed
 	batch.HardState(0, consensus.HardState{Term: 6, Vote: 4, Commit: 18})
 	Expect(log.Append(batch)).To(Succeed())
 }
 
-// readLog returns what a log holds, by group.
+// readLog returns the groups that Open reads from a log.
 func readLog(dir string) map[uint32]*Group {
 	GinkgoHelper()
 	log, groups, err := Open(vfs.OS{}, dir, Options{SegmentBytes: 400})
@@ -123,7 +126,7 @@
 	return groups
 }
 
-// copyOf copies a folder, as opening a log may change it.
+// copyOf returns a copy of a folder, for Open may change the folder of a log.
 func copyOf(dir string) string {
 	GinkgoHelper()
 	copied := GinkgoT().TempDir()
--- a/internal/cluster/replica/wal/identity.go
+++ b/internal/cluster/replica/wal/identity.go
@@ -15,23 +15,25 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The file of an identity: magic and version, the identity (gob), CRC-32C of all.
+// The file of an identity has the magic, whose last byte is the version of the format; the identity, encoded by gob; and
+// the CRC-32C of both.
 const (
 	identityMagic = "OPIDEN\x00\x01"
 	identityName  = "identity"
-	damagedFolder = "damaged"
-	lockName      = "lock"
+	damagedFolder = "damaged" // where MoveAside moves files
+	lockName      = "lock"    // the lock file, which belongs to the user of this package
 )
 
-// Identity is who a process is in its groups, for as long as its disk lasts. It is encoded by gob: the field names are
-// the format on disk.
+// Identity identifies a process as a member of its groups. It is bound to the content of the disk: a process whose disk
+// was lost must take another ID, because it no longer knows its votes and entries. Identity is encoded by gob, so the
+// names of the fields are part of the format on disk.
 type Identity struct {
 	ID    consensus.MemberID
-	First []consensus.Member // the initial members of each group, if the process is one of them
+	First []consensus.Member // initial members of all groups; empty unless the process is one of them
 }
 
-// ReadIdentity returns the identity on disk, or nil without an error if there is none. A damaged file is a
-// *DamageError.
+// ReadIdentity returns the identity on disk, or nil without an error if there is none. It returns a *DamageError if the
+// file is damaged.
 func ReadIdentity(files vfs.FS, dir string) (*Identity, error) {
 	content, err := vfs.ReadFile(files, filepath.Join(dir, identityName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -46,7 +48,7 @@
 	}
 	body := content[:len(content)-checksumSize]
 	if binary.LittleEndian.Uint32(content[len(body):]) != crc32.Checksum(body, castagnoli) {
-		return nil, &DamageError{File: identityName, Reason: "its sum is wrong"}
+		return nil, &DamageError{File: identityName, Reason: "its checksum is wrong"}
 	}
 	identity := &Identity{}
 	if err := gob.NewDecoder(bytes.NewReader(body[front:])).Decode(identity); err != nil {
@@ -55,10 +57,10 @@
 	return identity, nil
 }
 
-// WriteIdentity writes the identity and syncs it and dir, which is created if it is missing.
+// WriteIdentity writes the identity durably. It creates dir if that is missing.
 func WriteIdentity(files vfs.FS, dir string, identity *Identity) error {
 	if err := files.MkdirAll(dir); err != nil {
-		return errors.Wrapf(err, "make folder %s", dir)
+		return errors.Wrapf(err, "create folder %s", dir)
 	}
 	var content bytes.Buffer
 	content.WriteString(identityMagic)
@@ -68,13 +70,14 @@
 	body := content.Bytes()
 	body = binary.LittleEndian.AppendUint32(body, crc32.Checksum(body, castagnoli))
 	if err := writeAtomically(files, dir, identityName, [][]byte{body}); err != nil {
-		return errors.Wrap(err, "identity")
+		return errors.Wrap(err, "write the identity")
 	}
 	return nil
 }
 
-// Vacant reports whether dir has nothing that an earlier process left there. Only then may its process be an initial
-// member.
+// Vacant reports whether dir has no file of an earlier process, or is missing. The lock and an identity that was never
+// renamed into place don't count. Only a process whose dir is vacant may be an initial member: an initial member that
+// has lost its identity, but has a log, took part under that identity already.
 func Vacant(files vfs.FS, dir string) (bool, error) {
 	names, err := listFolder(files, dir)
 	if err != nil {
@@ -88,7 +91,7 @@
 	return true, nil
 }
 
-// listFolder returns the names in dir, none if it is missing.
+// listFolder returns the names of the files in dir. There are none if dir is missing.
 func listFolder(files vfs.FS, dir string) ([]string, error) {
 	names, err := files.List(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -97,12 +100,13 @@
 	return names, errors.Wrapf(err, "list %s", dir)
 }
 
-// MoveAside moves everything in dir to a folder below it, and removes what was moved there before. The identity is
-// moved first: a log that is moved in part belongs to nobody.
+// MoveAside moves all files in dir except the lock to the folder "damaged" below it, so that an operator can look at
+// them. It first removes the files that an earlier call moved there. The identity is moved first, durably: if the
+// process ends halfway, no process can use the rest of the log under that identity.
 func MoveAside(files vfs.FS, dir string) error {
 	aside := filepath.Join(dir, damagedFolder)
 	if err := files.MkdirAll(aside); err != nil {
-		return errors.Wrapf(err, "make folder %s", aside)
+		return errors.Wrapf(err, "create folder %s", aside)
 	}
 	if err := removeAll(files, aside); err != nil {
 		return err
@@ -119,18 +123,19 @@
 			continue
 		}
 		if err := files.Rename(filepath.Join(dir, name), filepath.Join(aside, name)); err != nil {
-			return errors.Wrapf(err, "move %s aside", name)
+			return errors.Wrapf(err, "move %s to folder damaged", name)
 		}
 	}
-	return errors.Wrap(files.SyncDir(dir), "sync folder")
+	return errors.Wrap(files.SyncDir(dir), "sync folder after moving the files of a damaged disk")
 }
 
+// moveIdentity moves the identity to the folder aside, if it is among the names, and syncs dir.
 func moveIdentity(files vfs.FS, dir, aside string, names []string) error {
 	if !slices.Contains(names, identityName) {
 		return nil
 	}
 	if err := files.Rename(filepath.Join(dir, identityName), filepath.Join(aside, identityName)); err != nil {
-		return errors.Wrap(err, "move the identity aside")
+		return errors.Wrap(err, "move the identity to folder damaged")
 	}
 	return errors.Wrap(files.SyncDir(dir), "sync folder")
 }
--- a/internal/cluster/replica/wal/recover.go
+++ b/internal/cluster/replica/wal/recover.go
@@ -15,11 +15,12 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Open reads the log in dir, which is created if it is missing, and returns what it has of each group. What a loss of
-// power tore off at the end is ignored; damage before that is a *DamageError.
+// Open reads the log in dir and returns it with the state of each group that is in it. It creates dir if that is missing.
+// A batch at the end that a power failure tore is ignored; damage before it is a *DamageError. Files that the log does
+// not need are removed, among them snapshots that no batch refers to yet.
 func Open(files vfs.FS, dir string, options Options) (*Log, map[uint32]*Group, error) {
 	if err := files.MkdirAll(dir); err != nil {
-		return nil, nil, errors.Wrapf(err, "make folder %s", dir)
+		return nil, nil, errors.Wrapf(err, "create folder %s", dir)
 	}
 	names, err := files.List(dir)
 	if err != nil {
@@ -36,12 +37,13 @@
 	return log, r.groups, nil
 }
 
-// recovery replays the segments, oldest first.
+// recovery replays the segments for Open, from the oldest to the newest.
 type recovery struct {
 	log    *Log
-	groups map[uint32]*Group
+	groups map[uint32]*Group // what Open returns
 }
 
+// group returns the state of a group, which is empty for a group that no frame was about yet.
 func (r *recovery) group(id uint32) *Group {
 	group := r.groups[id]
 	if group == nil {
@@ -51,7 +53,7 @@
 	return group
 }
 
-// replay replays all segments that belong to the log. Those before a gap in the numbers do not: they had been removed.
+// replay replays all segments that belong to the log.
 func (r *recovery) replay(names []string) error {
 	numbers, err := r.segmentNumbers(names)
 	if err != nil {
@@ -65,8 +67,10 @@
 	return nil
 }
 
-// segmentNumbers returns the numbers of the segments to replay, without the newest ones that nothing was ever appended
-// to.
+// segmentNumbers returns the numbers of the segments to replay, rising. It leaves out two kinds of segments:
+//   - those before a gap in the numbers. They were removed, but the folder was not synced before the power failed, so
+//     some of them reappeared;
+//   - the newest ones as long as nothing was appended to them after their base batch, see hasOnlyBase.
 func (r *recovery) segmentNumbers(names []string) ([]uint64, error) {
 	var numbers []uint64
 	for _, name := range names {
@@ -77,7 +81,7 @@
 	slices.Sort(numbers)
 	numbers = afterLastGap(numbers)
 	for len(numbers) > 0 {
-		unused, err := r.neverAppended(numbers[len(numbers)-1])
+		unused, err := r.hasOnlyBase(numbers[len(numbers)-1])
 		if err != nil {
 			return nil, err
 		}
@@ -89,6 +93,7 @@
 	return numbers, nil
 }
 
+// afterLastGap returns the consecutive numbers at the end of a rising list.
 func afterLastGap(numbers []uint64) []uint64 {
 	for i := len(numbers) - 1; i > 0; i-- {
 		if numbers[i-1]+1 != numbers[i] {
@@ -98,37 +103,42 @@
 	return numbers
 }
 
-// neverAppended reports whether nothing was ever appended to the newest segment after its base batch. Then that may
-// never have been synced, but nothing that it repeats was acknowledged because of it either.
-func (r *recovery) neverAppended(number uint64) (bool, error) {
+// hasOnlyBase reports whether nothing was appended to the newest segment after its base batch. Such a segment may never
+// have been synced, and may be incomplete. Open does not need it: the segments before it have all that its base batch
+// repeats, and Append has not accepted any batch that is only in this segment.
+//
+// The segment is used if its header, its base batch and a second batch are valid. If they are not, but a valid batch
+// follows somewhere, the start of a used segment was damaged: that is a *DamageError.
+func (r *recovery) hasOnlyBase(number uint64) (bool, error) {
 	content, err := r.read(number)
 	if err != nil {
 		return false, err
 	}
-	_, sound := parseSegmentHeader(content, number)
-	if sound {
+	_, isUsed := parseSegmentHeader(content, number)
+	if isUsed {
 		if _, base, ok := parseBatch(content[segmentHeaderSize:]); ok {
-			_, _, sound = parseBatch(content[segmentHeaderSize+len(base):])
+			_, _, isUsed = parseBatch(content[segmentHeaderSize+len(base):])
 		} else {
-			sound = false
+			isUsed = false
 		}
 	}
-	if sound {
+	if isUsed {
 		return false, nil
 	}
 	if findBatch(content, segmentHeaderSize+1, 0) >= 0 {
-		return false, &DamageError{File: segmentName(number), Reason: "its start is not sound, and a sound batch follows"}
+		return false, &DamageError{File: segmentName(number), Reason: "its first batches are not valid, but a later one is"}
 	}
 	return true, nil
 }
 
+// read reads the complete file of a segment.
 func (r *recovery) read(number uint64) ([]byte, error) {
 	name := segmentName(number)
 	content, err := vfs.ReadFile(r.log.files, filepath.Join(r.log.dir, name))
 	return content, errors.Wrapf(err, "read %s", name)
 }
 
-// readHeader reads a segment's header, or less if the file is shorter.
+// readHeader reads a segment's header, or the complete file if that is shorter.
 func (r *recovery) readHeader(number uint64) ([]byte, error) {
 	name := segmentName(number)
 	file, err := r.log.files.Open(filepath.Join(r.log.dir, name))
@@ -144,7 +154,7 @@
 	return header[:count], nil
 }
 
-// replaySegment replays one segment.
+// replaySegment replays the segment after those that were replayed before. newest tells whether it is the last one.
 func (r *recovery) replaySegment(number uint64, newest bool) error {
 	name := segmentName(number)
 	content, err := r.read(number)
@@ -152,7 +162,7 @@
 		return err
 	}
 	if _, ok := parseSegmentHeader(content, number); !ok {
-		return &DamageError{File: name, Reason: "its header is not sound"}
+		return &DamageError{File: name, Reason: "its header is incomplete, or its magic, number or checksum is wrong"}
 	}
 	r.log.segments = append(r.log.segments, newSegment(number, segmentHeaderSize))
 	if newest {
@@ -161,25 +171,26 @@
 	return r.replayOlder(number, content)
 }
 
-// replayOlder replays a segment up to the length that the header of the next one has for it. All of that was synced.
+// replayOlder replays a segment that is not the newest, up to the valid length that the header of the next segment
+// states. All of that was synced before the next segment was created, so whatever is wrong in it is damage.
 func (r *recovery) replayOlder(number uint64, content []byte) error {
 	name, next := segmentName(number), segmentName(number+1)
-	follower, err := r.readHeader(number + 1)
+	nextHeader, err := r.readHeader(number + 1)
 	if err != nil {
 		return err
 	}
-	end, ok := parseSegmentHeader(follower, number+1)
+	end, ok := parseSegmentHeader(nextHeader, number+1)
 	if !ok {
-		return &DamageError{File: next, Reason: "its header is not sound"}
+		return &DamageError{File: next, Reason: "its header is incomplete, or its magic, number or checksum is wrong"}
 	}
 	if end > int64(len(content)) {
-		return &DamageError{File: name, Offset: int64(len(content)), Reason: "it is shorter than the next segment says"}
+		return &DamageError{File: name, Offset: int64(len(content)), Reason: "it is shorter than the next segment's header states"}
 	}
 	content = content[:end]
 	for offset := segmentHeaderSize; offset < len(content); {
 		sequence, batch, ok := parseBatch(content[offset:])
 		if !ok || !r.isNext(sequence) {
-			return &DamageError{File: name, Offset: int64(offset), Reason: "a batch before the end is not sound"}
+			return &DamageError{File: name, Offset: int64(offset), Reason: "a synced batch is not valid or out of sequence"}
 		}
 		if err := r.replayBatch(name, offset, batch); err != nil {
 			return err
@@ -189,8 +200,8 @@
 	return nil
 }
 
-// replayNewest replays the segment that was written to last. Its last batch may never have been synced: it counts, but
-// is repeated in the next segment before anything depends on it.
+// replayNewest replays the newest segment up to the first batch that is not valid or not the next in sequence. All
+// batches before the last valid one were synced before that was written; replayUnsynced handles the last one.
 func (r *recovery) replayNewest(name string, content []byte) error {
 	lastOffset, offset := segmentHeaderSize, segmentHeaderSize
 	var last []byte
@@ -209,22 +220,22 @@
 		offset += len(batch)
 	}
 	if findBatch(content, offset, r.log.sequence+1) >= 0 {
-		return &DamageError{File: name, Offset: int64(offset), Reason: "a batch is not sound, and a sound one follows"}
+		return &DamageError{File: name, Offset: int64(offset), Reason: "a batch is not valid, but a valid one follows"}
 	}
 	return r.replayUnsynced(name, lastOffset, last)
 }
 
-// isNext reports whether a batch has the expected sequence.
+// isNext reports whether a batch with this sequence is the next one. Any sequence is, as long as no batch was replayed.
 func (r *recovery) isNext(sequence uint64) bool {
 	return r.log.sequence == 0 || sequence == r.log.sequence
 }
 
-// replayBatch replays a batch that is certainly on disk.
+// replayBatch replays a batch that was synced. It extends the segment's valid length to the end of the batch.
 func (r *recovery) replayBatch(name string, offset int, batch []byte) error {
 	sequence, _, _ := parseBatch(batch)
-	err := decodeFrames(batch[batchHeaderSize:], func(n frameInfo, entry consensus.Entry) {
-		r.applyFrame(&n, entry)
-		r.log.record(&n)
+	err := decodeFrames(batch[batchHeaderSize:], func(frame frameInfo, entry consensus.Entry) {
+		r.applyFrame(&frame, entry)
+		r.log.record(&frame)
 	})
 	if err != nil {
 		return &DamageError{File: name, Offset: int64(offset), Reason: err.Error()}
@@ -234,14 +245,16 @@
 	return nil
 }
 
-// replayUnsynced replays a batch that may never have been synced.
+// replayUnsynced replays the last batch of the newest segment, which may never have been synced. Its content counts, but
+// the segment's valid length excludes it: the first Append repeats its frames in the base batch of a new segment, under
+// the same sequence.
 func (r *recovery) replayUnsynced(name string, offset int, batch []byte) error {
 	sequence, _, ok := parseBatch(batch)
 	if !ok {
-		return &DamageError{File: name, Offset: int64(offset), Reason: "its first batch is not the one that should follow"}
+		return &DamageError{File: name, Offset: int64(offset), Reason: "its first batch does not continue the previous segment"}
 	}
 	frames := batch[batchHeaderSize:]
-	err := decodeFrames(frames, func(n frameInfo, entry consensus.Entry) { r.applyFrame(&n, entry) })
+	err := decodeFrames(frames, func(frame frameInfo, entry consensus.Entry) { r.applyFrame(&frame, entry) })
 	if err != nil {
 		return &DamageError{File: name, Offset: int64(offset), Reason: err.Error()}
 	}
@@ -250,7 +263,8 @@
 	return nil
 }
 
-// findBatch returns the offset of the first sound batch from offset on with a sequence of at least lowest, or -1.
+// findBatch looks for a valid batch with a sequence of at least lowest, at any position from offset on. It returns the
+// position of the first one, or -1 if there is none.
 func findBatch(content []byte, offset int, lowest uint64) int {
 	var magic [4]byte
 	binary.LittleEndian.PutUint32(magic[:], batchMagic)
@@ -268,26 +282,28 @@
 	return -1
 }
 
-// applyFrame applies one frame to its group.
-func (r *recovery) applyFrame(n *frameInfo, entry consensus.Entry) {
-	group := r.group(n.group)
-	switch n.kind {
+// applyFrame applies one frame to the state of its group. An entry that the snapshot covers is dropped.
+func (r *recovery) applyFrame(frame *frameInfo, entry consensus.Entry) {
+	group := r.group(frame.group)
+	switch frame.kind {
 	case frameHardState:
-		group.HardState = n.hard
+		group.HardState = frame.hard
 	case frameEntry:
 		if group.Snapshot == nil || entry.Index > group.Snapshot.Index {
 			group.putEntry(entry)
 		}
 	case frameInstall:
 		group.Entries = nil
-		group.applySnapshot(n)
+		group.applySnapshot(frame)
 	case frameCompact:
-		group.applySnapshot(n)
+		group.applySnapshot(frame)
 	}
 }
 
-// putEntry replaces the entries at the same and higher indexes. A gap before it can only be what a later snapshot
-// covers; finish checks that.
+// putEntry appends an entry in place of those at the same and higher indexes.
+//
+// If there is a gap before the entry, the entries before the gap are dropped. A gap is no damage if a later frame has a
+// snapshot that covers it: the segments with the missing entries were removed then. finishGroup checks that.
 func (g *Group) putEntry(entry consensus.Entry) {
 	for len(g.Entries) > 0 && g.Entries[len(g.Entries)-1].Index >= entry.Index {
 		g.Entries = g.Entries[:len(g.Entries)-1]
@@ -298,20 +314,21 @@
 	g.Entries = append(g.Entries, entry)
 }
 
-// applySnapshot replaces the entries that a snapshot covers. The snapshot is read from its file by finish.
-func (g *Group) applySnapshot(n *frameInfo) {
-	if g.Snapshot != nil && n.index < g.Snapshot.Index {
+// applySnapshot drops the entries that a snapshot covers, and sets the snapshot's index and term; finishGroup reads the
+// rest from the snapshot's file. A snapshot older than the present one changes nothing.
+func (g *Group) applySnapshot(frame *frameInfo) {
+	if g.Snapshot != nil && frame.index < g.Snapshot.Index {
 		return
 	}
-	g.Snapshot = &consensus.Snapshot{Index: n.index, Term: n.term}
+	g.Snapshot = &consensus.Snapshot{Index: frame.index, Term: frame.term}
 	covered := 0
-	for covered < len(g.Entries) && g.Entries[covered].Index <= n.index {
+	for covered < len(g.Entries) && g.Entries[covered].Index <= frame.index {
 		covered++
 	}
 	g.Entries = slices.Clone(g.Entries[covered:])
 }
 
-// finish reads the snapshots, checks that no group's log has a gap, and removes files that are not needed.
+// finish completes the groups after the replay, and removes the files that the log does not need.
 func (r *recovery) finish(names []string) error {
 	for _, id := range sortedGroups(r.groups) {
 		if err := r.finishGroup(id, r.groups[id]); err != nil {
@@ -325,6 +342,8 @@
 	return nil
 }
 
+// finishGroup reads a group's snapshot from its file, and checks that no entry is missing between the snapshot and the
+// entries. It limits the commit index to the entries that are there: the one on disk may be ahead of them.
 func (r *recovery) finishGroup(id uint32, group *Group) error {
 	covered := uint64(0)
 	if group.Snapshot != nil {
@@ -340,7 +359,7 @@
 		if first := group.Entries[0].Index; first != covered+1 {
 			return &DamageError{
 				File:   segmentName(r.log.segments[0].number),
-				Reason: errors.Errorf("group %d has entries from %d, but none after %d", id, first, covered).Error(),
+				Reason: errors.Errorf("group %d has entries from %d, but its snapshot ends at %d", id, first, covered).Error(),
 			}
 		}
 		last = group.Entries[len(group.Entries)-1].Index
@@ -349,8 +368,9 @@
 	return nil
 }
 
-// removeObsolete removes files that were written in part, or that had been removed before the power failed. Those that
-// it fails to remove are removed by a later Open.
+// removeObsolete removes the segments, snapshots and temporary files that the log does not need: those that were written
+// incompletely, that nothing refers to, or that reappeared after a power failure. Errors are ignored, since a later Open
+// tries again. names lists the folder.
 func (r *recovery) removeObsolete(names []string) {
 	needed := map[string]bool{}
 	for _, segment := range r.log.segments {
@@ -367,13 +387,14 @@
 	r.log.obsolete = nil
 	for _, name := range names {
 		_, isSegment := parseSegmentName(name)
-		ours := isSegment || isSnapshotFile(name) || strings.HasSuffix(name, temporarySuffix)
-		if ours && !needed[name] {
+		isLogFile := isSegment || isSnapshotFile(name) || strings.HasSuffix(name, temporarySuffix)
+		if isLogFile && !needed[name] {
 			_ = r.log.files.Remove(filepath.Join(r.log.dir, name))
 		}
 	}
 }
 
+// sortedGroups returns the keys of a map by group, sorted.
 func sortedGroups[V any](groups map[uint32]V) []uint32 {
 	return slices.Sorted(maps.Keys(groups))
 }
--- a/internal/cluster/replica/wal/segment.go
+++ b/internal/cluster/replica/wal/segment.go
@@ -11,16 +11,17 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The header of a segment: magic and version, its number, how much of the previous segment counts in bytes, CRC-32C. Batches
-// follow.
+// A segment starts with a header: the magic, whose last byte is the version of the format; the segment's number; the
+// valid length of the previous segment in bytes; and the CRC-32C of these. Batches follow it.
 const (
 	segmentMagic      = "OPLOG\x00\x00\x01"
-	segmentHeaderSize = 8 + 8 + 8 + 4
+	segmentHeaderSize = 8 + 8 + 8 + 4 // in bytes
 	segmentPattern    = "log-%016x.segment"
 )
 
 func segmentName(number uint64) string { return fmt.Sprintf(segmentPattern, number) }
 
+// parseSegmentName returns the number of the segment with a file name, or false if the name is not that of a segment.
 func parseSegmentName(name string) (uint64, bool) {
 	var number uint64
 	if _, err := fmt.Sscanf(name, segmentPattern, &number); err != nil {
@@ -29,6 +30,7 @@
 	return number, segmentName(number) == name
 }
 
+// segmentHeader encodes the header of a segment. previousEnd is the valid length of the previous segment in bytes.
 func segmentHeader(number uint64, previousEnd int64) []byte {
 	header := make([]byte, 0, segmentHeaderSize)
 	header = append(header, segmentMagic...)
@@ -37,8 +39,8 @@
 	return binary.LittleEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
 }
 
-// parseSegmentHeader returns how much of the previous segment counts, in bytes, or false if the header is not that of
-// segment number.
+// parseSegmentHeader returns the valid length of the previous segment in bytes. It returns false if data does not start
+// with a complete header of the segment with this number.
 func parseSegmentHeader(data []byte, number uint64) (previousEnd int64, ok bool) {
 	if len(data) < segmentHeaderSize || string(data[:8]) != segmentMagic {
 		return 0, false
@@ -54,25 +56,27 @@
 	return int64(binary.LittleEndian.Uint64(header[16:])), true
 }
 
-// segment is what the log keeps in memory of one of its files.
+// segment describes one segment file in memory.
 type segment struct {
-	number  uint64
-	size    int64             // in bytes, of what counts
-	highest map[uint32]uint64 // by group, the highest index of its entries here that were not replaced
+	number uint64
+	size   int64 // valid length in bytes; what follows in the file does not count
+	// highest has for each group the highest index of its entries in this segment. Entries that later ones replaced do
+	// not count, also if the later ones are in another segment.
+	highest map[uint32]uint64
 }
 
 func newSegment(number uint64, size int64) *segment {
 	return &segment{number: number, size: size, highest: map[uint32]uint64{}}
 }
 
-// createSegment creates a segment's file with the given content, and syncs it and its folder.
-func createSegment(files vfs.FS, dir string, number uint64, first []byte) (vfs.File, error) {
+// createSegment creates the file of a segment with its header and base batch, and syncs the file and then its folder.
+func createSegment(files vfs.FS, dir string, number uint64, content []byte) (vfs.File, error) {
 	name := filepath.Join(dir, segmentName(number))
 	file, err := files.Create(name)
 	if err != nil {
 		return nil, errors.Wrap(err, "create segment")
 	}
-	if err := writeSynced(file, first, 0); err != nil {
+	if err := writeSynced(file, content, 0); err != nil {
 		_ = file.Close()
 		return nil, errors.Wrapf(err, "segment %s", name)
 	}
@@ -83,7 +87,7 @@
 	return file, nil
 }
 
-// writeSynced writes and syncs.
+// writeSynced writes data at an offset and syncs the file.
 func writeSynced(file vfs.File, data []byte, offset int64) error {
 	if _, err := file.WriteAt(data, offset); err != nil {
 		return errors.Wrap(err, "write")
--- a/internal/cluster/replica/wal/snapshot.go
+++ b/internal/cluster/replica/wal/snapshot.go
@@ -16,16 +16,18 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The file of a snapshot: magic and version, length of the head, the head (gob), the state machine's data, CRC-32C of all.
+// The file of a snapshot has the magic, whose last byte is the version of the format; the length of the head in bytes
+// (4 bytes, little-endian); the head, encoded by gob; the state machine's data; and the CRC-32C of all of these.
 const (
 	snapshotMagic   = "OPSNAP\x00\x01"
 	snapshotPattern = "snapshot-%08x-%016x-%016x.state"
 	snapshotPrefix  = "snapshot-"
-	temporarySuffix = ".new"
-	checksumSize    = 4
+	temporarySuffix = ".new" // of a file before it is renamed
+	checksumSize    = 4      // in bytes
 )
 
-// snapshotHead precedes the state machine's data. It is encoded by gob: the field names are the format on disk.
+// snapshotHead describes the state machine's data that follows it in the file. It is encoded by gob, so the names of the
+// type and its fields are part of the format on disk.
 type snapshotHead struct {
 	Group   uint32
 	Index   uint64
@@ -37,37 +39,39 @@
 	return fmt.Sprintf(snapshotPattern, group, index, term)
 }
 
-// WriteSnapshot writes a group's snapshot to its file, and syncs it and its folder. It may run beside the calls of a
-// Log. The snapshot counts once a batch with Install or Compact is appended.
+// WriteSnapshot writes a group's snapshot durably to a file of its own. It may run concurrently with the methods of a
+// Log. The log refers to the snapshot only after a batch with Install or Compact was appended; Open removes it if that
+// never happened.
 func WriteSnapshot(files vfs.FS, dir string, group uint32, snapshot *consensus.Snapshot) error {
-	front, err := snapshotFront(group, snapshot)
+	preamble, err := encodePreamble(group, snapshot)
 	if err != nil {
 		return err
 	}
-	sum := crc32.Update(crc32.Checksum(front, castagnoli), castagnoli, snapshot.Data)
-	parts := [][]byte{front, snapshot.Data, binary.LittleEndian.AppendUint32(nil, sum)}
+	sum := crc32.Update(crc32.Checksum(preamble, castagnoli), castagnoli, snapshot.Data)
+	parts := [][]byte{preamble, snapshot.Data, binary.LittleEndian.AppendUint32(nil, sum)}
 	name := snapshotName(group, snapshot.Index, snapshot.Term)
-	return errors.Wrapf(writeAtomically(files, dir, name, parts), "snapshot %s", name)
+	return errors.Wrapf(writeAtomically(files, dir, name, parts), "write snapshot %s", name)
 }
 
-func snapshotFront(group uint32, snapshot *consensus.Snapshot) ([]byte, error) {
+// encodePreamble encodes what precedes the state machine's data in the file: magic, length of the head, and head.
+func encodePreamble(group uint32, snapshot *consensus.Snapshot) ([]byte, error) {
 	head := snapshotHead{Group: group, Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members}
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(&head); err != nil {
 		return nil, errors.Wrap(err, "encode the head of a snapshot")
 	}
-	front := []byte(snapshotMagic)
-	front = binary.LittleEndian.AppendUint32(front, uint32(encoded.Len()))
-	return append(front, encoded.Bytes()...), nil
+	preamble := []byte(snapshotMagic)
+	preamble = binary.LittleEndian.AppendUint32(preamble, uint32(encoded.Len()))
+	return append(preamble, encoded.Bytes()...), nil
 }
 
-// writeAtomically puts a file in place completely or not at all: it is written under another name, synced and renamed,
-// and the folder is synced.
+// writeAtomically writes the parts, one after the other, as the content of a file. The file is complete or absent even
+// if the power fails: it is written under a temporary name, synced and renamed, and then the folder is synced.
 func writeAtomically(files vfs.FS, dir, name string, parts [][]byte) error {
 	temporary := filepath.Join(dir, name+temporarySuffix)
 	file, err := files.Create(temporary)
 	if err != nil {
-		return errors.Wrap(err, "create")
+		return errors.Wrap(err, "create the temporary file")
 	}
 	err = writeParts(file, parts)
 	_ = file.Close()
@@ -76,11 +80,12 @@
 		return err
 	}
 	if err := files.Rename(temporary, filepath.Join(dir, name)); err != nil {
-		return errors.Wrap(err, "rename")
+		return errors.Wrap(err, "rename the temporary file")
 	}
 	return errors.Wrap(files.SyncDir(dir), "sync folder")
 }
 
+// writeParts writes the parts one after the other from the start of the file, and syncs it.
 func writeParts(file vfs.File, parts [][]byte) error {
 	offset := int64(0)
 	for _, part := range parts {
@@ -95,12 +100,13 @@
 	return errors.Wrap(file.Sync(), "sync")
 }
 
-// ReadSnapshot reads a group's snapshot from its file. A file that is missing or damaged is a *DamageError.
+// ReadSnapshot reads the group's snapshot of this index and term from its file. It returns a *DamageError if the file is
+// missing or damaged.
 func ReadSnapshot(files vfs.FS, dir string, group uint32, index, term uint64) (*consensus.Snapshot, error) {
 	name := snapshotName(group, index, term)
 	content, err := vfs.ReadFile(files, filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, &DamageError{File: name, Reason: "the file is missing, though the log names it"}
+		return nil, &DamageError{File: name, Reason: "the file is missing, but the log refers to it"}
 	}
 	if err != nil {
 		return nil, errors.Wrapf(err, "read %s", name)
@@ -110,49 +116,51 @@
 		return nil, &DamageError{File: name, Reason: err.Error()}
 	}
 	if head.Group != group || head.Index != index || head.Term != term {
-		return nil, &DamageError{File: name, Reason: "the content belongs to another snapshot"}
+		return nil, &DamageError{File: name, Reason: "the group, index or term in its head differs from that in its name"}
 	}
 	return &consensus.Snapshot{Index: head.Index, Term: head.Term, Members: head.Members, Data: data}, nil
 }
 
+// parseSnapshot checks the content of a snapshot's file, and returns the head and the state machine's data.
 func parseSnapshot(content []byte) (*snapshotHead, []byte, error) {
-	const front = len(snapshotMagic) + 4
-	if len(content) < front+checksumSize || string(content[:len(snapshotMagic)]) != snapshotMagic {
+	const headOffset = len(snapshotMagic) + 4
+	if len(content) < headOffset+checksumSize || string(content[:len(snapshotMagic)]) != snapshotMagic {
 		return nil, nil, errors.New("it is not a snapshot of a known version")
 	}
 	body := content[:len(content)-checksumSize]
 	if binary.LittleEndian.Uint32(content[len(body):]) != crc32.Checksum(body, castagnoli) {
-		return nil, nil, errors.New("its sum is wrong")
+		return nil, nil, errors.New("its checksum is wrong")
 	}
 	length := uint64(binary.LittleEndian.Uint32(body[len(snapshotMagic):]))
-	if length > uint64(len(body)-front) {
-		return nil, nil, errors.New("its head is too long")
+	if length > uint64(len(body)-headOffset) {
+		return nil, nil, errors.New("the length of its head exceeds the file")
 	}
 	head := &snapshotHead{}
-	encoded := body[front : front+int(length)]
+	encoded := body[headOffset : headOffset+int(length)]
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(head); err != nil {
-		return nil, nil, errors.Wrap(err, "its head")
+		return nil, nil, errors.Wrap(err, "decode its head")
 	}
-	return head, body[front+int(length):], nil
+	return head, body[headOffset+int(length):], nil
 }
 
-// recordSnapshot records a group's newest snapshot, and which file is not needed any more.
-func (l *Log) recordSnapshot(n *frameInfo) {
-	state := l.groupState(n.group)
-	if n.index == state.snapshotIndex {
+// recordSnapshot records the snapshot of an Install or Compact frame that is durable. Of this snapshot and the newest
+// one before it, the older is obsolete.
+func (l *Log) recordSnapshot(frame *frameInfo) {
+	state := l.groupState(frame.group)
+	if frame.index == state.snapshotIndex {
 		return
 	}
-	if n.index < state.snapshotIndex {
-		l.obsolete = append(l.obsolete, snapshotName(n.group, n.index, n.term))
+	if frame.index < state.snapshotIndex {
+		l.obsolete = append(l.obsolete, snapshotName(frame.group, frame.index, frame.term))
 		return
 	}
 	if state.hasSnapshot() {
-		l.obsolete = append(l.obsolete, snapshotName(n.group, state.snapshotIndex, state.snapshotTerm))
+		l.obsolete = append(l.obsolete, snapshotName(frame.group, state.snapshotIndex, state.snapshotTerm))
 	}
-	state.snapshotIndex, state.snapshotTerm = n.index, n.term
+	state.snapshotIndex, state.snapshotTerm = frame.index, frame.term
 }
 
-// removeSnapshots removes the files of snapshots that newer ones have replaced. It returns their number.
+// removeSnapshots removes the files of obsolete snapshots, and returns how many. Files that are missing count as removed.
 func (l *Log) removeSnapshots() (int, error) {
 	removed := 0
 	for len(l.obsolete) > 0 {
@@ -167,4 +175,5 @@
 	return removed, nil
 }
 
+// isSnapshotFile reports whether a file name is that of a snapshot, or of one that was not renamed yet.
 func isSnapshotFile(name string) bool { return strings.HasPrefix(name, snapshotPrefix) }
--- a/internal/cluster/replica/wal/wal.go
+++ b/internal/cluster/replica/wal/wal.go
@@ -1,12 +1,55 @@
-// Package wal is a process's write-ahead log: one log in segments for all replica groups of the process, snapshots in
-// files of their own beside it, and the process's identity. As in etcd's package of this name, entries and hard states
-// must be appended before messages that depend on them are sent.
+// Package wal is the write-ahead log of one process. All replica groups of the process share one log, which is stored
+// in segment files. Snapshots and the process's identity are separate files in the same folder. As with etcd's package
+// of this name, the caller must append entries and hard states before it sends messages that depend on them.
 //
-// A batch reaches the disk with one write and one sync, and counts completely or not at all. After Append has returned
-// nil the batch is durable; after an error none of it counts. Open removes the torn end that a loss of power leaves,
-// but reports every other difference from what was written as a *DamageError.
+// # Files
 //
-// A Log must not be used by two goroutines at once; WriteSnapshot may run beside it.
+// All integers of fixed size are little-endian, all checksums are CRC-32C, and uvarint is that of encoding/binary.
+//
+//	identity             magic (8 bytes), Identity (gob), checksum of all bytes before it (4)
+//	log-N.segment        segment header, then batches; N is the segment's number in hex, consecutive from 1
+//	  segment header     magic (8), number (8), valid length of the previous segment in bytes (8), checksum of these 24 (4)
+//	  batch              magic (4), sequence (8), length of the frames in bytes (4), checksum (4), frames; the checksum is
+//	                     that of the sequence, the length and the frames
+//	  frame              kind (1), group (uvarint), and by kind:
+//	    hard state       term, vote, commit (uvarints)
+//	    entry            index, term (uvarints), kind of entry (1), length of the data (uvarint), data
+//	    install, compact index, term of the snapshot (uvarints)
+//	snapshot-G-I-T.state magic (8), length of the head (4), head (gob), data, checksum of all bytes before it (4);
+//	                     G, I and T are the group, index and term in hex
+//	*.new                a snapshot or identity before it is renamed; Open removes it
+//	damaged/             files of a damaged disk, see MoveAside
+//	lock                 the lock of the process that uses the folder; this package does not touch it
+//
+// Sequences are consecutive across segments, starting with 1. The first batch of each segment, its base batch, repeats
+// the hard state and the snapshot of every group, so that older segments can be removed.
+//
+// # Order of writes
+//
+//  1. A snapshot is written under a temporary name, synced and renamed, and the folder is synced, before a batch with its
+//     Install or Compact is appended.
+//  2. The header and the base batch of a new segment are synced, and so is the folder, before anything else is appended.
+//  3. Append writes a batch with one write and one sync. Once it has returned nil the batch is durable. After an error
+//     none of it counts.
+//  4. Segments and snapshots are removed only after the batch that makes them unnecessary is durable.
+//
+// # Faults of the disk
+//
+//   - The last batch is torn because the power failed: Open ignores it. Damage to the last batch of the newest segment
+//     cannot be told apart from that, and is treated the same.
+//   - The last batch is complete, but the process ended before it was synced: Open returns its content. The next Append
+//     repeats the batch in a new segment, since the kernel may not have written it yet and may still lose it.
+//   - A write or sync fails: what was written is not trusted, not even if a second sync succeeds. The next Append starts
+//     a new segment, and the previous segment's valid length in its header excludes the failed batch. If the process ends
+//     before that, Open returns the failed batch completely or not at all.
+//   - A new segment is incomplete because the power failed while it was created: Open ignores it. Nothing that is only
+//     in that segment was acknowledged.
+//   - Removed files reappear because the folder was not synced after their removal: Open ignores segments before a gap
+//     in the numbers, and replays others, whose entries a newer snapshot covers.
+//   - Any other difference that Open finds is reported as a *DamageError: a changed byte before the last batch, entries
+//     missing because a segment is, or a missing or changed snapshot.
+//
+// At most one goroutine may use a Log at a time. WriteSnapshot may run concurrently with a Log's methods.
 package wal
 
 import (
@@ -22,14 +65,14 @@
 
 // Options configure a Log.
 type Options struct {
-	SegmentBytes int64 // a segment that has grown to this is followed by a new one
+	SegmentBytes int64 // length in bytes from which on a segment is full, so that the next batch starts a new one
 }
 
-// DamageError reports that synced data is not what was written: the disk cannot be trusted.
+// DamageError reports that data which had been synced differs from what was written. The disk cannot be trusted.
 type DamageError struct {
-	File   string // base name
-	Offset int64  // in bytes, at or before the damage
-	Reason string // for operators
+	File   string // base name of the file
+	Offset int64  // position in the file in bytes, at or before the damage
+	Reason string // what is wrong, for operators
 }
 
 // Error names the file, the offset in bytes and what is wrong there.
@@ -37,11 +80,11 @@
 	return fmt.Sprintf("%s is damaged at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// Group is what the disk has of one group.
+// Group is the state of one group that Open read from the disk.
 type Group struct {
 	HardState consensus.HardState
-	Snapshot  *consensus.Snapshot // nil: none yet
-	Entries   []consensus.Entry   // those after the snapshot, without gaps
+	Snapshot  *consensus.Snapshot // the newest snapshot; nil if there is none
+	Entries   []consensus.Entry   // the entries after the snapshot, without gaps
 }
 
 // Log is an open log.
@@ -49,15 +92,16 @@
 	files    vfs.FS
 	dir      string
 	options  Options
-	file     vfs.File // of the newest segment; nil: the next write starts a new one
-	sequence uint64   // of the next batch
-	segments []*segment
-	states   map[uint32]*groupState
-	obsolete []string // names of snapshots that are not needed any more
-	unsynced []byte   // frames of an earlier process's last batch, which may never have been synced
+	file     vfs.File               // file of the newest segment; nil if the next Append has to start a new segment
+	sequence uint64                 // sequence of the next batch
+	segments []*segment             // in the order of their numbers
+	states   map[uint32]*groupState // by group
+	obsolete []string               // names of snapshot files that newer snapshots have replaced
+	unsynced []byte                 // frames of an earlier process's last batch, which may never have been synced
 }
 
-// groupState is what the log repeats of a group at the start of each segment.
+// groupState is the part of a group's state that the base batch of each segment repeats. A snapshotIndex of 0 stands
+// for no snapshot.
 type groupState struct {
 	hard          consensus.HardState
 	snapshotIndex uint64
@@ -66,10 +110,14 @@
 
 func (s *groupState) hasSnapshot() bool { return s.snapshotIndex > 0 }
 
-// Append writes the batch with one sync. After an error none of it counts, and what was written is not trusted: the
-// next Append starts a new segment, whose header has the length of the previous one that counts. The same batch may be
-// appended again. The first Append also syncs again what Open read of the last batch: until then that may be lost with
-// the power.
+// Append writes the batch and syncs it. It returns nil once the batch is durable.
+//
+// After an error the batch does not count, and may be appended again. What the failed call has written is not trusted:
+// the next Append starts a new segment, whose header states the length up to which the previous segment is valid. Only if
+// the process ends before that, Open may return the batch nevertheless.
+//
+// The first Append after Open also repeats the last batch that Open found, which an earlier process may have written
+// without syncing it. Until then a power failure may still lose that batch.
 func (l *Log) Append(batch *Batch) error {
 	if batch.Empty() {
 		return nil
@@ -102,20 +150,21 @@
 		previous := l.segments[len(l.segments)-1]
 		number, previousEnd = previous.number+1, previous.size
 	}
-	first := l.baseBatch().seal(l.sequence)
-	first = append(segmentHeader(number, previousEnd), first...)
-	file, err := createSegment(l.files, l.dir, number, first)
+	content := l.baseBatch().seal(l.sequence)
+	content = append(segmentHeader(number, previousEnd), content...)
+	file, err := createSegment(l.files, l.dir, number, content)
 	if err != nil {
 		return err
 	}
 	l.sequence++
 	l.file = file
-	l.segments = append(l.segments, newSegment(number, int64(len(first))))
+	l.segments = append(l.segments, newSegment(number, int64(len(content))))
 	return l.recordUnsynced()
 }
 
-// baseBatch returns the first batch of a segment. It repeats each group's hard state and snapshot, so that older
-// segments can be removed, and an earlier process's last batch.
+// baseBatch returns the first batch of a segment. It repeats the hard state and the snapshot of each group, so that
+// older segments can be removed. After Open it also repeats the last batch of an earlier process, which may never have
+// been synced.
 func (l *Log) baseBatch() *Batch {
 	batch := &Batch{}
 	for _, group := range sortedGroups(l.states) {
@@ -130,14 +179,14 @@
 	return batch
 }
 
-// recordUnsynced records that the newest segment has an earlier process's last batch.
+// recordUnsynced records the frames of an earlier process's last batch, once the newest segment repeats them durably.
 func (l *Log) recordUnsynced() error {
-	carried := l.unsynced
+	frames := l.unsynced
 	l.unsynced = nil
-	return decodeFrames(carried, func(n frameInfo, _ consensus.Entry) { l.record(&n) })
+	return decodeFrames(frames, func(frame frameInfo, _ consensus.Entry) { l.record(&frame) })
 }
 
-// closeFile closes the newest segment; the next write starts a new one.
+// closeFile closes the newest segment's file. The next Append then starts a new segment.
 func (l *Log) closeFile() {
 	if l.file != nil {
 		_ = l.file.Close()
@@ -145,6 +194,7 @@
 	}
 }
 
+// groupState returns the state of a group, which is empty for a group that the log does not have yet.
 func (l *Log) groupState(group uint32) *groupState {
 	state := l.states[group]
 	if state == nil {
@@ -154,33 +204,35 @@
 	return state
 }
 
-// record records a frame that is on disk.
-func (l *Log) record(n *frameInfo) {
-	state := l.groupState(n.group)
-	switch n.kind {
+// record updates the state in memory for a frame of the newest segment that is durable.
+func (l *Log) record(frame *frameInfo) {
+	state := l.groupState(frame.group)
+	switch frame.kind {
 	case frameHardState:
-		state.hard = n.hard
+		state.hard = frame.hard
 	case frameEntry:
-		l.recordEntry(n)
+		l.recordEntry(frame)
 	case frameInstall, frameCompact:
-		l.recordSnapshot(n)
+		l.recordSnapshot(frame)
 	}
 }
 
-// recordEntry updates the segments' highest indexes: an entry replaces those at the same and higher indexes.
-func (l *Log) recordEntry(n *frameInfo) {
+// recordEntry updates the highest indexes of all segments for an entry in the newest one. The entry replaces the
+// group's entries at the same and higher indexes, wherever those are: they no longer keep a segment from being removed.
+func (l *Log) recordEntry(frame *frameInfo) {
 	newest := l.segments[len(l.segments)-1]
 	for _, segment := range l.segments {
-		if segment.highest[n.group] >= n.index {
-			segment.highest[n.group] = n.index - 1
+		if segment.highest[frame.group] >= frame.index {
+			segment.highest[frame.group] = frame.index - 1
 		}
 	}
-	newest.highest[n.group] = n.index
+	newest.highest[frame.group] = frame.index
 }
 
-// Release removes the oldest segments and the snapshots that are not needed any more. It returns the number of files.
-// Files that it fails to remove are removed by a later Release or Open.
-func (l *Log) Release() (int, error) {
+// RemoveObsolete removes the oldest segments up to the first one that has an entry which no snapshot covers, and the
+// snapshots that newer ones have replaced. It returns how many files it removed. A later RemoveObsolete or Open tries
+// again to remove files that could not be removed.
+func (l *Log) RemoveObsolete() (int, error) {
 	removed := 0
 	for len(l.segments) > 1 && len(l.pinningGroups(l.segments[0])) == 0 {
 		name := filepath.Join(l.dir, segmentName(l.segments[0].number))
@@ -194,7 +246,8 @@
 	return removed + more, err
 }
 
-// pinningGroups returns the groups that have entries in a segment which their snapshots do not cover, sorted.
+// pinningGroups returns the groups, sorted, that have an entry in the segment which their snapshot does not cover. The
+// segment must not be removed while there is any.
 func (l *Log) pinningGroups(s *segment) []uint32 {
 	var groups []uint32
 	for group, highest := range s.highest {
@@ -206,8 +259,8 @@
 	return groups
 }
 
-// PinningGroups returns the groups whose entries prevent the removal of the oldest segment, sorted. The newest segment
-// is never removed.
+// PinningGroups returns the groups, sorted, that prevent the removal of the oldest segment: each has an entry there
+// which its snapshot does not cover. It returns none while there is only one segment, since the newest is never removed.
 func (l *Log) PinningGroups() []uint32 {
 	if len(l.segments) < 2 {
 		return nil
@@ -218,7 +271,7 @@
 // Segments returns the number of segments.
 func (l *Log) Segments() int { return len(l.segments) }
 
-// Bytes returns the length of all segments.
+// Bytes returns the valid length of all segments together, in bytes.
 func (l *Log) Bytes() int64 {
 	total := int64(0)
 	for _, segment := range l.segments {
@@ -227,5 +280,5 @@
 	return total
 }
 
-// Close closes the log's file. Everything that was appended is on disk already.
+// Close closes the newest segment's file. It writes nothing: every batch that Append accepted is durable already.
 func (l *Log) Close() { l.closeFile() }
--- a/internal/cluster/replica/wal/wal_test.go
+++ b/internal/cluster/replica/wal/wal_test.go
@@ -24,6 +24,7 @@
 
 const folder = "data"
 
+// smallSegments makes the log start a new segment after every few batches.
 var smallSegments = Options{SegmentBytes: 300}
 
 func entry(index, term uint64) consensus.Entry {
@@ -31,6 +32,7 @@
 	return consensus.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
+// entries returns the entries from first up to and including last.
 func entries(first, last, term uint64) []consensus.Entry {
 	var list []consensus.Entry
 	for index := first; index <= last; index++ {
@@ -46,6 +48,7 @@
 	return log, groups
 }
 
+// appendBatch appends a batch that fill has filled.
 func appendBatch(log *Log, fill func(*Batch)) {
 	GinkgoHelper()
 	batch := &Batch{}
@@ -53,6 +56,7 @@
 	Expect(log.Append(batch)).To(Succeed())
 }
 
+// snapshotAt writes a snapshot of a group.
 func snapshotAt(files vfs.FS, group uint32, index, term uint64) {
 	GinkgoHelper()
 	snapshot := &consensus.Snapshot{
@@ -80,14 +84,15 @@
 		Expect(files.MkdirAll(folder)).To(Succeed())
 	})
 
-	DescribeTable("returns what was appended",
+	// Each step fills one batch. The log is opened twice: the second time shows that opening it changed nothing.
+	DescribeTable("returns after a restart what was appended:",
 		func(steps []func(*Batch), expected Group) {
 			for _, options := range []Options{smallSegments, {SegmentBytes: 1 << 20}} {
 				files = &vfstest.Mem{}
 				Expect(files.MkdirAll(folder)).To(Succeed())
 				snapshotAt(files, 3, 4, 1)
 				log, _ := open(files, options)
-				// Open removed the file, as no log refers to it.
+				// Open has removed the file, since no batch refers to it yet.
 				snapshotAt(files, 3, 4, 1)
 				for _, step := range steps {
 					appendBatch(log, step)
@@ -117,32 +122,32 @@
 				func(b *Batch) { b.Entries(3, entries(4, 30, 1)) },
 			},
 			Group{Entries: entries(1, 30, 1)}),
-		Entry("entries of other groups between",
+		Entry("entries of two groups in the same batches",
 			[]func(*Batch){
 				func(b *Batch) { b.Entries(3, entries(1, 3, 1)); b.Entries(4, entries(1, 9, 1)) },
 				func(b *Batch) { b.Entries(4, entries(3, 4, 2)); b.Entries(3, entries(4, 5, 1)) },
 			},
 			Group{Entries: entries(1, 5, 1)}),
-		Entry("entries that replace others",
+		Entry("entries that replace others at the same and higher indexes",
 			[]func(*Batch){
 				func(b *Batch) { b.Entries(3, entries(1, 30, 1)) },
 				func(b *Batch) { b.Entries(3, entries(3, 4, 2)) },
 			},
 			Group{Entries: append(entries(1, 2, 1), entries(3, 4, 2)...)}),
-		Entry("a snapshot that compacts",
+		Entry("a snapshot that replaces the entries up to its index",
 			[]func(*Batch){
 				func(b *Batch) { b.Entries(3, entries(1, 9, 1)) },
 				func(b *Batch) { b.Compact(3, 4, 1) },
 				func(b *Batch) { b.Entries(3, entries(10, 11, 1)) },
 			},
 			Group{Snapshot: &consensus.Snapshot{Index: 4}, Entries: entries(5, 11, 1)}),
-		Entry("a snapshot that is installed",
+		Entry("a snapshot that replaces the complete log",
 			[]func(*Batch){
 				func(b *Batch) { b.Entries(3, entries(1, 9, 1)) },
 				func(b *Batch) { b.Install(3, 4, 1); b.Entries(3, entries(5, 6, 2)) },
 			},
 			Group{Snapshot: &consensus.Snapshot{Index: 4}, Entries: entries(5, 6, 2)}),
-		Entry("a commit beyond the log is reduced",
+		Entry("a commit index beyond the newest entry, which it is limited to",
 			[]func(*Batch){
 				func(b *Batch) { b.HardState(3, consensus.HardState{Term: 1, Commit: 9}) },
 				func(b *Batch) { b.Entries(3, entries(1, 2, 1)) },
@@ -150,7 +155,7 @@
 			Group{HardState: consensus.HardState{Term: 1, Commit: 2}, Entries: entries(1, 2, 1)}),
 	)
 
-	// newest returns the newest segment's file and content.
+	// newest returns the name and the content of the newest segment's file.
 	newest := func() (string, []byte) {
 		content := files.Files()
 		names := slices.Sorted(maps.Keys(content))
@@ -162,13 +167,15 @@
 		return name, content[name]
 	}
 
+	// withContent returns a copy of the disk on which one file has other content.
 	withContent := func(name string, content []byte) *vfstest.Mem {
 		all := files.Files()
 		all[name] = content
 		return vfstest.Of(all)
 	}
 
-	It("ignores a torn end, at any byte", func() {
+	// The power failed while the last batch was written, so that any number of its bytes may be on disk.
+	It("ignores a last batch that ends after any byte, and can be appended to", func() {
 		log, _ := open(files, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 2, 1)) })
 		name, before := newest()
@@ -184,7 +191,7 @@
 		}
 	})
 
-	It("ignores garbage after the end", func() {
+	It("ignores bytes after the last batch, also copies of earlier batches", func() {
 		log, _ := open(files, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 2, 1)) })
 		name, content := newest()
@@ -194,7 +201,7 @@
 		}
 	})
 
-	It("finds a changed byte anywhere before the last batch, and names file and offset", func() {
+	It("reports a changed byte anywhere before the last batch, with file and offset", func() {
 		log, _ := open(files, Options{SegmentBytes: 1 << 20})
 		for index := uint64(1); index <= 3; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -213,7 +220,7 @@
 		}
 	})
 
-	It("finds damage in an older segment", func() {
+	It("reports a changed or missing byte in a segment that is not the newest", func() {
 		log, _ := open(files, smallSegments)
 		for index := uint64(1); index <= 60; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -232,7 +239,7 @@
 		}
 	})
 
-	It("removes segments that snapshots cover, and only those", func() {
+	It("removes the oldest segments once snapshots of all groups cover them, and no others", func() {
 		log, _ := open(files, smallSegments)
 		appendBatch(log, func(b *Batch) { b.Entries(2, entries(1, 1, 1)) })
 		for index := uint64(1); index <= 60; index++ {
@@ -241,14 +248,14 @@
 		many := log.Segments()
 		snapshotAt(files, 1, 50, 1)
 		appendBatch(log, func(b *Batch) { b.Compact(1, 50, 1) })
-		removed, err := log.Release()
+		removed, err := log.RemoveObsolete()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(removed).To(BeZero())
 		Expect(log.PinningGroups()).To(ConsistOf(uint32(2)))
 
 		snapshotAt(files, 2, 1, 1)
 		appendBatch(log, func(b *Batch) { b.Compact(2, 1, 1) })
-		_, err = log.Release()
+		_, err = log.RemoveObsolete()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Segments()).To(BeNumerically("<", many/2))
 		_, groups := open(files, smallSegments)
@@ -257,7 +264,8 @@
 		Expect(groups[2].Snapshot.Index).To(Equal(uint64(1)))
 	})
 
-	It("is not pinned by entries that others have replaced", func() {
+	// Entries 11 to 40 are replaced, so no snapshot will ever cover them. They must not keep their segments forever.
+	It("removes segments whose entries later entries have replaced", func() {
 		log, _ := open(files, smallSegments)
 		for index := uint64(1); index <= 40; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -265,12 +273,13 @@
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(10, 10, 2)) })
 		snapshotAt(files, 1, 10, 2)
 		appendBatch(log, func(b *Batch) { b.Compact(1, 10, 2) })
-		_, err := log.Release()
+		_, err := log.RemoveObsolete()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Segments()).To(BeNumerically("<=", 2))
 	})
 
-	It("is not harmed by removed segments that reappear", func() {
+	// The folder is not synced after a removal, so a power failure may undo the removal of some segments.
+	It("returns the same entries if removed segments reappear", func() {
 		log, _ := open(files, smallSegments)
 		for index := uint64(1); index <= 60; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -278,12 +287,12 @@
 		before := files.Files()
 		snapshotAt(files, 1, 55, 1)
 		appendBatch(log, func(b *Batch) { b.Compact(1, 55, 1) })
-		_, err := log.Release()
+		_, err := log.RemoveObsolete()
 		Expect(err).NotTo(HaveOccurred())
 		after := files.Files()
 		oldest := log.segments[0].number
 		for back := uint64(1); back < oldest; back++ {
-			for _, last := range []uint64{back, oldest - 1} { // one of them, or all from there on
+			for _, last := range []uint64{back, oldest - 1} { // segment back alone, or all removed ones from back on
 				all := maps.Clone(after)
 				for number := back; number <= last; number++ {
 					name := filepath.Join(folder, segmentName(number))
@@ -293,19 +302,21 @@
 				log, groups := open(again, smallSegments)
 				Expect(groups[1].Entries).To(HaveExactElements(entries(56, 60, 1)))
 				appendBatch(log, func(b *Batch) { b.Entries(1, entries(61, 61, 1)) })
-				_, err := log.Release()
+				_, err := log.RemoveObsolete()
 				Expect(err).NotTo(HaveOccurred())
 				Expect(log.Segments()).To(BeNumerically("<", 8))
 			}
 		}
 	})
 
-	It("syncs what an earlier process may not have synced before anything else counts", func() {
-		log, _ := open(halves{files}, Options{SegmentBytes: 1 << 20})
+	// A failed sync drops half of a batch on disk, but the page cache still has all of it. The process ends, and the next
+	// one reads the batch. Before the next one acknowledges anything, the batch has to be durable.
+	It("makes the last batch durable that an earlier process failed to sync, with the first batch of its own", func() {
+		log, _ := open(splitWrites{files}, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 1, 1)) })
 		files.SetOnCall(func(call vfstest.Call) vfstest.Fault {
 			if call.Op == "sync" {
-				return vfstest.Fault{Err: errors.New("lost the pages")}
+				return vfstest.Fault{Err: errors.New("the sync fails")}
 			}
 			return vfstest.Fault{}
 		})
@@ -313,15 +324,15 @@
 		batch.Entries(1, entries(2, 2, 1))
 		Expect(log.Append(batch)).NotTo(Succeed())
 		files.SetOnCall(nil)
-		log, groups := open(halves{files}, smallSegments)
-		Expect(groups[1].Entries).To(HaveExactElements(entries(1, 2, 1)), "it can still be read")
+		log, groups := open(splitWrites{files}, smallSegments)
+		Expect(groups[1].Entries).To(HaveExactElements(entries(1, 2, 1)), "the next process can still read the batch")
 		appendBatch(log, func(b *Batch) { b.HardState(1, consensus.HardState{Term: 1}) })
 		files = files.Crash(rand.New(rand.NewPCG(1, 1)))
-		_, groups = open(halves{files}, smallSegments)
-		Expect(groups[1].Entries).To(HaveExactElements(entries(1, 2, 1)), "and now it lasts")
+		_, groups = open(splitWrites{files}, smallSegments)
+		Expect(groups[1].Entries).To(HaveExactElements(entries(1, 2, 1)), "the batch is durable after the first Append")
 	})
 
-	It("finds a segment that is missing", func() {
+	It("reports entries that are missing because a segment is", func() {
 		log, _ := open(files, smallSegments)
 		for index := uint64(1); index <= 60; index++ {
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(index, index, 1)) })
@@ -329,16 +340,16 @@
 		all := files.Files()
 		delete(all, filepath.Join(folder, segmentName(2)))
 		_, _, err := Open(vfstest.Of(all), folder, smallSegments)
-		Expect(expectDamage(err).File).To(Equal(segmentName(3)), "where entries are missing before")
+		Expect(expectDamage(err).File).To(Equal(segmentName(3)), "the oldest segment after the missing one")
 	})
 
-	It("keeps only the file of the newest snapshot", func() {
+	It("removes every snapshot except the newest, in whatever order they are recorded", func() {
 		log, _ := open(files, smallSegments)
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 9, 1)) })
 		for _, index := range []uint64{3, 5, 4} {
 			snapshotAt(files, 1, index, 1)
 			appendBatch(log, func(b *Batch) { b.Compact(1, index, 1) })
-			_, err := log.Release()
+			_, err := log.RemoveObsolete()
 			Expect(err).NotTo(HaveOccurred())
 		}
 		var left []string
@@ -350,7 +361,7 @@
 		Expect(left).To(ConsistOf(snapshotName(1, 5, 1)))
 	})
 
-	DescribeTable("finds a damaged snapshot",
+	DescribeTable("reports a snapshot file that is",
 		func(change func([]byte) []byte) {
 			log, _ := open(files, smallSegments)
 			appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 9, 1)) })
@@ -367,14 +378,14 @@
 		},
 		Entry("missing", func(b []byte) []byte { return nil }),
 		Entry("empty", func(b []byte) []byte { return []byte{} }),
-		Entry("short", func(b []byte) []byte { return b[:len(b)-1] }),
+		Entry("too short", func(b []byte) []byte { return b[:len(b)-1] }),
 		Entry("changed", func(b []byte) []byte { b[len(b)/2] ^= 4; return b }),
-		Entry("of another version", func(b []byte) []byte { b[7]++; return b }),
+		Entry("of an unknown version", func(b []byte) []byte { b[7]++; return b }),
 	)
 })
 
 var _ = Describe("Identity", func() {
-	It("is read back, and is nil on an empty disk", func() {
+	It("is nil on an empty disk, and is read as it was written", func() {
 		files := &vfstest.Mem{}
 		identity, err := ReadIdentity(files, folder)
 		Expect(identity, err).To(BeNil())
@@ -385,7 +396,7 @@
 		Expect(Vacant(files, folder)).To(BeFalse())
 	})
 
-	It("finds each changed byte", func() {
+	It("is reported as damaged if any byte of its file has changed", func() {
 		files := &vfstest.Mem{}
 		Expect(WriteIdentity(files, folder, &Identity{ID: 9})).To(Succeed())
 		name := filepath.Join(folder, identityName)
@@ -398,7 +409,9 @@
 		}
 	})
 
-	It("moves everything aside, the identity first", func() {
+	// If the process ends after some files are moved, no identity may be left that another process could use with the
+	// rest of the log.
+	It("is the first file that MoveAside moves, and all others follow", func() {
 		files := &vfstest.Mem{}
 		Expect(WriteIdentity(files, folder, &Identity{ID: 9})).To(Succeed())
 		log, _ := open(files, smallSegments)
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -106,7 +106,7 @@
 		return diskUsage{}, err
 	}
 	// What cannot be removed now is removed after a later write.
-	_, _ = w.log.Release()
+	_, _ = w.log.RemoveObsolete()
 	return diskUsage{logBytes: w.log.Bytes(), segments: w.log.Segments(), pinning: w.log.PinningGroups()}, nil
 }
 
