--- a/internal/cluster/replica/bench_test.go
+++ b/internal/cluster/replica/bench_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// BenchmarkIdle measures a second of virtual time of five machines with five idle groups.
+// BenchmarkIdle measures how long one second of virtual time takes for five machines with five idle groups.
 func BenchmarkIdle(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCluster(1, 5)
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkCommit measures a hundred commands, in batches of ten, on three machines.
+// BenchmarkCommit measures how long three machines take to commit 100 commands, of which ten at a time are proposed.
 func BenchmarkCommit(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCluster(1, 1)
--- a/internal/cluster/replica/catchup.go
+++ b/internal/cluster/replica/catchup.go
@@ -6,17 +6,24 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// catchUp measures how closely a member's disk follows what is committed (Raft thesis, section 4.2.1). It works in
-// rounds: a round is complete once the disk has all that was committed at its start. So a member that keeps up is seen
-// to do so even under a load that commits something new before each of its acknowledgements arrives.
+// catchUp measures how far a member's disk is behind the commit index, as a time (Raft thesis, section 4.2.1). It works in
+// rounds:
+//  1. A round starts with the present commit index as its target.
+//  2. The round is complete once the member has acknowledged the target. Then the disk has all that was committed at the
+//     start of the round, and the next round starts.
+//
+// Under constant load the member's acknowledgements never reach the present commit index. Rounds show nevertheless that
+// it keeps up.
+//
+// Invariant: if completed is set, the member's disk has all entries that were committed at the time caughtUpAt.
 type catchUp struct {
-	target         uint64 // commit index at the start of the present round; 0: no round yet
+	target         uint64 // commit index at the start of the present round; 0 if no round has started
 	roundStartedAt time.Duration
-	caughtUpAt     time.Duration // the disk had all that was committed by this time
-	completed      bool          // at least one round is
+	caughtUpAt     time.Duration
+	completed      bool // a round was completed, or the member has had all committed entries
 }
 
-// observe records the newest index on the member's disk, and the commit index.
+// observe updates the round. match is the newest index that the member has acknowledged, commit is the commit index.
 func (c *catchUp) observe(match, commit uint64, now time.Duration) {
 	started := c.target > 0
 	switch {
@@ -30,7 +37,8 @@
 	c.target, c.roundStartedAt = commit, now
 }
 
-// age returns how long ago the newest time is by which the disk is known to have had all that was committed.
+// age returns the time since caughtUpAt, or unknownDuration if no round was completed. Every entry that was committed
+// longer ago than this is on the member's disk.
 func (c *catchUp) age(now time.Duration) time.Duration {
 	if !c.completed {
 		return unknownDuration
@@ -38,7 +46,7 @@
 	return now - c.caughtUpAt
 }
 
-// updateCatchUps records how far the members' disks reach.
+// updateCatchUps updates the catchUp of each member. Only the leader knows what members have acknowledged.
 func (g *group) updateCatchUps(members []consensus.Member) {
 	status := g.node.Status()
 	for _, member := range members {
@@ -46,25 +54,25 @@
 		if !known {
 			continue
 		}
-		followed := g.catchUps[member.ID]
-		if followed == nil {
-			followed = &catchUp{}
-			g.catchUps[member.ID] = followed
+		measured := g.catchUps[member.ID]
+		if measured == nil {
+			measured = &catchUp{}
+			g.catchUps[member.ID] = measured
 		}
-		followed.observe(status.LastIndex-behind, status.Commit, g.engine.now)
+		measured.observe(status.LastIndex-behind, status.Commit, g.engine.now)
 	}
 }
 
-// replicationAge returns the age of a member's catchUp, or unknownDuration.
+// replicationAge returns the age of a member's catchUp, or unknownDuration if the member has none.
 func (g *group) replicationAge(id consensus.MemberID) time.Duration {
-	if followed := g.catchUps[id]; followed != nil {
-		return followed.age(g.engine.now)
+	if measured := g.catchUps[id]; measured != nil {
+		return measured.age(g.engine.now)
 	}
 	return unknownDuration
 }
 
-// awaitsLearner reports whether a message is an acknowledgement by a learner, which may have caught up with it.
-func (g *group) awaitsLearner(message *consensus.Message) bool {
+// isLearnerResponse reports whether this member leads and a message is a learner's response to an append.
+func (g *group) isLearnerResponse(message *consensus.Message) bool {
 	if g.leadingTerm == 0 || message.Kind != consensus.MessageAppendResponse {
 		return false
 	}
--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -14,7 +14,7 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// manyRoutes is a first configuration with that many routes.
+// manyRoutes returns a command for version 1 of the configuration, with a number of routes.
 func manyRoutes(routes int) configuration.Command {
 	body := []byte(`{"version":1,"services":[{"name":"a"}],"routes":[`)
 	for i := range routes {
@@ -27,25 +27,26 @@
 	return configuration.Command{Kind: protocol.ConfigurationReplace, Body: append(body, `]}`...)}
 }
 
-// changeFor proposes changes of that many bytes at regular times, whether or not the one before was committed.
-func (c *cluster) changeFor(span, distance time.Duration, bytes int) {
+// proposeChangesFor proposes a change of the configuration of about so many bytes, and a job, in each interval. It does not
+// wait until a change is committed.
+func (c *cluster) proposeChangesFor(span, interval time.Duration, bytes int) {
 	end := c.now() + span
 	for c.now() < end {
 		if leader := c.leader(configurationGroup); leader != nil {
-			leader.order(change(versionOf(leader), bytes), func(configuration.Result, error) {})
+			leader.proposeChange(change(versionOf(leader), bytes), func(configuration.Result, error) {})
 		}
 		c.submitJob()
-		c.run(distance)
+		c.run(interval)
 	}
 }
 
-// has returns a condition: the machine runs and has a version.
+// has returns a condition that holds while the machine runs and has applied a version of the configuration.
 func (m *machine) has(version uint64) func() bool {
 	return func() bool { return m.up && versionOf(m) >= version }
 }
 
-// awayFor kills a machine and makes that many changes without it.
-func (c *cluster) awayFor(m *machine, changes, bytes int) {
+// killThenChange kills a machine, and makes changes of the configuration while it is down.
+func (c *cluster) killThenChange(m *machine, changes, bytes int) {
 	GinkgoHelper()
 	m.kill()
 	c.changeMany(changes, bytes)
@@ -53,8 +54,9 @@
 	Expect(leader.engine.byID[configurationGroup].node.Status().LastIndex).To(BeNumerically(">", changes))
 }
 
-// leadsWithAll makes the machine the leader of the configuration, and expects it to have the newest version.
-func (c *cluster) leadsWithAll(m *machine) {
+// expectToLead makes a machine the leader of the configuration by isolating other leaders. It expects that the machine has
+// the newest version, and commits the next one.
+func (c *cluster) expectToLead(m *machine) {
 	GinkgoHelper()
 	newest := c.version()
 	for range 40 {
@@ -68,107 +70,119 @@
 		leader.isolated = false
 		c.run(300 * time.Millisecond)
 	}
-	Expect(c.leader(configurationGroup)).To(BeIdenticalTo(m), "it leads")
+	Expect(c.leader(configurationGroup)).To(BeIdenticalTo(m), "the machine leads")
 	Expect(versionOf(m)).To(BeNumerically(">=", newest))
 	Expect(c.configure(change(c.version(), 10)).Version).To(Equal(newest + 1))
 }
 
-var _ = Describe("A member that was away", func() {
-	DescribeTable("for most of a day has everything soon after its return, and leads with it",
+// A member that was down for long gets what it missed as entries or, if the log was compacted, as a snapshot. It must soon
+// have the same state as the others, and must be able to lead with it.
+var _ = Describe("A member that was down", func() {
+	DescribeTable("has everything within 5 s after its return, and can lead",
 		func(changes, bytes int) {
-			c := newShippedCluster(41)
+			c := newRealStateCluster(41)
 			c.startFirst(3)
 			Expect(c.configure(manyRoutes(100)).Version).To(Equal(uint64(1)))
 			c.changeMany(changes/20, bytes)
 			away := c.follower()
-			c.awayFor(away, changes*9/10, bytes)
+			c.killThenChange(away, changes*9/10, bytes)
 			away.start(nil)
 			newest, began := c.version(), c.now()
-			Expect(c.until(5*time.Second, away.has(newest))).To(BeTrue(), "it catches up")
+			Expect(c.until(5*time.Second, away.has(newest))).To(BeTrue(), "the member catches up")
 			GinkgoWriter.Println("caught up after", c.now()-began)
 			c.changeMany(changes/20, bytes)
-			c.agree()
-			c.leadsWithAll(away)
-			c.agree()
+			c.expectEqualStates()
+			c.expectToLead(away)
+			c.expectEqualStates()
 		},
-		Entry("of 700 changes", 700, 300),
-		Entry("of 700 large changes", 700, 10<<10),
-		Entry("of 3,000 changes", 3000, 800),
+		Entry("when it missed 90% of 700 changes", 700, 300),
+		Entry("when it missed 90% of 700 large changes", 700, 10<<10),
+		Entry("when it missed 90% of 3,000 changes", 3000, 800),
 	)
 
-	DescribeTable("takes a snapshot over a slow link in the time that its bytes need",
-		func(bytesASecond float64) {
-			c := newShippedCluster(42)
+	// The snapshot has several chunks. On a slow link the response to a chunk comes late, and the leader may take the member
+	// for unresponsive and start again. Then the member would never get the complete snapshot.
+	DescribeTable("gets a snapshot over a slow link in about twice the time that its bytes need, at a bandwidth",
+		func(bytesPerSecond float64) {
+			c := newRealStateCluster(42)
 			c.startFirst(3)
 			Expect(c.configure(manyRoutes(3000)).Version).To(Equal(uint64(1)))
-			c.agree()
+			c.expectEqualStates()
 			away := c.follower()
-			c.awayFor(away, 100, 24<<10)
-			away.bandwidth = bytesASecond
+			c.killThenChange(away, 100, 24<<10)
+			away.bandwidth = bytesPerSecond
 			away.start(nil)
 			newest, began := c.version(), c.now()
 			size := c.leader(configurationGroup).engine.byID[configurationGroup].snapshots.size
 			Expect(size).To(BeNumerically(">", 2*snapshotChunkBytes))
 			minimum := time.Duration(float64(size) / away.bandwidth * float64(time.Second))
-			Expect(c.until(2*minimum+2*time.Second, away.has(newest))).To(BeTrue(), "it catches up")
-			GinkgoWriter.Println("caught up after", c.now()-began, "of", minimum)
-			c.agree()
+			Expect(c.until(2*minimum+2*time.Second, away.has(newest))).To(BeTrue(), "the member catches up")
+			GinkgoWriter.Println("caught up after", c.now()-began, "; at that bandwidth the bytes need", minimum)
+			c.expectEqualStates()
 		},
-		Entry("on which a chunk takes a few ms", float64(100<<20)),
-		Entry("on which a chunk takes an election timeout", float64(800<<10)),
-		Entry("on which a chunk takes as long as an unresponsive member is sent chunks", float64(200<<10)),
-		Entry("on which a chunk takes longer than that", float64(60<<10)),
-		Entry("on which a chunk takes much longer than that", float64(20<<10)),
+		Entry("at which a chunk takes a few ms", float64(100<<20)),
+		Entry("at which a chunk takes an election timeout", float64(800<<10)),
+		Entry("at which a chunk takes as long as chunks are sent to an unresponsive member", float64(200<<10)),
+		Entry("at which a chunk takes longer than that", float64(60<<10)),
+		Entry("at which a chunk takes much longer than that", float64(20<<10)),
 	)
 
-	It("catches up although the log is compacted repeatedly while the snapshot is on its way", func() {
-		c := newShippedCluster(43)
-		c.disk = 16 << 20 // the log of a group has at most a sixteenth
+	// If a compaction dropped the entries after the snapshot while that is being sent, the member would need another snapshot
+	// each time, and would never catch up.
+	It("catches up although the log is compacted repeatedly while the snapshot is being sent", func() {
+		c := newRealStateCluster(43)
+		c.disk = 16 << 20 // a group's log has at most a sixteenth of this
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(6000)).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		away := c.follower()
-		c.awayFor(away, 300, 8<<10)
+		c.killThenChange(away, 300, 8<<10)
 		away.bandwidth = 150 << 10
 		away.start(nil)
 		group := c.leader(configurationGroup).engine.byID[configurationGroup]
 		before := group.snapshots.index
-		// 100 KB of changes a second: two thirds of what the link carries. The log is compacted every 10 s, a snapshot takes 7 s.
-		c.changeFor(40*time.Second, 240*time.Millisecond, 24<<10)
-		Expect(group.snapshots.index).To(BeNumerically(">", before+100), "the log was compacted meanwhile")
-		Expect(away.recorders[configurationGroup].restored).To(Equal(1), "snapshots that it took")
-		Expect(away.has(c.version()-50)()).To(BeTrue(), "it has %d of %d", versionOf(away), c.version())
-		c.agree()
+		// The changes have 100 KB per second, which is two thirds of the bandwidth. The log is compacted every 10 s, and a
+		// snapshot takes 7 s.
+		c.proposeChangesFor(40*time.Second, 240*time.Millisecond, 24<<10)
+		Expect(group.snapshots.index).To(BeNumerically(">", before+100), "the log was compacted while the snapshot was being sent")
+		Expect(away.recorders[configurationGroup].restored).To(Equal(1), "the number of snapshots that the member has installed")
+		Expect(away.has(c.version()-50)()).To(BeTrue(), "the member has version %d of %d", versionOf(away), c.version())
+		c.expectEqualStates()
 	})
 
-	It("does not keep the log from being compacted if nothing can be sent to it", func() {
-		c := newShippedCluster(44)
+	// The leader keeps entries in memory for a member that is being sent some. For a member on a very slow link that must be
+	// bounded by maxRetainedBytes.
+	It("does not keep the log in memory from being compacted while its link is too slow to follow", func() {
+		c := newRealStateCluster(44)
 		c.disk = 16 << 20
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(3000)).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		away := c.follower()
 		away.bandwidth = 20 << 10
-		c.changeFor(60*time.Second, 120*time.Millisecond, 24<<10)
+		c.proposeChangesFor(60*time.Second, 120*time.Millisecond, 24<<10)
 		for _, m := range c.machines {
 			retained := m.engine.byID[configurationGroup].node.RetainedBytes()
 			GinkgoWriter.Println(m.name, "retains", retained)
 			Expect(retained).To(BeNumerically("<", maxRetainedBytes+3<<20))
 		}
 		away.bandwidth = 0
-		c.agree()
+		c.expectEqualStates()
 	})
 })
 
-var _ = Describe("A snapshot on its way", func() {
-	// begin restarts a machine that needs a snapshot of about 600 KB, and waits until so many chunks have arrived.
+// Each spec disturbs the transfer of a snapshot that has several chunks. The member must have everything in the end, and
+// must be able to lead with it.
+var _ = Describe("A snapshot that is being sent", func() {
+	// begin starts a machine that was down and needs a snapshot of about 600 KB (for 3000 routes), and waits until a number of
+	// chunks have arrived.
 	begin := func(seed uint64, chunks, routes int) (c *cluster, away *machine) {
-		c = newShippedCluster(seed)
+		c = newRealStateCluster(seed)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(routes)).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		away = c.follower()
-		c.awayFor(away, 100, 24<<10)
+		c.killThenChange(away, 100, 24<<10)
 		away.bandwidth = 4 << 20
 		arrived := 0
 		c.drop = func(_, to *machine, envelope *Envelope) bool {
@@ -181,19 +195,19 @@
 		}
 		away.start(nil)
 		Expect(c.until(10*time.Second, func() bool { return arrived >= chunks })).To(BeTrue())
-		Expect(versionOf(away)).To(BeZero(), "it does not have all of it yet")
+		Expect(versionOf(away)).To(BeZero(), "the member does not have the complete snapshot yet")
 		return c, away
 	}
-	// end expects the member to have all, and to lead with it.
+	// end expects that the member catches up and can lead.
 	end := func(c *cluster, away *machine) {
 		GinkgoHelper()
-		Expect(c.until(10*time.Second, away.has(c.version()))).To(BeTrue(), "it catches up")
-		c.agree()
-		c.leadsWithAll(away)
-		c.agree()
+		Expect(c.until(10*time.Second, away.has(c.version()))).To(BeTrue(), "the member catches up")
+		c.expectEqualStates()
+		c.expectToLead(away)
+		c.expectEqualStates()
 	}
 
-	It("whose sender is killed", func() {
+	It("arrives although its sender is killed", func() {
 		c, away := begin(51, 2, 3000)
 		sender := c.leader(configurationGroup)
 		sender.kill()
@@ -202,7 +216,7 @@
 		end(c, away)
 	})
 
-	It("whose sender loses its leadership", func() {
+	It("arrives although its sender loses its leadership", func() {
 		c, away := begin(52, 2, 3000)
 		sender := c.leader(configurationGroup)
 		sender.isolated = true
@@ -211,13 +225,13 @@
 		end(c, away)
 	})
 
-	It("whose sender compacts its log", func() {
+	It("arrives although its sender compacts its log", func() {
 		c, away := begin(53, 2, 3000)
 		c.changeMany(200, 24<<10)
 		end(c, away)
 	})
 
-	It("whose receiver is partitioned until the sender starts a newer one", func() {
+	It("is followed by a newer one that arrives, if its receiver is partitioned until the sender has compacted its log", func() {
 		c, away := begin(58, 2, 3000)
 		away.isolated = true
 		c.changeMany(100, 24<<10)
@@ -226,7 +240,7 @@
 		end(c, away)
 	})
 
-	It("whose receiver starts again", func() {
+	It("arrives although its receiver loses power three times", func() {
 		c, away := begin(54, 2, 3000)
 		for range 3 {
 			away.losePower()
@@ -237,9 +251,9 @@
 		end(c, away)
 	})
 
-	It("whose receiver's disk is full", func() {
+	It("arrives after its receiver's disk was full", func() {
 		c, away := begin(55, 2, 3000)
-		away.failing(syscall.ENOSPC, "create", "write")
+		away.failCalls(syscall.ENOSPC, "create", "write")
 		c.run(5 * time.Second)
 		Expect(away.engine.byID[configurationGroup].node.Status().IsLeader).To(BeFalse())
 		c.changeMany(20, 8<<10)
@@ -247,7 +261,7 @@
 		end(c, away)
 	})
 
-	It("whose receiver's disk stalls", func() {
+	It("arrives after its receiver's disk has stalled", func() {
 		c, away := begin(56, 2, 3000)
 		away.diskDelay = 6 * time.Second
 		c.run(3 * time.Second)
@@ -257,7 +271,8 @@
 		end(c, away)
 	})
 
-	It("is complete or absent, wherever the power fails while it is written", func() {
+	// The power fails after one more call of the file system in each round, until the write takes no more calls than that.
+	It("is on disk completely or not at all, wherever the power fails while it is written", func() {
 		for calls := 1; ; calls++ {
 			c, away := begin(57, 1, 300)
 			writer := away.engine.writer
@@ -272,11 +287,11 @@
 			Expect(err == nil || !finished).To(BeTrue(), "after %d calls", calls)
 			away.files = away.files.Crash(c.random)
 			away.start(nil)
-			Expect(away.engine.self.ID).To(Equal(identity), "after %d calls: its disk is sound", calls)
-			Expect(c.until(10*time.Second, away.has(c.version()))).To(BeTrue(), "after %d calls: it catches up", calls)
-			c.agree()
+			Expect(away.engine.self.ID).To(Equal(identity), "after %d calls: the disk is not damaged", calls)
+			Expect(c.until(10*time.Second, away.has(c.version()))).To(BeTrue(), "after %d calls: the member catches up", calls)
+			c.expectEqualStates()
 			if finished {
-				Expect(calls).To(BeNumerically(">", 8), "calls that a snapshot takes")
+				Expect(calls).To(BeNumerically(">", 8), "the number of calls that writing a snapshot takes")
 				return
 			}
 		}
@@ -284,14 +299,15 @@
 })
 
 var _ = Describe("A member's own snapshot", func() {
-	// powerFailures is more calls than the disk gets from the snapshot's first byte to the removal of the log before it.
+	// powerFailures is more than the number of calls of the file system from the snapshot's first byte to the removal of the
+	// segments that it covers.
 	const powerFailures = 24
 
-	It("loses nothing of the state, wherever the power fails between its first byte and the compaction of the log", func() {
-		c := newShippedCluster(61)
+	It("leaves the state complete, wherever the power fails between its first byte and the removal of the log that it covers", func() {
+		c := newRealStateCluster(61)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(100)).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		m := c.follower()
 		identity := m.engine.self.ID
 		written := 0
@@ -308,19 +324,19 @@
 			m.kill()
 			m.files = m.files.Crash(c.random)
 			m.start(nil)
-			Expect(m.engine.self.ID).To(Equal(identity), "after %d calls: its disk is sound", calls)
-			c.agree()
+			Expect(m.engine.self.ID).To(Equal(identity), "after %d calls: the disk is not damaged", calls)
+			c.expectEqualStates()
 		}
-		Expect(written).To(BeNumerically(">", 2), "some snapshots were complete")
-		Expect(written).To(BeNumerically("<", powerFailures-2), "and some were not")
-		c.leadsWithAll(m)
+		Expect(written).To(BeNumerically(">", 2), "some snapshots were complete when the power failed")
+		Expect(written).To(BeNumerically("<", powerFailures-2), "some snapshots were not")
+		c.expectToLead(m)
 	})
 
-	It("does not compact the log if it could not be written", func() {
-		c := newShippedCluster(62)
+	It("does not replace the log if it could not be written", func() {
+		c := newRealStateCluster(62)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(100)).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		m := c.follower()
 		identity, refused := m.engine.self.ID, 0
 		m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault {
@@ -335,7 +351,7 @@
 		Expect(refused).To(BeNumerically(">", 1))
 		m.losePower()
 		m.start(nil)
-		Expect(m.engine.self.ID).To(Equal(identity), "its disk is sound")
-		c.agree()
+		Expect(m.engine.self.ID).To(Equal(identity), "the disk is not damaged")
+		c.expectEqualStates()
 	})
 })
--- a/internal/cluster/replica/chaos_test.go
+++ b/internal/cluster/replica/chaos_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// fault disturbs one machine, and returns what ends the disturbance.
+// fault disturbs a machine, or all, and returns a function that ends the disturbance.
 type fault func(c *cluster, m *machine) (end func())
 
 var faults = []fault{
@@ -40,7 +40,7 @@
 		return func() { m.diskDelay = syncDelay }
 	},
 	func(c *cluster, m *machine) func() {
-		m.failing([]error{syscall.EIO, syscall.ENOSPC}[c.random.IntN(2)], []string{"sync", "write", "create"}[c.random.IntN(3)])
+		m.failCalls([]error{syscall.EIO, syscall.ENOSPC}[c.random.IntN(2)], []string{"sync", "write", "create"}[c.random.IntN(3)])
 		return func() { m.files.SetOnCall(nil) }
 	},
 	func(c *cluster, m *machine) func() {
@@ -59,8 +59,8 @@
 			m.start(nil)
 		}
 	},
-	finalFault,
-	func(c *cluster, m *machine) func() { // all at once; no disk is lost
+	loseOneDiskAndAllPower,
+	func(c *cluster, m *machine) func() { // all processes end at once; no disk is lost
 		for _, other := range c.machines {
 			if c.random.IntN(2) == 0 {
 				other.kill()
@@ -76,9 +76,9 @@
 	},
 }
 
-// finalFault loses one disk while all other machines lose power: the most that a control plane which tolerates the
-// loss of one machine has to tolerate.
-func finalFault(c *cluster, m *machine) func() {
+// loseOneDiskAndAllPower loses one disk while all other machines lose power. This is the worst fault that a control plane
+// which tolerates the loss of one machine has to tolerate.
+func loseOneDiskAndAllPower(c *cluster, m *machine) func() {
 	for _, other := range c.machines {
 		if other == m {
 			other.wipe()
@@ -93,8 +93,9 @@
 	}
 }
 
-// play plays faults one after the other, each of one machine, with proposals all the while.
-func play(seed uint64) *cluster {
+// runFaults runs a cluster with six faults one after the other, while lines are being proposed. After each fault the
+// cluster has four seconds to recover.
+func runFaults(seed uint64) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, 2)
 	c.disk = 1 << 20
@@ -112,7 +113,7 @@
 	return c
 }
 
-// proposeFor lets time pass with proposals all the while.
+// proposeFor lets the cluster run while it proposes a line every 30 ms on average.
 func (c *cluster) proposeFor(span time.Duration) {
 	for end := c.now() + span; c.now() < end; {
 		c.propose(GroupID(c.random.IntN(c.groups)), c.random.IntN(1500), nil)
@@ -120,7 +121,7 @@
 	}
 }
 
-// seedsFrom reads a number of seeds, or one seed to play alone, from the environment.
+// seedsFrom returns the seeds to run: the one in REPLICA_SEED, or as many as REPLICA_SEEDS says, or count.
 func seedsFrom(count uint64) []uint64 {
 	if text := os.Getenv("REPLICA_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
@@ -140,10 +141,10 @@
 }
 
 var _ = Describe("A sequence of random faults", func() {
-	It("loses nothing that was acknowledged, and ends with all machines equal", func() {
+	It("costs no acknowledged command, and afterwards all machines vote and have the same log", func() {
 		for _, seed := range seedsFrom(10) {
-			_, _ = fmt.Fprintln(GinkgoWriter, "play it again with REPLICA_SEED =", seed)
-			c := play(seed)
+			_, _ = fmt.Fprintln(GinkgoWriter, "to repeat this run set REPLICA_SEED =", seed)
+			c := runFaults(seed)
 			c.converge()
 			for id := range GroupID(c.groups) {
 				c.commit(id, 2, 10)
--- a/internal/cluster/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -23,40 +23,40 @@
 	RunSpecs(t, "replica")
 }
 
-// event is something that happens at a time.
+// event is a function that is to run at a time since the cluster's start.
 type event struct {
 	at  time.Duration
 	run func()
 }
 
-// cluster runs machines, links and disks in virtual time, in one goroutine.
+// cluster simulates machines, links and disks in virtual time, in one goroutine. All randomness comes from one seed.
 type cluster struct {
 	clock       *clockwork.FakeClock
 	started     time.Time
 	random      *rand.Rand
 	machines    []*machine
 	events      []event
-	groups      int
-	seeds       []string
-	loss        float64
-	disk        int64
-	heartbeat   time.Duration // 0: the engine's own
-	election    time.Duration
+	groups      int           // number of groups, with the IDs from 0
+	seeds       []string      // addresses of the machines to which requests to join are sent
+	loss        float64       // share of the envelopes that is lost, from 0 to 1
+	disk        int64         // Options.DiskBytes
+	heartbeat   time.Duration // Options.HeartbeatInterval
+	election    time.Duration // Options.ElectionTimeout
 	logger      log.Logger
-	acked       map[GroupID][]string
+	acked       map[GroupID][]string // lines whose proposers were told that they are applied
 	nextCommand int
-	steps       int
-	sent        int
-	writes      int // to all disks
-	trace       func(from *machine, to string, envelope *Envelope)
-	drop        func(from, to *machine, envelope *Envelope) bool
+	steps       int                                                // number of steps of all engines
+	sent        int                                                // number of envelopes sent
+	writes      int                                                // number of successful writes to all disks
+	trace       func(from *machine, to string, envelope *Envelope) // called for each envelope that is sent, if not nil
+	drop        func(from, to *machine, envelope *Envelope) bool   // selects envelopes to lose at their arrival, if not nil
 
-	newState func(id GroupID) realState // nil: the groups have recorders alone
+	newState func(id GroupID) realState // returns a group's state machine; nil: the groups have recorders only
 }
 
 const (
-	linkDelay = 1500 * time.Microsecond
-	syncDelay = 8 * time.Millisecond
+	linkDelay = 1500 * time.Microsecond // time that an envelope takes without a limit of bandwidth
+	syncDelay = 8 * time.Millisecond    // time that a write to a healthy disk takes
 )
 
 func newCluster(seed uint64, groups int) *cluster {
@@ -72,7 +72,8 @@
 	}
 }
 
-// startFirst starts machines for the first time. The first three, or fewer, are the seeds.
+// startFirst starts new machines with empty disks. The first three, or fewer if there are not as many, are the seeds and
+// the initial members.
 func (c *cluster) startFirst(count int) {
 	for i := range count {
 		address := fmt.Sprintf("10.0.0.%d:7380", i+1)
@@ -86,25 +87,28 @@
 	}
 }
 
+// add adds a machine with an empty disk, and does not start it.
 func (c *cluster) add(name, address string) *machine {
 	m := &machine{cluster: c, name: name, address: address, files: &vfstest.Mem{}, diskDelay: syncDelay, durable: map[GroupID]logEnd{}}
 	c.machines = append(c.machines, m)
 	return m
 }
 
+// now returns the virtual time since the cluster's start.
 func (c *cluster) now() time.Duration { return c.clock.Since(c.started) }
 
+// at has a function called after a delay.
 func (c *cluster) at(delay time.Duration, run func()) {
 	c.events = append(c.events, event{at: c.now() + delay, run: run})
 }
 
-// run lets time pass.
+// run lets the cluster run for some virtual time.
 func (c *cluster) run(span time.Duration) {
 	c.until(span, func() bool { return false })
 }
 
-// until lets time pass until the condition holds, which is checked after each step, or the span is over. It reports
-// whether the condition holds.
+// until lets the cluster run until the condition holds, which is checked after each step, or until the span is over. It
+// reports whether the condition holds.
 func (c *cluster) until(span time.Duration, condition func() bool) bool {
 	end := c.now() + span
 	for !condition() {
@@ -121,8 +125,9 @@
 	return true
 }
 
+// nextTime returns the time of the next event or step.
 func (c *cluster) nextTime() time.Duration {
-	next := never
+	next := infinite
 	for _, e := range c.events {
 		next = min(next, e.at)
 	}
@@ -134,7 +139,7 @@
 	return next
 }
 
-// step does all that is due now.
+// step runs all events and steps that are due now.
 func (c *cluster) step() {
 	now := c.now()
 	var due []event
@@ -157,7 +162,7 @@
 	}
 }
 
-// leader is the machine that leads a group; of several the one of the newest term.
+// leader returns the machine that leads a group, the one with the newest term if there are several, or nil.
 func (c *cluster) leader(id GroupID) *machine {
 	var newest *machine
 	term := uint64(0)
@@ -169,6 +174,7 @@
 	return newest
 }
 
+// allLed reports whether every group has a leader.
 func (c *cluster) allLed() bool {
 	for id := range GroupID(c.groups) {
 		if c.leader(id) == nil {
@@ -183,7 +189,8 @@
 	Expect(c.until(10*time.Second, c.allLed)).To(BeTrue(), "every group has a leader")
 }
 
-// propose proposes a line at the leader; the outcome comes later.
+// propose proposes a line of about size bytes at a group's leader, if there is one. done may be nil; it is called with the
+// outcome later.
 func (c *cluster) propose(id GroupID, size int, done func(error)) {
 	m := c.leader(id)
 	if m == nil {
@@ -194,7 +201,7 @@
 	c.proposeCommand(m, id, line, done)
 }
 
-// forget drops all lines of a group once all proposed ones are applied.
+// forget makes a group's recorders drop all lines, once all that were proposed are applied. It keeps the state small.
 func (c *cluster) forget(id GroupID) {
 	GinkgoHelper()
 	c.converge()
@@ -203,6 +210,7 @@
 	c.converge()
 }
 
+// proposeCommand proposes a line at a machine, and records it in acked if it is applied.
 func (c *cluster) proposeCommand(m *machine, id GroupID, line string, done func(error)) {
 	m.engine.Do(func() {
 		m.engine.Propose(id, []byte(line), func(_ any, err error) {
@@ -218,7 +226,7 @@
 	m.wake()
 }
 
-// commit proposes lines, one after the other, and waits for each.
+// commit proposes lines one after the other. It repeats each one, under a new name, until one is applied.
 func (c *cluster) commit(id GroupID, lines, size int) {
 	GinkgoHelper()
 	for range lines {
@@ -236,13 +244,14 @@
 	}
 }
 
-// converge waits until all machines that are up have the same logs, with everything that was acknowledged.
+// converge waits until all machines that are up have applied the same entries, and expects every acknowledged line in them.
 func (c *cluster) converge() {
 	GinkgoHelper()
 	Expect(c.until(20*time.Second, c.converged)).To(BeTrue(), "all logs become equal")
 	c.check()
 }
 
+// converged reports whether all machines that are up have applied the same index as the leader in every group.
 func (c *cluster) converged() bool {
 	for id := range GroupID(c.groups) {
 		leader := c.leader(id)
@@ -258,7 +267,7 @@
 	return true
 }
 
-// check compares all logs, and looks for everything that was acknowledged.
+// check expects that the lines of each machine are a prefix of the longest ones, which have every acknowledged line.
 func (c *cluster) check() {
 	GinkgoHelper()
 	for id := range GroupID(c.groups) {
@@ -286,6 +295,7 @@
 	}
 }
 
+// voters returns the names of the machines that vote in a group by its leader's membership, sorted.
 func (c *cluster) voters(id GroupID) []string {
 	leader := c.leader(id)
 	if leader == nil {
@@ -301,7 +311,7 @@
 	return names
 }
 
-// current reports whether all members are identities that the machines have now, up or not.
+// current reports whether every member of a group is the present identity of a machine, up or not.
 func (c *cluster) current(id GroupID) bool {
 	identities := map[consensus.MemberID]bool{}
 	for _, m := range c.machines {
@@ -315,7 +325,8 @@
 	return true
 }
 
-// votersAre returns a condition: exactly these machines vote in all groups, and nobody else is a member.
+// votersAre returns a condition that holds while exactly these machines vote in all groups, under their present
+// identities, and there are no other members.
 func (c *cluster) votersAre(names ...string) func() bool {
 	names = slices.Sorted(slices.Values(names))
 	return func() bool {
@@ -334,7 +345,7 @@
 	Expect(c.until(20*time.Second, c.votersAre(names...))).To(BeTrue(), "these vote: %v", names)
 }
 
-// terms returns those of the groups' leaders.
+// terms returns the terms of the groups' leaders.
 func (c *cluster) terms() []uint64 {
 	var terms []uint64
 	for id := range GroupID(c.groups) {
@@ -343,7 +354,7 @@
 	return terms
 }
 
-// proposeMany proposes lines in all groups without waiting.
+// proposeMany proposes lines in turn in all groups, and does not wait for them.
 func (c *cluster) proposeMany(lines int) {
 	for i := range lines {
 		c.propose(GroupID(i%c.groups), 50, nil)
@@ -366,8 +377,8 @@
 	return false
 }
 
-// confirmed expects that the leader can confirm its leadership.
-func (c *cluster) confirmed(id GroupID) {
+// expectConfirmation expects that a group's leader can confirm its leadership within a second.
+func (c *cluster) expectConfirmation(id GroupID) {
 	GinkgoHelper()
 	leader, called := c.leader(id), false
 	leader.engine.Do(func() {
--- a/internal/cluster/replica/combined_test.go
+++ b/internal/cluster/replica/combined_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// permutations returns all orders of the numbers below n.
+// permutations returns all permutations of the numbers below n.
 func permutations(n int) [][]int {
 	if n == 0 {
 		return [][]int{nil}
@@ -23,9 +23,12 @@
 	return all
 }
 
+// One machine's disk is wiped, one machine is decommissioned, one is partitioned for two seconds, and a new one joins, in
+// any order. Each of these changes the membership, so they can get in each other's way. Nothing that was acknowledged may
+// be lost, and in the end all machines must vote, except one that was replaced.
 var _ = Describe("Three machines and a new one", func() {
 	for _, gap := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
-		It(fmt.Sprintf("lose nothing and end complete when one is wiped, one decommissioned, one partitioned and one joins, in any order, %v apart", gap), func() {
+		It(fmt.Sprintf("lose nothing and all vote after a wipe, a decommission, a partition and a join, in any order, %v apart", gap), func() {
 			for number, order := range permutations(4) {
 				c := controlCluster(uint64(number), 3)
 				wiped, leaving, partitioned := c.machines[number%3], c.machines[(number+1)%3], c.machines[(number+2)%3]
@@ -50,9 +53,9 @@
 				for !exit.hasEnded() {
 					c.proposeFor(50 * time.Millisecond)
 				}
-				spared := exit.endedAt-exit.startedAt < controlDecommissionTimeout
-				if !spared || exit.voted {
-					leaving.start(nil) // nobody replaced it: it was only restarted
+				approved := exit.endedAt-exit.startedAt < controlDecommissionTimeout
+				if !approved || exit.voted {
+					leaving.start(nil) // the machine was not replaced, so its process starts again
 				} else {
 					c.machines = slices.DeleteFunc(c.machines, func(m *machine) bool { return m == leaving })
 				}
--- a/internal/cluster/replica/confirmations.go
+++ b/internal/cluster/replica/confirmations.go
@@ -4,21 +4,25 @@
 	"time"
 )
 
-// confirmTimeout is how long a confirmation is waited for.
+// confirmTimeout is the time after which ConfirmLeadership fails if no quorum has responded.
 const confirmTimeout = time.Second
 
-// confirmation is a pending call of ConfirmLeadership. It waits for a quorum's answers to a round of heartbeats that
-// left after the call. Rounds carry the time of the step that sends them, the times of steps rise, and what a step
-// sends leaves at its end, after all of its inputs were handled: so a round with the time requestedAt or a later one
-// left after the call.
+// confirmation is a pending call of ConfirmLeadership. It is resolved once a quorum has responded to a round of heartbeats
+// that was sent after the call.
+//
+// A round with a time of at least requestedAt, the time of the call's step, was sent after the call:
+//  1. A round has the time of the step that sends it.
+//  2. The times of steps rise strictly, see Engine.advance. So no earlier step has sent the round.
+//  3. A step sends its messages at its end, when it has handled all inputs. So in the call's own step, too, the round was
+//     sent after the call.
 type confirmation struct {
-	requestedAt time.Duration
+	requestedAt time.Duration // time of the step in which ConfirmLeadership was called
 	done        func(err error)
 }
 
-// ConfirmLeadership confirms that this process still leads the group (Raft's read index; thesis, section 6.4). done is
-// called on the loop exactly once: with nil once a quorum has answered a round of heartbeats that left after this
-// call, or with failure.NotLeader, after confirmTimeout at the latest.
+// ConfirmLeadership confirms that this process still leads the group (the read index of Raft; thesis, section 6.4). The
+// engine calls done on the loop exactly once: with nil once a quorum has responded to a round of heartbeats that was sent
+// after this call, or with failure.NotLeader, after confirmTimeout at the latest.
 func (e *Engine) ConfirmLeadership(id GroupID, done func(err error)) {
 	g := e.byID[id]
 	if g == nil || g.leadingTerm == 0 {
@@ -29,13 +33,14 @@
 	g.confirmations = append(g.confirmations, confirmation{requestedAt: e.now, done: done})
 }
 
-// resolveConfirmations calls back the confirmations that a quorum has answered, and those that timed out.
+// resolveConfirmations resolves the pending confirmations to which a quorum has responded, and those that have timed out.
+// They are in the order of their calls, so these are the first ones.
 func (g *group) resolveConfirmations() {
 	if len(g.confirmations) == 0 {
 		return
 	}
 	confirmedAt := g.node.Status().ConfirmedAt
-	count := 0 // of those that are resolved: the oldest ones
+	count := 0 // how many are resolved
 	for count < len(g.confirmations) {
 		c := &g.confirmations[count]
 		if confirmedAt < c.requestedAt && g.engine.now-c.requestedAt < confirmTimeout {
@@ -54,18 +59,19 @@
 	}
 }
 
-// confirmationDeadline returns when the oldest pending confirmation times out.
+// confirmationDeadline returns when the oldest pending confirmation times out. It is infinite if none is pending.
 func (g *group) confirmationDeadline() time.Duration {
 	if len(g.confirmations) == 0 {
-		return never
+		return infinite
 	}
 	return g.confirmations[0].requestedAt + confirmTimeout
 }
 
+// failConfirmations fails all pending confirmations.
 func (g *group) failConfirmations() {
-	confirms := g.confirmations
+	pending := g.confirmations
 	g.confirmations = nil
-	for _, c := range confirms {
+	for _, c := range pending {
 		c.done(g.engine.notLeader(g.id))
 	}
 }
--- a/internal/cluster/replica/confirmations_test.go
+++ b/internal/cluster/replica/confirmations_test.go
@@ -10,23 +10,24 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// interruptedClock calls interrupt each time the loop has read the time, as if the process were frozen right then.
+// interruptedClock calls interrupt each time the loop has read the time, to simulate a freeze of the process between that
+// and the next instruction.
 type interruptedClock struct {
 	clockwork.Clock
 	interrupt func()
 }
 
-// Since reads the time, and is interrupted before the caller has it.
+// Since reads the time, and calls interrupt before it returns that time.
 func (c *interruptedClock) Since(start time.Time) time.Duration {
 	read := c.Clock.Since(start)
 	c.interrupt()
 	return read
 }
 
-// requestConfirmation requests a confirmation from a machine for group 0, and returns where its outcome will be.
+// requestConfirmation has a machine confirm its leadership of group 0. The result is filled in later.
 func requestConfirmation(m *machine) *confirmationOutcome {
 	outcome := &confirmationOutcome{}
-	m.engine.Do(func() { m.engine.ConfirmLeadership(0, outcome.take) })
+	m.engine.Do(func() { m.engine.ConfirmLeadership(0, outcome.record) })
 	return outcome
 }
 
@@ -35,16 +36,18 @@
 	err    error
 }
 
-func (o *confirmationOutcome) take(err error) { o.called, o.err = true, err }
+func (o *confirmationOutcome) record(err error) { o.called, o.err = true, err }
 
+// If a step read its time before it takes its inputs, and the process were frozen in between, an input could arrive long
+// after the step's time. A lease that starts at that time would then be wrong by the length of the freeze.
 var _ = Describe("The time of a step", func() {
-	It("is one by which all inputs of the step had arrived, wherever a freeze falls", func() {
+	It("is not before the arrival of any of its inputs, wherever the process is frozen", func() {
 		const freeze = 20 * time.Second
 		c := newCluster(1, 1)
 		c.startFirst(1)
 		c.awaitLeaders()
 		engine := c.leader(0).engine
-		var came, handled time.Duration
+		var arrivedAt, handledAt time.Duration
 		frozen := false
 		engine.options.Clock = &interruptedClock{Clock: c.clock, interrupt: func() {
 			if frozen {
@@ -52,18 +55,18 @@
 			}
 			frozen = true
 			c.clock.Advance(freeze)
-			came = c.clock.Since(engine.started)
-			engine.Do(func() { handled = engine.Now() })
+			arrivedAt = c.clock.Since(engine.started)
+			engine.Do(func() { handledAt = engine.Now() })
 		}}
 		engine.step()
 		engine.step()
-		Expect(came).To(BeNumerically(">", freeze))
-		Expect(handled).To(BeNumerically(">=", came))
+		Expect(arrivedAt).To(BeNumerically(">", freeze))
+		Expect(handledAt).To(BeNumerically(">=", arrivedAt))
 	})
 })
 
 var _ = Describe("A round of heartbeats", func() {
-	// idleCluster returns a cluster of three whose leader has nothing in progress.
+	// idleCluster returns a cluster of three machines, and its leader, which has no proposals or messages in progress.
 	idleCluster := func() (*cluster, *machine) {
 		c := newCluster(1, 1)
 		c.startFirst(3)
@@ -73,13 +76,15 @@
 		return c, c.leader(0)
 	}
 
-	It("does not confirm a request made after it had left, even while the clock stands still", func() {
+	// The second request comes after the round was sent, at the same time of the clock. If the responses to that round
+	// confirmed it, a leader could be confirmed that was deposed in between.
+	It("does not confirm a request that was made after it was sent, even while the clock stands still", func() {
 		c, leader := idleCluster()
 		early := requestConfirmation(leader)
-		leader.engine.step() // the round leaves
+		leader.engine.step() // sends the round
 		late := requestConfirmation(leader)
 		c.loss = 1
-		leader.engine.step() // what this step sends is lost
+		leader.engine.step() // all that this step sends is lost
 		c.loss = 0
 		Expect(c.until(2*linkDelay, func() bool { return early.called })).To(BeTrue())
 		Expect(early.err).NotTo(HaveOccurred())
@@ -88,9 +93,9 @@
 		Expect(late.err).NotTo(HaveOccurred())
 	})
 
-	It("leaves only after all functions of its step, and confirms the requests of each", func() {
+	It("is sent after all functions of its step have run, and confirms the requests of all of them", func() {
 		c, leader := idleCluster()
-		leader.engine.step() // whatever else was due
+		leader.engine.step() // sends what was due before
 		c.run(time.Millisecond)
 		sent := c.sent
 		var sentAtRequest []int
@@ -100,8 +105,8 @@
 			outcomes = append(outcomes, outcome)
 			leader.engine.Do(func() {
 				sentAtRequest = append(sentAtRequest, c.sent)
-				leader.engine.ConfirmLeadership(0, outcome.take)
-				leader.engine.processOutputs() // hands out what the group wants sent at once
+				leader.engine.ConfirmLeadership(0, outcome.record)
+				leader.engine.processOutputs() // passes the group's messages to the outbox
 			})
 		}
 		leader.engine.step()
@@ -114,10 +119,12 @@
 		}
 	})
 
-	It("confirms nothing for a leader that wakes up after another was elected, with the old round's answers unread", func() {
+	// The responses to a round arrive while the leader is frozen. Another leader is elected. When the first one wakes up, it
+	// reads the responses, which must not confirm a request made since.
+	It("confirms no request of a leader that wakes up after another was elected, when it reads the responses", func() {
 		c, old := idleCluster()
 		before := requestConfirmation(old)
-		old.engine.step() // the round leaves, and its answers wait unread
+		old.engine.step() // sends the round; the responses will wait unread
 		old.frozen = true
 		c.commit(0, 1, 10)
 		Expect(c.leader(0)).NotTo(Equal(old))
@@ -129,8 +136,8 @@
 	})
 })
 
-var _ = Describe("A disk that is far behind", func() {
-	It("makes proposals fail as unavailable", func() {
+var _ = Describe("A disk with more than maxUnwrittenBytes to write", func() {
+	It("makes proposals fail with failure.Unavailable", func() {
 		c := newCluster(1, 1)
 		c.startFirst(1)
 		c.awaitLeaders()
--- a/internal/cluster/replica/decommission.go
+++ b/internal/cluster/replica/decommission.go
@@ -10,46 +10,51 @@
 )
 
 const (
-	// decommissionInterval is the time between two requests of a process that is decommissioned.
+	// decommissionInterval is the time between two requests of a process that is being decommissioned.
 	decommissionInterval = 20 * time.Millisecond
-	// quiesceTimeout is how long a process stays quiesced while it waits for the second approval.
+	// quiesceTimeout is how long a process stays quiesced while it waits for the approvals of the second phase.
 	quiesceTimeout = 2 * slowWriteTime
-	// approvalLifetime is for how long an approved member counts as gone unless there is contact with it.
+	// A member whose decommission was approved counts as ended for approvalLifetime, unless there is contact with it again.
 	approvalLifetime = 10 * time.Second
 )
 
-// DecommissionRequest asks a group's leader whether a member may end for good. A leader approves once the member is
-// replaced, if a replacement is there, and the others have on disk what the member has. It is part of Envelope and
-// encoded by gob: the field names are the wire format.
+// DecommissionRequest asks a group's leader whether a member may end and never return. The leader approves once the member
+// is replaced, if there is a replacement, and the other voters have on disk what the member has. It is part of Envelope,
+// which gob encodes: the names of the fields are the wire format.
 type DecommissionRequest struct {
 	Group   GroupID
-	Attempt uint64 // repeated in the approval
-	Quiet   bool   // the member is quiesced: it takes no part any more, and its log does not grow
-	Last    uint64 // if Quiet, the last index of its log
+	Attempt uint64 // the approval repeats it, so that the member recognizes outdated approvals
+	Quiet   bool   // the member is quiesced: it acknowledges nothing, and its log does not grow
+	Last    uint64 // last index of the member's log; used only if Quiet is set
 }
 
-// DecommissionApproval is a leader's approval that a member may end for good. It is part of Envelope and encoded by
-// gob: the field names are the wire format.
+// DecommissionApproval is a leader's approval that a member may end and never return. It is part of Envelope, which gob
+// encodes: the names of the fields are the wire format.
 type DecommissionApproval struct {
 	Group   GroupID
-	Attempt uint64
-	Term    uint64 // the leader's
+	Attempt uint64 // that of the request
+	Term    uint64 // the leader's term
 }
 
-// decommission is how this process ends for good with its groups' consent. It has two phases. In the first this
-// process takes part as before, until the leaders of all groups approve: the others follow what is committed without
-// it. In the second it is quiesced: it acknowledges nothing, so that nothing more can be committed by its vote, and
-// asks again. It ends once all leaders approve: a quorum of the others has on disk all that it has. If that takes
-// long, it goes back to the first phase, since a group may need it.
+// decommission is the state of this process's decommission: it ends and never returns, so each group must be able to do
+// without its disk. There are two phases:
+//  1. The process participates in its groups as before, and asks the leaders of all groups. A leader approves once a quorum
+//     without this process has caught up, see catchUp.
+//  2. The process is quiesced: it acknowledges nothing, so no further entry can be committed with its vote. It asks the
+//     leaders again. A leader approves once a quorum without this process has on disk all that this process has.
+//
+// When all leaders have approved the second phase, the process may end: everything that was committed with its vote is on
+// the disks of a quorum of the others. If that takes longer than quiesceTimeout, the process returns to the first phase,
+// since a group may need it to commit entries.
 type decommission struct {
 	phase           decommissionPhase
-	attempt         uint64 // number of the phase; higher than those of earlier incarnations
-	quiesceDeadline time.Duration
-	leaders         map[GroupID]string // addresses, as of the start of the second phase
-	approved        map[GroupID]bool   // in this phase
+	attempt         uint64             // number of the present phase; higher than any of an earlier process on this disk
+	quiesceDeadline time.Duration      // when the second phase ends
+	leaders         map[GroupID]string // addresses of the groups' leaders at the start of the second phase
+	approved        map[GroupID]bool   // the groups whose leaders have approved the present phase
 }
 
-// decommissionPhase is how far a decommission is.
+// decommissionPhase is the phase of a decommission.
 type decommissionPhase int
 
 const (
@@ -58,9 +63,9 @@
 	quiesced                            // the second phase
 )
 
-// Decommission does what Resign does, and then waits until this process can be spared in all groups, at most for
-// timeout. done is called on the loop in either case. The process must end then: it takes no part in its groups any
-// more.
+// Decommission resigns as Resign does, and then waits until all groups can do without this process, but not longer than
+// timeout. In either case the engine then calls done on the loop. The process must end after that, since it may be quiesced
+// and not participate in its groups any more.
 func (e *Engine) Decommission(timeout time.Duration, done func()) {
 	e.Resign(done)
 	e.transfers.resignDeadline = e.now + timeout
@@ -73,12 +78,12 @@
 // enter starts a phase.
 func (d *decommission) enter(phase decommissionPhase) {
 	d.phase = phase
-	d.attempt++ // approvals of earlier phases don't count
+	d.attempt++ // makes the approvals of earlier phases invalid
 	d.approved = map[GroupID]bool{}
 }
 
-// continueDecommission asks the leaders for their approval, moves on to the next phase when that is due, and reports
-// whether this process may end. led is the number of groups that it leads.
+// continueDecommission requests the approvals that are missing, changes the phase when that is due, and reports whether
+// this process may end. led is the number of groups that it leads.
 func (e *Engine) continueDecommission(led int) bool {
 	d := &e.decommission
 	e.maintainAt = e.now + decommissionInterval
@@ -86,7 +91,7 @@
 	case led > 0:
 		return false
 	case d.phase == quiesced && e.now >= d.quiesceDeadline:
-		e.endQuiesce() // even if all have approved: this process was frozen, and the others may need it by now
+		e.endQuiesce() // even if all have approved: this process may have been frozen since, and a disk may have been lost
 	case len(d.approved) == len(e.groups) && d.phase == quiesced:
 		return true
 	case len(d.approved) == len(e.groups):
@@ -98,15 +103,16 @@
 	return false
 }
 
-// endQuiesce goes back to the first phase.
+// endQuiesce returns to the first phase.
 func (e *Engine) endQuiesce() {
 	e.decommission.enter(participating)
 	for _, g := range e.groups {
-		g.leaderSeenAt = e.now // leaders were not tracked meanwhile
+		g.leaderSeenAt = e.now // a quiesced process ignores messages of leaders, so it cannot tell how long there was none
 	}
 }
 
-// quiesce enters the second phase. Its requests go to the leaders as of now: this process learns of no others.
+// quiesce enters the second phase. Its requests go to the present leaders, since a quiesced process does not learn of new
+// ones.
 func (e *Engine) quiesce() {
 	d := &e.decommission
 	d.enter(quiesced)
@@ -117,7 +123,7 @@
 	}
 }
 
-// requestDecommission sends a request to the group's leader unless that has approved.
+// requestDecommission sends a request to the group's leader, unless that has approved already.
 func (g *group) requestDecommission() {
 	e := g.engine
 	d := &e.decommission
@@ -136,8 +142,8 @@
 	})
 }
 
-// handleApproval records a leader's approval. That of a leader of an earlier term does not count: it may not know all
-// that was committed with this process's vote.
+// handleApproval records a leader's approval. It ignores approvals for other attempts, and those by leaders of earlier
+// terms, which may not know all that was committed with this process's vote.
 func (e *Engine) handleApproval(approval *DecommissionApproval) {
 	d := &e.decommission
 	g := e.byID[approval.Group]
@@ -149,13 +155,14 @@
 	e.maintainAt = e.now
 }
 
-// handleDecommissionRequest approves the decommission of a member that can be spared.
+// handleDecommissionRequest approves the decommission of a member if the group can do without it. A leader that resigns
+// itself approves nothing.
 func (e *Engine) handleDecommissionRequest(from consensus.MemberID, request *DecommissionRequest) {
 	g := e.byID[request.Group]
 	if g == nil || g.leadingTerm == 0 || e.transfers.resigning {
 		return
 	}
-	e.maintainAt = e.now // its replacement may be due
+	e.maintainAt = e.now // the member now avoids leadership, so it may be replaced or dropped at once
 	if !g.canSpare(from, request) {
 		return
 	}
@@ -164,8 +171,12 @@
 	e.outbox.addApproval(e.peers.address(from), approval)
 }
 
-// canSpare reports whether a member may end for good. If it is to be replaced first, it waits for that. Else a quorum
-// of the others must have what it has, not counting those whose decommission was approved already.
+// canSpare reports whether the group can do without a member that wants to end:
+//   - While a change of the membership is pending, it cannot.
+//   - A member that does not vote is not needed.
+//   - A voter that is about to be replaced or dropped has to wait for that.
+//   - Else a quorum, counted among all present voters, has to have what the member has without it. Voters whose own
+//     decommission was approved lately do not count.
 func (g *group) canSpare(leaving consensus.MemberID, request *DecommissionRequest) bool {
 	status := g.node.Status()
 	if status.ChangePending {
@@ -175,22 +186,22 @@
 	if !slices.Contains(voters, leaving) {
 		return true
 	}
-	if g.expectsSuccessor(status.Members, len(voters)) {
+	if g.awaitsReplacement(status.Members, len(voters)) {
 		return false
 	}
 	g.updateCatchUps(status.Members)
 	holders := 0
 	for _, id := range voters {
-		if id != leaving && g.remainsWithLog(id, request, status.LastIndex) {
+		if id != leaving && g.retainsLog(id, request, status.LastIndex) {
 			holders++
 		}
 	}
 	return holders > len(voters)/2
 }
 
-// expectsSuccessor reports whether a voter that is decommissioned should lose its vote first: the number of voters is
-// even, or a learner can replace it.
-func (g *group) expectsSuccessor(members []consensus.Member, voters int) bool {
+// awaitsReplacement reports whether a voter that is being decommissioned loses its vote soon, because the number of voters
+// is even or there is a learner that can replace it. voters is the number of voters.
+func (g *group) awaitsReplacement(members []consensus.Member, voters int) bool {
 	if voters > minVoters && voters%2 == 0 {
 		return true
 	}
@@ -200,9 +211,12 @@
 	})
 }
 
-// remainsWithLog reports whether a voter stays and has what a member that is decommissioned has. That it stays is
-// shown by answers to what was sent lately only: what it sent before it ended may arrive late.
-func (g *group) remainsWithLog(id consensus.MemberID, request *DecommissionRequest, last uint64) bool {
+// retainsLog reports whether a voter still runs and has on disk what a member that is being decommissioned has. last is the
+// last index of this leader's log.
+//
+// Only a response to a message that was sent lately shows that the voter still runs. Messages that it sent before it ended
+// may arrive late.
+func (g *group) retainsLog(id consensus.MemberID, request *DecommissionRequest, last uint64) bool {
 	behind, _, known := g.node.Lag(id)
 	if !known || g.engine.approvedRecently(id) {
 		return false
@@ -217,8 +231,9 @@
 	return g.replicationAge(id) <= maxCaughtUpAge
 }
 
-// approvedRecently reports whether this process has approved a member's decommission in any group, and the member may
-// have ended since. Of two members that are decommissioned at once only one can be spared in all groups.
+// approvedRecently reports whether this process has lately approved a member's decommission in any group, so that the
+// member may have ended. This keeps two members that are decommissioned at the same time from being approved as if the
+// other one stayed. A member that has since been in contact and accepts leadership again has not ended.
 func (e *Engine) approvedRecently(id consensus.MemberID) bool {
 	at, approved := e.approvedAt[id]
 	if !approved || e.now-at >= approvalLifetime {
@@ -228,7 +243,7 @@
 	return !back
 }
 
-// warnUnapproved logs the groups that this process leaves without approval.
+// warnUnapproved logs the groups whose leaders have not approved the second phase when the time for it is over.
 func (e *Engine) warnUnapproved() {
 	for _, g := range e.groups {
 		if e.decommission.phase == quiesced && e.decommission.approved[g.id] {
--- a/internal/cluster/replica/decommission_test.go
+++ b/internal/cluster/replica/decommission_test.go
@@ -17,17 +17,18 @@
 type decommissioning struct {
 	*machine
 	startedAt time.Duration
-	endedAt   time.Duration // when it was notified that it may end; 0: not yet
-	voted     bool          // in some group at that time
+	endedAt   time.Duration // when it was told that it may end; 0 if it was not yet
+	voted     bool          // it voted in some group at that time
 }
 
-// decommission decommissions a machine. Its process ends as soon as it may, or at the timeout.
+// decommission starts the decommission of a machine. Its process is killed as soon as it may end, at the timeout at the
+// latest.
 func (m *machine) decommission(timeout time.Duration) *decommissioning {
 	d := &decommissioning{machine: m, startedAt: m.cluster.now()}
 	m.engine.Do(func() {
 		m.engine.Decommission(timeout, func() {
 			d.endedAt = m.cluster.now()
-			d.voted = m.cluster.voted(m.engine.self.ID)
+			d.voted = m.cluster.votesInAny(m.engine.self.ID)
 			m.cluster.at(0, m.kill)
 		})
 	})
@@ -35,20 +36,24 @@
 	return d
 }
 
+// hasEnded reports whether the process was told that it may end, and has ended.
 func (d *decommissioning) hasEnded() bool { return d.endedAt > 0 && !d.up }
 
+// A decommissioned process never returns, and its disk is gone. If it ended while some committed entry was on too few other
+// disks, the loss of one more disk could lose the entry.
 var _ = Describe("Decommission", func() {
 	const timeout = 4500 * time.Millisecond
 	var c *cluster
 
-	three := func(seed uint64) {
+	// startThree starts a cluster of three machines with the timing of control processes.
+	startThree := func(seed uint64) {
 		c = newCluster(seed, controlGroups)
 		c.heartbeat, c.election = controlHeartbeat, controlElection
 		c.startFirst(3)
 		c.awaitVoters("core-1", "core-2", "core-3")
 		c.proposeFor(2 * time.Second)
 	}
-	// others returns all machines except some.
+	// others returns all machines except the given ones.
 	others := func(except ...*machine) []*machine {
 		var list []*machine
 		for _, m := range c.machines {
@@ -59,9 +64,9 @@
 		return list
 	}
 
-	It("takes less than half a second in a healthy cluster, after which its disk and another may be lost", func() {
+	It("takes less than 400 ms in a healthy cluster, after which one of the two other disks may be lost", func() {
 		for seed := range uint64(20) {
-			three(seed)
+			startThree(seed)
 			leaving := c.machines[c.random.IntN(3)].decommission(timeout)
 			c.proposeFor(400 * time.Millisecond)
 			Expect(leaving.hasEnded()).To(BeTrue())
@@ -77,9 +82,9 @@
 		}
 	})
 
-	It("waits for a follower that lacks what only it and the leader have", func() {
+	It("waits for a follower that lacks entries which only the leaving process and the leader have", func() {
 		for seed := range uint64(10) {
-			three(seed)
+			startThree(seed)
 			leader := c.leader(0)
 			rest := others(leader)
 			behind, leaving := rest[0], rest[1]
@@ -87,16 +92,18 @@
 			c.commit(0, 20, 100)
 			exit := leaving.decommission(timeout)
 			c.proposeFor(2 * time.Second)
-			Expect(exit.hasEnded()).To(BeFalse(), "two of three disks have what is committed, and one of them is its own")
+			Expect(exit.hasEnded()).To(BeFalse(), "two of three disks have all that is committed, and one of the two is leaving")
 			behind.isolated = false
 			Expect(c.until(2*time.Second, exit.hasEnded)).To(BeTrue())
 			c.expectOnDisk(behind)
 		}
 	})
 
-	It("leaves nothing behind that was committed with its vote while the last approval was on its way", func() {
+	// An entry may be committed with the leaving process's vote while the last approval is on its way. Without the second
+	// phase, only the leader would have that entry when the process ends.
+	It("ends only when all that was committed with its vote is on the other disks, although one of them is slow", func() {
 		for seed := range uint64(30) {
-			three(seed)
+			startThree(seed)
 			leaving := c.machines[c.random.IntN(3)]
 			slow := others(leaving)[c.random.IntN(2)]
 			slow.diskDelay = 60 * time.Millisecond
@@ -104,16 +111,16 @@
 			for !exit.hasEnded() && c.now() < exit.startedAt+timeout {
 				c.proposeFor(10 * time.Millisecond)
 			}
-			Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "it was approved")
+			Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "the decommission was approved")
 			for _, m := range others(leaving) {
 				c.expectOnDisk(m)
 			}
 		}
 	})
 
-	It("waits until its successor, which still is a learner, replaces it", func() {
+	It("waits until its successor, which is still a learner, replaces it", func() {
 		for seed := range uint64(10) {
-			three(seed)
+			startThree(seed)
 			c.commit(0, 30, 100)
 			successor := c.add("core-4", "10.0.0.4:7380")
 			successor.diskDelay = 250 * time.Millisecond
@@ -122,7 +129,7 @@
 			Expect(c.voters(0)).NotTo(ContainElement("core-4"))
 			exit := c.machines[seed%3].decommission(timeout)
 			Expect(c.until(timeout, exit.hasEnded)).To(BeTrue())
-			Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "not because of the timeout")
+			Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "the process ends before the timeout")
 			for id := range GroupID(controlGroups) {
 				Expect(c.voters(id)).To(HaveLen(3))
 				Expect(c.voters(id)).To(ContainElement("core-4"))
@@ -130,9 +137,9 @@
 		}
 	})
 
-	It("waits until it is dropped where the number of voters is even", func() {
+	It("waits until the voter is dropped if the number of voters is even", func() {
 		for seed := range uint64(10) {
-			three(seed)
+			startThree(seed)
 			c.add("core-4", "10.0.0.4:7380").start(nil)
 			c.awaitVoters("core-1", "core-2", "core-3", "core-4")
 			exit := c.machines[seed%3].decommission(timeout)
@@ -147,12 +154,13 @@
 		}
 	})
 
-	It("approves one of two at once, and the other when the first is back", func() {
+	// Each of the two could be spared if the other one stayed. If both were approved, one disk would remain.
+	It("is approved for one of two processes at once, and for the other when the first is back", func() {
 		for seed := range uint64(10) {
-			three(seed)
+			startThree(seed)
 			first, second := c.machines[seed%3].decommission(timeout), c.machines[(seed+1)%3].decommission(timeout)
 			c.proposeFor(1500 * time.Millisecond)
-			Expect(first.hasEnded()).NotTo(Equal(second.hasEnded()), "one of them")
+			Expect(first.hasEnded()).NotTo(Equal(second.hasEnded()), "exactly one is approved")
 			if second.hasEnded() {
 				first, second = second, first
 			}
@@ -164,9 +172,9 @@
 		}
 	})
 
-	It("waits for the repair of a wiped machine while only the leader and it have everything", func() {
+	It("waits for the repair of a wiped machine while only the leader and the leaving process have everything", func() {
 		for seed := range uint64(10) {
-			three(seed)
+			startThree(seed)
 			c.commit(0, 30, 100)
 			leader := c.leader(0)
 			rest := others(leader)
@@ -180,9 +188,11 @@
 		}
 	})
 
-	It("campaigns where there is no leader, for it may be the only one with the newest entries", func() {
+	// The leader's disk is lost and the third member was isolated, so that the leaving process is the only one with the newest
+	// entries. If it did not campaign, no group would have a leader again.
+	It("lets the process campaign if there is no leader, since it may be the only one with the newest entries", func() {
 		for seed := range uint64(5) {
-			three(seed)
+			startThree(seed)
 			leader := c.leader(0)
 			rest := others(leader)
 			behind, leaving := rest[0], rest[1]
@@ -199,16 +209,16 @@
 		}
 	})
 
-	It("does not need its own disk", func() {
+	It("does not need the disk of the leaving process", func() {
 		for _, delay := range []time.Duration{syncDelay, time.Hour} {
 			for seed := range uint64(5) {
-				three(seed)
+				startThree(seed)
 				leaving := c.leader(0)
-				leaving.failing(syscall.EIO, "sync", "write", "create")
+				leaving.failCalls(syscall.EIO, "sync", "write", "create")
 				leaving.diskDelay = delay
 				exit := leaving.decommission(timeout)
 				c.proposeFor(timeout)
-				Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "not because of the timeout")
+				Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "the process ends before the timeout")
 				Expect(exit.hasEnded()).To(BeTrue())
 				for _, m := range others(leaving) {
 					c.expectOnDisk(m)
@@ -217,9 +227,9 @@
 		}
 	})
 
-	It("ignores approvals that arrived while it was frozen, since another disk may have been lost meanwhile", func() {
+	It("ignores approvals that arrived while the process was frozen, since another disk may have been lost since", func() {
 		for seed := range uint64(10) {
-			three(seed)
+			startThree(seed)
 			leaving := c.machines[seed%3]
 			exit := leaving.decommission(timeout)
 			Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.phase == quiesced })).To(BeTrue())
@@ -232,16 +242,16 @@
 			leaving.frozen = false
 			leaving.wake()
 			c.run(100 * time.Millisecond)
-			Expect(exit.hasEnded()).To(BeFalse(), "one of two disks with everything is its own")
+			Expect(exit.hasEnded()).To(BeFalse(), "only two disks have everything, and one of them is leaving")
 			Expect(c.until(timeout, exit.hasEnded)).To(BeTrue())
-			Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "not because of the timeout")
-			Expect(c.votes(wiped.engine.self.ID)).To(BeTrue())
+			Expect(exit.endedAt-exit.startedAt).To(BeNumerically("<", timeout), "the process ends before the timeout")
+			Expect(c.votesInAll(wiped.engine.self.ID)).To(BeTrue())
 			c.expectOnDisk(wiped)
 		}
 	})
 
-	It("ignores approvals for an earlier incarnation of its process", func() {
-		three(5)
+	It("ignores approvals for an earlier process on the same disk", func() {
+		startThree(5)
 		leaving := c.machines[0]
 		leaving.decommission(timeout)
 		Expect(c.until(time.Second, func() bool { return leaving.engine.decommission.phase == quiesced })).To(BeTrue())
@@ -264,13 +274,15 @@
 		Expect(leaving.engine.decommission.approved).To(BeEmpty())
 	})
 
-	DescribeTable("does not count a process that has ended, whatever messages of it arrive late",
+	// Late envelopes of a process that has ended make it look alive. If it counted, the next process could leave, and only the
+	// leader's disk would remain.
+	DescribeTable("does not count a voter that has ended, although its old envelopes arrive late:",
 		func(end func(m *machine)) {
 			for seed := range uint64(10) {
-				three(seed)
+				startThree(seed)
 				leader := c.leader(0)
 				first, second := others(leader)[0], others(leader)[1]
-				for id := range GroupID(controlGroups) { // one leads all of them, all the time
+				for id := range GroupID(controlGroups) { // make one machine lead all groups until the end
 					leader.recorders[id].defers = true
 					if c.leader(id) != leader {
 						c.moveLeadership(id, leader)
@@ -286,29 +298,29 @@
 				for range 100 {
 					c.deliver(record()[c.random.IntN(len(record()))])
 					c.run(20 * time.Millisecond)
-					Expect(next.hasEnded()).To(BeFalse(), "only the leader would remain")
+					Expect(next.hasEnded()).To(BeFalse(), "only the leader's disk would remain")
 				}
 			}
 		},
-		Entry("one that was decommissioned", func(m *machine) { m.decommission(timeout) }),
-		Entry("one that was killed", func(m *machine) { m.kill() }),
+		Entry("a voter that was decommissioned", func(m *machine) { m.decommission(timeout) }),
+		Entry("a voter that was killed", func(m *machine) { m.kill() }),
 	)
 
-	It("ends at its timeout, and takes part until then", func() {
-		three(3)
+	It("ends at its timeout if it is not approved, and the process votes until then", func() {
+		startThree(3)
 		rest := others(c.leader(0))
 		rest[0].kill()
 		exit := rest[1].decommission(timeout)
 		c.proposeFor(timeout - 500*time.Millisecond)
 		Expect(exit.hasEnded()).To(BeFalse())
-		Expect(c.allLed()).To(BeTrue(), "two of three still have leaders")
+		Expect(c.allLed()).To(BeTrue(), "with two of three voters every group still has a leader")
 		c.commit(0, 1, 10)
 		Expect(c.until(time.Second, exit.hasEnded)).To(BeTrue())
 		c.check()
 	})
 
-	It("ignores approvals of an earlier attempt, and of a leader of an earlier term", func() {
-		three(4)
+	It("ignores approvals of an earlier attempt, of a leader of an earlier term, and of an unknown group", func() {
+		startThree(4)
 		leaving := c.machines[0]
 		e := leaving.engine
 		for _, m := range c.machines[1:] {
@@ -331,7 +343,7 @@
 	})
 })
 
-// moveLeadership transfers a group's leadership to a machine.
+// moveLeadership transfers a group's leadership to a machine, and waits until it leads.
 func (c *cluster) moveLeadership(id GroupID, to *machine) {
 	GinkgoHelper()
 	from := c.leader(id)
@@ -340,8 +352,8 @@
 	Expect(c.until(time.Second, func() bool { return c.leader(id) == to })).To(BeTrue())
 }
 
-// expectOnDisk expects that a machine's disk alone has everything that was acknowledged, if the power fails now. The
-// disk is unusable afterwards.
+// expectOnDisk expects that a machine's disk has every acknowledged line if the power fails now. The machine must not use
+// the disk afterwards.
 func (c *cluster) expectOnDisk(m *machine) {
 	GinkgoHelper()
 	left := m.files.Crash(c.random)
@@ -355,7 +367,7 @@
 	}
 }
 
-// linesOf returns the lines in a group's snapshot and log.
+// linesOf returns the lines in the snapshot and the log of a group.
 func linesOf(stored *wal.Group) map[string]bool {
 	lines := map[string]bool{}
 	if stored == nil {
--- a/internal/cluster/replica/digest.go
+++ b/internal/cluster/replica/digest.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// digestTimeout is how long DigestAt waits for its entry.
+	// digestTimeout is the time after which DigestAt fails if its entry was not applied.
 	digestTimeout = time.Second
-	// maxDigests bounds the pending calls of DigestAt for one group.
+	// maxDigests is how many calls of DigestAt may be pending for one group.
 	maxDigests = 16
 )
 
-// Digester is a StateMachine with a digest of its state: equal states have equal digests, in every process.
+// Digester is an optional interface of a StateMachine. It lets members compare their states.
 type Digester interface {
+	// Digest returns a digest of the state. Equal states have equal digests in every process.
 	Digest() uint64
 }
 
@@ -25,8 +26,9 @@
 	done     func(digest uint64, err error)
 }
 
-// Digest returns a group's applied index and the digest of its state there, or false if the engine does not have the
-// group or its machine is no Digester. It must be called on the loop, and may take as long as a snapshot.
+// Digest returns the index of the newest entry that a group has applied, and the digest of its state. It returns false if
+// the engine does not have the group or the group's state machine is no Digester. It must be called on the loop, and may
+// take as long as a snapshot.
 func (e *Engine) Digest(id GroupID) (index, digest uint64, ok bool) {
 	g := e.byID[id]
 	if g == nil {
@@ -39,9 +41,14 @@
 	return g.appliedIndex, digester.Digest(), true
 }
 
-// DigestAt computes the digest of a group's state as of one index, so that members can be compared while entries are
-// being applied. done is called on the loop exactly once: with failure.Conflict if the state is beyond that index
-// already, with failure.Unavailable if it does not get there within digestTimeout or the machine is no Digester.
+// DigestAt computes the digest of a group's state right after the entry at an index was applied, so that members can be
+// compared while entries are being applied. The engine calls done on the loop exactly once:
+//   - with the digest;
+//   - with failure.Conflict, if a later entry was applied already;
+//   - with failure.Unavailable, if the entry is not applied within digestTimeout, the state machine is no Digester, or the
+//     engine ends;
+//   - with failure.Invalid, if the engine does not have the group;
+//   - with failure.Overloaded, if maxDigests calls are pending for the group.
 func (e *Engine) DigestAt(id GroupID, index uint64, done func(digest uint64, err error)) {
 	g := e.byID[id]
 	if g == nil {
@@ -49,14 +56,14 @@
 		return
 	}
 	if len(g.digests) >= maxDigests {
-		done(0, failure.New(failure.Overloaded, "too many digests are pending"))
+		done(0, failure.New(failure.Overloaded, "16 digests of this group are pending already"))
 		return
 	}
 	g.digests = append(g.digests, digestRequest{index: index, deadline: e.now + digestTimeout, done: done})
 	g.resolveDigests()
 }
 
-// resolveDigests calls back the requests for a digest at the index that is applied now, and those that failed.
+// resolveDigests resolves the requests for the index that was applied last, and those that have failed.
 func (g *group) resolveDigests() {
 	pending := g.digests
 	g.digests = nil
@@ -67,19 +74,19 @@
 		case g.appliedIndex == request.index:
 			_, digest, ok := g.engine.Digest(g.id)
 			if !ok {
-				request.done(0, failure.New(failure.Unavailable, "the state has no digest"))
+				request.done(0, failure.New(failure.Unavailable, "the group's state machine does not compute digests"))
 				continue
 			}
 			request.done(digest, nil)
 		case g.engine.now >= request.deadline:
-			request.done(0, failure.Newf(failure.Unavailable, "only entry %d is applied", g.appliedIndex))
+			request.done(0, failure.Newf(failure.Unavailable, "timeout: the newest applied entry is %d", g.appliedIndex))
 		default:
 			g.digests = append(g.digests, request)
 		}
 	}
 }
 
-// failDigests fails all pending requests when the engine ends.
+// failDigests fails all pending requests. The engine calls it when it ends.
 func (g *group) failDigests() {
 	pending := g.digests
 	g.digests = nil
--- a/internal/cluster/replica/disk_health.go
+++ b/internal/cluster/replica/disk_health.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// slowWriteTime is how long one write may take before the disk counts as unhealthy.
+	// The disk counts as unhealthy once a write takes slowWriteTime.
 	slowWriteTime = 500 * time.Millisecond
-	// writeRetryInterval is the time between two attempts of a write that fails.
+	// writeRetryInterval is the time from the failure of a write to its next attempt.
 	writeRetryInterval = 250 * time.Millisecond
-	// probeInterval is the time between two writes that only test whether an unhealthy disk has recovered.
+	// probeInterval is the time after which probe writes to an unhealthy disk to test whether it has recovered.
 	probeInterval = time.Second
-	// unhealthyCampaignTimeout is after how long without a leader a member with a slow disk campaigns all the same: a slow
+	// unhealthyCampaignTimeout is how long a group must have no leader before a member with a slow disk may campaign. A slow
 	// leader is better than none.
 	unhealthyCampaignTimeout = 4 * time.Second
-	// resignedCampaignTimeout is the same for a member that is about to end: it may be the only one with the newest
-	// entries.
+	// resignedCampaignTimeout is how long a group must have no leader before a member that has resigned may campaign. It may
+	// be the only one with the newest entries.
 	resignedCampaignTimeout = time.Second
 )
 
-// diskHealth is what the writer knows of the disk.
+// diskHealth is the health of the disk, judged by its writes.
 type diskHealth struct {
-	unhealthy bool          // writes fail, or take slowWriteTime or longer
+	unhealthy bool          // a write failed or took slowWriteTime or longer, and no write has been fast since
 	failing   bool          // the last write failed
-	retryAt   time.Duration // nothing is written before this
-	probeAt   time.Duration
-	writeTime time.Duration // of the slowest of the recent writes; older ones fade
+	retryAt   time.Duration // when the failed write may be retried; 0 if none has failed
+	probeAt   time.Duration // when probe may write next
+	writeTime time.Duration // how long a write takes: the longest recent time, which decays by 1/8 with each write
 }
 
-// recordWriteTime updates how long writes take, and passes it to the groups, whose elections have to wait for votes to
-// be written. It is limited to slowWriteTime: an unhealthy disk is no measure for timeouts.
+// recordWriteTime updates how long a write takes, and passes that to the groups' nodes, whose elections wait until votes
+// are written. The time is limited to slowWriteTime: an unhealthy disk must not lengthen timeouts without bound.
 func (w *writer) recordWriteTime(took time.Duration) {
 	w.health.writeTime = min(max(took, w.health.writeTime*7/8), slowWriteTime)
 	for _, g := range w.engine.groups {
@@ -39,27 +39,29 @@
 	}
 }
 
-// checkWriteTime marks the disk unhealthy if the write in progress takes too long.
+// checkWriteTime marks the disk as unhealthy once the write in progress has taken slowWriteTime.
 func (w *writer) checkWriteTime() {
-	if w.busy && !w.health.unhealthy && w.engine.now-w.inflight.started >= slowWriteTime {
-		w.noteUnhealthy()
+	if w.busy && !w.health.unhealthy && w.engine.now-w.inflight.startedAt >= slowWriteTime {
+		w.markUnhealthy()
 	}
 }
 
-// deadline returns when checkWriteTime or submit has something to do next.
+// deadline returns the time at which checkWriteTime has to look at the write in progress, or submit has to retry a failed
+// one. It is infinite if there is neither.
 func (w *writer) deadline() time.Duration {
 	switch {
 	case w.busy && !w.health.unhealthy:
-		return w.inflight.started + slowWriteTime
+		return w.inflight.startedAt + slowWriteTime
 	case !w.busy && w.inflight != nil:
 		return w.health.retryAt
 	default:
-		return never
+		return infinite
 	}
 }
 
-// noteUnhealthy stops this process from campaigning, and has maintain transfer the leaderships that it has.
-func (w *writer) noteUnhealthy() {
+// markUnhealthy marks the disk as unhealthy. If it was not before, this process stops campaigning, and maintain transfers
+// the leaderships that it has.
+func (w *writer) markUnhealthy() {
 	w.health.probeAt = w.engine.now + probeInterval
 	if w.health.unhealthy {
 		return
@@ -70,7 +72,8 @@
 	w.engine.maintainAt = w.engine.now
 }
 
-// recordSuccess records a write that succeeded, after which the disk may have recovered.
+// recordSuccess records that a write has succeeded, and how long it took. An unhealthy disk has recovered if the write was
+// faster than slowWriteTime.
 func (w *writer) recordSuccess(took time.Duration) {
 	w.recordWriteTime(took)
 	w.health.failing = false
@@ -87,8 +90,8 @@
 	w.engine.setCampaigns()
 }
 
-// probe now and then writes a hard state again to an unhealthy disk that has nothing else to write, to see whether it
-// has recovered.
+// probe tests every probeInterval whether an unhealthy disk has recovered. If there is nothing else to write, it writes an
+// unchanged hard state again; recordSuccess or recordFailure judges the outcome.
 func (w *writer) probe() {
 	idle := !w.busy && w.inflight == nil && w.pending.batch.Empty()
 	if !w.health.unhealthy || !idle || w.engine.now < w.health.probeAt || len(w.engine.groups) == 0 {
@@ -98,15 +101,17 @@
 	w.pending.batch.HardState(g.id, g.hardState)
 }
 
-// setCampaigns sets for each group whether its member may campaign.
+// setCampaigns tells each group's node whether it may campaign.
 func (e *Engine) setCampaigns() {
 	for _, g := range e.groups {
 		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 }
 
-// mayCampaign reports whether this member may campaign: not while its process avoids leadership, unless there has been
-// no leader for some time.
+// mayCampaign reports whether this member may campaign to become the leader:
+//   - never while writes fail, or while the process is quiesced for its decommission;
+//   - if the process has resigned or its disk is slow, only once the group has had no leader for some time;
+//   - otherwise always.
 func (g *group) mayCampaign() bool {
 	e := g.engine
 	switch {
--- a/internal/cluster/replica/disk_test.go
+++ b/internal/cluster/replica/disk_test.go
@@ -13,8 +13,8 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// failing makes calls of these kinds fail.
-func (m *machine) failing(err error, kinds ...string) {
+// failCalls makes calls of the file system of these kinds fail. A write that fails has written seven bytes.
+func (m *machine) failCalls(err error, kinds ...string) {
 	m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault {
 		if slices.Contains(kinds, call.Op) {
 			return vfstest.Fault{Err: err, Short: 7}
@@ -23,6 +23,7 @@
 	})
 }
 
+// leads returns the number of groups that the machine leads.
 func (m *machine) leads() int {
 	led := 0
 	for _, l := range m.recorders {
@@ -33,7 +34,7 @@
 	return led
 }
 
-// diskBytes returns the length of all files, and the number of segments.
+// diskBytes returns the length of all files together, and the number of segments.
 func (m *machine) diskBytes() (bytes, segments int) {
 	for name, content := range m.files.Files() {
 		bytes += len(content)
@@ -45,7 +46,9 @@
 }
 
 var _ = Describe("An unhealthy disk", func() {
-	DescribeTable("costs its machine all leaderships until it has recovered",
+	// A leader needs its disk for every entry. On an unhealthy disk it would block its groups, so others must lead until the
+	// disk has recovered.
+	DescribeTable("costs its machine all leaderships until it has recovered:",
 		func(begin, end func(*machine)) {
 			c := newCluster(11, 3)
 			c.startFirst(3)
@@ -62,7 +65,7 @@
 				c.commit(id, 5, 100)
 			}
 			c.run(20 * time.Second)
-			Expect(unhealthy.leads()).To(BeZero(), "and it leads nothing for as long as that lasts")
+			Expect(unhealthy.leads()).To(BeZero(), "the machine leads no group while its disk is unhealthy")
 
 			end(unhealthy)
 			c.run(5 * time.Second)
@@ -85,29 +88,32 @@
 			}
 			c.converge()
 		},
-		Entry("that is full",
-			func(m *machine) { m.failing(syscall.ENOSPC, "create", "write") },
+		Entry("a disk that is full",
+			func(m *machine) { m.failCalls(syscall.ENOSPC, "create", "write") },
 			func(m *machine) { m.files.SetOnCall(nil) }),
-		Entry("whose syncs fail",
-			func(m *machine) { m.failing(syscall.EIO, "sync") },
+		Entry("a disk whose syncs fail",
+			func(m *machine) { m.failCalls(syscall.EIO, "sync") },
 			func(m *machine) { m.files.SetOnCall(nil) }),
-		Entry("that refuses writes",
-			func(m *machine) { m.failing(syscall.EIO, "create", "write", "rename", "remove", "truncate") },
+		Entry("a disk on which all changes fail",
+			func(m *machine) { m.failCalls(syscall.EIO, "create", "write", "rename", "remove", "truncate") },
 			func(m *machine) { m.files.SetOnCall(nil) }),
-		Entry("that is slow",
+		Entry("a disk that is slow",
 			func(m *machine) { m.diskDelay = 1500 * time.Millisecond },
 			func(m *machine) { m.diskDelay = syncDelay }),
-		Entry("that hangs",
+		Entry("a disk that hangs",
 			func(m *machine) { m.diskDelay = time.Hour },
 			func(m *machine) {
 				m.diskDelay = syncDelay
+				// The write that hangs ends within a second.
 				for i := range m.cluster.events {
 					m.cluster.events[i].at = min(m.cluster.events[i].at, m.cluster.now()+time.Second)
 				}
 			}),
 	)
 
-	It("does not leave a group without a leader when it fails just after an election", func() {
+	// The disk fails after its machine was elected and before an entry of its term is committed. The machine has to give up a
+	// leadership that is not ready yet.
+	It("does not leave a group without a leader when it fails just after its machine was elected", func() {
 		for _, delay := range []time.Duration{syncDelay, time.Hour} {
 			c := newCluster(16, 1)
 			c.startFirst(3)
@@ -124,9 +130,9 @@
 				return elected != nil
 			})).To(BeTrue())
 			Expect(elected.engine.Status(0).Ready).To(BeFalse())
-			elected.failing(syscall.EIO, "create", "write", "sync")
+			elected.failCalls(syscall.EIO, "create", "write", "sync")
 			elected.diskDelay = delay
-			for i := range c.events { // what is at the disk now as well
+			for i := range c.events { // delays the writes in progress, too
 				c.events[i].at += delay
 			}
 			c.run(100 * time.Millisecond)
@@ -143,7 +149,7 @@
 		}
 	})
 
-	It("does not prevent a leadership as long as it is only slow and nobody else leads", func() {
+	It("does not keep its machine from leading if it is only slow and there is no other leader", func() {
 		c := newCluster(12, 1)
 		c.startFirst(3)
 		c.commit(0, 5, 100)
@@ -158,7 +164,9 @@
 		c.check()
 	})
 
-	It("does not leave a group without a leader when all disks are slow, so that a vote takes longer than an election timeout", func() {
+	// With two disks at 270 ms, a candidate's own vote and the other one's take longer than the election timeout of 320 ms.
+	// Elections that did not allow for that would never end.
+	It("does not leave a group without a leader when all disks are slow and votes take longer than an election timeout", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 5)
 			c.heartbeat, c.election = 75*time.Millisecond, 320*time.Millisecond
@@ -176,12 +184,12 @@
 			c.proposeFor(10 * time.Second)
 			Expect(c.until(2*time.Second, c.allLed)).To(BeTrue())
 			for id, term := range c.terms() {
-				Expect(term).To(BeNumerically("<=", terms[id]+1), "and keeps it, but for one planned transfer")
+				Expect(term).To(BeNumerically("<=", terms[id]+1), "no group changes its leader more than once")
 			}
 		}
 	})
 
-	It("counts as lost when synced data is damaged, and the machine joins as a new one", func() {
+	It("counts as lost if synced data is damaged, so that its machine joins as a new member", func() {
 		c := newCluster(13, 2)
 		c.startFirst(3)
 		c.commit(0, 20, 100)
@@ -203,7 +211,7 @@
 		Expect(damaged.files.Files()).To(HaveKey("data/damaged/identity"))
 	})
 
-	It("is an error when synced data is damaged and nobody else is there", func() {
+	It("makes Open fail if synced data is damaged and there is no other process to join", func() {
 		c := newCluster(14, 1)
 		c.startFirst(1)
 		c.commit(0, 20, 100)
@@ -221,32 +229,34 @@
 		Expect(err).To(MatchError(ContainSubstring(".segment")))
 	})
 
-	It("does not let an initial member start again under its identity when that is missing from its disk", func() {
+	// An initial member's ID depends only on its address. If a member without its identity file took that ID again, it could
+	// vote twice in a term.
+	It("does not let an initial member keep its ID if its identity file is missing", func() {
 		c := newCluster(15, 1)
 		c.startFirst(3)
 		c.commit(0, 5, 100)
 		c.converge()
-		robbed := c.machines[0]
-		old := robbed.engine.self.ID
-		robbed.kill()
-		all := robbed.files.Files()
+		initial := c.machines[0]
+		old := initial.engine.self.ID
+		initial.kill()
+		all := initial.files.Files()
 		delete(all, "data/identity")
-		robbed.files = vfstest.Of(all)
-		robbed.start(c.seeds)
-		Expect(robbed.engine.self.ID).NotTo(Equal(old))
+		initial.files = vfstest.Of(all)
+		initial.start(c.seeds)
+		Expect(initial.engine.self.ID).NotTo(Equal(old))
 		c.awaitVoters("core-1", "core-2", "core-3")
 		c.converge()
 	})
 })
 
 var _ = Describe("Snapshots", func() {
-	It("bound the use of disk and memory", func() {
+	It("limit the log on disk to half of DiskBytes, and the log in memory", func() {
 		c := newCluster(21, 2)
 		c.disk = 8 << 20
 		c.startFirst(3)
 		for i := range 3000 {
 			c.commit(GroupID(i%2), 1, 2000)
-			if i%100 == 0 { // the state stays small
+			if i%100 == 0 { // keep the state small
 				c.forget(0)
 				c.forget(1)
 			}
@@ -272,7 +282,7 @@
 		c.converge()
 	})
 
-	It("reach a new member and one that was away for long, over links that lose messages", func() {
+	It("arrive at a new member and at one that was isolated for long, over links that lose messages", func() {
 		c := newCluster(22, 2)
 		c.disk = 8 << 20
 		c.startFirst(3)
@@ -299,7 +309,8 @@
 		c.converge()
 	})
 
-	It("are made of an idle group that pins the log of busy ones", func() {
+	// The only entry of the idle group is in the oldest segment. Without a snapshot of that group, no segment could be removed.
+	It("are made of an idle group whose entries prevent the removal of segments", func() {
 		c := newCluster(23, 2)
 		c.disk = 8 << 20
 		c.startFirst(1)
@@ -314,12 +325,12 @@
 		c.converge()
 	})
 
-	It("that cannot be written are retried, and the log is kept", func() {
+	It("are written again if that failed, and the log stays until then", func() {
 		c := newCluster(24, 1)
 		c.disk = 8 << 20
 		c.startFirst(1)
 		only := c.machines[0]
-		only.failing(syscall.EIO, "rename")
+		only.failCalls(syscall.EIO, "rename")
 		c.commit(0, 1200, 1000)
 		Expect(only.engine.Status(0).FirstIndex).To(Equal(uint64(1)))
 		only.files.SetOnCall(nil)
--- a/internal/cluster/replica/driver.go
+++ b/internal/cluster/replica/driver.go
@@ -6,31 +6,30 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// DiskWork is a kind of work that a Driver's engine has for the disk. At most one of each kind is in progress, but
-// both kinds may be at once.
+// DiskWork is a kind of work that a Driver's engine gives to the disk. At most one piece of work of each kind is in
+// progress at a time; one of each kind may be.
 type DiskWork int
 
 // The kinds of disk work.
 const (
-	DiskAppend   DiskWork = iota // append to the log, and write snapshots received from a leader
-	DiskSnapshot                 // write a snapshot of this process's own state
+	DiskAppend   DiskWork = iota // write snapshots received from a leader, and append to the log
+	DiskSnapshot                 // write a snapshot of the state of one of this process's own state machines
 )
 
-// DriverOptions are what the caller does for a Driver.
+// DriverOptions are the functions by which a Driver uses its caller.
 type DriverOptions struct {
-	// Disk is called within a step. It must return at once and call work exactly once, later, and never while a step
-	// runs. All calls of the file system come from work; its outcome is handled by the next step.
+	// Disk is called during a step. It must return at once, and must call work exactly once at a later time, not during a
+	// step. Once OpenDriver has returned, only work calls the file system. The next step handles the outcome of the work.
 	Disk func(kind DiskWork, work func())
-	// Wake is called whenever a step is due at once: something was received, or given to Do. It is called by the goroutine
-	// that called Receive or Do, which may be in a step.
+	// Wake is called when a step is due at once, because the engine has received an envelope or a function. It is called
+	// by the caller of Receive or Do, so possibly during a step.
 	Wake func()
-	// DrawIdentity returns a unique identity for a member whose disk is empty; nil: a random one.
+	// DrawIdentity returns a unique ID for a member whose disk is empty; nil selects random IDs.
 	DrawIdentity func() (consensus.MemberID, error)
 }
 
-// Driver runs an engine without goroutines, in place of Engine.Run: the caller calls Step, carries out the work for
-// the disk, and sets the time through Options.Clock. Simulations run clusters this way, in one goroutine and in
-// virtual time.
+// Driver runs an engine without goroutines, in place of Engine.Run: the caller calls Step, does the work for the disk,
+// and sets the time through Options.Clock. This lets a simulation run a cluster in one goroutine and in virtual time.
 type Driver struct {
 	engine *Engine
 }
@@ -58,8 +57,8 @@
 // Engine returns the engine. Its Run must not be called.
 func (d *Driver) Engine() *Engine { return d.engine }
 
-// Step runs one step of the loop, and returns after what time the next one is due unless Wake is called before. After
-// an error the engine is unusable, as when Engine.Run returns one.
+// Step runs one step of the loop. It returns the time after which the next step is due, unless Wake is called before
+// that. After an error the engine must not be used any more, as after an error of Engine.Run.
 func (d *Driver) Step() (time.Duration, error) {
 	d.engine.step()
 	if d.engine.failed != nil {
@@ -69,9 +68,9 @@
 	return d.engine.untilNextStep(), nil
 }
 
-// Snapshot starts to replace a group's log by a snapshot, however short the log is. It reports whether it did: not if
-// there is nothing new, or a snapshot is being written already. It must be called on the loop, by a function given to
-// Do.
+// Snapshot starts to replace a group's log with a snapshot, however short the log is, and reports whether it did. It does
+// not if nothing was applied since the last snapshot, if the last attempt failed less than snapshotRetryInterval ago, or
+// while another snapshot is being written. It must be called on the loop, by a function given to Do.
 func (d *Driver) Snapshot(id GroupID) bool {
 	g := d.engine.byID[id]
 	return g != nil && !d.engine.writingSnapshot && g.startSnapshot()
--- a/internal/cluster/replica/driver_test.go
+++ b/internal/cluster/replica/driver_test.go
@@ -11,20 +11,21 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// nowhere loses all that is sent.
-type nowhere struct{}
+// discardSender is a Sender that loses all envelopes.
+type discardSender struct{}
 
-func (nowhere) Send(string, *Envelope) {}
+func (discardSender) Send(string, *Envelope) {}
 
-// driven is an engine of one member under a driver, whose disk work is done on request.
+// driven is an engine of one member under a Driver. The test decides when the work for the disk is done.
 type driven struct {
 	driver      *Driver
 	recorder    *recorder
 	clock       *clockwork.FakeClock
-	pendingWork map[DiskWork][]func()
-	woken       int
+	pendingWork map[DiskWork][]func() // work for the disk that is not done yet
+	woken       int                   // number of calls of Wake
 }
 
+// drive opens an engine on a disk.
 func drive(files *vfstest.Mem) *driven {
 	d := &driven{recorder: &recorder{}, clock: clockwork.NewFakeClock(), pendingWork: map[DiskWork][]func(){}}
 	driver, err := OpenDriver(Options{
@@ -33,7 +34,7 @@
 		Groups:     map[GroupID]StateMachine{0: d.recorder},
 		Self:       consensus.Member{Node: "core", Address: "core"},
 		Bootstrap:  []string{"core"},
-		Sender:     nowhere{},
+		Sender:     discardSender{},
 		Clock:      d.clock,
 	}, DriverOptions{
 		Disk: func(kind DiskWork, work func()) { d.pendingWork[kind] = append(d.pendingWork[kind], work) },
@@ -44,7 +45,7 @@
 	return d
 }
 
-// step takes a step, and lets the time pass until the next one is due.
+// step runs a step, and advances the time to the next one.
 func (d *driven) step() {
 	GinkgoHelper()
 	untilNext, err := d.driver.Step()
@@ -53,7 +54,7 @@
 	d.clock.Advance(untilNext)
 }
 
-// execute does the pending work for the disk.
+// execute does the pending work of a kind, and returns how many pieces there were.
 func (d *driven) execute(kind DiskWork) int {
 	works := d.pendingWork[kind]
 	d.pendingWork[kind] = nil
@@ -63,16 +64,17 @@
 	return len(works)
 }
 
+// lead runs steps until the engine leads its group.
 func (d *driven) lead() {
 	GinkgoHelper()
-	for turns := 0; d.recorder.leading == 0; turns++ {
-		Expect(turns).To(BeNumerically("<", 1000))
+	for steps := 0; d.recorder.leading == 0; steps++ {
+		Expect(steps).To(BeNumerically("<", 1000))
 		d.step()
 		d.execute(DiskAppend)
 	}
 }
 
-// propose proposes a line and returns whether it is done.
+// propose proposes a line. The result is set to true once the line is applied.
 func (d *driven) propose(line string) *bool {
 	done := false
 	d.driver.Engine().Do(func() {
@@ -85,7 +87,7 @@
 }
 
 var _ = Describe("A driver", func() {
-	It("commits nothing before its caller has done the work for the disk", func() {
+	It("does not commit a command before its caller has done the work for the disk", func() {
 		d := drive(&vfstest.Mem{})
 		d.lead()
 		d.step()
@@ -102,7 +104,7 @@
 		Expect(*done).To(BeTrue())
 	})
 
-	It("writes a snapshot on request", func() {
+	It("writes a snapshot on request, from which the next process starts", func() {
 		files := &vfstest.Mem{}
 		d := drive(files)
 		d.lead()
@@ -111,12 +113,12 @@
 			d.step()
 			d.execute(DiskAppend)
 		}
-		begun := []bool{}
+		started := []bool{}
 		d.driver.Engine().Do(func() {
-			begun = append(begun, d.driver.Snapshot(0), d.driver.Snapshot(0))
+			started = append(started, d.driver.Snapshot(0), d.driver.Snapshot(0))
 		})
 		d.step()
-		Expect(begun).To(Equal([]bool{true, false}), "one at a time")
+		Expect(started).To(Equal([]bool{true, false}), "one snapshot at a time")
 		Expect(d.execute(DiskSnapshot)).To(Equal(1))
 		for range 5 {
 			d.step()
@@ -126,14 +128,14 @@
 		Expect(overview.SnapshotIndex).To(Equal(overview.Applied))
 		files.EndProcess()
 		next := drive(files)
-		Expect(next.recorder.Lines).To(Equal([]string{"line"}), "the next process starts from it")
+		Expect(next.recorder.Lines).To(Equal([]string{"line"}), "the next process has the snapshot's state")
 	})
 
-	It("takes the identity for an empty disk from its caller", func() {
+	It("uses the ID that its caller draws for an empty disk", func() {
 		const identity = 77
 		driver, err := OpenDriver(Options{
 			FileSystem: &vfstest.Mem{}, Dir: "data", Groups: map[GroupID]StateMachine{0: &recorder{}},
-			Self: consensus.Member{Address: "core"}, Sender: nowhere{}, Clock: clockwork.NewFakeClock(),
+			Self: consensus.Member{Address: "core"}, Sender: discardSender{}, Clock: clockwork.NewFakeClock(),
 		}, DriverOptions{
 			Disk:         func(DiskWork, func()) {},
 			Wake:         func() {},
--- a/internal/cluster/replica/engine.go
+++ b/internal/cluster/replica/engine.go
@@ -12,41 +12,46 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// Engine runs this process's members of all groups. Receive, Do and Self may be called by any goroutine; all other methods
-// belong to the loop, see the package comment.
+// Engine runs this process's members of all groups. Any goroutine may call Receive, Do and Self; all other methods must
+// be called on the loop, see the package comment.
+//
+// All fields of type time.Duration in this package that name a time, such as now and the deadlines, are monotonic times
+// since Engine.started.
 type Engine struct {
 	options Options
 	self    consensus.Member
 	started time.Time
-	now     time.Duration // monotonic time of the present step, since started
+	now     time.Duration // time of the present step, see advance
 
-	groups      []*group
+	groups      []*group // by rising ID
 	byID        map[GroupID]*group
 	peers       *peers
 	outbox      *outbox
 	writer      *writer
-	lock        io.Closer
+	lock        io.Closer      // unlocks the folder
 	diskWorkers sync.WaitGroup // goroutines that use the disk
 	transfers   leadershipTransfers
 
-	decommission decommission // of this process
-	// approvedAt has the members whose decommission this process approved as a leader, and when.
+	decommission decommission // that of this process
+	// approvedAt has for each member the time at which this process, as a leader, last approved the member's decommission.
 	approvedAt map[consensus.MemberID]time.Duration
 
-	failed     error         // why the engine cannot go on; nil: it can
-	maintainAt time.Duration // when maintain is due
-	joinAt     time.Duration // when requestJoins is due
+	failed     error         // the error that ends the engine; nil if there is none
+	maintainAt time.Duration // when maintain is due next
+	joinAt     time.Duration // when requestJoins is due next
 
 	inbox          inbox
-	spareEnvelopes []*Envelope
-	spareFunctions []func()
+	spareEnvelopes []*Envelope // empty; the memory is for the inputs of a later step
+	spareFunctions []func()    // empty, likewise
 
-	// writingSnapshot is set while a snapshot of this process's own state is being written.
+	// writingSnapshot is set while a snapshot of the state of one of this process's own state machines is being written.
 	writingSnapshot bool
-	// background runs work off the loop, and then on the loop the function that it returns. Tests replace it.
+	// background calls work on another goroutine, and then calls on the loop the function that work returned. A Driver and
+	// tests replace it.
 	background func(work func() (then func()))
 }
 
+// newEngine returns an engine without groups.
 func newEngine(options Options, opened *disk) *Engine {
 	self := options.Self
 	self.ID = opened.identity.ID
@@ -70,13 +75,13 @@
 	return e
 }
 
-// addGroup starts this process's member of a group from what the disk has of it.
+// addGroup starts this process's member of a group from the state on the disk.
 func (e *Engine) addGroup(id GroupID, machine StateMachine, opened *disk) error {
 	restored := opened.restored(id)
 	g := newGroup(e, id, machine, restored)
 	if stored := opened.groups[id]; stored != nil && stored.Snapshot != nil {
 		if err := machine.Restore(stored.Snapshot.Data); err != nil {
-			return errors.Wrapf(err, "restore group %d", id)
+			return errors.Wrapf(err, "restore group %d from the snapshot on disk", id)
 		}
 	}
 	e.groups = append(e.groups, g)
@@ -84,9 +89,9 @@
 	return nil
 }
 
-// Run runs the loop. It returns nil after ctx has ended, or an error if a state machine cannot restore a snapshot of
-// its group; the engine is unusable from then on. Before it returns it fails all pending calls, and waits up to
-// diskCloseTimeout for the disk.
+// Run runs the loop until ctx ends, and then returns nil. It returns an error if a state machine cannot restore a
+// snapshot of its group. Before it returns, it fails all pending calls, and waits for the disk for diskCloseTimeout at
+// most. The engine must not be used afterwards.
 func (e *Engine) Run(ctx context.Context) error {
 	_ = level.Info(e.options.Logger).Log("msg", "replica engine started", "id", uint64(e.self.ID), "address", e.self.Address,
 		"groups", len(e.groups))
@@ -111,18 +116,18 @@
 	}
 }
 
-// failPending fails all pending calls when the engine ends.
+// failPending fails the pending calls of all groups. The engine calls it when it ends.
 func (e *Engine) failPending() {
 	for _, g := range e.groups {
 		g.failPending()
 	}
 }
 
-// diskCloseTimeout is how long Run waits for the disk when it ends.
+// diskCloseTimeout is how long Run waits at its end for writes that are in progress.
 const diskCloseTimeout = 2 * time.Second
 
-// closeDisk waits for writes in progress and releases the folder's lock. If the disk hangs, the folder stays locked
-// until the process ends.
+// closeDisk stops the disk's goroutine, waits for writes in progress, and unlocks the folder. If a write takes longer
+// than diskCloseTimeout, the folder stays locked until the write returns or the process ends.
 func (e *Engine) closeDisk(stopDisk func()) {
 	stopDisk()
 	closed := make(chan struct{})
@@ -139,11 +144,10 @@
 	}
 }
 
-// Now returns the time of the present step of the loop, since Open. All that the step handles had arrived by then.
+// Now returns the time of the present step of the loop, counted from Open. All inputs of the step had arrived by then.
 func (e *Engine) Now() time.Duration { return e.now }
 
-// Status returns what this process knows of a group. The zero Status is returned for a group that the engine does not
-// have.
+// Status returns the status of this process's member of a group, or the zero Status if the engine does not have the group.
 func (e *Engine) Status(id GroupID) consensus.Status {
 	if g := e.byID[id]; g != nil {
 		return g.node.Status()
@@ -156,5 +160,5 @@
 	return e.peers.address(e.Status(id).Leader)
 }
 
-// Members returns a group's members as this process knows them.
+// Members returns the members of a group by the newest membership in this process's log, committed or not.
 func (e *Engine) Members(id GroupID) []consensus.Member { return e.Status(id).Members }
--- a/internal/cluster/replica/engine_test.go
+++ b/internal/cluster/replica/engine_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// idle is the length of a time without proposals.
+// idle is how long some specs let the cluster run without proposals.
 const idle = 10 * time.Second
 
 var _ = Describe("Engine", func() {
@@ -25,7 +25,7 @@
 		c.converge()
 	})
 
-	It("adds machines beyond the seeds as members, and balances the leaderships", func() {
+	It("adds machines that are not seeds as members, and balances the leaderships", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 5)
 			c.startFirst(5)
@@ -36,14 +36,14 @@
 			for id := range GroupID(5) {
 				leaders[c.leader(id)] = true
 			}
-			Expect(leaders).To(HaveLen(5), "each leads one group")
+			Expect(leaders).To(HaveLen(5), "each machine leads one group")
 			terms := c.terms()
 			c.run(30 * time.Second)
-			Expect(c.terms()).To(Equal(terms), "and then it stays so")
+			Expect(c.terms()).To(Equal(terms), "balanced leaderships are not transferred any more")
 		}
 	})
 
-	It("balances no leadership that its state machine defers, but transfers it when it resigns", func() {
+	It("balances no leadership that its state machine defers, but transfers it when the process resigns", func() {
 		c := newCluster(2, 5)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -57,17 +57,17 @@
 				led.wake()
 			}
 		}
-		Expect(c.until(5*time.Second, leads(first))).To(BeTrue(), "one leads all")
+		Expect(c.until(5*time.Second, leads(first))).To(BeTrue(), "one machine leads all groups")
 		for _, l := range first.recorders {
 			l.defers = true
 		}
 		c.run(30 * time.Second)
 		Expect(first.leads()).To(Equal(c.groups))
 		first.recorders[0].defers, first.recorders[1].defers = false, false
-		Expect(c.until(30*time.Second, func() bool { return !leads(first)() })).To(BeTrue(), "one is deferred no longer")
+		Expect(c.until(30*time.Second, func() bool { return !leads(first)() })).To(BeTrue(), "a leadership is balanced that is no longer deferred")
 		first.engine.Do(func() { first.engine.Resign(func() {}) })
 		first.wake()
-		Expect(c.until(5*time.Second, func() bool { return first.leads() == 0 })).To(BeTrue(), "none is deferred when it resigns")
+		Expect(c.until(5*time.Second, func() bool { return first.leads() == 0 })).To(BeTrue(), "nothing is deferred when the process resigns")
 	})
 
 	It("forms a group of a single member", func() {
@@ -78,10 +78,10 @@
 		c.machines[0].losePower()
 		c.machines[0].start(nil)
 		c.converge()
-		c.confirmed(0)
+		c.expectConfirmation(0)
 	})
 
-	It("goes on when a leader is lost, and adds it again", func() {
+	It("commits again within 4 s after a leader is killed, whose log becomes equal after its restart", func() {
 		c := newCluster(3, 2)
 		c.startFirst(3)
 		c.commit(0, 5, 10)
@@ -94,7 +94,7 @@
 		c.converge()
 	})
 
-	It("recovers from the disks when all are killed at once", func() {
+	It("recovers everything from the disks after all processes are killed or lose power at once", func() {
 		for seed := range uint64(20) {
 			c := newCluster(seed, 5)
 			c.startFirst(5)
@@ -121,6 +121,8 @@
 		}
 	})
 
+	// Two of three machines have lost their disks, and with them their votes and entries. If they could vote under their old
+	// IDs, they could elect a leader without the committed entries.
 	It("does not let a wiped machine vote before it is a member again", func() {
 		c := newCluster(4, 2)
 		c.startFirst(3)
@@ -131,7 +133,7 @@
 			m.start(nil)
 		}
 		c.run(30 * time.Second)
-		Expect(c.leader(0)).To(BeNil(), "two of three have lost their votes and entries")
+		Expect(c.leader(0)).To(BeNil(), "no leader can be elected without a quorum of the old members")
 	})
 
 	It("adds a wiped machine again within seconds", func() {
@@ -153,7 +155,7 @@
 			Expect(c.now() - back).To(BeNumerically("<", 4*time.Second))
 			Expect(wiped.engine.self.ID).NotTo(Equal(old))
 			c.converge()
-			other := c.machines[(slotOf(c, wiped)+1)%3]
+			other := c.machines[(indexOf(c, wiped)+1)%3]
 			other.kill()
 			c.commit(0, 1, 10)
 			c.check()
@@ -180,7 +182,7 @@
 		Entry("of another name", "core-9"),
 	)
 
-	It("adds a machine again that was replaced while it was away", func() {
+	It("adds a machine again that was replaced while it was isolated", func() {
 		c := newCluster(6, 3)
 		c.startFirst(3)
 		c.commit(1, 5, 10)
@@ -194,7 +196,7 @@
 		c.converge()
 	})
 
-	It("drops a voter that is gone for good, if enough remain", func() {
+	It("drops a voter that has been down for voterTimeout, if enough remain", func() {
 		c := newCluster(7, 2)
 		c.startFirst(5)
 		c.awaitVoters("core-1", "core-2", "core-3", "core-4", "core-5")
@@ -205,7 +207,7 @@
 		c.awaitVoters("core-1", "core-2", "core-3", "core-4")
 	})
 
-	It("follows a machine that returns with its disk at another address", func() {
+	It("corrects the address of a machine that returns with its disk at another address", func() {
 		c := newCluster(8, 2)
 		c.startFirst(3)
 		c.commit(0, 5, 10)
@@ -226,15 +228,15 @@
 		c.awaitVoters("core-1", "core-2", "core-3")
 	})
 
-	It("runs few steps and sends little when idle", func() {
+	It("runs fewer than 150 steps and sends fewer than 90 envelopes per second on each machine when idle", func() {
 		c := newCluster(9, 5)
 		c.startFirst(5)
 		c.run(20 * time.Second)
-		turns, sent := c.steps, c.sent
+		steps, sent := c.steps, c.sent
 		c.run(idle)
-		perMachine := float64(c.steps-turns) / 5 / idle.Seconds()
+		perMachine := float64(c.steps-steps) / 5 / idle.Seconds()
 		envelopes := float64(c.sent-sent) / 5 / idle.Seconds()
-		GinkgoWriter.Println("turns a second", perMachine, "envelopes a second", envelopes)
+		GinkgoWriter.Println("per machine and second: steps", perMachine, "envelopes", envelopes)
 		Expect(perMachine).To(BeNumerically("<", 150))
 		Expect(envelopes).To(BeNumerically("<", 90))
 	})
@@ -246,7 +248,7 @@
 		c.startFirst(3)
 		c.awaitLeaders()
 		c.run(time.Second)
-		follower := c.machines[(slotOf(c, c.leader(0))+1)%3]
+		follower := c.machines[(indexOf(c, c.leader(0))+1)%3]
 		var outcome error
 		follower.engine.Propose(0, []byte("x"), func(_ any, err error) { outcome = err })
 		Expect(failure.KindOf(outcome)).To(Equal(failure.NotLeader))
@@ -255,7 +257,7 @@
 		Expect(failure.KindOf(outcome)).To(Equal(failure.NotLeader))
 	})
 
-	It("fails with an unknown outcome when leadership is lost", func() {
+	It("fails once with failure.UnknownOutcome if leadership is lost", func() {
 		c := newCluster(2, 1)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -274,18 +276,18 @@
 	})
 })
 
-var _ = Describe("Confirm", func() {
-	It("succeeds quickly at a leader", func() {
+var _ = Describe("ConfirmLeadership", func() {
+	It("succeeds within 40 ms at a leader", func() {
 		c := newCluster(1, 1)
 		c.startFirst(3)
 		c.awaitLeaders()
 		c.run(time.Second)
 		before := c.now()
-		c.confirmed(0)
+		c.expectConfirmation(0)
 		Expect(c.now() - before).To(BeNumerically("<", 40*time.Millisecond))
 	})
 
-	It("fails within about a second at a leader that is cut off", func() {
+	It("fails within 1.2 s at a leader that is isolated", func() {
 		c := newCluster(2, 1)
 		c.startFirst(3)
 		c.awaitLeaders()
@@ -301,7 +303,7 @@
 		Expect(failure.KindOf(outcome)).To(Equal(failure.NotLeader))
 	})
 
-	It("never confirms a leader that was frozen while another was elected", func() {
+	It("fails at a leader that was frozen while another was elected", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 1)
 			c.startFirst(3)
@@ -325,20 +327,20 @@
 })
 
 var _ = Describe("Resign", func() {
-	It("transfers all leaderships quickly, and regains none", func() {
+	It("transfers all leaderships within 300 ms, and the process gets none back", func() {
 		for seed := range uint64(10) {
 			c := newCluster(seed, 5)
 			c.startFirst(3)
 			c.awaitLeaders()
 			c.run(3 * time.Second)
 			leaving := c.leader(GroupID(c.random.IntN(5)))
-			begun, done := c.now(), time.Duration(0)
+			startedAt, done := c.now(), time.Duration(0)
 			leaving.engine.Do(func() {
 				leaving.engine.Resign(func() { done = c.now() })
 			})
 			leaving.wake()
 			Expect(c.until(2*time.Second, func() bool { return done > 0 })).To(BeTrue())
-			Expect(done - begun).To(BeNumerically("<", 300*time.Millisecond))
+			Expect(done - startedAt).To(BeNumerically("<", 300*time.Millisecond))
 			c.awaitLeaders()
 			c.run(idle)
 			for id := range GroupID(5) {
@@ -351,7 +353,7 @@
 		}
 	})
 
-	It("ends after a timeout when there is no other process", func() {
+	It("ends after resignTimeout if there is no other process", func() {
 		c := newCluster(1, 1)
 		c.startFirst(1)
 		c.awaitLeaders()
@@ -363,7 +365,8 @@
 	})
 })
 
-func slotOf(c *cluster, m *machine) int {
+// indexOf returns the position of a machine in its cluster.
+func indexOf(c *cluster, m *machine) int {
 	for i := range c.machines {
 		if c.machines[i] == m {
 			return i
--- a/internal/cluster/replica/exposure_test.go
+++ b/internal/cluster/replica/exposure_test.go
@@ -7,10 +7,10 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// disks is what would be left if all machines lost power now.
+// disks has the disks that would be left if all machines lost power now, by the IDs of their members.
 type disks map[consensus.MemberID]*machine
 
-// disksOf returns the disks of the machines that are not removed for good.
+// disksOf returns the disks of all machines but the removed one.
 func (c *cluster) disksOf(removed *machine) disks {
 	left := disks{}
 	for _, m := range c.machines {
@@ -21,8 +21,8 @@
 	return left
 }
 
-// oneLossIsFatal reports whether the loss of some one disk, while all other machines lose power, would leave a group
-// without any member that can be elected.
+// oneLossIsFatal reports whether there is a disk whose loss, while all other machines lose power, would leave a group
+// without a member that can be elected.
 func (d disks) oneLossIsFatal(groups int) bool {
 	for lost := range d {
 		for id := range GroupID(groups) {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// electable reports whether a member of the group can be elected without the disk of one.
+// electable reports whether some member of the group can be elected after the disk of the lost one is gone.
 func (d disks) electable(id GroupID, lost consensus.MemberID) bool {
 	for candidate, m := range d {
 		if candidate != lost && d.wins(id, candidate, m, lost) {
@@ -44,8 +44,9 @@
 	return false
 }
 
-// wins reports whether a candidate gets a quorum by the membership on its own disk. One that this leaves out campaigns
-// as well, without counting itself, as long as it doesn't know the membership to be committed.
+// wins reports whether a candidate gets the votes of a quorum of the membership on its own disk. Voters grant their votes
+// if the candidate's log is at least as up-to-date as theirs. A candidate that this membership removes may campaign too,
+// without counting its own vote, as long as it does not know that the membership is committed.
 func (d disks) wins(id GroupID, candidate consensus.MemberID, m *machine, lost consensus.MemberID) bool {
 	own := m.durable[id]
 	node := m.engine.byID[id].node
@@ -60,14 +61,14 @@
 	})
 }
 
-// stopwatch sums up the time during which a condition holds.
+// stopwatch measures for how long a condition holds in total.
 type stopwatch struct {
-	at      time.Duration
-	running bool
+	at      time.Duration // time of the last observation
+	running bool          // the condition has held since then
 	summed  time.Duration
 }
 
-// observe sets whether the condition holds from now on.
+// observe records whether the condition holds from now on.
 func (s *stopwatch) observe(now time.Duration, condition bool) {
 	if s.running {
 		s.summed += now - s.at
--- a/internal/cluster/replica/group.go
+++ b/internal/cluster/replica/group.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxAppendBytes     = 256 << 10 // of entries in one append, approximately
-	maxInflight        = 16        // unanswered appends to one member
-	snapshotChunkBytes = 256 << 10 // of a snapshot in one message, at most
+	maxAppendBytes     = 256 << 10 // about how many bytes of entries one append message has at most
+	maxInflight        = 16        // how many appends to one member may be unacknowledged at once
+	snapshotChunkBytes = 256 << 10 // how many bytes of a snapshot one message has at most
 )
 
 // group is this process's member of one group.
@@ -20,30 +20,31 @@
 	engine   *Engine
 	id       GroupID
 	machine  StateMachine
-	observer LeadershipObserver // nil: the machine is none
+	observer LeadershipObserver // the machine, or nil if it is no LeadershipObserver
 	node     *consensus.Node
 
-	appliedIndex uint64
-	appliedTerm  uint64
-	leadingTerm  uint64 // the term in which the machine leads and was notified of it; 0: it does not lead
+	appliedIndex uint64 // index of the newest entry that was applied to the machine, or that its snapshot covers
+	appliedTerm  uint64 // term of that entry
+	leadingTerm  uint64 // the term in which this member leads and has notified the machine of it; 0 if it does not lead
 	hardState    consensus.HardState
 
 	proposals     []proposal // by rising index, all of one term
 	confirmations []confirmation
 	digests       []digestRequest
 
-	submittedIndex     uint64 // of the newest entry that was submitted to the disk
-	submittedTerm      uint64
-	lastWrite          uint64 // number of the newest disk write with anything of this group
-	lastHardStateWrite uint64 // number of the newest disk write with a hard state of this group
+	submittedIndex     uint64 // index of the newest entry that was given to the writer
+	submittedTerm      uint64 // term of that entry
+	lastWrite          uint64 // number of the newest disk write that has anything of this group
+	lastHardStateWrite uint64 // number of the newest disk write that has a hard state of this group
 
 	snapshots      snapshotState
-	joiners        map[consensus.MemberID]joiner
-	catchUps       map[consensus.MemberID]*catchUp // of the members, while this process leads
-	leaderSeenAt   time.Duration                   // when a leader was last known
-	lastTransferAt time.Duration                   // when a leadership transfer was last started; 0: never
+	joiners        map[consensus.MemberID]joiner   // requests to join that this leader has not granted yet
+	catchUps       map[consensus.MemberID]*catchUp // how far this leader's members have caught up
+	leaderSeenAt   time.Duration                   // when this member last knew a leader
+	lastTransferAt time.Duration                   // when a leadership transfer was last started; 0 if none was
 }
 
+// newGroup starts a group's node from the state on the disk. The caller restores the machine.
 func newGroup(e *Engine, id GroupID, machine StateMachine, restored consensus.Restored) *group {
 	g := &group{engine: e, id: id, machine: machine, hardState: restored.HardState}
 	g.observer, _ = machine.(LeadershipObserver)
@@ -71,7 +72,8 @@
 	return g
 }
 
-// applyOutput carries out a node's output, in the order that consensus.Output requires.
+// applyOutput carries out a node's output, in the order that consensus.Output requires: it installs the snapshot, gives
+// the writer what is to be written, sends the messages that don't depend on the disk, and applies committed entries.
 func (g *group) applyOutput(output consensus.Output) {
 	if output.Snapshot != nil {
 		g.install(output.Snapshot)
@@ -91,6 +93,7 @@
 	}
 }
 
+// hasMembership reports whether one of the entries changes the membership.
 func hasMembership(entries []consensus.Entry) bool {
 	for i := range entries {
 		if entries[i].Kind == consensus.EntryMembership {
@@ -100,10 +103,10 @@
 	return false
 }
 
-// install replaces the machine's state by a leader's snapshot.
+// install replaces the machine's state with the snapshot that a leader has sent. An error ends the engine.
 func (g *group) install(snapshot *consensus.Snapshot) {
 	if err := g.machine.Restore(snapshot.Data); err != nil {
-		g.engine.failed = errors.Wrapf(err, "restore group %d at %d", g.id, snapshot.Index)
+		g.engine.failed = errors.Wrapf(err, "restore group %d from the leader's snapshot at index %d", g.id, snapshot.Index)
 		return
 	}
 	g.appliedIndex, g.appliedTerm = snapshot.Index, snapshot.Term
@@ -113,11 +116,11 @@
 		"bytes", len(snapshot.Data))
 }
 
-// apply applies a committed entry to the machine, and passes the result to the proposer if that is in this process.
+// apply applies a committed entry to the machine. If this process proposed the entry, it passes the result to the proposer.
 func (g *group) apply(entry *consensus.Entry) {
 	g.appliedIndex, g.appliedTerm = entry.Index, entry.Term
 	if entry.Kind == consensus.EntryMembership {
-		g.engine.maintainAt = g.engine.now // the next membership change may be due
+		g.engine.maintainAt = g.engine.now // the next change of the membership may be possible now
 	}
 	if entry.Kind == consensus.EntryCommand {
 		result := g.machine.Apply(entry.Index, entry.Term, entry.Data)
@@ -128,8 +131,8 @@
 	}
 }
 
-// updateLeadership notifies the machine, and fails pending calls, when this member became the leader or lost
-// leadership. It reports whether either happened.
+// updateLeadership checks whether this member has become the leader or has lost leadership. If so, it notifies the
+// machine and returns true. When leadership is lost it also fails the pending calls that need it.
 func (g *group) updateLeadership() bool {
 	status := g.node.Status()
 	if status.Leader != consensus.None {
@@ -147,6 +150,7 @@
 	return changed
 }
 
+// startLeading starts the leadership of this member in a term, and notifies the machine.
 func (g *group) startLeading(term uint64) {
 	g.leadingTerm = term
 	clear(g.joiners)
@@ -157,6 +161,7 @@
 	}
 }
 
+// stopLeading ends the leadership of this member: it fails the calls that need leadership, and notifies the machine.
 func (g *group) stopLeading() {
 	term := g.leadingTerm
 	g.leadingTerm = 0
@@ -168,7 +173,7 @@
 	}
 }
 
-// failPending fails all pending calls of the group when the engine ends.
+// failPending fails all pending calls of the group. The engine calls it when it ends.
 func (g *group) failPending() {
 	g.failDigests()
 	if g.leadingTerm != 0 {
--- a/internal/cluster/replica/inbox.go
+++ b/internal/cluster/replica/inbox.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// inbox collects what other goroutines give the loop until its next step.
+// inbox collects the inputs of the loop's next step. Any goroutine may add inputs.
 type inbox struct {
 	mutex     sync.Mutex
 	envelopes []*Envelope
 	functions []func()
-	wake      chan struct{} // has an element if there is any input
-	notify    func()        // nil: an element is put into wake instead
+	wake      chan struct{} // of capacity 1; has an element if an input was added since the loop last received from it
+	notify    func()        // called for each input in place of a send to wake, if it is not nil
 }
 
-// Receive takes an envelope from another process. Any goroutine may call it. The envelope belongs to the engine from
-// then on.
+// Receive gives the engine an envelope from another process. Any goroutine may call it. The caller must not use the
+// envelope afterwards.
 func (e *Engine) Receive(envelope *Envelope) {
 	e.inbox.mutex.Lock()
 	e.inbox.envelopes = append(e.inbox.envelopes, envelope)
@@ -20,8 +20,8 @@
 	e.inbox.signal()
 }
 
-// Do runs f on the loop, after every function that was given to Do before. Any goroutine may call it. Functions given
-// after Run has returned never run.
+// Do has the loop call f in its next step. Functions run in the order of the calls of Do. Any goroutine may call Do. A
+// function that the loop has not run when Run returns never runs.
 func (e *Engine) Do(f func()) {
 	e.inbox.mutex.Lock()
 	e.inbox.functions = append(e.inbox.functions, f)
@@ -29,6 +29,7 @@
 	e.inbox.signal()
 }
 
+// signal wakes the loop.
 func (i *inbox) signal() {
 	if i.notify != nil {
 		i.notify()
@@ -40,7 +41,7 @@
 	}
 }
 
-// take returns all inputs, and leaves the given empty slices to collect the next ones in.
+// take returns all inputs. The inbox collects the next inputs in the given slices, which must be empty.
 func (i *inbox) take(envelopes []*Envelope, functions []func()) ([]*Envelope, []func()) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/cluster/replica/joins.go
+++ b/internal/cluster/replica/joins.go
@@ -8,37 +8,40 @@
 )
 
 const (
-	// joinInterval is the time between two requests of a process that is no member, correctionInterval of a member.
-	joinInterval       = 250 * time.Millisecond
+	// joinInterval is the time between two requests to join by a process that is not a member.
+	joinInterval = 250 * time.Millisecond
+	// correctionInterval is the time between two requests by a member, whose node, zone or address is outdated or which
+	// may have been dropped.
 	correctionInterval = time.Second
-	// joinRequestLifetime is for how long a request counts.
+	// joinRequestLifetime is the time after which a leader forgets a request that was not repeated.
 	joinRequestLifetime = 2 * time.Second
-	// rejoinTimeout is after how long without a leader a member requests to join again: it may have been dropped.
+	// rejoinTimeout is how long a member must have known no leader before it requests to join again: the group may have
+	// dropped it.
 	rejoinTimeout = 3 * time.Second
-	// maxJoinTargets is to how many processes a request is sent at once.
+	// maxJoinTargets is the number of processes to which a request is sent at once.
 	maxJoinTargets = 8
 )
 
-// joiner is a process that requests to join, or to have its node, zone or address corrected.
+// joiner is a process that requests to join a group, or a member that requests to have its node, zone or address corrected.
 type joiner struct {
 	member     consensus.Member
-	receivedAt time.Duration
+	receivedAt time.Duration // when the newest request was received
 }
 
-// SetPeers replaces the internal addresses to which requests to join are sent, besides those of the known members.
+// SetPeers replaces the addresses of Options.Peers, to which requests to join are sent in addition to the known members.
 func (e *Engine) SetPeers(addresses []string) { e.options.Peers = addresses }
 
-// requestJoins requests to join each group that this process is no member of, or that has an outdated node, zone or
-// address for it.
+// requestJoins sends requests for the groups of which this process is not a member, that have an outdated node, zone or
+// address for it, or that may have dropped it. A process that resigns sends none.
 func (e *Engine) requestJoins() {
 	if e.now < e.joinAt || e.transfers.resigning {
 		return
 	}
-	interval := never
+	interval := infinite
 	var joins []Join
 	for _, g := range e.groups {
-		if own := g.joinRequestInterval(); own != never {
-			interval = min(interval, own)
+		if required := g.joinRequestInterval(); required != infinite {
+			interval = min(interval, required)
 			joins = append(joins, Join{Group: g.id, Member: e.self})
 		}
 	}
@@ -53,28 +56,30 @@
 	}
 }
 
-// joinRequestInterval returns how often this process requests to join the group; never if there is nothing to request.
+// joinRequestInterval returns the time between two requests for this group. It is infinite if there is nothing to request.
+// A leader requests no correction, since it corrects its own data, see correctMember.
 func (g *group) joinRequestInterval() time.Duration {
 	status := g.node.Status()
-	me := slices.IndexFunc(status.Members, func(m consensus.Member) bool { return m.ID == g.engine.self.ID })
+	own := slices.IndexFunc(status.Members, func(m consensus.Member) bool { return m.ID == g.engine.self.ID })
 	switch {
-	case me < 0:
+	case own < 0:
 		return joinInterval
-	case !sameMachine(status.Members[me], g.engine.self) && !status.IsLeader:
+	case !sameMachine(status.Members[own], g.engine.self) && !status.IsLeader:
 		return correctionInterval
 	case g.engine.now-g.leaderSeenAt >= rejoinTimeout:
 		return correctionInterval
 	default:
-		return never
+		return infinite
 	}
 }
 
+// sameMachine reports whether two members have the same node, zone and address.
 func sameMachine(a, b consensus.Member) bool {
 	return a.Node == b.Node && a.Zone == b.Zone && a.Address == b.Address
 }
 
-// joinTargets returns the addresses to which requests to join are sent: those of the options and of all known peers.
-// If there are too many, they take turns.
+// joinTargets returns the addresses to which requests to join are sent now: those in the options and those of all known
+// peers. If there are more than maxJoinTargets, it returns another range of them in each joinInterval.
 func (e *Engine) joinTargets() []string {
 	targets := slices.Concat(e.options.Peers, e.options.Bootstrap)
 	for id := range e.peers.known {
@@ -88,12 +93,13 @@
 	if len(targets) <= maxJoinTargets {
 		return targets
 	}
-	first := int(e.now/joinInterval) % len(targets)
-	rotated := slices.Concat(targets[first:], targets[:first])
+	start := int(e.now/joinInterval) % len(targets)
+	rotated := slices.Concat(targets[start:], targets[:start])
 	return rotated[:maxJoinTargets]
 }
 
-// handleJoin records a process that requests to join, or forwards the request to the leader.
+// handleJoin handles a request to join. The leader records it for the next review of the membership; another member
+// forwards it to the leader, but not a request that was forwarded already.
 func (e *Engine) handleJoin(join *Join) {
 	g := e.byID[join.Group]
 	if g == nil || join.Member.ID == consensus.None || join.Member.ID == e.self.ID {
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -13,21 +13,22 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// forget is a line that makes a recorder drop all lines before it.
+// forget is a command that makes a recorder drop all lines before it.
 const forget = "forget"
 
-// recorder is a state machine that records the first word of each command.
+// recorder is a state machine that records the first word of each command, which is called a line.
 type recorder struct {
 	Lines    []string
-	Last     uint64
-	leading  uint64
-	began    int
-	ended    int
-	restored int
-	defers   bool // transfers of its leadership
+	Last     uint64 // index of the newest applied command
+	leading  uint64 // term in which it was told that it leads; 0 if it does not
+	began    int    // number of calls of Leading
+	ended    int    // number of calls of Following
+	restored int    // number of calls of Restore
+	defers   bool   // result of DefersTransfer
 }
 
-// The engine finds optional interfaces by assertion at run time: without this a method of another name is no error.
+// The engine finds the optional interfaces by type assertion at run time. These assignments make it a compile error if a
+// method of the recorder has another name.
 var (
 	_ LeadershipObserver = (*recorder)(nil)
 	_ TransferDeferrer   = (*recorder)(nil)
@@ -70,7 +71,7 @@
 	l.ended++
 }
 
-// machine is a control process with its disk, in virtual time.
+// machine simulates a machine with one process and its disk.
 type machine struct {
 	cluster     *cluster
 	name        string
@@ -79,30 +80,32 @@
 	engine      *Engine
 	recorders   map[GroupID]*recorder
 	states      map[GroupID]realState
-	bandwidth   float64                  // bytes a second of the links from and to it; 0: no bound
-	linkFree    map[string]time.Duration // when a link is free again
-	up          bool
-	frozen      bool
-	isolated    bool
-	diskDelay   time.Duration
-	wakeAt      time.Duration
-	incarnation int
-	durable     map[GroupID]logEnd // the newest entries on the disk
-}
-
-// logEnd is the newest entry of a log.
+	bandwidth   float64                  // bytes per second of the links from and to it; 0 for no limit
+	linkFree    map[string]time.Duration // by address, when the link to it has sent all that waits for it
+	up          bool                     // the process runs
+	frozen      bool                     // the process runs, but takes no steps
+	isolated    bool                     // all envelopes from and to it are lost
+	diskDelay   time.Duration            // time that a write takes
+	wakeAt      time.Duration            // when the process takes its next step
+	incarnation int                      // number of starts of the process
+	durable     map[GroupID]logEnd       // the newest entries on the disk
+}
+
+// logEnd is the index and term of the newest entry of a log.
 type logEnd struct{ index, term uint64 }
 
-// covers reports whether a log that ends here is at least as new as another.
+// covers reports whether a log that ends here is at least as up-to-date as another, so that its owner may get the other
+// one's vote (Raft, section 5.4.1).
 func (l logEnd) covers(other logEnd) bool {
 	return l.term > other.term || l.term == other.term && l.index >= other.index
 }
 
-// start starts the machine's process from its disk.
+// start starts the machine's process from its disk. bootstrap is empty unless the system starts for the first time.
 func (m *machine) start(bootstrap []string) {
 	Expect(m.open(bootstrap)).To(Succeed())
 }
 
+// open does what start does, and returns the error of Open.
 func (m *machine) open(bootstrap []string) error {
 	m.recorders = map[GroupID]*recorder{}
 	m.states = map[GroupID]realState{}
@@ -144,7 +147,7 @@
 	return nil
 }
 
-// executeWrite is the disk: a write is done once its time has passed, unless the process has ended by then.
+// executeWrite simulates the disk: it executes a write after diskDelay, unless the process has ended by then.
 func (m *machine) executeWrite(w *diskWrite) {
 	engine, incarnation := m.engine, m.incarnation
 	m.cluster.at(m.diskDelay, func() {
@@ -160,7 +163,7 @@
 	})
 }
 
-// recordDurable records the newest entries on the disk.
+// recordDurable records the newest entries that are on the disk after a write.
 func (m *machine) recordDurable(w *diskWrite) {
 	for _, t := range w.groups {
 		m.durable[t.group.id] = logEnd{index: t.index, term: t.term}
@@ -168,6 +171,7 @@
 	m.cluster.writes++
 }
 
+// background simulates work off the loop, which takes three times as long as a write.
 func (m *machine) background(job func() func()) {
 	engine, incarnation := m.engine, m.incarnation
 	m.cluster.at(3*m.diskDelay, func() {
@@ -178,9 +182,10 @@
 	})
 }
 
+// wake makes the process take its next step now.
 func (m *machine) wake() { m.wakeAt = m.cluster.now() }
 
-// Send is the link.
+// Send simulates the link to an address: it loses the envelope or delivers it after a delay.
 func (m *machine) Send(address string, envelope *Envelope) {
 	if m.cluster.random.Float64() < m.cluster.loss || m.isolated {
 		return
@@ -204,20 +209,22 @@
 	})
 }
 
-// kill ends the process; its disk stays as it is.
+// kill ends the process at once. The files stay as the process has written them, synced or not.
 func (m *machine) kill() {
 	m.up = false
-	m.engine.abandonAll()
+	m.engine.dropPendingCalls()
 	_ = m.engine.lock.Close()
 }
 
-func (e *Engine) abandonAll() {
+// dropPendingCalls forgets pending calls without resolving them.
+func (e *Engine) dropPendingCalls() {
 	for _, g := range e.groups {
 		g.proposals, g.confirmations = nil, nil
 	}
 }
 
-// losePower ends the process, and the disk forgets what was not synced, perhaps in the middle of a write.
+// losePower ends the process, and the disk loses everything that was not synced. If a write was in progress, the power fails
+// during that write in half of the cases.
 func (m *machine) losePower() {
 	m.kill()
 	w := m.engine.writer
@@ -229,6 +236,7 @@
 	m.files = m.files.Crash(m.cluster.random)
 }
 
+// wipe ends the process and gives the machine an empty disk.
 func (m *machine) wipe() {
 	m.kill()
 	m.files = &vfstest.Mem{}
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -12,35 +12,36 @@
 )
 
 const (
-	// maxCaughtUpAge limits the replicationAge of a learner that has caught up.
+	// A learner has caught up if its replicationAge is at most maxCaughtUpAge.
 	maxCaughtUpAge = 2 * slowWriteTime
-	// A member is alive if both its last answer and the last contact with it are more recent than aliveTimeout.
+	// A member is alive if both its last response and the last contact with it are more recent than aliveTimeout.
 	aliveTimeout = 700 * time.Millisecond
-	// A member counts as gone if another identity has its machine's name, and the last contact with it is
-	// supersededTimeout ago and its last answer, or the start of the leader's term, supersededAnswerTimeout.
+	// A member is superseded if another ID has its machine's name, the last contact with the member was at least
+	// supersededTimeout ago, and its last response, or the start of the leader's term, at least supersededAnswerTimeout.
 	supersededTimeout       = time.Second
 	supersededAnswerTimeout = 300 * time.Millisecond
-	// replaceVoterTimeout is for how long a voter must be unresponsive before a learner replaces it.
+	// A learner may replace a voter that has been unresponsive for replaceVoterTimeout.
 	replaceVoterTimeout = 3 * time.Second
-	// surplusVoterTimeout is for how long a voter must be unresponsive before it is dropped from an even number of voters.
+	// A voter that has been unresponsive for surplusVoterTimeout may be dropped if the number of voters is even.
 	surplusVoterTimeout = 1500 * time.Millisecond
-	// learnerTimeout is how long after its last answer a learner is dropped.
+	// A learner is dropped learnerTimeout after its last response.
 	learnerTimeout = 30 * time.Second
-	// voterTimeout is how long after its last answer a voter is dropped if enough others remain.
+	// A voter may be dropped without replacement voterTimeout after its last response.
 	voterTimeout = time.Minute
-	// minVoters is the number of voters up to which none is dropped without replacement.
+	// minVoters is the number of voters that no drop without replacement may go below.
 	minVoters = 3
-	// unknownDuration stands for a time since something that never happened.
+	// unknownDuration stands for the time since an event that has not happened.
 	unknownDuration = time.Duration(math.MaxInt64)
 )
 
-// membershipPlan is the next membership. With nil members there is nothing to change.
+// membershipPlan is the next membership of a group. If members is nil, nothing is to be changed.
 type membershipPlan struct {
 	members []consensus.Member
-	reason  string
+	reason  string // for the log
 }
 
-// reviewMembership proposes the next change of the membership, if one is due.
+// reviewMembership proposes the next change of the membership if this member leads, no change or transfer of leadership is
+// in progress, and one is due.
 func (g *group) reviewMembership() {
 	status := g.node.Status()
 	if g.leadingTerm == 0 {
@@ -55,13 +56,21 @@
 		return
 	}
 	if err := g.node.ProposeMembers(g.engine.now, plan.members); err != nil {
-		return // the next review finds this change again
+		return // the next review plans the change again
 	}
 	_ = level.Info(g.engine.options.Logger).Log("msg", "membership change proposed", "group", g.id, "change", plan.reason)
 }
 
-// planMembership decides on the next change. Consensus carries out each one atomically: a change of more than one
-// voter is joint (Raft, section 6) and needs majorities of the voters before it and of those after it.
+// planMembership returns the next change of the membership: the first of the steps below that is due. Package consensus
+// carries out each change atomically. A change of more than one voter is joint (Raft, section 6): it needs a majority of
+// the voters before it and a majority of those after it.
+//
+// The invariants that every plan keeps:
+//   - If the voters that are alive have a majority, they can commit the change, and afterwards the group tolerates the loss
+//     of at least as many of them as before.
+//   - No voter is dropped without replacement from minVoters or fewer.
+//   - No learner becomes a voter before it has caught up.
+//   - The leader keeps its vote, and so does every voter that is alive, accepts leadership and is not superseded.
 func planMembership(view membershipView) membershipPlan {
 	steps := []func(membershipView) (membershipPlan, bool){
 		correctMember,
@@ -80,28 +89,29 @@
 	return membershipPlan{}
 }
 
-// correctMember adopts a member's own statement of its node, zone and address.
+// correctMember adopts the node, zone and address that a member has announced itself, if the membership has others.
 func correctMember(view membershipView) (membershipPlan, bool) {
-	for _, claim := range append(slices.Clone(view.joiners), view.self) {
+	for _, announced := range append(slices.Clone(view.joiners), view.self) {
 		for _, member := range view.members {
-			if member.ID != claim.ID || sameMachine(member.Member, claim) {
+			if member.ID != announced.ID || sameMachine(member.Member, announced) {
 				continue
 			}
-			claim.Learner = member.Learner
-			plan := view.with(claim)
-			plan.reason = fmt.Sprintf("member %x is %s at %s", uint64(claim.ID), claim.Node, claim.Address)
+			announced.Learner = member.Learner
+			plan := view.with(announced)
+			plan.reason = fmt.Sprintf("member %x is now %s at %s", uint64(announced.ID), announced.Node, announced.Address)
 			return plan, true
 		}
 	}
 	return membershipPlan{}, false
 }
 
-// replaceVoter replaces a lost voter by a learner that has caught up, in one change.
+// replaceVoter replaces a lost voter with a learner that has caught up, in one change. The voters must have a majority that
+// is alive, since a minority cannot change anything. Afterwards no fewer voters are alive, because the learner is.
 func replaceVoter(view membershipView) (membershipPlan, bool) {
 	for _, learner := range view.promotable() {
 		lost, found := view.replaceableVoter(learner)
-		if !found || !view.alive(view.voters()) {
-			continue // a minority cannot change anything; else no fewer voters are alive afterwards, as the learner is
+		if !found || !view.majorityAlive(view.voters()) {
+			continue
 		}
 		plan := view.with(voting(learner))
 		plan.members = slices.DeleteFunc(plan.members, func(m consensus.Member) bool { return m.ID == lost })
@@ -111,12 +121,13 @@
 	return membershipPlan{}, false
 }
 
-// promoteLearner makes a learner that has caught up a voter. It waits as long as a voter that seems to have the same
-// machine is not known to be lost: replaceVoter may come to replace that one.
+// promoteLearner makes a learner that has caught up a voter. It waits while there is a voter that seems to have the
+// learner's machine: once that voter is known to be lost, replaceVoter replaces it. It does not promote the learner if
+// that would cost the voters a majority that is alive.
 func promoteLearner(view membershipView) (membershipPlan, bool) {
 	for _, learner := range view.promotable() {
 		waits := slices.ContainsFunc(view.voters(), func(voter memberView) bool { return voter.sameMachineAs(learner) })
-		if waits || view.alive(view.voters()) && !view.remainsAlive(consensus.None, learner.ID) {
+		if waits || view.majorityAlive(view.voters()) && !view.majorityRemainsAlive(consensus.None, learner.ID) {
 			continue
 		}
 		plan := view.with(voting(learner))
@@ -126,34 +137,34 @@
 	return membershipPlan{}, false
 }
 
-// dropLearner drops a learner that is gone for good.
+// dropLearner drops a learner that is superseded or has not responded for learnerTimeout.
 func dropLearner(view membershipView) (membershipPlan, bool) {
 	for _, member := range view.members {
 		if member.Learner && (view.superseded(member) || member.sinceAnswer >= learnerTimeout) {
 			plan := view.without(member.ID)
-			plan.reason = fmt.Sprintf("learner %x is gone", uint64(member.ID))
+			plan.reason = fmt.Sprintf("learner %x is dropped", uint64(member.ID))
 			return plan, true
 		}
 	}
 	return membershipPlan{}, false
 }
 
-// addLearner adds a process that requested to join.
+// addLearner adds a process that has requested to join, as a learner.
 func addLearner(view membershipView) (membershipPlan, bool) {
-	for _, claim := range view.joiners {
-		if view.has(claim.ID) {
+	for _, joining := range view.joiners {
+		if view.has(joining.ID) {
 			continue
 		}
-		claim.Learner = true
-		plan := view.with(claim)
-		plan.reason = fmt.Sprintf("learner %x joins: %s at %s", uint64(claim.ID), claim.Node, claim.Address)
+		joining.Learner = true
+		plan := view.with(joining)
+		plan.reason = fmt.Sprintf("learner %x joins: %s at %s", uint64(joining.ID), joining.Node, joining.Address)
 		return plan, true
 	}
 	return membershipPlan{}, false
 }
 
-// dropVoter drops a voter that is gone for good, if enough remain: another identity has its machine, or it has not
-// answered for long.
+// dropVoter drops a voter that is superseded or has not responded for voterTimeout, if at least minVoters remain and a
+// majority of them is alive.
 func dropVoter(view membershipView) (membershipPlan, bool) {
 	voters := view.voters()
 	if len(voters) <= minVoters {
@@ -161,17 +172,18 @@
 	}
 	for _, member := range voters {
 		gone := view.superseded(member) || member.sinceAnswer >= voterTimeout
-		if gone && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
+		if gone && member.ID != view.self.ID && view.majorityRemainsAlive(member.ID, consensus.None) {
 			plan := view.without(member.ID)
-			plan.reason = fmt.Sprintf("voter %x is gone", uint64(member.ID))
+			plan.reason = fmt.Sprintf("voter %x is dropped", uint64(member.ID))
 			return plan, true
 		}
 	}
 	return membershipPlan{}, false
 }
 
-// dropSurplusVoter drops a voter that is unresponsive or avoids leadership while the number of voters is even, as
-// after its successor was added: without it, the quorum is one vote smaller. If it comes back, it joins again.
+// dropSurplusVoter drops a voter that is unresponsive or avoids leadership while the number of voters is even, for example
+// because the voter's replacement was added already. Without it the quorum is one vote smaller, so that the others can
+// lose as many members as before. If the voter comes back, it joins again.
 func dropSurplusVoter(view membershipView) (membershipPlan, bool) {
 	voters := view.voters()
 	if len(voters) <= minVoters || len(voters)%2 != 0 {
@@ -179,16 +191,16 @@
 	}
 	for _, member := range voters {
 		isSurplus := member.avoidsLeadership || member.unresponsiveFor() >= surplusVoterTimeout
-		if isSurplus && member.ID != view.self.ID && view.remainsAlive(member.ID, consensus.None) {
+		if isSurplus && member.ID != view.self.ID && view.majorityRemainsAlive(member.ID, consensus.None) {
 			plan := view.without(member.ID)
-			plan.reason = fmt.Sprintf("voter %x is surplus", uint64(member.ID))
+			plan.reason = fmt.Sprintf("voter %x is dropped from an even number of voters", uint64(member.ID))
 			return plan, true
 		}
 	}
 	return membershipPlan{}, false
 }
 
-// voting returns a learner as a voter.
+// voting returns the member that a learner becomes as a voter.
 func voting(learner memberView) consensus.Member {
 	voter := learner.Member
 	voter.Learner = false
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -10,7 +10,8 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// living returns the members of a view that can answer. One with recent contact that is proven to be gone can't.
+// living returns a function that reports whether a member of the view can respond. A member that is superseded cannot,
+// although the last contact with it may be recent.
 func living(view membershipView) func(consensus.MemberID) bool {
 	return func(id consensus.MemberID) bool {
 		return slices.ContainsFunc(view.members, func(m memberView) bool {
@@ -19,8 +20,8 @@
 	}
 }
 
-// margin returns how many of the living voters a configuration may lose and still have a majority; negative: it has
-// none.
+// margin returns how many of its living voters a membership can lose and still have a majority of them. It is negative if
+// the living voters have no majority.
 func margin(members []consensus.Member, isAlive func(consensus.MemberID) bool) int {
 	voters, alive := 0, 0
 	for _, member := range members {
@@ -35,6 +36,7 @@
 	return alive - (voters/2 + 1)
 }
 
+// membersOf returns the members of a view.
 func membersOf(view membershipView) []consensus.Member {
 	var members []consensus.Member
 	for _, member := range view.members {
@@ -43,7 +45,7 @@
 	return members
 }
 
-// faultOf returns what a plan does that no plan may do; empty if nothing.
+// faultOf describes how a plan breaks an invariant of planMembership. It returns an empty string if it does not.
 func faultOf(view membershipView, plan membershipPlan) string {
 	if plan.members == nil {
 		return ""
@@ -55,10 +57,10 @@
 	}
 	if spare := margin(before, isAlive); spare >= 0 {
 		if !consensus.HasQuorum(first, isAlive) {
-			return "the living cannot commit its first step"
+			return "the living voters cannot commit the first membership of the change"
 		}
 		if margin(plan.members, isAlive) < spare {
-			return "fewer more may be lost than before"
+			return "fewer living voters may be lost than before"
 		}
 	}
 	if len(sortedVoters(plan.members)) < min(len(sortedVoters(before)), minVoters) {
@@ -72,26 +74,26 @@
 	return ""
 }
 
-// faultOfMember returns what a plan does to one member that no plan may do.
+// faultOfMember describes how a plan breaks an invariant that concerns one member.
 func faultOfMember(view membershipView, plan membershipPlan, member memberView) string {
 	votes := slices.Contains(sortedVoters(plan.members), member.ID)
 	switch {
 	case member.Learner && votes && member.replicationAge > maxCaughtUpAge:
-		return "a learner votes that has not caught up"
+		return "a learner that has not caught up becomes a voter"
 	case member.Learner && votes && (!member.alive() || member.avoidsLeadership):
-		return "a learner votes that is unresponsive or avoids leadership"
+		return "a learner that is unresponsive or avoids leadership becomes a voter"
 	case member.Learner || votes:
 		return ""
 	case member.ID == view.self.ID:
 		return "the leader loses its vote"
 	case member.alive() && !member.avoidsLeadership && !view.superseded(member):
-		return "one loses its vote that is alive and was not superseded"
+		return "a voter that is alive, accepts leadership and is not superseded loses its vote"
 	default:
 		return ""
 	}
 }
 
-// voterConditions are the conditions of a voter in the views that are checked.
+// voterConditions are the conditions in which a voter may be in the views that are checked.
 var voterConditions = []func(m memberView) memberView{
 	present,
 	unresponsive(time.Second),
@@ -99,16 +101,17 @@
 	unresponsive(4 * time.Second),
 	unresponsive(2 * time.Minute),
 	avoiding,
-	func(m memberView) memberView { // of a young term
+	func(m memberView) memberView { // unresponsive for 4 s, at a leader whose term is only 100 ms old
 		m = unresponsiveFor(m, 4*time.Second)
 		m.sinceAnswer = 100 * time.Millisecond
 		return m
 	},
 }
 
-// fewerConditions are those of five voters: all would take half a minute.
+// fewerConditions are the conditions used for five voters. All voterConditions would take half a minute.
 var fewerConditions = []func(m memberView) memberView{present, unresponsive(2 * time.Second), unresponsive(4 * time.Second), avoiding}
 
+// present leaves a member responsive.
 func present(m memberView) memberView { return m }
 
 func unresponsive(since time.Duration) func(m memberView) memberView {
@@ -120,7 +123,8 @@
 	return m
 }
 
-// successorConditions are the conditions of a successor in the views that are checked.
+// successorConditions are the conditions in which the additional member, the successor, may be in the views that are
+// checked.
 var successorConditions = []func(m memberView) memberView{
 	func(m memberView) memberView { return learning(m, 0) },
 	func(m memberView) memberView { return learning(m, maxCaughtUpAge+1) },
@@ -128,15 +132,17 @@
 	func(m memberView) memberView { return learning(unresponsiveFor(m, 2*time.Second), 0) },
 	func(m memberView) memberView { return learning(unresponsiveFor(m, time.Minute), 0) },
 	func(m memberView) memberView { return learning(avoiding(m), 0) },
-	func(m memberView) memberView { return m }, // votes already
+	func(m memberView) memberView { return m }, // a voter already
 }
 
-// location is where a successor may be, beside the voters' own machines.
+// location is the machine and address of the successor.
 type location struct {
 	node, address string
-	reached       time.Duration // how long ago the newest message was sent that it has answered
+	reached       time.Duration // how long ago the newest message was sent to which the successor has responded
 }
 
+// locations returns a new machine, and for each voter its machine, its machine at a new address, and its address under a
+// new name of the machine.
 func locations() []location {
 	list := []location{{"new", "new:1", 0}}
 	for _, node := range []string{"a", "b", "c", "d", "e"} {
@@ -146,7 +152,8 @@
 	return list
 }
 
-// eachView calls f with every view of that many voters, each in one of some conditions, and one successor.
+// eachView calls f with every view of a number of voters and one successor. The first voter is the leader and is always
+// responsive; each other one is in each of the possible conditions.
 func eachView(voters int, possible []func(m memberView) memberView, f func(membershipView)) {
 	conditions := make([]int, voters)
 	for {
@@ -163,7 +170,7 @@
 				f(view)
 			}
 		}
-		next := 1 // the leader itself is always there
+		next := 1 // counts through the conditions of all voters except the leader
 		for next < voters && conditions[next] == len(possible)-1 {
 			conditions[next] = 0
 			next++
@@ -175,9 +182,11 @@
 	}
 }
 
-var _ = Describe("planMembership, over all views of a few voters and a successor", func() {
+// Each view is followed until no change is due: every plan must keep the invariants, and after at most eight plans there
+// must be no further one.
+var _ = Describe("planMembership, for all views of a few voters and a successor", func() {
 	for _, voters := range []int{1, 2, 3, 4, 5} {
-		It(fmt.Sprintf("never makes a group of %d less safe, and comes to an end", voters), func() {
+		It(fmt.Sprintf("keeps its invariants in a group of %d, and stops planning changes", voters), func() {
 			views, plans := 0, 0
 			conditions := voterConditions
 			if voters == 5 {
@@ -202,7 +211,7 @@
 	}
 })
 
-// after returns the view once a plan is carried out.
+// after returns the view after a plan was carried out.
 func (v membershipView) after(plan membershipPlan) membershipView {
 	next := membershipView{self: v.self, joiners: v.joiners}
 	for _, member := range plan.members {
--- a/internal/cluster/replica/membership_test.go
+++ b/internal/cluster/replica/membership_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// seen returns a member as a leader sees it.
+// seen returns the leader's view of a voter that has been unresponsive for some time.
 func seen(id consensus.MemberID, node string, unresponsive time.Duration) memberView {
 	address := node + ":1"
 	return memberView{
@@ -21,52 +21,54 @@
 	}
 }
 
-// viewTime is the time of the review, at the leader.
+// viewTime is the leader's time of the review.
 const viewTime = time.Hour
 
-// learning returns a learner that had on disk at that age all that was committed.
+// learning makes a member a learner with this replicationAge.
 func learning(m memberView, age time.Duration) memberView {
 	m.Learner = true
 	m.replicationAge = age
 	return m
 }
 
-// reached returns a member that has answered something that the leader sent so long ago.
+// reached makes a member one that has responded to a message which the leader sent so long ago.
 func reached(m memberView, ago time.Duration) memberView {
 	m.reachedAt = viewTime - ago
 	return m
 }
 
-// ghost returns a member that seems to answer, by answers that arrive late.
-func ghost(m memberView) memberView {
+// answersLate makes a member one whose responses are recent, but are all to messages that were sent a minute ago.
+func answersLate(m memberView) memberView {
 	m.sinceReached = time.Minute
 	return m
 }
 
-// at returns a member at another address.
+// at moves a member to another address.
 func at(m memberView, address string) memberView {
 	m.Address, m.currentAddress = address, address
 	return m
 }
 
-// moved returns a member that was elsewhere until so long ago.
+// moved makes a member one whose address has been known only for some time.
 func moved(m memberView, ago time.Duration) memberView {
 	m.addressSince = viewTime - ago
 	return m
 }
 
-// youngTerm returns a member that has owed a new leader answers for a second.
+// youngTerm makes a member one that has not responded since the start of the leader's term, a second ago.
 func youngTerm(m memberView) memberView {
 	m.sinceAnswer = time.Second
 	return m
 }
 
+// avoiding makes a member avoid leadership.
 func avoiding(m memberView) memberView {
 	m.avoidsLeadership = true
 	return m
 }
 
-func claim(id consensus.MemberID, node string) consensus.Member {
+// joinRequest returns the member in a request to join.
+func joinRequest(id consensus.MemberID, node string) consensus.Member {
 	return seen(id, node, 0).Member
 }
 
@@ -75,7 +77,7 @@
 	three := func(third time.Duration) []memberView {
 		return []memberView{seen(1, "a", 0), seen(2, "b", now), seen(3, "c", third)}
 	}
-	// votes lists the voters of a plan, and learners as negative numbers.
+	// votes lists the IDs of a plan's members, those of learners as negative numbers; nil if there is no plan.
 	votes := func(plan membershipPlan) []int {
 		var list []int
 		for _, member := range plan.members {
@@ -88,112 +90,114 @@
 		return list
 	}
 
-	DescribeTable("decides on one change",
+	// Each entry has the members as the leader sees them, the requests to join, and the members after the change; nil if no
+	// change is due. Member 1 is the leader. now, soon and long are times for which a member has been unresponsive.
+	DescribeTable("plans one change:",
 		func(members []memberView, joiners []consensus.Member, expected []int) {
 			plan := planMembership(membershipView{self: members[0].Member, members: members, joiners: joiners})
 			Expect(votes(plan)).To(Equal(expected))
 		},
-		Entry("none when all members are alive", three(now), nil, nil),
-		Entry("none for an unresponsive voter without a replacement", three(long), nil, nil),
-		Entry("a joiner becomes a learner",
-			three(now), []consensus.Member{claim(4, "d")}, []int{1, 2, 3, -4}),
-		Entry("one of two joiners",
-			three(now), []consensus.Member{claim(4, "d"), claim(5, "e")}, []int{1, 2, 3, -4}),
-		Entry("a member's request changes nothing",
-			three(now), []consensus.Member{claim(2, "b")}, nil),
+		Entry("no change when all members are alive", three(now), nil, nil),
+		Entry("no change for an unresponsive voter without a replacement", three(long), nil, nil),
+		Entry("a process that requests to join becomes a learner",
+			three(now), []consensus.Member{joinRequest(4, "d")}, []int{1, 2, 3, -4}),
+		Entry("one of two processes that request to join becomes a learner",
+			three(now), []consensus.Member{joinRequest(4, "d"), joinRequest(5, "e")}, []int{1, 2, 3, -4}),
+		Entry("a member's request with the same data changes nothing",
+			three(now), []consensus.Member{joinRequest(2, "b")}, nil),
 		Entry("a member's new address is adopted",
 			three(now), []consensus.Member{{ID: 2, Node: "b", Zone: "z", Address: "elsewhere"}}, []int{1, 2, 3}),
-		Entry("a learner that has caught up votes",
+		Entry("a learner that has caught up becomes a voter",
 			append(three(now), learning(seen(4, "d", now), now)), nil, []int{1, 2, 3, 4}),
-		Entry("one that has not caught up does not",
+		Entry("a learner that has not caught up does not become a voter",
 			append(three(now), learning(seen(4, "d", now), maxCaughtUpAge+1)), nil, nil),
-		Entry("one that is unresponsive does not",
+		Entry("a learner that is unresponsive does not become a voter",
 			append(three(now), learning(seen(4, "d", soon), 0)), nil, nil),
-		Entry("one that has acknowledged nothing does not",
+		Entry("a learner that has acknowledged nothing does not become a voter",
 			append(three(now), learning(seen(4, "d", now), unknownDuration)), nil, nil),
 
-		Entry("no voter of four is dropped for a learner of its machine whose answers come late",
-			append(three(now), seen(5, "d", soon-1), ghost(at(learning(seen(4, "d", now), unknownDuration), "elsewhere"))), nil, nil),
-		Entry("one is for a learner of its machine that answers",
+		Entry("a voter of four is not dropped for a learner with its machine's name whose responses come late",
+			append(three(now), seen(5, "d", soon-1), answersLate(at(learning(seen(4, "d", now), unknownDuration), "elsewhere"))), nil, nil),
+		Entry("a voter of four is dropped for a learner with its machine's name that responds to recent messages",
 			append(three(now), seen(5, "d", soon-1), at(learning(seen(4, "d", now), unknownDuration), "elsewhere")), nil, []int{1, 2, 3, -4}),
 
-		Entry("a wiped voter is replaced as soon as another identity answers at its address",
+		Entry("a wiped voter is replaced as soon as another member responds at its address",
 			append(three(2*now), reached(learning(seen(4, "c", now), 0), now)), nil, []int{1, 2, 4}),
-		Entry("but not for an answer to what was sent before the last contact with it",
+		Entry("a voter is not replaced for a response to a message sent before the last contact with the voter",
 			append(three(now), reached(learning(seen(4, "c", now), 0), 2*now)), nil, nil),
-		Entry("nor to what was sent in the same moment",
+		Entry("a voter is not replaced for a response to a message sent at the time of the last contact with the voter",
 			append(three(now), reached(learning(seen(4, "c", now), 0), now)), nil, nil),
-		Entry("nor to what was sent while the other was elsewhere",
+		Entry("a voter is not replaced for a response to a message sent while the other was at another address",
 			append(three(3*now), moved(reached(learning(at(seen(4, "d", now), "c:1"), 0), 2*now), now)), nil, nil),
-		Entry("nor to a successor that has not caught up",
+		Entry("a voter is not replaced by a successor that has not caught up",
 			append(three(long), reached(learning(seen(4, "c", now), unknownDuration), now)), nil, nil),
-		Entry("nor to one that has stopped answering",
+		Entry("a voter is not replaced by a successor that has become unresponsive",
 			append(three(long), reached(learning(seen(4, "c", soon), 0), soon)), nil, nil),
-		Entry("nor if the voter has moved to another address",
+		Entry("a voter that has moved to another address is not replaced by a learner at its old one",
 			append([]memberView{seen(1, "a", 0), seen(2, "b", now), at(seen(3, "c", 2*now), "elsewhere:1")},
 				reached(learning(at(seen(4, "d", now), "c:1"), 0), now)), nil, []int{1, 2, 3, 4}),
-		Entry("at another address the machine's name alone is no proof: the successor waits while there is contact with the voter",
+		Entry("a learner with a voter's machine's name at another address waits while there is contact with the voter",
 			append(three(now), reached(learning(at(seen(4, "c", now), "new:1"), 0), 0)), nil, nil),
-		Entry("and then replaces it",
+		Entry("a learner with a voter's machine's name at another address replaces the voter once that is unresponsive",
 			append(three(soon), reached(learning(at(seen(4, "c", now), "new:1"), 0), 0)), nil, []int{1, 2, 4}),
 
-		Entry("a voter that is unresponsive for a short time is kept",
+		Entry("a voter that is unresponsive for a short time keeps its vote when a learner becomes a voter",
 			append(three(soon), learning(seen(4, "d", now), 0)), nil, []int{1, 2, 3, 4}),
-		Entry("one that is unresponsive for long is replaced",
+		Entry("a voter that is unresponsive for long is replaced",
 			append(three(long), learning(seen(4, "d", now), 0)), nil, []int{1, 2, 4}),
-		Entry("also in a young term, if its process has had no contact with it for long",
+		Entry("a voter is replaced in a young term too, if the last contact with it was long ago",
 			append([]memberView{seen(1, "a", 0), seen(2, "b", now)}, youngTerm(seen(3, "c", long)), learning(seen(4, "d", now), 0)),
 			nil, []int{1, 2, 4}),
-		Entry("one that avoids leadership is replaced at once",
+		Entry("a voter that avoids leadership is replaced at once",
 			[]memberView{seen(1, "a", 0), seen(2, "b", now), avoiding(seen(3, "c", now)), learning(seen(4, "d", now), 0)},
 			nil, []int{1, 2, 4}),
-		Entry("one that avoids leadership rather than one that is unresponsive",
+		Entry("a voter that avoids leadership is replaced rather than one that is unresponsive",
 			[]memberView{seen(1, "a", 0), seen(2, "b", now), avoiding(seen(3, "c", now)), seen(4, "d", now), seen(5, "e", long),
 				learning(seen(6, "f", now), 0)}, nil, []int{1, 2, 4, 5, 6}),
-		Entry("the one whose machine it has rather than one that avoids leadership",
+		Entry("the voter whose address the learner has is replaced rather than one that avoids leadership",
 			[]memberView{seen(1, "a", 0), seen(2, "b", now), avoiding(seen(3, "c", now)), seen(4, "d", now), seen(5, "e", long),
 				reached(learning(seen(6, "e", now), 0), now)}, nil, []int{1, 2, 3, 4, 6}),
 		Entry("only one voter is replaced by one learner",
 			[]memberView{seen(1, "a", 0), seen(2, "b", now), seen(3, "c", now), seen(5, "e", long), seen(6, "f", long+1),
 				learning(seen(4, "d", now), 0)}, nil, []int{1, 2, 3, 5, 4}),
-		Entry("none is replaced when the others would have no quorum",
+		Entry("no voter is replaced if the voters alive have no quorum; the learner becomes a voter",
 			[]memberView{seen(1, "a", 0), seen(2, "b", long), seen(3, "c", long), learning(seen(4, "d", now), 0)},
 			nil, []int{1, 2, 3, 4}),
-		Entry("the leader itself is never replaced",
+		Entry("the leader is not replaced",
 			[]memberView{seen(1, "a", long), seen(2, "b", now), seen(3, "c", now), learning(seen(4, "d", now), 0)},
 			nil, []int{1, 2, 3, 4}),
 		Entry("a learner that is unresponsive for long is dropped",
 			append(three(now), learning(seen(4, "d", 31*time.Second), 0)), nil, []int{1, 2, 3}),
-		Entry("a request of its machine's next identity adds that beside it",
-			append(three(now), learning(seen(4, "d", soon), 0)), []consensus.Member{claim(5, "d")}, []int{1, 2, 3, -4, -5}),
-		Entry("and once that answers the learner is dropped",
+		Entry("a process on the machine of an unresponsive learner becomes a learner, too",
+			append(three(now), learning(seen(4, "d", soon), 0)), []consensus.Member{joinRequest(5, "d")}, []int{1, 2, 3, -4, -5}),
+		Entry("a learner is dropped once another learner responds at its address",
 			append(three(now), learning(seen(4, "d", 2*now), 0), reached(learning(seen(5, "d", now), unknownDuration), now)),
-			[]consensus.Member{claim(6, "e")}, []int{1, 2, 3, -5}),
-		Entry("a voter that is gone for good is dropped if three remain",
+			[]consensus.Member{joinRequest(6, "e")}, []int{1, 2, 3, -5}),
+		Entry("a voter of four that has been unresponsive for a minute is dropped",
 			append(three(now), seen(4, "d", 61*time.Second)), nil, []int{1, 2, 3}),
-		Entry("also one of five",
+		Entry("a voter of five that has been unresponsive for a minute is dropped",
 			append(three(now), seen(4, "d", now), seen(5, "e", 61*time.Second)), nil, []int{1, 2, 3, 4}),
-		Entry("not before",
+		Entry("a voter of five that has been unresponsive for less than a minute is not dropped",
 			append(three(now), seen(4, "d", now), seen(5, "e", 59*time.Second)), nil, nil),
-		Entry("not if fewer remain", three(61*time.Second), nil, nil),
-		Entry("of an even number one that is unresponsive is dropped soon",
+		Entry("a voter of three that has been unresponsive for a minute is not dropped", three(61*time.Second), nil, nil),
+		Entry("a voter of four that is unresponsive for 1.5 s is dropped",
 			append(three(soon), seen(4, "d", now)), nil, []int{1, 2, 4}),
-		Entry("or that avoids leadership",
+		Entry("a voter of four that avoids leadership is dropped",
 			append(three(now), avoiding(seen(4, "d", now))), nil, []int{1, 2, 3}),
-		Entry("but not for a second without an answer",
+		Entry("a voter of four that is unresponsive for a second is not dropped",
 			append(three(time.Second), seen(4, "d", now)), nil, nil),
-		Entry("nor if the others would have no quorum",
+		Entry("a voter of four is not dropped if the others would have no quorum",
 			[]memberView{seen(1, "a", 0), seen(2, "b", long), seen(3, "c", long), seen(4, "d", long)}, nil, nil),
-		Entry("of an odd number none is dropped",
+		Entry("a voter of five that is unresponsive for 1.5 s or avoids leadership is not dropped",
 			append(three(soon), seen(4, "d", now), avoiding(seen(5, "e", now))), nil, nil),
-		Entry("nor of two", []memberView{seen(1, "a", 0), seen(2, "b", long)}, nil, nil),
-		Entry("a learner that avoids leadership does not vote",
+		Entry("a voter of two is not dropped", []memberView{seen(1, "a", 0), seen(2, "b", long)}, nil, nil),
+		Entry("a learner that avoids leadership does not become a voter",
 			append(three(now), learning(avoiding(seen(4, "d", now)), 0)), nil, nil),
-		Entry("a voter whose machine votes under another identity is dropped soon",
+		Entry("a voter of four is dropped if another voter responds at its address",
 			append(three(soon), reached(seen(4, "c", now), now)), nil, []int{1, 2, 4}),
 	)
 
-	It("counts a member as alive only after contact with it, however young the term", func() {
+	It("does not count a member as alive without recent contact, although its last response is recent", func() {
 		members := append(three(now), learning(seen(4, "d", now), 0))
 		members[1].sinceAnswer, members[1].sinceContact = now, long
 		members[2].sinceAnswer, members[2].sinceContact = long, long
--- a/internal/cluster/replica/membership_view.go
+++ b/internal/cluster/replica/membership_view.go
@@ -8,29 +8,30 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// membershipView is what a leader knows when it reviews the membership.
+// membershipView is the information from which planMembership decides.
 type membershipView struct {
-	self    consensus.Member
-	members []memberView
-	joiners []consensus.Member
+	self    consensus.Member   // the leader
+	members []memberView       // all members, also the leader
+	joiners []consensus.Member // processes that request to join or to be corrected, by rising ID
 }
 
-// memberView is what a leader knows of one member. Times are the leader's.
+// memberView is what a leader knows about one member. All times are those of the leader's clock.
 type memberView struct {
 	consensus.Member
-	replicationAge   time.Duration // since the newest time by which its disk is known to have had all that was committed
-	sinceAnswer      time.Duration // since it last answered in this term, or since the start of the term
-	sinceContact     time.Duration // since the last contact, in whatever group
-	avoidsLeadership bool          // it said so just now: it is about to end, or its disk is unhealthy
+	replicationAge   time.Duration // age of its catchUp: its disk has all that was committed at least this long ago
+	sinceAnswer      time.Duration // time since the member's last response in this term, or since the start of the term
+	sinceContact     time.Duration // time since the last contact with the member in any group
+	avoidsLeadership bool          // the member has stated lately that its disk is unhealthy or it is about to end
 
-	currentAddress string        // the newest address known of it
-	addressSince   time.Duration // when that became known
-	lastContact    time.Duration // when anything was last received from it, in whatever group
-	reachedAt      time.Duration // when the newest message was sent that it has answered in this term; 0: none
-	sinceReached   time.Duration // since then; unlike sinceAnswer it is not shortened by late or duplicated answers
+	currentAddress string        // the newest known address of the member
+	addressSince   time.Duration // when currentAddress became known
+	lastContact    time.Duration // when the newest envelope from the member was received; 0 if none was
+	reachedAt      time.Duration // when the newest message was sent to which the member has responded in this term; 0: none
+	sinceReached   time.Duration // time since reachedAt; a late or duplicated response does not shorten it, unlike sinceAnswer
 }
 
-// membershipView returns what planMembership decides on.
+// membershipView returns the information for planMembership. It also forgets requests to join that were granted or that
+// are older than joinRequestLifetime.
 func (g *group) membershipView(members []consensus.Member) membershipView {
 	view := membershipView{self: g.engine.self}
 	for _, member := range members {
@@ -40,7 +41,7 @@
 	for id, j := range g.joiners {
 		granted := slices.ContainsFunc(members, func(m consensus.Member) bool { return m.ID == id && sameMachine(m, j.member) })
 		if granted || now-j.receivedAt > joinRequestLifetime {
-			delete(g.joiners, id) // a request that was granted must not bring back a member that is dropped later
+			delete(g.joiners, id) // if a granted request stayed, it would add the member again after it is dropped
 			continue
 		}
 		view.joiners = append(view.joiners, j.member)
@@ -49,14 +50,14 @@
 	return view
 }
 
-// memberView returns what this leader knows of one member.
+// memberView returns what this leader knows about one member.
 func (g *group) memberView(member consensus.Member) memberView {
 	now := g.engine.now
 	_, answeredAt, _ := g.node.Lag(member.ID)
 	known := g.engine.peers.get(member.ID)
 	reachedAt := g.node.ReachedAt(member.ID)
 	if member.ID == g.engine.self.ID {
-		reachedAt = now // no other process has this one's address
+		reachedAt = now // this process is at its own address, so it supersedes any other member with that address
 	}
 	sinceReached := unknownDuration
 	if reachedAt > 0 {
@@ -76,7 +77,8 @@
 	}
 }
 
-// promotable returns the learners that may become voters.
+// promotable returns the learners that may become voters: they are alive and have caught up, accept leadership, and are not
+// superseded.
 func (v *membershipView) promotable() []memberView {
 	var learners []memberView
 	for _, member := range v.members {
@@ -87,8 +89,9 @@
 	return learners
 }
 
-// replaceableVoter returns the voter that a learner may replace: the one whose machine it has, else one that avoids
-// leadership, else the one that is unresponsive for longest.
+// replaceableVoter returns the voter that a learner may replace, or false if there is none. It prefers the voter that the
+// learner supersedes, then a voter that is alive and avoids leadership, and then the voter that has been unresponsive for
+// longest, if that is at least replaceVoterTimeout. It never returns the leader.
 func (v *membershipView) replaceableVoter(learner memberView) (consensus.MemberID, bool) {
 	replaceable, unresponsive := consensus.None, replaceVoterTimeout
 	found := false
@@ -106,24 +109,25 @@
 	return replaceable, replaceable != consensus.None
 }
 
-// superseded reports whether a member is gone because another identity has its machine.
+// superseded reports whether any other member supersedes this one.
 func (v *membershipView) superseded(member memberView) bool {
 	return slices.ContainsFunc(v.members, member.supersededBy)
 }
 
-// remainsAlive reports whether the voters without one member and with another have a majority that is alive.
-func (v *membershipView) remainsAlive(without, with consensus.MemberID) bool {
+// majorityRemainsAlive reports whether a majority of the voters is alive after a change that removes one voter and promotes one
+// learner. Either may be consensus.None.
+func (v *membershipView) majorityRemainsAlive(without, with consensus.MemberID) bool {
 	var voters []memberView
 	for _, member := range v.members {
 		if member.ID != without && (!member.Learner || member.ID == with) {
 			voters = append(voters, member)
 		}
 	}
-	return v.alive(voters)
+	return v.majorityAlive(voters)
 }
 
-// alive reports whether a majority of voters is alive.
-func (v *membershipView) alive(voters []memberView) bool {
+// majorityAlive reports whether a majority of these voters is alive. The leader counts as alive.
+func (v *membershipView) majorityAlive(voters []memberView) bool {
 	alive := 0
 	for _, member := range voters {
 		if member.ID == v.self.ID || member.alive() {
@@ -133,17 +137,19 @@
 	return alive > len(voters)/2
 }
 
-// caughtUp reports whether a member is alive and has on disk nearly all that is committed.
+// caughtUp reports whether a member is alive, and its disk has everything that was committed maxCaughtUpAge ago.
 func (m *memberView) caughtUp() bool { return m.replicationAge <= maxCaughtUpAge && m.alive() }
 
-// reachable reports whether a member has lately answered something that was sent lately.
+// reachable reports whether a member has responded to a message that was sent less than aliveTimeout ago. Unlike alive, it
+// does not trust responses that may have been sent long ago and have arrived late.
 func (m *memberView) reachable() bool { return m.sinceReached < aliveTimeout }
 
-// alive reports whether a member has lately answered in this term, and been in contact.
+// alive reports whether the last response of this term and the last contact are both less than aliveTimeout ago.
 func (m *memberView) alive() bool { return max(m.sinceAnswer, m.sinceContact) < aliveTimeout }
 
-// unresponsiveFor returns for how long a member has been unresponsive. At a new leader, to which the member owes some
-// answers since the start of the term, contact before the term counts too.
+// unresponsiveFor returns how long a member has been unresponsive. A new leader knows responses only since the start of its
+// term. Once the member has not responded to it for aliveTimeout, the time since the last contact counts too, which may
+// have been before the term.
 func (m *memberView) unresponsiveFor() time.Duration {
 	if m.sinceAnswer < aliveTimeout {
 		return m.sinceAnswer
@@ -151,7 +157,7 @@
 	return max(m.sinceAnswer, m.sinceContact)
 }
 
-// sameMachineAs reports whether another identity has this member's address or the name of its machine.
+// sameMachineAs reports whether another member has this member's address, or the name of its machine.
 func (m memberView) sameMachineAs(other memberView) bool {
 	if m.ID == other.ID {
 		return false
@@ -159,14 +165,15 @@
 	return m.currentAddress == other.currentAddress || m.Node != "" && m.Node == other.Node
 }
 
-// supersededBy reports whether a member is gone because another identity has its machine.
+// supersededBy reports whether this member no longer exists, because another member has taken over its machine. Usually
+// the process lost its disk and started again with another ID.
 //
-// At the same address one answer proves it: the other has answered something that this leader sent to the address
-// after the last contact with the member, so at some time after that the address was the other's. Requests to join and
-// envelopes of identities that are gone do not answer anything that was sent lately, however late they arrive.
+// With the same address, one response proves that: the other member has responded to a message that this leader sent to
+// the address after the last contact with this member. So the address belonged to the other one at some time after that
+// contact. Late requests to join and late envelopes of a member that no longer exists are no such responses.
 //
-// The machine's name at another address proves nothing, since both processes may exist: then the member must be
-// unresponsive too, and the other must have answered something that was sent lately.
+// With the same name of the machine but another address, both processes may exist. Then this member must also be
+// unresponsive, and the other one must have responded to a message that was sent lately.
 func (m memberView) supersededBy(other memberView) bool {
 	if !m.sameMachineAs(other) {
 		return false
@@ -178,7 +185,7 @@
 		m.sinceAnswer >= supersededAnswerTimeout && m.sinceContact >= supersededTimeout
 }
 
-// voters returns the members that vote.
+// voters returns the members that are not learners.
 func (v *membershipView) voters() []memberView {
 	var voters []memberView
 	for _, member := range v.members {
@@ -189,11 +196,12 @@
 	return voters
 }
 
+// has reports whether there is a member with an ID.
 func (v *membershipView) has(id consensus.MemberID) bool {
 	return slices.ContainsFunc(v.members, func(m memberView) bool { return m.ID == id })
 }
 
-// with returns the membership with a member added or changed.
+// with returns a plan in which a member is added, or replaces the one with its ID.
 func (v *membershipView) with(changed consensus.Member) membershipPlan {
 	plan := membershipPlan{}
 	for _, member := range v.members {
@@ -209,7 +217,7 @@
 	return plan
 }
 
-// without returns the membership without a member.
+// without returns a plan in which a member is removed.
 func (v *membershipView) without(id consensus.MemberID) membershipPlan {
 	plan := membershipPlan{}
 	for _, member := range v.members {
--- a/internal/cluster/replica/open.go
+++ b/internal/cluster/replica/open.go
@@ -16,19 +16,20 @@
 	"ospreypond/internal/cluster/replica/wal"
 )
 
-// disk is what openDisk returns.
+// disk is an open disk, as openDisk returns it.
 type disk struct {
-	lock     io.Closer
+	lock     io.Closer // unlocks the folder
 	identity *wal.Identity
 	log      *wal.Log
 	groups   map[GroupID]*wal.Group
 }
 
-// openDisk reads the disk, or writes a new identity to an empty one. A disk that is damaged counts as lost if there
-// are other processes to join: what is on it is moved aside.
+// openDisk locks the folder and reads the disk, or writes a new identity to an empty disk. A damaged disk counts as lost
+// if there are other processes to join: the files on it are moved to a subfolder, and the process starts as a new
+// member. Without other processes the damage is an error, since the disk may have the only copy of the data.
 func openDisk(options *Options) (*disk, error) {
 	if err := options.FileSystem.MkdirAll(options.Dir); err != nil {
-		return nil, errors.Wrapf(err, "make folder %s", options.Dir)
+		return nil, errors.Wrapf(err, "create folder %s", options.Dir)
 	}
 	lock, err := options.FileSystem.Lock(filepath.Join(options.Dir, "lock"))
 	if err != nil {
@@ -49,6 +50,7 @@
 	return opened, nil
 }
 
+// readDisk reads the identity and the log, or writes a new identity if there is none.
 func readDisk(options *Options) (*disk, error) {
 	identity, err := wal.ReadIdentity(options.FileSystem, options.Dir)
 	if err != nil {
@@ -60,6 +62,7 @@
 	return openLog(options, identity)
 }
 
+// openLog opens the log of a process with this identity.
 func openLog(options *Options, identity *wal.Identity) (*disk, error) {
 	segmentBytes := min(max(options.DiskBytes/segmentDivisor, minSegmentBytes), maxSegmentBytes)
 	opened, groups, err := wal.Open(options.FileSystem, options.Dir, wal.Options{SegmentBytes: segmentBytes})
@@ -69,7 +72,8 @@
 	return &disk{identity: identity, log: opened, groups: groups}, nil
 }
 
-// newDisk writes an identity to a disk without one. A log without an identity belongs to nobody and is moved aside.
+// newDisk writes an identity to a disk that has none. If the disk has other files, a process has been a member with them
+// under an identity that is unknown now. They are moved to a subfolder, and the process starts as a new member.
 func newDisk(options *Options) (*disk, error) {
 	vacant, err := wal.Vacant(options.FileSystem, options.Dir)
 	if err != nil {
@@ -85,7 +89,7 @@
 	return writeIdentity(options, identity)
 }
 
-// replaceDisk moves aside what is on the disk, and starts as a new member.
+// replaceDisk moves the files on the disk to a subfolder, and writes the identity of a new member.
 func replaceDisk(options *Options) (*disk, error) {
 	if err := wal.MoveAside(options.FileSystem, options.Dir); err != nil {
 		return nil, err
@@ -97,6 +101,7 @@
 	return writeIdentity(options, identity)
 }
 
+// writeIdentity writes an identity, and opens the log, which is empty.
 func writeIdentity(options *Options, identity *wal.Identity) (*disk, error) {
 	if err := wal.WriteIdentity(options.FileSystem, options.Dir, identity); err != nil {
 		return nil, err
@@ -104,26 +109,28 @@
 	return openLog(options, identity)
 }
 
-// firstIdentity returns the identity of an initial member at the very first start, else a random one.
+// firstIdentity returns the identity for an empty disk: that of an initial member if Options.Bootstrap lists this
+// process, else that of a new member.
 func firstIdentity(options *Options) (*wal.Identity, error) {
 	if !slices.Contains(options.Bootstrap, options.Self.Address) {
 		return newIdentity(options)
 	}
 	addresses := slices.Clone(options.Bootstrap)
 	slices.Sort(addresses)
-	first := make([]consensus.Member, 0, len(addresses))
+	initial := make([]consensus.Member, 0, len(addresses))
 	for _, address := range slices.Compact(addresses) {
-		first = append(first, consensus.Member{ID: bootstrapID(address), Address: address})
+		initial = append(initial, consensus.Member{ID: bootstrapID(address), Address: address})
 	}
-	return &wal.Identity{ID: bootstrapID(options.Self.Address), First: first}, nil
+	return &wal.Identity{ID: bootstrapID(options.Self.Address), First: initial}, nil
 }
 
-// bootstrapID returns an initial member's identity: all initial members compute the same for each other.
+// bootstrapID returns the ID of an initial member. It depends on the address only, so that all initial members compute
+// the same IDs. It is never consensus.None, which is 0.
 func bootstrapID(address string) consensus.MemberID {
 	return consensus.MemberID(max(xxhash.Sum64String(address), 1))
 }
 
-// newIdentity returns the identity of a process that is not an initial member.
+// newIdentity returns a unique identity, for a process that is not an initial member.
 func newIdentity(options *Options) (*wal.Identity, error) {
 	id, err := options.newMemberID()
 	if err != nil {
@@ -132,16 +139,16 @@
 	return &wal.Identity{ID: id}, nil
 }
 
-// randomMemberID returns a random identity, not one of a seeded generator: an identity must never be used twice.
+// randomMemberID returns a random ID. It does not use a seeded generator, since no ID may ever be used twice.
 func randomMemberID() (consensus.MemberID, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return consensus.None, errors.Wrap(err, "draw an identity")
+		return consensus.None, errors.Wrap(err, "read random bytes for a member ID")
 	}
 	return max(consensus.MemberID(binary.LittleEndian.Uint64(random[:])), 1), nil
 }
 
-// othersExist reports whether there are other processes to join.
+// othersExist reports whether the options name another process, which this one could ask to join.
 func othersExist(options *Options) bool {
 	for _, address := range slices.Concat(options.Peers, options.Bootstrap) {
 		if address != options.Self.Address {
@@ -151,7 +158,8 @@
 	return false
 }
 
-// restored returns what a group's node starts from.
+// restored returns the state that a group's node starts from. A snapshot's data is left out, since addGroup restores the
+// state machine from it. A group of an initial member that has no snapshot yet starts with the initial members.
 func (d *disk) restored(id GroupID) consensus.Restored {
 	stored := d.groups[id]
 	if stored == nil {
@@ -169,9 +177,9 @@
 	return restored
 }
 
-// Open opens the disk and starts all groups from it. It locks Options.Dir. Nothing is sent or applied before Run,
-// which must be called to close the disk again. Damage to synced data is a *wal.DamageError if there is no other
-// process to join.
+// Open locks Options.Dir, reads the disk, and starts all groups from it. Nothing is sent or applied before Run is called.
+// Run must be called, since only it closes the disk again. Open returns a *wal.DamageError if synced data is damaged and
+// there is no other process to join.
 func Open(options Options) (*Engine, error) {
 	options = options.withDefaults()
 	opened, err := openDisk(&options)
--- a/internal/cluster/replica/outbox.go
+++ b/internal/cluster/replica/outbox.go
@@ -2,7 +2,8 @@
 
 import "ospreypond/internal/cluster/consensus"
 
-// outbox collects what a step sends: one envelope for each address.
+// outbox collects everything that a step sends, in one envelope for each address. flush sends the envelopes at the end of
+// the step.
 type outbox struct {
 	engine  *Engine
 	pending []addressedEnvelope
@@ -15,7 +16,7 @@
 
 func newOutbox(e *Engine) *outbox { return &outbox{engine: e} }
 
-// addMessage adds a message. One to a member whose address is not known is dropped.
+// addMessage adds a message to another member. It drops the message if the member's address is unknown.
 func (o *outbox) addMessage(message *consensus.Message) {
 	address := o.engine.peers.address(message.To)
 	if address == "" || message.To == o.engine.self.ID {
@@ -31,13 +32,14 @@
 	envelope.Joins = append(envelope.Joins, join)
 }
 
-// addDecommissionRequest adds a request to be decommissioned.
+// addDecommissionRequest adds a request for the decommission of this process.
 func (o *outbox) addDecommissionRequest(address string, request DecommissionRequest) {
 	envelope := o.envelopeFor(address)
 	envelope.Leaves = append(envelope.Leaves, request)
 }
 
-// addApproval adds the approval of a decommission. One to a member whose address is not known is dropped.
+// addApproval adds the approval of another member's decommission. It drops the approval if the address is empty, which
+// stands for an unknown one.
 func (o *outbox) addApproval(address string, approval DecommissionApproval) {
 	if address == "" {
 		return
@@ -46,7 +48,7 @@
 	envelope.Releases = append(envelope.Releases, approval)
 }
 
-// envelopeFor returns this step's envelope to an address.
+// envelopeFor returns this step's envelope to an address, a new one if there is none yet.
 func (o *outbox) envelopeFor(address string) *Envelope {
 	for i := range o.pending {
 		if o.pending[i].address == address {
@@ -58,7 +60,7 @@
 	return envelope
 }
 
-// flush sends all envelopes.
+// flush sends all envelopes, and states in each whether this process avoids leadership.
 func (o *outbox) flush() {
 	avoidsLeadership := o.engine.avoidsLeadership()
 	for i := range o.pending {
--- a/internal/cluster/replica/overview.go
+++ b/internal/cluster/replica/overview.go
@@ -6,24 +6,24 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// GroupOverview is what operators are shown of this process's member of a group.
+// GroupOverview describes this process's member of a group to operators.
 type GroupOverview struct {
 	Status        consensus.Status
-	Ready         bool   // this process leads, and its state machine was notified of it
-	Applied       uint64 // index of the newest entry that was applied
+	Ready         bool   // this process leads the group, and its state machine was notified of that
+	Applied       uint64 // index of the newest applied entry
 	SnapshotIndex uint64 // index of the newest snapshot on disk
-	LogBytes      int64  // of the entries after that snapshot
-	Lags          []Lag  // of the other members; empty unless this process leads
+	LogBytes      int64  // about how many bytes the entries after that snapshot have
+	Lags          []Lag  // how far the other members are behind; empty unless this process leads
 }
 
 // Lag is how far a member is behind its leader.
 type Lag struct {
 	Member               consensus.MemberID
-	Entries              uint64        // that it has not acknowledged
-	SinceAcknowledgement time.Duration // since its last acknowledgement
+	Entries              uint64        // number of entries that the member has not acknowledged
+	SinceAcknowledgement time.Duration // time since the member's last response to this leader
 }
 
-// Overview describes a group. It returns false if the engine does not have the group. It must be called on the loop.
+// Overview returns the overview of a group, or false if the engine does not have the group. It must be called on the loop.
 func (e *Engine) Overview(id GroupID) (GroupOverview, bool) {
 	g := e.byID[id]
 	if g == nil {
@@ -45,14 +45,14 @@
 	return overview, true
 }
 
-// DiskOverview is what operators are shown of the disk.
+// DiskOverview describes the disk to operators. The sizes are those after the newest successful write.
 type DiskOverview struct {
 	Unhealthy bool  // writes fail, or take slowWriteTime or longer
-	LogBytes  int64 // of all segments, as of the newest completed write
-	Segments  int
+	LogBytes  int64 // length of all segments of the log
+	Segments  int   // number of segments
 }
 
-// Disk describes the disk. It must be called on the loop.
+// Disk returns the overview of the disk. It must be called on the loop.
 func (e *Engine) Disk() DiskOverview {
 	usage := &e.writer.usage
 	return DiskOverview{Unhealthy: e.writer.health.unhealthy, LogBytes: usage.logBytes, Segments: usage.segments}
@@ -61,7 +61,7 @@
 // Resigning reports whether Resign or Decommission was called. It must be called on the loop.
 func (e *Engine) Resigning() bool { return e.transfers.resigning }
 
-// Self returns this process as a member of its groups. Any goroutine may call it.
+// Self returns this process's ID, node, zone and address. Any goroutine may call it.
 func (e *Engine) Self() consensus.Member { return e.self }
 
 // KnowsLeaders reports whether this process knows a leader of each group. It must be called on the loop.
