--- a/internal/cluster/replica/peers.go
+++ b/internal/cluster/replica/peers.go
@@ -6,29 +6,30 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// peers is what this process knows of the other processes, in whatever group they are.
+// peers has what this process knows about the other processes. It covers all groups.
 type peers struct {
 	self  consensus.Member
 	known map[consensus.MemberID]*peer
 }
 
-// peer is what this process knows of one other process.
+// peer is what this process knows about one other process.
 type peer struct {
-	address             string
+	address             string        // internal address; empty if unknown
 	announced           bool          // the address comes from the process's own envelopes, not from a membership
 	addressSince        time.Duration // when the address became known
-	lastContact         time.Duration // when its newest envelope was received; 0: none was
-	steadySince         time.Duration // since then in contact without a longer gap, and never avoiding leadership
-	avoidedLeadershipAt time.Duration
+	lastContact         time.Duration // when the newest envelope from it was received; 0 if none was
+	steadySince         time.Duration // start of the present steady contact: no gap above maxContactGap, no avoided leadership
+	avoidedLeadershipAt time.Duration // when it last stated that it avoids leadership
 }
 
-// maxContactGap is the time without contact after which a peer is not steady any more.
+// maxContactGap is the time without an envelope from a peer after which the contact with it is no longer steady.
 const maxContactGap = time.Second
 
 func newPeers(self consensus.Member) *peers {
 	return &peers{self: self, known: map[consensus.MemberID]*peer{}}
 }
 
+// get returns the entry of a peer, a new one if there is none.
 func (p *peers) get(id consensus.MemberID) *peer {
 	known := p.known[id]
 	if known == nil {
@@ -38,10 +39,11 @@
 	return known
 }
 
-// announcementLifetime is for how long an address from a process's own envelopes outweighs that of a membership.
+// announcementLifetime is the time after the last contact with a process for which the address that it has announced in
+// its envelopes takes precedence over that of a membership.
 const announcementLifetime = 5 * time.Second
 
-// learnAddresses adopts the addresses of a membership, except where the process itself has announced one lately.
+// learnAddresses adopts the addresses of a membership, except for processes that have announced their address lately.
 func (p *peers) learnAddresses(members []consensus.Member, now time.Duration) {
 	for _, member := range members {
 		known := p.get(member.ID)
@@ -52,13 +54,14 @@
 	}
 }
 
+// moveTo sets the address, and the time since which it is known if it has changed.
 func (p *peer) moveTo(address string, now time.Duration) {
 	if p.address != address {
 		p.address, p.addressSince = address, now
 	}
 }
 
-// recordContact records that an envelope was received.
+// recordContact records that an envelope was received, and what it states about its sender.
 func (p *peers) recordContact(envelope *Envelope, now time.Duration) {
 	known := p.get(envelope.From)
 	if envelope.Address != "" {
@@ -74,7 +77,7 @@
 	}
 }
 
-// address returns a member's internal address, or "" if it is not known.
+// address returns the internal address of a member, or "" if it is unknown.
 func (p *peers) address(id consensus.MemberID) string {
 	if id == p.self.ID {
 		return p.self.Address
@@ -85,7 +88,7 @@
 	return ""
 }
 
-// sinceContact returns the time since the last contact with a peer, or since the start if there was none.
+// sinceContact returns the time since the last contact with a peer, or since the start of the engine if there was none.
 func (p *peers) sinceContact(id consensus.MemberID, now time.Duration) time.Duration {
 	if known := p.known[id]; known != nil {
 		return now - known.lastContact
@@ -93,16 +96,16 @@
 	return now
 }
 
-// avoidanceLifetime is for how long a peer's statement that it avoids leadership counts.
+// avoidanceLifetime is the time for which a peer's statement that it avoids leadership is valid.
 const avoidanceLifetime = 2 * time.Second
 
-// acceptsLeadership reports whether a peer is known and has not lately stated that it avoids leadership.
+// acceptsLeadership reports whether a peer is known and has not stated within avoidanceLifetime that it avoids leadership.
 func (p *peers) acceptsLeadership(id consensus.MemberID, now time.Duration) bool {
 	known := p.known[id]
 	return known != nil && now-known.avoidedLeadershipAt >= avoidanceLifetime
 }
 
-// steadyFor returns for how long there has been steady contact with a peer; see peer.steadySince.
+// steadyFor returns how long there has been steady contact with a peer, see peer.steadySince; 0 if there is none now.
 func (p *peers) steadyFor(id consensus.MemberID, now time.Duration) time.Duration {
 	known := p.known[id]
 	if known == nil || known.lastContact == 0 || now-known.lastContact > maxContactGap {
--- a/internal/cluster/replica/peers_test.go
+++ b/internal/cluster/replica/peers_test.go
@@ -24,14 +24,14 @@
 		known = newPeers(consensus.Member{ID: 1, Address: "self"})
 	})
 
-	It("knows its own address, and none of an unknown peer", func() {
+	It("has the address of its own process, and none of an unknown peer", func() {
 		Expect(known.address(1)).To(Equal("self"))
 		Expect(known.address(2)).To(BeEmpty())
 		Expect(known.acceptsLeadership(2, second)).To(BeFalse())
 		Expect(known.sinceContact(2, 3*second)).To(Equal(3 * second))
 	})
 
-	It("prefers a recently announced address to that of a membership", func() {
+	It("prefers an address that a peer has announced within 5 s to that of a membership", func() {
 		known.learnAddresses(member("old"), 0)
 		Expect(known.address(2)).To(Equal("old"))
 		contact(second, "new", false)
@@ -41,12 +41,12 @@
 		Expect(known.address(2)).To(Equal("newest"))
 	})
 
-	It("measures how long a peer has been steady, and starts anew after a gap or avoided leadership", func() {
+	It("measures how long contact has been steady, from zero again after a gap or avoided leadership", func() {
 		for at := second; at <= 6*second; at += second / 2 {
 			contact(at, "", false)
 		}
 		Expect(known.steadyFor(2, 6*second)).To(Equal(5 * second))
-		Expect(known.steadyFor(2, 8*second)).To(BeZero(), "no contact now")
+		Expect(known.steadyFor(2, 8*second)).To(BeZero(), "the last contact is more than maxContactGap ago")
 		contact(8*second, "", false)
 		Expect(known.steadyFor(2, 8*second)).To(BeZero())
 		contact(8*second+second/2, "", true)
--- a/internal/cluster/replica/proposals.go
+++ b/internal/cluster/replica/proposals.go
@@ -5,19 +5,23 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// maxUnwrittenBytes bounds what may wait for the disk before proposals are refused.
+// maxUnwrittenBytes is how many bytes of batches may wait for the disk before proposals are refused, so that a slow disk
+// does not fill the memory.
 const maxUnwrittenBytes = 8 << 20
 
-// proposal is a command that was proposed by this process and is not committed yet.
+// proposal is a command that this process has proposed and that is not committed yet. index and term are those of its
+// entry.
 type proposal struct {
 	index, term uint64
 	done        func(result any, err error)
 }
 
-// Propose proposes a command. done is called on the loop exactly once: with the result of Apply once the command is
-// applied; with failure.NotLeader or failure.Unavailable if it certainly was not and will not be applied; with
-// failure.UnknownOutcome if leadership was lost while it was in the log, so that it may be applied or not. The data
-// belongs to the engine from then on.
+// Propose proposes a command to a group that this process leads. The engine calls done on the loop exactly once:
+//   - with the result of Apply, once the command is applied;
+//   - with failure.NotLeader or failure.Unavailable, if the command certainly was not applied and will not be;
+//   - with failure.UnknownOutcome, if leadership was lost while the command was in the log. It may be applied or not.
+//
+// The caller must not modify the data afterwards.
 func (e *Engine) Propose(id GroupID, data []byte, done func(result any, err error)) {
 	g := e.byID[id]
 	if g == nil || g.leadingTerm == 0 {
@@ -25,7 +29,7 @@
 		return
 	}
 	if e.writer.unwrittenBytes() > maxUnwrittenBytes {
-		done(nil, failure.New(failure.Unavailable, "the disk is behind"))
+		done(nil, failure.New(failure.Unavailable, "more than 8 MiB are waiting to be written to the disk"))
 		return
 	}
 	index, term, err := g.node.Propose(e.now, data)
@@ -36,34 +40,35 @@
 	g.proposals = append(g.proposals, proposal{index: index, term: term, done: done})
 }
 
-// notLeader returns a failure.NotLeader that names the leader if it is known.
+// notLeader returns a failure.NotLeader with the address of the group's leader, if that is known and another process.
 func (e *Engine) notLeader(id GroupID) error {
 	leader := e.LeaderAddress(id)
 	if leader == e.self.Address {
-		leader = "" // it is not ready yet, or its leadership is being transferred
+		leader = "" // this leader is not ready yet, or is transferring its leadership
 	}
 	return &failure.Error{Kind: failure.NotLeader, Message: "this process does not own the group", Leader: leader}
 }
 
-// resolveProposal passes the result of a committed entry to its proposer if that is in this process.
+// resolveProposal passes the result of a committed entry to its proposer, if this process has proposed it.
 func (g *group) resolveProposal(entry *consensus.Entry, result any) {
 	if len(g.proposals) == 0 || g.proposals[0].index != entry.Index {
 		return
 	}
-	first := g.proposals[0]
+	oldest := g.proposals[0]
 	g.proposals[0] = proposal{}
 	g.proposals = g.proposals[1:]
-	if first.term != entry.Term {
-		first.done(nil, g.engine.notLeader(g.id)) // another entry was committed at its index
+	if oldest.term != entry.Term {
+		oldest.done(nil, g.engine.notLeader(g.id)) // an entry of another leader was committed at this index instead
 		return
 	}
-	first.done(result, nil)
+	oldest.done(result, nil)
 }
 
+// failProposals fails all proposals whose entries are not committed yet.
 func (g *group) failProposals() {
 	proposals := g.proposals
 	g.proposals = nil
 	for _, p := range proposals {
-		p.done(nil, failure.New(failure.UnknownOutcome, "leadership was lost"))
+		p.done(nil, failure.New(failure.UnknownOutcome, "leadership was lost before the command was committed"))
 	}
 }
--- a/internal/cluster/replica/succession_test.go
+++ b/internal/cluster/replica/rejoin_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// controlCluster returns machines with the timing of control processes, all of which vote.
+// controlCluster returns a cluster with the timing of control processes, in which all machines vote.
 func controlCluster(seed uint64, members int) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, controlGroups)
@@ -22,7 +22,7 @@
 	return c
 }
 
-// recordOf records all that a machine sends from now on, until stop is called.
+// recordOf records all envelopes that a machine sends, until stop is called.
 func (c *cluster) recordOf(m *machine) (record func() []*Envelope, stop func()) {
 	var sent []*Envelope
 	c.trace = func(from *machine, _ string, envelope *Envelope) {
@@ -33,7 +33,7 @@
 	return func() []*Envelope { return sent }, func() { c.trace = nil }
 }
 
-// deliver delivers an envelope to all machines but those at its sender's address.
+// deliver delivers a copy of an envelope to all machines that are not at its sender's address.
 func (c *cluster) deliver(envelope *Envelope) {
 	for _, m := range c.machines {
 		if m.up && m.address != envelope.Address {
@@ -44,8 +44,8 @@
 	}
 }
 
-// votes reports whether an identity votes in all groups.
-func (c *cluster) votes(id consensus.MemberID) bool {
+// votesInAll reports whether a member votes in all groups that have a leader.
+func (c *cluster) votesInAll(id consensus.MemberID) bool {
 	for group := range GroupID(c.groups) {
 		leader := c.leader(group)
 		if leader != nil && !slices.Contains(sortedVoters(leader.engine.Members(group)), id) {
@@ -55,8 +55,8 @@
 	return true
 }
 
-// voted reports whether an identity votes in any group.
-func (c *cluster) voted(id consensus.MemberID) bool {
+// votesInAny reports whether a member votes in any group that has a leader.
+func (c *cluster) votesInAny(id consensus.MemberID) bool {
 	for group := range GroupID(c.groups) {
 		leader := c.leader(group)
 		if leader != nil && slices.Contains(sortedVoters(leader.engine.Members(group)), id) {
@@ -67,7 +67,8 @@
 }
 
 var _ = Describe("A machine that comes back without its disk", func() {
-	It("is a voter again as soon as it answers and has what is committed, however soon it is back", func() {
+	// Only a response from the new process proves that the old member is gone, since the last contact with it is recent.
+	It("votes again within 400 ms, although the last contact with its old member is recent", func() {
 		for seed := range uint64(20) {
 			c := controlCluster(seed, 3)
 			follower := c.machines[c.random.IntN(3)]
@@ -85,7 +86,9 @@
 		}
 	})
 
-	It("does not count as lost because of late messages of identities that were lost before", func() {
+	// Late envelopes and requests to join make members of lost disks look alive at the machine's address. They must not count
+	// as a proof that the present member is gone.
+	It("keeps its vote while envelopes of its earlier members arrive late", func() {
 		for seed := range uint64(6) {
 			c := controlCluster(seed, 3)
 			m := c.machines[seed%3]
@@ -101,9 +104,9 @@
 			c.proposeFor(2 * time.Second)
 			stop()
 			present := m.engine.self.ID
-			Expect(c.votes(present)).To(BeTrue())
+			Expect(c.votesInAll(present)).To(BeTrue())
 			late := record()
-			for _, envelope := range late { // and a request of each
+			for _, envelope := range late { // adds a request to join by the lost member
 				for id := range GroupID(controlGroups) {
 					request := Join{Group: id, Member: consensus.Member{ID: envelope.From, Node: m.name, Zone: "zone", Address: m.address}}
 					envelope.Joins = append(envelope.Joins, request)
@@ -112,17 +115,17 @@
 			for range 100 {
 				c.deliver(late[c.random.IntN(len(late))])
 				c.proposeFor(time.Duration(c.random.IntN(20)) * time.Millisecond)
-				Expect(c.votes(present)).To(BeTrue(), "the present identity keeps its vote")
-				Expect(c.voted(oldest)).To(BeFalse())
-				Expect(c.voted(second)).To(BeFalse())
+				Expect(c.votesInAll(present)).To(BeTrue(), "the present member keeps its vote")
+				Expect(c.votesInAny(oldest)).To(BeFalse())
+				Expect(c.votesInAny(second)).To(BeFalse())
 			}
 			c.proposeFor(2 * time.Second)
 			c.awaitVoters(c.names()...)
-			Expect(c.isMember(oldest) || c.isMember(second)).To(BeFalse(), "what a late request has brought in is dropped")
+			Expect(c.isMember(oldest) || c.isMember(second)).To(BeFalse(), "learners that late requests have added are dropped")
 		}
 	})
 
-	It("is added also while envelopes of its lost identity arrive late and twice", func() {
+	It("is added while envelopes of its lost member arrive late and repeatedly", func() {
 		for seed := range uint64(10) {
 			c := controlCluster(seed, 3)
 			m := c.machines[seed%3]
@@ -139,7 +142,7 @@
 		}
 	})
 
-	It("may be wiped again at any moment of its repair", func() {
+	It("is added within 3 s although it is wiped again at any moment of its repair", func() {
 		for uptime := 5 * time.Millisecond; uptime < 400*time.Millisecond; uptime += 15 * time.Millisecond {
 			c := controlCluster(uint64(uptime), 3)
 			m := c.machines[c.random.IntN(3)]
@@ -157,7 +160,7 @@
 		}
 	})
 
-	It("finds the group when its seeds have changed", func() {
+	It("is added although it knows only a seed that is not an initial member", func() {
 		for seed := range uint64(6) {
 			c := controlCluster(seed, 5)
 			m := c.machines[0]
@@ -168,7 +171,9 @@
 		}
 	})
 
-	DescribeTable("loses nothing when all others lose power at any moment after it",
+	// The repair moves votes to members with new disks. If a new member voted before it had what was committed, a power
+	// failure of the others could lose committed entries, or leave a group without a quorum.
+	DescribeTable("is repaired without a loss, although all other machines lose power at any moment:",
 		func(members, wiped int) {
 			for seed := range repairSeeds() * 5 {
 				c := controlCluster(seed, members)
@@ -201,13 +206,13 @@
 				c.converge()
 			}
 		},
-		Entry("one of three", 3, 1),
-		Entry("one of five", 5, 1),
-		Entry("two of five", 5, 2),
-		Entry("two of nine", 9, 2),
+		Entry("one wiped machine of three", 3, 1),
+		Entry("one wiped machine of five", 5, 1),
+		Entry("two wiped machines of five", 5, 2),
+		Entry("two wiped machines of nine", 9, 2),
 	)
 
-	It("is repaired although the leader is lost at any moment of it", func() {
+	It("is repaired although the leader loses power or is isolated at any moment of the repair", func() {
 		for seed := range repairSeeds() * 8 {
 			c := controlCluster(seed, 3)
 			m := c.machines[c.random.IntN(3)]
@@ -236,7 +241,8 @@
 })
 
 var _ = Describe("A machine that was replaced while it was away", func() {
-	DescribeTable("disturbs nobody when it comes back, and is added again",
+	// The machine has lost its vote, but does not know that. Its campaigns must not depose leaders.
+	DescribeTable("causes no election when it comes back, and is added again, after it was",
 		func(away, back func(m *machine)) {
 			for seed := range uint64(10) {
 				c := controlCluster(seed, 3)
@@ -246,7 +252,7 @@
 				c.add("core-4", "10.0.0.4:7380").start(nil)
 				names := slices.DeleteFunc(c.names(), func(name string) bool { return name == m.name })
 				Expect(c.until(2*time.Second, c.votersAre(names...))).To(BeTrue())
-				c.run(25 * time.Second) // until leaderships are balanced
+				c.run(25 * time.Second) // until no leadership is transferred any more to balance
 				terms := c.terms()
 				back(m)
 				c.proposeFor(time.Second)
@@ -261,11 +267,13 @@
 })
 
 var _ = Describe("A learner", func() {
-	It("does not become a voter because of late messages of an identity that is gone for good", func() {
+	// A late request adds the member of a process that has ended as a learner again. Late responses make it look alive. As a
+	// voter it would count towards the quorum, but never respond.
+	It("does not become a voter because of late messages if its process has ended", func() {
 		for seed := range uint64(6) {
 			c := controlCluster(seed, 3)
 			leader := c.leader(0)
-			for id := range GroupID(controlGroups) { // one leads all of them, in the same terms
+			for id := range GroupID(controlGroups) { // make one machine lead all groups until the end, so that terms stay
 				leader.recorders[id].defers = true
 				if c.leader(id) != leader {
 					c.moveLeadership(id, leader)
@@ -292,7 +300,7 @@
 				for range 60 {
 					c.deliver(&late)
 					c.run(10 * time.Millisecond)
-					Expect(c.voters(id)).To(HaveLen(3), "a fourth vote would be one that never answers")
+					Expect(c.voters(id)).To(HaveLen(3), "a fourth voter would never respond")
 				}
 			}
 			c.run(learnerTimeout + time.Second)
@@ -302,7 +310,7 @@
 	})
 
 	for _, disk := range []time.Duration{fastDisk, 100 * time.Millisecond, slowDisk, 400 * time.Millisecond} {
-		It(fmt.Sprintf("is promoted under constant load with a disk of %v, and then has what was committed a second before", disk), func() {
+		It(fmt.Sprintf("is promoted under load with a disk of %v, and then has what was committed maxCaughtUpAge before", disk), func() {
 			for seed := range uint64(5) {
 				c := controlCluster(seed, 3)
 				keepProposing(c)
@@ -310,7 +318,7 @@
 				fresh := c.add("core-4", "10.0.0.4:7380")
 				fresh.diskDelay = disk
 				fresh.start(nil)
-				commits := map[GroupID][]logEnd{} // with the time in place of the term
+				commits := map[GroupID][]logEnd{} // commit indexes, with the time of observation in place of the term
 				promoted := map[GroupID]bool{}
 				Expect(c.until(6*time.Second, func() bool {
 					for id := range GroupID(controlGroups) {
@@ -330,21 +338,21 @@
 		})
 	}
 
-	It("follows in rounds", func() {
-		followed := &catchUp{}
-		Expect(followed.age(time.Second)).To(Equal(unknownDuration))
-		followed.observe(0, 100, time.Second)
-		Expect(followed.age(time.Second)).To(Equal(unknownDuration))
-		followed.observe(99, 150, 2*time.Second)
-		Expect(followed.age(2*time.Second)).To(Equal(unknownDuration), "64 entries or one: what was committed is not there")
-		followed.observe(120, 200, 3*time.Second)
-		Expect(followed.age(3*time.Second)).To(Equal(2*time.Second), "what was committed after one second")
-		followed.observe(199, 250, 4*time.Second)
-		Expect(followed.age(4 * time.Second)).To(Equal(3 * time.Second))
-		followed.observe(200, 300, 5*time.Second)
-		Expect(followed.age(5 * time.Second)).To(Equal(2 * time.Second))
-		followed.observe(300, 300, 6*time.Second)
-		Expect(followed.age(6*time.Second)).To(BeZero(), "all of it now")
+	It("is measured in rounds: each ends when the disk has what was committed at the start of the round", func() {
+		measured := &catchUp{}
+		Expect(measured.age(time.Second)).To(Equal(unknownDuration))
+		measured.observe(0, 100, time.Second)
+		Expect(measured.age(time.Second)).To(Equal(unknownDuration))
+		measured.observe(99, 150, 2*time.Second)
+		Expect(measured.age(2*time.Second)).To(Equal(unknownDuration), "one entry of the first round is missing")
+		measured.observe(120, 200, 3*time.Second)
+		Expect(measured.age(3*time.Second)).To(Equal(2*time.Second), "the disk has what was committed at 1 s, the start of the first round")
+		measured.observe(199, 250, 4*time.Second)
+		Expect(measured.age(4 * time.Second)).To(Equal(3 * time.Second))
+		measured.observe(200, 300, 5*time.Second)
+		Expect(measured.age(5 * time.Second)).To(Equal(2 * time.Second))
+		measured.observe(300, 300, 6*time.Second)
+		Expect(measured.age(6*time.Second)).To(BeZero(), "the disk has all that is committed now")
 	})
 })
 
@@ -358,12 +366,13 @@
 	})
 }
 
-// votesIn reports whether a machine's identity votes in a group.
+// votesIn reports whether the present member of a machine votes in a group.
 func (c *cluster) votesIn(id GroupID, m *machine) bool {
 	return slices.Contains(sortedVoters(c.leader(id).engine.Members(id)), m.engine.self.ID)
 }
 
-// committedBefore returns the newest index that was committed at a time.
+// committedBefore returns the newest index that was committed at a time, or 0. The commits have their times in place of
+// terms.
 func committedBefore(commits []logEnd, at time.Duration) uint64 {
 	committed := uint64(0)
 	for _, commit := range commits {
@@ -375,14 +384,15 @@
 }
 
 var _ = Describe("A machine that moved with its disk", func() {
-	It("is known at its announced address before the membership has it, so that nobody at its old address counts as its successor", func() {
+	// Otherwise a process that gets the machine's old address would count as the machine's successor.
+	It("is known at the address that it announces before the membership has that address", func() {
 		c := controlCluster(1, 3)
-		moved := c.machines[(slotOf(c, c.leader(0))+1)%3]
+		moved := c.machines[(indexOf(c, c.leader(0))+1)%3]
 		moved.kill()
 		moved.address = "10.0.7.7:7380"
 		moved.start(nil)
 		leader := c.leader(0).engine.byID[0]
-		member := consensus.Member{ID: moved.engine.self.ID, Address: "the old one"}
+		member := consensus.Member{ID: moved.engine.self.ID, Address: "the old address"}
 		Expect(c.until(500*time.Millisecond, func() bool { return leader.memberView(member).currentAddress == moved.address })).To(BeTrue())
 	})
 })
--- a/internal/cluster/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -16,7 +16,7 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// The timing of control processes, as in internal/cluster/control, and their number of groups.
+// Timing and number of groups of control processes, as in internal/cluster/control, and times that a write to a disk takes.
 const (
 	controlHeartbeat           = 75 * time.Millisecond
 	controlElection            = 320 * time.Millisecond
@@ -26,42 +26,44 @@
 	slowDisk                   = 30 * fastDisk
 )
 
-// repairLimit is how long a repair may take before it counts as one that never ends.
+// repairLimit is the time after which a repair is given up and counts as failed.
 const repairLimit = 20 * time.Second
 
-// repairBound is how long any repair may take.
+// repairBound is the time that no repair may exceed.
 const repairBound = 15 * time.Second
 
 // repairCase is a kind of loss whose repair is measured.
 type repairCase struct {
 	name    string
-	members int
-	disk    time.Duration
-	lose    func(r *repair)
+	members int             // number of machines, all of which vote
+	disk    time.Duration   // time that a write takes on each disk
+	lose    func(r *repair) // loses a machine or disk, and starts the replacement
 }
 
-// repair is one loss and what it takes until the group is fully redundant again.
+// repair is one loss, and the way back to full redundancy: the members that were lost are dropped in all groups, and the
+// replacement votes and has on disk all that was committed by then.
 type repair struct {
 	cluster       *cluster
-	lost          *machine             // whose identity has to be dropped
-	removed       *machine             // a machine that does not come back; nil: it does
-	fresh         *machine             // whose identity has to vote
-	old           []consensus.MemberID // identities that have to be dropped
-	startedAt     time.Duration        // when the fresh one started
-	targetCommits map[GroupID]uint64
-	fatal         stopwatch
+	lost          *machine             // the machine whose member was lost
+	removed       *machine             // a machine that does not come back; nil if all do
+	fresh         *machine             // the machine whose member has to become a voter
+	old           []consensus.MemberID // members that have to be dropped
+	startedAt     time.Duration        // when the fresh process started
+	targetCommits map[GroupID]uint64   // by group, the commit index when the fresh member was a voter and the old ones dropped
+	fatal         stopwatch            // time in which the loss of one more disk would have been fatal
 
 	observedWrites int // number of writes at the last observation
 }
 
-// repairFigures are what one repair took.
+// repairFigures are the results of one repair.
 type repairFigures struct {
 	total    time.Duration // from the start of the fresh process to full redundancy
-	fatal    time.Duration // of that, while one more lost disk would have been fatal
-	repaired bool          // within the limit
+	fatal    time.Duration // part of total in which the loss of one more disk would have been fatal
+	repaired bool          // the group was fully redundant within repairLimit
 }
 
-// wipedAndRestarted loses a disk. After a while the machine starts again on an empty one at its old address.
+// wipedAndRestarted loses a disk. The machine starts again at its old address with an empty disk, after a random time
+// between the two.
 func wipedAndRestarted(shortest, longest time.Duration) func(r *repair) {
 	return func(r *repair) {
 		r.lost.wipe()
@@ -71,9 +73,9 @@
 	}
 }
 
-// twoWiped loses two disks at once; the figures are those of the machine that starts last.
+// twoWiped loses two disks at once. The repair is measured from the start of the machine that starts last.
 func twoWiped(r *repair) {
-	other := r.cluster.machines[(slotOf(r.cluster, r.lost)+1)%len(r.cluster.machines)]
+	other := r.cluster.machines[(indexOf(r.cluster, r.lost)+1)%len(r.cluster.machines)]
 	r.old = append(r.old, other.engine.self.ID)
 	other.wipe()
 	r.lost.wipe()
@@ -83,8 +85,9 @@
 	r.fresh.start(nil)
 }
 
-// removedForGood replaces a lost machine by an empty one of a name, up to five seconds later.
-func removedForGood(sameName bool) func(r *repair) {
+// removedPermanently ends a process whose machine does not come back, and starts an empty machine, of the same or another
+// name, 0.5 to 5 seconds later.
+func removedPermanently(sameName bool) func(r *repair) {
 	return func(r *repair) {
 		r.lost.kill()
 		r.removed = r.lost
@@ -97,7 +100,7 @@
 	}
 }
 
-// planned starts the successor first. A second later the old machine is decommissioned, and removed for good.
+// planned starts an empty machine. A second later the old machine is decommissioned, and then removed permanently.
 func planned(r *repair) {
 	r.addFresh("core-new")
 	r.cluster.at(time.Second, func() {
@@ -112,20 +115,22 @@
 	})
 }
 
+// addFresh starts an empty machine at a new address.
 func (r *repair) addFresh(name string) {
 	r.fresh = r.cluster.add(name, "10.0.9.9:7380")
 	r.fresh.diskDelay = r.lost.diskDelay
 	r.fresh.start(nil)
 }
 
+// between returns a random duration of at least shortest and less than longest.
 func (c *cluster) between(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)))
 }
 
-// load proposes something every 20 ms on average while time passes.
+// load lets the cluster run while it proposes a line every 30 ms on average.
 func (r *repair) load(span time.Duration) { r.cluster.proposeFor(span) }
 
-// keepLoading proposes for as long as the cluster runs.
+// keepLoading proposes a line every 20 ms on average for as long as the cluster runs.
 func (r *repair) keepLoading() {
 	c := r.cluster
 	c.at(c.between(0, 40*time.Millisecond), func() {
@@ -134,14 +139,14 @@
 	})
 }
 
-// measure plays one loss and its repair.
+// measure runs a cluster with one loss and its repair.
 func (k repairCase) measure(seed uint64) repairFigures {
 	GinkgoHelper()
 	c := newCluster(seed, controlGroups)
 	c.logger = log.NewNopLogger()
 	c.heartbeat, c.election = controlHeartbeat, controlElection
 	c.startFirst(k.members)
-	Expect(c.until(30*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "all vote")
+	Expect(c.until(30*time.Second, c.votersAre(c.names()...))).To(BeTrue(), "all machines vote")
 	c.proposeMany(200)
 	c.run(2 * time.Second)
 	for _, m := range c.machines {
@@ -162,7 +167,8 @@
 	return repairFigures{total: c.now() - r.startedAt, fatal: r.fatal.summed, repaired: repaired}
 }
 
-// observe records whether one more loss would be fatal, if a disk has changed since the last observation.
+// observe records whether the loss of one more disk would be fatal now. It looks only if a disk was written since the last
+// observation.
 func (r *repair) observe(redundant bool) {
 	c := r.cluster
 	if !redundant && c.writes == r.observedWrites {
@@ -172,6 +178,7 @@
 	r.fatal.observe(c.now(), !redundant && c.disksOf(r.removed).oneLossIsFatal(c.groups))
 }
 
+// names returns the names of all machines.
 func (c *cluster) names() []string {
 	var names []string
 	for _, m := range c.machines {
@@ -180,8 +187,8 @@
 	return names
 }
 
-// redundant reports whether in all groups the old identities are dropped, and the fresh one votes and has on its disk
-// all that was committed by then.
+// redundant reports whether all groups are fully redundant: the old members are dropped, and the fresh one votes and has on
+// its disk all that was committed by then.
 func (r *repair) redundant(voters int) bool {
 	for id := range GroupID(r.cluster.groups) {
 		leader := r.cluster.leader(id)
@@ -200,27 +207,29 @@
 	return true
 }
 
-// superseded reports whether the fresh identity votes in place of the old ones.
+// superseded reports whether the fresh member votes in place of the old ones, and the number of voters is right.
 func (r *repair) superseded(members []consensus.Member, voters int) bool {
 	ids := sortedVoters(members)
 	current := !slices.ContainsFunc(members, func(m consensus.Member) bool { return slices.Contains(r.old, m.ID) })
 	return current && len(ids) == voters && slices.Contains(ids, r.fresh.engine.self.ID)
 }
 
-// quantiles summarizes many repairs.
+// quantiles are the median, the 99th percentile and the maximum of the times of many repairs.
 type quantiles struct{ median, p99, worst time.Duration }
 
+// quantilesOf computes the quantiles. It sorts the times.
 func quantilesOf(times []time.Duration) quantiles {
 	slices.Sort(times)
 	last := len(times) - 1
 	return quantiles{median: times[last/2], p99: times[last*99/100], worst: times[last]}
 }
 
+// String returns the three times in ms.
 func (q quantiles) String() string {
 	return fmt.Sprintf("%d / %d / %d", q.median.Milliseconds(), q.p99.Milliseconds(), q.worst.Milliseconds())
 }
 
-// repairSeeds is how many repairs of each kind are measured: REPAIR_SEEDS, or a few.
+// repairSeeds returns how many repairs of each kind are measured: as many as REPAIR_SEEDS says, or 2.
 func repairSeeds() uint64 {
 	if text := os.Getenv("REPAIR_SEEDS"); text != "" {
 		parsed, err := strconv.ParseUint(text, 10, 64)
@@ -230,7 +239,7 @@
 	return 2
 }
 
-// measureAll plays many seeds, on as many cores as the process may use.
+// measureAll measures a number of seeds, on as many cores as the process may use.
 func (k repairCase) measureAll(seeds uint64) []repairFigures {
 	GinkgoHelper()
 	all := make([]repairFigures, seeds)
@@ -261,36 +270,37 @@
 	{"wiped, back after 1 to 3 s", []int{3, 5, 9}, wipedAndRestarted(time.Second, 3*time.Second)},
 	{"two wiped at once", []int{5, 9}, twoWiped},
 	{"planned", []int{3, 5, 9}, planned},
-	{"gone, same name elsewhere", []int{3, 5, 9}, removedForGood(true)},
-	{"gone, another name elsewhere", []int{3, 5, 9}, removedForGood(false)},
+	{"gone, same name elsewhere", []int{3, 5, 9}, removedPermanently(true)},
+	{"gone, another name elsewhere", []int{3, 5, 9}, removedPermanently(false)},
 }
 
+// Until a group is fully redundant again, the loss of one more disk can be fatal.
 var _ = Describe("The time to full redundancy", func() {
 	for _, kind := range repairs {
 		for _, members := range kind.members {
 			for _, disk := range []time.Duration{fastDisk, slowDisk} {
 				name := fmt.Sprintf("%s, %d members, disks at %v", kind.name, members, disk)
 				k := repairCase{name: name, members: members, disk: disk, lose: kind.lose}
-				It("is short: "+name, func() { k.report(repairSeeds()) })
+				It("is less than 15 s: "+name, func() { k.report(repairSeeds()) })
 			}
 		}
 	}
 })
 
-// report measures and prints, and compares the total with a bound.
+// report measures repairs, prints the figures, and expects every repair to take less than repairBound.
 func (k repairCase) report(seeds uint64) {
 	GinkgoHelper()
 	all := k.measureAll(seeds)
 	var totals, fatal []time.Duration
-	never := 0
+	failed := 0
 	for _, figures := range all {
 		if !figures.repaired {
-			never++
+			failed++
 		}
 		totals, fatal = append(totals, figures.total), append(fatal, figures.fatal)
 	}
 	total := quantilesOf(totals)
-	GinkgoWriter.Printf("repair | %s | %d seeds | never %d | whole %v | fatal %v\n", k.name, len(all), never, total,
+	GinkgoWriter.Printf("repair | %s | %d seeds | not repaired %d | total %v | fatal %v ms\n", k.name, len(all), failed, total,
 		quantilesOf(fatal))
 	Expect(total.worst).To(BeNumerically("<", repairBound))
 }
--- a/internal/cluster/replica/replace_test.go
+++ b/internal/cluster/replica/replace_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a machine that is replaced", func() {
-	It("has a voting successor soon, also in groups without proposals", func() {
+var _ = Describe("A machine that is replaced", func() {
+	It("has a successor that votes within a second, also in groups without proposals", func() {
 		c := newCluster(31, 5)
 		c.startFirst(3)
 		c.awaitVoters("core-1", "core-2", "core-3")
@@ -18,7 +18,9 @@
 		Expect(c.until(time.Second, c.votersAre("core-1", "core-2", "core-3", "core-4"))).To(BeTrue())
 	})
 
-	DescribeTable("does not count once it has ended for good, so that its successor may be lost as well",
+	// After the first machine has ended, two voters and its successor remain. If the first one kept its vote, the loss of the
+	// successor would leave two of four voters, which is no quorum.
+	DescribeTable("loses its vote once it has ended, so that the loss of its successor does no harm",
 		func(end func(m *machine)) {
 			for seed := range uint64(10) {
 				c := newCluster(seed, 5)
@@ -41,13 +43,13 @@
 				c.check()
 			}
 		},
-		Entry("after it resigned", func(m *machine) {
+		Entry("when it has resigned before", func(m *machine) {
 			ended := false
 			m.engine.Do(func() { m.engine.Resign(func() { ended = true }) })
 			m.wakeAt = m.cluster.now()
 			Expect(m.cluster.until(3*time.Second, func() bool { return ended })).To(BeTrue(), fmt.Sprint(m.name))
 			m.kill()
 		}),
-		Entry("without a word", func(m *machine) { m.kill() }),
+		Entry("when it was killed", func(m *machine) { m.kill() }),
 	)
 })
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -1,17 +1,25 @@
-// Package replica runs one process's members of replica groups. It is the server around the Raft library of
-// internal/cluster/consensus: it adds disk, timers and links, applies committed entries to state machines, and
-// maintains the membership, in which processes with an empty disk join as learners and replace voters that were lost.
+// Package replica runs one process's members of several Raft groups. It surrounds the Raft library
+// internal/cluster/consensus with a disk, timers and network links, applies committed entries to state machines, and
+// maintains the membership of the groups: a process with an empty disk joins as a learner, and replaces a voter that was
+// lost.
 //
-// One goroutine, the loop of Engine.Run, owns all groups and their state machines; a second one writes to the disk, so
-// that all groups share one sync. Engine.Receive, Engine.Do and Engine.Self may be called from any goroutine. Every
-// other method of an open engine must be called on the loop, that is from a state machine or from a function given to
-// Engine.Do.
+// # Goroutines
 //
-// What is promised: a message that depends on an entry, a vote or a term leaves only once that is synced to disk; a
-// command whose proposer was given a result is on the disks of a quorum; a state machine sees the committed commands
-// of its group in the order of the log. What is not: a proposer that was given failure.UnknownOutcome may find its
-// command applied later; envelopes may be lost or duplicated by the Sender; a state machine that cannot restore its
-// group's snapshot ends the engine.
+// One goroutine, the loop of Engine.Run, owns all groups and their state machines. A second one appends to the log on
+// the disk, so that all groups share one sync. Any goroutine may call Engine.Receive, Engine.Do and Engine.Self. All
+// other methods of an open engine must be called on the loop: by a state machine, or by a function given to Engine.Do.
+//
+// # Guarantees
+//
+//   - A message that depends on an entry, a vote or a term is sent only after that is synced to disk.
+//   - A command whose proposer got a result is on the disks of a quorum.
+//   - A state machine gets the committed commands of its group in the order of the log.
+//
+// Callers must allow for the following:
+//
+//   - A command whose proposer got failure.UnknownOutcome may still be applied later.
+//   - The Sender may lose or duplicate envelopes.
+//   - If a state machine cannot restore a snapshot of its group, the engine ends.
 package replica
 
 import (
@@ -24,58 +32,62 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// GroupID names a replica group.
+// GroupID identifies a replica group.
 type GroupID = uint32
 
-// StateMachine is what a group replicates. All calls come from the loop. Two members that applied the same entries
-// must have the same state.
+// StateMachine is the state that a group replicates. All calls come from the loop. Apply must be deterministic: two
+// members that applied the same entries must have the same state.
 type StateMachine interface {
-	// Apply applies a committed command and returns its result, which is passed to the proposer if that is in this
-	// process.
+	// Apply applies a committed command and returns its result. If this process proposed the command, the engine passes
+	// the result to the proposer.
 	Apply(index, term uint64, data []byte) any
-	// Snapshot returns the complete state. The slice belongs to the engine from then on.
+	// Snapshot returns the complete state, encoded. The caller may keep the slice, so it must not be modified afterwards.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of an earlier Snapshot, from this member or another. An error ends the engine.
+	// Restore replaces the state with that of an earlier Snapshot, from this member or another one. An error ends the
+	// engine.
 	Restore(data []byte) error
 }
 
-// LeadershipObserver is a StateMachine that is notified of its leadership. Leading is called once the member is the
-// leader and has applied an entry of its own term (Raft thesis, section 6.4), Following when that ends.
+// LeadershipObserver is an optional interface of a StateMachine, which the engine notifies of leadership.
 type LeadershipObserver interface {
+	// Leading is called once this member leads the group and has applied an entry of its own term. From then on its state
+	// includes all that earlier leaders committed (Raft thesis, section 6.4).
 	Leading(term uint64)
+	// Following is called when the leadership that Leading announced ends.
 	Following()
 }
 
-// TransferDeferrer is a StateMachine that may defer a transfer of its leadership, while something is in progress that
-// a successor would have to begin anew. It is asked only before transfers that balance leaderships over the processes,
-// not before those of a process that resigns or whose disk is unhealthy.
+// TransferDeferrer is an optional interface of a StateMachine. It can defer a transfer of its group's leadership while
+// work is in progress that the next leader would have to start again. The engine asks only before a transfer that
+// balances leaderships over the processes, not if the process resigns or its disk is unhealthy.
 type TransferDeferrer interface {
 	// DefersTransfer reports whether the leadership should stay here for now.
 	DefersTransfer() bool
 }
 
-// Join asks a group's leader to add a process to the group, or to correct the node, zone or address that the group has
-// for it. It is part of Envelope and encoded by gob: the field names are the wire format.
+// Join asks a group's leader to add a process to the group, or to correct the node, zone or address of a member. It is
+// part of Envelope, which gob encodes: the names of the fields are the wire format.
 type Join struct {
 	Group     GroupID
 	Member    consensus.Member
-	Forwarded bool // by a member that is not the leader; not forwarded again
+	Forwarded bool // a member that does not lead forwarded the request; it is not forwarded a second time
 }
 
-// Envelope is what one process sends another in one step of its loop. It is one-way, and may be lost or duplicated. It
-// is encoded by gob: the field names, also of what it contains, are the wire format.
+// Envelope has everything that a process sends to another one in one step of its loop. It has no response, and may be
+// lost or duplicated. It is encoded by gob: the names of its fields, and of those of all types in it, are the wire
+// format.
 type Envelope struct {
 	From      consensus.MemberID
 	Address   string // internal address of From
 	Reluctant bool   // From avoids leadership: its disk is unhealthy, or it is about to end
 	Messages  []consensus.Message
 	Joins     []Join
-	Leaves    []DecommissionRequest
-	Releases  []DecommissionApproval
+	Leaves    []DecommissionRequest  // From asks whether it may end without returning
+	Releases  []DecommissionApproval // responses to the receiver's Leaves
 }
 
-// Sender sends envelopes to the Receive of other processes' engines. Send must not block; the envelope belongs to the
-// Sender from then on.
+// Sender sends envelopes to other processes, which pass them to Engine.Receive. Send must not block. The caller must not
+// use the envelope after the call.
 type Sender interface {
 	Send(address string, envelope *Envelope)
 }
@@ -83,25 +95,26 @@
 // Options configure an Engine.
 type Options struct {
 	FileSystem vfs.FS
-	Dir        string // a folder that nothing else uses
+	Dir        string // folder for the log, the snapshots and the identity; nothing else may use it
 	Groups     map[GroupID]StateMachine
-	Self       consensus.Member // Node, Zone and Address; the ID is read from the disk
+	Self       consensus.Member // this process's Node, Zone and Address; its ID is read from the disk
 
-	// Bootstrap has the internal addresses of the initial members of all groups, the same list in each of these
-	// processes, at the very first start of the system. It must be empty at every other start.
+	// Bootstrap lists the internal addresses of the initial members of all groups. At the first start of the system each
+	// of these processes must be given the same list. At every other start it must be empty. A process in the list becomes
+	// an initial member only if its disk is empty.
 	Bootstrap []string
-	Peers     []string // internal addresses to which requests to join are sent
-	DiskBytes int64    // size of the disk in bytes, of which at most half is used; 0: 128 MiB
+	Peers     []string // internal addresses of processes to which this one sends requests to join
+	DiskBytes int64    // size of the disk in bytes, of which the engine uses at most half; 0 selects 128 MiB
 
 	Sender Sender
-	Clock  clockwork.Clock // nil: the system's clock
-	Logger log.Logger      // nil: none
+	Clock  clockwork.Clock // nil selects the system's clock
+	Logger log.Logger      // nil disables logging
 
-	HeartbeatInterval time.Duration // 0: 100 ms
-	ElectionTimeout   time.Duration // 0: 1 s
-	Seed              uint64        // of the randomized election timeouts
+	HeartbeatInterval time.Duration // 0 selects 100 ms
+	ElectionTimeout   time.Duration // 0 selects 1 s
+	Seed              uint64        // seed of the randomized election timeouts
 
-	// newMemberID returns a new, unique identity; nil: a random one. Tests replace it.
+	// newMemberID returns an ID that no process has ever had; nil selects random IDs. A Driver and tests set it.
 	newMemberID func() (consensus.MemberID, error)
 }
 
--- a/internal/cluster/replica/run_test.go
+++ b/internal/cluster/replica/run_test.go
@@ -15,13 +15,13 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// wire carries envelopes as bytes between engines that really run.
+// wire is a Sender that passes envelopes between running engines, encoded by gob as on a real connection.
 type wire struct {
 	mutex   sync.Mutex
 	engines map[string]*Engine
 }
 
-// Send encodes and decodes, so that nothing is shared.
+// Send encodes the envelope and delivers the decoded copy, so that sender and receiver share no memory.
 func (w *wire) Send(address string, envelope *Envelope) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(envelope); err != nil {
@@ -40,18 +40,20 @@
 	engine.Receive(received)
 }
 
+// put connects an engine at an address, or disconnects the address if the engine is nil.
 func (w *wire) put(address string, engine *Engine) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.engines[address] = engine
 }
 
-// running is one engine on a real disk.
+// running is a running engine on a real disk.
 type running struct {
 	engine *Engine
 	stop   func()
 }
 
+// run opens an engine on a real disk and runs it in a goroutine.
 func (w *wire) run(dir, address string, seeds []string) *running {
 	engine, err := Open(Options{
 		FileSystem:        vfs.OS{},
@@ -76,7 +78,7 @@
 	}}
 }
 
-// committed proposes a line at one engine and reports whether it was committed.
+// committed proposes a line at an engine, waits for the outcome, and reports whether the line was applied.
 func committed(engine *Engine, line string) bool {
 	outcome := make(chan error, 1)
 	engine.Do(func() {
@@ -86,7 +88,7 @@
 }
 
 var _ = Describe("Run", func() {
-	It("commits, ends and starts again with real goroutines, disks and clocks", func() {
+	It("commits commands, ends, and starts again with all of them, with real goroutines, disks and clocks", func() {
 		root := GinkgoT().TempDir()
 		w := &wire{engines: map[string]*Engine{}}
 		seeds := []string{"a:1", "b:1", "c:1"}
@@ -116,7 +118,7 @@
 		}
 	})
 
-	It("fails to open a folder that another engine has open", func() {
+	It("holds the lock of its folder, so that another engine cannot open it", func() {
 		dir := GinkgoT().TempDir()
 		w := &wire{engines: map[string]*Engine{}}
 		first := w.run(dir, "a:1", []string{"a:1"})
--- a/internal/cluster/replica/states_test.go
+++ b/internal/cluster/replica/states_test.go
@@ -15,20 +15,20 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// The groups of a cluster with the state machines that ship.
+// The groups of a cluster with the state machines of the control role.
 const (
 	configurationGroup GroupID = 0
 	jobsGroup          GroupID = 1
-	shippedGroups              = 2
+	realStateGroups            = 2
 )
 
-// realState is a state machine that ships.
+// realState is a state machine of the control role.
 type realState interface {
 	StateMachine
 	Digester
 }
 
-// jobsState is a shard of jobs as the control role has it.
+// jobsState is the state machine of a shard of jobs.
 type jobsState struct{ *jobs.State }
 
 func (s jobsState) Apply(_, _ uint64, data []byte) any {
@@ -37,14 +37,16 @@
 	return s.State.Apply(command)
 }
 
-func newShippedState(id GroupID) realState {
+// newRealState returns the state machine of a group.
+func newRealState(id GroupID) realState {
 	if id == configurationGroup {
 		return configuration.NewState()
 	}
 	return jobsState{jobs.New(jobs.Options{})}
 }
 
-// observedState is a state machine that ships, with a recorder that knows what was applied last and who leads.
+// observedState combines a real state machine with a recorder, which knows the index applied last and whether this member
+// leads.
 type observedState struct {
 	*recorder
 	state realState
@@ -69,18 +71,19 @@
 
 func (o *observedState) Digest() uint64 { return o.state.Digest() }
 
-// newShippedCluster has the state machines and the times that the control role has.
-func newShippedCluster(seed uint64) *cluster {
-	c := newCluster(seed, shippedGroups)
-	c.newState = newShippedState
+// newRealStateCluster returns a cluster with the state machines and the timing of the control role.
+func newRealStateCluster(seed uint64) *cluster {
+	c := newCluster(seed, realStateGroups)
+	c.newState = newRealState
 	c.heartbeat, c.election = 75*time.Millisecond, 320*time.Millisecond
 	return c
 }
 
-// linkQueue is how many bytes wait at most for a link, as in package transport.
+// linkQueue is how many bytes may wait for a link, as in package transport. Further envelopes are lost.
 const linkQueue = 2 << 20
 
-// linkTo returns how long an envelope takes to an address, or false if the link's queue is full.
+// linkTo returns how long an envelope takes to an address, or false if the link's queue is full. The lower bandwidth of the
+// two machines limits the link.
 func (m *machine) linkTo(address string, envelope *Envelope) (delay time.Duration, carried bool) {
 	bandwidth := m.bandwidth
 	for _, to := range m.cluster.machines {
@@ -104,9 +107,9 @@
 	return free - now + linkDelay, true
 }
 
-// bytesOf returns about how long an envelope is on the wire.
+// bytesOf returns about how many bytes an envelope has when it is encoded.
 func bytesOf(envelope *Envelope) int {
-	const head = 60
+	const head = 60 // of an envelope, a message or a snapshot, without data
 	bytes := head
 	for i := range envelope.Messages {
 		message := &envelope.Messages[i]
@@ -121,8 +124,8 @@
 	return bytes
 }
 
-// order proposes a change of the configuration to a machine's engine. The outcome comes later.
-func (m *machine) order(command configuration.Command, done func(configuration.Result, error)) {
+// proposeChange proposes a change of the configuration at a machine. done is called with the outcome later.
+func (m *machine) proposeChange(command configuration.Command, done func(configuration.Result, error)) {
 	data, err := configuration.EncodeCommand(command)
 	Expect(err).NotTo(HaveOccurred())
 	m.engine.Do(func() {
@@ -134,14 +137,14 @@
 	m.wake()
 }
 
-// configure proposes a change of the configuration to the leader until the outcome is known.
+// configure proposes a change of the configuration at the leader, and repeats that until the outcome is known.
 func (c *cluster) configure(command configuration.Command) configuration.Result {
 	GinkgoHelper()
 	for range 100 {
 		Expect(c.until(10*time.Second, func() bool { return c.leader(configurationGroup) != nil })).To(BeTrue())
 		var outcome configuration.Result
 		resolved, known := false, false
-		c.leader(configurationGroup).order(command, func(result configuration.Result, err error) {
+		c.leader(configurationGroup).proposeChange(command, func(result configuration.Result, err error) {
 			outcome, resolved, known = result, true, err == nil
 		})
 		c.until(3*time.Second, func() bool { return resolved })
@@ -150,17 +153,18 @@
 		}
 		c.run(50 * time.Millisecond)
 	}
-	Fail("a change has an outcome")
+	Fail("the change has no known outcome after 100 attempts")
 	return configuration.Result{}
 }
 
-// change is a change of the configuration with a body of about so many bytes.
+// change returns a command that changes version base of the configuration to the next one, with a body of about so many
+// bytes.
 func change(base uint64, bytes int) configuration.Command {
 	body := fmt.Sprintf(`{"version":%d,"upsert":{"note":"%s"}}`, base+1, strings.Repeat("x", bytes))
 	return configuration.Command{Kind: protocol.ConfigurationUpdate, Base: base, Body: []byte(body)}
 }
 
-// changeMany makes changes one after the other, and submits a job with each.
+// changeMany makes changes of the configuration one after the other, and proposes a job with each.
 func (c *cluster) changeMany(changes, bytes int) {
 	GinkgoHelper()
 	for range changes {
@@ -171,18 +175,19 @@
 	}
 }
 
-// version returns that of the configuration's leader.
+// version returns the version of the configuration at its leader.
 func (c *cluster) version() uint64 {
 	GinkgoHelper()
 	Expect(c.until(10*time.Second, func() bool { return c.leader(configurationGroup) != nil })).To(BeTrue())
 	return versionOf(c.leader(configurationGroup))
 }
 
+// versionOf returns the version of the configuration that a machine has applied.
 func versionOf(m *machine) uint64 {
 	return m.states[configurationGroup].(*configuration.State).Document().Version()
 }
 
-// submitJob submits a job, and does not wait.
+// submitJob proposes a job, and does not wait for the outcome.
 func (c *cluster) submitJob() {
 	leader := c.leader(jobsGroup)
 	if leader == nil {
@@ -202,8 +207,8 @@
 	leader.wake()
 }
 
-// agree waits until all machines that are up have the same state, by its digest at one index.
-func (c *cluster) agree() {
+// expectEqualStates waits until all machines that are up have applied the same entries, and expects equal digests.
+func (c *cluster) expectEqualStates() {
 	GinkgoHelper()
 	c.converge()
 	for id := range GroupID(c.groups) {
@@ -218,7 +223,7 @@
 	}
 }
 
-// follower returns a machine that leads nothing.
+// follower returns a machine that leads no group.
 func (c *cluster) follower() *machine {
 	GinkgoHelper()
 	for _, m := range c.machines {
@@ -226,44 +231,47 @@
 			return m
 		}
 	}
-	Fail("every machine leads")
+	Fail("every machine leads a group")
 	return nil
 }
 
+// A client that got no outcome submits its change again. The change must be applied once, or not at all if another change
+// came first, whatever became of the first attempt.
 var _ = Describe("A configuration change that is submitted twice", func() {
 	first := change(0, 10)
 	again := change(1, 10)
 	rival := configuration.Command{Kind: protocol.ConfigurationUpdate, Base: 1, Body: []byte(`{"version":2}`)}
 
-	// start returns a cluster with version 1, whose leader gets the next change and cannot commit it.
+	// start returns a cluster at version 1, whose leader has a proposal for version 2 that it cannot commit. No envelopes
+	// arrive at that leader. Those that it sends arrive only if appendsArrive is set.
 	start := func(appendsArrive bool) (c *cluster, old *machine, firstAttempt *error) {
-		c = newShippedCluster(31)
+		c = newRealStateCluster(31)
 		c.startFirst(3)
 		Expect(c.configure(first).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		old = c.leader(configurationGroup)
 		c.drop = func(from, to *machine, _ *Envelope) bool { return to == old || from == old && !appendsArrive }
 		outcome := error(nil)
 		firstAttempt = &outcome
-		old.order(again, func(_ configuration.Result, err error) { outcome = err })
+		old.proposeChange(again, func(_ configuration.Result, err error) { outcome = err })
 		c.until(100*time.Millisecond, func() bool { return false })
-		Expect(versionOf(old)).To(Equal(uint64(1)), "it is not committed")
+		Expect(versionOf(old)).To(Equal(uint64(1)), "the change is not committed")
 		return c, old, firstAttempt
 	}
 
-	It("is confirmed once its first attempt is, which is in the log of the new leader, uncommitted", func() {
+	It("is applied once, by its first attempt, if that is in the log of the new leader", func() {
 		c, old, firstAttempt := start(true)
 		old.kill()
 		c.drop = nil
 		Expect(c.configure(again)).To(Equal(configuration.Result{Version: 2}))
 		Expect(c.configure(rival).Kind).To(Equal(failure.Conflict))
 		old.start(nil)
-		c.agree()
+		c.expectEqualStates()
 		Expect(c.version()).To(Equal(uint64(2)))
 		Expect(*firstAttempt).NotTo(HaveOccurred(), "the first caller was given no outcome")
 	})
 
-	It("is applied by its second attempt where the first is in the log of the old leader alone", func() {
+	It("is applied once, by its second attempt, if the first is only in the log of the old leader", func() {
 		c, old, firstAttempt := start(false)
 		Expect(c.until(5*time.Second, func() bool {
 			m := c.leader(configurationGroup)
@@ -272,12 +280,12 @@
 		Expect(c.configure(again)).To(Equal(configuration.Result{Version: 2}))
 		Expect(c.configure(rival).Kind).To(Equal(failure.Conflict))
 		c.drop = nil
-		c.agree()
+		c.expectEqualStates()
 		Expect(failure.KindOf(*firstAttempt)).To(Equal(failure.UnknownOutcome))
 		Expect(c.version()).To(Equal(uint64(2)))
 	})
 
-	It("conflicts where another change came first, and its first attempt is never applied", func() {
+	It("conflicts if another change came first, and its first attempt is never applied", func() {
 		c, old, firstAttempt := start(false)
 		Expect(c.until(5*time.Second, func() bool {
 			m := c.leader(configurationGroup)
@@ -286,15 +294,15 @@
 		Expect(c.configure(rival)).To(Equal(configuration.Result{Version: 2}))
 		Expect(c.configure(again).Kind).To(Equal(failure.Conflict))
 		c.drop = nil
-		c.agree()
+		c.expectEqualStates()
 		Expect(failure.KindOf(*firstAttempt)).To(Equal(failure.UnknownOutcome))
 		Expect(c.configure(again).Kind).To(Equal(failure.Conflict))
 		Expect(c.configure(rival)).To(Equal(configuration.Result{Version: 2}))
 	})
 
-	DescribeTable("is confirmed again after other changes, by a new leader and after a restart from a snapshot",
+	DescribeTable("is confirmed again by a new leader, and after a restart of all from snapshots, if it was followed by",
 		func(changes, bytes int) {
-			c := newShippedCluster(32)
+			c := newRealStateCluster(32)
 			c.startFirst(3)
 			Expect(c.configure(first).Version).To(Equal(uint64(1)))
 			c.changeMany(changes, bytes)
@@ -308,20 +316,21 @@
 				m.start(nil)
 			}
 			for _, m := range c.machines {
-				Expect(m.engine.byID[configurationGroup].snapshots.index > 0).To(Equal(changes*bytes > 2<<20), "a snapshot")
+				Expect(m.engine.byID[configurationGroup].snapshots.index > 0).To(Equal(changes*bytes > 2<<20), "large changes lead to a snapshot")
 			}
 			Expect(c.configure(first)).To(Equal(configuration.Result{Version: 1}))
 			Expect(c.version()).To(Equal(uint64(1 + changes)))
-			c.agree()
+			c.expectEqualStates()
 		},
-		Entry("one", 1, 10),
-		Entry("a hundred", 100, 10),
-		Entry("a hundred large ones", 100, 30<<10),
-		Entry("two thousand", 2000, 1200),
+		Entry("one other change", 1, 10),
+		Entry("100 other changes", 100, 10),
+		Entry("100 large other changes", 100, 30<<10),
+		Entry("2,000 other changes", 2000, 1200),
 	)
 })
 
 var _ = Describe("The digest of a state", func() {
+	// digestAt requests a digest from a machine. The results are filled in later.
 	digestAt := func(m *machine, id GroupID, index uint64) (digest *uint64, failed *error) {
 		digest, failed = new(uint64), new(error)
 		m.engine.Do(func() {
@@ -331,11 +340,11 @@
 		return digest, failed
 	}
 
-	It("is computed by all members at one index, while entries are being applied", func() {
-		c := newShippedCluster(71)
+	It("is equal on all members at the same index, while entries are being applied", func() {
+		c := newRealStateCluster(71)
 		c.startFirst(3)
 		Expect(c.configure(manyRoutes(50)).Version).To(Equal(uint64(1)))
-		c.agree()
+		c.expectEqualStates()
 		index := c.leader(configurationGroup).recorders[configurationGroup].Last + 4
 		var digests []*uint64
 		var failures []*error
@@ -349,11 +358,11 @@
 			Expect(*digests[i]).NotTo(BeZero())
 			Expect(*digests[i]).To(Equal(*digests[0]))
 		}
-		Expect(c.leader(configurationGroup).states[configurationGroup].Digest()).NotTo(Equal(*digests[0]), "it went on")
+		Expect(c.leader(configurationGroup).states[configurationGroup].Digest()).NotTo(Equal(*digests[0]), "later entries have changed the state")
 	})
 
-	It("fails if the state is past the index, does not get there, or has no digest", func() {
-		c := newShippedCluster(72)
+	It("fails if the state is past the index, does not reach it in time, or has no digest, or the group is unknown", func() {
+		c := newRealStateCluster(72)
 		c.startFirst(3)
 		c.awaitLeaders()
 		m := c.leader(configurationGroup)
--- a/internal/cluster/replica/step.go
+++ b/internal/cluster/replica/step.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// timerGranularity is what the loop's wake-ups are rounded up to, so that the timers of several groups share one.
+	// The loop wakes up at multiples of timerGranularity, so that timers of several groups that are due at about the same
+	// time need only one step.
 	timerGranularity = 20 * time.Millisecond
-	// minSleep is the shortest sleep of the loop.
+	// minSleep is how long the loop sleeps at least between two steps, unless an input wakes it.
 	minSleep = 10 * time.Millisecond
-	// maintainInterval is how often membership, leadership and the size of the log are reviewed.
+	// maintainInterval is the time after which maintain reviews membership, leadership and the size of the log again.
 	maintainInterval = 100 * time.Millisecond
 )
 
-// step is one pass of the loop: it takes all inputs, ticks the groups, sends their messages and gives the disk its
+// step is one pass of the loop: it handles all inputs, ticks the groups, sends their messages, and gives the disk its
 // next write.
 func (e *Engine) step() {
 	envelopes, functions := e.inbox.take(e.spareEnvelopes[:0], e.spareFunctions[:0])
@@ -37,16 +38,19 @@
 	e.writer.submit()
 }
 
-// advance reads the time of this step. It must be called after the step's inputs were taken: then each of them arrived
-// by that time, however long the process was frozen before or after. So neither a lease that starts at a leadership
-// confirmation and is granted in the answer to a heartbeat of this step, nor the wait for another leader's leases
-// after an election in this step, gets too long or too short by a freeze. The time always advances: what is sent in a
-// step is newer than everything sent before.
+// advance sets now, the time of this step. Two rules hold:
+//
+//   - All inputs of the step arrived by now, since the caller has taken them before it calls advance. This holds even if
+//     the process is frozen in between. Times that members derive from now are therefore not wrong by the length of a
+//     freeze: the start of a lease that begins with a confirmation of leadership, and the time that a new leader waits
+//     for the leases of the leader before it.
+//   - now is greater in each step than in the step before, even while the clock stands still. So a round of heartbeats
+//     that this step sends has a later time than every round before it.
 func (e *Engine) advance() {
 	e.now = max(e.options.Clock.Since(e.started), e.now+1)
 }
 
-// handleInputs handles what was taken from the inbox and recycles its slices.
+// handleInputs handles the envelopes and functions that were taken from the inbox. It keeps the slices for reuse.
 func (e *Engine) handleInputs(envelopes []*Envelope, functions []func()) {
 	for i, envelope := range envelopes {
 		e.handleEnvelope(envelope)
@@ -61,7 +65,7 @@
 	e.spareEnvelopes, e.spareFunctions = envelopes, functions
 }
 
-// handleEnvelope passes an envelope's content on to the groups.
+// handleEnvelope handles the content of an envelope. A process that is quiesced, see decommission, handles approvals only.
 func (e *Engine) handleEnvelope(envelope *Envelope) {
 	if envelope.From == e.self.ID {
 		return
@@ -76,13 +80,13 @@
 	for i := range envelope.Messages {
 		message := &envelope.Messages[i]
 		g := e.byID[message.Group]
-		// A message to an identity that was lost with its disk is not for the process that replaced it at the address.
+		// The message may be for a member that had this address before and lost its disk. Only its ID tells them apart.
 		if g == nil || message.To != e.self.ID {
 			continue
 		}
 		g.node.Step(*message, e.now)
-		if g.awaitsLearner(message) {
-			e.maintainAt = e.now
+		if g.isLearnerResponse(message) {
+			e.maintainAt = e.now // the learner may have caught up, so that it can become a voter
 		}
 	}
 	for i := range envelope.Joins {
@@ -93,7 +97,7 @@
 	}
 }
 
-// processOutputs applies the outputs of all groups until none has any left.
+// processOutputs carries out the outputs of all groups, and updates who leads them, until nothing changes any more.
 func (e *Engine) processOutputs() {
 	for changed := true; changed; {
 		changed = false
@@ -109,7 +113,8 @@
 	}
 }
 
-// maintain does what is not needed in every step.
+// maintain does the work that is not needed in every step. It runs every maintainInterval, and when maintainAt is set to
+// an earlier time.
 func (e *Engine) maintain() {
 	for _, g := range e.groups {
 		g.maintain()
@@ -120,10 +125,11 @@
 	e.compactLogs()
 }
 
-// maintain resolves digests that timed out, and reviews snapshots and membership as a leader.
+// maintain fails requests for a digest that have timed out. At the leader it also sends snapshots to members that need
+// one, and reviews the membership.
 func (g *group) maintain() {
 	g.resolveDigests()
-	if g.engine.avoidsLeadership() { // by now there may have been no leader for long enough to campaign all the same
+	if g.engine.avoidsLeadership() { // this member may campaign once there has been no leader for a while, see mayCampaign
 		g.node.SetCampaignAllowed(g.mayCampaign())
 	}
 	if !g.node.Status().IsLeader {
@@ -133,7 +139,7 @@
 	g.reviewMembership()
 }
 
-// untilNextStep returns how long the loop may sleep if nothing wakes it.
+// untilNextStep returns how long the loop may sleep if no input wakes it.
 func (e *Engine) untilNextStep() time.Duration {
 	next := min(e.maintainAt, e.writer.deadline())
 	for _, g := range e.groups {
--- a/internal/cluster/replica/transfers.go
+++ b/internal/cluster/replica/transfers.go
@@ -11,33 +11,36 @@
 )
 
 const (
-	// balanceInterval is the time between two transfers that balance leaderships, groupBalanceInterval between two of the
-	// same group.
-	balanceInterval      = time.Second
+	// balanceInterval is the time between two transfers by which this process balances leaderships.
+	balanceInterval = time.Second
+	// groupBalanceInterval is the time between two transfers of the same group's leadership to balance leaderships.
 	groupBalanceInterval = 10 * time.Second
-	// minSteadyContact is how long a process must have been in steady contact before leaderships are balanced to it.
+	// minSteadyContact is how long there must have been steady contact with a process, see peer.steadySince, before
+	// leaderships are balanced to it.
 	minSteadyContact = 5 * time.Second
-	// maxPreferredLag is how many entries a member may lack to which a leadership is balanced.
+	// maxPreferredLag is the number of entries that a member may lack at most if a leadership is balanced to it.
 	maxPreferredLag = 64
-	// transferRetryInterval is the time between two attempts to transfer a leadership because the disk is unhealthy,
-	// resignRetryInterval because the process resigns, which has no time to lose.
+	// transferRetryInterval is the time between two attempts to transfer a leadership because the disk is unhealthy.
 	transferRetryInterval = 1500 * time.Millisecond
-	resignRetryInterval   = 500 * time.Millisecond
-	// resignTimeout is how long Resign waits for its transfers.
+	// resignRetryInterval is the time between two attempts to transfer a leadership because the process resigns. It is
+	// shorter, since the process waits for at most resignTimeout.
+	resignRetryInterval = 500 * time.Millisecond
+	// resignTimeout is the time that Resign allows for its transfers.
 	resignTimeout = 1500 * time.Millisecond
 )
 
-// leadershipTransfers is the state of planned transfers of leaderships, and of Resign.
+// leadershipTransfers is the state of the transfers that this process starts, and of Resign.
 type leadershipTransfers struct {
-	resigning       bool
-	resignDeadline  time.Duration
-	resignCallbacks []func()
-	lastBalancedAt  time.Duration // when a leadership was last transferred to balance
+	resigning       bool          // Resign or Decommission was called
+	resignDeadline  time.Duration // when the callbacks are called in any case
+	resignCallbacks []func()      // not called yet
+	lastBalancedAt  time.Duration // when a leadership was last transferred to balance leaderships; 0 if none was
 }
 
-// Resign transfers all leaderships, each to the voter that lacks least, and has this process campaign again only where
-// there has long been no leader: it may be the only one with the newest entries. done is called on the loop once this
-// process leads nothing, or after resignTimeout.
+// Resign transfers the leaderships of all groups that this process leads, each to the voter that lacks the fewest entries.
+// From then on this process campaigns only in a group that has had no leader for resignedCampaignTimeout, since it may be
+// the only member with the newest entries. The engine calls done on the loop once this process leads no group, or after
+// resignTimeout.
 func (e *Engine) Resign(done func()) {
 	if !e.transfers.resigning {
 		e.transfers.resigning = true
@@ -48,10 +51,12 @@
 	e.maintainAt = e.now
 }
 
-// avoidsLeadership reports whether this process gives up leaderships and takes none.
+// avoidsLeadership reports whether this process transfers its leaderships to others and accepts none, because it has
+// resigned or its disk is unhealthy.
 func (e *Engine) avoidsLeadership() bool { return e.transfers.resigning || e.writer.health.unhealthy }
 
-// transferLeaderships transfers leaderships to other members where that is due.
+// transferLeaderships starts the transfers of leadership that are due: of all groups if this process avoids leadership,
+// else at most one to balance leaderships.
 func (e *Engine) transferLeaderships() {
 	led := 0
 	for _, g := range e.groups {
@@ -69,8 +74,8 @@
 	e.finishResigning(led)
 }
 
-// finishResigning calls back Resign and Decommission once this process may end, or at their deadline. led is the
-// number of groups that it leads.
+// finishResigning calls the callbacks of Resign and Decommission once this process may end, or at their deadline. led is
+// the number of groups that it leads.
 func (e *Engine) finishResigning(led int) {
 	if !e.transfers.resigning || len(e.transfers.resignCallbacks) == 0 {
 		return
@@ -93,7 +98,8 @@
 	}
 }
 
-// transferLeadership starts a transfer of the group's leadership to the voter that lacks least.
+// transferLeadership starts a transfer of the group's leadership to its successor. It does nothing if this member does not
+// lead, a transfer is in progress or was started recently, or no voter can lead.
 func (g *group) transferLeadership() {
 	now := g.engine.now
 	status := g.node.Status()
@@ -113,7 +119,7 @@
 	_ = g.node.TransferLeadership(now, successor)
 }
 
-// successor returns the voter that can lead and lacks least, or None.
+// successor returns the voter that lacks the fewest entries among those that can lead, or consensus.None.
 func (g *group) successor(members []consensus.Member) consensus.MemberID {
 	successor, minBehind := consensus.None, uint64(math.MaxUint64)
 	for _, member := range stayingVoters(members) {
@@ -135,8 +141,8 @@
 	return unresponsive < aliveTimeout && e.peers.acceptsLeadership(id, e.now)
 }
 
-// balanceLeaderships transfers one leadership to its group's preferred leader if this process leads more groups than
-// its part of them.
+// balanceLeaderships transfers the leadership of one group to the group's preferred leader, if this process leads more
+// groups than its share. led is the number of groups that it leads.
 func (e *Engine) balanceLeaderships(led int) {
 	if e.now-e.transfers.lastBalancedAt < balanceInterval {
 		return
@@ -152,8 +158,11 @@
 	}
 }
 
-// balanceTarget returns the member that should lead the group instead of this process, and can; or None. Each group
-// prefers one of its voters by its number, the same in all processes.
+// balanceTarget returns the member to which the group's leadership should be transferred to balance leaderships, or
+// consensus.None.
+//
+// A group's preferred leader is the voter at position id modulo n in the order of their IDs, for the group's id and n
+// voters. All processes compute the same one. A process's share is the number of groups divided by n, rounded up.
 func (g *group) balanceTarget(led int) consensus.MemberID {
 	e := g.engine
 	status := g.node.Status()
@@ -175,22 +184,24 @@
 	return preferred
 }
 
+// defersTransfer reports whether the group's state machine defers a transfer of leadership.
 func (g *group) defersTransfer() bool {
 	deferrer, ok := g.machine.(TransferDeferrer)
 	return ok && deferrer.DefersTransfer()
 }
 
-// isStayingVoter reports whether a member votes, and goes on voting after a joint membership.
+// isStayingVoter reports whether a member votes, and will still vote when a change that is in progress is complete.
 func isStayingVoter(member consensus.Member) bool {
 	isLeaving := member.Transition == consensus.TransitionRemoved || member.Transition == consensus.TransitionDemoted
 	return !member.Learner && !isLeaving
 }
 
-// stayingVoters returns the voters that are not leaving.
+// stayingVoters returns the members that vote and are not losing their vote by a joint membership.
 func stayingVoters(members []consensus.Member) []consensus.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member consensus.Member) bool { return !isStayingVoter(member) })
 }
 
+// sortedVoters returns the IDs of the members that vote, in rising order.
 func sortedVoters(members []consensus.Member) []consensus.MemberID {
 	var voters []consensus.MemberID
 	for _, member := range members {
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -10,55 +10,56 @@
 	"ospreypond/internal/cluster/replica/wal"
 )
 
-// never is a deadline that is never reached.
-const never = time.Duration(math.MaxInt64)
+// infinite is a deadline that is never reached, or an interval that never ends.
+const infinite = time.Duration(math.MaxInt64)
 
-// writer collects what all groups have to write, and passes it to the disk's goroutine, one write at a time, each with
-// one sync. What depends on a write is sent once that is finished.
+// writer collects what all groups have to write in the present step, and passes it to the disk's goroutine as one write
+// with one sync. Only one write is in progress at a time; the next one is collected while the disk is busy. Messages that
+// depend on a write are sent once it has succeeded. A write that fails is retried until it succeeds.
 type writer struct {
 	engine *Engine
 	log    *wal.Log
 
-	pending  *diskWrite // being collected
-	inflight *diskWrite // at the disk, or waiting to be retried
-	spare    *diskWrite
-	busy     bool // the disk executes inflight
-	number   uint64
-	finished uint64 // number of the newest write on disk
+	pending  *diskWrite // the write that is being collected
+	inflight *diskWrite // the write that the disk executes or that waits to be retried; nil if there is none
+	spare    *diskWrite // an empty write for reuse; may be nil
+	busy     bool       // the disk executes inflight
+	number   uint64     // number of pending
+	finished uint64     // number of the newest write that is on disk; writes finish in the order of their numbers
 	health   diskHealth
 	usage    diskUsage
 
-	// execute passes a write to the disk. finish must be called on the loop with the outcome. Tests and Driver replace it.
+	// execute passes a write to the disk, and has finish called on the loop with the outcome. Driver and tests replace it.
 	execute func(w *diskWrite)
 }
 
-// diskWrite is one write to the disk, with everything that depends on it.
+// diskWrite is one write to the disk, with the messages and reports that depend on it.
 type diskWrite struct {
-	number   uint64
-	started  time.Duration
-	batch    wal.Batch
-	installs []installation
-	deferred []consensus.Message
-	groups   []writtenGroup
+	number    uint64
+	startedAt time.Duration // when the disk got the write last
+	batch     wal.Batch
+	installs  []installation      // written before the batch
+	deferred  []consensus.Message // sent after the batch is on disk
+	groups    []writtenGroup      // reported to the groups' nodes after the batch is on disk
 }
 
-// installation is a leader's snapshot, which is written before the batch.
+// installation is a snapshot that a group has received from its leader.
 type installation struct {
 	group    GroupID
 	snapshot *consensus.Snapshot
 }
 
-// writtenGroup is a group with the newest entry that it has on disk after a write.
+// writtenGroup is a group, and the newest entry that its log has on disk after a write.
 type writtenGroup struct {
 	group       *group
 	index, term uint64
 }
 
-// diskUsage is how much the disk has after a write.
+// diskUsage is the size of the log after a write.
 type diskUsage struct {
-	logBytes int64
+	logBytes int64 // in all segments
 	segments int
-	pinning  []GroupID // groups that pin the oldest segment
+	pinning  []GroupID // groups that prevent the removal of the oldest segment, see wal.Log.PinningGroups
 }
 
 func newWriter(e *Engine, log *wal.Log) *writer {
@@ -68,17 +69,18 @@
 	return w
 }
 
-// queueFirstSync queues a write for each group, so that nothing that depends on the disk is sent before the first
-// sync. That makes durable what was read from the disk: an earlier process may have ended before it synced that.
+// queueFirstSync adds the hard state of each group to the first write. Messages that depend on the disk are then not sent
+// before the first sync. That sync also makes the last batch durable that was read from the disk, which an earlier
+// process may have written without syncing it.
 func (w *writer) queueFirstSync() {
 	for _, g := range w.engine.groups {
 		w.pending.batch.HardState(g.id, g.hardState)
 		g.lastHardStateWrite = w.pending.number
-		w.touch(g, 0, 0)
+		w.includeGroup(g, 0, 0)
 	}
 }
 
-// start starts the disk's goroutine, and returns a function that stops it.
+// start starts the disk's goroutine, unless execute was replaced. It returns a function that stops the goroutine.
 func (w *writer) start() (stop func()) {
 	if w.execute != nil {
 		return func() {}
@@ -95,7 +97,8 @@
 	return func() { close(writes) }
 }
 
-// write executes a write. It is called by the disk's goroutine.
+// write executes a write on the disk's goroutine: it writes the snapshots, appends the batch, and removes files that the
+// log needs no more. It returns the size of the log.
 func (w *writer) write(next *diskWrite) (diskUsage, error) {
 	for _, i := range next.installs {
 		if err := wal.WriteSnapshot(w.engine.options.FileSystem, w.engine.options.Dir, i.group, i.snapshot); err != nil {
@@ -105,12 +108,11 @@
 	if err := w.log.Append(&next.batch); err != nil {
 		return diskUsage{}, err
 	}
-	// What cannot be removed now is removed after a later write.
-	_, _ = w.log.RemoveObsolete()
+	_, _ = w.log.RemoveObsolete() // after an error it tries again after the next write
 	return diskUsage{logBytes: w.log.Bytes(), segments: w.log.Segments(), pinning: w.log.PinningGroups()}, nil
 }
 
-// add takes what a group has to write, and the messages that leave after it.
+// add adds a node's output to the pending write: a snapshot, a hard state, entries, and the messages that depend on them.
 func (w *writer) add(g *group, output *consensus.Output) {
 	if output.Snapshot != nil {
 		w.addInstall(g, output.Snapshot)
@@ -118,25 +120,27 @@
 	if output.HardState != nil {
 		w.pending.batch.HardState(g.id, *output.HardState)
 		g.lastHardStateWrite = w.pending.number
-		w.touch(g, 0, 0)
+		w.includeGroup(g, 0, 0)
 	}
 	if len(output.Entries) > 0 {
 		w.pending.batch.Entries(g.id, output.Entries)
 		last := &output.Entries[len(output.Entries)-1]
-		w.touch(g, last.Index, last.Term)
+		w.includeGroup(g, last.Index, last.Term)
 		g.snapshots.addEntries(output.Entries)
 	}
 	w.deferMessages(g, output.Deferred)
 }
 
+// addInstall adds a leader's snapshot to the pending write.
 func (w *writer) addInstall(g *group, snapshot *consensus.Snapshot) {
 	w.pending.installs = append(w.pending.installs, installation{group: g.id, snapshot: snapshot})
 	w.pending.batch.Install(g.id, snapshot.Index, snapshot.Term)
-	w.touch(g, snapshot.Index, snapshot.Term)
+	w.includeGroup(g, snapshot.Index, snapshot.Term)
 }
 
-// touch records that the pending write has something of a group, and the group's newest entry if that is in it.
-func (w *writer) touch(g *group, index, term uint64) {
+// includeGroup records that the pending write has something of a group. index and term are those of the group's newest
+// entry or snapshot in the write, or 0 if there is none.
+func (w *writer) includeGroup(g *group, index, term uint64) {
 	g.lastWrite = w.pending.number
 	if index > 0 {
 		g.submittedIndex, g.submittedTerm = index, term
@@ -151,7 +155,8 @@
 	w.pending.groups = append(w.pending.groups, newest)
 }
 
-// deferMessages sends messages once everything is on disk that the group submitted before them.
+// deferMessages sends messages of a group once all earlier writes of the group are on disk. That may be now, or after the
+// write in flight or the pending write.
 func (w *writer) deferMessages(g *group, messages []consensus.Message) {
 	switch {
 	case len(messages) == 0:
@@ -166,7 +171,8 @@
 	}
 }
 
-// submit gives the disk the next write if it is free.
+// submit gives the disk the next write, or again the one that has failed. It does nothing while a write is in progress,
+// before the time of a retry, and if there is nothing to write.
 func (w *writer) submit() {
 	if w.busy || w.engine.now < w.health.retryAt {
 		return
@@ -180,10 +186,11 @@
 		w.pending = w.newWrite()
 	}
 	w.busy = true
-	w.inflight.started = w.engine.now
+	w.inflight.startedAt = w.engine.now
 	w.execute(w.inflight)
 }
 
+// newWrite returns an empty write with the next number.
 func (w *writer) newWrite() *diskWrite {
 	next := w.spare
 	w.spare = nil
@@ -194,7 +201,8 @@
 	return next
 }
 
-// finish handles the outcome of a write.
+// finish handles the outcome of a write on the loop. After a success it reports to the nodes what is on disk, and sends
+// the messages that waited for the write.
 func (w *writer) finish(done *diskWrite, usage diskUsage, err error) {
 	w.busy = false
 	if err != nil {
@@ -204,9 +212,10 @@
 	w.inflight = nil
 	w.finished = done.number
 	w.usage = usage
-	w.recordSuccess(w.engine.now - done.started)
+	w.recordSuccess(w.engine.now - done.startedAt)
 	for _, written := range done.groups {
-		// Only if no newer hard state is pending: Persisted acknowledges all that the node has put out.
+		// Persisted states that all hard states that the node has output up to now are on disk, too. If a newer one is not
+		// yet, the write with that hard state reports this entry.
 		if written.group.lastHardStateWrite <= w.finished {
 			written.group.node.Persisted(w.engine.now, written.index, written.term)
 		}
@@ -217,7 +226,7 @@
 	w.recycle(done)
 }
 
-// recycle empties a finished write, to be used again.
+// recycle empties a finished write and keeps it for reuse.
 func (w *writer) recycle(done *diskWrite) {
 	done.batch.Reset()
 	clear(done.installs)
@@ -229,7 +238,7 @@
 	w.spare = done
 }
 
-// unwrittenBytes returns how many bytes wait for the disk.
+// unwrittenBytes returns how many bytes of batches are not on disk yet. Snapshots don't count.
 func (w *writer) unwrittenBytes() int {
 	size := w.pending.batch.Size()
 	if w.inflight != nil {
@@ -238,10 +247,10 @@
 	return size
 }
 
-// recordFailure records a write that failed and is to be retried.
+// recordFailure records that the write in flight has failed. submit retries it after writeRetryInterval.
 func (w *writer) recordFailure(err error) {
 	_ = level.Error(w.engine.options.Logger).Log("msg", "write to disk failed", "err", err)
 	w.health.failing = true
 	w.health.retryAt = w.engine.now + writeRetryInterval
-	w.noteUnhealthy()
+	w.markUnhealthy()
 }
