--- a/internal/cluster/replica/decommission.go
+++ b/internal/cluster/replica/decommission.go
@@ -18,9 +18,8 @@
 	approvalLifetime = 10 * time.Second
 )
 
-// DecommissionRequest asks a group's leader whether a member may end and never return. The leader approves once the member
-// is replaced, if there is a replacement, and the other voters have on disk what the member has. It is part of Envelope,
-// which gob encodes: the names of the fields are the wire format.
+// DecommissionRequest asks a group's leader whether a member may end and never return; see group.canSpare for when the
+// leader approves. It is part of Envelope, which gob encodes: the names of the fields are the wire format.
 type DecommissionRequest struct {
 	Group   GroupID
 	Attempt uint64 // the approval repeats it, so that the member recognizes outdated approvals
@@ -211,8 +210,9 @@
 	})
 }
 
-// retainsLog reports whether a voter still runs and has on disk what a member that is being decommissioned has. last is the
-// last index of this leader's log.
+// retainsLog reports whether a voter still runs and has on disk what a member that is being decommissioned has. If the
+// member is not quiesced, its log still grows; then it is enough that the voter has caught up. last is the last index of
+// this leader's log.
 //
 // Only a response to a message that was sent lately shows that the voter still runs. Messages that it sent before it ended
 // may arrive late.
@@ -243,7 +243,8 @@
 	return !back
 }
 
-// warnUnapproved logs the groups whose leaders have not approved the second phase when the time for it is over.
+// warnUnapproved logs the groups whose leaders have not approved the second phase. It is called if the process ends because
+// of its timeout.
 func (e *Engine) warnUnapproved() {
 	for _, g := range e.groups {
 		if e.decommission.phase == quiesced && e.decommission.approved[g.id] {
--- a/internal/cluster/replica/membership_view.go
+++ b/internal/cluster/replica/membership_view.go
@@ -114,8 +114,8 @@
 	return slices.ContainsFunc(v.members, member.supersededBy)
 }
 
-// majorityRemainsAlive reports whether a majority of the voters is alive after a change that removes one voter and promotes one
-// learner. Either may be consensus.None.
+// majorityRemainsAlive reports whether a majority of the voters is alive after a change that removes the member without and
+// promotes the learner with. Either may be consensus.None.
 func (v *membershipView) majorityRemainsAlive(without, with consensus.MemberID) bool {
 	var voters []memberView
 	for _, member := range v.members {
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -13,9 +13,9 @@
 // infinite is a deadline that is never reached, or an interval that never ends.
 const infinite = time.Duration(math.MaxInt64)
 
-// writer collects what all groups have to write in the present step, and passes it to the disk's goroutine as one write
-// with one sync. Only one write is in progress at a time; the next one is collected while the disk is busy. Messages that
-// depend on a write are sent once it has succeeded. A write that fails is retried until it succeeds.
+// writer collects everything that the groups have to write, and passes it to the disk's goroutine as one write with one
+// sync. Only one write is in progress at a time; while the disk is busy, the next one is collected. Messages that depend on
+// a write are sent once it has succeeded. A write that fails is retried until it succeeds.
 type writer struct {
 	engine *Engine
 	log    *wal.Log
