--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,10 +1,10 @@
-// Package assignment solves the linear sum assignment problem: which row takes which column, so that as many rows as
-// possible are matched and the sum of their costs is least.
+// Package assignment solves the linear sum assignment problem: it matches rows to columns one to one, so that as many
+// rows as possible are matched and the sum of their costs is minimal.
 //
-// It is the Hungarian method by shortest augmenting paths with potentials, which takes O(n^3) steps for n rows and columns
-// (Jonker and Volgenant, "A Shortest Augmenting Path Algorithm for Dense and Sparse Linear Assignment Problems", Computing
-// 38, 1987). Of several assignments of the same cost it always finds the same one. It keeps no state but buffers, and a
-// Solver serves one goroutine at a time.
+// The algorithm is the Hungarian method with shortest augmenting paths and potentials (Jonker and Volgenant, "A
+// Shortest Augmenting Path Algorithm for Dense and Sparse Linear Assignment Problems", Computing 38, 1987). It takes
+// O(n^3) steps for n rows and columns. It is deterministic: of several minimal assignments, equal costs always give the
+// same one.
 package assignment
 
 import (
@@ -12,36 +12,43 @@
 	"slices"
 )
 
-// Unmatched is the column of a row that was not matched, since there are fewer columns than rows.
+// Unmatched is the result for a row without a column, where there are fewer columns than rows.
 const Unmatched = -1
 
-// noColumnCost is the cost of the columns that are added where there are fewer columns than rows: a row that gets one of
-// them is unmatched. Real costs must be well below it, so that this happens to no more rows than it must.
+// noColumnCost is the cost of a dummy column. If there are fewer columns than rows, dummy columns make up the
+// difference, and a row that gets one of them is unmatched. Real costs must be well below it: then no row gets a dummy
+// column while a real one is free.
 const noColumnCost = 1e9
 
-// Solve returns the column of each row in a minimum-cost assignment, or Unmatched. costs are by row and column; each row
-// has at least the given number of columns, and what it has beyond is ignored. Costs are finite and well below 1e9; they
-// may be negative.
+// Solve returns the column of each row in a minimum-cost assignment, or Unmatched. costs is indexed by row, then
+// column. Each row must have at least columns entries; further entries are ignored. Costs must be finite and well below
+// noColumnCost (1e9); they may be negative.
 func Solve(costs [][]float64, columns int) []int {
 	var solver Solver
 	return solver.Solve(costs, columns)
 }
 
-// Solver solves one assignment after another in the same buffers. Its zero value is ready. It serves one goroutine at a
-// time.
+// Solver solves one assignment problem after another and reuses its buffers. The zero value is ready to use. Only one
+// goroutine may use it at a time.
 //
-// Rows are added one by one, each along the shortest augmenting path to a free column. In its slices, rows and columns are
-// counted from 1; row 0 means that a column is free, and column 0 stands for the row that is being added.
+// Rows are added to the assignment one by one. For each, the solver finds the shortest augmenting path: a sequence of
+// columns that starts at the new row and ends at a free column, where each column but the last is taken from its row,
+// which gets the next column instead. Two invariants hold after each row:
+//
+//   - The reduced cost of each pair, its cost less the potentials of its row and column, is not negative.
+//   - The reduced cost of each matched pair is 0. So the assignment of the rows added so far is a cheapest one.
+//
+// The slices count rows and columns from 1. Row 0 marks a free column, and column 0 holds the row that is being added.
 type Solver struct {
 	rowPotential, columnPotential []float64
-	rowOf                         []int     // by column: the row that has it, 0: free
-	previousColumn                []int     // by column: the column before it on the shortest path
-	distance                      []float64 // by column: from the row that is being added
+	rowOf                         []int     // by column: the row that has it; 0: free
+	previousColumn                []int     // by column: the column before it on the shortest path to it
+	distance                      []float64 // by column: from the new row, in reduced costs, less the distance of the last column visited
 	visited                       []bool    // by column: whether its shortest path is final
 	result                        []int     // by row, counted from 0
 }
 
-// Solve does what the function Solve does. The result is valid until the next call.
+// Solve returns the same as the function Solve. The result is valid until the next call.
 func (s *Solver) Solve(costs [][]float64, columns int) []int {
 	width := max(len(costs), columns)
 	s.reset(len(costs), width)
@@ -56,7 +63,7 @@
 	return s.result
 }
 
-// reset prepares the buffers for a number of rows and columns, the added ones included.
+// reset clears the buffers and sizes them for rows rows and width columns, dummy columns included.
 func (s *Solver) reset(rows, width int) {
 	s.rowPotential = cleared(s.rowPotential, rows+1)
 	s.columnPotential = cleared(s.columnPotential, width+1)
@@ -70,15 +77,15 @@
 	}
 }
 
-// cleared returns a slice of zeros, in the buffer if that is large enough.
+// cleared returns a slice of zero values, in the memory of buffer if that is large enough.
 func cleared[T any](buffer []T, length int) []T {
 	buffer = slices.Grow(buffer[:0], length)[:length]
 	clear(buffer)
 	return buffer
 }
 
-// augmentingPath finds the shortest augmenting path from a new row to a free column, and returns that column. The path is
-// in previousColumn. The search is Dijkstra's, on costs less potentials.
+// augmentingPath finds the shortest augmenting path from a new row to a free column by Dijkstra's algorithm on reduced
+// costs. It returns the free column; previousColumn leads from there back to column 0.
 func (s *Solver) augmentingPath(costs [][]float64, columns, width, row int) int {
 	for column := range s.distance {
 		s.distance[column], s.visited[column] = math.Inf(1), false
@@ -94,8 +101,8 @@
 	return current
 }
 
-// relax updates the distances of all columns that are not visited, by the row of the current one, and returns the nearest
-// column and its distance.
+// relax updates the distances of the columns that are not visited, for paths by way of the current column and its row.
+// It returns the nearest of these columns and its distance.
 func (s *Solver) relax(costs []float64, columns, width, current int) (next int, delta float64) {
 	potential := s.rowPotential[s.rowOf[current]]
 	distance, visited, columnPotential := s.distance[:width+1], s.visited[:width+1], s.columnPotential[:width+1]
@@ -118,7 +125,8 @@
 	return next, delta
 }
 
-// adjustPotentials changes the potentials so that the nearest column is at distance 0.
+// adjustPotentials moves the distance delta into the potentials, so that the nearest column is at distance 0. The
+// reduced costs of the pairs on the path to it are 0 then, and none becomes negative.
 func (s *Solver) adjustPotentials(delta float64) {
 	distance, visited, columnPotential := s.distance, s.visited[:len(s.distance)], s.columnPotential[:len(s.distance)]
 	for column := range distance {
@@ -131,7 +139,8 @@
 	}
 }
 
-// augment gives each column on the path that ends at column to the row of the column before it.
+// augment gives each column on the path that ends at column to the row that had the column before it. The new row, in
+// column 0, so gets the first column of the path.
 func (s *Solver) augment(column int) {
 	for column != 0 {
 		s.rowOf[column] = s.rowOf[s.previousColumn[column]]
--- a/internal/dispatcher/app/reload.go
+++ b/internal/dispatcher/app/reload.go
@@ -52,7 +52,7 @@
 	if err := d.peers.checkConfig(next); err != nil {
 		return err
 	}
-	if err := d.coord.Retune(next.Policy); err != nil {
+	if err := d.coord.UpdateSettings(next.Policy); err != nil {
 		return err
 	}
 	d.egress.Retune(next)
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -174,9 +174,9 @@
 		return err
 	}
 	p := &c.Policy
-	setDefault(&p.Period, defaultPeriod)
+	setDefault(&p.MinStepInterval, defaultPeriod)
 	setDefault(&p.ConnectTimeout, defaultConnectTimeout)
-	setDefault(&p.ConnIdle, defaultIdleTimeout)
+	setDefault(&p.ConnIdleTimeout, defaultIdleTimeout)
 	return nil
 }
 
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -32,9 +32,9 @@
 	require.NoError(t, err)
 	assert.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, c.Limits)
 	assert.Equal(t, uint64(255), c.Seed)
-	assert.Equal(t, defaultPeriod, c.Policy.Period)
+	assert.Equal(t, defaultPeriod, c.Policy.MinStepInterval)
 	assert.Equal(t, defaultConnectTimeout, c.Policy.ConnectTimeout)
-	assert.Equal(t, defaultIdleTimeout, c.Policy.ConnIdle)
+	assert.Equal(t, defaultIdleTimeout, c.Policy.ConnIdleTimeout)
 	assert.Equal(t, logrus.InfoLevel, c.LogLevel)
 	assert.Equal(t, pushDiscoveryHold, c.DiscoveryHold(), "lists are pushed by default")
 	c.Policy.ListOnDemand = true
--- a/internal/dispatcher/config/settings.go
+++ b/internal/dispatcher/config/settings.go
@@ -73,22 +73,22 @@
 func (s *Settings) Policy() (policy.Settings, error) {
 	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 	p := policy.Settings{
-		Zone: s.Zone, Number: s.SlotNo, Schedulers: s.Balancers, Period: us(s.PeriodUs),
+		Zone: s.Zone, Number: s.SlotNo, Schedulers: s.Balancers, MinStepInterval: us(s.PeriodUs),
 		ListOnDemand: s.Discovery == "ask", ReportsStarts: s.FamilyInfo.TellsStart,
-		Reports: s.Report.Via == "probe" || s.Report.Via == "answers",
-		Cancel:  s.Limits.Cancelling, Probes: s.Limits.Probes,
-		MaxAttempts: s.Limits.MaxAttempts, MaxOpen: s.Limits.MaxOpen,
-		ConnIdle:       us(s.Limits.ConnIdleUs),
-		ConnectTimeout: us(s.Limits.ConnectTimeoutUs), ResponseGrace: us(s.Rules.AnswerSlackUs),
-		MaxListAge: us(s.Rules.AskWithinUs), MinWarmth: s.Rules.ColdFrom, WarmUpTime: us(s.Rules.ColdUs),
-		OverloadFactor: s.Rules.FallMultiple, OverloadWindow: us(s.Rules.TipAfterUs), DrainClose: us(s.Rules.DrainCloseUs),
+		LoadReports: s.Report.Via == "probe" || s.Report.Via == "answers",
+		MayCancel:   s.Limits.Cancelling, MayProbe: s.Limits.Probes,
+		MaxAttempts: s.Limits.MaxAttempts, MaxOpenRequests: s.Limits.MaxOpen,
+		ConnIdleTimeout: us(s.Limits.ConnIdleUs),
+		ConnectTimeout:  us(s.Limits.ConnectTimeoutUs), ResponseGrace: us(s.Rules.AnswerSlackUs),
+		MaxListAge: us(s.Rules.AskWithinUs), MinStartCapacity: s.Rules.ColdFrom, MaxWarmUpTime: us(s.Rules.ColdUs),
+		OverloadFactor: s.Rules.FallMultiple, OverloadWindow: us(s.Rules.TipAfterUs), DrainCloseTimeout: us(s.Rules.DrainCloseUs),
 		CrossZonePrice: s.Tariffs.CrossZone, HandshakePrice: s.Tariffs.Handshake, ProbePrice: s.Tariffs.Probe,
 	}
 	if s.Limits.RetryAfter {
 		p.MaxRetryAfter = us(s.Limits.MaxRetryAfterUs)
 	}
 	for i, c := range s.Classes {
-		k := policy.Class{Name: c.Name, Window: us(c.MemorySpanUs), LatencyTarget: us(c.ObjectiveUs), Stretch: c.AimStretch,
+		k := policy.Class{Name: c.Name, DedupWindow: us(c.MemorySpanUs), LatencyTarget: us(c.ObjectiveUs), Stretch: c.AimStretch,
 			LateValue: c.LateWorth, Deadline: us(c.DeadlineUs), Streamed: c.Streamed}
 		switch c.Semantics {
 		case "safe":
@@ -101,9 +101,9 @@
 		}
 		switch c.KeyScope {
 		case "all":
-			k.Scope = policy.ScopeAll
+			k.DedupScope = policy.ScopeAll
 		case "zone":
-			k.Scope = policy.ScopeZone
+			k.DedupScope = policy.ScopeZone
 		}
 		if i < len(s.FamilyInfo.ClassStretch) {
 			k.Stretch = s.FamilyInfo.ClassStretch[i]
--- a/internal/dispatcher/coordinator/actions.go
+++ b/internal/dispatcher/coordinator/actions.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// How the module's actions are carried out.
+// This file carries out the decision module's actions.
 
 import (
 	"container/heap"
@@ -13,13 +13,14 @@
 	"ospreypond/policy"
 )
 
-// apply carries out one action of module m.
+// apply carries out an action that module m returned. A final response or cancellation of a request that m doesn't have
+// is ignored: the request may have ended in this step. A send of one is a fault of the module.
 func (c *Coordinator) apply(ctx context.Context, m *module, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send, policy.Cancel, policy.Refuse, policy.Fail:
 		j := c.jobs[a.ID]
 		if j != nil && j.module != m {
-			j = nil // the id of another module's job
+			j = nil // the job of another module that uses the same id
 		}
 		if j == nil {
 			if a.Kind == policy.Send {
@@ -37,7 +38,7 @@
 		case a.Kind == policy.Fail:
 			c.respond(j, Response{Kind: Failed})
 		}
-	case policy.Arm:
+	case policy.ArmTimer:
 		heap.Push(&m.timers, timer{a.At, a.Token})
 	case policy.Probe:
 		c.probe(ctx, a.Worker)
@@ -50,9 +51,10 @@
 	}
 }
 
-// send starts an attempt in a goroutine, which ends when Egress.Attempt has returned its one end.
+// send starts an attempt in a goroutine, which ends when Egress.Attempt returns. An attempt of a request that has its
+// response, or beyond the limit of attempts, isn't started: the module gets the outcome Moot for it.
 func (c *Coordinator) send(ctx context.Context, j *job, a *policy.Action) {
-	n, target := len(j.attempts), a.Worker // a is overwritten by the next step
+	n, target := len(j.attempts), a.Worker // copied, as the next step overwrites a
 	limit := j.request.Deadline
 	if a.Timeout != 0 {
 		if t := time.Now().Add(a.Timeout); t.Before(limit) {
@@ -61,15 +63,15 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, limit)
 	by := limit
-	if a.By != 0 {
-		if t := c.clock.time(a.By); t.Before(by) {
+	if a.FirstByteBy != 0 {
+		if t := c.clock.time(a.FirstByteBy); t.Before(by) {
 			by = t
 		}
 	}
 	state := &attempt{cancel: cancel, gate: &firstByteGate{deadline: by}, target: target, sent: time.Now()}
 	j.attempts = append(j.attempts, state)
 	j.openAttempts++
-	if j.responded || j.module.set.MaxAttempts > 0 && n >= j.module.set.MaxAttempts {
+	if j.responded || j.module.settings.MaxAttempts > 0 && n >= j.module.settings.MaxAttempts {
 		c.attemptEnded(j, n, target, AttemptEnd{Outcome: policy.Moot, Report: policy.NoReport})
 		return
 	}
@@ -87,7 +89,7 @@
 	}()
 }
 
-// recoverPanic returns what f returns, or Failed if it panics, so that the request still gets its response.
+// recoverPanic returns the result of f, or the outcome Failed if f panics: the module waits for an end of each attempt.
 func (c *Coordinator) recoverPanic(f func() AttemptEnd) (end AttemptEnd) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -98,7 +100,8 @@
 	return f()
 }
 
-// attemptEnded handles the one end of an attempt. A result is the response at once, if there was none before.
+// attemptEnded passes the end of an attempt to the job's module. A result is first delivered as the job's response,
+// unless the job has one, and so is the report that the request itself is invalid.
 func (c *Coordinator) attemptEnded(j *job, n int, target string, end AttemptEnd) {
 	state := j.attempts[n]
 	state.cancel()
@@ -109,18 +112,19 @@
 	}
 	c.log.WithFields(logrus.Fields{"request": j.request.ID, "target": target, "outcome": end.Outcome,
 		"took": time.Since(state.sent)}).Debug("hop ended")
-	if end.Unusable {
-		c.respond(j, Response{Kind: Unusable})
+	if end.InvalidRequest {
+		c.respond(j, Response{Kind: InvalidRequest})
 	}
 	if end.Outcome == policy.OK {
 		c.respond(j, Response{Kind: Served, Result: end.Result})
 	}
 	j.module.events = append(j.module.events, policy.Event{Kind: policy.AttemptEnded, ID: j.id, Attempt: n, Worker: target,
-		Outcome: end.Outcome, Indeterminate: end.Indeterminate, Elapsed: time.Since(state.sent), Complete: j.responded, Report: end.Report})
+		Outcome: end.Outcome, Indeterminate: end.Indeterminate, Elapsed: time.Since(state.sent), Responded: j.responded, Report: end.Report})
 	c.forget(j)
 }
 
-// probe requests a target's load in a goroutine, which ends within probeTimeout.
+// probe asks a target for its load report in a goroutine, and passes the end to all modules. The context ends after
+// probeTimeout.
 func (c *Coordinator) probe(ctx context.Context, target string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	sent := time.Now()
--- a/internal/dispatcher/coordinator/attempt.go
+++ b/internal/dispatcher/coordinator/attempt.go
@@ -8,8 +8,8 @@
 	"ospreypond/policy"
 )
 
-// attempt is the state of an attempt that the goroutine of Run owns, and the gate that the goroutine of the
-// attempt's connection passes.
+// attempt is the state of an attempt. Run's goroutine owns it, except for the gate, which the goroutines of the
+// attempt's connections share.
 type attempt struct {
 	cancel  context.CancelFunc
 	gate    *firstByteGate
@@ -20,17 +20,17 @@
 	outcome policy.Outcome
 }
 
-// firstByteGate decides, under its lock, which comes first: an attempt's first byte or the end of its request. So an
-// attempt that is still being dialed when its client disconnects can always be cancelled, also where an attempt that
-// was sent must not be.
+// firstByteGate orders two events of an attempt under a lock: the write of its first byte, and its revocation when its
+// request ends. Whichever comes first wins. So an attempt that is still being dialed when its client disconnects can
+// always be cancelled safely, also where the settings forbid cancelling attempts that were sent.
 type firstByteGate struct {
 	mu       sync.Mutex
-	deadline time.Time // the first byte must be written before it
-	begun    bool
-	revoked  bool
+	deadline time.Time // the first byte must be written before this time
+	begun    bool      // a first byte may have been written
+	revoked  bool      // none may be written from now on
 }
 
-// activate is Attempt.Begin.
+// begin implements Attempt.Begin.
 func (s *firstByteGate) begin(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// revoke keeps the attempt from beginning, also on a further connection, and reports whether it never began.
+// revoke makes all later calls of begin fail, also those for a further connection, and reports whether none succeeded.
 func (s *firstByteGate) revoke() (unbegun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dispatcher/coordinator/attempt_test.go
+++ b/internal/dispatcher/coordinator/attempt_test.go
@@ -13,12 +13,13 @@
 	"ospreypond/policy"
 )
 
-// dialingEgress is an Egress whose attempts write no byte until the test allows them to begin.
+// dialingEgress is an Egress whose attempts call Begin only when the test allows it, as if they were still being
+// dialed.
 type dialingEgress struct {
 	*fakeEgress
-	began chan error // what Begin returned
-	allow chan bool
-	ended chan error // how the attempt's context ended, if it did
+	began chan error // the result of Begin
+	allow chan bool  // false: the attempt goes on without a call of Begin
+	ended chan error // the cause of the end of the attempt's context
 }
 
 func (e *dialingEgress) Attempt(ctx context.Context, h *Attempt) AttemptEnd {
@@ -42,11 +43,11 @@
 	return coordinator, d
 }
 
-// An attempt that is still being dialed when its client disconnects is cancelled, also where attempts that were sent
-// must not be: its first byte is refused. One that began before goes on.
+// If a client disconnects while its attempt is still being dialed, the attempt is cancelled and its first byte refused,
+// also where the settings forbid cancelling attempts that were sent. An attempt that has begun isn't cancelled.
 func TestDisconnectCancelsUnbegunAttempt(t *testing.T) {
 	set := testSettings()
-	set.Cancel = false
+	set.MayCancel = false
 	for name, begunFirst := range map[string]bool{"while dialing": false, "on the wire": true} {
 		t.Run(name, func(t *testing.T) {
 			coordinator, e := runDialing(t, set)
@@ -63,7 +64,7 @@
 				assert.ErrorIs(t, <-e.ended, context.Canceled)
 			} else {
 				require.Eventually(t, func() bool { return errors.Is(h.Begin(time.Now()), ErrRevoked) }, testTimeout, time.Millisecond,
-					"must not begin on another connection")
+					"it must not begin on another connection")
 				assert.Empty(t, e.ended, "it must not be cancelled")
 				e.ends <- AttemptEnd{Outcome: policy.OK, Report: policy.NoReport}
 			}
@@ -72,18 +73,19 @@
 	}
 }
 
-// A retry begins within the window of its key: its first byte counts, not the decision, as dialing may take long.
+// A second attempt of a keyed request must write its first byte within the class's window for duplicates. The time of
+// the decision doesn't count, as dialing may take long.
 func TestRetryBeginsWithinItsKeysWindow(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Semantics, set.Classes[0].Scope, set.Classes[0].Window = policy.Keyed, policy.ScopeAll, 30*time.Second
+	set.Classes[0].Semantics, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = policy.Keyed, policy.ScopeAll, 30*time.Second
 	coordinator, e := runDialing(t, set)
 	c := submit(context.Background(), coordinator, request(time.Minute))
 	sent := time.Now()
 	first := <-e.attempts
-	decided := time.Now() // the module sent it between the two, however busy the machine is
+	decided := time.Now() // the module sent the attempt between sent and decided, also on a busy machine
 	e.allow <- true
 	require.NoError(t, <-e.began)
-	assert.NoError(t, first.Begin(sent.Add(40*time.Second)), "the first attempt has the client's time")
+	assert.NoError(t, first.Begin(sent.Add(40*time.Second)), "the first attempt may begin until the client's deadline")
 	assert.ErrorIs(t, first.Begin(sent.Add(61*time.Second)), ErrTooLate)
 	e.ends <- AttemptEnd{Outcome: policy.Reset, Report: policy.NoReport}
 	retry := <-e.attempts
@@ -95,7 +97,7 @@
 	assert.Equal(t, Served, receiveResponse(t, c).Kind)
 }
 
-// A client that disconnects while the inbox is full is not waited for, and its request never arrives.
+// If a client disconnects while the inbox is full, Submit returns at once, and its request is never sent.
 func TestDisconnectIsNoticedWhileQueued(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	busy, over := make(chan bool), make(chan bool)
@@ -114,8 +116,8 @@
 	assert.Empty(t, e.attempts)
 }
 
-// In all orders of begins, a revocation and the passing of time: what was revoked or is late never begins, and revoke
-// reports exactly whether it never began.
+// In any order of calls of begin and revoke and of the passing of time, begin fails after a revocation or the deadline
+// and only then, and revoke reports whether no begin has succeeded.
 func TestFirstByteGateInAllOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
@@ -128,13 +130,13 @@
 			"begin": func(t *rapid.T) {
 				err := s.begin(now)
 				if want := !revoked && now.Before(s.deadline); (err == nil) != want {
-					t.Fatalf("begin: %v, revoked %v", err, revoked)
+					t.Fatalf("begin returned %v after revoked = %v", err, revoked)
 				}
 				begun = begun || err == nil
 			},
 			"revoke": func(t *rapid.T) {
 				if unbegun := s.revoke(); unbegun == begun {
-					t.Fatalf("begun %v, revoke reports that it never began: %v", begun, unbegun)
+					t.Fatalf("begun = %v, but revoke reports that it never began: %v", begun, unbegun)
 				}
 				revoked = true
 			},
--- a/internal/dispatcher/coordinator/coordinator.go
+++ b/internal/dispatcher/coordinator/coordinator.go
@@ -1,11 +1,13 @@
-// Package coordinator connects the clients' side (ingress), the upstreams' side (egress) and discovery with the
-// decision module; they meet nowhere else.
+// Package coordinator connects the clients' side (ingress), the upstreams' side (egress) and discovery to the decision
+// module (package policy). These sides have no other connection to each other.
 //
-// One goroutine, that of Run, owns the decision module: it turns arrivals, ends of attempts, changes of the list and
-// timers into the module's events and carries out the actions that come back. All other methods may be called from
-// any goroutine. A caller calls New, Attach, perhaps Observe, then Run, and Submit for each request. Submit returns
-// exactly one Response to each request; a request may still have attempts in flight by then. Egress must return
-// exactly one end of each attempt. Any protocol that fills in a Request gets the same decisions by the same rules.
+// The goroutine that calls Run owns the decision module. It turns arrivals, ends of attempts, changes of the list of
+// runners and timers into the module's events, and carries out the actions that the module returns. All other methods
+// may be called from any goroutine. A caller uses New, Attach and perhaps Observe, then Run, and Submit for each
+// request.
+//
+// Submit returns exactly one Response to each request, which may still have attempts in flight then. Egress must return
+// exactly one end of each attempt. A Request doesn't depend on the protocol by which it came, so the decisions don't.
 package coordinator
 
 import (
@@ -20,21 +22,21 @@
 )
 
 const (
-	// overdueGrace is how long after the client's deadline and the settings' grace a request that the module left
-	// without a response is ended. Guards against a module that loses a request; the rules allow 50 ms.
+	// overdueGrace is how long after the client's deadline plus Settings.ResponseGrace the coordinator itself ends a
+	// request without a response. Guards against a module that loses a request. The deployments' rules allow 50 ms.
 	overdueGrace = 15 * time.Millisecond
-	// probeTimeout bounds a probe.
+	// probeTimeout is the longest time that a probe may take.
 	probeTimeout = 250 * time.Millisecond
-	// inboxSize is how many calls may be queued for the coordinator before its callers block.
+	// inboxSize is how many calls may be queued for Run's goroutine before callers block.
 	inboxSize = 1024
-	// maxRespondedIDs is how many ids of requests with a response are remembered: a request with one of them is not
-	// new, and a runner would take it for a duplicate.
+	// maxRespondedIDs is how many ids of requests with a response are remembered. A new request with one of these ids
+	// is refused, as a runner would drop it as a duplicate.
 	maxRespondedIDs = 4096
 )
 
-// Coordinator connects ingress, egress and the route table to the decision module.
+// Coordinator connects ingress, egress and discovery to the decision module.
 type Coordinator struct {
-	set       policy.Settings
+	settings  policy.Settings
 	seed      uint64
 	egress    Egress
 	directory Directory
@@ -44,61 +46,61 @@
 	inbox     chan func()
 	done      chan struct{}
 
-	// The rest belongs to the goroutine of Run.
-	modules      []*module // the last one takes new requests; the others finish theirs
+	// Run's goroutine owns the fields below.
+	modules      []*module // the last one gets new requests; the others decide on their own until these have ended
 	closing      bool
-	members      map[string]policy.Member // the list as last received, for a module that starts over
-	fleet        *policy.Event            // the last FleetUpdated; nil: none yet
+	members      map[string]policy.Member // by name: the list as last received, which a new module starts with
+	fleet        *policy.Event            // the last FleetUpdated, which a new module starts with; nil: none yet
 	jobs         map[uint32]*job
 	nextID       uint32
-	ids          map[string]bool // of requests: open ones and the last maxRespondedIDs
-	respondedIDs []string        // the ones with a response among them, a ring
-	nextEvicted  int
-	actions      []policy.Action
-	stepAt       time.Duration // of the last step
+	ids          map[string]bool // ids of the open requests and of the last maxRespondedIDs with a response
+	respondedIDs []string        // those of requests with a response: a ring of maxRespondedIDs
+	nextEvicted  int             // index in respondedIDs of the oldest id, once the ring is full
+	actions      []policy.Action // of the last step
+	lastStepAt   time.Duration   // time of the last step
 }
 
 // job is a request from its arrival until it has its response and all its attempts have ended.
 type job struct {
 	id           uint32
-	module       *module // decides on it, with the settings in force at its arrival
+	module       *module // decides on it, with the settings at its arrival
 	request      *Request
 	deadline     time.Duration
-	response     chan Response // of capacity 1, so that the coordinator never blocks on it
+	response     chan Response // has a buffer of 1, so that Run's goroutine never blocks on it
 	responded    bool
 	responseKind ResponseKind
-	respondedAt  time.Time   // of the response
-	overdue      *time.Timer // fires if the module has forgotten the request
+	respondedAt  time.Time
+	overdueTimer *time.Timer // fires if there is no response overdueGrace after the deadline and the grace
 	attempts     []*attempt
-	openAttempts int // attempts that have not ended
+	openAttempts int // number of attempts that have not ended
 }
 
-// New returns a coordinator with a fresh decision module. Attach must be called before Run.
+// New returns a coordinator with a new decision module. Attach must be called before Run.
 func New(set policy.Settings, seed uint64, log logrus.FieldLogger) (*Coordinator, error) {
 	d, err := policy.New(set, seed)
 	if err != nil {
 		return nil, fmt.Errorf("starting the decision module: %w", err)
 	}
-	return &Coordinator{set: set, seed: seed, log: log, modules: []*module{{d: d, set: set}}, clock: newClock(),
+	return &Coordinator{settings: set, seed: seed, log: log, modules: []*module{{dispatcher: d, settings: set}}, clock: newClock(),
 		inbox: make(chan func(), inboxSize),
 		done:  make(chan struct{}), members: map[string]policy.Member{}, jobs: map[uint32]*job{},
 		ids: map[string]bool{}}, nil
 }
 
-// Attach sets the upstreams' and discovery's side. It must be called once, before Run.
+// Attach sets the upstreams' side and discovery's side. It must be called once, before Run.
 func (c *Coordinator) Attach(e Egress, d Directory) { c.egress, c.directory = e, d }
 
-// Observe has o notified of the end of each request. It must be called before Run.
+// Observe makes o the observer that is notified of the end of each request. It must be called before Run.
 func (c *Coordinator) Observe(o Observer) { c.observer = o }
 
-// NotifyEnded notifies the observer of a request that got its response elsewhere, before Submit.
+// NotifyEnded notifies the observer of a request that got its response without reaching the decision module.
 func (c *Coordinator) NotifyEnded(r *Request, a Response) {
 	if c.observer != nil {
 		c.observer.RequestEnded(EndedRequest{Request: r, Response: a.Kind, RespondedAt: time.Now()})
 	}
 }
 
-// notifyJobEnded notifies the observer of a job's end.
+// notifyJobEnded notifies the observer of the end of a job.
 func (c *Coordinator) notifyJobEnded(j *job) {
 	if c.observer == nil {
 		return
@@ -110,7 +112,8 @@
 	c.observer.RequestEnded(e)
 }
 
-// enqueue has the goroutine of Run call f. It blocks while the inbox is full, and does nothing after Run has ended.
+// enqueue queues a call of f by Run's goroutine. It blocks while the inbox is full. After Run has ended, f isn't
+// called.
 func (c *Coordinator) enqueue(f func()) {
 	select {
 	case c.inbox <- f:
@@ -118,14 +121,15 @@
 	}
 }
 
-// Submit returns the final response to a request. The client's disconnect must end ctx: Submit then returns
-// ClientDisconnected and the request's attempts are cancelled. After Run has ended it returns InternalFault.
+// Submit returns the final response to a request. ctx must end when the client disconnects: then Submit returns
+// ClientDisconnected, and the request's attempts are cancelled as far as the settings allow. After Run has ended,
+// Submit returns InternalFault.
 func (c *Coordinator) Submit(ctx context.Context, r *Request) Response {
 	j := &job{request: r, response: make(chan Response, 1)}
 	select {
 	case c.inbox <- func() { c.arrive(j) }:
 	case <-c.done:
-	case <-ctx.Done(): // it disconnected while the inbox was full
+	case <-ctx.Done(): // the client disconnected while the inbox was full
 		a := Response{Kind: ClientDisconnected}
 		c.NotifyEnded(r, a)
 		return a
@@ -146,7 +150,8 @@
 	}
 }
 
-// UpdateList passes on a list event (policy.ListChanged, ListReplaced, ListRestored or ListUnavailable).
+// UpdateList passes a list event to the decision module: policy.ListChanged, ListReplaced, ListRestored or
+// ListUnavailable.
 func (c *Coordinator) UpdateList(e policy.Event) {
 	c.enqueue(func() {
 		c.applyList(&e)
@@ -155,21 +160,22 @@
 	})
 }
 
-// UpdateFleet sets the dispatcher numbers whose parts of the fleet's budgets this one may use: all of numbers for the
-// time validFor from now on, after that only its own. living is how many dispatchers are assumed to live.
+// UpdateFleet sets the numbers of the dispatchers whose shares of the fleet's budgets this one may use. They are valid
+// for the time validFor from now; after that only its own number is. living is how many dispatchers are assumed to be
+// alive.
 func (c *Coordinator) UpdateFleet(numbers []int, validFor time.Duration, living int) {
 	until := time.Duration(math.MaxInt64)
 	if now := c.clock.now(); validFor < until-now {
 		until = now + validFor
 	}
 	c.enqueue(func() {
-		c.fleet = &policy.Event{Kind: policy.FleetUpdated, Numbers: numbers, Until: until, Living: living}
+		c.fleet = &policy.Event{Kind: policy.FleetUpdated, Numbers: numbers, NumbersValidUntil: until, LiveSchedulers: living}
 		c.broadcast(*c.fleet)
 	})
 }
 
-// Close has every open request and every later one get its response at once. Run goes on until its context ends, so
-// that the responses are delivered.
+// Close makes the decision module finish every open request, and every later one, at once. Run doesn't return before
+// its context ends, so the responses are still delivered.
 func (c *Coordinator) Close() {
 	c.enqueue(func() {
 		c.closing = true
--- a/internal/dispatcher/coordinator/coordinator_test.go
+++ b/internal/dispatcher/coordinator/coordinator_test.go
@@ -16,7 +16,7 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeEgress is an Egress whose attempts end as the test sends to ends.
+// fakeEgress is an Egress that passes its attempts to the test, and ends them with the ends that the test sends.
 type fakeEgress struct {
 	attempts chan *Attempt
 	ends     chan AttemptEnd
@@ -40,18 +40,19 @@
 func (e *fakeEgress) Subscribe()       {}
 
 func testSettings() policy.Settings {
-	return policy.Settings{Schedulers: 1, Period: time.Millisecond, ReportsStarts: true, Cancel: true, MaxAttempts: 4,
+	return policy.Settings{Schedulers: 1, MinStepInterval: time.Millisecond, ReportsStarts: true, MayCancel: true, MaxAttempts: 4,
 		ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
 		Classes: []policy.Class{{Name: "c", Semantics: policy.Unsafe, LatencyTarget: 80 * time.Millisecond, LateValue: 1,
 			Deadline: time.Minute}}}
 }
 
+// run runs a coordinator with a fakeEgress.
 func run(t *testing.T, set policy.Settings) (*Coordinator, *fakeEgress) {
 	t.Helper()
 	return runWith(t, set, func(e *fakeEgress) Egress { return e })
 }
 
-// runWith runs a coordinator whose Egress is made by wrap.
+// runWith runs a coordinator with one runner, "w", and an Egress that wrap makes of a fakeEgress.
 func runWith(t *testing.T, set policy.Settings, wrap func(*fakeEgress) Egress) (*Coordinator, *fakeEgress) {
 	t.Helper()
 	log := logrus.New()
@@ -97,16 +98,16 @@
 	assert.Equal(t, Response{Kind: Served, Result: []byte("made")}, receiveResponse(t, c))
 }
 
-// Guards against a module that panics: open requests get a response, and the next request is served.
+// If the decision module panics, the open requests get a response and the next request is served.
 func TestModulePanic(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	c := submit(context.Background(), coordinator, request(time.Minute))
 	<-e.attempts
-	coordinator.enqueue(func() { // the event makes the module without a Dispatcher panic
+	coordinator.enqueue(func() { // a module without a Dispatcher panics at its next event
 		m := coordinator.modules[len(coordinator.modules)-1]
 		m.events = append(m.events, policy.Event{Kind: policy.AttemptEnded, ID: 1, Report: policy.NoReport,
 			Worker: "w", Outcome: policy.Failed})
-		m.d = nil
+		m.dispatcher = nil
 	})
 	assert.Equal(t, InternalFault, receiveResponse(t, c).Kind)
 	next := request(time.Minute)
@@ -117,19 +118,21 @@
 	assert.Equal(t, Served, receiveResponse(t, c).Kind)
 }
 
-// Guards against a module that forgets a request: the coordinator responds.
+// If the decision module loses a request, the coordinator itself responds.
 func TestOverdueRequestIsFailed(t *testing.T) {
 	set := testSettings()
 	set.ResponseGrace = 0
 	coordinator, e := run(t, set)
 	c := submit(context.Background(), coordinator, request(100*time.Millisecond))
 	<-e.attempts
-	coordinator.enqueue(func() { coordinator.modules[len(coordinator.modules)-1].d, _ = policy.New(coordinator.set, 2) }) // it has no request
+	coordinator.enqueue(func() {
+		coordinator.modules[len(coordinator.modules)-1].dispatcher, _ = policy.New(coordinator.settings, 2)
+	}) // the new one doesn't have the request
 	assert.Equal(t, InternalFault, receiveResponse(t, c).Kind)
 }
 
-// Guards against a client that uses the id of another's request, while that one is open or after it: the first goes
-// on, and the second is neither served nor sent to a runner, which would take it for a duplicate.
+// A request with the id of another one, which is open or has its response, is neither served nor sent to a runner: the
+// runner would take it for a duplicate. The first request isn't affected.
 func TestDuplicateID(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	c := submit(context.Background(), coordinator, request(time.Minute))
@@ -141,7 +144,7 @@
 	assert.Empty(t, e.attempts)
 }
 
-// The ids of requests with a response are dropped in order, so that memory stays bounded.
+// The number of remembered ids of requests with a response is bounded: the oldest one is forgotten first.
 func TestRespondedIDsAreBounded(t *testing.T) {
 	coordinator, _ := run(t, testSettings())
 	left := make(chan bool, 2)
@@ -157,7 +160,7 @@
 	assert.True(t, <-left)
 }
 
-// Guards against one client's invalid requests making a runner look unhealthy: it gets the next request at once.
+// Invalid requests of one client don't make a runner look unhealthy: it still gets the next request at once.
 func TestUnusableRequestIsNotTheTargetsFault(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	for n := range 3 {
@@ -165,13 +168,13 @@
 		r.ID = fmt.Sprint(n)
 		c := submit(context.Background(), coordinator, r)
 		<-e.attempts
-		e.ends <- AttemptEnd{Outcome: policy.Cancelled, Unusable: true, Report: policy.NoReport}
-		assert.Equal(t, Unusable, receiveResponse(t, c).Kind)
+		e.ends <- AttemptEnd{Outcome: policy.Cancelled, InvalidRequest: true, Report: policy.NoReport}
+		assert.Equal(t, InvalidRequest, receiveResponse(t, c).Kind)
 	}
-	assert.Empty(t, e.attempts, "an unusable request is not retried")
+	assert.Empty(t, e.attempts, "an invalid request must not be retried")
 }
 
-// A client's disconnect cancels its attempt, whose end still arrives; no state is left.
+// When a client disconnects, its attempt is cancelled, and after the attempt's end no state of the request is left.
 func TestClientDisconnects(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	ctx, disconnect := context.WithCancel(context.Background())
@@ -183,10 +186,10 @@
 		left := make(chan int, 1)
 		coordinator.enqueue(func() { left <- len(coordinator.jobs) })
 		return <-left == 0
-	}, testTimeout, time.Millisecond, "the attempt was not cancelled")
+	}, testTimeout, time.Millisecond, "the request is still known")
 }
 
-// After Close what may have run fails, what never ran is shed, and later requests are shed at once.
+// After Close, an open request that may have run fails, and later requests are shed at once.
 func TestClose(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	out := submit(context.Background(), coordinator, request(time.Minute))
@@ -198,13 +201,13 @@
 	assert.Equal(t, Shed, receiveResponse(t, submit(context.Background(), coordinator, next)).Kind)
 }
 
-// Only the first response counts: an attempt that is sent after it is moot, and a second response changes nothing.
+// Only the first response counts: a second one is ignored, and an attempt that the module sends after it ends as moot.
 func TestSendAfterTheResponseIsMoot(t *testing.T) {
 	coordinator, _ := run(t, testSettings())
 	got := make(chan policy.Event, 1)
 	coordinator.enqueue(func() {
 		m := coordinator.modules[0]
-		j := &job{id: 7, request: request(time.Minute), response: make(chan Response, 1), overdue: time.NewTimer(time.Hour), openAttempts: 1,
+		j := &job{id: 7, request: request(time.Minute), response: make(chan Response, 1), overdueTimer: time.NewTimer(time.Hour), openAttempts: 1,
 			module: m}
 		coordinator.jobs[7] = j
 		coordinator.respond(j, Response{Kind: Failed})
@@ -215,7 +218,7 @@
 	})
 	e := <-got
 	assert.Equal(t, policy.Moot, e.Outcome)
-	assert.True(t, e.Complete)
+	assert.True(t, e.Responded)
 }
 
 func TestClockIsUnixTimeAndMonotonic(t *testing.T) {
@@ -225,17 +228,17 @@
 	assert.Equal(t, time.Second, c.at(at)-c.at(at.Add(-time.Second)))
 }
 
-// Steps are at least the settings' period apart, however many events arrive.
+// Steps are at least Settings.MinStepInterval apart, however many events arrive.
 func TestStepsKeepThePeriod(t *testing.T) {
 	set := testSettings()
-	set.Period = 20 * time.Millisecond
+	set.MinStepInterval = 20 * time.Millisecond
 	coordinator, _ := run(t, set)
 	var steps []time.Duration
 	for range 40 {
 		c := make(chan time.Duration, 1)
 		coordinator.enqueue(func() {
 			coordinator.broadcast(policy.Event{Kind: policy.TimerFired})
-			c <- coordinator.stepAt
+			c <- coordinator.lastStepAt
 		})
 		if at := <-c; len(steps) == 0 || steps[len(steps)-1] != at {
 			steps = append(steps, at)
@@ -244,6 +247,6 @@
 	}
 	require.Greater(t, len(steps), 2)
 	for i := 2; i < len(steps); i++ {
-		assert.GreaterOrEqual(t, steps[i]-steps[i-1], set.Period)
+		assert.GreaterOrEqual(t, steps[i]-steps[i-1], set.MinStepInterval)
 	}
 }
--- a/internal/dispatcher/coordinator/jobs.go
+++ b/internal/dispatcher/coordinator/jobs.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// A request from its arrival to its response.
+// This file has a request's way from its arrival to its response.
 
 import (
 	"time"
@@ -8,10 +8,11 @@
 	"ospreypond/policy"
 )
 
-// arrive registers a request, under a number by which the module knows it.
+// arrive registers a request under a number that identifies it to the module. Numbers of present jobs are skipped when
+// the counter wraps around.
 func (c *Coordinator) arrive(j *job) {
 	r := j.request
-	// Guards against a client that uses the id of another's request: the first one goes on undisturbed.
+	// Guards against a client that uses the id of another's request: the first request isn't affected.
 	if c.ids[r.ID] {
 		j.responded = true
 		j.response <- Response{Kind: DuplicateID}
@@ -24,15 +25,15 @@
 	j.id, j.deadline, j.module = c.nextID, c.clock.at(r.Deadline), c.modules[len(c.modules)-1]
 	c.jobs[j.id] = j
 	j.module.openJobs++
-	j.overdue = time.AfterFunc(time.Until(r.Deadline)+c.set.ResponseGrace+overdueGrace, func() {
-		c.enqueue(func() { c.overdue(j) })
+	j.overdueTimer = time.AfterFunc(time.Until(r.Deadline)+c.settings.ResponseGrace+overdueGrace, func() {
+		c.enqueue(func() { c.endOverdue(j) })
 	})
 	j.module.events = append(j.module.events, policy.Event{Kind: policy.Request, ID: j.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key,
-		Work: r.Work, Slots: r.Slots, Memory: r.Memory, Retry: r.Retry, Report: policy.NoReport})
+		Work: r.Work, Slots: r.Slots, Memory: r.Memory, IsRetry: r.Retry, Report: policy.NoReport})
 }
 
-// overdue ends a request that the module has forgotten.
-func (c *Coordinator) overdue(j *job) {
+// endOverdue ends a request without a response after its deadline: the module must have lost it.
+func (c *Coordinator) endOverdue(j *job) {
 	if j.responded {
 		return
 	}
@@ -41,7 +42,7 @@
 	j.module.events = append(j.module.events, policy.Event{Kind: policy.ClientDisconnected, ID: j.id})
 }
 
-// disconnect ends a request whose client has disconnected.
+// disconnect ends a request whose client has disconnected, unless it has its response.
 func (c *Coordinator) disconnect(j *job) {
 	if !j.responded {
 		c.respond(j, Response{Kind: ClientDisconnected})
@@ -49,24 +50,25 @@
 	}
 }
 
-// respond delivers j's final response; later ones are ignored.
-func (c *Coordinator) respond(j *job, a Response) {
+// respond delivers the final response to j. Further calls are ignored.
+func (c *Coordinator) respond(j *job, response Response) {
 	if j.responded {
 		return
 	}
-	j.responded, j.responseKind, j.respondedAt = true, a.Kind, time.Now()
-	j.overdue.Stop()
-	for _, attempt := range j.attempts { // attempts that have not begun must not: nobody waits for them
+	j.responded, j.responseKind, j.respondedAt = true, response.Kind, time.Now()
+	j.overdueTimer.Stop()
+	for _, attempt := range j.attempts { // nobody waits for attempts without a first byte
 		if !attempt.ended && attempt.gate.revoke() {
 			attempt.cancel()
 		}
 	}
-	j.response <- a
+	j.response <- response
 	c.rememberID(j.request.ID)
 	c.forget(j)
 }
 
-// rememberID keeps the id of a request with a response among the last maxRespondedIDs.
+// rememberID adds the id of a request that got its response to the last maxRespondedIDs, and forgets the oldest of
+// them.
 func (c *Coordinator) rememberID(id string) {
 	if len(c.respondedIDs) < maxRespondedIDs {
 		c.respondedIDs = append(c.respondedIDs, id)
@@ -77,7 +79,7 @@
 	c.nextEvicted = (c.nextEvicted + 1) % maxRespondedIDs
 }
 
-// forget drops a job with its response and no attempt in flight.
+// forget drops a job once it has its response and no attempt in flight, and notifies the observer.
 func (c *Coordinator) forget(j *job) {
 	if j.responded && j.openAttempts == 0 && c.jobs[j.id] == j {
 		delete(c.jobs, j.id)
--- a/internal/dispatcher/coordinator/loop.go
+++ b/internal/dispatcher/coordinator/loop.go
@@ -9,8 +9,10 @@
 	"ospreypond/policy"
 )
 
-// Run drives the decision module until ctx ends; attempts and probes get contexts derived from ctx. If the module
-// panics, its open requests end with InternalFault and a new module starts with the same list.
+// Run drives the decision module until ctx ends. Attempts and probes get contexts derived from ctx. If the module
+// panics, all open requests end with InternalFault, and a new module starts with the same list.
+//
+// Each iteration waits for a queued call or a due step, makes all queued calls, and steps the modules if a step is due.
 func (c *Coordinator) Run(ctx context.Context) {
 	defer close(c.done)
 	wake := time.NewTimer(0)
@@ -33,16 +35,17 @@
 			}
 		}
 		now := c.clock.now()
-		if c.due() <= now {
+		if c.nextStepAt() <= now {
 			c.step(ctx, now)
 		}
-		wake.Reset(min(c.due()-c.clock.now(), time.Hour))
+		wake.Reset(min(c.nextStepAt()-c.clock.now(), time.Hour))
 	}
 }
 
-// due returns when the modules are to step next: no sooner than the settings' period after the last step.
-func (c *Coordinator) due() time.Duration {
-	first := c.stepAt + c.set.Period
+// nextStepAt returns the time of the next step: at least Settings.MinStepInterval after the last one, as soon as a module has
+// an event or a due timer. Without either it is an hour later.
+func (c *Coordinator) nextStepAt() time.Duration {
+	first := c.lastStepAt + c.settings.MinStepInterval
 	next := first + time.Hour
 	for _, m := range c.modules {
 		switch {
@@ -55,19 +58,19 @@
 	return next
 }
 
-// step steps each module that has events or due timers and applies its actions. A module of former settings is
-// dropped once its requests have ended.
+// step steps each module that has events or due timers, and carries out its actions. It drops modules with former
+// settings whose requests have all ended.
 func (c *Coordinator) step(ctx context.Context, now time.Duration) {
-	c.stepAt = now
+	c.lastStepAt = now
 	for _, m := range c.modules {
 		if !m.ready(now) {
 			continue
 		}
-		events := m.take(now)
+		events := m.takeEvents(now)
 		for i := range events {
-			if e := &events[i]; e.Kind == policy.Request { // the client's time elapsed while the event was queued
+			if e := &events[i]; e.Kind == policy.Request { // some of the client's time passed while the event was queued
 				if j := c.jobs[e.ID]; j != nil {
-					e.Left = j.deadline - now
+					e.TimeLeft = j.deadline - now
 				}
 			}
 		}
@@ -77,13 +80,14 @@
 		for i := range c.actions {
 			c.apply(ctx, m, &c.actions[i])
 		}
-		m.done(events)
+		m.recycleEvents(events)
 	}
 	current := c.modules[len(c.modules)-1]
 	c.modules = slices.DeleteFunc(c.modules, func(m *module) bool { return m != current && m.openJobs == 0 })
 }
 
-// decide steps a module into c.actions; ok is false if it panicked and every module was replaced.
+// decide steps a module and sets c.actions to the actions that it returns. ok is false if the module panicked; all
+// modules were replaced then.
 func (c *Coordinator) decide(m *module, now time.Duration, events []policy.Event) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -92,6 +96,6 @@
 			c.restart()
 		}
 	}()
-	c.actions = m.d.Step(now, events, c.actions[:0])
+	c.actions = m.dispatcher.Step(now, events, c.actions[:0])
 	return true
 }
--- a/internal/dispatcher/coordinator/module.go
+++ b/internal/dispatcher/coordinator/module.go
@@ -8,66 +8,68 @@
 	"ospreypond/policy"
 )
 
-// module is one decision module with the settings it was made with. When the settings change, a new module takes
-// new requests while the former one decides on its own until they have ended: a job keeps the class and the limits
-// that it started with.
+// module is a decision module with its settings, queued events and timers. When the settings change, a new module gets
+// the new requests, and the former one decides on its requests until they have ended. So a job keeps the class and the
+// limits that it arrived with.
 type module struct {
-	d        *policy.Dispatcher
-	set      policy.Settings
-	events   []policy.Event // since its last step
-	spare    []policy.Event
-	timers   timerHeap
-	openJobs int // jobs that it decides on
+	dispatcher  *policy.Dispatcher
+	settings    policy.Settings
+	events      []policy.Event // queued since the last step
+	eventBuffer []policy.Event // the buffer of the last step's events, to be reused
+	timers      timerHeap
+	openJobs    int // number of jobs that it decides on
 }
 
-// ready reports whether the module has an event or a due timer.
+// ready reports whether the module has an event or a timer that is due at now.
 func (m *module) ready(now time.Duration) bool {
 	return len(m.events) > 0 || len(m.timers) > 0 && m.timers[0].at <= now
 }
 
-// take returns the events of a step at now, due timers included.
-func (m *module) take(now time.Duration) []policy.Event {
+// takeEvents removes and returns the events for a step at now, those of due timers included.
+func (m *module) takeEvents(now time.Duration) []policy.Event {
 	for len(m.timers) > 0 && m.timers[0].at <= now {
 		m.events = append(m.events, policy.Event{Kind: policy.TimerFired, Token: m.timers[0].token})
 		heap.Pop(&m.timers)
 	}
 	events := m.events
-	m.events = m.spare[:0]
+	m.events = m.eventBuffer[:0]
 	return events
 }
 
-// done returns a step's events for reuse.
-func (m *module) done(events []policy.Event) {
+// recycleEvents takes back the events that take returned, so that their buffer is reused.
+func (m *module) recycleEvents(events []policy.Event) {
 	clear(events)
-	m.spare = events[:0]
+	m.eventBuffer = events[:0]
 }
 
-// broadcast passes an event that concerns no single job to every module.
+// broadcast queues an event that doesn't concern a single job for every module.
 func (c *Coordinator) broadcast(e policy.Event) {
 	for _, m := range c.modules {
 		m.events = append(m.events, e)
 	}
 }
 
-// Retune applies new settings to requests submitted after it has returned; open requests keep theirs. It returns
-// an error for settings that no module starts with, and then changes nothing.
-func (c *Coordinator) Retune(set policy.Settings) error {
+// UpdateSettings applies new settings to requests that are submitted after it has returned. Open requests keep theirs. If the
+// settings are invalid, it returns an error and changes nothing.
+func (c *Coordinator) UpdateSettings(set policy.Settings) error {
 	d, err := policy.New(set, c.seed)
 	if err != nil {
 		return fmt.Errorf("starting the decision module: %w", err)
 	}
 	c.enqueue(func() {
-		c.set = set
+		c.settings = set
 		c.activate(d, set)
 	})
 	return nil
 }
 
+// timer is a timer that a module set by policy.ArmTimer.
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
+// timerHeap implements heap.Interface: the earliest timer is first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/dispatcher/coordinator/module_test.go
+++ b/internal/dispatcher/coordinator/module_test.go
@@ -11,8 +11,8 @@
 	"ospreypond/policy"
 )
 
-// After new settings an open request keeps its class and its limit of attempts, a new one is decided on by the new
-// settings at once, and the former module is dropped when its requests have ended.
+// New settings don't apply to open requests, which keep their class and their limit of attempts. New requests get them
+// at once. The former module is dropped when its requests have ended.
 func TestRetuneKeepsOpenRequests(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	old := submit(context.Background(), coordinator, request(time.Minute))
@@ -21,7 +21,7 @@
 	set := testSettings()
 	set.MaxAttempts = 1
 	set.Classes[0].Name = "d" // "c" is removed, "d" is new
-	require.NoError(t, coordinator.Retune(set))
+	require.NoError(t, coordinator.UpdateSettings(set))
 	fresh := request(time.Minute)
 	fresh.ID, fresh.Class = "fresh", "d"
 	eventually(t, func() bool {
@@ -29,8 +29,8 @@
 		coordinator.enqueue(func() { n <- len(coordinator.modules) })
 		return <-n == 2
 	})
-	// The open request's first attempt was rejected: by its own settings another may follow, though the new ones
-	// allow one attempt only and have no class "c".
+	// The open request's first attempt is rejected. Its own settings allow another one; the new settings allow one
+	// attempt only and don't have class "c".
 	e.ends <- AttemptEnd{Outcome: policy.Full, Report: policy.NoReport}
 	retry := <-e.attempts
 	assert.Equal(t, "r", retry.Request.ID)
@@ -38,7 +38,7 @@
 	assert.Equal(t, Response{Kind: Served, Result: []byte("old")}, receiveResponse(t, old))
 
 	got := submit(context.Background(), coordinator, fresh)
-	assert.Equal(t, "fresh", (<-e.attempts).Request.ID, "a request of the new class is sent")
+	assert.Equal(t, "fresh", (<-e.attempts).Request.ID, "a request of the new class must be sent")
 	e.ends <- AttemptEnd{Outcome: policy.OK, Result: []byte("new"), Report: policy.NoReport}
 	assert.Equal(t, Response{Kind: Served, Result: []byte("new")}, receiveResponse(t, got))
 	eventually(t, func() bool {
@@ -52,8 +52,8 @@
 	coordinator, _ := run(t, testSettings())
 	set := testSettings()
 	set.Classes = nil
-	set.Period = -time.Second
-	assert.Error(t, coordinator.Retune(set))
+	set.MinStepInterval = -time.Second
+	assert.Error(t, coordinator.UpdateSettings(set))
 }
 
 func eventually(t *testing.T, f func() bool) {
--- a/internal/dispatcher/coordinator/restart.go
+++ b/internal/dispatcher/coordinator/restart.go
@@ -7,21 +7,22 @@
 	"ospreypond/policy"
 )
 
-// restart replaces the module. Guards against one bad decision that takes down every request of this dispatcher.
+// restart ends all open requests with InternalFault and replaces all modules by a new one. Guards against a module that
+// panics and would take the dispatcher down, with all later requests.
 func (c *Coordinator) restart() {
 	c.failAll()
-	d, err := policy.New(c.set, c.seed)
+	d, err := policy.New(c.settings, c.seed)
 	if err != nil {
 		c.log.WithError(err).Error("decision module does not start")
 		return
 	}
 	c.jobs, c.modules = map[uint32]*job{}, nil
-	c.activate(d, c.set)
+	c.activate(d, c.settings)
 }
 
-// activate gives new requests to a new module, which starts with the present list and fleet.
+// activate makes d the decision module for new requests. It starts with the present list, fleet and closing state.
 func (c *Coordinator) activate(d *policy.Dispatcher, set policy.Settings) {
-	m := &module{d: d, set: set}
+	m := &module{dispatcher: d, settings: set}
 	c.modules = append(c.modules, m)
 	e := policy.Event{Kind: policy.ListRestored}
 	for _, m := range c.members {
@@ -37,14 +38,14 @@
 	}
 }
 
-// failAll ends every open request with InternalFault and cancels its attempts.
+// failAll ends every open request with InternalFault and cancels its attempts, whose ends are not waited for.
 func (c *Coordinator) failAll() {
 	for _, j := range c.jobs {
 		c.respond(j, Response{Kind: InternalFault})
 		for _, attempt := range j.attempts {
 			attempt.cancel()
 		}
-		if c.jobs[j.id] == j { // its attempts' ends are ignored then
+		if c.jobs[j.id] == j { // dropped here, so attemptEnded ignores the ends of its attempts
 			delete(c.jobs, j.id)
 			j.module.openJobs--
 			c.notifyJobEnded(j)
@@ -52,7 +53,7 @@
 	}
 }
 
-// applyList keeps c.members up to date.
+// applyList applies a list event to c.members.
 func (c *Coordinator) applyList(e *policy.Event) {
 	if e.Kind == policy.ListReplaced || e.Kind == policy.ListRestored {
 		clear(c.members)
--- a/internal/dispatcher/coordinator/types.go
+++ b/internal/dispatcher/coordinator/types.go
@@ -8,97 +8,97 @@
 	"ospreypond/policy"
 )
 
-// Request is one client's request, whatever protocol it came by.
+// Request is a client's request. It doesn't depend on the protocol by which it came.
 type Request struct {
 	ID       string
 	Class    string
 	Tenant   string
-	Key      string        // what the request needs cached at its runner; empty: nothing known
+	Key      string        // names the data that the request needs cached at its runner; empty: not known
 	Arrived  time.Time     // when its last byte was read
 	Deadline time.Time     // when the client gives up
-	Work     time.Duration // the client's estimate; 0: none
-	Slots    float64
-	Memory   float64
-	Retry    bool
+	Work     time.Duration // the client's estimate of the runtime at speed 1; 0: none
+	Slots    float64       // slots that the request occupies at a runner
+	Memory   float64       // memory that it occupies, in the unit of the runners' load reports
+	Retry    bool          // the client marked it as a retry
 
-	// Forwarded to the runner unchanged.
+	// These are forwarded to the runner unchanged.
 	Method, Target, IdempotencyKey, ContentType string
 	Body                                        []byte
 }
 
-// ResponseKind is how a request ended.
+// ResponseKind says how a request ended.
 type ResponseKind int
 
-// The final responses.
+// The kinds of final responses.
 const (
-	Served             ResponseKind = iota // with the Result of a runner
-	Shed                                   // it certainly never ran: a retry is harmless
-	Failed                                 // nothing is promised about its effect
-	InternalFault                          // failed by a fault of this program
-	ClientDisconnected                     // there is nobody to respond to
-	Unusable                               // a runner found the request itself invalid
-	DuplicateID                            // its id is that of another request, which goes on
+	Served             ResponseKind = iota // a runner's Result
+	Shed                                   // refused: a retry is harmless
+	Failed                                 // it may have run: nothing is known of its effect
+	InternalFault                          // failed by a fault of this program; it may have run
+	ClientDisconnected                     // the client has gone, so nobody gets a response
+	InvalidRequest                         // a runner found the request itself invalid
+	DuplicateID                            // refused: another request, which isn't affected, has the same id
 )
 
-// String returns the response's word in logs and recorded traffic, which keep older words (docs/GLOSSARY.md).
+// String returns the response's name in logs and recorded traffic, which use older names (docs/GLOSSARY.md).
 func (k ResponseKind) String() string {
 	return [...]string{"served", "shed", "failed", "broken", "left", "rejected", "repeated"}[k]
 }
 
-// Response is the one final response to a request.
+// Response is the final response to a request.
 type Response struct {
 	Kind       ResponseKind
 	Result     []byte
-	RetryAfter time.Duration // with Shed: when to retry; 0: no advice
+	RetryAfter time.Duration // with Shed: how long the client should wait before a retry; 0: no advice
 }
 
 // Attempt is one attempt of a request on one upstream.
 type Attempt struct {
-	Target     string // the upstream, by the name that the route table has for it
+	Target     string // the upstream's name in the route table
 	Request    *Request
 	Deadline   time.Time                // when the dispatcher stops waiting
 	OnProgress func(k policy.EventKind) // called with policy.JobStarted and policy.JobProgress
-	// Begin must be called each time the attempt's first byte is about to be written, with the lock of its connection
-	// held. After an error, which is ErrRevoked or ErrTooLate, nothing may be written, now or later.
+	// Begin must be called before the attempt's first byte is written to a connection, with that connection's lock
+	// held. If it returns an error, ErrRevoked or ErrTooLate, nothing of the attempt may be written, now or later.
 	Begin func(now time.Time) error
 }
 
-// Errors of Attempt.Begin. The attempt never ran then.
+// Errors of Attempt.Begin. An attempt whose first call of Begin fails never runs.
 var (
-	ErrRevoked = errors.New("the request has its response, or its client has disconnected")
-	ErrTooLate = errors.New("the time by which the attempt had to begin is over")
+	ErrRevoked = errors.New("attempt revoked: the request has its response, or its client has disconnected")
+	ErrTooLate = errors.New("the time before which the attempt's first byte had to be written has passed")
 )
 
-// AttemptEnd is how an attempt or a probe ended.
+// AttemptEnd is the end of an attempt or a probe.
 type AttemptEnd struct {
 	Outcome policy.Outcome
-	// Unusable reports whether the target found the request itself invalid, which says nothing about the target. Outcome is
-	// policy.Cancelled then.
-	Unusable bool
-	// Indeterminate reports whether the outcome, which says that the attempt never ran, may be that of another attempt:
-	// it was read, without a request's id, from a connection that carried other jobs' responses before.
+	// InvalidRequest is set if the target found the request itself invalid. Outcome is policy.Cancelled then, so that the
+	// request doesn't count against the target.
+	InvalidRequest bool
+	// Indeterminate is set if Outcome says that the attempt never ran, but may belong to another attempt: it was read,
+	// without a request's id, from a connection that carried responses to other jobs before.
 	Indeterminate bool
 	Result        []byte // with policy.OK of an attempt
 	Report        policy.Report
 }
 
-// Egress is the upstreams' side. Attempt and Probe block until the end is known, or until their context ends. All
-// methods may be called from any goroutine.
+// Egress is the upstreams' side. Attempt and Probe block until the end of the attempt or probe is known, or their
+// context ends. All methods may be called from any goroutine.
 type Egress interface {
 	Attempt(ctx context.Context, attempt *Attempt) AttemptEnd
 	Probe(ctx context.Context, target string) AttemptEnd
 	CloseIdle(target string)
-	Prune() // drops the state of targets that are not in the route table any more
+	Prune() // drops the state of targets that are no longer in the route table
 }
 
-// Directory is discovery's side. After Subscribe, which must not block, it passes the list and its changes to
-// Coordinator.UpdateList.
+// Directory is discovery's side. After Subscribe has been called, it passes the list of runners and its changes to
+// Coordinator.UpdateList. Subscribe must not block.
 type Directory interface {
 	Subscribe()
 }
 
-// EndedRequest is a request with its response and all its attempts, once the last of them has ended. Attempts that were
-// in flight when the module was replaced, or the program stopped, have no end.
+// EndedRequest is a request with its response and all its attempts, after the last of these has ended. Attempts that
+// were in flight when a panic made the coordinator replace the module, or when Run ended, have no end.
 type EndedRequest struct {
 	Request     *Request
 	Response    ResponseKind
@@ -111,12 +111,12 @@
 	Target  string
 	Sent    time.Time
 	Took    time.Duration
-	Ended   bool // whether it has ended; if not, Took and Outcome are not set
+	Ended   bool // if not set, Took and Outcome are not set either
 	Outcome policy.Outcome
 }
 
-// Observer is notified of the ends of requests. It is called from several goroutines, that of Run among them, and must
-// not block.
+// Observer is notified of the ends of requests. RequestEnded is called from several goroutines, Run's among them, and
+// must not block.
 type Observer interface {
 	RequestEnded(EndedRequest)
 }
--- a/internal/dispatcher/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -59,7 +59,7 @@
 		e.readProgress(ctx, attempt, lines, &c, &end)
 	} else {
 		end.Outcome = statusOutcome(resp)
-		end.Unusable = end.Outcome == policy.Cancelled
+		end.InvalidRequest = end.Outcome == policy.Cancelled
 		end.Indeterminate = end.Outcome == policy.Full && c.connection().hadEarlierJob()
 		if resp.StatusCode != http.StatusInternalServerError && end.Outcome != policy.Full && e.warnings.allow(time.Now()) {
 			e.log.WithFields(logrus.Fields{"target": attempt.Target, "request": attempt.Request.ID, "status": resp.StatusCode}).
--- a/internal/dispatcher/egress/attempt_test.go
+++ b/internal/dispatcher/egress/attempt_test.go
@@ -257,7 +257,7 @@
 	}
 	before := conns.Load()
 	assert.Less(t, before, int64(9), "connections are reused")
-	next := &config.Config{Policy: policy.Settings{ConnectTimeout: time.Second, ConnIdle: 1}}
+	next := &config.Config{Policy: policy.Settings{ConnectTimeout: time.Second, ConnIdleTimeout: 1}}
 	next.Settings.FamilyInfo.ReportX1 = "free slots"
 	e.Retune(next)
 	for range 9 {
--- a/internal/dispatcher/egress/egress.go
+++ b/internal/dispatcher/egress/egress.go
@@ -46,7 +46,7 @@
 }
 
 func newTuning(c *config.Config) *tuning {
-	return &tuning{&c.Settings, net.Dialer{Timeout: c.Policy.ConnectTimeout}, time.Duration(idleTimeoutFraction * float64(c.Policy.ConnIdle))}
+	return &tuning{&c.Settings, net.Dialer{Timeout: c.Policy.ConnectTimeout}, time.Duration(idleTimeoutFraction * float64(c.Policy.ConnIdleTimeout))}
 }
 
 // New returns an Egress that opens at most maxConns connections.
--- a/internal/dispatcher/egress/egress_test.go
+++ b/internal/dispatcher/egress/egress_test.go
@@ -27,7 +27,7 @@
 	log.SetOutput(io.Discard)
 	table := routetable.New()
 	applyList(table, addr, "SERVING")
-	c := &config.Config{Policy: policy.Settings{ConnectTimeout: 5 * time.Second, ConnIdle: 5 * time.Second}}
+	c := &config.Config{Policy: policy.Settings{ConnectTimeout: 5 * time.Second, ConnIdleTimeout: 5 * time.Second}}
 	c.Settings.FamilyInfo.ReportX0 = "free slots"
 	return New(table, c, 100, log), table
 }
@@ -211,7 +211,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	}))
 	end := attemptOnce(context.Background(), e, nil)
-	assert.True(t, end.Unusable)
+	assert.True(t, end.InvalidRequest)
 	assert.Equal(t, policy.Cancelled, end.Outcome)
 }
 
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -330,7 +330,7 @@
 		s.writeText(w, http.StatusBadGateway, "failed; it may have had its effect")
 	case coordinator.InternalFault:
 		s.writeText(w, http.StatusInternalServerError, "internal fault")
-	case coordinator.Unusable:
+	case coordinator.InvalidRequest:
 		s.writeText(w, http.StatusBadRequest, "a runner cannot use this request")
 	case coordinator.DuplicateID:
 		w.Header().Set("Connection", "close")
--- a/internal/dispatcher/simulator/events.go
+++ b/internal/dispatcher/simulator/events.go
@@ -97,7 +97,7 @@
 	case "worker":
 		e.Worker = s.name(f.val)
 	case "leftUs":
-		e.Left, err = micros(f.val)
+		e.TimeLeft, err = micros(f.val)
 	case "workUs":
 		e.Work, err = micros(f.val)
 	case "needs":
@@ -105,7 +105,7 @@
 	case "memNeeded":
 		e.Memory, err = number(f.val)
 	case "isRetry":
-		e.Retry, err = boolean(f.val)
+		e.IsRetry, err = boolean(f.val)
 	case "go":
 		n, err = strconv.ParseInt(string(f.val), 10, 32)
 		e.Attempt = int(n)
@@ -119,7 +119,7 @@
 	case "code":
 		e.Outcome, err = outcome(f.val)
 	case "complete":
-		e.Complete, err = boolean(f.val)
+		e.Responded, err = boolean(f.val)
 	case "gauge":
 		e.Report, err = report(&i.set, f.val)
 	case "tag":
--- a/internal/dispatcher/simulator/fields.go
+++ b/internal/dispatcher/simulator/fields.go
@@ -144,7 +144,7 @@
 	case policy.Fail:
 		b = append(b, "END_FAILED"...)
 		num("ticket=", int64(a.ID))
-	case policy.Arm:
+	case policy.ArmTimer:
 		b = append(b, "ARM"...)
 		num("instantUs=", us(a.At+time.Microsecond-1))
 		num("tag=", int64(a.Token))
--- a/internal/dispatcher/simulator/wire_test.go
+++ b/internal/dispatcher/simulator/wire_test.go
@@ -71,7 +71,7 @@
 		{policy.Action{Kind: policy.Cancel, ID: 4, Attempt: 2}, "WITHDRAW\tticket=4\tgo=2\n"},
 		{policy.Action{Kind: policy.Refuse, ID: 4, RetryAfter: time.Second}, "OVERLOAD_REPLY\tticket=4\twaitUs=1000000\n"},
 		{policy.Action{Kind: policy.Fail, ID: 4}, "END_FAILED\tticket=4\n"},
-		{policy.Action{Kind: policy.Arm, At: 1500, Token: 8}, "ARM\tinstantUs=2\ttag=8\n"},
+		{policy.Action{Kind: policy.ArmTimer, At: 1500, Token: 8}, "ARM\tinstantUs=2\ttag=8\n"},
 		{policy.Action{Kind: policy.Probe, Worker: "w:1"}, "SAMPLE\tworker=w:1\n"},
 		{policy.Action{Kind: policy.Subscribe}, "TAIL\ton=1\n"},
 		{policy.Action{Kind: policy.CloseIdle, Worker: "w:1"}, "HANG_UP\tworker=w:1\n"},
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,13 +1,19 @@
-// Package policy decides, for one scheduler, which worker each request is sent to and when.
+// Package policy is the decision module of one scheduler: it decides which worker each request is sent to,
+// and when.
 //
-// It has no clock, sockets or goroutines: the caller passes the time and all events of that moment to
-// Dispatcher.Step, from one goroutine at a time, and carries out the actions it returns in their order. The
-// same settings, seed, times and events give the same actions. It promises that an attempt is only sent where
-// the class's semantics allow one more, given every end of an attempt that was fed in, and that each request
-// gets at most one final action; it relies on the caller for one AttemptEnded per Send.
+// The package has no clock, sockets or goroutines. The caller passes the time and all events of that moment
+// to Dispatcher.Step, from one goroutine at a time, and carries out the returned actions in their order.
+// Equal settings, seeds, times and events give equal actions.
 //
-// This file is the complete interface: the settings, the events a scheduler feeds in and the actions it
-// carries out. policy.go names the files with the decisions.
+// A Dispatcher guarantees:
+//   - It sends another attempt for a request only where the semantics of the request's class allow one after
+//     the attempts that it knows of.
+//   - It returns at most one final action (Refuse or Fail) for a request.
+//
+// It relies on the caller to feed in exactly one AttemptEnded for each Send.
+//
+// This file is the complete interface: the settings, the events that a scheduler feeds in, and the actions
+// that it carries out. policy.go lists the files that make the decisions.
 package policy
 
 import (
@@ -16,22 +22,23 @@
 	"ospreypond/internal/assignment"
 )
 
-// Semantics is whether a request may be run more than once.
+// Semantics says whether a request may run more than once.
 type Semantics int
 
-// The three kinds of effect a request can have.
+// The semantics that a class can have.
 const (
-	Safe   Semantics = iota // may be repeated freely
-	Keyed                   // repeats are dropped by one group of workers, for a while
-	Unsafe                  // must never run twice
+	Safe   Semantics = iota // may run any number of times
+	Keyed                   // one group of workers drops duplicates by an idempotency key, for a limited time
+	Unsafe                  // must run at most once
 )
 
-// Scope is the group of workers that remembers a keyed request.
-type Scope int
+// DedupScope is the group of workers that share their memory of keys. Only a worker of the group that got the
+// first attempt recognizes a second one as a duplicate.
+type DedupScope int
 
-// The groups that may share their memory of keys.
+// The groups of workers that can share their memory of keys.
 const (
-	ScopeCell Scope = iota
+	ScopeCell DedupScope = iota
 	ScopeZone
 	ScopeAll
 )
@@ -40,55 +47,60 @@
 type Class struct {
 	Name          string
 	Semantics     Semantics
-	Scope         Scope         // for Keyed
-	Window        time.Duration // for Keyed: how long repeats are dropped
-	LatencyTarget time.Duration // full value is earned within it plus Stretch times the request's own work
-	Stretch       float64
-	Deadline      time.Duration // the client's total wait
-	LateValue     float64       // fraction of the value for a response after that and before Deadline
-	Kind          string        // the only machine kind that runs it; empty: any
-	Streamed      bool
+	DedupScope    DedupScope    // with Keyed: the workers that drop duplicates
+	DedupWindow   time.Duration // with Keyed: how long after an attempt they drop duplicates
+	LatencyTarget time.Duration // a response in LatencyTarget + Stretch x the request's work has full value
+	Stretch       float64       // see LatencyTarget; 0: the target doesn't depend on the work
+	Deadline      time.Duration // how long the client waits in total, retries included
+	LateValue     float64       // fraction of its value that a response has after that, until Deadline
+	Kind          string        // the only machine kind that can run the class; empty: any
+	Streamed      bool          // responses stream to the client while the job runs
 }
 
-// Tenant is a customer with an allowance of the service.
+// Tenant is a customer with an allowance: a rate of requests that rank before all requests beyond it.
 type Tenant struct {
 	Name      string
-	Allowance float64 // requests per second over all schedulers; those beyond go last
+	Allowance float64 // requests per second, summed over all schedulers
 }
 
-// Settings is what a dispatcher is configured with. Zero values mean "absent" or "not allowed".
+// Settings configures a dispatcher. A zero value means "absent" or "not allowed".
 type Settings struct {
-	Zone       string // where this scheduler runs
-	Number     int    // this scheduler's number, from 0
-	Schedulers int    // how many there are
-	Classes    []Class
-	Tenants    []Tenant
-	Period     time.Duration // the minimum interval between two steps
-
-	ListOnDemand  bool // the list of workers arrives only after Subscribe; else it is pushed
+	Zone            string // the zone that this scheduler runs in
+	Number          int    // this scheduler's number: 0 to Schedulers-1, each used once
+	Schedulers      int    // how many schedulers share the workers
+	Classes         []Class
+	Tenants         []Tenant
+	MinStepInterval time.Duration // the least time between two calls of Step
+
+	ListOnDemand  bool // the list of workers arrives only after Subscribe; otherwise it is pushed
 	ReportsStarts bool // workers report when a job starts
-	Reports       bool // probes or outcomes carry load reports
-
-	Cancel, Probes       bool          // what this scheduler may do
-	MaxAttempts, MaxOpen int           // 0: no limit
-	MaxRetryAfter        time.Duration // the longest that clients respect; 0: none is sent
-	ConnIdle             time.Duration // idle connections close after this
-	ConnectTimeout       time.Duration
-
-	ResponseGrace  time.Duration // after the client's deadline, while a final response still counts
-	MaxListAge     time.Duration // with ListOnDemand: how old an unconfirmed list may grow
-	MinWarmth      float64       // fraction of its capacity that a worker has at its start, at least
-	WarmUpTime     time.Duration // a worker has its full capacity after this time at most
-	OverloadFactor float64       // sent more than this times its present capacity ...
-	OverloadWindow time.Duration // ... within this time, a worker that is warming up fails
-
-	DrainClose time.Duration // idle connections to a draining worker close within this; 0: no rule
-
-	// In points per request at its first attempt.
+	LoadReports   bool // the ends of probes or attempts carry load reports
+
+	MayCancel, MayProbe bool // this scheduler may cancel attempts; it may probe workers
+	// MaxAttempts is the most attempts for a request. A request that makes MaxOpenRequests open ones is
+	// refused. 0: no limit.
+	MaxAttempts, MaxOpenRequests int
+	MaxRetryAfter                time.Duration // the longest RetryAfter that clients respect; 0: none is sent
+	ConnIdleTimeout              time.Duration // an idle connection closes after this time
+	ConnectTimeout               time.Duration // how long setting up a connection may take
+
+	ResponseGrace    time.Duration // how long after the client's deadline a final response still counts
+	MaxListAge       time.Duration // with ListOnDemand: greatest age of a list without confirmation
+	MinStartCapacity float64       // least fraction of its full capacity that a worker has when it starts
+	MaxWarmUpTime    time.Duration // longest time after its start until a worker has its full capacity
+	// A worker that is warming up fails if it is sent more than OverloadFactor times the work that its
+	// present capacity completes in OverloadWindow, within that time.
+	OverloadFactor float64
+	OverloadWindow time.Duration
+
+	DrainCloseTimeout time.Duration // idle connections to a draining worker close within it; 0: no rule
+
+	// What one crossing of zones, connection handshake or probe costs, in points: the unit of
+	// maxProbeCostPerRequest.
 	CrossZonePrice, HandshakePrice, ProbePrice float64
 }
 
-// State is what the list says of a worker.
+// State is a worker's state on the list.
 type State int
 
 // The states of a listed worker.
@@ -98,37 +110,37 @@
 	Removed
 )
 
-// Member is one entry of the list of workers.
+// Member is an entry of the list of workers.
 type Member struct {
 	Worker  string
 	Zone    string
 	Cell    int
 	Kind    string
 	State   State
-	Started time.Duration // when it last started; 0: long ago
+	Started time.Duration // when its process last started; 0: long ago
 }
 
-// Report is a worker's load report. A field is negative where it was not reported.
+// Report is a worker's load report. A field that was not reported is negative.
 type Report struct {
 	FreeSlots, FreeMemory, Queued, InFlight, Load float64
 }
 
-// NoReport is a Report without any field.
+// NoReport is the Report of a worker that reported no field.
 var NoReport = Report{-1, -1, -1, -1, -1}
 
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes. Full, ConnectFailed and Moot prove that the attempt never ran.
+// The outcomes. NeverRan names those that prove that the attempt never ran.
 const (
-	OK Outcome = iota
-	Failed
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
+	OK            Outcome = iota // a result arrived
+	Failed                       // the worker responded with an error
+	Full                         // the worker rejected it: it has no room
+	TimedOut                     // no response in time
+	ConnectFailed                // no connection could be set up
+	Reset                        // the connection broke
+	Cancelled                    // this scheduler cancelled it, or the worker found the request invalid
+	Moot                         // it ended before any of it was sent
 )
 
 // NeverRan reports whether an outcome proves that the attempt never ran.
@@ -140,90 +152,90 @@
 	return names[o]
 }
 
-// EventKind determines which fields of an Event are set.
+// EventKind is the kind of an Event. It determines which of the event's fields are set.
 type EventKind int
 
-// The events.
+// The kinds of events, with the fields that each sets.
 const (
 	Request            EventKind = iota // ID, Class, Tenant, Key, Left, Work, Slots, Memory, Retry
-	ResponseStarted                     // ID, Attempt: the response streams to the client from now on
+	ResponseStarted                     // ID, Attempt: the client gets the response's first part
 	JobStarted                          // ID, Attempt
 	JobProgress                         // ID, Attempt
 	AttemptEnded                        // ID, Attempt, Outcome, Indeterminate, Elapsed, Complete, Report
 	ClientDisconnected                  // ID
 	TimerFired                          // Token
 	ProbeEnded                          // Worker, Outcome, Elapsed, Report
-	ListChanged                         // Members: changed entries only
+	ListChanged                         // Members: the changed entries only
 	ListReplaced                        // Members: the complete list
-	ListRestored                        // Members: the list as last known before a restart
-	ListUnavailable                     // a list call failed or the subscription dropped
-	FleetUpdated                        // Numbers, Until, Living; before the first, only its own number
-	Closing                             // this scheduler stops: open and later requests are finished at once
+	ListRestored                        // Members: the list as this scheduler last knew it before its restart
+	ListUnavailable                     // a call for the list failed, or the subscription ended
+	FleetUpdated                        // Numbers, NumbersValidUntil, LiveSchedulers; default: the own number
+	Closing                             // shutdown: open and later requests get their final response at once
 )
 
-// Event is one observation.
+// Event is an observation that a scheduler feeds in. Kind determines which fields are set.
 type Event struct {
-	Kind          EventKind
-	ID            uint32
-	Class         string
-	Tenant        string
-	Key           string        // what the request needs cached at its worker; empty: nothing known
-	Left          time.Duration // until the client gives up
-	Work          time.Duration // expected runtime at speed 1; 0: no hint
-	Slots         float64
-	Memory        float64
-	Retry         bool
-	Attempt       int
-	Outcome       Outcome
-	Indeterminate bool // the proof that the attempt never ran may be another request's
-	Elapsed       time.Duration
-	Complete      bool
-	Report        Report
-	Token         uint64
-	Worker        string
-	Members       []Member
-	Numbers       []int         // scheduler numbers, each with an equal part of shared budgets
-	Until         time.Duration // from then on only this scheduler's own number is valid
-	Living        int           // schedulers that are known to live
+	Kind              EventKind
+	ID                uint32
+	Class             string
+	Tenant            string
+	Key               string        // the data that the request needs cached at its worker; empty: not known
+	TimeLeft          time.Duration // until the client gives up
+	Work              time.Duration // expected runtime on a machine of speed 1; 0: not known
+	Slots             float64       // slots that the request occupies at a worker
+	Memory            float64       // memory that it occupies, in the unit of Report.FreeMemory
+	IsRetry           bool          // the client marked the request as a retry
+	Attempt           int           // the number of the attempt among those of the request, from 0
+	Outcome           Outcome
+	Indeterminate     bool          // an Outcome of NeverRan may belong to another request
+	Elapsed           time.Duration // since the attempt or probe was sent
+	Responded         bool          // the request has its final response
+	Report            Report
+	Token             uint64
+	Worker            string
+	Members           []Member
+	Numbers           []int         // the numbers whose shares of the shared budgets it may use
+	NumbersValidUntil time.Duration // from then on only this scheduler's own number is valid
+	LiveSchedulers    int           // number of schedulers that are assumed to be alive
 }
 
-// ActionKind determines which fields of an Action are set.
+// ActionKind is the kind of an Action. It determines which of the action's fields are set.
 type ActionKind int
 
-// The actions.
+// The kinds of actions, with the fields that each sets.
 const (
 	Send      ActionKind = iota // ID, Worker, Timeout (0: until the client gives up), By
 	Cancel                      // ID, Attempt
-	Refuse                      // ID, RetryAfter: final; it never ran or is safe: a retry is harmless
-	Fail                        // ID: final; it may have run
-	Arm                         // At, Token: feed in TimerFired then
-	Probe                       // Worker
-	Subscribe                   // follow the list of workers from now on
-	CloseIdle                   // Worker
+	Refuse                      // ID, RetryAfter: final response; a retry is harmless
+	Fail                        // ID: final response; an attempt may have run
+	ArmTimer                    // At, Token: feed in TimerFired with Token at that time
+	Probe                       // Worker: ask it for a load report
+	Subscribe                   // call for the list of workers and its changes
+	CloseIdle                   // Worker: close the idle connections to it
 	Log                         // Text
 )
 
-// Conditions that are logged as they begin and end.
+// Texts of the conditions that logChange logs when they begin and when they end.
 const (
-	listLost     = "the list of workers is unavailable and the last one is used"
-	failingOpen  = "nearly all workers near by look sick and none is avoided"
-	givingUpLate = "late jobs are given up"
+	listLostText = "the list of workers is unavailable and the last one is used"
+	failOpenText = "nearly all workers near by look sick and none is avoided"
+	overloadText = "late jobs are given up"
 )
 
-// Action is one thing the scheduler is to do now, in the order given.
+// Action is something that the scheduler has to do now. Kind determines which fields are set.
 type Action struct {
-	Kind       ActionKind
-	ID         uint32
-	Worker     string
-	Timeout    time.Duration
-	By         time.Duration // its first byte must be sent before that time or never; 0: no bound
-	Attempt    int
-	RetryAfter time.Duration
-	At         time.Duration
-	Token      uint64
-	Text       string
+	Kind        ActionKind
+	ID          uint32
+	Worker      string
+	Timeout     time.Duration
+	FirstByteBy time.Duration // if the first byte isn't sent before this time, none may be sent; 0: no bound
+	Attempt     int
+	RetryAfter  time.Duration
+	At          time.Duration
+	Token       uint64
+	Text        string
 }
 
-// Assign returns for each row of costs its column in a minimum-cost one-to-one assignment, or -1 for rows
-// beyond the number of columns. It is the matching that rounds use.
+// Assign returns for each row of costs its column in a minimum-cost one-to-one assignment. A row that gets no
+// column, as there are fewer columns than rows, has -1. Rounds match jobs to slots by the same algorithm.
 func Assign(costs [][]float64, cols int) []int { return assignment.Solve(costs, cols) }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A worker without any progress since a send hangs or has vanished. A job that started there and runs for long may
-// just be long: to move it would run it twice, and its worker is not at fault.
+// A worker that shows no progress since a send hangs or has vanished: it fails, and the job is moved. A job
+// that has started may just be long. Moving it would run it twice, and its worker isn't at fault.
 func TestUnresponsiveWorkerFailsOnlyBeforeTheStart(t *testing.T) {
 	for _, tt := range []struct {
 		name                   string
@@ -14,18 +14,18 @@
 		rejections             int
 		wantFailed, wantCancel bool
 	}{
-		{"unresponsive, and before", true, false, false, 2, true, true},
-		{"unresponsive once: moved early, does not fail", true, false, false, 0, false, true},
-		{"others' attempts end there", true, false, true, 2, false, true},
-		{"runs for long", true, true, false, 2, false, false},
-		{"starts are not reported, unresponsive", false, false, false, 0, true, true},
-		{"starts are not reported, others' attempts end there", false, false, true, 0, false, false},
+		{"unresponsive, after two rejections", true, false, false, 2, true, true},
+		{"unresponsive, no rejections: moved before the worker counts as failing", true, false, false, 0, false, true},
+		{"job waits, other jobs progress", true, false, true, 2, false, true},
+		{"job has started", true, true, false, 2, false, false},
+		{"starts not reported, unresponsive", false, false, false, 0, true, true},
+		{"starts not reported, other jobs progress", false, false, true, 0, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, func(s *Settings) { s.ReportsStarts = tt.reports })
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
 			w := d.workers[sendsAt(d, time.Second+d.roundInterval)[0].Worker]
-			w.brokenConns, w.rejections = 1, tt.rejections // no more than a connection, by itself
+			w.brokenConns, w.rejections = 1, tt.rejections // a broken connection doesn't count without another one
 			if tt.starts {
 				d.Step(time.Second+50*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
@@ -34,31 +34,32 @@
 				if tt.signs {
 					w.lastProgress = at
 				}
-				for _, o := range d.order { // fresh reports show free slots elsewhere
-					o.othersAt = at
+				for _, o := range d.byRank { // fresh reports show free slots elsewhere
+					o.othersSlotsAt = at
 				}
 				cancels += len(ofKind(Cancel, d.Step(at, nil, nil)))
 			}
-			if (w.fails > 0) != tt.wantFailed || (cancels > 0) != tt.wantCancel {
-				t.Errorf("fails %v, %d cancels", w.fails, cancels)
+			if (w.failures > 0) != tt.wantFailed || (cancels > 0) != tt.wantCancel {
+				t.Errorf("fails %v, %d cancels", w.failures, cancels)
 			}
 		})
 	}
 }
 
-// Guards against discarding responses: a job that waits unstarted at its worker and will be late is given up only
-// where it can be cancelled, as the worker would run it all the same. Observed on a day without any fault where
-// cancelling is not allowed: 10,700 requests refused or failed, and 0.86 served where 0.94 is without.
+// A job that waits at its worker and will be late is given up only if it can be cancelled. Otherwise the
+// worker runs it all the same, and its response would be discarded. With that fault, on a day without other
+// faults where cancelling is not allowed, 10,700 requests were refused or failed, and 0.86 were served
+// instead of 0.94.
 func TestLateJobIsWaitedForWithoutCancel(t *testing.T) {
 	for cancel, want := range map[bool]ActionKind{true: Fail, false: -1} {
-		d, err := New(Settings{Period: time.Millisecond, ReportsStarts: true, Cancel: cancel, ResponseGrace: 8 * time.Millisecond,
+		d, err := New(Settings{MinStepInterval: time.Millisecond, ReportsStarts: true, MayCancel: cancel, ResponseGrace: 8 * time.Millisecond,
 			Classes: []Class{{Name: "c", Semantics: Unsafe, LatencyTarget: 400 * time.Millisecond, Deadline: 9 * time.Second}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now, sent, ended := time.Hour, 0, ActionKind(-1)
 		events := []Event{{Kind: ListRestored, Members: []Member{{Worker: "w", Kind: "k"}}},
-			{Kind: Request, ID: 1, Class: "c", Left: 9 * time.Second, Work: 100 * time.Millisecond, Slots: 1}}
+			{Kind: Request, ID: 1, Class: "c", TimeLeft: 9 * time.Second, Work: 100 * time.Millisecond, Slots: 1}}
 		for range 500 {
 			for _, a := range d.Step(now, events, nil) {
 				switch a.Kind {
@@ -76,11 +77,11 @@
 	}
 }
 
-// countMoves plays one scheduler whose jobs wait unstarted at workers that report free slots, and counts the moves of
-// the last half. If starts is true, a moved job starts at once at the next worker.
+// countMoves runs one scheduler whose jobs wait at workers that report free slots, and returns the number of
+// moves in the second half of the time. If starts is set, a moved job starts at once at the next worker.
 func countMoves(t *testing.T, starts bool) (moved int) {
 	t.Helper()
-	set := Settings{Schedulers: 1, Period: time.Millisecond, ReportsStarts: true, Reports: true, Probes: true, Cancel: true,
+	set := Settings{Schedulers: 1, MinStepInterval: time.Millisecond, ReportsStarts: true, LoadReports: true, MayProbe: true, MayCancel: true,
 		MaxAttempts: 4, ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
 		Classes: []Class{{Name: "c", LatencyTarget: 400 * time.Millisecond, LateValue: 1, Deadline: time.Minute}}}
 	d, err := New(set, 1)
@@ -98,19 +99,19 @@
 	var events []Event
 	for n := range 2000 {
 		now += 20 * time.Millisecond
-		for _, w := range workers { // each is healthy, reports free slots, and starts other jobs
+		for _, w := range workers { // each looks healthy, reports free slots and progresses
 			events = append(events, Event{Kind: ProbeEnded, Worker: w, Outcome: OK, Report: Report{4, -1, 0, 0, 0}})
-			d.workers[w].lastProgress, d.workers[w].rejections, d.workers[w].fails = now, 0, 0
+			d.workers[w].lastProgress, d.workers[w].rejections, d.workers[w].failures = now, 0, 0
 		}
 		if n%10 == 0 {
-			events = append(events, Event{Kind: Request, ID: uint32(n + 1), Class: "c", Left: 3 * time.Second, Work: time.Millisecond, Slots: 1})
+			events = append(events, Event{Kind: Request, ID: uint32(n + 1), Class: "c", TimeLeft: 3 * time.Second, Work: time.Millisecond, Slots: 1})
 		}
 		actions := d.Step(now, events, nil)
 		events = nil
 		for _, a := range ofKind(Send, actions) {
 			if sent[a.ID]++; starts && sent[a.ID] > 1 {
 				events = append(events, Event{Kind: JobStarted, ID: a.ID, Attempt: sent[a.ID] - 1},
-					Event{Kind: AttemptEnded, ID: a.ID, Attempt: sent[a.ID] - 1, Outcome: OK, Complete: true, Report: NoReport})
+					Event{Kind: AttemptEnded, ID: a.ID, Attempt: sent[a.ID] - 1, Outcome: OK, Responded: true, Report: NoReport})
 			}
 		}
 		for _, a := range ofKind(Cancel, actions) {
@@ -123,9 +124,9 @@
 	return moved
 }
 
-// Guards against a storm of moves where they don't help: where workers go on with cancelled jobs, each move costs
-// them a complete job and a handshake, and the next worker is as full. Observed at farm-game-main, calm+mass: 32,020
-// of 51,500 attempts cancelled, and 0.76 served where 0.94 is without moves.
+// Moves stop where they don't help. If workers run cancelled jobs all the same, each move costs a complete
+// job and a handshake, and the next worker is as full. Without the stop, at farm-game-main, calm+mass, 32,020
+// of 51,500 attempts were cancelled, and 0.76 of the requests were served instead of 0.94 without moves.
 func TestMovesStopWhereTheyDoNotHelp(t *testing.T) {
 	helps, not := countMoves(t, true), countMoves(t, false)
 	if helps < 50 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,13 +7,13 @@
 	"ospreypond/policy"
 )
 
-// A scheduler feeds in what it observes and carries out the actions that come back.
+// A scheduler feeds in the events that it observes and carries out the actions that Step returns.
 func Example() {
 	d, err := policy.New(policy.Settings{
-		Schedulers:    1,
-		Period:        5 * time.Millisecond,
-		ReportsStarts: true,
-		Cancel:        true,
+		Schedulers:      1,
+		MinStepInterval: 5 * time.Millisecond,
+		ReportsStarts:   true,
+		MayCancel:       true,
 		Classes: []policy.Class{{Name: "render", LatencyTarget: 200 * time.Millisecond, Stretch: 2,
 			Deadline: 5 * time.Second}},
 	}, 42)
@@ -24,11 +24,11 @@
 	now := time.Second
 	actions := d.Step(now, []policy.Event{
 		{Kind: policy.ListRestored, Members: []policy.Member{{Worker: "10.0.0.1:7000", Kind: "std"}}},
-		{Kind: policy.Request, ID: 1, Class: "render", Left: 5 * time.Second, Slots: 1,
+		{Kind: policy.Request, ID: 1, Class: "render", TimeLeft: 5 * time.Second, Slots: 1,
 			Work: 80 * time.Millisecond},
 	}, nil)
 	for _, a := range actions {
-		if a.Kind == policy.Arm { // the request is pending until the next round
+		if a.Kind == policy.ArmTimer { // the request is pending until the next round
 			now = a.At
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// testFleet is a number of schedulers round one warming worker, with a few requests each and no other worker. The
-// worker has four cores and slots, starts at the settings' worst and reports its free slots when it is probed.
+// testFleet is a number of schedulers that share one worker, which is warming up. The worker has four slots,
+// starts with the least capacity that the settings allow, warms up in the longest time, and reports free
+// slots when it is probed.
 type testFleet struct {
 	t       *testing.T
 	all     []*Dispatcher
@@ -20,11 +21,11 @@
 	served  int
 	nextID  uint32
 	reports bool             // probes bring reports
-	idle    func(n int) bool // schedulers that get no requests; nil: none
+	idle    func(n int) bool // reports whether scheduler n gets no requests; nil: all get some
 }
 
 type fleetJob struct {
-	by      int
+	by      int // the scheduler that sent it
 	id      uint32
 	attempt int
 	left    float64 // seconds of work
@@ -32,18 +33,19 @@
 
 const fleetWork = 60 * ms
 
+// newFleet returns a fleet that has known its worker as warm for a second when the worker restarts at start.
 func newFleet(t *testing.T, schedulers int, reports bool) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, worker: "a", start: 10 * time.Second, reports: reports, inbox: make([][]Event, schedulers)}
 	for n := range schedulers {
 		s := testSettings()
-		s.Schedulers, s.Number, s.Probes, s.ProbePrice = schedulers, n, reports, 0.01
+		s.Schedulers, s.Number, s.MayProbe, s.ProbePrice = schedulers, n, reports, 0.01
 		d, err := New(s, uint64(n))
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.Step(f.start-time.Second, []Event{{Kind: ListReplaced, Members: []Member{{Worker: f.worker, Zone: "z0", Kind: "k"}}}}, nil)
-		d.report(d.workers[f.worker], Report{FreeSlots: 4}) // its kind has four slots
+		d.applyReport(d.workers[f.worker], Report{FreeSlots: 4}) // so its kind is known to have four slots
 		f.inbox[n] = []Event{{Kind: ListReplaced, Members: []Member{{Worker: f.worker, Zone: "z0", Kind: "k", Started: f.start}}}}
 		f.all = append(f.all, d)
 	}
@@ -52,7 +54,8 @@
 
 func (f *testFleet) warmth(at time.Duration) float64 { return min(1, 0.2+0.8*(at-f.start).Seconds()/5) }
 
-// run plays until the given time. Each scheduler gets a request at the given interval, out of step with the others.
+// run runs the worker and the schedulers until the given time. Each scheduler gets a request every so often,
+// at times that differ between schedulers.
 func (f *testFleet) run(until, every time.Duration) {
 	const tick = 5 * ms
 	for at := f.start; at < until; at += tick {
@@ -69,7 +72,7 @@
 			}
 			f.served++
 			f.inbox[j.by] = append(f.inbox[j.by], Event{Kind: AttemptEnded, ID: j.id, Attempt: j.attempt, Worker: f.worker,
-				Outcome: OK, Complete: true, Report: NoReport})
+				Outcome: OK, Responded: true, Report: NoReport})
 		}
 		f.running = rest
 		for n, d := range f.all {
@@ -88,6 +91,7 @@
 	}
 }
 
+// apply carries out an action of scheduler n.
 func (f *testFleet) apply(n int, at time.Duration, a Action) {
 	switch a.Kind {
 	case Send:
@@ -108,13 +112,13 @@
 	}
 }
 
-// All schedulers together send the only worker, which is warming up, no more than its budget, however many they are,
-// though each has far too many requests and sees free slots by its probes now and then.
+// All schedulers together send a warming worker no more than its budget, however many they are, although each
+// has far too many requests, and probes that show free slots allow more than the usual shares.
 func TestFleetStaysInWarmingBudgetWithReports(t *testing.T) {
 	for _, schedulers := range []int{3, 20, 80, 300} {
 		t.Run(fmt.Sprint(schedulers), func(t *testing.T) {
 			f := newFleet(t, schedulers, true)
-			f.run(f.start+4*time.Second, time.Duration(schedulers)*4*ms) // 250 requests/s: 15 s of work a second
+			f.run(f.start+4*time.Second, time.Duration(schedulers)*4*ms) // 250 requests/s bring 15 s of work per second
 			if f.served < 60 {
 				t.Errorf("%d jobs served", f.served)
 			}
@@ -128,16 +132,16 @@
 	}
 }
 
-// Where few schedulers have requests for a warming worker, the others' parts are idle; the few see its free slots and
-// send more than their own parts.
+// If few schedulers have requests for a warming worker, the shares of the others stay unused. The few then
+// see free slots by their probes, and send more than their own shares.
 func TestFleetUsesIdlePartsOfWarmingBudgetWithReports(t *testing.T) {
-	served := func(sees bool) int {
-		f := newFleet(t, 80, sees)
+	served := func(reports bool) int {
+		f := newFleet(t, 80, reports)
 		f.idle = func(n int) bool { return n%10 > 0 }
-		f.run(f.start+3*time.Second, 250*ms) // 8 schedulers: 32 requests/s, about what the worker can do
+		f.run(f.start+3*time.Second, 250*ms) // 8 schedulers get 32 requests/s, about what the worker can serve
 		return f.served
 	}
-	if blind, seeing := served(false), served(true); float64(seeing) < 1.3*float64(blind) {
-		t.Errorf("%d jobs served where reports are seen, %d without", seeing, blind)
+	if without, with := served(false), served(true); float64(with) < 1.3*float64(without) {
+		t.Errorf("%d jobs served with reports, %d without", with, without)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,16 +8,16 @@
 const ms = time.Millisecond
 
 func testSettings() Settings {
-	return Settings{Zone: "z0", Number: 0, Schedulers: 2, Period: 5 * ms,
+	return Settings{Zone: "z0", Number: 0, Schedulers: 2, MinStepInterval: 5 * ms,
 		Classes: []Class{
 			{Name: "safe", LatencyTarget: 100 * ms, Stretch: 2, Deadline: 4 * time.Second},
 			{Name: "keyed", Semantics: Keyed, LatencyTarget: 100 * ms, Stretch: 2, Deadline: 4 * time.Second,
-				Window: 3 * time.Second},
+				DedupWindow: 3 * time.Second},
 			{Name: "unsafe", Semantics: Unsafe, LatencyTarget: 200 * ms, Stretch: 2, Deadline: 8 * time.Second},
 		},
-		ReportsStarts: true, Reports: true, Cancel: true, MaxAttempts: 3,
-		ConnIdle:       5 * time.Second,
-		ConnectTimeout: 100 * ms, ResponseGrace: 20 * ms, MinWarmth: 0.2, WarmUpTime: 5 * time.Second,
+		ReportsStarts: true, LoadReports: true, MayCancel: true, MaxAttempts: 3,
+		ConnIdleTimeout: 5 * time.Second,
+		ConnectTimeout:  100 * ms, ResponseGrace: 20 * ms, MinStartCapacity: 0.2, MaxWarmUpTime: 5 * time.Second,
 		OverloadFactor: 3, OverloadWindow: time.Second}
 }
 
@@ -29,7 +29,7 @@
 	}}
 }
 
-// newWithoutReports returns a dispatcher that has the list of workers and no load report.
+// newWithoutReports returns a dispatcher that has the list of workers, but has got no load report.
 func newWithoutReports(tb testing.TB, change func(*Settings)) *Dispatcher {
 	tb.Helper()
 	s := testSettings()
@@ -44,20 +44,20 @@
 	return d
 }
 
-// testDispatcher returns a dispatcher whose workers have each reported four free slots.
+// testDispatcher returns a dispatcher all of whose workers have reported four free slots.
 func testDispatcher(tb testing.TB, change func(*Settings)) *Dispatcher {
 	tb.Helper()
 	d := newWithoutReports(tb, change)
-	for _, w := range d.order {
-		d.report(w, Report{FreeSlots: 4, FreeMemory: -1, Queued: -1, InFlight: -1, Load: -1})
+	for _, w := range d.byRank {
+		d.applyReport(w, Report{FreeSlots: 4, FreeMemory: -1, Queued: -1, InFlight: -1, Load: -1})
 	}
-	d.othersUse = 0
+	d.othersSlotUse = 0
 	d.Step(100*ms, nil, nil)
 	return d
 }
 
 func request(id uint32, class string) Event {
-	return Event{Kind: Request, ID: id, Class: class, Left: 4 * time.Second, Work: 50 * ms, Slots: 1}
+	return Event{Kind: Request, ID: id, Class: class, TimeLeft: 4 * time.Second, Work: 50 * ms, Slots: 1}
 }
 
 // ofKind returns the actions of one kind.
@@ -71,12 +71,12 @@
 	return r
 }
 
-// sendsAt steps past the next round and returns the sends.
+// sendsAt steps without events and returns the sends.
 func sendsAt(d *Dispatcher, at time.Duration) []Action {
 	return ofKind(Send, d.Step(at, nil, nil))
 }
 
-// keyFor returns the record of a key, as arrive makes it.
+// keyFor returns the record of a key, and adds one without demand if there is none.
 func (d *Dispatcher) keyFor(hash uint32) *key {
 	if d.keys[hash] == nil {
 		d.keys[hash] = &key{hash: hash}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// On-call staff get one log line when a condition begins, and one when it ends.
+// One line is logged when a condition begins, and one when it ends, however often it is checked in between.
 func TestConditionsAreLoggedOnce(t *testing.T) {
 	d := testDispatcher(t, nil)
 	at := time.Second
@@ -42,32 +42,32 @@
 		change func()
 		want   []string
 	}{
-		{"nothing", nil, func() {}, nil},
-		{"list lost", []Event{{Kind: ListUnavailable}, {Kind: ListUnavailable}}, func() {}, []string{listLost + ": true"}},
-		{"list back", []Event{testList()}, func() {}, []string{listLost + ": false"}},
-		{"full", []Event{request(1, "safe")}, func() { d.use = 1.2 },
-			[]string{givingUpLate + ": true"}},
-		{"free slots again", []Event{request(2, "safe")}, func() { d.use = 0.5 },
-			[]string{givingUpLate + ": false"}},
-		{"all fail", []Event{request(3, "safe")}, func() {
-			for _, w := range d.order {
+		{"no condition holds", nil, func() {}, nil},
+		{"list of workers lost", []Event{{Kind: ListUnavailable}, {Kind: ListUnavailable}}, func() {}, []string{listLostText + ": true"}},
+		{"list of workers received", []Event{testList()}, func() {}, []string{listLostText + ": false"}},
+		{"slots in use", []Event{request(1, "safe")}, func() { d.slotUse = 1.2 },
+			[]string{overloadText + ": true"}},
+		{"slots free", []Event{request(2, "safe")}, func() { d.slotUse = 0.5 },
+			[]string{overloadText + ": false"}},
+		{"all workers fail", []Event{request(3, "safe")}, func() {
+			for _, w := range d.byRank {
 				d.recordFailure(w)
 			}
-		}, []string{failingOpen + ": true"}},
+		}, []string{failOpenText + ": true"}},
 	}
 	for _, tt := range steps {
 		if tt.change(); !reflect.DeepEqual(logs(tt.events...), tt.want) {
-			t.Errorf("%s: not %q", tt.name, tt.want)
+			t.Errorf("%s: the logged lines are not %q", tt.name, tt.want)
 		}
 	}
 }
 
-// appendEnds appends the events by which each send and probe among actions succeeds.
+// appendEnds appends the events for the success of each send and probe among actions.
 func appendEnds(events []Event, actions []Action) []Event {
 	for _, a := range actions {
 		switch a.Kind {
 		case Send:
-			events = append(events, Event{Kind: AttemptEnded, ID: a.ID, Outcome: OK, Complete: true, Report: NoReport})
+			events = append(events, Event{Kind: AttemptEnded, ID: a.ID, Outcome: OK, Responded: true, Report: NoReport})
 		case Probe:
 			events = append(events, Event{Kind: ProbeEnded, Worker: a.Worker, Outcome: OK, Report: Report{4, -1, 0, -1, -1}})
 		}
@@ -75,15 +75,16 @@
 	return events
 }
 
-// BenchmarkStep shows what a step costs, by the numbers of workers, schedulers and requests. Only the workers near by
-// are considered, so the first two should hardly matter where schedulers are many.
+// BenchmarkStep measures a step for different numbers of workers, schedulers and requests. If there are many
+// schedulers, the number of workers should make little difference, as a scheduler considers only its
+// candidates.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ workers, schedulers, requests int }{
 		{250, 500, 1}, {25, 500, 1}, {1000, 500, 1}, {250, 50, 1}, {250, 5, 1}, {250, 500, 8},
 	} {
 		b.Run(fmt.Sprintf("%d workers %d schedulers %d requests", size.workers, size.schedulers, size.requests), func(b *testing.B) {
 			s := testSettings()
-			s.Schedulers, s.Probes = size.schedulers, true
+			s.Schedulers, s.MayProbe = size.schedulers, true
 			d, err := New(s, 1)
 			if err != nil {
 				b.Fatal(err)
@@ -110,7 +111,8 @@
 	}
 }
 
-// State of removed workers and closed connections is dropped: memory follows the fleet, not its history.
+// The state of removed workers and closed connections is dropped, so that memory doesn't grow with the
+// fleet's history.
 func TestStateOfRemovedWorkersIsDropped(t *testing.T) {
 	d := testDispatcher(t, nil)
 	for n := 0; n < 300; n++ {
@@ -121,27 +123,27 @@
 			out := ofKind(Send, d.Step(at, events, nil))
 			events = nil
 			for _, a := range out {
-				events = append(events, Event{Kind: AttemptEnded, ID: a.ID, Outcome: OK, Complete: true, Report: NoReport})
+				events = append(events, Event{Kind: AttemptEnded, ID: a.ID, Outcome: OK, Responded: true, Report: NoReport})
 			}
 		}
 	}
-	if len(d.order) > 2 || len(d.workers) > 2 || len(d.jobs) > 2 {
-		t.Errorf("%d workers, %d jobs are still known", len(d.workers), len(d.jobs))
+	if len(d.byRank) > 2 || len(d.workers) > 2 || len(d.jobs) > 2 {
+		t.Errorf("%d workers and %d jobs are known, want 2 of each at most", len(d.workers), len(d.jobs))
 	}
-	for _, w := range d.order {
-		if len(w.idle) > 1 || len(w.past) > 2 {
-			t.Errorf("%d connections, %d spans", len(w.idle), len(w.past))
+	for _, w := range d.byRank {
+		if len(w.idleConns) > 1 || len(w.recentlyEnded) > 2 {
+			t.Errorf("%d idle connections, want 1 at most; %d ended attempts, want 2 at most", len(w.idleConns), len(w.recentlyEnded))
 		}
 	}
 }
 
-// Without the number of schedulers in the settings, a scheduler's own number implies the least there can be: its part
-// of a warming worker's budget follows that, not a fleet of one.
+// If the settings lack the number of schedulers, a scheduler takes its own number plus one, the least that it
+// can be. If it took one, each scheduler would use the whole budget of a warming worker.
 func TestOwnNumberImpliesMinimumOfSchedulers(t *testing.T) {
 	for _, tt := range []struct{ configured, number, want int }{{0, 0, 1}, {0, 7, 8}, {80, 7, 80}, {1, 0, 1}} {
 		d := testDispatcher(t, func(s *Settings) { s.Schedulers, s.Number = tt.configured, tt.number })
-		if d.set.Schedulers != tt.want {
-			t.Errorf("configured %d, number %d: %d schedulers, want %d", tt.configured, tt.number, d.set.Schedulers, tt.want)
+		if d.cfg.Schedulers != tt.want {
+			t.Errorf("configured %d, number %d: %d schedulers, want %d", tt.configured, tt.number, d.cfg.Schedulers, tt.want)
 		}
 	}
 }
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -1,55 +1,60 @@
 package policy
 
-// Requests for information: calls for the list, and probes.
+// This file decides when to call for the list of workers, and which workers to probe for load reports.
 
 import "math"
 
-const surveyPrice = 2.5 // probes that one counts for if no pending job would go to its worker
+const surveyProbePrice = 2.5 // how many probes one counts for that no pending job has any use for
 
-// requestUpdates makes the list calls and probes that are due.
+// requestUpdates calls for the list of workers if that is due, and sends the probes that are due. A call that
+// brings no answer is repeated after half of MaxListAge.
 func (d *Dispatcher) requestUpdates() {
-	if !d.set.ListOnDemand {
+	if !d.cfg.ListOnDemand {
 		d.listCallAt = never
 	} else if d.now >= d.listCallAt {
-		d.listRequested, d.listCallAt = true, d.now+max(d.set.MaxListAge/2, d.roundInterval)
-		d.out = append(d.out, Action{Kind: Subscribe})
+		d.listRequested, d.listCallAt = true, d.now+max(d.cfg.MaxListAge/2, d.roundInterval)
+		d.actions = append(d.actions, Action{Kind: Subscribe})
 	}
 	d.probe()
 }
 
-// probe asks workers near by for reports. As requests pay for probes, each brings a few, whose reports arrive
-// before the round that places it.
+// probe probes candidate workers while probes are due. Each job that arrives makes probesPerJob of them due:
+// what probes cost is bounded per request, and the reports arrive before the round that places the job. If no
+// worker is worth a probe, or the next one counts for more than is due, at most surveyProbePrice probes stay
+// due.
 func (d *Dispatcher) probe() {
-	for d.probesDue >= 1 && d.set.Probes && d.set.Reports {
-		next, price := d.probeTarget(d.near())
+	for d.probesDue >= 1 && d.cfg.MayProbe && d.cfg.LoadReports {
+		next, price := d.probeTarget(d.candidates())
 		if next == nil || price > d.probesDue {
-			d.probesDue = min(d.probesDue, surveyPrice)
+			d.probesDue = min(d.probesDue, surveyProbePrice)
 			return
 		}
 		d.probesDue -= price
 		next.probing, next.probedAt = true, d.now
-		d.out = append(d.out, Action{Kind: Probe, Worker: next.name})
+		d.actions = append(d.actions, Action{Kind: Probe, Worker: next.name})
 	}
 }
 
-// probeTarget returns the worker to probe, and how many probes that counts for: where the newest pending job
-// would go, if the report from there is old, or else the one that was probed longest ago.
-func (d *Dispatcher) probeTarget(near []*worker) (next *worker, price float64) {
+// probeTarget returns the worker to probe next, or nil, and how many probes that counts for. Best is a worker
+// where the newest pending job could go and whose report is old or whose load changes fast as it warms up: of
+// these, the one that would be cheapest for the job. If there is none, it is the worker that was probed
+// longest ago, which counts for surveyProbePrice probes.
+func (d *Dispatcher) probeTarget(workers []*worker) (next *worker, price float64) {
 	var newest *job
-	for _, j := range d.open {
+	for _, j := range d.openJobs {
 		if j.pending {
 			newest = j
 		}
 	}
 	best := math.Inf(1)
-	for _, w := range near {
+	for _, w := range workers {
 		age := d.now - w.probedAt
-		if w.state != Ready || w.probing || age < reportAge/4 {
+		if w.state != Ready || w.probing || age < assumedReportAge/4 {
 			continue
 		}
-		score, counts := 1e9-age.Seconds(), surveyPrice
-		if newest != nil && (age >= 2*reportAge || d.warmth(w) < 1) && d.freeSlots(w) >= 1 {
-			score, counts = d.predict(w, newest)*d.factor(w), 1
+		score, counts := 1e9-age.Seconds(), surveyProbePrice
+		if newest != nil && (age >= 2*assumedReportAge || d.minCapacity(w) < 1) && d.freeSlots(w) >= 1 {
+			score, counts = d.predictRuntime(w, newest)*d.costFactor(w), 1
 		}
 		if score < best {
 			next, best, price = w, score, counts
@@ -58,6 +63,9 @@
 	return next, price
 }
 
+// probeEnded records the end of a probe and what it shows of the worker. Outcomes that come from a live
+// worker, or from this scheduler itself, are no failures, and nor is any if the worker showed progress since
+// the probe was sent.
 func (d *Dispatcher) probeEnded(e *Event) {
 	w := d.workers[e.Worker]
 	if w == nil {
@@ -66,7 +74,7 @@
 	d.closeDrained(w)
 	if w.probing = false; e.Outcome == OK {
 		w.brokenConns = 0
-		d.report(w, e.Report)
+		d.applyReport(w, e.Report)
 	} else if e.Outcome == Reset {
 		d.connectionBroke(w)
 	} else if o := e.Outcome; w.lastProgress < d.now-e.Elapsed && o != Full && o != Moot && o != Failed {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestRandomEvents plays random but legal worlds and checks the rules on every action: one attempt at a time, repeats
-// only where the semantics allow them, one final response in time, and the same actions for the same events.
+// TestRandomEvents feeds random but legal events to a dispatcher and checks every action: a request has one
+// attempt in flight at a time, more attempts only where its semantics allow them, and one final response in
+// time. The same events must give the same actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := uint64(0); seed < 60; seed++ {
 		a := newRandomWorld(t, seed).play()
@@ -19,13 +20,15 @@
 	}
 }
 
+// testAttempt is an attempt that the dispatcher sent.
 type testAttempt struct {
 	worker       string
 	cell         int
 	at           time.Duration
-	open, mayRun bool
+	open, mayRun bool // in flight; may have run
 }
 
+// testRequest is a request that was fed in.
 type testRequest struct {
 	class    Class
 	due      time.Duration
@@ -33,7 +36,8 @@
 	attempts []testAttempt
 }
 
-// randomWorld is the clients, workers and list of one scheduler. All that happens follows from its seed.
+// randomWorld has the clients, the workers and the list of workers of one scheduler. Its seed determines all
+// events.
 type randomWorld struct {
 	t        *testing.T
 	seed     uint64
@@ -46,24 +50,24 @@
 	requests map[uint32]*testRequest
 	ids      []uint32 // of requests, in order of arrival
 
-	mustClose []string // workers with an idle connection that DrainClose wants closed in this step
+	mustClose []string // workers whose idle connections must be closed in this step if there is a DrainCloseTimeout
 }
 
 func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
-	s.ReportsStarts, s.Reports, s.Cancel = rng.IntN(3) > 0, rng.IntN(3) > 0, rng.IntN(3) > 0
-	s.ListOnDemand, s.Probes = rng.IntN(2) > 0, rng.IntN(2) > 0
+	s.ReportsStarts, s.LoadReports, s.MayCancel = rng.IntN(3) > 0, rng.IntN(3) > 0, rng.IntN(3) > 0
+	s.ListOnDemand, s.MayProbe = rng.IntN(2) > 0, rng.IntN(2) > 0
 	if s.ListOnDemand {
 		s.MaxListAge = 5 * time.Second
 	}
-	if seed%4 == 1 { // settings at their limits: one scheduler, one attempt, no warm-up, no allowance
-		s.Schedulers, s.MaxAttempts, s.ConnIdle, s.WarmUpTime = 1, 1, 0, 0
+	if seed%4 == 1 { // settings at their limits
+		s.Schedulers, s.MaxAttempts, s.ConnIdleTimeout, s.MaxWarmUpTime = 1, 1, 0, 0
 		s.Tenants = []Tenant{{Name: "t"}}
 	}
 	if seed%3 == 0 {
-		s.DrainClose = ms << (seed % 11)
+		s.DrainCloseTimeout = ms << (seed % 11)
 	}
 	d, err := New(s, seed)
 	if err != nil {
@@ -73,7 +77,7 @@
 		state: map[string]State{}, requests: map[uint32]*testRequest{}}
 }
 
-// play steps 1500 times and returns all actions.
+// play makes 1500 steps, checks their actions and returns them.
 func (w *randomWorld) play() (all []Action) {
 	w.t.Helper()
 	events := []Event{{Kind: ListRestored, Members: w.members}}
@@ -83,7 +87,7 @@
 		events = w.arrive(events)
 		events = w.progress(events)
 		events = w.changeList(events)
-		// Events that refer to nothing are harmless.
+		// Events on unknown timers, requests and attempts must have no effect.
 		events = append(events, Event{Kind: TimerFired, Token: w.rng.Uint64N(99)}, Event{Kind: ClientDisconnected, ID: 1 << 30},
 			Event{Kind: AttemptEnded, ID: uint32(w.rng.IntN(50)), Attempt: 9})
 		actions := w.d.Step(w.now, events, nil)
@@ -99,7 +103,7 @@
 		all = append(all, actions...)
 		for id, r := range w.requests {
 			if !r.finished && w.now > r.due+w.set.ResponseGrace {
-				w.fail("request %d was lost", id)
+				w.fail("request %d has no final response in time", id)
 			}
 		}
 		events = nil
@@ -107,12 +111,13 @@
 	return all
 }
 
+// fail ends the test with the seed and the time.
 func (w *randomWorld) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("seed %d at %v: "+format, append([]any{w.seed, w.now}, args...)...)
 }
 
-// arrive appends a request now and then.
+// arrive appends a request with a probability of a quarter.
 func (w *randomWorld) arrive(events []Event) []Event {
 	if w.rng.IntN(4) != 0 {
 		return events
@@ -120,7 +125,7 @@
 	id := uint32(len(w.ids) + 1)
 	c := w.set.Classes[w.rng.IntN(3)]
 	left := time.Duration(w.rng.IntN(int(c.Deadline)))
-	e := Event{Kind: Request, ID: id, Class: c.Name, Left: left, Slots: float64(1 + w.rng.IntN(2)),
+	e := Event{Kind: Request, ID: id, Class: c.Name, TimeLeft: left, Slots: float64(1 + w.rng.IntN(2)),
 		Work: time.Duration(w.rng.IntN(int(300 * ms))), Tenant: "t"}
 	if w.seed%5 == 2 {
 		e.Work = 0 // no hints
@@ -130,7 +135,7 @@
 	return append(events, e)
 }
 
-// progress appends the starts and ends of open attempts.
+// progress appends starts and ends of attempts in flight.
 func (w *randomWorld) progress(events []Event) []Event {
 	for _, id := range w.ids {
 		r := w.requests[id]
@@ -143,6 +148,7 @@
 	return events
 }
 
+// progressAttempt appends the end or the start of an attempt, or neither.
 func (w *randomWorld) progressAttempt(events []Event, r *testRequest, a *testAttempt, e Event) []Event {
 	switch {
 	case w.now >= r.due && !r.finished:
@@ -161,11 +167,11 @@
 	}
 	a.mayRun = e.Outcome != Full && e.Outcome != ConnectFailed
 	r.finished = r.finished || e.Outcome == OK
-	e.Kind, e.Complete, e.Report = AttemptEnded, r.finished, NoReport
+	e.Kind, e.Responded, e.Report = AttemptEnded, r.finished, NoReport
 	return append(events, e)
 }
 
-// changeList appends changes and losses of the list, and probes' ends.
+// changeList appends changes and losses of the list of workers, and ends of probes.
 func (w *randomWorld) changeList(events []Event) []Event {
 	if w.rng.IntN(100) == 0 {
 		m := w.members[w.rng.IntN(3)]
@@ -188,22 +194,24 @@
 	return events
 }
 
+// checkCloses checks that the idle connections to the workers in mustClose are closed.
 func (w *randomWorld) checkCloses(actions []Action) {
 	w.t.Helper()
 	closes := ofKind(CloseIdle, actions)
 	for _, name := range w.mustClose {
 		closed := slices.ContainsFunc(closes, func(a Action) bool { return a.Worker == name })
-		if w.set.DrainClose > 0 && !closed {
-			w.fail("idle connections to %s stay open", name)
+		if w.set.DrainCloseTimeout > 0 && !closed {
+			w.fail("idle connections to %s are not closed", name)
 		}
 	}
 }
 
+// checkSend checks that a send is allowed, and records it.
 func (w *randomWorld) checkSend(a Action) {
 	w.t.Helper()
 	r := w.requests[a.ID]
 	if r.finished || w.state[a.Worker] != Ready || w.now > r.due {
-		w.fail("sent to %s: finished %v", a.Worker, r.finished)
+		w.fail("an attempt must not be sent to %s: request finished %v", a.Worker, r.finished)
 	}
 	cell := 0
 	if a.Worker == "c" {
@@ -211,28 +219,29 @@
 	}
 	for _, e := range r.attempts {
 		if e.open || e.mayRun && r.class.Semantics == Unsafe {
-			w.fail("a second attempt of %s", r.class.Name)
+			w.fail("a second attempt for a request of class %s", r.class.Name)
 		}
-		if e.mayRun && r.class.Semantics == Keyed && (e.cell != cell || w.now > e.at+r.class.Window) {
-			w.fail("a repeat outside the cell or window")
+		if e.mayRun && r.class.Semantics == Keyed && (e.cell != cell || w.now > e.at+r.class.DedupWindow) {
+			w.fail("a second attempt outside the first one's cell or window")
 		}
 	}
 	r.attempts = append(r.attempts, testAttempt{a.Worker, cell, w.now, true, true})
 	if len(r.attempts) > w.set.MaxAttempts {
-		w.fail("%d attempts", len(r.attempts))
+		w.fail("%d attempts for a request", len(r.attempts))
 	}
 }
 
+// checkFinal checks that a final response is allowed, and records it.
 func (w *randomWorld) checkFinal(a Action) {
 	w.t.Helper()
 	r := w.requests[a.ID]
 	if r.finished || w.now > r.due+w.set.ResponseGrace {
-		w.fail("finished twice or too late (due %v)", r.due)
+		w.fail("a second final response, or one too late (due %v)", r.due)
 	}
 	r.finished = true
 	for _, e := range r.attempts {
 		if a.Kind == Refuse && e.mayRun && r.class.Semantics != Safe {
-			w.fail("refused a %s that may have run", r.class.Name)
+			w.fail("refused a request of class %s that may have run", r.class.Name)
 		}
 	}
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,28 +1,32 @@
 package policy
 
-// A request from its arrival to its final response, and the guards on every attempt for it.
+// This file has a request's way from its arrival to its final response, and the rules on which attempts are
+// allowed for it.
 
 import "slices"
 
-const maxKeys = 1 << 14 // keys with a record of demand; one more clears them all
+const maxKeys = 1 << 14 // most keys whose demand is recorded; to record one more, all are cleared
 
+// arrive makes a job of a request that arrived and schedules a round for it. A request of an unknown class,
+// without time left, beyond MaxOpen or after Closing gets its final response at once. One whose id is in use
+// is ignored.
 func (d *Dispatcher) arrive(e *Event) {
-	row, ok := d.classes[e.Class]
+	index, ok := d.classes[e.Class]
 	if d.jobs[e.ID] != nil {
 		return
-	} else if !ok { // no class of the settings, so it never ran
-		d.out = append(d.out, Action{Kind: Refuse, ID: e.ID})
+	} else if !ok { // the settings have no such class; it never ran, so a retry is harmless
+		d.actions = append(d.actions, Action{Kind: Refuse, ID: e.ID})
 		return
 	}
-	c := &d.set.Classes[row]
-	j := &job{id: e.ID, arrived: d.now, due: d.now + e.Left, class: c, row: row, pending: true,
-		size: d.means[row], slots: max(1, e.Slots), memory: max(0, e.Memory)}
+	c := &d.cfg.Classes[index]
+	j := &job{id: e.ID, arrived: d.now, deadline: d.now + e.TimeLeft, class: c, classIndex: index,
+		pending: true, size: d.classMeanRuntime[index], slots: max(1, e.Slots), memory: max(0, e.Memory)}
 	if e.Work > 0 {
 		j.size = e.Work.Seconds()
-		d.largest = max(d.largest, j.size)
+		d.largestSize = max(d.largestSize, j.size)
 	}
 	if e.Key != "" {
-		hash := hashOf(e.Key)
+		hash := hashName(e.Key)
 		if d.keys[hash] == nil {
 			if len(d.keys) >= maxKeys {
 				clear(d.keys)
@@ -31,94 +35,112 @@
 		}
 		j.key = d.keys[hash]
 		j.key.work = j.key.demand(d.now) + j.size*j.slots
-		j.key.at = d.now
+		j.key.workAt = d.now
 	}
 	j.targetBy = d.now + c.LatencyTarget + seconds(c.Stretch*j.size)
-	// The target counts from the first attempt. A retry, marked or not, shows by the time that it has left.
-	d.maxLeft[row] = max(d.maxLeft[row], e.Left)
-	original := d.maxLeft[row]
-	if e.Retry {
-		original = max(c.Deadline, e.Left)
+	// The latency target counts from the client's first attempt. Clients may not mark retries, but a retry
+	// has less time left than the client had at first: the target is earlier by the difference. For a marked
+	// retry the time at first is the class's deadline, otherwise the most that a request of the class had
+	// left so far.
+	d.maxTimeLeft[index] = max(d.maxTimeLeft[index], e.TimeLeft)
+	firstTimeLeft := d.maxTimeLeft[index]
+	if e.IsRetry {
+		firstTimeLeft = max(c.Deadline, e.TimeLeft)
 	}
-	j.targetBy -= original - e.Left
+	j.targetBy -= firstTimeLeft - e.TimeLeft
 	if t, ok := d.tenants[e.Tenant]; ok {
-		b, rate := &d.buckets[t], d.set.Tenants[t].Allowance*d.quota()
-		b.tokens, b.at = min(max(1, rate), b.tokens+rate*(d.now-b.at).Seconds()), d.now
+		b, rate := &d.buckets[t], d.cfg.Tenants[t].Allowance*d.budgetShare()
+		b.tokens, b.refilledAt = min(max(1, rate), b.tokens+rate*(d.now-b.refilledAt).Seconds()), d.now
 		if j.overQuota = b.tokens < 1; !j.overQuota {
 			b.tokens--
 		}
 	}
 	d.jobs[j.id] = j
-	d.open = append(d.open, j)
-	j.check = j.due - d.set.Period
-	d.scanAt = min(d.scanAt, j.check)
+	d.openJobs = append(d.openJobs, j)
+	j.nextCheck = j.deadline - d.cfg.MinStepInterval
+	d.scanAt = min(d.scanAt, j.nextCheck)
 	d.probesDue += d.probesPerJob
-	if d.scheduleRound(); e.Left <= 0 || d.closing || d.set.MaxOpen > 0 && len(d.jobs) >= d.set.MaxOpen {
+	if d.scheduleRound(); e.TimeLeft <= 0 || d.closing ||
+		d.cfg.MaxOpenRequests > 0 && len(d.jobs) >= d.cfg.MaxOpenRequests {
 		d.finish(j)
 	}
 }
 
-// maySend reports whether an attempt for j may go to w now. Every send is checked by it.
+// maySend reports whether an attempt for j may go to w now. Every send is checked with it. It keeps these
+// rules:
+//   - A job has one attempt in flight at a time, MaxAttempts in total, and none after its deadline or its
+//     response's first part.
+//   - A job whose attempt may have run gets another one only where its class's semantics allow that: see
+//     barsRetry. A keyed job's must go to a worker in the dedup group of all that may have run.
+//   - The worker is ready and, if the class needs one machine kind, of that kind.
+//   - The job's work is within the budget of a worker that is warming up.
 func (d *Dispatcher) maySend(j *job, w *worker) bool {
-	if j.ended || j.streaming || d.now >= j.due || w.state != Ready ||
-		len(j.attempts) >= d.set.MaxAttempts || j.class.Kind != "" && j.class.Kind != w.kind.name {
+	if j.ended || j.streaming || d.now >= j.deadline || w.state != Ready ||
+		len(j.attempts) >= d.cfg.MaxAttempts || j.class.Kind != "" && j.class.Kind != w.kind.name {
 		return false
 	}
 	for _, a := range j.attempts {
-		other := j.class.Semantics == Keyed && !sameGroup(j.class.Scope, a.w, w)
+		other := j.class.Semantics == Keyed && !inSameDedupGroup(j.class.DedupScope, a.w, w)
 		if !a.neverRan && (!a.ended || other) || d.barsRetry(a) {
 			return false
 		}
 	}
-	return d.inWarmingBudget(w, w.kind.runtime(j.size)*j.slots)
+	return d.inWarmUpBudget(w, w.kind.runtime(j.size)*j.slots)
 }
 
-// barsRetry reports whether a may have run and none may follow: it is unsafe, or its key may be forgotten.
+// barsRetry reports whether a rules out another attempt: it may have run, and its class is unsafe, or is
+// keyed and the workers may have forgotten the key before another attempt has a connection.
 func (d *Dispatcher) barsRetry(a *attempt) bool {
 	c := a.j.class
-	late := d.now+d.set.ConnectTimeout >= a.sent+c.Window
+	late := d.now+d.cfg.ConnectTimeout >= a.sent+c.DedupWindow
 	return !a.neverRan && (c.Semantics == Unsafe || c.Semantics == Keyed && late)
 }
 
-// mayRefuse reports whether j may be refused, which promises its client that a retry is harmless.
+// mayRefuse reports whether j may be refused, which promises its client that a retry is harmless. That holds
+// if no attempt may have run, if the class is safe, or if all workers share their memory of its key.
 func (d *Dispatcher) mayRefuse(j *job) bool {
-	harmless := j.class.Semantics == Safe || j.class.Semantics == Keyed && j.class.Scope == ScopeAll
+	harmless := j.class.Semantics == Safe || j.class.Semantics == Keyed && j.class.DedupScope == ScopeAll
 	return !j.ended && !j.streaming && (harmless || !slices.ContainsFunc(j.attempts, mayHaveRun))
 }
 
+// mayHaveRun reports whether a may have run: an attempt that hasn't ended counts.
 func mayHaveRun(a *attempt) bool { return !a.neverRan }
 
-func sameGroup(s Scope, a, b *worker) bool {
+// inSameDedupGroup reports whether two workers share their memory of keys.
+func inSameDedupGroup(s DedupScope, a, b *worker) bool {
 	return s == ScopeAll || s == ScopeZone && a.zone == b.zone || s == ScopeCell && a.cell == b.cell
 }
 
-// finish gives j its final response.
+// finish gives j its final response, Refuse if that is allowed, unless j has one or its response is
+// streaming.
 func (d *Dispatcher) finish(j *job) {
 	if j.ended || j.streaming {
 		return
 	}
 	response := Action{Kind: Fail, ID: j.id}
 	if d.mayRefuse(j) {
-		response.Kind, response.RetryAfter = Refuse, d.set.MaxRetryAfter
+		response.Kind, response.RetryAfter = Refuse, d.cfg.MaxRetryAfter
 	}
-	d.out = append(d.out, response)
+	d.actions = append(d.actions, response)
 	d.end(j)
 }
 
-// end forgets j and cancels its attempts in flight, so that workers don't run them in vain.
+// end drops j and cancels its attempts in flight, as nobody waits for their results. j stays in jobs until
+// those attempts have ended.
 func (d *Dispatcher) end(j *job) {
 	j.ended, j.pending = true, false
 	delete(d.jobs, j.id)
 	for _, a := range j.attempts {
 		if !a.ended {
-			d.jobs[j.id] = j // until its outcome arrives
+			d.jobs[j.id] = j // until a's outcome arrives
 			d.cancel(a)
 		}
 	}
 }
 
-// shouldGiveUp reports whether j, not started yet, is given up, as it would miss its target if it ran for so
-// many seconds: where a late response is worth nothing, or under overload, where it would make others late.
+// shouldGiveUp reports whether j, which hasn't started, is to be given up: if it ran for this many seconds
+// from now, it would miss its target, and either a late response is worth nothing, or there is an overload,
+// in which j would make other jobs late.
 func (d *Dispatcher) shouldGiveUp(j *job, run float64) bool {
-	return (d.overload || j.class.LateValue == 0) && d.now+seconds(run) > j.targetBy
+	return (d.overloaded || j.class.LateValue == 0) && d.now+seconds(run) > j.targetBy
 }
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -20,18 +20,18 @@
 		to            int
 		send, refused bool
 	}{
-		{"first", "unsafe", Ready, nil, 0, true, true},
-		{"draining", "safe", Draining, nil, 0, false, true},
-		{"removed", "safe", Removed, nil, 0, false, true},
-		{"unsafe may have run", "unsafe", Ready, []earlier{{0, true, false, 0}}, 1, false, false},
-		{"unsafe never ran", "unsafe", Ready, []earlier{{0, true, true, 0}}, 1, true, true},
-		{"one at a time", "safe", Ready, []earlier{{0, false, false, 0}}, 1, false, true},
-		{"safe retry", "safe", Ready, []earlier{{0, true, false, 0}}, 2, true, true},
-		{"keyed same cell", "keyed", Ready, []earlier{{0, true, false, time.Second}}, 1, true, false},
-		{"keyed other cell", "keyed", Ready, []earlier{{0, true, false, time.Second}}, 2, false, false},
-		{"keyed other cell, never ran", "keyed", Ready, []earlier{{0, true, true, time.Second}}, 2, true, true},
-		{"keyed past its window", "keyed", Ready, []earlier{{0, true, false, 3 * time.Second}}, 1, false, false},
-		{"attempts used up", "safe", Ready, []earlier{{0, true, true, 0}, {0, true, true, 0}, {0, true, true, 0}},
+		{"first attempt", "unsafe", Ready, nil, 0, true, true},
+		{"worker draining", "safe", Draining, nil, 0, false, true},
+		{"worker removed", "safe", Removed, nil, 0, false, true},
+		{"unsafe, may have run", "unsafe", Ready, []earlier{{0, true, false, 0}}, 1, false, false},
+		{"unsafe, never ran", "unsafe", Ready, []earlier{{0, true, true, 0}}, 1, true, true},
+		{"another attempt in flight", "safe", Ready, []earlier{{0, false, false, 0}}, 1, false, true},
+		{"safe, may have run", "safe", Ready, []earlier{{0, true, false, 0}}, 2, true, true},
+		{"keyed, may have run in the same cell", "keyed", Ready, []earlier{{0, true, false, time.Second}}, 1, true, false},
+		{"keyed, may have run in another cell", "keyed", Ready, []earlier{{0, true, false, time.Second}}, 2, false, false},
+		{"keyed, never ran in another cell", "keyed", Ready, []earlier{{0, true, true, time.Second}}, 2, true, true},
+		{"keyed, may have run before the window", "keyed", Ready, []earlier{{0, true, false, 3 * time.Second}}, 1, false, false},
+		{"no attempts left", "safe", Ready, []earlier{{0, true, true, 0}, {0, true, true, 0}, {0, true, true, 0}},
 			1, false, true},
 	}
 	for _, tt := range tests {
@@ -44,11 +44,11 @@
 				t.Fatal("the request is not pending")
 			}
 			for n, e := range tt.earlier {
-				j.attempts = append(j.attempts, &attempt{j: j, w: d.order[e.worker], n: n, sent: now - e.sentAgo,
+				j.attempts = append(j.attempts, &attempt{j: j, w: d.byRank[e.worker], index: n, sent: now - e.sentAgo,
 					ended: e.over, neverRan: e.never})
 			}
-			d.order[tt.to].state = tt.state
-			if got := d.maySend(j, d.order[tt.to]); got != tt.send {
+			d.byRank[tt.to].state = tt.state
+			if got := d.maySend(j, d.byRank[tt.to]); got != tt.send {
 				t.Errorf("maySend = %v", got)
 			}
 			if got := d.mayRefuse(j); got != tt.refused {
@@ -80,24 +80,24 @@
 			}
 		})
 	}
-	t.Run("pending until out of time", func(t *testing.T) {
+	t.Run("pending at its deadline", func(t *testing.T) {
 		d := testDispatcher(t, nil)
 		d.Step(time.Second, []Event{{Kind: ListReplaced}, request(1, "unsafe")}, nil)
 		if out := d.Step(5*time.Second-5*ms, nil, nil); len(ofKind(Refuse, out)) != 1 {
 			t.Errorf("got %v", out)
 		}
 	})
-	t.Run("no time left", func(t *testing.T) {
+	t.Run("no time left at its arrival", func(t *testing.T) {
 		d := testDispatcher(t, nil)
 		e := request(1, "safe")
-		e.Left = -1
+		e.TimeLeft = -1
 		if out := d.Step(time.Second, []Event{e}, nil); len(ofKind(Refuse, out)) != 1 {
 			t.Errorf("got %v", out)
 		}
 	})
 }
 
-// withLateValue changes the value of late responses of each class.
+// withLateValue returns a change of the settings that sets LateValue of each class.
 func withLateValue(value float64) func(*Settings) {
 	return func(s *Settings) {
 		for i := range s.Classes {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Under overload, or where a late response is worth nothing, a job that misses its target before it starts is given
-// up. Otherwise, and once it runs, it is served late.
+// A job that misses its target before it starts is given up if there is an overload, or if a late response is
+// worth nothing. Otherwise it is served late, and so is a job that has started.
 func TestOverloadGivesUpJobsThatMissTheirTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -125,10 +125,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, withLateValue(tt.late))
-			d.use, d.overload = tt.full, tt.full > overloadedAt
+			d.slotUse, d.overloaded = tt.full, tt.full > overloadSlotUse
 			if !tt.sent {
-				for _, w := range d.order {
-					w.busy = d.slots(w)
+				for _, w := range d.byRank {
+					w.busySlots = d.slots(w)
 				}
 			}
 			d.Step(time.Second, []Event{request(1, "unsafe")}, nil)
@@ -150,8 +150,8 @@
 	}
 }
 
-// Where a late response is worth nothing, a job is not sent to a worker where it would be late; it waits for a better
-// one. Without reports predictions err more, and it is sent while slots are free.
+// If a late response is worth nothing, a job isn't sent to a worker where it would be late, but waits for a
+// better one. Without reports, predictions err more: there it is sent as long as slots are free.
 func TestLateJobIsNotSentWhereLateValueIsZero(t *testing.T) {
 	for _, tt := range []struct {
 		late, full float64
@@ -159,31 +159,31 @@
 		want       int
 	}{{0, 0.5, true, 0}, {0.5, 0.5, true, 1}, {0, 1, false, 0}, {0, 0.5, false, 1}} {
 		d := testDispatcher(t, func(s *Settings) {
-			s.Reports = tt.reports
+			s.LoadReports = tt.reports
 			withLateValue(tt.late)(s)
 		})
-		d.meanRun, d.use = 0.01, tt.full
-		for _, w := range d.order { // about as full as estimated without reports
-			w.busy = 4 * tt.full
-			w.running, w.maxRunning = w.busy, 8
+		d.meanRuntime, d.slotUse = 0.01, tt.full
+		for _, w := range d.byRank { // without reports, estimateSlotUse gives about tt.full
+			w.busySlots = 4 * tt.full
+			w.runningSlots, w.maxRunningSlots = w.busySlots, 8
 		}
-		for _, w := range d.order {
-			w.slow = 8
+		for _, w := range d.byRank {
+			w.learnedSlowness = 8
 		}
-		d.Step(time.Second, []Event{{Kind: Request, ID: 1, Class: "safe", Left: time.Second, Work: 50 * ms, Slots: 1}}, nil)
+		d.Step(time.Second, []Event{{Kind: Request, ID: 1, Class: "safe", TimeLeft: time.Second, Work: 50 * ms, Slots: 1}}, nil)
 		if got := len(sendsAt(d, time.Second+d.roundInterval)); got != tt.want {
 			t.Errorf("late value %v, %v of the slots in use, reports %v: %d sent, want %d", tt.late, tt.full, tt.reports, got, tt.want)
 		}
 	}
 }
 
-// The latency target of a retry counts from the first attempt, also where clients do not mark retries: they have less
-// time left.
+// The latency target of a retry counts from the client's first attempt, also if the client doesn't mark it:
+// it shows by the time left.
 func TestUnmarkedRetryKeepsItsTarget(t *testing.T) {
 	d := testDispatcher(t, nil)
 	d.Step(time.Second, []Event{request(1, "safe")}, nil)
 	retry := request(2, "safe")
-	retry.Left -= time.Second
+	retry.TimeLeft -= time.Second
 	d.Step(time.Second, []Event{retry}, nil)
 	if got := d.jobs[1].targetBy - d.jobs[2].targetBy; got != time.Second {
 		t.Errorf("the target is %v earlier, want 1s", got)
@@ -193,7 +193,7 @@
 func TestSameGroup(t *testing.T) {
 	a := &worker{zone: "x", cell: 1}
 	for _, tt := range []struct {
-		scope Scope
+		scope DedupScope
 		b     worker
 		want  bool
 	}{
@@ -201,23 +201,23 @@
 		{ScopeZone, worker{zone: "x", cell: 2}, true}, {ScopeZone, worker{zone: "y", cell: 1}, false},
 		{ScopeAll, worker{zone: "y", cell: 2}, true},
 	} {
-		if got := sameGroup(tt.scope, a, &tt.b); got != tt.want {
+		if got := inSameDedupGroup(tt.scope, a, &tt.b); got != tt.want {
 			t.Errorf("scope %v, %+v: %v", tt.scope, tt.b, got)
 		}
 	}
 }
 
-// Guards against a fresh dispatcher that refuses what it knows nothing of: where neither hints nor responses show how
-// long a job runs, one that waited for its round is not taken for late already.
+// A new dispatcher doesn't refuse jobs because it doesn't know how long they run: if there are neither
+// estimates of clients nor responses, a job that has waited for its round doesn't count as late yet.
 func TestJobsOfUnknownLengthAreNotLateAtOnce(t *testing.T) {
-	d, err := New(Settings{Period: time.Millisecond, ResponseGrace: 8 * time.Millisecond,
+	d, err := New(Settings{MinStepInterval: time.Millisecond, ResponseGrace: 8 * time.Millisecond,
 		Classes: []Class{{Name: "c", LatencyTarget: 3 * time.Second, Deadline: 6 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, kind := time.Hour, ActionKind(-1)
 	events := []Event{{Kind: ListRestored, Members: []Member{{Worker: "w", Kind: "k", State: Draining}}},
-		{Kind: Request, ID: 1, Class: "c", Left: 6 * time.Second, Slots: 1}}
+		{Kind: Request, ID: 1, Class: "c", TimeLeft: 6 * time.Second, Slots: 1}}
 	for n := range 600 {
 		for _, a := range d.Step(now, events, nil) {
 			if a.Kind == Send || a.Kind == Refuse || a.Kind == Fail {
@@ -225,7 +225,7 @@
 			}
 		}
 		now, events = now+time.Millisecond, nil
-		if n == 500 { // its worker is ready again
+		if n == 500 { // the worker becomes ready
 			events = []Event{{Kind: ListChanged, Members: []Member{{Worker: "w", Kind: "k"}}}}
 		}
 	}
@@ -242,8 +242,9 @@
 	}
 }
 
-// An outcome which says that an attempt never ran, but may be another request's, is no proof for an unsafe class: no
-// attempt follows, and the request is not refused. Other classes are retried.
+// An outcome that says that an attempt never ran, but may belong to another request, proves nothing for an
+// unsafe class: there is no other attempt, and the request isn't refused. Requests of other classes are
+// retried.
 func TestIndeterminateOutcomeIsNoProofForUnsafeClass(t *testing.T) {
 	for _, tt := range []struct {
 		semantics     Semantics
@@ -251,14 +252,14 @@
 		sends         int
 		end           ActionKind
 	}{{Unsafe, false, 2, -1}, {Unsafe, true, 1, Fail}, {Safe, true, 2, -1}} {
-		d, err := New(Settings{Period: time.Millisecond, MaxAttempts: 3, ResponseGrace: 8 * time.Millisecond,
+		d, err := New(Settings{MinStepInterval: time.Millisecond, MaxAttempts: 3, ResponseGrace: 8 * time.Millisecond,
 			Classes: []Class{{Name: "c", Semantics: tt.semantics, LatencyTarget: 400 * time.Millisecond, LateValue: 1, Deadline: 9 * time.Second}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now, sends, end := time.Hour, 0, ActionKind(-1)
 		events := []Event{{Kind: ListRestored, Members: []Member{{Worker: "v", Kind: "k"}, {Worker: "w", Kind: "k"}}},
-			{Kind: Request, ID: 1, Class: "c", Left: 9 * time.Second, Work: 100 * time.Millisecond, Slots: 1}}
+			{Kind: Request, ID: 1, Class: "c", TimeLeft: 9 * time.Second, Work: 100 * time.Millisecond, Slots: 1}}
 		for range 500 {
 			out := d.Step(now, events, nil)
 			now, events = now+time.Millisecond, nil
--- a/policy/rounds.go
+++ b/policy/rounds.go
@@ -1,6 +1,19 @@
 package policy
 
-// Rounds: pending jobs are priced against free slots and matched (the Kairos paper's batch matching).
+// Rounds: the pending jobs are matched to free slots in batches, as in the Kairos paper. A round takes these
+// steps:
+//
+//  1. It takes the pending jobs by rank, maxRoundJobs at most, and the free slots of the candidate workers.
+//  2. It prices each pairing of a job and a slot. A forbidden pairing costs far more than the limit in step
+//     4.
+//  3. It finds the one-to-one assignment of jobs to slots with the least total cost.
+//  4. It sends the pairings below a cost limit, the cheapest first, checking each again, as earlier sends of
+//     the round use up slots and budgets.
+//  5. It gives up the jobs left over that can't meet their target any more, if shouldGiveUp allows that.
+//
+// All costs scale with T, the longest time left of a job of the round in seconds. Each step in rank costs T,
+// about as much as the longest runtime that fits. Missing a target after which a response is worth nothing
+// costs targetMissPenalty x T, more than all ranks.
 
 import (
 	"cmp"
@@ -12,42 +25,43 @@
 )
 
 const (
-	maxTimeLeftPart   = 0.98 // a pairing must end within this fraction of the job's time left (design)
-	failPenalty       = 10   // cost of a pairing that fails the test, in largest times left
-	crossZoneWait     = 5    // part of its slack that a job waits for its zone, per unit of price
-	maxRoundJobs      = 24   // most jobs matched in one round, so that a round stays cheap
-	overloadedAt      = 0.95 // fraction of slots in use, queues included, at which late jobs are given up
-	overdueRuns       = 3    // an attempt is overdue after so many predicted runtimes and its target
-	maxUnhealthyRatio = 4    // unhealthy workers for each healthy one beyond which none is avoided
-	loadWeight        = 0.6  // how much more a full worker costs than an empty one
-	crossZoneWeight   = 4    // how often the price of crossing zones counts in a pairing's cost
-	rejectionWeight   = 1.0  // how much more each job that it recently rejected makes a worker cost
+	maxTimeLeftFraction   = 0.98 // a pairing must end within this fraction of the job's time left
+	targetMissPenalty     = 10   // cost, in T, of missing a target after which a response is worth nothing
+	crossZoneWaitPerPrice = 5    // fraction of its slack that a job waits for its zone, per point of price
+	maxRoundJobs          = 24   // most jobs matched in one round; the matching takes cubic time
+	overloadSlotUse       = 0.95 // slotUse above which late jobs are given up
+	overdueRuntimes       = 3    // predicted runtimes, plus the target, after which an attempt is late
+	maxUnhealthyRatio     = 4    // unhealthy workers per healthy one above which none is avoided
+	loadWeight            = 0.6  // added to the cost factor of a full worker
+	crossZoneWeight       = 4    // added to the cost factor of another zone, per point of price
+	rejectionWeight       = 1.0  // added to a worker's cost factor per recent rejection
 )
 
-// scheduleRound schedules a round at the next point of the scheduler's time grid. Grids are shifted, so that
-// schedulers in step don't all pick the same worker at once.
+// scheduleRound schedules a round at the next point of the scheduler's time grid, unless one is scheduled.
+// The points are roundInterval apart, and the grids of the schedulers are evenly shifted against each other.
+// Otherwise schedulers that get reports or requests at the same time would all pick the same worker at once.
 func (d *Dispatcher) scheduleRound() {
-	shift := d.roundInterval * time.Duration(d.set.Number) / time.Duration(d.set.Schedulers)
+	shift := d.roundInterval * time.Duration(d.cfg.Number) / time.Duration(d.cfg.Schedulers)
 	if d.roundAt == never {
 		d.roundAt = (d.now-shift)/d.roundInterval*d.roundInterval + d.roundInterval + shift
 	}
 }
 
-// round matches pending jobs to free slots at the least total cost and sends what fits, cheapest first.
+// round holds a round, by the steps at the head of this file.
 func (d *Dispatcher) round() {
 	jobs := d.pendingJobs()
 	if len(jobs) == 0 {
 		return
 	}
-	near, maxLeft := d.near(), 0.0
-	d.assess(near)
+	workers, maxLeft := d.candidates(), 0.0
+	d.assessCandidates(workers)
 	for _, j := range jobs {
-		maxLeft = max(maxLeft, (j.due - d.now).Seconds())
+		maxLeft = max(maxLeft, (j.deadline - d.now).Seconds())
 	}
-	costs, slots := d.costs(jobs, near, maxLeft)
+	costs, slots := d.costs(jobs, workers, maxLeft)
 	var pairs []pair
-	maxCost := failPenalty * maxLeft
-	if !d.set.Reports && d.use < lightLoad { // without reports the estimates may be wrong, and slots are free
+	maxCost := targetMissPenalty * maxLeft
+	if !d.cfg.LoadReports && d.slotUse < lightSlotUse { // slots are free and estimates may be wrong
 		maxCost *= 10
 	}
 	for i, p := range assignment.Solve(costs, len(slots)) {
@@ -66,59 +80,70 @@
 			d.finish(j)
 		}
 	}
-	if d.reach -= d.reach / 8; len(pairs) < len(jobs) {
-		d.reach *= 2
-		d.scanAt = min(d.scanAt, d.now+d.minTarget/2) // time alone frees slots: blocks and warm-ups end
+	if d.candidateLimit -= d.candidateLimit / 8; len(pairs) < len(jobs) {
+		d.candidateLimit *= 2
+		d.scanAt = min(d.scanAt, d.now+d.minTarget/2) // blocks and warm-ups end without an event
 	}
 }
 
-// assess updates what the round takes for granted of the workers near by: who is avoided, and the overload.
-func (d *Dispatcher) assess(near []*worker) {
+// assessCandidates updates the conditions that hold for the whole round: whether unhealthy workers are
+// avoided, whether a worker in the own zone is healthy, and whether there is an overload. An overload ends
+// only at nine tenths of overloadSlotUse, so that it doesn't begin and end with every report.
+func (d *Dispatcher) assessCandidates(workers []*worker) {
 	unhealthy, healthy := 0, 0
-	d.zoneUsable = false
-	for _, w := range near {
-		if w.state == Ready && w.fails > 0 {
+	d.ownZoneUsable = false
+	for _, w := range workers {
+		if w.state == Ready && w.failures > 0 {
 			unhealthy++
 		} else if w.state == Ready {
 			healthy++
-			d.zoneUsable = d.zoneUsable || w.zone == d.set.Zone
+			d.ownZoneUsable = d.ownZoneUsable || w.zone == d.cfg.Zone
 		}
 	}
-	if !d.set.Reports {
-		d.use += reportWeight * (d.estimatedUse() - d.use)
+	if !d.cfg.LoadReports {
+		d.slotUse += reportWeight * (d.estimateSlotUse() - d.slotUse)
 	}
-	d.logChange(&d.failOpen, unhealthy > maxUnhealthyRatio*healthy, failingOpen)
-	d.logChange(&d.overload, d.use > overloadedAt || d.overload && d.use > 0.9*overloadedAt, givingUpLate)
+	d.logChange(&d.failOpen, unhealthy > maxUnhealthyRatio*healthy, failOpenText)
+	d.logChange(&d.overloaded,
+		d.slotUse > overloadSlotUse || d.overloaded && d.slotUse > 0.9*overloadSlotUse, overloadText)
 }
 
-// costs returns the cost of each job in each free slot of near, and the worker of each slot.
-func (d *Dispatcher) costs(jobs []*job, near []*worker, maxLeft float64) (_ [][]float64, slots []*worker) {
+// costs returns the cost of each job, by row, in each free slot, by column, and the worker of each slot. All
+// free slots of a worker cost the same. The speed of a worker's kind, relative to the fastest kind, is taken
+// from their runtimes for the largest job seen.
+func (d *Dispatcher) costs(jobs []*job, workers []*worker, maxLeft float64) (_ [][]float64, slots []*worker) {
 	fastest := math.Inf(1)
-	for _, k := range d.fleet {
-		fastest = min(fastest, k.runtime(d.largest))
+	for _, k := range d.kindList {
+		fastest = min(fastest, k.runtime(d.largestSize))
 	}
 	costs := make([][]float64, len(jobs))
-	for _, w := range near {
+	for _, w := range workers {
 		n := min(int(d.freeSlots(w)), len(jobs))
-		c := fastest / max(w.kind.runtime(d.largest), 1e-9)
+		speed := fastest / max(w.kind.runtime(d.largestSize), 1e-9)
 		for i := 0; n > 0 && i < len(jobs); i++ {
-			costs[i] = append(costs[i], slices.Repeat([]float64{d.cost(jobs[i], w, c, maxLeft)}, n)...)
+			costs[i] = append(costs[i], slices.Repeat([]float64{d.cost(jobs[i], w, speed, maxLeft)}, n)...)
 		}
 		slots = append(slots, slices.Repeat([]*worker{w}, max(0, n))...)
 	}
 	return costs, slots
 }
 
-// pendingJobs returns the jobs of this round by rank, and in order of arrival among equals.
+// pendingJobs returns the jobs of this round by rank, and in the order of arrival within a rank.
 func (d *Dispatcher) pendingJobs() []*job {
-	jobs := slices.DeleteFunc(slices.Clone(d.open), func(j *job) bool { return !j.pending })
+	jobs := slices.DeleteFunc(slices.Clone(d.openJobs), func(j *job) bool { return !j.pending })
 	rank := func(j *job) float64 { return d.rank(j, j.size) }
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(rank(a), rank(b)) })
 	return jobs[:min(len(jobs), maxRoundJobs)]
 }
 
-// rank returns a job's rank, each step of which costs a pairing the round's largest time left: jobs within
-// their tenant's allowance first, then those that make their target if they run so long. Others may starve.
+// rank returns the rank of a job that would run for this many seconds. The lowest goes first:
+//
+//	0  within the tenant's allowance, meets its target
+//	1  within the tenant's allowance, misses its target
+//	2  beyond the tenant's allowance, meets its target
+//	3  beyond the tenant's allowance, misses its target
+//
+// Under lasting load the higher ranks may starve.
 func (d *Dispatcher) rank(j *job, run float64) (r float64) {
 	if j.overQuota {
 		r = 2
@@ -129,82 +154,102 @@
 	return r
 }
 
-// cost prices a pairing: C_j x L_ij with the design's test and penalty; small factors choose among equals.
-// Without reports a fetch counts against the target only as far as workers are full.
-func (d *Dispatcher) cost(j *job, w *worker, c, maxLeft float64) float64 {
-	if !d.maySend(j, w) || j.class.Semantics == Unsafe && w.fails > 0 && !d.failOpen || d.staysInZone(j, w) {
-		return 100 * failPenalty * maxLeft
-	}
-	l := d.predict(w, j)
-	price := c*l*d.factor(w) + d.rank(j, l)*maxLeft
-	if l > maxTimeLeftPart*(j.due-d.now).Seconds() {
-		return 100 * failPenalty * maxLeft
-	}
-	if !d.set.Reports {
-		l -= d.fetch(w, j) * max(0, 1-d.use)
-	}
-	if j.class.LateValue == 0 && d.now+seconds(l) > j.targetBy {
-		return failPenalty*maxLeft + price
-	}
-	return price
+// cost returns the cost of running j on w:
+//
+//	speed x runtime x factor(w) + rank x T
+//
+// speed is that of the worker's kind relative to the fastest kind, runtime the predicted runtime in seconds,
+// and T is maxLeft. The speed makes time on fast kinds expensive, so that it is left for the jobs that need
+// it (C_j x L_ij of the Kairos paper).
+//
+// A forbidden pairing, or one that would end after maxTimeLeftFraction of the job's time left, costs 100 x
+// targetMissPenalty x T. One that misses a target after which a response is worth nothing costs
+// targetMissPenalty x T more. Without reports the predicted fetch counts against that target only in
+// proportion to the slots in use, as the prediction may be wrong.
+func (d *Dispatcher) cost(j *job, w *worker, speed, maxLeft float64) float64 {
+	if !d.maySend(j, w) || j.class.Semantics == Unsafe && w.failures > 0 && !d.failOpen ||
+		d.staysInZone(j, w) {
+		return 100 * targetMissPenalty * maxLeft
+	}
+	runtime := d.predictRuntime(w, j)
+	cost := speed*runtime*d.costFactor(w) + d.rank(j, runtime)*maxLeft
+	if runtime > maxTimeLeftFraction*(j.deadline-d.now).Seconds() {
+		return 100 * targetMissPenalty * maxLeft
+	}
+	if !d.cfg.LoadReports {
+		runtime -= d.fetchTime(w, j) * max(0, 1-d.slotUse)
+	}
+	if j.class.LateValue == 0 && d.now+seconds(runtime) > j.targetBy {
+		return targetMissPenalty*maxLeft + cost
+	}
+	return cost
 }
 
-// factor returns by how much prices, its jobs and its rejections raise the cost of a pairing with w.
-func (d *Dispatcher) factor(w *worker) float64 {
-	f := 1 + loadWeight*(w.busy+d.othersSlots(w))/d.slots(w) + rejectionWeight*float64(w.rejections)
-	if w.zone != d.set.Zone {
-		f += crossZoneWeight * d.set.CrossZonePrice
-	}
-	if n := len(w.idle); n == 0 || w.idle[n-1] <= d.now-d.set.ConnIdle {
-		f += d.set.HandshakePrice
+// costFactor returns the factor on the cost of each pairing with w: 1 for an idle worker in the own zone to
+// which a connection is open. The use of its slots, rejections, a crossing of zones and a handshake add to
+// it.
+func (d *Dispatcher) costFactor(w *worker) float64 {
+	f := 1 + loadWeight*(w.busySlots+d.estimateOthersSlots(w))/d.slots(w) +
+		rejectionWeight*float64(w.rejections)
+	if w.zone != d.cfg.Zone {
+		f += crossZoneWeight * d.cfg.CrossZonePrice
+	}
+	if n := len(w.idleConns); n == 0 || w.idleConns[n-1] <= d.now-d.cfg.ConnIdleTimeout {
+		f += d.cfg.HandshakePrice
 	}
 	return f
 }
 
-// fits reports whether w has the slots and, where reported, the memory for j.
+// fits reports whether w has the slots and the memory for j. A job that needs more slots than w has fits if
+// all are free. Memory counts only if w reports it and own jobs already occupy some there.
 func (d *Dispatcher) fits(w *worker, j *job) bool {
 	return d.freeSlots(w) >= min(j.slots, d.slots(w)) &&
-		(w.seenMemory <= 0 || w.memory == 0 || w.memory+j.memory <= w.seenMemory)
+		(w.maxFreeMemory <= 0 || w.ownMemory == 0 || w.ownMemory+j.memory <= w.maxFreeMemory)
 }
 
-// staysInZone keeps j from crossing zones for a part of its slack that grows with the price of crossing.
+// staysInZone reports whether j must not go to w yet since w is in another zone. If crossing is expensive and
+// a worker in the own zone is healthy, a job's first attempt waits for the own zone, for a fraction of its
+// slack that grows with the price. The slack is the time from arrival to target less the job's expected work.
 func (d *Dispatcher) staysInZone(j *job, w *worker) bool {
-	if w.zone == d.set.Zone || d.set.CrossZonePrice <= cheapCrossing || !d.zoneUsable || len(j.attempts) > 0 {
+	if w.zone == d.cfg.Zone || d.cfg.CrossZonePrice <= cheapCrossZonePrice || !d.ownZoneUsable ||
+		len(j.attempts) > 0 {
 		return false
 	}
 	slack := (j.targetBy - j.arrived).Seconds() - j.size
-	return (d.now - j.arrived).Seconds() < min(1, crossZoneWait*d.set.CrossZonePrice)*slack
+	return (d.now - j.arrived).Seconds() < min(1, crossZoneWaitPerPrice*d.cfg.CrossZonePrice)*slack
 }
 
+// send sends an attempt for j to w and counts it among w's. For a keyed request, the first byte of a repeated
+// attempt must be sent while the workers still drop duplicates of the first attempt that may have run.
 func (d *Dispatcher) send(j *job, w *worker) {
-	a := &attempt{j: j, w: w, n: len(j.attempts), sent: d.now, wasWarming: d.warmth(w) < 1}
-	a.predicted, a.fetch, a.slow = d.predict(w, j), d.fetch(w, j), d.slowness(w)
-	if a.n > 0 && j.attempts[a.n-1].cancelled {
-		a.moveWeight = moveWeight
+	a := &attempt{j: j, w: w, index: len(j.attempts), sent: d.now, wasWarming: d.minCapacity(w) < 1}
+	a.predicted, a.predictedFetch, a.slowness = d.predictRuntime(w, j), d.fetchTime(w, j), d.slowness(w)
+	if a.index > 0 && j.attempts[a.index-1].cancelled {
+		a.moveWeight = movedAttemptWeight
 	}
 	j.attempts = append(j.attempts, a)
 	j.pending = false
 	w.inFlight = append(w.inFlight, a)
-	w.busy += j.slots
-	w.memory += j.memory
-	if n := len(w.idle); n > 0 {
-		w.idle = w.idle[:n-1]
+	w.busySlots += j.slots
+	w.ownMemory += j.memory
+	if n := len(w.idleConns); n > 0 {
+		w.idleConns = w.idleConns[:n-1]
 	}
 	if a.wasWarming {
 		w.budgetUsed += w.kind.runtime(j.size) * j.slots
 	}
-	j.check = d.now + j.class.LatencyTarget/checksPerTarget
-	if !d.set.ReportsStarts { // it counts as running from the send on
+	j.nextCheck = d.now + j.class.LatencyTarget/checksPerTarget
+	if !d.cfg.ReportsStarts { // it counts as running as soon as it is sent
 		a.running, a.started = true, d.now
-		j.check = d.now + seconds(overdueRuns*a.predicted) + j.class.LatencyTarget
-		w.running += j.slots
+		j.nextCheck = d.now + seconds(overdueRuntimes*a.predicted) + j.class.LatencyTarget
+		w.runningSlots += j.slots
 	}
-	j.check = min(j.check, j.due+d.set.ResponseGrace/2)
-	d.scanAt = min(d.scanAt, j.check)
-	by := time.Duration(0)
-	first := j.attempts[slices.IndexFunc(j.attempts, mayHaveRun)]
-	if first != a && j.class.Semantics == Keyed {
-		by = first.sent + j.class.Window
+	j.nextCheck = min(j.nextCheck, j.deadline+d.cfg.ResponseGrace/2)
+	d.scanAt = min(d.scanAt, j.nextCheck)
+	firstByteBy := time.Duration(0)
+	mayRun := j.attempts[slices.IndexFunc(j.attempts, mayHaveRun)]
+	if mayRun != a && j.class.Semantics == Keyed {
+		firstByteBy = mayRun.sent + j.class.DedupWindow
 	}
-	d.out = append(d.out, Action{Kind: Send, ID: j.id, Worker: w.name, By: by})
+	d.actions = append(d.actions, Action{Kind: Send, ID: j.id, Worker: w.name, FirstByteBy: firstByteBy})
 }
--- a/policy/rounds_test.go
+++ b/policy/rounds_test.go
@@ -11,7 +11,8 @@
 	"ospreypond/internal/assignment"
 )
 
-// cheapest returns the least cost of matching so many rows with columns that are not used yet, by trying all.
+// cheapest returns the least cost of matching rows rows to columns whose bit in used is not set, by brute
+// force.
 func cheapest(costs [][]float64, cols int, used uint, rows int) float64 {
 	if len(costs) == 0 {
 		if rows > 0 {
@@ -57,25 +58,26 @@
 	}
 }
 
+// Requests wait for the next round, which sends them together.
 func TestRoundsBatchRequests(t *testing.T) {
 	d := testDispatcher(t, nil)
-	for _, w := range d.order {
-		w.others, w.othersAt = d.slots(w)-1, time.Second // one place each, as a second job would wait for the first's start
+	for _, w := range d.byRank {
+		w.othersSlots, w.othersSlotsAt = d.slots(w)-1, time.Second // one slot each
 	}
 	two := []Event{request(1, "safe"), request(2, "safe")}
 	if got := ofKind(Send, d.Step(time.Second, two, nil)); len(got) != 0 {
-		t.Fatalf("sent outside a round: %v", got)
+		t.Fatalf("sent before the round: %v", got)
 	}
 	if got := sendsAt(d, time.Second+d.roundInterval); len(got) != 2 {
-		t.Fatalf("the round sent %d of 2", len(got))
+		t.Fatalf("the round sent %d of 2 requests", len(got))
 	}
 }
 
-// A backlog past its target must not hold up a job that can still make its own.
+// Jobs that have missed their targets don't delay a job that can still meet its target.
 func TestJobsThatMakeTheirTargetGoFirst(t *testing.T) {
 	d := testDispatcher(t, nil)
-	for _, w := range d.order {
-		w.busy = d.slots(w)
+	for _, w := range d.byRank {
+		w.busySlots = d.slots(w)
 	}
 	var old []Event
 	for id := uint32(1); id <= 2*maxRoundJobs; id++ {
@@ -84,9 +86,9 @@
 	d.Step(time.Second, old, nil)
 	at := 3 * time.Second
 	fresh := request(999, "safe")
-	fresh.Work = 90 * ms // longer than those that wait, so that cost alone would take them first
+	fresh.Work = 90 * ms // longer than the waiting jobs, so that by runtime alone these would go first
 	d.Step(at, []Event{fresh}, nil)
-	d.order[0].busy--
+	d.byRank[0].busySlots--
 	d.scheduleRound()
 	got := sendsAt(d, at+2*d.roundInterval)
 	if len(got) != 1 || got[0].ID != 999 {
@@ -94,8 +96,8 @@
 	}
 }
 
-// Crossing zones has a price: a job waits for its own zone while its slack allows, but not where that zone has no
-// usable worker.
+// If crossing zones is expensive, a job waits for a worker in its own zone while its slack allows, but not if
+// that zone has no usable worker.
 func TestStaysInZoneWhileSlackAllows(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
@@ -104,16 +106,16 @@
 		after      time.Duration
 		crosses    bool
 	}{
-		{"expensive, at once", 0.1, false, 20 * ms, false},
-		{"expensive, slack half used", 0.1, false, 110 * ms, true},
-		{"cheap", cheapCrossing, false, 20 * ms, true},
+		{"expensive, right after its arrival", 0.1, false, 20 * ms, false},
+		{"expensive, half of its slack used", 0.1, false, 110 * ms, true},
+		{"cheap", cheapCrossZonePrice, false, 20 * ms, true},
 		{"free", 0, false, 20 * ms, true},
 		{"own zone unusable", 0.1, true, 20 * ms, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, func(s *Settings) { s.CrossZonePrice = tt.price })
-			for _, w := range d.order[:2] {
-				w.busy = d.slots(w)
+			for _, w := range d.byRank[:2] {
+				w.busySlots = d.slots(w)
 				if tt.homeFailed {
 					w.state = Removed
 				}
@@ -128,12 +130,13 @@
 	}
 }
 
-// Unhealthy workers must be avoided while some others are healthy: if half of the workers failed fast, they would
-// otherwise attract nearly all jobs. Only where nearly all look unhealthy is none avoided.
+// Unhealthy workers are avoided as long as others are healthy. Otherwise workers that fail fast would attract
+// nearly all jobs, as their slots are free at once. Only if nearly all workers look unhealthy, none is
+// avoided.
 func TestFailsOpenOnlyWhenNearlyAllAreUnhealthy(t *testing.T) {
 	for failing, want := range map[int]bool{0: false, 1: false, 2: false, 3: true} {
 		d := testDispatcher(t, nil)
-		for _, w := range d.order[:failing] {
+		for _, w := range d.byRank[:failing] {
 			d.now = time.Second
 			d.recordFailure(w)
 		}
@@ -147,13 +150,13 @@
 	}
 }
 
-// Guards against workers that report free slots and yet reject a part of their jobs: a rejected job goes to another
-// worker, even while the first reports free slots, until that one starts others.
+// A worker that reports free slots and still rejects jobs becomes more expensive with each rejection, so that
+// the jobs go to others. Each job that it starts halves its rejections.
 func TestRejectionsRaiseAWorkersCost(t *testing.T) {
 	d := testDispatcher(t, nil)
-	j := &job{key: d.keyFor(7), size: 0.05, class: &d.set.Classes[0], due: time.Hour, targetBy: time.Hour}
+	j := &job{key: d.keyFor(7), size: 0.05, class: &d.cfg.Classes[0], deadline: time.Hour, targetBy: time.Hour}
 	best := func() *worker {
-		return slices.MinFunc(d.order[:2], func(a, b *worker) int { return cmp.Compare(d.cost(j, a, 1, 1), d.cost(j, b, 1, 1)) })
+		return slices.MinFunc(d.byRank[:2], func(a, b *worker) int { return cmp.Compare(d.cost(j, a, 1, 1), d.cost(j, b, 1, 1)) })
 	}
 	home := best()
 	home.rejections = 2
@@ -173,11 +176,13 @@
 	}
 }
 
-// Guards against all dispatchers sending to the workers that look best by reports that are old by then: a worker with
-// one free slot of four loses to an empty one that is a quarter slower, but not to one that is three times slower.
+// An empty worker is preferred to a fuller one unless it is much slower: a worker with one free slot of four
+// loses to an empty one that is a quarter slower, but not to one that is three times slower. Otherwise all
+// dispatchers would send to the workers that look fastest, although the reports of their free slots are old
+// by then.
 func TestEmptyWorkerIsPreferredToSomewhatFasterOne(t *testing.T) {
 	for slow, want := range map[float64]string{1: "empty", 1.25: "empty", 3: "full"} {
-		d, err := New(Settings{Period: time.Millisecond, Reports: true, Probes: true, ResponseGrace: 8 * time.Millisecond,
+		d, err := New(Settings{MinStepInterval: time.Millisecond, LoadReports: true, MayProbe: true, ResponseGrace: 8 * time.Millisecond,
 			Classes: []Class{{Name: "c", LatencyTarget: 400 * time.Millisecond, LateValue: 1, Deadline: 9 * time.Second}}}, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -186,18 +191,18 @@
 		events := []Event{{Kind: ListRestored, Members: []Member{{Worker: "full", Kind: "k"}, {Worker: "empty", Kind: "k"}}},
 			{Kind: ProbeEnded, Worker: "empty", Outcome: OK, Report: Report{4, -1, 0, 0, 0}},
 			{Kind: ProbeEnded, Worker: "full", Outcome: OK, Report: Report{1, -1, 0, 3, 0.7}},
-			{Kind: Request, ID: 1, Class: "c", Left: 9 * time.Second, Work: 100 * time.Millisecond, Slots: 1}}
+			{Kind: Request, ID: 1, Class: "c", TimeLeft: 9 * time.Second, Work: 100 * time.Millisecond, Slots: 1}}
 		for range 100 {
 			for _, a := range d.Step(now, events, nil) {
 				if a.Kind == Send {
 					to = a.Worker
 				}
 			}
-			d.workers["empty"].slow = slow
+			d.workers["empty"].learnedSlowness = slow
 			now, events = now+time.Millisecond, nil
 		}
 		if to != want {
-			t.Errorf("the empty one is slower by %v: sent to %q", slow, to)
+			t.Errorf("the empty worker is %v times as slow: sent to %q", slow, to)
 		}
 	}
 }
--- a/policy/runtimes.go
+++ b/policy/runtimes.go
@@ -1,6 +1,11 @@
 package policy
 
-// How long a job runs on a worker, learned from responses, with the fetch of what it needs.
+// This file estimates how long a job runs on a worker, from the runtimes of attempts that succeeded, and how
+// long the worker takes to fetch what the job needs and doesn't have in its cache:
+//
+//	predicted = kind's runtime for the size x worker's slowness / worker's typical capacity + fetch time
+//
+// The fetch part also steers requests: it is lowest at the workers that a key's requests should share.
 
 import (
 	"hash/fnv"
@@ -9,106 +14,141 @@
 )
 
 const (
-	minSamples      = 6                // samples before a size's table row, or the linear fit, is used
-	slowWeight      = 0.2              // weight of the newest runtime in a worker's own slowness
-	keyDecay        = 5 * time.Second  // time constant by which the demand for a key decays
-	maxHomeFraction = 0.7              // fraction of a worker's slots for one key; then it gets another home
-	shortFetch      = 0.35             // mean runtimes up to which a fetch costs less than crossing zones
-	homeStep        = 0.2              // of a fetch: what the key's next homes cost more than the first
-	slowDecay       = 10 * time.Second // time constant by which a slowness over 2 decays without new samples
+	minSamples            = 6                // least samples of a runtimeRow, or of the linear fit, to use it
+	slownessWeight        = 0.2              // weight of the newest sample in a worker's slowness
+	keyDemandDecay        = 5 * time.Second  // time constant of the exponential decay of a key's demand
+	maxHomeSlotFraction   = 0.7              // fraction of a home's slots for a key; more demand adds a home
+	shortFetchRuns        = 0.35             // mean runtimes; a shorter fetch costs less than crossing zones
+	nextHomeFetchFraction = 0.2              // part of a fetch that a home costs at most
+	slownessDecay         = 10 * time.Second // time constant of the exponential decay of a slowness over 2
 )
 
-func row(size float64) int {
+// sizeRow returns the row of kind.runtimeBySize for a size in seconds. There are two rows for each doubling
+// of the size, from about 0.25 ms in row 0 over 1 s in row 24 to 180 s in row 39; sizes beyond share the
+// outer rows.
+func sizeRow(size float64) int {
 	return max(0, min(39, 24+int(math.Round(2*math.Log2(max(size, 1e-6))))))
 }
 
-// learn adds the runtime of an attempt that succeeded to the estimates.
-func (d *Dispatcher) learn(a *attempt) {
+// learnRuntime adds the runtime of an attempt that has just succeeded to the estimates:
+//   - If a fetch was predicted at no home of the key, what the runtime exceeds the rest of the prediction by
+//     is a sample of meanFetchTime.
+//   - The runtime over the prediction, from which the worker's slowness is taken out, is a sample of that
+//     slowness, a geometric moving mean. Samples are limited to 0.25 to 4, so that no single one counts for
+//     much.
+//   - The runtime is a sample of the kind's runtimes and of the means of the class and of all jobs, but not
+//     while the worker is warming up: only its slowness then shows how fast it warms up.
+func (d *Dispatcher) learnRuntime(a *attempt) {
 	x, y := a.j.size, (d.now - max(a.sent, a.started)).Seconds()
 	if !a.running || y <= 0 {
 		return
 	}
-	if a.fetch >= fetchRuns*d.meanRun/2 {
-		d.fetches = min(40, d.fetches+1)
-		d.meanFetch += (y - a.predicted + a.fetch - d.meanFetch) / (d.fetches + 1)
+	if a.predictedFetch >= fetchCostRuns*d.meanRuntime/2 {
+		d.fetchSamples = min(40, d.fetchSamples+1)
+		d.meanFetchTime += (y - a.predicted + a.predictedFetch - d.meanFetchTime) / (d.fetchSamples + 1)
 	}
 	k := a.w.kind
-	ratio := max(0.25, min(4, y/max(a.predicted, 1e-4)*a.slow))
+	ratio := max(0.25, min(4, y/max(a.predicted, 1e-4)*a.slowness))
 	slow := d.slowness(a.w)
-	a.w.slow, a.w.learnedAt = slow*math.Pow(ratio/slow, slowWeight), d.now
-	if a.wasWarming { // its slowness then shows how it warms up; its kind learns nothing
+	a.w.learnedSlowness, a.w.slownessAt = slow*math.Pow(ratio/slow, slownessWeight), d.now
+	if a.wasWarming {
 		return
 	}
-	d.meanRun += 0.05 * (y - d.meanRun)
-	d.means[a.j.row] += 0.05 * (y - d.means[a.j.row])
+	d.meanRuntime += 0.05 * (y - d.meanRuntime)
+	d.classMeanRuntime[a.j.classIndex] += 0.05 * (y - d.classMeanRuntime[a.j.classIndex])
 	k.n, k.sx, k.sy, k.sxx, k.sxy = k.n+1, k.sx+x, k.sy+y, k.sxx+x*x, k.sxy+x*y
-	r := &k.table[row(x)]
-	r.n, r.size, r.run = r.n+1, r.size+x, r.run+y
+	r := &k.runtimeBySize[sizeRow(x)]
+	r.samples, r.sizeSum, r.runtimeSum = r.samples+1, r.sizeSum+x, r.runtimeSum+y
 }
 
-// predict returns L_ij: the seconds that j would run on w now, with the fetch of what it needs.
-func (d *Dispatcher) predict(w *worker, j *job) float64 {
-	return w.kind.runtime(j.size)*d.slowness(w)/d.likelyWarmth(w) + d.fetch(w, j)
+// predictRuntime returns the seconds that j would run on w if it started now, by the formula at the head of
+// this file (L_ij of the Kairos paper).
+func (d *Dispatcher) predictRuntime(w *worker, j *job) float64 {
+	return w.kind.runtime(j.size)*d.slowness(w)/d.typicalCapacity(w) + d.fetchTime(w, j)
 }
 
-// slowness returns w's runtimes over its kind's. A great one decays, as only jobs can show that w recovered.
+// slowness returns the ratio of w's runtimes to its kind's. A ratio over 2 decays to 2: otherwise w would get
+// no more jobs, and only jobs can show that it has recovered.
 func (d *Dispatcher) slowness(w *worker) float64 {
-	if w.slow < 2 {
-		return w.slow
+	if w.learnedSlowness < 2 {
+		return w.learnedSlowness
 	}
-	return max(2, w.slow*math.Exp(-float64(d.now-w.learnedAt)/float64(slowDecay)))
+	return max(2, w.learnedSlowness*math.Exp(-float64(d.now-w.slownessAt)/float64(slownessDecay)))
 }
 
-// fetch returns the seconds that w is expected to fetch what j needs. Workers cache what they used last; all
-// fetch from one store, which slows down when many do. So a key ranks the workers, alike at all schedulers
-// (rendezvous hashing), and the first usable ones, its homes, cache what it needs. While slots are plentiful
-// each zone has a home of its own: a second copy is cheaper than crossing zones.
-func (d *Dispatcher) fetch(w *worker, j *job) float64 {
+// fetchTime returns the seconds that w is expected to take to fetch what j needs. Workers cache what they
+// used last, and all fetch from one store, which slows down when many do. So the jobs of a key should share
+// few workers:
+//
+//  1. The key ranks the workers by a hash of key and worker (rendezvous hashing), so all schedulers that know
+//     the same usable workers have the same ranking. Removed, draining and blocked workers are left out.
+//  2. The first ones of the ranking are the key's homes, which are assumed to have its data. There are as
+//     many as the key's demand needs, see maxHomeSlotFraction.
+//  3. The fetch time at a home is 0 for the one that this scheduler prefers, and up to nextHomeFetchFraction
+//     of a full fetch for the others. Schedulers with different numbers prefer different homes.
+//  4. The fetch time at the k-th worker after the homes is k/(k+1) of a full fetch. So jobs that the homes
+//     can't take gather at the next workers of the ranking.
+//
+// While slots are plentiful and fetches short, workers in this scheduler's zone are ranked among themselves,
+// so that each zone has a home of its own: a second copy is cheaper than crossing zones.
+func (d *Dispatcher) fetchTime(w *worker, j *job) float64 {
 	if j.key == nil {
 		return 0
 	}
-	before, mine, spare := 0, mix(j.key.hash, w.hash), d.use < lightLoad && d.meanFetch < shortFetch*d.meanRun
-	own := spare && w.zone == d.set.Zone
-	for _, o := range d.order {
-		rival := o != w && o.state == Ready && d.now >= o.blockedUntil && (!own || o.zone == w.zone)
-		if rival && mix(j.key.hash, o.hash) > mine {
-			before++
+	position, weight, zoneHomes := 0, rendezvousHash(j.key.hash, w.nameHash),
+		d.slotUse < lightSlotUse && d.meanFetchTime < shortFetchRuns*d.meanRuntime
+	ownZoneOnly := zoneHomes && w.zone == d.cfg.Zone
+	for _, other := range d.byRank {
+		rival := other != w && other.state == Ready && d.now >= other.blockedUntil &&
+			(!ownZoneOnly || other.zone == w.zone)
+		if rival && rendezvousHash(j.key.hash, other.nameHash) > weight {
+			position++
 		}
 	}
-	// A key in great demand has several homes, and schedulers prefer different ones of them.
-	demand := j.key.demand(d.now) / keyDecay.Seconds() * float64(d.live)
-	homes := 1 + int(demand/(maxHomeFraction*d.slots(w)))
-	if before < homes {
-		order := (before + homes - d.set.Number%homes) % homes
-		return fetchRuns * d.meanRun * homeStep * float64(order) / float64(homes)
+	// Slots that the key's jobs use, if all schedulers send as many as this one.
+	slotDemand := j.key.demand(d.now) / keyDemandDecay.Seconds() * float64(d.liveSchedulers)
+	homes := 1 + int(slotDemand/(maxHomeSlotFraction*d.slots(w)))
+	if position < homes {
+		preference := (position + homes - d.cfg.Number%homes) % homes
+		return fetchCostRuns * d.meanRuntime * nextHomeFetchFraction * float64(preference) / float64(homes)
 	}
-	over := float64(before - homes + 1)
-	return fetchRuns * d.meanRun * over / (over + 1)
+	beyond := float64(position - homes + 1)
+	return fetchCostRuns * d.meanRuntime * beyond / (beyond + 1)
 }
 
-// demand returns the recent work with a key, in seconds at speed 1, decayed by its age.
+// demand returns the work with a key in slot-seconds, each job's decayed by its age. In a steady state that
+// is the mean number of slots in use times keyDemandDecay in seconds.
 func (k *key) demand(now time.Duration) float64 {
-	return k.work * math.Exp(-float64(now-k.at)/float64(keyDecay))
+	return k.work * math.Exp(-float64(now-k.workAt)/float64(keyDemandDecay))
 }
 
-// mix hashes a key and a worker into the worker's rank for the key.
-func mix(key, worker uint32) uint32 {
+// rendezvousHash returns the hash of a key and a worker by which the key ranks workers: the highest comes
+// first.
+func rendezvousHash(key, worker uint32) uint32 {
 	x := uint64(key)<<32 | uint64(worker)
 	x = (x ^ x>>31) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return uint32(x >> 32)
 }
 
-func hashOf(s string) uint32 {
+// hashName returns the FNV-1a hash of a name.
+func hashName(s string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(s))
 	return h.Sum32()
 }
 
-// runtime returns the seconds that a job of this size runs on a warm worker of this kind.
+// runtime returns the seconds that a job of this size is expected to run on a warmed-up worker of this kind.
+// It uses the first of these estimates that has enough samples:
+//
+//  1. The mean runtime per size of jobs of about this size, times the size.
+//  2. A linear fit of the runtime to the size, if runtimes grow with sizes and the fit is not below a quarter
+//     of 3, as it may be for small sizes.
+//  3. The mean runtime per size of all jobs, times the size.
+//  4. The size: a kind of speed 1.
 func (k *kind) runtime(size float64) float64 {
-	if r := &k.table[row(size)]; r.n >= minSamples {
-		return r.run / r.size * size
+	if r := &k.runtimeBySize[sizeRow(size)]; r.samples >= minSamples {
+		return r.runtimeSum / r.sizeSum * size
 	}
 	if k.n < 2 {
 		return size
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,132 +5,157 @@
 	"time"
 )
 
-// This file has the types of the module's state; policy.go names the files that work on them.
+// This file has the types of the module's state. policy.go lists the files with the decisions on it. Unless a
+// comment says otherwise, a float64 of time or work is in seconds, and work is the runtime at speed 1.
 
-// Dispatcher decides for one scheduler. It must not be used by two goroutines at once.
+// Dispatcher makes the decisions of one scheduler. Only one goroutine may use it at a time.
 type Dispatcher struct {
-	set     Settings
+	cfg     Settings
 	rng     *rand.Rand
-	classes map[string]int
-	tenants map[string]int
-	buckets []bucket
-	jobs    map[uint32]*job
-	open    []*job // in order of arrival; scan removes ended ones
-	workers map[string]*worker
-	order   []*worker // own zone first, then in this scheduler's own order
-	kinds   map[string]*kind
-	fleet   []*kind // in order of appearance
-	keys    map[uint32]*key
-	means   []float64
-	maxLeft []time.Duration // the most time that a request of each class had left at its arrival
-
-	now, born, minTarget, roundInterval, listBackoff time.Duration
+	classes map[string]int // by name: the index in Settings.Classes
+	tenants map[string]int // by name: the index in Settings.Tenants
+	buckets []tokenBucket  // by tenant
+	// jobs has the jobs without a final response, and those with one while an attempt is still in flight.
+	jobs             map[uint32]*job
+	openJobs         []*job // in order of arrival; scan removes those that have ended
+	workers          map[string]*worker
+	byRank           []*worker // by worker.rank: own zone first, in an order that differs between schedulers
+	kinds            map[string]*kind
+	kindList         []*kind         // the kinds, in the order in which the list first had them
+	keys             map[uint32]*key // by hash
+	classMeanRuntime []float64       // by class: mean runtime, taken as the size of a job without an estimate
+	maxTimeLeft      []time.Duration // by class: the most time that a request had left at its arrival
 
+	// now is the time of the current step and firstStepAt that of the first one. minTarget is the shortest
+	// latency target of a class, a minute at most. listBackoff bounds the random delay before the next call
+	// for the list.
+	now, firstStepAt, minTarget, roundInterval, listBackoff time.Duration
+
+	// When the next round, the next check of the open jobs and the next call for the list are due, and for
+	// when the last timer was set. never: none is due, or no timer was set.
 	roundAt, scanAt, listCallAt, armedAt time.Duration
 
-	lastReport time.Duration // when the last load report of any worker arrived
-	numbers    []int         // whose parts of shared budgets this scheduler may use, with its own
-	until      time.Duration // from then on only its own, unless FleetUpdated extends it
-	live       int           // schedulers that are assumed to live
-
-	listRequested, failOpen, zoneUsable, overload, listLost, closing bool
-
-	view, warming           []*worker // what near returned last; workers that are warming up
-	homes, reach            int       // workers in the own zone; workers that near considers
-	probesPerJob, probesDue float64   // probes that each job pays for; probes due
-	largest                 float64   // seconds at speed 1 of the largest job seen
-	othersUse               float64   // mean fraction of a worker's slots that other schedulers use
-	use                     float64   // mean fraction of slots in use; queued jobs count, so up to 2
-	meanRun                 float64   // mean runtime, seconds
-	fetches                 float64   // number of fetches observed, 40 at most
-	meanFetch               float64   // mean time of a fetch, seconds
-	moveSuccess             float64   // fraction of moved attempts that start soon; recovers slowly
-	out                     []Action
+	lastReport     time.Duration // when the last load report of any worker arrived
+	numbers        []int         // the numbers whose shares of the shared budgets this scheduler may use
+	numbersUntil   time.Duration // when numbers expires: from then on only its own is valid
+	liveSchedulers int           // number of schedulers that are assumed to be alive
+
+	// listRequested: Subscribe was returned, and neither a list nor a loss of it has followed. failOpen:
+	// nearly all candidates look unhealthy, so none is avoided. ownZoneUsable: a candidate in the own zone is
+	// healthy. overloaded: nearly all slots are in use, so late jobs are given up. closing: Closing was fed
+	// in.
+	listRequested, failOpen, ownZoneUsable, overloaded, listLost, closing bool
+
+	candidateBuffer, warmingWorkers []*worker // last result of candidates; all that are warming up
+	ownZoneWorkers, candidateLimit  int       // workers in the own zone; see candidates
+	probesPerJob, probesDue         float64   // how many probes each job brings; how many may be sent now
+	largestSize                     float64   // largest estimate of a job's work so far
+	othersSlotUse                   float64   // mean fraction of a worker's slots that other schedulers use
+	slotUse                         float64   // mean fraction of slots in use, with queued jobs: 0 to 2
+	meanRuntime                     float64   // mean runtime of all jobs
+	fetchSamples                    float64   // number of samples in meanFetchTime, 40 at most
+	meanFetchTime                   float64   // mean time that a worker takes to fetch what a job needs
+	moveSuccess                     float64   // estimated fraction of moves that succeed; see attempts.go
+	actions                         []Action  // of the current step
 }
 
+// job is a request, from its arrival until it has its final response and all its attempts have ended.
 type job struct {
 	id                 uint32
 	class              *Class
-	row                int // the class's number
-	key                *key
-	arrived, due       time.Duration
-	targetBy           time.Duration
-	check              time.Duration // when scan checks it next
-	size               float64       // expected seconds at speed 1
-	overQuota, pending bool          // overQuota: beyond its tenant's allowance
-	ended, streaming   bool
-	slots, memory      float64
+	classIndex         int           // index of class in Settings.Classes
+	key                *key          // nil: not known
+	arrived, deadline  time.Duration // deadline: when the client gives up
+	targetBy           time.Duration // when its latency target ends
+	nextCheck          time.Duration // when scan checks it next
+	size               float64       // expected work
+	overQuota, pending bool          // beyond its tenant's allowance; waiting for an attempt to be sent
+	ended, streaming   bool          // has its final response; the client has the response's first part
+	slots, memory      float64       // what it occupies at a worker
 	attempts           []*attempt
 }
+
+// attempt is one attempt of a job at a worker.
 type attempt struct {
 	j                                   *job
 	w                                   *worker
-	n                                   int
-	sent, started                       time.Duration
-	running, ended, neverRan, cancelled bool
-	predicted                           float64 // seconds
-	fetch                               float64 // seconds of predicted to fetch what the job needs
-	slow                                float64 // its worker's slowness when it was sent
-	wasWarming                          bool
-	moveWeight                          float64 // its weight in Dispatcher.moveSuccess; 0: it wasn't moved
+	index                               int           // number among the job's attempts, from 0
+	sent, started                       time.Duration // started: sent, if starts aren't reported
+	running, ended, neverRan, cancelled bool          // running stays set after the end
+	predicted                           float64       // runtime predicted when it was sent, with the fetch
+	predictedFetch                      float64       // the part of predicted for fetching what the job needs
+	slowness                            float64       // its worker's slowness when it was sent
+	wasWarming                          bool          // its worker was warming up when it was sent
+	moveWeight                          float64       // its weight in Dispatcher.moveSuccess; 0: not moved
 }
-type bucket struct {
-	tokens float64
-	at     time.Duration
+
+// tokenBucket is a tenant's token bucket. A request that takes a token is within the allowance.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Duration // when tokens was last refilled
 }
+
+// worker is what this scheduler knows of a worker.
 type worker struct {
-	name, zone     string
-	hash           uint32
-	rank           int64 // position in this scheduler's order
-	cell           int
-	kind           *kind
-	state          State
-	started        time.Duration // of its process; 0: long ago
-	suspectedAt    time.Duration // when it last looked like restarting
-	inFlight       []*attempt
-	past           []span // own attempts that ended within reportAge
-	busy           float64
-	running        float64
-	maxRunning     float64 // most own slots that ran at once
-	memory         float64 // own
-	seen           float64 // most slots reported free
-	seenMemory     float64
-	freeAt         time.Duration // time of the last report, if it showed a free slot
-	others         float64       // slots used by other schedulers, by the last report or start
-	othersAt       time.Duration
-	slow           float64 // its slowness: its runtimes over its kind's
-	learnedAt      time.Duration
-	fails          float64
-	rejections     int // jobs rejected; halved by each that starts
-	brokenConns    int // connections that broke since the last success
-	blockedUntil   time.Duration
-	lastProgress   time.Duration   // last sign that it works on jobs
-	budgetUsed     float64         // seconds of work sent in budgetInterval, while it warms up
-	budgetInterval time.Duration   // number of that interval
-	idle           []time.Duration // when own idle connections were last used
-	probing        bool
-	probedAt       time.Duration // when it was last probed
+	name, zone         string
+	nameHash           uint32 // of the name, 24 bits
+	rank               int64  // sort key of Dispatcher.byRank
+	cell               int
+	kind               *kind
+	state              State
+	started            time.Duration // start of its process; 0: long ago
+	suspectedRestartAt time.Duration // last sign that it restarted, before the list shows it
+	inFlight           []*attempt
+	recentlyEnded      []attemptSpan // own attempts that ended within assumedReportAge, at least
+	busySlots          float64       // slots of the attempts in flight
+	runningSlots       float64       // slots of those that have started
+	maxRunningSlots    float64       // largest value of runningSlots
+	ownMemory          float64       // memory of the attempts in flight
+	maxFreeSlots       float64       // most free slots in a report
+	maxFreeMemory      float64       // most free memory in a report; 0: none was reported
+	freeSlotReportAt   time.Duration // when the last report arrived, if it showed a free slot; else 0
+	othersSlots        float64       // slots used by other schedulers, when last observed
+	othersSlotsAt      time.Duration // when that was
+	learnedSlowness    float64       // its runtimes over its kind's, as of slownessAt; slowness decays it
+	slownessAt         time.Duration
+	failures           float64         // failures less half of each success after them, 0 to maxFailures
+	rejections         int             // jobs rejected or left waiting; halved by each that starts
+	brokenConns        int             // connections that broke since an attempt or probe last succeeded
+	blockedUntil       time.Duration   // it gets no jobs before
+	lastProgress       time.Duration   // last sign that it works on jobs: a start, progress or a result
+	budgetUsed         float64         // slot-seconds of work sent there in budgetInterval, while it warms up
+	budgetInterval     time.Duration   // number of the interval that budgetUsed counts
+	idleConns          []time.Duration // for each idle connection to it: when it was last used
+	probing            bool            // a probe is in flight
+	probedAt           time.Duration   // when it was last probed
 }
-type span struct {
+
+// attemptSpan is an attempt that ended.
+type attemptSpan struct {
 	sent, ended time.Duration
 	slots       float64
 }
 
-// kind is a machine kind with its learned runtimes: a linear fit on the size first, then a table by size.
+// kind is a machine kind with what was learned of runtimes on it. Sizes are the jobs' expected work; see
+// runtime.
 type kind struct {
 	name                string
-	seen                float64 // most slots observed at a worker of it
-	n, sx, sy, sxx, sxy float64
-	table               [40]tableRow
+	maxSlots            float64        // most slots that were free or in own use at one worker of it
+	n, sx, sy, sxx, sxy float64        // sums of 1, x, y, xx and xy: x the size, y the runtime
+	runtimeBySize       [40]runtimeRow // by sizeRow
 }
-type tableRow struct{ n, size, run float64 }
 
-// key is something that some requests need cached at their worker.
+// runtimeRow has the number of samples of similar sizes, and the sums of their sizes and runtimes.
+type runtimeRow struct{ samples, sizeSum, runtimeSum float64 }
+
+// key is a named piece of data that some requests need cached at their worker.
 type key struct {
-	hash uint32
-	work float64 // decaying sum of its jobs' work, seconds at speed 1
-	at   time.Duration
+	hash   uint32
+	work   float64 // sum of its jobs' work times slots, decayed to the time workAt; see demand
+	workAt time.Duration
 }
+
+// pair is a pairing that a round chose.
 type pair struct {
 	j    *job
 	w    *worker
