--- a/policy/warming.go
+++ b/policy/warming.go
@@ -1,6 +1,16 @@
 package policy
 
-// Workers that are warming up after a start, and how much work all schedulers together may send them.
+// This file has what concerns workers that are warming up after a start: how much of its full capacity such a
+// worker has, and how much work all schedulers together may send it.
+//
+// A worker that is warming up fails if it is sent too much within OverloadWindow. Let C be the work, in
+// slot-seconds, that its least present capacity completes in that time. The schedulers don't talk to each
+// other about a worker; each keeps to its share of the budget, so that all together send at most
+//
+//	budgetMargin x OverloadFactor x C
+//
+// in any time of length OverloadWindow. As C grows, each interval counts with the C at its time.
+// inWarmUpBudget names the two cases in which a scheduler departs from that.
 
 import (
 	"math"
@@ -9,59 +19,81 @@
 )
 
 const (
-	budgetMargin    = 0.6                    // fraction of the warming budget to use, as predictions err
-	warmsWithin     = 0.7                    // fraction of WarmUpTime within which most workers are warm
-	startsAbove     = 0.15                   // fraction of the way from MinWarmth to 1 at which most start
-	budgetIntervals = 4                      // intervals in an OverloadWindow, each with another order
-	freshFor        = 200 * time.Millisecond // a load report that arrived within this time still holds
+	budgetMargin = 0.6 // fraction of the budget to use, as predicted runtimes err
+	// A typical worker warms up so fast that it would get from MinStartCapacity to 1 in this fraction of
+	// MaxWarmUpTime.
+	typicalWarmUpFraction = 0.7
+	// A typical worker starts at this fraction of the way from MinStartCapacity to 1.
+	typicalStartFraction = 0.15
+	intervalsPerWindow   = 4                      // intervals in an OverloadWindow
+	freshReportAge       = 200 * time.Millisecond // a load report is fresh for this time after its arrival
 )
 
-// warmth is the fraction of its capacity that w has at least. One that refused a connection at once, or
-// dropped what ran there, counts as restarted before the list shows it: all may have restarted together.
-func (d *Dispatcher) warmth(w *worker) float64 {
-	since := max(w.started, w.suspectedAt)
-	if since == 0 || d.set.WarmUpTime <= 0 || d.now >= since+d.set.WarmUpTime {
+// minCapacity returns the least fraction of its full capacity that w has now. It grows linearly from
+// MinStartCapacity at the start to 1 after MaxWarmUpTime. A worker that refused a connection at once or
+// dropped running jobs counts as started then, before the list shows a start: many workers may have restarted
+// together.
+func (d *Dispatcher) minCapacity(w *worker) float64 {
+	since := max(w.started, w.suspectedRestartAt)
+	if since == 0 || d.cfg.MaxWarmUpTime <= 0 || d.now >= since+d.cfg.MaxWarmUpTime {
 		return 1
 	}
-	return d.set.MinWarmth + (1-d.set.MinWarmth)*max(0, d.now-since).Seconds()/d.set.WarmUpTime.Seconds()
+	return d.cfg.MinStartCapacity +
+		(1-d.cfg.MinStartCapacity)*max(0, d.now-since).Seconds()/d.cfg.MaxWarmUpTime.Seconds()
 }
 
-// likelyWarmth is the fraction of its capacity that w usually has: the settings have the worst start and
-// the longest time, and hardly any worker has both. Its slowness corrects what w differs by.
-func (d *Dispatcher) likelyWarmth(w *worker) float64 {
-	warm := d.warmth(w)
-	return min(1, (warm-d.set.MinWarmth)/warmsWithin+d.set.MinWarmth+startsAbove*(1-d.set.MinWarmth))
+// typicalCapacity returns the fraction of its full capacity that a worker like w typically has now. The
+// settings have the lowest start and the longest warm-up of any worker, and few workers have both. What w
+// itself differs by from the typical worker shows in its slowness.
+func (d *Dispatcher) typicalCapacity(w *worker) float64 {
+	atLeast := d.minCapacity(w)
+	return min(1, (atLeast-d.cfg.MinStartCapacity)/typicalWarmUpFraction+d.cfg.MinStartCapacity+
+		typicalStartFraction*(1-d.cfg.MinStartCapacity))
 }
 
-// inWarmingBudget reports whether so much work, in seconds, may go to w now. All schedulers together stay in
-// the budget of a worker that warms up. Every number has an equal part of each interval; a job larger than it
-// is sent by a fraction part/job of the numbers, the first in the interval's order. So any window's sum stays
-// inside, with all intervals that overlap it. After an own restart a third is used for a window, as what a
-// predecessor sends is unknown. After a fresh report of free slots only what is sent until the next counts.
-func (d *Dispatcher) inWarmingBudget(w *worker, work float64) bool {
-	warm := d.warmth(w)
-	if warm >= 1 || d.set.OverloadFactor <= 0 || d.set.OverloadWindow <= 0 {
+// inWarmUpBudget reports whether a job of this much work, in slot-seconds, may be sent to w now. A worker
+// that has warmed up has no budget. For another one the rules are:
+//
+//  1. Time is divided into intervals, intervalsPerWindow to an OverloadWindow. A time of that length overlaps
+//     at most intervalsPerWindow + 1 intervals, so the budget of one interval is the whole budget divided by
+//     that number.
+//  2. Each scheduler number has an equal share of an interval's budget. What a scheduler sends after its
+//     first job in an interval must fit the shares of its active numbers.
+//  3. The first job may be larger than the share S of a number. Of all numbers, the fraction S/work may send
+//     it, so that all together still send the budget. Which ones these are differs between intervals and
+//     workers: each number has a position in [0, 1), the positions are evenly spaced, and those below S/work
+//     may send. A job that is not larger than S may always be sent.
+//
+// There are two exceptions. For an OverloadWindow after its own start, a scheduler uses a third of its share,
+// as it doesn't know what its predecessor sent. And a fresh report of a free slot shows that earlier work
+// doesn't wait at w. Then only what is sent until the next report counts: (OverloadFactor - 1) x C in each
+// freshReportAge.
+func (d *Dispatcher) inWarmUpBudget(w *worker, work float64) bool {
+	capacity := d.minCapacity(w)
+	if capacity >= 1 || d.cfg.OverloadFactor <= 0 || d.cfg.OverloadWindow <= 0 {
 		return true
 	}
-	window := d.set.OverloadWindow.Seconds()
-	mine := budgetMargin * warm * max(1, w.kind.seen) * window * d.quota()
-	part := mine * d.set.OverloadFactor / (budgetIntervals + 1)
-	if d.now < d.born+d.set.OverloadWindow && d.born > w.started {
-		part /= 3
+	window := d.cfg.OverloadWindow.Seconds()
+	// This scheduler's share of C, less the margin.
+	ownWork := budgetMargin * capacity * max(1, w.kind.maxSlots) * window * d.budgetShare()
+	share := ownWork * d.cfg.OverloadFactor / (intervalsPerWindow + 1)
+	if d.now < d.firstStepAt+d.cfg.OverloadWindow && d.firstStepAt > w.started {
+		share /= 3
 	}
-	if w.freeAt > 0 && d.now < w.freeAt+freshFor {
-		part = max(part, mine*(d.set.OverloadFactor-1)*window/budgetIntervals/freshFor.Seconds())
+	if w.freeSlotReportAt > 0 && d.now < w.freeSlotReportAt+freshReportAge {
+		share = max(share,
+			ownWork*(d.cfg.OverloadFactor-1)*window/intervalsPerWindow/freshReportAge.Seconds())
 	}
-	interval := d.now / max(1, d.set.OverloadWindow/budgetIntervals)
+	interval := d.now / max(1, d.cfg.OverloadWindow/intervalsPerWindow)
 	if w.budgetInterval != interval {
 		w.budgetInterval, w.budgetUsed = interval, 0
 	}
 	if w.budgetUsed > 0 {
-		return w.budgetUsed+work <= part
+		return w.budgetUsed+work <= share
 	}
-	first := float64(mix(uint32(interval), w.hash)) / (math.MaxUint32 + 1)
-	return slices.ContainsFunc(d.activeNumbers(), func(n int) bool { // each has a chance of its own
-		_, order := math.Modf(first + float64(n)/float64(d.set.Schedulers))
-		return order*work < part/float64(len(d.activeNumbers()))
+	offset := float64(rendezvousHash(uint32(interval), w.nameHash)) / (math.MaxUint32 + 1)
+	return slices.ContainsFunc(d.activeNumbers(), func(n int) bool {
+		_, position := math.Modf(offset + float64(n)/float64(d.cfg.Schedulers))
+		return position*work < share/float64(len(d.activeNumbers()))
 	})
 }
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Many workers that restart at once refuse connections, or drop what runs there, before the list shows it: they count
-// as warming up at once. A connection that is only slow to set up is no sign of a restart.
+// A worker that refuses a connection or drops running jobs counts as restarted, so that it is treated as
+// warming up before the list shows the restart: many workers may restart together. A connection that is only
+// slow to set up, or a waiting job that is dropped, is no sign of a restart.
 func TestRefusalsAndResetsCountAsRestarts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -18,7 +19,7 @@
 		after   time.Duration
 		warming bool
 	}{
-		{"refused at once", false, ConnectFailed, ms, true}, {"no connection in time", false, ConnectFailed, 100 * ms, false},
+		{"connection refused at once", false, ConnectFailed, ms, true}, {"no connection in time", false, ConnectFailed, 100 * ms, false},
 		{"second running job dropped", true, Reset, 50 * ms, true},
 		{"second waiting job dropped", false, Reset, 50 * ms, false},
 		{"error", true, Failed, 50 * ms, false},
@@ -27,20 +28,20 @@
 			d := testDispatcher(t, nil)
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
 			w := d.workers[sendsAt(d, time.Second+d.roundInterval)[0].Worker]
-			w.brokenConns = 1 // no more than a connection, by itself
+			w.brokenConns = 1 // a broken connection doesn't count without another one
 			if tt.starts {
 				d.Step(1100*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
 			d.Step(1200*ms, []Event{{Kind: AttemptEnded, ID: 1, Outcome: tt.outcome, Elapsed: tt.after, Report: NoReport}}, nil)
-			if warming := d.warmth(w) < 1; warming != tt.warming {
+			if warming := d.minCapacity(w) < 1; warming != tt.warming {
 				t.Errorf("warming up: %v", warming)
 			}
 		})
 	}
 }
 
-// Guards against blocking workers, or taking them for restarted, for connections that break one by one: the worker is
-// at fault only where no attempt or probe succeeds between two breaks.
+// A single broken connection doesn't make a worker count as failing or restarted. Two of them do if no
+// attempt or probe succeeds between them.
 func TestSingleBrokenConnectionIsNotAFailure(t *testing.T) {
 	d := testDispatcher(t, nil)
 	at, w := time.Second, (*worker)(nil)
@@ -51,27 +52,28 @@
 			w = d.workers[a.Worker]
 		}
 		d.Step(at+ms, []Event{{Kind: JobStarted, ID: id}}, nil)
-		d.Step(at+2*ms, []Event{{Kind: AttemptEnded, ID: id, Outcome: o, Complete: true, Report: NoReport}}, nil)
+		d.Step(at+2*ms, []Event{{Kind: AttemptEnded, ID: id, Outcome: o, Responded: true, Report: NoReport}}, nil)
 		at += 100 * ms
 	}
 	probe := func(o Outcome) {
 		d.Step(at, []Event{{Kind: ProbeEnded, Worker: w.name, Outcome: o, Report: NoReport}}, nil)
 	}
 	attempt(1, Reset)
-	if d.now < w.blockedUntil || d.warmth(w) < 1 {
+	if d.now < w.blockedUntil || d.minCapacity(w) < 1 {
 		t.Fatal("one broken connection fails its worker")
 	}
 	probe(OK)
 	probe(Reset)
 	if d.now < w.blockedUntil {
-		t.Fatal("one after a successful probe fails its worker")
+		t.Fatal("one broken connection after a successful probe fails its worker")
 	}
 	probe(Reset)
 	if d.now >= w.blockedUntil {
-		t.Fatal("two in a row do not fail their worker")
+		t.Fatal("two broken connections in a row do not fail their worker")
 	}
 }
 
+// A worker with a job that hasn't started has no free slots.
 func TestUnstartedJobLeavesNoFreeSlots(t *testing.T) {
 	d := testDispatcher(t, nil)
 	d.Step(time.Second, []Event{request(1, "unsafe")}, nil)
@@ -82,67 +84,69 @@
 	w := d.workers[first[0].Worker]
 	d.now = time.Second + 300*ms
 	if got := d.freeSlots(w); got != 0 {
-		t.Errorf("%v free slots beside a job that never started", got)
+		t.Errorf("%v free slots while a job has not started, want 0", got)
 	}
 	d.Step(d.now, []Event{{Kind: JobStarted, ID: 1, Attempt: 0}}, nil)
-	w.fails, w.blockedUntil, w.others = 0, 0, 0
+	w.failures, w.blockedUntil, w.othersSlots = 0, 0, 0
 	if got := d.freeSlots(w); got < 1 {
-		t.Errorf("%v free slots after the job started", got)
+		t.Errorf("%v free slots after the job started, want 1 at least", got)
 	}
 }
 
+// A failing worker gets no jobs while it is blocked, then one at a time, and after successes as many as
+// before.
 func TestFailingWorkerIsBlockedAndRecovers(t *testing.T) {
 	d := testDispatcher(t, nil)
-	w := d.order[0]
+	w := d.byRank[0]
 	d.now = time.Second
 	d.recordFailure(w)
 	if d.freeSlots(w) != 0 {
-		t.Error("free slots at a worker that has just failed")
+		t.Error("a worker that has just failed has free slots")
 	}
 	d.now = w.blockedUntil
 	if got := d.freeSlots(w); got != 1 {
 		t.Errorf("%v free slots during recovery, want 1", got)
 	}
 	for i := 0; i < 2; i++ {
-		w.fails = max(0, w.fails-0.5)
+		w.failures = max(0, w.failures-0.5)
 	}
 	if got := d.freeSlots(w); got != 4 {
-		t.Errorf("%v free slots after successes", got)
+		t.Errorf("%v free slots after successes, want 4", got)
 	}
 }
 
-// A worker gets the next job once the last one has started. A late start shows that others' jobs use the remaining
-// slots, a prompt one that they do not.
+// The start of a job shows the slots that other schedulers use: after a late start they are all slots that
+// own jobs leave, after a prompt one at most these.
 func TestStartsShowOthersSlots(t *testing.T) {
 	d := testDispatcher(t, nil)
-	w := d.order[0]
+	w := d.byRank[0]
 	for _, tt := range []struct {
 		wait        time.Duration
 		before, now float64
 	}{{5 * ms, 4, 3}, {200 * ms, 0, 3}} {
 		d.now += time.Second
-		w.others, w.othersAt, w.fails = 0, d.now, 0
-		j := &job{class: &d.set.Classes[0], size: 0.05, slots: 1}
+		w.othersSlots, w.othersSlotsAt, w.failures = 0, d.now, 0
+		j := &job{class: &d.cfg.Classes[0], size: 0.05, slots: 1}
 		d.send(j, w)
 		if got := d.freeSlots(w); got != 0 {
-			t.Errorf("%v free slots beside an unstarted job", got)
+			t.Errorf("%v free slots while a job has not started, want 0", got)
 		}
-		w.others = tt.before
+		w.othersSlots = tt.before
 		d.now += tt.wait
-		d.start(j.attempts[0])
-		if w.others != tt.now {
-			t.Errorf("start after %v: others use %v slots, want %v", tt.wait, w.others, tt.now)
+		d.recordStart(j.attempts[0])
+		if w.othersSlots != tt.now {
+			t.Errorf("start after %v: other schedulers use %v slots, want %v", tt.wait, w.othersSlots, tt.now)
 		}
 		w.removeAttempt(j.attempts[0], d.now)
 	}
 }
 
-// With DrainClose, idle connections to a draining worker are closed when the list shows it, and again after each
-// attempt or probe there has ended.
+// If there is a DrainCloseTimeout, idle connections to a draining worker are closed when the list shows that
+// it drains, and again when an attempt or probe there has ended.
 func TestIdleConnectionsCloseOnDrain(t *testing.T) {
 	drain := Event{Kind: ListChanged, Members: []Member{{Worker: "a", Zone: "z0", Kind: "k", State: Draining}}}
 	removed := Event{Kind: ListReplaced, Members: testList().Members[1:]}
-	ended := Event{Kind: AttemptEnded, ID: 1, Outcome: OK, Complete: true, Report: NoReport}
+	ended := Event{Kind: AttemptEnded, ID: 1, Outcome: OK, Responded: true, Report: NoReport}
 	probe := Event{Kind: ProbeEnded, Worker: "a", Outcome: OK, Report: NoReport}
 	for _, tt := range []struct {
 		name   string
@@ -151,16 +155,16 @@
 		events []Event
 		want   []int // CloseIdle actions after each event
 	}{
-		{"nothing open", time.Second, false, []Event{drain}, []int{1}},
-		{"no such rule", 0, true, []Event{drain, ended}, []int{0, 0}},
-		{"attempt out", time.Second, true, []Event{drain, ended}, []int{1, 1}},
-		{"probe out", time.Second, false, []Event{drain, probe}, []int{1, 1}},
-		{"not on the list", time.Second, true, []Event{removed, ended}, []int{1, 1}},
-		{"within less than a period", time.Millisecond, true, []Event{drain, ended}, []int{1, 1}},
-		{"still ready", time.Second, true, []Event{testList(), ended}, []int{0, 0}},
+		{"nothing in flight", time.Second, false, []Event{drain}, []int{1}},
+		{"no DrainCloseTimeout", 0, true, []Event{drain, ended}, []int{0, 0}},
+		{"attempt in flight", time.Second, true, []Event{drain, ended}, []int{1, 1}},
+		{"probe in flight", time.Second, false, []Event{drain, probe}, []int{1, 1}},
+		{"not on the new list", time.Second, true, []Event{removed, ended}, []int{1, 1}},
+		{"timeout shorter than the step interval", time.Millisecond, true, []Event{drain, ended}, []int{1, 1}},
+		{"worker still ready", time.Second, true, []Event{testList(), ended}, []int{0, 0}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			d := testDispatcher(t, func(s *Settings) { s.DrainClose, s.Probes = tt.within, false })
+			d := testDispatcher(t, func(s *Settings) { s.DrainCloseTimeout, s.MayProbe = tt.within, false })
 			if tt.open {
 				for _, w := range []*worker{d.workers["b"], d.workers["c"]} {
 					w.state = Removed
@@ -181,9 +185,10 @@
 	}
 }
 
+// Idle connections to a worker that the restored list shows as draining are closed after a restart.
 func TestIdleConnectionsCloseOnDrainBeforeRestart(t *testing.T) {
 	s := testSettings()
-	s.DrainClose = time.Second
+	s.DrainCloseTimeout = time.Second
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -194,8 +199,8 @@
 	}
 }
 
-// The mean use of slots comes from reports. Where these omit the queue, a worker without a free slot counts as having
-// one: otherwise no worker would ever look overloaded.
+// The mean use of slots is estimated from reports. If these omit the queue, a worker without a free slot
+// counts as having queued jobs: otherwise no worker would ever look overloaded.
 func TestUseFromReports(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -208,17 +213,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := testDispatcher(t, nil)
 			for range 200 {
-				d.report(d.order[0], Report{FreeSlots: tt.free, FreeMemory: -1, Queued: tt.queued})
+				d.applyReport(d.byRank[0], Report{FreeSlots: tt.free, FreeMemory: -1, Queued: tt.queued})
 			}
-			if packed := d.use > overloadedAt; packed != tt.packed || tt.free == 0 && tt.queued < 0 && d.use <= 1 {
-				t.Errorf("use %v", d.use)
+			if packed := d.slotUse > overloadSlotUse; packed != tt.packed || tt.free == 0 && tt.queued < 0 && d.slotUse <= 1 {
+				t.Errorf("use %v", d.slotUse)
 			}
 		})
 	}
 }
 
-// Lists may shrink to nothing, repeat a worker, change its kind, go back in time or lack a zone; reports may be
-// absurd. None of it panics, and the next sound list is used.
+// No list or report makes the dispatcher panic: lists may be empty, repeat a worker, change its kind, set its
+// start back or lack a zone, and reports may have implausible figures. The next plausible list is used.
 func TestImplausibleListsAndReports(t *testing.T) {
 	d := testDispatcher(t, nil)
 	m := Member{Worker: "a", Zone: "z0", Kind: "k"}
@@ -241,8 +246,9 @@
 	}
 }
 
-// Among many workers, schedulers consider a few, each in an order of its own, and more after a round that found no
-// slot: the own zone first where crossing is expensive, all zones where a scheduler is nearly alone or its zone is empty.
+// If there are many workers, each scheduler has a few of them as candidates, in an order of its own, and more
+// after a round that left jobs pending. Candidates are in the own zone if crossing is expensive, but in all
+// zones if the scheduler is nearly the only one or has no worker in its zone.
 func TestNearWorkers(t *testing.T) {
 	list := Event{Kind: ListReplaced}
 	for n := 0; n < 200; n++ {
@@ -256,11 +262,11 @@
 		reach      int
 		want, home int
 	}{
-		{"many, crossing expensive", "z0", 400, 0.1, 0, minNear, minNear},
-		{"many, crossing cheap", "z0", 400, 0, 0, 2 * minNear, minNear},
-		{"no slot found", "z0", 400, 0.1, 1000, 7 * minNear, maxNearFactor * minNear},
-		{"own zone empty", "z2", 400, 0.1, 0, minNear, 0},
-		{"nearly alone", "z0", 2, 0.1, 0, 200, 100},
+		{"many, crossing expensive", "z0", 400, 0.1, 0, minCandidates, minCandidates},
+		{"many, crossing cheap", "z0", 400, 0, 0, 2 * minCandidates, minCandidates},
+		{"jobs left pending", "z0", 400, 0.1, 1000, 7 * minCandidates, maxCandidateFactor * minCandidates},
+		{"own zone empty", "z2", 400, 0.1, 0, minCandidates, 0},
+		{"nearly the only scheduler", "z0", 2, 0.1, 0, 200, 100},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			seen := map[string]bool{}
@@ -269,26 +275,27 @@
 					s.Zone, s.Schedulers, s.Number, s.CrossZonePrice = tt.zone, tt.schedulers, number, tt.price
 				})
 				d.Step(0, []Event{list}, nil)
-				d.reach = tt.reach
-				for _, w := range d.near() {
+				d.candidateLimit = tt.reach
+				for _, w := range d.candidates() {
 					seen[w.name] = true
 				}
-				home := len(slices.DeleteFunc(slices.Clone(d.view), func(w *worker) bool { return w.zone != tt.zone }))
-				if len(d.view) != tt.want || home != tt.home {
-					t.Errorf("%d workers, %d of them at home; want %d, %d", len(d.view), home, tt.want, tt.home)
+				home := len(slices.DeleteFunc(slices.Clone(d.candidateBuffer), func(w *worker) bool { return w.zone != tt.zone }))
+				if len(d.candidateBuffer) != tt.want || home != tt.home {
+					t.Errorf("%d candidates, %d of them in the own zone; want %d, %d", len(d.candidateBuffer), home, tt.want, tt.home)
 				}
 			}
 			if len(seen) == tt.want && tt.want < 200 {
-				t.Error("two schedulers consider the same workers")
+				t.Error("two schedulers have the same candidates")
 			}
 		})
 	}
 }
 
-// Hundreds of schedulers that start at once, or lose the list at once, do not call for it in step.
+// If hundreds of schedulers start or lose the list at the same time, their calls for the list are spread over
+// time.
 func TestListCallsAreSpread(t *testing.T) {
 	for _, kind := range []EventKind{ListRestored, ListUnavailable} {
-		calls := map[time.Duration]int{} // by quarter of a second
+		calls := map[time.Duration]int{} // by quarter of a second since the start or the loss
 		total := 0
 		for number := range 200 {
 			if at, ok := firstListCall(t, number, kind); ok {
@@ -307,8 +314,8 @@
 	}
 }
 
-// firstListCall returns when one of 200 schedulers calls for the list after it started, or after it lost the list
-// where kind is ListUnavailable.
+// firstListCall returns when one of 200 schedulers calls for the list after its start or, if kind is
+// ListUnavailable, after it lost the list. ok is false if it doesn't call within 10 s.
 func firstListCall(t *testing.T, number int, kind EventKind) (at time.Duration, ok bool) {
 	t.Helper()
 	s := testSettings()
@@ -329,12 +336,12 @@
 	return 0, false
 }
 
-// Guards against a scheduler that refuses everything for good: where only responses carry reports and the first few
-// show full workers, it took all to be full, sent nothing, and so never learned of slots that became free. Observed
-// in a deployment made up for the bench, on a day without any fault: a third of 300 dispatchers sent nothing after
-// their first second.
+// A scheduler doesn't take all workers for full for ever. If only responses carry reports and the first ones
+// show full workers, it sends nothing and so gets no reports: its estimate must decay, or it would refuse
+// everything. With that fault, in a deployment made up for the bench, on a day without other faults, a third
+// of 300 dispatchers sent nothing after their first second.
 func TestFullEstimateDecaysWithoutReports(t *testing.T) {
-	set := Settings{Schedulers: 30, Period: time.Millisecond, Reports: true, MaxAttempts: 3,
+	set := Settings{Schedulers: 30, MinStepInterval: time.Millisecond, LoadReports: true, MaxAttempts: 3,
 		ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
 		Classes: []Class{{Name: "c", LatencyTarget: 300 * time.Millisecond, Stretch: 2, Deadline: 2 * time.Second}}}
 	d, err := New(set, 1)
@@ -347,17 +354,17 @@
 		list.Members = append(list.Members, Member{Worker: w, Kind: "k"})
 	}
 	d.Step(now, []Event{list}, nil)
-	full := now + 2*time.Second // until then others' jobs use every slot
+	full := now + 2*time.Second // until then jobs of other schedulers use every slot
 	sent, refused := map[bool]int{}, 0
-	var ends []Event // of attempts that run, each 100 ms after its send
-	due := map[uint32]time.Duration{}
+	var ends []Event                  // the ends of attempts in flight, each 100 ms after its send
+	due := map[uint32]time.Duration{} // by id: when the attempt ends
 	for n := range uint32(1000) {
 		now += 10 * time.Millisecond
 		ended := func(e Event) bool { return now >= due[e.ID] }
 		events := slices.DeleteFunc(slices.Clone(ends), func(e Event) bool { return !ended(e) })
 		ends = slices.DeleteFunc(ends, ended)
 		if n%5 == 0 {
-			events = append(events, Event{Kind: Request, ID: n + 1, Class: "c", Left: 2 * time.Second, Work: 100 * time.Millisecond, Slots: 1})
+			events = append(events, Event{Kind: Request, ID: n + 1, Class: "c", TimeLeft: 2 * time.Second, Work: 100 * time.Millisecond, Slots: 1})
 		}
 		actions := d.Step(now, events, nil)
 		for _, a := range ofKind(Send, actions) {
@@ -367,7 +374,7 @@
 				free = 4
 			}
 			due[a.ID] = now + 100*time.Millisecond
-			ends = append(ends, Event{Kind: AttemptEnded, ID: a.ID, Worker: a.Worker, Outcome: OK, Complete: true,
+			ends = append(ends, Event{Kind: AttemptEnded, ID: a.ID, Worker: a.Worker, Outcome: OK, Responded: true,
 				Elapsed: 100 * time.Millisecond, Report: Report{free, -1, -1, 4, 0.5}})
 		}
 		if now > full+time.Second {
@@ -375,9 +382,9 @@
 		}
 	}
 	if sent[false] == 0 || sent[false] > 120 {
-		t.Errorf("%d sent while workers are full", sent[false])
+		t.Errorf("%d sent while workers are full, want 1 to 120", sent[false])
 	}
 	if sent[true] < 150 || refused > 0 { // 160 arrive in that time
-		t.Errorf("%d sent and %d refused once slots are free", sent[true], refused)
+		t.Errorf("%d sent and %d refused once slots are free, want 150 at least and 0", sent[true], refused)
 	}
 }
