--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -43,7 +43,7 @@
 	rowPotential, columnPotential []float64
 	rowOf                         []int     // by column: the row that has it; 0: free
 	previousColumn                []int     // by column: the column before it on the shortest path to it
-	distance                      []float64 // by column: from the new row, in reduced costs, less the distance of the last column visited
+	distance                      []float64 // by column: shortest path to it, less that to the last visited column
 	visited                       []bool    // by column: whether its shortest path is final
 	result                        []int     // by row, counted from 0
 }
--- a/internal/dispatcher/coordinator/coordinator.go
+++ b/internal/dispatcher/coordinator/coordinator.go
@@ -7,7 +7,7 @@
 // request.
 //
 // Submit returns exactly one Response to each request, which may still have attempts in flight then. Egress must return
-// exactly one end of each attempt. A Request doesn't depend on the protocol by which it came, so the decisions don't.
+// exactly one end of each attempt. A Request doesn't depend on the client's protocol, so the decisions don't.
 package coordinator
 
 import (
@@ -160,9 +160,9 @@
 	})
 }
 
-// UpdateFleet sets the numbers of the dispatchers whose shares of the fleet's budgets this one may use. They are valid
-// for the time validFor from now; after that only its own number is. living is how many dispatchers are assumed to be
-// alive.
+// UpdateFleet sets the dispatcher numbers for which this dispatcher may use the shares of the fleet's budgets. They are
+// valid for the time validFor from now; after that only its own number is. living is how many dispatchers are assumed
+// to be alive.
 func (c *Coordinator) UpdateFleet(numbers []int, validFor time.Duration, living int) {
 	until := time.Duration(math.MaxInt64)
 	if now := c.clock.now(); validFor < until-now {
--- a/internal/dispatcher/coordinator/coordinator_test.go
+++ b/internal/dispatcher/coordinator/coordinator_test.go
@@ -161,7 +161,7 @@
 }
 
 // Invalid requests of one client don't make a runner look unhealthy: it still gets the next request at once.
-func TestUnusableRequestIsNotTheTargetsFault(t *testing.T) {
+func TestInvalidRequestIsNotTheTargetsFault(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	for n := range 3 {
 		r := request(time.Minute)
--- a/internal/dispatcher/coordinator/loop.go
+++ b/internal/dispatcher/coordinator/loop.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// nextStepAt returns the time of the next step: at least Settings.MinStepInterval after the last one, as soon as a module has
-// an event or a due timer. Without either it is an hour later.
+// nextStepAt returns the time of the next step: at least Settings.MinStepInterval after the last one, as soon as a
+// module has an event or a due timer. Without either it is an hour later.
 func (c *Coordinator) nextStepAt() time.Duration {
 	first := c.lastStepAt + c.settings.MinStepInterval
 	next := first + time.Hour
@@ -58,8 +58,8 @@
 	return next
 }
 
-// step steps each module that has events or due timers, and carries out its actions. It drops modules with former
-// settings whose requests have all ended.
+// step steps each module that has events or due timers, and carries out its actions. A module with former settings is
+// dropped once all its requests have ended.
 func (c *Coordinator) step(ctx context.Context, now time.Duration) {
 	c.lastStepAt = now
 	for _, m := range c.modules {
--- a/internal/dispatcher/coordinator/module.go
+++ b/internal/dispatcher/coordinator/module.go
@@ -36,7 +36,7 @@
 	return events
 }
 
-// recycleEvents takes back the events that take returned, so that their buffer is reused.
+// recycleEvents takes back the events that takeEvents returned, so that their buffer is reused.
 func (m *module) recycleEvents(events []policy.Event) {
 	clear(events)
 	m.eventBuffer = events[:0]
@@ -49,8 +49,8 @@
 	}
 }
 
-// UpdateSettings applies new settings to requests that are submitted after it has returned. Open requests keep theirs. If the
-// settings are invalid, it returns an error and changes nothing.
+// UpdateSettings applies new settings to requests that are submitted after it has returned. Open requests keep theirs.
+// If the settings are invalid, it returns an error and changes nothing.
 func (c *Coordinator) UpdateSettings(set policy.Settings) error {
 	d, err := policy.New(set, c.seed)
 	if err != nil {
--- a/internal/dispatcher/coordinator/module_test.go
+++ b/internal/dispatcher/coordinator/module_test.go
@@ -13,7 +13,7 @@
 
 // New settings don't apply to open requests, which keep their class and their limit of attempts. New requests get them
 // at once. The former module is dropped when its requests have ended.
-func TestRetuneKeepsOpenRequests(t *testing.T) {
+func TestUpdateSettingsKeepsOpenRequests(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	old := submit(context.Background(), coordinator, request(time.Minute))
 	assert.Equal(t, "w", (<-e.attempts).Target)
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestRetuneRefusesInvalidSettings(t *testing.T) {
+func TestUpdateSettingsRefusesInvalidSettings(t *testing.T) {
 	coordinator, _ := run(t, testSettings())
 	set := testSettings()
 	set.Classes = nil
--- a/internal/dispatcher/coordinator/restart.go
+++ b/internal/dispatcher/coordinator/restart.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// failAll ends every open request with InternalFault and cancels its attempts, whose ends are not waited for.
+// failAll ends every open request with InternalFault and cancels its attempts, without waiting for their ends.
 func (c *Coordinator) failAll() {
 	for _, j := range c.jobs {
 		c.respond(j, Response{Kind: InternalFault})
--- a/internal/dispatcher/coordinator/types.go
+++ b/internal/dispatcher/coordinator/types.go
@@ -8,7 +8,7 @@
 	"ospreypond/policy"
 )
 
-// Request is a client's request. It doesn't depend on the protocol by which it came.
+// Request is a client's request. It doesn't depend on the client's protocol.
 type Request struct {
 	ID       string
 	Class    string
@@ -72,8 +72,8 @@
 // AttemptEnd is the end of an attempt or a probe.
 type AttemptEnd struct {
 	Outcome policy.Outcome
-	// InvalidRequest is set if the target found the request itself invalid. Outcome is policy.Cancelled then, so that the
-	// request doesn't count against the target.
+	// InvalidRequest is set if the target found the request itself invalid. Outcome is policy.Cancelled then, so that
+	// the request doesn't count against the target.
 	InvalidRequest bool
 	// Indeterminate is set if Outcome says that the attempt never ran, but may belong to another attempt: it was read,
 	// without a request's id, from a connection that carried responses to other jobs before.
--- a/policy/api.go
+++ b/policy/api.go
@@ -38,9 +38,9 @@
 
 // The groups of workers that can share their memory of keys.
 const (
-	ScopeCell DedupScope = iota
-	ScopeZone
-	ScopeAll
+	ScopeCell DedupScope = iota // the workers of a cell
+	ScopeZone                   // the workers of a zone
+	ScopeAll                    // all workers
 )
 
 // Class describes one class of requests.
@@ -49,10 +49,10 @@
 	Semantics     Semantics
 	DedupScope    DedupScope    // with Keyed: the workers that drop duplicates
 	DedupWindow   time.Duration // with Keyed: how long after an attempt they drop duplicates
-	LatencyTarget time.Duration // a response in LatencyTarget + Stretch x the request's work has full value
+	LatencyTarget time.Duration // a response has full value up to LatencyTarget + Stretch x its work
 	Stretch       float64       // see LatencyTarget; 0: the target doesn't depend on the work
 	Deadline      time.Duration // how long the client waits in total, retries included
-	LateValue     float64       // fraction of its value that a response has after that, until Deadline
+	LateValue     float64       // fraction of the full value that a later response has, until Deadline
 	Kind          string        // the only machine kind that can run the class; empty: any
 	Streamed      bool          // responses stream to the client while the job runs
 }
@@ -157,11 +157,11 @@
 
 // The kinds of events, with the fields that each sets.
 const (
-	Request            EventKind = iota // ID, Class, Tenant, Key, Left, Work, Slots, Memory, Retry
+	Request            EventKind = iota // ID, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, IsRetry
 	ResponseStarted                     // ID, Attempt: the client gets the response's first part
 	JobStarted                          // ID, Attempt
 	JobProgress                         // ID, Attempt
-	AttemptEnded                        // ID, Attempt, Outcome, Indeterminate, Elapsed, Complete, Report
+	AttemptEnded                        // ID, Attempt, Outcome, Indeterminate, Elapsed, Responded, Report
 	ClientDisconnected                  // ID
 	TimerFired                          // Token
 	ProbeEnded                          // Worker, Outcome, Elapsed, Report
@@ -169,7 +169,7 @@
 	ListReplaced                        // Members: the complete list
 	ListRestored                        // Members: the list as this scheduler last knew it before its restart
 	ListUnavailable                     // a call for the list failed, or the subscription ended
-	FleetUpdated                        // Numbers, NumbersValidUntil, LiveSchedulers; default: the own number
+	FleetUpdated                        // Numbers, NumbersValidUntil, LiveSchedulers
 	Closing                             // shutdown: open and later requests get their final response at once
 )
 
@@ -187,7 +187,7 @@
 	IsRetry           bool          // the client marked the request as a retry
 	Attempt           int           // the number of the attempt among those of the request, from 0
 	Outcome           Outcome
-	Indeterminate     bool          // an Outcome of NeverRan may belong to another request
+	Indeterminate     bool          // Outcome, one of NeverRan, may be another request's
 	Elapsed           time.Duration // since the attempt or probe was sent
 	Responded         bool          // the request has its final response
 	Report            Report
@@ -204,7 +204,7 @@
 
 // The kinds of actions, with the fields that each sets.
 const (
-	Send      ActionKind = iota // ID, Worker, Timeout (0: until the client gives up), By
+	Send      ActionKind = iota // ID, Worker, Timeout (0: until the client gives up), FirstByteBy
 	Cancel                      // ID, Attempt
 	Refuse                      // ID, RetryAfter: final response; a retry is harmless
 	Fail                        // ID: final response; an attempt may have run
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -57,9 +57,9 @@
 // endAttempt records the end of an attempt and what its outcome shows of the worker. Then it drops the job,
 // makes it pending again, or finishes it.
 //
-// A job that was rejected shows that no slot is free. A running job whose connection breaks again without a
-// success between, and a connection that is refused at once, show a restart. A timeout counts as a failure of
-// the worker only if it has shown no progress since the send.
+// A rejection shows that no slot is free. A connection that is refused at once shows a restart, and so does
+// the break of a running job's connection if it is the worker's second without a success in between. A
+// timeout counts as a failure of the worker only if it has shown no progress since the send.
 func (d *Dispatcher) endAttempt(e *Event) {
 	a := d.attempt(e)
 	if a == nil || a.ended {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -48,8 +48,8 @@
 
 // A job that waits at its worker and will be late is given up only if it can be cancelled. Otherwise the
 // worker runs it all the same, and its response would be discarded. With that fault, on a day without other
-// faults where cancelling is not allowed, 10,700 requests were refused or failed, and 0.86 were served
-// instead of 0.94.
+// faults where cancelling is not allowed, 10,700 requests were refused or failed, and 0.86 of the requests
+// were served instead of 0.94.
 func TestLateJobIsWaitedForWithoutCancel(t *testing.T) {
 	for cancel, want := range map[bool]ActionKind{true: Fail, false: -1} {
 		d, err := New(Settings{MinStepInterval: time.Millisecond, ReportsStarts: true, MayCancel: cancel, ResponseGrace: 8 * time.Millisecond,
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -134,7 +134,7 @@
 
 // If few schedulers have requests for a warming worker, the shares of the others stay unused. The few then
 // see free slots by their probes, and send more than their own shares.
-func TestFleetUsesIdlePartsOfWarmingBudgetWithReports(t *testing.T) {
+func TestFleetUsesIdleSharesOfWarmingBudgetWithReports(t *testing.T) {
 	served := func(reports bool) int {
 		f := newFleet(t, 80, reports)
 		f.idle = func(n int) bool { return n%10 > 0 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -44,7 +44,7 @@
 	return d
 }
 
-// testDispatcher returns a dispatcher all of whose workers have reported four free slots.
+// testDispatcher returns a dispatcher that has got a report of four free slots from each worker.
 func testDispatcher(tb testing.TB, change func(*Settings)) *Dispatcher {
 	tb.Helper()
 	d := newWithoutReports(tb, change)
@@ -71,7 +71,7 @@
 	return r
 }
 
-// sendsAt steps without events and returns the sends.
+// sendsAt steps without events, at a time past the next round, and returns the sends.
 func sendsAt(d *Dispatcher, at time.Duration) []Action {
 	return ofKind(Send, d.Step(at, nil, nil))
 }
--- a/policy/noreports_test.go
+++ b/policy/noreports_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// These tests are on deployments whose workers send no load reports. There, free slots, the use of slots and
-// the budgets of warming workers are estimated from own attempts alone: those in flight, their starts and
-// their outcomes.
+// These tests are on deployments without load reports. There, free slots, the use of slots and the budgets of
+// warming workers are estimated from own attempts alone: those in flight, their starts and their outcomes.
 
 func withoutReports(t *testing.T, change func(*Settings)) *Dispatcher {
 	t.Helper()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -83,7 +83,7 @@
 // times of successive calls must not decrease.
 //
 // A step first applies the events in their order. Then it checks the open jobs and holds a round, if these
-// are due, and sends the calls and probes that are due. At last it sets a timer for the next check, round or
+// are due, and sends the calls and probes that are due. Finally it sets a timer for the next check, round or
 // call for the list, unless one is already set for that time or before.
 func (d *Dispatcher) Step(now time.Duration, events []Event, actions []Action) []Action {
 	d.now, d.actions, d.firstStepAt = now, actions, min(d.firstStepAt, now)
@@ -140,10 +140,10 @@
 
 // logChange records in was whether a condition holds, and logs its text for on-call staff if that has
 // changed.
-func (d *Dispatcher) logChange(was *bool, is bool, what string) {
+func (d *Dispatcher) logChange(was *bool, is bool, text string) {
 	if *was != is {
 		*was = is
-		d.actions = append(d.actions, Action{Kind: Log, Text: fmt.Sprintf("%s: %v", what, is)})
+		d.actions = append(d.actions, Action{Kind: Log, Text: fmt.Sprintf("%s: %v", text, is)})
 	}
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// One line is logged when a condition begins, and one when it ends, however often it is checked in between.
+// On-call staff get one log line when a condition begins and one when it ends, however often it is checked in
+// between.
 func TestConditionsAreLoggedOnce(t *testing.T) {
 	d := testDispatcher(t, nil)
 	at := time.Second
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-const surveyProbePrice = 2.5 // how many probes one counts for that no pending job has any use for
+const surveyProbePrice = 2.5 // how many probes one counts for that helps no pending job
 
 // requestUpdates calls for the list of workers if that is due, and sends the probes that are due. A call that
 // brings no answer is repeated after half of MaxListAge.
@@ -18,10 +18,10 @@
 	d.probe()
 }
 
-// probe probes candidate workers while probes are due. Each job that arrives makes probesPerJob of them due:
-// what probes cost is bounded per request, and the reports arrive before the round that places the job. If no
-// worker is worth a probe, or the next one counts for more than is due, at most surveyProbePrice probes stay
-// due.
+// probe probes candidate workers while probes are due. Each job that arrives makes probesPerJob of them due.
+// So the cost of probes is bounded per request, and the reports can arrive before the round that places the
+// job. If no worker is worth a probe, or the next one counts for more than is due, at most surveyProbePrice
+// probes stay due.
 func (d *Dispatcher) probe() {
 	for d.probesDue >= 1 && d.cfg.MayProbe && d.cfg.LoadReports {
 		next, price := d.probeTarget(d.candidates())
@@ -35,10 +35,11 @@
 	}
 }
 
-// probeTarget returns the worker to probe next, or nil, and how many probes that counts for. Best is a worker
-// where the newest pending job could go and whose report is old or whose load changes fast as it warms up: of
-// these, the one that would be cheapest for the job. If there is none, it is the worker that was probed
-// longest ago, which counts for surveyProbePrice probes.
+// probeTarget returns the worker to probe next, or nil, and how many probes that counts for. First come the
+// workers that have a free slot for the newest pending job and an old report, or are warming up, so that
+// their load changes fast. Of these it returns the one that would be cheapest for the job, which counts for
+// one probe. If there is none, it returns the worker that was probed longest ago, which counts for
+// surveyProbePrice.
 func (d *Dispatcher) probeTarget(workers []*worker) (next *worker, price float64) {
 	var newest *job
 	for _, j := range d.openJobs {
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -42,7 +42,7 @@
 	probes := 0
 	for n := range 8 {
 		at := time.Duration(n+3) * time.Second
-		d.Step(at-ms, []Event{{Kind: ClientDisconnected, ID: uint32(n)}}, nil) // so that no round is due when the next job arrives
+		d.Step(at-ms, []Event{{Kind: ClientDisconnected, ID: uint32(n)}}, nil) // so that no round is due at the next arrival
 		out := d.Step(at, []Event{request(uint32(n+1), "safe")}, nil)
 		for _, a := range ofKind(Probe, out) {
 			probes++
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -8,8 +8,8 @@
 const maxKeys = 1 << 14 // most keys whose demand is recorded; to record one more, all are cleared
 
 // arrive makes a job of a request that arrived and schedules a round for it. A request of an unknown class,
-// without time left, beyond MaxOpen or after Closing gets its final response at once. One whose id is in use
-// is ignored.
+// without time left, beyond MaxOpenRequests or after Closing gets its final response at once. One whose id is
+// in use is ignored.
 func (d *Dispatcher) arrive(e *Event) {
 	index, ok := d.classes[e.Class]
 	if d.jobs[e.ID] != nil {
@@ -70,8 +70,8 @@
 // rules:
 //   - A job has one attempt in flight at a time, MaxAttempts in total, and none after its deadline or its
 //     response's first part.
-//   - A job whose attempt may have run gets another one only where its class's semantics allow that: see
-//     barsRetry. A keyed job's must go to a worker in the dedup group of all that may have run.
+//   - If an attempt may have run, another one follows only where the class's semantics allow that: see
+//     barsRetry. For a keyed job it must go to the dedup group of every attempt that may have run.
 //   - The worker is ready and, if the class needs one machine kind, of that kind.
 //   - The job's work is within the budget of a worker that is warming up.
 func (d *Dispatcher) maySend(j *job, w *worker) bool {
--- a/policy/rounds.go
+++ b/policy/rounds.go
@@ -4,12 +4,12 @@
 // steps:
 //
 //  1. It takes the pending jobs by rank, maxRoundJobs at most, and the free slots of the candidate workers.
-//  2. It prices each pairing of a job and a slot. A forbidden pairing costs far more than the limit in step
+//  2. It prices each pairing of a job and a slot. A forbidden pairing costs far more than the limit of step
 //     4.
 //  3. It finds the one-to-one assignment of jobs to slots with the least total cost.
 //  4. It sends the pairings below a cost limit, the cheapest first, checking each again, as earlier sends of
 //     the round use up slots and budgets.
-//  5. It gives up the jobs left over that can't meet their target any more, if shouldGiveUp allows that.
+//  5. It gives up the jobs left over that can't meet their target any more, see shouldGiveUp.
 //
 // All costs scale with T, the longest time left of a job of the round in seconds. Each step in rank costs T,
 // about as much as the longest runtime that fits. Missing a target after which a response is worth nothing
@@ -61,7 +61,9 @@
 	costs, slots := d.costs(jobs, workers, maxLeft)
 	var pairs []pair
 	maxCost := targetMissPenalty * maxLeft
-	if !d.cfg.LoadReports && d.slotUse < lightSlotUse { // slots are free and estimates may be wrong
+	// Without reports the estimates may be wrong: while slots are free, a job that seems to miss its target
+	// is sent as well.
+	if !d.cfg.LoadReports && d.slotUse < lightSlotUse {
 		maxCost *= 10
 	}
 	for i, p := range assignment.Solve(costs, len(slots)) {
@@ -156,7 +158,7 @@
 
 // cost returns the cost of running j on w:
 //
-//	speed x runtime x factor(w) + rank x T
+//	speed x runtime x costFactor(w) + rank x T
 //
 // speed is that of the worker's kind relative to the fastest kind, runtime the predicted runtime in seconds,
 // and T is maxLeft. The speed makes time on fast kinds expensive, so that it is left for the jobs that need
@@ -247,9 +249,9 @@
 	j.nextCheck = min(j.nextCheck, j.deadline+d.cfg.ResponseGrace/2)
 	d.scanAt = min(d.scanAt, j.nextCheck)
 	firstByteBy := time.Duration(0)
-	mayRun := j.attempts[slices.IndexFunc(j.attempts, mayHaveRun)]
-	if mayRun != a && j.class.Semantics == Keyed {
-		firstByteBy = mayRun.sent + j.class.DedupWindow
+	earliest := j.attempts[slices.IndexFunc(j.attempts, mayHaveRun)]
+	if earliest != a && j.class.Semantics == Keyed {
+		firstByteBy = earliest.sent + j.class.DedupWindow
 	}
 	d.actions = append(d.actions, Action{Kind: Send, ID: j.id, Worker: w.name, FirstByteBy: firstByteBy})
 }
--- a/policy/rounds_test.go
+++ b/policy/rounds_test.go
@@ -62,7 +62,7 @@
 func TestRoundsBatchRequests(t *testing.T) {
 	d := testDispatcher(t, nil)
 	for _, w := range d.byRank {
-		w.othersSlots, w.othersSlotsAt = d.slots(w)-1, time.Second // one slot each
+		w.othersSlots, w.othersSlotsAt = d.slots(w)-1, time.Second // one slot each: a second job would wait for the first's start
 	}
 	two := []Event{request(1, "safe"), request(2, "safe")}
 	if got := ofKind(Send, d.Step(time.Second, two, nil)); len(got) != 0 {
--- a/policy/runtimes.go
+++ b/policy/runtimes.go
@@ -31,8 +31,8 @@
 }
 
 // learnRuntime adds the runtime of an attempt that has just succeeded to the estimates:
-//   - If a fetch was predicted at no home of the key, what the runtime exceeds the rest of the prediction by
-//     is a sample of meanFetchTime.
+//   - If the worker was no home of the key, the runtime less the prediction without the fetch is a sample of
+//     meanFetchTime.
 //   - The runtime over the prediction, from which the worker's slowness is taken out, is a sample of that
 //     slowness, a geometric moving mean. Samples are limited to 0.25 to 4, so that no single one counts for
 //     much.
@@ -122,8 +122,7 @@
 	return k.work * math.Exp(-float64(now-k.workAt)/float64(keyDemandDecay))
 }
 
-// rendezvousHash returns the hash of a key and a worker by which the key ranks workers: the highest comes
-// first.
+// rendezvousHash returns the hash of a key and a worker. A key ranks the workers by it, the highest first.
 func rendezvousHash(key, worker uint32) uint32 {
 	x := uint64(key)<<32 | uint64(worker)
 	x = (x ^ x>>31) * 0x9e3779b97f4a7c15
--- a/policy/warming.go
+++ b/policy/warming.go
@@ -1,7 +1,7 @@
 package policy
 
-// This file has what concerns workers that are warming up after a start: how much of its full capacity such a
-// worker has, and how much work all schedulers together may send it.
+// This file is about workers that are warming up after a start: how much of its full capacity such a worker
+// has, and how much work all schedulers together may send it.
 //
 // A worker that is warming up fails if it is sent too much within OverloadWindow. Let C be the work, in
 // slot-seconds, that its least present capacity completes in that time. The schedulers don't talk to each
@@ -64,10 +64,13 @@
 //     workers: each number has a position in [0, 1), the positions are evenly spaced, and those below S/work
 //     may send. A job that is not larger than S may always be sent.
 //
-// There are two exceptions. For an OverloadWindow after its own start, a scheduler uses a third of its share,
-// as it doesn't know what its predecessor sent. And a fresh report of a free slot shows that earlier work
-// doesn't wait at w. Then only what is sent until the next report counts: (OverloadFactor - 1) x C in each
-// freshReportAge.
+// There are two exceptions:
+//
+//   - A scheduler that started after w uses a third of its share for an OverloadWindow, as it doesn't know
+//     how much its predecessor sent.
+//   - A fresh report of a free slot shows that no earlier work waits at w, so only the work sent until the
+//     next report counts. The share is raised to that of (OverloadFactor - 1) x C for each freshReportAge,
+//     less the margin.
 func (d *Dispatcher) inWarmUpBudget(w *worker, work float64) bool {
 	capacity := d.minCapacity(w)
 	if capacity >= 1 || d.cfg.OverloadFactor <= 0 || d.cfg.OverloadWindow <= 0 {
--- a/policy/warming_test.go
+++ b/policy/warming_test.go
@@ -171,7 +171,7 @@
 		return work
 	}
 	before, after := sent(start-time.Second), sent(from)
-	if after <= 0 || after > before/3+0.15 { // the capacity and so the share grow meanwhile: a few jobs more
+	if after <= 0 || after > before/3+0.15 { // the capacity grows, and so does the share: a few jobs more
 		t.Errorf("%.2f s of work sent in the window after an own restart, %.2f s without a restart: want a third", after, before)
 	}
 }
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -23,7 +23,7 @@
 
 // handleList applies a list, a change of it, or its loss. All schedulers may have started or lost the list
 // together: the delay before each calls for it is random, within a bound that doubles with each loss. After a
-// start the bound grows with the number of schedulers.
+// start the bound is proportional to the number of schedulers. It is half of MaxListAge at most.
 //
 // A worker that isn't on a complete list counts as removed. It is dropped once nothing is in flight to it and
 // it has warmed up, so that a worker that is removed and listed again in between keeps its state.
@@ -210,7 +210,7 @@
 //	usual = othersSlotUse x slots x r/(r+u)
 //	estimate = observed + (usual - observed) x a/(a+r)
 //
-// Guards against a scheduler that stops sending for ever: where only responses bring reports, one that takes
+// Guards against a scheduler that stops sending forever: where only responses bring reports, one that takes
 // all workers for full sends nothing, so it gets no report that shows otherwise.
 func (d *Dispatcher) estimateOthersSlots(w *worker) float64 {
 	age, sinceReport := (d.now - w.othersSlotsAt).Seconds(),
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -115,8 +115,9 @@
 	}
 }
 
-// The start of a job shows the slots that other schedulers use: after a late start they are all slots that
-// own jobs leave, after a prompt one at most these.
+// A worker gets no other job before the last one has started. That start shows the slots that other
+// schedulers use: after a late start they are all slots that own jobs leave, after a prompt one at most
+// these.
 func TestStartsShowOthersSlots(t *testing.T) {
 	d := testDispatcher(t, nil)
 	w := d.byRank[0]
@@ -249,7 +250,7 @@
 // If there are many workers, each scheduler has a few of them as candidates, in an order of its own, and more
 // after a round that left jobs pending. Candidates are in the own zone if crossing is expensive, but in all
 // zones if the scheduler is nearly the only one or has no worker in its zone.
-func TestNearWorkers(t *testing.T) {
+func TestCandidates(t *testing.T) {
 	list := Event{Kind: ListReplaced}
 	for n := 0; n < 200; n++ {
 		list.Members = append(list.Members, Member{Worker: fmt.Sprint("w", n), Zone: []string{"z0", "z1"}[n%2], Kind: "k"})
@@ -259,8 +260,8 @@
 		zone       string
 		schedulers int
 		price      float64
-		reach      int
-		want, home int
+		limit      int
+		want, own  int
 	}{
 		{"many, crossing expensive", "z0", 400, 0.1, 0, minCandidates, minCandidates},
 		{"many, crossing cheap", "z0", 400, 0, 0, 2 * minCandidates, minCandidates},
@@ -275,13 +276,13 @@
 					s.Zone, s.Schedulers, s.Number, s.CrossZonePrice = tt.zone, tt.schedulers, number, tt.price
 				})
 				d.Step(0, []Event{list}, nil)
-				d.candidateLimit = tt.reach
+				d.candidateLimit = tt.limit
 				for _, w := range d.candidates() {
 					seen[w.name] = true
 				}
-				home := len(slices.DeleteFunc(slices.Clone(d.candidateBuffer), func(w *worker) bool { return w.zone != tt.zone }))
-				if len(d.candidateBuffer) != tt.want || home != tt.home {
-					t.Errorf("%d candidates, %d of them in the own zone; want %d, %d", len(d.candidateBuffer), home, tt.want, tt.home)
+				own := len(slices.DeleteFunc(slices.Clone(d.candidateBuffer), func(w *worker) bool { return w.zone != tt.zone }))
+				if len(d.candidateBuffer) != tt.want || own != tt.own {
+					t.Errorf("%d candidates, %d of them in the own zone; want %d, %d", len(d.candidateBuffer), own, tt.want, tt.own)
 				}
 			}
 			if len(seen) == tt.want && tt.want < 200 {
@@ -336,7 +337,7 @@
 	return 0, false
 }
 
-// A scheduler doesn't take all workers for full for ever. If only responses carry reports and the first ones
+// A scheduler doesn't take all workers for full forever. If only responses carry reports and the first ones
 // show full workers, it sends nothing and so gets no reports: its estimate must decay, or it would refuse
 // everything. With that fault, in a deployment made up for the bench, on a day without other faults, a third
 // of 300 dispatchers sent nothing after their first second.
