--- a/internal/cluster/administration/advice.go
+++ b/internal/cluster/administration/advice.go
@@ -13,5 +13,5 @@
 	if !errors.As(err, &known) {
 		return ""
 	}
-	return answers.To(known.Kind).Advice
+	return answers.ForKind(known.Kind).Advice
 }
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -122,7 +122,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-deadline.In(ctx, l.service.clock).After(pause):
+	case <-deadline.ClockFor(ctx, l.service.clock).After(pause):
 	}
 }
 
@@ -165,7 +165,7 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-deadline.In(ctx, l.service.clock).After(interval):
+	case <-deadline.ClockFor(ctx, l.service.clock).After(interval):
 		return nil
 	case result := <-l.session.pollResults:
 		if err := l.applyPollResult(result); err != nil {
--- a/internal/cluster/agent/ownercall.go
+++ b/internal/cluster/agent/ownercall.go
@@ -52,7 +52,7 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-deadline.In(ctx, s.clock).After(attemptRetryInterval):
+	case <-deadline.ClockFor(ctx, s.clock).After(attemptRetryInterval):
 		return true
 	}
 }
@@ -76,7 +76,7 @@
 func (s *Service) watchForSuccessor(ctx context.Context, shard protocol.ShardID, onSuccessor func()) *successorWatch {
 	w := &successorWatch{
 		service:     s,
-		clock:       deadline.In(ctx, s.clock),
+		clock:       deadline.ClockFor(ctx, s.clock),
 		shard:       shard,
 		owner:       s.owners.Owner(shard),
 		onSuccessor: onSuccessor,
--- a/internal/cluster/configuration/state_test.go
+++ b/internal/cluster/configuration/state_test.go
@@ -134,7 +134,7 @@
 		Expect(state.Execute(update(0, `{"version":2}`)).Kind).To(Equal(failure.Forgotten), "nor one that was rejected")
 		Expect(state.Execute(step(1))).To(Equal(Result{Version: 2}))
 		Expect(state.Execute(update(1, `{"version":3}`)).Kind).To(Equal(failure.Conflict))
-		Expect(answers.To(failure.Forgotten).Status).To(BeNumerically(">=", 500), "not a final answer")
+		Expect(answers.ForKind(failure.Forgotten).Status).To(BeNumerically(">=", 500), "not a final answer")
 	})
 
 	It("accepts no update that makes it too large for one message", func() {
--- a/internal/cluster/consensus/compaction_test.go
+++ b/internal/cluster/consensus/compaction_test.go
@@ -6,7 +6,7 @@
 )
 
 var _ = ginkgo.Describe("compaction", func() {
-	ginkgo.It("drops no entry that was not output as committed", func() {
+	ginkgo.It("keeps every entry that Output has not returned as committed", func() {
 		g := newGroup(memberList(1, 2, 3)...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(1)
--- a/internal/cluster/consensus/confirmation.go
+++ b/internal/cluster/consensus/confirmation.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// The timing of heartbeats that are sent between two periodic ones because a confirmation was requested.
+// The timing of the rounds of heartbeats that a requested confirmation adds between two periodic rounds.
 const (
-	minConfirmationInterval = 2 * time.Millisecond  // between two rounds of heartbeats
-	confirmationTimeout     = 10 * time.Millisecond // after which a round counts as lost and the next may be sent
+	minConfirmationInterval = 2 * time.Millisecond  // between a round that a quorum has acknowledged and the next
+	confirmationTimeout     = 10 * time.Millisecond // after which an unacknowledged round counts as lost
 )
 
-// ConfirmLeadership requests a confirmation that this member still led at or after now: it is there once
-// Status().ConfirmedAt is at least now. This is the read index of section 6.4, by time in place of a counter. Requests that
-// come close together share a round of heartbeats. A member that does not lead ignores the request.
+// ConfirmLeadership requests a confirmation that this member still led at or after now. The confirmation has arrived once
+// Status().ConfirmedAt is at least now. This is the read index protocol of section 6.4, in which the leader's time, rather
+// than a counter, identifies a round of heartbeats. Requests within a short time share a round. A member that does not lead
+// ignores the request.
 func (n *Node) ConfirmLeadership(now time.Duration) {
 	n.advanceClock(now)
 	if n.role != roleLeader {
@@ -21,8 +22,8 @@
 	n.updateConfirmedAt()
 }
 
-// sendRequestedConfirmation sends a round of heartbeats if a confirmation was requested since the last round, and that round
-// is either acknowledged by a quorum or presumably lost.
+// sendRequestedConfirmation sends a round of heartbeats if a confirmation was requested since the last round, and either a
+// quorum has acknowledged that round or it counts as lost.
 func (n *Node) sendRequestedConfirmation() {
 	if n.leadership.confirmationRequested && n.now >= n.nextConfirmationAt() {
 		n.broadcastHeartbeat(confirmationHeartbeat)
@@ -37,13 +38,14 @@
 	return n.leadership.lastHeartbeatAt + confirmationTimeout
 }
 
-// updateConfirmedAt advances the confirmed time to the newest one at which a quorum is known to have followed this leader.
+// updateConfirmedAt advances confirmedAt to the newest time at which a quorum is known to have followed this leader.
 func (n *Node) updateConfirmedAt() {
 	confirmed := n.quorumTime(func(peer *progress) time.Duration { return peer.confirmedAt })
 	n.leadership.confirmedAt = max(n.leadership.confirmedAt, confirmed)
 }
 
-// quorumTime returns the newest time that a quorum of voters has reached, where this leader has reached the present.
+// quorumTime returns the newest time t for which timeOf is at least t for a quorum of voters. This leader counts with its
+// current time.
 func (n *Node) quorumTime(timeOf func(*progress) time.Duration) time.Duration {
 	return reachedByQuorum(n, n.now, timeOf)
 }
--- a/internal/cluster/consensus/confirmation_test.go
+++ b/internal/cluster/consensus/confirmation_test.go
@@ -53,7 +53,7 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(requestedAt))
 	})
 
-	ginkgo.It("is not completed by a learner", func() {
+	ginkgo.It("is not completed by responses of a learner", func() {
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
 		g.deliverAll()
@@ -75,14 +75,14 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("is completed by acknowledgements of appends too", func() {
+	ginkgo.It("is completed also by acknowledgements of appends", func() {
 		g.drop = ofKind(MessageHeartbeat)
 		g.propose(leader, "a")
 		g.deliverAll()
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("shares one round of heartbeats between requests until that is acknowledged", func() {
+	ginkgo.It("shares a round of heartbeats with other requests until a quorum has acknowledged the round", func() {
 		for range 10 {
 			leader.ConfirmLeadership(g.now)
 		}
@@ -101,7 +101,7 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("sends another round when the last one seems lost", func() {
+	ginkgo.It("is completed by another round of heartbeats if the last one was lost", func() {
 		g.drop = ofKind(MessageHeartbeat)
 		leader.ConfirmLeadership(g.now)
 		g.deliverAll()
@@ -114,11 +114,11 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(g.now))
 	})
 
-	ginkgo.It("ends with the leadership", func() {
+	ginkgo.It("is neither reported nor requested once the member no longer leads", func() {
 		leader.becomeFollower(leader.term+1, None)
 		Expect(leader.Status().ConfirmedAt).To(BeZero())
 		leader.ConfirmLeadership(g.now)
-		Expect(leader.HasOutput()).To(BeTrue(), "only the new term is to be written")
+		Expect(leader.HasOutput()).To(BeTrue(), "the output contains only the new term")
 		Expect(leader.Output().Immediate).To(BeEmpty())
 	})
 })
--- a/internal/cluster/consensus/election.go
+++ b/internal/cluster/consensus/election.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// voteTally is the state of an election at the member that campaigns.
+// voteTally is the state of an election at the member that campaigns. It is the zero value at all other members.
 type voteTally struct {
-	granted  []MemberID // who granted a vote or pre-vote; this member too, for a vote once its own is on disk
-	forced   bool       // campaigns because the leader asked it to, by MessageTimeoutNow
-	resendAt time.Duration
-	// ignorePreVotesUntil is until when the votes of members whose disks are as slow as this one's may be under way. A
-	// candidate ignores the pre-votes of others as long, so as not to start an election that would disturb its own.
+	granted  []MemberID    // members that granted their pre-vote or vote; this member's own vote counts once it is on disk
+	forced   bool          // the leader asked this member to campaign, by MessageTimeoutNow
+	resendAt time.Duration // when to request the missing votes again
+	// ignorePreVotesUntil is the time by which votes for this candidate should have arrived from members with disks as slow
+	// as its own. Until then it ignores other members' requests for pre-votes, because another election would interrupt its
+	// own.
 	ignorePreVotesUntil time.Duration
 }
 
@@ -27,16 +28,17 @@
 	return slices.Contains(t.granted, id)
 }
 
-// campaignKind is why a member campaigns in a new term.
+// campaignKind is the reason why a member campaigns in a new term.
 type campaignKind uint8
 
 const (
-	campaignElection campaignKind = iota // a quorum granted its pre-vote
-	campaignTransfer                     // the leader transfers its leadership: members vote though that leader is live
+	campaignElection campaignKind = iota // a quorum granted its pre-votes
+	campaignTransfer                     // the leader transfers its leadership: members vote although that leader is live
 )
 
-// SetCampaignAllowed sets whether this member may campaign. It may unless the caller forbids it, as it should while the
-// disk is unhealthy: a leader needs its disk. If it is forbidden an election that this member has begun ends.
+// SetCampaignAllowed sets whether this member may campaign. It may until the caller forbids it. The caller should forbid it
+// while the disk is unhealthy, because a leader needs its disk. Forbidding it ends an election that this member has begun,
+// but not its leadership.
 func (n *Node) SetCampaignAllowed(allowed bool) {
 	n.campaignAllowed = allowed
 	if !allowed && (n.role == rolePreCandidate || n.role == roleCandidate) {
@@ -44,19 +46,20 @@
 	}
 }
 
-// SetWriteTime sets how long a write to this member's disk takes at present. Elections allow for it.
+// SetWriteTime sets how long a write to this member's disk currently takes. Elections and leadership transfers get
+// maxElectionWrites times as much additional time.
 func (n *Node) SetWriteTime(duration time.Duration) { n.writeTime = duration }
 
-// mayCampaign reports whether this member may be elected: it votes, or did before a membership that may still be
-// uncommitted. In the latter case it does not count its own vote, but it may be the only one left with the newest log: if
-// it never campaigned, it would deny its vote to all others and the group would have no leader again.
+// mayCampaign reports whether this member may be elected: it is a voter, or was one before a membership that may still be
+// uncommitted. In the latter case its own vote does not count. But if it never campaigned, the group might never have a leader
+// again: it may be the only remaining member with the newest log, and then it denies its vote to all others.
 func (n *Node) mayCampaign() bool {
 	return n.campaignAllowed && n.memberships.mayVote(n.commit, n.config.ID)
 }
 
 // startElection begins an election with the pre-vote (section 9.6): only a member that a quorum would elect enters a new
-// term, so a member that was partitioned does not disturb the others when it comes back. A member that may not be elected
-// waits for another election timeout.
+// term. So a member that returns from a partition does not force the others into an election. A member that may not be
+// elected waits for another election timeout.
 func (n *Node) startElection() {
 	n.becomeFollower(n.term, None)
 	n.resetElectionDeadline()
@@ -72,9 +75,9 @@
 	n.requestVotes()
 }
 
-// becomeSoleLeader takes the leadership of a group whose only voter this is. Since no votes are exchanged nothing shows that
-// the term, the vote or the log is on disk. So nothing counts as such, and nothing is sent to learners, until the first
-// entry of the term is on disk, which comes after all of them.
+// becomeSoleLeader makes the only voter of a group its leader. In other elections the arrival of a vote shows that the
+// candidate's term, vote and log are on disk. Here no votes are exchanged. So this leader commits nothing, and sends nothing
+// to learners, before the first entry of its term is on disk: that entry is written after the term, the vote and the log.
 func (n *Node) becomeSoleLeader() {
 	n.becomeFollower(n.term+1, None)
 	n.vote = n.config.ID
@@ -93,26 +96,27 @@
 	n.requestVotes()
 }
 
-// maxElectionWrites is how many writes an election may have to wait for, one after the other: at the candidate and then at
-// a voter, the write that is under way and the one that contains the vote.
+// maxElectionWrites is the number of disk writes, one after the other, that an election may have to wait for: two at the
+// candidate and then two at a voter, namely the write that is under way and the write that contains the vote.
 const maxElectionWrites = 4
 
-// resetElectionDeadline draws the time of the next election.
+// resetElectionDeadline sets the election deadline to a random time between one and two election timeouts from now.
 func (n *Node) resetElectionDeadline() {
 	extra := time.Duration(n.random.Int64N(int64(n.config.ElectionTimeout)))
 	n.electionDeadline = n.now + n.config.ElectionTimeout + extra
 }
 
-// resetElectionDeadlineAfterVote draws the time of the next election once this member has voted. The election that is under
-// way gets the time that the disks need for the votes: otherwise members whose disks take longer than about half an
-// election timeout would disturb each other's elections forever.
+// resetElectionDeadlineAfterVote sets the election deadline once this member has voted. It adds the time that the disks need
+// for the votes of the election that is under way. Without it, members whose disks take longer than about half an election
+// timeout would interrupt each other's elections forever.
 func (n *Node) resetElectionDeadlineAfterVote() {
 	n.resetElectionDeadline()
 	n.electionDeadline += maxElectionWrites * n.writeTime
 }
 
-// requestVotes requests votes, or pre-votes, from all voters that have not granted theirs. A request for a vote is deferred
-// until this member's term and vote are on disk: otherwise it could restart and be elected twice in one term.
+// requestVotes requests votes, or pre-votes, from all voters that have not granted theirs. A request for a vote is sent only
+// once this member's term and vote are on disk: otherwise it could restart, campaign in the same term again, and be elected
+// in it twice.
 func (n *Node) requestVotes() {
 	n.votes.resendAt = n.now + n.config.HeartbeatInterval
 	request := Message{Kind: MessagePreVote, Term: n.term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}
@@ -134,7 +138,7 @@
 	}
 }
 
-// resendVoteRequests repeats the requests of an election that has not been decided, once they are due again.
+// resendVoteRequests repeats the requests for votes or pre-votes of an undecided election once resendAt is reached.
 func (n *Node) resendVoteRequests() {
 	if n.role == roleFollower || n.now < n.votes.resendAt {
 		return
@@ -142,7 +146,7 @@
 	n.requestVotes()
 }
 
-// isElected reports whether a quorum granted its votes. Only voters of the membership in force count.
+// isElected reports whether a quorum granted its votes or pre-votes. Only voters of the current membership count.
 func (n *Node) isElected() bool {
 	return HasQuorum(n.memberships.current(), n.votes.grantedBy)
 }
@@ -155,8 +159,9 @@
 	return request.Index >= n.log.last()
 }
 
-// handlePreVote responds whether this member would vote for another in a later term, which promises nothing. It does not
-// respond while it has a live leader, or while votes for its own election may still come.
+// handlePreVote responds whether this member would vote for the sender in the term of the request. The response changes no
+// state and does not bind the member. It does not respond while it has a live leader, or while votes for its own election
+// may still arrive.
 func (n *Node) handlePreVote(request *Message) {
 	if n.hasLiveLeader() || n.now < n.votes.ignorePreVotesUntil {
 		return
@@ -170,7 +175,7 @@
 	n.send(response)
 }
 
-// handlePreVoteResponse counts a pre-vote, and campaigns once a quorum has granted theirs.
+// handlePreVoteResponse counts a granted pre-vote, and campaigns once a quorum has granted theirs.
 func (n *Node) handlePreVoteResponse(response *Message) {
 	if n.role != rolePreCandidate || response.Term != n.term+1 {
 		return
@@ -181,7 +186,8 @@
 	}
 }
 
-// handleVote grants or denies a candidate of this term its vote. The response waits until the vote is on disk.
+// handleVote grants a candidate of this term the vote of this member, or denies it. The response waits until the vote is on
+// disk.
 func (n *Node) handleVote(request *Message) {
 	granted := n.canVoteFor(request.From) && n.isUpToDate(request)
 	if granted {
@@ -190,7 +196,8 @@
 	n.sendDeferred(Message{Kind: MessageVoteResponse, To: request.From, Reject: !granted})
 }
 
-// canVoteFor reports whether the vote of this term is free, or was given to that candidate already.
+// canVoteFor reports whether this member has not voted in this term, or has voted for that candidate. It denies its vote if
+// the leader of the term is known.
 func (n *Node) canVoteFor(candidate MemberID) bool {
 	if n.leader != None {
 		return false
@@ -198,7 +205,7 @@
 	return n.vote == None || n.vote == candidate
 }
 
-// grantVote votes for a candidate.
+// grantVote records the vote for a candidate, to be written with the next Output.
 func (n *Node) grantVote(candidate MemberID) {
 	n.becomeFollower(n.term, None)
 	n.resetElectionDeadlineAfterVote()
@@ -208,8 +215,8 @@
 	}
 }
 
-// handleVoteResponse counts a vote. Its arrival shows that the request was sent, and so that this member's own vote is on
-// disk and counts too.
+// handleVoteResponse counts a granted vote. The response shows that the request was sent, and so that this member's own vote
+// is on disk: from then on that counts too.
 func (n *Node) handleVoteResponse(response *Message) {
 	if n.role != roleCandidate || response.Reject {
 		return
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// voteOutcome is the response to a request for a vote.
+// voteOutcome is the response to a request for a vote or pre-vote.
 type voteOutcome int
 
 const (
@@ -16,15 +16,16 @@
 	voteRejected
 )
 
-// voterState is the state of a member whose vote is requested.
+// voterState is the state of a member that receives a request for its vote.
 type voterState struct {
 	term               uint64
 	vote               MemberID
-	sinceLeaderContact time.Duration // 0: no leader is known
+	sinceLeaderContact time.Duration // time since the last message of a leader of this term; 0: no leader is known
 	isLeader           bool
 }
 
-// requestVote requests the vote of a member with a log of terms 1, 2 and 2, and returns the member and its response.
+// requestVote sends a request to member 1, whose log has entries of the terms 1, 2 and 2, and returns the member and its
+// response.
 func requestVote(state voterState, request Message) (*testMember, voteOutcome) {
 	g := &group{now: time.Minute}
 	voter := g.add(1, Restored{HardState: HardState{Term: state.term, Vote: state.vote},
@@ -50,14 +51,14 @@
 			return voter, voteRejected
 		}
 		if response.Kind == MessageVoteResponse && voter.vote != state.vote {
-			Expect(output.HardState).To(Equal(&HardState{Term: voter.term, Vote: 2}), "the vote is on disk before it is sent")
+			Expect(output.HardState).To(Equal(&HardState{Term: voter.term, Vote: 2}), "the output that contains the vote also writes it")
 		}
 		return voter, voteGranted
 	}
 	return voter, noResponse
 }
 
-var _ = ginkgo.DescribeTable("responses to a request for a vote",
+var _ = ginkgo.DescribeTable("a member whose vote is requested",
 	func(state voterState, request Message, expected voteOutcome, term uint64, vote MemberID) {
 		request.Kind = MessageVote
 		voter, outcome := requestVote(state, request)
@@ -65,39 +66,39 @@
 		Expect(voter.term).To(Equal(term))
 		Expect(voter.vote).To(Equal(vote))
 	},
-	ginkgo.Entry("a later term, the same log", voterState{term: 2},
+	ginkgo.Entry("grants it in a later term to a candidate with the same log", voterState{term: 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("a longer log", voterState{term: 2},
+	ginkgo.Entry("grants it in a later term to a candidate with a longer log", voterState{term: 2},
 		Message{Term: 3, Index: 9, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("a shorter log", voterState{term: 2},
+	ginkgo.Entry("denies it in a later term to a candidate with a shorter log", voterState{term: 2},
 		Message{Term: 3, Index: 2, LogTerm: 2}, voteRejected, uint64(3), None),
-	ginkgo.Entry("a longer log of an earlier term", voterState{term: 2},
+	ginkgo.Entry("denies it in a later term to a candidate with a longer log whose last entry has an earlier term", voterState{term: 2},
 		Message{Term: 3, Index: 9, LogTerm: 1}, voteRejected, uint64(3), None),
-	ginkgo.Entry("a shorter log of a later term", voterState{term: 4},
+	ginkgo.Entry("grants it in a later term to a candidate with a shorter log whose last entry has a later term", voterState{term: 4},
 		Message{Term: 5, Index: 1, LogTerm: 3}, voteGranted, uint64(5), MemberID(2)),
-	ginkgo.Entry("the vote of the term was given to another", voterState{term: 3, vote: 3},
+	ginkgo.Entry("denies it in a term in which it voted for another member", voterState{term: 3, vote: 3},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected, uint64(3), MemberID(3)),
-	ginkgo.Entry("the vote of the term was given to the candidate already", voterState{term: 3, vote: 2},
+	ginkgo.Entry("grants it again in a term in which it voted for the candidate", voterState{term: 3, vote: 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("the vote of the term, which the member has entered before, is free", voterState{term: 3},
+	ginkgo.Entry("grants it in its own term if it has not voted", voterState{term: 3},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("an earlier term", voterState{term: 4},
+	ginkgo.Entry("denies it in an earlier term", voterState{term: 4},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected, uint64(4), None),
-	ginkgo.Entry("the leader of the term is known", voterState{term: 3, sinceLeaderContact: electionTimeout},
+	ginkgo.Entry("denies it in a term whose leader it knows", voterState{term: 3, sinceLeaderContact: electionTimeout},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected, uint64(3), None),
-	ginkgo.Entry("contact with a leader within an election timeout", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
+	ginkgo.Entry("does not respond within an election timeout of its last contact with a leader", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, noResponse, uint64(2), None),
-	ginkgo.Entry("contact with a leader within an election timeout, which transfers its leadership", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
+	ginkgo.Entry("grants it within an election timeout of its last contact with a leader that transfers its leadership", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
 		Message{Term: 3, Index: 3, LogTerm: 2, Forced: true}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("last contact with a leader an election timeout ago", voterState{term: 2, sinceLeaderContact: electionTimeout},
+	ginkgo.Entry("grants it an election timeout after its last contact with a leader", voterState{term: 2, sinceLeaderContact: electionTimeout},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted, uint64(3), MemberID(2)),
-	ginkgo.Entry("the voter is the leader", voterState{term: 2, isLeader: true},
+	ginkgo.Entry("does not respond while it leads", voterState{term: 2, isLeader: true},
 		Message{Term: 3, Index: 9, LogTerm: 2}, noResponse, uint64(2), None),
-	ginkgo.Entry("the voter is the leader, and the candidate its transferee", voterState{term: 2, isLeader: true},
+	ginkgo.Entry("grants it while it leads, if it transfers its leadership to the candidate", voterState{term: 2, isLeader: true},
 		Message{Term: 3, Index: 9, LogTerm: 2, Forced: true}, voteGranted, uint64(3), MemberID(2)),
 )
 
-var _ = ginkgo.DescribeTable("responses to a request for a pre-vote, which change no state",
+var _ = ginkgo.DescribeTable("a member whose pre-vote is requested keeps its term and vote, and",
 	func(state voterState, request Message, expected voteOutcome) {
 		request.Kind = MessagePreVote
 		voter, outcome := requestVote(state, request)
@@ -105,20 +106,20 @@
 		Expect(voter.term).To(Equal(state.term))
 		Expect(voter.vote).To(Equal(state.vote))
 	},
-	ginkgo.Entry("a later term, the same log", voterState{term: 2}, Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
-	ginkgo.Entry("the vote of the present term was given to another", voterState{term: 2, vote: 3},
+	ginkgo.Entry("grants it in a later term to a candidate with the same log", voterState{term: 2}, Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
+	ginkgo.Entry("grants it in a later term although it voted for another member in its own term", voterState{term: 2, vote: 3},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
-	ginkgo.Entry("a shorter log", voterState{term: 2}, Message{Term: 3, Index: 2, LogTerm: 2}, voteRejected),
-	ginkgo.Entry("the present term", voterState{term: 3}, Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected),
-	ginkgo.Entry("an earlier term", voterState{term: 4}, Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected),
-	ginkgo.Entry("contact with a leader within an election timeout", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
+	ginkgo.Entry("denies it in a later term to a candidate with a shorter log", voterState{term: 2}, Message{Term: 3, Index: 2, LogTerm: 2}, voteRejected),
+	ginkgo.Entry("denies it in its own term", voterState{term: 3}, Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected),
+	ginkgo.Entry("denies it in an earlier term", voterState{term: 4}, Message{Term: 3, Index: 3, LogTerm: 2}, voteRejected),
+	ginkgo.Entry("does not respond within an election timeout of its last contact with a leader", voterState{term: 2, sinceLeaderContact: electionTimeout / 2},
 		Message{Term: 3, Index: 3, LogTerm: 2}, noResponse),
-	ginkgo.Entry("last contact with a leader an election timeout ago", voterState{term: 2, sinceLeaderContact: electionTimeout},
+	ginkgo.Entry("grants it an election timeout after its last contact with a leader", voterState{term: 2, sinceLeaderContact: electionTimeout},
 		Message{Term: 3, Index: 3, LogTerm: 2}, voteGranted),
-	ginkgo.Entry("the voter is the leader", voterState{term: 2, isLeader: true}, Message{Term: 3, Index: 9, LogTerm: 2}, noResponse),
+	ginkgo.Entry("does not respond while it leads", voterState{term: 2, isLeader: true}, Message{Term: 3, Index: 9, LogTerm: 2}, noResponse),
 )
 
-var _ = ginkgo.DescribeTable("who campaigns when there is no contact with a leader",
+var _ = ginkgo.DescribeTable("without contact with a leader for two election timeouts,",
 	func(prepare func(member *testMember), campaigns bool) {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		member := g.member(1)
@@ -129,11 +130,11 @@
 		Expect(g.countSent(MessagePreVote) > 0).To(Equal(campaigns))
 		Expect(member.NextDeadline()).To(BeNumerically(">", g.now))
 	},
-	ginkgo.Entry("a voter", func(*testMember) {}, true),
-	ginkgo.Entry("a learner", func(member *testMember) { member.config.ID = 4 }, false),
-	ginkgo.Entry("a machine that is no member", func(member *testMember) { member.config.ID = 9 }, false),
-	ginkgo.Entry("a voter that is not allowed to", func(member *testMember) { member.SetCampaignAllowed(false) }, false),
-	ginkgo.Entry("a voter that is allowed to again", func(member *testMember) {
+	ginkgo.Entry("a voter campaigns", func(*testMember) {}, true),
+	ginkgo.Entry("a learner does not campaign", func(member *testMember) { member.config.ID = 4 }, false),
+	ginkgo.Entry("a machine that is no member does not campaign", func(member *testMember) { member.config.ID = 9 }, false),
+	ginkgo.Entry("a voter that is forbidden to campaign does not", func(member *testMember) { member.SetCampaignAllowed(false) }, false),
+	ginkgo.Entry("a voter that is allowed to campaign again does", func(member *testMember) {
 		member.SetCampaignAllowed(false)
 		member.SetCampaignAllowed(true)
 	}, true),
@@ -151,7 +152,7 @@
 		}
 	})
 
-	ginkgo.It("sends requests for votes only after its own vote is on disk", func() {
+	ginkgo.It("requests votes only after the candidate's own vote is on disk", func() {
 		candidate := g.member(1)
 		candidate.diskPaused = true
 		g.runElection(candidate)
@@ -162,7 +163,7 @@
 		Expect(candidate.Status().IsLeader).To(BeTrue())
 	})
 
-	ginkgo.It("sends votes only after they are on disk", func() {
+	ginkgo.It("gets each vote only after that is on the voter's disk", func() {
 		g.member(2).diskPaused = true
 		g.member(3).diskPaused = true
 		candidate := g.member(1)
@@ -173,7 +174,7 @@
 		Expect(candidate.Status().IsLeader).To(BeTrue())
 	})
 
-	ginkgo.It("requests votes again when requests are lost", func() {
+	ginkgo.It("requests votes again if the first requests were lost", func() {
 		candidate := g.member(1)
 		g.drop = from(1)
 		g.runElection(candidate)
@@ -185,7 +186,7 @@
 		Expect(candidate.Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("starts no new term while a majority has contact with its leader", func() {
+	ginkgo.It("starts no new term while a majority has contact with the leader", func() {
 		g.elect(1)
 		g.drop = fromOrTo(3)
 		g.elapse(5 * electionTimeout)
@@ -196,7 +197,7 @@
 		Expect(g.member(3).Status().Leader).To(Equal(MemberID(1)))
 	})
 
-	ginkgo.It("replaces a leader that has no contact with a quorum, which steps down", func() {
+	ginkgo.It("replaces a leader without contact with a quorum, and that leader steps down", func() {
 		g.elect(1)
 		g.drop = fromOrTo(1)
 		g.elapse(electionTimeout + heartbeatInterval)
@@ -205,7 +206,7 @@
 		Expect(g.member(2).Status().Ready || g.member(3).Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("enters a later term that a member has seen", func() {
+	ginkgo.It("is held in a later term than any member has entered", func() {
 		g.elect(1)
 		g.member(3).becomeFollower(7, None)
 		g.elapse(3 * electionTimeout)
@@ -221,7 +222,7 @@
 		Expect(candidate.role).To(Equal(roleFollower))
 	})
 
-	ginkgo.It("is in the term of the newest entry if the hard state has an earlier one", func() {
+	ginkgo.It("can follow a restart after a torn write: the member is in the term of its newest entry, and has not voted in it", func() {
 		torn := g.add(9, Restored{HardState: HardState{Term: 2, Vote: 1}, Entries: entriesOf(1, 1, 3)})
 		Expect(torn.term).To(Equal(uint64(3)))
 		Expect(torn.vote).To(Equal(None))
@@ -229,7 +230,7 @@
 })
 
 var _ = ginkgo.Describe("the only voter of a group", func() {
-	ginkgo.It("leads at once, but commits and sends nothing before it is on its disk", func() {
+	ginkgo.It("leads at once, but commits and sends nothing before the first entry of its term is on its disk", func() {
 		g := newGroup(Member{ID: 1}, learner(2))
 		alone := g.member(1)
 		alone.diskPaused = true
@@ -247,7 +248,7 @@
 		Expect(g.countSent(MessageAppend)).NotTo(BeZero())
 	})
 
-	ginkgo.It("does not rely on entries of earlier terms being on disk", func() {
+	ginkgo.It("commits nothing while only entries of earlier terms are on its disk", func() {
 		g := &group{now: time.Minute}
 		alone := g.add(1, Restored{Snapshot: &Snapshot{Members: memberList(1)}, Entries: entriesOf(1, 1)})
 		alone.diskPaused = true
--- a/internal/cluster/consensus/explore_fingerprint_test.go
+++ b/internal/cluster/consensus/explore_fingerprint_test.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// fingerprint returns a hash over everything in a state that can make a difference. As long as the second and the third
-// member are alike, states that differ only in which of them is which have the same fingerprint.
+// fingerprint returns a hash of everything in a state that later steps can depend on. Two states that differ only by an
+// exchange of the second and the third member have the same fingerprint, so the exploration visits only one of them. This
+// does not apply to groups with a successor or a lost disk, in which the two members differ.
 func (s *groupState) fingerprint(seed maphash.Seed) uint64 {
 	plain := &fingerprintWriter{seed: seed}
 	plain.state(s)
@@ -19,21 +20,22 @@
 	return min(plain.sum(), swapped.sum())
 }
 
-// fingerprintWriter collects what a fingerprint is the hash of, with the second and the third member exchanged if swap is
-// set.
+// fingerprintWriter collects the data of which a fingerprint is the hash. If swap is true, it writes the data with the second
+// and the third member exchanged.
 type fingerprintWriter struct {
 	seed maphash.Seed
 	swap bool
 	data []byte
 }
 
-// sum returns the hash over what was written.
+// sum returns the hash of the data that was written.
 func (k *fingerprintWriter) sum() uint64 {
 	return maphash.Bytes(k.seed, k.data)
 }
 
-// of returns the fingerprint for a writer, and computes it with write if that was not done before.
-func (s *fingerprints) of(k *fingerprintWriter, write func(*fingerprintWriter)) uint64 {
+// hashFor returns the plain or the swapped hash, whichever the writer k needs. The first call computes both, from the data
+// that write writes.
+func (s *fingerprints) hashFor(k *fingerprintWriter, write func(*fingerprintWriter)) uint64 {
 	if !s.known {
 		plain, swapped := fingerprintWriter{seed: k.seed}, fingerprintWriter{seed: k.seed, swap: true}
 		write(&plain)
@@ -46,7 +48,7 @@
 	return s.plain
 }
 
-// put writes numbers.
+// put writes numbers in a variable-length encoding.
 func (k *fingerprintWriter) put(values ...uint64) {
 	for _, value := range values {
 		k.data = binary.AppendUvarint(k.data, value)
@@ -62,7 +64,7 @@
 	k.put(0)
 }
 
-// id writes an ID.
+// id writes the ID of a member.
 func (k *fingerprintWriter) id(id MemberID) {
 	if k.swap && (id == 2 || id == 3) {
 		id = 5 - id
@@ -70,7 +72,7 @@
 	k.put(uint64(id))
 }
 
-// ids writes a set of IDs.
+// ids writes IDs as a set: their order makes no difference.
 func (k *fingerprintWriter) ids(ids []MemberID) {
 	set := uint64(0)
 	for _, id := range ids {
@@ -82,7 +84,7 @@
 	k.put(set)
 }
 
-// state writes a complete state.
+// state writes a state of the group. The order of the messages in the network makes no difference.
 func (k *fingerprintWriter) state(s *groupState) {
 	k.put(uint64(s.proposals), uint64(s.crashes), uint64(s.losses), uint64(s.transfers), uint64(s.removals), uint64(len(s.committed)))
 	k.put(s.committed...)
@@ -94,18 +96,18 @@
 			index = 3 - index
 		}
 		member := &s.members[index]
-		k.put(member.fingerprints.of(k, func(single *fingerprintWriter) { single.member(member) }))
+		k.put(member.fingerprints.hashFor(k, func(single *fingerprintWriter) { single.member(member) }))
 	}
 	sums := make([]uint64, len(s.network))
 	for position := range s.network {
 		message := &s.network[position]
-		sums[position] = message.fingerprints.of(k, func(single *fingerprintWriter) { single.message(&message.Message) })
+		sums[position] = message.fingerprints.hashFor(k, func(single *fingerprintWriter) { single.message(&message.Message) })
 	}
 	slices.Sort(sums)
 	k.put(sums...)
 }
 
-// member writes the state of a member and its disk.
+// member writes the state of a member, of its disk, and of the writes that wait for the disk.
 func (k *fingerprintWriter) member(m *memberState) {
 	node := m.node
 	k.id(node.config.ID)
@@ -130,7 +132,7 @@
 	}
 }
 
-// peers writes a leader's progress of the other members, as a set.
+// peers writes the progress of the other members at a leader, as a set.
 func (k *fingerprintWriter) peers(peers []*progress) {
 	sums := make([]uint64, len(peers))
 	for position, peer := range peers {
@@ -145,7 +147,7 @@
 	k.put(sums...)
 }
 
-// entries writes entries.
+// entries writes entries of a log. Their indexes follow from the first one, so they are left out.
 func (k *fingerprintWriter) entries(entries []Entry) {
 	k.put(uint64(len(entries)))
 	for _, entry := range entries {
@@ -153,7 +155,7 @@
 	}
 }
 
-// message writes a message.
+// message writes the fields in which messages of an exploration differ.
 func (k *fingerprintWriter) message(message *Message) {
 	k.id(message.From)
 	k.id(message.To)
--- a/internal/cluster/consensus/explore_state_test.go
+++ b/internal/cluster/consensus/explore_state_test.go
@@ -11,40 +11,40 @@
 type memberState struct {
 	node         *Node
 	disk         disk
-	writes       []write
-	applied      int // number of entries it has applied
+	writes       []write // not on disk yet, oldest first
+	applied      int     // number of entries that the member has applied
 	fingerprints fingerprints
 }
 
-// fingerprints are hashes of something as it is, and with the second and the third member exchanged, computed when they
-// are first needed.
+// fingerprints are two hashes of a part of a state: of the part as it is, and of the part with the second and the third member
+// exchanged. They are computed when they are first needed.
 type fingerprints struct {
-	known          bool
+	known          bool // the hashes are computed
 	plain, swapped uint64
 }
 
-// inFlightMessage is a message that was sent and not delivered.
+// inFlightMessage is a message that was sent and is not delivered yet.
 type inFlightMessage struct {
 	Message
 	fingerprints fingerprints
 }
 
-// groupState is one state of a complete group, without time: any member may campaign at any moment, and any message may
-// arrive at any later moment or never. So partitions, delays and reordering need no steps of their own.
+// groupState is one state of a complete group. It has no time: any member may campaign at any moment, and any message may
+// arrive at any later moment or never. So partitions, delays and reordering need no steps.
 type groupState struct {
 	members   []memberState
 	network   []inFlightMessage
-	committed []uint64   // terms of all committed entries, by index-1
-	leaders   []MemberID // by term
-	// The numbers of steps taken that bounds limit.
+	committed []uint64   // terms of all committed entries; the entry at index i is at position i-1
+	leaders   []MemberID // leader of each term, by term; None: none yet
+	// proposals and the four fields after it count the steps of the kinds that bounds limits.
 	proposals int
 	crashes   int
 	losses    int
 	removals  int
 	transfers int
-	successor bool // see bounds
-	violation string
-	path      *pathStep
+	successor bool      // see bounds
+	violation string    // the first violation of an invariant; empty: none
+	path      *pathStep // the steps that led to this state
 }
 
 // pathStep is the last step of the path to a state, linked to those before it.
@@ -52,10 +52,10 @@
 	previous *pathStep
 	action   string
 	member   MemberID
-	message  Message // that was delivered, if any
+	message  Message // the message that was delivered; From is None if there was none
 }
 
-// String describes all steps of the path, the first one first.
+// String describes all steps of the path, one a line, beginning with the first.
 func (t *pathStep) String() string {
 	if t == nil {
 		return ""
@@ -67,16 +67,17 @@
 	return text
 }
 
-// frozenTime is the time of all inputs.
+// frozenTime is the time of all inputs, so that nothing becomes due.
 const frozenTime = time.Second
 
-// exploreConfig returns a configuration by which one entry is sent at a time, so that each boundary between entries is
-// explored, and nothing is due by time.
+// exploreConfig returns a configuration with one entry in each append, so that the exploration covers every boundary between
+// entries, and with timeouts that never expire.
 func exploreConfig(id MemberID) Config {
 	return Config{ID: id, HeartbeatInterval: time.Hour, ElectionTimeout: time.Hour, MaxAppendBytes: 1, MaxInflight: 1}
 }
 
-// initialState returns a new group of three voters, and what the bounds begin with.
+// initialState returns a new group of three voters. If limits.successor is true, a learner has the complete log and member 1
+// leads. If limits.replaces is a voter, member 1 has proposed to replace it.
 func initialState(limits bounds) *groupState {
 	first := &groupState{leaders: make([]MemberID, limits.terms+1+recoveryTerms)}
 	members := memberList(1, 2, 3)
@@ -100,13 +101,13 @@
 	return first
 }
 
-// startNode starts a member from its disk.
+// startNode starts a member from the state on its disk.
 func startNode(id MemberID, stored disk) *Node {
 	restored := Restored{HardState: stored.hardState, Snapshot: stored.snapshot, Entries: stored.entries}
 	return New(exploreConfig(id), restored, frozenTime)
 }
 
-// cloneNode returns a copy of a node that shares nothing that either modifies.
+// cloneNode returns a copy of a node. The two share only data that neither modifies.
 func cloneNode(node *Node) *Node {
 	copied := *node
 	copied.random = rand.New(rand.NewPCG(1, 1))
@@ -122,7 +123,7 @@
 	return &copied
 }
 
-// clone returns a copy of a state in which one member may be modified. No node may have output.
+// clone returns a copy of a state in which only the member at position changes may be modified. No node may have output.
 func (s *groupState) clone(changes int) *groupState {
 	copied := *s
 	copied.members = slices.Clone(s.members)
@@ -143,14 +144,14 @@
 	}
 }
 
-// violateOnError records an error where none may occur.
+// violateOnError records an error, if it is not nil, as a violation.
 func (s *groupState) violateOnError(err error) {
 	if err != nil {
 		s.violate("%v", err)
 	}
 }
 
-// processOutput carries out the output of the member at a position.
+// processOutput carries out the output of the member at a position. Only with syncAtOnce does it sync the writes.
 func (s *groupState) processOutput(index int, syncs syncMode) {
 	member := &s.members[index]
 	for member.node.HasOutput() {
@@ -167,7 +168,8 @@
 	}
 }
 
-// transmit adds messages to the network. Heartbeats are left out: without time they do nothing that appends don't.
+// transmit adds messages to the network. It drops messages to lost members, and heartbeats: without time they have no effect
+// that appends don't have.
 func (s *groupState) transmit(messages []Message) {
 	for _, message := range messages {
 		if message.Kind == MessageHeartbeat || s.indexOf(message.To) < 0 {
@@ -177,7 +179,7 @@
 	}
 }
 
-// indexOf returns the position of a member, a negative number if its disk is lost.
+// indexOf returns the position of a member, or a negative number if its disk is lost.
 func (s *groupState) indexOf(id MemberID) int {
 	return slices.IndexFunc(s.members, func(member memberState) bool { return member.node.config.ID == id })
 }
@@ -186,7 +188,7 @@
 func (s *groupState) applyCommitted(member *memberState, entries []Entry) {
 	for _, entry := range entries {
 		if int(entry.Index) != member.applied+1 {
-			s.violate("member %d applies %d after %d", member.node.config.ID, entry.Index, member.applied)
+			s.violate("member %d applies the entry at index %d after the one at index %d", member.node.config.ID, entry.Index, member.applied)
 			return
 		}
 		member.applied++
@@ -194,13 +196,13 @@
 			s.committed = append(s.committed, entry.Term)
 		}
 		if s.committed[entry.Index-1] != entry.Term {
-			s.violate("two entries committed at %d", entry.Index)
+			s.violate("two different entries are committed at index %d", entry.Index)
 		}
 	}
 }
 
-// checkLeader checks election safety and leader completeness: a term has one leader, which had all committed entries when
-// it was elected.
+// checkLeader checks election safety and leader completeness: a term has one leader, which has all committed entries when it
+// is elected.
 func (s *groupState) checkLeader(member *memberState) {
 	node := member.node
 	if node.role != roleLeader {
@@ -211,18 +213,18 @@
 		return
 	}
 	if known != None {
-		s.violate("term %d is led by %d and %d", node.term, known, node.config.ID)
+		s.violate("term %d has two leaders, members %d and %d", node.term, known, node.config.ID)
 	}
 	s.leaders[node.term] = node.config.ID
 	for index, term := range s.committed {
 		superseded := slices.ContainsFunc(s.leaders[node.term+1:], func(id MemberID) bool { return id != None })
 		if !superseded && !node.log.matches(uint64(index+1), term) {
-			s.violate("the leader of term %d lacks the committed entry %d", node.term, index+1)
+			s.violate("the leader of term %d lacks the committed entry at index %d", node.term, index+1)
 		}
 	}
 }
 
-// sync syncs all writes of the member at a position, and sends what waits for them.
+// sync syncs all writes of the member at a position, and sends the messages that wait for them.
 func (s *groupState) sync(index int) {
 	member := &s.members[index]
 	writes := member.writes
--- a/internal/cluster/consensus/explore_steps_test.go
+++ b/internal/cluster/consensus/explore_steps_test.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// successorID is the learner that may replace a voter.
+// successorID is the ID of the learner that may replace a voter.
 const successorID MemberID = 4
 
-// replacedBySuccessor returns the membership in which the successor replaces the member at a position.
+// replacedBySuccessor returns the membership in which the successor, as a voter, replaces the member at a position.
 func replacedBySuccessor(members []Member, position int) []Member {
 	next := without(members, position)
 	next[slices.IndexFunc(next, func(member Member) bool { return member.ID == successorID })].Learner = false
 	return next
 }
 
-// stepFunc takes a step from a state: it calls do with a copy of the state, and of the member at index in it.
+// stepFunc takes one step from a state: it copies the state, and calls do with the copy and with the member at index in it.
+// The path of the copy describes the step by action.
 type stepFunc func(action string, index int, do func(state *groupState, member *memberState))
 
 // nextStates returns all states to which one step leads.
@@ -46,8 +47,8 @@
 	return found
 }
 
-// isIrrelevant reports whether the delivery of a message can make no difference any more: terms only grow, and no member
-// campaigns twice in one.
+// isIrrelevant reports whether the delivery of a message can no longer have an effect. It relies on terms that never decrease,
+// and on members that campaign at most once in a term.
 func (s *groupState) isIrrelevant(message inFlightMessage) bool {
 	index := s.indexOf(message.To)
 	if index < 0 {
@@ -73,14 +74,14 @@
 	}
 }
 
-// isAcknowledged reports whether a leader knows already that a member has the entries up to an index.
+// isAcknowledged reports whether a leader already knows that a member has the entries up to an index on disk.
 func isAcknowledged(leader *Node, id MemberID, index uint64) bool {
 	peer := leader.peer(id)
 	return peer != nil && peer.state == progressReplicate && peer.match >= index
 }
 
-// isRedundantAppend reports whether an append of the present term tells its receiver nothing new, and its acknowledgement
-// tells the leader nothing new.
+// isRedundantAppend reports whether an append of the current term changes neither its receiver nor, by the acknowledgement,
+// the leader.
 func (s *groupState) isRedundantAppend(message *Message, receiver *memberState) bool {
 	node := receiver.node
 	end := message.Index + uint64(len(message.Entries))
@@ -94,11 +95,11 @@
 	return isAcknowledged(s.members[sender].node, message.To, end)
 }
 
-// memberSteps takes each step that a member may take by itself.
+// memberSteps takes each step that a member may take without a message.
 func (s *groupState) memberSteps(index int, limits bounds, step stepFunc) {
 	member := &s.members[index]
 	node := member.node
-	// The initial members are alike, so it is enough that the first of them begins the first election.
+	// All members are equal at first, so it suffices that the first of them begins the first election.
 	mayBeFirst := index == 0 || slices.ContainsFunc(s.members, func(other memberState) bool { return other.node.term > 0 })
 	if node.role != roleLeader && node.term < limits.terms && node.mayCampaign() && mayBeFirst {
 		step("campaign", index, func(_ *groupState, member *memberState) { member.node.campaign(campaignTransfer) })
@@ -131,7 +132,7 @@
 	}
 }
 
-// proposeRemoval has a leader propose to remove member 2, whatever else is under way.
+// proposeRemoval has a leader propose to remove member 2, even while another change is under way.
 func (s *groupState) proposeRemoval(leader *Node) {
 	next := FinalMembers(leader.memberships.current())
 	position := slices.IndexFunc(next, func(member Member) bool { return member.ID == 2 })
@@ -143,7 +144,7 @@
 	}
 }
 
-// transferSteps begins a leadership transfer to each other voter, or lets one time out.
+// transferSteps begins a leadership transfer to each other voter, or lets the transfer under way reach its deadline.
 func (s *groupState) transferSteps(index int, limits bounds, step stepFunc) {
 	node := s.members[index].node
 	if node.leadership.transferee != None {
@@ -164,7 +165,7 @@
 	}
 }
 
-// crash restarts a member from its disk.
+// crash restarts a member from its disk, without the writes that were not synced.
 func (s *groupState) crash(index int) {
 	s.crashes++
 	member := &s.members[index]
@@ -173,7 +174,7 @@
 	member.node = startNode(member.node.config.ID, member.disk)
 }
 
-// loseDisk restarts a machine with an empty disk, as another member.
+// loseDisk restarts a machine with an empty disk, under the ID of the lost member plus 10.
 func (s *groupState) loseDisk(index int) {
 	s.losses++
 	lost := s.members[index].node.config.ID
@@ -181,8 +182,8 @@
 	s.network = slices.DeleteFunc(s.network, func(message inFlightMessage) bool { return message.To == lost })
 }
 
-// toleratesLossOf reports whether the disk of a member may be lost: it is the first one, or the newest leader has
-// finished all changes of the membership and a quorum is left.
+// toleratesLossOf reports whether the group tolerates the loss of a member's disk. It tolerates the first loss. It tolerates
+// another one if a quorum is left, and the leader of the newest term is ready and has finished all membership changes.
 func (s *groupState) toleratesLossOf(index int) bool {
 	if s.losses == 0 {
 		return true
@@ -202,7 +203,8 @@
 	return HasQuorum(newest.memberships.current(), func(id MemberID) bool { return id != lost && s.indexOf(id) >= 0 })
 }
 
-// membersAfterLoss returns the membership that a leader proposes next after the loss of a disk, nil if none.
+// membersAfterLoss returns the membership that a leader proposes next after the loss of a disk, or nil if there is nothing to
+// change. Without a successor it removes the lost member, adds the machine's new member as a learner, and promotes that.
 func (s *groupState) membersAfterLoss(node *Node) []Member {
 	if !node.isReady() || node.changePending() || s.losses == 0 {
 		return nil
@@ -230,8 +232,8 @@
 	return nil
 }
 
-// successorMembers returns the membership in which the successor replaces a lost voter, once it has the complete log;
-// else nil.
+// successorMembers returns the membership in which the successor replaces a lost voter, or nil if no voter is lost or the
+// successor does not have the complete log yet.
 func (s *groupState) successorMembers(node *Node, lost int) []Member {
 	members := node.memberships.current()
 	successor, known := findMember(members, successorID)
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -7,47 +7,47 @@
 	"sync/atomic"
 )
 
-// bounds limit an exploration: all states of a group are visited that steps within them lead to.
+// bounds limit an exploration. It visits all states of a group that steps within the bounds lead to.
 type bounds struct {
-	terms     uint64 // no member campaigns in a later term
-	proposals int
-	crashes   int // restarts that lose what was not synced
-	// diskLosses is how many disks are lost, where the group tolerates it. The machine comes back under a new identity, which
-	// the leader adds unless there is a successor.
+	terms     uint64 // last term in which members campaign
+	proposals int    // commands that leaders propose
+	crashes   int    // restarts that lose unsynced writes
+	// diskLosses is the number of disks that are lost at moments when the group tolerates it. The machine returns under a new
+	// ID. The leader adds that to the group, unless there is a successor.
 	diskLosses int
-	// successor begins with member 1 as leader and a learner, successorID, which has the complete log and replaces a voter
-	// whose disk is lost.
+	// successor adds a learner, successorID, which has the complete log and replaces a voter whose disk is lost. The
+	// exploration then begins with member 1 as leader.
 	successor     bool
-	replaces      MemberID // not None: the voter that the leader begins to replace by the successor at once, by a joint change
-	removals      int      // changes that remove member 2, proposed at any moment, even while another is under way
-	transfers     int      // leadership transfers, as by a member that is decommissioned
+	replaces      MemberID // voter that the successor replaces by a joint change from the beginning; None: none
+	removals      int      // changes that remove member 2, proposed at any moment, even while another change is under way
+	transfers     int      // leadership transfers, as those of a member that is decommissioned
 	syncs         syncMode
-	checkRecovery bool // check for every state that the group can go on from it
-	maxStates     int  // no more states than this are visited
+	checkRecovery bool // check for every state that the group can recover from it
+	maxStates     int  // the exploration ends when it has visited this many states
 }
 
-// syncMode is when the writes of members are synced.
+// syncMode is the moment at which the writes of members are synced.
 type syncMode uint8
 
 const (
-	syncAtOnce syncMode = iota // with the output that contains them
-	syncLater                  // by a step of its own, or never
+	syncAtOnce syncMode = iota // in the step whose output contains them
+	syncLater                  // in a separate step, or never
 )
 
-// explorer explores the states of a group breadth first, each once, and checks them. A state (groupState) is a complete
-// group without time; explore_steps_test.go contains the steps from one state to the next, explore_fingerprint_test.go
-// decides which states are the same, recovery_test.go whether a group can go on from a state.
+// explorer visits the states of a group breadth first, each state once, and checks them. A state (groupState) is a complete
+// group without time. explore_steps_test.go contains the steps from one state to the next, explore_fingerprint_test.go
+// decides which states are equal, and recovery_test.go decides whether a group can recover from a state.
 type explorer struct {
 	bounds         bounds
 	seed           maphash.Seed
-	mu             sync.Mutex
-	seen           map[uint64]struct{}
-	violating      *groupState
-	recoveryChecks atomic.Uint64 // how many states were to be checked for recovery
+	mu             sync.Mutex          // guards seen and violating
+	seen           map[uint64]struct{} // fingerprints of the visited states
+	violating      *groupState         // a state that violates an invariant; nil: none was found
+	recoveryChecks atomic.Uint64       // number of states for which a recovery check was due
 }
 
-// explore visits all states within bounds, breadth first. It returns the first one that violates an invariant, nil if
-// none does, and how many were visited.
+// explore visits all states within bounds, breadth first. It stops at a state that violates an invariant and returns it, or
+// nil if there is none, with the number of visited states.
 func explore(limits bounds) (violating *groupState, visited int) {
 	x := &explorer{bounds: limits, seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}}
 	frontier := []*groupState{initialState(limits)}
@@ -57,7 +57,7 @@
 	return x.violating, len(x.seen)
 }
 
-// expand returns the states that one step from the frontier leads to and that were not visited before, computed on all
+// expand returns the states that one step from the frontier leads to, without those that were visited before. It uses all
 // processors.
 func (x *explorer) expand(frontier []*groupState) []*groupState {
 	var following []*groupState
@@ -82,7 +82,8 @@
 	return following
 }
 
-// checkRecovery checks that the group can go on from each of these states; with the race detector, from some of them.
+// checkRecovery checks that the group can recover from each of these states. With the race detector it checks only one in
+// slowdown of them.
 func (x *explorer) checkRecovery(states []*groupState) {
 	if !x.bounds.checkRecovery {
 		return
@@ -100,8 +101,8 @@
 	}
 }
 
-// filterUnseen returns the states that were not visited before, and marks them as visited. It returns none if one of them
-// violates an invariant, which it records.
+// filterUnseen returns the states that were not visited before, and marks them as visited. If a state violates an invariant,
+// it records that state and returns none.
 func (x *explorer) filterUnseen(states []*groupState) []*groupState {
 	keys := make([]uint64, len(states))
 	for position, state := range states {
--- a/internal/cluster/consensus/fixtures_test.go
+++ b/internal/cluster/consensus/fixtures_test.go
@@ -13,7 +13,7 @@
 	"ospreypond/internal/fixturetest"
 )
 
-// transitions, entryKinds and messageKinds are all constants of their types: their numbers are on disks and on the wire.
+// transitions, entryKinds and messageKinds list all constants of their types. Their numbers are on disk and on the wire.
 var (
 	transitions = []Transition{TransitionNone, TransitionAdded, TransitionRemoved, TransitionDemoted}
 	entryKinds  = []EntryKind{EntryCommand, EntryEmpty, EntryMembership}
@@ -24,8 +24,8 @@
 	}
 )
 
-var _ = ginkgo.Describe("what the version of the fixtures wrote", func() {
-	ginkgo.It("is read as members, in any transition", func() {
+var _ = ginkgo.Describe("data written by the version that made the fixtures", func() {
+	ginkgo.It("decodes as members with every Transition", func() {
 		written := make([]Member, len(transitions))
 		for i := range written {
 			fixturetest.Fill(&written[i])
@@ -42,7 +42,7 @@
 		})
 	})
 
-	ginkgo.It("is read as messages of each kind, with entries of each kind", func() {
+	ginkgo.It("decodes as messages of every kind, with entries of every kind", func() {
 		written := make([]Message, len(messageKinds))
 		for i := range written {
 			fixturetest.Fill(&written[i])
@@ -67,7 +67,7 @@
 		})
 	})
 
-	ginkgo.It("has the numbers of every constant", func() {
+	ginkgo.It("contains constants whose numbers have not changed", func() {
 		Expect(transitions).To(HaveExactElements(Transition(0), Transition(1), Transition(2), Transition(3)))
 		Expect(entryKinds).To(HaveExactElements(EntryKind(0), EntryKind(1), EntryKind(2)))
 		for i := range messageKinds {
@@ -75,7 +75,7 @@
 		}
 	})
 
-	ginkgo.It("has every constant of these types", func() {
+	ginkgo.It("contains every constant of these types", func() {
 		Expect(constants("member.go", "persistent.go", "message.go")).To(Equal(map[string]int{
 			"Transition": len(transitions), "EntryKind": len(entryKinds), "MessageKind": len(messageKinds), "MemberID": 1,
 		}))
@@ -98,14 +98,14 @@
 	return counts
 }
 
-// countConstants adds the constants of a declaration to counts. One without a type of its own has that of the one before.
+// countConstants adds the constants of a declaration to counts. A constant without a type has that of the one before.
 func countConstants(group *ast.GenDecl, counts map[string]int) {
-	of := ""
+	typeName := ""
 	for _, spec := range group.Specs {
 		value := spec.(*ast.ValueSpec)
 		if named, ok := value.Type.(*ast.Ident); ok {
-			of = named.Name
+			typeName = named.Name
 		}
-		counts[of] += len(value.Names)
+		counts[typeName] += len(value.Names)
 	}
 }
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -7,29 +7,29 @@
 	. "github.com/onsi/gomega"
 )
 
-// The timing of the scripted groups.
+// The timing of the members of scripted groups.
 const (
 	heartbeatInterval = 100 * time.Millisecond
 	electionTimeout   = time.Second
 )
 
-// testMember is a member of a scripted group. Its disk syncs at once unless it is paused.
+// testMember is a member of a scripted group. Its disk syncs every write at once, unless the test pauses it.
 type testMember struct {
 	*Node
-	diskPaused bool // the disk does not sync
-	unsynced   []Output
-	committed  []Entry
-	installed  *Snapshot
+	diskPaused bool      // the disk does not sync
+	unsynced   []Output  // outputs that wait for the disk, oldest first
+	committed  []Entry   // all entries that were output as committed
+	installed  *Snapshot // newest snapshot that was output; nil: none
 }
 
-// group is a group in a scripted test: its members share one clock that the test advances, and messages arrive at once.
-// What a test drops is lost; everything else is delivered in order.
+// group is a group in a scripted test. Its members share one clock, which the test advances. Messages arrive at once and in
+// the order in which they were sent, except for those that the test drops.
 type group struct {
 	now          time.Duration
 	members      []*testMember
 	inTransit    []Message
-	drop         func(Message) bool // nil: drop nothing
-	sentMessages []Message          // all that was sent, dropped or not
+	drop         func(Message) bool // reports whether a message is lost; nil: none is
+	sentMessages []Message          // all messages since the last clearSent, dropped or not
 }
 
 // memberList returns voters with these IDs.
@@ -41,12 +41,12 @@
 	return members
 }
 
-// learner returns a learner.
+// learner returns a learner with this ID.
 func learner(id MemberID) Member {
 	return Member{ID: id, Learner: true}
 }
 
-// newGroup starts a new group with these initial members.
+// newGroup starts a new group with these initial members, at time.Minute.
 func newGroup(members ...Member) *group {
 	g := &group{now: time.Minute}
 	for _, member := range members {
@@ -55,7 +55,7 @@
 	return g
 }
 
-// add starts one more member.
+// add starts one more member from the state of its disk.
 func (g *group) add(id MemberID, restored Restored) *testMember {
 	config := Config{ID: id, Seed: 1, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, MaxAppendBytes: 100,
 		MaxInflight: 2, SnapshotChunkBytes: 10}
@@ -64,7 +64,7 @@
 	return member
 }
 
-// member returns the member with an ID, nil if there is none.
+// member returns the member with an ID, or nil if there is none.
 func (g *group) member(id MemberID) *testMember {
 	for _, member := range g.members {
 		if member.config.ID == id {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// processOutput carries out a member's output, except for what waits for a paused disk.
+// processOutput carries out a member's output, except for the part that waits for a paused disk.
 func (g *group) processOutput(member *testMember) {
 	for member.HasOutput() {
 		output := member.Output()
@@ -90,7 +90,7 @@
 	}
 }
 
-// syncDisk writes all that waits for a member's disk, and sends the messages that wait for it.
+// syncDisk syncs all outputs that wait for a member's disk, and sends the messages that wait for it.
 func (g *group) syncDisk(member *testMember) {
 	outputs := member.unsynced
 	member.unsynced = nil
@@ -103,7 +103,7 @@
 	}
 }
 
-// send sends messages, and drops those that the test wants dropped.
+// send sends messages, except for those that the test drops.
 func (g *group) send(messages []Message) {
 	for _, message := range messages {
 		g.sentMessages = append(g.sentMessages, message)
@@ -113,7 +113,7 @@
 	}
 }
 
-// deliverAll delivers messages, and carries out the output they lead to, until there is nothing left.
+// deliverAll carries out the output of all members and delivers their messages, until none are left.
 func (g *group) deliverAll() {
 	for {
 		for _, member := range g.members {
@@ -130,7 +130,7 @@
 	}
 }
 
-// elapse advances the clock in small steps, each with a tick of every member.
+// elapse advances the clock in steps of 10 ms. In each step all members tick and all messages are delivered.
 func (g *group) elapse(duration time.Duration) {
 	end := g.now + duration
 	for g.now < end {
@@ -142,7 +142,7 @@
 	}
 }
 
-// elapseWithDelay advances the clock while all messages from and to a member arrive after a delay.
+// elapseWithDelay advances the clock as elapse does, but messages from and to one member arrive after a delay.
 func (g *group) elapseWithDelay(id MemberID, delay, duration time.Duration) {
 	type delayedMessage struct {
 		message Message
@@ -167,7 +167,7 @@
 	g.drop = nil
 }
 
-// elect makes a member the leader.
+// elect lets the election timeout of a member expire, and expects that the member is a ready leader afterwards.
 func (g *group) elect(id MemberID) *testMember {
 	member := g.member(id)
 	g.now = max(g.now, member.electionDeadline)
@@ -176,11 +176,12 @@
 	}
 	member.Tick(g.now)
 	g.deliverAll()
-	Expect(member.Status().Ready).To(BeTrue(), "member %d leads", id)
+	Expect(member.Status().Ready).To(BeTrue(), "member %d is a ready leader", id)
 	return member
 }
 
-// restart restarts a member from the log that a disk which syncs at once has, from a snapshot on.
+// restart restarts a member from a snapshot and its log, with its term and vote. It takes all of them for synced: a test that
+// paused the disk must drop unsynced entries first.
 func (g *group) restart(id MemberID, snapshot *Snapshot) *testMember {
 	old := g.member(id)
 	restored := Restored{HardState: HardState{Term: old.term, Vote: old.vote}, Snapshot: snapshot, Entries: old.log.entries}
@@ -188,14 +189,14 @@
 	return g.add(id, restored)
 }
 
-// expireLeaderContacts makes all members consider their leader failed, so that they vote at once.
+// expireLeaderContacts makes all members consider their leader failed, so that they grant votes.
 func (g *group) expireLeaderContacts() {
 	for _, member := range g.members {
 		member.lastLeaderContact = 0
 	}
 }
 
-// runElection lets the election timeout of a member expire and delivers what follows.
+// runElection lets the election timeout of a member expire, and delivers the messages that follow.
 func (g *group) runElection(member *testMember) {
 	g.now = max(g.now, member.electionDeadline)
 	member.Tick(g.now)
@@ -213,7 +214,7 @@
 	return count
 }
 
-// propose proposes a command to a leader and returns its index.
+// propose proposes a command to a leader and returns the index of its entry.
 func (g *group) propose(leader *testMember, data string) uint64 {
 	index, _, err := leader.Propose(g.now, []byte(data))
 	Expect(err).NotTo(HaveOccurred())
@@ -231,7 +232,7 @@
 	return count
 }
 
-// lastSent returns the newest message of a kind that was sent to a member, the zero message if there is none.
+// lastSent returns the newest message of a kind that was sent to a member since the last clearSent, or the zero message.
 func (g *group) lastSent(kind MessageKind, to MemberID) Message {
 	for position := len(g.sentMessages) - 1; position >= 0; position-- {
 		if message := g.sentMessages[position]; message.Kind == kind && message.To == to {
@@ -241,12 +242,12 @@
 	return Message{}
 }
 
-// clearSent forgets which messages were sent.
+// clearSent empties sentMessages.
 func (g *group) clearSent() {
 	g.sentMessages = nil
 }
 
-// fromOrTo matches all messages from and to a member: dropping them isolates it.
+// fromOrTo matches all messages from and to a member. As group.drop it isolates the member.
 func fromOrTo(id MemberID) func(Message) bool {
 	return func(message Message) bool { return message.From == id || message.To == id }
 }
@@ -266,7 +267,7 @@
 	return func(message Message) bool { return message.Kind == kind }
 }
 
-// commandsOf returns the data of the commands among entries.
+// commandsOf returns the data of each command among entries.
 func commandsOf(entries []Entry) []string {
 	var found []string
 	for _, entry := range entries {
@@ -277,7 +278,7 @@
 	return found
 }
 
-// entriesOf returns empty entries of these terms, from an index on.
+// entriesOf returns entries of these terms without data, the first of them at index first.
 func entriesOf(first uint64, terms ...uint64) []Entry {
 	var entries []Entry
 	for position, term := range terms {
--- a/internal/cluster/consensus/heartbeat.go
+++ b/internal/cluster/consensus/heartbeat.go
@@ -1,14 +1,14 @@
 package consensus
 
-// heartbeatKind is why a round of heartbeats is sent.
+// heartbeatKind is the reason why a round of heartbeats is sent.
 type heartbeatKind uint8
 
 const (
-	periodicHeartbeat     heartbeatKind = iota // to all members; the interval begins anew
-	confirmationHeartbeat                      // to voters only, whose responses confirm the leadership
+	periodicHeartbeat     heartbeatKind = iota // to all members; restarts the heartbeat interval
+	confirmationHeartbeat                      // to voters only, because their responses confirm the leadership
 )
 
-// broadcastHeartbeat sends a round of heartbeats.
+// broadcastHeartbeat sends one round of heartbeats, to all other members or to the voters among them.
 func (n *Node) broadcastHeartbeat(kind heartbeatKind) {
 	leadership := &n.leadership
 	leadership.lastHeartbeatAt = n.now
@@ -24,7 +24,8 @@
 	n.updateConfirmedAt()
 }
 
-// handleHeartbeat responds to the leader with the last index at which the logs agree, whether or not it is on disk.
+// handleHeartbeat responds to the leader with the last index up to which the logs are known to agree. The entries need not
+// be on disk.
 func (n *Node) handleHeartbeat(message *Message) {
 	if !n.acceptLeader(message.From) {
 		return
@@ -33,7 +34,8 @@
 	n.send(Message{Kind: MessageHeartbeatResponse, To: message.From, Index: n.verified, SentAt: message.SentAt})
 }
 
-// handleHeartbeatResponse records a confirmation, and sends again what was probably lost on the way to the member.
+// handleHeartbeatResponse records that the member followed this leader when the heartbeat was sent. It then sends again what
+// was probably lost on the way to the member or back, or else the entries that the member lacks.
 func (n *Node) handleHeartbeatResponse(message *Message) {
 	peer := n.peer(message.From)
 	if n.role != roleLeader || peer == nil {
@@ -44,7 +46,7 @@
 	case peer.state == progressSnapshot:
 		n.resendChunk(peer)
 	case message.Index < peer.lastSent && peer.appendSentAt < message.SentAt:
-		// The newest append was sent before this heartbeat, and the member still lacks it: it was probably lost.
+		// The newest append was sent before this heartbeat and the member still lacks its entries, so it was probably lost.
 		n.resendLost(peer, message.Index)
 	case n.isAckOverdue(peer):
 		n.requestAck(peer)
@@ -54,13 +56,13 @@
 	n.maybeFinishTransfer()
 }
 
-// isAckOverdue reports whether a member has owed an acknowledgement for two heartbeat intervals.
+// isAckOverdue reports whether an acknowledgement of a member has been outstanding for two heartbeat intervals.
 func (n *Node) isAckOverdue(peer *progress) bool {
-	owed := peer.probeSent || peer.match < peer.lastSent
-	return owed && n.now-peer.ackRequestedAt >= 2*n.config.HeartbeatInterval
+	outstanding := peer.probeSent || peer.match < peer.lastSent
+	return outstanding && n.now-peer.ackRequestedAt >= 2*n.config.HeartbeatInterval
 }
 
-// recordResponse records the contact with a member, and what its response confirms.
+// recordResponse records the contact with a member, and updates the time up to which the leadership is confirmed.
 func (n *Node) recordResponse(peer *progress, message *Message) {
 	peer.recordContact(n.now, message.SentAt)
 	n.updateConfirmedAt()
--- a/internal/cluster/consensus/joint_change_test.go
+++ b/internal/cluster/consensus/joint_change_test.go
@@ -13,7 +13,7 @@
 	first := append(memberList(1, 2, 3), learner(4))
 	next := memberList(1, 2, 4)
 
-	// begin proposes to replace voter 3 by voter 4, and delivers only what the leader sends to some members.
+	// begin proposes to replace voter 3 by learner 4. Only the members in reached receive the leader's messages.
 	begin := func(reached ...MemberID) {
 		g.drop = allExcept(1, reached...)
 		Expect(leader.ProposeMembers(g.now, next)).To(Succeed())
@@ -25,7 +25,7 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.DescribeTable("the leader commits and is confirmed by majorities of both configurations only",
+	ginkgo.DescribeTable("the leader commits, and its leadership is confirmed, only with majorities of both configurations:",
 		func(decided bool, responding ...MemberID) {
 			begin()
 			jointIndex := leader.log.last()
@@ -39,14 +39,14 @@
 			g.elapse(2 * electionTimeout)
 			Expect(leader.Status().IsLeader).To(Equal(decided), "still leads after two election timeouts")
 		},
-		ginkgo.Entry("the other voter of both configurations", true, MemberID(2)),
-		ginkgo.Entry("the removed and the added voter", true, MemberID(3), MemberID(4)),
-		ginkgo.Entry("the removed voter", false, MemberID(3)),
-		ginkgo.Entry("the added voter", false, MemberID(4)),
-		ginkgo.Entry("nobody", false),
+		ginkgo.Entry("the other voter of both configurations is enough", true, MemberID(2)),
+		ginkgo.Entry("the removed and the added voter are enough", true, MemberID(3), MemberID(4)),
+		ginkgo.Entry("the removed voter is not enough", false, MemberID(3)),
+		ginkgo.Entry("the added voter is not enough", false, MemberID(4)),
+		ginkgo.Entry("the leader alone is not enough", false),
 	)
 
-	ginkgo.DescribeTable("a member is elected by majorities of both configurations only",
+	ginkgo.DescribeTable("a member is elected only by majorities of both configurations:",
 		func(elected bool, voting ...MemberID) {
 			begin(2, 3, 4)
 			candidate := g.member(2)
@@ -60,13 +60,13 @@
 			Expect(candidate.Status().IsLeader).To(Equal(elected))
 			Expect(candidate.term > 1).To(Equal(elected), "a candidate without pre-votes starts no new term")
 		},
-		ginkgo.Entry("the other voter of both configurations", true, MemberID(1)),
-		ginkgo.Entry("the removed and the added voter", true, MemberID(3), MemberID(4)),
-		ginkgo.Entry("the removed voter", false, MemberID(3)),
-		ginkgo.Entry("the added voter", false, MemberID(4)),
+		ginkgo.Entry("the other voter of both configurations is enough", true, MemberID(1)),
+		ginkgo.Entry("the removed and the added voter are enough", true, MemberID(3), MemberID(4)),
+		ginkgo.Entry("the removed voter is not enough", false, MemberID(3)),
+		ginkgo.Entry("the added voter is not enough", false, MemberID(4)),
 	)
 
-	ginkgo.It("a candidate needs votes of both configurations, also after the pre-vote", func() {
+	ginkgo.It("a candidate that skips the pre-vote needs votes of both configurations too", func() {
 		begin(2, 3, 4)
 		candidate := g.member(2)
 		candidate.campaign(campaignTransfer)
@@ -104,7 +104,7 @@
 		Expect(IsJoint(candidate.Status().Members)).To(BeTrue())
 	})
 
-	ginkgo.It("the earlier membership is in force again once the joint one is truncated", func() {
+	ginkgo.It("the earlier membership is effective again once the joint one is truncated", func() {
 		begin()
 		g.drop = fromOrTo(1)
 		g.expireLeaderContacts()
@@ -116,7 +116,7 @@
 		}
 	})
 
-	ginkgo.It("the joint membership is in force again once the final one is truncated", func() {
+	ginkgo.It("the joint membership is effective again once the final one is truncated", func() {
 		begin(2, 3, 4)
 		jointIndex := leader.log.last()
 		leader.peer(2).match = jointIndex
@@ -126,15 +126,15 @@
 		replacing := []Entry{{Term: 2, Index: jointIndex + 1, Kind: EntryEmpty}}
 		leader.Step(Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, Index: jointIndex, LogTerm: 1, Entries: replacing}, g.now)
 		Expect(leader.log.last()).To(Equal(jointIndex + 1))
-		Expect(leader.Status().Members).To(ConsistOf(threeToFour()))
+		Expect(leader.Status().Members).To(ConsistOf(jointReplacing3By4()))
 		Expect(leader.Status().ChangePending).To(BeTrue())
 	})
 
-	ginkgo.It("restarted members have the joint membership from the log, and finish the change", func() {
+	ginkgo.It("restarted members read the joint membership from the log and finish the change", func() {
 		begin(2, 3, 4)
 		for _, id := range []MemberID{1, 2, 4} {
 			restarted := g.restart(id, &Snapshot{Members: first})
-			Expect(restarted.Status().Members).To(ConsistOf(threeToFour()))
+			Expect(restarted.Status().Members).To(ConsistOf(jointReplacing3By4()))
 		}
 		g.drop = fromOrTo(3)
 		g.elect(2)
@@ -142,7 +142,7 @@
 		Expect(g.member(1).Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a snapshot contains the joint membership, and a restart from it finishes the change", func() {
+	ginkgo.It("a snapshot contains the joint membership, and a member that restarts from it finishes the change", func() {
 		begin(2, 3, 4)
 		jointIndex := leader.log.last()
 		g.drop = ofKind(MessageAppendResponse)
@@ -150,14 +150,14 @@
 		leader.advanceCommit()
 		Expect(leader.Status().Commit).To(Equal(jointIndex))
 		g.processOutput(leader)
-		Expect(leader.MembersAt(jointIndex)).To(ConsistOf(threeToFour()))
+		Expect(leader.MembersAt(jointIndex)).To(ConsistOf(jointReplacing3By4()))
 		Expect(leader.MembersAt(jointIndex - 1)).To(Equal(first))
 		leader.Compact(jointIndex)
-		Expect(leader.MembersAt(jointIndex)).To(ConsistOf(threeToFour()))
+		Expect(leader.MembersAt(jointIndex)).To(ConsistOf(jointReplacing3By4()))
 
 		snapshot := &Snapshot{Index: jointIndex, Term: leader.term, Members: leader.MembersAt(jointIndex)}
 		restarted := g.restart(1, snapshot)
-		Expect(restarted.Status().Members).To(ConsistOf(threeToFour()))
+		Expect(restarted.Status().Members).To(ConsistOf(jointReplacing3By4()))
 		Expect(restarted.Status().ChangePending).To(BeTrue())
 		g.drop = fromOrTo(3)
 		g.elect(1)
@@ -165,7 +165,7 @@
 		Expect(g.member(4).Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a member that receives a snapshot with the joint membership votes by it", func() {
+	ginkgo.It("a member that receives a snapshot uses the joint membership in it", func() {
 		begin(2, 3)
 		jointIndex := leader.log.last()
 		leader.peer(2).match = jointIndex
@@ -173,15 +173,15 @@
 		g.processOutput(leader)
 		leader.Compact(jointIndex)
 		leader.peer(4).becomeSnapshot()
-		leader.peer(4).active = true
+		leader.peer(4).hasResponded = true
 		g.drop = func(message Message) bool { return message.To == 2 || message.To == 3 }
 		leader.SendSnapshot(g.now, 4, Snapshot{Index: jointIndex, Term: leader.term, Data: make([]byte, 25)})
 		g.deliverAll()
-		Expect(g.member(4).installed.Members).To(ConsistOf(threeToFour()))
+		Expect(g.member(4).installed.Members).To(ConsistOf(jointReplacing3By4()))
 		Expect(isVoter(g.member(4).Status().Members, 4)).To(BeTrue())
 	})
 
-	ginkgo.It("leadership is not transferred to the member that leaves", func() {
+	ginkgo.It("the leadership is not transferred to the voter that the change removes", func() {
 		begin(2, 3, 4)
 		Expect(leader.TransferLeadership(g.now, 3)).To(MatchError(ErrUnknownMember))
 		Expect(leader.Status().Transferee).To(Equal(None))
@@ -197,7 +197,7 @@
 		Expect(leader.Status().Members).To(Equal(next))
 	})
 
-	ginkgo.It("a leadership transfer that fails no longer delays the final membership", func() {
+	ginkgo.It("a leadership transfer that failed delays the final membership no longer", func() {
 		g.member(2).SetCampaignAllowed(false)
 		begin(2, 3, 4)
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
@@ -218,7 +218,7 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("leads until the final membership is committed without it, and another leads soon", func() {
+	ginkgo.It("leads until the others have committed the final membership, and another member leads soon after", func() {
 		g.drop = ofKind(MessageAppendResponse)
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3, 4))).To(Succeed())
 		g.deliverAll()
@@ -232,7 +232,7 @@
 		Expect(g.member(newest).Status().Members).To(Equal(memberList(2, 3, 4)))
 	})
 
-	ginkgo.It("does not count itself where two voters remain, both of which are needed", func() {
+	ginkgo.It("does not count itself in the incoming configuration: both of its two voters are needed", func() {
 		g.drop = from(3)
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3))).To(Succeed())
 		g.deliverAll()
@@ -248,7 +248,7 @@
 		Expect(leader.Status().Commit).To(BeNumerically(">", before))
 	})
 
-	ginkgo.It("does not count itself for the final membership", func() {
+	ginkgo.It("does not count itself as a voter of the final membership", func() {
 		jointIndex := uint64(0)
 		g.drop = func(message Message) bool { return message.Kind == MessageAppendResponse && message.Index > jointIndex }
 		jointIndex = leader.log.last() + 1
@@ -265,8 +265,11 @@
 	})
 })
 
+// The first two specs guard against a group that never has a leader again. Either the only member with the newest log does not
+// campaign, because that log has a membership without it. Or a learner has the newest log: it does not campaign either, and it
+// denies its vote to the others.
 var _ = ginkgo.Describe("a group remains available", func() {
-	ginkgo.It("if only a leader that removed itself has the newest log", func() {
+	ginkgo.It("if only a restarted leader that removed itself has the newest log", func() {
 		g := newGroup(memberList(1, 2)...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(1)
@@ -279,7 +282,7 @@
 		Expect(g.member(2).Status().Members).To(Equal(memberList(2)))
 	})
 
-	ginkgo.DescribeTable("if a learner has entries of a leader whose disk is lost, and counts as a voter at another member",
+	ginkgo.DescribeTable("if a leader's disk is lost while another member's log makes the learner a voter",
 		func(next []Member) {
 			g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 			leader := g.elect(1)
@@ -304,7 +307,7 @@
 		ginkgo.Entry("by a simple change", memberList(1, 2, 3, 4)),
 	)
 
-	ginkgo.It("with a sole leader only if that is the only voter of both configurations", func() {
+	ginkgo.It("if each configuration of a joint membership has a single voter, neither of which leads alone", func() {
 		g := newGroup(Member{ID: 1, Transition: TransitionRemoved}, Member{ID: 2, Transition: TransitionAdded})
 		g.drop = fromOrTo(1)
 		g.elapse(5 * electionTimeout)
--- a/internal/cluster/consensus/late_messages_test.go
+++ b/internal/cluster/consensus/late_messages_test.go
@@ -5,7 +5,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Messages may arrive long after they were sent, by when either end was restarted.
+// The network may deliver a message long after it was sent, when either end has restarted or entered later terms. Such a
+// message must not confirm, commit or elect anything.
 var _ = ginkgo.Describe("a message that arrives very late", func() {
 	var g *group
 	var leader *testMember
@@ -14,7 +15,7 @@
 		leader = g.elect(1)
 	})
 
-	// reelect lets member 1 lead again in a later term, and returns the newest message of a kind from the earlier one.
+	// reelect makes member 1 the leader of term 2 too, and returns the newest message of a kind from term 1.
 	reelect := func(kind MessageKind, to MemberID) Message {
 		late := g.lastSent(kind, to)
 		Expect(late.Term).To(Equal(uint64(1)))
@@ -36,7 +37,7 @@
 		Expect(leader.Status().ConfirmedAt).To(Equal(before))
 	})
 
-	ginkgo.It("does not commit by acknowledgements of an earlier term", func() {
+	ginkgo.It("commits no entry if it is an acknowledgement of an earlier term", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		late := reelect(MessageAppendResponse, 1)
@@ -48,7 +49,7 @@
 		Expect(leader.Status().Commit).To(Equal(before))
 	})
 
-	ginkgo.It("does not elect by votes of an earlier term, or from before a restart", func() {
+	ginkgo.It("elects nobody if it is a vote of an earlier term, or for a candidate that has restarted since", func() {
 		candidate := g.member(2)
 		candidate.campaign(campaignTransfer)
 		g.processOutput(candidate)
@@ -64,7 +65,7 @@
 		Expect(restarted.role).To(Equal(roleCandidate))
 	})
 
-	ginkgo.It("does not make a member campaign that was asked to in an earlier term", func() {
+	ginkgo.It("does not make a member campaign if it asked for that in an earlier term", func() {
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		late := g.lastSent(MessageTimeoutNow, 2)
@@ -80,7 +81,7 @@
 		Expect(other.role).To(Equal(roleFollower))
 	})
 
-	ginkgo.It("costs no more than an election if it asks a member to campaign after the transfer was given up", func() {
+	ginkgo.It("causes only an election if it asks a member to campaign after the leadership transfer was given up", func() {
 		g.drop = ofKind(MessageTimeoutNow)
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
@@ -96,7 +97,7 @@
 		Expect(commandsOf(g.member(2).committed)).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("from before a restart that lost what was not synced does not count as on disk", func() {
+	ginkgo.It("acknowledges nothing on disk if it is a heartbeat response of a member that has lost unsynced entries since", func() {
 		g.drop = fromOrTo(3)
 		other := g.member(2)
 		other.diskPaused = true
@@ -107,7 +108,7 @@
 		g.processOutput(leader)
 		g.deliverAll()
 		late := g.lastSent(MessageHeartbeatResponse, 1)
-		Expect(late.Index).To(Equal(index), "it reports what is in memory")
+		Expect(late.Index).To(Equal(index), "the response reports entries that are only in memory")
 		Expect(leader.Status().Commit).To(BeNumerically("<", index))
 
 		other.log.entries = other.log.entries[:index-1-other.log.base]
@@ -116,7 +117,7 @@
 		leader.Step(late, g.now)
 		g.elapse(3 * heartbeatInterval)
 		Expect(leader.Status().Commit).To(BeNumerically("<", index))
-		Expect(restarted.log.last()).To(Equal(index), "it is sent again")
+		Expect(restarted.log.last()).To(Equal(index), "the lost entry is sent again")
 		restarted.diskPaused = false
 		g.syncDisk(restarted)
 		g.elapse(3 * heartbeatInterval)
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -4,44 +4,44 @@
 
 // leadership is the state that only a leader has. At all other members it is the zero value.
 type leadership struct {
-	peers          []*progress // all other members of the membership in force
+	peers          []*progress // of all other members of the current membership
 	termStartIndex uint64      // index of the first entry of this leader's term
 	ownMatch       uint64      // last index on this member's own disk
-	appendsDue     bool        // entries or commits were added since appends were last sent
-	// appendsSuspended: nothing is sent before the first entry of this term is on disk (of a sole leader).
+	appendsDue     bool        // entries were appended or committed since appends were last sent
+	// appendsSuspended is true while a sole leader sends no appends: the first entry of its term is not on disk yet.
 	appendsSuspended bool
 
-	stallGraceAt    time.Duration // when a stall was last noticed for which members got time to respond
-	stallGraceUntil time.Duration // until then the lack of responses does not end the leadership
+	stallGraceAt    time.Duration // when members were last given time to respond after a stall of this process
+	stallGraceUntil time.Duration // until when missing responses do not end the leadership
 
-	lastHeartbeatAt       time.Duration // newest round of heartbeats, to voters at least
-	nextHeartbeatAt       time.Duration // when the next periodic heartbeats are due
-	confirmationRequested bool          // since the newest round of heartbeats
-	confirmedAt           time.Duration
+	lastHeartbeatAt       time.Duration // when the newest round of heartbeats was sent, to all voters at least
+	nextHeartbeatAt       time.Duration // when the next periodic round of heartbeats is due
+	confirmationRequested bool          // a confirmation was requested since the newest round of heartbeats
+	confirmedAt           time.Duration // newest time at which a quorum is known to have followed this leader
 
-	snapshotsStarted uint64 // transfers of snapshots begun in this term
+	snapshotsStarted uint64 // number of snapshot transfers begun in this term
 
-	transferee       MemberID
-	transferDeadline time.Duration
+	transferee       MemberID      // target of the leadership transfer under way; None: no transfer
+	transferDeadline time.Duration // when to give up that transfer
 }
 
-// becomeLeader takes the leadership of the term, which a quorum has granted. An empty entry is appended, with which entries
-// of earlier terms are committed (section 3.6.2).
+// becomeLeader makes this member the leader of its term, for which a quorum has granted its votes. It appends an empty entry:
+// once that is committed, so are all entries of earlier terms (section 3.6.2).
 func (n *Node) becomeLeader() {
 	n.role = roleLeader
 	n.leader = n.config.ID
 	n.votes = voteTally{}
 	n.receiving = nil
-	// The complete log is on disk: requests for votes are sent only after everything output before them, and nothing was
-	// appended since. A sole leader requested no votes, but it commits nothing before the first entry of this term, which
-	// is written after all others.
+	// ownMatch is the end of the log, because the complete log is on disk: requests for votes are sent only once everything
+	// output before them is on disk, and nothing was appended since. A sole leader requests no votes, so its log may not be
+	// on disk yet. But it commits nothing before the first entry of this term is on disk, which is written after all others.
 	n.leadership = leadership{ownMatch: n.log.last(), termStartIndex: n.log.last() + 1}
 	n.updatePeers()
 	n.appendEntry(EntryEmpty, nil)
 	n.broadcastHeartbeat(periodicHeartbeat)
 }
 
-// updatePeers tracks the members of the membership in force, with the progress of those that were tracked before.
+// updatePeers makes peers the other members of the current membership. Members that were in peers keep their progress.
 func (n *Node) updatePeers() {
 	members := n.memberships.current()
 	peers := make([]*progress, 0, len(members))
@@ -59,7 +59,7 @@
 	n.leadership.peers = peers
 }
 
-// peer returns the progress of a member, nil if there is none.
+// peer returns the progress of a member, or nil if this member does not lead or the other is not in the membership.
 func (n *Node) peer(id MemberID) *progress {
 	for _, peer := range n.leadership.peers {
 		if peer.id == id {
@@ -77,14 +77,14 @@
 	return entry
 }
 
-// isReady reports whether this member leads and an entry of its own term was output as committed.
+// isReady reports whether this member leads and Output has returned an entry of its term in Committed.
 func (n *Node) isReady() bool {
 	return n.role == roleLeader && n.applied >= n.leadership.termStartIndex
 }
 
-// Propose appends a command to the leader's log. It is committed once an entry with the returned index and term comes out in
-// Committed; an entry of another term at that index means that this one is lost. The data must not be modified afterwards.
-// It returns ErrNotLeader if this member does not lead or is transferring its leadership.
+// Propose appends a command to the leader's log. The command is committed once Committed contains an entry with the returned
+// index and term. If Committed contains an entry of another term at that index, the command is lost. The caller must not
+// modify data afterwards. Propose returns ErrNotLeader if this member does not lead or is transferring its leadership.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.advanceClock(now)
 	if n.role != roleLeader || n.leadership.transferee != None {
@@ -94,14 +94,14 @@
 	return entry.Index, entry.Term, nil
 }
 
-// advanceCommit commits what a quorum has on disk. Only an entry of this term is committed by counting, and all before it
-// with it (section 3.6.2).
+// advanceCommit advances the commit index to the last index that a quorum has on disk, if the entry there is of this term.
+// It commits all entries before it too. Entries of earlier terms are never committed by counting (section 3.6.2).
 func (n *Node) advanceCommit() {
 	index := n.quorumIndex()
 	if index <= n.commit || !n.log.matches(index, n.term) {
 		return
 	}
-	n.leadership.appendsDue = true // learners receive what is committed
+	n.leadership.appendsDue = true // learners receive only committed entries, so there are new ones to send
 	changed := n.memberships.newestIndex() > n.commit && n.memberships.newestIndex() <= index
 	n.commit = index
 	n.verified = max(n.verified, index)
@@ -118,8 +118,8 @@
 	return reachedByQuorum(n, n.leadership.ownMatch, func(peer *progress) uint64 { return peer.match })
 }
 
-// notifyRemoved sends the entry of the membership that was just committed to the members it removed, once. As long as they
-// do not have it they campaign, which the pre-vote makes harmless.
+// notifyRemoved sends the entry of the membership that was just committed to the members that it removes. It sends it only
+// once. A removed member that does not receive it starts elections, but the pre-vote keeps them from interrupting the group.
 func (n *Node) notifyRemoved() {
 	index := n.memberships.newestIndex()
 	beforeTerm, known := n.log.term(index - 1)
@@ -135,8 +135,8 @@
 	}
 }
 
-// stepDownAfterRemoval ends the leadership of a member that does not vote in the committed membership, and has the voter with
-// the longest log campaign.
+// stepDownAfterRemoval ends the leadership of a member that is no voter of the committed membership. It first asks the voter
+// that has the most entries on disk to campaign.
 func (n *Node) stepDownAfterRemoval() {
 	n.broadcastHeartbeat(periodicHeartbeat)
 	var successor *progress
@@ -151,7 +151,8 @@
 	n.becomeFollower(n.term, None)
 }
 
-// tickLeader does what is due at a leader.
+// tickLeader gives up a leadership transfer at its deadline, steps down without a quorum, and sends the heartbeats that are
+// due.
 func (n *Node) tickLeader() {
 	leadership := &n.leadership
 	if leadership.transferee != None && n.now >= leadership.transferDeadline {
@@ -169,8 +170,7 @@
 	n.sendRequestedConfirmation()
 }
 
-// lostQuorum reports whether no quorum has responded for an election timeout, after which a leader steps down (section
-// 6.2).
+// lostQuorum reports whether no quorum has responded for an election timeout. A leader steps down then (section 6.2).
 func (n *Node) lostQuorum() bool {
 	if n.now < n.leadership.stallGraceUntil {
 		return false
@@ -178,9 +178,9 @@
 	return n.now-n.quorumTime(func(peer *progress) time.Duration { return peer.lastContact }) >= n.config.ElectionTimeout
 }
 
-// startStallGrace gives members time to respond to new heartbeats after this process has stalled: their responses to earlier
-// ones may not be read yet. It does so only once until a quorum has responded: otherwise a process that stalls repeatedly
-// would lead forever while it is partitioned.
+// startStallGrace gives members time to respond to new heartbeats after this process has stalled, because it may not have
+// read their responses to earlier heartbeats yet. It gives this time only once until a quorum has responded: otherwise a
+// process that stalls repeatedly would remain leader forever while it is partitioned.
 func (n *Node) startStallGrace() {
 	n.leadership.nextHeartbeatAt = n.now
 	if n.quorumTime(func(peer *progress) time.Duration { return peer.lastContact }) < n.leadership.stallGraceAt {
--- a/internal/cluster/consensus/leader_test.go
+++ b/internal/cluster/consensus/leader_test.go
@@ -7,6 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
+// After a stall, a leader gives the members time to respond before it steps down. If it gave this time after every stall, a
+// partitioned leader whose process stalls repeatedly would never step down.
 var _ = ginkgo.Describe("a leader whose process stalls repeatedly", func() {
 	var g *group
 	var leader *testMember
@@ -15,7 +17,7 @@
 		leader = g.elect(1)
 	})
 
-	// stall has the leader tick only at intervals that count as stalls.
+	// stall lets the clock advance, a number of times, by more than half an election timeout without an input to the leader.
 	stall := func(times int) {
 		for range times {
 			g.now += electionTimeout/2 + heartbeatInterval
@@ -25,7 +27,7 @@
 		}
 	}
 
-	ginkgo.It("leads on while members respond", func() {
+	ginkgo.It("remains the leader while members respond", func() {
 		stall(20)
 		Expect(leader.Status().IsLeader).To(BeTrue())
 	})
--- a/internal/cluster/consensus/leadership_transfer.go
+++ b/internal/cluster/consensus/leadership_transfer.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// TransferLeadership transfers the leadership to another voter as soon as that has the complete log (section 3.10). Until
-// then proposals are refused. The transfer is given up after an election timeout and the time that disks need for votes,
-// and this member leads on; Status().Transferee is the target meanwhile. It returns ErrNotLeader if this member does not
-// lead and ErrUnknownMember if the target is not another voter, or is leaving by a joint membership.
+// TransferLeadership transfers the leadership to another voter as soon as that has the complete log on disk (section 3.10).
+// During the transfer this member refuses proposals, and Status().Transferee is the target. After an election timeout and the
+// time that disks need for the votes, this member gives up the transfer and remains the leader. TransferLeadership returns
+// ErrNotLeader if this member does not lead. It returns ErrUnknownMember if the target is not another voter, or is not a
+// voter of the incoming configuration of a joint membership.
 func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
 	n.advanceClock(now)
 	if n.role != roleLeader {
@@ -25,8 +26,8 @@
 	return nil
 }
 
-// maybeFinishTransfer has the transferee campaign if it has the complete log on disk. It ends a transfer to a member that no
-// longer votes, or is leaving.
+// maybeFinishTransfer asks the transferee to campaign if it has the complete log on disk. It ends a transfer to a member that
+// no longer votes, or that loses its vote in the joint change under way.
 func (n *Node) maybeFinishTransfer() {
 	if n.leadership.transferee == None {
 		return
--- a/internal/cluster/consensus/leadership_transfer_test.go
+++ b/internal/cluster/consensus/leadership_transfer_test.go
@@ -13,14 +13,14 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("makes a member that has caught up the leader at once", func() {
+	ginkgo.It("makes a member that has the complete log the leader at once", func() {
 		Expect(leader.TransferLeadership(g.now, 2)).To(Succeed())
 		g.deliverAll()
 		Expect(g.member(2).Status().Ready).To(BeTrue())
 		Expect(leader.Status().IsLeader).To(BeFalse())
 	})
 
-	ginkgo.It("waits until the transferee has caught up, and refuses proposals meanwhile", func() {
+	ginkgo.It("waits until the transferee has the complete log, and the leader refuses proposals until then", func() {
 		g.drop = fromOrTo(2)
 		g.propose(leader, "a")
 		g.deliverAll()
--- a/internal/cluster/consensus/learner_test.go
+++ b/internal/cluster/consensus/learner_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = ginkgo.Describe("a learner", func() {
-	ginkgo.It("receives only what is committed, and that at once", func() {
+	ginkgo.It("receives committed entries at once, and no others", func() {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		leader := g.elect(1)
 		g.drop = ofKind(MessageAppendResponse)
@@ -23,7 +23,7 @@
 		Expect(g.member(4).log.last()).To(Equal(leader.log.last()))
 	})
 
-	ginkgo.It("does not campaign, not even when a leader asks it to", func() {
+	ginkgo.It("does not campaign, even if a leader asks it to", func() {
 		g := newGroup(append(memberList(1, 2, 3), learner(4))...)
 		g.elect(1)
 		g.drop = func(Message) bool { return true }
--- a/internal/cluster/consensus/linearizable_test.go
+++ b/internal/cluster/consensus/linearizable_test.go
@@ -10,13 +10,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// operation is a client's operation on the register: a write, or else a read.
+// operation is a client's operation on the register: a write of value, or a read.
 type operation struct {
 	isWrite bool
 	value   uint64
 }
 
-// registerModel is the sequential specification of the register: a read returns the newest value written.
+// registerModel is the sequential specification of the register: a read returns the value of the last write before it.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -28,18 +28,18 @@
 	},
 }
 
-// clients use the register of a group, each one operation at a time, at a random member that believes it leads.
+// clients use the register of a group. Each client has one operation at a time, at a random member that believes it leads.
 type clients struct {
 	world   *world
-	until   time.Duration
-	value   uint64
-	history []porcupine.Operation
+	until   time.Duration         // when clients stop starting operations, in the world's time
+	value   uint64                // newest value that a client has written; all written values differ
+	history []porcupine.Operation // finished operations, and writes of unknown outcome
 }
 
 // clientTimeout is how long a client waits for a response.
 const clientTimeout = 300 * time.Millisecond
 
-// scheduleNext schedules a client's next operation.
+// scheduleNext schedules the next operation of a client.
 func (c *clients) scheduleNext(client int) {
 	c.world.after(5*time.Millisecond+c.world.randomUpTo(60*time.Millisecond), func() {
 		if c.world.now >= c.until {
@@ -58,7 +58,8 @@
 	})
 }
 
-// write proposes a value. Without a response until the timeout its outcome is unknown: it may still be committed.
+// write proposes a value. If the entry is not committed within clientTimeout, the outcome of the write is unknown: it may
+// still be committed.
 func (c *clients) write(client int, m *machine) {
 	c.value++
 	value := c.value
@@ -84,7 +85,8 @@
 	})
 }
 
-// read returns the value of the state machine once the leadership is confirmed at the time of the request or later.
+// read reads the value of the state machine once the member's leadership is confirmed at or after the time of the request. A
+// read without a confirmation within clientTimeout is left out of the history.
 func (c *clients) read(client int, m *machine) {
 	requestedAt, localRequestedAt, incarnation, term := c.world.now, m.clock(), m.incarnation, m.node.term
 	m.node.ConfirmLeadership(localRequestedAt)
@@ -104,23 +106,24 @@
 	poll()
 }
 
-// finish records the response to an operation, and goes on with the next one.
+// finish records the response to an operation, and schedules the next operation of the client.
 func (c *clients) finish(client int, input operation, requestedAt time.Duration, output any) {
 	c.history = append(c.history, porcupine.Operation{ClientId: client, Input: input, Call: int64(requestedAt), Output: output,
 		Return: int64(c.world.now)})
 	c.scheduleNext(client)
 }
 
-// finishUnknown records a write of unknown outcome: it may take effect at any later time, so it returns after everything
-// else. Since a client of the model has one operation at a time, it is recorded under a client ID of its own.
+// finishUnknown records a write of unknown outcome. It may take effect at any later time, so its recorded end is later than
+// that of all other operations. A client of the model has one operation at a time, so the write gets a separate client ID.
 func (c *clients) finishUnknown(client int, input operation, requestedAt time.Duration) {
 	c.history = append(c.history, porcupine.Operation{ClientId: client + 1000*len(c.history), Input: input,
 		Call: int64(requestedAt), Return: int64(time.Hour)})
 	c.scheduleNext(client)
 }
 
-// playRegister runs a group with faults while clients use its register, and checks that their history is linearizable.
-func playRegister(seed uint64) error {
+// runRegister runs a group under random faults while four clients use its register, and checks that their history is
+// linearizable.
+func runRegister(seed uint64) error {
 	w := newWorld(seed, 3, 1)
 	n := newNemesis(w, 3, 2*time.Second)
 	n.noProposals = true
@@ -131,13 +134,15 @@
 	if err := n.healAndVerify(); err != nil {
 		return err
 	}
-	w.run(w.now + 2*clientTimeout) // until all operations have ended or timed out
+	w.run(w.now + 2*clientTimeout) // all operations end or time out
 	if porcupine.CheckOperationsTimeout(registerModel, users.history, 10*time.Second) != porcupine.Ok {
-		return errors.New("the register's history is not linearizable")
+		return errors.New("the history of the register is not linearizable, or porcupine took more than 10 s to check it")
 	}
 	return nil
 }
 
-var _ = ginkgo.It("serves a register linearizably while faults are injected", func() {
-	Expect(playSeeds(300, playRegister)).To(BeEmpty())
+// This spec guards against stale reads and lost writes: for example a leader that answers a read during a partition, after the
+// other members have elected another leader and committed a write.
+var _ = ginkgo.It("a group serves a linearizable register under random faults", func() {
+	Expect(runSeeds(300, runRegister)).To(BeEmpty())
 })
--- a/internal/cluster/consensus/log.go
+++ b/internal/cluster/consensus/log.go
@@ -1,23 +1,23 @@
 package consensus
 
-// entryOverheadBytes is the approximate size of an entry on the wire besides its data.
+// entryOverheadBytes is the approximate size in bytes of an encoded entry without its data.
 const entryOverheadBytes = 24
 
-// entryLog is the part of the log in memory: all entries after base. Slices of it are returned to callers and sent in
-// messages, so entries are never overwritten in place.
+// entryLog is the part of the log in memory: all entries after base. Outputs and messages contain slices of it, so entries
+// are never overwritten in place.
 type entryLog struct {
 	base       uint64 // last index that was compacted or replaced by a snapshot
-	baseTerm   uint64
+	baseTerm   uint64 // term of the entry at base
 	entries    []Entry
-	lastOutput uint64 // last index that was output to be written
+	lastOutput uint64 // last index that Output has returned in Entries, or that a snapshot covers
 }
 
-// last returns the index of the newest entry.
+// last returns the index of the newest entry, or base if there is none.
 func (l *entryLog) last() uint64 {
 	return l.base + uint64(len(l.entries))
 }
 
-// lastTerm returns the term of the newest entry.
+// lastTerm returns the term of the newest entry, or baseTerm if there is none.
 func (l *entryLog) lastTerm() uint64 {
 	if len(l.entries) == 0 {
 		return l.baseTerm
@@ -25,7 +25,7 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term returns the term of the entry at an index, and false if the log does not have it (any more).
+// term returns the term of the entry at an index, and false if the entry is compacted or was never in the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -36,13 +36,14 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// matches reports whether the log has an entry with that index and term.
+// matches reports whether the log has an entry with that index and term, which may be the one at base.
 func (l *entryLog) matches(index, term uint64) bool {
 	found, known := l.term(index)
 	return known && found == term
 }
 
-// between returns the entries after `after` up to and including `to`, both of which must be within the log.
+// between returns the entries after index after, up to and including index to. Neither index may be before base or after
+// the last entry.
 func (l *entryLog) between(after, to uint64) []Entry {
 	if to <= after {
 		return nil
@@ -51,8 +52,8 @@
 	return l.entries[start:end:end]
 }
 
-// batch returns the entries after `after` up to and including `to`, as many as fit into about maxBytes, but at least one if
-// there is any.
+// batch returns the entries after index after, up to and including index to at most: as many as fit into about maxBytes,
+// but at least one if there is any.
 func (l *entryLog) batch(after, to uint64, maxBytes int) []Entry {
 	rest := l.between(after, to)
 	size := 0
@@ -65,7 +66,7 @@
 	return rest
 }
 
-// bytesAfter returns the approximate size of the entries after an index, which must not be before the log's base.
+// bytesAfter returns the approximate size in bytes of the entries after an index, which must not be before base.
 func (l *entryLog) bytesAfter(index uint64) int {
 	size := 0
 	for _, entry := range l.between(index, l.last()) {
@@ -79,12 +80,13 @@
 	l.entries = append(l.entries, entry)
 }
 
-// truncateAndAppend drops all entries from the index of the first given one on, and appends the given ones.
+// truncateAndAppend drops all entries from the index of the first given entry on, and appends the given entries. There must
+// be at least one, after base and without a gap.
 func (l *entryLog) truncateAndAppend(entries []Entry) {
 	first := entries[0].Index
 	keep := int(first - l.base - 1)
 	if keep < len(l.entries) {
-		l.entries = l.entries[:keep:keep] // the capacity makes the next append allocate
+		l.entries = l.entries[:keep:keep] // limits the capacity: the next append allocates and overwrites nothing
 	}
 	l.entries = append(l.entries, entries...)
 	l.lastOutput = min(l.lastOutput, first-1)
@@ -101,13 +103,14 @@
 	l.base, l.baseTerm = index, term
 }
 
-// reset replaces the complete log by a snapshot.
+// reset replaces the complete log by a snapshot, whose last entry has this index and term.
 func (l *entryLog) reset(index, term uint64) {
 	*l = entryLog{base: index, baseTerm: term, lastOutput: index}
 }
 
-// findAgreement returns the newest index up to `from` whose term is not greater than `term`: the newest at which this log may
-// agree with another whose entry at `from` has that term.
+// findAgreement returns the newest index at which this log may agree with another log that has an entry of the given term at
+// index from. Terms never decrease within a log, so it is the newest index up to from whose term is not greater than term.
+// The search ends at base.
 func (l *entryLog) findAgreement(from, term uint64) uint64 {
 	index := min(from, l.last())
 	for index > l.base {
--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// write is an Output that waits for the disk, or a snapshot that the machine took of its own state.
+// write is data that waits for the disk: an Output, or a snapshot that the machine took of its own state machine.
 type write struct {
 	output Output
-	local  *Snapshot // not nil: a snapshot that the machine took of its state, and no output
+	local  *Snapshot // the machine's own snapshot; nil: the write is output
 }
 
-// disk is what survives a crash.
+// disk is the state of a machine that survives a crash.
 type disk struct {
 	hardState HardState
 	snapshot  *Snapshot
@@ -72,11 +72,11 @@
 	d.entries = d.entries[keep:len(d.entries):len(d.entries)]
 }
 
-// register is the state machine: one number that commands set, and a hash over all entries that were applied.
+// register is the state machine: one number that commands set, and a hash of all entries that were applied.
 type register struct {
-	index uint64
-	hash  uint64
-	value uint64
+	index uint64 // of the last applied entry
+	hash  uint64 // of all entries up to index
+	value uint64 // that the last command set
 }
 
 // apply applies the next entry.
@@ -88,7 +88,7 @@
 	}
 }
 
-// encode encodes the register with padding, so that a snapshot is sent in several chunks.
+// encode encodes the register in 100 bytes, of which 76 are padding, so that a snapshot needs several chunks.
 func (r *register) encode() []byte {
 	data := make([]byte, 100)
 	binary.BigEndian.PutUint64(data, r.index)
@@ -97,7 +97,7 @@
 	return data
 }
 
-// decodeRegister decodes what encode encoded.
+// decodeRegister decodes the result of encode. For less than 24 bytes it returns an empty register.
 func decodeRegister(data []byte) register {
 	if len(data) < 24 {
 		return register{}
@@ -109,32 +109,32 @@
 	}
 }
 
-// machine runs one Node as the package comment demands: a disk that takes its time to sync, a clock with its own zero, and a
-// process that can crash, freeze and lose its disk.
+// machine runs one Node as the package comment requires. It simulates a disk that takes time to sync, a clock with its own
+// zero, and a process that can crash, freeze and lose its disk.
 type machine struct {
 	world       *world
 	index       int
 	name        string
 	id          MemberID
 	disk        disk
-	incarnation int // number of the present process among all of this machine
-	up          bool
-	frozen      bool
-	clockOffset time.Duration // the world's time less this machine's steady time
+	incarnation int           // number of processes that this machine has started; events of earlier ones have no effect
+	up          bool          // a process runs
+	frozen      bool          // the process is stopped, and its messages wait in inbox
+	clockOffset time.Duration // the world's time minus the time of this machine's clock
 	node        *Node
 	state       register
-	writes      []write // not on disk yet, oldest first
-	syncing     bool
-	inbox       []Message               // arrived while the process was frozen
+	writes      []write                 // not on disk yet, oldest first
+	syncing     bool                    // a sync is under way
+	inbox       []Message               // messages that arrived while the process was frozen
 	commitHooks []func(committed Entry) // called with each entry that is applied
 }
 
-// clock returns this machine's steady time.
+// clock returns the time of this machine's monotonic clock.
 func (m *machine) clock() time.Duration {
 	return m.world.now - m.clockOffset
 }
 
-// start starts a process from the disk, unless one runs.
+// start starts a process from the state on the disk, unless one is running.
 func (m *machine) start() {
 	if m.up {
 		return
@@ -154,7 +154,7 @@
 	m.scheduleTick()
 }
 
-// apply carries out a write, and checks the entries that are on the disk then.
+// apply carries out a write, and checks log matching for the entries that it writes.
 func (m *machine) apply(item write) {
 	m.disk.apply(item)
 	if entries := item.output.Entries; len(entries) > 0 && item.local == nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// crash ends the process. A random prefix of the writes that were not synced is on the disk, the next one may be torn.
+// crash ends the process. A random prefix of the unsynced writes is on the disk, and the next write may be torn.
 func (m *machine) crash() {
 	if !m.up {
 		return
@@ -181,7 +181,7 @@
 	m.writes = nil
 }
 
-// tear carries out the beginning of a write: the hard state, and some of the entries.
+// tear carries out a part of a write: the hard state and some of the entries. It writes nothing of a snapshot.
 func (m *machine) tear(item write) {
 	if item.local != nil || item.output.Snapshot != nil {
 		return
@@ -192,21 +192,21 @@
 	m.apply(item)
 }
 
-// wipe crashes the process and replaces the disk by an empty one, and so the identity by a new one.
+// wipe crashes the process and replaces the disk by an empty one. The machine gets a new member ID.
 func (m *machine) wipe() {
 	m.crash()
 	m.disk = disk{}
 	m.id = m.world.newID()
 }
 
-// freeze stops the process until it is thawed. Its disk goes on.
+// freeze stops the process until thaw. A sync that is under way ends only after that.
 func (m *machine) freeze() {
 	if m.up {
 		m.frozen = true
 	}
 }
 
-// thaw lets a frozen process go on, with a tick or with the messages that arrived meanwhile.
+// thaw resumes a frozen process. Its node first ticks or first receives the messages that have arrived, at random.
 func (m *machine) thaw() {
 	if !m.up || !m.frozen {
 		return
@@ -224,7 +224,7 @@
 	m.scheduleTick()
 }
 
-// scheduleTick calls Tick at the node's deadline, or at a random time.
+// scheduleTick schedules calls of Tick, each at the node's deadline or at a random time.
 func (m *machine) scheduleTick() {
 	incarnation := m.incarnation
 	wait := m.node.NextDeadline() - m.clock()
@@ -242,7 +242,7 @@
 	})
 }
 
-// receive passes a message to the node, now or once the process is thawed.
+// receive passes a message to the node: at once, or after thaw if the process is frozen.
 func (m *machine) receive(message Message) {
 	if !m.up || m.id != message.To {
 		return
@@ -255,7 +255,7 @@
 	m.processOutput()
 }
 
-// processOutput carries out the node's output, and starts what does not come from it: snapshots and syncs.
+// processOutput carries out the node's output. It also sends and takes snapshots that are needed, and starts a sync.
 func (m *machine) processOutput() {
 	for m.node.HasOutput() {
 		output := m.node.Output()
@@ -280,7 +280,7 @@
 	return output.HardState != nil || output.Snapshot != nil || len(output.Entries) > 0 || len(output.Deferred) > 0
 }
 
-// install replaces the state machine by a snapshot, unless that is nil.
+// install replaces the state machine by a snapshot. It does nothing if the snapshot is nil.
 func (m *machine) install(snapshot *Snapshot) {
 	if snapshot == nil {
 		return
@@ -289,7 +289,7 @@
 	m.world.invariants.checkSnapshot(m, snapshot)
 }
 
-// applyCommitted applies committed entries.
+// applyCommitted checks committed entries, applies them, and calls the hooks with them.
 func (m *machine) applyCommitted(entries []Entry) {
 	for _, entry := range entries {
 		m.world.invariants.checkCommitted(m, entry)
@@ -300,20 +300,20 @@
 	}
 }
 
-// sendSnapshots sends a snapshot to the members that need one.
+// sendSnapshots begins to send a snapshot to each member that needs one.
 func (m *machine) sendSnapshots() {
 	for _, id := range m.node.MembersNeedingSnapshot() {
 		m.node.SendSnapshot(m.clock(), id, m.snapshot())
 	}
 }
 
-// snapshot returns a snapshot of the state machine as it is now.
+// snapshot returns a snapshot of the current state machine.
 func (m *machine) snapshot() Snapshot {
 	term, _ := m.node.log.term(m.state.index)
 	return Snapshot{Index: m.state.index, Term: term, Members: m.node.MembersAt(m.state.index), Data: m.state.encode()}
 }
 
-// maybeTakeSnapshot writes a snapshot once the log has 15 applied entries, unless one is being written.
+// maybeTakeSnapshot queues a snapshot to be written once the log has 15 applied entries, unless one is queued.
 func (m *machine) maybeTakeSnapshot() {
 	if m.state.index < m.node.log.base+15 {
 		return
@@ -327,7 +327,7 @@
 	m.writes = append(m.writes, write{local: &snapshot})
 }
 
-// startSync begins to sync all writes that wait, unless a sync is under way.
+// startSync begins to sync all queued writes, unless a sync is under way.
 func (m *machine) startSync() {
 	if m.syncing || len(m.writes) == 0 {
 		return
@@ -341,7 +341,8 @@
 	m.world.after(duration, func() { m.finishSync(incarnation, count) })
 }
 
-// finishSync ends the sync of the oldest count writes: they are on disk, and what waited for them is done.
+// finishSync ends the sync of the oldest count writes. They are then on disk, so it sends the messages that waited for them,
+// calls Persisted, and compacts the log behind a snapshot.
 func (m *machine) finishSync(incarnation, count int) {
 	if !m.up || m.incarnation != incarnation {
 		return
@@ -360,7 +361,7 @@
 			last = entries[len(entries)-1]
 		}
 		if item.local != nil {
-			m.node.Compact(item.local.Index - min(item.local.Index, 5)) // members a little behind need no snapshot
+			m.node.Compact(item.local.Index - min(item.local.Index, 5)) // members that lag by up to 5 entries need no snapshot
 		}
 		for _, message := range item.output.Deferred {
 			m.world.send(m, message)
--- a/internal/cluster/consensus/membership_change.go
+++ b/internal/cluster/consensus/membership_change.go
@@ -8,19 +8,22 @@
 
 // ProposeMembers proposes a new membership. The members must have no Transition.
 //
-// If at most one voter is added or removed, the membership itself is appended to the log: any majorities of two sets of
-// voters that differ by one have a member in common (section 4.1). Learners and addresses may change with it without limit.
-// Otherwise a joint membership is appended, which needs majorities both of the voters before the change and of those after
-// it (section 4.3); once that is committed, this leader or the next one proposes the final membership by itself. So the
-// replacement of a voter is one change, during which the group tolerates every failure that it tolerated before.
+// If at most one voter is added or removed, the leader appends the membership itself to the log: any majorities of two sets
+// of voters that differ by one have a member in common (section 4.1). Any number of learners and addresses may change with
+// it.
 //
-// Either is in force as soon as it is in the log. Until the last one is committed Status().ChangePending is set and other
-// changes are refused with ErrChangePending. A change whose first entry is truncated has not happened.
+// Otherwise the leader appends a joint membership, which needs majorities both of the voters before the change and of the
+// voters after it (section 4.3). Once that is committed, this leader or the next one appends the final membership without
+// another call. So the replacement of a voter is one change, during which the group tolerates every failure that it
+// tolerated before.
 //
-// A leader that does not vote in the new membership leads on until that is committed by a quorum which does not count
-// it, then steps down and has the voter with the longest log campaign.
+// Each of these memberships is effective as soon as it is in the log. Until the last one is committed, Status().ChangePending
+// is true and other changes are refused with ErrChangePending. A change has no effect if its first entry is truncated.
 //
-// It returns ErrNotLeader, ErrChangePending, ErrNotReady or ErrChangeRefused.
+// A leader that is no voter of the new membership remains leader until a quorum without it has committed the membership.
+// It then steps down, and asks the voter that has the most entries on disk to campaign.
+//
+// ProposeMembers returns ErrNotLeader, ErrChangePending, ErrNotReady or ErrChangeRefused.
 func (n *Node) ProposeMembers(now time.Duration, members []Member) error {
 	n.advanceClock(now)
 	if n.role != roleLeader || n.leadership.transferee != None {
@@ -32,27 +35,28 @@
 	if !n.isReady() {
 		return ErrNotReady
 	}
-	first, err := FirstMembers(n.memberships.current(), members)
+	first, err := FirstStepMembers(n.memberships.current(), members)
 	if err != nil {
 		return err
 	}
 	return n.appendMembership(first)
 }
 
-// changePending reports whether a change of the membership is under way.
+// changePending reports whether the current membership is uncommitted or joint.
 func (n *Node) changePending() bool {
 	return n.memberships.newestIndex() > n.commit || IsJoint(n.memberships.current())
 }
 
-// FirstMembers returns the first membership that is appended to the log for a change from present to next: the joint
-// membership of both if their voters differ by more than one, else next itself. Its error is ErrChangeRefused.
-func FirstMembers(present, next []Member) ([]Member, error) {
+// FirstStepMembers returns the membership that ProposeMembers appends to the log for a change from present to next: the joint
+// membership of both if their voters differ by more than one, else next itself. It returns ErrChangeRefused if next is not
+// well formed or equals present.
+func FirstStepMembers(present, next []Member) ([]Member, error) {
 	if err := validateMembers(next); err != nil {
 		return nil, err
 	}
 	switch diff := diffMembers(present, next); {
 	case diff.members == 0:
-		return nil, errors.Wrap(ErrChangeRefused, "nothing changes")
+		return nil, errors.Wrap(ErrChangeRefused, "the proposed membership equals the current one")
 	case diff.voters <= 1:
 		return next, nil
 	default:
@@ -60,29 +64,29 @@
 	}
 }
 
-// validateMembers returns an error if a membership is not well formed, or is joint.
+// validateMembers returns ErrChangeRefused if a membership is not well formed, or is joint.
 func validateMembers(members []Member) error {
 	if countVoters(members) == 0 {
-		return errors.Wrap(ErrChangeRefused, "no voter is left")
+		return errors.Wrap(ErrChangeRefused, "the proposed membership has no voter")
 	}
 	for position, member := range members {
 		if member.ID == None {
-			return errors.Wrap(ErrChangeRefused, "a member has no identity")
+			return errors.Wrap(ErrChangeRefused, "a proposed member has no ID")
 		}
 		if _, duplicate := findMember(members[:position], member.ID); duplicate {
-			return errors.Wrap(ErrChangeRefused, "a member is listed twice")
+			return errors.Wrap(ErrChangeRefused, "two proposed members have the same ID")
 		}
 		if member.Transition != TransitionNone {
-			return errors.Wrap(ErrChangeRefused, "the membership is joint")
+			return errors.Wrap(ErrChangeRefused, "a proposed member has a Transition")
 		}
 	}
 	return nil
 }
 
-// memberDiff is by how many members two memberships differ.
+// memberDiff counts the differences between two memberships.
 type memberDiff struct {
-	members int // added, removed or changed in any way
-	voters  int // that vote in only one of the two
+	members int // members that are added, removed or changed in any way
+	voters  int // members that vote in only one of the two
 }
 
 // diffMembers compares two memberships that are not joint. The order of members does not matter.
@@ -108,8 +112,8 @@
 	return diff
 }
 
-// jointMembers returns the membership whose outgoing configuration is the voters of present and whose incoming one is those
-// of next. Learners and addresses are those of next.
+// jointMembers returns the joint membership from present to next: the outgoing configuration is the voters of present, the
+// incoming one is the voters of next. Learners and addresses are those of next.
 func jointMembers(present, next []Member) []Member {
 	joint := make([]Member, 0, len(present)+len(next))
 	for _, member := range next {
@@ -133,7 +137,8 @@
 	return joint
 }
 
-// FinalMembers returns the membership to which a joint one leads; for one that is not joint, an equal one.
+// FinalMembers returns the membership that replaces a joint one at the end of the change. For a membership that is not joint
+// it returns a copy.
 func FinalMembers(members []Member) []Member {
 	final := make([]Member, 0, len(members))
 	for _, member := range members {
@@ -149,8 +154,8 @@
 	return final
 }
 
-// appendMembership appends a membership to the log, which puts it in force. It is sent while the members before the change
-// are still tracked, so that those it removes receive it too.
+// appendMembership appends a membership to the log, which makes it effective. It sends the entry before it updates peers, so
+// that the members that the change removes receive it too.
 func (n *Node) appendMembership(members []Member) error {
 	data, err := EncodeMembers(members)
 	if err != nil {
@@ -165,8 +170,8 @@
 	return nil
 }
 
-// finishJointChange proposes the final membership in place of a joint one that is committed. An entry of this leader's own
-// term must be committed as well, so that no member can be elected any more whose log lacks either of them.
+// finishJointChange appends the final membership in place of a joint one that is committed. An entry of this leader's own
+// term must be committed as well: then no member whose log lacks either entry can be elected any more.
 func (n *Node) finishJointChange() {
 	members := n.memberships.current()
 	if n.role != roleLeader || n.leadership.transferee != None || !IsJoint(members) {
@@ -175,5 +180,5 @@
 	if n.memberships.newestIndex() > n.commit || n.commit < n.leadership.termStartIndex {
 		return
 	}
-	_ = n.appendMembership(FinalMembers(members)) // fails only if members can't be encoded, and these were encoded before
+	_ = n.appendMembership(FinalMembers(members)) // it fails only if members can't be encoded, and these have been
 }
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// changeKind is how a change of the membership begins.
+// changeKind is the way in which a change of the membership begins.
 type changeKind int
 
 const (
@@ -16,10 +16,10 @@
 	jointChange
 )
 
-var _ = ginkgo.DescribeTable("the first membership of a change from voters 1 to 3 and learner 4",
+var _ = ginkgo.DescribeTable("a change from voters 1 to 3 and learner 4",
 	func(next []Member, expected changeKind) {
 		present := append(memberList(1, 2, 3), learner(4))
-		first, err := FirstMembers(present, next)
+		first, err := FirstStepMembers(present, next)
 		if expected == refusedChange {
 			Expect(err).To(MatchError(ErrChangeRefused))
 			return
@@ -34,31 +34,31 @@
 		Expect(votersOf(first, outgoingConfig)).To(ConsistOf(MemberID(1), MemberID(2), MemberID(3)))
 		Expect(votersOf(first, incomingConfig)).To(ConsistOf(votersOf(next, incomingConfig)))
 	},
-	ginkgo.Entry("a voter added", append(memberList(1, 2, 3, 5), learner(4)), simpleChange),
-	ginkgo.Entry("a voter removed", append(memberList(1, 3), learner(4)), simpleChange),
-	ginkgo.Entry("a learner added", append(memberList(1, 2, 3), learner(4), learner(5)), simpleChange),
-	ginkgo.Entry("a learner removed", memberList(1, 2, 3), simpleChange),
-	ginkgo.Entry("a learner promoted", memberList(1, 2, 3, 4), simpleChange),
-	ginkgo.Entry("a voter demoted", append(memberList(1, 2), learner(3), learner(4)), simpleChange),
-	ginkgo.Entry("an address changed", append(memberList(1, 2), Member{ID: 3, Address: "a"}, learner(4)), simpleChange),
-	ginkgo.Entry("another order", append([]Member{learner(4), {ID: 5}}, memberList(3, 2, 1)...), simpleChange),
-	ginkgo.Entry("two learners added", append(memberList(1, 2, 3), learner(4), learner(5), learner(6)), simpleChange),
-	ginkgo.Entry("a voter removed and a learner replaced", append(memberList(1, 2), learner(5)), simpleChange),
-	ginkgo.Entry("nothing", append(memberList(1, 2, 3), learner(4)), refusedChange),
-	ginkgo.Entry("nothing, in another order", append([]Member{learner(4)}, memberList(3, 2, 1)...), refusedChange),
-	ginkgo.Entry("a voter replaced by a new member", append(memberList(1, 2, 5), learner(4)), jointChange),
-	ginkgo.Entry("a voter replaced by the learner", memberList(1, 2, 4), jointChange),
-	ginkgo.Entry("a voter and the learner exchanged", append(memberList(1, 2, 4), learner(3)), jointChange),
-	ginkgo.Entry("two voters added", append(memberList(1, 2, 3, 5, 6), learner(4)), jointChange),
-	ginkgo.Entry("two voters removed", append(memberList(1), learner(4)), jointChange),
-	ginkgo.Entry("two voters demoted", append(memberList(1), learner(2), learner(3), learner(4)), jointChange),
-	ginkgo.Entry("all voters replaced", memberList(5, 6, 7), jointChange),
-	ginkgo.Entry("a voter replaced and an address changed", append(memberList(1, 4), Member{ID: 2, Address: "a"}), jointChange),
-	ginkgo.Entry("a duplicate member", append(memberList(1, 2, 3, 3), learner(4)), refusedChange),
-	ginkgo.Entry("a member without identity", append(memberList(1, 2, 3, None), learner(4)), refusedChange),
-	ginkgo.Entry("no member", []Member{}, refusedChange),
-	ginkgo.Entry("no voter", []Member{learner(1), learner(4)}, refusedChange),
-	ginkgo.Entry("a joint membership", append(memberList(1, 2), Member{ID: 3, Transition: TransitionRemoved}), refusedChange),
+	ginkgo.Entry("that adds a voter is simple", append(memberList(1, 2, 3, 5), learner(4)), simpleChange),
+	ginkgo.Entry("that removes a voter is simple", append(memberList(1, 3), learner(4)), simpleChange),
+	ginkgo.Entry("that adds a learner is simple", append(memberList(1, 2, 3), learner(4), learner(5)), simpleChange),
+	ginkgo.Entry("that removes a learner is simple", memberList(1, 2, 3), simpleChange),
+	ginkgo.Entry("that promotes a learner is simple", memberList(1, 2, 3, 4), simpleChange),
+	ginkgo.Entry("that demotes a voter is simple", append(memberList(1, 2), learner(3), learner(4)), simpleChange),
+	ginkgo.Entry("that changes an address is simple", append(memberList(1, 2), Member{ID: 3, Address: "a"}, learner(4)), simpleChange),
+	ginkgo.Entry("that adds a voter is simple in any order of the members", append([]Member{learner(4), {ID: 5}}, memberList(3, 2, 1)...), simpleChange),
+	ginkgo.Entry("that adds two learners is simple", append(memberList(1, 2, 3), learner(4), learner(5), learner(6)), simpleChange),
+	ginkgo.Entry("that removes a voter and replaces a learner is simple", append(memberList(1, 2), learner(5)), simpleChange),
+	ginkgo.Entry("that changes nothing is refused", append(memberList(1, 2, 3), learner(4)), refusedChange),
+	ginkgo.Entry("that changes only the order of the members is refused", append([]Member{learner(4)}, memberList(3, 2, 1)...), refusedChange),
+	ginkgo.Entry("that replaces a voter by a new member is joint", append(memberList(1, 2, 5), learner(4)), jointChange),
+	ginkgo.Entry("that replaces a voter by the learner is joint", memberList(1, 2, 4), jointChange),
+	ginkgo.Entry("that exchanges a voter and the learner is joint", append(memberList(1, 2, 4), learner(3)), jointChange),
+	ginkgo.Entry("that adds two voters is joint", append(memberList(1, 2, 3, 5, 6), learner(4)), jointChange),
+	ginkgo.Entry("that removes two voters is joint", append(memberList(1), learner(4)), jointChange),
+	ginkgo.Entry("that demotes two voters is joint", append(memberList(1), learner(2), learner(3), learner(4)), jointChange),
+	ginkgo.Entry("that replaces all voters is joint", memberList(5, 6, 7), jointChange),
+	ginkgo.Entry("that replaces a voter and changes an address is joint", append(memberList(1, 4), Member{ID: 2, Address: "a"}), jointChange),
+	ginkgo.Entry("that lists a member twice is refused", append(memberList(1, 2, 3, 3), learner(4)), refusedChange),
+	ginkgo.Entry("that lists a member without an ID is refused", append(memberList(1, 2, 3, None), learner(4)), refusedChange),
+	ginkgo.Entry("that leaves no members is refused", []Member{}, refusedChange),
+	ginkgo.Entry("that leaves no voters is refused", []Member{learner(1), learner(4)}, refusedChange),
+	ginkgo.Entry("to a joint membership is refused", append(memberList(1, 2), Member{ID: 3, Transition: TransitionRemoved}), refusedChange),
 )
 
 // votersOf returns the voters of one configuration.
@@ -72,8 +72,8 @@
 	return voters
 }
 
-// threeToFour returns the joint membership in which voter 4 replaces voter 3.
-func threeToFour() []Member {
+// jointReplacing3By4 returns the joint membership in which learner 4 replaces voter 3 of three voters.
+func jointReplacing3By4() []Member {
 	return jointMembers(append(memberList(1, 2, 3), learner(4)), memberList(1, 2, 4))
 }
 
@@ -98,10 +98,10 @@
 		Expect(IsJoint(read)).To(BeFalse())
 	})
 
-	ginkgo.It("and joint ones are decoded as they were encoded", func() {
-		data, err := EncodeMembers(threeToFour())
+	ginkgo.It("are not the only ones: joint memberships are decoded as this version encodes them", func() {
+		data, err := EncodeMembers(jointReplacing3By4())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(DecodeMembers(data)).To(Equal(threeToFour()))
+		Expect(DecodeMembers(data)).To(Equal(jointReplacing3By4()))
 	})
 })
 
@@ -113,11 +113,11 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("replaces a lost voter in one change", func() {
+	ginkgo.It("replaces a lost voter by one call of ProposeMembers", func() {
 		g.drop = fromOrTo(3)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2, 4))).To(Succeed())
 		Expect(leader.Status().ChangePending).To(BeTrue())
-		Expect(leader.Status().Members).To(ConsistOf(threeToFour()))
+		Expect(leader.Status().Members).To(ConsistOf(jointReplacing3By4()))
 		g.deliverAll()
 		Expect(leader.Status().ChangePending).To(BeFalse())
 		for _, id := range []MemberID{1, 2, 4} {
@@ -158,7 +158,7 @@
 		leader = g.elect(1)
 	})
 
-	ginkgo.It("are in force when appended, and no longer when truncated", func() {
+	ginkgo.It("are effective once they are appended, and no longer once they are truncated", func() {
 		g.drop = fromOrTo(1)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		g.deliverAll()
@@ -170,7 +170,7 @@
 		Expect(leader.Status().Members).To(Equal(memberList(1, 2, 3)))
 	})
 
-	ginkgo.It("are made one at a time", func() {
+	ginkgo.It("are refused while an earlier one is not committed", func() {
 		g.drop = fromOrTo(1)
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		Expect(leader.ProposeMembers(g.now, memberList(1))).To(MatchError(ErrChangePending))
@@ -192,7 +192,7 @@
 		Expect(other.ProposeMembers(g.now, memberList(1, 2))).To(MatchError(ErrNotReady))
 	})
 
-	ginkgo.It("are sent to a removed member, which no longer campaigns then", func() {
+	ginkgo.It("are sent to a member that they remove, which no longer campaigns then", func() {
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		g.deliverAll()
 		Expect(g.member(3).Status().Members).To(Equal(memberList(1, 2)))
@@ -203,7 +203,7 @@
 		Expect(leader.Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("add a learner, and promote it", func() {
+	ginkgo.It("add a learner and promote it to a voter", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		fresh := g.add(4, Restored{})
@@ -218,7 +218,7 @@
 		Expect(isVoter(fresh.Status().Members, 4)).To(BeTrue())
 	})
 
-	ginkgo.It("do not count a learner", func() {
+	ginkgo.It("do not make a learner count towards a quorum", func() {
 		g.add(4, Restored{})
 		Expect(leader.ProposeMembers(g.now, append(memberList(1, 2, 3), learner(4)))).To(Succeed())
 		g.elapse(3 * heartbeatInterval)
@@ -229,7 +229,7 @@
 		Expect(leader.Status().Commit).To(Equal(before))
 	})
 
-	ginkgo.It("do not count learners, however many", func() {
+	ginkgo.It("do not make learners count towards a quorum, however many there are", func() {
 		next := append(memberList(1, 2, 3), learner(4), learner(5), learner(6))
 		for _, id := range []MemberID{4, 5, 6} {
 			g.add(id, Restored{})
@@ -250,7 +250,7 @@
 		Expect(leader.Status().Commit).To(Equal(before))
 	})
 
-	ginkgo.It("make a leader that removes itself step down once that is committed, and another lead soon", func() {
+	ginkgo.It("make a leader that they remove step down once they are committed, and another member leads soon after", func() {
 		g.drop = ofKind(MessageAppendResponse)
 		Expect(leader.ProposeMembers(g.now, memberList(2, 3))).To(Succeed())
 		g.deliverAll()
@@ -261,7 +261,7 @@
 		Expect(g.member(2).Status().Ready || g.member(3).Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("remain when the log before them is compacted", func() {
+	ginkgo.It("remain known when the log is compacted beyond their entries", func() {
 		Expect(leader.ProposeMembers(g.now, memberList(1, 2))).To(Succeed())
 		g.deliverAll()
 		g.propose(leader, "a")
@@ -271,8 +271,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a member that was removed without knowing it", func() {
-	ginkgo.It("does not disturb the others, and is not elected", func() {
+var _ = ginkgo.Describe("a member that has not received the change that removes it", func() {
+	ginkgo.It("does not interrupt the leader, and is not elected", func() {
 		g := newGroup(memberList(1, 2, 3, 4)...)
 		leader := g.elect(1)
 		g.drop = fromOrTo(4)
--- a/internal/cluster/consensus/membership_history.go
+++ b/internal/cluster/consensus/membership_history.go
@@ -1,17 +1,16 @@
 package consensus
 
-// membership is the members of the group from an index of the log on.
+// membership is the members of the group from an index of the log until the index of the next membership.
 type membership struct {
 	index   uint64
 	members []Member
 }
 
-// membershipHistory is the memberships in the log, oldest first, beginning with the one that was in force at the log's base.
-// The newest is in force as soon as it is appended (section 4.1), and the one before it is in force again if it is
-// truncated.
+// membershipHistory is the memberships in the log, oldest first. It begins with the membership as of the log's base. The
+// newest one is effective as soon as it is in the log (section 4.1). If it is truncated, the one before it is effective again.
 type membershipHistory []membership
 
-// current returns the membership in force.
+// current returns the newest membership, which is the effective one, or nil if there is none.
 func (h membershipHistory) current() []Member {
 	if len(h) == 0 {
 		return nil
@@ -19,7 +18,7 @@
 	return h[len(h)-1].members
 }
 
-// newestIndex returns the index of the entry that put the present membership in force.
+// newestIndex returns the index of the entry that contains the current membership, or 0 if there is none.
 func (h membershipHistory) newestIndex() uint64 {
 	if len(h) == 0 {
 		return 0
@@ -27,7 +26,7 @@
 	return h[len(h)-1].index
 }
 
-// at returns the membership as of an index, nil if that is before the history.
+// at returns the membership as of an index, or nil if the index is before the first membership.
 func (h membershipHistory) at(index uint64) []Member {
 	for position := len(h) - 1; position >= 0; position-- {
 		if h[position].index <= index {
@@ -37,8 +36,8 @@
 	return nil
 }
 
-// mayVote reports whether a member votes in the membership in force, or in one that is in force again if all entries after
-// the commit index are truncated.
+// mayVote reports whether a member votes in the current membership, or in an earlier one that may become effective again
+// because all memberships after it are uncommitted.
 func (h membershipHistory) mayVote(commit uint64, id MemberID) bool {
 	for position := len(h) - 1; position >= 0; position-- {
 		if isVoter(h[position].members, id) {
@@ -51,7 +50,7 @@
 	return false
 }
 
-// withEntries returns the history with the memberships among entries appended.
+// withEntries returns the history extended by the memberships among entries.
 func (h membershipHistory) withEntries(entries []Entry) membershipHistory {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
@@ -59,7 +58,7 @@
 		}
 		members, err := DecodeMembers(entry.Data)
 		if err != nil {
-			continue // leaders propose only what EncodeMembers has encoded
+			continue // not expected: leaders propose only what EncodeMembers has encoded
 		}
 		h = append(h, membership{index: entry.Index, members: members})
 	}
@@ -74,7 +73,7 @@
 	return h
 }
 
-// compacted returns the history without the memberships that were replaced at or before an index.
+// compacted returns the history without the memberships that a later one replaced at or before an index.
 func (h membershipHistory) compacted(index uint64) membershipHistory {
 	drop := 0
 	for drop+1 < len(h) && h[drop+1].index <= index {
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// nemesis injects random faults into a world, and does what clients and the operator of a group would do meanwhile: it
-// proposes commands, replaces lost disks and changes the membership. All of it is determined by the world's seed.
+// nemesis injects random faults into a world. At the same time it does the work of clients and of an operator: it proposes
+// commands, replaces members whose disks are lost, and changes the membership. The world's seed determines all of this.
 type nemesis struct {
 	world       *world
-	voters      int // how many the operator wants
-	until       time.Duration
+	voters      int               // number of voters that the operator wants
+	until       time.Duration     // when faults end, in the world's time
 	value       uint64            // of the newest proposal
-	acked       map[uint64]uint64 // by index, the term of proposals that were committed where they were made
-	noProposals bool              // proposes no commands: the test does
+	acked       map[uint64]uint64 // by index, the term of each proposal that was committed at the member that proposed it
+	noProposals bool              // propose no commands, because the test does
 }
 
-// randomConditions returns random conditions, some of them without loss, duplicates or stalls.
+// randomConditions returns random conditions. Each kind of fault is absent with some probability.
 func randomConditions(w *world) conditions {
 	chosen := conditions{
 		maxDelay: time.Millisecond + w.randomUpTo(8*time.Millisecond),
@@ -38,9 +38,9 @@
 	return chosen
 }
 
-// newNemesis begins to inject faults into a world for some time, and keeps the number of voters there.
-func newNemesis(w *world, voters int, length time.Duration) *nemesis {
-	n := &nemesis{world: w, voters: voters, until: w.now + length, acked: map[uint64]uint64{}}
+// newNemesis begins to inject faults into a world for duration, and keeps a number of voters in its group.
+func newNemesis(w *world, voters int, duration time.Duration) *nemesis {
+	n := &nemesis{world: w, voters: voters, until: w.now + duration, acked: map[uint64]uint64{}}
 	w.conditions = randomConditions(w)
 	n.repeat(3*time.Millisecond, 30*time.Millisecond, n.propose)
 	n.repeat(20*time.Millisecond, 40*time.Millisecond, n.reconcileMembers)
@@ -48,7 +48,7 @@
 	return n
 }
 
-// repeat calls a function at random intervals, without end.
+// repeat calls a function at random intervals until the world ends.
 func (n *nemesis) repeat(minInterval, maxInterval time.Duration, run func()) {
 	n.world.after(minInterval+n.world.randomUpTo(maxInterval-minInterval), func() {
 		run()
@@ -56,7 +56,7 @@
 	})
 }
 
-// scheduleFault injects one fault after another until the time is over.
+// scheduleFault injects one fault after another until the time n.until.
 func (n *nemesis) scheduleFault() {
 	n.world.after(10*time.Millisecond+n.world.randomUpTo(200*time.Millisecond), func() {
 		if n.world.now >= n.until {
@@ -67,7 +67,7 @@
 	})
 }
 
-// randomMachine returns a machine, often the leader's.
+// randomMachine returns the machine of the newest leader with probability 0.4, else any machine.
 func (n *nemesis) randomMachine() *machine {
 	if leader := n.world.newestLeader(); leader != nil && n.world.chance(0.4) {
 		return leader
@@ -75,7 +75,7 @@
 	return n.world.machines[n.world.random.IntN(len(n.world.machines))]
 }
 
-// injectFault injects one fault, which ends after a while.
+// injectFault injects one random fault. Partitions, crashes and freezes, among others, end after 10 to 610 ms.
 func (n *nemesis) injectFault() {
 	w := n.world
 	victim := n.randomMachine()
@@ -123,8 +123,8 @@
 	})
 }
 
-// partition cuts the links for which affects reports true, and restores them after a while. A link that another partition has
-// affected meanwhile is restored too.
+// partition cuts the links for which affects reports true, and restores them after duration, even if another partition has cut
+// some of them again.
 func (n *nemesis) partition(duration time.Duration, affects func(from, to int) bool) {
 	w := n.world
 	setPartitioned := func(partitioned bool) {
@@ -140,7 +140,7 @@
 	w.after(duration, func() { setPartitioned(false) })
 }
 
-// wipeDisk replaces a disk by an empty one, if the group tolerates the loss.
+// wipeDisk replaces a disk by an empty one, if the group tolerates the loss. The machine starts again after duration.
 func (n *nemesis) wipeDisk(victim *machine, duration time.Duration) {
 	if !n.toleratesWipe(victim) {
 		return
@@ -149,8 +149,9 @@
 	n.world.after(duration, victim.start)
 }
 
-// toleratesWipe reports whether the group tolerates the loss of one more disk: no change of the membership is under way
-// and all voters' disks are there, or the disk is of no voter.
+// toleratesWipe reports whether the group tolerates the loss of a machine's disk. There must be a ready leader of the newest
+// term, without a change of the membership under way. With at least three voters, no voter's disk may be lost already. With
+// fewer, the machine must not be a voter.
 func (n *nemesis) toleratesWipe(victim *machine) bool {
 	leader := n.world.readyLeader()
 	if leader == nil {
@@ -173,7 +174,8 @@
 	return true
 }
 
-// forbidCampaign forbids a member to campaign for a while, as for an unhealthy disk. A leader transfers its leadership.
+// forbidCampaign forbids a member to campaign for duration, as the caller does while a disk is unhealthy. If it leads, the
+// newest leader transfers its leadership.
 func (n *nemesis) forbidCampaign(victim *machine, duration time.Duration) {
 	victim.node.SetCampaignAllowed(false)
 	if victim.up && !victim.frozen && victim.node.role == roleLeader {
@@ -182,7 +184,7 @@
 	n.world.after(duration, func() { victim.node.SetCampaignAllowed(true) })
 }
 
-// transferLeadership has a leader transfer its leadership to a random member.
+// transferLeadership has the newest leader transfer its leadership to a random member.
 func (n *nemesis) transferLeadership() {
 	leader := n.world.newestLeader()
 	if leader == nil {
@@ -196,7 +198,7 @@
 	leader.processOutput()
 }
 
-// propose proposes commands to all members that believe they lead, and requests a confirmation of their leadership.
+// propose proposes commands to all members that believe they lead, and requests confirmations of their leadership.
 func (n *nemesis) propose() {
 	if n.noProposals {
 		return
@@ -217,7 +219,7 @@
 	}
 }
 
-// recordOnCommit records a proposal as acknowledged when it is committed at the member where it was made.
+// recordOnCommit records a proposal in acked when it is committed at the member that proposed it.
 func (n *nemesis) recordOnCommit(m *machine, index, term uint64) {
 	m.commitHooks = append(m.commitHooks, func(entry Entry) {
 		if entry.Index == index && entry.Term == term {
@@ -229,7 +231,7 @@
 	}
 }
 
-// reconcileMembers takes, at every member that leads, the next step towards the wanted membership.
+// reconcileMembers proposes, at every ready leader, the next step towards the wanted membership.
 func (n *nemesis) reconcileMembers() {
 	for _, m := range n.world.machines {
 		if !m.up || m.frozen || !m.node.Status().Ready {
@@ -242,8 +244,9 @@
 	}
 }
 
-// nextMembers returns the membership to propose next, nil if none: without members whose disks are lost, with learners
-// promoted while voters are missing, and with machines that are no members added as learners.
+// nextMembers returns the membership to propose next, or nil if there is none. It removes or replaces a member whose disk is
+// lost, else promotes a learner while voters are missing, else adds a machine that is no member as a learner, else makes a
+// random change.
 func (n *nemesis) nextMembers(leader *machine) []Member {
 	members := leader.node.Status().Members
 	voters := countVoters(members)
@@ -272,7 +275,8 @@
 	return n.randomChange(leader, members, voters)
 }
 
-// replaceVoter returns the membership in which a learner that has caught up replaces a voter, nil if there is none.
+// replaceVoter returns the membership in which a learner that lags by up to 3 entries replaces the voter at a position, or nil
+// if there is no such learner or a learner is at the position.
 func (n *nemesis) replaceVoter(leader *machine, position int) []Member {
 	members := leader.node.Status().Members
 	if members[position].Learner {
@@ -295,8 +299,8 @@
 	return nil
 }
 
-// randomChange returns, with some probability, a membership with voters removed, demoted or replaced, until the time is
-// over; else nil.
+// randomChange returns, with probability 0.1 and only before n.until, a membership with random members removed, demoted or
+// replaced. Otherwise it returns nil.
 func (n *nemesis) randomChange(leader *machine, members []Member, voters int) []Member {
 	if n.world.now >= n.until || voters < 3 || !n.world.chance(0.1) {
 		return nil
@@ -316,8 +320,8 @@
 	}
 }
 
-// randomVoters returns the membership in which a random majority of the voters remain voters, and the votes of all other
-// members are random.
+// randomVoters returns a membership in which a random majority of the voters remain voters. It decides at random which of the
+// other members vote.
 func (n *nemesis) randomVoters(members []Member) []Member {
 	next := append([]Member(nil), members...)
 	n.world.random.Shuffle(len(next), func(a, b int) { next[a], next[b] = next[b], next[a] })
@@ -333,34 +337,34 @@
 	return next
 }
 
-// without returns the members but the one at a position.
+// without returns the members except for the one at a position.
 func without(members []Member, position int) []Member {
 	next := append([]Member(nil), members[:position]...)
 	return append(next, members[position+1:]...)
 }
 
-// healAndVerify runs the world until the time is over, ends all faults, and returns an error if the group does not
-// recover, an invariant was violated, or an acknowledged proposal is lost.
+// healAndVerify runs the world until n.until and ends all faults. It returns an error if the group does not recover within 8 s
+// of the world's time, an invariant was violated, or an acknowledged proposal is lost.
 func (n *nemesis) healAndVerify() error {
 	w := n.world
 	w.run(n.until)
 	w.heal()
 	if !w.runUntil(8*time.Second, func() bool { return w.invariants.violation != "" || n.recovered() }) {
-		return fmt.Errorf("the group does not recover: %s", n.describe())
+		return fmt.Errorf("the group has not recovered 8 s after the end of all faults: %s", n.describe())
 	}
 	if w.invariants.violation != "" {
 		return fmt.Errorf("%s", w.invariants.violation)
 	}
 	for index, term := range n.acked {
 		if index > uint64(len(w.invariants.committedTerms)) || w.invariants.committedTerms[index-1] != term {
-			return fmt.Errorf("the acknowledged entry %d of term %d is lost", index, term)
+			return fmt.Errorf("the acknowledged entry with index %d and term %d is lost", index, term)
 		}
 	}
 	return nil
 }
 
-// recovered reports whether there are as many voters as wanted and a ready leader that has applied everything committed,
-// and all members are near the end of its log.
+// recovered reports whether there are as many voters as wanted, a ready leader has applied all committed entries, and no
+// member lags behind it by more than 10 entries.
 func (n *nemesis) recovered() bool {
 	leader := n.world.readyLeader()
 	if leader == nil || countVoters(leader.node.Status().Members) < min(n.voters, len(n.world.machines)) {
@@ -375,7 +379,7 @@
 	return leader.state.index == uint64(len(n.world.invariants.committed))
 }
 
-// describe returns the state of all members, for failures.
+// describe returns the state of all machines, one a line, for error messages.
 func (n *nemesis) describe() string {
 	text := ""
 	for _, m := range n.world.machines {
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// role is what a member does in its term.
+// role is the role of a member in its term.
 type role uint8
 
 const (
@@ -15,8 +15,8 @@
 	roleLeader
 )
 
-// Node is one member of one group. It is not safe for concurrent use: the caller must call all its methods from one
-// goroutine at a time. The package comment states what the caller must do with its output.
+// Node is one member of one group. It is not safe for concurrent use: the caller must call its methods from one goroutine at
+// a time. The package comment states what the caller must do with its Outputs.
 type Node struct {
 	config Config
 	random *rand.Rand
@@ -24,27 +24,28 @@
 
 	role   role
 	term   uint64
-	vote   MemberID
-	leader MemberID
+	vote   MemberID // whom this member voted for in its term; None: nobody
+	leader MemberID // of this term; None: not known
 
 	log         entryLog
 	memberships membershipHistory
 	commit      uint64
-	applied     uint64 // last index that was output as committed
-	verified    uint64 // last index known to agree with the leader of this term
+	applied     uint64 // last index that Output has returned in Committed, or that a snapshot covers
+	verified    uint64 // last index up to which this log is known to agree with that of the leader of this term
 
 	campaignAllowed   bool
-	writeTime         time.Duration // how long a write to this member's disk takes at present
+	writeTime         time.Duration // how long a write to this member's disk currently takes
 	electionDeadline  time.Duration // when to start an election
-	lastLeaderContact time.Duration // meaningful only while a leader is known
+	lastLeaderContact time.Duration // time of the leader's newest message; valid only while leader is not None
 	votes             voteTally
 
 	leadership leadership
-	receiving  *incomingSnapshot // nil: none
+	receiving  *incomingSnapshot // nil: no snapshot is being received
 	pending    pendingOutput
 }
 
-// New returns a member that goes on from what its disk has, as a follower.
+// New returns a member that starts as a follower with the state in restored, which the caller read from its disk. now is the
+// time of the monotonic clock that all later inputs use.
 func New(config Config, restored Restored, now time.Duration) *Node {
 	config = config.withDefaults()
 	node := &Node{
@@ -60,8 +61,9 @@
 	return node
 }
 
-// restoreLog restores the log and its memberships. After a torn write the newest entry or the snapshot may
-// have a later term than the hard state. This member has sent no vote in that term: votes wait for the hard state.
+// restoreLog restores the log and its memberships. After an interrupted write the newest entry or the snapshot may have a
+// later term than the hard state. The member then enters that term without a vote. That is safe because it has sent no vote
+// in that term: a vote is sent only once the hard state is on disk.
 func (n *Node) restoreLog(restored Restored) {
 	if snapshot := restored.Snapshot; snapshot != nil {
 		n.log.reset(snapshot.Index, snapshot.Term)
@@ -80,7 +82,8 @@
 	}
 }
 
-// advanceClock advances the node's time to that of an input. Earlier times are ignored.
+// advanceClock sets the node's time to that of an input. It ignores earlier times. A leader takes an advance of more than half
+// an election timeout for a stall of its process.
 func (n *Node) advanceClock(now time.Duration) {
 	if now <= n.now {
 		return
@@ -92,9 +95,9 @@
 	}
 }
 
-// Tick does what has become due by now. It must be called at NextDeadline at the latest; earlier calls do no harm. A leader
-// takes a time without inputs of more than half an election timeout for a stall of its process, so callers should tick
-// several times in an election timeout.
+// Tick does what is due at now: it starts elections and sends heartbeats, among other things. The caller must call it at
+// NextDeadline at the latest; earlier calls do no harm. If a leader gets no input for more than half an election timeout, it
+// assumes that its process stalled. So the caller should call Tick several times in an election timeout.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == roleLeader {
@@ -108,8 +111,8 @@
 	n.resendVoteRequests()
 }
 
-// NextDeadline returns the time at which Tick must be called at the latest, of the clock whose times are passed to the
-// Node. Any input may change it.
+// NextDeadline returns the latest time at which the caller must call Tick, by the clock of its inputs. Any input may change
+// it.
 func (n *Node) NextDeadline() time.Duration {
 	switch n.role {
 	case roleLeader:
@@ -121,7 +124,7 @@
 	}
 }
 
-// Step handles a message from another member. Messages that are not addressed to this member and group are ignored.
+// Step handles a message from another member. It ignores messages that are not addressed to this member and group.
 func (n *Node) Step(message Message, now time.Duration) {
 	n.advanceClock(now)
 	if message.Group != n.config.Group || message.To != n.config.ID || message.From == n.config.ID {
@@ -141,15 +144,16 @@
 	}
 }
 
-// handleHigherTerm handles a message of a later term, which this member enters except for pre-votes, and for requests for
-// votes while it has a live leader (section 4.2.3). It reports whether the message is to be dispatched in the new term.
+// handleHigherTerm handles a message of a later term. The member enters that term, with two exceptions: pre-votes change no
+// term, and a request for a vote is ignored while the member has a live leader (section 4.2.3). handleHigherTerm reports
+// whether dispatch should handle the message in the new term.
 func (n *Node) handleHigherTerm(message *Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
 		n.handlePreVote(message)
 		return false
 	case MessagePreVoteResponse:
-		if !message.Reject { // its term is the one that this member would campaign in: nobody need be in it yet
+		if !message.Reject { // its term is that of the proposed election, which nobody may have entered yet
 			n.handlePreVoteResponse(message)
 			return false
 		}
@@ -162,8 +166,8 @@
 	return true
 }
 
-// handleLowerTerm responds to a message of an earlier term with the present one: a leader of an earlier term steps down, and
-// a candidate enters the present term.
+// handleLowerTerm rejects a message of an earlier term. The response has the current term, so that a leader of an earlier
+// term steps down and a candidate enters the current term.
 func (n *Node) handleLowerTerm(message *Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -175,7 +179,7 @@
 	}
 }
 
-// dispatch handles a message of the present term.
+// dispatch handles a message of the current term.
 func (n *Node) dispatch(message *Message) {
 	switch message.Kind {
 	case MessagePreVote:
@@ -201,7 +205,7 @@
 	}
 }
 
-// becomeFollower enters a later term, or becomes a follower in the present one. leader is None if it is not known.
+// becomeFollower makes this member a follower in a later term or in the current one. leader is None if it is not known.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if term > n.term {
 		n.term, n.vote = term, None
@@ -217,8 +221,8 @@
 	n.votes = voteTally{}
 }
 
-// endLeadership drops what only a leader has. One that was transferring its leadership gives the election of its successor
-// the time that disks need for the votes.
+// endLeadership resets the state that only a leader has. If a leadership transfer was under way, the election deadline leaves
+// the transferee the time that disks need for the votes.
 func (n *Node) endLeadership() {
 	if n.leadership.transferee != None {
 		n.resetElectionDeadlineAfterVote()
@@ -228,8 +232,8 @@
 	n.leadership = leadership{}
 }
 
-// acceptLeader follows the leader of the present term and records the contact. It reports false if this member leads itself,
-// so that the message can't be valid.
+// acceptLeader makes this member a follower of the leader of the current term and records the contact. It reports whether the
+// message that named the leader can be valid: it can't if this member leads the term.
 func (n *Node) acceptLeader(from MemberID) bool {
 	if n.role == roleLeader {
 		return false
@@ -248,8 +252,8 @@
 	return n.leader != None && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-// Persisted reports to the Node that the log up to the entry with this index and term is on disk, and so is everything that
-// was output before it. Later Outputs may still wait to be written.
+// Persisted tells the Node that the log up to the entry with this index and term is on disk, and so is everything that
+// Output has returned before it. Later Outputs may still wait for the disk.
 func (n *Node) Persisted(now time.Duration, index, term uint64) {
 	n.advanceClock(now)
 	if n.role != roleLeader || index <= n.leadership.ownMatch || !n.log.matches(index, term) {
--- a/internal/cluster/consensus/norace_test.go
+++ b/internal/cluster/consensus/norace_test.go
@@ -2,5 +2,5 @@
 
 package consensus
 
-// slowdown divides the number of seeds and of some checks where the race detector makes everything slower.
+// slowdown divides the number of seeds and of some checks. Without the race detector all of them run.
 const slowdown = 1
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -1,36 +1,36 @@
 package consensus
 
-// Output is what a Node wants done. The package comment states the order: Snapshot, HardState and Entries go to the disk;
-// once they and those of all earlier Outputs are on it, Deferred is sent and Persisted is called. Immediate and Committed
-// need not wait. The slices must not be modified.
+// Output is what the caller must do for a Node. The package comment states the order: write Snapshot, HardState and Entries to
+// the disk; once they and those of all earlier Outputs are on disk, send Deferred and call Persisted. Immediate and Committed
+// need not wait for the disk. The caller must not modify the slices.
 type Output struct {
-	HardState *HardState // nil: unchanged
-	Snapshot  *Snapshot  // nil: none; replaces the log and the state machine
-	Entries   []Entry    // to append to the log, replacing what it has at the same and all higher indexes
-	Immediate []Message  // promise nothing: may be sent at once
-	Deferred  []Message  // promise what is written: sent only after this Output and all earlier ones are on disk
-	Committed []Entry    // to apply, in order and after Snapshot
+	HardState *HardState // replaces the one on disk; nil: unchanged
+	Snapshot  *Snapshot  // replaces the log and the state machine; nil: none
+	Entries   []Entry    // to append to the log, replacing its entries at the same and all higher indexes
+	Immediate []Message  // messages that depend on no write: may be sent at once
+	Deferred  []Message  // messages that promise what is written: sent only once this and all earlier Outputs are on disk
+	Committed []Entry    // to apply to the state machine, in order and after Snapshot
 }
 
-// pendingOutput collects what the next Output will return, besides entries.
+// pendingOutput collects what the next call of Output will return, except for entries.
 type pendingOutput struct {
-	hardStateChanged bool // term or vote
+	hardStateChanged bool // the term or the vote changed
 	snapshot         *Snapshot
 	immediate        []Message
 	deferred         []Message
 }
 
-// send queues a message that promises nothing about the disk.
+// send queues a message that need not wait for the disk.
 func (n *Node) send(message Message) {
 	n.pending.immediate = append(n.pending.immediate, n.withHeader(message))
 }
 
-// sendDeferred queues a message that must not be sent before all output up to now is on disk.
+// sendDeferred queues a message that must not be sent before the next Output and all earlier ones are on disk.
 func (n *Node) sendDeferred(message Message) {
 	n.pending.deferred = append(n.pending.deferred, n.withHeader(message))
 }
 
-// withHeader fills in the fields that all messages have. A Term that is already set (of a pre-vote) stays.
+// withHeader sets the fields that all messages have. It keeps a Term that is already set, as in pre-votes.
 func (n *Node) withHeader(message Message) Message {
 	message.Group = n.config.Group
 	message.From = n.config.ID
@@ -40,14 +40,15 @@
 	return message
 }
 
-// HasOutput reports whether there is anything for Output to return.
+// HasOutput reports whether Output has anything to return.
 func (n *Node) HasOutput() bool {
 	pending := &n.pending
 	return pending.hardStateChanged || pending.snapshot != nil || len(pending.immediate) > 0 || len(pending.deferred) > 0 ||
 		n.log.lastOutput < n.log.last() || n.applied < n.commit || n.leadership.appendsDue
 }
 
-// Output returns what is to be done since the last call. Nothing is returned twice.
+// Output returns what the inputs since the last call require the caller to do. It returns nothing twice, so the caller must
+// carry out every Output.
 func (n *Node) Output() Output {
 	n.sendDueAppends()
 	output := Output{
--- a/internal/cluster/consensus/persistent.go
+++ b/internal/cluster/consensus/persistent.go
@@ -1,6 +1,6 @@
 package consensus
 
-// EntryKind is what an entry's data means.
+// EntryKind is the kind of an entry, which determines the meaning of its data. The values are on disk and on the wire.
 type EntryKind uint8
 
 // The kinds of entries.
@@ -10,7 +10,7 @@
 	EntryMembership                  // the complete new membership, as EncodeMembers encodes it
 )
 
-// Entry is one entry of the log. It is encoded by gob: the field names are the wire format.
+// Entry is one entry of the log. It is encoded by gob, so the field names are part of the wire format.
 type Entry struct {
 	Term  uint64
 	Index uint64
@@ -18,29 +18,31 @@
 	Data  []byte
 }
 
-// HardState is what a member must not forget across restarts besides its log. It must be on disk before a message that
-// depends on it is sent. It is encoded by gob: the field names are the wire format.
+// HardState is the state besides the log that a member must keep across restarts. It must be on disk before the caller sends
+// a message that depends on it (Output.Deferred). It is encoded by gob, so the field names are part of the format.
 type HardState struct {
 	Term   uint64
-	Vote   MemberID
-	Commit uint64 // informative: New does not rely on it
+	Vote   MemberID // whom the member voted for in Term; None: nobody
+	Commit uint64   // for information only: New does not use it
 }
 
-// Snapshot replaces the log up to and including Index. It is encoded by gob: the field names are the wire format.
+// Snapshot is a state of the state machine, which replaces the log up to and including Index. It is encoded by gob, so the
+// field names are part of the wire format.
 type Snapshot struct {
 	Index   uint64
-	Term    uint64 // of the entry at Index
-	Members []Member
-	Data    []byte // the encoded state machine
+	Term    uint64   // of the entry at Index
+	Members []Member // the membership as of Index, see Node.MembersAt
+	Data    []byte   // the encoded state machine
 }
 
-// Restored is what a member's disk has at the start of the process.
+// Restored is the state that a member's disk has at the start of the process. The zero value is that of an empty disk.
 type Restored struct {
-	// HardState.Commit is not relied upon: the next leader announces what is committed.
+	// HardState is the newest one on disk. New does not use its Commit: the next leader announces what is committed.
 	HardState HardState
-	// Snapshot is what the state machine was started from; its Data is not needed here. Nil means an empty disk, whose
-	// membership will come with the log. The initial members of a new group start from index 0, term 0 and Members.
+	// Snapshot is the snapshot from which the state machine was started. New does not use its Data. Nil means that the disk
+	// is empty, and the membership will arrive with the log. The initial members of a new group start from a Snapshot with
+	// Index 0, Term 0 and themselves as Members.
 	Snapshot *Snapshot
-	// Entries are those after the snapshot; earlier ones are ignored.
+	// Entries are the entries after the snapshot. New ignores earlier ones.
 	Entries []Entry
 }
--- a/internal/cluster/consensus/quorum.go
+++ b/internal/cluster/consensus/quorum.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxStackVoters is the number of voters up to which quorums are computed without allocating.
+// maxStackVoters is the number of voters up to which reachedByConfig computes on the stack, without allocating.
 const maxStackVoters = 16
 
-// configSet is the set of configurations in which a member votes. A membership that is not joint has one configuration,
-// which counts as both the outgoing and the incoming one.
+// configSet is the set of configurations in which a member votes. A membership that is not joint has one configuration, which
+// is both the outgoing and the incoming one.
 type configSet uint8
 
 const (
@@ -33,7 +33,7 @@
 	}
 }
 
-// IsJoint reports whether a membership has two configurations.
+// IsJoint reports whether a membership is joint: any of its members has a Transition.
 func IsJoint(members []Member) bool {
 	for _, member := range members {
 		if member.Transition != TransitionNone {
@@ -43,8 +43,8 @@
 	return false
 }
 
-// HasQuorum reports whether the members for which agrees returns true are a quorum: a majority of the voters, and in a joint
-// membership a majority of each configuration.
+// HasQuorum reports whether the members for which agrees returns true are a quorum: a majority of the voters or, in a joint
+// membership, a majority of the voters of each configuration.
 func HasQuorum(members []Member, agrees func(MemberID) bool) bool {
 	return hasMajority(members, outgoingConfig, agrees) && hasMajority(members, incomingConfig, agrees)
 }
@@ -64,7 +64,7 @@
 	return agreeing >= quorumSize(voters)
 }
 
-// quorumSize returns how many of a number of voters are a majority.
+// quorumSize returns the size of the smallest majority of a number of voters.
 func quorumSize(voters int) int {
 	return voters/2 + 1
 }
@@ -91,8 +91,8 @@
 	return isVoter(members, id) && countVoters(members) == 1
 }
 
-// reachedByMajority returns the largest value that a majority of the values reaches, 0 if there are none. It sorts values in
-// place.
+// reachedByMajority returns the largest v for which a majority of values is at least v, or 0 if there are no values. It sorts
+// values in place.
 func reachedByMajority[T uint64 | time.Duration](values []T) T {
 	if len(values) == 0 {
 		return 0
@@ -101,8 +101,8 @@
 	return values[len(values)-quorumSize(len(values))]
 }
 
-// reachedByQuorum returns the largest value that a quorum has reached, where own is the value of this leader and valueOf
-// returns that of another member.
+// reachedByQuorum returns the largest v for which the values of a quorum are at least v. own is the value of this leader, and
+// valueOf returns the value of another member.
 func reachedByQuorum[T uint64 | time.Duration](n *Node, own T, valueOf func(*progress) T) T {
 	reached := reachedByConfig(n, incomingConfig, own, valueOf)
 	if IsJoint(n.memberships.current()) {
@@ -111,8 +111,8 @@
 	return reached
 }
 
-// reachedByConfig returns the largest value that a majority of the voters of one configuration has reached. This leader
-// counts only if it votes in it.
+// reachedByConfig returns the largest v for which the values of a majority of the voters of one configuration are at least v.
+// This leader counts only if it votes in that configuration.
 func reachedByConfig[T uint64 | time.Duration](n *Node, config configSet, own T, valueOf func(*progress) T) T {
 	var stack [maxStackVoters]T
 	values := stack[:0]
--- a/internal/cluster/consensus/race_test.go
+++ b/internal/cluster/consensus/race_test.go
@@ -2,5 +2,5 @@
 
 package consensus
 
-// slowdown divides the number of seeds and of some checks where the race detector makes everything slower.
+// slowdown divides the number of seeds and of some checks, because the race detector makes them slow.
 const slowdown = 8
--- a/internal/cluster/consensus/recovery_test.go
+++ b/internal/cluster/consensus/recovery_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// recoveryTerms is how many elections the check of a state may need.
+// recoveryTerms is the number of elections that the recovery check of a state may need.
 const recoveryTerms = 12
 
 // cloneAll returns a copy of a state in which all members may be modified.
@@ -20,7 +20,7 @@
 	return copied
 }
 
-// deliverAll syncs all disks and delivers all messages, oldest first.
+// deliverAll syncs all disks, delivers all messages, oldest first, and carries out the output that follows.
 func (s *groupState) deliverAll() {
 	for index := range s.members {
 		s.processOutput(index, syncAtOnce)
@@ -39,9 +39,10 @@
 	}
 }
 
-// checkRecovery checks that the group can go on from here if all messages in flight are lost: within some elections a
-// member leads, has committed an entry of its term, and has finished a change of the membership that was under way. It
-// applies to states in which no more disks are lost than the group tolerates.
+// checkRecovery checks that the group can recover from a state after the loss of all messages in flight: after some elections
+// a ready leader has finished the change of the membership that was under way. It guards against states in which nobody can
+// ever be elected, for example because only a removed member has the newest log. It applies to states in which no more disks
+// are lost than the group tolerates.
 func (s *groupState) checkRecovery() {
 	if s.violation != "" {
 		return
@@ -56,10 +57,10 @@
 		}
 	}
 	s.violation = copied.violation
-	s.violate("the group can't recover")
+	s.violate("the group can't elect a leader that finishes the membership change")
 }
 
-// newestLogsFirst returns the positions of the members, ordered so that one that can be elected comes early.
+// newestLogsFirst returns the positions of the members, ordered by log: one of the first can be elected.
 func (s *groupState) newestLogsFirst() []int {
 	order := make([]int, len(s.members))
 	for index := range order {
@@ -72,7 +73,8 @@
 	return order
 }
 
-// recoversUnder has a member campaign, and reports whether the group works afterwards.
+// recoversUnder has a member campaign in a term that no member has entered. It reports whether some member is a ready leader
+// afterwards, without a change of the membership under way.
 func (s *groupState) recoversUnder(index int) bool {
 	node := s.members[index].node
 	for _, member := range s.members {
--- a/internal/cluster/consensus/replication.go
+++ b/internal/cluster/consensus/replication.go
@@ -1,6 +1,7 @@
 package consensus
 
-// sendDueAppends sends the entries that were appended since the last call, in as few messages as possible.
+// sendDueAppends sends all members the entries that they lack, if any were appended or committed since the last call. Entries
+// that were proposed since then share messages.
 func (n *Node) sendDueAppends() {
 	if !n.leadership.appendsDue {
 		return
@@ -11,7 +12,8 @@
 	}
 }
 
-// sendAppends sends a member the entries it lacks, as far as its window allows, or a probe for where the logs agree.
+// sendAppends sends a member the entries that it lacks, as far as its window allows. To a member in progressProbe it sends a
+// probe, even if there are no new entries.
 func (n *Node) sendAppends(peer *progress) {
 	if n.leadership.appendsSuspended {
 		return
@@ -23,14 +25,15 @@
 	}
 }
 
-// needsAppend reports whether there is anything to send to a member.
+// needsAppend reports whether a member needs a probe, or lacks entries that may be sent to it.
 func (n *Node) needsAppend(peer *progress) bool {
 	return peer.state == progressProbe || peer.next <= n.lastIndexFor(peer)
 }
 
-// lastIndexFor returns the last index that may be sent to a member. A learner receives only what is committed: it does not
-// campaign, so if it had the newest log, with an entry that may be lost, and counted as a voter in a membership that another
-// member has in its log, it could prevent that member from being elected forever.
+// lastIndexFor returns the last index that may be sent to a member. A learner receives only committed entries. Otherwise the
+// group could be left without a leader: suppose that a learner had the newest log, ending with an uncommitted entry, and that
+// another member's log had a membership in which the learner votes. The learner does not campaign, and it would deny its vote
+// to that member forever.
 func (n *Node) lastIndexFor(peer *progress) uint64 {
 	if peer.isVoter() {
 		return n.log.last()
@@ -38,8 +41,8 @@
 	return n.commit
 }
 
-// sendAppend sends one append, an empty one if the member lacks nothing. It reports false if the entries are compacted, so
-// that the member needs a snapshot.
+// sendAppend sends one append, which is empty if the member lacks no entries. It reports whether it did: if the entries are
+// compacted, it sends nothing and the member needs a snapshot.
 func (n *Node) sendAppend(peer *progress) bool {
 	before := peer.next - 1
 	beforeTerm, known := n.log.term(before)
@@ -62,8 +65,8 @@
 	return true
 }
 
-// resendLost sends again what a member has probably not received. agreed is the last index at which its log, in memory,
-// agrees with this one.
+// resendLost probes with the first entries that a member has probably not received. agreed is the last index up to which the
+// member's log, on disk or not, agrees with this one.
 func (n *Node) resendLost(peer *progress, agreed uint64) {
 	next := peer.next
 	if peer.state == progressReplicate {
@@ -73,7 +76,7 @@
 	n.sendAppend(peer)
 }
 
-// requestAck requests, with an empty append, an acknowledgement that may have been lost.
+// requestAck sends an empty append, whose response replaces an acknowledgement that may have been lost.
 func (n *Node) requestAck(peer *progress) {
 	before := peer.next - 1
 	beforeTerm, known := n.log.term(before)
@@ -85,14 +88,14 @@
 	n.send(Message{Kind: MessageAppend, To: peer.id, Index: before, LogTerm: beforeTerm, Commit: n.commit, SentAt: n.now})
 }
 
-// handleAppend appends a leader's entries to the log (section 3.5). The acknowledgement waits until they are on disk.
+// handleAppend appends the leader's entries to the log (section 3.5). The acknowledgement is sent once they are on disk.
 func (n *Node) handleAppend(message *Message) {
 	if !hasConsecutiveEntries(message) || !n.acceptLeader(message.From) {
 		return
 	}
 	before, entries := message.Index, message.Entries
 	if before < n.commit {
-		// What is committed agrees with the log of every later leader.
+		// Skip the committed entries: they agree with the log of every later leader.
 		skip := min(n.commit-before, uint64(len(entries)))
 		entries = entries[skip:]
 		before = n.commit
@@ -107,7 +110,7 @@
 		SentAt: message.SentAt})
 }
 
-// hasConsecutiveEntries reports whether the entries of an append follow each other and the index before them.
+// hasConsecutiveEntries reports whether the entries of an append follow its Index without a gap.
 func hasConsecutiveEntries(message *Message) bool {
 	for position := range message.Entries {
 		if message.Entries[position].Index != message.Index+1+uint64(position) {
@@ -117,7 +120,8 @@
 	return true
 }
 
-// rejectAppend responds that the logs differ before the entries, with a hint at where they may still agree.
+// rejectAppend responds that the logs differ at the index before the entries. The response contains the newest index at which
+// they may agree, as a hint.
 func (n *Node) rejectAppend(message *Message) {
 	hint := n.log.findAgreement(message.Index-1, message.LogTerm)
 	hintTerm, _ := n.log.term(hint)
@@ -125,7 +129,8 @@
 		Hint: hint, LogTerm: hintTerm, SentAt: message.SentAt})
 }
 
-// appendEntries appends the entries that the log lacks. From the first one on that differs they replace what the log has.
+// appendEntries appends the entries that the log lacks. If the log has another entry in the place of one of them, they replace
+// the log from there on.
 func (n *Node) appendEntries(entries []Entry) {
 	for position, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
@@ -138,12 +143,14 @@
 	}
 }
 
-// commitUpTo commits what the leader has committed, as far as the logs are known to agree.
+// commitUpTo advances the commit index to index, which the leader has committed, but not beyond the last index at which the
+// logs are known to agree.
 func (n *Node) commitUpTo(index uint64) {
 	n.commit = max(n.commit, min(index, n.verified))
 }
 
-// handleAppendResponse advances a member's progress, or moves it back after a rejection.
+// handleAppendResponse records which entries are on a member's disk, and sends it more. After a rejection it probes for an
+// earlier index.
 func (n *Node) handleAppendResponse(message *Message) {
 	peer := n.peer(message.From)
 	if n.role != roleLeader || peer == nil {
@@ -166,7 +173,8 @@
 	}
 }
 
-// resumeReplication ends a probe or the transfer of a snapshot once the logs are known to agree.
+// resumeReplication ends a probe after an acknowledgement, which shows where the logs agree. It ends a snapshot transfer once
+// the member no longer needs the snapshot.
 func (n *Node) resumeReplication(peer *progress) {
 	switch peer.state {
 	case progressProbe:
@@ -175,18 +183,18 @@
 		if peer.match >= n.log.base {
 			peer.becomeReplicate()
 		} else if peer.outgoing != nil && peer.match >= peer.outgoing.snapshot.Index {
-			peer.outgoing = nil // the log was compacted further meanwhile: a newer snapshot is needed
+			peer.outgoing = nil // the log was compacted beyond that snapshot: the member needs a newer one
 		}
 	}
 }
 
-// handleRejection probes for agreement earlier in the log.
+// handleRejection probes at the newest earlier index at which the logs may agree, but not before match.
 func (n *Node) handleRejection(peer *progress, message *Message) {
 	if peer.state == progressSnapshot || message.Index <= peer.match {
 		return
 	}
 	if peer.state == progressProbe && message.Index != peer.next-1 {
-		return // the response to an earlier probe
+		return // a late response to an earlier probe
 	}
 	agreed := n.log.findAgreement(min(message.Hint, message.Index-1), message.LogTerm)
 	if message.Hint < n.log.base {
--- a/internal/cluster/consensus/replication_test.go
+++ b/internal/cluster/consensus/replication_test.go
@@ -7,16 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// appendOutcome is the response to an append, and the follower's log and commit index afterwards.
+// appendOutcome is the response to an append, with the follower's log and commit index afterwards.
 type appendOutcome struct {
 	reject bool
-	index  uint64   // of the response
-	hint   uint64   // of the response
-	terms  []uint64 // of the log afterwards
-	commit uint64
+	index  uint64   // Index of the response
+	hint   uint64   // Hint of the response
+	terms  []uint64 // terms of the entries in the log afterwards
+	commit uint64   // commit index afterwards
 }
 
-var _ = ginkgo.DescribeTable("an append at a follower with terms 1, 1, 2, 2, the first two committed",
+var _ = ginkgo.DescribeTable("an append to a follower whose log has the terms 1, 1, 2 and 2, with two committed entries,",
 	func(message Message, expected appendOutcome) {
 		g := &group{now: time.Minute}
 		follower := g.add(1, Restored{HardState: HardState{Term: 3}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
@@ -35,32 +35,32 @@
 		Expect(result).To(Equal(expected))
 		Expect(len(output.Deferred) == 1).To(Equal(!expected.reject), "an acknowledgement waits for the disk, a rejection does not")
 	},
-	ginkgo.Entry("empty, where the logs agree", Message{Index: 4, LogTerm: 2},
+	ginkgo.Entry("is acknowledged without entries if the logs agree", Message{Index: 4, LogTerm: 2},
 		appendOutcome{index: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3, 3)},
+	ginkgo.Entry("adds new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3, 3)},
 		appendOutcome{index: 6, terms: []uint64{1, 1, 2, 2, 3, 3}, commit: 2}),
-	ginkgo.Entry("entries that replace others", Message{Index: 3, LogTerm: 2, Entries: entriesOf(4, 3)},
+	ginkgo.Entry("replaces an entry that differs", Message{Index: 3, LogTerm: 2, Entries: entriesOf(4, 3)},
 		appendOutcome{index: 4, terms: []uint64{1, 1, 2, 3}, commit: 2}),
-	ginkgo.Entry("an earlier one that arrives late", Message{Index: 2, LogTerm: 1, Entries: entriesOf(3, 2)},
+	ginkgo.Entry("keeps the later entries if it arrives late", Message{Index: 2, LogTerm: 1, Entries: entriesOf(3, 2)},
 		appendOutcome{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("entries that begin before the commit index", Message{Index: 0, Entries: entriesOf(1, 1, 1, 2, 2, 3)},
+	ginkgo.Entry("adds entries although it begins before the commit index", Message{Index: 0, Entries: entriesOf(1, 1, 1, 2, 2, 3)},
 		appendOutcome{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 2}),
-	ginkgo.Entry("entries before the commit index", Message{Index: 0, Entries: entriesOf(1, 1)},
+	ginkgo.Entry("changes nothing if it ends at the commit index", Message{Index: 0, Entries: entriesOf(1, 1)},
 		appendOutcome{index: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("a gap", Message{Index: 7, LogTerm: 3, Entries: entriesOf(8, 3)},
+	ginkgo.Entry("is rejected if its entries would leave a gap", Message{Index: 7, LogTerm: 3, Entries: entriesOf(8, 3)},
 		appendOutcome{reject: true, index: 7, hint: 4, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("a later term before it", Message{Index: 4, LogTerm: 3, Entries: entriesOf(5, 3)},
+	ginkgo.Entry("is rejected if the entry before its entries has a later term at the leader", Message{Index: 4, LogTerm: 3, Entries: entriesOf(5, 3)},
 		appendOutcome{reject: true, index: 4, hint: 3, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("an earlier term before it", Message{Index: 4, LogTerm: 1, Entries: entriesOf(5, 3)},
+	ginkgo.Entry("is rejected if the entry before its entries has an earlier term at the leader", Message{Index: 4, LogTerm: 1, Entries: entriesOf(5, 3)},
 		appendOutcome{reject: true, index: 4, hint: 2, terms: []uint64{1, 1, 2, 2}, commit: 2}),
-	ginkgo.Entry("a commit index beyond where the logs agree", Message{Index: 3, LogTerm: 2, Commit: 9},
+	ginkgo.Entry("commits entries only up to where the logs agree", Message{Index: 3, LogTerm: 2, Commit: 9},
 		appendOutcome{index: 3, terms: []uint64{1, 1, 2, 2}, commit: 3}),
-	ginkgo.Entry("a commit index that covers new entries", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3), Commit: 5},
+	ginkgo.Entry("commits new entries that its commit index covers", Message{Index: 4, LogTerm: 2, Entries: entriesOf(5, 3), Commit: 5},
 		appendOutcome{index: 5, terms: []uint64{1, 1, 2, 2, 3}, commit: 5}),
 )
 
 var _ = ginkgo.Describe("a follower", func() {
-	ginkgo.It("commits by a heartbeat only what is known to agree with the leader's log", func() {
+	ginkgo.It("commits after a heartbeat only entries that are known to agree with the leader's log", func() {
 		g := &group{now: time.Minute}
 		follower := g.add(1, Restored{HardState: HardState{Term: 3}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
 			Entries: entriesOf(1, 1, 1)})
@@ -80,22 +80,22 @@
 		Expect(g.lastSent(MessageAppendResponse, 2).Term).To(Equal(uint64(5)))
 	})
 
-	ginkgo.It("ignores messages to others, of another group, from itself, or whose entries are not consecutive", func() {
+	ginkgo.It("ignores messages to other members, of another group, from itself, or with entries that leave a gap", func() {
 		g := newGroup(memberList(1, 2, 3)...)
 		follower := g.member(1)
-		good := Message{Kind: MessageAppend, From: 2, To: 1, Term: 1, Entries: entriesOf(1, 1)}
-		for _, spoil := range []func(*Message){
+		valid := Message{Kind: MessageAppend, From: 2, To: 1, Term: 1, Entries: entriesOf(1, 1)}
+		for _, invalidate := range []func(*Message){
 			func(m *Message) { m.To = 3 },
 			func(m *Message) { m.Group = 4 },
 			func(m *Message) { m.From = 1 },
 			func(m *Message) { m.Entries = entriesOf(2, 1) },
 		} {
-			bad := good
-			spoil(&bad)
-			follower.Step(bad, g.now)
+			invalid := valid
+			invalidate(&invalid)
+			follower.Step(invalid, g.now)
 			Expect(follower.log.last()).To(BeZero())
 		}
-		follower.Step(good, g.now)
+		follower.Step(valid, g.now)
 		Expect(follower.log.last()).To(Equal(uint64(1)))
 	})
 })
@@ -109,14 +109,14 @@
 		g.clearSent()
 	})
 
-	ginkgo.It("sends entries before they are on its own disk, and commits them once they are on those of a quorum", func() {
+	ginkgo.It("sends entries before they are on its own disk, and commits them once a quorum of others has them on disk", func() {
 		leader.diskPaused = true
 		g.propose(leader, "a")
 		g.deliverAll()
 		Expect(commandsOf(leader.committed)).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("counts itself only once its own disk has the entries", func() {
+	ginkgo.It("counts itself towards a quorum only once its own disk has the entries", func() {
 		leader.diskPaused = true
 		g.drop = fromOrTo(3)
 		g.propose(leader, "a")
@@ -127,7 +127,7 @@
 		Expect(commandsOf(leader.committed)).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("counts on its disk only the entries that it has", func() {
+	ginkgo.It("ignores Persisted for an index and term that its log does not have", func() {
 		leader.diskPaused = true
 		g.drop = fromOrTo(3)
 		index := g.propose(leader, "a")
@@ -137,7 +137,7 @@
 		Expect(leader.Status().Commit).To(Equal(index - 1))
 	})
 
-	ginkgo.It("commits nothing of an earlier term by counting", func() {
+	ginkgo.It("commits no entry of an earlier term by counting", func() {
 		g.drop = ofKind(MessageAppend)
 		old := g.propose(leader, "old")
 		g.deliverAll()
@@ -161,7 +161,7 @@
 		Expect(leader.Status().Ready).To(BeTrue())
 	})
 
-	ginkgo.It("sends what is proposed together in one append", func() {
+	ginkgo.It("sends commands that are proposed together in one append", func() {
 		for range 3 {
 			g.propose(leader, "a")
 		}
@@ -169,7 +169,7 @@
 		Expect(g.countSent(MessageAppend)).To(Equal(2))
 	})
 
-	ginkgo.It("respects the window and the size of an append", func() {
+	ginkgo.It("sends no more appends than the window allows, and no larger ones than configured", func() {
 		g.drop = ofKind(MessageAppendResponse)
 		for range 20 {
 			g.propose(leader, "0123456789")
@@ -184,7 +184,7 @@
 		Expect(commandsOf(g.member(3).committed)).To(HaveLen(20))
 	})
 
-	ginkgo.DescribeTable("sends again what was lost",
+	ginkgo.DescribeTable("sends again after the loss of",
 		func(kind MessageKind) {
 			g.drop = ofKind(kind)
 			g.propose(leader, "a")
@@ -202,7 +202,7 @@
 		ginkgo.Entry("an acknowledgement", MessageAppendResponse),
 	)
 
-	ginkgo.It("finds out that the log of a restarted member agrees, though there is nothing to send", func() {
+	ginkgo.It("probes the log of a restarted member although there are no new entries to send", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		stored := Restored{HardState: HardState{Term: 1}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
@@ -213,15 +213,15 @@
 		Expect(commandsOf(back.committed)).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("finds in a few steps where a member's log differs", func() {
+	ginkgo.It("finds in a few probes where a member's log differs", func() {
 		g.members = g.members[:2]
-		stray := entriesOf(1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-		stray[0] = leader.log.entries[0]
-		for position := range stray[1:] {
-			stray[position+1].Term = 0
+		divergent := entriesOf(1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
+		divergent[0] = leader.log.entries[0]
+		for position := range divergent[1:] {
+			divergent[position+1].Term = 0
 		}
 		back := g.add(3, Restored{HardState: HardState{Term: 1}, Snapshot: &Snapshot{Members: memberList(1, 2, 3)},
-			Entries: stray})
+			Entries: divergent})
 		g.propose(leader, "a")
 		g.deliverAll()
 		g.elapse(4 * heartbeatInterval)
@@ -229,7 +229,7 @@
 		Expect(g.countSent(MessageAppend)).To(BeNumerically("<", 8))
 	})
 
-	ginkgo.It("ignores a late rejection of entries that a member has on disk", func() {
+	ginkgo.It("ignores a late rejection at an index that the member has on disk", func() {
 		g.propose(leader, "a")
 		g.deliverAll()
 		match := leader.peer(2).match
@@ -238,7 +238,7 @@
 		Expect(leader.peer(2).match).To(Equal(match))
 	})
 
-	ginkgo.It("sends one heartbeat to each follower in each interval when idle, and writes nothing", func() {
+	ginkgo.It("sends one heartbeat to each follower in each interval while there are no proposals, and nobody writes to disk", func() {
 		g.elapse(electionTimeout)
 		g.clearSent()
 		for _, member := range g.members {
@@ -253,7 +253,7 @@
 		}
 	})
 
-	ginkgo.It("waits for responses after its process stalled before it steps down", func() {
+	ginkgo.It("waits for responses after a stall of its process before it steps down", func() {
 		g.now += 3 * electionTimeout
 		leader.Tick(g.now)
 		Expect(leader.Status().IsLeader).To(BeTrue())
@@ -262,7 +262,7 @@
 		Expect(leader.Status().IsLeader).To(BeTrue())
 	})
 
-	ginkgo.It("steps down after its process stalled if no member responds", func() {
+	ginkgo.It("steps down after a stall of its process if no member responds", func() {
 		g.drop = fromOrTo(1)
 		g.now += 3 * electionTimeout
 		leader.Tick(g.now)
@@ -276,7 +276,7 @@
 		Expect(err).To(MatchError(ErrNotLeader))
 	})
 
-	ginkgo.It("knows how far members lag", func() {
+	ginkgo.It("reports how far members lag", func() {
 		g.drop = fromOrTo(3)
 		index := g.propose(leader, "a")
 		contactBefore := leader.peer(3).lastContact
