--- a/internal/cluster/consensus/snapshot_receive.go
+++ b/internal/cluster/consensus/snapshot_receive.go
@@ -1,6 +1,6 @@
 package consensus
 
-// maxSnapshotPrealloc limits, in bytes, how much memory is allocated for a snapshot because its first chunk announces it.
+// maxSnapshotPrealloc limits, in bytes, the memory that is allocated for a snapshot when its first chunk announces its size.
 const maxSnapshotPrealloc = 64 << 20
 
 // incomingSnapshot is a snapshot that is being received.
@@ -8,12 +8,13 @@
 	from     MemberID
 	index    uint64
 	term     uint64 // of the entry at index
-	transfer uint64 // its number among the transfers of the leader in its term
-	data     []byte // what has arrived, from the beginning on
+	transfer uint64 // number of the transfer, counted by the leader in its term
+	data     []byte // the beginning of the snapshot's data, as far as it has arrived
 }
 
-// handleSnapshotChunk adds a chunk to the snapshot that is being received, and installs it with its last chunk. The response
-// reports how much has arrived, from where the leader goes on.
+// handleSnapshotChunk adds a chunk to the snapshot that is being received, and installs the snapshot with its last chunk. The
+// response reports how many bytes have arrived, from where the leader continues. If the snapshot is not needed, because this
+// member has committed its index, the response acknowledges the commit index.
 func (n *Node) handleSnapshotChunk(message *Message) {
 	if message.Snapshot == nil || !n.acceptLeader(message.From) {
 		return
@@ -36,7 +37,7 @@
 		SentAt: message.SentAt})
 }
 
-// receivedBytes returns how many bytes have arrived of the snapshot that is being received.
+// receivedBytes returns how many bytes of the snapshot that is being received have arrived, or 0 if there is none.
 func (n *Node) receivedBytes() uint64 {
 	if n.receiving == nil {
 		return 0
@@ -44,12 +45,12 @@
 	return uint64(len(n.receiving.data))
 }
 
-// appendChunk adds a chunk to what has arrived, and reports whether everything up to the end of the chunk has. Chunks of
-// different transfers don't fit together even if they are of the same index: a state may be encoded in more than one way.
-// What has arrived is dropped when a new term begins.
+// appendChunk adds a chunk to the data that has arrived. It reports whether the data then ends with this chunk. It never mixes
+// chunks of different transfers, even of the same index: the same state may be encoded in more than one way. When a new term
+// begins, becomeFollower drops the data that has arrived.
 func (n *Node) appendChunk(message *Message) bool {
 	if n.receiving != nil && message.Transfer < n.receiving.transfer {
-		return false // a late chunk of an earlier transfer
+		return false // this is a late chunk of an earlier transfer
 	}
 	if !n.receiving.continues(message) {
 		n.receiving = nil
@@ -70,7 +71,7 @@
 	return end >= received
 }
 
-// newIncomingSnapshot begins to receive the snapshot of a chunk.
+// newIncomingSnapshot returns a snapshot that is being received, without data, for the transfer that a chunk belongs to.
 func newIncomingSnapshot(message *Message) *incomingSnapshot {
 	return &incomingSnapshot{
 		from:     message.From,
@@ -87,7 +88,8 @@
 		s.transfer == message.Transfer
 }
 
-// installSnapshot replaces the log, and with the next Output the state machine, by the complete snapshot.
+// installSnapshot replaces the log by the complete snapshot. The next Output contains the snapshot, for the state machine and
+// the disk.
 func (n *Node) installSnapshot(message *Message) {
 	snapshot := *message.Snapshot
 	snapshot.Data = n.receiving.data
--- a/internal/cluster/consensus/snapshot_send.go
+++ b/internal/cluster/consensus/snapshot_send.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// snapshotTimeoutFactor is after how many election timeouts without a response the transfer of a snapshot is abandoned.
+// snapshotTimeoutFactor is the number of election timeouts without a response after which a snapshot transfer is abandoned.
 const snapshotTimeoutFactor = 4
 
-// The sizes of a snapshot's chunks adapt to the link between these and Config.SnapshotChunkBytes. A chunk delays all later
-// messages on its link, heartbeats among them: if it took as long as an election timeout, the member would campaign, and
-// the snapshot would never arrive.
+// The size of a snapshot's chunks adapts to the link, from minChunkBytes up to Config.SnapshotChunkBytes. A chunk delays all
+// later messages on its link, including heartbeats. If a chunk took as long as an election timeout, the member would campaign
+// and the snapshot would never arrive.
 const (
-	initialChunkBytes = 32 << 10
-	minChunkBytes     = 4 << 10
+	initialChunkBytes = 32 << 10 // size in bytes of the first chunk that a leader sends to a member
+	minChunkBytes     = 4 << 10  // size in bytes below which chunks are not shrunk
 )
 
 // outgoingSnapshot is a snapshot that is being sent to a member, with one unacknowledged chunk at a time.
 type outgoingSnapshot struct {
-	transfer    uint64 // number of this transfer among all of this leader's in its term
+	transfer    uint64 // number of this transfer, counted by the leader in its term
 	snapshot    Snapshot
-	offset      uint64        // how many bytes the member has
-	firstSentAt time.Duration // when the present chunk was first sent
-	sentAt      time.Duration // when it was last sent
+	offset      uint64        // number of bytes that the member has received
+	firstSentAt time.Duration // when the current chunk was first sent
+	sentAt      time.Duration // when the current chunk was last sent
 }
 
-// MembersNeedingSnapshot returns the responsive members that can go on only from a snapshot and to which none is being
-// sent. At a member that does not lead there are none.
+// MembersNeedingSnapshot returns the responsive members that need a snapshot, because the log no longer has their next entry,
+// and to which no snapshot is being sent. At a member that does not lead there are none. The caller should pass a snapshot
+// for each of them to SendSnapshot.
 func (n *Node) MembersNeedingSnapshot() []MemberID {
 	var needing []MemberID
 	for _, peer := range n.leadership.peers {
@@ -35,8 +36,9 @@
 }
 
 // SendSnapshot begins to send a snapshot of the state machine to a member that MembersNeedingSnapshot returned. If
-// snapshot.Members is nil it is filled in; snapshot.Data must not be modified afterwards. The call is ignored if the member
-// needs no snapshot (any more), or one newer than this.
+// snapshot.Members is nil, SendSnapshot uses the membership as of snapshot.Index. The caller must not modify snapshot.Data
+// afterwards. SendSnapshot does nothing if the member does not need a snapshot or one is being sent to it already, or if the
+// log is compacted beyond snapshot.Index.
 func (n *Node) SendSnapshot(now time.Duration, to MemberID, snapshot Snapshot) {
 	n.advanceClock(now)
 	peer := n.peer(to)
@@ -51,7 +53,7 @@
 	n.sendChunk(peer)
 }
 
-// sendChunk sends the chunk that begins where the member is.
+// sendChunk sends the chunk after the bytes that the member has received.
 func (n *Node) sendChunk(peer *progress) {
 	outgoing := peer.outgoing
 	data := outgoing.snapshot.Data
@@ -68,15 +70,15 @@
 		SentAt: n.now, Snapshot: &chunk, Offset: start, Transfer: outgoing.transfer, Total: total, Last: end == total})
 }
 
-// resendChunk sends a chunk again that was not acknowledged within two heartbeat intervals.
+// resendChunk sends the current chunk again if it was not acknowledged within two heartbeat intervals.
 func (n *Node) resendChunk(peer *progress) {
 	if peer.outgoing != nil && n.now-peer.outgoing.sentAt >= 2*n.config.HeartbeatInterval {
 		n.sendChunk(peer)
 	}
 }
 
-// abandonStalledSnapshots abandons transfers to members that have not responded for long, so that their snapshots can be
-// freed.
+// abandonStalledSnapshots abandons snapshot transfers to members that have not responded for snapshotTimeoutFactor election
+// timeouts, so that the memory of their snapshots can be freed.
 func (n *Node) abandonStalledSnapshots() {
 	for _, peer := range n.leadership.peers {
 		if peer.outgoing != nil && n.now-peer.lastContact >= snapshotTimeoutFactor*n.config.ElectionTimeout {
@@ -86,9 +88,9 @@
 	}
 }
 
-// handleSnapshotResponse sends the next chunk from where the member is. The response may be to any transmission of the
-// present chunk: on a link whose round trip takes longer than the interval at which a chunk is sent again, none to the
-// newest transmission would arrive in time.
+// handleSnapshotResponse sends the next chunk. It accepts a response to any transmission of the current chunk, not only to the
+// newest: if the round trip of a link is longer than the interval at which chunks are sent again, a response to the newest
+// transmission never arrives before the next transmission.
 func (n *Node) handleSnapshotResponse(message *Message) {
 	peer := n.peer(message.From)
 	if n.role != roleLeader || peer == nil {
@@ -110,7 +112,7 @@
 	n.sendChunk(peer)
 }
 
-// shrinkChunks halves the size of the next chunks to a member whose link is slow.
+// shrinkChunks halves the size of the next chunks to a member with a slow link, but not below minChunkBytes.
 func (n *Node) shrinkChunks(peer *progress) {
 	peer.chunkBytes = max(peer.chunkBytes/2, min(minChunkBytes, n.config.SnapshotChunkBytes))
 }
--- a/internal/cluster/consensus/snapshot_test.go
+++ b/internal/cluster/consensus/snapshot_test.go
@@ -27,7 +27,7 @@
 		g.clearSent()
 	})
 
-	// begin ends the isolation of the member and sends it the snapshot.
+	// begin ends the isolation of member 3 and begins to send it the snapshot.
 	begin := func() {
 		g.drop = nil
 		g.elapse(3 * heartbeatInterval)
@@ -36,12 +36,12 @@
 		Expect(leader.MembersNeedingSnapshot()).To(BeEmpty())
 	}
 
-	ginkgo.It("is needed only for a responsive member", func() {
+	ginkgo.It("is not requested for a member that does not respond", func() {
 		g.elapse(3 * heartbeatInterval)
 		Expect(leader.MembersNeedingSnapshot()).To(BeEmpty())
 	})
 
-	ginkgo.It("is sent in chunks, and the log goes on after it", func() {
+	ginkgo.It("is sent in chunks, and the entries after it follow", func() {
 		begin()
 		g.deliverAll()
 		Expect(g.countSent(MessageSnapshot)).To(Equal(5))
@@ -78,7 +78,7 @@
 		ginkgo.Entry("seven heartbeat intervals", 7*heartbeatInterval),
 	)
 
-	ginkgo.DescribeTable("is resumed after the loss",
+	ginkgo.DescribeTable("is continued after the loss",
 		func(kind MessageKind) {
 			lost := false
 			begin()
@@ -98,7 +98,7 @@
 		ginkgo.Entry("of a response", MessageSnapshotResponse),
 	)
 
-	ginkgo.It("tolerates chunks that arrive twice or out of order", func() {
+	ginkgo.It("is installed correctly if chunks arrive twice or out of order", func() {
 		g.drop = ofKind(MessageSnapshotResponse)
 		begin()
 		data := []byte(text)
@@ -132,7 +132,7 @@
 		Expect(string(back.installed.Data)).To(Equal(text))
 	})
 
-	ginkgo.It("is abandoned when the member turns out to have all entries", func() {
+	ginkgo.It("is abandoned when the member receives all of its entries by an append", func() {
 		begin()
 		g.inTransit = nil
 		behind.Step(Message{Kind: MessageAppend, From: 1, To: 3, Term: leader.term, Entries: g.member(2).log.entries}, g.now)
@@ -142,8 +142,9 @@
 		Expect(leader.peer(3).state).To(Equal(progressReplicate))
 	})
 
-	// sendAnother sends a snapshot of the same index whose encoding differs, in place of one whose first chunks have arrived,
-	// and returns the later chunk of the first.
+	// sendAnother begins to send a snapshot after the first 20 bytes of an earlier one have arrived and the leader has
+	// abandoned that one. Both have the same index but different encodings. It returns the rest of the earlier one, as a late
+	// chunk.
 	sendAnother := func() (late Message) {
 		begin()
 		g.drop = func(message Message) bool { return message.Kind == MessageSnapshot && message.Offset >= 20 }
@@ -180,7 +181,7 @@
 		Expect(string(behind.installed.Data)).To(Equal(other))
 	})
 
-	ginkgo.It("is not mixed with the incomplete one of an earlier leader", func() {
+	ginkgo.It("is not mixed with an incomplete one of an earlier leader", func() {
 		begin()
 		g.drop = func(message Message) bool { return message.Kind == MessageSnapshot && message.Offset >= 20 }
 		g.deliverAll()
@@ -217,7 +218,7 @@
 		Expect(behind.receiving).To(BeNil())
 	})
 
-	ginkgo.It("is abandoned for a member that stays unresponsive", func() {
+	ginkgo.It("is abandoned if the member does not respond for several election timeouts", func() {
 		begin()
 		g.drop = fromOrTo(3)
 		g.elapse(snapshotTimeoutFactor*electionTimeout + 2*heartbeatInterval)
@@ -227,7 +228,7 @@
 		Expect(leader.MembersNeedingSnapshot()).To(Equal([]MemberID{3}))
 	})
 
-	ginkgo.It("is replaced by a newer one if the log was compacted further meanwhile", func() {
+	ginkgo.It("is replaced by a newer one if the log was compacted beyond it during the transfer", func() {
 		begin()
 		g.processOutput(leader)
 		inFlight := g.inTransit
@@ -240,7 +241,7 @@
 		Expect(leader.MembersNeedingSnapshot()).To(Equal([]MemberID{3}))
 	})
 
-	ginkgo.It("that is empty is sent too", func() {
+	ginkgo.It("without data is sent too", func() {
 		snapshot.Data = nil
 		begin()
 		g.deliverAll()
@@ -248,7 +249,7 @@
 		Expect(behind.Status().Commit).To(Equal(snapshot.Index))
 	})
 
-	ginkgo.It("is not sent to a member that needs none, or if it is too old", func() {
+	ginkgo.It("is not sent to a member that needs none, or if the log is compacted beyond it", func() {
 		leader.SendSnapshot(g.now, 2, snapshot)
 		Expect(leader.peer(2).outgoing).To(BeNil())
 		g.drop = nil
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Status is what a member knows of its group at a moment.
+// Status is the state of a group as one member knows it.
 type Status struct {
 	ID         MemberID
 	Term       uint64
-	Leader     MemberID // None: not known
+	Leader     MemberID // of Term; None: not known
 	IsLeader   bool
-	Ready      bool // leads, and an entry of its own term is committed and was returned in Committed
-	Commit     uint64
-	LastIndex  uint64
-	FirstIndex uint64
-	// ConfirmedAt is the newest time of this member's monotonic clock at which a quorum is known to have followed this leader;
-	// 0 if there is none or this member does not lead.
+	Ready      bool   // this member leads, and Output has returned an entry of its term in Committed
+	Commit     uint64 // commit index
+	LastIndex  uint64 // index of the newest entry of the log
+	FirstIndex uint64 // index of the oldest entry that is not compacted, or the one after LastIndex
+	// ConfirmedAt is the newest time, by this member's monotonic clock, at which a quorum is known to have followed this
+	// leader. It is 0 if there is no such time or this member does not lead.
 	ConfirmedAt time.Duration
-	// Members is the membership in force: the newest in the log, committed or not. It is joint while a change of more than
-	// one voter is under way; FinalMembers returns what it leads to. It must not be modified.
+	// Members is the current membership: the newest in the log, committed or not. During a change of more than one voter it is
+	// joint, and FinalMembers returns the membership at the end of the change. The caller must not modify it. It is nil if
+	// the member has no membership yet.
 	Members []Member
-	// ChangePending reports whether Members is not known to be committed, or is joint: ProposeMembers refuses another
-	// change until both the joint and the final membership are committed.
+	// ChangePending reports whether Members is not known to be committed, or is joint. Until both the joint and the final
+	// membership are committed, ProposeMembers refuses another change.
 	ChangePending bool
-	Transferee    MemberID // to whom this leader is transferring the leadership; None: no transfer is under way
+	Transferee    MemberID // target of this leader's leadership transfer; None: no transfer is under way
 }
 
-// Status returns what this member knows of its group.
+// Status returns the state of the group as this member knows it.
 func (n *Node) Status() Status {
 	return Status{
 		ID:            n.config.ID,
@@ -42,8 +43,10 @@
 	}
 }
 
-// Lag returns how many entries a member lacks and when this leader received the last response from it (or when it began to
-// track the member, if there was none). known is false if this member does not lead or the other is not in the membership.
+// Lag returns how many entries are not known to be on a member's disk, and when this leader received the last response from
+// it. Without a response, lastContact is when the member was added or, if that is later, when this member became the leader.
+// For this leader itself, lastContact is the time of the newest input. known is false if this member does not lead or the
+// other is not in the membership.
 func (n *Node) Lag(id MemberID) (behind uint64, lastContact time.Duration, known bool) {
 	if n.role != roleLeader {
 		return 0, 0, false
@@ -58,8 +61,8 @@
 	return n.log.last() - peer.match, peer.lastContact, true
 }
 
-// ReachedAt returns when this leader sent the newest message to which a member has responded in this term; 0 if there is
-// none or this member does not lead. Unlike the last contact of Lag it does not depend on how late the response came.
+// ReachedAt returns when this leader sent the newest message to which a member has responded in this term. It returns 0 if
+// there is none or this member does not lead. Unlike lastContact of Lag, it does not depend on the delay of the response.
 func (n *Node) ReachedAt(id MemberID) time.Duration {
 	if n.role != roleLeader {
 		return 0
--- a/internal/cluster/consensus/world_test.go
+++ b/internal/cluster/consensus/world_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// The timing of the simulated members.
+// The timing of the members of simulated worlds.
 const (
 	simHeartbeatInterval = 20 * time.Millisecond
 	simElectionTimeout   = 100 * time.Millisecond
-	simTickInterval      = 10 * time.Millisecond
+	simTickInterval      = 10 * time.Millisecond // between checks in runUntil; ticks are up to five of these apart
 )
 
-// event is a function that runs at a moment of virtual time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at    time.Duration
-	order uint64 // of events at the same moment: that in which they were added
+	order uint64 // number of the event; events at the same time run in this order
 	run   func()
 }
 
-// eventQueue is a heap of events by time and order.
+// eventQueue is a heap of events, ordered by time and then by order.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -41,40 +41,39 @@
 	return popped
 }
 
-// conditions are the faults that network and disks have at random.
+// conditions are the delays and the random faults of the network and the disks.
 type conditions struct {
-	loss, duplicate float64 // probabilities for a message
-	maxDelay        time.Duration
-	delayed         float64 // probability that a message takes ten times as long
-	maxSync         time.Duration
-	syncStall       float64 // probability that a sync takes up to a second longer
+	loss, duplicate float64       // probabilities that a message is lost, and that it arrives twice
+	maxDelay        time.Duration // maximum delay of a message, in addition to 100 µs
+	delayed         float64       // probability that a message takes ten times as long
+	maxSync         time.Duration // maximum time of a sync, in addition to 100 µs
+	syncStall       float64       // probability that a sync takes up to a second longer
 }
 
-// calmConditions are a network and disks without faults.
-var calmConditions = conditions{maxDelay: 2 * time.Millisecond, maxSync: 4 * time.Millisecond}
+// faultFreeConditions are the conditions of a network and disks without faults.
+var faultFreeConditions = conditions{maxDelay: 2 * time.Millisecond, maxSync: 4 * time.Millisecond}
 
-// world simulates a complete group: machines with disks, a network, and virtual time. Everything in it is determined by its
-// seed. It carries out the Nodes' output as the package comment demands, with a network that loses, duplicates and
-// reorders, and processes that crash, freeze and lose their disks; invariantChecker observes all of it. A nemesis brings
-// the faults.
+// world simulates a complete group: machines with disks, a network, and virtual time. Its seed determines everything in it.
+// The machines carry out the output of their Nodes as the package comment requires. The network loses, duplicates and reorders
+// messages, and a nemesis lets processes crash, freeze and lose their disks. invariantChecker observes all members.
 type world struct {
 	random      *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	order       uint64
+	order       uint64 // of the newest event
 	machines    []*machine
 	partitioned [][]bool // partitioned[a][b]: no message from a arrives at b
 	conditions  conditions
 	invariants  *invariantChecker
 	nextID      MemberID
-	newNode     func(Config, Restored, time.Duration) *Node // New, or a variant that a test checks
+	newNode     func(Config, Restored, time.Duration) *Node // New, or a variant that a test supplies
 }
 
-// newWorld starts a group of some voters, and some spare machines with empty disks.
+// newWorld starts a group of voters, and spare machines with empty disks.
 func newWorld(seed uint64, voters, spares int) *world {
 	w := &world{
 		random:     rand.New(rand.NewPCG(seed, 7)),
-		conditions: calmConditions,
+		conditions: faultFreeConditions,
 		invariants: newInvariantChecker(),
 		nextID:     100,
 		newNode:    New,
@@ -97,13 +96,13 @@
 	return w
 }
 
-// newID returns an identity that no disk has had.
+// newID returns a member ID that was not used before.
 func (w *world) newID() MemberID {
 	w.nextID++
 	return w.nextID
 }
 
-// after schedules a function.
+// after schedules a function to run once delay has passed.
 func (w *world) after(delay time.Duration, run func()) {
 	w.order++
 	heap.Push(&w.queue, event{at: w.now + delay, order: w.order, run: run})
@@ -114,12 +113,12 @@
 	return time.Duration(w.random.Int64N(int64(limit) + 1))
 }
 
-// chance reports true with a probability.
+// chance returns true with the given probability.
 func (w *world) chance(probability float64) bool {
 	return probability > 0 && w.random.Float64() < probability
 }
 
-// run runs events until a moment, or until an invariant is violated.
+// run runs events up to and including the time until, or until an invariant is violated.
 func (w *world) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until && w.invariants.violation == "" {
 		next := heap.Pop(&w.queue).(event)
@@ -141,7 +140,7 @@
 	return met()
 }
 
-// send transmits a message, with the faults of the present conditions.
+// send transmits a message under the current conditions, unless its link is partitioned.
 func (w *world) send(from *machine, message Message) {
 	to := w.machineOf(message.To)
 	if to == nil || w.partitioned[from.index][to.index] || w.chance(w.conditions.loss) {
@@ -160,7 +159,7 @@
 	}
 }
 
-// machineOf returns the machine whose disk has an identity, nil if it was lost.
+// machineOf returns the machine whose disk has a member ID, or nil if that disk is lost.
 func (w *world) machineOf(id MemberID) *machine {
 	for _, machine := range w.machines {
 		if machine.id == id {
@@ -170,7 +169,7 @@
 	return nil
 }
 
-// newestLeader returns the leader of the highest term among running machines, nil if there is none.
+// newestLeader returns the leader of the highest term among machines that are up and not frozen, or nil if there is none.
 func (w *world) newestLeader() *machine {
 	var newest *machine
 	for _, machine := range w.machines {
@@ -184,7 +183,7 @@
 	return newest
 }
 
-// readyLeader returns the newest leader if it is ready, else nil.
+// readyLeader returns newestLeader if that is ready, else nil.
 func (w *world) readyLeader() *machine {
 	leader := w.newestLeader()
 	if leader == nil || !leader.node.Status().Ready {
@@ -195,7 +194,7 @@
 
 // heal ends all faults and starts all machines that are down.
 func (w *world) heal() {
-	w.conditions = calmConditions
+	w.conditions = faultFreeConditions
 	for from := range w.partitioned {
 		clear(w.partitioned[from])
 	}
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -207,7 +207,7 @@
 // writeError answers with the status of the error's kind.
 func writeError(writer http.ResponseWriter, err error) {
 	kind := failure.KindOf(err)
-	advice := answers.To(kind)
+	advice := answers.ForKind(kind)
 	if advice.Retry {
 		writer.Header().Set("Retry-After", retryAfterSeconds)
 	}
--- a/internal/cluster/deadline/deadline.go
+++ b/internal/cluster/deadline/deadline.go
@@ -1,7 +1,7 @@
-// Package deadline makes contexts that end by the time of any clock. Package clockwork does so only for clocks of its
-// own, and lets contexts with every other clock end by the system's time.
+// Package deadline creates contexts whose deadlines follow a given clock, which may be the clock of a simulation. Package
+// clockwork does so only for its own clocks: with any other clock, its contexts end by the system's time.
 //
-// All functions may be called from any goroutine if the clock's methods may.
+// All functions may be called from any goroutine if the methods of the clock may.
 package deadline
 
 import (
@@ -11,25 +11,25 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Clock is a clock that makes contexts itself, as that of a simulation.
+// Clock is a clock that creates its own contexts with deadlines, as the clock of a simulation does.
 type Clock interface {
 	clockwork.Clock
-	// WithDeadline returns a context that ends with parent, by its cancel function, or once the clock reaches the time at.
+	// WithDeadline returns a context that ends with parent, by the returned function, or once this clock reaches at.
 	WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc)
-	// In returns the clock for the timers of the work that ctx belongs to.
-	In(ctx context.Context) clockwork.Clock
+	// ForContext returns the clock for the timers of the request that ctx belongs to.
+	ForContext(ctx context.Context) clockwork.Clock
 }
 
-// In returns the clock for the timers of the work that ctx belongs to. A Clock that orders what is due at the same
-// time needs to know the work; any other clock is returned as it is.
-func In(ctx context.Context, clock clockwork.Clock) clockwork.Clock {
+// ClockFor returns the clock for the timers of the request that ctx belongs to. A simulation's Clock needs to know the
+// request, to order timers that fire at the same time. ClockFor returns any other clock unchanged.
+func ClockFor(ctx context.Context, clock clockwork.Clock) clockwork.Clock {
 	if own, ok := clock.(Clock); ok {
-		return own.In(ctx)
+		return own.ForContext(ctx)
 	}
 	return clock
 }
 
-// WithDeadline returns a context that ends with parent, by its cancel function, or once the clock reaches the time at.
+// WithDeadline returns a context that ends with parent, by the returned function, or once clock reaches at.
 func WithDeadline(parent context.Context, clock clockwork.Clock, at time.Time) (context.Context, context.CancelFunc) {
 	if own, ok := clock.(Clock); ok {
 		return own.WithDeadline(parent, at)
@@ -37,7 +37,7 @@
 	return clockwork.WithDeadline(parent, clock, at)
 }
 
-// WithTimeout is WithDeadline with the time that is timeout from now.
+// WithTimeout returns a context that ends with parent, by the returned function, or once timeout has passed on clock.
 func WithTimeout(parent context.Context, clock clockwork.Clock, timeout time.Duration) (context.Context, context.CancelFunc) {
 	if own, ok := clock.(Clock); ok {
 		return own.WithDeadline(parent, own.Now().Add(timeout))
--- a/internal/cluster/deadline/deadline_test.go
+++ b/internal/cluster/deadline/deadline_test.go
@@ -12,31 +12,32 @@
 	"ospreypond/internal/cluster/deadline"
 )
 
-// recordingClock is a clock that records the deadlines of the contexts it makes.
+// recordingClock is a deadline.Clock that records the deadlines of the contexts it creates. For the timers of a request it
+// returns the clock in the request's context.
 type recordingClock struct {
 	*clockwork.FakeClock
 	deadlines []time.Time
 }
 
-func (a *recordingClock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
-	a.deadlines = append(a.deadlines, at)
+func (c *recordingClock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
+	c.deadlines = append(c.deadlines, at)
 	return context.WithCancel(parent)
 }
 
-func (a *recordingClock) In(ctx context.Context) clockwork.Clock {
+func (c *recordingClock) ForContext(ctx context.Context) clockwork.Clock {
 	return clockwork.FromContext(ctx)
 }
 
-func TestInReturnsTheClockOfTheWork(t *testing.T) {
+func TestClockForReturnsTheClockOfTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	other := clockwork.NewFakeClock()
 	ctx := clockwork.AddToContext(context.Background(), other)
-	g.Expect(deadline.In(ctx, &recordingClock{})).To(BeIdenticalTo(other))
-	usual := clockwork.NewRealClock()
-	g.Expect(deadline.In(ctx, usual)).To(BeIdenticalTo(usual))
+	g.Expect(deadline.ClockFor(ctx, &recordingClock{})).To(BeIdenticalTo(other))
+	plain := clockwork.NewRealClock()
+	g.Expect(deadline.ClockFor(ctx, plain)).To(BeIdenticalTo(plain))
 }
 
-func TestContextsAreMadeByAClockThatCan(t *testing.T) {
+func TestAClockCreatesItsOwnContexts(t *testing.T) {
 	g := NewWithT(t)
 	clock := &recordingClock{FakeClock: clockwork.NewFakeClock()}
 	at := clock.Now().Add(time.Minute)
@@ -47,7 +48,7 @@
 	g.Expect(clock.deadlines).To(Equal([]time.Time{at, clock.Now().Add(time.Hour)}))
 }
 
-func TestContextsOfOtherClocksEndAtTheirDeadline(t *testing.T) {
+func TestContextsOfClockworksClocksEndAtTheirDeadline(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	first, cancelFirst := deadline.WithDeadline(context.Background(), clock, clock.Now().Add(time.Minute))
--- a/internal/cluster/directory/call.go
+++ b/internal/cluster/directory/call.go
@@ -91,7 +91,7 @@
 
 // waitForOwners waits for the given time, until changed is closed or until ctx ends. It reports whether changed was closed.
 func (d *Directory) waitForOwners(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
-	timer := deadline.In(ctx, d.options.Clock).NewTimer(wait)
+	timer := deadline.ClockFor(ctx, d.options.Clock).NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.Chan():
--- a/internal/cluster/failure/answers/answers.go
+++ b/internal/cluster/failure/answers/answers.go
@@ -1,5 +1,5 @@
-// Package answers has the HTTP response for each kind of error: status, whether a retry makes sense, and advice for
-// operators. Frontends, agents and operators' commands use this one table, which docs/operations.md shows.
+// Package answers contains the HTTP response for each kind of error: its status, whether it asks the client to retry, and
+// advice for operators. Frontends, agents and operators' commands share this table, and docs/operations.md lists it.
 package answers
 
 import (
@@ -8,16 +8,16 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// Answer is the response to a caller over HTTP for one kind.
+// Answer is the HTTP response for errors of one kind.
 type Answer struct {
-	Name   string // the kind's, in logs and in bodies
+	Name   string // name of the kind, in logs and in bodies of responses
 	Status int    // HTTP status
-	Retry  bool   // Retry-After is sent
-	Advice string // what an operator can do
+	Retry  bool   // whether the response has a Retry-After header
+	Advice string // what an operator can do about the error
 }
 
-// table has the answers without their names.
-var table = [failure.Kinds]Answer{
+// table contains the answer for each kind, without its Name.
+var table = [failure.KindCount]Answer{
 	failure.None:           {Status: http.StatusOK, Advice: "nothing"},
 	failure.NotLeader:      {Status: http.StatusServiceUnavailable, Retry: true, Advice: "wait for the election; look at `shards`"},
 	failure.Unavailable:    {Status: http.StatusServiceUnavailable, Retry: true, Advice: "look at `members`: is a quorum running and connected?"},
@@ -33,9 +33,9 @@
 	failure.Forgotten:      {Status: http.StatusGatewayTimeout, Advice: "read the configuration: is the change in it?"},
 }
 
-// To returns the answer for a kind. An unknown kind is answered as failure.UnknownOutcome.
-func To(kind failure.Kind) Answer {
-	if kind >= failure.Kinds {
+// ForKind returns the answer for a kind. For a value that is not a kind it returns that for failure.UnknownOutcome.
+func ForKind(kind failure.Kind) Answer {
+	if kind >= failure.KindCount {
 		kind = failure.UnknownOutcome
 	}
 	answer := table[kind]
--- a/internal/cluster/failure/answers/answers_test.go
+++ b/internal/cluster/failure/answers/answers_test.go
@@ -9,11 +9,11 @@
 	"ospreypond/internal/cluster/failure/answers"
 )
 
-func TestEveryKindHasAResponseOfItsOwnName(t *testing.T) {
+func TestEveryKindHasAnAnswerWithAUniqueName(t *testing.T) {
 	g := NewWithT(t)
 	names := map[string]failure.Kind{}
-	for kind := range failure.Kinds {
-		answer := answers.To(kind)
+	for kind := range failure.KindCount {
+		answer := answers.ForKind(kind)
 		g.Expect(answer.Name).NotTo(BeEmpty(), "kind %d", kind)
 		g.Expect(answer.Advice).NotTo(BeEmpty(), answer.Name)
 		g.Expect(answer.Status).To(BeNumerically(">=", 200), answer.Name)
@@ -22,8 +22,8 @@
 	}
 }
 
-func TestAnUnknownKindHasAnUnknownOutcome(t *testing.T) {
+func TestAnUnknownKindIsAnsweredAsUnknownOutcome(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(answers.To(failure.Kinds)).To(Equal(answers.To(failure.UnknownOutcome)))
-	g.Expect(failure.Kinds.String()).To(Equal(failure.UnknownOutcome.String()))
+	g.Expect(answers.ForKind(failure.KindCount)).To(Equal(answers.ForKind(failure.UnknownOutcome)))
+	g.Expect(failure.KindCount.String()).To(Equal(failure.UnknownOutcome.String()))
 }
--- a/internal/cluster/failure/failure.go
+++ b/internal/cluster/failure/failure.go
@@ -1,36 +1,37 @@
-// Package failure has the closed list of error kinds of the scheduler. An error carries one kind through every layer
-// and over the internal protocol; package answers has the HTTP response for each.
+// Package failure contains the closed list of error kinds of the scheduler. An error keeps its kind through every layer and
+// over the internal protocol. Package answers contains the HTTP response for each kind.
 //
-// An error without a kind counts as UnknownOutcome: only a layer that knows that nothing was done may say so by a
-// kind.
+// An error without a kind counts as UnknownOutcome. Only a layer that knows that a request had no effect may return one of
+// the kinds that promise it.
 package failure
 
 import "github.com/pkg/errors"
 
-// Kind is what went wrong, as far as the caller has to act on it. It is on the wire: values must not change.
+// Kind is the kind of an error, which determines what the caller can do about it. The values are part of the internal
+// protocol and must not change.
 type Kind uint8
 
-// The kinds. The zero value means that nothing is wrong.
+// The kinds. The zero value means that there is no error.
 const (
 	None           Kind = iota
-	NotLeader           // this process does not own the shard; certainly nothing was done
-	Unavailable         // nothing can be done now; certainly nothing was done
-	Overloaded          // refused for lack of capacity; certainly nothing was done
-	UnknownOutcome      // it may have been done, or may still be
+	NotLeader           // this process does not own the shard; the request had no effect
+	Unavailable         // the request can't be served now; it had no effect
+	Overloaded          // the request was refused for lack of capacity; it had no effect
+	UnknownOutcome      // the request may have taken effect, or may still do so
 	Invalid             // the request can never be accepted as it is
-	Conflict            // based on another version than the present one
-	TooLarge            // over a limit of size
-	NoRoute             // no such queue or path
-	Gone                // no such job
-	Stale               // the caller's configuration is older than the owner's; certainly nothing was done
-	Moved               // the job's queue belongs to another shard now; certainly nothing was done
-	Forgotten           // it was done or not, and no later attempt can show which
+	Conflict            // the request is based on a version other than the current one
+	TooLarge            // the request exceeds a limit on size
+	NoRoute             // there is no such queue or path
+	Gone                // there is no such job or incarnation of a runner, or it is no longer known
+	Stale               // the caller's configuration is older than the owner's; the request had no effect
+	Moved               // the job's queue belongs to another shard now; the request had no effect
+	Forgotten           // the request took effect or not, and no repetition of it can show which
 
-	Kinds // the number of kinds, not a kind
+	KindCount // the number of kinds; it is not a kind
 )
 
-// names are those of the kinds in logs and in the bodies of responses.
-var names = [Kinds]string{
+// names are the names of the kinds in logs and in the bodies of HTTP responses.
+var names = [KindCount]string{
 	None:           "none",
 	NotLeader:      "not_leader",
 	Unavailable:    "unavailable",
@@ -46,33 +47,34 @@
 	Forgotten:      "forgotten",
 }
 
-// String returns the kind's name. An unknown kind has the name of UnknownOutcome.
+// String returns the name of the kind. A value that is not a kind has the name of UnknownOutcome.
 func (k Kind) String() string {
-	if k >= Kinds {
+	if k >= KindCount {
 		k = UnknownOutcome
 	}
 	return names[k]
 }
 
-// Error is an error with its kind. Package transport sends all of its fields.
+// Error is an error with a kind. Package transport sends all of its fields over the internal protocol.
 type Error struct {
 	Kind    Kind
 	Message string
-	Leader  string // NotLeader: internal address of the owner; empty if it is not known
+	Leader  string // with NotLeader: internal address of the shard's owner, empty if it is not known
 }
 
-// Error returns the kind's name and the message.
+// Error returns the name of the kind, a colon and the message.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.Message }
 
-// New returns an *Error of kind k.
+// New returns an *Error of kind k with a message.
 func New(k Kind, message string) error { return &Error{Kind: k, Message: message} }
 
-// Newf is New with a format as fmt.Sprintf's.
+// Newf returns an *Error of kind k whose message is formatted as by fmt.Sprintf.
 func Newf(k Kind, format string, args ...any) error {
 	return &Error{Kind: k, Message: errors.Errorf(format, args...).Error()}
 }
 
-// KindOf returns the kind of err or of an error that it wraps: None for nil, UnknownOutcome if there is no kind.
+// KindOf returns the kind of err or of the first *Error that it wraps. It returns None for nil, and UnknownOutcome for an
+// error without a kind.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -84,7 +86,8 @@
 	return UnknownOutcome
 }
 
-// LeaderOf returns the Leader of err or of an error that it wraps, or "".
+// LeaderOf returns the Leader of err or of the first *Error that it wraps. It returns an empty string if there is none, also
+// for nil.
 func LeaderOf(err error) string {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/cluster/failure/failure_test.go
+++ b/internal/cluster/failure/failure_test.go
@@ -17,12 +17,12 @@
 		kind   failure.Kind
 		leader string
 	}{
-		{name: "none", err: nil, kind: failure.None},
-		{name: "without a kind", err: errors.New("disk on fire"), kind: failure.UnknownOutcome},
-		{name: "with a kind", err: failure.New(failure.Stale, "old"), kind: failure.Stale},
-		{name: "with a kind and a format", err: failure.Newf(failure.TooLarge, "%d bytes", 9), kind: failure.TooLarge},
-		{name: "with a leader", err: notLeader, kind: failure.NotLeader, leader: "10.0.0.1:7400"},
-		{name: "wrapped", err: errors.Wrap(notLeader, "while submitting"), kind: failure.NotLeader, leader: "10.0.0.1:7400"},
+		{name: "no error", err: nil, kind: failure.None},
+		{name: "an error without a kind", err: errors.New("disk failed"), kind: failure.UnknownOutcome},
+		{name: "an error with a kind", err: failure.New(failure.Stale, "old"), kind: failure.Stale},
+		{name: "an error with a kind and a formatted message", err: failure.Newf(failure.TooLarge, "%d bytes", 9), kind: failure.TooLarge},
+		{name: "an error with a leader", err: notLeader, kind: failure.NotLeader, leader: "10.0.0.1:7400"},
+		{name: "a wrapped error", err: errors.Wrap(notLeader, "while submitting"), kind: failure.NotLeader, leader: "10.0.0.1:7400"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -32,8 +32,8 @@
 	}
 }
 
-func TestErrorTextNamesTheKind(t *testing.T) {
+func TestErrorTextBeginsWithTheKind(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(failure.Newf(failure.TooLarge, "%d bytes", 9)).To(MatchError("too_large: 9 bytes"))
-	g.Expect(failure.Kinds.String()).To(Equal(failure.UnknownOutcome.String()))
+	g.Expect(failure.KindCount.String()).To(Equal(failure.UnknownOutcome.String()))
 }
--- a/internal/cluster/frontend/connection_test.go
+++ b/internal/cluster/frontend/connection_test.go
@@ -172,7 +172,7 @@
 		Consistently(s.ended, 30*time.Millisecond).ShouldNot(Receive())
 		s.clock.Advance(200 * time.Millisecond)
 		status, last := client.receive()
-		Expect(status).To(Equal(answers.To(failure.UnknownOutcome).Status))
+		Expect(status).To(Equal(answers.ForKind(failure.UnknownOutcome).Status))
 		Expect(last).To(BeTrue())
 		Eventually(s.ended).Should(Receive(BeNil()))
 	})
--- a/internal/cluster/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -209,7 +209,7 @@
 		client := s.connect()
 		client.send("POST", "/a/"+jobID, `{"spec":"`+strings.Repeat("x", 2000)+`"}`)
 		status, last := client.receive()
-		Expect(status).To(Equal(answers.To(failure.TooLarge).Status))
+		Expect(status).To(Equal(answers.ForKind(failure.TooLarge).Status))
 		Expect(last).To(BeTrue())
 	})
 })
--- a/internal/cluster/frontend/target.go
+++ b/internal/cluster/frontend/target.go
@@ -80,7 +80,7 @@
 	s.Directory.Refresh()
 	ctx, cancel := deadline.WithTimeout(ctx, s.Clock, confirmTimeout)
 	defer cancel()
-	ticker := deadline.In(ctx, s.Clock).NewTicker(confirmPollInterval)
+	ticker := deadline.ClockFor(ctx, s.Clock).NewTicker(confirmPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/cluster/httpjson/httpjson.go
+++ b/internal/cluster/httpjson/httpjson.go
@@ -81,7 +81,7 @@
 
 // WriteError sends the status, name and Retry-After of err's kind, see package answers.
 func WriteError(w http.ResponseWriter, err error) {
-	answer := answers.To(failure.KindOf(err))
+	answer := answers.ForKind(failure.KindOf(err))
 	if answer.Retry {
 		w.Header()["Retry-After"] = retryAfter
 	}
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -49,7 +49,7 @@
 		return ""
 	}
 	before, isAlive := membersOf(view), living(view)
-	first, err := consensus.FirstMembers(before, plan.members)
+	first, err := consensus.FirstStepMembers(before, plan.members)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -158,7 +158,7 @@
 	g.snapshots.index = snapshot.Index
 	g.snapshots.size = len(snapshot.Data)
 	g.snapshots.logBytes -= covered
-	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.RetainFrom(maxRetainedBytes)))
+	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.RetainAfter(maxRetainedBytes)))
 }
 
 // trailingEntries returns how many entries before a snapshot stay in memory.
--- a/internal/cluster/simulation/cluster/shell_clock.go
+++ b/internal/cluster/simulation/cluster/shell_clock.go
@@ -15,8 +15,8 @@
 	request uint64 // that its timers belong to, see shell.enqueue
 }
 
-// In returns the clock whose timers belong to a context's request.
-func (c shellClock) In(ctx context.Context) clockwork.Clock {
+// ForContext returns the clock whose timers belong to a context's request.
+func (c shellClock) ForContext(ctx context.Context) clockwork.Clock {
 	return shellClock{c.shell, requestOf(ctx)}
 }
 
--- a/internal/cluster/simulation/cluster/shell_test.go
+++ b/internal/cluster/simulation/cluster/shell_test.go
@@ -176,7 +176,7 @@
 				<-open
 				bounded, cancel := deadline.WithTimeout(r.Context(), b.clock(), time.Second)
 				defer cancel()
-				<-deadline.In(bounded, b.clock()).After(100 * time.Millisecond)
+				<-deadline.ClockFor(bounded, b.clock()).After(100 * time.Millisecond)
 				<-bounded.Done()
 			})
 			b.shell.serve(handler, &http.Request{}, func(*response) { order = append(order, number) })
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -129,7 +129,7 @@
 		})
 	}
 
-	for kind := failure.None + 1; kind < failure.Kinds; kind++ {
+	for kind := failure.None + 1; kind < failure.KindCount; kind++ {
 		It("is read as the error "+kind.String(), func() {
 			refused := pingExchange
 			sent := &failure.Error{Kind: kind, Message: "it was " + kind.String(), Leader: "10.0.0.1:7380"}
@@ -355,7 +355,7 @@
 				known[filepath.Base(fixturetest.Path(e.responseName))] = true
 			}
 		}
-		for kind := failure.None + 1; kind < failure.Kinds; kind++ {
+		for kind := failure.None + 1; kind < failure.KindCount; kind++ {
 			known[filepath.Base(fixturetest.Path("failure."+kind.String()))] = true
 		}
 		files, err := os.ReadDir(filepath.Dir(fixturetest.Path("")))
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -194,7 +194,7 @@
 	It("has every kind of fault with its answer and advice", func() {
 		var told [][]string
 		for _, kind := range kinds() {
-			answer := answers.To(kind)
+			answer := answers.ForKind(kind)
 			retry := "no"
 			if answer.Retry {
 				retry = "yes"
