--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -210,7 +210,7 @@
 // writeError responds with the HTTP status of the error's kind, the error as JSON and, if a retry is useful, Retry-After.
 func writeError(writer http.ResponseWriter, err error) {
 	kind := failure.KindOf(err)
-	advice := answers.To(kind)
+	advice := answers.ForKind(kind)
 	if advice.Retry {
 		writer.Header().Set("Retry-After", retryAfterSeconds)
 	}
