--- a/internal/cluster/directory/attempts.go
+++ b/internal/cluster/directory/attempts.go
@@ -7,30 +7,33 @@
 )
 
 const (
-	minRetryBackoff = 30 * time.Millisecond
-	maxRetryBackoff = 200 * time.Millisecond
+	minRetryBackoff = 30 * time.Millisecond  // first wait between two attempts of a call; each further one is twice as long
+	maxRetryBackoff = 200 * time.Millisecond // longest wait between two attempts of a call
 )
 
-// attempts decides what follows each attempt of one call to a shard's owner. It does no I/O and reads no clock.
+// attempts decides what to do after each attempt of one call to a shard's owner. It does no I/O and reads no clock.
+//
+// Invariant: a call whose attempt may have been executed never ends with an error that says that nothing was done. So an
+// unknown outcome, once there was one, is the error of the call unless a later attempt succeeds.
 type attempts struct {
-	mayRepeat      bool
-	unknownOutcome error // of the newest attempt that may have done something
-	rejected       error // of the newest attempt that did nothing for want of an owner
-	hints          hints
-	backoffs       int
-	unresponsive   string // the newest process whose response didn't come; a hint to it is not followed
+	mayRepeat      bool   // the request is idempotent: repeat it after an unknown outcome
+	unknownOutcome error  // error of the newest attempt that may have been executed; nil: none
+	rejected       error  // error of the newest attempt that reached no owner, so that nothing was done; nil: none
+	hints          hints  // limits how hints are followed
+	backoffs       int    // waits so far
+	unresponsive   string // address of the newest process that did not respond; the next hint to it is not followed
 }
 
-// nextStep is what to do after an attempt.
+// nextStep says what a call does after an attempt.
 type nextStep struct {
 	done    bool
-	err     error         // if done: the call's result
-	target  string        // if not: the address to ask next; empty: the one after the last
-	backoff time.Duration // the wait before that
-	refresh bool          // the owner seems to have failed: have the watch find out who it is
+	err     error         // if done: the call's error; nil: the attempt succeeded
+	target  string        // if not done: the address to call next; empty: the one that follows in the view
+	backoff time.Duration // if not done: how long to wait before the next attempt
+	refresh bool          // the process may have failed: call Refresh, so that the watch learns the new owner soon
 }
 
-// next returns what follows an attempt at target that ended with err.
+// next returns what to do after an attempt at target that ended with err.
 func (a *attempts) next(target string, err error) nextStep {
 	switch failure.KindOf(err) {
 	case failure.None:
@@ -53,10 +56,10 @@
 	}
 }
 
-// follow follows the hint of a process that is not the owner, which is empty if it doesn't know the owner.
+// follow returns what to do after target answered that leader is the owner, or that it knows none if leader is empty.
 func (a *attempts) follow(target, leader string) nextStep {
 	if leader == "" || leader == target || leader == a.unresponsive {
-		a.unresponsive = "" // once: it may just have been slow
+		a.unresponsive = "" // only this hint is ignored: the process may just have been slow
 		return nextStep{backoff: a.backoff()}
 	}
 	if a.hints.followAtOnce() {
@@ -68,7 +71,7 @@
 	return nextStep{backoff: a.backoff()}
 }
 
-// backoff returns how long to wait; it grows with each call.
+// backoff returns how long to wait before the next attempt. The wait doubles each time, up to maxRetryBackoff.
 func (a *attempts) backoff() time.Duration {
 	a.hints.waited()
 	wait := minRetryBackoff << min(a.backoffs, 3)
@@ -76,8 +79,8 @@
 	return min(wait, maxRetryBackoff)
 }
 
-// endError returns the error of a call that ends with a definite error, or by its context if last is nil. An attempt with
-// an unknown outcome outweighs everything that came after it.
+// endError returns the error of a call that ends without success. last is the error of the last attempt, or nil if the call
+// ends because its context did. An earlier unknown outcome takes precedence over every later error.
 func (a *attempts) endError(last error) error {
 	switch {
 	case a.unknownOutcome != nil:
@@ -87,6 +90,6 @@
 	case a.rejected != nil:
 		return a.rejected
 	default:
-		return failure.New(failure.Unavailable, "no time left to call the shard's owner")
+		return failure.New(failure.Unavailable, "the call's context ended before the first attempt")
 	}
 }
--- a/internal/cluster/directory/call.go
+++ b/internal/cluster/directory/call.go
@@ -11,13 +11,16 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// attemptTimeout bounds each attempt of a call, so that an unresponsive owner doesn't use up all the time of the call.
+// attemptTimeout limits each attempt of a call, so that an unresponsive owner doesn't use up all the time of the call.
 const attemptTimeout = 600 * time.Millisecond
 
-// Call calls the owner of a shard and returns its response. It follows the hints of processes that are not the owner, and tries
-// one address after the other, until ctx ends. An attempt with an unknown outcome is repeated only if mayRepeat is true: the
-// request must then be idempotent. If any attempt had an unknown outcome, the error is of kind UnknownOutcome; else it is the
-// owner's, or Unavailable or NotLeader if none was found in time, and then certainly nothing was done.
+// Call calls the owner of a shard and returns its response. Until ctx ends it tries one address after the other and follows
+// hints, which are the owners that other processes name in their NotLeader errors. After an attempt with an unknown outcome
+// it makes another one only if mayRepeat is true; the request must then be idempotent. The error is of one of these kinds:
+//
+//   - UnknownOutcome, if any attempt had an unknown outcome;
+//   - else the kind of the owner's error, if the owner answered;
+//   - else NotLeader or Unavailable, if no owner was found until ctx ended; then certainly nothing was done.
 func Call[Req, Resp any](
 	ctx context.Context, d *Directory, shard protocol.ShardID, request *Req, mayRepeat bool,
 ) (*Resp, error) {
@@ -46,7 +49,7 @@
 	}
 }
 
-// attempt calls one process.
+// attempt calls the process at target, for at most attemptTimeout.
 func (d *Directory) attempt(ctx context.Context, target string, request, response any) error {
 	if target == "" {
 		return failure.New(failure.Unavailable, "no control process is known")
@@ -56,7 +59,8 @@
 	return d.options.Client.Do(bounded, target, request, response)
 }
 
-// recordAttempt records what an attempt has shown of the shard's owner.
+// recordAttempt records what a failed attempt has shown about the shard's owner: target named another one, or target is not
+// the owner or may have failed.
 func (d *Directory) recordAttempt(shard protocol.ShardID, target string, next nextStep) {
 	if next.target != "" {
 		d.recordOwner(shard, next.target)
@@ -68,7 +72,8 @@
 	}
 }
 
-// nextTarget waits for the backoff and returns the address to call next. A change of owners ends the wait.
+// nextTarget waits for the backoff and returns the address to call next. A change of owners ends the wait, and then the
+// shard's owner is called if it is known.
 func (d *Directory) nextTarget(ctx context.Context, shard protocol.ShardID, target string, next nextStep) string {
 	changed := d.ownersChanged()
 	if next.backoff > 0 && d.waitForOwners(ctx, next.backoff, changed) {
@@ -82,14 +87,15 @@
 	return d.targetAfter(target)
 }
 
-// ownersChanged returns a channel that is closed when owners change.
+// ownersChanged returns a channel that is closed at the next change of owners.
 func (d *Directory) ownersChanged() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.changed
 }
 
-// waitForOwners waits for the given time, until changed is closed or until ctx ends. It reports whether changed was closed.
+// waitForOwners waits for the given time, but ends earlier if changed is closed or ctx ends. It reports whether changed was
+// closed.
 func (d *Directory) waitForOwners(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
 	timer := deadline.In(ctx, d.options.Clock).NewTimer(wait)
 	defer timer.Stop()
@@ -103,8 +109,9 @@
 	}
 }
 
-// wasCanceled reports whether the caller canceled ctx before its deadline. This says nothing of the process that was called,
-// so it isn't avoided for it. A context of a clockwork.FakeClock has an error only once it has ended.
+// wasCanceled reports whether the caller canceled ctx before its deadline. Then a missing response doesn't show that the
+// process is unresponsive, so Call doesn't avoid it. The check starts with isDone because a context of a clockwork.FakeClock
+// has an error only once it has ended.
 func wasCanceled(ctx context.Context) bool {
 	return isDone(ctx) && !errors.Is(ctx.Err(), context.DeadlineExceeded) &&
 		!errors.Is(context.Cause(ctx), context.DeadlineExceeded)
--- a/internal/cluster/directory/call_test.go
+++ b/internal/cluster/directory/call_test.go
@@ -16,7 +16,7 @@
 
 type response struct{ Text string }
 
-// attempt is an expected attempt, and the error that it ends with.
+// attempt is an expected attempt of a call: the address that it goes to, and the error that it ends with.
 type attempt struct {
 	address string
 	err     error
@@ -25,19 +25,20 @@
 var _ = Describe("A call", func() {
 	const shard = protocol.ShardID(2)
 
+	// start starts a call in a goroutine and returns the channel that gets its error.
 	start := func(ctx context.Context, d *Directory, mayRepeat bool) <-chan error {
 		ended := make(chan error, 1)
 		go func() {
 			response, err := Call[request, response](ctx, d, shard, &request{Text: "do"}, mayRepeat)
 			if err == nil && response.Text != "done" {
-				err = failure.New(failure.Invalid, "not the response")
+				err = failure.New(failure.Invalid, "the response has another text")
 			}
 			ended <- err
 		}()
 		return ended
 	}
 
-	DescribeTable("attempts one process after the other",
+	DescribeTable("tries one process after the other until it ends",
 		func(owner string, mayRepeat bool, end failure.Kind, ownerAfter string, script ...attempt) {
 			s := newScripted()
 			d := newDirectory(s, nil)
@@ -56,30 +57,38 @@
 			Expect(s.calls).To(BeEmpty())
 			Expect(d.Owner(shard)).To(Equal(ownerAfter))
 		},
-		Entry("to the owner", "x", false, failure.None, "x", attempt{"x", nil}),
-		Entry("by a hint", "", false, failure.None, "x", attempt{"a", notLeader("x")}, attempt{"x", nil}),
-		Entry("by alternating hints", "x", false, failure.None, "y", attempt{"x", notLeader("y")}, attempt{"y", notLeader("x")},
+		Entry("at the known owner", "x", false, failure.None, "x", attempt{"x", nil}),
+		Entry("by following a hint", "", false, failure.None, "x", attempt{"a", notLeader("x")}, attempt{"x", nil}),
+		Entry("by following hints of two processes that name each other", "x", false, failure.None, "y",
+			attempt{"x", notLeader("y")}, attempt{"y", notLeader("x")},
 			attempt{"x", notLeader("y")}, attempt{"y", nil}),
-		Entry("past hints that go round in a circle", "", false, failure.None, "c", attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")},
+		Entry("at another process after hints that go round in a circle", "", false, failure.None, "c",
+			attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")},
 			attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")}, attempt{"a", notLeader("b")}, attempt{"b", notLeader("a")},
 			attempt{"c", nil}),
-		Entry("round robin", "", false, failure.None, "c", attempt{"a", notLeader("")}, attempt{"b", notLeader("")}, attempt{"c", nil}),
-		Entry("past a process that names itself", "", false, failure.None, "b", attempt{"a", notLeader("a")}, attempt{"b", nil}),
-		Entry("past an unreachable process", "", false, failure.None, "b", attempt{"a", ofKind(failure.Unavailable)}, attempt{"b", nil}),
-		Entry("without a retry after an unknown outcome", "x", false, failure.UnknownOutcome, "",
+		Entry("round robin while none knows the owner", "", false, failure.None, "c",
+			attempt{"a", notLeader("")}, attempt{"b", notLeader("")}, attempt{"c", nil}),
+		Entry("at the next process after one that names itself but isn't the owner", "", false, failure.None, "b",
+			attempt{"a", notLeader("a")}, attempt{"b", nil}),
+		Entry("at the next process after an unreachable one", "", false, failure.None, "b",
+			attempt{"a", ofKind(failure.Unavailable)}, attempt{"b", nil}),
+		Entry("with an unknown outcome if it may not repeat the request", "x", false, failure.UnknownOutcome, "",
 			attempt{"x", ofKind(failure.UnknownOutcome)}),
-		Entry("with a retry after an unknown outcome if it may repeat", "x", true, failure.None, "a", attempt{"x", ofKind(failure.UnknownOutcome)}, attempt{"a", nil}),
-		Entry("past a hint to an unresponsive process, once", "x", true, failure.None, "x", attempt{"x", ofKind(failure.UnknownOutcome)},
+		Entry("after an unknown outcome if it may repeat the request", "x", true, failure.None, "a",
+			attempt{"x", ofKind(failure.UnknownOutcome)}, attempt{"a", nil}),
+		Entry("without following the first hint to an unresponsive process", "x", true, failure.None, "x",
+			attempt{"x", ofKind(failure.UnknownOutcome)},
 			attempt{"a", notLeader("x")}, attempt{"b", notLeader("x")}, attempt{"x", nil}),
-		Entry("up to a definite error", "x", true, failure.Overloaded, "x", attempt{"x", ofKind(failure.Overloaded)}),
-		Entry("up to a job that doesn't exist", "", true, failure.Gone, "x", attempt{"a", notLeader("x")},
+		Entry("with the owner's definite error", "x", true, failure.Overloaded, "x", attempt{"x", ofKind(failure.Overloaded)}),
+		Entry("with the owner's error that a job doesn't exist", "", true, failure.Gone, "x", attempt{"a", notLeader("x")},
 			attempt{"x", ofKind(failure.Gone)}),
-		Entry("up to an older configuration", "x", true, failure.Stale, "x", attempt{"x", ofKind(failure.Stale)}),
-		Entry("up to a rejection after an unknown outcome, which stays unknown", "x", true, failure.UnknownOutcome, "",
+		Entry("with the owner's error that the configuration is older", "x", true, failure.Stale, "x",
+			attempt{"x", ofKind(failure.Stale)}),
+		Entry("with an unknown outcome if a definite error follows one", "x", true, failure.UnknownOutcome, "",
 			attempt{"x", ofKind(failure.UnknownOutcome)}, attempt{"a", ofKind(failure.Overloaded)}),
 	)
 
-	DescribeTable("ends with its context",
+	DescribeTable("ends when its context is canceled",
 		func(mayRepeat bool, end failure.Kind, script ...attempt) {
 			s := newScripted()
 			d := newDirectory(s, nil)
@@ -101,7 +110,7 @@
 			attempt{"b", notLeader("")}, attempt{"c", ofKind(failure.Unavailable)}),
 	)
 
-	It("keeps an owner whose response it was canceled to wait for", func() {
+	It("keeps the recorded owner if the caller cancels before the deadline", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		d.recordOwner(shard, "x")
@@ -114,7 +123,7 @@
 		Expect(d.firstTarget(protocol.ConfigurationShard)).To(Equal("a"))
 	})
 
-	It("forgets an owner that is unresponsive until the deadline", func() {
+	It("forgets the recorded owner if it doesn't respond until the deadline", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		d.recordOwner(shard, "x")
@@ -129,7 +138,7 @@
 		Expect(d.Owner(shard)).To(BeEmpty())
 	})
 
-	It("with a context that has ended calls no process", func() {
+	It("calls no process if its context has ended before", func() {
 		s := newScripted()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -137,7 +146,7 @@
 		Expect(s.calls).To(BeEmpty())
 	})
 
-	It("gives an unresponsive owner only part of the time", func() {
+	It("waits attemptTimeout for an unresponsive owner, then tries another process", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		d.recordOwner(shard, "x")
@@ -153,7 +162,7 @@
 		Expect(passUntil(s, ended)).To(Succeed())
 	})
 
-	It("backs off", func() {
+	It("waits longer after each failed attempt", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -170,7 +179,7 @@
 		Expect(failure.KindOf(passUntil(s, ended))).To(Equal(failure.UnknownOutcome))
 	})
 
-	It("continues at once when a new owner becomes known", func() {
+	It("ends its wait when a new owner becomes known, and calls that owner", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		ended := start(context.Background(), d, true)
@@ -190,7 +199,7 @@
 		Expect(passUntil(s, ended)).To(Succeed())
 	})
 
-	It("starts at another process after another call found one unresponsive", func() {
+	It("starts at the next process if an earlier call found the first one unresponsive", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		ended := start(context.Background(), d, false)
@@ -210,7 +219,7 @@
 		Expect(d.firstTarget(shard + 1)).To(Equal("a"))
 	})
 
-	It("of a directory that knows no process is Unavailable", func() {
+	It("fails with Unavailable if the directory knows no process", func() {
 		s := newScripted()
 		d := New(Options{Client: s, Clock: s.clock})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/cluster/directory/decompress.go
+++ b/internal/cluster/directory/decompress.go
@@ -10,10 +10,11 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxConfigurationBytes bounds the size of a configuration after decompression.
+// maxConfigurationBytes limits the size of a configuration after decompression, in bytes, so that a small response can't
+// exhaust the memory.
 const maxConfigurationBytes = 64 << 20
 
-// decompress replaces a compressed configuration in a response by the plain one.
+// decompress replaces the configuration of a response by the uncompressed one, if it is compressed.
 func decompress(response *protocol.WatchResponse) error {
 	if !response.Compressed {
 		return nil
@@ -21,10 +22,11 @@
 	reader := flate.NewReader(bytes.NewReader(response.Configuration))
 	plain, err := io.ReadAll(io.LimitReader(reader, maxConfigurationBytes+1))
 	if err != nil {
-		return errors.Wrap(err, "decompress the configuration")
+		return errors.Wrap(err, "decompress the configuration in the response to a watch")
 	}
 	if len(plain) > maxConfigurationBytes {
-		return errors.Errorf("the configuration has more than %d bytes", maxConfigurationBytes)
+		return errors.Errorf("the configuration in the response to a watch has more than %d bytes after decompression",
+			maxConfigurationBytes)
 	}
 	response.Configuration, response.Compressed = plain, false
 	return nil
--- a/internal/cluster/directory/directory.go
+++ b/internal/cluster/directory/directory.go
@@ -1,11 +1,15 @@
-// Package directory keeps frontends and agents informed of the current configuration and of the owner of each shard, and
-// sends calls to the owners.
+// Package directory tells frontends and agents the current configuration and the owner of each shard, and sends calls to the
+// owners.
 //
-// A Directory is a client of the control processes. Run keeps one watch open at the owner of the configuration, a long poll
-// that is answered when there is something newer; Call sends requests to the owner of a shard, follows hints to new owners
-// and retries as far as that is safe. What a Directory knows may be out of date, but it never goes back to an older
-// configuration, and Fresh and ConfirmedSince report how recently it was confirmed. Run must be called once, in a goroutine
-// that the caller waits for; all other methods, and Call, may be called by many goroutines.
+// A Directory is a client of the control processes. Run keeps one watch open at the owner of the configuration. A watch is a
+// long poll: the owner answers it when there is a newer configuration or a change of owners, or after Options.Wait. Call
+// sends a request to the owner of a shard, follows hints to new owners and retries as far as that is safe.
+//
+// What a Directory knows may be out of date. It never goes back to an older configuration, and Fresh and ConfirmedSince
+// report how recently the owner of the configuration confirmed it.
+//
+// Run must be called once, in a goroutine that the caller waits for. All other methods, and Call, may be called by many
+// goroutines.
 package directory
 
 import (
@@ -22,45 +26,50 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Caller sends requests to an address and decodes the response; transport.Client is one. Errors are of the kinds of package
-// failure. DoLong is Do for requests that the peer may leave unanswered for long, during which it is not probed.
+// Caller sends a request to an address and decodes the response. transport.Client and relay.Caller implement it. Errors have
+// kinds of package failure. DoLong does what Do does, but doesn't probe the peer while it waits for the response, since
+// the peer may delay that.
 type Caller interface {
 	Do(ctx context.Context, address string, request, response any) error
 	DoLong(ctx context.Context, address string, request, response any) error
 }
 
-// Options are the settings of a Directory. Client is required; without seeds it knows no process until SetSeeds.
+// Options are the settings of a Directory. Client is required. Without Seeds the Directory knows no process, and calls fail,
+// until SetSeeds is called.
 type Options struct {
 	Client Caller
-	Seeds  []string // internal addresses of control processes to start from
-	Node   string   // this machine's name
-	Zone   string   // of this machine
-	Relay  string   // internal address at which this process relays calls; empty: it doesn't
-	Clock  clockwork.Clock
-	Logger log.Logger
-	// Wait is how long the owner of the configuration may leave a watch unanswered while there is nothing newer; 0: a second.
+	Seeds  []string        // internal addresses of control processes: the only ones called before members are known
+	Node   string          // name of this machine
+	Zone   string          // zone of this machine
+	Relay  string          // internal address at which this process relays calls; empty: it doesn't
+	Clock  clockwork.Clock // nil: the system's clock
+	Logger log.Logger      // nil: nothing is logged
+	// Wait is how long the owner of the configuration may leave a watch unanswered while there is nothing newer. 0 or less
+	// means defaultWait.
 	Wait time.Duration
-	// OnConfiguration is called with each newer version of the configuration before Version returns it. document is a feed
-	// for configuration.Advance: the complete document, or the changes since the version before. It is called by the
-	// goroutine of Run, with rising versions. If it returns an error, the version doesn't count as known, and the complete
-	// document is requested. If it is nil, only members and owners are watched.
+	// OnConfiguration is called by the goroutine of Run with each newer version of the configuration, before Version returns
+	// that version. document is an input of configuration.Advance: the complete document, or the changes since the version
+	// that was accepted before. Versions rise. If OnConfiguration returns an error, Version stays as it was and the next
+	// watch requests the complete document. If OnConfiguration is nil, only members and owners are watched.
 	OnConfiguration func(version uint64, document []byte) error
-	// OnRelays is called by the goroutine of Run with the relays that this process may use, each time that the owner sends
-	// them. If it is nil, they are ignored.
+	// OnRelays is called by the goroutine of Run with the relays that this process may use, each time the owner of the
+	// configuration sends some. If it is nil, they are ignored.
 	OnRelays func(relays []protocol.Relay)
 }
 
-// Directory is what a process knows of the cluster. It is safe for concurrent use.
+// Directory has what a process knows of the cluster: the configuration's version, the members and the owners of shards.
+// It is safe for concurrent use.
 type Directory struct {
-	options     Options
-	withTimeout func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) // by the clock of the options
+	options Options
+	// withTimeout returns a context that ends after span by options.Clock. Tests replace it.
+	withTimeout func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc)
 
 	mutex       sync.Mutex
 	view        *view
-	changed     chan struct{}      // closed and replaced when owners change
-	cancelWatch context.CancelFunc // of the present watch; nil: there is none that Refresh may cancel
-	refreshed   bool               // Refresh canceled it
-	watchSentAt time.Time          // when it was sent
+	changed     chan struct{}      // closed and replaced when an owner or a member changes
+	cancelWatch context.CancelFunc // cancels the current watch; nil: there is none that Refresh may cancel
+	refreshed   bool               // Refresh canceled the current watch
+	watchSentAt time.Time          // when the watch that cancelWatch cancels was sent
 }
 
 // New returns a Directory that knows only the seeds until Run is called.
@@ -87,7 +96,8 @@
 	return d
 }
 
-// positionOf returns a hash of a machine's name, by which machines are spread over the processes that they call first.
+// positionOf returns a hash of a machine's name. It selects the process that the machine calls first, so that machines
+// spread evenly over the processes.
 func positionOf(node string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(node))
@@ -101,9 +111,9 @@
 	return d.view.version
 }
 
-// ConfirmedAt returns a time at which what this directory knows was certainly current. It is not after the moment at which
-// the owner asked for the confirmation of its leadership with which it answered the newest watch. It is zero before the
-// first answer.
+// ConfirmedAt returns a lower bound of the newest time at which what this directory knows was certainly current, or zero
+// before the first accepted answer to a watch. That newest time is the moment at which the owner of the configuration asked
+// for the confirmation of its leadership with which it answered the newest accepted watch.
 func (d *Directory) ConfirmedAt() time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -140,9 +150,9 @@
 	d.view.setSeeds(seeds)
 }
 
-// Refresh cancels the present watch and sends one that is to be answered at once, so that an unresponsive owner of the
-// configuration is noticed soon and new owners become known. It does nothing if the watch was sent less than
-// minRefreshInterval ago.
+// Refresh cancels the current watch and makes Run send one that the owner answers at once. So an unresponsive owner of the
+// configuration is noticed soon, and new owners of shards become known. Refresh does nothing if the current watch was sent
+// less than minRefreshInterval ago, is one that Refresh caused, or has extra time for a slow link.
 func (d *Directory) Refresh() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -154,7 +164,7 @@
 	d.cancelWatch = nil
 }
 
-// recordOwner records a shard's owner, which answered as such or was named by another process.
+// recordOwner records a shard's owner: a process that answered as the owner, or that another process named.
 func (d *Directory) recordOwner(shard protocol.ShardID, owner string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -165,7 +175,8 @@
 	d.notifyOwnersChanged()
 }
 
-// avoid records that an address was of no use: it is not the shard's owner, and others are called first.
+// avoid records that the process at an address isn't the shard's owner or didn't respond. It is no longer recorded as the
+// shard's owner. If calls to shards without a known owner started at it, they start at the next address from now on.
 func (d *Directory) avoid(shard protocol.ShardID, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -173,20 +184,20 @@
 	d.view.avoid(address)
 }
 
-// notifyOwnersChanged wakes the calls that wait for owners to change. The mutex must be locked.
+// notifyOwnersChanged ends the waits of calls for a change of owners. The caller must hold the mutex.
 func (d *Directory) notifyOwnersChanged() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// firstTarget returns the address to call first for a shard.
+// firstTarget returns the address to call first for a shard, see view.firstTarget.
 func (d *Directory) firstTarget(shard protocol.ShardID) string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.view.firstTarget(shard)
 }
 
-// targetAfter returns the address to call after one that was of no use.
+// targetAfter returns the address to call after last failed, see view.targetAfter.
 func (d *Directory) targetAfter(last string) string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/cluster/directory/directory_suite_test.go
+++ b/internal/cluster/directory/directory_suite_test.go
@@ -17,31 +17,35 @@
 
 func TestDirectory(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "directory")
+	RunSpecs(t, "Directory")
 }
 
-const soon = 10 * time.Second // the timeout for what happens at once, even on a busy machine
+// soon is how long a test waits for an event that has no reason to be late. It is long so that a busy machine does not fail
+// the test.
+const soon = 10 * time.Second
 
+// notLeader returns the error of a process that isn't the owner and names leader as the owner, or none if it is empty.
 func notLeader(leader string) error {
 	return &failure.Error{Kind: failure.NotLeader, Message: "not here", Leader: leader}
 }
 
+// ofKind returns an error of the given kind.
 func ofKind(kind failure.Kind) error { return failure.New(kind, "scripted") }
 
-// scriptedCall is a call that a scripted caller received.
+// scriptedCall is a call that a scripted Caller received. The test ends it by answer.
 type scriptedCall struct {
 	address string
-	at      time.Time
+	at      time.Time // when the call arrived, by the fake clock
 	request any
-	answer  func(response any, err error) // response: a pointer, or nil
+	answer  func(response any, err error) // response is a pointer, or nil; only the first call counts
 	ctx     context.Context
 }
 
-// scripted is a Caller whose calls the test answers, with a clock that only the test advances.
+// scripted is a Caller whose calls the test answers. Its clock advances only when the test advances it.
 type scripted struct {
 	clock  *clockwork.FakeClock
 	calls  chan scriptedCall
-	timers chan time.Duration // the timers that were started, in order
+	timers chan time.Duration // durations of the timers that were started, in order
 }
 
 func newScripted() *scripted {
@@ -52,15 +56,15 @@
 	}
 }
 
-// timerRecorder is a clock that reports to the test the timers that are started.
+// timerRecorder is a fake clock that sends the duration of each new timer to a channel.
 type timerRecorder struct {
 	*clockwork.FakeClock
-	pauses chan time.Duration
+	timers chan time.Duration
 }
 
-func (p *timerRecorder) NewTimer(span time.Duration) clockwork.Timer {
-	timer := p.FakeClock.NewTimer(span)
-	p.pauses <- span
+func (r *timerRecorder) NewTimer(span time.Duration) clockwork.Timer {
+	timer := r.FakeClock.NewTimer(span)
+	r.timers <- span
 	return timer
 }
 
@@ -85,18 +89,18 @@
 	}
 }
 
-// DoLong does what Do does.
+// DoLong does the same as Do.
 func (s *scripted) DoLong(ctx context.Context, address string, request, response any) error {
 	return s.Do(ctx, address, request, response)
 }
 
-// next returns the next call, and advances the clock by the timers until it comes.
+// next returns the next call. Until it arrives, the clock advances by each timer that is started.
 func (s *scripted) next() scriptedCall {
 	GinkgoHelper()
 	return passUntil(s, s.calls)
 }
 
-// passUntil advances the clock by the timers until a channel has something, and returns that.
+// passUntil returns the next value of a channel. Until it arrives, the clock advances by each timer that is started.
 func passUntil[T any](s *scripted, channel <-chan T) T {
 	GinkgoHelper()
 	late := time.After(soon)
@@ -107,12 +111,12 @@
 		case span := <-s.timers:
 			s.clock.Advance(span)
 		case <-late:
-			Fail("timed out")
+			Fail("nothing arrived on the channel in time")
 		}
 	}
 }
 
-// waitForTimer waits until a timer is started, without advancing the clock.
+// waitForTimer waits until a timer is started. It doesn't advance the clock.
 func (s *scripted) waitForTimer() {
 	GinkgoHelper()
 	Eventually(s.timers).WithTimeout(soon).Should(Receive())
@@ -120,8 +124,8 @@
 
 var threeSeeds = []string{"a", "b", "c"}
 
-// nodeFirst returns a machine's name that starts at the first seed.
-func nodeFirst() string {
+// nodeStartingAtFirstSeed returns the name of a machine that calls the first of threeSeeds first.
+func nodeStartingAtFirstSeed() string {
 	for _, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9"} {
 		d := New(Options{Seeds: threeSeeds, Node: name})
 		if d.firstTarget(protocol.ConfigurationShard) == "a" {
@@ -132,10 +136,10 @@
 	return ""
 }
 
-// newDirectory returns a Directory with three seeds and the scripted caller and its clock.
+// newDirectory returns a Directory that knows threeSeeds, calls s and uses its clock. changed is its OnConfiguration.
 func newDirectory(s *scripted, changed func(uint64, []byte) error) *Directory {
-	clock := &timerRecorder{FakeClock: s.clock, pauses: s.timers}
-	d := New(Options{Client: s, Seeds: threeSeeds, Node: nodeFirst(), Clock: clock, OnConfiguration: changed})
+	clock := &timerRecorder{FakeClock: s.clock, timers: s.timers}
+	d := New(Options{Client: s, Seeds: threeSeeds, Node: nodeStartingAtFirstSeed(), Clock: clock, OnConfiguration: changed})
 	d.withTimeout = func(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
 		return clockwork.WithTimeout(ctx, s.clock, span)
 	}
--- a/internal/cluster/directory/hints.go
+++ b/internal/cluster/directory/hints.go
@@ -1,16 +1,20 @@
 package directory
 
-const maxHints = 2 // hints followed at once, one after the other
+// maxHints is the number of hints that are followed without a wait between them.
+const maxHints = 2
 
-// hints decides how the hints to an owner are followed that processes give which are not the owner themselves. After some
-// hints in a row a caller has to wait, since an owner may not know yet that it is one. From then on it alternates between
-// the hint and the next address, since two processes may go on taking each other for the owner.
+// hints decides how to follow hints. A hint is the address of the owner, as named by a process that isn't the owner.
+//
+//  1. The first maxHints hints in a row are followed at once.
+//  2. For the next one the caller waits, since a new owner may not know yet that it is the owner.
+//  3. After such a wait the caller alternates: it follows the hint, and the next time it calls the next known address
+//     instead. Otherwise two processes that each take the other for the owner would keep the caller from all others.
 type hints struct {
-	inRow     int
-	alternate bool // the newest hint after a wait was followed
+	inRow     int  // hints that were followed at once since the last wait
+	alternate bool // after the last wait the hint was followed, so that next time it isn't
 }
 
-// followAtOnce reports whether a hint may be followed without waiting, and counts it.
+// followAtOnce reports whether a hint may be followed without a wait. If so, it counts the hint.
 func (h *hints) followAtOnce() bool {
 	if h.inRow >= maxHints {
 		return false
@@ -19,11 +23,12 @@
 	return true
 }
 
-// followAfterWait reports whether a hint is to be followed after waiting, instead of asking the next address.
+// followAfterWait reports whether to follow a hint after a wait, instead of calling the next known address. It reports true
+// every other time.
 func (h *hints) followAfterWait() bool {
 	h.alternate = !h.alternate
 	return h.alternate
 }
 
-// waited begins a new row of hints.
+// waited records that the caller waits, so that maxHints hints may be followed at once again.
 func (h *hints) waited() { h.inRow = 0 }
--- a/internal/cluster/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -12,13 +12,13 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-var _ = Describe("Over the transport", func() {
-	It("a watch and calls find their owners", func() {
+var _ = Describe("A Directory over the transport", func() {
+	It("finds the owners for its watch and its calls by the hint of a seed", func() {
 		owner := transport.NewServer(transport.ServerOptions{})
 		var address string
 		transport.HandleAsync(owner, func(_ string, r *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			if r.Version == 3 {
-				return // left unanswered
+				return // the owner has nothing newer and leaves the watch unanswered
 			}
 			answer(&protocol.WatchResponse{Version: 3, Configuration: []byte("{}"), OwnersAt: 1,
 				Owners: map[protocol.ShardID]string{0: address, 1: address}}, nil)
@@ -64,7 +64,7 @@
 	})
 })
 
-// serve starts a server on a loopback address and returns that address.
+// serve starts a server on a loopback address and returns the address. The server is closed when the test ends.
 func serve(s *transport.Server) string {
 	listener, err := transport.Listen(context.Background(), "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/directory/view.go
+++ b/internal/cluster/directory/view.go
@@ -7,17 +7,17 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// view is what is known of the cluster: its members, the owner of each shard and the version of the configuration. It does no
-// I/O and reads no clock; the Directory's mutex guards it.
+// view has what a Directory knows of the cluster: the members, the owner of each shard and the version of the configuration.
+// It does no I/O and reads no clock. The Directory's mutex guards it. Invariant: version and confirmedAt never decrease.
 type view struct {
-	seeds       []string // internal addresses
-	version     uint64   // of the configuration; 0: none
-	ownersAt    uint64   // revision of members and owners
+	seeds       []string // internal addresses of control processes, from the settings
+	version     uint64   // newest accepted version of the configuration; 0: none
+	ownersAt    uint64   // revision of members and owners, as the owner of the configuration counts them; 0: none
 	members     []protocol.Member
-	owners      map[protocol.ShardID]string
-	confirmedAt time.Time // the version was current then
-	addresses   []string  // members, then seeds that are not members
-	start       string    // the address to call if a shard's owner isn't known
+	owners      map[protocol.ShardID]string // internal addresses of the known owners
+	confirmedAt time.Time                   // the version was certainly current at this time or later; zero: never confirmed
+	addresses   []string                    // internal addresses of members, then of seeds that are not members
+	start       string                      // the address to call first for a shard whose owner isn't known
 }
 
 func newView(seeds []string) *view {
@@ -26,13 +26,13 @@
 	return v
 }
 
-// setSeeds replaces the seeds.
+// setSeeds replaces the seeds and updates the addresses.
 func (v *view) setSeeds(seeds []string) {
 	v.seeds = slices.Clone(seeds)
 	v.collectAddresses()
 }
 
-// collectAddresses updates the addresses, each once, after members or seeds changed.
+// collectAddresses sets the addresses after members or seeds changed. Each address is listed once.
 func (v *view) collectAddresses() {
 	addresses := make([]string, 0, len(v.members)+len(v.seeds))
 	for _, member := range v.members {
@@ -48,16 +48,16 @@
 	v.addresses = addresses
 }
 
-// viewUpdate is what the response to a watch brought.
+// viewUpdate says what the response to a watch contained that the view did not have.
 type viewUpdate struct {
-	stale         bool   // older than the present version: it was ignored
-	incomplete    bool   // newer, but without the document: the complete one has to be requested
-	configuration []byte // a newer document; setVersion follows once it was accepted
-	ownersChanged bool   // of any shard, or the members
+	stale         bool   // the response has an older version than the view: it was ignored
+	incomplete    bool   // the response has a newer version without a document: the complete document has to be requested
+	configuration []byte // the newer document, or nil; the caller calls setVersion once it is accepted
+	ownersChanged bool   // the owner of a shard or the members changed
 }
 
-// apply takes over the members and owners of a response, and returns what the response brought. If ownersOnly is true, the
-// document is ignored.
+// apply adopts the members and owners of a response unless it is stale, and returns what else it contained. It doesn't
+// change the version. If ownersOnly is true, the response's document is ignored, and none is missed.
 func (v *view) apply(response *protocol.WatchResponse, ownersOnly bool) viewUpdate {
 	if response.Version < v.version {
 		return viewUpdate{stale: true}
@@ -73,8 +73,9 @@
 	return update
 }
 
-// applyOwners takes over members and owners of another revision than the present one, and reports whether they were. A new
-// owner of the configuration counts revisions from the start, so any other one counts as newer.
+// applyOwners adopts the members and owners of a response if their revision differs from the view's, and reports whether it
+// did. A new owner of the configuration counts revisions from the start again. So every other revision, also a lower one,
+// is taken as newer.
 func (v *view) applyOwners(response *protocol.WatchResponse) bool {
 	isEmpty := len(response.Members) == 0 && len(response.Owners) == 0
 	if isEmpty || response.OwnersAt == v.ownersAt {
@@ -91,45 +92,46 @@
 	return true
 }
 
-// setVersion records that a version was accepted.
+// setVersion records that a version was accepted. A lower version than the present one changes nothing.
 func (v *view) setVersion(version uint64) { v.version = max(v.version, version) }
 
-// confirm records that the version was current at that time.
+// confirm records that the version was current at the given time. A time before confirmedAt changes nothing.
 func (v *view) confirm(at time.Time) {
 	if at.After(v.confirmedAt) {
 		v.confirmedAt = at
 	}
 }
 
-// setOwner records a shard's owner; an empty one is ignored.
+// setOwner records a shard's owner. It ignores an empty address.
 func (v *view) setOwner(shard protocol.ShardID, owner string) {
 	if owner != "" {
 		v.owners[shard] = owner
 	}
 }
 
-// removeOwner removes a shard's owner if it is this one.
+// removeOwner removes a shard's recorded owner if it is the given one.
 func (v *view) removeOwner(shard protocol.ShardID, owner string) {
 	if v.owners[shard] == owner {
 		delete(v.owners, shard)
 	}
 }
 
-// startAtPosition selects the address to start from, by a position modulo the number of addresses.
+// startAtPosition sets start to the address at the given position, modulo the number of addresses.
 func (v *view) startAtPosition(position uint32) {
 	if len(v.addresses) > 0 {
 		v.start = v.addresses[int(position%uint32(len(v.addresses)))]
 	}
 }
 
-// avoid moves the address to start from to the next one if it is this one.
+// avoid sets start to the next address if start is the given address.
 func (v *view) avoid(address string) {
 	if v.start == address {
 		v.start = v.targetAfter(address)
 	}
 }
 
-// firstTarget returns the address to call first for a shard: its owner, or the one to start from; "" if none is known.
+// firstTarget returns the address to call first for a shard: its owner if known, else start if it is still listed, else the
+// first address. It returns "" if no address is known.
 func (v *view) firstTarget(shard protocol.ShardID) string {
 	if owner := v.owners[shard]; owner != "" {
 		return owner
@@ -140,7 +142,8 @@
 	return v.targetAfter("")
 }
 
-// targetAfter returns the address that follows another one, round robin, or the first if that is unknown; "" if none is known.
+// targetAfter returns the address that follows the given one in the list, from the last to the first again. If the given
+// address isn't listed, it returns the first one. It returns "" if no address is known.
 func (v *view) targetAfter(address string) string {
 	if len(v.addresses) == 0 {
 		return ""
--- a/internal/cluster/directory/view_test.go
+++ b/internal/cluster/directory/view_test.go
@@ -9,9 +9,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = Describe("The view", func() {
+var _ = Describe("The view of a Directory", func() {
 	document := []byte("{}")
-	DescribeTable("applies a response to version 5 and owners of revision 3",
+	DescribeTable("with version 5 and owners of revision 3 applies a response with",
 		func(response protocol.WatchResponse, expected viewUpdate) {
 			v := newView(nil)
 			v.setVersion(5)
@@ -22,27 +22,32 @@
 		Entry("nothing new", protocol.WatchResponse{Version: 5, OwnersAt: 3}, viewUpdate{}),
 		Entry("a newer document", protocol.WatchResponse{Version: 6, Configuration: document, OwnersAt: 3},
 			viewUpdate{configuration: document}),
-		Entry("a newer version without its document", protocol.WatchResponse{Version: 6, OwnersAt: 3}, viewUpdate{incomplete: true}),
+		Entry("a newer version without its document", protocol.WatchResponse{Version: 6, OwnersAt: 3},
+			viewUpdate{incomplete: true}),
 		Entry("an older version", protocol.WatchResponse{Version: 4, Configuration: document, OwnersAt: 9,
 			Owners: map[protocol.ShardID]string{1: "z"}}, viewUpdate{stale: true}),
 		Entry("no version", protocol.WatchResponse{}, viewUpdate{stale: true}),
-		Entry("the document that it has", protocol.WatchResponse{Version: 5, Configuration: document, OwnersAt: 3}, viewUpdate{}),
-		Entry("newer owners", protocol.WatchResponse{Version: 5, OwnersAt: 4, Owners: map[protocol.ShardID]string{1: "x"}},
+		Entry("the document of its own version", protocol.WatchResponse{Version: 5, Configuration: document, OwnersAt: 3},
+			viewUpdate{}),
+		Entry("owners of a higher revision", protocol.WatchResponse{Version: 5, OwnersAt: 4,
+			Owners: map[protocol.ShardID]string{1: "x"}},
 			viewUpdate{ownersChanged: true}),
-		Entry("owners of a new owner, which counts revisions from the start", protocol.WatchResponse{Version: 5, OwnersAt: 1,
+		Entry("owners of a lower revision, from a new owner of the configuration that counts from the start", protocol.WatchResponse{
+			Version: 5, OwnersAt: 1,
 			Owners: map[protocol.ShardID]string{1: "x"}}, viewUpdate{ownersChanged: true}),
-		Entry("the owners that it has", protocol.WatchResponse{Version: 5, OwnersAt: 3, Owners: map[protocol.ShardID]string{1: "x"}},
+		Entry("owners of its own revision", protocol.WatchResponse{Version: 5, OwnersAt: 3,
+			Owners: map[protocol.ShardID]string{1: "x"}},
 			viewUpdate{}),
 	)
 
-	It("needs no document if only owners are watched", func() {
+	It("does not miss a document if only owners are watched", func() {
 		v := newView(nil)
 		v.setVersion(5)
 		Expect(v.apply(&protocol.WatchResponse{Version: 6}, true)).To(Equal(viewUpdate{}))
 		Expect(v.apply(&protocol.WatchResponse{Version: 4}, true)).To(Equal(viewUpdate{stale: true}))
 	})
 
-	It("never goes back", func() {
+	It("goes back neither to a lower version nor to an earlier confirmation", func() {
 		v := newView(nil)
 		v.setVersion(5)
 		v.setVersion(4)
@@ -53,7 +58,7 @@
 		Expect(v.confirmedAt).To(Equal(late))
 	})
 
-	It("lists members before seeds, each once, round robin", func() {
+	It("lists each address once, members before seeds, and goes through the list round robin", func() {
 		v := newView([]string{"s1", "m2", "s3"})
 		v.apply(&protocol.WatchResponse{OwnersAt: 1, Members: []protocol.Member{
 			{ID: 1, Address: "m1"}, {ID: 2, Address: "m2"}, {ID: 3}}}, false)
@@ -66,7 +71,7 @@
 		Expect(newView(nil).targetAfter("x")).To(BeEmpty())
 	})
 
-	It("forgets an owner only if it is the one", func() {
+	It("removes a shard's owner only if the given address is the recorded one", func() {
 		v := newView(nil)
 		v.setOwner(2, "x")
 		v.setOwner(2, "")
--- a/internal/cluster/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	defaultWait        = time.Second            // how long the owner may leave a watch unanswered
-	watchSlack         = 600 * time.Millisecond // beyond that it counts as unresponsive
-	minWatchBackoff    = 50 * time.Millisecond
-	maxWatchBackoff    = 400 * time.Millisecond
-	minWatchInterval   = 50 * time.Millisecond  // the wait after a watch that was answered sooner and brought nothing new
+	defaultWait        = time.Second            // Options.Wait if it isn't set
+	watchSlack         = 600 * time.Millisecond // added to the time that the owner may wait; then it counts as unresponsive
+	minWatchBackoff    = 50 * time.Millisecond  // wait after the first failed watch; doubles with each further failure
+	maxWatchBackoff    = 400 * time.Millisecond // longest wait after a failed watch
+	minWatchInterval   = 50 * time.Millisecond  // wait after a watch that was answered sooner than this with nothing new
 	minRefreshInterval = 200 * time.Millisecond // Refresh doesn't cancel a watch that was sent less than this ago
-	maxExtraTimeout    = 12 * time.Second       // the limit of watch.extraTimeout
+	maxExtraTimeout    = 12 * time.Second       // upper limit of watch.extraTimeout
 )
 
-// unansweredFraction is the fraction that counts of the time for which the owner says that it left a watch unanswered, since
-// clocks may differ in speed.
+// unansweredFraction is the fraction of HeldMs that confirmationTime counts. HeldMs is measured by the owner's clock, which
+// may run faster than this machine's; with the full time the confirmation could be dated too late.
 const unansweredFraction = 0.97
 
-// failuresBeforeLog is the number of failures in a row after which they are logged, once.
+// failuresBeforeLog is the number of failed watches in a row after which the failure is logged, once.
 const failuresBeforeLog = 10
 
-// watch is the state of Run, over one watch after the other.
+// watch is the state that Run keeps from one watch to the next.
 type watch struct {
-	target    string
-	failures  int // in a row
-	hints     hints
-	complete  bool // request the complete document
-	immediate bool // request an answer at once, since Refresh was called
+	target    string // address to send the next watch to; empty: no control process is known
+	failures  int    // failed watches in a row, without those after which a hint was followed at once
+	hints     hints  // limits how hints to the owner of the configuration are followed
+	complete  bool   // the next watch requests the complete document
+	immediate bool   // the next watch requests an answer at once, since Refresh canceled the last one
 
-	// extraTimeout is added to the timeout of a watch that may be answered with a configuration; that may be a complete one,
-	// whatever was requested. It grows each time that none arrived in time, since on a slow link none ever would if all
-	// attempts were as short as the first, and is 0 again after the first that did.
+	// extraTimeout is added to the timeout of a watch. On a slow link a large configuration takes longer than the normal
+	// timeout, and would never arrive if every watch had only that. So extraTimeout grows with each watch that may be
+	// answered with a configuration and timed out. The owner may send a complete configuration whatever was requested. After
+	// the first response extraTimeout is 0 again.
 	extraTimeout time.Duration
 }
 
-// Run keeps a watch open at the owner of the configuration until ctx ends, then returns.
+// Run sends one watch after the other to the owner of the configuration until ctx ends, then returns.
 func (d *Directory) Run(ctx context.Context) {
 	w := &watch{target: d.firstTarget(protocol.ConfigurationShard)}
 	for !isDone(ctx) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// watchOnce sends one watch, handles its response, and waits for the time that is due before the next one.
+// watchOnce sends one watch and handles its response or failure. It returns when the next watch is due.
 func (d *Directory) watchOnce(ctx context.Context, w *watch) {
 	sentAt := d.options.Clock.Now()
 	response, refreshed, err := d.sendWatch(ctx, w)
@@ -66,7 +67,7 @@
 	}
 }
 
-// sendWatch sends one watch and returns its response. refreshed is true if it failed because Refresh canceled it.
+// sendWatch sends one watch and returns its response. refreshed is true if the watch failed and Refresh had canceled it.
 func (d *Directory) sendWatch(ctx context.Context, w *watch) (response *protocol.WatchResponse, refreshed bool, err error) {
 	if w.target == "" {
 		return nil, false, failure.New(failure.Unavailable, "no control process is known")
@@ -91,7 +92,8 @@
 	return response, refreshed && err != nil, err
 }
 
-// do sends a watch. A peer that is given extra time is probed meanwhile: the connection is closed if it is unresponsive.
+// do sends a watch and waits for the response. A normal watch is a long poll, during which the peer isn't probed. With extra
+// time the timeout alone would notice an unresponsive peer too late, so do lets the client probe the peer.
 func (d *Directory) do(ctx context.Context, w *watch, request *protocol.WatchRequest, response *protocol.WatchResponse) error {
 	if w.extraTimeout > 0 {
 		return d.options.Client.Do(ctx, w.target, request, response)
@@ -99,7 +101,7 @@
 	return d.options.Client.DoLong(ctx, w.target, request, response)
 }
 
-// allowRefresh lets Refresh cancel the present watch.
+// allowRefresh lets Refresh cancel the watch that is about to be sent.
 func (d *Directory) allowRefresh(cancel context.CancelFunc) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -107,7 +109,7 @@
 	d.watchSentAt = d.options.Clock.Now()
 }
 
-// endRefresh ends what allowRefresh began, and reports whether Refresh canceled the watch.
+// endRefresh records that the watch has ended, so that Refresh can't cancel it any more. It reports whether Refresh did.
 func (d *Directory) endRefresh() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -143,14 +145,15 @@
 	return request
 }
 
-// accept handles the response to a watch that was sent at sentAt.
+// accept handles the response to a watch that was sent at sentAt. A response with an older version counts as a failure. The
+// view is confirmed only if it then has everything that the response announced.
 func (d *Directory) accept(ctx context.Context, w *watch, response *protocol.WatchResponse, sentAt time.Time) {
 	update := d.apply(response)
 	confirmedAt := d.confirmationTime(response, sentAt)
 	if update.stale {
 		_ = level.Warn(d.options.Logger).Log("message", "older configuration ignored", "peer", w.target,
 			"version", response.Version, "held", d.Version())
-		d.handleFailure(ctx, w, errors.New("an older configuration"))
+		d.handleFailure(ctx, w, errors.New("the response to a watch has an older configuration than is known here"))
 		return
 	}
 	d.endFailures(w)
@@ -173,8 +176,8 @@
 	}
 }
 
-// deliver calls OnConfiguration with a newer configuration, if there is one, and reports whether it was accepted. Otherwise
-// the next watch requests the complete document.
+// deliver calls OnConfiguration with a newer configuration, if there is one, and reports whether the version was accepted.
+// If not, the next watch requests the complete document.
 func (d *Directory) deliver(ctx context.Context, w *watch, version uint64, configuration []byte) bool {
 	if configuration == nil || d.options.OnConfiguration == nil {
 		return true
@@ -186,14 +189,17 @@
 	_ = level.Warn(d.options.Logger).Log("msg", "configuration rejected, the complete one is requested", "version", version,
 		"err", err)
 	if w.complete {
-		d.sleep(ctx, maxWatchBackoff) // that was the complete one
+		d.sleep(ctx, maxWatchBackoff) // a complete document was rejected: the next one may be too
 	}
 	w.complete = true
 	return false
 }
 
-// confirmationTime returns a time at which what a response says was certainly current: the owner asked for the confirmation of
-// its leadership HeldMs after it had received the watch, which was sent at sentAt.
+// confirmationTime returns a lower bound of the time at which a response was certainly current. The owner received the watch
+// after sentAt and asked for the confirmation of its leadership at least HeldMs later. At that moment the content was
+// certainly current. The result is a lower bound of that moment, and never after the present time:
+//
+//	sentAt + HeldMs * unansweredFraction
 func (d *Directory) confirmationTime(response *protocol.WatchResponse, sentAt time.Time) time.Time {
 	unanswered := time.Duration(float64(max(response.HeldMs, 0)) * unansweredFraction * float64(time.Millisecond))
 	confirmed := sentAt.Add(unanswered)
@@ -203,7 +209,7 @@
 	return confirmed
 }
 
-// apply applies a response to the view.
+// apply applies a response to the view, and ends the waits of calls if owners changed.
 func (d *Directory) apply(response *protocol.WatchResponse) viewUpdate {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -214,7 +220,8 @@
 	return update
 }
 
-// confirm records that a version was accepted, when it was current, and that its sender owns the configuration.
+// confirm records that a version was accepted, that it was current at confirmedAt, and that the process at from owns the
+// configuration.
 func (d *Directory) confirm(from string, version uint64, confirmedAt time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -223,8 +230,9 @@
 	d.view.setOwner(protocol.ConfigurationShard, from)
 }
 
-// handleFailure selects the target of the next watch after a failure, and waits. The first time that a target is
-// unresponsive it doesn't wait, as the timeout was wait enough.
+// handleFailure selects the target of the next watch after a failure and waits for the backoff. It doesn't wait if it
+// follows a hint at once. It doesn't wait either if the first failure in a row is an unknown outcome: a target that doesn't
+// respond has already taken the time of the timeout.
 func (d *Directory) handleFailure(ctx context.Context, w *watch, err error) {
 	leader := failure.LeaderOf(err)
 	isHint := leader != "" && leader != w.target
@@ -248,7 +256,7 @@
 	d.sleep(ctx, watchBackoff(w.failures))
 }
 
-// endFailures ends a row of failures.
+// endFailures ends a row of failures, after a watch was answered. It logs that if the failures were logged.
 func (d *Directory) endFailures(w *watch) {
 	if w.failures >= failuresBeforeLog {
 		_ = level.Info(d.options.Logger).Log("message", "the configuration's owner answers", "peer", w.target)
@@ -256,26 +264,27 @@
 	w.failures, w.hints = 0, hints{}
 }
 
-// logFailure logs that the owner can't be found, once in a row of failures.
+// logFailure logs that the owner of the configuration can't be found, at the failure number failuresBeforeLog in a row.
 func (d *Directory) logFailure(w *watch, err error) {
 	if w.failures == failuresBeforeLog {
 		_ = level.Warn(d.options.Logger).Log("message", "the configuration's owner is not found", "cause", err)
 	}
 }
 
-// watchBackoff returns how long to wait after so many failures in a row.
+// watchBackoff returns how long to wait after the given number of failures in a row.
 func watchBackoff(failures int) time.Duration {
 	return min(minWatchBackoff<<min(failures-1, 3), maxWatchBackoff)
 }
 
-// limitRate waits for minWatchInterval after a response that came sooner than that.
+// limitRate waits for minWatchInterval if the watch that was sent at sentAt was answered sooner than that. So an owner that
+// answers at once without news isn't called in a tight loop.
 func (d *Directory) limitRate(ctx context.Context, sentAt time.Time) {
 	if d.options.Clock.Since(sentAt) < minWatchInterval {
 		d.sleep(ctx, minWatchInterval)
 	}
 }
 
-// sleep waits for the given time or until ctx ends.
+// sleep waits for the given time, or until ctx ends if that is earlier.
 func (d *Directory) sleep(ctx context.Context, duration time.Duration) {
 	d.waitForOwners(ctx, duration, nil)
 }
--- a/internal/cluster/directory/watch_test.go
+++ b/internal/cluster/directory/watch_test.go
@@ -21,7 +21,7 @@
 type change struct {
 	version  uint64
 	document string
-	before   uint64 // Version during the call
+	before   uint64 // result of Version during the call
 }
 
 var _ = Describe("The watch", func() {
@@ -39,7 +39,7 @@
 		d = newDirectory(s, func(version uint64, document []byte) error {
 			changes <- change{version, string(document), d.Version()}
 			if strings.HasPrefix(string(document), "bad") {
-				return errors.New("they lead on from another version")
+				return errors.New("the changes are relative to another version")
 			}
 			return nil
 		})
@@ -61,19 +61,21 @@
 		return &protocol.WatchResponse{Version: version, Configuration: []byte(document)}
 	}
 
-	It("requests a complete document, then changes", func() {
+	It("requests a complete document first, then the changes since its version", func() {
 		Expect(d.Fresh(time.Hour)).To(BeFalse())
 		Expect(d.ConfirmedSince(s.clock.Now().Add(-time.Hour))).To(BeFalse())
 		first := s.next()
 		Expect(first.address).To(Equal("a"))
-		Expect(*request(first)).To(Equal(protocol.WatchRequest{WaitMs: 1000, Node: d.options.Node, Changes: true, Compressed: true}))
+		Expect(*request(first)).To(Equal(protocol.WatchRequest{
+			WaitMs: 1000, Node: d.options.Node, Changes: true, Compressed: true}))
 		first.answer(&protocol.WatchResponse{
 			Version: 7, Configuration: []byte("seven"), OwnersAt: 4,
 			Members: []protocol.Member{{ID: 1, Address: "m1"}},
 			Owners:  map[protocol.ShardID]string{0: "a", 3: "m1"},
 		}, nil)
 		second := s.next()
-		Expect(*request(second)).To(Equal(protocol.WatchRequest{Version: 7, Owners: 4, WaitMs: 1000, Node: d.options.Node, Changes: true, Compressed: true}))
+		Expect(*request(second)).To(Equal(protocol.WatchRequest{
+			Version: 7, Owners: 4, WaitMs: 1000, Node: d.options.Node, Changes: true, Compressed: true}))
 		Expect(d.Version()).To(Equal(uint64(7)))
 		Expect(d.Owner(3)).To(Equal("m1"))
 		Expect(d.members()).To(Equal([]protocol.Member{{ID: 1, Address: "m1"}}))
@@ -85,7 +87,7 @@
 		Expect(changes).To(Receive(Equal(change{8, "eight", 7})))
 	})
 
-	It("is fresh from the time it was sent, for the given time", func() {
+	It("confirms the view as of the time when it was sent", func() {
 		first := s.next()
 		s.clock.Advance(time.Second)
 		first.answer(response(1, "one"), nil)
@@ -96,7 +98,7 @@
 		Expect(d.ConfirmedSince(first.at.Add(1))).To(BeFalse())
 	})
 
-	DescribeTable("is fresh from the time when the owner asked for confirmation, as far as that is certain",
+	DescribeTable("confirms the view as of the time when the owner asked for the confirmation of its leadership",
 		func(heldMs int64, passed, confirmed time.Duration) {
 			first := s.next()
 			s.clock.Advance(passed)
@@ -104,12 +106,12 @@
 			s.next()
 			Expect(d.ConfirmedAt().Sub(first.at)).To(Equal(confirmed))
 		},
-		Entry("clocks may differ in speed", int64(1000), 1100*time.Millisecond, 970*time.Millisecond),
-		Entry("never later than now", int64(5000), time.Second, time.Second),
-		Entry("a negative time is ignored", int64(-5), time.Second, time.Duration(0)),
+		Entry("less 3%, since clocks may differ in speed", int64(1000), 1100*time.Millisecond, 970*time.Millisecond),
+		Entry("but not later than now", int64(5000), time.Second, time.Second),
+		Entry("but not earlier than the watch was sent", int64(-5), time.Second, time.Duration(0)),
 	)
 
-	It("requests a complete document if changes are rejected, and counts them neither as known nor as confirmed", func() {
+	It("requests a complete document after rejected changes, whose version is neither known nor confirmed", func() {
 		first := s.next()
 		first.answer(response(5, "five"), nil)
 		changed := s.next()
@@ -122,13 +124,13 @@
 		complete.answer(response(6, "bad complete one"), nil)
 		retry := s.next()
 		Expect(request(retry).Version).To(BeZero())
-		Expect(retry.at.Sub(complete.at)).To(Equal(maxWatchBackoff), "the complete one is rejected, too")
+		Expect(retry.at.Sub(complete.at)).To(Equal(maxWatchBackoff), "the complete document was rejected, too")
 		retry.answer(response(6, "six"), nil)
 		Expect(request(s.next()).Changes).To(BeTrue())
 		Expect(d.Version()).To(Equal(uint64(6)))
 	})
 
-	It("is confirmed even before the first configuration", func() {
+	It("confirms the view even if there is no configuration yet", func() {
 		first := s.next()
 		first.answer(&protocol.WatchResponse{}, nil)
 		s.next()
@@ -137,7 +139,7 @@
 		Expect(changes).To(BeEmpty())
 	})
 
-	It("ignores an older version, and tries another process", func() {
+	It("ignores a response with an older version and goes to another process", func() {
 		s.next().answer(response(5, "five"), nil)
 		confirming := s.next()
 		confirming.answer(response(5, ""), nil)
@@ -151,7 +153,7 @@
 		Expect(changes).To(HaveLen(1))
 	})
 
-	It("requests a complete document if a newer version came without its document", func() {
+	It("requests a complete document after a response with a newer version but no document", func() {
 		first := s.next()
 		s.clock.Advance(time.Millisecond)
 		first.answer(response(5, "five"), nil)
@@ -166,7 +168,7 @@
 		Expect(request(s.next()).Version).To(Equal(uint64(6)))
 	})
 
-	It("follows hints at once, but not forever", func() {
+	It("follows two hints in a row at once, and the third after a wait", func() {
 		first := s.next()
 		first.answer(nil, notLeader("b"))
 		second := s.next()
@@ -183,7 +185,7 @@
 		Expect(d.Owner(protocol.ConfigurationShard)).To(Equal("b"))
 	})
 
-	It("leaves two processes that go on naming each other", func() {
+	It("goes to a third process if two processes keep naming each other as the owner", func() {
 		targets := map[string]int{}
 		for range 12 {
 			got := s.next()
@@ -200,15 +202,15 @@
 				return
 			}
 		}
-		Fail(fmt.Sprint("the third is never a target: ", targets))
+		Fail(fmt.Sprint("the third process never got a watch; watches by process: ", targets))
 	})
 
-	It("leaves a process that names itself and rejects the watch", func() {
+	It("goes to the next process if one rejects the watch and names itself as the owner", func() {
 		s.next().answer(nil, notLeader("a"))
 		Expect(s.next().address).To(Equal("b"))
 	})
 
-	It("tries another process at once when one is unresponsive", func() {
+	It("goes to the next process without a backoff after one did not respond in time", func() {
 		first := s.next()
 		s.clock.Advance(defaultWait + watchSlack - 1)
 		Expect(first.ctx.Done()).NotTo(BeClosed())
@@ -218,7 +220,7 @@
 		Expect(second.at.Sub(first.at)).To(Equal(defaultWait + watchSlack))
 	})
 
-	It("backs off while no process answers, round robin", func() {
+	It("tries the processes round robin, with a growing backoff, while none answers", func() {
 		last := s.next()
 		for i, pause := range []time.Duration{50, 100, 200, 400, 400} {
 			last.answer(nil, ofKind(failure.Unavailable))
@@ -229,7 +231,7 @@
 		}
 	})
 
-	It("waits longer for a configuration each time that none arrived, and isn't canceled by Refresh then", func() {
+	It("has a longer timeout after each timeout, and can't be canceled by Refresh then", func() {
 		const timeout = defaultWait + watchSlack
 		mayBeCanceled := func() bool {
 			d.mutex.Lock()
@@ -249,17 +251,18 @@
 		s.next().answer(response(1, "one"), nil)
 		following := s.next()
 		deadline, _ := following.ctx.Deadline()
-		Expect(deadline.Sub(following.at)).To(Equal(timeout), "a response ends that")
+		Expect(deadline.Sub(following.at)).To(Equal(timeout), "a response sets the extra time back to 0")
 		Expect(mayBeCanceled()).To(BeTrue())
 		s.clock.Advance(timeout)
 		Eventually(following.ctx.Done()).WithTimeout(soon).Should(BeClosed())
 		newer := s.next()
 		Expect(request(newer).Version).To(Equal(uint64(1)))
 		deadline, _ = newer.ctx.Deadline()
-		Expect(deadline.Sub(newer.at)).To(Equal(2*timeout), "the response to a watch with a version may be a complete document, too")
+		Expect(deadline.Sub(newer.at)).To(Equal(2*timeout),
+			"the response to a watch with a version may be a complete document, too")
 	})
 
-	It("decompresses a configuration, and tries another process if that fails", func() {
+	It("decompresses a configuration, and goes to another process if that fails", func() {
 		var packed bytes.Buffer
 		writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 		Expect(err).NotTo(HaveOccurred())
@@ -274,7 +277,7 @@
 		Expect(changes).To(Receive(Equal(change{7, "seven", 0})))
 	})
 
-	It("doesn't overload an owner that answers at once without anything new", func() {
+	It("is sent at most once per minWatchInterval to an owner that answers at once with nothing new", func() {
 		s.next().answer(response(1, "one"), nil)
 		last := s.next()
 		for range 5 {
@@ -285,7 +288,7 @@
 		}
 	})
 
-	It("is sent again by a Refresh, to be answered at once, but not shortly after it was sent", func() {
+	It("is canceled by Refresh and sent again without a wait, unless it was sent less than minRefreshInterval ago", func() {
 		young := s.next()
 		d.Refresh()
 		Expect(young.ctx.Done()).NotTo(BeClosed())
@@ -302,7 +305,7 @@
 		Expect(request(s.next()).WaitMs).To(Equal(defaultWait.Milliseconds()))
 	})
 
-	It("learns members", func() {
+	It("goes to the next address in the list if its target fails, also after a response listed members", func() {
 		s.next().answer(&protocol.WatchResponse{OwnersAt: 1, Members: []protocol.Member{{Address: "m1"}, {Address: "m2"}}}, nil)
 		failing := s.next()
 		Expect(failing.address).To(Equal("a"))
@@ -310,29 +313,29 @@
 		Expect(s.next().address).To(Equal("b"))
 	})
 
-	It("requests no configuration without OnConfiguration", func() {
-		quiet := newScripted()
-		agent := newDirectory(quiet, nil)
-		ctx, stop := context.WithCancel(context.Background())
-		over := make(chan struct{})
+	It("requests only owners if OnConfiguration is nil", func() {
+		caller := newScripted()
+		agent := newDirectory(caller, nil)
+		ctx, cancelAgent := context.WithCancel(context.Background())
+		agentEnded := make(chan struct{})
 		go func() {
 			agent.Run(ctx)
-			close(over)
+			close(agentEnded)
 		}()
 		DeferCleanup(func() {
-			stop()
-			passUntil(quiet, over)
+			cancelAgent()
+			passUntil(caller, agentEnded)
 		})
-		got := quiet.next()
+		got := caller.next()
 		Expect(request(got).OwnersOnly).To(BeTrue())
 		Expect(request(got).Changes).To(BeFalse())
 		got.answer(&protocol.WatchResponse{Version: 6, OwnersAt: 2, Owners: map[protocol.ShardID]string{3: "m3"}}, nil)
-		Expect(request(quiet.next()).Version).To(Equal(uint64(6)))
+		Expect(request(caller.next()).Version).To(Equal(uint64(6)))
 		Expect(agent.Owner(3)).To(Equal("m3"))
 		Expect(agent.ConfirmedAt()).To(Equal(got.at))
 	})
 
-	It("uses new seeds", func() {
+	It("goes to new seeds after its target failed", func() {
 		d.SetSeeds([]string{"n1"})
 		s.next().answer(nil, ofKind(failure.Unavailable))
 		Expect(s.next().address).To(Equal("n1"))
--- a/internal/cluster/relay/caller.go
+++ b/internal/cluster/relay/caller.go
@@ -1,13 +1,27 @@
-// Package relay lets calls reach control processes in spite of a partial partition: a call to a process that does not
-// answer directly goes through a process that still reaches it. That is the indirect probe of SWIM (Das, Gupta,
-// Motivala 2002), with the call itself in place of the ping.
+// Package relay lets calls reach control processes despite a partial partition: if this machine does not reach a control
+// process, the call goes through another process, the relay, that still does. The method is the indirect probe of SWIM
+// (Das, Gupta, Motivala 2002), except that the relay forwards the call itself instead of a ping.
 //
-// A relay has no state and confirms nothing. What it returns is the target's own response to the request as it was
-// sent, except that a relayed heartbeat is marked so. A relayed call may be executed twice, once directly and once
-// through a relay. So only calls are relayed whose second execution is harmless: submits, cancels and fences, by the
-// job's id; heartbeats, by their sequence; and queries.
+// A call takes these steps:
 //
-// A Caller may be used by any goroutine. It has no end: its probes end by their own timeouts.
+//  1. It goes to the control process directly. If that answers within directTimeout, the call is done.
+//  2. After a timeout the process is suspect for suspicionLifetime, and the call goes through up to maxRelayAttempts
+//     relays. So does a call to a suspect process that fails sooner.
+//  3. Once a relay has reached the process, it counts as unreachable from here: calls to it go through relays at once.
+//     Every probeInterval at most, such a call also starts a direct ping. The first answered ping ends this state.
+//
+// Watches are long polls, whose responses the owner delays. A timeout therefore doesn't repeat the watch through a relay:
+// it starts a ping through a relay, and if that is answered, later watches go through relays.
+//
+// A relay keeps no state about calls and gives no answers of its own: it forwards the request and returns the
+// target's response. The only change is that it marks a heartbeat as relayed.
+//
+// A relayed call may be executed twice, once directly and once through the relay, since the direct request may have
+// arrived though its response did not. So only calls whose second execution is harmless are relayed. Submits, cancels and
+// fences are told apart by the job's id and heartbeats by their sequence number; queries change nothing.
+//
+// A Caller may be used by many goroutines. It need not be closed: the goroutines of its probes end after probeTimeout, or
+// after the timeouts of their relay calls.
 package relay
 
 import (
@@ -23,28 +37,28 @@
 )
 
 const (
-	// directTimeout is how long a direct response is waited for before a relay is called. An owner answers a heartbeat
-	// within 60 ms and everything else once it is committed: one that takes this long has ended, is frozen or
-	// partitioned.
+	// directTimeout is how long a Caller waits for the response of a direct call before it calls a relay. An owner answers a
+	// heartbeat within 60 ms and other calls once they are committed. One that takes longer than directTimeout has
+	// probably ended, is frozen or is partitioned from here.
 	directTimeout = 250 * time.Millisecond
-	// relayTimeout is how long the response of a relay is waited for.
+	// relayTimeout is how long a Caller waits for the response of one relay.
 	relayTimeout = 300 * time.Millisecond
-	// probeTimeout is how long the response to a probe is waited for.
+	// probeTimeout is how long a Caller waits for the response to a direct ping of an unreachable process.
 	probeTimeout = 400 * time.Millisecond
-	// minRelayTime is the least time before the caller's deadline for which a relay is called.
+	// minRelayTime is the least time until the caller's deadline with which a Caller still calls a relay.
 	minRelayTime = 40 * time.Millisecond
-	// maxRelayAttempts is through how many relays a call is made at most. A further one is called only if the one
-	// before certainly did nothing.
+	// maxRelayAttempts is the number of relays that one call tries at most. It tries another only if the attempt
+	// before failed with Unavailable, so that the target did not execute it.
 	maxRelayAttempts = 2
 )
 
-// Client makes direct calls, as transport.Client does; see there for the errors.
+// Client makes direct calls. transport.Client implements it and documents the kinds of errors.
 type Client interface {
 	Do(ctx context.Context, address string, request, response any) error
 	DoLong(ctx context.Context, address string, request, response any) error
 }
 
-// Caller calls control processes directly, or through relays if they do not answer directly.
+// Caller calls control processes directly, or through relays if this machine does not reach them.
 type Caller struct {
 	direct Client
 	clock  clockwork.Clock
@@ -53,7 +67,8 @@
 	paths paths
 }
 
-// NewCaller returns a Caller that knows no relay yet. A nil clock stands for the system's.
+// NewCaller returns a Caller that makes only direct calls until SetRelays is called. If clock is nil, it uses the system's
+// clock.
 func NewCaller(direct Client, clock clockwork.Clock) *Caller {
 	if clock == nil {
 		clock = clockwork.NewRealClock()
@@ -61,7 +76,8 @@
 	return &Caller{direct: direct, clock: clock, paths: newPaths()}
 }
 
-// SetRelays sets the relays that may be called, the preferred ones first.
+// SetRelays sets the relays that may be called, in the order of preference. Relays that were known before keep their
+// order and come first, see paths.setRelays.
 func (c *Caller) SetRelays(relays []protocol.Relay) {
 	addresses := make([]string, len(relays))
 	for i := range relays {
@@ -72,8 +88,9 @@
 	c.paths.setRelays(addresses)
 }
 
-// Do calls as transport.Client.Do does. If the direct call may have been done and a relayed one failed, the outcome is
-// unknown, whatever the relayed one's error.
+// Do calls the process at address as transport.Client.Do does, directly or through relays. If the direct call has an
+// unknown outcome and the relayed call fails, the error is UnknownOutcome whatever the relayed call's error: that one says
+// nothing about the execution of the direct call.
 func (c *Caller) Do(ctx context.Context, address string, request, response any) error {
 	wrapped := c.relayable(address, request)
 	if wrapped == nil {
@@ -98,12 +115,13 @@
 	}
 	relayed := c.relay(ctx, wrapped, response)
 	if relayed != nil && failure.KindOf(err) == failure.UnknownOutcome {
-		return failure.Newf(failure.UnknownOutcome, "%v; through a relay: %v", err, relayed)
+		return failure.Newf(failure.UnknownOutcome, "direct call: %v; call through a relay: %v", err, relayed)
 	}
 	return relayed
 }
 
-// DoLong calls as transport.Client.DoLong does.
+// DoLong calls the process at address as transport.Client.DoLong does, directly or through a relay. Among the relayable
+// calls it is only for watches.
 func (c *Caller) DoLong(ctx context.Context, address string, request, response any) error {
 	wrapped := c.relayable(address, request)
 	if wrapped == nil {
@@ -112,12 +130,12 @@
 	return c.watch(ctx, wrapped, response, c.direct.DoLong)
 }
 
-// directCall is Do or DoLong of a Client.
+// directCall is the method Do or DoLong of a Client.
 type directCall func(ctx context.Context, address string, request, response any) error
 
-// watch makes a call whose response may be delayed as long as its caller waits, so that a missing one says little
-// about the path. If nothing arrives in all that time, the next such call goes through a relay, provided that one
-// reaches the process.
+// watch makes a watch, whose response the owner may delay until ctx ends. So a missing response doesn't show that
+// the path is broken, and the watch is not repeated through a relay. If it failed after directTimeout or more, watch
+// pings the process through a relay: if that succeeds, the process counts as unreachable and the next watch is relayed.
 func (c *Caller) watch(ctx context.Context, wrapped *protocol.RelayRequest, response any, direct directCall) error {
 	address := wrapped.Target
 	if c.mustRelay(ctx, address) {
@@ -134,7 +152,8 @@
 	return err
 }
 
-// relayable returns the request to a relay, or nil if there is no relay or the call is not relayed.
+// relayable returns the request that asks a relay to make the call. It returns nil if no relay is known or calls of this
+// type are never relayed.
 func (c *Caller) relayable(address string, request any) *protocol.RelayRequest {
 	if c.preferredRelay() == "" {
 		return nil
@@ -142,7 +161,7 @@
 	return wrap(address, request)
 }
 
-// wasReached reports whether a call's error shows that its target has answered.
+// wasReached reports whether the error of a call, or nil, shows that the target answered.
 func wasReached(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.Unavailable, failure.UnknownOutcome:
@@ -151,8 +170,9 @@
 	return true
 }
 
-// shouldRelay reports whether a failed direct call should be relayed: if it timed out, or fails at once now and timed
-// out lately. A process that refuses connections has ended, and relays do not reach it either.
+// shouldRelay reports whether to relay a call whose direct attempt, begun at began, failed. It does if the attempt took
+// directTimeout, or if it failed sooner but the process is suspect: the client may fail at once during a backoff. A process
+// that is not suspect and refuses connections has ended, and relays don't reach it either.
 func (c *Caller) shouldRelay(ctx context.Context, address string, began time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -168,7 +188,8 @@
 	return c.paths.isSuspect(address, c.clock.Now())
 }
 
-// relay makes a call through relays.
+// relay makes a call through up to maxRelayAttempts relays. It tries the next one only after Unavailable, since any other
+// error may mean that the target executed the call.
 func (c *Caller) relay(ctx context.Context, wrapped *protocol.RelayRequest, response any) error {
 	var err error
 	for range maxRelayAttempts {
@@ -183,12 +204,13 @@
 		}
 	}
 	if err == nil {
-		err = failure.Newf(failure.Unavailable, "%s: no time left to call a relay", wrapped.Target)
+		err = failure.Newf(failure.Unavailable, "%s: less than %v left to call a relay", wrapped.Target, minRelayTime)
 	}
 	return err
 }
 
-// relayTo makes a call through one relay.
+// relayTo makes a call through one relay. If the target answered, it records that relays reach the target; if not, it makes
+// the relay the least preferred one.
 func (c *Caller) relayTo(ctx context.Context, relay string, wrapped *protocol.RelayRequest, response any) error {
 	if relay == "" {
 		return failure.Newf(failure.Unavailable, "%s: no relay is known", wrapped.Target)
@@ -213,7 +235,8 @@
 	return err
 }
 
-// mustRelay reports whether only relays reach a process, and probes it directly now and then.
+// mustRelay reports whether calls to a process have to go through relays, since this machine does not reach it. If its next
+// direct probe is due, mustRelay starts it in a goroutine.
 func (c *Caller) mustRelay(ctx context.Context, address string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -223,7 +246,7 @@
 	return c.paths.isUnreachable(address)
 }
 
-// probe probes a process directly.
+// probe pings a process directly. An answer ends its unreachable state.
 func (c *Caller) probe(ctx context.Context, address string) {
 	ctx, cancel := deadline.WithTimeout(ctx, c.clock, probeTimeout)
 	defer cancel()
@@ -232,11 +255,12 @@
 	}
 }
 
-// probeThroughRelay finds out whether a relay reaches a process that timed out.
+// probeThroughRelay pings a process through a relay. relayTo records the process as unreachable from here if it answers.
 func (c *Caller) probeThroughRelay(ctx context.Context, address string) {
 	_ = c.relay(ctx, wrap(address, &protocol.PingRequest{Number: 1}), &protocol.PingResponse{})
 }
 
+// preferredRelay returns the address of the relay to call first, or "" if none is known.
 func (c *Caller) preferredRelay() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/cluster/relay/caller_test.go
+++ b/internal/cluster/relay/caller_test.go
@@ -20,18 +20,19 @@
 	relay2 = "10.0.0.3:1"
 )
 
-// network is the Client of a machine from which some processes are partitioned, and whose relays forward calls.
+// network is the Client of a machine that cannot reach some processes. Calls to relays are forwarded by a service, as in the
+// relay's process.
 type network struct {
-	mutex            sync.Mutex      // of what is counted: probes run beside calls
-	partitioned      map[string]bool // calls there get no response
-	dead             map[string]bool // refuses connections
-	relayPartitioned map[string]bool // relays that do not reach the target either
-	refusal          error           // the owner's error, in place of a response
-	direct           int             // requests that the owner got directly, except pings
-	relayed          int             // requests that it got through relays
-	called           []string        // addresses that were called, in order
-	watchDelay       time.Duration   // of the responses to watches
-	delay            time.Duration   // of all responses
+	mutex            sync.Mutex      // guards the counts and called, since probes run during calls
+	partitioned      map[string]bool // addresses whose calls get no response until ctx ends
+	dead             map[string]bool // addresses that refuse connections
+	relayPartitioned map[string]bool // relays that answer nothing, since they don't reach the target either
+	refusal          error           // the error that the owner returns; nil: it returns a response
+	direct           int             // requests that reached the owner directly, except pings
+	relayed          int             // requests that reached the owner through relays, except pings
+	called           []string        // addresses that were called directly, relays included, in order
+	watchDelay       time.Duration   // how long DoLong waits before it calls
+	delay            time.Duration   // how long each call takes at least
 }
 
 func newNetwork() *network {
@@ -57,6 +58,7 @@
 	return n.respond(response)
 }
 
+// count changes the counts with the mutex locked.
 func (n *network) count(change func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -68,11 +70,11 @@
 	return n.Do(ctx, address, request, response)
 }
 
-// forward is what a relay does.
+// forward handles a call to a relay. The relay has a network of its own, in which the owner is not partitioned.
 func (n *network) forward(ctx context.Context, relay string, request, response any) error {
 	if n.relayPartitioned[relay] {
 		<-ctx.Done()
-		return failure.New(failure.UnknownOutcome, "the relay has no answer")
+		return failure.New(failure.UnknownOutcome, "no answer from the relay")
 	}
 	far := &network{refusal: n.refusal, dead: n.dead}
 	relayed, err := (&service{client: far, isKnown: func(string) bool { return true }}).forward(ctx, request.(*protocol.RelayRequest))
@@ -83,6 +85,7 @@
 	return err
 }
 
+// respond returns the owner's answer.
 func (n *network) respond(response any) error {
 	if n.refusal != nil {
 		return n.refusal
@@ -93,7 +96,7 @@
 	return nil
 }
 
-// inVirtualTime runs a test in virtual time.
+// inVirtualTime returns a test body that runs in virtual time, with a Caller that knows two relays.
 func inVirtualTime(test func(n *network, c *Caller)) func() {
 	return func() {
 		synctest.Test(suite, func(*testing.T) {
@@ -101,12 +104,12 @@
 			c := NewCaller(n, nil)
 			c.SetRelays([]protocol.Relay{{Address: relay1}, {Address: relay2}})
 			test(n, c)
-			time.Sleep(2 * time.Second) // for probes
+			time.Sleep(2 * time.Second) // until the goroutines of probes have ended
 		})
 	}
 }
 
-// requestStatus asks the owner for a job's state, for as long as a runner waits.
+// requestStatus asks the owner for a job's state. Its timeout is that of a runner. It also returns how long the call took.
 func requestStatus(c *Caller) (state string, took time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 880*time.Millisecond)
 	defer cancel()
@@ -117,14 +120,14 @@
 }
 
 var _ = Describe("A call to a control process", func() {
-	It("goes directly while that is answered", inVirtualTime(func(n *network, c *Caller) {
+	It("goes only to the process itself while that answers", inVirtualTime(func(n *network, c *Caller) {
 		state, _, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(protocol.JobRunning))
 		Expect(n.called).To(Equal([]string{owner}))
 	}))
 
-	It("goes through a relay after a direct timeout, and at once from then on", inVirtualTime(func(n *network, c *Caller) {
+	It("goes through a relay after directTimeout, and the next call does at once", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner] = true
 		state, took, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
@@ -136,12 +139,12 @@
 		Expect(n.relayed).To(Equal(2))
 	}))
 
-	It("goes directly again once a probe was answered", inVirtualTime(func(n *network, c *Caller) {
+	It("goes directly again after the process has answered a probe", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner] = true
 		_, _, _ = requestStatus(c)
 		n.partitioned[owner] = false
 		time.Sleep(probeInterval)
-		_, _, _ = requestStatus(c) // probes beside
+		_, _, _ = requestStatus(c) // goes through the relay and starts a probe
 		synctest.Wait()
 		_, _, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
@@ -149,14 +152,14 @@
 		Expect(n.relayed).To(Equal(2))
 	}))
 
-	It("that a process which has ended refuses is not relayed", inVirtualTime(func(n *network, c *Caller) {
+	It("is not relayed if the process refuses connections, since it has ended", inVirtualTime(func(n *network, c *Caller) {
 		n.dead[owner] = true
 		_, _, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
 		Expect(n.called).To(Equal([]string{owner}))
 	}))
 
-	It("goes through the next relay after one that is partitioned as well", inVirtualTime(func(n *network, c *Caller) {
+	It("goes through the next relay after a call through the first failed", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner], n.partitioned[relay1] = true, true
 		_, _, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
@@ -165,23 +168,23 @@
 		Expect(state).To(Equal(protocol.JobRunning))
 	}))
 
-	It("goes through the next relay at once if the first certainly did nothing", inVirtualTime(func(n *network, c *Caller) {
+	It("goes through the next relay at once if the first relay refuses connections", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner], n.dead[relay1] = true, true
 		_, took, err := requestStatus(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(took).To(Equal(directTimeout))
 	}))
 
-	It("has an unknown outcome if a relayed error follows a direct call that may have been done", inVirtualTime(func(n *network, c *Caller) {
+	It("has an unknown outcome if a relayed error follows a direct timeout", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner] = true
 		n.refusal = failure.New(failure.Overloaded, "too many jobs")
 		_, _, err := requestStatus(c)
 		Expect(failure.KindOf(err)).To(Equal(failure.UnknownOutcome))
-		_, _, err = requestStatus(c) // through the relay alone
+		_, _, err = requestStatus(c) // goes only through the relay
 		Expect(failure.KindOf(err)).To(Equal(failure.Overloaded))
 	}))
 
-	It("whose relay ends before it returns the response has an unknown outcome", inVirtualTime(func(n *network, c *Caller) {
+	It("has an unknown outcome if the relay does not respond", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner] = true
 		_, _, _ = requestStatus(c)
 		n.relayPartitioned[relay1], n.relayPartitioned[relay2] = true, true
@@ -190,7 +193,7 @@
 		Expect(took).To(Equal(relayTimeout))
 	}))
 
-	It("of a kind that is not relayed waits for its own response", inVirtualTime(func(n *network, c *Caller) {
+	It("waits for a direct response until its deadline if its type is not relayed", inVirtualTime(func(n *network, c *Caller) {
 		n.partitioned[owner] = true
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -209,7 +212,7 @@
 		return c.DoLong(ctx, owner, &protocol.WatchRequest{}, &protocol.WatchResponse{})
 	}
 
-	It("goes through a relay after one that timed out", inVirtualTime(func(n *network, c *Caller) {
+	It("goes through a relay after an earlier watch timed out", inVirtualTime(func(n *network, c *Caller) {
 		n.watchDelay = time.Second
 		n.partitioned[owner] = true
 		Expect(failure.KindOf(watch(c))).To(Equal(failure.UnknownOutcome))
@@ -220,7 +223,7 @@
 })
 
 var _ = Describe("A watch whose response is delayed", func() {
-	It("is waited for as long as its caller waits", inVirtualTime(func(n *network, c *Caller) {
+	It("is not relayed, and returns the response when it arrives", inVirtualTime(func(n *network, c *Caller) {
 		n.delay = time.Second
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
@@ -245,7 +248,7 @@
 		Expect(n.direct).To(Equal(1))
 	})
 
-	It("calls only control processes, so that no call goes in a circle", func() {
+	It("refuses targets that are not control processes, so that no call goes in a circle", func() {
 		err := forward(&protocol.RelayRequest{Target: relay2, Status: &protocol.StatusRequest{}})
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
 		Expect(n.called).To(BeEmpty())
@@ -256,8 +259,8 @@
 	})
 })
 
-var _ = Describe("Relays", func() {
-	It("keep their order when they are set again, the one that has answered first", func() {
+var _ = Describe("The list of relays", func() {
+	It("keeps the order of known relays when it is set again, with demoted ones last", func() {
 		p := newPaths()
 		p.setRelays([]string{"a", "b", "c"})
 		p.demote("a")
--- a/internal/cluster/relay/calls.go
+++ b/internal/cluster/relay/calls.go
@@ -7,24 +7,25 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// relayedCall is a kind of call that is relayed.
+// relayedCall handles one type of call that may be relayed. RelayRequest and RelayResponse have one field for each type.
 type relayedCall interface {
-	// wrap puts the request into wrapped, and reports whether it is of this kind.
+	// wrap stores request in its field of wrapped. It reports whether request is of this type.
 	wrap(request any, wrapped *protocol.RelayRequest) bool
-	// unwrap sets response to the one in relayed. It reports whether response is of this kind and relayed has one.
+	// unwrap copies the response in relayed to response. It reports whether response is of this type and relayed has one.
 	unwrap(relayed *protocol.RelayResponse, response any) bool
-	// forward makes the call if wrapped has its request, and puts the response into relayed. It reports whether it made the
-	// call.
+	// forward makes the call if wrapped has a request of this type, and stores the response in relayed. It reports whether
+	// it made the call. The error is that of the call.
 	forward(ctx context.Context, client Client, wrapped *protocol.RelayRequest, relayed *protocol.RelayResponse) (bool, error)
 }
 
-// callKind is a relayedCall by its fields in the request and the response of a relay.
+// callKind is the relayedCall whose request and response are stored in the fields that its functions return.
 type callKind[Req, Resp any] struct {
 	request  func(*protocol.RelayRequest) **Req
 	response func(*protocol.RelayResponse) **Resp
 }
 
-// relayedCalls are all kinds of calls that are relayed. The second execution of each is harmless: see the package comment.
+// relayedCalls are all types of calls that may be relayed. Executing one of them twice must be harmless, see the package
+// comment.
 var relayedCalls = []relayedCall{
 	callKind[protocol.PingRequest, protocol.PingResponse]{
 		func(r *protocol.RelayRequest) **protocol.PingRequest { return &r.Ping },
@@ -95,12 +96,12 @@
 	case *protocol.HeartbeatRequest:
 		own.Heartbeat.Relayed = true
 	case *protocol.WatchRequest:
-		call = client.DoLong // its response may be delayed
+		call = client.DoLong // a long poll: the owner delays its response
 	}
 	return true, call(ctx, wrapped.Target, request, response)
 }
 
-// wrap returns the request to a relay that makes the call, or nil for a call that is not relayed.
+// wrap returns the request that asks a relay to call target, or nil if calls with this type of request are not relayed.
 func wrap(target string, request any) *protocol.RelayRequest {
 	wrapped := &protocol.RelayRequest{Target: target}
 	for _, kind := range relayedCalls {
@@ -111,12 +112,13 @@
 	return nil
 }
 
-// unwrap sets response, a pointer to the type that answers the request, to what a relay has returned.
+// unwrap copies what a relay returned to response, a pointer to the response type of the call. If the relay returned another
+// type or nothing, as one of another version may, the outcome is unknown: the target may have executed the call.
 func unwrap(relayed *protocol.RelayResponse, response any) error {
 	for _, kind := range relayedCalls {
 		if kind.unwrap(relayed, response) {
 			return nil
 		}
 	}
-	return failure.Newf(failure.UnknownOutcome, "a relay returned no %T", response)
+	return failure.Newf(failure.UnknownOutcome, "the relay's response contains no %T", response)
 }
--- a/internal/cluster/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -8,9 +8,9 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// Register makes a server a relay. It calls targets through client, which must call them directly: a relay never asks
-// another one. Only control processes are called: isKnown reports whether an address is that of one, and may be called by
-// any goroutine.
+// Register makes a server a relay: it registers the handler of protocol.RelayRequest. client must call targets directly,
+// not through a Caller, so that no call passes through two relays or in a circle. isKnown reports whether an address is
+// that of a control process; the relay refuses other targets. isKnown may be called by many goroutines at once.
 func Register(server *transport.Server, client Client, isKnown func(address string) bool) {
 	s := &service{client: client, isKnown: isKnown}
 	transport.Handle(server, func(ctx context.Context, _ string, request *protocol.RelayRequest) (*protocol.RelayResponse, error) {
@@ -18,16 +18,17 @@
 	})
 }
 
-// service forwards calls. It has no state and no responses of its own; a call ends with the time that its caller has.
+// service forwards calls for a relay. It keeps no state. A forwarded call ends at its caller's deadline, which the transport
+// passes on in ctx.
 type service struct {
 	client  Client
 	isKnown func(address string) bool
 }
 
-// forward makes the call in a request to a relay.
+// forward makes the call that request contains and returns the target's response or error.
 func (s *service) forward(ctx context.Context, request *protocol.RelayRequest) (*protocol.RelayResponse, error) {
 	if !s.isKnown(request.Target) {
-		return nil, failure.Newf(failure.Unavailable, "%s is no control process known here", request.Target)
+		return nil, failure.Newf(failure.Unavailable, "this relay knows no control process at %s", request.Target)
 	}
 	response := &protocol.RelayResponse{}
 	for _, kind := range relayedCalls {
@@ -35,5 +36,5 @@
 			return response, err
 		}
 	}
-	return nil, failure.New(failure.Invalid, "nothing to be relayed")
+	return nil, failure.New(failure.Invalid, "the request to the relay contains no call")
 }
--- a/internal/cluster/transport/answers_test.go
+++ b/internal/cluster/transport/answers_test.go
@@ -14,36 +14,37 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// lingering is a connection whose reads go on after it was closed, as for bytes that the kernel has received before.
-type lingering struct {
+// lateReadConn is a connection that can still be read after Close. A real connection can: a read that returned just before
+// Close, or bytes that are buffered, are handled after it.
+type lateReadConn struct {
 	net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (l *lingering) Close() error {
+func (l *lateReadConn) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// lingeringPipes is pipes whose near ends linger.
-type lingeringPipes struct {
+// lateReadPipes is pipes whose client ends are lateReadConns.
+type lateReadPipes struct {
 	*pipes
-	near chan *lingering
+	near chan *lateReadConn
 }
 
-func (p *lingeringPipes) dial(ctx context.Context, address string) (net.Conn, error) {
+func (p *lateReadPipes) dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := p.pipes.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	near := &lingering{Conn: conn, closed: make(chan struct{})}
+	near := &lateReadConn{Conn: conn, closed: make(chan struct{})}
 	p.near <- near
 	return near, nil
 }
 
-// nextRequest reads the next request and returns its id.
-func nextRequest(in *inbox) uint64 {
+// nextRequest reads the next frame, which must be a request, and returns the call's id.
+func nextRequest(in *frameDecoder) uint64 {
 	GinkgoHelper()
 	h, err := in.next()
 	Expect(err).NotTo(HaveOccurred())
@@ -52,40 +53,40 @@
 	return h.id
 }
 
-// responder is the server's end of a pipe, with an outbox of its own.
+// responder sends responses from the server's end of a pipe.
 type responder struct {
 	far net.Conn
-	out *outbox
+	out *sendQueue
 }
 
 func newResponder(far net.Conn) *responder {
 	a := &responder{far: far}
-	a.out = newOutbox(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Second, "", func() {})
+	a.out = newSendQueue(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Second, "", func() {})
 	a.out.attach(far)
 	return a
 }
 
 func (a *responder) respond(id uint64, text string) {
-	_, err := a.out.put(header{kind: frameResponse, id: id}, &reply{Text: text})
+	_, err := a.out.enqueue(header{kind: frameResponse, id: id}, &reply{Text: text})
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// greetClient reads the client's greeting and sends the server's.
-func greetClient(far net.Conn) (*inbox, *responder) {
-	in := newInbox(far, DefaultMaxFrameBytes)
+// greetClient reads the client's greeting and sends the server's. It returns a decoder for the requests and a responder.
+func greetClient(far net.Conn) (*frameDecoder, *responder) {
+	in := newFrameDecoder(far, DefaultMaxFrameBytes)
 	_, err := in.greeting()
 	Expect(err).NotTo(HaveOccurred())
 	return in, newResponder(far)
 }
 
-// outcome is the end of a call.
+// outcome is the result of a call: the response's text, or the error.
 type outcome struct {
 	Text string
 	Err  error
 }
 
-// startCallAside starts a call and returns where its outcome will be.
-func startCallAside(ctx context.Context, client *Client, long bool) <-chan outcome {
+// startCallForOutcome starts a call in a goroutine and returns the channel that gets its outcome.
+func startCallForOutcome(ctx context.Context, client *Client, long bool) <-chan outcome {
 	ended := make(chan outcome, 1)
 	go func() {
 		response := new(reply)
@@ -106,13 +107,13 @@
 var _ = Describe("A response", func() {
 	ctx := context.Background()
 
-	It("reaches the call of its id, in any order, and no call twice", func() {
+	It("is returned by the call with its id, in any order, and a second response with that id is ignored", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
-		first := startCallAside(ctx, client, false)
+		first := startCallForOutcome(ctx, client, false)
 		in, server := greetClient(dialed.end())
 		one := nextRequest(in)
-		second := startCallAside(ctx, client, false)
+		second := startCallForOutcome(ctx, client, false)
 		two := nextRequest(in)
 		Expect(two).To(BeNumerically(">", one))
 		server.respond(two, "second")
@@ -122,16 +123,16 @@
 		Eventually(first).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "first"})))
 	})
 
-	It("to an abandoned call reaches no later one: ids are not reused on a connection", func() {
+	It("to a call whose caller gave up is returned by no later call, since ids are not reused on a connection", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
 		waiting, giveUp := context.WithCancel(ctx)
-		first := startCallAside(waiting, client, false)
+		first := startCallForOutcome(waiting, client, false)
 		in, server := greetClient(dialed.end())
 		one := nextRequest(in)
 		giveUp()
 		Eventually(first).WithTimeout(soon).Should(Receive(HaveField("Err", HaveOccurred())))
-		second := startCallAside(ctx, client, false)
+		second := startCallForOutcome(ctx, client, false)
 		two := nextRequest(in)
 		Expect(two).NotTo(Equal(one))
 		server.respond(one, "late")
@@ -139,42 +140,42 @@
 		Eventually(second).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "on time"})))
 	})
 
-	It("on an abandoned connection reaches no call of the next one, whose ids begin anew", func() {
+	It("on a closed connection is returned by no call on the next connection, whose ids start from the first again", func() {
 		clock := clockwork.NewFakeClock()
-		dialed := &lingeringPipes{pipes: newPipes(), near: make(chan *lingering, 10)}
+		dialed := &lateReadPipes{pipes: newPipes(), near: make(chan *lateReadConn, 10)}
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Clock: clock})
 		bounded, cancel := clockwork.WithTimeout(ctx, clock, time.Second)
 		defer cancel()
-		first := startCallAside(bounded, client, true)
+		first := startCallForOutcome(bounded, client, true)
 		before, oldServer := greetClient(dialed.end())
 		one := nextRequest(before)
-		var old *lingering
+		var old *lateReadConn
 		Eventually(dialed.near).WithTimeout(soon).Should(Receive(&old))
 		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		setReadsBefore(client, "a")
-		clock.Advance(time.Second) // nothing was heard: the connection is cut
+		clock.Advance(time.Second) // nothing was received since the call started, so the client closes the connection
 		Eventually(first).WithTimeout(soon).Should(Receive(HaveField("Err", HaveOccurred())))
 		Eventually(old.closed).WithTimeout(soon).Should(BeClosed())
 
-		second := startCallAside(ctx, client, false)
+		second := startCallForOutcome(ctx, client, false)
 		in, server := greetClient(dialed.end())
 		two := nextRequest(in)
-		Expect(two).To(Equal(one), "as after a restart of the peer")
-		oldServer.respond(one, "of the past")
+		Expect(two).To(Equal(one), "the ids of a new connection start from the first")
+		oldServer.respond(one, "on the old connection")
 		Consistently(second, 30*time.Millisecond).ShouldNot(Receive())
-		server.respond(two, "of the present")
-		Eventually(second).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "of the present"})))
+		server.respond(two, "on the new connection")
+		Eventually(second).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "on the new connection"})))
 	})
 })
 
 var _ = Describe("A request", func() {
 	ctx := context.Background()
 
-	DescribeTable("is sent once, however its connection ends",
+	DescribeTable("is sent only once, even if its connection ends without a response",
 		func(end func(far net.Conn), kind failure.Kind) {
 			dialed := newPipes()
 			client := newTestClient(ClientOptions{Dial: dialed.dial})
-			ended := startCallAside(ctx, client, false)
+			ended := startCallForOutcome(ctx, client, false)
 			far := dialed.end()
 			in, _ := greetClient(far)
 			nextRequest(in)
@@ -183,20 +184,20 @@
 			var got outcome
 			Eventually(ended).WithTimeout(soon).Should(Receive(&got))
 			Expect(failure.KindOf(got.Err)).To(Equal(kind))
-			Consistently(dialed.ends, 30*time.Millisecond).ShouldNot(Receive(), "nothing connects to send it again")
+			Consistently(dialed.ends, 30*time.Millisecond).ShouldNot(Receive(), "the client does not dial to send the request again")
 
-			next := startCallAside(ctx, client, false)
+			next := startCallForOutcome(ctx, client, false)
 			reconnected, server := greetClient(dialed.end())
 			server.respond(nextRequest(reconnected), "next")
 			Eventually(next).WithTimeout(soon).Should(Receive(Equal(outcome{Text: "next"})))
 		},
-		Entry("closed", func(far net.Conn) { Expect(far.Close()).To(Succeed()) }, failure.UnknownOutcome),
-		Entry("closed within a frame", func(far net.Conn) {
+		Entry("the server closes it", func(far net.Conn) { Expect(far.Close()).To(Succeed()) }, failure.UnknownOutcome),
+		Entry("the server closes it within a frame", func(far net.Conn) {
 			_, err := far.Write([]byte{0, 0, 0, 9, byte(frameResponse)})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(far.Close()).To(Succeed())
 		}, failure.UnknownOutcome),
-		Entry("closed after a response of another protocol", func(far net.Conn) {
+		Entry("the server sends an HTTP response", func(far net.Conn) {
 			_, err := io.WriteString(far, "HTTP/1.1 400 Bad Request\r\n\r\n")
 			Expect(err).To(Or(BeNil(), MatchError(io.ErrClosedPipe)))
 		}, failure.UnknownOutcome),
--- a/internal/cluster/transport/calls_test.go
+++ b/internal/cluster/transport/calls_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("Calls", func() {
 	ctx := context.Background()
 
-	It("are answered, with the caller's name and time known to the handler", func() {
+	It("are answered by a handler, which gets the caller's name and deadline", func() {
 		server := NewServer(ServerOptions{})
 		Handle(server, func(ctx context.Context, from string, q *question) (*reply, error) {
 			_, bounded := ctx.Deadline()
@@ -48,7 +48,7 @@
 			}
 			for _, number := range []int{2, 0, 1} {
 				replies[number](&reply{Text: fmt.Sprint(number)}, nil)
-				replies[number](&reply{Text: "again"}, nil) // only the first counts
+				replies[number](&reply{Text: "again"}, nil) // ignored: the call has its answer
 			}
 		})
 		address := serve(server)
@@ -77,7 +77,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("return the error's kind, message and leader",
+	DescribeTable("return the kind, the message and the leader of the handler's error",
 		func(given error, kind failure.Kind, message, leader string) {
 			server := NewServer(ServerOptions{})
 			Handle(server, func(context.Context, string, *question) (*reply, error) { return nil, given })
@@ -87,14 +87,16 @@
 			Expect(errors.As(err, &got)).To(BeTrue())
 			Expect(*got).To(Equal(failure.Error{Kind: kind, Message: message, Leader: leader}))
 		},
-		Entry("gone", failure.New(failure.Gone, "no such job"), failure.Gone, "no such job", ""),
-		Entry("a leader", &failure.Error{Kind: failure.NotLeader, Message: "not here", Leader: "10.0.0.1:7400"},
+		Entry("a kind and a message", failure.New(failure.Gone, "no such job"), failure.Gone, "no such job", ""),
+		Entry("a leader's address", &failure.Error{Kind: failure.NotLeader, Message: "not here", Leader: "10.0.0.1:7400"},
 			failure.NotLeader, "not here", "10.0.0.1:7400"),
-		Entry("wrapped", errors.Wrap(failure.New(failure.Stale, "old"), "while"), failure.Stale, "old", ""),
-		Entry("of no kind", errors.New("disk on fire"), failure.UnknownOutcome, "disk on fire", ""),
+		Entry("a wrapped error, whose context is not sent", errors.Wrap(failure.New(failure.Stale, "old"), "while"),
+			failure.Stale, "old", ""),
+		Entry("an error without a kind, which counts as UnknownOutcome", errors.New("disk on fire"),
+			failure.UnknownOutcome, "disk on fire", ""),
 	)
 
-	It("without a handler are Unavailable, and do not affect the next", func() {
+	It("whose request type has no handler fail with Unavailable and do not affect the next call", func() {
 		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
@@ -107,7 +109,7 @@
 		Expect(response.Text).To(Equal("next"))
 	})
 
-	It("that are answered by another type have an unknown outcome, and do not affect the next", func() {
+	It("that are answered with another type fail with UnknownOutcome and do not affect the next call", func() {
 		server := NewServer(ServerOptions{})
 		Handle(server, func(context.Context, string, *question) (*notice, error) { return &notice{Text: "x"}, nil })
 		Handle(server, func(context.Context, string, *nothing) (*reply, error) { return &reply{Text: "fine"}, nil })
@@ -120,7 +122,7 @@
 		Expect(response.Text).To(Equal("fine"))
 	})
 
-	It("that are too large are refused, and do not affect the connection", func() {
+	It("fail if the request or the response is too large, and the connection stays open", func() {
 		server := NewServer(ServerOptions{MaxFrameBytes: 2000})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) {
 			return &reply{Text: strings.Repeat("x", q.Number)}, nil
@@ -141,22 +143,22 @@
 		Expect(dialed).To(Equal(1))
 	})
 
-	It("that gob cannot encode are refused, and do not affect the connection", func() {
-		type holed struct{ Inner []*inner }
+	It("fail with Invalid if gob cannot encode the request, and the connection stays usable", func() {
+		type withPointers struct{ Inner []*inner }
 		server := NewServer(ServerOptions{})
-		Handle(server, func(_ context.Context, _ string, h *holed) (*reply, error) {
+		Handle(server, func(_ context.Context, _ string, h *withPointers) (*reply, error) {
 			return &reply{Inner: inner{Values: []int{len(h.Inner)}}}, nil
 		})
 		address := serve(server)
 		client := newTestClient(ClientOptions{})
-		_, err := Call[holed, reply](ctx, client, address, &holed{Inner: []*inner{nil}})
+		_, err := Call[withPointers, reply](ctx, client, address, &withPointers{Inner: []*inner{nil}})
 		Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
-		response, err := Call[holed, reply](ctx, client, address, &holed{Inner: []*inner{{Values: []int{1}}}})
+		response, err := Call[withPointers, reply](ctx, client, address, &withPointers{Inner: []*inner{{Values: []int{1}}}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Inner.Values).To(Equal([]int{1}))
 	})
 
-	It("beyond the limit of goroutines are Unavailable", func() {
+	It("fail with Unavailable while MaxHandlers handlers run", func() {
 		server := NewServer(ServerOptions{MaxHandlers: 1})
 		entered, release := make(chan struct{}), make(chan struct{})
 		Handle(server, func(context.Context, string, *question) (*reply, error) {
@@ -178,7 +180,7 @@
 		Eventually(first).WithTimeout(soon).Should(Receive(BeNil()))
 	})
 
-	It("beyond the limit of open calls are Unavailable", func() {
+	It("fail with Unavailable while MaxOutstanding calls of the connection are unanswered", func() {
 		server := NewServer(ServerOptions{MaxOutstanding: 1})
 		replies := make(chan func(*reply, error), 2)
 		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
@@ -198,8 +200,8 @@
 	})
 })
 
-var _ = Describe("Messages", func() {
-	It("arrive in order, beside calls", func() {
+var _ = Describe("One-way messages", func() {
+	It("arrive in the order of sending, between calls", func() {
 		server := NewServer(ServerOptions{})
 		texts := make(chan string, 10)
 		HandleOneWay(server, func(from string, n *notice) { texts <- from + " " + n.Text })
@@ -207,7 +209,7 @@
 		address := serve(server)
 		client := newTestClient(ClientOptions{Name: "norte-1"})
 		Send(client, address, &notice{Text: "a"})
-		Send(client, address, &question{Text: "nobody wants this"})
+		Send(client, address, &question{Text: "has no handler for messages"})
 		Send(client, address, &notice{Text: "b"})
 		response, err := Call[notice, reply](context.Background(), client, address, &notice{Text: "c"})
 		Expect(err).NotTo(HaveOccurred())
@@ -218,8 +220,8 @@
 	})
 })
 
-var _ = Describe("Registering", func() {
-	It("one type twice panics", func() {
+var _ = Describe("Registering a handler", func() {
+	It("panics if the type has one of that sort already", func() {
 		server := NewServer(ServerOptions{})
 		HandleOneWay(server, func(string, *notice) {})
 		Expect(func() { HandleOneWay(server, func(string, *notice) {}) }).To(Panic())
--- a/internal/cluster/transport/client.go
+++ b/internal/cluster/transport/client.go
@@ -11,27 +11,27 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// Client calls other processes. It has one connection for each address.
+// Client calls other processes and sends them one-way messages. It has at most one connection to each address.
 type Client struct {
 	options ClientOptions
-	ctx     context.Context
+	ctx     context.Context // bounds dials; ends when the client is closed
 	cancel  context.CancelFunc
 
 	mutex          sync.Mutex
-	peers          map[string]*peer
-	probeScheduled bool // a probe is scheduled
+	peers          map[string]*peer // by address
+	probeScheduled bool             // a timer that calls probe is pending
 	closed         bool
 }
 
-// NewClient returns a client. It must be closed.
+// NewClient returns a client. The caller must close it to end its connections and their goroutines.
 func NewClient(options ClientOptions) *Client {
 	c := &Client{options: options.withDefaults(), peers: map[string]*peer{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// Close closes all connections and fails all calls. It does not wait for them; the goroutines of the connections end
-// at once, or after a dial that ignores its context.
+// Close closes all connections, so that their pending calls fail, and makes further calls fail. It waits for neither. The
+// goroutines of the connections end soon afterwards; one that is still dialing ends when options.Dial returns.
 func (c *Client) Close() {
 	c.cancel()
 	c.mutex.Lock()
@@ -52,7 +52,7 @@
 	return c.closed
 }
 
-// Call sends request to the process at address and returns its response, or an error as Client.Do.
+// Call sends request to the process at address and returns its response. The error is that of Client.Do.
 func Call[Req, Resp any](ctx context.Context, c *Client, address string, request *Req) (*Resp, error) {
 	response := new(Resp)
 	if err := c.Do(ctx, address, request, response); err != nil {
@@ -61,7 +61,7 @@
 	return response, nil
 }
 
-// CallLong is Call for a long poll; see Client.DoLong.
+// CallLong sends request as a long poll, by Client.DoLong, and returns the response.
 func CallLong[Req, Resp any](ctx context.Context, c *Client, address string, request *Req) (*Resp, error) {
 	response := new(Resp)
 	if err := c.DoLong(ctx, address, request, response); err != nil {
@@ -70,25 +70,31 @@
 	return response, nil
 }
 
-// Send sends a one-way message. It never blocks; a message that cannot be queued is dropped.
+// Send queues a one-way message for the process at address and does not wait until it is written. It drops the message
+// without an error if there can be no connection now, if the queue is full or if the message cannot be encoded.
 func Send[Msg any](c *Client, address string, message *Msg) {
 	connection, err := c.connection(address)
 	if err != nil {
 		return
 	}
-	_, _ = connection.out.put(header{kind: frameMessage}, message)
+	_, _ = connection.out.enqueue(header{kind: frameMessage}, message)
 }
 
-// Do calls the process at address, until ctx ends. request and response are pointers; response must not be used after
-// an error. The error is a failure.Error: with the kind and leader that the peer's handler returned; Unavailable if
-// the request certainly was not written completely; UnknownOutcome if it may have been; TooLarge or Invalid if it
-// cannot be sent.
+// Do calls the process at address and waits for the response until ctx ends. request and response are pointers. After an
+// error the caller must not use response, since the reader may still be decoding into it. The error is a *failure.Error
+// of one of these kinds:
+//
+//   - the kind that the peer's handler returned, with the handler's message and leader;
+//   - Unavailable, if the request certainly was not written completely, or the server refused it before its handler ran;
+//   - UnknownOutcome, if the request may have been written completely and no valid response arrived;
+//   - TooLarge or Invalid, if the request exceeds MaxFrameBytes or gob cannot encode it; nothing was sent then.
 func (c *Client) Do(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, shortCall)
 }
 
-// DoLong is Do for a call whose response the peer may delay, as for a long poll. While only such calls are pending,
-// the peer is not probed. If nothing at all was received from the peer until ctx's deadline, the connection is closed.
+// DoLong does what Do does, for a long poll: a call whose response the peer may delay. While a connection has only such
+// calls pending, the client does not probe the peer. A frozen or partitioned peer is noticed only at the deadline of
+// ctx: if the connection has received nothing since the call started, it is closed, so that the next call dials again.
 func (c *Client) DoLong(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, longCall)
 }
@@ -96,7 +102,7 @@
 func (c *Client) do(ctx context.Context, address string, request, response any, kind callKind) error {
 	select {
 	case <-ctx.Done():
-		return failure.Newf(failure.Unavailable, "%s: not sent: %v", address, ctx.Err())
+		return failure.Newf(failure.Unavailable, "%s: request not sent: %v", address, ctx.Err())
 	default:
 	}
 	connection, err := c.connection(address)
@@ -123,7 +129,8 @@
 	}
 }
 
-// remaining returns the time until ctx's deadline, at least 1 ms; 0 if there is no deadline.
+// remaining returns the time until ctx's deadline, or 0 if there is no deadline. A deadline that has just passed counts as
+// 1 ms, since 0 would give the server's handler unlimited time.
 func (c *Client) remaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -132,7 +139,8 @@
 	return max(c.options.Clock.Until(deadline), time.Millisecond)
 }
 
-// abandon ends a call whose ctx has ended.
+// abandon ends a call whose ctx has ended, and returns the call's result. It is the response's if that arrived just
+// before.
 func (c *Client) abandon(ctx context.Context, from *connection, pending *call, id uint64) error {
 	state := from.abandon(id)
 	switch state {
@@ -140,10 +148,10 @@
 		select {
 		case err := <-pending.done:
 			return err
-		default: // the response is being decoded
+		default: // no result yet, as while the reader decodes the response: the outcome counts as unknown
 		}
 	case abandonedUnsent:
-		return failure.Newf(failure.Unavailable, "%s: not sent: %v", from.peer.address, ctx.Err())
+		return failure.Newf(failure.Unavailable, "%s: request not sent: %v", from.peer.address, ctx.Err())
 	}
 	deadlineExceeded := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if pending.kind == longCall && deadlineExceeded && from.reads() == pending.readsBefore {
@@ -152,10 +160,10 @@
 	if pending.kind == shortCall {
 		c.scheduleProbe()
 	}
-	return failure.Newf(failure.UnknownOutcome, "%s: no response: %v", from.peer.address, ctx.Err())
+	return failure.Newf(failure.UnknownOutcome, "%s: request may have been sent, no response: %v", from.peer.address, ctx.Err())
 }
 
-// connection returns the connection to an address, a new one if there is none.
+// connection returns the connection to an address. It starts a new one if there is none.
 func (c *Client) connection(address string) (*connection, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -170,7 +178,7 @@
 	return p.acquire()
 }
 
-// scheduleProbe schedules the next probe unless one is scheduled.
+// scheduleProbe starts the timer of the next probe unless it runs or the client is closed.
 func (c *Client) scheduleProbe() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -181,7 +189,7 @@
 	c.options.Clock.AfterFunc(c.options.ProbeInterval, c.probe)
 }
 
-// probe probes all connections, and schedules the next probe as long as any needs it.
+// probe probes all connections. It schedules the next probe if any connection has a short call pending or is suspect.
 func (c *Client) probe() {
 	c.mutex.Lock()
 	c.probeScheduled = false
--- a/internal/cluster/transport/connection.go
+++ b/internal/cluster/transport/connection.go
@@ -12,59 +12,60 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// call is one pending call.
+// call is one pending call of a client.
 type call struct {
 	kind         callKind
-	response     any // pointer that the response is decoded into
-	responseName string
-	readsBefore  uint64 // longCall: the connection's count of reads when the call started
-	placed       span
-	done         chan error // buffered; gets the result
+	response     any        // pointer that the response is decoded into
+	responseName string     // name of the response's type, as the server has to send it
+	readsBefore  uint64     // longCall: the connection's count of reads when the call started
+	frameRange   byteRange  // position of the request's frame, which decides whether the request may have been sent
+	done         chan error // gets the result; buffered, so that a reader does not wait for a caller that gave up
 }
 
-// callKind is whether the peer must respond at once.
+// callKind says whether the lack of a response shows that the peer may be dead.
 type callKind int
 
 const (
-	shortCall callKind = iota
-	longCall           // its response may be delayed, so the lack of one does not show that the peer is dead
+	shortCall callKind = iota // the peer has to respond at once; it is probed while it does not
+	longCall                  // a long poll: the peer may delay the response, so it is not probed
 )
 
-// abandonedState is what became of a call that was abandoned.
+// abandonedState says how far a call had come when its caller gave up.
 type abandonedState int
 
 const (
-	abandonedSent     abandonedState = iota // it may have been sent
-	abandonedUnsent                         // it certainly was not sent
-	abandonedAnswered                       // it was answered just before
+	abandonedMaybeSent abandonedState = iota // the writer has taken the request, so the server may read it
+	abandonedUnsent                          // the request was canceled before the writer took any byte of it
+	abandonedAnswered                        // the reader has removed the call: it has a response, or its connection ended
 )
 
-// connection is the client's side of one connection, from before it is dialed until all of its calls have ended.
+// connection is the client's side of one connection. It exists before the client dials, so that calls can queue their
+// requests, until all its calls have ended.
 type connection struct {
 	peer *peer
-	out  *outbox
-	in   *inbox // nil until the connection is established
+	out  *sendQueue
+	in   *frameDecoder // nil until the server's greeting has arrived; guarded by the mutex
 
 	mutex        sync.Mutex
 	calls        map[uint64]*call
-	lastID       uint64 // id of the newest call
-	shortCalls   int    // pending calls that are no longCall
-	suspect      bool   // a shortCall was abandoned, and nothing was received since
-	suspectReads uint64 // the count of reads at that time
-	established  bool   // the peer has greeted
-	ended        bool
+	lastID       uint64 // id of the newest call; ids are never reused on a connection, so late responses match no other call
+	shortCalls   int    // pending calls of kind shortCall
+	suspect      bool   // the caller of a shortCall gave up and nothing was received since; probing continues
+	suspectReads uint64 // the count of reads when suspect was set
+	established  bool   // the server's greeting has arrived
+	ended        bool   // the pending calls were failed; no call may be added
 	liveness     liveness
-	cause        error // why it ended
+	cause        error // why the connection ended; nil until then. The first cause is kept
 }
 
 func newConnection(p *peer) *connection {
 	options := &p.client.options
 	c := &connection{peer: p, calls: map[uint64]*call{}}
-	c.out = newOutbox(options.MaxFrameBytes, options.MaxQueueBytes, options.WriteTimeout, options.Name, c.failCalls)
+	c.out = newSendQueue(options.MaxFrameBytes, options.MaxQueueBytes, options.WriteTimeout, options.Name, c.failCalls)
 	return c
 }
 
-// run dials, and reads until the connection ends.
+// run dials and then reads frames until the connection ends.
 func (c *connection) run(ctx context.Context) {
 	options := &c.peer.client.options
 	dialing, cancel := context.WithTimeout(ctx, options.DialTimeout)
@@ -81,8 +82,9 @@
 	c.end(c.read(conn))
 }
 
+// read waits for the server's greeting, then handles frames. It returns the error that ends the connection.
 func (c *connection) read(conn net.Conn) error {
-	in := newInbox(conn, c.peer.client.options.MaxFrameBytes)
+	in := newFrameDecoder(conn, c.peer.client.options.MaxFrameBytes)
 	if err := greet(conn, in, c.peer.client.options.GreetingTimeout); err != nil {
 		return err
 	}
@@ -98,9 +100,9 @@
 	}
 }
 
-// greet waits for the server's greeting, for a bounded time: connections to a frozen process are accepted by its
-// kernel.
-func greet(conn net.Conn, in *inbox, timeout time.Duration) error {
+// greet waits for the server's greeting, for at most timeout. The limit is for a process that is frozen: its kernel still
+// accepts connections, but no greeting comes.
+func greet(conn net.Conn, in *frameDecoder, timeout time.Duration) error {
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
@@ -110,8 +112,9 @@
 	return conn.SetReadDeadline(time.Time{})
 }
 
-// establish records that the peer has greeted.
-func (c *connection) establish(in *inbox) {
+// establish records that the server's greeting has arrived. From then on the connection is probed, and its end does not
+// delay the next dial.
+func (c *connection) establish(in *frameDecoder) {
 	c.mutex.Lock()
 	c.in = in
 	c.established = true
@@ -119,8 +122,8 @@
 	c.peer.recordEstablished()
 }
 
-// handleFrame handles one frame.
-func (c *connection) handleFrame(in *inbox, h header) error {
+// handleFrame handles one frame from the server. Its error ends the connection.
+func (c *connection) handleFrame(in *frameDecoder, h header) error {
 	switch h.kind {
 	case frameResponse:
 		return c.handleResponse(in, h)
@@ -132,37 +135,41 @@
 	case framePong:
 		return in.skip()
 	default:
-		return errors.Errorf("a server sent a frame of kind %d", h.kind)
+		return errors.Errorf("server sent a frame of kind %d, which only clients send", h.kind)
 	}
 }
 
-func (c *connection) handleResponse(in *inbox, h header) error {
+// handleResponse passes a response to its call, or discards it if the caller gave up. A response of another type than the
+// caller's fails the call but not the connection, since gob can skip its value.
+func (c *connection) handleResponse(in *frameDecoder, h header) error {
 	pending := c.takeCall(h.id)
 	if pending == nil {
 		return in.skip()
 	}
-	name := in.typeName(h.number)
-	if h.number != 0 && name != pending.responseName {
-		pending.done <- failure.Newf(failure.UnknownOutcome, "the response is a %s, not a %s", name, pending.responseName)
+	name := in.typeName(h.typeNumber)
+	if h.typeNumber != 0 && name != pending.responseName {
+		pending.done <- failure.Newf(failure.UnknownOutcome, "server answered with a %s, expected a %s",
+			name, pending.responseName)
 		return in.skip()
 	}
 	err := in.value(pending.response)
 	if err != nil {
-		pending.done <- failure.Newf(failure.UnknownOutcome, "the response cannot be decoded: %v", err)
+		pending.done <- failure.Newf(failure.UnknownOutcome, "cannot decode the response: %v", err)
 		return err
 	}
 	pending.done <- nil
 	return nil
 }
 
-// takeCall removes a call from the pending ones and returns it, or nil if it is not pending any more.
+// takeCall removes a pending call and returns it, or nil if the call has ended. Whoever removes a call is the only one to
+// send its result.
 func (c *connection) takeCall(id uint64) *call {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.removeCall(id)
 }
 
-// removeCall is takeCall with the mutex locked.
+// removeCall does what takeCall does. The caller must hold the mutex.
 func (c *connection) removeCall(id uint64) *call {
 	pending := c.calls[id]
 	if pending == nil {
@@ -175,7 +182,8 @@
 	return pending
 }
 
-// start sends a call and returns its id.
+// start queues a call's request and returns the call's id. remaining is the time until the caller's deadline, 0 without
+// one. After an error no request is queued, and the error is the call's.
 func (c *connection) start(pending *call, request any, remaining time.Duration) (uint64, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -184,11 +192,11 @@
 	}
 	c.lastID++
 	h := header{kind: frameRequest, id: c.lastID, remainingMs: milliseconds(remaining)}
-	placed, err := c.out.put(h, request)
+	frameRange, err := c.out.enqueue(h, request)
 	if err != nil {
 		return 0, err
 	}
-	pending.placed = placed
+	pending.frameRange = frameRange
 	c.calls[c.lastID] = pending
 	if pending.kind == shortCall {
 		c.shortCalls++
@@ -196,6 +204,7 @@
 	return c.lastID, nil
 }
 
+// milliseconds returns a remaining time as header.remainingMs: at least 1, or 0 if there is no deadline.
 func milliseconds(remaining time.Duration) uint64 {
 	if remaining <= 0 {
 		return 0
@@ -203,7 +212,9 @@
 	return uint64(max(remaining.Milliseconds(), 1))
 }
 
-// abandon removes a call whose caller does not wait any longer.
+// abandon removes a call whose caller gave up, and cancels its request if the writer has not taken it. If a short call's
+// request may have been sent, the connection becomes suspect: a frozen peer is still noticed though the call is no longer
+// pending.
 func (c *connection) abandon(id uint64) abandonedState {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -211,16 +222,16 @@
 	if pending == nil {
 		return abandonedAnswered
 	}
-	if c.out.cancel(pending.placed) {
+	if c.out.cancel(pending.frameRange) {
 		return abandonedUnsent
 	}
 	if pending.kind == shortCall && c.established {
 		c.suspect, c.suspectReads = true, c.in.source.count.Load()
 	}
-	return abandonedSent
+	return abandonedMaybeSent
 }
 
-// reads returns how many reads of the connection have returned bytes.
+// reads returns how many reads from the connection have returned bytes; 0 until the greeting has arrived.
 func (c *connection) reads() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -230,8 +241,8 @@
 	return c.in.source.count.Load()
 }
 
-// probe pings a peer that may be unresponsive, or closes the connection. It reports whether the connection has to be
-// probed again.
+// probe checks whether anything was received since the last probe. If not, it pings the peer, or closes the connection
+// after maxUnansweredProbes intervals. It reports whether the connection has to be probed again.
 func (c *connection) probe() bool {
 	c.mutex.Lock()
 	verdict := c.checkLiveness()
@@ -239,15 +250,15 @@
 	c.mutex.Unlock()
 	switch verdict {
 	case verdictPing:
-		_, _ = c.out.put(header{kind: framePing}, nil)
+		_, _ = c.out.enqueue(header{kind: framePing}, nil)
 	case verdictDead:
 		c.end(errUnresponsive)
 	}
 	return busy
 }
 
-// checkLiveness is the part of probe that needs the mutex locked. A connection that is not established yet is bounded
-// by the timeouts of dialing and greeting.
+// checkLiveness returns what probe has to do. The caller must hold the mutex. A connection without a greeting is not
+// probed, since DialTimeout and GreetingTimeout limit that phase.
 func (c *connection) checkLiveness() verdict {
 	if c.ended || c.in == nil {
 		return verdictIdle
@@ -259,7 +270,7 @@
 	return c.liveness.probe(c.shortCalls > 0 || c.suspect, reads)
 }
 
-// end closes the connection. The first cause counts.
+// end closes the connection because of cause. Further calls change nothing: the first cause is kept and logged.
 func (c *connection) end(cause error) {
 	c.mutex.Lock()
 	first := c.cause == nil
@@ -275,7 +286,7 @@
 	c.out.close()
 }
 
-// log logs an end that should not happen, but not that peers come and go.
+// log logs the end of the connection unless the cause is usual while processes restart, see isExpectedEnd.
 func (c *connection) log(cause error) {
 	if isExpectedEnd(cause) || c.peer.client.isClosed() {
 		return
@@ -284,7 +295,8 @@
 	_ = logger.Log("message", "connection closed by a fault", "peer", c.peer.address, "cause", cause)
 }
 
-// failCalls ends every pending call. The outbox calls it once nothing is being written any more.
+// failCalls fails every pending call: with Unavailable if the kernel did not take the complete request, else with
+// UnknownOutcome. The send queue calls it after its last write has returned, when the count of written bytes is final.
 func (c *connection) failCalls() {
 	c.mutex.Lock()
 	calls := c.calls
@@ -299,7 +311,7 @@
 	}
 	for _, pending := range calls {
 		kind := failure.UnknownOutcome
-		if c.out.unsent(pending.placed) {
+		if c.out.unsent(pending.frameRange) {
 			kind = failure.Unavailable
 		}
 		pending.done <- failure.Newf(kind, "%s: %v", c.peer.address, cause)
--- a/internal/cluster/transport/faults_test.go
+++ b/internal/cluster/transport/faults_test.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// startCall starts a call and returns where its error will be.
+// startCall starts a call in a goroutine and returns the channel that gets its error.
 func startCall(ctx context.Context, client *Client, address string) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -25,6 +25,7 @@
 	return ended
 }
 
+// expectKind waits for the error of a call and checks its kind.
 func expectKind(ended <-chan error, kind failure.Kind) {
 	GinkgoHelper()
 	var err error
@@ -35,7 +36,7 @@
 var _ = Describe("A client whose peer", func() {
 	ctx := context.Background()
 
-	It("refuses connections gets Unavailable, and connects again after a growing backoff", func() {
+	It("refuses connections returns Unavailable, and dials again only after a growing backoff", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := 0
 		client := newTestClient(ClientOptions{Clock: clock, Dial: func(context.Context, string) (net.Conn, error) {
@@ -53,7 +54,7 @@
 		}
 	})
 
-	It("cannot be reached in time gets Unavailable", func() {
+	It("cannot be dialed within DialTimeout returns Unavailable", func() {
 		client := newTestClient(ClientOptions{DialTimeout: time.Millisecond, Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -61,7 +62,7 @@
 		expectKind(startCall(ctx, client, "a"), failure.Unavailable)
 	})
 
-	It("is still being dialed when the caller gives up gets Unavailable, and is sent nothing later", func() {
+	It("is still being dialed when the caller gives up returns Unavailable, and never sends the request", func() {
 		connect := make(chan struct{})
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: func(context.Context, string) (net.Conn, error) {
@@ -81,7 +82,7 @@
 		Expect(h.kind).To(Equal(frameMessage))
 	})
 
-	It("closes after the request was read gets UnknownOutcome, and connects anew", func() {
+	It("closes the connection after it read the request returns UnknownOutcome, and dials for the next call", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
 		ended := startCall(ctx, client, "a")
@@ -90,7 +91,8 @@
 		_, err := in.next()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(in.skip()).To(Succeed())
-		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue()) // else the next one is put off
+		// If the connection ended before the greeting arrived, the next dial would wait for a backoff.
+		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		_ = far.Close()
 		expectKind(ended, failure.UnknownOutcome)
 		ended = startCall(ctx, client, "a")
@@ -98,7 +100,7 @@
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("closes in the middle of a request gets Unavailable", func() {
+	It("closes the connection before it read the complete request returns Unavailable", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
 		ended := startCall(ctx, client, "a")
@@ -109,7 +111,7 @@
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("becomes unresponsive gets UnknownOutcome within the bound", func() {
+	It("stops responding sends two pings, then closes the connection and returns UnknownOutcome", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Clock: clock, Dial: dialed.dial})
@@ -121,7 +123,7 @@
 			advance(clock, DefaultProbeInterval)
 		}
 		pings := 0
-		for pings < 2 { // reading on keeps the client's writes from waiting
+		for pings < 2 { // a pipe has no buffer: the client's writes wait until they are read
 			h, err := in.next()
 			Expect(err).NotTo(HaveOccurred())
 			Expect(in.skip()).To(Succeed())
@@ -134,7 +136,7 @@
 		expectKind(ended, failure.UnknownOutcome)
 	})
 
-	It("answers pings is waited for", func() {
+	It("answers pings waits for the response as long as the caller does", func() {
 		clock := clockwork.NewFakeClock()
 		server := NewServer(ServerOptions{})
 		replies := make(chan func(*reply, error), 1)
@@ -156,7 +158,7 @@
 		Eventually(ended).WithTimeout(soon).Should(Receive(BeNil()))
 	})
 
-	It("reads nothing is disconnected after the write timeout", func() {
+	It("reads nothing closes the connection after WriteTimeout", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, WriteTimeout: time.Millisecond})
 		ended := startCall(ctx, client, "a")
@@ -164,7 +166,7 @@
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("reads nothing blocks neither messages nor other peers", func() {
+	It("reads nothing drops messages beyond MaxQueueBytes, and still calls other peers", func() {
 		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
@@ -187,7 +189,7 @@
 		Expect(response.Text).To(Equal("others"))
 	})
 
-	It("has not answered when ctx ends gets UnknownOutcome, and a late response has no effect", func() {
+	It("has not answered when ctx ends returns UnknownOutcome, and ignores the late response", func() {
 		server := NewServer(ServerOptions{})
 		replies := make(chan func(*reply, error), 1)
 		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
@@ -206,7 +208,7 @@
 		Expect(got.Text).To(Equal("on time"))
 	})
 
-	It("is unresponsive through a long call is disconnected", func() {
+	It("sends nothing until the deadline of a long poll closes the connection", func() {
 		dialed := newPipes()
 		clock := clockwork.NewFakeClock()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Clock: clock})
@@ -230,13 +232,13 @@
 		Expect(err).To(Equal(io.EOF))
 	})
 
-	It("speaks another protocol is named in the log", func() {
+	It("speaks another protocol logs the peer's address", func() {
 		dialed := newPipes()
 		logged := newLines()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Logger: logged})
 		ended := startCall(ctx, client, "a")
 		far := dialed.end()
-		_, err := newInbox(far, DefaultMaxFrameBytes).greeting()
+		_, err := newFrameDecoder(far, DefaultMaxFrameBytes).greeting()
 		Expect(err).NotTo(HaveOccurred())
 		go func() { _, _ = far.Write([]byte("HTTP/1.1 400")) }()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -246,7 +248,7 @@
 })
 
 var _ = Describe("A client that is closed", func() {
-	It("ends its calls and accepts no more", func() {
+	It("fails its pending calls and further ones", func() {
 		server := NewServer(ServerOptions{})
 		replies := make(chan func(*reply, error), 1)
 		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
@@ -260,6 +262,7 @@
 	})
 })
 
+// connectionOf returns the client's current connection to an address, or nil.
 func connectionOf(c *Client, address string) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -269,6 +272,7 @@
 	return nil
 }
 
+// isEstablished reports whether the server's greeting has arrived on the connection to an address.
 func isEstablished(c *Client, address string) bool {
 	current := connectionOf(c, address)
 	if current == nil {
@@ -279,6 +283,7 @@
 	return current.established
 }
 
+// hasCalls reports whether calls to an address are pending.
 func hasCalls(c *Client, address string) bool {
 	current := connectionOf(c, address)
 	if current == nil {
@@ -289,9 +294,11 @@
 	return len(current.calls) > 0
 }
 
+// readsOf returns the count of reads from the connection to an address.
 func readsOf(c *Client, address string) uint64 { return connectionOf(c, address).reads() }
 
-// setReadsBefore makes the pending calls count as started after the greeting.
+// setReadsBefore makes the pending calls count as started after the greeting. They started before it arrived, so the
+// greeting would otherwise count as something received during the call.
 func setReadsBefore(c *Client, address string) {
 	current := connectionOf(c, address)
 	count := current.reads()
@@ -302,6 +309,7 @@
 	}
 }
 
+// queued returns the bytes that are queued for an address.
 func queued(c *Client, address string) []byte {
 	out := connectionOf(c, address).out
 	out.mutex.Lock()
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -28,54 +28,57 @@
 )
 
 const (
-	soon     = 10 * time.Second // for what happens at once, on a busy machine too
+	soon     = 10 * time.Second // limit for events that have no reason to be late; long, for busy machines
 	recorder = "recorder"       // name of the client whose connections are recorded
-	greeting = 6                // bytes of the greeting of a client or a server without a name
+	greeting = 6                // bytes of a greeting with an empty name: magic number, version and length 0
 )
 
-// exchange is one kind of call, or of message without an answer. Its fixtures are all the bytes of a connection in either
-// direction: the greeting, the description of the type, and one frame with all fields set.
+// exchange is one kind of call or of one-way message. It has a fixture for each direction: all bytes that one side sends on a
+// connection, which are the greeting, the description of the type, and one frame whose value has all fields set.
 type exchange struct {
-	requestName  string // by which the type goes on the wire, and its fixture
-	responseName string
+	requestName  string // name of the request's type on the wire, and of the fixture
+	responseName string // the same for the response
 	request      reflect.Type
-	response     reflect.Type // nil: there is no answer
-	// handle registers a handler that puts what comes into taken, and answers with the response.
-	handle func(server *transport.Server, taken chan<- taken, response any)
+	response     reflect.Type // nil for a one-way message
+	// handle registers a handler that sends what it gets to the channel, and answers a call with response.
+	handle func(server *transport.Server, received chan<- received, response any)
 }
 
-// taken is what a server's handler got.
-type taken struct {
+// received is a request or a one-way message that a server's handler got, with the sender's name.
+type received struct {
 	from  string
 	value any
 }
 
+// call returns the exchange of a call.
 func call[Req, Resp any](requestName, responseName string) exchange {
 	return exchange{
 		requestName:  requestName,
 		responseName: responseName,
 		request:      reflect.TypeFor[Req](),
 		response:     reflect.TypeFor[Resp](),
-		handle: func(server *transport.Server, channel chan<- taken, response any) {
+		handle: func(server *transport.Server, channel chan<- received, response any) {
 			transport.HandleAsync(server, func(from string, request *Req, reply func(*Resp, error)) {
-				channel <- taken{from, request}
+				channel <- received{from, request}
 				reply(response.(*Resp), nil)
 			})
 		},
 	}
 }
 
+// message returns the exchange of a one-way message.
 func message[Msg any](name string) exchange {
 	return exchange{
 		requestName: name,
 		request:     reflect.TypeFor[Msg](),
-		handle: func(server *transport.Server, channel chan<- taken, _ any) {
-			transport.HandleOneWay(server, func(from string, message *Msg) { channel <- taken{from, message} })
+		handle: func(server *transport.Server, channel chan<- received, _ any) {
+			transport.HandleOneWay(server, func(from string, message *Msg) { channel <- received{from, message} })
 		},
 	}
 }
 
-// exchanges are all that processes send each other. The names are those that the version of the fixtures sent.
+// exchanges are all calls and one-way messages that processes send each other. The names are literals, not taken from the
+// types: they are those that the version of the fixtures sent, and a renamed type fails the test.
 var exchanges = []exchange{
 	message[replica.Envelope]("replica.Envelope"),
 	call[protocol.PingRequest, protocol.PingResponse]("protocol.PingRequest", "protocol.PingResponse"),
@@ -108,6 +111,7 @@
 		"administration.ResignRequest", "administration.ResignResponse"),
 }
 
+// filled returns a pointer to a new value of a type, with all fields set.
 func filled(t reflect.Type) any {
 	value := reflect.New(t).Interface()
 	fixturetest.Fill(value)
@@ -116,21 +120,21 @@
 
 var pingExchange = call[protocol.PingRequest, protocol.PingResponse]("protocol.PingRequest", "protocol.PingResponse")
 
-var _ = Describe("what the version of the fixtures sent", func() {
+var _ = Describe("A recorded connection of an earlier version", func() {
 	for _, e := range exchanges {
-		It("is read as "+e.requestName, func() {
+		It("is decoded as a "+e.requestName, func() {
 			fixturetest.Check(GinkgoTB(), e.requestName, fixturetest.Codec{Encode: e.recordRequest, Decode: e.readRequest})
 		})
 		if e.response == nil {
 			continue
 		}
-		It("is read as "+e.responseName, func() {
+		It("is decoded as a "+e.responseName, func() {
 			fixturetest.Check(GinkgoTB(), e.responseName, fixturetest.Codec{Encode: e.recordResponse, Decode: e.readResponse})
 		})
 	}
 
 	for kind := failure.None + 1; kind < failure.Kinds; kind++ {
-		It("is read as the error "+kind.String(), func() {
+		It("is decoded as an error of kind "+kind.String(), func() {
 			refused := pingExchange
 			sent := &failure.Error{Kind: kind, Message: "it was " + kind.String(), Leader: "10.0.0.1:7380"}
 			fixturetest.Check(GinkgoTB(), "failure."+kind.String(), fixturetest.Codec{
@@ -141,13 +145,13 @@
 	}
 })
 
-// recordRequest returns a filled request and what a client sends with it.
+// recordRequest returns a filled request and the bytes that a client sends for it.
 func (e *exchange) recordRequest() (any, []byte, error) {
 	listener, err := transport.Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
-	defer func() { _ = listener.Close() }() // each exchange has its own
+	defer func() { _ = listener.Close() }() // a listener of this exchange only; its error is ignored
 	client := transport.NewClient(transport.ClientOptions{Name: recorder})
 	defer client.Close()
 	value, address := filled(e.request), listener.Addr().String()
@@ -162,17 +166,17 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	defer func() { _ = conn.Close() }() // what matters was read or written
-	data, err := untilValue(conn, recorder)
+	defer func() { _ = conn.Close() }() // its error is ignored: the test has read and written everything it needs
+	data, err := readUntilValue(conn, recorder)
 	if err != nil {
 		return nil, nil, err
 	}
-	return named(value, data, e.requestName)
+	return checkTypeName(value, data, e.requestName)
 }
 
-// readRequest returns what a server makes of what a client sent.
+// readRequest sends recorded bytes to a server and returns the request that its handler gets.
 func (e *exchange) readRequest(data []byte) (any, error) {
-	channel := make(chan taken, 1)
+	channel := make(chan received, 1)
 	var response any
 	if e.response != nil {
 		response = reflect.New(e.response).Interface()
@@ -184,32 +188,32 @@
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		return nil, err
 	}
-	answer, err := io.ReadAll(conn) // to its end: all was read
+	answer, err := io.ReadAll(conn) // until the server closes the connection, after it has read everything
 	if err != nil {
 		return nil, err
 	}
 	select {
 	case got := <-channel:
 		if got.from != recorder {
-			return nil, errors.Errorf("it comes from %q", got.from)
+			return nil, errors.Errorf("the handler got the sender's name %q, expected %q", got.from, recorder)
 		}
 		return got.value, nil
 	default:
-		return nil, errors.Errorf("it did not reach its handler; the answer: %q", answer)
+		return nil, errors.Errorf("the request did not reach its handler; the server answered %q", answer)
 	}
 }
 
-// recordResponse returns a filled response and what a server sends with it.
+// recordResponse returns a filled response and the bytes that a server sends for it.
 func (e *exchange) recordResponse() (any, []byte, error) { return record(*e, nil) }
 
-// record returns what a server answers to the recorded request of an exchange: a filled response or, if it is not nil,
-// the error.
+// record returns what a server answers to the request of an exchange, as a value and as bytes. The value is a filled
+// response. If refusal is not nil, the server answers a ping with that error instead.
 func record(e exchange, refusal *failure.Error) (any, []byte, error) {
 	if refusal != nil {
-		e = refusing[protocol.PingRequest, protocol.PingResponse](refusal)
+		e = failingWith[protocol.PingRequest, protocol.PingResponse](refusal)
 	}
 	value := filled(e.response)
-	channel := make(chan taken, 1)
+	channel := make(chan received, 1)
 	conn := dial(func(server *transport.Server) { e.handle(server, channel, value) })
 	_, request, err := e.recordRequest()
 	if err != nil {
@@ -218,31 +222,32 @@
 	if _, err := conn.Write(request); err != nil {
 		return nil, nil, err
 	}
-	answer, err := untilValue(conn, "")
+	answer, err := readUntilValue(conn, "")
 	if err != nil {
 		return nil, nil, err
 	}
 	if refusal != nil {
 		return refusal, answer, nil
 	}
-	return named(value, answer, e.responseName)
+	return checkTypeName(value, answer, e.responseName)
 }
 
-func refusing[Req, Resp any](refusal error) exchange {
+// failingWith returns an exchange whose handler answers with an error.
+func failingWith[Req, Resp any](refusal error) exchange {
 	e := call[Req, Resp]("", "")
-	e.handle = func(server *transport.Server, _ chan<- taken, _ any) {
+	e.handle = func(server *transport.Server, _ chan<- received, _ any) {
 		transport.HandleAsync(server, func(_ string, _ *Req, reply func(*Resp, error)) { reply(nil, refusal) })
 	}
 	return e
 }
 
-// readResponse returns what a client makes of what a server answered.
+// readResponse answers a client's call with recorded bytes and returns the client's result.
 func (e *exchange) readResponse(data []byte) (any, error) {
 	listener, err := transport.Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = listener.Close() }() // each exchange has its own
+	defer func() { _ = listener.Close() }() // a listener of this exchange only; its error is ignored
 	go answerOnce(listener, data)
 	client := transport.NewClient(transport.ClientOptions{})
 	defer client.Close()
@@ -253,14 +258,14 @@
 	return response, err
 }
 
-// answerOnce answers the first call of one client with data, greeting included. The call is under way as soon as there is
-// anything behind the client's greeting.
+// answerOnce answers the first call on one connection with data, which includes the greeting. It waits for the first byte
+// after the client's greeting: the response must not arrive before the client has queued the call.
 func answerOnce(listener net.Listener, data []byte) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return
 	}
-	defer func() { _ = conn.Close() }() // what matters was read or written
+	defer func() { _ = conn.Close() }() // its error is ignored: the test has read and written everything it needs
 	if _, err := io.ReadFull(conn, make([]byte, greeting+1)); err != nil {
 		return
 	}
@@ -268,17 +273,17 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// refusal returns the error that a client makes of what a server answered.
+// refusal answers a client's call with recorded bytes and returns the client's error.
 func refusal(e exchange, data []byte) (any, error) {
 	_, err := e.readResponse(data)
 	var got *failure.Error
 	if !errors.As(err, &got) {
-		return nil, errors.Errorf("no error of a kind: %v", err)
+		return nil, errors.Errorf("the call returned no *failure.Error: %v", err)
 	}
 	return got, nil
 }
 
-// dial starts a server and returns a connection to it.
+// dial starts a server with the handlers that register adds, and returns a connection to it.
 func dial(register func(*transport.Server)) net.Conn {
 	GinkgoHelper()
 	server := transport.NewServer(transport.ServerOptions{})
@@ -294,8 +299,9 @@
 	return conn
 }
 
-// untilValue reads a greeting, descriptions of types, and the first frame that is none.
-func untilValue(conn net.Conn, name string) ([]byte, error) {
+// readUntilValue reads the greeting of a process with the given name, the descriptions of types, and the first frame of
+// another kind. It returns all bytes that it read.
+func readUntilValue(conn net.Conn, name string) ([]byte, error) {
 	const lengthBytes, define = 4, 1
 	if err := conn.SetReadDeadline(time.Now().Add(soon)); err != nil {
 		return nil, err
@@ -320,34 +326,34 @@
 	}
 }
 
-// named checks that data describes the type by the name that it always had.
-func named(value any, data []byte, name string) (any, []byte, error) {
+// checkTypeName returns value and data, or an error if data does not describe the value's type by the given name.
+func checkTypeName(value any, data []byte, name string) (any, []byte, error) {
 	if !bytes.Contains(data, []byte(name)) {
-		return nil, nil, errors.Errorf("it is not sent as %s", name)
+		return nil, nil, errors.Errorf("the type %T is not sent under the name %s", value, name)
 	}
 	return value, data, nil
 }
 
-var _ = Describe("the fixtures of messages", func() {
-	It("are of all types that packages protocol and administration have messages of", func() {
-		reached := map[string]bool{}
+var _ = Describe("The fixtures", func() {
+	It("contain every exported struct of package protocol and of administration's messages", func() {
+		found := map[string]bool{}
 		for _, e := range exchanges {
-			reach(e.request, reached)
+			collectStructs(e.request, found)
 			if e.response != nil {
-				reach(e.response, reached)
+				collectStructs(e.response, found)
 			}
 		}
 		messages, err := filepath.Glob("../protocol/*.go")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(messages).NotTo(BeEmpty())
 		for _, file := range append(messages, "../administration/messages.go") {
-			for _, name := range structs(file) {
-				Expect(reached).To(HaveKey(name), "%s has no fixture", name)
+			for _, name := range exportedStructs(file) {
+				Expect(found).To(HaveKey(name), "no exchange contains a %s", name)
 			}
 		}
 	})
 
-	It("belong to a message each", func() {
+	It("belong to one message or error kind each, and none is missing", func() {
 		known := map[string]bool{}
 		for _, e := range exchanges {
 			known[filepath.Base(fixturetest.Path(e.requestName))] = true
@@ -361,30 +367,30 @@
 		files, err := os.ReadDir(filepath.Dir(fixturetest.Path("")))
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
-			Expect(known).To(HaveKey(file.Name()), "nothing reads it")
+			Expect(known).To(HaveKey(file.Name()), "no test reads this fixture")
 		}
 		Expect(files).To(HaveLen(len(known)))
 	})
 })
 
-// reach notes the named structs that a value of type t may hold.
-func reach(t reflect.Type, reached map[string]bool) {
+// collectStructs adds to found the names of all struct types that a value of type t can contain.
+func collectStructs(t reflect.Type, found map[string]bool) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		reach(t.Elem(), reached)
+		collectStructs(t.Elem(), found)
 	case reflect.Map:
-		reach(t.Key(), reached)
-		reach(t.Elem(), reached)
+		collectStructs(t.Key(), found)
+		collectStructs(t.Elem(), found)
 	case reflect.Struct:
-		reached[t.String()] = true
+		found[t.String()] = true
 		for i := range t.NumField() {
-			reach(t.Field(i).Type, reached)
+			collectStructs(t.Field(i).Type, found)
 		}
 	}
 }
 
-// structs returns the exported structs that a file of source declares, as package.Type.
-func structs(path string) []string {
+// exportedStructs returns the names of the exported structs that a source file declares, as package.Type.
+func exportedStructs(path string) []string {
 	GinkgoHelper()
 	if strings.HasSuffix(path, "_test.go") {
 		return nil
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -9,62 +9,65 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// A connection starts with a greeting from each side: magic, version, name. Frames follow: four bytes of length, then
-// the header, then in most kinds one gob value.
+// These constants are part of the protocol. A connection starts with a greeting from each side: the magic number, one
+// byte for the version, and the sender's name as a text. A text is its length in bytes as an unsigned varint, then the
+// bytes. Frames follow: the length of header and value in lengthBytes bytes, big-endian, then the header, then in most
+// kinds one gob value. Numbers in headers are unsigned varints.
 const (
 	magic        = "OSPJ"
 	version      = 1
 	lengthBytes  = 4
-	maxTextBytes = 64 << 10 // bytes of a name or an error's message
+	maxTextBytes = 64 << 10 // longest text in a greeting or header; a longer one is truncated when it is sent
 )
 
-// frameKind is the kind of a frame. Its values are on the wire.
+// frameKind is the kind of a frame. Its values are on the wire and must not change.
 type frameKind byte
 
 const (
-	frameVoid     frameKind = iota // a frame that was cancelled before it was written
-	frameDefine                    // the next type's name, and a zero value so that gob describes the type
+	frameCanceled frameKind = iota // overwrites the kind of a queued request whose caller gave up; receivers discard it
+	frameDefine                    // a type's number and name, and a zero value so that gob describes the type
 	frameRequest                   // a call
 	frameMessage                   // a one-way message
 	frameResponse                  // the response to a call
 	frameFailure                   // an error in response to a call
-	framePing
-	framePong
-	frameKinds
+	framePing                      // asks for a pong; the client sends it to find out whether the server still runs
+	framePong                      // the response to a ping
+	frameKinds                     // the number of kinds, not a kind
 )
 
-// header precedes a frame's value. Which fields are used depends on the kind.
+// header precedes a frame's value. Its kind decides which other fields are sent: the comments name the kinds.
 type header struct {
 	kind        frameKind
-	id          uint64 // Request, Response, Failure: the call
-	number      uint64 // Define, Request, Message, Response: the type, counted from 1; 0: there is no value
-	remainingMs uint64 // Request: how long the caller waits; 0: without a deadline
-	name        string // Define: the type's name
-	failure     *failure.Error
+	id          uint64         // Request, Response, Failure: number of the call on its connection
+	typeNumber  uint64         // Define, Request, Message, Response: the type, counted from 1; 0: there is no value
+	remainingMs uint64         // Request: milliseconds until the caller's deadline; 0: there is no deadline
+	name        string         // Define: name of the type with its package, as reflect.Type.String returns it
+	failure     *failure.Error // Failure: the error; its kind, message and leader are sent
 }
 
+// appendText appends a text to buffer: its length, then its first maxTextBytes bytes at most.
 func appendText(buffer []byte, text string) []byte {
 	text = text[:min(len(text), maxTextBytes)]
 	buffer = binary.AppendUvarint(buffer, uint64(len(text)))
 	return append(buffer, text...)
 }
 
-// append appends the encoded header.
+// append appends the encoded header to buffer and returns the extended buffer.
 func (h *header) append(buffer []byte) []byte {
 	buffer = append(buffer, byte(h.kind))
 	switch h.kind {
 	case frameDefine:
-		buffer = binary.AppendUvarint(buffer, h.number)
+		buffer = binary.AppendUvarint(buffer, h.typeNumber)
 		buffer = appendText(buffer, h.name)
 	case frameRequest:
 		buffer = binary.AppendUvarint(buffer, h.id)
-		buffer = binary.AppendUvarint(buffer, h.number)
+		buffer = binary.AppendUvarint(buffer, h.typeNumber)
 		buffer = binary.AppendUvarint(buffer, h.remainingMs)
 	case frameMessage:
-		buffer = binary.AppendUvarint(buffer, h.number)
+		buffer = binary.AppendUvarint(buffer, h.typeNumber)
 	case frameResponse:
 		buffer = binary.AppendUvarint(buffer, h.id)
-		buffer = binary.AppendUvarint(buffer, h.number)
+		buffer = binary.AppendUvarint(buffer, h.typeNumber)
 	case frameFailure:
 		buffer = binary.AppendUvarint(buffer, h.id)
 		buffer = append(buffer, byte(h.failure.Kind))
@@ -74,7 +77,7 @@
 	return buffer
 }
 
-// byteSource is what headers are read from.
+// byteSource is a reader that headers and greetings are decoded from.
 type byteSource interface {
 	io.Reader
 	io.ByteReader
@@ -95,7 +98,7 @@
 	return value
 }
 
-func (r *fieldReader) number() uint64 {
+func (r *fieldReader) uvarint() uint64 {
 	if r.err != nil {
 		return 0
 	}
@@ -105,9 +108,9 @@
 }
 
 func (r *fieldReader) text() string {
-	length := r.number()
+	length := r.uvarint()
 	if r.err == nil && length > maxTextBytes {
-		r.err = errors.Errorf("a text of %d bytes", length)
+		r.err = errors.Errorf("text in a greeting or frame header has %d bytes, limit is %d", length, maxTextBytes)
 	}
 	if r.err != nil || length == 0 {
 		return ""
@@ -117,50 +120,51 @@
 	return string(text)
 }
 
-// readHeader reads a header.
+// readHeader decodes a frame's header from source.
 func readHeader(source byteSource) (header, error) {
 	fields := fieldReader{source: source}
 	h := header{kind: frameKind(fields.byte())}
 	switch h.kind {
 	case frameDefine:
-		h.number = fields.number()
+		h.typeNumber = fields.uvarint()
 		h.name = fields.text()
 	case frameRequest:
-		h.id = fields.number()
-		h.number = fields.number()
-		h.remainingMs = fields.number()
+		h.id = fields.uvarint()
+		h.typeNumber = fields.uvarint()
+		h.remainingMs = fields.uvarint()
 	case frameMessage:
-		h.number = fields.number()
+		h.typeNumber = fields.uvarint()
 	case frameResponse:
-		h.id = fields.number()
-		h.number = fields.number()
+		h.id = fields.uvarint()
+		h.typeNumber = fields.uvarint()
 	case frameFailure:
-		h.id = fields.number()
+		h.id = fields.uvarint()
 		h.failure = &failure.Error{Kind: failure.Kind(fields.byte()), Message: fields.text(), Leader: fields.text()}
 	}
 	if fields.err == nil && h.kind >= frameKinds {
-		return h, errors.Errorf("a frame of unknown kind %d", h.kind)
+		return h, errors.Errorf("received a frame of unknown kind %d", h.kind)
 	}
 	return h, fields.err
 }
 
-// greetingOf returns the greeting of a process of that name.
+// greetingOf returns the encoded greeting of a process with the given name.
 func greetingOf(name string) []byte {
 	greeting := append([]byte(magic), version)
 	return appendText(greeting, name)
 }
 
-// readGreeting reads the peer's greeting and returns its name.
+// readGreeting decodes the peer's greeting from source and returns the peer's name. It fails if the peer speaks another
+// protocol or another version of this one.
 func readGreeting(source byteSource) (string, error) {
 	var start [len(magic) + 1]byte
 	if _, err := io.ReadFull(source, start[:]); err != nil {
 		return "", err
 	}
 	if string(start[:len(magic)]) != magic {
-		return "", errors.Errorf("not of this protocol: starts with %q", start[:])
+		return "", errors.Errorf("the peer's greeting starts with %q, expected %q", start[:], magic)
 	}
 	if start[len(magic)] != version {
-		return "", errors.Errorf("speaks version %d, this is version %d", start[len(magic)], version)
+		return "", errors.Errorf("the peer speaks protocol version %d, this process speaks version %d", start[len(magic)], version)
 	}
 	fields := fieldReader{source: source}
 	name := fields.text()
--- a/internal/cluster/transport/inbox_test.go
+++ b/internal/cluster/transport/frame_decoder_test.go
@@ -8,23 +8,23 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("The incoming half", func() {
-	// stream returns what a client sends: a greeting, types, two calls and a ping.
+var _ = Describe("The frame decoder", func() {
+	// stream returns the bytes that a client sends: a greeting, the description of a type, two requests and a ping.
 	stream := func() []byte {
-		out := newOutbox(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Second, "norte-1", func() {})
+		out := newSendQueue(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Second, "norte-1", func() {})
 		for id := range uint64(2) {
-			_, err := out.put(header{kind: frameRequest, id: id}, &notice{Text: "text", Inner: inner{Values: []int{1, 2, 300}}})
+			_, err := out.enqueue(header{kind: frameRequest, id: id}, &notice{Text: "text", Inner: inner{Values: []int{1, 2, 300}}})
 			Expect(err).NotTo(HaveOccurred())
 		}
-		_, err := out.put(header{kind: framePing}, nil)
+		_, err := out.enqueue(header{kind: framePing}, nil)
 		Expect(err).NotTo(HaveOccurred())
 		return out.pending
 	}
 
-	// read reads a stream to its end and returns the calls' values.
+	// read decodes a stream until its end or the first error, and returns the values of the requests.
 	read := func(data []byte) []notice {
 		var got []notice
-		in := newInbox(bytes.NewReader(data), 10000)
+		in := newFrameDecoder(bytes.NewReader(data), 10000)
 		if _, err := in.greeting(); err != nil {
 			return got
 		}
@@ -46,23 +46,23 @@
 		}
 	}
 
-	It("reads what was written", func() {
+	It("decodes what a send queue encoded", func() {
 		expected := notice{Text: "text", Inner: inner{Values: []int{1, 2, 300}}}
 		Expect(read(stream())).To(Equal([]notice{expected, expected}))
 	})
 
-	It("does not panic whichever byte is wrong", func() {
+	It("does not panic if any one byte is wrong", func() {
 		complete := stream()
 		for position := range complete {
 			for _, wrong := range []byte{0, 1, 0x7f, 0x80, 0xff, ^complete[position]} {
-				spoiled := bytes.Clone(complete)
-				spoiled[position] = wrong
-				Expect(func() { read(spoiled) }).NotTo(Panic(), "byte %d is %#x", position, wrong)
+				corrupted := bytes.Clone(complete)
+				corrupted[position] = wrong
+				Expect(func() { read(corrupted) }).NotTo(Panic(), "byte %d is %#x", position, wrong)
 			}
 		}
 	})
 
-	It("does not panic wherever it is truncated", func() {
+	It("does not panic if the stream is truncated at any byte", func() {
 		complete := stream()
 		for position := range complete {
 			Expect(func() { read(complete[:position]) }).NotTo(Panic(), "truncated at %d", position)
--- a/internal/cluster/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -15,25 +15,25 @@
 
 type greetedResponse struct{ Number int }
 
-var _ = Describe("A process that is slow to greet", func() {
-	It("is waited for as long as the client's options allow", func(ctx SpecContext) {
+var _ = Describe("A client of a process that is slow to send its greeting", func() {
+	It("waits for it as long as GreetingTimeout allows", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
-		hasty := NewClient(ClientOptions{GreetingTimeout: 10 * time.Millisecond})
+		impatient := NewClient(ClientOptions{GreetingTimeout: 10 * time.Millisecond})
 		patient := NewClient(ClientOptions{GreetingTimeout: time.Minute, ProbeInterval: time.Minute})
-		DeferCleanup(hasty.Close)
+		DeferCleanup(impatient.Close)
 		DeferCleanup(patient.Close)
 
 		ended := make(chan error, 1)
 		go func() {
 			response, err := Call[greetedRequest, greetedResponse](ctx, patient, address, &greetedRequest{Number: 3})
 			if err == nil && response.Number != 3 {
-				err = failure.New(failure.Invalid, "another answer")
+				err = failure.New(failure.Invalid, "the response has another number")
 			}
 			ended <- err
 		}()
-		_, err = Call[greetedRequest, greetedResponse](ctx, hasty, address, &greetedRequest{Number: 2})
+		_, err = Call[greetedRequest, greetedResponse](ctx, impatient, address, &greetedRequest{Number: 2})
 		Expect(failure.KindOf(err)).To(Or(Equal(failure.Unavailable), Equal(failure.UnknownOutcome)))
 
 		server := NewServer(ServerOptions{})
--- a/internal/cluster/transport/handle.go
+++ b/internal/cluster/transport/handle.go
@@ -11,25 +11,27 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// maxRemainingMs bounds how long a caller may state that it waits.
+// maxRemainingMs limits header.remainingMs as received, in milliseconds: one hour. It also keeps the conversion of a
+// senseless value to a time.Duration from overflowing.
 const maxRemainingMs = 3600 * 1000
 
-// handler is what a server does with one type. Its functions read the frame's value from the session; their errors end
-// the session.
+// handler handles the frames of one type. Its functions decode the frame's value from the session's reader. An error that
+// they return ends the session, since the gob stream cannot be read any further.
 type handler struct {
-	request func(call *pendingCall) error
-	message func(s *session) error
+	request func(call *pendingCall) error // for frameRequest; nil: calls with this type are refused
+	message func(s *session) error        // for frameMessage; nil: messages of this type are ignored
 }
 
-// pendingCall is one unanswered call.
+// pendingCall is one unanswered call of a server.
 type pendingCall struct {
 	session     *session
 	id          uint64
-	remainingMs uint64
+	remainingMs uint64 // milliseconds until the caller's deadline when the call was sent; 0: there is no deadline
 	answered    atomic.Bool
 }
 
-// reply sends the response or the error; only the first one counts. response is nil or a pointer.
+// reply answers the call with err, or with response if err is nil. Further calls of it do nothing. response is nil or a
+// pointer.
 func (call *pendingCall) reply(response any, err error) {
 	if call.answered.Swap(true) {
 		return
@@ -42,7 +44,7 @@
 	call.session.send(header{kind: frameResponse, id: call.id}, response)
 }
 
-// replyWith is reply with a typed response, which may be nil if it has no fields.
+// replyWith calls reply with a typed response. A nil one becomes an untyped nil, which reply sends without a value.
 func replyWith[Resp any](call *pendingCall, response *Resp, err error) {
 	if response == nil {
 		call.reply(nil, err)
@@ -51,9 +53,9 @@
 	call.reply(response, err)
 }
 
-// Handle registers the handler of calls with a Req. f runs in a goroutine of its own for each call; its ctx ends with
-// the caller's deadline and with the server. The response may be nil if it has no fields. Registering a type twice
-// panics.
+// Handle registers the handler of calls whose request is a Req. f runs in a new goroutine for each call, of which
+// MaxHandlers may run at once. Its ctx ends at the caller's deadline or when the server is closed. A nil response without
+// an error leaves the caller's response unchanged. Registering a type twice panics.
 func Handle[Req, Resp any](s *Server, f func(ctx context.Context, from string, request *Req) (*Resp, error)) {
 	register[Req](s, handler{request: func(call *pendingCall) error {
 		request := new(Req)
@@ -62,7 +64,8 @@
 		}
 		if s.runningHandlers.Add(1) > int64(s.options.MaxHandlers) {
 			s.runningHandlers.Add(-1)
-			call.reply(nil, failure.Newf(failure.Unavailable, "%d calls are being handled", s.options.MaxHandlers))
+			call.reply(nil, failure.Newf(failure.Unavailable, "the server runs %d handlers, which is its limit",
+				s.options.MaxHandlers))
 			return nil
 		}
 		go runHandler(s.ctx, s, call, request, f)
@@ -70,7 +73,8 @@
 	}})
 }
 
-// runHandler responds to a call with what f returns. ctx is the server's; the call's own ends with its caller's deadline.
+// runHandler calls f and answers the call with the result. ctx is the server's; f gets one that also ends at the caller's
+// deadline.
 func runHandler[Req, Resp any](
 	ctx context.Context, s *Server, call *pendingCall, request *Req, f func(context.Context, string, *Req) (*Resp, error),
 ) {
@@ -85,9 +89,9 @@
 	replyWith(call, response, err)
 }
 
-// HandleAsync registers the handler of calls with a Req that responds by calling reply once, at any time and from any
-// goroutine. f runs in the connection's reader: it must not block, and gets the calls of one connection in their
-// order. Registering a type twice panics.
+// HandleAsync registers the handler of calls whose request is a Req. The handler answers by calling reply once, at any
+// time and from any goroutine. f runs in the goroutine that reads the connection: it gets the calls of one connection in
+// the order of sending, and while it blocks nothing else is read, pings included. Registering a type twice panics.
 func HandleAsync[Req, Resp any](s *Server, f func(from string, request *Req, reply func(*Resp, error))) {
 	register[Req](s, handler{request: func(call *pendingCall) error {
 		request := new(Req)
@@ -99,8 +103,9 @@
 	}})
 }
 
-// HandleOneWay registers the handler of one-way messages. f runs in the connection's reader: it must not block, and
-// gets the messages of one connection in their order. Registering a type twice panics.
+// HandleOneWay registers the handler of one-way messages of type Msg. f runs in the goroutine that reads the connection: it
+// gets the messages of one connection in the order of sending, and while it blocks nothing else is read, pings included.
+// Registering a type twice panics.
 func HandleOneWay[Msg any](s *Server, f func(from string, message *Msg)) {
 	register[Msg](s, handler{message: func(s *session) error {
 		message := new(Msg)
@@ -112,19 +117,19 @@
 	}})
 }
 
-// register adds a handler for a type. A type may have one for calls and one for messages.
+// register adds a handler for type T. A type may have one handler for calls and one for one-way messages.
 func register[T any](s *Server, added handler) {
 	name := reflect.TypeFor[T]().String()
 	present := s.handlers[name]
 	if added.request != nil {
 		if present.request != nil {
-			panic(errors.Errorf("calls with %s are handled twice", name))
+			panic(errors.Errorf("two handlers are registered for calls with request type %s", name))
 		}
 		present.request = added.request
 	}
 	if added.message != nil {
 		if present.message != nil {
-			panic(errors.Errorf("messages %s are handled twice", name))
+			panic(errors.Errorf("two handlers are registered for one-way messages of type %s", name))
 		}
 		present.message = added.message
 	}
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -1,11 +1,42 @@
-// Package transport sends gob messages between the processes of the system over TCP: calls, which are answered in any
-// order, and one-way messages. There is one connection for each pair of a client and an address. It is established
-// when first needed, and each type is described once on it.
+// Package transport sends gob messages between the processes of the system over TCP. A message is either a call, which
+// the server answers with a response or an error, or a one-way message. Calls of one connection may be answered in any
+// order.
 //
-// A request is written at most once; retrying is up to the caller. The kind of a call's error says whether it may have
-// been done: failure.Unavailable means that the request certainly was not written completely, failure.UnknownOutcome
-// that it may have been, also if the client cannot know. Messages may be lost without an error, and arrive in order on
-// one connection.
+// # Connections
+//
+// A Client has at most one connection to each address. It dials when the first call or message needs the connection.
+// Each side first sends a greeting: the magic number "OSPJ", the version of the protocol and the sender's name. Frames
+// follow. A frame is the length of its content in four bytes, big-endian, a header that starts with the frame's kind
+// and, in most kinds, one gob value. All gob values of one direction of a connection belong to one gob stream: before
+// the first value of a type, a frame of kind frameDefine sends the type's name and its gob description.
+//
+// The name is the Go name of the type with its package, such as protocol.PingRequest. The server finds the handler by
+// it, and the client checks the response by it. So renaming such a type, or its package, changes the protocol.
+//
+// # Outcomes
+//
+// The client writes a request at most once; the caller decides whether to retry. The error of a call has a
+// kind that says whether the call may have been executed:
+//
+//   - failure.Unavailable, if it comes from the client: the kernel did not take all bytes of the request, so no server
+//     has read the complete request.
+//   - failure.UnknownOutcome: the kernel took the complete request, or the writer may have started to write it, and no
+//     valid response arrived.
+//   - Other kinds come from the handler, except TooLarge and Invalid for requests that the client cannot encode.
+//
+// A one-way message may be lost without an error. Messages that arrive on one connection arrive in the order of sending.
+//
+// # Faults
+//
+//   - The peer is partitioned or its machine has stopped: the kernel closes a connection on which sent bytes stay
+//     unacknowledged, see userTimeout. TCP keep-alive finds the fault on a connection without traffic.
+//   - The peer's process is frozen, but its kernel still acknowledges: the client pings while short calls are pending
+//     and closes the connection if it receives nothing, see liveness.
+//   - The peer reads slowly or not: writes time out after WriteTimeout, and the queue of a connection is limited by
+//     MaxQueueBytes.
+//   - The peer accepts connections but does not greet: GreetingTimeout.
+//   - The peer has another version: a greeting with another version ends the connection. A call with a request type that
+//     the server does not handle is answered Unavailable, and the connection stays open.
 //
 // All exported functions may be called from any goroutine, except that a Server's handlers must be registered before
 // Serve.
@@ -21,13 +52,13 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// The defaults of the options.
+// The defaults of the fields of ServerOptions and ClientOptions that have the same name without Default.
 const (
 	DefaultMaxFrameBytes   = 16 << 20
 	DefaultMaxQueueBytes   = 2 << 20
 	DefaultMaxConnections  = 1024
-	DefaultMaxOutstanding  = 4096
-	DefaultMaxHandlers     = 256
+	DefaultMaxOutstanding  = 4096 // calls of one connection
+	DefaultMaxHandlers     = 256  // goroutines of the server
 	DefaultDialTimeout     = 700 * time.Millisecond
 	DefaultGreetingTimeout = time.Second
 	DefaultWriteTimeout    = 1500 * time.Millisecond
@@ -38,33 +69,49 @@
 
 // ServerOptions configure a Server. A field's zero value stands for its default.
 type ServerOptions struct {
-	Logger         log.Logger // nil: nothing is logged
-	Clock          clockwork.Clock
-	MaxFrameBytes  int           // larger frames close the connection (received) or are refused (to be sent)
-	MaxQueueBytes  int           // a connection on which more than this waits to be written is closed
-	MaxConnections int           // at once; further ones are closed when they are accepted
-	MaxOutstanding int           // unanswered calls of one connection; further ones are answered Unavailable
-	MaxHandlers    int           // goroutines of Handle at once; further calls are answered Unavailable
-	WriteTimeout   time.Duration // a connection whose peer takes nothing for this is closed
+	Logger log.Logger      // nil: nothing is logged
+	Clock  clockwork.Clock // times the wait after a failed accept; nil: the system's clock
+	// MaxFrameBytes limits the length of one frame, without its length field. Receiving a longer frame closes the
+	// connection. Instead of a longer response the server sends an error of kind UnknownOutcome.
+	MaxFrameBytes int
+	// MaxQueueBytes limits what is queued on one connection: if more than this is queued when a response is to be added,
+	// the client does not read fast enough and the server closes the connection.
+	MaxQueueBytes int
+	// MaxConnections limits the open connections of the server. The server closes further ones as it accepts them.
+	MaxConnections int
+	// MaxOutstanding limits the unanswered calls of one connection. The server answers further ones Unavailable.
+	MaxOutstanding int
+	// MaxHandlers limits the goroutines that run handlers registered by Handle. Further calls are answered Unavailable.
+	MaxHandlers int
+	// WriteTimeout limits the time for writing one chunk of writeChunkBytes. The server closes the connection after it.
+	WriteTimeout time.Duration
 }
 
 // ClientOptions configure a Client. A field's zero value stands for its default.
 type ClientOptions struct {
-	Logger        log.Logger // nil: nothing is logged
-	Clock         clockwork.Clock
-	Name          string        // passed to handlers as from; "": the address of the connection
-	MaxFrameBytes int           // larger requests are refused, larger responses close the connection
-	MaxQueueBytes int           // for each address; further calls are Unavailable, further messages are dropped
-	DialTimeout   time.Duration // until the TCP connection is established
-	// GreetingTimeout is how long the peer's greeting may take on a new connection.
+	Logger log.Logger      // nil: nothing is logged
+	Clock  clockwork.Clock // times probes and backoffs, and converts deadlines; nil: the system's clock
+	// Name is what the server's handlers get as from. If it is empty, they get the address of the connection.
+	Name string
+	// MaxFrameBytes limits the length of one frame, without its length field. A longer request fails with TooLarge.
+	// Receiving a longer frame closes the connection.
+	MaxFrameBytes int
+	// MaxQueueBytes limits what is queued for one address. While more than this is queued, calls fail with Unavailable
+	// and one-way messages are dropped.
+	MaxQueueBytes int
+	// DialTimeout limits the time until the TCP connection is established.
+	DialTimeout time.Duration
+	// GreetingTimeout limits the time from then until the server's greeting has arrived.
 	GreetingTimeout time.Duration
-	WriteTimeout    time.Duration // a connection whose peer takes nothing for this is closed
-	// ProbeInterval is the time between two probes. A connection with pending calls is closed if nothing is received for
-	// three to four of them.
+	// WriteTimeout limits the time for writing one chunk of writeChunkBytes. The client closes the connection after it.
+	WriteTimeout time.Duration
+	// ProbeInterval is the time between two probes of a connection with pending short calls. The client closes the
+	// connection if it receives nothing for three to four intervals: the first probe after the start of a call only
+	// notes what was received so far, and can come at any time within an interval.
 	ProbeInterval time.Duration
-	MinBackoff    time.Duration // after one failed connection to an address; doubles with each further one
-	MaxBackoff    time.Duration // limits the backoff
-	// Dial connects to an address; nil: over TCP.
+	MinBackoff    time.Duration // wait after one failed connection to an address; doubles with each further failure
+	MaxBackoff    time.Duration // upper limit of that wait
+	// Dial connects to an address. If it is nil, the client connects over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -89,7 +136,7 @@
 	return o
 }
 
-// setCommonDefaults sets the options that both sides of a connection have.
+// setCommonDefaults sets the defaults of the options that a client and a server both have.
 func setCommonDefaults(logger *log.Logger, clock *clockwork.Clock, frameBytes, queueBytes *int, writeTimeout *time.Duration) {
 	if *logger == nil {
 		*logger = log.NewNopLogger()
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -10,25 +10,26 @@
 	"github.com/pkg/errors"
 )
 
-// acceptBackoff is how long a server that is out of descriptors waits before it accepts connections again.
+// acceptBackoff is how long a server waits after an accept that failed for lack of a resource, such as file descriptors.
+// Without it the loop would run without pause until one is free.
 const acceptBackoff = 50 * time.Millisecond
 
-// Server answers the calls of other processes.
+// Server receives calls and one-way messages of other processes and passes them to its handlers.
 type Server struct {
 	options         ServerOptions
-	handlers        map[string]handler // by name of the request's type
-	ctx             context.Context    // of handlers
-	cancel          context.CancelFunc
-	runningHandlers atomic.Int64 // goroutines of Handle
+	handlers        map[string]handler // by name of the request's or message's type
+	ctx             context.Context    // parent of the handlers' contexts; ends when the server is closed
+	cancel          context.CancelFunc // ends ctx
+	runningHandlers atomic.Int64       // goroutines that run handlers registered by Handle
 
 	mutex        sync.Mutex
 	sessions     map[*session]struct{}
 	listeners    map[net.Listener]struct{}
 	closed       bool
-	sessionGroup sync.WaitGroup // sessions
+	sessionGroup sync.WaitGroup // counts the sessions
 }
 
-// NewServer returns a server. Its handlers must be registered before Serve.
+// NewServer returns a server. The caller must register all handlers before calling Serve.
 func NewServer(options ServerOptions) *Server {
 	s := &Server{
 		options:   options.withDefaults(),
@@ -40,8 +41,9 @@
 	return s
 }
 
-// Serve accepts connections until ctx ends or the server is closed. Then it closes the listener and the connections,
-// as Close does, and returns nil. Any other end is an error.
+// Serve accepts connections until ctx ends or the server is closed. The end of ctx closes the server, as Close does. Serve
+// then waits until all connections are closed, and returns nil. It returns an error if accepting fails for a reason that
+// waiting does not mend.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	if !s.addListener(listener) {
 		_ = listener.Close()
@@ -58,15 +60,16 @@
 			s.sessionGroup.Wait()
 			return nil
 		case !isResourceShortage(err):
-			return errors.Wrap(err, "taking connections")
+			return errors.Wrap(err, "accept a connection")
 		default:
 			s.options.Clock.Sleep(acceptBackoff)
 		}
 	}
 }
 
-// Close closes the listeners and, once the responses that are there are written, the connections. It waits for that,
-// twice closeTimeout at most. It ends the contexts of handlers but does not wait for them.
+// Close closes the listeners, and each connection once the responses queued on it are written. It waits until all
+// connections are closed. After twice closeTimeout it closes those that are still open, whatever is queued. It ends
+// the contexts of running handlers but does not wait for them; what they answer later is dropped.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -98,6 +101,7 @@
 	return s.closed
 }
 
+// addListener adds a listener that Close has to close. It reports whether the server is still open.
 func (s *Server) addListener(listener net.Listener) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,7 +112,7 @@
 	return true
 }
 
-// addSession starts a session, unless there are too many.
+// addSession starts a session for conn, or closes conn if the server is closed or has MaxConnections sessions.
 func (s *Server) addSession(conn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -122,7 +126,7 @@
 	go opened.run()
 }
 
-// removeSession records that a session has ended.
+// removeSession records that a session's connection is closed and its last write has returned.
 func (s *Server) removeSession(over *session) {
 	s.mutex.Lock()
 	delete(s.sessions, over)
--- a/internal/cluster/transport/server_test.go
+++ b/internal/cluster/transport/server_test.go
@@ -20,9 +20,9 @@
 	frame := func(length uint32, content ...byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, length), content...)
 	}
-	hello := func(rest ...byte) []byte { return append(greetingOf("sur-9"), rest...) }
+	afterGreeting := func(rest ...byte) []byte { return append(greetingOf("sur-9"), rest...) }
 
-	DescribeTable("closes the connection of a client that breaks the protocol, and logs its name",
+	DescribeTable("closes the connection and logs the client's name or address if the client sends",
 		func(sent []byte, name string) {
 			logged := newLines()
 			server := NewServer(ServerOptions{Logger: logged, MaxFrameBytes: 1000})
@@ -39,18 +39,18 @@
 			}
 			Eventually(logged.channel).WithTimeout(soon).Should(Receive(ContainElements("peer", name)))
 		},
-		Entry("another protocol", []byte("GET / HTTP/1.1\r\n\r\n"), ""),
-		Entry("another version", append([]byte(magic), version+1, 0), ""),
-		Entry("a name without end", append([]byte(magic), version, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ""),
-		Entry("an empty frame", hello(frame(0)...), "sur-9"),
-		Entry("too large a frame", hello(frame(1001)...), "sur-9"),
-		Entry("a frame of no kind", hello(frame(1, 200)...), "sur-9"),
-		Entry("a response", hello(frame(3, byte(frameResponse), 1, 0)...), "sur-9"),
-		Entry("a pong", hello(frame(1, byte(framePong))...), "sur-9"),
-		Entry("a type that was not described", hello(frame(4, byte(frameRequest), 1, 1, 0)...), "sur-9"),
-		Entry("a type out of sequence", hello(frame(4, byte(frameDefine), 2, 1, 'x')...), "sur-9"),
-		Entry("a value that is no gob", hello(frame(7, byte(frameDefine), 1, 1, 'x', 3, 0xff, 0xff)...), "sur-9"),
-		Entry("bytes behind a ping", hello(frame(3, byte(framePing), 1, 0)...), "sur-9"),
+		Entry("an HTTP request", []byte("GET / HTTP/1.1\r\n\r\n"), ""),
+		Entry("a greeting of another version", append([]byte(magic), version+1, 0), ""),
+		Entry("a name longer than maxTextBytes", append([]byte(magic), version, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ""),
+		Entry("an empty frame", afterGreeting(frame(0)...), "sur-9"),
+		Entry("a frame longer than MaxFrameBytes", afterGreeting(frame(1001)...), "sur-9"),
+		Entry("a frame of an unknown kind", afterGreeting(frame(1, 200)...), "sur-9"),
+		Entry("a response", afterGreeting(frame(3, byte(frameResponse), 1, 0)...), "sur-9"),
+		Entry("a pong", afterGreeting(frame(1, byte(framePong))...), "sur-9"),
+		Entry("a request whose type was not described", afterGreeting(frame(4, byte(frameRequest), 1, 1, 0)...), "sur-9"),
+		Entry("a type number that leaves a gap", afterGreeting(frame(4, byte(frameDefine), 2, 1, 'x')...), "sur-9"),
+		Entry("a value that is no gob value", afterGreeting(frame(7, byte(frameDefine), 1, 1, 'x', 3, 0xff, 0xff)...), "sur-9"),
+		Entry("a ping with bytes after it", afterGreeting(frame(3, byte(framePing), 1, 0)...), "sur-9"),
 	)
 
 	It("closes the connection of a client that never reads responses", func() {
@@ -61,18 +61,18 @@
 		address := serve(server)
 		conn, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
-		out := newOutbox(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Hour, "", func() {})
+		out := newSendQueue(DefaultMaxFrameBytes, DefaultMaxQueueBytes, time.Hour, "", func() {})
 		Expect(out.attach(conn)).To(BeTrue())
 		id := uint64(0)
 		Eventually(func() error {
 			id++
-			_, err := out.put(header{kind: frameRequest, id: id}, &question{})
+			_, err := out.enqueue(header{kind: frameRequest, id: id}, &question{})
 			return err
 		}).WithTimeout(soon).WithPolling(time.Millisecond).Should(HaveOccurred())
 		out.close()
 	})
 
-	It("accepts no more connections than allowed", func() {
+	It("closes connections beyond MaxConnections", func() {
 		server := NewServer(ServerOptions{MaxConnections: 1})
 		Handle(server, func(context.Context, string, *question) (*reply, error) { return &reply{}, nil })
 		address := serve(server)
@@ -82,7 +82,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("that is closed writes the responses that are there, and ends handlers' contexts", func() {
+	It("that is closed ends the contexts of its handlers, returns from Serve and stops listening", func() {
 		server := NewServer(ServerOptions{})
 		entered := make(chan struct{})
 		Handle(server, func(ctx context.Context, _ string, _ *question) (*reply, error) {
@@ -106,14 +106,14 @@
 		Expect(server.Serve(context.Background(), listener)).To(Succeed())
 	})
 
-	It("that cannot accept connections any more returns an error", func() {
+	It("whose listener is closed by others returns an error", func() {
 		listener, err := Listen(context.Background(), "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		_ = listener.Close()
 		Expect(NewServer(ServerOptions{}).Serve(context.Background(), listener)).NotTo(Succeed())
 	})
 
-	It("that is short of descriptors goes on after a backoff", func() {
+	It("that lacks file descriptors accepts again after acceptBackoff", func() {
 		clock := clockwork.NewFakeClock()
 		server := NewServer(ServerOptions{Clock: clock})
 		broken := &shortListener{closed: make(chan struct{}), results: []error{syscall.EMFILE, syscall.ECONNABORTED, os.ErrInvalid}}
@@ -127,7 +127,7 @@
 	})
 })
 
-// shortListener fails with one result after the other.
+// shortListener is a listener whose Accept returns its results as errors, one after the other.
 type shortListener struct {
 	results []error
 	closed  chan struct{}
