--- a/internal/cluster/transport/transport_suite_test.go
+++ b/internal/cluster/transport/transport_suite_test.go
@@ -14,10 +14,12 @@
 
 func TestTransport(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Frames between processes")
+	RunSpecs(t, "Transport")
 }
 
-const soon = 10 * time.Second // for what happens at once, on a busy machine too
+// soon is how long a test waits for an event that has no reason to be late. It is long so that a busy machine does not fail
+// the test.
+const soon = 10 * time.Second
 
 type question struct {
 	Text   string
@@ -36,9 +38,10 @@
 	Inner inner
 }
 
+// nothing is a message without fields, which gob alone would refuse to encode.
 type nothing struct{}
 
-// lines is a logger that records what is logged.
+// lines is a logger that passes the key-value pairs of each line to the test.
 type lines struct{ channel chan []any }
 
 func newLines() lines { return lines{channel: make(chan []any, 100)} }
@@ -50,7 +53,7 @@
 
 var _ log.Logger = lines{}
 
-// serve starts a server on a loopback address and returns the address.
+// serve starts a server on a loopback address and returns the address. The server is closed when the test ends.
 func serve(s *Server) string {
 	listener, err := Listen(context.Background(), "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -69,7 +72,7 @@
 	return c
 }
 
-// pipes lets a client dial into the test, which gets the other end of each connection.
+// pipes provides a Dial function for a client. Each dialed connection is a pipe, and the test gets its server end.
 type pipes struct{ ends chan net.Conn }
 
 func newPipes() *pipes { return &pipes{ends: make(chan net.Conn, 10)} }
@@ -80,7 +83,7 @@
 	return near, nil
 }
 
-// end returns the other end of the next connection, closed when the test is over.
+// end returns the server end of the next dialed connection. It is closed when the test ends.
 func (p *pipes) end() net.Conn {
 	var far net.Conn
 	Eventually(p.ends).WithTimeout(soon).Should(Receive(&far))
@@ -88,7 +91,7 @@
 	return far
 }
 
-// advance lets a span pass on a fake clock as soon as something waits for it.
+// advance waits until something waits on a fake clock, then advances the clock by span.
 func advance(clock *clockwork.FakeClock, span time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), soon)
 	defer cancel()
@@ -96,9 +99,10 @@
 	clock.Advance(span)
 }
 
-// greeted writes a server's greeting to a client's other end and reads the client's.
-func greeted(far net.Conn) *inbox {
-	in := newInbox(far, DefaultMaxFrameBytes)
+// greeted reads the client's greeting from the server end of a pipe and sends the server's greeting. It returns the decoder
+// for the frames that the client sends.
+func greeted(far net.Conn) *frameDecoder {
+	in := newFrameDecoder(far, DefaultMaxFrameBytes)
 	_, err := in.greeting()
 	Expect(err).NotTo(HaveOccurred())
 	_, err = far.Write(greetingOf(""))
