--- a/internal/cluster/directory/call_test.go
+++ b/internal/cluster/directory/call_test.go
@@ -110,7 +110,7 @@
 			attempt{"b", notLeader("")}, attempt{"c", ofKind(failure.Unavailable)}),
 	)
 
-	It("keeps the recorded owner if the caller cancels before the deadline", func() {
+	It("keeps the recorded owner if the caller cancels the call before its deadline", func() {
 		s := newScripted()
 		d := newDirectory(s, nil)
 		d.recordOwner(shard, "x")
--- a/internal/cluster/relay/caller.go
+++ b/internal/cluster/relay/caller.go
@@ -13,8 +13,8 @@
 // Watches are long polls, whose responses the owner delays. A timeout therefore doesn't repeat the watch through a relay:
 // it starts a ping through a relay, and if that is answered, later watches go through relays.
 //
-// A relay keeps no state about calls and gives no answers of its own: it forwards the request and returns the
-// target's response. The only change is that it marks a heartbeat as relayed.
+// A relay keeps no state about calls and never answers in the target's place: it forwards the request as it was sent and
+// returns the target's response. The only change is that it marks a heartbeat as relayed.
 //
 // A relayed call may be executed twice, once directly and once through the relay, since the direct request may have
 // arrived though its response did not. So only calls whose second execution is harmless are relayed. Submits, cancels and
@@ -133,7 +133,7 @@
 // directCall is the method Do or DoLong of a Client.
 type directCall func(ctx context.Context, address string, request, response any) error
 
-// watch makes a watch, whose response the owner may delay until ctx ends. So a missing response doesn't show that
+// watch sends a watch, whose response the owner may delay until ctx ends. So a missing response doesn't show that
 // the path is broken, and the watch is not repeated through a relay. If it failed after directTimeout or more, watch
 // pings the process through a relay: if that succeeds, the process counts as unreachable and the next watch is relayed.
 func (c *Caller) watch(ctx context.Context, wrapped *protocol.RelayRequest, response any, direct directCall) error {
--- a/internal/cluster/transport/faults_test.go
+++ b/internal/cluster/transport/faults_test.go
@@ -33,10 +33,10 @@
 	Expect(failure.KindOf(err)).To(Equal(kind), "%v", err)
 }
 
-var _ = Describe("A client whose peer", func() {
+var _ = Describe("A client", func() {
 	ctx := context.Background()
 
-	It("refuses connections returns Unavailable, and dials again only after a growing backoff", func() {
+	It("returns Unavailable if the peer refuses connections, and dials again only after a growing backoff", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := 0
 		client := newTestClient(ClientOptions{Clock: clock, Dial: func(context.Context, string) (net.Conn, error) {
@@ -54,7 +54,7 @@
 		}
 	})
 
-	It("cannot be dialed within DialTimeout returns Unavailable", func() {
+	It("returns Unavailable if it cannot dial the peer within DialTimeout", func() {
 		client := newTestClient(ClientOptions{DialTimeout: time.Millisecond, Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -62,7 +62,7 @@
 		expectKind(startCall(ctx, client, "a"), failure.Unavailable)
 	})
 
-	It("is still being dialed when the caller gives up returns Unavailable, and never sends the request", func() {
+	It("returns Unavailable if the caller gives up while it dials, and never sends the request", func() {
 		connect := make(chan struct{})
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: func(context.Context, string) (net.Conn, error) {
@@ -82,7 +82,7 @@
 		Expect(h.kind).To(Equal(frameMessage))
 	})
 
-	It("closes the connection after it read the request returns UnknownOutcome, and dials for the next call", func() {
+	It("returns UnknownOutcome if the peer closes after it read the request, and dials for the next call", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
 		ended := startCall(ctx, client, "a")
@@ -100,7 +100,7 @@
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("closes the connection before it read the complete request returns Unavailable", func() {
+	It("returns Unavailable if the peer closes the connection before it read the complete request", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial})
 		ended := startCall(ctx, client, "a")
@@ -111,7 +111,7 @@
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("stops responding sends two pings, then closes the connection and returns UnknownOutcome", func() {
+	It("sends two pings if the peer stops responding, then returns UnknownOutcome", func() {
 		clock := clockwork.NewFakeClock()
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Clock: clock, Dial: dialed.dial})
@@ -136,7 +136,7 @@
 		expectKind(ended, failure.UnknownOutcome)
 	})
 
-	It("answers pings waits for the response as long as the caller does", func() {
+	It("keeps the connection and waits for the response while the peer answers pings", func() {
 		clock := clockwork.NewFakeClock()
 		server := NewServer(ServerOptions{})
 		replies := make(chan func(*reply, error), 1)
@@ -158,7 +158,7 @@
 		Eventually(ended).WithTimeout(soon).Should(Receive(BeNil()))
 	})
 
-	It("reads nothing closes the connection after WriteTimeout", func() {
+	It("closes the connection after WriteTimeout if the peer reads nothing", func() {
 		dialed := newPipes()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, WriteTimeout: time.Millisecond})
 		ended := startCall(ctx, client, "a")
@@ -166,7 +166,7 @@
 		expectKind(ended, failure.Unavailable)
 	})
 
-	It("reads nothing drops messages beyond MaxQueueBytes, and still calls other peers", func() {
+	It("drops messages and fails calls beyond MaxQueueBytes if the peer reads nothing, and still calls other peers", func() {
 		server := NewServer(ServerOptions{})
 		Handle(server, func(_ context.Context, _ string, q *question) (*reply, error) { return &reply{Text: q.Text}, nil })
 		address := serve(server)
@@ -189,7 +189,7 @@
 		Expect(response.Text).To(Equal("others"))
 	})
 
-	It("has not answered when ctx ends returns UnknownOutcome, and ignores the late response", func() {
+	It("returns UnknownOutcome if ctx ends before the peer has answered, and ignores the late response", func() {
 		server := NewServer(ServerOptions{})
 		replies := make(chan func(*reply, error), 1)
 		HandleAsync(server, func(_ string, _ *question, respond func(*reply, error)) { replies <- respond })
@@ -208,7 +208,7 @@
 		Expect(got.Text).To(Equal("on time"))
 	})
 
-	It("sends nothing until the deadline of a long poll closes the connection", func() {
+	It("closes the connection if it receives nothing until the deadline of a long poll", func() {
 		dialed := newPipes()
 		clock := clockwork.NewFakeClock()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Clock: clock})
@@ -232,7 +232,7 @@
 		Expect(err).To(Equal(io.EOF))
 	})
 
-	It("speaks another protocol logs the peer's address", func() {
+	It("logs the peer's address if the peer speaks another protocol", func() {
 		dialed := newPipes()
 		logged := newLines()
 		client := newTestClient(ClientOptions{Dial: dialed.dial, Logger: logged})
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -33,7 +33,7 @@
 	greeting = 6                // bytes of a greeting with an empty name: magic number, version and length 0
 )
 
-// exchange is one kind of call or of one-way message. It has a fixture for each direction: all bytes that one side sends on a
+// exchange is one kind of call or of one-way message. It has a fixture for each direction: all bytes that a side sends on a
 // connection, which are the greeting, the description of the type, and one frame whose value has all fields set.
 type exchange struct {
 	requestName  string // name of the request's type on the wire, and of the fixture
@@ -50,7 +50,6 @@
 	value any
 }
 
-// call returns the exchange of a call.
 func call[Req, Resp any](requestName, responseName string) exchange {
 	return exchange{
 		requestName:  requestName,
@@ -66,7 +65,6 @@
 	}
 }
 
-// message returns the exchange of a one-way message.
 func message[Msg any](name string) exchange {
 	return exchange{
 		requestName: name,
@@ -77,8 +75,7 @@
 	}
 }
 
-// exchanges are all calls and one-way messages that processes send each other. The names are literals, not taken from the
-// types: they are those that the version of the fixtures sent, and a renamed type fails the test.
+// exchanges are all calls and one-way messages of the system. Their names are literals, so that a renamed type fails a test.
 var exchanges = []exchange{
 	message[replica.Envelope]("replica.Envelope"),
 	call[protocol.PingRequest, protocol.PingResponse]("protocol.PingRequest", "protocol.PingResponse"),
@@ -206,8 +203,7 @@
 // recordResponse returns a filled response and the bytes that a server sends for it.
 func (e *exchange) recordResponse() (any, []byte, error) { return record(*e, nil) }
 
-// record returns what a server answers to the request of an exchange, as a value and as bytes. The value is a filled
-// response. If refusal is not nil, the server answers a ping with that error instead.
+// record returns a filled response and the bytes that a server answers with. If refusal is not nil, they are for that error.
 func record(e exchange, refusal *failure.Error) (any, []byte, error) {
 	if refusal != nil {
 		e = failingWith[protocol.PingRequest, protocol.PingResponse](refusal)
@@ -232,7 +228,6 @@
 	return checkTypeName(value, answer, e.responseName)
 }
 
-// failingWith returns an exchange whose handler answers with an error.
 func failingWith[Req, Resp any](refusal error) exchange {
 	e := call[Req, Resp]("", "")
 	e.handle = func(server *transport.Server, _ chan<- received, _ any) {
@@ -258,8 +253,8 @@
 	return response, err
 }
 
-// answerOnce answers the first call on one connection with data, which includes the greeting. It waits for the first byte
-// after the client's greeting: the response must not arrive before the client has queued the call.
+// answerOnce answers the first call on one connection with data, greeting included. It waits for the first byte after the
+// client's greeting: the response must not arrive before the client has queued the call.
 func answerOnce(listener net.Listener, data []byte) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -299,8 +294,7 @@
 	return conn
 }
 
-// readUntilValue reads the greeting of a process with the given name, the descriptions of types, and the first frame of
-// another kind. It returns all bytes that it read.
+// readUntilValue reads a greeting with the given name, then frames up to the first that is no frameDefine. It returns all.
 func readUntilValue(conn net.Conn, name string) ([]byte, error) {
 	const lengthBytes, define = 4, 1
 	if err := conn.SetReadDeadline(time.Now().Add(soon)); err != nil {
--- a/internal/cluster/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -16,7 +16,7 @@
 type greetedResponse struct{ Number int }
 
 var _ = Describe("A client of a process that is slow to send its greeting", func() {
-	It("waits for it as long as GreetingTimeout allows", func(ctx SpecContext) {
+	It("waits for the greeting as long as GreetingTimeout allows", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -18,10 +18,11 @@
 // The client writes a request at most once; the caller decides whether to retry. The error of a call has a
 // kind that says whether the call may have been executed:
 //
-//   - failure.Unavailable, if it comes from the client: the kernel did not take all bytes of the request, so no server
-//     has read the complete request.
+//   - failure.Unavailable: the call was not executed. Either the kernel did not take all bytes of the request, so that no
+//     server has read the complete request, or the server has no handler for it or is at one of its limits. A handler that
+//     returns this kind says the same.
 //   - failure.UnknownOutcome: the kernel took the complete request, or the writer may have started to write it, and no
-//     valid response arrived.
+//     valid response arrived. An error of a handler that has no kind counts as this one.
 //   - Other kinds come from the handler, except TooLarge and Invalid for requests that the client cannot encode.
 //
 // A one-way message may be lost without an error. Messages that arrive on one connection arrive in the order of sending.
@@ -31,7 +32,8 @@
 //   - The peer is partitioned or its machine has stopped: the kernel closes a connection on which sent bytes stay
 //     unacknowledged, see userTimeout. TCP keep-alive finds the fault on a connection without traffic.
 //   - The peer's process is frozen, but its kernel still acknowledges: the client pings while short calls are pending
-//     and closes the connection if it receives nothing, see liveness.
+//     and closes the connection if it receives nothing, see liveness. With only long polls pending, it closes the
+//     connection at the deadline of one during which it received nothing, see Client.DoLong.
 //   - The peer reads slowly or not: writes time out after WriteTimeout, and the queue of a connection is limited by
 //     MaxQueueBytes.
 //   - The peer accepts connections but does not greet: GreetingTimeout.
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -42,8 +42,8 @@
 }
 
 // Serve accepts connections until ctx ends or the server is closed. The end of ctx closes the server, as Close does. Serve
-// then waits until all connections are closed, and returns nil. It returns an error if accepting fails for a reason that
-// waiting does not mend.
+// then waits until all connections are closed, and returns nil. It returns an error if accepting fails for another reason
+// than a temporary lack of resources.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	if !s.addListener(listener) {
 		_ = listener.Close()
--- a/internal/cluster/transport/server_test.go
+++ b/internal/cluster/transport/server_test.go
@@ -106,7 +106,7 @@
 		Expect(server.Serve(context.Background(), listener)).To(Succeed())
 	})
 
-	It("whose listener is closed by others returns an error", func() {
+	It("whose listener was closed by other code returns an error from Serve", func() {
 		listener, err := Listen(context.Background(), "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		_ = listener.Close()
