--- a/internal/cluster/administration/advice.go
+++ b/internal/cluster/administration/advice.go
@@ -7,7 +7,7 @@
 	"ospreypond/internal/cluster/failure/answers"
 )
 
-// Advice returns what an operator can do about an error that carries a kind of package failure; "" for other errors.
+// Advice returns what an operator can do about an error that has a kind of package failure; "" for any other error.
 func Advice(err error) string {
 	var known *failure.Error
 	if !errors.As(err, &known) {
--- a/internal/cluster/administration/archive/archive.go
+++ b/internal/cluster/administration/archive/archive.go
@@ -1,8 +1,8 @@
-// Package archive is a backup of a cluster in a file, and its restore into the data folder of a new control process.
+// Package archive writes backups of a cluster to files, and restores them into the data folder of a new control process.
 //
-// A backup has the state machine's snapshot of each shard, with the index and term at which its owner gave it. The shards
-// are not of one moment: each is consistent by itself. A file is written completely or not at all, and Decode detects any
-// change of it by a checksum.
+// A backup has the snapshot of each shard's state machine, with the index and the owner's term at that time. Each shard is
+// consistent, but the shards are not of one moment. A file is written completely or not at all, and a checksum shows damage
+// to it.
 package archive
 
 import (
@@ -18,27 +18,27 @@
 
 // Archive is the content of a backup. It and Shard are encoded by gob: the field names are the format.
 type Archive struct {
-	MadeMs int64 // ms since 1970
+	MadeMs int64 // time of the backup, in ms since 1970
 	Shards []Shard
 }
 
 // Shard is the state of one shard.
 type Shard struct {
 	ID    uint32
-	Index uint64 // of the newest entry that it includes
-	Term  uint64 // of the owner that gave it
-	Data  []byte // its state machine's snapshot
+	Index uint64 // index of the newest log entry that Data includes
+	Term  uint64 // term of the owner that encoded Data
+	Data  []byte // snapshot of the shard's state machine
 }
 
-// A file has the magic with the version, the Archive encoded by gob, and the CRC-32C of both.
+// A file has the magic, the Archive encoded by gob, and the CRC-32C of both in little-endian order.
 const (
-	magic        = "OPBACK\x00\x01"
-	checksumSize = 4
+	magic        = "OPBACK\x00\x01" // the last byte is the version of the format
+	checksumSize = 4                // bytes
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the content of a file.
+// Encode returns the content of a backup's file.
 func (a *Archive) Encode() ([]byte, error) {
 	var content bytes.Buffer
 	content.WriteString(magic)
@@ -49,7 +49,7 @@
 	return binary.LittleEndian.AppendUint32(body, crc32.Checksum(body, castagnoli)), nil
 }
 
-// Decode decodes the content of a file. It fails if that is damaged, or of an unknown version.
+// Decode decodes the content of a backup's file. It fails if the content is damaged or of an unknown version.
 func Decode(content []byte) (*Archive, error) {
 	if len(content) < len(magic)+checksumSize || string(content[:len(magic)]) != magic {
 		return nil, errors.New("it is not a backup of a known version")
@@ -65,7 +65,7 @@
 	return archive, nil
 }
 
-// Read reads and decodes a file.
+// Read reads and decodes a backup's file. Errors name the file.
 func Read(path string) (*Archive, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +75,8 @@
 	return archive, errors.Wrap(err, path)
 }
 
-// Write writes a file completely or not at all, and syncs it to disk. It fails if the file exists.
+// Write writes the backup to a new file and syncs it to disk. It fails if the file exists. The content is written to a
+// temporary file first, which is renamed when it is complete.
 func (a *Archive) Write(path string) error {
 	content, err := a.Encode()
 	if err != nil {
@@ -111,7 +112,7 @@
 	return err
 }
 
-// syncDir syncs the entries of a folder.
+// syncDir syncs a folder, so that a rename in it survives a power failure.
 func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/internal/cluster/administration/archive/archive_test.go
+++ b/internal/cluster/administration/archive/archive_test.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// sample returns a backup of a cluster with a job in shard 2.
+// sample returns a backup of a cluster that has a job in shard 2 and no configuration.
 func sample() *archive.Archive {
 	made := &archive.Archive{MadeMs: 1_700_000_000_000}
 	for id := uint32(1); id <= protocol.JobShards; id++ {
@@ -39,7 +39,7 @@
 var process = archive.Process{Node: "n1", Zone: "z", Address: "10.0.0.1:7380"}
 
 var _ = Describe("a backup's file", func() {
-	It("can be read back", func() {
+	It("has the same content when it is read again", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x")
 		Expect(sample().Write(path)).To(Succeed())
 		Expect(archive.Read(path)).To(Equal(sample()))
@@ -53,7 +53,7 @@
 		Expect(os.ReadFile(path)).To(Equal([]byte("dear")))
 	})
 
-	It("is rejected with any byte changed, and truncated anywhere", func() {
+	It("is rejected if any byte is changed, or if it is truncated at any position", func() {
 		content, err := sample().Encode()
 		Expect(err).NotTo(HaveOccurred())
 		for i := range content {
@@ -67,7 +67,7 @@
 	})
 })
 
-var _ = DescribeTable("backups that can't be restored",
+var _ = DescribeTable("a backup can't be restored if",
 	func(change func(*archive.Archive), message string) {
 		damaged := sample()
 		change(damaged)
@@ -78,13 +78,13 @@
 	Entry("a shard is missing", func(a *archive.Archive) { a.Shards = a.Shards[1:] }, "shard 1 is missing"),
 	Entry("the configuration is missing", func(a *archive.Archive) { a.Shards = a.Shards[:4] }, "shard 0 is missing"),
 	Entry("a shard appears twice", func(a *archive.Archive) { a.Shards[1].ID = 1 }, "shard 1 appears twice"),
-	Entry("an unknown shard", func(a *archive.Archive) { a.Shards[1].ID = 77 }, "shard 77: there is no such shard"),
+	Entry("it has an unknown shard", func(a *archive.Archive) { a.Shards[1].ID = 77 }, "shard 77: there is no such shard"),
 	Entry("a state can't be decoded", func(a *archive.Archive) { a.Shards[1].Data = []byte{99} }, "shard 2: snapshot of version 99"),
-	Entry("a configuration can't be decoded", func(a *archive.Archive) { a.Shards[4].Data = []byte("x") }, "shard 0: "),
+	Entry("the configuration can't be decoded", func(a *archive.Archive) { a.Shards[4].Data = []byte("x") }, "shard 0: "),
 )
 
-var _ = Describe("restoring", func() {
-	It("makes the process the only member of all groups, with terms above any that runners may have seen", func() {
+var _ = Describe("the restore of a backup", func() {
+	It("makes the process the only member of all groups, with terms far above those of the backup", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "data")
 		Expect(sample().Restore(dir, process)).To(Succeed())
 		identity, err := wal.ReadIdentity(vfs.OS{}, dir)
@@ -106,7 +106,7 @@
 		}
 	})
 
-	It("creates another identity each time", func() {
+	It("creates a new identity each time", func() {
 		var ids []any
 		for range 2 {
 			dir := filepath.Join(GinkgoT().TempDir(), "data")
--- a/internal/cluster/administration/archive/fixtures_test.go
+++ b/internal/cluster/administration/archive/fixtures_test.go
@@ -7,7 +7,7 @@
 	"ospreypond/internal/fixturetest"
 )
 
-var _ = Describe("what the version of the fixtures wrote", func() {
+var _ = Describe("data that the program wrote when the fixtures were made", func() {
 	It("is read as a backup", func() {
 		fixturetest.Check(GinkgoTB(), "archive", fixturetest.Codec{
 			Encode: func() (any, []byte, error) {
--- a/internal/cluster/administration/archive/restore.go
+++ b/internal/cluster/administration/archive/restore.go
@@ -17,11 +17,12 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// termStep is how far the terms of a restored cluster are above those of the backup. Runners obey no fencing token, which is
-// a term, below the highest one that they have seen, and the old cluster may have gone on after the backup.
+// termStep is the difference between the terms of a restored cluster and those in its backup. An owner's term is its fencing
+// token, and runners reject a token below the highest one that they have seen. The old cluster may have had elections after
+// the backup: runners obey the restored cluster unless there were more than termStep.
 const termStep = 1 << 20
 
-// segmentBytes is more than a restored log has, so that it is one segment.
+// segmentBytes is larger than a restored log, which has no entries, so that the log has a single segment.
 const segmentBytes = 1 << 20
 
 // Process is the control process that a backup is restored for.
@@ -31,10 +32,9 @@
 	Address string // internal
 }
 
-// Restore writes the state into the data folder of a control process, which must be empty or missing. The process is then
-// the only member of all groups; others that start with empty folders and have it as a seed join it. It must not be called
-// while a process runs on the folder. A restore that was interrupted leaves no identity, and a control process does not
-// take the folder for its own.
+// Restore writes the backup into the data folder of a control process. The folder must be empty or missing, and no process
+// may run on it. The process is then the only member of all groups; processes that start with empty folders and have it as
+// a seed join it. An interrupted restore leaves a folder without an identity, which no control process takes for its own.
 func (a *Archive) Restore(dir string, process Process) error {
 	if err := a.Check(); err != nil {
 		return err
@@ -54,15 +54,16 @@
 	if err := a.writeLog(files, dir, member); err != nil {
 		return err
 	}
-	// The identity comes last: a log without one belongs to no process, so that an interrupted restore isn't taken for a
-	// complete one.
+	// The identity is written last. A log without an identity belongs to no process, so an interrupted restore can't be taken
+	// for a complete one.
 	if err := wal.WriteIdentity(files, dir, &wal.Identity{ID: id}); err != nil {
 		return err
 	}
 	return files.SyncDir(filepath.Dir(filepath.Clean(dir)))
 }
 
-// writeLog writes a log in which each group has its snapshot and one member.
+// writeLog writes a log in which each group has its snapshot, no entries, and one member. Index and term of a snapshot are
+// at least 1, since 0 means that there is none.
 func (a *Archive) writeLog(files vfs.FS, dir string, member consensus.Member) error {
 	log, _, err := wal.Open(files, dir, wal.Options{SegmentBytes: segmentBytes})
 	if err != nil {
@@ -87,7 +88,8 @@
 	return log.Append(batch)
 }
 
-// Check returns an error unless the backup has each shard exactly once, and this version of the program can restore all.
+// Check returns an error unless the backup has each shard exactly once, and this version of the program can decode all of
+// their states.
 func (a *Archive) Check() error {
 	seen := map[uint32]bool{}
 	for i := range a.Shards {
@@ -108,6 +110,7 @@
 	return nil
 }
 
+// check returns an error unless the shard exists and its state machine can decode the state.
 func (s *Shard) check() error {
 	switch {
 	case s.ID == uint32(protocol.ConfigurationShard):
@@ -138,7 +141,7 @@
 func newMemberID() (consensus.MemberID, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return 0, errors.Wrap(err, "draw an identity")
+		return 0, errors.Wrap(err, "read random bytes for a member ID")
 	}
 	return consensus.MemberID(max(binary.LittleEndian.Uint64(random[:]), 1)), nil
 }
--- a/internal/cluster/administration/backup.go
+++ b/internal/cluster/administration/backup.go
@@ -8,9 +8,10 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Backup returns the state of every shard. Each owner's leadership is confirmed after its state was requested, so the
-// state includes everything acknowledged before the call. The shards are read one after the other, not as of one moment,
-// the configuration last: it has every version by which the jobs were submitted.
+// Backup returns the state of every shard. An owner encodes its state after a quorum has confirmed its leadership, so the
+// state includes everything that was acknowledged before the call. The shards are read one after the other, not as of one
+// moment. The configuration is read last, so that it is at least as new as any version under which a job in the backup was
+// submitted.
 func (c *Client) Backup(ctx context.Context) (*archive.Archive, error) {
 	backup := &archive.Archive{}
 	err := eachShard(func(shard protocol.ShardID) error {
@@ -22,10 +23,11 @@
 	return backup, c.backupShard(ctx, backup, protocol.ConfigurationShard)
 }
 
-// maxShardReads bounds how often a shard is read from the start because its owner changed meanwhile.
+// maxShardReads bounds how often a shard is read from the start. Its owner may change between two chunks, and the new owner
+// doesn't have the snapshot of the former one.
 const maxShardReads = 5
 
-// backupShard adds a shard's state to a backup.
+// backupShard adds a shard's state to a backup. It starts again if the owner changes or has dropped the snapshot.
 func (c *Client) backupShard(ctx context.Context, backup *archive.Archive, shard protocol.ShardID) error {
 	var err error
 	for range maxShardReads {
@@ -43,7 +45,8 @@
 	return err
 }
 
-// readShard reads a shard's state chunk by chunk from one owner. It fails with Conflict or NotLeader if the owner changes.
+// readShard reads one snapshot of a shard's state from its owner, chunk by chunk. It fails with Conflict or NotLeader if the
+// owner changes or no longer has the snapshot.
 func (c *Client) readShard(ctx context.Context, shard protocol.ShardID) (*archive.Shard, error) {
 	state := &archive.Shard{ID: uint32(shard)}
 	request := &SnapshotRequest{Shard: shard}
@@ -53,7 +56,7 @@
 			return nil, err
 		}
 		if request.Session != 0 && (chunk.Index != state.Index || chunk.Term != state.Term) {
-			return nil, failure.New(failure.Conflict, "another process answers for the shard")
+			return nil, failure.New(failure.Conflict, "the shard's owner changed while its snapshot was read")
 		}
 		state.Index, state.Term = chunk.Index, chunk.Term
 		state.Data = append(state.Data, chunk.Data...)
--- a/internal/cluster/administration/client.go
+++ b/internal/cluster/administration/client.go
@@ -13,28 +13,29 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// reportTimeout bounds a request for what one control process knows itself: a report or a digest.
+// reportTimeout bounds a request that one given control process answers from its own state: for a report or a digest.
 const reportTimeout = 2 * time.Second
 
 // Client sends the operator's requests to a running system. It must be used by one goroutine at a time, and closed.
 //
-// Errors that come from the system carry a kind of package failure; see Advice. Methods that change nothing never report an
-// unknown outcome. Methods retry until ctx ends, so ctx should have a deadline.
+// Errors that come from the system have a kind of package failure; see Advice. Methods that change nothing never fail with
+// failure.UnknownOutcome. Methods retry until ctx ends, so ctx should have a deadline.
 type Client struct {
-	addresses []string
+	addresses []string // internal addresses given by the operator
 	transport *transport.Client
 	directory *directory.Directory
 }
 
-// Timeouts of a command's connections. They are longer than those of frontends, which can turn to another process: an
-// operator has time, and would rather wait for a busy machine, up to the command's own timeout.
+// Timeouts of the client's connections. They are longer than those of frontends, which can use another process instead: an
+// operator prefers to wait for a process on a busy machine, until the command's own timeout.
 const (
-	connectTimeout = 4 * time.Second
+	connectTimeout = 4 * time.Second // for the connection, and for the greeting after it
 	probeInterval  = time.Second
 )
 
-// Dial returns a client of the system whose control processes, or some of them, are at the internal addresses, host:port.
-// It connects when it is first used. The error names an address that has not that form.
+// Dial returns a client of a system. addresses are the internal addresses, as host:port, of all or some of its control
+// processes. The client connects when it is first used. Dial fails if there is no address, or for the first one that doesn't
+// have that form.
 func Dial(addresses []string) (*Client, error) {
 	if len(addresses) == 0 {
 		return nil, errors.New("no address of a control process is given")
@@ -42,7 +43,7 @@
 	for _, address := range addresses {
 		host, port, err := net.SplitHostPort(address)
 		if err != nil || host == "" || port == "" {
-			return nil, errors.Errorf("%q is no address like 127.0.0.1:7380", address)
+			return nil, errors.Errorf("%q is no address of the form HOST:PORT, such as 127.0.0.1:7380", address)
 		}
 	}
 	carrier := transport.NewClient(transport.ClientOptions{
@@ -54,12 +55,13 @@
 // Close closes the client's connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// call sends a request to the owner of a shard, again and again until its outcome is known or ctx ends.
+// call sends a request to the owner of a shard, and repeats it until its outcome is known or ctx ends.
 func call[Req, Resp any](ctx context.Context, c *Client, shard protocol.ShardID, request *Req) (*Resp, error) {
 	return directory.Call[Req, Resp](ctx, c.directory, shard, request, true)
 }
 
-// read is call for requests that change nothing: without a response, nothing was done.
+// read is call for requests that change nothing. A missing response then leaves no outcome unknown, so it is reported as
+// failure.Unavailable.
 func read[Req, Resp any](ctx context.Context, c *Client, shard protocol.ShardID, request *Req) (*Resp, error) {
 	response, err := call[Req, Resp](ctx, c, shard, request)
 	if failure.KindOf(err) == failure.UnknownOutcome {
@@ -77,7 +79,7 @@
 	return err.Error()
 }
 
-// ReadConfiguration returns the newest configuration, as JSON, and its version; 0 if there is none yet.
+// ReadConfiguration returns the newest configuration as JSON, and its version. The version is 0 if there is none yet.
 func (c *Client) ReadConfiguration(ctx context.Context) (version uint64, body []byte, err error) {
 	response, err := read[protocol.ReadConfigurationRequest, protocol.ReadConfigurationResponse](
 		ctx, c, protocol.ConfigurationShard, &protocol.ReadConfigurationRequest{})
@@ -87,8 +89,9 @@
 	return response.Version, response.Body, nil
 }
 
-// Configure changes the configuration: kind is protocol.ConfigurationReplace or ConfigurationUpdate, base the version that
-// the change builds on, body its JSON. It returns the version that the change made. The same change may be sent again.
+// Configure changes the configuration. kind is protocol.ConfigurationReplace or protocol.ConfigurationUpdate, base is the
+// version that the change builds on, and body is its JSON. Configure returns the version that the change led to. The same
+// change may be sent again: it is executed once and acknowledged each time (see configuration.State.Execute).
 func (c *Client) Configure(ctx context.Context, kind string, base uint64, body []byte) (version uint64, err error) {
 	response, err := call[protocol.ConfigureRequest, protocol.ConfigureResponse](
 		ctx, c, protocol.ConfigurationShard, &protocol.ConfigureRequest{Kind: protocol.ChangeKind(kind), Base: base, Body: body})
@@ -98,7 +101,7 @@
 	return response.Version, nil
 }
 
-// eachShard calls f for the shards of jobs in order, until one call fails.
+// eachShard calls f for the shards of jobs, in the order of their numbers, until a call fails.
 func eachShard(f func(shard protocol.ShardID) error) error {
 	for shard := protocol.ShardID(1); shard <= protocol.JobShards; shard++ {
 		if err := f(shard); err != nil {
--- a/internal/cluster/administration/client_test.go
+++ b/internal/cluster/administration/client_test.go
@@ -12,14 +12,14 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-var _ = DescribeTable("invalid addresses", func(said string, addresses ...string) {
+var _ = DescribeTable("a client is not created with", func(message string, addresses ...string) {
 	_, err := administration.Dial(addresses)
-	Expect(err).To(MatchError(ContainSubstring(said)))
+	Expect(err).To(MatchError(ContainSubstring(message)))
 },
 	Entry("no address", "no address"),
-	Entry("no port", `"10.0.0.1" is no address`, "10.0.0.1"),
-	Entry("no host", `":7380" is no address`, ":7380"),
-	Entry("no port number", `"10.0.0.1:" is no address`, "10.0.0.1:1", "10.0.0.1:"),
+	Entry("an address without a port", `"10.0.0.1" is no address`, "10.0.0.1"),
+	Entry("an address without a host", `":7380" is no address`, ":7380"),
+	Entry("a second address with an empty port", `"10.0.0.1:" is no address`, "10.0.0.1:1", "10.0.0.1:"),
 )
 
 const id = "5c0e7a21d94b36f8"
@@ -28,7 +28,7 @@
 	spec := &protocol.JobSpec{Spec: "x", Steps: []protocol.Step{{Count: 1}}}
 	service, other := servicesOfTwoShards()
 
-	It("goes to the shard of the queue's service, with all settings of the route", func() {
+	It("sends it to the shard of the queue's service, with all settings of the route", func() {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
 			if _, ok := request.(protocol.WatchRequest); ok {
@@ -45,7 +45,7 @@
 		}))
 	})
 
-	DescribeTable("asks the shard of the queue's earlier service first", func(has bool, submits int) {
+	DescribeTable("first queries the shard of the queue's earlier service,", func(has bool, submits int) {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
 			switch request.(type) {
@@ -65,20 +65,20 @@
 		Entry("which will never accept the job", false, 1),
 	)
 
-	DescribeTable("is rejected with a reason", func(watch *protocol.WatchResponse, kind failure.Kind, said string) {
+	DescribeTable("fails with a reason and advice", func(watch *protocol.WatchResponse, kind failure.Kind, message string) {
 		f := newFakeControl()
 		f.respond = func(any) (any, error) { return watch, nil }
 		err := dial(f.address).Submit(within(callTimeout), "h/q", id, spec)
 		Expect(failure.KindOf(err)).To(Equal(kind))
-		Expect(err).To(MatchError(ContainSubstring(said)))
+		Expect(err).To(MatchError(ContainSubstring(message)))
 		Expect(administration.Advice(err)).NotTo(BeEmpty())
 	},
-		Entry("without a configuration", &protocol.WatchResponse{}, failure.Unavailable, "there is no configuration yet"),
-		Entry("without such a queue", watchResponse(configurationWith(5, service)), failure.NoRoute, `there is no queue "h/q"; there are ["h/p/"]`),
+		Entry("if there is no configuration", &protocol.WatchResponse{}, failure.Unavailable, "there is no configuration yet"),
+		Entry("if there is no such queue", watchResponse(configurationWith(5, service)), failure.NoRoute, `there is no queue "h/q"; there are ["h/p/"]`),
 	)
 })
 
-var _ = DescribeTable("a job that is not accepted at once",
+var _ = DescribeTable("a job that is not accepted at the first attempt",
 	func(outcomes []error, kind failure.Kind, minSubmits int) {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
@@ -99,14 +99,14 @@
 	Entry("is rejected by a full shard", []error{failure.New(failure.Overloaded, "full")}, failure.Overloaded, 1),
 	Entry("is rejected as invalid", []error{failure.New(failure.Invalid, "no")}, failure.Invalid, 1),
 	Entry("is accepted at a later attempt", []error{failure.New(failure.Unavailable, "later"), nil}, failure.None, 2),
-	Entry("is accepted once there is an owner", []error{failure.New(failure.NotLeader, "not me"), nil}, failure.None, 2),
-	Entry("has an unknown outcome, and is then accepted", []error{failure.New(failure.UnknownOutcome, "connection lost"), nil}, failure.None, 2),
-	Entry("has an unknown outcome, and is then rejected", []error{failure.New(failure.UnknownOutcome, "connection lost"), failure.New(failure.Overloaded, "full")},
+	Entry("is accepted when there is an owner", []error{failure.New(failure.NotLeader, "not me"), nil}, failure.None, 2),
+	Entry("is accepted if a later attempt than that of unknown outcome is", []error{failure.New(failure.UnknownOutcome, "connection lost"), nil}, failure.None, 2),
+	Entry("has an unknown outcome even if a later attempt is rejected", []error{failure.New(failure.UnknownOutcome, "connection lost"), failure.New(failure.Overloaded, "full")},
 		failure.UnknownOutcome, 2),
 )
 
-var _ = Describe("a job's state", func() {
-	// jobIn has the fake know a job in one shard.
+var _ = Describe("a job that was submitted", func() {
+	// jobIn returns a respond function of a fake that has the job in one shard only.
 	jobIn := func(shard protocol.ShardID) func(any) (any, error) {
 		return func(request any) (any, error) {
 			switch request := request.(type) {
@@ -121,13 +121,13 @@
 		}
 	}
 
-	It("is found whichever shard has the job", func() {
+	It("is found in whichever shard has it", func() {
 		f := newFakeControl()
 		f.respond = jobIn(3)
 		Expect(dial(f.address).Status(within(callTimeout), id)).To(Equal(protocol.JobRunning))
 	})
 
-	It("is Gone only if no shard has the job", func() {
+	It("is Gone only if no shard has it", func() {
 		f := newFakeControl()
 		f.respond = jobIn(9)
 		_, err := dial(f.address).Status(within(callTimeout), id)
@@ -135,7 +135,7 @@
 		Expect(f.requests()).To(HaveLen(protocol.JobShards))
 	})
 
-	It("is not Gone while a shard does not answer", func() {
+	It("is not Gone while a shard doesn't answer", func() {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
 			if request.(protocol.StatusRequest).Shard == 2 {
@@ -147,7 +147,7 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.Unavailable))
 	})
 
-	It("is cancelled in the shard that has the job alone", func() {
+	It("is cancelled only in the shard that has it", func() {
 		f := newFakeControl()
 		f.respond = jobIn(2)
 		Expect(dial(f.address).Cancel(within(callTimeout), id)).To(Succeed())
@@ -156,8 +156,8 @@
 	})
 })
 
-var _ = Describe("lists", func() {
-	It("of jobs are read page by page", func() {
+var _ = Describe("a list", func() {
+	It("of jobs is read page by page", func() {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
 			page := request.(administration.JobsRequest)
@@ -174,7 +174,7 @@
 		Expect(jobs).To(Equal([]administration.Job{{ID: "a"}, {ID: "b"}, {ID: "bc"}}))
 	})
 
-	It("of jobs fail for a queue that never existed, but not for one that was removed", func() {
+	It("of jobs fails for a queue without route and jobs, but not for one that has jobs from before its route was removed", func() {
 		f := newFakeControl()
 		var has []administration.Job
 		f.respond = func(request any) (any, error) {
@@ -193,7 +193,7 @@
 		Expect(f.requests()).To(ContainElement(administration.JobsRequest{Shard: 1, Queue: "h/p/"}))
 	})
 
-	It("of runners come from all shards, sorted by service", func() {
+	It("of runners is read from all shards and sorted by service", func() {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
 			shard := request.(administration.RunnersRequest).Shard
--- a/internal/cluster/administration/digests.go
+++ b/internal/cluster/administration/digests.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	maxDigestAttempts = 6 // each as of another index
-	digestLead        = 8 // entries by which every second attempt is ahead of what is applied, for shards that are in use
+	maxDigestAttempts = 6 // for one shard, each at the index that is then the newest applied one
+	// digestLead is the number of log entries that every second attempt adds to the newest applied index. While a shard is in
+	// use, members are past that index before the request arrives; they have the digest when they reach the later one.
+	digestLead = 8
 )
 
-// ShardDigests are the digests of a shard's state at its members, all as of one index of its log, as they are printed in
-// JSON. Members of one version of the program whose digests differ have different states: a fault of the program or a disk.
+// ShardDigests has the digests of a shard's state at its members, all as of one index of its log. It is printed as JSON.
+// Members that run the same version of the program must have equal digests. If they differ, the program or a disk is faulty.
 type ShardDigests struct {
 	Shard   protocol.ShardID `json:"shard"`
 	Index   uint64           `json:"index"`
 	Members []MemberDigest   `json:"members"`
 }
 
-// MemberDigest is the digest of one member's state, in hexadecimal; empty if the member had none as of that index.
+// MemberDigest is the digest of one member's state.
 type MemberDigest struct {
 	Node   string      `json:"node"`
 	ID     identity.ID `json:"id"`
-	Digest string      `json:"digest"`
+	Digest string      `json:"digest"` // hexadecimal; empty if the member did not return one for that index
 }
 
 // Differ reports whether two members have different digests.
@@ -37,7 +39,7 @@
 	return len(known) > 1 && slices.ContainsFunc(known[1:], func(digest string) bool { return digest != known[0] })
 }
 
-// known returns the digests of the members that have one.
+// known returns the digests that are not empty.
 func (d *ShardDigests) known() []string {
 	var digests []string
 	for _, member := range d.Members {
@@ -48,8 +50,9 @@
 	return digests
 }
 
-// Digests collects the digests of every shard's state from the members that answer, as of one index for each shard. While a
-// shard is in use that takes several attempts: a member that is past the index, or does not reach it, has no digest of it.
+// Digests collects the digests of every shard's state from the members that answer, as of one index for each shard. A
+// member whose state is past the index, or doesn't reach it in time, returns no digest; so a shard in use may take several
+// attempts.
 func (c *Client) Digests(ctx context.Context) ([]ShardDigests, error) {
 	var all []ShardDigests
 	for shard := protocol.ConfigurationShard; shard <= protocol.JobShards; shard++ {
@@ -62,7 +65,7 @@
 	return all, nil
 }
 
-// shardDigests returns the attempt at which most members had a digest.
+// shardDigests makes up to maxDigestAttempts attempts and returns the one in which the most members returned a digest.
 func (c *Client) shardDigests(ctx context.Context, shard protocol.ShardID) (*ShardDigests, error) {
 	best := &ShardDigests{Shard: shard}
 	for attempt := range maxDigestAttempts {
@@ -90,7 +93,7 @@
 	return best, nil
 }
 
-// digestsAt requests the digests as of an index from all members at once.
+// digestsAt requests the digests as of an index from all members of a shard in parallel.
 func (c *Client) digestsAt(ctx context.Context, reports []Report, shard protocol.ShardID, index uint64) *ShardDigests {
 	digests := &ShardDigests{Shard: shard, Index: index, Members: make([]MemberDigest, 0, len(reports))}
 	var members []*Report
@@ -116,7 +119,7 @@
 	return digests
 }
 
-// group returns what the report has of a shard, or nil.
+// group returns the report of a shard's group, or nil if the process has no such group.
 func (r *Report) group(shard protocol.ShardID) *GroupReport {
 	for i := range r.Groups {
 		if r.Groups[i].Shard == shard {
--- a/internal/cluster/administration/document/difference.go
+++ b/internal/cluster/administration/document/difference.go
@@ -14,17 +14,17 @@
 	"ospreypond/internal/cluster/configuration"
 )
 
-// Difference is the changes from one configuration to another. It is printed as JSON or by Text.
+// Difference has the changes from the current configuration to that of a file. It is printed as JSON or by Text.
 type Difference struct {
-	From    uint64   `json:"from"`
-	To      uint64   `json:"to"` // the version that the file has
+	From    uint64   `json:"from"` // current version
+	To      uint64   `json:"to"`   // version in the file, which may be too low
 	Changes []Change `json:"changes"`
 }
 
 // ChangeKind is what happens to an item.
 type ChangeKind string
 
-// The kinds of changes; operators' scripts read them as JSON.
+// The kinds of changes. Operators' scripts read them in the JSON.
 const (
 	Added   ChangeKind = "added"
 	Removed ChangeKind = "removed"
@@ -36,20 +36,20 @@
 	Section string          `json:"section"`
 	Name    string          `json:"name,omitempty"` // empty if the section is not a list of named items
 	Kind    ChangeKind      `json:"change"`
-	Fields  []Field         `json:"fields,omitempty"` // of a changed item
-	Before  json.RawMessage `json:"before,omitempty"`
-	After   json.RawMessage `json:"after,omitempty"`
+	Fields  []Field         `json:"fields,omitempty"` // the changed fields of an item that is Changed
+	Before  json.RawMessage `json:"before,omitempty"` // the complete item; empty if it is Added
+	After   json.RawMessage `json:"after,omitempty"`  // the complete item; empty if it is Removed
 }
 
-// Field is a changed field of an item. A value is null if the field is missing.
+// Field is a changed field of an item. The value of a missing field is null.
 type Field struct {
 	Name   string          `json:"name"`
 	Before json.RawMessage `json:"before"`
 	After  json.RawMessage `json:"after"`
 }
 
-// Compare returns what would change if a file were applied to the current configuration. The file's version need not be above
-// the current one.
+// Compare returns the changes that a file makes to the current configuration. The file's version may be too low to be
+// applied.
 func Compare(current, body []byte) (*Difference, error) {
 	version, raised, err := raiseVersion(current, body)
 	if err != nil {
@@ -79,7 +79,7 @@
 // itemKey identifies an item of a document; name is empty for a section that is not a list of named items.
 type itemKey struct{ section, name string }
 
-// itemsByKey returns the items of a document.
+// itemsByKey returns the items of a document's lists, and the complete values of its other sections except the version.
 func itemsByKey(document *configuration.Document) (map[itemKey]json.RawMessage, error) {
 	var sections map[string]json.RawMessage
 	if err := json.Unmarshal(document.JSON(), &sections); err != nil {
@@ -96,7 +96,7 @@
 	return items, nil
 }
 
-// addNamedItems adds the items of a list, and reports whether all have names.
+// addNamedItems adds the items of a list. It reports whether all of them have names; if not, it may have added some.
 func addNamedItems(items map[itemKey]json.RawMessage, section string, list []json.RawMessage) bool {
 	for _, element := range list {
 		var named struct{ Name string }
@@ -120,7 +120,7 @@
 	})
 }
 
-// compareItem returns the change of an item, which is nil where it is missing, and whether there is one.
+// compareItem returns the change of an item, and whether there is one. before or after is nil if the item is missing there.
 func compareItem(key itemKey, before, after json.RawMessage) (Change, bool) {
 	change := Change{Section: key.section, Name: key.name, Before: before, After: after}
 	switch {
@@ -137,10 +137,11 @@
 	return change, true
 }
 
-// equalJSON reports whether two values are the same but for white space and the order of fields.
+// equalJSON reports whether two values differ in nothing but white space and the order of fields. Numbers are equal if their
+// digits are: 1 and 1.0 differ.
 func equalJSON(a, b json.RawMessage) bool { return bytes.Equal(canonical(a), canonical(b)) }
 
-// canonical returns a JSON value without white space and with sorted fields, or the value itself if it can't be parsed.
+// canonical returns a JSON value without white space and with sorted fields; value itself if it can't be parsed.
 func canonical(value json.RawMessage) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.UseNumber()
@@ -173,7 +174,7 @@
 	return fields
 }
 
-// orNull returns null in place of a missing value.
+// orNull returns the value, or the JSON value null if it is missing.
 func orNull(value json.RawMessage) json.RawMessage {
 	if value == nil {
 		return json.RawMessage("null")
@@ -181,11 +182,13 @@
 	return value
 }
 
-// Text writes the difference for people, in one write. Errors of w are ignored, as for all output of commands.
+// Text writes the difference as text for operators, in a single write. Errors of w are ignored, as for all output of
+// commands.
 func (d *Difference) Text(w io.Writer) {
 	_, _ = io.WriteString(w, d.text())
 }
 
+// text returns the output of Text: a line for the versions, followed by the changes.
 func (d *Difference) text() string {
 	if len(d.Changes) == 0 && d.From == d.To {
 		return fmt.Sprintf("version %d: nothing changes\n", d.From)
@@ -205,6 +208,7 @@
 	return text.String()
 }
 
+// writeText writes a change as a line that begins with +, - or ~, followed by a line for each changed field.
 func (c *Change) writeText(text *strings.Builder) {
 	title := c.Section
 	if c.Name != "" {
--- a/internal/cluster/administration/document/document.go
+++ b/internal/cluster/administration/document/document.go
@@ -1,6 +1,6 @@
-// Package document checks configurations and compares them with the current one, before an operator applies them. It
-// changes nothing and does no I/O. A file is the JSON of a complete configuration or of an update; the current configuration
-// is the JSON that the cluster returns, with version 0 before the first.
+// Package document checks files with configurations and compares them with the current configuration, before an operator
+// applies them. It changes nothing and does no I/O. A file has the JSON of a complete configuration or of an update. The
+// current configuration is the JSON that the cluster returns; its version is 0 before the first configuration.
 package document
 
 import (
@@ -13,8 +13,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// KindOf returns whether a file is a complete configuration (protocol.ConfigurationReplace) or an update
-// (protocol.ConfigurationUpdate), which has a field "upsert" or "remove".
+// KindOf returns the kind of change in a file: protocol.ConfigurationUpdate if it has a field "upsert" or "remove", else
+// protocol.ConfigurationReplace.
 func KindOf(body []byte) (string, error) {
 	if err := configuration.CheckSyntax(body); err != nil {
 		return "", err
@@ -31,14 +31,14 @@
 	return protocol.ConfigurationReplace, nil
 }
 
-// Check returns an error if a file can't be applied to the current configuration. current may be nil if it isn't known; then
-// only a complete configuration can be checked.
+// Check returns an error if a file can't be applied to the current configuration. If current is nil, because no system was
+// queried, a complete configuration is checked as the first one, and an update is an error.
 func Check(body, current []byte) error {
 	_, _, err := applyTo(current, body)
 	return err
 }
 
-// applyTo returns the current configuration, and what it would be after the file was applied.
+// applyTo returns the current configuration, and the configuration that the file makes of it.
 func applyTo(current, body []byte) (before, after *configuration.Document, err error) {
 	kind, err := KindOf(body)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return before, state.Document(), result.Err()
 }
 
-// stateWith returns a state with the current configuration, or the first state if current is nil.
+// stateWith returns a state with the current configuration, or the state before the first configuration if current is nil.
 func stateWith(current []byte) (*configuration.State, error) {
 	state := configuration.NewState()
 	if current == nil {
@@ -64,24 +64,24 @@
 	}
 	var head struct{ Version uint64 }
 	if err := json.Unmarshal(current, &head); err != nil {
-		return nil, errors.Wrap(err, "the current configuration")
+		return nil, errors.Wrap(err, "parse the current configuration")
 	}
 	if head.Version == 0 {
 		return state, nil
 	}
 	result := state.Execute(configuration.Command{Kind: protocol.ConfigurationReplace, Body: current})
-	return state, errors.Wrap(result.Err(), "the current configuration")
+	return state, errors.Wrap(result.Err(), "check the current configuration")
 }
 
-// raiseVersion returns the version of a file, and the file with a version above the current one: a change can be compared before
-// it has its final number.
+// raiseVersion returns the version of a file, and the file with a version above the current one. Without that, a file could
+// be compared only after the operator has raised its version.
 func raiseVersion(current, body []byte) (version uint64, raised []byte, err error) {
 	var head, present struct{ Version uint64 }
 	if err := configuration.CheckSyntax(body); err != nil {
 		return 0, nil, err
 	}
 	if json.Unmarshal(body, &head) != nil || json.Unmarshal(current, &present) != nil {
-		return 0, body, nil // the error is found when it is applied
+		return 0, body, nil // applyTo returns the error
 	}
 	if head.Version > present.Version {
 		return head.Version, body, nil
--- a/internal/cluster/administration/drain.go
+++ b/internal/cluster/administration/drain.go
@@ -7,8 +7,8 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// Drain has a control process, named by its node or its internal address, transfer its leaderships. It returns how many it
-// could not transfer in time. It fails with Invalid if no process of that name answers.
+// Drain requests a control process, given by its node or its internal address, to transfer its leaderships. It returns the
+// number of leaderships that the process could not transfer in time. It fails with Invalid if no such process answers.
 func (c *Client) Drain(ctx context.Context, node string) (remaining int, err error) {
 	reports, err := c.Reports(ctx)
 	if err != nil {
--- a/internal/cluster/administration/fake_test.go
+++ b/internal/cluster/administration/fake_test.go
@@ -16,16 +16,18 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// fakeControl is a control process that answers with report, and every other request with what respond returns.
+// fakeControl is a control process. It answers a ReportRequest with report, and every other request with the result of
+// respond.
 type fakeControl struct {
 	address string
 	report  administration.Report
 	respond func(request any) (any, error)
 
 	mutex    sync.Mutex
-	received []any
+	received []any // all requests but ReportRequests
 }
 
+// newFakeControl starts a fake that serves until the test ends.
 func newFakeControl() *fakeControl {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -78,13 +80,14 @@
 	})
 }
 
+// requests returns the received requests, without ReportRequests.
 func (f *fakeControl) requests() []any {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.received
 }
 
-// requestsOf returns the requests of one type.
+// requestsOf returns the received requests of one type.
 func requestsOf[Request any](f *fakeControl) []Request {
 	var found []Request
 	for _, each := range f.requests() {
@@ -95,6 +98,7 @@
 	return found
 }
 
+// dial returns a client that is closed when the test ends.
 func dial(addresses ...string) *administration.Client {
 	client, err := administration.Dial(addresses)
 	Expect(err).NotTo(HaveOccurred())
@@ -112,7 +116,7 @@
 // callTimeout bounds calls that should succeed.
 const callTimeout = 30 * time.Second
 
-// watchResponse returns the response to a new watcher after the configurations were applied in order.
+// watchResponse returns the response to a new follower after a sequence of complete configurations was applied.
 func watchResponse(bodies ...string) *protocol.WatchResponse {
 	state := configuration.NewState()
 	for _, body := range bodies {
@@ -126,6 +130,7 @@
 	return &protocol.WatchResponse{Version: state.Document().Version(), Configuration: feed}
 }
 
+// configurationWith returns a configuration with the queue h/p/ of a service.
 func configurationWith(version int, service string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"priority":1,"service":%q,`+
 		`"maxAttempts":3,"extension":2,"targetLatencyMs":7}],"services":[{"name":%q}]}`, version, service, service)
--- a/internal/cluster/administration/identity/identity.go
+++ b/internal/cluster/administration/identity/identity.go
@@ -1,5 +1,5 @@
-// Package identity is the form in which operators see the identity of a control process: hexadecimal, also in JSON, where
-// many readers would round a number of 64 bits.
+// Package identity has the form in which operators see the identity of a control process: hexadecimal digits. In JSON, too,
+// it is a string, because many readers of JSON round integers of 64 bits.
 package identity
 
 import (
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -1,5 +1,6 @@
-// Package inspect reads the data folder of a control process that is not running: its identity, the logs and snapshots of its
-// groups, and what of them is damaged. It changes nothing in the folder, except that it takes the lock file if there is one.
+// Package inspect reads the data folder of a control process that is not running: the identity, the log and the snapshots
+// of its groups. It lists damage and data that it can't decode. It modifies nothing in the folder, but locks the lock file
+// if there is one.
 package inspect
 
 import (
@@ -15,15 +16,15 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Folder is the content of a data folder. It is printed as JSON; so are the types in it.
+// Folder is the content of a data folder. It and the types of its fields are printed as JSON.
 type Folder struct {
 	Dir      string      `json:"dir"`
-	Identity identity.ID `json:"identity"` // 0: none, the folder belongs to no process
-	First    []Member    `json:"first"`    // the first members of all groups, if the process was one of them
+	Identity identity.ID `json:"identity"` // 0: there is none, so the folder belongs to no process
+	First    []Member    `json:"first"`    // initial members of all groups, if the process was one of them
 	Files    []File      `json:"files"`
 	Groups   []Group     `json:"groups"`
 	Faults   []Fault     `json:"faults"`
-	Verified bool        `json:"verified"`
+	Verified bool        `json:"verified"` // all snapshots were read and all entries applied
 }
 
 // File is a file of the folder.
@@ -41,32 +42,33 @@
 	Learner bool        `json:"learner"`
 }
 
-// Group is the member's part of one shard's replicated log.
+// Group is the state of one shard's replica group in the folder.
 type Group struct {
 	Shard         uint32      `json:"shard"`
 	Term          uint64      `json:"term"`
-	Vote          identity.ID `json:"vote"`          // the member that this one voted for in the term; 0: none
-	Commit        uint64      `json:"commit"`        // as last written; more may be committed
-	SnapshotIndex uint64      `json:"snapshotIndex"` // 0: none
-	SnapshotTerm  uint64      `json:"snapshotTerm"`
-	SnapshotBytes int         `json:"snapshotBytes"`
-	Entries       int         `json:"entries"` // entries that follow the snapshot
-	First         uint64      `json:"first"`
-	Last          uint64      `json:"last"`
-	EntryBytes    int64       `json:"entryBytes"`
-	Members       []Member    `json:"members"`
-	Contents      string      `json:"holds"` // a summary of the state machine after all entries; empty unless verified
+	Vote          identity.ID `json:"vote"`          // member that this process voted for in the term; 0: none
+	Commit        uint64      `json:"commit"`        // newest commit index on disk; later entries may be committed, too
+	SnapshotIndex uint64      `json:"snapshotIndex"` // index of the newest entry in the snapshot; 0: there is no snapshot
+	SnapshotTerm  uint64      `json:"snapshotTerm"`  // term of that entry
+	SnapshotBytes int         `json:"snapshotBytes"` // size of the state machine's data in the snapshot
+	Entries       int         `json:"entries"`       // number of entries after the snapshot
+	First         uint64      `json:"first"`         // index of the first of these entries; 0: there are none
+	Last          uint64      `json:"last"`          // index of the last of these entries; 0: there are none
+	EntryBytes    int64       `json:"entryBytes"`    // size of the data of these entries
+	Members       []Member    `json:"members"`       // after the newest membership entry, committed or not
+	Contents      string      `json:"holds"`         // summary of the state machine after all entries; empty unless verified
 }
 
 // Fault is damage, or data that this version of the program can't read.
 type Fault struct {
-	File   string `json:"file"`   // empty if it is not in one file
-	Offset int64  `json:"offset"` // bytes
-	Reason string `json:"reason"`
+	File   string `json:"file"`   // base name; empty if the fault is not in a certain file
+	Offset int64  `json:"offset"` // in the file, in bytes; at or before the damage
+	Reason string `json:"reason"` // for operators
 }
 
-// Read reads a folder. If verify is true, it reads every snapshot and applies all entries to the state machines. It returns
-// an error if the folder can't be read at all, or if a process runs on it; what is wrong inside is in Faults.
+// Read reads a folder. If verify is true, it also reads every snapshot and applies all entries to the state machines. Read
+// fails if the folder can't be read, or if a process runs on it. Damage in the files is no error, but listed in
+// Folder.Faults.
 func Read(dir string, verify bool) (*Folder, error) {
 	files := readOnly{vfs.OS{}}
 	unlock, err := lockFolder(dir)
@@ -94,8 +96,8 @@
 
 const lockName = "lock"
 
-// lockFolder locks the folder as a running control process does, and fails if one runs. A folder without a lock file was
-// never run on, and stays without.
+// lockFolder locks the folder in the same way as a running control process, and fails if one runs on it. If there is no lock
+// file, no process has run on the folder: lockFolder creates none and locks nothing.
 func lockFolder(dir string) (unlock func(), err error) {
 	name := filepath.Join(dir, lockName)
 	exists, err := vfs.Exists(vfs.OS{}, name)
@@ -112,7 +114,7 @@
 	return func() { _ = lock.Close() }, nil
 }
 
-// readFiles lists the files.
+// readFiles lists the files of the folder with their sizes.
 func (f *Folder) readFiles(files vfs.FS) error {
 	names, err := files.List(f.Dir)
 	if err != nil {
@@ -128,6 +130,7 @@
 	return nil
 }
 
+// sizeOf returns the size of a file in bytes.
 func sizeOf(files vfs.FS, path string) (int64, error) {
 	file, err := files.Open(path)
 	if err != nil {
@@ -140,7 +143,8 @@
 	return size, err
 }
 
-// addDamage adds a fault for damage, each once, and returns all other errors.
+// addDamage adds a fault if err is a *wal.DamageError; if the same fault is listed already, it adds nothing. It returns any
+// other error.
 func (f *Folder) addDamage(err error) error {
 	var damage *wal.DamageError
 	if !errors.As(err, &damage) {
@@ -156,7 +160,7 @@
 	return nil
 }
 
-// readIdentity reads the identity; a folder without one has a fault.
+// readIdentity reads the identity. If there is none, it adds a fault.
 func (f *Folder) readIdentity(files vfs.FS) error {
 	found, err := wal.ReadIdentity(files, f.Dir)
 	if err != nil {
@@ -171,6 +175,7 @@
 	return nil
 }
 
+// membersOf returns members in their printed form.
 func membersOf(members []consensus.Member) []Member {
 	list := []Member{}
 	for _, member := range members {
@@ -181,7 +186,8 @@
 	return list
 }
 
-// readLog reads the segments and the snapshots that they refer to. Without an error the groups are nil if the log is damaged.
+// readLog reads the log's segments and the snapshots to which they refer. If they are damaged, it adds a fault and returns
+// neither groups nor an error.
 func (f *Folder) readLog(files vfs.FS) (map[uint32]*wal.Group, error) {
 	log, groups, err := wal.Open(files, f.Dir, wal.Options{})
 	if err != nil {
@@ -194,6 +200,8 @@
 	return groups, nil
 }
 
+// newGroup returns the printed form of a group. Its members are those of the newest membership entry; else those of the
+// snapshot, or without one the initial members.
 func (f *Folder) newGroup(id uint32, read *wal.Group) Group {
 	group := Group{
 		Shard:   id,
@@ -221,7 +229,7 @@
 	return group
 }
 
-// applyMembership sets the members that a membership entry has.
+// applyMembership sets the group's members to those of a membership entry, or adds a fault if that can't be decoded.
 func (f *Folder) applyMembership(group *Group, entry *consensus.Entry) {
 	members, err := consensus.DecodeMembers(entry.Data)
 	if err != nil {
@@ -231,32 +239,34 @@
 	group.Members = membersOf(members)
 }
 
-// readOnly is a file system that can't be modified.
+// readOnly is a file system that can't be modified: wal.Open removes files that a crash left behind, and must not do so
+// here.
 type readOnly struct{ vfs.FS }
 
 var errReadOnly = errors.New("the folder is opened for reading only")
 
-// Create fails.
+// Create returns errReadOnly.
 func (readOnly) Create(string) (vfs.File, error) { return nil, errReadOnly }
 
-// OpenRW fails.
+// OpenRW returns errReadOnly.
 func (readOnly) OpenRW(string) (vfs.File, error) { return nil, errReadOnly }
 
-// Rename fails.
+// Rename returns errReadOnly.
 func (readOnly) Rename(string, string) error { return errReadOnly }
 
-// Remove fails.
+// Remove returns errReadOnly.
 func (readOnly) Remove(string) error { return errReadOnly }
 
-// MkdirAll does nothing; a missing folder makes the listing fail.
+// MkdirAll does nothing: if the folder is missing, listing its files fails.
 func (readOnly) MkdirAll(string) error { return nil }
 
-// SyncDir does nothing.
+// SyncDir does nothing, since nothing is modified.
 func (readOnly) SyncDir(string) error { return nil }
 
-// Lock fails.
+// Lock returns errReadOnly; lockFolder locks the folder by itself.
 func (readOnly) Lock(string) (io.Closer, error) { return nil, errReadOnly }
 
+// isSnapshot reports whether a file of that name should be a snapshot.
 func isSnapshot(name string) bool {
 	return strings.HasPrefix(name, "snapshot-") && strings.HasSuffix(name, ".state")
 }
--- a/internal/cluster/administration/inspect/inspect_test.go
+++ b/internal/cluster/administration/inspect/inspect_test.go
@@ -29,13 +29,15 @@
 	return value
 }
 
+// submit returns the encoded command that submits a job with two tasks.
 func submit(id string) []byte {
 	return must(jobs.Encode(&jobs.Command{TimeOfDayMs: 5, Submits: []jobs.Submit{{
 		ID: id, Queue: protocol.Queue{Key: "h/p/", Service: "s"}, Job: protocol.JobSpec{Steps: []protocol.Step{{Count: 2}}},
 	}}}))
 }
 
-// folder returns a data folder: shard 0 without a snapshot, shard 2 with one at index 5 and entries after it.
+// folder returns a new data folder. Shard 0 has entries and no snapshot; shard 2 has a snapshot at index 5 and entries
+// after it.
 func folder() string {
 	dir := GinkgoT().TempDir()
 	files := vfs.OS{}
@@ -65,7 +67,8 @@
 	return dir
 }
 
-// damage changes the byte at an offset of the only file that matches, and returns the file's name.
+// damage changes one byte of the only file that matches pattern, and returns the file's name. A negative offset counts from
+// the end of the file.
 func damage(dir, pattern string, offset int) string {
 	names := must(filepath.Glob(filepath.Join(dir, pattern)))
 	Expect(names).To(HaveLen(1))
@@ -84,8 +87,8 @@
 	return contents
 }
 
-var _ = Describe("a folder", func() {
-	It("is described group by group", func() {
+var _ = Describe("a data folder", func() {
+	It("is listed with its identity and its groups", func() {
 		read := must(inspect.Read(folder(), true))
 		Expect(read.Faults).To(BeEmpty())
 		Expect(read.Identity.String()).To(Equal("11"))
@@ -103,7 +106,7 @@
 		Expect(shard.Contents).To(HavePrefix("2 jobs (4 tasks pending, 0 running)"))
 	})
 
-	It("is not modified, even if it has files that a start would remove", func() {
+	It("is not modified, even if it has files that a control process would remove at its start", func() {
 		dir := folder()
 		Expect(os.WriteFile(filepath.Join(dir, "identity.new"), []byte("half"), 0o600)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(dir, "log-00000000000000ff.segment"), []byte("half"), 0o600)).To(Succeed())
@@ -112,7 +115,7 @@
 		Expect(contentsOf(dir)).To(Equal(before))
 	})
 
-	It("is not read while a process runs on it", func() {
+	It("is not read while another process has locked it", func() {
 		dir := folder()
 		lock := must(vfs.OS{}.Lock(filepath.Join(dir, "lock")))
 		DeferCleanup(lock.Close)
@@ -120,7 +123,7 @@
 		Expect(err).To(MatchError(ContainSubstring("a process runs on " + dir)))
 	})
 
-	It("may be empty or missing", func() {
+	It("has no identity if it is empty, and can't be read if it is missing", func() {
 		read := must(inspect.Read(GinkgoT().TempDir(), true))
 		Expect(read.Faults).To(HaveLen(1))
 		Expect(read.Faults[0].Reason).To(ContainSubstring("there is no identity"))
@@ -128,7 +131,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("ignores a torn end, which a power failure may leave", func() {
+	It("has no fault if the end of the log is torn, as a power failure may leave it", func() {
 		dir := folder()
 		names := must(filepath.Glob(filepath.Join(dir, "log-*")))
 		newest := names[len(names)-1]
--- a/internal/cluster/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -15,9 +15,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
+// sortedIDs returns the IDs of the groups in ascending order.
 func sortedIDs(groups map[uint32]*wal.Group) []uint32 { return slices.Sorted(maps.Keys(groups)) }
 
-// verifySnapshots reads every snapshot in the folder, including those that the log no longer needs.
+// verifySnapshots reads every snapshot in the folder, including those that the log no longer refers to.
 func (f *Folder) verifySnapshots(files vfs.FS) {
 	for _, file := range f.Files {
 		if !isSnapshot(file.Name) {
@@ -26,7 +27,7 @@
 		var group uint32
 		var index, term uint64
 		if _, err := fmt.Sscanf(file.Name, "snapshot-%08x-%016x-%016x.state", &group, &index, &term); err != nil {
-			f.Faults = append(f.Faults, Fault{File: file.Name, Reason: "its name is not that of a snapshot"})
+			f.Faults = append(f.Faults, Fault{File: file.Name, Reason: "its name is not snapshot-SHARD-INDEX-TERM.state, with hexadecimal numbers of 8, 16 and 16 digits"})
 			continue
 		}
 		if _, err := wal.ReadSnapshot(files, f.Dir, group, index, term); err != nil {
@@ -37,7 +38,7 @@
 	}
 }
 
-// addEntryFault adds a fault of an entry.
+// addEntryFault adds a fault for a log entry that can't be decoded.
 func (f *Folder) addEntryFault(shard uint32, entry *consensus.Entry, err error) {
 	reason := fmt.Sprintf("shard %d, entry %d of term %d: %v", shard, entry.Index, entry.Term, err)
 	f.Faults = append(f.Faults, Fault{Reason: reason})
@@ -46,12 +47,14 @@
 // stateMachine is a state machine to which the snapshot and the entries of a group are applied.
 type stateMachine interface {
 	Restore(data []byte) error
-	// apply applies an entry. It fails if the entry can't be decoded; a command that is rejected is no error.
+	// apply applies a command entry. It fails if the entry can't be decoded. A command that the state machine rejects is no
+	// error.
 	apply(entry *consensus.Entry) error
-	// summary returns what the state has, for people.
+	// summary returns the number of items in the state, as text for operators.
 	summary() string
 }
 
+// newStateMachine returns an empty state machine of a shard.
 func newStateMachine(shard uint32) (stateMachine, error) {
 	switch {
 	case shard == uint32(protocol.ConfigurationShard):
@@ -63,14 +66,15 @@
 	}
 }
 
-// verifyGroups restores the state machines from the snapshots and applies all entries after them. One folder doesn't show
-// which of the newest entries are committed.
+// verifyGroups verifies every group of the log.
 func (f *Folder) verifyGroups(groups map[uint32]*wal.Group) {
 	for i := range f.Groups {
 		f.verifyGroup(&f.Groups[i], groups[f.Groups[i].Shard])
 	}
 }
 
+// verifyGroup restores a group's state machine from the snapshot and applies all entries after it, committed or not: one
+// folder doesn't show which of the newest entries a quorum has. Entries that can't be decoded become faults.
 func (f *Folder) verifyGroup(group *Group, read *wal.Group) {
 	machine, err := newStateMachine(group.Shard)
 	if err != nil {
@@ -79,7 +83,7 @@
 	}
 	if read.Snapshot != nil {
 		if err := machine.Restore(read.Snapshot.Data); err != nil {
-			reason := fmt.Sprintf("shard %d: the snapshot at %d cannot be restored: %v", group.Shard, group.SnapshotIndex, err)
+			reason := fmt.Sprintf("shard %d: the snapshot at index %d cannot be restored: %v", group.Shard, group.SnapshotIndex, err)
 			f.Faults = append(f.Faults, Fault{Reason: reason})
 			return
 		}
@@ -96,6 +100,7 @@
 	group.Contents = machine.summary()
 }
 
+// configurationMachine is the stateMachine of the configuration shard.
 type configurationMachine struct{ *configuration.State }
 
 func (m *configurationMachine) apply(entry *consensus.Entry) error {
@@ -119,6 +124,7 @@
 	return fmt.Sprintf("configuration %d: %d routes, %d services", document.Version(), routes, services)
 }
 
+// jobsMachine is the stateMachine of a shard of jobs.
 type jobsMachine struct{ *jobs.State }
 
 func (m *jobsMachine) apply(entry *consensus.Entry) error {
--- a/internal/cluster/administration/jobs.go
+++ b/internal/cluster/administration/jobs.go
@@ -8,7 +8,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// readDocument returns the newest configuration in the form that frontends follow, which includes where queues have moved.
+// readDocument returns the newest configuration as frontends get it: with the earlier services of queues, which the JSON
+// lacks.
 func (c *Client) readDocument(ctx context.Context) (*configuration.Document, error) {
 	response, err := read[protocol.WatchRequest, protocol.WatchResponse](
 		ctx, c, protocol.ConfigurationShard, &protocol.WatchRequest{Node: "administration"})
@@ -20,13 +21,13 @@
 	}
 	document, err := configuration.Advance(nil, response.Configuration)
 	if err != nil {
-		return nil, failure.Newf(failure.Unavailable, "the configuration cannot be read: %v", err)
+		return nil, failure.Newf(failure.Unavailable, "the configuration in the owner's response cannot be decoded: %v", err)
 	}
 	return document, nil
 }
 
-// findQueue returns the route of a queue named HOST/PREFIX, with or without the prefix's last slash. The error names some of
-// the queues that there are.
+// findQueue returns the route of a queue, given as HOST/PREFIX with or without the prefix's last slash. The error lists up
+// to maxNames of the existing queues.
 func findQueue(document *configuration.Document, queue string) (*configuration.Route, error) {
 	for _, key := range []string{queue, queue + "/"} {
 		if route := document.Queue(key); route != nil {
@@ -44,13 +45,13 @@
 	return nil, failure.Newf(failure.NoRoute, "there is no queue %q; there are %q", queue, names)
 }
 
-// Status returns a job's state, whichever shard has it. It fails with Gone if none has.
+// Status returns the state of a job. It fails with Gone if no shard has the job.
 func (c *Client) Status(ctx context.Context, id string) (state string, err error) {
 	state, _, err = c.findJob(ctx, id)
 	return state, err
 }
 
-// Cancel cancels a job, whichever shard has it. It fails with Gone if none has.
+// Cancel cancels a job. It fails with Gone if no shard has the job.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	_, shard, err := c.findJob(ctx, id)
 	if err != nil {
@@ -61,8 +62,8 @@
 	return err
 }
 
-// findJob asks one shard after the other for a job. Any answer but Gone ends the search: a shard that cannot be asked may
-// have the job.
+// findJob queries one shard after the other for a job. Only the error Gone lets the search continue: a shard that can't be
+// queried may have the job, so the job must not be reported as Gone then.
 func (c *Client) findJob(ctx context.Context, id string) (state string, shard protocol.ShardID, err error) {
 	for shard = 1; shard <= protocol.JobShards; shard++ {
 		response, err := read[protocol.StatusRequest, protocol.StatusResponse](
@@ -77,8 +78,9 @@
 	return "", 0, failure.Newf(failure.Gone, "no shard knows a job %q", id)
 }
 
-// Jobs returns the jobs of a queue, or of all queues if it is empty, sorted by shard and id. It includes ended jobs whose
-// state is still retained. It fails with NoRoute if the queue has neither a route nor jobs from when it had one.
+// Jobs returns the jobs of a queue, or of all queues if queue is empty, sorted by shard and ID. Ended jobs are included
+// while their state is retained. A queue whose route was removed may still have jobs. Jobs fails with NoRoute if the queue
+// has neither a route nor jobs.
 func (c *Client) Jobs(ctx context.Context, queue string) ([]Job, error) {
 	if queue == "" {
 		return c.listJobs(ctx, "")
@@ -98,7 +100,7 @@
 	return jobs, err
 }
 
-// listJobs reads the jobs of a queue's key from all shards, page by page.
+// listJobs reads the jobs of a queue, given by its key, or of all queues if queue is empty, from all shards, page by page.
 func (c *Client) listJobs(ctx context.Context, queue string) ([]Job, error) {
 	var jobs []Job
 	err := eachShard(func(shard protocol.ShardID) error {
--- a/internal/cluster/administration/members.go
+++ b/internal/cluster/administration/members.go
@@ -7,22 +7,23 @@
 	"ospreypond/internal/cluster/administration/identity"
 )
 
-// Roles of a control process in its groups.
+// Roles of a control process in the replica groups.
 const (
-	RoleVoter   = "voter"
-	RoleLearner = "learner"
-	RoleNone    = "none"
+	RoleVoter   = "voter"   // in at least one group
+	RoleLearner = "learner" // in at least one group, and voter in none
+	RoleNone    = "none"    // member of no group
 )
 
-// States of a control process, in the words that operators know.
+// States of a control process, in the words of the documented output.
 const (
 	stateUp           = "up"
-	stateDraining     = "draining"
-	stateUnhealthy    = "sick"   // its disk
-	stateUnresponsive = "silent" // it did not answer
+	stateDraining     = "draining" // it transfers its leaderships
+	stateUnhealthy    = "sick"     // its disk is unhealthy
+	stateUnresponsive = "silent"   // it did not answer
 )
 
-// MemberView is one control process as all reports together show it, as it is printed in JSON.
+// MemberView is one control process, merged from all reports. It is printed as JSON. If the process did not answer, only the
+// fields from Node to Role are known.
 type MemberView struct {
 	Node          string      `json:"node"`
 	Zone          string      `json:"zone"`
@@ -32,13 +33,13 @@
 	Answers       bool        `json:"answers"`
 	Draining      bool        `json:"draining"`
 	DiskUnhealthy bool        `json:"diskSick"`
-	Leads         int         `json:"leads"` // shards that it owns
+	Leads         int         `json:"leads"` // number of shards that it owns
 	UptimeMs      int64       `json:"uptimeMs"`
-	LogBytes      int64       `json:"logBytes"`
-	MemoryBytes   uint64      `json:"memoryBytes"`
+	LogBytes      int64       `json:"logBytes"`    // Report.LogBytes
+	MemoryBytes   uint64      `json:"memoryBytes"` // Report.MemoryBytes
 }
 
-// State returns the state of the process, in one word for the operator.
+// State returns the state of the process in one word. If several apply, that which the operator must know first is returned.
 func (m MemberView) State() string {
 	switch {
 	case !m.Answers:
@@ -52,10 +53,10 @@
 	}
 }
 
-// Unhealthy reports whether an operator should look at the process: it has a vote but does not answer, or its disk fails.
+// Unhealthy reports whether the process needs attention: it is a voter but doesn't answer, or its disk is unhealthy.
 func (m MemberView) Unhealthy() bool { return m.Role == RoleVoter && !m.Answers || m.DiskUnhealthy }
 
-// Members merges reports: it returns all processes that answered and all members that did not, sorted by node.
+// Members merges reports. It returns all processes that answered, and all members of groups that did not, sorted by node.
 func Members(reports []Report) []MemberView {
 	views := map[uint64]*MemberView{}
 	for i := range reports {
@@ -76,7 +77,7 @@
 	return list
 }
 
-// memberView returns the view of a process that answered; its role is not known yet.
+// memberView returns the view of a process that answered. Its role is RoleNone until addMembership finds it in a group.
 func memberView(report *Report) *MemberView {
 	view := &MemberView{
 		Node:          report.Node,
@@ -99,7 +100,7 @@
 	return view
 }
 
-// addMembership adds a member of some group to the views. A voter of any group is shown as a voter.
+// addMembership adds one member of a group to the views, or sets its role there. A voter of any group is shown as a voter.
 func addMembership(views map[uint64]*MemberView, member MemberReport) {
 	view := views[member.ID]
 	if view == nil {
--- a/internal/cluster/administration/reports.go
+++ b/internal/cluster/administration/reports.go
@@ -13,8 +13,8 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// Reports collects the reports of the given control processes and of all members that those name, sorted by node. A process
-// that does not answer has no report. It is an error if none answers.
+// Reports collects the reports of the control processes at the client's addresses and of all members that these reports
+// name, sorted by node. A process that doesn't answer has no report. Reports fails if no process answers.
 func (c *Client) Reports(ctx context.Context) ([]Report, error) {
 	queried := map[string]bool{}
 	var reports []Report
@@ -36,8 +36,9 @@
 	return slices.CompactFunc(reports, func(a, b Report) bool { return a.Identity == b.Identity }), nil
 }
 
-// queryAll requests the reports of several processes at once, and adds their addresses to queried. The error, if any, is
-// that of a process without a response; the reports of the others are returned all the same.
+// queryAll requests the reports of the processes at addresses in parallel, except of those in queried, and adds the
+// addresses to queried. If processes don't answer, it returns the error of one of them together with the reports of the
+// others.
 func (c *Client) queryAll(ctx context.Context, addresses []string, queried map[string]bool) ([]Report, error) {
 	var mutex sync.Mutex
 	var pending sync.WaitGroup
@@ -63,14 +64,14 @@
 	return reports, lastErr
 }
 
-// report requests the report of one process.
+// report requests the report of the process at an address.
 func (c *Client) report(ctx context.Context, address string) (*Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	return transport.Call[ReportRequest, Report](ctx, c.transport, address, &ReportRequest{})
 }
 
-// newAddresses returns the addresses of members that the reports name and that were not queried yet.
+// newAddresses returns the addresses of members in the reports that are not in queried, each once.
 func newAddresses(reports []Report, queried map[string]bool) []string {
 	var addresses []string
 	for i := range reports {
@@ -86,8 +87,8 @@
 	return addresses
 }
 
-// newestGroups returns for each shard the report of it that knows most: its owner's, of the highest term if several take
-// themselves for the owner, else the one of the highest term and commit.
+// newestGroups returns the newest report of each shard: the owner's, or if there is none, that with the highest term and,
+// in one term, the highest commit index. If several processes report that they are the owner, the highest term decides.
 func newestGroups(reports []Report) map[protocol.ShardID]GroupReport {
 	newest := map[protocol.ShardID]GroupReport{}
 	for i := range reports {
@@ -101,7 +102,7 @@
 	return newest
 }
 
-// isNewer reports whether a knows more than b about the same shard.
+// isNewer reports whether newestGroups must prefer a to b, two reports of the same shard.
 func isNewer(a, b *GroupReport) bool {
 	switch {
 	case a.Owner != b.Owner:
--- a/internal/cluster/administration/reports_test.go
+++ b/internal/cluster/administration/reports_test.go
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("reports", func() {
-	It("come from all members, also if the address of only one is given", func() {
+	It("come from all members, even if the address of only one is given", func() {
 		controls := newFakeSystem(3)
 		reports, err := dial(controls[1].address).Reports(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
@@ -40,7 +40,7 @@
 		Expect(reports[0].Node).To(Equal("n1"))
 	})
 
-	It("contain a process with two addresses once", func() {
+	It("have a process once, even if two of its addresses are given", func() {
 		controls := newFakeSystem(1)
 		_, port, err := net.SplitHostPort(controls[0].address)
 		Expect(err).NotTo(HaveOccurred())
@@ -52,14 +52,14 @@
 		Expect(dial("127.0.0.1:1", controls[0].address).Reports(within(callTimeout))).To(HaveLen(2))
 	})
 
-	It("fail with the addresses if no process answers", func() {
+	It("fail with an error that names the addresses if no process answers", func() {
 		_, err := dial("127.0.0.1:1").Reports(within(callTimeout))
 		Expect(err).To(MatchError(ContainSubstring("no control process answers at 127.0.0.1:1")))
 	})
 })
 
 var _ = Describe("draining", func() {
-	It("sends the request to the process of that node or address alone", func() {
+	It("sends the request only to the process with the given node or address", func() {
 		controls := newFakeSystem(3)
 		client := dial(controls[0].address)
 		Expect(client.Drain(within(callTimeout), "n3")).To(Equal(2))
@@ -69,7 +69,7 @@
 		Expect(controls[2].requests()).To(HaveLen(1))
 	})
 
-	It("fails with the nodes that there are", func() {
+	It("fails with an error that names the existing nodes if no process has the given one", func() {
 		_, err := dial(newFakeSystem(2)[0].address).Drain(within(callTimeout), "n7")
 		Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
 		Expect(err).To(MatchError(ContainSubstring(`no control process "n7" answers; there are ["n1" "n2"]`)))
@@ -79,7 +79,7 @@
 var _ = Describe("a backup", func() {
 	complete := []byte("0123456789")
 
-	// chunk is an owner's correct response, three bytes at a time.
+	// chunk returns an owner's correct response, with three bytes of the state.
 	chunk := func(request administration.SnapshotRequest) *administration.SnapshotResponse {
 		end := min(request.Offset+3, len(complete))
 		return &administration.SnapshotResponse{Session: 4, Index: 8, Term: 2, Total: len(complete), Data: complete[request.Offset:end]}
@@ -104,7 +104,7 @@
 		Expect(dial(f.address).Backup(within(callTimeout))).NotTo(BeNil())
 	})
 
-	It("reads a shard again whose owner has changed meanwhile", func() {
+	It("reads a shard from the start again if its owner changes between two chunks", func() {
 		f := newFakeControl()
 		changes := 2
 		f.respond = func(request any) (any, error) {
@@ -125,7 +125,7 @@
 		Expect(backup.Shards[0].Data).To(Equal(complete))
 	})
 
-	It("fails if owners change again and again", func() {
+	It("fails if a shard's owner changes each time that it is read", func() {
 		f := newFakeControl()
 		f.respond = func(request any) (any, error) {
 			if request.(administration.SnapshotRequest).Session != 0 {
@@ -139,7 +139,7 @@
 })
 
 var _ = Describe("digests", func() {
-	// appliedAt40 has fakes that have applied index 40, and have a digest as of that index alone.
+	// appliedAt40 returns fakes that have applied index 40. Each has one of the digests, for that index only.
 	appliedAt40 := func(digests ...uint64) []*fakeControl {
 		controls := newFakeSystem(len(digests))
 		for i, f := range controls {
@@ -175,7 +175,7 @@
 		Expect(shard.Differ()).To(BeTrue())
 	})
 
-	It("are requested a little ahead if a member is past the index", func() {
+	It("are requested for a later index if the members are past the first one", func() {
 		controls := appliedAt40(7, 7)
 		controls[1].respond = func(request any) (any, error) {
 			requested, _ := request.(administration.DigestRequest)
@@ -191,7 +191,7 @@
 		Expect(shard.Differ()).To(BeFalse())
 	})
 
-	It("are empty for a member that has none", func() {
+	It("are empty for a member that returns none", func() {
 		controls := appliedAt40(7, 7)
 		controls[1].respond = func(any) (any, error) { return nil, failure.New(failure.Unavailable, "it does not reach the index") }
 		shard := digestsOf(controls)
--- a/internal/cluster/administration/runners.go
+++ b/internal/cluster/administration/runners.go
@@ -25,7 +25,7 @@
 	return runners, err
 }
 
-// RunnerView is a runner as it is printed in JSON. The keys of the JSON are those of the commands' documented output.
+// RunnerView is a runner as it is printed in JSON; see Runner for the fields. The keys are part of the documented output.
 type RunnerView struct {
 	Instance         string             `json:"instance"`
 	Shard            protocol.ShardID   `json:"shard"`
--- a/internal/cluster/administration/running_test.go
+++ b/internal/cluster/administration/running_test.go
@@ -23,7 +23,7 @@
 
 const startTimeout = 20 * time.Second
 
-// process is a control process that runs in the test's own process.
+// process is a control process that runs inside the test.
 type process struct {
 	settings *boot.Settings
 	client   *administration.Client
@@ -89,8 +89,8 @@
 	return &response.Orders
 }
 
-// sameConfigurations expects the configuration's shard of two systems of one process each to have the same state. The shards
-// of jobs change without requests: a runner's lease ends in each.
+// sameConfigurations expects that the configuration shards of two systems, of one process each, have equal digests. The
+// shards of jobs are not compared: they change without requests, for example when a runner's lease ends.
 func sameConfigurations(a, b *process) {
 	GinkgoHelper()
 	first, err := a.client.Digests(within(callTimeout))
@@ -107,7 +107,7 @@
 var _ = Describe("a control process", Ordered, func() {
 	var p *process
 
-	// It is the only one of its system, with a configuration and a job.
+	// The process is the only one of its system. It has a configuration and a job.
 	BeforeAll(func() {
 		p = runControl(filepath.Join(GinkgoT().TempDir(), "data"), true)
 		p.ready()
@@ -119,7 +119,7 @@
 		Expect(p.client.Submit(within(callTimeout), "h/p/", id, spec)).To(Succeed())
 	})
 
-	It("serves the requests of the commands", func() {
+	It("serves the requests of the operator's commands", func() {
 		Expect(p.client.Status(within(callTimeout), id)).To(Equal(protocol.JobQueued))
 		var orders *protocol.Orders
 		sequence := uint64(0)
@@ -177,7 +177,7 @@
 		Expect(p.client.Jobs(within(callTimeout), "")).To(HaveLen(13))
 	})
 
-	It("rejects reading on in a snapshot session that it does not have", func() {
+	It("rejects requests for a snapshot session or a shard that it doesn't have", func() {
 		carrier := transport.NewClient(transport.ClientOptions{})
 		defer carrier.Close()
 		for _, request := range []administration.SnapshotRequest{{Shard: 1, Session: 99}, {Shard: 1, Session: 99, Offset: -1}} {
@@ -190,7 +190,7 @@
 		Expect(failure.KindOf(err)).To(Equal(failure.NotLeader))
 	})
 
-	It("makes a backup from which another process can be restored", func() {
+	It("returns a backup from which another process can be restored", func() {
 		before, err := p.client.Backup(within(callTimeout))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(before.Check()).To(Succeed())
@@ -223,7 +223,7 @@
 		}
 	})
 
-	It("reports the leaderships that no other process can take", func() {
+	It("reports how many leaderships it can't transfer, since it is the only process", func() {
 		left, err := p.client.Drain(within(callTimeout), "n1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(left).To(Equal(protocol.JobShards + 1))
--- a/internal/cluster/administration/shards.go
+++ b/internal/cluster/administration/shards.go
@@ -9,10 +9,11 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// ShardView is one shard as all reports together show it, as it is printed in JSON.
+// ShardView is one shard, merged from all reports. It is printed as JSON. StateBytes and the fields that may be omitted are
+// known only if the owner answered.
 type ShardView struct {
 	Shard                protocol.ShardID `json:"shard"`
-	Owner                string           `json:"owner"` // node; empty: no owner answered
+	Owner                string           `json:"owner"` // node of the owner; empty: no owner answered
 	OwnerAddress         string           `json:"ownerAddress"`
 	Term                 uint64           `json:"term"`
 	Commit               uint64           `json:"commit"`
@@ -31,14 +32,17 @@
 	Address string      `json:"address"`
 	ID      identity.ID `json:"id"`
 	Learner bool        `json:"learner"`
-	Change  string      `json:"change,omitempty"` // MemberJoining or MemberLeaving, during a change of the membership
+	Change  string      `json:"change,omitempty"` // MemberReport.Change
 	Answers bool        `json:"answers"`
 	Commit  uint64      `json:"commit"`
 	Applied uint64      `json:"applied"`
-	Lacking uint64      `json:"lacking"` // entries of the owner that it has not acknowledged; without an owner: that it has not committed
+
+	// Lacking is the number of entries that the member is behind: entries of the owner that it has not acknowledged. If no
+	// owner answered, committed entries of the newest report that the member doesn't know as committed.
+	Lacking uint64 `json:"lacking"`
 }
 
-// Shards merges reports: it returns the shards that they name, sorted by number.
+// Shards merges reports. It returns the shards that they have, sorted by number.
 func Shards(reports []Report) []ShardView {
 	newest := newestGroups(reports)
 	var views []ShardView
@@ -49,7 +53,7 @@
 	return views
 }
 
-// shardView returns the view of one shard; group is the report of it that knows most.
+// shardView returns the view of one shard; group is the newest report of the shard (see newestGroups).
 func shardView(reports []Report, group *GroupReport) ShardView {
 	view := ShardView{
 		Shard:         group.Shard,
@@ -72,7 +76,7 @@
 	return view
 }
 
-// addOwner adds what only the shard's owner reports.
+// addOwner sets the fields that only the shard's owner reports.
 func (v *ShardView) addOwner(reports []Report, group *GroupReport) {
 	for i := range reports {
 		if reports[i].Identity == group.Leader {
@@ -86,7 +90,7 @@
 	}
 }
 
-// shardMember returns the view of one member, with what its own report says if it answered.
+// shardMember returns the view of one member. If the member answered, its indexes are from its own report.
 func shardMember(reports []Report, group *GroupReport, member *MemberReport) ShardMember {
 	view := ShardMember{
 		Node: member.Node, Address: member.Address, ID: identity.ID(member.ID), Learner: member.Learner, Change: member.Change,
--- a/internal/cluster/administration/submit.go
+++ b/internal/cluster/administration/submit.go
@@ -17,11 +17,11 @@
 
 const (
 	submitRetryInterval = 100 * time.Millisecond
-	minAttemptTimeout   = 100 * time.Millisecond
+	minAttemptTimeout   = 100 * time.Millisecond // for an attempt that starts close to the deadline
 )
 
-// Submit submits a job to a queue, named HOST/PREFIX, through a frontend of its own, so with all that frontends check and
-// retry. The same job may be submitted again: it is accepted once.
+// Submit submits a job to a queue, given as HOST/PREFIX. It runs a frontend in this process for that, so the job passes the
+// checks and retries of a frontend. The same job may be submitted again: it is accepted once.
 func (c *Client) Submit(ctx context.Context, queue, id string, job *protocol.JobSpec) error {
 	document, err := c.readDocument(ctx)
 	if err != nil {
@@ -36,7 +36,7 @@
 		return err
 	}
 	process := frontend.NewProcess(frontend.ProcessOptions{Client: c.transport, Addresses: c.addresses, Node: "administration"})
-	// The frontend follows the owners until the last attempt has returned, which may be after ctx has ended.
+	// The frontend must know the shards' owners until the last attempt has returned, which may be after ctx has ended.
 	following, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var frontends sync.WaitGroup
 	defer frontends.Wait()
@@ -48,9 +48,12 @@
 	)
 }
 
-// retryUntilDecided repeats attempt until its outcome is known, or wait reports that there is no time for another one.
-// Once an attempt has an unknown outcome, no later rejection is the outcome of the call. Unlike the operator's change of the
-// configuration (package control), which the log itself rejects, no rejection of a job shows what earlier attempts did.
+// retryUntilDecided repeats attempt until it succeeds, fails with an error that no other attempt can change, or wait reports
+// that there is no time for another attempt.
+//
+// After an attempt with an unknown outcome, a later rejection must not be returned as the outcome of the call: the earlier
+// attempt may have been accepted. Only an acceptance is. This differs from an operator's change of the configuration
+// (package control): that is rejected by the shard's state machine, which knows whether an earlier attempt was accepted.
 func retryUntilDecided(attempt func() error, wait func() bool) error {
 	var unknown error
 	for {
@@ -71,7 +74,7 @@
 	}
 }
 
-// retryable reports whether another attempt may succeed.
+// retryable reports whether another attempt may succeed after this error.
 func retryable(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.UnknownOutcome, failure.Unavailable, failure.NotLeader, failure.Stale, failure.Moved:
@@ -80,7 +83,7 @@
 	return false
 }
 
-// sleep waits, and reports false if ctx ends before.
+// sleep waits for span. It reports whether ctx is still active then; it returns false as soon as ctx ends.
 func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -90,7 +93,7 @@
 	}
 }
 
-// submitOnce is one attempt.
+// submitOnce makes one attempt to submit a job: a POST request that frontendHandler serves.
 func submitOnce(ctx context.Context, frontendHandler http.Handler, host, path string, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+path, bytes.NewReader(body))
 	if err != nil {
@@ -105,7 +108,7 @@
 	return recorder.err()
 }
 
-// responseRecorder is an http.ResponseWriter that keeps the response.
+// responseRecorder is an http.ResponseWriter that stores the response.
 type responseRecorder struct {
 	header http.Header
 	status int
@@ -121,7 +124,8 @@
 // Write appends to the body.
 func (r *responseRecorder) Write(data []byte) (int, error) { return r.body.Write(data) }
 
-// err returns the error that the response reports, with its kind; nil for a status of success.
+// err returns the error in the response's body with its kind, or nil if the status is 2xx. A body without a known kind
+// leaves the outcome unknown.
 func (r *responseRecorder) err() error {
 	if r.status/100 == 2 {
 		return nil
@@ -138,7 +142,7 @@
 	return failure.Newf(failure.UnknownOutcome, "the response is %d, %s", r.status, reported.Message)
 }
 
-// withoutKind removes the kind's name with which an error's text begins.
+// withoutKind returns an error's text without the name of its kind, if it begins with that.
 func withoutKind(message string, kind failure.Kind) string {
 	rest, found := strings.CutPrefix(message, kind.String()+": ")
 	if !found || rest == "" {
--- a/internal/cluster/administration/submit_test.go
+++ b/internal/cluster/administration/submit_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-var _ = ginkgo.DescribeTable("attempts that are repeated",
+var _ = ginkgo.DescribeTable("the outcome of attempts that are repeated until one decides, if they are",
 	func(outcomes []failure.Kind, waits int, kind failure.Kind, attempts int) {
 		attempted := 0
 		err := retryUntilDecided(
@@ -33,15 +33,15 @@
 	ginkgo.Entry("accepted later", []failure.Kind{failure.Unavailable, failure.NotLeader, failure.Stale, failure.Moved, failure.None}, 5, failure.None, 5),
 	ginkgo.Entry("rejected", []failure.Kind{failure.Overloaded}, 5, failure.Overloaded, 1),
 	ginkgo.Entry("rejected later", []failure.Kind{failure.Unavailable, failure.Invalid}, 5, failure.Invalid, 2),
-	ginkgo.Entry("never an owner", []failure.Kind{failure.NotLeader}, 3, failure.NotLeader, 4),
-	ginkgo.Entry("always an unknown outcome", []failure.Kind{failure.UnknownOutcome}, 3, failure.UnknownOutcome, 4),
-	ginkgo.Entry("an unknown outcome, then accepted", []failure.Kind{failure.UnknownOutcome, failure.None}, 3, failure.None, 2),
-	ginkgo.Entry("an unknown outcome, then rejected", []failure.Kind{failure.UnknownOutcome, failure.Overloaded}, 3, failure.UnknownOutcome, 2),
-	ginkgo.Entry("an unknown outcome, then no owner", []failure.Kind{failure.UnknownOutcome, failure.NotLeader}, 2, failure.UnknownOutcome, 3),
-	ginkgo.Entry("no time for a second attempt", []failure.Kind{failure.Unavailable}, 0, failure.Unavailable, 1),
+	ginkgo.Entry("rejected for lack of an owner each time", []failure.Kind{failure.NotLeader}, 3, failure.NotLeader, 4),
+	ginkgo.Entry("of unknown outcome each time", []failure.Kind{failure.UnknownOutcome}, 3, failure.UnknownOutcome, 4),
+	ginkgo.Entry("of unknown outcome, then accepted", []failure.Kind{failure.UnknownOutcome, failure.None}, 3, failure.None, 2),
+	ginkgo.Entry("of unknown outcome, then rejected", []failure.Kind{failure.UnknownOutcome, failure.Overloaded}, 3, failure.UnknownOutcome, 2),
+	ginkgo.Entry("of unknown outcome, then rejected for lack of an owner", []failure.Kind{failure.UnknownOutcome, failure.NotLeader}, 2, failure.UnknownOutcome, 3),
+	ginkgo.Entry("unavailable, without time for a second one", []failure.Kind{failure.Unavailable}, 0, failure.Unavailable, 1),
 )
 
-var _ = ginkgo.DescribeTable("the error of a handler's response",
+var _ = ginkgo.DescribeTable("the error in a response of the frontend, if it has",
 	func(status int, body string, kind failure.Kind, message string) {
 		recorder := responseRecorder{status: status}
 		_, _ = recorder.Write([]byte(body))
@@ -55,9 +55,9 @@
 		Expect(errors.As(err, &known)).To(BeTrue())
 		Expect(known.Message).To(ContainSubstring(message))
 	},
-	ginkgo.Entry("accepted", 200, "{}", failure.None, ""),
-	ginkgo.Entry("a kind", 429, `{"error":"overloaded","message":"overloaded: full"}`, failure.Overloaded, "full"),
-	ginkgo.Entry("an unknown outcome", 504, `{"error":"unknown_outcome","message":"cut"}`, failure.UnknownOutcome, "cut"),
-	ginkgo.Entry("an unknown kind", 418, `{"error":"teapot","message":"short and stout"}`, failure.UnknownOutcome, "short and stout"),
+	ginkgo.Entry("a status of success", 200, "{}", failure.None, ""),
+	ginkgo.Entry("a kind of error", 429, `{"error":"overloaded","message":"overloaded: full"}`, failure.Overloaded, "full"),
+	ginkgo.Entry("the kind of an unknown outcome", 504, `{"error":"unknown_outcome","message":"cut"}`, failure.UnknownOutcome, "cut"),
+	ginkgo.Entry("a kind that doesn't exist", 418, `{"error":"teapot","message":"short and stout"}`, failure.UnknownOutcome, "short and stout"),
 	ginkgo.Entry("no body", 500, "", failure.UnknownOutcome, "the response is 500"),
 )
--- a/internal/cluster/configuration/bench_test.go
+++ b/internal/cluster/configuration/bench_test.go
@@ -8,6 +8,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
+// stateWithRoutes returns a state with version 1, which has that many routes.
 func stateWithRoutes(b *testing.B, routes int) *State {
 	b.Helper()
 	state := NewState()
@@ -94,8 +95,9 @@
 	})
 }
 
-// BenchmarkWatchFromNothing measures what the watch of a follower without a document costs: encoding at the owner, once for
-// each version, and decoding at the follower, whose document then takes heap-bytes.
+// BenchmarkWatchFromNothing measures the cost of sending a complete document to a follower: its encoding at the owner,
+// which is done once for each version, and its decoding at the follower. heap-bytes is the memory of the follower's
+// document.
 func BenchmarkWatchFromNothing(b *testing.B) {
 	state := stateWithRoutes(b, 20000)
 	var data []byte
@@ -119,6 +121,7 @@
 	})
 }
 
+// heapInUse returns the bytes of reachable objects on the heap.
 func heapInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/cluster/configuration/command.go
+++ b/internal/cluster/configuration/command.go
@@ -13,22 +13,22 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Command is an operator's change as it stands in the log of the configuration shard. It is encoded by gob: the field names
-// are the format.
+// Command is an operator's change of the configuration, an entry in the log of the configuration shard. It is encoded by
+// gob: the field names are the format.
 type Command struct {
 	Kind string // protocol.ConfigurationReplace or protocol.ConfigurationUpdate
-	Base uint64 // the version that it builds on; 0 for the first
+	Base uint64 // version of the document that the change builds on; 0 for the first configuration
 	Body []byte // JSON as the operator sent it
 }
 
 // Result is the outcome of a Command.
 type Result struct {
-	Kind    failure.Kind // None: it was accepted, now or before; else Invalid, Conflict, Forgotten or Unavailable
-	Version uint64       // of the command if it was accepted, else the current one
-	Message string       // why it was rejected, for people
+	Kind    failure.Kind // None: the command was accepted, now or earlier; else Invalid, Conflict, Forgotten or Unavailable
+	Version uint64       // version that the accepted command led to; the current version if the command was not accepted
+	Message string       // reason why the command was not accepted, for operators
 }
 
-// Err returns a rejection as an error of its kind, and nil for a command that was accepted.
+// Err returns an error of the result's kind, or nil if the command was accepted.
 func (r Result) Err() error {
 	if r.Kind == failure.None {
 		return nil
@@ -54,7 +54,7 @@
 	return command, nil
 }
 
-// apply returns the document that follows d by a command. The error is of kind failure.Invalid.
+// apply returns the document that a command makes of d. The error is of kind failure.Invalid.
 func (d *Document) apply(command Command) (*Document, error) {
 	switch command.Kind {
 	case protocol.ConfigurationReplace:
@@ -62,13 +62,15 @@
 	case protocol.ConfigurationUpdate:
 		return d.applyUpdate(command.Body)
 	}
-	return nil, invalidf("%q is not a kind of change", command.Kind)
+	return nil, invalidf("%q is not a kind of change: it must be %q or %q",
+		command.Kind, protocol.ConfigurationReplace, protocol.ConfigurationUpdate)
 }
 
-// commandDigest identifies a command by its content.
+// commandDigest identifies a command by its content: the first 16 bytes of a SHA-256.
 type commandDigest [16]byte
 
-// digestOfCommand returns the digest of a command. White space between the values of its body doesn't count.
+// digestOfCommand returns the digest of a command's kind, base and body. White space between the values of the body
+// doesn't count, the order of fields does.
 func digestOfCommand(command Command) commandDigest {
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, command.Body); err != nil {
--- a/internal/cluster/configuration/difference.go
+++ b/internal/cluster/configuration/difference.go
@@ -9,8 +9,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// difference returns an update from one document to the next if that is much shorter than the replacement that led there,
-// else that replacement. Followers that apply it serve the same; only the order of items may differ.
+// difference returns an update that leads from one document to the next if its body is at most half as long as that of the
+// replacement which led there; else it returns the replacement. Followers that apply the update have the same items as the
+// owner, but possibly in another order.
 func difference(before, next *Document, replacement Command) Command {
 	if !sameSections(before, next) {
 		return replacement
@@ -30,7 +31,8 @@
 	return Command{Kind: protocol.ConfigurationUpdate, Base: replacement.Base, Body: body}
 }
 
-// sameSections reports whether both documents have the same sections, and the same ones of them are lists.
+// sameSections reports whether both documents have sections of the same names, and each is a list in both or in neither. No
+// update can remove a section, or make a list of another value item by item.
 func sameSections(a, b *Document) bool {
 	if len(a.sections) != len(b.sections) {
 		return false
@@ -41,7 +43,8 @@
 	})
 }
 
-// appendUpserts appends what an update must upsert in one section.
+// appendUpserts appends the member of `upsert` for one section: the new and changed items of a list, or the changed value of
+// another section. It appends nothing if there are none. Unchanged items are the same pointers in both documents.
 func appendUpserts(body []byte, before, next *section) []byte {
 	if !next.isList {
 		if bytes.Equal(before.raw, next.raw) {
@@ -61,7 +64,7 @@
 	return append(append(append(appendKey(body, next.name), '['), items...), ']')
 }
 
-// appendRemovals appends the names that an update must remove from one section.
+// appendRemovals appends the member of `remove` for one section: the names of the items that only before has, if any.
 func appendRemovals(body []byte, before, next *section) []byte {
 	var names []string
 	for _, member := range before.list.items {
@@ -76,13 +79,13 @@
 	return append(appendKey(body, next.name), list...)
 }
 
-// appendKey appends the key of the next member of an object.
+// appendKey appends the key of the next member of an object, and the colon after it.
 func appendKey(body []byte, name string) []byte {
 	key, _ := json.Marshal(name)
 	return append(append(appendComma(body), key...), ':')
 }
 
-// appendComma separates what is appended next from what is already there.
+// appendComma appends a comma unless body is empty, that is unless the next member or element is the first.
 func appendComma(body []byte) []byte {
 	if len(body) == 0 {
 		return body
--- a/internal/cluster/configuration/digest.go
+++ b/internal/cluster/configuration/digest.go
@@ -6,9 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns the same number for equal states: the document as it is served, the earlier services of queues, and the
-// commands that are remembered. It depends neither on how the state was reached nor on the process, as the bytes of a
-// snapshot do (gob numbers types in the order in which a process meets them).
+// Digest returns the same number for equal states, in every process. It covers the version, the names and JSON of the
+// sections (not whether a section is a list), the earlier services of queues, the queues without a route, and the keys of
+// the commands that are remembered. The bytes of a snapshot can't serve for a comparison: gob numbers types in the order in
+// which a process encodes or decodes them for the first time.
 func (s *State) Digest() uint64 {
 	w := &digestWriter{hash: xxhash.New()}
 	w.image(s.document.image())
@@ -17,7 +18,8 @@
 	return w.hash.Sum64()
 }
 
-// digestWriter hashes values one after the other; those of variable length are preceded by it.
+// digestWriter hashes values one after the other. A value of variable length is preceded by its length, so that the same
+// bytes divided in another way have another hash.
 type digestWriter struct{ hash *xxhash.Digest }
 
 func (w *digestWriter) number(value uint64) {
--- a/internal/cluster/configuration/doc.go
+++ b/internal/cluster/configuration/doc.go
@@ -1,16 +1,30 @@
-// Package configuration is the operator's configuration, the versioned document of routes and services: how a change of it is
-// parsed and checked, the replicated state machine of its versions (State), the lookup of a request's route (Table), and the
-// feed that brings each version to the processes that follow it (State.Since and Advance).
+// Package configuration is the operator's configuration: a versioned JSON document of routes, services and limits. It has
+//   - the parser of changes, with the checks that a change must pass (Document),
+//   - the state machine that every replica of the configuration shard runs (State),
+//   - the lookup of a request's route (Table), and
+//   - the feed by which other processes follow the newest version (State.Since, Advance).
 //
-// It is pure: no clock, no I/O, no goroutines. The same commands in the same order lead to the same state on each replica,
-// and State.Digest shows whether they have. A State serves one goroutine at a time; a Document and a Table never change and
-// may be used by any.
+// The package uses no clock, no I/O, no goroutines and no random numbers. So the same commands in the same order lead to the
+// same state, and to results of the same kind and version, on each replica; State.Digest shows whether they did. A State
+// must be used by one goroutine at a time. A Document and a Table never change and may be used by any.
 //
-// Each item is kept twice: as the JSON that the operator sent, so that what is read back is what was sent, unknown fields
-// included, and as its type of configuration.proto. A change of few items shares all others with the document before it
-// and parses only what is new.
+// A document is accepted if
+//   - `version` is an integer above that of the document before it,
+//   - `routes` and `services`, both of which a replacement must have, are lists of items,
+//   - each item has a name that no other item of its list has,
+//   - each route has a timeoutMs above 0 and the name of an existing service,
+//   - no two routes have the same queue, that is the same host, compared without case, and the same path prefix,
+//   - `limits`, if there is one, is an object, and
+//   - the JSON has at most about maxDocumentBytes.
+//
+// The values of all other fields have no bounds here; configuration.proto has their types. Fields and sections that it
+// doesn't have are kept as they are.
+//
+// Each item is kept in two forms: as the JSON that the operator sent, so that a reader gets back exactly that, unknown
+// fields included, and as its type of configuration.proto. A new document shares all unchanged items with the document
+// before it; only new and changed items are parsed.
 //
 // Commands, snapshots and feeds are encoded by gob, in logs and files and between processes of different versions. gob finds
-// fields by their names and drops the ones that it doesn't find, without an error: the field names of Command, feed, image,
-// imageSection, imageQueue, snapshot and commandKey are the format and stay.
+// fields by their names, and drops without an error those that the receiver doesn't have: the field names of Command, feed,
+// image, imageSection, imageQueue, snapshot and commandKey are the format and must not change.
 package configuration
--- a/internal/cluster/configuration/document.go
+++ b/internal/cluster/configuration/document.go
@@ -6,21 +6,21 @@
 	"strconv"
 )
 
-// Document is one version of the configuration. It never changes, and may be read by any goroutine.
+// Document is one version of the configuration. It never changes and may be read by any goroutine.
 type Document struct {
 	version       uint64
 	sections      []section
-	queues        queueIndex // routes by queue
-	droppedQueues queueIndex // queues without a route, with the services that they had
-	limits        *Limits
+	queues        queueIndex // the routes, sorted by queue
+	droppedQueues queueIndex // queues that had a route in an earlier version, and the services that they had
+	limits        *Limits    // never nil
 }
 
 // section is a top-level field of a configuration other than `version`.
 type section struct {
 	name   string
-	isList bool     // it is a list of named items
-	list   itemList // of a list
-	raw    []byte   // of any other value: JSON as the operator sent it
+	isList bool     // the value is an array of objects with distinct names
+	list   itemList // the items, if isList
+	raw    []byte   // the value as JSON that the operator sent, unless isList
 }
 
 // emptyDocument is the document before the first configuration.
@@ -29,7 +29,7 @@
 // Version returns the document's version; 0 before the first configuration.
 func (d *Document) Version() uint64 { return d.version }
 
-// Limits returns the limits for clients, never nil; fields are 0 where the operator set no limit.
+// Limits returns the limits for clients, never nil. A field is 0 if the operator set no such limit.
 func (d *Document) Limits() *Limits { return d.limits }
 
 // Table returns the lookup of routes.
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Queue returns the route of the queue with that key (see QueueKey), or nil.
+// Queue returns the route of the queue with that key, in the form of QueueKey, or nil.
 func (d *Document) Queue(key string) *Route {
 	if member := d.queues.get(parseQueueKey(key)); member != nil {
 		return member.route
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Routes iterates over the routes in the order of host and path prefix.
+// Routes iterates over the routes, sorted by host and then by path prefix.
 func (d *Document) Routes() iter.Seq[*Route] {
 	return func(yield func(*Route) bool) {
 		for _, member := range d.queues {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Services iterates over the services in the operator's order.
+// Services iterates over the services in the order of the document.
 func (d *Document) Services() iter.Seq[*Service] {
 	return func(yield func(*Service) bool) {
 		for _, member := range d.itemsOf(sectionServices).items {
@@ -81,8 +81,11 @@
 	}
 }
 
-// EarlierServices returns, in order, the services other than the present one that the queue with that key had in any
-// accepted version. It knows queues without a route, too, as long as there are not too many of them.
+// EarlierServices returns the services that the queue with that key had in earlier versions, without its present one. The
+// service that the queue left last is the last one. The shard of a job follows from its queue's service at the submission,
+// so jobs of this queue may still be in the shards of these services.
+//
+// A queue without a route has them, too, until it is forgotten (maxDroppedQueues).
 func (d *Document) EarlierServices(queueKey string) []string {
 	at := parseQueueKey(queueKey)
 	if member := d.queues.get(at); member != nil {
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// JSON returns the complete configuration, each item as the operator sent it.
+// JSON returns the complete configuration. Each item is byte for byte as the operator sent it.
 func (d *Document) JSON() []byte {
 	body := append(make([]byte, 0, d.size()), `{"version":`...)
 	body = strconv.AppendUint(body, d.version, 10)
@@ -105,6 +108,7 @@
 	return append(body, '}')
 }
 
+// appendJSON appends the section as a member of a JSON object.
 func (s *section) appendJSON(body []byte) []byte {
 	key, _ := json.Marshal(s.name) // a string can always be encoded
 	body = append(body, key...)
@@ -124,7 +128,7 @@
 
 // size estimates the length of the JSON, in bytes.
 func (d *Document) size() int {
-	const head = 64
+	const head = 64 // bytes of the version and the braces, and of the name of each section
 	size := head
 	for i := range d.sections {
 		size += head + len(d.sections[i].raw)
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// itemsOf returns the items of the list with that name, which is empty if there is none.
+// itemsOf returns the list in the section with that name. It is empty if there is no such section, or if that is no list.
 func (d *Document) itemsOf(name string) itemList {
 	if found := d.sectionNamed(name); found != nil {
 		return found.list
--- a/internal/cluster/configuration/earlierservices.go
+++ b/internal/cluster/configuration/earlierservices.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// maxDroppedQueues is how many queues without a route are remembered, with the services that they had. Beyond it, the quarter
-// that was dropped first is forgotten.
+// maxDroppedQueues bounds the queues without a route that are remembered with the services that they had. If there are more,
+// the quarter that has had no route for the longest time is forgotten.
 const maxDroppedQueues = 16384
 
-// inheritServices gives each queue the services that it had in the document before. removed are the routes of that document
-// whose queues may be left without one, added are the routes of d that are new or changed; all others keep their earlier
-// services.
+// inheritServices sets the earlier services of d's queues from those of the document before it. removed has the routes of
+// before whose queues may have no route in d, added has at least the new and changed routes of d. The items of all other
+// routes are shared with before and have their earlier services already.
 func (d *Document) inheritServices(before *Document, removed, added []*item) {
 	for _, member := range added {
 		d.inheritServicesOf(before, member)
@@ -35,7 +35,8 @@
 	}
 }
 
-// inheritServicesOf gives a route the services that its queue had. An item that was in the document before keeps its own.
+// inheritServicesOf sets the earlier services of a route: all services that its queue had in the document before, as a queue
+// with or without a route, except the present one. An item of the document before is shared and must not change.
 func (d *Document) inheritServicesOf(before *Document, member *item) {
 	old := before.queues.get(member.queue)
 	if old == member {
@@ -51,7 +52,7 @@
 	member.earlierServices = without(old.allServices(), member.route.Service)
 }
 
-// without returns the services other than one, in order.
+// without returns the services except one, in the same order.
 func without(services []string, service string) []string {
 	var others []string
 	for _, name := range services {
@@ -62,7 +63,8 @@
 	return others
 }
 
-// trimDroppedQueues forgets the quarter of the dropped queues that was dropped first.
+// trimDroppedQueues forgets the quarter of the dropped queues whose routes were removed in the earliest versions; among
+// queues of one version the order of the keys decides, so that all replicas forget the same.
 func (d *Document) trimDroppedQueues() {
 	byAge := slices.Clone(d.droppedQueues)
 	slices.SortFunc(byAge, func(a, b *item) int {
--- a/internal/cluster/configuration/earlierservices_test.go
+++ b/internal/cluster/configuration/earlierservices_test.go
@@ -9,8 +9,8 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-var _ = DescribeTable("a queue's earlier services",
-	func(want []string, services ...string) { // "": no route
+var _ = DescribeTable("the earlier services of a queue after each version gave it a service or no route:",
+	func(want []string, services ...string) { // the service in each version; "": no route
 		const key = "one.example/one/"
 		for _, replacing := range []bool{true, false} {
 			state := stateWith(replace(0, configurationOf(1, routeTwo)))
@@ -38,17 +38,17 @@
 			Expect(follower.EarlierServices(key)).To(Equal(want), "follower, replacing: %t", replacing)
 		}
 	},
-	Entry("never there", nil),
-	Entry("one", nil, "a"),
-	Entry("the same", nil, "a", "a", "a"),
-	Entry("moved", []string{"a"}, "a", "b"),
-	Entry("moved and back", []string{"b"}, "a", "b", "a"),
-	Entry("dropped", []string{"a"}, "a", ""),
-	Entry("dropped for several versions", []string{"a"}, "a", "", "", ""),
-	Entry("dropped and back", nil, "a", "", "a"),
-	Entry("dropped and back with another service", []string{"a"}, "a", "", "b"),
-	Entry("moved and dropped", []string{"a", "b"}, "a", "b", ""),
-	Entry("moved, dropped and back", []string{"b"}, "a", "b", "", "a"),
+	Entry("never a route", nil),
+	Entry("one service", nil, "a"),
+	Entry("always the same service", nil, "a", "a", "a"),
+	Entry("another service", []string{"a"}, "a", "b"),
+	Entry("another service, then the first one", []string{"b"}, "a", "b", "a"),
+	Entry("no route any more", []string{"a"}, "a", ""),
+	Entry("no route in several versions", []string{"a"}, "a", "", "", ""),
+	Entry("no route, then the same service", nil, "a", "", "a"),
+	Entry("no route, then another service", []string{"a"}, "a", "", "b"),
+	Entry("another service, then no route", []string{"a", "b"}, "a", "b", ""),
+	Entry("another service, no route, then the first service", []string{"b"}, "a", "b", "", "a"),
 )
 
 var _ = Describe("queues without a route", func() {
--- a/internal/cluster/configuration/feed.go
+++ b/internal/cluster/configuration/feed.go
@@ -7,16 +7,16 @@
 	"github.com/pkg/errors"
 )
 
-// feed is what followers are sent: an image of the current version, or the changes that lead to it from an earlier one. It is
-// encoded by gob: the field names are the format.
+// feed is the message by which a follower gets to the current version. It has either an image of that version, or the
+// changes that lead to it from the follower's version. It is encoded by gob: the field names are the format.
 type feed struct {
 	Image   *image
-	Changes []Command
+	Changes []Command // in the order of the log; empty if there is an Image
 }
 
-// Since returns the feed that brings a follower from a version to the current one, to be decoded by Advance: the changes, if
-// it can take them and they are still remembered, else the complete document. It is nil if there is nothing newer. The
-// result is shared between followers and must not be modified.
+// Since returns the encoded feed that brings a follower from a version to the current one; Advance decodes it. The feed has
+// the changes if canTakeChanges is true and all of them are remembered, else the complete document. Since returns nil if
+// version is the current one. The result is shared between followers and must not be modified.
 func (s *State) Since(version uint64, canTakeChanges bool) ([]byte, error) {
 	if version == s.document.version {
 		return nil, nil
@@ -42,7 +42,7 @@
 	return encoded, nil
 }
 
-// rememberFeed keeps an encoded feed until the next change, since many followers ask for the same.
+// rememberFeed keeps an encoded feed until the next accepted command, since many followers request the same one.
 func (r *recentChanges) rememberFeed(version uint64, encoded []byte) {
 	if r.encodedFeeds == nil {
 		r.encodedFeeds = map[uint64][]byte{}
@@ -61,11 +61,12 @@
 	return (&feed{Image: d.image()}).encode()
 }
 
-// Decode returns the document of a feed with a complete one.
+// Decode returns the document of a feed that has the complete document; it fails if the feed has changes.
 func Decode(data []byte) (*Document, error) { return Advance(nil, data) }
 
-// Advance returns the document that a feed leads to from previous, which is nil before the first one. It fails if the feed
-// has changes that don't follow previous; the caller then has to ask for a complete document. previous is never modified.
+// Advance returns the document to which a feed leads from previous, which is nil for a follower without a document. It fails
+// if the feed can't be decoded, or if it has changes and the first one doesn't build on previous. The caller must then
+// request the complete document. previous is never modified.
 func Advance(previous *Document, data []byte) (*Document, error) {
 	if previous == nil {
 		previous = emptyDocument
@@ -80,19 +81,19 @@
 	return previous.advance(received.Changes)
 }
 
-// advance applies changes one after the other.
+// advance returns the document to which changes lead from d. Each must build on the version that the one before it led to.
 func (d *Document) advance(changes []Command) (*Document, error) {
 	if len(changes) == 0 {
-		return nil, errors.New("the configuration's feed is empty")
+		return nil, errors.New("the configuration's feed has neither a complete document nor changes")
 	}
 	document := d
 	for _, change := range changes {
 		if change.Base != document.version {
-			return nil, errors.Errorf("a change of version %d meets version %d", change.Base, document.version)
+			return nil, errors.Errorf("a change in the feed builds on version %d, but the document has version %d", change.Base, document.version)
 		}
 		next, err := document.apply(change)
 		if err != nil {
-			return nil, errors.Wrapf(err, "follow version %d", change.Base)
+			return nil, errors.Wrapf(err, "apply the change of version %d", change.Base)
 		}
 		document = next
 	}
--- a/internal/cluster/configuration/feed_test.go
+++ b/internal/cluster/configuration/feed_test.go
@@ -9,6 +9,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
+// manyRoutes returns routes of seven hosts, sorted by name, with one path prefix each.
 func manyRoutes(count int) []string {
 	routes := make([]string, count)
 	for i := range routes {
@@ -17,7 +18,7 @@
 	return routes
 }
 
-// routesOf returns the routes of a document as the operator sent them.
+// routesOf returns the JSON of a document's routes, sorted by queue.
 func routesOf(document *Document) []string {
 	var routes []string
 	for _, member := range document.queues {
@@ -26,7 +27,7 @@
 	return routes
 }
 
-var _ = Describe("a follower", func() {
+var _ = Describe("a follower of the configuration", func() {
 	var state *State
 
 	BeforeEach(func() {
@@ -52,14 +53,14 @@
 		Expect(feedFrom(5, true)).To(BeNil())
 	})
 
-	It("continues by changes, which are small", func() {
+	It("is sent the changes alone if it has a document", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Execute(update(5, `{"version":6,"remove":{"routes":["r-00007"]}}`)).Kind).To(Equal(failure.None))
 		Expect(state.Execute(update(6, `{"version":8,"upsert":{"routes":[`+routeOne+`]}}`)).Kind).To(Equal(failure.None))
 		data := feedFrom(5, true)
 		Expect(len(data)).To(BeNumerically("<", 1000))
-		Expect(&feedFrom(5, true)[0]).To(BeIdenticalTo(&data[0]), "many followers ask for the same")
+		Expect(&feedFrom(5, true)[0]).To(BeIdenticalTo(&data[0]), "the encoded feed is shared between followers")
 		next, err := Advance(follower, data)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next.Version()).To(Equal(uint64(8)))
@@ -68,7 +69,7 @@
 		Expect(follower.Route("r-00007")).NotTo(BeNil())
 	})
 
-	It("is fed a replacement that changes little as a small change", func() {
+	It("is sent an update in place of a replacement that changes little", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		routes := manyRoutes(101)
@@ -82,7 +83,7 @@
 		Expect(string(next.JSON())).To(Equal(string(state.Document().JSON())))
 	})
 
-	It("is fed a replacement that changes the sections as that replacement", func() {
+	It("is sent the replacement itself if that removes a section", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Execute(replace(5, `{"version":6,"services":[`+serviceA+`],"routes":[]}`)).Kind).To(Equal(failure.None))
@@ -92,7 +93,7 @@
 		Expect(next.Limits().GetMaxBodyBytes()).To(BeZero())
 	})
 
-	It("gets a complete document if the changes are no longer remembered, or it can't take them", func() {
+	It("is sent a complete document if the changes are no longer remembered, or it can't take changes", func() {
 		for version := uint64(5); version < 5+maxRecentChanges+1; version++ {
 			Expect(state.Execute(update(version, fmt.Sprintf(`{"version":%d}`, version+1))).Kind).To(Equal(failure.None))
 		}
@@ -102,10 +103,10 @@
 			Expect(document.Version()).To(Equal(uint64(5 + maxRecentChanges + 1)))
 		}
 		_, err := Decode(feedFrom(200, true))
-		Expect(err).To(HaveOccurred(), "these are changes")
+		Expect(err).To(HaveOccurred(), "this feed has changes")
 	})
 
-	It("bounds the bytes of the remembered changes", func() {
+	It("is fed from remembered changes of at most maxRecentBytes", func() {
 		version := uint64(5)
 		for range 40 {
 			body := fmt.Sprintf(`{"version":%d,"upsert":{"note":{"text":"%020000d"}}}`, version+1, version)
@@ -129,7 +130,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("doesn't parse again what it has when it gets a complete document", func() {
+	It("doesn't parse items again that it has when it gets a complete document", func() {
 		follower, err := Decode(feedFrom(0, false))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Execute(update(5, `{"version":6,"upsert":{"routes":[`+routeOne+`]}}`)).Kind).To(Equal(failure.None))
--- a/internal/cluster/configuration/fixtures_test.go
+++ b/internal/cluster/configuration/fixtures_test.go
@@ -8,20 +8,23 @@
 	"ospreypond/internal/fixturetest"
 )
 
-// shown is all that a state or a document holds. The digest has every field of both.
+// shown is the content of a state or a document as the fixtures list it. The digest covers the commands that are remembered
+// and the services of all queues.
 type shown struct {
 	Version uint64
 	JSON    string
-	Earlier []string // services that queues had: of one that moved, of one that was dropped
+	Earlier []string // earlier services of a queue whose service changed, then of one without a route
 	Digest  uint64
 }
 
+// show returns the content of a state.
 func show(s *State) *shown {
 	document := s.Document()
 	earlier := append(document.EarlierServices("one.example/one/"), document.EarlierServices("one.example/two/")...)
 	return &shown{Version: document.Version(), JSON: string(document.JSON()), Earlier: earlier, Digest: s.Digest()}
 }
 
+// showDocument returns the content of a decoded document, or the error of its decoding.
 func showDocument(d *Document, err error) (any, error) {
 	if err != nil {
 		return nil, err
@@ -29,8 +32,8 @@
 	return show(&State{document: d}), nil
 }
 
-// stateWithHistory returns a state with lists and other sections, a queue whose service changed, one without a route, accepted
-// commands and an early one.
+// stateWithHistory returns a state with lists and other sections, a queue whose service changed, one without a route,
+// accepted commands and an early one.
 func stateWithHistory() *State {
 	GinkgoHelper()
 	state := standard()
@@ -45,7 +48,7 @@
 	return state
 }
 
-var _ = Describe("what the version of the fixtures wrote", func() {
+var _ = Describe("data that the program wrote when the fixtures were made", func() {
 	It("is read as a command", func() {
 		fixturetest.Check(GinkgoTB(), "command", fixturetest.Codec{
 			Encode: func() (any, []byte, error) {
--- a/internal/cluster/configuration/image.go
+++ b/internal/cluster/configuration/image.go
@@ -4,29 +4,31 @@
 	"github.com/pkg/errors"
 )
 
-// imageFormat is the version of image. An image of any other is rejected.
+// imageFormat is the version of the format of image. An image with another one is rejected.
 const imageFormat = 1
 
 // image is the encoded form of a Document, in snapshots and feeds. It, imageSection and imageQueue are encoded by gob: the
 // field names are the format.
 type image struct {
-	Format   int
+	Format   int // imageFormat
 	Version  uint64
 	Sections []imageSection
-	Moved    []imageQueue // queues with earlier services
-	Dropped  []imageQueue
+	Moved    []imageQueue // queues that have a route and earlier services, sorted by queue
+	Dropped  []imageQueue // queues that have no route any more, sorted by queue
 }
 
+// imageSection is the encoded form of a section.
 type imageSection struct {
 	Name   string
 	IsList bool
-	Items  [][]byte // exactly one if it is not a list
+	Items  [][]byte // JSON: the items of a list, or the only value of another section
 }
 
+// imageQueue is the encoded form of a queue's history.
 type imageQueue struct {
-	Key      string
-	Services []string // without the present one
-	Dropped  uint64   // the version without its route; 0 in Moved
+	Key      string   // in the form of QueueKey
+	Services []string // item.earlierServices
+	Dropped  uint64   // first version in which the queue had no route; 0 in Moved
 }
 
 // image returns the document's encoded form.
@@ -54,7 +56,7 @@
 	return made
 }
 
-// document returns the image's document. Items that known has unchanged are not parsed again.
+// document returns the document of an image. Items that are byte for byte in the document known, too, are not parsed again.
 func (i *image) document(known *Document) (*Document, error) {
 	if i.Format != imageFormat {
 		return nil, errors.Errorf("format %d of the configuration is unknown, only %d is supported", i.Format, imageFormat)
@@ -78,11 +80,12 @@
 	return made, nil
 }
 
-// decode returns the section. Its items are new, since an image has its own earlier services.
+// decode returns the section. Its items are copies, even of those of known: restoreQueueHistory sets their earlier services,
+// and an item of another document must not change.
 func (s *imageSection) decode(known *Document) (section, error) {
 	if !s.IsList {
 		if len(s.Items) != 1 {
-			return section{}, errors.Errorf("section %s of the configuration has %d values", s.Name, len(s.Items))
+			return section{}, errors.Errorf("section %q of the configuration is no list, but has %d values", s.Name, len(s.Items))
 		}
 		return section{name: s.Name, raw: s.Items[0]}, nil
 	}
@@ -97,7 +100,7 @@
 	return section{name: s.Name, isList: true, list: made}, err
 }
 
-// restoreQueueHistory sets the earlier services of queues and the dropped queues of a document that is being made.
+// restoreQueueHistory sets the earlier services of the routes of made, and its queues without a route.
 func (i *image) restoreQueueHistory(made *Document) {
 	for _, queue := range i.Moved {
 		if member := made.queues.get(parseQueueKey(queue.Key)); member != nil {
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -5,29 +5,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The names of the sections that this package interprets; others are only kept.
+// Names of the sections that this package interprets. It keeps all others without looking into them.
 const (
 	sectionRoutes   = "routes"
 	sectionServices = "services"
 	sectionLimits   = "limits"
 )
 
-// unmarshaler ignores unknown fields.
+// unmarshaler ignores unknown fields: a configuration may have fields of a later version, or of other programs.
 var unmarshaler = protojson.UnmarshalOptions{DiscardUnknown: true}
 
-// item is a named member of a list of the configuration, or a queue without a route. It never changes once its document is
-// complete.
+// item is a named member of a list of the configuration, or a queue without a route. It never changes after the document for
+// which it was parsed is complete, since later documents share it.
 type item struct {
 	name            string
 	raw             []byte   // JSON as the operator sent it
-	route           *Route   // of routes only
-	service         *Service // of services only
-	queue           queueKey // of routes and queues without a route only
-	earlierServices []string // services that the queue had, in order, other than its present one
-	droppedIn       uint64   // of queues without a route only: the first version without it
+	route           *Route   // nil unless the item is a route
+	service         *Service // nil unless the item is a service
+	queue           queueKey // set for routes and for queues without a route
+	earlierServices []string // services that the queue had before its present one; the one that it left last is the last
+	droppedIn       uint64   // first version in which the queue had no route; 0 unless the item is a queue without one
 }
 
-// allServices returns the earlier services of the queue and its present one, if any, in order.
+// allServices returns the earlier services of the queue, followed by its present one if it has a route.
 func (i *item) allServices() []string {
 	if i.route == nil {
 		return i.earlierServices
@@ -35,19 +35,19 @@
 	return append(i.earlierServices[:len(i.earlierServices):len(i.earlierServices)], i.route.Service)
 }
 
-// parseItem parses a member of the list with the name section.
+// parseItem parses an element of the list in a section.
 func parseItem(section string, raw []byte) (*item, error) {
 	switch section {
 	case sectionRoutes:
 		route := &Route{}
 		if err := parseMessage(raw, route); err != nil {
-			return nil, invalidf("routes: %v", err)
+			return nil, invalidf("routes: %v, in the item %.120s", err, raw)
 		}
 		return &item{name: route.Name, raw: raw, route: route, queue: queueKeyOf(route)}, nil
 	case sectionServices:
 		service := &Service{}
 		if err := parseMessage(raw, service); err != nil {
-			return nil, invalidf("services: %v", err)
+			return nil, invalidf("services: %v, in the item %.120s", err, raw)
 		}
 		return &item{name: service.Name, raw: raw, service: service}, nil
 	}
--- a/internal/cluster/configuration/itemlist.go
+++ b/internal/cluster/configuration/itemlist.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// itemList is the items of a section in the operator's order. One that is sorted by name, as most are, stays so when items are
-// added. It never changes.
+// itemList is the items of a section in the order of the document. It never changes. Most lists are sorted by name: find
+// then uses a binary search, and new items are inserted so that the list stays sorted. In other lists they are appended.
 type itemList struct {
 	items  []*item
-	sorted bool
+	sorted bool // by name
 }
 
 func compareNames(a, b *item) int { return strings.Compare(a.name, b.name) }
 
-// newItemList returns a list, and fails unless each item has a name of its own.
+// newItemList returns a list. It fails if an item has no name, or two items have the same name.
 func newItemList(section string, items []*item) (itemList, error) {
 	made := itemList{items: items, sorted: slices.IsSortedFunc(items, compareNames)}
 	ordered := items
@@ -24,7 +24,7 @@
 	}
 	for i, member := range ordered {
 		if member.name == "" {
-			return itemList{}, invalidf("%s: an item has no name", section)
+			return itemList{}, invalidf("%s: an item has no name: %.120s", section, member.raw)
 		}
 		if i > 0 && ordered[i-1].name == member.name {
 			return itemList{}, invalidf("%s: two items have the name %q", section, member.name)
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// with returns the list without the items to remove and with the new ones, which replace those of the same name. Names to
-// remove that it doesn't have are ignored.
+// with returns a copy of the list. First the items with the names in removed are removed; names that the list doesn't have
+// are ignored. Then each item of upserts replaces the item of its name, or is added if there is none.
 func (l itemList) with(removed []string, upserts []*item) itemList {
 	if len(removed) == 0 && len(upserts) == 0 {
 		return l
--- a/internal/cluster/configuration/json.go
+++ b/internal/cluster/configuration/json.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 )
 
-// jsonField is a member of a JSON object: its key, and its value as it was sent.
+// jsonField is a member of a JSON object: the decoded key, and the bytes of the value.
 type jsonField struct {
 	key   string
 	value []byte
 }
 
-// jsonObject returns the members of a JSON object, in order. ok is false for any other value. data must be valid JSON; the
-// members' values are slices of it.
+// jsonObject returns the members of a JSON object in the order of the text. ok is false if data is another kind of value.
+// data must be valid JSON, since no bounds are checked; the members' values are slices of it.
 func jsonObject(data []byte) (fields []jsonField, ok bool) {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != '{' {
@@ -30,8 +30,8 @@
 	return fields, true
 }
 
-// jsonArray returns the elements of a JSON array. ok is false for any other value. data must be valid JSON; the elements are
-// slices of it.
+// jsonArray returns the elements of a JSON array. ok is false if data is another kind of value. data must be valid JSON,
+// since no bounds are checked; the elements are slices of it.
 func jsonArray(data []byte) (elements [][]byte, ok bool) {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != '[' {
@@ -47,7 +47,7 @@
 	return elements, true
 }
 
-// jsonString decodes a JSON string.
+// jsonString decodes a JSON string; data includes its quotation marks.
 func jsonString(data []byte) string {
 	if bytes.IndexByte(data, '\\') < 0 {
 		return string(data[1 : len(data)-1])
@@ -59,7 +59,7 @@
 	return decoded
 }
 
-// skipSpace returns the index of the next byte that is not white space.
+// skipSpace returns the index of the first byte at or after at that is not white space; len(data) if there is none.
 func skipSpace(data []byte, at int) int {
 	for at < len(data) {
 		switch data[at] {
@@ -72,7 +72,7 @@
 	return at
 }
 
-// skipComma returns the index of the next element or of the closing bracket, after a value that ended at at.
+// skipComma returns the index of the next element or of the closing bracket. at is the index after a value.
 func skipComma(data []byte, at int) int {
 	at = skipSpace(data, at)
 	if data[at] == ',' {
@@ -81,7 +81,7 @@
 	return at
 }
 
-// skipValue returns the index behind the value that starts at at.
+// skipValue returns the index after the value that starts at at.
 func skipValue(data []byte, at int) int {
 	depth := 0
 	for at < len(data) {
@@ -108,7 +108,7 @@
 	return at
 }
 
-// skipString returns the index behind the string that starts at at.
+// skipString returns the index after the string that starts at at.
 func skipString(data []byte, at int) int {
 	at++
 	for at < len(data) {
@@ -124,7 +124,7 @@
 	return at
 }
 
-// skipScalar returns the index behind a number, true, false or null that starts at at.
+// skipScalar returns the index after the number, true, false or null that starts at at.
 func skipScalar(data []byte, at int) int {
 	for at < len(data) {
 		switch data[at] {
--- a/internal/cluster/configuration/parse.go
+++ b/internal/cluster/configuration/parse.go
@@ -7,14 +7,14 @@
 	"unicode/utf8"
 )
 
-// parser parses the sections of one command. Items that are byte for byte those of the previous document are taken over from
-// there unparsed; mostly they come in the same order.
+// parser parses the sections of one command. An item whose bytes are those of the item in the previous document becomes that
+// very item: difference and inheritServicesOf recognise unchanged items by their pointers.
 type parser struct {
 	previous *Document
 }
 
-// CheckSyntax returns an error of kind failure.Invalid unless body is exactly one JSON object. Otherwise it can be rejected
-// without knowing the current version.
+// CheckSyntax returns an error of kind failure.Invalid unless body is exactly one JSON object in UTF-8. The check needs no
+// current version, so that a command can be rejected before it gets into the log.
 func CheckSyntax(body []byte) error {
 	if !utf8.Valid(body) || !json.Valid(body) {
 		return invalidf("the body is not exactly one JSON value")
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// parseFields returns the fields of a command's body other than the version, and the version. They must be distinct, and
-// there must be a version.
+// parseFields returns the top-level fields of a command's body without the version, and the version. It fails if two fields
+// have the same key, or if there is no version.
 func parseFields(body []byte) ([]jsonField, uint64, error) {
 	if err := CheckSyntax(body); err != nil {
 		return nil, 0, err
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// parseSection parses a top-level field. An unknown one is a list if it is an array of items with distinct names.
+// parseSection parses a top-level field. `routes` and `services` must be lists; any other field is a list if it is an array
+// of objects with distinct names.
 func (p parser) parseSection(f jsonField) (section, error) {
 	mustBeList := f.key == sectionRoutes || f.key == sectionServices
 	elements, isArray := jsonArray(f.value)
@@ -76,7 +77,7 @@
 	return section{name: f.key, isList: true, list: made}, err
 }
 
-// haveDistinctNames reports whether each element is an object with a name, and no two have the same.
+// haveDistinctNames reports whether each element is an object with a name that no other element has.
 func haveDistinctNames(elements [][]byte) bool {
 	names := make(map[string]bool, len(elements))
 	for _, element := range elements {
@@ -89,11 +90,12 @@
 	return true
 }
 
-// parseItems parses the elements of the list with the name section.
+// parseItems parses the elements of the list in a section. Most lists are sent in the order of the previous document: an
+// element is first compared with the item after the one that the last element matched, and is parsed only if it differs.
 func (p parser) parseItems(section string, elements [][]byte) ([]*item, error) {
 	before := p.previous.itemsOf(section)
 	items := make([]*item, 0, len(elements))
-	next := 0 // where the element is likely to be in the previous list
+	next := 0 // index in the previous list where the element is expected
 	for _, element := range elements {
 		if next < len(before.items) && bytes.Equal(before.items[next].raw, element) {
 			items = append(items, before.items[next])
@@ -115,14 +117,14 @@
 	return items, nil
 }
 
-// parseLimits parses the limits in a section, which is nil if there is none.
+// parseLimits parses the section of the limits; nil, a configuration without that section, means no limits.
 func parseLimits(from *section) (*Limits, error) {
 	limits := &Limits{}
 	if from == nil {
 		return limits, nil
 	}
 	if from.isList {
-		return nil, invalidf("limits is a list")
+		return nil, invalidf("limits is a list, not an object")
 	}
 	if err := parseMessage(from.raw, limits); err != nil {
 		return nil, invalidf("limits: %v", err)
--- a/internal/cluster/configuration/property_test.go
+++ b/internal/cluster/configuration/property_test.go
@@ -11,10 +11,11 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// model is the simplest form of a configuration: the JSON of the routes by name.
+// model is a simple form of a configuration to compare documents by: the JSON of the routes by name.
 type model map[string]string
 
-// randomCommand draws a command on a version, which may be invalid.
+// randomCommand returns a random replacement or update on a version. Some are invalid: their version is not above base, they
+// name an unknown service, or they have two routes of one name or queue.
 func randomCommand(random *rand.Rand, base uint64) Command {
 	draw := func() string {
 		name := fmt.Sprintf("r-%d", random.IntN(8))
@@ -34,7 +35,7 @@
 		version, random.IntN(8), strings.Join(routes, ",")))
 }
 
-// modelOf returns the model of a document's JSON, without the package's own parsing of complete documents.
+// modelOf returns the model of a document. It scans the document's JSON, and doesn't use the parser of commands.
 func modelOf(document *Document) model {
 	routes := model{}
 	fields, _ := jsonObject(document.JSON())
@@ -50,8 +51,8 @@
 	return routes
 }
 
-var _ = Describe("any commands", func() {
-	It("lead replicas and followers to the same document by any way", func() {
+var _ = Describe("random commands", func() {
+	It("lead a replica that is restored from snapshots and a follower to the same document", func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		for range 30 {
 			state, restored := NewState(), NewState()
@@ -91,7 +92,8 @@
 	})
 })
 
-// expectInvariants checks the invariants of a document.
+// expectInvariants checks that the index of queues has exactly the routes of the document, sorted and with existing
+// services, and that the queues without a route are sorted and have none.
 func expectInvariants(document *Document) {
 	GinkgoHelper()
 	routes := modelOf(document)
--- a/internal/cluster/configuration/queueindex.go
+++ b/internal/cluster/configuration/queueindex.go
@@ -2,12 +2,14 @@
 
 import "slices"
 
-// queueIndex is routes, or queues without a route, sorted by queue. It never changes.
+// queueIndex is a list of routes, or of queues without a route, sorted by queue. No two have the same queue. It never
+// changes.
 type queueIndex []*item
 
+// compareQueues compares the queues of two items in the order of the index.
 func compareQueues(a, b *item) int { return a.queue.compare(b.queue) }
 
-// newQueueIndex returns the index of routes, and fails if two of them have the same queue.
+// newQueueIndex returns the index of routes. It fails if two of them have the same queue.
 func newQueueIndex(routes []*item) (queueIndex, error) {
 	sorted := queueIndex(slices.Clone(routes))
 	slices.SortFunc(sorted, compareQueues)
@@ -19,12 +21,13 @@
 	return sorted, nil
 }
 
-// duplicateQueueError returns the error that two routes have the same queue.
+// duplicateQueueError returns the error for two routes with the same queue.
 func duplicateQueueError(first, second *item) error {
 	return invalidf("routes %q and %q share host %q and prefix %q",
 		first.name, second.name, second.route.Host, second.route.PathPrefix)
 }
 
+// find returns the position of the item of that queue, or the position where it would be inserted.
 func (q queueIndex) find(at queueKey) (int, bool) {
 	return slices.BinarySearchFunc(q, at, func(member *item, at queueKey) int { return member.queue.compare(at) })
 }
@@ -37,7 +40,8 @@
 	return nil
 }
 
-// with returns the index without some items and with others. It fails if two items then have the same queue.
+// with returns a copy of the index without the removed and with the added items. It fails if two items of the copy have the
+// same queue.
 func (q queueIndex) with(removed, added []*item) (queueIndex, error) {
 	if len(removed) == 0 && len(added) == 0 {
 		return q, nil
--- a/internal/cluster/configuration/recent.go
+++ b/internal/cluster/configuration/recent.go
@@ -6,21 +6,22 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// The bounds of recentChanges: beyond them the oldest changes are dropped.
+// Bounds of recentChanges. The oldest changes are dropped while one of them is exceeded.
 const (
-	maxRecentChanges = 256
-	maxRecentBytes   = 256 << 10
+	maxRecentChanges = 256       // commands
+	maxRecentBytes   = 256 << 10 // of the commands' bodies together
 )
 
-// recentChanges is the newest changes, for followers that are only a little behind. It is not part of the replicated state: a
-// State that was restored has none, and feeds complete documents.
+// recentChanges has the newest accepted commands, for followers that are only a few versions behind. It is not part of the
+// replicated state: a State that was just restored has none, and feeds complete documents until it has accepted commands.
 type recentChanges struct {
-	changes      []Command // each builds on the version that the one before led to
-	bytes        int
-	encodedFeeds map[uint64][]byte // feeds to the current version, by the version that they start from
+	changes      []Command         // each builds on the version that the one before it led to
+	bytes        int               // of the commands' bodies
+	encodedFeeds map[uint64][]byte // encoded feeds to the current version by the version that they start from; 0: complete
 }
 
-// add adds the command that led from one document to the next. It adds a replacement as a shorter update, if there is one.
+// add adds the command that led from one document to the next. In place of a replacement it adds an equivalent update if
+// that is much shorter (see difference).
 func (r *recentChanges) add(before, next *Document, command Command) {
 	if command.Kind == protocol.ConfigurationReplace {
 		command = difference(before, next, command)
@@ -36,7 +37,7 @@
 	r.changes = slices.Delete(r.changes, 0, first)
 }
 
-// since returns the changes after a version, or nil if they are no longer remembered.
+// since returns the changes that lead from a version to the current one, or nil if not all of them are remembered.
 func (r *recentChanges) since(version uint64) []Command {
 	for i := range r.changes {
 		if r.changes[i].Base == version {
--- a/internal/cluster/configuration/replace.go
+++ b/internal/cluster/configuration/replace.go
@@ -1,6 +1,6 @@
 package configuration
 
-// applyReplacement returns the document of a complete configuration that follows d.
+// applyReplacement returns the document of a complete configuration that takes the place of d.
 func (d *Document) applyReplacement(body []byte) (*Document, error) {
 	fields, version, err := parseFields(body)
 	if err != nil {
@@ -16,13 +16,14 @@
 	}
 	for _, name := range []string{sectionRoutes, sectionServices} {
 		if next.sectionNamed(name) == nil {
-			return nil, invalidf("there are no %s", name)
+			return nil, invalidf("there is no field %q: a complete configuration must have it, if only as an empty list", name)
 		}
 	}
 	return next.indexed(d)
 }
 
-// indexed checks a document that has its sections, and fills in what follows from them and from the document before it.
+// indexed checks a document that has its version and sections. It sets the fields that are derived from these and from the
+// document before it: queues, limits, droppedQueues and the earlier services of its routes.
 func (d *Document) indexed(before *Document) (*Document, error) {
 	var err error
 	if d.limits, err = parseLimits(d.sectionNamed(sectionLimits)); err != nil {
@@ -41,12 +42,12 @@
 	return d, nil
 }
 
-// checkRoutes returns an error unless each route has a timeout and a service that exists.
+// checkRoutes returns an error unless each of the routes has a timeout above 0 and a service of the document.
 func (d *Document) checkRoutes(routes []*item) error {
 	services := d.itemsOf(sectionServices)
 	for _, member := range routes {
 		if member.route.TimeoutMs <= 0 {
-			return invalidf("route %q: timeoutMs is %d", member.name, member.route.TimeoutMs)
+			return invalidf("route %q: timeoutMs is %d, it must be above 0", member.name, member.route.TimeoutMs)
 		}
 		if services.get(member.route.Service) == nil {
 			return invalidf("route %q names the unknown service %q", member.name, member.route.Service)
--- a/internal/cluster/configuration/resend_test.go
+++ b/internal/cluster/configuration/resend_test.go
@@ -10,10 +10,10 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// step is the change that leads from a version to the next.
+// step returns the shortest update that leads from a version to the next.
 func step(base uint64) Command { return update(base, fmt.Sprintf(`{"version":%d}`, base+1)) }
 
-// advance has a state accept so many changes.
+// advance has a state accept a number of further commands.
 func advance(state *State, changes int) {
 	GinkgoHelper()
 	for range changes {
@@ -21,7 +21,7 @@
 	}
 }
 
-// reread returns the state as another process restores it from a snapshot.
+// reread returns a copy of the state: another State restored from its snapshot.
 func reread(state *State) *State {
 	GinkgoHelper()
 	data, err := state.Snapshot()
@@ -39,20 +39,20 @@
 		"a removal":     update(5, `{"version":7,"remove":{"routes":["r-2"]}}`),
 	}
 	others := map[string]Command{
-		"the same number, other content":         replace(5, configurationOf(7, routeTwo)),
-		"another number":                         replace(5, configurationOf(8, routeOne)),
-		"the same body as the other kind":        update(5, configurationOf(7, routeOne, routeTwo)),
-		"the same body on an older version":      replace(0, configurationOf(7, routeOne)),
-		"an invalid one of the same number":      replace(5, configurationOf(7, aRoute("r", "h", "/", "?"))),
-		"a command that can't be parsed":         replace(5, `{"version":7`),
-		"the same members in another order":      replace(5, `{"limits":`+someLimits+`,"version":7}`),
-		"not a kind of change":                   {Kind: "erase", Base: 5, Body: []byte(configurationOf(7, routeOne))},
-		"an update of a later number, on the 5":  update(5, `{"version":4000}`),
-		"a removal of what is not there, on 5":   update(5, `{"version":9,"remove":{"routes":["nobody"]}}`),
-		"an empty one":                           update(5, ``),
-		"a number that is below the one it has":  update(5, `{"version":1}`),
-		"an upsert that has no effect in the 5":  update(5, `{"version":11,"upsert":{"routes":[`+routeOne+`]}}`),
-		"a replacement by what was there before": replace(5, configurationOf(12, routeOne, routeTwo)),
+		"the same version, other content":           replace(5, configurationOf(7, routeTwo)),
+		"another version, the same content":         replace(5, configurationOf(8, routeOne)),
+		"the same body as the other kind":           update(5, configurationOf(7, routeOne, routeTwo)),
+		"the same body on an older version":         replace(0, configurationOf(7, routeOne)),
+		"an invalid command of the same version":    replace(5, configurationOf(7, aRoute("r", "h", "/", "?"))),
+		"a command that can't be parsed":            replace(5, `{"version":7`),
+		"other members, of the same version":        replace(5, `{"limits":`+someLimits+`,"version":7}`),
+		"an unknown kind of change":                 {Kind: "erase", Base: 5, Body: []byte(configurationOf(7, routeOne))},
+		"an update to a much later version":         update(5, `{"version":4000}`),
+		"a removal of an item that doesn't exist":   update(5, `{"version":9,"remove":{"routes":["nobody"]}}`),
+		"a command without a body":                  update(5, ``),
+		"a version below the one it builds on":      update(5, `{"version":1}`),
+		"an upsert that had no effect on version 5": update(5, `{"version":11,"upsert":{"routes":[`+routeOne+`]}}`),
+		"a replacement by the content of version 5": replace(5, configurationOf(12, routeOne, routeTwo)),
 	}
 	for name, command := range commands {
 		for _, changes := range []int{0, 1, 100, 2000, maxAcceptedCommands - 2} {
@@ -75,7 +75,7 @@
 		}
 	}
 
-	It("is the same with other white space, but not with its members in another order", func() {
+	It("is acknowledged with other white space, but rejected with its members in another order", func() {
 		state := standard()
 		Expect(state.Execute(update(5, `{"version":7,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
 		advance(state, 3)
@@ -87,14 +87,14 @@
 		Expect(state.Execute(inText).Kind).To(Equal(failure.Conflict), "white space within a string counts")
 	})
 
-	It("is the same whichever operator sends it", func() {
+	It("is acknowledged whichever operator sends it", func() {
 		state := standard()
 		command := replace(5, configurationOf(7, routeTwo))
 		Expect(state.Execute(command)).To(Equal(Result{Version: 7}))
 		Expect(state.Execute(replace(5, configurationOf(7, routeTwo)))).To(Equal(Result{Version: 7}))
 	})
 
-	It("is not the replacement that has the same effect", func() {
+	It("is rejected as a replacement with the same effect", func() {
 		state := standard()
 		Expect(state.Execute(update(5, `{"version":7,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
 		replacement := replace(5, string(state.Document().JSON()))
@@ -103,7 +103,7 @@
 		Expect(state.Execute(replacement).Kind).To(Equal(failure.Conflict))
 	})
 
-	It("is another command on another base", func() {
+	It("is rejected on another base", func() {
 		state := standard()
 		advance(state, 2)
 		for _, base := range []uint64{0, 1, 4, 6, 7} {
@@ -112,7 +112,7 @@
 		Expect(state.Execute(update(5, `{"version":6}`))).To(Equal(Result{Version: 6}))
 	})
 
-	It("stays invalid if it was, also where it would be valid later", func() {
+	It("is never accepted if it was invalid, even if it would be valid on a later version", func() {
 		state := standard()
 		needsLater := replace(5, configurationOf(7, aRoute("r-9", "h", "/", "c"))) // service c comes with the next change
 		Expect(state.Execute(needsLater).Kind).To(Equal(failure.Invalid))
@@ -124,7 +124,7 @@
 		Expect(reread(state).Execute(needsLater).Kind).To(Equal(failure.Conflict))
 	})
 
-	It("stays lost if it lost a race", func() {
+	It("is never accepted if another command on its version was", func() {
 		state := standard()
 		Expect(state.Execute(replace(5, configurationOf(7, routeOne))).Kind).To(Equal(failure.None))
 		loser := replace(5, configurationOf(7, routeTwo))
@@ -136,7 +136,7 @@
 		Expect(state.Execute(replace(5, configurationOf(7, routeOne)))).To(Equal(Result{Version: 7}))
 	})
 
-	It("stays rejected if it was rejected before the version that it builds on", func() {
+	It("is never accepted if it was rejected before its base existed", func() {
 		state := standard()
 		early := update(7, `{"version":9}`)
 		Expect(state.Execute(early).Kind).To(Equal(failure.Conflict))
@@ -149,7 +149,7 @@
 		}
 	})
 
-	It("is never finally rejected if there are too many early ones to remember", func() {
+	It("may be accepted later if it came before its base and was not remembered, since too many were", func() {
 		state := standard()
 		for version := range uint64(maxEarlyCommands) {
 			Expect(state.Execute(step(100 + version)).Kind).To(Equal(failure.Conflict))
@@ -162,7 +162,7 @@
 		Expect(state.Execute(late)).To(Equal(Result{Version: 7}))
 	})
 
-	It("is decided once among eight concurrent ones", func() {
+	It("is acknowledged only if it was the first of eight on one version", func() {
 		state := standard()
 		var concurrent []Command
 		for i := range 8 {
@@ -185,8 +185,8 @@
 	})
 })
 
-var _ = Describe("commands and their duplicates, in any order", func() {
-	It("are decided once: what is acknowledged stays so, what is finally rejected stays rejected", func() {
+var _ = Describe("random commands and their duplicates, in any order,", func() {
+	It("are decided once: a later result of the same command neither accepts a rejected one nor rejects an accepted one", func() {
 		random := rand.New(rand.NewPCG(5, 6))
 		accepted := 0
 		for range 300 {
@@ -207,14 +207,14 @@
 				kind, known := decided[key]
 				switch {
 				case result.Kind == failure.Unavailable:
-					Expect(known).To(BeFalse(), "it was decided")
+					Expect(known).To(BeFalse(), "Unavailable is no result of a command that was decided")
 				case known:
 					Expect(result.Kind == failure.None).To(Equal(kind == failure.None), "%s on %d", command.Body, command.Base)
 				default:
 					decided[key] = result.Kind
 				}
 				if known || result.Kind != failure.None {
-					Expect(state.Document()).To(BeIdenticalTo(before), "nothing changes")
+					Expect(state.Document()).To(BeIdenticalTo(before), "a duplicate or rejected command changes nothing")
 				}
 				if result.Kind == failure.None {
 					winner, found := winners[command.Base]
@@ -227,6 +227,6 @@
 			}
 			accepted += len(winners)
 		}
-		Expect(accepted).To(BeNumerically(">", 300*5), "accepted commands in all")
+		Expect(accepted).To(BeNumerically(">", 300*5), "the number of accepted commands in all rounds")
 	})
 })
--- a/internal/cluster/configuration/state.go
+++ b/internal/cluster/configuration/state.go
@@ -9,27 +9,28 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// The bounds of what is remembered of commands, and of a document.
 const (
-	// maxAcceptedCommands is how many accepted commands are recognised when they are resent: nearly three days of 3,000
-	// changes each.
+	// maxAcceptedCommands is the number of accepted commands that are recognised when they are resent. At 3,000 changes a day
+	// it lasts for nearly three days.
 	maxAcceptedCommands = 8192
-	// maxEarlyCommands is how many rejected commands are remembered that build on a version that doesn't exist yet.
+	// maxEarlyCommands bounds the commands that are remembered because they were rejected before their base existed.
 	maxEarlyCommands = 64
-	// maxDocumentBytes bounds a document that grows by updates, so that it fits into one message to a new follower.
+	// maxDocumentBytes bounds the JSON of a document, which updates could otherwise let grow without limit. A new follower is
+	// sent the complete document in one message, and package transport sends at most 16 MiB in one.
 	maxDocumentBytes = 12 << 20
 )
 
-// State is the replicated state machine of the configuration shard: the current document and the commands that led to it. It
-// serves one goroutine at a time; the documents that it returns may be used by any.
+// State is the replicated state machine of the configuration shard: the current document, and the keys of the commands that
+// led to it. It must be used by one goroutine at a time; the documents that it returns may be used by any.
 //
-// The outcome of a command depends on the entries before it in the log, and on nothing else. At most one command is accepted
-// on each version, so that a base identifies the command that was accepted on it.
+// The kind and version of a Result depend on the entries before the command in the log, and on nothing else. A command is
+// accepted only on the current version and then raises it, so at most one command is accepted on each version, and a base
+// identifies the command that was accepted on it.
 type State struct {
 	document *Document
-	accepted []commandKey  // the newest accepted commands, by rising base
-	early    []commandKey  // rejected commands that build on the current version or a later one
-	recent   recentChanges // not replicated
+	accepted []commandKey  // the newest accepted commands, sorted by base, one for each version that another one replaced
+	early    []commandKey  // commands that were rejected before their base existed; it is the current version or a later one
+	recent   recentChanges // not replicated: neither in snapshots nor in the digest
 }
 
 // commandKey identifies a command. It is encoded by gob: the field names are the format.
@@ -48,8 +49,8 @@
 // Document returns the current document, never nil; it has version 0 before the first configuration.
 func (s *State) Document() *Document { return s.document }
 
-// Apply executes an entry of the log and returns its Result. It has the signature that a replica calls; index and term don't
-// matter.
+// Apply executes an entry of the log and returns its Result. The signature is that of package replica's state machines; the
+// entry's index and term are not used.
 func (s *State) Apply(_, _ uint64, data []byte) any {
 	command, err := DecodeCommand(data)
 	if err != nil {
@@ -58,9 +59,17 @@
 	return s.Execute(command)
 }
 
-// Execute executes a command. One that was accepted before is acknowledged again, whatever came after it; one that was
-// rejected as invalid or in conflict is never accepted later. Of two commands on the same version, the first one wins. If it
-// is no longer known whether a command was accepted, the Result is of kind failure.Forgotten.
+// Execute executes a command. The result depends on the version that the command builds on, its base:
+//   - The current version: the command is accepted, unless it is invalid (Invalid) or was rejected before the version
+//     existed (Conflict).
+//   - An earlier version: the command is acknowledged again if it is the one that was accepted on that version, whatever
+//     came after it. Any other command is rejected (Conflict). If the accepted one is no longer remembered, the state can't
+//     tell whether this is it (Forgotten).
+//   - A later version: the command is rejected (Conflict) and remembered, or is not decided at all if too many are
+//     remembered (Unavailable).
+//
+// So a command that was accepted is never executed a second time, and one that was rejected with Invalid or Conflict is
+// never accepted later, however often and however late it is resent.
 func (s *State) Execute(command Command) Result {
 	switch current := s.document.version; {
 	case command.Base < current:
@@ -75,7 +84,8 @@
 		return s.reject(failure.KindOf(err), err)
 	}
 	if next.size() > maxDocumentBytes {
-		return s.rejectf(failure.Invalid, "a configuration has at most %d bytes", maxDocumentBytes)
+		return s.rejectf(failure.Invalid, "the configuration would have about %d bytes of JSON, the limit is %d",
+			next.size(), maxDocumentBytes)
 	}
 	s.recent.add(s.document, next, command)
 	s.recordAccepted(command)
@@ -84,8 +94,8 @@
 	return Result{Version: next.version}
 }
 
-// answerResent returns the result of a command that builds on a version before the current one: it was accepted, or another
-// one was.
+// answerResent returns the result of a command that builds on a version before the current one. Either this command was
+// accepted on that version, or another one was.
 func (s *State) answerResent(command Command) Result {
 	if len(s.accepted) == 0 || command.Base < s.accepted[0].Base {
 		return s.rejectf(failure.Forgotten, "version %d is current; which change of version %d was accepted is no longer known",
@@ -97,8 +107,9 @@
 	return s.rejectf(failure.Conflict, "version %d is current, the change builds on %d", s.document.version, command.Base)
 }
 
-// rejectEarly rejects a command that builds on a version that doesn't exist yet. A duplicate of it may still be on its way
-// once it does: the command is remembered until then, so that the duplicate is rejected as well.
+// rejectEarly rejects a command that builds on a version that doesn't exist yet. A duplicate of the command may arrive after
+// that version has come to exist, and would be valid then, though the sender was told that its command is rejected. So the
+// command is remembered until its base is an earlier version, and Execute rejects the duplicate.
 func (s *State) rejectEarly(command Command) Result {
 	if key := keyOfCommand(command); !slices.Contains(s.early, key) {
 		if len(s.early) >= maxEarlyCommands {
@@ -109,21 +120,22 @@
 	return s.rejectf(failure.Conflict, "version %d is current, the change builds on %d", s.document.version, command.Base)
 }
 
-// dropEarly forgets the early commands that would now be rejected in any case.
+// dropEarly forgets the early commands whose base is before the current version: answerResent rejects their duplicates.
 func (s *State) dropEarly() {
 	s.early = slices.DeleteFunc(s.early, func(key commandKey) bool { return key.Base < s.document.version })
 }
 
+// rejectf returns the result of a command that is not accepted, with a message.
 func (s *State) rejectf(kind failure.Kind, format string, args ...any) Result {
 	return s.reject(kind, failure.Newf(kind, format, args...))
 }
 
-// reject returns the result of a command that is not accepted.
+// reject returns the result of a command that is not accepted, with the message of an error.
 func (s *State) reject(kind failure.Kind, err error) Result {
 	return Result{Kind: kind, Version: s.document.version, Message: messageOf(err)}
 }
 
-// messageOf returns an error's message, without the kind if it is a failure.Error.
+// messageOf returns an error's message; that of a failure.Error without the name of its kind.
 func messageOf(err error) string {
 	var known *failure.Error
 	if errors.As(err, &known) {
@@ -132,7 +144,7 @@
 	return err.Error()
 }
 
-// wasAccepted reports whether a command is one of the remembered accepted ones.
+// wasAccepted reports whether a command is one of the accepted commands that are remembered.
 func (s *State) wasAccepted(command Command) bool {
 	at, found := slices.BinarySearchFunc(s.accepted, command.Base, func(key commandKey, base uint64) int {
 		return cmp.Compare(key.Base, base)
@@ -140,7 +152,7 @@
 	return found && s.accepted[at].Digest == digestOfCommand(command)
 }
 
-// resultVersion returns the version that an accepted command led to.
+// resultVersion returns the version that an accepted command led to, which is in its body.
 func (s *State) resultVersion(command Command) uint64 {
 	_, version, err := parseFields(command.Body)
 	if err != nil {
@@ -149,7 +161,7 @@
 	return version
 }
 
-// recordAccepted remembers an accepted command, and forgets the oldest beyond maxAcceptedCommands.
+// recordAccepted remembers an accepted command, and forgets the oldest one if there are more than maxAcceptedCommands.
 func (s *State) recordAccepted(command Command) {
 	s.accepted = append(s.accepted, keyOfCommand(command))
 	if len(s.accepted) > maxAcceptedCommands {
--- a/internal/cluster/configuration/state_test.go
+++ b/internal/cluster/configuration/state_test.go
@@ -18,7 +18,7 @@
 	version uint64
 }
 
-var _ = DescribeTable("successive commands",
+var _ = DescribeTable("the results of successive commands:",
 	func(outcomes ...outcome) {
 		state := NewState()
 		for i, each := range outcomes {
@@ -27,55 +27,55 @@
 			Expect(result.Version).To(Equal(each.version), "command %d", i)
 		}
 	},
-	Entry("the first one, resent until it is acknowledged",
+	Entry("the first command is acknowledged each time it is resent",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5}),
-	Entry("the first one on a version that doesn't exist",
+	Entry("the first command must build on version 0",
 		outcome{replace(3, configurationOf(5, routeOne)), failure.Conflict, 0},
 		outcome{update(0, `{"version":1}`), failure.None, 1}),
-	Entry("two operators on one version: the first wins",
+	Entry("of two commands on one version, the first is accepted",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{replace(5, configurationOf(7, routeOne, routeTwo)), failure.None, 7},
 		outcome{replace(5, configurationOf(8, routeTwo)), failure.Conflict, 7},
 		outcome{replace(5, configurationOf(7, routeOne, routeTwo)), failure.None, 7}),
-	Entry("two operators on one version, with the same number",
+	Entry("of two commands on one version that lead to the same version, the first is accepted",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{update(5, `{"version":7,"remove":{"routes":["r-1"]}}`), failure.None, 7},
 		outcome{replace(5, configurationOf(7, routeTwo)), failure.Conflict, 7},
 		outcome{update(5, `{"version":7,"remove":{"routes":["r-1"]}}`), failure.None, 7}),
-	Entry("a command resent after others",
+	Entry("a command is acknowledged again after others were accepted",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{update(5, `{"version":7}`), failure.None, 7},
 		outcome{update(7, `{"version":9}`), failure.None, 9},
 		outcome{update(5, `{"version":7}`), failure.None, 7},
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5}),
-	Entry("a command resent with other white space",
+	Entry("a command is acknowledged again with other white space",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{update(5, `{"version":7, "remove" : {}}`), failure.None, 7},
 		outcome{update(5, `{"version":7,"remove":{}}`), failure.None, 7}),
-	Entry("the same body as the other kind of change, or on another version",
+	Entry("the same body is another command as the other kind of change, or on another version",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{update(0, configurationOf(5, routeOne)), failure.Conflict, 5},
 		outcome{replace(5, configurationOf(5, routeOne)), failure.Invalid, 5},
 		outcome{replace(4, configurationOf(5, routeOne)), failure.Conflict, 5}),
-	Entry("on a version that doesn't exist yet",
+	Entry("a command on a version that doesn't exist yet is rejected",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{replace(6, configurationOf(7, routeOne)), failure.Conflict, 5}),
-	Entry("stale and invalid",
+	Entry("an invalid command on an old version is in conflict",
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{replace(1, `{`), failure.Conflict, 5}),
-	Entry("an invalid command doesn't preclude a valid one",
+	Entry("a valid command is accepted after an invalid one on the same version",
 		outcome{replace(0, `{"version":1`), failure.Invalid, 0},
 		outcome{replace(0, configurationOf(5, routeOne)), failure.None, 5},
 		outcome{replace(5, configurationOf(6, aRoute("r", "h", "/", "?"))), failure.Invalid, 5},
 		outcome{replace(5, configurationOf(6, routeOne)), failure.None, 6}),
-	Entry("not a kind of change",
+	Entry("a command of an unknown kind is invalid",
 		outcome{Command{Kind: "erase", Body: []byte(`{"version":1}`)}, failure.Invalid, 0}),
 )
 
 var _ = Describe("the state machine", func() {
-	It("can be applied by a replica", func() {
+	It("executes the entries that a replica applies", func() {
 		state := NewState()
 		data, err := EncodeCommand(replace(0, configurationOf(5, routeOne)))
 		Expect(err).NotTo(HaveOccurred())
@@ -124,20 +124,20 @@
 		Expect(err).To(MatchError(ContainSubstring("format")))
 	})
 
-	It("remembers the newest commands only, and rejects none that it may have accepted", func() {
+	It("remembers the newest accepted commands only, and gives no final answer to older ones", func() {
 		state := stateWith(update(0, `{"version":1}`))
 		for version := uint64(1); version <= maxAcceptedCommands; version++ {
 			Expect(state.Execute(step(version)).Kind).To(Equal(failure.None))
 		}
 		Expect(state.accepted).To(HaveLen(maxAcceptedCommands))
 		Expect(state.Execute(update(0, `{"version":1}`)).Kind).To(Equal(failure.Forgotten))
-		Expect(state.Execute(update(0, `{"version":2}`)).Kind).To(Equal(failure.Forgotten), "nor one that was rejected")
+		Expect(state.Execute(update(0, `{"version":2}`)).Kind).To(Equal(failure.Forgotten), "one that was rejected")
 		Expect(state.Execute(step(1))).To(Equal(Result{Version: 2}))
 		Expect(state.Execute(update(1, `{"version":3}`)).Kind).To(Equal(failure.Conflict))
 		Expect(answers.To(failure.Forgotten).Status).To(BeNumerically(">=", 500), "not a final answer")
 	})
 
-	It("accepts no update that makes it too large for one message", func() {
+	It("accepts no update that makes the document too large for one message", func() {
 		state := standard()
 		largeUpdate := func(base uint64, section string) Command {
 			return update(base, fmt.Sprintf(`{"version":%d,"upsert":{"%s":%q}}`, base+1, section, strings.Repeat("x", 3<<20)))
--- a/internal/cluster/configuration/table.go
+++ b/internal/cluster/configuration/table.go
@@ -4,11 +4,12 @@
 	"strings"
 )
 
-// Table finds the route of a request. It never changes, and may be used by any goroutine.
+// Table finds the route of a request. It never changes and may be used by any goroutine.
 type Table struct{ queues queueIndex }
 
-// Lookup returns the route of a request's host whose path prefix is the longest one that the path starts with, and the rest
-// of the path after that prefix. ok is false, and route nil, if there is none. Hosts are compared without case and port.
+// Lookup returns the route for a host and path: of the host's routes whose prefix the path starts with, that with the
+// longest prefix. rest is the path after the prefix. ok is false, and route nil, if the path starts with no prefix of the
+// host. Hosts are compared without case and port.
 func (t *Table) Lookup(host, path string) (route *Route, rest string, ok bool) {
 	host = normalizeHost(host)
 	bound := path
@@ -20,8 +21,11 @@
 		if i < 0 || t.queues[i].queue.host != host {
 			return nil, "", false
 		}
-		// Prefixes of the bound sort before it, and whatever sorts between one of them and the bound begins with it, too. So
-		// none is longer than what the bound and the last item before it have in common, to which the bound is truncated.
+		// Invariant: bound starts with every route prefix of the host that path starts with.
+		// Item i is the last one of the host at or before bound in the order of the index. If bound starts with the prefix of
+		// item i, that is the longest match, since a longer one would sort after it. Otherwise every match m sorts before item
+		// i, and all strings in the order between m and bound start with m. So m is a prefix of both item i and bound, and
+		// bound can be truncated to what these two have in common. That is shorter than bound, so the loop ends.
 		prefix := t.queues[i].queue.prefix
 		common := commonLength(prefix, bound)
 		if common == len(prefix) {
@@ -34,7 +38,7 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.queues) }
 
-// commonLength returns the length of the longest common prefix.
+// commonLength returns the length, in bytes, of the longest common prefix of two strings.
 func commonLength(a, b string) int {
 	length := min(len(a), len(b))
 	for i := range length {
@@ -45,7 +49,8 @@
 	return length
 }
 
-// normalizeHost returns the name in a Host header, in lower case and without the port.
+// normalizeHost returns the host of a Host header in lower case and without the port. A colon in an IPv6 address that ends
+// with "]" separates no port.
 func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/internal/cluster/configuration/update.go
+++ b/internal/cluster/configuration/update.go
@@ -8,18 +8,19 @@
 // parsedUpdate is the body of an update.
 type parsedUpdate struct {
 	version  uint64
-	upserts  []section
+	upserts  []section // lists with the items to add or replace, and sections of other kinds to replace as a whole
 	removals []removal
 }
 
-// removal is the names of items to remove from one section.
+// removal has the names of the items to remove from one section.
 type removal struct {
 	section string
 	names   []string
 }
 
-// applyUpdate returns the document that follows d by an update. Removals come first; removing an item that is not there is
-// allowed, so that an update can build on any state in which its effect makes sense.
+// applyUpdate returns the document that an update makes of d. Removals are done before upserts, so an item that is both
+// removed and upserted exists afterwards. Removing an item that doesn't exist is no error, so that an update can build on
+// any document in which its effect makes sense.
 func (d *Document) applyUpdate(body []byte) (*Document, error) {
 	update, err := d.parseUpdate(body)
 	if err != nil {
@@ -38,14 +39,14 @@
 	return next, next.reindex(d, update)
 }
 
-// remove removes items from a section. It does nothing if there is no such list.
+// remove removes items from a section. It does nothing if the section doesn't exist or is no list.
 func (d *Document) remove(removal removal) {
 	if present := d.sectionNamed(removal.section); present != nil && present.isList {
 		present.list = present.list.with(removal.names, nil)
 	}
 }
 
-// upsert adds or replaces items of a list. A section that is new, or not a list, is added or replaced as one.
+// upsert adds or replaces items if the section is a list in both d and upsert. Else it adds or replaces the whole section.
 func (d *Document) upsert(upsert section) {
 	present := d.sectionNamed(upsert.name)
 	switch {
@@ -58,7 +59,8 @@
 	}
 }
 
-// reindex checks what an update changed, and fills in what follows from the sections.
+// reindex checks what the update changed, and sets the fields of d that are derived from its sections: queues, limits,
+// droppedQueues and the earlier services of the added routes.
 func (d *Document) reindex(before *Document, update *parsedUpdate) error {
 	removed, added := routeChanges(before, update)
 	var err error
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// checkChanged checks the changed routes, or all routes if services were removed.
+// checkChanged checks the added routes, or all routes if services are removed, since any route may name one of them.
 func (d *Document) checkChanged(update *parsedUpdate, added []*item) error {
 	for _, removal := range update.removals {
 		if removal.section == sectionServices {
@@ -87,7 +89,8 @@
 	return d.checkRoutes(added)
 }
 
-// routeChanges returns the routes that an update removes or replaces, and those that it adds.
+// routeChanges returns the routes of before that an update removes or replaces, sorted by queue, and the routes that it adds
+// or puts in place of others.
 func routeChanges(before *Document, update *parsedUpdate) (removed, added []*item) {
 	routes := before.itemsOf(sectionRoutes)
 	isRemoved := map[*item]bool{}
@@ -119,12 +122,12 @@
 	return removed, added
 }
 
-// upsertsSection reports whether the update upserts in the section with that name.
+// upsertsSection reports whether the update has upserts for the section with that name.
 func (u *parsedUpdate) upsertsSection(name string) bool {
 	return slices.ContainsFunc(u.upserts, func(upsert section) bool { return upsert.name == name })
 }
 
-// parseUpdate parses the body of an update: `version`, `upsert` and `remove`.
+// parseUpdate parses the body of an update, an object with the fields `version`, `upsert` and `remove`. Others are ignored.
 func (d *Document) parseUpdate(body []byte) (*parsedUpdate, error) {
 	fields, version, err := parseFields(body)
 	if err != nil {
@@ -145,6 +148,7 @@
 	return update, nil
 }
 
+// parseUpserts parses the value of `upsert`: an object of sections.
 func (d *Document) parseUpserts(value []byte) ([]section, error) {
 	fields, isObject := jsonObject(value)
 	if !isObject {
@@ -164,6 +168,7 @@
 	return upserts, nil
 }
 
+// parseRemovals parses the value of `remove`: an object of lists of names, by section.
 func parseRemovals(value []byte) ([]removal, error) {
 	fields, isObject := jsonObject(value)
 	if !isObject {
--- a/internal/cluster/configuration/update_test.go
+++ b/internal/cluster/configuration/update_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-var _ = DescribeTable("an update that is accepted",
+var _ = DescribeTable("an update is accepted if it has",
 	func(body, want string) {
 		state := standard()
 		before := state.Document()
@@ -26,27 +26,27 @@
 	Entry("nothing but the version", `{"version":9}`, configurationOf(9, routeOne, routeTwo)),
 	Entry("a new route", `{"version":9,"upsert":{"routes":[`+aRoute("r-3", "h", "/p/", "a")+`]}}`,
 		configurationOf(9, routeOne, routeTwo, aRoute("r-3", "h", "/p/", "a"))),
-	Entry("a new route whose name comes first", `{"version":9,"upsert":{"routes":[`+aRoute("q", "h", "/p/", "a")+`]}}`,
+	Entry("a new route that sorts before all others", `{"version":9,"upsert":{"routes":[`+aRoute("q", "h", "/p/", "a")+`]}}`,
 		configurationOf(9, aRoute("q", "h", "/p/", "a"), routeOne, routeTwo)),
-	Entry("a route replaced", `{"version":9,"upsert":{"routes":[`+aRoute("r-1", "h", "/p/", "b")+`]}}`,
+	Entry("a route in place of another", `{"version":9,"upsert":{"routes":[`+aRoute("r-1", "h", "/p/", "b")+`]}}`,
 		configurationOf(9, aRoute("r-1", "h", "/p/", "b"), routeTwo)),
-	Entry("a route as it is", `{"version":9,"upsert":{"routes":[`+routeOne+`]}}`, configurationOf(9, routeOne, routeTwo)),
-	Entry("a route removed", `{"version":9,"remove":{"routes":["r-1"]}}`, configurationOf(9, routeTwo)),
-	Entry("all routes removed", `{"version":9,"remove":{"routes":["r-1","r-2"]}}`, configurationOf(9)),
-	Entry("an unknown route removed", `{"version":9,"remove":{"routes":["r-old"],"others":["x"],"limits":["y"]}}`,
+	Entry("a route that doesn't change", `{"version":9,"upsert":{"routes":[`+routeOne+`]}}`, configurationOf(9, routeOne, routeTwo)),
+	Entry("a removal of a route", `{"version":9,"remove":{"routes":["r-1"]}}`, configurationOf(9, routeTwo)),
+	Entry("a removal of all routes", `{"version":9,"remove":{"routes":["r-1","r-2"]}}`, configurationOf(9)),
+	Entry("removals of items that don't exist", `{"version":9,"remove":{"routes":["r-old"],"others":["x"],"limits":["y"]}}`,
 		configurationOf(9, routeOne, routeTwo)),
-	Entry("removed and added under one name", `{"version":9,"remove":{"routes":["r-1"]},"upsert":{"routes":[`+
+	Entry("a removal and an upsert of one name", `{"version":9,"remove":{"routes":["r-1"]},"upsert":{"routes":[`+
 		aRoute("r-1", "h", "/p/", "b")+`]}}`, configurationOf(9, aRoute("r-1", "h", "/p/", "b"), routeTwo)),
-	Entry("another route of a queue whose route is removed", `{"version":9,"remove":{"routes":["r-1"]},"upsert":{"routes":[`+
+	Entry("a new route for the queue of a route that is removed", `{"version":9,"remove":{"routes":["r-1"]},"upsert":{"routes":[`+
 		aRoute("r-9", "one.example", "/one/", "b")+`]}}`, configurationOf(9, routeTwo, aRoute("r-9", "one.example", "/one/", "b"))),
-	Entry("two routes swap queues", `{"version":9,"upsert":{"routes":[`+
+	Entry("two routes that swap their queues", `{"version":9,"upsert":{"routes":[`+
 		aRoute("r-1", "one.example", "/two/", "a")+`,`+aRoute("r-2", "one.example", "/one/", "a")+`]}}`,
 		configurationOf(9, aRoute("r-1", "one.example", "/two/", "a"), aRoute("r-2", "one.example", "/one/", "a"))),
-	Entry("a service and its route at once", `{"version":9,"upsert":{"services":[{"name":"c"}],"routes":[`+aRoute("r-3", "h", "/p/", "c")+`]}}`,
+	Entry("a new service and its route", `{"version":9,"upsert":{"services":[{"name":"c"}],"routes":[`+aRoute("r-3", "h", "/p/", "c")+`]}}`,
 		strings.Replace(configurationOf(9, routeOne, routeTwo, aRoute("r-3", "h", "/p/", "c")), serviceB, serviceB+`,{"name":"c"}`, 1)),
-	Entry("a service removed with its route", `{"version":9,"remove":{"services":["b"],"routes":["r-2"]}}`,
+	Entry("a removal of a service and its route", `{"version":9,"remove":{"services":["b"],"routes":["r-2"]}}`,
 		strings.Replace(configurationOf(9, routeOne), ","+serviceB, "", 1)),
-	Entry("limits", `{"version":9,"upsert":{"limits":{"idleTimeoutMs":1}}}`,
+	Entry("new limits", `{"version":9,"upsert":{"limits":{"idleTimeoutMs":1}}}`,
 		strings.Replace(configurationOf(9, routeOne, routeTwo), someLimits, `{"idleTimeoutMs":1}`, 1)),
 	Entry("an unknown section", `{"version":9,"upsert":{"tenants":[{"name":"t","keys":["k"]}]}}`,
 		strings.Replace(configurationOf(9, routeOne, routeTwo), `"limits"`, `"tenants":[{"name":"t","keys":["k"]}],"limits"`, 1)),
@@ -55,8 +55,8 @@
 		configurationOf(9, strings.Replace(routeOne, "{", `{"odd\"\\":[{"x":"]}"},null],`, 1), routeTwo)),
 )
 
-var _ = Describe("a list that is not sorted", func() {
-	It("keeps the operator's order", func() {
+var _ = Describe("a list that is not sorted by name", func() {
+	It("keeps the operator's order, with new items at the end", func() {
 		state := stateWith(replace(0, configurationOf(1, routeTwo, routeOne, aRoute("r-0", "h", "/p/", "a"))))
 		result := state.Execute(update(1, `{"version":2,"remove":{"routes":["r-1"]},"upsert":{"routes":[`+aRoute("a", "h", "/q/", "a")+`]}}`))
 		Expect(result.Kind).To(Equal(failure.None))
@@ -65,7 +65,7 @@
 	})
 })
 
-var _ = Describe("the document", func() {
+var _ = Describe("a document", func() {
 	It("returns items by name, and the limits", func() {
 		document := standard().Document()
 		Expect(document.Route("r-2").GetExtension()).To(Equal(4.0))
@@ -94,12 +94,12 @@
 		Expect(document.Table().Len()).To(BeZero())
 	})
 
-	It("reads back byte for byte what a replacement sent", func() {
+	It("returns byte for byte the JSON of a replacement", func() {
 		body := configurationOf(5, routeOne, routeTwo)
 		Expect(string(standard().Document().JSON())).To(Equal(body))
 	})
 
-	It("takes unchanged items over unparsed", func() {
+	It("shares unchanged items with the document before", func() {
 		state := standard()
 		before := state.Document()
 		Expect(state.Execute(replace(5, configurationOf(6, routeOne, aRoute("r-15", "h", "/", "a"), routeTwo))).Kind).To(Equal(failure.None))
