--- a/internal/cli/shards.go
+++ b/internal/cli/shards.go
@@ -160,7 +160,7 @@
 			texts = append(texts, name+" unresponsive")
 			continue
 		}
-		texts = append(texts, fmt.Sprintf("%s %d, %d", name, m.Applied, m.Lacking))
+		texts = append(texts, fmt.Sprintf("%s %d, %d", name, m.Applied, m.Lag))
 	}
 	return strings.Join(texts, "; ")
 }
--- a/internal/cluster/administration/digests.go
+++ b/internal/cluster/administration/digests.go
@@ -51,7 +51,7 @@
 }
 
 // Digests collects the digests of every shard's state from the members that answer, as of one index for each shard. A
-// member whose state is past the index, or doesn't reach it in time, returns no digest; so a shard in use may take several
+// member that is past the index, or doesn't reach it in time, returns no digest; so a shard in use may take several
 // attempts.
 func (c *Client) Digests(ctx context.Context) ([]ShardDigests, error) {
 	var all []ShardDigests
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -263,7 +263,7 @@
 // SyncDir does nothing, since nothing is modified.
 func (readOnly) SyncDir(string) error { return nil }
 
-// Lock returns errReadOnly; lockFolder locks the folder by itself.
+// Lock returns errReadOnly; lockFolder doesn't use it.
 func (readOnly) Lock(string) (io.Closer, error) { return nil, errReadOnly }
 
 // isSnapshot reports whether a file of that name should be a snapshot.
--- a/internal/cluster/administration/shards.go
+++ b/internal/cluster/administration/shards.go
@@ -37,9 +37,9 @@
 	Commit  uint64      `json:"commit"`
 	Applied uint64      `json:"applied"`
 
-	// Lacking is the number of entries that the member is behind: entries of the owner that it has not acknowledged. If no
+	// Lag is the number of entries that the member is behind: entries of the owner that it has not acknowledged. If no
 	// owner answered, committed entries of the newest report that the member doesn't know as committed.
-	Lacking uint64 `json:"lacking"`
+	Lag uint64 `json:"lacking"`
 }
 
 // Shards merges reports. It returns the shards that they have, sorted by number.
@@ -94,7 +94,7 @@
 func shardMember(reports []Report, group *GroupReport, member *MemberReport) ShardMember {
 	view := ShardMember{
 		Node: member.Node, Address: member.Address, ID: identity.ID(member.ID), Learner: member.Learner, Change: member.Change,
-		Lacking: member.Entries,
+		Lag: member.Entries,
 	}
 	for i := range reports {
 		if reports[i].Identity != member.ID {
@@ -107,7 +107,7 @@
 			view.Answers = true
 			view.Commit, view.Applied = own.Commit, own.Applied
 			if !group.Owner {
-				view.Lacking = group.Commit - min(own.Commit, group.Commit)
+				view.Lag = group.Commit - min(own.Commit, group.Commit)
 			}
 			if view.Node == "" {
 				view.Node = reports[i].Node
--- a/internal/cluster/administration/submit.go
+++ b/internal/cluster/administration/submit.go
@@ -132,14 +132,14 @@
 	}
 	var reported struct{ Error, Message string }
 	if json.Unmarshal(r.body.Bytes(), &reported) != nil || reported.Message == "" {
-		return failure.Newf(failure.UnknownOutcome, "the response is %d, %q", r.status, r.body.String())
+		return failure.Newf(failure.UnknownOutcome, "the frontend's response has status %d and no error message: %q", r.status, r.body.String())
 	}
 	for kind := failure.None + 1; kind != 0; kind++ {
 		if kind.String() == reported.Error {
 			return failure.New(kind, withoutKind(reported.Message, kind))
 		}
 	}
-	return failure.Newf(failure.UnknownOutcome, "the response is %d, %s", r.status, reported.Message)
+	return failure.Newf(failure.UnknownOutcome, "the frontend's response has status %d and an unknown kind of error: %s", r.status, reported.Message)
 }
 
 // withoutKind returns an error's text without the name of its kind, if it begins with that.
--- a/internal/cluster/administration/submit_test.go
+++ b/internal/cluster/administration/submit_test.go
@@ -59,5 +59,5 @@
 	ginkgo.Entry("a kind of error", 429, `{"error":"overloaded","message":"overloaded: full"}`, failure.Overloaded, "full"),
 	ginkgo.Entry("the kind of an unknown outcome", 504, `{"error":"unknown_outcome","message":"cut"}`, failure.UnknownOutcome, "cut"),
 	ginkgo.Entry("a kind that doesn't exist", 418, `{"error":"teapot","message":"short and stout"}`, failure.UnknownOutcome, "short and stout"),
-	ginkgo.Entry("no body", 500, "", failure.UnknownOutcome, "the response is 500"),
+	ginkgo.Entry("no body", 500, "", failure.UnknownOutcome, "the frontend's response has status 500"),
 )
--- a/internal/cluster/configuration/bench_test.go
+++ b/internal/cluster/configuration/bench_test.go
@@ -75,7 +75,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	state := stateWithRoutes(b, 20000)
 	for version := uint64(1); version <= maxAcceptedCommands; version++ {
-		state.Execute(step(version))
+		state.Execute(emptyUpdate(version))
 	}
 	var data []byte
 	b.Run("write", func(b *testing.B) {
--- a/internal/cluster/configuration/digest_test.go
+++ b/internal/cluster/configuration/digest_test.go
@@ -23,7 +23,7 @@
 		Expect(state.Execute(update(20, `{"version":21}`)).Kind).To(Equal(failure.Conflict))
 		Expect(state.Digest()).NotTo(Equal(full().Digest()), "the early command is remembered")
 		Expect(full().Digest()).To(Equal(full().Digest()))
-		Expect(reread(state).Digest()).To(Equal(state.Digest()))
+		Expect(restoredCopy(state).Digest()).To(Equal(state.Digest()))
 	})
 
 	It("doesn't depend on the types that the process has encoded before", func() {
--- a/internal/cluster/configuration/doc.go
+++ b/internal/cluster/configuration/doc.go
@@ -2,7 +2,7 @@
 //   - the parser of changes, with the checks that a change must pass (Document),
 //   - the state machine that every replica of the configuration shard runs (State),
 //   - the lookup of a request's route (Table), and
-//   - the feed by which other processes follow the newest version (State.Since, Advance).
+//   - the feed with which other processes follow the newest version (State.Since, Advance).
 //
 // The package uses no clock, no I/O, no goroutines and no random numbers. So the same commands in the same order lead to the
 // same state, and to results of the same kind and version, on each replica; State.Digest shows whether they did. A State
--- a/internal/cluster/configuration/document.go
+++ b/internal/cluster/configuration/document.go
@@ -128,10 +128,10 @@
 
 // size estimates the length of the JSON, in bytes.
 func (d *Document) size() int {
-	const head = 64 // bytes of the version and the braces, and of the name of each section
-	size := head
+	const overhead = 64 // bytes of the version and the braces, and of the name of each section
+	size := overhead
 	for i := range d.sections {
-		size += head + len(d.sections[i].raw)
+		size += overhead + len(d.sections[i].raw)
 		for _, member := range d.sections[i].list.items {
 			size += len(member.raw) + 1
 		}
--- a/internal/cluster/configuration/earlierservices.go
+++ b/internal/cluster/configuration/earlierservices.go
@@ -9,9 +9,9 @@
 // the quarter that has had no route for the longest time is forgotten.
 const maxDroppedQueues = 16384
 
-// inheritServices sets the earlier services of d's queues from those of the document before it. removed has the routes of
-// before whose queues may have no route in d, added has at least the new and changed routes of d. The items of all other
-// routes are shared with before and have their earlier services already.
+// inheritServices sets the earlier services of d's queues from those of the document before it. removed has at least the
+// routes of before that d doesn't have, added at least the new and changed routes of d. The items of all other routes are
+// shared with before and have their earlier services already.
 func (d *Document) inheritServices(before *Document, removed, added []*item) {
 	for _, member := range added {
 		d.inheritServicesOf(before, member)
@@ -63,7 +63,7 @@
 	return others
 }
 
-// trimDroppedQueues forgets the quarter of the dropped queues whose routes were removed in the earliest versions; among
+// trimDroppedQueues forgets the quarter of the dropped queues that lost their routes in the earliest versions; among
 // queues of one version the order of the keys decides, so that all replicas forget the same.
 func (d *Document) trimDroppedQueues() {
 	byAge := slices.Clone(d.droppedQueues)
--- a/internal/cluster/configuration/feed.go
+++ b/internal/cluster/configuration/feed.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// feed is the message by which a follower gets to the current version. It has either an image of that version, or the
+// feed is the message that brings a follower to the current version. It has either an image of that version, or the
 // changes that lead to it from the follower's version. It is encoded by gob: the field names are the format.
 type feed struct {
 	Image   *image
--- a/internal/cluster/configuration/fixtures_test.go
+++ b/internal/cluster/configuration/fixtures_test.go
@@ -8,35 +8,35 @@
 	"ospreypond/internal/fixturetest"
 )
 
-// shown is the content of a state or a document as the fixtures list it. The digest covers the commands that are remembered
-// and the services of all queues.
-type shown struct {
+// content has the properties of a state or a document that the fixtures list. The digest covers the commands that are
+// remembered and the services of all queues.
+type content struct {
 	Version uint64
 	JSON    string
-	Earlier []string // earlier services of a queue whose service changed, then of one without a route
+	Earlier []string // earlier services of a queue with a changed service, then of one without a route
 	Digest  uint64
 }
 
-// show returns the content of a state.
-func show(s *State) *shown {
+// contentOf returns the content of a state.
+func contentOf(s *State) *content {
 	document := s.Document()
 	earlier := append(document.EarlierServices("one.example/one/"), document.EarlierServices("one.example/two/")...)
-	return &shown{Version: document.Version(), JSON: string(document.JSON()), Earlier: earlier, Digest: s.Digest()}
+	return &content{Version: document.Version(), JSON: string(document.JSON()), Earlier: earlier, Digest: s.Digest()}
 }
 
-// showDocument returns the content of a decoded document, or the error of its decoding.
-func showDocument(d *Document, err error) (any, error) {
+// contentOfDocument returns the content of a decoded document, or the error of its decoding.
+func contentOfDocument(d *Document, err error) (any, error) {
 	if err != nil {
 		return nil, err
 	}
-	return show(&State{document: d}), nil
+	return contentOf(&State{document: d}), nil
 }
 
-// stateWithHistory returns a state with lists and other sections, a queue whose service changed, one without a route,
+// stateWithHistory returns a state with lists and other sections, a queue with a changed service, one without a route,
 // accepted commands and an early one.
 func stateWithHistory() *State {
 	GinkgoHelper()
-	state := standard()
+	state := standardState()
 	moved := aRoute("r-1", "one.example", "/one/", "b")
 	for _, command := range []Command{
 		update(5, `{"version":6,"upsert":{"routes":[`+moved+`]}}`),
@@ -66,12 +66,12 @@
 			Encode: func() (any, []byte, error) {
 				state := stateWithHistory()
 				data, err := state.Snapshot()
-				return show(state), data, err
+				return contentOf(state), data, err
 			},
 			Decode: func(data []byte) (any, error) {
 				state := NewState()
 				err := state.Restore(data)
-				return show(state), err
+				return contentOf(state), err
 			},
 		})
 	})
@@ -84,10 +84,10 @@
 				if err != nil {
 					return nil, nil, err
 				}
-				value, err := showDocument(state.Document(), nil)
+				value, err := contentOfDocument(state.Document(), nil)
 				return value, data, err
 			},
-			Decode: func(data []byte) (any, error) { return showDocument(Decode(data)) },
+			Decode: func(data []byte) (any, error) { return contentOfDocument(Decode(data)) },
 		})
 	})
 
@@ -99,10 +99,10 @@
 				if err != nil {
 					return nil, nil, err
 				}
-				value, err := showDocument(state.Document(), nil)
+				value, err := contentOfDocument(state.Document(), nil)
 				return value, data, err
 			},
-			Decode: func(data []byte) (any, error) { return showDocument(Advance(standard().Document(), data)) },
+			Decode: func(data []byte) (any, error) { return contentOfDocument(Advance(standardState().Document(), data)) },
 		})
 	})
 })
--- a/internal/cluster/configuration/parse.go
+++ b/internal/cluster/configuration/parse.go
@@ -7,8 +7,8 @@
 	"unicode/utf8"
 )
 
-// parser parses the sections of one command. An item whose bytes are those of the item in the previous document becomes that
-// very item: difference and inheritServicesOf recognise unchanged items by their pointers.
+// parser parses the sections of one command. An item that has the same bytes as one of the previous document is taken over
+// from there, not made a second time: difference and inheritServicesOf recognise unchanged items by their pointers.
 type parser struct {
 	previous *Document
 }
--- a/internal/cluster/configuration/resend_test.go
+++ b/internal/cluster/configuration/resend_test.go
@@ -10,19 +10,19 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// step returns the shortest update that leads from a version to the next.
-func step(base uint64) Command { return update(base, fmt.Sprintf(`{"version":%d}`, base+1)) }
+// emptyUpdate returns the shortest update that leads from a version to the next.
+func emptyUpdate(base uint64) Command { return update(base, fmt.Sprintf(`{"version":%d}`, base+1)) }
 
-// advance has a state accept a number of further commands.
-func advance(state *State, changes int) {
+// acceptUpdates has a state accept a number of further commands.
+func acceptUpdates(state *State, changes int) {
 	GinkgoHelper()
 	for range changes {
-		Expect(state.Execute(step(state.Document().Version())).Kind).To(Equal(failure.None))
+		Expect(state.Execute(emptyUpdate(state.Document().Version())).Kind).To(Equal(failure.None))
 	}
 }
 
-// reread returns a copy of the state: another State restored from its snapshot.
-func reread(state *State) *State {
+// restoredCopy returns a copy of the state: another State restored from its snapshot.
+func restoredCopy(state *State) *State {
 	GinkgoHelper()
 	data, err := state.Snapshot()
 	Expect(err).NotTo(HaveOccurred())
@@ -57,10 +57,10 @@
 	for name, command := range commands {
 		for _, changes := range []int{0, 1, 100, 2000, maxAcceptedCommands - 2} {
 			It(fmt.Sprintf("is acknowledged and changes nothing: %s, after %d others", name, changes), func() {
-				state := standard()
+				state := standardState()
 				Expect(state.Execute(command)).To(Equal(Result{Version: 7}))
-				advance(state, changes)
-				for _, each := range []*State{state, reread(state), reread(reread(state))} {
+				acceptUpdates(state, changes)
+				for _, each := range []*State{state, restoredCopy(state), restoredCopy(restoredCopy(state))} {
 					before := string(each.Document().JSON())
 					Expect(each.Execute(command)).To(Equal(Result{Version: 7}))
 					for other, rejected := range others {
@@ -76,9 +76,9 @@
 	}
 
 	It("is acknowledged with other white space, but rejected with its members in another order", func() {
-		state := standard()
+		state := standardState()
 		Expect(state.Execute(update(5, `{"version":7,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
-		advance(state, 3)
+		acceptUpdates(state, 3)
 		spaced := update(5, " {\n\t\"version\" : 7 ,\r\n \"remove\":{ \"routes\":[ \"r-2\" ] } }\n")
 		Expect(state.Execute(spaced)).To(Equal(Result{Version: 7}))
 		reordered := update(5, `{"remove":{"routes":["r-2"]},"version":7}`)
@@ -88,24 +88,24 @@
 	})
 
 	It("is acknowledged whichever operator sends it", func() {
-		state := standard()
+		state := standardState()
 		command := replace(5, configurationOf(7, routeTwo))
 		Expect(state.Execute(command)).To(Equal(Result{Version: 7}))
 		Expect(state.Execute(replace(5, configurationOf(7, routeTwo)))).To(Equal(Result{Version: 7}))
 	})
 
 	It("is rejected as a replacement with the same effect", func() {
-		state := standard()
+		state := standardState()
 		Expect(state.Execute(update(5, `{"version":7,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
 		replacement := replace(5, string(state.Document().JSON()))
 		Expect(state.Execute(replacement).Kind).To(Equal(failure.Conflict))
-		advance(state, 1)
+		acceptUpdates(state, 1)
 		Expect(state.Execute(replacement).Kind).To(Equal(failure.Conflict))
 	})
 
 	It("is rejected on another base", func() {
-		state := standard()
-		advance(state, 2)
+		state := standardState()
+		acceptUpdates(state, 2)
 		for _, base := range []uint64{0, 1, 4, 6, 7} {
 			Expect(state.Execute(update(base, `{"version":6}`)).Kind).NotTo(Equal(failure.None), "on %d", base)
 		}
@@ -113,35 +113,35 @@
 	})
 
 	It("is never accepted if it was invalid, even if it would be valid on a later version", func() {
-		state := standard()
+		state := standardState()
 		needsLater := replace(5, configurationOf(7, aRoute("r-9", "h", "/", "c"))) // service c comes with the next change
 		Expect(state.Execute(needsLater).Kind).To(Equal(failure.Invalid))
 		addition := update(5, `{"version":6,"upsert":{"services":[{"name":"c"}]}}`)
 		Expect(state.Execute(addition).Kind).To(Equal(failure.None))
 		Expect(state.Execute(needsLater).Kind).To(Equal(failure.Conflict))
-		advance(state, 2)
+		acceptUpdates(state, 2)
 		Expect(state.Execute(needsLater).Kind).To(Equal(failure.Conflict))
-		Expect(reread(state).Execute(needsLater).Kind).To(Equal(failure.Conflict))
+		Expect(restoredCopy(state).Execute(needsLater).Kind).To(Equal(failure.Conflict))
 	})
 
 	It("is never accepted if another command on its version was", func() {
-		state := standard()
+		state := standardState()
 		Expect(state.Execute(replace(5, configurationOf(7, routeOne))).Kind).To(Equal(failure.None))
 		loser := replace(5, configurationOf(7, routeTwo))
 		for range 3 {
 			Expect(state.Execute(loser).Kind).To(Equal(failure.Conflict))
-			state = reread(state)
-			advance(state, 1)
+			state = restoredCopy(state)
+			acceptUpdates(state, 1)
 		}
 		Expect(state.Execute(replace(5, configurationOf(7, routeOne)))).To(Equal(Result{Version: 7}))
 	})
 
 	It("is never accepted if it was rejected before its base existed", func() {
-		state := standard()
+		state := standardState()
 		early := update(7, `{"version":9}`)
 		Expect(state.Execute(early).Kind).To(Equal(failure.Conflict))
 		Expect(state.Execute(update(5, `{"version":7}`)).Kind).To(Equal(failure.None))
-		for _, each := range []*State{state, reread(state)} {
+		for _, each := range []*State{state, restoredCopy(state)} {
 			Expect(each.Execute(early).Kind).To(Equal(failure.Conflict), "a late duplicate")
 			Expect(each.Execute(update(7, `{"version":10}`))).To(Equal(Result{Version: 10}), "another command on that version")
 			Expect(each.Execute(early).Kind).To(Equal(failure.Conflict))
@@ -150,20 +150,20 @@
 	})
 
 	It("may be accepted later if it came before its base and was not remembered, since too many were", func() {
-		state := standard()
+		state := standardState()
 		for version := range uint64(maxEarlyCommands) {
-			Expect(state.Execute(step(100 + version)).Kind).To(Equal(failure.Conflict))
+			Expect(state.Execute(emptyUpdate(100 + version)).Kind).To(Equal(failure.Conflict))
 		}
 		late := update(6, `{"version":7}`)
 		Expect(state.Execute(late).Kind).To(Equal(failure.Unavailable))
 		Expect(state.early).To(HaveLen(maxEarlyCommands))
-		Expect(state.Execute(step(100)).Kind).To(Equal(failure.Conflict), "one that is remembered")
-		advance(state, 1)
+		Expect(state.Execute(emptyUpdate(100)).Kind).To(Equal(failure.Conflict), "one that is remembered")
+		acceptUpdates(state, 1)
 		Expect(state.Execute(late)).To(Equal(Result{Version: 7}))
 	})
 
 	It("is acknowledged only if it was the first of eight on one version", func() {
-		state := standard()
+		state := standardState()
 		var concurrent []Command
 		for i := range 8 {
 			concurrent = append(concurrent, replace(5, configurationOf(7, aRoute(fmt.Sprintf("r-%d", i), "h", "/", "a"))))
@@ -179,7 +179,7 @@
 				}
 			}
 			if round > 0 {
-				advance(state, 1)
+				acceptUpdates(state, 1)
 			}
 		}
 	})
@@ -191,7 +191,7 @@
 		accepted := 0
 		for range 300 {
 			state := NewState()
-			sent := []Command{step(0)}
+			sent := []Command{emptyUpdate(0)}
 			decided := map[commandKey]failure.Kind{}
 			winners := map[uint64]commandKey{}
 			for range 80 {
@@ -222,7 +222,7 @@
 					winners[command.Base] = key
 				}
 				if random.IntN(10) == 0 {
-					state = reread(state)
+					state = restoredCopy(state)
 				}
 			}
 			accepted += len(winners)
--- a/internal/cluster/configuration/state.go
+++ b/internal/cluster/configuration/state.go
@@ -65,7 +65,7 @@
 //   - An earlier version: the command is acknowledged again if it is the one that was accepted on that version, whatever
 //     came after it. Any other command is rejected (Conflict). If the accepted one is no longer remembered, the state can't
 //     tell whether this is it (Forgotten).
-//   - A later version: the command is rejected (Conflict) and remembered, or is not decided at all if too many are
+//   - A later version: the command is rejected (Conflict) and remembered, or is left undecided if too many are
 //     remembered (Unavailable).
 //
 // So a command that was accepted is never executed a second time, and one that was rejected with Invalid or Conflict is
@@ -120,7 +120,7 @@
 	return s.rejectf(failure.Conflict, "version %d is current, the change builds on %d", s.document.version, command.Base)
 }
 
-// dropEarly forgets the early commands whose base is before the current version: answerResent rejects their duplicates.
+// dropEarly forgets the early commands that build on versions before the current one: answerResent rejects their duplicates.
 func (s *State) dropEarly() {
 	s.early = slices.DeleteFunc(s.early, func(key commandKey) bool { return key.Base < s.document.version })
 }
--- a/internal/cluster/configuration/state_test.go
+++ b/internal/cluster/configuration/state_test.go
@@ -88,7 +88,7 @@
 
 	It("restores all of its state from a snapshot", func() {
 		moved := aRoute("r-1", "one.example", "/one/", "b")
-		state := standard()
+		state := standardState()
 		Expect(state.Execute(update(5, `{"version":6,"upsert":{"routes":[`+moved+`]}}`)).Kind).To(Equal(failure.None))
 		Expect(state.Execute(update(6, `{"version":8,"remove":{"routes":["r-2"]}}`)).Kind).To(Equal(failure.None))
 		data, err := state.Snapshot()
@@ -108,7 +108,7 @@
 	})
 
 	It("keeps its state if a snapshot can't be decoded", func() {
-		state := standard()
+		state := standardState()
 		data, err := state.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state.Restore(data[:len(data)/2])).NotTo(Succeed())
@@ -117,7 +117,7 @@
 	})
 
 	It("rejects a snapshot of a later format", func() {
-		state := standard()
+		state := standardState()
 		document := state.document.image()
 		document.Format = imageFormat + 1
 		_, err := document.document(emptyDocument)
@@ -127,18 +127,18 @@
 	It("remembers the newest accepted commands only, and gives no final answer to older ones", func() {
 		state := stateWith(update(0, `{"version":1}`))
 		for version := uint64(1); version <= maxAcceptedCommands; version++ {
-			Expect(state.Execute(step(version)).Kind).To(Equal(failure.None))
+			Expect(state.Execute(emptyUpdate(version)).Kind).To(Equal(failure.None))
 		}
 		Expect(state.accepted).To(HaveLen(maxAcceptedCommands))
 		Expect(state.Execute(update(0, `{"version":1}`)).Kind).To(Equal(failure.Forgotten))
 		Expect(state.Execute(update(0, `{"version":2}`)).Kind).To(Equal(failure.Forgotten), "one that was rejected")
-		Expect(state.Execute(step(1))).To(Equal(Result{Version: 2}))
+		Expect(state.Execute(emptyUpdate(1))).To(Equal(Result{Version: 2}))
 		Expect(state.Execute(update(1, `{"version":3}`)).Kind).To(Equal(failure.Conflict))
 		Expect(answers.To(failure.Forgotten).Status).To(BeNumerically(">=", 500), "not a final answer")
 	})
 
 	It("accepts no update that makes the document too large for one message", func() {
-		state := standard()
+		state := standardState()
 		largeUpdate := func(base uint64, section string) Command {
 			return update(base, fmt.Sprintf(`{"version":%d,"upsert":{"%s":%q}}`, base+1, section, strings.Repeat("x", 3<<20)))
 		}
@@ -151,7 +151,7 @@
 		Expect(rejected.Version).To(Equal(uint64(8)))
 		Expect(state.Execute(largeUpdate(8, "four")).Kind).To(Equal(failure.Invalid), "each time")
 		Expect(string(state.Document().JSON())).To(Equal(before))
-		Expect(state.Execute(step(8)).Kind).To(Equal(failure.None))
+		Expect(state.Execute(emptyUpdate(8)).Kind).To(Equal(failure.None))
 		complete, err := state.Since(0, true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(complete)).To(BeNumerically("<", maxDocumentBytes+1<<20))
--- a/internal/cluster/configuration/suite_test.go
+++ b/internal/cluster/configuration/suite_test.go
@@ -60,8 +60,8 @@
 	return state
 }
 
-// standard returns a state with version 5, which has two routes and two services.
-func standard() *State {
+// standardState returns a state with version 5, which has two routes and two services.
+func standardState() *State {
 	GinkgoHelper()
 	return stateWith(replace(0, configurationOf(5, routeOne, routeTwo)))
 }
--- a/internal/cluster/configuration/table.go
+++ b/internal/cluster/configuration/table.go
@@ -7,8 +7,8 @@
 // Table finds the route of a request. It never changes and may be used by any goroutine.
 type Table struct{ queues queueIndex }
 
-// Lookup returns the route for a host and path: of the host's routes whose prefix the path starts with, that with the
-// longest prefix. rest is the path after the prefix. ok is false, and route nil, if the path starts with no prefix of the
+// Lookup returns the route for a host and path: of the host's routes with a prefix that the path starts with, the one with
+// the longest. rest is the path after the prefix. ok is false, and route nil, if the path starts with no prefix of the
 // host. Hosts are compared without case and port.
 func (t *Table) Lookup(host, path string) (route *Route, rest string, ok bool) {
 	host = normalizeHost(host)
--- a/internal/cluster/configuration/update_test.go
+++ b/internal/cluster/configuration/update_test.go
@@ -11,7 +11,7 @@
 
 var _ = DescribeTable("an update is accepted if it has",
 	func(body, want string) {
-		state := standard()
+		state := standardState()
 		before := state.Document()
 		result := state.Execute(update(5, body))
 		Expect(result).To(Equal(Result{Version: 9}))
@@ -67,7 +67,7 @@
 
 var _ = Describe("a document", func() {
 	It("returns items by name, and the limits", func() {
-		document := standard().Document()
+		document := standardState().Document()
 		Expect(document.Route("r-2").GetExtension()).To(Equal(4.0))
 		Expect(document.Route("r-2").GetTargetLatencyMs()).To(Equal(int64(800)))
 		Expect(document.Route("r-3")).To(BeNil())
@@ -96,11 +96,11 @@
 
 	It("returns byte for byte the JSON of a replacement", func() {
 		body := configurationOf(5, routeOne, routeTwo)
-		Expect(string(standard().Document().JSON())).To(Equal(body))
+		Expect(string(standardState().Document().JSON())).To(Equal(body))
 	})
 
 	It("shares unchanged items with the document before", func() {
-		state := standard()
+		state := standardState()
 		before := state.Document()
 		Expect(state.Execute(replace(5, configurationOf(6, routeOne, aRoute("r-15", "h", "/", "a"), routeTwo))).Kind).To(Equal(failure.None))
 		Expect(state.Document().Route("r-1")).To(BeIdenticalTo(before.Route("r-1")))
--- a/internal/cluster/configuration/validate_test.go
+++ b/internal/cluster/configuration/validate_test.go
@@ -11,7 +11,7 @@
 
 var _ = DescribeTable("a replacement is rejected as invalid if it has",
 	func(body, message string) {
-		state := standard()
+		state := standardState()
 		before := state.Document()
 		result := state.Execute(replace(5, body))
 		Expect(result.Kind).To(Equal(failure.Invalid))
@@ -63,7 +63,7 @@
 
 var _ = DescribeTable("an update is rejected as invalid if it has",
 	func(body, message string) {
-		state := standard()
+		state := standardState()
 		before := state.Document()
 		result := state.Execute(update(5, body))
 		Expect(result.Kind).To(Equal(failure.Invalid))
