--- a/cmd/localcluster/main.go
+++ b/cmd/localcluster/main.go
@@ -1,4 +1,4 @@
-// Command localcluster runs a small system on this machine: the processes of ospreypond, and stand-in runners.
+// Command localcluster runs a small system on one machine: processes of ospreypond and stand-in runners.
 package main
 
 import (
--- a/cmd/ospreypond/main.go
+++ b/cmd/ospreypond/main.go
@@ -1,5 +1,5 @@
-// Command ospreypond is one dispatcher: it takes clients' requests and has runners do them. Its other commands look
-// after what it stores.
+// Command ospreypond runs one dispatcher, which sends clients' requests to runners, or one process of the cluster scheduler.
+// Further commands administer a running scheduler and read and repair stored data.
 package main
 
 import (
--- a/cmd/policysim/main.go
+++ b/cmd/policysim/main.go
@@ -1,4 +1,4 @@
-// Command policysim hosts dispatchers on the simulator's wire, over standard input and output.
+// Command policysim runs dispatchers for the simulator and speaks its protocol over standard input and output.
 package main
 
 import (
--- a/internal/cli/backup.go
+++ b/internal/cli/backup.go
@@ -12,7 +12,7 @@
 	"ospreypond/internal/cluster/administration/archive"
 )
 
-// backupTimeout is the default of --timeout for a backup.
+// backupTimeout is the default of --timeout for a backup, which reads the state of all shards.
 const backupTimeout = time.Minute
 
 func (s *clusterCommands) newBackup() *cobra.Command {
@@ -39,20 +39,20 @@
 	return c
 }
 
-// archiveReport is what 'backup' and 'restore' print as JSON.
+// archiveReport is the JSON output of 'backup' and 'restore'.
 type archiveReport struct {
-	Dir    string        `json:"dir,omitempty"` // into which it was restored
+	Dir    string        `json:"dir,omitempty"` // folder into which 'restore' wrote; empty for 'backup'
 	File   string        `json:"file"`
 	Made   time.Time     `json:"made"`
 	Shards []shardReport `json:"shards"`
 }
 
-// shardReport is one shard of an archiveReport.
+// shardReport describes one shard of an archiveReport.
 type shardReport struct {
-	Bytes int    `json:"bytes"`
-	Index uint64 `json:"index"`
+	Bytes int    `json:"bytes"` // of the shard's state
+	Index uint64 `json:"index"` // of the last log entry that the state includes
 	Shard uint32 `json:"shard"`
-	Term  uint64 `json:"term"`
+	Term  uint64 `json:"term"` // of the owner that reported the state
 }
 
 func archiveView(path string, backup *archive.Archive) archiveReport {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,7 +1,7 @@
-// Package cli is the command line of the program ospreypond: its commands, flags, help texts, exit statuses and forms of
-// output. Main runs one command line. Programs beside ospreypond use Execute for the same treatment of errors.
+// Package cli is the command line of the program ospreypond: its commands, flags, help texts, exit statuses and output
+// formats. Main runs one command line. Other programs of this module use Execute to handle errors in the same way.
 //
-// Flags, exit statuses, JSON keys and the columns of tables are relied on by operators' scripts, and stay.
+// Operators' scripts rely on the flags, exit statuses, JSON keys and table columns, so these must not change.
 package cli
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/spf13/cobra"
 )
 
-// Version is the release.
+// Version is the release of the program, as the command version prints it.
 const Version = "0.12.0"
 
 // Exit statuses.
 const (
 	exitOK      = 0
-	exitFailure = 1 // the command failed, or found faults
-	exitUsage   = 2 // it was asked in a way that it does not understand
+	exitFailure = 1 // the command failed or found faults
+	exitUsage   = 2 // the command line is invalid; nothing was done
 )
 
 // Streams are the standard streams of a command. All must be set.
@@ -34,12 +34,12 @@
 	Out, Err io.Writer
 }
 
-// usageError is an error of the command line itself, for which the exit status is exitUsage.
+// usageError marks an error in the command line, for which the exit status is exitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// UsageError marks an error as one of the command line itself, which has an exit status of its own, 2.
+// UsageError marks err as an error in the command line, so that Execute returns exit status 2 and points to the help.
 func UsageError(err error) error { return usageError{err} }
 
 // Main runs the command line args, which don't include the program's name, and returns the exit status. Errors are written
@@ -53,8 +53,8 @@
 	return Execute(newRoot(std, getenv, dial), args, std)
 }
 
-// Execute runs the command that the arguments name, root or one below it, and returns the exit status. Errors are written to
-// std.Err, those of the command line with a hint at the help.
+// Execute runs the command that args select, root or one of its subcommands, and returns the exit status. It writes errors
+// to std.Err; an error in the command line is followed by a pointer to the command's help.
 func Execute(root *cobra.Command, args []string, std Streams) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetIn(std.In)
@@ -79,7 +79,7 @@
 	return exitFailure
 }
 
-// errReported ends a command with exitFailure; what is wrong has been printed already.
+// errReported ends a command with exitFailure and without a further message: the command has already printed the error.
 var errReported = errors.New("failed")
 
 func newRoot(std Streams, getenv func(string) string, dial dialer) *cobra.Command {
@@ -100,7 +100,7 @@
 	return root
 }
 
-// markUsageErrors makes the errors of c's own flags and arguments usage errors.
+// markUsageErrors turns errors that parsing c's flags and checking its arguments return into usage errors.
 func markUsageErrors(c *cobra.Command) {
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	check := c.Args
@@ -115,7 +115,7 @@
 	}
 }
 
-// withSubcommands returns c and all commands below it.
+// withSubcommands returns c and its subcommands at all levels.
 func withSubcommands(c *cobra.Command) []*cobra.Command {
 	commands := []*cobra.Command{c}
 	for _, sub := range c.Commands() {
@@ -124,7 +124,7 @@
 	return commands
 }
 
-// commandGroup returns a command that does nothing by itself and has subcommands.
+// commandGroup returns a command that only holds subcommands. Calling it without one is a usage error.
 func commandGroup(use, short string, subs ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
@@ -148,7 +148,7 @@
 		}}
 }
 
-// newLog returns the logger of the dispatcher and of the store's commands.
+// newLog returns the logger of the dispatcher and of the store commands.
 func newLog(w io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(w)
@@ -157,8 +157,8 @@
 	return log
 }
 
-// Interruptible returns a context that ends at SIGINT or SIGTERM, for commands that stop gracefully. The caller must call
-// the function that it returns, which restores the signals.
+// Interruptible returns a context that ends when the process receives SIGINT or SIGTERM, for commands that stop gracefully.
+// The caller must call the returned function, which restores the default handling of the two signals.
 func Interruptible(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 }
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -13,7 +13,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// administrator is what the commands use of administration.Client; tests replace it.
+// administrator has the methods of administration.Client that the commands call, so that tests can replace the client.
 type administrator interface {
 	ReadConfiguration(ctx context.Context) (version uint64, body []byte, err error)
 	Configure(ctx context.Context, kind string, base uint64, body []byte) (version uint64, err error)
@@ -29,12 +29,12 @@
 	Close()
 }
 
-// dialer returns the administrator of the system whose control processes are at the addresses.
+// dialer connects to the system whose control processes serve at the given internal addresses.
 type dialer func(addresses []string) (administrator, error)
 
 func dialSystem(addresses []string) (administrator, error) { return administration.Dial(addresses) }
 
-// clusterCommands makes the operator's commands for the cluster scheduler.
+// clusterCommands has the methods that create the operators' commands for the cluster scheduler.
 type clusterCommands struct {
 	std    Streams
 	getenv func(string) string
@@ -62,7 +62,7 @@
 	return os.ReadFile(name)
 }
 
-// exactArgs returns a check that a command gets exactly the named arguments.
+// exactArgs returns a check that a command has exactly the named arguments.
 func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) < len(names) {
--- a/internal/cli/cluster_flags.go
+++ b/internal/cli/cluster_flags.go
@@ -12,10 +12,10 @@
 	"ospreypond/internal/cluster/administration"
 )
 
-// controlVariable is the environment variable with the control processes' addresses, for commands without --control.
+// controlVariable is the environment variable with the addresses of control processes that applies without --control.
 const controlVariable = "OSPREYPOND_CONTROL"
 
-// defaultTimeout is the default of --timeout.
+// defaultTimeout is the default of --timeout, for all commands but 'backup'.
 const defaultTimeout = 5 * time.Second
 
 // Values of --output.
@@ -24,15 +24,15 @@
 	formJSON = "json"
 )
 
-// clusterFlags are the flags of one command that say how it reaches the system, and the form of its output.
+// clusterFlags are the flags of one command: how it connects to the system, and the format of its output.
 type clusterFlags struct {
 	commands *clusterCommands
-	control  string
-	timeout  time.Duration
-	output   string
+	control  string        // internal addresses of control processes, separated by commas
+	timeout  time.Duration // for the whole command
+	output   string        // formText or formJSON
 }
 
-// onSystem completes a command that needs a running system: with the flags, and with run as what it does.
+// onSystem adds the flags to a command that needs a running system, and has it connect to the system and call run.
 func (s *clusterCommands) onSystem(c *cobra.Command, run func(ctx context.Context, flags *clusterFlags, system administrator, args []string) error) *cobra.Command {
 	flags := s.addFlags(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -41,7 +41,7 @@
 	return c
 }
 
-// addFlags adds the flags of a command that needs a running system.
+// addFlags adds --control, --timeout and --output to a command that needs a running system.
 func (s *clusterCommands) addFlags(c *cobra.Command) *clusterFlags {
 	flags := &clusterFlags{commands: s}
 	c.Flags().StringVar(&flags.control, "control", "", "internal `addresses` of control processes, host:port,...; default: those in "+controlVariable)
@@ -55,7 +55,7 @@
 	command.Flags().StringVarP(&f.output, "output", "o", formText, "`form` of the output: text or json")
 }
 
-// checkOutput returns an error if --output has a value that it cannot have.
+// checkOutput returns a usage error unless --output is text or json.
 func (f *clusterFlags) checkOutput() error {
 	if f.output != formText && f.output != formJSON {
 		return usageError{fmt.Errorf("--output: %q is neither %s nor %s", f.output, formText, formJSON)}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// withSystem connects to the system and calls run with a context that ends at the timeout or an interrupt.
+// withSystem connects to the system and calls run with a context that ends at the timeout or at SIGINT or SIGTERM.
 func (f *clusterFlags) withSystem(command *cobra.Command, run func(ctx context.Context, system administrator) error) error {
 	if err := f.checkOutput(); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return withAdvice(run(ctx, system))
 }
 
-// dial connects to the system at --control, or else at the addresses in the environment.
+// dial connects to the system at the addresses of --control or, without that flag, of the environment variable.
 func (f *clusterFlags) dial() (administrator, error) {
 	addresses := f.control
 	if addresses == "" {
@@ -99,7 +99,7 @@
 	return system, nil
 }
 
-// splitList splits a text at commas, without spaces and empty parts.
+// splitList splits text at commas, trims spaces and drops empty parts.
 func splitList(text string) []string {
 	var parts []string
 	for _, part := range strings.Split(text, ",") {
@@ -110,7 +110,7 @@
 	return parts
 }
 
-// withAdvice adds to an error of the system what the operator can do about it.
+// withAdvice adds advice for the operator to an error of the system, if there is any for its kind.
 func withAdvice(err error) error {
 	if err == nil || errors.Is(err, errReported) {
 		return err
--- a/internal/cli/cluster_test.go
+++ b/internal/cli/cluster_test.go
@@ -21,7 +21,7 @@
 const smallConfiguration = `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"service":"s"}],` +
 	`"services":[{"name":"s"}],"limits":{"maxBodyBytes":5}}`
 
-var _ = DescribeTable("an invalid command line ends with 2 and says why, without a call of the system",
+var _ = DescribeTable("an invalid command line ends with exit status 2 and names the error, without calling the system:",
 	func(commandLine, said string) {
 		system := &fakeSystem{}
 		ended := runCommand(system, smallJob, commandLine)
@@ -67,7 +67,7 @@
 	Entry(nil, "restore x --dir y --node a --address b", `--address: "b" is not an ip:port`),
 )
 
-var _ = DescribeTable("failures end with 1, with the kind and advice",
+var _ = DescribeTable("a command ends with exit status 1 and prints the cause, and advice if there is any, if it meets",
 	func(commandLine, input string, err error, said ...string) {
 		ended := runCommand(&fakeSystem{err: err, version: 5, body: smallConfiguration}, input, commandLine)
 		Expect(ended.status).To(Equal(exitFailure), ended.err)
@@ -84,25 +84,25 @@
 	Entry("an error without a kind", "members --control a:1", "", errors.New("no space left"), "ospreypond members: no space left\n"),
 	Entry("an unknown job", "jobs status 5c0e7a21d94b36f8 --control a:1", "", faults.New(faults.Gone, "no such job"),
 		"gone: no such job"),
-	Entry("no queue", "jobs submit - --queue h/q --control a:1", smallJob, faults.New(faults.NoRoute, "there is no queue"),
+	Entry("a queue that does not exist", "jobs submit - --queue h/q --control a:1", smallJob, faults.New(faults.NoRoute, "there is no queue"),
 		"job ", ": no_route: there is no queue"),
 	Entry("a job that is not JSON", "jobs submit - --queue h/q --control a:1", "soon", nil, "- is not a job: invalid character"),
 	Entry("a job without steps", "jobs submit - --queue h/q --control a:1", "{}", nil, "steps is missing or empty"),
 	Entry("a job that is a list", "jobs submit - --queue h/q --control a:1", "[]", nil, "- is not a job"),
-	Entry("a missing file", "config check /no/such/file", "", nil, "no such file"),
+	Entry("a missing configuration file", "config check /no/such/file", "", nil, "no such file"),
 	Entry("a truncated configuration", "config check -", `{"version":1`, nil, "-: invalid: the body is not exactly one JSON value"),
-	Entry("an unknown service", "config check -", strings.Replace(smallConfiguration, `"s"}],"l`, `"t"}],"l`, 1), nil, "-: invalid", `"s"`),
-	Entry("an update by itself", "config check -", `{"version":6,"upsert":{}}`, nil, "give --control"),
-	Entry("an old version", "config check - --control a:1", smallConfiguration, nil, "invalid: version 5 is not above the current 5"),
-	Entry("settings with faults", "config check --settings -", `{"ip":"x","seeds":5}`, nil,
+	Entry("a configuration with an unknown service", "config check -", strings.Replace(smallConfiguration, `"s"}],"l`, `"t"}],"l`, 1), nil, "-: invalid", `"s"`),
+	Entry("an update without a configuration to apply it to", "config check -", `{"version":6,"upsert":{}}`, nil, "give --control"),
+	Entry("a configuration with an old version", "config check - --control a:1", smallConfiguration, nil, "invalid: version 5 is not above the current 5"),
+	Entry("invalid settings", "config check --settings -", `{"ip":"x","seeds":5}`, nil,
 		"nodeName: is missing", `ip: expected an IP address, found "x"`, "seeds: expected a list of strings, found 5"),
-	Entry("a missing folder", "state verify /no/such/folder", "", nil, "no such file"),
+	Entry("a missing state folder", "state verify /no/such/folder", "", nil, "no such file"),
 	Entry("a file that is not a backup", "restore /etc/hostname --dir /no/such --node a --address 10.0.0.1:7380", "", nil,
 		"/etc/hostname: it is not a backup"),
-	Entry("an existing file", "backup /etc/hostname --control a:1", "", nil, "/etc/hostname already exists"),
+	Entry("a backup file that already exists", "backup /etc/hostname --control a:1", "", nil, "/etc/hostname already exists"),
 )
 
-var _ = DescribeTable("the calls of commands, and their output",
+var _ = DescribeTable("a command calls the system and prints the result: it",
 	func(commandLine, input string, system *fakeSystem, calls []string, out string) {
 		ended := runCommand(system, input, commandLine)
 		Expect(ended.err).To(BeEmpty())
@@ -111,36 +111,36 @@
 		Expect(system.calls).To(Equal(calls))
 		Expect(system.closed).To(BeTrue())
 	},
-	Entry("a job", "jobs submit - --queue h/p --id 5c0e7a21d94b36f8 --control a:1,b:2", smallJob, &fakeSystem{},
+	Entry("submits a job", "jobs submit - --queue h/p --id 5c0e7a21d94b36f8 --control a:1,b:2", smallJob, &fakeSystem{},
 		[]string{"submit h/p 5c0e7a21d94b36f8"}, "5c0e7a21d94b36f8\n"),
-	Entry("a job in JSON", "jobs submit - -o json --queue h/p --id 5c0e7a21d94b36f8 --control a:1", smallJob, &fakeSystem{},
+	Entry("submits a job and prints JSON", "jobs submit - -o json --queue h/p --id 5c0e7a21d94b36f8 --control a:1", smallJob, &fakeSystem{},
 		[]string{"submit h/p 5c0e7a21d94b36f8"}, "{\n  \"id\": \"5c0e7a21d94b36f8\"\n}\n"),
-	Entry("a state", "jobs status 5C0E7A21D94B36F8 --control a:1", "", &fakeSystem{state: "running"},
+	Entry("reads a job's state", "jobs status 5C0E7A21D94B36F8 --control a:1", "", &fakeSystem{state: "running"},
 		[]string{"status 5C0E7A21D94B36F8"}, "running\n"),
-	Entry("a state in JSON", "jobs status 5c0e7a21d94b36f8 -o json --control a:1", "", &fakeSystem{state: "failed"},
+	Entry("reads a job's state and prints JSON", "jobs status 5c0e7a21d94b36f8 -o json --control a:1", "", &fakeSystem{state: "failed"},
 		[]string{"status 5c0e7a21d94b36f8"}, "{\n  \"id\": \"5c0e7a21d94b36f8\",\n  \"state\": \"failed\"\n}\n"),
-	Entry("a cancel", "jobs cancel 5c0e7a21d94b36f8 --control a:1", "", &fakeSystem{state: "cancelled"},
+	Entry("cancels a job and reads its state", "jobs cancel 5c0e7a21d94b36f8 --control a:1", "", &fakeSystem{state: "cancelled"},
 		[]string{"cancel 5c0e7a21d94b36f8", "status 5c0e7a21d94b36f8"}, "cancelled\n"),
-	Entry("no jobs in JSON", "jobs list -o json --control a:1", "", &fakeSystem{}, []string{"jobs "}, "[]\n"),
-	Entry("jobs of a queue", "jobs list --queue h/p --control a:1", "",
+	Entry("lists no jobs in JSON", "jobs list -o json --control a:1", "", &fakeSystem{}, []string{"jobs "}, "[]\n"),
+	Entry("lists the jobs of a queue", "jobs list --queue h/p --control a:1", "",
 		&fakeSystem{jobs: []administration.Job{{ID: "5c0e7a21d94b36f8", Queue: "h/p/", Service: "s", State: "running", Done: 1, Running: 2, Tasks: 4}}},
 		[]string{"jobs h/p"},
 		"ID                QUEUE  SERVICE  STATE    ACCEPTED              TASKS\n"+
 			"5c0e7a21d94b36f8  h/p/   s        running  1970-01-01T00:00:00Z  1/2/4\n"),
-	Entry("a configuration", "config get --control a:1", "", &fakeSystem{version: 3, body: `{"version":3}`},
+	Entry("reads the configuration", "config get --control a:1", "", &fakeSystem{version: 3, body: `{"version":3}`},
 		[]string{"read"}, "{\n  \"version\": 3\n}\n"),
-	Entry("a change", "config apply - --control a:1", smallConfiguration, &fakeSystem{version: 4},
+	Entry("applies a change to the newest version", "config apply - --control a:1", smallConfiguration, &fakeSystem{version: 4},
 		[]string{"read", "configure"}, "version 9 is in force, built on 4\n"),
-	Entry("a change based on a version", "config apply - --base 3 --control a:1", smallConfiguration, &fakeSystem{version: 4},
+	Entry("applies a change to the version that --base names", "config apply - --base 3 --control a:1", smallConfiguration, &fakeSystem{version: 4},
 		[]string{"configure"}, "version 9 is in force, built on 3\n"),
-	Entry("a change based on no version", "config apply - --base 0 --control a:1", smallConfiguration, &fakeSystem{version: 4},
+	Entry("applies a change where there is no version yet", "config apply - --base 0 --control a:1", smallConfiguration, &fakeSystem{version: 4},
 		[]string{"configure"}, "version 9 is in force, built on 0\n"),
-	Entry("a check of an update", "config check - --control a:1", `{"version":6,"remove":{"routes":[]}}`, &fakeSystem{version: 5, body: smallConfiguration},
+	Entry("checks an update against the newest configuration", "config check - --control a:1", `{"version":6,"remove":{"routes":[]}}`, &fakeSystem{version: 5, body: smallConfiguration},
 		[]string{"read"}, "-: good\n"),
-	Entry("a comparison", "config diff - --control a:1", `{"version":7,"upsert":{"services":[{"name":"t"}]}}`,
+	Entry("compares a file with the newest configuration", "config diff - --control a:1", `{"version":7,"upsert":{"services":[{"name":"t"}]}}`,
 		&fakeSystem{version: 5, body: smallConfiguration}, []string{"read"}, "version 5 to 7\n+ services t  {\"name\":\"t\"}\n"),
-	Entry("a drain", "drain b --control a:1", "", &fakeSystem{}, []string{"drain b"}, "b owns nothing any more\n"),
-	Entry("runners", "runners --control a:1", "", &fakeSystem{runners: []administration.Runner{{
+	Entry("drains a process", "drain b --control a:1", "", &fakeSystem{}, []string{"drain b"}, "b owns nothing any more\n"),
+	Entry("lists the runners", "runners --control a:1", "", &fakeSystem{runners: []administration.Runner{{
 		Instance: "i-1", Service: "s", Zone: "z", State: "ready", Labels: []string{"k", "r"}, Runs: 2, Distrust: 0.25, HoldMs: 4000,
 		Capacity: protocol.Resources{CPU: 8000, MemoryMB: 100, GPU: 1}, Free: protocol.Resources{CPU: 500, MemoryMB: 60},
 	}}}, []string{"runners"},
@@ -149,13 +149,13 @@
 )
 
 var _ = Describe("the commands", func() {
-	It("accept several addresses", func() {
+	It("connect to all addresses of --control", func() {
 		system := &fakeSystem{}
 		runCommand(system, "", "members --control a:1,b:2,,c:3")
 		Expect(system.addresses).To(Equal([]string{"a:1", "b:2", "c:3"}))
 	})
 
-	It("send a change unmodified", func() {
+	It("send a change of the configuration byte for byte", func() {
 		system := &fakeSystem{}
 		update := ` {"version":6, "remove":{"routes":["r"]}}` + "\n"
 		Expect(runCommand(system, update, "config apply - --base 5 --control a:1").status).To(Equal(exitOK))
@@ -163,7 +163,7 @@
 		Expect(system.changes).To(Equal([]configurationChange{{"update", 5, update}, {"replace", 5, smallConfiguration}}))
 	})
 
-	It("generate an id for a job without one", func() {
+	It("generate a random id for a job that is submitted without one", func() {
 		system := &fakeSystem{}
 		first := runCommand(system, smallJob, "jobs submit - --queue h/p --control a:1").out
 		second := runCommand(system, smallJob, "jobs submit - --queue h/p --control a:1").out
@@ -172,7 +172,7 @@
 		Expect(system.submitted.Steps[0].Count).To(Equal(2))
 	})
 
-	It("report a difference by the exit status with --exit-code", func() {
+	It("exit with status 1 if 'config diff --exit-code' finds a difference", func() {
 		system := &fakeSystem{version: 5, body: smallConfiguration}
 		Expect(runCommand(system, smallConfiguration, "config diff - --exit-code --control a:1").status).To(Equal(exitOK))
 		other := strings.Replace(smallConfiguration, `"timeoutMs":9`, `"timeoutMs":10`, 1)
@@ -185,13 +185,13 @@
 			"after":{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":10,"service":"s"}}]}`))
 	})
 
-	It("print in JSON that a file is invalid", func() {
+	It("print in JSON that a checked file is invalid", func() {
 		ended := runCommand(&fakeSystem{}, "{}", "config check - -o json")
 		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.out).To(MatchJSON(`{"file":"-","valid":false,"fault":"invalid: there is no version"}`))
 	})
 
-	It("list members, also those that do not answer", func() {
+	It("list all members, including those that do not answer, and fail if one is unhealthy", func() {
 		reports := newReports()
 		reports[0].DiskSick = true
 		ended := runCommand(&fakeSystem{reports: reports}, "", "members --control a:1")
@@ -204,7 +204,7 @@
 		Expect(ended.err).To(Equal("ospreypond members: a at 10.0.0.1:7380 is unhealthy\n"))
 	})
 
-	It("list shards with what each member lacks, and fail if one has no owner", func() {
+	It("list for each shard how many entries a member lacks, and fail if a shard has no owner", func() {
 		ended := runCommand(&fakeSystem{reports: newReports()}, "", "shards --control a:1")
 		Expect(ended.out).To(Equal(`SHARD              OWNER  TERM  COMMIT  STATE   LOG    CONTENTS    MEMBERS (APPLIED, LACKING)
 0 (configuration)  b      4     40      1200 B  300 B  version 12  a 38, 2; b 40, 0; c (learner) unresponsive
@@ -214,7 +214,7 @@
 		Expect(ended.err).To(ContainSubstring("shard 1 has no owner that answers"))
 	})
 
-	It("show how the membership of a shard is changing", func() {
+	It("show which members of a shard are joining or leaving", func() {
 		reports := newReports()
 		reports[1].Groups[0].Members[0].Change = administration.MemberLeaving
 		reports[1].Groups[0].Members[2].Change = administration.MemberJoining
@@ -224,7 +224,7 @@
 		Expect(ended.out).To(ContainSubstring(`"change": "leaving"`))
 	})
 
-	It("compare the members' states, and fail if they differ", func() {
+	It("compare the digests of the members' states, and fail if they differ", func() {
 		digests := []administration.ShardDigests{
 			{Shard: 0, Index: 40, Members: []administration.MemberDigest{
 				{Node: "a", ID: 1, Digest: "00000000000000aa"}, {Node: "b", ID: 2, Digest: "00000000000000aa"}, {Node: "c", ID: 3}}},
@@ -245,7 +245,7 @@
 		Expect(printed).To(Equal(digests))
 	})
 
-	It("list shards in JSON", func() {
+	It("list the shards in JSON", func() {
 		ended := runCommand(&fakeSystem{reports: newReports()[1:]}, "", "shards -o json --control a:1")
 		var shards []administration.ShardView
 		Expect(json.Unmarshal([]byte(ended.out), &shards)).To(Succeed())
@@ -255,13 +255,13 @@
 		Expect(shards[0].Members).To(HaveLen(3))
 	})
 
-	It("fail if a drained process could not transfer everything", func() {
-		ended := runCommand(&fakeSystem{left: 2}, "", "drain b --control a:1")
+	It("fail if a drained process still owns shards", func() {
+		ended := runCommand(&fakeSystem{remaining: 2}, "", "drain b --control a:1")
 		Expect(ended.status).To(Equal(exitFailure))
 		Expect(ended.out).To(Equal("b still owns 2 shards: no other member could take them\n"))
 	})
 
-	It("back up, restore and inspect what was restored", func() {
+	It("write a backup, restore it into an empty folder only, and verify the folder", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x.backup")
 		ended := runCommand(&fakeSystem{backup: newBackup()}, "", "backup --control a:1 "+path)
 		Expect(ended.status).To(Equal(exitOK), ended.err)
@@ -283,7 +283,7 @@
 		Expect(ended.err).To(ContainSubstring("is not empty"))
 	})
 
-	It("report damage by file and offset, in text and JSON", func() {
+	It("report the file and offset of damage, in text and in JSON", func() {
 		dir := newStateDir()
 		entries, err := os.ReadDir(dir)
 		Expect(err).NotTo(HaveOccurred())
@@ -300,7 +300,7 @@
 		Expect(ended.out).To(ContainSubstring(`"file": "snapshot-00000002-`))
 	})
 
-	It("show help with an example for each command", func() {
+	It("show help that has an example of each command", func() {
 		for _, commandLine := range []string{"config check", "config get", "config apply", "config diff", "jobs submit", "jobs status",
 			"jobs cancel", "jobs list", "members", "shards", "runners", "drain", "backup", "restore", "state inspect",
 			"state verify"} {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -56,21 +56,21 @@
 	return err
 }
 
-// checkReport is what 'config check' prints as JSON.
+// checkReport is the JSON output of 'config check'.
 type checkReport struct {
 	Fault string `json:"fault,omitempty"`
 	File  string `json:"file"`
 	Valid bool   `json:"valid"`
 }
 
-// applyReport is what 'config apply' prints as JSON.
+// applyReport is the JSON output of 'config apply'.
 type applyReport struct {
-	Base    uint64 `json:"base"`
+	Base    uint64 `json:"base"` // version on which the change builds
 	Kind    string `json:"kind"`
-	Version uint64 `json:"version"`
+	Version uint64 `json:"version"` // version after the change
 }
 
-// reportCheck prints the result of a check, and returns an error if there is a fault.
+// reportCheck prints the result of checking a file, and returns an error if fault is not nil.
 func (f *clusterFlags) reportCheck(name string, fault error) error {
 	if f.output == formJSON {
 		report := checkReport{File: name, Valid: fault == nil}
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -7,9 +7,9 @@
 	"github.com/spf13/cobra"
 )
 
-// drainReport is what 'drain' prints as JSON.
+// drainReport is the JSON output of 'drain'.
 type drainReport struct {
-	Left int    `json:"left"` // shards that it still owns
+	Left int    `json:"left"` // number of shards that the process still owns
 	Node string `json:"node"`
 }
 
--- a/internal/cli/fake_test.go
+++ b/internal/cli/fake_test.go
@@ -18,27 +18,27 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// fakeSystem is an administrator that returns what its fields say, and records its calls.
+// fakeSystem is an administrator that returns the values of its fields and records the calls.
 type fakeSystem struct {
-	err     error // of every call
-	version uint64
-	body    string
-	state   string
-	jobs    []administration.Job
-	reports []administration.Report
-	digests []administration.ShardDigests
-	runners []administration.Runner
-	left    int // result of Drain
-	backup  *archive.Archive
-
-	addresses []string
-	calls     []string
+	err       error  // result of every call
+	version   uint64 // of the newest configuration
+	body      string // the newest configuration
+	state     string // of every job
+	jobs      []administration.Job
+	reports   []administration.Report
+	digests   []administration.ShardDigests
+	runners   []administration.Runner
+	remaining int // result of Drain: shards still owned
+	backup    *archive.Archive
+
+	addresses []string // to which the command connected
+	calls     []string // names of the calls, with their main arguments
 	changes   []configurationChange
-	submitted *protocol.JobSpec
+	submitted *protocol.JobSpec // the last submitted job
 	closed    bool
 }
 
-// configurationChange is a recorded call of Configure.
+// configurationChange has the arguments of a call of Configure.
 type configurationChange struct {
 	kind string
 	base uint64
@@ -96,7 +96,7 @@
 
 func (f *fakeSystem) Drain(_ context.Context, node string) (int, error) {
 	f.record("drain", node)
-	return f.left, f.err
+	return f.remaining, f.err
 }
 
 func (f *fakeSystem) Backup(context.Context) (*archive.Archive, error) {
@@ -112,7 +112,7 @@
 	out, err string
 }
 
-// runCommand runs a command line, split at spaces, on a fake system.
+// runCommand runs a command line, split at spaces, against a fake system. Addresses without a colon are invalid.
 func runCommand(system *fakeSystem, input, commandLine string) outcome {
 	var out, err bytes.Buffer
 	std := Streams{In: strings.NewReader(input), Out: &out, Err: &err}
@@ -150,7 +150,8 @@
 	return backup
 }
 
-// newReports returns the reports of two of three control processes: "b" owns the configuration, shard 1 has no owner.
+// newReports returns the reports of the control processes "a" and "b"; the third, "c", does not answer. "b" owns shard 0,
+// the configuration. Shard 1 has no owner.
 func newReports() []administration.Report {
 	members := []administration.MemberReport{
 		{Member: protocol.Member{ID: 1, Node: "a", Zone: "z1", Address: "10.0.0.1:7380"}},
@@ -174,7 +175,7 @@
 	}
 }
 
-// newStateDir returns the folder of a stopped control process.
+// newStateDir creates the folder of a stopped control process with an empty state, and returns its path.
 func newStateDir() string {
 	dir := filepath.Join(GinkgoT().TempDir(), "data")
 	Expect(newBackup().Restore(dir, archive.Process{Node: "a", Zone: "z", Address: "10.0.0.1:7380"})).To(Succeed())
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -17,15 +17,16 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
+// jobIDPattern matches the ids of jobs.
 var jobIDPattern = regexp.MustCompile("^[0-9a-fA-F]{16}$")
 
-// jobReport is what commands on one job print as JSON.
+// jobReport is the JSON output of the commands for one job. 'jobs submit' leaves out the state.
 type jobReport struct {
 	ID    string `json:"id"`
 	State string `json:"state,omitempty"`
 }
 
-// checkJobID returns an error if an argument cannot be a job's id.
+// checkJobID returns a usage error unless id has the form of a job's id.
 func checkJobID(id string) error {
 	if !jobIDPattern.MatchString(id) {
 		return usageError{fmt.Errorf("%q is not a job's id, which has 16 hex digits", id)}
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// newJobID returns a random id.
+// newJobID returns a random id for a job.
 func newJobID() (string, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -77,7 +78,8 @@
 	return c
 }
 
-// readJob reads a job from a file. The system checks it further.
+// readJob reads a job from a file, or from standard input. It checks only that it is JSON
+// with steps; the system checks the rest.
 func (s *clusterCommands) readJob(name string) (*protocol.JobSpec, error) {
 	body, err := s.readInput(name)
 	if err != nil {
@@ -146,7 +148,7 @@
 	return c
 }
 
-// jobView is a job as 'jobs list' prints it as JSON.
+// jobView is a job in the JSON output of 'jobs list'.
 type jobView struct {
 	ID       string     `json:"id"`
 	Queue    string     `json:"queue"`
@@ -154,9 +156,9 @@
 	State    string     `json:"state"`
 	Accepted time.Time  `json:"accepted"`
 	Ended    *time.Time `json:"ended,omitempty"`
-	Done     int        `json:"done"`
-	Running  int        `json:"running"`
-	Tasks    int        `json:"tasks"`
+	Done     int        `json:"done"`    // tasks that are done, of the repetitions in progress
+	Running  int        `json:"running"` // tasks that are running
+	Tasks    int        `json:"tasks"`   // all tasks of these repetitions
 }
 
 func jobViews(jobs []administration.Job) []jobView {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// print writes value as JSON, or calls text, as --output says.
+// print writes value as JSON if --output is json; otherwise it calls text, which writes the form for people.
 func (f *clusterFlags) print(value any, text func(w io.Writer)) error {
 	if f.output == formJSON {
 		return printJSON(f.commands.std.Out, value)
@@ -35,9 +35,9 @@
 	_ = columns.Flush()
 }
 
-// durationText returns a duration given in ms; from a minute on, rounded to seconds.
-func durationText(count int64) string {
-	span := time.Duration(count) * time.Millisecond
+// durationText formats a duration given in milliseconds. A duration of a minute or more is rounded to seconds.
+func durationText(ms int64) string {
+	span := time.Duration(ms) * time.Millisecond
 	if span >= time.Minute {
 		span = span.Round(time.Second)
 	}
@@ -46,7 +46,7 @@
 
 const bytesPerKB = 1000
 
-// sizeText returns a size in the largest decimal unit with at least two digits.
+// sizeText formats a size in the largest decimal unit (B, kB or MB) in which it has at least two digits.
 func sizeText(bytes int64) string {
 	switch {
 	case bytes < 10*bytesPerKB:
@@ -58,7 +58,7 @@
 	}
 }
 
-// faultsError returns the error of a command that found faults; nil if there are none.
+// faultsError returns an error that lists the faults that a command found, or nil if there are none.
 func faultsError(faults []string) error {
 	if len(faults) == 0 {
 		return nil
@@ -66,16 +66,16 @@
 	return errors.New(strings.Join(faults, "; "))
 }
 
-// writef writes formatted text. Errors are ignored: a command whose output is gone has nowhere to report that.
+// writef writes formatted text. It ignores errors, because a command whose output is closed cannot report them anywhere.
 func writef(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
 
-// stateWords are the words for states that tables show, by those of messages and of JSON, which programs of other
-// releases and scripts know.
+// stateWords maps states, as messages and JSON name them, to the words that tables show. The names in messages and JSON
+// must not change, because other releases and scripts know them.
 var stateWords = map[string]string{"silent": "unresponsive", "sick": "unhealthy"}
 
-// stateWord returns the word that tables show for a state.
+// stateWord returns the word that tables show for a state. A state without an entry in stateWords is shown as it is.
 func stateWord(state string) string {
 	if word, ok := stateWords[state]; ok {
 		return word
@@ -83,7 +83,7 @@
 	return state
 }
 
-// memberText returns a member's node, or its address if the node is not known, and whether it is a learner.
+// memberText returns a member's node name, or its address if the node is not known, followed by " (learner)" for a learner.
 func memberText(node, address string, isLearner bool) string {
 	name := node
 	if name == "" {
--- a/internal/cli/restore.go
+++ b/internal/cli/restore.go
@@ -63,7 +63,7 @@
 	return c
 }
 
-// applySettings sets what the flags have left out to what a settings file says.
+// applySettings reads a settings file and sets the values that no flag has set.
 func applySettings(path string, process *archive.Process, dir *string) error {
 	settings, err := boot.Load(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// setDefault sets text if it is empty.
+// setDefault sets *text to value if it is empty.
 func setDefault(text *string, value string) {
 	if *text == "" {
 		*text = value
--- a/internal/cli/roles.go
+++ b/internal/cli/roles.go
@@ -17,10 +17,10 @@
 	"ospreypond/internal/cluster/seeds"
 )
 
-// settingsVariable names the settings file of a process of the cluster scheduler.
+// settingsVariable is the environment variable with the path of the settings file of a process of the cluster scheduler.
 const settingsVariable = "OSPREYPOND_SETTINGS"
 
-// roleMain is a role's main function: it serves until ctx ends, then stops gracefully and returns nil.
+// roleMain runs the process of a role: it serves until ctx ends, then stops gracefully and returns nil.
 type roleMain func(ctx context.Context, settings *boot.Settings, logger log.Logger) error
 
 func newRoles(std Streams, getenv func(string) string) []*cobra.Command {
@@ -43,14 +43,14 @@
 	return c
 }
 
-// newRole returns the command of a role. Its name is the role's.
+// newRole returns the command that runs the process of a role. use is the role's name and the command's.
 func newRole(std Streams, getenv func(string) string, use, short string, run roleMain) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		Long: short + ", in the foreground, with the settings file that " + settingsVariable + " names.\n" +
 			"SIGTERM stops it gracefully.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			logger := newRoleLog(std.Err)
-			seeds.Hangups() // a SIGHUP during the start must not end the process
+			seeds.Hangups() // registers for SIGHUP: one during the start would otherwise end the process
 			settings, err := boot.Load(getenv(settingsVariable))
 			if err == nil {
 				err = settings.CheckRole(use)
@@ -70,7 +70,7 @@
 		}}
 }
 
-// newRoleLog returns the logger of a role: logfmt, from level info.
+// newRoleLog returns the logger of a role's process. It writes logfmt lines of level info and above.
 func newRoleLog(w io.Writer) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	logger = level.NewFilter(logger, level.AllowInfo())
--- a/internal/cli/runners.go
+++ b/internal/cli/runners.go
@@ -27,15 +27,15 @@
 		})
 }
 
-// milli is how many thousandths of a core, the unit of protocol.Resources.CPU, are a core.
-const milli = 1000
+// millicoresPerCore converts protocol.Resources.CPU, which is in thousandths of a core, to cores.
+const millicoresPerCore = 1000
 
 func runnerRows(runners []administration.Runner) [][]string {
 	rows := [][]string{{"INSTANCE", "SERVICE", "ZONE", "STATE", "CORES", "MEMORY MB", "GPU", "RUNS", "STOPS", "FAILURES", "LAST SEEN", "LEASE", "LABELS"}}
 	for _, r := range runners {
 		rows = append(rows, []string{
 			r.Instance, r.Service, r.Zone, stateWord(r.State),
-			fmt.Sprintf("%.1f/%.1f", float64(r.Free.CPU)/milli, float64(r.Capacity.CPU)/milli),
+			fmt.Sprintf("%.1f/%.1f", float64(r.Free.CPU)/millicoresPerCore, float64(r.Capacity.CPU)/millicoresPerCore),
 			fmt.Sprintf("%d/%d", r.Free.MemoryMB, r.Capacity.MemoryMB),
 			fmt.Sprintf("%d/%d", r.Free.GPU, r.Capacity.GPU),
 			strconv.Itoa(r.Runs), strconv.Itoa(r.Stops), fmt.Sprintf("%.2f", r.Distrust),
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -12,10 +12,10 @@
 	"ospreypond/internal/store"
 )
 
-// Defaults of the flags for recorded traffic.
+// Defaults of --record-keep and --record-bytes.
 const (
 	keepAge   = 7 * 24 * time.Hour
-	keepBytes = 1 << 30
+	keepBytes = 1 << 30 // 1 GiB of keys and values
 )
 
 func newServe(std Streams, getenv func(string) string) *cobra.Command {
--- a/internal/cli/shards.go
+++ b/internal/cli/shards.go
@@ -42,14 +42,14 @@
 		if err := flags.print(shards, func(w io.Writer) { printTable(w, rows) }); err != nil {
 			return err
 		}
-		return faultsError(ownerless(shards))
+		return faultsError(ownerFaults(shards))
 	})
 	c.Flags().BoolVar(&counters, "counters", false, "show counts of jobs, runs and decisions")
 	c.Flags().BoolVar(&digests, "digests", false, "compare the members' states by digest")
 	return c
 }
 
-// printDigests prints the digests of the members' states, and returns an error if they differ.
+// printDigests prints the digests of the members' states, and returns an error if those of a shard differ.
 func printDigests(ctx context.Context, flags *clusterFlags, system administrator) error {
 	all, err := system.Digests(ctx)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return strings.Join(texts, "; ")
 }
 
-// ownerless returns a fault for each shard without an owner.
-func ownerless(shards []administration.ShardView) []string {
+// ownerFaults returns a fault for each shard without an owner that answers.
+func ownerFaults(shards []administration.ShardView) []string {
 	var faults []string
 	for _, shard := range shards {
 		if shard.Owner == "" {
@@ -95,7 +95,7 @@
 	return faults
 }
 
-// counterRows returns the table of --counters; the configuration's shard has none.
+// counterRows returns the table of --counters. Shards without counters, such as that of the configuration, are left out.
 func counterRows(shards []administration.ShardView) [][]string {
 	rows := [][]string{{"SHARD", "TAKEN", "COMPLETED", "FAILED", "CANCELLED", "STARTED", "LOST", "ROUNDS", "STOPS", "REFUSED",
 		"STALE", "PREEMPTED", "STALLED"}}
@@ -136,7 +136,7 @@
 	return strconv.Itoa(int(shard))
 }
 
-// stateText returns what a shard's state contains, in short, as its owner reports it.
+// stateText summarizes the contents of a shard's state as its owner reports them; "-" without an owner.
 func stateText(shard *administration.ShardView) string {
 	switch {
 	case shard.Owner == "":
@@ -148,7 +148,8 @@
 	}
 }
 
-// memberTexts returns the members of a shard, each with what it has applied and lacks.
+// memberTexts lists the members of a shard, each with the index of its last applied entry and the number of entries that
+// it lacks.
 func memberTexts(members []administration.ShardMember) string {
 	texts := make([]string, 0, len(members))
 	for _, m := range members {
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// folderRows returns the table of groups, with one more column if the folder was verified.
+// folderRows returns the table of replica groups. If the folder was verified, it has the further column CONTENTS.
 func folderRows(folder *inspect.Folder) [][]string {
 	rows := [][]string{{"SHARD", "TERM", "COMMIT", "SNAPSHOT", "BYTES", "ENTRIES", "FROM", "TO", "MEMBERS"}}
 	if folder.Verified {
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -16,7 +16,7 @@
 		newStoreCheck(std), newStoreDump(std), newStoreAppend(std), newStoreCompact(std), newStoreStats(std), newStoreRepair(std))
 }
 
-// withStore opens an existing store, calls f with it and a context that ends at an interrupt, and closes it.
+// withStore opens an existing store, calls f, and closes the store. The context of f ends at SIGINT or SIGTERM.
 func withStore(c *cobra.Command, std Streams, dir string, f func(context.Context, *store.Store) error) (err error) {
 	ctx, stop := Interruptible(c.Context())
 	defer stop()
--- a/internal/cli/store_records.go
+++ b/internal/cli/store_records.go
@@ -17,8 +17,8 @@
 	"ospreypond/internal/store"
 )
 
-// recordLine is a record as 'store dump' prints it and 'store append' reads it. Key and Value are base64 in JSON; KeyText and
-// ValueText replace them if text was requested and they are UTF-8.
+// recordLine is one line of 'store dump' and of the input of 'store append'. Key and Value are base64 in JSON. KeyText and
+// ValueText replace them if text was requested and the bytes are valid UTF-8.
 type recordLine struct {
 	Space     string  `json:"space"`
 	Key       []byte  `json:"key,omitempty"`
@@ -29,10 +29,10 @@
 	Delete    bool    `json:"delete,omitempty"`
 }
 
-// newRecordLine returns a record's line, with key and value as text where they can be if asText is set.
+// newRecordLine returns the line of a record. With asText, a key or value that is valid UTF-8 is written as text.
 func newRecordLine(space string, key, value []byte, seq uint64, asText bool) recordLine {
 	if value == nil {
-		value = []byte{} // JSON's null would mean that there is no value
+		value = []byte{} // nil would be written as null, which means that there is no value
 	}
 	l := recordLine{Space: space, Key: key, Value: &value, Seq: seq}
 	if asText && utf8.Valid(key) {
@@ -67,7 +67,7 @@
 	return c
 }
 
-// spacesOf returns the space of a name, or all of them by name if it is empty.
+// spacesOf returns the space of the given name or, if the name is empty, all spaces sorted by name.
 func spacesOf(s *store.Store, name string) ([]*store.Space, error) {
 	if name != "" {
 		space, err := s.Lookup(name)
@@ -78,7 +78,7 @@
 	return spaces, nil
 }
 
-// dump writes the records of the spaces as of one snapshot.
+// dump writes the records of the spaces as they are in one snapshot of the store.
 func dump(ctx context.Context, s *store.Store, spaces []*store.Space, w io.Writer, asText bool) error {
 	out := bufio.NewWriter(w)
 	encoder := json.NewEncoder(out)
@@ -153,12 +153,12 @@
 	return c
 }
 
-// appender collects records to batches, and commits each batch to a store.
+// appender collects records into batches and commits each batch to a store.
 type appender struct {
 	s         *store.Store
 	b         store.Batch
-	batchSize int
-	out       io.Writer
+	batchSize int       // records and deletions in a batch
+	out       io.Writer // gets a line for each commit
 }
 
 // appendLine adds the record or deletion of one line to the batch, and commits the batch when it is full.
@@ -170,20 +170,20 @@
 		return err
 	}
 	if dec.More() {
-		return errors.New("more than one object")
+		return errors.New("more than one JSON object")
 	}
 	key := l.Key
 	switch {
 	case l.Space == "":
 		return errors.New("\"space\" is missing")
 	case l.Key != nil && l.KeyText != nil:
-		return errors.New("both \"key\" and \"key_text\"")
+		return errors.New("\"key\" and \"key_text\" are both given")
 	case l.KeyText != nil:
 		key = []byte(*l.KeyText)
 	}
 	sp, err := a.s.Lookup(l.Space)
 	if errors.Is(err, store.ErrNotFound) {
-		if err = a.flush(); err == nil { // creating a space is a commit of its own
+		if err = a.flush(); err == nil { // creating a space is a commit itself, so the batch is committed before it
 			sp, err = a.s.Space(l.Space, store.Retention{})
 		}
 	}
@@ -192,11 +192,11 @@
 	}
 	switch {
 	case l.Delete && (l.Value != nil || l.ValueText != nil):
-		return errors.New("a value to delete")
+		return errors.New("a line with \"delete\" must not have a value")
 	case l.Delete:
 		a.b.Delete(sp, key)
 	case l.Value != nil && l.ValueText != nil:
-		return errors.New("both \"value\" and \"value_text\"")
+		return errors.New("\"value\" and \"value_text\" are both given")
 	case l.ValueText != nil:
 		a.b.Put(sp, key, []byte(*l.ValueText))
 	case l.Value != nil:
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// flush commits the batch, if there is anything in it, and prints its number.
+// flush commits the batch unless it is empty, and prints the sequence number of the commit.
 func (a *appender) flush() error {
 	if a.b.Len() == 0 {
 		return nil
--- a/internal/cluster/localcluster/attributes_linux.go
+++ b/internal/cluster/localcluster/attributes_linux.go
@@ -2,8 +2,9 @@
 
 import "syscall"
 
-// processAttributes returns the attributes of a process: a process group of its own, so that a terminal's Ctrl-C reaches
-// only this process, which stops the others in order; and SIGTERM in case this process is killed.
+// processAttributes returns the attributes of a child process. The child has a process group of its own, so that Ctrl-C in a
+// terminal reaches only this process, which then stops the children in order. If this process is killed, the kernel sends
+// SIGTERM to the child.
 func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 }
--- a/internal/cluster/localcluster/command/command.go
+++ b/internal/cluster/localcluster/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of the program localcluster, which runs a small system on one machine. It is not a
-// command of ospreypond, because that program must not be able to start others.
+// Package command is the command line of the program localcluster, which runs a small system on one machine. It is a
+// separate program, not a command of ospreypond, because ospreypond must not be able to start other programs.
 package command
 
 import (
@@ -39,7 +39,7 @@
 	return c
 }
 
-// run completes the options and runs the system until an interrupt.
+// run checks and completes the options, and runs the system until the process receives SIGINT or SIGTERM.
 func run(c *cobra.Command, options localcluster.Options) error {
 	if options.Dir == "" {
 		return cli.UsageError(errors.New("--dir is missing"))
--- a/internal/cluster/localcluster/first_configuration.go
+++ b/internal/cluster/localcluster/first_configuration.go
@@ -1,12 +1,13 @@
 package localcluster
 
-// Host and Prefix name the queue for jobs that a new local system has.
+// demoHost and demoPrefix are the host and path prefix of the queue "jobs" of a new local system.
 const (
 	demoHost   = "demo.local"
 	demoPrefix = "/jobs/"
 )
 
-// firstConfiguration is the configuration of a new local system.
+// firstConfiguration is the configuration of a new local system, as a JSON document. It has two queues, "jobs" and "urgent",
+// whose tasks the stand-in runners do.
 const firstConfiguration = `{
   "version": 1,
   "routes": [
--- a/internal/cluster/localcluster/folder.go
+++ b/internal/cluster/localcluster/folder.go
@@ -14,10 +14,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// lockName is the file that is locked while a local system runs in its folder.
+// lockName is the name of the file that is locked while a local system runs in the folder.
 const lockName = "lock"
 
-// checkOptions checks the options and completes the System by them. It changes nothing on disk.
+// checkOptions checks the options, and sets the machines and the backup from them. It changes nothing on disk.
 func (s *system) checkOptions() error {
 	dir, err := filepath.Abs(s.options.Dir)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return err
 }
 
-// prepare writes the settings of all processes and, if there is one, the backup.
+// prepare checks that the system can start in its folder and at its addresses, then writes the settings files of all
+// processes and restores the backup, if there is one.
 func (s *system) prepare(ctx context.Context) error {
 	isNew := s.isNew()
 	if !isNew {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// lock takes the lock that keeps a second local system out of the folder, until it is closed.
+// lock locks the folder against a second local system until the result is closed.
 func (s *system) lock() (io.Closer, error) {
 	lock, err := vfs.OS{}.Lock(filepath.Join(s.options.Dir, lockName))
 	if errors.Is(err, vfs.ErrLocked) {
@@ -74,8 +75,8 @@
 	return lock, err
 }
 
-// checkNetwork returns an error if the system in the folder has other addresses. Its members know each other by them, so they
-// must not change.
+// checkNetwork returns an error if the system in the folder was created with another network. The members of its replica
+// groups know each other by their addresses, so these must not change.
 func (s *system) checkNetwork() error {
 	m := withRole(s.machines, boot.RoleControl)[0]
 	settings, err := boot.Load(m.settingsPath())
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// isNew reports whether no control process has run in the folder yet.
+// isNew reports whether no control process has data in the folder yet.
 func (s *system) isNew() bool {
 	for _, m := range withRole(s.machines, boot.RoleControl) {
 		if entries, err := os.ReadDir(m.dataDir()); err == nil && len(entries) > 0 {
@@ -95,7 +96,8 @@
 	return true
 }
 
-// restore writes the backup into the first control process's folder; the others join it with empty ones.
+// restore writes the backup into the data folder of the first control process. The other control processes start with empty
+// folders and join its groups.
 func (s *system) restore() error {
 	m := withRole(s.machines, boot.RoleControl)[0]
 	return s.backup.Restore(m.dataDir(), archive.Process{Node: m.name, Zone: m.zone, Address: m.address(internalPort)})
--- a/internal/cluster/localcluster/introduction.go
+++ b/internal/cluster/localcluster/introduction.go
@@ -25,7 +25,7 @@
 		s.options.Program)
 }
 
-// describe returns the addresses of the machine's process, for people.
+// describe returns the addresses of the machine's process, each with its purpose, for people.
 func (m *machine) describe() string {
 	switch m.role {
 	case boot.RoleFrontend:
--- a/internal/cluster/localcluster/machines.go
+++ b/internal/cluster/localcluster/machines.go
@@ -15,20 +15,21 @@
 	"ospreypond/internal/cluster/boot"
 )
 
-// Ports, the same on all machines.
+// Ports of the processes, the same on all machines.
 const (
-	controlPort   = 8144
-	frontendPort  = 8149
-	readinessPort = 8141
-	runnerPort    = 8080
-	internalPort  = 7380
-	lastPort      = 7395
+	controlPort   = 8144 // of control processes, for operators; of agents, for their runner's heartbeats
+	frontendPort  = 8149 // of frontends, for clients
+	readinessPort = 8141 // of frontends, for load balancers' readiness checks
+	runnerPort    = 8080 // of stand-in runners; nothing listens there
+	internalPort  = 7380 // first port for traffic between processes, the only one in use
+	lastPort      = 7395 // last port for that traffic
 )
 
 // demoService is the service of the stand-in runners.
 const demoService = "demo"
 
-// graceSeconds is short: no load balancer has to notice first that a frontend stops.
+// graceSeconds is the setting bounds.graceS, the time from SIGTERM to SIGKILL. It is short, because there is no load
+// balancer that first has to notice that a frontend stops.
 const graceSeconds = 2
 
 // region is the region of all zones.
@@ -36,19 +37,19 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// machine is one loopback address, which stands for a machine with one process.
+// machine is one loopback address. It stands for a machine that runs one process.
 type machine struct {
 	name   string
-	role   string // command of the process
-	class  string
-	serves string
+	role   string // role of the process, and the command that runs it
+	class  string // key machineClass of the settings
+	serves string // the one element of the key serves
 	ip     string
 	zone   string
-	dir    string
+	dir    string // folder for the process's settings, log and data
 }
 
-// newMachines returns the machines of a system in a folder, at addresses of a loopback network given by its first three
-// numbers.
+// newMachines returns the machines of a system whose folder is dir. Their addresses are in the loopback network that is
+// given by its first three numbers, such as "127.77.0".
 func newMachines(dir, network string) ([]*machine, error) {
 	plan := []struct {
 		role, class, serves string
@@ -93,7 +94,7 @@
 func (m *machine) logPath() string      { return filepath.Join(m.dir, "log") }
 func (m *machine) dataDir() string      { return filepath.Join(m.dir, "data") }
 
-// listens returns the addresses at which the machine's process serves, by the keys of the settings.
+// listens returns the addresses for the key listen of the settings, by the names of the listeners.
 func (m *machine) listens() map[string]string {
 	if m.serves == boot.ServesFrontend {
 		return map[string]string{
@@ -103,7 +104,7 @@
 	return map[string]string{boot.ListenControl: m.address(controlPort)}
 }
 
-// settingsFile is the settings file of a process; docs/settings.md describes the keys.
+// settingsFile is the content of a process's settings file. docs/settings.md describes the keys.
 type settingsFile struct {
 	NodeName            string            `json:"nodeName"`
 	Role                string            `json:"role"`
@@ -122,29 +123,29 @@
 	FaultTolerance      tolerance         `json:"faultTolerance"`
 	Bounds              bounds            `json:"bounds"`
 	Limits              limits            `json:"limits"`
-	DataDir             string            `json:"dataDir,omitempty"` // of control processes
-	App                 string            `json:"app,omitempty"`     // of agents: the runner's address
-	Service             string            `json:"service,omitempty"` // of agents: the runner's service
+	DataDir             string            `json:"dataDir,omitempty"` // only for control processes
+	App                 string            `json:"app,omitempty"`     // only for agents: the address of the runner
+	Service             string            `json:"service,omitempty"` // only for agents: the service of the runner
 }
 
-// tolerance says what may fail at the same time.
+// tolerance is the number of machines that may fail at the same time.
 type tolerance struct {
 	Machines int `json:"machines"`
 }
 
-// bounds are the times that differ from their defaults.
+// bounds has the bounds that differ from their defaults.
 type bounds struct {
-	GraceS int `json:"graceS"`
+	GraceS int `json:"graceS"` // seconds
 }
 
-// limits are the resources that a process may use.
+// limits are the resources that a process may use. boot.Limits says which of them have an effect.
 type limits struct {
 	MemoryMB        int `json:"memoryMb"`
 	FileDescriptors int `json:"fileDescriptors"`
 	DiskMB          int `json:"diskMb"`
 }
 
-// writeSettings writes the settings file of the machine's process.
+// writeSettings writes the settings file of the machine's process. The seeds are the control processes among machines.
 func (m *machine) writeSettings(machines []*machine, bootstrap bool) error {
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
@@ -186,7 +187,7 @@
 	return os.WriteFile(m.settingsPath(), append(data, '\n'), 0o600)
 }
 
-// checkAddressesFree returns an error if an address at which a machine's process listens is in use.
+// checkAddressesFree returns an error if another program listens at an address that a machine's process needs.
 func checkAddressesFree(ctx context.Context, machines []*machine) error {
 	var config net.ListenConfig
 	for _, m := range machines {
@@ -197,7 +198,7 @@
 		for _, port := range ports {
 			listener, err := config.Listen(ctx, "tcp", m.address(port))
 			if err != nil {
-				return errors.Wrap(err, "is another local system running? Use another --network")
+				return errors.Wrap(err, "an address of the local system cannot be used; stop what listens there, or use another --network")
 			}
 			_ = listener.Close()
 		}
--- a/internal/cluster/localcluster/machines_test.go
+++ b/internal/cluster/localcluster/machines_test.go
@@ -14,7 +14,7 @@
 	"ospreypond/internal/cluster/boot"
 )
 
-// freeNetwork returns a loopback network in which the machines' addresses are free.
+// freeNetwork returns a random loopback network in which no program listens at the machines' addresses.
 func freeNetwork() string {
 	GinkgoHelper()
 	for range 100 {
@@ -29,8 +29,8 @@
 	return ""
 }
 
-var _ = Describe("the machines", func() {
-	It("have settings files that are valid for their roles", func() {
+var _ = Describe("the machines of a local system", func() {
+	It("have valid settings files with the keys that their roles need", func() {
 		dir := GinkgoT().TempDir()
 		machines, err := newMachines(dir, "127.9.9")
 		Expect(err).NotTo(HaveOccurred())
@@ -48,14 +48,14 @@
 		}
 	})
 
-	DescribeTable("are at loopback addresses only", func(network string) {
+	DescribeTable("are rejected if the network is not a loopback network given by three numbers", func(network string) {
 		_, err := newMachines("x", network)
 		Expect(err).To(MatchError(ContainSubstring("is not of the form 127.N.N")))
 	},
 		Entry(nil, "10.0.0"), Entry(nil, "127.0"), Entry(nil, "127.0.0.1"), Entry(nil, ""), Entry(nil, "127.0.300"), Entry(nil, "::1"),
 	)
 
-	It("start for the first time only if no control process has left data", func() {
+	It("count as new until a control process has data, and then keep their network and take no backup", func() {
 		dir := GinkgoT().TempDir()
 		network := freeNetwork()
 		s := &system{options: Options{Dir: dir, Network: network, Program: os.Args[0]}}
@@ -73,14 +73,14 @@
 		Expect(s.prepare(GinkgoT().Context())).To(MatchError(ContainSubstring("contains a system with control-1 at " + network + ".11; use its --network")))
 	})
 
-	It("are rejected if the folder is a file", func() {
+	It("are rejected if the folder's path names a file", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "file")
 		Expect(os.WriteFile(file, nil, 0o600)).To(Succeed())
 		s := &system{options: Options{Dir: file, Network: "127.9.9", Program: os.Args[0]}}
 		Expect(s.checkOptions()).To(MatchError(ContainSubstring(file + " is not a folder")))
 	})
 
-	It("belong to one system at a time", func() {
+	It("have a folder in which only one system runs at a time", func() {
 		s := &system{options: Options{Dir: GinkgoT().TempDir()}}
 		lock, err := s.lock()
 		Expect(err).NotTo(HaveOccurred())
@@ -89,7 +89,7 @@
 		Expect(lock.Close()).To(Succeed())
 	})
 
-	It("start with a valid configuration", func() {
+	It("start with a valid first configuration", func() {
 		Expect(document.Check([]byte(firstConfiguration), nil)).To(Succeed())
 	})
 })
--- a/internal/cluster/localcluster/process.go
+++ b/internal/cluster/localcluster/process.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	restartBackoff  = time.Second     // between a process's end and its next start
+	restartBackoff  = time.Second     // from the end of a process to its next start
 	stopTimeout     = 9 * time.Second // from SIGTERM to SIGKILL
-	minUptime       = 3 * time.Second // a process that ends sooner has failed to start
-	maxFailedStarts = 5               // in a row, after which run gives up
-	maxLogTail      = int64(600)      // bytes of a log that an error shows
+	minUptime       = 3 * time.Second // a process that ends earlier counts as a failed start
+	maxFailedStarts = 5               // failed starts in a row after which run gives up
+	maxLogTail      = int64(600)      // bytes from the end of a log that an error shows
 )
 
 // process keeps the process of one machine running.
@@ -34,8 +34,8 @@
 	running *exec.Cmd  // nil: none
 }
 
-// run runs the process, and restarts it when it ends, until ctx ends; then it stops it and returns nil. It returns an error if
-// the process fails to start maxFailedStarts times in a row.
+// run starts the process, and restarts it restartBackoff after each end. When ctx ends, it stops the process and returns
+// nil. It returns an error after maxFailedStarts starts in a row after each of which the process ended within minUptime.
 func (p *process) run(ctx context.Context) error {
 	failedStarts := 0
 	for {
@@ -60,8 +60,8 @@
 	}
 }
 
-// runOnce runs the process until it ends or ctx does; then it stops it by SIGTERM, and after stopTimeout by SIGKILL. It never
-// returns nil.
+// runOnce runs the process until it ends, and returns why. When ctx ends, it sends SIGTERM, and SIGKILL after
+// stopTimeout. The error is never nil.
 func (p *process) runOnce(ctx context.Context) error {
 	log, err := os.OpenFile(p.machine.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -86,14 +86,14 @@
 	return err
 }
 
-// setCommand sets the running command; nil: none.
+// setCommand records the running command; nil: none runs.
 func (p *process) setCommand(command *exec.Cmd) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.running = command
 }
 
-// pid returns the process's id; 0 if it does not run.
+// pid returns the id of the process, or 0 if it does not run.
 func (p *process) pid() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -103,7 +103,7 @@
 	return p.running.Process.Pid
 }
 
-// tail returns the end of the process's log, or why it cannot be read.
+// tail returns the last maxLogTail bytes of the process's log, or the error of opening it.
 func (p *process) tail() string {
 	log, err := os.Open(p.machine.logPath())
 	if err != nil {
--- a/internal/cluster/localcluster/ready.go
+++ b/internal/cluster/localcluster/ready.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	readyTimeout      = time.Minute
-	readyPollInterval = 100 * time.Millisecond
-	requestTimeout    = time.Second
+	readyTimeout      = time.Minute            // from the start of a system until all frontends are ready
+	readyPollInterval = 100 * time.Millisecond // between two attempts of poll
+	requestTimeout    = time.Second            // of one request to a control process or frontend
 )
 
 // controlAddresses returns the internal addresses of the control processes.
@@ -27,8 +27,8 @@
 	return addresses
 }
 
-// becomeReady waits until the configuration has an owner, applies the first configuration if there is none, and waits until
-// the frontends are ready.
+// becomeReady waits until the configuration's shard has an owner, applies the first configuration if there is none, and
+// waits until all frontends report that they are ready.
 func (s *system) becomeReady(ctx context.Context) error {
 	if err := s.configure(ctx); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// configure applies the first configuration, if there is none.
+// configure applies the first configuration if the system has none. It repeats failed requests until ctx ends.
 func (s *system) configure(ctx context.Context) error {
 	client, err := administration.Dial(s.controlAddresses())
 	if err != nil {
@@ -62,7 +62,8 @@
 	})
 }
 
-// poll repeats attempt until it succeeds or ctx ends, and returns the last error.
+// poll repeats attempt every readyPollInterval until it succeeds or ctx ends. It returns the last error, or nil after
+// success.
 func poll(ctx context.Context, attempt func() error) error {
 	for {
 		err := attempt()
@@ -77,7 +78,7 @@
 	}
 }
 
-// checkReadiness returns an error if a frontend does not report that it is ready.
+// checkReadiness returns an error unless the frontend with this readiness URL responds that it is ready.
 func checkReadiness(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -91,7 +92,7 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("%s answers %s", url, response.Status)
+		return errors.Errorf("%s responds with status %s", url, response.Status)
 	}
 	return nil
 }
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -1,10 +1,14 @@
-// Package runner is a stand-in for a runner: it follows the protocol of heartbeats, and waits instead of working. A job's
-// `spec` says what its tasks do: "sleep 2s" takes two seconds, "fail 1s" fails after one, "last" goes on until it is
-// stopped; anything else takes defaultDuration. It saves no checkpoints, and the members of a gang do not wait for each
-// other.
+// Package runner implements a stand-in for a runner. It follows the heartbeat protocol, but its tasks wait instead of
+// working. A job's `spec` says what its tasks do:
+//   - "sleep 2s" succeeds after two seconds.
+//   - "fail 1s" fails after one second.
+//   - "last" runs until it is stopped.
+//   - Anything else succeeds after defaultDuration.
 //
-// Core has the decisions, without clock or I/O; Runner drives it and talks to the agent. Neither is safe for concurrent
-// use.
+// A stand-in saves no checkpoints, and the members of a gang do not wait for each other.
+//
+// Core is the state machine, without clock or I/O. Runner drives a Core and communicates with the agent. Neither is safe for
+// concurrent use.
 package runner
 
 import (
@@ -16,36 +20,36 @@
 )
 
 const (
-	defaultDuration = 300 * time.Millisecond // of a task whose spec names none
+	defaultDuration = 300 * time.Millisecond // of a task whose spec has no valid duration
 	endReportDelay  = 50 * time.Millisecond  // from the end of a run to the next heartbeat, at most
-	maxFinished     = 500                    // ended runs in one heartbeat
-	maxDuration     = time.Hour
+	maxFinished     = 500                    // ended runs in one heartbeat; the others wait for the next one
+	maxDuration     = time.Hour              // longest duration that a spec may have
 )
 
 // Options describe a runner, as its heartbeats report it.
 type Options struct {
-	Instance string // new in each incarnation
+	Instance string // name of this incarnation of the runner; a restart needs another one
 	Service  string
-	Address  string
+	Address  string // host:port of the runner
 	Zone     string
 	Capacity protocol.Resources
 	Labels   []string
-	Interval time.Duration // between heartbeats, unless a response says otherwise
-	MaxLease time.Duration // longest lease that it accepts
+	Interval time.Duration // between heartbeats, unless a response has another delay
+	MaxLease time.Duration // longest lease that the runner accepts
 }
 
-// Core is the state of a runner. Times are those of its monotonic clock.
+// Core is the state of a runner. All times are readings of one monotonic clock.
 type Core struct {
 	options       Options
-	sequence      uint64
-	fence         uint64
-	leaseExpiry   time.Duration
+	sequence      uint64        // of the last heartbeat
+	fence         uint64        // highest fencing token seen
+	leaseExpiry   time.Duration // from then on no run may be active
 	draining      bool
 	active        []*run
-	finished      []protocol.FinishedRun
-	lastNumber    uint64
-	endedRuns     map[string]uint64 // by task: the highest run that was stopped or has ended
-	nextHeartbeat time.Duration
+	finished      []protocol.FinishedRun // ended runs that the owner has not recorded yet, oldest first
+	lastNumber    uint64                 // FinishedRun.N of the last ended run
+	endedRuns     map[string]uint64      // by task: the highest run that was stopped or has ended
+	nextHeartbeat time.Duration          // when the next heartbeat is due
 }
 
 // run is a run of a task that has not ended.
@@ -53,8 +57,8 @@
 	task      string
 	number    uint64
 	startedAt time.Duration
-	duration  time.Duration // until it ends by itself; 0: never
-	ending    string        // how it ends by itself
+	duration  time.Duration // after which it ends without an order; 0: it runs until it is stopped
+	ending    string        // how it ends after duration: protocol.EndDone or EndFailed
 }
 
 // NewCore returns the state of a runner that has not sent a heartbeat yet.
@@ -63,10 +67,10 @@
 // Drain makes the runner report that it is draining.
 func (c *Core) Drain() { c.draining = true }
 
-// Busy reports whether there are runs.
+// Busy reports whether there are active runs.
 func (c *Core) Busy() bool { return len(c.active) > 0 }
 
-// Report returns the heartbeat to send now.
+// Report ends the runs that are due and returns the heartbeat to send now.
 func (c *Core) Report(now time.Duration) *protocol.Heartbeat {
 	c.Advance(now)
 	c.sequence++
@@ -93,7 +97,7 @@
 	return heartbeat
 }
 
-// percent returns the progress of a run, below 100 until it has ended.
+// percent returns the progress of an active run, at most 99.
 func (r *run) percent(now time.Duration) float64 {
 	if r.duration <= 0 {
 		return 0
@@ -101,7 +105,7 @@
 	return min(100*float64(now-r.startedAt)/float64(r.duration), 99)
 }
 
-// Advance ends the runs whose time has come: those that end by themselves, and all of them when the lease expires.
+// Advance ends the runs whose duration has passed before the lease expired, and all other runs when the lease has expired.
 func (c *Core) Advance(now time.Duration) {
 	for _, r := range slices.Clone(c.active) {
 		switch {
@@ -113,8 +117,12 @@
 	}
 }
 
-// Apply carries out the response to the heartbeat that was sent at sentAt. Orders with a lower fencing token than one seen
-// before are ignored. The lease counts from when the heartbeat was sent, and is never shortened.
+// Apply carries out the response to the heartbeat that was sent at sentAt.
+//
+//   - Orders with a lower fencing token than one seen before are ignored, except for the delay of the next heartbeat.
+//   - The lease starts at sentAt, not at the arrival of the response, so that it ends here no later than its owner expects.
+//     A response never shortens it.
+//   - Stop orders are carried out before start orders. A start needs a response that grants a lease that has not expired.
 func (c *Core) Apply(now, sentAt time.Duration, orders *protocol.Orders) {
 	c.Advance(now)
 	c.nextHeartbeat = now + c.options.Interval
@@ -140,7 +148,7 @@
 	}
 }
 
-// HeartbeatFailed is called when a heartbeat had no response: the next is due after backoff.
+// HeartbeatFailed records that a heartbeat got no usable response. The next heartbeat is due after backoff.
 func (c *Core) HeartbeatFailed(now time.Duration, backoff time.Duration) {
 	c.nextHeartbeat = now + backoff
 }
@@ -148,7 +156,7 @@
 // NextHeartbeat returns when the next heartbeat is due.
 func (c *Core) NextHeartbeat() time.Duration { return c.nextHeartbeat }
 
-// NextEnd returns when Advance has to end the next run; false if there are no runs.
+// NextEnd returns the time at which Advance has to end the next run. The result is false if there are no active runs.
 func (c *Core) NextEnd() (time.Duration, bool) {
 	if len(c.active) == 0 {
 		return 0, false
@@ -162,12 +170,12 @@
 	return next, true
 }
 
-// forget drops the ended runs that the owner has recorded.
+// forget drops the ended runs that the owner has recorded, those with numbers up to lastSeen.
 func (c *Core) forget(lastSeen uint64) {
 	c.finished = slices.DeleteFunc(c.finished, func(end protocol.FinishedRun) bool { return end.N <= lastSeen })
 }
 
-// start starts a run, once; it refuses one that is not above the task's highest ended run.
+// start starts a run unless it is active already. It refuses a run whose number is not above the task's highest ended run.
 func (c *Core) start(now time.Duration, order *protocol.StartOrder) {
 	for _, r := range c.active {
 		if r.task == order.Task && r.number == order.Run {
@@ -183,7 +191,7 @@
 	c.active = append(c.active, started)
 }
 
-// stop ends a run. One that has not started yet is barred from starting later.
+// stop ends an active run. A run that is not active can no longer start afterwards.
 func (c *Core) stop(now time.Duration, order protocol.StopOrder) {
 	for _, r := range c.active {
 		if r.task == order.Task && r.number == order.Run {
@@ -194,13 +202,13 @@
 	c.endedRuns[order.Task] = max(c.endedRuns[order.Task], order.Run)
 }
 
-// end removes a run and reports its end.
+// end removes a run from the active ones and reports how it ended.
 func (c *Core) end(now time.Duration, ended *run, how string) {
 	c.active = slices.DeleteFunc(c.active, func(r *run) bool { return r == ended })
 	c.report(now, ended.task, ended.number, how)
 }
 
-// report adds an ended run to the next heartbeats, and has one sent soon.
+// report adds an ended run to the next heartbeats, and makes the next one due within endReportDelay.
 func (c *Core) report(now time.Duration, task string, number uint64, how string) {
 	c.lastNumber++
 	c.finished = append(c.finished, protocol.FinishedRun{N: c.lastNumber, Task: task, Run: number, How: protocol.RunEnd(how)})
@@ -208,7 +216,7 @@
 	c.nextHeartbeat = min(c.nextHeartbeat, now+endReportDelay)
 }
 
-// readSpec returns how long a task takes, 0 meaning until it is stopped, and how it ends.
+// readSpec returns how long a task with this spec runs and how it then ends. A duration of 0 means until it is stopped.
 func readSpec(spec string) (duration time.Duration, ending string) {
 	words := strings.Fields(spec)
 	if len(words) == 0 {
--- a/internal/cluster/localcluster/runner/core_test.go
+++ b/internal/cluster/localcluster/runner/core_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// startedCore returns a core that was ordered at 1 s to start one run of "t", with a lease.
+// startedCore returns a core that got a lease and the order to start run 1 of task "t" at 1 s.
 func startedCore(spec string, lease time.Duration) *runner.Core {
 	core := newCore()
 	core.Report(second)
@@ -31,7 +31,7 @@
 	return core
 }
 
-// endsOf returns the ended runs of a heartbeat, as text.
+// endsOf returns the ended runs of a heartbeat, each as a text of its number, task, run and kind of end.
 func endsOf(heartbeat *protocol.Heartbeat) []string {
 	ends := []string{}
 	for _, end := range heartbeat.Finished {
@@ -40,7 +40,7 @@
 	return ends
 }
 
-var _ = DescribeTable("how a task ends by its spec",
+var _ = DescribeTable("a task ends as its spec says:",
 	func(spec string, at time.Duration, how string) {
 		core := startedCore(spec, 6*second)
 		if how == "" {
@@ -61,7 +61,7 @@
 )
 
 var _ = Describe("a stand-in runner", func() {
-	It("reports its identity, with a rising sequence", func() {
+	It("reports its service and state, with a sequence number that rises with each heartbeat", func() {
 		core := newCore()
 		first, next := core.Report(0), core.Report(second)
 		Expect(first.Service).To(Equal("s"))
@@ -71,12 +71,12 @@
 		Expect(core.Report(2 * second).State).To(Equal(protocol.RunnerDraining))
 	})
 
-	It("reports the progress of a run", func() {
+	It("reports the progress of an active run", func() {
 		core := startedCore("sleep 4s", 6*second)
 		Expect(core.Report(3 * second).Active).To(Equal([]protocol.ActiveRun{{Task: "t", Run: 1, Percent: 50}}))
 	})
 
-	It("ends all runs when the lease expires, counted from when the heartbeat was sent", func() {
+	It("ends all runs when the lease expires, which starts when the heartbeat was sent", func() {
 		core := newCore()
 		core.Apply(second, 500*time.Millisecond, &protocol.Orders{HoldMs: 1000,
 			Start: []protocol.StartOrder{{Task: "t", Run: 1, Spec: "last"}}})
@@ -84,14 +84,14 @@
 		Expect(endsOf(core.Report(1500 * time.Millisecond))).To(Equal([]string{"1 t 1 lapsed"}))
 	})
 
-	It("accepts no lease above its maximum, and none that ends earlier than the current one", func() {
+	It("accepts no lease longer than its maximum, and never shortens a lease", func() {
 		core := startedCore("last", time.Hour)
 		core.Apply(second, second, &protocol.Orders{HoldMs: 1, FenceToken: 3})
 		Expect(core.Report(6900 * time.Millisecond).Active).To(HaveLen(1))
 		Expect(core.Report(7 * second).Active).To(BeEmpty())
 	})
 
-	It("starts nothing without a lease", func() {
+	It("starts no run without a lease, or with one that has expired", func() {
 		core := newCore()
 		core.Apply(second, second, &protocol.Orders{Start: []protocol.StartOrder{{Task: "t", Run: 1}}})
 		Expect(core.Busy()).To(BeFalse())
@@ -107,7 +107,7 @@
 		Expect(endsOf(core.Report(2 * second))).To(Equal([]string{"1 t 1 stopped"}))
 	})
 
-	It("starts a run once, and refuses one that is not above a stopped or ended one", func() {
+	It("starts a run once, and never starts a run that is not above a stopped or ended run of its task", func() {
 		core := startedCore("sleep 1s", 6*second)
 		repeated := &protocol.Orders{HoldMs: 6000, FenceToken: 3, Start: []protocol.StartOrder{{Task: "t", Run: 1}}}
 		core.Apply(second, second, repeated)
@@ -121,7 +121,7 @@
 		Expect(core.Report(3 * second).Active).To(ConsistOf(HaveField("Run", uint64(5))))
 	})
 
-	It("drops ended runs that were recorded, and reports the others again, 500 at a time", func() {
+	It("reports at most 500 ended runs in a heartbeat, and repeats them until they are recorded", func() {
 		core := newCore()
 		orders := &protocol.Orders{HoldMs: 6000}
 		for i := range 600 {
@@ -135,7 +135,7 @@
 		Expect(remaining[0].N).To(Equal(uint64(451)))
 	})
 
-	It("sends the next heartbeat when ordered to, and soon after a run has ended", func() {
+	It("sends the next heartbeat after the usual interval, after an ordered delay, soon after the end of a run, or after a backoff", func() {
 		core := newCore()
 		core.Apply(second, second, &protocol.Orders{})
 		Expect(core.NextHeartbeat()).To(Equal(2500 * time.Millisecond))
--- a/internal/cluster/localcluster/runner/runner.go
+++ b/internal/cluster/localcluster/runner/runner.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	responseTimeout  = time.Second            // a response that takes longer is dropped
-	retryBackoff     = 200 * time.Millisecond // after a heartbeat without a response
-	drainTimeout     = 1500 * time.Millisecond
-	maxResponseBytes = 4 << 20
+	responseTimeout  = time.Second             // a request without a response within this time has failed
+	retryBackoff     = 200 * time.Millisecond  // from a failed heartbeat to the next one
+	drainTimeout     = 1500 * time.Millisecond // for the last heartbeat and deregistering together
+	maxResponseBytes = 4 << 20                 // of a response's body
 	contentJSON      = "application/json"
 )
 
@@ -29,10 +29,10 @@
 	clock     clockwork.Clock
 	http      *http.Client
 	startedAt time.Time
-	id        string
+	id        string // Options.Instance
 }
 
-// New returns a runner whose agent listens at host:port. Run runs it. A nil clock means the real one.
+// New returns a runner for the agent at the given host:port. A nil clock stands for the real one.
 func New(options Options, agent string, clock clockwork.Clock) *Runner {
 	if clock == nil {
 		clock = clockwork.NewRealClock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Run sends heartbeats until ctx ends; then it reports that it drains, deregisters, and returns.
+// Run sends heartbeats until ctx ends. Then it reports that it drains, deregisters, and returns.
 func (r *Runner) Run(ctx context.Context) {
 	serving := context.WithoutCancel(ctx) // the end of ctx does not abort a heartbeat
 	for ctx.Err() == nil {
@@ -58,9 +58,10 @@
 	r.http.CloseIdleConnections()
 }
 
+// now returns the time since the runner was created, which is the clock of its Core.
 func (r *Runner) now() time.Duration { return r.clock.Since(r.startedAt) }
 
-// heartbeat sends one heartbeat and applies the response.
+// heartbeat sends one heartbeat and applies the response. After an error the next heartbeat is due after retryBackoff.
 func (r *Runner) heartbeat(ctx context.Context) {
 	sentAt := r.now()
 	orders := &protocol.Orders{}
@@ -72,7 +73,7 @@
 	r.core.Apply(r.now(), sentAt, orders)
 }
 
-// wait waits until the next heartbeat is due or ctx ends. Runs that end meanwhile are ended.
+// wait waits until the next heartbeat is due or ctx ends. It ends the runs that are due in that time.
 func (r *Runner) wait(ctx context.Context) {
 	for {
 		now := r.now()
@@ -92,7 +93,7 @@
 	}
 }
 
-// leave reports that the runner drains, and then that it ends. It does not wait for runs.
+// leave sends a heartbeat that says that the runner drains, then deregisters it. It does not wait for active runs.
 func (r *Runner) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -101,7 +102,7 @@
 	_ = r.post(ctx, "deregister", struct{}{}, nil)
 }
 
-// post sends a request to the agent, and decodes the response into result unless that is nil.
+// post sends a request about this runner to the agent, and decodes a JSON response into result unless result is nil.
 func (r *Runner) post(ctx context.Context, verb string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
@@ -124,7 +125,7 @@
 		return err
 	}
 	if response.StatusCode/100 != 2 {
-		return errors.Errorf("the agent answers %s", response.Status)
+		return errors.Errorf("the agent responds with status %s", response.Status)
 	}
 	if result == nil || len(data) == 0 {
 		return nil
--- a/internal/cluster/localcluster/system.go
+++ b/internal/cluster/localcluster/system.go
@@ -1,8 +1,9 @@
-// Package localcluster runs a small system on this machine, for trying it out: three control processes, two frontends and
-// two agents, each at a loopback address of its own as if on a machine of its own, with stand-in runners. The processes
-// are those of a real system, with settings files, logs and data in one folder; only the runners are in this process.
+// Package localcluster runs a small system on one machine, for trying it out: three control processes, two frontends and two
+// agents with stand-in runners. Each process has a loopback address of its own, as if it ran on a machine of its own. The
+// processes are those of a real system, and their settings files, logs and data are in one folder. Only the runners are
+// simulated, by package runner within this process.
 //
-// Run is all there is to call. One system runs in a folder at a time.
+// Run starts a system. At most one system runs in a folder at a time.
 package localcluster
 
 import (
@@ -27,28 +28,28 @@
 // DefaultNetwork is the default of Options.Network.
 const DefaultNetwork = "127.77.0"
 
-// Options say what to run. All but Restore are required.
+// Options configure a local system. All but Restore are required.
 type Options struct {
 	Dir     string    // folder for settings, logs and data; created if it is missing
 	Network string    // first three numbers of the machines' addresses, 127.N.N
-	Program string    // path of ospreypond, which all processes run
-	Restore string    // path of a backup to start from; empty: none
-	Out     io.Writer // gets messages for the user
+	Program string    // path of the program ospreypond, which all processes run
+	Restore string    // path of the backup from which a new system starts; empty: it starts without data
+	Out     io.Writer // receives messages for the user
 }
 
-// system is a local system. Its processes are those of a real one; its runners are stand-ins in this process.
+// system is one local system.
 type system struct {
 	options   Options
-	backup    *archive.Archive // to start from; nil: none
+	backup    *archive.Archive // the content of options.Restore; nil: none
 	machines  []*machine
 	processes []*process
 	starter   *starter
 	mutex     sync.Mutex // guards options.Out
 }
 
-// Run starts the system, prints an introduction when it is ready, and restarts processes that end, until ctx ends; then it
-// stops everything in order, runners first and control processes last, and returns nil. It returns an error if the system
-// cannot be started, is not ready in time, or a process ends again and again.
+// Run starts the system, prints an introduction when it is ready, and restarts processes that end. When ctx ends, it stops
+// first the runners, then agents and frontends, and last the control processes, and returns nil. It returns an error if the
+// system cannot be started, is not ready within readyTimeout, or a process fails to start maxFailedStarts times in a row.
 func Run(ctx context.Context, options Options) error {
 	s := &system{options: options}
 	if err := s.checkOptions(); err != nil {
@@ -68,7 +69,7 @@
 	s.starter = newStarter()
 	defer s.starter.close()
 	failed := make(chan error, len(s.machines))
-	// They stop one after the other once ctx has ended.
+	// The end of ctx must not stop all of them at once: they are stopped below, one role after the other.
 	running := context.WithoutCancel(ctx)
 	stopControl := s.startRole(running, boot.RoleControl, failed)
 	stopFrontends := s.startRole(running, boot.RoleFrontend, failed)
@@ -83,7 +84,7 @@
 	return err
 }
 
-// runAll makes several calls at once, and waits for all of them.
+// runAll makes the calls concurrently and waits for all of them.
 func runAll(calls ...func()) {
 	var running sync.WaitGroup
 	for _, call := range calls {
@@ -92,7 +93,8 @@
 	running.Wait()
 }
 
-// serve waits until the system is ready, prints the introduction, and waits until ctx ends or a process fails.
+// serve waits until the system is ready, prints the introduction, and waits until ctx ends or a process fails. It returns
+// nil if ctx has ended.
 func (s *system) serve(ctx context.Context, failed <-chan error) error {
 	starting, cancel := context.WithTimeout(ctx, readyTimeout)
 	ready := make(chan error, 1)
@@ -119,8 +121,8 @@
 	}
 }
 
-// startRole keeps the processes of a role running until stop is called, which waits for their end. A process that cannot be
-// kept running is reported to failed.
+// startRole keeps the processes of a role running until stop is called, which waits for their end. The error of a process
+// that cannot be kept running is sent to failed.
 func (s *system) startRole(ctx context.Context, role string, failed chan<- error) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -139,7 +141,7 @@
 	}
 }
 
-// startRunners runs a stand-in runner beside each agent until stop is called, which waits for their end.
+// startRunners runs a stand-in runner for each agent until stop is called, which waits for their end.
 func (s *system) startRunners(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -149,7 +151,7 @@
 			Service:  demoService,
 			Address:  m.address(runnerPort),
 			Zone:     m.zone,
-			Capacity: protocol.Resources{CPU: 8000, MemoryMB: 16384, GPU: 1},
+			Capacity: protocol.Resources{CPU: 8000, MemoryMB: 16384, GPU: 1}, // 8 cores
 			Labels:   []string{"stand-in", "rack-" + strconv.Itoa(i+1)},
 			Interval: 1500 * time.Millisecond,
 			MaxLease: boot.DefaultBounds().MaxLease,
@@ -163,14 +165,14 @@
 	}
 }
 
-// randomSuffix returns a suffix by which the name of a runner's incarnation becomes unique.
+// randomSuffix returns 8 random hex digits, which make the instance name of each incarnation of a runner unique.
 func randomSuffix() string {
 	var random [4]byte
-	_, _ = rand.Read(random[:]) // it never fails
+	_, _ = rand.Read(random[:]) // never returns an error
 	return hex.EncodeToString(random[:])
 }
 
-// printf prints one message for the user.
+// printf prints one message for the user. It is safe for concurrent use.
 func (s *system) printf(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/cluster/seeds/seeds.go
+++ b/internal/cluster/seeds/seeds.go
@@ -1,6 +1,6 @@
-// Package seeds keeps the addresses from which a process finds its system (the key `seeds`) up to date with its settings
-// file while the process runs. The file is read again at SIGHUP and, if the addresses known so far do not answer, whenever
-// it has changed. Other settings are not applied.
+// Package seeds applies changes of the key `seeds` in a settings file to the running process. The seeds are the addresses
+// through which a process finds the other processes of its system. The file is read again at SIGHUP, and also without a
+// signal if it was modified while the addresses known so far do not work. Changes of other keys are not applied.
 package seeds
 
 import (
@@ -19,35 +19,38 @@
 )
 
 const (
-	// checkInterval is the time between two checks whether the file has to be read again.
+	// checkInterval is the time between two calls of check.
 	checkInterval = 3 * time.Second
 	// defaultStaleAfter is the default of Options.StaleAfter.
 	defaultStaleAfter = 3 * time.Second
 )
 
-// Directory is what uses the seeds. Its methods are called from the goroutine of Follower.Run.
+// Directory is the part of a process that finds the system through the seeds. Follower.Run calls its methods from its own
+// goroutine.
 type Directory interface {
-	// Fresh reports whether other seeds are not needed, because a process has answered within that time.
+	// Fresh reports whether the addresses known so far work, so that other seeds are not needed: a process has answered
+	// within the given time before now, or the directory has another sign that they work.
 	Fresh(within time.Duration) bool
-	// SetSeeds replaces the seeds by other internal addresses. The slice must not be changed.
+	// SetSeeds replaces the seeds by the given internal addresses. The directory must not change the slice.
 	SetSeeds(addresses []string)
 }
 
 // Options configure a Follower. Path, Directory and Logger are required.
 type Options struct {
-	Path      string   // of the settings file
-	Seeds     []string // internal addresses as read at the start
+	Path      string   // path of the settings file
+	Seeds     []string // seeds as read at the start, as internal addresses
 	Directory Directory
-	// StaleAfter is for how long no process must have answered until the file is checked without a signal; 0: 3 s.
+	// StaleAfter is the time without an answer, passed to Directory.Fresh, after which the file is checked without a signal.
+	// 0 stands for defaultStaleAfter.
 	StaleAfter time.Duration
 	Clock      clockwork.Clock // nil: the real clock
 	Logger     log.Logger
 }
 
-// Follower follows one settings file. Run is called once.
+// Follower applies the seeds of one settings file. Run must be called only once.
 type Follower struct {
 	Options
-	readModTime time.Time // modification time of the file when it was last read without a signal
+	readModTime time.Time // modification time of the file when check last read it; zero: check has not read it
 }
 
 // NewFollower returns a Follower.
@@ -61,16 +64,16 @@
 	return &Follower{Options: options}
 }
 
-// Hangups returns a channel that receives the process's SIGHUPs, which from then on do not end the process. One signal is
-// buffered.
+// Hangups returns a channel that receives the SIGHUPs sent to the process. After the call a SIGHUP no longer ends the
+// process. The channel buffers one signal.
 func Hangups() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// Run follows the settings file until ctx ends: it reads the file at once when hangups receives a signal, and checks it while
-// no process answers.
+// Run applies changes of the settings file until ctx ends. At each signal from hangups it reads the file at once, and every
+// checkInterval it calls check.
 func (f *Follower) Run(ctx context.Context, hangups <-chan os.Signal) {
 	ticker := f.Clock.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -86,7 +89,7 @@
 	}
 }
 
-// check reads the file if no process answers and the file was modified since check last read it.
+// check reads the file if the directory is not fresh and the file was modified since check last read it.
 func (f *Follower) check() {
 	if f.Directory.Fresh(f.StaleAfter) {
 		return
@@ -99,7 +102,7 @@
 	f.reload()
 }
 
-// reload applies the seeds of the file. An invalid file, or one without seeds, changes nothing.
+// reload reads the file and applies its seeds if they differ. An invalid file, or one without seeds, changes nothing.
 func (f *Follower) reload() {
 	settings, err := boot.Load(f.Path)
 	if err != nil {
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "seeds")
 }
 
-// fakeDirectory records the seeds that it is given.
+// fakeDirectory records the seeds that it receives. fresh is the result of Fresh.
 type fakeDirectory struct {
 	mutex    sync.Mutex
 	fresh    bool
@@ -48,13 +48,13 @@
 
 const settings = `{"nodeName":"n","role":"r","ip":"10.0.0.9","zone":"z","internalPorts":[7380,7395],"seeds":["SEED:8144"]}`
 
-// write writes a settings file with one seed and a modification time.
+// write writes a settings file with the given seed and modification time.
 func write(path, seed string, at time.Time) {
 	Expect(os.WriteFile(path, []byte(strings.ReplaceAll(settings, "SEED", seed)), 0o600)).To(Succeed())
 	Expect(os.Chtimes(path, at, at)).To(Succeed())
 }
 
-var _ = Describe("seeds", func() {
+var _ = Describe("the seeds of a running process", func() {
 	var (
 		path      string
 		clock     *clockwork.FakeClock
@@ -83,6 +83,7 @@
 		})
 	})
 
+	// waitForCheck waits until the follower waits for its ticker, and lets it check the file.
 	waitForCheck := func() {
 		waiting, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
@@ -90,32 +91,32 @@
 		clock.Advance(checkInterval)
 	}
 
-	It("change at a signal", func() {
+	It("change at a SIGHUP, although processes answer", func() {
 		directory.fresh = true
 		write(path, "10.0.0.2", first.Add(time.Second))
 		hangups <- syscall.SIGHUP
 		Eventually(directory.seeds).Should(Equal([][]string{{"10.0.0.2:7380"}}))
 	})
 
-	It("change without a signal while no process answers", func() {
+	It("change without a SIGHUP if the file was modified while no process answers", func() {
 		write(path, "10.0.0.2", first.Add(time.Second))
 		waitForCheck()
 		Eventually(directory.seeds).Should(Equal([][]string{{"10.0.0.2:7380"}}))
 	})
 
-	DescribeTable("stay the same after a signal",
+	DescribeTable("stay the same at a SIGHUP",
 		func(change func()) {
 			change()
 			hangups <- syscall.SIGHUP
-			hangups <- syscall.SIGHUP // received only after the first one was handled
+			hangups <- syscall.SIGHUP // the channel has no buffer: this is received after the first signal was handled
 			Expect(directory.seeds()).To(BeEmpty())
 		},
-		Entry("if they are the same", func() {}),
+		Entry("if the file has the same seeds", func() {}),
 		Entry("if the file is invalid", func() { Expect(os.WriteFile(path, []byte("{"), 0o600)).To(Succeed()) }),
-		Entry("if there is no file", func() { Expect(os.Remove(path)).To(Succeed()) }),
+		Entry("if the file does not exist", func() { Expect(os.Remove(path)).To(Succeed()) }),
 	)
 
-	It("stay the same without a signal while processes answer", func() {
+	It("stay the same without a SIGHUP while processes answer, although the file was modified", func() {
 		directory.mutex.Lock()
 		directory.fresh = true
 		directory.mutex.Unlock()
--- a/internal/dispatcher/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -1,4 +1,4 @@
-// Package app makes one running dispatcher of its configuration, and stops it in order.
+// Package app creates the parts of one dispatcher from its configuration, connects and runs them, and stops them in order.
 package app
 
 import (
@@ -28,24 +28,24 @@
 	"ospreypond/policy"
 )
 
-// Options are a dispatcher's command line.
+// Options are the flags of a dispatcher's command line.
 type Options struct {
-	// Record is the folder to record traffic in; empty: none is recorded.
+	// Record is the folder in which traffic is recorded; empty: no traffic is recorded.
 	Record string
-	// Keep is how long recorded traffic is kept.
+	// Keep bounds the age and the size of the recorded traffic.
 	Keep store.Retention
 	// Fleet is the path of the fleet script; empty: the dispatcher takes part in no fleet.
 	Fleet string
 }
 
-// Serve runs one dispatcher until SIGTERM or an interrupt, by which it stops in order. SIGHUP has it reload its
-// configuration. It returns an error if a part can't be started, or clients can't be served any more.
+// Serve runs one dispatcher until the process receives SIGTERM or an interrupt; then it stops gracefully and returns nil.
+// At SIGHUP it reloads the configuration. It returns an error if a part cannot be started or serving clients fails.
 func Serve(opt Options, getenv func(string) string, log *logrus.Logger) error {
-	// Registered first: a SIGHUP during the start must not end the program, and a signal to stop is handled as soon as
-	// the dispatcher would serve.
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+	// Signals are registered before anything else: a SIGHUP during the start must not end the process, and a signal to
+	// stop that arrives during the start must be handled when the dispatcher begins to serve.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(signals)
@@ -65,10 +65,11 @@
 	if err := d.listen(); err != nil {
 		return err
 	}
-	d.run(hups, getenv)
+	d.run(hangups, getenv)
 	if !cfg.Policy.ListOnDemand {
-		// The dispatcher counts as notified of what was pushed before its start, and the configuration's list may be old.
-		awaitList(d.watcher.FirstList(), signals)
+		// The platform counts the dispatcher as notified of lists that were pushed before its start, and the list in the
+		// configuration may be older than those.
+		awaitFirstList(d.watcher.FirstList(), signals)
 	}
 	served := make(chan error, 1)
 	go func() { served <- d.server.Serve(d.listener) }()
@@ -85,10 +86,10 @@
 	return nil
 }
 
-// dispatcher is the parts of a running dispatcher.
+// dispatcher holds the parts of a running dispatcher.
 type dispatcher struct {
-	cfg      *config.Config // at the start
-	inForce  atomic.Pointer[config.Config]
+	cfg      *config.Config                // as read at the start
+	current  atomic.Pointer[config.Config] // the last accepted configuration
 	log      *logrus.Logger
 	phases   *lifecycle.Lifecycle
 	table    *routetable.Table
@@ -101,23 +102,23 @@
 	recorder *traffic.Recorder // nil: none
 	peers    *peers
 	reloads  *reloads
-	ran      sync.WaitGroup // the coordinator's Run
+	coordRun sync.WaitGroup // waits for the coordinator's Run
 }
 
 func newDispatcher(cfg *config.Config, log *logrus.Logger) *dispatcher {
 	d := &dispatcher{cfg: cfg, log: log, peers: &peers{}, reloads: &reloads{}}
-	d.inForce.Store(cfg)
+	d.current.Store(cfg)
 	d.phases = lifecycle.New(func(from, to lifecycle.Phase) {
 		log.WithFields(logrus.Fields{"name": cfg.Name, "from": from, "to": to}).Info("phase changed")
 	})
 	return d
 }
 
-// prepare makes and connects the parts. None of them runs yet.
+// prepare creates and connects the parts. It starts none of them.
 func (d *dispatcher) prepare(opt Options) error {
 	disabled, err := loadDisabled(os.TempDir())
 	if err != nil {
-		d.log.WithError(err).Error("the runners taken out before this process are not known")
+		d.log.WithError(err).Error("the list of disabled runners that the previous process saved cannot be read; no runner is disabled")
 	}
 	d.table = routetable.New(disabled...)
 	if d.coord, err = coordinator.New(d.cfg.Policy, d.cfg.Seed, d.log); err != nil {
@@ -129,7 +130,7 @@
 	d.coord.Attach(d.egress, d.watcher)
 	if opt.Record != "" {
 		if d.recorder, err = traffic.Open(opt.Record, opt.Keep, d.log); err != nil {
-			return &StartError{"recording traffic", "mend the folder, or start without --record", err}
+			return &StartError{"recording traffic", "repair the folder, or start without --record", err}
 		}
 		d.coord.Observe(d.recorder)
 	}
@@ -142,19 +143,19 @@
 	return nil
 }
 
-// listen opens the clients' listener, and opens and serves the console's.
+// listen opens the clients' listener. If a console is configured, it also opens the console's listener and serves it.
 func (d *dispatcher) listen() error {
 	ctx := d.phases.Until(lifecycle.Stopped)
 	var err error
 	if d.listener, err = listen(ctx, d.cfg.Listen); err != nil {
-		return &StartError{`key "listen"`, "take an address of this machine that no other program has", err}
+		return &StartError{`key "listen"`, "use an address of this machine at which no other program listens", err}
 	}
 	if d.cfg.Console == "" {
 		return nil
 	}
 	l, err := new(net.ListenConfig).Listen(ctx, "tcp", d.cfg.Console)
 	if err != nil {
-		return &StartError{`key "console"`, "take an address of this machine that no other program has", err}
+		return &StartError{`key "console"`, "use an address of this machine at which no other program listens", err}
 	}
 	d.console = console.New(&operator{server: d.server, table: d.table, notify: d.coord.UpdateList, reloads: d.reloads,
 		peers: d.peers, dir: os.TempDir(), log: d.log}, d.log)
@@ -167,41 +168,41 @@
 	return nil
 }
 
-// run starts the goroutines that work until the phase Stopped.
-func (d *dispatcher) run(hups <-chan os.Signal, getenv func(string) string) {
+// run starts the parts' goroutines, which end at the phase Stopped.
+func (d *dispatcher) run(hangups <-chan os.Signal, getenv func(string) string) {
 	working := d.phases.Until(lifecycle.Stopped)
 	d.watcher.KeepOpen(!d.cfg.Policy.ListOnDemand)
 	go d.watcher.Run(working)
-	d.ran.Go(func() { d.coord.Run(working) })
+	d.coordRun.Go(func() { d.coord.Run(working) })
 	d.peers.start()
-	go d.reloadAt(working, hups, getenv)
+	go d.reloadAt(working, hangups, getenv)
 }
 
-// stop serves the requests that are open, for StopTimeout at most, and ends the goroutines of run.
+// stop leaves the fleet, serves the open requests for at most StopTimeout, and ends the goroutines that run started.
 func (d *dispatcher) stop() {
 	d.phases.Advance(lifecycle.Draining)
-	d.peers.leave() // its parts of budgets pass on; open requests are still served
-	err := d.drain(d.inForce.Load().StopTimeout())
+	d.peers.leave() // other dispatchers may take over its budget shares; open requests are still served
+	err := d.drain(d.current.Load().StopTimeout())
 	d.phases.Advance(lifecycle.Stopped)
 	if err != nil {
 		d.log.WithError(err).Error("stopped with requests unanswered")
 	}
 }
 
-// close releases what prepare, listen and run opened, however far they got.
+// close releases everything that prepare, listen and run opened, also if one of them failed.
 func (d *dispatcher) close() {
 	d.peers.leave()
 	if d.console != nil {
-		_ = d.console.Close() // the process ends
+		_ = d.console.Close() // the process ends, so an error has no effect
 	}
 	if d.recorder != nil {
-		d.phases.Advance(lifecycle.Stopped) // so that the coordinator ends and notifies of the last requests
-		d.ran.Wait()
-		_ = d.recorder.Close() // it logs what it could not write
+		d.phases.Advance(lifecycle.Stopped) // ends the coordinator, which first passes the last requests to the recorder
+		d.coordRun.Wait()
+		_ = d.recorder.Close() // it logs its write errors itself
 	}
 }
 
-// drain waits until the open requests have their response, and ends those that are open after the timeout.
+// drain waits until all open requests have their response. After the timeout the coordinator ends those still open.
 func (d *dispatcher) drain(timeout time.Duration) error {
 	end := time.AfterFunc(timeout, d.coord.Close)
 	defer end.Stop()
@@ -210,16 +211,16 @@
 	return d.server.Shutdown(ctx)
 }
 
-// shutdownGrace is how long after the timeout the last responses may take to be delivered.
+// shutdownGrace is the time for delivering the last responses after drain's timeout.
 const shutdownGrace = 300 * time.Millisecond
 
-// firstListTimeout bounds the wait for the first list at a start where lists are pushed. Their source is near; if it
-// does not respond, there is no newer list.
+// firstListTimeout bounds the wait for the first list at the start, where lists are pushed. Discovery is near, so if it does
+// not respond within this time, it has no newer list to give.
 const firstListTimeout = time.Second
 
-// awaitList waits until the first list was received, for a signal to stop, which it puts back, or for
-// firstListTimeout.
-func awaitList(first <-chan struct{}, signals chan os.Signal) {
+// awaitFirstList waits until the first list has been received, a signal to stop arrives or firstListTimeout has passed. It
+// puts the signal back for its caller.
+func awaitFirstList(first <-chan struct{}, signals chan os.Signal) {
 	select {
 	case <-first:
 	case s := <-signals:
--- a/internal/dispatcher/app/errors.go
+++ b/internal/dispatcher/app/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// StartError is a part of the dispatcher that can't be started.
+// StartError reports that a part of the dispatcher cannot be started.
 type StartError struct {
-	Part string // the key, variable or flag that it depends on
+	Part string // the part, or the key of the configuration that it depends on
 	Fix  string // what an operator can do
 	Err  error
 }
--- a/internal/dispatcher/app/errors_test.go
+++ b/internal/dispatcher/app/errors_test.go
@@ -15,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The on-call page lists every type of error of the parts that operators start, reload and watch, and no other.
+// The on-call page lists exactly the error types of the packages app, config, script and fleet, which operators see when
+// they start, reload and watch a dispatcher.
 func TestOnCallListsTheErrors(t *testing.T) {
 	inCode := map[string]bool{}
 	for _, dir := range []string{"app", "config", "script", "fleet"} {
@@ -45,7 +46,7 @@
 	assert.Equal(t, inCode, listed)
 }
 
-// errorTypes returns the names of the types in a file with a method Error.
+// errorTypes returns the names of the types in a file that have a method Error.
 func errorTypes(f *ast.File) (names []string) {
 	for _, decl := range f.Decls {
 		fn, ok := decl.(*ast.FuncDecl)
--- a/internal/dispatcher/app/fixtures_test.go
+++ b/internal/dispatcher/app/fixtures_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a file of disabled runners under another name or in another form than commit c9b2399 wrote it: the process
-// that takes over at an upgrade, or after a way back, reads that of the other version.
+// Guards against a change of the name or format of the file of disabled runners: at an upgrade, or a return to an earlier
+// version, a process reads the file that the other version wrote. testdata has the file as commit c9b2399 wrote it.
 func TestDisabledRunnersOfAnEarlierVersionAreRead(t *testing.T) {
 	ids, err := loadDisabled("testdata")
 	require.NoError(t, err)
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -18,17 +18,17 @@
 	"ospreypond/internal/dispatcher/script"
 )
 
-// budgetIntervals is into how many intervals the module divides OverloadWindow to count what it sent to a warming
-// runner, and allowanceWindow the time over which it counts a tenant's requests: parts that pass to another
-// dispatcher must not be counted twice within either.
+// A share of a budget that passes from one dispatcher to another must not be spent by both within one of the windows in
+// which the decision module counts spending. There are two: an interval of OverloadWindow for the work that is sent to a
+// warming runner, and allowanceWindow for the requests of a tenant. quota.Config.GuardTime is the longer of them.
 const (
-	budgetIntervals = 4
+	budgetIntervals = 4 // intervals in an OverloadWindow, as many as package policy uses in warming.go
 	allowanceWindow = time.Second
 )
 
-// FleetError is a fleet that this dispatcher can't take part in.
+// FleetError reports that this dispatcher cannot take part in the fleet.
 type FleetError struct {
-	Key     string // of the settings file, or of the configuration
+	Key     string // key or call of the fleet script, or key of the configuration
 	Problem string
 	Fix     string // what an operator can do
 }
@@ -38,22 +38,21 @@
 	return fmt.Sprintf("fleet: %s: %s (%s)", e.Key, e.Problem, e.Fix)
 }
 
-// peers is this dispatcher's part in a fleet. All its methods may be called without a fleet, and do nothing then.
+// peers is this dispatcher's membership of a fleet, if it has one. Without a fleet the methods do nothing.
 type peers struct {
-	node  *udp.Node
-	own   int
-	size  int // number of dispatchers; 0: numbers do not pass on
+	node  *udp.Node // nil: no fleet
+	own   int       // this dispatcher's number
+	size  int       // number of dispatchers; 0: a dispatcher uses only its own number, and none passes to another
 	coord *coordinator.Coordinator
 	log   logrus.FieldLogger
 
 	once    sync.Once
 	stop    context.CancelFunc
-	done    chan struct{}
-	updates chan udp.Ownership // of capacity 1: the newest, for forward
+	done    chan struct{}      // closed when the node's Run has returned
+	updates chan udp.Ownership // capacity 1: holds the newest update, for forward
 }
 
-// joinFleet reads the fleet script at path and prepares this dispatcher's part, which start begins. Without a path
-// there is no fleet.
+// joinFleet reads the fleet script at path and prepares the membership; start begins it. An empty path means no fleet.
 func joinFleet(path string, cfg *config.Config, coord *coordinator.Coordinator, log *logrus.Logger) (*peers, error) {
 	if path == "" {
 		return &peers{}, nil
@@ -67,7 +66,7 @@
 		return nil, &FleetError{"fleet(...)", "is not called in " + path, "call it, or start without --fleet"}
 	}
 	if cfg.Name == "" {
-		return nil, &FleetError{"name", "is empty", "give each dispatcher a name of its own in its configuration, or by LB_NAME"}
+		return nil, &FleetError{"name", "is empty", "give each dispatcher a unique name in its configuration or by LB_NAME"}
 	}
 	p := &peers{own: cfg.Settings.SlotNo, coord: coord, log: log, done: make(chan struct{}), updates: make(chan udp.Ownership, 1)}
 	fc := fleet.Config{Interval: f.Interval, Seeds: f.Seeds, Seed: cfg.Seed}
@@ -95,8 +94,8 @@
 	return p, nil
 }
 
-// checkConfig returns an error if numbers can't pass on under a configuration: there must be as many dispatchers as
-// addresses in the roster.
+// checkConfig returns an error if numbers pass between dispatchers and the configuration does not fit the roster: balancers
+// must be the number of its addresses, and slotNo must still be this dispatcher's number.
 func (p *peers) checkConfig(cfg *config.Config) error {
 	if p.size > 0 && (cfg.Settings.Balancers != p.size || cfg.Settings.SlotNo != p.own) {
 		return &FleetError{"settings.balancers", fmt.Sprintf("is %d with slotNo %d, but roster has %d addresses and this is number %d",
@@ -105,7 +104,7 @@
 	return nil
 }
 
-// start begins to take part. Until the fleet's first update this dispatcher uses no number that may pass on.
+// start begins the membership. If numbers pass between dispatchers, this one uses none until the fleet's first update.
 func (p *peers) start() {
 	if p.node == nil {
 		return
@@ -124,7 +123,7 @@
 	}()
 }
 
-// leave ends this dispatcher's part and waits for it; further calls do nothing.
+// leave ends the membership and waits until the node has ended. Further calls do nothing.
 func (p *peers) leave() {
 	if p.node == nil {
 		return
@@ -137,8 +136,8 @@
 	})
 }
 
-// update is called with what the fleet lets this dispatcher use. Only the newest is kept for forward, so it does not
-// block.
+// update passes the numbers that this dispatcher may use to forward. It replaces an update that forward has not read yet,
+// so it does not block. The node's goroutine calls it.
 func (p *peers) update(h udp.Ownership) {
 	select {
 	case <-p.updates:
@@ -147,19 +146,20 @@
 	p.updates <- h
 }
 
-// forward passes updates to the coordinator: changes, and renewals before they expire. It ends after the node has.
+// forward passes updates to the coordinator. It skips an update that changes nothing, unless the dispatcher uses more than
+// one number and at least half of their validity has passed. It ends after the node has ended and the last update is passed.
 func (p *peers) forward() {
 	var (
 		last  udp.Ownership
-		until time.Time
-		sent  bool
+		until time.Time // end of last's validity
+		sent  bool      // whether last is set
 	)
 	for {
 		var h udp.Ownership
 		select {
 		case <-p.done:
 			select {
-			case h = <-p.updates: // the last one: it may use nothing any more
+			case h = <-p.updates: // the node's last update, after which no number may be used
 			default:
 				return
 			}
@@ -168,7 +168,7 @@
 		if p.size == 0 {
 			h.Numbers, h.ValidFor = []int{p.own}, time.Duration(1<<62)
 		}
-		if h.Living == 0 { // it leaves; the others live as before
+		if h.Living == 0 { // this dispatcher leaves the fleet; the number of living ones is taken as unchanged
 			h.Living = max(1, last.Living)
 		}
 		if sent && slices.Equal(h.Numbers, last.Numbers) && h.Living == last.Living && (len(h.Numbers) < 2 || time.Until(until) > h.ValidFor/2) {
--- a/internal/dispatcher/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -11,19 +11,20 @@
 type fleetView struct {
 	Name        string           `json:"name"`
 	Addr        string           `json:"addr"`
-	Life        uint64           `json:"life"`
+	Life        uint64           `json:"life"` // the process's epoch: of two processes of one name the later has the higher
 	Incarnation uint32           `json:"incarnation"`
-	Living      int              `json:"living"` // with this one
-	Digest      uint64           `json:"digest"` // equal views of the living have equal ones
-	Settled     bool             `json:"settled"`
-	ForMs       int64            `json:"for_ms"` // how long Settled has been as it is
-	Superseded  bool             `json:"superseded"`
-	Health      int              `json:"health"`  // 0: healthy; 8: this process is slow or has no contact
-	Numbers     []int            `json:"numbers"` // whose parts it uses; null: numbers do not pass on
+	Living      int              `json:"living"`     // number of living dispatchers, including this one
+	Digest      uint64           `json:"digest"`     // of the living dispatchers; equal views have equal digests
+	Settled     bool             `json:"settled"`    // nobody is suspected, and members probed lately have this view
+	ForMs       int64            `json:"for_ms"`     // milliseconds since Settled last changed
+	Superseded  bool             `json:"superseded"` // whether this process takes no part any more
+	Health      int              `json:"health"`     // 0: healthy; 8: this process is slow or has no contact
+	Numbers     []int            `json:"numbers"`    // those whose budget shares it uses; null: numbers do not pass on
 	Members     []fleetMember    `json:"members"`
-	Dropped     map[string]int64 `json:"dropped"` // datagrams, by reason
+	Dropped     map[string]int64 `json:"dropped"` // datagrams without effect, by reason
 }
 
+// fleetMember is another dispatcher of the fleet, as this one sees it.
 type fleetMember struct {
 	Name        string `json:"name"`
 	Addr        string `json:"addr"`
@@ -31,22 +32,23 @@
 	Life        uint64 `json:"life"`
 	Incarnation uint32 `json:"incarnation"`
 	State       string `json:"state"`
-	ForMs       int64  `json:"for_ms"`
+	ForMs       int64  `json:"for_ms"` // milliseconds since State last changed
 }
 
-// fleetWaiting is the response to GET /fleet while another process has the fleet's address.
+// fleetWaiting is the response to GET /fleet while there is no view yet, for example because another process still has this
+// dispatcher's fleet address.
 type fleetWaiting struct {
 	Waiting string `json:"waiting"`
 }
 
-// view returns the newest view, for JSON; nil without a fleet.
+// view returns the newest view of the fleet, to be encoded as JSON; nil without a fleet.
 func (p *peers) view() any {
 	if p.node == nil {
 		return nil
 	}
 	v := p.node.View()
 	if v == nil {
-		return fleetWaiting{"the fleet's address is not had yet"}
+		return fleetWaiting{"this dispatcher's fleet address is not bound yet"}
 	}
 	since := func(t time.Duration) int64 { return int64(math.Max(0, float64(v.At-t)) / float64(time.Millisecond)) }
 	out := fleetView{Name: v.Self.Name, Addr: v.Self.Addr, Life: v.Self.Epoch, Incarnation: v.Self.Incarnation, Living: v.Living,
@@ -58,6 +60,7 @@
 	return out
 }
 
+// memberOf returns a member for the view. since converts a time of the view's clock to the milliseconds since then.
 func memberOf(m fleet.Member, since func(time.Duration) int64) fleetMember {
 	return fleetMember{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Life: m.Epoch, Incarnation: m.Incarnation,
 		State: m.State.String(), ForMs: since(m.Since)}
--- a/internal/dispatcher/app/listen.go
+++ b/internal/dispatcher/app/listen.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// listen opens a TCP listener beside which a second process of this program may listen at the same address
-// (SO_REUSEPORT): at an upgrade in place the new process listens before the old one has stopped, and the kernel
-// spreads new connections between the two until the old one closes its listener.
+// listen opens a TCP listener with SO_REUSEPORT, so that a second process of this program can listen at the same address
+// at the same time. During an upgrade in place the new process listens before the old one has stopped. The kernel spreads
+// new connections over both until the old process closes its listener.
 func listen(ctx context.Context, addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var set error
--- a/internal/dispatcher/app/operator.go
+++ b/internal/dispatcher/app/operator.go
@@ -18,20 +18,20 @@
 	"ospreypond/policy"
 )
 
-// disabledFile has the runners that operators disabled, under $TMPDIR: the next process at an upgrade starts with
-// them, as a runner stays disabled until it is enabled, whatever process serves. Its name and form are read by other
-// versions.
+// disabledFile is the name of the file in $TMPDIR that lists the runners that operators have disabled, as a JSON array. The
+// next process reads it at its start, because a runner stays disabled until an operator enables it, also after an upgrade.
+// Other versions read the file, so its name and format must not change.
 const disabledFile = "ospreypond-bans.json"
 
-// operator carries out the console's calls. No call waits for the coordinator: the module is notified from a
-// goroutine.
+// operator implements console.Operations. No call waits for the coordinator: a separate goroutine notifies the decision
+// module of changed runners.
 type operator struct {
 	server  *ingress.Server
 	table   *routetable.Table
-	notify  func(policy.Event)
+	notify  func(policy.Event) // passes an event to the decision module; may block
 	reloads *reloads
 	peers   *peers
-	dir     string // of disabledFile
+	dir     string // folder of disabledFile
 	log     logrus.FieldLogger
 }
 
@@ -52,7 +52,7 @@
 	return o.apply(changed, err)
 }
 
-// apply saves the disabled runners and notifies the module of the changed members.
+// apply saves the list of disabled runners and notifies the decision module of the changed members.
 func (o *operator) apply(changed []policy.Member, err error) error {
 	if errors.Is(err, maintenance.ErrUnknownRunner) {
 		return console.ErrUnknownRunner // the console adds the id
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// saveDisabled replaces the file atomically and durably, so that a process reads either the old list or the new one.
+// saveDisabled replaces disabledFile atomically and durably, so that a process reads either the old or the new list.
 func saveDisabled(dir string, ids []string) error {
 	text, err := json.Marshal(ids)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return renameio.WriteFile(filepath.Join(dir, disabledFile), text, 0o600, renameio.WithTempDir(dir))
 }
 
-// loadDisabled reads what the process before this one saved; without a file none is disabled.
+// loadDisabled returns the runners that the previous process saved as disabled; none if there is no file.
 func loadDisabled(dir string) ([]string, error) {
 	text, err := os.ReadFile(filepath.Join(dir, disabledFile))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/dispatcher/app/operator_test.go
+++ b/internal/dispatcher/app/operator_test.go
@@ -18,8 +18,8 @@
 	"ospreypond/policy"
 )
 
-// Disabled runners pass to the next process: what one saves, the next loads. No file means none; a corrupt one is an
-// error that names the file.
+// A process loads the disabled runners that the previous one saved. Without a file no runner is disabled. The error of a
+// corrupt file names the file.
 func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	dir := t.TempDir()
 	ids, err := loadDisabled(dir)
@@ -30,31 +30,31 @@
 	ids, err = loadDisabled(dir)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"s-2"}, ids)
-	left, err := filepath.Glob(filepath.Join(dir, "*"))
+	files, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
-	assert.Len(t, left, 1, "no temporary file is left")
+	assert.Len(t, files, 1, "no temporary file is left")
 
 	require.NoError(t, os.WriteFile(filepath.Join(dir, disabledFile), []byte(`["s-`), 0o600))
 	_, err = loadDisabled(dir)
 	assert.ErrorContains(t, err, disabledFile)
 }
 
-// At an upgrade in place the new process listens at the clients' address while the old one still does.
+// During an upgrade in place the new process can listen at the clients' address while the old one still does.
 func TestTwoProcessesListenAtOneAddress(t *testing.T) {
 	first, err := listen(context.Background(), "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = first.Close() })
 	second, err := listen(context.Background(), first.Addr().String())
-	require.NoError(t, err, "the second listener beside the first")
+	require.NoError(t, err, "the second process listens while the first still does")
 	t.Cleanup(func() { _ = second.Close() })
 }
 
-// Guards against a call that waits for a busy coordinator: while its inbox is full, every call of the console returns
-// at once, and the module is notified later.
+// Guards against a console call that waits for a busy coordinator. While the coordinator's inbox is full, every call returns
+// within the callers' timeout, and the decision module is notified of the changes later.
 func TestCallsDoNotWaitForTheCoordinator(t *testing.T) {
 	table := routetable.New()
 	table.Apply(&routetable.List{Full: true, Hosts: []routetable.Host{{Host: "s-1", Dial: "127.0.0.1:1", Health: "SERVING"}}})
-	stuck := make(chan policy.Event) // nobody reads it until the end
+	stuck := make(chan policy.Event) // stands for a full inbox: the test reads it only at the end
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	server := ingress.New(nil, lifecycle.New(nil), &policy.Settings{}, 10, 1<<20, log)
--- a/internal/dispatcher/app/reload.go
+++ b/internal/dispatcher/app/reload.go
@@ -8,8 +8,7 @@
 	"ospreypond/internal/dispatcher/config"
 )
 
-// reloadAt reloads the configuration at each signal, until ctx ends: the complete file is read and checked, and an
-// invalid one changes nothing.
+// reloadAt reloads the configuration at each signal until ctx ends.
 func (d *dispatcher) reloadAt(ctx context.Context, signals <-chan os.Signal, getenv func(string) string) {
 	for {
 		select {
@@ -21,21 +20,23 @@
 	}
 }
 
+// reload reads and checks the complete configuration file and applies it. An invalid file changes nothing: it is logged and
+// counted as refused.
 func (d *dispatcher) reload(getenv func(string) string) {
-	cfg := d.inForce.Load()
+	cfg := d.current.Load()
 	next, err := cfg.Reload(getenv)
 	if err != nil {
 		d.log.WithError(err).WithField("refused", d.reloads.refuse(err)).Error("new configuration is faulty; the old one stays")
 		return
 	}
 	if !reflect.DeepEqual(cfg.Settings, next.Settings) {
-		if err := d.retune(next); err != nil {
+		if err := d.applySettings(next); err != nil {
 			d.log.WithError(err).WithField("refused", d.reloads.refuse(err)).Error("new settings are faulty; the old ones stay")
 			return
 		}
 		d.watcher.Retune(next.DiscoveryHold(), next.DrainGrace())
 		d.watcher.KeepOpen(!next.Policy.ListOnDemand)
-		d.log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; requests under way keep theirs")
+		d.log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; open requests keep the previous settings")
 	}
 	d.watcher.Move(next.Discovery)
 	entry := d.log.WithField("discovery", next.Discovery)
@@ -43,12 +44,12 @@
 		entry = entry.WithField("needs_restart", keys)
 	}
 	entry.WithField("taken", d.reloads.accept()).Info("configuration reloaded")
-	d.inForce.Store(next)
+	d.current.Store(next)
 }
 
-// retune applies new settings: to the coordinator before the ingress, so that a request of a new class is decided on by
-// a module that has it. After an error nothing has changed.
-func (d *dispatcher) retune(next *config.Config) error {
+// applySettings applies new settings to the running parts. The coordinator gets them before the ingress, so that a decision
+// module that has a new class exists before the first request of that class arrives. After an error nothing has changed.
+func (d *dispatcher) applySettings(next *config.Config) error {
 	if err := d.peers.checkConfig(next); err != nil {
 		return err
 	}
--- a/internal/dispatcher/app/reloads.go
+++ b/internal/dispatcher/app/reloads.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// reloads counts the configuration files read at SIGHUP, those accepted and those refused, with the last error, so
-// that operators can see that a file changed nothing. It is safe for concurrent use: the reload goroutine counts, the
+// reloads counts the configuration files that were accepted and refused at SIGHUP, and holds the last error, so that
+// operators can see whether a file was applied. It is safe for concurrent use: the goroutine of reloadAt counts, and the
 // console reads.
 type reloads struct {
 	mu        sync.Mutex
@@ -15,7 +15,7 @@
 	lastError string
 }
 
-// accept counts an accepted file and returns how many there were.
+// accept counts an accepted file and returns the number of accepted files.
 func (r *reloads) accept() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -23,7 +23,7 @@
 	return r.accepted
 }
 
-// refuse counts a file refused for err and returns how many there were.
+// refuse counts a file that was refused with err, and returns the number of refused files.
 func (r *reloads) refuse(err error) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +32,7 @@
 	return r.refused
 }
 
-// String returns the counts in one line, with the last error.
+// String returns the counts and, if a file was refused, the last error in one line.
 func (r *reloads) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dispatcher/app/reloads_test.go
+++ b/internal/dispatcher/app/reloads_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Files refused at SIGHUP are counted beside the accepted ones, and the last error is named.
+// Accepted and refused files are counted separately, and the text has the error of the last refused one.
 func TestReloadsAreCounted(t *testing.T) {
 	r := &reloads{}
 	assert.Equal(t, "0 taken, 0 refused", r.String())
--- a/internal/dispatcher/config/check_test.go
+++ b/internal/dispatcher/config/check_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings that contradict each other, or are out of range, are refused by their key; what is absent has a default.
+// Settings that contradict each other or are out of range are rejected, and the error names the key. A missing setting is
+// accepted where it has a default. An empty key in a row means that the settings are accepted.
 func TestSettingsThatContradictAreRefused(t *testing.T) {
 	const class = `{"name":"c","semantics":"safe","deadlineUs":900000}`
 	for _, tt := range []struct{ settings, key string }{
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, "c", c.Policy.Classes[0].Name)
 }
 
-func TestEnvironmentReplacesTheFile(t *testing.T) {
+func TestVariablesReplaceKeysOfTheFile(t *testing.T) {
 	c, err := loadText(t, minimal, map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:7", "LB_LOG_LEVEL": "debug"})
 	require.NoError(t, err)
 	assert.Equal(t, "n7", c.Name)
@@ -56,7 +56,7 @@
 	assert.Equal(t, logrus.DebugLevel, c.LogLevel)
 }
 
-func TestFaultyVariablesAreNamed(t *testing.T) {
+func TestErrorsNameTheInvalidVariable(t *testing.T) {
 	_, err := Load(func(string) string { return "" })
 	assert.ErrorContains(t, err, "LB_CONFIG")
 	_, err = Load(func(string) string { return filepath.Join(t.TempDir(), "none") })
@@ -67,8 +67,9 @@
 	assert.ErrorContains(t, err, "LB_CONFIG")
 }
 
-// The platform waits at most 3 s for the longest deadline, and discovery holds a call for a minute at most.
-func TestCaps(t *testing.T) {
+// A stop waits for no deadline longer than the 3 s that the platform waits, and the hold of a watch is at most the minute
+// that discovery holds a call.
+func TestStopTimeoutAndDiscoveryHoldAreCapped(t *testing.T) {
 	c, err := loadText(t, `{"listen":"a:1","discovery":"a:2","settings":{"discovery":"ask","rules":{"askWithinUs":900000000},
 		"classes":[{"name":"c","semantics":"safe","deadlineUs":9000000}]}}`, nil)
 	require.NoError(t, err)
@@ -76,8 +77,8 @@
 	assert.Equal(t, maxDiscoveryHold, c.DiscoveryHold())
 }
 
-// A file that replaces another has discovery's new address, even if LB_DISCOVERY set the first one. An invalid file
-// changes nothing and the error names its key.
+// If the new file has another address of discovery than the previous file, that address applies, even if LB_DISCOVERY was
+// set at the start. The error of an invalid file names its key.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"LB_CONFIG": file, "LB_DISCOVERY": "127.0.0.1:9"}
@@ -92,7 +93,7 @@
 
 	c, err = c.Reload(getenv)
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:9", c.Discovery, "the file is the same")
+	assert.Equal(t, "127.0.0.1:9", c.Discovery, "the file has not changed")
 
 	write("127.0.0.1:2", "nowhere")
 	_, err = c.Reload(getenv)
@@ -105,7 +106,7 @@
 	assert.Empty(t, c.NeedRestart(next))
 	next, err = next.Reload(getenv)
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:3", next.Discovery, "reloaded")
+	assert.Equal(t, "127.0.0.1:3", next.Discovery, "a further reload keeps the new address")
 
 	write("900000", "800000")
 	next, err = c.Reload(getenv)
@@ -113,8 +114,8 @@
 	assert.Empty(t, c.NeedRestart(next), "new settings apply at once")
 }
 
-// An invalid file at a reload leaves the settings in force as they are, and its error names the key.
-func TestInvalidReloadKeepsSettingsInForce(t *testing.T) {
+// A reload rejects an invalid or truncated file, and its error names the key. A lower limit of attempts is accepted.
+func TestReloadRejectsInvalidFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string { return map[string]string{"LB_CONFIG": file}[name] }
 	good := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"periodUs":2000,
@@ -143,7 +144,8 @@
 	assert.Equal(t, 1, next.Policy.MaxAttempts, "fewer attempts are accepted")
 }
 
-// Clients get more than the third that may have requests; attempts get the larger part.
+// Clients get more than a third of the sockets, because at most a third is for clients with a request. Targets get the
+// larger part.
 func TestSocketBudget(t *testing.T) {
 	for _, n := range []int{64, 256, 1024} {
 		c := &Config{Limits: Limits{Sockets: n}}
@@ -156,8 +158,8 @@
 	}
 }
 
-// At a start, attempts of 0 mean no limit, and the program starts.
-func TestNoLimitOfAttemptsStarts(t *testing.T) {
+// At the start, a maxAttempts of 0 is valid and means no limit.
+func TestZeroMaxAttemptsIsValidAtTheStart(t *testing.T) {
 	c, err := loadText(t, `{"listen":"a:1","discovery":"a:2","settings":{"limits":{"maxAttempts":0},
 		"classes":[{"name":"c","semantics":"safe","deadlineUs":900000}]}}`, nil)
 	require.NoError(t, err)
--- a/internal/dispatcher/config/errors.go
+++ b/internal/dispatcher/config/errors.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// KeyError is an invalid key of the configuration file.
+// KeyError reports that a key of the configuration file is invalid.
 type KeyError struct {
 	Key     string // dotted path from the top of the file
-	Problem string
+	Problem string // what is wrong, with the value that was read and its bound
 	Fix     string // what an operator can do
 }
 
 // Error names the key, the problem and the remedy.
 func (e *KeyError) Error() string { return fmt.Sprintf("key %q: %s (%s)", e.Key, e.Problem, e.Fix) }
 
-// SourceError is a variable, or the file that LB_CONFIG names, that can't be used at all.
+// SourceError reports that an environment variable, or the file that LB_CONFIG names, cannot be used.
 type SourceError struct {
-	Variable string
+	Variable string // name of the environment variable
 	Problem  string
 	Fix      string // what an operator can do
 	Err      error  // from the system or the parser; may be nil
@@ -32,7 +32,7 @@
 // Unwrap returns the cause, or nil.
 func (e *SourceError) Unwrap() error { return e.Err }
 
-// settingError returns a KeyError of a key within settings.
+// settingError returns a KeyError for a key of the settings object; key is its dotted path within that object.
 func settingError(key, fix, problem string, args ...any) *KeyError {
 	return &KeyError{Key: "settings." + key, Problem: fmt.Sprintf(problem, args...), Fix: fix}
 }
--- a/internal/dispatcher/config/keys.go
+++ b/internal/dispatcher/config/keys.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// settingKeys returns the sorted keys of the settings object and of the objects in it, as dotted paths. What is in
-// arrays (classes, tenants) may differ from one file to the next and has checks of its own.
+// settingKeys returns the keys of the settings object and of the objects within it, as sorted dotted paths. It leaves
+// out keys within arrays (classes, tenants): their entries may differ from file to file, and checkClasses checks the
+// classes.
 func settingKeys(text []byte) ([]string, error) {
 	var file struct {
 		Settings map[string]any `json:"settings"`
@@ -29,8 +30,9 @@
 	return keys, nil
 }
 
-// checkKeys refuses settings that lack a key of those in force: a truncated file would otherwise pass for settings
-// with that figure at zero. If a new file sets a limit of attempts, it must be over 0.
+// checkKeys records the file's keys in c. At a reload, when old is the configuration to replace, it rejects a file whose
+// settings lack a key that the old settings have: a truncated file would otherwise be read as one that sets the missing
+// keys to zero. A reload also must not change limits.maxAttempts to 0.
 func (c *Config) checkKeys(text []byte, old *Config) error {
 	keys, err := settingKeys(text)
 	if err != nil {
@@ -40,15 +42,15 @@
 	if old != nil {
 		for _, k := range old.keys {
 			if _, found := slices.BinarySearch(keys, k); !found {
-				return settingError(k, "write the whole file; one that is cut short would pass for figures at zero", "is missing, and the settings in force have it")
+				return settingError(k, "write the complete file; a key that a truncated file lacks would be read as 0", "is missing, but the current settings have it")
 			}
 		}
 	}
-	// At a start 0 means no limit; a reload that sets it where a limit was in force has a broken file.
+	// At the start, 0 means no limit. At a reload, a change from a limit to 0 is taken as a sign of a broken file.
 	attempts := c.Settings.Limits.MaxAttempts
 	if _, found := slices.BinarySearch(keys, "limits.maxAttempts"); found && old != nil && attempts <= 0 &&
 		attempts != old.Settings.Limits.MaxAttempts {
-		return settingError("limits.maxAttempts", "a limit in force is not lifted by a reload", "%d is not over 0", attempts)
+		return settingError("limits.maxAttempts", "give a limit over 0; a reload cannot remove the limit", "%d is not over 0", attempts)
 	}
 	return nil
 }
--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -1,9 +1,9 @@
-// Package console is the operators' own address: a second HTTP/1.1 listener, apart from the clients', with one call
-// per connection. A 2xx response is success, any 4xx or 5xx failure.
+// Package console serves the operators' calls over HTTP/1.1 at an address of their own, apart from that of the clients.
+// A connection carries one call. A response with a status of 2xx means success, one with 4xx or 5xx failure.
 //
-// Every call only reads or changes state that its goroutine can access at once; none waits for the coordinator, so a
-// busy dispatcher still responds to its operators within their second. The server has its own tight limits, so that
-// callers who connect and never finish occupy only their own goroutine.
+// A call only reads or changes state that its goroutine can access without waiting. No call waits for the coordinator,
+// so a busy dispatcher also responds within the one second that operators' tools wait. The server has short timeouts
+// and small size limits of its own, so a caller that connects and never finishes its call occupies only one goroutine.
 package console
 
 import (
@@ -25,46 +25,47 @@
 )
 
 const (
-	// headTimeout and bodyTimeout bound how long a caller may take to send its call: one that never finishes is
-	// closed, while the others are served.
+	// headTimeout and bodyTimeout bound the time in which a caller must send the head and the body of its request.
+	// The connection of a caller that takes longer is closed.
 	headTimeout = 500 * time.Millisecond
 	bodyTimeout = 500 * time.Millisecond
-	// responseTimeout is how long a caller may take to read its response.
+	// responseTimeout bounds the time in which a caller must read the response.
 	responseTimeout = 500 * time.Millisecond
-	maxHead         = 4 << 10
-	// maxID bounds a runner's id in a body. Discovery's names are far shorter.
+	maxHead         = 4 << 10 // bytes of a request's head
+	// maxID is the greatest length of a body with a runner's id, in bytes. Discovery's names are far shorter.
 	maxID = 256
 )
 
 // ErrUnknownRunner is returned for a runner that is neither listed nor disabled.
 var ErrUnknownRunner = errors.New("no runner has this id")
 
-// Operations are what the calls do. They are called concurrently, and must not block.
+// Operations carries out the calls. Its methods are called concurrently and must not block.
 type Operations interface {
-	// Ready reports whether this process is ready to serve, and if not, why not.
+	// Ready reports whether this process is ready to serve clients, and returns the reason if it is not.
 	Ready() (bool, string)
+	// Drain makes Ready report false and closes clients' connections, until Undrain. Requests are still served.
 	Drain()
 	Undrain()
-	// Disable takes a runner out until Enable; an error wraps ErrUnknownRunner for an unknown id.
+	// Disable stops sending requests to a runner until Enable. For an unknown id the error wraps ErrUnknownRunner.
 	Disable(id string) error
 	Enable(id string) error
-	// GivenUp returns how many requests were given up before a runner got them, by reason, since the start.
+	// GivenUp returns by reason how many requests were given up before a runner got them, since the process started.
 	GivenUp() map[string]int64
-	// Reloads returns in one line how many configuration files were accepted and refused at SIGHUP, and the last
-	// error.
+	// Reloads returns one line with the numbers of configuration files that were accepted and refused at SIGHUP, and
+	// the error of the last refused one.
 	Reloads() string
-	// Fleet returns the view of the fleet, for JSON; nil if this dispatcher takes part in none.
+	// Fleet returns this dispatcher's view of the fleet, to be encoded as JSON; nil if it takes part in no fleet.
 	Fleet() any
 }
 
-// Server serves the operators' calls. Use New.
+// Server serves the operators' calls. New creates one.
 type Server struct {
 	http http.Server
 	ops  Operations
 	log  logrus.FieldLogger
 }
 
-// New returns a console that calls ops.
+// New returns a console that carries out its calls by ops.
 func New(ops Operations, log *logrus.Logger) *Server {
 	s := &Server{ops: ops, log: log}
 	mux := http.NewServeMux()
@@ -87,7 +88,7 @@
 	return s
 }
 
-// Serve serves calls from l until Close, and returns nil then.
+// Serve serves calls from l until Close, then returns nil. An error says why serving has failed.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving the console: %w", err)
@@ -95,10 +96,11 @@
 	return nil
 }
 
-// Close stops the console at once, calls in progress included.
+// Close closes the listener and all connections at once; calls in progress get no response.
 func (s *Server) Close() error { return s.http.Close() }
 
-// checkMethod responds to a wrong method on a known path with 405, the one allowed, and one line of text.
+// checkMethod responds with 405, the header Allow and one line of text to a call of a known path with the wrong method. It
+// passes all other calls to mux.
 func checkMethod(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h, pattern := mux.Handler(r)
@@ -140,7 +142,7 @@
 	writeText(w, http.StatusOK, "ready")
 }
 
-// givenUp writes a line for each reason with its count, the most frequent first, and last their total.
+// givenUp writes one line for each reason with its count, the most frequent first, and a last line with the total.
 func (s *Server) givenUp(w http.ResponseWriter, _ *http.Request) {
 	counts := s.ops.GivenUp()
 	reasons := slices.Collect(maps.Keys(counts))
@@ -169,6 +171,7 @@
 	writeText(w, http.StatusOK, "back to work")
 }
 
+// runner returns a handler that calls op with the runner's id from the body. done is the result, as the response names it.
 func (s *Server) runner(op func(string) error, done string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, status, fault := readID(r)
@@ -189,7 +192,8 @@
 	}
 }
 
-// readID reads a body that is a runner's id only, perhaps with white space around it.
+// readID reads a body that consists of a runner's id, with optional white space around it. If fault is not empty, the call
+// is invalid, and status and fault are the response.
 func readID(r *http.Request) (id string, status int, fault string) {
 	if r.ContentLength > maxID {
 		return "", http.StatusRequestEntityTooLarge, fmt.Sprintf("body: %d bytes, over %d for an id", r.ContentLength, maxID)
@@ -197,21 +201,21 @@
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxID+1))
 	switch {
 	case err != nil:
-		return "", http.StatusBadRequest, "body: broke off: " + err.Error()
+		return "", http.StatusBadRequest, "body: could not be read to its end: " + err.Error()
 	case len(b) > maxID:
 		return "", http.StatusRequestEntityTooLarge, fmt.Sprintf("body: over %d bytes for an id", maxID)
 	}
 	id = strings.TrimSpace(string(b))
 	switch {
 	case id == "":
-		return "", http.StatusBadRequest, "body: is empty; it is the runner's id"
+		return "", http.StatusBadRequest, "body: is empty; it must be a runner's id"
 	case strings.ContainsAny(id, " \t\r\n"):
 		return "", http.StatusBadRequest, "body: " + strconv.Quote(id) + " is more than one id"
 	}
 	return id, 0, ""
 }
 
-// writeText writes a response of one line.
+// writeText writes a response with one line of text.
 func writeText(w http.ResponseWriter, status int, line string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1))
--- a/internal/dispatcher/console/console_test.go
+++ b/internal/dispatcher/console/console_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeOperations records what the calls did.
+// fakeOperations carries out the calls on its fields. known has the runners that exist.
 type fakeOperations struct {
 	mu       sync.Mutex
 	drained  bool
@@ -61,6 +61,7 @@
 func (f *fakeOperations) Reloads() string { return "1 taken, 0 refused" }
 func (f *fakeOperations) Fleet() any      { return f.fleet }
 
+// start starts a console on the runner "s-1", and returns its URL and the operations that it calls.
 func start(t *testing.T) (string, *fakeOperations) {
 	t.Helper()
 	f := &fakeOperations{disabled: map[string]bool{}, known: map[string]bool{"s-1": true}}
@@ -74,6 +75,7 @@
 	return "http://" + l.Addr().String(), f
 }
 
+// call makes one call and returns the response's status and text.
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -88,7 +90,8 @@
 	return resp.StatusCode, strings.TrimSpace(string(text))
 }
 
-func TestCalls(t *testing.T) {
+// Each call reaches its operation, and its response has the expected status and text.
+func TestCallsReachTheirOperations(t *testing.T) {
 	at, f := start(t)
 	code, _ := call(t, "GET", at+"/ready", "")
 	assert.Equal(t, 200, code)
@@ -112,12 +115,14 @@
 
 	code, text = call(t, "GET", at+"/givenup", "")
 	assert.Equal(t, 200, code)
-	assert.Equal(t, "3 body-left\n3 head-slow\n1 header:X-Timeout\n7 in all", text, "the most frequent first")
+	assert.Equal(t, "3 body-left\n3 head-slow\n1 header:X-Timeout\n7 in all", text, "the most frequent reason is first")
 	code, text = call(t, "GET", at+"/reloads", "")
 	assert.Equal(t, 200, code)
 	assert.Equal(t, "1 taken, 0 refused", text)
 }
 
+// A call with an unknown runner, an invalid body, the wrong method or an unknown path is refused with a 4xx status and
+// the reason.
 func TestInvalidCallsAreRefused(t *testing.T) {
 	at, _ := start(t)
 	for _, c := range []struct {
@@ -143,7 +148,8 @@
 	}
 }
 
-// Callers that connect and finish no call delay no others, and are closed soon.
+// Guards against callers that connect and never finish their call: they must not delay other calls, and their connections
+// must be closed.
 func TestUnfinishedCallsDelayNoOthers(t *testing.T) {
 	at, _ := start(t)
 	host := strings.TrimPrefix(at, "http://")
@@ -152,7 +158,7 @@
 		c, err := new(net.Dialer).DialContext(t.Context(), "tcp", host)
 		require.NoError(t, err)
 		hung = append(hung, c)
-		if i%2 == 0 { // half send part of a head, half nothing
+		if i%2 == 0 { // half of them send part of a head, the others nothing
 			_, _ = c.Write([]byte("POST /drain HTTP/1.1\r\nHost: x\r\n"))
 		}
 	}
