--- a/internal/cli/cluster_test.go
+++ b/internal/cli/cluster_test.go
@@ -16,8 +16,10 @@
 	faults "ospreypond/internal/cluster/failure"
 )
 
+// smallJob is a valid job with one step of two tasks.
 const smallJob = `{"spec":"x","steps":[{"count":2,"cpu":100}]}`
 
+// smallConfiguration is a valid configuration of version 5.
 const smallConfiguration = `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","timeoutMs":9,"service":"s"}],` +
 	`"services":[{"name":"s"}],"limits":{"maxBodyBytes":5}}`
 
--- a/internal/cluster/localcluster/machines_test.go
+++ b/internal/cluster/localcluster/machines_test.go
@@ -40,7 +40,7 @@
 			settings, err := boot.Load(m.settingsPath())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(settings.NodeName).To(Equal(m.name))
-			Expect(settings.Seeds).To(HaveLen(3))
+			Expect(settings.Seeds).To(HaveLen(3)) // the control processes
 			Expect(settings.Bootstrap).To(BeTrue())
 			Expect(settings.DataDir != "").To(Equal(m.role == boot.RoleControl))
 			Expect(settings.Service != "").To(Equal(m.role == boot.RoleAgent))
--- a/internal/cluster/localcluster/runner/core_test.go
+++ b/internal/cluster/localcluster/runner/core_test.go
@@ -13,6 +13,7 @@
 
 const second = time.Second
 
+// newCore returns a core without runs, with a heartbeat interval of 1.5 s and a maximal lease of 6 s.
 func newCore() *runner.Core {
 	return runner.NewCore(runner.Options{
 		Instance: "i-1", Service: "s", Interval: 1500 * time.Millisecond, MaxLease: 6 * second,
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -12,9 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
+// minimal is the shortest valid configuration with a seed.
 const minimal = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",
  "settings":{"classes":[{"name":"c","semantics":"safe","deadlineUs":900000}]}}`
 
+// loadText writes text to a configuration file and loads it, with the environment variables of env.
 func loadText(t *testing.T, text string, env map[string]string) (*Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -27,6 +29,7 @@
 	})
 }
 
+// A configuration with only the required keys has the default values.
 func TestDefaults(t *testing.T) {
 	c, err := loadText(t, minimal, nil)
 	require.NoError(t, err)
@@ -47,6 +50,7 @@
 	assert.Equal(t, "c", c.Policy.Classes[0].Name)
 }
 
+// LB_NAME and LB_LISTEN replace the file's values, and the other keys stay. LB_LOG_LEVEL sets the log level.
 func TestVariablesReplaceKeysOfTheFile(t *testing.T) {
 	c, err := loadText(t, minimal, map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:7", "LB_LOG_LEVEL": "debug"})
 	require.NoError(t, err)
@@ -56,6 +60,7 @@
 	assert.Equal(t, logrus.DebugLevel, c.LogLevel)
 }
 
+// The error of a missing or invalid environment variable, or of a file that is not JSON, names the variable.
 func TestErrorsNameTheInvalidVariable(t *testing.T) {
 	_, err := Load(func(string) string { return "" })
 	assert.ErrorContains(t, err, "LB_CONFIG")
