--- a/internal/cluster/frontend/service.go
+++ b/internal/cluster/frontend/service.go
@@ -13,23 +13,26 @@
 	"ospreypond/internal/cluster/httpjson"
 )
 
-// How recent confirmations of the configuration are.
+// Times of confirmations of the configuration. The age of a confirmation is the time since the moment at which the owner
+// of the configuration has certainly had no newer version.
 const (
 	// confirmPollInterval is the time between two checks by a request that waits for a confirmation.
 	confirmPollInterval = 20 * time.Millisecond
-	// confirmTimeout bounds the time that a request waits for a confirmation.
+	// confirmTimeout bounds the time for which a request waits for a confirmation.
 	confirmTimeout = 400 * time.Millisecond
-	// normalAgeMargin is how much older than a watch's longest wait a confirmation becomes while nothing fails, with some
-	// reserve. Submissions wait for a newer one than that, and without one the process doesn't report itself ready.
+	// normalAgeMargin is added to the longest delay of a watch's response. The sum is an age that the newest confirmation
+	// doesn't exceed while nothing fails. A submission waits for a newer confirmation if the age is above the sum, and the
+	// process then isn't ready.
 	normalAgeMargin = 800 * time.Millisecond
-	// exactAgeMargin is reserved of ConfigApply, so that a request that is sent within that time is handled in it, too.
+	// exactAgeMargin is subtracted from ConfigApply. A version that was acknowledged ConfigApply before a request arrives
+	// must be used for that request, and the handling of the request takes time as well.
 	exactAgeMargin = 200 * time.Millisecond
-	// defaultConfigApply replaces a Bounds.ConfigApply that isn't set.
+	// defaultConfigApply stands for a Bounds.ConfigApply that isn't set.
 	defaultConfigApply = 2 * time.Second
 )
 
-// maxWatchWait returns how long the owner of the configuration may leave this process's watch unanswered, so that a
-// confirmation is recent enough for exact answers until the next one arrives.
+// maxWatchWait returns the time for which the owner of the configuration may delay its response to this process's watch.
+// It is half of configApply, so that a confirmation is still recent enough for exact responses when the next one arrives.
 func maxWatchWait(configApply time.Duration) time.Duration {
 	if configApply <= 0 {
 		configApply = defaultConfigApply
@@ -37,10 +40,10 @@
 	return configApply / 2
 }
 
-// Bounds are the times within which the configuration must reach this process.
+// Bounds are the times in which a version of the configuration must reach this process.
 type Bounds struct {
-	ConfigApply time.Duration // from a version's acknowledgement to its effect on new requests; 0: 2 s
-	MaxSkew     time.Duration // how much longer that may take while the control plane is unstable
+	ConfigApply time.Duration // longest time from a version's acknowledgement to its effect on new requests; 0: 2 s
+	MaxSkew     time.Duration // how much longer that may take while faults affect the control plane
 }
 
 // Options configure a Service.
@@ -49,22 +52,22 @@
 	Owners    Owners
 	Views     *Views
 	Bounds    Bounds
-	Clock     clockwork.Clock // nil: the real one
+	Clock     clockwork.Clock // nil: the real clock
 }
 
-// Service is the HTTP handler for clients' requests. It serves several goroutines at once.
+// Service is the HTTP handler for clients' requests. Several goroutines may use it at once.
 type Service struct {
 	Options
-	draining atomic.Bool
-	// maxAgeExact bounds the age of a confirmation for a response that a version unknown here could make wrong.
+	draining atomic.Bool // each response is the last of its connection
+	// maxAgeExact bounds the age of the confirmation for a response that a version unknown to this process could make wrong.
 	maxAgeExact time.Duration
-	// maxAgeNormal is the age that a confirmation reaches while nothing fails.
+	// maxAgeNormal is an age that the newest confirmation doesn't exceed while nothing fails.
 	maxAgeNormal time.Duration
-	// maxAgeSubmit bounds the age of a confirmation for a job to be submitted at all.
+	// maxAgeSubmit bounds the age of the confirmation with which a job may be submitted.
 	maxAgeSubmit time.Duration
 }
 
-// NewService returns a Service. Until Views has a version of the configuration, it asks all clients to retry.
+// NewService returns a Service. Before Views has a version of the configuration, it answers each request with 503.
 func NewService(options Options) *Service {
 	if options.Clock == nil {
 		options.Clock = clockwork.NewRealClock()
@@ -81,10 +84,10 @@
 	}
 }
 
-// Drain makes each response from now on the last one of its connection.
+// Drain makes each response from now on the last one of its connection, at a shutdown.
 func (s *Service) Drain() { s.draining.Store(true) }
 
-// ServeHTTP responds to one request.
+// ServeHTTP responds to one request of a client.
 func (s *Service) ServeHTTP(writer http.ResponseWriter, r *http.Request) {
 	w := &closingWriter{ResponseWriter: writer, draining: &s.draining}
 	arrived := s.Clock.Now()
@@ -100,7 +103,7 @@
 	s.serve(r.Context(), w, r, arrived, to)
 }
 
-// serve calls the handler of the request's method.
+// serve calls the handler of the request's method. A request without a job's ID is for the queue, and only counts its jobs.
 func (s *Service) serve(ctx context.Context, w *closingWriter, r *http.Request, arrived time.Time, to target) {
 	if to.id == "" {
 		if r.Method != http.MethodGet {
@@ -122,7 +125,7 @@
 	}
 }
 
-// withBudget returns a context that ends when the request has used its time, which limit bounds.
+// withBudget returns a context that ends when the time for the request is over; see budget.
 func (s *Service) withBudget(ctx context.Context, r *http.Request, arrived time.Time, to target, limit time.Duration) (context.Context, context.CancelFunc) {
 	allowed := budget(clientWait(r), to.route.Timeout, limit)
 	return deadline.WithDeadline(ctx, s.Clock, arrived.Add(allowed))
--- a/internal/cluster/frontend/submit.go
+++ b/internal/cluster/frontend/submit.go
@@ -11,10 +11,11 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// staleRetryInterval is how long a submission waits for a newer configuration before its owner is called again.
+// staleRetryInterval is the longest time for which a submission waits for a newer configuration before it calls the owner
+// again.
 const staleRetryInterval = 250 * time.Millisecond
 
-// serveSubmit accepts a job.
+// serveSubmit submits a job and responds once a shard has accepted it.
 func (s *Service) serveSubmit(ctx context.Context, w *closingWriter, r *http.Request, arrived time.Time, to target) {
 	body, err := httpjson.ReadBody(w.Unwrap(), r, to.view.maxBodyBytes())
 	if err != nil {
@@ -35,8 +36,9 @@
 	httpjson.Write(w, http.StatusOK, httpjson.EmptyObject)
 }
 
-// unlessLimitRaised returns the error for a body that wasn't read. It is TooLarge only if no version unknown here may allow
-// the body.
+// unlessLimitRaised returns the error that a client gets for a body that could not be read because of err. TooLarge is
+// final, so it stays only if no newer version of the configuration can allow the body: this process's version is
+// confirmed, and has not raised the limit since the request arrived. Otherwise the client is asked to retry.
 func (s *Service) unlessLimitRaised(ctx context.Context, r *http.Request, arrived time.Time, to target, err error) error {
 	if failure.KindOf(err) != failure.TooLarge {
 		return err
@@ -49,8 +51,10 @@
 	return err
 }
 
-// submit carries a job to the owner of its queue's shard. If the owner knows another configuration than this process, it
-// starts again as soon as a newer one has arrived, or a little later: the owner may be the one that is behind.
+// submit submits a job to the owner of its queue's shard. The owner rejects the job if its version of the configuration
+// differs from this process's version in a way that matters. submit then waits for a newer version and starts again by
+// it. Without a newer version it starts again after staleRetryInterval, as it may be the owner that has the older
+// version.
 func (s *Service) submit(ctx context.Context, arrived time.Time, r *http.Request, spec *protocol.JobSpec) error {
 	if err := s.confirmForSubmit(ctx); err != nil {
 		return err
@@ -73,30 +77,33 @@
 	}
 }
 
-// awaitNewer waits up to staleRetryInterval for a view above version, and reports whether there is time for another attempt.
+// awaitNewer waits up to staleRetryInterval for a view of a higher version, and reports whether the submission should be
+// tried again: there is such a view, or ctx leaves time.
 func (s *Service) awaitNewer(ctx context.Context, version uint64) bool {
 	waiting, cancel := deadline.WithTimeout(ctx, s.Clock, staleRetryInterval)
 	defer cancel()
 	return s.Views.awaitNewerThan(waiting, version) || !s.isLate(ctx)
 }
 
-// isLate reports whether ctx has ended, or its deadline has passed by the clock and it is about to.
+// isLate reports whether ctx has ended, or its deadline has passed by the clock. The context ends a moment after that.
 func (s *Service) isLate(ctx context.Context) bool {
 	deadline, hasDeadline := ctx.Deadline()
 	return isDone(ctx) || hasDeadline && s.Clock.Until(deadline) <= 0
 }
 
-// confirmForSubmit rejects a job only if the configuration here is so old that the job's queue may long have been dropped.
-// The owner checks the rest by the version that goes with the job.
+// confirmForSubmit waits for a confirmation no older than maxAgeNormal. Without one it returns an error if the
+// confirmation of this process's configuration is older than maxAgeSubmit: the job's queue may have been dropped long
+// ago. A newer confirmation than that need not be exact, as the owner checks the version that the submission carries.
 func (s *Service) confirmForSubmit(ctx context.Context) error {
 	if s.confirm(ctx, s.maxAgeNormal) || s.Directory.Fresh(s.maxAgeSubmit) {
 		return nil
 	}
-	return failure.New(failure.Unavailable, "the configuration of this frontend may be out of date")
+	return failure.New(failure.Unavailable, "the configuration of this frontend may be out of date: it was not confirmed recently")
 }
 
-// submitTo submits the job to the owner of the target's shard, after all shards that may have accepted it earlier have
-// either answered that they have it or promised never to accept it.
+// submitTo submits a job to the present shard of its queue. Before that it fences the job's ID at each earlier shard of the
+// queue, one after the other. If one of them has the job already, the job is not submitted again. Invariant: at most one
+// shard accepts the job.
 func (s *Service) submitTo(ctx context.Context, to target, spec *protocol.JobSpec) error {
 	for _, earlier := range to.route.Shards[1:] {
 		fence := &protocol.FenceRequest{Shard: earlier, ID: to.id, ConfigurationVersion: to.view.Version}
@@ -121,11 +128,11 @@
 	return err
 }
 
-// notSubmitted returns the error of a submission that ended at a fence: whether or not the promise was committed, no shard
-// has accepted the job.
+// notSubmitted returns the error of a submission whose fence request failed with err. No shard has accepted the job in this
+// attempt, whether or not the promise was committed. An unknown outcome therefore becomes Unavailable.
 func notSubmitted(err error) error {
 	if failure.KindOf(err) == failure.UnknownOutcome {
-		return failure.Newf(failure.Unavailable, "an earlier shard of the queue does not respond: %v", err)
+		return failure.Newf(failure.Unavailable, "no response from an earlier shard of the queue: %v", err)
 	}
 	return err
 }
--- a/internal/cluster/frontend/target.go
+++ b/internal/cluster/frontend/target.go
@@ -10,17 +10,19 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// target is where a request goes by one version of the configuration.
+// target is the queue or job that a request is for, by one version of the configuration.
 type target struct {
 	view  *View
 	route *Route
-	id    string // of the job: what follows the route's prefix; empty: the queue itself
+	id    string // the job's ID, which is the path after the route's prefix; empty: the request is for the queue
 }
 
-// findTarget returns a request's target by the newest view. The error is NoRoute or Invalid only if no version unknown here
-// may have a target: a newer one may have a queue with a longer prefix.
+// findTarget returns the target of a request by the newest view. A newer version may have a queue with a longer prefix, for
+// which the path is valid. The error is therefore NoRoute or Invalid only if this process's version was confirmed recently
+// enough, and otherwise Unavailable.
 func (s *Service) findTarget(ctx context.Context, arrived time.Time, r *http.Request) (target, error) {
-	// Freshness is read before the view: a confirmation is about the view that was in force when it arrived.
+	// Fresh is called before the view is read: a confirmation is about the view that was current when it arrived, and the
+	// view that is read later is at least as new.
 	fresh := s.Directory.Fresh(s.maxAgeExact)
 	to, err := s.lookup(r)
 	if err == nil {
@@ -37,7 +39,7 @@
 	if fresh {
 		return target{}, err
 	}
-	return target{}, failure.New(failure.Unavailable, "it is not known whether a newer configuration has this queue")
+	return target{}, failure.New(failure.Unavailable, "the configuration was not confirmed in time: a newer version may have this queue")
 }
 
 // lookup returns the target of a request's host and path by the newest view.
@@ -53,26 +55,29 @@
 	return target{view: view, route: route, id: id}, nil
 }
 
-// invalidIDError returns what is wrong with the part of a path after its prefix: below a job there is nothing.
+// invalidIDError returns the error for a path whose part after the prefix is not a job's ID. A further slash makes it
+// NoRoute, as no path below a job is served.
 func invalidIDError(id string) error {
 	if strings.Contains(id, "/") {
 		return failure.New(failure.NoRoute, "there is nothing at this path")
 	}
-	return failure.Newf(failure.Invalid, "a job's ID has %d hex digits", jobIDDigits)
+	return failure.Newf(failure.Invalid, "a job's ID must have %d hexadecimal digits", jobIDDigits)
 }
 
-// confirm makes sure that the configuration here was confirmed at most maxAge ago. It waits for a confirmation, up to
-// confirmTimeout, and reports whether there is one. Views that are read afterwards are at least as new as it.
+// confirm reports whether this process's version of the configuration was confirmed at most maxAge ago. If it wasn't,
+// confirm requests a confirmation and waits for it, up to confirmTimeout. Views that are read after that are of the
+// confirmed version or a newer one.
 func (s *Service) confirm(ctx context.Context, maxAge time.Duration) bool {
 	return s.awaitConfirmation(ctx, func() bool { return s.Directory.Fresh(maxAge) })
 }
 
-// confirmSince is confirm for a confirmation of what was in force at that time or later.
+// confirmSince reports the same about a confirmation that this process's version was the newest at that time or later.
 func (s *Service) confirmSince(ctx context.Context, at time.Time) bool {
 	return s.awaitConfirmation(ctx, func() bool { return s.Directory.ConfirmedSince(at) })
 }
 
-// awaitConfirmation asks for confirmations until isConfirmed, up to confirmTimeout, and returns its last result.
+// awaitConfirmation requests confirmations until isConfirmed returns true, for confirmTimeout at most, and returns the last
+// result of isConfirmed.
 func (s *Service) awaitConfirmation(ctx context.Context, isConfirmed func() bool) bool {
 	if isConfirmed() {
 		return true
@@ -90,7 +95,7 @@
 			if isConfirmed() {
 				return true
 			}
-			s.Directory.Refresh() // a watch that was in flight already may have been sent too early
+			s.Directory.Refresh() // the watch in flight may have been sent before the time that must be confirmed
 		}
 	}
 }
--- a/internal/cluster/frontend/views.go
+++ b/internal/cluster/frontend/views.go
@@ -6,21 +6,22 @@
 	"sync/atomic"
 )
 
-// Views has the newest version of the configuration, which never goes back to an older one. It is safe for use by several
-// goroutines.
+// Views stores the current view: that of the newest version of the configuration that this process has. An older view never
+// replaces a newer one. Several goroutines may use it at once.
 type Views struct {
 	current atomic.Pointer[View]
 	mutex   sync.Mutex
-	changed chan struct{} // closed, and replaced, when current changes
+	changed chan struct{} // closed and replaced when current changes
 }
 
 // NewViews returns Views without a configuration.
 func NewViews() *Views { return &Views{changed: make(chan struct{})} }
 
-// Current returns the newest view, nil before the first. A view must not be changed.
+// Current returns the current view, or nil before the first one. The caller must not change it.
 func (v *Views) Current() *View { return v.current.Load() }
 
-// Set puts view in force and reports whether it did: one that isn't newer than the current one is ignored.
+// Set makes view the current one and reports whether it did. It ignores a view whose version isn't higher than the
+// current one's.
 func (v *Views) Set(view *View) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -33,14 +34,14 @@
 	return true
 }
 
-// nextChange returns a channel that is closed once a view newer than the current one is in force.
+// nextChange returns a channel that is closed when the current view is replaced.
 func (v *Views) nextChange() <-chan struct{} {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.changed
 }
 
-// awaitNewerThan waits for a view above version and reports whether there is one before ctx ends.
+// awaitNewerThan waits until the current view's version is above version. It returns false if ctx ends before that.
 func (v *Views) awaitNewerThan(ctx context.Context, version uint64) bool {
 	for {
 		changed := v.nextChange()
--- a/internal/cluster/protocol/configure.go
+++ b/internal/cluster/protocol/configure.go
@@ -1,35 +1,37 @@
 package protocol
 
-// ChangeKind is the kind of a change that an operator makes to the configuration. The constants are untyped, as
-// configuration.Command, which is stored, has the kind as a string.
+// ChangeKind is the kind of a change that an operator makes to the configuration. The constants are untyped, so that they
+// can also be compared with configuration.Command.Kind, which is a string as it is stored.
 type ChangeKind string
 
-// Kinds of changes.
+// Values of ChangeKind.
 const (
-	ConfigurationReplace = "replace" // the body is a complete configuration
-	ConfigurationUpdate  = "update"  // the body lists items to add, replace and remove
+	ConfigurationReplace = "replace" // ConfigureRequest.Body is a complete configuration
+	ConfigurationUpdate  = "update"  // ConfigureRequest.Body lists items to add, replace and remove
 )
 
-// ConfigureRequest carries an operator's change to the owner of the configuration shard. Sending it again is safe.
+// ConfigureRequest carries an operator's change to the owner of the configuration shard. An operator's client sends it,
+// or the control process that the operator has called by HTTP. It may be sent again: the change takes effect once.
 // Encoded by gob: the field names are the wire format.
 type ConfigureRequest struct {
 	Kind ChangeKind // ConfigurationReplace or ConfigurationUpdate
-	Base uint64     // version that the change was made to; 0 for the first
+	Base uint64     // version of the configuration that the change builds on; 0: there is none yet
 	Body []byte     // JSON, as the operator sent it
 }
 
-// ConfigureResponse acknowledges that the change is committed, by this request or an earlier one. A change that isn't
-// accepted is the error Invalid or Conflict. Encoded by gob.
+// ConfigureResponse is the owner's acknowledgement that the change is committed, by this request or an earlier one. For a
+// change that the owner doesn't accept, the call fails with the error Invalid or Conflict. Encoded by gob.
 type ConfigureResponse struct {
-	Version uint64 // of the configuration with the change
+	Version uint64 // version of the configuration that contains the change
 }
 
-// ReadConfigurationRequest asks the owner of the configuration shard for the newest configuration. Encoded by gob.
+// ReadConfigurationRequest asks the owner of the configuration shard for the newest configuration. A control process
+// sends it for an operator. Encoded by gob.
 type ReadConfigurationRequest struct{}
 
-// ReadConfigurationResponse has the complete configuration. The sender's leadership was confirmed after the request
-// arrived. Encoded by gob.
+// ReadConfigurationResponse is the owner's response, with the complete configuration. The owner has confirmed its leadership
+// after the request arrived, so no newer configuration was committed before that. Encoded by gob.
 type ReadConfigurationResponse struct {
-	Version uint64
-	Body    []byte // JSON; before the first configuration one of version 0 and without items
+	Version uint64 // version of the configuration in Body; 0: there is none yet
+	Body    []byte // JSON; for version 0 a configuration without items
 }
--- a/internal/cluster/protocol/encoding_test.go
+++ b/internal/cluster/protocol/encoding_test.go
@@ -11,7 +11,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Messages as they were declared before their states became types of their own.
+// Messages as an earlier version declared them, with plain strings in place of JobState, ChangeKind and RunEnd. Processes of
+// both versions exchange messages during an upgrade.
 type (
 	plainStatus    struct{ State string }
 	plainConfigure struct {
@@ -36,24 +37,24 @@
 	Expect(gob.NewDecoder(&buffer).Decode(to)).To(Succeed())
 }
 
-var _ = DescribeTable("gob encodes a named string as the string it was",
+var _ = DescribeTable("gob encodes a named string type like a plain string",
 	func(plain, typed, emptyPlain, emptyTyped any) {
 		recode(plain, emptyTyped)
 		Expect(emptyTyped).To(Equal(typed))
 		recode(typed, emptyPlain)
 		Expect(emptyPlain).To(Equal(plain))
 	},
-	Entry("state of a job", &plainStatus{"queued"}, &protocol.StatusResponse{State: protocol.JobQueued},
+	Entry("the state of a job", &plainStatus{"queued"}, &protocol.StatusResponse{State: protocol.JobQueued},
 		&plainStatus{}, &protocol.StatusResponse{}),
-	Entry("kind of a change", &plainConfigure{"update", 3, []byte("{}")},
+	Entry("the kind of a change", &plainConfigure{"update", 3, []byte("{}")},
 		&protocol.ConfigureRequest{Kind: protocol.ConfigurationUpdate, Base: 3, Body: []byte("{}")},
 		&plainConfigure{}, &protocol.ConfigureRequest{}),
-	Entry("end of a run", &plainFinished{1, "t", 2, "lapsed", "c"},
+	Entry("the end of a run", &plainFinished{1, "t", 2, "lapsed", "c"},
 		&protocol.FinishedRun{N: 1, Task: "t", Run: 2, How: protocol.EndLapsed, Saved: "c"},
 		&plainFinished{}, &protocol.FinishedRun{}),
 )
 
-var _ = DescribeTable("rows of runs and orders in JSON",
+var _ = DescribeTable("a run or an order is a row in JSON",
 	func(row string, value, empty any) {
 		Expect(json.Unmarshal([]byte(row), empty)).To(Succeed())
 		Expect(empty).To(Equal(value))
@@ -68,7 +69,7 @@
 	Entry("stop", `["t",2]`, &protocol.StopOrder{Task: "t", Run: 2}, &protocol.StopOrder{}),
 )
 
-var _ = DescribeTable("rows with too few fields are rejected",
+var _ = DescribeTable("a row with too few fields is rejected",
 	func(row string, empty any, want string) {
 		Expect(json.Unmarshal([]byte(row), empty)).To(MatchError(ContainSubstring(want)))
 	},
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -1,62 +1,65 @@
 package protocol
 
-// Step is one step of a job as a client submits it. A field that is left out is 0, false or empty. The tags are the
-// clients' JSON; between processes it is encoded by gob, whose wire format are the field names.
+// Step is one step of a job, which is a number of equal tasks. A client submits it as JSON, with the names in the tags.
+// Processes send it by gob, with the field names. A field that is absent is 0, false or empty.
 type Step struct {
-	Count        int     `json:"count"`         // tasks
-	CPU          int64   `json:"cpu"`           // thousandths of a core, each task
-	MemoryMB     int64   `json:"memoryLimitMb"` // MB, each task
-	GPU          int64   `json:"gpu"`           // accelerators, each task
-	EstimatedMs  float64 `json:"estimatedMs"`   // rough estimate of a task's run time
-	DependsOn    []int   `json:"dependsOn"`     // indices of earlier steps that must have completed
-	Gang         bool    `json:"gang"`          // the tasks only advance while all of them run
-	RackLocal    bool    `json:"rackLocal"`
-	Requirements string  `json:"requirements"` // a label that the runner must have
-	Affinity     string  `json:"affinity"`     // rack where the data is
-	AntiAffinity int     `json:"antiAffinity"` // maximum of the step's tasks (of one repetition) on one runner; 0: no limit
-	AtMostOnce   bool    `json:"atMostOnce"`   // two runs of a task may exist side by side
-	LongRunning  bool    `json:"longRunning"`
-	Checkpoints  bool    `json:"checkpoints"` // a run saves checkpoints, from which a later one continues
+	Count        int     `json:"count"`         // number of tasks, at least 1
+	CPU          int64   `json:"cpu"`           // thousandths of a core for each task
+	MemoryMB     int64   `json:"memoryLimitMb"` // megabytes for each task
+	GPU          int64   `json:"gpu"`           // number of accelerators for each task
+	EstimatedMs  float64 `json:"estimatedMs"`   // client's rough estimate of a task's run time
+	DependsOn    []int   `json:"dependsOn"`     // indices in JobSpec.Steps of earlier steps that must complete first
+	Gang         bool    `json:"gang"`          // the tasks make progress only while all of them run
+	RackLocal    bool    `json:"rackLocal"`     // the tasks of the gang run longer if they are spread over several racks
+	Requirements string  `json:"requirements"`  // label that a runner must have; empty: any runner will do
+	Affinity     string  `json:"affinity"`      // rack where the tasks' data is; empty: none
+	AntiAffinity int     `json:"antiAffinity"`  // most tasks of the step, of one repetition, on one runner; 0: no limit
+	AtMostOnce   bool    `json:"atMostOnce"`    // the client permits two runs of a task at one time; owners don't use that
+	LongRunning  bool    `json:"longRunning"`   // a run has no planned end: after each end the task is started again
+	Checkpoints  bool    `json:"checkpoints"`   // runs save checkpoints, and a later run of the task continues from the newest
 }
 
 // Needs returns the resources that each task of the step requests.
 func (s *Step) Needs() Resources { return Resources{CPU: s.CPU, MemoryMB: s.MemoryMB, GPU: s.GPU} }
 
-// JobSpec is a job as a client submits it. The tags are the clients' JSON; between processes it is encoded by gob, whose
-// wire format are the field names.
+// JobSpec is a job. A client submits it as JSON, with the names in the tags. Processes send it by gob, with the field names.
 type JobSpec struct {
-	Spec        string `json:"spec"` // handed to the runs as it is
-	Steps       []Step `json:"steps"`
-	Repetitions int    `json:"repetitions"` // above 0: how many times the steps run
-	FirstRunMs  int64  `json:"firstRunMs"`  // ms since 1970
-	IntervalMs  int64  `json:"intervalMs"`  // between the starts of two repetitions
+	Spec        string `json:"spec"`        // text that every run of the job gets unchanged
+	Steps       []Step `json:"steps"`       // at least one
+	Repetitions int    `json:"repetitions"` // how many times the steps run, at set times; 0: once, without delay
+	FirstRunMs  int64  `json:"firstRunMs"`  // when the first repetition starts, in ms since 1970; not used without repetitions
+	IntervalMs  int64  `json:"intervalMs"`  // time from the start of one repetition to the start of the next
 }
 
-// Queue is what the configuration says about the queue to which a job was submitted, at that time. Encoded by gob: the
-// field names are the wire format.
+// Queue is what the configuration says about a queue. A submission carries it as the frontend's version of the configuration
+// has it, and the job keeps it when the configuration changes. Encoded by gob: the field names are the wire format.
 type Queue struct {
-	Key             string // host and path prefix
-	Service         string
-	Priority        int     // 0 is the highest
-	MaxAttempts     int     // runs of one task that may end as EndFailed; 0: no limit
-	Extension       float64 // factor on a job's longest chain of work, a part of its objective
-	TargetLatencyMs int64   // target of a job's latency, the other part of its objective
+	Key         string // host and path prefix of the queue
+	Service     string // service whose runners run the queue's jobs; it determines the shard
+	Priority    int    // 0 is the highest
+	MaxAttempts int    // runs of one task that may end as EndFailed before the job fails; 0: no limit
+
+	// Extension and TargetLatencyMs give the objective of a job's latency, in ms:
+	//
+	//	TargetLatencyMs + max(Extension, 1) * predicted run time of the job's longest chain of dependent steps
+	Extension       float64
+	TargetLatencyMs int64
 }
 
-// JobState is the state of a job as clients see it and the shard's snapshots have it. The constants are untyped: histories of
-// the simulation have the same texts as plain strings.
+// JobState is the state of a job as clients see it, and as the shard's snapshots store it. The constants are untyped, so
+// that they can also be compared with plain strings, which the simulation's histories have.
 type JobState string
 
-// States of a job.
+// Values of JobState.
 const (
-	JobQueued    = "queued"
-	JobRunning   = "running"
-	JobCompleted = "completed"
-	JobFailed    = "failed"
-	JobCancelled = "cancelled"
+	JobQueued    = "queued"    // no task has started
+	JobRunning   = "running"   // a task has started
+	JobCompleted = "completed" // all tasks are done
+	JobFailed    = "failed"    // a task has failed Queue.MaxAttempts times
+	JobCancelled = "cancelled" // a client has cancelled the job
 )
 
-// JobEnded reports whether state is final: a job never leaves it.
+// JobEnded reports whether state is final: the job's state never changes again.
 func JobEnded(state JobState) bool {
 	return state == JobCompleted || state == JobFailed || state == JobCancelled
 }
--- a/internal/cluster/protocol/owner.go
+++ b/internal/cluster/protocol/owner.go
@@ -1,80 +1,85 @@
 package protocol
 
-// The requests below go to the owner of the shard that they name, directly or through a relay. A process that isn't the
-// owner answers with the error NotLeader.
+// Frontends and agents send the requests below to the owner of the shard that Shard names, directly or through a relay. A
+// process that doesn't own the shard answers with the error NotLeader.
 
-// HeartbeatRequest carries a runner's heartbeat from its agent to the owner of its service's shard. Encoded by gob: the
-// field names are the wire format.
+// HeartbeatRequest carries a runner's heartbeat from its agent to the owner of the shard of the runner's service. Encoded by
+// gob: the field names are the wire format.
 type HeartbeatRequest struct {
 	Shard     ShardID
 	Heartbeat Heartbeat
 }
 
-// HeartbeatResponse has the orders for the runner. Encoded by gob.
+// HeartbeatResponse is the owner's response to a HeartbeatRequest, with the orders for the runner. Encoded by gob.
 type HeartbeatResponse struct{ Orders Orders }
 
-// DeregisterRequest reports to the owner that a runner is about to end as planned. Encoded by gob.
+// DeregisterRequest tells the owner that a runner is about to end as planned. The runner's agent sends it. Encoded by gob.
 type DeregisterRequest struct {
 	Shard    ShardID
-	Service  string
-	Instance string // incarnation of the runner
+	Service  string // service of the runner; empty: the agent doesn't know it
+	Instance string // Heartbeat.Instance of the runner
 }
 
-// DeregisterResponse acknowledges a DeregisterRequest. Encoded by gob.
+// DeregisterResponse is the owner's acknowledgement that the deregistration is committed. Encoded by gob.
 type DeregisterResponse struct{}
 
-// SubmitRequest submits a job. Submitting it again is safe: a job is identified by its ID. Encoded by gob.
+// SubmitRequest submits a job. A frontend sends it. It may be sent again: a job is identified by its ID, and the shard
+// accepts the job once. Encoded by gob.
 type SubmitRequest struct {
 	Shard                ShardID
-	ID                   string
+	ID                   string // the job's ID: 16 hexadecimal digits, chosen by the client
 	Queue                Queue
 	Job                  JobSpec
-	ConfigurationVersion uint64 // by which the frontend chose the queue
+	ConfigurationVersion uint64 // version of the configuration by which the frontend chose the queue and its shard
 }
 
-// SubmitResponse acknowledges that the job is committed, by this request or an earlier one. Encoded by gob.
+// SubmitResponse is the owner's acknowledgement that the job is committed, by this request or an earlier one. Encoded by
+// gob.
 type SubmitResponse struct {
-	AlreadyKnown bool // an earlier request has submitted it
+	AlreadyKnown bool // an earlier request has submitted the job
 }
 
-// StatusRequest asks for a job's state. Encoded by gob.
+// StatusRequest asks for a job's state. A frontend sends it. Encoded by gob.
 type StatusRequest struct {
 	Shard ShardID
-	ID    string
+	ID    string // the job's ID
 }
 
-// StatusResponse has a job's state; for an unknown job the call fails with the error Gone. Encoded by gob.
+// StatusResponse is the owner's response with the job's state. For a job that the shard doesn't have, the call fails with
+// the error Gone. Encoded by gob.
 type StatusResponse struct{ State JobState }
 
-// CancelRequest cancels a job. Encoded by gob.
+// CancelRequest cancels a job. A frontend sends it. It may be sent again. Encoded by gob.
 type CancelRequest struct {
 	Shard ShardID
-	ID    string
+	ID    string // the job's ID
 }
 
-// CancelResponse acknowledges that the cancellation is committed; for an unknown job the call fails with the error Gone.
-// Encoded by gob.
+// CancelResponse is the owner's acknowledgement that the cancellation is committed. For a job that the shard doesn't
+// have, the call fails with the error Gone. Encoded by gob.
 type CancelResponse struct{}
 
-// FenceRequest asks an earlier shard of a queue whether it has the job. If it doesn't, the shard commits a promise never
-// to accept the job from a submission whose queue was chosen by ConfigurationVersion or an older one, so that the
-// queue's present shard may accept it. The queue can return to the shard with a newer version. Encoded by gob.
+// FenceRequest fences a job's ID at a shard that had the job's queue earlier. A frontend sends it before it submits the
+// job to the queue's present shard, so that two shards never accept the same job. The shard either answers that it has or
+// had the job, or commits this promise: it never accepts the job from a submission whose ConfigurationVersion is that of
+// the request or lower. The queue can return to the shard in a later version, and submissions by that version are
+// accepted. Encoded by gob.
 type FenceRequest struct {
 	Shard                ShardID
-	ID                   string
-	ConfigurationVersion uint64 // by which the frontend chose the queue
+	ID                   string // the job's ID
+	ConfigurationVersion uint64 // version of the configuration by which the frontend chose the queue
 }
 
-// FenceResponse has the earlier shard's answer. Encoded by gob.
+// FenceResponse is the earlier shard's answer. Encoded by gob.
 type FenceResponse struct {
-	HasJob bool // the shard has the job and has made no promise
+	HasJob bool // true: the shard has or had the job; false: the promise is committed
 }
 
-// PendingRequest asks how many jobs of a queue have not ended. Encoded by gob.
+// PendingRequest asks for the number of a queue's jobs that have not ended. A frontend sends it. Encoded by gob.
 type PendingRequest struct {
 	Shard ShardID
 	Queue string // Queue.Key
 }
 
-// PendingResponse has that count, of the one shard that was asked. Encoded by gob.
+// PendingResponse is the owner's response: the number of such jobs in its shard. Encoded by gob.
 type PendingResponse struct{ Pending int }
--- a/internal/cluster/protocol/relay.go
+++ b/internal/cluster/protocol/relay.go
@@ -1,14 +1,14 @@
 package protocol
 
-// Relay is a process that forwards calls to control processes on behalf of processes that can't reach them directly.
-// Encoded by gob: the field names are the wire format.
+// Relay names a process that forwards calls to control processes for processes that can't reach them directly. Agents are
+// relays. Encoded by gob: the field names are the wire format.
 type Relay struct {
-	Address string // internal
-	Zone    string
+	Address string // internal address, ip:port
+	Zone    string // zone of the relay's machine
 }
 
-// RelayRequest asks a relay to make one call and to return its response. Exactly one of the requests is set. Encoded by
-// gob: the field names are the wire format.
+// RelayRequest asks a relay to make one call and to return its response. Exactly one of the pointers is set. Encoded by gob:
+// the field names are the wire format.
 type RelayRequest struct {
 	Target string // internal address of the control process to call
 
@@ -23,8 +23,8 @@
 	Watch      *WatchRequest
 }
 
-// RelayResponse has the response to the request that was set. An error of the call is the error of the relayed call.
-// Encoded by gob: the field names are the wire format.
+// RelayResponse is the relay's response. The pointer is set that has the name of the request's. If the call of the target
+// failed, the call of the relay fails with the same error. Encoded by gob: the field names are the wire format.
 type RelayResponse struct {
 	Ping       *PingResponse
 	Heartbeat  *HeartbeatResponse
@@ -37,8 +37,8 @@
 	Watch      *WatchResponse
 }
 
-// PingRequest probes whether a control process can be reached. It doesn't ask what the process owns. Encoded by gob.
+// PingRequest probes whether a control process can be reached, whether or not that process owns a shard. Encoded by gob.
 type PingRequest struct{ Number uint64 }
 
-// PingResponse has the request's number. Encoded by gob.
+// PingResponse is the response to a PingRequest, with the number of the request. Encoded by gob.
 type PingResponse struct{ Number uint64 }
--- a/internal/cluster/protocol/shard.go
+++ b/internal/cluster/protocol/shard.go
@@ -2,17 +2,20 @@
 
 import "hash/fnv"
 
-// ShardID identifies a shard of the scheduler's state and the replica group that stores it.
+// ShardID identifies a shard of the scheduler's state, and the Raft group that stores it.
 type ShardID uint32
 
-// ConfigurationShard stores the operator's configuration.
+// ConfigurationShard is the shard that stores the operator's configuration.
 const ConfigurationShard ShardID = 0
 
-// JobShards is the number of shards of jobs. Their IDs are 1 to JobShards.
+// JobShards is the number of shards that store jobs. Their IDs are 1 to JobShards.
 const JobShards = 4
 
-// ShardOf returns the shard of a service's jobs and runners. The hash is FNV-1a; it is part of the wire format, as every
-// process computes it by itself.
+// ShardOf returns the shard that stores a service's jobs and whose owner manages the service's runners. It is
+//
+//	1 + FNV-1a(service) mod JobShards
+//
+// The formula must not change: each process computes it, and jobs are stored by it.
 func ShardOf(service string) ShardID {
 	hash := fnv.New32a()
 	hash.Write([]byte(service))
--- a/internal/cluster/uplink/uplink.go
+++ b/internal/cluster/uplink/uplink.go
@@ -1,6 +1,6 @@
-// Package uplink connects the processes outside of the control plane, frontends and agents, to it: it follows which
-// control processes exist and which of them owns each shard, and carries calls to the owners, through relays where the
-// direct way is partitioned.
+// Package uplink connects frontends and agents to the control plane. It keeps up to date which control processes exist
+// and which of them owns each shard. It sends calls to the owners, and sends them through relays where the network
+// between the two machines is partitioned.
 package uplink
 
 import (
@@ -19,35 +19,34 @@
 	"ospreypond/internal/cluster/seeds"
 )
 
-// NewDirectory returns a directory whose calls by options.Client go through relays where that fails. OnRelays is set by
-// it.
+// NewDirectory returns a directory that calls control processes by options.Client, and through relays where a direct call
+// doesn't reach the process. It replaces options.OnRelays.
 func NewDirectory(options directory.Options) *directory.Directory {
 	paths := relay.NewCaller(options.Client, options.Clock)
 	options.Client, options.OnRelays = paths, paths.SetRelays
 	return directory.New(options)
 }
 
-// Follower is what Follow runs: a frontend's or an agent's process.
+// Follower is a frontend's or an agent's process, which Follow runs.
 type Follower interface {
-	// Run follows the control plane until ctx ends.
+	// Run keeps what the process knows of the control plane up to date until ctx ends.
 	Run(ctx context.Context)
 }
 
 // Options configure Follow.
 type Options struct {
 	Process    Follower
-	Known      *directory.Directory // of Process
+	Known      *directory.Directory // directory of Process
 	Settings   *boot.Settings
-	Hangups    <-chan os.Signal // on each the settings file is read again
+	Hangups    <-chan os.Signal // SIGHUP; the settings file is read again after each
 	StaleAfter time.Duration    // see seeds.Options
 	Logger     log.Logger
 }
 
-// Follow runs a process, and gives its directory new seeds when the settings file changes. It returns a function that
-// ends both and waits for them.
+// Follow starts a process, and gives its directory new seeds when the settings file changes. It returns a function that
+// stops both and waits until they have ended.
 //
-// They go on when ctx ends, until that function is called: a process needs the owners of shards until it has responded
-// to its last caller.
+// The end of ctx doesn't stop them: a process needs the owners of shards until it has responded to its last caller.
 func Follow(ctx context.Context, options Options) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	follower := seeds.NewFollower(seeds.Options{
@@ -66,8 +65,9 @@
 	}
 }
 
-// Listen opens a listener on each endpoint, in that order; if one fails, the others are closed. Connections get no
-// keep-alive probes, as servers close idle ones after a time.
+// Listen opens a listener on each endpoint and returns them in the same order. If one fails, it closes the others and
+// returns an error that names the purpose of the one that failed. TCP sends no keep-alive probes on the connections, as
+// servers close idle ones after a time.
 func Listen(ctx context.Context, endpoints ...Endpoint) ([]net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	listeners := make([]net.Listener, 0, len(endpoints))
@@ -75,7 +75,7 @@
 		listener, err := config.Listen(ctx, "tcp", endpoint.Address)
 		if err != nil {
 			for _, open := range listeners {
-				_ = open.Close() // nobody has connected to it; the error to report is that of the listener that failed
+				_ = open.Close() // the error to report is that of the listener that failed
 			}
 			return nil, errors.Wrapf(err, "listen for %s", endpoint.Purpose)
 		}
@@ -87,5 +87,5 @@
 // Endpoint is an address to listen on.
 type Endpoint struct {
 	Address string // ip:port
-	Purpose string // who calls there, for errors
+	Purpose string // who connects to it; part of the error of Listen
 }
