--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -23,8 +23,8 @@
 //   - A run is reported as active while it is unknown whether the runner has started it, as after a connection that broke
 //     before the response. The owner would otherwise give the capacity to another run. See unconfirmedStarts.
 //
-// An agent stores nothing durably. After a restart it gets the fencing token from the owner before it polls its runner. An
-// agent never decides that a runner is dead: owners do, when heartbeats no longer arrive.
+// An agent stores nothing durably. After a restart it knows no fencing token, and its runner may refuse its calls; it then
+// gets the token from the owner. An agent never decides that a runner is dead: owners do, when heartbeats no longer arrive.
 package agent
 
 import (
@@ -78,12 +78,12 @@
 
 // Options configure a Service.
 type Options struct {
-	Owners  Owners
-	Service string          // service of the runner on this machine, for deregistrations that don't name it; empty: unknown
-	Clock   clockwork.Clock // nil: the real clock
-	Calls   bool            // the agent calls the runner (boot.CommandsInvocation)
-	App     string          // ip:port at which the agent calls the runner; empty: the address in the runner's heartbeats
-	Dial    Dial            // connects to the runner; nil: by TCP
+	Owners        Owners
+	Service       string          // service of the runner on this machine, for deregistrations that don't name it; empty: unknown
+	Clock         clockwork.Clock // nil: the real clock
+	CallsRunner   bool            // the agent calls the runner (boot.CommandsInvocation)
+	RunnerAddress string          // ip:port at which the agent calls the runner; empty: the address in the runner's heartbeats
+	Dial          Dial            // connects to the runner; nil: by TCP
 }
 
 // Service is the HTTP handler for the requests of the runner on this machine. Several goroutines may use it at once.
@@ -106,8 +106,8 @@
 		clock:   options.Clock,
 		tracker: heartbeatTracker{inFlight: make(map[string]*inFlightHeartbeat)},
 	}
-	if options.Calls {
-		s.supervisor = &loopSupervisor{service: s, address: options.App, dial: options.Dial}
+	if options.CallsRunner {
+		s.supervisor = &loopSupervisor{service: s, address: options.RunnerAddress, dial: options.Dial}
 	}
 	return s
 }
--- a/internal/cluster/agent/apply.go
+++ b/internal/cluster/agent/apply.go
@@ -85,7 +85,7 @@
 	return err
 }
 
-// stopUnconfirmed stops each run whose start is unconfirmed and that a later poll has not shown. The stop makes sure that
+// stopUnconfirmed stops each run that has an unconfirmed start and that a later poll has not shown. The stop makes sure that
 // the run never starts, so that its capacity can be released.
 func (l *loop) stopUnconfirmed(ctx context.Context) error {
 	for _, run := range l.unconfirmed.toStop() {
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -179,7 +179,7 @@
 	b := &calledFixture{fixture: &fixture{owners: &fakeOwners{owner: "10.0.0.1:7380", attempts: make(chan *attempt, 10)},
 		clock: clockwork.NewFakeClock()}}
 	b.runner = newFakeRunner(b.clock)
-	b.service = NewService(Options{Owners: b.owners, Service: "huvo11a", Clock: b.clock, Calls: true, App: b.runner.address()})
+	b.service = NewService(Options{Owners: b.owners, Service: "huvo11a", Clock: b.clock, CallsRunner: true, RunnerAddress: b.runner.address()})
 	return b
 }
 
--- a/internal/cluster/agent/handlers.go
+++ b/internal/cluster/agent/handlers.go
@@ -91,7 +91,7 @@
 	httpjson.Write(w, http.StatusOK, httpjson.EmptyObject)
 }
 
-// shardsOf returns the shards whose owners may know a runner of service. An empty service is unknown: any shard may.
+// shardsOf returns the shards with owners that may know a runner of service. An empty service is unknown: any shard may.
 func shardsOf(service string) []protocol.ShardID {
 	if service != "" {
 		return []protocol.ShardID{protocol.ShardOf(service)}
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -11,8 +11,9 @@
 
 // Times of a loop.
 const (
-	// minStepInterval and maxStepInterval bound the time from the beginning of one exchange with the owner to the next. The
-	// owner requests a time between them (Orders.RetryDelayMs).
+	// minStepInterval and maxStepInterval bound the pause between two steps. The owner requests its length
+	// (Orders.RetryDelayMs). The result of a poll ends the pause early, but at least minStepInterval lies between the
+	// beginnings of two exchanges with the owner.
 	minStepInterval = 20 * time.Millisecond
 	maxStepInterval = 500 * time.Millisecond
 	// minStepBackoff is the pause after a step that failed. The pause is n * minStepBackoff after n failures in a row,
@@ -26,9 +27,10 @@
 
 // loop calls one incarnation of a runner. Each step
 //
-//  1. sends the owner a heartbeat that says what is known of the runner, and gets orders;
-//  2. calls the runner for each order;
-//  3. starts a poll of the runner if one is due.
+//  1. stops the runs that have an unconfirmed start and that a poll has not shown;
+//  2. sends the owner a heartbeat that says what is known of the runner, and gets orders;
+//  3. calls the runner for each order;
+//  4. starts a poll of the runner if one is due.
 //
 // Responses to polls have a cost, so the agent polls less often than it exchanges heartbeats for orders; runnerSnapshot has
 // what is known of the runner between two polls.
@@ -92,7 +94,7 @@
 func (l *loop) now() time.Time { return l.service.clock.Now() }
 
 // run makes one step after the other until ctx ends. previous is the ended channel of the loop that this one replaces. run
-// waits for it, so that at most one loop calls a runner; nil: there is none to wait for.
+// waits for it, so that the two don't call the runner at the same time; nil: there is none to wait for.
 func (l *loop) run(ctx context.Context, previous <-chan struct{}) {
 	defer close(l.ended)
 	defer l.closeSession()
--- a/internal/cluster/agent/loop_test.go
+++ b/internal/cluster/agent/loop_test.go
@@ -103,7 +103,7 @@
 		Expect(b.nextExchange().heartbeat.Finished).To(BeEmpty())
 	})
 
-	It("is sent a stop for a run whose start it has rejected, and the run is reported as rejected", func() {
+	It("is sent a stop for a run after it has rejected the start, and the run is reported as rejected", func() {
 		b.runner.rejectReason = "room"
 		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: startOrders("a.0.0.1")}
@@ -146,7 +146,7 @@
 		Expect(b.runner.stopped).To(BeEmpty())
 	})
 
-	DescribeTable("whose connection breaks before the response to a start",
+	DescribeTable("that doesn't respond to a start before its connection breaks",
 		func(started bool) {
 			b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 			e := b.nextExchange()
@@ -192,7 +192,7 @@
 		Expect(b.nextExchange().heartbeat.Active).To(ConsistOf(firstRun))
 	})
 
-	It("gets no orders of a former owner, whose fencing token is lower", func() {
+	It("gets no orders of a former owner, which has a lower fencing token", func() {
 		b.sendHeartbeat(instance, 4, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: leaseOrders()}
 		old := startOrders("a.0.0.1")
@@ -242,7 +242,7 @@
 		before := b.nextExchange().heartbeat.Sequence
 		Expect(b.runner.fence).To(Equal(uint64(8)))
 		b.service.Close()
-		b.service = NewService(Options{Owners: b.owners, Service: "huvo11a", Clock: b.clock, Calls: true, App: b.runner.address()})
+		b.service = NewService(Options{Owners: b.owners, Service: "huvo11a", Clock: b.clock, CallsRunner: true, RunnerAddress: b.runner.address()})
 		b.sendHeartbeat(instance, 5, protocol.RunnerReady)
 		b.nextExchange().reply <- result{orders: protocol.Orders{FenceToken: 8}}
 		Expect(b.nextExchange().heartbeat.Sequence).To(BeNumerically(">", before))
--- a/internal/cluster/agent/process.go
+++ b/internal/cluster/agent/process.go
@@ -13,17 +13,17 @@
 
 // ProcessOptions configure a Process.
 type ProcessOptions struct {
-	Client    directory.Caller
-	Addresses []string        // internal addresses of the control processes to call first; others are learned from them
-	Node      string          // name of this machine
-	Zone      string          // zone of this machine
-	Relay     string          // internal address at which this process relays calls; empty: it relays none
-	Service   string          // service of the runner on this machine; empty: unknown
-	Calls     bool            // the agent calls the runner (boot.CommandsInvocation)
-	App       string          // ip:port at which the agent calls the runner; empty: the address in the runner's heartbeats
-	Dial      Dial            // connects to the runner; nil: by TCP
-	Clock     clockwork.Clock // nil: the real clock
-	Logger    log.Logger
+	Client        directory.Caller
+	Addresses     []string        // internal addresses of the control processes to call first; others are learned from them
+	Node          string          // name of this machine
+	Zone          string          // zone of this machine
+	Relay         string          // internal address at which this process relays calls; empty: it relays none
+	Service       string          // service of the runner on this machine; empty: unknown
+	CallsRunner   bool            // the agent calls the runner (boot.CommandsInvocation)
+	RunnerAddress string          // ip:port at which the agent calls the runner; empty: the address in the runner's heartbeats
+	Dial          Dial            // connects to the runner; nil: by TCP
+	Clock         clockwork.Clock // nil: the real clock
+	Logger        log.Logger
 }
 
 // Process is an agent that opens no listeners: it serves a runner's requests as an http.Handler and finds the owners of
@@ -33,7 +33,7 @@
 	Known *directory.Directory // the owners of shards, as far as known
 }
 
-// NewProcess returns a Process. The caller must call Run, by which the process learns the owners, and Close at the end.
+// NewProcess returns a Process. The caller must call Run, so that the process learns the owners, and Close at the end.
 func NewProcess(options ProcessOptions) *Process {
 	known := uplink.NewDirectory(directory.Options{
 		Client: options.Client,
@@ -46,12 +46,12 @@
 		Wait:   maxWatchWait,
 	})
 	service := NewService(Options{
-		Owners:  owners{known},
-		Service: options.Service,
-		Clock:   options.Clock,
-		Calls:   options.Calls,
-		App:     options.App,
-		Dial:    options.Dial,
+		Owners:        owners{known},
+		Service:       options.Service,
+		Clock:         options.Clock,
+		CallsRunner:   options.CallsRunner,
+		RunnerAddress: options.RunnerAddress,
+		Dial:          options.Dial,
 	})
 	return &Process{Service: service, Known: known}
 }
--- a/internal/cluster/agent/report.go
+++ b/internal/cluster/agent/report.go
@@ -14,7 +14,7 @@
 //	report's sequence = heartbeat's sequence << sequenceBits | exchanges since that heartbeat
 //
 // The sequences that the owner sees therefore rise even if the agent restarts and its count begins again: a restarted agent
-// composes no report before the runner's next heartbeat, whose sequence is higher.
+// composes no report before the runner's next heartbeat, which has a higher sequence.
 const sequenceBits = 20
 
 // exchange sends the owner a heartbeat with what is known of the runner, and returns the owner's orders.
@@ -46,8 +46,8 @@
 }
 
 // composeHeartbeat returns the heartbeat that the runner would send if it read its orders from the response. It begins
-// with a copy of the runner's newest own heartbeat, whose sequence is ownSequence, and sets the lists of runs, the clock
-// and the sequence by what the agent knows.
+// with a copy of the runner's newest own heartbeat, which has the sequence ownSequence, and sets the lists of runs, the
+// clock and the sequence by what the agent knows.
 func (l *loop) composeHeartbeat(now time.Time) (request *protocol.HeartbeatRequest, ownSequence uint64) {
 	newest, _ := l.registration.get()
 	ownSequence = newest.Heartbeat.Sequence
--- a/internal/cluster/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -63,15 +63,15 @@
 // processOptions returns the options of the process that settings describe.
 func processOptions(settings *boot.Settings, client directory.Caller, logger log.Logger) ProcessOptions {
 	return ProcessOptions{
-		Client:    client,
-		Addresses: settings.SeedInternalAddresses(),
-		Node:      settings.NodeName,
-		Zone:      settings.Zone,
-		Relay:     settings.InternalAddress(),
-		Service:   settings.Service,
-		Calls:     settings.Commands == boot.CommandsInvocation,
-		App:       settings.App,
-		Logger:    logger,
+		Client:        client,
+		Addresses:     settings.SeedInternalAddresses(),
+		Node:          settings.NodeName,
+		Zone:          settings.Zone,
+		Relay:         settings.InternalAddress(),
+		Service:       settings.Service,
+		CallsRunner:   settings.Commands == boot.CommandsInvocation,
+		RunnerAddress: settings.App,
+		Logger:        logger,
 	}
 }
 
--- a/internal/cluster/agent/snapshot.go
+++ b/internal/cluster/agent/snapshot.go
@@ -7,7 +7,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// minRunnerClockRate is less than the seconds by which a runner's clock advances in a second of the agent's clock. A
+// minRunnerClockRate is a lower bound of how many seconds a runner's clock advances in a second of the agent's clock. A
 // runner's clock may be 2% slow.
 const minRunnerClockRate = 0.97
 
@@ -87,7 +87,7 @@
 	return rows
 }
 
-// endsAfter returns the ends in the newest poll whose FinishedRun.N is above lastSeen, in a new slice.
+// endsAfter returns the ends in the newest poll that have a FinishedRun.N above lastSeen, in a new slice.
 func (s *runnerSnapshot) endsAfter(lastSeen uint64) []protocol.FinishedRun {
 	var rows []protocol.FinishedRun
 	for i := range s.polled.finished {
--- a/internal/cluster/agent/supervisor.go
+++ b/internal/cluster/agent/supervisor.go
@@ -19,7 +19,7 @@
 
 	mutex          sync.Mutex
 	current        *loop    // nil: no incarnation is known to run
-	endedInstances []string // incarnations whose loops were ended here, the latest last
+	endedInstances []string // incarnations that had a loop here before, the latest last
 }
 
 // maxHeartbeatDelay bounds the time that a heartbeat takes to arrive. A heartbeat of another incarnation may be an old
--- a/internal/cluster/agent/tracker.go
+++ b/internal/cluster/agent/tracker.go
@@ -17,7 +17,7 @@
 }
 
 // heartbeatTracker makes sure that of each instance only the newest heartbeat is answered with orders. It stores the newest
-// heartbeat in flight of each instance, and a record of the instances whose first requests came most recently. An instance
+// heartbeat in flight of each instance, and a record of each instance, up to maxTrackedInstances. An instance
 // is an incarnation of a runner. Several goroutines may use a heartbeatTracker at once.
 type heartbeatTracker struct {
 	mutex     sync.Mutex
--- a/internal/cluster/agent/unconfirmed.go
+++ b/internal/cluster/agent/unconfirmed.go
@@ -51,7 +51,7 @@
 // add records the start of a run that the runner has not acknowledged.
 func (u *unconfirmedStarts) add(run runName) { u.byRun[run] = new(unconfirmedStart) }
 
-// addIfUnknown records a run whose start an earlier agent may have sent, unless the run is recorded already.
+// addIfUnknown records a run that an earlier agent may have sent a start for, unless the run is recorded already.
 func (u *unconfirmedStarts) addIfUnknown(run runName) {
 	if u.byRun[run] == nil && !u.rejected[run] {
 		u.add(run)
@@ -94,7 +94,7 @@
 	delete(u.rejected, run)
 }
 
-// toStop returns the unconfirmed runs that a poll has not shown and whose stop the runner has not acknowledged.
+// toStop returns the unconfirmed runs that a poll has not shown and that have no acknowledged stop.
 func (u *unconfirmedStarts) toStop() []runName {
 	var runs []runName
 	for _, run := range sortedRuns(u.byRun) {
--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -27,26 +27,26 @@
 	{"recoveryS", time.Second, func(b *Bounds) *time.Duration { return &b.Recovery }, 12 * time.Second},
 	{"holdMaxMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.MaxLease }, 6 * time.Second},
 	{"stop_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Stop }, 900 * time.Millisecond},
-	{"gang_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Gang }, 3 * time.Second},
+	{"gang_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.GangWait }, 3 * time.Second},
 	{"cancel_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Cancel }, 3 * time.Second},
 	{"visible_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Visible }, 3 * time.Second},
 	{"early_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Early }, 250 * time.Millisecond},
 	{"finish_s", time.Second, func(b *Bounds) *time.Duration { return &b.Finish }, 14 * time.Second},
-	{"status_s", time.Second, func(b *Bounds) *time.Duration { return &b.Status }, 120 * time.Second},
-	{"save_s", time.Second, func(b *Bounds) *time.Duration { return &b.Save }, 2 * time.Second},
+	{"status_s", time.Second, func(b *Bounds) *time.Duration { return &b.StatusRetention }, 120 * time.Second},
+	{"save_s", time.Second, func(b *Bounds) *time.Duration { return &b.CheckpointInterval }, 2 * time.Second},
 	{"restore_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Restore }, 600 * time.Millisecond},
 }
 
 const (
-	farKey      = "far_x"             // key of Bounds.Far, a factor
-	defaultFar  = 1.5                 // value of Bounds.Far if the key is absent
+	farKey      = "far_x"             // key of Bounds.FarFactor, a factor
+	defaultFar  = 1.5                 // value of Bounds.FarFactor if the key is absent
 	maxFar      = 1000                // a higher factor is taken for a mistake
 	maxDuration = 30 * 24 * time.Hour // a longer duration is taken for a mistake
 )
 
 // DefaultBounds returns the bounds of a settings file without the object `bounds`.
 func DefaultBounds() Bounds {
-	bounds := Bounds{Far: defaultFar}
+	bounds := Bounds{FarFactor: defaultFar}
 	for _, key := range durationKeys {
 		*key.field(&bounds) = key.defaultValue
 	}
@@ -61,6 +61,6 @@
 		amount := object.number(key.name, float64(key.defaultValue)/unit, 0, float64(maxDuration)/unit)
 		*key.field(&bounds) = time.Duration(amount * unit)
 	}
-	bounds.Far = object.number(farKey, defaultFar, 1, maxFar)
+	bounds.FarFactor = object.number(farKey, defaultFar, 1, maxFar)
 	return bounds
 }
--- a/internal/cluster/boot/load.go
+++ b/internal/cluster/boot/load.go
@@ -29,11 +29,11 @@
 // file. Its error is of kind failure.Invalid and lists every problem with its key.
 func Load(path string) (*Settings, error) {
 	if path == "" {
-		return nil, failure.Newf(failure.Invalid, "the environment variable %s, the path of the settings file, is not set", Variable)
+		return nil, failure.Newf(failure.Invalid, "the environment variable %s, the path of the settings file, is not set", PathVariable)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, failure.Newf(failure.Invalid, "settings file (environment variable %s): %v", Variable, err)
+		return nil, failure.Newf(failure.Invalid, "settings file (environment variable %s): %v", PathVariable, err)
 	}
 	return Parse(data)
 }
--- a/internal/cluster/boot/load_test.go
+++ b/internal/cluster/boot/load_test.go
@@ -58,11 +58,11 @@
 		bounds := boot.DefaultBounds()
 		bounds.Contact = 2500 * time.Millisecond
 		bounds.Grace = 7 * time.Second
-		bounds.Gang = 1200 * time.Millisecond
-		bounds.Status = 90 * time.Second
-		bounds.Far = 1.75
+		bounds.GangWait = 1200 * time.Millisecond
+		bounds.StatusRetention = 90 * time.Second
+		bounds.FarFactor = 1.75
 		bounds.Restore = 100 * time.Millisecond
-		bounds.Save = 500 * time.Millisecond
+		bounds.CheckpointInterval = 500 * time.Millisecond
 		Expect(settings).To(Equal(&boot.Settings{
 			NodeName: "core-sur-2", Role: "control", MachineClass: "core", Serves: []string{"control_plane"},
 			IP: "10.3.0.7", Zone: "sur", Region: "south",
@@ -189,7 +189,7 @@
 		_, err := boot.Load(path)
 		Expect(failure.KindOf(err)).To(Equal(failure.Invalid))
 		Expect(err.Error()).To(ContainSubstring(path))
-		Expect(err.Error()).To(ContainSubstring(boot.Variable))
+		Expect(err.Error()).To(ContainSubstring(boot.PathVariable))
 	})
 })
 
--- a/internal/cluster/boot/object.go
+++ b/internal/cluster/boot/object.go
@@ -20,7 +20,7 @@
 	p.lines = append(p.lines, key+": "+fmt.Sprintf(format, arguments...))
 }
 
-// object is a JSON object whose values are read key by key. For a key that is absent or null, the methods return the
+// object is a JSON object. Its values are read key by key. For a key that is absent or null, the methods return the
 // default. A value of the wrong type or out of range is a problem, and they return the default as well. Without a
 // parameter for it, the default is the zero value.
 type object struct {
@@ -126,7 +126,8 @@
 	return list
 }
 
-// stringMap returns the object at key whose values are strings. Its default is an empty map; it never returns nil.
+// stringMap returns the object at key, which must have only strings as values. Its default is an empty map; it never
+// returns nil.
 func (o *object) stringMap(key string) map[string]string {
 	texts := map[string]string{}
 	if !o.decode(key, &texts, "an object of strings") {
--- a/internal/cluster/boot/settings.go
+++ b/internal/cluster/boot/settings.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Variable is the name of the environment variable that has the path of the settings file.
-const Variable = "OSPREYPOND_SETTINGS"
+// PathVariable is the name of the environment variable that has the path of the settings file.
+const PathVariable = "OSPREYPOND_SETTINGS"
 
 // Values of Settings.Serves: which callers from outside of the cluster a process serves.
 const (
@@ -93,29 +93,29 @@
 // Bounds are the figures of the requirements on the scheduler. Each comment begins with the key of the settings file;
 // docs/settings.md says which figures are used.
 type Bounds struct {
-	SeedLag       time.Duration // seedLagS: delay with which the operator's list of machines reaches Seeds; not used
-	AddressReuse  time.Duration // addressReuseS: not used
-	Contact       time.Duration // contactMs: time without faults after which a machine counts as connected
-	AckTimeout    time.Duration // ackTimeoutMs: longest time in which operators and runners get an acknowledgement
-	CatchUp       time.Duration // catchUpS: time after its return for which a machine still counts as lost
-	Drain         time.Duration // drainMs: time after which a draining runner gets no more starts
-	Grace         time.Duration // graceS: time from SIGTERM to SIGKILL
-	LossSlack     time.Duration // lossSlackMs: not used
-	ConfigApply   time.Duration // configApplyMs: longest time from a configuration's acknowledgement to its use by all processes
-	RollbackSlack time.Duration // rollbackSlackMs: time after a process's first use of a version from which it uses no older one
-	MaxSkew       time.Duration // maxSkewMs: how much longer than ConfigApply that may take while faults affect the control plane
-	Recovery      time.Duration // recoveryS: longest time from the end of the last fault until requests are served again
-	MaxLease      time.Duration // holdMaxMs: longest lease that a runner accepts
-	Stop          time.Duration // stop_ms: longest time that a run takes to stop
-	Gang          time.Duration // gang_ms: longest time for which a started member of a gang waits for the others
-	Cancel        time.Duration // cancel_ms: time after a cancellation from which no task of the job starts
-	Visible       time.Duration // visible_ms: longest time until an accepted job is known to all frontends
-	Early         time.Duration // early_ms: longest time by which a task may start before its set time
-	Finish        time.Duration // finish_s: time from the end of traffic to the last queries of a test
-	Status        time.Duration // status_s: least time for which the state of an ended job is retained
-	Far           float64       // far_x: factor by which a task runs longer that is far from its data
-	Save          time.Duration // save_s: work between two checkpoints of a run
-	Restore       time.Duration // restore_ms: time that a run takes to continue from a checkpoint
+	SeedLag            time.Duration // seedLagS: delay with which the operator's list of machines reaches Seeds; not used
+	AddressReuse       time.Duration // addressReuseS: not used
+	Contact            time.Duration // contactMs: time without faults after which a machine counts as connected
+	AckTimeout         time.Duration // ackTimeoutMs: longest time in which operators and runners get an acknowledgement
+	CatchUp            time.Duration // catchUpS: time after its return for which a machine still counts as lost
+	Drain              time.Duration // drainMs: time after which a draining runner gets no more starts
+	Grace              time.Duration // graceS: time from SIGTERM to SIGKILL
+	LossSlack          time.Duration // lossSlackMs: not used
+	ConfigApply        time.Duration // configApplyMs: longest time from a configuration's acknowledgement to its use by all processes
+	RollbackSlack      time.Duration // rollbackSlackMs: time after a process's first use of a version from which it uses no older one
+	MaxSkew            time.Duration // maxSkewMs: how much longer than ConfigApply that may take while faults affect the control plane
+	Recovery           time.Duration // recoveryS: longest time from the end of the last fault until requests are served again
+	MaxLease           time.Duration // holdMaxMs: longest lease that a runner accepts
+	Stop               time.Duration // stop_ms: longest time that a run takes to stop
+	GangWait           time.Duration // gang_ms: longest time for which a started member of a gang waits for the others
+	Cancel             time.Duration // cancel_ms: time after a cancellation from which no task of the job starts
+	Visible            time.Duration // visible_ms: longest time until an accepted job is known to all frontends
+	Early              time.Duration // early_ms: how much earlier than at its set time a task may start, at most
+	Finish             time.Duration // finish_s: time from the end of traffic to the last queries of a test
+	StatusRetention    time.Duration // status_s: least time for which the state of an ended job is retained
+	FarFactor          float64       // far_x: factor on the run time of a task that runs far from its data
+	CheckpointInterval time.Duration // save_s: work between two checkpoints of a run
+	Restore            time.Duration // restore_ms: time that a run takes to continue from a checkpoint
 }
 
 // ServesRole reports whether name is one of Serves.
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -114,7 +114,7 @@
 	timeOfDay := func() int64 { return start.UnixMilli() + c.clock.Since(start).Milliseconds() }
 	c.configuration = newConfigurationShard(c.logger)
 	groups := map[replica.GroupID]replica.StateMachine{uint32(protocol.ConfigurationShard): c.configuration}
-	jobOptions := jobs.Options{StatusRetention: c.options.Bounds.Status}
+	jobOptions := jobs.Options{StatusRetention: c.options.Bounds.StatusRetention}
 	for id := protocol.ShardID(1); id <= protocol.JobShards; id++ {
 		shard := newJobShard(id, c.schedulerOptions(), jobOptions, timeOfDay, c.logger, c.metrics)
 		c.shards[id] = shard
@@ -157,9 +157,9 @@
 	return scheduler.Options{
 		MaxLease:  bounds.MaxLease,
 		StopTime:  bounds.Stop,
-		GangWait:  bounds.Gang,
+		GangWait:  bounds.GangWait,
 		Restore:   bounds.Restore,
-		FarFactor: bounds.Far,
+		FarFactor: bounds.FarFactor,
 		ServiceOf: c.configuration.serviceOf,
 	}
 }
--- a/internal/cluster/control/peers_test.go
+++ b/internal/cluster/control/peers_test.go
@@ -77,7 +77,7 @@
 			`"listen":{"control":"%s:%d"},"seeds":["127.0.0.1:1"],"dataDir":%q}`,
 			ip, internal, internal, ip, operator, filepath.Join(folder, "data"))
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
-		GinkgoT().Setenv(boot.Variable, path)
+		GinkgoT().Setenv(boot.PathVariable, path)
 		settings, err := boot.Load(path)
 		Expect(err).NotTo(HaveOccurred())
 
--- a/internal/cluster/control/process.go
+++ b/internal/cluster/control/process.go
@@ -139,7 +139,7 @@
 
 // follower updates the peers when the settings file changes, until serving ends.
 func (p *process) follower(serving context.Context) *seeds.Follower {
-	return seeds.NewFollower(seeds.Options{Path: os.Getenv(boot.Variable), Seeds: p.settings.SeedInternalAddresses(),
+	return seeds.NewFollower(seeds.Options{Path: os.Getenv(boot.PathVariable), Seeds: p.settings.SeedInternalAddresses(),
 		Directory: peers{engine: p.engine, stopped: serving.Done()}, Logger: p.logger})
 }
 
--- a/internal/cluster/frontend/acceptor.go
+++ b/internal/cluster/frontend/acceptor.go
@@ -12,7 +12,7 @@
 // acceptRetryInterval is the pause after an error of Accept, as when all file descriptors are in use.
 const acceptRetryInterval = 50 * time.Millisecond
 
-// acceptor accepts clients' connections and passes each to the server whose serverListener is open. The limits of an
+// acceptor accepts clients' connections and passes each to the server that has an open serverListener. The limits of an
 // http.Server can't change while it serves. New limits are therefore applied by another server, which gets the new
 // connections while the clients' listener stays open. The acceptor also knows the open connections, and ends them at the
 // shutdown. Several goroutines may use it at once.
@@ -63,7 +63,7 @@
 	}
 }
 
-// deliver passes a connection to the server whose listener is open.
+// deliver passes a connection to the server that has an open listener.
 func (a *acceptor) deliver(connection *clientConnection) {
 	select {
 	case a.connections <- connection:
@@ -127,7 +127,7 @@
 	}
 }
 
-// beginEnding returns the open connections. From now on, markAnswered ends a connection whose request was answered.
+// beginEnding returns the open connections. From now on, markAnswered ends a connection once its request was answered.
 func (a *acceptor) beginEnding() []*clientConnection {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/cluster/frontend/connection.go
+++ b/internal/cluster/frontend/connection.go
@@ -39,8 +39,8 @@
 	return count, err
 }
 
-// watchReadBytes is the size in bytes of the read by which net/http notices that a client disconnects while its request is
-// being answered. A byte that arrives by it belongs to the next request. Requests are read by larger reads.
+// watchReadBytes is the size in bytes of the read that net/http uses to notice that a client disconnects while its
+// request is being answered. A byte that arrives by it belongs to the next request. Requests are read by larger reads.
 const watchReadBytes = 1
 
 // markBusy records that a request was read, at least in part. The request is served even if the connection has ended in the
--- a/internal/cluster/frontend/deadline.go
+++ b/internal/cluster/frontend/deadline.go
@@ -27,7 +27,8 @@
 	defaultTimeout = 3 * time.Second
 )
 
-// errTimeOver is the error of a request whose time is over before a call of an owner. That call was certainly not made.
+// errTimeOver is the error of a request that has used up its time before a call of an owner. That call was certainly not
+// made.
 var errTimeOver = failure.New(failure.Unavailable, "the time for this request was over before the shard's owner was called")
 
 // clientWait returns how long the client waits for its response. It returns 0 if the header is absent or invalid.
--- a/internal/cluster/frontend/frontend.go
+++ b/internal/cluster/frontend/frontend.go
@@ -5,15 +5,16 @@
 // Invariants, with the fault that each is for:
 //
 //   - A final error or a count is correct by each version of the configuration that was acknowledged Bounds.ConfigApply or
-//     longer before the request arrived. For 410 (the job is unknown) this holds for each version that was acknowledged before
-//     the request arrived. A frontend may not have received the newest version, as when the network is partitioned. Where a
-//     version that it doesn't have could make the response wrong, the request waits for a confirmation that there is none.
-//     Without a confirmation the response is 503.
-//   - A submission carries the version of the configuration by which its queue was chosen. The owner checks the version and
-//     rejects a submission to a queue that has moved to another shard since.
-//   - No job is accepted by two shards. A client may submit a job again after the queue has moved. Before a job is submitted to
-//     the present shard of its queue, each earlier shard has answered that it doesn't have the job, and has promised never to
-//     accept it (protocol.FenceRequest).
+//     longer before the request arrived. For 410 (the job is unknown) this holds for each version that was acknowledged
+//     before the request arrived. A frontend may not have received the newest version, as when the network is partitioned.
+//     If a version that it doesn't have could make the response wrong, the request waits for a confirmation that there is
+//     none. Without a confirmation the response is 503.
+//   - A submission carries the version of the configuration that the frontend has used to choose the queue. The owner
+//     rejects the submission if it has that version or a newer one, and the queue belongs to another service there (Stale).
+//     It also rejects the submission if its shard has promised by that version not to accept the job (Moved).
+//   - No job is accepted by two shards. A client may submit a job again after the queue has moved. Before a job is submitted
+//     to the present shard of its queue, each earlier shard has answered that it doesn't have the job, and has promised
+//     never to accept it (protocol.FenceRequest).
 //   - After 429 and 503, which ask the client to retry, the job was certainly not accepted. If that is unknown, the response
 //     is 504.
 //
@@ -58,7 +59,7 @@
 
 // Table maps requests to queues. It never changes, and several goroutines may use it at once.
 type Table interface {
-	// Lookup returns the route of that host whose path prefix is the longest that path begins with, and the rest of path
+	// Lookup returns the route of that host with the longest path prefix that path begins with, and the rest of path
 	// after that prefix. ok is false if there is no such route.
 	Lookup(host, path string) (route *Route, rest string, ok bool)
 }
--- a/internal/cluster/frontend/query_test.go
+++ b/internal/cluster/frontend/query_test.go
@@ -105,7 +105,7 @@
 		Entry("after the error Moved", failure.Moved),
 	)
 
-	It("responds 404 to a submission whose queue the newer version does not have", func() {
+	It("responds 404 to a submission if the newer version does not have the queue", func() {
 		b := newFixture()
 		b.owners.submit = func(context.Context, *protocol.SubmitRequest) error { return kind(failure.Stale) }
 		b.directory.onRefresh = func() { b.views.Set(view(9, map[string]*Route{"/c/": route("/c/", 4)})) }
--- a/internal/cluster/frontend/submit.go
+++ b/internal/cluster/frontend/submit.go
@@ -51,10 +51,10 @@
 	return err
 }
 
-// submit submits a job to the owner of its queue's shard. The owner rejects the job if its version of the configuration
-// differs from this process's version in a way that matters. submit then waits for a newer version and starts again by
-// it. Without a newer version it starts again after staleRetryInterval, as it may be the owner that has the older
-// version.
+// submit submits a job to the owner of its queue's shard. The error Stale or Moved says that the queue belongs to another
+// service or shard by a version of the configuration that the owner or another frontend has; see the package's comment.
+// submit then waits for a newer version and starts again by it. Without a newer version it starts again after
+// staleRetryInterval, as the owner may be the one with the older version.
 func (s *Service) submit(ctx context.Context, arrived time.Time, r *http.Request, spec *protocol.JobSpec) error {
 	if err := s.confirmForSubmit(ctx); err != nil {
 		return err
@@ -128,8 +128,8 @@
 	return err
 }
 
-// notSubmitted returns the error of a submission whose fence request failed with err. No shard has accepted the job in this
-// attempt, whether or not the promise was committed. An unknown outcome therefore becomes Unavailable.
+// notSubmitted returns the error of a submission after a fence request has failed with err. No shard has accepted the job
+// in this attempt, whether or not the promise was committed. An unknown outcome therefore becomes Unavailable.
 func notSubmitted(err error) error {
 	if failure.KindOf(err) == failure.UnknownOutcome {
 		return failure.Newf(failure.Unavailable, "no response from an earlier shard of the queue: %v", err)
--- a/internal/cluster/frontend/target.go
+++ b/internal/cluster/frontend/target.go
@@ -55,8 +55,8 @@
 	return target{view: view, route: route, id: id}, nil
 }
 
-// invalidIDError returns the error for a path whose part after the prefix is not a job's ID. A further slash makes it
-// NoRoute, as no path below a job is served.
+// invalidIDError returns the error for a path that has something else than a job's ID after its prefix. A further slash
+// makes it NoRoute, as no path below a job is served.
 func invalidIDError(id string) error {
 	if strings.Contains(id, "/") {
 		return failure.New(failure.NoRoute, "there is nothing at this path")
--- a/internal/cluster/frontend/views.go
+++ b/internal/cluster/frontend/views.go
@@ -20,7 +20,7 @@
 // Current returns the current view, or nil before the first one. The caller must not change it.
 func (v *Views) Current() *View { return v.current.Load() }
 
-// Set makes view the current one and reports whether it did. It ignores a view whose version isn't higher than the
+// Set makes view the current one and reports whether it did. It ignores a view with a version that isn't higher than the
 // current one's.
 func (v *Views) Set(view *View) bool {
 	v.mutex.Lock()
--- a/internal/cluster/localcluster/process.go
+++ b/internal/cluster/localcluster/process.go
@@ -71,7 +71,7 @@
 	command := exec.CommandContext(ctx, p.program, p.machine.role)
 	command.Cancel = func() error { return command.Process.Signal(syscall.SIGTERM) }
 	command.WaitDelay = stopTimeout
-	command.Env = append(os.Environ(), boot.Variable+"="+p.machine.settingsPath())
+	command.Env = append(os.Environ(), boot.PathVariable+"="+p.machine.settingsPath())
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = processAttributes()
 	if err := p.start(command); err != nil {
--- a/internal/cluster/protocol/heartbeat.go
+++ b/internal/cluster/protocol/heartbeat.go
@@ -54,10 +54,10 @@
 	Labels          []string      `json:"labels"`          // see Step.Requirements; the first is the machine's kind, the second its rack
 	ClockMs         int64         `json:"clockMs"`         // runner's clock when the heartbeat was sent; if Called, at most that
 	Sequence        uint64        `json:"sequence"`        // higher in each heartbeat of the incarnation than in the one before
-	Active          []ActiveRun   `json:"active"`          // all runs on the runner; if Called, also runs whose start is unconfirmed
-	Finished        []FinishedRun `json:"finished"`        // ends whose N is above the newest Orders.LastSeen
+	Active          []ActiveRun   `json:"active"`          // all runs on the runner; if Called, also runs that may have been started
+	Finished        []FinishedRun `json:"finished"`        // ends with an N above the newest Orders.LastSeen
 
-	// Rejected lists runs whose start was ordered and that the runner will certainly never start. Only an agent that
+	// Rejected lists runs that the owner ordered to start and that the runner will certainly never start. Only an agent that
 	// calls its runner sets it.
 	Rejected []ActiveRun `json:"-"`
 	// Called is true if an agent that calls its runner has composed this heartbeat. The start of a run that the heartbeat
@@ -68,7 +68,8 @@
 	// time, so the owner doesn't conclude from it that another incarnation at the same address has ended.
 	Relayed bool `json:"-"`
 	// FenceOnly is true if the sender requests the current fencing token and reports nothing about runs. The response has
-	// Orders.FenceToken only. An agent that has restarted needs the token before it can poll its runner.
+	// Orders.FenceToken only. A runner refuses calls with a lower token than one that it has seen, so an agent that has
+	// restarted may need the token before it can poll its runner.
 	FenceOnly bool `json:"-"`
 }
 
@@ -117,7 +118,7 @@
 	// list the ends up to it. 0: none is recorded.
 	LastSeen uint64 `json:"lastSeen,omitempty"`
 	// FenceToken is the fencing token of the owner: the term of its leadership of the shard. A higher token is that of a
-	// later owner, whose orders replace those of earlier ones.
+	// later owner, and its orders replace those of earlier owners.
 	FenceToken uint64       `json:"fenceToken,omitempty"`
 	Start      []StartOrder `json:"start,omitempty"`
 	Stop       []StopOrder  `json:"stop,omitempty"`
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -35,7 +35,7 @@
 // has it, and the job keeps it when the configuration changes. Encoded by gob: the field names are the wire format.
 type Queue struct {
 	Key         string // host and path prefix of the queue
-	Service     string // service whose runners run the queue's jobs; it determines the shard
+	Service     string // the runners of this service run the queue's jobs; it determines the shard
 	Priority    int    // 0 is the highest
 	MaxAttempts int    // runs of one task that may end as EndFailed before the job fails; 0: no limit
 
--- a/internal/cluster/simulation/cluster/agent.go
+++ b/internal/cluster/simulation/cluster/agent.go
@@ -19,12 +19,12 @@
 func newAgent(c *Cluster, m *simulation.Machine) *agentProcess {
 	s := c.newShell(m)
 	a := &agentProcess{shell: s, process: agent.NewProcess(agent.ProcessOptions{
-		Client:    caller{s},
-		Addresses: c.seedAddresses(),
-		Node:      m.Name,
-		Clock:     shellClock{shell: s},
-		Calls:     c.invocation,
-		Dial:      s.dial,
+		Client:      caller{s},
+		Addresses:   c.seedAddresses(),
+		Node:        m.Name,
+		Clock:       shellClock{shell: s},
+		CallsRunner: c.invocation,
+		Dial:        s.dial,
 	})}
 	s.closeProcess = a.process.Close
 	s.run(a.process.Run)
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -124,14 +124,14 @@
 // bootBounds returns the bounds as a process finds them in its boot settings.
 func bootBounds(bounds simulation.Bounds) boot.Bounds {
 	return boot.Bounds{
-		Grace:    simulation.Grace,
-		MaxLease: bounds.MaxLease,
-		Stop:     bounds.Stop,
-		Gang:     bounds.Gang,
-		Status:   bounds.Status,
-		Far:      bounds.Far,
-		Save:     bounds.Save,
-		Restore:  bounds.Restore,
+		Grace:              simulation.Grace,
+		MaxLease:           bounds.MaxLease,
+		Stop:               bounds.Stop,
+		GangWait:           bounds.Gang,
+		StatusRetention:    bounds.Status,
+		FarFactor:          bounds.Far,
+		CheckpointInterval: bounds.Save,
+		Restore:            bounds.Restore,
 	}
 }
 
--- a/internal/cluster/uplink/uplink.go
+++ b/internal/cluster/uplink/uplink.go
@@ -50,7 +50,7 @@
 func Follow(ctx context.Context, options Options) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	follower := seeds.NewFollower(seeds.Options{
-		Path:       os.Getenv(boot.Variable),
+		Path:       os.Getenv(boot.PathVariable),
 		Seeds:      options.Settings.SeedInternalAddresses(),
 		Directory:  options.Known,
 		StaleAfter: options.StaleAfter,
