--- a/internal/cluster/frontend/cost_test.go
+++ b/internal/cluster/frontend/cost_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// BenchmarkSubmit measures the handling of a submission of a job with two steps, without the call of the owner.
+// BenchmarkSubmit measures the handling of a submission of a job with two steps, for owners that respond at once.
 func BenchmarkSubmit(b *testing.B) {
 	f := newFixture()
 	body := `{"spec":"(text)","steps":[{"count":4,"cpu":500,"memoryLimitMb":256,"estimatedMs":900,"affinity":"r1-3"},` +
--- a/internal/cluster/frontend/query_test.go
+++ b/internal/cluster/frontend/query_test.go
@@ -198,7 +198,7 @@
 			`{"spec":"`+strings.Repeat("x", 1000)+`","steps":[{"count":1}]}`, 503),
 	)
 
-	It("requests confirmations again while they are of a time before the request arrived", func() {
+	It("requests a confirmation again while the newest one is of a time before the request arrived", func() {
 		b := newFixture()
 		b.directory.age = time.Millisecond
 		b.owners.status = func(context.Context, *protocol.StatusRequest) (string, error) { return "", kind(failure.Gone) }
--- a/internal/cluster/frontend/server.go
+++ b/internal/cluster/frontend/server.go
@@ -161,7 +161,7 @@
 }
 
 // Ready reports whether the platform should send clients to this process: it isn't shutting down, and has a configuration
-// whose newest confirmation is no older than while nothing fails.
+// that was confirmed at most maxAgeNormal ago.
 func (s *Server) Ready() bool {
 	return !s.stopping.Load() && s.service.Views.Current() != nil && s.service.Directory.Fresh(s.service.maxAgeNormal)
 }
--- a/internal/cluster/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -101,7 +101,7 @@
 }
 
 var _ = Describe("readiness", func() {
-	It("requires a configuration whose confirmation is no older than while nothing fails", func() {
+	It("requires a configuration that was confirmed at most maxAgeNormal ago", func() {
 		s := newServerFixture()
 		Expect(s.ready()).To(Equal(200))
 		s.directory.setAge(maxWatchWait(0) + normalAgeMargin + time.Millisecond)
--- a/internal/cluster/frontend/service_test.go
+++ b/internal/cluster/frontend/service_test.go
@@ -30,7 +30,7 @@
 		Entry("a submission to an unknown queue", "POST", "/z/"+jobID, oneStep, 404),
 		Entry("a count of an unknown queue", "GET", "/z/", "", 404),
 		Entry("a job's ID that is too short", "POST", "/a/5c0e", oneStep, 400),
-		Entry("a job's ID with another character than hexadecimal digits", "GET", "/a/5c0e7a21d94b36fg", "", 400),
+		Entry("a job's ID that is not hexadecimal", "GET", "/a/5c0e7a21d94b36fg", "", 400),
 		Entry("a path below a job", "GET", "/a/"+jobID+"/steps", "", 404),
 		Entry("another method", "PUT", "/a/"+jobID, oneStep, 405),
 		Entry("a submission without an ID", "POST", "/a/", oneStep, 405),
@@ -61,7 +61,7 @@
 		Expect(b.owners.calls()).To(BeEmpty())
 	})
 
-	It("rejects a job whose spec is longer than maxSpecBytes", func() {
+	It("rejects a job with a spec longer than maxSpecBytes", func() {
 		spec := &protocol.JobSpec{Spec: strings.Repeat("x", maxSpecBytes+1), Steps: []protocol.Step{{Count: 1}}}
 		Expect(failure.KindOf(checkSpec(spec))).To(Equal(failure.Invalid))
 	})
--- a/internal/cluster/protocol/configure.go
+++ b/internal/cluster/protocol/configure.go
@@ -25,8 +25,8 @@
 	Version uint64 // version of the configuration that contains the change
 }
 
-// ReadConfigurationRequest asks the owner of the configuration shard for the newest configuration. A control process
-// sends it for an operator. Encoded by gob.
+// ReadConfigurationRequest asks the owner of the configuration shard for the newest configuration. An operator's client
+// sends it, or the control process that the operator has called by HTTP. Encoded by gob.
 type ReadConfigurationRequest struct{}
 
 // ReadConfigurationResponse is the owner's response, with the complete configuration. The owner has confirmed its leadership
--- a/internal/cluster/protocol/doc.go
+++ b/internal/cluster/protocol/doc.go
@@ -9,7 +9,8 @@
 // the receiver doesn't have without an error. Therefore:
 //
 //   - The name and the wire type of each field are the wire format. Fields may be added, but never renamed or retyped, also
-//     where a better name is known: HoldMs is the length of a lease, Saved is a checkpoint, How is a run's outcome.
+//     where a better name is known: HoldMs is the length of a lease, Saved is a checkpoint, How is a run's outcome
+//     (see docs/GLOSSARY.md).
 //   - The zero value of a new field must mean what its absence meant before.
 //   - The names of the request and response types, with this package's name, are wire format as well: package transport
 //     sends them to find the handler and to check the response.
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -55,7 +55,7 @@
 	JobQueued    = "queued"    // no task has started
 	JobRunning   = "running"   // a task has started
 	JobCompleted = "completed" // all tasks are done
-	JobFailed    = "failed"    // a task has failed Queue.MaxAttempts times
+	JobFailed    = "failed"    // a task or a gang has failed Queue.MaxAttempts times
 	JobCancelled = "cancelled" // a client has cancelled the job
 )
 
--- a/internal/cluster/protocol/relay.go
+++ b/internal/cluster/protocol/relay.go
@@ -23,7 +23,7 @@
 	Watch      *WatchRequest
 }
 
-// RelayResponse is the relay's response. The pointer is set that has the name of the request's. If the call of the target
+// RelayResponse is the relay's response. Only the pointer with the name of the request's is set. If the call of the target
 // failed, the call of the relay fails with the same error. Encoded by gob: the field names are the wire format.
 type RelayResponse struct {
 	Ping       *PingResponse
--- a/internal/cluster/protocol/shard.go
+++ b/internal/cluster/protocol/shard.go
@@ -11,7 +11,8 @@
 // JobShards is the number of shards that store jobs. Their IDs are 1 to JobShards.
 const JobShards = 4
 
-// ShardOf returns the shard that stores a service's jobs. The owner of that shard also manages the service's runners. It is
+// ShardOf returns the shard that stores a service's jobs. The owner of that shard also manages the service's runners. The
+// shard is
 //
 //	1 + FNV-1a(service) mod JobShards
 //
