--- a/internal/cluster/agent/report.go
+++ b/internal/cluster/agent/report.go
@@ -9,12 +9,15 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// sequenceBits are the low bits of a report's sequence, which count the exchanges since the runner's own heartbeat. The high
-// bits are that heartbeat's sequence. A restarted agent continues from the runner's next heartbeat, so a sequence never
-// goes back.
+// sequenceBits is the number of low bits of a report's sequence that count the exchanges since the runner's own heartbeat:
+//
+//	report's sequence = heartbeat's sequence << sequenceBits | exchanges since that heartbeat
+//
+// The sequences that the owner sees therefore rise even if the agent restarts and its count begins again: a restarted agent
+// composes no report before the runner's next heartbeat, which has a higher sequence.
 const sequenceBits = 20
 
-// exchange reports to the owner what is known of the runner, and returns the owner's orders.
+// exchange sends the owner a heartbeat with what is known of the runner, and returns the owner's orders.
 func (l *loop) exchange(ctx context.Context, now time.Time) (*protocol.Orders, error) {
 	request, ownSequence := l.composeHeartbeat(now)
 	orders, err := l.sendHeartbeat(ctx, request)
@@ -23,11 +26,12 @@
 		return nil, err
 	}
 	l.unconfirmed.acknowledgeRejections()
-	l.updateTerms(orders, request.Heartbeat.ClockMs)
+	l.updateParameters(orders, request.Heartbeat.ClockMs)
 	return orders, nil
 }
 
-// sendHeartbeat carries a heartbeat to the owner. Orders of an owner that has been replaced are an error.
+// sendHeartbeat sends a heartbeat to the owner and returns its orders. Orders with a lower fencing token than that of
+// earlier orders are an error: they come from an owner that has a successor.
 func (l *loop) sendHeartbeat(ctx context.Context, request *protocol.HeartbeatRequest) (*protocol.Orders, error) {
 	ctx, cancel := deadline.WithTimeout(ctx, l.service.clock, exchangeTimeout)
 	defer cancel()
@@ -35,14 +39,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if response.Orders.FenceToken < l.terms.fenceToken {
-		return nil, failure.New(failure.NotLeader, "a former owner has responded")
+	if response.Orders.FenceToken < l.parameters.fenceToken {
+		return nil, failure.New(failure.NotLeader, "the orders have a lower fencing token than earlier ones: a former owner has responded")
 	}
 	return &response.Orders, nil
 }
 
-// composeHeartbeat returns the heartbeat that the runner would send if it got its orders in the response. ownSequence is
-// the sequence of the runner's own heartbeat on which it builds.
+// composeHeartbeat returns the heartbeat that the runner would send if it read its orders from the response. It begins
+// with a copy of the runner's newest own heartbeat, which has the sequence ownSequence, and sets the lists of runs, the
+// clock and the sequence by what the agent knows.
 func (l *loop) composeHeartbeat(now time.Time) (request *protocol.HeartbeatRequest, ownSequence uint64) {
 	newest, _ := l.registration.get()
 	ownSequence = newest.Heartbeat.Sequence
@@ -51,28 +56,34 @@
 	heartbeat.Sequence = l.nextSequence(ownSequence)
 	heartbeat.ClockMs = l.snapshot.clock(now)
 	heartbeat.Active = l.unconfirmed.appendTo(l.snapshot.active())
-	heartbeat.Finished = l.snapshot.endsAfter(l.terms.lastSeen)
+	heartbeat.Finished = l.snapshot.endsAfter(l.parameters.lastSeen)
 	heartbeat.Rejected = l.unconfirmed.rejections()
 	heartbeat.Called = true
 	return request, ownSequence
 }
 
+// nextSequence returns the sequence of the next report; see sequenceBits.
 func (l *loop) nextSequence(ownSequence uint64) uint64 {
-	if ownSequence != l.counterBase {
-		l.counterBase, l.counter = ownSequence, 0
+	if ownSequence != l.sequenceBase {
+		l.sequenceBase, l.exchangeCount = ownSequence, 0
 	}
-	l.counter++
-	return ownSequence<<sequenceBits | l.counter
+	l.exchangeCount++
+	return ownSequence<<sequenceBits | l.exchangeCount
 }
 
-// updateTerms sets what the next calls to the runner carry. A lease begins at clockMs, a time that the runner's clock had
-// reached before the heartbeat was sent.
-func (l *loop) updateTerms(orders *protocol.Orders, clockMs int64) {
+// updateParameters sets what the next calls to the runner carry. clockMs is a reading that the runner's clock had certainly
+// reached when the heartbeat was sent. A lease of HoldMs begins then:
+//
+//	deadlineMs = clockMs + HoldMs, on the runner's clock
+//
+// The owner counts the lease from a later time, that of its response. The runner's lease therefore ends before the owner
+// treats it as expired.
+func (l *loop) updateParameters(orders *protocol.Orders, clockMs int64) {
 	if orders.HoldMs > 0 {
-		l.terms.deadlineMs = max(l.terms.deadlineMs, clockMs+orders.HoldMs)
+		l.parameters.deadlineMs = max(l.parameters.deadlineMs, clockMs+orders.HoldMs)
 		l.lease = time.Duration(orders.HoldMs) * time.Millisecond
 	}
-	l.terms.fenceToken = orders.FenceToken
-	l.terms.lastSeen = max(l.terms.lastSeen, orders.LastSeen)
+	l.parameters.fenceToken = orders.FenceToken
+	l.parameters.lastSeen = max(l.parameters.lastSeen, orders.LastSeen)
 	l.requestedDelay = time.Duration(orders.RetryDelayMs) * time.Millisecond
 }
--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// durationKey maps a key of `bounds` to its field. Its unit is milliseconds or seconds, as the key's suffix says.
+// durationKey describes a key of the settings' object `bounds` whose value is a duration, and the field of Bounds that
+// has it.
 type durationKey struct {
-	name         string
-	unit         time.Duration
-	field        func(*Bounds) *time.Duration
-	defaultValue time.Duration // if the key is absent
+	name         string                       // the key; its suffix names the unit
+	unit         time.Duration                // time.Millisecond or time.Second
+	field        func(*Bounds) *time.Duration // returns the field
+	defaultValue time.Duration                // used if the key is absent
 }
 
+// durationKeys describes all keys of `bounds` but farKey.
 var durationKeys = []durationKey{
 	{"seedLagS", time.Second, func(b *Bounds) *time.Duration { return &b.SeedLag }, 3 * time.Second},
 	{"addressReuseS", time.Second, func(b *Bounds) *time.Duration { return &b.AddressReuse }, 2 * time.Second},
@@ -25,32 +27,33 @@
 	{"recoveryS", time.Second, func(b *Bounds) *time.Duration { return &b.Recovery }, 12 * time.Second},
 	{"holdMaxMs", time.Millisecond, func(b *Bounds) *time.Duration { return &b.MaxLease }, 6 * time.Second},
 	{"stop_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Stop }, 900 * time.Millisecond},
-	{"gang_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Gang }, 3 * time.Second},
+	{"gang_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.GangWait }, 3 * time.Second},
 	{"cancel_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Cancel }, 3 * time.Second},
 	{"visible_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Visible }, 3 * time.Second},
 	{"early_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Early }, 250 * time.Millisecond},
 	{"finish_s", time.Second, func(b *Bounds) *time.Duration { return &b.Finish }, 14 * time.Second},
-	{"status_s", time.Second, func(b *Bounds) *time.Duration { return &b.Status }, 120 * time.Second},
-	{"save_s", time.Second, func(b *Bounds) *time.Duration { return &b.Save }, 2 * time.Second},
+	{"status_s", time.Second, func(b *Bounds) *time.Duration { return &b.StatusRetention }, 120 * time.Second},
+	{"save_s", time.Second, func(b *Bounds) *time.Duration { return &b.CheckpointInterval }, 2 * time.Second},
 	{"restore_ms", time.Millisecond, func(b *Bounds) *time.Duration { return &b.Restore }, 600 * time.Millisecond},
 }
 
 const (
-	farKey      = "far_x"
-	defaultFar  = 1.5
-	maxFar      = 1000
-	maxDuration = 30 * 24 * time.Hour // a duration above this is taken for a mistake
+	farKey      = "far_x"             // key of Bounds.FarFactor, a factor
+	defaultFar  = 1.5                 // value of Bounds.FarFactor if the key is absent
+	maxFar      = 1000                // a higher factor is taken for a mistake
+	maxDuration = 30 * 24 * time.Hour // a longer duration is taken for a mistake
 )
 
-// DefaultBounds returns the bounds that apply to keys that the file leaves out.
+// DefaultBounds returns the bounds of a settings file without the object `bounds`.
 func DefaultBounds() Bounds {
-	bounds := Bounds{Far: defaultFar}
+	bounds := Bounds{FarFactor: defaultFar}
 	for _, key := range durationKeys {
 		*key.field(&bounds) = key.defaultValue
 	}
 	return bounds
 }
 
+// readBounds reads the object `bounds`.
 func readBounds(object *object) Bounds {
 	bounds := DefaultBounds()
 	for _, key := range durationKeys {
@@ -58,6 +61,6 @@
 		amount := object.number(key.name, float64(key.defaultValue)/unit, 0, float64(maxDuration)/unit)
 		*key.field(&bounds) = time.Duration(amount * unit)
 	}
-	bounds.Far = object.number(farKey, defaultFar, 1, maxFar)
+	bounds.FarFactor = object.number(farKey, defaultFar, 1, maxFar)
 	return bounds
 }
--- a/internal/cluster/control/process.go
+++ b/internal/cluster/control/process.go
@@ -142,7 +142,7 @@
 
 // follower returns a follower of the settings file that updates the peers when the seeds in the file have changed.
 func (p *process) follower(serving context.Context) *seeds.Follower {
-	return seeds.NewFollower(seeds.Options{Path: os.Getenv(boot.Variable), Seeds: p.settings.SeedInternalAddresses(),
+	return seeds.NewFollower(seeds.Options{Path: os.Getenv(boot.PathVariable), Seeds: p.settings.SeedInternalAddresses(),
 		Directory: peers{engine: p.engine, stopped: serving.Done()}, Logger: p.logger})
 }
 
