--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -266,7 +266,7 @@
 			identity := away.engine.self.ID
 			away.kill()
 			stop := away.files.Calls() + calls
-			away.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: call.N >= stop} })
+			away.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{PowerOff: call.N >= stop} })
 			_, err := writer.write(work)
 			finished := away.files.Calls() < stop
 			Expect(err == nil || !finished).To(BeTrue(), "after %d calls", calls)
@@ -300,7 +300,7 @@
 				c.changeMany(1, 24<<10)
 			}
 			before, stop := m.engine.byID[configurationGroup].snapshots.index, m.files.Calls()+calls
-			m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: call.N >= stop} })
+			m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{PowerOff: call.N >= stop} })
 			c.run(150 * time.Millisecond)
 			if m.engine.byID[configurationGroup].snapshots.index > before {
 				written++
--- a/internal/cluster/replica/disk_test.go
+++ b/internal/cluster/replica/disk_test.go
@@ -195,7 +195,7 @@
 				content[len(content)/2] ^= 0x40
 			}
 		}
-		damaged.files = vfstest.Of(all)
+		damaged.files = vfstest.FromFiles(all)
 		damaged.start(nil)
 		Expect(damaged.engine.self.ID).NotTo(Equal(old))
 		c.awaitVoters("core-1", "core-2", "core-3")
@@ -215,7 +215,7 @@
 				content[len(content)/2] ^= 0x40
 			}
 		}
-		only.files = vfstest.Of(all)
+		only.files = vfstest.FromFiles(all)
 		err := only.open(nil)
 		Expect(err).To(MatchError(ContainSubstring("is damaged at offset")))
 		Expect(err).To(MatchError(ContainSubstring(".segment")))
@@ -231,7 +231,7 @@
 		robbed.kill()
 		all := robbed.files.Files()
 		delete(all, "data/identity")
-		robbed.files = vfstest.Of(all)
+		robbed.files = vfstest.FromFiles(all)
 		robbed.start(c.seeds)
 		Expect(robbed.engine.self.ID).NotTo(Equal(old))
 		c.awaitVoters("core-1", "core-2", "core-3")
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -223,7 +223,7 @@
 	w := m.engine.writer
 	if w.inflight != nil && m.cluster.random.IntN(2) == 0 {
 		powerOffAt := m.files.Calls() + 1 + m.cluster.random.IntN(6)
-		m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: call.N == powerOffAt} })
+		m.files.SetOnCall(func(call vfstest.Call) vfstest.Fault { return vfstest.Fault{PowerOff: call.N == powerOffAt} })
 		_, _ = w.write(w.inflight)
 	}
 	m.files = m.files.Crash(m.cluster.random)
--- a/internal/cluster/replica/wal/crash_test.go
+++ b/internal/cluster/replica/wal/crash_test.go
@@ -166,7 +166,7 @@
 			return vfstest.Fault{}
 		}
 		if powerOff {
-			return vfstest.Fault{Off: true}
+			return vfstest.Fault{PowerOff: true}
 		}
 		if failures {
 			return vfstest.Fault{Err: faults[t.random.IntN(2)], Short: t.random.IntN(100)}
--- a/internal/cluster/replica/wal/wal_test.go
+++ b/internal/cluster/replica/wal/wal_test.go
@@ -165,7 +165,7 @@
 	withContent := func(name string, content []byte) *vfstest.Mem {
 		all := files.Files()
 		all[name] = content
-		return vfstest.Of(all)
+		return vfstest.FromFiles(all)
 	}
 
 	It("ignores a torn end, at any byte", func() {
@@ -289,7 +289,7 @@
 					name := filepath.Join(folder, segmentName(number))
 					all[name] = before[name]
 				}
-				again := vfstest.Of(all)
+				again := vfstest.FromFiles(all)
 				log, groups := open(again, smallSegments)
 				Expect(groups[1].Entries).To(HaveExactElements(entries(56, 60, 1)))
 				appendBatch(log, func(b *Batch) { b.Entries(1, entries(61, 61, 1)) })
@@ -328,7 +328,7 @@
 		}
 		all := files.Files()
 		delete(all, filepath.Join(folder, segmentName(2)))
-		_, _, err := Open(vfstest.Of(all), folder, smallSegments)
+		_, _, err := Open(vfstest.FromFiles(all), folder, smallSegments)
 		Expect(expectDamage(err).File).To(Equal(segmentName(3)), "where entries are missing before")
 	})
 
@@ -362,7 +362,7 @@
 			if all[name] == nil {
 				delete(all, name)
 			}
-			_, _, err := Open(vfstest.Of(all), folder, smallSegments)
+			_, _, err := Open(vfstest.FromFiles(all), folder, smallSegments)
 			Expect(expectDamage(err).File).To(Equal(snapshotName(1, 5, 1)))
 		},
 		Entry("missing", func(b []byte) []byte { return nil }),
@@ -393,7 +393,7 @@
 		for offset := range content {
 			changed := slices.Clone(content)
 			changed[offset] ^= 1
-			_, err := ReadIdentity(vfstest.Of(map[string][]byte{name: changed}), folder)
+			_, err := ReadIdentity(vfstest.FromFiles(map[string][]byte{name: changed}), folder)
 			Expect(expectDamage(err).File).To(Equal(identityName))
 		}
 	})
--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -8,8 +8,9 @@
 	"ospreypond/internal/store/segment"
 )
 
-// write appends a group to the open segment, after rolling to the next one if it is full, and syncs it unless
-// Options.SyncEvery leaves that to later. It returns the offset of the group's first frame.
+// write appends a group to the open segment and returns the offset of the group's first frame. If the group does not fit, it
+// first rolls to the next segment. It syncs the segment, unless Options.SyncEvery is set: then a later sync covers the
+// group.
 func (w *writer) write(s *Store, group []*request) (uint32, error) {
 	if err := s.Err(); err != nil {
 		return 0, err
@@ -60,10 +61,10 @@
 	return uint32(start), nil
 }
 
-// countOps adds a batch's operations to the open segment's puts and tombstones.
+// countOps adds the sizes of a batch's operations to the open segment's puts and tombstones.
 func (w *writer) countOps(b *Batch) {
 	for i := range b.ops {
-		if o := &b.ops[i]; o.end != "" || o.dead() {
+		if o := &b.ops[i]; o.end != "" || o.deleted() {
 			w.tombstones += tombstoneBytes(len(o.key), len(o.end))
 		} else {
 			w.puts += plan.PutBytes(len(o.key), int(o.loc.Size))
@@ -71,26 +72,29 @@
 	}
 }
 
-// tombstoneBytes is what a deletion counts for in plan.Segment.Tombstones.
+// tombstoneBytes returns the bytes that a deletion adds to plan.Segment.Tombstones, given the lengths of its key and, for a
+// range, of its end. It counts a frame's header, because a pass copies each deletion in a frame of its own.
 func tombstoneBytes(key, end int) int64 { return int64(segment.FrameSize + key + end + 4) }
 
-// undoWrite truncates the open segment to size after a write that failed, so that no frame of it is found later and the
-// next write begins where this one did. It returns the error for the group.
+// undoWrite truncates the open segment to size, its length before a write that failed, and syncs it. So Open finds none of
+// the group's frames, and the next write begins at the same offset. If the truncation or the sync fails, the store turns
+// read-only. undoWrite returns the error for the group.
 func (w *writer) undoWrite(s *Store, size int64, cause error) error {
-	err := fmt.Errorf("store: writing %s: %w", w.file.name, cause)
+	err := fmt.Errorf("store: writing %s at offset %d: %w", w.file.name, size, cause)
 	if terr := w.file.f.Truncate(size); terr != nil {
-		return s.turnReadOnly("taking back a write that failed with "+cause.Error(), terr)
+		return s.turnReadOnly("truncating "+w.file.name+" after a write that failed with "+cause.Error(), terr)
 	}
-	// Without this sync a power failure could bring back what was reported as failed.
+	// Without this sync frames of the failed write could be in the log after a power failure, though their callers got an
+	// error.
 	if serr := w.file.f.Sync(); serr != nil {
-		return s.turnReadOnly("taking back a write that failed with "+cause.Error(), serr)
+		return s.turnReadOnly("syncing "+w.file.name+" after a write that failed with "+cause.Error(), serr)
 	}
 	w.dirty = false
 	s.durable.Store(w.seq)
 	return err
 }
 
-// sync returns when all that was written is on disk. After a sync that failed the store is read-only.
+// sync returns when all frames written so far are on disk. If the sync fails, the store turns read-only.
 func (w *writer) sync(s *Store) error {
 	if err := s.Err(); err != nil {
 		return err
--- a/internal/store/applier.go
+++ b/internal/store/applier.go
@@ -1,7 +1,7 @@
 package store
 
 // apply is the applier's goroutine. It makes the written groups visible to readers and acknowledges them, while the writer
-// is already at the next group. It ends when the writer closes the channel.
+// already writes the next group. It ends when the writer closes the channel.
 func (w *writer) apply(s *Store) {
 	defer s.goroutines.Done()
 	for g := range w.written {
@@ -9,7 +9,8 @@
 			close(g.applied)
 			continue
 		}
-		// Callers are acknowledged before the index has their batches: whoever reads first applies them.
+		// Callers are acknowledged before their batches are in the index, which shortens commits. A reader that comes before
+		// the applier has added them adds them itself (rLockApplied).
 		s.mu.Lock()
 		for _, r := range g.group {
 			s.pending = append(s.pending, pendingBatch{r.batch.ops, r.seq, g.segment, g.offset})
@@ -32,7 +33,7 @@
 	}
 }
 
-// pendingBatch is a batch that is committed and not yet in the index.
+// pendingBatch is a batch that is committed and not in the index yet. Its frame is in the segment at the offset.
 type pendingBatch struct {
 	ops     []op
 	seq     uint64
@@ -40,7 +41,7 @@
 	offset  uint32
 }
 
-// applyPending adds the pending batches to the index. s.mu must be locked for writing.
+// applyPending adds the pending batches to the uppermost layer, in their order. s.mu must be locked for writing.
 func (s *Store) applyPending() {
 	for _, p := range s.pending {
 		apply(s.top, p.ops, p.seq, p.segment, p.offset)
@@ -49,7 +50,7 @@
 	s.pending = s.pending[:0]
 }
 
-// rLockApplied locks s.mu for reading at a time when no batch is pending.
+// rLockApplied locks s.mu for reading and ensures that no batch is pending: it first applies those that are.
 func (s *Store) rLockApplied() {
 	s.mu.RLock()
 	for len(s.pending) > 0 {
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -7,56 +7,58 @@
 	"ospreypond/internal/store/table"
 )
 
-// Batch collects operations that take effect together, in their order. The zero value is empty and ready. A batch belongs
-// to one goroutine and must not be used while it is being committed; afterwards Reset makes it ready again. An operation
-// that is not allowed, such as one with a key over MaxKey, has Commit return its error.
+// Batch collects operations that take effect together, in the order in which they were added. The zero value is empty and
+// ready. A batch belongs to one goroutine and must not be used while it is being committed. After the commit Reset makes it
+// ready again. An operation with an invalid argument, such as a key longer than MaxKey, makes Commit return its error.
 type Batch struct {
-	frame []byte
-	ops   []op // empty after a commit
-	err   error
+	frame []byte // encoded operations, after space for the frame's header
+	ops   []op   // empty after a commit
+	err   error  // first error of an operation, for Commit
 }
 
-// op is what an operation does to the index. The Offset in its loc counts from the start of the frame.
+// op is the change that an operation makes to the index. The Offset in its loc counts from the start of the frame, and its
+// Segment is any number but 0 for a put: apply sets both.
 type op struct {
 	item
-	end string // if not empty, it deletes all keys up to, not including, this one
+	end string // if not empty, the operation deletes all keys from item.key up to, not including, end
 }
 
-// reserveHeader leaves space for the frame's header before the first operation.
+// reserveHeader makes space for the frame's header if the batch has no operation yet. The writer fills it in.
 func (b *Batch) reserveHeader() {
 	if len(b.frame) == 0 {
 		b.frame = append(b.frame, make([]byte, segment.FrameSize)...)
 	}
 }
 
-// fail keeps the first error for Commit.
+// fail records an error for Commit to return, unless there is one already.
 func (b *Batch) fail(format string, args ...any) {
 	if b.err == nil {
 		b.err = fmt.Errorf(format, args...)
 	}
 }
 
-// indexKey returns the index's key for a space's key, and false if there is no space or the key is too large.
+// indexKey returns the index's key for a space's key. If the space is nil or the key too large, it records the error and
+// returns false.
 func (b *Batch) indexKey(s *Space, key []byte) (string, bool) {
 	switch {
 	case s == nil:
-		b.fail("store: no space")
+		b.fail("store: the space of an operation is nil")
 	case len(key) > MaxKey:
-		b.fail("%w: key of %d bytes in %q, at most %d", ErrTooLarge, len(key), s.name, MaxKey)
+		b.fail("%w: key of %d bytes in space %q, at most %d", ErrTooLarge, len(key), s.name, MaxKey)
 	default:
 		return spaceKey(s.id, key), true
 	}
 	return "", false
 }
 
-// Put sets a key's value. It copies both.
+// Put sets a key's value. It copies the key and the value.
 func (b *Batch) Put(s *Space, key, value []byte) {
 	k, ok := b.indexKey(s, key)
 	if !ok {
 		return
 	}
 	if len(value) > MaxValue {
-		b.fail("%w: value of %d bytes for key %q in %q, at most %d", ErrTooLarge, len(value), key, s.name, MaxValue)
+		b.fail("%w: value of %d bytes for key %q in space %q, at most %d", ErrTooLarge, len(value), key, s.name, MaxValue)
 		return
 	}
 	b.reserveHeader()
@@ -76,8 +78,8 @@
 	b.ops = append(b.ops, op{item: item{key: k}})
 }
 
-// DeleteRange removes all keys from from up to, not including, to. A nil from is the space's first key, a nil to its end. It
-// costs the log the same for many keys as for few.
+// DeleteRange removes all keys from from up to, not including, to. If from is nil, the range begins at the space's first
+// key; if to is nil, it ends after the last one. Its record in the log has the same size however many keys it removes.
 func (b *Batch) DeleteRange(s *Space, from, to []byte) {
 	lo, ok := b.indexKey(s, from)
 	if !ok {
@@ -100,16 +102,16 @@
 // Len returns the number of operations; it is 0 after a commit.
 func (b *Batch) Len() int { return len(b.ops) }
 
-// Size returns how many bytes of log the batch takes.
+// Size returns how many bytes of log the batch takes, with its frame's header.
 func (b *Batch) Size() int { return len(b.frame) }
 
-// Reset empties the batch, and forgets its error, so that it can be used again.
+// Reset removes the batch's operations and its error, so that it can be used again.
 func (b *Batch) Reset() {
 	clear(b.ops)
 	b.frame, b.ops, b.err = b.frame[:0], b.ops[:0], nil
 }
 
-// check returns the first error of an operation, or that the batch is too large.
+// check returns the first error of an operation, or ErrTooLarge if the batch is larger than MaxBatch.
 func (b *Batch) check() error {
 	if b.err == nil && len(b.frame) > MaxBatch {
 		b.fail("%w: batch of %d bytes, at most %d", ErrTooLarge, len(b.frame), MaxBatch)
@@ -117,7 +119,7 @@
 	return b.err
 }
 
-// apply applies a batch's operations to a layer. Its frame lies in segment seg at offset at.
+// apply applies the operations of commit seq to a layer, in their order. The commit's frame is in segment seg at offset at.
 func apply(l *layer, ops []op, seq uint64, seg uint32, at uint32) {
 	for i := range ops {
 		o := &ops[i]
@@ -127,7 +129,7 @@
 		}
 		it := item{key: o.key}
 		it.loc.Seq = seq
-		if !o.dead() {
+		if !o.deleted() {
 			it.loc = o.loc
 			it.loc.Seq, it.loc.Segment, it.loc.Offset = seq, seg, at+o.loc.Offset
 		}
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -13,20 +13,20 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Report is what Check found. Its JSON is printed by the command.
+// Report is the result of Check. The command store check prints it as JSON.
 type Report struct {
-	Store    string   `json:"store"` // its id
-	Segments int      `json:"segments"`
-	Frames   int      `json:"frames"`
-	Records  int      `json:"records"`   // live ones; 0 if a segment is damaged
-	TornFrom int64    `json:"torn_from"` // offset of the torn end of the open segment; -1: it has none
-	TornFile string   `json:"torn_file,omitempty"`
-	Notes    []string `json:"notes,omitempty"` // what Open repairs by itself
-	Faults   []string `json:"faults,omitempty"`
-	faults   []error
+	Store    string   `json:"store"`               // the store's id in hexadecimal
+	Segments int      `json:"segments"`            // number of segments in the manifest
+	Frames   int      `json:"frames"`              // number of undamaged frames
+	Records  int      `json:"records"`             // number of live records; 0 if a segment is damaged
+	TornFrom int64    `json:"torn_from"`           // offset of the torn end of the open segment; -1: its end is not torn
+	TornFile string   `json:"torn_file,omitempty"` // name of the open segment, if its end is torn
+	Notes    []string `json:"notes,omitempty"`     // faults that Open repairs
+	Faults   []string `json:"faults,omitempty"`    // faults that Open does not repair, or that make reads fail
+	faults   []error  // Faults as errors
 }
 
-// Err joins the faults. If there are none, it is nil: the store can be opened and all of it be read.
+// Err joins the faults. It returns nil if there are none: then Open succeeds and every record can be read.
 func (r *Report) Err() error { return errors.Join(r.faults...) }
 
 // addFault adds an error to both lists of faults.
@@ -36,8 +36,8 @@
 }
 
 // Check reads a store completely and changes nothing. It compares every frame and every block with its checksum, and the
-// index with what the segments alone yield. What it finds is in the report; an error means that it could not check:
-// ErrLocked that the store is open. A nil fsys stands for the operating system's.
+// table with an index that it builds from the segments. The report has the faults that it finds. Check returns an error only
+// if it could not check the store, such as ErrLocked if the store is open. A nil fsys means the operating system's.
 func Check(ctx context.Context, dir string, fsys vfs.FS) (*Report, error) {
 	if fsys == nil {
 		fsys = vfs.OS{}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = lock.Close() }() // only gives the lock back
+	defer func() { _ = lock.Close() }() // only unlocks the folder
 	r := &Report{TornFrom: -1}
 	man, otherFault, err := manifest.Read(fsys, dir)
 	if err != nil {
@@ -71,17 +71,17 @@
 // checker is one run of Check.
 type checker struct {
 	*Report
-	s   *Store // never opened: it only finds and reads files
+	s   *Store // never opened, only used to find and read files
 	man *manifest.Manifest
 }
 
-// run reads all segments and the table, and compares them if the segments are undamaged.
+// run reads all segments and the table. If the segments are undamaged, it compares the table with them.
 func (c *checker) run(ctx context.Context) error {
 	var upTo uint64
 	if c.man.Table != nil {
 		upTo = c.man.Table.Seq
 	}
-	known, all := newIndexBuilder(), newIndexBuilder() // of what the table covers, and of all segments
+	known, all := newIndexBuilder(), newIndexBuilder() // of the commits that the table covers, and of all commits
 	undamaged := true
 	for _, g := range c.man.Segments {
 		if err := ctx.Err(); err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// readSegment reads a segment into the indexes and reports whether it is undamaged.
+// readSegment adds a segment's frames to the indexes in into, and reports whether the segment is undamaged.
 func (c *checker) readSegment(g plan.Segment, into []*indexBuilder) bool {
 	name := segmentName(g.ID)
 	before := len(c.faults)
@@ -125,7 +125,7 @@
 		c.addFault(&FileError{File: name, Offset: -1, Err: err})
 		return false
 	}
-	defer func() { _ = f.Close() }() // opened for reading: nothing can be lost
+	defer func() { _ = f.Close() }() // opened for reading: an error loses nothing
 	if err := checkSegment(f, g, c.s.id); err != nil {
 		err.File = name
 		c.addFault(err)
@@ -149,7 +149,8 @@
 	return len(c.faults) == before
 }
 
-// readOpenSegment reads the open segment, whose end may be torn.
+// readOpenSegment adds the frames of the open segment to the index all. A torn end is a note and no fault, because Open cuts
+// it off.
 func (c *checker) readOpenSegment(f vfs.File, g plan.Segment, name string, all *indexBuilder) {
 	size, err := f.Size()
 	if err != nil {
@@ -177,9 +178,9 @@
 	c.Notes = append(c.Notes, fmt.Sprintf("%s: offset %d: the end is torn and will be cut off at the next opening", name, at))
 }
 
-// readCommits adds all frames of the open segment to the index until one is not as it should be, before which the Scanner
-// then stands. It returns the number of the commit that would have been next and the cause why no frame was read there. err
-// says what is wrong with a frame that is complete.
+// readCommits adds frames of the open segment to the index until one is damaged or has the wrong content, or the segment
+// ends. The Scanner is then positioned at that frame. readCommits returns the number of the commit that it expected there.
+// cause is why no frame could be read there; err is set instead if the frame is complete and has the wrong content.
 func (c *checker) readCommits(sc *segment.Scanner, g plan.Segment, all *indexBuilder) (next uint64, cause, err error) {
 	for next = g.First; ; next++ {
 		f, at, cause := sc.Next()
@@ -187,7 +188,7 @@
 			return next, cause, nil
 		}
 		if f.Seq != next {
-			err = fmt.Errorf("%w: commit %d, and %d is due", ErrCorrupt, f.Seq, next)
+			err = fmt.Errorf("%w: frame of commit %d instead of %d", ErrCorrupt, f.Seq, next)
 		} else {
 			err = all.addFrame(f, g, at)
 		}
@@ -199,14 +200,15 @@
 	}
 }
 
-// compareIndex compares the index on disk with the one that the segments yield.
+// compareIndex compares the table with known, the index built from the segments that the table covers. It reports the first
+// difference.
 func (c *checker) compareIndex(b *baseTable, known *indexBuilder) {
 	it := b.t.Seek(nil)
 	for _, want := range known.entries(c.man.Floors) {
 		for it.Next() {
 			e := it.Entry()
 			if e.Loc.Seq <= c.man.Floors[spaceOf(e.Key)] {
-				continue // too old, and not dropped yet
+				continue // expired, and not dropped from the table yet
 			}
 			if !bytes.Equal(e.Key, want.Key) || e.Loc != want.Loc {
 				c.addFault(&FileError{File: b.h.name, Offset: -1, Err: fmt.Errorf(
--- a/internal/store/compactor.go
+++ b/internal/store/compactor.go
@@ -13,28 +13,28 @@
 )
 
 // compactor runs compaction passes, one at a time, either in its own goroutine or in that of a caller of Compact or Close.
-// What a pass does is in pass.go; which segments it rewrites is decided by plan.Victims.
+// pass.go describes a pass; plan.Victims chooses the segments that it rewrites.
 type compactor struct {
-	idle    chan struct{} // has a token while no pass runs; whoever takes it may run one
-	wake    chan struct{}
-	damaged map[uint64]bool // segments found damaged, which are left as they are; guarded by idle
+	idle    chan struct{}   // has a token while no pass runs; the goroutine that takes it may run one
+	wake    chan struct{}   // has a token if a pass was requested
+	damaged map[uint64]bool // numbers of segments in which a pass found damage: no pass rewrites them; guarded by idle
 }
 
 const (
-	// minRetryBackoff and maxRetryBackoff bound the wait after a pass that failed; it doubles with each failure.
+	// minRetryBackoff and maxRetryBackoff limit the delay before a failed pass is run again. It doubles with each failure.
 	minRetryBackoff = time.Second
 	maxRetryBackoff = time.Minute
-	// retentionCheckInterval is how often the age of the open segment is compared with the spaces' retention.
+	// retentionCheckInterval is how often the compactor compares the age of the open segment with the spaces' retention.
 	retentionCheckInterval = 10 * time.Second
 )
 
-// passOptions say what a pass does beside writing the index.
+// passOptions are the options of a pass.
 type passOptions struct {
-	freeze    bool // first seal the open segment and freeze the layer over it, so that the pass covers every commit so far
+	freeze    bool // first seal the open segment and freeze the uppermost layer, so that the pass covers every commit so far
 	indexOnly bool // rewrite no segments
 }
 
-// kick has the compactor's goroutine run a pass, unless one has been requested already.
+// kick requests a pass from the compactor's goroutine, unless one has been requested already. It does not wait.
 func (c *compactor) kick() {
 	select {
 	case c.wake <- struct{}{}:
@@ -74,8 +74,8 @@
 	}
 }
 
-// openSegmentAging reports whether the open segment has been open for more than an eighth of the shortest time for which
-// a space retains its records. Records expire a segment at a time, so it must then be sealed though it is not full.
+// openSegmentAging reports whether the first commit in the open segment is older than an eighth of the shortest age limit of
+// any space. Records expire a segment at a time, so the segment must then be sealed though it is not full.
 func (s *Store) openSegmentAging() bool {
 	var minAge time.Duration
 	for _, r := range s.retentions() {
@@ -94,8 +94,8 @@
 	return err == nil && aging
 }
 
-// runPass runs a pass over the frozen layer, if there is one. It waits for a pass that is running already. more reports
-// whether another pass would find more to rewrite.
+// runPass runs a pass if a layer is frozen. If another pass is running, it first waits for its end. more reports whether
+// another pass would find more to rewrite.
 func (c *compactor) runPass(ctx context.Context, s *Store, opt passOptions) (more bool, err error) {
 	select {
 	case <-c.idle:
@@ -124,7 +124,7 @@
 		p.discard()
 		var fe *FileError
 		if errors.As(err, &fe) && errors.Is(err, ErrCorrupt) && p.readingVictim != 0 {
-			// Guards against one damaged record keeping all the rest from being compacted.
+			// Without this one damaged record would make every later pass fail, and nothing would be compacted.
 			c.damaged[p.readingVictim] = true
 		}
 		return false, err
@@ -136,9 +136,8 @@
 	return more || len(next) > 0 && !slices.Equal(next, p.victims) || p.floorsRaised, nil
 }
 
-// sealAndFreeze seals the open segment and freezes the layer over it, unless a layer is frozen already: one that a failed
-// pass left. Then another is true: what was committed since needs another
-// pass.
+// sealAndFreeze seals the open segment and freezes the uppermost layer. If a layer is frozen already, which a failed pass
+// left, the uppermost layer is not frozen, and another is true: its commits need another pass.
 func (s *Store) sealAndFreeze() (another bool, err error) {
 	err = s.writer.runInWriter(func() error {
 		if err := s.Err(); err != nil {
@@ -156,7 +155,7 @@
 	return another, err
 }
 
-// pickVictims chooses the segments that the pass rewrites, none of the damaged ones.
+// pickVictims chooses the segments that the pass rewrites. It never chooses a damaged one.
 func (p *pass) pickVictims(segments []plan.Segment, damaged map[uint64]bool) []uint64 {
 	var candidates []plan.Segment
 	for _, g := range segments {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -14,9 +14,12 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
+// dir is the store's folder in file systems in memory.
 const dir = "/store"
 
-func TestACrashAtAnyCallLeavesAPrefixWithAllThatWasAcknowledged(t *testing.T) {
+// Cuts the power at every call of the file system in turn. Guards against an acknowledged commit that is lost, a part of a
+// batch that is found, and a recovery that fails when it is interrupted too.
+func TestACrashAtAnyCallLeavesAPrefixWithAllAcknowledgedCommits(t *testing.T) {
 	crashes := 0
 	step := 1
 	if testing.Short() || raceEnabled {
@@ -24,7 +27,7 @@
 	}
 	for n := 1; ; n += step {
 		h := newHistory(&vfstest.Mem{}, 7, store.Options{PassBytesPerS: -1})
-		h.fs.SetOnCall(func(c vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: c.N == n} })
+		h.fs.SetOnCall(func(c vfstest.Call) vfstest.Fault { return vfstest.Fault{PowerOff: c.N == n} })
 		if h.run(130) == nil {
 			break
 		}
@@ -32,10 +35,10 @@
 		for seed := range uint64(4) {
 			rnd := rand.New(rand.NewPCG(uint64(n), seed))
 			left := h.fs.Crash(rnd)
-			// A second crash while it recovers, and a third.
+			// The power also fails during the first recovery, and during the second.
 			for range 2 {
 				at := 1 + rnd.IntN(12)
-				left.SetOnCall(func(c vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: c.N == at} })
+				left.SetOnCall(func(c vfstest.Call) vfstest.Fault { return vfstest.Fault{PowerOff: c.N == at} })
 				opt := h.opt
 				opt.FS = left
 				if s, err := store.Open(dir, opt); err == nil {
@@ -54,7 +57,7 @@
 	require.Greater(t, crashes, 60)
 }
 
-// resume commits to a store that was recovered and opens it once more.
+// resume opens a recovered store, commits to it, compacts it, and expects that it can be opened again and has no faults.
 func (h *history) resume(t *testing.T, what ...any) {
 	t.Helper()
 	s, err := store.Open(dir, h.opt)
@@ -73,10 +76,12 @@
 	require.NoError(t, r.Err(), what...)
 }
 
-func TestSyncEveryLosesNoMoreThanThePromiseAndKeepsTheOrder(t *testing.T) {
+// Guards against a crash that loses commits before a Sync, or leaves commits in another order, when commits don't wait for a
+// sync.
+func TestWithSyncEveryACrashLeavesAPrefixWithAllSyncedCommits(t *testing.T) {
 	for n := 5; n < 200; n += 3 {
 		h := newHistory(&vfstest.Mem{}, 9, store.Options{PassBytesPerS: -1, SyncEvery: 1e9})
-		h.fs.SetOnCall(func(c vfstest.Call) vfstest.Fault { return vfstest.Fault{Off: c.N == n} })
+		h.fs.SetOnCall(func(c vfstest.Call) vfstest.Fault { return vfstest.Fault{PowerOff: c.N == n} })
 		s, err := store.Open(dir, h.opt)
 		if err != nil {
 			continue
@@ -97,7 +102,9 @@
 	}
 }
 
-func TestADiskThatIsFullFailsTheCommitAndNothingElse(t *testing.T) {
+// The disk is full for 25 calls, beginning at each call in turn; writes fail after some of their bytes. Guards against a
+// store that turns read-only, a failed commit that has an effect, and a later one that is lost.
+func TestAFullDiskFailsCommitsWithoutAnEffectAndLaterOnesSucceed(t *testing.T) {
 	for n := 1; n < 400; n++ {
 		h := newHistory(&vfstest.Mem{}, 13, store.Options{PassBytesPerS: -1})
 		s, err := store.Open(dir, h.opt)
@@ -119,15 +126,15 @@
 				require.ErrorIs(t, err, syscall.ENOSPC)
 				require.NotErrorIs(t, err, store.ErrReadOnly)
 				failed++
-				require.Equal(t, h.states[h.acked], state(t, s), "reading goes on")
+				require.Equal(t, h.states[h.acked], state(t, s), "reads continue after a commit failed")
 			}
 		}
-		if !full.Load() { // there are no more calls
+		if !full.Load() { // the run made fewer calls than n, so all of them were tried
 			require.Greater(t, n, 100)
 			require.NoError(t, s.Close())
 			break
 		}
-		require.NoError(t, s.Err(), "writing has gone on")
+		require.NoError(t, s.Err(), "the store accepts writes")
 		require.Less(t, failed, 60)
 		require.Equal(t, h.states[h.acked], state(t, s))
 		require.NoError(t, s.Close())
@@ -135,7 +142,9 @@
 	}
 }
 
-func TestAFailedSyncIsNeverTakenForOneThatWorked(t *testing.T) {
+// Fails each sync in turn with EIO. Guards against commits that are acknowledged after it though the kernel dropped their
+// pages.
+func TestAFailedSyncLosesNoAcknowledgedCommit(t *testing.T) {
 	readOnly := 0
 	for n := 1; n < 500; n++ {
 		h := newHistory(&vfstest.Mem{}, 17, store.Options{PassBytesPerS: -1})
@@ -163,7 +172,7 @@
 			b.Put(spaces[0], []byte("late"), nil)
 			_, err = s.Commit(&b)
 			require.ErrorIs(t, err, store.ErrReadOnly)
-			require.Equal(t, h.states[h.acked], state(t, s), "reading goes on")
+			require.Equal(t, h.states[h.acked], state(t, s), "a read-only store can be read")
 		}
 		_ = s.Close()
 		h.verify(t, h.fs.Crash(rand.New(rand.NewPCG(uint64(n), 1))), h.acked, "call", n)
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -18,7 +18,7 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// openSegment returns the name of the segment that is written to.
+// openSegment returns the path of the open segment, from the manifest.
 func openSegment(t *testing.T, files map[string][]byte) string {
 	t.Helper()
 	_, body, _ := bytes.Cut(files[dir+"/MANIFEST-A"], []byte("\n"))
@@ -38,7 +38,8 @@
 	return ""
 }
 
-func TestEveryFileTruncatedAtEveryOffset(t *testing.T) {
+// Guards against a truncated file that makes Open panic, change the store, or leave out records without an error.
+func TestATruncatedFileIsReplacedOrReportedWithItsOffset(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 3, store.Options{PassBytesPerS: -1, Garbage: 0.3})
 	require.NoError(t, h.run(150))
 	files := h.fs.Files()
@@ -52,11 +53,12 @@
 		for at := 0; at < len(files[name]); at += step {
 			truncated := maps.Clone(files)
 			truncated[name] = files[name][:at]
-			fsys := vfstest.Of(truncated)
+			fsys := vfstest.FromFiles(truncated)
 			opt := h.opt
 			opt.FS = fsys
 			if !strings.HasSuffix(name, ".seg") || name == last {
-				// The open segment may end anywhere; what the other files have exists a second time.
+				// The open segment may end anywhere, as after a crash. A copy of the manifest, the table and the lock file
+				// can be replaced without a loss.
 				minSeq := h.acked
 				if name == last {
 					minSeq = 0
@@ -66,12 +68,12 @@
 				continue
 			}
 			_, err := store.Open(dir, opt)
-			require.ErrorIs(t, err, store.ErrCorrupt, "%s cut at %d", name, at)
+			require.ErrorIs(t, err, store.ErrCorrupt, "%s truncated to %d bytes", name, at)
 			var fe *store.FileError
 			require.ErrorAs(t, err, &fe)
 			require.Equal(t, filepath.Base(name), fe.File)
 			require.EqualValues(t, at, fe.Offset)
-			require.Equal(t, truncated, fsys.Files(), "a store that does not open stays as it is")
+			require.Equal(t, truncated, fsys.Files(), "Open changes nothing if it fails")
 			kinds["refuses"]++
 			if at%97 == 0 {
 				h.repair(t, fsys)
@@ -85,7 +87,7 @@
 	require.Greater(t, kinds["repairs"], 3)
 }
 
-// repair repairs a store and expects each key to have a value that it had at some time.
+// repair repairs a store and expects every key in the new one to have a value that it had after some commit.
 func (h *history) repair(t *testing.T, fsys *vfstest.Mem) {
 	t.Helper()
 	opt := h.opt
@@ -101,11 +103,12 @@
 		for _, st := range h.states {
 			ever = ever || st[key] == value
 		}
-		require.True(t, ever, "%s=%s never was", key, value)
+		require.True(t, ever, "key %s never had the value %s", key, value)
 	}
 }
 
-func TestAFlippedBitIsFoundWhereverItIs(t *testing.T) {
+// Guards against a flipped bit in any file that neither Check nor Open nor a read reports.
+func TestCheckFindsAFlippedBitInAnyFile(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 5, store.Options{PassBytesPerS: -1})
 	require.NoError(t, h.run(150))
 	files := h.fs.Files()
@@ -113,7 +116,7 @@
 	if testing.Short() || raceEnabled {
 		step = 41
 	}
-	said := map[string]int{}
+	reported := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		if filepath.Base(name) == "LOCK" {
 			continue
@@ -122,40 +125,41 @@
 			bad := maps.Clone(files)
 			bad[name] = slices.Clone(files[name])
 			bad[name][at] ^= 1 << (at % 8)
-			fsys := vfstest.Of(bad)
+			fsys := vfstest.FromFiles(bad)
 			r, err := store.Check(context.Background(), dir, fsys)
 			require.NoError(t, err)
 			if r.Err() == nil && len(r.Notes) == 0 {
-				require.FailNow(t, "not found", "%s, offset %d", name, at)
+				require.FailNow(t, "Check does not find the flipped bit", "%s, offset %d", name, at)
 			}
 			opt := h.opt
 			opt.FS = fsys
 			s, err := store.Open(dir, opt)
 			if err != nil {
 				require.True(t, errors.Is(err, store.ErrCorrupt) || errors.Is(err, store.ErrNewer), "%v", err)
-				said["open"]++
+				reported["open"]++
 				continue
 			}
-			h.readDamaged(t, s, said, fmt.Sprintf("%s, offset %d", name, at))
+			h.readDamaged(t, s, reported, fmt.Sprintf("%s, offset %d", name, at))
 			require.NoError(t, s.Close())
 		}
 	}
-	t.Log(said)
-	require.Greater(t, said["open"], 20)
-	require.Greater(t, said["read"], 5)
-	require.Positive(t, said["torn"])
+	t.Log(reported)
+	require.Greater(t, reported["open"], 20)
+	require.Greater(t, reported["read"], 5)
+	require.Positive(t, reported["torn"])
 }
 
-// readDamaged reads all of a store that has a flipped bit and opens nevertheless: it holds one of the states, or says where
-// reading fails. said counts what it says.
-func (h *history) readDamaged(t *testing.T, s *store.Store, said map[string]int, where string) {
+// readDamaged reads all records of a store that has a flipped bit and that Open opened. Each record must have its value as
+// of the store's last commit, or the read must fail with ErrCorrupt. reported counts where faults were reported.
+func (h *history) readDamaged(t *testing.T, s *store.Store, reported map[string]int, where string) {
 	t.Helper()
 	want := h.states[s.Stats().Seq]
 	require.NotNil(t, want)
-	// Only the last commit cannot be told from a torn end: a later one calls each other durable.
+	// Only damage to the last commit looks like a torn end. Every other commit is before a frame that says that it was
+	// durable.
 	require.GreaterOrEqual(t, s.Stats().Seq, h.acked-1, where)
 	if s.Stats().Seq < h.acked {
-		said["torn"]++
+		reported["torn"]++
 	}
 	snap := s.Snapshot()
 	defer snap.Close()
@@ -169,19 +173,20 @@
 			v, err := it.Value()
 			if err != nil {
 				require.ErrorIs(t, err, store.ErrCorrupt)
-				said["read"]++
+				reported["read"]++
 				continue
 			}
 			require.Equal(t, want[n+"/"+string(it.Key())], string(v))
 		}
 		if it.Err() != nil {
 			require.ErrorIs(t, it.Err(), store.ErrCorrupt)
-			said["read"]++
+			reported["read"]++
 		}
 	}
 }
 
-func TestMissingAndSwappedSegmentsAreNotPassedOver(t *testing.T) {
+// Guards against Open accepting a store in which a segment is missing, is another of its segments, or is another store's.
+func TestOpenRejectsMissingSwappedAndForeignSegments(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 11, store.Options{PassBytesPerS: -1})
 	require.NoError(t, h.run(150))
 	files := h.fs.Files()
@@ -195,7 +200,7 @@
 	require.Greater(t, len(segs), 2)
 	opens := func(files map[string][]byte) error {
 		opt := h.opt
-		opt.FS = vfstest.Of(files)
+		opt.FS = vfstest.FromFiles(files)
 		s, err := store.Open(dir, opt)
 		if err == nil {
 			_ = s.Close()
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -9,31 +9,32 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The errors that callers can act on. Those that are returned wrap them and name what they are about.
+// Errors that callers can test for with errors.Is. The returned errors wrap them and add the file, key or space concerned.
 var (
-	// ErrNotFound: there is no such key, or no space of that name.
+	// ErrNotFound means that the key or the space does not exist.
 	ErrNotFound = errors.New("store: no such key")
-	// ErrClosed: the store was closed, or is being closed.
+	// ErrClosed means that the store was closed, or is being closed.
 	ErrClosed = errors.New("store: is closed")
-	// ErrReadOnly: after an error of the disk it is unknown what is on it. Reads go on. Whether a commit that got this
-	// error took effect is known only when the store is opened again.
+	// ErrReadOnly means that after an error of the disk it is unknown which of the last writes are on it. The store rejects
+	// writes, and reads continue. Whether a commit that got this error took effect is known only when the store is opened
+	// again.
 	ErrReadOnly = errors.New("store: takes no more writes after a fault of the disk")
-	// ErrNoStore: Options.Existing is set and the folder has no store.
-	ErrNoStore = errors.New("store: there is none")
-	// ErrTooLarge: a key, a value or a batch is over its limit, MaxKey, MaxValue or MaxBatch.
+	// ErrNoStore means that Options.Existing is set and the folder has no store.
+	ErrNoStore = errors.New("store: the folder has no store")
+	// ErrTooLarge means that a key, a value or a batch exceeds MaxKey, MaxValue or MaxBatch.
 	ErrTooLarge = errors.New("store: too large")
-	// ErrCorrupt: bytes on disk are not what was written.
-	ErrCorrupt = segment.ErrBad
-	// ErrNewer: the store was written by a newer release.
+	// ErrCorrupt means that bytes on disk differ from those that were written.
+	ErrCorrupt = segment.ErrCorrupt
+	// ErrNewer means that a newer release wrote the store, in a format that this one cannot read.
 	ErrNewer = segment.ErrNewer
-	// ErrLocked: the store is open already, in this process or another.
+	// ErrLocked means that the store is open already, in this process or another.
 	ErrLocked = vfs.ErrLocked
 )
 
-// FileError is an error about one of the store's files, most often damage: then it wraps ErrCorrupt.
+// FileError is an error about one of the store's files. If the file is damaged, it wraps ErrCorrupt.
 type FileError struct {
-	File   string
-	Offset int64 // of the first byte concerned; -1: the complete file
+	File   string // name in the store's folder
+	Offset int64  // of the first byte concerned; -1: the complete file
 	Err    error
 }
 
@@ -48,7 +49,8 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// fileError adds the file's name to an error, and the offset if it is a table.Error.
+// fileError returns err as a FileError of the named file. A table.Error has the offset; any other error concerns the
+// complete file.
 func fileError(name string, err error) error {
 	var te *table.Error
 	if errors.As(err, &te) {
--- a/internal/store/fixtures_test.go
+++ b/internal/store/fixtures_test.go
@@ -17,11 +17,12 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// earlierStore is a store that commit c9b2399 wrote: two segments, a table, deletions, and three spaces. Its records are in
-// a file beside it, as that version dumped them. Neither may ever be rewritten: such stores are on disks.
+// earlierStore is the folder of a store that commit c9b2399 wrote. It has two segments, a table, deletions, and three
+// spaces. The file with the suffix .dump has its records, as that version dumped them. Neither may ever be rewritten,
+// because stores of that version are in use.
 const earlierStore = "testdata/c9b2399"
 
-// dumpedRecord is a line of a dump.
+// dumpedRecord is a line of the dump.
 type dumpedRecord struct {
 	Space string `json:"space"`
 	Key   string `json:"key_text"`
@@ -29,7 +30,7 @@
 	Seq   uint64 `json:"seq"`
 }
 
-// Guards against a store that a later version cannot read, or of which it reads other records.
+// Guards against a change of the format after which an earlier version's store can't be read or has other records.
 func TestAStoreOfAnEarlierVersionIsRead(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(earlierStore)))
@@ -58,7 +59,7 @@
 	assert.Equal(t, dumpedRecords(t), read)
 }
 
-// Guards against a manifest whose keys have other names: an earlier version, or one of the two copies, would miss them.
+// Guards against renamed keys in the manifest's JSON: decoding an earlier version's manifest would leave their fields empty.
 func TestTheManifestKeepsItsKeys(t *testing.T) {
 	before, err := os.ReadFile(filepath.Join(earlierStore, "MANIFEST-A"))
 	require.NoError(t, err)
@@ -75,6 +76,7 @@
 	}
 }
 
+// dumpedRecords returns the records in the dump.
 func dumpedRecords(t *testing.T) (records []dumpedRecord) {
 	t.Helper()
 	text, err := os.ReadFile(earlierStore + ".dump")
@@ -88,7 +90,7 @@
 	return records
 }
 
-// manifestKeys returns the names of all keys of a manifest, wherever they stand in it.
+// manifestKeys returns the names of all keys in a manifest's JSON, also those of nested objects.
 func manifestKeys(t *testing.T, manifest []byte) map[string]bool {
 	t.Helper()
 	start, end := bytes.IndexByte(manifest, '{'), bytes.LastIndexByte(manifest, '}')
@@ -100,6 +102,7 @@
 	return keys
 }
 
+// addKeys adds the names of all keys in a decoded JSON value to keys.
 func addKeys(keys map[string]bool, value any) {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -15,18 +15,20 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// history is a sequence of batches and, for each sequence number, the content of the store after that commit.
+// history commits random batches to a store and records the content that the store must have after each commit.
 type history struct {
 	fs     *vfstest.Mem
 	opt    store.Options
 	rnd    *rand.Rand
-	states map[uint64]map[string]string // by sequence number: "space/key" to value
-	acked  uint64                       // the highest number that a commit returned
-	tried  uint64                       // the highest number that a commit may have got
+	states map[uint64]map[string]string // content after the commit of that sequence number: "space/key" to value
+	acked  uint64                       // the highest sequence number that a commit returned
+	tried  uint64                       // the highest sequence number that a commit may have got, acknowledged or not
 }
 
 var spaceNames = []string{"a", "b"}
 
+// newHistory returns a history whose store is in fsys, with small segments unless opt says otherwise. seed determines its
+// batches.
 func newHistory(fsys *vfstest.Mem, seed uint64, opt store.Options) *history {
 	opt.FS = fsys
 	if opt.SegmentBytes == 0 {
@@ -36,7 +38,7 @@
 		states: map[uint64]map[string]string{0: {}}}
 }
 
-// begin creates the spaces.
+// begin creates the spaces, each with a commit.
 func (h *history) begin(s *store.Store) ([]*store.Space, error) {
 	var all []*store.Space
 	for _, name := range spaceNames {
@@ -52,7 +54,7 @@
 	return all, nil
 }
 
-// commit commits a random batch.
+// commit commits a random batch of puts, deletions and range deletions.
 func (h *history) commit(s *store.Store, spaces []*store.Space) error {
 	var b store.Batch
 	next := maps.Clone(h.states[h.acked])
@@ -83,14 +85,15 @@
 	seq, err := s.Commit(&b)
 	if err == nil {
 		if seq != h.tried {
-			return fmt.Errorf("commit %d got number %d", h.tried, seq)
+			return fmt.Errorf("commit got sequence number %d instead of %d", seq, h.tried)
 		}
 		h.acked = seq
 	}
 	return err
 }
 
-// run opens a store, commits that many batches, and closes it; it ends at the first error.
+// run opens a store, commits that many batches with a Compact after every 40, and closes the store. It stops at the first
+// error.
 func (h *history) run(commits int) error {
 	s, err := store.Open(dir, h.opt)
 	if err != nil {
@@ -111,8 +114,8 @@
 	return err
 }
 
-// verify opens what is in a file system and compares it with the history: it must be one of its states, and none before
-// that of commit minSeq.
+// verify opens the store in fsys and expects it to have the content after one of the history's commits, minSeq or a later
+// one. The arguments in what say which case failed.
 func (h *history) verify(t *testing.T, fsys *vfstest.Mem, minSeq uint64, what ...any) {
 	t.Helper()
 	opt := h.opt
@@ -123,11 +126,12 @@
 	seq := s.Stats().Seq
 	require.GreaterOrEqual(t, seq, minSeq, what...)
 	want, ok := h.states[seq]
-	require.True(t, ok, "commit %d never was; %v", seq, what)
+	require.True(t, ok, "the store has commit %d, which was never made; %v", seq, what)
 	require.Equal(t, want, state(t, s, what...), what...)
 }
 
-// state returns the content of a store. It reads it with iterators and key by key, and expects the same.
+// state returns the content of a store, by "space/key". It reads each record with an iterator and with Get, and expects both
+// to return the same.
 func state(t *testing.T, s *store.Store, what ...any) map[string]string {
 	t.Helper()
 	got := map[string]string{}
--- a/internal/store/index_builder.go
+++ b/internal/store/index_builder.go
@@ -15,25 +15,26 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// indexBuilder builds the index out of segments alone, in whatever order they are added. It keeps all keys in memory, so it
-// serves opening with a damaged table, checking and repairing only.
+// indexBuilder builds the index from the segments alone, which may be added in any order. It keeps all keys in memory. So it
+// is used only to check or repair a store, and to open one whose table is damaged.
 type indexBuilder struct {
-	items        map[string]builtItem
-	rangeDeletes []rankedSpan
+	items        map[string]builtItem // by key: its newest put or single deletion
+	rangeDeletes []rankedSpan         // all deleted ranges
 }
 
-// rank orders operations: by commit, then by their position in it. A record that compaction copied has the highest position:
-// no deletion in its commit came after it, or the record would have been dead.
+// rank orders operations by their commit, then by their position in it. A record that a pass copied has the highest
+// position: it was live, so no later operation of its commit deleted it.
 type rank struct {
-	seq uint64
-	n   int
+	seq      uint64
+	position int
 }
 
-func (a rank) before(b rank) bool { return a.seq < b.seq || a.seq == b.seq && a.n < b.n }
+// before reports whether a's operation was committed before b's.
+func (a rank) before(b rank) bool { return a.seq < b.seq || a.seq == b.seq && a.position < b.position }
 
 type builtItem struct {
 	rank
-	loc table.Loc
+	loc table.Loc // Segment is 0 if the key was deleted
 }
 
 type rankedSpan struct {
@@ -43,9 +44,9 @@
 
 func newIndexBuilder() *indexBuilder { return &indexBuilder{items: map[string]builtItem{}} }
 
-// addSegment reads a segment and returns how many frames it has. At a damaged frame it calls bad: if that returns nil,
-// addSegment continues with the next undamaged frame, otherwise it returns that error.
-func (b *indexBuilder) addSegment(f vfs.File, m plan.Segment, bad func(at int64, err error) error) (frames int, err error) {
+// addSegment adds a segment's frames and returns the number of undamaged ones. At a damaged frame it calls onDamage. If that
+// returns nil, addSegment continues with the next undamaged frame, otherwise it returns that error.
+func (b *indexBuilder) addSegment(f vfs.File, m plan.Segment, onDamage func(at int64, err error) error) (frames int, err error) {
 	sc := segment.NewScanner(f, segment.HeaderSize, m.Size)
 	for {
 		fr, at, err := sc.Next()
@@ -63,32 +64,32 @@
 		if zeros, zerr := sc.RestZero(); !m.Sealed && zerr == nil && zeros {
 			return frames, nil
 		}
-		if err := bad(at, err); err != nil {
+		if err := onDamage(at, err); err != nil {
 			return frames, err
 		}
-		if !errors.Is(err, ErrCorrupt) { // the disk does not read there: no search behind it is possible
+		if !errors.Is(err, ErrCorrupt) { // the disk can't be read there, so the next frame can't be searched for
 			return frames, nil
 		}
-		// A frame of this segment has a number that belongs to it.
+		// Bytes in a value may look like a frame. Only a sequence number within the segment's range is accepted.
 		if _, err := sc.Resync(func(f segment.Frame) bool {
 			return f.Seq >= m.First && (m.Last == 0 || f.Seq <= m.Last)
 		}); err != nil {
-			return frames, bad(sc.Offset(), err)
+			return frames, onDamage(sc.Offset(), err)
 		}
 	}
 }
 
-// addFrame adds the operations of a frame at offset at.
+// addFrame adds the operations of the frame at offset at of segment m.
 func (b *indexBuilder) addFrame(f segment.Frame, m plan.Segment, at int64) error {
-	n := 0
+	position := 0
 	return segment.Ops(f.Payload, func(o segment.Op) error {
 		if len(o.Key) < 2 || o.Kind == segment.DeleteRange && len(o.End) < 2 {
-			return fmt.Errorf("%w: key of %d bytes", ErrCorrupt, len(o.Key))
+			return fmt.Errorf("%w: key %.20x or range end %.20x is shorter than the 2 bytes of a space's number", ErrCorrupt, o.Key, o.End)
 		}
-		n++
-		r := rank{f.Seq, n}
+		position++
+		r := rank{f.Seq, position}
 		if m.Kind == plan.Output && o.Kind == segment.Put {
-			r.n = math.MaxInt
+			r.position = math.MaxInt
 		}
 		if o.Kind == segment.DeleteRange {
 			b.rangeDeletes = append(b.rangeDeletes, rankedSpan{r, span{string(o.Key), string(o.End)}})
@@ -107,7 +108,8 @@
 	})
 }
 
-// entries returns all live records in order of their keys. Records up to their space's floor have expired.
+// entries returns all live records in the order of their keys. A record is live if no newer operation deleted it and its
+// sequence number is above its space's floor.
 func (b *indexBuilder) entries(floors map[uint16]uint64) []table.Entry {
 	keys := make([]string, 0, len(b.items))
 	for k := range b.items {
@@ -116,8 +118,8 @@
 	slices.Sort(keys)
 	slices.SortFunc(b.rangeDeletes, func(x, y rankedSpan) int { return cmp.Compare(x.lo, y.lo) })
 	var out []table.Entry
-	var covering []rankedSpan   // the ranges that the present key is in
-	following := b.rangeDeletes // those that start behind the present key
+	var covering []rankedSpan   // the deleted ranges that contain the current key
+	following := b.rangeDeletes // the deleted ranges that start after the current key
 	for _, k := range keys {
 		for len(following) > 0 && following[0].lo <= k {
 			covering, following = append(covering, following[0]), following[1:]
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -8,27 +8,30 @@
 	"ospreypond/internal/store/table"
 )
 
-// item is what a layer knows of one key. Its Loc has Segment 0 where the key was deleted.
+// item is a layer's entry for one key: the location of its value, or with loc.Segment 0 a deletion of the key.
 type item struct {
 	key string
 	loc table.Loc
 }
 
-func (i *item) dead() bool { return i.loc.Segment == 0 }
+// deleted reports whether the item is a deletion.
+func (i *item) deleted() bool { return i.loc.Segment == 0 }
 
-// span is a deleted range, from lo up to, not including, hi.
+// span is a range of keys, from lo up to, not including, hi.
 type span struct{ lo, hi string }
 
-// layer is a part of the index in memory: what was committed after the layers and the table under it. Its spans hide what
-// lies under it and nothing of its own. A layer has no lock: Store.mu guards the uppermost one, a frozen one does not change.
+// layer is a part of the index in memory (a memtable). It has the entries of commits that are newer than those in the layers
+// and the table below it. Its spans are the ranges that these commits deleted: they hide the entries of the layers and the
+// table below, and none of the layer's own items. A layer has no lock: Store.mu guards the uppermost one, and a frozen one
+// does not change.
 type layer struct {
 	tree  *btree.BTreeG[item]
-	spans []span // disjoint and in order; never changed in place, so that clones can share it
-	keys  int64  // bytes of the keys
-	upTo  uint64 // of a frozen layer: the last commit in it
+	spans []span // deleted ranges, disjoint and ascending; the slice is never changed in place, so clones share it
+	keys  int64  // bytes of all keys in the tree
+	upTo  uint64 // sequence number of the last commit in a frozen layer
 }
 
-// itemBytes is about what an item takes in memory beside its key: 40 bytes in nodes that are three quarters full.
+// itemBytes estimates the memory of an item without the bytes of its key: 40 bytes, in nodes that are three quarters full.
 const itemBytes = 56
 
 func newLayer() *layer {
@@ -36,11 +39,13 @@
 		btree.Options{NoLocks: true, Degree: 64})}
 }
 
-// clone returns a layer that later changes to l do not affect, in constant time.
+// clone returns a copy that later changes to l do not affect. It takes constant time: the trees share their nodes until one
+// is changed.
 func (l *layer) clone() *layer {
 	return &layer{tree: l.tree.Copy(), spans: l.spans, keys: l.keys}
 }
 
+// bytes estimates the layer's memory, without the spans.
 func (l *layer) bytes() int64 { return l.keys + int64(l.tree.Len())*itemBytes }
 
 func (l *layer) get(key string) (item, bool) { return l.tree.Get(item{key: key}) }
@@ -51,13 +56,13 @@
 	}
 }
 
-// covers reports whether l hides what lies under it at key.
+// covers reports whether one of l's deleted ranges contains the key, so that entries for it below l are deleted.
 func (l *layer) covers(key string) bool {
 	i := sort.Search(len(l.spans), func(i int) bool { return l.spans[i].hi > key })
 	return i < len(l.spans) && l.spans[i].lo <= key
 }
 
-// deleteRange deletes the keys of a range, in this layer and in what lies under it.
+// deleteRange removes the layer's items in a range and adds the range to the spans, which hides the entries below the layer.
 func (l *layer) deleteRange(s span) {
 	if s.lo >= s.hi {
 		return
@@ -77,7 +82,8 @@
 	l.spans = addSpan(l.spans, s)
 }
 
-// addSpan returns a copy of spans with s added, merged with those that it overlaps or touches.
+// addSpan returns a copy of spans to which s was added. It merges s with the spans that overlap or adjoin it, so that the
+// result is disjoint and ascending again.
 func addSpan(spans []span, s span) []span {
 	from := sort.Search(len(spans), func(i int) bool { return spans[i].hi >= s.lo })
 	to := from
--- a/internal/store/merge_iterator.go
+++ b/internal/store/merge_iterator.go
@@ -6,18 +6,18 @@
 	"ospreypond/internal/store/table"
 )
 
-// cursor iterates over one layer or table in order of the keys.
+// cursor iterates over the entries of one layer or table in the order of their keys.
 type cursor interface {
-	next() bool
-	entry() table.Entry // the key is good until next
+	next() bool         // advances and reports whether there is an entry
+	entry() table.Entry // its key is valid until the next call of next
 	err() error
 }
 
 type layerCursor struct {
-	it    btree.IterG[item]
-	from  string
-	begun bool
-	key   []byte
+	it      btree.IterG[item]
+	from    string
+	started bool
+	key     []byte
 }
 
 func (l *layer) cursor(from string) *layerCursor {
@@ -25,10 +25,10 @@
 }
 
 func (c *layerCursor) next() bool {
-	if c.begun {
+	if c.started {
 		return c.it.Next()
 	}
-	c.begun = true
+	c.started = true
 	return c.it.Seek(item{key: c.from})
 }
 
@@ -46,20 +46,21 @@
 func (c tableCursor) entry() table.Entry { return c.it.Entry() }
 func (c tableCursor) err() error         { return c.it.Err() }
 
-// mergeIterator iterates over several layers and a table as one: of each key the uppermost entry counts.
+// mergeIterator merges several layers and a table in the order of their keys. For each key the entry of the uppermost source
+// counts. Deleted and expired keys are left out.
 type mergeIterator struct {
-	sources []mergeSource // the uppermost first
-	floors  map[uint16]uint64
-	entry   table.Entry
-	key     []byte
+	sources []mergeSource     // the uppermost first
+	floors  map[uint16]uint64 // by space: records up to this sequence number have expired
+	entry   table.Entry       // the current one
+	key     []byte            // buffer of entry.Key
 	err     error
 }
 
 type mergeSource struct {
 	cursor
-	spans   []span
+	spans   []span // the layer's deleted ranges, which hide entries of the sources below; nil for a table
 	current table.Entry
-	valid   bool // there is a current entry
+	valid   bool // the source has a current entry, so it is not at its end
 }
 
 func newMergeIterator(floors map[uint16]uint64, from string, base *table.Table, layers ...*layer) *mergeIterator {
@@ -87,7 +88,8 @@
 	}
 }
 
-// next goes to the next key that is there and reports whether there is one. The entry's key is good until the next call.
+// next advances to the next key that is neither deleted nor expired, and reports whether there is one. The entry's key is
+// valid until the next call.
 func (m *mergeIterator) next() bool {
 	for m.err == nil {
 		low := m.lowest()
@@ -96,20 +98,21 @@
 		}
 		m.key = append(m.key[:0], m.sources[low].current.Key...)
 		m.entry = table.Entry{Key: m.key, Loc: m.sources[low].current.Loc}
-		deleted := m.deletedAbove(low)
+		hidden := m.hidden(low)
 		for i := low; i < len(m.sources); i++ {
 			if p := &m.sources[i]; p.valid && string(p.current.Key) == string(m.key) {
 				m.advance(i)
 			}
 		}
-		if !deleted {
+		if !hidden {
 			return m.err == nil
 		}
 	}
 	return false
 }
 
-// lowest returns the uppermost source of those whose current key is the lowest, or -1 if all are at their end.
+// lowest returns the index of the source with the lowest current key, of several with the same key the uppermost one, or -1
+// if all are at their end.
 func (m *mergeIterator) lowest() int {
 	low := -1
 	for i := range m.sources {
@@ -120,9 +123,9 @@
 	return low
 }
 
-// deletedAbove reports whether the entry, which is source low's, is a deletion, has expired, or lies in a range that was
-// deleted in a layer above that source.
-func (m *mergeIterator) deletedAbove(low int) bool {
+// hidden reports whether the current entry, which comes from the source with index low, is a deletion, has expired, or
+// is in a range that a layer above that source deleted.
+func (m *mergeIterator) hidden(low int) bool {
 	if m.entry.Loc.Segment == 0 || m.entry.Loc.Seq <= m.floors[spaceOf(m.key)] {
 		return true
 	}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -21,20 +21,21 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// machine compares a store with a map, whatever is done to them in whatever order.
+// machine is a rapid state machine: it applies the same random operations to a store and to a map, and compares the two.
 type machine struct {
 	opt   store.Options
 	s     *store.Store
 	space *store.Space
-	model map[string]string
-	snaps []openSnapshot
+	model map[string]string // the store's expected content
+	snaps []openSnapshot    // snapshots that are still open
 }
 
 type openSnapshot struct {
 	snap  *store.Snapshot
-	model map[string]string
+	model map[string]string // the snapshot's expected content
 }
 
+// keys generates keys from a small set, so that operations often concern the same ones.
 var keys = rapid.StringMatching(`[a-c]{0,3}`)
 
 func (m *machine) open(t *rapid.T) {
@@ -130,6 +131,7 @@
 	}
 }
 
+// all returns the content of a space in a snapshot.
 func all(t *rapid.T, snap *store.Snapshot, sp *store.Space) map[string]string {
 	got := map[string]string{}
 	it := snap.Range(sp, nil, nil)
@@ -147,11 +149,11 @@
 	defer snap.Close()
 	require.Equal(t, m.model, all(t, snap, m.space))
 	for _, h := range m.snaps {
-		require.Equal(t, h.model, all(t, h.snap, m.space), "a snapshot")
+		require.Equal(t, h.model, all(t, h.snap, m.space), "a snapshot has changed")
 	}
 }
 
-func TestTheStoreIsAMapWhateverIsDone(t *testing.T) {
+func TestTheStoreBehavesLikeAMapUnderAnySequenceOfOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{opt: store.Options{FS: &vfstest.Mem{}, SegmentBytes: 4 << 10, PassBytesPerS: -1, CacheBytes: 4 << 10},
 			model: map[string]string{}}
@@ -165,7 +167,8 @@
 	})
 }
 
-func TestManyAtOnce(t *testing.T) {
+// Guards against races that make half a batch visible, lose an acknowledged commit, or leave a commit without an answer.
+func TestConcurrentWritersReadersAndPassesSeeWholeBatches(t *testing.T) {
 	s := open(t, t.TempDir(), store.Options{SegmentBytes: 32 << 10, PassBytesPerS: -1})
 	sp := space(t, s, "x")
 	stop := time.Now().Add(700 * time.Millisecond)
@@ -192,7 +195,8 @@
 		require.NoError(t, err)
 		require.True(t, bytes.HasPrefix(v, fmt.Append(nil, n)))
 	}
-	// Closing while some still write: each gets an answer, and what was acknowledged is there.
+	// The store is closed while goroutines still commit. Each commit must return, and the acknowledged ones must be in the
+	// store when it is opened again.
 	var acked sync.Map
 	var late sync.WaitGroup
 	for w := range 8 {
@@ -212,8 +216,8 @@
 	})
 }
 
-// writePairs writes two keys that only ever change together, with a growing number, and reads one of them back. It returns
-// the last number that was acknowledged.
+// writePairs sets two keys of writer w in one batch, again and again with a rising number, and reads one of them back. It
+// returns the last number that was acknowledged.
 func writePairs(t *testing.T, s *store.Store, sp *store.Space, w int, stop time.Time) (last int) {
 	t.Helper()
 	var b store.Batch
@@ -228,7 +232,7 @@
 		}
 		v, _, err := sp.Get(fmt.Appendf(nil, "a%d", w))
 		if err != nil || !bytes.HasPrefix(v, fmt.Append(nil, n)) {
-			t.Errorf("reads %q, %v after writing %d", v, err, n)
+			t.Errorf("Get returns %q and error %v after the commit of %d", v, err, n)
 			return last
 		}
 		last = n
@@ -236,7 +240,7 @@
 	return last
 }
 
-// readPairs takes snapshots and expects the two keys of each writer to be the same in them.
+// readPairs takes snapshots and expects the two keys of each writer to have the same value in each.
 func readPairs(t *testing.T, s *store.Store, sp *store.Space, writers int, stop time.Time) {
 	t.Helper()
 	for time.Now().Before(stop) {
@@ -252,14 +256,14 @@
 		}
 		for w := range writers {
 			if a, b := values[fmt.Sprint("a", w)], values[fmt.Sprint("b", w)]; a != b {
-				t.Errorf("half a batch: %q and %q", a, b)
+				t.Errorf("a snapshot has half a batch: %q and %q", a, b)
 			}
 		}
 		snap.Close()
 	}
 }
 
-// writeUntilClosed commits one key after the other until the store is closed, and notes those that were acknowledged.
+// writeUntilClosed commits one key after the other until the store is closed, and adds the acknowledged ones to acked.
 func writeUntilClosed(t *testing.T, s *store.Store, sp *store.Space, w int, acked *sync.Map) {
 	t.Helper()
 	for n := 0; ; n++ {
@@ -276,8 +280,10 @@
 	}
 }
 
+// Guards against records that expire before their limit is exceeded, records that are retained much longer, and records of
+// other spaces in the same segments that are lost.
 func TestRetentionExpiresOldRecordsOnly(t *testing.T) {
-	var now atomic.Int64 // ms; passes look at the clock too
+	var now atomic.Int64 // milliseconds since 1970; atomic because passes read the clock too
 	now.Store(1_000_000_000_000)
 	opt := store.Options{FS: &vfstest.Mem{}, SegmentBytes: 8 << 10, PassBytesPerS: -1,
 		Now: func() time.Time { return time.UnixMilli(now.Load()) }}
@@ -289,7 +295,7 @@
 	unbounded := space(t, s, "kept")
 	value := strings.Repeat("v", 200)
 	for n := range 1000 {
-		now.Add(10_000) // 2 h 46 min in all
+		now.Add(10_000) // 1000 times 10 s: 2 h 46 min
 		key := fmt.Sprintf("%04d", n)
 		put(t, s, aged, key, value)
 		put(t, s, sized, key, value)
@@ -301,17 +307,17 @@
 	check := func() {
 		t.Helper()
 		got := content(t, s, aged)
-		require.GreaterOrEqual(t, len(got), 360, "all of the last hour")
-		require.Less(t, len(got), 360+40, "and little more")
+		require.GreaterOrEqual(t, len(got), 360, "all records of the last hour are retained")
+		require.Less(t, len(got), 360+40, "few older records are retained")
 		require.True(t, strings.HasPrefix(got[len(got)-1], "0999="))
 		got = content(t, s, sized)
 		require.Less(t, len(got), 40<<10/200+40)
 		require.Greater(t, len(got), 100)
 		require.True(t, strings.HasPrefix(got[len(got)-1], "0999="))
-		require.Len(t, content(t, s, unbounded), 20, "other spaces in the same segments keep theirs")
+		require.Len(t, content(t, s, unbounded), 20, "the space without a retention keeps all records")
 	}
 	check()
-	require.Less(t, s.Stats().Bytes, int64(200<<10), "400 KiB were written")
+	require.Less(t, s.Stats().Bytes, int64(200<<10), "of the 400 KiB that were written, expired records were removed")
 	require.NoError(t, s.Close())
 	r, err := store.Check(context.Background(), dir, opt.FS)
 	require.NoError(t, err)
@@ -324,7 +330,7 @@
 	require.NoError(t, s.Close())
 }
 
-func TestWhatIsRefused(t *testing.T) {
+func TestInvalidCallsReturnAnErrorThatNamesTheCause(t *testing.T) {
 	base := t.TempDir()
 	s := open(t, base, store.Options{})
 	sp := space(t, s, "x")
@@ -349,11 +355,11 @@
 	var big store.Batch
 	big.Put(sp, make([]byte, store.MaxKey), make([]byte, store.MaxValue))
 	_, err = s.Commit(&big)
-	require.NoError(t, err, "as large as allowed, and larger than a segment")
+	require.NoError(t, err, "a batch may be larger than a segment")
 	require.NoError(t, s.Close())
 	require.ErrorIs(t, s.Close(), store.ErrClosed)
 	_, err = s.Commit(&big)
-	require.NoError(t, err, "there is nothing in it any more")
+	require.NoError(t, err, "the batch is empty after its commit, and an empty batch commits nothing")
 	big.Put(sp, nil, nil)
 	_, err = s.Commit(&big)
 	require.ErrorIs(t, err, store.ErrClosed)
@@ -366,7 +372,8 @@
 	require.ErrorContains(t, err, "SegmentBytes")
 }
 
-func TestAFormatOfANewerReleaseIsLeftAlone(t *testing.T) {
+// Guards against Open changing or replacing a file that it can't read because a newer release wrote it.
+func TestOpenRejectsAndKeepsAFileOfANewerFormat(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 21, store.Options{})
 	require.NoError(t, h.run(60))
 	files := h.fs.Files()
@@ -385,7 +392,7 @@
 			continue
 		}
 		opt := h.opt
-		opt.FS = vfstest.Of(newer)
+		opt.FS = vfstest.FromFiles(newer)
 		_, err := store.Open(dir, opt)
 		require.ErrorIs(t, err, store.ErrNewer, name)
 		require.Equal(t, newer, opt.FS.(*vfstest.Mem).Files())
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -18,12 +18,13 @@
 	"ospreypond/internal/store/vfs"
 )
 
+// lockName is the name of the lock file in a store's folder. An open store holds the lock on it.
 const lockName = "LOCK"
 
-// Open opens the store in a folder. Unless Options.Existing is set, it creates the folder and the store if there are none.
-// If a crash interrupted the last write, its remains are truncated and logged. Any other damage to the log is an error that
-// names file and offset and wraps ErrCorrupt; Open changes nothing then. It returns ErrLocked if the store is open, in this
-// process or another, and ErrNewer if a newer release wrote it. The caller must close the store.
+// Open opens the store in a folder. Unless Options.Existing is set, it creates the folder and the store if they don't exist.
+// If a crash interrupted the last write, Open cuts off the incomplete frame and logs that. For any other damage to the log
+// it changes nothing and returns an error that names the file and the offset and wraps ErrCorrupt. It returns ErrLocked if
+// the store is open, in this process or another, and ErrNewer if a newer release wrote it. The caller must close the store.
 func Open(dir string, opt Options) (*Store, error) {
 	if err := opt.defaults(); err != nil {
 		return nil, err
@@ -60,7 +61,7 @@
 	return s, nil
 }
 
-// lockDir locks a store's folder, and creates the folder first if create is set.
+// lockDir locks a store's folder. If create is set, it first creates the folder if that is missing.
 func lockDir(fsys vfs.FS, dir string, create bool) (io.Closer, error) {
 	if create {
 		if err := fsys.MkdirAll(dir); err != nil {
@@ -74,19 +75,20 @@
 		return nil, fmt.Errorf("store %s: %w", dir, ErrLocked)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("store %s: the lock: %w", dir, err)
+		return nil, fmt.Errorf("store %s: locking "+lockName+": %w", dir, err)
 	}
 	return lock, nil
 }
 
-// open reads the files of the locked folder.
+// open reads the files of the locked folder. It opens the segments and the table that the manifest names, replays the
+// commits that the table does not have, and then removes files that the manifest does not name.
 func (s *Store) open() error {
 	otherFault, err := s.readManifest()
 	if err != nil {
 		return err
 	}
 	segs := map[uint32]*handle{}
-	defer func() { // the version has references of its own
+	defer func() { // the version has its own references
 		for _, h := range segs {
 			h.unref()
 		}
@@ -121,8 +123,8 @@
 	return s.loadSpaces()
 }
 
-// readManifest reads the manifest, or creates an empty store if there is none and Options.Existing is not set. otherFault is
-// what is wrong with the copy that is not in force, or nil.
+// readManifest reads the manifest. If there is none, it creates an empty store, or returns ErrNoStore if Options.Existing is
+// set. otherFault is the fault of the copy of the manifest that is not used, or nil.
 func (s *Store) readManifest() (otherFault, err error) {
 	man, otherFault, err := manifest.Read(s.opt.FS, s.dir)
 	if errors.Is(err, manifest.ErrNone) && s.opt.Existing {
@@ -146,8 +148,9 @@
 	return otherFault, nil
 }
 
-// initialize creates an empty store. The folder may have files of a store only if a crash interrupted an earlier call: any
-// other means that both copies of the manifest were lost.
+// initialize creates an empty store in a folder that has no manifest. A crash during an earlier call may have left segment 1
+// with at most a header. A table, another segment, or a longer one means that both copies of the manifest were lost: then
+// initialize returns ErrCorrupt.
 func (s *Store) initialize() (*manifest.Manifest, error) {
 	names, err := s.opt.FS.List(s.dir)
 	if err != nil {
@@ -167,7 +170,7 @@
 			return nil, err
 		}
 		if strings.HasSuffix(n, ".tab") || strings.HasSuffix(n, ".seg") && (n != segmentName(1) || size > segment.HeaderSize) {
-			return nil, fmt.Errorf("%w: %s is there, and both copies of the manifest are missing", ErrCorrupt, n)
+			return nil, fmt.Errorf("%w: the folder has %s, and both copies of the manifest are missing", ErrCorrupt, n)
 		}
 	}
 	if _, err := rand.Read(s.id[:]); err != nil {
@@ -184,22 +187,22 @@
 	return man, err
 }
 
-// isStoreFile reports whether a name is one of the kinds that the store gives to its files.
+// isStoreFile reports whether a name is of a form that the store gives to its segments, tables and copies of the manifest.
 func isStoreFile(name string) bool {
 	return strings.HasSuffix(name, ".seg") || strings.HasSuffix(name, ".tab") || strings.HasPrefix(name, "MANIFEST-")
 }
 
-// decodeID reads a store's id as it is in the manifest.
+// decodeID decodes a store's id from the manifest, where it is hexadecimal.
 func decodeID(text string, id *[16]byte) error {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(id) {
-		return fmt.Errorf("%w: manifest: store %q", ErrCorrupt, text)
+		return fmt.Errorf("%w: manifest: store id %q is not %d bytes in hexadecimal", ErrCorrupt, text, len(id))
 	}
 	copy(id[:], b)
 	return nil
 }
 
-// openSegment opens a segment, the open one for writing too, and checks its size and header.
+// openSegment opens a segment's file and checks its size and header. It opens sealed segments for reading only.
 func (s *Store) openSegment(g plan.Segment) (*handle, error) {
 	name := segmentName(g.ID)
 	open := s.opt.FS.Open
@@ -216,15 +219,15 @@
 	return newHandle(f, name), nil
 }
 
-// checkSegment compares a segment's size and header with the manifest, without reading its frames. The open segment may be
-// shorter than a header: a crash interrupted its creation, which is no damage. The error's File is left to the caller.
+// checkSegment compares a segment's size and header with the manifest, without reading its frames. If the open segment is
+// shorter than a header, a crash interrupted its creation, which is no damage. The caller sets the error's File.
 func checkSegment(f vfs.File, g plan.Segment, store [16]byte) *FileError {
 	size, err := f.Size()
 	if err != nil {
 		return &FileError{Offset: -1, Err: err}
 	}
 	if g.Sealed && size != g.Size {
-		return &FileError{Offset: min(size, g.Size), Err: fmt.Errorf("%w: is %d bytes long instead of %d", ErrCorrupt, size, g.Size)}
+		return &FileError{Offset: min(size, g.Size), Err: fmt.Errorf("%w: file has %d bytes instead of %d", ErrCorrupt, size, g.Size)}
 	}
 	if size < segment.HeaderSize {
 		return nil
@@ -244,13 +247,15 @@
 	case h.Store != store:
 		return &FileError{Offset: 0, Err: fmt.Errorf("%w: belongs to another store", ErrCorrupt)}
 	case h.ID != g.ID || h.Kind != kind || kind == segment.Log && h.First != g.First:
-		return &FileError{Offset: 0, Err: fmt.Errorf("%w: is another segment, number %d", ErrCorrupt, h.ID)}
+		return &FileError{Offset: 0, Err: fmt.Errorf("%w: header is that of segment %d, kind %d, first commit %d; expected segment %d, kind %d, first commit %d",
+			ErrCorrupt, h.ID, h.Kind, h.First, g.ID, kind, g.First)}
 	}
 	return nil
 }
 
-// openTable opens the table that the manifest names, or returns nil if it names none. A table has nothing that the segments
-// don't have, so a damaged one is replaced.
+// openTable opens the table that the manifest names, or returns nil if it names none. All content of a table can be derived
+// from the segments, so openTable replaces a table that is missing or damaged by a new one. It leaves the table of a newer
+// release alone.
 func (s *Store) openTable(man *manifest.Manifest, segs map[uint32]*handle) (*baseTable, error) {
 	if man.Table == nil {
 		return nil, nil
@@ -263,7 +268,8 @@
 	return s.rebuild(man, segs)
 }
 
-// readTable opens a table and checks that it is the one in the manifest.
+// readTable opens a table's file and checks that it is the one in the manifest. It reads the footer and the index of blocks,
+// and no block.
 func (s *Store) readTable(m *manifest.Table) (*baseTable, error) {
 	name := tableName(m.ID)
 	f, err := s.opt.FS.Open(s.path(name))
@@ -272,7 +278,7 @@
 	}
 	size, err := f.Size()
 	if err == nil && size != m.Size {
-		err = &table.Error{Offset: min(size, m.Size), Err: fmt.Errorf("%w: is %d bytes long instead of %d", ErrCorrupt, size, m.Size)}
+		err = &table.Error{Offset: min(size, m.Size), Err: fmt.Errorf("%w: file has %d bytes instead of %d", ErrCorrupt, size, m.Size)}
 	}
 	var t *table.Table
 	if err == nil {
@@ -280,7 +286,8 @@
 	}
 	if err == nil {
 		if i := t.Info(); i.Store != s.id || i.ID != m.ID || i.Seq != m.Seq || i.Count != m.Count {
-			err = &table.Error{Err: fmt.Errorf("%w: is another table, number %d", ErrCorrupt, i.ID)}
+			err = &table.Error{Err: fmt.Errorf("%w: footer is that of table %d with %d keys up to commit %d; expected table %d with %d keys up to commit %d",
+				ErrCorrupt, i.ID, i.Count, i.Seq, m.ID, m.Count, m.Seq)}
 		}
 	}
 	if err != nil {
@@ -289,7 +296,7 @@
 	return &baseTable{t: t, h: newHandle(f, name), size: size}, nil
 }
 
-// rebuild makes a new table of all sealed segments and puts it into the manifest.
+// rebuild writes a new table from the records of all sealed segments, and then a manifest that names it.
 func (s *Store) rebuild(man *manifest.Manifest, segs map[uint32]*handle) (*baseTable, error) {
 	index := newIndexBuilder()
 	var upTo uint64
@@ -328,12 +335,12 @@
 	}
 	if err != nil {
 		h.unref()
-		return nil, fmt.Errorf("making the index anew: %w", err)
+		return nil, fmt.Errorf("rebuilding the index as %s: %w", name, err)
 	}
 	return &baseTable{t: t, h: h, size: size}, nil
 }
 
-// writeRebuilt writes a table and syncs it. It returns its size.
+// writeRebuilt writes the entries to a table, syncs it, and returns its size in bytes.
 func (s *Store) writeRebuilt(f vfs.File, info table.Info, entries []table.Entry) (int64, error) {
 	file := &pacedFile{f: f, name: tableName(info.ID)}
 	w := table.NewWriter(file, info)
@@ -352,7 +359,8 @@
 	return size, err
 }
 
-// removeUnreferenced removes files that the manifest does not name, which a crash left of a pass or a new segment.
+// removeUnreferenced removes files that the manifest does not name: a crash during a pass, the preparation of a segment or
+// the writing of a manifest may have left them.
 func (s *Store) removeUnreferenced() error {
 	names, err := s.opt.FS.List(s.dir)
 	if err != nil {
--- a/internal/store/output.go
+++ b/internal/store/output.go
@@ -10,13 +10,13 @@
 	"ospreypond/internal/store/table"
 )
 
-// output is a segment that a pass writes, and its description for the manifest.
+// output is a segment that a pass writes, together with its description for the manifest.
 type output struct {
 	h     *handle
 	file  *pacedFile
 	meta  plan.Segment
-	space uint16
-	frame []byte
+	space uint16 // the space of the first record or deletion in it
+	frame []byte // reused for each frame
 }
 
 // copyRecord writes a record to the output and returns the segment and offset of its value there.
@@ -31,7 +31,7 @@
 	return uint32(o.meta.ID), uint32(end) - uint32(len(value)), err
 }
 
-// copyTombstone writes a deletion of frame f to the output.
+// copyTombstone writes a deletion to the output, with the sequence number and time of its frame f.
 func (p *pass) copyTombstone(op segment.Op, f segment.Frame) error {
 	if err := p.openOutput(spaceOf(op.Key), len(op.Key)+len(op.End)+segment.FrameSize+16); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return err
 }
 
-// appendFrame completes and writes the output's frame and returns the offset behind it.
+// appendFrame fills in the header of the output's frame, writes the frame, and returns the offset of its end.
 func (p *pass) appendFrame(seq uint64, at time.Time) (int64, error) {
 	o := p.output
 	segment.FinishFrame(o.frame, segment.Frame{Seq: seq, Time: at})
@@ -55,8 +55,9 @@
 	return o.meta.Size, nil
 }
 
-// openOutput opens a new output unless the present one takes next more bytes of a space. A space with a retention gets
-// segments of its own, so that they can be removed without being rewritten.
+// openOutput ensures that p.output has room for next more bytes of a space: if need be it finishes the present output and
+// creates a new one. A space with a retention shares no output with other spaces, so that passes can drop its expired
+// segments without copying records.
 func (p *pass) openOutput(space uint16, next int) error {
 	if o := p.output; o != nil {
 		_, expires := p.retentions[space]
@@ -82,7 +83,7 @@
 	return err
 }
 
-// finishOutput syncs the present output, if there is one, and adds it to the outputs.
+// finishOutput syncs the present output, if there is one, and adds it to p.outputs.
 func (p *pass) finishOutput() error {
 	o := p.output
 	if o == nil {
--- a/internal/store/pace_test.go
+++ b/internal/store/pace_test.go
@@ -13,8 +13,8 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// A pass keeps to its bytes a second, and commits go on beside it.
-func TestAPassIsBoundedAndCommitsGoOnBesideIt(t *testing.T) {
+// Guards against a pass that exceeds Options.PassBytesPerS, and against commits that wait for a pass to end.
+func TestAPassKeepsItsByteRateWhileCommitsContinue(t *testing.T) {
 	s := open(t, dir, store.Options{FS: &vfstest.Mem{}, SegmentBytes: 1 << 20, PassBytesPerS: 512 << 10})
 	defer closeStore(t, s)
 	sp := space(t, s, "x")
@@ -22,7 +22,7 @@
 	for n := range 900 {
 		put(t, s, sp, fmt.Sprintf("k%04d", n), value)
 	}
-	for n := range 900 { // six of ten are dead: some 350 KB are to be read, and written again
+	for n := range 900 { // 540 of the 900 values are garbage: a pass reads the other 350 KB or so and writes them again
 		if n%5 > 1 {
 			put(t, s, sp, fmt.Sprintf("k%04d", n), "")
 		}
@@ -30,18 +30,18 @@
 	done := make(chan error, 1)
 	began := time.Now()
 	go func() { done <- s.Compact(context.Background()) }()
-	beside := 0
-	for over := false; !over; {
+	commits := 0
+	for ended := false; !ended; {
 		select {
 		case err := <-done:
 			require.NoError(t, err)
-			over = true
+			ended = true
 		default:
-			put(t, s, sp, "beside", fmt.Sprint(beside))
-			beside++
+			put(t, s, sp, "during the pass", fmt.Sprint(commits))
+			commits++
 			time.Sleep(time.Millisecond)
 		}
 	}
-	require.Greater(t, time.Since(began), 500*time.Millisecond, "700 KB, less what may come at once")
-	require.Greater(t, beside, 20)
+	require.Greater(t, time.Since(began), 500*time.Millisecond, "700 KB at 512 KiB a second, less the limiter's burst")
+	require.Greater(t, commits, 20)
 }
--- a/internal/store/paced_file.go
+++ b/internal/store/paced_file.go
@@ -6,23 +6,23 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// pacedFile writes a file from its start on, in chunks of chunkBytes, at the given pace. It syncs every bytesPerSync
-// bytes: one large sync at the end would delay the commits whose syncs queue up behind it.
+// pacedFile writes a file sequentially, in chunks of about chunkBytes, at a limited rate. It syncs after every bytesPerSync
+// bytes: one large sync at the end would delay the commits whose syncs queue up behind it in the disk.
 type pacedFile struct {
-	pace     func(n int) error // waits until n more bytes may be written; nil: no bound
+	pace     func(n int) error // waits until n more bytes may be written; nil: no limit
 	f        vfs.File
-	name     string
-	buf      []byte
-	off      int64
-	unsynced int
+	name     string // for errors
+	buf      []byte // not written yet
+	off      int64  // at which buf will be written
+	unsynced int    // bytes written since the last sync
 }
 
 const (
-	chunkBytes   = 128 << 10
-	bytesPerSync = 1 << 20
+	chunkBytes   = 128 << 10 // size from which buffered bytes are written
+	bytesPerSync = 1 << 20   // bytes written between two syncs
 )
 
-// Write appends to the file. What is shorter than a chunk stays in memory until flush.
+// Write appends to the file. It buffers bytes until there are chunkBytes of them.
 func (p *pacedFile) Write(b []byte) (int, error) {
 	p.buf = append(p.buf, b...)
 	if len(p.buf) >= chunkBytes {
@@ -31,7 +31,7 @@
 	return len(b), nil
 }
 
-// flush writes what is in memory, and syncs if bytesPerSync bytes were written since the last sync.
+// flush writes the buffered bytes, and syncs if bytesPerSync bytes were written since the last sync.
 func (p *pacedFile) flush() error {
 	if len(p.buf) == 0 {
 		return nil
@@ -42,7 +42,7 @@
 		}
 	}
 	if _, err := p.f.WriteAt(p.buf, p.off); err != nil {
-		return fmt.Errorf("store: writing %s: %w", p.name, err)
+		return fmt.Errorf("store: writing %s at offset %d: %w", p.name, p.off, err)
 	}
 	p.off += int64(len(p.buf))
 	if p.unsynced += len(p.buf); p.unsynced >= bytesPerSync {
--- a/internal/store/pass.go
+++ b/internal/store/pass.go
@@ -12,31 +12,39 @@
 	"ospreypond/internal/store/table"
 )
 
-// pass is one compaction: it merges the frozen layer and the table on disk into a new table, and on the way copies the
-// live records out of the victims, the segments to be rewritten. Its files take effect all at once, with the manifest that
-// names them. A pass belongs to the goroutine that runs it.
+// pass is one compaction. Its steps are:
+//
+//  1. Choose the victims, the segments to be rewritten.
+//  2. Merge the frozen layer and the table on disk into a new table. Copy each live record that is in a victim to an output
+//     segment, and enter its new location in the table.
+//  3. Copy the deletions in victims that still hide a record in one of the remaining segments.
+//  4. Sync the new files and the folder, and write a manifest that names the new files instead of the old ones.
+//  5. Remove the victims and the old table.
+//
+// The new files take effect together, with the manifest. A pass belongs to the goroutine that runs it.
 type pass struct {
 	s             *Store
 	ctx           context.Context
-	version       *version
-	upTo          uint64 // the last commit that the frozen layer has
-	indexOnly     bool   // no segments are rewritten
-	victims       []uint64
-	remaining     []plan.Segment // all others
-	timeIndex     []plan.TimePoint
+	version       *version         // the frozen layer, table and segments that the pass reads
+	upTo          uint64           // sequence number of the last commit in the frozen layer
+	indexOnly     bool             // rewrite no segments
+	victims       []uint64         // numbers of the segments to be rewritten
+	remaining     []plan.Segment   // all segments that are not victims, the open one among them
+	timeIndex     []plan.TimePoint // the manifest's when the pass began
 	retentions    map[uint16]plan.Retention
-	readingVictim uint64 // 0: none is being read
+	readingVictim uint64 // number of the victim that is being read; 0: none
 
-	output       *output // the segment being written; nil: none
-	outputs      []plan.Segment
-	handles      []*handle // of outputs
-	base         *baseTable
-	live         map[uint64]int64   // put bytes that are live, by segment
-	bytesByTime  map[uint16][]int64 // put bytes by space and point of timeIndex, of spaces that are bounded in bytes
-	floorsRaised bool               // records have expired, so there may be more to rewrite
+	output       *output            // the segment that is being written; nil: none
+	outputs      []plan.Segment     // finished output segments, as the manifest will describe them
+	handles      []*handle          // files of outputs
+	base         *baseTable         // the new table
+	live         map[uint64]int64   // live put bytes (plan.PutBytes), by segment
+	bytesByTime  map[uint16][]int64 // live put bytes by space and point of timeIndex, of spaces with a limit in bytes
+	floorsRaised bool               // the pass raised a floor, so segments may have more garbage than it knew of
 }
 
-// run does the whole pass. After an error nothing has changed for readers, and discard removes what was written.
+// run runs the pass. After an error readers still see the old files, and the caller calls discard to remove the new ones.
+// damaged has the segments that must not become victims.
 func (p *pass) run(damaged map[uint64]bool) error {
 	s := p.s
 	s.manMu.Lock()
@@ -66,12 +74,13 @@
 		return err
 	}
 	if err := s.opt.FS.SyncDir(s.dir); err != nil {
-		return fmt.Errorf("store: syncing the folder: %w", err)
+		return fmt.Errorf("store: syncing the folder %s: %w", s.dir, err)
 	}
 	return p.install()
 }
 
-// writeTable writes the index as a new table and copies the records that lie in victims.
+// writeTable merges the frozen layer and the old table into a new table, copies the records that are in victims, and syncs
+// the new table.
 func (p *pass) writeTable() error {
 	s := p.s
 	id := s.nextID()
@@ -103,7 +112,8 @@
 	return nil
 }
 
-// addEntries adds every live entry to the table and counts its bytes.
+// addEntries adds every live entry of the frozen layer and the old table to the new one. It counts the live bytes of each
+// segment.
 func (p *pass) addEntries(w *table.Writer) error {
 	m := newMergeIterator(p.version.floors, "", p.version.table(), p.version.frozen)
 	var buf []byte
@@ -128,7 +138,8 @@
 	return nil
 }
 
-// countByTime counts an entry of a space that is bounded in bytes at the first point in time at or after its commit.
+// countByTime adds an entry's bytes to bytesByTime, if its space has a limit in bytes. They count for the first point of
+// timeIndex whose number is not lower than the entry's commit.
 func (p *pass) countByTime(e table.Entry, putBytes int64) {
 	byTime := p.bytesByTime[spaceOf(e.Key)]
 	if byTime == nil {
@@ -139,8 +150,8 @@
 	}
 }
 
-// moveRecord copies a record out of a victim and returns where it lies now. buf is used for the value, if it is large
-// enough, and returned for the next one.
+// moveRecord copies a record out of a victim and returns its new location. It reads the value into buf, or a larger buffer,
+// which it returns for the next call.
 func (p *pass) moveRecord(e table.Entry, buf []byte) (table.Loc, []byte, error) {
 	p.readingVictim = uint64(e.Loc.Segment)
 	value, err := p.version.read(e.Key, e.Loc, buf)
@@ -155,11 +166,12 @@
 	return e.Loc, value, err
 }
 
-// copyTombstones copies those deletions out of the victims that shadow a record in one of the remaining segments.
+// copyTombstones copies the deletions in victims that may hide a record in one of the remaining segments. Without them an
+// index that is rebuilt from the segments would have that record again.
 func (p *pass) copyTombstones(man *manifest.Manifest) error {
 	for _, g := range man.Segments {
 		if g.Tombstones == 0 || !slices.Contains(p.victims, g.ID) || !plan.TombstoneNeeded(g.Last, p.remaining) {
-			continue // if the newest deletion is not needed, no older one is
+			continue // g.Last is at least as new as its newest deletion: if that is not needed, no older one is
 		}
 		p.readingVictim = g.ID
 		if err := p.copyTombstonesOf(g); err != nil {
@@ -170,7 +182,7 @@
 	return nil
 }
 
-// copyTombstonesOf copies the deletions of one victim that are still needed.
+// copyTombstonesOf copies the deletions in one victim that are still needed.
 func (p *pass) copyTombstonesOf(g plan.Segment) error {
 	h := p.version.segments[uint32(g.ID)]
 	sc := segment.NewScanner(h.f, segment.HeaderSize, g.Size)
@@ -195,8 +207,8 @@
 	return nil
 }
 
-// superseded reports whether an operation of commit seq is no deletion, or one of a single key that was put again since:
-// that put lasts longer than the deletion.
+// superseded reports whether an operation of commit seq needs no copy: it is a put, or it deletes a single key that was put
+// later. The later put is newer than the deletion, so it also hides all that the deletion hides.
 func (p *pass) superseded(o segment.Op, seq uint64) (bool, error) {
 	switch o.Kind {
 	case segment.Put:
@@ -209,7 +221,7 @@
 	}
 }
 
-// install replaces the old files by the pass's and removes the old ones.
+// install writes the manifest that names the new files, makes readers use them, and removes the old files.
 func (p *pass) install() error {
 	s := p.s
 	oldTable := ""
@@ -236,7 +248,7 @@
 		h.unref()
 	}
 	p.handles, p.base = nil, nil
-	// Both copies of the manifest are on disk, so neither names these any more.
+	// Both copies of the new manifest are on disk, and neither names the files that are removed here.
 	for _, id := range p.victims {
 		s.remove(segmentName(id))
 	}
@@ -246,8 +258,8 @@
 	return nil
 }
 
-// editManifest has a manifest name the pass's files instead of the old ones, and raises the floors of spaces that are
-// bounded in bytes.
+// editManifest replaces the old files by the new ones in the manifest, updates the live bytes of the segments that the new
+// table covers, and raises the floors of spaces with a limit in bytes.
 func (p *pass) editManifest(m *manifest.Manifest) {
 	m.Segments = slices.DeleteFunc(m.Segments, func(g plan.Segment) bool { return slices.Contains(p.victims, g.ID) })
 	m.Segments = append(m.Segments, p.outputs...)
@@ -260,7 +272,7 @@
 	info := p.base.t.Info()
 	m.Table = &manifest.Table{ID: info.ID, Size: p.base.size, Seq: info.Seq, Count: info.Count}
 	for space, r := range p.retentions {
-		byBytes := plan.Retention{Bytes: r.Bytes} // by age floors rise when a segment is sealed
+		byBytes := plan.Retention{Bytes: r.Bytes} // the limit by age raises floors when a segment is sealed
 		if f := plan.Floor(m.Floors[space], byBytes, p.timeIndex, p.bytesByTime[space], 0); f > m.Floors[space] {
 			m.Floors[space] = f
 			p.floorsRaised = true
@@ -268,7 +280,7 @@
 	}
 }
 
-// discard removes the files of a pass that failed.
+// discard closes and removes the files that a failed pass wrote.
 func (p *pass) discard() {
 	if p.output != nil {
 		p.handles = append(p.handles, p.output.h)
@@ -278,7 +290,7 @@
 	}
 	for _, h := range p.handles {
 		h.unref()
-		if p.s.fault.Load() == nil { // otherwise the manifest on disk may name it
+		if p.s.fault.Load() == nil { // otherwise the manifest on disk may name the file
 			_ = p.s.opt.FS.Remove(p.s.path(h.name))
 		}
 	}
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -1,6 +1,6 @@
 // Package plan makes the store's decisions: when a segment is full, when a compaction pass is due, which segments it
-// rewrites or removes, which deletions must outlast their segment, and which records have expired. Its functions depend on
-// their arguments only: it has no files, clock or goroutines.
+// rewrites or removes, which deletions a pass must copy, and which records have expired. Its functions are pure: they depend
+// on their arguments only and use no files, clock or goroutines.
 package plan
 
 import (
@@ -9,38 +9,41 @@
 	"time"
 )
 
-// Kind is what a segment consists of. Its values are on disk, in the manifest.
+// Kind says which frames a segment has. Its values are on disk, in the manifest.
 type Kind string
 
 // The kinds of segments.
 const (
-	Log    Kind = "log"    // commits in their order
-	Output Kind = "output" // records that compaction kept, by key
+	Log    Kind = "log"    // commits in their order, written by the writer
+	Output Kind = "output" // records in the order of their keys, and deletions, copied by a pass
 )
 
-// Segment is what is known of one segment file. It is part of the manifest: the JSON keys are on disk.
+// Segment describes one segment file. It is part of the manifest: the JSON keys are on disk.
 type Segment struct {
-	ID     uint64 `json:"id"`
+	ID     uint64 `json:"id"` // the file's number, in its name
 	Kind   Kind   `json:"kind"`
-	Sealed bool   `json:"sealed,omitempty"` // complete: nothing is written to it any more
-	First  uint64 `json:"first"`            // lowest sequence number; of the open segment, that of its first commit
-	Last   uint64 `json:"last,omitempty"`   // highest sequence number, when sealed
-	Size   int64  `json:"size,omitempty"`   // bytes, when sealed
-	Puts   int64  `json:"puts,omitempty"`   // bytes of the keys and values put, see PutBytes
-	// Live is how many bytes of it are live, as the last pass counted: each the newest record of its key. Until a pass has
-	// counted, all puts are.
+	Sealed bool   `json:"sealed,omitempty"` // the file is complete and never written again
+	First  uint64 `json:"first"`            // lowest sequence number; in the open segment, that of its first commit
+	Last   uint64 `json:"last,omitempty"`   // highest sequence number; 0 in the open segment
+	Size   int64  `json:"size,omitempty"`   // of the file in bytes; 0 in the open segment
+	Puts   int64  `json:"puts,omitempty"`   // total PutBytes of its records; 0 in the open segment
+	// Live estimates how many bytes of the file are live, as of the last pass that covered it. A record is live if it is the
+	// newest of its key and has not expired. Until a pass has counted them, all records count as live.
 	Live int64 `json:"live"`
-	// Tombstones is how many bytes its deletions take. A deletion must be kept as long as an older record of its key may
-	// exist in another segment.
+	// Tombstones is how many bytes the deletions take. A deletion must be kept as long as another segment may have an older
+	// record of its key.
 	Tombstones int64 `json:"graves,omitempty"`
-	// Clean is the sequence number up to which no deletion shadows a record in it.
+	// Clean is a sequence number: no deletion up to it hides a record in this segment, because the pass that wrote the
+	// segment covered all commits up to it. It is 0 for log segments.
 	Clean uint64 `json:"clean,omitempty"`
 }
 
-// PutBytes is what a record counts for in Segment.Puts, given the lengths of its key and value.
+// PutBytes returns the bytes that a record counts for in Segment.Puts: the lengths of its key and value, plus 8.
 func PutBytes(key, value int) int64 { return int64(key + value + 8) }
 
-// LiveBytes returns how many bytes of a segment are live if that many of its put bytes are.
+// LiveBytes returns how many bytes of the file are live if puts of its put bytes are live:
+//
+//	(Size - Header - Tombstones) * puts / Puts
 func (s Segment) LiveBytes(puts int64) int64 {
 	if s.Puts <= 0 {
 		return 0
@@ -48,60 +51,71 @@
 	return int64(float64(s.body()-s.Tombstones) * min(1, float64(puts)/float64(s.Puts)))
 }
 
-// body is the segment without its header, which is no garbage: otherwise a small segment would be rewritten forever.
+// body returns the bytes of the segment without its header. If the header counted as garbage, a small segment would be
+// rewritten in every pass.
 func (s Segment) body() int64 { return max(s.Size-Header, 0) }
 
-// garbage is the fraction of the segment that is neither live nor a deletion.
+// garbage returns the fraction of the segment's body that is neither live nor a deletion.
 func (s Segment) garbage() float64 { return 1 - float64(s.Live+s.Tombstones)/float64(max(s.body(), 1)) }
 
-// Header is the size of a segment file's header in bytes.
+// Header is the size of a segment file's header in bytes, the same as segment.HeaderSize.
 const Header = 64
 
 // Limits are the settings that decisions depend on. All must be over 0.
 type Limits struct {
+	// SegmentBytes is the size up to which a segment is filled.
 	SegmentBytes int64
-	// Garbage is the fraction of a segment that must be dead before it is rewritten, 0 to 1.
+	// Garbage is the fraction of a segment, over 0 and up to 1, that must be garbage before a pass rewrites the segment.
 	Garbage float64
-	// Tombstones is the fraction of all bytes that deletions may take before segments are rewritten to get rid of them.
+	// Tombstones is the fraction of the bytes of all sealed segments that deletions may take. Above it, segments are
+	// rewritten so that their deletions can be dropped.
 	Tombstones float64
-	// PassBytes bounds what one pass copies.
+	// PassBytes limits how many bytes one pass copies out of segments.
 	PassBytes int64
 }
 
-// SegmentFull reports whether a segment of size bytes is to be sealed before next more bytes are written. A batch larger than
-// a segment gets one of its own.
+// SegmentFull reports whether a segment of size bytes must be sealed before next more bytes are written. A segment without
+// frames is never full, so that a batch larger than SegmentBytes fits into one.
 func SegmentFull(size, next int64, l Limits) bool {
 	return size > Header && size+next > l.SegmentBytes
 }
 
-// PrepareNext reports whether the next segment should be prepared in advance, given how long the last one took to fill. It
-// costs writing each byte of a segment twice, which only pays at many commits a second.
+// PrepareNext reports whether the next segment should be prepared in advance, given how long the last one took to fill.
+// Preparation makes syncs faster and writes each byte of a segment twice, which pays only at many commits a second.
 func PrepareNext(filled time.Duration) bool { return filled < 5*time.Second }
 
-// Tail is what was committed since the last layer was frozen, and what it has to be merged with.
+// Tail has the sizes, in bytes, of the commits since the last layer was frozen and of the table with which a pass must merge
+// them.
 type Tail struct {
-	Log     int64 // bytes of log that the next Open would read
-	Overlay int64 // bytes that the uppermost layer takes in memory
-	Table   int64 // bytes of the table, which a pass writes anew
+	LogBytes      int64 // of the log that the table does not cover, which the next Open would read
+	TopLayerBytes int64 // of memory that the uppermost layer takes
+	TableBytes    int64 // of the table, which a pass rewrites completely
 }
 
-// maxOverlay is the size of the uppermost layer from which a pass is due however large the table is.
-const maxOverlay = 16 << 20
-
-// PassDue reports whether a pass is worth its cost when a segment is sealed. A pass writes the index anew, so one is due when
-// the index has grown by a fraction of its size; when the index is small compared with the log, as where few keys are
-// written over and over, so that dead records are removed soon; or when Open would take long.
+// maxTopLayerBytes is the size of the uppermost layer from which a pass is due however large the table is. It limits the
+// memory that the index takes.
+const maxTopLayerBytes = 16 << 20
+
+// PassDue reports whether a pass is worth its cost, which is mainly that of rewriting the table. It is called when a segment
+// is sealed. A pass is due in one of three cases:
+//
+//   - The index has grown enough: the uppermost layer has reached maxTopLayerBytes, or the larger of a quarter of the table
+//     and 3/8 of a segment.
+//   - The index is small compared with the log, as when few keys are overwritten again and again. A pass then costs little
+//     and removes much garbage.
+//   - Open would have to read 8 segments of log.
 func PassDue(t Tail, l Limits) bool {
-	if t.Log == 0 {
+	if t.LogBytes == 0 {
 		return false
 	}
-	grown := t.Overlay >= min(maxOverlay, max(t.Table/4, l.SegmentBytes*3/8))
-	cheap := t.Log >= 2*l.SegmentBytes && t.Table+t.Overlay <= t.Log/4
-	return grown || cheap || t.Log >= 8*l.SegmentBytes
+	grown := t.TopLayerBytes >= min(maxTopLayerBytes, max(t.TableBytes/4, l.SegmentBytes*3/8))
+	cheap := t.LogBytes >= 2*l.SegmentBytes && t.TableBytes+t.TopLayerBytes <= t.LogBytes/4
+	return grown || cheap || t.LogBytes >= 8*l.SegmentBytes
 }
 
-// UnindexedLogs returns the log segments with commits after known, the last one in the table, in the order of their commits.
-// That is not the order of their numbers: a prepared segment may be opened after one with a higher number.
+// UnindexedLogs returns the log segments that have commits after known, the last commit that the table covers, and the open
+// segment, in the order of their commits. That may differ from the order of their numbers: a prepared segment gets its
+// number early and may be opened after one with a higher number.
 func UnindexedLogs(segments []Segment, known uint64) []Segment {
 	var log []Segment
 	for _, s := range segments {
--- a/internal/store/plan/plan_test.go
+++ b/internal/store/plan/plan_test.go
@@ -23,7 +23,7 @@
 	small.PassBytes = 450
 	require.Equal(t, []uint64{2, 3}, Victims(s, 39, small))
 	small.PassBytes = 10
-	require.Equal(t, []uint64{2, 3}, Victims(s, 39, small), "one is always taken, or nothing would ever go on")
+	require.Equal(t, []uint64{2, 3}, Victims(s, 39, small), "the first segment with anything to copy is chosen even if it exceeds the limit")
 }
 
 func TestATombstoneOutlastsItsSegmentWhileAnOlderRecordMayExist(t *testing.T) {
@@ -32,10 +32,10 @@
 	later := Segment{ID: 3, First: 70}
 	require.True(t, TombstoneNeeded(60, []Segment{clean, old}))
 	require.False(t, TombstoneNeeded(60, []Segment{clean, later}))
-	require.True(t, TombstoneNeeded(101, []Segment{clean}), "cleaned before that deletion")
+	require.True(t, TombstoneNeeded(101, []Segment{clean}), "the segment was cleaned before that deletion")
 }
 
-func TestMuchOfDeletionsHasTheOldestRewritten(t *testing.T) {
+func TestManyTombstonesCauseTheLeastRecentlyCleanedSegmentsToBeRewritten(t *testing.T) {
 	s := []Segment{
 		{ID: 1, Sealed: true, First: 1, Last: 9, Size: 1000, Live: 936},
 		{ID: 2, Sealed: true, First: 10, Last: 19, Size: 1000, Tombstones: 900},
@@ -65,10 +65,10 @@
 		for i, m := range index {
 			tooOld := r.AgeMs > 0 && m.UnixMs <= now-r.AgeMs
 			if m.Seq <= floor && floor > was {
-				require.True(t, tooOld || r.Bytes > 0 && sum(bytesByTime[i:]) > r.Bytes, "dropped without need")
+				require.True(t, tooOld || r.Bytes > 0 && sum(bytesByTime[i:]) > r.Bytes, "a record expired though neither limit was exceeded")
 			}
 			if m.Seq > floor {
-				require.False(t, tooOld, "too old and retained")
+				require.False(t, tooOld, "a record is retained though it is too old")
 			}
 		}
 		if floor == was && r == (Retention{}) {
@@ -90,13 +90,13 @@
 }
 
 func TestAPassIsDueWhenTheIndexHasGrownOrTheLogIsLong(t *testing.T) {
-	require.False(t, PassDue(Tail{Log: 1 << 10, Overlay: 1 << 10}, limits))
-	require.True(t, PassDue(Tail{Log: 1 << 20, Overlay: 400 << 10}, limits))
-	require.False(t, PassDue(Tail{Log: 1 << 20, Overlay: 400 << 10, Table: 4 << 20}, limits))
-	require.True(t, PassDue(Tail{Log: 8 << 20, Overlay: 1, Table: 4 << 20}, limits))
-	require.True(t, PassDue(Tail{Log: 2 << 20, Overlay: 100 << 10, Table: 100 << 10}, limits), "few keys, much of the log is dead")
-	require.False(t, PassDue(Tail{Log: 2 << 20, Overlay: 100 << 10, Table: 1 << 20}, limits))
-	require.True(t, PassDue(Tail{Log: 1 << 20, Overlay: 16 << 20, Table: 1 << 30}, limits), "memory is bounded")
+	require.False(t, PassDue(Tail{LogBytes: 1 << 10, TopLayerBytes: 1 << 10}, limits))
+	require.True(t, PassDue(Tail{LogBytes: 1 << 20, TopLayerBytes: 400 << 10}, limits))
+	require.False(t, PassDue(Tail{LogBytes: 1 << 20, TopLayerBytes: 400 << 10, TableBytes: 4 << 20}, limits))
+	require.True(t, PassDue(Tail{LogBytes: 8 << 20, TopLayerBytes: 1, TableBytes: 4 << 20}, limits))
+	require.True(t, PassDue(Tail{LogBytes: 2 << 20, TopLayerBytes: 100 << 10, TableBytes: 100 << 10}, limits), "few keys were overwritten often, so much of the log is garbage")
+	require.False(t, PassDue(Tail{LogBytes: 2 << 20, TopLayerBytes: 100 << 10, TableBytes: 1 << 20}, limits))
+	require.True(t, PassDue(Tail{LogBytes: 1 << 20, TopLayerBytes: 16 << 20, TableBytes: 1 << 30}, limits), "the uppermost layer has reached its limit of memory")
 	require.False(t, SegmentFull(Header, 2<<20, limits), "a batch larger than a segment gets an empty one")
 	require.True(t, SegmentFull(Header+1, 1<<20, limits))
 }
--- a/internal/store/plan/retention.go
+++ b/internal/store/plan/retention.go
@@ -1,22 +1,30 @@
 package plan
 
-// TimePoint relates sequence numbers to time: those up to Seq were assigned by then. The manifest has an index of them, with
-// a point for each sealed segment.
+// TimePoint says that all commits up to Seq were made by the time UnixMs. The manifest has an index of points: one is added
+// when a segment is sealed.
 type TimePoint struct {
 	Seq    uint64 `json:"seq"`
-	UnixMs int64  `json:"ms"`
+	UnixMs int64  `json:"ms"` // milliseconds since 1970
 }
 
-// Retention bounds the records of a space; a zero field sets no bound. Its JSON is on disk, in the records of the spaces.
+// Retention limits which records a space retains; a zero field sets no limit. Its JSON is on disk, in the records of the
+// spaces.
 type Retention struct {
-	AgeMs int64 `json:"age_ms,omitempty"` // since the commit
-	Bytes int64 `json:"bytes,omitempty"`  // as PutBytes counts them
+	AgeMs int64 `json:"age_ms,omitempty"` // maximum time since the commit, in milliseconds
+	Bytes int64 `json:"bytes,omitempty"`  // maximum total of PutBytes of the live records
 }
 
-// Floor returns the sequence number up to which a space's records have expired, given that it was that number before. The
-// index is in order; bytesByTime has for each point how many of the space's bytes have numbers after the previous point's and
-// up to its own, and may be nil if r.Bytes is 0. The floor only ever rises, to the number of a point: all records between two
-// points expire together, so some are retained that much longer than r says.
+// Floor returns the sequence number up to which a space's records have expired. was is the floor so far. index is ascending.
+// bytesByTime[i] is how many live bytes of the space have sequence numbers above index[i-1].Seq and up to index[i].Seq; it
+// may be nil if r.Bytes is 0.
+//
+// The floor is the highest of
+//
+//   - was: the floor never falls;
+//   - the highest point that is at least r.AgeMs old;
+//   - the highest point i for which the sum of bytesByTime[i:] exceeds r.Bytes.
+//
+// Records between two points expire together, so the oldest of them are retained longer than r says.
 func Floor(was uint64, r Retention, index []TimePoint, bytesByTime []int64, nowMs int64) uint64 {
 	floor := was
 	if r.AgeMs > 0 {
@@ -38,8 +46,8 @@
 	return floor
 }
 
-// TrimTimeIndex bounds the number of points. If there are more than maxPoints, the newest maxPoints/2 stay and of the older
-// ones every second, so that old records expire in larger steps.
+// TrimTimeIndex reduces the number of points if there are more than maxPoints. It keeps the newest maxPoints/2, and every
+// second one of the older ones and the last of them. Old records then expire in larger steps.
 func TrimTimeIndex(index []TimePoint, maxPoints int) []TimePoint {
 	if len(index) <= maxPoints {
 		return index
--- a/internal/store/plan/victims.go
+++ b/internal/store/plan/victims.go
@@ -5,9 +5,12 @@
 	"slices"
 )
 
-// Victims chooses the segments that a pass rewrites or drops, and returns their numbers in ascending order. It prefers those
-// with most garbage. The pass has the index up to the sequence number upTo, so only segments that end there or before can be
-// chosen.
+// Victims chooses the segments that a pass rewrites, and returns their numbers in ascending order. A segment without live
+// records is dropped: the pass copies nothing out of it. Only sealed segments whose last commit is upTo or earlier can be
+// chosen, because the pass merges the index up to upTo.
+//
+// First come the segments with at least l.Garbage of garbage, those with the most first. If deletions take more than
+// l.Tombstones of all bytes, segments follow whose rewriting lets deletions be dropped.
 func Victims(segments []Segment, upTo uint64, l Limits) []uint64 {
 	var all, tombstones int64
 	var sealed []Segment
@@ -30,11 +33,12 @@
 // picker collects the victims of one pass.
 type picker struct {
 	ids    []uint64
-	copied int64 // bytes that the pass will copy out of them
-	limit  int64 // of copied
+	copied int64 // bytes that the pass will copy out of the victims
+	limit  int64 // maximum of copied
 }
 
-// pick reports whether a segment is a victim now. The first one always is, whatever it costs, or a large segment would
+// pick makes a segment a victim if the pass can still copy its live bytes and deletions within the limit. It reports whether
+// the segment is a victim. While nothing is to be copied yet, pick ignores the limit: otherwise a segment above it would
 // never be rewritten.
 func (p *picker) pick(s Segment) bool {
 	if slices.Contains(p.ids, s.ID) {
@@ -48,7 +52,7 @@
 	return true
 }
 
-// pickGarbage picks the segments whose fraction of garbage is at least minGarbage, those with most of it first.
+// pickGarbage picks the segments whose fraction of garbage is at least minGarbage, those with the most garbage first.
 func (p *picker) pickGarbage(sealed []Segment, minGarbage float64) {
 	byGarbage := slices.SortedFunc(slices.Values(sealed), func(a, b Segment) int {
 		return cmp.Or(cmp.Compare(b.garbage(), a.garbage()), cmp.Compare(a.ID, b.ID))
@@ -60,8 +64,8 @@
 	}
 }
 
-// pickUncleaned picks segments so that deletions go, which they can once no older segment is left uncleaned: the segments
-// that were cleaned longest ago go first.
+// pickUncleaned picks segments so that deletions can be dropped. A deletion can be dropped once no segment with older
+// records has a lower Clean than the deletion's number (TombstoneNeeded). So the segments with the lowest Clean come first.
 func (p *picker) pickUncleaned(sealed []Segment, upTo uint64) {
 	byClean := slices.SortedFunc(slices.Values(sealed), func(a, b Segment) int {
 		return cmp.Or(cmp.Compare(a.Clean, b.Clean), cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID))
@@ -73,8 +77,9 @@
 	}
 }
 
-// TombstoneNeeded reports whether the deletion of commit seq must outlast its segment: whether one of the segments that
-// remain may have a record that it shadows, which an index rebuilt from the segments would bring back.
+// TombstoneNeeded reports whether a pass must copy a deletion of commit seq out of its victim. It must if one of the
+// remaining segments may have a record that the deletion hides: it has a commit before seq, and was not cleaned up to seq.
+// Without the deletion an index rebuilt from the segments would have that record again.
 func TombstoneNeeded(seq uint64, remaining []Segment) bool {
 	for _, s := range remaining {
 		if s.First < seq && s.Clean < seq {
--- a/internal/store/prepare.go
+++ b/internal/store/prepare.go
@@ -5,17 +5,18 @@
 	"ospreypond/internal/store/segment"
 )
 
-// A sync takes about half as long if the writes before it did not make the file longer, as the new length would have to
-// reach the disk too. So while segments fill fast, the next one is prepared in the background: filled with zeros and
-// synced. Zeros are no frame, and the open segment may end in them.
+// A sync takes about half as long if the writes before it did not make the file longer, because otherwise the new length
+// must reach the disk too. So while segments fill fast, a goroutine prepares the next one: it fills the file with zeros and
+// syncs it. Zeros don't parse as a frame, so Open accepts an open segment that ends in them.
 
-// preparedSegment is a segment file of zeros: it lacks its header.
+// preparedSegment is a segment file of zeros. The writer adds the header when it opens the segment.
 type preparedSegment struct {
 	id uint64
 	h  *handle
 }
 
-// prepareNext prepares the next segment in a goroutine if the previous one filled fast enough to be worth it.
+// prepareNext starts a goroutine that prepares the next segment, if the previous one filled fast enough to be worth it (see
+// plan.PrepareNext). With Options.SyncEvery no commit waits for a sync, so nothing is prepared.
 func (w *writer) prepareNext(s *Store) {
 	filled := s.opt.Now().Sub(w.firstCommitAt)
 	if s.opt.SyncEvery > 0 || w.preparing || !plan.PrepareNext(filled) {
@@ -27,11 +28,12 @@
 	go func() {
 		defer s.goroutines.Done()
 		sp := s.prepareSegment(id)
-		w.preparedSegments <- sp // never blocks: there is at most one, and the channel takes one
+		w.preparedSegments <- sp // never blocks: there is at most one prepared segment, and the channel has room for one
 	}()
 }
 
-// prepareSegment makes a segment file of zeros. It returns nil if that fails or the store is closed.
+// prepareSegment creates a file of Options.SegmentBytes zeros and syncs it and its name. It returns nil if that fails or the
+// store is closed.
 func (s *Store) prepareSegment(id uint64) *preparedSegment {
 	name := segmentName(id)
 	f, err := s.opt.FS.Create(s.path(name))
@@ -56,20 +58,21 @@
 	if err == nil {
 		err = s.opt.FS.SyncDir(s.dir)
 	}
-	if err != nil { // no harm: the writer creates a segment itself
+	if err != nil { // without a prepared segment the writer creates one itself
 		s.removePreparedSegment(sp)
 		return nil
 	}
 	return sp
 }
 
-// removePreparedSegment closes and removes a segment that is not going to be used.
+// removePreparedSegment closes and removes a prepared segment that the writer won't use.
 func (s *Store) removePreparedSegment(sp *preparedSegment) {
 	sp.h.unref()
 	_ = s.opt.FS.Remove(s.path(sp.h.name))
 }
 
-// nextSegment returns the segment to continue in: the prepared one, if there is one, or a new one. prepared reports which.
+// nextSegment returns the segment that follows the open one, on disk with its header: the prepared one if there is one,
+// otherwise a new one. prepared reports which.
 func (w *writer) nextSegment(s *Store) (id uint64, h *handle, prepared bool, err error) {
 	head := segment.Header{Kind: segment.Log, Store: s.id, First: w.seq + 1}
 	select {
@@ -92,7 +95,8 @@
 	return head.ID, h, false, err
 }
 
-// trimZeros truncates the zeros at the end of the open segment, when it is sealed or the store is closed.
+// trimZeros cuts the zeros off the end of the open segment and syncs it. It is called before the segment is sealed and when
+// the store is closed. A sealed segment must have exactly the size that the manifest says.
 func (w *writer) trimZeros(s *Store) error {
 	if !w.mayHaveZeros {
 		return nil
@@ -107,8 +111,9 @@
 	return nil
 }
 
-// removePrepared removes a prepared segment that was not used. It may be called once no goroutine prepares one any more.
-func (w *writer) removePrepared(s *Store) {
+// removeUnusedPreparedSegment removes the prepared segment, if there is one, when the store is closed. The goroutine that
+// prepares segments must have ended.
+func (w *writer) removeUnusedPreparedSegment(s *Store) {
 	select {
 	case sp := <-w.preparedSegments:
 		if sp != nil {
--- a/internal/store/race_off_test.go
+++ b/internal/store/race_off_test.go
@@ -2,4 +2,5 @@
 
 package store_test
 
+// raceEnabled reports whether the race detector is on. Tests that try every offset or call then try only some of them.
 const raceEnabled = false
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -15,26 +15,27 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Lost is a range of a file that Repair had to leave out.
+// Lost is a range of a file, from Offset on, of which Repair could not copy the content.
 type Lost struct {
 	File   string `json:"file"`
-	Offset int64  `json:"offset"` // -1: the complete file
+	Offset int64  `json:"offset"` // of the first byte of the range; -1: the complete file
 	Why    string `json:"why"`
 }
 
-// Repaired is the report of Repair. Its JSON is printed by the command.
+// Repaired is the report of Repair. The command store repair prints it as JSON.
 type Repaired struct {
-	Records int    `json:"records"` // in the new store
-	Frames  int    `json:"frames"`  // read
-	Lost    []Lost `json:"lost"`
-	// Guessed: neither copy of the manifest could be read, so the segments were taken as found in the folder. Records that
-	// had expired may be back.
+	Records int    `json:"records"` // number of records in the new store
+	Frames  int    `json:"frames"`  // number of undamaged frames that were read
+	Lost    []Lost `json:"lost"`    // ranges that could not be read
+	// Guessed is true if neither copy of the manifest could be read. Repair then read all segments in the folder, so records
+	// that had expired may be in the new store.
 	Guessed bool `json:"guessed,omitempty"`
 }
 
-// Repair makes a new store in the folder into, which must be empty or missing, of what is undamaged in the one in dir, which
-// it does not change. A key whose newest record or deletion was lost has an earlier value or is missing; no key has a value
-// that it never had. Sequence numbers are assigned anew, in the old order. Repair returns ErrLocked while the store is open.
+// Repair copies the undamaged records of the store in dir to a new store in the folder into, which must be empty or missing.
+// It does not change the old store. A key whose newest record or deletion was lost has an earlier value or is missing; no
+// key has a value that it never had. The records get new sequence numbers, in the order of the old ones. Repair returns
+// ErrLocked if the old store is open.
 func Repair(ctx context.Context, dir, into string, opt Options) (*Repaired, error) {
 	if err := opt.defaults(); err != nil {
 		return nil, err
@@ -43,11 +44,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = lock.Close() }() // only gives the lock back
+	defer func() { _ = lock.Close() }() // only unlocks the folder
 	if names, err := opt.FS.List(into); err == nil && len(names) > 0 {
-		return nil, fmt.Errorf("store: repair into %s: the folder is not empty", into)
+		return nil, fmt.Errorf("store: repairing into %s: the folder is not empty: it has %d files", into, len(names))
 	} else if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("store: repair into %s: %w", into, err)
+		return nil, fmt.Errorf("store: repairing into %s: %w", into, err)
 	}
 	r := &repairer{Repaired: &Repaired{Lost: []Lost{}}, s: &Store{dir: dir, opt: opt}, files: map[uint32]vfs.File{}, index: newIndexBuilder()}
 	defer func() {
@@ -78,17 +79,18 @@
 // repairer is one run of Repair.
 type repairer struct {
 	*Repaired
-	s     *Store // never opened: it only finds files
-	files map[uint32]vfs.File
+	s     *Store              // the old store; never opened, only used for its folder and options
+	files map[uint32]vfs.File // open segments, by number
 	index *indexBuilder
 }
 
-// addLost reports a range as lost.
+// addLost adds to the report that a file could not be read from offset at on.
 func (r *repairer) addLost(file string, at int64, err error) {
 	r.Lost = append(r.Lost, Lost{file, at, err.Error()})
 }
 
-// manifest returns the manifest in force, or one of all segments in the folder if neither copy is undamaged.
+// manifest returns the current manifest. If both copies are damaged or missing, it returns one of all segments in the folder
+// and sets Guessed.
 func (r *repairer) manifest() (*manifest.Manifest, error) {
 	man, _, err := manifest.Read(r.s.opt.FS, r.s.dir)
 	if err == nil || errors.Is(err, ErrNewer) {
@@ -108,12 +110,12 @@
 		}
 	}
 	if len(man.Segments) == 0 {
-		return nil, fmt.Errorf("store %s: there is nothing of a store in it", r.s.dir)
+		return nil, fmt.Errorf("store %s: the folder has neither a manifest nor a segment", r.s.dir)
 	}
 	return man, nil
 }
 
-// readSegment adds the undamaged frames of a segment to the index and reports the rest as lost.
+// readSegment adds the undamaged frames of a segment to the index and reports the others as lost.
 func (r *repairer) readSegment(g plan.Segment) {
 	name := segmentName(g.ID)
 	f, err := r.s.opt.FS.Open(r.s.path(name))
@@ -128,7 +130,7 @@
 		return
 	}
 	if g.Sealed && size != g.Size {
-		r.addLost(name, min(size, g.Size), fmt.Errorf("%w: is %d bytes long instead of %d", ErrCorrupt, size, g.Size))
+		r.addLost(name, min(size, g.Size), fmt.Errorf("%w: file has %d bytes instead of %d", ErrCorrupt, size, g.Size))
 	}
 	g.Size = size
 	head := make([]byte, min(size, segment.HeaderSize))
@@ -141,15 +143,16 @@
 			}
 		}
 		if err == nil && h.ID != g.ID {
-			// Its records are another segment's, which has them under its own name if it is here.
-			r.addLost(name, 0, fmt.Errorf("%w: is another segment, number %d", ErrCorrupt, h.ID))
+			// The file has the content of segment h.ID. That segment's records are read from the file of its own name, if
+			// there is one.
+			r.addLost(name, 0, fmt.Errorf("%w: header is that of segment %d, expected segment %d", ErrCorrupt, h.ID, g.ID))
 			return
 		}
 	}
 	if err != nil {
 		r.addLost(name, 0, err)
 		if r.Guessed {
-			return // its kind is unknown
+			return // without a manifest or a header the segment's kind is unknown
 		}
 	}
 	n, err := r.index.addSegment(f, g, func(at int64, err error) error {
@@ -162,7 +165,7 @@
 	}
 }
 
-// repairBatchBytes is the size from which a batch is committed to the new store.
+// repairBatchBytes is the size in bytes from which Repair commits a batch to the new store.
 const repairBatchBytes = 1 << 20
 
 // write commits the records to the new store in the order of their commits.
@@ -184,9 +187,9 @@
 		}
 		if segment.Sum(e.Key, value) != e.Loc.Sum {
 			return &FileError{File: segmentName(uint64(e.Loc.Segment)), Offset: int64(e.Loc.Offset),
-				Err: fmt.Errorf("%w: value's checksum", ErrCorrupt)}
+				Err: fmt.Errorf("%w: the value's checksum does not match", ErrCorrupt)}
 		}
-		// Keys of the index are copied as they are, so the records of the spaces come along.
+		// The number of the space is kept, and namesSpace is copied like any other, so the new store has the same spaces.
 		b.Put(&Space{id: spaceOf(e.Key)}, e.Key[2:], value)
 		r.Records++
 		if b.Size() >= repairBatchBytes {
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -13,7 +13,8 @@
 	"ospreypond/internal/store/table"
 )
 
-// replay reads the part of the log that the table does not cover into the uppermost layer.
+// replay reads the commits that the table does not have from the log into the uppermost layer. Their sequence numbers must
+// follow the table's without a gap, across all segments.
 func (s *Store) replay(man *manifest.Manifest, segs map[uint32]*handle) error {
 	var known uint64
 	if man.Table != nil {
@@ -24,7 +25,7 @@
 		h := segs[uint32(g.ID)]
 		if g.First != next {
 			return &FileError{File: h.name, Offset: 0,
-				Err: fmt.Errorf("%w: starts with commit %d, and %d is due", ErrCorrupt, g.First, next)}
+				Err: fmt.Errorf("%w: segment starts with commit %d instead of %d", ErrCorrupt, g.First, next)}
 		}
 		var err error
 		if g.Sealed {
@@ -44,12 +45,12 @@
 	return nil
 }
 
-// replaySealed reads a sealed segment, all of which must be there.
+// replaySealed reads a sealed segment, which must have all its frames, and returns the commit after its last one.
 func (s *Store) replaySealed(g plan.Segment, h *handle, next uint64) (uint64, error) {
 	sc := segment.NewScanner(h.f, segment.HeaderSize, g.Size)
 	next, err := s.replayFrames(sc, g, next)
 	if errors.Is(err, io.EOF) && next != g.Last+1 {
-		err = fmt.Errorf("%w: ends with commit %d instead of %d", ErrCorrupt, next-1, g.Last)
+		err = fmt.Errorf("%w: segment ends with commit %d instead of %d", ErrCorrupt, next-1, g.Last)
 	}
 	if !errors.Is(err, io.EOF) {
 		return next, &FileError{File: h.name, Offset: sc.Offset(), Err: err}
@@ -58,11 +59,13 @@
 	return next, nil
 }
 
-// errContent is wrapped by errors about a frame that is complete and yet not what was written there. No crash leaves one.
-var errContent = errors.New("complete frame")
+// errWrongContent is wrapped by errors about a frame whose checksum matches and whose content is wrong. A crash can't cause
+// one, so it is never taken for a torn end.
+var errWrongContent = errors.New("complete frame with wrong content")
 
-// replayFrames applies all frames until one is not as it should be, and returns why and the commit that would have been
-// next: io.EOF if the segment ends. The Scanner then stands before that frame.
+// replayFrames applies frames until one is damaged or has the wrong content, or the segment ends. It returns the number of
+// the commit that it expected there, and the cause: io.EOF at the segment's end. The Scanner is then positioned at that
+// frame.
 func (s *Store) replayFrames(sc *segment.Scanner, g plan.Segment, next uint64) (uint64, error) {
 	for {
 		f, at, err := sc.Next()
@@ -71,13 +74,13 @@
 		}
 		if f.Seq != next {
 			sc.SeekTo(at)
-			return next, fmt.Errorf("%w: %w: commit %d, and %d is due", errContent, ErrCorrupt, f.Seq, next)
+			return next, fmt.Errorf("%w: %w: frame of commit %d instead of %d", errWrongContent, ErrCorrupt, f.Seq, next)
 		}
 		if err := segment.Ops(f.Payload, func(o segment.Op) error {
 			return s.replayOp(o, f.Seq, uint32(g.ID), uint32(at), !g.Sealed)
 		}); err != nil {
 			sc.SeekTo(at)
-			return next, fmt.Errorf("%w: %w", errContent, err)
+			return next, fmt.Errorf("%w: %w", errWrongContent, err)
 		}
 		if !g.Sealed && at == segment.HeaderSize {
 			s.writer.firstCommitAt = f.Time
@@ -86,10 +89,11 @@
 	}
 }
 
-// replayOp applies one operation of a frame at offset at. Those of the open segment count for its figures.
+// replayOp applies one operation of the frame at offset at to the uppermost layer. open says that the frame is in the open
+// segment: then the operation also counts for the writer's puts and tombstones.
 func (s *Store) replayOp(o segment.Op, seq uint64, seg, at uint32, open bool) error {
 	if len(o.Key) < 2 || o.Kind == segment.DeleteRange && len(o.End) < 2 {
-		return fmt.Errorf("%w: key of %d bytes", ErrCorrupt, len(o.Key))
+		return fmt.Errorf("%w: key %.20x or range end %.20x is shorter than the 2 bytes of a space's number", ErrCorrupt, o.Key, o.End)
 	}
 	switch o.Kind {
 	case segment.Put:
@@ -110,7 +114,7 @@
 	return nil
 }
 
-// replayOpen reads the open segment and truncates a torn end.
+// replayOpen reads the open segment, cuts off a torn end, and makes the segment the writer's. It returns the next commit.
 func (s *Store) replayOpen(g plan.Segment, h *handle, next uint64) (uint64, error) {
 	size, err := h.f.Size()
 	if err != nil {
@@ -129,7 +133,7 @@
 	}
 	if end == tornEnd {
 		if err := s.truncateTornEnd(g, h, size, good); err != nil {
-			return next, &FileError{File: h.name, Offset: good, Err: fmt.Errorf("cutting a torn end off: %w", err)}
+			return next, &FileError{File: h.name, Offset: good, Err: fmt.Errorf("truncating a torn end: %w", err)}
 		}
 		s.opt.Log.WithFields(logrus.Fields{"store": s.dir, "file": h.name, "offset": good, "cut": max(0, size-good),
 			"last": next - 1}).Warn("torn end of the log is cut off; all before it is there")
@@ -140,7 +144,8 @@
 	return next, nil
 }
 
-// truncateTornEnd truncates the open segment from size to good bytes. A header that is not complete is written anew.
+// truncateTornEnd truncates the open segment from size to good bytes and syncs it. If the header is incomplete, it writes
+// the header again.
 func (s *Store) truncateTornEnd(g plan.Segment, h *handle, size, good int64) error {
 	if size >= segment.HeaderSize {
 		if err := h.f.Truncate(good); err != nil {
@@ -158,25 +163,26 @@
 	return h.f.Sync()
 }
 
-// logEnd is how the frames of the open segment end.
+// logEnd says what follows the last complete frame of the open segment.
 type logEnd int
 
 const (
-	cleanEnd logEnd = iota // with the file
-	zeroEnd                // with zeros up to the file's end: the segment was prepared, see prepareSegment
-	tornEnd                // with a write that a crash interrupted
+	cleanEnd logEnd = iota // the end of the file
+	zeroEnd                // zeros up to the end of the file: the segment was prepared, see prepareSegment
+	tornEnd                // a write that a crash interrupted
 )
 
-// inspectEnd decides how the open segment ends, given why commit next could not be read where the Scanner stands. An error
-// means that it is damaged there, or that the disk does not read.
+// inspectEnd decides how the open segment ends. The Scanner is positioned where commit next is expected, and cause is why it
+// could not be read. inspectEnd returns an error if the segment is damaged there or the disk can't be read.
 //
-// Commits are synced in their order. So a later frame that is complete and calls commit next durable proves that this one
-// was complete once, and is no torn end.
+// It distinguishes damage from a torn write as follows. Commits are synced in their order, and each frame's Durable is a
+// number up to which all commits were on disk when the frame was written. If a complete frame further on has Durable >=
+// next, commit next was complete once, so the frame here is damaged. If there is no such frame, the end is torn.
 func inspectEnd(sc *segment.Scanner, next uint64, cause error) (logEnd, error) {
 	if errors.Is(cause, io.EOF) {
 		return cleanEnd, nil
 	}
-	if !errors.Is(cause, ErrCorrupt) || errors.Is(cause, errContent) {
+	if !errors.Is(cause, ErrCorrupt) || errors.Is(cause, errWrongContent) {
 		return tornEnd, cause
 	}
 	zeros, err := sc.RestZero()
@@ -191,7 +197,7 @@
 		return tornEnd, err
 	}
 	if wasDurable {
-		return tornEnd, fmt.Errorf("%w; the frame at offset %d shows that it was complete once", cause, sc.Offset())
+		return tornEnd, fmt.Errorf("%w; the frame at offset %d says that commit %d was durable", cause, sc.Offset(), next)
 	}
 	return tornEnd, nil
 }
--- a/internal/store/roll.go
+++ b/internal/store/roll.go
@@ -8,11 +8,11 @@
 	"ospreypond/internal/store/segment"
 )
 
-// maxTimePoints bounds the time index of the manifest.
+// maxTimePoints is the maximum number of points in the manifest's time index.
 const maxTimePoints = 256
 
-// roll seals the open segment and opens the next one. It does nothing if the open one has no frames. Commits before it are
-// on disk when it returns without an error.
+// roll seals the open segment and opens the next one. It does nothing if the open one has no frames. When it returns without
+// an error, all earlier commits are on disk and the manifest names both segments. After an error the old one is still open.
 func (w *writer) roll(s *Store) error {
 	if w.size.Load() == segment.HeaderSize {
 		return nil
@@ -37,7 +37,7 @@
 	})
 	if err != nil {
 		h.unref()
-		if s.fault.Load() == nil { // otherwise the manifest on disk may name it
+		if s.fault.Load() == nil { // otherwise the manifest on disk may name the file
 			_ = s.opt.FS.Remove(s.path(h.name))
 		}
 		return err
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// sealInManifest notes the open segment's figures. All puts count as live until a pass has looked.
+// sealInManifest marks the open segment as sealed and sets its figures. All its puts count as live until a pass has counted
+// them.
 func (w *writer) sealInManifest(m *manifest.Manifest) {
 	for i := range m.Segments {
 		if g := &m.Segments[i]; g.ID == w.segmentID {
@@ -65,7 +66,7 @@
 	}
 }
 
-// raiseFloorsByAge expires the records of spaces that are bounded in age.
+// raiseFloorsByAge raises the floors of the spaces whose records expire by age.
 func raiseFloorsByAge(m *manifest.Manifest, retentions map[uint16]plan.Retention, nowMs int64) {
 	for space, r := range retentions {
 		byAge := plan.Retention{AgeMs: r.AgeMs}
@@ -75,7 +76,7 @@
 	}
 }
 
-// newSegment creates a segment file, which is on disk with its header when newSegment returns.
+// newSegment creates a segment file. When it returns, the file's name and its header are on disk.
 func (s *Store) newSegment(head segment.Header) (*handle, error) {
 	name := segmentName(head.ID)
 	f, err := s.opt.FS.Create(s.path(name))
@@ -95,12 +96,13 @@
 	return newHandle(f, name), nil
 }
 
-// freezeIfDue freezes the uppermost layer and wakes the compactor if a pass is worth its cost and none is at work.
+// freezeIfDue freezes the uppermost layer and wakes the compactor if a pass is worth its cost (plan.PassDue) and no layer is
+// frozen already.
 func (w *writer) freezeIfDue(s *Store) {
 	s.mu.RLock()
-	tail := plan.Tail{Log: w.unindexed.Load(), Overlay: s.top.bytes()}
+	tail := plan.Tail{LogBytes: w.unindexed.Load(), TopLayerBytes: s.top.bytes()}
 	if s.version.base != nil {
-		tail.Table = s.version.base.size
+		tail.TableBytes = s.version.base.size
 	}
 	busy := s.version.frozen != nil
 	s.mu.RUnlock()
@@ -110,8 +112,8 @@
 	}
 }
 
-// freeze puts a new layer over the uppermost one, which a pass will then write to the table. All commits in it must be in
-// sealed segments. If a layer is frozen already, freeze does nothing.
+// freeze freezes the uppermost layer, for a pass to merge into the table, and puts a new one above it. The layer's commits
+// must all be in sealed segments. If a layer is frozen already, freeze does nothing.
 func (w *writer) freeze(s *Store) {
 	s.swap(func(v *version) *version {
 		if v.frozen != nil {
--- a/internal/store/segment/op.go
+++ b/internal/store/segment/op.go
@@ -6,27 +6,30 @@
 	"hash/crc32"
 )
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind byte
 
-// The operations. Their numbers are the ones on disk.
+// The kinds of operations. Their numbers are the ones on disk.
 const (
-	Put         OpKind = 1 // Key, Value
-	Delete      OpKind = 2 // Key
-	DeleteRange OpKind = 3 // from Key up to, not including, End
+	Put         OpKind = 1 // sets Key to Value
+	Delete      OpKind = 2 // deletes Key
+	DeleteRange OpKind = 3 // deletes the keys from Key up to, not including, End
 )
 
 // Op is one operation of a batch.
 type Op struct {
 	Kind  OpKind
 	Key   []byte
-	End   []byte
-	Value []byte
-	// At is the offset of the value from the start of the frame. Ops sets it; AppendOp does not use it.
+	End   []byte // of a DeleteRange
+	Value []byte // of a Put
+	// At is the offset in bytes of a Put's value from the start of the frame. Ops sets it; AppendOp does not use it.
 	At int
 }
 
-// AppendOp appends an encoded operation: its kind, then the key and the value or end, each after its length as a varint.
+// AppendOp appends an encoded operation:
+//
+//	kind (1 byte), length of Key (uvarint), Key
+//	after that for Put: length of Value (uvarint), Value; for DeleteRange: length of End (uvarint), End
 func AppendOp(b []byte, o Op) []byte {
 	b = append(b, byte(o.Kind))
 	b = appendPart(b, o.Key)
@@ -39,18 +42,19 @@
 	return b
 }
 
+// appendPart appends a part's length as a uvarint, and the part.
 func appendPart(b, part []byte) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(part))), part...)
 }
 
-// Sum is the checksum of a key and its value. The index has it, so that a value can be read and checked without the rest of
-// its batch.
+// Sum returns the checksum of a key followed by its value. The index has it for each record, so that a value can be read and
+// checked without the rest of its frame.
 func Sum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, Castagnoli), Castagnoli, value)
 }
 
-// Ops calls f with each operation of a payload, in order, and stops at the first error, of f or of decoding; the latter wraps
-// ErrBad. The slices that f gets are part of the payload.
+// Ops calls f with each operation of a payload, in order. It stops at the first error of f and returns it. If the payload
+// can't be decoded, it returns an error that wraps ErrCorrupt. The slices in f's argument are slices of the payload.
 func Ops(payload []byte, f func(Op) error) error {
 	for at := 0; at < len(payload); {
 		o := Op{Kind: OpKind(payload[at])}
@@ -71,7 +75,7 @@
 			}
 		case Delete:
 		default:
-			return fmt.Errorf("%w: operation %d", ErrBad, o.Kind)
+			return fmt.Errorf("%w: operation of the unknown kind %d", ErrCorrupt, o.Kind)
 		}
 		if err := f(o); err != nil {
 			return err
@@ -80,11 +84,11 @@
 	return nil
 }
 
-// readPart returns the part whose length is at offset at, and the offset behind it.
+// readPart returns the part whose length is at offset at, and the offset of its end.
 func readPart(b []byte, at int) ([]byte, int, error) {
 	n, size := binary.Uvarint(b[at:])
 	if size <= 0 || n > uint64(len(b)-at-size) {
-		return nil, at, fmt.Errorf("%w: length in an operation", ErrBad)
+		return nil, at, fmt.Errorf("%w: the length at offset %d of the payload is invalid or exceeds its %d bytes", ErrCorrupt, at, len(b))
 	}
 	at += size
 	return b[at : at+int(n) : at+int(n)], at + int(n), nil
--- a/internal/store/segment/scan.go
+++ b/internal/store/segment/scan.go
@@ -9,25 +9,25 @@
 // Scanner reads a segment's frames one after the other. It belongs to one goroutine.
 type Scanner struct {
 	r        io.ReaderAt
-	off      int64
-	size     int64
-	window   []byte // bytes from windowAt on that were read
+	off      int64  // of the next frame
+	size     int64  // offset of the end
+	window   []byte // buffer with the bytes of r from windowAt on
 	windowAt int64
 }
 
-// windowBytes is how much a Scanner reads at once, if a frame is not larger.
+// windowBytes is how many bytes a Scanner reads at once; more only if a frame is larger.
 const windowBytes = 256 << 10
 
-// NewScanner returns a Scanner of the bytes of r from offset from up to, not including, size.
+// NewScanner returns a Scanner for the frames of r from offset from up to, not including, offset size.
 func NewScanner(r io.ReaderAt, from, size int64) *Scanner {
 	return &Scanner{r: r, off: from, size: size}
 }
 
-// Offset returns the offset of the next frame; after an error of Next that of the damaged one.
+// Offset returns the offset of the next frame. After an error of Next, that is the damaged frame.
 func (s *Scanner) Offset() int64 { return s.off }
 
-// Next returns the next frame, which is valid until the next call, and its offset. At the end it returns io.EOF. For a frame
-// that is incomplete or damaged it returns an error that wraps ErrBad, and does not advance.
+// Next returns the next frame, which is valid until the next call of a method, and its offset. At the end it returns io.EOF.
+// If the frame is incomplete or damaged, Next does not advance and returns an error that wraps ErrCorrupt.
 func (s *Scanner) Next() (Frame, int64, error) {
 	if s.off >= s.size {
 		return Frame{}, s.off, io.EOF
@@ -53,8 +53,8 @@
 	return f, at, nil
 }
 
-// Resync searches behind a damaged frame, byte by byte, for the start of an undamaged one that ok accepts. It reports whether
-// there is one; then Next returns it, and otherwise the Scanner is at the end.
+// Resync searches after a damaged frame, byte by byte, for the start of an undamaged frame that ok accepts. It reports
+// whether there is one. If so, Next returns it; otherwise the Scanner is at the end.
 func (s *Scanner) Resync(ok func(Frame) bool) (bool, error) {
 	for s.off++; s.off+FrameSize < s.size; s.off++ {
 		b, err := s.bytes(s.off, FrameSize)
@@ -62,7 +62,8 @@
 			return false, err
 		}
 		size := FrameSize + int64(binary.LittleEndian.Uint32(b[4:]))
-		// Most offsets are ruled out by the fields that a header would have there, without a checksum.
+		// Computing a checksum at every offset would be slow. Most offsets are excluded before that: a frame has a payload,
+		// ends within the segment, and has a Seq higher than its Durable.
 		if size == FrameSize || s.off+size > s.size || binary.LittleEndian.Uint64(b[8:]) <= binary.LittleEndian.Uint64(b[16:]) {
 			continue
 		}
@@ -77,7 +78,7 @@
 	return false, nil
 }
 
-// bytes returns up to n bytes from off on, fewer only at the end.
+// bytes returns n bytes from offset off on, or fewer if the end comes first.
 func (s *Scanner) bytes(off int64, n int) ([]byte, error) {
 	if end := min(off+int64(n), s.size); off < s.windowAt || end > s.windowAt+int64(len(s.window)) {
 		n := max(int64(n), windowBytes)
@@ -96,10 +97,11 @@
 	return b[:min(len(b), n)], nil
 }
 
-// SeekTo sets the offset of the next frame to one that Next returned.
+// SeekTo sets the offset of the next frame. It must be one that Next returned.
 func (s *Scanner) SeekTo(off int64) { s.off = off }
 
-// RestZero reports whether all bytes from the Scanner's offset on are zero, as in a prepared segment. It does not advance.
+// RestZero reports whether all bytes from the Scanner's offset on are zero, as at the end of a segment that was prepared. It
+// does not advance.
 func (s *Scanner) RestZero() (bool, error) {
 	for off := s.off; off < s.size; off += windowBytes {
 		b, err := s.bytes(off, windowBytes)
--- a/internal/store/segment/segment.go
+++ b/internal/store/segment/segment.go
@@ -1,9 +1,11 @@
-// Package segment encodes and decodes the store's segment files. It writes nothing itself and reads only what a Scanner is
-// given. docs/store.md has the format byte by byte. All numbers are little-endian, all checksums CRC-32C.
+// Package segment encodes and decodes the store's segment files. It opens no files: callers write the encoded bytes, and
+// pass a reader to a Scanner. docs/store.md has the format byte by byte. All numbers are little-endian, all checksums
+// CRC-32C.
 //
-// A segment is a header of HeaderSize bytes followed by frames without gaps. A log segment's frames are
-// commits: one frame a batch, sequence numbers counting up by one. An output segment, which compaction wrote, has
-// one frame for each record that it kept, with the number that the record's batch had.
+// A segment is a header of HeaderSize bytes (AppendHeader), followed by frames without gaps (FinishFrame), each of which has
+// one or more operations (AppendOp). A frame of a log segment is a commit of one batch; sequence numbers rise by one from
+// frame to frame. A compaction pass writes output segments: they have one frame for each record or deletion that the pass
+// copied, with the sequence number of the original commit.
 package segment
 
 import (
@@ -19,11 +21,11 @@
 
 // Sizes in bytes.
 const (
-	HeaderSize = 64
-	FrameSize  = 32 // of a frame's header, before its payload
+	HeaderSize = 64 // of a segment's header
+	FrameSize  = 32 // of a frame's header, which comes before its payload
 )
 
-// Kind is what a segment consists of.
+// Kind says which frames a segment has.
 type Kind uint32
 
 // The kinds of segments. Their numbers are the ones on disk.
@@ -32,29 +34,34 @@
 	Output Kind = 2 // records and deletions that compaction copied
 )
 
+// magic is the first 8 bytes of every segment.
 const magic = "OSPRSEG\n"
 
 var (
-	// Castagnoli is the polynomial of all checksums here (CRC-32C, RFC 3720, appendix B.4).
+	// Castagnoli is the table for all checksums of the store (CRC-32C, RFC 3720, appendix B.4).
 	Castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-	// ErrBad is wrapped by all errors about bytes that are not what was written.
-	ErrBad = errors.New("damaged")
-	// ErrNewer is wrapped by errors about a format of a newer release.
+	// ErrCorrupt is wrapped by all errors about bytes that differ from those that were written.
+	ErrCorrupt = errors.New("damaged")
+	// ErrNewer is wrapped by errors about a format that only a newer release can read.
 	ErrNewer = errors.New("format of a newer release")
-	// errShort is returned for bytes that end too early.
-	errShort = fmt.Errorf("%w: ends early", ErrBad)
+	// errShort is returned for bytes that end before the header or frame does.
+	errShort = fmt.Errorf("%w: ends early", ErrCorrupt)
 )
 
-// Header is the start of a segment.
+// Header is the content of a segment's header.
 type Header struct {
 	Kind  Kind
-	Store [16]byte // the store that the file belongs to
+	Store [16]byte // id of the store to which the file belongs
 	ID    uint64   // the file's number in the store
-	First uint64   // Log: the first frame's sequence number
+	First uint64   // in a log segment, the first frame's sequence number; otherwise 0
 }
 
-// AppendHeader appends h in HeaderSize bytes.
+// AppendHeader appends h in HeaderSize bytes:
+//
+//	 0  magic (8)          8  Version (4)          12  kind (4)
+//	16  store's id (16)   32  file's number (8)    40  first sequence number (8)
+//	48  zeros (12)        60  checksum of the bytes before it (4)
 func AppendHeader(b []byte, h Header) []byte {
 	at := len(b)
 	b = append(b, magic...)
@@ -69,7 +76,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], Castagnoli))
 }
 
-// ParseHeader decodes a header. Its errors wrap ErrBad or ErrNewer.
+// ParseHeader decodes a header. Its errors wrap ErrCorrupt or ErrNewer.
 func ParseHeader(b []byte) (Header, error) {
 	var h Header
 	if len(b) < HeaderSize {
@@ -77,40 +84,41 @@
 	}
 	b = b[:HeaderSize]
 	if string(b[:8]) != magic {
-		return h, fmt.Errorf("%w: no segment", ErrBad)
+		return h, fmt.Errorf("%w: the first bytes %q are not those of a segment", ErrCorrupt, b[:8])
 	}
 	// The version is checked before the checksum, whose position a newer release may have changed.
 	if v := binary.LittleEndian.Uint32(b[8:]); v > Version {
-		return h, fmt.Errorf("%w: %d, this one reads up to %d", ErrNewer, v, Version)
+		return h, fmt.Errorf("%w: segment format %d, this release reads formats up to %d", ErrNewer, v, Version)
 	}
 	if binary.LittleEndian.Uint32(b[HeaderSize-4:]) != crc32.Checksum(b[:HeaderSize-4], Castagnoli) {
-		return h, fmt.Errorf("%w: header's checksum", ErrBad)
+		return h, fmt.Errorf("%w: the header's checksum does not match", ErrCorrupt)
 	}
 	h.Kind = Kind(binary.LittleEndian.Uint32(b[12:]))
 	copy(h.Store[:], b[16:])
 	h.ID = binary.LittleEndian.Uint64(b[32:])
 	h.First = binary.LittleEndian.Uint64(b[40:])
 	if h.Kind != Log && h.Kind != Output {
-		return h, fmt.Errorf("%w: kind %d", ErrBad, h.Kind)
+		return h, fmt.Errorf("%w: the header has the unknown kind %d", ErrCorrupt, h.Kind)
 	}
 	return h, nil
 }
 
-// Frame is one batch, or one record or deletion that compaction copied.
+// Frame is one batch, or one record or deletion that a compaction pass copied.
 type Frame struct {
-	Seq uint64
-	// Durable is the highest sequence number that was on disk when the frame was written. It distinguishes damage from an
-	// interrupted write: a damaged frame whose number a later, undamaged frame calls durable was complete once.
+	Seq uint64 // sequence number of the commit
+	// Durable is a sequence number: all commits up to it were on disk when the frame was written. It distinguishes damage
+	// from an interrupted write. If a later, undamaged frame has a Durable that is not lower than a damaged frame's number,
+	// that frame was complete once. It is 0 in output segments.
 	Durable uint64
-	Time    time.Time // of the commit, in milliseconds; zero for a copied record
-	Payload []byte    // operations, see Op
+	Time    time.Time // of the commit, with the precision of a millisecond; the zero time for a copied record
+	Payload []byte    // encoded operations, see AppendOp
 }
 
 // FinishFrame fills in the header of a frame, the first FrameSize bytes of b. The rest of b is the payload; f.Payload is not
-// used.
+// used. The header is:
 //
-//	0  checksum of all that follows   4  payload's length   8  sequence number
-//	16 durable number                24  time, ms since 1970
+//	0  checksum of all bytes of the frame after it (4)    4  payload's length in bytes (4)
+//	8  Seq (8)    16  Durable (8)    24  Time in milliseconds since 1970 (8)
 func FinishFrame(b []byte, f Frame) {
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-FrameSize))
 	binary.LittleEndian.PutUint64(b[8:], f.Seq)
@@ -119,22 +127,22 @@
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], Castagnoli))
 }
 
-// ParseFrame decodes the frame at the start of b and returns its size with the header. The payload is part of b, not a copy.
-// Its errors wrap ErrBad.
+// ParseFrame decodes the frame at the start of b and returns its size with its header. The payload is a slice of b, no copy.
+// Its errors wrap ErrCorrupt.
 func ParseFrame(b []byte) (f Frame, size int, err error) {
 	if len(b) < FrameSize {
 		return f, 0, errShort
 	}
 	n := binary.LittleEndian.Uint32(b[4:])
 	if n == 0 {
-		return f, 0, fmt.Errorf("%w: empty frame", ErrBad)
+		return f, 0, fmt.Errorf("%w: frame without a payload", ErrCorrupt)
 	}
 	if uint64(n) > uint64(len(b)-FrameSize) {
 		return f, 0, errShort
 	}
 	size = FrameSize + int(n)
 	if binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:size], Castagnoli) {
-		return f, 0, fmt.Errorf("%w: frame's checksum", ErrBad)
+		return f, 0, fmt.Errorf("%w: the frame's checksum does not match", ErrCorrupt)
 	}
 	f.Seq = binary.LittleEndian.Uint64(b[8:])
 	f.Durable = binary.LittleEndian.Uint64(b[16:])
--- a/internal/store/segment/segment_test.go
+++ b/internal/store/segment/segment_test.go
@@ -12,6 +12,7 @@
 	"ospreypond/internal/store/segment"
 )
 
+// frame returns an encoded frame with these operations.
 func frame(seq, durable uint64, ops ...segment.Op) []byte {
 	b := make([]byte, segment.FrameSize)
 	for _, o := range ops {
@@ -21,7 +22,7 @@
 	return b
 }
 
-func TestFramesComeBackAsTheyWere(t *testing.T) {
+func TestParsedFramesEqualTheEncodedOnes(t *testing.T) {
 	ops := []segment.Op{{Kind: segment.Put, Key: []byte("key"), Value: []byte("value")},
 		{Kind: segment.Delete, Key: []byte("gone")}, {Kind: segment.DeleteRange, Key: []byte("a"), End: []byte("b")}}
 	b := frame(7, 5, ops...)
@@ -50,7 +51,7 @@
 	b[100]++
 	sc := segment.NewScanner(bytes.NewReader(b), 0, int64(len(b)))
 	_, _, err := sc.Next()
-	require.ErrorIs(t, err, segment.ErrBad)
+	require.ErrorIs(t, err, segment.ErrCorrupt)
 	found, err := sc.Resync(func(f segment.Frame) bool { return f.Durable >= 1 })
 	require.NoError(t, err)
 	require.True(t, found)
@@ -62,8 +63,8 @@
 	require.Equal(t, io.EOF, err)
 }
 
-// FuzzParseFrame looks that no bytes make the decoder fail in another way than by its error, and that what it takes is
-// what would have been written.
+// FuzzParseFrame expects that for any bytes the decoders either return an error or succeed, without a panic, and that
+// encoding a parsed frame yields the same bytes.
 func FuzzParseFrame(f *testing.F) {
 	f.Add(frame(1, 0, segment.Op{Kind: segment.Put, Key: []byte("key"), Value: []byte("value")}))
 	f.Add(frame(9, 3, segment.Op{Kind: segment.DeleteRange, Key: []byte("a"), End: []byte("b")}))
@@ -71,20 +72,20 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fr, n, err := segment.ParseFrame(b)
 		if err != nil {
-			if !errors.Is(err, segment.ErrBad) {
+			if !errors.Is(err, segment.ErrCorrupt) {
 				t.Fatal(err)
 			}
 		} else {
 			again := append(make([]byte, segment.FrameSize), fr.Payload...)
 			segment.FinishFrame(again, fr)
 			if !bytes.Equal(again, b[:n]) {
-				t.Fatal("not what would have been written")
+				t.Fatal("the parsed frame is encoded to other bytes")
 			}
 		}
-		// The payload's decoder stands behind a checksum, and must not rely on it.
+		// Ops usually gets payloads whose checksum matched, and must not rely on that.
 		_ = segment.Ops(b, func(o segment.Op) error {
 			if o.Kind == segment.Put && o.At-segment.FrameSize+len(o.Value) > len(b) {
-				t.Fatal("a value outside of its frame")
+				t.Fatal("a value ends after its payload")
 			}
 			return nil
 		})
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// Snapshot is the store as of one commit; later commits and compactions don't change it. Until it is closed it keeps files
-// open, also those that were removed, and memory. One goroutine may use it at a time.
+// Snapshot is the store as of one commit; later commits and compactions don't change it. Until it is closed, it uses memory
+// and keeps its files open, so that files that were removed still take up the disk. One goroutine may use it at a time.
 type Snapshot struct {
 	top     *layer
 	version *version
@@ -14,7 +14,7 @@
 
 // Snapshot returns the store as it is now.
 func (s *Store) Snapshot() *Snapshot {
-	s.mu.Lock() // cloning marks the tree, which is a write
+	s.mu.Lock() // not RLock: cloning the tree writes to it
 	defer s.mu.Unlock()
 	s.applyPending()
 	return &Snapshot{top: s.top.clone(), version: s.version.ref(), seq: s.seq}
@@ -23,7 +23,7 @@
 // Seq returns the number of the last commit in the snapshot.
 func (n *Snapshot) Seq() uint64 { return n.seq }
 
-// Close releases the snapshot's files and memory. Neither it nor its iterators may be used afterwards.
+// Close releases the snapshot's files. Neither the snapshot nor its iterators may be used afterwards.
 func (n *Snapshot) Close() {
 	if n.version != nil {
 		n.version.unref()
@@ -38,8 +38,8 @@
 	return n.version.get(k, it, found, !found && n.top.covers(k))
 }
 
-// Range returns an iterator over the keys of a space in order, from from up to, not including, to. A nil from is the space's
-// first key, a nil to its end.
+// Range returns an iterator over the keys of a space in order, from from up to, not including, to. If from is nil, the range
+// begins at the space's first key; if to is nil, it ends after the last one.
 func (n *Snapshot) Range(sp *Space, from, to []byte) *Iterator {
 	end := spaceSpan(sp.id).hi
 	if to != nil {
@@ -65,13 +65,13 @@
 type Iterator struct {
 	version *version
 	merged  *mergeIterator
-	end     string
-	valid   bool
-	buf     []byte
+	end     string // first key of the index after the range
+	valid   bool   // the iterator is at a key of the range
+	buf     []byte // reused for values
 }
 
-// Next goes to the next key, at first to the first one, and reports whether there is one. Err returns why there is none, if
-// that is not the end of the range.
+// Next advances to the next key, the first call to the first key, and reports whether there is one. If an error ended the
+// iteration before the end of the range, Err returns it.
 func (it *Iterator) Next() bool {
 	it.valid = it.merged.next() && string(it.merged.entry.Key) < it.end
 	return it.valid
@@ -106,5 +106,5 @@
 	return fileError(it.version.base.h.name, it.merged.err)
 }
 
-// Close ends the iteration. It is optional: the iterator's resources are its snapshot's.
+// Close ends the iteration. It is optional: the iterator holds no resources except those of its snapshot.
 func (it *Iterator) Close() { it.valid = false }
--- a/internal/store/space.go
+++ b/internal/store/space.go
@@ -9,25 +9,26 @@
 	"ospreypond/internal/store/plan"
 )
 
-// namesSpace is the space that has a record for each other space, by its name.
+// namesSpace is the number of the space whose records describe all other spaces: the key is a space's name, the value its
+// spaceRecord.
 const namesSpace = 0
 
-// Retention bounds the records that a space retains. A zero field sets no bound. Records expire oldest first, about a
-// segment of the log at a time, so some are retained that much longer than the bounds say.
+// Retention limits which records a space retains. A zero field sets no limit. Records expire oldest first, about a segment
+// of the log at a time, so some are retained longer than the limits say.
 type Retention struct {
-	Age   time.Duration // since the commit
-	Bytes int64         // of keys and values
+	Age   time.Duration // maximum time since a record's commit
+	Bytes int64         // maximum size of the space's live records, as plan.PutBytes counts them
 }
 
 // Space is a keyspace of a store: the same key in two spaces is two keys. It is safe for use by several goroutines.
 type Space struct {
 	s         *Store
-	id        uint16
+	id        uint16 // first two bytes of the space's keys in the index, big-endian
 	name      string
 	retention plan.Retention // guarded by Store.mu
 }
 
-// spaceRecord is the record of a space in namesSpace. Its JSON is on disk.
+// spaceRecord is the value of a space's record in namesSpace. Its JSON is on disk.
 type spaceRecord struct {
 	ID        uint16         `json:"id"`
 	Retention plan.Retention `json:"retention"`
@@ -36,14 +37,14 @@
 // Name returns the space's name.
 func (sp *Space) Name() string { return sp.name }
 
-// Space returns the keyspace of that name, with that retention from now on. It creates the space if there is none, which is
-// a commit.
+// Space returns the keyspace of that name and sets its retention. It creates the space if it does not exist. To create a
+// space or to change its retention, Space makes a commit.
 func (s *Store) Space(name string, keep Retention) (*Space, error) {
 	if name == "" || len(name) > 128 {
-		return nil, fmt.Errorf("store: %q is no name for a space", name)
+		return nil, fmt.Errorf("store: space name %q has %d bytes, must have 1 to 128", name, len(name))
 	}
 	if keep.Age < 0 || keep.Bytes < 0 {
-		return nil, fmt.Errorf("store: space %q: negative retention", name)
+		return nil, fmt.Errorf("store: space %q: retention of %v and %d bytes: must not be negative", name, keep.Age, keep.Bytes)
 	}
 	want := plan.Retention{AgeMs: keep.Age.Milliseconds(), Bytes: keep.Bytes}
 	s.spaceMu.Lock()
@@ -58,7 +59,7 @@
 	if sp != nil {
 		id = sp.id
 	} else if id == 0xffff {
-		return nil, fmt.Errorf("store: space %q: there are %d already", name, id)
+		return nil, fmt.Errorf("store: space %q: the store already has the maximum of %d spaces", name, id-1)
 	}
 	value, err := json.Marshal(spaceRecord{id, want})
 	if err != nil {
@@ -67,7 +68,7 @@
 	var b Batch
 	b.Put(&Space{id: namesSpace}, []byte(name), value)
 	if _, err := s.Commit(&b); err != nil {
-		return nil, fmt.Errorf("store: naming space %q: %w", name, err)
+		return nil, fmt.Errorf("store: writing the record of space %q: %w", name, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 	return sp, nil
 }
 
-// Lookup returns the keyspace of that name, its retention unchanged, or ErrNotFound.
+// Lookup returns the keyspace of that name, or ErrNotFound. It does not change the retention.
 func (s *Store) Lookup(name string) (*Space, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -100,14 +101,14 @@
 	return all
 }
 
-// Retention returns the bounds on the records that the space retains.
+// Retention returns the limits on the records that the space retains.
 func (sp *Space) Retention() Retention {
 	sp.s.mu.RLock()
 	defer sp.s.mu.RUnlock()
 	return Retention{Age: time.Duration(sp.retention.AgeMs) * time.Millisecond, Bytes: sp.retention.Bytes}
 }
 
-// retentions returns the retention of the spaces that have one, by number; nil if none has.
+// retentions returns the retention of each space that has one, by the space's number; nil if none has.
 func (s *Store) retentions() map[uint16]plan.Retention {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -123,14 +124,14 @@
 	return m
 }
 
-// floors returns, by space, the sequence number up to which records have expired.
+// floors returns for each space's number the sequence number up to which its records have expired.
 func (s *Store) floors() map[uint16]uint64 {
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
 	return s.man.Clone().Floors
 }
 
-// loadSpaces reads the records of all spaces when the store is opened.
+// loadSpaces reads the records of all spaces into s.spaces when the store is opened.
 func (s *Store) loadSpaces() error {
 	snap := s.Snapshot()
 	defer snap.Close()
@@ -168,10 +169,10 @@
 	return v.get(k, it, found, covered)
 }
 
-// spaceOf returns the number of the space that a key of the index belongs to.
+// spaceOf returns the number of the space to which a key of the index belongs: its first two bytes, big-endian.
 func spaceOf(key []byte) uint16 { return uint16(key[0])<<8 | uint16(key[1]) }
 
-// spaceSpan is the range of all keys of a space.
+// spaceSpan returns the range of all keys of a space in the index.
 func spaceSpan(id uint16) span {
 	hi := "\xff\xff\xff"
 	if id < 0xffff {
@@ -180,7 +181,7 @@
 	return span{spaceKey(id, nil), hi}
 }
 
-// spaceKey returns the key of the index for a space's key.
+// spaceKey returns the index's key for a space's key: the space's number in two bytes, big-endian, then the key.
 func spaceKey(id uint16, key []byte) string {
 	var b strings.Builder
 	b.Grow(2 + len(key))
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -2,21 +2,22 @@
 
 // Stats are the figures of a store at one time.
 type Stats struct {
-	Seq         uint64 `json:"seq"`                 // of the last commit
-	Durable     uint64 `json:"durable"`             // all commits up to this one are on disk
-	Segments    int    `json:"segments"`            // files
-	Bytes       int64  `json:"bytes"`               // of the segments and the index on disk
-	LiveBytes   int64  `json:"live_bytes"`          // as the last pass counted, and all that was written since
-	TableKeys   uint64 `json:"table_keys"`          // in the index on disk
-	MemoryKeys  int    `json:"memory_keys"`         // in the part of the index in memory, deletions among them
-	MemoryBytes int64  `json:"memory_bytes"`        // that the index takes in memory, estimated
-	Passes      uint64 `json:"passes"`              // since the store was opened
-	Syncs       uint64 `json:"syncs"`               // of the log, since the store was opened
-	Commits     uint64 `json:"commits"`             // since the store was opened
-	ReadOnly    string `json:"read_only,omitempty"` // why the store is read-only; empty: it is not
+	Seq         uint64 `json:"seq"`                 // sequence number of the last commit
+	Durable     uint64 `json:"durable"`             // all commits up to this sequence number are on disk
+	Segments    int    `json:"segments"`            // number of segment files
+	Bytes       int64  `json:"bytes"`               // size of the segments and the table on disk
+	LiveBytes   int64  `json:"live_bytes"`          // live bytes of segments as of the last pass; later ones all count
+	TableKeys   uint64 `json:"table_keys"`          // number of keys in the table on disk
+	MemoryKeys  int    `json:"memory_keys"`         // number of keys, also deleted ones, in the part of the index in memory
+	MemoryBytes int64  `json:"memory_bytes"`        // estimated memory of the index, without the cache of blocks
+	Passes      uint64 `json:"passes"`              // completed compaction passes since the store was opened
+	Syncs       uint64 `json:"syncs"`               // syncs of appended frames since the store was opened
+	Commits     uint64 `json:"commits"`             // commits since the store was opened
+	ReadOnly    string `json:"read_only,omitempty"` // why the store is read-only; empty: it accepts writes
 }
 
-// Stats returns the store's figures. Those of the manifest and those of the index are not taken at the same instant.
+// Stats returns the store's figures. It reads those of the manifest before those of the index, so commits and passes may
+// come between the two.
 func (s *Store) Stats() Stats {
 	s.manMu.Lock()
 	st := Stats{Segments: len(s.man.Segments), Passes: s.passes.Load(), Durable: s.durable.Load(),
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,28 +1,57 @@
-// Package store is an ordered key-value store for one process. It survives the end of the process and of the machine at
-// any point. docs/store.md has the design and the form on disk.
+// Package store is an ordered key-value store for one process. A crash of the process or of the machine at any point leaves
+// a store that can be opened. docs/store.md has the design and the format on disk.
 //
-// What it promises:
+// # Guarantees
 //
 //   - Batches are atomic and ordered: after a crash the store has a prefix of the batches that were committed, in the order
 //     of their commits, and no part of any other.
 //   - By default Commit returns when the batch is on disk (fdatasync). Batches that wait at the same time share one sync.
 //   - With Options.SyncEvery, Commit returns when the operating system has the batch, and a sync follows within that
-//     time. The end of the process loses nothing; a power failure may lose the newest commits, those of about the last
-//     SyncEvery, and still leaves a prefix. Sync waits until all is on disk.
+//     time. A crash of the process loses nothing. A power failure may lose the commits of about the last SyncEvery, and
+//     still leaves a prefix. Sync waits until every earlier commit is on disk.
 //   - A commit that failed because the disk is full has no effect, and later ones may succeed. After a failed sync the
-//     store accepts no more writes (ErrReadOnly): which of the last ones are on disk is known only when it is opened again.
-//   - Damage is always reported: Open fails, or reads do, with the file and the offset (FileError). Repair makes a new
-//     store of what is undamaged.
+//     store rejects writes (ErrReadOnly): which of the last commits are on disk is known only when it is opened again.
+//   - Damage is always reported: Open or a read fails with the file and the offset (FileError). Repair copies the undamaged
+//     records to a new store.
 //
-// What it does not promise: that damage to the very last commits before a crash can be told from a write that the crash
-// interrupted; isolation beyond that of a Snapshot (there are no transactions that read); more than one process at a time.
+// # Limits of the guarantees
 //
-// What callers must do: close snapshots and iterators before the store, and treat ErrReadOnly as the end of the store until
-// it is opened again. Store and Space may be used by several goroutines; a Batch, a Snapshot and an Iterator by one at a time.
+//   - Damage to the very last commits before a crash can't be distinguished from a write that the crash interrupted.
+//   - A Snapshot is the only isolation: there are no transactions that read.
+//   - Only one process at a time can open a store.
 //
-// Commits are appended to a log of segments, in which values stay. The index has the newest records in memory, in a
-// B-tree, and the rest in one sorted table on disk. A compaction pass writes that table anew from time to time, and
-// rewrites the segments that are mostly dead. The log is Kreps' and Bitcask's, the split of keys and values WiscKey's.
+// # Duties of the caller
+//
+// The caller closes snapshots and iterators before the store, and opens the store again after ErrReadOnly if it is to write
+// again. Several goroutines may use a Store or a Space; a Batch, a Snapshot or an Iterator belongs to one goroutine at a
+// time.
+//
+// # Design
+//
+// The writer appends commits to a log of segments, in which the values stay. The index maps each key to the location of its
+// value. Its newest entries are in memory, in B-trees, and the rest is in one sorted table on disk. A compaction pass
+// rewrites that table from time to time, and copies the live records out of segments that are mostly garbage. The log
+// follows Kreps' and Bitcask's; the separation of keys and values follows WiscKey's.
+//
+// # Order of writes and syncs
+//
+//   - Commit: append the frames, sync the segment, then acknowledge.
+//   - Next segment: sync and truncate the full one, write and sync the new one's header, sync the folder unless the segment
+//     was prepared (that has synced it), then write the manifest that names both. Only then are frames appended to it.
+//   - Pass: sync the new table and the new segments, sync the folder, write the manifest, then remove the old files.
+//   - Manifest: write and sync both copies under temporary names, then rename each and sync the folder after each rename.
+//
+// # Faults of the disk
+//
+//   - A crash tore the last write: Open truncates the open segment after its last complete frame and logs that.
+//   - A frame of the log is damaged: Open fails if the segment is sealed or a later frame says that this one was durable.
+//   - A write of a commit failed, as on a full disk: the writer truncates the segment to its size before the write and syncs
+//     it. If either fails, the store turns read-only.
+//   - A sync of frames failed, or the renaming of a copy of the manifest: the store turns read-only.
+//   - The table is missing, or its size, footer or index is wrong: Open builds a new one from the sealed segments.
+//   - A block of the table or a value is damaged: the read fails with ErrCorrupt.
+//   - One copy of the manifest is missing or damaged: Open uses the other copy and then writes both.
+//   - A pass failed: its files are removed, the store stays as it was, and the compactor tries again after a delay.
 package store
 
 import (
@@ -42,47 +71,47 @@
 	"ospreypond/internal/store/table"
 )
 
-// Limits on the sizes of keys, values and batches, in bytes. What is over one fails with ErrTooLarge.
+// Upper limits in bytes. Commit of a batch that exceeds one fails with ErrTooLarge.
 const (
-	MaxKey   = 4 << 10
-	MaxValue = 16 << 20
-	MaxBatch = 32 << 20
+	MaxKey   = 4 << 10  // length of a key, without the number of its space
+	MaxValue = 16 << 20 // length of a value
+	MaxBatch = 32 << 20 // encoded batch, with the header of its frame
 )
 
-// Store is an open store. It is safe for use by several goroutines. It has three goroutines of its own, the writer's, the
-// applier's and the compactor's, which Close ends and waits for.
+// Store is an open store. It is safe for use by several goroutines. It runs three goroutines: the writer's, the applier's
+// and the compactor's. Close ends them and waits until they have returned.
 type Store struct {
 	dir     string
 	opt     Options
 	limits  plan.Limits
-	id      [16]byte
-	lock    io.Closer
+	id      [16]byte  // chosen at random when the store was created; in the manifest and in the header of each file
+	lock    io.Closer // of the folder; closing it unlocks
 	cache   *table.Cache
-	limiter *rate.Limiter
+	limiter *rate.Limiter   // of the bytes that passes read and write; nil: no limit
 	ctx     context.Context // ends when the store is closed
 	cancel  context.CancelFunc
-	fault   atomic.Pointer[error] // why it is read-only; nil: it is not
+	fault   atomic.Pointer[error] // why the store is read-only; nil: it accepts writes
 
 	// mu guards what readers see.
 	mu      sync.RWMutex
-	top     *layer         // commits since the last freeze
-	pending []pendingBatch // the last of them, which top does not have yet; see applyPending
+	top     *layer         // index entries of the commits since the last freeze, except those in pending
+	pending []pendingBatch // acknowledged commits that are not in top yet; see applyPending
 	version *version
-	seq     uint64 // of the last commit that readers see
-	spaces  map[string]*Space
+	seq     uint64            // sequence number of the last acknowledged commit
+	spaces  map[string]*Space // by name
 	closed  bool
 
-	// manMu guards the manifest in force, which the writer and the compactor replace.
+	// manMu guards the current manifest, which the writer and the compactor replace.
 	manMu sync.Mutex
 	man   *manifest.Manifest
 
 	writer    writer
 	compactor compactor
 
-	spaceMu    sync.Mutex // one call of Space at a time changes a space
+	spaceMu    sync.Mutex // serializes calls of Space, which change a space
 	goroutines sync.WaitGroup
-	durable    atomic.Uint64
-	passes     atomic.Uint64
+	durable    atomic.Uint64 // all commits up to this sequence number are on disk
+	passes     atomic.Uint64 // completed since the store was opened
 }
 
 // Dir returns the store's folder.
@@ -96,12 +125,12 @@
 	return nil
 }
 
-// turnReadOnly has the store reject writes from now on, and returns the error for the one that failed. Only the first
-// cause is kept.
-func (s *Store) turnReadOnly(what string, err error) error {
-	e := fmt.Errorf("%w: %s: %w", ErrReadOnly, what, err)
+// turnReadOnly makes the store reject writes from now on, and returns the error for the write that failed. action says what
+// the store did when err came. Err returns the first cause only.
+func (s *Store) turnReadOnly(action string, err error) error {
+	e := fmt.Errorf("%w: %s: %w", ErrReadOnly, action, err)
 	if s.fault.CompareAndSwap(nil, &e) {
-		s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "what": what}).
+		s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "what": action}).
 			Error("store turns read-only; open it again once the disk is well")
 	}
 	return e
@@ -112,15 +141,15 @@
 func segmentName(id uint64) string { return fmt.Sprintf("%08d.seg", id) }
 func tableName(id uint64) string   { return fmt.Sprintf("%08d.tab", id) }
 
-// install replaces the manifest in force by a copy that edit has changed. After an error the old one is still in force, or
-// the store is read-only.
+// install replaces the current manifest, in memory and on disk, by a copy that edit has changed. After an error the old one
+// is still the current one, or the store is read-only.
 func (s *Store) install(edit func(m *manifest.Manifest)) error {
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
 	next := s.man.Clone()
 	edit(next)
 	next.Generation++
-	if mayBeInForce, err := manifest.Write(s.opt.FS, s.dir, next); mayBeInForce {
+	if mayTakeEffect, err := manifest.Write(s.opt.FS, s.dir, next); mayTakeEffect {
 		return s.turnReadOnly("writing the manifest", err)
 	} else if err != nil {
 		return fmt.Errorf("store: writing the manifest: %w", err)
@@ -129,7 +158,8 @@
 	return nil
 }
 
-// nextID returns the number of a new file.
+// nextID returns the number for a new segment or table. It is on disk with the next manifest: a file that a crash left
+// before that is removed by Open, so its number may be assigned again.
 func (s *Store) nextID() uint64 {
 	s.manMu.Lock()
 	defer s.manMu.Unlock()
@@ -138,20 +168,20 @@
 	return id
 }
 
-// remove removes a file that no manifest names any more. If that fails, the next Open removes it.
+// remove removes a file that neither copy of the manifest names. If that fails, the next Open removes it.
 func (s *Store) remove(name string) {
 	if err := s.opt.FS.Remove(s.path(name)); err != nil {
 		s.opt.Log.WithError(err).WithFields(logrus.Fields{"store": s.dir, "file": name}).Warn("file left behind")
 	}
 }
 
-// Sync returns when every commit before it is on disk.
+// Sync returns when every commit that was made before the call is on disk.
 func (s *Store) Sync() error {
 	return s.writer.runInWriter(func() error { return s.writer.sync(s) })
 }
 
-// Compact runs compaction passes until they find nothing more to rewrite or no longer make the store smaller. Commits and
-// reads go on meanwhile. It returns early with ctx's error once that is done.
+// Compact runs compaction passes until they find nothing more to rewrite, or until maxIdlePasses passes in a row have not
+// made the store smaller. Commits and reads continue at the same time. If ctx is done first, Compact returns its error.
 func (s *Store) Compact(ctx context.Context) error {
 	smallest := s.Stats().Bytes
 	for idle := 0; idle < maxIdlePasses; idle++ {
@@ -166,15 +196,16 @@
 	return nil
 }
 
-// maxIdlePasses is how many passes in a row may rewrite something without making the store smaller: it takes several until
-// no record is left that a deletion must hide.
+// maxIdlePasses is how many passes in a row Compact runs though none made the store smaller. A deletion can be dropped only
+// once no segment has an older record that it hides, and rewriting those segments takes several passes.
 const maxIdlePasses = 4
 
-// maxCloseTail is how many bytes of log Close may leave for the next Open to read.
+// maxCloseTail is how many bytes of log that the table does not cover Close may leave. The next Open must read them.
 const maxCloseTail = 2 << 20
 
-// Close writes what is not yet on disk, ends the store's goroutines and unlocks its folder. Commits that are in flight either
-// succeed or fail with ErrClosed. Snapshots and iterators must be closed before. A second call returns ErrClosed.
+// Close syncs the log, ends the store's goroutines and unlocks its folder. If the next Open would have to read more than
+// maxCloseTail bytes of log, Close first writes a new table. Commits in progress either succeed or fail with ErrClosed. The
+// caller closes snapshots and iterators first. A second call returns ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -188,9 +219,9 @@
 		err = s.Sync()
 		if err == nil && s.writer.unindexed.Load() > maxCloseTail {
 			if s.limiter != nil {
-				s.limiter.SetLimit(rate.Inf) // no commit waits for the disk any more
+				s.limiter.SetLimit(rate.Inf) // the limit protects commits, and none follows
 			}
-			// This only shortens the next Open, so an error does no harm.
+			// The pass only shortens the next Open: the log on disk is complete without it.
 			if _, perr := s.compactor.runPass(s.ctx, s, passOptions{freeze: true, indexOnly: true}); perr != nil {
 				s.opt.Log.WithError(perr).WithField("store", s.dir).Warn("index not written down at the end")
 			}
@@ -202,7 +233,7 @@
 	s.cancel()
 	s.writer.stop()
 	s.goroutines.Wait()
-	s.writer.removePrepared(s)
+	s.writer.removeUnusedPreparedSegment(s)
 	s.mu.Lock()
 	s.version.unref()
 	s.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -10,6 +10,7 @@
 	"ospreypond/internal/store"
 )
 
+// open opens a store.
 func open(t *testing.T, dir string, opt store.Options) *store.Store {
 	t.Helper()
 	s, err := store.Open(dir, opt)
@@ -17,6 +18,7 @@
 	return s
 }
 
+// space returns a space without a retention, and creates it if it does not exist.
 func space(t *testing.T, s *store.Store, name string) *store.Space {
 	t.Helper()
 	sp, err := s.Space(name, store.Retention{})
@@ -24,6 +26,7 @@
 	return sp
 }
 
+// put commits pairs of keys and values in one batch and returns its sequence number.
 func put(t *testing.T, s *store.Store, sp *store.Space, pairs ...string) uint64 {
 	t.Helper()
 	var b store.Batch
@@ -35,7 +38,7 @@
 	return seq
 }
 
-// content returns all of a space as key=value.
+// content returns the records of a space as "key=value", in the order of their keys.
 func content(t *testing.T, s *store.Store, sp *store.Space) []string {
 	t.Helper()
 	snap := s.Snapshot()
@@ -43,6 +46,7 @@
 	return contentOf(t, snap, sp)
 }
 
+// contentOf returns the records of a space in a snapshot, as content does.
 func contentOf(t *testing.T, snap *store.Snapshot, sp *store.Space) []string {
 	t.Helper()
 	all := []string{}
@@ -56,7 +60,7 @@
 	return all
 }
 
-// closeStore closes a store at the end of a test.
+// closeStore closes a store and expects no error.
 func closeStore(t *testing.T, s *store.Store) {
 	t.Helper()
 	require.NoError(t, s.Close())
@@ -79,12 +83,12 @@
 	require.NoError(t, err)
 	require.Equal(t, "3", string(v))
 	require.Equal(t, last, seq)
-	require.Equal(t, last+1, put(t, s, a, "m", "4"), "numbers go on")
+	require.Equal(t, last+1, put(t, s, a, "m", "4"), "sequence numbers continue after the store was opened again")
 	_, _, err = a.Get([]byte("x"))
 	require.ErrorIs(t, err, store.ErrNotFound)
 }
 
-func TestDeletesReachIntoTheIndexOnDiskAndSurviveCompaction(t *testing.T) {
+func TestDeletionsHideRecordsOfTheTableBeforeAndAfterCompaction(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, store.Options{SegmentBytes: 4 << 10})
 	a, b := space(t, s, "a"), space(t, s, "b")
@@ -117,7 +121,7 @@
 	require.NoError(t, s.Compact(context.Background()))
 	check()
 	bytes := s.Stats().Bytes
-	require.Less(t, bytes, int64(80<<10), "the dead records are gone")
+	require.Less(t, bytes, int64(80<<10), "the passes removed the deleted records")
 	require.NoError(t, s.Close())
 	r, err := store.Check(context.Background(), dir, nil)
 	require.NoError(t, err)
@@ -128,7 +132,7 @@
 	require.NoError(t, s.Close())
 }
 
-func TestSnapshotsStayAsTheyWere(t *testing.T) {
+func TestCommitsAndPassesDoNotChangeASnapshot(t *testing.T) {
 	s := open(t, t.TempDir(), store.Options{SegmentBytes: 4 << 10})
 	defer closeStore(t, s)
 	a := space(t, s, "a")
--- a/internal/store/table/iterator.go
+++ b/internal/store/table/iterator.go
@@ -5,24 +5,25 @@
 	"encoding/binary"
 )
 
-// Iterator iterates over a table's entries in order. It belongs to one goroutine.
+// Iterator iterates over a table's entries in the order of their keys. It belongs to one goroutine.
 type Iterator struct {
 	t         *Table
-	nextBlock int // the block to read next
-	buf       []byte
-	rest      []byte // of the current block
-	from      []byte // entries before this key are skipped; nil: none any more
-	entry     Entry
+	nextBlock int    // number of the block to read next
+	buf       []byte // the current block; reused for the next one
+	rest      []byte // the part of the current block that is not decoded yet
+	from      []byte // entries with lower keys are skipped; nil once an entry was returned
+	entry     Entry  // the current one; its key is the Iterator's buffer
 	err       error
 }
 
-// Seek returns an Iterator before the first entry whose key is not lower than the given one. It reads past the cache, so that
-// a pass over the complete table does not evict what lookups need.
+// Seek returns an Iterator that starts at the first entry whose key is not lower than the given one; the first call of Next
+// advances to it. The Iterator does not use the cache, so that reading the complete table does not evict the blocks that
+// lookups need.
 func (t *Table) Seek(key []byte) *Iterator {
 	return &Iterator{t: t, nextBlock: max(0, t.find(key)), from: key}
 }
 
-// Next goes to the next entry and reports whether there is one. Err returns why there is none, if that is not the end.
+// Next advances to the next entry and reports whether there is one. If an error ended the iteration, Err returns it.
 func (it *Iterator) Next() bool {
 	for it.err == nil {
 		for it.step() {
@@ -44,7 +45,8 @@
 	return false
 }
 
-// step decodes one entry of the current block and reports whether there was one. The key is the Iterator's own.
+// step decodes the next entry of the current block into it.entry and reports whether there was one. It does not read another
+// block.
 func (it *Iterator) step() bool {
 	b := it.rest
 	if len(b) == 0 {
@@ -53,7 +55,7 @@
 	next := func() uint64 {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			it.err = corrupt(0, "an entry's number")
+			it.err = corrupt(0, "a number of an entry is not a uvarint")
 			b = nil
 			return 0
 		}
@@ -62,7 +64,7 @@
 	}
 	shared, rest := next(), next()
 	if shared > uint64(len(it.entry.Key)) || rest > uint64(len(b)) {
-		it.err = corrupt(0, "an entry's key")
+		it.err = corrupt(0, "the lengths of an entry's key exceed the previous key or the block")
 		return false
 	}
 	it.entry.Key = append(it.entry.Key[:shared], b[:rest]...)
@@ -73,7 +75,7 @@
 	it.entry.Loc.Size = uint32(next())
 	if it.err != nil || len(b) < 4 {
 		if it.err == nil {
-			it.err = corrupt(0, "an entry's checksum")
+			it.err = corrupt(0, "an entry ends before its checksum")
 		}
 		return false
 	}
