--- a/internal/store/table/table.go
+++ b/internal/store/table/table.go
@@ -1,10 +1,28 @@
-// Package table is the checkpoint of the store's index: one sorted file that has for each key the location of its value. It
-// is written once, by a Writer, and read a block at a time, so that opening it costs one read whatever its size.
+// Package table reads and writes the table, the part of the store's index on disk: one sorted file that has for each key the
+// location of its value. A Writer writes it once. Open reads only the footer and the index of blocks, and lookups read one
+// block at a time.
 //
-// A table consists of blocks, an index of the blocks, and a footer of fixed size (docs/store.md has it byte by byte). In a
-// block each key is encoded as the length of the prefix that it has in common with the previous key, and the rest; every
-// block ends in its checksum. Blocks are checked when they are read, index and footer when the table is opened. Errors about
-// content are of type Error and wrap segment.ErrBad or segment.ErrNewer.
+// A table consists of blocks, an index of the blocks, and a footer. docs/store.md has the format byte by byte. All fixed
+// numbers are little-endian, all checksums CRC-32C.
+//
+//   - A block has entries in the order of their keys, until they take at least blockSize bytes, and then their checksum (4).
+//
+//   - An entry is: the length of the prefix that its key shares with the previous key of the block, the length of the rest,
+//     the rest, then Seq, Segment, Offset and Size of its Loc, and Sum (4). All but the rest and Sum are uvarints.
+//
+//   - The index has the first keys of all blocks without separators, and then a row of rowSize bytes for each block: the
+//     offset in the index where its first key ends (4) and the offset in the file where the block ends, with its checksum
+//     (8).
+//
+//   - The footer has footerSize bytes:
+//
+//     0  magic (8)               8  Version (4)              12  number of blocks (4)
+//     16  store's id (16)        32  table's number (8)       40  number of entries (8)
+//     48  offset of index (8)    56  last commit in it (8)    64  length of index (8)
+//     72  index's checksum (4)   76  checksum of the footer's bytes before it (4)
+//
+// A block is checked when it is read, index and footer when the table is opened. Errors about the content are of type Error
+// and wrap segment.ErrCorrupt or segment.ErrNewer.
 package table
 
 import (
@@ -25,18 +43,18 @@
 const Version = 1
 
 const (
-	magic      = "OSPRTAB\n"
-	footerSize = 80
-	blockSize  = 4 << 10
-	rowSize    = 12 // of a row of the index, one for each block: where its first key ends (4) and where the block ends (8)
+	magic      = "OSPRTAB\n" // first 8 bytes of the footer
+	footerSize = 80          // bytes
+	blockSize  = 4 << 10     // bytes of entries from which a block is complete
+	rowSize    = 12          // bytes of a block's row in the index
 )
 
-// Loc is the location of a value: which segment has it at which offset, and which commit put it.
+// Loc is the location of a value in the segments.
 type Loc struct {
-	Seq     uint64
-	Segment uint32
-	Offset  uint32 // of the value's first byte
-	Size    uint32 // of the value, bytes
+	Seq     uint64 // sequence number of the commit that put it
+	Segment uint32 // number of the segment
+	Offset  uint32 // of the value's first byte in the segment
+	Size    uint32 // of the value in bytes
 	Sum     uint32 // segment.Sum of key and value
 }
 
@@ -48,15 +66,15 @@
 
 // Info identifies a table.
 type Info struct {
-	Store [16]byte
-	ID    uint64
-	Seq   uint64 // all commits up to this one are in it
-	Count uint64 // of entries
+	Store [16]byte // id of the store to which the table belongs
+	ID    uint64   // the table's number in the store
+	Seq   uint64   // the table covers all commits up to this sequence number
+	Count uint64   // number of entries
 }
 
-// Error is an error about a table's content, with the offset in the file.
+// Error is an error about a table's content.
 type Error struct {
-	Offset int64
+	Offset int64 // of the first byte concerned, in the file
 	Err    error
 }
 
@@ -66,44 +84,44 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// corrupt returns an Error that wraps segment.ErrBad.
+// corrupt returns an Error that wraps segment.ErrCorrupt.
 func corrupt(off int64, format string, args ...any) error {
-	return &Error{off, fmt.Errorf("%w: %s", segment.ErrBad, fmt.Sprintf(format, args...))}
+	return &Error{off, fmt.Errorf("%w: %s", segment.ErrCorrupt, fmt.Sprintf(format, args...))}
 }
 
-// Cache is a cache of blocks that were read and checked; several tables may use it, from several goroutines.
-type Cache = lru.Cache[Block, []byte]
+// Cache is a cache of blocks that were read and checked. Several tables and goroutines may use one at the same time.
+type Cache = lru.Cache[BlockID, []byte]
 
-// Block identifies a block of a table.
-type Block struct {
-	Table uint64
-	N     int
+// BlockID identifies a block of a table.
+type BlockID struct {
+	Table uint64 // the table's number in the store
+	N     int    // the block's position in the table, from 0
 }
 
-// NewCache returns a cache of about that many bytes.
+// NewCache returns a cache for as many blocks of blockSize as fit into that many bytes, at least one.
 func NewCache(bytes int) *Cache {
-	c, _ := lru.New[Block, []byte](max(1, bytes/blockSize)) // New fails only for a size under 1
+	c, _ := lru.New[BlockID, []byte](max(1, bytes/blockSize)) // New fails only for a size under 1
 	return c
 }
 
-// Table is an open table. It is safe for use by several goroutines and keeps its index in memory. Its file is the caller's to
-// close.
+// Table is an open table. It is safe for use by several goroutines and keeps its index of blocks in memory. The caller
+// closes its file.
 type Table struct {
 	r      io.ReaderAt
 	info   Info
 	cache  *Cache
-	keys   []byte
-	rows   []byte
-	blocks int
-	size   int64
+	keys   []byte // the part of the index with the first keys
+	rows   []byte // the part of the index with the rows
+	blocks int    // number of blocks
+	size   int64  // of the file in bytes
 }
 
-// Open reads the footer and index of a table of size bytes. It reads no block.
+// Open reads and checks the footer and the index of a table of size bytes. It reads no blocks.
 func Open(r io.ReaderAt, size int64, cache *Cache) (*Table, error) {
 	if size < footerSize {
 		return nil, corrupt(size, "ends early")
 	}
-	// Footer and index come in one read where the index is small.
+	// One read gets the footer and, if the index is not too large, the index too.
 	tail := make([]byte, min(size, 64<<10))
 	if err := readFull(r, tail, size-int64(len(tail))); err != nil {
 		return nil, err
@@ -111,13 +129,13 @@
 	foot := tail[len(tail)-footerSize:]
 	at := size - footerSize
 	if string(foot[:8]) != magic {
-		return nil, corrupt(at, "no table's footer")
+		return nil, corrupt(at, "the bytes %q are not the start of a table's footer", foot[:8])
 	}
 	if v := binary.LittleEndian.Uint32(foot[8:]); v > Version {
-		return nil, &Error{at, fmt.Errorf("%w: %d, this one reads up to %d", segment.ErrNewer, v, Version)}
+		return nil, &Error{at, fmt.Errorf("%w: table format %d, this release reads formats up to %d", segment.ErrNewer, v, Version)}
 	}
 	if binary.LittleEndian.Uint32(foot[footerSize-4:]) != crc32.Checksum(foot[:footerSize-4], segment.Castagnoli) {
-		return nil, corrupt(at, "footer's checksum")
+		return nil, corrupt(at, "the footer's checksum does not match")
 	}
 	t := &Table{r: r, cache: cache, blocks: int(binary.LittleEndian.Uint32(foot[12:])), size: size}
 	copy(t.info.Store[:], foot[16:])
@@ -127,7 +145,7 @@
 	t.info.Seq = binary.LittleEndian.Uint64(foot[56:])
 	length := int64(binary.LittleEndian.Uint64(foot[64:]))
 	if indexAt+length != at || indexAt < 0 || length < int64(t.blocks)*rowSize {
-		return nil, corrupt(at, "index of %d bytes at %d", length, indexAt)
+		return nil, corrupt(at, "the footer has an index of %d bytes at offset %d for %d blocks", length, indexAt, t.blocks)
 	}
 	index := make([]byte, length)
 	if have := int64(len(tail)) - footerSize; length <= have {
@@ -136,13 +154,13 @@
 		return nil, err
 	}
 	if binary.LittleEndian.Uint32(foot[72:]) != crc32.Checksum(index, segment.Castagnoli) {
-		return nil, corrupt(indexAt, "index's checksum")
+		return nil, corrupt(indexAt, "the index's checksum does not match")
 	}
 	t.keys, t.rows = index[:len(index)-t.blocks*rowSize], index[len(index)-t.blocks*rowSize:]
 	return t, nil
 }
 
-// readFull fills b from offset off on.
+// readFull fills b with the bytes from offset off on, or returns an error.
 func readFull(r io.ReaderAt, b []byte, off int64) error {
 	if n, err := r.ReadAt(b, off); n < len(b) {
 		if err == io.EOF {
@@ -153,10 +171,10 @@
 	return nil
 }
 
-// Info returns what identifies the table.
+// Info returns the Info in the table's footer.
 func (t *Table) Info() Info { return t.info }
 
-// Memory returns how many bytes the table takes in memory, without the cache.
+// Memory returns how many bytes of memory the index of blocks takes.
 func (t *Table) Memory() int { return len(t.keys) + len(t.rows) }
 
 // firstKey returns the first key of block n.
@@ -168,7 +186,7 @@
 	return t.keys[from:binary.LittleEndian.Uint32(t.rows[n*rowSize:])]
 }
 
-// bounds returns the offsets of the start and the end of block n.
+// bounds returns the offsets in the file of the start and the end of block n.
 func (t *Table) bounds(n int) (from, to int64) {
 	if n > 0 {
 		from = int64(binary.LittleEndian.Uint64(t.rows[(n-1)*rowSize+4:]))
@@ -176,16 +194,18 @@
 	return from, int64(binary.LittleEndian.Uint64(t.rows[n*rowSize+4:]))
 }
 
-// find returns the block that has the key if any has, or -1 if the key is before the first block's.
+// find returns the only block that may have the key: the last one whose first key is not higher. It returns -1 if the key is
+// lower than that of the first block.
 func (t *Table) find(key []byte) int {
 	return sort.Search(t.blocks, func(i int) bool { return bytes.Compare(t.firstKey(i), key) > 0 }) - 1
 }
 
-// readBlock reads and checks block n, in buf if that is large enough. It returns the block without its checksum.
+// readBlock reads block n and compares its checksum. It returns the block without its checksum, in buf if that is large
+// enough.
 func (t *Table) readBlock(n int, buf []byte) ([]byte, error) {
 	from, to := t.bounds(n)
 	if to-from < 4 || to > t.size {
-		return nil, corrupt(from, "block %d of %d bytes", n, to-from)
+		return nil, corrupt(from, "the index has %d bytes for block %d, at least 4 and within the file of %d bytes", to-from, n, t.size)
 	}
 	b := slices.Grow(buf[:0], int(to-from))[:to-from]
 	if err := readFull(t.r, b, from); err != nil {
@@ -193,25 +213,26 @@
 	}
 	sum := len(b) - 4
 	if binary.LittleEndian.Uint32(b[sum:]) != crc32.Checksum(b[:sum], segment.Castagnoli) {
-		return nil, corrupt(from, "block's checksum")
+		return nil, corrupt(from, "the checksum of block %d does not match", n)
 	}
 	return b[:sum], nil
 }
 
 // cachedBlock returns block n from the cache, or reads it into the cache.
 func (t *Table) cachedBlock(n int) ([]byte, error) {
-	name := Block{t.info.ID, n}
-	if b, ok := t.cache.Get(name); ok {
+	id := BlockID{t.info.ID, n}
+	if b, ok := t.cache.Get(id); ok {
 		return b, nil
 	}
 	b, err := t.readBlock(n, nil)
 	if err == nil {
-		t.cache.Add(name, b)
+		t.cache.Add(id, b)
 	}
 	return b, err
 }
 
-// Get looks up a key and reports whether the table has it. It reads at most one block, through the cache.
+// Get returns the location of a key's value and reports whether the table has the key. It reads at most one block, and none
+// if that is in the cache.
 func (t *Table) Get(key []byte) (Loc, bool, error) {
 	n := t.find(key)
 	if n < 0 {
@@ -230,7 +251,7 @@
 	return Loc{}, false, it.err
 }
 
-// Check reads the complete table, past the cache, and returns the first fault.
+// Check reads all blocks without the cache and returns the first fault.
 func (t *Table) Check() error {
 	it := t.Seek(nil)
 	var n uint64
@@ -238,7 +259,7 @@
 		n++
 	}
 	if it.err == nil && n != t.info.Count {
-		return corrupt(t.size, "%d entries instead of %d", n, t.info.Count)
+		return corrupt(t.size, "the blocks have %d entries instead of %d", n, t.info.Count)
 	}
 	return it.err
 }
--- a/internal/store/table/writer.go
+++ b/internal/store/table/writer.go
@@ -10,20 +10,20 @@
 	"ospreypond/internal/store/segment"
 )
 
-// Writer writes a table. Entries must be added in order of their keys, and Finish be called after the last one. After an
-// error the table is of no use.
+// Writer writes a table. The caller adds the entries in the order of their keys and then calls Finish. After an error the
+// table is incomplete and must be discarded.
 type Writer struct {
 	w     io.Writer
-	info  Info
-	off   uint64
-	block []byte
-	last  []byte
-	first []byte
-	keys  []byte
-	rows  []byte
+	info  Info   // Count is the number of entries so far
+	off   uint64 // bytes written
+	block []byte // entries of the current block
+	last  []byte // key of the last entry
+	first []byte // first key of the current block
+	keys  []byte // index: first keys of the written blocks
+	rows  []byte // index: rows of the written blocks
 }
 
-// NewWriter returns a Writer to w. It sets the Count of info itself.
+// NewWriter returns a Writer that writes a table to w. It ignores the Count of info and counts the entries.
 func NewWriter(w io.Writer, info Info) *Writer {
 	info.Count = 0
 	return &Writer{w: w, info: info}
@@ -32,7 +32,7 @@
 // Add appends an entry. It fails if the key is not higher than the previous one.
 func (w *Writer) Add(e Entry) error {
 	if w.info.Count > 0 && bytes.Compare(e.Key, w.last) <= 0 {
-		return fmt.Errorf("table: key %x does not follow %x", e.Key, w.last)
+		return fmt.Errorf("table: key %x is not higher than the previous key %x", e.Key, w.last)
 	}
 	shared := 0
 	if len(w.block) == 0 {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// flush writes the current block, if it has entries, and adds it to the index.
+// flush writes the current block with its checksum and adds it to the index, if it has entries.
 func (w *Writer) flush() error {
 	if len(w.block) == 0 {
 		return nil
@@ -80,7 +80,8 @@
 	return err
 }
 
-// Finish writes the last block, the index and the footer, and returns the table's size. Flushing w is left to the caller.
+// Finish writes the last block, the index and the footer. It returns the table's size in bytes and its Info. The caller
+// flushes w.
 func (w *Writer) Finish() (size int64, info Info, err error) {
 	if err := w.flush(); err != nil {
 		return 0, info, err
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -12,8 +12,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// handle is an open file with a count of references. The last one closes it; until then a file that was removed can still
-// be read.
+// handle is an open file with a count of references. Dropping the last reference closes the file. Until then readers can
+// read it even if its name was removed.
 type handle struct {
 	f    vfs.File
 	name string
@@ -32,24 +32,24 @@
 // unref drops a reference and closes the file if it was the last one.
 func (h *handle) unref() {
 	if h.refs.Add(-1) == 0 {
-		_ = h.f.Close() // opened for reading, or synced before
+		_ = h.f.Close() // an error loses nothing: the file was only read, or its writer synced it
 	}
 }
 
-// baseTable is the table, the part of the index on disk, with its file.
+// baseTable is the table, the part of the index on disk, together with its file.
 type baseTable struct {
 	t    *table.Table
 	h    *handle
-	size int64
+	size int64 // of the file in bytes
 }
 
-// version is all that lies under the uppermost layer at one time. It is immutable, and its files can be read as long as
-// there is a reference to it.
+// version is the part of the store below the uppermost layer at one time: a frozen layer, the table and the segments. It is
+// immutable. It keeps its files open as long as there is a reference to it.
 type version struct {
-	frozen   *layer // being written into a new table; nil: none
-	base     *baseTable
-	segments map[uint32]*handle
-	floors   map[uint16]uint64
+	frozen   *layer             // the layer that the next pass merges into a new table; nil: none
+	base     *baseTable         // nil: no pass has written a table yet
+	segments map[uint32]*handle // by number
+	floors   map[uint16]uint64  // by space: records up to this sequence number have expired
 	refs     atomic.Int32
 }
 
@@ -69,7 +69,7 @@
 // ref adds a reference.
 func (v *version) ref() *version { v.refs.Add(1); return v }
 
-// unref drops a reference, and with the last one those to the files.
+// unref drops a reference. When it was the last one, unref drops the references to the files.
 func (v *version) unref() {
 	if v.refs.Add(-1) != 0 {
 		return
@@ -94,7 +94,7 @@
 func (v *version) find(key string) (table.Loc, bool, error) {
 	if v.frozen != nil {
 		if it, ok := v.frozen.get(key); ok {
-			return it.loc, !it.dead(), nil
+			return it.loc, !it.deleted(), nil
 		}
 		if v.frozen.covers(key) {
 			return table.Loc{}, false, nil
@@ -119,8 +119,9 @@
 	return c
 }
 
-// get completes a lookup of which the uppermost layer yielded it, found and covered: if need be it looks under that layer,
-// then it reads the value.
+// get completes a lookup that began in the uppermost layer. found says that this layer has the entry it for the key;
+// covered says that one of its deleted ranges contains the key. If neither holds, get looks the key up in the frozen layer
+// and the table. Then it reads the value.
 func (v *version) get(key string, it item, found, covered bool) ([]byte, uint64, error) {
 	loc := it.loc
 	if !found && !covered {
@@ -141,7 +142,7 @@
 	h := v.segments[loc.Segment]
 	if h == nil {
 		return nil, &FileError{File: segmentName(uint64(loc.Segment)), Offset: -1,
-			Err: fmt.Errorf("%w: the index points at it, and there is no such segment", ErrCorrupt)}
+			Err: fmt.Errorf("%w: the index refers to this segment, and the manifest does not have it", ErrCorrupt)}
 	}
 	value := slices.Grow(buf[:0], int(loc.Size))[:loc.Size]
 	if n, err := h.f.ReadAt(value, int64(loc.Offset)); n < len(value) {
@@ -151,13 +152,13 @@
 		return nil, &FileError{File: h.name, Offset: int64(loc.Offset) + int64(n), Err: err}
 	}
 	if segment.Sum(key, value) != loc.Sum {
-		return nil, &FileError{File: h.name, Offset: int64(loc.Offset), Err: fmt.Errorf("%w: value's checksum", ErrCorrupt)}
+		return nil, &FileError{File: h.name, Offset: int64(loc.Offset), Err: fmt.Errorf("%w: the value's checksum does not match", ErrCorrupt)}
 	}
 	return value, nil
 }
 
-// swap replaces the version that readers get. next is called with s.mu locked and returns a version with a reference for
-// the store.
+// swap replaces the version that readers get. It calls next with s.mu locked and the present version. next returns the new
+// version with one reference, which becomes the store's. swap then drops the store's reference to the old version.
 func (s *Store) swap(next func(v *version) *version) {
 	s.mu.Lock()
 	old := s.version
--- a/internal/store/vfs/lock_unix.go
+++ b/internal/store/vfs/lock_unix.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Lock takes an advisory lock (flock) on a file, which it creates if need be. The kernel drops the lock when the process ends,
-// however it ends.
+// Lock takes an exclusive advisory lock (flock) on a file, and creates the file if it does not exist. It does not wait for
+// the lock. The kernel releases the lock when the process ends, also when it crashes.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -1,9 +1,9 @@
-// Package vfs is the file system as the durable store and the replicated log use it: few calls, each of which a test can have
-// fail, write only in part, or lose. OS is the real one; package vfstest has one in memory that loses what was not synced.
+// Package vfs is the interface through which the durable store and the replicated log use the file system. It has few calls,
+// so that tests can make each of them fail, write only a part, or lose its effect in a crash. OS is the operating system's
+// file system; package vfstest has one in memory that loses unsynced changes.
 //
-// What callers must do to have something on disk: Sync a file after writing to it, and SyncDir a folder after a name in it
-// was created, renamed or removed. An FS is safe for use by several goroutines. Errors of a name that is missing match
-// fs.ErrNotExist.
+// To make changes durable, callers Sync a file after they wrote to it, and SyncDir a folder after they created, renamed or
+// removed a name in it. An FS is safe for use by several goroutines. Errors about a missing name match fs.ErrNotExist.
 package vfs
 
 import (
@@ -18,36 +18,37 @@
 // ErrLocked is returned by FS.Lock for a file that is locked already, by another process or by this one.
 var ErrLocked = errors.New("is locked by another process")
 
-// File is an open file. Reads may run concurrently with a write elsewhere in the file.
+// File is an open file. Reads may run at the same time as a write to another part of the file.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Sync returns when what was written is on disk. After an error it is unknown what is: the kernel may have dropped the
-	// pages and marked them clean, so that a second call that succeeds proves nothing.
+	// Sync returns when all earlier writes and truncations are on disk. After an error it is unknown which of them are. The
+	// kernel may have marked the pages clean without writing them, so a second call that succeeds proves nothing.
 	Sync() error
-	// Truncate sets the file's size, and fills it with zeros if that is larger than before.
+	// Truncate sets the file's size in bytes. If that makes the file longer, the new part is zeros.
 	Truncate(size int64) error
 	// Size returns the file's size in bytes.
 	Size() (int64, error)
 }
 
-// FS is a file system. A name that was created, renamed or removed is on disk only after SyncDir of its folder.
+// FS is a file system. The creation, renaming or removal of a name is on disk only after SyncDir of its folder.
 type FS interface {
 	Create(name string) (File, error) // for reading and writing; truncates a file that exists
 	Open(name string) (File, error)   // for reading
 	OpenRW(name string) (File, error) // for reading and writing; the file must exist
-	Rename(from, to string) error     // replaces a file that exists
+	Rename(from, to string) error     // replaces the file to if it exists
 	Remove(name string) error
 	List(dir string) ([]string, error)   // names of plain files, sorted
-	MkdirAll(dir string) error           // with its parents
-	SyncDir(dir string) error            // returns when the names in it are on disk
-	Lock(name string) (io.Closer, error) // ErrLocked if it is locked; closing unlocks, and so does the end of the process
+	MkdirAll(dir string) error           // creates the folder and its missing parents
+	SyncDir(dir string) error            // returns when changes of names in the folder are on disk
+	Lock(name string) (io.Closer, error) // ErrLocked if the file is locked; Close or the end of the process unlocks it
 }
 
 // OS is the operating system's file system.
 type OS struct{}
 
+// osFile is a File of OS. Its Sync is in sync_linux.go.
 type osFile struct{ *os.File }
 
 func (f osFile) Size() (int64, error) {
@@ -58,6 +59,7 @@
 	return info.Size(), nil
 }
 
+// wrapFile returns f as a File, or err.
 func wrapFile(f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
@@ -65,7 +67,7 @@
 	return osFile{f}, nil
 }
 
-// Create creates a file for reading and writing, or truncates the one that exists.
+// Create creates a file for reading and writing. If it exists, Create truncates it.
 func (OS) Create(name string) (File, error) {
 	return wrapFile(os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600))
 }
@@ -73,16 +75,16 @@
 // Open opens a file for reading.
 func (OS) Open(name string) (File, error) { return wrapFile(os.Open(name)) }
 
-// OpenRW opens a file that exists for reading and writing.
+// OpenRW opens an existing file for reading and writing.
 func (OS) OpenRW(name string) (File, error) { return wrapFile(os.OpenFile(name, os.O_RDWR, 0)) }
 
-// Rename renames a file; one that has the new name is replaced.
+// Rename renames a file. It replaces the file to if that exists.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// MkdirAll creates a folder and its parents, as far as they are missing.
+// MkdirAll creates a folder and its parents if they are missing.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // List returns the names of a folder's plain files, sorted.
@@ -101,7 +103,7 @@
 	return names, nil
 }
 
-// SyncDir returns when the names in a folder are on disk.
+// SyncDir returns when all changes of names in a folder are on disk.
 func (OS) SyncDir(dir string) error {
 	d, err := os.Open(filepath.Clean(dir))
 	if err != nil {
@@ -116,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // opened for reading: nothing can be lost
+	defer func() { _ = f.Close() }() // opened for reading: an error loses nothing
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
--- a/internal/store/vfs/vfstest/file.go
+++ b/internal/store/vfs/vfstest/file.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// inode is a file's content, as processes see it and as it is on disk.
+// inode is a file without its name.
 type inode struct {
-	now     []byte
-	disk    []byte   // as of the last sync
-	pending []change // since then
+	visible []byte   // content as processes read it
+	durable []byte   // content on disk, as of the last sync
+	pending []change // changes since the last sync; a crash keeps any part of them
 }
 
-// change is a write, or with data nil a truncation to off bytes.
+// change is a write of data at offset off, or if data is nil, a truncation to off bytes.
 type change struct {
 	off  int64
 	data []byte
 }
 
+// apply returns b after the change. It may change b in place.
 func (c change) apply(b []byte) []byte {
 	if c.data == nil {
 		return resize(b, c.off)
@@ -29,6 +30,7 @@
 	return b
 }
 
+// resize returns b with length n, truncated or extended with zeros.
 func resize(b []byte, n int64) []byte {
 	if int64(len(b)) >= n {
 		return b[:n]
@@ -36,10 +38,11 @@
 	return append(b, make([]byte, n-int64(len(b)))...)
 }
 
+// file is an open file of a Mem.
 type file struct {
 	m    *Mem
 	n    *inode
-	name string
+	name string // under which it was opened, for Call.Name
 }
 
 func (f *file) ReadAt(b []byte, off int64) (int, error) {
@@ -48,10 +51,10 @@
 	if f.m.off {
 		return 0, ErrCrashed
 	}
-	if off >= int64(len(f.n.now)) {
+	if off >= int64(len(f.n.visible)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.n.now[off:])
+	n := copy(b, f.n.visible[off:])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -63,12 +66,12 @@
 	defer f.m.mu.Unlock()
 	fault := f.m.call("write", f.name)
 	n := len(b)
-	if fault.Err != nil && !fault.Off {
+	if fault.Err != nil && !fault.PowerOff {
 		n = min(n, fault.Short)
 	}
 	if n > 0 {
 		c := change{off, slices.Clone(b[:n])}
-		f.n.now = c.apply(f.n.now)
+		f.n.visible = c.apply(f.n.visible)
 		f.n.pending = append(f.n.pending, c)
 	}
 	return n, fault.Err
@@ -78,26 +81,26 @@
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	fault := f.m.call("truncate", f.name)
-	if fault.Err != nil && !fault.Off {
+	if fault.Err != nil && !fault.PowerOff {
 		return fault.Err
 	}
 	c := change{off: size}
-	f.n.now = c.apply(f.n.now)
+	f.n.visible = c.apply(f.n.visible)
 	f.n.pending = append(f.n.pending, c)
 	return fault.Err
 }
 
-// Sync makes the content durable. When it fails, every second change is never written, though it can still be read, as with
-// kernels that mark the pages clean.
+// Sync makes the content durable. If OnCall makes it fail, it drops every second pending change: processes still read these
+// changes, and no later Sync writes them, as when a kernel marks pages clean after a failed write.
 func (f *file) Sync() error {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	fault := f.m.call("sync", f.name)
 	if fault.Err != nil {
-		if !fault.Off {
+		if !fault.PowerOff {
 			for i, c := range f.n.pending {
 				if i%2 == 0 {
-					f.n.disk = c.apply(f.n.disk)
+					f.n.durable = c.apply(f.n.durable)
 				}
 			}
 			f.n.pending = nil
@@ -105,7 +108,7 @@
 		return fault.Err
 	}
 	for _, c := range f.n.pending {
-		f.n.disk = c.apply(f.n.disk)
+		f.n.durable = c.apply(f.n.durable)
 	}
 	f.n.pending = f.n.pending[:0]
 	return nil
@@ -117,7 +120,7 @@
 	if f.m.off {
 		return 0, ErrCrashed
 	}
-	return int64(len(f.n.now)), nil
+	return int64(len(f.n.visible)), nil
 }
 
 func (f *file) Close() error { return nil }
--- a/internal/store/vfs/vfstest/mem.go
+++ b/internal/store/vfs/vfstest/mem.go
@@ -1,5 +1,5 @@
-// Package vfstest has a file system in memory for tests. Crash loses what was not synced, as a disk does at a power failure,
-// and OnCall can have each call fail.
+// Package vfstest has a file system in memory for tests. Crash loses unsynced changes, as a power failure does, and OnCall
+// can make any call fail that changes something or makes changes durable.
 package vfstest
 
 import (
@@ -15,49 +15,53 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// ErrCrashed is returned by every call that uses files once the power is off.
+// ErrCrashed is returned by the calls of a file system whose power is off.
 var ErrCrashed = errors.New("power is off")
 
-// Call is one call of the file system that changes something or makes changes durable.
+// Call describes a call of the file system that changes something or makes changes durable.
 type Call struct {
-	N    int    // counts from 1
-	Op   string // create, write, truncate, sync, rename, remove, syncdir
-	Name string // without its folder
+	N    int    // number of the call, from 1
+	Op   string // create, write, truncate, sync, rename, remove or syncdir
+	Name string // of the file without its folder, or for syncdir the last element of the folder
 }
 
-// Fault is how a call fails. With the zero Fault it succeeds.
+// Fault says how a call fails. With the zero Fault it succeeds.
 type Fault struct {
-	Err   error
-	Short int  // of a write: how many bytes are written nevertheless
-	Off   bool // the power goes off with the call, which may have had its effect
+	Err   error // returned by the call
+	Short int   // how many bytes a write that fails with Err writes nevertheless
+	// PowerOff turns the power off with the call. The call returns ErrCrashed. Its change, if it makes one, is pending, so
+	// Crash may keep it. A sync or syncdir has no effect.
+	PowerOff bool
 }
 
 // Mem is a file system in memory. The zero value is empty and ready. It is safe for use by several goroutines.
 type Mem struct {
-	// OnCall, if set, decides before each call how it ends. It runs under the file system's lock and must not use the file
-	// system.
+	// OnCall, if set, is called before each Call and returns how the call fails. It runs with the file system locked and
+	// must not use the file system.
 	OnCall func(Call) Fault
 
 	mu      sync.Mutex
-	calls   int
-	off     bool
-	now     map[string]*inode // as processes see it
-	disk    map[string]*inode // directory entries that are durable
-	pending []entryChange     // entries changed since the last SyncDir
-	dirs    map[string]bool
-	locks   map[string]bool
+	calls   int               // number of Calls so far
+	off     bool              // the power is off
+	visible map[string]*inode // directory entries as processes see them, by path
+	durable map[string]*inode // directory entries on disk, by path
+	pending []entryChange     // changes of entries since the last SyncDir
+	dirs    map[string]bool   // paths of folders
+	locks   map[string]bool   // paths of locked files
 }
 
+// entryChange applies a change to a map of directory entries.
 type entryChange func(map[string]*inode)
 
+// init makes the maps of a zero Mem.
 func (m *Mem) init() {
-	if m.now == nil {
-		m.now, m.disk = map[string]*inode{}, map[string]*inode{}
+	if m.visible == nil {
+		m.visible, m.durable = map[string]*inode{}, map[string]*inode{}
 		m.dirs, m.locks = map[string]bool{}, map[string]bool{}
 	}
 }
 
-// call counts a call and returns how it ends.
+// call counts a call and returns how it fails.
 func (m *Mem) call(op, name string) Fault {
 	m.init()
 	if m.off {
@@ -68,29 +72,29 @@
 		return Fault{}
 	}
 	f := m.OnCall(Call{m.calls, op, filepath.Base(name)})
-	if f.Off {
+	if f.PowerOff {
 		m.off = true
 		f.Err = ErrCrashed
 	}
 	return f
 }
 
-// SetOnCall replaces OnCall while the file system is in use.
+// SetOnCall sets OnCall. It may be called while other goroutines use the file system.
 func (m *Mem) SetOnCall(f func(Call) Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.OnCall = f
 }
 
-// Calls returns how many calls there were.
+// Calls returns the number of Calls so far.
 func (m *Mem) Calls() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// Crash returns what a power failure leaves: all that was synced, and of the rest any part, also parts of single writes, as
-// rnd decides. From then on the file system itself returns ErrCrashed.
+// Crash returns the file system that a power failure leaves. It has all synced changes. Of the unsynced ones rnd chooses:
+// none, all, or any of them, and then of each write any contiguous part. From then on m itself returns ErrCrashed.
 func (m *Mem) Crash(rnd *rand.Rand) *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,21 +103,21 @@
 	left := &Mem{}
 	left.init()
 	maps.Copy(left.dirs, m.dirs)
-	entries := maps.Clone(m.disk)
-	keep := rnd.IntN(3) // nothing, anything, all of what was not synced
-	lucky := func() bool { return keep == 2 || keep == 1 && rnd.IntN(2) == 0 }
+	entries := maps.Clone(m.durable)
+	keep := rnd.IntN(3) // of the unsynced changes: 0 none, 1 any, 2 all
+	survives := func() bool { return keep == 2 || keep == 1 && rnd.IntN(2) == 0 }
 	for _, c := range m.pending {
-		if lucky() {
+		if survives() {
 			c(entries)
 		}
 	}
-	survivors := map[*inode]*inode{} // a file with two names stays one
+	survivors := map[*inode]*inode{} // by old inode, so that a file with two names stays one file
 	for _, name := range slices.Sorted(maps.Keys(entries)) {
 		n := entries[name]
 		if survivors[n] == nil {
-			b := slices.Clone(n.disk)
+			b := slices.Clone(n.durable)
 			for _, c := range n.pending {
-				if !lucky() {
+				if !survives() {
 					continue
 				}
 				if len(c.data) > 1 && keep == 1 {
@@ -122,14 +126,14 @@
 				}
 				b = c.apply(b)
 			}
-			survivors[n] = &inode{now: b, disk: slices.Clone(b)}
+			survivors[n] = &inode{visible: b, durable: slices.Clone(b)}
 		}
-		left.now[name], left.disk[name] = survivors[n], survivors[n]
+		left.visible[name], left.durable[name] = survivors[n], survivors[n]
 	}
 	return left
 }
 
-// EndProcess drops all locks, as when the process that uses the file system is killed. What it wrote remains, whether it was
+// EndProcess releases all locks, as when the process that uses the file system is killed. All its changes remain visible,
 // synced or not.
 func (m *Mem) EndProcess() {
 	m.mu.Lock()
@@ -137,50 +141,52 @@
 	clear(m.locks)
 }
 
-// Files returns a copy of all files.
+// Files returns a copy of the visible content of all files, by path.
 func (m *Mem) Files() map[string][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	files := map[string][]byte{}
-	for name, n := range m.now {
-		files[name] = slices.Clone(n.now)
+	for name, n := range m.visible {
+		files[name] = slices.Clone(n.visible)
 	}
 	return files
 }
 
-// Of returns a file system with these files.
-func Of(files map[string][]byte) *Mem {
+// FromFiles returns a file system that has these files, by path, on disk.
+func FromFiles(files map[string][]byte) *Mem {
 	m := &Mem{}
 	m.init()
 	for name, b := range files {
-		n := &inode{now: slices.Clone(b), disk: slices.Clone(b)}
-		m.now[name], m.disk[name] = n, n
+		n := &inode{visible: slices.Clone(b), durable: slices.Clone(b)}
+		m.visible[name], m.durable[name] = n, n
 		m.dirs[filepath.Dir(name)] = true
 	}
 	return m
 }
 
-func notThere(op, name string) error { return &fs.PathError{Op: op, Path: name, Err: fs.ErrNotExist} }
+// notExist returns the error for a missing name, which matches fs.ErrNotExist.
+func notExist(op, name string) error { return &fs.PathError{Op: op, Path: name, Err: fs.ErrNotExist} }
 
+// change makes a change of directory entries visible and pending.
 func (m *Mem) change(c entryChange) {
-	c(m.now)
+	c(m.visible)
 	m.pending = append(m.pending, c)
 }
 
-// Create makes an empty file.
+// Create creates an empty file. If it exists, Create truncates it.
 func (m *Mem) Create(name string) (vfs.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.call("create", name)
-	if f.Err != nil && !f.Off {
+	if f.Err != nil && !f.PowerOff {
 		return nil, f.Err
 	}
-	n := m.now[name]
+	n := m.visible[name]
 	if n == nil {
 		n = &inode{}
 		m.change(func(e map[string]*inode) { e[name] = n })
 	} else {
-		n.now = nil
+		n.visible = nil
 		n.pending = append(n.pending, change{})
 	}
 	return &file{m, n, name}, f.Err
@@ -194,27 +200,27 @@
 	if m.off {
 		return nil, ErrCrashed
 	}
-	n := m.now[name]
+	n := m.visible[name]
 	if n == nil {
-		return nil, notThere("open", name)
+		return nil, notExist("open", name)
 	}
 	return &file{m, n, name}, nil
 }
 
-// OpenRW opens a file.
+// OpenRW opens a file; a Mem does not distinguish it from Open.
 func (m *Mem) OpenRW(name string) (vfs.File, error) { return m.Open(name) }
 
-// Rename renames a file over another.
+// Rename renames a file. It replaces the file to if that exists.
 func (m *Mem) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.call("rename", from)
-	if f.Err != nil && !f.Off {
+	if f.Err != nil && !f.PowerOff {
 		return f.Err
 	}
-	n := m.now[from]
+	n := m.visible[from]
 	if n == nil {
-		return notThere("rename", from)
+		return notExist("rename", from)
 	}
 	m.change(func(e map[string]*inode) {
 		e[to] = n
@@ -228,17 +234,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.call("remove", name)
-	if f.Err != nil && !f.Off {
+	if f.Err != nil && !f.PowerOff {
 		return f.Err
 	}
-	if m.now[name] == nil {
-		return notThere("remove", name)
+	if m.visible[name] == nil {
+		return notExist("remove", name)
 	}
 	m.change(func(e map[string]*inode) { delete(e, name) })
 	return f.Err
 }
 
-// List lists a folder.
+// List returns the names of the files in a folder, sorted.
 func (m *Mem) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -247,10 +253,10 @@
 		return nil, ErrCrashed
 	}
 	if !m.dirs[filepath.Clean(dir)] {
-		return nil, notThere("list", dir)
+		return nil, notExist("list", dir)
 	}
 	var names []string
-	for name := range m.now {
+	for name := range m.visible {
 		if filepath.Dir(name) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(name))
 		}
@@ -268,7 +274,7 @@
 	return nil
 }
 
-// SyncDir makes all entries durable, whatever their folder.
+// SyncDir makes all directory entries durable, also those of other folders.
 func (m *Mem) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -276,7 +282,7 @@
 	if f.Err != nil {
 		return f.Err
 	}
-	m.disk, m.pending = maps.Clone(m.now), nil
+	m.durable, m.pending = maps.Clone(m.visible), nil
 	return nil
 }
 
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -9,59 +9,60 @@
 )
 
 const (
-	// maxGroupBytes bounds what is written and synced at once, so that a commit waits for no more than that before its own.
+	// maxGroupBytes limits the bytes that are written and synced together. So a commit waits for at most one such group
+	// before its own, unless the queue is longer. A batch that is larger forms a group alone.
 	maxGroupBytes = 4 << 20
-	// maxGroupWait bounds how long a commit waits for others to join its group, however slow the disk is.
+	// maxGroupWait limits how long a commit waits for others to join its group, however slow syncs are.
 	maxGroupWait = 2 * time.Millisecond
 )
 
-// writer owns the open segment: it appends commits in groups, one write and one sync a group. Its goroutine alone changes
-// the segment; append.go has what it does with a group, roll.go how one segment follows another.
+// writer owns the open segment. Its goroutine, the only one that changes the segment, appends commits in groups, with one
+// write and one sync a group. append.go writes a group; roll.go replaces a full segment by the next one.
 type writer struct {
 	mu      sync.Mutex // guards queue and stopped
 	queue   []*request
 	stopped bool
-	wake    chan struct{}
-
-	written    chan writtenGroup // to the applier
-	freeGroups chan []*request   // slices that the applier is done with
-
-	// What follows belongs to the writer's goroutine, but for the atomics, which others read.
-
-	lastGroupLen int           // how many commits were in the last group
-	meanSync     time.Duration // how long a sync takes: a moving average
-
-	file             *handle // of the open segment
-	segmentID        uint64
-	size             atomic.Int64          // of the open segment, without zeros at its end
-	seq              uint64                // of the last frame written
-	preparedSegments chan *preparedSegment // the next segment once it is ready; nil if preparing it failed
-	preparing        bool
-	mayHaveZeros     bool      // the file may be longer than what was written, filled with zeros
-	dirty            bool      // something written is not synced
-	tombstones       int64     // as in plan.Segment, of the open segment
-	puts             int64     // as in plan.Segment, of the open segment
-	firstCommitAt    time.Time // when the first frame in the open segment was written
-	writeBuf         []byte
-
-	unindexed      atomic.Int64 // bytes of log that neither the table nor a frozen layer covers
-	syncs, commits atomic.Uint64
+	wake    chan struct{} // has a token if the queue or stopped has changed since the writer last looked
+
+	written    chan writtenGroup // groups in the log, from the writer to the applier
+	freeGroups chan []*request   // slices that the applier has finished with, for reuse
+
+	// The fields below belong to the writer's goroutine. Other goroutines read the atomics.
+
+	lastGroupLen int           // number of commits in the last group
+	meanSync     time.Duration // moving average of the duration of a sync; each new one weighs an eighth
+
+	file             *handle               // the open segment's
+	segmentID        uint64                // the open segment's number
+	size             atomic.Int64          // bytes of the open segment, without zeros at its end
+	seq              uint64                // sequence number of the last frame written
+	preparedSegments chan *preparedSegment // the next segment once it is prepared; nil if preparing it failed
+	preparing        bool                  // a segment is being prepared, or is in preparedSegments
+	mayHaveZeros     bool                  // the open segment's file may have zeros after the frames
+	dirty            bool                  // frames were written since the last sync
+	tombstones       int64                 // plan.Segment.Tombstones of the open segment
+	puts             int64                 // plan.Segment.Puts of the open segment
+	firstCommitAt    time.Time             // when the first frame in the open segment was written
+	writeBuf         []byte                // reused: the frames of a group with several commits
+
+	unindexed      atomic.Int64  // bytes of log that neither the table nor a frozen layer covers
+	syncs, commits atomic.Uint64 // since the store was opened
 }
 
-// request is a batch to commit, or with fn set, a function to call in the writer's goroutine.
+// request asks the writer to commit a batch, or if fn is set, to call it in the writer's goroutine.
 type request struct {
 	batch *Batch
 	fn    func() error
-	seq   uint64 // of the batch's commit, once there is one
-	done  chan error
+	seq   uint64     // sequence number of the commit; 0 if it failed
+	done  chan error // gets the result
 }
 
 var requestPool = sync.Pool{New: func() any { return &request{done: make(chan error, 1)} }}
 
 // Commit applies a batch and returns its sequence number, which is one higher than the previous batch's. Once it returns,
-// readers see the batch; whether it is on disk by then depends on Options.SyncEvery. After an error the batch had no
-// effect, except after ErrReadOnly: whether it had one is then known only when the store is opened again. An empty batch
-// commits nothing and returns the number of the last commit.
+// readers see the batch. It is also on disk by then, unless Options.SyncEvery is set. After an error the batch has had no
+// effect, except after ErrReadOnly: then only opening the store again shows whether it took effect. For an empty batch
+// Commit writes nothing and returns the number of the last commit.
 func (s *Store) Commit(b *Batch) (uint64, error) {
 	if err := b.check(); err != nil {
 		return 0, err
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// wakeUp has the goroutine look at the queue.
+// wakeUp makes the writer's goroutine look at the queue. It never blocks: one token is enough.
 func (w *writer) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
@@ -103,7 +104,8 @@
 	}
 }
 
-// runInWriter calls f in the writer's goroutine, once the commits before it are in the index, and returns its error.
+// runInWriter calls f in the writer's goroutine, after the commits that were queued before it are in the index, and returns
+// f's error.
 func (w *writer) runInWriter(f func() error) error {
 	r := &request{fn: f, done: make(chan error, 1)}
 	if err := w.submit(r); err != nil {
@@ -112,7 +114,7 @@
 	return <-r.done
 }
 
-// stop has the goroutine end once the queue is empty. From then on submit refuses.
+// stop makes the writer's goroutine end once the queue is empty. Later calls of submit return ErrClosed.
 func (w *writer) stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -134,7 +136,7 @@
 		select {
 		case <-tick:
 			if s.fault.Load() == nil {
-				_ = w.sync(s) // it turns the store read-only
+				_ = w.sync(s) // after an error sync has turned the store read-only
 			}
 			continue
 		case <-w.wake:
@@ -167,16 +169,17 @@
 	}
 }
 
-// awaitGroup waits a moment for the callers whose commits were just acknowledged to commit again. Without it callers
-// fall into two halves, of which each waits for the other's sync and then for its own: two syncs where one would do.
-// It waits for no longer than half a sync takes, and only if the last group had several commits.
+// awaitGroup waits for the callers whose commits were just acknowledged to commit again, so that they share the next sync.
+// Without the wait, concurrent callers split into two halves: each half waits for the other's sync and then for its own,
+// which takes two syncs where one would do. awaitGroup waits only if the last group had several commits, and no longer than
+// half the mean duration of a sync or maxGroupWait.
 func (w *writer) awaitGroup() {
 	last := w.lastGroupLen
 	w.lastGroupLen = 0
 	if last < 2 {
 		return
 	}
-	// It yields, as timers are too coarse, so that the callers get the processor.
+	// The loop yields the processor to the callers instead of sleeping, because timers are too coarse.
 	want := -1
 	for began, limit := time.Now(), min(w.meanSync/2, maxGroupWait); time.Since(began) < limit; runtime.Gosched() {
 		w.mu.Lock()
@@ -191,7 +194,7 @@
 	}
 }
 
-// size is how many bytes of log the request takes.
+// size returns how many bytes of log the request takes.
 func (r *request) size() int {
 	if r.batch == nil {
 		return 0
@@ -199,15 +202,16 @@
 	return len(r.batch.frame)
 }
 
-// writtenGroup is a group that is in the log and not in the index yet.
+// writtenGroup is a group of commits that is in the log and not in the index yet, or if applied is set, a marker.
 type writtenGroup struct {
 	group   []*request
-	segment uint32
-	offset  uint32        // where its first frame lies
-	applied chan struct{} // instead of a group: closed once all before is in the index
+	segment uint32        // number of the segment that has the group
+	offset  uint32        // of the group's first frame in the segment
+	applied chan struct{} // marker: the applier closes it once all earlier groups are in the index
 }
 
-// commit writes a group, syncs once, and passes it on to the applier; if that fails, it answers the group itself.
+// commit writes a group, with one sync unless Options.SyncEvery is set, and sends it to the applier, which acknowledges it.
+// If the write fails, commit returns the error to every caller of the group.
 func (w *writer) commit(s *Store, group []*request) {
 	if len(group) == 0 {
 		return
@@ -225,14 +229,14 @@
 	w.written <- writtenGroup{group: group, segment: uint32(w.segmentID), offset: at}
 }
 
-// awaitApplied returns when all that was written is in the index.
+// awaitApplied returns when all groups that were sent to the applier are in the index.
 func (w *writer) awaitApplied() {
 	done := make(chan struct{})
 	w.written <- writtenGroup{applied: done}
 	<-done
 }
 
-// takeGroup returns an empty slice for a group, if possible one that the applier is done with.
+// takeGroup returns an empty slice for a group: one that the applier has finished with, or nil.
 func (w *writer) takeGroup() []*request {
 	select {
 	case g := <-w.freeGroups:
