--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -21,8 +21,8 @@
 	Records  int      `json:"records"`             // number of live records; 0 if a segment is damaged
 	TornFrom int64    `json:"torn_from"`           // offset of the torn end of the open segment; -1: its end is not torn
 	TornFile string   `json:"torn_file,omitempty"` // name of the open segment, if its end is torn
-	Notes    []string `json:"notes,omitempty"`     // faults that Open repairs
-	Faults   []string `json:"faults,omitempty"`    // faults that Open does not repair, or that make reads fail
+	Notes    []string `json:"notes,omitempty"`     // a torn end, or the fault of one copy of the manifest: Open repairs both
+	Faults   []string `json:"faults,omitempty"`    // all other faults
 	faults   []error  // Faults as errors
 }
 
@@ -81,7 +81,7 @@
 	if c.man.Table != nil {
 		upTo = c.man.Table.Seq
 	}
-	known, all := newIndexBuilder(), newIndexBuilder() // of the commits that the table covers, and of all commits
+	covered, all := newIndexBuilder(), newIndexBuilder() // of the commits that the table covers, and of all commits
 	undamaged := true
 	for _, g := range c.man.Segments {
 		if err := ctx.Err(); err != nil {
@@ -89,7 +89,7 @@
 		}
 		into := []*indexBuilder{all}
 		if g.Sealed && (g.Kind == plan.Output || g.Last <= upTo) {
-			into = append(into, known)
+			into = append(into, covered)
 		}
 		undamaged = c.readSegment(g, into) && undamaged
 	}
@@ -111,7 +111,7 @@
 		return nil
 	}
 	if undamaged {
-		c.compareIndex(b, known)
+		c.compareIndex(b, covered)
 	}
 	return nil
 }
@@ -200,11 +200,11 @@
 	}
 }
 
-// compareIndex compares the table with known, the index built from the segments that the table covers. It reports the first
-// difference.
-func (c *checker) compareIndex(b *baseTable, known *indexBuilder) {
+// compareIndex compares the table with covered, the index built from the segments that the table covers. It reports the
+// first difference.
+func (c *checker) compareIndex(b *baseTable, covered *indexBuilder) {
 	it := b.t.Seek(nil)
-	for _, want := range known.entries(c.man.Floors) {
+	for _, want := range covered.entries(c.man.Floors) {
 		for it.Next() {
 			e := it.Entry()
 			if e.Loc.Seq <= c.man.Floors[spaceOf(e.Key)] {
--- a/internal/store/compactor.go
+++ b/internal/store/compactor.go
@@ -34,8 +34,8 @@
 	indexOnly bool // rewrite no segments
 }
 
-// kick requests a pass from the compactor's goroutine, unless one has been requested already. It does not wait.
-func (c *compactor) kick() {
+// requestPass requests a pass from the compactor's goroutine, unless one has been requested already. It does not wait.
+func (c *compactor) requestPass() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -342,7 +342,7 @@
 
 // writeRebuilt writes the entries to a table, syncs it, and returns its size in bytes.
 func (s *Store) writeRebuilt(f vfs.File, info table.Info, entries []table.Entry) (int64, error) {
-	file := &pacedFile{f: f, name: tableName(info.ID)}
+	file := &throttledFile{f: f, name: tableName(info.ID)}
 	w := table.NewWriter(file, info)
 	for _, e := range entries {
 		if err := w.Add(e); err != nil {
--- a/internal/store/output.go
+++ b/internal/store/output.go
@@ -13,7 +13,7 @@
 // output is a segment that a pass writes, together with its description for the manifest.
 type output struct {
 	h     *handle
-	file  *pacedFile
+	file  *throttledFile
 	meta  plan.Segment
 	space uint16 // the space of the first record or deletion in it
 	frame []byte // reused for each frame
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
-	p.output = &output{h: newHandle(f, name), file: &pacedFile{pace: p.pace, f: f, name: name}, space: space,
+	p.output = &output{h: newHandle(f, name), file: &throttledFile{throttle: p.throttle, f: f, name: name}, space: space,
 		frame: make([]byte, segment.FrameSize),
 		meta: plan.Segment{ID: id, Kind: plan.Output, Sealed: true, Clean: p.upTo, First: math.MaxUint64,
 			Size: segment.HeaderSize}}
--- a/internal/store/pass.go
+++ b/internal/store/pass.go
@@ -17,7 +17,7 @@
 //  1. Choose the victims, the segments to be rewritten.
 //  2. Merge the frozen layer and the table on disk into a new table. Copy each live record that is in a victim to an output
 //     segment, and enter its new location in the table.
-//  3. Copy the deletions in victims that still hide a record in one of the remaining segments.
+//  3. Copy the deletions in victims that may hide a record in one of the remaining segments.
 //  4. Sync the new files and the folder, and write a manifest that names the new files instead of the old ones.
 //  5. Remove the victims and the old table.
 //
@@ -90,7 +90,7 @@
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
 	p.base = &baseTable{h: newHandle(f, name)}
-	file := &pacedFile{pace: p.pace, f: f, name: name}
+	file := &throttledFile{throttle: p.throttle, f: f, name: name}
 	w := table.NewWriter(file, table.Info{Store: s.id, ID: id, Seq: p.upTo})
 	if err := p.addEntries(w); err != nil {
 		return err
@@ -159,7 +159,7 @@
 		return e.Loc, buf, err
 	}
 	p.readingVictim = 0
-	if err := p.pace(len(value)); err != nil {
+	if err := p.throttle(len(value)); err != nil {
 		return e.Loc, value, err
 	}
 	e.Loc.Segment, e.Loc.Offset, err = p.copyRecord(e, value)
@@ -297,8 +297,8 @@
 	p.handles, p.base, p.output = nil, nil, nil
 }
 
-// pace waits until the pass may read or write n more bytes (Options.PassBytesPerS), or its context is done.
-func (p *pass) pace(n int) error {
+// throttle waits until the pass may read or write n more bytes (Options.PassBytesPerS), or its context is done.
+func (p *pass) throttle(n int) error {
 	if err := p.ctx.Err(); err != nil {
 		return err
 	}
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -113,13 +113,13 @@
 	return grown || cheap || t.LogBytes >= 8*l.SegmentBytes
 }
 
-// UnindexedLogs returns the log segments that have commits after known, the last commit that the table covers, and the open
-// segment, in the order of their commits. That may differ from the order of their numbers: a prepared segment gets its
+// UnindexedLogs returns the log segments that have commits after covered, the last commit that the table covers, and the
+// open segment, in the order of their commits. That may differ from the order of their numbers: a prepared segment gets its
 // number early and may be opened after one with a higher number.
-func UnindexedLogs(segments []Segment, known uint64) []Segment {
+func UnindexedLogs(segments []Segment, covered uint64) []Segment {
 	var log []Segment
 	for _, s := range segments {
-		if s.Kind == Log && (!s.Sealed || s.Last > known) {
+		if s.Kind == Log && (!s.Sealed || s.Last > covered) {
 			log = append(log, s)
 		}
 	}
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -16,12 +16,12 @@
 // replay reads the commits that the table does not have from the log into the uppermost layer. Their sequence numbers must
 // follow the table's without a gap, across all segments.
 func (s *Store) replay(man *manifest.Manifest, segs map[uint32]*handle) error {
-	var known uint64
+	var covered uint64
 	if man.Table != nil {
-		known = man.Table.Seq
+		covered = man.Table.Seq
 	}
-	next := known + 1
-	for _, g := range plan.UnindexedLogs(man.Segments, known) {
+	next := covered + 1
+	for _, g := range plan.UnindexedLogs(man.Segments, covered) {
 		h := segs[uint32(g.ID)]
 		if g.First != next {
 			return &FileError{File: h.name, Offset: 0,
--- a/internal/store/roll.go
+++ b/internal/store/roll.go
@@ -108,7 +108,7 @@
 	s.mu.RUnlock()
 	if !busy && plan.PassDue(tail, s.limits) {
 		w.freeze(s)
-		s.compactor.kick()
+		s.compactor.requestPass()
 	}
 }
 
--- a/internal/store/segment/segment.go
+++ b/internal/store/segment/segment.go
@@ -57,9 +57,9 @@
 	First uint64   // in a log segment, the first frame's sequence number; otherwise 0
 }
 
-// AppendHeader appends h in HeaderSize bytes:
+// AppendHeader appends h in HeaderSize bytes. Each field comes after its offset and before its size in bytes:
 //
-//	 0  magic (8)          8  Version (4)          12  kind (4)
+//	00  magic (8)         08  Version (4)          12  kind (4)
 //	16  store's id (16)   32  file's number (8)    40  first sequence number (8)
 //	48  zeros (12)        60  checksum of the bytes before it (4)
 func AppendHeader(b []byte, h Header) []byte {
@@ -115,10 +115,10 @@
 }
 
 // FinishFrame fills in the header of a frame, the first FrameSize bytes of b. The rest of b is the payload; f.Payload is not
-// used. The header is:
+// used. The header has these fields, each after its offset and before its size in bytes:
 //
-//	0  checksum of all bytes of the frame after it (4)    4  payload's length in bytes (4)
-//	8  Seq (8)    16  Durable (8)    24  Time in milliseconds since 1970 (8)
+//	00  checksum of all bytes of the frame after it (4)    04  payload's length in bytes (4)
+//	08  Seq (8)    16  Durable (8)    24  Time in milliseconds since 1970 (8)
 func FinishFrame(b []byte, f Frame) {
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-FrameSize))
 	binary.LittleEndian.PutUint64(b[8:], f.Seq)
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -23,7 +23,7 @@
 // Seq returns the number of the last commit in the snapshot.
 func (n *Snapshot) Seq() uint64 { return n.seq }
 
-// Close releases the snapshot's files. Neither the snapshot nor its iterators may be used afterwards.
+// Close releases the snapshot's files and memory. Neither the snapshot nor its iterators may be used afterwards.
 func (n *Snapshot) Close() {
 	if n.version != nil {
 		n.version.unref()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -44,7 +44,8 @@
 // # Faults of the disk
 //
 //   - A crash tore the last write: Open truncates the open segment after its last complete frame and logs that.
-//   - A frame of the log is damaged: Open fails if the segment is sealed or a later frame says that this one was durable.
+//   - A frame that Open must read, because the table does not cover it, is damaged: Open fails if the segment is sealed or a
+//     later frame says that this one was durable. Otherwise the frame looks like a torn write.
 //   - A write of a commit failed, as on a full disk: the writer truncates the segment to its size before the write and syncs
 //     it. If either fails, the store turns read-only.
 //   - A sync of frames failed, or the renaming of a copy of the manifest: the store turns read-only.
@@ -219,7 +220,7 @@
 		err = s.Sync()
 		if err == nil && s.writer.unindexed.Load() > maxCloseTail {
 			if s.limiter != nil {
-				s.limiter.SetLimit(rate.Inf) // the limit protects commits, and none follows
+				s.limiter.SetLimit(rate.Inf) // the limit keeps passes from delaying commits, which matters no more
 			}
 			// The pass only shortens the next Open: the log on disk is complete without it.
 			if _, perr := s.compactor.runPass(s.ctx, s, passOptions{freeze: true, indexOnly: true}); perr != nil {
--- a/internal/store/table/table.go
+++ b/internal/store/table/table.go
@@ -6,20 +6,18 @@
 // numbers are little-endian, all checksums CRC-32C.
 //
 //   - A block has entries in the order of their keys, until they take at least blockSize bytes, and then their checksum (4).
-//
 //   - An entry is: the length of the prefix that its key shares with the previous key of the block, the length of the rest,
 //     the rest, then Seq, Segment, Offset and Size of its Loc, and Sum (4). All but the rest and Sum are uvarints.
-//
 //   - The index has the first keys of all blocks without separators, and then a row of rowSize bytes for each block: the
 //     offset in the index where its first key ends (4) and the offset in the file where the block ends, with its checksum
 //     (8).
 //
-//   - The footer has footerSize bytes:
+// The footer has footerSize bytes. Each field comes after its offset and before its size in bytes:
 //
-//     0  magic (8)               8  Version (4)              12  number of blocks (4)
-//     16  store's id (16)        32  table's number (8)       40  number of entries (8)
-//     48  offset of index (8)    56  last commit in it (8)    64  length of index (8)
-//     72  index's checksum (4)   76  checksum of the footer's bytes before it (4)
+//	00  magic (8)              08  Version (4)              12  number of blocks (4)
+//	16  store's id (16)        32  table's number (8)       40  number of entries (8)
+//	48  offset of index (8)    56  last commit in it (8)    64  length of index (8)
+//	72  index's checksum (4)   76  checksum of the footer's bytes before it (4)
 //
 // A block is checked when it is read, index and footer when the table is opened. Errors about the content are of type Error
 // and wrap segment.ErrCorrupt or segment.ErrNewer.
--- a/internal/store/paced_file.go
+++ b/internal/store/throttled_file.go
@@ -6,10 +6,10 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// pacedFile writes a file sequentially, in chunks of about chunkBytes, at a limited rate. It syncs after every bytesPerSync
-// bytes: one large sync at the end would delay the commits whose syncs queue up behind it in the disk.
-type pacedFile struct {
-	pace     func(n int) error // waits until n more bytes may be written; nil: no limit
+// throttledFile writes a file sequentially, in chunks of about chunkBytes, at a limited rate. It syncs after every
+// bytesPerSync bytes: one large sync at the end would delay the commits whose syncs queue up behind it in the disk.
+type throttledFile struct {
+	throttle func(n int) error // waits until n more bytes may be written; nil: no limit
 	f        vfs.File
 	name     string // for errors
 	buf      []byte // not written yet
@@ -23,7 +23,7 @@
 )
 
 // Write appends to the file. It buffers bytes until there are chunkBytes of them.
-func (p *pacedFile) Write(b []byte) (int, error) {
+func (p *throttledFile) Write(b []byte) (int, error) {
 	p.buf = append(p.buf, b...)
 	if len(p.buf) >= chunkBytes {
 		return len(b), p.flush()
@@ -32,12 +32,12 @@
 }
 
 // flush writes the buffered bytes, and syncs if bytesPerSync bytes were written since the last sync.
-func (p *pacedFile) flush() error {
+func (p *throttledFile) flush() error {
 	if len(p.buf) == 0 {
 		return nil
 	}
-	if p.pace != nil {
-		if err := p.pace(len(p.buf)); err != nil {
+	if p.throttle != nil {
+		if err := p.throttle(len(p.buf)); err != nil {
 			return err
 		}
 	}
