--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -43,7 +43,7 @@
 
 // LiveBytes returns how many bytes of the file are live if puts of its put bytes are live:
 //
-//	(Size - Header - Tombstones) * puts / Puts
+//	(Size - Header - Tombstones) * min(1, puts / Puts), or 0 if Puts is 0
 func (s Segment) LiveBytes(puts int64) int64 {
 	if s.Puts <= 0 {
 		return 0
