--- a/internal/cluster/replica/disk_test.go
+++ b/internal/cluster/replica/disk_test.go
@@ -203,7 +203,7 @@
 				content[len(content)/2] ^= 0x40
 			}
 		}
-		damaged.files = vfstest.Of(all)
+		damaged.files = vfstest.FromFiles(all)
 		damaged.start(nil)
 		Expect(damaged.engine.self.ID).NotTo(Equal(old))
 		c.awaitVoters("core-1", "core-2", "core-3")
@@ -223,7 +223,7 @@
 				content[len(content)/2] ^= 0x40
 			}
 		}
-		only.files = vfstest.Of(all)
+		only.files = vfstest.FromFiles(all)
 		err := only.open(nil)
 		Expect(err).To(MatchError(ContainSubstring("is damaged at offset")))
 		Expect(err).To(MatchError(ContainSubstring(".segment")))
@@ -241,7 +241,7 @@
 		initial.kill()
 		all := initial.files.Files()
 		delete(all, "data/identity")
-		initial.files = vfstest.Of(all)
+		initial.files = vfstest.FromFiles(all)
 		initial.start(c.seeds)
 		Expect(initial.engine.self.ID).NotTo(Equal(old))
 		c.awaitVoters("core-1", "core-2", "core-3")
