--- a/internal/dispatcher/app/reload.go
+++ b/internal/dispatcher/app/reload.go
@@ -33,7 +33,7 @@
 			d.log.WithError(err).WithField("refused", d.reloads.refuse(err)).Error("new settings are faulty; the old ones stay")
 			return
 		}
-		d.watcher.Retune(next.DiscoveryHold(), next.DrainGrace())
+		d.watcher.SetTimes(next.DiscoveryHold(), next.DrainGrace())
 		d.watcher.KeepOpen(!next.Policy.ListOnDemand)
 		d.log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; requests under way keep theirs")
 	}
@@ -55,7 +55,7 @@
 	if err := d.coord.UpdateSettings(next.Policy); err != nil {
 		return err
 	}
-	d.egress.Retune(next)
-	d.server.Retune(&next.Policy)
+	d.egress.UpdateSettings(next)
+	d.server.UpdateSettings(&next.Policy)
 	return nil
 }
--- a/internal/dispatcher/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// drainTimeout bounds the reading of the rest of a response after its result, so that its connection can be
-	// reused.
+	// drainTimeout bounds how long the rest of a response is read after a result. Only a response that was read to its
+	// end leaves its connection reusable.
 	drainTimeout = time.Second
-	// endDrainTimeout is the same after any other end, which is returned only afterwards, as another attempt may
-	// follow it. The rest usually arrived with the last line.
+	// endDrainTimeout is the same bound for an attempt that ended without a result. Attempt returns such an end only
+	// after this reading, so the bound delays the request's next attempt. It can be short: the rest of the response
+	// usually arrives together with the line that ended the attempt.
 	endDrainTimeout = 20 * time.Millisecond
 )
 
-// Attempt makes one attempt of a request. It returns as soon as there is a result for the client; a goroutine then
-// reads the rest of the response, for drainTimeout at most. Any other end is returned once the attempt can have no
-// further effect on an open connection: its response was read to the end, or the connection is closed.
+// Attempt sends a request to the attempt's target once and returns how the attempt ended. With a result it returns at
+// once, and a goroutine reads the rest of the response for at most drainTimeout. Without a result it first reads the
+// response to its end or closes the connection. So when the next attempt of the request begins, no connection that is
+// still open carries anything of this one.
 func (e *Egress) Attempt(outer context.Context, attempt *coordinator.Attempt) coordinator.AttemptEnd {
-	// The caller ends its context when the attempt has ended, but the connection can be reused only once the response
-	// was read to its end. So the call has a context of its own.
+	// The caller cancels outer as soon as Attempt returns. That would break off the reading of the rest of the response,
+	// and the connection could not be reused. So the call has its own context, which follows outer until detach.
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(outer))
 	detach := context.AfterFunc(outer, func() { cancel(context.Cause(outer)) })
 	end := coordinator.AttemptEnd{Report: policy.NoReport}
@@ -43,7 +45,7 @@
 	})
 	if err != nil {
 		if end.Outcome = c.abort(ctx); errors.Is(err, errNoSockets) {
-			end.Outcome = policy.Moot // not the target's fault
+			end.Outcome = policy.Moot // the dispatcher lacks sockets, which is not the target's fault
 		}
 		detach()
 		cancel(nil)
@@ -51,7 +53,7 @@
 			"outcome": end.Outcome}).Debug("hop brought no answer")
 		return end
 	}
-	if report, ok := headerReport(e.tuned.Load().settings, resp.Header); ok {
+	if report, ok := headerReport(e.active.Load().settings, resp.Header); ok {
 		end.Report = report
 	}
 	lines := newLineReader(resp.Body)
@@ -74,10 +76,11 @@
 	return end
 }
 
-// attemptRequest builds what the target gets: the client's request, unchanged. setTimeoutHeader adds X-Timeout.
+// attemptRequest returns the HTTP request for the target: the client's method, path, query and body, and the headers
+// that runners read. setTimeoutHeader adds X-Timeout later.
 func attemptRequest(ctx context.Context, base string, attempt *coordinator.Attempt) (*http.Request, error) {
 	r := attempt.Request
-	req, err := http.NewRequestWithContext(ctx, r.Method, base+r.Target, unrepeatable(r.Body))
+	req, err := http.NewRequestWithContext(ctx, r.Method, base+r.Target, unrepeatableBody(r.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -93,28 +96,30 @@
 	return req, nil
 }
 
-// statusOutcome returns the outcome for a status other than 200.
+// statusOutcome returns the outcome of an attempt whose response has a status other than 200. Only the header
+// X-Not-Processed: 1 on a 503 or 504 says that the request never ran.
 func statusOutcome(resp *http.Response) policy.Outcome {
 	busy := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
 	case busy && resp.Header.Get("X-Not-Processed") == "1":
 		return policy.Full
 	case resp.StatusCode == http.StatusBadRequest:
-		// Guards against one client's invalid requests making runners look unhealthy, which would cost every client.
+		// Failed would count against the runner. A client that sends invalid requests could then make every runner look
+		// unhealthy, at the expense of all clients.
 		return policy.Cancelled
 	}
 	return policy.Failed
 }
 
-// readProgress reads a response's lines up to the one that ends the attempt. A line with another request's id or
-// none, or one without its result, does not count as the runner's: its connection is closed, and the attempt may have
-// run.
+// readProgress reads the lines of a response up to the line that ends the attempt, and sets end. A line is invalid if
+// its id is missing or is another request's, or if its state is "done" and it has no result. On an invalid line the
+// connection is closed and the attempt ends as failed, which means that it may have run.
 func (e *Egress) readProgress(ctx context.Context, attempt *coordinator.Attempt, lines *lineReader, c *call, end *coordinator.AttemptEnd) {
 	for {
 		l, err := lines.next()
 		if err != nil {
 			if end.Outcome = c.abort(ctx); policy.NeverRan(end.Outcome) {
-				end.Outcome = policy.Reset // it responded, so it has the request
+				end.Outcome = policy.Reset // the target has responded, so it has the request and may have run it
 			}
 			return
 		}
@@ -128,7 +133,7 @@
 			return
 		}
 		if l.Load != nil {
-			end.Report = lineReport(e.tuned.Load().settings, l.Load)
+			end.Report = lineReport(e.active.Load().settings, l.Load)
 		}
 		switch l.State {
 		case "started":
@@ -151,8 +156,8 @@
 	}
 }
 
-// drain reads a response to its end within the given time, so that its connection returns to the pool, or closes the
-// connection.
+// drain reads a response to its end, so that its connection returns to the transport's pool. If the end isn't reached
+// in the given time, or the response breaks off, drain closes the connection.
 func drain(resp *http.Response, lines *lineReader, c *call, within time.Duration, cancel context.CancelCauseFunc) {
 	stop := time.AfterFunc(within, func() { c.abandon() })
 	if lines.discard() {
--- a/internal/dispatcher/egress/call.go
+++ b/internal/dispatcher/egress/call.go
@@ -16,34 +16,36 @@
 	"ospreypond/policy"
 )
 
-// maxDials is how many connections are opened for one request while each is refused, or breaks before the request is
-// written. Guards against a network that resets single connections, which would make runners look as if they were
-// down. One that is down refuses all of them at once.
+// maxDials is how many connections are opened for one request, as long as each is refused or breaks before the request
+// was written completely. With one dial only, a network that resets single connections would make healthy runners look
+// as if they were down. A runner that is down refuses all of the dials at once, so they delay its detection little.
 const maxDials = 3
 
-// unrepeatable returns a request's body that http.Transport cannot send again by itself. Guards against silent
-// resends: a transport repeats a request on which a reused connection broke if it has no body, or one that GetBody
-// can make anew, and is a GET or carries an Idempotency-Key. So there is a body even if it is empty, and no GetBody.
-// It is of a type that the transport knows to be in memory: headers and body are written at once.
-func unrepeatable(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
+// unrepeatableBody returns a request body that http.Transport cannot resend on its own. A transport silently resends a
+// request after a reused connection broke, if two conditions hold: the request is a GET or has an Idempotency-Key, and
+// its body is missing or can be recreated by GetBody. So each request gets a body, even an empty one, and no GetBody.
+// The transport recognizes the body's type as being in memory, and therefore writes headers and body in one write.
+func unrepeatableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
-// call is one request to a target, on one connection after the other until one has written it.
+// call is one request to a target. It tries one connection after another until the request was written to one of them.
 type call struct {
 	e         *Egress
-	isJob     bool          // not a probe
-	deadline  time.Time     // when the wait for the response is over; zero: a probe, without X-Timeout
-	request   *http.Request // the one being sent; of the goroutine of do
-	mu        sync.Mutex
-	conn      *conn
-	requestNo int           // of this request on conn
+	isJob     bool          // false: a probe
+	deadline  time.Time     // the end of the wait for the response; zero for a probe, which has no X-Timeout
+	request   *http.Request // the request being sent; only the goroutine in do uses it
+	mu        sync.Mutex    // guards the fields below
+	conn      *conn         // the connection that the request is written to; nil until the transport has chosen one
+	requestNo int           // the number of this request among the requests on conn
 	reused    bool          // conn carried a request before this one
-	idleFor   time.Duration // for which conn was idle before
+	idleFor   time.Duration // how long conn was idle before this request
 }
 
-// do sends a request and returns its response. The caller owns ctx; build makes the request for a base URL, and gate
-// is called before its first byte is written, with the lock of its connection held. A reused connection that was idle
-// for too long, or breaks before the request's last byte is written, is passed over for the next one: what is incomplete
-// on the wire is no attempt, so this resends nothing.
+// do sends a request and returns its response. The caller cancels ctx. build makes the request for a base URL. gate is
+// called right before the first byte is written, with the connection's lock held; if it returns an error, nothing is
+// written.
+//
+// do goes on to another connection if a reused connection was idle for too long, or if a connection breaks before the
+// request's last byte was written. A runner never runs an incomplete request, so no request is run twice.
 func (c *call) do(ctx context.Context, target string, gate func() error,
 	build func(ctx context.Context, base string) (*http.Request, error)) (*http.Response, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -59,8 +61,8 @@
 	}
 }
 
-// gotConn notes the connection that the request is about to be written to. net/http calls it in the goroutine of
-// RoundTrip, before the headers are written.
+// gotConn records the connection that the request is about to be written to. net/http calls it in the goroutine of
+// RoundTrip, before it writes the headers.
 func (c *call) gotConn(own *conn, info httptrace.GotConnInfo, gate func() error) {
 	idleTooLong := info.Reused && info.IdleTime > c.e.idleLimit.at(time.Now())
 	requestNo := own.beginRequest(info.Reused, c.isJob, func() error {
@@ -75,7 +77,8 @@
 	c.setTimeoutHeader()
 }
 
-// roundTrip sends the request on one connection. Its error is errStray if what was read can't be the response.
+// roundTrip sends the request on one connection. It returns errStray if the bytes that were read can't be the response
+// to this request.
 func (c *call) roundTrip(ctx context.Context, target string,
 	build func(ctx context.Context, base string) (*http.Request, error)) (*http.Response, error) {
 	c.mu.Lock()
@@ -83,7 +86,7 @@
 	c.mu.Unlock()
 	route, ok := c.e.table.Lookup(target)
 	if !ok {
-		return nil, fmt.Errorf("%s: not in the route table", target)
+		return nil, fmt.Errorf("target %q is not in the route table", target)
 	}
 	var err error
 	if c.request, err = build(ctx, "http://"+route.Dial); err != nil {
@@ -91,20 +94,21 @@
 	}
 	resp, err := c.e.transport(target).RoundTrip(c.request)
 	if own := c.connection(); err == nil && own != nil && !own.mayBeResponse() {
-		c.abandon() // first, so that the connection can't be reused
+		c.abandon() // before the body is closed, which could return the connection to the pool
 		_ = resp.Body.Close()
 		return nil, errStray
 	}
 	return resp, err
 }
 
-// mayRedial reports whether the request may be sent on another connection after err: it certainly was not written, and
-// fewer than maxDials connections were opened for it.
+// mayRedial reports whether the request may be sent on another connection after err. It may if its last byte was
+// certainly not written, the gate's error doesn't hold for every connection, and fewer than maxDials connections were
+// opened for it. dials counts these; a reused connection doesn't count.
 func (c *call) mayRedial(err error, dials *int) bool {
 	c.mu.Lock()
 	own, reused, idleFor := c.conn, c.reused, c.idleFor
 	c.mu.Unlock()
-	if own == nil { // no connection came up
+	if own == nil { // no connection was established
 		*dials++
 		return *dials < maxDials && (errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
 	}
@@ -113,13 +117,14 @@
 	case !reused:
 		*dials++
 	case gateErr == nil && !errors.Is(err, errStray):
-		c.e.idleLimit.broke(time.Now(), idleFor)
+		c.e.idleLimit.recordBreak(time.Now(), idleFor)
 	}
 	return unsent && !isFinal(gateErr) && *dials < maxDials
 }
 
-// setTimeoutHeader sets how long the response is waited for. Guards against a dial that takes long, which would make the
-// target believe in time that has elapsed: it is called once the connection is up, before the headers are written.
+// setTimeoutHeader sets X-Timeout to the time left until the call's deadline, in microseconds. It is called after the
+// dial and before the headers are written. If the time were computed before the dial, the target would count the time
+// of a slow dial as time that is still left.
 func (c *call) setTimeoutHeader() {
 	if !c.deadline.IsZero() {
 		left := max(0, time.Until(c.deadline))
@@ -127,12 +132,13 @@
 	}
 }
 
-// isFinal reports whether a gate's error holds for every connection, not only for one that can't be reused.
+// isFinal reports whether the gate's error would be the same on every connection, so that trying another is useless.
+// errIdleTooLong and errStray concern a single connection.
 func isFinal(gateErr error) bool {
 	return gateErr != nil && !errors.Is(gateErr, errIdleTooLong) && !errors.Is(gateErr, errStray)
 }
 
-// gateError returns why the request was not written to its connection, or nil.
+// gateError returns the error for which the gate kept the request from its connection, or nil.
 func (c *call) gateError() error {
 	if own := c.connection(); own != nil {
 		return own.gateError()
@@ -140,15 +146,15 @@
 	return nil
 }
 
-// connection returns the connection of the request, or nil.
+// connection returns the connection of the request, or nil if the transport has not chosen one yet.
 func (c *call) connection() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn
 }
 
-// abandon closes the call's connection, if it has one, and reports whether the request certainly was not written
-// completely.
+// abandon closes the call's connection, if it has one, and reports whether the request's last byte was certainly not
+// written.
 func (c *call) abandon() (unsent bool) {
 	c.mu.Lock()
 	own, requestNo := c.conn, c.requestNo
@@ -156,7 +162,7 @@
 	return own == nil || own.abandon(requestNo)
 }
 
-// responseEnded notes that the response was read to its end.
+// responseEnded records on the connection that the response was read to its end.
 func (c *call) responseEnded() {
 	c.mu.Lock()
 	own, requestNo := c.conn, c.requestNo
@@ -164,8 +170,9 @@
 	own.responseEnded(requestNo)
 }
 
-// abort closes the connection, if there is one, of a call without a usable response, and returns the outcome. What
-// was incomplete on the wire did not run, whatever ended it.
+// abort closes the connection, if there is one, of a call that has no usable response, and returns the outcome. A
+// request that was not written completely did not run, whether a timeout, a cancellation or a broken connection ended
+// it.
 func (c *call) abort(ctx context.Context) policy.Outcome {
 	unsent := c.abandon()
 	switch {
--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -8,46 +8,51 @@
 	"time"
 )
 
-// errStray keeps a request from a connection on which bytes were read that belong to no request's response.
+// errStray is the error for a connection on which stray bytes were read, which belong to no request's response, or on
+// which they can't be ruled out. No request is written to it.
 var errStray = errors.New("bytes on the connection that belong to no response")
 
 const (
-	// quarantine is how long a connection takes no request after bytes of a job's response were read: some runners
-	// send a second response some milliseconds late, which would pass for the next request's.
+	// quarantine is how long no request is written to a connection after the last bytes of a job's response were read.
+	// Some runners send a second response some milliseconds after the first. If the next request were already written,
+	// this second response would be taken for the response to it.
 	quarantine = 25 * time.Millisecond
-	// quietTimeout is how long the first write on a reused connection waits until the transport is in Read again,
-	// which shows that no bytes of the former response are left. http.Transport starts that read right after it
-	// returns a connection to the pool, so this is a matter of scheduling alone.
-	quietTimeout      = 5 * time.Millisecond
+	// quietTimeout is how long the first write on a reused connection waits for the transport to be in Read. While the
+	// transport waits in Read, no bytes of the previous response are left. http.Transport starts this read right after
+	// it returns a connection to the pool, so the wait is only for its goroutine to be scheduled.
+	quietTimeout = 5 * time.Millisecond
+	// quietPollInterval is how often that wait checks whether the transport is in Read.
 	quietPollInterval = 50 * time.Microsecond
 )
 
-// conn is a connection to an upstream that knows whether the present request was written to it. Guards against
-// mistakes that http.Transport hides: taking a request for unsent whose bytes are on the wire, writing one after its
-// target began to drain because the dial took long, and taking a second response to the former request for the
-// response to this one.
+// conn is a connection to a target that records which bytes of the current request were written. It prevents three
+// mistakes that http.Transport doesn't show:
+//   - A request counts as unsent although its last byte was written.
+//   - A request is written after its target began to drain, because the dial took long.
+//   - A second response to the previous request is taken for the response to the current one.
 type conn struct {
 	net.Conn
-	onClose  func() // called once
-	once     sync.Once
+	onClose  func()       // called at the first Close
+	once     sync.Once    // for onClose
 	reading  atomic.Bool  // the transport is in Read
-	lastRead atomic.Int64 // when bytes were last read, Unix time in nanoseconds
+	lastRead atomic.Int64 // the time when bytes were last read, Unix time in nanoseconds
 
-	mu             sync.Mutex
-	requestNo      int          // of the present request on this connection
-	gate           func() error // called before the present request's first byte; nil after it returned nil
-	gateErr        error        // why the present request was not written, or nil
-	reused         bool         // a response was read on the connection before
-	isJob          bool         // the present request is a job
-	previousWasJob bool         // the request before it was a job
-	anyEarlierJob  bool         // any request before it was a job
-	responseRead   bool         // the present response was read to its end: what is read after it is stray
-	stray          bool         // bytes were read after that end, or before a request was written
-	written        int          // bytes of the present request
-	incomplete     bool         // a write of it failed, so its last byte was never sent
+	mu             sync.Mutex   // guards the fields below
+	requestNo      int          // the number of the current request, counted from 1 on this connection
+	gate           func() error // called before the current request's first byte; nil after it returned nil
+	gateErr        error        // why the current request was not written, or nil
+	reused         bool         // the connection carried a request before the current one
+	isJob          bool         // the current request is a job, not a probe
+	previousWasJob bool         // the request before the current one was a job
+	anyEarlierJob  bool         // any request before the current one was a job
+	responseRead   bool         // the current response was read to its end: further bytes are stray
+	stray          bool         // bytes were read after that end, or before the current request's first byte was written
+	written        int          // how many bytes of the current request were written
+	incomplete     bool         // a write of the current request failed, so its last byte was never written
 }
 
-// beginRequest resets the state for a request that is about to be written, and returns the request's number.
+// beginRequest resets the state for a request that is about to be written, and returns the request's number. stray stays
+// set: a connection with stray bytes is never used again.
 func (c *conn) beginRequest(reused, job bool, gate func() error) (requestNo int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,14 +63,15 @@
 	return c.requestNo
 }
 
-// responseEnded notes that the response to request requestNo was read to its end, unless the next one has begun.
+// responseEnded records that the response to request requestNo was read to its end. It does nothing if the next request
+// has begun.
 func (c *conn) responseEnded(requestNo int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responseRead = c.responseRead || c.requestNo == requestNo
 }
 
-// Read notes bytes that belong to no response.
+// Read reads from the socket, and records whether the bytes are stray.
 func (c *conn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(b)
@@ -79,7 +85,8 @@
 	return n, err
 }
 
-// Write passes the gate before the first byte of a request.
+// Write writes to the socket. Before the first byte of a request it checks for stray bytes and calls the gate; if either
+// fails, it writes nothing.
 func (c *conn) Write(b []byte) (int, error) {
 	quiet := c.waitQuiet()
 	c.mu.Lock()
@@ -103,8 +110,9 @@
 	return n, err
 }
 
-// waitQuiet waits until the quarantine of a reused connection is over, before its next request is written. It reports
-// whether nothing is left of the former response; Read sees the bytes that arrive meanwhile.
+// waitQuiet waits before the first byte of a request is written to a reused connection: first until the quarantine after
+// a job's response has passed, then until the transport is in Read. It reports whether the transport was in Read within
+// quietTimeout. Read records as stray what arrives during the wait.
 func (c *conn) waitQuiet() bool {
 	c.mu.Lock()
 	first, afterJob := c.gate != nil && c.reused, c.previousWasJob
@@ -129,9 +137,9 @@
 	return c.Conn.Close()
 }
 
-// abandon closes the connection and reports whether the last byte of request requestNo certainly was never sent.
-// Closing comes first: it ends a write in progress, and none can follow. If another request has begun on the
-// connection, this one has its complete response, and nothing is done.
+// abandon closes the connection and reports whether the last byte of request requestNo was certainly never written. It
+// closes before it looks at the counts, as Close ends a write in progress and prevents any other. If the next request
+// has begun on the connection, request requestNo has its complete response: then abandon does nothing and returns false.
 func (c *conn) abandon(requestNo int) (unsent bool) {
 	c.mu.Lock()
 	other := c.requestNo != requestNo
@@ -145,22 +153,22 @@
 	return c.written == 0 || c.incomplete
 }
 
-// mayBeResponse reports whether the bytes read may be the present request's response: it was written, and none were
-// read before that.
+// mayBeResponse reports whether the bytes that were read may be the current request's response: the request was written,
+// and no stray bytes were read.
 func (c *conn) mayBeResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written > 0 && !c.incomplete && !c.stray
 }
 
-// hadEarlierJob reports whether a job was sent on the connection before the present request.
+// hadEarlierJob reports whether a job was sent on the connection before the current request.
 func (c *conn) hadEarlierJob() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.anyEarlierJob
 }
 
-// gateError returns why the present request was not written, or nil.
+// gateError returns why the current request was not written, or nil.
 func (c *conn) gateError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatcher/egress/connections.go
+++ b/internal/dispatcher/egress/connections.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// idleTimeoutFraction is the fraction of the runner's own limit for which an idle connection is kept. A runner
-	// closes at that limit, and a request written at that moment ends as a reset.
+	// idleTimeoutFraction is how long an idle connection is kept, as a fraction of the setting ConnIdleTimeout, at which
+	// runners close idle connections. A request written at the moment of the runner's close would end as a reset.
 	idleTimeoutFraction = 0.85
-	// maxIdlePerTarget is more than one target's part of the attempts at once: a connection that is closed only
-	// because too many are idle costs the runner a handshake when it is opened again.
+	// maxIdlePerTarget is how many idle connections are kept to one target. It is more than the number of attempts that
+	// one target gets at the same time. If it were less, connections would be closed only because of their number, and
+	// opening them again costs the runner a handshake each.
 	maxIdlePerTarget = 256
 )
 
-// transport returns the target's own transport, which it makes at the first call.
+// transport returns the target's transport. The first call for a target creates it.
 func (e *Egress) transport(target string) *http.Transport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -27,7 +28,7 @@
 			Proxy:                  nil,
 			DisableCompression:     true,
 			MaxIdleConnsPerHost:    maxIdlePerTarget,
-			IdleConnTimeout:        e.tuned.Load().idleTimeout,
+			IdleConnTimeout:        e.active.Load().idleTimeout,
 			MaxResponseHeaderBytes: 64 << 10,
 			Protocols:              new(http.Protocols),
 		}
@@ -37,8 +38,9 @@
 	return tr
 }
 
-// dial opens a connection if fewer than maxConns are open. Guards against running out of descriptors, which would
-// shut out clients too: first idle connections are closed, then dials fail.
+// dial opens a connection if fewer than maxConns are open. Otherwise it first closes the idle connections of all targets,
+// and if that doesn't help, it fails with errNoSockets. Without this limit the process could run out of file descriptors,
+// and could then accept no clients either.
 func (e *Egress) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if e.openConns.Add(1) > e.maxConns {
 		e.closeAllIdle()
@@ -50,7 +52,7 @@
 			return nil, errNoSockets
 		}
 	}
-	c, err := e.tuned.Load().dialer.DialContext(ctx, network, addr)
+	c, err := e.active.Load().dialer.DialContext(ctx, network, addr)
 	if err != nil {
 		e.openConns.Add(-1)
 		return nil, err
@@ -58,6 +60,7 @@
 	return &conn{Conn: c, onClose: func() { e.openConns.Add(-1) }}, nil
 }
 
+// closeAllIdle closes the idle connections to all targets.
 func (e *Egress) closeAllIdle() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,7 +78,7 @@
 	}
 }
 
-// Prune drops the state of targets that are not in the route table any more.
+// Prune removes the transports of targets that are no longer in the route table, and closes their idle connections.
 func (e *Egress) Prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/dispatcher/egress/egress.go
+++ b/internal/dispatcher/egress/egress.go
@@ -1,8 +1,9 @@
-// Package egress is the upstreams' side: it makes attempts and probes of runners over HTTP and returns how each
-// ended. It decides nothing.
+// Package egress sends jobs (as attempts) and probes to the runners over HTTP/1.1 and returns how each ended. Which
+// runner gets a job, and whether a job is tried again, is decided elsewhere.
 //
-// An attempt returns an outcome for which policy.NeverRan holds only if not all of its request was written to a
-// connection, or the runner said so. Each call makes at most one complete request; nothing is resent.
+// Two invariants hold. policy.NeverRan is true of an attempt's outcome only if the request's last byte was not written
+// to a connection, or the runner said that it did not run the request. And each call writes at most one complete request:
+// a request that was written completely is never resent.
 package egress
 
 import (
@@ -20,62 +21,63 @@
 )
 
 var (
-	errNotOpen   = errors.New("the target takes nothing new")
+	errNotOpen   = errors.New("the target is not open for new requests in the route table")
 	errNoSockets = errors.New("out of sockets for egress targets")
 )
 
 // Egress makes attempts and probes. It is safe for concurrent use.
 type Egress struct {
 	table     *routetable.Table
-	tuned     atomic.Pointer[tuning]
-	maxConns  int64
-	openConns atomic.Int64
+	active    atomic.Pointer[activeSettings]
+	maxConns  int64        // the limit on open connections to all targets
+	openConns atomic.Int64 // open connections, and dials in progress
 	idleLimit idleLimit
-	warnings  logLimiter
+	warnings  logLimiter // limits the warnings about targets' responses and about sockets
 	log       logrus.FieldLogger
 
-	mu      sync.Mutex
-	targets map[string]*http.Transport
+	mu      sync.Mutex                 // guards targets
+	targets map[string]*http.Transport // by target
 }
 
-// tuning is what the settings in force say of connections and reports.
-type tuning struct {
+// activeSettings are the parts of the current settings that concern connections and load reports.
+type activeSettings struct {
 	settings    *config.Settings
 	dialer      net.Dialer
-	idleTimeout time.Duration // after which an idle connection is closed
+	idleTimeout time.Duration // how long a connection may be idle before it is closed
 }
 
-func newTuning(c *config.Config) *tuning {
-	return &tuning{&c.Settings, net.Dialer{Timeout: c.Policy.ConnectTimeout}, time.Duration(idleTimeoutFraction * float64(c.Policy.ConnIdleTimeout))}
+func newActiveSettings(c *config.Config) *activeSettings {
+	return &activeSettings{&c.Settings, net.Dialer{Timeout: c.Policy.ConnectTimeout}, time.Duration(idleTimeoutFraction * float64(c.Policy.ConnIdleTimeout))}
 }
 
 // New returns an Egress that opens at most maxConns connections.
 func New(t *routetable.Table, c *config.Config, maxConns int, log logrus.FieldLogger) *Egress {
 	e := &Egress{table: t, maxConns: int64(maxConns), log: log, targets: map[string]*http.Transport{}}
-	e.tuned.Store(newTuning(c))
-	e.idleLimit.reset(e.tuned.Load().idleTimeout)
+	e.active.Store(newActiveSettings(c))
+	e.idleLimit.reset(e.active.Load().idleTimeout)
 	return e
 }
 
-// Retune applies c's settings to attempts, dials and reports from now on. Attempts in flight are not affected.
-func (e *Egress) Retune(c *config.Config) {
-	next := newTuning(c)
+// UpdateSettings applies c's settings to the dials, attempts and load reports from now on. Attempts in flight continue
+// on their connections.
+func (e *Egress) UpdateSettings(c *config.Config) {
+	next := newActiveSettings(c)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if next.idleTimeout != e.tuned.Load().idleTimeout { // a transport keeps to the limit that it was made with
+	if next.idleTimeout != e.active.Load().idleTimeout { // a transport's idle timeout can't be changed, so new ones are made
 		for target, tr := range e.targets {
 			tr.CloseIdleConnections()
 			delete(e.targets, target)
 		}
 		e.idleLimit.reset(next.idleTimeout)
 	}
-	e.tuned.Store(next)
+	e.active.Store(next)
 }
 
-// logLimiter lets one line per second through. Guards against a log that one client, or one runner, fills.
-type logLimiter struct{ last atomic.Int64 }
+// logLimiter allows at most one log line per second, so that a single client or runner can't fill the log.
+type logLimiter struct{ last atomic.Int64 } // last is the time of the last allowed line, Unix time in nanoseconds
 
-// allow reports whether a line may be logged now.
+// allow reports whether a line may be logged at now, and if so counts it as logged.
 func (r *logLimiter) allow(now time.Time) bool {
 	last := r.last.Load()
 	return now.UnixNano()-last >= int64(time.Second) && r.last.CompareAndSwap(last, now.UnixNano())
--- a/internal/dispatcher/egress/egress_test.go
+++ b/internal/dispatcher/egress/egress_test.go
@@ -21,6 +21,7 @@
 	"ospreypond/policy"
 )
 
+// testEgress returns an Egress and a route table that lists one runner, w, at addr.
 func testEgress(t *testing.T, addr string) (*Egress, *routetable.Table) {
 	t.Helper()
 	log := logrus.New()
@@ -32,6 +33,7 @@
 	return New(table, c, 100, log), table
 }
 
+// applyList sets the route table to a list with the runner w alone.
 func applyList(t *routetable.Table, addr, health string) {
 	t.Apply(&routetable.List{Seq: 1, Full: true, Hosts: []routetable.Host{{Host: "w", Dial: addr, Health: health}}})
 }
@@ -43,7 +45,7 @@
 	return l
 }
 
-// serveHTTP runs a runner that speaks HTTP and returns its address.
+// serveHTTP starts a runner whose requests handler serves, and returns its address.
 func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	l := newListener(t)
@@ -53,7 +55,7 @@
 	return l.Addr().String()
 }
 
-// runServer runs a runner; serve is called with each connection, in a goroutine.
+// runServer starts a runner and returns its address. serve is called with each connection, in its own goroutine.
 func runServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l := newListener(t)
@@ -70,13 +72,14 @@
 	return l.Addr().String()
 }
 
+// attemptOnce makes one attempt of a job with that body at the runner w.
 func attemptOnce(ctx context.Context, e *Egress, body []byte) coordinator.AttemptEnd {
 	return e.Attempt(ctx, &coordinator.Attempt{Target: "w", Deadline: time.Now().Add(time.Minute), OnProgress: func(policy.EventKind) {}, Begin: func(time.Time) error { return nil },
 		Request: &coordinator.Request{ID: "id", Method: "POST", Target: "/c", IdempotencyKey: "k", Body: body}})
 }
 
-// Guards against a dial that bypasses a drain: the route was open when the attempt began, and is not when its first
-// byte is due.
+// No request is written to a runner that began to drain while its connection was being opened: the route is checked
+// again right before the first byte.
 func TestSlowDialDoesNotBypassADrain(t *testing.T) {
 	got := make(chan int, 1)
 	addr := runServer(t, func(c net.Conn) {
@@ -95,9 +98,9 @@
 	assert.Zero(t, <-got, "bytes at a draining runner")
 }
 
-// An attempt whose bytes were sent never counts as unsent. Its headers and body are written at once: when they were
-// written separately, a runner that broke off after the headers made the outcome unsent at times, and reset at
-// others.
+// An attempt whose request was written counts as a reset when the connection breaks, never as unsent. Headers and body
+// are written in one write. When they were written separately, a runner that closed after the headers made the outcome
+// unsent in some runs and reset in others.
 func TestBreakAfterTheRequestIsAReset(t *testing.T) {
 	addr := runServer(t, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 4096))
@@ -108,6 +111,7 @@
 	assert.Equal(t, policy.Reset, attemptOnce(context.Background(), e, []byte("x")).Outcome)
 }
 
+// A runner that refuses connections makes the attempt end as a failed connect, and no connection stays counted as open.
 func TestRefusedConnection(t *testing.T) {
 	l := newListener(t)
 	require.NoError(t, l.Close())
@@ -116,7 +120,7 @@
 	assert.Zero(t, e.openConns.Load())
 }
 
-// respondOnce responds to the first request on a connection and resets it under the second one.
+// respondOnce responds to the first request on a connection and resets the connection when the second one arrives.
 func respondOnce(c net.Conn) {
 	if _, err := c.Read(make([]byte, 4096)); err == nil {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n"+`{"id":"id","state":"done","result":"r"}`)
@@ -126,12 +130,12 @@
 	_ = c.Close()
 }
 
-// Guards against runners that drop idle connections sooner than the settings say, without notice: once a reused one
-// broke under a request, only younger ones are reused, and an attempt passes over the others without a resend.
+// Some runners drop idle connections earlier than the settings say, without notice. After a reused connection broke, only
+// connections that were idle for a shorter time are reused, and attempts skip the others without resending anything.
 func TestIdleLimitIsLearnedFromBrokenConnections(t *testing.T) {
 	e, _ := testEgress(t, runServer(t, respondOnce))
 	require.Equal(t, policy.OK, attemptOnce(context.Background(), e, nil).Outcome)
-	require.Eventually(t, func() bool { // until the connection is in the pool and was used
+	require.Eventually(t, func() bool { // the connection takes a moment to return to the pool
 		return attemptOnce(context.Background(), e, nil).Outcome == policy.Reset
 	}, 20*time.Second, time.Millisecond)
 	assert.Less(t, e.idleLimit.at(time.Now()), e.idleLimit.configured)
@@ -141,14 +145,14 @@
 	}
 }
 
-// The limit follows the last break, and grows back with time.
+// The limit falls to a fraction of the idle time at which a connection broke, and doubles over time up to the setting.
 func TestIdleLimit(t *testing.T) {
 	k, now := idleLimit{configured: 4 * time.Second, learned: 4 * time.Second}, time.Now()
 	assert.Equal(t, k.configured, k.at(now))
-	k.broke(now, time.Second)
+	k.recordBreak(now, time.Second)
 	assert.Equal(t, 700*time.Millisecond, k.at(now))
-	k.broke(now, 3*time.Second)
-	assert.Equal(t, 700*time.Millisecond, k.at(now), "one after a longer time changes nothing")
+	k.recordBreak(now, 3*time.Second)
+	assert.Equal(t, 700*time.Millisecond, k.at(now), "a break after a longer idle time changes nothing")
 	assert.Equal(t, 1400*time.Millisecond, k.at(now.Add(idleDoubling)))
 	assert.Equal(t, k.configured, k.at(now.Add(time.Hour)))
 }
@@ -158,8 +162,8 @@
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, syscall.ECONNRESET }
 
-// Guards against a network that resets single connections: a request that was not written completely goes to another
-// one within its attempt, so that its runner does not look down. One that is down is detected.
+// In a network that resets single connections, a request that was not written completely is written to another
+// connection within the same attempt, so that the runner does not look down. A runner that refuses each dial is detected.
 func TestUnwrittenRequestIsDialedAgain(t *testing.T) {
 	addr := runServer(t, respondOnce)
 	for name, bad := range map[string]func(net.Conn) (net.Conn, error){
@@ -170,7 +174,7 @@
 			e, _ := testEgress(t, addr)
 			dials := 0
 			e.transport("w").DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				c, err := e.tuned.Load().dialer.DialContext(ctx, network, addr)
+				c, err := e.active.Load().dialer.DialContext(ctx, network, addr)
 				if dials++; err == nil && dials <= times {
 					c, err = bad(c)
 				}
@@ -184,7 +188,7 @@
 	}
 }
 
-// Guards against blaming a runner for the dispatcher's own lack of sockets.
+// A lack of sockets in the dispatcher is not counted against the runner.
 func TestOutOfSocketsIsMoot(t *testing.T) {
 	e, _ := testEgress(t, "127.0.0.1:1")
 	e.maxConns = 0
@@ -192,7 +196,7 @@
 	assert.Equal(t, policy.Moot, e.Probe(context.Background(), "w").Outcome)
 }
 
-// Guards against a log that one client's requests fill: one line per second.
+// At most one warning per second is logged, so that one client's requests can't fill the log.
 func TestWarningsAreLimited(t *testing.T) {
 	var r logLimiter
 	now, lines := time.Now(), 0
@@ -204,8 +208,8 @@
 	assert.Equal(t, 2, lines)
 }
 
-// Guards against one client's invalid request making a runner look unhealthy.
-func TestUnusableRequestIsReported(t *testing.T) {
+// A request that the runner calls invalid by a 400 does not count against the runner.
+func TestInvalidRequestIsReported(t *testing.T) {
 	e, _ := testEgress(t, runServer(t, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 4096))
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -215,7 +219,8 @@
 	assert.Equal(t, policy.Cancelled, end.Outcome)
 }
 
-// An attempt has one end even if its cancellation and its response cross, and a result that arrived is not lost.
+// When an attempt is cancelled at about the time of its response, it ends either with the result or as cancelled. It ends
+// as moot only if the request did not reach the runner.
 func TestCancelRacesTheResponse(t *testing.T) {
 	var arrived, mayHaveRun atomic.Int64
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -248,9 +253,10 @@
 	}
 	wg.Wait()
 	require.NoError(t, s.Shutdown(context.Background()))
-	assert.LessOrEqual(t, arrived.Load(), mayHaveRun.Load(), "an attempt that never ran by its outcome arrived")
+	assert.LessOrEqual(t, arrived.Load(), mayHaveRun.Load(), "a request reached the runner though its attempt's outcome says that it never ran")
 }
 
+// An attempt whose request was written and gets no response ends as timed out at its deadline.
 func TestTimeout(t *testing.T) {
 	addr := runServer(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 	e, _ := testEgress(t, addr)
@@ -259,7 +265,8 @@
 	assert.Equal(t, policy.TimedOut, attemptOnce(ctx, e, nil).Outcome)
 }
 
-// A result is returned with the response's last line; the rest is read for the connection's sake.
+// A result is returned as soon as its line was read. The rest of the response is read afterwards, only so that the
+// connection can be reused.
 func TestResultIsNotDelayedByTheRestOfTheResponse(t *testing.T) {
 	release := make(chan struct{})
 	addr := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -275,6 +282,7 @@
 	assert.InDelta(t, 3, end.Report.FreeSlots, 0)
 }
 
+// A load report's unknown names and invalid values are skipped.
 func TestTextReport(t *testing.T) {
 	s := &config.Settings{}
 	s.FamilyInfo.ReportX0 = "free slots"
@@ -283,7 +291,7 @@
 	assert.Equal(t, policy.NoReport, textReport(s, "nothing, x0=NaN"))
 }
 
-// The state of a target that is not in the route table any more is dropped.
+// Prune removes the transport of a target that is no longer in the route table.
 func TestPrune(t *testing.T) {
 	e, table := testEgress(t, "127.0.0.1:1")
 	e.transport("w")
--- a/internal/dispatcher/egress/response.go
+++ b/internal/dispatcher/egress/response.go
@@ -14,13 +14,14 @@
 	"ospreypond/policy"
 )
 
-// maxLine bounds one line of a response and maxResponse all of it; by the protocol no body exceeds 64 KiB.
+// The limits are above what the protocol allows: no body in it exceeds 64 KiB.
 const (
-	maxLine     = 128 << 10
-	maxResponse = 256 << 10
+	maxLine     = 128 << 10 // bytes in one line of a response, or in the body of a load report
+	maxResponse = 256 << 10 // bytes in the body of a response
 )
 
-// responseLine is one JSON object of a response.
+// responseLine is one line of a response's body, a JSON object. A runner sends several: lines that report progress, then
+// the one that ends the attempt.
 type responseLine struct {
 	ID     string             `json:"id"`
 	State  string             `json:"state"`
@@ -28,7 +29,7 @@
 	Load   map[string]float64 `json:"load"`
 }
 
-// result returns what the client gets: a JSON string's value, anything else as it was written.
+// result returns the bytes that the client gets: the value of a JSON string, any other JSON value as it was written.
 func (l *responseLine) result() []byte {
 	var s string
 	if json.Unmarshal(l.Result, &s) == nil {
@@ -37,10 +38,10 @@
 	return l.Result
 }
 
-// hasResult reports whether the line has a result.
+// hasResult reports whether the line has a result other than null.
 func (l *responseLine) hasResult() bool { return len(l.Result) > 0 && string(l.Result) != "null" }
 
-// lineReader reads a response line by line, as they arrive, up to maxResponse.
+// lineReader reads the lines of a response as they arrive, up to maxResponse bytes in all.
 type lineReader struct {
 	r     *bufio.Reader
 	limit *io.LimitedReader
@@ -51,7 +52,7 @@
 	return &lineReader{bufio.NewReader(limit), limit}
 }
 
-// next returns the next line that is not blank. A truncated one, because the connection broke, is an error.
+// next returns the next line that is not blank. A line that is truncated, as after a broken connection, is an error.
 func (l *lineReader) next() (*responseLine, error) {
 	for {
 		b, err := l.readLine()
@@ -69,6 +70,7 @@
 	}
 }
 
+// readLine returns the next line, which may be blank. It returns bufio.ErrTooLong beyond maxLine or maxResponse.
 func (l *lineReader) readLine() ([]byte, error) {
 	var all []byte
 	for {
@@ -83,7 +85,7 @@
 		case errors.Is(err, io.EOF) && l.limit.N <= 0:
 			return nil, bufio.ErrTooLong
 		case errors.Is(err, io.EOF) && len(all) > 0:
-			return all, nil // the last line may lack its newline; a truncated one does not parse
+			return all, nil // the last line needs no newline; if it is truncated, next fails to parse it
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
 		case len(all) > maxLine:
@@ -92,14 +94,14 @@
 	}
 }
 
-// discard reads the rest, and reports whether it reached the response's end.
+// discard reads and drops the rest of the response, and reports whether it reached its end within maxResponse.
 func (l *lineReader) discard() (complete bool) {
 	_, err := io.Copy(io.Discard, l.r)
 	return err == nil && l.limit.N > 0
 }
 
-// textReport parses a load report in the form "TEXT name=value, name=value". It skips what it does not know, and what
-// is not a number.
+// textReport parses a load report of the form "TEXT name=value, name=value". It skips unknown names and values that are
+// not numbers.
 func textReport(s *config.Settings, text string) policy.Report {
 	r := policy.NoReport
 	text = strings.TrimPrefix(strings.TrimSpace(text), "TEXT")
@@ -112,6 +114,7 @@
 	return r
 }
 
+// headerReport parses the load report in a response's header X-Server-Load, if there is one.
 func headerReport(s *config.Settings, h http.Header) (policy.Report, bool) {
 	text := h.Get("X-Server-Load")
 	if text == "" {
@@ -120,6 +123,7 @@
 	return textReport(s, text), true
 }
 
+// lineReport returns the load report in a response line.
 func lineReport(s *config.Settings, load map[string]float64) policy.Report {
 	r := policy.NoReport
 	for name, x := range load {
@@ -128,8 +132,9 @@
 	return r
 }
 
+// setReport sets the field of r that the settings assign to name. It skips unknown names and values out of range.
 func setReport(s *config.Settings, r *policy.Report, name string, x float64) {
-	if to := s.ReportField(r, name); to != nil && x >= 0 && x < 1e9 { // false for what is not a number
+	if to := s.ReportField(r, name); to != nil && x >= 0 && x < 1e9 { // both comparisons are false for NaN
 		*to = x
 	}
 }
--- a/internal/dispatcher/ingress/closing_test.go
+++ b/internal/dispatcher/ingress/closing_test.go
@@ -281,7 +281,7 @@
 		allowed time.Duration
 		want    string
 	}{{2 * time.Second, "1.000"}, {300 * time.Millisecond, "0.300"}, {0, ""}, {0, ""}, {time.Minute, "1.000"}} { // more connections than may linger
-		s.Retune(&policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: tt.allowed})
+		s.UpdateSettings(&policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: tt.allowed})
 		_, from := dial(t, addr, fullRequest)
 		resp := readResponse(t, from)
 		assert.Equal(t, http.StatusServiceUnavailable, resp.status)
--- a/internal/dispatcher/ingress/drain_test.go
+++ b/internal/dispatcher/ingress/drain_test.go
@@ -87,12 +87,12 @@
 }
 
 // After new settings a request of a new class is accepted at once, and one of a removed class is refused.
-func TestRetuneChangesAcceptedClasses(t *testing.T) {
+func TestUpdateSettingsChangesAcceptedClasses(t *testing.T) {
 	s, phases := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response {
 		return coordinator.Response{Kind: coordinator.Served}
 	})
 	phases.Advance(lifecycle.Serving)
-	s.Retune(&policy.Settings{Classes: []policy.Class{{Name: "d"}}})
+	s.UpdateSettings(&policy.Settings{Classes: []policy.Class{{Name: "d"}}})
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/d/x", strings.NewReader("body"))
 	r.Header = newRequest(t).Header
 	w := httptest.NewRecorder()
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -74,7 +74,7 @@
 // at most maxBodyBytes in all.
 func New(submitter Submitter, phases *lifecycle.Lifecycle, set *policy.Settings, sockets int, maxBodyBytes int64, log *logrus.Logger) *Server {
 	s := &Server{submitter: submitter, lifecycle: phases, sockets: sockets, maxBodyBytes: maxBodyBytes, giveUps: newGiveUps(log), log: log}
-	s.Retune(set)
+	s.UpdateSettings(set)
 	s.http = http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead,
 		ConnState: connStateChanged, ConnContext: withClientConn, ErrorLog: stdlog.New(log.WriterLevel(logrus.DebugLevel), "", 0),
 		Protocols: new(http.Protocols)}
@@ -108,9 +108,9 @@
 // retryAfter returns the Retry-After of requests shed here by the settings in force; 0: none is sent.
 func (s *Server) retryAfter() time.Duration { return s.names.Load().retryAfter }
 
-// Retune applies the classes, the tenants and the longest Retry-After of new settings to requests that arrive from
+// UpdateSettings applies the classes, the tenants and the longest Retry-After of new settings to requests that arrive from
 // now on.
-func (s *Server) Retune(set *policy.Settings) {
+func (s *Server) UpdateSettings(set *policy.Settings) {
 	n := &names{classes: map[string]bool{}, tenants: map[string]bool{}, retryAfter: min(shedRetryAfter, set.MaxRetryAfter)}
 	for _, c := range set.Classes {
 		n.classes[c.Name] = true
--- a/internal/dispatcher/routetable/watch.go
+++ b/internal/dispatcher/routetable/watch.go
@@ -97,14 +97,14 @@
 	return p.replaced
 }
 
-// NewWatcher returns a Watcher on the discovery service at addr, timed by hold and grace, see Retune. What it learns
+// NewWatcher returns a Watcher on the discovery service at addr, timed by hold and grace, see SetTimes. What it learns
 // is applied to t first and then passed to notify, in order and from one goroutine; notify may block.
 func NewWatcher(t *Table, addr string, hold, grace time.Duration, notify func(policy.Event), log logrus.FieldLogger) *Watcher {
 	tr := &http.Transport{Proxy: nil, DisableCompression: true, MaxIdleConnsPerHost: 1}
 	w := &Watcher{table: t, firstList: make(chan struct{}), notify: notify, notifier: newNotifier(), client: &http.Client{Transport: tr},
 		subscribed: make(chan struct{}, 1), log: log}
 	w.endpoint.Store(newEndpoint(addr, false))
-	w.Retune(hold, grace)
+	w.SetTimes(hold, grace)
 	return w
 }
 
@@ -126,10 +126,10 @@
 	}
 }
 
-// Retune sets the hold of calls from the next one on, at most maxHold, and the interval of retries of a watch that is
+// SetTimes sets the hold of calls from the next one on, at most maxHold, and the interval of retries of a watch that is
 // kept open, at most a third of grace: where lists are pushed, the dispatcher counts as notified at once, even right
 // after an outage, and grace is how long it may take to heed a drain; 0: not limited.
-func (w *Watcher) Retune(hold, grace time.Duration) {
+func (w *Watcher) SetTimes(hold, grace time.Duration) {
 	p := &callPacing{hold: min(hold, maxHold), maxBackoff: maxRetryInterval}
 	if grace > 0 {
 		p.maxBackoff = min(maxRetryInterval, max(minRetryInterval, grace/3))
