--- a/internal/dispatcher/ingress/client.go
+++ b/internal/dispatcher/ingress/client.go
@@ -12,89 +12,97 @@
 // connState is the state of a client's connection.
 type connState int
 
-// The states of a client's connection, in order. They change under limitedListener.mu, which orders reading and
-// closing: bytes that are read before the close begins keep the connection open until the request that they belong to
-// has its response; bytes that are read after it never become a request.
+// The states of a client's connection. They change under limitedListener.mu, so each read of bytes comes either before or
+// after the begin of the close:
+//   - Bytes read before it keep the connection open until the request that they belong to has its response.
+//   - Bytes read after it never become part of a request.
+//
+// From stateClosing on a connection never returns to an earlier state; code compares states with <, so their order counts.
 const (
-	stateNew       connState = iota // no byte of a request yet
-	stateReading                    // bytes of a request were read; it is incomplete, or the handler has not claimed it yet
-	stateBusy                       // the handler has claimed the request; this side never closes it
-	stateIdle                       // the last request has its response and no byte of a next one was read
-	stateClosing                    // the close has begun: nothing read from here on is a request
-	stateLingering                  // the sending side is shut; what the client still sends is read and dropped
-	stateClosed
+	stateNew       connState = iota // no byte was read yet
+	stateReading                    // bytes of a request were read, but the handler has not claimed the request yet
+	stateBusy                       // the handler has claimed the request, and the listener must not close the connection
+	stateIdle                       // the last request has its response and no byte of the next one was read
+	stateClosing                    // the close has begun: bytes read from here on are not part of a request
+	stateLingering                  // the sending side is being shut down; bytes from the client are read and dropped
+	stateClosed                     // the socket is closed
 )
 
 const (
-	// maxEarlyBytes bounds the bytes that are kept of what a client sends before it has its response; the rest is
-	// dropped, and the connection ends with the response. Clients send one request at a time, so there are hardly
-	// ever any; all connections' together must fit the smallest memory limit.
+	// maxEarlyBytes is how many bytes are kept of those that a client sends before it has the response to its complete
+	// request. If it sends more, they are dropped and the connection is closed after that response. Clients normally
+	// send one request at a time, so such bytes are rare. The bound must be small enough for the early bytes of all
+	// connections together to fit in the smallest memory limit.
 	maxEarlyBytes = 2 * maxHead
-	// lingerTimeout and maxLingerBytes bound a lingering close. A client that reads its response closes at once; the
-	// others' connections count against limitedListener.maxLingering.
+	// lingerTimeout and maxLingerBytes bound how long a lingering close waits for the client to close its side, and how
+	// many bytes it reads and drops in that time. A client that reads its response usually closes right afterwards. A
+	// connection that lingers counts against limitedListener.maxLingering.
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 1 << 20
 )
 
-// rawResponse is a response that is written without net/http, where that has no request to respond to.
+// rawResponse returns an HTTP response as text, for connections on which net/http has no request to respond to. more are
+// further header lines, each with its line end; line is the body.
 func rawResponse(status, more, line string) string {
 	return "HTTP/1.1 " + status + "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n" + more +
 		"Content-Length: " + strconv.Itoa(len(line)+1) + "\r\n\r\n" + line + "\n"
 }
 
-// headTimeoutResponse is written on a connection whose head stopped arriving, which net/http would close without a
-// response.
-var headTimeoutResponse = rawResponse("408 Request Timeout", "", "the request's head stopped coming")
+// headTimeoutResponse is written when the rest of a request's head does not arrive in time. net/http would close the
+// connection without a response.
+var headTimeoutResponse = rawResponse("408 Request Timeout", "", "the request's head was not received in time")
 
-// evictedResponse is written on a connection that is evicted before its request was read.
+// evictedResponse returns the response for a connection that is closed to make room for another before its request was
+// read completely. Without a positive retryAfter it has no Retry-After.
 func evictedResponse(retryAfter time.Duration) string {
 	more := ""
 	if retryAfter > 0 {
 		more = "Retry-After: " + formatRetryAfter(retryAfter) + "\r\n"
 	}
-	return rawResponse("503 Service Unavailable", more, "this connection had to make room; a retry is harmless")
+	return rawResponse("503 Service Unavailable", more, "this connection was closed to make room for another; a retry is harmless")
 }
 
-// formatRetryAfter returns the value of a Retry-After header: seconds with a fraction.
+// formatRetryAfter returns the value of a Retry-After header: seconds with three decimals.
 func formatRetryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// clientConn is a client's connection. Whoever closes it, it lingers: the sending side is shut first, then what still
-// arrives is dropped until the client has closed too, so that no response is destroyed by unread bytes (RFC 9112,
-// 9.6).
+// clientConn is a client's connection. Close closes it in three steps (a lingering close, RFC 9112, 9.6): it shuts down
+// the sending side, reads and drops what still arrives until the client closes its side, and closes the socket. If a
+// socket is closed with unread bytes, the kernel sends a reset, and the reset can destroy a response that the client has
+// not read yet.
 type clientConn struct {
 	net.Conn
 	listener *limitedListener
 
-	// The rest is guarded by listener.mu.
+	// listener.mu guards the fields below.
 	state         connState
-	list          *list.List    // the listener's list that it is in; nil: none
-	element       *list.Element // its element there
-	quietSince    time.Time     // the list is ordered by it: the last byte, response, or the accept
-	lastRead      time.Time     // when the last bytes were read, or it was accepted
-	handled       bool          // the handler has the request
-	readingBody   bool          // the handler is reading its body
+	list          *list.List    // the listener's list that contains the connection; nil: none
+	element       *list.Element // the connection's element in list
+	quietSince    time.Time     // the time of the last byte or response, or of the accept; the lists are ordered by it
+	lastRead      time.Time     // the time of the last byte, of the accept, or of the start or end of reading a body
+	handled       bool          // net/http has called the handler with the request
+	readingBody   bool          // the handler is reading the request's body
 	requestBegun  bool          // bytes of a request were read since the last response
-	written       bool          // something was written since the last response
-	early         []byte        // what the client sent before it had its response
-	earlyOverflow bool          // it sent more than is kept: the connection ends with the response
-	closeReason   string        // the reason for which this side closes it; empty: none that counts
+	written       bool          // bytes were written since the last response
+	early         []byte        // bytes that the client sent before it had the response to its complete request
+	earlyOverflow bool          // the client sent more than maxEarlyBytes: the connection closes after the response
+	closeReason   string        // the give-up reason if the listener closes the connection; empty: other closes
 	framing       framing
 
-	// How the last read failed, for the counts of requests given up.
-	timedOut, broken bool
-	sentTimeout      bool // headTimeoutResponse was written; net/http reads again after a timeout
+	timedOut    bool // a read ended by its deadline
+	broken      bool // a read failed otherwise: the client has closed or reset the connection
+	sentTimeout bool // headTimeoutResponse was written; it must be written once, and net/http reads again after a timeout
 
 	httpDeadline   time.Time // the read deadline that net/http set
-	socketDeadline time.Time // the one set on the socket
+	socketDeadline time.Time // the read deadline that is set on the socket
 }
 
 func newClientConn(conn net.Conn, l *limitedListener, now time.Time) *clientConn {
 	return &clientConn{Conn: conn, listener: l, quietSince: now, lastRead: now, framing: framing{length: -1}}
 }
 
-// Read gives net/http the bytes of requests. While the handler has a complete request, net/http reads only to notice
-// the client's disconnect, and stops watching at the first byte; so bytes that arrive early are kept here, and
-// net/http goes on watching.
+// Read passes the bytes of requests to net/http. While the handler has a complete request, net/http reads only to notice
+// the client's disconnect, and it stops to do so at the first byte. So Read keeps the bytes that arrive early in
+// k.early and goes on reading, and the disconnect is still noticed.
 func (k *clientConn) Read(p []byte) (int, error) {
 	for into := p; ; {
 		n, watch, ownTimeout, err := k.nextRead(p)
@@ -106,7 +114,7 @@
 				return 0, io.EOF
 			}
 			if err == nil {
-				into = make([]byte, 1<<10) // rare, so only the first byte is read into net/http's buffer
+				into = make([]byte, 1<<10) // net/http reads one byte here; early bytes, which are rare, get a larger buffer
 				continue
 			}
 			n = 0
@@ -115,15 +123,16 @@
 	}
 }
 
-// nextRead copies early bytes to p, or else lets Read go to the socket: with watch, only to notice the client's
-// disconnect. ownTimeout reports whether the socket's deadline is one of this package's, not net/http's.
+// nextRead copies early bytes to p. If it returns neither bytes nor an error, Read is to read the socket. watch reports
+// whether that read serves only to notice the client's disconnect. ownTimeout reports whether the socket's read deadline
+// was set by this package's timeouts, not by net/http.
 func (k *clientConn) nextRead(p []byte) (n int, watch, ownTimeout bool, err error) {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
 	if k.state >= stateClosing {
 		return 0, false, false, io.EOF
 	}
-	// This holds for the whole read: net/http ends its watch before the connection becomes idle.
+	// watch can't change during the read: net/http ends its background read before it reports the connection as idle.
 	watch = k.framing.complete > k.framing.responded && !k.framing.unparsable
 	if n = copy(p, k.early); !watch && n > 0 {
 		if k.early = k.early[n:]; len(k.early) == 0 {
@@ -135,7 +144,7 @@
 	return 0, watch, k.applyDeadline(), nil
 }
 
-// keepEarly keeps bytes that arrived early. It reports whether the connection stays open.
+// keepEarly stores bytes that arrived early, and reports whether the connection stays open.
 func (k *clientConn) keepEarly(p []byte) bool {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -147,7 +156,8 @@
 	return k.state < stateClosing
 }
 
-// received handles what a read of the socket returned: bytes of a request, unless the close has begun meanwhile.
+// received handles the result of a read of the socket. The bytes are passed on as bytes of a request, unless the close
+// began during the read: then they are dropped.
 func (k *clientConn) received(p []byte, err error, ownTimeout bool) (int, error) {
 	now := time.Now()
 	k.listener.mu.Lock()
@@ -177,8 +187,8 @@
 	return len(p), err
 }
 
-// consume notes bytes of a request that go to net/http now: from here on the connection is not idle. listener.mu is
-// held.
+// consume records bytes of a request that are passed to net/http now. From here on the connection is not idle. The caller
+// holds listener.mu.
 func (k *clientConn) consume(p []byte, now time.Time) {
 	k.framing.feed(p)
 	k.requestBegun, k.lastRead, k.quietSince = true, now, now
@@ -188,7 +198,7 @@
 	}
 }
 
-// moveTo moves k to the end of one of the listener's lists; nil: of none. listener.mu is held.
+// moveTo moves k to the end of one of the listener's lists. nil removes k from its list. The caller holds listener.mu.
 func (k *clientConn) moveTo(to *list.List) {
 	if k.list == to && to != nil {
 		to.MoveToBack(k.element)
@@ -202,7 +212,8 @@
 	}
 }
 
-// startHandling notes that the handler has a request, and reports whether its head on the wire allows a chunked body.
+// startHandling records that the handler has a request, and reports whether a chunked body of the request may be read,
+// according to framing, which saw the head as it was sent.
 func (k *clientConn) startHandling() (chunked bool) {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -210,15 +221,16 @@
 	return k.framing.nextVerdict()
 }
 
-// setReadingBody sets whether the handler is reading the request's body, which gapTimeout then applies to.
+// setReadingBody sets whether the handler is reading the request's body. Meanwhile gapTimeout applies to the reads.
 func (k *clientConn) setReadingBody(reading bool) {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
 	k.readingBody, k.lastRead = reading, time.Now()
 }
 
-// claim notes that a request was read completely. It reports false if the close had begun before: the request then
-// counts as never read and must not be forwarded.
+// claim reports whether the handler may forward the request that it has read. It may not if the close began before. Then
+// the request counts as never read, as the client sees a closed connection or an error and may send it elsewhere. After
+// a claim the listener doesn't close the connection until the request has its response.
 func (k *clientConn) claim() bool {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -230,8 +242,8 @@
 	return true
 }
 
-// responded notes that the request has its response. If bytes of the next one were already read, the connection is
-// not idle.
+// responded records that the request has its response. The connection becomes idle, unless bytes of the next request were
+// already read. It is closed if more early bytes arrived than are kept, or if it is idle in a drain.
 func (k *clientConn) responded() {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -252,8 +264,9 @@
 	}
 }
 
-// startClose begins the close, for a reason that is counted if a request was begun. Nothing that is read from here on
-// is a request. The goroutine that reads the connection wakes up and closes it. listener.mu is held.
+// startClose begins the close. No byte that is read from here on becomes part of a request. If a request was begun on the
+// connection, it is counted as given up; why is its reason if no other applies. A read deadline in the past makes
+// net/http's goroutine return from Read and close the connection. The caller holds listener.mu.
 func (k *clientConn) startClose(why string) {
 	if k.state >= stateClosing {
 		return
@@ -267,17 +280,18 @@
 	_ = k.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// giveUpReason returns why the request begun on the connection is given up as the connection ends; ok is false if
-// there was none. by is the reason if the dispatcher closes it. listener.mu is held.
+// giveUpReason returns the reason for which the request that was begun on the connection is given up when the connection
+// ends. ok is false if no request was begun, or if the handler has it and counts it. by is the listener's reason for the
+// close; empty: none. The caller holds listener.mu.
 func (k *clientConn) giveUpReason(by string) (reason string, ok bool) {
 	switch {
 	case k.handled || !k.requestBegun:
 		return "", false
-	case k.broken: // net/http responds 400 to a truncated head, but nobody reads it
+	case k.broken: // first, as net/http writes a 400 after a truncated head, which the client doesn't read
 		return headDisconnected, true
 	case k.sentTimeout:
 		return headSlow, true
-	case k.written: // only net/http writes before the handler: its 4xx for an invalid head
+	case k.written: // before the handler only net/http writes: a 4xx for an invalid head
 		return headRefused, true
 	case by != "":
 		return by, true
@@ -287,7 +301,7 @@
 	return headClosed, true
 }
 
-// Write notes that a response was begun, and writes to the socket.
+// Write records that a response was begun, and writes to the socket.
 func (k *clientConn) Write(p []byte) (int, error) {
 	k.listener.mu.Lock()
 	k.written = true
@@ -295,7 +309,7 @@
 	return k.Conn.Write(p)
 }
 
-// CloseWrite shuts the sending side. net/http calls it before it closes a connection on which the client is still
+// CloseWrite shuts down the sending side. net/http calls it before it closes a connection on which the client is still
 // sending.
 func (k *clientConn) CloseWrite() error {
 	k.listener.mu.Lock()
@@ -305,6 +319,7 @@
 	return k.closeWrite()
 }
 
+// closeWrite shuts down the sending side of the socket.
 func (k *clientConn) closeWrite() error {
 	if c, ok := k.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
@@ -313,13 +328,14 @@
 }
 
 // Close closes the connection with a lingering close. It returns when the client has closed its side too, or after
-// lingerTimeout or maxLingerBytes.
+// lingerTimeout or maxLingerBytes. A connection that was evicted with a request begun on it, or before its first request,
+// gets evictedResponse before.
 func (k *clientConn) Close() error {
 	k.listener.mu.Lock()
 	k.startClose("")
 	response := ""
 	if k.closeReason == headEvicted && !k.written && (k.requestBegun || k.framing.responded == 0) {
-		response = evictedResponse(k.listener.retryAfter()) // an idle one has no request
+		response = evictedResponse(k.listener.retryAfter()) // not on an idle connection, where the client expects no response
 	}
 	disconnected, closed := k.broken, k.state == stateClosed
 	k.state = max(k.state, stateLingering)
@@ -337,7 +353,7 @@
 	return k.closeSocket()
 }
 
-// linger drops what the client still sends, until it closes.
+// linger reads and drops what the client still sends until it closes its side, within lingerTimeout and maxLingerBytes.
 func (k *clientConn) linger() {
 	_ = k.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	buf := make([]byte, 512)
@@ -352,7 +368,7 @@
 	}
 }
 
-// closeSocket closes the socket, whatever is still buffered, and removes the connection from the listener's lists.
+// closeSocket removes the connection from the listener's lists and closes the socket, even if it has unread bytes.
 func (k *clientConn) closeSocket() error {
 	k.listener.mu.Lock()
 	k.state = stateClosed
--- a/internal/dispatcher/ingress/closing_test.go
+++ b/internal/dispatcher/ingress/closing_test.go
@@ -22,12 +22,13 @@
 // fullRequest is a request without a body.
 const fullRequest = head + "Content-Length: 0\r\n\r\n"
 
-// hookedListener is a listener whose connections call a function of the test after each read of the socket.
+// hookedListener is a listener whose connections call afterRead after each read of bytes from the socket.
 type hookedListener struct {
 	net.Listener
-	afterRead atomic.Pointer[func()] // called after bytes were read; nil: none
+	afterRead atomic.Pointer[func()] // nil: no function is called
 }
 
+// hookedConn is a connection of a hookedListener.
 type hookedConn struct {
 	net.Conn
 	in *hookedListener
@@ -51,7 +52,7 @@
 
 func (c *hookedConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// serveHooked serves at a hookedListener; each request is counted and its response is its id.
+// serveHooked starts a server on a hookedListener. The response to each request is its id; submitted counts the requests.
 func serveHooked(t *testing.T) (s *Server, phases *lifecycle.Lifecycle, at *hookedListener, submitted *atomic.Int64) {
 	t.Helper()
 	submitted = new(atomic.Int64)
@@ -66,7 +67,7 @@
 	return s, phases, at, submitted
 }
 
-// listLengths returns how many connections are quiet, idle, busy and lingering.
+// listLengths returns how many connections are in the listener's lists quiet, idle, busy and lingering.
 func listLengths(s *Server) (lengths []int) {
 	c := s.listener.Load()
 	if c == nil {
@@ -80,25 +81,26 @@
 	return lengths
 }
 
+// requireStates waits until the listener's lists have these lengths, and fails the test if they don't.
 func requireStates(t *testing.T, s *Server, quiet, idle, busy, lingering int) {
 	t.Helper()
 	require.Eventually(t, func() bool { return assert.ObjectsAreEqual([]int{quiet, idle, busy, lingering}, listLengths(s)) },
 		20*time.Second, time.Millisecond)
 }
 
-// assertClosedCleanly asserts that the connection was closed without a further byte, and not by a reset.
+// assertClosedCleanly asserts that no further byte arrives, and that the connection ends without a reset.
 func assertClosedCleanly(t *testing.T, from *bufio.Reader) {
 	t.Helper()
 	_, err := from.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A connection stays open if a single byte of its next request was read before a drain or a stop closes idle
-// connections, until that request has its response. net/http's own Shutdown closes it.
+// If a single byte of the next request was read before a drain or a stop closes idle connections, the connection stays open
+// until this request has its response. net/http's Shutdown would close it.
 func TestOneByteReadKeepsConnectionOpen(t *testing.T) {
 	for name, end := range map[string]func(s *Server, phases *lifecycle.Lifecycle) (ended func()){
-		"drain": func(s *Server, _ *lifecycle.Lifecycle) func() { s.Drain(); return func() {} },
-		"stop": func(s *Server, phases *lifecycle.Lifecycle) func() {
+		"a drain": func(s *Server, _ *lifecycle.Lifecycle) func() { s.Drain(); return func() {} },
+		"a stop": func(s *Server, phases *lifecycle.Lifecycle) func() {
 			phases.Advance(lifecycle.Draining)
 			over := make(chan error, 1)
 			go func() { over <- s.Shutdown(context.Background()) }()
@@ -123,7 +125,7 @@
 			require.NoError(t, err)
 			resp := readResponse(t, from)
 			assert.Equal(t, http.StatusOK, resp.status)
-			assert.True(t, resp.closes, "the last response on it")
+			assert.True(t, resp.closes, "the response closes the connection")
 			assertClosedCleanly(t, from)
 			_ = c.Close()
 			ended()
@@ -132,10 +134,10 @@
 	}
 }
 
-// A request whose bytes are read from the socket while the close begins is never forwarded, and its client sees a
-// clean close, after which it may send the request elsewhere.
+// If the close begins while the bytes of a request are read from the socket, the request is not forwarded. Its client
+// sees a close without a reset and without a response, and may send the request elsewhere.
 func TestRequestReadAfterStartOfCloseIsNotForwarded(t *testing.T) {
-	for name, first := range map[string]string{"idle": fullRequest, "new": ""} {
+	for name, first := range map[string]string{"an idle connection": fullRequest, "a new connection": ""} {
 		t.Run(name, func(t *testing.T) {
 			s, _, at, submitted := serveHooked(t)
 			c, from := dial(t, s.addr(t), first)
@@ -153,7 +155,7 @@
 			_, err := io.WriteString(c, fullRequest)
 			require.NoError(t, err)
 			<-read
-			s.listener.Load().setDraining(true, time.Now().Add(quietTimeout)) // by when a new one has been quiet for long enough
+			s.listener.Load().setDraining(true, time.Now().Add(quietTimeout)) // a new connection counts as quiet for long enough then
 			at.afterRead.Store(nil)
 			close(closing)
 			assertClosedCleanly(t, from)
@@ -162,7 +164,7 @@
 	}
 }
 
-// A close never destroys a response, whatever its client still sends or has sent after its request.
+// A close never destroys a response, even if the client has sent bytes after its request or is still sending.
 func TestUnreadBytesDoNotDestroyResponse(t *testing.T) {
 	flood := strings.Repeat("x", 200<<10)
 	for name, c := range map[string]struct {
@@ -170,14 +172,14 @@
 		drain  bool
 		status int
 	}{
-		"a bad header":            {strings.Replace(fullRequest, "9000m", "soon", 1) + flood, false, http.StatusBadRequest},
-		"no such class":           {"POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 900000\r\n\r\n" + flood, false, http.StatusNotFound},
-		"no HTTP":                 {"nonsense\r\n\r\n" + flood, false, http.StatusBadRequest},
-		"an unknown encoding":     {head + "Transfer-Encoding: odd\r\n\r\n" + flood, false, http.StatusNotImplemented},
-		"an endless head":         {head + "X-Pad: " + flood, false, http.StatusRequestHeaderFieldsTooLarge},
-		"a body too large":        {head + "Content-Length: 900000\r\n\r\n" + flood, false, http.StatusRequestEntityTooLarge},
-		"served, the last one":    {fullRequest + flood[:3000], true, http.StatusOK},
-		"served, half a next one": {fullRequest + fullRequest[:30], true, http.StatusOK},
+		"a bad header":                              {strings.Replace(fullRequest, "9000m", "soon", 1) + flood, false, http.StatusBadRequest},
+		"an unknown class":                          {"POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 900000\r\n\r\n" + flood, false, http.StatusNotFound},
+		"a line that is not HTTP":                   {"nonsense\r\n\r\n" + flood, false, http.StatusBadRequest},
+		"an unknown transfer encoding":              {head + "Transfer-Encoding: odd\r\n\r\n" + flood, false, http.StatusNotImplemented},
+		"an endless head":                           {head + "X-Pad: " + flood, false, http.StatusRequestHeaderFieldsTooLarge},
+		"a body too large":                          {head + "Content-Length: 900000\r\n\r\n" + flood, false, http.StatusRequestEntityTooLarge},
+		"a served request and unread bytes":         {fullRequest + flood[:3000], true, http.StatusOK},
+		"a served request and half of the next one": {fullRequest + fullRequest[:30], true, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -186,7 +188,7 @@
 			conn := connect(t, s.addr(t))
 			require.NoError(t, conn.SetDeadline(time.Now().Add(20*time.Second)))
 			go func() { _, _ = io.WriteString(conn, c.text) }()
-			time.Sleep(100 * time.Millisecond) // the response arrives before it is read: a reset would discard it
+			time.Sleep(100 * time.Millisecond) // the response arrives before the client reads it, so a reset would destroy it
 			from := bufio.NewReader(conn)
 			assert.Equal(t, c.status, readResponse(t, from).status)
 			assertClosedCleanly(t, from)
@@ -194,14 +196,14 @@
 	}
 }
 
-// The disconnect of a client with a request in the handler is noticed even behind bytes that it sent early.
+// The disconnect of a client with a request in the handler is noticed even if the client sent bytes early, before it.
 func TestDisconnectIsNoticedBehindEarlyBytes(t *testing.T) {
 	for name, c := range map[string]struct {
 		early string
 		reset bool
 	}{
-		"nothing early": {"", false}, "reset": {"", true}, "a byte": {"P", false}, "a byte and reset": {"P", true},
-		"a request": {fullRequest, false}, "a lot": {strings.Repeat("x", maxEarlyBytes+5000), true},
+		"a close": {"", false}, "a reset": {"", true}, "a close after a byte": {"P", false}, "a reset after a byte": {"P", true},
+		"a close after a request": {fullRequest, false}, "a reset after more bytes than are kept": {strings.Repeat("x", maxEarlyBytes+5000), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -216,7 +218,7 @@
 			<-submitted
 			_, err := io.WriteString(conn, c.early)
 			require.NoError(t, err)
-			time.Sleep(50 * time.Millisecond) // the early bytes are read by themselves
+			time.Sleep(50 * time.Millisecond) // the server reads the early bytes before the disconnect
 			if c.reset {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
@@ -226,13 +228,14 @@
 			case noticed := <-disconnected:
 				assert.Less(t, noticed.Sub(at), 300*time.Millisecond)
 			case <-time.After(20 * time.Second):
-				t.Fatal("the disconnect is not noticed")
+				t.Fatal("the disconnect was not noticed within 20 s")
 			}
 		})
 	}
 }
 
-// Early bytes are the next requests, in order; where more arrived than are kept, the connection ends with the response.
+// Requests that arrive early are served in order. If more early bytes arrive than are kept, the connection is closed after
+// the response.
 func TestEarlyRequestsAreServedInOrder(t *testing.T) {
 	release := make(chan bool)
 	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
@@ -264,7 +267,8 @@
 	assertClosedCleanly(t, from)
 }
 
-// A new connection that is refused, as every other one has a request in the handler, gets a response with Retry-After.
+// While each open connection has a request in the handler, a new connection is refused with a 503. Its Retry-After is that
+// of the current settings.
 func TestNewConnectionIsRefusedWithRetryAfterWhenFull(t *testing.T) {
 	release := make(chan bool)
 	s, _ := testServer(2, func(context.Context, *coordinator.Request) coordinator.Response {
@@ -280,23 +284,23 @@
 	for n, tt := range []struct {
 		allowed time.Duration
 		want    string
-	}{{2 * time.Second, "1.000"}, {300 * time.Millisecond, "0.300"}, {0, ""}, {0, ""}, {time.Minute, "1.000"}} { // more connections than may linger
+	}{{2 * time.Second, "1.000"}, {300 * time.Millisecond, "0.300"}, {0, ""}, {0, ""}, {time.Minute, "1.000"}} { // more connections than maxLingering
 		s.UpdateSettings(&policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: tt.allowed})
 		_, from := dial(t, addr, fullRequest)
 		resp := readResponse(t, from)
 		assert.Equal(t, http.StatusServiceUnavailable, resp.status)
-		assert.Equal(t, tt.want, resp.retryAfter, "by the settings in force, connection %d", n)
+		assert.Equal(t, tt.want, resp.retryAfter, "the Retry-After by the current settings, connection %d", n)
 	}
 	assert.EqualValues(t, 5, s.GiveUps().Counts()[headEvicted])
 	release <- true
 	assert.Equal(t, http.StatusOK, readResponse(t, one).status)
 }
 
-// noRetryAfter is the retryAfter of settings that allow none.
+// noRetryAfter is the retryAfter of a listener whose responses have no Retry-After.
 func noRetryAfter() time.Duration { return 0 }
 
-// Clients that never close their side keep a connection for lingerTimeout at most, and maxLingering connections at most;
-// a usual client is served meanwhile.
+// Clients that never close their side keep each connection for lingerTimeout at most, and at most maxLingering connections
+// together. Other clients are served meanwhile.
 func TestLingeringIsBounded(t *testing.T) {
 	s, _, _, _ := serveHooked(t)
 	addr := s.addr(t)
@@ -313,7 +317,7 @@
 	assert.Less(t, time.Since(at), lingerTimeout+time.Second)
 }
 
-// Shutdown returns once the last response was read and each connection has ended, not while a client still reads.
+// Shutdown waits while a client reads its response, and returns when the client has closed the connection.
 func TestShutdownWaitsForLastResponses(t *testing.T) {
 	release := make(chan bool)
 	s, phases := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
@@ -329,7 +333,7 @@
 	require.Eventually(t, s.stopping.Load, 20*time.Second, time.Millisecond)
 	close(release)
 	requireStates(t, s, 0, 0, 0, 1)
-	assert.Empty(t, over, "it lingers for the client to read its response")
+	assert.Empty(t, over, "Shutdown waits for the client to read its response")
 	assert.Equal(t, http.StatusOK, readResponse(t, from).status)
 	_ = conn.Close()
 	assert.NoError(t, <-over)
--- a/internal/dispatcher/ingress/deadline.go
+++ b/internal/dispatcher/ingress/deadline.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// How long a client may take to send a request. A client that sends in small chunks gets time for as long as they
-// keep arriving, while one that stops is closed soon: the gap between bytes counts, not the total.
+// The time that a client has to send a request. Mainly the gap between two reads counts, not the total. So a client that
+// sends slowly in small parts has time as long as the parts keep arriving, and a client that stops is closed soon.
 const (
-	// firstByteTimeout is for the first byte on a new connection: some clients take 2 s to begin, while the platform
-	// expects a close within 3 s on connections without any.
+	// firstByteTimeout is the time from the accept of a connection to its first byte. Some clients take 2 s before they
+	// send, and the platform expects a connection without any byte to be closed within 3 s.
 	firstByteTimeout = 2500 * time.Millisecond
-	// gapTimeout is the longest gap within a head or a body.
+	// gapTimeout is the longest time without a byte within a head or a body.
 	gapTimeout = 1500 * time.Millisecond
-	// headTimeout and bodyTimeout bound a head and a body, however they are sent.
+	// headTimeout and bodyTimeout bound the total time for a head and for a body, even if no gap is too long.
 	headTimeout = 10 * time.Second
 	bodyTimeout = 10 * time.Second
 )
 
-// SetReadDeadline keeps the deadline that net/http wants; applyDeadline combines it with this package's timeouts. A
-// connection that closes has a deadline of its own.
+// SetReadDeadline records the read deadline that net/http sets, and sets it on the socket. applyDeadline combines it with
+// this package's timeouts. Once the close has begun, SetReadDeadline does nothing, as startClose and linger have set a
+// deadline that must stay.
 func (k *clientConn) SetReadDeadline(t time.Time) error {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -27,7 +28,7 @@
 	return k.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline sets both deadlines, the one for reading as SetReadDeadline does.
+// SetDeadline sets the read deadline as SetReadDeadline does, and the write deadline on the socket.
 func (k *clientConn) SetDeadline(t time.Time) error {
 	if err := k.SetReadDeadline(t); err != nil {
 		return err
@@ -35,16 +36,17 @@
 	return k.SetWriteDeadline(t)
 }
 
-// applyDeadline sets the socket's read deadline to the earlier one of net/http's and this package's, and reports
-// whether it is this package's. The socket is only set when it changes, as reads are frequent. listener.mu is held.
+// applyDeadline sets the socket's read deadline to the earlier one of net/http's deadline and this package's, and reports
+// whether it is this package's. It makes the system call only when the deadline changes, as reads are frequent. The caller
+// holds listener.mu.
 func (k *clientConn) applyDeadline() (own bool) {
 	at := time.Time{}
 	switch {
 	case k.state == stateNew:
 		at = k.lastRead.Add(firstByteTimeout)
 	case k.readingBody || k.requestBegun && !k.handled:
-		// Not while the handler has the request: net/http reads then to notice a disconnect, and would take the
-		// deadline for one.
+		// No deadline applies while the handler has a complete request. net/http then reads only to notice the client's
+		// disconnect, and would take an expired deadline for a disconnect.
 		at = k.lastRead.Add(gapTimeout)
 	}
 	own = !at.IsZero() && (k.httpDeadline.IsZero() || !k.httpDeadline.Before(at))
--- a/internal/dispatcher/ingress/deadline_test.go
+++ b/internal/dispatcher/ingress/deadline_test.go
@@ -13,22 +13,22 @@
 	"ospreypond/internal/dispatcher/coordinator"
 )
 
-// Guards against closing connections of clients that send in small parts while these keep arriving: the gap between
-// them counts, and a client that takes 2 s to begin is still served. One that stops within a request gets a response
-// that names the head or the body.
+// A client that sends in small parts is served as long as the parts keep arriving, as the timeouts apply to the gaps. A
+// client that takes 2 s before its first byte is served too. A client that stops within a request gets a response that
+// says whether the head or the body is incomplete.
 func TestReadTimeoutsApplyToGapsBetweenBytes(t *testing.T) {
 	const text = head + "Content-Length: 30\r\n\r\n012345678901234567890123456789"
 	for _, c := range []struct {
 		name         string
-		first, every time.Duration // before the first part, between the others
-		stall        int           // the part before which the client stops for good; 0: none
+		first, every time.Duration // the wait before the first part, and between the parts
+		stall        int           // the number of the first part that the client doesn't send; 0: it sends all
 		status       int
 		says         string
 	}{
-		{"20 bytes every 400 ms", 0, 400 * time.Millisecond, 0, http.StatusOK, ""},
-		{"2 s before the first byte", 2 * time.Second, 0, 0, http.StatusOK, ""},
-		{"stops within the head", 0, 10 * time.Millisecond, 3, http.StatusRequestTimeout, "head stopped coming"},
-		{"stops within the body", 0, 10 * time.Millisecond, 5, http.StatusRequestTimeout, "body did not come in time"},
+		{"20 bytes every 400 ms are served", 0, 400 * time.Millisecond, 0, http.StatusOK, ""},
+		{"2 s before the first byte are allowed", 2 * time.Second, 0, 0, http.StatusOK, ""},
+		{"a client that stops within the head gets a 408", 0, 10 * time.Millisecond, 3, http.StatusRequestTimeout, "head was not received in time"},
+		{"a client that stops within the body gets a 408", 0, 10 * time.Millisecond, 5, http.StatusRequestTimeout, "body was not received in time"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -50,14 +50,14 @@
 			assert.Equal(t, c.status, resp.status, "%s", resp.body)
 			assert.Contains(t, resp.body, c.says)
 			if c.stall > 0 {
-				assert.Less(t, time.Since(start), gapTimeout+time.Second, "a gap is ended soon")
+				assert.Less(t, time.Since(start), gapTimeout+time.Second, "the response comes soon after gapTimeout")
 			}
 		})
 	}
 }
 
-// Guards against evicting a slow writer as a quiet connection: the one quiet for the longest time since its last byte
-// is evicted first, so many that say nothing are evicted before a client that sends in small parts.
+// The connection with the longest time since its last byte is evicted first. So connections that send nothing are evicted
+// before the connection of a client that sends slowly in small parts.
 func TestSlowWriterIsNotEvictedBeforeQuietConnections(t *testing.T) {
 	const sockets = 4
 	s, _ := testServer(sockets, func(_ context.Context, r *coordinator.Request) coordinator.Response {
@@ -65,7 +65,7 @@
 	})
 	addr := listen(t, s)
 	const text = head + "Content-Length: 2\r\n\r\nok"
-	for range 3 * sockets { // earlier ones that say nothing
+	for range 3 * sockets { // connections that send nothing
 		dial(t, addr, "")
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -73,10 +73,10 @@
 	slow, from := dial(t, addr, text[:10])
 	for i := 10; i < len(text); i += 10 {
 		time.Sleep(minQuietToEvict / 2)
-		dial(t, addr, "") // a quiet one, for which another is evicted
+		dial(t, addr, "") // sends nothing; another connection is evicted for it
 		_, err := io.WriteString(slow, text[i:min(i+10, len(text))])
 		require.NoError(t, err)
 	}
-	assert.Equal(t, http.StatusOK, readResponse(t, from).status, "the slow writer stays")
-	assert.Zero(t, s.GiveUps().Counts()[headEvicted], "no request was evicted: %v", s.GiveUps().Counts())
+	assert.Equal(t, http.StatusOK, readResponse(t, from).status, "the slow writer is not evicted")
+	assert.Zero(t, s.GiveUps().Counts()[headEvicted], "no connection with a request begun was evicted: %v", s.GiveUps().Counts())
 }
--- a/internal/dispatcher/ingress/drain.go
+++ b/internal/dispatcher/ingress/drain.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// sweepInterval and maxSweeps: while drained, connections without a request are closed repeatedly, as the front
-	// still sends new ones for a while and clients may open one and send nothing.
+	// After Drain, connections without a request are closed again every sweepInterval, maxSweeps times. Once isn't
+	// enough: the load balancer still sends new connections for a while, and clients may open one and send nothing.
 	sweepInterval = 250 * time.Millisecond
 	maxSweeps     = 14
-	// stopSweepInterval is the interval of sweeps in Shutdown, which waits for them.
+	// stopSweepInterval is the interval at which Shutdown closes connections without a request. It is short, as
+	// Shutdown returns only when none is left.
 	stopSweepInterval = 10 * time.Millisecond
-	// quietTimeout is how long a connection that never sent a byte stays open in a drain: a client that has just
-	// connected is sending its request.
+	// quietTimeout is how long a connection on which no byte was read stays open in a drain. A client that has just
+	// connected may be about to send its request.
 	quietTimeout = 300 * time.Millisecond
 )
 
-// Shutdown goes on accepting for acceptAfterStop, as clients still arrive, then closes the listener. It returns nil
-// when every request has its response and each connection has been closed, or, if ctx ends first, an error if
-// requests are left. The phase must be lifecycle.Draining, so that responses close connections.
+// Shutdown ends the server. It accepts connections for acceptAfterStop more, as clients still arrive, and then closes the
+// listener. It returns nil when every request has its response and each connection is closed. If ctx ends first, it
+// closes all sockets, and returns an error if requests had no response. The phase must be lifecycle.Draining, so that
+// each response closes its connection.
 //
-// net/http's own Shutdown and SetKeepAlivesEnabled are not used: both close connections that they consider idle while
-// a request is being read from them, and Shutdown drops one that was just read without a response.
+// net/http's Shutdown and SetKeepAlivesEnabled are not used for two reasons. Both close connections that they consider
+// idle although a request is being read from them. And Shutdown can drop a request that was just read, without a response.
 func (s *Server) Shutdown(ctx context.Context) error {
 	select {
 	case <-time.After(acceptAfterStop):
@@ -45,16 +47,16 @@
 			n := s.unanswered.Load()
 			c.abort()
 			if n > 0 {
-				return fmt.Errorf("%d requests without a response: %w", n, ctx.Err())
+				return fmt.Errorf("%d requests had no response when the time to stop ended: %w", n, ctx.Err())
 			}
-			return nil // connections without a request, or whose clients do not close
+			return nil // the connections left had no request, or their clients did not close them
 		}
 	}
 	return nil
 }
 
-// Drain has Ready report false, every response close its connection, and connections without a request closed, so
-// that clients go elsewhere. Requests are served as before. It does not block; Undrain reverses it.
+// Drain makes clients go to other dispatchers: from now on Ready reports false, each response closes its connection, and
+// connections without a request are closed. Requests are still served. Drain does not block. Undrain reverses it.
 func (s *Server) Drain() {
 	if s.drained.Swap(true) {
 		return
@@ -65,14 +67,14 @@
 	}
 }
 
-// Undrain reverses Drain.
+// Undrain reverses Drain. Connections that were closed stay closed.
 func (s *Server) Undrain() {
 	if c := s.listener.Load(); s.drained.Swap(false) && c != nil {
 		c.setDraining(false, time.Now())
 	}
 }
 
-// sweep closes connections without a request while the drain lasts, at most maxSweeps times.
+// sweep closes connections without a request every sweepInterval until Undrain, at most maxSweeps times.
 func (s *Server) sweep(c *limitedListener) {
 	for range maxSweeps {
 		time.Sleep(sweepInterval)
--- a/internal/dispatcher/ingress/drain_test.go
+++ b/internal/dispatcher/ingress/drain_test.go
@@ -18,7 +18,7 @@
 	"ospreypond/policy"
 )
 
-// startServer starts a server on a socket of its own, which responds to every request at once.
+// startServer starts a server that responds to each request at once, and returns its address.
 func startServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	s, phases := testServer(64, func(context.Context, *coordinator.Request) coordinator.Response {
@@ -35,7 +35,7 @@
 	return s, l.Addr().String()
 }
 
-// send sends a request, or the probe of readiness, and returns the response.
+// send sends a request, or the readiness probe, and returns the response.
 func send(t *testing.T, c net.Conn, r *bufio.Reader, path string) response {
 	t.Helper()
 	head := "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -48,19 +48,20 @@
 	return readResponse(t, r)
 }
 
+// isClosed reports whether the server closes the connection within the given time.
 func isClosed(c net.Conn, within time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := c.Read(make([]byte, 1))
 	return err != nil && !strings.Contains(err.Error(), "timeout")
 }
 
-// In a drain the probe of readiness fails, idle and quiet connections are closed, a response closes its connection, and
-// new connections are still served. After an undrain all is as before.
+// During a drain the readiness probe fails, connections without a request are closed, each response closes its connection,
+// and requests on new connections are still served. After Undrain the probe succeeds and connections stay open again.
 func TestDrainClosesConnectionsAndUndrainKeepsThem(t *testing.T) {
 	s, addr := startServer(t)
 	idle := connect(t, addr)
 	assert.Equal(t, 200, send(t, idle, bufio.NewReader(idle), "/c/1").status)
-	busy := connect(t, addr) // the response after the drain closes it
+	busy := connect(t, addr) // its first request comes after the drain began
 	quiet := connect(t, addr)
 	dialed := time.Now()
 
@@ -71,9 +72,9 @@
 	assert.True(t, resp.closes)
 	fresh := connect(t, addr)
 	resp = send(t, fresh, bufio.NewReader(fresh), "/c/2")
-	assert.Equal(t, 200, resp.status, "clients that the front still sends are served")
-	assert.True(t, resp.closes, "and their connections close")
-	// Sooner than the limit on a first byte (2.5 s) would have closed it.
+	assert.Equal(t, 200, resp.status, "clients on new connections are served")
+	assert.True(t, resp.closes, "the response closes the connection")
+	// firstByteTimeout (2.5 s) would close it too, but later than this.
 	assert.True(t, isClosed(quiet, time.Until(dialed.Add(firstByteTimeout*3/4))), "a connection without a request is closed")
 
 	s.Undrain()
@@ -81,12 +82,12 @@
 	r := bufio.NewReader(last)
 	resp = send(t, last, r, "/health/ready")
 	assert.Equal(t, 200, resp.status)
-	assert.False(t, resp.closes, "connections stay open again")
+	assert.False(t, resp.closes, "the response does not close the connection")
 	assert.Equal(t, 200, send(t, last, r, "/c/3").status)
-	assert.False(t, isClosed(last, 600*time.Millisecond), "and stay open")
+	assert.False(t, isClosed(last, 600*time.Millisecond), "the connection stays open")
 }
 
-// After new settings a request of a new class is accepted at once, and one of a removed class is refused.
+// After UpdateSettings a request of a new class is accepted, and a request of a removed class is refused.
 func TestUpdateSettingsChangesAcceptedClasses(t *testing.T) {
 	s, phases := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response {
 		return coordinator.Response{Kind: coordinator.Served}
--- a/internal/dispatcher/ingress/framing.go
+++ b/internal/dispatcher/ingress/framing.go
@@ -5,32 +5,35 @@
 	"strings"
 )
 
-// framing follows the requests on a connection, byte by byte as they are read, for what net/http hides: it drops a
-// Content-Length beside Transfer-Encoding, though the two may imply different ends of the body, and a request hidden
-// in the body of another would be forwarded (request smuggling, RFC 9112, 6.3 and 11.2). For each head it keeps a
-// verdict, which the handler takes as it gets the request.
+// framing parses the bytes of a connection as they are read, only as far as needed to find where each request ends. It
+// serves two purposes.
 //
-// It also counts the complete requests, and knows whether bytes of a next one were read, which decides whether the
-// connection may be closed.
+// It detects request smuggling (RFC 9112, 6.3 and 11.2). net/http removes a Content-Length next to a Transfer-Encoding
+// without notice. The two may imply different ends of the body, so that a runner could take a part of the body for
+// another request. For each head framing records whether a chunked body may be read, and the handler asks for it by
+// nextVerdict.
 //
-// It frames as net/http does: chunked with Transfer-Encoding, else by Content-Length. If the two disagree, the
-// request is refused and its connection closed, so nothing after it is read. It is guarded by the connection's lock.
+// It also counts complete requests and knows whether bytes of the next one were read. This decides whether the connection
+// may be closed.
+//
+// It finds ends as net/http does: by the chunks with Transfer-Encoding, else by Content-Length. A request that has both is
+// refused and its connection closed, so no byte after it is read. The caller holds the listener's lock.
 type framing struct {
 	state      framingState
-	line       []byte // the current line, in lower case, up to maxLine bytes
-	tooLong    bool   // the current line was longer than that
-	lines      int    // lines of the head so far
-	length     int64  // Content-Length of the head, or -1
-	lengths    int    // Content-Length lines
-	chunked    bool   // Transfer-Encoding names chunked
-	remaining  int64  // bytes of a body or chunk still to be read
-	chunkedOK  []bool // per head not yet taken by nextVerdict: whether its chunked body is safe to read
-	unparsable bool   // the bytes could not be followed; no verdict is safe from here on
-	complete   int    // requests read completely
-	responded  int    // requests with a response
+	line       []byte // the current line, in lower case, at most maxLine bytes of it
+	tooLong    bool   // the current line is longer than maxLine
+	lines      int    // number of lines of the current head so far
+	length     int64  // the Content-Length of the current head in bytes; -1: none
+	lengths    int    // number of Content-Length lines in the current head
+	chunked    bool   // the current head has a Transfer-Encoding line
+	remaining  int64  // bytes of the current body or chunk that are still to be read
+	chunkedOK  []bool // for each head that nextVerdict has not returned yet: whether a chunked body is safe to read
+	unparsable bool   // the bytes could not be parsed; no chunked body is safe to read from here on
+	complete   int    // number of requests read completely
+	responded  int    // number of requests with a response
 }
 
-// framingState is what the next byte is part of.
+// framingState is the part of a request that the next byte belongs to.
 type framingState int
 
 const (
@@ -42,14 +45,16 @@
 	inTrailer
 )
 
-const maxLine = 64 // enough for the lines that framing parses; longer ones are only counted
+// maxLine is how many bytes of a line are kept. The lines that framing parses are shorter; of longer ones it only needs to
+// know that they are there.
+const maxLine = 64
 
-// hasPartial reports whether bytes after the last request with a response have been read.
+// hasPartial reports whether bytes were read after the last request that has its response.
 func (f *framing) hasPartial() bool {
 	return f.complete > f.responded || f.state != inHead || f.lines > 0 || len(f.line) > 0 || f.tooLong || f.unparsable
 }
 
-// feed follows p, the bytes read next.
+// feed parses p, the next bytes of the connection.
 func (f *framing) feed(p []byte) {
 	for len(p) > 0 && !f.unparsable {
 		if f.state == inBody || f.state == inChunk {
@@ -88,7 +93,7 @@
 	switch f.state {
 	case inHead:
 		switch {
-		case line == "" && !long && f.lines == 0: // net/http refuses an empty request line
+		case line == "" && !long && f.lines == 0: // a blank line before a request; net/http refuses it
 		case line == "" && !long:
 			f.chunkedOK = append(f.chunkedOK, f.chunked && f.lengths == 0)
 			f.state, f.remaining = inHead, 0
@@ -127,7 +132,7 @@
 	}
 }
 
-// header parses a line of a head, if it concerns the framing.
+// header parses a line of a head if it is a Content-Length or Transfer-Encoding header.
 func (f *framing) header(line string, long bool) {
 	name, value, ok := strings.Cut(line, ":")
 	switch {
@@ -137,14 +142,14 @@
 		if n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 62); err == nil && !long {
 			f.length = int64(n)
 		} else {
-			f.unparsable = true // net/http refuses it, or it is beyond anything that follows
+			f.unparsable = true // net/http refuses the value, or it is so large that no later request would be reached
 		}
 	case name == "transfer-encoding":
-		f.chunked = true // net/http takes chunked alone, and refuses the rest
+		f.chunked = true // net/http accepts only the value chunked
 	}
 }
 
-// nextVerdict returns the verdict on the next request's head: whether its chunked body may be read.
+// nextVerdict reports whether a chunked body of the next request may be read. It is called once for each request, in order.
 func (f *framing) nextVerdict() bool {
 	if len(f.chunkedOK) == 0 {
 		return false
@@ -154,7 +159,7 @@
 	return v && !f.unparsable
 }
 
-// chunkSize parses a chunk's size line: hexadecimal, perhaps followed by extensions after ';'.
+// chunkSize parses the size line of a chunk: a hexadecimal number of bytes, which may be followed by ';' and extensions.
 func chunkSize(line string) (int64, bool) {
 	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 62)
--- a/internal/dispatcher/ingress/giveup.go
+++ b/internal/dispatcher/ingress/giveup.go
@@ -10,31 +10,32 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The reasons for which a request is given up before the coordinator sees it, as counted and logged. Each is a
-// constant here or a header's name from the fixed list that parseHead checks, so the set stays small.
+// The reasons for which a request is given up, which means that it ends before the coordinator sees it. They are used in
+// counts and logs. Each is one of these constants, or badHeaderPrefix with a header's name from the fixed set that
+// parseHead and readBody check, so clients can't make the set of counters grow.
 const (
-	// Before the handler: net/http or the listener ended the connection with a request begun on it.
-	headSlow         = "head-slow"                      // its head was incomplete at a timeout
-	headDisconnected = "head-left"                      // the client closed within a head
-	headRefused      = "head-refused"                   // net/http responded itself, with a 4xx
-	headEvicted      = "head-room"                      // the listener evicted it within a head
-	headClosed       = "head-closed"                    // net/http closed it within a head, without a failed read
-	bodySlow         = "body-slow"                      // the body was incomplete at a timeout
-	bodyDisconnected = "body-left"                      // the client disconnected within the body
-	bodyTooLarge     = "body-large"                     // the body is over maxBody
-	bodyMemory       = "body-memory"                    // the bodies being served use up the memory for them
-	ambiguousFraming = "transfer-encoding"              // beside Content-Length, or with a head that framing could not follow
-	badMethod        = "method"                         // not POST
-	unknownClass     = "class"                          // the path names an unknown class
-	badTarget        = "target"                         // runners could read it differently
-	connEvicted      = "made-room"                      // read completely, but its connection was evicted meanwhile
-	tooManyRequests  = "too-many"                       // shed, as nearly all sockets have a request
-	badHeaderPrefix  = "header:"                        // followed by the header's name
-	summaryInterval  = 10 * time.Second                 // between log lines with all counts
-	firstOfReason    = "a request was given up unheard" // logged at once for the first of a reason
+	// The head-* reasons are for a connection that ended, by net/http or the listener, before the handler was called.
+	headSlow         = "head-slow"                      // a timeout passed before the head was complete
+	headDisconnected = "head-left"                      // the client closed or broke the connection within the head
+	headRefused      = "head-refused"                   // net/http responded with a 4xx to an invalid head
+	headEvicted      = "head-room"                      // the listener evicted or refused the connection, as maxConns were open
+	headClosed       = "head-closed"                    // the connection ended within the head for no other reason here
+	bodySlow         = "body-slow"                      // a timeout passed before the body was complete
+	bodyDisconnected = "body-left"                      // the client disconnected before the body was complete
+	bodyTooLarge     = "body-large"                     // the body has more than maxBody bytes
+	bodyMemory       = "body-memory"                    // all bodies being served together would exceed maxBodyBytes
+	ambiguousFraming = "transfer-encoding"              // a chunked body with a Content-Length or an unparsable head
+	badMethod        = "method"                         // the method is not POST
+	unknownClass     = "class"                          // the path names no class of the settings
+	badTarget        = "target"                         // the request target could be read in more than one way
+	connEvicted      = "made-room"                      // the request was read, but the close of its connection had begun
+	tooManyRequests  = "too-many"                       // shed, as more than maxBusyFraction of the sockets have a request
+	badHeaderPrefix  = "header:"                        // followed by the name of the invalid header
+	summaryInterval  = 10 * time.Second                 // the interval of log lines with all counts
+	firstOfReason    = "a request was given up unheard" // the log message for the first request given up for a reason
 )
 
-// GiveUps counts the requests given up before the coordinator saw them, by reason. It is safe for concurrent use.
+// GiveUps counts, by reason, the requests that were given up before the coordinator saw them. It is safe for concurrent use.
 type GiveUps struct {
 	mu     sync.Mutex
 	counts map[string]int64
@@ -45,7 +46,7 @@
 	return &GiveUps{counts: map[string]int64{}, log: log}
 }
 
-// add counts a request given up for reason. The first of each reason is logged at once.
+// add counts a request given up for reason. The first one of each reason is logged at once, later ones by summarise.
 func (g *GiveUps) add(reason string) {
 	g.mu.Lock()
 	g.counts[reason]++
@@ -56,19 +57,19 @@
 	}
 }
 
-// Counts returns a copy of the numbers of requests given up since the start, by reason; a reason that never occurred
-// is absent.
+// Counts returns a copy of the numbers of requests given up since the start, by reason. Reasons that never occurred are
+// absent.
 func (g *GiveUps) Counts() map[string]int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return maps.Clone(g.counts)
 }
 
-// Reasons returns the reasons of counts, sorted.
+// Reasons returns the reasons that are keys of counts, sorted.
 func Reasons(counts map[string]int64) []string { return slices.Sorted(maps.Keys(counts)) }
 
-// summarise logs the counts every summaryInterval while they change, until ctx ends, so that the log says why
-// requests never reached a runner without a line for each.
+// summarise logs all counts every summaryInterval if they have changed, until ctx ends. So the log says why requests never
+// reached a runner, without a line for each request.
 func (g *GiveUps) summarise(ctx context.Context) {
 	t := time.NewTicker(summaryInterval)
 	defer t.Stop()
--- a/internal/dispatcher/ingress/giveup_test.go
+++ b/internal/dispatcher/ingress/giveup_test.go
@@ -14,22 +14,22 @@
 	"ospreypond/internal/dispatcher/coordinator"
 )
 
-// Guards against requests that are given up without a trace: each one given up before the coordinator sees it is
-// counted once, by its reason, whether by net/http, the listener or the handler.
+// Each request that is given up before the coordinator sees it is counted once, under its reason, whether net/http, the
+// listener or the handler gave it up.
 func TestGiveUpsAreCountedByReason(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		disconnect bool // the client closes after sending
 		reason     string
 	}{
-		{"net/http refuses it", head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", false, headRefused},
+		{"net/http refuses the head", head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", false, headRefused},
 		{"the head never ends", head + "X-Never: ending", false, headSlow},
 		{"the client disconnects within the head", head + "X-Half: ", true, headDisconnected},
 		{"the body never comes", head + "Content-Length: 9\r\n\r\nhalf", false, bodySlow},
 		{"the client disconnects within the body", head + "Content-Length: 9\r\n\r\nhalf", true, bodyDisconnected},
 		{"a bad header", "POST /c HTTP/1.1\r\nHost: h\r\nX-Request-ID: i\r\nX-Timeout: 9\r\nContent-Length: 0\r\n\r\n", false,
 			"header:X-Timeout"},
-		{"no such class", "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", false, unknownClass},
+		{"an unknown class", "POST /d HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", false, unknownClass},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -49,8 +49,7 @@
 	}
 }
 
-// A connection that is idle after its requests is no request given up when it closes, nor is one that never sent a
-// byte.
+// A connection that closes while it is idle after its requests, or without a byte, is not counted as a request given up.
 func TestConnectionsWithoutRequestAreNoGiveUps(t *testing.T) {
 	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 		return coordinator.Response{Kind: coordinator.Served}
@@ -63,16 +62,16 @@
 	require.NoError(t, quiet.Close())
 	c := s.listener.Load()
 	require.Eventually(t, func() bool { return c.empty() }, 5*time.Second,
-		time.Millisecond, "both are closed and in no list")
-	// A truncated request after them is counted, so the server does count.
+		time.Millisecond, "both are closed and in none of the listener's lists")
+	// A truncated request afterwards is counted, which shows that the server counts.
 	truncated, _ := dial(t, addr, head)
 	require.NoError(t, truncated.Close())
 	assert.Eventually(t, func() bool { return len(s.GiveUps().Counts()) > 0 }, 5*time.Second, 5*time.Millisecond)
 	assert.Equal(t, map[string]int64{headDisconnected: 1}, s.GiveUps().Counts())
 }
 
-// Chunked bodies are read, in parts and over a connection with several requests, while a Content-Length beside
-// Transfer-Encoding, which net/http drops unseen, is refused, also after other requests.
+// Chunked bodies are read, even if they arrive in parts or after other requests on the connection. A request with both
+// Content-Length and Transfer-Encoding is refused, also after other requests. net/http alone would accept it.
 func TestChunkedBodiesAreReadAndSmugglingIsRefused(t *testing.T) {
 	got := make(chan string, 10)
 	s, _ := testServer(20, func(_ context.Context, r *coordinator.Request) coordinator.Response {
@@ -101,6 +100,6 @@
 	assert.Equal(t, http.StatusBadRequest, readResponse(t, from).status)
 	_, err = from.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "closed after the 400")
-	assert.Empty(t, got, "nothing hidden was submitted")
+	assert.Empty(t, got, "neither this request nor the one in its body was submitted")
 	assert.Equal(t, map[string]int64{ambiguousFraming: 1}, s.GiveUps().Counts())
 }
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -1,10 +1,10 @@
-// Package ingress is the clients' side: it reads their requests over HTTP/1.1, passes them on in a form without any
-// protocol, and writes the one response to each.
+// Package ingress serves the clients: it reads their requests over HTTP/1.1, passes them to a Submitter as
+// coordinator.Request, and writes one response to each.
 //
-// A caller makes a Server, calls Serve with a listener in a goroutine, and Shutdown once the lifecycle is at least
-// Draining. Server's methods may be called from any goroutine. A request that Submit was called for gets the response
-// that Submit returns; any other is counted by GiveUps, and it never ran. No response is lost to a close of its
-// connection by this side, except by Shutdown whose context has ended.
+// A caller makes a Server, calls Serve with a listener in a goroutine, and calls Shutdown once the lifecycle is in phase
+// Draining or later. Server's methods may be called from any goroutine. A request for which Submit was called gets the
+// response that Submit returns. Any other request is counted by GiveUps, and it never ran. The server never destroys a
+// response by closing the connection, except when the context of Shutdown ends.
 package ingress
 
 import (
@@ -28,26 +28,29 @@
 )
 
 const (
+	// maxBody is the largest body of a request in bytes.
 	maxBody = 64 << 10
-	// maxHead bounds a request's head; net/http allows 4 KiB more. Usual heads have less than 1 KiB.
+	// maxHead bounds a request's head in bytes; net/http allows 4 KiB more. Usual heads have less than 1 KiB.
 	maxHead = 4 << 10
-	// responseWriteTimeout is how long a client may take to read its response.
+	// responseWriteTimeout bounds the writing of a response, which takes long if the client doesn't read it.
 	responseWriteTimeout = 5 * time.Second
-	idleTimeout          = 2 * time.Minute
-	// acceptAfterStop is how long connections are still accepted after the signal to stop: the front sends new ones
-	// for up to 0.4 s, and one in the kernel's backlog when the listener closes is lost.
+	// idleTimeout is how long a connection may be open between two requests.
+	idleTimeout = 2 * time.Minute
+	// acceptAfterStop is how long connections are still accepted after the signal to stop. The load balancer sends new
+	// ones for up to 0.4 s, and a connection that is in the kernel's backlog when the listener closes is lost.
 	acceptAfterStop = 700 * time.Millisecond
-	// maxBusyFraction is the fraction of the clients' sockets with a request beyond which requests are shed at once.
-	// The others are for the responses that say so.
+	// maxBusyFraction is the fraction of the client sockets that may have a request in flight. Requests beyond it are
+	// shed at once. The other sockets are for the responses to these.
 	maxBusyFraction = 0.85
-	// shedRetryAfter is the Retry-After of a request that is shed here, within the settings' limit.
+	// shedRetryAfter is the Retry-After of a request that this package sheds, unless the settings' limit is shorter.
 	shedRetryAfter = time.Second
 )
 
-// Submitter takes requests and returns their final responses; *coordinator.Coordinator is one.
+// Submitter is implemented by *coordinator.Coordinator.
 type Submitter interface {
+	// Submit serves a request and returns its final response. ctx ends when the client disconnects.
 	Submit(ctx context.Context, r *coordinator.Request) coordinator.Response
-	// NotifyEnded is called with a request that got its response without Submit.
+	// NotifyEnded is called for a request that was accepted and then shed, with its response, instead of Submit.
 	NotifyEnded(r *coordinator.Request, a coordinator.Response)
 }
 
@@ -56,22 +59,22 @@
 	http         http.Server
 	submitter    Submitter
 	lifecycle    *lifecycle.Lifecycle
-	names        atomic.Pointer[names] // of the settings in force
-	sockets      int
-	maxBodyBytes int64        // of all bodies being served
-	bodyBytes    atomic.Int64 // of the bodies being served
-	unanswered   atomic.Int64 // requests without a response, however far they were read
-	inFlight     atomic.Int64 // those among them that were read and accepted
-	shedding     atomic.Bool
+	rules        atomic.Pointer[requestRules] // by the current settings
+	sockets      int                          // how many client connections may be open
+	maxBodyBytes int64                        // bounds bodyBytes
+	bodyBytes    atomic.Int64                 // the size of all bodies being served
+	unanswered   atomic.Int64                 // number of requests for which the handler was called and has not returned
+	inFlight     atomic.Int64                 // number of requests among them that were read and accepted
+	shedding     atomic.Bool                  // requests are being shed, see shouldShed
 	listener     atomic.Pointer[limitedListener]
 	giveUps      *GiveUps
-	drained      atomic.Bool // by Drain; unlike the phase it is reversible
-	stopping     atomic.Bool // Shutdown has closed the listener
+	drained      atomic.Bool // set by Drain; unlike the phase Draining it can be reversed
+	stopping     atomic.Bool // set by Shutdown before it closes the listener
 	log          *logrus.Logger
 }
 
-// New returns a server that accepts the classes and tenants of set, and keeps at most so many sockets, and bodies of
-// at most maxBodyBytes in all.
+// New returns a server that accepts requests of the classes and tenants in set. At most sockets connections are open at
+// once, and the bodies being served have at most maxBodyBytes together.
 func New(submitter Submitter, phases *lifecycle.Lifecycle, set *policy.Settings, sockets int, maxBodyBytes int64, log *logrus.Logger) *Server {
 	s := &Server{submitter: submitter, lifecycle: phases, sockets: sockets, maxBodyBytes: maxBodyBytes, giveUps: newGiveUps(log), log: log}
 	s.UpdateSettings(set)
@@ -82,7 +85,7 @@
 	return s
 }
 
-// Serve serves requests from l until Shutdown closes it, and returns nil then. It must be called once.
+// Serve serves requests on connections from l until Shutdown closes l, and then returns nil. It must be called only once.
 func (s *Server) Serve(l net.Listener) error {
 	c := newLimitedListener(l, s.sockets, s.retryAfter, s.giveUps, s.log)
 	s.listener.Store(c)
@@ -98,46 +101,48 @@
 // GiveUps returns the counts of requests given up before the coordinator saw them.
 func (s *Server) GiveUps() *GiveUps { return s.giveUps }
 
-// names are the classes and tenants that requests may name.
-type names struct {
-	classes    map[string]bool
-	tenants    map[string]bool // empty: any
-	retryAfter time.Duration   // of requests shed here; 0: none is sent
+// requestRules are the parts of the settings that concern the acceptance of requests.
+type requestRules struct {
+	classes    map[string]bool // the names of the classes
+	tenants    map[string]bool // the names of the tenants; empty: each request is accepted whatever its tenant
+	retryAfter time.Duration   // the Retry-After of requests that this package sheds; 0: none is sent
 }
 
-// retryAfter returns the Retry-After of requests shed here by the settings in force; 0: none is sent.
-func (s *Server) retryAfter() time.Duration { return s.names.Load().retryAfter }
+// retryAfter returns the Retry-After of requests that this package sheds, by the current settings; 0: none is sent.
+func (s *Server) retryAfter() time.Duration { return s.rules.Load().retryAfter }
 
-// UpdateSettings applies the classes, the tenants and the longest Retry-After of new settings to requests that arrive from
-// now on.
+// UpdateSettings applies the classes, the tenants and the longest Retry-After of set to the requests that arrive from now
+// on.
 func (s *Server) UpdateSettings(set *policy.Settings) {
-	n := &names{classes: map[string]bool{}, tenants: map[string]bool{}, retryAfter: min(shedRetryAfter, set.MaxRetryAfter)}
+	n := &requestRules{classes: map[string]bool{}, tenants: map[string]bool{}, retryAfter: min(shedRetryAfter, set.MaxRetryAfter)}
 	for _, c := range set.Classes {
 		n.classes[c.Name] = true
 	}
 	for _, t := range set.Tenants {
 		n.tenants[t.Name] = true
 	}
-	s.names.Store(n)
+	s.rules.Store(n)
 }
 
+// clientConnKey is the key of the *clientConn in a request's context.
 type clientConnKey struct{}
 
 func withClientConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// connStateChanged is net/http's hook: after a response it reports the connection as idle.
+// connStateChanged is called by net/http when a connection's state changes. It reports a connection as idle after each
+// response.
 func connStateChanged(c net.Conn, state http.ConnState) {
 	if k, ok := c.(*clientConn); ok && state == http.StateIdle {
 		k.responded()
 	}
 }
 
-// shouldShed reports whether n requests in flight are so many that the last one is shed.
+// shouldShed reports whether the last of n requests in flight is to be shed, as n exceeds maxBusyFraction of the sockets.
 func (s *Server) shouldShed(n int64) bool {
 	limit := maxBusyFraction * float64(s.sockets)
-	if s.shedding.Load() { // hysteresis, so that the log does not repeat the change
+	if s.shedding.Load() { // the lower limit prevents frequent changes, each of which is logged
 		limit *= 0.9
 	}
 	shed := float64(n) > limit
@@ -147,9 +152,9 @@
 	return shed
 }
 
-// ServeHTTP serves one request, or the probe of readiness.
+// ServeHTTP serves one request, or the readiness probe at /health/ready.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Guards against a fault in the program: after a panic net/http would close the connection without a response.
+	// After a panic net/http would close the connection without a response.
 	defer func() {
 		if p := recover(); p != nil {
 			s.log.WithField("panic", p).WithField("stack", string(debug.Stack())).Error("request panicked")
@@ -160,7 +165,7 @@
 	defer s.unanswered.Add(-1)
 	chunked := false // whether a chunked body may be read
 	if k, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
-		chunked = k.startHandling() // from here on the handler counts release-ups
+		chunked = k.startHandling() // from here on the handler, not the connection, counts the request if it is given up
 	}
 	if s.closesConnections() {
 		w.Header().Set("Connection", "close")
@@ -172,6 +177,7 @@
 	s.serveRequest(w, r, chunked)
 }
 
+// serveReady responds to the readiness probe.
 func (s *Server) serveReady(w http.ResponseWriter) {
 	if ok, why := s.Ready(); !ok {
 		s.writeText(w, http.StatusServiceUnavailable, why)
@@ -180,7 +186,7 @@
 	s.writeText(w, http.StatusOK, "ready")
 }
 
-// Ready reports whether clients are to be sent here, and if not, why not.
+// Ready reports whether new clients may be sent to this dispatcher, and if not, why.
 func (s *Server) Ready() (bool, string) {
 	if p := s.lifecycle.Phase(); p != lifecycle.Serving {
 		return false, p.String()
@@ -196,9 +202,10 @@
 	return s.drained.Load() || s.lifecycle.Phase() >= lifecycle.Draining
 }
 
+// serveRequest reads one request, submits it and writes its response. chunked is whether a chunked body may be read.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, chunked bool) {
 	control := http.NewResponseController(w)
-	// Also for what is not read here: net/http reads the rest of a body before it closes.
+	// The deadline also applies to a body that isn't read here: net/http reads the rest of it before it closes.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	k, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	if k != nil {
@@ -214,12 +221,12 @@
 	if k != nil {
 		k.setReadingBody(false)
 	}
-	// Nothing is forwarded that was read after the close of its connection had begun.
+	// A request is not forwarded if the close of its connection began before it was read completely.
 	if k != nil && !k.claim() {
-		fault = &requestError{http.StatusServiceUnavailable, "", "this connection had to make room", connEvicted}
+		fault = &requestError{http.StatusServiceUnavailable, "", "this connection was closed to make room for another", connEvicted}
 	}
 	if fault != nil {
-		// net/http reads the rest of the body before it closes; a client that sends it slowly is not waited for.
+		// net/http reads the rest of the body before it closes. The deadline bounds this for a client that sends slowly.
 		_ = control.SetReadDeadline(time.Now().Add(gapTimeout))
 		s.giveUps.add(fault.giveUpReason())
 		if s.log.IsLevelEnabled(logrus.DebugLevel) {
@@ -248,32 +255,32 @@
 	s.writeResponse(w, req, a)
 }
 
-// readBody reads a request's body. release, if it is not nil, returns the body's part of maxBodyBytes and must be
-// called when the body is not used any more. Guards against bodies that use up the memory together, or that never
-// end.
+// readBody reads a request's body, and counts its bytes in s.bodyBytes. If release is not nil, it must be called when the
+// body is no longer used, also after a fault: it subtracts the bytes again. The limits maxBody and maxBodyBytes keep the
+// bodies from using up the memory together, and a body from being endless.
 func (s *Server) readBody(r *http.Request, req *coordinator.Request) (release func(), fault *requestError) {
 	n := r.ContentLength
 	if n < 0 {
 		return s.readChunkedBody(r, req)
 	}
 	if n > maxBody {
-		return nil, &requestError{http.StatusRequestEntityTooLarge, "Content-Length", fmt.Sprintf("is over %d", maxBody), bodyTooLarge}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "Content-Length", fmt.Sprintf("is over the limit of %d bytes", maxBody), bodyTooLarge}
 	}
 	release = func() { s.bodyBytes.Add(-n) }
 	if s.bodyBytes.Add(n) > s.maxBodyBytes {
-		return release, &requestError{http.StatusServiceUnavailable, "", "no room for the body", bodyMemory}
+		return release, &requestError{http.StatusServiceUnavailable, "", "the bodies of the requests in progress have used up the memory for bodies", bodyMemory}
 	}
 	req.Body = make([]byte, n)
 	if _, err := io.ReadFull(r.Body, req.Body); err != nil {
 		return release, bodyError(err, "Content-Length")
 	}
-	if n > 0 { // reads the end, so that net/http watches for the client's disconnect
+	if n > 0 { // only after the body's end was read does net/http watch for the client's disconnect
 		_, _ = r.Body.Read(make([]byte, 1))
 	}
 	return release, nil
 }
 
-// readChunkedBody reads a body of unknown length, and takes its part of maxBodyBytes as it grows.
+// readChunkedBody is readBody for a body of unknown length. It counts the bytes as they arrive.
 func (s *Server) readChunkedBody(r *http.Request, req *coordinator.Request) (release func(), fault *requestError) {
 	var size int64
 	release = func() { s.bodyBytes.Add(-size) }
@@ -281,10 +288,10 @@
 	for {
 		n, err := r.Body.Read(chunk)
 		if size += int64(n); size > maxBody {
-			return release, &requestError{http.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is over %d", maxBody), bodyTooLarge}
+			return release, &requestError{http.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is over the limit of %d bytes", maxBody), bodyTooLarge}
 		}
 		if s.bodyBytes.Add(int64(n)) > s.maxBodyBytes {
-			return release, &requestError{http.StatusServiceUnavailable, "", "no room for the body", bodyMemory}
+			return release, &requestError{http.StatusServiceUnavailable, "", "the bodies of the requests in progress have used up the memory for bodies", bodyMemory}
 		}
 		req.Body = append(req.Body, chunk[:n]...)
 		switch {
@@ -299,17 +306,18 @@
 	}
 }
 
-// bodyError returns why a body could not be read completely: it did not arrive in time, or the client disconnected.
+// bodyError returns the error for a body that could not be read completely: it did not arrive in time, or the client
+// disconnected. framing is the header that defines the body's end.
 func bodyError(err error, framing string) *requestError {
 	if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
-		return &requestError{http.StatusRequestTimeout, "", "the body did not come in time", bodySlow}
+		return &requestError{http.StatusRequestTimeout, "", "the body was not received in time", bodySlow}
 	}
-	return &requestError{http.StatusBadRequest, framing, "the body broke off", bodyDisconnected}
+	return &requestError{http.StatusBadRequest, framing, "the body is incomplete or malformed", bodyDisconnected}
 }
 
 // writeResponse writes a request's final response.
 func (s *Server) writeResponse(w http.ResponseWriter, req *coordinator.Request, a coordinator.Response) {
-	if s.closesConnections() { // perhaps only since the request arrived
+	if s.closesConnections() { // the drain may have begun after the request arrived
 		w.Header().Set("Connection", "close")
 	}
 	if s.log.IsLevelEnabled(logrus.DebugLevel) {
@@ -335,7 +343,8 @@
 	case coordinator.DuplicateID:
 		w.Header().Set("Connection", "close")
 		s.writeText(w, http.StatusConflict, "X-Request-ID: a request with this id is open or was answered")
-	case coordinator.ClientDisconnected: // perhaps only its sending side is closed; net/http would respond 200
+	case coordinator.ClientDisconnected:
+		// The client may have closed its sending side only. Without this response net/http would write a 200.
 		w.Header().Set("Connection", "close")
 		s.writeText(w, http.StatusBadGateway, "the client has left")
 	}
--- a/internal/dispatcher/ingress/ingress_test.go
+++ b/internal/dispatcher/ingress/ingress_test.go
@@ -21,7 +21,7 @@
 	"ospreypond/policy"
 )
 
-// submitFunc is a Submitter that returns the responses of a function.
+// submitFunc is a Submitter whose Submit calls the function.
 type submitFunc func(ctx context.Context, r *coordinator.Request) coordinator.Response
 
 func (f submitFunc) NotifyEnded(*coordinator.Request, coordinator.Response) {}
@@ -30,15 +30,17 @@
 	return f(ctx, r)
 }
 
+// discard returns a logger without output.
 func discard() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func testServer(budget int, to submitFunc) (*Server, *lifecycle.Lifecycle) {
+// testServer returns a server for the class c that keeps at most sockets connections and submits requests to submit.
+func testServer(sockets int, submit submitFunc) (*Server, *lifecycle.Lifecycle) {
 	phases := lifecycle.New(nil)
-	return New(to, phases, &policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: 2 * time.Second}, budget, 1<<20, discard()), phases
+	return New(submit, phases, &policy.Settings{Classes: []policy.Class{{Name: "c"}}, MaxRetryAfter: 2 * time.Second}, sockets, 1<<20, discard()), phases
 }
 
 // addr waits until the server listens and returns its address.
@@ -48,6 +50,7 @@
 	return s.listener.Load().Addr().String()
 }
 
+// newRequest returns a valid request of the class c.
 func newRequest(t *testing.T) *http.Request {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/c/x?y=1", strings.NewReader("body"))
@@ -56,6 +59,7 @@
 	return r
 }
 
+// Each header that parseHead knows sets its field of the request; unknown names in X-Attrs are skipped.
 func TestParseHead(t *testing.T) {
 	r := newRequest(t)
 	for k, v := range map[string]string{"X-Tenant-Id": "t", "X-Route-Key": "k", "Idempotency-Key": "i", "X-Cost": "2500",
@@ -70,6 +74,7 @@
 		Work: 2500 * time.Microsecond, Slots: 2, Memory: 0.5, Method: "POST", Target: "/c/x?y=1"}, got)
 }
 
+// X-Timeout is accepted only as a plain decimal number with the unit m or u, up to maxTimeout.
 func TestParseTimeout(t *testing.T) {
 	for s, want := range map[string]time.Duration{"480m": 480 * time.Millisecond, "0m": 0, "1.5m": 1500 * time.Microsecond,
 		"3600000m": maxTimeout} {
@@ -84,6 +89,7 @@
 	}
 }
 
+// Each kind of response has its status. While the phase is Draining each response closes its connection.
 func TestResponses(t *testing.T) {
 	for _, tt := range []struct {
 		a      coordinator.Response
@@ -106,11 +112,11 @@
 		phases.Advance(lifecycle.Draining)
 		w = httptest.NewRecorder()
 		s.ServeHTTP(w, newRequest(t))
-		assert.Equal(t, "close", w.Header().Get("Connection"), "a response while draining closes its connection")
+		assert.Equal(t, "close", w.Header().Get("Connection"), "a response in phase Draining closes its connection")
 	}
 }
 
-// Guards against a panic that costs a client its connection: net/http would close it without a response.
+// A panic in the handler gives the client a 500. net/http alone would close the connection without a response.
 func TestPanicGetsAResponse(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { panic("fault") })
 	w := httptest.NewRecorder()
@@ -118,6 +124,7 @@
 	assert.Equal(t, http.StatusInternalServerError, w.Code)
 }
 
+// The readiness probe succeeds only in phase Serving.
 func TestReadyOnlyWhileServing(t *testing.T) {
 	s, phases := testServer(10, nil)
 	for _, p := range []lifecycle.Phase{lifecycle.Starting, lifecycle.Serving, lifecycle.Draining} {
@@ -128,8 +135,8 @@
 	}
 }
 
-// Guards against input that strconv or net/http accepts and a runner or the module would not: each is refused with a
-// 4xx that names its header, and never submitted.
+// Header values that strconv or net/http would accept, but a runner or the decision module would not, are refused with a
+// 400 that names the header. The request is not submitted.
 func TestBadHeads(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response {
 		t.Error("submitted")
@@ -157,10 +164,11 @@
 	}
 }
 
-// Guards against requests without a tenant, or with an unknown one, that would escape every allowance.
+// If the settings name tenants, a request without a tenant or with an unknown one is refused, as it would count against
+// no tenant's allowance.
 func TestUnknownTenantsAreRefused(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return coordinator.Response{} })
-	s.names.Load().tenants["t"] = true
+	s.rules.Load().tenants["t"] = true
 	for tenant, want := range map[string]int{"t": http.StatusOK, "u": http.StatusBadRequest, "": http.StatusBadRequest} {
 		r := newRequest(t)
 		r.Header.Set("X-Tenant-Id", tenant)
@@ -170,7 +178,7 @@
 	}
 }
 
-// listen serves on a TCP socket, so that net/http takes part.
+// listen starts the server on a TCP socket, with net/http in between, and returns its address.
 func listen(t *testing.T, s *Server) string {
 	t.Helper()
 	l := newTCPListener(t)
@@ -186,7 +194,7 @@
 	return l
 }
 
-// connect opens a connection that the end of the test closes.
+// connect opens a connection that is closed at the end of the test.
 func connect(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", addr)
@@ -195,6 +203,7 @@
 	return c
 }
 
+// dial opens a connection and sends text on it.
 func dial(t *testing.T, addr, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c := connect(t, addr)
@@ -204,7 +213,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// response is a response that was read completely.
+// response holds the parts of a response that tests check.
 type response struct {
 	status     int
 	retryAfter string
@@ -222,10 +231,11 @@
 	return response{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(body)}
 }
 
+// head is the head of a valid request without the header that says where the body ends.
 const head = "POST /c HTTP/1.1\r\nHost: h\r\nX-Request-ID: i\r\nX-Timeout: 9000m\r\n"
 
-// Guards against invalid framing, request smuggling above all: it gets an error response and a close, in time, and
-// nothing of it is submitted.
+// A request with invalid framing, which may be an attempt at request smuggling, gets an error response and its connection
+// is closed within the timeouts. Neither the request nor one hidden in its body is submitted.
 func TestBadFraming(t *testing.T) {
 	s, _ := testServer(20, func(context.Context, *coordinator.Request) coordinator.Response {
 		t.Error("submitted")
@@ -259,7 +269,8 @@
 	}
 }
 
-// Guards against bodies that together use up the memory.
+// A request is refused with a 503 if its body would make all bodies exceed maxBodyBytes, so that bodies can't use up the
+// memory together.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	s, _ := testServer(10, func(context.Context, *coordinator.Request) coordinator.Response { return coordinator.Response{} })
 	s.maxBodyBytes = 3
@@ -270,8 +281,8 @@
 	assert.Zero(t, s.bodyBytes.Load())
 }
 
-// Guards against connections that say nothing and shut others out: the longest quiet are evicted, but none with a
-// request in the handler, nor an idle one of a usual client while there are others.
+// Connections that send nothing can't shut out other clients: the one that has been quiet for the longest time is evicted
+// for a new one. Connections with a request in the handler are not evicted, nor an idle one while there are quiet ones.
 func TestQuietConnectionsAreEvictedFirst(t *testing.T) {
 	const sockets = 4
 	responses := make(chan coordinator.Response)
@@ -304,7 +315,8 @@
 	}
 }
 
-// Guards against a burst that evicts connections before their first bytes are read.
+// A connection is not evicted within minQuietToEvict after its accept, so a burst can't evict it before its first bytes
+// are read.
 func TestYoungConnectionsAreNotEvicted(t *testing.T) {
 	c, now := newLimitedListener(nil, 2, noRetryAfter, nil, nil), time.Now()
 	pipe := func() net.Conn { a, _ := net.Pipe(); return a }
@@ -322,7 +334,7 @@
 	assert.Equal(t, stateClosing, young.state)
 }
 
-// Guards against more requests than there are sockets for: the last ones get a response that says so.
+// Requests beyond maxBusyFraction of the sockets are shed with a 503 and a Retry-After.
 func TestTooManyRequestsAreShed(t *testing.T) {
 	const sockets = 10
 	release := make(chan struct{})
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -11,46 +11,48 @@
 	"ospreypond/internal/dispatcher/config"
 )
 
-// minQuietToEvict is how long a connection that has sent no complete request is safe from eviction after its last
-// byte. Guards against a burst of quiet connections that evicts a usual client before its first bytes are read.
-// Accept waits at most that long.
+// minQuietToEvict is how long after its last byte, or its accept, a connection without a complete request can't be
+// evicted. Without it a burst of connections that send nothing could evict a client before its first bytes are read.
 const minQuietToEvict = 50 * time.Millisecond
 
-// minIdleToEvict is the same for an idle connection that has brought requests.
+// minIdleToEvict is how long after its last response an idle connection can't be evicted.
 const minIdleToEvict = time.Second
 
-// limitedListener is a listener that keeps at most maxConns connections open at once. For a further one, the
-// connection that has been quiet for the longest time is evicted: first among those without a complete request, quiet
-// since their last byte, then among idle ones. One with a request in the handler is never closed. Guards against
-// connections that say nothing and shut others out; a client whose idle connection is evicted opens another.
+// limitedListener is a listener that keeps at most maxConns connections open at once. To accept another one, it evicts
+// (closes) an open one in this order:
+//  1. among the connections without a complete request, the one with the longest time since its last byte;
+//  2. among the idle connections, the one with the longest time since its last response.
 //
-// Its lock guards the state of each connection, see clientConn.
+// A connection with a request in the handler is never evicted. So connections that send nothing can't shut other clients
+// out. A client whose idle connection was evicted can open another.
+//
+// mu also guards the state of each clientConn.
 type limitedListener struct {
 	net.Listener
 	maxConns     int
-	maxLingering int                  // connections that may linger beside those
-	retryAfter   func() time.Duration // for refused connections; 0: no Retry-After
+	maxLingering int                  // how many connections may be in their close, in addition to maxConns
+	retryAfter   func() time.Duration // the Retry-After for evicted and refused connections; 0: none
 	giveUps      *GiveUps
 	log          logrus.FieldLogger
 
 	mu        sync.Mutex
-	quiet     list.List // of *clientConn without a complete request, the longest quiet first
-	idle      list.List // of *clientConn between requests, the longest idle first
+	quiet     list.List // of *clientConn without a complete request, ordered by quietSince
+	idle      list.List // of *clientConn between requests, ordered by quietSince
 	busy      list.List // of *clientConn with a request in the handler
-	lingering list.List // of *clientConn that are being closed, the earliest first
-	full      bool      // new connections are refused
-	draining  bool      // idle connections are closed, now and later
+	lingering list.List // of *clientConn whose close has begun, in the order of the begin
+	full      bool      // new connections are refused, as each open one has a request; kept for the log
+	draining  bool      // connections are closed as soon as they are idle
 }
 
 func newLimitedListener(l net.Listener, maxConns int, retryAfter func() time.Duration, giveUps *GiveUps, log logrus.FieldLogger) *limitedListener {
 	return &limitedListener{Listener: l, maxConns: maxConns, maxLingering: config.MaxLingering(maxConns), retryAfter: retryAfter, giveUps: giveUps, log: log}
 }
 
-// open returns the number of open connections, without lingering ones. c.mu is held.
+// open returns the number of open connections, without those whose close has begun. The caller holds c.mu.
 func (c *limitedListener) open() int { return c.quiet.Len() + c.idle.Len() + c.busy.Len() }
 
-// Accept returns the next connection as a *clientConn. It waits, for at most minIdleToEvict at a time, until one may
-// be evicted for it.
+// Accept returns the next connection as a *clientConn. If maxConns connections are open, it waits until one of them may be
+// evicted, at most minIdleToEvict at a time.
 func (c *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := c.Listener.Accept()
@@ -71,9 +73,9 @@
 	}
 }
 
-// admit makes a clientConn of conn, and evicts another for it if need be. It returns nil if every connection has a
-// request in the handler: conn is then closed with a response that says so. With wait, it is to be called again after
-// that.
+// admit returns a clientConn for conn, and evicts another connection if needed. It returns nil if no connection can be
+// evicted. If wait is positive, one can be after that time, and the caller is to call admit again. If wait is 0, every
+// connection has a request in the handler: conn was refused and is closed with a 503.
 func (c *limitedListener) admit(conn net.Conn, now time.Time) (k *clientConn, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +89,7 @@
 	}
 	k = newClientConn(conn, c, now)
 	if full {
-		k.requestBegun = true // so that it is counted: clients connect for a request
+		k.requestBegun = true // counts the refusal as a request given up: a client connects to send one
 		k.startClose(headEvicted)
 		go closeGracefully(k)
 		return nil, 0
@@ -96,8 +98,8 @@
 	return k, 0
 }
 
-// evict makes room for one more connection, if need be. If it can't, full is true and wait is the time after which it
-// could, or 0 if every connection has a request in the handler. c.mu is held.
+// evict makes room for one more connection, if needed. If it can't, full is true and wait is the time after which one may
+// be evicted, or 0 if every connection has a request in the handler. The caller holds c.mu.
 func (c *limitedListener) evict(now time.Time) (full bool, wait time.Duration) {
 	if c.open() < c.maxConns {
 		return false, 0
@@ -123,10 +125,11 @@
 	return true, wait
 }
 
-// closeGracefully closes k, for use as a goroutine.
+// closeGracefully closes k by a lingering close, which blocks; it runs in its own goroutine.
 func closeGracefully(k *clientConn) { _ = k.Close() }
 
-// boundLingering closes the earliest lingering connections where there are more than maxLingering. c.mu is held.
+// boundLingering closes the sockets of the connections whose close began first, until at most maxLingering are in their
+// close. The caller holds c.mu.
 func (c *limitedListener) boundLingering() {
 	for over := c.lingering.Len() - c.maxLingering; over > 0; over-- {
 		k := c.lingering.Front().Value.(*clientConn)
@@ -136,8 +139,9 @@
 	}
 }
 
-// setDraining sets whether idle connections are closed, present ones at once. Those that never sent a byte are closed
-// by a call after they have been quiet for quietTimeout; any of which a byte was read stays open.
+// setDraining sets whether connections are closed as soon as they are idle. With on it also closes the connections that
+// are idle now, and those on which no byte was read within quietTimeout after their accept. Younger ones need another call
+// later. A connection stays open if a byte of its next request was read.
 func (c *limitedListener) setDraining(on bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,14 +162,14 @@
 	}
 }
 
-// empty reports whether no connection is left, not even a lingering one.
+// empty reports whether no connection is left, neither an open one nor one in its close.
 func (c *limitedListener) empty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open()+c.lingering.Len() == 0
 }
 
-// abort closes the sockets of all connections, whatever is still to be sent on them.
+// abort closes the sockets of all connections at once, even if responses on them are incomplete.
 func (c *limitedListener) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatcher/ingress/parse.go
+++ b/internal/dispatcher/ingress/parse.go
@@ -12,17 +12,16 @@
 )
 
 const (
-	maxTimeout = time.Hour // more than any client waits
-	maxSlots   = 1 << 10   // more than any runner has
-	maxID      = 128
+	maxTimeout = time.Hour // bounds X-Timeout and X-Cost; no client waits that long
+	maxSlots   = 1 << 10   // bounds the slots of a request; no runner has that many
+	maxID      = 128       // bytes in X-Request-ID and in Idempotency-Key
 )
 
-// requestError is why a request is not accepted, with the status of its response. It names the header at fault, if
-// one is.
+// requestError is the reason for which a request is not accepted. The client gets its status and text.
 type requestError struct {
-	status          int
-	header, problem string
-	countAs         string // the give-up reason, one of the constants in giveup.go; empty: the header's name
+	status          int    // of the response
+	header, problem string // header is the name of the invalid header; empty: the problem is not in a header
+	countAs         string // the give-up reason, a constant in giveup.go; empty: badHeaderPrefix and the header's name
 }
 
 // giveUpReason returns the reason under which GiveUps counts the request.
@@ -33,7 +32,7 @@
 	return badHeaderPrefix + e.header
 }
 
-// Error names the header, if one is at fault, and the problem.
+// Error returns the header's name, if a header is invalid, and the problem.
 func (e *requestError) Error() string {
 	if e.header == "" {
 		return e.problem
@@ -41,17 +40,20 @@
 	return e.header + ": " + e.problem
 }
 
+// badHeader returns the error for a request with an invalid header.
 func badHeader(name, format string, args ...any) *requestError {
 	return &requestError{http.StatusBadRequest, name, fmt.Sprintf(format, args...), ""}
 }
 
-// idPattern matches ids that are forwarded: printable, and nothing that a header or log could misread. numberPattern
-// matches decimals only, as strconv also accepts Inf, 1e9, hexadecimals and underscores.
+// idPattern matches the ids that are accepted. They are forwarded in headers and logged, so only printable characters
+// without a special meaning there are allowed. numberPattern matches plain decimal numbers. strconv.ParseFloat alone would
+// also accept Inf, 1e9, hexadecimal numbers and underscores.
 var (
 	idPattern     = regexp.MustCompile(`^[0-9A-Za-z._~:+/=-]+$`)
 	numberPattern = regexp.MustCompile(`^[0-9]{1,15}(\.[0-9]{1,9})?$`)
 )
 
+// parseNumber parses a decimal number that numberPattern matches.
 func parseNumber(s string) (x float64, ok bool) {
 	if !numberPattern.MatchString(s) {
 		return 0, false
@@ -60,35 +62,35 @@
 	return x, err == nil
 }
 
-// singleHeaders are the headers that must not be repeated: which of two counts would be a guess, and a runner may
-// guess differently.
+// singleHeaders are the headers that must not be repeated. If one is sent twice, the dispatcher and a runner may each use
+// another of the two values.
 var singleHeaders = []string{"X-Request-ID", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "Idempotency-Key", "X-Retried", "X-Cost",
 	"X-Attrs", "Content-Type"}
 
-// parseHead parses a request's line and headers. The caller fills in its body and times; timeout is how long the
-// client waits from its sending on. chunked is whether the head on the wire allows a chunked body.
+// parseHead parses a request's line and headers. The caller sets the request's body and times. timeout is the value of
+// X-Timeout, which counts from when the request is read completely. chunked is whether a chunked body may be read.
 func (s *Server) parseHead(r *http.Request, chunked bool) (req *coordinator.Request, timeout time.Duration, fault *requestError) {
-	// Guards against request smuggling: with Transfer-Encoding there may be a Content-Length, which net/http drops
-	// unseen. framing saw the head on the wire.
+	// Prevents request smuggling. A request with Transfer-Encoding may also have a Content-Length, which net/http removes
+	// before it calls the handler. So chunked comes from framing, which saw the head as it was sent.
 	if len(r.TransferEncoding) > 0 && !chunked {
 		return nil, 0, &requestError{http.StatusBadRequest, "Transfer-Encoding",
-			"stands beside Content-Length, or the head was not whole on the wire", ambiguousFraming}
+			"not allowed together with Content-Length, or the request's head could not be parsed", ambiguousFraming}
 	}
 	if r.Method != http.MethodPost {
-		return nil, 0, &requestError{http.StatusMethodNotAllowed, "", "jobs arrive by POST", badMethod}
+		return nil, 0, &requestError{http.StatusMethodNotAllowed, "", "the method is not POST", badMethod}
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
-	if !s.names.Load().classes[class] {
+	if !s.rules.Load().classes[class] {
 		return nil, 0, &requestError{http.StatusNotFound, "", fmt.Sprintf("no class %q", class), unknownClass}
 	}
-	// Runners get the target as it was sent: it must have one reading only.
+	// Runners get the target as it was sent, so it must be one that every parser reads alike.
 	if r.RequestURI != r.URL.RequestURI() || strings.ContainsAny(r.RequestURI, "#\\") {
-		return nil, 0, &requestError{http.StatusBadRequest, "", "the target is not a plain path and query", badTarget}
+		return nil, 0, &requestError{http.StatusBadRequest, "", "the request target is not a path and query in their normal form", badTarget}
 	}
 	h := r.Header
 	for _, name := range singleHeaders {
 		if len(h.Values(name)) > 1 {
-			return nil, 0, badHeader(name, "is there %d times", len(h.Values(name)))
+			return nil, 0, badHeader(name, "is sent %d times, but only one is allowed", len(h.Values(name)))
 		}
 	}
 	req = &coordinator.Request{ID: h.Get("X-Request-ID"), Class: class, Tenant: h.Get("X-Tenant-Id"), Slots: 1,
@@ -99,12 +101,13 @@
 	}
 	for name, v := range map[string]string{"X-Request-ID": req.ID, "Idempotency-Key": req.IdempotencyKey} {
 		if v != "" && (len(v) > maxID || !idPattern.MatchString(v)) {
-			return nil, 0, badHeader(name, "is not an id")
+			return nil, 0, badHeader(name, "is not an id: only letters, digits and ._~:+/=- are allowed, and at most 128 bytes")
 		}
 	}
-	// Guards against requests that count against no tenant's allowance, which the module would take as within one.
-	if n := s.names.Load(); len(n.tenants) > 0 && !n.tenants[req.Tenant] {
-		return nil, 0, badHeader("X-Tenant-Id", "%q is no tenant", req.Tenant)
+	// A request without a known tenant would count against no tenant's allowance, and the decision module would treat it
+	// as within its allowance.
+	if n := s.rules.Load(); len(n.tenants) > 0 && !n.tenants[req.Tenant] {
+		return nil, 0, badHeader("X-Tenant-Id", "%q is not a tenant of the settings", req.Tenant)
 	}
 	timeout, err := parseTimeout(h.Get("X-Timeout"))
 	if err != nil {
@@ -116,12 +119,12 @@
 	return req, timeout, nil
 }
 
-// parseFigures parses what the headers say of the request's work, needs and retries.
+// parseFigures parses the headers for the request's work (X-Cost), needs (X-Attrs) and whether it is a retry (X-Retried).
 func parseFigures(req *coordinator.Request, h http.Header) *requestError {
 	if c := h.Get("X-Cost"); c != "" {
 		us, ok := parseNumber(c)
 		if !ok || us > float64(maxTimeout/time.Microsecond) {
-			return badHeader("X-Cost", "%q is not a usable number of microseconds", c)
+			return badHeader("X-Cost", "%q is not a decimal number of microseconds of at most one hour", c)
 		}
 		req.Work = time.Duration(us * float64(time.Microsecond))
 	}
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// parseTimeout parses a number followed by its unit, m for milliseconds or u for microseconds.
+// parseTimeout parses the value of X-Timeout: a decimal number followed by its unit, m for milliseconds or u for
+// microseconds.
 func parseTimeout(s string) (time.Duration, error) {
 	if s == "" {
 		return 0, fmt.Errorf("is missing")
@@ -149,16 +153,16 @@
 	case 'u':
 		unit = time.Microsecond
 	default:
-		return 0, fmt.Errorf("%q does not end in a unit, m or u", s)
+		return 0, fmt.Errorf("%q does not end in its unit, m (milliseconds) or u (microseconds)", s)
 	}
 	n, ok := parseNumber(s[:len(s)-1])
 	if !ok || n > float64(maxTimeout/unit) {
-		return 0, fmt.Errorf("%q is not a usable time", s)
+		return 0, fmt.Errorf("%q is not a decimal number with a unit, of at most one hour", s)
 	}
 	return time.Duration(n * float64(unit)), nil
 }
 
-// parseAttrs parses further figures, name=value separated by commas. Unknown names are skipped.
+// parseAttrs parses the value of X-Attrs: fields of the form name=value, separated by commas. It skips unknown names.
 func parseAttrs(req *coordinator.Request, s string) error {
 	for attr := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(attr), "=")
@@ -175,7 +179,7 @@
 		}
 		x, number := parseNumber(value)
 		if !ok || !number || x > limit {
-			return fmt.Errorf("%s: %q is not a usable number", name, value)
+			return fmt.Errorf("%s: %q is not a decimal number, or is over its limit", name, value)
 		}
 		*to = x
 	}
--- a/internal/dispatcher/ingress/states_test.go
+++ b/internal/dispatcher/ingress/states_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// fakeConn is a connection without a socket.
+// fakeConn is a connection without a socket. Each write and close succeeds.
 type fakeConn struct{ net.Conn }
 
 func (fakeConn) Close() error                     { return nil }
@@ -18,22 +18,24 @@
 func (fakeConn) SetWriteDeadline(time.Time) error { return nil }
 func (fakeConn) Write(p []byte) (int, error)      { return len(p), nil }
 
-// connModel drives a listener's connections without sockets. Its methods are the steps of a rapid state machine.
+// connModel drives a listener's connections without sockets. Its exported methods are the actions of a rapid state machine,
+// and Check is called after each action.
 type connModel struct {
 	listener *limitedListener
-	all      []*clientConn
-	now      time.Time
+	all      []*clientConn // each connection that was accepted, also those that are closed
+	now      time.Time     // the simulated time
 }
 
-// pick draws one of the connections for which ok holds; the step is skipped if there is none.
+// pick draws one of the connections for which ok returns true. If there is none, the action is skipped.
 func (m *connModel) pick(t *rapid.T, ok func(k *clientConn) bool) *clientConn {
 	fit := m.where(ok)
 	if len(fit) == 0 {
-		t.Skip("none")
+		t.Skip("no connection is in a state for this action")
 	}
 	return rapid.SampledFrom(fit).Draw(t, "connection")
 }
 
+// where returns the connections for which ok returns true.
 func (m *connModel) where(ok func(k *clientConn) bool) (fit []*clientConn) {
 	for _, k := range m.all {
 		if ok(k) {
@@ -43,7 +45,7 @@
 	return fit
 }
 
-// Check holds after each step: the listener's bounds, and the list of each state.
+// Check fails if the listener's bounds are exceeded, or if a connection is in another list than its state requires.
 func (m *connModel) Check(t *rapid.T) {
 	l := m.listener
 	l.mu.Lock()
@@ -55,12 +57,12 @@
 		want := map[connState]any{stateNew: &l.quiet, stateReading: &l.quiet, stateBusy: &l.busy, stateIdle: &l.idle,
 			stateClosing: &l.lingering, stateLingering: &l.lingering}[k.state]
 		if k.state == stateClosed && k.list != nil || k.state != stateClosed && any(k.list) != want {
-			t.Fatalf("state %d in another list", k.state)
+			t.Fatalf("a connection in state %d is in the wrong list", k.state)
 		}
 	}
 }
 
-// Accept has a further connection arrive, for which another may be evicted.
+// Accept lets another connection arrive, for which one may be evicted.
 func (m *connModel) Accept(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 	busy := m.where(func(k *clientConn) bool { return k.state == stateBusy })
@@ -74,22 +76,22 @@
 	}
 }
 
-// Read has the bytes of a request arrive.
+// Read lets the bytes of a request arrive on a connection.
 func (m *connModel) Read(t *rapid.T) {
 	k := m.pick(t, func(k *clientConn) bool { return k.state != stateBusy && k.state != stateClosed })
 	closing := k.state >= stateClosing
 	n, err := k.received([]byte(fullRequest), nil, false)
 	if closing != (n == 0 && errors.Is(err, io.EOF)) {
-		t.Fatal("bytes after the begin of the close became a request, or some before it did not")
+		t.Fatal("bytes read after the close began became a request, or bytes read before it did not")
 	}
 }
 
-// Claim has the handler claim a request.
+// Claim lets the handler claim a request.
 func (m *connModel) Claim(t *rapid.T) {
 	k := m.pick(t, func(k *clientConn) bool { return k.requestBegun && k.state != stateBusy && k.state != stateClosed })
 	k.startHandling()
 	if closing := k.state >= stateClosing; k.claim() == closing {
-		t.Fatal("a request was claimed on a connection that closes, or not on one that stays open")
+		t.Fatal("a request was claimed on a connection whose close has begun, or not claimed on an open one")
 	}
 }
 
@@ -98,7 +100,7 @@
 	k := m.pick(t, func(k *clientConn) bool { return k.state == stateBusy })
 	k.responded()
 	if m.listener.draining && k.state == stateIdle {
-		t.Fatal("it is idle in a drain")
+		t.Fatal("the connection is idle in a drain")
 	}
 }
 
@@ -116,14 +118,14 @@
 // Close closes a connection.
 func (m *connModel) Close(t *rapid.T) {
 	k := m.pick(t, func(k *clientConn) bool { return k.state != stateClosed })
-	_ = k.Close() // its error is of a connection that is closed already
+	_ = k.Close() // a connection that is already closed returns an error
 	if k.state != stateClosed {
-		t.Fatal("it stays open")
+		t.Fatal("the connection stays open after Close")
 	}
 }
 
-// In all orders of what happens to connections no drain closes one on which a request was begun before, no request is
-// claimed after the close has begun, and the lists are those of the states.
+// In any order of events three invariants hold: a drain closes no connection on which a request was begun, no request is
+// claimed after the close of its connection began, and each connection is in the list of its state.
 func TestConnectionStatesInAllOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLimitedListener(nil, rapid.IntRange(1, 3).Draw(t, "maxConns"), noRetryAfter, newGiveUps(discard()), discard())
