--- a/internal/dispatcher/app/reload.go
+++ b/internal/dispatcher/app/reload.go
@@ -37,7 +37,7 @@
 		d.watcher.KeepOpen(!next.Policy.ListOnDemand)
 		d.log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; requests under way keep theirs")
 	}
-	d.watcher.Move(next.Discovery)
+	d.watcher.SetAddress(next.Discovery)
 	entry := d.log.WithField("discovery", next.Discovery)
 	if keys := cfg.NeedRestart(next); len(keys) > 0 {
 		entry = entry.WithField("needs_restart", keys)
--- a/internal/dispatcher/lifecycle/lifecycle.go
+++ b/internal/dispatcher/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package lifecycle holds the phase of the program, from its start to its exit.
+// Package lifecycle keeps the phase of the process, from its start to its exit.
 package lifecycle
 
 import (
@@ -7,15 +7,15 @@
 	"sync"
 )
 
-// Phase is a state of the program.
+// Phase is a phase of the process.
 type Phase int
 
-// The phases, in their order. Any of them may be skipped; none is entered again.
+// The phases, in order. A phase may be skipped, and is entered at most once.
 const (
-	Starting Phase = iota // the configuration is read, no request is accepted
+	Starting Phase = iota // the configuration is being read and no request is accepted
 	Serving               // requests are accepted
-	Draining              // asked to stop: requests are still accepted, and every response closes its connection
-	Stopped               // no request is accepted and every request has its response
+	Draining              // the process was asked to stop: requests are still accepted, but each response closes its connection
+	Stopped               // no request is accepted, and each request has its response
 )
 
 // String returns the phase's name.
@@ -33,17 +33,17 @@
 	return fmt.Sprintf("Phase(%d)", int(p))
 }
 
-// Lifecycle is the program's present phase. It is safe for concurrent use.
+// Lifecycle holds the current phase of the process. It is safe for concurrent use.
 type Lifecycle struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards phase
 	phase    Phase
 	onChange func(from, to Phase)
-	reached  [Stopped + 1]context.Context
-	cancel   [Stopped + 1]context.CancelFunc
+	reached  [Stopped + 1]context.Context    // by phase: ends when the phase is reached or passed
+	cancel   [Stopped + 1]context.CancelFunc // by phase: ends its context in reached
 }
 
-// New returns a Lifecycle in the phase Starting. onChange, if not nil, is called with every change, in order, with
-// the Lifecycle's lock held: it must not call back.
+// New returns a Lifecycle in phase Starting. onChange, if not nil, is called at each change, in order. It is called with the
+// Lifecycle's lock held, so it must not call Phase or Advance.
 func New(onChange func(from, to Phase)) *Lifecycle {
 	l := &Lifecycle{onChange: onChange}
 	for p := range l.reached {
@@ -53,15 +53,15 @@
 	return l
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (l *Lifecycle) Phase() Phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// Advance enters a later phase. It reports whether it did: a phase that was reached or skipped before is not entered
-// again, so that two signals do not drain twice.
+// Advance enters phase to and reports whether it did. It does nothing if the phase was reached or skipped before, so that a
+// second signal to stop doesn't start a second drain.
 func (l *Lifecycle) Advance(to Phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dispatcher/maintenance/disabled.go
+++ b/internal/dispatcher/maintenance/disabled.go
@@ -1,5 +1,6 @@
-// Package maintenance keeps which runners operators have disabled: a runner stays disabled whatever discovery lists,
-// until it is enabled, and then it warms up. It does no I/O and has no clock; times are passed in.
+// Package maintenance keeps the set of runners that operators have disabled. A runner stays disabled until an operator
+// enables it, whatever discovery lists, and then it warms up. The package does no I/O and reads no clock; callers pass
+// the times.
 package maintenance
 
 import (
@@ -8,17 +9,17 @@
 	"time"
 )
 
-// ErrUnknownRunner is returned for an id that is neither listed nor disabled.
+// ErrUnknownRunner is the error for an id that is neither in discovery's list nor disabled.
 var ErrUnknownRunner = errors.New("no runner has this id")
 
-// Disabled are the disabled runners. One Enable undoes any number of Disable calls, as operators restart the runner
-// in between. It is not safe for concurrent use.
+// Disabled is the set of disabled runners. One Enable undoes any number of Disable calls, as operators restart the runner
+// between Disable and Enable. It is not safe for concurrent use.
 type Disabled struct {
-	disabled  map[string]int           // by id: the number of Disable calls
-	enabledAt map[string]time.Duration // by id: it warms up from then on
+	disabled  map[string]int           // by id: the number of Disable calls; 0: not disabled
+	enabledAt map[string]time.Duration // by id: the Unix time of its last Enable, from which on it warms up
 }
 
-// New returns the set of the given ids, which the process before this one passed on.
+// New returns the set of the given ids, which are those that the previous process of this dispatcher had disabled.
 func New(ids []string) *Disabled {
 	d := &Disabled{disabled: map[string]int{}, enabledAt: map[string]time.Duration{}}
 	for _, id := range ids {
@@ -27,8 +28,8 @@
 	return d
 }
 
-// Disable takes a runner out. known is whether the list names it; an id that is neither listed nor disabled is
-// ErrUnknownRunner.
+// Disable adds a runner to the set. known is whether discovery's list names the runner. If it doesn't and the runner isn't
+// disabled, Disable returns ErrUnknownRunner.
 func (d *Disabled) Disable(id string, known bool) error {
 	if !known && d.disabled[id] == 0 {
 		return ErrUnknownRunner
@@ -37,8 +38,8 @@
 	return nil
 }
 
-// Enable lets a runner serve again from now on. It reports whether the runner was disabled: the module then sees it
-// as a new process that warms up.
+// Enable removes a runner from the set and records now as its start. It reports whether the runner was disabled. known is
+// whether discovery's list names the runner. If it doesn't and the runner isn't disabled, Enable returns ErrUnknownRunner.
 func (d *Disabled) Enable(id string, known bool, now time.Duration) (enabled bool, err error) {
 	if d.disabled[id] == 0 {
 		if !known {
@@ -54,8 +55,8 @@
 // Has reports whether a runner is disabled.
 func (d *Disabled) Has(id string) bool { return d.disabled[id] > 0 }
 
-// Started returns when a runner that discovery lists as started at born counts as started: no sooner than it was
-// enabled, as operators restart a runner while it is disabled.
+// Started returns the time at which a runner counts as started: born, its start in discovery's list, or its last Enable if
+// that is later. Operators restart a runner while it is disabled, so it must warm up after Enable.
 func (d *Disabled) Started(id string, born time.Duration) time.Duration {
 	if at, ok := d.enabledAt[id]; ok && at > born {
 		return at
@@ -63,7 +64,7 @@
 	return born
 }
 
-// Names returns the ids of disabled runners, sorted.
+// Names returns the ids of the disabled runners, sorted.
 func (d *Disabled) Names() []string {
 	ids := make([]string, 0, len(d.disabled))
 	for id := range d.disabled {
--- a/internal/dispatcher/maintenance/disabled_test.go
+++ b/internal/dispatcher/maintenance/disabled_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// One Enable undoes any number of Disable calls.
 func TestOneEnableUndoesTwoDisables(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
@@ -19,6 +20,7 @@
 	assert.False(t, d.Has("s-1"))
 }
 
+// An id that is neither listed nor disabled can be neither disabled nor enabled.
 func TestUnknownIDsAreRefused(t *testing.T) {
 	d := New(nil)
 	assert.ErrorIs(t, d.Disable("s-404", false), ErrUnknownRunner)
@@ -28,10 +30,11 @@
 	assert.Empty(t, d.Names())
 }
 
+// A disabled runner stays known after it was removed from discovery's list.
 func TestDisabledRunnerMayLeaveTheList(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
-	// The runner was removed from the list meanwhile: it stays disabled, and can be enabled.
+	// The list no longer names the runner. It stays disabled, and can be disabled again and enabled.
 	require.NoError(t, d.Disable("s-1", false))
 	assert.True(t, d.Has("s-1"))
 	enabled, err := d.Enable("s-1", false, time.Second)
@@ -44,18 +47,20 @@
 	enabled, err := d.Enable("s-1", true, time.Second)
 	require.NoError(t, err)
 	assert.False(t, enabled)
-	assert.Equal(t, 3*time.Second, d.Started("s-1", 3*time.Second), "it was never disabled, so it does not warm up")
+	assert.Equal(t, 3*time.Second, d.Started("s-1", 3*time.Second), "a runner that was never disabled does not warm up")
 }
 
+// An enabled runner counts as started at Enable, unless its listed start is later.
 func TestEnabledRunnerCountsAsStartedNow(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
 	_, err := d.Enable("s-1", true, 100*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, 100*time.Second, d.Started("s-1", 0), "a start from discovery before Enable does not count")
-	assert.Equal(t, 120*time.Second, d.Started("s-1", 120*time.Second), "a later one does")
+	assert.Equal(t, 100*time.Second, d.Started("s-1", 0), "a start in discovery's list before Enable does not count")
+	assert.Equal(t, 120*time.Second, d.Started("s-1", 120*time.Second), "a start after Enable counts")
 }
 
+// The next process of a dispatcher starts with the runners that this one has disabled.
 func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-2", true))
@@ -65,5 +70,5 @@
 	assert.True(t, next.Has("s-1"))
 	enabled, err := next.Enable("s-1", false, time.Second)
 	require.NoError(t, err)
-	assert.True(t, enabled, "the next process enables a runner that it took over as disabled, even before its list names the runner")
+	assert.True(t, enabled, "the next process can enable the runner even before its own list names it")
 }
--- a/internal/dispatcher/routetable/clock.go
+++ b/internal/dispatcher/routetable/clock.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// By the platform's rules a dispatcher counts as notified of a change that its watch missed, because the network
-// carried nothing, noticeAfterSilence after the last response, or noticeAfterHold after the end of the hold of the
-// call in progress, whichever is later. They apply to lists that are pushed and that are requested.
+// The platform's rules say when a dispatcher counts as notified of a change although no call brought it, as in a network
+// partition: noticeAfterSilence after the last response, or noticeAfterHold after the end of the hold of the call in
+// progress, whichever is later. The rules apply both where lists are pushed and where they are requested.
 const (
 	noticeAfterSilence = 6 * time.Second
 	noticeAfterHold    = 2 * time.Second
 )
 
 const (
-	// callSlack is how much longer than its hold a call to discovery may take. Discovery serves its callers one after
-	// another, so a call may be queued; and without a bound a call through a partitioned network never ends.
+	// callSlack is how much longer than its hold a call to discovery may take. Some time is needed, as discovery serves its
+	// callers one after another and a call may be queued. A bound is needed, as a call in a partitioned network would
+	// never end.
 	callSlack = 1500 * time.Millisecond
-	// maxHold is the longest hold of a watch. With it, a call without a response is cancelled a second before the
-	// dispatcher counts as notified of what it missed. That leaves time for the next call's response, and for one
-	// more call if that one fails.
+	// maxHold is the longest hold of a call, 3.5 s. A call without a response is cancelled after its hold and callSlack,
+	// and so at least a second before the dispatcher counts as notified of the changes that it missed. The second is for
+	// the response to the next call, and for one more call if that one fails.
 	maxHold = noticeAfterSilence - callSlack - time.Second
 )
 
-// watchClock holds the times of the watch that those rules count from. It is of the goroutine of Watcher.Run.
+// watchClock holds the times from which those rules count. Only the goroutine of Watcher.Run uses it.
 type watchClock struct {
-	lastResponse time.Time     // the last complete response, or the first call
-	callStarted  time.Time     // of the call in progress; zero: none
-	hold         time.Duration // of that call
+	lastResponse time.Time     // when the last list was received; before that, when the first call started
+	callStarted  time.Time     // when the call in progress started; zero: there is none
+	hold         time.Duration // the hold of that call
 }
 
-// startCall notes the start of a call that discovery may hold for so long, and returns when the call is to be
+// startCall records the start of a call that discovery may hold for the given time, and returns when the call is to be
 // cancelled.
 func (c *watchClock) startCall(now time.Time, hold time.Duration) (until time.Time) {
 	c.callStarted, c.hold = now, hold
@@ -37,11 +38,11 @@
 	return now.Add(hold + callSlack)
 }
 
-// responded notes that a list was received.
+// responded records that a list was received.
 func (c *watchClock) responded(now time.Time) { c.lastResponse, c.callStarted = now, time.Time{} }
 
-// noticedAt returns when the dispatcher counts as notified of a change that discovery made right after its last
-// response, though no call brought it.
+// noticedAt returns when the dispatcher counts as notified of a change that discovery made right after its last response,
+// if no call brings the change.
 func (c *watchClock) noticedAt() time.Time {
 	at := c.lastResponse.Add(noticeAfterSilence)
 	if afterHold := c.callStarted.Add(c.hold + noticeAfterHold); !c.callStarted.IsZero() && c.hold > 0 && afterHold.After(at) {
--- a/internal/dispatcher/routetable/clock_test.go
+++ b/internal/dispatcher/routetable/clock_test.go
@@ -17,21 +17,22 @@
 	"ospreypond/policy"
 )
 
-// When the dispatcher counts as notified of a missed change: by the last response, the call in progress and its hold.
+// The time at which the dispatcher counts as notified of a missed change follows from the last response, the start of the
+// call in progress and its hold.
 func TestWhenChangesCountAsNoticed(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	for name, tt := range map[string]struct {
-		response, call, hold float64 // call under 0: none in progress
-		noticed              float64
+		response, call, hold float64 // seconds: of the last response, of the call's start (below 0: no call), of the hold
+		noticed              float64 // seconds
 	}{
-		"no call in progress":                 {1, -1, 0, 7},
-		"a call that is not held":             {1, 1, 0, 7},
-		"a short hold":                        {1, 1, 2, 7},
-		"the longest hold in use":             {1, 1, 3.5, 7},
-		"a hold as long as the term":          {1, 1, 4, 7},
-		"a longer hold: 2 s after its end":    {1, 1, 20, 23},
-		"a call some time after the response": {1, 4, 3.5, 9.5},
-		"a late call that is not held":        {1, 5, 0, 7},
+		"without a call in progress":                          {1, -1, 0, 7},
+		"with a call that is not held":                        {1, 1, 0, 7},
+		"with a short hold":                                   {1, 1, 2, 7},
+		"with the longest hold in use":                        {1, 1, 3.5, 7},
+		"with a hold for which both rules give the same time": {1, 1, 4, 7},
+		"with a longer hold, 2 s after its end":               {1, 1, 20, 23},
+		"with a call some time after the response":            {1, 4, 3.5, 9.5},
+		"with a late call that is not held":                   {1, 5, 0, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var c watchClock
@@ -44,11 +45,11 @@
 	}
 	var c watchClock
 	c.startCall(at(3), 0)
-	assert.Equal(t, at(9), c.noticedAt(), "before the first response it counts from the first call")
+	assert.Equal(t, at(9), c.noticedAt(), "before the first response the time counts from the first call")
 }
 
-// However a watch hangs, its call is cancelled at least a second before the dispatcher counts as notified of what it
-// missed.
+// A call without a response is cancelled at least a second before the dispatcher counts as notified of the changes that it
+// missed, whatever the holds and responses before.
 func TestHungCallsEndInTimeForAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c watchClock
@@ -57,7 +58,7 @@
 			hold := min(maxHold, time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "hold")))
 			until := c.startCall(now, hold)
 			if spare := c.noticedAt().Sub(until); spare < time.Second {
-				t.Fatalf("a call held for %v leaves %v", hold, spare)
+				t.Fatalf("a call with a hold of %v is cancelled only %v before", hold, spare)
 			}
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(hold)).Draw(t, "responds after")))
 			c.responded(now)
@@ -65,14 +66,15 @@
 	})
 }
 
+// discardLogger returns a logger without output.
 func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// Guards against changes that are applied to a list they do not belong to: if discovery's version goes back, as after
-// a restart, the full list is requested at once.
+// If discovery's version goes back, as after its restart, the full list is requested at once. The changes in the response
+// refer to another list than the table's, and are not applied.
 func TestVersionThatWentBackFetchesTheFullList(t *testing.T) {
 	calls := make(chan string, 16)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -96,7 +98,7 @@
 	go w.Run(ctx)
 	w.Subscribe()
 	assert.Equal(t, "from=90&hold_ms=0", <-calls)
-	assert.Empty(t, <-calls, "the full list")
+	assert.Empty(t, <-calls, "the full list is requested")
 	e := <-events
 	assert.Equal(t, policy.ListReplaced, e.Kind)
 	assert.Equal(t, "b", e.Members[0].Worker)
@@ -107,8 +109,8 @@
 	assert.Equal(t, fmt.Sprintf("from=3&hold_ms=%d", maxHold.Milliseconds()), <-calls)
 }
 
-// Where lists are pushed the dispatcher counts as notified as soon as discovery is back: during an outage a watch is
-// retried often enough that one is open within the time in which a drain must be heeded.
+// Where lists are pushed, the dispatcher counts as notified of a drain as soon as discovery is reachable again. So during an
+// outage the watch is retried at intervals shorter than the time in which the dispatcher must follow a drain.
 func TestPushedListIsRetriedWithinTheDrainGrace(t *testing.T) {
 	const grace = 300 * time.Millisecond
 	calls := make(chan time.Time, 1000)
@@ -118,26 +120,26 @@
 	}))
 	defer srv.Close()
 	w := NewWatcher(New(), srv.Listener.Addr().String(), time.Second, grace, func(policy.Event) {}, discardLogger())
-	assert.Equal(t, grace/3, w.pacing.Load().maxBackoff)
+	assert.Equal(t, grace/3, w.timing.Load().maxBackoff)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go w.Run(ctx)
 	w.KeepOpen(true)
 	last := <-calls
-	for range 20 { // an outage of about 2 s, after which the waits would have grown to over a second
+	for range 20 { // about 2 s, in which the intervals would grow to about a second without the limit
 		at := <-calls
 		require.Less(t, at.Sub(last), grace)
 		last = at
 	}
 	select {
 	case <-w.FirstList():
-		t.Fatal("no list was sent")
+		t.Fatal("FirstList is closed although no list was sent")
 	default:
 	}
 }
 
-// Guards against a drain that is delayed because the module is busy with earlier events: the next call starts, and
-// its response is in the table, while they wait. All of them are passed on in the end, in order.
+// While the receiver of events is busy, the next call is made and its response is applied to the table, so that a drain is
+// not delayed. The queued events are passed on later, in order.
 func TestBusyModuleDelaysNoDrain(t *testing.T) {
 	const timeout = 20 * time.Second
 	responses := make(chan string, 2)
@@ -164,7 +166,7 @@
 	}, timeout, time.Millisecond)
 	select {
 	case <-w.FirstList():
-		t.Fatal("the first list was passed to nobody yet")
+		t.Fatal("FirstList is closed before the first list was passed on")
 	default:
 	}
 	close(busy)
--- a/internal/dispatcher/routetable/disabled_test.go
+++ b/internal/dispatcher/routetable/disabled_test.go
@@ -11,8 +11,8 @@
 	"ospreypond/policy"
 )
 
-// A disabled runner is closed to egress and drains for the module whatever the list says, until it is enabled. Then
-// the module sees it as started at that time, so that it warms up.
+// Until it is enabled, a disabled runner is not open for egress, and the decision module sees it as draining, whatever
+// discovery lists. When it is enabled the module sees it as started at that time, so that it warms up.
 func TestDisabledRunnerDrainsWhateverTheListSays(t *testing.T) {
 	table := New()
 	a := Host{Host: "a", Dial: "1.2.3.4:5", Class: "m", Health: "SERVING", BornMs: 7}
@@ -22,15 +22,15 @@
 	require.NoError(t, err)
 	require.Len(t, members, 1)
 	assert.Equal(t, policy.Draining, members[0].State)
-	assert.False(t, table.Open("a"), "it gets nothing new")
+	assert.False(t, table.Open("a"), "it gets no new requests")
 	_, ok := table.Lookup("a")
-	assert.True(t, ok, "its attempts still end")
+	assert.True(t, ok, "its attempts in flight still end")
 
-	got := table.Apply(&List{Seq: 2, Full: true, Hosts: []Host{a}}) // discovery says it serves
+	got := table.Apply(&List{Seq: 2, Full: true, Hosts: []Host{a}}) // discovery lists it as serving
 	assert.Equal(t, policy.Draining, got[0].State)
 	assert.False(t, table.Open("a"))
 	_, err = table.Disable("a")
-	require.NoError(t, err, "a second Disable")
+	require.NoError(t, err, "a second Disable is allowed")
 
 	back := time.Unix(1000, 0)
 	members, err = table.Enable("a", back)
@@ -40,13 +40,13 @@
 	assert.Equal(t, time.Duration(back.UnixNano()), members[0].Started, "it warms up")
 	assert.True(t, table.Open("a"))
 	got = table.Apply(&List{Seq: 3, Hosts: []Host{a}})
-	assert.Equal(t, time.Duration(back.UnixNano()), got[0].Started, "an older start from discovery does not change that")
+	assert.Equal(t, time.Duration(back.UnixNano()), got[0].Started, "an earlier start in discovery's list does not change that")
 
 	_, err = table.Disable("nobody")
 	assert.ErrorIs(t, err, maintenance.ErrUnknownRunner)
 }
 
-// A process starts with the disabled runners of its predecessor, before its list names the runner.
+// A process starts with the runners that its predecessor had disabled, even before its own list names them.
 func TestDisabledRunnersPassToTheNextProcess(t *testing.T) {
 	table := New("a")
 	assert.Equal(t, []string{"a"}, table.Disabled())
--- a/internal/dispatcher/routetable/notifier.go
+++ b/internal/dispatcher/routetable/notifier.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// notifier passes on what the watcher learned, in order, on a goroutine of its own. Guards against a busy receiver
-// that delays the watch: a change is in the table before it is passed on, and the next call must start meanwhile.
+// notifier calls functions in order on its own goroutine. The watcher uses it to pass on changes, so that a busy receiver
+// doesn't delay the next call to discovery or the changes to the table.
 type notifier struct {
 	mu    sync.Mutex
-	queue []func()
-	wake  chan struct{}
+	queue []func()      // without a bound
+	wake  chan struct{} // has an element if functions may be queued
 }
 
 func newNotifier() *notifier { return &notifier{wake: make(chan struct{}, 1)} }
 
-// enqueue has run call f after all functions that were enqueued before. It does not block.
+// enqueue queues f, which run calls after all functions that were queued before. It does not block.
 func (n *notifier) enqueue(f func()) {
 	n.mu.Lock()
 	n.queue = append(n.queue, f)
@@ -26,7 +26,7 @@
 	}
 }
 
-// run calls the enqueued functions until ctx ends.
+// run calls the queued functions until ctx ends.
 func (n *notifier) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/dispatcher/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -16,6 +16,7 @@
 	"ospreypond/policy"
 )
 
+// Changes update the table's entries, and a full list replaces them.
 func TestTableFollowsTheList(t *testing.T) {
 	table := New()
 	a := Host{Host: "a", Dial: "1.2.3.4:5", Site: "z", Class: "m", Block: 2, Health: "SERVING", BornMs: 7}
@@ -28,16 +29,17 @@
 	table.Apply(&List{Seq: 4, Hosts: []Host{a, {Host: "b", Health: "DELETED"}}})
 	assert.False(t, table.Open("a"))
 	_, ok := table.Lookup("a")
-	assert.True(t, ok, "a draining runner still ends its attempts")
+	assert.True(t, ok, "a draining runner stays in the table until its attempts have ended")
 	_, ok = table.Lookup("b")
 	assert.False(t, ok)
 	assert.Equal(t, int64(4), table.Seq())
 
 	table.Apply(&List{Seq: 5, Full: true, Hosts: []Host{b}})
 	_, ok = table.Lookup("a")
-	assert.False(t, ok, "a full list removes what it does not name")
+	assert.False(t, ok, "a full list removes the runners that it does not name")
 }
 
+// The error for an invalid entry names its place in the list and its field.
 func TestCheckNamesTheEntry(t *testing.T) {
 	for want, h := range map[string]Host{
 		"hosts[0].host":   {Dial: "x:1", Health: "SERVING"},
@@ -49,8 +51,8 @@
 	assert.NoError(t, (&List{Hosts: []Host{{Host: "a", Health: "DELETED"}}}).Check())
 }
 
-// A subscription gets a response at once, even if nothing changed: its first call is not held. A failed call is
-// passed on as such, and there is no further call until the next subscription.
+// The first call after a subscription is not held, so the subscription gets a response at once even if nothing changed. After
+// a failed call ListUnavailable is passed on, and no call is made until the next subscription.
 func TestWatch(t *testing.T) {
 	calls := make(chan string, 16)
 	fail := make(chan bool, 16)
@@ -83,11 +85,11 @@
 	w.Subscribe()
 	assert.Equal(t, "from=0&hold_ms=0", <-calls)
 	assert.Equal(t, policy.ListChanged, (<-events).Kind)
-	assert.Equal(t, "from=9&hold_ms=3000", <-calls, "the next call goes out at once and is held")
+	assert.Equal(t, "from=9&hold_ms=3000", <-calls, "the next call is made at once and is held")
 }
 
-// Where lists are pushed nobody subscribes: the watch is open from the start, and is reopened after it hung or
-// failed, until KeepOpen(false).
+// Where lists are pushed, the module doesn't subscribe. With KeepOpen(true) the watch is opened without a subscription, and
+// reopened after a call hung or failed, until KeepOpen(false).
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	calls := make(chan int, 64)
 	n := 0
@@ -96,7 +98,7 @@
 		calls <- n
 		switch n {
 		case 1, 5:
-			_, _ = io.WriteString(w, "{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n  ]\n}\n") // lists may be indented
+			_, _ = io.WriteString(w, "{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n  ]\n}\n") // a list may be indented
 		case 2: // hangs
 			<-r.Context().Done()
 		default:
@@ -114,22 +116,22 @@
 	w.KeepOpen(true)
 	assert.Equal(t, policy.ListChanged, (<-events).Kind, "without a subscription")
 	for range 3 {
-		assert.Equal(t, policy.ListUnavailable, (<-events).Kind, "hung, and then refused")
+		assert.Equal(t, policy.ListUnavailable, (<-events).Kind, "a call that hung, and then two that were refused")
 	}
-	assert.Equal(t, policy.ListChanged, (<-events).Kind, "and reopened")
+	assert.Equal(t, policy.ListChanged, (<-events).Kind, "the watch was reopened")
 	w.KeepOpen(false)
 	for len(calls) > 0 {
 		<-calls
 	}
 	time.Sleep(2 * minRetryInterval)
-	for len(calls) > 0 { // one that was scheduled before
+	for len(calls) > 0 { // a retry that was scheduled before KeepOpen(false)
 		<-calls
 	}
 	time.Sleep(3 * maxRetryInterval / 2)
 	assert.Empty(t, calls)
 }
 
-// Guards against a partitioned network: a call without a response ends by itself.
+// A call that gets no response, as in a partitioned network, is cancelled after its hold and callSlack.
 func TestHungCallEnds(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer srv.Close()
@@ -140,9 +142,9 @@
 	assert.GreaterOrEqual(t, time.Since(before), callSlack)
 }
 
-// Guards against a watch that is held at discovery's old address while the new one has changes: Move cancels it, and
-// the new service is called for its full list, as its versions are its own.
-func TestMoveCancelsAHungWatch(t *testing.T) {
+// SetAddress cancels a call that the old address holds, and requests the full list from the new one, as the versions of the
+// two services are unrelated.
+func TestSetAddressCancelsAHungWatch(t *testing.T) {
 	serve := func(seq int, host string, calls chan<- string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if holdMs := r.URL.Query().Get("hold_ms"); holdMs != "" && holdMs != "0" {
@@ -169,22 +171,21 @@
 	assert.Equal(t, "90", <-calls)
 	assert.Equal(t, policy.ListChanged, (<-events).Kind)
 
-	w.Move(next)
+	w.SetAddress(next)
 	assert.Equal(t, "3", <-nextCalls)
 	e := <-events
-	assert.Equal(t, policy.ListReplaced, e.Kind, "and no failure in between")
+	assert.Equal(t, policy.ListReplaced, e.Kind, "the cancelled call is not passed on as a failure")
 	assert.Equal(t, "new", e.Members[0].Worker)
 	_, ok := w.table.Lookup("old")
 	assert.False(t, ok)
 
-	w.Move(next) // the same address: the watch goes on
+	w.SetAddress(next) // the same address: the watch continues
 	assert.Empty(t, nextCalls)
 	assert.Empty(t, events)
 }
 
-// Guards against a move that waits for the module: after a failed call the new address is called without a
-// subscription.
-func TestMoveAfterAFailure(t *testing.T) {
+// After a failed call, SetAddress makes the Watcher call the new address without waiting for a subscription.
+func TestSetAddressAfterAFailure(t *testing.T) {
 	failed := make(chan policy.Event, 16)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -197,6 +198,6 @@
 	called := make(chan bool, 16)
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { called <- true }))
 	defer srv.Close()
-	w.Move(srv.Listener.Addr().String())
+	w.SetAddress(srv.Listener.Addr().String())
 	<-called
 }
--- a/internal/dispatcher/routetable/table.go
+++ b/internal/dispatcher/routetable/table.go
@@ -1,8 +1,9 @@
-// Package routetable follows discovery. Its Table holds, for each runner, where to dial it and whether it may get new
-// requests; its Watcher keeps the table up to date and translates the list into the decision module's events.
+// Package routetable keeps the list of runners that the discovery service provides. Table holds the address of each runner
+// and whether it may get new requests. Watcher keeps the table up to date and translates the lists into events of the
+// decision module.
 //
-// A change is in the table before the module is notified of it: egress, which checks Table.Open before the first byte
-// of an attempt, follows a drain even while the module is busy.
+// A change is in the table before the module is notified of it. Egress checks Table.Open before the first byte of an
+// attempt, so a drain takes effect even while the module is busy.
 package routetable
 
 import (
@@ -14,21 +15,21 @@
 	"ospreypond/policy"
 )
 
-// Host is one runner in discovery's list. The tags are discovery's format.
+// Host is one runner in discovery's list. The JSON keys are discovery's format.
 type Host struct {
-	Host   string `json:"host"` // its name, which all dispatchers share
-	Dial   string `json:"dial"` // the address by which this dispatcher reaches it
-	Site   string `json:"site"`
-	Class  string `json:"class"` // its machine kind
-	Block  int    `json:"block"`
-	Health string `json:"health"`
-	BornMs int64  `json:"born_ms"` // its last start as Unix time; 0: long ago
+	Host   string `json:"host"`    // the runner's name, the same at all dispatchers
+	Dial   string `json:"dial"`    // the address, host:port, by which this dispatcher reaches the runner
+	Site   string `json:"site"`    // its zone
+	Class  string `json:"class"`   // the kind of its machine
+	Block  int    `json:"block"`   // its cell
+	Health string `json:"health"`  // SERVING, DRAINING or DELETED
+	BornMs int64  `json:"born_ms"` // its last start, Unix time in milliseconds; 0: long ago
 }
 
-// List is discovery's response: the full list, or the changes since a version. The tags are discovery's format.
+// List is discovery's response: the full list, or the changes since a version. The JSON keys are discovery's format.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Full  bool   `json:"whole"`
+	Seq   int64  `json:"seq"`   // the version of the list
+	Full  bool   `json:"whole"` // Hosts is the full list; otherwise it has the changed runners only
 	Hosts []Host `json:"hosts"`
 }
 
@@ -49,6 +50,7 @@
 	return nil
 }
 
+// state returns the runner's state for its health.
 func (h *Host) state() (policy.State, error) {
 	switch h.Health {
 	case "SERVING":
@@ -58,22 +60,22 @@
 	case "DELETED":
 		return policy.Removed, nil
 	}
-	return policy.Removed, fmt.Errorf("unknown value %q", h.Health)
+	return policy.Removed, fmt.Errorf("unknown value %q; SERVING, DRAINING or DELETED is allowed", h.Health)
 }
 
-// Route is the table's entry of one runner.
+// Route is the table's entry for one runner.
 type Route struct {
-	Dial  string
-	Site  string
+	Dial  string // the address, host:port
+	Site  string // the zone
 	State policy.State
 }
 
 // Table is the route table. It is safe for concurrent use.
 type Table struct {
 	mu       sync.RWMutex
-	seq      int64
-	routes   map[string]Route
-	members  map[string]policy.Member // as listed, whether disabled or not
+	seq      int64                    // the version of the last list
+	routes   map[string]Route         // by the runner's name
+	members  map[string]policy.Member // by the runner's name, as discovery lists it even if it is disabled
 	disabled *maintenance.Disabled
 }
 
@@ -82,14 +84,14 @@
 	return &Table{routes: map[string]Route{}, members: map[string]policy.Member{}, disabled: maintenance.New(disabled)}
 }
 
-// Seq returns the version of the list in the table; 0: none yet.
+// Seq returns the version of the list in the table; 0: no list was applied yet.
 func (t *Table) Seq() int64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.seq
 }
 
-// Lookup returns the route to a runner; ok is false for one that is not listed.
+// Lookup returns the route to a runner. ok is false if the runner is not listed.
 func (t *Table) Lookup(host string) (r Route, ok bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -97,7 +99,7 @@
 	return r, ok
 }
 
-// Open reports whether a runner may get new requests.
+// Open reports whether a runner may get new requests: discovery lists it as serving, and it is not disabled.
 func (t *Table) Open(host string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -105,8 +107,8 @@
 	return ok && r.State == policy.Ready && !t.disabled.Has(host)
 }
 
-// Disable takes a runner out until Enable, whatever the list says. It returns the members for the module's event: the
-// runner as draining, or none for one that is not listed.
+// Disable keeps a runner from getting new requests until Enable, whatever discovery lists. It returns the members for an
+// event of the decision module: the runner as draining, or none if it is not listed.
 func (t *Table) Disable(host string) ([]policy.Member, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +122,8 @@
 	return []policy.Member{t.effective(m)}, nil
 }
 
-// Enable lets a runner serve again. It returns the members for the module's event: the runner as started now, so that
-// it warms up, or none if it was not disabled or is not listed.
+// Enable lets a runner get new requests again. It returns the members for an event of the decision module: the runner as
+// started now, so that it warms up, or none if it was not disabled or is not listed.
 func (t *Table) Enable(host string, now time.Time) ([]policy.Member, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,15 +135,15 @@
 	return []policy.Member{t.effective(m)}, nil
 }
 
-// Disabled returns the names of the disabled runners, which a process hands over to its successor.
+// Disabled returns the names of the disabled runners. The next process of this dispatcher is started with them.
 func (t *Table) Disabled() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.disabled.Names()
 }
 
-// effective returns a member as the module is to see it: draining while it is disabled, and started no sooner than it
-// was enabled. t.mu is held.
+// effective returns a member as the decision module is to see it: as draining while it is disabled, and as started when it
+// was enabled if that is later than its start. The caller holds t.mu.
 func (t *Table) effective(m policy.Member) policy.Member {
 	if t.disabled.Has(m.Worker) && m.State == policy.Ready {
 		m.State = policy.Draining
@@ -150,8 +152,8 @@
 	return m
 }
 
-// Apply updates the table from a list and returns the members for the module's event. It skips invalid entries, which
-// Check reports.
+// Apply updates the table from a list and returns the members for an event of the decision module. It skips entries with an
+// empty name or an unknown health, which Check reports.
 func (t *Table) Apply(l *List) []policy.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/dispatcher/routetable/watch.go
+++ b/internal/dispatcher/routetable/watch.go
@@ -19,60 +19,63 @@
 	"ospreypond/policy"
 )
 
-// A watch that the Watcher keeps open is retried after these intervals, which grow while calls fail.
+// The intervals between retries of a watch that the Watcher keeps open. They double with each failed call.
 const (
 	minRetryInterval = 50 * time.Millisecond
 	maxRetryInterval = time.Second
-	// minStableWatch is how long a watch was open for the next retry to start from minRetryInterval again.
+	// minStableWatch is how long a watch must have been open before its failure for the next retry to come after
+	// minRetryInterval again.
 	minStableWatch = time.Second
 )
 
-// maxList bounds a response, in bytes.
+// maxList bounds the body of discovery's response, in bytes.
 const maxList = 4 << 20
 
-// errMoved ends the watch at an address that is not in force any more.
-var errMoved = errors.New("discovery has another address")
+// errMoved ends the watch at an address that SetAddress has replaced.
+var errMoved = errors.New("the address of discovery was changed")
 
-// Watcher keeps a Table up to date by watching discovery: a call is held until there is a change, and the next one
-// follows at once. Run does the work; all other methods may be called from any goroutine but Move.
+// Watcher keeps a Table up to date by watching discovery with long polls: discovery holds each call until there is a change
+// or the hold ends, and the next call follows at once. Run makes the calls. The other methods may be called from any
+// goroutine, except that SetAddress must not be called concurrently with itself.
 type Watcher struct {
 	table      *Table
 	endpoint   atomic.Pointer[endpoint]
-	pacing     atomic.Pointer[callPacing]
+	timing     atomic.Pointer[callTiming]
 	client     *http.Client
 	notify     func(policy.Event)
-	notifier   *notifier // calls notify
-	subscribed chan struct{}
-	keepOpen   atomic.Bool
+	notifier   *notifier     // calls notify
+	subscribed chan struct{} // has an element if Subscribe was called and Run has not started the watch yet
+	keepOpen   atomic.Bool   // set by KeepOpen
 	clock      watchClock
-	firstList  chan struct{} // closed by the notifier after the first list
+	firstList  chan struct{} // closed after the first list was passed to notify
 	log        logrus.FieldLogger
 
 	firstListOnce sync.Once
 }
 
-// callPacing is the timing of calls by the settings in force.
-type callPacing struct {
+// callTiming is the timing of calls by the current settings.
+type callTiming struct {
 	hold       time.Duration // how long discovery may hold a call
 	maxBackoff time.Duration // the longest interval between retries of a watch that is kept open
 }
 
-// endpoint is an address of discovery while it is in force.
+// endpoint is an address of discovery, with the call in progress to it.
 type endpoint struct {
-	addr      string
-	fetchFull bool // the next call requests the full list: versions of another service have no meaning
+	addr      string // host:port
+	fetchFull bool   // the next call requests the full list, as the table's version is from another list
 
 	mu       sync.Mutex
-	replaced bool               // another address is in force
-	cancel   context.CancelFunc // of the call in progress; nil: none
+	replaced bool               // another address is in use
+	cancel   context.CancelFunc // cancels the call in progress; nil: none
 }
 
 func newEndpoint(addr string, fetchFull bool) *endpoint {
 	return &endpoint{addr: addr, fetchFull: fetchFull}
 }
 
-// startCall has replace call cancel, at once if it was called before; nil: the call has ended.
-func (p *endpoint) startCall(cancel context.CancelFunc) {
+// setCancel sets the function by which replace cancels the call in progress; nil: the call has ended. If replace was called
+// before, setCancel cancels the call at once.
+func (p *endpoint) setCancel(cancel context.CancelFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cancel = cancel
@@ -81,7 +84,7 @@
 	}
 }
 
-// replace ends the call in progress, as another address takes over.
+// replace cancels the call in progress and all later ones, as another address is used from now on.
 func (p *endpoint) replace() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,14 +94,15 @@
 	}
 }
 
+// isReplaced reports whether replace was called.
 func (p *endpoint) isReplaced() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.replaced
 }
 
-// NewWatcher returns a Watcher on the discovery service at addr, timed by hold and grace, see SetTimes. What it learns
-// is applied to t first and then passed to notify, in order and from one goroutine; notify may block.
+// NewWatcher returns a Watcher on the discovery service at addr. For hold and grace see SetTimes. Each change is applied to
+// t and then passed to notify, in order and from one goroutine. notify may block without delaying the changes to t.
 func NewWatcher(t *Table, addr string, hold, grace time.Duration, notify func(policy.Event), log logrus.FieldLogger) *Watcher {
 	tr := &http.Transport{Proxy: nil, DisableCompression: true, MaxIdleConnsPerHost: 1}
 	w := &Watcher{table: t, firstList: make(chan struct{}), notify: notify, notifier: newNotifier(), client: &http.Client{Transport: tr},
@@ -108,13 +112,13 @@
 	return w
 }
 
-// Move goes on at another address at once, and cancels the call at the old one. It must not be called concurrently
-// with itself.
-func (w *Watcher) Move(addr string) {
+// SetAddress cancels the call at the old address, if addr is another one, and calls addr at once. It must not be called
+// concurrently with itself.
+func (w *Watcher) SetAddress(addr string) {
 	if old := w.endpoint.Load(); old.addr != addr {
 		w.endpoint.Store(newEndpoint(addr, true))
 		old.replace()
-		w.Subscribe() // after a failed call Run waits for it
+		w.Subscribe() // Run waits for a subscription after a failed call
 	}
 }
 
@@ -126,30 +130,37 @@
 	}
 }
 
-// SetTimes sets the hold of calls from the next one on, at most maxHold, and the interval of retries of a watch that is
-// kept open, at most a third of grace: where lists are pushed, the dispatcher counts as notified at once, even right
-// after an outage, and grace is how long it may take to heed a drain; 0: not limited.
+// SetTimes sets two times, from the next call on:
+//   - the time that discovery may hold a call, which is hold, but at most maxHold;
+//   - the longest interval between retries of a watch that is kept open, which is a third of grace if that is shorter than
+//     maxRetryInterval.
+//
+// grace is how long after a notice that a runner drains the dispatcher may still send it requests; 0: there is no such
+// limit. Where lists are pushed, the dispatcher counts as notified as soon as discovery is reachable again after an
+// outage, so it must retry well within grace.
 func (w *Watcher) SetTimes(hold, grace time.Duration) {
-	p := &callPacing{hold: min(hold, maxHold), maxBackoff: maxRetryInterval}
+	p := &callTiming{hold: min(hold, maxHold), maxBackoff: maxRetryInterval}
 	if grace > 0 {
 		p.maxBackoff = min(maxRetryInterval, max(minRetryInterval, grace/3))
 	}
-	w.pacing.Store(p)
+	w.timing.Store(p)
 }
 
-// FirstList returns a channel that is closed once a list was received and passed on.
+// FirstList returns a channel that is closed after the first list was received and passed to notify.
 func (w *Watcher) FirstList() <-chan struct{} { return w.firstList }
 
-// KeepOpen sets whether the Watcher keeps a watch open by itself. It must where lists are pushed, as the dispatcher
-// counts as notified of changes whether it watches or not. Otherwise the module starts each watch, by Subscribe.
+// KeepOpen sets whether the Watcher opens a watch, and reopens it after failures, without Subscribe. This is needed where
+// lists are pushed, as the dispatcher then counts as notified of changes whether it watches or not. Otherwise the decision
+// module starts each watch by Subscribe.
 func (w *Watcher) KeepOpen(on bool) {
 	if w.keepOpen.Swap(on) != on && on {
 		w.Subscribe()
 	}
 }
 
-// Run watches until ctx ends. It waits for Subscribe; after a failed call it notifies the module, which decides when
-// to subscribe again, or retries by itself as set by KeepOpen. It returns after its goroutines have.
+// Run watches until ctx ends. It starts a watch after Subscribe. When a call fails it passes on ListUnavailable, and waits
+// for the next Subscribe, which it calls itself after an interval if KeepOpen(true) was called. It returns after its
+// goroutines have returned.
 func (w *Watcher) Run(ctx context.Context) {
 	retry := backoff.ExponentialBackOff{InitialInterval: minRetryInterval, Multiplier: 2,
 		RandomizationFactor: backoff.DefaultRandomizationFactor}
@@ -178,27 +189,27 @@
 			if time.Since(opened) > minStableWatch {
 				retry.Reset()
 			}
-			retry.MaxInterval = w.pacing.Load().maxBackoff
+			retry.MaxInterval = w.timing.Load().maxBackoff
 			time.AfterFunc(retry.NextBackOff(), w.Subscribe)
 		}
 	}
 }
 
-// watch calls discovery until a call fails or discovery moves.
+// watch calls discovery until a call fails, or until SetAddress replaces p; then it returns errMoved.
 func (w *Watcher) watch(ctx context.Context, p *endpoint) error {
-	// The first call is not held: the module waits for a response to its subscription, and would wait for the complete
-	// hold if nothing changed.
+	// The first call has no hold. The module waits for a response to its subscription, and with a hold it would wait until
+	// the hold's end if nothing changed.
 	var hold time.Duration
 	for subscribed := true; ; {
 		l, err := w.call(ctx, p, hold)
-		if p.isReplaced() { // whatever it returned is outdated
+		if p.isReplaced() { // also after a success: the list is of the old service
 			w.client.CloseIdleConnections()
 			return errMoved
 		}
 		if err != nil {
 			return err
 		}
-		// Guards against a discovery that has restarted, whose changes are to a list that is not in the table.
+		// A lower version means that discovery has restarted. Its changes then refer to a list that is not in the table.
 		if !l.Full && !p.fetchFull && l.Seq < w.table.Seq() {
 			w.log.WithFields(logrus.Fields{"seq": l.Seq, "had": w.table.Seq()}).
 				Warn("discovery's version went back; the full list is requested")
@@ -206,18 +217,19 @@
 			continue
 		}
 		p.fetchFull = false
-		select { // the list is also the response to a subscription made meanwhile
+		select { // the list is also the response to a subscription made during the call
 		case <-w.subscribed:
 			subscribed = true
 		default:
 		}
 		w.apply(l, subscribed)
 		subscribed = false
-		hold = w.pacing.Load().hold
+		hold = w.timing.Load().hold
 	}
 }
 
-// apply applies a list to the table and passes it on, also an empty one if it is the response to a subscription.
+// apply applies a list to the table and passes it on as an event. It passes on a list without changes only if the list is
+// the response to a subscription, or a full list.
 func (w *Watcher) apply(l *List, subscribed bool) {
 	if err := l.Check(); err != nil {
 		w.log.WithError(err).Error("discovery's list has a faulty entry, which is left out")
@@ -237,12 +249,12 @@
 	})
 }
 
-// call requests the changes since the table's version, or the full list.
+// call requests the changes since the table's version, or the full list without a hold if p.fetchFull is set.
 func (w *Watcher) call(ctx context.Context, p *endpoint, hold time.Duration) (*List, error) {
 	ctx, cancel := context.WithDeadline(ctx, w.clock.startCall(time.Now(), hold))
 	defer cancel()
-	p.startCall(cancel)
-	defer p.startCall(nil)
+	p.setCancel(cancel)
+	defer p.setCancel(nil)
 	target := "http://" + p.addr + "/registry/instances"
 	if !p.fetchFull {
 		target += "?" + url.Values{"from": {strconv.FormatInt(w.table.Seq(), 10)},
