--- a/internal/dispatcher/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -51,8 +51,8 @@
 	assert.NoError(t, (&List{Hosts: []Host{{Host: "a", Health: "DELETED"}}}).Check())
 }
 
-// The first call after a subscription is not held, so the subscription gets a response at once even if nothing changed. After
-// a failed call ListUnavailable is passed on, and no call is made until the next subscription.
+// The first call after a subscription is not held, so the subscription gets a response at once even if nothing changed.
+// After a failed call ListUnavailable is passed on, and no call is made until the next subscription.
 func TestWatch(t *testing.T) {
 	calls := make(chan string, 16)
 	fail := make(chan bool, 16)
--- a/internal/dispatcher/script/call.go
+++ b/internal/dispatcher/script/call.go
@@ -10,14 +10,15 @@
 	"go.starlark.net/starlark"
 )
 
-// call reads the arguments of a call of a built-in and collects everything that is wrong with them.
+// call reads the arguments of a call of a built-in function and collects the errors in them.
 type call struct {
-	name, position string
-	args           map[string]starlark.Value
-	known          []string
+	name, position string                    // of the function; file:line:column of the call
+	args           map[string]starlark.Value // by name
+	known          []string                  // the arguments that were read, whether present or not
 	errors         FileErrors
 }
 
+// newCall returns the call of a built-in. Arguments without a name are an error.
 func newCall(name, at string, args starlark.Tuple, kwargs []starlark.Tuple) *call {
 	c := &call{name: name, position: at, args: map[string]starlark.Value{}}
 	if len(args) > 0 {
@@ -29,6 +30,7 @@
 	return c
 }
 
+// addError adds an error in an argument; empty: in the call as a whole. fix is the remedy.
 func (c *call) addError(arg, problem, fix string) {
 	c.errors = append(c.errors, &FileError{Position: c.position, Call: c.name, Argument: arg, Problem: problem, Fix: fix})
 }
@@ -40,7 +42,7 @@
 	return v, ok
 }
 
-// rejectUnknown adds an error for each argument that was not read.
+// rejectUnknown adds an error for each argument that was not read. It must be called after all others were read.
 func (c *call) rejectUnknown() {
 	var unknown []string
 	for arg := range c.args {
@@ -54,6 +56,7 @@
 	}
 }
 
+// text returns a string argument, or an empty string if it is absent.
 func (c *call) text(arg string, required bool) string {
 	v, ok := c.arg(arg)
 	if !ok {
@@ -64,11 +67,12 @@
 	}
 	s, ok := starlark.AsString(v)
 	if !ok {
-		c.addError(arg, "is "+describe(v), "a string is due")
+		c.addError(arg, "is "+describe(v), "it must be a string")
 	}
 	return s
 }
 
+// boolean returns a bool argument, or false if it is absent.
 func (c *call) boolean(arg string) bool {
 	v, ok := c.arg(arg)
 	if !ok {
@@ -76,12 +80,12 @@
 	}
 	b, ok := v.(starlark.Bool)
 	if !ok {
-		c.addError(arg, "is "+describe(v), "True or False is due")
+		c.addError(arg, "is "+describe(v), "it must be True or False")
 	}
 	return bool(b)
 }
 
-// duration returns a duration, which must be between min and max, or byDefault.
+// duration returns a duration argument, which must be between min and max, or byDefault if it is absent.
 func (c *call) duration(arg string, byDefault, min, max time.Duration) time.Duration {
 	v, ok := c.arg(arg)
 	if !ok {
@@ -90,13 +94,14 @@
 	d, ok := v.(Duration)
 	switch {
 	case !ok:
-		c.addError(arg, "is "+describe(v), "a duration is due, such as 500 * ms")
+		c.addError(arg, "is "+describe(v), "it must be a duration, such as 500 * ms")
 	case time.Duration(d) < min || time.Duration(d) > max:
 		c.addError(arg, fmt.Sprintf("is %v", time.Duration(d)), fmt.Sprintf("%v to %v is allowed", min, max))
 	}
 	return time.Duration(d)
 }
 
+// addresses returns an argument that is a list of addresses without duplicates.
 func (c *call) addresses(arg string) (out []string) {
 	v, ok := c.arg(arg)
 	if !ok {
@@ -104,7 +109,7 @@
 	}
 	list, ok := v.(starlark.Iterable)
 	if !ok {
-		c.addError(arg, "is "+describe(v), "a list of \"ip:port\" is due")
+		c.addError(arg, "is "+describe(v), "it must be a list of strings \"ip:port\"")
 		return nil
 	}
 	it := list.Iterate()
@@ -113,23 +118,24 @@
 	for i := 0; it.Next(&e); i++ {
 		s, _ := starlark.AsString(e)
 		if c.address(fmt.Sprintf("%s[%d]", arg, i), s) && slices.Contains(out, s) {
-			c.addError(fmt.Sprintf("%s[%d]", arg, i), s+" stands there twice", "each dispatcher has an address of its own")
+			c.addError(fmt.Sprintf("%s[%d]", arg, i), s+" is listed twice", "each dispatcher must have its own address")
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// address reports whether s is an address, and adds an error if not.
+// address reports whether s is an ip:port that others can send to, and adds an error if not.
 func (c *call) address(arg, s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		c.addError(arg, fmt.Sprintf("%q is no address that others could send to", s), "write ip:port; names are not looked up")
+		c.addError(arg, fmt.Sprintf("%q is not an address that others can send to", s), "write ip:port; host names are not looked up")
 		return false
 	}
 	return true
 }
 
+// describe returns the type and the start of the text of a value, for errors.
 func describe(v starlark.Value) string {
 	text := v.String()
 	if len(text) > 40 {
@@ -138,20 +144,23 @@
 	return v.Type() + " " + text
 }
 
-// Defaults and bounds of fleet's arguments. The interval's bounds follow from the protocol, in which an answer must
-// arrive within a sixth of it; a lease must outlast the time that a proof takes through the fleet.
+// Defaults and bounds of the arguments of fleet(...).
 const (
-	defaultInterval       = 500 * time.Millisecond
-	minInterval           = 50 * time.Millisecond
-	maxInterval           = time.Minute
+	// The time between two probes. In the fleet's protocol a response must arrive within a sixth of it.
+	defaultInterval = 500 * time.Millisecond
+	minInterval     = 50 * time.Millisecond
+	maxInterval     = time.Minute
+	// The lease, the time that a proof of a dispatcher's death is valid, in intervals. It must be longer than the time in
+	// which a proof spreads through the fleet.
 	defaultLeaseIntervals = 15
 	minLeaseIntervals     = 6
-	minKeyBytes           = 16
-	maxNameBytes          = 64
-	maxRoster             = 1000
+
+	minKeyBytes  = 16
+	maxNameBytes = 64
+	maxRoster    = 1000 // addresses
 )
 
-// fleet reads the arguments of fleet(...).
+// fleet reads and checks the arguments of fleet(...).
 func (c *call) fleet() *Fleet {
 	f := &Fleet{Name: c.text("name", true), Key: c.text("key", true), Listen: c.text("listen", true), Advertise: c.text("advertise", false), Seeds: c.addresses("seeds"),
 		Refusals: c.boolean("refusals"), Roster: c.addresses("roster")}
@@ -159,10 +168,10 @@
 	f.Lease = c.duration("lease", defaultLeaseIntervals*f.Interval, minLeaseIntervals*f.Interval, time.Hour)
 	c.rejectUnknown()
 	if _, ok := c.args["name"]; ok && (f.Name == "" || len(f.Name) > maxNameBytes) {
-		c.addError("name", fmt.Sprintf("has %d bytes", len(f.Name)), fmt.Sprintf("1 to %d are allowed", maxNameBytes))
+		c.addError("name", fmt.Sprintf("has %d bytes", len(f.Name)), fmt.Sprintf("1 to %d bytes are allowed", maxNameBytes))
 	}
 	if _, ok := c.args["key"]; ok && len(f.Key) < minKeyBytes {
-		c.addError("key", fmt.Sprintf("has %d bytes", len(f.Key)), fmt.Sprintf("%d at least, the same at every dispatcher", minKeyBytes))
+		c.addError("key", fmt.Sprintf("has %d bytes", len(f.Key)), fmt.Sprintf("give at least %d bytes, the same at each dispatcher", minKeyBytes))
 	}
 	if _, ok := c.args["listen"]; ok {
 		c.address("listen", f.Listen)
@@ -174,13 +183,13 @@
 	}
 	switch {
 	case len(f.Seeds) == 0 && len(f.Roster) == 0:
-		c.addError("seeds", "is missing, and so is roster", "give the addresses of some dispatchers, or of all in roster")
+		c.addError("seeds", "is missing, and so is roster", "give the addresses of some dispatchers in seeds, or of all in roster")
 	case len(f.Roster) > maxRoster:
-		c.addError("roster", fmt.Sprintf("has %d addresses", len(f.Roster)), fmt.Sprintf("at most %d", maxRoster))
+		c.addError("roster", fmt.Sprintf("has %d addresses", len(f.Roster)), fmt.Sprintf("at most %d are allowed", maxRoster))
 	case len(f.Roster) > 0 && !slices.Contains(f.Roster, f.Advertise):
-		c.addError("roster", "does not have "+f.Advertise, "it has the address of each number, this dispatcher's too")
+		c.addError("roster", "does not have "+f.Advertise, "it must have the address of each dispatcher, in the order of their numbers, including this one's")
 	case f.Refusals && len(f.Roster) == 0:
-		c.addError("refusals", "is True without a roster", "a refusal proves nothing where it is not known whose address it is")
+		c.addError("refusals", "is True without a roster", "without a roster it is not known which dispatcher has an address, so a refusal proves nothing")
 	}
 	return f
 }
--- a/internal/dispatcher/script/duration.go
+++ b/internal/dispatcher/script/duration.go
@@ -9,8 +9,8 @@
 	"go.starlark.net/syntax"
 )
 
-// Duration is a time with its unit, as scripts write it: 500 * ms. A number is not a duration, and durations can't be
-// multiplied.
+// Duration is the type of durations in scripts, which write them as a number times a unit: 500 * ms. A number alone is not
+// a duration, and two durations can't be multiplied.
 type Duration time.Duration
 
 var (
@@ -18,22 +18,22 @@
 	_ starlark.Comparable = Duration(0)
 )
 
-// String returns the duration in Go's form.
+// String returns the duration in the form of time.Duration, such as 500ms.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Type returns the type's name in scripts.
+// Type returns the name of the type in scripts.
 func (d Duration) Type() string { return "duration" }
 
 // Freeze does nothing: a duration never changes.
 func (d Duration) Freeze() {}
 
-// Truth reports whether the duration isn't 0.
+// Truth reports whether the duration is not 0.
 func (d Duration) Truth() starlark.Bool { return d != 0 }
 
 // Hash returns a hash of the duration.
 func (d Duration) Hash() (uint32, error) { return uint32(d) ^ uint32(d>>32), nil }
 
-// CompareSameType orders durations.
+// CompareSameType reports whether the comparison d op y holds; y is a Duration.
 func (d Duration) CompareSameType(op syntax.Token, y starlark.Value, _ int) (bool, error) {
 	o := y.(Duration)
 	switch op {
@@ -52,7 +52,8 @@
 	}
 }
 
-// Binary multiplies by numbers, and adds and subtracts durations; it returns nil for other operations.
+// Binary implements multiplication by a number, and addition and subtraction of two durations. It returns nil for other
+// operations, which Starlark reports as errors.
 func (d Duration) Binary(op syntax.Token, y starlark.Value, _ starlark.Side) (starlark.Value, error) {
 	switch y := y.(type) {
 	case Duration:
@@ -71,10 +72,10 @@
 	return nil, nil
 }
 
-// checkedDuration returns a duration of so many nanoseconds, or an error if it is out of range.
+// checkedDuration returns a duration of ns nanoseconds, or an error if it is out of range.
 func checkedDuration(ns float64) (starlark.Value, error) {
 	if math.IsNaN(ns) || math.Abs(ns) > math.MaxInt64/2 {
-		return nil, fmt.Errorf("a duration of %g seconds", ns/1e9)
+		return nil, fmt.Errorf("a duration of %g seconds is out of range", ns/1e9)
 	}
 	return Duration(ns), nil
 }
--- a/internal/dispatcher/script/settings.go
+++ b/internal/dispatcher/script/settings.go
@@ -1,8 +1,8 @@
-// Package script reads the operator's fleet script, in Starlark, which configures what is ours: what the platform
-// sets stays in its JSON. A script can compute, but it reads no file, calls nothing outside and is bounded in its
-// steps.
+// Package script reads the operator's fleet script, which is written in Starlark and configures how this dispatcher takes
+// part in a fleet. The settings that the platform provides stay in its JSON file. A script can compute, but it can't read
+// files or call anything outside, and its number of steps is bounded.
 //
-// All errors of a file are reported together, each with file, line, column, call, argument and remedy.
+// All errors in a file are reported together, each with its position, call, argument and remedy.
 package script
 
 import (
@@ -18,49 +18,50 @@
 )
 
 const (
-	maxSteps = 1_000_000
-	maxBytes = 1 << 20
+	maxSteps = 1_000_000 // execution steps of Starlark
+	maxBytes = 1 << 20   // in a script
 )
 
-// Fleet is the call fleet(...): how this dispatcher takes part in a fleet.
+// Fleet has the arguments of the call fleet(...).
 type Fleet struct {
-	Name   string // the fleet's
-	Listen string // ip:port of this dispatcher's socket
-	// Advertise is the address by which others reach that socket; Roster and Seeds have such addresses.
+	Name   string // the name of the fleet, not of the dispatcher
+	Listen string // ip:port of this dispatcher's UDP socket
+	// Advertise is the ip:port by which other dispatchers reach this one's socket; by default it is Listen. Roster and
+	// Seeds have the Advertise addresses of dispatchers.
 	Advertise string
-	Seeds     []string
-	Key       string
-	Interval  time.Duration
-	Refusals  bool
-	Roster    []string
-	Lease     time.Duration
+	Seeds     []string      // the dispatchers through which this one joins the fleet; if empty, those in Roster
+	Key       string        // the fleet's shared secret
+	Interval  time.Duration // the time between two probes of a dispatcher
+	Refusals  bool          // a refused datagram proves that the dispatcher at its address is dead
+	Roster    []string      // the addresses of all dispatchers, in the order of their numbers
+	Lease     time.Duration // how long a proof of a dispatcher's death is valid
 }
 
-// Settings is what a script configures.
+// Settings are the settings that a script makes.
 type Settings struct {
-	Fleet *Fleet // nil: no fleet
+	Fleet *Fleet // nil: the script doesn't call fleet(...)
 }
 
-// Self is what a script can read about its dispatcher.
+// Self has the values that a script can read about its dispatcher.
 type Self struct {
-	Name   string // as `dispatcher`
-	Number int    // as `number`
+	Name   string // the variable `dispatcher` in scripts
+	Number int    // the variable `number` in scripts
 }
 
 // FileError is one error in a script.
 type FileError struct {
 	Position string // file:line:column
-	Call     string // the built-in; empty: the script itself
-	Argument string // empty: the call as a whole
+	Call     string // the name of the built-in function; empty: the error is not in a call
+	Argument string // empty: the error is in the call as a whole
 	Problem  string
-	Fix      string // what an operator can do
-	Err      error  // from the system; may be nil
+	Fix      string // the remedy; may be empty
+	Err      error  // the operating system's error; may be nil
 }
 
-// Unwrap returns the cause, or nil.
+// Unwrap returns Err.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Error names the position, the call and its argument, the problem and the remedy.
+// Error returns the position, the call and its argument, the problem and the remedy.
 func (e *FileError) Error() string {
 	what := e.Call
 	if e.Argument != "" {
@@ -76,7 +77,7 @@
 	return e.Position + ": " + what + e.Problem + fix
 }
 
-// FileErrors are all errors in a script. errors.As finds each FileError.
+// FileErrors are all errors in a script. errors.As with a *FileError finds the first.
 type FileErrors []*FileError
 
 // Error returns the errors, one per line.
@@ -97,25 +98,25 @@
 	return errs
 }
 
-// Read reads and checks the script at path. Its error is FileErrors.
+// Read executes the script at path and returns its settings. Its error is of type FileErrors.
 func Read(path string, self Self) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, FileErrors{{Position: path, Problem: "can't be read: " + err.Error(), Fix: "name a file that this user may read", Err: err}}
 	}
 	if len(text) > maxBytes {
-		return nil, FileErrors{{Position: path, Problem: fmt.Sprintf("is %d bytes long", len(text)), Fix: fmt.Sprintf("at most %d are read", maxBytes)}}
+		return nil, FileErrors{{Position: path, Problem: fmt.Sprintf("is %d bytes long", len(text)), Fix: fmt.Sprintf("at most %d bytes are read", maxBytes)}}
 	}
 	return Parse(filepath.Base(path), text, self)
 }
 
-// Parse is Read of a text; name is used in errors.
+// Parse executes a script's text like Read. name is the file's name in errors.
 func Parse(name string, text []byte, self Self) (*Settings, error) {
 	s := &Settings{}
 	var errs FileErrors
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {},
 		Load: func(*starlark.Thread, string) (starlark.StringDict, error) {
-			return nil, errors.New("a settings file loads no other")
+			return nil, errors.New("a settings file can't load another file")
 		}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	predeclared := starlark.StringDict{
@@ -124,7 +125,7 @@
 		"fleet": starlark.NewBuiltin("fleet", func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 			c := newCall("fleet", t.CallFrame(1).Pos.String(), args, kwargs)
 			if s.Fleet != nil {
-				c.addError("", "is called twice", "one file has one fleet")
+				c.addError("", "is called twice", "a file may call it once")
 			}
 			s.Fleet = c.fleet()
 			errs = append(errs, c.errors...)
@@ -141,7 +142,7 @@
 	return s, nil
 }
 
-// scriptError returns the error of a script that can't be parsed or executed.
+// scriptError returns the error for a script that can't be parsed or executed.
 func scriptError(name string, err error) *FileError {
 	var (
 		syntaxErr syntax.Error
@@ -157,5 +158,5 @@
 		}
 		return &FileError{Position: eval.CallStack.At(min(1, len(eval.CallStack)-1)).Pos.String(), Problem: eval.Msg, Fix: fix}
 	}
-	return &FileError{Position: name, Problem: err.Error()} // it has its own position, if any
+	return &FileError{Position: name, Problem: err.Error()} // the text has the position, if there is one
 }
--- a/internal/dispatcher/simulator/events.go
+++ b/internal/dispatcher/simulator/events.go
@@ -10,7 +10,7 @@
 	"ospreypond/policy"
 )
 
-// known reports whether a line is an event that this package translates.
+// known reports whether name is the first word of an event line that this package translates.
 func known(name []byte) bool {
 	switch string(name) {
 	case "START", "KILLED", "REGISTRY", "ENTRY", "QUERY", "ACK_FIRST", "STATUS_NOTE", "VERDICT", "GONE",
@@ -20,7 +20,8 @@
 	return false
 }
 
-// event translates one event line for an instance.
+// event translates one event line and adds the event to an instance. rest are the line's fields. A line that lacks a
+// required field is an error.
 func (s *server) event(i *instance, name string, rest []byte) error {
 	switch name {
 	case "START":
@@ -30,54 +31,54 @@
 		return nil
 	}
 	if i.d == nil {
-		return errors.New("the instance has not started")
+		return errors.New("the scheduler has no START line before it")
 	}
 	if name == "ENTRY" {
 		return s.entry(i, rest)
 	}
 	e := policy.Event{Report: policy.NoReport, Slots: 1}
-	must, second := "ticket", ""
+	required, alsoRequired := "ticket", "" // the fields that the line must still have; empty: none
 	switch name {
 	case "REGISTRY":
-		e.Kind, must, second = policy.ListChanged, "how", ""
+		e.Kind, required, alsoRequired = policy.ListChanged, "how", ""
 	case "QUERY":
-		e.Kind, second = policy.Request, "kind"
+		e.Kind, alsoRequired = policy.Request, "kind"
 	case "ACK_FIRST":
 		e.Kind = policy.ResponseStarted
 	case "STATUS_NOTE":
-		e.Kind, second = policy.JobProgress, "topic"
+		e.Kind, alsoRequired = policy.JobProgress, "topic"
 	case "VERDICT":
-		e.Kind, second = policy.AttemptEnded, "code"
+		e.Kind, alsoRequired = policy.AttemptEnded, "code"
 	case "GONE":
 		e.Kind = policy.ClientDisconnected
 	case "DEADLINE_HIT":
-		e.Kind, must = policy.TimerFired, "tag"
+		e.Kind, required = policy.TimerFired, "tag"
 	case "PONG":
-		e.Kind, must, second = policy.ProbeEnded, "worker", "code"
+		e.Kind, required, alsoRequired = policy.ProbeEnded, "worker", "code"
 	case "NEIGHBOUR_SAYS":
-		return nil // this module sends no messages to other schedulers, so it expects none
+		return nil // the decision module sends no messages to other schedulers, so it needs none
 	}
 	for f := (fields{rest: rest}); f.next(); {
 		if err := s.field(i, &e, &f); err != nil {
 			return fmt.Errorf("field %s: %w", f.key, err)
 		}
-		if string(f.key) == must {
-			must = ""
-		} else if string(f.key) == second {
-			second = ""
+		if string(f.key) == required {
+			required = ""
+		} else if string(f.key) == alsoRequired {
+			alsoRequired = ""
 		}
 	}
-	if must == "" {
-		must = second
+	if required == "" {
+		required = alsoRequired
 	}
-	if must != "" {
-		return fmt.Errorf("field %s is missing", must)
+	if required != "" {
+		return fmt.Errorf("field %s is missing", required)
 	}
 	i.events = append(i.events, e)
 	return nil
 }
 
-// field translates one field of an event.
+// field sets the event's field for one field of its line. Unknown fields are skipped.
 func (s *server) field(i *instance, e *policy.Event, f *fields) error {
 	var n int64
 	var err error
@@ -129,14 +130,14 @@
 	case "membersList":
 		n, err = strconv.ParseInt(string(f.val), 10, 32)
 		if n < 0 {
-			err = errors.New("negative")
+			err = errors.New("the number of entries is negative")
 		}
 		s.members = int(n)
 	}
 	return err
 }
 
-// listEvent parses what a REGISTRY line does to the list.
+// listEvent returns the kind of event for the field how of a REGISTRY line.
 func listEvent(b []byte) (policy.EventKind, error) {
 	switch string(b) {
 	case "update":
@@ -148,13 +149,13 @@
 	case "unavailable":
 		return policy.ListUnavailable, nil
 	}
-	return policy.ListChanged, fmt.Errorf("unknown value %q", b)
+	return policy.ListChanged, fmt.Errorf("unknown value %q; it must be update, replace, restored or unavailable", b)
 }
 
-// entry appends one list entry to the list event before it.
+// entry translates an ENTRY line and appends the member to the list event before it.
 func (s *server) entry(i *instance, rest []byte) error {
 	if s.members <= 0 || len(i.events) == 0 {
-		return errors.New("not expected here")
+		return errors.New("no REGISTRY line announces this entry in its field membersList")
 	}
 	s.members--
 	var m policy.Member
@@ -179,7 +180,7 @@
 			case "Gone":
 				m.State = policy.Removed
 			default:
-				err = fmt.Errorf("unknown value %q", f.val)
+				err = fmt.Errorf("unknown value %q; it must be Ready, Terminating or Gone", f.val)
 			}
 		}
 		if err != nil {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// name returns b as a string that is allocated once.
+// name returns b as a string. Equal names share one string, which is allocated once.
 func (s *server) name(b []byte) string {
 	if v, ok := s.intern[string(b)]; ok {
 		return v
@@ -204,7 +205,8 @@
 	return v
 }
 
-// start gives an instance a new decision module, with the settings and the seed of a START line.
+// start gives an instance a new decision module with the settings and the seed of a START line, and drops the events that
+// came before it in the batch.
 func (s *server) start(i *instance, rest []byte) error {
 	var seed uint64
 	var err error
--- a/internal/dispatcher/simulator/fields.go
+++ b/internal/dispatcher/simulator/fields.go
@@ -18,9 +18,11 @@
 	return name, rest
 }
 
-// fields iterates over the name=value fields of a line.
+// fields iterates over the fields of a line, which have the form name=value and are separated by tabs. key and val are the
+// current field's; rest is the part of the line after it.
 type fields struct{ rest, key, val []byte }
 
+// next moves to the next field and reports whether there is one. Parts of the line without "=" are skipped.
 func (f *fields) next() bool {
 	for len(f.rest) > 0 {
 		var field []byte
@@ -33,7 +35,7 @@
 	return false
 }
 
-// toEnd extends the present value to the end of the line, as the last text field of a line may contain tabs.
+// toEnd extends the current value to the end of the line. It is for a line's last field, whose text may contain tabs.
 func (f *fields) toEnd() {
 	if len(f.rest) > 0 {
 		f.val = append(append(bytes.Clone(f.val), '\t'), f.rest...)
@@ -41,17 +43,19 @@
 	}
 }
 
-// maxMicros bounds times so that sums of some fit a time.Duration.
+// maxMicros bounds times, in microseconds, to a quarter of the largest time.Duration, so that sums of a few don't overflow.
 const maxMicros = math.MaxInt64 / 4000
 
+// micros parses a time in microseconds, bounded by maxMicros.
 func micros(b []byte) (time.Duration, error) {
 	n, err := strconv.ParseInt(string(b), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("not a time: %w", err)
+		return 0, fmt.Errorf("not a whole number of microseconds: %w", err)
 	}
 	return time.Duration(max(-maxMicros, min(maxMicros, n))) * time.Microsecond, nil
 }
 
+// number parses a finite number.
 func number(b []byte) (float64, error) {
 	v, err := strconv.ParseFloat(string(b), 64)
 	if err != nil {
@@ -63,6 +67,7 @@
 	return v, nil
 }
 
+// boolean parses 0 or 1.
 func boolean(b []byte) (bool, error) {
 	switch string(b) {
 	case "1":
@@ -70,9 +75,10 @@
 	case "0":
 		return false, nil
 	}
-	return false, fmt.Errorf("not 0 or 1: %q", b)
+	return false, fmt.Errorf("%q is neither 0 nor 1", b)
 }
 
+// outcome parses the outcome of an attempt or a probe.
 func outcome(b []byte) (policy.Outcome, error) {
 	switch string(b) {
 	case "ok":
@@ -92,10 +98,11 @@
 	case "moot":
 		return policy.Moot, nil
 	}
-	return policy.Failed, fmt.Errorf("unknown value %q", b)
+	return policy.Failed, fmt.Errorf("%q is not a known outcome", b)
 }
 
-// report parses a load report: name:value pairs separated by commas.
+// report parses a load report, name:value pairs separated by commas. It skips names that the settings assign to no field,
+// and sets negative values to 0.
 func report(s *config.Settings, b []byte) (policy.Report, error) {
 	r := policy.NoReport
 	for len(b) > 0 {
@@ -118,7 +125,7 @@
 	return r, nil
 }
 
-// appendAction appends the line of an action.
+// appendAction appends the line for an action to b and returns it. Actions that the protocol has no line for are skipped.
 func appendAction(b []byte, a *policy.Action) []byte {
 	num := func(key string, v int64) { b = strconv.AppendInt(append(append(b, '\t'), key...), v, 10) }
 	text := func(key, v string) { b = append(append(append(b, '\t'), key...), v...) }
@@ -146,7 +153,7 @@
 		num("ticket=", int64(a.ID))
 	case policy.ArmTimer:
 		b = append(b, "ARM"...)
-		num("instantUs=", us(a.At+time.Microsecond-1))
+		num("instantUs=", us(a.At+time.Microsecond-1)) // rounded up, so that the timer doesn't fire before At
 		num("tag=", int64(a.Token))
 	case policy.Probe:
 		b = append(b, "SAMPLE"...)
--- a/internal/dispatcher/simulator/wire.go
+++ b/internal/dispatcher/simulator/wire.go
@@ -1,6 +1,7 @@
-// Package simulator hosts the decision module for the users' simulator, on its line protocol: batches of events of
-// several schedulers in virtual time, each answered by the actions. It makes no decisions. The protocol's words are
-// the simulator's and are translated in this package only.
+// Package simulator runs decision modules for the users' simulator, which connects by a line protocol. The simulator sends
+// batches of events for several schedulers, each batch with its virtual time, and the response to a batch has the
+// schedulers' actions. The package makes no decisions. The protocol's words are the simulator's; only this package
+// translates them.
 package simulator
 
 import (
@@ -15,30 +16,30 @@
 	"ospreypond/policy"
 )
 
-// instance is one scheduler's decision module with the events of the current batch.
+// instance is one scheduler: its decision module and its events of the current batch.
 type instance struct {
 	name    string
-	d       *policy.Dispatcher
+	d       *policy.Dispatcher // nil: the scheduler has not started, or was killed
 	set     config.Settings
 	events  []policy.Event
-	actions []policy.Action
-	inBatch bool
+	actions []policy.Action // reused by each step
+	inBatch bool            // the instance is in server.batch
 }
 
 // server is the state of one connection to the simulator.
 type server struct {
 	in      *bufio.Reader
-	out     []byte
-	lineNo  int
-	buf     []byte
+	out     []byte // the response to the current batch
+	lineNo  int    // the number of lines read, for errors
+	buf     []byte // a line that is longer than in's buffer
 	byName  map[string]*instance
-	batch   []*instance
-	intern  map[string]string
-	members int // list entries still to be read for the last list event
+	batch   []*instance       // the instances that the current batch names, in order
+	intern  map[string]string // see name
+	members int               // ENTRY lines still to be read for the last list event
 }
 
-// Serve reads batches from r and writes the actions to w until r ends. A malformed line or an incomplete batch is an
-// error. It must have r and w for itself.
+// Serve reads batches from r and writes the response to each to w, until r ends. A malformed line or an incomplete batch is
+// an error. Nothing else may use r and w meanwhile.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<18), byName: map[string]*instance{}, intern: map[string]string{}}
 	for {
@@ -55,12 +56,13 @@
 		}
 		s.out = append(s.out, "OK\n"...)
 		if _, err := w.Write(s.out); err != nil {
-			return fmt.Errorf("writing the reply: %w", err)
+			return fmt.Errorf("writing the response to a batch: %w", err)
 		}
 	}
 }
 
-// step steps an instance on its events and writes its actions, or CRASH if it panics.
+// step passes an instance its events and adds its actions to the response, or a line CRASH if the module panics. An instance
+// without actions adds nothing.
 func (s *server) step(i *instance, now time.Duration) {
 	i.inBatch = false
 	if i.d == nil || len(i.events) == 0 {
@@ -86,7 +88,7 @@
 	}
 }
 
-// readLine returns the next line without its end; the slice is valid until the next call.
+// readLine returns the next line without its line end. The slice is valid until the next call.
 func (s *server) readLine() ([]byte, error) {
 	s.lineNo++
 	b, err := s.in.ReadSlice('\n')
@@ -107,8 +109,8 @@
 	return bytes.TrimSuffix(b[:len(b)-1], []byte("\r")), nil
 }
 
-// readBatch reads one batch into the instances and returns its time. io.EOF means that the input ended between
-// batches.
+// readBatch reads one batch, adds its events to the instances and returns its time. It returns io.EOF if the input ended
+// between two batches.
 func (s *server) readBatch() (time.Duration, error) {
 	s.batch = s.batch[:0]
 	b, err := s.readLine()
@@ -134,7 +136,7 @@
 		}
 		name, rest := splitTab(b)
 		if s.members > 0 && string(name) != "ENTRY" {
-			return 0, fmt.Errorf("%s: field membersList: %d entries are missing", name, s.members)
+			return 0, fmt.Errorf("%s: %d ENTRY lines that field membersList announced are missing before it", name, s.members)
 		}
 		switch {
 		case string(name) == "COMMIT":
@@ -143,9 +145,9 @@
 			if current, err = s.switchTo(rest); err != nil {
 				return 0, err
 			}
-		case !known(name): // newer simulators may send more
+		case !known(name): // newer simulators may send lines that this package doesn't know
 		case current == nil:
-			return 0, fmt.Errorf("%s: no SWITCH_TO before it", name)
+			return 0, fmt.Errorf("%s: the batch has no SWITCH_TO line before it", name)
 		default:
 			if err := s.event(current, string(name), rest); err != nil {
 				return 0, fmt.Errorf("%s: %w", name, err)
@@ -154,11 +156,11 @@
 	}
 }
 
-// batchTime parses the first line of a batch.
+// batchTime returns the time in the first line of a batch.
 func batchTime(line []byte) (now time.Duration, err error) {
 	name, rest := splitTab(line)
 	if string(name) != "BATCH" {
-		return 0, fmt.Errorf("got %q where a BATCH was due", name)
+		return 0, fmt.Errorf("the first line of a batch must be BATCH, but is %q", name)
 	}
 	found := false
 	for f := (fields{rest: rest}); f.next(); {
@@ -175,7 +177,7 @@
 	return now, nil
 }
 
-// switchTo returns the instance that the next events are for, and adds it to the batch.
+// switchTo returns the instance that a SWITCH_TO line names, to which the next events belong, and adds it to the batch.
 func (s *server) switchTo(rest []byte) (*instance, error) {
 	for f := (fields{rest: rest}); f.next(); {
 		if string(f.key) != "schedulerId" {
--- a/internal/dispatcher/simulator/wire_test.go
+++ b/internal/dispatcher/simulator/wire_test.go
@@ -13,11 +13,12 @@
 	`"classes":[{"name":"c","semantics":"safe","objectiveUs":80000,"deadlineUs":1000000,"new":1}],` +
 	`"limits":{"cancelling":true,"probes":false},"report":{"via":"none"},"unknown":{"a":[1]}}`
 
-// start is the lines that start scheduler/0 with one worker.
+// start has the lines that start scheduler/0 with one worker.
 const start = "SWITCH_TO\tschedulerId=scheduler/0\nSTART\tinitSeed=7\tbootInfo=" + boot + "\n" +
 	"REGISTRY\tstamp=1\thow=restored\tmembersList=1\n" +
 	"ENTRY\tcell=0\tworker=1.2.3.4:7\taz=z\tmode=Ready\tscale=1\tmachine=k\n"
 
+// serve returns the responses to the batches in in.
 func serve(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -27,6 +28,7 @@
 	return out.String()
 }
 
+// Each batch gets its response. Unknown lines and fields are skipped.
 func TestExchange(t *testing.T) {
 	got := serve(t, "BATCH\tmomentUs=1\nCOMMIT\n\nBATCH\tmomentUs=1000000\n"+start+
 		"QUERY\tticket=9\tkind=c\tleftUs=1000000\tworkUs=20000\tfuture=1\nSOMETHING\tnew=1\nCOMMIT\n"+
@@ -39,18 +41,19 @@
 	}
 }
 
+// The error for a malformed batch names the line or the field.
 func TestMalformed(t *testing.T) {
 	head := "BATCH\tmomentUs=1\n" + start
 	tests := []struct{ name, in, want string }{
-		{"no batch", "HELLO\n", "BATCH"},
-		{"no time", "BATCH\n", "momentUs"},
-		{"bad number", head + "QUERY\tticket=x\tkind=c\nCOMMIT\n", "line 6: QUERY: field ticket"},
-		{"missing", head + "QUERY\tticket=4\nCOMMIT\n", "QUERY: field kind is missing"},
-		{"outcome", head + "VERDICT\tticket=4\tcode=odd\nCOMMIT\n", "VERDICT: field code"},
-		{"entries", "BATCH\tmomentUs=1\n" + start + "REGISTRY\thow=update\tmembersList=1\nCOMMIT\n", "membersList"},
-		{"truncated", "BATCH\tmomentUs=1\n", "unexpected EOF"},
-		{"no instance", "BATCH\tmomentUs=1\nQUERY\tticket=4\tkind=c\nCOMMIT\n", "SWITCH_TO"},
-		{"settings", "BATCH\tmomentUs=1\nSWITCH_TO\tschedulerId=a\nSTART\tbootInfo={}\nCOMMIT\n", "bootInfo"},
+		{"a first line that is not BATCH", "HELLO\n", "BATCH"},
+		{"a batch without a time", "BATCH\n", "momentUs"},
+		{"an invalid number", head + "QUERY\tticket=x\tkind=c\nCOMMIT\n", "line 6: QUERY: field ticket"},
+		{"a missing field", head + "QUERY\tticket=4\nCOMMIT\n", "QUERY: field kind is missing"},
+		{"an unknown outcome", head + "VERDICT\tticket=4\tcode=odd\nCOMMIT\n", "VERDICT: field code"},
+		{"a missing list entry", "BATCH\tmomentUs=1\n" + start + "REGISTRY\thow=update\tmembersList=1\nCOMMIT\n", "membersList"},
+		{"a truncated batch", "BATCH\tmomentUs=1\n", "unexpected EOF"},
+		{"an event without a scheduler", "BATCH\tmomentUs=1\nQUERY\tticket=4\tkind=c\nCOMMIT\n", "SWITCH_TO"},
+		{"invalid settings", "BATCH\tmomentUs=1\nSWITCH_TO\tschedulerId=a\nSTART\tbootInfo={}\nCOMMIT\n", "bootInfo"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
@@ -61,6 +64,7 @@
 	}
 }
 
+// Each kind of action has its line. Times are in microseconds, and timers are rounded up.
 func TestActionLines(t *testing.T) {
 	tests := []struct {
 		a    policy.Action
@@ -84,6 +88,7 @@
 	}
 }
 
+// No input makes the decision module panic.
 func FuzzServe(f *testing.F) {
 	f.Add("BATCH\tmomentUs=1\n" + start + "QUERY\tticket=9\tkind=c\tleftUs=-5\nCOMMIT\n")
 	f.Add("BATCH\tmomentUs=1\n" + start + "PONG\tworker=1.2.3.4:7\tcode=ok\tgauge=x0:3,depth:1\nCOMMIT\n")
--- a/internal/dispatcher/traffic/export.go
+++ b/internal/dispatcher/traffic/export.go
@@ -13,27 +13,29 @@
 	"ospreypond/internal/store"
 )
 
-// Format is an export format.
+// Format is a format of exported traffic.
 type Format string
 
-// The formats. CSV has one line per request; its attempts are one field, hops, of "target;sent_us;took_us;outcome"
-// separated by spaces.
+// The formats.
 const (
-	CSV   Format = "csv"
+	// CSV has a line of column names and then one line per request. The column hops has all attempts, separated by
+	// spaces, each as "target;sent_us;took_us;outcome".
+	CSV Format = "csv"
+	// JSONL has one Record in JSON per line.
 	JSONL Format = "jsonl"
 )
 
-// Formats are all formats.
+// Formats has all formats.
 var Formats = []Format{CSV, JSONL}
 
-// Export writes the requests that arrived from one time until another, in order of arrival, and returns their number.
-// Zero times do not bound. The store must not be open elsewhere.
+// Export writes the recorded requests of the store in dir that arrived at from or later and before to, in order of
+// arrival, and returns their number. A zero time sets no bound. The store must not be open in another process.
 func Export(ctx context.Context, dir string, f Format, from, to time.Time, w io.Writer) (int, error) {
 	s, err := store.Open(dir, store.Options{Existing: true})
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = s.Close() }() // nothing was written
+	defer func() { _ = s.Close() }() // the error is ignored, as nothing was written
 	space, err := s.Lookup(spaceName)
 	if err != nil {
 		return 0, fmt.Errorf("%s holds no recorded traffic: %w", dir, err)
@@ -77,11 +79,13 @@
 	return n, out.flush()
 }
 
+// writer writes records in one format.
 type writer interface {
 	write(Record) error
 	flush() error
 }
 
+// newWriter returns a writer for a format. For CSV it writes the line of column names.
 func newWriter(f Format, w io.Writer) (writer, error) {
 	switch f {
 	case CSV:
@@ -90,17 +94,20 @@
 	case JSONL:
 		return jsonWriter{json.NewEncoder(w)}, nil
 	}
-	return nil, fmt.Errorf("traffic: no format %q; there are %v", f, Formats)
+	return nil, fmt.Errorf("traffic: unknown format %q; the formats are %v", f, Formats)
 }
 
+// jsonWriter writes JSONL.
 type jsonWriter struct{ *json.Encoder }
 
 func (w jsonWriter) write(r Record) error { return w.Encode(r) }
 func (w jsonWriter) flush() error         { return nil }
 
+// columns are the names of the CSV columns, part of the export's format.
 var columns = []string{"arrived_us", "class", "tenant", "key", "idempotency", "retry", "deadline_us", "work_us", "slots",
 	"memory", "body_bytes", "answer", "answered_us", "hops"}
 
+// csvWriter writes CSV.
 type csvWriter struct{ *csv.Writer }
 
 func (w csvWriter) write(r Record) error {
--- a/internal/dispatcher/traffic/fixtures_test.go
+++ b/internal/dispatcher/traffic/fixtures_test.go
@@ -11,11 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// earlierTraffic is what commit c9b2399 recorded of a request with each answer and each outcome, and beside it, by format,
-// what that version exported. None of it may ever be rewritten: such records are on disks, and others read the exports.
+// earlierTraffic is a store that the version of commit c9b2399 recorded, with a request of each response and each outcome.
+// The files next to it are that version's exports, one for each format. They must never be rewritten: such records are on
+// disks, and other programs read the exports.
 const earlierTraffic = "testdata/c9b2399"
 
-// Guards against recorded traffic that a later version cannot read, or exports in another form.
+// Traffic that an earlier version recorded can be read, and its export is the same byte for byte.
 func TestTrafficOfAnEarlierVersionIsExportedAlike(t *testing.T) {
 	for _, format := range Formats {
 		t.Run(string(format), func(t *testing.T) {
--- a/internal/dispatcher/traffic/recorder.go
+++ b/internal/dispatcher/traffic/recorder.go
@@ -21,40 +21,41 @@
 	spaceName = "traffic"
 	metaName  = "traffic.meta"
 	saltKey   = "salt"
-	// queueSize is how many records may be queued for writing.
+	// queueSize is how many records may be queued for writing; further ones are dropped.
 	queueSize = 2048
-	// maxBatch bounds the records of a commit, and batchInterval is how long the first of them may be delayed.
+	// maxBatch is the most records in one commit, and batchInterval is the longest time that a record waits for its commit.
 	maxBatch      = 512
 	batchInterval = 100 * time.Millisecond
-	// syncInterval is how much a power failure may lose.
+	// syncInterval is the interval of syncs to disk: a power failure loses at most the records of this time.
 	syncInterval = time.Second
 	// dropLogInterval is the minimum interval between log lines about drops.
 	dropLogInterval = 10 * time.Second
 )
 
-// Recorder records how requests ended. It is a coordinator.Observer and safe for concurrent use. Close must be
-// called.
+// Recorder records requests and how they ended. It implements coordinator.Observer, and is safe for concurrent use. Close
+// must be called.
 type Recorder struct {
 	store   *store.Store
 	space   *store.Space
 	salt    []byte
 	log     logrus.FieldLogger
 	queue   chan Record
-	stop    chan struct{}
-	done    sync.WaitGroup
-	seq     uint64 // of the next record; starts at random, to separate runs within a microsecond
-	dropped atomic.Uint64
-	written atomic.Uint64
+	stop    chan struct{}  // closed by Close
+	done    sync.WaitGroup // for write
+	seq     uint64         // the number in the last record's key; it starts at random, so that runs don't use the same keys
+	dropped atomic.Uint64  // number of records
+	written atomic.Uint64  // number of records
 }
 
-// Open opens or creates the store in a folder and starts to record. keep is how long records are kept.
+// Open opens or creates the store in dir and starts to record. keep bounds the age and the size of the records kept.
 func Open(dir string, keep store.Retention, log logrus.FieldLogger) (*Recorder, error) {
 	return open(dir, keep, log, store.Options{})
 }
 
+// open is Open with options for the store.
 func open(dir string, keep store.Retention, log logrus.FieldLogger, opt store.Options) (*Recorder, error) {
 	opt.SyncEvery, opt.SegmentBytes, opt.Log = syncInterval, 8<<20, log
-	opt.CacheBytes, opt.PassBytesPerS = 256<<10, 8<<20 // little memory, beside the dispatcher's own work
+	opt.CacheBytes, opt.PassBytesPerS = 256<<10, 8<<20 // small, as the dispatcher's own work needs the memory and the disk
 	s, err := store.Open(dir, opt)
 	if err != nil {
 		return nil, err
@@ -68,6 +69,7 @@
 	return r, nil
 }
 
+// prepare opens the keyspaces, and reads the salt or creates it.
 func (r *Recorder) prepare(keep store.Retention) error {
 	meta, err := r.store.Space(metaName, store.Retention{})
 	if err != nil {
@@ -96,7 +98,8 @@
 
 // RequestEnded queues the record of a request. It never blocks.
 func (r *Recorder) RequestEnded(e coordinator.EndedRequest) {
-	// The record is made here, so that the request's body is not retained; the hashes are the writer's work.
+	// The record is made here, so that the queue doesn't retain the request's body. write computes the hashes, which take
+	// longer.
 	select {
 	case r.queue <- newRecord(&e):
 	default:
@@ -107,7 +110,7 @@
 // Dropped returns how many requests were not recorded, because the queue was full or the store failed.
 func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
 
-// write commits queued records until Close.
+// write commits queued records until Close, and logs at most every dropLogInterval how many were dropped.
 func (r *Recorder) write() {
 	defer r.done.Done()
 	tick := time.NewTicker(batchInterval)
@@ -143,10 +146,11 @@
 	}
 }
 
+// add adds a record to a batch.
 func (r *Recorder) add(b *store.Batch, rec Record) {
 	rec.hashKeys(r.salt)
 	value, err := json.Marshal(rec)
-	if err != nil { // a float that JSON can't express
+	if err != nil { // Slots or Memory is a value that JSON has no form for
 		r.dropped.Add(1)
 		return
 	}
@@ -154,6 +158,7 @@
 	b.Put(r.space, recordKey(time.UnixMicro(rec.ArrivedUs), r.seq), value)
 }
 
+// flush commits a batch and empties it. After an error its records count as dropped.
 func (r *Recorder) flush(b *store.Batch) error {
 	if b.Len() == 0 {
 		return nil
@@ -169,7 +174,7 @@
 	return nil
 }
 
-// Close writes the queued records and closes the store. RequestEnded must not be called any more.
+// Close writes the queued records and closes the store. RequestEnded must not be called during or after it.
 func (r *Recorder) Close() error {
 	close(r.stop)
 	r.done.Wait()
--- a/internal/dispatcher/traffic/recorder_test.go
+++ b/internal/dispatcher/traffic/recorder_test.go
@@ -21,12 +21,15 @@
 	"ospreypond/policy"
 )
 
+// discardLogger returns a logger without output.
 func discardLogger() *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
+// ended returns a request that arrived n ms after a fixed time and failed after 70 ms. Its first attempt ended as a reset,
+// and its second one is open.
 func ended(n int) coordinator.EndedRequest {
 	at := time.UnixMilli(1_700_000_000_000).Add(time.Duration(n) * time.Millisecond)
 	return coordinator.EndedRequest{Request: &coordinator.Request{ID: fmt.Sprint(n), Class: "cobro", Tenant: "t", Key: "the-route",
@@ -36,9 +39,11 @@
 			{Target: "r2", Sent: at.Add(66 * time.Millisecond)}}}
 }
 
+// Records of two runs of the process are exported in order of arrival, without bodies, and with the same hashes for the
+// same keys.
 func TestRecordAndExport(t *testing.T) {
 	dir := t.TempDir()
-	for range 2 { // a second run continues the same store
+	for range 2 { // the second run opens the store of the first
 		r, err := Open(dir, store.Retention{}, discardLogger())
 		require.NoError(t, err)
 		for n := range 3 {
@@ -75,7 +80,7 @@
 	require.Contains(t, out.String(), "r1;5000;60000;reset r2;66000;0;open")
 }
 
-// A disk that hangs, or is full, costs records and never delays a request.
+// If the disk hangs or is full, records are dropped and counted, and no request is delayed.
 func TestRecordingNeverBlocksARequest(t *testing.T) {
 	var full, stuck atomic.Bool
 	release := make(chan struct{})
@@ -109,6 +114,6 @@
 		r.RequestEnded(ended(many + n))
 	}
 	require.NoError(t, r.Close())
-	require.Equal(t, before, r.Dropped(), "it continues once the disk has space")
-	require.EqualValues(t, many+10, r.Dropped()+r.written.Load(), "each is written or counted")
+	require.Equal(t, before, r.Dropped(), "records are written again once the disk has space")
+	require.EqualValues(t, many+10, r.Dropped()+r.written.Load(), "each record is either written or counted as dropped")
 }
