--- a/internal/dispatcher/egress/call.go
+++ b/internal/dispatcher/egress/call.go
@@ -44,8 +44,9 @@
 // called right before the first byte is written, with the connection's lock held; if it returns an error, nothing is
 // written.
 //
-// do goes on to another connection if a reused connection was idle for too long, or if a connection breaks before the
-// request's last byte was written. A runner never runs an incomplete request, so no request is run twice.
+// do tries another connection, as long as mayRedial allows it, in three cases: a reused connection was idle for too long,
+// stray bytes were read on it, or the connection broke before the request's last byte was written. A runner doesn't run an
+// incomplete request, so do never causes a request to run twice.
 func (c *call) do(ctx context.Context, target string, gate func() error,
 	build func(ctx context.Context, base string) (*http.Request, error)) (*http.Response, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
--- a/internal/dispatcher/ingress/client.go
+++ b/internal/dispatcher/ingress/client.go
@@ -88,9 +88,9 @@
 	closeReason   string        // the give-up reason if the listener closes the connection; empty: other closes
 	framing       framing
 
-	timedOut    bool // a read ended by its deadline
-	broken      bool // a read failed otherwise: the client has closed or reset the connection
-	sentTimeout bool // headTimeoutResponse was written; it must be written once, and net/http reads again after a timeout
+	// How reads failed: timedOut by a deadline, broken otherwise, as the client had closed or reset the connection.
+	timedOut, broken bool
+	sentTimeout      bool // headTimeoutResponse was written; written at most once, as net/http reads again after a timeout
 
 	httpDeadline   time.Time // the read deadline that net/http set
 	socketDeadline time.Time // the read deadline that is set on the socket
@@ -101,8 +101,8 @@
 }
 
 // Read passes the bytes of requests to net/http. While the handler has a complete request, net/http reads only to notice
-// the client's disconnect, and it stops to do so at the first byte. So Read keeps the bytes that arrive early in
-// k.early and goes on reading, and the disconnect is still noticed.
+// the client's disconnect, and stops reading at the first byte that it gets. So Read keeps bytes that arrive early in
+// k.early, doesn't return them yet and reads on. This way a disconnect after early bytes is still noticed.
 func (k *clientConn) Read(p []byte) (int, error) {
 	for into := p; ; {
 		n, watch, ownTimeout, err := k.nextRead(p)
--- a/internal/dispatcher/ingress/giveup.go
+++ b/internal/dispatcher/ingress/giveup.go
@@ -12,7 +12,7 @@
 
 // The reasons for which a request is given up, which means that it ends before the coordinator sees it. They are used in
 // counts and logs. Each is one of these constants, or badHeaderPrefix with a header's name from the fixed set that
-// parseHead and readBody check, so clients can't make the set of counters grow.
+// parseHead checks, so clients can't make the set of counters grow.
 const (
 	// The head-* reasons are for a connection that ended, by net/http or the listener, before the handler was called.
 	headSlow         = "head-slow"                      // a timeout passed before the head was complete
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -142,7 +142,7 @@
 // shouldShed reports whether the last of n requests in flight is to be shed, as n exceeds maxBusyFraction of the sockets.
 func (s *Server) shouldShed(n int64) bool {
 	limit := maxBusyFraction * float64(s.sockets)
-	if s.shedding.Load() { // the lower limit prevents frequent changes, each of which is logged
+	if s.shedding.Load() { // hysteresis: the lower limit prevents frequent changes, each of which is logged
 		limit *= 0.9
 	}
 	shed := float64(n) > limit
--- a/internal/dispatcher/simulator/events.go
+++ b/internal/dispatcher/simulator/events.go
@@ -130,7 +130,7 @@
 	case "membersList":
 		n, err = strconv.ParseInt(string(f.val), 10, 32)
 		if n < 0 {
-			err = errors.New("the number of entries is negative")
+			err = errors.New("negative")
 		}
 		s.members = int(n)
 	}
