--- a/internal/dispatcher/routetable/watch.go
+++ b/internal/dispatcher/routetable/watch.go
@@ -44,7 +44,7 @@
 	client     *http.Client
 	notify     func(policy.Event)
 	notifier   *notifier     // calls notify
-	subscribed chan struct{} // has an element if Subscribe was called and Run has not started the watch yet
+	subscribed chan struct{} // has an element if Subscribe was called and Run has not responded to it yet
 	keepOpen   atomic.Bool   // set by KeepOpen
 	clock      watchClock
 	firstList  chan struct{} // closed after the first list was passed to notify
@@ -132,8 +132,8 @@
 
 // SetTimes sets two times, from the next call on:
 //   - the time that discovery may hold a call, which is hold, but at most maxHold;
-//   - the longest interval between retries of a watch that is kept open, which is a third of grace if that is shorter than
-//     maxRetryInterval.
+//   - the longest interval between retries of a watch that is kept open, which is a third of grace, but at least
+//     minRetryInterval and at most maxRetryInterval.
 //
 // grace is how long after a notice that a runner drains the dispatcher may still send it requests; 0: there is no such
 // limit. Where lists are pushed, the dispatcher counts as notified as soon as discovery is reachable again after an
