--- a/internal/dispatcher/app/reload.go
+++ b/internal/dispatcher/app/reload.go
@@ -34,11 +34,11 @@
 			d.log.WithError(err).WithField("refused", d.reloads.refuse(err)).Error("new settings are faulty; the old ones stay")
 			return
 		}
-		d.watcher.Retune(next.DiscoveryHold(), next.DrainGrace())
+		d.watcher.SetTimes(next.DiscoveryHold(), next.DrainGrace())
 		d.watcher.KeepOpen(!next.Policy.ListOnDemand)
 		d.log.WithField("classes", len(next.Policy.Classes)).Info("settings changed; open requests keep the previous settings")
 	}
-	d.watcher.Move(next.Discovery)
+	d.watcher.SetAddress(next.Discovery)
 	entry := d.log.WithField("discovery", next.Discovery)
 	if keys := cfg.NeedRestart(next); len(keys) > 0 {
 		entry = entry.WithField("needs_restart", keys)
@@ -56,7 +56,7 @@
 	if err := d.coord.UpdateSettings(next.Policy); err != nil {
 		return err
 	}
-	d.egress.Retune(next)
-	d.server.Retune(&next.Policy)
+	d.egress.UpdateSettings(next)
+	d.server.UpdateSettings(&next.Policy)
 	return nil
 }
