--- a/internal/cluster/scheduler/aged.go
+++ b/internal/cluster/scheduler/aged.go
@@ -49,9 +49,9 @@
 	return tasks
 }
 
-// demoteAged reports whether a step is no longer aged. It removes a step from the index that is done or whose job has
-// ended. It moves a step that has no running task agedStartTimeout after its promotion to the end of the expired steps,
-// where it waits for its next promotion.
+// demoteAged reports whether a step is no longer aged. If all tasks of the step are done or its job has ended, it
+// removes the step from the index. If no task of the step is running agedStartTimeout after the promotion, it moves the
+// step to the end of the expired steps, where the step waits for its next promotion.
 func (p *pendingSteps) demoteAged(now time.Duration, s *servicePending, step *pendingStep) bool {
 	group := step.group
 	switch {
@@ -83,8 +83,8 @@
 	return group.Job.AcceptedMs
 }
 
-// dominantFraction returns the fraction of a service's capacity that count tasks of the same needs use of their dominant
-// resource, which is the one of which they use the largest fraction.
+// dominantFraction returns the largest fraction of any resource of a service's capacity that count tasks with the same
+// needs use.
 func dominantFraction(needs protocol.Resources, count int, capacity protocol.Resources) float64 {
 	largest := 0.0
 	for _, pair := range [][2]int64{{needs.CPU, capacity.CPU}, {needs.MemoryMB, capacity.MemoryMB}, {needs.GPU, capacity.GPU}} {
--- a/internal/cluster/scheduler/doc.go
+++ b/internal/cluster/scheduler/doc.go
@@ -39,5 +39,5 @@
 //	              heartbeat.go, reports.go                           runners
 //	leases        leadership.go, leases.go                           how long the owner may answer and runners may run
 //	              incarnations.go, losses.go                         which runs can no longer exist
-//	observing     waitreasons.go, overview.go                        why tasks wait, what operators see
+//	observing     waitreasons.go, overview.go                        why tasks wait, overviews for operators
 package scheduler
--- a/internal/cluster/scheduler/headroom.go
+++ b/internal/cluster/scheduler/headroom.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	peakHalfLife      = 20 * time.Second // time in which the remembered peak of the urgent demand halves
+	peakHalfLife      = 20 * time.Second // half-life of the remembered peak of the urgent demand
 	maxHeadroom       = 0.35             // largest fraction of a service's processors that is reserved for urgent tasks
 	minHeadroom       = 0.08             // smallest such fraction, once the service has had unexpired tasks
 	largeTaskFraction = 0.4              // a task that needs more than this part of the largest runner's processors is exempt
 )
 
-// headroom is free capacity that rounds keep for urgent tasks that may arrive next, so that these needn't wait for other
-// tasks to end. The urgent tasks of a service are those of the highest priority that it has had during this leadership.
-// The headroom is based on the recent peak of their demand.
+// headroom is free capacity that rounds keep for urgent tasks that may arrive next, so that these needn't wait for
+// other tasks to end. A service's urgent tasks have the highest priority that it has had during this leadership. The
+// headroom is based on the recent peak of their demand.
 type headroom struct{ byService map[string]*urgentDemand }
 
 // urgentDemand is the demand of a service's urgent tasks for processors, in thousandths of a core.
@@ -32,10 +32,10 @@
 // by the aged ones.
 //
 // urgent is the number of tasks at the start of pending that are urgent. The round places them first, on all capacity.
-// reserved is the fraction of each runner's processors that the other tasks must leave free. It is the peak of the urgent
-// demand less the current one, within minHeadroom and maxHeadroom. A service with a pending gang among its urgent tasks
-// reserves nothing, and treats all tasks as urgent. In a service with one priority all unexpired tasks are urgent, so that
-// the headroom is reserved from expired tasks only.
+// reserved is the fraction of each runner's processors that the other tasks must leave free. It is the peak of the
+// urgent demand less the current demand, within minHeadroom and maxHeadroom. A service with a pending gang among its
+// urgent tasks reserves no headroom, and treats all tasks as urgent. In a service with one priority all unexpired tasks
+// are urgent, so only expired tasks must leave the headroom free.
 func (h *headroom) update(now time.Duration, service string, pending []*jobs.Task, runners []placement.Runner) (urgent int, reserved float64) {
 	d := h.byService[service]
 	if len(pending) == 0 && d == nil {
@@ -96,8 +96,8 @@
 	return min(max(d.peak-using, minHeadroom*capacity), maxHeadroom*capacity)
 }
 
-// splitExempt splits tasks into those that may use the headroom for urgent tasks (the exempt ones) and the others. Exempt
-// are:
+// splitExempt separates the tasks that may use the headroom for urgent tasks (the exempt ones) from all other tasks.
+// These tasks are exempt:
 //
 //   - tasks so large that they might never fit without the headroom (largeTaskFraction);
 //   - long-running tasks;
--- a/internal/cluster/scheduler/health.go
+++ b/internal/cluster/scheduler/health.go
@@ -18,13 +18,14 @@
 // Ratios of the actual runtime to the predicted one, for the slowness.
 const (
 	slownessDecay     = 0.85 // weight of the earlier ratios in their moving average when another ratio is added
-	minRuntimeRatio   = 0.25 // one ratio counts as at least this
-	maxRuntimeRatio   = 12.0 // and as at most this
-	toleratedSlowness = 1.8  // a smaller slowness counts as 1, because single predictions are inaccurate
+	minRuntimeRatio   = 0.25 // smaller ratios are raised to this
+	maxRuntimeRatio   = 12.0 // larger ratios are lowered to this
+	toleratedSlowness = 1.8  // a slowness up to this is taken as 1, because single predictions are inaccurate
 )
 
-// runHistory summarizes the recent runs of a runner, for its failure score and its slowness. doneWeight is the exponentially
-// decayed count of runs that were done; failedWeight is that of runs that failed or made no progress, each with its weight.
+// runHistory summarizes the recent runs of a runner, for its failure score and its slowness. doneWeight is the
+// exponentially decayed count of runs that were done. failedWeight is the decayed sum of the weights of runs that
+// failed or made no progress.
 type runHistory struct {
 	doneWeight, failedWeight float64
 	logRatio                 float64 // moving average of the logarithm of actual over predicted runtime; 0 without runs
@@ -39,8 +40,9 @@
 	h.failedWeight = h.failedWeight*historyDecay + failed
 }
 
-// failureScore returns the weight of failures over the weight of all outcomes plus 0.5: below 1, and near 1 for a runner
-// on which every run fails. It returns 0 for a runner with few or old failures, whose weight is below minFailureWeight.
+// failureScore returns the weight of failures over the weight of all outcomes plus 0.5: below 1, and near 1 for a
+// runner on which every run fails. It returns 0 if the weight of failures is below minFailureWeight, because they are
+// few or old.
 func (h *runHistory) failureScore() float64 {
 	if h.failedWeight < minFailureWeight {
 		return 0
@@ -81,8 +83,8 @@
 	return 1
 }
 
-// recordOutcome updates the runner's history and the runtime predictor with the end of a run, unless it was recorded
-// before: a run whose end or loss has been proposed or committed isn't recorded again.
+// recordOutcome updates the runner's history and the runtime predictor with the end of a run. It ignores a run whose
+// end or loss has been proposed or committed already, so that it doesn't record a run twice.
 func (o *Owner) recordOutcome(now time.Duration, r *runner, key runKey, outcome protocol.RunEnd) {
 	task := o.state.Task(key.task)
 	if task == nil || task.Run != key.run || o.proposals.isEnding(key) {
@@ -98,8 +100,9 @@
 }
 
 // recordRuntime updates the runner's slowness and the runtime predictor with the runtime of a run that is done. It
-// ignores runs whose full runtime is unknown, because this owner hasn't started them or they resumed from a checkpoint;
-// long-running runs; and members of rack-local gangs, whose runtime depends on the racks of the whole gang.
+// ignores three sorts of runs: those that this owner hasn't started or that resumed from a checkpoint, because their
+// full runtime is unknown; long-running runs; and members of rack-local gangs, because their runtime depends on the
+// racks of the whole gang.
 func (o *Owner) recordRuntime(now time.Duration, r *runner, key runKey, task *jobs.Task) {
 	entry := r.listed[key]
 	step := task.Group.Spec()
--- a/internal/cluster/scheduler/heartbeat.go
+++ b/internal/cluster/scheduler/heartbeat.go
@@ -51,7 +51,7 @@
 	r.replyDue = now + o.options.MaxReplyDelay
 }
 
-// replyFencingToken answers a request for the fencing token, and records nothing about the runner.
+// replyFencingToken answers a request for the fencing token. It changes no record of the runner.
 func (o *Owner) replyFencingToken(now time.Duration, reply func(*protocol.Orders, error)) {
 	if !o.leadership.isConfirmed(now) {
 		reply(nil, failure.New(failure.NotLeader, "leadership could not be confirmed"))
@@ -74,10 +74,10 @@
 	}
 }
 
-// Deregister records that a runner is about to end. The reply comes after the deregistration is committed: a runner doesn't
-// repeat it, so a new owner that didn't know of it would give the runner work. The owner grants the runner no lease any
-// more. Its runs may continue until its last lease expires, because some runners keep running for seconds after they have
-// deregistered, and because the acknowledgement may be lost.
+// Deregister records that a runner is about to end. The reply comes after the deregistration is committed: a runner
+// doesn't repeat it, so a new owner that didn't know of it would give the runner work. The owner grants the runner no
+// further lease. The runner's runs may continue until its last lease expires, because some runners keep running for
+// seconds after they have deregistered, and because the acknowledgement may be lost.
 func (o *Owner) Deregister(instance string, reply func(err error)) {
 	if !o.leadership.isLeader {
 		reply(errNotLeader)
--- a/internal/cluster/scheduler/incarnations.go
+++ b/internal/cluster/scheduler/incarnations.go
@@ -11,14 +11,14 @@
 const (
 	// maxHeartbeatDelay is the longest time from the sending of a heartbeat to its arrival, if no relay forwards it.
 	maxHeartbeatDelay = time.Second
-	// endedRetention is the time for which the owner refuses heartbeats of an incarnation after it has learnt of its end.
+	// endedRetention is how long the owner refuses heartbeats of an incarnation after it has learnt of its end.
 	endedRetention = 5 * time.Minute
 )
 
 var errIncarnationOver = failure.New(failure.Gone, "this incarnation of the runner has ended")
 
-// incarnations are the incarnations of runners that the owner knows. An incarnation is one process of a runner; a restart
-// makes another one. Its instance is its unique name.
+// incarnations are the incarnations of runners that the owner knows. An incarnation is one process of a runner; a
+// restart of the runner creates a new incarnation. An incarnation's unique name is its instance.
 type incarnations struct {
 	current   map[string]*runner       // by instance
 	byAddress map[string]string        // instance of the newest incarnation at each address
@@ -48,7 +48,7 @@
 	return found
 }
 
-// forgetEnded drops the incarnations whose end the owner learnt of more than endedRetention ago.
+// forgetEnded drops the records of ended incarnations that are older than endedRetention.
 func (i *incarnations) forgetEnded(now time.Duration) {
 	for instance, at := range i.ended {
 		if now-at > endedRetention {
@@ -57,14 +57,14 @@
 	}
 }
 
-// isAddressContested reports whether it is uncertain which of two incarnations at one address is the newer one: the
-// sender of the heartbeat, whose instance isn't known, or the incarnation that is recorded there.
+// isAddressContested reports whether it is uncertain which of two incarnations at one address is newer: the unknown
+// incarnation that sent the heartbeat, or the incarnation that is recorded there.
 //
-// The recorded incarnation may be the newer one if it had contact less than maxHeartbeatDelay ago, because the heartbeat
-// may have been sent before that contact. An incarnation that this owner knows only from the shard's state counts as
-// having had contact at the start of the leadership, so it gets time to report before another one's heartbeat can end it.
-// A relay may delay a heartbeat for any time, so a relayed heartbeat never ends another incarnation. An incarnation that
-// has deregistered may be ended at once by a heartbeat that isn't relayed.
+// The recorded incarnation may be the newer one if it had contact less than maxHeartbeatDelay ago, because the
+// heartbeat may have been sent before that contact. If this owner knows an incarnation only from the shard's state, the
+// start of the leadership is taken as its last contact. This gives it time to report before the heartbeat of another
+// incarnation can end it. A relay may delay a heartbeat for any time, so a relayed heartbeat never ends another
+// incarnation. An incarnation that has deregistered may be ended at once by a heartbeat that isn't relayed.
 func (o *Owner) isAddressContested(now time.Duration, heartbeat *protocol.Heartbeat) bool {
 	before := o.runners.current[o.runners.byAddress[heartbeat.Address]]
 	if before == nil {
--- a/internal/cluster/scheduler/leases.go
+++ b/internal/cluster/scheduler/leases.go
@@ -10,13 +10,14 @@
 	// leaseClockFactor is the longest real duration of a lease divided by its granted duration. It exceeds 1 because a
 	// runner measures the lease with its own clock, which may be slow; it includes a margin.
 	leaseClockFactor = 1.03
-	// unresponsiveRetention is the time for which the owner keeps the record of an unresponsive runner after its lease
-	// has expired. Without the record, a runner that has deregistered and sends another heartbeat would count as a new
-	// one and be given work.
+	// unresponsiveRetention is how long the owner keeps the record of an unresponsive runner after its lease has
+	// expired. Without the record, the owner would treat a runner that has deregistered and sends another heartbeat as
+	// a new runner, and give it work.
 	unresponsiveRetention = 30 * time.Second
 )
 
-// maxLeaseTime returns the longest real time for which a lease granted now may last, on the slowest runner's clock.
+// maxLeaseTime returns the longest real time that a lease granted now can last, which is on the runner with the slowest
+// clock.
 func (o *Owner) maxLeaseTime() time.Duration {
 	return time.Duration(float64(o.options.MaxLease) * leaseClockFactor)
 }
--- a/internal/cluster/scheduler/losses.go
+++ b/internal/cluster/scheduler/losses.go
@@ -22,7 +22,7 @@
 // A runner that its agent calls (Heartbeat.Called) may still receive a start from an agent that has ended. The owner
 // orders it to stop such a run, and declares the run lost only after the runner has rejected it (proposeRejectedLosses).
 //
-// The function does nothing while ends may be missing from the heartbeat, because an unlisted run may be one of them.
+// The function returns early while ends may be missing from the heartbeat, because an unlisted run may have ended.
 func (o *Owner) resolveUnlisted(now time.Duration, r *runner) {
 	if r.mayHaveMoreEnds() {
 		return
@@ -106,7 +106,7 @@
 	)
 }
 
-// proposeAllLosses proposes that none of the runner's runs exists any more, lingering ones included.
+// proposeAllLosses proposes to declare lost all runs of the runner, lingering ones included.
 func (o *Owner) proposeAllLosses(r *runner) {
 	for _, task := range o.state.RunsOn(r.instance) {
 		if task.Phase == jobs.Running {
--- a/internal/cluster/scheduler/objective.go
+++ b/internal/cluster/scheduler/objective.go
@@ -12,15 +12,17 @@
 // reduced if it takes longer than its objective, and zero if it takes longer than its expiry.
 const expiryFactor = 3
 
-// timeLeft has the times by which a step must end so that its job can still meet its two deadlines: the deadline of the
-// job, less the predicted runtime of the steps that follow. Both are relative to now, and negative once they have passed.
+// timeLeft has the latest times at which a step may end if its job is to meet its objective and its expiry. Each is the
+// deadline of the job less the predicted runtime of the steps that follow. Both are relative to now, and negative once
+// they have passed.
 type timeLeft struct {
 	toObjective time.Duration // a step that ends later makes its job late
 	toExpiry    time.Duration // a step that ends later makes its job lose all value
 }
 
-// timeLeftOf returns the time left of a group at a time of day, in ms since 1970. The time of a job with repetitions counts
-// from the planned start of the group's repetition, that of any other job from its acceptance.
+// timeLeftOf returns the time left of a group at a time of day, in ms since 1970. For a job with repetitions, the
+// elapsed time starts at the planned start of the group's repetition. For any other job it starts at the job's
+// acceptance.
 //
 //	toObjective = objective(typical chain) - following - elapsed
 //	toExpiry    = expiryFactor * objective(upper bound of the chain) - following - elapsed
@@ -50,7 +52,7 @@
 
 // criticalPath has predicted runtimes of a job's longest chain of dependent steps.
 type criticalPath struct {
-	typical    time.Duration // runtime of the longest chain if each step takes as long as predicted for one task
+	typical    time.Duration // runtime of the longest chain if each step takes the predicted runtime of one task
 	upperBound time.Duration // runtime that the longest chain almost never exceeds
 	following  time.Duration // typical runtime of the longest chain that follows the given step
 }
@@ -79,8 +81,8 @@
 	return path
 }
 
-// stepUpperBound returns a runtime that a step almost never exceeds: the upper bound for the slowest of its tasks, times
-// the number of waves in which a wide step runs.
+// stepUpperBound returns a runtime that a step almost never exceeds: the upper bound for the slowest of its tasks,
+// times the number of waves (see wavesOf).
 func (o *Owner) stepUpperBound(queue *protocol.Queue, step *protocol.Step) time.Duration {
 	bound := o.planner.Predictor().PredictUpperBound(queue.Key, step.EstimatedMs, step.Count)
 	return bound * time.Duration(o.wavesOf(queue.Service, step))
@@ -90,7 +92,7 @@
 // step to use at a time. A step that needs more is assumed to run in several waves.
 const waveFraction = 0.25
 
-// wavesOf returns the number of waves in which a step is assumed to run. A gang and a long-running step run in one.
+// wavesOf returns the number of waves in which a step is assumed to run: one for a gang and for a long-running step.
 func (o *Owner) wavesOf(service string, step *protocol.Step) int {
 	if step.Gang || step.LongRunning {
 		return 1
@@ -120,8 +122,8 @@
 	return work
 }
 
-// classify returns the deadline class of a group whose tasks start now, and the time at which the class is expected to
-// change. A long-running step has no end that could be late: it is always in classOnTime.
+// classify returns the deadline class of a group on the assumption that its tasks start now, and the time at which the
+// class is expected to change. A long-running step has no deadline, so it is always in classOnTime.
 func (o *Owner) classify(now time.Duration, group *jobs.Group) (class deadlineClass, changesAt time.Duration) {
 	step := group.Spec()
 	if step.LongRunning {
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -38,9 +38,9 @@
 	r.respond(orders, nil)
 }
 
-// startOrders returns the starts of the runs that the shard has on the runner and that the runner doesn't list, the oldest
-// first. It returns at most as many as fit into one answer, and at least one; the next answer has the others. It repeats
-// starts of earlier answers, because the runner may not have received those.
+// startOrders returns the starts of the runs that the shard has on the runner and that the runner doesn't list, the
+// oldest first. It returns at least one start, and no more than fit into one answer. Later answers have the rest. It
+// repeats starts of earlier answers, because the runner may not have received those.
 func (o *Owner) startOrders(r *runner) []protocol.StartOrder {
 	var starts []protocol.StartOrder
 	bytes := 0
@@ -73,8 +73,9 @@
 	return startOverheadBytes + maxEscapedBytes*(len(order.Task)+len(order.Spec)+len(order.Saved))
 }
 
-// stopOrders returns the stops for the runner, sorted. A run that the runner doesn't list needs no stop, unless the
-// runner is one that its agent calls: a start may still reach that one, and the stop prevents it from taking effect.
+// stopOrders returns the stops for the runner, sorted. A run that the runner doesn't list needs a stop only if the
+// runner's agent calls it (Heartbeat.Called). A start may still reach such a runner, and the stop prevents it from
+// taking effect.
 func stopOrders(r *runner) []protocol.StopOrder {
 	stops := make([]protocol.StopOrder, 0, len(r.stops))
 	for key := range r.stops {
--- a/internal/cluster/scheduler/overview.go
+++ b/internal/cluster/scheduler/overview.go
@@ -17,7 +17,7 @@
 	Labels         []string
 	State          string // reported by the runner, or StateEnded or StateUnresponsive
 	Capacity       protocol.Resources
-	Free           protocol.Resources // capacity without that of all runs that may exist there
+	Free           protocol.Resources // capacity less the needs of all runs that may exist there
 	Runs           int                // number of runs that may exist there
 	Stops          int                // number of runs that are ordered to stop and haven't ended
 	FailureScore   float64            // 0: no recent failures; near 1: all recent runs failed or made no progress
@@ -25,7 +25,7 @@
 	LeaseRemaining time.Duration      // time until no run exists there unless a new lease is granted; 0 after that
 }
 
-// States that the owner determines. The others are reported by the runner.
+// States that the owner determines. All other states are reported by the runner.
 const (
 	StateEnded        = "ended"  // the runner has deregistered
 	StateUnresponsive = "silent" // the runner has sent this owner no heartbeat, or none for shownUnresponsiveAfter
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -30,10 +30,10 @@
 	counters       Counters
 }
 
-// Counters count what this process has done as an owner since it started, over all its leaderships.
+// Counters count the events of this process's leaderships since the process started.
 type Counters struct {
 	Rounds    uint64 // placement rounds
-	Starts    uint64 // runs whose start was committed
+	Starts    uint64 // committed starts of runs
 	Stops     uint64 // runs that the owner decided to stop, for any reason
 	Losses    uint64 // runs that the owner proposed to declare lost; without lingering runs of gangs
 	Refused   uint64 // submits refused because too many jobs had not ended
@@ -79,8 +79,8 @@
 // BecomeLeader starts the ownership. The caller calls it when this process leads the shard and has applied an entry of its
 // own term. timeOfDayMs is the process's estimate of the time of day, in ms since 1970.
 //
-// The election doesn't count as a confirmation of leadership, because the process may have been frozen and replaced between
-// the quorum's votes and this call. The first confirmation comes with a call of Tick.
+// The election is no confirmation of leadership, because the process may have been frozen and replaced between the
+// quorum's votes and this call. The first confirmation comes with a call of Tick.
 func (o *Owner) BecomeLeader(now time.Duration, timeOfDayMs int64, term uint64) {
 	o.reset()
 	o.leadership = leadership{isLeader: true, term: term, since: now, confirmedAt: neverConfirmed}
--- a/internal/cluster/scheduler/owner_test.go
+++ b/internal/cluster/scheduler/owner_test.go
@@ -191,7 +191,7 @@
 
 	It("answers that a job is unknown only after a confirmation of leadership", func() {
 		w.pass(0)
-		w.now++ // the next step, whose time is later
+		w.now++ // so that the next step has a later time
 		var got error
 		answered := false
 		w.owner.Status(w.now, id, func(_ protocol.JobState, err error) { answered, got = true, err })
--- a/internal/cluster/scheduler/pending.go
+++ b/internal/cluster/scheduler/pending.go
@@ -36,7 +36,7 @@
 	promotedAt time.Duration // time of that promotion
 }
 
-// never is the changesAt of a step whose class doesn't change with time.
+// never is the changesAt of a step if time doesn't change its class.
 const never = time.Duration(math.MaxInt64)
 
 // pendingSteps is an index of the groups with pending tasks, by service, deadline class and priority. A round takes the
@@ -76,7 +76,7 @@
 	}
 }
 
-// add adds a group of which a task has become pending, unless the index has it or its job has ended.
+// add adds a group when one of its tasks has become pending, unless the index has the group or its job has ended.
 func (p *pendingSteps) add(now time.Duration, group *jobs.Group) {
 	if p.steps[group] != nil || group.Job.Ended() {
 		return
@@ -103,7 +103,8 @@
 	}
 }
 
-// reclassify classifies each step again whose class was expected to change by now, and moves it to the list of its class.
+// reclassify classifies the steps again that were expected to change their class by now, and moves each to the list of
+// its class.
 func (p *pendingSteps) reclassify(now time.Duration) {
 	for len(p.changes) > 0 && p.changes[0].changesAt <= now {
 		step := p.changes[0]
@@ -178,7 +179,7 @@
 	return &known.late
 }
 
-// serviceNames returns the services with pending steps, sorted, and forgets the others.
+// serviceNames returns the services with pending steps, sorted. It drops services without pending steps from the index.
 func (p *pendingSteps) serviceNames() []string {
 	maps.DeleteFunc(p.services, func(_ string, s *servicePending) bool { return s.isEmpty() })
 	return slices.Sorted(maps.Keys(p.services))
@@ -253,9 +254,9 @@
 	return p.take(&p.service(service).expired, limit)
 }
 
-// requeueUnstarted moves each step that a round has considered without starting any of its tasks to the end of its list, so
-// that the steps of a list take turns. It also classifies these steps again, because the runtime predictions on which the
-// class depends may have changed, and moves a step whose class has changed to the list of that class. Aged steps stay.
+// requeueUnstarted moves each step that a round has considered without starting any of its tasks to the end of its
+// list, so that the steps of a list take turns. It also classifies these steps again, because the runtime predictions
+// may have changed. A step with a changed class moves to the list of the new class. It leaves aged steps where they are.
 func (p *pendingSteps) requeueUnstarted(now time.Duration, considered []*jobs.Task, started map[*jobs.Group]bool) {
 	for _, group := range groupsOf(considered) {
 		step := p.steps[group]
--- a/internal/cluster/scheduler/proposals.go
+++ b/internal/cluster/scheduler/proposals.go
@@ -10,14 +10,14 @@
 // proposeRetryInterval is the pause after a command that failed, for instance because the leadership was being transferred.
 const proposeRetryInterval = 50 * time.Millisecond
 
-// proposals collect the parts of the next command, and track the one command that is in flight: proposed to the shard's
-// log and neither applied nor failed.
+// proposals collect the parts of the next command, and track the command in flight, of which there is at most one. A
+// command is in flight from its proposal to the shard's log until it is applied or fails.
 type proposals struct {
 	next            jobs.Command
 	pendingReplies  replies                // of the requests in next
 	inFlight        *jobs.Command          // nil: none
 	inFlightReplies replies                // of the requests in inFlight
-	ending          map[runKey]latency.Run // runs whose end or loss is in next or inFlight
+	ending          map[runKey]latency.Run // runs with an end or a loss in next or inFlight
 	retryAt         time.Duration          // earliest time to propose again after a failure
 }
 
@@ -55,7 +55,7 @@
 
 func (p *proposals) addStart(start jobs.Start) { p.next.Starts = append(p.next.Starts, start) }
 
-// isEnding reports whether a run's end or loss is in the next command or in the one in flight.
+// isEnding reports whether the next command or the command in flight has the run's end or loss.
 func (p *proposals) isEnding(key runKey) bool {
 	_, ending := p.ending[key]
 	return ending
@@ -67,7 +67,7 @@
 	return len(c.Submits)+len(c.Cancels)+len(c.Fences)+len(c.Ends)+len(c.Losses)+len(c.Starts)+len(c.Departures) > 0
 }
 
-// dispatch returns the next command and records it as the one in flight.
+// dispatch returns the next command and records that it is in flight.
 func (p *proposals) dispatch(timeOfDayMs int64) *jobs.Command {
 	command := p.next
 	command.TimeOfDayMs = timeOfDayMs
@@ -77,7 +77,7 @@
 	return &command
 }
 
-// finish records that no command is in flight, and returns the callbacks of the one that was.
+// finish records that the command in flight is finished, and returns the callbacks of its requests.
 func (p *proposals) finish() replies {
 	waiting := p.inFlightReplies
 	p.inFlight = nil
--- a/internal/cluster/scheduler/reads.go
+++ b/internal/cluster/scheduler/reads.go
@@ -6,11 +6,11 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// readTimeout is the longest time for which a read waits for a confirmation of leadership.
+// readTimeout is the longest time that a read waits for a confirmation of leadership.
 const readTimeout = 800 * time.Millisecond
 
-// confirmedRead is a request whose reply waits until a round of messages to the replicas, sent after the request arrived,
-// has confirmed the leadership.
+// confirmedRead is a request that is answered only after a confirmation of leadership. The confirmation is a round of
+// messages to the replicas, sent after the request arrived.
 type confirmedRead struct {
 	requestedAt time.Duration   // time of arrival
 	deadline    time.Duration   // time at which the request fails if there was no such confirmation
@@ -26,9 +26,9 @@
 
 func (c *confirmedReads) isEmpty() bool { return len(c.waiting) == 0 }
 
-// complete answers the reads that a confirmation requested at confirmedAt covers, and fails those whose deadline has
-// passed. A confirmation covers a read that has arrived at the same time: the engine sends the messages of a step after
-// it has processed the step's requests, see replica.Engine.ConfirmLeadership.
+// complete answers the reads that are covered by a confirmation that was requested at confirmedAt. It fails other reads
+// if their deadline has passed. A confirmation covers a read that has arrived at the same time: the engine sends the
+// messages of a step after it has processed the step's requests, see replica.Engine.ConfirmLeadership.
 func (c *confirmedReads) complete(now, confirmedAt time.Duration) {
 	var remaining, confirmed, expired []confirmedRead
 	for _, r := range c.waiting {
--- a/internal/cluster/scheduler/reports.go
+++ b/internal/cluster/scheduler/reports.go
@@ -92,9 +92,9 @@
 	return false
 }
 
-// proposeRejectedLosses declares lost the runs that the runner reports it will never start. It does nothing while ends
-// may be missing from the heartbeat, because a rejected run may be one that has ended; a later heartbeat rejects it
-// again.
+// proposeRejectedLosses proposes to declare lost the runs that the runner has reported it will never start. It returns
+// early while ends may be missing from the heartbeat, because a rejected run may have ended; a later heartbeat rejects
+// it again.
 func (o *Owner) proposeRejectedLosses(r *runner) {
 	if r.mayHaveMoreEnds() {
 		return
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -52,9 +52,9 @@
 // isFull reports whether the number of jobs that have not ended has reached its limit.
 func (o *Owner) isFull() bool { return o.state.Counters().Jobs >= o.options.MaxUnfinishedJobs }
 
-// validate returns the reason for which a submit must not be proposed, or nil. The reasons Invalid and Stale need no
-// confirmation of leadership, because they never cease to hold: Invalid depends on the submit alone, and a known
-// configuration at least as new as the one that routed the submit has assigned its queue to another service.
+// validate returns an error if a submit must not be proposed. The errors Invalid and Stale need no confirmation of
+// leadership, because they never cease to hold. Invalid depends on the submit alone. Stale means that a known
+// configuration, at least as new as the one that routed the submit, has assigned its queue to another service.
 func (o *Owner) validate(submit *jobs.Submit) error {
 	if err := jobs.Validate(&submit.Job); err != nil {
 		return err
--- a/internal/cluster/scheduler/round.go
+++ b/internal/cluster/scheduler/round.go
@@ -11,8 +11,8 @@
 const (
 	// minRoundInterval is the shortest time between two rounds.
 	minRoundInterval = 10 * time.Millisecond
-	// maxRoundInterval is the longest time between two rounds while tasks are pending, even if nothing has changed:
-	// reservations, aging and the wait for a better runner depend on time.
+	// maxRoundInterval is the longest time between two rounds while tasks are pending. Rounds are repeated even without
+	// changes, because reservations, aging and the wait for a better runner depend on time.
 	maxRoundInterval = 200 * time.Millisecond
 	// maxPendingPerRound is the largest number of unexpired tasks of one service that a round considers, and of expired
 	// ones while the service is mostly free. The last gang is considered completely beyond it.
@@ -44,12 +44,12 @@
 
 // roundOfService places the pending tasks of one service.
 //
-//  1. It takes the first unexpired tasks, those that can be on time before late ones.
+//  1. It takes the first unexpired tasks; tasks that can be on time come before late ones.
 //  2. It promotes expired steps that have waited long (see aged.go), and places their tasks together with the unexpired
 //     ones.
 //  3. It places expired tasks on the capacity that is left.
-//  4. If there are more steps than one round considers, it moves the steps of which it has started nothing to the end of
-//     their queue, so that all steps take part in turn (round robin). Expired steps always rotate in this way.
+//  4. If there are more steps than one round considers, it moves each step of which it has started no task to the end of
+//     its queue, so that all steps take part in turn (round robin). Expired steps always rotate in this way.
 func (o *Owner) roundOfService(now time.Duration, service string) {
 	unexpired, truncated := o.pending.takeUnexpired(service, maxPendingPerRound)
 	runners := o.snapshotRunners(now, service)
@@ -76,8 +76,8 @@
 // first urgent tasks; then tasks that are exempt from the headroom for urgent work (see splitExempt); then, without that
 // headroom, all others.
 //
-// It returns the fraction of each runner's processors that is reserved as headroom, and the groups of which it has started
-// tasks. When it returns, the headroom is subtracted from Free of the runners.
+// It returns the fraction of each runner's processors that is reserved as headroom, and the groups with tasks that it
+// has started. When it returns, the headroom is subtracted from Free of the runners.
 func (o *Owner) roundOfUnexpired(now time.Duration, service string, tasks []*jobs.Task, runners []placement.Runner) (reserved float64, started map[*jobs.Group]bool) {
 	started = map[*jobs.Group]bool{}
 	urgent, reserved := o.headroom.update(now, service, tasks, runners)
@@ -89,7 +89,7 @@
 	return reserved, started
 }
 
-// roundOfExpired places expired tasks and returns the groups of which it has started tasks. It places most of them
+// roundOfExpired places expired tasks and returns the groups with tasks that it has started. It places most of them
 // without the headroom for urgent work, then adds the headroom to Free again and places the exempt ones (see
 // splitExempt). reserved is the fraction of each runner's processors that roundOfUnexpired has reserved as headroom.
 func (o *Owner) roundOfExpired(now time.Duration, tasks []*jobs.Task, runners []placement.Runner, reserved float64) map[*jobs.Group]bool {
--- a/internal/cluster/scheduler/runners.go
+++ b/internal/cluster/scheduler/runners.go
@@ -17,7 +17,7 @@
 	hasReported     bool               // a heartbeat has arrived during this leadership
 	lastContact     time.Duration      // arrival of report
 	leaseExpiry     time.Duration      // time from which on the runner has no runs, unless another lease is granted
-	isDraining      bool               // the runner is given no work any more
+	isDraining      bool               // the runner gets no new work
 	drainDeadline   time.Duration      // earliest time at which a draining runner may end; 0: it hasn't reported one
 	hasDeregistered bool               // the runner gets neither work nor leases; its runs may continue until leaseExpiry
 
@@ -31,7 +31,7 @@
 	history   runHistory
 }
 
-// listedRun is what the heartbeats to this owner say about a run that its runner lists as active.
+// listedRun is the state of a run that its runner lists as active, from the heartbeats to this owner.
 type listedRun struct {
 	since        time.Duration // arrival of the first heartbeat that listed the run
 	firstPercent float64       // progress in that heartbeat
--- a/internal/cluster/scheduler/snapshot.go
+++ b/internal/cluster/scheduler/snapshot.go
@@ -44,7 +44,7 @@
 		}
 		subtract(&snapshot.Free, task.Group.Spec().Needs())
 		snapshot.GroupCount[task.Group]++
-		if r.lists(key) { // a run whose start has not been confirmed is no candidate for preemption
+		if r.lists(key) { // a run that the runner hasn't listed is no candidate for preemption
 			snapshot.Running = append(snapshot.Running, o.snapshotRun(now, r, task, key))
 		}
 	}
@@ -65,9 +65,9 @@
 	return o.proposals.isEnding(key) && !r.lists(key)
 }
 
-// subtractUnwanted subtracts the needs of runs that the runner lists and that the shard doesn't have there. They are being
-// stopped and use capacity until they end. If the needs of one are unknown, because its job is no longer in the state, the
-// runner counts as full.
+// subtractUnwanted subtracts the needs of runs that the runner lists and that the shard doesn't have there. They are
+// being stopped and use capacity until they end. If a run's needs are unknown because its job is no longer in the
+// state, the runner is treated as full.
 func (o *Owner) subtractUnwanted(r *runner, known map[runKey]bool, snapshot *placement.Runner) {
 	for key := range r.listed {
 		if known[key] {
--- a/internal/cluster/scheduler/stops.go
+++ b/internal/cluster/scheduler/stops.go
@@ -58,18 +58,18 @@
 	}
 	timeout := max(minStallTimeout, time.Duration(stallFraction*float64(o.predict(r, task))))
 	if step.Gang {
-		timeout += o.options.GangWait // the member may be waiting for the others to start
+		timeout += o.options.GangWait // the member may be waiting for other members to start
 	}
 	return now-entry.progressAt > timeout
 }
 
 // mustEvict reports whether a run on a draining runner must be stopped now, so that its task can run elsewhere:
 //
-//   - A long-running one must be stopped at once.
-//   - One that is expected to end, and to be reported, before the runner ends may continue.
-//   - One that writes checkpoints may continue until just enough time is left to stop it. The stop writes a checkpoint,
-//     which then covers as much work as possible.
-//   - Any other must be stopped at once, because its work is lost in any case.
+//   - A long-running run must be stopped at once.
+//   - A run that is expected to end, and to be reported, before the runner ends may continue.
+//   - A run that writes checkpoints may continue until just enough time is left to stop it. The stop writes a
+//     checkpoint, which then covers as much work as possible.
+//   - Any other run must be stopped at once, because its work is lost in any case.
 func (o *Owner) mustEvict(now time.Duration, r *runner, task *jobs.Task, entry *listedRun) bool {
 	step := task.Group.Spec()
 	if step.LongRunning {
@@ -96,7 +96,7 @@
 	return time.Duration(left / seen * float64(now-e.since))
 }
 
-// stopBrokenGangs stops the other members of each gang of which a member's run has ended without completing the gang.
+// stopBrokenGangs stops the running members of each gang in which a member's run has ended and the member isn't done.
 func (o *Owner) stopBrokenGangs(effects *jobs.Effects) {
 	for _, task := range effects.EndedRuns {
 		if !task.Group.Spec().Gang || task.Phase == jobs.Done {
--- a/internal/cluster/scheduler/tick.go
+++ b/internal/cluster/scheduler/tick.go
@@ -26,9 +26,9 @@
 	o.runners.forgetEnded(now)
 }
 
-// Flush answers the heartbeats whose replies are due, ordered by instance. A reply is due once its delay has reached
-// Options.MaxReplyDelay. All replies are due if there is nothing to wait for: no command is in flight or ready to
-// propose, and no round is about to place tasks. The caller calls Flush after NextCommand.
+// Flush answers the heartbeats whose replies are due, ordered by instance. A reply is due once it has been delayed for
+// Options.MaxReplyDelay. All replies are due if no command is in flight or ready to propose and no round is about to
+// place tasks, because then there is no reason to wait. The caller calls Flush after NextCommand.
 func (o *Owner) Flush(now time.Duration) {
 	if !o.leadership.isLeader {
 		return
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -11,7 +11,7 @@
 
 const (
 	maxLateJobs        = 32 // late jobs that are kept between two calls of TakeLate; further ones are dropped
-	maxExplainedGroups = 16 // groups for which one assignment determines the wait reason individually
+	maxExplainedGroups = 16 // largest number of groups of one assignment whose wait reasons are determined individually
 )
 
 // LateJob is a job that has ended later than its objective, with the times that it spent by wait reason.
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -47,7 +47,7 @@
 
 func (w *world) clock() int64 { return startMs + w.now.Milliseconds() }
 
-// commitAll commits the owner's commands until it has no more, then lets it reply to heartbeats.
+// commitAll commits the owner's commands until none is left, then lets the owner reply to heartbeats.
 func (w *world) commitAll() {
 	for range 20 {
 		command := w.owner.NextCommand(w.now)
