--- a/internal/cluster/placement/bench_test.go
+++ b/internal/cluster/placement/bench_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// busyFleet returns runners of which about half the capacity is used, and pending tasks of all sorts.
+// busyFleet returns pending tasks of all sorts, and runners with about half of their capacity in use.
 func busyFleet(taskCount, runnerCount int) ([]Task, []Runner) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	runners := make([]Runner, runnerCount)
--- a/internal/cluster/placement/candidate.go
+++ b/internal/cluster/placement/candidate.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 const (
-	minStarvingWait    = 1.5 // seconds that a task has waited when its step counts as starving; see candidate.starving
+	minStarvingWait    = 1.5 // least time in seconds that a task of a starving step has waited; see candidate.starving
 	runtimeRankWeight  = 0.5 // weight of a second of runtime, or of waiting, in the rank; a second of time left weighs 1
 	maxLongRunningRank = 1.0 // largest rank of a long-running task, in seconds
 )
@@ -18,7 +18,7 @@
 	rank     float64  // order among tasks of the same priority and lateness, in seconds; lower ranks are placed first
 	order    int      // index of the first task of its gang, or its own index; keeps members adjacent
 	large    bool     // it needs so much of any runner that capacity is reserved for it as for a gang
-	attempts int      // number of matchings in which it took part; maxAttempts: it takes part in no other
+	attempts int      // number of matchings that the task has taken part in; from maxAttempts on it takes part in no more
 	placed   bool     // the round has placed it
 
 	reliableAlternative tristate // result of Planner.hasReliableAlternative
@@ -42,8 +42,8 @@
 	yes
 )
 
-// orderingWork returns the remaining work of the job, in core-seconds, by which tasks that can be on time are ordered. It
-// is 0 for all other tasks, which are ordered by rank.
+// orderingWork returns the remaining work of the job, in core-seconds, if the task can be on time. Such tasks are
+// ordered by this work. It returns 0 for all other tasks, which are ordered by rank.
 func (c *candidate) orderingWork() float64 {
 	if c.lateness == onTime {
 		return c.task.RemainingWork
@@ -59,15 +59,15 @@
 	return c.task.Key
 }
 
-// newCandidate returns the candidate for the task of an index. All members of a gang get the rank and lateness of the first
-// one. The rank depends on the task, with the runtime predicted on the fastest kind of runner:
+// newCandidate returns the candidate for the task of an index. All members of a gang get the rank and lateness of the
+// first member. The rank depends on the task, with the runtime predicted on the fastest kind of runner:
 //
 //	long-running:  time left, at most maxLongRunningRank
 //	on time:       time left + runtimeRankWeight * runtime
 //	otherwise:     runtime - runtimeRankWeight * waited
 //
-// So among tasks on time the most urgent and shortest come first, and among the others the shortest, with priority for
-// those that have waited long.
+// So among tasks on time, the most urgent and shortest come first. Among all other tasks, the shortest come first, and
+// a long wait raises a task's priority.
 func (p *Planner) newCandidate(index int) candidate {
 	task := &p.tasks[index]
 	if task.Gang {
@@ -96,9 +96,9 @@
 	return c
 }
 
-// latenessOf returns the lateness of a task that starts now and runs for runtime seconds. A long-running task has no end
-// that could be late. An aged task counts as late: not as expired, so that it doesn't starve, and not as on time, so that
-// it doesn't make another task miss its objective.
+// latenessOf returns the lateness of a task that starts now and runs for runtime seconds. A long-running task has no
+// deadline, so it is on time. An aged task is treated as late: not as expired, so that it doesn't starve, and not as on
+// time, so that it doesn't make another task miss its objective.
 func latenessOf(task *Task, runtime float64) lateness {
 	switch {
 	case task.LongRunning:
--- a/internal/cluster/placement/doc.go
+++ b/internal/cluster/placement/doc.go
@@ -13,7 +13,7 @@
 //
 //  1. Snapshot (snapshot.go, runnerstate.go). The round copies the state of the runners. It updates the copy with each task
 //     that it places, so that it never places more than fits.
-//  2. Selection (selection.go, candidate.go). It ranks the tasks, and selects a bounded number of them in order of rank.
+//  2. Selection (selection.go, candidate.go). It ranks the tasks, and selects the first ones, up to fixed limits.
 //  3. Units (unit.go, plan.go). It places gangs and large tasks first, so that small tasks don't take the capacity that
 //     they need at once. All members of a gang are placed together, or none.
 //  4. Reservation (reservation.go). It reserves capacity for a unit that must wait. Other tasks of the same or a lower
@@ -30,8 +30,8 @@
 // most of the service is free, one of its tasks may ignore reservations and the reliability of runners
 // (candidate.starving). The caller promotes tasks that have long expired (Task.Aged), which then rank as late ones.
 //
-// The package is pure: it decides only on what is passed to its calls. It does no I/O, reads no clock and starts no
-// goroutine. The same calls in the same order lead to the same decisions, so that simulations can be repeated. This
-// includes the order of iterations and of floating-point additions. The caller carries the decisions out, and reports
-// runtimes to the Predictor. A Planner and its Predictor may be used by one goroutine at a time.
+// The package is pure: its decisions depend only on the arguments of its calls. It does no I/O, reads no clock and
+// starts no goroutine. The same calls in the same order lead to the same decisions, so that simulations can be
+// repeated. This includes the order of iterations and of floating-point additions. The caller carries the decisions
+// out, and reports runtimes to the Predictor. A Planner and its Predictor may be used by one goroutine at a time.
 package placement
--- a/internal/cluster/placement/filter.go
+++ b/internal/cluster/placement/filter.go
@@ -6,7 +6,7 @@
 	return r.hasCapacityFor(c.task) && p.passesReliability(c, r) && p.respectsReservation(c, r)
 }
 
-// passesReliability reports whether a task may start on a runner as far as its reliability is concerned. A task avoids an
+// passesReliability reports whether the reliability of a runner allows a task to start there. A task avoids an
 // unreliable runner unless it is starving, no reliable runner could ever run it, or nearly all runners are unreliable.
 //
 // An unreliable runner without a run still gets a single task as a probe, because its failure score only falls when runs
@@ -33,22 +33,22 @@
 	return c.reliableAlternative == yes
 }
 
-// bypassesSoftFilters reports whether a task may ignore reliability and reservations because its step is starving. Once the
-// round has placed one task of the step, the step is no longer starving, and the others obey the filters. A gang is planned
-// before any member is placed, so that all its members bypass them.
+// bypassesSoftFilters reports whether a task may ignore reliability and reservations because its step is starving. Once
+// the round has placed one task of the step, the step is no longer starving, and its other tasks obey the filters. A
+// gang is planned before any member is placed, so all its members bypass the filters.
 func (p *Planner) bypassesSoftFilters(c *candidate) bool {
 	return c.starving && !p.servedStarving[c.task.Group]
 }
 
-// respectsReservation reports whether a task may start on a runner as far as the runner's reservation for another unit is
-// concerned. As in EASY backfilling, it may if it doesn't delay that unit:
+// respectsReservation reports whether a runner's reservation for another unit allows a task to start there. As in EASY
+// backfilling, it does if the task doesn't delay that unit:
 //
-//   - it ends before the unit needs the capacity (neededIn); or
-//   - it fits into the capacity that is free in addition to what the unit needs (spare).
+//   - the task ends before the unit needs the capacity (neededIn); or
+//   - the task fits into the capacity that remains free beyond the unit's needs (spare).
 //
-// It may also if its priority is higher than the unit's, or if its step is starving. An expired task gets no advantage
-// from its priority. Instead of the reservations of this round it respects those of an earlier round at the same time, in
-// which the unexpired tasks took part.
+// The task may also start if its priority is higher than the unit's, or if its step is starving. An expired task gets
+// no advantage from its priority. It respects the reservations of the earlier round at the same time, which placed the
+// unexpired tasks, instead of the reservations of this round.
 func (p *Planner) respectsReservation(c *candidate, r *runnerState) bool {
 	reserved := &r.reserved
 	if c.lateness == expired {
--- a/internal/cluster/placement/gang_test.go
+++ b/internal/cluster/placement/gang_test.go
@@ -10,7 +10,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// gangOf returns the members of a gang, each of which needs 15 cores.
+// gangOf returns the members of a gang. Each needs 15 cores.
 func gangOf(count int, change ...func(*Task)) []Task {
 	return tasksOfStep("g", count, func(t *Task) {
 		t.Gang, t.Needs, t.SizeMs = true, cpu(15), 4000
@@ -203,7 +203,7 @@
 	})
 })
 
-// testFleet simulates runners on which each task runs for as long as predicted.
+// testFleet simulates runners. Each task runs for its predicted runtime.
 type testFleet struct {
 	running [][]testRun
 }
--- a/internal/cluster/placement/linearfit.go
+++ b/internal/cluster/placement/linearfit.go
@@ -4,7 +4,7 @@
 	maxFitRuns     = 200.0 // approximate number of runs that a fit remembers; older ones lose weight exponentially
 	fitPriorRuns   = 1.0   // weight of the size itself as a prediction, in runs
 	priorSlope     = 0.5   // slope before any run is observed: the part of a difference in sizes that shows in runtimes
-	slopePriorRuns = 3.0   // weight of priorSlope in runs, each with a size that deviates from the mean by half of it
+	slopePriorRuns = 3.0   // weight of priorSlope, in runs with sizes that deviate from the mean by half of the mean
 	maxSlope       = 2.0   // hints often overstate differences in runtime, but rarely understate them by more than this
 )
 
--- a/internal/cluster/placement/matching.go
+++ b/internal/cluster/placement/matching.go
@@ -8,9 +8,9 @@
 const (
 	maxBatchTasks        = 32 // largest number of tasks in one matching
 	maxColumns           = 96 // approximate largest number of columns in one matching
-	maxUnfilteredRunners = 48 // largest number of runners at which all of them take part in each matching
+	maxUnfilteredRunners = 48 // up to this number of runners, all of them take part in each matching
 	spareColumns         = 4  // slots that are selected for a group of equivalent tasks beyond one for each task
-	maxAttempts          = 3  // largest number of matchings in one round in which a task takes part
+	maxAttempts          = 3  // largest number of matchings that a task takes part in during one round
 
 	// A task may wait for a better runner only if its expected runtime on the matched one is more than minSlowdownToWait
 	// times the shortest one on any runner, and the cost of waiting is less than maxWaitCostRatio times the cost of the
@@ -31,7 +31,7 @@
 	cheapest   []pairing      // buffer of selectCheapest
 	pairings   []pairing      // solution of the matching
 
-	bestRuntimeOf *candidate // candidate for which bestRuntime was computed; nil: none
+	bestRuntimeOf *candidate // candidate of bestRuntime; nil: bestRuntime hasn't been computed
 	bestRuntime   float64    // see Planner.bestRuntime
 }
 
@@ -45,8 +45,9 @@
 // assignSingles places the candidates of one priority that are neither large nor members of gangs:
 //
 //  1. It places the long-running ones, one by one.
-//  2. It matches the others in batches, in order of rank, until each is placed or has taken part in maxAttempts matchings.
-//  3. It makes those that weren't placed candidates for preemption.
+//  2. It matches all others in batches, in order of rank, until each is placed or has taken part in maxAttempts
+//     matchings.
+//  3. It makes the tasks that weren't placed candidates for preemption.
 func (p *Planner) assignSingles(level []*candidate) {
 	for _, c := range level {
 		if c.task.LongRunning && !c.task.Gang {
@@ -114,8 +115,9 @@
 	}
 }
 
-// offerFreeCapacity makes the columns: for each runner that takes part, as many as its free capacity has slots for that
-// task of the batch of which most fit. The number for one runner is limited so that all columns are about maxColumns.
+// offerFreeCapacity makes the columns. Each runner that takes part gets one column for each task that fits into its free
+// capacity. If the tasks of the batch differ, the task that fits there most often determines the number. The number for
+// one runner is limited so that all columns are about maxColumns.
 func (p *Planner) offerFreeCapacity() {
 	m := &p.matching
 	p.selectRunners()
@@ -197,13 +199,14 @@
 	}
 }
 
-// repeatsRow reports whether the task of a row is equivalent to that of the row before, so that results for that row can be
+// repeatsRow reports whether a row and the row before have equivalent tasks, so that results for that row can be
 // reused.
 func (m *batchMatching) repeatsRow(row int) bool {
 	return row > 0 && equivalent(m.batch[row], m.batch[row-1])
 }
 
-// countEquivalent returns the number of adjacent tasks, from the given row on, that are equivalent to that of the row.
+// countEquivalent returns the number of adjacent rows, from the given row on, with tasks equivalent to the given row's
+// task.
 func (m *batchMatching) countEquivalent(row int) int {
 	count := 1
 	for row+count < len(m.batch) && equivalent(m.batch[row], m.batch[row+count]) {
@@ -253,9 +256,10 @@
 	}
 }
 
-// assignBatch solves the matching and places its pairings, the cheapest first. Some pairings don't fit any more when
-// their turn comes, because a column may be too small a slot for the task and each placement changes what the filters
-// see. Their tasks take part in the next matching. A task that should wait for a better runner takes part in no other.
+// assignBatch solves the matching and places its pairings, the cheapest first. Some pairings no longer fit when their
+// turn comes, because a column may be too small a slot for the task and each placement changes what the filters see.
+// Their tasks take part in the next matching. A task that should wait for a better runner takes part in no further
+// matching of the round.
 func (p *Planner) assignBatch() {
 	m := &p.matching
 	m.pairings = m.pairings[:0]
@@ -277,8 +281,8 @@
 	}
 }
 
-// shouldWait reports whether a task should wait for a better runner that is expected to be free soon, such as one near
-// its data or one that isn't slow, instead of starting on r. It should if all of these hold:
+// shouldWait reports whether a task should wait for a better runner that is expected to be free soon, such as a runner
+// near its data or a faster runner, instead of starting on r. It should if all of these hold:
 //
 //   - the task isn't starving;
 //   - its expected runtime on r exceeds minSlowdownToWait times the shortest expected runtime on any runner;
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -40,7 +40,8 @@
 	return task
 }
 
-// runnerOf returns a runner of 16 cores without runs. Its free capacity is what the runs leave that change adds.
+// runnerOf returns a runner of 16 cores without runs. Its free capacity is its capacity less the needs of the runs that
+// change adds.
 func runnerOf(id string, change ...func(*Runner)) Runner {
 	runner := Runner{ID: id, Kind: "a", Rack: "r1", Zone: "z1", Labels: []string{"a", "r1"},
 		Capacity: cpu(16), Slowness: 1, GroupCount: map[any]int{}}
--- a/internal/cluster/placement/plan.go
+++ b/internal/cluster/placement/plan.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-const maxRacks = 16 // largest number of racks for each of which a plan is made
+const maxRacks = 16 // largest number of racks that get a plan each
 
 // slot is capacity for members of a unit on one runner, which is available from a time on.
 type slot struct {
 	runner  *runnerState
-	count   int     // number of members for which there is capacity
+	count   int     // number of members that fit
 	start   float64 // time from which on the capacity is available, in seconds from now
 	runtime float64 // expected runtime of a member on the runner, in seconds
-	cost    float64 // order in which slots are used: the cost of a member for a start now, start + runtime for a later start
+	cost    float64 // slots are used in order of cost: that of a member for a start now, start + runtime for a later start
 }
 
 // plan is one way to start all members of a unit at the same time.
@@ -38,7 +38,7 @@
 	p.choosePlan(u, best, func(a, b *plan) bool { return a.cost < b.cost })
 }
 
-// planLater sets best to the plan whose expected end is earliest, among plans that start the unit as runs end.
+// planLater sets best to the plan with the earliest expected end, among plans that start the unit as runs end.
 func (p *Planner) planLater(u *unit, best *plan) {
 	p.collectSlotsLater(u)
 	p.choosePlan(u, best, func(a, b *plan) bool { return a.end() < b.end() })
@@ -60,8 +60,9 @@
 	}
 }
 
-// collectSlotsLater collects the slots in which the unit's members could start as runs end: for each runner, one slot for
-// the first member, one for the second, and so on, each with the time from which on there is capacity for that many.
+// collectSlotsLater collects the slots in which the unit's members could start as runs end. Each runner gets one slot
+// for its first member, one for its second member, and so on. A slot starts when there is capacity for its member and
+// all earlier members.
 func (p *Planner) collectSlotsLater(u *unit) {
 	p.planning.slots = p.planning.slots[:0]
 	c := u.first()
@@ -84,8 +85,9 @@
 // choosePlan sets best to the best plan from the collected slots, by the given comparison. best is infeasible if there
 // are too few slots.
 //
-// The first plan uses the cheapest slots in any racks. For a rack-local gang, choosePlan also makes a plan within each of
-// up to maxRacks racks. It takes the racks in the order in which the cheapest slots of one rack suffice for all members.
+// The first plan uses the cheapest slots in any racks. For a rack-local gang, choosePlan also makes plans within single
+// racks, for at most maxRacks racks. It goes through the slots from the cheapest on, and makes the plan of a rack once
+// the rack's slots so far suffice for all members.
 func (p *Planner) choosePlan(u *unit, best *plan, better func(a, b *plan) bool) {
 	best.start = math.Inf(1)
 	slots, members := p.planning.slots, len(u.members)
@@ -111,7 +113,7 @@
 	}
 }
 
-// tryRack makes a plan from those of the slots that are in a rack, and replaces best with it if it is better.
+// tryRack makes a plan from the slots in one rack, and replaces best with it if it is better.
 func (p *Planner) tryRack(u *unit, rack int, slots []slot, best *plan, better func(a, b *plan) bool) {
 	g := &p.planning
 	g.rackSlots = g.rackSlots[:0]
@@ -126,7 +128,7 @@
 	}
 }
 
-// countMembers returns the number of members for which the slots have capacity.
+// countMembers returns the number of members that fit into the slots.
 func countMembers(slots []slot) (members int) {
 	for i := range slots {
 		members += slots[i].count
--- a/internal/cluster/placement/planner.go
+++ b/internal/cluster/placement/planner.go
@@ -15,7 +15,7 @@
 	reservations map[any]*reservationRecord // by reservation key
 	solver       assignment.Solver
 
-	// State of the current round, whose buffers the next round reuses.
+	// State of the current round. The next round reuses its buffers.
 	now     time.Duration
 	tasks   []Task
 	runners []Runner
--- a/internal/cluster/placement/predictor.go
+++ b/internal/cluster/placement/predictor.go
@@ -7,7 +7,7 @@
 
 const (
 	unknownSizeMs         = 1000.0 // size of a task without a hint in a queue without observed runs
-	minRuntimeMs          = 1.0    // shorter runtimes, observed or predicted, count as this
+	minRuntimeMs          = 1.0    // shorter runtimes, observed or predicted, are raised to this
 	defaultNonLocalFactor = 1.5    // nonLocalFactor of a predictor on which SetNonLocalFactor wasn't called
 )
 
@@ -17,18 +17,18 @@
 // As in the Kairos paper (end of section 5.1), each queue starts with a linear fit of the runtime to the size. A table by
 // kind of runner and size takes over as it fills. This package adds two things, because hints may be very inaccurate:
 //
-//   - Runs with exactly the same hint have the largest weight, because most of them are tasks of one step.
+//   - Runs with the same hint as the task have the largest weight, because most of them are tasks of one step.
 //   - The slope of the fit reflects how well the hints have predicted differences in runtime. If the hints are noise, the
 //     slope is near 0, and the prediction is near the mean of the queue.
 //
-// A Predictor never forgets queues and kinds, of which there are few. It may be used by one goroutine at a time.
+// A Predictor never forgets queues and kinds, because there are few. It may be used by one goroutine at a time.
 type Predictor struct {
 	nonLocalFactor float64
 	queues         map[string]*queueModel    // by queue
 	kinds          map[string]*ratioEstimate // by kind: runtimes on the kind over base runtimes, in all queues
 }
 
-// NewPredictor returns a predictor without observed runs, whose predictions are the hints.
+// NewPredictor returns a predictor without observed runs. It predicts the hints until it observes runs.
 func NewPredictor() *Predictor {
 	return &Predictor{nonLocalFactor: defaultNonLocalFactor, queues: map[string]*queueModel{}, kinds: map[string]*ratioEstimate{}}
 }
--- a/internal/cluster/placement/predictor_test.go
+++ b/internal/cluster/placement/predictor_test.go
@@ -11,7 +11,7 @@
 
 func ms(value float64) time.Duration { return time.Duration(value * float64(time.Millisecond)) }
 
-// near reports whether a prediction deviates from the wanted one by at most a fraction of it.
+// near reports whether a prediction deviates from wantMs by at most the fraction tolerance of wantMs.
 func near(got time.Duration, wantMs, tolerance float64) bool {
 	return math.Abs(milliseconds(got)-wantMs) <= tolerance*wantMs
 }
--- a/internal/cluster/placement/preemption.go
+++ b/internal/cluster/placement/preemption.go
@@ -21,11 +21,12 @@
 type preemption struct {
 	unschedulable []unit
 	singles       []*candidate // backing array of the members of units with one task
-	evictions     []eviction   // evictions for the current unit, the one that loses the least work first
+	evictions     []eviction   // evictions for the current unit, in ascending order of lost work
 	victims       []int        // victims of the evictions: indices into Runner.Running of their runners
 }
 
-// eviction is a set of runs on one runner (its victims) whose stop makes enough capacity free for one member of a unit.
+// eviction is a set of runs on one runner (its victims). Stopping them makes enough capacity free for one member of a
+// unit.
 type eviction struct {
 	runner      *runnerState
 	lost        float64 // work that the victims lose, in core-seconds
@@ -50,11 +51,11 @@
 }
 
 // preempt stops runs of lower priority for units that couldn't be placed and would miss their objectives by waiting. It
-// considers the units in order of priority, without long-running ones and without those that can't meet their objectives
+// considers the units in order of priority. It skips long-running units, and units that can't meet their objectives
 // anyway.
 //
 // It preserves two invariants. A stopped run has a lower priority than the unit, is neither in a gang nor long-running,
-// and isn't being stopped already. And no capacity is counted on by two units: capacity for which one unit waits is
+// and isn't being stopped already. No two units wait for the same capacity: the capacity for which one unit waits is
 // committed to it.
 func (p *Planner) preempt() {
 	if len(p.preemption.unschedulable) == 0 {
@@ -84,7 +85,7 @@
 }
 
 // preemptFor preempts runs for a unit, unless the unit can be on time if it waits for runs to end. In both cases it
-// commits the capacity for which the unit then waits, so that the next unit doesn't count on the same capacity.
+// commits the capacity for which the unit then waits, so that the next unit doesn't wait for the same capacity.
 func (p *Planner) preemptFor(u *unit) {
 	c := u.first()
 	later := &p.planning.later
@@ -208,8 +209,8 @@
 	return free, first
 }
 
-// reprieveVictims removes victims without which the task still fits, trying those that lose the most work first, and
-// returns the number of victims that remain. free is the capacity that is free if all victims stop.
+// reprieveVictims removes victims if the task still fits without stopping them. It tries the victims with the most lost
+// work first, and returns the number that remain. free is the capacity that is free if all victims stop.
 func reprieveVictims(r *runnerState, victims []int, free, needs protocol.Resources) int {
 	count := len(victims)
 	for i := count - 1; i >= 0; i-- {
--- a/internal/cluster/placement/property_test.go
+++ b/internal/cluster/placement/property_test.go
@@ -100,7 +100,7 @@
 	checkStops(t, tasks, runners, result)
 }
 
-// placementRules checks the placements of a round, and has what the checked ones use.
+// placementRules checks the placements of a round one by one, and records the effects of the checked placements.
 type placementRules struct {
 	tasks    []Task
 	runners  []Runner
--- a/internal/cluster/placement/queuemodel.go
+++ b/internal/cluster/placement/queuemodel.go
@@ -5,7 +5,7 @@
 const (
 	rowsPerOctave  = 2   // rows of the table for each doubling of the size
 	tableRows      = 48  // rows of the table; the first one is for sizes about 1 ms and below
-	maxHints       = 128 // largest number of different hints in a queue whose runs are averaged by hint
+	maxHints       = 128 // largest number of hints for which a queue keeps an average runtime each
 	minOutlierRuns = 6.0 // number of runs in a queue from which on the runtimes of further runs are limited
 	outlierFactor  = 4.0 // runtimes are limited to this many times the prediction, and to the prediction divided by this
 
--- a/internal/cluster/placement/release.go
+++ b/internal/cluster/placement/release.go
@@ -10,7 +10,7 @@
 
 const (
 	// A run that is about to exceed its predicted runtime, or has exceeded it, is expected to continue for
-	// overdueFraction of the time for which it has run, and for at least minOverdue seconds.
+	// overdueFraction of its runtime so far, and for at least minOverdue seconds.
 	overdueFraction = 0.1
 	minOverdue      = 0.2
 	// assumedRun is the release.run of a task that was placed in this round.
--- a/internal/cluster/placement/reservation.go
+++ b/internal/cluster/placement/reservation.go
@@ -7,34 +7,33 @@
 )
 
 const (
-	maxReservationAge  = 10 * time.Second // longest time for which rounds reserve capacity for a unit without a pause
+	maxReservationAge  = 10 * time.Second // longest time that rounds reserve capacity for a unit without a pause
 	reservationBackoff = 3 * time.Second  // length of the pause after that
 	reservationExpiry  = 10 * time.Second // time since a unit last needed a reservation after which its record is removed
 	maxReservations    = 6                // largest number of units with a record, and so with a reservation
 )
 
 // Reservation is capacity of one runner that a round reserves for a unit that must wait. It is a reservation as in EASY
-// backfilling: neededIn is the shadow time, spare the extra capacity. The zero Reservation reserves nothing.
+// backfilling: neededIn is the shadow time, spare the extra capacity. The zero Reservation reserves no capacity.
 type Reservation struct {
 	key      any                // reservation key of the unit; nil: there is no reservation
 	priority int                // priority of the unit
 	neededIn float64            // time at which the unit is expected to start, in seconds from now
-	spare    protocol.Resources // capacity expected to be free at that time in addition to what the unit needs
+	spare    protocol.Resources // capacity expected to be free at that time beyond the unit's needs
 }
 
-// isForOther reports whether the reservation is for another unit than the one with the given key.
+// isForOther reports whether the runner is reserved for a unit with another key than the given one.
 func (r *Reservation) isForOther(key any) bool { return r.key != nil && r.key != key }
 
-// reservationRecord limits the time for which rounds reserve capacity for a unit. startedAt is the time of the first
-// reservation, or of the first one after the latest pause. lastSeen is the time of the latest round that tried to reserve
-// capacity for the unit.
+// reservationRecord limits how long rounds reserve capacity for a unit. startedAt is the time of the first reservation
+// since the latest pause, if any. lastSeen is the time of the latest round that tried to reserve capacity for the unit.
 type reservationRecord struct {
 	startedAt, lastSeen time.Duration
 }
 
 // reserve reserves the capacity of a plan for a later start, if mayReserve. A runner is reserved for one unit at most,
-// because collectSlotsLater skips runners that are reserved for another one. Planner.respectsReservation has the rules
-// for other tasks.
+// because collectSlotsLater skips runners that are reserved for another unit. The rules for other tasks are in
+// Planner.respectsReservation.
 func (p *Planner) reserve(u *unit, later *plan) {
 	if !p.mayReserve(u) {
 		return
--- a/internal/cluster/placement/resources.go
+++ b/internal/cluster/placement/resources.go
@@ -7,7 +7,8 @@
 	milliCoresPerCore = 1000.0
 )
 
-// fits reports whether needs fit into free. Negative free capacity, of an overcommitted runner, fits nothing.
+// fits reports whether needs fit into free. If a resource of free is negative, because the runner is overcommitted, no
+// needs fit.
 func fits(free, needs protocol.Resources) bool {
 	return needs.CPU <= free.CPU && needs.MemoryMB <= free.MemoryMB && needs.GPU <= free.GPU
 }
@@ -22,7 +23,7 @@
 	return maxFittingOf(free.GPU, needs.GPU, limit)
 }
 
-// maxFittingOf is maxFitting for one resource, of which free isn't negative.
+// maxFittingOf is maxFitting for one resource. free must not be negative.
 func maxFittingOf(free, need int64, limit int) int {
 	if need <= 0 {
 		return limit
@@ -42,7 +43,7 @@
 	sum.GPU -= less.GPU
 }
 
-// cores converts resources to cores. An accelerator counts as coresPerGPU cores; memory doesn't count.
+// cores converts resources to cores. An accelerator is worth coresPerGPU cores; memory is ignored.
 func cores(r protocol.Resources) float64 {
 	return float64(r.CPU)/milliCoresPerCore + coresPerGPU*float64(r.GPU)
 }
--- a/internal/cluster/placement/scenario_test.go
+++ b/internal/cluster/placement/scenario_test.go
@@ -15,10 +15,10 @@
 
 const (
 	arrivalPeriod      = 34 * time.Second // during which jobs arrive
-	drainPeriod        = 60 * time.Second // simulated time after the arrivals, in which most jobs end
+	drainPeriod        = 60 * time.Second // simulated time after the arrivals, long enough for most jobs to end
 	scenarioTick       = 20 * time.Millisecond
 	orderDelay         = 80 * time.Millisecond  // time from a round to the start on the runner
-	reportDelay        = 60 * time.Millisecond  // time from the end of a run until its capacity counts as free
+	reportDelay        = 60 * time.Millisecond  // time from the end of a run until its capacity is treated as free
 	stopDelay          = 400 * time.Millisecond // time from a round to the end of a run that it stops
 	trueNonLocalFactor = 1.5                    // actual slowdown outside the rack of the data, or of a gang across racks
 )
@@ -38,8 +38,8 @@
 	priority          int           // 0 is the highest
 	target            time.Duration // target latency of the queue
 	extension         float64       // extension factor of the queue
-	checkpointing     float64       // fraction whose runs write checkpoints
-	localFraction     float64       // fraction whose data is in a rack
+	checkpointing     float64       // fraction of jobs with runs that write checkpoints
+	localFraction     float64       // fraction of jobs with data in a rack
 	gang              bool
 	rackLocalFraction float64 // fraction of gangs that are rack-local
 	longRunning       bool
@@ -315,9 +315,9 @@
 	}
 }
 
-// valueOf returns the value of a job and the part of it that was earned. The value of a job rises with its work. All of
-// it is earned by the objective, a part up to three times the objective, and nothing later. A long-running job earns the
-// fraction of the time for which its tasks have run.
+// valueOf returns the value of a job and the earned part of it. The value of a job rises with its work. A job that ends
+// by its objective earns its whole value. A later job earns a part of it if it ends within three times the objective,
+// and no value after that. A long-running job earns the fraction of the time that its tasks have run.
 func (d *scenario) valueOf(job *scenarioJob) (value, earned float64) {
 	c := job.class
 	if c.longRunning {
--- a/internal/cluster/placement/score.go
+++ b/internal/cluster/placement/score.go
@@ -6,11 +6,11 @@
 const (
 	timeLeftFraction   = 0.98 // the paper's xi: a pairing is late if its runtime exceeds this part of the task's time left
 	latePenaltyFactor  = 10   // cost of a late pairing, divided by the round's largest time left (equation 8)
-	minLargestTimeLeft = 1.0  // seconds; a smaller largest time left counts as this
+	minLargestTimeLeft = 1.0  // in seconds; a smaller largest time left is raised to this
 )
 
-// Additions to the cost of the paper. Two change the runtime. The weights are fractions of the runtime that are added to
-// the cost of a pairing, and so choose among pairings whose costs by the paper are nearly equal.
+// Additions to the cost of the paper. The first two make the runtime longer. The weights are fractions of the runtime
+// that are added to the cost of a pairing, so they choose among pairings with nearly equal costs by the paper.
 const (
 	failureScoreWeight = 2.0  // the expected runtime is longer by this factor times the runner's failure score
 	warmingUpFraction  = 0.5  // the runtime on a runner that warms up is longer by this fraction of the rest of the warm-up
@@ -18,8 +18,8 @@
 	packWeight         = 0.02 // prefers the runner with the least capacity left over, so that large tasks fit on others
 	sameStepWeight     = 0.01 // prefers a runner with tasks of the same step, so that the loss of a runner affects fewer jobs
 	gpuWasteWeight     = 0.05 // avoids accelerators for tasks that don't need any
-	spreadWeight       = 0.3  // avoids other long-running tasks on the runner; for each of them
-	rackWeight         = 0.05 // avoids other long-running tasks in the rack; for each of them
+	spreadWeight       = 0.3  // avoids other long-running tasks on the runner; added for each of them
+	rackWeight         = 0.05 // avoids other long-running tasks in the rack; added for each of them
 	forbiddenCost      = 1e7  // cost of a pairing that the filters forbid
 )
 
@@ -101,7 +101,7 @@
 	return pairingCost(p.weights[r.kind], runtime, c.timeLeft, p.largestTimeLeft) + runtime*p.preference(c, r)
 }
 
-// preference returns the cost of a pairing beyond that of the paper, as a fraction of the runtime. A lower value is
+// preference returns the additions to the paper's cost of a pairing, as a fraction of the runtime. A lower value is
 // better. A long-running task prefers the runner with the most capacity left over, and avoids other long-running tasks.
 func (p *Planner) preference(c *candidate, r *runnerState) float64 {
 	task := c.task
--- a/internal/cluster/placement/score_test.go
+++ b/internal/cluster/placement/score_test.go
@@ -25,7 +25,8 @@
 	p.selectCandidates()
 }
 
-// observeKinds reports runs of a queue whose runtimes equal their hints on kind a, and slower times their hints on kind b.
+// observeKinds reports runs of a queue. Their runtimes equal their hints on kind a, and slower times their hints on
+// kind b.
 func observeKinds(p *Planner, queue string, slower float64) {
 	for range 60 {
 		for _, size := range []float64{500, 1000, 2000, 4000} {
--- a/internal/cluster/placement/selection.go
+++ b/internal/cluster/placement/selection.go
@@ -13,7 +13,7 @@
 	maxLarge       = 40  // largest number of large tasks in a round
 )
 
-// selection has the candidates of the current round, those that take part, and data derived from them.
+// selection has the candidates of the current round, the selected ones among them, and data derived from both.
 type selection struct {
 	runtimes        []float64    // predicted runtimes in seconds, by task and kind: see Planner.runtimesOf
 	weights         []float64    // heterogeneity coefficients C_j (Kairos, definition 1), by kind
@@ -22,7 +22,7 @@
 	largestTimeLeft float64      // of the selected candidates, in seconds
 	firstOfGang     map[any]int  // index of the first task of each gang, by group
 	shapes          map[shape]shapeFacts
-	servedStarving  map[any]bool // groups of which the round has placed a starving task
+	servedStarving  map[any]bool // groups with a starving task that the round has placed
 }
 
 func newSelection() selection {
@@ -41,9 +41,9 @@
 	large       bool // the task needs at least minLargeFraction of each runner that could run it
 }
 
-// selectCandidates ranks the tasks and selects those that take part in the round, up to the limits for each sort of task.
-// A task for which no runner has free capacity doesn't count towards maxSingles, so that such tasks don't keep those
-// behind them out of the round. It only takes part in preemption.
+// selectCandidates ranks the tasks and selects the candidates that take part in the round, up to the limits for each
+// sort of task. If no runner has free capacity for a task, the task takes part only in preemption. It doesn't count
+// towards maxSingles, so that such tasks don't keep tasks of lower rank out of the round.
 func (p *Planner) selectCandidates() {
 	p.candidates = slices.Grow(p.candidates[:0], len(p.tasks))[:len(p.tasks)]
 	clear(p.firstOfGang)
--- a/internal/cluster/placement/snapshot.go
+++ b/internal/cluster/placement/snapshot.go
@@ -9,7 +9,7 @@
 const (
 	minUnreliableScore   = 0.5  // failure score from which on a runner is unreliable, so that tasks avoid it
 	maxUnhealthyFraction = 0.67 // if a larger fraction of the runners is unreliable, no runner is avoided (fail open)
-	minSlowness          = 0.05 // a smaller slowness counts as this one
+	minSlowness          = 0.05 // a smaller slowness is raised to this
 )
 
 // snapshot is the state of the runners at the start of the round, with the tasks that the round has placed since.
--- a/internal/cluster/placement/types.go
+++ b/internal/cluster/placement/types.go
@@ -22,7 +22,7 @@
 	Affinity      string        // rack of the task's data; empty: no preference
 	Group         any           // identifies the step of the task; comparable
 	AntiAffinity  int           // largest number of tasks of Group on one runner; 0: no limit
-	Gang          bool          // the task starts together with all other tasks of Group, or not at all
+	Gang          bool          // all tasks of Group start together, or none does
 	RackLocal     bool          // only for a gang: it runs NonLocalFactor times longer if its members are in several racks
 	LongRunning   bool          // the task runs until it is stopped
 	HasCheckpoint bool          // the task resumes from a checkpoint
@@ -44,7 +44,7 @@
 	Draining     bool               // no task may be started on the runner
 
 	GroupCount map[any]int // number of running tasks by Group
-	Running    []Run       // runs whose ends release capacity; some of them may be preempted
+	Running    []Run       // runs that release capacity when they end; some of them may be preempted
 	Reserved   Reservation // reservation of an earlier round at the same time; only expired tasks respect it
 }
 
--- a/internal/cluster/placement/unit.go
+++ b/internal/cluster/placement/unit.go
@@ -8,7 +8,7 @@
 	maxWaitEndRatio  = 0.9                    // a unit waits only if it then ends before this fraction of its runtime now
 )
 
-// unit is a set of tasks that the round places together or not at all: the members of a gang, or one task.
+// unit is the members of a gang, or one other task. The round places all tasks of a unit together, or none.
 type unit struct {
 	members []*candidate // at least one; the members of a gang have the same needs, constraints and predictions
 }
@@ -24,7 +24,7 @@
 	slots       []slot // slots on all runners
 	rackSlots   []slot // slots on the runners of one rack
 	rackPlan    plan   // plan from rackSlots
-	slotsInRack []int  // number of members for which there are slots, by rack
+	slotsInRack []int  // number of members that fit into the slots, by rack
 	now, later  plan
 }
 
