--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -16,8 +16,8 @@
 const Unmatched = -1
 
 // noColumnCost is the cost of a dummy column. If there are fewer columns than rows, dummy columns make up the
-// difference, and a row that gets one of them is unmatched. Real costs must be well below it: then no row gets a dummy
-// column while a real one is free.
+// difference, and a row with a dummy column is unmatched. Real costs must be well below noColumnCost: then no row gets
+// a dummy column while a real one is free.
 const noColumnCost = 1e9
 
 // Solve returns the column of each row in a minimum-cost assignment, or Unmatched. costs is indexed by row, then
--- a/internal/dispatcher/coordinator/attempt_test.go
+++ b/internal/dispatcher/coordinator/attempt_test.go
@@ -13,12 +13,11 @@
 	"ospreypond/policy"
 )
 
-// dialingEgress is an Egress whose attempts call Begin only when the test allows it, as if they were still being
-// dialed.
+// dialingEgress is an Egress that simulates slow dialing: its attempts call Begin only when the test allows it.
 type dialingEgress struct {
 	*fakeEgress
 	began chan error // the result of Begin
-	allow chan bool  // false: the attempt goes on without a call of Begin
+	allow chan bool  // false: the attempt continues without a call of Begin
 	ended chan error // the cause of the end of the attempt's context
 }
 
--- a/internal/dispatcher/coordinator/coordinator.go
+++ b/internal/dispatcher/coordinator/coordinator.go
@@ -47,14 +47,14 @@
 	done      chan struct{}
 
 	// Run's goroutine owns the fields below.
-	modules      []*module // the last one gets new requests; the others decide on their own until these have ended
+	modules      []*module // the last module gets new requests; each earlier one keeps its requests until they have ended
 	closing      bool
 	members      map[string]policy.Member // by name: the list as last received, which a new module starts with
 	fleet        *policy.Event            // the last FleetUpdated, which a new module starts with; nil: none yet
 	jobs         map[uint32]*job
 	nextID       uint32
 	ids          map[string]bool // ids of the open requests and of the last maxRespondedIDs with a response
-	respondedIDs []string        // those of requests with a response: a ring of maxRespondedIDs
+	respondedIDs []string        // ids of requests with a response: a ring of maxRespondedIDs
 	nextEvicted  int             // index in respondedIDs of the oldest id, once the ring is full
 	actions      []policy.Action // of the last step
 	lastStepAt   time.Duration   // time of the last step
@@ -160,9 +160,9 @@
 	})
 }
 
-// UpdateFleet sets the dispatcher numbers for which this dispatcher may use the shares of the fleet's budgets. They are
-// valid for the time validFor from now; after that only its own number is. living is how many dispatchers are assumed
-// to be alive.
+// UpdateFleet sets the dispatcher numbers that this dispatcher may use: it may use their shares of the fleet's budgets.
+// They are valid for the time validFor from now; after that only its own number is valid. living is the number of
+// dispatchers that are assumed to be alive.
 func (c *Coordinator) UpdateFleet(numbers []int, validFor time.Duration, living int) {
 	until := time.Duration(math.MaxInt64)
 	if now := c.clock.now(); validFor < until-now {
--- a/internal/dispatcher/coordinator/coordinator_test.go
+++ b/internal/dispatcher/coordinator/coordinator_test.go
@@ -131,8 +131,8 @@
 	assert.Equal(t, InternalFault, receiveResponse(t, c).Kind)
 }
 
-// A request with the id of another one, which is open or has its response, is neither served nor sent to a runner: the
-// runner would take it for a duplicate. The first request isn't affected.
+// If a request has the id of another request that is open or has its response, it is neither served nor sent to a
+// runner, because the runner would take it for a duplicate. The first request isn't affected.
 func TestDuplicateID(t *testing.T) {
 	coordinator, e := run(t, testSettings())
 	c := submit(context.Background(), coordinator, request(time.Minute))
--- a/internal/dispatcher/coordinator/jobs.go
+++ b/internal/dispatcher/coordinator/jobs.go
@@ -42,7 +42,7 @@
 	j.module.events = append(j.module.events, policy.Event{Kind: policy.ClientDisconnected, ID: j.id})
 }
 
-// disconnect ends a request whose client has disconnected, unless it has its response.
+// disconnect ends a request when its client has disconnected, unless the request already has its response.
 func (c *Coordinator) disconnect(j *job) {
 	if !j.responded {
 		c.respond(j, Response{Kind: ClientDisconnected})
@@ -57,7 +57,7 @@
 	}
 	j.responded, j.responseKind, j.respondedAt = true, response.Kind, time.Now()
 	j.overdueTimer.Stop()
-	for _, attempt := range j.attempts { // nobody waits for attempts without a first byte
+	for _, attempt := range j.attempts { // attempts without a first byte are no longer needed
 		if !attempt.ended && attempt.gate.revoke() {
 			attempt.cancel()
 		}
--- a/internal/dispatcher/coordinator/module.go
+++ b/internal/dispatcher/coordinator/module.go
@@ -25,7 +25,7 @@
 	return len(m.events) > 0 || len(m.timers) > 0 && m.timers[0].at <= now
 }
 
-// takeEvents removes and returns the events for a step at now, those of due timers included.
+// takeEvents removes and returns the events for a step at now, including the events of due timers.
 func (m *module) takeEvents(now time.Duration) []policy.Event {
 	for len(m.timers) > 0 && m.timers[0].at <= now {
 		m.events = append(m.events, policy.Event{Kind: policy.TimerFired, Token: m.timers[0].token})
@@ -50,7 +50,7 @@
 }
 
 // UpdateSettings applies new settings to requests that are submitted after it has returned. Open requests keep theirs.
-// If the settings are invalid, it returns an error and changes nothing.
+// If the settings are invalid, it returns an error and keeps the old settings.
 func (c *Coordinator) UpdateSettings(set policy.Settings) error {
 	d, err := policy.New(set, c.seed)
 	if err != nil {
--- a/internal/dispatcher/coordinator/module_test.go
+++ b/internal/dispatcher/coordinator/module_test.go
@@ -29,8 +29,8 @@
 		coordinator.enqueue(func() { n <- len(coordinator.modules) })
 		return <-n == 2
 	})
-	// The open request's first attempt is rejected. Its own settings allow another one; the new settings allow one
-	// attempt only and don't have class "c".
+	// The open request's first attempt is rejected. Its own settings allow another attempt. The new settings allow only
+	// one attempt and don't have class "c".
 	e.ends <- AttemptEnd{Outcome: policy.Full, Report: policy.NoReport}
 	retry := <-e.attempts
 	assert.Equal(t, "r", retry.Request.ID)
--- a/internal/dispatcher/coordinator/restart.go
+++ b/internal/dispatcher/coordinator/restart.go
@@ -20,7 +20,7 @@
 	c.activate(d, c.settings)
 }
 
-// activate makes d the decision module for new requests. It starts with the present list, fleet and closing state.
+// activate makes d the decision module for new requests. d starts with the current list, fleet and closing state.
 func (c *Coordinator) activate(d *policy.Dispatcher, set policy.Settings) {
 	m := &module{dispatcher: d, settings: set}
 	c.modules = append(c.modules, m)
--- a/internal/dispatcher/coordinator/types.go
+++ b/internal/dispatcher/coordinator/types.go
@@ -33,9 +33,9 @@
 const (
 	Served             ResponseKind = iota // a runner's Result
 	Shed                                   // refused: a retry is harmless
-	Failed                                 // it may have run: nothing is known of its effect
+	Failed                                 // it may have run; its effect is unknown
 	InternalFault                          // failed by a fault of this program; it may have run
-	ClientDisconnected                     // the client has gone, so nobody gets a response
+	ClientDisconnected                     // the client has disconnected, so no response is sent
 	InvalidRequest                         // a runner found the request itself invalid
 	DuplicateID                            // refused: another request, which isn't affected, has the same id
 )
@@ -59,11 +59,11 @@
 	Deadline   time.Time                // when the dispatcher stops waiting
 	OnProgress func(k policy.EventKind) // called with policy.JobStarted and policy.JobProgress
 	// Begin must be called before the attempt's first byte is written to a connection, with that connection's lock
-	// held. If it returns an error, ErrRevoked or ErrTooLate, nothing of the attempt may be written, now or later.
+	// held. If it returns an error (ErrRevoked or ErrTooLate), no byte of the attempt may be written, now or later.
 	Begin func(now time.Time) error
 }
 
-// Errors of Attempt.Begin. An attempt whose first call of Begin fails never runs.
+// Errors of Attempt.Begin. If the first call of Begin fails, the attempt never runs.
 var (
 	ErrRevoked = errors.New("attempt revoked: the request has its response, or its client has disconnected")
 	ErrTooLate = errors.New("the time before which the attempt's first byte had to be written has passed")
--- a/policy/api.go
+++ b/policy/api.go
@@ -95,8 +95,8 @@
 
 	DrainCloseTimeout time.Duration // idle connections to a draining worker close within it; 0: no rule
 
-	// What one crossing of zones, connection handshake or probe costs, in points: the unit of
-	// maxProbeCostPerRequest.
+	// The costs of one crossing of zones, one connection handshake and one probe, in points. A point is
+	// also the unit of maxProbeCostPerRequest.
 	CrossZonePrice, HandshakePrice, ProbePrice float64
 }
 
@@ -131,7 +131,7 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes. NeverRan names those that prove that the attempt never ran.
+// The outcomes. NeverRan lists the outcomes that prove that the attempt never ran.
 const (
 	OK            Outcome = iota // a result arrived
 	Failed                       // the worker responded with an error
@@ -140,7 +140,7 @@
 	ConnectFailed                // no connection could be set up
 	Reset                        // the connection broke
 	Cancelled                    // this scheduler cancelled it, or the worker found the request invalid
-	Moot                         // it ended before any of it was sent
+	Moot                         // it ended before any part of it was sent
 )
 
 // NeverRan reports whether an outcome proves that the attempt never ran.
@@ -185,7 +185,7 @@
 	Slots             float64       // slots that the request occupies at a worker
 	Memory            float64       // memory that it occupies, in the unit of Report.FreeMemory
 	IsRetry           bool          // the client marked the request as a retry
-	Attempt           int           // the number of the attempt among those of the request, from 0
+	Attempt           int           // index of the attempt within its request, from 0
 	Outcome           Outcome
 	Indeterminate     bool          // Outcome, one of NeverRan, may be another request's
 	Elapsed           time.Duration // since the attempt or probe was sent
@@ -194,7 +194,7 @@
 	Token             uint64
 	Worker            string
 	Members           []Member
-	Numbers           []int         // the numbers whose shares of the shared budgets it may use
+	Numbers           []int         // it may use the shares of these in the shared budgets
 	NumbersValidUntil time.Duration // from then on only this scheduler's own number is valid
 	LiveSchedulers    int           // number of schedulers that are assumed to be alive
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,6 +1,6 @@
 package policy
 
-// This file handles the attempts of a request: their starts, their ends, and those that are late.
+// This file handles the attempts of a request: how they start and end, and late attempts.
 //
 // A late attempt may be moved: it is cancelled, and its job gets another attempt at another worker. Moves
 // help only where workers drop cancelled jobs. Where they run them all the same, each move costs a complete
@@ -25,7 +25,7 @@
 	}
 }
 
-// attempt returns the attempt that an event concerns, or nil if it isn't known any more.
+// attempt returns the attempt that an event concerns, or nil if the attempt is unknown.
 func (d *Dispatcher) attempt(e *Event) *attempt {
 	if j := d.jobs[e.ID]; j != nil && e.Attempt >= 0 && e.Attempt < len(j.attempts) {
 		return j.attempts[e.Attempt]
@@ -54,12 +54,12 @@
 	}
 }
 
-// endAttempt records the end of an attempt and what its outcome shows of the worker. Then it drops the job,
-// makes it pending again, or finishes it.
+// endAttempt records the end of an attempt, and the state of the worker that its outcome shows. Then it
+// drops the job, makes it pending again, or finishes it.
 //
-// A rejection shows that no slot is free. A connection that is refused at once shows a restart, and so does
-// the break of a running job's connection if it is the worker's second without a success in between. A
-// timeout counts as a failure of the worker only if it has shown no progress since the send.
+// A rejection shows that no slot is free. A connection that is refused at once shows a restart, and so
+// does the break of a running job's connection if it is the worker's second without a success in between.
+// A timeout is a failure of the worker only if the worker has shown no progress since the send.
 func (d *Dispatcher) endAttempt(e *Event) {
 	a := d.attempt(e)
 	if a == nil || a.ended {
@@ -109,7 +109,7 @@
 	}
 }
 
-// scan checks the open jobs whose check is due, and schedules the next scan for the next check.
+// scan makes the due checks of open jobs, and schedules the next scan for the next check.
 func (d *Dispatcher) scan() {
 	d.scanAt = never
 	d.openJobs = slices.DeleteFunc(d.openJobs, func(j *job) bool { return j.ended })
@@ -129,9 +129,9 @@
 //     cancelled, the worker would run it all the same and its response would be discarded.
 //   - It moves j to another worker, if canMove and the attempt hasn't started or the worker is unresponsive.
 //
-// A worker is unresponsive if it has shown no progress since the send, for the class's latency target halved
-// for each of its recent rejections, twice at most. It hangs, is paused or has vanished, and counts as
-// failing. A worker that is only slow passes this test for most sends.
+// A worker is unresponsive if it has shown no progress since the send for too long: the class's latency
+// target, halved for each of the worker's recent rejections, twice at most. It hangs, is paused or has
+// vanished, so checkJob records a failure of it. A worker that is only slow passes this test for most sends.
 func (d *Dispatcher) checkJob(j *job) {
 	grace := d.cfg.ResponseGrace / 2
 	if j.pending || d.now >= j.deadline+grace {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -25,7 +25,7 @@
 			d := testDispatcher(t, func(s *Settings) { s.ReportsStarts = tt.reports })
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
 			w := d.workers[sendsAt(d, time.Second+d.roundInterval)[0].Worker]
-			w.brokenConns, w.rejections = 1, tt.rejections // a broken connection doesn't count without another one
+			w.brokenConns, w.rejections = 1, tt.rejections // the next broken connection is a failure
 			if tt.starts {
 				d.Step(time.Second+50*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
@@ -77,8 +77,9 @@
 	}
 }
 
-// countMoves runs one scheduler whose jobs wait at workers that report free slots, and returns the number of
-// moves in the second half of the time. If starts is set, a moved job starts at once at the next worker.
+// countMoves runs one scheduler. Its jobs wait at workers that report free slots. countMoves returns the
+// number of moves in the second half of the time. If starts is set, a moved job starts at once at the
+// next worker.
 func countMoves(t *testing.T, starts bool) (moved int) {
 	t.Helper()
 	set := Settings{Schedulers: 1, MinStepInterval: time.Millisecond, ReportsStarts: true, LoadReports: true, MayProbe: true, MayCancel: true,
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// All schedulers together send a warming worker no more than its budget, however many they are, although each
-// has far too many requests, and probes that show free slots allow more than the usual shares.
+// All schedulers together send a warming worker no more than its budget. This holds for any number of
+// schedulers, although each has far too many requests, and probes that show free slots allow more than
+// the usual shares.
 func TestFleetStaysInWarmingBudgetWithReports(t *testing.T) {
 	for _, schedulers := range []int{3, 20, 80, 300} {
 		t.Run(fmt.Sprint(schedulers), func(t *testing.T) {
@@ -132,13 +133,13 @@
 	}
 }
 
-// If few schedulers have requests for a warming worker, the shares of the others stay unused. The few then
-// see free slots by their probes, and send more than their own shares.
+// If few schedulers have requests for a warming worker, the shares of all other schedulers stay unused.
+// The few then see free slots by their probes, and send more than their own shares.
 func TestFleetUsesIdleSharesOfWarmingBudgetWithReports(t *testing.T) {
 	served := func(reports bool) int {
 		f := newFleet(t, 80, reports)
 		f.idle = func(n int) bool { return n%10 > 0 }
-		f.run(f.start+3*time.Second, 250*ms) // 8 schedulers get 32 requests/s, about what the worker can serve
+		f.run(f.start+3*time.Second, 250*ms) // 8 schedulers get 32 requests/s, about the worker's capacity
 		return f.served
 	}
 	if without, with := served(false), served(true); float64(with) < 1.3*float64(without) {
--- a/policy/noreports_test.go
+++ b/policy/noreports_test.go
@@ -42,15 +42,15 @@
 	}
 }
 
-// The slots of a warming worker are estimated from how many jobs ran at once at other workers of its kind.
-// Otherwise its budget would be that of one slot, in which no job of usual size fits.
+// The slots of a warming worker are estimated from how many jobs ran at once at other workers of its
+// kind. Otherwise it would have the budget of one slot, which is too small for any job of usual size.
 func TestWarmingBudgetFollowsTheKindWithoutReports(t *testing.T) {
 	d := withoutReports(t, func(s *Settings) { s.Schedulers = 1 })
 	d.now = 10 * time.Second
 	fresh, other := d.byRank[0], d.byRank[1]
 	fresh.started = d.now
 	d.firstStepAt = 0
-	work := 3 * 0.2 * budgetMargin * 2.0 / (intervalsPerWindow + 1) // what the share of two slots allows
+	work := 3 * 0.2 * budgetMargin * 2.0 / (intervalsPerWindow + 1) // the share of a worker with two slots
 	fresh.budgetInterval, fresh.budgetUsed = d.now/(d.cfg.OverloadWindow/intervalsPerWindow), 1e-9
 	if d.inWarmUpBudget(fresh, work) {
 		t.Fatal("the job fits before any slot was observed")
@@ -90,7 +90,7 @@
 func TestLongFetchesGiveAKeyOneHome(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		took float64 // runtime in seconds, 50 ms of it without the fetch
+		took float64 // runtime in seconds: 50 ms and the fetch
 		all  bool    // every key has a home in the own zone
 	}{{"short", 0.052, true}, {"long", 0.15, false}} {
 		d := withoutReports(t, func(s *Settings) { s.CrossZonePrice = 0.03 })
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,8 +7,8 @@
 //	attempts.go   how attempts start and end; late attempts
 //	workers.go    the list of workers, load reports, free slots, signs of failure
 //	warming.go    workers that are warming up
-//	runtimes.go   runtime estimates, and which workers cache what a request needs
-//	rounds.go     the rounds, in which pending jobs are matched to free slots
+//	runtimes.go   runtime estimates, and the workers that cache a request's data
+//	rounds.go     the rounds: pending jobs are matched to free slots
 //	probes.go     probes, and calls for the list of workers
 
 import (
@@ -26,11 +26,11 @@
 	roundsPerTarget        = 8           // number of rounds within the shortest latency target
 	reportWeight           = 0.05        // weight of the newest sample in slotUse and othersSlotUse
 	checksPerTarget        = 4           // checks of an unstarted attempt within its latency target
-	lightSlotUse           = 0.9         // fraction of slots in use up to which slots count as plentiful
+	lightSlotUse           = 0.9         // slots are plentiful up to this fraction of slots in use
 	fetchCostRuns          = 1.2         // assumed cost of a fetch to the whole fleet, in mean runtimes
 	maxProbeCostPerRequest = 0.015       // points; most that the probes for one request may cost
 	maxProbesPerRequest    = 6           // most probes for one request, even if they are cheaper
-	assumedReportAge       = time.Second // assumed age of what a load report shows, at its arrival
+	assumedReportAge       = time.Second // assumed age of the data in a load report, at its arrival
 )
 
 // never, as a time, is later than every other time: a timer with it isn't set. As a duration it is longer
@@ -67,7 +67,7 @@
 	d.probesPerJob = min(maxProbesPerRequest, maxProbeCostPerRequest/max(s.ProbePrice, 1e-9))
 	d.minTarget = min(d.minTarget, time.Minute) // also where no class has a target or a deadline
 	d.meanRuntime, d.meanFetchTime = d.minTarget.Seconds(), fetchCostRuns*d.minTarget.Seconds()
-	if !s.LoadReports { // without reports nothing shows the slots that others use
+	if !s.LoadReports { // without reports the slots that others use are unknown
 		d.othersSlotUse = 0
 	}
 	d.roundInterval = max(d.minTarget/roundsPerTarget, s.MinStepInterval, time.Millisecond)
@@ -107,8 +107,7 @@
 	return d.actions
 }
 
-// handle applies an event to the state. TimerFired has no effect of its own: the step that it brings is
-// enough.
+// handle applies an event to the state. TimerFired changes no state: it only causes the step.
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case Request:
@@ -147,9 +146,9 @@
 	}
 }
 
-// activeNumbers returns the scheduler numbers whose shares of the shared budgets this scheduler may use now:
-// those of the last FleetUpdated until they expire, and only its own after that. It returns none if the last
-// FleetUpdated gave this scheduler no number.
+// activeNumbers returns the scheduler numbers that this scheduler may use now: it may use their shares of
+// the shared budgets. They are the numbers of the last FleetUpdated until these expire, and only its own
+// number after that. It returns none if the last FleetUpdated gave this scheduler no number.
 func (d *Dispatcher) activeNumbers() []int {
 	if own := slices.Index(d.numbers, d.cfg.Number); own >= 0 && d.now >= d.numbersUntil {
 		return d.numbers[own : own+1]
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -18,10 +18,10 @@
 	d.probe()
 }
 
-// probe probes candidate workers while probes are due. Each job that arrives makes probesPerJob of them due.
-// So the cost of probes is bounded per request, and the reports can arrive before the round that places the
-// job. If no worker is worth a probe, or the next one counts for more than is due, at most surveyProbePrice
-// probes stay due.
+// probe probes candidate workers while probes are due. Each job that arrives adds probesPerJob due
+// probes. So the cost of probes is bounded per request, and the reports can arrive before the round that
+// places the job. If no worker is worth a probe, or the price of the next probe exceeds the due probes,
+// at most surveyProbePrice probes stay due.
 func (d *Dispatcher) probe() {
 	for d.probesDue >= 1 && d.cfg.MayProbe && d.cfg.LoadReports {
 		next, price := d.probeTarget(d.candidates())
@@ -35,11 +35,11 @@
 	}
 }
 
-// probeTarget returns the worker to probe next, or nil, and how many probes that counts for. First come the
-// workers that have a free slot for the newest pending job and an old report, or are warming up, so that
-// their load changes fast. Of these it returns the one that would be cheapest for the job, which counts for
-// one probe. If there is none, it returns the worker that was probed longest ago, which counts for
-// surveyProbePrice.
+// probeTarget returns the worker to probe next, or nil, and the price of the probe, in due probes. If a
+// job is pending, it prefers workers with a free slot that were last probed at least 2 x assumedReportAge
+// ago, or that are warming up, so that their load changes fast. Of these it returns the cheapest worker
+// for the newest pending job, at a price of 1. If there are none, it returns the worker that was probed
+// longest ago, at a price of surveyProbePrice.
 func (d *Dispatcher) probeTarget(workers []*worker) (next *worker, price float64) {
 	var newest *job
 	for _, j := range d.openJobs {
@@ -64,9 +64,9 @@
 	return next, price
 }
 
-// probeEnded records the end of a probe and what it shows of the worker. Outcomes that come from a live
-// worker, or from this scheduler itself, are no failures, and nor is any if the worker showed progress since
-// the probe was sent.
+// probeEnded records the end of a probe, and the state of the worker that its outcome shows. An outcome
+// is no failure if it comes from a live worker or from this scheduler itself, or if the worker showed
+// progress since the probe was sent.
 func (d *Dispatcher) probeEnded(e *Event) {
 	w := d.workers[e.Worker]
 	if w == nil {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,8 +8,9 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-// killSchedulers stops the schedulers for which isDead returns true when the worker starts. If notify is set,
-// the others are notified of the numbers that they take over, by the rules of package quota.
+// killSchedulers stops the schedulers for which isDead returns true when the worker starts. If notify is
+// set, the live schedulers are notified of the numbers that they take over, by the rules of package
+// quota.
 func (f *testFleet) killSchedulers(isDead func(n int) bool, notify bool) {
 	f.idle = isDead
 	for n := range f.all {
@@ -30,9 +31,9 @@
 	}
 }
 
-// Seven in ten schedulers die when a worker starts to warm up, and the others have far too many requests. If
-// the others are notified of the numbers that they take over, they use the whole budget, otherwise three
-// tenths of it. They never send more than the budget.
+// Seven in ten schedulers die when a worker starts to warm up, and the live ones have far too many
+// requests. If the live schedulers are notified of the numbers that they take over, they use the whole
+// budget, otherwise three tenths of it. They never send more than the budget.
 func TestQuotasOfDeadSchedulersAreUsed(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		served := func(notify bool, isDead func(int) bool) int {
@@ -93,9 +94,10 @@
 	}
 }
 
-// Seven in ten of 80 schedulers are dead, and their clients send to the others. If the others are notified of
-// the numbers that they take over, nearly all requests of a tenant within its allowance count as within it,
-// otherwise three tenths. Over all schedulers no more than the allowance does.
+// Seven in ten of 80 schedulers are dead, and their clients send to the live ones. If the live schedulers
+// are notified of the numbers that they take over, they treat nearly all requests of a tenant within its
+// allowance as within it, otherwise three tenths. All schedulers together treat no more than the
+// allowance as within it.
 func TestAllowancesOfDeadSchedulersAreUsed(t *testing.T) {
 	within := func(notify bool) (n int) {
 		f := newFleet(t, 80, false)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -5,11 +5,11 @@
 
 import "slices"
 
-const maxKeys = 1 << 14 // most keys whose demand is recorded; to record one more, all are cleared
+const maxKeys = 1 << 14 // most keys with a recorded demand; one more key clears all records
 
-// arrive makes a job of a request that arrived and schedules a round for it. A request of an unknown class,
-// without time left, beyond MaxOpenRequests or after Closing gets its final response at once. One whose id is
-// in use is ignored.
+// arrive makes a job of a request that arrived and schedules a round for it. A request gets its final
+// response at once if its class is unknown, it has no time left, MaxOpenRequests is exceeded, or Closing
+// was received. A request with an id in use is ignored.
 func (d *Dispatcher) arrive(e *Event) {
 	index, ok := d.classes[e.Class]
 	if d.jobs[e.ID] != nil {
@@ -70,8 +70,8 @@
 // rules:
 //   - A job has one attempt in flight at a time, MaxAttempts in total, and none after its deadline or its
 //     response's first part.
-//   - If an attempt may have run, another one follows only where the class's semantics allow that: see
-//     barsRetry. For a keyed job it must go to the dedup group of every attempt that may have run.
+//   - If an attempt may have run, the class's semantics must allow another attempt: see barsRetry. For a
+//     keyed job the new attempt must go to the dedup group of every attempt that may have run.
 //   - The worker is ready and, if the class needs one machine kind, of that kind.
 //   - The job's work is within the budget of a worker that is warming up.
 func (d *Dispatcher) maySend(j *job, w *worker) bool {
@@ -125,8 +125,8 @@
 	d.end(j)
 }
 
-// end drops j and cancels its attempts in flight, as nobody waits for their results. j stays in jobs until
-// those attempts have ended.
+// end drops j and cancels its attempts in flight, because no client waits for their results. j stays in
+// jobs until those attempts have ended.
 func (d *Dispatcher) end(j *job) {
 	j.ended, j.pending = true, false
 	delete(d.jobs, j.id)
@@ -138,9 +138,9 @@
 	}
 }
 
-// shouldGiveUp reports whether j, which hasn't started, is to be given up: if it ran for this many seconds
-// from now, it would miss its target, and either a late response is worth nothing, or there is an overload,
-// in which j would make other jobs late.
+// shouldGiveUp reports whether to give up j, which hasn't started. j is given up if it would miss its target
+// by running for run seconds from now, and either a late response has no value, or there is an overload, in
+// which j would make other jobs late.
 func (d *Dispatcher) shouldGiveUp(j *job, run float64) bool {
 	return (d.overloaded || j.class.LateValue == 0) && d.now+seconds(run) > j.targetBy
 }
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A job that misses its target before it starts is given up if there is an overload, or if a late response is
-// worth nothing. Otherwise it is served late, and so is a job that has started.
+// A job that misses its target before it starts is given up if there is an overload, or if a late
+// response has no value. Otherwise it is served late. A job that has started is served late in any case.
 func TestOverloadGivesUpJobsThatMissTheirTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -150,8 +150,8 @@
 	}
 }
 
-// If a late response is worth nothing, a job isn't sent to a worker where it would be late, but waits for a
-// better one. Without reports, predictions err more: there it is sent as long as slots are free.
+// If a late response has no value, a job isn't sent to a worker where it would be late, but waits for a
+// better worker. Without reports, predictions err more, so the job is sent while slots are free.
 func TestLateJobIsNotSentWhereLateValueIsZero(t *testing.T) {
 	for _, tt := range []struct {
 		late, full float64
@@ -208,7 +208,7 @@
 }
 
 // A new dispatcher doesn't refuse jobs because it doesn't know how long they run: if there are neither
-// estimates of clients nor responses, a job that has waited for its round doesn't count as late yet.
+// estimates of clients nor responses, a job that has waited for its round isn't treated as late yet.
 func TestJobsOfUnknownLengthAreNotLateAtOnce(t *testing.T) {
 	d, err := New(Settings{MinStepInterval: time.Millisecond, ResponseGrace: 8 * time.Millisecond,
 		Classes: []Class{{Name: "c", LatencyTarget: 3 * time.Second, Deadline: 6 * time.Second}}}, 1)
@@ -242,8 +242,8 @@
 	}
 }
 
-// An outcome that says that an attempt never ran, but may belong to another request, proves nothing for an
-// unsafe class: there is no other attempt, and the request isn't refused. Requests of other classes are
+// An outcome may say that an attempt never ran, but belong to another request. For an unsafe class it is
+// no proof: there is no other attempt, and the request isn't refused. Requests of other classes are
 // retried.
 func TestIndeterminateOutcomeIsNoProofForUnsafeClass(t *testing.T) {
 	for _, tt := range []struct {
--- a/policy/rounds.go
+++ b/policy/rounds.go
@@ -9,10 +9,10 @@
 //  3. It finds the one-to-one assignment of jobs to slots with the least total cost.
 //  4. It sends the pairings below a cost limit, the cheapest first, checking each again, as earlier sends of
 //     the round use up slots and budgets.
-//  5. It gives up the jobs left over that can't meet their target any more, see shouldGiveUp.
+//  5. It gives up the remaining jobs that can no longer meet their target, see shouldGiveUp.
 //
-// All costs scale with T, the longest time left of a job of the round in seconds. Each step in rank costs T,
-// about as much as the longest runtime that fits. Missing a target after which a response is worth nothing
+// All costs scale with T, the longest time left of a job of the round in seconds. Each step in rank costs
+// T, about as much as the longest runtime that fits. If a late response has no value, missing the target
 // costs targetMissPenalty x T, more than all ranks.
 
 import (
@@ -26,7 +26,7 @@
 
 const (
 	maxTimeLeftFraction   = 0.98 // a pairing must end within this fraction of the job's time left
-	targetMissPenalty     = 10   // cost, in T, of missing a target after which a response is worth nothing
+	targetMissPenalty     = 10   // cost, in T, of missing a target if a late response has no value
 	crossZoneWaitPerPrice = 5    // fraction of its slack that a job waits for its zone, per point of price
 	maxRoundJobs          = 24   // most jobs matched in one round; the matching takes cubic time
 	overloadSlotUse       = 0.95 // slotUse above which late jobs are given up
@@ -160,14 +160,14 @@
 //
 //	speed x runtime x costFactor(w) + rank x T
 //
-// speed is that of the worker's kind relative to the fastest kind, runtime the predicted runtime in seconds,
-// and T is maxLeft. The speed makes time on fast kinds expensive, so that it is left for the jobs that need
-// it (C_j x L_ij of the Kairos paper).
+// speed is that of the worker's kind relative to the fastest kind. runtime is the predicted runtime in
+// seconds. T is maxLeft. The speed makes time on fast kinds expensive, so that it is left for the jobs
+// that need it (C_j x L_ij of the Kairos paper).
 //
-// A forbidden pairing, or one that would end after maxTimeLeftFraction of the job's time left, costs 100 x
-// targetMissPenalty x T. One that misses a target after which a response is worth nothing costs
-// targetMissPenalty x T more. Without reports the predicted fetch counts against that target only in
-// proportion to the slots in use, as the prediction may be wrong.
+// A pairing costs 100 x targetMissPenalty x T if it is forbidden, or would end after maxTimeLeftFraction
+// of the job's time left. If a late response has no value, a pairing that misses the target costs
+// targetMissPenalty x T more. Without reports the predicted fetch is added to the runtime for this check
+// only in proportion to the slots in use, because the prediction may be wrong.
 func (d *Dispatcher) cost(j *job, w *worker, speed, maxLeft float64) float64 {
 	if !d.maySend(j, w) || j.class.Semantics == Unsafe && w.failures > 0 && !d.failOpen ||
 		d.staysInZone(j, w) {
@@ -241,7 +241,7 @@
 		w.budgetUsed += w.kind.runtime(j.size) * j.slots
 	}
 	j.nextCheck = d.now + j.class.LatencyTarget/checksPerTarget
-	if !d.cfg.ReportsStarts { // it counts as running as soon as it is sent
+	if !d.cfg.ReportsStarts { // the attempt is assumed to run from the send on
 		a.running, a.started = true, d.now
 		j.nextCheck = d.now + seconds(overdueRuntimes*a.predicted) + j.class.LatencyTarget
 		w.runningSlots += j.slots
--- a/policy/rounds_test.go
+++ b/policy/rounds_test.go
@@ -11,8 +11,8 @@
 	"ospreypond/internal/assignment"
 )
 
-// cheapest returns the least cost of matching rows rows to columns whose bit in used is not set, by brute
-// force.
+// cheapest returns the least cost of matching rows rows to the columns with an unset bit in used, by
+// brute force.
 func cheapest(costs [][]float64, cols int, used uint, rows int) float64 {
 	if len(costs) == 0 {
 		if rows > 0 {
@@ -130,9 +130,9 @@
 	}
 }
 
-// Unhealthy workers are avoided as long as others are healthy. Otherwise workers that fail fast would attract
-// nearly all jobs, as their slots are free at once. Only if nearly all workers look unhealthy, none is
-// avoided.
+// Unhealthy workers are avoided while other workers are healthy. Otherwise workers that fail fast would
+// attract nearly all jobs, as their slots are free at once. No worker is avoided if nearly all look
+// unhealthy.
 func TestFailsOpenOnlyWhenNearlyAllAreUnhealthy(t *testing.T) {
 	for failing, want := range map[int]bool{0: false, 1: false, 2: false, 3: true} {
 		d := testDispatcher(t, nil)
@@ -176,10 +176,10 @@
 	}
 }
 
-// An empty worker is preferred to a fuller one unless it is much slower: a worker with one free slot of four
-// loses to an empty one that is a quarter slower, but not to one that is three times slower. Otherwise all
-// dispatchers would send to the workers that look fastest, although the reports of their free slots are old
-// by then.
+// An empty worker is preferred to a fuller one unless it is much slower: a worker with one free slot of
+// four loses to an empty worker that is a quarter slower, but not to an empty worker that is three times
+// slower. Otherwise all dispatchers would send to the workers that look fastest, although the reports of
+// their free slots are old by then.
 func TestEmptyWorkerIsPreferredToSomewhatFasterOne(t *testing.T) {
 	for slow, want := range map[float64]string{1: "empty", 1.25: "empty", 3: "full"} {
 		d, err := New(Settings{MinStepInterval: time.Millisecond, LoadReports: true, MayProbe: true, ResponseGrace: 8 * time.Millisecond,
--- a/policy/runtimes.go
+++ b/policy/runtimes.go
@@ -1,7 +1,7 @@
 package policy
 
-// This file estimates how long a job runs on a worker, from the runtimes of attempts that succeeded, and how
-// long the worker takes to fetch what the job needs and doesn't have in its cache:
+// This file estimates how long a job runs on a worker, from the runtimes of attempts that succeeded, and
+// how long the worker takes to fetch the job's data if it isn't in the worker's cache:
 //
 //	predicted = kind's runtime for the size x worker's slowness / worker's typical capacity + fetch time
 //
@@ -67,8 +67,8 @@
 	return w.kind.runtime(j.size)*d.slowness(w)/d.typicalCapacity(w) + d.fetchTime(w, j)
 }
 
-// slowness returns the ratio of w's runtimes to its kind's. A ratio over 2 decays to 2: otherwise w would get
-// no more jobs, and only jobs can show that it has recovered.
+// slowness returns the ratio of w's runtimes to its kind's. A ratio over 2 decays to 2: otherwise w would
+// get no further jobs, and only jobs can show that it has recovered.
 func (d *Dispatcher) slowness(w *worker) float64 {
 	if w.learnedSlowness < 2 {
 		return w.learnedSlowness
@@ -76,21 +76,21 @@
 	return max(2, w.learnedSlowness*math.Exp(-float64(d.now-w.slownessAt)/float64(slownessDecay)))
 }
 
-// fetchTime returns the seconds that w is expected to take to fetch what j needs. Workers cache what they
-// used last, and all fetch from one store, which slows down when many do. So the jobs of a key should share
-// few workers:
+// fetchTime returns the seconds that w is expected to take to fetch j's data. Workers cache the data that
+// they used last. All fetch from one store, which slows down when many do. So the jobs of a key should
+// share few workers:
 //
 //  1. The key ranks the workers by a hash of key and worker (rendezvous hashing), so all schedulers that know
 //     the same usable workers have the same ranking. Removed, draining and blocked workers are left out.
 //  2. The first ones of the ranking are the key's homes, which are assumed to have its data. There are as
 //     many as the key's demand needs, see maxHomeSlotFraction.
-//  3. The fetch time at a home is 0 for the one that this scheduler prefers, and up to nextHomeFetchFraction
-//     of a full fetch for the others. Schedulers with different numbers prefer different homes.
+//  3. The fetch time is 0 at the home that this scheduler prefers, and up to nextHomeFetchFraction of a
+//     full fetch at other homes. Schedulers with different numbers prefer different homes.
 //  4. The fetch time at the k-th worker after the homes is k/(k+1) of a full fetch. So jobs that the homes
 //     can't take gather at the next workers of the ranking.
 //
-// While slots are plentiful and fetches short, workers in this scheduler's zone are ranked among themselves,
-// so that each zone has a home of its own: a second copy is cheaper than crossing zones.
+// While slots are plentiful and fetches short, workers in this scheduler's zone are ranked among
+// themselves, so that each key has homes in each zone: a second copy is cheaper than crossing zones.
 func (d *Dispatcher) fetchTime(w *worker, j *job) float64 {
 	if j.key == nil {
 		return 0
--- a/policy/runtimes_test.go
+++ b/policy/runtimes_test.go
@@ -63,7 +63,7 @@
 	first := map[string]bool{}
 	for number := range 3 {
 		d := testDispatcher(t, func(s *Settings) { s.Number, s.Schedulers = number, 3 })
-		d.slotUse = 1 // so that not each zone has a home of its own
+		d.slotUse = 1 // so that the zones have no separate homes
 		j := &job{key: d.keyFor(7), size: 0.05}
 		j.key.work, j.key.workAt = 3*d.slots(d.byRank[0]), d.now
 		for _, w := range d.byRank {
--- a/policy/state.go
+++ b/policy/state.go
@@ -17,18 +17,18 @@
 	buckets []tokenBucket  // by tenant
 	// jobs has the jobs without a final response, and those with one while an attempt is still in flight.
 	jobs             map[uint32]*job
-	openJobs         []*job // in order of arrival; scan removes those that have ended
+	openJobs         []*job // in order of arrival; scan removes ended jobs
 	workers          map[string]*worker
 	byRank           []*worker // by worker.rank: own zone first, in an order that differs between schedulers
 	kinds            map[string]*kind
-	kindList         []*kind         // the kinds, in the order in which the list first had them
+	kindList         []*kind         // the kinds, in the order of their first listing
 	keys             map[uint32]*key // by hash
 	classMeanRuntime []float64       // by class: mean runtime, taken as the size of a job without an estimate
 	maxTimeLeft      []time.Duration // by class: the most time that a request had left at its arrival
 
-	// now is the time of the current step and firstStepAt that of the first one. minTarget is the shortest
-	// latency target of a class, a minute at most. listBackoff bounds the random delay before the next call
-	// for the list.
+	// now is the time of the current step. firstStepAt is the time of the first step. minTarget is the
+	// shortest latency target of a class, a minute at most. listBackoff bounds the random delay before
+	// the next call for the list.
 	now, firstStepAt, minTarget, roundInterval, listBackoff time.Duration
 
 	// When the next round, the next check of the open jobs and the next call for the list are due, and for
@@ -36,14 +36,14 @@
 	roundAt, scanAt, listCallAt, armedAt time.Duration
 
 	lastReport     time.Duration // when the last load report of any worker arrived
-	numbers        []int         // the numbers whose shares of the shared budgets this scheduler may use
-	numbersUntil   time.Duration // when numbers expires: from then on only its own is valid
+	numbers        []int         // scheduler numbers with budget shares that it may use
+	numbersUntil   time.Duration // when numbers expires: then only its own number is valid
 	liveSchedulers int           // number of schedulers that are assumed to be alive
 
-	// listRequested: Subscribe was returned, and neither a list nor a loss of it has followed. failOpen:
-	// nearly all candidates look unhealthy, so none is avoided. ownZoneUsable: a candidate in the own zone is
-	// healthy. overloaded: nearly all slots are in use, so late jobs are given up. closing: Closing was fed
-	// in.
+	// listRequested: Subscribe was returned, and since then neither a list nor its loss was received.
+	// failOpen: nearly all candidates look unhealthy, so none is avoided. ownZoneUsable: a candidate in
+	// the own zone is healthy. overloaded: nearly all slots are in use, so late jobs are given up.
+	// closing: Closing was received.
 	listRequested, failOpen, ownZoneUsable, overloaded, listLost, closing bool
 
 	candidateBuffer, warmingWorkers []*worker // last result of candidates; all that are warming up
@@ -54,7 +54,7 @@
 	slotUse                         float64   // mean fraction of slots in use, with queued jobs: 0 to 2
 	meanRuntime                     float64   // mean runtime of all jobs
 	fetchSamples                    float64   // number of samples in meanFetchTime, 40 at most
-	meanFetchTime                   float64   // mean time that a worker takes to fetch what a job needs
+	meanFetchTime                   float64   // mean time that a worker takes to fetch a job's data
 	moveSuccess                     float64   // estimated fraction of moves that succeed; see attempts.go
 	actions                         []Action  // of the current step
 }
@@ -71,7 +71,7 @@
 	size               float64       // expected work
 	overQuota, pending bool          // beyond its tenant's allowance; waiting for an attempt to be sent
 	ended, streaming   bool          // has its final response; the client has the response's first part
-	slots, memory      float64       // what it occupies at a worker
+	slots, memory      float64       // slots and memory that it occupies at a worker
 	attempts           []*attempt
 }
 
@@ -83,7 +83,7 @@
 	sent, started                       time.Duration // started: sent, if starts aren't reported
 	running, ended, neverRan, cancelled bool          // running stays set after the end
 	predicted                           float64       // runtime predicted when it was sent, with the fetch
-	predictedFetch                      float64       // the part of predicted for fetching what the job needs
+	predictedFetch                      float64       // the part of predicted for the fetch
 	slowness                            float64       // its worker's slowness when it was sent
 	wasWarming                          bool          // its worker was warming up when it was sent
 	moveWeight                          float64       // its weight in Dispatcher.moveSuccess; 0: not moved
@@ -95,7 +95,7 @@
 	refilledAt time.Duration // when tokens was last refilled
 }
 
-// worker is what this scheduler knows of a worker.
+// worker is the state of a worker as this scheduler knows it.
 type worker struct {
 	name, zone         string
 	nameHash           uint32 // of the name, 24 bits
@@ -108,7 +108,7 @@
 	inFlight           []*attempt
 	recentlyEnded      []attemptSpan // own attempts that ended within assumedReportAge, at least
 	busySlots          float64       // slots of the attempts in flight
-	runningSlots       float64       // slots of those that have started
+	runningSlots       float64       // slots of the attempts that are running
 	maxRunningSlots    float64       // largest value of runningSlots
 	ownMemory          float64       // memory of the attempts in flight
 	maxFreeSlots       float64       // most free slots in a report
@@ -136,11 +136,11 @@
 	slots       float64
 }
 
-// kind is a machine kind with what was learned of runtimes on it. Sizes are the jobs' expected work; see
-// runtime.
+// kind is a machine kind with the runtimes that were observed on it. Sizes are the jobs' expected work;
+// see runtime.
 type kind struct {
 	name                string
-	maxSlots            float64        // most slots that were free or in own use at one worker of it
+	maxSlots            float64        // most slots free, or in own use, at one worker of the kind
 	n, sx, sy, sxx, sxy float64        // sums of 1, x, y, xx and xy: x the size, y the runtime
 	runtimeBySize       [40]runtimeRow // by sizeRow
 }
--- a/policy/warming.go
+++ b/policy/warming.go
@@ -9,8 +9,8 @@
 //
 //	budgetMargin x OverloadFactor x C
 //
-// in any time of length OverloadWindow. As C grows, each interval counts with the C at its time.
-// inWarmUpBudget names the two cases in which a scheduler departs from that.
+// in any time of length OverloadWindow. As C grows, the budget of each interval uses the C at its time.
+// inWarmUpBudget lists the two exceptions from this rule.
 
 import (
 	"math"
@@ -30,9 +30,9 @@
 )
 
 // minCapacity returns the least fraction of its full capacity that w has now. It grows linearly from
-// MinStartCapacity at the start to 1 after MaxWarmUpTime. A worker that refused a connection at once or
-// dropped running jobs counts as started then, before the list shows a start: many workers may have restarted
-// together.
+// MinStartCapacity at the start to 1 after MaxWarmUpTime. If a worker refused a connection at once or
+// dropped running jobs, that time is taken as its start before the list shows a start: many workers may
+// have restarted together.
 func (d *Dispatcher) minCapacity(w *worker) float64 {
 	since := max(w.started, w.suspectedRestartAt)
 	if since == 0 || d.cfg.MaxWarmUpTime <= 0 || d.now >= since+d.cfg.MaxWarmUpTime {
@@ -43,8 +43,8 @@
 }
 
 // typicalCapacity returns the fraction of its full capacity that a worker like w typically has now. The
-// settings have the lowest start and the longest warm-up of any worker, and few workers have both. What w
-// itself differs by from the typical worker shows in its slowness.
+// settings have the lowest start and the longest warm-up of any worker, and few workers have both. If w
+// differs from the typical worker, its slowness shows that.
 func (d *Dispatcher) typicalCapacity(w *worker) float64 {
 	atLeast := d.minCapacity(w)
 	return min(1, (atLeast-d.cfg.MinStartCapacity)/typicalWarmUpFraction+d.cfg.MinStartCapacity+
@@ -52,13 +52,14 @@
 }
 
 // inWarmUpBudget reports whether a job of this much work, in slot-seconds, may be sent to w now. A worker
-// that has warmed up has no budget. For another one the rules are:
+// that has warmed up has no limit. For a worker that is warming up the rules are:
 //
 //  1. Time is divided into intervals, intervalsPerWindow to an OverloadWindow. A time of that length overlaps
 //     at most intervalsPerWindow + 1 intervals, so the budget of one interval is the whole budget divided by
 //     that number.
-//  2. Each scheduler number has an equal share of an interval's budget. What a scheduler sends after its
-//     first job in an interval must fit the shares of its active numbers.
+//  2. Each scheduler number has an equal share of an interval's budget. After its first job in an
+//     interval, a scheduler sends another job only if all its work in the interval fits the shares of its
+//     active numbers.
 //  3. The first job may be larger than the share S of a number. Of all numbers, the fraction S/work may send
 //     it, so that all together still send the budget. Which ones these are differs between intervals and
 //     workers: each number has a position in [0, 1), the positions are evenly spaced, and those below S/work
@@ -68,9 +69,9 @@
 //
 //   - A scheduler that started after w uses a third of its share for an OverloadWindow, as it doesn't know
 //     how much its predecessor sent.
-//   - A fresh report of a free slot shows that no earlier work waits at w, so only the work sent until the
-//     next report counts. The share is raised to that of (OverloadFactor - 1) x C for each freshReportAge,
-//     less the margin.
+//   - A fresh report of a free slot shows that no earlier work waits at w, so only the work sent until
+//     the next report must be limited. The share is raised to that of a budget of (OverloadFactor - 1) x
+//     C for each freshReportAge, less the margin.
 func (d *Dispatcher) inWarmUpBudget(w *worker, work float64) bool {
 	capacity := d.minCapacity(w)
 	if capacity >= 1 || d.cfg.OverloadFactor <= 0 || d.cfg.OverloadWindow <= 0 {
--- a/policy/warming_test.go
+++ b/policy/warming_test.go
@@ -68,8 +68,8 @@
 	return sends
 }
 
-// All schedulers together send a warming worker no more than its budget in any OverloadWindow, also while
-// some of them restart. Even if each has only a few requests, most of the budget is used.
+// All schedulers together send a warming worker no more than its budget in any OverloadWindow, even while
+// some of them restart. They use most of the budget even if each has only a few requests.
 func TestWarmingBudgetIsSharedByAllSchedulers(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -139,9 +139,9 @@
 	}
 }
 
-// A scheduler that starts while a worker is warming up doesn't know what its predecessor sent there in the
-// last OverloadWindow. It uses a third of its share, not nothing, so that a runner that is enabled during an
-// upgrade gets work.
+// A scheduler that starts while a worker is warming up doesn't know how much its predecessor sent there
+// in the last OverloadWindow. It uses a third of its share. If it used none, a runner that is enabled
+// during an upgrade would get no work.
 func TestOwnRestartSendsAThirdToWarmingWorkers(t *testing.T) {
 	start := 10 * time.Second
 	from, to := start+time.Second, start+2*time.Second // the window after the restart
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -1,6 +1,6 @@
 package policy
 
-// This file keeps what is known of the workers: the list, load reports, the estimates of free slots, and
+// This file keeps the state of the workers: the list, load reports, the estimates of free slots, and
 // signs of failure.
 
 import (
@@ -13,7 +13,7 @@
 )
 
 const (
-	assumedQueuePerSlot  = 0.15 // queued jobs per slot of a full worker whose reports omit the queue
+	assumedQueuePerSlot  = 0.15 // assumed queued jobs per slot of a full worker, if reports omit the queue
 	firstBlockTargets    = 4    // how long the first failure blocks a worker, in shortest latency targets
 	maxFailures          = 4    // most failures that count; each after the first doubles the block
 	minCandidates        = 12   // least number of candidate workers, if there are that many
@@ -21,12 +21,13 @@
 	candidateShareFactor = 8    // how many schedulers consider each worker on average, at least
 )
 
-// handleList applies a list, a change of it, or its loss. All schedulers may have started or lost the list
-// together: the delay before each calls for it is random, within a bound that doubles with each loss. After a
-// start the bound is proportional to the number of schedulers. It is half of MaxListAge at most.
+// handleList applies a list, a change of it, or its loss. All schedulers may have started or lost the
+// list together. So each calls for it after a random delay, within a bound that doubles with each loss.
+// After a start the bound is proportional to the number of schedulers. It is half of MaxListAge at most.
 //
-// A worker that isn't on a complete list counts as removed. It is dropped once nothing is in flight to it and
-// it has warmed up, so that a worker that is removed and listed again in between keeps its state.
+// A worker that isn't on a complete list is treated as removed. It is dropped once no attempt or probe is in
+// flight to it and it has warmed up, so that a worker that is removed and listed again in between keeps its
+// state.
 func (d *Dispatcher) handleList(e *Event) {
 	d.logChange(&d.listLost, e.Kind == ListUnavailable, listLostText)
 	switch maxBackoff := max(d.cfg.MaxListAge/2, d.roundInterval); {
@@ -65,12 +66,13 @@
 	d.scheduleRound()
 }
 
-// candidates returns the candidates: the workers that the next round or probe considers. Each scheduler has
-// an order of its own, so different schedulers have different candidates, and a step costs little where
-// schedulers are many.
+// candidates returns the candidates: the workers that the next round or probe considers. Each scheduler
+// has its own order of the workers, so different schedulers have different candidates, and a step costs
+// little where there are many schedulers.
 //
 //   - At first there are minCandidates, or candidateShareFactor times the scheduler's even part of the
-//     workers if that is more. They are in the own zone, as far as it has that many workers.
+//     workers if that is more. They are in the own zone, and in other zones only if the own zone has
+//     fewer workers.
 //   - Where crossing zones is cheap, as many workers of other zones are added.
 //   - A round that left jobs without a pairing doubles the number, up to maxCandidateFactor times as many,
 //     and adds workers of other zones. Each round takes an eighth off again.
@@ -103,7 +105,7 @@
 		w.rank = int64(hashName(fmt.Sprint(m.Worker, d.cfg.Number)))
 		d.byRank = append(d.byRank, w)
 	}
-	if m.Started != w.started { // a new process: what was learned of its predecessor doesn't count
+	if m.Started != w.started { // a new process: observations of its predecessor are no longer valid
 		w.started, w.suspectedRestartAt, w.failures, w.blockedUntil, w.learnedSlowness, w.idleConns =
 			m.Started, 0, 0, 0, 1, nil
 		w.brokenConns, w.rejections = 0, 0
@@ -144,9 +146,10 @@
 	w.recentlyEnded = append(w.recentlyEnded, attemptSpan{a.sent, now, a.j.slots})
 }
 
-// applyReport applies a load report, which is assumed to show the worker as it was assumedReportAge ago. The
-// slots that others used then are all but the free ones and those of own jobs at that time, plus the queue:
-// without that subtraction own jobs would count twice, as own and as others'.
+// applyReport applies a load report, which is assumed to show the worker as it was assumedReportAge ago.
+// To get the slots that others used then, it subtracts the free slots and the slots of own jobs at that
+// time from all slots, and adds the queue. Without subtracting own jobs it would count them twice, as own
+// and as others'.
 func (d *Dispatcher) applyReport(w *worker, r Report) {
 	w.maxFreeMemory = max(w.maxFreeMemory, math.Round(r.FreeMemory))
 	if !(r.FreeSlots >= 0 && r.FreeSlots < 1e6) { // not reported, or implausible
@@ -210,8 +213,8 @@
 //	usual = othersSlotUse x slots x r/(r+u)
 //	estimate = observed + (usual - observed) x a/(a+r)
 //
-// Guards against a scheduler that stops sending forever: where only responses bring reports, one that takes
-// all workers for full sends nothing, so it gets no report that shows otherwise.
+// The second rule guards against a scheduler that stops sending forever. If only responses bring reports,
+// a scheduler that takes all workers for full sends no jobs, so it gets no report that shows free slots.
 func (d *Dispatcher) estimateOthersSlots(w *worker) float64 {
 	age, sinceReport := (d.now - w.othersSlotsAt).Seconds(),
 		(d.now - max(d.lastReport, d.firstStepAt)).Seconds()
@@ -229,8 +232,8 @@
 	}
 }
 
-// connectionBroke records a broken connection, and reports whether it counts as a failure of w: a single
-// connection may break without w's fault, the next one without a success between them counts.
+// connectionBroke records a broken connection, and reports whether it is a failure of w. A single
+// connection may break without w's fault. The next one is a failure if there was no success between them.
 func (d *Dispatcher) connectionBroke(w *worker) bool {
 	if w.brokenConns++; w.brokenConns > 1 {
 		d.recordFailure(w)
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A worker that refuses a connection or drops running jobs counts as restarted, so that it is treated as
-// warming up before the list shows the restart: many workers may restart together. A connection that is only
-// slow to set up, or a waiting job that is dropped, is no sign of a restart.
+// A worker that refuses a connection or drops running jobs is treated as warming up, as after a restart,
+// before the list shows the restart: many workers may restart together. A connection that is only slow to
+// set up, or a waiting job that is dropped, is no sign of a restart.
 func TestRefusalsAndResetsCountAsRestarts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -28,7 +28,7 @@
 			d := testDispatcher(t, nil)
 			d.Step(time.Second, []Event{request(1, "safe")}, nil)
 			w := d.workers[sendsAt(d, time.Second+d.roundInterval)[0].Worker]
-			w.brokenConns = 1 // a broken connection doesn't count without another one
+			w.brokenConns = 1 // the next broken connection is a failure
 			if tt.starts {
 				d.Step(1100*ms, []Event{{Kind: JobStarted, ID: 1}}, nil)
 			}
@@ -40,7 +40,7 @@
 	}
 }
 
-// A single broken connection doesn't make a worker count as failing or restarted. Two of them do if no
+// After a single broken connection a worker isn't treated as failing or restarted. After two it is, if no
 // attempt or probe succeeds between them.
 func TestSingleBrokenConnectionIsNotAFailure(t *testing.T) {
 	d := testDispatcher(t, nil)
@@ -201,7 +201,7 @@
 }
 
 // The mean use of slots is estimated from reports. If these omit the queue, a worker without a free slot
-// counts as having queued jobs: otherwise no worker would ever look overloaded.
+// is assumed to have queued jobs: otherwise no worker would ever look overloaded.
 func TestUseFromReports(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -247,9 +247,9 @@
 	}
 }
 
-// If there are many workers, each scheduler has a few of them as candidates, in an order of its own, and more
-// after a round that left jobs pending. Candidates are in the own zone if crossing is expensive, but in all
-// zones if the scheduler is nearly the only one or has no worker in its zone.
+// If there are many workers, each scheduler has a few of them as candidates, in its own order, and more
+// after a round that left jobs pending. Candidates are in the own zone if crossing is expensive, but in
+// all zones if the scheduler is nearly the only one or has no worker in its zone.
 func TestCandidates(t *testing.T) {
 	list := Event{Kind: ListReplaced}
 	for n := 0; n < 200; n++ {
@@ -337,10 +337,10 @@
 	return 0, false
 }
 
-// A scheduler doesn't take all workers for full forever. If only responses carry reports and the first ones
-// show full workers, it sends nothing and so gets no reports: its estimate must decay, or it would refuse
-// everything. With that fault, in a deployment made up for the bench, on a day without other faults, a third
-// of 300 dispatchers sent nothing after their first second.
+// A scheduler doesn't take all workers for full forever. If only responses carry reports and the first
+// ones show full workers, it sends no jobs and so gets no reports. Its estimate must decay, or it would
+// refuse all requests. With that fault, in a deployment made up for the bench, on a day without other
+// faults, a third of 300 dispatchers sent no jobs after their first second.
 func TestFullEstimateDecaysWithoutReports(t *testing.T) {
 	set := Settings{Schedulers: 30, MinStepInterval: time.Millisecond, LoadReports: true, MaxAttempts: 3,
 		ResponseGrace: 8 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond,
