--- a/internal/cluster/placement/candidate.go
+++ b/internal/cluster/placement/candidate.go
@@ -18,7 +18,7 @@
 	rank     float64  // order among tasks of the same priority and lateness, in seconds; lower ranks are placed first
 	order    int      // index of the first task of its gang, or its own index; keeps members adjacent
 	large    bool     // it needs so much of any runner that capacity is reserved for it as for a gang
-	attempts int      // number of matchings that the task has taken part in; from maxAttempts on it takes part in no more
+	attempts int      // matchings so far; set to maxAttempts if the task must not take part in further ones
 	placed   bool     // the round has placed it
 
 	reliableAlternative tristate // result of Planner.hasReliableAlternative
--- a/internal/cluster/placement/plan.go
+++ b/internal/cluster/placement/plan.go
@@ -14,7 +14,7 @@
 	count   int     // number of members that fit
 	start   float64 // time from which on the capacity is available, in seconds from now
 	runtime float64 // expected runtime of a member on the runner, in seconds
-	cost    float64 // slots are used in order of cost: that of a member for a start now, start + runtime for a later start
+	cost    float64 // sort key of slots: a member's cost for a start now, start + runtime for a later start
 }
 
 // plan is one way to start all members of a unit at the same time.
--- a/internal/cluster/placement/runnerstate.go
+++ b/internal/cluster/placement/runnerstate.go
@@ -107,8 +107,8 @@
 	return task.AntiAffinity <= 0 || r.count(task.Group) < task.AntiAffinity
 }
 
-// capacityFor returns the number of tasks equal to the given one that fit into the free capacity and the group's
-// anti-affinity, at most limit.
+// capacityFor returns the number of tasks like the given one that fit into the free capacity and that anti-affinity
+// allows on the runner, at most limit.
 func (r *runnerState) capacityFor(task *Task, limit int) int {
 	return max(r.limitByAntiAffinity(task, maxFitting(r.free, task.Needs, limit)), 0)
 }
--- a/internal/cluster/scheduler/headroom.go
+++ b/internal/cluster/scheduler/headroom.go
@@ -17,8 +17,8 @@
 )
 
 // headroom is free capacity that rounds keep for urgent tasks that may arrive next, so that these needn't wait for
-// other tasks to end. A service's urgent tasks have the highest priority that it has had during this leadership. The
-// headroom is based on the recent peak of their demand.
+// other tasks to end. A service's urgent tasks are its tasks of the highest priority that it has had during this
+// leadership. The headroom is based on the recent peak of their demand.
 type headroom struct{ byService map[string]*urgentDemand }
 
 // urgentDemand is the demand of a service's urgent tasks for processors, in thousandths of a core.
--- a/internal/cluster/scheduler/health.go
+++ b/internal/cluster/scheduler/health.go
@@ -100,7 +100,7 @@
 }
 
 // recordRuntime updates the runner's slowness and the runtime predictor with the runtime of a run that is done. It
-// ignores three sorts of runs: those that this owner hasn't started or that resumed from a checkpoint, because their
+// ignores three sorts of runs: runs that this owner hasn't started or that resumed from a checkpoint, because their
 // full runtime is unknown; long-running runs; and members of rack-local gangs, because their runtime depends on the
 // racks of the whole gang.
 func (o *Owner) recordRuntime(now time.Duration, r *runner, key runKey, task *jobs.Task) {
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -39,8 +39,8 @@
 }
 
 // startOrders returns the starts of the runs that the shard has on the runner and that the runner doesn't list, the
-// oldest first. It returns at least one start, and no more than fit into one answer. Later answers have the rest. It
-// repeats starts of earlier answers, because the runner may not have received those.
+// oldest first. It returns as many as fit into one answer, but at least one if there are any. Later answers have the
+// rest. It repeats starts of earlier answers, because the runner may not have received those.
 func (o *Owner) startOrders(r *runner) []protocol.StartOrder {
 	var starts []protocol.StartOrder
 	bytes := 0
--- a/internal/dispatcher/coordinator/coordinator.go
+++ b/internal/dispatcher/coordinator/coordinator.go
@@ -122,8 +122,8 @@
 }
 
 // Submit returns the final response to a request. ctx must end when the client disconnects: then Submit returns
-// ClientDisconnected, and the request's attempts are cancelled as far as the settings allow. After Run has ended,
-// Submit returns InternalFault.
+// ClientDisconnected, and the request's attempts are cancelled. Once an attempt's first call of Begin has succeeded, it
+// is cancelled only if policy.Settings.MayCancel is set. After Run has ended, Submit returns InternalFault.
 func (c *Coordinator) Submit(ctx context.Context, r *Request) Response {
 	j := &job{request: r, response: make(chan Response, 1)}
 	select {
--- a/policy/api.go
+++ b/policy/api.go
@@ -77,8 +77,8 @@
 	LoadReports   bool // the ends of probes or attempts carry load reports
 
 	MayCancel, MayProbe bool // this scheduler may cancel attempts; it may probe workers
-	// MaxAttempts is the most attempts for a request. A request that makes MaxOpenRequests open ones is
-	// refused. 0: no limit.
+	// MaxAttempts is the most attempts for a request. A request is refused if it makes the number of open
+	// requests reach MaxOpenRequests. Either may be 0: no limit.
 	MaxAttempts, MaxOpenRequests int
 	MaxRetryAfter                time.Duration // the longest RetryAfter that clients respect; 0: none is sent
 	ConnIdleTimeout              time.Duration // an idle connection closes after this time
@@ -194,7 +194,7 @@
 	Token             uint64
 	Worker            string
 	Members           []Member
-	Numbers           []int         // it may use the shares of these in the shared budgets
+	Numbers           []int         // scheduler numbers; it may use their budget shares
 	NumbersValidUntil time.Duration // from then on only this scheduler's own number is valid
 	LiveSchedulers    int           // number of schedulers that are assumed to be alive
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -113,7 +113,7 @@
 }
 
 // All schedulers together send a warming worker no more than its budget. This holds for any number of
-// schedulers, although each has far too many requests, and probes that show free slots allow more than
+// schedulers, even if each has far too many requests, and probes that show free slots allow more than
 // the usual shares.
 func TestFleetStaysInWarmingBudgetWithReports(t *testing.T) {
 	for _, schedulers := range []int{3, 20, 80, 300} {
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -8,8 +8,8 @@
 const maxKeys = 1 << 14 // most keys with a recorded demand; one more key clears all records
 
 // arrive makes a job of a request that arrived and schedules a round for it. A request gets its final
-// response at once if its class is unknown, it has no time left, MaxOpenRequests is exceeded, or Closing
-// was received. A request with an id in use is ignored.
+// response at once if its class is unknown, it has no time left, it makes the number of jobs reach
+// MaxOpenRequests, or Closing was received. A request with an id in use is ignored.
 func (d *Dispatcher) arrive(e *Event) {
 	index, ok := d.classes[e.Class]
 	if d.jobs[e.ID] != nil {
--- a/policy/state.go
+++ b/policy/state.go
@@ -36,7 +36,7 @@
 	roundAt, scanAt, listCallAt, armedAt time.Duration
 
 	lastReport     time.Duration // when the last load report of any worker arrived
-	numbers        []int         // scheduler numbers with budget shares that it may use
+	numbers        []int         // scheduler numbers; it may use their budget shares
 	numbersUntil   time.Duration // when numbers expires: then only its own number is valid
 	liveSchedulers int           // number of schedulers that are assumed to be alive
 
--- a/policy/warming.go
+++ b/policy/warming.go
@@ -31,7 +31,7 @@
 
 // minCapacity returns the least fraction of its full capacity that w has now. It grows linearly from
 // MinStartCapacity at the start to 1 after MaxWarmUpTime. If a worker refused a connection at once or
-// dropped running jobs, that time is taken as its start before the list shows a start: many workers may
+// dropped running jobs, that time is taken as its start until the list shows a later one: many workers may
 // have restarted together.
 func (d *Dispatcher) minCapacity(w *worker) float64 {
 	since := max(w.started, w.suspectedRestartAt)
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -213,8 +213,9 @@
 //	usual = othersSlotUse x slots x r/(r+u)
 //	estimate = observed + (usual - observed) x a/(a+r)
 //
-// The second rule guards against a scheduler that stops sending forever. If only responses bring reports,
-// a scheduler that takes all workers for full sends no jobs, so it gets no report that shows free slots.
+// The decay of the usual value guards against a scheduler that stops sending forever. If only responses
+// bring reports, a scheduler that takes all workers for full sends no jobs, so it gets no report that shows
+// free slots.
 func (d *Dispatcher) estimateOthersSlots(w *worker) float64 {
 	age, sinceReport := (d.now - w.othersSlotsAt).Seconds(),
 		(d.now - max(d.lastReport, d.firstStepAt)).Seconds()
