--- a/internal/cluster/placement/candidate.go
+++ b/internal/cluster/placement/candidate.go
@@ -125,8 +125,9 @@
 	return first
 }
 
-// compareCandidates orders candidates by priority, then starving ones first, then by lateness. Candidates that can be on
-// time are ordered by the remaining work of their jobs, the least first, then by rank; all others by rank.
+// compareCandidates orders candidates by priority, then starving ones first, then by lateness. Candidates that can be
+// on time are ordered by the remaining work of their jobs, the least first, then by rank. All other candidates are
+// ordered by rank.
 //
 // A job with little remaining work meets its objective for the least capacity. If there is too little capacity for all
 // jobs, an order by deadline would make each late job delay the next one. A job with only long-running tasks has no
--- a/internal/cluster/placement/preemption.go
+++ b/internal/cluster/placement/preemption.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// cheapestEvictions returns the evictions, one for each member of the unit, that lose the least work. All are in one rack
-// for a rack-local gang. It returns none if there are too few evictions, if they lose more work than minLostAllowance
-// plus maxLostFraction of the unit's own work, or if the round would preempt more than maxStops runs.
+// cheapestEvictions returns the evictions with the least lost work, one for each member of the unit. For a rack-local
+// gang all are in one rack. It returns none if there are too few evictions, if they lose more work than
+// minLostAllowance plus maxLostFraction of the unit's own work, or if the round would preempt more than maxStops runs.
 func (p *Planner) cheapestEvictions(u *unit) []eviction {
 	c := u.first()
 	p.findEvictions(c)
@@ -130,8 +130,8 @@
 	return best
 }
 
-// cheapestInRack returns the evictions in a rack, one for each member of the unit, that lose the least work, and that
-// work in core-seconds. The work is infinite if there are too few evictions. rack may be anyRack.
+// cheapestInRack returns the evictions in a rack with the least lost work, one for each member of the unit, and the
+// work that they lose in core-seconds. The work is infinite if there are too few evictions. rack may be anyRack.
 func (p *Planner) cheapestInRack(u *unit, rack int) (best []eviction, lost float64) {
 	for _, e := range p.preemption.evictions { // the cheapest first
 		if rack == anyRack || e.runner.rack == rack {
--- a/internal/cluster/placement/property_test.go
+++ b/internal/cluster/placement/property_test.go
@@ -110,7 +110,7 @@
 	together map[string]int             // number of placed tasks, by group and runner
 }
 
-// check checks a placement after those before it.
+// check checks a placement, given the placements that were checked before.
 func (c *placementRules) check(t *rapid.T, p Placement) {
 	t.Helper()
 	task, runner := &c.tasks[p.Task], &c.runners[p.Runner]
--- a/internal/cluster/scheduler/aged.go
+++ b/internal/cluster/scheduler/aged.go
@@ -19,9 +19,10 @@
 )
 
 // promoteAged demotes aged steps that are done or couldn't start (see demoteAged). It then promotes expired steps from
-// the front of their queue, until one hasn't reached agingThreshold or would raise the needs of the unfinished tasks of
-// all aged steps above agedShare of the capacity. If no step is aged, it promotes the first one whatever that needs,
-// because a step wider than the share would otherwise never be promoted.
+// the front of their queue. It stops at the first step that hasn't reached agingThreshold, or that would raise the
+// needs of the unfinished tasks of all aged steps above agedShare of the capacity. If no step is aged, it promotes the
+// first step that has reached agingThreshold whatever its needs, because a step wider than the share would otherwise
+// never be promoted.
 //
 // It returns pending tasks of the aged steps: at most maxExpiredPerRound, but the last gang completely.
 func (p *pendingSteps) promoteAged(now time.Duration, clockMs int64, service string, capacity protocol.Resources) (tasks []*jobs.Task) {
--- a/internal/cluster/scheduler/leases.go
+++ b/internal/cluster/scheduler/leases.go
@@ -22,8 +22,8 @@
 	return time.Duration(float64(o.options.MaxLease) * leaseClockFactor)
 }
 
-// grantLease grants a lease that ends at most MaxLease after the newest confirmation of leadership was requested. A runner
-// that has deregistered gets none; nor does any runner if less than a millisecond of that time is left.
+// grantLease grants a lease that ends at most MaxLease after the newest confirmation of leadership was requested. It
+// grants no lease to a runner that has deregistered, or if less than a millisecond of that time is left.
 func (o *Owner) grantLease(now time.Duration, r *runner, orders *protocol.Orders) {
 	if r.hasDeregistered {
 		return
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -11,7 +11,7 @@
 )
 
 // Limits of the starts in one answer. A runner drops an answer of more than 4 MiB. The owner would repeat the same
-// answer, so the runner would never start anything.
+// answer, so the runner would never start a run.
 const (
 	maxStartBytes      = 3 << 20 // bytes of all starts in one answer
 	startOverheadBytes = 16      // bytes of one start without its strings: brackets, quotes, commas, the number of the run
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// BecomeFollower ends the ownership and answers everything that still waits for a reply with an error. The error is
-// failure.UnknownOutcome for requests in the command in flight, which may still be committed, and failure.NotLeader for all
-// others.
+// BecomeFollower ends the ownership and answers all requests that wait for a reply with an error. The error is
+// failure.UnknownOutcome for requests in the command in flight, which may still be committed. It is failure.NotLeader
+// for all other requests.
 func (o *Owner) BecomeFollower() {
 	if !o.leadership.isLeader {
 		return
--- a/internal/cluster/scheduler/pending.go
+++ b/internal/cluster/scheduler/pending.go
@@ -195,10 +195,10 @@
 	return s.expired.Len() == 0 && len(s.aged) == 0
 }
 
-// takeUnexpired returns unexpired pending tasks of a service: at most limit, but the last gang completely. It selects all
-// tasks that can be on time before late ones, whatever their priorities, and by priority within a class. It returns the
-// selected tasks in order of priority, and by class within a priority. truncated reports whether the limit was reached,
-// so that there may be more tasks.
+// takeUnexpired returns unexpired pending tasks of a service: at most limit, but the last gang completely. It selects
+// all tasks that can be on time before late tasks, even if these have higher priorities. Within a class it selects by
+// priority. It returns the selected tasks in order of priority, and by class within a priority. truncated reports
+// whether the limit was reached, so that there may be more tasks.
 func (p *pendingSteps) takeUnexpired(service string, limit int) (tasks []*jobs.Task, truncated bool) {
 	s := p.service(service)
 	priorities := slices.Sorted(maps.Keys(s.unexpired))
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -16,8 +16,8 @@
 // Submit submits a job. The reply comes after the job is committed; known reports whether an earlier request had
 // committed it.
 //
-// The owner refuses a job as failure.Overloaded only after its leadership was confirmed by a confirmation requested after
-// the submit. Without that, an owner that has been replaced could refuse jobs because of others that have ended since.
+// The owner refuses a job as failure.Overloaded only after its leadership was confirmed by a confirmation requested
+// after the submit. Otherwise an owner that has been replaced could refuse a job because of jobs that have ended since.
 func (o *Owner) Submit(now time.Duration, submit jobs.Submit, reply func(known bool, err error)) {
 	if !o.leadership.isLeader {
 		reply(false, errNotLeader)
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -133,7 +133,7 @@
 	return reason
 }
 
-// isLackOfCapacity reports whether a reason means that the task waits for capacity, which others are given first.
+// isLackOfCapacity reports whether a reason means that the task waits for capacity, which other tasks get first.
 func isLackOfCapacity(reason latency.Reason) bool {
 	switch reason {
 	case latency.NoCPU, latency.NoMemory, latency.NoGPU, latency.ReservedCapacity, latency.NextRound:
--- a/internal/dispatcher/coordinator/actions.go
+++ b/internal/dispatcher/coordinator/actions.go
@@ -100,8 +100,8 @@
 	return f()
 }
 
-// attemptEnded passes the end of an attempt to the job's module. A result is first delivered as the job's response,
-// unless the job has one, and so is the report that the request itself is invalid.
+// attemptEnded passes the end of an attempt to the job's module. Before that it responds to the job, if the attempt
+// brought a result or found the request itself invalid and the job has no response yet.
 func (c *Coordinator) attemptEnded(j *job, n int, target string, end AttemptEnd) {
 	state := j.attempts[n]
 	state.cancel()
--- a/internal/dispatcher/coordinator/attempt.go
+++ b/internal/dispatcher/coordinator/attempt.go
@@ -27,7 +27,7 @@
 	mu       sync.Mutex
 	deadline time.Time // the first byte must be written before this time
 	begun    bool      // a first byte may have been written
-	revoked  bool      // none may be written from now on
+	revoked  bool      // no first byte may be written from now on
 }
 
 // begin implements Attempt.Begin.
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// revoke makes all later calls of begin fail, also those for a further connection, and reports whether none succeeded.
+// revoke makes all later calls of begin fail, including calls for a further connection. It reports whether no call of
+// begin has succeeded.
 func (s *firstByteGate) revoke() (unbegun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/policy/api.go
+++ b/policy/api.go
@@ -222,13 +222,13 @@
 	overloadText = "late jobs are given up"
 )
 
-// Action is something that the scheduler has to do now. Kind determines which fields are set.
+// Action is an action that the caller of Step has to carry out now. Kind determines which fields are set.
 type Action struct {
 	Kind        ActionKind
 	ID          uint32
 	Worker      string
 	Timeout     time.Duration
-	FirstByteBy time.Duration // if the first byte isn't sent before this time, none may be sent; 0: no bound
+	FirstByteBy time.Duration // the first byte may be sent only before this time; 0: no bound
 	Attempt     int
 	RetryAfter  time.Duration
 	At          time.Duration
--- a/policy/noreports_test.go
+++ b/policy/noreports_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// These tests are on deployments without load reports. There, free slots, the use of slots and the budgets of
-// warming workers are estimated from own attempts alone: those in flight, their starts and their outcomes.
+// These tests are on deployments without load reports. There, free slots, the use of slots and the budgets
+// of warming workers are estimated only from own attempts in flight, and from the starts and outcomes of own
+// attempts.
 
 func withoutReports(t *testing.T, change func(*Settings)) *Dispatcher {
 	t.Helper()
--- a/policy/state.go
+++ b/policy/state.go
@@ -15,7 +15,7 @@
 	classes map[string]int // by name: the index in Settings.Classes
 	tenants map[string]int // by name: the index in Settings.Tenants
 	buckets []tokenBucket  // by tenant
-	// jobs has the jobs without a final response, and those with one while an attempt is still in flight.
+	// jobs has the jobs without a final response, and jobs with an attempt that is still in flight.
 	jobs             map[uint32]*job
 	openJobs         []*job // in order of arrival; scan removes ended jobs
 	workers          map[string]*worker
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// removeAttempt removes an attempt that ended now from those in flight to w.
+// removeAttempt removes an attempt that ended now from the attempts in flight to w.
 func (w *worker) removeAttempt(a *attempt, now time.Duration) {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(x *attempt) bool { return x == a })
 	w.busySlots -= a.j.slots
@@ -224,8 +224,9 @@
 }
 
 // recordFailure blocks w after a sign of failure, unless it is blocked. The block lasts twice as long with
-// each failure. After it w gets one job at a time, and none of an unsafe class, until enough attempts there
-// succeeded. While nearly all candidates look unhealthy, none of this applies (failOpen).
+// each failure. After the block w gets one job at a time, and no job of an unsafe class, until enough
+// attempts there succeeded. While nearly all candidates look unhealthy, these rules are suspended
+// (failOpen).
 func (d *Dispatcher) recordFailure(w *worker) {
 	if d.now >= w.blockedUntil {
 		w.failures = min(maxFailures, math.Floor(w.failures)+1)
