--- a/internal/cluster/placement/preemption.go
+++ b/internal/cluster/placement/preemption.go
@@ -21,11 +21,12 @@
 type preemption struct {
 	unschedulable []unit
 	singles       []*candidate // backing array of the members of units with one task
-	evictions     []eviction   // evictions for the current unit, the one that loses the least work first
+	evictions     []eviction   // evictions for the current unit, in ascending order of lost work
 	victims       []int        // victims of the evictions: indices into Runner.Running of their runners
 }
 
-// eviction is a set of runs on one runner (its victims) whose stop makes enough capacity free for one member of a unit.
+// eviction is a set of runs on one runner (its victims). Stopping them makes enough capacity free for one member of a
+// unit.
 type eviction struct {
 	runner      *runnerState
 	lost        float64 // work that the victims lose, in core-seconds
@@ -50,11 +51,11 @@
 }
 
 // preempt stops runs of lower priority for units that couldn't be placed and would miss their objectives by waiting. It
-// considers the units in order of priority, without long-running ones and without those that can't meet their objectives
+// considers the units in order of priority. It skips long-running units, and units that can't meet their objectives
 // anyway.
 //
 // It preserves two invariants. A stopped run has a lower priority than the unit, is neither in a gang nor long-running,
-// and isn't being stopped already. And no capacity is counted on by two units: capacity for which one unit waits is
+// and isn't being stopped already. No two units wait for the same capacity: the capacity for which one unit waits is
 // committed to it.
 func (p *Planner) preempt() {
 	if len(p.preemption.unschedulable) == 0 {
@@ -84,7 +85,7 @@
 }
 
 // preemptFor preempts runs for a unit, unless the unit can be on time if it waits for runs to end. In both cases it
-// commits the capacity for which the unit then waits, so that the next unit doesn't count on the same capacity.
+// commits the capacity for which the unit then waits, so that the next unit doesn't wait for the same capacity.
 func (p *Planner) preemptFor(u *unit) {
 	c := u.first()
 	later := &p.planning.later
@@ -102,9 +103,9 @@
 	}
 }
 
-// cheapestEvictions returns the evictions, one for each member of the unit, that lose the least work. All are in one rack
-// for a rack-local gang. It returns none if there are too few evictions, if they lose more work than minLostAllowance
-// plus maxLostFraction of the unit's own work, or if the round would preempt more than maxStops runs.
+// cheapestEvictions returns the evictions with the least lost work, one for each member of the unit. For a rack-local
+// gang all are in one rack. It returns none if there are too few evictions, if they lose more work than
+// minLostAllowance plus maxLostFraction of the unit's own work, or if the round would preempt more than maxStops runs.
 func (p *Planner) cheapestEvictions(u *unit) []eviction {
 	c := u.first()
 	p.findEvictions(c)
@@ -129,8 +130,8 @@
 	return best
 }
 
-// cheapestInRack returns the evictions in a rack, one for each member of the unit, that lose the least work, and that
-// work in core-seconds. The work is infinite if there are too few evictions. rack may be anyRack.
+// cheapestInRack returns the evictions in a rack with the least lost work, one for each member of the unit, and the
+// work that they lose in core-seconds. The work is infinite if there are too few evictions. rack may be anyRack.
 func (p *Planner) cheapestInRack(u *unit, rack int) (best []eviction, lost float64) {
 	for _, e := range p.preemption.evictions { // the cheapest first
 		if rack == anyRack || e.runner.rack == rack {
@@ -208,8 +209,8 @@
 	return free, first
 }
 
-// reprieveVictims removes victims without which the task still fits, trying those that lose the most work first, and
-// returns the number of victims that remain. free is the capacity that is free if all victims stop.
+// reprieveVictims removes victims if the task still fits without stopping them. It tries the victims with the most lost
+// work first, and returns the number that remain. free is the capacity that is free if all victims stop.
 func reprieveVictims(r *runnerState, victims []int, free, needs protocol.Resources) int {
 	count := len(victims)
 	for i := count - 1; i >= 0; i-- {
--- a/internal/cluster/placement/property_test.go
+++ b/internal/cluster/placement/property_test.go
@@ -100,7 +100,7 @@
 	checkStops(t, tasks, runners, result)
 }
 
-// placementRules checks the placements of a round, and has what the checked ones use.
+// placementRules checks the placements of a round one by one, and records the effects of the checked placements.
 type placementRules struct {
 	tasks    []Task
 	runners  []Runner
@@ -110,7 +110,7 @@
 	together map[string]int             // number of placed tasks, by group and runner
 }
 
-// check checks a placement after those before it.
+// check checks a placement, given the placements that were checked before.
 func (c *placementRules) check(t *rapid.T, p Placement) {
 	t.Helper()
 	task, runner := &c.tasks[p.Task], &c.runners[p.Runner]
--- a/internal/cluster/scheduler/orders.go
+++ b/internal/cluster/scheduler/orders.go
@@ -11,7 +11,7 @@
 )
 
 // Limits of the starts in one answer. A runner drops an answer of more than 4 MiB. The owner would repeat the same
-// answer, so the runner would never start anything.
+// answer, so the runner would never start a run.
 const (
 	maxStartBytes      = 3 << 20 // bytes of all starts in one answer
 	startOverheadBytes = 16      // bytes of one start without its strings: brackets, quotes, commas, the number of the run
@@ -38,9 +38,9 @@
 	r.respond(orders, nil)
 }
 
-// startOrders returns the starts of the runs that the shard has on the runner and that the runner doesn't list, the oldest
-// first. It returns at most as many as fit into one answer, and at least one; the next answer has the others. It repeats
-// starts of earlier answers, because the runner may not have received those.
+// startOrders returns the starts of the runs that the shard has on the runner and that the runner doesn't list, the
+// oldest first. It returns as many as fit into one answer, but at least one if there are any. Later answers have the
+// rest. It repeats starts of earlier answers, because the runner may not have received those.
 func (o *Owner) startOrders(r *runner) []protocol.StartOrder {
 	var starts []protocol.StartOrder
 	bytes := 0
@@ -73,8 +73,9 @@
 	return startOverheadBytes + maxEscapedBytes*(len(order.Task)+len(order.Spec)+len(order.Saved))
 }
 
-// stopOrders returns the stops for the runner, sorted. A run that the runner doesn't list needs no stop, unless the
-// runner is one that its agent calls: a start may still reach that one, and the stop prevents it from taking effect.
+// stopOrders returns the stops for the runner, sorted. A run that the runner doesn't list needs a stop only if the
+// runner's agent calls it (Heartbeat.Called). A start may still reach such a runner, and the stop prevents it from
+// taking effect.
 func stopOrders(r *runner) []protocol.StopOrder {
 	stops := make([]protocol.StopOrder, 0, len(r.stops))
 	for key := range r.stops {
--- a/internal/cluster/scheduler/requests.go
+++ b/internal/cluster/scheduler/requests.go
@@ -16,8 +16,8 @@
 // Submit submits a job. The reply comes after the job is committed; known reports whether an earlier request had
 // committed it.
 //
-// The owner refuses a job as failure.Overloaded only after its leadership was confirmed by a confirmation requested after
-// the submit. Without that, an owner that has been replaced could refuse jobs because of others that have ended since.
+// The owner refuses a job as failure.Overloaded only after its leadership was confirmed by a confirmation requested
+// after the submit. Otherwise an owner that has been replaced could refuse a job because of jobs that have ended since.
 func (o *Owner) Submit(now time.Duration, submit jobs.Submit, reply func(known bool, err error)) {
 	if !o.leadership.isLeader {
 		reply(false, errNotLeader)
@@ -52,9 +52,9 @@
 // isFull reports whether the number of jobs that have not ended has reached its limit.
 func (o *Owner) isFull() bool { return o.state.Counters().Jobs >= o.options.MaxUnfinishedJobs }
 
-// validate returns the reason for which a submit must not be proposed, or nil. The reasons Invalid and Stale need no
-// confirmation of leadership, because they never cease to hold: Invalid depends on the submit alone, and a known
-// configuration at least as new as the one that routed the submit has assigned its queue to another service.
+// validate returns an error if a submit must not be proposed. The errors Invalid and Stale need no confirmation of
+// leadership, because they never cease to hold. Invalid depends on the submit alone. Stale means that a known
+// configuration, at least as new as the one that routed the submit, has assigned its queue to another service.
 func (o *Owner) validate(submit *jobs.Submit) error {
 	if err := jobs.Validate(&submit.Job); err != nil {
 		return err
--- a/internal/cluster/scheduler/waitreasons.go
+++ b/internal/cluster/scheduler/waitreasons.go
@@ -11,7 +11,7 @@
 
 const (
 	maxLateJobs        = 32 // late jobs that are kept between two calls of TakeLate; further ones are dropped
-	maxExplainedGroups = 16 // groups for which one assignment determines the wait reason individually
+	maxExplainedGroups = 16 // largest number of groups of one assignment whose wait reasons are determined individually
 )
 
 // LateJob is a job that has ended later than its objective, with the times that it spent by wait reason.
@@ -133,7 +133,7 @@
 	return reason
 }
 
-// isLackOfCapacity reports whether a reason means that the task waits for capacity, which others are given first.
+// isLackOfCapacity reports whether a reason means that the task waits for capacity, which other tasks get first.
 func isLackOfCapacity(reason latency.Reason) bool {
 	switch reason {
 	case latency.NoCPU, latency.NoMemory, latency.NoGPU, latency.ReservedCapacity, latency.NextRound:
--- a/policy/api.go
+++ b/policy/api.go
@@ -77,8 +77,8 @@
 	LoadReports   bool // the ends of probes or attempts carry load reports
 
 	MayCancel, MayProbe bool // this scheduler may cancel attempts; it may probe workers
-	// MaxAttempts is the most attempts for a request. A request that makes MaxOpenRequests open ones is
-	// refused. 0: no limit.
+	// MaxAttempts is the most attempts for a request. A request is refused if it makes the number of open
+	// requests reach MaxOpenRequests. Either may be 0: no limit.
 	MaxAttempts, MaxOpenRequests int
 	MaxRetryAfter                time.Duration // the longest RetryAfter that clients respect; 0: none is sent
 	ConnIdleTimeout              time.Duration // an idle connection closes after this time
@@ -95,8 +95,8 @@
 
 	DrainCloseTimeout time.Duration // idle connections to a draining worker close within it; 0: no rule
 
-	// What one crossing of zones, connection handshake or probe costs, in points: the unit of
-	// maxProbeCostPerRequest.
+	// The costs of one crossing of zones, one connection handshake and one probe, in points. A point is
+	// also the unit of maxProbeCostPerRequest.
 	CrossZonePrice, HandshakePrice, ProbePrice float64
 }
 
@@ -131,7 +131,7 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes. NeverRan names those that prove that the attempt never ran.
+// The outcomes. NeverRan lists the outcomes that prove that the attempt never ran.
 const (
 	OK            Outcome = iota // a result arrived
 	Failed                       // the worker responded with an error
@@ -140,7 +140,7 @@
 	ConnectFailed                // no connection could be set up
 	Reset                        // the connection broke
 	Cancelled                    // this scheduler cancelled it, or the worker found the request invalid
-	Moot                         // it ended before any of it was sent
+	Moot                         // it ended before any part of it was sent
 )
 
 // NeverRan reports whether an outcome proves that the attempt never ran.
@@ -185,7 +185,7 @@
 	Slots             float64       // slots that the request occupies at a worker
 	Memory            float64       // memory that it occupies, in the unit of Report.FreeMemory
 	IsRetry           bool          // the client marked the request as a retry
-	Attempt           int           // the number of the attempt among those of the request, from 0
+	Attempt           int           // index of the attempt within its request, from 0
 	Outcome           Outcome
 	Indeterminate     bool          // Outcome, one of NeverRan, may be another request's
 	Elapsed           time.Duration // since the attempt or probe was sent
@@ -194,7 +194,7 @@
 	Token             uint64
 	Worker            string
 	Members           []Member
-	Numbers           []int         // the numbers whose shares of the shared budgets it may use
+	Numbers           []int         // scheduler numbers; it may use their budget shares
 	NumbersValidUntil time.Duration // from then on only this scheduler's own number is valid
 	LiveSchedulers    int           // number of schedulers that are assumed to be alive
 }
@@ -222,13 +222,13 @@
 	overloadText = "late jobs are given up"
 )
 
-// Action is something that the scheduler has to do now. Kind determines which fields are set.
+// Action is an action that the caller of Step has to carry out now. Kind determines which fields are set.
 type Action struct {
 	Kind        ActionKind
 	ID          uint32
 	Worker      string
 	Timeout     time.Duration
-	FirstByteBy time.Duration // if the first byte isn't sent before this time, none may be sent; 0: no bound
+	FirstByteBy time.Duration // the first byte may be sent only before this time; 0: no bound
 	Attempt     int
 	RetryAfter  time.Duration
 	At          time.Duration
