--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -8,55 +8,61 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Rule is the name of one of the scheduler's rules, as the users' bench has it.
+// Rule is the name of one of the scheduler's rules. The users' bench uses the same names.
 type Rule string
 
-// The scheduler's rules. What is said of machines in touch with the control processes, or of a calm, holds only if no fault
-// is near, see Bounds.
+// The scheduler's rules. Some hold only for undisturbed machines or in fault-free spans; Bounds defines both terms. The
+// check of each rule says which.
 const (
-	// RuleLimit: no runner is brought over its capacity, unless it enforces that itself.
+	// RuleLimit: no start brings a runner over its capacity, unless the runner itself rejects what does not fit.
 	RuleLimit Rule = "LIMIT"
-	// RuleTwice: a task runs once at a time, and not again after it has ended done.
+	// RuleTwice: no two runs of a task overlap, and no run of it starts after one has ended done. For steps with AtMostOnce,
+	// two runs may overlap, and a start soon after the end is allowed.
 	RuleTwice Rule = "TWICE"
-	// RuleOrder: no task starts before the steps that its step depends on are done, or before it is due.
+	// RuleOrder: no task starts before the steps that its step depends on are done, nor before its repetition is due.
 	RuleOrder Rule = "ORDER"
-	// RuleRoute: a task runs on runners of its queue's service that have the required label, within antiAffinity.
+	// RuleRoute: a task runs only on runners of its queue's service that have the label which its step requires. No runner
+	// runs more tasks of one step than the step's antiAffinity allows.
 	RuleRoute Rule = "ROUTE"
 	// RuleBudget: no task starts again once it has failed as often as its route allows.
 	RuleBudget Rule = "BUDGET"
-	// RuleGang: the members of a gang start together, and from the same checkpoint.
+	// RuleGang: all members of a gang start before the first of them stops waiting, and from the same checkpoint.
 	RuleGang Rule = "GANG"
-	// RuleUnasked: nothing runs that no client submitted, or long after it was cancelled.
+	// RuleUnasked: every run belongs to a task that a client submitted, and none starts or continues long after the job's
+	// cancel.
 	RuleUnasked Rule = "UNASKED"
 	// RuleRefused: a job of which every submission was rejected never runs.
 	RuleRefused Rule = "REFUSED"
-	// RuleDrain: nothing starts on a runner long after its `draining` was acknowledged.
+	// RuleDrain: no run starts on a runner later than Bounds.Drain after the runner's `draining` was acknowledged.
 	RuleDrain Rule = "DRAIN"
-	// RuleMixed: a job is shown as completed only when all its tasks have ended done.
+	// RuleMixed: a job is shown as completed only when all its tasks have ended done, and no unknown state is shown.
 	RuleMixed Rule = "MIXED"
-	// RuleLost: an accepted job stays known and is not stalled, and what is shown of it has a cause.
+	// RuleLost: an accepted job stays known and does not stall, and it is shown as failed or cancelled only if it is. After
+	// a final fault the acknowledged configuration is still there.
 	RuleLost Rule = "LOST"
-	// RuleConfig: the configuration is what the operator was told, and is followed in time.
+	// RuleConfig: the configuration is the newest one whose change was acknowledged, and machines follow it in time.
 	RuleConfig Rule = "CONFIG"
-	// RuleRecover: after a final fault, submissions are accepted again.
+	// RuleRecover: submissions are accepted again after a final fault, and a service that has lost most of its runners still
+	// completes its urgent jobs in time.
 	RuleRecover Rule = "RECOVER"
-	// RuleAcks is the bench's gate: valid changes are acknowledged in time.
+	// RuleAcks: the operator's valid changes are acknowledged in time. The users' bench fails a scenario that breaks it.
 	RuleAcks Rule = "ACKS"
-	// RuleDuty: a machine does not go on calling a runner with a fencing token that the runner has refused.
+	// RuleDuty: an agent soon stops calling a runner with a fencing token that the runner has refused.
 	RuleDuty Rule = "DUTY"
 )
 
-// Violation is a place where a history breaks a rule.
+// Violation is one event of a history that breaks a rule.
 type Violation struct {
 	Rule Rule
-	At   time.Duration
-	What string
+	At   time.Duration // when the rule was broken
+	What string        // what was seen, of which job, run or machine, and the bound that it breaks
 }
 
 // String returns the violation as one line.
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.What) }
 
-// auditor checks a history against the rules. It knows nothing but the history.
+// auditor checks a history against the rules. The history is its only source. It indexes the runs, each list in the order
+// of the starts.
 type auditor struct {
 	*History
 	found      []Violation
@@ -64,8 +70,8 @@
 	byStep     map[stepName][]*Run
 	byRunner   map[*RunnerIncarnation][]*Run
 	byJob      map[string][]*Run
-	clocksStep bool
-	candidates []*ConfigurationRecord // see possiblyInForce
+	clocksStep bool                   // some fault of the history steps a clock
+	candidates []*ConfigurationRecord // the cached result of possiblyInForce
 }
 
 // Audit returns the violations of the rules in a history, in the order of their times.
@@ -93,7 +99,7 @@
 	return a.found
 }
 
-// violated records a violation.
+// violated records a violation of a rule at a time.
 func (a *auditor) violated(rule Rule, at time.Duration, format string, args ...any) {
 	a.found = append(a.found, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
 }
@@ -111,20 +117,21 @@
 	return job, step
 }
 
-// isInTouch reports whether a machine is in touch with the control processes at a time: no fault of the machine or the
-// control plane is near.
-func (a *auditor) isInTouch(machine string, at time.Duration) bool {
+// isUndisturbed reports whether a machine is undisturbed at a time, so that it must be connected to the control processes:
+// no fault of the machine or of the control plane is on then, and none ended within Bounds.Contact before.
+func (a *auditor) isUndisturbed(machine string, at time.Duration) bool {
 	return !a.anyFault(at-a.Bounds.Contact, at, func(f *Fault) bool {
 		return f.ControlPlane || slices.Contains(f.Machines, machine)
 	})
 }
 
-// isCalm reports whether no fault is near a span, apart from those that are exempt.
-func (a *auditor) isCalm(from, to time.Duration, exempt func(f *Fault) bool) bool {
+// isFaultFree reports whether a span is fault-free: no fault is on in it or within Bounds.Contact before it, apart from the
+// exempt ones.
+func (a *auditor) isFaultFree(from, to time.Duration, exempt func(f *Fault) bool) bool {
 	return !a.anyFault(from-a.Bounds.Contact, to, func(f *Fault) bool { return !exempt(f) })
 }
 
-// anyFault reports whether a fault that counts is on at some time of a span.
+// anyFault reports whether a fault for which counts returns true is on at some time of a span, the ends included.
 func (a *auditor) anyFault(from, to time.Duration, counts func(f *Fault) bool) bool {
 	for i := range a.Faults {
 		f := &a.Faults[i]
@@ -139,7 +146,8 @@
 
 func isPlannedOrRunnersLeave(f *Fault) bool { return f.Planned || f.RunnersLeave }
 
-// possiblyInForce returns the configurations that may have been in force at some time: valid, and not rejected.
+// possiblyInForce returns the changes whose configuration may have been in force at some time: those that are valid and
+// were not rejected. It includes changes that nobody answered, because a lost response leaves their outcome open.
 func (a *auditor) possiblyInForce() []*ConfigurationRecord {
 	if a.candidates != nil {
 		return a.candidates
@@ -152,7 +160,7 @@
 	return a.candidates
 }
 
-// rejected reports whether the operator saw a final rejection of a change that was never acknowledged.
+// rejected reports whether the change was never acknowledged and the operator received a final rejection of it.
 func (r *ConfigurationRecord) rejected() bool {
 	if r.Acknowledged != Never {
 		return false
@@ -162,8 +170,8 @@
 	})
 }
 
-// failureBudget returns how many ends `failed` the tasks of a queue may have, by the configuration that allows most and by
-// the one that allows fewest; 0 is any number.
+// failureBudget returns how many runs of one task in a queue may end `failed`: the highest and the lowest number that any
+// configuration of the history sets. 0 means any number, and also that no configuration has the queue.
 func (a *auditor) failureBudget(queue QueueName) (highest, lowest int) {
 	seen := false
 	for _, record := range a.Configuration {
--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// checkConfiguration checks the operator's changes (CONFIG, ACKS), and what clients saw of them.
+// checkConfiguration checks the operator's changes (CONFIG, ACKS), and which versions the responses to clients show.
 func (a *auditor) checkConfiguration() {
 	a.checkResponses()
 	a.checkRaces()
@@ -15,8 +15,8 @@
 	a.checkReadBacks()
 }
 
-// checkResponses: nothing invalid is acknowledged, what was acknowledged is not rejected, and valid changes are
-// acknowledged.
+// checkResponses (CONFIG): no invalid change is acknowledged. A change that was acknowledged and had no concurrent change is
+// not rejected when the operator sends it again. It also calls checkAcknowledged for each change.
 func (a *auditor) checkResponses() {
 	for _, record := range a.Configuration {
 		acknowledged := false
@@ -26,10 +26,10 @@
 				continue
 			}
 			if attempt.Status == http.StatusOK && record.Invalid {
-				a.violated(RuleConfig, attempt.Answered, "version %d is invalid and was acknowledged", record.Version)
+				a.violated(RuleConfig, attempt.Answered, "the change to version %d is invalid and was acknowledged", record.Version)
 			}
 			if acknowledged && record.Alone && isFinalRejection(attempt.Status) {
-				a.violated(RuleConfig, attempt.Answered, "version %d was acknowledged and then rejected with %d", record.Version,
+				a.violated(RuleConfig, attempt.Answered, "the change to version %d was acknowledged and then rejected with status %d", record.Version,
 					attempt.Status)
 			}
 			acknowledged = acknowledged || attempt.Status == http.StatusOK
@@ -38,7 +38,9 @@
 	}
 }
 
-// checkAcknowledged (ACKS): a valid change that is alone and builds on the newest version is acknowledged in a calm.
+// checkAcknowledged (ACKS): a valid change is acknowledged within Bounds.AckTimeout of its first attempt. This holds for a
+// change without concurrent changes, on top of the newest acknowledged version, if the whole time is fault-free and ends
+// before the scenario.
 func (a *auditor) checkAcknowledged(record *ConfigurationRecord) {
 	if record.Invalid || !record.Alone || len(record.Attempts) == 0 {
 		return
@@ -46,12 +48,13 @@
 	sent := record.Attempts[0].Sent
 	until := sent + a.Bounds.AckTimeout
 	isLate := record.Acknowledged == Never || record.Acknowledged > until
-	if isLate && until < a.Ends && a.newestAt(sent) == record.Base && a.isCalm(sent, until, isPlanned) {
-		a.violated(RuleAcks, until, "version %d is not acknowledged since %v", record.Version, sent)
+	if isLate && until < a.Ends && a.newestAt(sent) == record.Base && a.isFaultFree(sent, until, isPlanned) {
+		a.violated(RuleAcks, until, "the change to version %d was sent at %v and is not acknowledged %v later", record.Version, sent,
+			a.Bounds.AckTimeout)
 	}
 }
 
-// newestAt returns the newest version that was acknowledged by a time.
+// newestAt returns the newest version that was acknowledged by a time, or 0 if none was.
 func (a *auditor) newestAt(at time.Duration) int64 {
 	newest := int64(0)
 	for _, record := range a.Configuration {
@@ -62,18 +65,19 @@
 	return newest
 }
 
-// checkRaces: of two changes on top of the same version, one is acknowledged at most.
+// checkRaces (CONFIG): of several changes on top of the same version, at most one is acknowledged. Changes with the same
+// body are the same change.
 func (a *auditor) checkRaces() {
-	first := map[int64]*ConfigurationRecord{}
+	acknowledgedOn := map[int64]*ConfigurationRecord{} // by base version
 	for _, record := range a.Configuration {
 		if record.Acknowledged == Never {
 			continue
 		}
-		if other := first[record.Base]; other != nil && other.Body != record.Body {
-			a.violated(RuleConfig, record.Acknowledged, "versions %d and %d on top of %d were both acknowledged",
+		if other := acknowledgedOn[record.Base]; other != nil && other.Body != record.Body {
+			a.violated(RuleConfig, record.Acknowledged, "versions %d and %d on top of version %d were both acknowledged",
 				other.Version, record.Version, record.Base)
 		}
-		first[record.Base] = record
+		acknowledgedOn[record.Base] = record
 	}
 }
 
@@ -81,11 +85,12 @@
 type observation struct {
 	attempt      *Attempt
 	queue        QueueName
-	found        bool // the queue was there
-	pendingQuery bool // not a submission
+	found        bool // the response shows that the queue exists
+	pendingQuery bool // the call was a PendingQuery; false: a submission
 }
 
-// observations returns what clients saw of the configuration, in the order of the responses.
+// observations returns what the responses to clients show of the configuration, in the order of the responses. A 404 shows
+// that the queue does not exist, and a 2xx that it exists. Other responses show neither.
 func (a *auditor) observations() []observation {
 	var observations []observation
 	add := func(o observation) {
@@ -116,9 +121,10 @@
 	return exists == o.found
 }
 
-// versionsOf returns the oldest and the newest version that a machine may have followed when it gave a response; -1 if
-// there is none.
-func (a *auditor) versionsOf(o *observation, records []*ConfigurationRecord) (oldest, newest int64) {
+// versionsExplaining returns the oldest and the newest of the versions in records by which a machine may have given a
+// response: their change was first sent before the response arrived, and they agree with it. Both are -1 if no version
+// does.
+func (a *auditor) versionsExplaining(o *observation, records []*ConfigurationRecord) (oldest, newest int64) {
 	oldest, newest = -1, -1
 	for _, record := range records {
 		if len(record.Attempts) == 0 || record.Attempts[0].Sent > o.attempt.Answered || !o.agreesWith(record) {
@@ -132,8 +138,12 @@
 	return oldest, newest
 }
 
-// checkFollowed: machines in touch follow what was acknowledged, none follows what is not in force, and none goes back to
-// an older version within an incarnation.
+// checkFollowed (CONFIG) checks each response to a client that shows something of the configuration:
+//   - Some version that may be in force agrees with the response.
+//   - If the machine was undisturbed when the request was sent and when the response arrived, a version agrees that is at
+//     least as new as the newest that was acknowledged more than Bounds.ConfigApply before the request.
+//   - The same process has not shown a newer version before. The request must be sent more than Bounds.RollbackSlack after
+//     the response that showed the newer version.
 func (a *auditor) checkFollowed() {
 	records := a.possiblyInForce()
 	type process struct {
@@ -141,14 +151,14 @@
 		incarnation int
 	}
 	type evidence struct {
-		version int64 // that the process followed, at least
-		at      time.Duration
+		version int64         // the process followed this version or a newer one
+		at      time.Duration // when the response that shows it arrived
 	}
 	seen := map[process][]evidence{}
 	for _, o := range a.observations() {
 		attempt := o.attempt
-		floor := int64(0) // of the version, by the time that changes take to be followed
-		if a.isInTouch(attempt.Machine, attempt.Sent) && a.isInTouch(attempt.Machine, attempt.Answered) {
+		floor := int64(0) // the oldest version that the machine may still follow
+		if a.isUndisturbed(attempt.Machine, attempt.Sent) && a.isUndisturbed(attempt.Machine, attempt.Answered) {
 			floor = a.newestAt(attempt.Sent - a.Bounds.ConfigApply - 1)
 		}
 		key := process{attempt.Machine, attempt.Incarnation}
@@ -158,16 +168,16 @@
 				followed = max(followed, e.version)
 			}
 		}
-		oldest, newest := a.versionsOf(&o, records)
+		oldest, newest := a.versionsExplaining(&o, records)
 		switch {
 		case oldest < 0:
-			a.violated(RuleConfig, attempt.Answered, "%s answers %d for %s, which no configuration in force allows",
+			a.violated(RuleConfig, attempt.Answered, "%s answers %d for queue %s, as no version does that may be in force",
 				attempt.Machine, attempt.Status, o.queue.Key())
 		case newest < floor:
-			a.violated(RuleConfig, attempt.Answered, "%s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
-				attempt.Machine, attempt.Status, o.queue.Key(), newest, floor)
+			a.violated(RuleConfig, attempt.Answered, "%s answers %d for queue %s, as version %d or older would; version %d was acknowledged more than %v before the request",
+				attempt.Machine, attempt.Status, o.queue.Key(), newest, floor, a.Bounds.ConfigApply)
 		case newest < followed:
-			a.violated(RuleConfig, attempt.Answered, "%s answers %d for %s, as version %d or older would; it has followed %d before",
+			a.violated(RuleConfig, attempt.Answered, "%s answers %d for queue %s, as version %d or older would; the same process has followed version %d before",
 				attempt.Machine, attempt.Status, o.queue.Key(), newest, followed)
 		}
 		if oldest > 0 {
@@ -176,28 +186,30 @@
 	}
 }
 
-// checkService: a job that was submitted to a machine in touch, long after a change was acknowledged, does not run at a
-// service that its queue has only in older versions.
+// checkService (CONFIG): a job runs at a service that its queue has in a version which was valid at its submission. The
+// oldest such version is the newest that was acknowledged more than Bounds.ConfigApply before the job's first submission.
+// This holds if the machine that got this submission was undisturbed. The rule sees the job's first submission only.
 func (a *auditor) checkService(run *Run, job *JobRecord) {
 	if len(job.Submissions) == 0 {
 		return
 	}
-	first := &job.Submissions[0]
-	if !a.isInTouch(first.Machine, first.Sent) {
+	submission := &job.Submissions[0]
+	if !a.isUndisturbed(submission.Machine, submission.Sent) {
 		return
 	}
-	floor := a.newestAt(first.Sent - a.Bounds.ConfigApply - 1)
+	floor := a.newestAt(submission.Sent - a.Bounds.ConfigApply - 1)
 	allowed := slices.ContainsFunc(a.possiblyInForce(), func(r *ConfigurationRecord) bool {
 		return r.Version >= floor && r.Routes[job.Queue].Service == run.Runner.Service
 	})
 	if floor > 0 && !allowed {
-		a.violated(RuleConfig, run.Started, "%s run %d on a runner of %s, which version %d and later ones do not allow",
-			run.TaskText, run.Number, run.Runner.Service, floor)
+		a.violated(RuleConfig, run.Started, "%s run %d is on a runner of service %s, to which queue %s is not routed in version %d or a later one",
+			run.TaskText, run.Number, run.Runner.Service, job.Queue.Key(), floor)
 	}
 }
 
-// checkReadBacks (CONFIG, or LOST after a final fault): what is read back at the end is the newest version that was
-// acknowledged, or one that may have come into force since.
+// checkReadBacks (CONFIG, or LOST after a final fault): the operator reads the configuration back at the end of the
+// scenario. Each read gives a version at least as new as the newest that was acknowledged Bounds.Contact before the read,
+// exactly as the operator sent it. At least one read succeeds if any version was acknowledged.
 func (a *auditor) checkReadBacks() {
 	if a.Ends == 0 || len(a.Configuration) == 0 {
 		return
@@ -207,28 +219,29 @@
 		rule = RuleLost
 	}
 	if len(a.ReadBacks) == 0 && a.newestAt(a.Ends) > 0 {
-		a.violated(rule, a.Ends, "the configuration is not read back")
+		a.violated(rule, a.Ends, "no read of the configuration succeeded at the end, version %d was acknowledged", a.newestAt(a.Ends))
 	}
 	for _, read := range a.ReadBacks {
 		version, ok := versionOf(read.Body)
 		if !ok {
-			a.violated(rule, read.At, "what is read back is not a configuration")
+			a.violated(rule, read.At, "the operator reads %q, which is not a configuration", read.Body)
 			continue
 		}
 		if newest := a.newestAt(read.At - a.Bounds.Contact); version < newest {
-			a.violated(rule, read.At, "version %d is read back, %d was acknowledged", version, newest)
+			a.violated(rule, read.At, "the operator reads version %d, version %d was acknowledged at least %v before", version, newest,
+				a.Bounds.Contact)
 			continue
 		}
 		wasSent := slices.ContainsFunc(a.possiblyInForce(), func(r *ConfigurationRecord) bool {
 			return r.Version == version && r.Document == read.Body
 		})
 		if !wasSent {
-			a.violated(rule, read.At, "version %d is read back, not as it was sent", version)
+			a.violated(rule, read.At, "the operator reads version %d with other content than was sent", version)
 		}
 	}
 }
 
-// versionOf returns the version of a configuration in JSON, and whether it is one.
+// versionOf returns the version of a configuration in JSON; ok is false if the text is not a JSON object of that form.
 func versionOf(body string) (version int64, ok bool) {
 	var head struct {
 		Version int64 `json:"version"`
@@ -237,7 +250,9 @@
 	return head.Version, err == nil
 }
 
-// checkRecovery (RECOVER): after a final fault, submissions are accepted again.
+// checkRecovery (RECOVER): after a final fault, submissions are accepted again. At least minFraction of the jobs must be
+// accepted that are submitted from Bounds.Recovery after the restart to the end of the traffic. If less than that was
+// accepted before the final fault already, the rule demands nothing.
 func (a *auditor) checkRecovery() {
 	if a.FinalFault == Never || a.Returned == Never {
 		return
@@ -246,12 +261,13 @@
 	before := a.acceptedFraction(0, a.FinalFault)
 	after := a.acceptedFraction(a.Returned+a.Bounds.Recovery, a.TrafficEnds)
 	if before >= minFraction && after >= 0 && after < minFraction {
-		a.violated(RuleRecover, a.TrafficEnds, "%.2f of jobs were accepted before the final fault, %.2f after it", before, after)
+		a.violated(RuleRecover, a.TrafficEnds, "%.2f of the jobs were accepted before the final fault at %v, and %.2f from %v after the restart at %v; at least %.2f must be",
+			before, a.FinalFault, after, a.Bounds.Recovery, a.Returned, minFraction)
 	}
 }
 
-// acceptedFraction returns the fraction of the jobs first submitted in a span that were accepted within a client's time, or
-// -1 if there are none.
+// acceptedFraction returns the fraction of the jobs first submitted in a span that were accepted within clientTimeout of
+// that, or -1 if no job was submitted in it.
 func (a *auditor) acceptedFraction(from, to time.Duration) float64 {
 	const clientTimeout = 3 * time.Second
 	submitted, accepted := 0, 0
--- a/internal/cluster/simulation/audit_duty.go
+++ b/internal/cluster/simulation/audit_duty.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// maxRepeatedRefusals is how many calls with a refused fencing token a machine may make later than a lease after the refusal.
+// maxRepeatedRefusals is how many calls with a refused fencing token a machine may still make to a runner once the longest
+// lease has passed since the first refusal.
 const maxRepeatedRefusals = 3
 
-// checkRefusedCalls (DUTY): a machine that was refused, since another had used a higher fencing token, does not call again
-// with the same one later than a lease after that, but for maxRepeatedRefusals times.
+// checkRefusedCalls (DUTY): a runner refuses a call because it has seen a higher fencing token from another machine. The
+// refused machine may repeat calls with the same token for Bounds.MaxLease after the first refusal. Later than that it may
+// make maxRepeatedRefusals of them; the next one breaks the rule.
 func (a *auditor) checkRefusedCalls() {
 	type caller struct {
 		machine, instance string
 		fenceToken        uint64
 	}
-	first := map[caller]time.Duration{}
+	firstRefused := map[caller]time.Duration{}
 	repeated := map[caller]int{}
 	for _, call := range a.RefusedCalls {
 		key := caller{call.Machine, call.Instance, call.FenceToken}
-		refusedAt, known := first[key]
+		refusedAt, known := firstRefused[key]
 		if !known {
-			first[key] = call.At
+			firstRefused[key] = call.At
 			continue
 		}
 		if call.At <= refusedAt+a.Bounds.MaxLease {
@@ -26,8 +28,8 @@
 		}
 		repeated[key]++
 		if repeated[key] == maxRepeatedRefusals+1 {
-			a.violated(RuleDuty, call.At, "%s goes on calling %s with the fencing token %d, refused at %v", call.Machine, call.Instance,
-				call.FenceToken, refusedAt)
+			a.violated(RuleDuty, call.At, "%s calls %s with the fencing token %d for the %dth time later than %v after it was refused at %v; %d are allowed",
+				call.Machine, call.Instance, call.FenceToken, repeated[key], a.Bounds.MaxLease, refusedAt, maxRepeatedRefusals)
 		}
 	}
 }
--- a/internal/cluster/simulation/audit_jobs.go
+++ b/internal/cluster/simulation/audit_jobs.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// checkJob checks what clients saw of a job.
+// checkJob checks the responses that clients got for a job.
 func (a *auditor) checkJob(job *JobRecord) {
 	a.checkRejected(job)
 	for i := range job.Queries {
@@ -18,18 +18,23 @@
 	a.checkStalled(job)
 }
 
-// checkRejected (REFUSED): a job of which every submission was rejected never runs.
+// checkRejected (REFUSED): no task of a job starts if every submission of the job was rejected. A submission without a
+// response or with a status that leaves the outcome open, such as 504, is not a rejection.
 func (a *auditor) checkRejected(job *JobRecord) {
 	runs := a.byJob[job.ID]
 	if len(runs) == 0 || len(job.Submissions) == 0 {
 		return
 	}
 	if !slices.ContainsFunc(job.Submissions, func(t Attempt) bool { return !t.rejected() }) {
-		a.violated(RuleRefused, runs[0].Started, "%s started, every submission was rejected", runs[0].TaskText)
+		a.violated(RuleRefused, runs[0].Started, "%s run %d started, although each of the %d submissions of its job was rejected",
+			runs[0].TaskText, runs[0].Number, len(job.Submissions))
 	}
 }
 
-// checkQuery (MIXED, LOST): a state that is shown has a cause, and a job that was accepted is known.
+// checkQuery checks one response to a query of a job's state:
+//   - MIXED: the state exists, and the job is shown as completed only if all its tasks have ended done.
+//   - LOST: the job is shown as failed only if a task has used up its budget, and as cancelled only if a cancel was sent.
+//   - LOST: an accepted job is not unknown, see checkKnown.
 func (a *auditor) checkQuery(job *JobRecord, query *Attempt) {
 	if !query.isAnswered() {
 		return
@@ -47,31 +52,35 @@
 		a.checkCompleted(job, query)
 	case protocol.JobFailed:
 		if !a.hasExhaustedBudget(job, query.Answered) {
-			a.violated(RuleLost, query.Answered, "%s is shown as failed without cause", job.ID)
+			a.violated(RuleLost, query.Answered, "job %s is shown as failed, but none of its tasks has used up its budget of failed runs", job.ID)
 		}
 	case protocol.JobCancelled:
 		if sent := job.CancelSent(); sent == Never || sent > query.Answered {
-			a.violated(RuleLost, query.Answered, "%s is shown as cancelled, nobody cancelled it", job.ID)
+			a.violated(RuleLost, query.Answered, "job %s is shown as cancelled, but no client had sent a cancel", job.ID)
 		}
 	default:
-		a.violated(RuleMixed, query.Answered, "%s is shown as %q", job.ID, query.State)
+		a.violated(RuleMixed, query.Answered, "job %s is shown in the state %q, which does not exist", job.ID, query.State)
 	}
 }
 
-// isUnknownTooLate reports whether a query was sent after a job must be known, and answered that it is unknown.
+// isUnknownTooLate reports whether the response to a query says that a job is unknown, though the query was sent later than
+// Bounds.Visible after the job was accepted.
 func (a *auditor) isUnknownTooLate(job *JobRecord, query *Attempt) bool {
 	return query.isAnswered() && query.Status == http.StatusGone && query.Sent > job.Accepted+a.Bounds.Visible
 }
 
-// isWronglyUnknown reports whether a job that must be known was answered to be unknown. One that was cancelled need not be.
+// isWronglyUnknown reports whether a response says that an accepted job is unknown when it must be known everywhere. A job
+// for which a cancel was sent may be unknown.
 func (a *auditor) isWronglyUnknown(job *JobRecord, query *Attempt) bool {
 	return job.Accepted != Never && job.CancelSent() == Never && a.isUnknownTooLate(job, query)
 }
 
-// checkKnown: a machine in touch knows a job that was accepted.
+// checkKnown (LOST): a machine that was undisturbed from the query to its response knows a job that was accepted more than
+// Bounds.Visible before the query.
 func (a *auditor) checkKnown(job *JobRecord, query *Attempt) {
-	if a.isWronglyUnknown(job, query) && a.isInTouch(query.Machine, query.Sent) && a.isInTouch(query.Machine, query.Answered) {
-		a.violated(RuleLost, query.Answered, "%s is unknown to %s, it was accepted at %v", job.ID, query.Machine, job.Accepted)
+	if a.isWronglyUnknown(job, query) && a.isUndisturbed(query.Machine, query.Sent) && a.isUndisturbed(query.Machine, query.Answered) {
+		a.violated(RuleLost, query.Answered, "job %s is unknown to %s later than %v after it was accepted at %v", job.ID, query.Machine,
+			a.Bounds.Visible, job.Accepted)
 	}
 }
 
@@ -88,18 +97,21 @@
 	}
 }
 
-// checkCompleted: a job is shown as completed only when all its tasks have ended done.
+// checkCompleted (MIXED): a job is shown as completed only when all its tasks have ended done. A job with a long-running
+// step is never completed.
 func (a *auditor) checkCompleted(job *JobRecord, query *Attempt) {
 	eachTask(job, func(task TaskName, step *protocol.Step) bool {
 		if step.LongRunning || !a.isDoneBy(task, step, query.Answered) {
-			a.violated(RuleMixed, query.Answered, "%s is shown as completed, %s has not ended done", job.ID, task)
+			a.violated(RuleMixed, query.Answered, "job %s is shown as completed, but its task %s has not ended done", job.ID, task)
 			return false
 		}
 		return true
 	})
 }
 
-// hasExhaustedBudget reports whether by a time some task of a job had failed as often as it may.
+// hasExhaustedBudget reports whether some task of a job had as many failed runs by a time as its queue's budget. The lowest
+// budget of all configurations counts, because the auditor does not know which one the job follows. Runs of a gang with the
+// same number count once.
 func (a *auditor) hasExhaustedBudget(job *JobRecord, at time.Duration) bool {
 	_, budget := a.failureBudget(job.Queue)
 	if budget == 0 {
@@ -122,7 +134,9 @@
 	return found
 }
 
-// checkKnownAtEnd (LOST): after the traffic, each accepted job is known.
+// checkKnownAtEnd (LOST): if clients query an accepted job after the end of the traffic, some response gives its state, and
+// none says later than Bounds.Visible after the acceptance that the job is unknown. A cancelled job may be unknown. Faults
+// excuse nothing here.
 func (a *auditor) checkKnownAtEnd(job *JobRecord) {
 	if job.Accepted == Never || a.Ends == 0 {
 		return
@@ -144,20 +158,21 @@
 	switch {
 	case !wasQueried:
 	case unknownAt != Never && job.CancelSent() == Never:
-		a.violated(RuleLost, unknownAt, "%s is unknown at the end, it was accepted at %v", job.ID, job.Accepted)
+		a.violated(RuleLost, unknownAt, "job %s is unknown after the end of the traffic, it was accepted at %v", job.ID, job.Accepted)
 	case !isKnown && unknownAt == Never:
-		a.violated(RuleLost, a.Ends, "%s gets no answer at the end", job.ID)
+		a.violated(RuleLost, a.Ends, "no query for job %s after the end of the traffic at %v got its state", job.ID, a.TrafficEnds)
 	}
 }
 
-// checkStalled (LOST): after the traffic, no accepted job is stalled.
+// checkStalled (LOST): after the traffic, no accepted job is stalled for stallThreshold. See Deployment.sampleStalledJobs.
 func (a *auditor) checkStalled(job *JobRecord) {
 	if job.Accepted == Never || a.Ends == 0 {
 		return
 	}
 	for _, stalled := range a.StalledJobs {
 		if stalled.ID == job.ID {
-			a.violated(RuleLost, stalled.To, "%s has had nothing running since %v, though there is capacity", job.ID, stalled.From)
+			a.violated(RuleLost, stalled.To, "job %s has had no run since %v, although a task is due and there is capacity for it", job.ID,
+				stalled.From)
 			return
 		}
 	}
--- a/internal/cluster/simulation/audit_overload.go
+++ b/internal/cluster/simulation/audit_overload.go
@@ -6,13 +6,15 @@
 )
 
 const (
-	overloadSettling = 15 * time.Second // after the loss of the runners, until service is judged
-	maxServedAge     = 10 * time.Second // a quick job that takes longer has no value any more
-	minServed        = 0.25             // of the quick jobs
+	overloadSettling = 15 * time.Second // from the loss of the runners to the first submission that counts
+	maxServedAge     = 10 * time.Second // from a quick job's submission until its result is worthless
+	minServed        = 0.25             // fraction of the quick jobs that must be done within maxServedAge
 )
 
-// checkOverload checks that a service which has lost most of its runners for good still serves its urgent jobs while they
-// have value: what has none any more must not be done in their place.
+// checkOverload (RECOVER): a service that has permanently lost all runners but one still completes minServed of its urgent
+// jobs while their results have value. A scheduler that runs jobs which are too old to have value in their place fails
+// this. Jobs count that were submitted to the queue "/quick/" once and not cancelled, from overloadSettling after the loss,
+// early enough that maxServedAge passes before the traffic ends.
 func (a *auditor) checkOverload() {
 	lost := slices.IndexFunc(a.Faults, func(f Fault) bool { return f.Kind == LoneRunner })
 	if lost < 0 {
@@ -31,11 +33,12 @@
 		}
 	}
 	if float64(served) < minServed*float64(submitted) {
-		a.violated(RuleRecover, a.TrafficEnds, "%d of %d quick jobs were done while they had value", served, submitted)
+		a.violated(RuleRecover, a.TrafficEnds, "%d of %d quick jobs were done within %v of their submission, at least %.2f of them must be",
+			served, submitted, maxServedAge, minServed)
 	}
 }
 
-// isJobDoneBy reports whether all tasks of a job without repetitions had ended done at a time.
+// isJobDoneBy reports whether all tasks of a job without repetitions had ended done by a time.
 func (a *auditor) isJobDoneBy(job *JobRecord, at time.Duration) bool {
 	for number := range job.Spec.Steps {
 		step := &job.Spec.Steps[number]
--- a/internal/cluster/simulation/audit_promises.go
+++ b/internal/cluster/simulation/audit_promises.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// AuditPromises returns the violations of what the scheduler promises beyond the rules: that some responses are right at
-// all times, and not only those of machines that are in touch with the control processes.
+// AuditPromises returns the violations of what the scheduler promises beyond the rules: some responses are right at all
+// times, also those of machines that a fault has cut off from the control processes.
 func AuditPromises(history *History) []Violation {
 	a := &auditor{History: history}
 	for _, job := range history.JobOrder {
@@ -13,28 +13,30 @@
 	return a.found
 }
 
-// checkNeverUnknown: no machine responds that a job is unknown once it must be known everywhere.
+// checkNeverUnknown (LOST): no machine responds that a job is unknown to a query that was sent later than Bounds.Visible
+// after the job was accepted. Cancelled jobs are exempt.
 func (a *auditor) checkNeverUnknown(job *JobRecord) {
 	for i := range job.Queries {
 		if query := &job.Queries[i]; a.isWronglyUnknown(job, query) {
-			a.violated(RuleLost, query.Answered, "promised: %s is unknown to %s, it was accepted at %v", job.ID, query.Machine,
-				job.Accepted)
+			a.violated(RuleLost, query.Answered, "promised: job %s is unknown to %s, it was accepted at %v and must be known %v later", job.ID,
+				query.Machine, job.Accepted, a.Bounds.Visible)
 		}
 	}
 }
 
-// checkExactResponses: no machine responds that there is no such queue, or how many jobs are pending in one, by a
-// configuration that was replaced long before the request was sent.
+// checkExactResponses (CONFIG): if a newer version was acknowledged more than Bounds.ConfigApply before a request was sent,
+// no machine answers the request by an older version. This holds for the response that a queue does not exist, and for the
+// number of jobs that are pending in a queue.
 func (a *auditor) checkExactResponses() {
 	records := a.possiblyInForce()
 	for _, o := range a.observations() {
 		if o.found && !o.pendingQuery {
-			continue // a submission may follow an older one, which the owner of the job's shard checks
+			continue // a frontend may accept a submission by an older version: the owner of the job's shard checks it again
 		}
 		floor := a.newestAt(o.attempt.Sent - a.Bounds.ConfigApply - time.Nanosecond)
-		if _, newest := a.versionsOf(&o, records); newest < floor {
-			a.violated(RuleConfig, o.attempt.Answered, "promised: %s answers %d for %s, as version %d or older would; %d was acknowledged long ago",
-				o.attempt.Machine, o.attempt.Status, o.queue.Key(), newest, floor)
+		if _, newest := a.versionsExplaining(&o, records); newest < floor {
+			a.violated(RuleConfig, o.attempt.Answered, "promised: %s answers %d for queue %s, as version %d or older would; version %d was acknowledged more than %v before the request",
+				o.attempt.Machine, o.attempt.Status, o.queue.Key(), newest, floor, a.Bounds.ConfigApply)
 		}
 	}
 }
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -7,14 +7,16 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// startSlack is how long after an acknowledgement that rules a start out a machine in touch may still make it.
+// startSlack is the allowance of rules that forbid starts after an acknowledgement: until so long after it, an undisturbed
+// machine may still start a run, because the order was on its way or the machine had not heard of the acknowledgement.
 const startSlack = time.Second
 
-// checkRun checks one run against the rules for starts.
+// checkRun checks one run against the rules on starts, and on ends where a rule demands one.
 func (a *auditor) checkRun(run *Run) {
 	job, step := a.stepOf(run.Task)
 	if step == nil {
-		a.violated(RuleUnasked, run.Started, "%s started on %s, nobody submitted it", run.TaskText, run.Runner.Instance)
+		a.violated(RuleUnasked, run.Started, "%s run %d started on %s, no client submitted that task", run.TaskText, run.Number,
+			run.Runner.Instance)
 		return
 	}
 	a.checkSubmitted(run, job, step)
@@ -28,20 +30,24 @@
 	a.checkDrain(run)
 }
 
-// checkSubmitted (UNASKED): what runs is what a client submitted, and its checkpoint is one of its own.
+// checkSubmitted (UNASKED): a run has the spec that the client submitted with the job. If it starts from a checkpoint, its
+// step makes checkpoints, and this one belongs to the same task, or to the same step if that is a gang.
 func (a *auditor) checkSubmitted(run *Run, job *JobRecord, step *protocol.Step) {
 	if run.Spec != job.Spec.Spec {
-		a.violated(RuleUnasked, run.Started, "%s run %d started with another spec", run.TaskText, run.Number)
+		a.violated(RuleUnasked, run.Started, "%s run %d started with spec %q, the client submitted %q", run.TaskText, run.Number, run.Spec,
+			job.Spec.Spec)
 	}
 	if run.Checkpoint == "" {
 		return
 	}
 	if _, ok := parseCheckpoint(run.Task, step.Gang, run.Checkpoint); !ok || !step.Checkpoints {
-		a.violated(RuleUnasked, run.Started, "%s run %d started from %q", run.TaskText, run.Number, run.Checkpoint)
+		a.violated(RuleUnasked, run.Started, "%s run %d started from %q, which is no checkpoint of that task", run.TaskText, run.Number,
+			run.Checkpoint)
 	}
 }
 
-// checkLimit (LIMIT): a runner that does not enforce its capacity is not brought over it.
+// checkLimit (LIMIT): when a run starts, the runs on its runner need together at most the runner's capacity, of each
+// resource. The rule is for runners that do not reject what does not fit themselves. There is no allowance.
 func (a *auditor) checkLimit(run *Run, step *protocol.Step) {
 	runner := run.Runner
 	if runner.EnforcesCapacity {
@@ -57,11 +63,12 @@
 	}
 	capacity := runner.Capacity
 	if sum.CPU > capacity.CPU || sum.MemoryMB > capacity.MemoryMB || sum.GPU > capacity.GPU {
-		a.violated(RuleLimit, run.Started, "%s run %d brings %s to %+v of %+v", run.TaskText, run.Number, runner.Instance, sum, capacity)
+		a.violated(RuleLimit, run.Started, "%s run %d raises the use of runner %s to %+v, its capacity is %+v", run.TaskText, run.Number,
+			runner.Instance, sum, capacity)
 	}
 }
 
-// concurrentWith returns the other runs that were on the same runner when a run started there.
+// concurrentWith returns the runs that had started on a run's runner before it and were not over when it started.
 func (a *auditor) concurrentWith(run *Run) []*Run {
 	var others []*Run
 	for _, other := range a.byRunner[run.Runner] {
@@ -75,15 +82,20 @@
 	return others
 }
 
-// isAcknowledged reports whether a run's end was acknowledged at some time, before the runner's lease expired.
+// isAcknowledged reports whether the scheduler acknowledged a run's end at some time, and the runner's lease did not expire
+// between the end and that time.
 func isAcknowledged(run *Run) bool { return run.Acknowledged != Never && !run.LapsedBeforeAck }
 
-// isAcknowledgedDone reports whether a run ended done by a time, and that end was acknowledged at some time.
+// isAcknowledgedDone reports whether a run ended done by a time and isAcknowledged, perhaps only after that time.
 func isAcknowledgedDone(run *Run, by time.Duration) bool {
 	return run.EndReason == protocol.EndDone && run.Ended <= by && isAcknowledged(run)
 }
 
-// checkTwice (TWICE): no two runs of a task at one time, and none after its end.
+// checkTwice (TWICE):
+//   - No run of a task starts while an earlier one is not over, unless the step has AtMostOnce, which allows that.
+//   - No run starts once a run has ended done, if that end is acknowledged at some time. The acknowledgement may come after
+//     the start. Steps with AtMostOnce are exempt, and so are long-running ones, which are restarted after each end.
+//   - checkStartedAfterEnd applies to all steps but the long-running ones.
 func (a *auditor) checkTwice(run *Run, job *JobRecord, step *protocol.Step) {
 	if !step.AtMostOnce {
 		for _, other := range a.byTask[run.Task] {
@@ -91,7 +103,7 @@
 				break
 			}
 			if !other.Over(run.Started) {
-				a.violated(RuleTwice, run.Started, "%s run %d on %s while run %d is on %s", run.TaskText, run.Number,
+				a.violated(RuleTwice, run.Started, "%s run %d started on %s while run %d was on %s", run.TaskText, run.Number,
 					run.Runner.Instance, other.Number, other.Runner.Instance)
 			}
 		}
@@ -101,15 +113,16 @@
 	}
 	for _, other := range a.runsSharingEnd(run.Task, step) {
 		if !step.AtMostOnce && isAcknowledgedDone(other, run.Started) && other != run {
-			a.violated(RuleTwice, run.Started, "%s run %d started, run %d ended done at %v", run.TaskText, run.Number,
-				other.Number, other.Ended)
+			a.violated(RuleTwice, run.Started, "%s run %d started on %s, but run %d had ended done at %v", run.TaskText, run.Number,
+				run.Runner.Instance, other.Number, other.Ended)
 			return
 		}
 	}
 	a.checkStartedAfterEnd(run, job, step)
 }
 
-// runsSharingEnd returns the runs of which one that ends done ends a task: of a gang, those of all members.
+// runsSharingEnd returns the runs that share their outcome with a task: once one of them ends done, the task is done. They
+// are the runs of that task or, of a gang, those of all members.
 func (a *auditor) runsSharingEnd(task TaskName, step *protocol.Step) []*Run {
 	if step.Gang {
 		return a.byStep[task.step()]
@@ -117,44 +130,48 @@
 	return a.byTask[task]
 }
 
-// checkStartedAfterEnd (TWICE): a machine in touch starts nothing long after its end was acknowledged or shown.
+// checkStartedAfterEnd (TWICE): no run starts at the runner of an undisturbed machine later than startSlack after a done end
+// of the task was acknowledged, or after a client was shown the job as completed.
 func (a *auditor) checkStartedAfterEnd(run *Run, job *JobRecord, step *protocol.Step) {
-	if !a.isInTouch(run.Runner.Machine, run.Started) {
+	if !a.isUndisturbed(run.Runner.Machine, run.Started) {
 		return
 	}
 	since := run.Started - startSlack
 	for _, other := range a.runsSharingEnd(run.Task, step) {
 		if other.EndReason == protocol.EndDone && isAcknowledged(other) && other.Acknowledged < since {
-			a.violated(RuleTwice, run.Started, "%s run %d started, the end of run %d was acknowledged at %v",
-				run.TaskText, run.Number, other.Number, other.Acknowledged)
+			a.violated(RuleTwice, run.Started, "%s run %d started later than %v after the done end of run %d was acknowledged at %v",
+				run.TaskText, run.Number, startSlack, other.Number, other.Acknowledged)
 			return
 		}
 	}
 	for i := range job.Queries {
 		query := &job.Queries[i]
 		if query.isAnswered() && query.State == protocol.JobCompleted && query.Answered < since {
-			a.violated(RuleTwice, run.Started, "%s run %d started, the job was shown as completed at %v", run.TaskText, run.Number,
-				query.Answered)
+			a.violated(RuleTwice, run.Started, "%s run %d started later than %v after the job was shown as completed at %v",
+				run.TaskText, run.Number, startSlack, query.Answered)
 			return
 		}
 	}
 }
 
-// isDoneBy reports whether a task had ended done by a time.
+// isDoneBy reports whether a task had ended done by a time, acknowledged or not.
 func (a *auditor) isDoneBy(task TaskName, step *protocol.Step, at time.Duration) bool {
 	return slices.ContainsFunc(a.runsSharingEnd(task, step), func(r *Run) bool {
 		return r.EndReason == protocol.EndDone && r.Ended <= at
 	})
 }
 
-// checkOrder (ORDER): nothing starts before the steps that it depends on are done, nor before it is due.
+// checkOrder (ORDER): no task starts before all tasks of the steps that its step depends on have ended done. There is no
+// allowance. No task of a repetition starts earlier than Bounds.Early before the repetition is due. If any fault of the
+// scenario steps a clock, the allowance is maxStep longer, because the scheduler goes by a clock that may be that far ahead.
 func (a *auditor) checkOrder(run *Run, job *JobRecord, step *protocol.Step) {
 	for _, number := range step.DependsOn {
 		earlier := &job.Spec.Steps[number]
 		for i := range earlier.Count {
 			task := TaskName{run.Task.Job, run.Task.Repetition, number, i}
 			if !a.isDoneBy(task, earlier, run.Started) {
-				a.violated(RuleOrder, run.Started, "%s run %d started before %s ended done", run.TaskText, run.Number, task)
+				a.violated(RuleOrder, run.Started, "%s run %d started before %s ended done, on which it depends", run.TaskText, run.Number,
+					task)
 				return
 			}
 		}
@@ -164,28 +181,31 @@
 	}
 	slack := a.Bounds.Early
 	if a.clocksStep {
-		const maxStep = 5 * time.Second
+		const maxStep = 5 * time.Second // as in stepClock
 		slack += maxStep
 	}
 	if due := dueAt(&job.Spec, run.Task.Repetition); run.Started < due-slack {
-		a.violated(RuleOrder, run.Started, "%s run %d started, it is due at %v", run.TaskText, run.Number, due)
+		a.violated(RuleOrder, run.Started, "%s run %d started earlier than %v before it was due at %v", run.TaskText, run.Number, slack,
+			due)
 	}
 }
 
-// checkRoute (ROUTE): a task runs on runners of its queue's service that have the required label, and on one of them at
-// most as many tasks of a step as antiAffinity allows.
+// checkRoute (ROUTE): a run is on a runner of the service that some configuration of the history has for the job's queue.
+// The runner has the label that the step requires. When the run starts, the runner has at most as many tasks of the step as
+// antiAffinity allows, this one included. checkService checks which configuration the service may come from.
 func (a *auditor) checkRoute(run *Run, job *JobRecord, step *protocol.Step) {
 	isRouted := slices.ContainsFunc(a.Configuration, func(c *ConfigurationRecord) bool {
 		return c.Routes[job.Queue].Service == run.Runner.Service
 	})
 	if !isRouted {
-		a.violated(RuleRoute, run.Started, "%s run %d on a runner of %s", run.TaskText, run.Number, run.Runner.Service)
+		a.violated(RuleRoute, run.Started, "%s run %d is on a runner of service %s, to which queue %s was never routed", run.TaskText,
+			run.Number, run.Runner.Service, job.Queue.Key())
 		return
 	}
 	a.checkService(run, job)
 	if step.Requirements != "" && !slices.Contains(run.Runner.Labels, step.Requirements) {
-		a.violated(RuleRoute, run.Started, "%s run %d on %s without label %q", run.TaskText, run.Number, run.Runner.Instance,
-			step.Requirements)
+		a.violated(RuleRoute, run.Started, "%s run %d is on runner %s, which lacks the required label %q", run.TaskText, run.Number,
+			run.Runner.Instance, step.Requirements)
 	}
 	if step.AntiAffinity == 0 {
 		return
@@ -197,36 +217,42 @@
 		}
 	}
 	if count > step.AntiAffinity {
-		a.violated(RuleRoute, run.Started, "%s run %d is one of %d on %s, %d may be", run.TaskText, run.Number, count,
-			run.Runner.Instance, step.AntiAffinity)
+		a.violated(RuleRoute, run.Started, "%s run %d is one of %d tasks of its step on runner %s, antiAffinity allows %d", run.TaskText,
+			run.Number, count, run.Runner.Instance, step.AntiAffinity)
 	}
 }
 
-// checkBudget (BUDGET): nothing starts once as many runs as allowed have ended failed.
+// checkBudget (BUDGET): no run starts once as many runs of the task as its queue's budget have ended failed. The highest
+// budget of all configurations counts, because the auditor does not know which one the job follows. Only failed ends that
+// are acknowledged at some time count, and the members of one gang run count once. Steps with AtMostOnce may have another
+// run beside the one that failed last: for them the rule holds later than startSlack after the last acknowledgement, on
+// undisturbed machines. Long-running steps have no budget.
 func (a *auditor) checkBudget(run *Run, job *JobRecord, step *protocol.Step) {
 	budget, _ := a.failureBudget(job.Queue)
 	if budget == 0 || step.LongRunning {
 		return
 	}
 	failed := map[uint64]bool{}
-	last := Never
+	lastAcknowledged := Never
 	for _, other := range a.runsSharingEnd(run.Task, step) {
 		if other.EndReason == protocol.EndFailed && isAcknowledged(other) && other.Ended <= run.Started {
 			failed[other.Number] = true
-			last = max(last, other.Acknowledged)
+			lastAcknowledged = max(lastAcknowledged, other.Acknowledged)
 		}
 	}
 	if len(failed) < budget {
 		return
 	}
-	if step.AtMostOnce && (!a.isInTouch(run.Runner.Machine, run.Started) || run.Started <= last+startSlack) {
+	if step.AtMostOnce && (!a.isUndisturbed(run.Runner.Machine, run.Started) || run.Started <= lastAcknowledged+startSlack) {
 		return
 	}
-	a.violated(RuleBudget, run.Started, "%s run %d started after %d ends failed, %d are allowed", run.TaskText, run.Number,
+	a.violated(RuleBudget, run.Started, "%s run %d started after %d runs had ended failed, the budget is %d", run.TaskText, run.Number,
 		len(failed), budget)
 }
 
-// checkGang (GANG): in a calm no member waits for the others in vain, and all start from the same checkpoint.
+// checkGang (GANG): all members of one gang run start from the same checkpoint. No member ends because it waited for the
+// others longer than Bounds.Gang. The latter holds if the member's machine was undisturbed at the start, the span of the run
+// is fault-free, and no cancel of the job was sent before the end.
 func (a *auditor) checkGang(run *Run, job *JobRecord, step *protocol.Step) {
 	if !step.Gang {
 		return
@@ -236,8 +262,8 @@
 			break
 		}
 		if other.Number == run.Number && other.Checkpoint != run.Checkpoint {
-			a.violated(RuleGang, run.Started, "%s run %d brings %q, another member %q", run.TaskText, run.Number, run.Checkpoint,
-				other.Checkpoint)
+			a.violated(RuleGang, run.Started, "%s run %d started from checkpoint %q, and %s of the same gang from %q", run.TaskText, run.Number,
+				run.Checkpoint, other.TaskText, other.Checkpoint)
 			break
 		}
 	}
@@ -248,13 +274,15 @@
 	if cancelled != Never && cancelled <= run.Ended {
 		return
 	}
-	if a.isInTouch(run.Runner.Machine, run.Started) && a.isCalm(run.Started, run.Ended, isPlanned) {
-		a.violated(RuleGang, run.Ended, "%s run %d on %s ended alone", run.TaskText, run.Number, run.Runner.Instance)
+	if a.isUndisturbed(run.Runner.Machine, run.Started) && a.isFaultFree(run.Started, run.Ended, isPlanned) {
+		a.violated(RuleGang, run.Ended, "%s run %d on %s ended alone: since %v it had waited for the other members of its gang",
+			run.TaskText, run.Number, run.Runner.Instance, run.Started)
 	}
 }
 
-// cancelBinding returns the time from which a cancel must be followed: its acknowledgement, or the end of the time that
-// this may take in a calm; Never if there is none.
+// cancelBinding returns the time from which a cancel counts as acknowledged, or Never if there is none. If no client got an
+// acknowledgement, it is Bounds.AckTimeout after the cancel was sent, provided that the job had been accepted before the
+// cancel and the time between is fault-free.
 func (a *auditor) cancelBinding(job *JobRecord) time.Duration {
 	if at := job.CancelAcknowledged(); at != Never {
 		return at
@@ -264,37 +292,42 @@
 		return Never
 	}
 	until := sent + a.Bounds.AckTimeout
-	if a.isCalm(sent, until, isPlanned) {
+	if a.isFaultFree(sent, until, isPlanned) {
 		return until
 	}
 	return Never
 }
 
-// checkCancelled (UNASKED): nothing starts, and nothing goes on, long after a cancel.
+// checkCancelled (UNASKED): no run starts on an undisturbed machine later than Bounds.Cancel after the cancel's
+// acknowledgement (see cancelBinding). A run that started before then is over after Bounds.Stop more. The latter holds if
+// the whole time is fault-free, apart from runners that leave, and the scenario is not over by then.
 func (a *auditor) checkCancelled(run *Run, job *JobRecord) {
 	since := a.cancelBinding(job)
 	if since == Never {
 		return
 	}
 	lastStart := since + a.Bounds.Cancel
-	if run.Started > lastStart && a.isInTouch(run.Runner.Machine, run.Started) {
-		a.violated(RuleUnasked, run.Started, "%s run %d started, the job was cancelled at %v", run.TaskText, run.Number, since)
+	if run.Started > lastStart && a.isUndisturbed(run.Runner.Machine, run.Started) {
+		a.violated(RuleUnasked, run.Started, "%s run %d started later than %v after %v, from when on the cancel of its job counts as acknowledged",
+			run.TaskText, run.Number, a.Bounds.Cancel, since)
 		return
 	}
 	stopped := lastStart + a.Bounds.Stop
-	if run.Started <= lastStart && !run.Over(stopped) && stopped < a.Ends && a.isCalm(since, stopped, isPlannedOrRunnersLeave) {
-		a.violated(RuleUnasked, stopped, "%s run %d still runs, the job was cancelled at %v", run.TaskText, run.Number, since)
+	if run.Started <= lastStart && !run.Over(stopped) && stopped < a.Ends && a.isFaultFree(since, stopped, isPlannedOrRunnersLeave) {
+		a.violated(RuleUnasked, stopped, "%s run %d on %s still runs %v after %v, from when on the cancel of its job counts as acknowledged",
+			run.TaskText, run.Number, run.Runner.Instance, stopped-since, since)
 	}
 }
 
-// checkDrain (DRAIN): nothing starts on a runner long after its `draining` was acknowledged.
+// checkDrain (DRAIN): no run starts on a runner later than Bounds.Drain after the runner's `draining` was acknowledged. This
+// holds if the runner's machine was undisturbed at the acknowledgement and at the start.
 func (a *auditor) checkDrain(run *Run) {
 	acknowledged := run.Runner.DrainAcknowledged
 	if acknowledged == Never || run.Started <= acknowledged+a.Bounds.Drain {
 		return
 	}
-	if a.isInTouch(run.Runner.Machine, run.Started) && a.isInTouch(run.Runner.Machine, acknowledged) {
-		a.violated(RuleDrain, run.Started, "%s run %d started on %s, draining since %v", run.TaskText, run.Number,
-			run.Runner.Instance, acknowledged)
+	if a.isUndisturbed(run.Runner.Machine, run.Started) && a.isUndisturbed(run.Runner.Machine, acknowledged) {
+		a.violated(RuleDrain, run.Started, "%s run %d started on runner %s later than %v after its `draining` was acknowledged at %v",
+			run.TaskText, run.Number, run.Runner.Instance, a.Bounds.Drain, acknowledged)
 	}
 }
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -2,31 +2,36 @@
 
 import "time"
 
-// Bounds are the times that the scheduler's rules refer to, and those that the runners follow. They have the names of the
-// settings (docs/settings.md). A fault is near a time if it is on then, or was on within Contact before; a calm is a span
-// without a fault near it.
+// Bounds are the times that the scheduler's rules refer to, and those that the runners follow. Their names are those of the
+// scheduler's settings (docs/settings.md).
+//
+// Many rules hold only where no fault can excuse what was seen. Two terms say so:
+//   - A machine is undisturbed at a time if no fault of this machine and none of the control plane is on at that time, and
+//     none has ended within Contact before it.
+//   - A span is fault-free if no fault, on whatever machine or runner, is on in the span or within Contact before its start.
+//     Planned events such as changes of the configuration do not count as faults.
 type Bounds struct {
-	Contact       time.Duration // from the end of a fault until it is not near any more
-	AckTimeout    time.Duration // in which a valid change, or a cancel, is acknowledged if no fault is near
-	Drain         time.Duration // nothing starts on a runner so long after its `draining` was acknowledged
-	ConfigApply   time.Duration // in which a version is followed after its acknowledgement
-	RollbackSlack time.Duration // in which a process that follows a version may still show an older one
-	MaxSkew       time.Duration // by which clocks are off at most
-	Recovery      time.Duration // in which requests are served again after a final fault
-	MaxLease      time.Duration // of a runner
-	Stop          time.Duration // a stop takes at most
-	Gang          time.Duration // a gang's member waits for the others at most
-	Cancel        time.Duration // nothing of a job starts so long after its cancel was acknowledged
-	Visible       time.Duration // in which a job is known everywhere after its acknowledgement
-	Early         time.Duration // by which a repetition may start before it is due
+	Contact       time.Duration // after the end of a fault, its effects are excused for so long
+	AckTimeout    time.Duration // in a fault-free span, a valid change or a cancel is acknowledged this long after it was sent
+	Drain         time.Duration // from the acknowledgement of a runner's state `draining` to the last start on that runner
+	ConfigApply   time.Duration // from a version's acknowledgement until all undisturbed machines follow it
+	RollbackSlack time.Duration // after a process showed a version, it may show an older one for so long
+	MaxSkew       time.Duration // the largest deviation of a machine's time of day from the true time
+	Recovery      time.Duration // from the restart after a final fault until requests are served again
+	MaxLease      time.Duration // the longest lease of a runner
+	Stop          time.Duration // the longest time that a runner takes to stop a run
+	Gang          time.Duration // the longest time that a gang's member waits for the other members
+	Cancel        time.Duration // from a cancel's acknowledgement to the last start of a task of that job
+	Visible       time.Duration // from a job's acceptance until every machine knows the job
+	Early         time.Duration // the longest time by which a repetition may start before it is due
 	Finish        time.Duration // from the end of the traffic to the end of the scenario
-	Status        time.Duration // for which the state of an ended job is retained
-	Save          time.Duration // of work between two checkpoints
-	Restore       time.Duration // by which a start from a checkpoint takes longer
-	Far           float64       // slowdown of work away from its data, or across racks
+	Status        time.Duration // for which the state of a job is retained after the job has ended
+	Save          time.Duration // from one checkpoint of a run to the next
+	Restore       time.Duration // from a start with a checkpoint until the run continues its work
+	Far           float64       // factor by which work is slower away from its data, or for a gang on more than one rack
 }
 
-// DefaultBounds returns those of the users' small deployments.
+// DefaultBounds returns the bounds of the users' small deployments.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Contact:       3 * time.Second,
@@ -50,5 +55,5 @@
 	}
 }
 
-// Grace is the time from the signal that asks a process to shut down until it is killed.
+// Grace is how long a process may take to shut down: the platform kills it so long after the signal that asks it to.
 const Grace = 6 * time.Second
--- a/internal/cluster/simulation/fault.go
+++ b/internal/cluster/simulation/fault.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// FaultKind brings about one kind of fault, or of load that is out of the ordinary, as a nemesis of Jepsen does.
+// FaultKind injects one kind of fault, or of unusual load or operation, as a nemesis of Jepsen does.
 type FaultKind struct {
-	// Name is the kind's word in the users' scenario files.
+	// Name is the kind's name in the users' scenario files.
 	Name string
-	// Begin begins a fault of about that duration now.
+	// Begin begins the fault now. Kinds whose fault has a fixed or no duration of its own ignore the duration.
 	Begin func(d *Deployment, duration time.Duration)
 }
 
-// FaultKinds returns all kinds, in a fixed order: seeds draw by position.
+// FaultKinds returns the kinds that scenarios draw. Their order must stay, because a seed draws a kind by its position.
 func FaultKinds() []FaultKind {
 	return slices.Concat(workloadFaults(), runnerFaults(), machineFaults(), frontendFaults(), controlFaults())
 }
 
-// FaultKindOf returns the kind of that name, also of those that are not drawn, and whether there is one.
+// FaultKindOf returns the kind of that name, drawn or not, and whether there is one.
 func FaultKindOf(name string) (FaultKind, bool) {
 	for _, kind := range append(FaultKinds(), undrawnFaults()...) {
 		if kind.Name == name {
@@ -28,18 +28,19 @@
 	return FaultKind{}, false
 }
 
-// recordPlanned adds to the history what happens on purpose.
+// recordPlanned adds an event of normal operation to the history. It excuses nothing: spans with it are still fault-free.
 func (d *Deployment) recordPlanned(kind string, duration time.Duration) {
 	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: kind, Planned: true})
 }
 
-// recordElsewhere adds to the history a fault that strikes no machine of the scheduler.
-func (d *Deployment) recordElsewhere(kind string, duration time.Duration) {
+// recordExternalFault adds a fault outside the scheduler's machines to the history: of runners or of the load. A span with
+// it is not fault-free, but the machines stay undisturbed.
+func (d *Deployment) recordExternalFault(kind string, duration time.Duration) {
 	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: kind})
 }
 
-// recordMachineFault adds to the history a fault of one machine. That of a control machine disturbs all others at the
-// moments at which it begins and ends.
+// recordMachineFault adds a fault of one machine to the history. A fault of a control machine counts for all machines at its
+// begin and at its end, because the control plane may elect leaders then.
 func (d *Deployment) recordMachineFault(kind string, m *Machine, duration time.Duration) {
 	now := d.World.now
 	d.recordFault(Fault{From: now, To: now + duration, Kind: kind, Machines: []string{m.Name}})
@@ -50,7 +51,7 @@
 	d.recordFault(Fault{From: now + duration, To: now + duration, Kind: kind, ControlPlane: true})
 }
 
-// repeat calls f at intervals, from now on, for a time.
+// repeat calls f now and then at intervals until the duration has passed.
 func (d *Deployment) repeat(duration, interval time.Duration, f func()) {
 	for at := time.Duration(0); at < duration; at += interval {
 		d.World.After(at, f)
--- a/internal/cluster/simulation/fault_control.go
+++ b/internal/cluster/simulation/fault_control.go
@@ -6,64 +6,79 @@
 )
 
 const (
-	catchUpTime    = 4 * time.Second      // for which a control machine that is back still counts as unavailable
-	maxStrikeDelay = 4 * time.Millisecond // from an acknowledgement to the loss of the machine that sent it
+	catchUpTime       = 4 * time.Second      // from the restart of a control machine until it counts as available again
+	maxInjectionDelay = 4 * time.Millisecond // the longest time from an acknowledgement to the loss of the machine that sent it
 )
 
-// controlFaults returns the kinds that strike control machines.
+// controlFaults returns the kinds that disturb control machines. Those of a single machine draw it with drawControl and do
+// nothing if reserveLoss does not allow its loss.
 func controlFaults() []FaultKind {
 	return []FaultKind{
+		// Killed or powered off for the duration, at least for restartDelay.
 		{"core_kill", func(d *Deployment, duration time.Duration) {
-			d.strikeControl(duration, func(m *Machine) { d.killOrPowerOff(m, max(duration, restartDelay)) })
+			d.injectAtControl(duration, func(m *Machine) { d.killOrPowerOff(m, max(duration, restartDelay)) })
 		}},
+		// Frozen for the duration.
 		{"core_freeze", func(d *Deployment, duration time.Duration) {
-			d.strikeControl(duration, func(m *Machine) { d.freeze(m, duration) })
+			d.injectAtControl(duration, func(m *Machine) { d.freeze(m, duration) })
 		}},
+		// Timers and messages up to 40 ms late for the duration.
 		{"core_slow", func(d *Deployment, duration time.Duration) {
-			d.strikeControl(duration, func(m *Machine) { d.slowDown(m, duration) })
+			d.injectAtControl(duration, func(m *Machine) { d.slowDown(m, duration) })
 		}},
+		// Partitioned from the other control machines for the duration.
 		{"core_cut", func(d *Deployment, duration time.Duration) {
-			d.strikeControl(duration, func(m *Machine) { d.partitionControl(m, duration) })
+			d.injectAtControl(duration, func(m *Machine) { d.partitionControl(m, duration) })
 		}},
+		// Partitioned from all other machines for the duration; the direction is drawn for each role of machine.
 		{"core_cut_all", func(d *Deployment, duration time.Duration) {
-			d.strikeControl(duration, func(m *Machine) {
+			d.injectAtControl(duration, func(m *Machine) {
 				d.partitionControl(m, duration)
 				d.partitionLinks(m, d.Frontends, duration)
 				d.partitionLinks(m, d.AgentMachines, duration)
 			})
 		}},
+		// All control machines are killed at once.
 		{"core_herd_kill", func(d *Deployment, _ time.Duration) { d.loseAllControls(processKilled, restartDelay) }},
+		// All control machines lose power at once.
 		{"core_herd_power", func(d *Deployment, duration time.Duration) { d.powerOffControls(duration) }},
+		// The machine that acknowledges the operator's next change loses its power, or its disk, up to 4 ms after that.
 		{"after_ack_kill", func(d *Deployment, duration time.Duration) { d.loseAfterAck(powerLost, duration) }},
 		{"after_ack_wipe", func(d *Deployment, duration time.Duration) { d.loseAfterAck(diskLost, duration) }},
+		// A drawn machine loses its power, or its disk, when a client learns that its job was accepted.
 		{"after_taken_kill", func(d *Deployment, duration time.Duration) {
 			d.onceAccepted(func() { d.loseDrawnControl(powerLost, duration) })
 		}},
 		{"after_taken_wipe", func(d *Deployment, duration time.Duration) {
 			d.onceAccepted(func() { d.loseDrawnControl(diskLost, duration) })
 		}},
+		// Syncs of the disk take 28 times as long for the duration.
 		{"disk_slow", func(d *Deployment, duration time.Duration) {
-			d.strikeDisk(duration, func(disk *Disk) { disk.SlowFactor = 28 }, func(disk *Disk) { disk.SlowFactor = 1 })
+			d.injectDiskFault(duration, func(disk *Disk) { disk.SlowFactor = 28 }, func(disk *Disk) { disk.SlowFactor = 1 })
 		}},
+		// Writes to the disk fail with ENOSPC for the duration.
 		{"disk_full", func(d *Deployment, duration time.Duration) {
-			d.strikeDisk(duration, func(disk *Disk) { disk.Full = true }, func(disk *Disk) { disk.Full = false })
+			d.injectDiskFault(duration, func(disk *Disk) { disk.Full = true }, func(disk *Disk) { disk.Full = false })
 		}},
+		// No write or sync of the disk completes for the duration.
 		{"disk_stall", func(d *Deployment, duration time.Duration) {
-			d.strikeDisk(duration, func(disk *Disk) { disk.Stalled = true }, (*Disk).Release)
+			d.injectDiskFault(duration, func(disk *Disk) { disk.Stalled = true }, (*Disk).Release)
 		}},
 		{"replace_core", (*Deployment).replaceControl},
 		{"replace_planned", (*Deployment).replacePlanned},
 		{"core_meet", (*Deployment).killControlDuringRaces},
 		{"core_cut_restart", (*Deployment).restartPartitioned},
 		{"after_sent_kill", (*Deployment).loseAfterSend},
+		// All control machines lose power when a client learns that its job was accepted.
 		{"after_taken_herd", func(d *Deployment, duration time.Duration) {
 			d.onceAccepted(func() { d.powerOffControls(duration) })
 		}},
 	}
 }
 
-// reserveLoss reports whether a control machine may be lost for a time from now on, and if so reserves that: only one may
-// be unavailable at a time, counting the time that it needs to catch up, and none shortly before the final fault.
+// reserveLoss reports whether a control machine may be lost now for a time, and marks it as unavailable if so. At most one
+// control machine may be unavailable at a time, so that a majority remains, and none when the final fault is injected. A
+// machine counts as unavailable until catchUpTime after its return.
 func (d *Deployment) reserveLoss(m *Machine, duration time.Duration) bool {
 	now := d.World.now
 	until := now + duration + catchUpTime
@@ -79,12 +94,13 @@
 	return true
 }
 
-// reachesFinalFault reports whether what lasts until a time is still on when the final fault strikes.
+// reachesFinalFault reports whether a fault that lasts until a time would still be on when the final fault is injected.
 func (d *Deployment) reachesFinalFault(until time.Duration) bool {
 	return d.finalFaultAt > 0 && until > d.finalFaultAt
 }
 
-// drawControl draws a control machine that is up, often one that leads a replica group; nil if none is up.
+// drawControl draws a control machine that is up; nil if none is. With a probability of 60 % it is one that leads a replica
+// group, if Leader gives one.
 func (d *Deployment) drawControl() *Machine {
 	if d.Leader != nil && d.World.Chance(0.6) {
 		if leader := d.Leader(); leader != nil && leader.up {
@@ -103,28 +119,29 @@
 	return Pick(d.World, up)
 }
 
-// strikeControl draws a control machine and strikes it, if it may be lost.
-func (d *Deployment) strikeControl(duration time.Duration, strike func(m *Machine)) {
+// injectAtControl draws a control machine and calls inject with it, if its loss is allowed for the duration (reserveLoss).
+func (d *Deployment) injectAtControl(duration time.Duration, inject func(m *Machine)) {
 	m := d.drawControl()
 	if m == nil || !d.reserveLoss(m, duration) {
 		return
 	}
-	strike(m)
+	inject(m)
 }
 
-// partitionControl partitions a control machine from the others.
+// partitionControl partitions a control machine from the other control machines for a time.
 func (d *Deployment) partitionControl(m *Machine, duration time.Duration) {
 	d.recordMachineFault("core_cut", m, duration)
 	d.partitionLinks(m, d.Controls, duration)
 }
 
-// powerOffControls powers all control machines off.
+// powerOffControls powers all control machines off at once, for 0.3 to 3 s.
 func (d *Deployment) powerOffControls(duration time.Duration) {
 	const maxDown = 3 * time.Second
 	d.loseAllControls(powerLost, max(restartDelay, min(duration, maxDown)))
 }
 
-// loseAllControls strikes all control machines at once. They come back one after another.
+// loseAllControls has all control machines lose their process or power at once. Each starts again at a drawn time, up to
+// restartDelay after the time down. It does nothing if they would not have caught up before the final fault.
 func (d *Deployment) loseAllControls(what loss, down time.Duration) {
 	until := d.World.now + down + catchUpTime
 	if d.reachesFinalFault(until) {
@@ -140,40 +157,41 @@
 	}
 }
 
-// loseAfterAck strikes the control machine that acknowledges the next change, right after that.
+// loseAfterAck sends a change. The control machine that acknowledges it first is lost within maxInjectionDelay after that.
 func (d *Deployment) loseAfterAck(what loss, duration time.Duration) {
 	done := false
 	d.Operator.OnAcknowledged = func(by *Machine) {
 		if !done {
 			done = true
-			d.World.After(d.World.Between(0, maxStrikeDelay), func() { d.loseControl(by, what, duration) })
+			d.World.After(d.World.Between(0, maxInjectionDelay), func() { d.loseControl(by, what, duration) })
 		}
 	}
 	d.Operator.Change(nil)
 }
 
-// onceAccepted calls strike when the next job is accepted.
-func (d *Deployment) onceAccepted(strike func()) {
+// onceAccepted calls inject when a client next learns that its job was accepted.
+func (d *Deployment) onceAccepted(inject func()) {
 	done := false
 	d.Clients.OnAccepted = func() {
 		if !done {
 			done = true
-			strike()
+			inject()
 		}
 	}
 }
 
-// loseAfterSend powers a control machine off a short time after a change was sent, acknowledged or not.
+// loseAfterSend sends a change and powers a drawn control machine off 5 to 400 ms later, whether the change is acknowledged
+// by then or not.
 func (d *Deployment) loseAfterSend(duration time.Duration) {
 	d.Operator.Change(nil)
 	d.World.After(d.World.Between(5*time.Millisecond, 400*time.Millisecond), func() { d.loseDrawnControl(powerLost, duration) })
 }
 
-// killControlDuringRaces kills a control machine. Changes race as it goes down and as it comes back, and runners leave
-// soon after that.
+// killControlDuringRaces kills a control machine or powers it off. The operator sends two concurrent changes at that moment
+// and again at the machine's restart. Up to 1 s after the restart, runners drain and leave.
 func (d *Deployment) killControlDuringRaces(duration time.Duration) {
 	down := max(duration, restartDelay)
-	d.strikeControl(down, func(m *Machine) {
+	d.injectAtControl(down, func(m *Machine) {
 		d.killOrPowerOff(m, down)
 		d.Operator.Race()
 		d.World.After(down, d.Operator.Race)
@@ -181,30 +199,33 @@
 	})
 }
 
-// restartPartitioned partitions a control machine and restarts it meanwhile.
+// restartPartitioned partitions a control machine from the others for a time, and kills and restarts it after a third of it.
 func (d *Deployment) restartPartitioned(duration time.Duration) {
-	d.strikeControl(duration, func(m *Machine) {
+	d.injectAtControl(duration, func(m *Machine) {
 		d.partitionControl(m, duration)
 		d.World.After(duration/3, func() { d.lose(m, processKilled, restartDelay) })
 	})
 }
 
+// loseDrawnControl has a drawn control machine lose its process, its power or its disk.
 func (d *Deployment) loseDrawnControl(what loss, duration time.Duration) {
 	if m := d.drawControl(); m != nil {
 		d.loseControl(m, what, duration)
 	}
 }
 
-// loseControl strikes a control machine, if it is up and may be lost.
+// loseControl has a control machine lose its process, its power or its disk for the duration, if it is up and reserveLoss
+// allows that.
 func (d *Deployment) loseControl(m *Machine, what loss, duration time.Duration) {
 	if m.up && d.reserveLoss(m, duration) {
 		d.lose(m, what, max(restartDelay, duration))
 	}
 }
 
-// strikeDisk gives the disk of a control machine a fault for a time.
-func (d *Deployment) strikeDisk(duration time.Duration, begin, end func(disk *Disk)) {
-	d.strikeControl(duration, func(m *Machine) {
+// injectDiskFault calls begin with the disk of a drawn control machine, and end after the duration. The fault counts for all
+// machines, because the whole control plane may be slow with a slow disk in a replica group.
+func (d *Deployment) injectDiskFault(duration time.Duration, begin, end func(disk *Disk)) {
+	d.injectAtControl(duration, func(m *Machine) {
 		d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "disk", Machines: []string{m.Name},
 			ControlPlane: true})
 		begin(m.Disk)
@@ -212,13 +233,14 @@
 	})
 }
 
-// replaceControl loses a control machine for good. A new one with an empty disk joins at another address.
+// replaceControl has a control machine lose its power for the rest of the scenario. Up to maxWait later, a new one with an
+// empty disk joins at another address.
 func (d *Deployment) replaceControl(time.Duration) {
 	const maxWait = 2 * time.Second
 	if d.AddControl == nil {
 		return
 	}
-	d.strikeControl(maxWait+catchUpTime, func(m *Machine) {
+	d.injectAtControl(maxWait+catchUpTime, func(m *Machine) {
 		d.recordMachineFault("replace", m, 0)
 		m.LosePower()
 		d.removeControl(m)
@@ -226,12 +248,12 @@
 	})
 }
 
-// replacePlanned adds a new control machine first. The old one shuts down once the new one has had time to catch up.
+// replacePlanned adds a new control machine. After catchUpTime, the old one shuts down and leaves the deployment.
 func (d *Deployment) replacePlanned(time.Duration) {
 	if d.AddControl == nil || d.Terminate == nil {
 		return
 	}
-	d.strikeControl(2*catchUpTime, func(m *Machine) {
+	d.injectAtControl(2*catchUpTime, func(m *Machine) {
 		d.joinControl()
 		d.World.After(catchUpTime, func() {
 			if !m.up {
@@ -257,7 +279,7 @@
 	added.Boot()
 }
 
-// removeControl takes a control machine that is off out of the deployment for good.
+// removeControl takes a control machine that is off out of the deployment. Its process is not started again.
 func (d *Deployment) removeControl(m *Machine) {
 	m.Start = nil
 	d.unavailableUntil[m] = d.World.now + catchUpTime
--- a/internal/cluster/simulation/fault_frontend.go
+++ b/internal/cluster/simulation/fault_frontend.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// frontendFaults returns the kinds that strike one frontend.
+// frontendFaults returns the kinds that disturb one frontend.
 func frontendFaults() []FaultKind {
 	return []FaultKind{
+		// One frontend is partitioned from all control machines.
 		{"front_cut", func(d *Deployment, duration time.Duration) {
 			d.partitionFromControls(Pick(d.World, d.Frontends), duration)
 		}},
@@ -15,10 +16,11 @@
 	}
 }
 
-// staleFrontend leaves a frontend only one control machine, while a route moves and others are added and removed. If that
-// machine leads shards but not the configuration, the frontend goes on with a configuration that was replaced long ago.
+// staleFrontend partitions a frontend from all control machines but one, while a route moves to another service and routes
+// are added and removed. If the reachable control machine leads shards of jobs but not the configuration, the frontend must
+// not serve by a configuration that was replaced long ago.
 func (d *Deployment) staleFrontend(duration time.Duration) {
-	const minDuration = 5 * time.Second // longer than an exact answer may be cached
+	const minDuration = 5 * time.Second // longer than a frontend may answer from its cache
 	duration = max(duration, minDuration)
 	frontend := Pick(d.World, d.Frontends)
 	reachable := Pick(d.World, d.Controls)
@@ -26,12 +28,13 @@
 	d.partitionLinks(frontend, without(d.Controls, reachable), duration)
 	d.moveRoute()
 	d.useNewQueue(duration)
-	const newest = 16 // of which many were removed a while ago
+	const newest = 16 // changes whose probe routes are queried; most of these routes were removed some time ago
 	d.repeat(duration, 400*time.Millisecond, func() { d.Operator.Change(nil) })
 	d.repeat(duration, 50*time.Millisecond, func() { d.queryProbe(newest) })
 }
 
-// useNewQueue adds a queue and, once the operator knows that it exists, submits jobs to it, for a time.
+// useNewQueue adds a queue and submits jobs to it once the change is acknowledged to the operator, until the duration has
+// passed.
 func (d *Deployment) useNewQueue(duration time.Duration) {
 	const interval = 200 * time.Millisecond
 	class := &JobClasses()[0]
--- a/internal/cluster/simulation/fault_machine.go
+++ b/internal/cluster/simulation/fault_machine.go
@@ -5,32 +5,38 @@
 	"time"
 )
 
-// restartDelay is how soon the platform restarts a process that was killed.
+// restartDelay is the time from the kill of a process until the platform starts it again.
 const restartDelay = 300 * time.Millisecond
 
-// machineFaults returns the kinds that strike frontends and agents, and the network and clocks of all machines.
+// machineFaults returns the kinds that disturb the machines of frontends and agents, which drawOuterMachines draws with the
+// probability given, and those that disturb the network and the clocks of all machines.
 func machineFaults() []FaultKind {
 	return []FaultKind{
+		// 30 %: killed or powered off, for restartDelay and up to the duration.
 		{"node_kill", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.3) {
 				d.killOrPowerOff(m, restartDelay+d.World.Between(0, duration))
 			}
 		}},
+		// 30 %: frozen for the duration.
 		{"node_freeze", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.3) {
 				d.freeze(m, duration)
 			}
 		}},
+		// 30 %: timers and messages up to 40 ms late for the duration.
 		{"node_slow", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.3) {
 				d.slowDown(m, duration)
 			}
 		}},
+		// 25 %: partitioned from all control machines for the duration.
 		{"node_cut", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.25) {
 				d.partitionFromControls(m, duration)
 			}
 		}},
+		// 50 %: the same, but agents only; drawn frontends are left alone.
 		{"servers_cut", func(d *Deployment, duration time.Duration) {
 			for _, m := range d.drawOuterMachines(0.5) {
 				if m.Role == RoleAgent {
@@ -38,17 +44,20 @@
 				}
 			}
 		}},
+		// 60 %: killed at the same time, each for restartDelay.
 		{"herd_kill", func(d *Deployment, _ time.Duration) {
 			for _, m := range d.drawOuterMachines(0.6) {
 				d.lose(m, processKilled, restartDelay)
 			}
 		}},
 		{"roll_term", (*Deployment).rollingRestart},
+		// The network loses 10 % of all messages between machines for the duration.
 		{"reset_conns", func(d *Deployment, duration time.Duration) {
 			d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "reset_conns", ControlPlane: true})
 			d.Network.Loss = 0.1
 			d.World.After(duration, func() { d.Network.Loss = 0 })
 		}},
+		// 30 %, and all control machines: half of them have their time of day stepped, for the duration.
 		{"clock_step", func(d *Deployment, duration time.Duration) {
 			for _, m := range append(d.drawOuterMachines(0.3), d.Controls...) {
 				if d.World.Chance(0.5) {
@@ -59,11 +68,12 @@
 	}
 }
 
-// drawOuterMachines draws a fraction of the frontends' and agents' machines that are up, one at least.
-func (d *Deployment) drawOuterMachines(fraction float64) []*Machine {
+// drawOuterMachines draws each machine of a frontend or an agent that is up with a probability. If that draws none, it draws
+// one agent's machine, up or not.
+func (d *Deployment) drawOuterMachines(probability float64) []*Machine {
 	var drawn []*Machine
 	for _, m := range slices.Concat(d.Frontends, d.AgentMachines) {
-		if m.up && d.World.Chance(fraction) {
+		if m.up && d.World.Chance(probability) {
 			drawn = append(drawn, m)
 		}
 	}
@@ -75,16 +85,16 @@
 
 func isControl(m *Machine) bool { return m.Role == RoleControl }
 
-// loss is what a machine loses.
+// loss says what a machine loses: its process, its power, or its power and its disk.
 type loss int
 
 const (
 	processKilled loss = iota + 1
 	powerLost
-	diskLost // with the power
+	diskLost // and power
 )
 
-// lose has a machine lose its process, its power or its disk, and starts it again after a time.
+// lose has a machine lose its process, its power or its disk now, and starts it again after the time down.
 func (d *Deployment) lose(m *Machine, what loss, down time.Duration) {
 	d.recordMachineFault("kill", m, down)
 	switch what {
@@ -99,7 +109,7 @@
 	d.World.After(down, m.Boot)
 }
 
-// killOrPowerOff draws whether a machine loses its process or its power.
+// killOrPowerOff has a machine lose its process or its power, each with a probability of one half, for the time down.
 func (d *Deployment) killOrPowerOff(m *Machine, down time.Duration) {
 	what := processKilled
 	if d.World.Chance(0.5) {
@@ -108,6 +118,7 @@
 	d.lose(m, what, down)
 }
 
+// freeze freezes a machine's process for a time. It thaws only if it has not been restarted since.
 func (d *Deployment) freeze(m *Machine, duration time.Duration) {
 	d.recordMachineFault("freeze", m, duration)
 	m.Freeze()
@@ -119,6 +130,7 @@
 	})
 }
 
+// slowDown makes a machine's timers and messages late by up to 40 ms, for a time.
 func (d *Deployment) slowDown(m *Machine, duration time.Duration) {
 	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "slow", Machines: []string{m.Name},
 		ControlPlane: isControl(m)})
@@ -126,7 +138,7 @@
 	d.World.After(duration, func() { m.Lag = 0 })
 }
 
-// stepClock steps a machine's time of day, and back after a time.
+// stepClock steps a machine's time of day by up to maxStep, ahead or back, and steps it to the true time after the duration.
 func (d *Deployment) stepClock(m *Machine, duration time.Duration) {
 	const maxStep = 5 * time.Second
 	now := d.World.now
@@ -138,15 +150,16 @@
 	d.World.After(duration, func() { m.SetClock(0) })
 }
 
-// partitionFromControls partitions a machine from all control machines, one way or both.
+// partitionFromControls partitions a machine from all control machines for a time, in one drawn direction or in both.
 func (d *Deployment) partitionFromControls(m *Machine, duration time.Duration) {
 	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "cut", Machines: []string{m.Name}})
 	d.partitionLinks(m, d.Controls, duration)
 }
 
-// partitionLinks closes the links between a machine and others for a time: those of both ways, or only those of one.
+// partitionLinks closes the links between a machine and others for a time. It draws whether that is the links from the
+// machine, those to it, or both.
 func (d *Deployment) partitionLinks(m *Machine, others []*Machine, duration time.Duration) {
-	const inwards, outwards = 1, 2 // otherwise both ways
+	const inwards, outwards = 1, 2 // 0: both ways
 	direction := d.World.Random.IntN(3)
 	others = without(others, m)
 	eachLink := func(f func(from, to *Machine)) {
@@ -163,7 +176,8 @@
 	d.World.After(duration, func() { eachLink(d.Network.Heal) })
 }
 
-// rollingRestart shuts machines down one after another, as a rolling restart does, and starts each again.
+// rollingRestart restarts drawn machines and one control machine gracefully, one every 1.1 s in drawn order, as the rollout
+// of a new version does.
 func (d *Deployment) rollingRestart(time.Duration) {
 	const interval = 1100 * time.Millisecond
 	machines := append(slices.Clone(d.drawOuterMachines(0.4)), Pick(d.World, d.Controls))
@@ -173,7 +187,8 @@
 	}
 }
 
-// restartGracefully asks a process to shut down, kills it after the grace time, and starts it again.
+// restartGracefully asks a process to shut down. When it has, or after Grace, the process is killed, and starts again after
+// restartDelay. It does nothing to a machine that is off, or a control machine that may not be lost now (see reserveLoss).
 func (d *Deployment) restartGracefully(m *Machine) {
 	if !m.up || isControl(m) && !d.reserveLoss(m, restartDelay+Grace) {
 		return
@@ -181,12 +196,12 @@
 	d.recordMachineFault("term", m, restartDelay)
 	m.BeginShutdown()
 	incarnation := m.incarnation
-	over := false
+	hasEnded := false
 	end := func() {
-		if over || m.incarnation != incarnation {
+		if hasEnded || m.incarnation != incarnation {
 			return
 		}
-		over = true
+		hasEnded = true
 		m.Kill()
 		d.recordMachineFault("term", m, restartDelay)
 		d.World.After(restartDelay, m.Boot)
--- a/internal/cluster/simulation/fault_overload.go
+++ b/internal/cluster/simulation/fault_overload.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// LoneRunner is the kind of fault that leaves a service one runner.
+// LoneRunner is the kind of fault that leaves the first service a single runner, to the end of the scenario.
 const LoneRunner = "lone_runner"
 
-// loneRunnerLoad is the rate of jobs from then on, as a multiple of the usual one.
+// loneRunnerLoad is the factor by which jobs are submitted faster after the loss of the runners.
 const loneRunnerLoad = 2
 
-// undrawnFaults returns the kinds that scenarios name and no seed draws: the other rules, such as that of stalled jobs, say
-// nothing of a service that never has free capacity, and a quota of processor time lasts as long as a scenario.
+// undrawnFaults returns the kinds that a scenario can name but no seed draws. After LoneRunner the service never has free
+// capacity, where the other rules, such as the one on stalled jobs, demand nothing. CPUQuota lasts to the end of the
+// traffic.
 func undrawnFaults() []FaultKind {
 	return []FaultKind{
 		{LoneRunner, (*Deployment).loseAllButOneRunner},
@@ -17,16 +18,16 @@
 	}
 }
 
-// loseAllButOneRunner crashes all runners of the first service but one, for good, and raises the load.
+// loseAllButOneRunner crashes all runners of the first service but one, raises the load, and leaves it at that.
 func (d *Deployment) loseAllButOneRunner(time.Duration) {
-	d.recordElsewhere(LoneRunner, 0)
+	d.recordExternalFault(LoneRunner, 0)
 	d.loadFactor = loneRunnerLoad
-	left := 1
+	survivors := 1 // runners that may still be left up
 	for _, r := range d.Runners {
 		switch {
 		case r.Service != d.Size.Services[0].Name || !r.Up():
-		case left > 0:
-			left--
+		case survivors > 0:
+			survivors--
 		default:
 			r.Crash()
 		}
--- a/internal/cluster/simulation/fault_quota.go
+++ b/internal/cluster/simulation/fault_quota.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// CPUQuota is the kind of fault that gives each machine a quota of processor time: it runs at full speed until its share is
-// spent, and not at all for the rest of each period, as a cgroup's cpu.max does.
+// CPUQuota is the kind of fault that gives each machine a quota of processor time, as a cgroup's cpu.max does: in each
+// period the machine runs at full speed until its share is spent, and is stopped for the rest of the period.
 const CPUQuota = "cpu_quota"
 
 const (
 	quotaPeriod  = 100 * time.Millisecond
-	minQuotaRest = 10 * time.Millisecond // of each period in which a machine does not run
+	minQuotaRest = 10 * time.Millisecond // bounds of the drawn time at the end of a period in which a machine is stopped
 	maxQuotaRest = 80 * time.Millisecond
 )
 
-// enforceQuotas has every machine stop for a part of each period, to the end of the traffic. Machines begin their periods at
-// different times. It counts as no trouble for any rule: machines under a quota stay in touch.
+// enforceQuotas stops every machine for a part of each period, until the end of the traffic. The machines' periods begin at
+// different times. The event is recorded as planned, so that no rule excuses anything: machines under a quota must work as
+// undisturbed ones do.
 func (d *Deployment) enforceQuotas(time.Duration) {
 	d.recordPlanned(CPUQuota, 0)
 	for _, m := range slices.Concat(d.Controls, d.Frontends, d.AgentMachines) {
@@ -24,7 +25,8 @@
 	}
 }
 
-// throttle stops a machine for a drawn part of the period that begins now, and again in each later one.
+// throttle stops a machine at the end of the period that begins now, for a drawn time, and so in each later period. A
+// machine that is off or frozen by another fault is left as it is.
 func (d *Deployment) throttle(m *Machine) {
 	if d.World.now >= d.History.TrafficEnds {
 		return
@@ -43,7 +45,7 @@
 	d.World.After(quotaPeriod, func() { d.throttle(m) })
 }
 
-// thawIfSame resumes a machine that is still in the same incarnation.
+// thawIfSame resumes a machine, unless its process has ended or was restarted since.
 func (d *Deployment) thawIfSame(m *Machine, incarnation int) {
 	if m.incarnation == incarnation {
 		m.Thaw()
--- a/internal/cluster/simulation/fault_runner.go
+++ b/internal/cluster/simulation/fault_runner.go
@@ -2,19 +2,24 @@
 
 import "time"
 
-// runnerFaults returns the kinds that strike runners, or add and remove them.
+// runnerFaults returns the kinds that disturb runners, or add and remove them. The fractions are of the runners that are up
+// and not draining, see drawRunners.
 func runnerFaults() []FaultKind {
 	return []FaultKind{
 		{"srv_crash", (*Deployment).crashRunners},
+		// 15 % of the runners work at a fifth of their speed.
 		{"srv_slow", func(d *Deployment, duration time.Duration) {
 			d.failGray("srv_slow", duration, func(r *Runner) { r.SetSlow(5) }, func(r *Runner) { r.SetSlow(1) })
 		}},
+		// On 15 % of the runners, every run that starts fails soon.
 		{"srv_errors", func(d *Deployment, duration time.Duration) {
 			d.failGray("srv_errors", duration, func(r *Runner) { r.SetGrayFailure(1, 0) }, func(r *Runner) { r.SetGrayFailure(0, 0) })
 		}},
+		// On 15 % of the runners, every run that starts hangs.
 		{"srv_hang", func(d *Deployment, duration time.Duration) {
 			d.failGray("srv_hang", duration, func(r *Runner) { r.SetGrayFailure(0, 1) }, func(r *Runner) { r.SetGrayFailure(0, 0) })
 		}},
+		// 15 % of the runners send 30 % of their heartbeats late.
 		{"srv_late", func(d *Deployment, duration time.Duration) {
 			d.failGray("srv_late", duration, func(r *Runner) { r.SetLate(0.3) }, func(r *Runner) { r.SetLate(0) })
 		}},
@@ -22,6 +27,7 @@
 		{"scale_in", (*Deployment).scaleIn},
 		{"leave_undrained", (*Deployment).removeUndrained},
 		{"spot", (*Deployment).reclaimSpot},
+		// The spare runners start, at drawn times within the duration.
 		{"new_runners", func(d *Deployment, duration time.Duration) {
 			d.recordPlanned("new_runners", 0)
 			for _, r := range d.Spares {
@@ -31,7 +37,8 @@
 	}
 }
 
-// drawRunners draws about a fraction of the runners that are up and not draining, one at least if there is one.
+// drawRunners draws a fraction, rounded down, of the runners that are up and not draining. It draws at least one if there is
+// any.
 func (d *Deployment) drawRunners(fraction float64) []*Runner {
 	var up []*Runner
 	for _, r := range d.Runners {
@@ -44,31 +51,32 @@
 	return up[:min(count, len(up))]
 }
 
+// crashRunners crashes 10 to 30 % of the runners. Each restarts after the duration, or never with a probability of 20 %.
 func (d *Deployment) crashRunners(duration time.Duration) {
 	fraction := 0.1 + 0.2*d.World.Random.Float64()
 	for _, r := range d.drawRunners(fraction) {
-		d.recordElsewhere("srv_crash", duration)
+		d.recordExternalFault("srv_crash", duration)
 		r.Crash()
 		if d.World.Chance(0.2) {
-			continue // it never comes back
+			continue // it stays down
 		}
 		d.World.After(duration, r.Start)
 	}
 }
 
-// failGray gives some runners a gray failure: they stay up and are not healthy.
+// failGray gives 15 % of the runners a gray failure for a time: they stay up and send heartbeats, but do not work well.
 func (d *Deployment) failGray(kind string, duration time.Duration, begin, end func(r *Runner)) {
-	d.recordElsewhere(kind, duration)
+	d.recordExternalFault(kind, duration)
 	for _, r := range d.drawRunners(0.15) {
 		begin(r)
 		d.World.After(duration, func() { end(r) })
 	}
 }
 
-// restartLate crashes runners that come back soon and whose heartbeats are late: for a while the scheduler knows another
-// incarnation than the one that is up.
+// restartLate crashes 30 % of the runners and starts them again soon. For the duration, 70 % of their heartbeats are late,
+// so that the scheduler may still expect the old incarnation while the new one is up.
 func (d *Deployment) restartLate(duration time.Duration) {
-	d.recordElsewhere("srv_back_late", duration)
+	d.recordExternalFault("srv_back_late", duration)
 	for _, r := range d.drawRunners(0.3) {
 		r.Crash()
 		r.SetLate(0.7)
@@ -77,17 +85,18 @@
 	}
 }
 
-// scaleIn drains runners and removes them.
+// scaleIn drains 15 % of the runners and removes them.
 func (d *Deployment) scaleIn(duration time.Duration) {
 	d.removeRunners("scale_in", duration, (*Runner).Drain)
 }
 
-// removeUndrained removes runners that never drain.
+// removeUndrained removes 15 % of the runners, which deregister without having been in the state `draining`.
 func (d *Deployment) removeUndrained(duration time.Duration) {
 	d.removeRunners("leave_undrained", duration, (*Runner).DeregisterUndrained)
 }
 
-// removeRunners removes some runners after a time. Most come back after the duration.
+// removeRunners calls remove for 15 % of the runners. Each leaves Bounds.Drain and 0.5 to 4 s from now. With a probability
+// of 70 % it starts again a duration after that.
 func (d *Deployment) removeRunners(kind string, duration time.Duration, remove func(r *Runner, after time.Duration)) {
 	for _, r := range d.drawRunners(0.15) {
 		after := d.History.Bounds.Drain + d.World.Between(500*time.Millisecond, 4*time.Second)
@@ -99,7 +108,8 @@
 	}
 }
 
-// reclaimSpot removes runners at short notice, as a cloud reclaims spot instances. They come back later.
+// reclaimSpot removes 20 % of the runners after a short notice, in which they drain, as a cloud reclaims spot instances.
+// They start again after the duration, or after 4 s if that is longer.
 func (d *Deployment) reclaimSpot(duration time.Duration) {
 	const notice = 2 * time.Second
 	for _, r := range d.drawRunners(0.2) {
--- a/internal/cluster/simulation/scenario.go
+++ b/internal/cluster/simulation/scenario.go
@@ -80,17 +80,17 @@
 	const down = 1400 * time.Millisecond
 	recovered := at + time.Second + down + d.History.Bounds.Recovery
 	d.finalFaultAt = at
-	hasStruck := false
+	hasInjected := false
 	strike := func(acknowledgedBy *Machine) {
-		if hasStruck {
+		if hasInjected {
 			return
 		}
-		hasStruck = true
-		d.strikeFinally(kind, acknowledgedBy, down)
+		hasInjected = true
+		d.injectFinalFault(kind, acknowledgedBy, down)
 	}
 	d.World.At(at, func() {
 		d.Operator.OnAcknowledged = func(by *Machine) {
-			d.World.After(d.World.Between(0, maxStrikeDelay), func() { strike(by) })
+			d.World.After(d.World.Between(0, maxInjectionDelay), func() { strike(by) })
 		}
 		d.Operator.Change(nil)
 	})
@@ -98,8 +98,8 @@
 	return recovered + finalTraffic
 }
 
-// strikeFinally brings the final fault about.
-func (d *Deployment) strikeFinally(kind FinalFault, acknowledgedBy *Machine, down time.Duration) {
+// injectFinalFault brings the final fault about.
+func (d *Deployment) injectFinalFault(kind FinalFault, acknowledgedBy *Machine, down time.Duration) {
 	d.History.FinalFault = d.World.now
 	d.History.Returned = d.World.now + down
 	othersLosePower := d.World.Chance(0.5) // where one control machine loses its disk
--- a/internal/cluster/simulation/traffic.go
+++ b/internal/cluster/simulation/traffic.go
@@ -45,8 +45,8 @@
 	return &classes[0]
 }
 
-// JobClass is a class of jobs that clients submit. A float64 of the name of a field of protocol.Step is the fraction of steps
-// in which that field is set.
+// JobClass is a class of jobs that clients submit. A float64 of the name of a field of protocol.Step is the fraction of
+// steps in which that field is set.
 type JobClass struct {
 	Name            string
 	Route           string // whose queue the jobs are submitted to
