--- a/internal/cluster/simulation/disk_test.go
+++ b/internal/cluster/simulation/disk_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// newDiskMachine returns a machine with a disk, whose process is up.
+// newDiskMachine returns a control machine with a disk, whose process runs.
 func newDiskMachine(seed uint64) *Machine {
 	const sync = 9 * time.Millisecond
 	m := NewMachine(NewWorld(seed), "core", "north", RoleControl)
@@ -20,7 +20,7 @@
 
 const content = "a record that is longer than a few bytes"
 
-// writeFile writes the complete file and syncs it.
+// writeFile creates the file with its complete content and syncs both the file and the directory.
 func writeFile(m *Machine) error {
 	file, err := m.Disk.Files().Create("file")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return m.Disk.Files().SyncDir(".")
 }
 
-// readFile returns the file's content, or nothing if there is no file.
+// readFile returns the file's content, or "" if there is no file.
 func readFile(m *Machine) string {
 	data, err := vfs.ReadFile(m.Disk.Files(), "file")
 	if err != nil {
@@ -45,7 +45,7 @@
 }
 
 var _ = Describe("A simulated disk", func() {
-	It("performs work once its time has passed", func() {
+	It("performs work only once the time of its syncs has passed", func() {
 		m := newDiskMachine(1)
 		done := 0
 		m.Disk.Perform(m, 1, func() { done++ })
@@ -55,7 +55,7 @@
 		Expect(done).To(Equal(1))
 	})
 
-	It("completes nothing while it is stalled", func() {
+	It("completes no work while it is stalled, and all of it after the release", func() {
 		m := newDiskMachine(1)
 		done := 0
 		m.Disk.Perform(m, 1, func() { done++ })
@@ -68,7 +68,7 @@
 		Expect(done).To(Equal(2))
 	})
 
-	It("fails writes while it is full", func() {
+	It("fails writes only while it is full", func() {
 		m := newDiskMachine(1)
 		m.Disk.Full = true
 		Expect(writeFile(m)).NotTo(Succeed())
@@ -76,7 +76,7 @@
 		Expect(writeFile(m)).To(Succeed())
 	})
 
-	It("keeps what was synced at a loss of power", func() {
+	It("keeps synced writes at a loss of power", func() {
 		for seed := range uint64(20) {
 			m := newDiskMachine(seed)
 			Expect(writeFile(m)).To(Succeed())
@@ -85,7 +85,7 @@
 		}
 	})
 
-	It("keeps any part of work in flight when the process is killed or loses power", func() {
+	It("keeps none, all or a part of the work in flight when the process is killed or the machine loses power", func() {
 		for _, end := range []func(*Machine){(*Machine).Kill, (*Machine).LosePower} {
 			outcomes := map[int]int{}
 			for seed := range uint64(200) {
@@ -96,11 +96,11 @@
 			}
 			Expect(outcomes).To(HaveKey(0))
 			Expect(outcomes).To(HaveKey(len(content)))
-			Expect(len(outcomes)).To(BeNumerically(">", 2), "some are torn: %v", outcomes)
+			Expect(len(outcomes)).To(BeNumerically(">", 2), "some writes must be torn; number of seeds by file size in bytes: %v", outcomes)
 		}
 	})
 
-	It("loses nothing else of a killed process than its work in flight", func() {
+	It("keeps completed writes when the process is killed with work in flight", func() {
 		m := newDiskMachine(3)
 		Expect(writeFile(m)).To(Succeed())
 		m.Disk.Perform(m, 1, func() { _ = m.Disk.Files().Remove("other") })
@@ -108,7 +108,7 @@
 		Expect(readFile(m)).To(Equal(content))
 	})
 
-	It("is empty after a wipe", func() {
+	It("is empty after a wipe, and counts it", func() {
 		m := newDiskMachine(1)
 		Expect(writeFile(m)).To(Succeed())
 		m.LosePower()
--- a/internal/cluster/simulation/history_builder_test.go
+++ b/internal/cluster/simulation/history_builder_test.go
@@ -14,18 +14,20 @@
 	testSpec = "the job's text"
 )
 
-// at returns a time of the scenario.
+// at returns the time of a scenario at so many seconds.
 func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// historyBuilder builds a history. Times are in seconds.
+// historyBuilder builds a history for the auditor. The times that its methods take are in seconds since the world's
+// beginning.
 type historyBuilder struct {
 	*History
-	submitted *JobRecord         // of three steps; the second depends on the first, the third is a gang
-	first     *RunnerIncarnation // of the job's service, as second
-	second    *RunnerIncarnation
+	submitted    *JobRecord         // a job of three steps; the second depends on the first, the third is a gang
+	firstRunner  *RunnerIncarnation // both runners are of the job's service
+	secondRunner *RunnerIncarnation
 }
 
-// newHistoryBuilder returns a history of one job, one configuration and two runners, that breaks no rule.
+// newHistoryBuilder returns a history that breaks no rule: one accepted job, one acknowledged configuration and two
+// runners. The traffic ends at 40 s and the scenario at 60 s.
 func newHistoryBuilder() *historyBuilder {
 	b := &historyBuilder{History: NewHistory(DefaultBounds())}
 	b.TrafficEnds, b.Ends = at(40), at(60)
@@ -39,13 +41,13 @@
 	b.submitted.Queries = []Attempt{{Machine: "front-0", Incarnation: 1, Sent: at(50), Answered: at(50.1), Status: 200,
 		State: protocol.JobRunning}}
 	b.AddJob(b.submitted)
-	b.first, b.second = b.runner("i-1", "alfa", "a"), b.runner("i-2", "alfa", "b")
+	b.firstRunner, b.secondRunner = b.runner("i-1", "alfa", "a"), b.runner("i-2", "alfa", "b")
 	b.configuration(1, 0, map[QueueName]RouteRecord{b.submitted.Queue: {Service: "alfa", MaxAttempts: 2}})
 	b.read(0.5+59, 1)
 	return b
 }
 
-// runner adds a runner, which is up.
+// runner adds a runner that is up.
 func (b *historyBuilder) runner(instance, service, kind string) *RunnerIncarnation {
 	runner := &RunnerIncarnation{Instance: instance, Machine: "side-" + instance, Service: service, Labels: []string{kind, "r-1"},
 		Capacity: protocol.Resources{CPU: 8000, MemoryMB: 1000}, Ended: Never, DrainAcknowledged: Never}
@@ -53,7 +55,7 @@
 	return runner
 }
 
-// configuration adds a change that was sent at the version's number in tenths of a second, and acknowledged 0.05 s later.
+// configuration adds a change that was sent at version/10 seconds and acknowledged 0.05 s later.
 func (b *historyBuilder) configuration(version, base int64, routes map[QueueName]RouteRecord) *ConfigurationRecord {
 	sent := at(float64(version) / 10)
 	record := &ConfigurationRecord{Version: version, Base: base, Body: string(rune('0' + version)), Routes: routes, Alone: true,
@@ -64,12 +66,12 @@
 	return record
 }
 
-// read adds a read of a version at the end.
+// read adds a read of a version by the operator at the end of the scenario.
 func (b *historyBuilder) read(seconds float64, version int64) {
 	b.ReadBacks = append(b.ReadBacks, ReadBack{At: at(seconds), Body: Canonical([]byte(mustJSON(map[string]any{"version": version})))})
 }
 
-// run adds a run whose end was acknowledged 0.1 s later; if ended is negative it goes on.
+// run adds a run of the job, whose end was acknowledged 0.1 s after it. If ended is negative, the run does not end.
 func (b *historyBuilder) run(runner *RunnerIncarnation, step, index int, number uint64, started, ended float64,
 	endReason string) *Run {
 	run := &Run{Task: TaskName{testJob, 0, step, index}, Number: number, Runner: runner, Started: at(started), Ended: Never,
@@ -82,40 +84,41 @@
 	return run
 }
 
-// completeFirstStep adds runs by which the first step is done at 3 s.
+// completeFirstStep adds runs of both tasks of the first step from 2 to 3 s, which end done.
 func (b *historyBuilder) completeFirstStep() {
-	b.run(b.first, 0, 0, 1, 2, 3, protocol.EndDone)
-	b.run(b.second, 0, 1, 1, 2, 3, protocol.EndDone)
+	b.run(b.firstRunner, 0, 0, 1, 2, 3, protocol.EndDone)
+	b.run(b.secondRunner, 0, 1, 1, 2, 3, protocol.EndDone)
 }
 
-// query adds a query of the job's state that was answered at once.
+// query adds a query of the job's state that was answered 0.01 s later.
 func (b *historyBuilder) query(seconds float64, status int, state string) {
 	b.submitted.Queries = append(b.submitted.Queries, Attempt{Machine: "front-0", Incarnation: 1, Sent: at(seconds),
 		Answered: at(seconds + 0.01), Status: status, State: state})
 }
 
-// cancel adds a cancel of the job that was acknowledged at once.
+// cancel adds a cancel of the job that was acknowledged 0.01 s later.
 func (b *historyBuilder) cancel(seconds float64) {
 	b.submitted.Cancels = append(b.submitted.Cancels, Attempt{Machine: "front-0", Sent: at(seconds),
 		Answered: at(seconds + 0.01), Status: 200})
 }
 
-// pendingQuery adds a query, answered at once, of the queue that only version 2 has.
+// pendingQuery adds a query of the pending jobs in the queue that only version 2 has (see secondVersion), answered 0.01 s
+// later.
 func (b *historyBuilder) pendingQuery(seconds float64, status int) {
 	b.PendingQueries = append(b.PendingQueries, PendingQuery{Queue: QueueName{"h", "/v2/"}, Attempt: Attempt{
 		Machine: "front-0", Incarnation: 1, Sent: at(seconds), Answered: at(seconds + 0.01), Status: status}})
 }
 
-// fault adds a fault of a span.
+// fault adds a fault that lasts for a span.
 func (b *historyBuilder) fault(from, to float64, fault Fault) {
 	fault.From, fault.To = at(from), at(to)
 	b.Faults = append(b.Faults, fault)
 }
 
-// noViolation stands for the rule that is broken by a history that breaks none.
+// noViolation stands in place of a rule for a history that breaks none.
 const noViolation Rule = ""
 
-// expectAudit builds a history and expects that it breaks a rule and no other.
+// expectAudit builds a history and expects that it breaks this rule and no other, or none for noViolation.
 func expectAudit(rule Rule, build func(b *historyBuilder)) {
 	GinkgoHelper()
 	b := newHistoryBuilder()
@@ -131,9 +134,9 @@
 	}
 }
 
-// refuse adds calls with a fencing token, at times in seconds, that the first runner has refused.
+// refuse adds calls with a fencing token that the first runner refused.
 func (b *historyBuilder) refuse(machine string, fenceToken uint64, seconds ...float64) {
 	for _, second := range seconds {
-		b.RefusedCalls = append(b.RefusedCalls, RefusedCall{Machine: machine, Instance: b.first.Instance, FenceToken: fenceToken, At: at(second)})
+		b.RefusedCalls = append(b.RefusedCalls, RefusedCall{Machine: machine, Instance: b.firstRunner.Instance, FenceToken: fenceToken, At: at(second)})
 	}
 }
--- a/internal/cluster/simulation/stalled_test.go
+++ b/internal/cluster/simulation/stalled_test.go
@@ -6,7 +6,7 @@
 )
 
 var _ = Describe("The service of a job", func() {
-	It("is the one that runs its tasks, wherever its queue has moved", func() {
+	It("is the service that runs its tasks, also when its queue has moved to another", func() {
 		b := newHistoryBuilder()
 		other := &RunnerIncarnation{Instance: "other", Service: "other"}
 		moved := &RunnerIncarnation{Instance: "first", Service: "first"}
@@ -18,7 +18,7 @@
 		Expect(d.serviceOfJob(b.submitted)).To(Equal("first"))
 	})
 
-	It("is that of its queue until something of it has run", func() {
+	It("is the service of its queue until one of its tasks has run", func() {
 		b := newHistoryBuilder()
 		queue := b.submitted.Queue
 		current := &Document{Routes: []Route{{Host: queue.Host, PathPrefix: queue.Prefix, Service: "alfa"}}}
