--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -139,11 +139,11 @@
 }
 
 // checkFollowed (CONFIG) checks each response to a client that shows something of the configuration:
-//   - Some version that may be in force agrees with the response.
-//   - If the machine was undisturbed when the request was sent and when the response arrived, a version agrees that is at
-//     least as new as the newest that was acknowledged more than Bounds.ConfigApply before the request.
-//   - The same process has not shown a newer version before. The request must be sent more than Bounds.RollbackSlack after
-//     the response that showed the newer version.
+//   - The response agrees with some version that may have been in force by then.
+//   - If the machine was undisturbed when the request was sent and when the response arrived, the response agrees with a
+//     version at least as new as the newest that was acknowledged more than Bounds.ConfigApply before the request.
+//   - The response agrees with a version at least as new as the oldest one that explains an earlier response of the same
+//     process. Earlier responses count that arrived more than Bounds.RollbackSlack before the request was sent.
 func (a *auditor) checkFollowed() {
 	records := a.possiblyInForce()
 	type process struct {
@@ -208,8 +208,8 @@
 }
 
 // checkReadBacks (CONFIG, or LOST after a final fault): the operator reads the configuration back at the end of the
-// scenario. Each read gives a version at least as new as the newest that was acknowledged Bounds.Contact before the read,
-// exactly as the operator sent it. At least one read succeeds if any version was acknowledged.
+// scenario. Each read gives a version at least as new as the newest that was acknowledged Bounds.Contact or longer before
+// the read, exactly as the operator sent it. At least one read succeeds if any version was acknowledged.
 func (a *auditor) checkReadBacks() {
 	if a.Ends == 0 || len(a.Configuration) == 0 {
 		return
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -8,7 +8,7 @@
 )
 
 // startSlack is the allowance of rules that forbid starts after an acknowledgement: until so long after it, an undisturbed
-// machine may still start a run, because the order was on its way or the machine had not heard of the acknowledgement.
+// machine may still start a run, because its order may already be on the way.
 const startSlack = time.Second
 
 // checkRun checks one run against the rules on starts, and on ends where a rule demands one.
@@ -224,9 +224,9 @@
 
 // checkBudget (BUDGET): no run starts once as many runs of the task as its queue's budget have ended failed. The highest
 // budget of all configurations counts, because the auditor does not know which one the job follows. Only failed ends that
-// are acknowledged at some time count, and the members of one gang run count once. Steps with AtMostOnce may have another
-// run beside the one that failed last: for them the rule holds later than startSlack after the last acknowledgement, on
-// undisturbed machines. Long-running steps have no budget.
+// are acknowledged at some time count, and the members of one gang run count once. A step with AtMostOnce may have another
+// run at the same time as the one that failed last: for it the rule holds later than startSlack after the last
+// acknowledgement, on undisturbed machines. Long-running steps have no budget.
 func (a *auditor) checkBudget(run *Run, job *JobRecord, step *protocol.Step) {
 	budget, _ := a.failureBudget(job.Queue)
 	if budget == 0 || step.LongRunning {
--- a/internal/cluster/simulation/client.go
+++ b/internal/cluster/simulation/client.go
@@ -155,16 +155,16 @@
 func (c *Clients) call(attempt *Attempt, timeout time.Duration, request requestFunc, done replyFunc) {
 	machine := c.drawFrontend()
 	attempt.Machine, attempt.Incarnation, attempt.Sent, attempt.Answered = machine.Name, machine.incarnation, c.World.now, Never
-	over := false
+	isFinished := false
 	finish := func(status int) {
-		if !over {
-			over = true
+		if !isFinished {
+			isFinished = true
 			done(status, attempt.State)
 		}
 	}
 	disconnect := func() {}
 	c.World.After(timeout, func() {
-		if !over {
+		if !isFinished {
 			finish(noResponse)
 			c.World.After(ClientDelay, func() { disconnect() })
 		}
@@ -180,7 +180,7 @@
 		machine.inIncarnation(incarnation, func() {
 			clientLeft := request(frontend, func(status int, state string) {
 				c.World.After(c.delay(), func() {
-					if over || machine.incarnation != incarnation {
+					if isFinished || machine.incarnation != incarnation {
 						return
 					}
 					attempt.Answered, attempt.Status, attempt.State = c.World.now, status, state
@@ -188,7 +188,7 @@
 				})
 			})
 			disconnect = func() { machine.inIncarnation(incarnation, clientLeft) }
-			if over {
+			if isFinished {
 				clientLeft() // the client disconnected while the machine was frozen
 			}
 		})
--- a/internal/cluster/simulation/fault.go
+++ b/internal/cluster/simulation/fault.go
@@ -51,7 +51,7 @@
 	d.recordFault(Fault{From: now + duration, To: now + duration, Kind: kind, ControlPlane: true})
 }
 
-// repeat calls f now and then at intervals until the duration has passed.
+// repeat calls f at intervals until the duration has passed, the first time now.
 func (d *Deployment) repeat(duration, interval time.Duration, f func()) {
 	for at := time.Duration(0); at < duration; at += interval {
 		d.World.After(at, f)
--- a/internal/cluster/simulation/fault_control.go
+++ b/internal/cluster/simulation/fault_control.go
@@ -42,10 +42,12 @@
 		{"core_herd_kill", func(d *Deployment, _ time.Duration) { d.loseAllControls(processKilled, restartDelay) }},
 		// All control machines lose power at once.
 		{"core_herd_power", func(d *Deployment, duration time.Duration) { d.powerOffControls(duration) }},
-		// The machine that acknowledges the operator's next change loses its power, or its disk, up to 4 ms after that.
+		// The machine that acknowledges the operator's next change loses its power (kill), or its power and its disk
+		// (wipe), up to 4 ms after that.
 		{"after_ack_kill", func(d *Deployment, duration time.Duration) { d.loseAfterAck(powerLost, duration) }},
 		{"after_ack_wipe", func(d *Deployment, duration time.Duration) { d.loseAfterAck(diskLost, duration) }},
-		// A drawn machine loses its power, or its disk, when a client learns that its job was accepted.
+		// A drawn machine loses its power (kill), or its power and its disk (wipe), when a client learns that its job was
+		// accepted.
 		{"after_taken_kill", func(d *Deployment, duration time.Duration) {
 			d.onceAccepted(func() { d.loseDrawnControl(powerLost, duration) })
 		}},
--- a/internal/cluster/simulation/operator.go
+++ b/internal/cluster/simulation/operator.go
@@ -96,13 +96,13 @@
 		return
 	}
 	base := o.current
-	first := o.nextVersion()
-	second := first
+	firstVersion := o.nextVersion()
+	secondVersion := firstVersion
 	if o.World.Chance(0.5) {
-		second = o.nextVersion()
+		secondVersion = o.nextVersion()
 	}
-	o.submitEdit(base, first, nil)
-	o.submitEdit(base, second, nil)
+	o.submitEdit(base, firstVersion, nil)
+	o.submitEdit(base, secondVersion, nil)
 }
 
 func (o *Operator) nextVersion() int64 {
--- a/internal/cluster/simulation/operator_call.go
+++ b/internal/cluster/simulation/operator_call.go
@@ -22,16 +22,16 @@
 	record.Attempts = append(record.Attempts, Attempt{Machine: machine.Name, Incarnation: machine.incarnation, Sent: o.World.now,
 		Answered: Never})
 	number := len(record.Attempts) - 1
-	over := false
+	isFinished := false
 	finish := func(status int) {
-		if !over {
-			over = true
+		if !isFinished {
+			isFinished = true
 			o.resolve(c, machine, status)
 		}
 	}
 	hasDisconnected, disconnect := false, func() {}
 	o.World.After(operatorTimeout, func() {
-		if over {
+		if isFinished {
 			return
 		}
 		finish(noResponse)
@@ -98,10 +98,10 @@
 		return
 	}
 	machine := Pick(o.World, o.Controls)
-	over := false
+	isFinished := false
 	next := func() {
-		if !over {
-			over = true
+		if !isFinished {
+			isFinished = true
 			o.World.After(o.World.Between(100*time.Millisecond, 300*time.Millisecond), func() { o.ReadBack(until) })
 		}
 	}
