--- a/internal/cluster/simulation/cluster/agent.go
+++ b/internal/cluster/simulation/cluster/agent.go
@@ -10,19 +10,20 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// agentProcess is one incarnation of an agent: the shipped one, without its sockets. It implements simulation.Agent.
+// agentProcess is one incarnation of the shipped agent process, without its sockets. It implements simulation.Agent.
 type agentProcess struct {
-	shell   *shell
+	harness *harness
 	process *agent.Process
 }
 
+// newAgent starts an incarnation of the agent of a machine.
 func newAgent(c *Cluster, m *simulation.Machine) *agentProcess {
-	s := c.newShell(m)
-	a := &agentProcess{shell: s, process: agent.NewProcess(agent.ProcessOptions{
+	s := c.newHarness(m)
+	a := &agentProcess{harness: s, process: agent.NewProcess(agent.ProcessOptions{
 		Client:    caller{s},
 		Addresses: c.seedAddresses(),
 		Node:      m.Name,
-		Clock:     shellClock{shell: s},
+		Clock:     machineClock{harness: s},
 		Calls:     c.invocation,
 		Dial:      s.dial,
 	})}
@@ -31,12 +32,12 @@
 	return a
 }
 
-// request sends a runner's request to the agent.
+// request sends a runner's request to the agent's HTTP handler and calls done with the response.
 func (a *agentProcess) request(instance, verb string, body []byte, done func(*response)) (disconnect func()) {
-	request := &http.Request{Method: http.MethodPost, Host: a.shell.machine.Name,
+	request := &http.Request{Method: http.MethodPost, Host: a.harness.machine.Name,
 		URL: &url.URL{Path: "/v1/instances/" + instance + "/" + verb}, Header: http.Header{}}
 	setBody(request, body)
-	return a.shell.serve(a.process, request, done)
+	return a.harness.serve(a.process, request, done)
 }
 
 // Heartbeat sends a runner's heartbeat to the agent.
@@ -58,10 +59,10 @@
 	a.request(instance, "deregister", body, func(r *response) { reply(r.err()) })
 }
 
-// err returns an error unless the response is a success.
+// err returns nil if the status is 200 OK, and otherwise an error of kind failure.Unavailable.
 func (r *response) err() error {
 	if r.status == http.StatusOK {
 		return nil
 	}
-	return failure.Newf(failure.Unavailable, "status %d", r.status)
+	return failure.Newf(failure.Unavailable, "HTTP status %d", r.status)
 }
--- a/internal/cluster/simulation/cluster/shell_caller.go
+++ b/internal/cluster/simulation/cluster/caller.go
@@ -11,49 +11,51 @@
 	"ospreypond/internal/cluster/transport"
 )
 
-// caller makes a shell's calls to control processes over the simulated network, as transport.Client does over the real
-// one. It implements directory.Caller.
-type caller struct{ shell *shell }
+// caller calls control processes over the simulated network on behalf of a harness's process. It models transport.Client,
+// including its probes of an unresponsive peer. It implements directory.Caller.
+type caller struct{ harness *harness }
 
 const (
-	defaultCallTimeout  = 30 * time.Second // of a call without a deadline
-	maxUnansweredProbes = 3                // in a row, as in package transport
+	defaultCallTimeout  = 30 * time.Second // of a call whose context has no deadline
+	maxUnansweredProbes = 3                // consecutive; the call then ends, as in package transport
 )
 
-// callResult is how a call ended.
+// callResult is the result of a call: a response or an error.
 type callResult struct {
 	response any
 	err      error
 }
 
-// Do calls the process at an address and stores its response in response, a pointer of the response's type. Without a
-// response until ctx ends the error is of kind failure.UnknownOutcome.
+// Do calls the process at an address and stores its response in response, which must be a pointer to the response's type.
+// If ctx ends after the call was made and before a response arrives, the error is of kind failure.UnknownOutcome.
 func (c caller) Do(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, withProbes)
 }
 
-// DoLong is Do for a call of which the response may be delayed on purpose: the peer is not probed meanwhile.
+// DoLong is like Do, for calls that the peer may answer late on purpose. The peer is not probed while the call is pending.
 func (c caller) DoLong(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, withoutProbes)
 }
 
-// probing is the way in which a call ends if its peer becomes unresponsive: by probes, or only by its timeout.
+// probing says how a call detects that its peer has become unresponsive.
 type probing int
 
 const (
-	withProbes probing = iota + 1
-	withoutProbes
+	withProbes    probing = iota + 1 // the call ends after maxUnansweredProbes consecutive ones, or at its timeout
+	withoutProbes                    // the call ends only at its timeout
 )
 
+// do makes a call and waits for its result. The world's goroutine sends the request, as an effect of the request that ctx
+// belongs to.
 func (c caller) do(ctx context.Context, address string, request, response any, probing probing) error {
 	if ctx.Err() != nil {
 		return failure.Newf(failure.Unavailable, "%s: not called: %v", address, ctx.Err())
 	}
-	s := c.shell
+	s := c.harness
 	results := make(chan callResult, 1)
 	timeout := defaultCallTimeout
 	if at, ok := ctx.Deadline(); ok {
-		timeout = max(shellClock{shell: s}.Until(at), time.Millisecond)
+		timeout = max(machineClock{harness: s}.Until(at), time.Millisecond)
 	}
 	s.enqueue(requestOf(ctx), func() {
 		over := false
@@ -81,8 +83,9 @@
 	}
 }
 
-// probe sends probes to a process until isOver, and calls abort once too many in a row have had no response.
-func (s *shell) probe(address string, isOver func() bool, abort func()) {
+// probe sends a probe to a process every DefaultProbeInterval until isOver returns true. It calls abort and stops once
+// maxUnansweredProbes consecutive probes have had no response.
+func (s *harness) probe(address string, isOver func() bool, abort func()) {
 	to := s.cluster.byName[address]
 	if to == nil {
 		return
@@ -108,18 +111,20 @@
 	s.machine.After(transport.DefaultProbeInterval, sendProbe)
 }
 
-// storeResponse copies a control process's response to where the caller wants it.
+// storeResponse copies the value that got points to, a control process's response, to the value that response points to.
+// It returns an error if the types differ.
 func storeResponse(response, got any) error {
 	to, from := reflect.ValueOf(response), reflect.ValueOf(got)
 	if to.Type() != from.Type() {
-		return fmt.Errorf("the response is a %v, not a %v", from.Type(), to.Type())
+		return fmt.Errorf("the response has type %v instead of %v", from.Type(), to.Type())
 	}
 	to.Elem().Set(from.Elem())
 	return nil
 }
 
-// call calls a control process from a machine, and calls done at most once, in the caller's incarnation: with the
-// response, or with an error after the timeout or if nobody listens. The world's goroutine calls it.
+// call sends a request from a machine to the control process at an address. It calls done at most once, and only while the
+// caller's incarnation runs: with the response, with failure.UnknownOutcome after the timeout, or with failure.Unavailable
+// if no process listens at the address. Only the world's goroutine may call it.
 func (c *Cluster) call(from *simulation.Machine, address string, request any, timeout time.Duration, done func(any, error)) {
 	over := false
 	finish := func(response any, err error) {
@@ -128,14 +133,14 @@
 			done(response, err)
 		}
 	}
-	timer := from.After(timeout, func() { finish(nil, failure.New(failure.UnknownOutcome, "no response in time")) })
+	timer := from.After(timeout, func() { finish(nil, failure.New(failure.UnknownOutcome, "no response within the timeout")) })
 	finishInTime := func(response any, err error) {
 		timer.Stop()
 		finish(response, err)
 	}
 	to := c.byName[address]
 	if to == nil {
-		from.After(0, func() { finishInTime(nil, failure.New(failure.Unavailable, "no machine has that address")) })
+		from.After(0, func() { finishInTime(nil, failure.New(failure.Unavailable, "no machine has this address")) })
 		return
 	}
 	if !to.Up() || c.processes[to] == nil {
--- a/internal/cluster/simulation/cluster/cluster.go
+++ b/internal/cluster/simulation/cluster/cluster.go
@@ -9,22 +9,23 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// Cluster is the scheduler's processes on the machines of a deployment.
+// Cluster holds the scheduler's processes that run on the machines of a deployment. Only the world's goroutine, which is
+// the one that calls Deployment.Play, accesses its fields.
 type Cluster struct {
-	world           *simulation.World
-	deployment      *simulation.Deployment
-	controlMachines []*simulation.Machine // that are or were part of the deployment
-	initialMembers  []*simulation.Machine // that bootstrap the replica groups
-	byName          map[string]*simulation.Machine
-	processes       map[*simulation.Machine]*process // of control machines; nil until they have opened their disks
-	frontends       map[*simulation.Machine]*frontendProcess
-	agents          map[*simulation.Machine]*agentProcess
-	shells          map[*simulation.Machine]*shell
-	diskBytes       int64  // size of a control machine's disk
-	snapshotEvery   uint64 // entries of a group's log after which a snapshot replaces it
-	invocation      bool   // agents invoke their runners
+	world             *simulation.World
+	deployment        *simulation.Deployment
+	controlMachines   []*simulation.Machine // all that were ever added, including those replaced since
+	initialMembers    []*simulation.Machine // the control machines that bootstrap the replica groups
+	byName            map[string]*simulation.Machine
+	processes         map[*simulation.Machine]*process // of control machines; nil until the process has opened its disk
+	frontends         map[*simulation.Machine]*frontendProcess
+	agents            map[*simulation.Machine]*agentProcess
+	harnesses         map[*simulation.Machine]*harness
+	diskBytes         int64  // capacity of a control machine's disk, in bytes
+	snapshotThreshold uint64 // a group whose log has more entries than this gets a snapshot
+	invocation        bool   // agents call their runners instead of waiting for heartbeats
 
-	// What is compared between replicas, see observer.
+	// Records with which the observers compare the replicas of a group.
 	appliedEntries    map[logPosition]appliedEntry
 	stateDigests      map[logPosition]stateDigest
 	identities        map[diskIncarnation]consensus.MemberID
@@ -32,16 +33,16 @@
 	divergences       []string
 }
 
-// New puts the scheduler on a deployment. Nothing happens before the machines are booted, which must be done in a
-// testing/synctest bubble.
+// New installs the scheduler's processes on the machines of a deployment. A process starts when its machine is booted,
+// which must be done in a testing/synctest bubble.
 func New(d *simulation.Deployment) *Cluster {
 	c := &Cluster{
-		world: d.World, deployment: d, snapshotEvery: 300,
+		world: d.World, deployment: d, snapshotThreshold: 300,
 		byName:         map[string]*simulation.Machine{},
 		processes:      map[*simulation.Machine]*process{},
 		frontends:      map[*simulation.Machine]*frontendProcess{},
 		agents:         map[*simulation.Machine]*agentProcess{},
-		shells:         map[*simulation.Machine]*shell{},
+		harnesses:      map[*simulation.Machine]*harness{},
 		appliedEntries: map[logPosition]appliedEntry{},
 		stateDigests:   map[logPosition]stateDigest{},
 		identities:     map[diskIncarnation]consensus.MemberID{},
@@ -60,7 +61,7 @@
 	return c
 }
 
-// connect makes the processes reachable for clients, runners, the operator and the faults.
+// connect gives clients, runners, the operator and the faults of the deployment access to the processes.
 func (c *Cluster) connect() {
 	d := c.deployment
 	d.Clients.Frontend = func(m *simulation.Machine) simulation.Frontend {
@@ -88,7 +89,7 @@
 	d.Terminate = c.terminate
 }
 
-// runnerAt returns the runner that has an address, or nil.
+// runnerAt returns the runner with the given address, or nil if there is none.
 func (c *Cluster) runnerAt(address string) *simulation.Runner {
 	for _, runner := range c.deployment.AllRunners() {
 		if runner.Address == address {
@@ -98,13 +99,14 @@
 	return nil
 }
 
+// addControl registers a control machine, so that booting it starts a control process.
 func (c *Cluster) addControl(m *simulation.Machine) {
 	c.controlMachines = append(c.controlMachines, m)
 	c.byName[m.Name] = m
 	m.Start = func() { c.startControl(m) }
 }
 
-// newControl returns a new control machine with an empty disk and an address of its own.
+// newControl returns a new control machine with an empty disk and an unused name, which is also its address.
 func (c *Cluster) newControl() *simulation.Machine {
 	number := len(c.controlMachines)
 	m := c.deployment.NewControlMachine(fmt.Sprintf("core-%d", number), c.controlMachines[number%len(c.initialMembers)].Zone)
@@ -112,11 +114,12 @@
 	return m
 }
 
+// isInitialMember reports whether a machine bootstraps the replica groups.
 func (c *Cluster) isInitialMember(m *simulation.Machine) bool {
 	return slices.Contains(c.initialMembers, m)
 }
 
-// seeds returns the control machines that the operator's list of seeds names at present.
+// seeds returns the control machines that the setting `seeds` of all processes currently names.
 func (c *Cluster) seeds() []*simulation.Machine {
 	const maxSeeds = 3
 	controls := c.deployment.Controls
@@ -126,6 +129,7 @@
 // seedAddresses returns the addresses of the seeds. A control machine's address is its name.
 func (c *Cluster) seedAddresses() []string { return names(c.seeds()) }
 
+// names returns the names of the machines, in the same order.
 func names(machines []*simulation.Machine) []string {
 	var names []string
 	for _, m := range machines {
@@ -134,7 +138,8 @@
 	return names
 }
 
-// leader draws one of the control machines that lead replica groups, more likely one that leads more; nil if none does.
+// leader draws a control machine that leads at least one replica group, or returns nil if no machine leads a group. The
+// probability of a machine is proportional to the number of groups that it leads.
 func (c *Cluster) leader() *simulation.Machine {
 	var leaders []*simulation.Machine
 	for _, m := range c.deployment.Controls {
@@ -154,10 +159,10 @@
 	return simulation.Pick(c.world, leaders)
 }
 
-// terminate has a process shut down and calls done once it may end.
+// terminate starts the graceful shutdown of a machine's process and calls done once the process may exit.
 func (c *Cluster) terminate(m *simulation.Machine, done func()) {
 	const (
-		frontendDrain = 4 * time.Second // not ready, but serving; then what is in flight is finished
+		frontendDrain = 4 * time.Second // a frontend serves this long while it reports that it is not ready
 		agentShutdown = 50 * time.Millisecond
 	)
 	switch {
--- a/internal/cluster/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -17,10 +17,11 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// gcPercent makes the collector run less often: scenarios make much garbage and retain little, and take half the time.
+// gcPercent is the garbage collector's target during the tests. Scenarios allocate much and retain little; with this value
+// instead of the default of 100 they take half the time.
 const gcPercent = 400
 
-// suite is the test in which the specs play their scenarios, because synctest.Test needs one.
+// suite is the test of the whole Ginkgo suite. The specs pass it to synctest.Test, which needs a testing.T.
 var suite *testing.T
 
 func TestCluster(t *testing.T) {
@@ -30,7 +31,7 @@
 	RunSpecs(t, "cluster")
 }
 
-// environmentNumber returns the value of an environment variable, or a default if it is not a number.
+// environmentNumber returns the number in an environment variable, or defaultValue if that is not set or no number.
 func environmentNumber(name string, defaultValue uint64) uint64 {
 	value, err := strconv.ParseUint(os.Getenv(name), 10, 64)
 	if err != nil {
@@ -39,13 +40,14 @@
 	return value
 }
 
-// seeds is how many scenarios with all kinds of faults are played; the other specs play a fraction of that.
+// seeds is the number of scenarios that the spec with all kinds of faults plays. Most other specs play a fraction of it.
 var seeds = environmentNumber("SIMULATION_SEEDS", 60)
 
-// maxParallel is how many scenarios are played in parallel.
+// maxParallel is the number of scenarios that are played in parallel.
 var maxParallel = max(4, runtime.GOMAXPROCS(0))
 
-// playSeeds plays the scenarios of count seeds from first on, or that of SIMULATION_SEED, and fails if any is wrong.
+// playSeeds plays the scenarios of count seeds, starting with first, or only that of SIMULATION_SEED if it is set. The spec
+// fails if any of the outcomes has failed.
 func playSeeds(first, count uint64, options Options) {
 	GinkgoHelper()
 	if seed := environmentNumber("SIMULATION_SEED", 0); seed != 0 {
@@ -81,7 +83,7 @@
 	return outcome
 }
 
-// explain prints what the history records of the job that SIMULATION_JOB names, if any.
+// explain prints what the history records of the job whose ID is in SIMULATION_JOB. It does nothing if that is not set.
 func explain(outcome *Outcome) {
 	if id := os.Getenv("SIMULATION_JOB"); id != "" {
 		GinkgoWriter.Println(outcome.History.Explain(id))
@@ -98,12 +100,12 @@
 	})
 
 	for _, kind := range simulation.FaultKinds() {
-		It("break no rule under "+kind.Name, func() {
+		It("break no rule under the fault "+kind.Name, func() {
 			playSeeds(5000, 1+seeds/100, Options{Faults: []string{kind.Name, kind.Name}, FinalFault: WithoutFinalFault})
 		})
 	}
 
-	It("serve urgent jobs when a service has lost all runners but one for good under several times its load", func() {
+	It("serve urgent jobs of a service that is overloaded because all its runners but one crashed permanently", func() {
 		size := simulation.SmallSize()
 		size.Services[0].Capacity = protocol.Resources{CPU: 3000, MemoryMB: 32768}
 		size.Services[0].Sizes = []float64{1}
@@ -111,12 +113,12 @@
 			Size: &size, Length: 100 * time.Second})
 	})
 
-	DescribeTable("break no rule under a quota of processor time on every machine",
+	DescribeTable("break no rule under a CPU quota on every machine",
 		func(invocation bool, kinds ...string) {
 			playSeeds(13000, 1+seeds/50, Options{Invocation: invocation, Faults: append(kinds, simulation.CPUQuota), FinalFault: WithoutFinalFault})
 		},
-		Entry("alone", false),
-		Entry("alone, where runners are invoked", true),
+		Entry("without other faults", false),
+		Entry("without other faults, where runners are invoked", true),
 		Entry("while owners are lost", false, "core_kill", "core_kill"),
 		Entry("while agents are partitioned, so that relays are used", false, "servers_cut", "node_cut"),
 		Entry("while runners leave", false, "scale_in", "leave_undrained"),
@@ -124,7 +126,7 @@
 	)
 
 	for _, fault := range simulation.FinalFaults() {
-		It("come back from "+string(fault), func() {
+		It("recover from the final fault "+string(fault), func() {
 			playSeeds(6000, 1+seeds/100, Options{FinalFault: fault})
 		})
 	}
@@ -141,7 +143,7 @@
 		func(kinds ...string) {
 			playSeeds(8500, 1+seeds/100, Options{Invocation: true, Faults: kinds, Overlapping: true, FinalFault: WithoutFinalFault})
 		},
-		Entry("runners come back as other incarnations", "srv_back_late", "srv_back_late", "srv_late"),
+		Entry("runners restart as new incarnations", "srv_back_late", "srv_back_late", "srv_late"),
 		Entry("an owner is lost while agents are frozen", "core_kill", "node_freeze", "node_kill"),
 		Entry("connections are reset during a burst of load", "reset_conns", "burst", "reset_conns"),
 		Entry("agents are killed while runners crash", "herd_kill", "srv_crash", "srv_back_late"),
@@ -154,18 +156,18 @@
 		Entry("an owner is lost while its runners cannot reach the next one", "core_kill", "servers_cut", "servers_cut"),
 		Entry("an owner freezes while its runners cannot reach the next one", "core_freeze", "servers_cut", "node_cut"),
 		Entry("an owner is partitioned while runners crash", "core_cut", "srv_crash", "node_cut"),
-		Entry("queues move while submissions are lost", "config_move", "reset_conns", "give_up"),
+		Entry("queues move while connections are reset and clients give up", "config_move", "reset_conns", "give_up"),
 		Entry("queues move while an owner is lost", "config_move", "core_kill", "give_up"),
 		Entry("jobs are cancelled while runners leave", "cancel", "scale_in", "spot"),
-		Entry("two operators race while the owner is lost", "config_race", "after_ack_kill", "ack_lost"),
-		Entry("all lose power while clocks are stepped", "core_herd_power", "clock_step", "burst"),
+		Entry("two changes of the configuration race while the owner is lost", "config_race", "after_ack_kill", "ack_lost"),
+		Entry("all control machines lose power while clocks are stepped", "core_herd_power", "clock_step", "burst"),
 		Entry("queues move while a frontend's configuration is stale", "front_lags", "config_move", "burst"),
 		Entry("runners leave undrained while they are partitioned", "leave_undrained", "servers_cut", "leave_undrained"),
 		Entry("a disk is full while runners fail", "disk_full", "srv_errors", "poison"),
 		Entry("a control machine is replaced while a queue moves", "replace_core", "config_move", "config_change"),
 	)
 
-	It("play the same from the same seed", func() {
+	It("behave the same in two plays of the same seed", func() {
 		for seed := range uint64(3) {
 			for _, invocation := range []bool{false, true} {
 				options := Options{Invocation: invocation}
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -16,57 +16,58 @@
 )
 
 const (
-	restartDelay  = 300 * time.Millisecond // after which a process that could not open its disk is restarted
-	openSyncs     = 2                      // time of opening the disk
-	snapshotSyncs = 3                      // time of writing a snapshot
+	restartDelay  = 300 * time.Millisecond // until a process that failed to open its disk is restarted
+	openSyncs     = 2                      // duration of opening the disk, in syncs
+	snapshotSyncs = 3                      // duration of writing a snapshot, in syncs
 )
 
-// process is one incarnation of a control process: the shipped one, without its sockets. The world's goroutine steps its
-// engine; the process's other goroutines run in its shell.
+// process is one incarnation of the shipped control process, without its sockets. The world's goroutine steps the replica
+// engine through a driver, in place of the goroutine that Engine.Run would be. The other goroutines of the process run in
+// its harness.
 type process struct {
 	cluster  *Cluster
 	machine  *simulation.Machine
-	shell    *shell
+	harness  *harness
 	control  *control.Control
 	operator http.Handler
 	driver   *replica.Driver
 	engine   *replica.Engine
 
-	signalled     atomic.Bool       // the engine has input, set by any goroutine
-	stepScheduled bool              // for the present time
-	stepTimer     *simulation.Timer // for the next step without input
+	signalled     atomic.Bool       // the engine has unprocessed input; any goroutine may set it
+	stepScheduled bool              // wake has scheduled a step that has not run yet
+	stepTimer     *simulation.Timer // runs the next step if there is no input before
 }
 
-// startControl begins an incarnation: the engine opens the disk.
+// startControl begins an incarnation of a machine's control process. The process serves only once it has opened its disk.
 func (c *Cluster) startControl(m *simulation.Machine) {
 	c.processes[m] = nil
-	p := &process{cluster: c, machine: m, shell: c.newShell(m)}
-	p.shell.afterInput = p.wakeIfSignalled
+	p := &process{cluster: c, machine: m, harness: c.newHarness(m)}
+	p.harness.afterInput = p.wakeIfSignalled
 	p.scheduleOpen()
 }
 
-// scheduleOpen has the disk opened once that has taken its time.
+// scheduleOpen calls start after the duration of opening the disk.
 func (p *process) scheduleOpen() { p.machine.Disk.Perform(p.machine, openSyncs, p.start) }
 
-// start opens the disk and takes part in the cluster. If the disk can't be opened the process ends, and the platform
-// restarts it.
+// start opens the disk and then takes part in the cluster. If opening fails, it tries again after restartDelay: this models
+// a process that exits with an error and that the platform restarts.
 func (p *process) start() {
 	err := p.open()
 	switch {
-	case !p.machine.Up(): // it died meanwhile
+	case !p.machine.Up(): // the process was killed before the disk was open
 	case err != nil:
 		p.machine.After(restartDelay, p.scheduleOpen)
 	default:
 		p.cluster.checkIdentity(p)
 		p.cluster.processes[p.machine] = p
-		p.shell.deliver(p.control.Start)
+		p.harness.deliver(p.control.Start)
 		p.wake()
 		p.snapshotRegularly()
 		p.followSeeds()
 	}
 }
 
-// open opens the disk and makes the process.
+// open opens the disk and creates the shipped control process on it.
 func (p *process) open() error {
 	c, m := p.cluster, p.machine
 	opened, err := control.New(control.Options{
@@ -78,8 +79,8 @@
 		DiskBytes:  c.diskBytes,
 		Bounds:     bootBounds(c.deployment.History.Bounds),
 		Sender:     p,
-		Remote:     caller{p.shell},
-		Clock:      shellClock{shell: p.shell},
+		Remote:     caller{p.harness},
+		Clock:      machineClock{harness: p.harness},
 		Logger:     log.NewNopLogger(),
 		Seed:       c.world.Random.Uint64(),
 		Open:       p.openEngine,
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// openEngine opens the replica engine with a driver that steps it in the world's goroutine.
+// openEngine opens the replica engine with a driver, which lets the world's goroutine step it.
 func (p *process) openEngine(options replica.Options) (*replica.Engine, error) {
 	driver, err := replica.OpenDriver(options, replica.DriverOptions{
 		Disk:         p.performDiskWork,
@@ -108,7 +109,8 @@
 	return p.engine, nil
 }
 
-// bootstrap returns the addresses of the initial members at the first start of one of them, and nil at any other.
+// bootstrap returns the addresses of the initial members if a machine is one of them and starts for the first time, and
+// otherwise nil: a machine that was added later, or that lost its disk, joins the existing groups through its peers.
 func (c *Cluster) bootstrap(m *simulation.Machine) []string {
 	if m.Incarnation() > 1 || !c.isInitialMember(m) {
 		return nil
@@ -116,12 +118,12 @@
 	return names(c.initialMembers)
 }
 
-// drawIdentity draws a member's identity, which is never 0.
+// drawIdentity draws the ID of a new member from the seed. The ID is never 0.
 func (c *Cluster) drawIdentity() (consensus.MemberID, error) {
 	return consensus.MemberID(c.world.Random.Uint64() | 1), nil
 }
 
-// bootBounds returns the bounds as a process finds them in its boot settings.
+// bootBounds returns the bounds of a scenario in the form in which a process reads them from its boot settings.
 func bootBounds(bounds simulation.Bounds) boot.Bounds {
 	return boot.Bounds{
 		Grace:    simulation.Grace,
@@ -135,7 +137,7 @@
 	}
 }
 
-// performDiskWork performs work of the engine that writes to the disk once that has taken its time.
+// performDiskWork performs disk work of the engine after the duration that it takes on the machine's disk.
 func (p *process) performDiskWork(kind replica.DiskWork, work func()) {
 	syncs := 1
 	if kind == replica.DiskSnapshot {
@@ -147,15 +149,15 @@
 	})
 }
 
-// wakeIfSignalled schedules a step if the engine has input. The world's goroutine calls it after whatever may have given
-// the engine some.
+// wakeIfSignalled schedules a step if the engine has unprocessed input. The world's goroutine calls it after every action
+// that may have given input to the engine.
 func (p *process) wakeIfSignalled() {
 	if p.signalled.Swap(false) {
 		p.wake()
 	}
 }
 
-// wake schedules a step for the present time.
+// wake schedules a step for the present time, unless one is scheduled already.
 func (p *process) wake() {
 	if !p.stepScheduled {
 		p.stepScheduled = true
@@ -163,11 +165,11 @@
 	}
 }
 
-// step steps the engine and schedules the next step.
+// step runs one step of the engine and schedules the next one for the time that the engine asks for.
 func (p *process) step() {
 	p.stepScheduled = false
 	p.stepTimer.Stop()
-	p.shell.deliver(func() {
+	p.harness.deliver(func() {
 		next, err := p.driver.Step()
 		if err != nil {
 			panic(err)
@@ -176,20 +178,20 @@
 	})
 }
 
-// leads reports whether this process believes that it is the owner of a group.
+// leads reports whether this process believes that it leads a group and is ready to serve as its owner.
 func (p *process) leads(group replica.GroupID) bool {
 	overview, _ := p.engine.Overview(group)
 	return overview.Ready
 }
 
-// do runs f on the engine's loop.
+// do runs f on the engine's loop, that is, within the next step.
 func (p *process) do(f func()) {
 	p.engine.Do(f)
 	p.wakeIfSignalled()
 }
 
-// snapshotRegularly has the group with the longest log write a snapshot, again and again. A scenario is too short for the
-// logs to reach the sizes at which the engine does so by itself.
+// snapshotRegularly calls snapshotLongestLog at regular intervals, because a scenario is usually too short for a log to reach
+// the size at which the engine starts a snapshot without being asked.
 func (p *process) snapshotRegularly() {
 	const interval = 250 * time.Millisecond
 	p.machine.After(interval, func() {
@@ -198,20 +200,22 @@
 	})
 }
 
+// snapshotLongestLog starts a snapshot of the group with the most log entries since its last snapshot, if there are more
+// than snapshotThreshold.
 func (p *process) snapshotLongestLog() {
-	maxEntries, id := p.cluster.snapshotEvery, replica.GroupID(0)
+	maxEntries, id := p.cluster.snapshotThreshold, replica.GroupID(0)
 	for _, group := range allGroups() {
 		overview, _ := p.engine.Overview(group)
 		if entries := overview.Applied - overview.SnapshotIndex; entries > maxEntries {
 			maxEntries, id = entries, group
 		}
 	}
-	if maxEntries > p.cluster.snapshotEvery {
+	if maxEntries > p.cluster.snapshotThreshold {
 		p.driver.Snapshot(id)
 	}
 }
 
-// allGroups returns the groups of all shards, that of the configuration first.
+// allGroups returns the replica groups of all shards, starting with the configuration's group.
 func allGroups() []replica.GroupID {
 	var groups []replica.GroupID
 	for id := protocol.ConfigurationShard; id <= protocol.JobShards; id++ {
@@ -220,8 +224,8 @@
 	return groups
 }
 
-// followSeeds sets the engine's peers by the operator's list, again and again while it knows no leaders, as package seeds
-// does by the file of settings.
+// followSeeds sets the engine's peers to the current seeds at regular intervals while the engine knows no leaders. It models
+// package seeds, which does the same with the seeds of the settings file.
 func (p *process) followSeeds() {
 	const interval = 3 * time.Second
 	p.machine.After(interval, func() {
@@ -234,7 +238,8 @@
 	})
 }
 
-// Send sends an envelope to another process. It implements the engine's sender.
+// Send sends an envelope to the control process at an address over the simulated network. It drops the envelope if the
+// address is unknown or its own. It implements the engine's sender.
 func (p *process) Send(address string, envelope *replica.Envelope) {
 	c := p.cluster
 	to := c.byName[address]
@@ -249,15 +254,16 @@
 	})
 }
 
-// handle handles a request that has arrived over the network.
+// handle passes a request that has arrived over the network to the control process, which calls reply with the response.
 func (p *process) handle(from *simulation.Machine, request any, reply func(response any, err error)) {
 	p.control.Handle(from.Name, request, reply)
 	p.wakeIfSignalled()
 }
 
-// decommission leaves the replica groups, and calls done when the process may end, or after a timeout.
+// decommission makes the process leave its replica groups. It calls done once the process may exit, at the latest after the
+// timeout of Control.Decommission.
 func (p *process) decommission(done func()) {
-	p.shell.deliver(func() {
-		p.control.Decommission(func() { p.shell.enqueue(processRequest, done) })
+	p.harness.deliver(func() {
+		p.control.Decommission(func() { p.harness.enqueue(processRequest, done) })
 	})
 }
--- a/internal/cluster/simulation/cluster/doc.go
+++ b/internal/cluster/simulation/cluster/doc.go
@@ -1,11 +1,19 @@
-// Package cluster runs the shipped scheduler on a simulated deployment: control processes with their replica engine, its
-// log, the state machines, the owners, the feed and the operator's interface; frontends; agents. All of it is the code
-// that ships, except for sockets and files: links, disks, machines and clocks are those of package simulation. What is
-// modelled is listed in docs/control-safety/simulation.md.
+// Package cluster runs the shipped scheduler processes on a simulated deployment in virtual time. It is for tests only.
 //
-// Run plays a scenario drawn from a seed, and its Outcome says which rules were broken. It must be called in a
-// testing/synctest bubble, see shell. It is for tests only.
+// Real code: control processes with their replica engine, log format, state machines, shard owners and operator's HTTP
+// interface; frontends; agents. Each process is the shipped one without its sockets and files.
 //
-// SIMULATION_SEEDS sets how many scenarios the tests play. SIMULATION_SEED plays one again in each of them, and with it
-// SIMULATION_JOB prints everything that the history records of a job.
+// Modelled code, in package simulation: links, disks, machines, clocks, runners, clients and the operator. This package
+// models the transport between processes (see caller) and an agent's TCP connections to runners (see runnerConn).
+// docs/control-safety/simulation.md lists what is modelled.
+//
+// Run plays a scenario drawn from a seed, and its Outcome lists the rules that were broken. It must be called in a
+// testing/synctest bubble, because a harness waits with synctest.Wait until the goroutines of its process are blocked.
+// The type harness explains why a seed replays the same run.
+//
+// Environment variables of the tests:
+//   - SIMULATION_SEEDS is the number of scenarios that the spec with all kinds of faults plays; most other specs play a
+//     fraction of it.
+//   - SIMULATION_SEED is a single seed, which every spec that calls playSeeds then plays instead of its own seeds.
+//   - SIMULATION_JOB is the ID of a job: for each failed scenario, the spec prints all that the history records of it.
 package cluster
--- a/internal/cluster/simulation/cluster/frontend.go
+++ b/internal/cluster/simulation/cluster/frontend.go
@@ -11,28 +11,30 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// frontendProcess is one incarnation of a frontend: the shipped one, without its sockets. It implements
+// frontendProcess is one incarnation of the shipped frontend process, without its sockets. It implements
 // simulation.Frontend.
 type frontendProcess struct {
-	shell   *shell
+	harness *harness
 	process *frontend.Process
 }
 
+// newFrontend starts an incarnation of the frontend of a machine.
 func newFrontend(c *Cluster, m *simulation.Machine) *frontendProcess {
-	s := c.newShell(m)
+	s := c.newHarness(m)
 	bounds := c.deployment.History.Bounds
-	f := &frontendProcess{shell: s, process: frontend.NewProcess(frontend.ProcessOptions{
+	f := &frontendProcess{harness: s, process: frontend.NewProcess(frontend.ProcessOptions{
 		Client:    caller{s},
 		Addresses: c.seedAddresses(),
 		Node:      m.Name,
 		Bounds:    frontend.Bounds{ConfigApply: bounds.ConfigApply, MaxSkew: bounds.MaxSkew},
-		Clock:     shellClock{shell: s},
+		Clock:     machineClock{harness: s},
 	})}
 	s.run(f.process.Run)
 	return f
 }
 
-// request sends a client's request to the frontend. An empty id means the queue itself.
+// request sends a client's request about the job with that id to the frontend's HTTP handler and calls done with the
+// response. With an empty id the request is about the queue.
 func (f *frontendProcess) request(method string, queue simulation.QueueName, id string, body []byte, timeout time.Duration,
 	done func(*response)) (disconnect func()) {
 	request := &http.Request{
@@ -40,10 +42,10 @@
 		Header: http.Header{frontend.DeadlineHeader: {strconv.FormatInt(timeout.Milliseconds(), 10)}},
 	}
 	setBody(request, body)
-	return f.shell.serve(f.process, request, done)
+	return f.harness.serve(f.process, request, done)
 }
 
-// Submit submits a job.
+// Submit submits a job to a queue.
 func (f *frontendProcess) Submit(queue simulation.QueueName, id string, job *protocol.JobSpec, timeout time.Duration,
 	reply func(status int)) (disconnect func()) {
 	return f.request(http.MethodPost, queue, id, mustJSON(job), timeout, func(r *response) { reply(r.status) })
@@ -67,7 +69,7 @@
 	return f.request(http.MethodDelete, queue, id, nil, timeout, func(r *response) { reply(r.status) })
 }
 
-// CountPending queries how many jobs of a queue have not ended.
+// CountPending queries the number of jobs in a queue that have not ended.
 func (f *frontendProcess) CountPending(queue simulation.QueueName, timeout time.Duration,
 	reply func(status int, pending int)) (disconnect func()) {
 	return f.request(http.MethodGet, queue, "", nil, timeout, func(r *response) {
--- /dev/null
+++ b/internal/cluster/simulation/cluster/harness.go
@@ -0,0 +1,163 @@
+package cluster
+
+import (
+	"cmp"
+	"context"
+	"net/http"
+	"slices"
+	"sync"
+	"testing/synctest"
+	"time"
+
+	"ospreypond/internal/cluster/simulation"
+)
+
+// harness runs one incarnation of a shipped process with all its goroutines, and connects it to the simulated world: the
+// process reads the world's clock, and its messages, calls and requests pass through the world.
+//
+// Two kinds of goroutines run in the same testing/synctest bubble. The world's goroutine executes the events of the
+// simulation, one at a time. The process's goroutines are concurrent, but they run only while the world's goroutine waits
+// for them in deliver, which takes these steps:
+//  1. Pass one input to the process, such as a request, a response or the expiry of a timer.
+//  2. Wait with synctest.Wait until every other goroutine of the bubble is blocked.
+//  3. Perform the effects that the process's goroutines enqueued meanwhile, sorted by the number of the request that they
+//     belong to. Effects of the same request stay in the order in which they were enqueued.
+//
+// Invariant: only the world's goroutine changes the world or draws from its random source, and the order of these actions
+// does not depend on how the Go scheduler interleaves the goroutines of different requests. Therefore a seed replays the
+// same run although the shipped code is concurrent.
+type harness struct {
+	cluster      *Cluster
+	machine      *simulation.Machine
+	ctx          context.Context // ends when kill is called
+	cancel       context.CancelFunc
+	clockStart   time.Time // time of day at the start of the process; later steps of the machine's clock don't change it
+	afterInput   func()    // called at the end of each deliver; may be nil
+	requests     uint64    // number of calls of serve
+	closeProcess func()    // ends the goroutines that don't end with ctx; nil if there are none
+
+	mutex       sync.Mutex // guards the fields below, and the fields of timer that change
+	effects     []effect   // enqueued since the last input was passed, not performed yet
+	killed      bool       // effects are dropped from now on
+	connections uint64     // number of calls of dial
+}
+
+// effect is an action on the world that a goroutine of the process has requested. The world's goroutine performs it.
+type effect struct {
+	request uint64 // number of the request that the goroutine works for; orders the effects
+	perform func()
+}
+
+// processRequest is the request number of goroutines that work for no request, such as the process's main loop. It is less
+// than the number of every request, so that deliver performs their effects first.
+const processRequest uint64 = 0
+
+// newHarness begins an incarnation of a machine's process. It first ends the goroutines of the previous incarnation.
+func (c *Cluster) newHarness(m *simulation.Machine) *harness {
+	if earlier := c.harnesses[m]; earlier != nil {
+		earlier.kill()
+	}
+	s := &harness{cluster: c, machine: m, clockStart: time.UnixMilli(m.TimeOfDayMs()).Add(-m.Monotonic())}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	c.harnesses[m] = s
+	return s
+}
+
+// endHarnesses ends all goroutines of all processes. Without it synctest.Test would fail, because a bubble must not end
+// before its goroutines.
+func (c *Cluster) endHarnesses() {
+	for _, s := range c.harnesses {
+		s.kill()
+	}
+}
+
+// kill ends the goroutines of this incarnation and waits until they have ended or are blocked. It drops their effects: they
+// have been blocked since the machine killed the process, and what they do now must not reach the world.
+func (s *harness) kill() {
+	s.mutex.Lock()
+	s.killed = true
+	s.effects = nil
+	s.mutex.Unlock()
+	s.cancel()
+	if s.closeProcess != nil {
+		s.closeProcess()
+	}
+	synctest.Wait()
+}
+
+// deliver passes one input to the process by calling input, waits until all goroutines of the process are blocked, and
+// performs their effects sorted by request. Only the world's goroutine may call it, and only while this incarnation of the
+// process runs.
+func (s *harness) deliver(input func()) {
+	input()
+	synctest.Wait()
+	s.mutex.Lock()
+	effects := s.effects
+	s.effects = nil
+	s.mutex.Unlock()
+	slices.SortStableFunc(effects, func(a, b effect) int { return cmp.Compare(a.request, b.request) })
+	for i := range effects {
+		effects[i].perform()
+	}
+	if s.afterInput != nil {
+		s.afterInput()
+	}
+}
+
+// enqueue adds an effect that the world's goroutine performs once the process has processed the current input. It drops the
+// effect if the process was killed. Any goroutine may call it.
+func (s *harness) enqueue(request uint64, perform func()) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !s.killed {
+		s.effects = append(s.effects, effect{request, perform})
+	}
+}
+
+// inIncarnation returns a function for the world's goroutine that schedules f for the present time if this incarnation is
+// still the machine's current one, and otherwise does nothing.
+func (s *harness) inIncarnation(f func()) func() {
+	return func() {
+		if s.cluster.harnesses[s.machine] == s {
+			s.machine.After(0, f)
+		}
+	}
+}
+
+// run starts a goroutine of the process. body must return when its context ends.
+func (s *harness) run(body func(ctx context.Context)) {
+	s.deliver(func() { go body(s.ctx) })
+}
+
+// requestKey is the key under which a context stores the number of its request.
+type requestKey struct{}
+
+// requestOf returns the number of the request that a context belongs to, or processRequest.
+func requestOf(ctx context.Context) uint64 {
+	number, _ := ctx.Value(requestKey{}).(uint64)
+	return number
+}
+
+// serve runs a handler for a request in a goroutine of its own and calls done with the response. The returned function
+// cancels the request's context; the caller of serve calls it when the simulated client disconnects.
+func (s *harness) serve(handler http.Handler, request *http.Request, done func(*response)) (disconnect func()) {
+	s.requests++
+	number := 2 * s.requests
+	// The response is ordered after all other effects of the request, because goroutines that the handler has started may
+	// still be running when it returns.
+	responseNumber := number + 1
+	ctx, cancel := context.WithCancel(context.WithValue(s.ctx, requestKey{}, number))
+	s.deliver(func() {
+		go func() {
+			defer cancel()
+			response := newResponse()
+			handler.ServeHTTP(response, request.WithContext(ctx))
+			s.enqueue(responseNumber, func() { done(response) })
+		}()
+	})
+	return func() {
+		if ctx.Err() == nil {
+			s.deliver(cancel)
+		}
+	}
+}
--- a/internal/cluster/simulation/cluster/shell_test.go
+++ b/internal/cluster/simulation/cluster/harness_test.go
@@ -16,35 +16,36 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// shellBench is a machine with a shell, in a deployment whose control processes are off.
-type shellBench struct {
+// harnessTest is a test of a harness on one agent machine. All other machines of the deployment are off.
+type harnessTest struct {
 	*WithT
 	world   *simulation.World
 	cluster *Cluster
 	machine *simulation.Machine
-	shell   *shell
+	harness *harness
 }
 
-// inBubble runs a test of a shell in a bubble.
-func inBubble(t *testing.T, body func(b *shellBench)) {
+// inBubble runs a test of a harness in a testing/synctest bubble, after it has booted the machine.
+func inBubble(t *testing.T, body func(b *harnessTest)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		world := simulation.NewWorld(1)
 		deployment := simulation.NewDeployment(world, simulation.SmallSize(), ShortBounds())
-		b := &shellBench{WithT: NewWithT(t), world: world, cluster: New(deployment), machine: deployment.AgentMachines[0]}
-		b.machine.Start = func() { b.shell = b.cluster.newShell(b.machine) }
+		b := &harnessTest{WithT: NewWithT(t), world: world, cluster: New(deployment), machine: deployment.AgentMachines[0]}
+		b.machine.Start = func() { b.harness = b.cluster.newHarness(b.machine) }
 		b.machine.Boot()
-		defer b.cluster.endShells()
+		defer b.cluster.endHarnesses()
 		body(b)
 	})
 }
 
-func (b *shellBench) clock() shellClock { return shellClock{shell: b.shell} }
+// clock returns the clock of the process for goroutines that work for no request.
+func (b *harnessTest) clock() machineClock { return machineClock{harness: b.harness} }
 
 func TestTimersFireInVirtualTime(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		var fired []time.Duration
-		b.shell.run(func(context.Context) {
+		b.harness.run(func(context.Context) {
 			<-b.clock().After(time.Second)
 			fired = append(fired, b.world.Now())
 			ticker := b.clock().NewTicker(100 * time.Millisecond)
@@ -62,9 +63,9 @@
 }
 
 func TestAFrozenMachineDefersItsTimersUntilItIsThawed(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		var fired time.Duration
-		b.shell.run(func(context.Context) {
+		b.harness.run(func(context.Context) {
 			<-b.clock().After(time.Second)
 			fired = b.world.Now()
 		})
@@ -78,12 +79,12 @@
 }
 
 func TestAKilledProcessHasNoEffects(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		var effects int
 		ended := make(chan error, 2)
-		earlier := b.shell
+		earlier := b.harness
 		earlier.run(func(ctx context.Context) {
-			shellClock{shell: earlier}.AfterFunc(2*time.Second, func() { effects++ })
+			machineClock{harness: earlier}.AfterFunc(2*time.Second, func() { effects++ })
 			err := caller{earlier}.Do(ctx, "core-0", &protocol.StatusRequest{Shard: 1}, &protocol.StatusResponse{})
 			earlier.enqueue(processRequest, func() { effects++ })
 			ended <- err
@@ -93,25 +94,25 @@
 		b.world.Run(time.Second)
 		b.Expect(ended).NotTo(Receive())
 		b.machine.Boot()
-		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.UnknownOutcome), "the call was in flight")
-		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.Unavailable), "the call was not made")
+		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.UnknownOutcome), "the call was in flight when the process was killed")
+		b.Expect(failure.KindOf(<-ended)).To(Equal(failure.Unavailable), "the call was not sent, because the process was killed")
 		b.world.Run(10 * time.Second)
 		b.Expect(effects).To(BeZero())
 	})
 }
 
 func TestADeadlineEndsAContextByTheMachinesClock(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		ends := map[string]time.Duration{}
 		await := func(ctx context.Context, name string, want error) {
 			go func() {
 				<-ctx.Done()
 				if errors.Is(ctx.Err(), want) {
-					b.shell.enqueue(processRequest, func() { ends[name] = b.world.Now() })
+					b.harness.enqueue(processRequest, func() { ends[name] = b.world.Now() })
 				}
 			}()
 		}
-		b.shell.run(func(ctx context.Context) {
+		b.harness.run(func(ctx context.Context) {
 			long, _ := b.clock().WithDeadline(ctx, b.clock().Now().Add(2*time.Second))
 			await(long, "long", context.DeadlineExceeded)
 			short, _ := b.clock().WithDeadline(long, b.clock().Now().Add(time.Second))
@@ -129,22 +130,22 @@
 }
 
 func TestEffectsArePerformedInTheOrderOfTheirRequests(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		const requests = 20
 		var order []int
-		open := make(chan struct{})
+		release := make(chan struct{})
 		for number := range requests {
 			handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				<-open
+				<-release
 				w.WriteHeader(http.StatusAccepted)
 			})
-			b.shell.serve(handler, &http.Request{}, func(r *response) {
+			b.harness.serve(handler, &http.Request{}, func(r *response) {
 				b.Expect(r.status).To(Equal(http.StatusAccepted))
 				order = append(order, number)
 			})
 		}
 		b.Expect(order).To(BeEmpty())
-		b.shell.deliver(func() { close(open) })
+		b.harness.deliver(func() { close(release) })
 		b.Expect(order).To(HaveLen(requests))
 		for number := range requests {
 			b.Expect(order[number]).To(Equal(number))
@@ -153,12 +154,12 @@
 }
 
 func TestACallToAnUnreachableProcessFails(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		kinds := map[string]failure.Kind{}
 		for _, address := range []string{"core-0", "elsewhere"} {
-			b.shell.run(func(ctx context.Context) {
-				err := caller{b.shell}.Do(ctx, address, &protocol.StatusRequest{Shard: 1}, &protocol.StatusResponse{})
-				b.shell.enqueue(processRequest, func() { kinds[address] = failure.KindOf(err) })
+			b.harness.run(func(ctx context.Context) {
+				err := caller{b.harness}.Do(ctx, address, &protocol.StatusRequest{Shard: 1}, &protocol.StatusResponse{})
+				b.harness.enqueue(processRequest, func() { kinds[address] = failure.KindOf(err) })
 			})
 		}
 		b.world.Run(time.Second)
@@ -167,21 +168,21 @@
 }
 
 func TestTimersFireInTheOrderOfTheirRequests(t *testing.T) {
-	inBubble(t, func(b *shellBench) {
+	inBubble(t, func(b *harnessTest) {
 		const requests = 20
 		var order []int
-		open := make(chan struct{})
+		release := make(chan struct{})
 		for number := range requests {
 			handler := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				<-open
+				<-release
 				bounded, cancel := deadline.WithTimeout(r.Context(), b.clock(), time.Second)
 				defer cancel()
 				<-deadline.ClockFor(bounded, b.clock()).After(100 * time.Millisecond)
 				<-bounded.Done()
 			})
-			b.shell.serve(handler, &http.Request{}, func(*response) { order = append(order, number) })
+			b.harness.serve(handler, &http.Request{}, func(*response) { order = append(order, number) })
 		}
-		b.shell.deliver(func() { close(open) })
+		b.harness.deliver(func() { close(release) })
 		b.world.Run(2 * time.Second)
 		b.Expect(order).To(HaveLen(requests))
 		for number := range requests {
--- a/internal/cluster/simulation/cluster/history_model_test.go
+++ b/internal/cluster/simulation/cluster/history_model_test.go
@@ -14,10 +14,11 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// noReturn is the time at which a call of unknown outcome returns: it may take effect at any time, or never.
+// noReturn is the return time of a call of unknown outcome. Such a call may take effect at any time after it was sent, or
+// never, so the checker must be able to place it after all other calls.
 const noReturn = int64(math.MaxInt64)
 
-// jobStates is a set of states that a job may be in.
+// jobStates is the set of states that a job may be in, given the calls so far, as a bit set.
 type jobStates uint8
 
 const (
@@ -30,7 +31,7 @@
 	jobEnded = jobCompleted | jobFailed | jobCancelled
 )
 
-// jobCall is a client's call about one job.
+// jobCall is the kind of a client's call about one job.
 type jobCall uint8
 
 const (
@@ -45,7 +46,8 @@
 	state  string
 }
 
-// jobModel is one job as its clients see it: it is accepted once and ends once, by itself or by a cancel.
+// jobModel is the sequential specification of one job as its clients see it. The job is accepted at most once. After that it
+// ends at most once: it completes, fails, or is cancelled by a client.
 var jobModel = porcupine.Model{
 	Init: func() any { return jobAbsent },
 	Step: func(state, input, output any) (bool, any) {
@@ -55,10 +57,11 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-// after returns the states that a job may be in after a call with that response; none if there can't be such a response.
+// after returns the states that a job may be in after a call with that response. The set is empty if the job can't have
+// given that response in any of the states s.
 func (s jobStates) after(call jobCall, response jobResponse) jobStates {
 	if s&jobLive != 0 {
-		s |= jobCompleted | jobFailed // it may have ended by itself
+		s |= jobCompleted | jobFailed // it may have ended since the last call
 	}
 	switch call {
 	case callSubmit:
@@ -70,6 +73,8 @@
 	}
 }
 
+// afterSubmit returns the states after a submission. Status 0, the unknown outcome, leaves open whether the job was
+// accepted.
 func (s jobStates) afterSubmit(status int) jobStates {
 	next := s
 	if s&jobAbsent != 0 {
@@ -81,6 +86,8 @@
 	return next
 }
 
+// afterCancel returns the states after a cancel. Status 410 says that the job doesn't exist, and a success that the job has
+// ended.
 func (s jobStates) afterCancel(status int) jobStates {
 	if status == http.StatusGone {
 		return s & jobAbsent
@@ -95,6 +102,7 @@
 	return next
 }
 
+// afterQuery returns the states after a query, whose response shows the state.
 func (s jobStates) afterQuery(response jobResponse) jobStates {
 	if response.status == http.StatusGone {
 		return s & jobAbsent
@@ -112,8 +120,11 @@
 	return 0
 }
 
-// jobHistory returns what clients saw of a job. What was certainly rejected is left out, because it has no effect; of the
-// calls of unknown outcome, the first of each kind stands for all, because a second one has no effect of its own.
+// jobHistory returns the calls of clients about one job for the checker. It leaves out:
+//   - calls that were rejected with certainty, because they have no effect;
+//   - of the submissions and of the cancels of unknown outcome, all but the first of each kind, because the first may take
+//     effect at any later time and a second one has no effect of its own;
+//   - queries of unknown outcome, because a query has no effect.
 func jobHistory(job *simulation.JobRecord) []porcupine.Operation {
 	isSuccess := func(status int) bool { return status/100 == 2 }
 	isSuccessOrGone := func(status int) bool { return isSuccess(status) || status == http.StatusGone }
@@ -122,7 +133,8 @@
 	return append(history, jobCalls(callState, job.Queries, isSuccessOrGone)...)
 }
 
-// jobCalls returns the attempts of one kind of call, given which statuses show its outcome.
+// jobCalls returns the attempts of one kind of call as operations for the checker. isKnown reports whether a status is a
+// response that shows the call's outcome.
 func jobCalls(call jobCall, attempts []simulation.Attempt, isKnown func(status int) bool) []porcupine.Operation {
 	var history []porcupine.Operation
 	hasUnknown := false
@@ -142,7 +154,8 @@
 	return history
 }
 
-// isIndeterminate reports whether a status leaves open whether the call had an effect.
+// isIndeterminate reports whether a status leaves open whether the call had an effect. Status 0 means that the connection
+// ended without a response.
 func isIndeterminate(status int) bool {
 	switch status {
 	case 0, http.StatusRequestTimeout, http.StatusBadGateway, http.StatusGatewayTimeout:
@@ -151,14 +164,14 @@
 	return false
 }
 
-// register is the configuration as the operator sees it.
+// register is the state of the configuration as the operator sees it.
 type register struct {
 	version  int64
 	document string
-	accepted []*simulation.ConfigurationRecord // never changed in place
+	accepted []*simulation.ConfigurationRecord // changes so far; never modified in place, because earlier states share it
 }
 
-// configurationCall is a change, or a read if there is none.
+// configurationCall is a call of the operator: a change, or a read if change is nil.
 type configurationCall struct {
 	change *simulation.ConfigurationRecord
 }
@@ -170,8 +183,8 @@
 	body    string
 }
 
-// registerModel is a register with compare-and-set on the version that a change builds on. A change that was accepted is
-// acknowledged again whenever it is repeated.
+// registerModel is the sequential specification of the configuration: a register that a change replaces if the change is
+// valid and builds on the current version (compare-and-set). If an accepted change is repeated, it is acknowledged again.
 var registerModel = porcupine.Model{
 	Init: func() any { return &register{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -189,7 +202,8 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-// after reports whether a change can have got that response, and returns the register after it.
+// after reports whether a change can have got that status as its response, and returns the register after it. Status 0 is
+// the unknown outcome.
 func (r *register) after(change *simulation.ConfigurationRecord, status int) (bool, *register) {
 	wasAccepted := slices.Contains(r.accepted, change)
 	isCurrent := change.Base == r.version
@@ -210,7 +224,8 @@
 	return false, r
 }
 
-// configurationHistory returns what the operator saw, with the same left out as in jobHistory.
+// configurationHistory returns the changes and reads of the operator for the checker. It leaves out rejections that are not
+// final, reads without a successful response, and all but the first attempt of unknown outcome of each change.
 func configurationHistory(history *simulation.History, reads []*simulation.ConfigurationRead) []porcupine.Operation {
 	var operations []porcupine.Operation
 	add := func(change *simulation.ConfigurationRecord, response configurationResponse, call time.Duration, end int64) {
@@ -240,7 +255,7 @@
 	return operations
 }
 
-// isFinal reports whether a status is the final response to a change.
+// isFinal reports whether a status is the final response to a change, after which the operator doesn't repeat it.
 func isFinal(status int) bool {
 	return status == http.StatusOK ||
 		status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
--- a/internal/cluster/simulation/cluster/http.go
+++ b/internal/cluster/simulation/cluster/http.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// setBody sets a request's body; an empty one is none.
+// setBody sets a request's body. An empty body becomes http.NoBody.
 func setBody(request *http.Request, body []byte) {
 	request.Body, request.ContentLength = http.NoBody, int64(len(body))
 	if len(body) > 0 {
@@ -15,13 +15,14 @@
 	}
 }
 
-// response is what a handler responds. It implements http.ResponseWriter.
+// response records the response of an HTTP handler. It implements http.ResponseWriter.
 type response struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
+// newResponse returns an empty response, whose status is 200 OK unless the handler sets another one.
 func newResponse() *response { return &response{header: http.Header{}, status: http.StatusOK} }
 
 // Header returns the response's header.
@@ -30,10 +31,11 @@
 // WriteHeader sets the response's status.
 func (r *response) WriteHeader(status int) { r.status = status }
 
-// Write adds to the response's body.
+// Write appends data to the response's body.
 func (r *response) Write(data []byte) (int, error) { return r.body.Write(data) }
 
-// decode decodes the JSON body of a success. It panics if that is not JSON, and leaves into as it is if it is no success.
+// decode decodes the JSON body into the value that into points to. Unless the status is 200 OK it leaves that value
+// unchanged. It panics if the body is not the expected JSON.
 func (r *response) decode(into any) {
 	if r.status != http.StatusOK {
 		return
@@ -43,7 +45,7 @@
 	}
 }
 
-// mustJSON returns the JSON of a value that can't fail to be encoded.
+// mustJSON returns the JSON encoding of a value, and panics if the value can't be encoded.
 func mustJSON(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -9,47 +9,50 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// observer wraps a state machine and compares between the replicas of a group what they apply, and the states that they
-// come to. What differs is added to Cluster.divergences.
+// observer wraps the state machine of one replica and compares the replicas of a group with each other. All replicas must
+// apply the same entry at the same index of the log, and must have the same state after the same entry. Differences are
+// added to Cluster.divergences.
 type observer struct {
 	replica.StateMachine
 	leadership replica.LeadershipObserver
 	process    *process
 	group      replica.GroupID
-	index      uint64 // of the last command applied; 0: none since the start, or since a snapshot was restored
+	index      uint64 // of the last command applied since the start or the last Restore; 0: none
 }
 
-// The engine finds these by type assertion: a wrapper that lacks one hides that of the state machine without an error.
+// The engine finds these optional interfaces by type assertions. If the wrapper didn't implement one of them, the engine
+// would treat the state machine as if it didn't either, without an error.
 var (
 	_ replica.LeadershipObserver = (*observer)(nil)
 	_ replica.TransferDeferrer   = (*observer)(nil)
 	_ replica.Digester           = (*observer)(nil)
 )
 
-// observe returns a state machine with its observer.
+// observe returns an observer that wraps the state machine of a process's replica of a group.
 func (c *Cluster) observe(p *process, group replica.GroupID, machine replica.StateMachine) replica.StateMachine {
 	leadership, _ := machine.(replica.LeadershipObserver)
 	return &observer{StateMachine: machine, leadership: leadership, process: p, group: group}
 }
 
-// Leading passes on that the replica leads.
+// Leading tells the wrapped state machine that its replica leads the group in a term.
 func (o *observer) Leading(term uint64) {
 	if o.leadership != nil {
 		o.leadership.Leading(term)
 	}
 }
 
-// Following passes on that the replica does not lead any more.
+// Following tells the wrapped state machine that its replica no longer leads the group.
 func (o *observer) Following() {
 	if o.leadership != nil {
 		o.leadership.Following()
 	}
 }
 
-// digestInterval is the number of entries between two comparisons of states.
+// digestInterval is the number of log entries from one comparison of states to the next.
 const digestInterval = 32
 
-// Apply applies a committed command.
+// Apply applies a committed command to the wrapped state machine, and compares the command with that of other replicas. At
+// indexes that are multiples of digestInterval it compares the state too.
 func (o *observer) Apply(index, term uint64, data []byte) any {
 	result := o.StateMachine.Apply(index, term, data)
 	c := o.process.cluster
@@ -61,7 +64,7 @@
 	return result
 }
 
-// Snapshot returns the complete state.
+// Snapshot returns a snapshot of the wrapped state machine and compares it with those of other replicas at the same index.
 func (o *observer) Snapshot() ([]byte, error) {
 	data, err := o.StateMachine.Snapshot()
 	if err == nil {
@@ -70,7 +73,8 @@
 	return data, err
 }
 
-// Restore replaces the complete state. A snapshot of it must be the same as the one that it was restored from.
+// Restore replaces the state by that of a snapshot. It records a divergence unless a snapshot of the restored state has the
+// same bytes as the snapshot that it was restored from.
 func (o *observer) Restore(data []byte) error {
 	if err := o.StateMachine.Restore(data); err != nil {
 		return err
@@ -83,46 +87,49 @@
 		return err
 	}
 	if digest(restored) != digest(data) {
-		c.diverged("group %d: the state restored at %s is not that of the snapshot", o.group, o.process.machine.Name)
+		c.recordDivergence("group %d: the state that %s restored differs from the snapshot", o.group, o.process.machine.Name)
 	}
 	return nil
 }
 
-// DefersTransfer reports whether the wrapped state machine wants to keep its leadership for now.
+// DefersTransfer reports whether the wrapped state machine defers a transfer of its leadership.
 func (o *observer) DefersTransfer() bool {
 	deferrer, ok := o.StateMachine.(replica.TransferDeferrer)
 	return ok && deferrer.DefersTransfer()
 }
 
-// Digest returns the state machine's own digest of its state.
+// Digest returns the digest that the wrapped state machine computes of its state. It panics if that is not a
+// replica.Digester, which all state machines of control processes are.
 func (o *observer) Digest() uint64 { return o.StateMachine.(replica.Digester).Digest() }
 
-// compareState compares the state with those of the other replicas at the same index.
+// compareState compares the state with those of other replicas at the same index, which Snapshot does. It panics if the
+// state can't be encoded.
 func (o *observer) compareState() {
 	if _, err := o.Snapshot(); err != nil {
 		panic(err)
 	}
 }
 
-// diverged records a difference between replicas.
-func (c *Cluster) diverged(format string, args ...any) {
+// recordDivergence adds a formatted message to the divergences, which make the run fail.
+func (c *Cluster) recordDivergence(format string, args ...any) {
 	c.divergences = append(c.divergences, fmt.Sprintf(format, args...))
 }
 
-// logPosition is a position in a group's log.
+// logPosition identifies an entry of a group's log.
 type logPosition struct {
 	group replica.GroupID
 	index uint64
 }
 
-// appliedEntry is what the first replica that got to a position applied there.
+// appliedEntry describes the entry that the first replica to reach a log position applied there.
 type appliedEntry struct {
 	term   uint64
 	digest uint64 // of the entry's data
-	by     string
+	by     string // name of that replica's machine
 }
 
-// checkApplied compares what a replica applies with what others applied at the same index.
+// checkApplied records a divergence if the entry that a replica applies has another term or other data than the one that the
+// first replica applied at the same index.
 func (c *Cluster) checkApplied(p *process, group replica.GroupID, index, term uint64, data []byte) {
 	key, entry := logPosition{group, index}, appliedEntry{term, digest(data), p.machine.Name}
 	before, ok := c.appliedEntries[key]
@@ -131,11 +138,12 @@
 		return
 	}
 	if before.term != term || before.digest != entry.digest {
-		c.diverged("group %d index %d: %s applied term %d, %s applied term %d", group, index, before.by, before.term, entry.by, term)
+		c.recordDivergence("group %d index %d: %s applied term %d, %s applied term %d", group, index, before.by, before.term, entry.by, term)
 	}
 }
 
-// checkState compares a replica's state with those of others after the same entry.
+// checkState records a divergence if a replica's state differs from that of the first replica that was compared at the same
+// index. Index 0 means that the index of the state is unknown; such a state is not compared.
 func (c *Cluster) checkState(p *process, group replica.GroupID, index uint64, state []byte) {
 	if index == 0 {
 		return
@@ -146,31 +154,33 @@
 	case !ok:
 		c.stateDigests[key] = stateDigest{found, p.machine.Name}
 	case before.digest != found:
-		c.diverged("group %d index %d: %s and %s have different states", group, index, before.by, p.machine.Name)
+		c.recordDivergence("group %d index %d: %s and %s have different states", group, index, before.by, p.machine.Name)
 	}
 }
 
-// stateDigest is the state of the first replica that was compared after an entry.
+// stateDigest describes the state of the first replica that was compared at a log position.
 type stateDigest struct {
-	digest uint64
-	by     string
+	digest uint64 // of the state's snapshot
+	by     string // name of that replica's machine
 }
 
+// digest returns a hash with which data is compared.
 func digest(data []byte) uint64 {
 	return xxhash.Sum64(data)
 }
 
-// diskIncarnation is the disk of a machine from one wipe to the next.
+// diskIncarnation identifies a machine's disk between two losses of its contents.
 type diskIncarnation struct {
 	machine *simulation.Machine
-	wipes   int
+	wipes   int // number of times that the machine's disk was lost before
 }
 
-// checkIdentity checks that a process is the same member as the one before it if the disk was not lost.
+// checkIdentity records a divergence if a process has another member ID than the previous process on the same disk. A
+// member must keep its ID, and with it its votes, unless its disk was lost.
 func (c *Cluster) checkIdentity(p *process) {
 	key, id := diskIncarnation{p.machine, p.machine.Disk.Wipes()}, p.engine.Self().ID
 	if before, ok := c.identities[key]; ok && before != id {
-		c.diverged("%s: member %x has taken its disk for lost and is %x", p.machine.Name, uint64(before), uint64(id))
+		c.recordDivergence("%s: member %x restarted as member %x although its disk was not lost", p.machine.Name, uint64(before), uint64(id))
 	}
 	c.identities[key] = id
 }
--- a/internal/cluster/simulation/cluster/observer_test.go
+++ b/internal/cluster/simulation/cluster/observer_test.go
@@ -8,86 +8,87 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// text is a state machine whose state is the concatenation of all commands.
-type text struct {
-	state string
-	wrong string // appended by Restore
+// concatenation is a state machine whose state is the concatenation of all commands.
+type concatenation struct {
+	state      string
+	corruption string // appended to the state by Restore, so that it differs from the snapshot
 }
 
-func (t *text) Apply(_, _ uint64, data []byte) any {
-	t.state += string(data)
+func (c *concatenation) Apply(_, _ uint64, data []byte) any {
+	c.state += string(data)
 	return nil
 }
 
-func (t *text) Snapshot() ([]byte, error) { return []byte(t.state), nil }
+func (c *concatenation) Snapshot() ([]byte, error) { return []byte(c.state), nil }
 
-func (t *text) Restore(data []byte) error {
-	t.state = string(data) + t.wrong
+func (c *concatenation) Restore(data []byte) error {
+	c.state = string(data) + c.corruption
 	return nil
 }
 
 var _ = Describe("The observer of state machines", func() {
 	var c *Cluster
-	var one, other replica.StateMachine
-	var theirs *text
+	var first, second replica.StateMachine
+	var secondState *concatenation
 
 	BeforeEach(func() {
 		c = New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), ShortBounds()))
-		theirs = &text{}
-		one = c.observe(&process{cluster: c, machine: c.controlMachines[0]}, 1, &text{})
-		other = c.observe(&process{cluster: c, machine: c.controlMachines[1]}, 1, theirs)
+		secondState = &concatenation{}
+		first = c.observe(&process{cluster: c, machine: c.controlMachines[0]}, 1, &concatenation{})
+		second = c.observe(&process{cluster: c, machine: c.controlMachines[1]}, 1, secondState)
 	})
 
-	It("finds nothing if both replicas do the same", func() {
+	It("records no divergence if both replicas apply the same commands", func() {
 		for index := range uint64(3 * digestInterval) {
-			one.Apply(index+1, 1, []byte("x"))
-			other.Apply(index+1, 1, []byte("x"))
+			first.Apply(index+1, 1, []byte("x"))
+			second.Apply(index+1, 1, []byte("x"))
 		}
 		Expect(c.divergences).To(BeEmpty())
 		Expect(c.stateDigests).To(HaveLen(3))
 	})
 
-	It("finds entries that differ in term or content", func() {
-		one.Apply(1, 1, []byte("x"))
-		other.Apply(1, 2, []byte("x"))
+	It("records a divergence for entries that differ in term or data", func() {
+		first.Apply(1, 1, []byte("x"))
+		second.Apply(1, 2, []byte("x"))
 		Expect(c.divergences).To(HaveLen(1))
-		one.Apply(2, 2, []byte("x"))
-		other.Apply(2, 2, []byte("y"))
+		first.Apply(2, 2, []byte("x"))
+		second.Apply(2, 2, []byte("y"))
 		Expect(c.divergences).To(HaveLen(2))
 	})
 
-	It("finds states that differ after the same entries", func() {
-		theirs.state = "before"
-		one.Apply(digestInterval, 1, []byte("x"))
-		other.Apply(digestInterval, 1, []byte("x"))
+	It("records a divergence for states that differ after the same entry", func() {
+		secondState.state = "before"
+		first.Apply(digestInterval, 1, []byte("x"))
+		second.Apply(digestInterval, 1, []byte("x"))
 		Expect(c.divergences).To(HaveLen(1))
 	})
 
-	It("finds a restored state that differs from its snapshot", func() {
-		Expect(one.Restore([]byte("x"))).To(Succeed())
+	It("records a divergence for a restored state that differs from its snapshot", func() {
+		Expect(first.Restore([]byte("x"))).To(Succeed())
 		Expect(c.divergences).To(BeEmpty())
-		theirs.wrong = "more"
-		Expect(other.Restore([]byte("x"))).To(Succeed())
+		secondState.corruption = "more"
+		Expect(second.Restore([]byte("x"))).To(Succeed())
 		Expect(c.divergences).To(HaveLen(1))
 	})
 })
 
-// deferrer is a state machine that defers a transfer of its leadership.
-type deferrer struct{ text }
+// deferringMachine is a state machine that implements replica.TransferDeferrer and always defers.
+type deferringMachine struct{ concatenation }
 
-func (deferrer) DefersTransfer() bool { return true }
+func (deferringMachine) DefersTransfer() bool { return true }
 
 var _ = Describe("An observer of a state machine", func() {
-	It("passes on that the machine defers a transfer of its leadership", func() {
+	It("defers a transfer of its leadership only if the wrapped state machine does", func() {
 		c := New(simulation.NewDeployment(simulation.NewWorld(1), simulation.SmallSize(), ShortBounds()))
 		p := &process{cluster: c, machine: c.controlMachines[0]}
-		Expect(c.observe(p, 1, &deferrer{}).(replica.TransferDeferrer).DefersTransfer()).To(BeTrue())
-		Expect(c.observe(p, 1, &text{}).(replica.TransferDeferrer).DefersTransfer()).To(BeFalse())
+		Expect(c.observe(p, 1, &deferringMachine{}).(replica.TransferDeferrer).DefersTransfer()).To(BeTrue())
+		Expect(c.observe(p, 1, &concatenation{}).(replica.TransferDeferrer).DefersTransfer()).To(BeFalse())
 	})
 })
 
-var _ = Describe("The scenarios", func() {
-	It("restore snapshots", func() {
+// Guards against scenarios in which no replica ever restores a snapshot, so that the code for it would not be tested.
+var _ = Describe("The scenarios of the first seeds", func() {
+	It("make control processes restore snapshots", func() {
 		restored := 0
 		for seed := range uint64(30) {
 			restored += play(1000+seed, Options{}).SnapshotsRestored
--- a/internal/cluster/simulation/cluster/outcome.go
+++ b/internal/cluster/simulation/cluster/outcome.go
@@ -9,24 +9,25 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// Outcome is what came of a run.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed              uint64
 	Scenario          simulation.Scenario
-	Violations        []simulation.Violation // of the rules and promises
-	Divergences       []string               // where replicas differ, or a process took its disk for lost
+	Violations        []simulation.Violation // of the rules that Audit and AuditPromises check
+	Divergences       []string               // between replicas, or in a member's identity after a restart
 	History           *simulation.History
-	Submitted         int // jobs
-	Accepted          int
-	Ended             int // accepted and shown as ended
-	Runs              int
-	SnapshotsRestored int // by control processes, their own and those of others
+	Submitted         int // number of jobs that clients submitted
+	Accepted          int // submitted jobs with an accepting response
+	Ended             int // accepted jobs whose last queried state is a final one
+	Runs              int // started by runners
+	SnapshotsRestored int // by control processes: after a restart, or received from another replica
 }
 
-// Failed reports whether anything is wrong.
+// Failed reports whether the run broke a rule or its replicas diverged.
 func (o *Outcome) Failed() bool { return len(o.Violations)+len(o.Divergences) > 0 }
 
-// String returns a summary: the counts, what is wrong, and how to play the run again.
+// String returns a summary of the run: its counts, up to maxViolations violations, all divergences and, if it failed, the
+// command that plays the seed again.
 func (o *Outcome) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d, faults %v, final fault %q: %d jobs, %d accepted, %d ended, %d runs", o.Seed, o.Scenario.Faults,
@@ -48,8 +49,9 @@
 	return text.String()
 }
 
-// Fingerprint returns a hash of what runners did and clients saw, and when. Runs of different behaviour have different
-// ones, but for chance.
+// Fingerprint returns a hash of the runs that runners executed and the calls that clients made, with their times. Two
+// plays of the same seed must have the same fingerprint; plays that differ in these records have different fingerprints
+// unless the hashes collide.
 func (o *Outcome) Fingerprint() uint64 {
 	hash := fnv.New64a()
 	for _, job := range o.History.JobOrder {
@@ -61,7 +63,7 @@
 	return hash.Sum64()
 }
 
-// outcome audits the history and counts what is in it.
+// outcome audits the history of a finished run and counts its jobs and runs.
 func (c *Cluster) outcome(seed uint64, scenario simulation.Scenario) *Outcome {
 	history := c.deployment.History
 	outcome := &Outcome{Seed: seed, Scenario: scenario, History: history, Divergences: c.divergences,
--- a/internal/cluster/simulation/cluster/replaced_owner_test.go
+++ b/internal/cluster/simulation/cluster/replaced_owner_test.go
@@ -10,29 +10,34 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// replacedOwner plays a scenario in which the owner of a group is partitioned from the other control machines and frozen,
-// and wakes long after a successor was elected. At that moment a frontend that reaches no other control machine queries a
-// job, and the operator reads the configuration. Meanwhile the job was cancelled and the configuration changed elsewhere.
-type replacedOwner struct {
-	cluster    *Cluster
-	deployment *simulation.Deployment
-	group      protocol.ShardID
-	owner      *simulation.Machine
-	frontend   *simulation.Machine // that reaches only the owner
-	job        *simulation.JobRecord
-	reads      []*simulation.ConfigurationRead
-	stillLed   bool // the owner believed that it led when it woke
+// replacedOwnerScenario tests that a replaced owner doesn't serve stale reads. Its steps are:
+//  1. A client submits a job that keeps running.
+//  2. After freezeDelay the owner of the group is partitioned from the other control machines and frozen. A frontend is
+//     partitioned from them too, so that the owner is the only control machine that it reaches.
+//  3. The others elect a successor. In the middle of freezeTime the job is cancelled at another frontend, and the operator
+//     changes the configuration.
+//  4. After freezeTime the owner is thawed and still believes that it leads. From querySpan before to querySpan after that
+//     time, the partitioned frontend queries the job and the operator reads the configuration at the owner.
+type replacedOwnerScenario struct {
+	cluster       *Cluster
+	deployment    *simulation.Deployment
+	group         protocol.ShardID
+	owner         *simulation.Machine
+	frontend      *simulation.Machine // the one that reaches no control machine but the owner
+	job           *simulation.JobRecord
+	reads         []*simulation.ConfigurationRead
+	ledWhenThawed bool // the owner believed that it led when it was thawed
 }
 
 const (
-	freezeDelay   = 2 * time.Second // after the submission of the job
+	freezeDelay   = 2 * time.Second // from the submission of the job
 	freezeTime    = 3 * time.Second
 	queryInterval = 20 * time.Millisecond
-	querySpan     = 700 * time.Millisecond // of queries before the owner wakes, and after that
+	querySpan     = 700 * time.Millisecond // duration of the queries before the owner is thawed, and after
 )
 
-// submit submits the job, which is long-running.
-func (r *replacedOwner) submit() {
+// submit submits the long-running job and schedules freeze.
+func (r *replacedOwnerScenario) submit() {
 	step := protocol.Step{Count: 1, CPU: 100, MemoryMB: 10, EstimatedMs: 400, LongRunning: true}
 	queue := simulation.QueueName{Host: simulation.ClientHost, Prefix: "/lasting/"}
 	r.job = r.deployment.Clients.Submit(queue, protocol.JobSpec{Spec: "lasts", Steps: []protocol.Step{step}},
@@ -40,8 +45,9 @@
 	r.deployment.World.After(freezeDelay, r.freeze)
 }
 
-// freeze partitions the owner and a frontend from the other control machines, and freezes the owner.
-func (r *replacedOwner) freeze() {
+// freeze partitions the owner and a frontend from the other control machines, freezes the owner, and schedules the
+// cancellation, the queries and the thaw.
+func (r *replacedOwnerScenario) freeze() {
 	r.owner = r.findOwner()
 	r.frontend = r.deployment.Frontends[1]
 	for _, m := range r.deployment.Controls {
@@ -60,12 +66,13 @@
 		w.After(after, r.query)
 	}
 	w.After(freezeTime, func() {
-		r.stillLed = r.leads(r.owner)
+		r.ledWhenThawed = r.leads(r.owner)
 		r.owner.Thaw()
 	})
 }
 
-func (r *replacedOwner) findOwner() *simulation.Machine {
+// findOwner returns the control machine that leads the group, or nil if there is none.
+func (r *replacedOwnerScenario) findOwner() *simulation.Machine {
 	for _, m := range r.deployment.Controls {
 		if r.leads(m) {
 			return m
@@ -74,12 +81,13 @@
 	return nil
 }
 
-func (r *replacedOwner) leads(m *simulation.Machine) bool {
+// leads reports whether a machine's process believes that it is the owner of the group.
+func (r *replacedOwnerScenario) leads(m *simulation.Machine) bool {
 	return r.cluster.processes[m].leads(uint32(r.group))
 }
 
-// cancel cancels the job at the other frontend, until that is acknowledged.
-func (r *replacedOwner) cancel() {
+// cancel cancels the job at the frontend that is not partitioned, and repeats that until it is acknowledged.
+func (r *replacedOwnerScenario) cancel() {
 	w := r.deployment.World
 	number := len(r.job.Cancels)
 	r.job.Cancels = append(r.job.Cancels, simulation.Attempt{Sent: w.Now(), Answered: simulation.Never})
@@ -93,7 +101,7 @@
 }
 
 // query queries the job at the partitioned frontend, and reads the configuration at the replaced owner.
-func (r *replacedOwner) query() {
+func (r *replacedOwnerScenario) query() {
 	w := r.deployment.World
 	number := len(r.job.Queries)
 	r.job.Queries = append(r.job.Queries, simulation.Attempt{Sent: w.Now(), Answered: simulation.Never})
@@ -104,17 +112,17 @@
 	r.reads = append(r.reads, r.deployment.Operator.ReadAt(r.owner))
 }
 
-// playReplacedOwner plays the scenario to its end.
-func playReplacedOwner(seed uint64, group protocol.ShardID) (r *replacedOwner, seen observed) {
+// playReplacedOwner plays the scenario for the owner of a group, and returns it with what clients and the operator saw.
+func playReplacedOwner(seed uint64, group protocol.ShardID) (r *replacedOwnerScenario, run observedRun) {
 	synctest.Test(suite, func(*testing.T) {
 		world := simulation.NewWorld(seed)
 		deployment := simulation.NewDeployment(world, simulation.SmallSize(), ShortBounds())
-		r = &replacedOwner{cluster: New(deployment), deployment: deployment, group: group}
+		r = &replacedOwnerScenario{cluster: New(deployment), deployment: deployment, group: group}
 		scenario := simulation.Scenario{Warmup: 3 * time.Second, Length: 8 * time.Second}
 		world.At(scenario.Warmup+500*time.Millisecond, r.submit)
 		deployment.Play(scenario)
-		r.cluster.endShells()
-		seen = observed{outcome: r.cluster.outcome(seed, scenario), reads: r.reads}
+		r.cluster.endHarnesses()
+		run = observedRun{outcome: r.cluster.outcome(seed, scenario), reads: r.reads}
 	})
-	return r, seen
+	return r, run
 }
--- a/internal/cluster/simulation/cluster/run.go
+++ b/internal/cluster/simulation/cluster/run.go
@@ -6,23 +6,24 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// Options choose a run. What is left at its zero value is drawn from the seed, except as noted.
+// Options configure a run. A field with its zero value is drawn from the seed, unless its comment says otherwise.
 type Options struct {
-	Faults      []string              // names of kinds; nil: drawn
-	Quiet       bool                  // there are no faults, whatever the other fields say
-	Overlapping bool                  // the faults begin within a short time of each other; false: drawn
-	FinalFault  simulation.FinalFault // or WithoutFinalFault
-	Length      time.Duration         // of the traffic; 0: 9 s
-	Invocation  bool                  // agents invoke their runners (commands = invocation) instead of responding to heartbeats
-	Size        *simulation.Size
-	Bounds      *simulation.Bounds
+	Faults      []string              // names of fault kinds; nil: drawn
+	Quiet       bool                  // disables all faults, also those named by Faults and FinalFault
+	Overlapping bool                  // faults begin within a short time of each other; false: drawn
+	FinalFault  simulation.FinalFault // empty: drawn; WithoutFinalFault: none
+	Length      time.Duration         // duration of the traffic; 0: 9 s
+	Invocation  bool                  // agents call runners (setting commands = invocation); false: runners send heartbeats
+	Size        *simulation.Size      // nil: SmallSize, with a probability of 10% with 5 control machines
+	Bounds      *simulation.Bounds    // nil: drawn
 }
 
-// WithoutFinalFault is the Options.FinalFault of a run that has none; its zero value is drawn.
+// WithoutFinalFault is the value of Options.FinalFault for a run without a final fault. The zero value has another
+// meaning: the final fault is drawn.
 const WithoutFinalFault simulation.FinalFault = "none"
 
-// Run plays one scenario from a seed. It must be called in a testing/synctest bubble of its own, and the same seed with
-// the same options gives the same run.
+// Run plays the scenario of a seed and returns its outcome. It must be called in a testing/synctest bubble that it does
+// not share with another run. The same seed with the same options gives the same run.
 func Run(seed uint64, options Options) *Outcome {
 	world := simulation.NewWorld(seed)
 	size, bounds := simulation.SmallSize(), drawBounds(world)
@@ -38,16 +39,16 @@
 	scenario := drawScenario(world, options)
 	deployment := simulation.NewDeployment(world, size, bounds)
 	c := New(deployment)
-	c.diskBytes, c.snapshotEvery = drawDiskBytes(world), simulation.Pick(world, []uint64{10, 40, 300})
+	c.diskBytes, c.snapshotThreshold = drawDiskBytes(world), simulation.Pick(world, []uint64{10, 40, 300})
 	if options.Invocation {
 		c.invokeRunners()
 	}
 	deployment.Play(scenario)
-	c.endShells()
+	c.endHarnesses()
 	return c.outcome(seed, scenario)
 }
 
-// invokeRunners has agents invoke their runners.
+// invokeRunners makes agents call their runners, and runners expect these calls, instead of using heartbeats.
 func (c *Cluster) invokeRunners() {
 	c.invocation = true
 	for _, runner := range c.deployment.AllRunners() {
@@ -55,7 +56,7 @@
 	}
 }
 
-// ShortBounds returns the default bounds, shortened for short scenarios.
+// ShortBounds returns the default bounds with shorter leases and recovery times, which suit scenarios of a few seconds.
 func ShortBounds() simulation.Bounds {
 	bounds := simulation.DefaultBounds()
 	bounds.MaxLease = 3 * time.Second
@@ -65,7 +66,7 @@
 	return bounds
 }
 
-// drawBounds draws the short bounds mostly, and otherwise the default ones.
+// drawBounds returns ShortBounds with a probability of 80%, and otherwise the default bounds with a shorter Finish.
 func drawBounds(w *simulation.World) simulation.Bounds {
 	if w.Chance(0.2) {
 		bounds := simulation.DefaultBounds()
@@ -75,7 +76,8 @@
 	return ShortBounds()
 }
 
-// drawDiskBytes draws the size of the control machines' disks, mostly one so small that snapshots replace logs often.
+// drawDiskBytes draws the disk capacity of the control machines, in bytes. With a probability of 80% it is small, so that
+// snapshots replace logs often.
 func drawDiskBytes(w *simulation.World) int64 {
 	const small, usual = 1 << 20, 128 << 20
 	if w.Chance(0.2) {
@@ -84,6 +86,8 @@
 	return small
 }
 
+// drawScenario returns the scenario that the options describe, with the rest drawn. The order of the draws must stay the
+// same, because it determines which scenario a seed stands for.
 func drawScenario(w *simulation.World, options Options) simulation.Scenario {
 	const warmup, length = 2500 * time.Millisecond, 9 * time.Second
 	scenario := simulation.Scenario{Warmup: warmup, Length: length, Faults: options.Faults, FinalFault: options.FinalFault}
@@ -103,7 +107,7 @@
 	return scenario
 }
 
-// drawFaults draws none to six kinds, and with them often a change of the configuration.
+// drawFaults draws zero to six fault kinds, which may repeat, and adds a configuration change with a probability of 50%.
 func drawFaults(w *simulation.World) []string {
 	kinds := simulation.FaultKinds()
 	var names []string
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -16,32 +16,33 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// runnerConn is an agent's connection to the runner of its machine. It implements net.Conn: each Write is a complete HTTP
-// request, and one goroutine reads the responses. Where the simulated network drops messages, such a connection, which is
-// TCP, is reset now and then.
+// runnerConn models an agent's TCP connection to the runner on its machine. It implements net.Conn for an HTTP client that
+// passes a complete request to each Write and reads the responses in one goroutine at a time. TCP does not lose single
+// messages; so if the simulated network has a message loss, the connection is reset at random instead.
 type runnerConn struct {
-	shell   *shell
-	request uint64 // that its effects belong to
-	runner  *simulation.InvocationConn
+	harness *harness
+	request uint64                     // request number of its effects, see firstConnection
+	runner  *simulation.InvocationConn // set by connect
 
-	incoming chan []byte   // responses
-	unread   []byte        // received from incoming, by the reader
-	reset    chan struct{} // closed when the runner's side is gone
+	incoming chan []byte   // complete responses, at most one that has not been read
+	unread   []byte        // rest of the response that Read is returning; used only by the reader
+	reset    chan struct{} // closed when the connection is reset
 	closed   chan struct{} // closed by Close
-	once     sync.Once
+	once     sync.Once     // closes closed
 
-	mutex   sync.Mutex    // guards what follows
-	expired chan struct{} // closed at the deadline
-	timer   *timer        // that closes it
+	mutex   sync.Mutex    // guards the fields below
+	expired chan struct{} // closed once the deadline has passed
+	timer   *timer        // closes expired at the deadline; nil if no deadline was set
 }
 
-// firstConnection is the number of a shell's first connection, which orders its effects after those of all requests.
+// firstConnection is the lower bound of the request numbers of connections. It exceeds the number of every request
+// that a run serves, so that harness.deliver performs the effects of connections after those of requests.
 const firstConnection uint64 = 1 << 40
 
-// dial connects to the runner at an address.
-func (s *shell) dial(ctx context.Context, address string) (net.Conn, error) {
+// dial connects to the runner at an address. The error is syscall.ECONNREFUSED if there is no such runner or it is down.
+func (s *harness) dial(ctx context.Context, address string) (net.Conn, error) {
 	const handshakeDelay = 100 * time.Microsecond
-	conn := &runnerConn{shell: s, request: s.nextConnection(), incoming: make(chan []byte, 1),
+	conn := &runnerConn{harness: s, request: s.nextConnection(), incoming: make(chan []byte, 1),
 		reset: make(chan struct{}), closed: make(chan struct{}), expired: make(chan struct{})}
 	connected := make(chan error, 1)
 	s.enqueue(conn.request, func() {
@@ -60,14 +61,15 @@
 	}
 }
 
-func (s *shell) nextConnection() uint64 {
+// nextConnection returns the request number of a new connection.
+func (s *harness) nextConnection() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.connections++
 	return firstConnection + s.connections
 }
 
-// connect connects to a runner, which may be nil. The world's goroutine calls it.
+// connect connects to a runner, which may be nil. Only the world's goroutine may call it.
 func (c *runnerConn) connect(runner *simulation.Runner) error {
 	if runner != nil {
 		c.runner = runner.Connect(c.delivering(c.resetByPeer))
@@ -78,12 +80,13 @@
 	return nil
 }
 
-// delivering returns a function that delivers an input to the process, if it is still the same incarnation.
+// delivering returns a function for the world's goroutine that delivers an input to the process if the incarnation that
+// made the connection still runs.
 func (c *runnerConn) delivering(input func()) func() {
-	return c.shell.inIncarnation(func() { c.shell.deliver(input) })
+	return c.harness.inIncarnation(func() { c.harness.deliver(input) })
 }
 
-// resetByPeer resets the connection from the runner's side.
+// resetByPeer makes all later reads and writes fail with syscall.ECONNRESET, as after a reset by the runner.
 func (c *runnerConn) resetByPeer() {
 	select {
 	case <-c.reset:
@@ -92,7 +95,7 @@
 	}
 }
 
-// Write sends a request, which must be complete in data.
+// Write sends an HTTP request to the runner. data must contain the complete request.
 func (c *runnerConn) Write(data []byte) (int, error) {
 	select {
 	case <-c.reset:
@@ -110,17 +113,19 @@
 		return 0, err
 	}
 	path := request.URL.Path
-	c.shell.enqueue(c.request, func() { c.send(path, body) })
+	c.harness.enqueue(c.request, func() { c.send(path, body) })
 	return len(data), nil
 }
 
-// send delivers a call to the runner, and the response back. Where messages are dropped the connection may be reset
-// instead; the call is then executed before that, later or never. The world's goroutine calls it.
+// send delivers a call to the runner, and its response back to the process. If the network loses messages, the connection
+// may be reset instead of returning the response. In that case the runner executes the call just before the reset, at a
+// drawn time within maxDelay, or never, so that the agent can't know whether the call was executed. Only the world's
+// goroutine may call it.
 func (c *runnerConn) send(path string, body []byte) {
-	const resetsPerLoss = 0.25 // for each message that is dropped elsewhere
-	world := c.shell.cluster.world
+	const resetsPerLoss = 0.25 // probability of a reset per call, as a fraction of the network's message loss
+	world := c.harness.cluster.world
 	reset := c.delivering(c.resetByPeer)
-	isReset := world.Chance(resetsPerLoss * c.shell.cluster.deployment.Network.Loss)
+	isReset := world.Chance(resetsPerLoss * c.harness.cluster.deployment.Network.Loss)
 	if isReset && world.Chance(0.5) {
 		world.After(simulation.LoopbackDelay, reset)
 		if world.Chance(0.5) {
@@ -140,7 +145,7 @@
 	})
 }
 
-// receive makes a response available to the reader. It is dropped if the one before has not been read.
+// receive makes a response available to the reader. It drops the response if the previous one has not been read.
 func (c *runnerConn) receive(status int, body []byte) {
 	var response bytes.Buffer
 	response.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
@@ -152,7 +157,8 @@
 	}
 }
 
-// Read reads what the runner has sent. One goroutine may call it at a time.
+// Read returns bytes of the runner's responses, and blocks until there are any or the connection ends. Only one goroutine
+// may call it at a time.
 func (c *runnerConn) Read(data []byte) (int, error) {
 	if len(c.unread) == 0 {
 		c.mutex.Lock()
@@ -173,8 +179,9 @@
 	return count, nil
 }
 
-// SetDeadline sets the time at which reads end, by the clock of the bubble. That clock stands still, so that the deadline
-// is as far off in virtual time as it is by that clock.
+// SetDeadline sets the time at which reads fail with os.ErrDeadlineExceeded. at is a time of package time, whose clock
+// stands still in the bubble: synctest.Wait returns before that clock advances. Therefore the deadline is time.Until(at)
+// from now in virtual time also. A time in the past ends reads at once.
 func (c *runnerConn) SetDeadline(at time.Time) error {
 	left := time.Until(at)
 	c.mutex.Lock()
@@ -188,12 +195,12 @@
 	}
 	c.expired = make(chan struct{})
 	expired := c.expired
-	c.timer = shellClock{c.shell, c.request}.newTimer(func() { close(expired) })
+	c.timer = machineClock{c.harness, c.request}.newTimer(func() { close(expired) })
 	c.timer.Reset(left)
 	return nil
 }
 
-// expire ends reads now. The caller must hold the mutex.
+// expire ends the current read and all later ones until the next deadline is set. The caller must hold the mutex.
 func (c *runnerConn) expire() {
 	select {
 	case <-c.expired:
@@ -202,7 +209,7 @@
 	}
 }
 
-// SetReadDeadline is the same as SetDeadline.
+// SetReadDeadline does the same as SetDeadline.
 func (c *runnerConn) SetReadDeadline(at time.Time) error { return c.SetDeadline(at) }
 
 // SetWriteDeadline does nothing, because writes don't block.
