--- a/internal/cluster/simulation/cluster/agent.go
+++ b/internal/cluster/simulation/cluster/agent.go
@@ -18,17 +18,17 @@
 
 // newAgent starts an incarnation of the agent of a machine.
 func newAgent(c *Cluster, m *simulation.Machine) *agentProcess {
-	s := c.newHarness(m)
-	a := &agentProcess{harness: s, process: agent.NewProcess(agent.ProcessOptions{
-		Client:    caller{s},
+	h := c.newHarness(m)
+	a := &agentProcess{harness: h, process: agent.NewProcess(agent.ProcessOptions{
+		Client:    caller{h},
 		Addresses: c.seedAddresses(),
 		Node:      m.Name,
-		Clock:     machineClock{harness: s},
+		Clock:     machineClock{harness: h},
 		Calls:     c.invocation,
-		Dial:      s.dial,
+		Dial:      h.dial,
 	})}
-	s.closeProcess = a.process.Close
-	s.run(a.process.Run)
+	h.closeProcess = a.process.Close
+	h.run(a.process.Run)
 	return a
 }
 
--- a/internal/cluster/simulation/cluster/caller.go
+++ b/internal/cluster/simulation/cluster/caller.go
@@ -51,23 +51,23 @@
 	if ctx.Err() != nil {
 		return failure.Newf(failure.Unavailable, "%s: not called: %v", address, ctx.Err())
 	}
-	s := c.harness
+	h := c.harness
 	results := make(chan callResult, 1)
 	timeout := defaultCallTimeout
 	if at, ok := ctx.Deadline(); ok {
-		timeout = max(machineClock{harness: s}.Until(at), time.Millisecond)
+		timeout = max(machineClock{harness: h}.Until(at), time.Millisecond)
 	}
-	s.enqueue(requestOf(ctx), func() {
+	h.enqueue(requestOf(ctx), func() {
 		over := false
 		finish := func(response any, err error) {
 			if !over && ctx.Err() == nil {
 				over = true
-				s.deliver(func() { results <- callResult{response, err} })
+				h.deliver(func() { results <- callResult{response, err} })
 			}
 		}
-		s.cluster.call(s.machine, address, request, timeout, finish)
+		h.cluster.call(h.machine, address, request, timeout, finish)
 		if probing == withProbes && timeout > maxUnansweredProbes*transport.DefaultProbeInterval {
-			s.probe(address, func() bool { return over || ctx.Err() != nil }, func() {
+			h.probe(address, func() bool { return over || ctx.Err() != nil }, func() {
 				finish(nil, failure.New(failure.UnknownOutcome, "the peer does not respond to probes"))
 			})
 		}
@@ -85,12 +85,12 @@
 
 // probe sends a probe to a process every DefaultProbeInterval until isOver returns true. It calls abort and stops once
 // maxUnansweredProbes consecutive probes have had no response.
-func (s *harness) probe(address string, isOver func() bool, abort func()) {
-	to := s.cluster.byName[address]
+func (h *harness) probe(address string, isOver func() bool, abort func()) {
+	to := h.cluster.byName[address]
 	if to == nil {
 		return
 	}
-	network := s.cluster.deployment.Network
+	network := h.cluster.deployment.Network
 	answered, unanswered := true, 0
 	var sendProbe func()
 	sendProbe = func() {
@@ -105,10 +105,10 @@
 			abort()
 			return
 		}
-		network.Send(s.machine, to, func() { network.Send(to, s.machine, func() { answered = true }) })
-		s.machine.After(transport.DefaultProbeInterval, sendProbe)
+		network.Send(h.machine, to, func() { network.Send(to, h.machine, func() { answered = true }) })
+		h.machine.After(transport.DefaultProbeInterval, sendProbe)
 	}
-	s.machine.After(transport.DefaultProbeInterval, sendProbe)
+	h.machine.After(transport.DefaultProbeInterval, sendProbe)
 }
 
 // storeResponse copies the value that got points to, a control process's response, to the value that response points to.
--- a/internal/cluster/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -156,7 +156,7 @@
 		Entry("an owner is lost while its runners cannot reach the next one", "core_kill", "servers_cut", "servers_cut"),
 		Entry("an owner freezes while its runners cannot reach the next one", "core_freeze", "servers_cut", "node_cut"),
 		Entry("an owner is partitioned while runners crash", "core_cut", "srv_crash", "node_cut"),
-		Entry("queues move while connections are reset and clients give up", "config_move", "reset_conns", "give_up"),
+		Entry("queues move while messages are lost and clients give up", "config_move", "reset_conns", "give_up"),
 		Entry("queues move while an owner is lost", "config_move", "core_kill", "give_up"),
 		Entry("jobs are cancelled while runners leave", "cancel", "scale_in", "spot"),
 		Entry("two changes of the configuration race while the owner is lost", "config_race", "after_ack_kill", "ack_lost"),
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -190,8 +190,8 @@
 	p.wakeIfSignalled()
 }
 
-// snapshotRegularly calls snapshotLongestLog at regular intervals, because a scenario is usually too short for a log to reach
-// the size at which the engine starts a snapshot without being asked.
+// snapshotRegularly calls snapshotLongestLog at regular intervals, because a scenario is usually too short for a log to
+// reach the size at which the engine starts a snapshot without being asked.
 func (p *process) snapshotRegularly() {
 	const interval = 250 * time.Millisecond
 	p.machine.After(interval, func() {
--- a/internal/cluster/simulation/cluster/frontend.go
+++ b/internal/cluster/simulation/cluster/frontend.go
@@ -20,16 +20,16 @@
 
 // newFrontend starts an incarnation of the frontend of a machine.
 func newFrontend(c *Cluster, m *simulation.Machine) *frontendProcess {
-	s := c.newHarness(m)
+	h := c.newHarness(m)
 	bounds := c.deployment.History.Bounds
-	f := &frontendProcess{harness: s, process: frontend.NewProcess(frontend.ProcessOptions{
-		Client:    caller{s},
+	f := &frontendProcess{harness: h, process: frontend.NewProcess(frontend.ProcessOptions{
+		Client:    caller{h},
 		Addresses: c.seedAddresses(),
 		Node:      m.Name,
 		Bounds:    frontend.Bounds{ConfigApply: bounds.ConfigApply, MaxSkew: bounds.MaxSkew},
-		Clock:     machineClock{harness: s},
+		Clock:     machineClock{harness: h},
 	})}
-	s.run(f.process.Run)
+	h.run(f.process.Run)
 	return f
 }
 
--- a/internal/cluster/simulation/cluster/harness.go
+++ b/internal/cluster/simulation/cluster/harness.go
@@ -57,30 +57,30 @@
 	if earlier := c.harnesses[m]; earlier != nil {
 		earlier.kill()
 	}
-	s := &harness{cluster: c, machine: m, clockStart: time.UnixMilli(m.TimeOfDayMs()).Add(-m.Monotonic())}
-	s.ctx, s.cancel = context.WithCancel(context.Background())
-	c.harnesses[m] = s
-	return s
+	h := &harness{cluster: c, machine: m, clockStart: time.UnixMilli(m.TimeOfDayMs()).Add(-m.Monotonic())}
+	h.ctx, h.cancel = context.WithCancel(context.Background())
+	c.harnesses[m] = h
+	return h
 }
 
 // endHarnesses ends all goroutines of all processes. Without it synctest.Test would fail, because a bubble must not end
 // before its goroutines.
 func (c *Cluster) endHarnesses() {
-	for _, s := range c.harnesses {
-		s.kill()
+	for _, h := range c.harnesses {
+		h.kill()
 	}
 }
 
 // kill ends the goroutines of this incarnation and waits until they have ended or are blocked. It drops their effects: they
 // have been blocked since the machine killed the process, and what they do now must not reach the world.
-func (s *harness) kill() {
-	s.mutex.Lock()
-	s.killed = true
-	s.effects = nil
-	s.mutex.Unlock()
-	s.cancel()
-	if s.closeProcess != nil {
-		s.closeProcess()
+func (h *harness) kill() {
+	h.mutex.Lock()
+	h.killed = true
+	h.effects = nil
+	h.mutex.Unlock()
+	h.cancel()
+	if h.closeProcess != nil {
+		h.closeProcess()
 	}
 	synctest.Wait()
 }
@@ -88,45 +88,45 @@
 // deliver passes one input to the process by calling input, waits until all goroutines of the process are blocked, and
 // performs their effects sorted by request. Only the world's goroutine may call it, and only while this incarnation of the
 // process runs.
-func (s *harness) deliver(input func()) {
+func (h *harness) deliver(input func()) {
 	input()
 	synctest.Wait()
-	s.mutex.Lock()
-	effects := s.effects
-	s.effects = nil
-	s.mutex.Unlock()
+	h.mutex.Lock()
+	effects := h.effects
+	h.effects = nil
+	h.mutex.Unlock()
 	slices.SortStableFunc(effects, func(a, b effect) int { return cmp.Compare(a.request, b.request) })
 	for i := range effects {
 		effects[i].perform()
 	}
-	if s.afterInput != nil {
-		s.afterInput()
+	if h.afterInput != nil {
+		h.afterInput()
 	}
 }
 
 // enqueue adds an effect that the world's goroutine performs once the process has processed the current input. It drops the
 // effect if the process was killed. Any goroutine may call it.
-func (s *harness) enqueue(request uint64, perform func()) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if !s.killed {
-		s.effects = append(s.effects, effect{request, perform})
+func (h *harness) enqueue(request uint64, perform func()) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if !h.killed {
+		h.effects = append(h.effects, effect{request, perform})
 	}
 }
 
 // inIncarnation returns a function for the world's goroutine that schedules f for the present time if this incarnation is
 // still the machine's current one, and otherwise does nothing.
-func (s *harness) inIncarnation(f func()) func() {
+func (h *harness) inIncarnation(f func()) func() {
 	return func() {
-		if s.cluster.harnesses[s.machine] == s {
-			s.machine.After(0, f)
+		if h.cluster.harnesses[h.machine] == h {
+			h.machine.After(0, f)
 		}
 	}
 }
 
 // run starts a goroutine of the process. body must return when its context ends.
-func (s *harness) run(body func(ctx context.Context)) {
-	s.deliver(func() { go body(s.ctx) })
+func (h *harness) run(body func(ctx context.Context)) {
+	h.deliver(func() { go body(h.ctx) })
 }
 
 // requestKey is the key under which a context stores the number of its request.
@@ -140,24 +140,24 @@
 
 // serve runs a handler for a request in a goroutine of its own and calls done with the response. The returned function
 // cancels the request's context; the caller of serve calls it when the simulated client disconnects.
-func (s *harness) serve(handler http.Handler, request *http.Request, done func(*response)) (disconnect func()) {
-	s.requests++
-	number := 2 * s.requests
+func (h *harness) serve(handler http.Handler, request *http.Request, done func(*response)) (disconnect func()) {
+	h.requests++
+	number := 2 * h.requests
 	// The response is ordered after all other effects of the request, because goroutines that the handler has started may
 	// still be running when it returns.
 	responseNumber := number + 1
-	ctx, cancel := context.WithCancel(context.WithValue(s.ctx, requestKey{}, number))
-	s.deliver(func() {
+	ctx, cancel := context.WithCancel(context.WithValue(h.ctx, requestKey{}, number))
+	h.deliver(func() {
 		go func() {
 			defer cancel()
 			response := newResponse()
 			handler.ServeHTTP(response, request.WithContext(ctx))
-			s.enqueue(responseNumber, func() { done(response) })
+			h.enqueue(responseNumber, func() { done(response) })
 		}()
 	})
 	return func() {
 		if ctx.Err() == nil {
-			s.deliver(cancel)
+			h.deliver(cancel)
 		}
 	}
 }
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -40,14 +40,14 @@
 const firstConnection uint64 = 1 << 40
 
 // dial connects to the runner at an address. The error is syscall.ECONNREFUSED if there is no such runner or it is down.
-func (s *harness) dial(ctx context.Context, address string) (net.Conn, error) {
+func (h *harness) dial(ctx context.Context, address string) (net.Conn, error) {
 	const handshakeDelay = 100 * time.Microsecond
-	conn := &runnerConn{harness: s, request: s.nextConnection(), incoming: make(chan []byte, 1),
+	conn := &runnerConn{harness: h, request: h.nextConnection(), incoming: make(chan []byte, 1),
 		reset: make(chan struct{}), closed: make(chan struct{}), expired: make(chan struct{})}
 	connected := make(chan error, 1)
-	s.enqueue(conn.request, func() {
-		s.machine.After(handshakeDelay, func() {
-			s.deliver(func() { connected <- conn.connect(s.cluster.runnerAt(address)) })
+	h.enqueue(conn.request, func() {
+		h.machine.After(handshakeDelay, func() {
+			h.deliver(func() { connected <- conn.connect(h.cluster.runnerAt(address)) })
 		})
 	})
 	select {
@@ -62,11 +62,11 @@
 }
 
 // nextConnection returns the request number of a new connection.
-func (s *harness) nextConnection() uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.connections++
-	return firstConnection + s.connections
+func (h *harness) nextConnection() uint64 {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.connections++
+	return firstConnection + h.connections
 }
 
 // connect connects to a runner, which may be nil. Only the world's goroutine may call it.
--- a/internal/fixturetest/fields.go
+++ b/internal/fixturetest/fields.go
@@ -8,29 +8,32 @@
 	"strconv"
 )
 
-// Field is one scalar field of a value: its path, with the present names, and its value.
+// Field is one scalar field of a value: its path, which consists of the current Go names, and its value as text.
 type Field struct {
 	Path  string
 	Value string
 }
 
-// String returns the field as a line of a fixture.
+// String returns the field in the form of a line of a fixture.
 func (f Field) String() string { return f.Path + " = " + f.Value }
 
-// Fields lists the exported scalar fields of value, nested ones included, in the order of their declaration. Fields that are zero or empty are
-// left out, since what was added to a type later is zero in what was written before.
+// Fields lists the exported scalar fields of value, nested ones included, in the order of their declaration. It leaves out
+// fields that are zero or empty: a field that was added to a type later is zero in data that was written before, and must
+// not appear as a difference.
 func Fields(value any) []Field {
 	var l lister
 	l.add("", reflect.ValueOf(value))
 	return l.fields
 }
 
+// lister collects fields.
 type lister struct{ fields []Field }
 
 func (l *lister) put(path, value string) {
 	l.fields = append(l.fields, Field{Path: path, Value: value})
 }
 
+// add adds the scalar fields within v, whose path is path, unless v is zero.
 func (l *lister) add(path string, v reflect.Value) {
 	if !v.IsValid() || v.IsZero() {
 		return
@@ -41,7 +44,7 @@
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				l.add(join(path, v.Type().Field(i).Name), v.Field(i))
+				l.add(joinPath(path, v.Type().Field(i).Name), v.Field(i))
 			}
 		}
 	case reflect.Slice, reflect.Array:
@@ -50,20 +53,21 @@
 			return
 		}
 		for i := range v.Len() {
-			l.element(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			l.addElement(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map:
 		for _, key := range sortedKeys(v) {
-			l.element(fmt.Sprintf("%s[%v]", path, key), key)
-			l.element(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key))
+			l.addElement(fmt.Sprintf("%s[%v]", path, key), key)
+			l.addElement(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key))
 		}
 	default:
 		l.put(path, scalar(v))
 	}
 }
 
-// element adds an element of a list or a map. A zero element is listed too, so that their number shows.
-func (l *lister) element(path string, v reflect.Value) {
+// addElement adds an element of a list or a map. Unlike add it lists an element that is zero too, so that lists of different
+// lengths differ.
+func (l *lister) addElement(path string, v reflect.Value) {
 	before := len(l.fields)
 	l.add(path, v)
 	if len(l.fields) == before {
@@ -71,13 +75,15 @@
 	}
 }
 
-func join(path, name string) string {
+// joinPath appends the name of a field to the path of its struct.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
+// bytesOf returns the bytes of a slice or an array of bytes.
 func bytesOf(v reflect.Value) []byte {
 	bytes := make([]byte, v.Len())
 	for i := range bytes {
@@ -86,14 +92,15 @@
 	return bytes
 }
 
+// sortedKeys returns the keys of a map in the order of their texts, so that the order of Fields is always the same.
 func sortedKeys(v reflect.Value) []reflect.Value {
 	keys := v.MapKeys()
 	slices.SortFunc(keys, func(a, b reflect.Value) int { return cmp.Compare(scalar(a), scalar(b)) })
 	return keys
 }
 
-// scalar returns a single value's text. It asks for the kind alone: a type with a String method of its own may change
-// what that says.
+// scalar returns the text of a scalar value. It formats the value by its kind alone and never calls a String method, whose
+// result a later version of the type may change.
 func scalar(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -107,6 +114,6 @@
 	case reflect.String:
 		return strconv.Quote(v.String())
 	default:
-		panic(fmt.Sprintf("fixturetest: a %s cannot be listed", v.Type()))
+		panic(fmt.Sprintf("fixturetest: Fields does not support type %s", v.Type()))
 	}
 }
--- a/internal/fixturetest/fill.go
+++ b/internal/fixturetest/fill.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	elements   = 2    // of each list and map
-	smallest   = 1000 // first number that is filled in, where the type can represent it
-	bytesRange = 255  // numbers that a byte has but 0
+	elementsPerList = 2    // number of elements of each slice and map
+	firstNumber     = 1000 // integers of more than 8 bits are greater than this
+	byteValues      = 255  // number of values of a byte other than 0
 )
 
-// Fill sets every exported field of what pointer points to, nested ones included, to a value that is not zero. The
-// values are distinct, but for those of bool and of a byte, which come again.
+// Fill sets every exported field of the value that pointer points to, nested ones included, to a value that is not zero. The
+// values are distinct, except that those of bools are all true and those of bytes repeat.
 func Fill(pointer any) {
 	var f filler
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
+// filler fills values and counts the values that it has set.
 type filler struct{ count int }
 
 func (f *filler) next() int {
@@ -41,7 +42,7 @@
 			v.SetBytes(fmt.Appendf(nil, "data %d", f.next()))
 			return
 		}
-		v.Set(reflect.MakeSlice(v.Type(), elements, elements))
+		v.Set(reflect.MakeSlice(v.Type(), elementsPerList, elementsPerList))
 		f.each(v)
 	case reflect.Array:
 		f.each(v)
@@ -60,7 +61,7 @@
 
 func (f *filler) fillMap(v reflect.Value) {
 	v.Set(reflect.MakeMap(v.Type()))
-	for range elements {
+	for range elementsPerList {
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 		f.fill(key)
 		f.fill(value)
@@ -73,16 +74,16 @@
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int8, reflect.Uint8:
-		number := 1 + f.next()%bytesRange
+		number := 1 + f.next()%byteValues
 		v.Set(reflect.ValueOf(number).Convert(v.Type()))
 	case reflect.Int, reflect.Int16, reflect.Int32, reflect.Int64,
 		reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.Set(reflect.ValueOf(smallest + f.next()).Convert(v.Type()))
+		v.Set(reflect.ValueOf(firstNumber + f.next()).Convert(v.Type()))
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(f.next()) + 0.5)
 	case reflect.String:
 		v.SetString(fmt.Sprintf("text %d", f.next()))
 	default:
-		panic(fmt.Sprintf("fixturetest: a %s cannot be filled", v.Type()))
+		panic(fmt.Sprintf("fixturetest: Fill does not support type %s", v.Type()))
 	}
 }
--- a/internal/fixturetest/fixturetest.go
+++ b/internal/fixturetest/fixturetest.go
@@ -1,14 +1,14 @@
-// Package fixturetest helps tests to read what an earlier version of the program has written. A fixture is a file under
-// testdata: the bytes that the earlier version wrote, and the fields that the written value had. The test decodes the bytes
-// with the present types and compares field by field.
+// Package fixturetest helps tests to check that the program still reads data that an earlier version has written. A
+// fixture is a file under testdata. It contains the bytes that the earlier version wrote and the fields of the value that
+// it encoded. The test decodes the bytes with the current types and compares the values field by field.
 //
-// Gob matches fields by their names and passes over those that it does not find, without an error: a field that is
-// renamed without keeping its encoded name arrives as zero. So fields are compared by their order and values, never by
-// their names. A rename that keeps the encoded form passes, one that does not fails.
+// Gob matches fields by their names and skips unknown names without an error. Therefore a field that is renamed without
+// keeping its encoded name is zero after decoding. The test compares fields by their order and values, never by their
+// names: a rename that keeps the encoded form passes, and one that changes it fails.
 //
-// The fixtures come from commit c9b2399. They must never be rewritten to get a test to pass after a rename: what they
-// hold is on disks and on its way between processes of that version. The flag -write-missing-fixtures writes those that
-// are not there, for new kinds of data, and leaves all others alone.
+// The fixtures were written by commit c9b2399. They must never be rewritten to make a test pass after a rename, because
+// data of that form is on disks and is sent between processes of that version. The flag -write-missing-fixtures writes
+// only the fixtures whose files don't exist, which new kinds of data need.
 package fixturetest
 
 import (
@@ -23,28 +23,28 @@
 	"testing"
 )
 
-var writeMissing = flag.Bool("write-missing-fixtures", false, "write the fixtures that are not there, see package fixturetest")
+var writeMissing = flag.Bool("write-missing-fixtures", false, "write the fixtures whose files do not exist, see package fixturetest")
 
 const (
 	folder      = "testdata"
 	extension   = ".fixture"
-	bytesPerRow = 60 // bytes
+	bytesPerRow = 60 // data bytes on each line of hexadecimal digits
 )
 
-// Codec writes and reads one kind of data.
+// Codec encodes and decodes one kind of data.
 type Codec struct {
-	// Encode returns the value to be kept as a fixture, with all fields set, and its encoded form. It is compared with the
-	// fixture as well: an earlier program must find the names of all fields that it knows.
+	// Encode returns a value with all fields set, and its encoded form. Both are written to a missing fixture. The encoded form
+	// is also compared with an existing fixture: an earlier program must find the names of all fields that it knows.
 	Encode func() (value any, data []byte, err error)
-	// Decode returns what the encoded form holds, as a value with the same fields in the same order.
+	// Decode returns the decoded value, which must have the same fields in the same order as the value that Encode returns.
 	Decode func(data []byte) (any, error)
 }
 
-// Path returns the path of the fixture of that name, below the folder of the package under test.
+// Path returns the path of the fixture with that name, relative to the folder of the package under test.
 func Path(name string) string { return filepath.Join(folder, name+extension) }
 
-// Check decodes the fixture of that name and compares all its fields with what was written. It also encodes the value
-// again: what is written today must have all gob fields that the fixture has.
+// Check decodes the fixture with that name and compares the fields of the decoded value with those listed in the fixture. It
+// also calls Encode and checks that the encoded form contains all gob fields of the fixture.
 func Check(tb testing.TB, name string, codec Codec) {
 	tb.Helper()
 	text, err := os.ReadFile(Path(name))
@@ -62,25 +62,26 @@
 	}
 	value, err := codec.Decode(data)
 	if err != nil {
-		tb.Errorf("fixture %s cannot be decoded any more: %v", name, err)
+		tb.Errorf("fixture %s: decode: %v", name, err)
 		return
 	}
-	if said := difference(expected, Fields(value)); said != "" {
-		tb.Errorf("fixture %s is decoded to something else than was written:\n%s", name, said)
+	if differences := difference(expected, Fields(value)); differences != "" {
+		tb.Errorf("fixture %s: the decoded fields differ from the written ones:\n%s", name, differences)
 	}
 	_, present, err := codec.Encode()
 	if err != nil {
-		tb.Errorf("fixture %s cannot be encoded any more: %v", name, err)
+		tb.Errorf("fixture %s: encode the value again: %v", name, err)
 		return
 	}
 	if missing := missingNames(data, present); len(missing) > 0 {
-		tb.Errorf("fixture %s has fields that are not written any more, and that an earlier program would miss: %v", name, missing)
+		tb.Errorf("fixture %s has gob fields that are no longer written, so that an earlier program would read zero for them: %v", name, missing)
 	}
 }
 
-// WriteMissing reports whether fixtures that are not there are to be written.
+// WriteMissing reports whether the flag -write-missing-fixtures is set.
 func WriteMissing() bool { return *writeMissing }
 
+// write writes a new fixture and returns its text.
 func write(name string, codec Codec) ([]byte, error) {
 	value, data, err := codec.Encode()
 	if err != nil {
@@ -93,7 +94,7 @@
 	return text, os.WriteFile(Path(name), text, 0o644)
 }
 
-// format returns a fixture's text: the data in hexadecimal, an empty line, the fields.
+// format returns the text of a fixture: the data as lines of hexadecimal digits, an empty line, and one line per field.
 func format(data []byte, fields []Field) []byte {
 	var text strings.Builder
 	for len(data) > 0 {
@@ -108,13 +109,14 @@
 	return []byte(text.String())
 }
 
+// parse returns the data and the fields of a fixture's text.
 func parse(text string) (data []byte, fields []Field, err error) {
 	encoded, listed, found := strings.Cut(text, "\n\n")
-	if strings.HasPrefix(text, "\n") { // nothing is encoded
+	if strings.HasPrefix(text, "\n") { // there is no data
 		encoded, listed, found = "", text[1:], true
 	}
 	if !found {
-		return nil, nil, errors.New("has no blank row between data and fields")
+		return nil, nil, errors.New("no empty line between the data and the fields")
 	}
 	if data, err = hex.DecodeString(strings.ReplaceAll(encoded, "\n", "")); err != nil {
 		return nil, nil, err
@@ -122,27 +124,28 @@
 	for line := range strings.Lines(listed) {
 		path, value, found := strings.Cut(strings.TrimSuffix(line, "\n"), " = ")
 		if !found {
-			return nil, nil, fmt.Errorf("no field: %q", line)
+			return nil, nil, fmt.Errorf("line %q is not of the form PATH = VALUE", line)
 		}
 		fields = append(fields, Field{Path: path, Value: value})
 	}
 	return data, fields, nil
 }
 
-// difference describes what was written and is not read, and the reverse; it is empty for the same values in the same order.
+// difference describes the fields that were written and not read, and those that were read and not written. It is empty if
+// both lists have the same values in the same order. Paths are not compared.
 func difference(expected, actual []Field) string {
 	common := longestCommonSubsequence(expected, actual)
 	if len(common) == len(expected) && len(common) == len(actual) {
 		return ""
 	}
-	var said strings.Builder
+	var differences strings.Builder
 	i, j := 0, 0
 	describe := func(untilI, untilJ int) {
 		for ; i < untilI; i++ {
-			fmt.Fprintf(&said, "  written, not read: %s\n", expected[i])
+			fmt.Fprintf(&differences, "  written, not read: %s\n", expected[i])
 		}
 		for ; j < untilJ; j++ {
-			fmt.Fprintf(&said, "  read, not written: %s\n", actual[j])
+			fmt.Fprintf(&differences, "  read, not written: %s\n", actual[j])
 		}
 	}
 	for _, pair := range common {
@@ -150,12 +153,13 @@
 		i, j = pair[0]+1, pair[1]+1
 	}
 	describe(len(expected), len(actual))
-	return said.String()
+	return differences.String()
 }
 
-// longestCommonSubsequence returns the longest list of positions at which both have the same values in the same order.
+// longestCommonSubsequence returns the longest common subsequence of the fields' values, as pairs of an index in a and one
+// in b.
 func longestCommonSubsequence(a, b []Field) [][2]int {
-	lengths := make([][]int, len(a)+1)
+	lengths := make([][]int, len(a)+1) // lengths[i][j] is the length for a[i:] and b[j:]
 	for i := range lengths {
 		lengths[i] = make([]int, len(b)+1)
 	}
--- a/internal/fixturetest/fixturetest_test.go
+++ b/internal/fixturetest/fixturetest_test.go
@@ -25,7 +25,8 @@
 	hidden  int
 }
 
-// renamed is sample with Flag and a field of its elements under other names, and a field that sample has not.
+// renamed differs from sample in three ways: the field Flag has another name, the type of Pointer has a renamed field, and
+// there is an added field.
 type renamed struct {
 	Number  int64
 	Marked  bool
@@ -42,13 +43,14 @@
 	Bytes []byte
 }
 
-// Exported, Values and Alone are types whose names gob describes beside those of their fields.
+// Exported, Values and Alone are types whose names are part of their gob descriptions, as the names of their fields are.
 type (
 	Exported struct{ Value Values }
 	Values   []Alone
 	Alone    struct{ Only map[string]Exported }
 )
 
+// filled returns a sample with all exported fields set.
 func filled() *sample {
 	value := &sample{}
 	Fill(value)
@@ -77,7 +79,7 @@
 	}, paths)
 }
 
-func TestFieldsCountsElementsThatAreZero(t *testing.T) {
+func TestFieldsListsZeroElements(t *testing.T) {
 	assert.Equal(t, []Field{{"[0]", "1"}, {"[1]", "zero"}}, Fields([]int{1, 0}))
 	assert.Empty(t, Fields(&sample{}))
 	assert.Empty(t, Fields(nil))
@@ -97,7 +99,7 @@
 	var data bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&data).Encode(filled()))
 	var read renamed
-	require.NoError(t, gob.NewDecoder(&data).Decode(&read), "gob says nothing of fields that it does not find")
+	require.NoError(t, gob.NewDecoder(&data).Decode(&read), "gob skips unknown fields without an error")
 	assert.Equal(t, "  written, not read: Flag = true\n  written, not read: Pointer.Text = \"text 6\"\n",
 		difference(Fields(filled()), Fields(&read)))
 }
@@ -114,7 +116,7 @@
 	assert.Empty(t, missingNames(earlier.Bytes(), earlier.Bytes()))
 }
 
-func TestNamesOfTypesAreNoNamesOfFields(t *testing.T) {
+func TestTypeNamesAreNotReportedAsFieldNames(t *testing.T) {
 	var data bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&data).Encode(Exported{}))
 	assert.ElementsMatch(t, []string{"Value", "Only"}, fieldNames(data.Bytes()))
--- a/internal/fixturetest/names.go
+++ b/internal/fixturetest/names.go
@@ -6,27 +6,29 @@
 	"unicode/utf8"
 )
 
-// missingNames returns the names of gob fields that earlier has and present has not as often. An earlier program that reads
-// what the present one writes would miss them, without an error.
+// missingNames returns the names of gob fields that occur more often in earlier than in present. An earlier program that
+// reads the present data would leave these fields zero, without an error.
 func missingNames(earlier, present []byte) []string {
-	left := map[string]int{}
+	remaining := map[string]int{}
 	for _, name := range fieldNames(present) {
-		left[name]++
+		remaining[name]++
 	}
 	var missing []string
 	for _, name := range fieldNames(earlier) {
-		left[name]--
-		if left[name] < 0 && !slices.Contains(missing, name) {
+		remaining[name]--
+		if remaining[name] < 0 && !slices.Contains(missing, name) {
 			missing = append(missing, name)
 		}
 	}
 	return missing
 }
 
-// fieldNames returns the names of fields that gob descriptions of types within data have. A field is described by the
-// number 1, the length of its name, the name, the number 1 and the number of its type. So is a type, whose name gob does
-// not look at, behind two more numbers. The texts that Fill sets are no names; what else happens to look like one does no
-// harm as long as it stays the same.
+// fieldNames returns the names of the fields in the gob type descriptions within data, by searching for their encoded form:
+//   - A field is the number 1, the length of its name, the name, the number 1 and the number of its type.
+//   - A type has the same form with two more numbers before it (see isTypeName). Types are left out, because gob matches no
+//     types by their names.
+//   - The texts that Fill sets are not found, because they are no exported identifiers. Other bytes that look like a field
+//     do no harm as long as both encoded forms contain them.
 func fieldNames(data []byte) []string {
 	var names []string
 	for at := 1; at < len(data); at++ {
@@ -41,7 +43,8 @@
 	return names
 }
 
-// isTypeName reports whether a name that follows data is that of a slice, a struct or a map.
+// isTypeName reports whether data ends with the start of the description of a slice, a struct or a map, so that the name
+// that follows is the name of a type.
 func isTypeName(data []byte) bool {
 	const slice, structure, mapping = 2, 3, 4
 	if len(data) < 3 || data[len(data)-2] != 1 {
--- a/internal/fixturetest/packages_test.go
+++ b/internal/fixturetest/packages_test.go
@@ -13,24 +13,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against data that is encoded with gob and that no fixture covers.
+// Guards against gob data that no fixture covers: a package that starts to encode with gob must have at least one fixture,
+// or a renamed field would lose data without a failing test.
 func TestEveryPackageThatEncodesWithGobHasFixtures(t *testing.T) {
-	users := map[string]bool{}
+	packages := map[string]bool{}
 	require.NoError(t, filepath.WalkDir(internalFolder(t), func(path string, _ fs.DirEntry, err error) error {
 		if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") && importsGob(t, path) {
-			users[filepath.Dir(path)] = true
+			packages[filepath.Dir(path)] = true
 		}
 		return err
 	}))
-	assert.NotEmpty(t, users)
-	for user := range users {
-		fixtures, err := filepath.Glob(filepath.Join(user, Path("*")))
+	assert.NotEmpty(t, packages)
+	for folder := range packages {
+		fixtures, err := filepath.Glob(filepath.Join(folder, Path("*")))
 		require.NoError(t, err)
-		assert.NotEmpty(t, fixtures, "%s has none", user)
+		assert.NotEmpty(t, fixtures, "%s encodes with gob and has no fixtures", folder)
 	}
 }
 
-// internalFolder returns the folder that has the module's packages.
+// internalFolder returns the path of the folder `internal` of the module.
 func internalFolder(t *testing.T) string {
 	t.Helper()
 	dir, err := os.Getwd()
@@ -42,11 +43,13 @@
 	return filepath.Join(dir, "internal")
 }
 
+// isFile reports whether path is a regular file.
 func isFile(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular()
 }
 
+// importsGob reports whether the Go file at path imports encoding/gob.
 func importsGob(t *testing.T, path string) bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
