--- a/bench/storebench/engines.go
+++ b/bench/storebench/engines.go
@@ -17,40 +17,41 @@
 	"ospreypond/internal/store"
 )
 
-// engine is a store under measurement, opened in a folder. put is durable when it returns.
+// engine is an open store under measurement. A record is durable when put returns.
 type engine interface {
 	put(key, value []byte) error
-	load(keys, values [][]byte) error // as fast as it goes; durable at close at the latest
-	get(key []byte) (int, error)      // the value's length
-	scan() (int, error)               // reads all keys
+	load(keys, values [][]byte) error // stores many records at once; they are durable after close at the latest
+	get(key []byte) (int, error)      // returns the value's length; 0 if there is no such key
+	scan() (int, error)               // reads all keys and returns their number
 	close() error
 }
 
-// engines open by name.
-var engines = map[string]func(dir string) (engine, error){"ospreypond": openOurs, "append": openAppended}
+// engines contains the function that opens each engine in a folder, by the engine's name.
+var engines = map[string]func(dir string) (engine, error){"ospreypond": openDurableStore, "append": openAppendFile}
 
-type ours struct {
+// durableStore is the engine of package store, with one space.
+type durableStore struct {
 	s  *store.Store
 	sp *store.Space
 }
 
-func openOurs(dir string) (engine, error) {
+func openDurableStore(dir string) (engine, error) {
 	s, err := store.Open(dir, store.Options{})
 	if err != nil {
 		return nil, err
 	}
 	sp, err := s.Space("bench", store.Retention{})
-	return ours{s, sp}, err
+	return durableStore{s, sp}, err
 }
 
-func (o ours) put(key, value []byte) error {
+func (o durableStore) put(key, value []byte) error {
 	var b store.Batch
 	b.Put(o.sp, key, value)
 	_, err := o.s.Commit(&b)
 	return err
 }
 
-func (o ours) load(keys, values [][]byte) error {
+func (o durableStore) load(keys, values [][]byte) error {
 	var b store.Batch
 	for i := range keys {
 		b.Put(o.sp, keys[i], values[i])
@@ -59,12 +60,12 @@
 	return err
 }
 
-func (o ours) get(key []byte) (int, error) {
+func (o durableStore) get(key []byte) (int, error) {
 	v, _, err := o.sp.Get(key)
 	return len(v), err
 }
 
-func (o ours) scan() (int, error) {
+func (o durableStore) scan() (int, error) {
 	snap := o.s.Snapshot()
 	defer snap.Close()
 	it := snap.Range(o.sp, nil, nil)
@@ -75,27 +76,27 @@
 	return n, it.Err()
 }
 
-func (o ours) close() error { return o.s.Close() }
+func (o durableStore) close() error { return o.s.Close() }
 
-// appended is the plainest store that keeps the promise: one file, each put appended and synced under one lock, and all of
-// it in memory, which opening reads the whole file for.
-type appended struct {
+// appendFile is the simplest durable store, as a baseline. Each put appends its record to one file and syncs it, under one
+// mutex. All records are also in memory; opening reads the whole file.
+type appendFile struct {
 	mu   sync.Mutex
 	file *os.File
 	all  map[string][]byte
 }
 
-const lengths = 8 // before each record: the key's and the value's, four bytes each
+const headerBytes = 8 // size in bytes of the header of a record: the lengths of key and value, four bytes each
 
-func openAppended(dir string) (engine, error) {
+func openAppendFile(dir string) (engine, error) {
 	f, err := os.OpenFile(filepath.Join(dir, "log"), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	a := &appended{file: f, all: map[string][]byte{}}
+	a := &appendFile{file: f, all: map[string][]byte{}}
 	in := bufio.NewReaderSize(f, 1<<20)
 	for {
-		var head [lengths]byte
+		var head [headerBytes]byte
 		if _, err := io.ReadFull(in, head[:]); errors.Is(err, io.EOF) {
 			return a, nil
 		} else if err != nil {
@@ -113,17 +114,18 @@
 	}
 }
 
+// record appends the encoded record to b.
 func record(b, key, value []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(key)))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(value)))
 	return append(append(b, key...), value...)
 }
 
-func (a *appended) put(key, value []byte) error {
+func (a *appendFile) put(key, value []byte) error {
 	return a.load([][]byte{key}, [][]byte{value})
 }
 
-func (a *appended) load(keys, values [][]byte) error {
+func (a *appendFile) load(keys, values [][]byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var b []byte
@@ -139,16 +141,16 @@
 	return unix.Fdatasync(int(a.file.Fd()))
 }
 
-func (a *appended) get(key []byte) (int, error) {
+func (a *appendFile) get(key []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(bytes.Clone(a.all[string(key)])), nil
 }
 
-func (a *appended) scan() (int, error) {
+func (a *appendFile) scan() (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(slices.Sorted(maps.Keys(a.all))), nil
 }
 
-func (a *appended) close() error { return a.file.Close() }
+func (a *appendFile) close() error { return a.file.Close() }
--- a/bench/storebench/main.go
+++ b/bench/storebench/main.go
@@ -1,7 +1,8 @@
-// Command storebench measures ospreypond's durable store beside the plainest one, a file that each commit is appended and
-// synced to, on the same work in one run; its earlier figures are in docs/ROADMAP.md. Each
-// figure is the median of several rounds in which the engines take turns; each engine's phase runs in a process of its
-// own, so that memory is its own too.
+// Command storebench compares ospreypond's durable store with a simple baseline: a file to which each commit is appended and
+// synced. Both engines do the same work in one run. Earlier figures are in docs/ROADMAP.md.
+//
+// Each figure is the median over several rounds, in which the order of the engines changes. Each phase of an engine runs in
+// a process of its own, so that the measured memory is that of this phase only.
 package main
 
 import (
@@ -18,15 +19,17 @@
 	"github.com/spf13/cobra"
 )
 
-var names = []string{"ospreypond", "append"}
+// engineNames are the names of the engines, in the order of the printed columns.
+var engineNames = []string{"ospreypond", "append"}
 
+// config holds the values of the command's flags.
 type config struct {
-	Records int
-	Small   int
-	Seconds float64
+	Records int     // records in the large store
+	Small   int     // records in the small store
+	Seconds float64 // duration of each measurement of commits
 	Rounds  int
-	Dir     string
-	JSON    string
+	Dir     string // parent of the stores' folders; empty: the system's temporary folder
+	JSON    string // file for all figures; empty: none
 }
 
 func main() {
@@ -35,35 +38,37 @@
 	}
 }
 
+// command returns the command with its flags, and the hidden command that runs one phase.
 func command() *cobra.Command {
 	c := config{Records: 1_000_000, Small: 100_000, Seconds: 2, Rounds: 3}
-	root := &cobra.Command{Use: "storebench", Short: "Measure the durable store beside plain appending", Args: cobra.NoArgs,
+	root := &cobra.Command{Use: "storebench", Short: "Compare the durable store with plain appending to a file", Args: cobra.NoArgs,
 		SilenceUsage: true, RunE: func(*cobra.Command, []string) error { return run(c) }}
 	f := root.Flags()
 	f.IntVar(&c.Records, "records", c.Records, "records in the large store")
 	f.IntVar(&c.Small, "small", c.Small, "records in the small store")
-	f.Float64Var(&c.Seconds, "seconds", c.Seconds, "how long each measurement of commits takes")
-	f.IntVar(&c.Rounds, "rounds", c.Rounds, "rounds; figures are medians over them")
-	f.StringVar(&c.Dir, "dir", "", "a `folder` on the disk to measure; a temporary one by default")
+	f.Float64Var(&c.Seconds, "seconds", c.Seconds, "duration of each measurement of commits, in seconds")
+	f.IntVar(&c.Rounds, "rounds", c.Rounds, "number of rounds; the printed figures are medians over the rounds")
+	f.StringVar(&c.Dir, "dir", "", "`folder` on the disk to measure; by default the system's folder for temporary files")
 	f.StringVar(&c.JSON, "json", "", "write all figures to this `file`")
 	root.AddCommand(&cobra.Command{Use: "phase ENGINE PHASE DIR ARGS", Hidden: true, Args: cobra.ExactArgs(4),
-		RunE: func(_ *cobra.Command, args []string) error { return child(args) }})
+		RunE: func(_ *cobra.Command, args []string) error { return runPhase(args) }})
 	return root
 }
 
-// phaseArgs is what a phase's process is told.
+// phaseArgs are the arguments of a phase, which its process receives as JSON.
 type phaseArgs struct {
-	Records int
-	Writers int
-	Keys    uint64
-	Seconds float64
+	Records int     // in the store; of the phases fill and open
+	Writers int     // that commit concurrently; of the phase commits
+	Keys    uint64  // number of keys that the commits overwrite; 0: each commit puts a new key
+	Seconds float64 // duration of the phase commits
 }
 
-// child runs one phase and prints its figures.
-func child(args []string) error {
+// runPhase runs one phase in this process and prints its figures as JSON. args are the engine, the phase, the folder of the
+// store, and the JSON of the phaseArgs.
+func runPhase(args []string) error {
 	open := engines[args[0]]
 	if open == nil {
-		return fmt.Errorf("no engine %q", args[0])
+		return fmt.Errorf("unknown engine %q", args[0])
 	}
 	var a phaseArgs
 	if err := json.Unmarshal([]byte(args[3]), &a); err != nil {
@@ -77,17 +82,17 @@
 		if e, err = open(args[2]); err != nil {
 			return err
 		}
-		f, err = commits(e, a.Writers, a.Keys, time.Duration(a.Seconds*float64(time.Second)))
+		f, err = measureCommitRate(e, a.Writers, a.Keys, time.Duration(a.Seconds*float64(time.Second)))
 		err = errors.Join(err, e.close())
 		if err == nil {
 			f["disk_mb"] = diskBytes(args[2]) / 1e6
 		}
 	case "fill":
-		f, err = filling(open, args[2], a.Records)
+		f, err = measureFill(open, args[2], a.Records)
 	case "open":
-		f, err = opening(open, args[2], a.Records)
+		f, err = measureOpen(open, args[2], a.Records)
 	default:
-		return fmt.Errorf("no phase %q", args[1])
+		return fmt.Errorf("unknown phase %q", args[1])
 	}
 	if err != nil {
 		return err
@@ -95,7 +100,8 @@
 	return json.NewEncoder(os.Stdout).Encode(f)
 }
 
-func phase(name, what, dir string, a phaseArgs) (figures, error) {
+// startPhase runs a phase of an engine in a new process and returns its figures.
+func startPhase(engine, phase, dir string, a phaseArgs) (figures, error) {
 	text, err := json.Marshal(a)
 	if err != nil {
 		return nil, err
@@ -104,19 +110,21 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.CommandContext(context.Background(), self, "phase", name, what, dir, string(text))
+	cmd := exec.CommandContext(context.Background(), self, "phase", engine, phase, dir, string(text))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return nil, fmt.Errorf("%s, %s: %w", name, what, err)
+		return nil, fmt.Errorf("engine %s, phase %s: %w", engine, phase, err)
 	}
 	var f figures
 	return f, json.Unmarshal(out, &f)
 }
 
-// results are all figures: by what was measured, then by engine, one a round.
+// results are all figures. The first key names the measurement and the figure, the second one the engine; the list has one
+// value per round.
 type results map[string]map[string][]float64
 
+// add adds the figures of one phase, with names that begin with prefix.
 func (r results) add(prefix, engine string, f figures) {
 	for k, v := range f {
 		k = prefix + " " + k
@@ -127,6 +135,7 @@
 	}
 }
 
+// median returns the median of v, of an even number of values the greater one in the middle, and 0 if there are none.
 func median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -135,10 +144,10 @@
 	return v[len(v)/2]
 }
 
-// overwrittenKeys is how many keys the commits of an overwriting measurement share.
+// overwrittenKeys is the number of different keys that the commits of an overwriting measurement put.
 const overwrittenKeys = 20_000
 
-// run measures all engines, in an order that changes from round to round, and prints the medians.
+// run measures all engines in every round, in an order that rotates from round to round, and prints the medians.
 func run(c config) (err error) {
 	base, err := os.MkdirTemp(c.Dir, "storebench")
 	if err != nil {
@@ -147,7 +156,7 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(base)) }()
 	all := results{}
 	for round := range c.Rounds {
-		order := slices.Concat(names[round%len(names):], names[:round%len(names)])
+		order := slices.Concat(engineNames[round%len(engineNames):], engineNames[:round%len(engineNames)])
 		if err := measureCommits(all, order, base, c.Seconds); err != nil {
 			return err
 		}
@@ -167,17 +176,18 @@
 	return os.WriteFile(c.JSON, text, 0o644)
 }
 
-// measureCommits measures commits of new keys and of keys that are there, by the number of writers.
+// measureCommits measures the rate and latency of commits for several numbers of concurrent writers, once with new keys and
+// once with overwrittenKeys keys.
 func measureCommits(all results, engines []string, base string, seconds float64) error {
 	for _, writers := range []int{1, 8, 64} {
 		for _, keys := range []uint64{0, overwrittenKeys} {
-			what := fmt.Sprintf("commits, %2d writers", writers)
+			label := fmt.Sprintf("commits, %2d writers", writers)
 			if keys > 0 {
-				what = fmt.Sprintf("overwriting, %2d writers", writers)
+				label = fmt.Sprintf("overwriting, %2d writers", writers)
 			}
 			for _, name := range engines {
 				arguments := phaseArgs{Writers: writers, Keys: keys, Seconds: seconds}
-				if err := measure(all, what, name, "commits", base, arguments, nil); err != nil {
+				if err := measure(all, label, name, "commits", base, arguments, nil); err != nil {
 					return err
 				}
 			}
@@ -186,18 +196,18 @@
 	return nil
 }
 
-// measureFilling measures how long stores of these sizes take to be filled, and to be opened again.
+// measureFilling measures how long it takes to fill stores with these numbers of records, and to open them again.
 func measureFilling(all results, engines []string, base string, sizes []int) error {
 	for _, records := range sizes {
-		what := fmt.Sprintf("%d records", records)
+		label := fmt.Sprintf("%d records", records)
 		arguments := phaseArgs{Records: records}
 		for _, name := range engines {
 			open := func(dir string) error {
-				f, err := phase(name, "open", dir, arguments)
-				all.add(what, name, f)
+				f, err := startPhase(name, "open", dir, arguments)
+				all.add(label, name, f)
 				return err
 			}
-			if err := measure(all, what, name, "fill", base, arguments, open); err != nil {
+			if err := measure(all, label, name, "fill", base, arguments, open); err != nil {
 				return err
 			}
 		}
@@ -205,33 +215,35 @@
 	return nil
 }
 
-// measure runs one phase of an engine in a new folder, and then, if it is given, what goes on there.
-func measure(all results, what, name, ph, base string, a phaseArgs, then func(dir string) error) (err error) {
+// measure runs one phase of an engine in a new folder and adds its figures. Then it calls then with the folder, unless then
+// is nil, and removes the folder.
+func measure(all results, label, name, phase, base string, a phaseArgs, then func(dir string) error) (err error) {
 	dir, err := os.MkdirTemp(base, "store")
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	f, err := phase(name, ph, dir, a)
+	f, err := startPhase(name, phase, dir, a)
 	if err != nil {
 		return err
 	}
-	all.add(what, name, f)
+	all.add(label, name, f)
 	if then != nil {
 		return then(dir)
 	}
 	return nil
 }
 
+// print prints a table of the medians, with a line per figure and a column per engine.
 func print(all results) {
 	fmt.Printf("%-44s", "median")
-	for _, n := range names {
+	for _, n := range engineNames {
 		fmt.Printf("%14s", n)
 	}
 	fmt.Println()
 	for _, k := range slices.Sorted(maps.Keys(all)) {
 		fmt.Printf("%-44s", k)
-		for _, n := range names {
+		for _, n := range engineNames {
 			if v := all[k][n]; len(v) > 0 {
 				fmt.Printf("%14.4g", median(v))
 			} else {
--- a/bench/storebench/phases.go
+++ b/bench/storebench/phases.go
@@ -18,15 +18,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// figures are what one phase measured, by name.
+// figures are the measured values of one phase, by name. The names contain the unit.
 type figures map[string]float64
 
 const (
-	valueSize = 200
-	keySize   = 16
+	valueSize = 200 // bytes
+	keySize   = 16  // bytes
 )
 
-// key returns the key of record n: the same for all engines, and in no order.
+// key returns the key of record n, which is the same for all engines. It begins with a hash of n, so that the keys of
+// consecutive records are in no order.
 func key(n uint64) []byte {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], n)
@@ -34,6 +35,7 @@
 	return binary.BigEndian.AppendUint64(k, n)
 }
 
+// value returns a random value.
 func value(rnd *rand.Rand) []byte {
 	b := make([]byte, valueSize)
 	for i := 0; i < valueSize; i += 8 {
@@ -42,8 +44,9 @@
 	return b
 }
 
-// commits has writers put records one by one, each durable, for a time. With keys over 0 they overwrite that many.
-func commits(e engine, writers int, keys uint64, for_ time.Duration) (figures, error) {
+// measureCommitRate measures how fast concurrent writers put records, one durable commit per record, for a duration. If keys
+// is 0, each commit puts a new key; otherwise the commits put random ones of that many keys.
+func measureCommitRate(e engine, writers int, keys uint64, duration time.Duration) (figures, error) {
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, int64(time.Minute), 3)
 	var failed error
@@ -54,7 +57,7 @@
 			rnd := rand.New(rand.NewPCG(uint64(w), 5))
 			own := hdrhistogram.New(1, int64(time.Minute), 3)
 			var err error
-			for n := uint64(w) << 40; err == nil && time.Since(began) < for_; n++ {
+			for n := uint64(w) << 40; err == nil && time.Since(began) < duration; n++ {
 				k := n
 				if keys > 0 {
 					k = rnd.Uint64N(keys)
@@ -77,6 +80,7 @@
 		"p99_us": float64(all.ValueAtQuantile(99)) / 1e3, "max_us": float64(all.Max()) / 1e3}, failed
 }
 
+// load stores that many records in batches.
 func load(e engine, records int) error {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	const batch = 5000
@@ -92,6 +96,8 @@
 	return nil
 }
 
+// heap returns the size of the live heap in bytes. It collects garbage twice, because objects with finalizers and the objects
+// of a sync.Pool survive the first collection.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -100,7 +106,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// resident is the process's resident memory, bytes.
+// resident returns the resident memory of the process in bytes, or 0 if it can't be read.
 func resident() float64 {
 	b, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -115,6 +121,7 @@
 	return 0
 }
 
+// diskBytes returns the total size of the files in a folder, in bytes.
 func diskBytes(dir string) float64 {
 	var n int64
 	_ = filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
@@ -128,8 +135,9 @@
 	return float64(n)
 }
 
-// filling loads records and tells what they take.
-func filling(open func(string) (engine, error), dir string, records int) (figures, error) {
+// measureFill measures the time to load records into a new store and to close it, and the memory and disk space that the
+// records take.
+func measureFill(open func(string) (engine, error), dir string, records int) (figures, error) {
 	before := heap()
 	e, err := open(dir)
 	if err != nil {
@@ -150,8 +158,8 @@
 	return f, nil
 }
 
-// opening opens a filled store and reads.
-func opening(open func(string) (engine, error), dir string, records int) (figures, error) {
+// measureOpen measures the time to open a filled store and to read from it, and the memory that this takes.
+func measureOpen(open func(string) (engine, error), dir string, records int) (figures, error) {
 	before := heap()
 	at := time.Now()
 	e, err := open(dir)
@@ -168,7 +176,7 @@
 	at = time.Now()
 	n, err := e.scan()
 	if err != nil || n != records {
-		return nil, fmt.Errorf("%d keys instead of %d: %w", n, records, err)
+		return nil, fmt.Errorf("scan: %d keys instead of %d: %w", n, records, err)
 	}
 	f["scan_keys_ms"] = time.Since(at).Seconds() * 1e3
 	const gets = 100_000
@@ -176,7 +184,7 @@
 	at = time.Now()
 	for range gets {
 		if n, err := e.get(key(rnd.Uint64N(uint64(records)))); err != nil || n != valueSize {
-			return nil, fmt.Errorf("value of %d bytes: %w", n, err)
+			return nil, fmt.Errorf("get: value of %d bytes: %w", n, err)
 		}
 	}
 	f["get_us"] = time.Since(at).Seconds() * 1e6 / gets
