--- a/bench/storebench/phases.go
+++ b/bench/storebench/phases.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// heap returns the size of the live heap in bytes. It collects garbage twice, because objects with finalizers and the objects
-// of a sync.Pool survive the first collection.
+// heap returns the size of the live heap in bytes. It collects garbage twice, because objects with finalizers and the
+// objects of a sync.Pool survive the first collection.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -110,7 +110,8 @@
 }
 
 // bootstrap returns the addresses of the initial members if a machine is one of them and starts for the first time, and
-// otherwise nil: a machine that was added later, or that lost its disk, joins the existing groups through its peers.
+// otherwise nil: a restarted process knows its groups' members from its disk, and a machine that was added later or lost its
+// disk joins the existing groups through its peers.
 func (c *Cluster) bootstrap(m *simulation.Machine) []string {
 	if m.Incarnation() > 1 || !c.isInitialMember(m) {
 		return nil
--- a/internal/cluster/simulation/cluster/harness.go
+++ b/internal/cluster/simulation/cluster/harness.go
@@ -13,7 +13,7 @@
 )
 
 // harness runs one incarnation of a shipped process with all its goroutines, and connects it to the simulated world: the
-// process reads the world's clock, and its messages, calls and requests pass through the world.
+// process reads the virtual clock of its machine, and its messages, calls and requests pass through the world.
 //
 // Two kinds of goroutines run in the same testing/synctest bubble. The world's goroutine executes the events of the
 // simulation, one at a time. The process's goroutines are concurrent, but they run only while the world's goroutine waits
