--- a/internal/cluster/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -105,7 +105,7 @@
 		})
 	}
 
-	It("serve urgent jobs of a service that is overloaded because all its runners but one crashed permanently", func() {
+	It("serve urgent jobs of a service with several times the load it can carry, after all its runners but one crashed permanently", func() {
 		size := simulation.SmallSize()
 		size.Services[0].Capacity = protocol.Resources{CPU: 3000, MemoryMB: 32768}
 		size.Services[0].Sizes = []float64{1}
--- a/internal/cluster/simulation/cluster/history_model_test.go
+++ b/internal/cluster/simulation/cluster/history_model_test.go
@@ -122,8 +122,8 @@
 
 // jobHistory returns the calls of clients about one job for the checker. It leaves out:
 //   - calls that were rejected with certainty, because they have no effect;
-//   - of the submissions and of the cancels of unknown outcome, all but the first of each kind, because the first may take
-//     effect at any later time and a second one has no effect of its own;
+//   - submissions and cancels of unknown outcome, except the first of each kind: the first may take effect at any later
+//     time, and a second one has no effect of its own;
 //   - queries of unknown outcome, because a query has no effect.
 func jobHistory(job *simulation.JobRecord) []porcupine.Operation {
 	isSuccess := func(status int) bool { return status/100 == 2 }
@@ -154,7 +154,7 @@
 	return history
 }
 
-// isIndeterminate reports whether a status leaves open whether the call had an effect. Status 0 means that the connection
+// isIndeterminate reports whether a status leaves open whether the call had an effect. Status 0 means that the call
 // ended without a response.
 func isIndeterminate(status int) bool {
 	switch status {
