--- a/internal/cluster/replica/digest.go
+++ b/internal/cluster/replica/digest.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if len(g.digests) >= maxDigests {
-		done(0, failure.New(failure.Overloaded, "16 digests of this group are pending already"))
+		done(0, failure.New(failure.Overloaded, "too many digests of this group are pending already"))
 		return
 	}
 	g.digests = append(g.digests, digestRequest{index: index, deadline: e.now + digestTimeout, done: done})
--- a/internal/cluster/replica/proposals.go
+++ b/internal/cluster/replica/proposals.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if e.writer.unwrittenBytes() > maxUnwrittenBytes {
-		done(nil, failure.New(failure.Unavailable, "more than 8 MiB are waiting to be written to the disk"))
+		done(nil, failure.New(failure.Unavailable, "too many bytes of this process are waiting to be written to the disk"))
 		return
 	}
 	index, term, err := g.node.Propose(e.now, data)
--- a/internal/dispatcher/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -48,7 +48,7 @@
 	}
 	v := p.node.View()
 	if v == nil {
-		return fleetWaiting{"this dispatcher's fleet address is not bound yet"}
+		return fleetWaiting{"the fleet's address is not had yet"}
 	}
 	since := func(t time.Duration) int64 { return int64(math.Max(0, float64(v.At-t)) / float64(time.Millisecond)) }
 	out := fleetView{Name: v.Self.Name, Addr: v.Self.Addr, Life: v.Self.Epoch, Incarnation: v.Self.Incarnation, Living: v.Living,
