--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -1,20 +1,32 @@
-// Package fleet keeps a dispatcher's view of the other dispatchers: which of them live, in which process, since when. It follows
-// the papers on SWIM (Das, Gupta and Motivala, 2002) and Lifeguard (Dadgar, Phillips and Currey, 2017): members are probed in
-// random rounds, also indirectly through others; one that does not answer is suspected, which it can refute by a higher
-// incarnation; updates ride on probes; a member that finds itself slow trusts its own suspicions less.
+// Package fleet keeps a dispatcher's membership view: which other dispatchers are alive, which process (epoch) runs under each
+// name, and since when. It implements SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar, Phillips and Currey, 2017):
 //
-// Beyond the papers: views are compared by digest with every probe and synchronized where they differ, so that they converge by
-// themselves after a partition; dead members are probed now and then; a refusal by a member's own machine proves its death (see
-// package quota); a process that was stopped for a while suspects nobody for the time it slept.
+//   - Each round a member probes one other member, in a random order of all. If it doesn't answer, further members are asked to
+//     probe it too (indirect probes).
+//   - A member that answers neither is suspected. It refutes the suspicion by gossiping a higher incarnation; if it doesn't in
+//     time, it is declared dead.
+//   - Updates are piggybacked on all packets, each a limited number of times (retransmissions).
+//   - A member that misses answers raises its local health score, which makes its own probe timeouts longer, so that a slow
+//     member suspects others less easily.
 //
-// A process of a member has an epoch: of two processes under one name the one with the higher epoch is the member, and the other
-// one is superseded (Cassandra's gossip calls it a generation). Incarnations, SWIM's, count refutations within an epoch.
+// Additions to the papers:
 //
-// A view may be wrong, and may differ from the others' for some time. What is decided by it may cost time, never safety.
+//   - Every packet carries a digest of its sender's view. When the digest in an Ack differs, the views are synchronized, so that
+//     they converge after a partition without any operator.
+//   - Dead members are still probed, a few each round, so that they are found again.
+//   - A datagram that a member's own machine refuses proves that the process is dead (see package quota).
+//   - A process that was stopped extends its suspicions by the time that it was stopped, as it couldn't receive refutations.
 //
-// Core has no I/O, clock or goroutine: datagrams and the time go in, datagrams and changes of the view come out. It is not safe for
-// concurrent use. Its times are read off one clock of this machine, from any origin. A clock that jumps does the view no lasting
-// harm: a jump ahead counts as sleep, one back as no time at all, and drops all proofs of death.
+// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the one with the higher
+// epoch is the member and the other is superseded. Incarnations count the refutations within an epoch.
+//
+// A view may be wrong, and may differ from other views for some time. Decisions based on it may cost time, but safety must not
+// depend on it.
+//
+// Core has no I/O, clock or goroutine: its methods take datagrams and the time, and return datagrams and changes of the view. It is
+// not safe for concurrent use. All times passed to one Core come from the same clock, with any origin. When the clock jumps forward
+// by more than an interval, Core treats the jump as time in which the process was stopped. When the clock goes back, no time counts
+// as passed, and all proofs of death are dropped. The view recovers from both.
 package fleet
 
 import (
@@ -30,12 +42,12 @@
 // State is a member's state in a view.
 type State uint8
 
-// The states. At the same epoch and incarnation a later one in this order overrides an earlier one.
+// The states. At the same epoch and incarnation a record with a later state in this order overrides one with an earlier state.
 const (
 	Alive State = iota
 	Suspect
-	Dead // it did not answer and did not refute in time; it still may
-	Left // it announced its end itself
+	Dead // the member didn't refute its suspicion in time, or its machine refused a datagram; it may still refute
+	Left // the member announced that it ends; this epoch doesn't come back
 )
 
 // String returns the state's name.
@@ -47,45 +59,49 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Living reports whether a member in this state counts as alive: a suspect does.
+// Living reports whether a member in this state counts as living, which a suspect does.
 func (s State) Living() bool { return s <= Suspect }
 
-// Record is what one member gossips of another, or of itself.
+// Record is what one member gossips about another member or about itself.
 type Record struct {
 	Name string
-	Addr string // where its socket is, host:port
+	Addr string // of its UDP socket, host:port
 	Zone string
-	// Epoch identifies its process: of two processes under one name the later one has the higher epoch.
+	// Epoch identifies the member's process: of two processes under one name the later one has the higher epoch.
 	Epoch uint64
-	// Incarnation rises within an epoch whenever the member refutes that it is suspect or dead.
+	// Incarnation is raised only by the member itself, within an epoch, to refute that it is suspect or dead.
 	Incarnation uint32
 	State       State
-	// By is the hash of the member that suspects it; of suspects only.
-	By uint32
-	// Age is how long it has been dead or left; of those only.
+	// SuspectedBy is the hash of the name of the member that suspects this one. It counts only while State is Suspect.
+	SuspectedBy uint32
+	// Age is the time since the member died or left; 0 while it is living.
 	Age time.Duration
 }
 
-// Config configures a member. All members of a fleet should have the same but for Seeds and Seed.
+// Config configures a member. All members of a fleet should have the same values except for Seeds, Seed and Quota.Own.
 type Config struct {
-	// Interval is the time between two probes of a member; every timeout is a multiple of it.
+	// Interval is the time between the rounds of a healthy member, which probes one member in each. All timeouts of the failure
+	// detector are multiples of it.
 	Interval time.Duration
-	// Seeds are addresses through which a member joins, and rejoins when nobody answers.
+	// Seeds are addresses that are probed while no member is known at them, to join the fleet and to rejoin it after a partition.
 	Seeds []string
-	// TrustRefusals is whether a refused datagram proves that its address has no process. No firewall or router of the network may
-	// refuse on behalf of machines that it does not reach.
+	// TrustRefusals makes a refused datagram (ICMP port unreachable) count as proof that no process has its address. Set it only
+	// where no firewall or router sends such refusals in the name of other machines: a false one lets two dispatchers use the
+	// same number.
 	TrustRefusals bool
-	// Roster is the address of each number's socket. With TrustRefusals, numbers of dead members pass to living ones by it.
+	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n] is the proof on
+	// which another dispatcher may use number n (see package quota). It must be the same at all members.
 	Roster []string
-	// Quota divides budgets by number; it is used with TrustRefusals and a Roster.
+	// Quota says how budgets are divided by number. It is used only with TrustRefusals and a Roster.
 	Quota quota.Config
 	// Forget is how long a dead member is remembered and probed. 0: 24 hours.
 	Forget time.Duration
 	// MaxMembers is the largest number of other members in a view. 0: 4096.
 	MaxMembers int
-	// MaxRecordBytes is the largest encoded size of the records in one datagram, in bytes. 0: 1,100.
+	// MaxRecordBytes is the encoded size, in bytes, up to which a packet is filled with records; its sums and proofs count too.
+	// 0: 1,100.
 	MaxRecordBytes int
-	// Seed seeds the random choices.
+	// Seed seeds the random choices, together with the epoch.
 	Seed uint64
 }
 
@@ -94,47 +110,52 @@
 	defaultMaxMembers     = 4096
 	defaultMaxRecordBytes = 1100
 
-	indirectProbes      = 3   // members that are asked to probe one that did not answer
-	probeSteps          = 6   // steps of a probe's timeout: after each of the first probeRepeats it is repeated, a step later indirect
-	probeRepeats        = 2   // probes go out
-	maxHealthScore      = 8   // Lifeguard's highest local health score: timeouts of probes are 9 times as long then
-	suspicionMult       = 4   // a suspicion lasts at least this many intervals, times log10 of the number of members
-	maxSuspicionMult    = 6   // and without confirmations this many times as long
-	maxConfirmations    = 3   // with this many confirmations it is shortest
-	retransmitMult      = 3   // an update is sent this many times log2 of the number of members
-	maxUpdates          = 64  // queued updates; what is dropped then is found by comparing views
-	refusedProbeRate    = 8   // probes per interval while they are refused
-	maxDeadProbes       = 8   // probes of dead members per interval where refusals are trusted; else one
-	stallIntervals      = 1   // a Tick that is later by more than this counts as this process having slept
-	convergedIntervals  = 3   // a view without a difference to others for so long has converged
-	maxPagesPerReply    = 4   // packets with records that answer one Sync
-	maxProofs           = 120 // proofs of death in an Ack
-	buckets             = 32  // of members by hash, each with a sum, by which views are compared
-	maxSyncRecords      = 100 // no further bucket is sent from here on
-	maxPagesPerInterval = 16  // however many ask
+	// The timeout of a probe is divided into probeSteps equal steps. The probe is repeated after each of the first probeRepeats
+	// steps. One step later, indirectProbes random members are asked to probe the member too.
+	indirectProbes = 3
+	probeSteps     = 6
+	probeRepeats   = 2
+
+	maxHealthScore   = 8  // of Lifeguard's local health; probe timeouts are multiplied by 1 + the score, so by 9 at most
+	suspicionMult    = 4  // the shortest suspicion timeout, in intervals times max(1, log10 of the living members)
+	maxSuspicionMult = 6  // the longest suspicion timeout, without confirmations, as a multiple of the shortest
+	maxConfirmations = 3  // confirmations of a suspicion, from other members, that make its timeout the shortest
+	retransmitMult   = 3  // transmissions of an update, as a multiple of log2 of the living members
+	maxUpdates       = 64 // updates in the queue; what a dropped one said is spread when views are synchronized
+
+	refusedProbeRate   = 8 // rounds per interval while the probed members are found dead by refusals
+	maxDeadProbes      = 8 // probes of members not living per round where refusals are trusted, and as many of the roster; else 1
+	stallIntervals     = 1 // a Tick that comes this many intervals late shows that the process was stopped or got no CPU
+	convergedIntervals = 3 // a view has converged after this many intervals in which no other view differed
+
+	maxPagesPerReply    = 4   // packets with records in the reply to one Sync
+	maxPagesPerInterval = 16  // packets with records per round, whoever they are for, so that many Syncs can't flood the network
+	maxSyncRecords      = 100 // records in a reply after which no further bucket is added
+	maxProofs           = 120 // proofs of death in an Ack; at maxProofSize they take 1,200 bytes of a datagram's 1,400
+	buckets             = 32  // into which members are divided by hash; views are compared by the sums of their buckets
 )
 
 // Member is one member in a view.
 type Member struct {
 	Record
-	Since time.Duration // when it entered its state, by the view's own clock
+	Since time.Duration // when the member entered its state, by the clock of this view
 }
 
-// ChangeKind is what happened to a member.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
 // The changes.
 const (
-	Joined    ChangeKind = iota // a new name, or a new epoch of one that was not living
-	Suspected                   // it still counts as living
-	Refuted                     // a suspect or dead member is alive
-	Died
-	Departed // it left
-	Replaced // a new epoch of a member that was living
-	Forgotten
+	Joined    ChangeKind = iota // a name that was not known, or a new epoch of a member that was dead or had left
+	Suspected                   // the member still counts as living
+	Refuted                     // a suspect or dead member refuted it and is alive
+	Died                        // it was declared dead
+	Departed                    // it left
+	Replaced                    // a new epoch took the place of a living one
+	Forgotten                   // it was dead or had left for longer than Config.Forget, and was removed from the view
 )
 
-// String returns the change's name, as logs have it.
+// String returns the name of the kind, as it is logged.
 func (k ChangeKind) String() string {
 	return [...]string{"joined", "suspected", "refuted", "died", "departed", "replaced", "forgotten"}[k]
 }
@@ -156,31 +177,31 @@
 type Snapshot struct {
 	Self    Record
 	Members []Member // the others, by name
-	Living  int      // how many live, this one included
-	Digest  uint64   // of the living, this one included; equal views have equal digests
-	// Converged is whether nobody is suspected and the members that were probed lately had the same view. Since is when that
-	// last changed.
+	Living  int      // number of living members, this one included
+	Digest  uint64   // of the names and epochs of the living members, this one included; equal views have equal digests
+	// Converged reports whether no member is suspected and the views of the members that were probed lately equal this one. Since
+	// is when Converged last changed.
 	Converged bool
 	Since     time.Duration
-	// Superseded is whether this process takes no part any more: there is a later process of its name, or it left.
+	// Superseded reports whether this process no longer takes part: there is a later process of its name, or it left.
 	Superseded bool
-	// Health is Lifeguard's local health score of this process: 0 is healthy, 8 the slowest.
+	// Health is Lifeguard's local health score of this process: 0 is healthy, 8 the least healthy.
 	Health int
-	// Numbers are those that this dispatcher owns; nil where refusals are not trusted.
+	// Numbers are the numbers that this dispatcher owns; nil where refusals are not trusted.
 	Numbers []int
 }
 
-// ConfigError is a field of a configuration that no member, or no codec, can work with.
+// ConfigError is an invalid field of the configuration of a member or a codec.
 type ConfigError struct {
 	Field, Value, Want string
 }
 
-// Error names the field, its value and what it has to be.
+// Error names the field, its value and what is allowed.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("fleet: %s: is %s, but %s", e.Field, e.Value, e.Want)
 }
 
-// Core is one member's state machine. Use New.
+// Core is the state machine of one member. Use New.
 type Core struct {
 	cfg           Config
 	rng           *rand.Rand
@@ -188,58 +209,58 @@
 	tracker       *quota.Tracker
 	members       map[string]*member
 	byAddr        map[string]*member
-	living        []*member // in the order in which they are probed; next is the index of the next one
+	living        []*member // in the order in which they are probed; next is the index of the next one to probe
 	next          int
-	notLiving     []*member // dead and left, probed in turn
-	nextDeadProbe int
-	nextSeed      int
-	updates       map[string]*update // by the member's name
-	suspects      map[string]*member
-	clockReading  time.Duration // the last one
-	now           time.Duration // as read off the clock, but it never goes back
-	tickDue       time.Duration // when Wait asked for the next Tick
-
-	probeAt        time.Duration    // when the next round begins
-	probe          *probe           // of this round; nil: none
-	probes         map[uint64]sent  // sent lately, by the packet's Seq and by the probe's id
-	relays         map[uint64]relay // by the id of this member's own probe
+	notLiving     []*member          // dead members and those that left, probed in turn
+	nextDeadProbe int                // index in notLiving of the last one probed
+	nextSeed      int                // index in the seeds or the roster of the last address tried, modulo its length
+	updates       map[string]*update // the queue of updates to gossip, by the member's name
+	suspects      map[string]*member // by name
+	clockReading  time.Duration      // the newest reading of the clock
+	now           time.Duration      // advances with the clock, but does not go back when the clock does
+	tickDue       time.Duration      // when Wait asked for the next Tick
+
+	probeAt        time.Duration        // when the next round begins
+	probe          *probe               // of this round; nil: none
+	sentProbes     map[uint64]sentProbe // sent lately, by the packet's Seq and by the probe's id
+	relays         map[uint64]relay     // by the id of this member's own probe
 	lastID         uint64
-	syncAt         time.Duration // no comparison before this
-	pagesSent      int           // in this interval
-	health         int
-	isAcknowledged bool // some member sent a packet to this epoch
-	hasEnded       bool // superseded or left
-	differedAt     time.Duration
-	agreedAt       time.Duration
+	syncAt         time.Duration // no Sync is sent before this time
+	pagesSent      int           // packets with records that were sent in this round in reply to Syncs, or for refutation
+	health         int           // Lifeguard's local health score, 0 to maxHealthScore
+	isAcknowledged bool          // some member addressed a packet to this epoch, so others know it
+	hasEnded       bool          // superseded or left
+	differedAt     time.Duration // when an Ack last carried a digest other than this view's
+	agreedAt       time.Duration // when an Ack last carried this view's digest
 	converged      bool
-	since          time.Duration
-	sums           [buckets]uint64
-	byBucket       [buckets][]*member // all members
-	out            []Datagram
-	changes        []Change
+	since          time.Duration      // when converged last changed
+	sums           [buckets]uint64    // the sum of sumOf over the living members of each bucket, this one included
+	byBucket       [buckets][]*member // all other members
+	out            []Datagram         // for Take
+	changes        []Change           // for Take
 }
 
 type member struct {
 	Member
-	suspicion   *suspicion // nil: it is not suspected
+	suspicion   *suspicion // nil: the member is not suspected
 	index       int        // in living, or in notLiving
 	bucketIndex int        // in its bucket of byBucket
 }
 
-// New returns a member that joins now. self needs Name, Addr and Epoch, for which the start in Unix milliseconds serves. Its error
-// is a *ConfigError, or wraps a *quota.ConfigError.
+// New returns a member that joins at the time now. self must have Name, Addr and Epoch; the time at which the process starts, in
+// Unix milliseconds, is a suitable Epoch. The error is a *ConfigError, or wraps a *quota.ConfigError.
 func New(cfg Config, self Record, now time.Duration) (*Core, error) {
 	if self.Name == "" || self.Addr == "" || self.Epoch == 0 {
 		return nil, &ConfigError{"Self", fmt.Sprintf("%+v", self), "a member needs a name, an address and an epoch"}
 	}
 	if cfg.Interval <= 0 {
-		return nil, &ConfigError{"Interval", cfg.Interval.String(), "it has to be over 0"}
+		return nil, &ConfigError{"Interval", cfg.Interval.String(), "it must be over 0"}
 	}
 	setDefault(&cfg.Forget, defaultForget)
 	setDefault(&cfg.MaxMembers, defaultMaxMembers)
 	setDefault(&cfg.MaxRecordBytes, defaultMaxRecordBytes)
-	self.State, self.Incarnation, self.By, self.Age = Alive, 0, 0, 0
-	c := &Core{cfg: cfg, self: self, members: map[string]*member{}, byAddr: map[string]*member{}, suspects: map[string]*member{}, updates: map[string]*update{}, probes: map[uint64]sent{},
+	self.State, self.Incarnation, self.SuspectedBy, self.Age = Alive, 0, 0, 0
+	c := &Core{cfg: cfg, self: self, members: map[string]*member{}, byAddr: map[string]*member{}, suspects: map[string]*member{}, updates: map[string]*update{}, sentProbes: map[uint64]sentProbe{},
 		relays: map[uint64]relay{}, clockReading: now, now: now, tickDue: now, since: now, differedAt: now, agreedAt: now - time.Hour,
 		rng: rand.New(rand.NewPCG(cfg.Seed, self.Epoch))}
 	c.probeAt = now + time.Duration(c.rng.Int64N(int64(cfg.Interval)))/8
@@ -261,7 +282,7 @@
 	}
 }
 
-// Take returns what is to be sent and what changed in the view since the last call, both in order.
+// Take returns the datagrams to send and the changes of the view since the last call, each in order.
 func (c *Core) Take() ([]Datagram, []Change) {
 	out, changes := c.out, c.changes
 	c.out, c.changes = nil, nil
@@ -279,7 +300,7 @@
 	return s
 }
 
-// Digest returns the digest of the view: equal views of the living have equal ones.
+// Digest returns a digest of the names and epochs of the living members, this one included. Equal views have equal digests.
 func (c *Core) Digest() (d uint64) {
 	for i := range c.sums {
 		d += c.sums[i]
@@ -287,11 +308,11 @@
 	return d
 }
 
-// Living returns how many members live, this one included.
+// Living returns the number of living members, this one included.
 func (c *Core) Living() int { return len(c.living) + 1 }
 
-// Numbers returns the numbers that this dispatcher owns now, in rising order; nil where refusals are not trusted, and after it left
-// or was superseded.
+// Numbers returns the numbers that this dispatcher owns now, in ascending order. It returns nil where refusals are not trusted, and
+// after this dispatcher left or was superseded.
 func (c *Core) Numbers(now time.Duration) []int {
 	if c.tracker == nil || c.hasEnded {
 		return nil
@@ -300,17 +321,17 @@
 	return c.tracker.Numbers(c.now)
 }
 
-// OwnedNumbers returns the numbers that this dispatcher owns now, and for how long at least all of them may be used without another
-// call. After that only its own number is certain, if it is among them.
+// OwnedNumbers returns the numbers that this dispatcher owns now, and validFor, for which all of them may be used without another
+// call. After validFor the caller may use only this dispatcher's own number, if it is among them.
 func (c *Core) OwnedNumbers(now time.Duration) (numbers []int, validFor time.Duration) {
 	if numbers = c.Numbers(now); c.tracker != nil {
-		validFor = c.tracker.Until(c.now) - c.now
+		validFor = c.tracker.ValidUntil(c.now) - c.now
 	}
 	return numbers, validFor
 }
 
-// Leave announces to some members that this process ends. From here on the caller must use no number; it sends what Take returns
-// and then closes the socket.
+// Leave queues an announcement to a few random members that this process ends. After calling it the caller must use no number. It
+// then sends what Take returns, and only then closes the socket: once the socket is closed, others may use the number.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
 	c.self.State, c.hasEnded = Left, true
@@ -319,8 +340,9 @@
 	}
 }
 
-// advance takes a reading of the clock. Where the clock went back it is unknown how much time has passed, so that proofs of death,
-// which are valid for a time only, are void.
+// advance moves the time to a reading of the clock. If the clock went back, it is unknown how much time has passed. Proofs of death
+// are valid for a limited time only, so all of them are dropped then, and this dispatcher owns no number until it has waited as
+// after a start.
 func (c *Core) advance(read time.Duration) {
 	if read < c.clockReading {
 		if c.tracker != nil {
@@ -332,13 +354,14 @@
 	c.clockReading = read
 }
 
-// scaled returns a timeout as Lifeguard's local health multiplier makes it: longer where this process itself is slow.
+// scaled returns a timeout multiplied by Lifeguard's local health multiplier, 1 + the score.
 func (c *Core) scaled(d time.Duration) time.Duration { return d * time.Duration(c.health+1) }
 
-// adjustHealth changes the local health score by n, within its bounds.
+// adjustHealth adds n to the local health score, within 0 to maxHealthScore.
 func (c *Core) adjustHealth(n int) { c.health = min(maxHealthScore, max(0, c.health+n)) }
 
-// randomMembers returns up to n different living members at random, without except.
+// randomMembers returns up to n distinct random living members other than except. It may return fewer than there are, as it makes
+// at most 4n draws.
 func (c *Core) randomMembers(n int, except *member) (out []*member) {
 	for attempts := 0; len(out) < n && attempts < 4*n && len(c.living) > 0; attempts++ {
 		m := c.living[c.rng.IntN(len(c.living))]
@@ -349,7 +372,7 @@
 	return out
 }
 
-// addChange records a change of m, for Take.
+// addChange records a change of m, to be returned by Take.
 func (c *Core) addChange(k ChangeKind, m *member) {
 	c.changes = append(c.changes, Change{Kind: k, At: c.now, Member: m.Member})
 }
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -210,10 +210,10 @@
 		noDeaths bool // no member may be declared dead
 	}{
 		"a fifth lost": {func(time.Duration) virtual.Link { return virtual.Link{Loss: 0.2} }, true},
-		"doubled":      {func(time.Duration) virtual.Link { return virtual.Link{Double: 0.3} }, true},
-		"2 s late":     {func(time.Duration) virtual.Link { return virtual.Link{Late: 0.3, By: 2 * time.Second} }, true},
+		"doubled":      {func(time.Duration) virtual.Link { return virtual.Link{Duplicates: 0.3} }, true},
+		"2 s late":     {func(time.Duration) virtual.Link { return virtual.Link{Late: 0.3, LateBy: 2 * time.Second} }, true},
 		"all of it": {func(time.Duration) virtual.Link {
-			return virtual.Link{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second}
+			return virtual.Link{Loss: 0.3, Duplicates: 0.3, Late: 0.3, LateBy: 2 * time.Second}
 		}, false},
 		"bursts of 1 s": {func(now time.Duration) virtual.Link { return virtual.Link{Down: now%(7*time.Second) < time.Second} }, true},
 	} {
--- a/internal/dispatcher/fleet/members.go
+++ b/internal/dispatcher/fleet/members.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// memberAt returns the member at an address; nil if none is known.
+// memberAt returns the member at an address, or nil if none is known there.
 func (c *Core) memberAt(addr string) *member {
-	if p := c.probe; p != nil && p.member.Addr == addr { // nearly always
+	if p := c.probe; p != nil && p.member.Addr == addr { // most packets go to the probed member; this saves the lookup
 		return p.member
 	}
 	return c.byAddr[addr]
 }
 
-// recordOf returns m's record as it is sent now, with its age.
+// recordOf returns m's record to be sent now, with its current Age.
 func (c *Core) recordOf(m *member) Record {
 	r := m.Record
 	if !r.State.Living() {
@@ -19,16 +19,17 @@
 	return r
 }
 
-// origin is how a record came here.
+// origin is the way in which a record was received.
 type origin uint8
 
 const (
-	gossiped origin = iota // as an update, soon after it became true
-	compared               // in a comparison of views, however old it is
+	gossiped     origin = iota // as an update, sent soon after the change
+	synchronized               // in a Gossip packet, which replies to a Sync or a stale epoch: the change may be any time ago
 )
 
-// merge takes in a record, by the rules of SWIM: the later epoch wins, then the higher incarnation, then the state that overrides.
-// A death that is known by a comparison may be of before a partition healed, so its subject is asked to refute it first.
+// merge applies a received record to the view. The record with the later epoch wins, then, by the rules of SWIM, the one with the
+// higher incarnation, then the one with the later state. A death that is learned by synchronization may date from before a
+// partition healed. It is therefore not applied: the member is sent the record and may refute it.
 func (c *Core) merge(r Record, from origin) {
 	if r.Name == "" || r.Addr == "" || r.State > Left {
 		return
@@ -41,10 +42,10 @@
 	switch {
 	case m == nil:
 		c.addMember(r)
-	case r.Epoch < m.Epoch: // of a process that has ended
+	case r.Epoch < m.Epoch: // the record is about an earlier process
 	case r.Epoch > m.Epoch:
 		c.replaceEpoch(m, r)
-	case m.State == Left: // a process that left does not come back
+	case m.State == Left: // an epoch that left doesn't come back
 	case r.State == Alive && r.Incarnation > m.Incarnation:
 		wasAlive := m.State == Alive
 		c.refute(m, r)
@@ -53,9 +54,9 @@
 		}
 		c.broadcast(m.Record)
 	case r.State == Suspect && r.Incarnation >= m.Incarnation && m.State.Living():
-		c.suspect(m, r.Incarnation, r.By)
+		c.suspect(m, r.Incarnation, r.SuspectedBy)
 	case r.State == Dead && r.Incarnation >= m.Incarnation && m.State.Living():
-		if from == compared {
+		if from == synchronized {
 			c.sendForRefutation(m, r)
 			return
 		}
@@ -65,15 +66,16 @@
 	}
 }
 
-// sendForRefutation sends a living member the record of its death that another view has, so that it refutes it by a higher incarnation.
+// sendForRefutation sends a living member the record of its death that another view has, so that the member refutes it by a higher
+// incarnation.
 func (c *Core) sendForRefutation(m *member, r Record) {
 	if c.pagesSent < 2*maxPagesPerInterval {
 		c.pagesSent++
-		c.ping(m.Addr, m.Epoch, 0, r) // as a probe, whose refusal would prove the death
+		c.ping(m.Addr, m.Epoch, 0, r) // a probe, as its refusal would prove the death
 	}
 }
 
-// addMember adds a name that was not known, unless the view is full or its death is long past.
+// addMember adds a member that was not known, unless the view is full or the member has been dead for longer than Config.Forget.
 func (c *Core) addMember(r Record) {
 	if len(c.members) >= c.cfg.MaxMembers || r.Age > c.cfg.Forget {
 		return
@@ -81,7 +83,7 @@
 	m := &member{Member: Member{Record: r, Since: c.now}, index: -1}
 	b := bucketOf(r.Name)
 	m.bucketIndex, c.byBucket[b] = len(c.byBucket[b]), append(c.byBucket[b], m)
-	if !r.State.Living() { // it is remembered so that earlier epochs are not taken for new members
+	if !r.State.Living() { // it is added all the same, so that records of earlier epochs are not taken for new members
 		m.Since = c.now - r.Age
 		m.Age = 0
 		c.members[r.Name] = m
@@ -89,8 +91,8 @@
 		c.addNotLiving(m)
 		return
 	}
-	by := m.By
-	m.State, m.By = Alive, 0
+	by := m.SuspectedBy
+	m.State, m.SuspectedBy = Alive, 0
 	c.members[r.Name] = m
 	c.setAddr(m, r.Addr)
 	c.addLiving(m)
@@ -100,7 +102,7 @@
 	}
 }
 
-// replaceEpoch replaces a process by a later one of its name.
+// replaceEpoch replaces m's record by one of a later epoch.
 func (c *Core) replaceEpoch(m *member, r Record) {
 	living := m.State.Living()
 	if !r.State.Living() {
@@ -110,8 +112,8 @@
 	}
 	c.updateSum(m, -1)
 	c.clearSuspicion(m)
-	state, by := r.State, r.By
-	r.State, r.By, r.Age = Alive, 0, 0
+	state, by := r.State, r.SuspectedBy
+	r.State, r.SuspectedBy, r.Age = Alive, 0, 0
 	c.setAddr(m, r.Addr)
 	m.Record, m.Since = r, c.now
 	if c.updateSum(m, 1); living {
@@ -126,7 +128,7 @@
 	}
 }
 
-// refute makes m alive as r says, which is of the same epoch and a higher incarnation.
+// refute makes m alive by its refutation r, which has the same epoch and a higher incarnation.
 func (c *Core) refute(m *member, r Record) {
 	living := m.State.Living()
 	c.updateSum(m, -1)
@@ -135,7 +137,7 @@
 		m.Since = c.now
 	}
 	c.clearSuspicion(m)
-	m.Incarnation, m.State, m.By, m.Zone = r.Incarnation, Alive, 0, r.Zone
+	m.Incarnation, m.State, m.SuspectedBy, m.Zone = r.Incarnation, Alive, 0, r.Zone
 	if !living {
 		c.notLiving = removeFrom(c.notLiving, m)
 		c.addLiving(m)
@@ -144,7 +146,7 @@
 	c.updateSum(m, 1)
 }
 
-// endMember makes m Dead or Left, since age ago.
+// endMember sets m's state to Dead or Left, entered age ago.
 func (c *Core) endMember(m *member, s State, incarnation uint32, age time.Duration) {
 	living := m.State.Living()
 	c.updateSum(m, -1)
@@ -158,14 +160,18 @@
 	}
 }
 
-// mergeSelf takes in what others say of this member, and refutes what is wrong.
+// mergeSelf handles a record about this member, and refutes it by a higher incarnation if it says that this member is suspect or
+// dead, or if its incarnation is ahead. A record with a higher epoch means one of two things:
+//   - If others have acknowledged this epoch, a later process has started under the same name, and this one is superseded.
+//   - If not, this process has just started and the clock that chose its epoch is behind that of its predecessor. It takes an
+//     epoch one higher, as otherwise all members would reject it as stale.
 func (c *Core) mergeSelf(r Record) {
 	switch {
 	case r.Epoch < c.self.Epoch || c.hasEnded:
 	case r.Epoch > c.self.Epoch && c.isAcknowledged:
-		c.hasEnded = true // superseded: an upgrade, or one name given to two dispatchers
+		c.hasEnded = true // superseded: the process was upgraded, or two dispatchers were given the same name
 		c.setConverged(false)
-	case r.Epoch > c.self.Epoch: // this machine's clock is behind the one that the last process had
+	case r.Epoch > c.self.Epoch: // this machine's clock is behind that of the last process
 		c.updateSelf(func() { c.self.Epoch, c.self.Incarnation = r.Epoch+1, 0 })
 	case r.State == Left || r.State == Alive && r.Incarnation <= c.self.Incarnation:
 	case r.Incarnation >= c.self.Incarnation:
@@ -176,7 +182,7 @@
 	}
 }
 
-// updateSelf changes this member's own record and gossips it.
+// updateSelf changes this member's own record, keeps its bucket's sum up to date and gossips the record.
 func (c *Core) updateSelf(change func()) {
 	b := bucketOf(c.self.Name)
 	c.sums[b] -= sumOf(&c.self)
@@ -185,14 +191,15 @@
 	c.broadcast(c.self)
 }
 
-// updateSum adds a living member to its bucket's sum, or with sign -1 subtracts it.
+// updateSum adds m to its bucket's sum, or with sign -1 subtracts it, if it is living. A change of m's epoch or between living and
+// not living must be enclosed by both, so that the sums always are those of the living members.
 func (c *Core) updateSum(m *member, sign int) {
 	if m.State.Living() {
 		c.sums[bucketOf(m.Name)] += uint64(sign) * sumOf(&m.Record)
 	}
 }
 
-// setAddr moves m to an address.
+// setAddr sets m's address and keeps byAddr up to date.
 func (c *Core) setAddr(m *member, addr string) {
 	if c.byAddr[m.Addr] == m {
 		delete(c.byAddr, m.Addr)
@@ -201,13 +208,13 @@
 	c.byAddr[addr] = m
 }
 
-// addLiving adds m, whose state is one of the living, to them.
+// addLiving adds m to the living members and to its bucket's sum.
 func (c *Core) addLiving(m *member) {
 	c.insertLiving(m)
 	c.updateSum(m, 1)
 }
 
-// insertLiving puts m at a random position of the rounds of probes, as SWIM does.
+// insertLiving inserts m at a random position of the probe order, as SWIM does.
 func (c *Core) insertLiving(m *member) {
 	c.living = append(c.living, m)
 	i, last := c.rng.IntN(len(c.living)), len(c.living)-1
@@ -215,7 +222,7 @@
 	c.living[i].index, c.living[last].index = i, last
 }
 
-// removeFrom removes m from the list that its index is in, and returns the list.
+// removeFrom removes m from living or notLiving, whichever list its index is in, and returns the list.
 func removeFrom(list []*member, m *member) []*member {
 	last := len(list) - 1
 	list[m.index] = list[last]
@@ -223,7 +230,7 @@
 	return list[:last]
 }
 
-// addNotLiving adds m, which is dead or left, to the members that are probed now and then.
+// addNotLiving adds m, which is dead or left, to the members that probeNotLiving probes in turn.
 func (c *Core) addNotLiving(m *member) {
 	m.index = len(c.notLiving)
 	c.notLiving = append(c.notLiving, m)
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -213,12 +213,12 @@
 
 func toWire(r *fleet.Record) wireRecord {
 	return wireRecord{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Epoch: r.Epoch, Incarnation: r.Incarnation,
-		State: uint8(r.State), By: r.By, AgeMs: uint64(max(0, r.Age) / time.Millisecond)}
+		State: uint8(r.State), By: r.SuspectedBy, AgeMs: uint64(max(0, r.Age) / time.Millisecond)}
 }
 
 func fromWire(w *wireRecord) fleet.Record {
 	return fleet.Record{Name: w.Name, Addr: w.Addr, Zone: w.Zone, Epoch: w.Epoch, Incarnation: w.Incarnation,
-		State: fleet.State(w.State), By: w.By, Age: bounded(w.AgeMs, time.Millisecond)}
+		State: fleet.State(w.State), SuspectedBy: w.By, Age: bounded(w.AgeMs, time.Millisecond)}
 }
 
 // bounded returns n units, or the longest duration that is safe to add if that is less.
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -26,7 +26,7 @@
 	record := rapid.Custom(func(t *rapid.T) fleet.Record {
 		return fleet.Record{Name: name.Draw(t, "name"), Addr: "10.200.200.200:65535", Zone: name.Draw(t, "zone"),
 			Epoch: rapid.Uint64().Draw(t, "life"), Incarnation: rapid.Uint32().Draw(t, "inc"), State: fleet.State(rapid.IntRange(0, 3).Draw(t, "state")),
-			By: rapid.Uint32().Draw(t, "by"), Age: time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "age")) * time.Millisecond}
+			SuspectedBy: rapid.Uint32().Draw(t, "by"), Age: time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "age")) * time.Millisecond}
 	})
 	return &fleet.Packet{Kind: fleet.Kind(rapid.IntRange(1, 6).Draw(t, "kind")), From: record.Draw(t, "from"),
 		ToEpoch: rapid.Uint64().Draw(t, "to"), Seq: rapid.Uint64().Draw(t, "seq"), Probe: rapid.Uint64().Draw(t, "probe"),
--- a/internal/dispatcher/fleet/probe.go
+++ b/internal/dispatcher/fleet/probe.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// probe is the probe of this round. It ends when the next round begins.
+// probe is the state of this round's probe. It ends when the next round begins.
 type probe struct {
 	member          *member
 	epoch           uint64
 	id              uint64
-	at              time.Duration
-	nextAt          time.Duration // of its next step: a repetition, or the indirect probes
-	step            int
-	indirect, nacks int // members that were asked to probe, and their Nacks
+	startedAt       time.Duration
+	nextStepAt      time.Duration // when it is next repeated, or the indirect probes are requested
+	step            int           // number of steps done, see probeSteps
+	indirect, nacks int           // number of members that were asked for an indirect probe, and of their Nacks
 	answered        bool
 }
 
-// relay is an indirect probe that this member sends for another.
+// relay is an indirect probe that this member sends on behalf of another.
 type relay struct {
-	to     string        // who asked for it
-	probe  uint64        // the probe of the PingReq, which the answer repeats
-	nackAt time.Duration // 0: the Nack is sent
-	endAt  time.Duration
+	to     string        // address of the member that asked for it
+	probe  uint64        // Packet.Probe of the PingReq, which the answer repeats
+	nackAt time.Duration // when a Nack is due; 0: it was sent
+	endAt  time.Duration // when an Ack of the target is no longer passed on
 }
 
-// Wait returns after how long Tick is to be called, counted from the last call with a time.
+// Wait returns how long after the last call with a time Tick must be called. It is called after each such call.
 func (c *Core) Wait() time.Duration {
 	if c.hasEnded {
 		return math.MaxInt64
 	}
 	c.tickDue = c.probeAt
 	if p := c.probe; p != nil && !p.answered {
-		c.tickDue = min(c.tickDue, p.nextAt)
+		c.tickDue = min(c.tickDue, p.nextStepAt)
 	}
 	for _, r := range c.relays {
 		if r.nackAt > 0 {
@@ -48,7 +48,8 @@
 	return c.tickDue - c.now
 }
 
-// Tick takes the time and does what is due by it. A Tick that comes more than an interval late counts as this process having slept.
+// Tick advances the time and does what is due: it continues the probe, sends Nacks, expires suspicions and starts the next round. A
+// Tick that comes more than stallIntervals late shows that this process was stopped or got no CPU.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	if c.hasEnded {
@@ -57,7 +58,7 @@
 	if late := c.now - c.tickDue; late > stallIntervals*c.cfg.Interval {
 		c.resume(late)
 	}
-	if p := c.probe; p != nil && !p.answered && c.now >= p.nextAt {
+	if p := c.probe; p != nil && !p.answered && c.now >= p.nextStepAt {
 		c.escalate(p)
 	}
 	c.expireRelays()
@@ -68,7 +69,7 @@
 	c.updateConverged()
 }
 
-// expireRelays sends the Nacks that are due and drops the relays that are over.
+// expireRelays sends the Nacks that are due and drops the relays that have ended.
 func (c *Core) expireRelays() {
 	for _, id := range slices.Sorted(maps.Keys(c.relays)) {
 		r := c.relays[id]
@@ -83,8 +84,8 @@
 	}
 }
 
-// resume is for a process that was stopped, or got no CPU, for as long as late: time limits that ran out meanwhile say nothing of
-// the others, so all of them are extended.
+// resume continues after this process was stopped, or got no CPU, for as long as late. Timeouts that ended in that time show nothing
+// about other members: the current probe and the relays are dropped, and all suspicions are extended.
 func (c *Core) resume(late time.Duration) {
 	c.health, c.probe = maxHealthScore, nil
 	clear(c.relays)
@@ -93,36 +94,37 @@
 	}
 	c.probeAt = c.now
 	c.setConverged(false)
-	for _, m := range c.randomMembers(indirectProbes, nil) { // others may have it as dead: their answers say so at once
+	for _, m := range c.randomMembers(indirectProbes, nil) { // if others have declared this member dead, their answers tell it at once
 		c.ping(m.Addr, m.Epoch, 0)
 	}
 }
 
-// ping sends a probe with these records before other updates and returns its id. An id other than 0 repeats that probe. epoch is
-// the receiver's; 0: not known.
+// ping sends a probe and returns its id. The records in first are sent before other updates. An id other than 0 repeats the probe
+// with that id. epoch is the receiver's, or 0 if it is not known.
 func (c *Core) ping(to string, epoch uint64, id uint64, first ...Record) uint64 {
 	p := &Packet{Kind: Ping, ToEpoch: epoch, Probe: id, Records: first}
 	if id == 0 {
 		p.Probe = c.lastID + 1
 	}
 	c.send(to, p)
-	if _, isRepeated := c.probes[p.Probe]; !isRepeated {
-		c.probes[p.Probe] = sent{to: to, epoch: epoch, at: c.now}
+	if _, isRepeated := c.sentProbes[p.Probe]; !isRepeated {
+		c.sentProbes[p.Probe] = sentProbe{to: to, epoch: epoch, at: c.now}
 	}
 	if p.Seq != p.Probe {
-		c.probes[p.Seq] = sent{to: to, epoch: epoch, at: c.now}
+		c.sentProbes[p.Seq] = sentProbe{to: to, epoch: epoch, at: c.now}
 	}
 	return p.Probe
 }
 
-// endProbe ends the probe of the last round: a member that did not answer is suspected.
+// endProbe ends the probe of the last round and suspects its member if there was no answer. Without any Nack either, the cause may
+// be this member itself or its network, which raises its local health score.
 func (c *Core) endProbe() {
 	p := c.probe
 	c.probe = nil
 	if p == nil || p.answered {
 		return
 	}
-	if p.nacks == 0 { // a Nack shows that this member and its network work
+	if p.nacks == 0 { // a Nack would show that this member and its network work
 		c.adjustHealth(1)
 	}
 	if p.member.State.Living() && p.member.Epoch == p.epoch && c.members[p.member.Name] == p.member {
@@ -130,13 +132,14 @@
 	}
 }
 
-// startRound ends the last round and starts the next one, with a probe of the next member in a random order of all.
+// startRound ends the last round and starts the next one by probing the next member in the random order, which is shuffled after
+// each pass. Sent probes are kept for at least the lease, as a refusal may arrive as long as it would be a valid proof of death.
 func (c *Core) startRound() {
 	c.endProbe()
 	retention := max(c.scaled(c.cfg.Interval)*2, c.cfg.Quota.Lease)
-	for id, s := range c.probes {
+	for id, s := range c.sentProbes {
 		if c.now > s.at+retention {
-			delete(c.probes, id)
+			delete(c.sentProbes, id)
 		}
 	}
 	c.pagesSent = 0
@@ -156,28 +159,28 @@
 	}
 	m := c.living[c.next]
 	c.next++
-	c.probe = &probe{member: m, epoch: m.Epoch, at: c.now, nextAt: c.now + limit/probeSteps}
+	c.probe = &probe{member: m, epoch: m.Epoch, startedAt: c.now, nextStepAt: c.now + limit/probeSteps}
 	c.probe.id = c.ping(m.Addr, m.Epoch, 0)
 }
 
-// escalate repeats the probe, and after some repetitions asks others to probe the member too.
+// escalate repeats the probe, or after probeRepeats repetitions requests the indirect probes.
 func (c *Core) escalate(p *probe) {
 	limit := c.scaled(c.cfg.Interval)
 	if p.step++; p.step <= probeRepeats {
 		c.ping(p.member.Addr, p.epoch, p.id)
-		p.nextAt = p.at + limit*time.Duration(p.step+1)/probeSteps
+		p.nextStepAt = p.startedAt + limit*time.Duration(p.step+1)/probeSteps
 	} else {
 		for _, m := range c.randomMembers(indirectProbes, p.member) {
 			p.indirect++
 			c.send(m.Addr, &Packet{Kind: PingReq, ToEpoch: m.Epoch, Probe: p.id, Target: p.member.Name, TargetAddr: p.member.Addr})
 		}
-		p.nextAt = math.MaxInt64
+		p.nextStepAt = math.MaxInt64
 	}
 }
 
-// probeNotLiving probes members that are dead or left, and seeds at whose address no member is known, so that members behind a
-// healed partition and restarted ones are found. Where refusals are trusted, the refusals of these probes renew the proofs of
-// death, and the roster's addresses take the place of the seeds.
+// probeNotLiving probes members that are dead or left, and seeds at which no member is known. So it finds members that were behind a
+// partition and members that have restarted. Where refusals are trusted, the refusals of these probes renew the proofs of death, and
+// the roster's addresses are probed in place of the seeds.
 func (c *Core) probeNotLiving() {
 	n := 1
 	if c.tracker != nil {
@@ -203,7 +206,7 @@
 	}
 }
 
-// reap forgets a member that has been dead for longer than Config.Forget. Each round one of them is checked.
+// reap checks one random member that is not living, and forgets it if it has been dead or left for longer than Config.Forget.
 func (c *Core) reap() {
 	if len(c.notLiving) == 0 {
 		return
@@ -215,11 +218,13 @@
 	}
 }
 
-// Refused takes in that the datagram numbered seq was refused by the machine of its address: no process has that socket. It has no
-// effect unless Config.TrustRefusals is set.
+// Refused reports that the machine at the address to refused the datagram with this Seq: no process had a socket bound to the
+// address. This proves the death of the process that the datagram was for, and is a proof of death for the address's numbers in the
+// roster, valid from the time at which the datagram was sent. It has no effect unless Config.TrustRefusals is set and the datagram
+// is a known probe.
 func (c *Core) Refused(now time.Duration, to string, seq uint64) {
 	c.advance(now)
-	s, ok := c.probes[seq]
+	s, ok := c.sentProbes[seq]
 	if !ok || s.to != to || !c.cfg.TrustRefusals || c.hasEnded {
 		return
 	}
@@ -231,9 +236,9 @@
 		}
 	}
 	if m := c.byAddr[to]; m != nil && s.epoch != 0 && m.Epoch == s.epoch && m.State.Living() {
-		m.By = hashOf(c.self.Name)
+		m.SuspectedBy = hashOf(c.self.Name)
 		c.endMember(m, Dead, m.Incarnation, 0)
-		if c.probe != nil && c.probe.member == m { // the round is over; where one member is dead many may be, so the next comes soon
+		if c.probe != nil && c.probe.member == m { // the round is decided; others may have died with it, so the next comes early
 			c.probe, c.probeAt = nil, min(c.probeAt, c.now+c.cfg.Interval/refusedProbeRate)
 		}
 	}
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -29,8 +29,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// drift is how much two machines' clocks may differ in speed, as a fraction: a dispatcher that starts waits that much longer.
-const drift = 0.01
+// maxClockDrift is how much two machines' clocks may differ in speed, as a fraction: a dispatcher that starts waits that much longer.
+const maxClockDrift = 0.01
 
 // Config is how budgets are divided and how long proofs are valid. All dispatchers of a fleet must have the same, but for Own.
 type Config struct {
@@ -135,22 +135,22 @@
 	return p.isValid && now < p.sentAt+t.cfg.Lease
 }
 
-// Numbers returns the numbers that this dispatcher owns now, in rising order: none before Ready, then its own and those that it
-// succeeds to. Proofs end, so callers ask again at each use, or as often as Until says.
+// Numbers returns the numbers that this dispatcher owns now, in rising order: none before ReadyAt, then its own and those that it
+// isSuccessor to. Proofs end, so callers ask again at each use, or as often as ValidUntil says.
 func (t *Tracker) Numbers(now time.Duration) (own []int) {
-	if now < t.Ready() {
+	if now < t.ReadyAt() {
 		return nil
 	}
 	for n := range t.proofs {
-		if n == t.cfg.Own || t.isProvenDead(now, n) && now >= t.proofs[n].since+t.cfg.GuardTime && t.succeeds(now, n) {
+		if n == t.cfg.Own || t.isProvenDead(now, n) && now >= t.proofs[n].since+t.cfg.GuardTime && t.isSuccessor(now, n) {
 			own = append(own, n)
 		}
 	}
 	return own
 }
 
-// Until returns the time until which the numbers returned now stay owned at least: when the first proof that they rest on expires.
-func (t *Tracker) Until(now time.Duration) time.Duration {
+// ValidUntil returns the time until which the numbers returned now stay owned at least: when the first proof that they rest on expires.
+func (t *Tracker) ValidUntil(now time.Duration) time.Duration {
 	until := time.Duration(math.MaxInt64)
 	for n := range t.proofs {
 		if t.isProvenDead(now, n) {
@@ -160,13 +160,13 @@
 	return until
 }
 
-// Ready returns the time from which this dispatcher may own numbers.
-func (t *Tracker) Ready() time.Duration {
-	return t.boundAt + time.Duration(math.Ceil(float64(t.cfg.Lease)*(1+drift))) + t.cfg.GuardTime
+// ReadyAt returns the time from which this dispatcher may own numbers.
+func (t *Tracker) ReadyAt() time.Duration {
+	return t.boundAt + time.Duration(math.Ceil(float64(t.cfg.Lease)*(1+maxClockDrift))) + t.cfg.GuardTime
 }
 
-// succeeds reports whether every dispatcher before this one in the number's order has been proven dead for GuardTime.
-func (t *Tracker) succeeds(now time.Duration, number int) bool {
+// isSuccessor reports whether every dispatcher before this one in the number's order has been proven dead for GuardTime.
+func (t *Tracker) isSuccessor(now time.Duration, number int) bool {
 	mine := rank(number, t.cfg.Own)
 	for n := range t.proofs {
 		if n == number || n == t.cfg.Own {
--- a/internal/dispatcher/fleet/quota/quota_test.go
+++ b/internal/dispatcher/fleet/quota/quota_test.go
@@ -256,9 +256,9 @@
 func TestProofsExpireConservatively(t *testing.T) {
 	l, err := New(Config{Size: 2, Own: 0, Lease: 10 * time.Second, GuardTime: time.Second}, 0)
 	require.NoError(t, err)
-	assert.Equal(t, 11100*time.Millisecond, l.Ready(), "the lease, and as much more as clocks may differ, and the guard time")
-	assert.Empty(t, l.Numbers(l.Ready()-1))
-	assert.Equal(t, []int{0}, l.Numbers(l.Ready()))
+	assert.Equal(t, 11100*time.Millisecond, l.ReadyAt(), "the lease, and as much more as clocks may differ, and the guard time")
+	assert.Empty(t, l.Numbers(l.ReadyAt()-1))
+	assert.Equal(t, []int{0}, l.Numbers(l.ReadyAt()))
 	l.Refused(28*time.Second, 1, 20*time.Second)
 	assert.Equal(t, []int{0}, l.Numbers(28*time.Second), "not before the guard time is over")
 	assert.Equal(t, []int{0, 1}, l.Numbers(29*time.Second))
--- a/internal/dispatcher/fleet/receive.go
+++ b/internal/dispatcher/fleet/receive.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Verdict is what Receive did with a packet.
+// Verdict says whether Receive accepted a packet, or why it dropped it.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Accepted    Verdict = iota
-	StaleEpoch          // it is from a process that a later one of its name has followed
-	Misdirected         // it is for another epoch of this member, or from a process of this member's own name
-	Malformed           // its kind is not known, or a field has a value that cannot be
+	StaleEpoch          // its sender is a process that a later one of the same name has replaced
+	Misdirected         // it is for another epoch of this member, or from a process with this member's name
+	Malformed           // its kind is not known, or a field has an impossible value
 	Ended               // this member has left or is superseded
 )
 
-// String returns the verdict as the counters of dropped datagrams have it, by older words.
+// String returns the name under which operators see the verdict in the counters of dropped datagrams. These names leave the process
+// and stay as they are, although the constants have other names now.
 func (v Verdict) String() string {
 	return [...]string{"taken", "earlier life", "misdirected", "senseless", "over"}[v]
 }
 
-// Receive handles a packet that came from an address. Only an Accepted one has an effect on the view, but for the record of its
-// sender in a Misdirected one of this member's own name.
+// Receive handles a packet from an address. Only an Accepted packet changes the view, with one exception: the sender's record in a
+// packet from a process with this member's name is merged, so that the process with the lower epoch learns that it is superseded.
 func (c *Core) Receive(now time.Duration, from string, p *Packet) Verdict {
 	c.advance(now)
 	switch {
@@ -35,13 +36,13 @@
 		return Misdirected
 	}
 	if m := c.members[p.From.Name]; m != nil && p.From.Epoch < m.Epoch {
-		c.send(from, &Packet{Kind: Gossip, Records: []Record{c.recordOf(m)}}) // it may not know of the later one
+		c.send(from, &Packet{Kind: Gossip, Records: []Record{c.recordOf(m)}}) // the sender may not know of the later process
 		return StaleEpoch
 	}
 	c.merge(p.From, gossiped)
 	origin := gossiped
 	if p.Kind == Gossip {
-		origin = compared
+		origin = synchronized
 	}
 	for i := range p.Records {
 		c.merge(p.Records[i], origin)
@@ -57,7 +58,7 @@
 	return Accepted
 }
 
-// handleKind does what the kind of an accepted packet asks for.
+// handleKind handles an accepted packet by its kind.
 func (c *Core) handleKind(from string, p *Packet) {
 	switch p.Kind {
 	case Ping:
@@ -79,7 +80,7 @@
 	}
 }
 
-// ack answers a probe, and passes on the proofs of death that this member has.
+// ack answers a probe, with the valid proofs of death that this member has.
 func (c *Core) ack(to string, p *Packet) {
 	reply := &Packet{Kind: Ack, ToEpoch: p.From.Epoch, Probe: p.Probe}
 	if c.tracker != nil {
@@ -88,7 +89,8 @@
 	c.send(to, reply)
 }
 
-// handleAck handles the answer to a probe: of this member's own, or of one that it relays.
+// handleAck handles the Ack of a probe that this member sent for itself or for another member. A direct answer lowers the local
+// health score. Proofs and digest are used only if the probed address itself answered.
 func (c *Core) handleAck(from string, p *Packet) {
 	if r, ok := c.relays[p.Probe]; ok {
 		c.send(r.to, &Packet{Kind: Ack, Probe: r.probe})
@@ -100,7 +102,7 @@
 			c.adjustHealth(-1)
 		}
 	}
-	if s, ok := c.probes[p.Probe]; ok && s.to == from {
+	if s, ok := c.sentProbes[p.Probe]; ok && s.to == from {
 		if c.tracker != nil {
 			c.tracker.Merge(c.now, s.at, p.Proofs)
 		}
@@ -108,7 +110,7 @@
 	}
 }
 
-// probeFor sends an indirect probe for the member that sent a PingReq.
+// probeFor probes the target of a PingReq on behalf of its sender. A Nack is due after one step of a probe's timeout.
 func (c *Core) probeFor(from string, p *Packet) {
 	epoch := uint64(0)
 	if m := c.members[p.Target]; m != nil {
--- a/internal/dispatcher/fleet/sync.go
+++ b/internal/dispatcher/fleet/sync.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// compareDigest compares this view with that of the sender of an Ack by their digests. Where they differ it asks, not too often,
-// for the records that do.
+// compareDigest compares the digest in an Ack with this view's. If they differ, it sends a Sync, at most one each quarter of an
+// interval.
 func (c *Core) compareDigest(from string, p *Packet) {
 	if p.Digest == c.Digest() {
 		c.agreedAt = c.now
@@ -16,14 +16,15 @@
 	}
 }
 
-// replyToSync answers the bucket sums of another view with this view's records of the buckets that differ, in a bounded number of
-// pages. With includeSums the first page carries this view's sums, so that the other member sends its records too.
+// replyToSync compares the bucket sums in p with this view's, and sends this view's records of the buckets that differ in a bounded
+// number of Gossip packets (pages). With includeSums the first page carries this view's sums, so that the other member sends its
+// records of these buckets too.
 func (c *Core) replyToSync(to string, p *Packet, includeSums bool) {
 	if len(p.Sums) != buckets {
 		return
 	}
-	// The living come before the others, and each list begins at a random record: where the pages don't take all records,
-	// repeated comparisons send each of them in time.
+	// Living members come first. Buckets and the records within each begin at a random position, so that repeated replies send
+	// every record even if a single one has no room for all.
 	records := c.differing(p, true, nil)
 	records = c.differing(p, false, records)
 	for sent := 0; sent < maxPagesPerReply && c.pagesSent < maxPagesPerInterval; sent++ {
@@ -45,7 +46,8 @@
 	}
 }
 
-// differing appends the records of the living members, or of the others, in the buckets whose sum in p is not this view's.
+// differing appends to records those of the buckets whose sum in p is not this view's: of the living members, or of the others. It
+// adds no further bucket once there are maxSyncRecords.
 func (c *Core) differing(p *Packet, living bool, records []Record) []Record {
 	first := c.rng.IntN(buckets)
 	for i := range buckets {
@@ -64,13 +66,14 @@
 	return records
 }
 
-// updateConverged notes whether the view has converged: nobody is suspected, and the views that were compared lately were equal.
+// updateConverged updates whether the view has converged. It has if no member is suspected, no other view differed for
+// convergedIntervals, and another view was equal within twice that time or there is no other member.
 func (c *Core) updateConverged() {
 	isEqual := c.now-c.differedAt >= convergedIntervals*c.cfg.Interval && (c.now-c.agreedAt < 2*convergedIntervals*c.scaled(c.cfg.Interval) || len(c.living) == 0)
 	c.setConverged(isEqual && len(c.suspects) == 0)
 }
 
-// setConverged notes whether the view has converged, and since when.
+// setConverged records whether the view has converged, and since when.
 func (c *Core) setConverged(converged bool) {
 	if c.converged != converged {
 		c.converged, c.since = converged, c.now
--- a/internal/dispatcher/fleet/update.go
+++ b/internal/dispatcher/fleet/update.go
@@ -6,29 +6,31 @@
 	"slices"
 )
 
-// update is a record that is being gossiped: it rides on packets until it was transmitted often enough.
+// update is a record in the gossip queue. It is piggybacked on packets until it has been transmitted often enough, see piggyback.
 type update struct {
 	record    Record
 	transmits int
 }
 
-// broadcast queues a record to be piggybacked on the next packets, in place of an earlier one on the same member. Where the
-// queue is full, the update with the most transmissions is dropped; comparisons of views spread what it said.
+// broadcast queues a record to be piggybacked on the next packets, in place of a queued one about the same member. If the queue is
+// full, the update with the most transmissions is dropped, but never one about this member itself. What a dropped update said is
+// spread when views are synchronized.
 func (c *Core) broadcast(r Record) {
 	if c.updates[r.Name] == nil && len(c.updates) >= maxUpdates {
-		var oldest *update
+		var mostSent *update
 		for _, u := range c.updates {
-			if u.record.Name != c.self.Name && (oldest == nil || u.transmits > oldest.transmits || u.transmits == oldest.transmits && u.record.Name < oldest.record.Name) {
-				oldest = u
+			if u.record.Name != c.self.Name && (mostSent == nil || u.transmits > mostSent.transmits || u.transmits == mostSent.transmits && u.record.Name < mostSent.record.Name) {
+				mostSent = u
 			}
 		}
-		delete(c.updates, oldest.record.Name)
+		delete(c.updates, mostSent.record.Name)
 	}
 	c.updates[r.Name] = &update{record: r}
 }
 
-// piggyback adds updates to p up to its size limit, those with the fewest transmissions first. Before all others comes what the
-// receiver has to refute, if this view has it as suspect or dead (Lifeguard's buddy system).
+// piggyback adds updates to p up to Config.MaxRecordBytes, those with the fewest transmissions first. If the receiver is suspect or
+// dead in this view, its record comes before all updates, so that it can refute it (Lifeguard's buddy system). An update is removed
+// from the queue after retransmitMult * ceil(log2(living members + 1)) transmissions.
 func (c *Core) piggyback(p *Packet, to string) {
 	bytesLeft := c.cfg.MaxRecordBytes - len(p.Proofs)*maxProofSize - len(p.Sums)*maxSumSize
 	for i := range p.Records {
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -18,9 +18,9 @@
 
 // Link is the state of the network from one member to another.
 type Link struct {
-	Loss, Double, Late float64       // fractions of the datagrams
-	By                 time.Duration // how late the late ones are
-	Down               bool
+	Loss, Duplicates, Late float64       // fractions of the datagrams
+	LateBy                 time.Duration // how late the late ones are
+	Down                   bool
 }
 
 // Options configure a world.
@@ -43,7 +43,7 @@
 	Name, Addr, Zone string
 	Number           int
 	Core             *fleet.Core // nil while no process runs
-	Began            time.Duration
+	StartedAt        time.Duration
 	Datagrams, Bytes int64 // sent
 	Changes          []fleet.Change
 	// Skew is added to the time that the process reads.
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	n.Core, n.Began, n.stopped, n.queued, n.Changes, n.tickAt = c, w.Now, false, nil, nil, 0
+	n.Core, n.StartedAt, n.stopped, n.queued, n.Changes, n.tickAt = c, w.Now, false, nil, nil, 0
 	w.scheduleTick(n)
 	return nil
 }
@@ -273,7 +273,7 @@
 		}
 		l := w.link(n, to)
 		deliveries := 1
-		if w.rng.Float64() < l.Double {
+		if w.rng.Float64() < l.Duplicates {
 			deliveries = 2
 		}
 		for range deliveries {
@@ -285,7 +285,7 @@
 				at += time.Duration(w.rng.Int64N(int64(w.opt.Jitter)))
 			}
 			if w.rng.Float64() < l.Late {
-				at += l.By
+				at += l.LateBy
 			}
 			w.push(&event{at: at, node: to, from: n.Addr, packet: clonePacket(d.Packet)})
 		}
