--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -1,16 +1,23 @@
-// Package packet is the form of the fleet's packets on the wire: a version, the fleet's name, the packet as CBOR (RFC 8949)
-// and a keyed digest over all of it.
+// Package packet encodes the fleet's packets as UDP datagrams and decodes them. A datagram has these parts, in this order:
 //
-//	1 byte   version, 1
-//	1 byte   length of the fleet's name
-//	n bytes  the fleet's name
-//	...      the packet: CBOR, every struct an array of fixed length, so that a field missing or too many is a fault
-//	16 bytes HMAC-SHA256 over all before it, its first 16 bytes
+//	1 byte    version, 1; another version of the format has another first byte
+//	1 byte    n, the length of the fleet's name
+//	n bytes   the fleet's name
+//	...       the packet in CBOR (RFC 8949): an array of the 11 fields of wirePacket
+//	16 bytes  the first 16 bytes of an HMAC-SHA256, with the fleet's key, over all bytes before
 //
-// CBOR was weighed against msgpack and protobuf. All three are small enough; a record takes 60 to 70 bytes in each, most of
-// it names. CBOR's decoder refuses what it was not asked for (indefinite lengths, other types, elements over a bound,
-// trailing bytes) by options; msgpack's takes numbers of any width and kind for any field and has no bound on arrays;
-// protobuf keeps unknown fields by design and needs a generator at build time. A new version gets a new first byte.
+// Structs are CBOR arrays of fixed length, so that a datagram with a missing or an additional field is rejected. The fields are, in
+// this order:
+//
+//	packet  kind, sender (a record), epoch of the receiver, sequence number, probe, target's name, target's address, digest of the
+//	        view, records, bucket sums, proofs of death
+//	record  name, address, zone, epoch, incarnation, state, hash of the suspecting member, age in milliseconds
+//	proof   number, age in microseconds
+//
+// CBOR was chosen over msgpack and protobuf. All three are small enough: a record takes 60 to 70 bytes in each, most of it names. A
+// CBOR decoder can be configured to reject unexpected input (indefinite lengths, other types, too many elements, trailing bytes). A
+// msgpack decoder accepts numbers of any width and kind for any field and doesn't bound arrays. Protobuf keeps unknown fields by
+// design and needs a generator at build time.
 package packet
 
 import (
@@ -27,12 +34,12 @@
 
 const (
 	version = 1
-	macSize = 16
-	// MaxSize is the largest datagram in bytes. It passes every usual network without fragmentation.
+	macSize = 16 // bytes
+	// MaxSize is the size of the largest datagram, in bytes. Usual networks carry it without fragmentation.
 	MaxSize = 1400
 )
 
-// Reason is why a datagram is dropped, as logs and counters have it.
+// Reason is the reason for which a datagram is dropped, in the words of logs and counters.
 type Reason string
 
 // The reasons.
@@ -44,13 +51,13 @@
 	Malformed Reason = "malformed"
 )
 
-// Error is a datagram that is dropped, or too long to send.
+// Error is the error for a datagram that is dropped, or that would be too long to send.
 type Error struct {
 	Reason Reason
 	Err    error // the decoder's; may be nil
 }
 
-// Error names the reason and its cause.
+// Error returns the reason and, if there is one, its cause.
 func (e *Error) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("datagram dropped: %s: %v", e.Reason, e.Err)
@@ -61,7 +68,7 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Codec writes and reads the datagrams of one fleet. It is safe for concurrent use.
+// Codec encodes and decodes the datagrams of one fleet. It is safe for concurrent use.
 type Codec struct {
 	name string
 	key  []byte
@@ -69,14 +76,14 @@
 	dec  cbor.DecMode
 }
 
-// New returns the codec of the fleet of that name, whose members all have the same key. Its error is a *fleet.ConfigError if the
-// name or the key has a wrong length.
+// New returns the codec of the fleet with this name. All its members must have the same key. If the name or the key has a wrong length,
+// the error is a *fleet.ConfigError.
 func New(name string, key []byte) (*Codec, error) {
 	if name == "" || len(name) > 64 {
 		return nil, &fleet.ConfigError{Field: "Name", Value: fmt.Sprintf("%d bytes long", len(name)), Want: "1 to 64 are allowed"}
 	}
 	if len(key) < 16 {
-		return nil, &fleet.ConfigError{Field: "Key", Value: fmt.Sprintf("%d bytes long", len(key)), Want: "16 at least are needed"}
+		return nil, &fleet.ConfigError{Field: "Key", Value: fmt.Sprintf("%d bytes long", len(key)), Want: "at least 16 are needed"}
 	}
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -91,8 +98,8 @@
 	return &Codec{name: name, key: key, enc: enc, dec: dec}, nil
 }
 
-// The wire format: CBOR arrays, in which the order of fields counts and their names do not. It is separate from the core's types so
-// that a change there doesn't change it.
+// The types of the wire format. They are encoded as CBOR arrays, so the order of their fields matters and the names do not. They are
+// separate from the types of package fleet, so that a change of those doesn't change the wire format.
 type (
 	wirePacket struct {
 		_       struct{} `cbor:",toarray"`
@@ -126,14 +133,14 @@
 	}
 )
 
-// Encode returns p as a datagram; an *Error if it would be longer than MaxSize.
+// Encode returns p as a datagram, or an *Error with the reason TooLong if it would be longer than MaxSize.
 func (c *Codec) Encode(p *fleet.Packet) ([]byte, error) {
 	w := wirePacket{Kind: uint8(p.Kind), From: toWire(&p.From), ToEpoch: p.ToEpoch, Seq: p.Seq, Probe: p.Probe,
 		Target: p.Target, At: p.TargetAddr, Digest: p.Digest, Sums: p.Sums}
 	for i := range p.Records {
 		w.Records = append(w.Records, toWire(&p.Records[i]))
 	}
-	for _, f := range p.Proofs { // rounded up: a proof must not appear younger than it is
+	for _, f := range p.Proofs { // rounded up: a proof must not appear newer than it is
 		w.Proofs = append(w.Proofs, wireProof{Number: uint32(f.Number), AgeUs: uint64((f.Age + time.Microsecond - 1) / time.Microsecond)})
 	}
 	body, err := c.enc.Marshal(&w)
@@ -149,7 +156,7 @@
 	return d, nil
 }
 
-// Decode returns the packet in a datagram. Its error is an *Error.
+// Decode returns the packet in a datagram. It checks size, version, fleet and HMAC before it decodes the packet. The error is an *Error.
 func (c *Codec) Decode(d []byte) (*fleet.Packet, error) {
 	if len(d) > MaxSize {
 		return nil, &Error{Reason: TooLong}
@@ -182,9 +189,9 @@
 	return p, nil
 }
 
-// Seq returns the Seq of a datagram that this codec encoded, of which only the beginning may be there: a machine that refuses a
-// datagram returns its first bytes only. It checks no digest, as refusals are matched with what was sent. ok reports whether the
-// bytes are the beginning of such a datagram.
+// Seq returns the Seq of a datagram that this codec encoded. d may be only its beginning, as a machine that refuses a datagram returns
+// only its first bytes. The HMAC is therefore not checked; the caller matches the Seq with the datagrams that it sent. ok reports
+// whether d is the beginning of such a datagram.
 func (c *Codec) Seq(d []byte) (seq uint64, ok bool) {
 	end := 2 + len(c.name)
 	if len(d) <= end || d[0] != version || int(d[1]) != len(c.name) || string(d[2:end]) != c.name || d[end]>>5 != 4 {
@@ -205,6 +212,7 @@
 	return seq, true
 }
 
+// mac returns the truncated HMAC over d.
 func (c *Codec) mac(d []byte) []byte {
 	h := hmac.New(sha256.New, c.key)
 	h.Write(d)
@@ -221,7 +229,7 @@
 		State: fleet.State(w.State), SuspectedBy: w.By, Age: bounded(w.AgeMs, time.Millisecond)}
 }
 
-// bounded returns n units, or the longest duration that is safe to add if that is less.
+// bounded returns n units, but at most 1<<62 nanoseconds, so that adding a time to it doesn't overflow.
 func bounded(n uint64, unit time.Duration) time.Duration {
 	return time.Duration(min(n, uint64(1<<62)/uint64(unit))) * unit
 }
--- a/internal/dispatcher/fleet/receive.go
+++ b/internal/dispatcher/fleet/receive.go
@@ -89,8 +89,8 @@
 	c.send(to, reply)
 }
 
-// handleAck handles the Ack of a probe that this member sent for itself or for another member. A direct answer lowers the local
-// health score. Proofs and digest are used only if the probed address itself answered.
+// handleAck handles the Ack of a probe that this member sent for itself or for another member. An answer before any
+// indirect probe was requested lowers the local health score. Proofs and digest are used only if the probed address itself answered.
 func (c *Core) handleAck(from string, p *Packet) {
 	if r, ok := c.relays[p.Probe]; ok {
 		c.send(r.to, &Packet{Kind: Ack, Probe: r.probe})
--- a/internal/dispatcher/fleet/udp/read.go
+++ b/internal/dispatcher/fleet/udp/read.go
@@ -12,13 +12,13 @@
 	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
-// readLoop reads datagrams and refusals from the socket until it is closed, which is an error that wraps net.ErrClosed.
+// readLoop reads datagrams and refusals from the socket until the socket is closed. It then returns an error that wraps net.ErrClosed.
 func (n *Node) readLoop(conn *net.UDPConn, events chan<- event) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	buf := make([]byte, packet.MaxSize+1) // a datagram that fills it is too long
+	buf := make([]byte, packet.MaxSize+1) // one byte more, so that Decode sees when a datagram is too long
 	for {
 		size, from, err := conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -27,14 +27,14 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		}
-		// A refusal wakes the reader with an error that doesn't say of which datagram it is: the error queue does.
+		// A refusal makes the read return an error that doesn't say which datagram was refused. The socket's error queue says it.
 		if err := n.readRefusals(raw, events); err != nil {
 			return err
 		}
 	}
 }
 
-// receive decodes a datagram and enqueues its packet.
+// receive decodes a datagram and enqueues its packet, or counts it as dropped.
 func (n *Node) receive(d []byte, from netip.AddrPort, events chan<- event) {
 	p, err := n.opt.Codec.Decode(d)
 	if err != nil {
@@ -47,7 +47,7 @@
 	n.enqueue(event{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), packet: p}, events)
 }
 
-// enqueue passes an event to Run's goroutine, or drops it if too many wait.
+// enqueue passes an event to Run's goroutine, or drops and counts it if maxInbox events are waiting.
 func (n *Node) enqueue(e event, events chan<- event) {
 	select {
 	case events <- e:
@@ -56,8 +56,9 @@
 	}
 }
 
-// readRefusals reads the socket's error queue (ip(7), IP_RECVERR). Only a port-unreachable message from the very machine that the
-// datagram was for is a refusal; what a router or firewall in between says is not.
+// readRefusals reads the socket's error queue (ip(7), IP_RECVERR) and enqueues an event for each refusal. Only an ICMP port-unreachable
+// message from the destination's own address is a refusal. Messages from a router or firewall in between are ignored, as they don't
+// prove that the destination's process is dead.
 func (n *Node) readRefusals(raw syscall.RawConn, events chan<- event) error {
 	data, control := make([]byte, packet.MaxSize), make([]byte, 512)
 	return raw.Control(func(fd uintptr) {
@@ -77,7 +78,8 @@
 	})
 }
 
-// The layout of struct sock_extended_err, with the offender's sockaddr_in after it (ip(7)).
+// The layout, in bytes, of struct sock_extended_err and of the sockaddr_in after it, which has the address of the machine that sent
+// the ICMP message (ip(7)); and the type and code of an ICMP port-unreachable message.
 const (
 	errErrno, errOrigin, errType, errCode = 0, 4, 5, 6
 	errSize                               = 16
@@ -86,8 +88,8 @@
 	icmpUnreachable, icmpPort             = 3, 3
 )
 
-// refusedByDestination reports whether the control messages of a queued error say that the very machine at to refused the datagram as
-// it has no socket at that port.
+// refusedByDestination reports whether the control messages of a queued error say that the machine with the address to itself refused
+// the datagram because no socket was bound to the port.
 func refusedByDestination(control []byte, to unix.Sockaddr) bool {
 	a, ok := to.(*unix.SockaddrInet4)
 	messages, err := unix.ParseSocketControlMessage(control)
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -1,4 +1,4 @@
-// Package udp is the shell around the fleet's core: one UDP socket, one clock, and one goroutine that owns the core. Linux only: it
+// Package udp runs a fleet.Core on one UDP socket, with one clock and one goroutine that owns the core. It works on Linux only, as it
 // reads refusals from the socket's error queue and times from CLOCK_BOOTTIME.
 package udp
 
@@ -22,46 +22,49 @@
 )
 
 const (
-	// maxInbox is how many datagrams wait for the core; more are dropped and counted, as the network would.
+	// maxInbox is the number of datagrams and refusals that may wait for the core. Further ones are dropped and counted. The protocol
+	// tolerates this, as it tolerates datagrams that the network loses.
 	maxInbox = 512
-	// bindRetryInterval is the time between two attempts to bind an address that another process has, as in an upgrade in place.
+	// bindRetryInterval is the time between two attempts to bind an address that another process still has, such as the predecessor in
+	// an upgrade in place.
 	bindRetryInterval = 250 * time.Millisecond
-	// leaveGrace is the time that the last datagrams have to be sent before the socket closes.
+	// leaveGrace is the time between writing the last datagrams and closing the socket.
 	leaveGrace = 50 * time.Millisecond
 )
 
 // Options configure a node.
 type Options struct {
-	// Listen is the socket's own ip:port.
+	// Listen is the ip:port to which the socket is bound.
 	Listen string
-	// Self needs Name, Addr (where others reach the socket) and Zone; its Epoch is taken from this machine's clock.
+	// Self must have Name and Addr, the address at which others reach the socket, and has the Zone. Run sets its Epoch from this
+	// machine's clock.
 	Self   fleet.Record
 	Config fleet.Config
 	Codec  *packet.Codec
-	// OnOwnership, if set, is called by Run's goroutine with the numbers that this dispatcher owns, at least whenever they or the
-	// number of living members change. It must not block.
+	// OnOwnership, if set, is called by Run's goroutine with the numbers that this dispatcher owns, after each event. It must not block.
 	OnOwnership func(Ownership)
 	Log         logrus.FieldLogger
 }
 
-// Ownership is which numbers a dispatcher owns.
+// Ownership says which numbers a dispatcher owns, and for how long.
 type Ownership struct {
-	Numbers []int // rising; none until the socket is bound and every proof of death against this dispatcher has expired
-	// ValidFor is how long from now on all of them may be used without a further report; then only the dispatcher's own.
+	Numbers []int // ascending; none until the socket is bound and every proof of death of this dispatcher has expired
+	// ValidFor is how long from now all of Numbers may be used without a further report. After it only the dispatcher's own number
+	// may be used.
 	ValidFor time.Duration
-	Living   int // members that live, by the view: an estimate, on which no safety may rest
+	Living   int // living members in the view, this one included: an estimate, on which safety must not depend
 }
 
-// View is a copy of the view, for operators.
+// View is a copy of the membership view, for operators.
 type View struct {
 	fleet.Snapshot
-	// At is when it was taken, by the clock of its Since and the members'.
+	// At is when the copy was made, by the same clock as Since and the members' Since.
 	At time.Duration
-	// Dropped counts the datagrams that had no effect, by reason.
+	// Dropped counts, by reason, the datagrams that were received without effect or could not be sent.
 	Dropped map[string]int64
 }
 
-// Node is one dispatcher's member of the fleet. View may be called by any goroutine, Run once.
+// Node makes one dispatcher a member of the fleet. View may be called by any goroutine, Run only once.
 type Node struct {
 	opt  Options
 	view atomic.Pointer[View]
@@ -69,20 +72,20 @@
 	mu      sync.Mutex
 	dropped map[string]int64
 
-	// The rest belongs to Run's goroutine.
+	// Only Run's goroutine uses the fields below.
 	core             *fleet.Core
 	supersededLogged bool
-	addrs            map[string]netip.AddrPort // parsed, by their text
+	addrs            map[string]netip.AddrPort // parsed addresses by their text
 }
 
-// event is a packet or a refusal that came through the socket.
+// event is a packet that arrived through the socket, or a refusal.
 type event struct {
-	from   string
-	packet *fleet.Packet // nil: a refusal of the datagram seq
-	seq    uint64
+	from   string        // sender of the packet, or address of the machine that refused
+	packet *fleet.Packet // nil: the event is a refusal
+	seq    uint64        // of a refusal: Seq of the refused datagram
 }
 
-// SocketError is a failure to bind the fleet's socket, or of the bound socket.
+// SocketError is a failure to bind the fleet's socket, or a failure of the bound socket.
 type SocketError struct {
 	Addr string
 	Fix  string // what an operator can do
@@ -97,12 +100,12 @@
 // Unwrap returns the cause.
 func (e *SocketError) Unwrap() error { return e.Err }
 
-// New returns a node that does nothing until Run.
+// New returns a node that does nothing until Run is called.
 func New(opt Options) *Node {
 	return &Node{opt: opt, dropped: map[string]int64{}, addrs: map[string]netip.AddrPort{}}
 }
 
-// View returns the newest view; nil before the socket is bound.
+// View returns the newest copy of the view, or nil if there is none yet because the socket is not bound.
 func (n *Node) View() *View {
 	v := n.view.Load()
 	if v == nil {
@@ -115,9 +118,9 @@
 	return &c
 }
 
-// Run takes part in the fleet until ctx ends, then leaves and returns nil. While another process has the address it waits, so that of
-// two processes at one address only one takes part. An error is a *SocketError or the core's *fleet.ConfigError; the last
-// Ownership it reported then has no numbers.
+// Run takes part in the fleet until ctx ends, then leaves and returns nil. While another process has the address, Run waits, so that of
+// two processes at one address only one takes part. An error is a *SocketError or an error of fleet.New. Before Run returns, the last
+// Ownership that it has reported, if any, has no numbers.
 func (n *Node) Run(ctx context.Context) error {
 	conn, err := n.bind(ctx)
 	if err != nil || conn == nil {
@@ -125,8 +128,8 @@
 	}
 	var reader sync.WaitGroup
 	defer func() {
-		defer reader.Wait()                  // closing the socket ends it
-		if err := conn.Close(); err != nil { // the reader has reported what made the socket fail
+		defer reader.Wait()                  // the reader ends when the socket is closed
+		if err := conn.Close(); err != nil { // the reader has already reported the cause if the socket failed
 			n.opt.Log.WithError(err).Debug("fleet: closing the socket failed")
 		}
 	}()
@@ -145,7 +148,7 @@
 		select {
 		case <-ctx.Done():
 			n.core.Leave(now())
-			n.notify(Ownership{}) // from here on no number is used, and the socket may be closed
+			n.notify(Ownership{}) // before the socket closes, as others may use this dispatcher's number from then on
 			n.send(conn)
 			time.Sleep(leaveGrace)
 			return nil
@@ -162,7 +165,7 @@
 	}
 }
 
-// bind binds the socket, with the queue of refusals on; nil without an error if ctx ends first.
+// bind binds the socket, with its error queue enabled. It returns nil without an error if ctx ends first.
 func (n *Node) bind(ctx context.Context) (*net.UDPConn, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var set error
@@ -199,14 +202,14 @@
 	}
 }
 
-// countDropped counts a datagram that had no effect.
+// countDropped counts a datagram in View.Dropped.
 func (n *Node) countDropped(reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropped[reason]++
 }
 
-// send sends the core's datagrams and logs its changes; it reports whether there were any changes.
+// send sends the core's datagrams and logs the changes of its view. It reports whether there were any changes.
 func (n *Node) send(conn *net.UDPConn) (changed bool) {
 	out, changes := n.core.Take()
 	for _, c := range changes {
@@ -227,8 +230,8 @@
 			}
 			n.addrs[d.To] = to
 		}
-		// An error may be the refusal of an earlier datagram, which readRefusals handles. This one was not sent then, so it is
-		// sent again.
+		// The error of a write may be the refusal of an earlier datagram, which readRefusals handles. This datagram was not sent in
+		// that case, so it is written again.
 		if _, err := conn.WriteToUDPAddrPort(datagram, to); err != nil {
 			if _, err = conn.WriteToUDPAddrPort(datagram, to); err != nil {
 				n.countDropped("not sent: network")
@@ -238,8 +241,8 @@
 	return len(changes) > 0
 }
 
-// publish reports the owned numbers, and copies the view for View: when it changed, else only twice an interval, as it is a copy of
-// all members.
+// publish reports the owned numbers, and stores a copy of the view for View if the view has changed or the last copy is half an interval
+// old. It doesn't copy it more often, as a copy contains all members.
 func (n *Node) publish(changed bool) {
 	at := now()
 	numbers, validFor := n.core.OwnedNumbers(at)
@@ -262,7 +265,8 @@
 	}
 }
 
-// now reads a clock that never jumps and goes on while the machine sleeps, which leases need.
+// now reads a clock that never jumps and goes on while the machine sleeps. With another clock, a proof of death could be used after it
+// has expired.
 func now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
