--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -19,7 +19,7 @@
 	largest = flag.Int("most", 1000, "the largest fleet to measure")
 )
 
-// TestFigures measures what docs/view.md states, in multiples of the probe interval.
+// TestFigures measures the figures in docs/view.md, in multiples of the probe interval.
 func TestFigures(t *testing.T) {
 	if !*figures {
 		t.Skip("-figures is not set")
@@ -37,7 +37,7 @@
 	}
 }
 
-// measureCalm measures joins, a crash, a partition, and what a member sends while nothing happens.
+// measureCalm measures the time until views agree after joins, a crash and a partition, and what a member sends while nothing happens.
 func measureCalm(t *testing.T, codec *packet.Codec, n int, loss float64) {
 	t.Helper()
 	opt := options(uint64(n))
@@ -79,7 +79,8 @@
 	fmt.Printf("%slargest datagram %d bytes\n", line, maxSize)
 }
 
-// measureTraffic measures what each member sends, and what it costs, in an hour without events; in less where that takes too long.
+// measureTraffic measures what each member sends, and the CPU time that it takes, in an hour (of the fleet's time) without events. It
+// measures an eighth of that for large fleets and much loss, as an hour takes too long there.
 func measureTraffic(w *virtual.World, loss float64) string {
 	n, intervals := len(w.Nodes), 7200
 	if n > 300 || loss > 0.1 {
@@ -100,7 +101,7 @@
 		float64(datagrams)/each, float64(bytes)/each, float64(cpu.Microseconds())/each, count(w, fleet.Suspected, since)/n, count(w, fleet.Died, since), float64(intervals)*tick.Hours())
 }
 
-// measureDeaths measures how soon the numbers of many dead members are owned again.
+// measureDeaths measures how soon the numbers of many dead members are owned by living ones.
 func measureDeaths(t *testing.T, n int) {
 	t.Helper()
 	opt := options(uint64(n))
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -13,7 +13,8 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-func codec(t require.TestingT, name, key string) *Codec {
+// newCodec returns a codec and fails the test if there is an error.
+func newCodec(t require.TestingT, name, key string) *Codec {
 	c, err := New(name, []byte(key))
 	require.NoError(t, err)
 	return c
@@ -21,7 +22,8 @@
 
 const key = "sixteen bytes or more"
 
-func draw(t *rapid.T) *fleet.Packet {
+// drawPacket draws a valid packet.
+func drawPacket(t *rapid.T) *fleet.Packet {
 	name := rapid.StringMatching(`[a-z0-9-]{1,16}`)
 	record := rapid.Custom(func(t *rapid.T) fleet.Record {
 		return fleet.Record{Name: name.Draw(t, "name"), Addr: "10.200.200.200:65535", Zone: name.Draw(t, "zone"),
@@ -34,11 +36,12 @@
 		Sums: rapid.SliceOfN(rapid.Uint64(), 0, 32).Draw(t, "sums"), Proofs: []quota.Proof{{Number: 7, Age: 3 * time.Microsecond}}}
 }
 
-// Decode returns what Encode got, Seq reads the number from the first bytes alone, and a change of any byte is an error.
-func TestReadsWhatItWrites(t *testing.T) {
-	c := codec(t, "f", key)
+// Decode returns the packet that was encoded, Seq reads the sequence number from the first 120 bytes, and after a change of any byte
+// Decode returns an error.
+func TestRoundTrip(t *testing.T) {
+	c := newCodec(t, "f", key)
 	rapid.Check(t, func(t *rapid.T) {
-		p := draw(t)
+		p := drawPacket(t)
 		d, err := c.Encode(p)
 		require.NoError(t, err)
 		got, err := c.Decode(d)
@@ -60,15 +63,17 @@
 	})
 }
 
-func TestDropsWhatIsNotItsOwn(t *testing.T) {
-	c := codec(t, "fleet-a", key)
+// Decode returns an *Error with the right reason for each kind of datagram that it must drop. Encode rejects packets that are too
+// long, and New rejects names and keys of a wrong length.
+func TestInvalidDatagramsAreRejected(t *testing.T) {
+	c := newCodec(t, "fleet-a", key)
 	good, err := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Epoch: 1}})
 	require.NoError(t, err)
-	other, err := codec(t, "fleet-b", key).Encode(&fleet.Packet{Kind: fleet.Ping})
+	other, err := newCodec(t, "fleet-b", key).Encode(&fleet.Packet{Kind: fleet.Ping})
 	require.NoError(t, err)
-	forged, err := codec(t, "fleet-a", "another key of 16").Encode(&fleet.Packet{Kind: fleet.Ping})
+	forged, err := newCodec(t, "fleet-a", "another key of 16").Encode(&fleet.Packet{Kind: fleet.Ping})
 	require.NoError(t, err)
-	signed := func(body string) []byte { // what has the key but is no packet
+	signed := func(body string) []byte { // a datagram with a valid HMAC, whose body need not be a packet
 		d := append([]byte{version, byte(len(c.name))}, c.name+body...)
 		return append(d, c.mac(d)...)
 	}
@@ -81,7 +86,7 @@
 		require.ErrorAs(t, err, &fault, want)
 		assert.Equal(t, want, fault.Reason)
 	}
-	for name, body := range map[string]string{"empty": "", "a map": "\xa0", "too few fields": "\x81\x01", "endless": "\x9f\x01\xff", "bytes after": string(good[9:len(good)-macSize]) + "\x00"} {
+	for name, body := range map[string]string{"empty": "", "a map": "\xa0", "too few fields": "\x81\x01", "an array of indefinite length": "\x9f\x01\xff", "trailing bytes": string(good[9:len(good)-macSize]) + "\x00"} {
 		_, err := c.Decode(signed(body))
 		var fault *Error
 		require.ErrorAs(t, err, &fault, name)
@@ -96,7 +101,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	c := codec(f, "f", key)
+	c := newCodec(f, "f", key)
 	d, _ := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Epoch: 1}})
 	f.Add(d)
 	f.Fuzz(func(_ *testing.T, d []byte) {
--- a/internal/dispatcher/fleet/packet/form_test.go
+++ b/internal/dispatcher/fleet/packet/wire_test.go
@@ -12,9 +12,9 @@
 	"ospreypond/internal/dispatcher/fleet/quota"
 )
 
-// The datagram is the same from version to version: dispatchers of two versions form one fleet during an upgrade.
+// The encoding of a packet stays the same byte for byte, as dispatchers of two releases form one fleet during an upgrade.
 func TestWireFormat(t *testing.T) {
-	got, err := codec(t, "f", key).Encode(&fleet.Packet{Kind: fleet.PingReq,
+	got, err := newCodec(t, "f", key).Encode(&fleet.Packet{Kind: fleet.PingReq,
 		From:    fleet.Record{Name: "d1", Addr: "10.0.0.1:7", Zone: "a", Epoch: 1_800_000_000_000, Incarnation: 3},
 		ToEpoch: 1_700_000_000_000, Seq: 9, Probe: 8, Target: "d2", TargetAddr: "10.0.0.2:7", Digest: 5,
 		Records: []fleet.Record{{Name: "d2", Addr: "10.0.0.2:7", Zone: "b", Epoch: 7, Incarnation: 1, State: fleet.Dead, SuspectedBy: 6, Age: 1500 * time.Millisecond}},
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -157,8 +157,8 @@
 	return p.isValid && now < p.sentAt+t.cfg.Lease
 }
 
-// Numbers returns the numbers that this dispatcher owns now, in rising order: none before ReadyAt, then its own and those that it
-// isSuccessor to. Proofs end, so callers ask again at each use, or as often as ValidUntil says.
+// Numbers returns the numbers that this dispatcher owns now, in ascending order: none before ReadyAt, then its own number and those
+// of which it is the successor. Proofs expire, so callers must ask again before each use, or at the latest at ValidUntil.
 func (t *Tracker) Numbers(now time.Duration) (own []int) {
 	if now < t.ReadyAt() {
 		return nil
--- a/internal/dispatcher/fleet/quota/quota_test.go
+++ b/internal/dispatcher/fleet/quota/quota_test.go
@@ -11,35 +11,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The exploration's clock ticks in units. Proofs hold for lease units, and users count in windows of guardTime units.
+// Time advances in units in the state exploration. Proofs are valid for lease units, and budgets are counted in windows of guardTime
+// units.
 const (
 	unit      = time.Second
 	lease     = 2
 	guardTime = 1
 )
 
-// model is a fleet at one moment: for each number the tracker of its process, if one runs, and the datagrams in flight.
+// model is a state of a fleet: for each number the process and its tracker, if one runs, and the datagrams in flight.
 type model struct {
 	now     time.Duration
 	procs   []proc
 	flights []flight
-	used    []use // by number: who used it last, and when
+	used    []use // by number: the process that used it last, and when
 }
 
+// proc is the process of one number.
 type proc struct {
 	up      bool
 	epoch   int
 	tracker *Tracker
 }
 
-// flight is a refusal or an answer on its way to a process.
+// flight is a refusal or an answer in flight to a process.
 type flight struct {
 	to, epoch int
-	number    int           // of a refusal; -1: an answer
-	sent      time.Duration // when what it answers was sent, by its receiver's clock
-	proofs    []Proof
+	number    int           // of a refusal: the number whose address refused; -1: it is an answer
+	sent      time.Duration // when the refused or answered datagram was sent, by its sender's clock
+	proofs    []Proof       // of an answer
 }
 
+// use is the last use of a number.
 type use struct {
 	who, epoch int
 	at         time.Duration
@@ -58,7 +61,8 @@
 	return c
 }
 
-// key identifies a state: times count from now, and what is long past is left out.
+// key returns a hash of the state, by which states that were visited are recognized. Times are relative to now, and all times 9 or more
+// units ago count as equal.
 func (m *model) key() uint64 {
 	old := func(t time.Duration) byte { return byte(min(9, (m.now-t)/unit)) }
 	is := func(b bool) byte {
@@ -91,7 +95,7 @@
 	return xxhash.Sum64(b)
 }
 
-// check lets every process use all its numbers, and returns an error if two use one within the same window.
+// check makes every process use all its numbers, and returns an error if two processes use a number within the same window.
 func (m *model) check() error {
 	for i, p := range m.procs {
 		if !p.up {
@@ -108,8 +112,8 @@
 	return nil
 }
 
-// next returns every state that can follow: a crash, a start, time, a datagram that is refused or answered at once or late.
-// Choices that are not made stand for datagrams that are lost or partitioned.
+// next returns every state that can follow in one step: time advances, a process crashes or starts, a datagram is refused or answered
+// at once or late. A datagram that is lost needs no step, as it changes no state.
 func (m *model) next(starts int) (out []*model) {
 	add := func(change func(c *model)) {
 		c := m.clone()
@@ -130,7 +134,7 @@
 		}
 	}
 	for k, f := range m.flights {
-		add(func(c *model) { // it arrives
+		add(func(c *model) { // the datagram arrives
 			c.flights = append(c.flights[:k:k], c.flights[k+1:]...)
 			if p := &c.procs[f.to]; p.up && p.epoch == f.epoch && f.number >= 0 {
 				p.tracker.Refused(c.now, f.number, f.sent)
@@ -142,11 +146,11 @@
 	return out
 }
 
-// contact adds what can follow when process i sends a datagram to process j. One datagram at a time is late, as long as it may
-// be; the others arrive at once.
+// contact adds the states that can follow when process i sends a datagram to process j. To bound the number of states, only one
+// datagram at a time can be in flight, for any number of steps; the others arrive at once.
 func (m *model) contact(i, j int, add func(change func(c *model))) {
 	epoch, late := m.procs[i].epoch, len(m.flights) == 0
-	if !m.procs[j].up { // its machine refuses
+	if !m.procs[j].up { // the machine refuses
 		add(func(c *model) { c.procs[i].tracker.Refused(c.now, j, c.now) })
 		if late {
 			add(func(c *model) { c.flights = append(c.flights, flight{to: i, epoch: epoch, number: j, sent: c.now}) })
@@ -154,7 +158,7 @@
 		return
 	}
 	proofs := m.procs[j].tracker.Proofs(m.now, 9)
-	if len(proofs) == 0 { // it answers, but knows nothing
+	if len(proofs) == 0 { // an answer without proofs changes nothing
 		return
 	}
 	add(func(c *model) { c.procs[i].tracker.Merge(c.now, c.now, proofs) })
@@ -165,6 +169,7 @@
 	}
 }
 
+// start starts process i.
 func (m *model) start(i int) {
 	l, err := New(Config{Size: len(m.procs), Own: i, Lease: lease * unit, GuardTime: guardTime * unit}, m.now)
 	if err != nil {
@@ -173,7 +178,7 @@
 	m.procs[i] = proc{up: true, epoch: m.procs[i].epoch + 1, tracker: l}
 }
 
-// successors returns how many processes own more than one number.
+// successors returns the number of processes that own more than one number.
 func (m *model) successors() (n int) {
 	for _, p := range m.procs {
 		if p.up && len(p.tracker.Numbers(m.now)) > 1 {
@@ -183,8 +188,8 @@
 	return n
 }
 
-// In every state that three dispatchers can reach within some steps, with crashes, restarts, lost and late datagrams at any point, no
-// number is used by two within the same window.
+// In every state that three dispatchers can reach within depth steps, with crashes, restarts, lost and late datagrams at any point, no
+// number is used by two processes within the same window.
 func TestNoNumberHasTwoOwners(t *testing.T) {
 	depth := 9
 	if testing.Short() {
@@ -220,10 +225,10 @@
 		level = following
 	}
 	t.Logf("%d states, %d owners of more than one number", len(seen), successions)
-	assert.Positive(t, successions, "a rule under which nobody ever succeeds is safe and useless")
+	assert.Positive(t, successions, "some process must own another number, or the check shows nothing")
 }
 
-// Where seven in ten of 300 are dead, no dispatcher owns more than a few times the mean.
+// When 210 of 300 dispatchers are dead, each number has one owner, and no dispatcher owns more than 12 numbers (the mean is 3.3).
 func TestSuccessorsAreSpread(t *testing.T) {
 	const size, dead = 300, 210
 	total, largest := 0, 0
@@ -240,6 +245,7 @@
 	assert.LessOrEqual(t, largest, 12)
 }
 
+// New rejects each invalid field with a *ConfigError that names it.
 func TestConfigIsChecked(t *testing.T) {
 	for field, cfg := range map[string]Config{
 		"Size": {Lease: 1}, "Own": {Size: 3, Own: 3, Lease: 1}, "Lease": {Size: 3}, "GuardTime": {Size: 3, Lease: 1, GuardTime: -1},
@@ -251,21 +257,21 @@
 	}
 }
 
-// A proof counts from when the refused datagram was sent, however late the refusal comes. A dispatcher that starts waits until every
-// proof against it has expired, and for the guard time.
+// A proof is valid from the time at which the refused datagram was sent, however late the refusal arrives. A dispatcher that starts
+// waits until every proof of its death has expired, and for the guard time.
 func TestProofsExpireConservatively(t *testing.T) {
 	l, err := New(Config{Size: 2, Own: 0, Lease: 10 * time.Second, GuardTime: time.Second}, 0)
 	require.NoError(t, err)
-	assert.Equal(t, 11100*time.Millisecond, l.ReadyAt(), "the lease, and as much more as clocks may differ, and the guard time")
+	assert.Equal(t, 11100*time.Millisecond, l.ReadyAt(), "the lease, 1% more for the drift of clocks, and the guard time")
 	assert.Empty(t, l.Numbers(l.ReadyAt()-1))
 	assert.Equal(t, []int{0}, l.Numbers(l.ReadyAt()))
 	l.Refused(28*time.Second, 1, 20*time.Second)
-	assert.Equal(t, []int{0}, l.Numbers(28*time.Second), "not before the guard time is over")
+	assert.Equal(t, []int{0}, l.Numbers(28*time.Second), "no number passes before the guard time has ended")
 	assert.Equal(t, []int{0, 1}, l.Numbers(29*time.Second))
 	assert.Equal(t, []int{0}, l.Numbers(30*time.Second))
 	l.Refused(41*time.Second, 1, 30*time.Second)
-	assert.Empty(t, l.Proofs(41*time.Second, 9), "the refusal came after the proof had expired")
+	assert.Empty(t, l.Proofs(41*time.Second, 9), "the refusal arrived after the proof had expired")
 	l.Refused(50*time.Second, 1, 50*time.Second)
 	l.Restart(52 * time.Second)
-	assert.Empty(t, l.Numbers(53*time.Second), "after a clock that went back it owns nothing")
+	assert.Empty(t, l.Numbers(53*time.Second), "after a restart it owns nothing")
 }
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -154,7 +154,7 @@
 			return nil
 		case err := <-reading:
 			n.notify(Ownership{})
-			return &SocketError{n.opt.Listen, "restart this dispatcher; it serves on, without any quota of what is shared", err}
+			return &SocketError{n.opt.Listen, "restart this dispatcher; until then it serves without any quota of the shared budgets", err}
 		case e := <-events:
 			n.handle(e)
 		case <-wake.C:
@@ -178,7 +178,7 @@
 			return pc.(*net.UDPConn), nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			return nil, &SocketError{n.opt.Listen, "take an ip:port of this machine", err}
+			return nil, &SocketError{n.opt.Listen, "use an ip:port of this machine", err}
 		}
 		if !logged {
 			n.opt.Log.WithField("addr", n.opt.Listen).Warn("fleet: another process has the address; waiting for it to end")
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -22,23 +22,23 @@
 
 const waitTimeout = 20 * time.Second
 
-// ownLoopback returns a random loopback address, with any port. A port that was free there stays free until the
-// program under test has it; at 127.0.0.1 another program's connection could take it meanwhile.
-func ownLoopback() string {
+// randomLoopback returns a random loopback address with port 0. A port that is free at such an address very likely stays free until
+// the test binds it. At 127.0.0.1, a connection of another program could take the port in between.
+func randomLoopback() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// freeAddr returns a UDP address that nobody uses.
+// freeAddr returns a UDP address to which no socket is bound.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	var lc net.ListenConfig
-	c, err := lc.ListenPacket(t.Context(), "udp4", ownLoopback())
+	c, err := lc.ListenPacket(t.Context(), "udp4", randomLoopback())
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	return c.LocalAddr().String()
 }
 
-// member is a node that runs until stop.
+// member is a node that runs until stop is called.
 type member struct {
 	*Node
 	stop  func()
@@ -46,12 +46,14 @@
 	owned Ownership
 }
 
+// numbers returns the numbers that the member last reported to own.
 func (m *member) numbers() []int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owned.Numbers
 }
 
+// run starts a member with a number and its address in the roster.
 func run(t *testing.T, name string, number int, roster []string) *member {
 	t.Helper()
 	codec, err := packet.New("f", []byte("sixteen bytes or more"))
@@ -75,6 +77,7 @@
 	return m
 }
 
+// living returns the number of living members in m's view, or 0 if m has no view yet.
 func living(m *member) int {
 	if v := m.View(); v != nil {
 		return v.Living
@@ -82,8 +85,9 @@
 	return 0
 }
 
-// On real sockets: members join, a socket that closes is proof enough for its number to pass to the other member, the next process
-// at the address waits for the socket and gets the number back, and malformed datagrams are counted and change nothing.
+// On real sockets: members join. Invalid datagrams are counted and change nothing. A later process at the same address waits for the
+// socket and then owns the number. When a socket is closed, its number passes to the other member, and passes back to the next process
+// at the address.
 func TestNumbersFollowSockets(t *testing.T) {
 	roster := []string{freeAddr(t), freeAddr(t)}
 	a, b := run(t, "a", 0, roster), run(t, "b", 1, roster)
@@ -102,27 +106,28 @@
 		_, err := noise.Write([]byte(d))
 		require.NoError(t, err)
 	}
-	eventually("malformed datagrams are counted by reason", func() bool {
+	eventually("invalid datagrams are counted by reason", func() bool {
 		d := a.View().Dropped
 		return d[string(packet.TooLong)] == 1 && d[string(packet.Foreign)] == 1 && d[string(packet.Forged)] == 1 && d[string(packet.Malformed)] == 2
 	})
 
-	upgraded := run(t, "b", 1, roster) // an upgrade in place: the old one still has the socket
+	upgraded := run(t, "b", 1, roster) // an upgrade in place: the earlier process still has the socket
 	time.Sleep(4 * bindRetryInterval)
 	assert.Nil(t, upgraded.View())
 	assert.Empty(t, upgraded.numbers())
 	b.stop()
 	assert.Empty(t, b.numbers(), "a member that leaves owns nothing before its socket closes")
 	eventually("the new process takes part", func() bool { return living(upgraded) == 2 })
-	eventually("and owns its number", func() bool { return len(upgraded.numbers()) == 1 })
+	eventually("the new process owns its number", func() bool { return len(upgraded.numbers()) == 1 })
 
 	upgraded.stop()
-	eventually("the number of the dead member passes", func() bool { return len(a.numbers()) == 2 })
+	eventually("the number of the member that ended passes to the other one", func() bool { return len(a.numbers()) == 2 })
 	assert.Equal(t, 1, living(a))
 	last := run(t, "b", 1, roster)
-	eventually("and passes back", func() bool { return len(a.numbers()) == 1 && len(last.numbers()) == 1 })
+	eventually("the number passes back to the new process", func() bool { return len(a.numbers()) == 1 && len(last.numbers()) == 1 })
 }
 
+// Run returns an error that names the address if the address belongs to another machine.
 func TestAddressOfAnotherMachine(t *testing.T) {
 	codec, err := packet.New("f", []byte("sixteen bytes or more"))
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual runs many members of a fleet, the real cores, in one goroutine and in virtual time. Links lose, double,
-// delay and reorder datagrams and are down one way or both; members are killed, stopped, continued and restarted. A run is a
-// function of its seed. A World is not safe for concurrent use.
+// Package virtual simulates a fleet: it runs many members, each with a real fleet.Core, in one goroutine and in virtual time. Links
+// lose, duplicate, delay and reorder datagrams, and can be down in one direction or both. Members are killed, stopped, continued and
+// restarted. The seed and the calls of a run determine all that happens in it. A World is not safe for concurrent use.
 package virtual
 
 import (
@@ -13,51 +13,52 @@
 	"ospreypond/internal/dispatcher/fleet"
 )
 
-// maxSocketQueue is how many datagrams the socket of a stopped process keeps.
+// maxSocketQueue is the number of datagrams that the socket of a stopped process keeps. Later ones are lost.
 const maxSocketQueue = 500
 
-// Link is the state of the network from one member to another.
+// Link is the state of the network from one member to another, in this direction only.
 type Link struct {
-	Loss, Duplicates, Late float64       // fractions of the datagrams
-	LateBy                 time.Duration // how late the late ones are
+	Loss, Duplicates, Late float64       // fractions of the datagrams, 0 to 1
+	LateBy                 time.Duration // additional delay of late datagrams
 	Down                   bool
 }
 
 // Options configure a world.
 type Options struct {
 	Seed uint64
-	// Config is every member's; its Seeds, Roster, Share.Own and Seed are filled in by the world where they are empty.
+	// Config is the configuration of every member. The world sets Seed always, Seeds if there are none, and Roster and Quota.Own if
+	// Quota.Size is over 0.
 	Config fleet.Config
-	// Link returns the state of the way between two members at a moment. nil: all ways are open.
+	// Link returns the state of the link from one member to another at the time now. nil: all links are up.
 	Link func(now time.Duration, from, to *Node) Link
-	// Delay is the shortest time that a datagram takes, Jitter the longest random time added to it.
+	// Delay is the shortest time that a datagram takes, and Jitter the longest random time that is added to it.
 	Delay, Jitter time.Duration
 	// Size returns the size of a packet in bytes; nil: bytes are not counted.
 	Size func(*fleet.Packet) int
-	// Verdict, if set, is called with the verdict on each packet that arrived.
+	// Verdict, if set, is called with the verdict on each packet that was received.
 	Verdict func(fleet.Verdict)
 }
 
-// Node is one member: its name, its address and, while one runs, its process.
+// Node is one member: its name, its address and, while it runs, its process.
 type Node struct {
 	Name, Addr, Zone string
 	Number           int
 	Core             *fleet.Core // nil while no process runs
 	StartedAt        time.Duration
-	Datagrams, Bytes int64 // sent
+	Datagrams, Bytes int64 // sent by all processes of the node
 	Changes          []fleet.Change
-	// Skew is added to the time that the process reads.
+	// Skew is added to the world's time to give the time that the process reads.
 	Skew    time.Duration
-	starts  uint64
-	tickAt  time.Duration
+	starts  uint64        // number of processes started
+	tickAt  time.Duration // when the next Tick is scheduled
 	stopped bool
-	queued  []*event // what came while it was stopped
+	queued  []*event // datagrams and refusals that arrived while the process was stopped
 }
 
 // IsRunning reports whether the node has a process that is not stopped.
 func (n *Node) IsRunning() bool { return n.Core != nil && !n.stopped }
 
-// World is a fleet with its network.
+// World is a simulated fleet with its network.
 type World struct {
 	Nodes  []*Node
 	Now    time.Duration
@@ -65,22 +66,22 @@
 	rng    *rand.Rand
 	byAddr map[string]*Node
 	events events
-	order  uint64
+	order  uint64 // number of events scheduled
 }
 
-// event is a tick, a datagram or a refusal that is scheduled for a node.
+// event is a Tick, the arrival of a datagram or the arrival of a refusal, scheduled for a node.
 type event struct {
 	at      time.Duration
 	order   uint64
-	node    *Node
-	core    *fleet.Core // of a tick: the process that it is for
-	from    string
-	packet  *fleet.Packet // a datagram, or
-	refused bool          // its refusal, which comes back to node
-	to      string
+	node    *Node         // the node at which it happens
+	core    *fleet.Core   // of a Tick or a refusal: the process that it is for
+	from    string        // of a datagram: the sender's address
+	packet  *fleet.Packet // the datagram's packet, also in its refusal; nil: the event is a Tick
+	refused bool          // the event is the refusal of the packet
+	to      string        // of a refusal: the address that refused
 }
 
-// events is a heap by time, then by order of scheduling.
+// events is a heap ordered by time, then by the order of scheduling.
 type events []*event
 
 func (e events) Len() int { return len(e) }
@@ -96,7 +97,7 @@
 	return x
 }
 
-// New returns a world of n nodes in three zones, none of which has a process.
+// New returns a world of n nodes in three zones. None of the nodes has a process yet.
 func New(n int, opt Options) *World {
 	w := &World{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1)), byAddr: map[string]*Node{}}
 	for i := range n {
@@ -110,20 +111,20 @@
 // Links sets the state of the network from now on; nil: all links are up.
 func (w *World) Links(link func(now time.Duration, from, to *Node) Link) { w.opt.Link = link }
 
-// Start starts a node's process; one that runs is killed.
+// Start starts a process of a node, in place of one that runs. Its epoch is derived from the time that the node reads.
 func (w *World) Start(n *Node) error {
 	n.starts++
 	return w.StartWithEpoch(n, max(n.starts, 1+uint64(max(0, w.Now+n.Skew)/time.Millisecond)))
 }
 
-// StartDuplicate starts another, later process under a node's name, at an address of its own, and returns its node.
+// StartDuplicate starts another process with n's name at another address, and returns its node.
 func (w *World) StartDuplicate(n *Node) (*Node, error) {
 	duplicate := &Node{Name: n.Name, Addr: n.Addr + "1", Zone: n.Zone, Number: n.Number}
 	w.Nodes, w.byAddr[duplicate.Addr] = append(w.Nodes, duplicate), duplicate
 	return duplicate, w.Start(duplicate)
 }
 
-// StartWithEpoch is Start with an epoch of the caller's.
+// StartWithEpoch is Start with an epoch that the caller chooses.
 func (w *World) StartWithEpoch(n *Node, epoch uint64) error {
 	cfg := w.opt.Config
 	cfg.Seed = w.rng.Uint64()
@@ -150,7 +151,7 @@
 // Kill ends a node's process at once, as by SIGKILL.
 func (w *World) Kill(n *Node) { n.Core, n.stopped, n.queued = nil, false, nil }
 
-// Leave ends a node's process in order.
+// Leave makes a node's process announce that it ends, and ends it.
 func (w *World) Leave(n *Node) {
 	n.Core.Leave(w.Now)
 	w.send(n)
@@ -160,21 +161,21 @@
 // Stop halts a node's process as SIGSTOP does: its socket stays bound and queues datagrams.
 func (w *World) Stop(n *Node) { n.stopped = true }
 
-// Continue resumes a stopped process, which first handles its timer and then the datagrams that its socket kept.
+// Continue resumes a stopped process. Its timer comes first, and then the datagrams that its socket kept.
 func (w *World) Continue(n *Node) {
 	if n.stopped = false; n.Core == nil {
 		return
 	}
 	queued := n.queued
 	n.queued, n.tickAt = nil, w.Now
-	w.push(&event{at: w.Now, node: n, core: n.Core}) // its timer, before it reads anything: the worst case
+	w.push(&event{at: w.Now, node: n, core: n.Core}) // the timer before all datagrams is the worst case: suspicions expire before a refutation is read
 	for _, e := range queued[:min(len(queued), maxSocketQueue)] {
 		e.at = w.Now
 		w.push(e)
 	}
 }
 
-// Run advances time until a moment.
+// Run advances time to until and handles all events up to then.
 func (w *World) Run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(*event)
@@ -187,7 +188,7 @@
 // For advances time by d.
 func (w *World) For(d time.Duration) { w.Run(w.Now + d) }
 
-// Until advances time in steps until ok, for limit at the longest. It returns how long that took and whether ok was reached.
+// Until advances time in steps until ok returns true, for at most limit. It returns how long that took, and whether ok returned true.
 func (w *World) Until(step, limit time.Duration, ok func() bool) (time.Duration, bool) {
 	begin := w.Now
 	for !ok() {
@@ -199,6 +200,7 @@
 	return w.Now - begin, true
 }
 
+// push schedules an event.
 func (w *World) push(e *event) {
 	w.order++
 	e.order = w.order
@@ -215,12 +217,13 @@
 	}
 }
 
-// handle passes an event to its node's process; where none runs, the machine refuses datagrams.
+// handle passes an event to its node's process. If the node has no process, its machine refuses datagrams, as long as the link back is
+// up.
 func (w *World) handle(e *event) {
 	n := e.node
 	switch {
 	case n.Core == nil && e.packet != nil && !e.refused:
-		if from := w.byAddr[e.from]; from.Core != nil && !w.link(n, from).Down { // the machine is up and refuses
+		if from := w.byAddr[e.from]; from.Core != nil && !w.link(n, from).Down { // machines are always up, so this one refuses
 			w.push(&event{at: w.Now + w.opt.Delay, node: from, core: from.Core, to: n.Addr, packet: e.packet, refused: true})
 		}
 		return
@@ -251,6 +254,7 @@
 	w.scheduleTick(n)
 }
 
+// link returns the current state of the link between two nodes.
 func (w *World) link(from, to *Node) Link {
 	if w.opt.Link == nil {
 		return Link{}
@@ -258,7 +262,7 @@
 	return w.opt.Link(w.Now, from, to)
 }
 
-// send puts the datagrams of n's core on the network.
+// send takes the datagrams of n's core and schedules those that the network delivers.
 func (w *World) send(n *Node) {
 	out, changes := n.Core.Take()
 	n.Changes = append(n.Changes, changes...)
@@ -292,7 +296,7 @@
 	}
 }
 
-// clonePacket returns a copy of a packet that shares nothing with it, as another process reads it.
+// clonePacket returns a copy of a packet that shares no memory with it, as if it had been encoded and decoded.
 func clonePacket(p *fleet.Packet) *fleet.Packet {
 	c := *p
 	c.Records, c.Sums, c.Proofs = slices.Clone(p.Records), slices.Clone(p.Sums), slices.Clone(p.Proofs)
@@ -309,7 +313,7 @@
 	return out
 }
 
-// Agree reports whether all running nodes, or those given, have exactly each other as living.
+// Agree reports whether the given nodes, or without any all running nodes, have equal views in which exactly these nodes are living.
 func (w *World) Agree(nodes ...*Node) bool {
 	if nodes == nil {
 		nodes = w.Running()
