--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -5,53 +5,56 @@
 	"time"
 )
 
-// Config configures a core. All dispatchers of a fleet should have the same but for Self.
+// Config configures a core. All dispatchers of a fleet should have the same values except for Self.
 type Config struct {
 	// Self is this dispatcher.
 	Self Owner
-	// StartTimeout is the longest time that the start of all members may take, checkpoint included; then the start has failed.
+	// StartTimeout is the longest time that all members may take to start, including reading their parts of the checkpoint. After it the
+	// start has failed.
 	StartTimeout time.Duration
-	// MemberTimeout is how long ago the last contact of a member that started may be; then the member is lost.
+	// MemberTimeout is the time without any event of a started member after which the member is lost.
 	MemberTimeout time.Duration
-	// Bandwidth is how much of checkpoints the register takes from the fleet, in bytes per second.
+	// Bandwidth is the rate at which the register takes checkpoints from the whole fleet, in bytes per second.
 	Bandwidth float64
-	// Margin is kept between the end of a save and the retirement that it is for.
+	// Margin is the time planned between the end of a save and the retirement for which it is made.
 	Margin time.Duration
-	// CheckpointInterval is the time between two periodic saves of a running gang; 0: it is saved before retirements only.
+	// CheckpointInterval is the time between two periodic saves of a running gang. 0: gangs are saved only before retirements.
 	CheckpointInterval time.Duration
 	// SaveTimeout is the longest time that a save may take.
 	SaveTimeout time.Duration
-	// Backoff is the wait after a failed start, doubled with each further one up to MaxBackoff.
+	// Backoff is the wait after a failed start. It is doubled with each further failed start, up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// StarvationTimeout is how long a gang that fits nowhere waits before no less urgent gang is started ahead of it; 0: forever.
+	// StarvationTimeout is how long a gang that fits nowhere waits until no less urgent gang is started before it. 0: less urgent gangs
+	// may always be started before it.
 	StarvationTimeout time.Duration
-	// AgeStep is the time of waiting that raises a gang's priority by one; 0: waiting does not.
+	// AgeStep is the waiting time that raises a gang's priority by one. 0: waiting does not raise it.
 	AgeStep time.Duration
-	// ZonePenalty is the fraction by which a member outside the gang's zone costs more.
+	// ZonePenalty is the fraction by which the cost of a member is raised on a runner outside the gang's zone.
 	ZonePenalty float64
-	// MaxGangs is the largest number of gangs in the register, MaxMoves of starts and saves of one dispatcher at once.
+	// MaxGangs is the largest number of gangs that a core keeps. MaxMoves is the largest number of starts and periodic saves that one
+	// dispatcher has under way at once.
 	MaxGangs, MaxMoves int
-	// RetirePolicy is when gangs are saved before retirements.
+	// RetirePolicy says when gangs are saved before retirements.
 	RetirePolicy Policy
 }
 
-// Policy is when a gang is saved before its runners retire.
+// Policy says when a gang is saved before its runners retire.
 type Policy uint8
 
 // The policies. The last two are the baselines that Latest is measured against.
 const (
-	Latest Policy = iota // as late as the register's bandwidth allows, one after another
-	AtOnce               // all when the retirement is announced
-	Never                // not at all: the last periodic checkpoint is used
+	Latest Policy = iota // as late as the register's bandwidth allows, one gang after another
+	AtOnce               // all gangs when the retirement is announced
+	Never                // no save: the last periodic checkpoint is used
 )
 
-// ConfigError is a fault of a configuration.
+// ConfigError is an invalid field of a Config.
 type ConfigError struct{ Field, Problem string }
 
 // Error names the field and the problem.
 func (e *ConfigError) Error() string { return "gang: " + e.Field + ": " + e.Problem }
 
-// LimitError is a limit that was reached. Nothing is lost by it: the record stays in the register.
+// LimitError says that a gang could not be handled because a limit was reached. Nothing is lost: the record stays in the register.
 type LimitError struct {
 	Gang, Bound string
 	Limit       int
--- a/internal/dispatcher/gang/core.go
+++ b/internal/dispatcher/gang/core.go
@@ -15,54 +15,54 @@
 	runners       map[string]Runner
 	living        []Owner
 	alive         map[Owner]bool
-	viewVersion   int // rises whenever living changes
+	viewVersion   int // incremented whenever living changes
 	viewConverged bool
-	writes        int // counted, for their ids
-	moves         int // starts and saves of this dispatcher under way, counted in each Tick
+	writes        int // number of writes, part of Record.WriteID
+	moves         int // starts and saves of this dispatcher that are under way; each Tick counts them again
 	out           []Action
 	errs          []error
 }
 
-// gang is what is known of one record, and of its members if this dispatcher owns it.
+// gang is the state of one record as this core knows it, and of its members if this dispatcher sent them.
 type gang struct {
-	record         Record
-	version        Version
-	isCurrent      bool      // record is as it was read or written last
-	needsRead      bool      // it has to be read before anything is written
-	writing        *Record   // a write that is in flight; nil: none
-	requestedAt    time.Time // of the last read or write
-	ownGeneration  uint64    // the generation whose members this dispatcher sent; 0: none
-	members        []member
-	phaseStartedAt time.Time // as this dispatcher saw it
-	changedAt      time.Time // the record's version, as this dispatcher saw it
-	checkpointAt   time.Time // when the newest save ended, or the members began to run
-	partsListedAt  time.Time
-	firstOwner     Owner // what First returned for the view firstOwnerView
-	firstOwnerView int
-	saveProgress   float64 // the fraction of the work that was done when the save under way was requested
+	record             Record
+	version            Version
+	isCurrent          bool      // record and version were read or written by this core, and the record is valid
+	needsRead          bool      // the record must be read before the next write
+	writing            *Record   // the record of the write in flight; nil: none
+	requestedAt        time.Time // of the last read or write
+	ownGeneration      uint64    // the generation whose members this dispatcher sent; 0: none
+	members            []member
+	phaseStartedAt     time.Time // when this dispatcher saw the phase or generation change
+	changedAt          time.Time // when this dispatcher saw the record's version change
+	checkpointAt       time.Time // when the newest save ended or, if that is later, the members started
+	partsListedAt      time.Time // when the parts of the save under way were last listed
+	preferredOwner     Owner     // what PreferredOwner returned for the view preferredOwnerView
+	preferredOwnerView int
+	saveProgress       float64 // fraction of the work done when the save under way was requested
 }
 
 // member is the state of a member that this dispatcher sent.
 type member struct {
 	started, done, failed bool
-	damaged               bool // it failed as its part of the checkpoint is damaged
+	damaged               bool // it failed because its part of the checkpoint is damaged
 	lastContact           time.Time
 }
 
-// hasEnded reports whether nothing more comes of the member.
+// hasEnded reports whether the member has finished or failed. Further events of it have no effect.
 func (m member) hasEnded() bool { return m.done || m.failed }
 
-// New returns a core that knows of no gangs, runners and dispatchers yet. Its error is a *ConfigError.
+// New returns a core without gangs, runners and dispatchers. The error is a *ConfigError.
 func New(cfg Config) (*Core, error) {
 	switch {
 	case cfg.Self.Name == "" || cfg.Self.Epoch == 0:
 		return nil, &ConfigError{"Self", "needs a name and an epoch"}
 	case cfg.StartTimeout <= 0 || cfg.MemberTimeout <= 0 || cfg.SaveTimeout <= 0 || cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
-		return nil, &ConfigError{"StartTimeout, MemberTimeout, SaveTimeout, Backoff, MaxBackoff", "have to be over 0, and MaxBackoff no less than Backoff"}
+		return nil, &ConfigError{"StartTimeout, MemberTimeout, SaveTimeout, Backoff, MaxBackoff", "must be over 0, and MaxBackoff must not be less than Backoff"}
 	case cfg.Bandwidth <= 0:
-		return nil, &ConfigError{"Bandwidth", "has to be over 0"}
+		return nil, &ConfigError{"Bandwidth", "must be over 0"}
 	case cfg.MaxGangs < 1 || cfg.MaxMoves < 1:
-		return nil, &ConfigError{"MaxGangs, MaxMoves", "have to be over 0"}
+		return nil, &ConfigError{"MaxGangs, MaxMoves", "must be over 0"}
 	}
 	return &Core{cfg: cfg, gangs: map[string]*gang{}, runners: map[string]Runner{}}, nil
 }
@@ -74,8 +74,8 @@
 	return out, errs
 }
 
-// Fleet takes the dispatchers that live by the view of the fleet. While the view has not converged, no other dispatcher's gangs are
-// taken over.
+// Fleet sets the dispatchers that are living in the view of the fleet. While the view has not converged, this core takes over no gang
+// from another dispatcher.
 func (c *Core) Fleet(now time.Time, living []Owner, converged bool) {
 	if c.now, c.viewConverged = now, converged; slices.Equal(c.living, living) {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// Runners takes what is known of all runners, in place of what it was given before.
+// Runners sets the known runners, in place of those that it was given before.
 func (c *Core) Runners(now time.Time, all []Runner) {
 	c.now = now
 	clear(c.runners)
@@ -95,7 +95,11 @@
 	}
 }
 
-// actsFor reports whether this dispatcher is to act for a gang: it owns it, or its owner no longer lives and this one is First.
+// actsFor reports whether this dispatcher should act for a gang. It should if it owns the gang, or if it is the PreferredOwner and
+//   - the gang is waiting, or its owner is not living, and
+//   - the view has converged, or the gang never had an owner.
+//
+// Two dispatchers with different views may both act. That is safe, as only one of their conditional writes takes effect.
 func (c *Core) actsFor(name string, g *gang) bool {
 	if g.record.Owner == c.cfg.Self {
 		return true
@@ -106,20 +110,20 @@
 	if g.record.Phase != Waiting && c.alive[g.record.Owner] {
 		return false
 	}
-	if g.firstOwnerView != c.viewVersion {
-		g.firstOwner, g.firstOwnerView = First(name, c.living), c.viewVersion
+	if g.preferredOwnerView != c.viewVersion {
+		g.preferredOwner, g.preferredOwnerView = PreferredOwner(name, c.living), c.viewVersion
 	}
-	return g.firstOwner == c.cfg.Self
+	return g.preferredOwner == c.cfg.Self
 }
 
-// First returns which of the living dispatchers is to own a gang that has no owner, by rendezvous hashing: the same at all whose views
-// are equal. Without living ones it is the zero Owner.
-func First(name string, living []Owner) (first Owner) {
+// PreferredOwner returns the living dispatcher that should own a gang whose owner is not living, by rendezvous hashing on the name of
+// the gang. Dispatchers with equal views get the same one. Without living dispatchers it returns the zero Owner.
+func PreferredOwner(name string, living []Owner) (preferred Owner) {
 	best := uint64(0)
 	for _, o := range living {
-		if x := xxhash.Sum64String(name + "\x00" + o.Name); x > best || first.Name == "" || x == best && o.Name < first.Name {
-			best, first = x, o
+		if x := xxhash.Sum64String(name + "\x00" + o.Name); x > best || preferred.Name == "" || x == best && o.Name < preferred.Name {
+			best, preferred = x, o
 		}
 	}
-	return first
+	return preferred
 }
--- a/internal/dispatcher/gang/members.go
+++ b/internal/dispatcher/gang/members.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Member takes an event of a member i that this dispatcher sent. Events of other generations have no effect.
+// Member handles an event of member i of a gang that this dispatcher sent. An event of another generation has no effect.
 func (c *Core) Member(now time.Time, name string, generation uint64, i int, e Event) {
 	c.now = now
 	g := c.gangs[name]
@@ -22,12 +22,12 @@
 	case Failed, DamagedPart:
 		m.failed, m.damaged = true, e == DamagedPart
 	}
-	if g.writing == nil && !g.needsRead { // else the Tick after the read or write handles it
+	if g.writing == nil && !g.needsRead { // else the first Tick after the read or write handles the event
 		c.handleEnds(name, g)
 	}
 }
 
-// handleEnds writes the step that the ends of members lead to; wrote reports whether there was one.
+// handleEnds writes the step that follows when a member has failed or all members are done. wrote reports whether there was one.
 func (c *Core) handleEnds(name string, g *gang) (wrote bool) {
 	done, anyFailed := 0, false
 	for _, m := range g.members {
@@ -47,15 +47,15 @@
 	return true
 }
 
-// restart makes a gang that lost a member wait for a new start, from its checkpoint or, if a part of that is damaged, from the one
-// before.
+// restart writes the step back to Waiting of a gang that has lost a member. The gang will start again from its checkpoint or, if a
+// member could not start because its part is damaged, from the previous checkpoint.
 func (c *Core) restart(name string, g *gang) {
 	cause := Lost
 	if g.record.Phase == Starting && slices.ContainsFunc(g.members, func(m member) bool { return m.damaged }) {
 		cause = PartDamaged
 	}
 	c.write(name, g, cause, func(r *Record) {
-		if cause == PartDamaged { // without a previous one it starts from the beginning
+		if cause == PartDamaged { // without a previous checkpoint the gang starts from the beginning
 			r.Checkpoint, r.PreviousCheckpoint = r.PreviousCheckpoint, nil
 		}
 		if g.record.Phase == Starting && cause == Lost {
@@ -65,13 +65,14 @@
 	})
 }
 
-// backoff returns the wait after a number of failed starts, 1 or more.
+// backoff returns the wait after the given number of failed starts in a row, which is at least 1.
 func (c *Core) backoff(failedStarts int) time.Duration {
 	return min(c.cfg.MaxBackoff, c.cfg.Backoff<<min(20, failedStarts-1))
 }
 
-// Parts takes the digests of a save's parts by member, the answer to a ListParts; a part that is missing has an empty one. Whether a
-// part is complete need not be checked here: the register rejects a part that doesn't match its digest.
+// Parts handles the answer to a ListParts: the digests of a save's parts by member, empty for a part that is missing. When no part is
+// missing, it writes the new checkpoint. Whether a part is complete need not be checked here, as the register rejects a part that
+// doesn't match its digest.
 func (c *Core) Parts(now time.Time, name string, generation uint64, number int, digests []string) {
 	c.now = now
 	g := c.gangs[name]
@@ -80,7 +81,7 @@
 		return
 	}
 	cause := SaveComplete
-	if g.record.Relocate && c.mustRelocate(g) { // the retirement may have been called off meanwhile
+	if g.record.Relocate && c.mustRelocate(g) { // the retirement may have been called off since the save began
 		cause = SaveCompleteRelocate
 	}
 	c.write(name, g, cause, func(r *Record) {
--- a/internal/dispatcher/gang/messages.go
+++ b/internal/dispatcher/gang/messages.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Runner is a runner as this dispatcher knows it.
+// Runner is the state of a runner as this dispatcher knows it.
 type Runner struct {
 	Name, Zone, Kind string
-	Speed            float64 // of its kind; work of a second at speed 1 takes 1/Speed seconds
-	Slots            float64 // free ones, as if it had no members of gangs: those the core subtracts by the records
-	// Usable is whether the decision module's rules on unhealthy runners and slow start allow it a member now.
+	Speed            float64 // of its kind; work that takes one second at speed 1 takes 1/Speed seconds
+	Slots            float64 // free slots, not counting members of gangs: the core subtracts their slots by the records
+	// Usable reports whether the decision module's rules on unhealthy runners and slow start allow the runner a new member now.
 	Usable bool
-	// Retires is when it retires; the zero time if that is not announced.
+	// Retires is when the runner retires; the zero time if no retirement is announced.
 	Retires time.Time
 }
 
-// Version is the version of a record in the register, its ETag; empty for a record that does not exist.
+// Version is the ETag of a record in the register; it is empty for a record that does not exist.
 type Version string
 
 // Outcome is the outcome of a write.
@@ -22,35 +22,35 @@
 // The outcomes.
 const (
 	Written  Outcome = iota
-	Conflict         // the record has another version
-	Unknown          // it may have taken effect or not
+	Conflict         // the record has another version than the write named; the write had no effect
+	Unknown          // the answer was lost; the write may have taken effect or not
 )
 
-// Event is what a member reports, or what its connection shows.
+// Event is an event that a member reports, or that its connection shows.
 type Event uint8
 
 // The events.
 const (
-	Began       Event = iota
-	Progressed        // its heartbeat
-	Finished          // it has a result
-	Failed            // it ended without a result, or its connection did
-	DamagedPart       // it can't start, as its part of the checkpoint is damaged
+	Began       Event = iota // the member has started
+	Progressed               // a heartbeat
+	Finished                 // the member has ended with a result
+	Failed                   // the member has ended without a result, or its connection is closed
+	DamagedPart              // the member can't start because its part of the checkpoint is damaged
 )
 
 // ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of actions, with the answer that the caller passes to the core.
+// The kinds of actions. The comments give what the caller does, and after the colon the method of Core that takes the answer.
 const (
-	Read      ActionKind = iota // the record of Gang: Got
-	Write                       // Record, if the register has IfVersion: Wrote
-	Send                        // Member of Gang in Generation to Runner, to go on from Checkpoint: Member, for each event
-	Stop                        // Member of Gang in Generation
-	ListParts                   // of the save SaveNumber in Generation: Parts
+	Read      ActionKind = iota // read the record of Gang: Got
+	Write                       // write Record if the register has IfVersion of it: Wrote
+	Send                        // send Member of Gang in Generation to Runner, to start from Checkpoint: Member, for each event
+	Stop                        // stop Member of Gang in Generation
+	ListParts                   // list the parts of the save SaveNumber in Generation: Parts
 )
 
-// Action is a call to the register or a runner that the caller makes. The fields that its kind has no use for are empty.
+// Action is a call to the register or to a runner that the caller must make. Fields that its Kind doesn't use are empty.
 type Action struct {
 	Kind       ActionKind
 	Gang       string
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -10,12 +10,13 @@
 	"ospreypond/policy"
 )
 
-// saveSlack is the factor by which a save is planned longer than its bytes and the bandwidth say.
+// saveSlack is the planned duration of a save as a multiple of its size divided by the bandwidth.
 const saveSlack = 1.25
 
-// planSaves returns the latest start of the save of each gang that has to relocate. The plan follows from the records and the
-// retirements alone, so all dispatchers come to the same one without communication: backwards from the last retirement, one save
-// after another, as the fleet shares the register's bandwidth.
+// planSaves returns, for each gang that must relocate, when its save starts. With the policy Latest, the saves are planned one after
+// another, as the fleet shares the register's bandwidth: the gang with the latest deadline first, ending Margin before its deadline,
+// and each further one ending Margin before its own deadline or when the save planned before it starts, whichever is earlier. The
+// plan depends only on the records and the retirements, so all dispatchers compute the same one without communication.
 func (c *Core) planSaves() map[string]time.Time {
 	type relocation struct {
 		name     string
@@ -49,7 +50,7 @@
 	return startAt
 }
 
-// retiresAt returns when the first of a gang's runners retires; the zero time if none is to.
+// retiresAt returns the earliest time at which one of a gang's runners retires, or the zero time if none retires.
 func (c *Core) retiresAt(g *gang) (first time.Time) {
 	for _, p := range g.record.Placement {
 		if r := c.runners[p].Retires; !r.IsZero() && (first.IsZero() || r.Before(first)) {
@@ -59,13 +60,13 @@
 	return first
 }
 
-// mustRelocate reports whether a runner of the gang retires before the gang is done.
+// mustRelocate reports whether a runner of the gang retires less than Margin after the gang is expected to be done, or earlier.
 func (c *Core) mustRelocate(g *gang) bool {
 	retiresAt := c.retiresAt(g)
 	return !retiresAt.IsZero() && c.now.Add(c.remaining(g, g.record.Placement)).After(retiresAt.Add(-c.cfg.Margin))
 }
 
-// remaining returns how long a gang still has to run on these runners, by the speed of the slowest.
+// remaining returns how long a gang still has to run on these runners, at the speed of the slowest.
 func (c *Core) remaining(g *gang, runners []string) time.Duration {
 	speed := math.Inf(1)
 	for _, name := range runners {
@@ -78,11 +79,11 @@
 	return time.Duration((1 - progress) * float64(g.record.work()) / max(speed, 1e-6))
 }
 
-// placeWaiting starts the waiting gangs that fit on the runners, the most urgent first. All dispatchers go through all gangs in the
-// same order by the same rules, and each writes only those that it acts for, so that they seldom choose the same slots.
+// placeWaiting starts the waiting gangs that fit on the runners, the most urgent first. All dispatchers place all gangs in the same
+// order by the same rules, but each writes only the starts of those that it acts for. So two dispatchers seldom choose the same slots.
 func (c *Core) placeWaiting() {
 	if !c.hasStartable() {
-		return // the assignment is expensive
+		return // the assignment below takes much CPU time
 	}
 	free := c.usableSlots()
 	for _, name := range c.waiting(free) {
@@ -92,7 +93,7 @@
 		}
 		placement := c.match(g, free)
 		if placement == nil {
-			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // else smaller ones would always take its slots
+			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // otherwise smaller gangs could take its slots forever
 				return
 			}
 			continue
@@ -107,7 +108,7 @@
 	}
 }
 
-// usableSlots returns the free slots of each runner that may have members.
+// usableSlots returns the free slots of each usable runner, before subtracting those of members of gangs.
 func (c *Core) usableSlots() map[string]float64 {
 	free := map[string]float64{}
 	for n, r := range c.runners {
@@ -158,8 +159,9 @@
 		cmp.Compare(a.record.Name, b.record.Name))
 }
 
-// match returns a runner for each member, or nil if not all of them get one. None of the runners retires before the gang is done,
-// which depends on the slowest of them: those that would are excluded and the rest is tried again.
+// match returns a runner for each member, or nil if not all of them get one. None of the runners retires before the gang is expected to
+// be done. As that time depends on the slowest runner of a placement, match excludes the runners of a placement that retire too early
+// and tries again, until no runner is excluded or no placement is left.
 func (c *Core) match(g *gang, free map[string]float64) []string {
 	excluded := map[string]bool{}
 	for {
@@ -179,14 +181,14 @@
 	}
 }
 
-// cheapestAssignment returns a runner for each member at the least total cost, or nil. It tries each zone as the gang's home, outside of
-// which members cost more, and takes the cheapest.
+// cheapestAssignment returns a runner for each member at the least total cost, or nil if there is none. It tries each zone as the gang's
+// zone, outside of which the cost of a member is raised by ZonePenalty.
 func (c *Core) cheapestAssignment(g *gang, free map[string]float64, excluded map[string]bool) (best []string) {
 	maxSlots := 0.0
 	for _, n := range g.record.Needs {
 		maxSlots = max(maxSlots, n.Slots)
 	}
-	var slots []Runner // a runner, once for each member that it can take
+	var slots []Runner // each runner once for each member that it has room for
 	zones := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(free)) {
 		r := c.runners[name]
@@ -204,11 +206,11 @@
 	return best
 }
 
-// impossible is the cost of a runner that a member cannot have; no time is as long.
+// impossible is the cost of a runner of another kind than the member needs. Costs of allowed runners are bounded by it.
 const impossible = 1e8
 
-// assign returns the runners of the members at the least total cost, with members outside the zone at a penalty, and that cost:
-// infinite if not all members get one.
+// assign returns the assignment of members to runners with the least total cost, and that cost, with the penalty for runners outside the
+// zone. The cost is infinite if not all members get a runner.
 func (c *Core) assign(needs []Need, slots []Runner, zone string) (total float64, placement []string) {
 	costs := make([][]float64, len(needs))
 	for i, n := range needs {
@@ -226,7 +228,7 @@
 	return total, placement
 }
 
-// cost returns the time that a unit of work takes on a runner, with the penalty if it is outside the zone.
+// cost returns the seconds that a second of work at speed 1 takes on a runner, raised by ZonePenalty if it is outside the zone.
 func (c *Core) cost(n Need, r Runner, zone string) float64 {
 	if n.Kind != "" && n.Kind != r.Kind {
 		return impossible
