--- a/internal/dispatcher/gang/readwrite.go
+++ b/internal/dispatcher/gang/readwrite.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Listed takes all gangs of the register with their versions. Records that changed are read; gangs that the register no longer has
-// are dropped.
+// Listed handles a list of all gangs in the register with their versions. It reads the records that have changed, and drops gangs that
+// the register no longer has.
 func (c *Core) Listed(now time.Time, versions map[string]Version) {
 	c.now = now
 	for _, name := range slices.Sorted(maps.Keys(versions)) {
 		g := c.gangs[name]
 		if g == nil {
 			if len(c.gangs) >= c.cfg.MaxGangs {
-				c.errs = append(c.errs, &LimitError{name, "gangs", c.cfg.MaxGangs, "let ended ones be removed from the register, or raise the limit"})
+				c.errs = append(c.errs, &LimitError{name, "gangs", c.cfg.MaxGangs, "remove gangs that are done from the register, or raise the limit"})
 				continue
 			}
 			g = &gang{}
@@ -33,13 +33,13 @@
 	}
 }
 
-// read requests a gang's record. Nothing is written until the answer is there.
+// read requests a gang's record. The core writes nothing for the gang until the answer has arrived.
 func (c *Core) read(name string, g *gang) {
 	g.needsRead, g.requestedAt = true, c.now
 	c.out = append(c.out, Action{Kind: Read, Gang: name})
 }
 
-// Got takes a record as it was read, the answer to a Read.
+// Got handles the answer to a Read: the record and its version.
 func (c *Core) Got(now time.Time, name string, version Version, r Record) {
 	c.now = now
 	g := c.gangs[name]
@@ -52,7 +52,7 @@
 		g.record, g.version, g.isCurrent, g.needsRead, g.writing = r, version, false, false, nil
 		return
 	}
-	if w := g.writing; w != nil && w.WriteID == r.WriteID { // the write whose answer was lost took effect
+	if w := g.writing; w != nil && w.WriteID == r.WriteID { // the write in flight, whose answer was lost, took effect
 		c.handleWritten(name, g, version)
 		return
 	}
@@ -60,8 +60,8 @@
 	c.adopt(name, g, version, r)
 }
 
-// adopt makes a record the current one. Members that this dispatcher sent are stopped if the record has another generation or
-// owner by now.
+// adopt makes a record the current one. It stops the members that this dispatcher sent if the record now has another generation or
+// owner, or a phase without members.
 func (c *Core) adopt(name string, g *gang, version Version, r Record) {
 	if g.record.Phase != r.Phase || g.record.Generation != r.Generation || !g.isCurrent {
 		g.phaseStartedAt = c.now
@@ -75,7 +75,7 @@
 	}
 }
 
-// abandon stops the members of a gang that this dispatcher sent and that still run.
+// abandon stops those members of a gang that this dispatcher sent and that have not ended.
 func (c *Core) abandon(name string, g *gang) {
 	for i, m := range g.members {
 		if !m.hasEnded() {
@@ -85,7 +85,7 @@
 	g.members, g.ownGeneration = nil, 0
 }
 
-// Wrote takes the outcome of a Write, and with Written the new version.
+// Wrote handles the outcome of a Write. version is the new version if the outcome is Written.
 func (c *Core) Wrote(now time.Time, name string, o Outcome, version Version) {
 	c.now = now
 	g := c.gangs[name]
@@ -99,11 +99,11 @@
 		if o == Conflict {
 			g.writing = nil
 		}
-		c.read(name, g) // the id of its last write shows whether this one took effect
+		c.read(name, g) // if the outcome is Unknown, the record's WriteID shows whether the write took effect
 	}
 }
 
-// handleWritten adopts a record that this dispatcher wrote. If it is a start, the members are sent.
+// handleWritten adopts a record that this dispatcher wrote. If the write started the gang, it sends the members.
 func (c *Core) handleWritten(name string, g *gang, version Version) {
 	w := *g.writing
 	g.writing = nil
@@ -116,7 +116,7 @@
 	}
 }
 
-// write takes a step of the table by a conditional write. change, if not nil, sets what else is new.
+// write takes a step of Table by a conditional write of the record. change, if not nil, sets further fields of the new record.
 func (c *Core) write(name string, g *gang, cause Cause, change func(r *Record)) {
 	r := g.record
 	r.Needs, r.Placement = slices.Clone(r.Needs), slices.Clone(r.Placement)
--- a/internal/dispatcher/gang/table.go
+++ b/internal/dispatcher/gang/table.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// Cause is why a gang takes a step. Records have its text.
+// Cause is why a gang takes a step. Its text is stored in records.
 type Cause string
 
 // The causes.
 const (
 	Placed               Cause = "placed"             // all members have runners
 	AllStarted           Cause = "all started"        // every member has started
-	Lost                 Cause = "a member was lost"  // it failed, is unresponsive, or did not start in time
-	OwnerGone            Cause = "its holder is gone" // and with it the members' connections; owners were called holders
+	Lost                 Cause = "a member was lost"  // it failed, is unresponsive, or did not start in time; or its runner is removed or has retired
+	OwnerGone            Cause = "its holder is gone" // the owner is not living, and its connections to the members are closed; the stored text calls owners holders
 	SaveDue              Cause = "a save is due"
 	SaveComplete         Cause = "saved"                // every part is in the register
-	SaveCompleteRelocate Cause = "saved, to be moved"   // the same, before a retirement
-	SaveFailed           Cause = "the save never ended" // the last checkpoint stays
+	SaveCompleteRelocate Cause = "saved, to be moved"   // every part is in the register, and a runner is going to retire
+	SaveFailed           Cause = "the save never ended" // SaveTimeout has passed; the last checkpoint stays
 	PartDamaged          Cause = "a part is damaged"    // the previous checkpoint is used
 	AllEnded             Cause = "every member ended well"
 )
 
-// Step is one transition.
+// Step is one transition between phases.
 type Step struct {
 	From  Phase
 	Cause Cause
 	To    Phase
 }
 
-// Table has all steps. Every write of a record but a submitter's takes one of them.
+// Table lists all steps. Every write of a record takes one of them, except for those of submitters.
 var Table = []Step{
 	{Waiting, Placed, Starting},
 	{Starting, AllStarted, Running},
@@ -47,12 +47,12 @@
 
 var phases = map[Phase]bool{Waiting: true, Starting: true, Running: true, Saving: true, Done: true}
 
-// next returns the phase that a cause leads to. It panics if the table has no such step.
+// next returns the phase to which a cause leads. It panics if Table has no such step.
 func next(from Phase, cause Cause) Phase {
 	for _, s := range Table {
 		if s.From == from && s.Cause == cause {
 			return s.To
 		}
 	}
-	panic(fmt.Sprintf("gang: no step from %s because %s", from, cause))
+	panic(fmt.Sprintf("gang: no step in Table from phase %q with cause %q", from, cause))
 }
--- a/internal/dispatcher/gang/tick.go
+++ b/internal/dispatcher/gang/tick.go
@@ -8,17 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// readRetryInterval is the timeout of a read or write, after which the record is read again.
+// readRetryInterval is how long a read or write may be without an answer before the record is read again.
 const readRetryInterval = 5 * time.Second
 
-// maxSaveBacklog is the time that the register may need for the saves under way before another periodic save begins. Gangs stand
-// still while they save: many saves at once take no longer in total, but each of them does.
+// maxSaveBacklog is the longest time that the saves under way may take by their size and the register's bandwidth for another periodic
+// save to begin. Many saves at once take no longer in total, but each of them takes longer, and a gang makes no progress during its
+// save.
 const maxSaveBacklog = 10 * time.Second
 
-// partsPollInterval is the time between two ListParts of a save under way.
+// partsPollInterval is the time between two ListParts actions for a save under way.
 const partsPollInterval = 500 * time.Millisecond
 
-// Tick takes the time and does what is due: timeouts, takeovers, saves and starts.
+// Tick advances the time and does what is due: timeouts, takeovers, saves and starts.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
 	c.moves = 0
@@ -36,8 +37,9 @@
 				c.read(name, g)
 			}
 		case !g.isCurrent || g.record.Phase.Ended() || g.record.Phase == Waiting || !c.actsFor(name, g):
-		case g.ownGeneration == 0: // its members ended with the connections of an owner that no longer lives
-			// Dispatchers whose views stay wrong would take it from each other again and again, so each takeover waits longer.
+		case g.ownGeneration == 0: // this dispatcher sent no members: the members of the last owner ended with its connections
+			// Dispatchers with wrong views would take a gang over from each other again and again, so the wait is doubled with each
+			// takeover.
 			if c.now.Sub(g.changedAt) >= c.cfg.Backoff<<min(16, g.record.Takeovers) {
 				c.write(name, g, OwnerGone, func(r *Record) { r.Takeovers++ })
 			}
@@ -48,7 +50,7 @@
 	c.placeWaiting()
 }
 
-// drive does what is due for a gang whose members this dispatcher sent.
+// drive does what is due for a gang whose members this dispatcher sent. It writes at most one step.
 func (c *Core) drive(name string, g *gang, plan map[string]time.Time) {
 	if c.handleEnds(name, g) {
 		return
@@ -63,8 +65,8 @@
 		c.restart(name, g)
 	case g.record.Phase == Starting && allStarted:
 		c.write(name, g, AllStarted, func(r *Record) { r.FailedStarts, r.NotBefore = 0, time.Time{} })
-		g.checkpointAt = c.now // from here on its work advances
-	case g.record.Phase == Running && !anyDone: // once a member is done the others soon are, so no save is worth it
+		g.checkpointAt = c.now // the gang makes progress from here on
+	case g.record.Phase == Running && !anyDone: // when a member is done the others will soon be, so a save would only delay them
 		c.startSave(name, g, plan)
 	case g.record.Phase == Saving && c.now.Sub(g.phaseStartedAt) > c.cfg.SaveTimeout:
 		c.write(name, g, SaveFailed, func(r *Record) { r.Relocate = false })
@@ -75,13 +77,13 @@
 	}
 }
 
-// isLost reports whether a member that is not done is lost: it is unresponsive, or its runner is removed or has retired.
+// isLost reports whether a member that is not done is lost: it sent no event for MemberTimeout, or its runner is removed or has retired.
 func (c *Core) isLost(m member, runner string) bool {
 	r, isKnown := c.runners[runner]
 	return m.started && c.now.Sub(m.lastContact) > c.cfg.MemberTimeout || !isKnown || !r.Retires.IsZero() && !c.now.Before(r.Retires)
 }
 
-// startSave begins a save if one is due, for a retirement or periodically.
+// startSave begins a save if one is due, for a retirement or periodically. MaxMoves doesn't delay a save for a retirement.
 func (c *Core) startSave(name string, g *gang, plan map[string]time.Time) {
 	at, relocate := plan[name]
 	relocate = relocate && !c.now.Before(at)
@@ -93,8 +95,11 @@
 	c.write(name, g, SaveDue, func(r *Record) { r.SaveNumber, r.Relocate = r.SaveNumber+1, relocate })
 }
 
-// isPeriodicSaveDue reports whether a periodic save is due. Each gang has a time of its own within CheckpointInterval, so that saves are
-// spread. None begins while the backlog of the register is too long, or when a save for a retirement begins soon.
+// isPeriodicSaveDue reports whether a periodic save is due. A hash of the gang's name gives it an offset within CheckpointInterval, so that
+// the saves of different gangs are spread in time. No save is due
+//   - within a quarter of CheckpointInterval after the last one,
+//   - if a save for a retirement is planned to start within SaveTimeout, or
+//   - if the saves under way take the register maxSaveBacklog or longer.
 func (c *Core) isPeriodicSaveDue(name string, g *gang, plan map[string]time.Time) bool {
 	if c.cfg.CheckpointInterval <= 0 || c.now.Sub(g.checkpointAt) < c.cfg.CheckpointInterval/4 {
 		return false
@@ -118,7 +123,8 @@
 	return float64(bytes)/c.cfg.Bandwidth < maxSaveBacklog.Seconds()
 }
 
-// progress returns the fraction of a gang's work that is done by now, estimated by the speed of its slowest runner.
+// progress returns an estimate of the fraction of a gang's work that is done, from its last checkpoint, the time since then and the speed
+// of its slowest runner.
 func (c *Core) progress(g *gang) float64 {
 	progress := g.record.progress()
 	if g.record.Phase == Waiting || g.record.Phase == Starting || g.record.work() <= 0 {
