--- a/internal/dispatcher/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -151,5 +151,5 @@
 	return gang.Unknown, "", &Error{call, "answered " + resp.Status, "see the register's log; the record will be read again", nil}
 }
 
-// closeBody closes the body of an answer. It is called after the body was read, so an error has no effect.
+// closeBody closes the body of an answer. What is needed of the body has been read by then, so an error has no effect.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
--- a/internal/dispatcher/gang/register/registertest/registertest.go
+++ b/internal/dispatcher/gang/register/registertest/registertest.go
@@ -1,5 +1,5 @@
-// Package registertest is a fake register in memory, with faults: it answers slowly, not at all, or applies a write and loses the
-// answer. It logs the writes that took effect.
+// Package registertest has a fake register that keeps its data in memory. Tests can make it answer slowly or not, or apply a write and
+// lose the answer. It logs the writes that took effect.
 package registertest
 
 import (
@@ -16,23 +16,24 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-// Effect is one write of a record that took effect.
+// Effect is a write of a record that took effect.
 type Effect struct {
 	Gang    string
 	Version int
 	Record  gang.Record
 }
 
-// Register serves the register's calls over HTTP. It is safe for concurrent use.
+// Register is an HTTP handler that serves the calls of a register. It is safe for concurrent use.
 type Register struct {
-	// Fault is called before and after a call is applied, and reports whether the connection is aborted then. nil: no faults.
+	// Fault is called before a call is applied, and again after it. It reports whether the connection is aborted at that point. nil: no
+	// faults.
 	Fault func(r *http.Request, after bool) (lost bool)
 
 	mu      sync.Mutex
 	records map[string]Effect
-	saves   map[string][]string // digests by member
+	saves   map[string][]string // by "GANG/GENERATION-NUMBER": the digests of the parts, by member
 	log     []Effect
-	count   int
+	count   int // number of writes that took effect; the newest version
 }
 
 // New returns an empty register.
@@ -47,7 +48,7 @@
 	return append([]Effect(nil), g.log...)
 }
 
-// ServeHTTP serves a call as a register does, unless Fault aborts it.
+// ServeHTTP serves a call, unless Fault aborts it.
 func (g *Register) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 64<<20))
 	if err != nil {
@@ -58,7 +59,7 @@
 	}
 	status, header, answer := g.handle(r, body)
 	if g.Fault != nil && g.Fault(r, true) {
-		panic(http.ErrAbortHandler) // it took effect, and the answer is lost
+		panic(http.ErrAbortHandler) // the call took effect, and the answer is lost
 	}
 	for k, v := range header {
 		w.Header().Set(k, v)
@@ -69,8 +70,10 @@
 	}
 }
 
+// etag returns the ETag of a version.
 func etag(version int) string { return fmt.Sprintf("%q", strconv.Itoa(version)) }
 
+// handle applies a call and returns the status, the headers and the body, to be encoded as JSON, of the answer.
 func (g *Register) handle(r *http.Request, body []byte) (int, map[string]string, any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,6 +101,7 @@
 	return http.StatusMethodNotAllowed, nil, nil
 }
 
+// put applies the conditional write of a record.
 func (g *Register) put(r *http.Request, name string, body []byte) (int, map[string]string, any) {
 	e, exists := g.records[name]
 	match, none := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
@@ -117,19 +121,20 @@
 	return http.StatusOK, map[string]string{"ETag": etag(e.Version)}, nil
 }
 
-// Digest returns a part's Content-Digest (RFC 9530).
+// Digest returns the Content-Digest of a part (RFC 9530).
 func Digest(part []byte) string {
 	sum := sha256.Sum256(part)
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 }
 
+// putPart stores the digest of a part of a checkpoint, if the part is complete and was not written before.
 func (g *Register) putPart(r *http.Request, parts []string, body []byte) (int, map[string]string, any) {
 	e, there := g.records[parts[1]]
 	member, err := strconv.Atoi(parts[4])
 	if !there || err != nil || member < 0 || member >= len(e.Record.Needs) || r.Header.Get("If-None-Match") != "*" {
 		return http.StatusBadRequest, nil, nil
 	}
-	if r.Header.Get("Content-Digest") != Digest(body) { // truncated or damaged in transit
+	if r.Header.Get("Content-Digest") != Digest(body) { // the part was truncated or damaged in transit
 		return http.StatusUnprocessableEntity, nil, nil
 	}
 	k := parts[1] + "/" + parts[3]
--- a/internal/dispatcher/gang/virtual/register.go
+++ b/internal/dispatcher/gang/virtual/register.go
@@ -6,46 +6,52 @@
 	"ospreypond/internal/dispatcher/gang"
 )
 
-// register is the store of the gangs' records and checkpoints. All uploads share its bandwidth.
+// register simulates the store of the records and checkpoints of gangs. All uploads share its bandwidth equally.
 type register struct {
 	records         map[string]*entry
 	parts           map[saveKey][]part
 	uploads         []*upload
 	rate            float64 // bytes per second
 	lastVersion     int
-	checkpointBytes float64 // taken so far
-	recordWrites    int     // of records
-	changedAfterEnd string
+	checkpointBytes float64 // bytes of checkpoints taken so far
+	recordWrites    int     // writes of records that took effect
+	changedAfterEnd string  // name of a gang whose record was changed after it was done; empty: none
 }
 
+// entry is a record with its version.
 type entry struct {
 	version int
 	record  gang.Record
 }
 
+// saveKey identifies a save.
 type saveKey struct {
 	gang       string
 	generation uint64
 	number     int
 }
 
+// part is one member's part of a checkpoint.
 type part struct {
 	digest  string
-	damaged bool // which only shows when it is read
+	damaged bool // found only when the part is read
 }
 
+// upload is the upload of a part that is under way.
 type upload struct {
 	key       saveKey
 	member    int
 	bytesLeft float64
 	from      *member
-	hangs     bool
+	hangs     bool // it makes no progress and never ends
 }
 
+// newRegister returns an empty register that takes rate bytes per second.
 func newRegister(rate float64) *register {
 	return &register{records: map[string]*entry{}, parts: map[saveKey][]part{}, rate: rate}
 }
 
+// version returns the version of a record; it is empty if there is no such record.
 func (r *register) version(name string) gang.Version {
 	if e := r.records[name]; e != nil {
 		return gang.Version(fmt.Sprint(e.version))
@@ -53,7 +59,7 @@
 	return ""
 }
 
-// write is a conditional write, as of package register.
+// write applies a conditional write with the semantics of register.Client.Put.
 func (r *register) write(rec gang.Record, ifVersion gang.Version) (gang.Outcome, gang.Version) {
 	if r.version(rec.Name) != ifVersion {
 		return gang.Conflict, ""
@@ -67,7 +73,7 @@
 	return gang.Written, r.version(rec.Name)
 }
 
-// partDigests returns the digests of a save's parts by member; a part that is missing has an empty one.
+// partDigests returns the digests of a save's parts by member. The digest of a missing part is empty.
 func (r *register) partDigests(k saveKey, members int) []string {
 	out := make([]string, members)
 	for i, p := range r.parts[k] {
@@ -76,7 +82,7 @@
 	return out
 }
 
-// step advances the uploads by dt seconds.
+// step advances the uploads by dt seconds. damage reports whether the next part that is complete is damaged.
 func (r *register) step(dt float64, damage func() bool) {
 	active := 0
 	for _, u := range r.uploads {
@@ -86,7 +92,7 @@
 	}
 	unfinished := r.uploads[:0]
 	for _, u := range r.uploads {
-		if u.from.ended { // the connection was aborted, and an incomplete part is not taken
+		if u.from.ended { // the connection was aborted, and the register drops an incomplete part
 			continue
 		}
 		if !u.hangs {
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual runs gangs, the real cores, on an in-memory fleet in virtual time: a register, runners that retire and die,
-// dispatchers that crash, sleep and are partitioned, answers that get lost. A run is a function of its seed. A World is not safe for
-// concurrent use.
+// Package virtual simulates a fleet that runs gangs, in virtual time and with the real gang.Core of each dispatcher. It simulates a register
+// whose answers can get lost, runners that retire and die, and dispatchers that crash, are stopped and are partitioned from the register.
+// The seed and the calls of a run determine all that happens in it. A World is not safe for concurrent use.
 package virtual
 
 import (
@@ -16,72 +16,72 @@
 type Options struct {
 	Seed   uint64
 	Config gang.Config // Self is set by the world
-	// Step is the resolution of time, Poll the time between two lists of the register by a dispatcher, Latency how long a call to
-	// it takes.
+	// Step is the resolution of time. Poll is the time between two polls of a dispatcher, which lists the gangs in the register and calls
+	// Tick in each. Latency is how long a call to the register takes.
 	Step, Poll, Latency time.Duration
-	// Start is the time that a member takes to start.
+	// Start is how long a member takes to start.
 	Start time.Duration
-	// Jitter is the longest random delay of a member's event.
+	// Jitter is the longest random delay of a member's event, in addition to half of Latency.
 	Jitter time.Duration
 }
 
-// Runner is a runner. Its members end when it does.
+// Runner is a simulated runner. Its members end when it goes down.
 type Runner struct {
 	Name, Zone, Kind string
 	Speed, Slots     float64
 	Up               bool
 	Retires          time.Time // the zero time: never
 	Announced        time.Time // when dispatchers learn of Retires
-	FailStarts       int       // the next so many members fail when they start
-	Mute             bool      // when it ends, its connections stay open without events
+	FailStarts       int       // number of members that will fail when they start
+	Mute             bool      // when it goes down, its connections stay open without events
 }
 
-// Dispatcher is a dispatcher and, while Core is not nil, its process.
+// Dispatcher is a simulated dispatcher. It has a process while Core is not nil.
 type Dispatcher struct {
 	Name        string
 	Core        *gang.Core
 	epoch       uint64
 	Stopped     bool // as by SIGSTOP
 	Partitioned bool // from the register
-	// Sees reports whether another dispatcher lives by this one's view; nil: the view is right.
+	// Sees reports whether another dispatcher is living in this one's view. nil: the view is right.
 	Sees   func(other *Dispatcher) bool
-	polled time.Time
+	polled time.Time // when it last polled
 }
 
-// member is a gang's member on its runner, in one generation.
+// member is a member of a gang on its runner, in one generation.
 type member struct {
 	gang          string
 	generation    uint64
 	index         int
 	runner        *Runner
 	owner         *Dispatcher
-	ownerEpoch    uint64 // the connection ends with the owner's process
+	ownerEpoch    uint64 // of the owner's process; the connection closes when that process ends
 	startsAt      time.Time
 	checkpoint    *gang.Checkpoint
 	started       bool
 	ended         bool
-	reported      bool // its end is reported
+	reported      bool // its result was reported
 	nextHeartbeat time.Time
 }
 
-// run is one generation of a gang: the ground truth.
+// run is what one generation of a gang really does, against which records are checked.
 type run struct {
-	progress, startProgress float64
+	progress, startProgress float64 // fractions of the work done, now and at the start
 	members                 []*member
-	saveNumber              int // of the save that its members began last
+	saveNumber              int // number of the save that its members began last
 }
 
-// World is a fleet with its register and runners.
+// World is a simulated fleet with its register and runners.
 type World struct {
 	Now         time.Time
 	Runners     []*Runner
 	Dispatchers []*Dispatcher
-	Errors      []error // of all cores
-	// Lose reports whether the next answer of the register gets lost, Damage whether the next part is damaged, and Hang whether its
-	// upload never ends. nil: never.
+	Errors      []error // returned by all cores
+	// Lose reports whether the next answer of the register gets lost, Damage whether the next part that is uploaded is damaged, and Hang
+	// whether the next upload never ends. nil: never.
 	Lose, Damage, Hang func() bool
-	Unresponsive       bool // the register answers nobody
-	// Steps counts the steps of records that took effect.
+	Unresponsive       bool // the register answers no call
+	// Steps counts the steps taken by writes that took effect.
 	Steps map[gang.Step]int
 
 	opt         Options
@@ -91,7 +91,7 @@
 	pending     []callback
 	submittedAt map[string]time.Time // by gang
 	endedAt     map[string]time.Time
-	stalled     map[string]time.Duration // by gang: time without progress since its first start
+	stalled     map[string]time.Duration // by gang: time without progress from its first start to its end
 	LostWork    float64                  // runner-seconds of work that was done and is in no checkpoint
 	violation   string
 }
@@ -99,13 +99,13 @@
 // heartbeatInterval is the time between two heartbeats of a member.
 const heartbeatInterval = 2 * time.Second
 
-// callback is a call that is scheduled, such as the arrival of an answer.
+// callback is a scheduled function call, such as the arrival of an answer.
 type callback struct {
 	at time.Time
 	do func()
 }
 
-// New returns a world at the time now, without dispatchers and runners.
+// New returns a world at the time now that has no dispatchers and runners.
 func New(now time.Time, opt Options) *World {
 	return &World{Now: now, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 3)), reg: newRegister(opt.Config.Bandwidth),
 		runs: map[string]*run{}, submittedAt: map[string]time.Time{}, endedAt: map[string]time.Time{}, stalled: map[string]time.Duration{},
@@ -119,7 +119,7 @@
 	return d, w.Start(d)
 }
 
-// Start starts d's process.
+// Start starts a process of d.
 func (w *World) Start(d *Dispatcher) error {
 	cfg := w.opt.Config
 	d.epoch++
@@ -129,7 +129,7 @@
 	return err
 }
 
-// Kill ends d's process and with it its connections.
+// Kill ends d's process and closes its connections.
 func (w *World) Kill(d *Dispatcher) { d.Core = nil }
 
 // Submit writes a gang's record, as a submitter does.
@@ -163,10 +163,10 @@
 // Writes returns how many writes of records have taken effect.
 func (w *World) Writes() int { return w.reg.recordWrites }
 
-// Violation describes an invariant that was violated; empty: none was.
+// Violation describes an invariant that was violated, or is empty if none was.
 func (w *World) Violation() string {
 	if w.reg.changedAfterEnd != "" {
-		return w.reg.changedAfterEnd + " was changed after it was done"
+		return w.reg.changedAfterEnd + ": the record was changed after the gang was done"
 	}
 	return w.violation
 }
@@ -178,7 +178,7 @@
 	}
 }
 
-// Until advances time until ok, for limit at the longest, and reports whether ok was reached.
+// Until advances time until ok returns true, for at most limit, and reports whether ok returned true.
 func (w *World) Until(limit time.Duration, ok func() bool) bool {
 	for end := w.Now.Add(limit); w.Now.Before(end); {
 		if ok() {
@@ -189,7 +189,7 @@
 	return ok()
 }
 
-// step advances time by one step: due calls, retirements, members, uploads, then dispatchers.
+// step advances time by one step. It handles callbacks that are due, retirements, members, uploads and dispatchers, in this order.
 func (w *World) step() {
 	w.Now = w.Now.Add(w.opt.Step)
 	due := w.pending
@@ -215,7 +215,7 @@
 	}
 }
 
-// runDispatcher lets a dispatcher poll, if it is time, and applies its actions.
+// runDispatcher makes a dispatcher poll if that is due, and carries out its actions.
 func (w *World) runDispatcher(d *Dispatcher) {
 	if w.Now.Sub(d.polled) >= w.opt.Poll {
 		d.Core.Fleet(w.Now, w.livingOwners(d), true)
@@ -233,7 +233,7 @@
 	w.apply(d)
 }
 
-// livingOwners returns the dispatchers that live by d's view.
+// livingOwners returns the dispatchers that are living in d's view.
 func (w *World) livingOwners(d *Dispatcher) (living []gang.Owner) {
 	for _, o := range w.Dispatchers {
 		if o == d || o.Core != nil && (d.Sees == nil && !o.Stopped || d.Sees != nil && d.Sees(o)) {
@@ -243,7 +243,7 @@
 	return living
 }
 
-// knownRunners returns the runners that are up, with the retirements that are announced.
+// knownRunners returns the runners that are up, with the retirements that are announced by now.
 func (w *World) knownRunners() (runners []gang.Runner) {
 	for _, r := range w.Runners {
 		if !r.Up {
@@ -258,14 +258,14 @@
 	return runners
 }
 
-// request sends a call to the register. atRegister runs at the register and returns what the answer's arrival does; lost, if not nil, runs
-// instead if no answer comes.
+// request sends a call of d to the register. atRegister is called when the call arrives at the register, and returns the function that is
+// called when the answer arrives at d. If the call or the answer is lost, lost is called instead, unless it is nil.
 func (w *World) request(d *Dispatcher, atRegister func() func(), lost func()) {
 	epoch := d.epoch
 	back := func(f func()) {
 		w.after(w.opt.Latency/2, func() {
 			if f != nil && d.Core != nil && d.epoch == epoch {
-				if d.Stopped { // it reads the answer when it continues
+				if d.Stopped { // a stopped process reads the answer after it continues
 					w.after(w.opt.Step, func() { w.request(d, func() func() { return f }, nil) })
 					return
 				}
@@ -287,7 +287,7 @@
 	})
 }
 
-// after schedules a call.
+// after schedules a function call.
 func (w *World) after(d time.Duration, do func()) {
 	w.pending = append(w.pending, callback{w.Now.Add(d), do})
 }
@@ -356,13 +356,13 @@
 	}
 	if c := rec.Checkpoint; c != nil && !isSameCheckpoint(c, before.Checkpoint) && !isSameCheckpoint(c, before.PreviousCheckpoint) {
 		if slices.Contains(w.reg.partDigests(saveKey{rec.Name, c.Generation, c.Number}, len(rec.Needs)), "") {
-			w.violation = fmt.Sprintf("%s has a checkpoint of which parts are missing", rec.Name)
+			w.violation = fmt.Sprintf("the record of %s has a checkpoint with missing parts", rec.Name)
 		}
 		if r != nil && c.Progress > r.progress+0.05 {
-			w.violation = fmt.Sprintf("%s has a checkpoint of %.2f, but %.2f was done", rec.Name, c.Progress, r.progress)
+			w.violation = fmt.Sprintf("the record of %s has a checkpoint with progress %.2f, but the progress was %.2f", rec.Name, c.Progress, r.progress)
 		}
 	}
-	if before.Phase != gang.Waiting && rec.Phase == gang.Waiting && r != nil { // what was done since its checkpoint is lost
+	if before.Phase != gang.Waiting && rec.Phase == gang.Waiting && r != nil { // the work done since the checkpoint is lost
 		progress := r.startProgress
 		if c := rec.Checkpoint; c != nil {
 			progress = c.Progress
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// isSameCheckpoint reports whether a is b.
+// isSameCheckpoint reports whether a and b are the same checkpoint; b may be nil.
 func isSameCheckpoint(a, b *gang.Checkpoint) bool {
 	return b != nil && a.Generation == b.Generation && a.Number == b.Number
 }
@@ -29,7 +29,7 @@
 	return s
 }
 
-// assignMember puts a member on the runner that an action names. It fails if the runner is down or has no free slots.
+// assignMember places a member on the runner that an action names. The member fails if the runner is down or has too few free slots.
 func (w *World) assignMember(d *Dispatcher, a gang.Action) {
 	k := runKey(a.Gang, a.Generation)
 	if w.runs[k] == nil {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// report sends an event of a member to its owner, whose process must still be the one that sent the member.
+// report sends an event of a member to its owner. The event is lost if the process that sent the member has ended.
 func (w *World) report(m *member, n gang.Event) {
 	late := w.opt.Latency / 2
 	if w.opt.Jitter > 0 {
@@ -112,7 +112,8 @@
 	}
 }
 
-// stepRun advances each member of a run by one step. advances reports whether all n members run, and speed is the slowest one's.
+// stepRun advances each member of a run by one step. advances reports whether all n members run, and speed is the lowest speed of their
+// runners.
 func (w *World) stepRun(r *run, n int) (advances bool, speed float64) {
 	advances, speed = len(r.members) == n, 1e9
 	for _, m := range r.members {
@@ -122,14 +123,15 @@
 	return advances, speed
 }
 
-// stepMember advances a member by one step: it ends with its runner or its owner, starts, or sends a heartbeat.
+// stepMember advances a member by one step. The member ends if its runner or its owner has ended; otherwise it starts or sends a
+// heartbeat if that is due.
 func (w *World) stepMember(m *member) {
 	if !m.ended && !m.runner.Up {
 		if m.ended = true; !m.runner.Mute {
 			w.report(m, gang.Failed)
 		}
 	}
-	if d := m.owner; !m.ended && (d.Core == nil || d.epoch != m.ownerEpoch) { // its connection is closed
+	if d := m.owner; !m.ended && (d.Core == nil || d.epoch != m.ownerEpoch) { // the connection to the owner is closed
 		m.ended = true
 	}
 	if !m.ended && !m.started && !w.Now.Before(m.startsAt) {
