--- a/internal/dispatcher/gang/explore_state_test.go
+++ b/internal/dispatcher/gang/explore_state_test.go
@@ -11,24 +11,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// state is that of two dispatchers, two gangs, three runners and the messages in flight at one moment.
+// state is a state of two dispatchers, two gangs, three runners and the messages in flight.
 type state struct {
 	now       time.Time
 	cores     [2]*Core // nil: no process
 	epochs    [2]uint64
-	isolated  [2]bool // has the other one as dead
+	isolated  [2]bool // the dispatcher considers the other one dead
 	versions  map[string]int
 	records   map[string]Record
 	messages  []message
 	members   []runningMember
 	runnersUp [3]bool
-	finished  map[string]bool // generations of which every member finished
+	finished  map[string]bool // generations of which every member has finished
 	complete  map[string]bool // saves of which the register has every part
 	crashes   int
-	step      string // what led here, for the log of a failing run
+	step      string // the step that led here from previous, for the log of a failing run
 	previous  *state
 }
 
+// runningMember is a member that a dispatcher sent to a runner, and whether it started, is alive and is done.
 type runningMember struct {
 	gang           string
 	generation     uint64
@@ -40,7 +41,7 @@
 	done           bool
 }
 
-// messageKind is a call to the register, an answer, or an event of a member.
+// messageKind says whether a message is a call to the register, an answer or an event of a member.
 type messageKind string
 
 const (
@@ -60,7 +61,7 @@
 	kind       messageKind
 	gang       string
 	record     Record
-	version    int // that a write names, or a reply returns
+	version    int // of the record: the one that a write names or an answer returns
 	outcome    Outcome
 	generation uint64
 	saveNumber int
@@ -68,8 +69,10 @@
 	event      Event
 }
 
+// exploreNow is the time of the first state.
 var exploreNow = time.Unix(1_800_000_000, 0)
 
+// newState returns the first state: both gangs are waiting, and both dispatchers have started.
 func newState(t *testing.T) *state {
 	t.Helper()
 	s := &state{now: exploreNow, versions: map[string]int{}, records: map[string]Record{}, finished: map[string]bool{}, complete: map[string]bool{}, runnersUp: [3]bool{true, true, true}}
@@ -83,6 +86,7 @@
 	return s
 }
 
+// start starts a process of dispatcher i.
 func (s *state) start(t require.TestingT, i int) {
 	s.epochs[i]++
 	c, err := New(Config{Self: s.owner(i), StartTimeout: 10 * time.Second, MemberTimeout: time.Hour, Bandwidth: 1, Margin: time.Second, CheckpointInterval: time.Minute, SaveTimeout: 20 * time.Second,
@@ -91,8 +95,10 @@
 	s.cores[i] = c
 }
 
+// owner returns dispatcher i with the epoch of its process.
 func (s *state) owner(i int) Owner { return Owner{Name: fmt.Sprint("d", i), Epoch: s.epochs[i]} }
 
+// clone returns a copy that shares no data that changes. step describes what the caller does to it.
 func (s *state) clone(step string) *state {
 	c := *s
 	c.step, c.previous = step, s
@@ -113,10 +119,11 @@
 	return &c
 }
 
-// key identifies a state; of times it has only what they decide.
+// key returns a hash of the state, by which states that were visited are recognized. Instead of times it contains whether timeouts have
+// passed.
 func (s *state) key() uint64 {
 	d := xxhash.New()
-	write := func(values ...any) { _, _ = fmt.Fprint(d, values...) } // a digest takes everything
+	write := func(values ...any) { _, _ = fmt.Fprint(d, values...) } // a hash never returns an error
 	for i, c := range s.cores {
 		if c == nil {
 			write("-")
@@ -141,7 +148,7 @@
 	return d.Sum64()
 }
 
-// act applies the actions of core i.
+// act carries out the actions of core i.
 func (s *state) act(i int) {
 	actions, _ := s.cores[i].Take()
 	for _, a := range actions {
@@ -173,7 +180,7 @@
 	}
 }
 
-// deliver lets message k arrive; of a write whose reply is lost, the outcome is unknown.
+// deliver delivers message k. With lost, the answer of a write is lost, so its outcome is Unknown.
 func (s *state) deliver(k int, lost bool) error {
 	m := s.messages[k]
 	s.messages = append(s.messages[:k:k], s.messages[k+1:]...)
@@ -228,20 +235,20 @@
 	before := s.records[r.Name]
 	switch {
 	case before.Phase == Done:
-		return fmt.Errorf("%s was done and is changed to %s", r.Name, r.Phase)
+		return fmt.Errorf("%s: the record of a gang that is done is changed to phase %s", r.Name, r.Phase)
 	case r.Generation < before.Generation || r.Generation > before.Generation+1:
 		return fmt.Errorf("%s goes from generation %d to %d", r.Name, before.Generation, r.Generation)
 	case r.Phase == Done && !s.finished[fmt.Sprint(r.Name, r.Generation)]:
-		return fmt.Errorf("%s is done in generation %d, which did not end", r.Name, r.Generation)
+		return fmt.Errorf("%s is done in generation %d, of which not every member has finished", r.Name, r.Generation)
 	case r.Checkpoint != nil && !s.complete[fmt.Sprint(r.Name, r.Checkpoint.Generation, "/", r.Checkpoint.Number)]:
-		return fmt.Errorf("%s has a checkpoint that is not there", r.Name)
+		return fmt.Errorf("%s has a checkpoint with missing parts", r.Name)
 	case !slices.ContainsFunc(Table, func(st Step) bool { return st == Step{before.Phase, r.Cause, r.Phase} }):
-		return fmt.Errorf("%s goes from %s to %s for %q", r.Name, before.Phase, r.Phase, r.Cause)
+		return fmt.Errorf("%s goes from %s to %s with the cause %q, which Table does not have", r.Name, before.Phase, r.Phase, r.Cause)
 	}
 	return nil
 }
 
-// tick lets core i poll the view, the runners and the register, and ticks it.
+// tick passes the view, the runners and the list of the register to core i, and calls its Tick.
 func (s *state) tick(i int) {
 	c := s.cores[i]
 	living := []Owner{s.owner(i)}
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -13,9 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var depth = flag.Int("depth", 5, "steps to explore from each phase")
+var depth = flag.Int("depth", 5, "number of steps to explore from each phase")
 
-// next returns every state that can follow.
+// next returns every state that can follow in one step. It fails the test, with the steps that led there, if a step violates an
+// invariant.
 func (s *state) next(t *testing.T) (out []*state) {
 	t.Helper()
 	add := func(step string, change func(c *state) error) {
@@ -36,16 +37,16 @@
 	return out
 }
 
-// addState adds the state that a change leads to; step describes it.
+// addState adds the state to which a change leads. step describes the change.
 type addState func(step string, change func(c *state) error)
 
-// addDeliveries adds the arrival of each message that may come next.
+// addDeliveries adds the arrival of each message that may arrive next.
 func (s *state) addDeliveries(add addState) {
 	for k, m := range s.messages {
 		if slices.ContainsFunc(s.messages[:k], func(o message) bool {
 			return o.kind == m.kind && o.gang == m.gang && o.to == m.to && o.member == m.member
 		}) {
-			continue // messages of one kind on the same thing keep their order, as on one connection
+			continue // messages of one kind about the same gang and member arrive in order, as on one connection
 		}
 		add(fmt.Sprint("arrives: ", m.kind, " ", m.gang, " d", m.to, " ", m.record.Phase, m.outcome, m.event), func(c *state) error { return c.deliver(k, false) })
 		if m.kind == writeSent {
@@ -54,7 +55,8 @@
 	}
 }
 
-// addDispatchers adds starts, ticks, crashes and wrong views of dispatchers.
+// addDispatchers adds starts, ticks, crashes and wrong views of dispatchers. It bounds the number of crashes, and adds no tick while
+// many messages are in flight, to bound the number of states.
 func (s *state) addDispatchers(t *testing.T, add addState) {
 	t.Helper()
 	for i, core := range s.cores {
@@ -69,12 +71,12 @@
 			add(fmt.Sprint("crash d", i), func(c *state) error { c.crash(i); return nil })
 		}
 		if !s.isolated[i] && !s.isolated[1-i] {
-			add(fmt.Sprint("d", i, " has the other as dead"), func(c *state) error { c.isolated[i] = true; return nil })
+			add(fmt.Sprint("d", i, " considers the other one dead"), func(c *state) error { c.isolated[i] = true; return nil })
 		}
 	}
 }
 
-// crash ends dispatcher i, and with its connections the members that it sent.
+// crash ends the process of dispatcher i. Its connections close, so the members that it sent end.
 func (s *state) crash(i int) {
 	s.cores[i], s.crashes = nil, s.crashes+1
 	for k := range s.members {
@@ -82,7 +84,7 @@
 	}
 }
 
-// addMembers adds the start, the end and the save of each run whose members are alive.
+// addMembers adds the start, the end and the save of the members of each generation of a gang that are alive.
 func (s *state) addMembers(add addState) {
 	byRun := map[string][]int{}
 	for k, j := range s.members {
@@ -98,7 +100,7 @@
 		}
 		switch {
 		case !all && len(members) == 2 && !s.members[members[0]].started:
-			add("begins: "+run, func(c *state) error {
+			add("starts: "+run, func(c *state) error {
 				for _, k := range members {
 					c.members[k].started = true
 				}
@@ -111,7 +113,7 @@
 	}
 }
 
-// addProgress adds the end of the member that ends next, and a save, of a run whose members have all started.
+// addProgress adds the end of the member that ends next, and a save, of a generation whose members have all started.
 func (s *state) addProgress(run string, members []int, add addState) {
 	for x, k := range members {
 		if !s.members[k].done && (x == 0 || s.members[members[0]].done) {
@@ -128,7 +130,7 @@
 	}
 }
 
-// report sends an event of members to their dispatchers.
+// report sends an event of these members to their dispatchers.
 func (s *state) report(e Event, members ...int) {
 	for _, k := range members {
 		j := s.members[k]
@@ -136,7 +138,7 @@
 	}
 }
 
-// addRunnerDeaths adds the death of each runner, unless one is dead already.
+// addRunnerDeaths adds the death of each runner, unless one has died already.
 func (s *state) addRunnerDeaths(add addState) {
 	if s.runnersUp != [3]bool{true, true, true} {
 		return
@@ -155,18 +157,18 @@
 	}
 }
 
-// reach returns the first state in which the gang g is in a phase, when nothing fails.
+// reach returns the first state in which the gang g is in the phase, in a run without faults.
 func reach(t *testing.T, phase Phase) *state {
 	t.Helper()
 	s := newState(t)
 	for n := 0; s.records["g"].Phase != phase; n++ {
-		require.Less(t, n, 200, "never %s", phase)
+		require.Less(t, n, 200, "the gang never reached phase %s", phase)
 		if len(s.messages) > 0 {
 			require.NoError(t, s.deliver(0, false))
 			continue
 		}
 		for _, c := range s.next(t) {
-			if strings.HasPrefix(c.step, "begins") || c.step == "time" && s.records["g"].Phase == Running && phase == Saving {
+			if strings.HasPrefix(c.step, "starts") || c.step == "time" && s.records["g"].Phase == Running && phase == Saving {
 				s = c
 				break
 			}
@@ -176,8 +178,8 @@
 	return s
 }
 
-// In every state that two dispatchers can reach within some steps from each phase of a gang, with crashes, wrong views, lost answers
-// and late messages at any point, the invariants of check hold.
+// In every state that two dispatchers can reach within depth steps from each phase of a gang, with crashes, wrong views, lost answers and
+// late messages at any point, the invariants of check hold.
 func TestInvariantsInEveryState(t *testing.T) {
 	for _, phase := range []Phase{Waiting, Starting, Running, Saving} {
 		level, seen, done := []*state{reach(t, phase)}, map[uint64]bool{}, 0
@@ -198,7 +200,7 @@
 			}
 			level = following
 		}
-		t.Logf("from %s: %d states, %d of them done", phase, len(seen), done)
+		t.Logf("from phase %s: %d states, in %d of them the gang is done", phase, len(seen), done)
 		assert.NotEmpty(t, seen)
 	}
 }
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -15,8 +15,8 @@
 
 var figures = flag.Bool("figures", false, "measure the figures in docs/gangs.md; takes minutes")
 
-// TestFigures measures a retiring zone: 300 dispatchers, 200 runners in three zones, 200 gangs, three seeds, against letting the
-// retirement kill them and against saving all at the announcement.
+// TestFigures measures what the retirement of a zone costs, with 300 dispatchers, 200 runners in three zones, 200 gangs and three seeds. It
+// compares saves as late as possible with saving all gangs at the announcement and with no saves before the retirement.
 func TestFigures(t *testing.T) {
 	if !*figures {
 		t.Skip("-figures is not set")
@@ -58,8 +58,8 @@
 	return w
 }
 
-// relocations returns how many gangs have to leave zone a when it retires in 12 minutes, and the sum of the least times that their
-// saves and starts take, in seconds.
+// relocations returns the number of gangs that have to leave zone a when it retires in 12 minutes, and the sum of the shortest times, in
+// seconds, that their saves and starts can take.
 func relocations(w *virtual.World, opt virtual.Options) (n int, minTime float64) {
 	for _, name := range w.Gangs() {
 		rec := w.Record(name)
@@ -77,6 +77,7 @@
 	return n, minTime
 }
 
+// measure runs a zoneWorld in which zone a retires, and prints the figures.
 func measure(t *testing.T, every time.Duration, policy gang.Policy, s uint64) {
 	t.Helper()
 	opt := options(s)
@@ -92,7 +93,7 @@
 		}
 	}
 	moved, minTime := relocations(w, opt)
-	require.True(t, w.Until(8*time.Hour, allDone(w)), "not all are done")
+	require.True(t, w.Until(8*time.Hour, allDone(w)), "not all gangs are done")
 	require.Empty(t, w.Violation())
 	inTime, stalled := 0, 0.0
 	for _, n := range w.Gangs() {
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -15,12 +15,14 @@
 )
 
 var (
-	seed = flag.Uint64("seed", 0, "seed of the one run of random faults to repeat; 0: all")
-	runs = flag.Int("runs", 1000, "runs of random faults")
+	seed = flag.Uint64("seed", 0, "seed of the only run of random faults to make; 0: all seeds")
+	runs = flag.Int("runs", 1000, "number of runs of random faults")
 )
 
+// epoch is the time at which worlds begin.
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
+// options returns the options of a small world with short timeouts.
 func options(s uint64) virtual.Options {
 	return virtual.Options{Seed: s, Step: 250 * time.Millisecond, Poll: time.Second, Latency: 100 * time.Millisecond, Start: 2 * time.Second,
 		Config: gang.Config{StartTimeout: 8 * time.Second, MemberTimeout: 15 * time.Second, Bandwidth: 50e6, Margin: 5 * time.Second, SaveTimeout: 30 * time.Second, Backoff: 2 * time.Second,
@@ -28,7 +30,7 @@
 			MaxGangs: 1000, MaxMoves: 20}}
 }
 
-// world returns a world of dispatchers, and of runners with four slots in zones a and b by turns.
+// world returns a world with this many dispatchers and runners. Each runner has four slots, and is in zone a or b alternately.
 func world(t *testing.T, opt virtual.Options, dispatchers, runners int) *virtual.World {
 	t.Helper()
 	w := virtual.New(epoch, opt)
@@ -42,6 +44,7 @@
 	return w
 }
 
+// submit submits a gang whose members all have the same work.
 func submit(w *virtual.World, name string, members int, work time.Duration) {
 	r := gang.Record{Name: name, Due: w.Now.Add(3 * work)}
 	for range members {
@@ -50,6 +53,7 @@
 	w.Submit(r)
 }
 
+// allDone returns a function that reports whether all gangs are done.
 func allDone(w *virtual.World) func() bool {
 	return func() bool {
 		for _, n := range w.Gangs() {
@@ -61,7 +65,8 @@
 	}
 }
 
-// Under random faults no gang is lost, none is done twice, and no work of two generations is counted as one.
+// Every gang is done some time after random faults have ended, no invariant of the world is violated, and the runs together take
+// exactly the steps of gang.Table.
 func TestRandomFaults(t *testing.T) {
 	taken := map[gang.Step]int{}
 	for s := uint64(1); s <= uint64(*runs); s++ {
@@ -72,7 +77,7 @@
 			taken[step] += n
 		}
 		if t.Failed() {
-			t.Fatalf("replay by: go test ./internal/dispatcher/gang -run RandomFaults -seed %d", s)
+			t.Fatalf("repeat by: go test ./internal/dispatcher/gang -run RandomFaults -seed %d", s)
 		}
 		if *seed != 0 {
 			return
@@ -80,13 +85,13 @@
 	}
 	t.Log(taken)
 	for _, step := range gang.Table {
-		assert.Positive(t, taken[step], "%v was never taken", step)
+		assert.Positive(t, taken[step], "step %v was never taken", step)
 		delete(taken, step)
 	}
 	assert.Empty(t, taken, "steps that are not in the table")
 }
 
-// runFaults runs a world with random faults, which it checks, and returns the steps that the records took.
+// runFaults runs a world with random faults, checks it, and returns how often its records took each step.
 func runFaults(t *testing.T, s uint64) map[gang.Step]int {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(s, 9))
@@ -121,7 +126,7 @@
 	return w.Steps
 }
 
-// injectFault causes or ends a fault that rng draws.
+// injectFault begins or ends a random fault.
 func injectFault(w *virtual.World, rng *rand.Rand) {
 	d, r := w.Dispatchers[rng.IntN(3)], w.Runners[rng.IntN(6)]
 	switch rng.IntN(9) {
@@ -133,26 +138,26 @@
 		d.Partitioned = !d.Partitioned
 	case 3:
 		r.Up, r.Mute = !r.Up, rng.IntN(2) == 0
-	case 4: // a retirement at short notice, or none after all
+	case 4: // a retirement is announced, or called off
 		if r.Announced, r.Retires = w.Now, w.Now.Add(time.Duration(10+rng.IntN(60))*time.Second); rng.IntN(3) == 0 {
 			r.Retires = time.Time{}
 		}
 	case 5:
 		w.Unresponsive = !w.Unresponsive
-	case 6: // a wrong view: two dispatchers believe that they own the gang
+	case 6: // a wrong view, because of which two dispatchers may act for one gang
 		if d.Sees = nil; rng.IntN(2) == 0 {
 			d.Sees = func(*virtual.Dispatcher) bool { return false }
 		}
 	case 7:
 		r.FailStarts = rng.IntN(3)
-	case 8: // all dispatchers at once
+	case 8: // all dispatchers crash at once
 		for _, all := range w.Dispatchers {
 			w.Kill(all)
 		}
 	}
 }
 
-// endFaults starts every dispatcher that is down and ends all faults that last.
+// endFaults ends all faults and starts every dispatcher that is down.
 func endFaults(t *testing.T, w *virtual.World) {
 	t.Helper()
 	w.Unresponsive = false
@@ -166,7 +171,8 @@
 	}
 }
 
-// A retirement that is announced in time costs no work but the time of the save and the start.
+// A retirement that is announced a minute before costs less than 20 runner-seconds of work and 20 s of standstill, for the save and the
+// new start.
 func TestRelocatedBeforeRetirement(t *testing.T) {
 	w := world(t, options(1), 3, 4)
 	submit(w, "g", 4, 5*time.Minute)
@@ -180,7 +186,7 @@
 	}
 	require.True(t, w.Until(time.Hour, allDone(w)))
 	assert.Equal(t, uint64(2), w.Record("g").Generation)
-	assert.Less(t, w.LostWork, 20.0, "runner-seconds")
+	assert.Less(t, w.LostWork, 20.0, "lost work in runner-seconds")
 	assert.Less(t, w.Stalled("g"), 20*time.Second)
 	assert.Empty(t, w.Violation())
 }
--- a/internal/dispatcher/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -20,11 +20,13 @@
 	"ospreypond/internal/dispatcher/gang/register/registertest"
 )
 
+// record returns a valid record of a waiting gang with two members.
 func record(name, writeID string) *gang.Record {
 	need := gang.Need{Class: "c", Slots: 1, Work: time.Minute}
 	return &gang.Record{Name: name, Phase: gang.Waiting, Needs: []gang.Need{need, need}, WriteID: writeID}
 }
 
+// Put writes a record that doesn't exist and returns Conflict if it exists; Get returns the record and its version.
 func TestCalls(t *testing.T) {
 	reg := registertest.New()
 	srv := httptest.NewServer(reg)
@@ -42,15 +44,15 @@
 	assert.Equal(t, "1", r.WriteID)
 }
 
-// A call without a usable answer returns an *Error that names it; the outcome of a write is unknown then.
+// A call without a usable answer returns an *Error that names the call. The outcome of a write is then Unknown.
 func TestErrors(t *testing.T) {
 	for name, do := range map[string]http.HandlerFunc{
-		"down":      func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"error":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"no json":   func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) },
-		"no answer": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"huge":      func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(bytes.Repeat([]byte(" "), maxList+1)) },
-		"no etag":   func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
+		"connection aborted":           func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"status 500":                   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+		"invalid JSON":                 func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) },
+		"no answer within the timeout": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"answer too large":             func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(bytes.Repeat([]byte(" "), maxList+1)) },
+		"no ETag":                      func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv := httptest.NewServer(do)
@@ -68,25 +70,28 @@
 	}
 }
 
+// input is a call of a history.
 type input struct {
 	isPut     bool
 	writeID   string
 	ifVersion gang.Version
 }
 
+// output is the answer to a call of a history.
 type output struct {
 	outcome gang.Outcome
 	version gang.Version
 	writeID string
 }
 
+// recordState is the state of the record in the model.
 type recordState struct {
 	version gang.Version
 	writeID string
 }
 
-// model is one record: a write takes effect if the record has the version that it names. The new version is known from its answer,
-// or if that was lost from a later read: until then it is "?".
+// model is a model of one record. A write takes effect if the record has the version that the write names. The new version is known from
+// the answer of the write or, if that was lost, from a later read. Until then it is "?".
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{recordState{}} },
 	Step: func(state, in, out any) []any {
@@ -108,25 +113,26 @@
 		case o.outcome == gang.Written:
 			return []any{recordState{o.version, i.writeID}}
 		}
-		return []any{s, recordState{"?", i.writeID}} // unknown: it took effect or not
+		return []any{s, recordState{"?", i.writeID}} // Unknown: the write took effect or not
 	},
 	Equal: func(a, b any) bool { return a.(recordState) == b.(recordState) },
 }
 
-// history is what clients did with one record and what came of it.
+// history is the calls of clients for one record, with their answers.
 type history struct {
 	began time.Time
 	mu    sync.Mutex
 	ops   []porcupine.Operation
 }
 
+// add adds a call to the history, with the times of its start and end.
 func (h *history) add(client int, in input, out output, call, end time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(end)})
 }
 
-// use reads and writes the record g by turns, and adds to the history each call that shows anything of it.
+// use reads and writes the record g alternately, and adds each call to the history, except for reads that failed.
 func (h *history) use(ctx context.Context, c *Client, client int) {
 	version := gang.Version("")
 	for n := range 12 {
@@ -139,13 +145,13 @@
 			var fault *Error
 			isAbsent := errors.As(err, &fault) && fault.Problem == "answered 404 Not Found"
 			if err != nil && !isAbsent {
-				continue // it shows nothing
+				continue // a read that failed says nothing about the record
 			}
 			out.version, out.writeID = v, r.WriteID
 		}
 		end := time.Since(h.began)
 		if in.isPut && out.outcome == gang.Unknown {
-			out.version, end = "", time.Hour // it may take effect at any time yet
+			out.version, end = "", time.Hour // the write may still take effect at any later time
 		} else {
 			version = out.version
 		}
@@ -153,8 +159,8 @@
 	}
 }
 
-// Histories of many writers through the real client, with answers lost before and after the effect, are linearizable as those of one
-// record that changes by conditional writes alone.
+// Histories of five clients, with connections aborted before and after a call takes effect, are linearizable with respect to a record that
+// changes only by conditional writes.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for round := range 20 {
 		var mu sync.Mutex
--- a/internal/dispatcher/gang/form_test.go
+++ b/internal/dispatcher/gang/stored_record_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The stored record is the same from version to version: submitters write it, and records outlast dispatchers.
+// The stored form of a record stays the same byte for byte, as submitters write it and records outlast dispatchers.
 func TestStoredRecord(t *testing.T) {
 	at := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	want := Record{Name: "g", Needs: []Need{{Class: "c", Kind: "k", Slots: 1.5, Work: time.Second, StateBytes: 9}}, Priority: 2, Due: at, Submitted: at,
