--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -14,19 +14,19 @@
 //   - Every packet carries a digest of its sender's view. When the digest in an Ack differs, the views are synchronized, so that
 //     they converge after a partition without any operator.
 //   - Dead members are still probed, a few each round, so that they are found again.
-//   - A datagram that a member's own machine refuses proves that the process is dead (see package quota).
+//   - With Config.TrustRefusals, a datagram that a member's own machine refuses proves that its process is dead (see package quota).
 //   - A process that was stopped extends its suspicions by the time that it was stopped, as it couldn't receive refutations.
 //
-// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the one with the higher
-// epoch is the member and the other is superseded. Incarnations count the refutations within an epoch.
+// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the one with the
+// higher epoch is the member and the other is superseded. Incarnations count the refutations within an epoch.
 //
 // A view may be wrong, and may differ from other views for some time. Decisions based on it may cost time, but safety must not
 // depend on it.
 //
-// Core has no I/O, clock or goroutine: its methods take datagrams and the time, and return datagrams and changes of the view. It is
-// not safe for concurrent use. All times passed to one Core come from the same clock, with any origin. When the clock jumps forward
-// by more than an interval, Core treats the jump as time in which the process was stopped. When the clock goes back, no time counts
-// as passed, and all proofs of death are dropped. The view recovers from both.
+// Core has no I/O, clock or goroutine: its methods take datagrams and the time, and return datagrams and changes of the view.
+// It is not safe for concurrent use. All times passed to one Core come from the same clock, with any origin. When the clock
+// jumps forward by more than an interval, Core treats the jump as time in which the process was stopped. When the clock goes
+// back, no time counts as passed, and all proofs of death are dropped. The view recovers from both.
 package fleet
 
 import (
@@ -83,18 +83,19 @@
 	// Interval is the time between the rounds of a healthy member, which probes one member in each. All timeouts of the failure
 	// detector are multiples of it.
 	Interval time.Duration
-	// Seeds are addresses that are probed while no member is known at them, to join the fleet and to rejoin it after a partition.
+	// Seeds are addresses that are probed while no member is known at them, to join the fleet and to rejoin it after a
+	// partition.
 	Seeds []string
-	// TrustRefusals makes a refused datagram (ICMP port unreachable) count as proof that no process has its address. Set it only
-	// where no firewall or router sends such refusals in the name of other machines: a false one lets two dispatchers use the
-	// same number.
+	// TrustRefusals makes a refused datagram (ICMP port unreachable) count as proof that no process has its address. Set it
+	// only where no firewall or router sends such refusals in the name of other machines: a false one lets two dispatchers
+	// use the same number.
 	TrustRefusals bool
-	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n] is the proof on
-	// which another dispatcher may use number n (see package quota). It must be the same at all members.
+	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n] is the
+	// proof on which another dispatcher may use number n (see package quota). It must be the same at all members.
 	Roster []string
 	// Quota says how budgets are divided by number. It is used only with TrustRefusals and a Roster.
 	Quota quota.Config
-	// Forget is how long a dead member is remembered and probed. 0: 24 hours.
+	// Forget is how long a member that died or left stays in the view and is probed. 0: 24 hours.
 	Forget time.Duration
 	// MaxMembers is the largest number of other members in a view. 0: 4096.
 	MaxMembers int
@@ -179,8 +180,8 @@
 	Members []Member // the others, by name
 	Living  int      // number of living members, this one included
 	Digest  uint64   // of the names and epochs of the living members, this one included; equal views have equal digests
-	// Converged reports whether no member is suspected and the views of the members that were probed lately equal this one. Since
-	// is when Converged last changed.
+	// Converged reports whether no member is suspected and the views of the members that were probed lately equal this one.
+	// Since is when Converged last changed.
 	Converged bool
 	Since     time.Duration
 	// Superseded reports whether this process no longer takes part: there is a later process of its name, or it left.
@@ -247,8 +248,8 @@
 	bucketIndex int        // in its bucket of byBucket
 }
 
-// New returns a member that joins at the time now. self must have Name, Addr and Epoch; the time at which the process starts, in
-// Unix milliseconds, is a suitable Epoch. The error is a *ConfigError, or wraps a *quota.ConfigError.
+// New returns a member that joins at the time now. self must have Name, Addr and Epoch; the time at which the process starts,
+// in Unix milliseconds, is a suitable Epoch. The error is a *ConfigError, or wraps a *quota.ConfigError.
 func New(cfg Config, self Record, now time.Duration) (*Core, error) {
 	if self.Name == "" || self.Addr == "" || self.Epoch == 0 {
 		return nil, &ConfigError{"Self", fmt.Sprintf("%+v", self), "a member needs a name, an address and an epoch"}
@@ -311,8 +312,8 @@
 // Living returns the number of living members, this one included.
 func (c *Core) Living() int { return len(c.living) + 1 }
 
-// Numbers returns the numbers that this dispatcher owns now, in ascending order. It returns nil where refusals are not trusted, and
-// after this dispatcher left or was superseded.
+// Numbers returns the numbers that this dispatcher owns now, in ascending order. It returns nil where refusals are not
+// trusted, and after this dispatcher left or was superseded.
 func (c *Core) Numbers(now time.Duration) []int {
 	if c.tracker == nil || c.hasEnded {
 		return nil
@@ -321,8 +322,8 @@
 	return c.tracker.Numbers(c.now)
 }
 
-// OwnedNumbers returns the numbers that this dispatcher owns now, and validFor, for which all of them may be used without another
-// call. After validFor the caller may use only this dispatcher's own number, if it is among them.
+// OwnedNumbers returns the numbers that this dispatcher owns now, and validFor, for which all of them may be used without
+// another call. After validFor the caller may use only this dispatcher's own number, if it is among them.
 func (c *Core) OwnedNumbers(now time.Duration) (numbers []int, validFor time.Duration) {
 	if numbers = c.Numbers(now); c.tracker != nil {
 		validFor = c.tracker.ValidUntil(c.now) - c.now
@@ -330,8 +331,9 @@
 	return numbers, validFor
 }
 
-// Leave queues an announcement to a few random members that this process ends. After calling it the caller must use no number. It
-// then sends what Take returns, and only then closes the socket: once the socket is closed, others may use the number.
+// Leave queues an announcement to a few random members that this process ends. After calling it the caller must use no
+// number. It then sends what Take returns, and only then closes the socket: once the socket is closed, others may use the
+// number.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
 	c.self.State, c.hasEnded = Left, true
@@ -340,9 +342,9 @@
 	}
 }
 
-// advance moves the time to a reading of the clock. If the clock went back, it is unknown how much time has passed. Proofs of death
-// are valid for a limited time only, so all of them are dropped then, and this dispatcher owns no number until it has waited as
-// after a start.
+// advance moves the time to a reading of the clock. If the clock went back, it is unknown how much time has passed. Proofs of
+// death are valid for a limited time only, so all of them are dropped then, and this dispatcher owns no number until it has
+// waited as after a start.
 func (c *Core) advance(read time.Duration) {
 	if read < c.clockReading {
 		if c.tracker != nil {
@@ -360,8 +362,8 @@
 // adjustHealth adds n to the local health score, within 0 to maxHealthScore.
 func (c *Core) adjustHealth(n int) { c.health = min(maxHealthScore, max(0, c.health+n)) }
 
-// randomMembers returns up to n distinct random living members other than except. It may return fewer than there are, as it makes
-// at most 4n draws.
+// randomMembers returns up to n distinct random living members other than except. It may return fewer than there are, as it
+// makes at most 4n draws.
 func (c *Core) randomMembers(n int, except *member) (out []*member) {
 	for attempts := 0; len(out) < n && attempts < 4*n && len(c.living) > 0; attempts++ {
 		m := c.living[c.rng.IntN(len(c.living))]
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -31,8 +31,8 @@
 	return w
 }
 
-// awaitAgreement waits until the views of all running processes agree, and returns how long that took. It fails the test if that takes
-// longer than limit.
+// awaitAgreement waits until the views of all running processes agree, and returns how long that took. It fails the test if
+// that takes longer than limit.
 func awaitAgreement(t *testing.T, w *virtual.World, limit time.Duration, what string) time.Duration {
 	t.Helper()
 	took, ok := w.Until(tick/2, limit, func() bool { return w.Agree() })
@@ -239,8 +239,8 @@
 	}
 }
 
-// A process that was stopped declares no other member dead because of the time in which it was stopped, and is soon alive in all views
-// again. A clock that jumps forward looks like such a stop; when a clock goes back, no time counts as passed.
+// A process that was stopped declares no other member dead because of the time in which it was stopped, and is soon alive in
+// all views again. A clock that jumps forward looks like such a stop; when a clock goes back, no time counts as passed.
 func TestStoppedProcessesAndClockJumps(t *testing.T) {
 	for name, do := range map[string]func(w *virtual.World, n *virtual.Node){
 		"stopped for 20 s": func(w *virtual.World, n *virtual.Node) {
@@ -313,8 +313,8 @@
 	assert.Equal(t, []string{"joined", "suspected", "died"}, kinds, "changes are returned in order")
 }
 
-// Where refusals are trusted, deaths are soon known, and the living members own nearly all numbers. No number ever has two owners, and
-// a partition passes no number on.
+// Where refusals are trusted, deaths are soon known, and the living members own nearly all numbers. No number ever has two
+// owners, and a partition passes no number on.
 func TestNumbersOfDeadMembersPassToLivingOnes(t *testing.T) {
 	opt := options(15)
 	opt.Config.TrustRefusals = true
--- a/internal/dispatcher/fleet/members.go
+++ b/internal/dispatcher/fleet/members.go
@@ -27,9 +27,9 @@
 	synchronized               // in a Gossip packet, which replies to a Sync or a stale epoch: the change may be any time ago
 )
 
-// merge applies a received record to the view. The record with the later epoch wins, then, by the rules of SWIM, the one with the
-// higher incarnation, then the one with the later state. A death that is learned by synchronization may date from before a
-// partition healed. It is therefore not applied: the member is sent the record and may refute it.
+// merge applies a received record to the view. The record with the later epoch wins, then, by the rules of SWIM, the one with
+// the higher incarnation, then the one with the later state. A death that is learned by synchronization may date from before
+// a partition healed. It is therefore not applied: the member is sent the record and may refute it.
 func (c *Core) merge(r Record, from origin) {
 	if r.Name == "" || r.Addr == "" || r.State > Left {
 		return
@@ -66,8 +66,8 @@
 	}
 }
 
-// sendForRefutation sends a living member the record of its death that another view has, so that the member refutes it by a higher
-// incarnation.
+// sendForRefutation sends a living member the record of its death that another view has, so that the member refutes it by a
+// higher incarnation.
 func (c *Core) sendForRefutation(m *member, r Record) {
 	if c.pagesSent < 2*maxPagesPerInterval {
 		c.pagesSent++
@@ -75,7 +75,8 @@
 	}
 }
 
-// addMember adds a member that was not known, unless the view is full or the member has been dead for longer than Config.Forget.
+// addMember adds a member that was not known, unless the view is full or the member has been dead for longer than
+// Config.Forget.
 func (c *Core) addMember(r Record) {
 	if len(c.members) >= c.cfg.MaxMembers || r.Age > c.cfg.Forget {
 		return
@@ -160,8 +161,8 @@
 	}
 }
 
-// mergeSelf handles a record about this member, and refutes it by a higher incarnation if it says that this member is suspect or
-// dead, or if its incarnation is ahead. A record with a higher epoch means one of two things:
+// mergeSelf handles a record about this member, and refutes it by a higher incarnation if it says that this member is suspect
+// or dead, or if its incarnation is ahead. A record with a higher epoch means one of two things:
 //   - If others have acknowledged this epoch, a later process has started under the same name, and this one is superseded.
 //   - If not, this process has just started and the clock that chose its epoch is behind that of its predecessor. It takes an
 //     epoch one higher, as otherwise all members would reject it as stale.
@@ -191,8 +192,8 @@
 	c.broadcast(c.self)
 }
 
-// updateSum adds m to its bucket's sum, or with sign -1 subtracts it, if it is living. A change of m's epoch or between living and
-// not living must be enclosed by both, so that the sums always are those of the living members.
+// updateSum adds m to its bucket's sum, or with sign -1 subtracts it, if it is living. A change of m's epoch or between
+// living and not living must be enclosed by both, so that the sums always are those of the living members.
 func (c *Core) updateSum(m *member, sign int) {
 	if m.State.Living() {
 		c.sums[bucketOf(m.Name)] += uint64(sign) * sumOf(&m.Record)
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -6,18 +6,18 @@
 //	...       the packet in CBOR (RFC 8949): an array of the 11 fields of wirePacket
 //	16 bytes  the first 16 bytes of an HMAC-SHA256, with the fleet's key, over all bytes before
 //
-// Structs are CBOR arrays of fixed length, so that a datagram with a missing or an additional field is rejected. The fields are, in
-// this order:
+// Structs are CBOR arrays of fixed length, so that a datagram with a missing or an additional field is rejected. The fields
+// are, in this order:
 //
 //	packet  kind, sender (a record), epoch of the receiver, sequence number, probe, target's name, target's address, digest of the
 //	        view, records, bucket sums, proofs of death
 //	record  name, address, zone, epoch, incarnation, state, hash of the suspecting member, age in milliseconds
 //	proof   number, age in microseconds
 //
-// CBOR was chosen over msgpack and protobuf. All three are small enough: a record takes 60 to 70 bytes in each, most of it names. A
-// CBOR decoder can be configured to reject unexpected input (indefinite lengths, other types, too many elements, trailing bytes). A
-// msgpack decoder accepts numbers of any width and kind for any field and doesn't bound arrays. Protobuf keeps unknown fields by
-// design and needs a generator at build time.
+// CBOR was chosen over msgpack and protobuf. All three are small enough: a record takes 60 to 70 bytes in each, most of it
+// names. A CBOR decoder can be configured to reject unexpected input (indefinite lengths, other types, too many elements,
+// trailing bytes). A msgpack decoder accepts numbers of any width and kind for any field and doesn't bound arrays. Protobuf
+// keeps unknown fields by design and needs a generator at build time.
 package packet
 
 import (
@@ -76,8 +76,8 @@
 	dec  cbor.DecMode
 }
 
-// New returns the codec of the fleet with this name. All its members must have the same key. If the name or the key has a wrong length,
-// the error is a *fleet.ConfigError.
+// New returns the codec of the fleet with this name. All its members must have the same key. If the name or the key has a
+// wrong length, the error is a *fleet.ConfigError.
 func New(name string, key []byte) (*Codec, error) {
 	if name == "" || len(name) > 64 {
 		return nil, &fleet.ConfigError{Field: "Name", Value: fmt.Sprintf("%d bytes long", len(name)), Want: "1 to 64 are allowed"}
@@ -98,8 +98,8 @@
 	return &Codec{name: name, key: key, enc: enc, dec: dec}, nil
 }
 
-// The types of the wire format. They are encoded as CBOR arrays, so the order of their fields matters and the names do not. They are
-// separate from the types of package fleet, so that a change of those doesn't change the wire format.
+// The types of the wire format. They are encoded as CBOR arrays, so the order of their fields matters and the names do not.
+// They are separate from the types of package fleet, so that a change of those doesn't change the wire format.
 type (
 	wirePacket struct {
 		_       struct{} `cbor:",toarray"`
@@ -156,7 +156,8 @@
 	return d, nil
 }
 
-// Decode returns the packet in a datagram. It checks size, version, fleet and HMAC before it decodes the packet. The error is an *Error.
+// Decode returns the packet in a datagram. It checks size, version, fleet and HMAC before it decodes the packet. The error is
+// an *Error.
 func (c *Codec) Decode(d []byte) (*fleet.Packet, error) {
 	if len(d) > MaxSize {
 		return nil, &Error{Reason: TooLong}
@@ -189,9 +190,9 @@
 	return p, nil
 }
 
-// Seq returns the Seq of a datagram that this codec encoded. d may be only its beginning, as a machine that refuses a datagram returns
-// only its first bytes. The HMAC is therefore not checked; the caller matches the Seq with the datagrams that it sent. ok reports
-// whether d is the beginning of such a datagram.
+// Seq returns the Seq of a datagram that this codec encoded. d may be only its beginning, as a machine that refuses a
+// datagram returns only its first bytes. The HMAC is therefore not checked; the caller matches the Seq with the datagrams
+// that it sent. ok reports whether d is the beginning of such a datagram.
 func (c *Codec) Seq(d []byte) (seq uint64, ok bool) {
 	end := 2 + len(c.name)
 	if len(d) <= end || d[0] != version || int(d[1]) != len(c.name) || string(d[2:end]) != c.name || d[end]>>5 != 4 {
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -36,8 +36,8 @@
 		Sums: rapid.SliceOfN(rapid.Uint64(), 0, 32).Draw(t, "sums"), Proofs: []quota.Proof{{Number: 7, Age: 3 * time.Microsecond}}}
 }
 
-// Decode returns the packet that was encoded, Seq reads the sequence number from the first 120 bytes, and after a change of any byte
-// Decode returns an error.
+// Decode returns the packet that was encoded, Seq reads the sequence number from the first 120 bytes, and after a change of
+// any byte Decode returns an error.
 func TestRoundTrip(t *testing.T) {
 	c := newCodec(t, "f", key)
 	rapid.Check(t, func(t *rapid.T) {
@@ -63,8 +63,8 @@
 	})
 }
 
-// Decode returns an *Error with the right reason for each kind of datagram that it must drop. Encode rejects packets that are too
-// long, and New rejects names and keys of a wrong length.
+// Decode returns an *Error with the right reason for each kind of datagram that it must drop. Encode rejects packets that are
+// too long, and New rejects names and keys of a wrong length.
 func TestInvalidDatagramsAreRejected(t *testing.T) {
 	c := newCodec(t, "fleet-a", key)
 	good, err := c.Encode(&fleet.Packet{Kind: fleet.Ping, From: fleet.Record{Name: "d1", Addr: "a:1", Epoch: 1}})
--- a/internal/dispatcher/fleet/probe.go
+++ b/internal/dispatcher/fleet/probe.go
@@ -48,8 +48,8 @@
 	return c.tickDue - c.now
 }
 
-// Tick advances the time and does what is due: it continues the probe, sends Nacks, expires suspicions and starts the next round. A
-// Tick that comes more than stallIntervals late shows that this process was stopped or got no CPU.
+// Tick advances the time and does what is due: it continues the probe, sends Nacks, expires suspicions and starts the next
+// round. A Tick that comes more than stallIntervals late shows that this process was stopped or got no CPU.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	if c.hasEnded {
@@ -84,8 +84,8 @@
 	}
 }
 
-// resume continues after this process was stopped, or got no CPU, for as long as late. Timeouts that ended in that time show nothing
-// about other members: the current probe and the relays are dropped, and all suspicions are extended.
+// resume continues after this process was stopped, or got no CPU, for as long as late. Timeouts that ended in that time show
+// nothing about other members: the current probe and the relays are dropped, and all suspicions are extended.
 func (c *Core) resume(late time.Duration) {
 	c.health, c.probe = maxHealthScore, nil
 	clear(c.relays)
@@ -99,8 +99,8 @@
 	}
 }
 
-// ping sends a probe and returns its id. The records in first are sent before other updates. An id other than 0 repeats the probe
-// with that id. epoch is the receiver's, or 0 if it is not known.
+// ping sends a probe and returns its id. The records in first are sent before other updates. An id other than 0 repeats the
+// probe with that id. epoch is the receiver's, or 0 if it is not known.
 func (c *Core) ping(to string, epoch uint64, id uint64, first ...Record) uint64 {
 	p := &Packet{Kind: Ping, ToEpoch: epoch, Probe: id, Records: first}
 	if id == 0 {
@@ -116,8 +116,8 @@
 	return p.Probe
 }
 
-// endProbe ends the probe of the last round and suspects its member if there was no answer. Without any Nack either, the cause may
-// be this member itself or its network, which raises its local health score.
+// endProbe ends the probe of the last round and suspects its member if there was no answer. Without any Nack either, the
+// cause may be this member itself or its network, which raises its local health score.
 func (c *Core) endProbe() {
 	p := c.probe
 	c.probe = nil
@@ -132,8 +132,9 @@
 	}
 }
 
-// startRound ends the last round and starts the next one by probing the next member in the random order, which is shuffled after
-// each pass. Sent probes are kept for at least the lease, as a refusal may arrive as long as it would be a valid proof of death.
+// startRound ends the last round and starts the next one by probing the next member in the random order, which is shuffled
+// after each pass. Sent probes are kept for at least the lease, as a refusal may arrive as long as it would be a valid proof
+// of death.
 func (c *Core) startRound() {
 	c.endProbe()
 	retention := max(c.scaled(c.cfg.Interval)*2, c.cfg.Quota.Lease)
@@ -178,9 +179,9 @@
 	}
 }
 
-// probeNotLiving probes members that are dead or left, and seeds at which no member is known. So it finds members that were behind a
-// partition and members that have restarted. Where refusals are trusted, the refusals of these probes renew the proofs of death, and
-// the roster's addresses are probed in place of the seeds.
+// probeNotLiving probes members that are dead or left, and seeds at which no member is known. So it finds members that were
+// behind a partition and members that have restarted. Where refusals are trusted, the refusals of these probes renew the
+// proofs of death, and the roster's addresses are probed in place of the seeds.
 func (c *Core) probeNotLiving() {
 	n := 1
 	if c.tracker != nil {
@@ -219,9 +220,9 @@
 }
 
 // Refused reports that the machine at the address to refused the datagram with this Seq: no process had a socket bound to the
-// address. This proves the death of the process that the datagram was for, and is a proof of death for the address's numbers in the
-// roster, valid from the time at which the datagram was sent. It has no effect unless Config.TrustRefusals is set and the datagram
-// is a known probe.
+// address. This proves the death of the process that the datagram was for, and is a proof of death for the address's numbers
+// in the roster, valid from the time at which the datagram was sent. It has no effect unless Config.TrustRefusals is set and
+// the datagram is a known probe.
 func (c *Core) Refused(now time.Duration, to string, seq uint64) {
 	c.advance(now)
 	s, ok := c.sentProbes[seq]
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota decides which numbers a dispatcher owns. A budget that a fleet shares is divided into Config.Size equal quotas, each
-// identified by a number, and each dispatcher has one number of its own. When a dispatcher is proven dead, at most one other
-// dispatcher may use its quota. Without a proof none may.
+// Package quota decides which numbers a dispatcher owns. A budget that a fleet shares is divided into Config.Size equal
+// quotas, each identified by a number, and each dispatcher has one number of its own. When a dispatcher is proven dead, at
+// most one other dispatcher may use its quota. Without a proof none may.
 //
 // # Rules
 //
@@ -18,10 +18,10 @@
 // # Invariant
 //
 // No number has two owners. Suppose that dispatcher B owns a number by a proof, and that dispatcher A, the one that the number
-// belongs to or one that comes before B in the order, owns it too. B has a valid proof that A had no socket at some time since the
-// proof's datagram was sent, less than Lease ago. So A, if it runs, bound its socket less than Lease ago and owns no number by
-// rule 4. GuardTime, which is at least the window in which the budget is counted, lies between the last use by one owner and the
-// first use by the next, so that no budget is spent twice in one window.
+// belongs to or one that comes before B in the order, owns it too. B has a valid proof that A had no socket at some time
+// since the proof's datagram was sent, less than Lease ago. So A, if it runs, bound its socket less than Lease ago and owns
+// no number by rule 4. GuardTime, which is at least the window in which the budget is counted, lies between the last use by
+// one owner and the first use by the next, so that no budget is spent twice in one window.
 //
 // The invariant breaks, and two dispatchers may use the same number, if
 //   - something other than the kernel of the addressed machine sends refusals in its name;
@@ -30,8 +30,8 @@
 //   - clocks of two machines differ in speed by more than maxClockDrift, or a clock jumps or stands still while the machine sleeps;
 //   - a caller goes on using numbers after ValidUntil, or after its socket was closed.
 //
-// The package has no I/O, clock or goroutine. A Tracker is not safe for concurrent use. All times passed to it come from one clock of
-// this machine, which must never jump and must go on while the machine sleeps (CLOCK_BOOTTIME).
+// The package has no I/O, clock or goroutine. A Tracker is not safe for concurrent use. All times passed to it come from one
+// clock of this machine, which must never jump and must go on while the machine sleeps (CLOCK_BOOTTIME).
 package quota
 
 import (
@@ -45,12 +45,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxClockDrift is the largest difference in speed between the clocks of two machines, as a fraction. A dispatcher that starts waits
-// for the lease lengthened by this fraction, as a proof of its death may be timed by a slower clock.
+// maxClockDrift is the largest difference in speed between the clocks of two machines, as a fraction. A dispatcher that
+// starts waits for the lease lengthened by this fraction, as a proof of its death may be timed by a slower clock.
 const maxClockDrift = 0.01
 
-// Config says how budgets are divided and how long proofs are valid. All dispatchers of a fleet must have the same values except for
-// Own.
+// Config says how budgets are divided and how long proofs are valid. All dispatchers of a fleet must have the same values
+// except for Own.
 type Config struct {
 	// Size is the number of quotas, and so the largest number of dispatchers. Numbers run from 0 to Size-1.
 	Size int
@@ -58,8 +58,8 @@
 	Own int
 	// Lease is how long a proof of death is valid, from the time its datagram was sent.
 	Lease time.Duration
-	// GuardTime is the time without any owner when a number passes to another dispatcher. It must be at least the longest window in
-	// which the users of the quotas count what they spend.
+	// GuardTime is the time without any owner when a number passes to another dispatcher. It must be at least the longest
+	// window in which the users of the quotas count what they spend.
 	GuardTime time.Duration
 }
 
@@ -87,8 +87,8 @@
 	proofs  []proof // by number
 }
 
-// proof is the newest proof for one number. sentAt and since have a meaning only if isValid is set, which says that there ever was a
-// proof; whether it has expired follows from sentAt.
+// proof is the newest proof for one number. sentAt and since have a meaning only if isValid is set, which says that there
+// ever was a proof; whether it has expired follows from sentAt.
 type proof struct {
 	isValid bool
 	sentAt  time.Duration // when the datagram of the newest proof was sent
@@ -116,8 +116,8 @@
 	clear(t.proofs)
 }
 
-// Refused records a proof of death: the machine at the number's address refused a datagram that was sent at the time sent. A proof
-// that has expired by now is ignored.
+// Refused records a proof of death: the machine at the number's address refused a datagram that was sent at the time sent. A
+// proof that has expired by now is ignored.
 func (t *Tracker) Refused(now time.Duration, number int, sent time.Duration) {
 	if number < 0 || number >= t.cfg.Size || number == t.cfg.Own || sent > now || now >= sent+t.cfg.Lease {
 		return
@@ -129,9 +129,9 @@
 	p.sentAt = max(p.sentAt, sent)
 }
 
-// Merge records the proofs of another dispatcher, received with the answer to a request that was sent at requestedAt. Their ages count
-// from the time at which the answer was sent. That time is not known here, but it is not before requestedAt, so counting from
-// requestedAt makes proofs expire too early rather than too late.
+// Merge records the proofs of another dispatcher, received with the answer to a request that was sent at requestedAt. Their
+// ages count from the time at which the answer was sent. That time is not known here, but it is not before requestedAt, so
+// counting from requestedAt makes proofs expire too early rather than too late.
 func (t *Tracker) Merge(now, requestedAt time.Duration, proofs []Proof) {
 	for _, p := range proofs {
 		if p.Age >= 0 && p.Age < t.cfg.Lease {
@@ -157,8 +157,9 @@
 	return p.isValid && now < p.sentAt+t.cfg.Lease
 }
 
-// Numbers returns the numbers that this dispatcher owns now, in ascending order: none before ReadyAt, then its own number and those
-// of which it is the successor. Proofs expire, so callers must ask again before each use, or at the latest at ValidUntil.
+// Numbers returns the numbers that this dispatcher owns now, in ascending order: none before ReadyAt, then its own number and
+// those of which it is the successor. Proofs expire, so callers must ask again before each use, or at the latest at
+// ValidUntil.
 func (t *Tracker) Numbers(now time.Duration) (own []int) {
 	if now < t.ReadyAt() {
 		return nil
@@ -171,7 +172,8 @@
 	return own
 }
 
-// ValidUntil returns the earliest time at which a valid proof expires. Until then this dispatcher keeps all numbers that it owns now.
+// ValidUntil returns the earliest time at which a valid proof expires. Until then this dispatcher keeps all numbers that it
+// owns now.
 func (t *Tracker) ValidUntil(now time.Duration) time.Duration {
 	until := time.Duration(math.MaxInt64)
 	for n := range t.proofs {
@@ -187,8 +189,8 @@
 	return t.boundAt + time.Duration(math.Ceil(float64(t.cfg.Lease)*(1+maxClockDrift))) + t.cfg.GuardTime
 }
 
-// isSuccessor reports whether every dispatcher before this one in the number's order of successors has been proven dead for at least
-// GuardTime.
+// isSuccessor reports whether every dispatcher before this one in the number's order of successors has been proven dead for
+// at least GuardTime.
 func (t *Tracker) isSuccessor(now time.Duration, number int) bool {
 	mine := rank(number, t.cfg.Own)
 	for n := range t.proofs {
@@ -203,8 +205,8 @@
 	return true
 }
 
-// rank returns the weight of a successor for a number by rendezvous hashing, which is the same at every dispatcher. The successor with
-// the highest weight comes first, and of equal ones the one with the lower number.
+// rank returns the weight of a successor for a number by rendezvous hashing, which is the same at every dispatcher. The
+// successor with the highest weight comes first, and of equal ones the one with the lower number.
 func rank(number, successor int) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(number))
--- a/internal/dispatcher/fleet/quota/quota_test.go
+++ b/internal/dispatcher/fleet/quota/quota_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Time advances in units in the state exploration. Proofs are valid for lease units, and budgets are counted in windows of guardTime
-// units.
+// Time advances in units in the state exploration. Proofs are valid for lease units, and budgets are counted in windows of
+// guardTime units.
 const (
 	unit      = time.Second
 	lease     = 2
@@ -61,8 +61,8 @@
 	return c
 }
 
-// key returns a hash of the state, by which states that were visited are recognized. Times are relative to now, and all times 9 or more
-// units ago count as equal.
+// key returns a hash of the state, by which states that were visited are recognized. Times are relative to now, and all times
+// 9 or more units ago count as equal.
 func (m *model) key() uint64 {
 	old := func(t time.Duration) byte { return byte(min(9, (m.now-t)/unit)) }
 	is := func(b bool) byte {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// next returns every state that can follow in one step: time advances, a process crashes or starts, a datagram is refused or answered
-// at once or late. A datagram that is lost needs no step, as it changes no state.
+// next returns every state that can follow in one step: time advances, a process crashes or starts, a datagram is refused or
+// answered at once or late. A datagram that is lost needs no step, as it changes no state.
 func (m *model) next(starts int) (out []*model) {
 	add := func(change func(c *model)) {
 		c := m.clone()
@@ -188,8 +188,8 @@
 	return n
 }
 
-// In every state that three dispatchers can reach within depth steps, with crashes, restarts, lost and late datagrams at any point, no
-// number is used by two processes within the same window.
+// In every state that three dispatchers can reach within depth steps, with crashes, restarts, lost and late datagrams at any
+// point, no number is used by two processes within the same window.
 func TestNoNumberHasTwoOwners(t *testing.T) {
 	depth := 9
 	if testing.Short() {
@@ -228,7 +228,8 @@
 	assert.Positive(t, successions, "some process must own another number, or the check shows nothing")
 }
 
-// When 210 of 300 dispatchers are dead, each number has one owner, and no dispatcher owns more than 12 numbers (the mean is 3.3).
+// When 210 of 300 dispatchers are dead, each number has one owner, and no dispatcher owns more than 12 numbers (the mean is
+// 3.3).
 func TestSuccessorsAreSpread(t *testing.T) {
 	const size, dead = 300, 210
 	total, largest := 0, 0
@@ -257,8 +258,8 @@
 	}
 }
 
-// A proof is valid from the time at which the refused datagram was sent, however late the refusal arrives. A dispatcher that starts
-// waits until every proof of its death has expired, and for the guard time.
+// A proof is valid from the time at which the refused datagram was sent, however late the refusal arrives. A dispatcher that
+// starts waits until every proof of its death has expired, and for the guard time.
 func TestProofsExpireConservatively(t *testing.T) {
 	l, err := New(Config{Size: 2, Own: 0, Lease: 10 * time.Second, GuardTime: time.Second}, 0)
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/receive.go
+++ b/internal/dispatcher/fleet/receive.go
@@ -14,14 +14,15 @@
 	Ended               // this member has left or is superseded
 )
 
-// String returns the name under which operators see the verdict in the counters of dropped datagrams. These names leave the process
-// and stay as they are, although the constants have other names now.
+// String returns the name under which operators see the verdict in the counters of dropped datagrams. These names leave the
+// process, so they stay as they are although the constants have other names.
 func (v Verdict) String() string {
 	return [...]string{"taken", "earlier life", "misdirected", "senseless", "over"}[v]
 }
 
-// Receive handles a packet from an address. Only an Accepted packet changes the view, with one exception: the sender's record in a
-// packet from a process with this member's name is merged, so that the process with the lower epoch learns that it is superseded.
+// Receive handles a packet from an address. Only an Accepted packet changes the view, with one exception: the sender's record
+// in a packet from a process with this member's name is merged, so that the process with the lower epoch learns that it is
+// superseded.
 func (c *Core) Receive(now time.Duration, from string, p *Packet) Verdict {
 	c.advance(now)
 	switch {
@@ -90,7 +91,8 @@
 }
 
 // handleAck handles the Ack of a probe that this member sent for itself or for another member. An answer before any
-// indirect probe was requested lowers the local health score. Proofs and digest are used only if the probed address itself answered.
+// indirect probe was requested lowers the local health score. Proofs and digest are used only if the probed address itself
+// answered.
 func (c *Core) handleAck(from string, p *Packet) {
 	if r, ok := c.relays[p.Probe]; ok {
 		c.send(r.to, &Packet{Kind: Ack, Probe: r.probe})
--- a/internal/dispatcher/fleet/suspicion.go
+++ b/internal/dispatcher/fleet/suspicion.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// suspicion is the state of a suspect. Its timeout, within which the suspect may refute, becomes shorter with each further member
-// that suspects it too (Lifeguard's dynamic suspicion timeout):
+// suspicion is the state of a suspect. Its timeout, within which the suspect may refute, becomes shorter with each further
+// member that suspects it too (Lifeguard's dynamic suspicion timeout):
 //
 //	shortest = suspicionMult * max(1, log10(N)) * Interval
 //	longest  = maxSuspicionMult * shortest
@@ -22,8 +22,8 @@
 	expiresAt   time.Duration   // when the suspect is declared dead
 }
 
-// suspect records that the member with the name hash by suspects m in an incarnation. m becomes suspect or, if it is already, its
-// timeout becomes shorter.
+// suspect records that the member with the name hash by suspects m in an incarnation. m becomes suspect or, if it is already,
+// its timeout becomes shorter.
 func (c *Core) suspect(m *member, incarnation uint32, by uint32) {
 	if m.State == Alive || incarnation > m.Incarnation {
 		c.updateSum(m, -1)
--- a/internal/dispatcher/fleet/sync.go
+++ b/internal/dispatcher/fleet/sync.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// replyToSync compares the bucket sums in p with this view's, and sends this view's records of the buckets that differ in a bounded
-// number of Gossip packets (pages). With includeSums the first page carries this view's sums, so that the other member sends its
-// records of these buckets too.
+// replyToSync compares the bucket sums in p with this view's, and sends this view's records of the buckets that differ in a
+// bounded number of Gossip packets (pages). With includeSums the first page carries this view's sums, so that the other
+// member sends its records of these buckets too.
 func (c *Core) replyToSync(to string, p *Packet, includeSums bool) {
 	if len(p.Sums) != buckets {
 		return
@@ -46,8 +46,8 @@
 	}
 }
 
-// differing appends to records those of the buckets whose sum in p is not this view's: of the living members, or of the others. It
-// adds no further bucket once there are maxSyncRecords.
+// differing appends to records those of the buckets whose sum in p is not this view's: of the living members, or of the
+// others. It adds no further bucket once there are maxSyncRecords.
 func (c *Core) differing(p *Packet, living bool, records []Record) []Record {
 	first := c.rng.IntN(buckets)
 	for i := range buckets {
--- a/internal/dispatcher/fleet/udp/read.go
+++ b/internal/dispatcher/fleet/udp/read.go
@@ -12,7 +12,8 @@
 	"ospreypond/internal/dispatcher/fleet/packet"
 )
 
-// readLoop reads datagrams and refusals from the socket until the socket is closed. It then returns an error that wraps net.ErrClosed.
+// readLoop reads datagrams and refusals from the socket until the socket is closed. It then returns an error that wraps
+// net.ErrClosed.
 func (n *Node) readLoop(conn *net.UDPConn, events chan<- event) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -27,7 +28,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		}
-		// A refusal makes the read return an error that doesn't say which datagram was refused. The socket's error queue says it.
+		// A refusal makes the read return an error that doesn't say which datagram was refused. The socket's error queue says
+		// it.
 		if err := n.readRefusals(raw, events); err != nil {
 			return err
 		}
@@ -56,9 +58,9 @@
 	}
 }
 
-// readRefusals reads the socket's error queue (ip(7), IP_RECVERR) and enqueues an event for each refusal. Only an ICMP port-unreachable
-// message from the destination's own address is a refusal. Messages from a router or firewall in between are ignored, as they don't
-// prove that the destination's process is dead.
+// readRefusals reads the socket's error queue (ip(7), IP_RECVERR) and enqueues an event for each refusal. Only an ICMP
+// port-unreachable message from the destination's own address is a refusal. Messages from a router or firewall in between are
+// ignored, as they don't prove that the destination's process is dead.
 func (n *Node) readRefusals(raw syscall.RawConn, events chan<- event) error {
 	data, control := make([]byte, packet.MaxSize), make([]byte, 512)
 	return raw.Control(func(fd uintptr) {
@@ -78,8 +80,8 @@
 	})
 }
 
-// The layout, in bytes, of struct sock_extended_err and of the sockaddr_in after it, which has the address of the machine that sent
-// the ICMP message (ip(7)); and the type and code of an ICMP port-unreachable message.
+// The layout, in bytes, of struct sock_extended_err and of the sockaddr_in after it, which has the address of the machine
+// that sent the ICMP message (ip(7)); and the type and code of an ICMP port-unreachable message.
 const (
 	errErrno, errOrigin, errType, errCode = 0, 4, 5, 6
 	errSize                               = 16
@@ -88,8 +90,8 @@
 	icmpUnreachable, icmpPort             = 3, 3
 )
 
-// refusedByDestination reports whether the control messages of a queued error say that the machine with the address to itself refused
-// the datagram because no socket was bound to the port.
+// refusedByDestination reports whether the control messages of a queued error say that the machine with the address to itself
+// refused the datagram because no socket was bound to the port.
 func refusedByDestination(control []byte, to unix.Sockaddr) bool {
 	a, ok := to.(*unix.SockaddrInet4)
 	messages, err := unix.ParseSocketControlMessage(control)
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -1,5 +1,5 @@
-// Package udp runs a fleet.Core on one UDP socket, with one clock and one goroutine that owns the core. It works on Linux only, as it
-// reads refusals from the socket's error queue and times from CLOCK_BOOTTIME.
+// Package udp runs a fleet.Core on one UDP socket, with one clock and one goroutine that owns the core. It works on Linux
+// only, as it reads refusals from the socket's error queue and times from CLOCK_BOOTTIME.
 package udp
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	// maxInbox is the number of datagrams and refusals that may wait for the core. Further ones are dropped and counted. The protocol
-	// tolerates this, as it tolerates datagrams that the network loses.
+	// maxInbox is the number of datagrams and refusals that may wait for the core. Further ones are dropped and counted. The
+	// protocol tolerates this, as it tolerates datagrams that the network loses.
 	maxInbox = 512
-	// bindRetryInterval is the time between two attempts to bind an address that another process still has, such as the predecessor in
-	// an upgrade in place.
+	// bindRetryInterval is the time between two attempts to bind an address that another process still has, such as the
+	// predecessor in an upgrade in place.
 	bindRetryInterval = 250 * time.Millisecond
 	// leaveGrace is the time between writing the last datagrams and closing the socket.
 	leaveGrace = 50 * time.Millisecond
@@ -36,12 +36,13 @@
 type Options struct {
 	// Listen is the ip:port to which the socket is bound.
 	Listen string
-	// Self must have Name and Addr, the address at which others reach the socket, and has the Zone. Run sets its Epoch from this
-	// machine's clock.
+	// Self must have Name and Addr, the address at which others reach the socket, and has the Zone. Run sets its Epoch from
+	// this machine's clock.
 	Self   fleet.Record
 	Config fleet.Config
 	Codec  *packet.Codec
-	// OnOwnership, if set, is called by Run's goroutine with the numbers that this dispatcher owns, after each event. It must not block.
+	// OnOwnership, if set, is called by Run's goroutine with the numbers that this dispatcher owns, after each event. It must
+	// not block.
 	OnOwnership func(Ownership)
 	Log         logrus.FieldLogger
 }
@@ -49,8 +50,8 @@
 // Ownership says which numbers a dispatcher owns, and for how long.
 type Ownership struct {
 	Numbers []int // ascending; none until the socket is bound and every proof of death of this dispatcher has expired
-	// ValidFor is how long from now all of Numbers may be used without a further report. After it only the dispatcher's own number
-	// may be used.
+	// ValidFor is how long from now all of Numbers may be used without a further report. After it only the dispatcher's own
+	// number may be used.
 	ValidFor time.Duration
 	Living   int // living members in the view, this one included: an estimate, on which safety must not depend
 }
@@ -118,9 +119,9 @@
 	return &c
 }
 
-// Run takes part in the fleet until ctx ends, then leaves and returns nil. While another process has the address, Run waits, so that of
-// two processes at one address only one takes part. An error is a *SocketError or an error of fleet.New. Before Run returns, the last
-// Ownership that it has reported, if any, has no numbers.
+// Run takes part in the fleet until ctx ends, then leaves and returns nil. While another process has the address, Run waits,
+// so that of two processes at one address only one takes part. An error is a *SocketError or an error of fleet.New. Before
+// Run returns, the last Ownership that it has reported, if any, has no numbers.
 func (n *Node) Run(ctx context.Context) error {
 	conn, err := n.bind(ctx)
 	if err != nil || conn == nil {
@@ -230,8 +231,8 @@
 			}
 			n.addrs[d.To] = to
 		}
-		// The error of a write may be the refusal of an earlier datagram, which readRefusals handles. This datagram was not sent in
-		// that case, so it is written again.
+		// The error of a write may be the refusal of an earlier datagram, which readRefusals handles. This datagram was not
+		// sent in that case, so it is written again.
 		if _, err := conn.WriteToUDPAddrPort(datagram, to); err != nil {
 			if _, err = conn.WriteToUDPAddrPort(datagram, to); err != nil {
 				n.countDropped("not sent: network")
@@ -241,8 +242,8 @@
 	return len(changes) > 0
 }
 
-// publish reports the owned numbers, and stores a copy of the view for View if the view has changed or the last copy is half an interval
-// old. It doesn't copy it more often, as a copy contains all members.
+// publish reports the owned numbers, and stores a copy of the view for View if the view has changed or the last copy is half
+// an interval old. It doesn't copy it more often, as a copy contains all members.
 func (n *Node) publish(changed bool) {
 	at := now()
 	numbers, validFor := n.core.OwnedNumbers(at)
@@ -265,8 +266,8 @@
 	}
 }
 
-// now reads a clock that never jumps and goes on while the machine sleeps. With another clock, a proof of death could be used after it
-// has expired.
+// now reads a clock that never jumps and goes on while the machine sleeps. With another clock, a proof of death could be used
+// after it has expired.
 func now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -22,8 +22,8 @@
 
 const waitTimeout = 20 * time.Second
 
-// randomLoopback returns a random loopback address with port 0. A port that is free at such an address very likely stays free until
-// the test binds it. At 127.0.0.1, a connection of another program could take the port in between.
+// randomLoopback returns a random loopback address with port 0. A port that is free at such an address very likely stays free
+// until the test binds it. At 127.0.0.1, a connection of another program could take the port in between.
 func randomLoopback() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
@@ -85,9 +85,9 @@
 	return 0
 }
 
-// On real sockets: members join. Invalid datagrams are counted and change nothing. A later process at the same address waits for the
-// socket and then owns the number. When a socket is closed, its number passes to the other member, and passes back to the next process
-// at the address.
+// On real sockets: members join. Invalid datagrams are counted and change nothing. A later process at the same address waits
+// for the socket and then owns the number. When a socket is closed, its number passes to the other member, and passes back to
+// the next process at the address.
 func TestNumbersFollowSockets(t *testing.T) {
 	roster := []string{freeAddr(t), freeAddr(t)}
 	a, b := run(t, "a", 0, roster), run(t, "b", 1, roster)
--- a/internal/dispatcher/fleet/update.go
+++ b/internal/dispatcher/fleet/update.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// update is a record in the gossip queue. It is piggybacked on packets until it has been transmitted often enough, see piggyback.
+// update is a record in the gossip queue. It is piggybacked on packets until it has been transmitted often enough, see
+// piggyback.
 type update struct {
 	record    Record
 	transmits int
 }
 
-// broadcast queues a record to be piggybacked on the next packets, in place of a queued one about the same member. If the queue is
-// full, the update with the most transmissions is dropped, but never one about this member itself. What a dropped update said is
-// spread when views are synchronized.
+// broadcast queues a record to be piggybacked on the next packets, in place of a queued one about the same member. If the
+// queue is full, the update with the most transmissions is dropped, but never one about this member itself. What a dropped
+// update said is spread when views are synchronized.
 func (c *Core) broadcast(r Record) {
 	if c.updates[r.Name] == nil && len(c.updates) >= maxUpdates {
 		var mostSent *update
@@ -28,9 +29,9 @@
 	c.updates[r.Name] = &update{record: r}
 }
 
-// piggyback adds updates to p up to Config.MaxRecordBytes, those with the fewest transmissions first. If the receiver is suspect or
-// dead in this view, its record comes before all updates, so that it can refute it (Lifeguard's buddy system). An update is removed
-// from the queue after retransmitMult * ceil(log2(living members + 1)) transmissions.
+// piggyback adds updates to p up to Config.MaxRecordBytes, those with the fewest transmissions first. If the receiver is
+// suspect or dead in this view, its record comes before all updates, so that it can refute it (Lifeguard's buddy system). An
+// update is removed from the queue after retransmitMult * ceil(log2(living members + 1)) transmissions.
 func (c *Core) piggyback(p *Packet, to string) {
 	bytesLeft := c.cfg.MaxRecordBytes - len(p.Proofs)*maxProofSize - len(p.Sums)*maxSumSize
 	for i := range p.Records {
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -1,6 +1,7 @@
-// Package virtual simulates a fleet: it runs many members, each with a real fleet.Core, in one goroutine and in virtual time. Links
-// lose, duplicate, delay and reorder datagrams, and can be down in one direction or both. Members are killed, stopped, continued and
-// restarted. The seed and the calls of a run determine all that happens in it. A World is not safe for concurrent use.
+// Package virtual simulates a fleet: it runs many members, each with a real fleet.Core, in one goroutine and in virtual time.
+// Links lose, duplicate, delay and reorder datagrams, and can be down in one direction or both. Members are killed, stopped,
+// continued and restarted. The seed and the calls of a run determine all that happens in it. A World is not safe for
+// concurrent use.
 package virtual
 
 import (
@@ -26,8 +27,8 @@
 // Options configure a world.
 type Options struct {
 	Seed uint64
-	// Config is the configuration of every member. The world sets Seed always, Seeds if there are none, and Roster and Quota.Own if
-	// Quota.Size is over 0.
+	// Config is the configuration of every member. The world sets Seed always, Seeds if there are none, and Roster and
+	// Quota.Own if Quota.Size is over 0.
 	Config fleet.Config
 	// Link returns the state of the link from one member to another at the time now. nil: all links are up.
 	Link func(now time.Duration, from, to *Node) Link
@@ -168,7 +169,8 @@
 	}
 	queued := n.queued
 	n.queued, n.tickAt = nil, w.Now
-	w.push(&event{at: w.Now, node: n, core: n.Core}) // the timer before all datagrams is the worst case: suspicions expire before a refutation is read
+	// The timer before all datagrams is the worst case: suspicions could expire before a refutation is read.
+	w.push(&event{at: w.Now, node: n, core: n.Core})
 	for _, e := range queued[:min(len(queued), maxSocketQueue)] {
 		e.at = w.Now
 		w.push(e)
@@ -188,7 +190,8 @@
 // For advances time by d.
 func (w *World) For(d time.Duration) { w.Run(w.Now + d) }
 
-// Until advances time in steps until ok returns true, for at most limit. It returns how long that took, and whether ok returned true.
+// Until advances time in steps until ok returns true, for at most limit. It returns how long that took, and whether ok
+// returned true.
 func (w *World) Until(step, limit time.Duration, ok func() bool) (time.Duration, bool) {
 	begin := w.Now
 	for !ok() {
@@ -217,8 +220,8 @@
 	}
 }
 
-// handle passes an event to its node's process. If the node has no process, its machine refuses datagrams, as long as the link back is
-// up.
+// handle passes an event to its node's process. If the node has no process, its machine refuses datagrams, as long as the
+// link back is up.
 func (w *World) handle(e *event) {
 	n := e.node
 	switch {
@@ -313,7 +316,8 @@
 	return out
 }
 
-// Agree reports whether the given nodes, or without any all running nodes, have equal views in which exactly these nodes are living.
+// Agree reports whether the given nodes, or without any all running nodes, have equal views in which exactly these nodes are
+// living.
 func (w *World) Agree(nodes ...*Node) bool {
 	if nodes == nil {
 		nodes = w.Running()
--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -9,8 +9,8 @@
 type Config struct {
 	// Self is this dispatcher.
 	Self Owner
-	// StartTimeout is the longest time that all members may take to start, including reading their parts of the checkpoint. After it the
-	// start has failed.
+	// StartTimeout is the longest time that all members may take to start, including reading their parts of the checkpoint.
+	// After it the start has failed.
 	StartTimeout time.Duration
 	// MemberTimeout is the time without any event of a started member after which the member is lost.
 	MemberTimeout time.Duration
@@ -24,15 +24,15 @@
 	SaveTimeout time.Duration
 	// Backoff is the wait after a failed start. It is doubled with each further failed start, up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// StarvationTimeout is how long a gang that fits nowhere waits until no less urgent gang is started before it. 0: less urgent gangs
-	// may always be started before it.
+	// StarvationTimeout is how long a gang that fits nowhere waits until no less urgent gang is started before it. 0: less
+	// urgent gangs may always be started before it.
 	StarvationTimeout time.Duration
 	// AgeStep is the waiting time that raises a gang's priority by one. 0: waiting does not raise it.
 	AgeStep time.Duration
 	// ZonePenalty is the fraction by which the cost of a member is raised on a runner outside the gang's zone.
 	ZonePenalty float64
-	// MaxGangs is the largest number of gangs that a core keeps. MaxMoves is the largest number of starts and periodic saves that one
-	// dispatcher has under way at once.
+	// MaxGangs is the largest number of gangs that a core keeps. MaxMoves is the largest number of starts and periodic saves
+	// that one dispatcher has under way at once.
 	MaxGangs, MaxMoves int
 	// RetirePolicy says when gangs are saved before retirements.
 	RetirePolicy Policy
@@ -54,7 +54,8 @@
 // Error names the field and the problem.
 func (e *ConfigError) Error() string { return "gang: " + e.Field + ": " + e.Problem }
 
-// LimitError says that a gang could not be handled because a limit was reached. Nothing is lost: the record stays in the register.
+// LimitError says that a gang could not be handled because a limit was reached. Nothing is lost: the record stays in the
+// register.
 type LimitError struct {
 	Gang, Bound string
 	Limit       int
--- a/internal/dispatcher/gang/core.go
+++ b/internal/dispatcher/gang/core.go
@@ -74,8 +74,8 @@
 	return out, errs
 }
 
-// Fleet sets the dispatchers that are living in the view of the fleet. While the view has not converged, this core takes over no gang
-// from another dispatcher.
+// Fleet sets the dispatchers that are living in the view of the fleet. While the view has not converged, this core takes over
+// no gang from another dispatcher.
 func (c *Core) Fleet(now time.Time, living []Owner, converged bool) {
 	if c.now, c.viewConverged = now, converged; slices.Equal(c.living, living) {
 		return
@@ -95,7 +95,8 @@
 	}
 }
 
-// actsFor reports whether this dispatcher should act for a gang. It should if it owns the gang, or if it is the PreferredOwner and
+// actsFor reports whether this dispatcher should act for a gang. It should if it owns the gang, or if it is the
+// PreferredOwner and
 //   - the gang is waiting, or its owner is not living, and
 //   - the view has converged, or the gang never had an owner.
 //
@@ -116,8 +117,8 @@
 	return g.preferredOwner == c.cfg.Self
 }
 
-// PreferredOwner returns the living dispatcher that should own a gang whose owner is not living, by rendezvous hashing on the name of
-// the gang. Dispatchers with equal views get the same one. Without living dispatchers it returns the zero Owner.
+// PreferredOwner returns the living dispatcher that should own a gang whose owner is not living, by rendezvous hashing on the
+// name of the gang. Dispatchers with equal views get the same one. Without living dispatchers it returns the zero Owner.
 func PreferredOwner(name string, living []Owner) (preferred Owner) {
 	best := uint64(0)
 	for _, o := range living {
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// addDispatchers adds starts, ticks, crashes and wrong views of dispatchers. It bounds the number of crashes, and adds no tick while
-// many messages are in flight, to bound the number of states.
+// addDispatchers adds starts, ticks, crashes and wrong views of dispatchers. It bounds the number of crashes, and adds no
+// tick while many messages are in flight, to bound the number of states.
 func (s *state) addDispatchers(t *testing.T, add addState) {
 	t.Helper()
 	for i, core := range s.cores {
@@ -178,8 +178,8 @@
 	return s
 }
 
-// In every state that two dispatchers can reach within depth steps from each phase of a gang, with crashes, wrong views, lost answers and
-// late messages at any point, the invariants of check hold.
+// In every state that two dispatchers can reach within depth steps from each phase of a gang, with crashes, wrong views, lost
+// answers and late messages at any point, the invariants of check hold.
 func TestInvariantsInEveryState(t *testing.T) {
 	for _, phase := range []Phase{Waiting, Starting, Running, Saving} {
 		level, seen, done := []*state{reach(t, phase)}, map[uint64]bool{}, 0
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -15,8 +15,9 @@
 
 var figures = flag.Bool("figures", false, "measure the figures in docs/gangs.md; takes minutes")
 
-// TestFigures measures what the retirement of a zone costs, with 300 dispatchers, 200 runners in three zones, 200 gangs and three seeds. It
-// compares saves as late as possible with saving all gangs at the announcement and with no saves before the retirement.
+// TestFigures measures what the retirement of a zone costs, with 300 dispatchers, 200 runners in three zones, 200 gangs and
+// three seeds. It compares saves as late as possible with saving all gangs at the announcement and with no saves before the
+// retirement.
 func TestFigures(t *testing.T) {
 	if !*figures {
 		t.Skip("-figures is not set")
@@ -58,8 +59,8 @@
 	return w
 }
 
-// relocations returns the number of gangs that have to leave zone a when it retires in 12 minutes, and the sum of the shortest times, in
-// seconds, that their saves and starts can take.
+// relocations returns the number of gangs that have to leave zone a when it retires in 12 minutes, and the sum of the
+// shortest times, in seconds, that their saves and starts can take.
 func relocations(w *virtual.World, opt virtual.Options) (n int, minTime float64) {
 	for _, name := range w.Gangs() {
 		rec := w.Record(name)
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Every gang is done some time after random faults have ended, no invariant of the world is violated, and the runs together take
-// exactly the steps of gang.Table.
+// Every gang is done some time after random faults have ended, no invariant of the world is violated, and the runs together
+// take exactly the steps of gang.Table.
 func TestRandomFaults(t *testing.T) {
 	taken := map[gang.Step]int{}
 	for s := uint64(1); s <= uint64(*runs); s++ {
@@ -171,8 +171,8 @@
 	}
 }
 
-// A retirement that is announced a minute before costs less than 20 runner-seconds of work and 20 s of standstill, for the save and the
-// new start.
+// A retirement that is announced a minute before costs less than 20 runner-seconds of work and 20 s of standstill, for the
+// save and the new start.
 func TestRelocatedBeforeRetirement(t *testing.T) {
 	w := world(t, options(1), 3, 4)
 	submit(w, "g", 4, 5*time.Minute)
--- a/internal/dispatcher/gang/members.go
+++ b/internal/dispatcher/gang/members.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// handleEnds writes the step that follows when a member has failed or all members are done. wrote reports whether there was one.
+// handleEnds writes the step that follows when a member has failed or all members are done. wrote reports whether there was
+// one.
 func (c *Core) handleEnds(name string, g *gang) (wrote bool) {
 	done, anyFailed := 0, false
 	for _, m := range g.members {
@@ -47,8 +48,8 @@
 	return true
 }
 
-// restart writes the step back to Waiting of a gang that has lost a member. The gang will start again from its checkpoint or, if a
-// member could not start because its part is damaged, from the previous checkpoint.
+// restart writes the step back to Waiting of a gang that has lost a member. The gang will start again from its checkpoint or,
+// if a member could not start because its part is damaged, from the previous checkpoint.
 func (c *Core) restart(name string, g *gang) {
 	cause := Lost
 	if g.record.Phase == Starting && slices.ContainsFunc(g.members, func(m member) bool { return m.damaged }) {
@@ -70,9 +71,9 @@
 	return min(c.cfg.MaxBackoff, c.cfg.Backoff<<min(20, failedStarts-1))
 }
 
-// Parts handles the answer to a ListParts: the digests of a save's parts by member, empty for a part that is missing. When no part is
-// missing, it writes the new checkpoint. Whether a part is complete need not be checked here, as the register rejects a part that
-// doesn't match its digest.
+// Parts handles the answer to a ListParts: the digests of a save's parts by member, empty for a part that is missing. When no
+// part is missing, it writes the new checkpoint. Whether a part is complete need not be checked here, as the register rejects
+// a part that doesn't match its digest.
 func (c *Core) Parts(now time.Time, name string, generation uint64, number int, digests []string) {
 	c.now = now
 	g := c.gangs[name]
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -13,10 +13,11 @@
 // saveSlack is the planned duration of a save as a multiple of its size divided by the bandwidth.
 const saveSlack = 1.25
 
-// planSaves returns, for each gang that must relocate, when its save starts. With the policy Latest, the saves are planned one after
-// another, as the fleet shares the register's bandwidth: the gang with the latest deadline first, ending Margin before its deadline,
-// and each further one ending Margin before its own deadline or when the save planned before it starts, whichever is earlier. The
-// plan depends only on the records and the retirements, so all dispatchers compute the same one without communication.
+// planSaves returns, for each gang that must relocate, when its save starts. With the policy Latest, the saves are planned
+// one after another, as the fleet shares the register's bandwidth: the gang with the latest deadline first, ending Margin
+// before its deadline, and each further one ending Margin before its own deadline or when the save planned before it starts,
+// whichever is earlier. The plan depends only on the records and the retirements, so all dispatchers compute the same one
+// without communication.
 func (c *Core) planSaves() map[string]time.Time {
 	type relocation struct {
 		name     string
@@ -79,8 +80,9 @@
 	return time.Duration((1 - progress) * float64(g.record.work()) / max(speed, 1e-6))
 }
 
-// placeWaiting starts the waiting gangs that fit on the runners, the most urgent first. All dispatchers place all gangs in the same
-// order by the same rules, but each writes only the starts of those that it acts for. So two dispatchers seldom choose the same slots.
+// placeWaiting starts the waiting gangs that fit on the runners, the most urgent first. All dispatchers place all gangs in
+// the same order by the same rules, but each writes only the starts of those that it acts for. So two dispatchers seldom
+// choose the same slots.
 func (c *Core) placeWaiting() {
 	if !c.hasStartable() {
 		return // the assignment below takes much CPU time
@@ -93,7 +95,7 @@
 		}
 		placement := c.match(g, free)
 		if placement == nil {
-			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // otherwise smaller gangs could take its slots forever
+			if c.cfg.StarvationTimeout > 0 && c.now.Sub(g.record.Submitted) > c.cfg.StarvationTimeout { // else smaller gangs could always take its slots
 				return
 			}
 			continue
@@ -159,9 +161,9 @@
 		cmp.Compare(a.record.Name, b.record.Name))
 }
 
-// match returns a runner for each member, or nil if not all of them get one. None of the runners retires before the gang is expected to
-// be done. As that time depends on the slowest runner of a placement, match excludes the runners of a placement that retire too early
-// and tries again, until no runner is excluded or no placement is left.
+// match returns a runner for each member, or nil if not all of them get one. None of the runners retires before the gang is
+// expected to be done. As that time depends on the slowest runner of a placement, match excludes the runners of a placement
+// that retire too early and tries again, until no runner is excluded or no placement is left.
 func (c *Core) match(g *gang, free map[string]float64) []string {
 	excluded := map[string]bool{}
 	for {
@@ -181,8 +183,8 @@
 	}
 }
 
-// cheapestAssignment returns a runner for each member at the least total cost, or nil if there is none. It tries each zone as the gang's
-// zone, outside of which the cost of a member is raised by ZonePenalty.
+// cheapestAssignment returns a runner for each member at the least total cost, or nil if there is none. It tries each zone as
+// the gang's zone, outside of which the cost of a member is raised by ZonePenalty.
 func (c *Core) cheapestAssignment(g *gang, free map[string]float64, excluded map[string]bool) (best []string) {
 	maxSlots := 0.0
 	for _, n := range g.record.Needs {
@@ -209,8 +211,8 @@
 // impossible is the cost of a runner of another kind than the member needs. Costs of allowed runners are bounded by it.
 const impossible = 1e8
 
-// assign returns the assignment of members to runners with the least total cost, and that cost, with the penalty for runners outside the
-// zone. The cost is infinite if not all members get a runner.
+// assign returns the assignment of members to runners with the least total cost, and that cost, with the penalty for runners
+// outside the zone. The cost is infinite if not all members get a runner.
 func (c *Core) assign(needs []Need, slots []Runner, zone string) (total float64, placement []string) {
 	costs := make([][]float64, len(needs))
 	for i, n := range needs {
--- a/internal/dispatcher/gang/readwrite.go
+++ b/internal/dispatcher/gang/readwrite.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Listed handles a list of all gangs in the register with their versions. It reads the records that have changed, and drops gangs that
-// the register no longer has.
+// Listed handles a list of all gangs in the register with their versions. It reads the records that have changed, and drops
+// gangs that the register no longer has.
 func (c *Core) Listed(now time.Time, versions map[string]Version) {
 	c.now = now
 	for _, name := range slices.Sorted(maps.Keys(versions)) {
@@ -60,8 +60,8 @@
 	c.adopt(name, g, version, r)
 }
 
-// adopt makes a record the current one. It stops the members that this dispatcher sent if the record now has another generation or
-// owner, or a phase without members.
+// adopt makes a record the current one. It stops the members that this dispatcher sent if the record now has another
+// generation or owner, or a phase without members.
 func (c *Core) adopt(name string, g *gang, version Version, r Record) {
 	if g.record.Phase != r.Phase || g.record.Generation != r.Generation || !g.isCurrent {
 		g.phaseStartedAt = c.now
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -1,11 +1,11 @@
-// Package gang schedules gangs. A gang is a group of 2 to 64 long-running jobs, its members, which make progress only while all of them
-// run (gang scheduling). The package starts the members together, saves a checkpoint of all of them before their runners retire,
-// relocates them to other runners, and after crashes restarts them from the last checkpoint in the register.
+// Package gang schedules gangs. A gang is a group of 2 to 64 long-running jobs, its members, which make progress only while
+// all of them run (gang scheduling). The package starts the members together, saves a checkpoint of all of them before their
+// runners retire, relocates them to other runners, and after crashes restarts them from the last checkpoint in the register.
 //
 // # Ownership and safety
 //
-// The dispatcher that acts for a gang is its owner. Who becomes the owner depends on the view of the fleet, which may be wrong, so two
-// dispatchers may both act for a gang. Safety doesn't depend on the view:
+// The dispatcher that acts for a gang is its owner. Who becomes the owner depends on the view of the fleet, which may be
+// wrong, so two dispatchers may both act for a gang. Safety doesn't depend on the view:
 //
 //   - A gang's record in the register changes only by conditional writes, each of which names the version that it replaces. Of two
 //     dispatchers that write at the same time one succeeds. The other reads the record and abandons the gang.
@@ -54,7 +54,8 @@
 	StateBytes int64 `json:"saved_bytes"`
 }
 
-// Checkpoint is a saved state of a complete gang. The register stores its parts, one for each member, under the generation and number.
+// Checkpoint is a saved state of a complete gang. The register stores its parts, one for each member, under the generation
+// and number.
 type Checkpoint struct {
 	Generation uint64 `json:"generation"`
 	Number     int    `json:"number"`
@@ -70,8 +71,8 @@
 	Epoch uint64 `json:"life"`
 }
 
-// Record is a gang's record in the register, stored as JSON. A submitter writes it in the phase Waiting, with Name, Needs, Priority, Due
-// and Submitted. Only dispatchers write the other fields.
+// Record is a gang's record in the register, stored as JSON. A submitter writes it in the phase Waiting, with Name, Needs,
+// Priority, Due and Submitted. Only dispatchers write the other fields.
 type Record struct {
 	Name      string    `json:"name"`
 	Needs     []Need    `json:"needs"`
@@ -91,7 +92,8 @@
 	NotBefore          time.Time   `json:"not_before"`       // earliest time of the next start
 	Takeovers          int         `json:"taken"`            // number of takeovers by other owners since the last checkpoint
 	Cause              Cause       `json:"why,omitempty"`    // of the last step
-	// WriteID identifies the write of this version: the writer's name, its epoch and the number of the write, separated by slashes.
+	// WriteID identifies the write of this version: the writer's name, its epoch and the number of the write, separated by
+	// slashes.
 	WriteID string `json:"mark"`
 }
 
--- a/internal/dispatcher/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -1,6 +1,7 @@
-// Package register is the client of the register, the store of the records and checkpoints of gangs. The protocol is HTTP (RFC 9110).
-// A record is a resource with an ETag. Every write of a record is conditional, with If-Match, or with If-None-Match: * for the first one.
-// A part of a checkpoint is written only once (If-None-Match: *), with its digest (RFC 9530), which the register checks.
+// Package register is the client of the register, the store of the records and checkpoints of gangs. The protocol is HTTP
+// (RFC 9110). A record is a resource with an ETag. Every write of a record is conditional, with If-Match, or with
+// If-None-Match: * for the first one. A part of a checkpoint is written only once (If-None-Match: *), with its digest (RFC
+// 9530), which the register checks.
 //
 //	GET  /gangs                                      {"gangs":{"NAME":"ETAG",...}}
 //	GET  /gangs/NAME                                 the record, and its ETag in a header
@@ -117,8 +118,8 @@
 	return gang.Version(resp.Header.Get("ETag")), nil
 }
 
-// Put writes a record if the register's record has the version ifVersion, or if that is empty and the register has no such record. The
-// error is not nil if and only if the outcome is gang.Unknown: the write may have taken effect or not.
+// Put writes a record if the register's record has the version ifVersion, or if that is empty and the register has no such
+// record. The error is not nil if and only if the outcome is gang.Unknown: the write may have taken effect or not.
 func (c *Client) Put(ctx context.Context, r *gang.Record, ifVersion gang.Version) (gang.Outcome, gang.Version, error) {
 	path := "/gangs/" + url.PathEscape(r.Name)
 	call := "PUT " + path
--- a/internal/dispatcher/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -90,8 +90,8 @@
 	writeID string
 }
 
-// model is a model of one record. A write takes effect if the record has the version that the write names. The new version is known from
-// the answer of the write or, if that was lost, from a later read. Until then it is "?".
+// model is a model of one record. A write takes effect if the record has the version that the write names. The new version is
+// known from the answer of the write or, if that was lost, from a later read. Until then it is "?".
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{recordState{}} },
 	Step: func(state, in, out any) []any {
@@ -159,8 +159,8 @@
 	}
 }
 
-// Histories of five clients, with connections aborted before and after a call takes effect, are linearizable with respect to a record that
-// changes only by conditional writes.
+// Histories of five clients, with connections aborted before and after a call takes effect, are linearizable with respect to
+// a record that changes only by conditional writes.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for round := range 20 {
 		var mu sync.Mutex
--- a/internal/dispatcher/gang/register/registertest/registertest.go
+++ b/internal/dispatcher/gang/register/registertest/registertest.go
@@ -1,5 +1,5 @@
-// Package registertest has a fake register that keeps its data in memory. Tests can make it answer slowly or not, or apply a write and
-// lose the answer. It logs the writes that took effect.
+// Package registertest has a fake register that keeps its data in memory. Tests can make it answer slowly or not, or apply a
+// write and lose the answer. It logs the writes that took effect.
 package registertest
 
 import (
@@ -25,8 +25,8 @@
 
 // Register is an HTTP handler that serves the calls of a register. It is safe for concurrent use.
 type Register struct {
-	// Fault is called before a call is applied, and again after it. It reports whether the connection is aborted at that point. nil: no
-	// faults.
+	// Fault is called before a call is applied, and again after it. It reports whether the connection is aborted at that
+	// point. nil: no faults.
 	Fault func(r *http.Request, after bool) (lost bool)
 
 	mu      sync.Mutex
--- a/internal/dispatcher/gang/table.go
+++ b/internal/dispatcher/gang/table.go
@@ -9,8 +9,8 @@
 const (
 	Placed               Cause = "placed"             // all members have runners
 	AllStarted           Cause = "all started"        // every member has started
-	Lost                 Cause = "a member was lost"  // it failed, is unresponsive, or did not start in time; or its runner is removed or has retired
-	OwnerGone            Cause = "its holder is gone" // the owner is not living, and its connections to the members are closed; the stored text calls owners holders
+	Lost                 Cause = "a member was lost"  // it failed, is unresponsive or started too late, or its runner is gone
+	OwnerGone            Cause = "its holder is gone" // and with it the connections to the members; the text calls owners holders
 	SaveDue              Cause = "a save is due"
 	SaveComplete         Cause = "saved"                // every part is in the register
 	SaveCompleteRelocate Cause = "saved, to be moved"   // every part is in the register, and a runner is going to retire
--- a/internal/dispatcher/gang/tick.go
+++ b/internal/dispatcher/gang/tick.go
@@ -11,9 +11,9 @@
 // readRetryInterval is how long a read or write may be without an answer before the record is read again.
 const readRetryInterval = 5 * time.Second
 
-// maxSaveBacklog is the longest time that the saves under way may take by their size and the register's bandwidth for another periodic
-// save to begin. Many saves at once take no longer in total, but each of them takes longer, and a gang makes no progress during its
-// save.
+// maxSaveBacklog is the longest time that the saves under way may take by their size and the register's bandwidth for another
+// periodic save to begin. Many saves at once take no longer in total, but each of them takes longer, and a gang makes no
+// progress during its save.
 const maxSaveBacklog = 10 * time.Second
 
 // partsPollInterval is the time between two ListParts actions for a save under way.
@@ -38,8 +38,8 @@
 			}
 		case !g.isCurrent || g.record.Phase.Ended() || g.record.Phase == Waiting || !c.actsFor(name, g):
 		case g.ownGeneration == 0: // this dispatcher sent no members: the members of the last owner ended with its connections
-			// Dispatchers with wrong views would take a gang over from each other again and again, so the wait is doubled with each
-			// takeover.
+			// Dispatchers with wrong views would take a gang over from each other again and again, so the wait is doubled
+			// with each takeover.
 			if c.now.Sub(g.changedAt) >= c.cfg.Backoff<<min(16, g.record.Takeovers) {
 				c.write(name, g, OwnerGone, func(r *Record) { r.Takeovers++ })
 			}
@@ -77,7 +77,8 @@
 	}
 }
 
-// isLost reports whether a member that is not done is lost: it sent no event for MemberTimeout, or its runner is removed or has retired.
+// isLost reports whether a member that is not done is lost: it sent no event for MemberTimeout, or its runner is removed or
+// has retired.
 func (c *Core) isLost(m member, runner string) bool {
 	r, isKnown := c.runners[runner]
 	return m.started && c.now.Sub(m.lastContact) > c.cfg.MemberTimeout || !isKnown || !r.Retires.IsZero() && !c.now.Before(r.Retires)
@@ -95,8 +96,8 @@
 	c.write(name, g, SaveDue, func(r *Record) { r.SaveNumber, r.Relocate = r.SaveNumber+1, relocate })
 }
 
-// isPeriodicSaveDue reports whether a periodic save is due. A hash of the gang's name gives it an offset within CheckpointInterval, so that
-// the saves of different gangs are spread in time. No save is due
+// isPeriodicSaveDue reports whether a periodic save is due. A hash of the gang's name gives it an offset within
+// CheckpointInterval, so that the saves of different gangs are spread in time. No save is due
 //   - within a quarter of CheckpointInterval after the last one,
 //   - if a save for a retirement is planned to start within SaveTimeout, or
 //   - if the saves under way take the register maxSaveBacklog or longer.
@@ -123,8 +124,8 @@
 	return float64(bytes)/c.cfg.Bandwidth < maxSaveBacklog.Seconds()
 }
 
-// progress returns an estimate of the fraction of a gang's work that is done, from its last checkpoint, the time since then and the speed
-// of its slowest runner.
+// progress returns an estimate of the fraction of a gang's work that is done, from its last checkpoint, the time since then
+// and the speed of its slowest runner.
 func (c *Core) progress(g *gang) float64 {
 	progress := g.record.progress()
 	if g.record.Phase == Waiting || g.record.Phase == Starting || g.record.work() <= 0 {
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -1,6 +1,7 @@
-// Package virtual simulates a fleet that runs gangs, in virtual time and with the real gang.Core of each dispatcher. It simulates a register
-// whose answers can get lost, runners that retire and die, and dispatchers that crash, are stopped and are partitioned from the register.
-// The seed and the calls of a run determine all that happens in it. A World is not safe for concurrent use.
+// Package virtual simulates a fleet that runs gangs, in virtual time and with the real gang.Core of each dispatcher. It
+// simulates a register whose answers can get lost, runners that retire and die, and dispatchers that crash, are stopped and
+// are partitioned from the register. The seed and the calls of a run determine all that happens in it. A World is not safe
+// for concurrent use.
 package virtual
 
 import (
@@ -16,8 +17,8 @@
 type Options struct {
 	Seed   uint64
 	Config gang.Config // Self is set by the world
-	// Step is the resolution of time. Poll is the time between two polls of a dispatcher, which lists the gangs in the register and calls
-	// Tick in each. Latency is how long a call to the register takes.
+	// Step is the resolution of time. Poll is the time between two polls of a dispatcher, which lists the gangs in the
+	// register and calls Tick in each. Latency is how long a call to the register takes.
 	Step, Poll, Latency time.Duration
 	// Start is how long a member takes to start.
 	Start time.Duration
@@ -77,8 +78,8 @@
 	Runners     []*Runner
 	Dispatchers []*Dispatcher
 	Errors      []error // returned by all cores
-	// Lose reports whether the next answer of the register gets lost, Damage whether the next part that is uploaded is damaged, and Hang
-	// whether the next upload never ends. nil: never.
+	// Lose reports whether the next answer of the register gets lost, Damage whether the next part that is uploaded is
+	// damaged, and Hang whether the next upload never ends. nil: never.
 	Lose, Damage, Hang func() bool
 	Unresponsive       bool // the register answers no call
 	// Steps counts the steps taken by writes that took effect.
@@ -189,7 +190,8 @@
 	return ok()
 }
 
-// step advances time by one step. It handles callbacks that are due, retirements, members, uploads and dispatchers, in this order.
+// step advances time by one step. It handles callbacks that are due, retirements, members, uploads and dispatchers, in this
+// order.
 func (w *World) step() {
 	w.Now = w.Now.Add(w.opt.Step)
 	due := w.pending
@@ -258,8 +260,9 @@
 	return runners
 }
 
-// request sends a call of d to the register. atRegister is called when the call arrives at the register, and returns the function that is
-// called when the answer arrives at d. If the call or the answer is lost, lost is called instead, unless it is nil.
+// request sends a call of d to the register. atRegister is called when the call arrives at the register, and returns the
+// function that is called when the answer arrives at d. If the call or the answer is lost, lost is called instead, unless it
+// is nil.
 func (w *World) request(d *Dispatcher, atRegister func() func(), lost func()) {
 	epoch := d.epoch
 	back := func(f func()) {
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -29,7 +29,8 @@
 	return s
 }
 
-// assignMember places a member on the runner that an action names. The member fails if the runner is down or has too few free slots.
+// assignMember places a member on the runner that an action names. The member fails if the runner is down or has too few free
+// slots.
 func (w *World) assignMember(d *Dispatcher, a gang.Action) {
 	k := runKey(a.Gang, a.Generation)
 	if w.runs[k] == nil {
@@ -112,8 +113,8 @@
 	}
 }
 
-// stepRun advances each member of a run by one step. advances reports whether all n members run, and speed is the lowest speed of their
-// runners.
+// stepRun advances each member of a run by one step. advances reports whether all n members run, and speed is the lowest
+// speed of their runners.
 func (w *World) stepRun(r *run, n int) (advances bool, speed float64) {
 	advances, speed = len(r.members) == n, 1e9
 	for _, m := range r.members {
@@ -123,8 +124,8 @@
 	return advances, speed
 }
 
-// stepMember advances a member by one step. The member ends if its runner or its owner has ended; otherwise it starts or sends a
-// heartbeat if that is due.
+// stepMember advances a member by one step. The member ends if its runner or its owner has ended; otherwise it starts or
+// sends a heartbeat if that is due.
 func (w *World) stepMember(m *member) {
 	if !m.ended && !m.runner.Up {
 		if m.ended = true; !m.runner.Mute {
