--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -1,20 +1,21 @@
 // Package fleet keeps a dispatcher's membership view: which other dispatchers are alive, which process (epoch) runs under each
 // name, and since when. It implements SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar, Phillips and Currey, 2017):
 //
-//   - Each round a member probes one other member, in a random order of all. If it doesn't answer, further members are asked to
-//     probe it too (indirect probes).
-//   - A member that answers neither is suspected. It refutes the suspicion by gossiping a higher incarnation; if it doesn't in
-//     time, it is declared dead.
+//   - Each round a member probes one other member, in a random order of all. If it doesn't answer, further members are
+//     asked to probe it too (indirect probes).
+//   - A member that answers neither is suspected. It refutes the suspicion by gossiping a higher incarnation; if it doesn't
+//     in time, it is declared dead.
 //   - Updates are piggybacked on all packets, each a limited number of times (retransmissions).
 //   - A member that misses answers raises its local health score, which makes its own probe timeouts longer, so that a slow
 //     member suspects others less easily.
 //
 // Additions to the papers:
 //
-//   - Every packet carries a digest of its sender's view. When the digest in an Ack differs, the views are synchronized, so that
-//     they converge after a partition without any operator.
+//   - Every packet carries a digest of its sender's view. When the digest in an Ack differs, the views are synchronized, so
+//     that they converge after a partition without any operator.
 //   - Dead members are still probed, a few each round, so that they are found again.
-//   - With Config.TrustRefusals, a datagram that a member's own machine refuses proves that its process is dead (see package quota).
+//   - With Config.TrustRefusals, a datagram that a member's own machine refuses proves that its process is dead (see
+//     package quota).
 //   - A process that was stopped extends its suspicions by the time that it was stopped, as it couldn't receive refutations.
 //
 // Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the one with the
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -5,15 +5,15 @@
 // # Rules
 //
 //  1. A number has one address. A dispatcher may own its own number only while its socket is bound to that address.
-//  2. A proof of death for a number is a datagram to the number's address that the kernel of the machine with that address refused.
-//     It shows that no socket was bound to the address at some time after the datagram was sent. A timeout is no proof, so a
-//     partition passes no number on.
+//  2. A proof of death for a number is a datagram to the number's address that the kernel of the machine with that address
+//     refused. It shows that no socket was bound to the address at some time after the datagram was sent. A timeout is no
+//     proof, so a partition passes no number on.
 //  3. A proof is valid for Lease from the time its datagram was sent.
-//  4. After it has bound its socket, a dispatcher owns no number until Lease, lengthened by maxClockDrift, and GuardTime have passed
-//     (ReadyAt).
-//  5. The successors of a number have an order, which all dispatchers compute alike (rank). A dispatcher owns the number of another
-//     one while it has valid proofs for that number and for every dispatcher before itself in the order, each without a gap for at
-//     least GuardTime.
+//  4. After it has bound its socket, a dispatcher owns no number until Lease, lengthened by maxClockDrift, and GuardTime
+//     have passed (ReadyAt).
+//  5. The successors of a number have an order, which all dispatchers compute alike (rank). A dispatcher owns the number of
+//     another one while it has valid proofs for that number and for every dispatcher before itself in the order, each
+//     without a gap for at least GuardTime.
 //
 // # Invariant
 //
@@ -25,10 +25,11 @@
 //
 // The invariant breaks, and two dispatchers may use the same number, if
 //   - something other than the kernel of the addressed machine sends refusals in its name;
-//   - the configurations differ in Size, Lease, GuardTime or the numbers' addresses, or two dispatchers at different addresses have
-//     the same number;
-//   - clocks of two machines differ in speed by more than maxClockDrift, or a clock jumps or stands still while the machine sleeps;
-//   - a caller goes on using numbers after ValidUntil, or after its socket was closed.
+//   - the configurations differ in Size, Lease, GuardTime or the numbers' addresses, or two dispatchers at different
+//     addresses have the same number;
+//   - clocks of two machines differ in speed by more than maxClockDrift, or a clock jumps or stands still while the machine
+//     sleeps;
+//   - a caller keeps using numbers other than its own after ValidUntil, or any number after its socket was closed.
 //
 // The package has no I/O, clock or goroutine. A Tracker is not safe for concurrent use. All times passed to it come from one
 // clock of this machine, which must never jump and must go on while the machine sleeps (CLOCK_BOOTTIME).
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -7,18 +7,18 @@
 // The dispatcher that acts for a gang is its owner. Who becomes the owner depends on the view of the fleet, which may be
 // wrong, so two dispatchers may both act for a gang. Safety doesn't depend on the view:
 //
-//   - A gang's record in the register changes only by conditional writes, each of which names the version that it replaces. Of two
-//     dispatchers that write at the same time one succeeds. The other reads the record and abandons the gang.
+//   - A gang's record in the register changes only by conditional writes, each of which names the version that it replaces.
+//     Of two dispatchers that write at the same time one succeeds. The other reads the record and abandons the gang.
 //   - Each start of a gang has a new generation, which is written to the record before any member is sent.
-//   - Whatever comes from an older generation (a late part of a checkpoint, a late result, a member that still runs) is not referred
-//     to by the record and has no effect.
+//   - Whatever comes from an older generation (a late part of a checkpoint, a late result, a member that still runs) is not
+//     referred to by the record and has no effect.
 //
 // # Faults of the register
 //
 //   - The register is slow: a write counts as done only when its answer has arrived.
 //   - The register doesn't answer: running gangs continue, and no record changes.
-//   - The register applies a write and the answer is lost: the dispatcher reads the record, and Record.WriteID shows whether the write
-//     took effect.
+//   - The register applies a write and the answer is lost: the dispatcher reads the record, and Record.WriteID shows
+//     whether the write took effect.
 //
 // Core has no I/O, clock or goroutine. Its times are wall-clock times, as records outlast processes.
 package gang
