--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -31,8 +31,8 @@
 	AgeStep time.Duration
 	// ZonePenalty is the fraction by which the cost of a member is raised on a runner outside the gang's zone.
 	ZonePenalty float64
-	// MaxGangs is the largest number of gangs that a core keeps. MaxMoves is the largest number of starts and periodic saves
-	// that one dispatcher has under way at once.
+	// MaxGangs is the largest number of gangs that a core keeps. MaxMoves is the number of starts and saves of one dispatcher
+	// under way at which it begins no further start or periodic save; saves for retirements begin all the same.
 	MaxGangs, MaxMoves int
 	// RetirePolicy says when gangs are saved before retirements.
 	RetirePolicy Policy
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -16,8 +16,8 @@
 // planSaves returns, for each gang that must relocate, when its save starts. With the policy Latest, the saves are planned
 // one after another, as the fleet shares the register's bandwidth: the gang with the latest deadline first, ending Margin
 // before its deadline, and each further one ending Margin before its own deadline or when the save planned before it starts,
-// whichever is earlier. The plan depends only on the records and the retirements, so all dispatchers compute the same one
-// without communication.
+// whichever is earlier. With AtOnce, all saves start at once (the zero time); with Never, the plan is empty. The plan depends
+// only on the records and the retirements, so all dispatchers compute the same one without communication.
 func (c *Core) planSaves() map[string]time.Time {
 	type relocation struct {
 		name     string
