--- a/internal/cluster/consensus/confirmation.go
+++ b/internal/cluster/consensus/confirmation.go
@@ -5,13 +5,13 @@
 // The timing of the rounds of heartbeats that a requested confirmation adds between two periodic rounds.
 const (
 	minConfirmationInterval = 2 * time.Millisecond  // between a round that a quorum has acknowledged and the next
-	confirmationTimeout     = 10 * time.Millisecond // after which an unacknowledged round counts as lost
+	confirmationTimeout     = 10 * time.Millisecond // a round without a quorum's acknowledgement is then treated as lost
 )
 
 // ConfirmLeadership requests a confirmation that this member still led at or after now. The confirmation has arrived once
-// Status().ConfirmedAt is at least now. This is the read index protocol of section 6.4, in which the leader's time, rather
-// than a counter, identifies a round of heartbeats. Requests within a short time share a round. A member that does not lead
-// ignores the request.
+// Status().ConfirmedAt is at least now. This is the read index protocol of section 6.4, except that the leader's time
+// instead of a counter identifies a round of heartbeats. Requests within a short time share a round. A member that does not
+// lead ignores the request.
 func (n *Node) ConfirmLeadership(now time.Duration) {
 	n.advanceClock(now)
 	if n.role != roleLeader {
@@ -23,7 +23,8 @@
 }
 
 // sendRequestedConfirmation sends a round of heartbeats if a confirmation was requested since the last round, and either a
-// quorum has acknowledged that round or it counts as lost.
+// quorum has acknowledged that round or it is treated as lost. nextConfirmationAt returns the earliest time for
+// the next round.
 func (n *Node) sendRequestedConfirmation() {
 	if n.leadership.confirmationRequested && n.now >= n.nextConfirmationAt() {
 		n.broadcastHeartbeat(confirmationHeartbeat)
@@ -44,7 +45,7 @@
 	n.leadership.confirmedAt = max(n.leadership.confirmedAt, confirmed)
 }
 
-// quorumTime returns the newest time t for which timeOf is at least t for a quorum of voters. This leader counts with its
+// quorumTime returns the newest time that timeOf reaches or exceeds for a quorum of voters. For this leader it uses the
 // current time.
 func (n *Node) quorumTime(timeOf func(*progress) time.Duration) time.Duration {
 	return reachedByQuorum(n, n.now, timeOf)
--- a/internal/cluster/consensus/election.go
+++ b/internal/cluster/consensus/election.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// voteTally is the state of an election at the member that campaigns. It is the zero value at all other members.
+// voteTally is the state of an election at the candidate. Members that do not campaign have the zero value.
 type voteTally struct {
 	granted  []MemberID    // members that granted their pre-vote or vote; this member's own vote counts once it is on disk
 	forced   bool          // the leader asked this member to campaign, by MessageTimeoutNow
 	resendAt time.Duration // when to request the missing votes again
-	// ignorePreVotesUntil is the time by which votes for this candidate should have arrived from members with disks as slow
-	// as its own. Until then it ignores other members' requests for pre-votes, because another election would interrupt its
-	// own.
+	// ignorePreVotesUntil is the time when the votes for this candidate should have arrived if the voters' disks are as
+	// slow as its own. Until then the candidate ignores other members' requests for pre-votes, because another election
+	// would interrupt its own.
 	ignorePreVotesUntil time.Duration
 }
 
@@ -58,8 +58,8 @@
 }
 
 // startElection begins an election with the pre-vote (section 9.6): only a member that a quorum would elect enters a new
-// term. So a member that returns from a partition does not force the others into an election. A member that may not be
-// elected waits for another election timeout.
+// term. So a member that returns from a partition does not force an election on the other members. A member that must not
+// campaign waits for another election timeout.
 func (n *Node) startElection() {
 	n.becomeFollower(n.term, None)
 	n.resetElectionDeadline()
@@ -76,8 +76,9 @@
 }
 
 // becomeSoleLeader makes the only voter of a group its leader. In other elections the arrival of a vote shows that the
-// candidate's term, vote and log are on disk. Here no votes are exchanged. So this leader commits nothing, and sends nothing
-// to learners, before the first entry of its term is on disk: that entry is written after the term, the vote and the log.
+// candidate's term, vote and log are on disk. A sole voter exchanges no votes. Instead it commits no entries, and sends no
+// appends to learners, until the first entry of its term is on disk: that entry is written after the term, the vote and the
+// log.
 func (n *Node) becomeSoleLeader() {
 	n.becomeFollower(n.term+1, None)
 	n.vote = n.config.ID
@@ -107,16 +108,16 @@
 }
 
 // resetElectionDeadlineAfterVote sets the election deadline once this member has voted. It adds the time that the disks need
-// for the votes of the election that is under way. Without it, members whose disks take longer than about half an election
-// timeout would interrupt each other's elections forever.
+// to write the votes of the current election. Without this time, members with slow disks (writes that take longer than about
+// half an election timeout) would interrupt each other's elections forever.
 func (n *Node) resetElectionDeadlineAfterVote() {
 	n.resetElectionDeadline()
 	n.electionDeadline += maxElectionWrites * n.writeTime
 }
 
 // requestVotes requests votes, or pre-votes, from all voters that have not granted theirs. A request for a vote is sent only
-// once this member's term and vote are on disk: otherwise it could restart, campaign in the same term again, and be elected
-// in it twice.
+// once this member's term and vote are on disk. Otherwise the member could restart, campaign in the same term again, and be
+// elected twice in that term.
 func (n *Node) requestVotes() {
 	n.votes.resendAt = n.now + n.config.HeartbeatInterval
 	request := Message{Kind: MessagePreVote, Term: n.term + 1, Index: n.log.last(), LogTerm: n.log.lastTerm()}
--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -6,7 +6,7 @@
 var (
 	// ErrNotLeader is returned by a member that does not lead the group, or is transferring its leadership.
 	ErrNotLeader = errors.New("this member does not lead the group, or is transferring its leadership")
-	// ErrNotReady is returned by a leader whose term has no committed entry yet.
+	// ErrNotReady is returned by a leader that has not committed an entry of its own term yet.
 	ErrNotReady = errors.New("this leader has not committed an entry of its own term yet")
 	// ErrChangePending is returned while an earlier change of the membership is under way: its entry is not committed yet or,
 	// if the change is joint, the entry of its final membership.
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// leadership is the state that only a leader has. At all other members it is the zero value.
+// leadership is the volatile state of a leader. Members that do not lead have the zero value.
 type leadership struct {
 	peers          []*progress // of all other members of the current membership
 	termStartIndex uint64      // index of the first entry of this leader's term
@@ -25,16 +25,17 @@
 	transferDeadline time.Duration // when to give up that transfer
 }
 
-// becomeLeader makes this member the leader of its term, for which a quorum has granted its votes. It appends an empty entry:
-// once that is committed, so are all entries of earlier terms (section 3.6.2).
+// becomeLeader makes this member the leader of its term after a quorum has granted its votes. It appends an empty entry: the
+// commit of that entry also commits all entries of earlier terms (section 3.6.2).
 func (n *Node) becomeLeader() {
 	n.role = roleLeader
 	n.leader = n.config.ID
 	n.votes = voteTally{}
 	n.receiving = nil
 	// ownMatch is the end of the log, because the complete log is on disk: requests for votes are sent only once everything
-	// output before them is on disk, and nothing was appended since. A sole leader requests no votes, so its log may not be
-	// on disk yet. But it commits nothing before the first entry of this term is on disk, which is written after all others.
+	// output before them is on disk, and no entry was appended since. A sole leader requests no votes, so its log may not
+	// be on disk yet. But it commits no entry until the first entry of this term is on disk, and that entry is written
+	// after all earlier ones.
 	n.leadership = leadership{ownMatch: n.log.last(), termStartIndex: n.log.last() + 1}
 	n.updatePeers()
 	n.appendEntry(EntryEmpty, nil)
--- a/internal/cluster/consensus/log.go
+++ b/internal/cluster/consensus/log.go
@@ -36,7 +36,7 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// matches reports whether the log has an entry with that index and term, which may be the one at base.
+// matches reports whether the log has an entry with this index and term. The entry at base is included.
 func (l *entryLog) matches(index, term uint64) bool {
 	found, known := l.term(index)
 	return known && found == term
@@ -86,7 +86,7 @@
 	first := entries[0].Index
 	keep := int(first - l.base - 1)
 	if keep < len(l.entries) {
-		l.entries = l.entries[:keep:keep] // limits the capacity: the next append allocates and overwrites nothing
+		l.entries = l.entries[:keep:keep] // limits the capacity, so that the next append allocates a new array instead of overwriting entries
 	}
 	l.entries = append(l.entries, entries...)
 	l.lastOutput = min(l.lastOutput, first-1)
@@ -103,14 +103,14 @@
 	l.base, l.baseTerm = index, term
 }
 
-// reset replaces the complete log by a snapshot, whose last entry has this index and term.
+// reset replaces the complete log by a snapshot. index and term are those of the last entry that the snapshot covers.
 func (l *entryLog) reset(index, term uint64) {
 	*l = entryLog{base: index, baseTerm: term, lastOutput: index}
 }
 
 // findAgreement returns the newest index at which this log may agree with another log that has an entry of the given term at
-// index from. Terms never decrease within a log, so it is the newest index up to from whose term is not greater than term.
-// The search ends at base.
+// index from. Terms never decrease within a log. So the result is the newest index, not above from, with a term not greater
+// than the given one. The search ends at base.
 func (l *entryLog) findAgreement(from, term uint64) uint64 {
 	index := min(from, l.last())
 	for index > l.base {
--- a/internal/cluster/consensus/member.go
+++ b/internal/cluster/consensus/member.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// MemberID identifies a member. It is drawn at random when a member starts with an empty disk. A member whose disk is lost
-// or replaced gets a new one.
+// MemberID identifies a member. It is drawn at random when a member starts with an empty disk. After the loss or replacement
+// of its disk, a member gets a new MemberID.
 type MemberID uint64
 
 // None is the zero MemberID, which no member has.
--- a/internal/cluster/consensus/membership_change.go
+++ b/internal/cluster/consensus/membership_change.go
@@ -17,8 +17,9 @@
 // another call. So the replacement of a voter is one change, during which the group tolerates every failure that it
 // tolerated before.
 //
-// Each of these memberships is effective as soon as it is in the log. Until the last one is committed, Status().ChangePending
-// is true and other changes are refused with ErrChangePending. A change has no effect if its first entry is truncated.
+// Each of these memberships is effective as soon as it is in the log. Until the final membership is committed,
+// Status().ChangePending is true and other changes are refused with ErrChangePending. A change has no effect if its first
+// entry is truncated.
 //
 // A leader that is no voter of the new membership remains leader until a quorum without it has committed the membership.
 // It then steps down, and asks the voter that has the most entries on disk to campaign.
@@ -112,8 +113,8 @@
 	return diff
 }
 
-// jointMembers returns the joint membership from present to next: the outgoing configuration is the voters of present, the
-// incoming one is the voters of next. Learners and addresses are those of next.
+// jointMembers returns the joint membership for a change from present to next. The voters of present form the outgoing
+// configuration, and the voters of next form the incoming configuration. Learners and addresses come from next.
 func jointMembers(present, next []Member) []Member {
 	joint := make([]Member, 0, len(present)+len(next))
 	for _, member := range next {
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// finishJointChange appends the final membership in place of a joint one that is committed. An entry of this leader's own
-// term must be committed as well: then no member whose log lacks either entry can be elected any more.
+// finishJointChange appends the final membership once the joint membership is committed. An entry of this leader's own term
+// must be committed as well: from then on, a member that lacks either entry cannot be elected.
 func (n *Node) finishJointChange() {
 	members := n.memberships.current()
 	if n.role != roleLeader || n.leadership.transferee != None || !IsJoint(members) {
--- a/internal/cluster/consensus/membership_history.go
+++ b/internal/cluster/consensus/membership_history.go
@@ -7,7 +7,8 @@
 }
 
 // membershipHistory is the memberships in the log, oldest first. It begins with the membership as of the log's base. The
-// newest one is effective as soon as it is in the log (section 4.1). If it is truncated, the one before it is effective again.
+// newest membership is effective as soon as it is in the log (section 4.1). If it is truncated, the membership before it is
+// effective again.
 type membershipHistory []membership
 
 // current returns the newest membership, which is the effective one, or nil if there is none.
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// mayVote reports whether a member votes in the current membership, or in an earlier one that may become effective again
-// because all memberships after it are uncommitted.
+// mayVote reports whether a member votes in the current membership, or in an earlier membership that may become effective
+// again because all memberships after it are uncommitted.
 func (h membershipHistory) mayVote(commit uint64, id MemberID) bool {
 	for position := len(h) - 1; position >= 0; position-- {
 		if isVoter(h[position].members, id) {
@@ -58,7 +59,7 @@
 		}
 		members, err := DecodeMembers(entry.Data)
 		if err != nil {
-			continue // not expected: leaders propose only what EncodeMembers has encoded
+			continue // not expected: leaders append only memberships encoded by EncodeMembers
 		}
 		h = append(h, membership{index: entry.Index, members: members})
 	}
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -16,7 +16,7 @@
 )
 
 // Node is one member of one group. It is not safe for concurrent use: the caller must call its methods from one goroutine at
-// a time. The package comment states what the caller must do with its Outputs.
+// a time. The package comment states how the caller must carry out its Outputs.
 type Node struct {
 	config Config
 	random *rand.Rand
@@ -24,14 +24,14 @@
 
 	role   role
 	term   uint64
-	vote   MemberID // whom this member voted for in its term; None: nobody
+	vote   MemberID // candidate that this member voted for in its term; None: no vote
 	leader MemberID // of this term; None: not known
 
 	log         entryLog
 	memberships membershipHistory
 	commit      uint64
 	applied     uint64 // last index that Output has returned in Committed, or that a snapshot covers
-	verified    uint64 // last index up to which this log is known to agree with that of the leader of this term
+	verified    uint64 // last index up to which this log is known to agree with the log of this term's leader
 
 	campaignAllowed   bool
 	writeTime         time.Duration // how long a write to this member's disk currently takes
@@ -82,8 +82,8 @@
 	}
 }
 
-// advanceClock sets the node's time to that of an input. It ignores earlier times. A leader takes an advance of more than half
-// an election timeout for a stall of its process.
+// advanceClock sets the node's time to the time of an input. It ignores earlier times. A leader treats an advance of more than
+// half an election timeout as a stall of its process.
 func (n *Node) advanceClock(now time.Duration) {
 	if now <= n.now {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// Tick does what is due at now: it starts elections and sends heartbeats, among other things. The caller must call it at
+// Tick carries out the actions due at now, such as starting an election or sending heartbeats. The caller must call it at
 // NextDeadline at the latest; earlier calls do no harm. If a leader gets no input for more than half an election timeout, it
 // assumes that its process stalled. So the caller should call Tick several times in an election timeout.
 func (n *Node) Tick(now time.Duration) {
@@ -153,7 +153,7 @@
 		n.handlePreVote(message)
 		return false
 	case MessagePreVoteResponse:
-		if !message.Reject { // its term is that of the proposed election, which nobody may have entered yet
+		if !message.Reject { // its term is the term of the proposed election, and perhaps no member has entered that term yet
 			n.handlePreVoteResponse(message)
 			return false
 		}
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -1,18 +1,18 @@
 package consensus
 
-// Output is what the caller must do for a Node. The package comment states the order: write Snapshot, HardState and Entries to
-// the disk; once they and those of all earlier Outputs are on disk, send Deferred and call Persisted. Immediate and Committed
-// need not wait for the disk. The caller must not modify the slices.
+// Output contains the writes, messages and committed entries that the caller must process for a Node. The package comment
+// states the order: write Snapshot, HardState and Entries to the disk. Once this and all earlier Outputs are on disk, send
+// Deferred and call Persisted. Immediate and Committed need not wait for the disk. The caller must not modify the slices.
 type Output struct {
-	HardState *HardState // replaces the one on disk; nil: unchanged
+	HardState *HardState // replaces the hard state on disk; nil: unchanged
 	Snapshot  *Snapshot  // replaces the log and the state machine; nil: none
 	Entries   []Entry    // to append to the log, replacing its entries at the same and all higher indexes
 	Immediate []Message  // messages that depend on no write: may be sent at once
-	Deferred  []Message  // messages that promise what is written: sent only once this and all earlier Outputs are on disk
+	Deferred  []Message  // messages that depend on writes: sent only once this and all earlier Outputs are on disk
 	Committed []Entry    // to apply to the state machine, in order and after Snapshot
 }
 
-// pendingOutput collects what the next call of Output will return, except for entries.
+// pendingOutput collects the results of the next call of Output, except for entries.
 type pendingOutput struct {
 	hardStateChanged bool // the term or the vote changed
 	snapshot         *Snapshot
@@ -47,8 +47,8 @@
 		n.log.lastOutput < n.log.last() || n.applied < n.commit || n.leadership.appendsDue
 }
 
-// Output returns what the inputs since the last call require the caller to do. It returns nothing twice, so the caller must
-// carry out every Output.
+// Output returns the writes, messages and committed entries that result from the inputs since the last call. It returns each
+// of them only once, so the caller must carry out every Output.
 func (n *Node) Output() Output {
 	n.sendDueAppends()
 	output := Output{
--- a/internal/cluster/consensus/persistent.go
+++ b/internal/cluster/consensus/persistent.go
@@ -18,11 +18,11 @@
 	Data  []byte
 }
 
-// HardState is the state besides the log that a member must keep across restarts. It must be on disk before the caller sends
-// a message that depends on it (Output.Deferred). It is encoded by gob, so the field names are part of the format.
+// HardState is the state that a member must keep across restarts in addition to the log. It must be on disk before the caller
+// sends a message that depends on it (Output.Deferred). It is encoded by gob, so the field names are part of the format.
 type HardState struct {
 	Term   uint64
-	Vote   MemberID // whom the member voted for in Term; None: nobody
+	Vote   MemberID // candidate that the member voted for in Term; None: no vote
 	Commit uint64   // for information only: New does not use it
 }
 
@@ -35,9 +35,9 @@
 	Data    []byte   // the encoded state machine
 }
 
-// Restored is the state that a member's disk has at the start of the process. The zero value is that of an empty disk.
+// Restored is the state read from a member's disk at the start of the process. The zero value stands for an empty disk.
 type Restored struct {
-	// HardState is the newest one on disk. New does not use its Commit: the next leader announces what is committed.
+	// HardState is the newest hard state on disk. New does not use its Commit: the next leader announces the commit index.
 	HardState HardState
 	// Snapshot is the snapshot from which the state machine was started. New does not use its Data. Nil means that the disk
 	// is empty, and the membership will arrive with the log. The initial members of a new group start from a Snapshot with
--- a/internal/cluster/consensus/progress.go
+++ b/internal/cluster/consensus/progress.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// progressState is the way in which a leader replicates its log to a member.
+// progressState selects how a leader replicates its log to a member.
 type progressState uint8
 
 const (
@@ -21,7 +21,7 @@
 	next     uint64 // index of the next entry to send
 	lastSent uint64 // last index that the newest append covers
 
-	probeSent bool     // a probe was sent whose response is outstanding
+	probeSent bool     // a probe was sent and its response has not arrived
 	inflight  []uint64 // last index of each unacknowledged append, oldest first; its length is the used window
 
 	appendSentAt   time.Duration // when the newest append with entries, or probe, was sent
--- a/internal/cluster/consensus/quorum.go
+++ b/internal/cluster/consensus/quorum.go
@@ -8,8 +8,8 @@
 // maxStackVoters is the number of voters up to which reachedByConfig computes on the stack, without allocating.
 const maxStackVoters = 16
 
-// configSet is the set of configurations in which a member votes. A membership that is not joint has one configuration, which
-// is both the outgoing and the incoming one.
+// configSet is the set of configurations in which a member votes. A membership that is not joint has a single configuration,
+// which is both outgoing and incoming.
 type configSet uint8
 
 const (
@@ -43,7 +43,7 @@
 	return false
 }
 
-// HasQuorum reports whether the members for which agrees returns true are a quorum: a majority of the voters or, in a joint
+// HasQuorum reports whether agrees returns true for a quorum of members. A quorum is a majority of the voters or, in a joint
 // membership, a majority of the voters of each configuration.
 func HasQuorum(members []Member, agrees func(MemberID) bool) bool {
 	return hasMajority(members, outgoingConfig, agrees) && hasMajority(members, incomingConfig, agrees)
@@ -91,7 +91,7 @@
 	return isVoter(members, id) && countVoters(members) == 1
 }
 
-// reachedByMajority returns the largest v for which a majority of values is at least v, or 0 if there are no values. It sorts
+// reachedByMajority returns the largest v such that a majority of values is at least v, or 0 if there are no values. It sorts
 // values in place.
 func reachedByMajority[T uint64 | time.Duration](values []T) T {
 	if len(values) == 0 {
@@ -101,7 +101,7 @@
 	return values[len(values)-quorumSize(len(values))]
 }
 
-// reachedByQuorum returns the largest v for which the values of a quorum are at least v. own is the value of this leader, and
+// reachedByQuorum returns the largest v such that a quorum has values of at least v. own is the value of this leader, and
 // valueOf returns the value of another member.
 func reachedByQuorum[T uint64 | time.Duration](n *Node, own T, valueOf func(*progress) T) T {
 	reached := reachedByConfig(n, incomingConfig, own, valueOf)
@@ -111,8 +111,8 @@
 	return reached
 }
 
-// reachedByConfig returns the largest v for which the values of a majority of the voters of one configuration are at least v.
-// This leader counts only if it votes in that configuration.
+// reachedByConfig returns the largest v such that a majority of one configuration's voters have values of at least v. The
+// leader's own value is included only if the leader votes in that configuration.
 func reachedByConfig[T uint64 | time.Duration](n *Node, config configSet, own T, valueOf func(*progress) T) T {
 	var stack [maxStackVoters]T
 	values := stack[:0]
--- a/internal/cluster/consensus/replication.go
+++ b/internal/cluster/consensus/replication.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// sendAppends sends a member the entries that it lacks, as far as its window allows. To a member in progressProbe it sends a
-// probe, even if there are no new entries.
+// sendAppends sends a member the entries that it lacks, within the limit of its window. To a member in progressProbe it sends
+// a probe, even if there are no new entries.
 func (n *Node) sendAppends(peer *progress) {
 	if n.leadership.appendsSuspended {
 		return
@@ -31,9 +31,9 @@
 }
 
 // lastIndexFor returns the last index that may be sent to a member. A learner receives only committed entries. Otherwise the
-// group could be left without a leader: suppose that a learner had the newest log, ending with an uncommitted entry, and that
-// another member's log had a membership in which the learner votes. The learner does not campaign, and it would deny its vote
-// to that member forever.
+// group could be left without a leader. Suppose that a learner had the newest log, ending with an uncommitted entry, and that
+// the learner is a voter according to the log of another member. The learner does not campaign, and it would deny its vote to
+// that member forever.
 func (n *Node) lastIndexFor(peer *progress) uint64 {
 	if peer.isVoter() {
 		return n.log.last()
@@ -41,8 +41,8 @@
 	return n.commit
 }
 
-// sendAppend sends one append, which is empty if the member lacks no entries. It reports whether it did: if the entries are
-// compacted, it sends nothing and the member needs a snapshot.
+// sendAppend sends one append, which is empty if the member lacks no entries. It reports whether it sent the append. If the
+// entries are compacted, it sends no append and records that the member needs a snapshot.
 func (n *Node) sendAppend(peer *progress) bool {
 	before := peer.next - 1
 	beforeTerm, known := n.log.term(before)
@@ -76,7 +76,7 @@
 	n.sendAppend(peer)
 }
 
-// requestAck sends an empty append, whose response replaces an acknowledgement that may have been lost.
+// requestAck sends an empty append. The response to it replaces an acknowledgement that may have been lost.
 func (n *Node) requestAck(peer *progress) {
 	before := peer.next - 1
 	beforeTerm, known := n.log.term(before)
@@ -129,8 +129,8 @@
 		Hint: hint, LogTerm: hintTerm, SentAt: message.SentAt})
 }
 
-// appendEntries appends the entries that the log lacks. If the log has another entry in the place of one of them, they replace
-// the log from there on.
+// appendEntries appends the entries that the log lacks. At the first entry that conflicts with the log, it truncates the log
+// and appends the remaining entries.
 func (n *Node) appendEntries(entries []Entry) {
 	for position, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
--- a/internal/cluster/consensus/snapshot_receive.go
+++ b/internal/cluster/consensus/snapshot_receive.go
@@ -9,7 +9,7 @@
 	index    uint64
 	term     uint64 // of the entry at index
 	transfer uint64 // number of the transfer, counted by the leader in its term
-	data     []byte // the beginning of the snapshot's data, as far as it has arrived
+	data     []byte // the part of the snapshot's data that has arrived, from its beginning
 }
 
 // handleSnapshotChunk adds a chunk to the snapshot that is being received, and installs the snapshot with its last chunk. The
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -11,7 +11,7 @@
 	Ready      bool   // this member leads, and Output has returned an entry of its term in Committed
 	Commit     uint64 // commit index
 	LastIndex  uint64 // index of the newest entry of the log
-	FirstIndex uint64 // index of the oldest entry that is not compacted, or the one after LastIndex
+	FirstIndex uint64 // index of the oldest entry that is not compacted, or LastIndex+1 if there is none
 	// ConfirmedAt is the newest time, by this member's monotonic clock, at which a quorum is known to have followed this
 	// leader. It is 0 if there is no such time or this member does not lead.
 	ConfirmedAt time.Duration
