--- a/internal/cluster/consensus/confirmation.go
+++ b/internal/cluster/consensus/confirmation.go
@@ -22,16 +22,16 @@
 	n.updateConfirmedAt()
 }
 
-// sendRequestedConfirmation sends a round of heartbeats if a confirmation was requested since the last round, and either a
-// quorum has acknowledged that round or it is treated as lost. nextConfirmationAt returns the earliest time for
-// the next round.
+// sendRequestedConfirmation sends a round of heartbeats if a confirmation was requested since the last round, and the time
+// that nextConfirmationAt returns has come.
 func (n *Node) sendRequestedConfirmation() {
 	if n.leadership.confirmationRequested && n.now >= n.nextConfirmationAt() {
 		n.broadcastHeartbeat(confirmationHeartbeat)
 	}
 }
 
-// nextConfirmationAt returns when the next round of heartbeats may be sent for a requested confirmation.
+// nextConfirmationAt returns when the next round of heartbeats may be sent for a requested confirmation. It allows a round
+// minConfirmationInterval after the last one if a quorum has acknowledged that, or else after confirmationTimeout.
 func (n *Node) nextConfirmationAt() time.Duration {
 	if n.leadership.confirmedAt >= n.leadership.lastHeartbeatAt {
 		return n.leadership.lastHeartbeatAt + minConfirmationInterval
--- a/internal/cluster/consensus/election_test.go
+++ b/internal/cluster/consensus/election_test.go
@@ -24,8 +24,8 @@
 	isLeader           bool
 }
 
-// requestVote sends a request to member 1, whose log has entries of the terms 1, 2 and 2, and returns the member and its
-// response.
+// requestVote sends a request to member 1 and returns the member and its response. The log of member 1 has entries of the
+// terms 1, 2 and 2.
 func requestVote(state voterState, request Message) (*testMember, voteOutcome) {
 	g := &group{now: time.Minute}
 	voter := g.add(1, Restored{HardState: HardState{Term: state.term, Vote: state.vote},
--- a/internal/cluster/consensus/exhaustive_test.go
+++ b/internal/cluster/consensus/exhaustive_test.go
@@ -11,7 +11,7 @@
 // exploreVariable is the environment variable that, if it is not empty, adds the explorations that take minutes.
 const exploreVariable = "CONSENSUS_EXPLORE"
 
-// exploreAll visits all states within bounds and fails if one of them violates an invariant. It also fails if it reaches
+// exploreAll visits all states within bounds and fails if a state violates an invariant. It also fails if it reaches
 // maxStates: some states may then be unvisited.
 func exploreAll(limits bounds, maxStates int) {
 	limits.maxStates = maxStates
--- a/internal/cluster/consensus/explore_fingerprint_test.go
+++ b/internal/cluster/consensus/explore_fingerprint_test.go
@@ -7,8 +7,8 @@
 )
 
 // fingerprint returns a hash of everything in a state that later steps can depend on. Two states that differ only by an
-// exchange of the second and the third member have the same fingerprint, so the exploration visits only one of them. This
-// does not apply to groups with a successor or a lost disk, in which the two members differ.
+// exchange of the second and the third member have the same fingerprint, so the exploration visits only one of these states.
+// This does not apply to groups with a successor or a lost disk: there the two members differ.
 func (s *groupState) fingerprint(seed maphash.Seed) uint64 {
 	plain := &fingerprintWriter{seed: seed}
 	plain.state(s)
@@ -20,8 +20,8 @@
 	return min(plain.sum(), swapped.sum())
 }
 
-// fingerprintWriter collects the data of which a fingerprint is the hash. If swap is true, it writes the data with the second
-// and the third member exchanged.
+// fingerprintWriter collects the data that a fingerprint hashes. If swap is true, it writes the data with the second and the
+// third member exchanged.
 type fingerprintWriter struct {
 	seed maphash.Seed
 	swap bool
@@ -155,7 +155,7 @@
 	}
 }
 
-// message writes the fields in which messages of an exploration differ.
+// message writes the fields that can differ between messages of an exploration.
 func (k *fingerprintWriter) message(message *Message) {
 	k.id(message.From)
 	k.id(message.To)
--- a/internal/cluster/consensus/explore_state_test.go
+++ b/internal/cluster/consensus/explore_state_test.go
@@ -16,8 +16,8 @@
 	fingerprints fingerprints
 }
 
-// fingerprints are two hashes of a part of a state: of the part as it is, and of the part with the second and the third member
-// exchanged. They are computed when they are first needed.
+// fingerprints are two hashes of a part of a state: a plain hash, and a hash with the second and the third member exchanged.
+// They are computed when they are first needed.
 type fingerprints struct {
 	known          bool // the hashes are computed
 	plain, swapped uint64
@@ -67,7 +67,7 @@
 	return text
 }
 
-// frozenTime is the time of all inputs, so that nothing becomes due.
+// frozenTime is the time of all inputs, so that no timeout or interval ends.
 const frozenTime = time.Second
 
 // exploreConfig returns a configuration with one entry in each append, so that the exploration covers every boundary between
@@ -123,7 +123,8 @@
 	return &copied
 }
 
-// clone returns a copy of a state in which only the member at position changes may be modified. No node may have output.
+// clone returns a copy of a state. In the copy only the member at position changes may be modified; the other members share
+// memory with the original. No node may have output.
 func (s *groupState) clone(changes int) *groupState {
 	copied := *s
 	copied.members = slices.Clone(s.members)
--- a/internal/cluster/consensus/explore_steps_test.go
+++ b/internal/cluster/consensus/explore_steps_test.go
@@ -8,15 +8,15 @@
 // successorID is the ID of the learner that may replace a voter.
 const successorID MemberID = 4
 
-// replacedBySuccessor returns the membership in which the successor, as a voter, replaces the member at a position.
+// replacedBySuccessor returns members with the member at a position removed and the successor made a voter.
 func replacedBySuccessor(members []Member, position int) []Member {
 	next := without(members, position)
 	next[slices.IndexFunc(next, func(member Member) bool { return member.ID == successorID })].Learner = false
 	return next
 }
 
-// stepFunc takes one step from a state: it copies the state, and calls do with the copy and with the member at index in it.
-// The path of the copy describes the step by action.
+// stepFunc takes one step from a state: it copies the state, and calls do with the copy and the copy's member at index. The
+// path of the copy describes the step by action.
 type stepFunc func(action string, index int, do func(state *groupState, member *memberState))
 
 // nextStates returns all states to which one step leads.
@@ -99,7 +99,7 @@
 func (s *groupState) memberSteps(index int, limits bounds, step stepFunc) {
 	member := &s.members[index]
 	node := member.node
-	// All members are equal at first, so it suffices that the first of them begins the first election.
+	// All members are equal at first, so it suffices that the first member begins the first election.
 	mayBeFirst := index == 0 || slices.ContainsFunc(s.members, func(other memberState) bool { return other.node.term > 0 })
 	if node.role != roleLeader && node.term < limits.terms && node.mayCampaign() && mayBeFirst {
 		step("campaign", index, func(_ *groupState, member *memberState) { member.node.campaign(campaignTransfer) })
@@ -183,7 +183,7 @@
 }
 
 // toleratesLossOf reports whether the group tolerates the loss of a member's disk. It tolerates the first loss. It tolerates
-// another one if a quorum is left, and the leader of the newest term is ready and has finished all membership changes.
+// a further loss if a quorum is left, and the leader of the newest term is ready and has finished all membership changes.
 func (s *groupState) toleratesLossOf(index int) bool {
 	if s.losses == 0 {
 		return true
@@ -203,8 +203,9 @@
 	return HasQuorum(newest.memberships.current(), func(id MemberID) bool { return id != lost && s.indexOf(id) >= 0 })
 }
 
-// membersAfterLoss returns the membership that a leader proposes next after the loss of a disk, or nil if there is nothing to
-// change. Without a successor it removes the lost member, adds the machine's new member as a learner, and promotes that.
+// membersAfterLoss returns the membership that a leader proposes next after the loss of a disk, or nil if no change is
+// needed. Without a successor, three changes follow each other: the leader removes the lost member, adds the machine's new
+// member as a learner, and promotes the learner.
 func (s *groupState) membersAfterLoss(node *Node) []Member {
 	if !node.isReady() || node.changePending() || s.losses == 0 {
 		return nil
@@ -232,8 +233,8 @@
 	return nil
 }
 
-// successorMembers returns the membership in which the successor replaces a lost voter, or nil if no voter is lost or the
-// successor does not have the complete log yet.
+// successorMembers returns the membership with the successor as a voter instead of a lost voter. It returns nil if no voter
+// is lost or the successor does not have the complete log yet.
 func (s *groupState) successorMembers(node *Node, lost int) []Member {
 	members := node.memberships.current()
 	successor, known := findMember(members, successorID)
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -15,12 +15,12 @@
 	// diskLosses is the number of disks that are lost at moments when the group tolerates it. The machine returns under a new
 	// ID. The leader adds that to the group, unless there is a successor.
 	diskLosses int
-	// successor adds a learner, successorID, which has the complete log and replaces a voter whose disk is lost. The
-	// exploration then begins with member 1 as leader.
+	// successor adds a learner, successorID, with the complete log. The learner replaces a voter after the loss of the
+	// voter's disk. The exploration then begins with member 1 as leader.
 	successor     bool
 	replaces      MemberID // voter that the successor replaces by a joint change from the beginning; None: none
 	removals      int      // changes that remove member 2, proposed at any moment, even while another change is under way
-	transfers     int      // leadership transfers, as those of a member that is decommissioned
+	transfers     int      // leadership transfers, as at the decommissioning of a member
 	syncs         syncMode
 	checkRecovery bool // check for every state that the group can recover from it
 	maxStates     int  // the exploration ends when it has visited this many states
@@ -30,7 +30,7 @@
 type syncMode uint8
 
 const (
-	syncAtOnce syncMode = iota // in the step whose output contains them
+	syncAtOnce syncMode = iota // in the step that outputs them
 	syncLater                  // in a separate step, or never
 )
 
@@ -43,7 +43,7 @@
 	mu             sync.Mutex          // guards seen and violating
 	seen           map[uint64]struct{} // fingerprints of the visited states
 	violating      *groupState         // a state that violates an invariant; nil: none was found
-	recoveryChecks atomic.Uint64       // number of states for which a recovery check was due
+	recoveryChecks atomic.Uint64       // number of states that were candidates for a recovery check
 }
 
 // explore visits all states within bounds, breadth first. It stops at a state that violates an invariant and returns it, or
@@ -57,8 +57,7 @@
 	return x.violating, len(x.seen)
 }
 
-// expand returns the states that one step from the frontier leads to, without those that were visited before. It uses all
-// processors.
+// expand returns the unvisited states that are one step away from the frontier. It uses all processors.
 func (x *explorer) expand(frontier []*groupState) []*groupState {
 	var following []*groupState
 	var position atomic.Int64
@@ -82,8 +81,8 @@
 	return following
 }
 
-// checkRecovery checks that the group can recover from each of these states. With the race detector it checks only one in
-// slowdown of them.
+// checkRecovery checks that the group can recover from each of these states. With the race detector it checks only every
+// slowdown-th state.
 func (x *explorer) checkRecovery(states []*groupState) {
 	if !x.bounds.checkRecovery {
 		return
--- a/internal/cluster/consensus/fixtures_test.go
+++ b/internal/cluster/consensus/fixtures_test.go
@@ -98,7 +98,8 @@
 	return counts
 }
 
-// countConstants adds the constants of a declaration to counts. A constant without a type has that of the one before.
+// countConstants adds the constants of a declaration to counts. A constant without a type has the type of the previous
+// constant.
 func countConstants(group *ast.GenDecl, counts map[string]int) {
 	typeName := ""
 	for _, spec := range group.Specs {
--- a/internal/cluster/consensus/group_test.go
+++ b/internal/cluster/consensus/group_test.go
@@ -23,7 +23,7 @@
 }
 
 // group is a group in a scripted test. Its members share one clock, which the test advances. Messages arrive at once and in
-// the order in which they were sent, except for those that the test drops.
+// the order in which they were sent, except for messages that the test drops.
 type group struct {
 	now          time.Duration
 	members      []*testMember
@@ -103,7 +103,7 @@
 	}
 }
 
-// send sends messages, except for those that the test drops.
+// send sends the messages that the test doesn't drop.
 func (g *group) send(messages []Message) {
 	for _, message := range messages {
 		g.sentMessages = append(g.sentMessages, message)
@@ -180,8 +180,8 @@
 	return member
 }
 
-// restart restarts a member from a snapshot and its log, with its term and vote. It takes all of them for synced: a test that
-// paused the disk must drop unsynced entries first.
+// restart restarts a member from a snapshot and its log, with its term and vote. It assumes that the log, term and vote are
+// synced: a test that paused the disk must drop unsynced entries first.
 func (g *group) restart(id MemberID, snapshot *Snapshot) *testMember {
 	old := g.member(id)
 	restored := Restored{HardState: HardState{Term: old.term, Vote: old.vote}, Snapshot: snapshot, Entries: old.log.entries}
@@ -278,7 +278,7 @@
 	return found
 }
 
-// entriesOf returns entries of these terms without data, the first of them at index first.
+// entriesOf returns entries without data, one for each term. Their indexes are consecutive, beginning at first.
 func entriesOf(first uint64, terms ...uint64) []Entry {
 	var entries []Entry
 	for position, term := range terms {
--- a/internal/cluster/consensus/heartbeat.go
+++ b/internal/cluster/consensus/heartbeat.go
@@ -34,9 +34,9 @@
 	n.send(Message{Kind: MessageHeartbeatResponse, To: message.From, Index: n.verified, SentAt: message.SentAt})
 }
 
-// handleHeartbeatResponse records that the member followed this leader when the heartbeat was sent. If a message to the
-// member or its response was probably lost, the leader then sends that message again. Otherwise it sends the entries that
-// the member lacks.
+// handleHeartbeatResponse records that the member followed this leader when the heartbeat was sent. If messages were
+// probably lost, the leader then sends the snapshot chunk or the entries again, or requests another acknowledgement.
+// Otherwise it sends the entries that the member lacks.
 func (n *Node) handleHeartbeatResponse(message *Message) {
 	peer := n.peer(message.From)
 	if n.role != roleLeader || peer == nil {
--- a/internal/cluster/consensus/invariants_test.go
+++ b/internal/cluster/consensus/invariants_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// hashEntry returns the hash of an entry and of before, which is the hash or the term of what precedes the entry.
+// hashEntry returns the hash of an entry and of before. before is the hash of the preceding entries, or the term of the
+// preceding entry.
 func hashEntry(before uint64, entry Entry) uint64 {
 	const prime = 1099511628211
 	sum := before
@@ -114,7 +115,7 @@
 	c.electedAt[status.Term] = m.world.now
 	c.newestTerm = max(c.newestTerm, status.Term)
 	if status.Term < c.newestTerm {
-		return // a later term had a leader before, so this leader can commit nothing
+		return // a later term had a leader before, so this leader can commit no entry
 	}
 	for index := m.node.log.base + 1; index <= uint64(len(c.committed)); index++ {
 		if !m.node.log.matches(index, c.committedTerms[index-1]) {
--- a/internal/cluster/consensus/joint_change_test.go
+++ b/internal/cluster/consensus/joint_change_test.go
@@ -267,7 +267,7 @@
 
 // The first two specs guard against a group that never has a leader again. Either the only member with the newest log does not
 // campaign, because that log has a membership without it. Or a learner has the newest log: it does not campaign either, and it
-// denies its vote to the others.
+// denies its vote to the other members.
 var _ = ginkgo.Describe("a group remains available", func() {
 	ginkgo.It("if only a restarted leader that removed itself has the newest log", func() {
 		g := newGroup(memberList(1, 2)...)
--- a/internal/cluster/consensus/linearizable_test.go
+++ b/internal/cluster/consensus/linearizable_test.go
@@ -114,7 +114,8 @@
 }
 
 // finishUnknown records a write of unknown outcome. It may take effect at any later time, so its recorded end is later than
-// that of all other operations. A client of the model has one operation at a time, so the write gets a separate client ID.
+// the end of every other operation. A client of the model has one operation at a time, so the write gets a separate client
+// ID.
 func (c *clients) finishUnknown(client int, input operation, requestedAt time.Duration) {
 	c.history = append(c.history, porcupine.Operation{ClientId: client + 1000*len(c.history), Input: input,
 		Call: int64(requestedAt), Return: int64(time.Hour)})
--- a/internal/cluster/consensus/log_test.go
+++ b/internal/cluster/consensus/log_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// logOf returns a log with entries of these terms after base, whose term is 1.
+// logOf returns a log with entries of these terms after base. The term of base is 1.
 func logOf(base uint64, terms ...uint64) *entryLog {
 	l := &entryLog{base: base, baseTerm: 1, lastOutput: base}
 	l.entries = entriesOf(base+1, terms...)
--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// write is data that waits for the disk: an Output, or a snapshot that the machine took of its own state machine.
+// write is data that waits for the disk: an Output, or a snapshot that the machine took of its state machine.
 type write struct {
 	output Output
 	local  *Snapshot // the machine's own snapshot; nil: the write is output
@@ -88,7 +88,7 @@
 	}
 }
 
-// encode encodes the register in 100 bytes, of which 76 are padding, so that a snapshot needs several chunks.
+// encode encodes the register in 24 bytes and adds 76 bytes of padding, so that a snapshot needs several chunks.
 func (r *register) encode() []byte {
 	data := make([]byte, 100)
 	binary.BigEndian.PutUint64(data, r.index)
@@ -181,7 +181,8 @@
 	m.writes = nil
 }
 
-// tear carries out a part of a write: the hard state and some of the entries. It writes nothing of a snapshot.
+// tear carries out a part of a write: the hard state and some of the entries. If the write contains a snapshot, tear does
+// not write any part of it.
 func (m *machine) tear(item write) {
 	if item.local != nil || item.output.Snapshot != nil {
 		return
--- a/internal/cluster/consensus/membership_change_test.go
+++ b/internal/cluster/consensus/membership_change_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// changeKind is the way in which a change of the membership begins.
+// changeKind is the result of proposing a membership: refused, a simple change, or a joint change.
 type changeKind int
 
 const (
@@ -72,7 +72,7 @@
 	return voters
 }
 
-// jointReplacing3By4 returns the joint membership in which learner 4 replaces voter 3 of three voters.
+// jointReplacing3By4 returns the joint membership for the replacement of voter 3, of three voters, by learner 4.
 func jointReplacing3By4() []Member {
 	return jointMembers(append(memberList(1, 2, 3), learner(4)), memberList(1, 2, 4))
 }
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -7,7 +7,8 @@
 )
 
 // nemesis injects random faults into a world. At the same time it does the work of clients and of an operator: it proposes
-// commands, replaces members whose disks are lost, and changes the membership. The world's seed determines all of this.
+// commands, replaces members after the loss of their disks, and changes the membership. The world's seed determines every
+// choice.
 type nemesis struct {
 	world       *world
 	voters      int               // number of voters that the operator wants
@@ -123,8 +124,8 @@
 	})
 }
 
-// partition cuts the links for which affects reports true, and restores them after duration, even if another partition has cut
-// some of them again.
+// partition cuts the links that affects selects, and restores them after duration. It restores also links that another
+// partition has cut again.
 func (n *nemesis) partition(duration time.Duration, affects func(from, to int) bool) {
 	w := n.world
 	setPartitioned := func(partitioned bool) {
@@ -244,9 +245,9 @@
 	}
 }
 
-// nextMembers returns the membership to propose next, or nil if there is none. It removes or replaces a member whose disk is
-// lost, else promotes a learner while voters are missing, else adds a machine that is no member as a learner, else makes a
-// random change.
+// nextMembers returns the membership to propose next, or nil if there is none. It makes the first possible change of these:
+// remove or replace a member with a lost disk, promote a learner if voters are missing, add a machine that is not a member
+// as a learner, or make a random change.
 func (n *nemesis) nextMembers(leader *machine) []Member {
 	members := leader.node.Status().Members
 	voters := countVoters(members)
@@ -275,8 +276,8 @@
 	return n.randomChange(leader, members, voters)
 }
 
-// replaceVoter returns the membership in which a learner that lags by up to 3 entries replaces the voter at a position, or nil
-// if there is no such learner or a learner is at the position.
+// replaceVoter returns the membership with a learner that lags by up to 3 entries in place of the voter at a position. It
+// returns nil if there is no such learner or a learner is at the position.
 func (n *nemesis) replaceVoter(leader *machine, position int) []Member {
 	members := leader.node.Status().Members
 	if members[position].Learner {
@@ -320,8 +321,7 @@
 	}
 }
 
-// randomVoters returns a membership in which a random majority of the voters remain voters. It decides at random which of the
-// other members vote.
+// randomVoters returns a membership that keeps a random majority of the voters. Whether each other member votes is random.
 func (n *nemesis) randomVoters(members []Member) []Member {
 	next := append([]Member(nil), members...)
 	n.world.random.Shuffle(len(next), func(a, b int) { next[a], next[b] = next[b], next[a] })
@@ -337,7 +337,7 @@
 	return next
 }
 
-// without returns the members except for the one at a position.
+// without returns the members except for the member at a position.
 func without(members []Member, position int) []Member {
 	next := append([]Member(nil), members[:position]...)
 	return append(next, members[position+1:]...)
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// advanceClock sets the node's time to the time of an input. It ignores earlier times. A leader treats an advance of more than
-// half an election timeout as a stall of its process.
+// advanceClock sets the node's time to the time of an input. It ignores earlier times. A leader treats an advance of more
+// than half an election timeout as a stall of its process.
 func (n *Node) advanceClock(now time.Duration) {
 	if now <= n.now {
 		return
--- a/internal/cluster/consensus/norace_test.go
+++ b/internal/cluster/consensus/norace_test.go
@@ -2,5 +2,5 @@
 
 package consensus
 
-// slowdown divides the number of seeds and of some checks. Without the race detector all of them run.
+// slowdown divides the number of seeds and the number of some checks. Without the race detector all seeds and checks run.
 const slowdown = 1
--- a/internal/cluster/consensus/persistent.go
+++ b/internal/cluster/consensus/persistent.go
@@ -18,8 +18,9 @@
 	Data  []byte
 }
 
-// HardState is the state that a member must keep across restarts in addition to the log. It must be on disk before the caller
-// sends a message that depends on it (Output.Deferred). It is encoded by gob, so the field names are part of the format.
+// HardState is the state that a member must keep across restarts in addition to the log. It must be on disk before the
+// caller sends a message that depends on it (Output.Deferred). It is encoded by gob, so the field names are part of the
+// format.
 type HardState struct {
 	Term   uint64
 	Vote   MemberID // candidate that the member voted for in Term; None: no vote
--- a/internal/cluster/consensus/quorum.go
+++ b/internal/cluster/consensus/quorum.go
@@ -91,8 +91,8 @@
 	return isVoter(members, id) && countVoters(members) == 1
 }
 
-// reachedByMajority returns the largest v such that a majority of values is at least v, or 0 if there are no values. It sorts
-// values in place.
+// reachedByMajority returns the largest v such that a majority of values is at least v, or 0 if there are no values. It
+// sorts values in place.
 func reachedByMajority[T uint64 | time.Duration](values []T) T {
 	if len(values) == 0 {
 		return 0
--- a/internal/cluster/consensus/recovery_test.go
+++ b/internal/cluster/consensus/recovery_test.go
@@ -8,7 +8,7 @@
 // recoveryTerms is the number of elections that the recovery check of a state may need.
 const recoveryTerms = 12
 
-// cloneAll returns a copy of a state in which all members may be modified.
+// cloneAll returns a copy of a state. All members of the copy may be modified.
 func (s *groupState) cloneAll() *groupState {
 	copied := s.clone(0)
 	for index := range copied.members {
@@ -40,9 +40,9 @@
 }
 
 // checkRecovery checks that the group can recover from a state after the loss of all messages in flight: after some elections
-// a ready leader has finished the change of the membership that was under way. It guards against states in which nobody can
-// ever be elected, for example because only a removed member has the newest log. It applies to states in which no more disks
-// are lost than the group tolerates.
+// a ready leader has finished the pending change of the membership. It guards against states in which no member can ever be
+// elected, for example because only a removed member has the newest log. It requires that the group tolerated each loss of
+// a disk.
 func (s *groupState) checkRecovery() {
 	if s.violation != "" {
 		return
--- a/internal/cluster/consensus/replication.go
+++ b/internal/cluster/consensus/replication.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// sendAppends sends a member the entries that it lacks, within the limit of its window. To a member in progressProbe it sends
-// a probe, even if there are no new entries.
+// sendAppends sends a member the entries that it lacks, within the limit of its window. To a member in progressProbe it
+// sends a probe, even if there are no new entries.
 func (n *Node) sendAppends(peer *progress) {
 	if n.leadership.appendsSuspended {
 		return
@@ -31,9 +31,9 @@
 }
 
 // lastIndexFor returns the last index that may be sent to a member. A learner receives only committed entries. Otherwise the
-// group could be left without a leader. Suppose that a learner had the newest log, ending with an uncommitted entry, and that
-// the learner is a voter according to the log of another member. The learner does not campaign, and it would deny its vote to
-// that member forever.
+// group could be left without a leader. Suppose that a learner had the newest log, ending with an uncommitted entry, and
+// that the learner is a voter according to the log of another member. The learner does not campaign, and it would deny its
+// vote to that member forever.
 func (n *Node) lastIndexFor(peer *progress) uint64 {
 	if peer.isVoter() {
 		return n.log.last()
--- a/internal/cluster/consensus/snapshot_send.go
+++ b/internal/cluster/consensus/snapshot_send.go
@@ -23,8 +23,8 @@
 }
 
 // MembersNeedingSnapshot returns the responsive members that need a snapshot, because the log no longer has their next entry,
-// and to which no snapshot is being sent. It returns none if this member does not lead. The caller should pass a snapshot for
-// each returned member to SendSnapshot.
+// and to which no snapshot is being sent. It returns none if this member does not lead. The caller should pass a snapshot
+// for each returned member to SendSnapshot.
 func (n *Node) MembersNeedingSnapshot() []MemberID {
 	var needing []MemberID
 	for _, peer := range n.leadership.peers {
@@ -37,8 +37,8 @@
 
 // SendSnapshot begins to send a snapshot of the state machine to a member that MembersNeedingSnapshot returned. If
 // snapshot.Members is nil, SendSnapshot uses the membership as of snapshot.Index. The caller must not modify snapshot.Data
-// afterwards. SendSnapshot ignores the call if the member does not need a snapshot, if a snapshot is being sent to it already,
-// or if the log is compacted beyond snapshot.Index.
+// afterwards. SendSnapshot ignores the call if the member does not need a snapshot, if a snapshot is being sent to it
+// already, or if the log is compacted beyond snapshot.Index.
 func (n *Node) SendSnapshot(now time.Duration, to MemberID, snapshot Snapshot) {
 	n.advanceClock(now)
 	peer := n.peer(to)
--- a/internal/cluster/consensus/world_test.go
+++ b/internal/cluster/consensus/world_test.go
@@ -53,7 +53,7 @@
 // faultFreeConditions are the conditions of a network and disks without faults.
 var faultFreeConditions = conditions{maxDelay: 2 * time.Millisecond, maxSync: 4 * time.Millisecond}
 
-// world simulates a complete group: machines with disks, a network, and virtual time. Its seed determines everything in it.
+// world simulates a complete group: machines with disks, a network, and virtual time. Its seed determines the complete run.
 // The machines carry out the output of their Nodes as the package comment requires. The network loses, duplicates and reorders
 // messages, and a nemesis lets processes crash, freeze and lose their disks. invariantChecker observes all members.
 type world struct {
@@ -159,7 +159,7 @@
 	}
 }
 
-// machineOf returns the machine whose disk has a member ID, or nil if that disk is lost.
+// machineOf returns the machine with a member ID on its disk, or nil if that disk is lost.
 func (w *world) machineOf(id MemberID) *machine {
 	for _, machine := range w.machines {
 		if machine.id == id {
