--- a/internal/cluster/control/administration_endpoints.go
+++ b/internal/cluster/control/administration_endpoints.go
@@ -89,7 +89,8 @@
 	return group
 }
 
-// memberReports returns the reports of a group's members. Only a leader knows lags, those of the other members.
+// memberReports returns the reports of a group's members. lags has the lags of the other members if this process leads the
+// group; otherwise lags are unknown.
 func memberReports(members []consensus.Member, lags []replica.Lag) []administration.MemberReport {
 	reports := make([]administration.MemberReport, 0, len(members))
 	for _, member := range members {
@@ -176,7 +177,7 @@
 	})
 }
 
-// runnerOf converts an overview of a runner to the form in which it is sent.
+// runnerOf converts an overview of a runner to the form of the responses.
 func runnerOf(shard protocol.ShardID, overview *scheduler.RunnerOverview) administration.Runner {
 	return administration.Runner{
 		Shard:    shard,
@@ -213,7 +214,7 @@
 	})
 }
 
-// jobOf converts a job to the form in which it is sent.
+// jobOf converts a job to the form of the responses.
 func jobOf(job *jobs.Job) administration.Job {
 	done, running, all := job.Progress()
 	return administration.Job{
@@ -240,7 +241,7 @@
 	})
 }
 
-// resign transfers all leaderships of this process and replies with the number of those that it could not transfer.
+// resign transfers all leaderships of this process. It replies with the number of leaderships that it could not transfer.
 func (a *administrator) resign(_ string, _ *administration.ResignRequest, reply func(*administration.ResignResponse, error)) {
 	engine := a.control.engine
 	engine.Do(func() {
--- a/internal/cluster/control/configuration_shard.go
+++ b/internal/cluster/control/configuration_shard.go
@@ -59,7 +59,7 @@
 // Snapshot returns the encoded state.
 func (s *configurationShard) Snapshot() ([]byte, error) { return s.state.Snapshot() }
 
-// Restore replaces the state by one that Snapshot has encoded.
+// Restore replaces the state by a state that Snapshot has encoded.
 func (s *configurationShard) Restore(data []byte) error { return s.state.Restore(data) }
 
 // Digest returns a hash of the state, which is equal on replicas with equal states.
--- a/internal/cluster/control/endpoints.go
+++ b/internal/cluster/control/endpoints.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// newEndpoints returns the endpoints of all requests that a control process serves: those of frontends, agents, other
+// newEndpoints returns the endpoints of all requests that a control process serves: requests of frontends, agents, other
 // control processes and the operator's commands.
 func (c *Control) newEndpoints() []endpoint {
 	a := newAdministrator(c)
--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// earlyResponseFraction is the fraction of a watch's wait by which its response may be early. Watches that are nearly due
-	// are answered together with one that is due, so that one leadership confirmation serves many watches.
+	// earlyResponseFraction limits how early the response to a watch may be, as a fraction of its wait. Watches that are
+	// nearly due are answered together with a due watch, so that one leadership confirmation serves many watches.
 	earlyResponseFraction = 0.2
 	// maxWatchWait limits the wait that a caller may request.
 	maxWatchWait = 30 * time.Second
@@ -35,11 +35,11 @@
 // Only the owner of the configuration's shard answers them; other processes reject them with the owner's address. Feed has
 // no clock, goroutines or I/O, and is used by one goroutine.
 //
-// A watch is answered when the feed has something newer than its request names, when its wait is over, or when its wait is
+// A watch is answered when the feed has newer data than its request names, when its wait is over, or when its wait is
 // nearly over and another watch is answered. Before any response, a quorum must have confirmed the leadership, and this
 // confirmation must have been requested after the watch was received. Otherwise a process that has lost its leadership
-// without noticing could respond that nothing is new. One confirmation serves all watches that were received before it was
-// requested.
+// without noticing could respond that there is no newer data. One confirmation serves all watches that were received before
+// it was requested.
 //
 // The caller calls BeginConfirmation after each input, and at the latest at Deadline. When it returns true, the caller must
 // request a confirmation from a quorum, and then call Confirmed or Unconfirmed.
@@ -63,8 +63,8 @@
 type pendingWatch struct {
 	request             *protocol.WatchRequest
 	reply               func(*protocol.WatchResponse, error)
-	deadline            time.Duration // the end of its wait, when a confirmation is requested although nothing is new
-	earliestResponse    time.Duration // from then on, a confirmation for other watches serves it although nothing is new
+	deadline            time.Duration // the end of its wait: a confirmation is requested then even without newer data
+	earliestResponse    time.Duration // from then on, a confirmation for other watches also serves this watch, even without newer data
 	receivedAt          time.Duration // the loop's time when it was received
 	arrivedBy           time.Duration // the first later time of the loop, or unknownTime; see recordArrivals
 	confirmationsBefore uint64        // Feed.confirmationsRequested when it was received
@@ -235,9 +235,9 @@
 	}
 }
 
-// pendingMs returns a lower bound of the time, in ms, for which a watch had been pending when the newest confirmation was
-// requested. The response was current at that time. So the watcher can compute an upper bound of the response's age: the
-// time since it sent the request, minus this.
+// pendingMs returns a lower bound, in ms, of a watch's pending time before the newest confirmation was requested. The
+// response was current at the time of that request. So the watcher can compute an upper bound of the response's age: the
+// time since the watcher sent its own request, minus pendingMs.
 func (f *Feed) pendingMs(w *pendingWatch) int64 {
 	if w.arrivedBy == unknownTime {
 		return 0
@@ -250,7 +250,7 @@
 	f.finish(isSelected, func(w *pendingWatch) { w.reply(nil, notConfigurationOwner(f.leaderHint)) })
 }
 
-// finish removes the selected watches, and then calls end for each of them.
+// finish removes the selected watches, and then calls end for each removed watch.
 func (f *Feed) finish(isSelected func(w *pendingWatch) bool, end func(w *pendingWatch)) {
 	var ending []*pendingWatch
 	f.watches = slices.DeleteFunc(f.watches, func(w *pendingWatch) bool {
--- a/internal/cluster/control/job_shard.go
+++ b/internal/cluster/control/job_shard.go
@@ -61,7 +61,7 @@
 // Snapshot returns the encoded state.
 func (s *jobShard) Snapshot() ([]byte, error) { return s.state.Snapshot() }
 
-// Restore replaces the state by one that Snapshot has encoded.
+// Restore replaces the state by a state that Snapshot has encoded.
 func (s *jobShard) Restore(data []byte) error { return s.state.Restore(data) }
 
 // Digest returns a hash of the state, which is equal on replicas with equal states.
--- a/internal/cluster/control/operator.go
+++ b/internal/cluster/control/operator.go
@@ -175,12 +175,13 @@
 // changeTimeout returns the timeout of a change with a body of this size.
 func changeTimeout(bytes int) time.Duration { return operatorTimeout + extraTimeForSize(bytes) }
 
-// extraTimeForSize returns the time that a change with a body of this size may take in addition to that of a small one.
+// extraTimeForSize returns the time that a change with a body of this size may take in addition to the time of a small
+// change.
 func extraTimeForSize(bytes int) time.Duration {
 	return time.Duration(bytes/bytesPerExtraMs) * time.Millisecond
 }
 
-// rejectChange logs the error for which a change is not acknowledged, and responds with it.
+// rejectChange logs why a change is not acknowledged, and responds with the error.
 func (o *Operator) rejectChange(writer http.ResponseWriter, kind string, err error) {
 	_ = level.Info(o.logger).Log("msg", "a change of the configuration is not acknowledged", "kind", kind, "err", err)
 	writeError(writer, err)
@@ -198,8 +199,8 @@
 	writeJSON(writer, http.StatusOK, response.Body)
 }
 
-// readFailure converts an unknown outcome into failure.Unavailable: a read changes nothing, so it can be retried even if its
-// outcome is unknown.
+// readFailure converts an unknown outcome into failure.Unavailable: a read has no effect on the state, so it can be retried
+// even if its outcome is unknown.
 func readFailure(err error) error {
 	if failure.KindOf(err) == failure.UnknownOutcome {
 		return failure.New(failure.Unavailable, err.Error())
--- a/internal/cluster/control/owner_caller.go
+++ b/internal/cluster/control/owner_caller.go
@@ -50,14 +50,15 @@
 	return retryUntilDecided(attempt, wait)
 }
 
-// retryUntilDecided repeats attempt until its outcome is final, or until wait reports that no time is left for another one:
+// retryUntilDecided repeats attempt until its outcome is final, or until wait reports that no time is left for a further
+// attempt:
 //   - A response, and any error of a kind not named below, is final. The log has decided it, and the attempt's entry in the
 //     log comes after the entries that earlier attempts may have added.
 //   - UnknownOutcome: the attempt may have changed the configuration. It is repeated. If no later attempt has a final
 //     outcome, the outcome of the call is unknown too.
-//   - NotLeader, Unavailable, TooLarge: the attempt changed nothing. It is repeated, because another process may have become
+//   - NotLeader, Unavailable, TooLarge: the attempt had no effect. It is repeated, because another process may have become
 //     the owner, or the owner may accept a request that one connection couldn't carry.
-//   - Overloaded: the attempt changed nothing and is not repeated. An unknown outcome of an earlier attempt stays unknown.
+//   - Overloaded: the attempt had no effect and is not repeated. An unknown outcome of an earlier attempt stays unknown.
 //
 // Only the process that serves the operator repeats a request. A process that gets a request for the owner never forwards
 // it, so two processes that each take the other for the owner can't send it back and forth.
@@ -110,7 +111,7 @@
 	attempted := make(chan localAttempt[Resp], 1)
 	c.engine.Do(func() {
 		if ctx.Err() != nil {
-			return // the attempt timed out before the loop ran this, as after a freeze: it must not start any more
+			return // the attempt timed out before the loop ran this, as after a freeze: it must no longer start
 		}
 		if c.configuration.leading {
 			local("", request, func(response *Resp, err error) { attempted <- localAttempt[Resp]{response: response, err: err} })
--- a/internal/cluster/control/owners.go
+++ b/internal/cluster/control/owners.go
@@ -9,9 +9,8 @@
 // ownersUpdateInterval is the minimum time between two updates of the feed's members and owners.
 const ownersUpdateInterval = 40 * time.Millisecond
 
-// updateOwners updates the feed with the members of the configuration's group and the owners of the shards, as far as this
-// process knows them. It does nothing if the last update was less than ownersUpdateInterval ago. The caller must own the
-// configuration's shard.
+// updateOwners updates the feed with the known members of the configuration's group and the known owners of the shards. It
+// skips the update if the last update was less than ownersUpdateInterval ago. The caller must own the configuration's shard.
 func (c *Control) updateOwners() {
 	now := c.engine.Now()
 	if c.ownersUpdatedAt > 0 && now-c.ownersUpdatedAt < ownersUpdateInterval {
--- a/internal/cluster/control/process.go
+++ b/internal/cluster/control/process.go
@@ -80,7 +80,7 @@
 	return options
 }
 
-// listen opens all listeners. If one can't be opened, it closes the others.
+// listen opens all listeners. If it fails to open a listener, it closes the listeners that it has opened.
 func (p *process) listen(ctx context.Context) error {
 	var config net.ListenConfig
 	var err error
--- a/internal/cluster/control/relay_table.go
+++ b/internal/cluster/control/relay_table.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// relayTTL is the time after its newest watch for which a relay is offered. It must be longer than the time between two
-	// watches of an agent, which is at most ten seconds.
+	// relayTTL is how long a relay is offered after its newest watch. It must be longer than the time between two watches of
+	// an agent, which is at most ten seconds.
 	relayTTL = 15 * time.Second
 	// maxRelaysSameZone and maxRelaysOtherZones limit the relays that one response offers, by their zone.
 	maxRelaysSameZone   = 2
@@ -71,7 +71,7 @@
 	return picked
 }
 
-// rankOf returns the hash of a caller's node and a relay's address by which pick orders the relays.
+// rankOf returns the hash of a caller's node and a relay's address. pick orders the relays by this hash.
 func rankOf(node, address string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node))
--- a/internal/cluster/control/snapshot_sessions.go
+++ b/internal/cluster/control/snapshot_sessions.go
@@ -11,7 +11,7 @@
 const (
 	snapshotChunkBytes  = 256 << 10        // maximum data of one response
 	maxSnapshotSessions = 8                // sessions at the same time; each keeps a complete encoded state in memory
-	snapshotReadTimeout = 15 * time.Second // a session ends if no chunk of it was requested for this long
+	snapshotReadTimeout = 15 * time.Second // a session ends if none of its chunks was requested for this long
 )
 
 // snapshotSession is a shard's encoded state as of one index of its log, while an operator reads it in chunks.
@@ -86,7 +86,7 @@
 	a.control.clock.AfterFunc(snapshotReadTimeout, func() { a.control.engine.Do(a.expireSnapshots) })
 }
 
-// expireSnapshots ends the sessions of which no chunk was requested for snapshotReadTimeout.
+// expireSnapshots ends each session if none of its chunks was requested for snapshotReadTimeout.
 func (a *administrator) expireSnapshots() {
 	now := a.control.engine.Now()
 	for number, session := range a.sessions {
--- a/internal/cluster/control/stale_process_test.go
+++ b/internal/cluster/control/stale_process_test.go
@@ -39,7 +39,7 @@
 	return &protocol.ConfigureRequest{Kind: protocol.ConfigurationReplace, Base: base, Body: []byte(body)}
 }
 
-// submitRequest returns the submission of a job whose queue comes from this version of the configuration.
+// submitRequest returns the submission of a job. The job's queue comes from this version of the configuration.
 func submitRequest(id string, version uint64) *protocol.SubmitRequest {
 	step := protocol.Step{Count: 1, CPU: 100, EstimatedMs: 500, LongRunning: true}
 	return &protocol.SubmitRequest{
@@ -105,8 +105,8 @@
 	check   func(response any) // checks a response
 }
 
-// Allowed kinds of outcomes, and the cases. A reply of one of the kinds of rejected or rejectedOrUnknown says nothing about
-// the state.
+// Allowed kinds of outcomes, and the cases. A reply with a kind in rejected or rejectedOrUnknown contains no information
+// about the state.
 var (
 	rejected           = []failure.Kind{failure.NotLeader, failure.Unavailable}
 	rejectedOrUnknown  = []failure.Kind{failure.NotLeader, failure.Unavailable, failure.UnknownOutcome}
@@ -115,8 +115,8 @@
 	jobCases           = newJobCases(testShard)
 	configurationCases = newConfigurationCases()
 	everyEndpoint      = append(slices.Clone(jobCases), configurationCases...)
-	// notTested has the requests whose replies can't be out of date: a ping says nothing about the state, a resignation is
-	// about this process, and a digest is that of a fixed index of the log.
+	// notTested has the requests with replies that can't be out of date: a ping returns no state, a resignation concerns
+	// only this process, and a digest belongs to a fixed index of the log.
 	notTested = []any{&protocol.PingRequest{}, &administration.ResignRequest{}, &administration.DigestRequest{}}
 )
 
--- a/internal/cluster/control/suite_test.go
+++ b/internal/cluster/control/suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// suite is the test in which specs start the bubbles of package synctest, which needs a *testing.T.
+// suite is the *testing.T that specs pass to package synctest to start a bubble.
 var suite *testing.T
 
 func TestControl(t *testing.T) {
--- a/internal/cluster/control/task_times.go
+++ b/internal/cluster/control/task_times.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// reportQueues writes a log line for each queue whose tasks have spent time since the previous report, and adds the time to
-// the metrics. It must also be called when a leadership ends, because the owner's sums are dropped then.
+// reportQueues reports the time that tasks have spent since the previous report. For each queue with such time, it writes a
+// log line and adds the time to the metrics. It must also be called when a leadership ends, because the owner's sums are
+// dropped then.
 func (r *taskTimeReporter) reportQueues(owner *scheduler.Owner) {
 	for key, queue := range owner.Queues() {
 		since := *queue
@@ -63,7 +64,7 @@
 	}
 }
 
-// withTimes returns a logger whose lines end with the time of each wait reason in ms, without those below 1 ms.
+// withTimes returns a logger that appends the time of each wait reason, in ms, to its lines. It omits times below 1 ms.
 func (r *taskTimeReporter) withTimes(times *latency.Times) log.Logger {
 	var fields []any
 	for reason, span := range times {
--- a/internal/cluster/control/test_cluster_test.go
+++ b/internal/cluster/control/test_cluster_test.go
@@ -20,7 +20,7 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// testCluster is a cluster of three control processes in a bubble of package synctest, whose time is virtual. The processes
+// testCluster is a cluster of three control processes in a bubble of package synctest, with virtual time. The processes
 // exchange only messages.
 type testCluster struct {
 	mutex    sync.Mutex // guards target and fault, and the start of the processes
--- a/internal/cluster/deadline/deadline.go
+++ b/internal/cluster/deadline/deadline.go
@@ -1,5 +1,5 @@
-// Package deadline creates contexts whose deadlines follow a given clock, which may be the clock of a simulation. Package
-// clockwork does so only for its own clocks: with any other clock, its contexts end by the system's time.
+// Package deadline creates contexts with deadlines by a given clock, for example the clock of a simulation. Package
+// clockwork supports only its own clocks: with any other clock, its contexts end by the system's time.
 //
 // All functions may be called from any goroutine if the methods of the clock may.
 package deadline
--- a/internal/cluster/failure/answers/answers.go
+++ b/internal/cluster/failure/answers/answers.go
@@ -13,7 +13,7 @@
 	Name   string // name of the kind, in logs and in bodies of responses
 	Status int    // HTTP status
 	Retry  bool   // whether the response has a Retry-After header
-	Advice string // what an operator can do about the error
+	Advice string // advice to the operator on how to resolve the error
 }
 
 // table contains the answer for each kind, without its Name.
--- a/internal/cluster/failure/failure.go
+++ b/internal/cluster/failure/failure.go
@@ -1,14 +1,14 @@
 // Package failure contains the closed list of error kinds of the scheduler. An error keeps its kind through every layer and
 // over the internal protocol. Package answers contains the HTTP response for each kind.
 //
-// An error without a kind counts as UnknownOutcome. Only a layer that knows that a request had no effect may return one of
-// the kinds that promise it.
+// Callers must treat an error without a kind as UnknownOutcome, as KindOf does. A layer may return a kind that promises "no
+// effect" only if it knows that the request had no effect.
 package failure
 
 import "github.com/pkg/errors"
 
-// Kind is the kind of an error, which determines what the caller can do about it. The values are part of the internal
-// protocol and must not change.
+// Kind is the kind of an error. It determines how the caller can react. The values are part of the internal protocol and
+// must not change.
 type Kind uint8
 
 // The kinds. The zero value means that there is no error.
@@ -18,14 +18,14 @@
 	Unavailable         // the request can't be served now; it had no effect
 	Overloaded          // the request was refused for lack of capacity; it had no effect
 	UnknownOutcome      // the request may have taken effect, or may still do so
-	Invalid             // the request can never be accepted as it is
+	Invalid             // the request can never be accepted without changes to it
 	Conflict            // the request is based on a version other than the current one
 	TooLarge            // the request exceeds a limit on size
 	NoRoute             // there is no such queue or path
 	Gone                // there is no such job or incarnation of a runner, or it is no longer known
 	Stale               // the caller's configuration is older than the owner's; the request had no effect
 	Moved               // the job's queue belongs to another shard now; the request had no effect
-	Forgotten           // the request took effect or not, and no repetition of it can show which
+	Forgotten           // it is unknown whether the request took effect, and repeating the request cannot show it
 
 	KindCount // the number of kinds; it is not a kind
 )
@@ -68,7 +68,7 @@
 // New returns an *Error of kind k with a message.
 func New(k Kind, message string) error { return &Error{Kind: k, Message: message} }
 
-// Newf returns an *Error of kind k whose message is formatted as by fmt.Sprintf.
+// Newf returns an *Error of kind k. It formats the message as fmt.Sprintf does.
 func Newf(k Kind, format string, args ...any) error {
 	return &Error{Kind: k, Message: errors.Errorf(format, args...).Error()}
 }
--- a/internal/cluster/jobs/apply.go
+++ b/internal/cluster/jobs/apply.go
@@ -6,8 +6,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// maxAgeStepMs limits how many ms of age one command can add to State.ageMs, in which retention is measured. Without the
-// limit, a time of day that jumps forward by an hour would make the shard forget its ended jobs and fences at once.
+// maxAgeStepMs limits how many ms of age one command can add to State.ageMs. Retention times are measured in this age.
+// Without the limit, a time of day that jumps forward by an hour would make the shard forget its ended jobs and fences at
+// once.
 const maxAgeStepMs = 5000
 
 // Apply applies a command and returns its effects. The order of application is the order of the loops below and is the same
--- a/internal/cluster/jobs/command.go
+++ b/internal/cluster/jobs/command.go
@@ -45,7 +45,7 @@
 	Checkpoint string          // newest checkpoint of the run, or empty
 }
 
-// Loss states that a run doesn't exist anywhere any more, although no End of it was applied: its start order never reached
+// Loss states that a run no longer exists on any runner, although no End of it was applied: its start order never reached
 // the runner, or the runner's incarnation or lease has ended.
 type Loss struct {
 	Runner     string // incarnation of the runner
@@ -63,7 +63,7 @@
 }
 
 // Start states that a run may exist from now on. Run must be one more than the task's newest run. All members of a gang
-// must start in one command with the same Run; otherwise none of them starts.
+// must start in one command with the same Run; otherwise no member starts.
 type Start struct {
 	Task   TaskID // task of the run
 	Run    uint64 // number of the run
--- a/internal/cluster/jobs/command_codec.go
+++ b/internal/cluster/jobs/command_codec.go
@@ -7,7 +7,7 @@
 )
 
 // An encoded command is a version byte and then the fields of Command in the order below. A list is the number of its items
-// and then the items, whose fields are written in the order given here.
+// and then the items. The fields of an item are written in the order given after the colon.
 //
 //	TimeOfDayMs
 //	Submits:         ID, Queue, Job (both in spec_codec.go), Version
@@ -19,8 +19,8 @@
 //	RunnerAddresses: Runner, Address
 //	Departures:      incarnation (only since version 4)
 //
-// A Task is Job*, Repetition, Step, Index. A text marked with * is written by writer.repeated, which shortens a text that
-// equals the previous one marked so, of runners or of jobs.
+// A Task is Job*, Repetition, Step, Index. Texts marked with * are written by writer.repeated: it shortens a runner that
+// equals the previous runner marked so, and a job that equals the previous job marked so.
 //
 // Log entries of earlier releases stay in logs and are read again after a restart. So a change of this order needs a new
 // version, and Decode must keep reading the old one.
@@ -91,8 +91,9 @@
 	return size
 }
 
-// Decode decodes an entry of the shard's log, also one that an earlier release wrote. All strings of the command share one
-// copy of the entry: a caller that keeps a string must clone it, or else it keeps the memory of the complete entry.
+// Decode decodes an entry of the shard's log. It accepts the encodings of this and of earlier releases. All strings of the
+// command share one copy of the entry: a caller that keeps a string must clone it, or else the complete entry stays in
+// memory.
 func Decode(data []byte) (*Command, error) {
 	r := newReader(data)
 	version := r.byte()
--- a/internal/cluster/jobs/command_codec_test.go
+++ b/internal/cluster/jobs/command_codec_test.go
@@ -117,8 +117,8 @@
 	})
 })
 
-// populatedShard returns a shard with at least one item of everything that a snapshot has: fences, a gang of which one run
-// has ended, repetitions, a lingering run, ended jobs with and without a run, and departed runners.
+// populatedShard returns a shard with at least one item of each kind that a snapshot has: fences, a gang after the end of
+// one member's run, repetitions, a lingering run, ended jobs with and without a run, and departed runners.
 func populatedShard() *shard {
 	s := newShard()
 	s.fence("0000000000000fff", 5)
--- a/internal/cluster/jobs/cost_test.go
+++ b/internal/cluster/jobs/cost_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// roundCommand returns a command like that of one round of an owner with much work: size submits, ends and starts each.
+// roundCommand returns a command as a busy owner proposes it in one round: size submits, size ends and size starts.
 func roundCommand(size int) *jobs.Command {
 	c := &jobs.Command{TimeOfDayMs: startMs}
 	for i := range size {
--- a/internal/cluster/jobs/doc.go
+++ b/internal/cluster/jobs/doc.go
@@ -8,8 +8,8 @@
 // same Snapshot, byte by byte, and the same Digest. The package keeps this as follows:
 //   - It has no clock, no random numbers, no I/O and no goroutines. Time comes with the commands (Command.TimeOfDayMs).
 //   - No result depends on the iteration order of a map: keys are sorted before they are used.
-//   - Limits such as those of Validate, maxAgeStepMs and maxOpenTasks decide the result of a command. Replicas of two
-//     releases with different limits would diverge.
+//   - Limits, such as maxAgeStepMs, maxOpenTasks and the limits that Validate checks, affect the result of a command. They
+//     must be the same in all releases that run together: replicas with different limits would diverge.
 //
 // Callers must apply each committed command exactly once, in the order of the log, and must use the same Options on all
 // replicas. Only one goroutine may use a State at a time. Tasks and jobs that it returns may be read until the next
@@ -26,7 +26,7 @@
 //
 // # Stored form
 //
-// Commands and snapshots are encoded without field names (encoding.go), so Go fields may be renamed. The order in which
-// fields are written and the numbers of phases, job states, outcomes, flags and tombstone kinds are stored in logs and
-// snapshots. They must not change without a new version number of the encoding, or else stored data could not be read.
+// Commands and snapshots are encoded without field names (encoding.go), so Go fields may be renamed. But logs and snapshots
+// depend on the order of the fields, and on the numbers of phases, job states, outcomes, flags and tombstone kinds. These
+// must not change without a new version number of the encoding, or else stored data could not be read.
 package jobs
--- a/internal/cluster/jobs/effects.go
+++ b/internal/cluster/jobs/effects.go
@@ -12,8 +12,8 @@
 	Losses  []bool // whether the Loss ended the task's current run
 	Starts  []bool // whether the Start was applied, so that the run may exist from now on
 
-	Pending   []*Task    // tasks that became Pending, in the order in which they did
-	EndedRuns []*Task    // tasks that were Running and whose run ended or lingers now; the fields have their new values
+	Pending   []*Task    // tasks that became Pending, in the order of these transitions
+	EndedRuns []*Task    // tasks that left Running because their run ended or lingers now; the fields have their new values
 	FreedRuns []FreedRun // lingering runs that ended
 	EndedJobs []*Job     // jobs that became completed, failed or cancelled; their Spec is still set
 }
--- a/internal/cluster/jobs/encoding.go
+++ b/internal/cluster/jobs/encoding.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// errMalformed is the error of a reader whose input is truncated or has a value that no writer writes.
+// errMalformed is the error of a reader if its input is truncated or has a value that no writer writes.
 var errMalformed = errors.New("encoding is truncated or has a value out of range")
 
 // writer encodes commands and snapshots in a compact form without field names:
@@ -67,7 +67,7 @@
 
 func newReader(data []byte) *reader { return &reader{data: string(data)} }
 
-// fail records that the input is malformed, and skips the rest of it.
+// fail records that the input is malformed, and skips the remaining input.
 func (r *reader) fail() { r.err, r.offset = errMalformed, len(r.data) }
 
 func (r *reader) byte() byte {
@@ -101,8 +101,8 @@
 // integer reads a signed number as an int.
 func (r *reader) integer() int { return int(r.signed()) }
 
-// count reads the number of items, or of bytes, that follow. Each item takes at least one byte: a number above that of the
-// bytes left is malformed, and is rejected before memory is allocated for it.
+// count reads the number of the items, or bytes, that follow. Each item takes at least one byte. So a number above the
+// number of remaining bytes is malformed, and is rejected before memory is allocated for the items.
 func (r *reader) count() int {
 	value := r.unsigned()
 	if value > uint64(len(r.data)-r.offset) {
@@ -130,7 +130,7 @@
 // text returns a text that shares the memory of the input.
 func (r *reader) text() string { return r.take(r.count()) }
 
-// ownedText returns a text with memory of its own, which doesn't keep the input in memory.
+// ownedText returns a copy of a text, so that the result doesn't keep the input in memory.
 func (r *reader) ownedText() string { return strings.Clone(r.text()) }
 
 // take returns the next bytes of the input. The caller has checked that there are so many.
--- a/internal/cluster/jobs/fixtures_test.go
+++ b/internal/cluster/jobs/fixtures_test.go
@@ -19,8 +19,8 @@
 	jobs.Blocked, jobs.Pending, jobs.Running, jobs.Done, jobs.Failed, jobs.Cancelled, jobs.GangEnding,
 }
 
-// shardInEveryPhase returns a shard that has jobs in every state and tasks in every phase: the jobs of populatedShard, and
-// one that has failed, one that has completed and one that is queued. It checks that it has them.
+// shardInEveryPhase returns a shard that has jobs in every state and tasks in every phase: the jobs of populatedShard, a
+// failed job, a completed job and a queued job. It checks that every state and phase occurs.
 func shardInEveryPhase() *shard {
 	GinkgoHelper()
 	s := populatedShard()
--- a/internal/cluster/jobs/gang.go
+++ b/internal/cluster/jobs/gang.go
@@ -2,9 +2,9 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// recordGangStart prepares the decision on a gang: it counts a valid Start of one of the gang's tasks, or records that the
-// gang has an invalid one. It does nothing for tasks that are in no gang. Only after this was called for all Starts of the
-// command does startsCompletely know whether the gang may start.
+// recordGangStart prepares the decision on a gang: it counts a valid Start of a member, or records that the gang has an
+// invalid Start. It ignores tasks that are not in a gang. It must be called for all Starts of the command before
+// startsCompletely is called.
 func (s *State) recordGangStart(start *Start) {
 	task := s.Task(start.Task)
 	if task == nil || !task.Group.Spec().Gang {
@@ -34,13 +34,14 @@
 	return !g.hasInvalidStart && g.startingMembers == len(g.Tasks)
 }
 
-// transitionGangMember sets the next phase of a gang member whose run has just ended, and of the gang's other members if the
+// transitionGangMember sets the next phase of a gang member after the end of its run, and of the gang's other members if the
 // end concerns them:
 //   - EndDone completes the complete gang, unless its step is long-running.
-//   - The first EndFailed of a gang's run counts as one failed attempt. The last allowed attempt fails the job.
-//   - Otherwise the member is GangEnding. When no member is Running any more, all members become Pending again.
+//   - The first EndFailed of a gang's run is one failed attempt, unless the step is long-running. If it was the last allowed
+//     attempt, the job fails.
+//   - Otherwise the member is GangEnding. Once no member is Running, all members become Pending again.
 //
-// So a gang never starts again while a run of it may exist.
+// So a gang never starts again while a run of one of its members may exist.
 func (s *State) transitionGangMember(task *Task, outcome protocol.RunEnd) {
 	group := task.Group
 	task.Phase = GangEnding
@@ -71,8 +72,8 @@
 	}
 }
 
-// completeGang makes all members of a gang Done because one of them is. The runs of members that are still Running linger
-// until their own End or Loss is applied.
+// completeGang makes all members of a gang Done after one member has ended with EndDone. The runs of members that are still
+// Running linger until the End or Loss of each run is applied.
 func (s *State) completeGang(group *Group) {
 	for _, task := range group.Tasks {
 		if task.Phase == Running {
--- a/internal/cluster/jobs/job.go
+++ b/internal/cluster/jobs/job.go
@@ -19,7 +19,7 @@
 }
 
 // Group is all tasks of one step of a job in one repetition. Gangs, anti-affinity and dependsOn refer to groups. The fields
-// marked "gang" are used only if the step is a gang, whose tasks must all run at the same time.
+// marked "gang" are used only if the step is a gang. All tasks of a gang must run at the same time.
 type Group struct {
 	Job        *Job
 	Repetition int // from 0
@@ -27,14 +27,14 @@
 	Tasks      []*Task
 	Unfinished int    // number of tasks that are not Done
 	Run        uint64 // gang: number of the newest run, which is the same for all members
-	Attempts   int    // gang: runs in which a member ended with protocol.EndFailed; 0 for a long-running step
+	Attempts   int    // gang: number of runs with a member that ended with protocol.EndFailed; 0 for a long-running step
 	Running    int    // number of tasks that are Running
 	Checkpoint string // gang: checkpoint from which the next run starts; see keepCheckpointOfLoss
 
 	isReleased       bool   // the tasks were made Pending at least once
 	failedRun        uint64 // gang: newest run that Attempts counts, so that each run counts at most once
-	endCheckpointRun uint64 // gang: newest run whose checkpoint came with an End
-	startingMembers  int    // gang: number of tasks of which the command being applied has a valid Start
+	endCheckpointRun uint64 // gang: newest run with a checkpoint from an End
+	startingMembers  int    // gang: number of tasks with a valid Start in the command being applied
 	hasInvalidStart  bool   // gang: the command being applied has an invalid Start of a task, or a second one
 }
 
--- a/internal/cluster/jobs/jobs_suite_test.go
+++ b/internal/cluster/jobs/jobs_suite_test.go
@@ -98,7 +98,7 @@
 	return s.do(&jobs.Command{Fences: []jobs.Fence{{ID: id, Version: version}}}).Fences[0]
 }
 
-// submitBy submits a job of one task whose queue comes from this version of the configuration.
+// submitBy submits a job of one task. Its queue comes from this version of the configuration.
 func (s *shard) submitBy(id string, version uint64) jobs.SubmitEffect {
 	submit := jobs.Submit{ID: id, Queue: queue(2), Job: protocol.JobSpec{Steps: []protocol.Step{step(1)}}, Version: version}
 	return s.do(&jobs.Command{Submits: []jobs.Submit{submit}}).Submits[0]
--- a/internal/cluster/jobs/model_draw_test.go
+++ b/internal/cluster/jobs/model_draw_test.go
@@ -42,7 +42,7 @@
 // drawVersion draws a version of the configuration.
 func drawVersion(t *rapid.T) uint64 { return uint64(rapid.IntRange(1, 6).Draw(t, "version")) }
 
-// drawCommand draws a command most of whose items are valid in the current state.
+// drawCommand draws a command. Most of its items are valid in the current state.
 func (m *model) drawCommand(t *rapid.T) *jobs.Command {
 	m.nowMs += int64(rapid.SampledFrom([]int{0, 0, 10, 50, 200, 6000, -300}).Draw(t, "elapsedMs"))
 	c := &jobs.Command{TimeOfDayMs: m.nowMs}
--- a/internal/cluster/jobs/model_test.go
+++ b/internal/cluster/jobs/model_test.go
@@ -27,7 +27,7 @@
 	queues        map[string]protocol.Queue   // by id, of the jobs that were accepted
 	running       map[possibleRun]bool        // lingering runs included
 	done          map[jobs.TaskID]bool
-	failures      map[jobs.TaskID]int          // counted failed runs; those of a gang under the id of its first task
+	failures      map[jobs.TaskID]int          // number of counted failed runs; for a gang, under the id of its first task
 	failedRun     map[jobs.TaskID]uint64       // newest run of a gang that is counted in failures, under the same id
 	newestRun     map[jobs.TaskID]uint64       // number of the newest run that was started
 	lastSeen      map[string]uint64            // highest End.N by runner
@@ -64,7 +64,7 @@
 	return &spec.Steps[id.Step]
 }
 
-// gangOf returns the id under which the model counts the failures of a task's gang: that of its first task.
+// gangOf returns the id of the first task of a task's gang. The model counts the gang's failures under this id.
 func (m *model) gangOf(id jobs.TaskID) jobs.TaskID {
 	id.Index = 0
 	return id
--- a/internal/cluster/jobs/repetitions.go
+++ b/internal/cluster/jobs/repetitions.go
@@ -11,8 +11,9 @@
 // them, up to maxTasksOfJob, in the memory of each replica.
 const maxOpenTasks = 20_000
 
-// openDueRepetitions opens all repetitions of the job that are due, as far as maxOpenTasks allows. Then the job is in
-// State.dueJobs only if it has a further repetition that maxOpenTasks allows; otherwise completeRepetition tries again.
+// openDueRepetitions opens all repetitions of the job that are due, within the limit maxOpenTasks. It leaves the job in
+// State.dueJobs only if the job has a further repetition that maxOpenTasks allows. If maxOpenTasks doesn't allow it,
+// completeRepetition tries again.
 func (s *State) openDueRepetitions(job *Job) {
 	for job.openedRepetitions < job.repetitions() && job.mayOpenRepetition() && s.isRepetitionDue(job) {
 		s.openRepetition(job)
@@ -44,7 +45,7 @@
 	return tasks
 }
 
-// openRepetition creates the groups of the job's next repetition and releases those that depend on no other step.
+// openRepetition creates the groups of the job's next repetition and releases the groups without dependencies.
 func (s *State) openRepetition(job *Job) {
 	repetition := job.openedRepetitions
 	job.openedRepetitions++
@@ -58,8 +59,8 @@
 	}
 }
 
-// completeRepetition drops the groups of a repetition whose tasks are all Done. It opens the repetitions that are due and
-// that maxOpenTasks allows now; after the last repetition it completes the job.
+// completeRepetition drops the groups of a repetition after all its tasks are Done. Then it opens the due repetitions that
+// maxOpenTasks allows now. After the last repetition it completes the job.
 func (s *State) completeRepetition(job *Job, repetition int) {
 	steps := len(job.Spec.Steps)
 	at := slices.IndexFunc(job.Groups, func(group *Group) bool { return group.Repetition == repetition })
--- a/internal/cluster/jobs/replicas_test.go
+++ b/internal/cluster/jobs/replicas_test.go
@@ -14,7 +14,7 @@
 // by a State that was restored from its snapshot.
 type otherReplica struct{ state *jobs.State }
 
-// apply applies a command and fails the test if the effects differ from those of the first replica.
+// apply applies a command and fails the test if its effects differ from the effects at the first replica.
 func (r *otherReplica) apply(t *rapid.T, c *jobs.Command, want *jobs.Effects) {
 	data, err := jobs.Encode(c)
 	if err != nil {
--- a/internal/cluster/jobs/restore.go
+++ b/internal/cluster/jobs/restore.go
@@ -8,8 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// Restore replaces the complete state by that of a snapshot, which an earlier release may have written. If it returns an
-// error, the state is unchanged. After it, callers must not use jobs and tasks that the State returned before.
+// Restore replaces the complete state by the state in a snapshot. An earlier release may have written the snapshot. If
+// Restore returns an error, the state is unchanged. Afterwards callers must not use jobs and tasks that the State returned
+// before.
 func (s *State) Restore(data []byte) error {
 	r := newReader(data)
 	version := r.byte()
@@ -100,7 +101,7 @@
 	return runs
 }
 
-// jobs reads all jobs and adds their Pending and Running tasks to their lists. The order within a list is that of
+// jobs reads all jobs and adds their Pending and Running tasks to their lists. A list is in ascending order of
 // Task.sequence, which differs from the order in the snapshot.
 func (r *reader) jobs(s *State) error {
 	var listed []*Task
@@ -135,7 +136,8 @@
 	}
 }
 
-// listRestoredTask adds a Pending task to the list of its priority, or a Running task to that of its runner, and counts it.
+// listRestoredTask adds a Pending task to the list of its priority, or a Running task to the list of its runner. It also
+// updates the counters.
 func (s *State) listRestoredTask(task *Task) error {
 	if task.Phase == Pending {
 		s.pendingList(task.Group.Job.Queue.Priority).push(task)
@@ -206,7 +208,7 @@
 	return listed, nil
 }
 
-// group reads a group with its tasks, and returns those that are Pending or Running.
+// group reads a group with its tasks, and returns the tasks that are Pending or Running.
 func (r *reader) group(group *Group, previous *previousTask) (listed []*Task) {
 	group.Run = r.unsigned()
 	group.Attempts = int(r.unsigned())
@@ -247,7 +249,7 @@
 	}
 }
 
-// checkpoint reads a checkpoint. Neighbouring tasks with the same checkpoint share one copy of it.
+// checkpoint reads a checkpoint. Neighbouring tasks with the same checkpoint share one string.
 func (r *reader) checkpoint(previous *previousTask) string {
 	before := previous.checkpoint
 	text := r.repeated(&previous.checkpoint)
--- a/internal/cluster/jobs/retention.go
+++ b/internal/cluster/jobs/retention.go
@@ -12,11 +12,11 @@
 // Options are the retention times of a State, measured in State.ageMs; 0 or less stands for the default. They must be the
 // same on all replicas, since they decide the command with which something is forgotten.
 type Options struct {
-	// StatusRetention is the minimum time for which the state of an ended job is retained. A State retains it for one and a
-	// half times this.
+	// StatusRetention is the minimum time for which the state of an ended job is retained. A State retains it for 1.5 times
+	// StatusRetention.
 	StatusRetention time.Duration
-	// TombstoneRetention is the time for which the id of a job is known after its state was dropped, so that the job can't
-	// be accepted again. It is also the time for which a fence holds.
+	// TombstoneRetention is how long the id of a job is known after its state was dropped, so that the job can't be accepted
+	// again. It is also how long a fence is kept.
 	TombstoneRetention time.Duration
 	// RunnerRetention is the time after which a runner without runs is forgotten if no command has named it.
 	RunnerRetention time.Duration
@@ -41,7 +41,7 @@
 	return value.Milliseconds()
 }
 
-// retainedID is the id of a job whose state or tombstone is retained.
+// retainedID is the id of a job with a retained state or tombstone.
 type retainedID struct {
 	id      string
 	untilMs int64 // expires when State.ageMs is greater than this
@@ -53,8 +53,8 @@
 	head    int // index of the first entry that was not popped
 }
 
-// push appends an id. untilMs must not be less than that of the last entry. Callers add a constant to State.ageMs, which
-// never decreases.
+// push appends an id. untilMs must not be less than the last entry's untilMs. Callers ensure this: untilMs is the sum of a
+// constant and State.ageMs, which never decreases.
 func (q *expiryQueue) push(id string, untilMs int64) {
 	q.entries = append(q.entries, retainedID{id, untilMs})
 }
@@ -77,8 +77,8 @@
 // all returns the entries that were not popped, in ascending order of expiry.
 func (q *expiryQueue) all() []retainedID { return q.entries[q.head:] }
 
-// expireRetained drops the states of ended jobs, the tombstones and the runners whose retention time is over. An ended job
-// leaves a tombstone, so that a repeated Submit of it is a Duplicate.
+// expireRetained drops the states of ended jobs, the tombstones and the runners after their retention times. When the state
+// of a job is dropped, a tombstone remains, so that a repeated Submit of the job is a Duplicate.
 func (s *State) expireRetained() {
 	for id, ok := s.endedJobs.pop(s.ageMs); ok; id, ok = s.endedJobs.pop(s.ageMs) {
 		job := s.jobs[id]
--- a/internal/cluster/jobs/runners.go
+++ b/internal/cluster/jobs/runners.go
@@ -33,7 +33,7 @@
 	return Lingering{}, false
 }
 
-// runnerTable has the records of the runners, and a list of them in ascending order of lastNamedMs. Snapshots have the
+// runnerTable has the records of the runners, by id and as a list in ascending order of lastNamedMs. Snapshots have the
 // records in the order of this list, since expire depends on it.
 type runnerTable struct {
 	records     map[string]*runnerRecord // by id
@@ -96,7 +96,7 @@
 	}
 }
 
-// RunsOn returns the tasks that are Running on the runner, in the order in which they were started.
+// RunsOn returns the tasks that are Running on the runner, in the order of their starts.
 func (s *State) RunsOn(runner string) []*Task {
 	record := s.runners.records[runner]
 	if record == nil || record.running.count == 0 {
@@ -130,7 +130,7 @@
 	return ids
 }
 
-// AddressOf returns the address at which a runner serves, or "" if no RunnerAddress of it was applied.
+// AddressOf returns the address of a runner's server, or "" if no RunnerAddress of the runner was applied.
 func (s *State) AddressOf(runner string) string {
 	if record := s.runners.records[runner]; record != nil {
 		return record.address
@@ -144,8 +144,8 @@
 	return record != nil && record.departed
 }
 
-// LastSeen returns the highest N of a runner's ends that were applied, or 0. The runner doesn't need to report ends up to
-// this N any more.
+// LastSeen returns the highest N of a runner's ends that were applied, or 0. The runner no longer needs to report ends up to
+// this N.
 func (s *State) LastSeen(runner string) uint64 {
 	if record := s.runners.records[runner]; record != nil {
 		return record.lastSeen
--- a/internal/cluster/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -64,7 +64,7 @@
 
 // applyEnd applies an end and reports whether it ended the task's current run. An end whose N is not above the runner's
 // lastSeen was applied before and is ignored: runners repeat their reports until they are acknowledged. Every other end
-// advances lastSeen, also if it is of an old or a lingering run.
+// advances lastSeen, even the end of an old or a lingering run.
 func (s *State) applyEnd(end *End) bool {
 	record := s.runners.touch(end.Runner, s.ageMs)
 	if end.N <= record.lastSeen {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// applyLoss applies a loss and reports whether it ended the task's current run. It doesn't count as a failed attempt.
+// applyLoss applies a loss and reports whether it ended the task's current run. A loss is not a failed attempt.
 func (s *State) applyLoss(loss *Loss) bool {
 	record := s.runners.records[loss.Runner]
 	if record == nil || s.freeLingering(record, loss.Task, loss.Run) {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// freeLingering removes a run from the lingering runs of a runner, and reports whether it was one of them.
+// freeLingering removes a run from the lingering runs of a runner, and reports whether the run was lingering there.
 func (s *State) freeLingering(record *runnerRecord, id TaskID, run uint64) bool {
 	lingering, ok := record.removeLingering(id, run)
 	if ok {
@@ -142,9 +142,9 @@
 	task.setCheckpoint(checkpoint)
 }
 
-// keepCheckpointOfLoss stores the checkpoint that a Loss brought, if there is one and the step has checkpoints. All members
-// of a gang store one checkpoint. That of a loss comes from a report during the run, so it is older than that of an end of
-// the same run and doesn't replace it.
+// keepCheckpointOfLoss stores the checkpoint of a Loss, if it has any and the step uses checkpoints. All members of a gang
+// share one checkpoint. The checkpoint of a Loss was reported during the run, so it is older than the checkpoint of an End
+// of the same run and doesn't replace it.
 func keepCheckpointOfLoss(task *Task, checkpoint string) {
 	if checkpoint == "" || !task.Group.Spec().Checkpoints {
 		return
--- a/internal/cluster/jobs/snapshot.go
+++ b/internal/cluster/jobs/snapshot.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// taskState writes the state of a task. A Blocked task has no state besides its phase.
+// taskState writes the state of a task. For a Blocked task it writes only the phase.
 func (w *writer) taskState(task *Task, previous *previousTask) {
 	w.byte(byte(task.Phase))
 	if task.Phase == Blocked {
--- a/internal/cluster/jobs/spec_codec.go
+++ b/internal/cluster/jobs/spec_codec.go
@@ -2,9 +2,9 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// Bits of the flags with which an encoded step begins. The first five are boolean fields of protocol.Step. The others, named
-// stepHas…, mean that the optional fields of this name follow the required ones; without the bit the fields are zero. The
-// bits and the order of the fields in writer.step are part of the encoding of commands and snapshots.
+// Bits of the flags at the beginning of an encoded step. The first five are boolean fields of protocol.Step. A bit with a
+// name of the form stepHas… states that the optional fields of this name follow the required fields; without the bit they
+// are zero. The bits and the order of the fields in writer.step are part of the encoding of commands and snapshots.
 const (
 	stepGang = 1 << iota
 	stepRackLocal
--- a/internal/cluster/jobs/state.go
+++ b/internal/cluster/jobs/state.go
@@ -115,7 +115,7 @@
 }
 
 // EachPending calls f for each Pending task until f returns false. Tasks come in ascending order of their queue's priority
-// number and, within a priority, in the order in which they became Pending. The tasks of a gang are neighbours.
+// number. Tasks of the same priority come in the order in which they became Pending. The tasks of a gang are neighbours.
 func (s *State) EachPending(f func(*Task) bool) {
 	for _, priority := range s.priorities {
 		for task := s.pending[priority].first; task != nil; task = task.next {
--- a/internal/cluster/jobs/submit.go
+++ b/internal/cluster/jobs/submit.go
@@ -48,8 +48,8 @@
 	s.openDueRepetitions(job)
 }
 
-// sharedQueue returns a queue that equals q and whose strings are shared by the jobs of the queue, so that the memory of
-// the strings is needed once per queue instead of once per job. It doesn't affect snapshots.
+// sharedQueue returns a queue that equals q. The jobs of a queue share the strings of the result, so that their memory is
+// needed once per queue instead of once per job. The sharing doesn't affect snapshots.
 func (s *State) sharedQueue(q protocol.Queue) protocol.Queue {
 	known, ok := s.sharedQueues[q]
 	if !ok {
@@ -64,8 +64,8 @@
 	return known
 }
 
-// cloneSpec returns a deep copy of a spec. A decoded spec shares memory with the complete entry of the log, and would keep
-// it in memory as long as the job.
+// cloneSpec returns a deep copy of a spec. A decoded spec shares memory with the complete entry of the log. Without the
+// copy, the entry would stay in memory until the job is dropped.
 func cloneSpec(spec *protocol.JobSpec) protocol.JobSpec {
 	clone := *spec
 	clone.Spec = strings.Clone(spec.Spec)
--- a/internal/cluster/jobs/submit_test.go
+++ b/internal/cluster/jobs/submit_test.go
@@ -165,8 +165,8 @@
 	})
 })
 
-// advanceInSteps advances the clock in steps of at most 5 s. A larger step would not advance the shard's age, in which
-// retention is measured, by its full length.
+// advanceInSteps advances the clock in steps of at most 5 s. A larger step would advance the shard's age by less than the
+// step, and retention is measured in this age.
 func (s *shard) advanceInSteps(span time.Duration) {
 	for ms := span.Milliseconds(); ms > 0; ms -= 5000 {
 		s.advance(min(ms, 5000))
--- a/internal/cluster/jobs/tasklist.go
+++ b/internal/cluster/jobs/tasklist.go
@@ -1,7 +1,7 @@
 package jobs
 
 // taskList is a list of tasks in ascending order of Task.sequence, doubly linked through Task.previous and Task.next. A task
-// is in one list at most: while it is Pending in that of its priority, while it is Running in that of its runner.
+// is in at most one list: a Pending task in the list of its priority, a Running task in the list of its runner.
 type taskList struct {
 	first, last *Task
 	count       int
--- a/internal/cluster/jobs/tombstones.go
+++ b/internal/cluster/jobs/tombstones.go
@@ -20,8 +20,8 @@
 // tombstoneSet has the tombstones of a shard by job id.
 type tombstoneSet struct {
 	byID map[string]tombstone
-	// order has an entry for each tombstone. Entries of tombstones that were replaced or removed stay in it until they
-	// expire. Such an entry is outdated: its id has no tombstone, or one with another untilMs.
+	// order has an entry for each tombstone. Entries of replaced or removed tombstones stay in order until they expire. Such
+	// an entry is outdated: its id has no tombstone, or a tombstone with a different untilMs.
 	order expiryQueue
 }
 
--- a/internal/cluster/jobs/transitions.go
+++ b/internal/cluster/jobs/transitions.go
@@ -2,8 +2,8 @@
 
 import "ospreypond/internal/cluster/protocol"
 
-// This file has the transitions of tasks between phases and of jobs between states. Those that only gangs have are in
-// gang.go.
+// This file has the transitions of tasks between phases and of jobs between states. The transitions that occur only in gangs
+// are in gang.go.
 
 // release makes the Blocked tasks of a group Pending, when all steps on which the group depends are done.
 func (s *State) release(group *Group) {
@@ -120,8 +120,8 @@
 	s.abandon(job, protocol.JobFailed)
 }
 
-// abandon ends a job as failed or cancelled. No task of it can be started any more. Running tasks stay Running until the
-// End or Loss of their run, since the run may still exist.
+// abandon ends a job as failed or cancelled. From then on no task of the job can be started. Running tasks stay Running
+// until the End or Loss of their run, since the run may still exist.
 func (s *State) abandon(job *Job, state protocol.JobState) {
 	for _, group := range job.Groups {
 		for _, task := range group.Tasks {
--- a/internal/cluster/jobs/validate.go
+++ b/internal/cluster/jobs/validate.go
@@ -22,8 +22,8 @@
 )
 
 // Validate returns an error of kind failure.Invalid if the spec has a value out of range, no steps, or a step that depends
-// on itself, on a later step or on one that doesn't exist, which could never start. The result depends on spec alone, so
-// that all replicas come to the same one.
+// on itself, on a later step or on a missing step: such a step could never start. The result depends on spec alone, so that
+// it is the same on all replicas.
 func Validate(spec *protocol.JobSpec) error {
 	switch {
 	case len(spec.Spec) > MaxSpecBytes:
--- a/internal/cluster/latency/doc.go
+++ b/internal/cluster/latency/doc.go
@@ -5,6 +5,6 @@
 // A Recorder has no clock and no I/O, and is used by one goroutine. No call iterates over all tasks of the shard.
 //
 // A record begins when the owner is elected and ends with its leadership, because it is not replicated: the time of a job
-// before the record counts as Unowned. The results are sums for each queue (QueueSummary) and a summary of each job that
-// ends (JobSummary). The records of jobs that have ended are dropped.
+// before the record is assigned to Unowned. The results are sums for each queue (QueueSummary) and a summary of each job
+// that ends (JobSummary). The records of jobs that have ended are dropped.
 package latency
--- a/internal/cluster/latency/job.go
+++ b/internal/cluster/latency/job.go
@@ -12,7 +12,7 @@
 // dependent steps that finished last, see lastFinished.
 type JobSummary struct {
 	Took      time.Duration // from the job's acceptance to its end
-	Objective time.Duration // the time in which the job should have ended
+	Objective time.Duration // the longest Took that is not late
 	Times     Times         // Took by wait reason; the sum exceeds Took if the steps' own times do
 }
 
@@ -21,8 +21,8 @@
 
 // JobEnded records that a job has ended, returns its summary, and drops its records. took is the time from its acceptance to
 // its end. The summary is computed as follows:
-//   - Times is the sum of the times of the last task of each step on the critical path. What is missing to took counts as
-//     Unowned: it was before this record began.
+//   - Times is the sum of the times of the last task of each step on the critical path. If the sum is less than took, the
+//     difference is added to Unowned: this time was before the record began.
 //   - Objective is TargetLatencyMs of the queue, plus Extension (at least 1) times the time of runs on the critical path.
 //     Runs that failed are included, because it is unknown whether the job or its runner was at fault.
 //
--- a/internal/cluster/latency/reason.go
+++ b/internal/cluster/latency/reason.go
@@ -43,7 +43,8 @@
 	Failed
 	// Stopped: a run was executing that was stopped, or that ended with another member of its gang.
 	Stopped
-	// Lost: a run was executing that was lost with its runner or whose lease expired, until the last contact with the runner.
+	// Lost: a run was executing, until the last contact with its runner. The run ended with the loss of the runner or the
+	// expiry of its lease.
 	Lost
 
 	reasonCount // number of reasons
--- a/internal/cluster/latency/recorder.go
+++ b/internal/cluster/latency/recorder.go
@@ -20,7 +20,7 @@
 type QueueSummary struct {
 	Tasks Times  // time of all tasks by reason
 	Ended uint64 // jobs that completed or failed; those with repetitions are not counted
-	Late  uint64 // those of Ended that took longer than their objective
+	Late  uint64 // number of ended jobs that took longer than their objective
 }
 
 // groupRecord is the record of one group: the tasks of one step in one repetition. All pending tasks of a group have the
@@ -29,8 +29,8 @@
 type groupRecord struct {
 	group         *jobs.Group
 	releasedAt    time.Duration // when this record first had the group; usually when the group was released
-	reason        Reason        // for which the group's pending tasks wait now
-	reasonSince   time.Duration // the time from then on is not yet in waited
+	reason        Reason        // current wait reason of the group's pending tasks
+	reasonSince   time.Duration // waited includes the waiting time up to this time
 	waited        Times         // waiting time of an imaginary task that was pending since releasedAt
 	tasks         []taskRecord  // by index
 	finishedAt    time.Duration // when the last task was Done, or one was Failed; 0: not yet
@@ -52,7 +52,7 @@
 	Outcome       Reason        // Running if the run was done, else Failed, Stopped or Lost
 }
 
-// NewRecorder returns a Recorder whose record begins at now.
+// NewRecorder returns a Recorder with a record that begins at now.
 func NewRecorder(now time.Duration) *Recorder {
 	return &Recorder{
 		startedAt: now,
@@ -149,7 +149,7 @@
 	r.queue(released.group.Job.Queue.Key).Tasks[EarlierStep] += waited * time.Duration(len(released.tasks))
 }
 
-// addTimes adds times to those of a task and to the sums of its queue.
+// addTimes adds times to the times of a task and to the sums of its queue.
 func (r *Recorder) addTimes(task *jobs.Task, entry *taskRecord, times *Times) {
 	entry.times.Add(times)
 	r.queue(task.Group.Job.Queue.Key).Tasks.Add(times)
