--- a/internal/cluster/consensus/explore_fingerprint_test.go
+++ b/internal/cluster/consensus/explore_fingerprint_test.go
@@ -8,7 +8,7 @@
 
 // fingerprint returns a hash of everything in a state that later steps can depend on. Two states that differ only by an
 // exchange of the second and the third member have the same fingerprint, so the exploration visits only one of these states.
-// This does not apply to groups with a successor or a lost disk: there the two members differ.
+// This does not apply to groups with a successor or a lost disk, because the two members differ there.
 func (s *groupState) fingerprint(seed maphash.Seed) uint64 {
 	plain := &fingerprintWriter{seed: seed}
 	plain.state(s)
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -9,7 +9,7 @@
 
 // bounds limit an exploration. It visits all states of a group that steps within the bounds lead to.
 type bounds struct {
-	terms     uint64 // last term in which members campaign
+	terms     uint64 // highest term that a member may enter by campaigning
 	proposals int    // commands that leaders propose
 	crashes   int    // restarts that lose unsynced writes
 	// diskLosses is the number of disks that are lost at moments when the group tolerates it. The machine returns under a new
--- a/internal/cluster/consensus/log.go
+++ b/internal/cluster/consensus/log.go
@@ -86,7 +86,7 @@
 	first := entries[0].Index
 	keep := int(first - l.base - 1)
 	if keep < len(l.entries) {
-		l.entries = l.entries[:keep:keep] // limits the capacity, so that the next append allocates a new array instead of overwriting entries
+		l.entries = l.entries[:keep:keep] // limits the capacity: the next append must not overwrite entries
 	}
 	l.entries = append(l.entries, entries...)
 	l.lastOutput = min(l.lastOutput, first-1)
--- a/internal/cluster/consensus/machine_test.go
+++ b/internal/cluster/consensus/machine_test.go
@@ -281,7 +281,7 @@
 	return output.HardState != nil || output.Snapshot != nil || len(output.Entries) > 0 || len(output.Deferred) > 0
 }
 
-// install replaces the state machine by a snapshot. It does nothing if the snapshot is nil.
+// install replaces the state machine by a snapshot. A nil snapshot leaves the state machine unchanged.
 func (m *machine) install(snapshot *Snapshot) {
 	if snapshot == nil {
 		return
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -153,7 +153,7 @@
 		n.handlePreVote(message)
 		return false
 	case MessagePreVoteResponse:
-		if !message.Reject { // its term is the term of the proposed election, and perhaps no member has entered that term yet
+		if !message.Reject { // its term is the term of the proposed election; maybe no member has entered it yet
 			n.handlePreVoteResponse(message)
 			return false
 		}
--- a/internal/cluster/control/control.go
+++ b/internal/cluster/control/control.go
@@ -34,8 +34,8 @@
 const (
 	heartbeatInterval = 75 * time.Millisecond
 	electionTimeout   = 320 * time.Millisecond
-	// decommissionQuarters is how long a process that ends waits for its decommissioning, in quarters of the setting graceS.
-	// The remaining time is for the later steps of the end.
+	// decommissionQuarters is how long a process that shuts down waits for its decommissioning, in quarters of the setting
+	// graceS. The remaining time is for the later steps of the shutdown.
 	decommissionQuarters = 3
 	// decommissionMargin is added to the engine's timeout before Decommission stops waiting for the engine, which may be
 	// stuck.
@@ -87,8 +87,7 @@
 	ownersUpdatedAt time.Duration // engine's time of the last Feed.SetOwners; 0: not called yet
 }
 
-// New opens the replicas of all shards. It starts no goroutine or timer: the caller must run or drive the engine, and call
-// Start.
+// New opens the replicas of all shards, but doesn't run them: the caller must run or drive the engine, and call Start.
 func New(options Options) (*Control, error) {
 	c := &Control{
 		options: options,
--- a/internal/cluster/control/feed.go
+++ b/internal/cluster/control/feed.go
@@ -64,7 +64,7 @@
 	request             *protocol.WatchRequest
 	reply               func(*protocol.WatchResponse, error)
 	deadline            time.Duration // the end of its wait: a confirmation is requested then even without newer data
-	earliestResponse    time.Duration // from then on, a confirmation for other watches also serves this watch, even without newer data
+	earliestResponse    time.Duration // from then on, this watch is answered together with other watches
 	receivedAt          time.Duration // the loop's time when it was received
 	arrivedBy           time.Duration // the first later time of the loop, or unknownTime; see recordArrivals
 	confirmationsBefore uint64        // Feed.confirmationsRequested when it was received
--- a/internal/cluster/control/relay_table.go
+++ b/internal/cluster/control/relay_table.go
@@ -41,7 +41,7 @@
 
 // pick returns relays for a caller: first some of the caller's zone, then some of other zones, and never the caller itself.
 // Within a zone, rendezvous hashing of the caller's node and the relay's address spreads the callers over the relays and
-// keeps the choice stable. It also deletes relays whose last contact is more than relayTTL ago.
+// keeps the choice stable. It also deletes a relay if its last contact is more than relayTTL ago.
 func (t *relayTable) pick(now time.Duration, request *protocol.WatchRequest) []protocol.Relay {
 	type ranked struct {
 		relay protocol.Relay
--- a/internal/cluster/jobs/runs.go
+++ b/internal/cluster/jobs/runs.go
@@ -62,9 +62,9 @@
 	s.counters.Started++
 }
 
-// applyEnd applies an end and reports whether it ended the task's current run. An end whose N is not above the runner's
-// lastSeen was applied before and is ignored: runners repeat their reports until they are acknowledged. Every other end
-// advances lastSeen, even the end of an old or a lingering run.
+// applyEnd applies an end and reports whether it ended the task's current run. If N is not above the runner's lastSeen, the
+// end was applied before and is ignored: runners repeat their reports until they are acknowledged. Every other end advances
+// lastSeen, even the end of an old or a lingering run.
 func (s *State) applyEnd(end *End) bool {
 	record := s.runners.touch(end.Runner, s.ageMs)
 	if end.N <= record.lastSeen {
--- a/internal/cluster/latency/recorder.go
+++ b/internal/cluster/latency/recorder.go
@@ -20,7 +20,7 @@
 type QueueSummary struct {
 	Tasks Times  // time of all tasks by reason
 	Ended uint64 // jobs that completed or failed; those with repetitions are not counted
-	Late  uint64 // number of ended jobs that took longer than their objective
+	Late  uint64 // number of the jobs counted in Ended that took longer than their objective
 }
 
 // groupRecord is the record of one group: the tasks of one step in one repetition. All pending tasks of a group have the
@@ -193,7 +193,7 @@
 //   - Lost: Lost until the last contact with the runner, UnresponsiveRunner until now.
 //   - Failed, Stopped: the complete span has this reason.
 //
-// If ListedAt or LastContactAt is unknown, it counts as startedAt; if EndedAt is unknown, it counts as now.
+// An unknown ListedAt or LastContactAt is replaced by startedAt, and an unknown EndedAt by now.
 func (r *Run) times(startedAt, now time.Duration) (times Times) {
 	listedAt := clamp(r.ListedAt, startedAt, now, startedAt)
 	switch r.Outcome {
