--- a/internal/cluster/consensus/confirmation.go
+++ b/internal/cluster/consensus/confirmation.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// nextConfirmationAt returns when the next round of heartbeats may be sent for a requested confirmation. It allows a round
-// minConfirmationInterval after the last one if a quorum has acknowledged that, or else after confirmationTimeout.
+// nextConfirmationAt returns when the next round of heartbeats may be sent for a requested confirmation: after
+// minConfirmationInterval if a quorum has acknowledged the last round, and otherwise after confirmationTimeout.
 func (n *Node) nextConfirmationAt() time.Duration {
 	if n.leadership.confirmedAt >= n.leadership.lastHeartbeatAt {
 		return n.leadership.lastHeartbeatAt + minConfirmationInterval
@@ -45,8 +45,8 @@
 	n.leadership.confirmedAt = max(n.leadership.confirmedAt, confirmed)
 }
 
-// quorumTime returns the newest time that timeOf reaches or exceeds for a quorum of voters. For this leader it uses the
-// current time.
+// quorumTime returns the newest time t such that timeOf is at least t for a quorum of voters. For this leader it uses the
+// current time instead of timeOf.
 func (n *Node) quorumTime(timeOf func(*progress) time.Duration) time.Duration {
 	return reachedByQuorum(n, n.now, timeOf)
 }
--- a/internal/cluster/consensus/leader_test.go
+++ b/internal/cluster/consensus/leader_test.go
@@ -8,7 +8,7 @@
 )
 
 // After a stall, a leader gives the members time to respond before it steps down. If it gave this time after every stall, a
-// partitioned leader would never step down if its process stalls repeatedly.
+// partitioned leader whose process stalls repeatedly would never step down.
 var _ = ginkgo.Describe("a leader whose process stalls repeatedly", func() {
 	var g *group
 	var leader *testMember
--- a/internal/cluster/consensus/nemesis_test.go
+++ b/internal/cluster/consensus/nemesis_test.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// partition cuts the links that affects selects, and restores them after duration. It restores also links that another
-// partition has cut again.
+// partition cuts the links that affects selects, and restores them after duration. It restores them even if another
+// partition has cut them again.
 func (n *nemesis) partition(duration time.Duration, affects func(from, to int) bool) {
 	w := n.world
 	setPartitioned := func(partitioned bool) {
--- a/internal/cluster/control/administration_endpoints.go
+++ b/internal/cluster/control/administration_endpoints.go
@@ -90,7 +90,7 @@
 }
 
 // memberReports returns the reports of a group's members. lags has the lags of the other members if this process leads the
-// group; otherwise lags are unknown.
+// group, and is empty otherwise.
 func memberReports(members []consensus.Member, lags []replica.Lag) []administration.MemberReport {
 	reports := make([]administration.MemberReport, 0, len(members))
 	for _, member := range members {
