--- a/internal/cluster/replica/wal/batch.go
+++ b/internal/cluster/replica/wal/batch.go
@@ -26,7 +26,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameInfo describes a frame in memory: all of it but an entry's kind and data.
+// frameInfo has the fields of a frame, except an entry's kind and data.
 type frameInfo struct {
 	kind  frameKind
 	group uint32
@@ -35,14 +35,14 @@
 	hard  consensus.HardState
 }
 
-// Batch collects changes that Log.Append writes with one sync. After a crash either all of them are in the log or none.
-// The zero value is an empty batch.
+// Batch collects changes that Log.Append writes with one sync. After a crash the log has either all changes of a batch or
+// none. The zero value is an empty batch.
 type Batch struct {
 	buffer []byte // space for the header, then the encoded frames; or empty
 	frames []frameInfo
 }
 
-// Empty reports whether there is nothing to write.
+// Empty reports whether the batch has no changes.
 func (b *Batch) Empty() bool { return len(b.frames) == 0 }
 
 // Size returns the batch's length on disk in bytes, or 0 if the batch is empty.
@@ -128,14 +128,14 @@
 	return b.buffer
 }
 
-// batchChecksum returns the checksum of a batch's sequence, length and frames: of all but the magic and the checksum.
+// batchChecksum returns the checksum of a batch's sequence, length and frames. It leaves out the magic and the checksum.
 func batchChecksum(batch []byte) uint32 {
 	sum := crc32.Update(0, castagnoli, batch[4:16])
 	return crc32.Update(sum, castagnoli, batch[batchHeaderSize:])
 }
 
 // parseBatch returns the sequence of the batch at the start of data, and the batch's bytes with the header. It returns
-// false if data does not start with a complete batch whose checksum is right.
+// false if data does not start with a complete batch with a correct checksum.
 func parseBatch(data []byte) (sequence uint64, batch []byte, ok bool) {
 	if len(data) < batchHeaderSize || binary.LittleEndian.Uint32(data) != batchMagic {
 		return 0, nil, false
--- a/internal/cluster/replica/wal/compatibility_test.go
+++ b/internal/cluster/replica/wal/compatibility_test.go
@@ -12,8 +12,8 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// preJointPreamble is the magic, length and head of a snapshot's file, written by a version whose members had no field
-// Transition yet: group 3, index 9, term 4, two members.
+// preJointPreamble is the magic, length and head of a snapshot's file. A version without the field Member.Transition wrote
+// it: group 3, index 9, term 4, two members.
 const preJointPreamble = "4f50534e41500001f9000000437f0301010c736e617073686f744865616401ff80000104010547726f757001060001" +
 	"05496e64657801060001045465726d01060001074d656d6265727301ff8400000021ff83020101125b5d636f6e73656e7375732e4d656d62" +
 	"657201ff840001ff82000045ff81030101064d656d62657201ff820001050102494401060001044e6f6465010c0001045a6f6e65010c0001" +
--- a/internal/cluster/replica/wal/crash_test.go
+++ b/internal/cluster/replica/wal/crash_test.go
@@ -142,8 +142,9 @@
 	return after, true
 }
 
-// reopen opens the log again, as the next process does. It expects the state that was acknowledged last, a state that an
-// earlier reopen has returned since then, or the state after the batch whose Append failed or was interrupted.
+// reopen opens the log again, as the next process does. It expects one of three states: the state that was acknowledged
+// last, a state that an earlier reopen has returned since then, or the state after the last batch, if its Append failed or
+// was interrupted.
 func (t *randomRun) reopen(after [2]model) {
 	GinkgoHelper()
 	log, groups, err := Open(splitWrites{t.files}, folder, smallSegments)
@@ -167,8 +168,8 @@
 
 var faults = []error{syscall.EIO, syscall.ENOSPC}
 
-// step appends one batch. One of the calls of the file system that this takes may fail, or the power may fail in it.
-// After that the process starts again, or it appends the same batch again.
+// step appends one batch. One of its calls of the file system may fail, or the power may fail during that call. After that
+// the process starts again, or it appends the same batch again.
 func (t *randomRun) step() {
 	GinkgoHelper()
 	batch := &Batch{}
--- a/internal/cluster/replica/wal/decode.go
+++ b/internal/cluster/replica/wal/decode.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// errMalformedFrame is returned for a batch whose checksum is right but whose frames cannot be decoded. The disk has not
+// errMalformedFrame is returned for a batch with a correct checksum and a frame that cannot be decoded. The disk has not
 // damaged such a batch: a program with another format wrote it.
 var errMalformedFrame = errors.New("the batch has a frame of an unknown kind, or one that ends too early")
 
--- a/internal/cluster/replica/wal/fixtures_test.go
+++ b/internal/cluster/replica/wal/fixtures_test.go
@@ -16,8 +16,8 @@
 // fixtureLog is the folder of a log that the release which made the fixtures has written.
 const fixtureLog = "testdata/log"
 
-// A process that is upgraded reads what the release before has written. These specs fail if a change of the code changes
-// how files of an earlier release are read.
+// An upgraded process reads the files that the previous release has written. These specs fail if a change of the code
+// changes how files of an earlier release are read.
 var _ = Describe("A file that the release of the fixtures has written", func() {
 	var files *vfstest.Mem
 
--- a/internal/cluster/replica/wal/identity.go
+++ b/internal/cluster/replica/wal/identity.go
@@ -15,8 +15,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The file of an identity has the magic, whose last byte is the version of the format; the identity, encoded by gob; and
-// the CRC-32C of both.
+// The file of an identity has the magic, which ends with the version of the format; the identity, encoded by gob; and the
+// CRC-32C of both.
 const (
 	identityMagic = "OPIDEN\x00\x01"
 	identityName  = "identity"
@@ -24,12 +24,12 @@
 	lockName      = "lock"    // the lock file, which belongs to the user of this package
 )
 
-// Identity identifies a process as a member of its groups. It is bound to the content of the disk: a process whose disk
-// was lost must take another ID, because it no longer knows its votes and entries. Identity is encoded by gob, so the
+// Identity identifies a process as a member of its groups. It is bound to the content of the disk: a process that has lost
+// its disk must take another ID, because it no longer knows its votes and entries. Identity is encoded by gob, so the
 // names of the fields are part of the format on disk.
 type Identity struct {
 	ID    consensus.MemberID
-	First []consensus.Member // initial members of all groups; empty unless the process is one of them
+	First []consensus.Member // initial members of all groups; empty unless the process is an initial member
 }
 
 // ReadIdentity returns the identity on disk, or nil without an error if there is none. It returns a *DamageError if the
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Vacant reports whether dir has no file of an earlier process, or is missing. The lock and an identity that was never
-// renamed into place don't count. Only a process whose dir is vacant may be an initial member: an initial member that
-// has lost its identity, but has a log, took part under that identity already.
+// Vacant reports whether dir has no file of an earlier process, or is missing. It ignores the lock and an identity that
+// was never renamed into place. A process may become an initial member only if its dir is vacant: if dir has a log but no
+// identity, an earlier process has already taken part in the groups under the lost identity.
 func Vacant(files vfs.FS, dir string) (bool, error) {
 	names, err := listFolder(files, dir)
 	if err != nil {
--- a/internal/cluster/replica/wal/recover.go
+++ b/internal/cluster/replica/wal/recover.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Open reads the log in dir and returns it with the state of each group that is in it. It creates dir if that is missing.
+// Open reads the log in dir and returns it with the state of each group in the log. It creates dir if that is missing.
 // A batch at the end that a power failure tore is ignored; damage before it is a *DamageError. Files that the log does
 // not need are removed, among them snapshots that no batch refers to yet.
 func Open(files vfs.FS, dir string, options Options) (*Log, map[uint32]*Group, error) {
@@ -40,7 +40,7 @@
 // recovery replays the segments for Open, from the oldest to the newest.
 type recovery struct {
 	log    *Log
-	groups map[uint32]*Group // what Open returns
+	groups map[uint32]*Group // the states that Open returns
 }
 
 // group returns the state of a group, which is empty for a group that no frame was about yet.
@@ -68,9 +68,9 @@
 }
 
 // segmentNumbers returns the numbers of the segments to replay, rising. It leaves out two kinds of segments:
-//   - those before a gap in the numbers. They were removed, but the folder was not synced before the power failed, so
-//     some of them reappeared;
-//   - the newest ones as long as nothing was appended to them after their base batch, see hasOnlyBase.
+//   - segments before a gap in the numbers. They were removed, but the folder was not synced before the power failed, so
+//     some reappeared;
+//   - segments at the end of the log that have no batch after their base batch, see hasOnlyBase.
 func (r *recovery) segmentNumbers(names []string) ([]uint64, error) {
 	var numbers []uint64
 	for _, name := range names {
@@ -103,9 +103,9 @@
 	return numbers
 }
 
-// hasOnlyBase reports whether nothing was appended to the newest segment after its base batch. Such a segment may never
-// have been synced, and may be incomplete. Open does not need it: the segments before it have all that its base batch
-// repeats, and Append has not accepted any batch that is only in this segment.
+// hasOnlyBase reports whether the newest segment has no batch after its base batch. Such a segment may never have been
+// synced, and may be incomplete. Open does not need it: the earlier segments have all that its base batch repeats, and
+// Append has not accepted any batch that is only in this segment.
 //
 // The segment is used if its header, its base batch and a second batch are valid. If they are not, but a valid batch
 // follows somewhere, the start of a used segment was damaged: that is a *DamageError.
@@ -154,7 +154,7 @@
 	return header[:count], nil
 }
 
-// replaySegment replays the segment after those that were replayed before. newest tells whether it is the last one.
+// replaySegment replays the next segment. newest tells whether it is the last segment.
 func (r *recovery) replaySegment(number uint64, newest bool) error {
 	name := segmentName(number)
 	content, err := r.read(number)
@@ -172,7 +172,7 @@
 }
 
 // replayOlder replays a segment that is not the newest, up to the valid length that the header of the next segment
-// states. All of that was synced before the next segment was created, so whatever is wrong in it is damage.
+// states. This part was synced before the next segment was created, so an invalid batch there is damage.
 func (r *recovery) replayOlder(number uint64, content []byte) error {
 	name, next := segmentName(number), segmentName(number+1)
 	nextHeader, err := r.readHeader(number + 1)
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// replayNewest replays the newest segment up to the first batch that is not valid or not the next in sequence. All
-// batches before the last valid one were synced before that was written; replayUnsynced handles the last one.
+// replayNewest replays the newest segment up to the first batch that is not valid or not the next in sequence. Append
+// synced each batch before it wrote the next, so only the last valid batch may be unsynced; replayUnsynced handles it.
 func (r *recovery) replayNewest(name string, content []byte) error {
 	lastOffset, offset := segmentHeaderSize, segmentHeaderSize
 	var last []byte
@@ -225,7 +225,7 @@
 	return r.replayUnsynced(name, lastOffset, last)
 }
 
-// isNext reports whether a batch with this sequence is the next one. Any sequence is, as long as no batch was replayed.
+// isNext reports whether a sequence is the expected one. The first batch that is replayed may have any sequence.
 func (r *recovery) isNext(sequence uint64) bool {
 	return r.log.sequence == 0 || sequence == r.log.sequence
 }
@@ -245,9 +245,9 @@
 	return nil
 }
 
-// replayUnsynced replays the last batch of the newest segment, which may never have been synced. Its content counts, but
-// the segment's valid length excludes it: the first Append repeats its frames in the base batch of a new segment, under
-// the same sequence.
+// replayUnsynced replays the last batch of the newest segment, which may never have been synced. Open returns its content,
+// but the segment's valid length excludes the batch: the first Append repeats its frames in the base batch of a new
+// segment, under the same sequence.
 func (r *recovery) replayUnsynced(name string, offset int, batch []byte) error {
 	sequence, _, ok := parseBatch(batch)
 	if !ok {
@@ -315,7 +315,7 @@
 }
 
 // applySnapshot drops the entries that a snapshot covers, and sets the snapshot's index and term; finishGroup reads the
-// rest from the snapshot's file. A snapshot older than the present one changes nothing.
+// rest from the snapshot's file. A snapshot older than the group's snapshot is ignored.
 func (g *Group) applySnapshot(frame *frameInfo) {
 	if g.Snapshot != nil && frame.index < g.Snapshot.Index {
 		return
@@ -343,7 +343,7 @@
 }
 
 // finishGroup reads a group's snapshot from its file, and checks that no entry is missing between the snapshot and the
-// entries. It limits the commit index to the entries that are there: the one on disk may be ahead of them.
+// entries. It lowers the commit index to the last entry or the snapshot, since the commit index on disk may be higher.
 func (r *recovery) finishGroup(id uint32, group *Group) error {
 	covered := uint64(0)
 	if group.Snapshot != nil {
@@ -368,8 +368,8 @@
 	return nil
 }
 
-// removeObsolete removes the segments, snapshots and temporary files that the log does not need: those that were written
-// incompletely, that nothing refers to, or that reappeared after a power failure. Errors are ignored, since a later Open
+// removeObsolete removes the segments, snapshots and temporary files that the log does not need: files that were written
+// incompletely, that no batch refers to, or that reappeared after a power failure. Errors are ignored, since a later Open
 // tries again. names lists the folder.
 func (r *recovery) removeObsolete(names []string) {
 	needed := map[string]bool{}
--- a/internal/cluster/replica/wal/segment.go
+++ b/internal/cluster/replica/wal/segment.go
@@ -11,8 +11,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// A segment starts with a header: the magic, whose last byte is the version of the format; the segment's number; the
-// valid length of the previous segment in bytes; and the CRC-32C of these. Batches follow it.
+// A segment starts with a header: the magic, which ends with the version of the format; the segment's number; the valid
+// length of the previous segment in bytes; and the CRC-32C of these. Batches follow the header.
 const (
 	segmentMagic      = "OPLOG\x00\x00\x01"
 	segmentHeaderSize = 8 + 8 + 8 + 4 // in bytes
@@ -21,7 +21,7 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf(segmentPattern, number) }
 
-// parseSegmentName returns the number of the segment with a file name, or false if the name is not that of a segment.
+// parseSegmentName returns the segment's number from a file name, or false if the file is not a segment.
 func parseSegmentName(name string) (uint64, bool) {
 	var number uint64
 	if _, err := fmt.Sscanf(name, segmentPattern, &number); err != nil {
@@ -59,9 +59,9 @@
 // segment describes one segment file in memory.
 type segment struct {
 	number uint64
-	size   int64 // valid length in bytes; what follows in the file does not count
-	// highest has for each group the highest index of its entries in this segment. Entries that later ones replaced do
-	// not count, also if the later ones are in another segment.
+	size   int64 // valid length in bytes; the rest of the file is ignored
+	// highest has for each group the highest index of its entries in this segment. It ignores entries that later entries
+	// in this or another segment have replaced.
 	highest map[uint32]uint64
 }
 
--- a/internal/cluster/replica/wal/snapshot.go
+++ b/internal/cluster/replica/wal/snapshot.go
@@ -16,7 +16,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The file of a snapshot has the magic, whose last byte is the version of the format; the length of the head in bytes
+// The file of a snapshot has the magic, which ends with the version of the format; the length of the head in bytes
 // (4 bytes, little-endian); the head, encoded by gob; the state machine's data; and the CRC-32C of all of these.
 const (
 	snapshotMagic   = "OPSNAP\x00\x01"
@@ -53,7 +53,7 @@
 	return errors.Wrapf(writeAtomically(files, dir, name, parts), "write snapshot %s", name)
 }
 
-// encodePreamble encodes what precedes the state machine's data in the file: magic, length of the head, and head.
+// encodePreamble encodes the part of the file before the state machine's data: magic, length of the head, and head.
 func encodePreamble(group uint32, snapshot *consensus.Snapshot) ([]byte, error) {
 	head := snapshotHead{Group: group, Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members}
 	var encoded bytes.Buffer
@@ -160,7 +160,8 @@
 	state.snapshotIndex, state.snapshotTerm = frame.index, frame.term
 }
 
-// removeSnapshots removes the files of obsolete snapshots, and returns how many. Files that are missing count as removed.
+// removeSnapshots removes the files of obsolete snapshots, and returns their number, which includes files that were missing
+// already.
 func (l *Log) removeSnapshots() (int, error) {
 	removed := 0
 	for len(l.obsolete) > 0 {
@@ -175,5 +176,5 @@
 	return removed, nil
 }
 
-// isSnapshotFile reports whether a file name is that of a snapshot, or of one that was not renamed yet.
+// isSnapshotFile reports whether a file is a snapshot, possibly still under its temporary name.
 func isSnapshotFile(name string) bool { return strings.HasPrefix(name, snapshotPrefix) }
--- a/internal/cluster/replica/wal/wal.go
+++ b/internal/cluster/replica/wal/wal.go
@@ -4,13 +4,13 @@
 //
 // # Files
 //
-// All integers of fixed size are little-endian, all checksums are CRC-32C, and uvarint is that of encoding/binary.
+// All integers of fixed size are little-endian, all checksums are CRC-32C, and uvarints are encoded as by encoding/binary.
 //
 //	identity             magic (8 bytes), Identity (gob), checksum of all bytes before it (4)
 //	log-N.segment        segment header, then batches; N is the segment's number in hex, consecutive from 1
 //	  segment header     magic (8), number (8), valid length of the previous segment in bytes (8), checksum of these 24 (4)
-//	  batch              magic (4), sequence (8), length of the frames in bytes (4), checksum (4), frames; the checksum is
-//	                     that of the sequence, the length and the frames
+//	  batch              magic (4), sequence (8), length of the frames in bytes (4), checksum (4), frames; the checksum
+//	                     covers the sequence, the length and the frames
 //	  frame              kind (1), group (uvarint), and by kind:
 //	    hard state       term, vote, commit (uvarints)
 //	    entry            index, term (uvarints), kind of entry (1), length of the data (uvarint), data
@@ -30,7 +30,7 @@
 //     Install or Compact is appended.
 //  2. The header and the base batch of a new segment are synced, and so is the folder, before anything else is appended.
 //  3. Append writes a batch with one write and one sync. Once it has returned nil the batch is durable. After an error
-//     none of it counts.
+//     the log does not treat any part of the batch as written.
 //  4. Segments and snapshots are removed only after the batch that makes them unnecessary is durable.
 //
 // # Faults of the disk
@@ -41,11 +41,12 @@
 //     repeats the batch in a new segment, since the kernel may not have written it yet and may still lose it.
 //   - A write or sync fails: what was written is not trusted, not even if a second sync succeeds. The next Append starts
 //     a new segment, and the previous segment's valid length in its header excludes the failed batch. If the process ends
-//     before that, Open returns the failed batch completely or not at all.
-//   - A new segment is incomplete because the power failed while it was created: Open ignores it. Nothing that is only
+//     before that, Open returns either the complete batch or no part of it.
+//   - A new segment is incomplete because the power failed while it was created: Open ignores it. No batch that is only
 //     in that segment was acknowledged.
 //   - Removed files reappear because the folder was not synced after their removal: Open ignores segments before a gap
-//     in the numbers, and replays others, whose entries a newer snapshot covers.
+//     in the numbers. It replays reappeared segments that no gap separates from the log; a newer snapshot covers their
+//     entries.
 //   - Any other difference that Open finds is reported as a *DamageError: a changed byte before the last batch, entries
 //     missing because a segment is, or a missing or changed snapshot.
 //
@@ -68,14 +69,14 @@
 	SegmentBytes int64 // length in bytes from which on a segment is full, so that the next batch starts a new one
 }
 
-// DamageError reports that data which had been synced differs from what was written. The disk cannot be trusted.
+// DamageError reports that synced data has changed or is missing. The disk cannot be trusted.
 type DamageError struct {
 	File   string // base name of the file
 	Offset int64  // position in the file in bytes, at or before the damage
-	Reason string // what is wrong, for operators
+	Reason string // description of the damage, for operators
 }
 
-// Error names the file, the offset in bytes and what is wrong there.
+// Error names the file, the offset in bytes and the reason.
 func (e *DamageError) Error() string {
 	return fmt.Sprintf("%s is damaged at offset %d: %s", e.File, e.Offset, e.Reason)
 }
@@ -112,9 +113,9 @@
 
 // Append writes the batch and syncs it. It returns nil once the batch is durable.
 //
-// After an error the batch does not count, and may be appended again. What the failed call has written is not trusted:
-// the next Append starts a new segment, whose header states the length up to which the previous segment is valid. Only if
-// the process ends before that, Open may return the batch nevertheless.
+// After an error the log does not have the batch, and the caller may append it again. The bytes that the failed call wrote
+// are not trusted: the next Append starts a new segment, and the new header states the length up to which the previous
+// segment is valid. If the process ends before that, Open may return the batch nevertheless.
 //
 // The first Append after Open also repeats the last batch that Open found, which an earlier process may have written
 // without syncing it. Until then a power failure may still lose that batch.
@@ -229,9 +230,9 @@
 	newest.highest[frame.group] = frame.index
 }
 
-// RemoveObsolete removes the oldest segments up to the first one that has an entry which no snapshot covers, and the
-// snapshots that newer ones have replaced. It returns how many files it removed. A later RemoveObsolete or Open tries
-// again to remove files that could not be removed.
+// RemoveObsolete removes segments, starting with the oldest. It stops at the first segment with an entry that no snapshot
+// covers, and never removes the newest segment. It also removes the snapshots that newer ones have replaced. It returns
+// the number of removed files. A later RemoveObsolete or Open tries again to remove files that could not be removed.
 func (l *Log) RemoveObsolete() (int, error) {
 	removed := 0
 	for len(l.segments) > 1 && len(l.pinningGroups(l.segments[0])) == 0 {
@@ -247,7 +248,7 @@
 }
 
 // pinningGroups returns the groups, sorted, that have an entry in the segment which their snapshot does not cover. The
-// segment must not be removed while there is any.
+// segment must not be removed while there is such a group.
 func (l *Log) pinningGroups(s *segment) []uint32 {
 	var groups []uint32
 	for group, highest := range s.highest {
@@ -280,5 +281,5 @@
 	return total
 }
 
-// Close closes the newest segment's file. It writes nothing: every batch that Append accepted is durable already.
+// Close closes the newest segment's file. It has no data to write: every batch that Append accepted is durable already.
 func (l *Log) Close() { l.closeFile() }
--- a/internal/cluster/replica/wal/wal_test.go
+++ b/internal/cluster/replica/wal/wal_test.go
@@ -84,7 +84,7 @@
 		Expect(files.MkdirAll(folder)).To(Succeed())
 	})
 
-	// Each step fills one batch. The log is opened twice: the second time shows that opening it changed nothing.
+	// Each step fills one batch. The log is opened twice: the second time shows that opening it did not change it.
 	DescribeTable("returns after a restart what was appended:",
 		func(steps []func(*Batch), expected Group) {
 			for _, options := range []Options{smallSegments, {SegmentBytes: 1 << 20}} {
@@ -309,8 +309,8 @@
 		}
 	})
 
-	// A failed sync drops half of a batch on disk, but the page cache still has all of it. The process ends, and the next
-	// one reads the batch. Before the next one acknowledges anything, the batch has to be durable.
+	// A failed sync drops half of a batch on disk, but the page cache still has the complete batch. The process ends, and
+	// the next process reads the batch. It must make the batch durable before it acknowledges anything.
 	It("makes the last batch durable that an earlier process failed to sync, with the first batch of its own", func() {
 		log, _ := open(splitWrites{files}, Options{SegmentBytes: 1 << 20})
 		appendBatch(log, func(b *Batch) { b.Entries(1, entries(1, 1, 1)) })
