--- a/internal/cluster/replica/catchup.go
+++ b/internal/cluster/replica/catchup.go
@@ -8,16 +8,16 @@
 
 // catchUp measures how far a member's disk is behind the commit index, as a time (Raft thesis, section 4.2.1). It works in
 // rounds:
-//  1. A round starts with the present commit index as its target.
-//  2. The round is complete once the member has acknowledged the target. Then the disk has all that was committed at the
-//     start of the round, and the next round starts.
+//  1. A round starts with the current commit index as its target.
+//  2. The round is complete once the member has acknowledged the target. Then the disk has all entries that were committed
+//     at the start of the round, and the next round starts.
 //
-// Under constant load the member's acknowledgements never reach the present commit index. Rounds show nevertheless that
-// it keeps up.
+// Under constant load the commit index always advances before the member acknowledges it. Rounds still show that the member
+// keeps up.
 //
 // Invariant: if completed is set, the member's disk has all entries that were committed at the time caughtUpAt.
 type catchUp struct {
-	target         uint64 // commit index at the start of the present round; 0 if no round has started
+	target         uint64 // commit index at the start of the current round; 0 if no round has started
 	roundStartedAt time.Duration
 	caughtUpAt     time.Duration
 	completed      bool // a round was completed, or the member has had all committed entries
@@ -46,7 +46,7 @@
 	return now - c.caughtUpAt
 }
 
-// updateCatchUps updates the catchUp of each member. Only the leader knows what members have acknowledged.
+// updateCatchUps updates the catchUp of each member. Only the leader knows which entries members have acknowledged.
 func (g *group) updateCatchUps(members []consensus.Member) {
 	status := g.node.Status()
 	for _, member := range members {
--- a/internal/cluster/replica/confirmations.go
+++ b/internal/cluster/replica/confirmations.go
@@ -33,8 +33,8 @@
 	g.confirmations = append(g.confirmations, confirmation{requestedAt: e.now, done: done})
 }
 
-// resolveConfirmations resolves the pending confirmations to which a quorum has responded, and those that have timed out.
-// They are in the order of their calls, so these are the first ones.
+// resolveConfirmations resolves pending confirmations: with nil once a quorum has responded, or with failure.NotLeader
+// after confirmTimeout. Confirmations are in the order of their calls, so the oldest are resolved first.
 func (g *group) resolveConfirmations() {
 	if len(g.confirmations) == 0 {
 		return
--- a/internal/cluster/replica/decommission.go
+++ b/internal/cluster/replica/decommission.go
@@ -14,7 +14,8 @@
 	decommissionInterval = 20 * time.Millisecond
 	// quiesceTimeout is how long a process stays quiesced while it waits for the approvals of the second phase.
 	quiesceTimeout = 2 * slowWriteTime
-	// A member whose decommission was approved counts as ended for approvalLifetime, unless there is contact with it again.
+	// A leader that has approved a member's decommission assumes for approvalLifetime that the member has ended, unless it
+	// receives a later envelope from the member and the member accepts leadership again.
 	approvalLifetime = 10 * time.Second
 )
 
@@ -23,7 +24,7 @@
 type DecommissionRequest struct {
 	Group   GroupID
 	Attempt uint64 // the approval repeats it, so that the member recognizes outdated approvals
-	Quiet   bool   // the member is quiesced: it acknowledges nothing, and its log does not grow
+	Quiet   bool   // the member is quiesced: it handles only approvals, so its log does not grow
 	Last    uint64 // last index of the member's log; used only if Quiet is set
 }
 
@@ -31,7 +32,7 @@
 // encodes: the names of the fields are the wire format.
 type DecommissionApproval struct {
 	Group   GroupID
-	Attempt uint64 // that of the request
+	Attempt uint64 // the request's Attempt
 	Term    uint64 // the leader's term
 }
 
@@ -39,18 +40,19 @@
 // without its disk. There are two phases:
 //  1. The process participates in its groups as before, and asks the leaders of all groups. A leader approves once a quorum
 //     without this process has caught up, see catchUp.
-//  2. The process is quiesced: it acknowledges nothing, so no further entry can be committed with its vote. It asks the
-//     leaders again. A leader approves once a quorum without this process has on disk all that this process has.
+//  2. The process is quiesced: it handles only approvals, and acknowledges no entries, so no further entry can be committed
+//     with its vote. It asks the leaders again. A leader approves once a quorum without this process has on disk all
+//     entries that this process has.
 //
-// When all leaders have approved the second phase, the process may end: everything that was committed with its vote is on
-// the disks of a quorum of the others. If that takes longer than quiesceTimeout, the process returns to the first phase,
-// since a group may need it to commit entries.
+// When all leaders have approved the second phase, the process may end: all entries that were committed with its vote are
+// on the disks of a quorum without it. If the approvals take longer than quiesceTimeout, the process returns to the first
+// phase, since a group may need it to commit entries.
 type decommission struct {
 	phase           decommissionPhase
-	attempt         uint64             // number of the present phase; higher than any of an earlier process on this disk
+	attempt         uint64             // number of the current phase; higher than every number of earlier processes here
 	quiesceDeadline time.Duration      // when the second phase ends
 	leaders         map[GroupID]string // addresses of the groups' leaders at the start of the second phase
-	approved        map[GroupID]bool   // the groups whose leaders have approved the present phase
+	approved        map[GroupID]bool   // the groups whose leaders have approved the current phase
 }
 
 // decommissionPhase is the phase of a decommission.
@@ -64,7 +66,7 @@
 
 // Decommission resigns as Resign does, and then waits until all groups can do without this process, but not longer than
 // timeout. In either case the engine then calls done on the loop. The process must end after that, since it may be quiesced
-// and not participate in its groups any more.
+// and no longer participate in its groups.
 func (e *Engine) Decommission(timeout time.Duration, done func()) {
 	e.Resign(done)
 	e.transfers.resignDeadline = e.now + timeout
@@ -110,8 +112,8 @@
 	}
 }
 
-// quiesce enters the second phase. Its requests go to the present leaders, since a quiesced process does not learn of new
-// ones.
+// quiesce enters the second phase. Its requests go to the leaders that are known now, since a quiesced process does not
+// learn of new leaders.
 func (e *Engine) quiesce() {
 	d := &e.decommission
 	d.enter(quiesced)
@@ -122,7 +124,7 @@
 	}
 }
 
-// requestDecommission sends a request to the group's leader, unless that has approved already.
+// requestDecommission sends a request to the group's leader, unless the current phase is already approved.
 func (g *group) requestDecommission() {
 	e := g.engine
 	d := &e.decommission
@@ -141,8 +143,8 @@
 	})
 }
 
-// handleApproval records a leader's approval. It ignores approvals for other attempts, and those by leaders of earlier
-// terms, which may not know all that was committed with this process's vote.
+// handleApproval records a leader's approval. It ignores approvals for other attempts. It also ignores approvals by leaders
+// of earlier terms, which may not know all entries that were committed with this process's vote.
 func (e *Engine) handleApproval(approval *DecommissionApproval) {
 	d := &e.decommission
 	g := e.byID[approval.Group]
@@ -154,8 +156,8 @@
 	e.maintainAt = e.now
 }
 
-// handleDecommissionRequest approves the decommission of a member if the group can do without it. A leader that resigns
-// itself approves nothing.
+// handleDecommissionRequest approves the decommission of a member if the group can do without it. A leader that is itself
+// resigning sends no approvals.
 func (e *Engine) handleDecommissionRequest(from consensus.MemberID, request *DecommissionRequest) {
 	g := e.byID[request.Group]
 	if g == nil || g.leadingTerm == 0 || e.transfers.resigning {
@@ -174,8 +176,8 @@
 //   - While a change of the membership is pending, it cannot.
 //   - A member that does not vote is not needed.
 //   - A voter that is about to be replaced or dropped has to wait for that.
-//   - Else a quorum, counted among all present voters, has to have what the member has without it. Voters whose own
-//     decommission was approved lately do not count.
+//   - Otherwise a majority of all current voters must retain the member's entries, see retainsLog. This majority includes
+//     neither the member itself nor voters whose own decommission was approved recently.
 func (g *group) canSpare(leaving consensus.MemberID, request *DecommissionRequest) bool {
 	status := g.node.Status()
 	if status.ChangePending {
@@ -210,9 +212,9 @@
 	})
 }
 
-// retainsLog reports whether a voter still runs and has on disk what a member that is being decommissioned has. If the
-// member is not quiesced, its log still grows; then it is enough that the voter has caught up. last is the last index of
-// this leader's log.
+// retainsLog reports whether a voter still runs and has on disk the entries of a member that is being decommissioned. If
+// the member is not quiesced, its log still grows; then it is enough that the voter has caught up. last is the last index
+// of this leader's log.
 //
 // Only a response to a message that was sent lately shows that the voter still runs. Messages that it sent before it ended
 // may arrive late.
@@ -232,8 +234,9 @@
 }
 
 // approvedRecently reports whether this process has lately approved a member's decommission in any group, so that the
-// member may have ended. This keeps two members that are decommissioned at the same time from being approved as if the
-// other one stayed. A member that has since been in contact and accepts leadership again has not ended.
+// member may have ended. Without this check two members that are decommissioned at the same time could both be approved,
+// each because the other has the entries. A member that has since been in contact and accepts leadership again has not
+// ended.
 func (e *Engine) approvedRecently(id consensus.MemberID) bool {
 	at, approved := e.approvedAt[id]
 	if !approved || e.now-at >= approvalLifetime {
@@ -243,8 +246,8 @@
 	return !back
 }
 
-// warnUnapproved logs the groups whose leaders have not approved the second phase. It is called if the process ends because
-// of its timeout.
+// warnUnapproved logs the groups without an approval of the second phase. It is called if the process ends because of its
+// timeout.
 func (e *Engine) warnUnapproved() {
 	for _, g := range e.groups {
 		if e.decommission.phase == quiesced && e.decommission.approved[g.id] {
--- a/internal/cluster/replica/digest.go
+++ b/internal/cluster/replica/digest.go
@@ -28,7 +28,7 @@
 
 // Digest returns the index of the newest entry that a group has applied, and the digest of its state. It returns false if
 // the engine does not have the group or the group's state machine is no Digester. It must be called on the loop, and may
-// take as long as a snapshot.
+// take as long as StateMachine.Snapshot.
 func (e *Engine) Digest(id GroupID) (index, digest uint64, ok bool) {
 	g := e.byID[id]
 	if g == nil {
@@ -63,7 +63,7 @@
 	g.resolveDigests()
 }
 
-// resolveDigests resolves the requests for the index that was applied last, and those that have failed.
+// resolveDigests resolves the requests for the index that was applied last, for earlier indexes, and past their deadline.
 func (g *group) resolveDigests() {
 	pending := g.digests
 	g.digests = nil
--- a/internal/cluster/replica/disk_health.go
+++ b/internal/cluster/replica/disk_health.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// The disk counts as unhealthy once a write takes slowWriteTime.
+	// The disk is marked as unhealthy once a write has taken slowWriteTime.
 	slowWriteTime = 500 * time.Millisecond
 	// writeRetryInterval is the time from the failure of a write to its next attempt.
 	writeRetryInterval = 250 * time.Millisecond
@@ -30,8 +30,8 @@
 	writeTime time.Duration // how long a write takes: the longest recent time, which decays by 1/8 with each write
 }
 
-// recordWriteTime updates how long a write takes, and passes that to the groups' nodes, whose elections wait until votes
-// are written. The time is limited to slowWriteTime: an unhealthy disk must not lengthen timeouts without bound.
+// recordWriteTime updates health.writeTime and passes it to the groups' nodes, since a vote in an election is sent only
+// after it is written. The time is limited to slowWriteTime: an unhealthy disk must not lengthen timeouts without bound.
 func (w *writer) recordWriteTime(took time.Duration) {
 	w.health.writeTime = min(max(took, w.health.writeTime*7/8), slowWriteTime)
 	for _, g := range w.engine.groups {
@@ -90,8 +90,8 @@
 	w.engine.setCampaigns()
 }
 
-// probe tests every probeInterval whether an unhealthy disk has recovered. If there is nothing else to write, it writes an
-// unchanged hard state again; recordSuccess or recordFailure judges the outcome.
+// probe tests every probeInterval whether an unhealthy disk has recovered. If no other write is due, it writes an unchanged
+// hard state again; recordSuccess or recordFailure judges the outcome.
 func (w *writer) probe() {
 	idle := !w.busy && w.inflight == nil && w.pending.batch.Empty()
 	if !w.health.unhealthy || !idle || w.engine.now < w.health.probeAt || len(w.engine.groups) == 0 {
--- a/internal/cluster/replica/driver.go
+++ b/internal/cluster/replica/driver.go
@@ -16,7 +16,7 @@
 	DiskSnapshot                 // write a snapshot of the state of one of this process's own state machines
 )
 
-// DriverOptions are the functions by which a Driver uses its caller.
+// DriverOptions are the functions of the caller that a Driver calls.
 type DriverOptions struct {
 	// Disk is called during a step. It must return at once, and must call work exactly once at a later time, not during a
 	// step. Once OpenDriver has returned, only work calls the file system. The next step handles the outcome of the work.
@@ -58,7 +58,7 @@
 func (d *Driver) Engine() *Engine { return d.engine }
 
 // Step runs one step of the loop. It returns the time after which the next step is due, unless Wake is called before
-// that. After an error the engine must not be used any more, as after an error of Engine.Run.
+// that. After an error the engine must no longer be used, as after an error of Engine.Run.
 func (d *Driver) Step() (time.Duration, error) {
 	d.engine.step()
 	if d.engine.failed != nil {
@@ -69,8 +69,9 @@
 }
 
 // Snapshot starts to replace a group's log with a snapshot, however short the log is, and reports whether it did. It does
-// not if nothing was applied since the last snapshot, if the last attempt failed less than snapshotRetryInterval ago, or
-// while another snapshot is being written. It must be called on the loop, by a function given to Do.
+// not start if no entry was applied since the last snapshot, if the state machine cannot make a snapshot now, if the last
+// attempt failed less than snapshotRetryInterval ago, or while another snapshot is being written. It must be called on the
+// loop, by a function given to Do.
 func (d *Driver) Snapshot(id GroupID) bool {
 	g := d.engine.byID[id]
 	return g != nil && !d.engine.writingSnapshot && g.startSnapshot()
--- a/internal/cluster/replica/engine.go
+++ b/internal/cluster/replica/engine.go
@@ -21,7 +21,7 @@
 	options Options
 	self    consensus.Member
 	started time.Time
-	now     time.Duration // time of the present step, see advance
+	now     time.Duration // time of the current step, see advance
 
 	groups      []*group // by rising ID
 	byID        map[GroupID]*group
@@ -32,7 +32,7 @@
 	diskWorkers sync.WaitGroup // goroutines that use the disk
 	transfers   leadershipTransfers
 
-	decommission decommission // that of this process
+	decommission decommission // decommission of this process
 	// approvedAt has for each member the time at which this process, as a leader, last approved the member's decommission.
 	approvedAt map[consensus.MemberID]time.Duration
 
@@ -144,7 +144,7 @@
 	}
 }
 
-// Now returns the time of the present step of the loop, counted from Open. All inputs of the step had arrived by then.
+// Now returns the time of the current step of the loop, counted from Open. All inputs of the step had arrived by then.
 func (e *Engine) Now() time.Duration { return e.now }
 
 // Status returns the status of this process's member of a group, or the zero Status if the engine does not have the group.
--- a/internal/cluster/replica/group.go
+++ b/internal/cluster/replica/group.go
@@ -25,7 +25,7 @@
 
 	appliedIndex uint64 // index of the newest entry that was applied to the machine, or that its snapshot covers
 	appliedTerm  uint64 // term of that entry
-	leadingTerm  uint64 // the term in which this member leads and has notified the machine of it; 0 if it does not lead
+	leadingTerm  uint64 // term in which this member leads, set when the machine is notified; 0 if it does not lead
 	hardState    consensus.HardState
 
 	proposals     []proposal // by rising index, all of one term
@@ -73,7 +73,8 @@
 }
 
 // applyOutput carries out a node's output, in the order that consensus.Output requires: it installs the snapshot, gives
-// the writer what is to be written, sends the messages that don't depend on the disk, and applies committed entries.
+// the writer the snapshot, hard state and entries, sends the messages that don't depend on the disk, and applies committed
+// entries.
 func (g *group) applyOutput(output consensus.Output) {
 	if output.Snapshot != nil {
 		g.install(output.Snapshot)
--- a/internal/cluster/replica/joins.go
+++ b/internal/cluster/replica/joins.go
@@ -10,8 +10,8 @@
 const (
 	// joinInterval is the time between two requests to join by a process that is not a member.
 	joinInterval = 250 * time.Millisecond
-	// correctionInterval is the time between two requests by a member, whose node, zone or address is outdated or which
-	// may have been dropped.
+	// correctionInterval is the time between two requests by a member: to correct its outdated node, zone or address, or to
+	// join again because it may have been dropped.
 	correctionInterval = time.Second
 	// joinRequestLifetime is the time after which a leader forgets a request that was not repeated.
 	joinRequestLifetime = 2 * time.Second
@@ -31,8 +31,9 @@
 // SetPeers replaces the addresses of Options.Peers, to which requests to join are sent in addition to the known members.
 func (e *Engine) SetPeers(addresses []string) { e.options.Peers = addresses }
 
-// requestJoins sends requests for the groups of which this process is not a member, that have an outdated node, zone or
-// address for it, or that may have dropped it. A process that resigns sends none.
+// requestJoins sends requests to join or to be corrected, for each group with a finite joinRequestInterval: this process is
+// not a member, the group has an outdated node, zone or address for it, or the group may have dropped it. A process that
+// resigns sends no requests.
 func (e *Engine) requestJoins() {
 	if e.now < e.joinAt || e.transfers.resigning {
 		return
@@ -56,7 +57,7 @@
 	}
 }
 
-// joinRequestInterval returns the time between two requests for this group. It is infinite if there is nothing to request.
+// joinRequestInterval returns the time between two requests for this group. It is infinite if no request is needed.
 // A leader requests no correction, since it corrects its own data, see correctMember.
 func (g *group) joinRequestInterval() time.Duration {
 	status := g.node.Status()
@@ -78,8 +79,8 @@
 	return a.Node == b.Node && a.Zone == b.Zone && a.Address == b.Address
 }
 
-// joinTargets returns the addresses to which requests to join are sent now: those in the options and those of all known
-// peers. If there are more than maxJoinTargets, it returns another range of them in each joinInterval.
+// joinTargets returns the addresses to which requests to join are sent now: the addresses in the options and of all known
+// peers. If there are more than maxJoinTargets, it returns a different range of the sorted addresses in each joinInterval.
 func (e *Engine) joinTargets() []string {
 	targets := slices.Concat(e.options.Peers, e.options.Bootstrap)
 	for id := range e.peers.known {
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -34,7 +34,7 @@
 	unknownDuration = time.Duration(math.MaxInt64)
 )
 
-// membershipPlan is the next membership of a group. If members is nil, nothing is to be changed.
+// membershipPlan is the next membership of a group. If members is nil, no change is due.
 type membershipPlan struct {
 	members []consensus.Member
 	reason  string // for the log
@@ -63,11 +63,11 @@
 
 // planMembership returns the next change of the membership: the first of the steps below that is due. Package consensus
 // carries out each change atomically. A change of more than one voter is joint (Raft, section 6): it needs a majority of
-// the voters before it and a majority of those after it.
+// the old voters and a majority of the new voters.
 //
 // The invariants that every plan keeps:
 //   - If the voters that are alive have a majority, they can commit the change, and afterwards the group tolerates the loss
-//     of at least as many of them as before.
+//     of at least as many living voters as before.
 //   - No voter is dropped without replacement from minVoters or fewer.
 //   - No learner becomes a voter before it has caught up.
 //   - The leader keeps its vote, and so does every voter that is alive, accepts leadership and is not superseded.
@@ -89,7 +89,7 @@
 	return membershipPlan{}
 }
 
-// correctMember adopts the node, zone and address that a member has announced itself, if the membership has others.
+// correctMember adopts the node, zone and address that a member itself has announced, if the membership has other values.
 func correctMember(view membershipView) (membershipPlan, bool) {
 	for _, announced := range append(slices.Clone(view.joiners), view.self) {
 		for _, member := range view.members {
@@ -105,8 +105,9 @@
 	return membershipPlan{}, false
 }
 
-// replaceVoter replaces a lost voter with a learner that has caught up, in one change. The voters must have a majority that
-// is alive, since a minority cannot change anything. Afterwards no fewer voters are alive, because the learner is.
+// replaceVoter replaces a lost voter with a learner that has caught up, in one change. A majority of the voters must be
+// alive, since a minority cannot commit a change. The change does not lower the number of living voters, because the
+// learner is alive.
 func replaceVoter(view membershipView) (membershipPlan, bool) {
 	for _, learner := range view.promotable() {
 		lost, found := view.replaceableVoter(learner)
@@ -122,8 +123,8 @@
 }
 
 // promoteLearner makes a learner that has caught up a voter. It waits while there is a voter that seems to have the
-// learner's machine: once that voter is known to be lost, replaceVoter replaces it. It does not promote the learner if
-// that would cost the voters a majority that is alive.
+// learner's machine: once that voter is known to be lost, replaceVoter replaces it. It does not promote the learner if a
+// majority of the voters is alive now but would not be afterwards.
 func promoteLearner(view membershipView) (membershipPlan, bool) {
 	for _, learner := range view.promotable() {
 		waits := slices.ContainsFunc(view.voters(), func(voter memberView) bool { return voter.sameMachineAs(learner) })
@@ -164,7 +165,7 @@
 }
 
 // dropVoter drops a voter that is superseded or has not responded for voterTimeout, if at least minVoters remain and a
-// majority of them is alive.
+// majority of the remaining voters is alive.
 func dropVoter(view membershipView) (membershipPlan, bool) {
 	voters := view.voters()
 	if len(voters) <= minVoters {
@@ -182,8 +183,9 @@
 }
 
 // dropSurplusVoter drops a voter that is unresponsive or avoids leadership while the number of voters is even, for example
-// because the voter's replacement was added already. Without it the quorum is one vote smaller, so that the others can
-// lose as many members as before. If the voter comes back, it joins again.
+// because its replacement was added already. The drop makes the quorum one vote smaller, so the remaining voters tolerate
+// the loss of as many voters as before. A majority of them must be alive, and at least minVoters remain. If the dropped
+// voter comes back, it joins again.
 func dropSurplusVoter(view membershipView) (membershipPlan, bool) {
 	voters := view.voters()
 	if len(voters) <= minVoters || len(voters)%2 != 0 {
@@ -200,7 +202,7 @@
 	return membershipPlan{}, false
 }
 
-// voting returns the member that a learner becomes as a voter.
+// voting returns a learner's member as a voter.
 func voting(learner memberView) consensus.Member {
 	voter := learner.Member
 	voter.Learner = false
--- a/internal/cluster/replica/membership_view.go
+++ b/internal/cluster/replica/membership_view.go
@@ -8,17 +8,17 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// membershipView is the information from which planMembership decides.
+// membershipView is the information that planMembership uses.
 type membershipView struct {
 	self    consensus.Member   // the leader
 	members []memberView       // all members, also the leader
 	joiners []consensus.Member // processes that request to join or to be corrected, by rising ID
 }
 
-// memberView is what a leader knows about one member. All times are those of the leader's clock.
+// memberView is a leader's information about one member. All times are by the leader's clock.
 type memberView struct {
 	consensus.Member
-	replicationAge   time.Duration // age of its catchUp: its disk has all that was committed at least this long ago
+	replicationAge   time.Duration // age of its catchUp: its disk has all entries committed at least this long ago
 	sinceAnswer      time.Duration // time since the member's last response in this term, or since the start of the term
 	sinceContact     time.Duration // time since the last contact with the member in any group
 	avoidsLeadership bool          // the member has stated lately that its disk is unhealthy or it is about to end
@@ -26,7 +26,7 @@
 	currentAddress string        // the newest known address of the member
 	addressSince   time.Duration // when currentAddress became known
 	lastContact    time.Duration // when the newest envelope from the member was received; 0 if none was
-	reachedAt      time.Duration // when the newest message was sent to which the member has responded in this term; 0: none
+	reachedAt      time.Duration // sending time of the newest message that the member answered in this term; 0: none
 	sinceReached   time.Duration // time since reachedAt; a late or duplicated response does not shorten it, unlike sinceAnswer
 }
 
@@ -50,7 +50,7 @@
 	return view
 }
 
-// memberView returns what this leader knows about one member.
+// memberView returns this leader's information about one member.
 func (g *group) memberView(member consensus.Member) memberView {
 	now := g.engine.now
 	_, answeredAt, _ := g.node.Lag(member.ID)
@@ -126,7 +126,7 @@
 	return v.majorityAlive(voters)
 }
 
-// majorityAlive reports whether a majority of these voters is alive. The leader counts as alive.
+// majorityAlive reports whether a majority of these voters is alive. It takes the leader, which is this process, as alive.
 func (v *membershipView) majorityAlive(voters []memberView) bool {
 	alive := 0
 	for _, member := range voters {
@@ -137,7 +137,7 @@
 	return alive > len(voters)/2
 }
 
-// caughtUp reports whether a member is alive, and its disk has everything that was committed maxCaughtUpAge ago.
+// caughtUp reports whether a member is alive, and its disk has all entries that were committed maxCaughtUpAge ago.
 func (m *memberView) caughtUp() bool { return m.replicationAge <= maxCaughtUpAge && m.alive() }
 
 // reachable reports whether a member has responded to a message that was sent less than aliveTimeout ago. Unlike alive, it
@@ -148,8 +148,8 @@
 func (m *memberView) alive() bool { return max(m.sinceAnswer, m.sinceContact) < aliveTimeout }
 
 // unresponsiveFor returns how long a member has been unresponsive. A new leader knows responses only since the start of its
-// term. Once the member has not responded to it for aliveTimeout, the time since the last contact counts too, which may
-// have been before the term.
+// term. Once the member has not responded to it for aliveTimeout, unresponsiveFor also considers the last contact, which
+// may have been before the term.
 func (m *memberView) unresponsiveFor() time.Duration {
 	if m.sinceAnswer < aliveTimeout {
 		return m.sinceAnswer
@@ -169,11 +169,11 @@
 // the process lost its disk and started again with another ID.
 //
 // With the same address, one response proves that: the other member has responded to a message that this leader sent to
-// the address after the last contact with this member. So the address belonged to the other one at some time after that
+// the address after the last contact with this member. So the address belonged to the other member at some time after that
 // contact. Late requests to join and late envelopes of a member that no longer exists are no such responses.
 //
 // With the same name of the machine but another address, both processes may exist. Then this member must also be
-// unresponsive, and the other one must have responded to a message that was sent lately.
+// unresponsive, and the other member must be alive and have responded to a message that was sent recently.
 func (m memberView) supersededBy(other memberView) bool {
 	if !m.sameMachineAs(other) {
 		return false
@@ -201,7 +201,7 @@
 	return slices.ContainsFunc(v.members, func(m memberView) bool { return m.ID == id })
 }
 
-// with returns a plan in which a member is added, or replaces the one with its ID.
+// with returns a plan that adds a member, or replaces the member with the same ID.
 func (v *membershipView) with(changed consensus.Member) membershipPlan {
 	plan := membershipPlan{}
 	for _, member := range v.members {
@@ -217,7 +217,7 @@
 	return plan
 }
 
-// without returns a plan in which a member is removed.
+// without returns a plan that removes a member.
 func (v *membershipView) without(id consensus.MemberID) membershipPlan {
 	plan := membershipPlan{}
 	for _, member := range v.members {
--- a/internal/cluster/replica/open.go
+++ b/internal/cluster/replica/open.go
@@ -24,9 +24,9 @@
 	groups   map[GroupID]*wal.Group
 }
 
-// openDisk locks the folder and reads the disk, or writes a new identity to an empty disk. A damaged disk counts as lost
-// if there are other processes to join: the files on it are moved to a subfolder, and the process starts as a new
-// member. Without other processes the damage is an error, since the disk may have the only copy of the data.
+// openDisk locks the folder and reads the disk, or writes a new identity to an empty disk. If the disk is damaged and there
+// are other processes to join, openDisk moves its files to a subfolder, and the process starts as a new member. Without
+// other processes the damage is an error, since the disk may have the only copy of the data.
 func openDisk(options *Options) (*disk, error) {
 	if err := options.FileSystem.MkdirAll(options.Dir); err != nil {
 		return nil, errors.Wrapf(err, "create folder %s", options.Dir)
@@ -72,8 +72,9 @@
 	return &disk{identity: identity, log: opened, groups: groups}, nil
 }
 
-// newDisk writes an identity to a disk that has none. If the disk has other files, a process has been a member with them
-// under an identity that is unknown now. They are moved to a subfolder, and the process starts as a new member.
+// newDisk writes an identity to a disk that has none. If the disk has other files, an earlier process has been a member
+// with them under an identity that is now unknown. newDisk then moves these files to a subfolder, and the process starts as
+// a new member.
 func newDisk(options *Options) (*disk, error) {
 	vacant, err := wal.Vacant(options.FileSystem, options.Dir)
 	if err != nil {
@@ -109,8 +110,8 @@
 	return openLog(options, identity)
 }
 
-// firstIdentity returns the identity for an empty disk: that of an initial member if Options.Bootstrap lists this
-// process, else that of a new member.
+// firstIdentity returns the identity for an empty disk. If Options.Bootstrap lists this process, it is an initial member's
+// identity, which depends on the address; otherwise it is new and unique.
 func firstIdentity(options *Options) (*wal.Identity, error) {
 	if !slices.Contains(options.Bootstrap, options.Self.Address) {
 		return newIdentity(options)
@@ -177,9 +178,9 @@
 	return restored
 }
 
-// Open locks Options.Dir, reads the disk, and starts all groups from it. Nothing is sent or applied before Run is called.
-// Run must be called, since only it closes the disk again. Open returns a *wal.DamageError if synced data is damaged and
-// there is no other process to join.
+// Open locks Options.Dir, reads the disk, and starts all groups from it. The engine sends no envelopes and applies no
+// entries before Run is called. Run must be called, since only it closes the disk again. Open returns a *wal.DamageError if
+// synced data is damaged and there is no other process to join.
 func Open(options Options) (*Engine, error) {
 	options = options.withDefaults()
 	opened, err := openDisk(&options)
--- a/internal/cluster/replica/peers.go
+++ b/internal/cluster/replica/peers.go
@@ -6,19 +6,19 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// peers has what this process knows about the other processes. It covers all groups.
+// peers has this process's information about the other processes. It is shared by all groups.
 type peers struct {
 	self  consensus.Member
 	known map[consensus.MemberID]*peer
 }
 
-// peer is what this process knows about one other process.
+// peer is this process's information about one other process.
 type peer struct {
 	address             string        // internal address; empty if unknown
 	announced           bool          // the address comes from the process's own envelopes, not from a membership
 	addressSince        time.Duration // when the address became known
 	lastContact         time.Duration // when the newest envelope from it was received; 0 if none was
-	steadySince         time.Duration // start of the present steady contact: no gap above maxContactGap, no avoided leadership
+	steadySince         time.Duration // since then no gap was longer than maxContactGap, and the peer accepted leadership
 	avoidedLeadershipAt time.Duration // when it last stated that it avoids leadership
 }
 
@@ -29,7 +29,7 @@
 	return &peers{self: self, known: map[consensus.MemberID]*peer{}}
 }
 
-// get returns the entry of a peer, a new one if there is none.
+// get returns the entry of a peer. It creates a missing entry.
 func (p *peers) get(id consensus.MemberID) *peer {
 	known := p.known[id]
 	if known == nil {
@@ -39,8 +39,8 @@
 	return known
 }
 
-// announcementLifetime is the time after the last contact with a process for which the address that it has announced in
-// its envelopes takes precedence over that of a membership.
+// announcementLifetime is how long after the last contact with a process the address in its envelopes takes precedence
+// over its address in a membership.
 const announcementLifetime = 5 * time.Second
 
 // learnAddresses adopts the addresses of a membership, except for processes that have announced their address lately.
@@ -61,7 +61,7 @@
 	}
 }
 
-// recordContact records that an envelope was received, and what it states about its sender.
+// recordContact records that an envelope was received, its sender's address, and whether the sender avoids leadership.
 func (p *peers) recordContact(envelope *Envelope, now time.Duration) {
 	known := p.get(envelope.From)
 	if envelope.Address != "" {
@@ -96,7 +96,7 @@
 	return now
 }
 
-// avoidanceLifetime is the time for which a peer's statement that it avoids leadership is valid.
+// avoidanceLifetime is how long a peer's statement that it avoids leadership is valid.
 const avoidanceLifetime = 2 * time.Second
 
 // acceptsLeadership reports whether a peer is known and has not stated within avoidanceLifetime that it avoids leadership.
--- a/internal/cluster/replica/proposals.go
+++ b/internal/cluster/replica/proposals.go
@@ -9,8 +9,8 @@
 // does not fill the memory.
 const maxUnwrittenBytes = 8 << 20
 
-// proposal is a command that this process has proposed and that is not committed yet. index and term are those of its
-// entry.
+// proposal is a command that this process has proposed and that is not committed yet. index and term are the index and term
+// of the command's entry.
 type proposal struct {
 	index, term uint64
 	done        func(result any, err error)
@@ -64,7 +64,7 @@
 	oldest.done(result, nil)
 }
 
-// failProposals fails all proposals whose entries are not committed yet.
+// failProposals fails all pending proposals with failure.UnknownOutcome.
 func (g *group) failProposals() {
 	proposals := g.proposals
 	g.proposals = nil
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -12,12 +12,12 @@
 // # Guarantees
 //
 //   - A message that depends on an entry, a vote or a term is sent only after that is synced to disk.
-//   - A command whose proposer got a result is on the disks of a quorum.
+//   - A command is on the disks of a quorum before its proposer gets a result.
 //   - A state machine gets the committed commands of its group in the order of the log.
 //
 // Callers must allow for the following:
 //
-//   - A command whose proposer got failure.UnknownOutcome may still be applied later.
+//   - A command may still be applied after its proposer got failure.UnknownOutcome.
 //   - The Sender may lose or duplicate envelopes.
 //   - If a state machine cannot restore a snapshot of its group, the engine ends.
 package replica
@@ -43,15 +43,14 @@
 	Apply(index, term uint64, data []byte) any
 	// Snapshot returns the complete state, encoded. The caller may keep the slice, so it must not be modified afterwards.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state with that of an earlier Snapshot, from this member or another one. An error ends the
-	// engine.
+	// Restore replaces the state with the state that this or another member encoded by Snapshot. An error ends the engine.
 	Restore(data []byte) error
 }
 
 // LeadershipObserver is an optional interface of a StateMachine, which the engine notifies of leadership.
 type LeadershipObserver interface {
 	// Leading is called once this member leads the group and has applied an entry of its own term. From then on its state
-	// includes all that earlier leaders committed (Raft thesis, section 6.4).
+	// includes all entries that earlier leaders committed (Raft thesis, section 6.4).
 	Leading(term uint64)
 	// Following is called when the leadership that Leading announced ends.
 	Following()
@@ -73,9 +72,9 @@
 	Forwarded bool // a member that does not lead forwarded the request; it is not forwarded a second time
 }
 
-// Envelope has everything that a process sends to another one in one step of its loop. It has no response, and may be
-// lost or duplicated. It is encoded by gob: the names of its fields, and of those of all types in it, are the wire
-// format.
+// Envelope has all messages and requests that a process sends to another process in one step of its loop. It has no
+// response, and may be lost or duplicated. It is encoded by gob: the field names of Envelope and of all types that it
+// contains are the wire format.
 type Envelope struct {
 	From      consensus.MemberID
 	Address   string // internal address of From
@@ -95,7 +94,7 @@
 // Options configure an Engine.
 type Options struct {
 	FileSystem vfs.FS
-	Dir        string // folder for the log, the snapshots and the identity; nothing else may use it
+	Dir        string // folder for the log, the snapshots and the identity; no other code may use it
 	Groups     map[GroupID]StateMachine
 	Self       consensus.Member // this process's Node, Zone and Address; its ID is read from the disk
 
@@ -104,7 +103,7 @@
 	// an initial member only if its disk is empty.
 	Bootstrap []string
 	Peers     []string // internal addresses of processes to which this one sends requests to join
-	DiskBytes int64    // size of the disk in bytes, of which the engine uses at most half; 0 selects 128 MiB
+	DiskBytes int64    // size of the disk in bytes; the engine uses at most half; 0 selects 128 MiB
 
 	Sender Sender
 	Clock  clockwork.Clock // nil selects the system's clock
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// startSnapshot starts to write a snapshot of the machine's state to disk, and reports whether it did. It does not if
-// nothing was applied since the newest snapshot on disk, if the last attempt failed less than snapshotRetryInterval ago, or
-// if the machine cannot make a snapshot now.
+// startSnapshot starts to write a snapshot of the machine's state to disk, and reports whether it did. It does not start
+// if no entry was applied since the newest snapshot on disk, if the last attempt failed less than snapshotRetryInterval
+// ago, or if the machine cannot make a snapshot now.
 func (g *group) startSnapshot() bool {
 	e := g.engine
 	if g.appliedIndex <= g.snapshots.index || e.now < g.snapshots.retryAt {
--- a/internal/cluster/replica/step.go
+++ b/internal/cluster/replica/step.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// processOutputs carries out the outputs of all groups, and updates who leads them, until nothing changes any more.
+// processOutputs carries out the outputs of all nodes and updates the groups' leadership. It repeats this until no node has
+// output and no leadership changes, since applying an output may cause further output in any group.
 func (e *Engine) processOutputs() {
 	for changed := true; changed; {
 		changed = false
--- a/internal/cluster/replica/transfers.go
+++ b/internal/cluster/replica/transfers.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// balanceInterval is the time between two transfers by which this process balances leaderships.
+	// balanceInterval is the time between two transfers that this process starts to balance leaderships.
 	balanceInterval = time.Second
 	// groupBalanceInterval is the time between two transfers of the same group's leadership to balance leaderships.
 	groupBalanceInterval = 10 * time.Second
@@ -98,8 +98,8 @@
 	}
 }
 
-// transferLeadership starts a transfer of the group's leadership to its successor. It does nothing if this member does not
-// lead, a transfer is in progress or was started recently, or no voter can lead.
+// transferLeadership starts a transfer of the group's leadership to its successor. It does not start one if this member
+// does not lead, a transfer is in progress or was started recently, or no other voter can lead.
 func (g *group) transferLeadership() {
 	now := g.engine.now
 	status := g.node.Status()
@@ -119,7 +119,8 @@
 	_ = g.node.TransferLeadership(now, successor)
 }
 
-// successor returns the voter that lacks the fewest entries among those that can lead, or consensus.None.
+// successor returns, of the other voters that can lead and are not losing their vote, the voter that lacks the fewest
+// entries. It returns consensus.None if there is no such voter.
 func (g *group) successor(members []consensus.Member) consensus.MemberID {
 	successor, minBehind := consensus.None, uint64(math.MaxUint64)
 	for _, member := range stayingVoters(members) {
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -97,8 +97,8 @@
 	return func() { close(writes) }
 }
 
-// write executes a write on the disk's goroutine: it writes the snapshots, appends the batch, and removes files that the
-// log needs no more. It returns the size of the log.
+// write executes a write on the disk's goroutine: it writes the snapshots, appends the batch, and removes obsolete files.
+// It returns the size of the log, and the groups that prevent the removal of the oldest segment.
 func (w *writer) write(next *diskWrite) (diskUsage, error) {
 	for _, i := range next.installs {
 		if err := wal.WriteSnapshot(w.engine.options.FileSystem, w.engine.options.Dir, i.group, i.snapshot); err != nil {
@@ -138,8 +138,8 @@
 	w.includeGroup(g, snapshot.Index, snapshot.Term)
 }
 
-// includeGroup records that the pending write has something of a group. index and term are those of the group's newest
-// entry or snapshot in the write, or 0 if there is none.
+// includeGroup records that the pending write has a hard state, entries or a snapshot of a group. index and term are the
+// index and term of the group's newest entry or snapshot in the write, or 0 if the write has only a hard state.
 func (w *writer) includeGroup(g *group, index, term uint64) {
 	g.lastWrite = w.pending.number
 	if index > 0 {
@@ -171,8 +171,8 @@
 	}
 }
 
-// submit gives the disk the next write, or again the one that has failed. It does nothing while a write is in progress,
-// before the time of a retry, and if there is nothing to write.
+// submit starts the next write, or repeats the failed write. It returns at once while a write is in progress, before the
+// time of a retry, and if the pending batch is empty.
 func (w *writer) submit() {
 	if w.busy || w.engine.now < w.health.retryAt {
 		return
@@ -201,8 +201,8 @@
 	return next
 }
 
-// finish handles the outcome of a write on the loop. After a success it reports to the nodes what is on disk, and sends
-// the messages that waited for the write.
+// finish handles the outcome of a write on the loop. After a success it reports to the nodes up to which entry their logs
+// are on disk, and sends the messages that waited for the write.
 func (w *writer) finish(done *diskWrite, usage diskUsage, err error) {
 	w.busy = false
 	if err != nil {
