--- a/internal/cluster/replica/bench_test.go
+++ b/internal/cluster/replica/bench_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkCommit measures how long three machines take to commit 100 commands, of which ten at a time are proposed.
+// BenchmarkCommit measures how long three machines take to commit 100 commands, proposed ten at a time.
 func BenchmarkCommit(b *testing.B) {
 	RegisterTestingT(b)
 	c := newCluster(1, 1)
--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -75,8 +75,8 @@
 	Expect(c.configure(change(c.version(), 10)).Version).To(Equal(newest + 1))
 }
 
-// A member that was down for long gets what it missed as entries or, if the log was compacted, as a snapshot. It must soon
-// have the same state as the others, and must be able to lead with it.
+// A member that was down for long gets the missing entries or, if the log was compacted, a snapshot. It must soon have the
+// same state as the other members, and must be able to lead with this state.
 var _ = Describe("A member that was down", func() {
 	DescribeTable("has everything within 5 s after its return, and can lead",
 		func(changes, bytes int) {
@@ -271,7 +271,7 @@
 		end(c, away)
 	})
 
-	// The power fails after one more call of the file system in each round, until the write takes no more calls than that.
+	// In each round the power fails one call of the file system later, until the write completes before the power fails.
 	It("is on disk completely or not at all, wherever the power fails while it is written", func() {
 		for calls := 1; ; calls++ {
 			c, away := begin(57, 1, 300)
--- a/internal/cluster/replica/chaos_test.go
+++ b/internal/cluster/replica/chaos_test.go
@@ -121,7 +121,8 @@
 	}
 }
 
-// seedsFrom returns the seeds to run: the one in REPLICA_SEED, or as many as REPLICA_SEEDS says, or count.
+// seedsFrom returns the seeds to run: only the seed in REPLICA_SEED if that is set. Otherwise it returns the seeds from 0,
+// as many as REPLICA_SEEDS states, or count if that is not set.
 func seedsFrom(count uint64) []uint64 {
 	if text := os.Getenv("REPLICA_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
--- a/internal/cluster/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -43,7 +43,7 @@
 	heartbeat   time.Duration // Options.HeartbeatInterval
 	election    time.Duration // Options.ElectionTimeout
 	logger      log.Logger
-	acked       map[GroupID][]string // lines whose proposers were told that they are applied
+	acked       map[GroupID][]string // lines that were acknowledged to their proposers as applied
 	nextCommand int
 	steps       int                                                // number of steps of all engines
 	sent        int                                                // number of envelopes sent
@@ -162,7 +162,8 @@
 	}
 }
 
-// leader returns the machine that leads a group, the one with the newest term if there are several, or nil.
+// leader returns the machine that leads a group, or nil if no machine does. It ignores frozen machines. If several machines
+// believe that they lead, it returns the machine with the newest term.
 func (c *cluster) leader(id GroupID) *machine {
 	var newest *machine
 	term := uint64(0)
@@ -311,7 +312,7 @@
 	return names
 }
 
-// current reports whether every member of a group is the present identity of a machine, up or not.
+// current reports whether each member of a group has the current identity of a machine, which may be down.
 func (c *cluster) current(id GroupID) bool {
 	identities := map[consensus.MemberID]bool{}
 	for _, m := range c.machines {
--- a/internal/cluster/replica/combined_test.go
+++ b/internal/cluster/replica/combined_test.go
@@ -24,8 +24,8 @@
 }
 
 // One machine's disk is wiped, one machine is decommissioned, one is partitioned for two seconds, and a new one joins, in
-// any order. Each of these changes the membership, so they can get in each other's way. Nothing that was acknowledged may
-// be lost, and in the end all machines must vote, except one that was replaced.
+// any order. Each of these events can change the membership, so they can interfere with each other. No acknowledged command
+// may be lost, and in the end all machines must vote, except a machine that was replaced.
 var _ = Describe("Three machines and a new one", func() {
 	for _, gap := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
 		It(fmt.Sprintf("lose nothing and all vote after a wipe, a decommission, a partition and a join, in any order, %v apart", gap), func() {
--- a/internal/cluster/replica/confirmations_test.go
+++ b/internal/cluster/replica/confirmations_test.go
@@ -95,7 +95,7 @@
 
 	It("is sent after all functions of its step have run, and confirms the requests of all of them", func() {
 		c, leader := idleCluster()
-		leader.engine.step() // sends what was due before
+		leader.engine.step() // sends the envelopes that are due already, so that sent counts only later ones
 		c.run(time.Millisecond)
 		sent := c.sent
 		var sentAtRequest []int
--- a/internal/cluster/replica/exposure_test.go
+++ b/internal/cluster/replica/exposure_test.go
@@ -46,7 +46,7 @@
 
 // wins reports whether a candidate gets the votes of a quorum of the membership on its own disk. Voters grant their votes
 // if the candidate's log is at least as up-to-date as theirs. A candidate that this membership removes may campaign too,
-// without counting its own vote, as long as it does not know that the membership is committed.
+// without its own vote, until it knows that the membership is committed.
 func (d disks) wins(id GroupID, candidate consensus.MemberID, m *machine, lost consensus.MemberID) bool {
 	own := m.durable[id]
 	node := m.engine.byID[id].node
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -20,7 +20,7 @@
 type recorder struct {
 	Lines    []string
 	Last     uint64 // index of the newest applied command
-	leading  uint64 // term in which it was told that it leads; 0 if it does not
+	leading  uint64 // term of the last call of Leading; 0 after Following
 	began    int    // number of calls of Leading
 	ended    int    // number of calls of Following
 	restored int    // number of calls of Restore
@@ -105,7 +105,7 @@
 	Expect(m.open(bootstrap)).To(Succeed())
 }
 
-// open does what start does, and returns the error of Open.
+// open is like start, but returns the error of Open.
 func (m *machine) open(bootstrap []string) error {
 	m.recorders = map[GroupID]*recorder{}
 	m.states = map[GroupID]realState{}
@@ -171,7 +171,7 @@
 	m.cluster.writes++
 }
 
-// background simulates work off the loop, which takes three times as long as a write.
+// background simulates work outside the loop. The work takes three times as long as a write.
 func (m *machine) background(job func() func()) {
 	engine, incarnation := m.engine, m.incarnation
 	m.cluster.at(3*m.diskDelay, func() {
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// margin returns how many of its living voters a membership can lose and still have a majority of them. It is negative if
-// the living voters have no majority.
+// margin returns how many living voters a membership can lose while a majority of its voters stays alive. It is negative if
+// the living voters are no majority.
 func margin(members []consensus.Member, isAlive func(consensus.MemberID) bool) int {
 	voters, alive := 0, 0
 	for _, member := range members {
@@ -93,7 +93,7 @@
 	}
 }
 
-// voterConditions are the conditions in which a voter may be in the views that are checked.
+// voterConditions are the conditions of voters in the checked views.
 var voterConditions = []func(m memberView) memberView{
 	present,
 	unresponsive(time.Second),
@@ -101,7 +101,7 @@
 	unresponsive(4 * time.Second),
 	unresponsive(2 * time.Minute),
 	avoiding,
-	func(m memberView) memberView { // unresponsive for 4 s, at a leader whose term is only 100 ms old
+	func(m memberView) memberView { // unresponsive for 4 s; the leader's term started only 100 ms ago
 		m = unresponsiveFor(m, 4*time.Second)
 		m.sinceAnswer = 100 * time.Millisecond
 		return m
@@ -123,8 +123,7 @@
 	return m
 }
 
-// successorConditions are the conditions in which the additional member, the successor, may be in the views that are
-// checked.
+// successorConditions are the conditions of the additional member, the successor, in the checked views.
 var successorConditions = []func(m memberView) memberView{
 	func(m memberView) memberView { return learning(m, 0) },
 	func(m memberView) memberView { return learning(m, maxCaughtUpAge+1) },
@@ -138,7 +137,7 @@
 // location is the machine and address of the successor.
 type location struct {
 	node, address string
-	reached       time.Duration // how long ago the newest message was sent to which the successor has responded
+	reached       time.Duration // time since the sending of the newest message that the successor has answered
 }
 
 // locations returns a new machine, and for each voter its machine, its machine at a new address, and its address under a
--- a/internal/cluster/replica/membership_test.go
+++ b/internal/cluster/replica/membership_test.go
@@ -31,13 +31,13 @@
 	return m
 }
 
-// reached makes a member one that has responded to a message which the leader sent so long ago.
+// reached sets how long ago the leader sent the newest message that a member has answered.
 func reached(m memberView, ago time.Duration) memberView {
 	m.reachedAt = viewTime - ago
 	return m
 }
 
-// answersLate makes a member one whose responses are recent, but are all to messages that were sent a minute ago.
+// answersLate makes a member's recent responses answers to messages that the leader sent a minute ago.
 func answersLate(m memberView) memberView {
 	m.sinceReached = time.Minute
 	return m
@@ -49,13 +49,13 @@
 	return m
 }
 
-// moved makes a member one whose address has been known only for some time.
+// moved sets how long ago a member's current address became known.
 func moved(m memberView, ago time.Duration) memberView {
 	m.addressSince = viewTime - ago
 	return m
 }
 
-// youngTerm makes a member one that has not responded since the start of the leader's term, a second ago.
+// youngTerm makes the leader's term start a second ago, without a response from the member since then.
 func youngTerm(m memberView) memberView {
 	m.sinceAnswer = time.Second
 	return m
@@ -77,7 +77,7 @@
 	three := func(third time.Duration) []memberView {
 		return []memberView{seen(1, "a", 0), seen(2, "b", now), seen(3, "c", third)}
 	}
-	// votes lists the IDs of a plan's members, those of learners as negative numbers; nil if there is no plan.
+	// votes lists the IDs of a plan's members, with negative IDs for learners; nil if no change is due.
 	votes := func(plan membershipPlan) []int {
 		var list []int
 		for _, member := range plan.members {
@@ -91,7 +91,7 @@
 	}
 
 	// Each entry has the members as the leader sees them, the requests to join, and the members after the change; nil if no
-	// change is due. Member 1 is the leader. now, soon and long are times for which a member has been unresponsive.
+	// change is due. Member 1 is the leader. now, soon and long state how long a member has been unresponsive.
 	DescribeTable("plans one change:",
 		func(members []memberView, joiners []consensus.Member, expected []int) {
 			plan := planMembership(membershipView{self: members[0].Member, members: members, joiners: joiners})
--- a/internal/cluster/replica/rejoin_test.go
+++ b/internal/cluster/replica/rejoin_test.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/consensus"
 )
 
-// controlCluster returns a cluster with the timing of control processes, in which all machines vote.
+// controlCluster returns a cluster with the timing of control processes. All machines vote.
 func controlCluster(seed uint64, members int) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, controlGroups)
@@ -86,8 +86,8 @@
 		}
 	})
 
-	// Late envelopes and requests to join make members of lost disks look alive at the machine's address. They must not count
-	// as a proof that the present member is gone.
+	// Late envelopes and requests to join make members of lost disks look alive at the machine's address. The leader must
+	// not take them as a proof that the current member is gone.
 	It("keeps its vote while envelopes of its earlier members arrive late", func() {
 		for seed := range uint64(6) {
 			c := controlCluster(seed, 3)
@@ -171,8 +171,8 @@
 		}
 	})
 
-	// The repair moves votes to members with new disks. If a new member voted before it had what was committed, a power
-	// failure of the others could lose committed entries, or leave a group without a quorum.
+	// The repair moves votes to members with new disks. If a new member voted before it had the committed entries, a power
+	// failure of the other machines could lose committed entries, or leave a group without a quorum.
 	DescribeTable("is repaired without a loss, although all other machines lose power at any moment:",
 		func(members, wiped int) {
 			for seed := range repairSeeds() * 5 {
@@ -252,7 +252,7 @@
 				c.add("core-4", "10.0.0.4:7380").start(nil)
 				names := slices.DeleteFunc(c.names(), func(name string) bool { return name == m.name })
 				Expect(c.until(2*time.Second, c.votersAre(names...))).To(BeTrue())
-				c.run(25 * time.Second) // until no leadership is transferred any more to balance
+				c.run(25 * time.Second) // until the leaderships are balanced and none is transferred
 				terms := c.terms()
 				back(m)
 				c.proposeFor(time.Second)
@@ -356,7 +356,7 @@
 	})
 })
 
-// keepProposing proposes a line in each group every 2 ms for as long as the cluster runs.
+// keepProposing proposes a line in each group every 2 ms while the cluster runs.
 func keepProposing(c *cluster) {
 	c.at(2*time.Millisecond, func() {
 		for id := range GroupID(c.groups) {
@@ -366,7 +366,7 @@
 	})
 }
 
-// votesIn reports whether the present member of a machine votes in a group.
+// votesIn reports whether the current member of a machine votes in a group.
 func (c *cluster) votesIn(id GroupID, m *machine) bool {
 	return slices.Contains(sortedVoters(c.leader(id).engine.Members(id)), m.engine.self.ID)
 }
@@ -384,7 +384,7 @@
 }
 
 var _ = Describe("A machine that moved with its disk", func() {
-	// Otherwise a process that gets the machine's old address would count as the machine's successor.
+	// Otherwise the leader would treat a process that gets the machine's old address as the machine's successor.
 	It("is known at the address that it announces before the membership has that address", func() {
 		c := controlCluster(1, 3)
 		moved := c.machines[(indexOf(c, c.leader(0))+1)%3]
--- a/internal/cluster/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -26,16 +26,16 @@
 	slowDisk                   = 30 * fastDisk
 )
 
-// repairLimit is the time after which a repair is given up and counts as failed.
+// repairLimit is the time after which the test stops waiting for a repair and records it as failed.
 const repairLimit = 20 * time.Second
 
 // repairBound is the time that no repair may exceed.
 const repairBound = 15 * time.Second
 
-// repairCase is a kind of loss whose repair is measured.
+// repairCase is a kind of loss, for which the test measures the repair.
 type repairCase struct {
 	name    string
-	members int             // number of machines, all of which vote
+	members int             // number of machines; all vote
 	disk    time.Duration   // time that a write takes on each disk
 	lose    func(r *repair) // loses a machine or disk, and starts the replacement
 }
@@ -44,13 +44,13 @@
 // replacement votes and has on disk all that was committed by then.
 type repair struct {
 	cluster       *cluster
-	lost          *machine             // the machine whose member was lost
-	removed       *machine             // a machine that does not come back; nil if all do
-	fresh         *machine             // the machine whose member has to become a voter
+	lost          *machine             // the machine that lost its member
+	removed       *machine             // a machine that does not come back; nil if all come back
+	fresh         *machine             // the machine with the new member, which has to become a voter
 	old           []consensus.MemberID // members that have to be dropped
 	startedAt     time.Duration        // when the fresh process started
 	targetCommits map[GroupID]uint64   // by group, the commit index when the fresh member was a voter and the old ones dropped
-	fatal         stopwatch            // time in which the loss of one more disk would have been fatal
+	fatal         stopwatch            // total time during which the loss of one more disk would have been fatal
 
 	observedWrites int // number of writes at the last observation
 }
@@ -58,7 +58,7 @@
 // repairFigures are the results of one repair.
 type repairFigures struct {
 	total    time.Duration // from the start of the fresh process to full redundancy
-	fatal    time.Duration // part of total in which the loss of one more disk would have been fatal
+	fatal    time.Duration // part of total during which the loss of one more disk would have been fatal
 	repaired bool          // the group was fully redundant within repairLimit
 }
 
@@ -85,8 +85,8 @@
 	r.fresh.start(nil)
 }
 
-// removedPermanently ends a process whose machine does not come back, and starts an empty machine, of the same or another
-// name, 0.5 to 5 seconds later.
+// removedPermanently ends the process of a machine that does not come back. It starts an empty machine, with the same or
+// another name, 0.5 to 5 seconds later.
 func removedPermanently(sameName bool) func(r *repair) {
 	return func(r *repair) {
 		r.lost.kill()
@@ -130,7 +130,7 @@
 // load lets the cluster run while it proposes a line every 30 ms on average.
 func (r *repair) load(span time.Duration) { r.cluster.proposeFor(span) }
 
-// keepLoading proposes a line every 20 ms on average for as long as the cluster runs.
+// keepLoading proposes a line every 20 ms on average while the cluster runs.
 func (r *repair) keepLoading() {
 	c := r.cluster
 	c.at(c.between(0, 40*time.Millisecond), func() {
--- a/internal/cluster/replica/states_test.go
+++ b/internal/cluster/replica/states_test.go
@@ -235,15 +235,15 @@
 	return nil
 }
 
-// A client that got no outcome submits its change again. The change must be applied once, or not at all if another change
-// came first, whatever became of the first attempt.
+// A client that got no outcome submits its change again. Whether or not the first attempt was committed, the change must be
+// applied once, or never if another change came first.
 var _ = Describe("A configuration change that is submitted twice", func() {
 	first := change(0, 10)
 	again := change(1, 10)
 	rival := configuration.Command{Kind: protocol.ConfigurationUpdate, Base: 1, Body: []byte(`{"version":2}`)}
 
-	// start returns a cluster at version 1, whose leader has a proposal for version 2 that it cannot commit. No envelopes
-	// arrive at that leader. Those that it sends arrive only if appendsArrive is set.
+	// start returns a cluster at version 1. Its leader has a proposal for version 2 that it cannot commit, since no
+	// envelopes arrive at that leader. The envelopes that it sends arrive only if appendsArrive is set.
 	start := func(appendsArrive bool) (c *cluster, old *machine, firstAttempt *error) {
 		c = newRealStateCluster(31)
 		c.startFirst(3)
