--- a/internal/cluster/replica/catchup_test.go
+++ b/internal/cluster/replica/catchup_test.go
@@ -171,8 +171,8 @@
 	})
 })
 
-// Each spec disturbs the transfer of a snapshot that has several chunks. The member must have everything in the end, and
-// must be able to lead with it.
+// Each spec disturbs the transfer of a snapshot that has several chunks. In the end the member must have the complete state
+// and must be able to lead.
 var _ = Describe("A snapshot that is being sent", func() {
 	// begin starts a machine that was down and needs a snapshot of about 600 KB (for 3000 routes), and waits until a number of
 	// chunks have arrived.
--- a/internal/cluster/replica/chaos_test.go
+++ b/internal/cluster/replica/chaos_test.go
@@ -76,8 +76,8 @@
 	},
 }
 
-// loseOneDiskAndAllPower loses one disk while all other machines lose power. This is the worst fault that a control plane
-// which tolerates the loss of one machine has to tolerate.
+// loseOneDiskAndAllPower loses one disk while all other machines lose power. A control plane that tolerates the loss of one
+// machine must survive this fault. It need not survive a worse fault.
 func loseOneDiskAndAllPower(c *cluster, m *machine) func() {
 	for _, other := range c.machines {
 		if other == m {
@@ -93,8 +93,8 @@
 	}
 }
 
-// runFaults runs a cluster with six faults one after the other, while lines are being proposed. After each fault the
-// cluster has four seconds to recover.
+// runFaults runs a cluster with six successive faults, while lines are being proposed. After each fault the cluster has
+// four seconds to recover.
 func runFaults(seed uint64) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, 2)
--- a/internal/cluster/replica/cluster_test.go
+++ b/internal/cluster/replica/cluster_test.go
@@ -227,7 +227,8 @@
 	m.wake()
 }
 
-// commit proposes lines one after the other. It repeats each one, under a new name, until one is applied.
+// commit proposes lines, and waits for each before the next. It proposes a line again, under a new name, until one attempt
+// is applied.
 func (c *cluster) commit(id GroupID, lines, size int) {
 	GinkgoHelper()
 	for range lines {
--- a/internal/cluster/replica/confirmations_test.go
+++ b/internal/cluster/replica/confirmations_test.go
@@ -119,8 +119,8 @@
 		}
 	})
 
-	// The responses to a round arrive while the leader is frozen. Another leader is elected. When the first one wakes up, it
-	// reads the responses, which must not confirm a request made since.
+	// The responses to a round arrive while the leader is frozen. Another leader is elected. When the frozen leader wakes
+	// up, it reads the responses. They must not confirm a request that was made after the round.
 	It("confirms no request of a leader that wakes up after another was elected, when it reads the responses", func() {
 		c, old := idleCluster()
 		before := requestConfirmation(old)
--- a/internal/cluster/replica/decommission_test.go
+++ b/internal/cluster/replica/decommission_test.go
@@ -39,7 +39,7 @@
 // hasEnded reports whether the process was told that it may end, and has ended.
 func (d *decommissioning) hasEnded() bool { return d.endedAt > 0 && !d.up }
 
-// A decommissioned process never returns, and its disk is gone. If it ended while some committed entry was on too few other
+// A decommissioned process never returns, and its disk is gone. If it ended while a committed entry was on too few other
 // disks, the loss of one more disk could lose the entry.
 var _ = Describe("Decommission", func() {
 	const timeout = 4500 * time.Millisecond
@@ -154,7 +154,8 @@
 		}
 	})
 
-	// Each of the two could be spared if the other one stayed. If both were approved, one disk would remain.
+	// The group can do without one of the two processes, but not without both. If both were approved, one disk would
+	// remain.
 	It("is approved for one of two processes at once, and for the other when the first is back", func() {
 		for seed := range uint64(10) {
 			startThree(seed)
@@ -188,8 +189,8 @@
 		}
 	})
 
-	// The leader's disk is lost and the third member was isolated, so that the leaving process is the only one with the newest
-	// entries. If it did not campaign, no group would have a leader again.
+	// The leader's disk is lost and the third member was isolated, so only the leaving process has the newest entries. If
+	// it did not campaign, no group would have a leader again.
 	It("lets the process campaign if there is no leader, since it may be the only one with the newest entries", func() {
 		for seed := range uint64(5) {
 			startThree(seed)
@@ -274,8 +275,8 @@
 		Expect(leaving.engine.decommission.approved).To(BeEmpty())
 	})
 
-	// Late envelopes of a process that has ended make it look alive. If it counted, the next process could leave, and only the
-	// leader's disk would remain.
+	// Late envelopes of a process that has ended make it look alive. If a leader took it as alive, it would let the next
+	// process leave, and only the leader's disk would remain.
 	DescribeTable("does not count a voter that has ended, although its old envelopes arrive late:",
 		func(end func(m *machine)) {
 			for seed := range uint64(10) {
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -81,7 +81,7 @@
 	recorders   map[GroupID]*recorder
 	states      map[GroupID]realState
 	bandwidth   float64                  // bytes per second of the links from and to it; 0 for no limit
-	linkFree    map[string]time.Duration // by address, when the link to it has sent all that waits for it
+	linkFree    map[string]time.Duration // by address, when the link to it has sent all waiting envelopes
 	up          bool                     // the process runs
 	frozen      bool                     // the process runs, but takes no steps
 	isolated    bool                     // all envelopes from and to it are lost
@@ -94,8 +94,8 @@
 // logEnd is the index and term of the newest entry of a log.
 type logEnd struct{ index, term uint64 }
 
-// covers reports whether a log that ends here is at least as up-to-date as another, so that its owner may get the other
-// one's vote (Raft, section 5.4.1).
+// covers reports whether a log that ends here is at least as up-to-date as another log, so that its owner may get the vote
+// of the other log's owner (Raft, section 5.4.1).
 func (l logEnd) covers(other logEnd) bool {
 	return l.term > other.term || l.term == other.term && l.index >= other.index
 }
@@ -223,8 +223,8 @@
 	}
 }
 
-// losePower ends the process, and the disk loses everything that was not synced. If a write was in progress, the power fails
-// during that write in half of the cases.
+// losePower ends the process, and the disk loses all unsynced data. If a write was in progress, the power fails during that
+// write in half of the cases.
 func (m *machine) losePower() {
 	m.kill()
 	w := m.engine.writer
--- a/internal/cluster/replica/membership_exhaustive_test.go
+++ b/internal/cluster/replica/membership_exhaustive_test.go
@@ -152,7 +152,7 @@
 }
 
 // eachView calls f with every view of a number of voters and one successor. The first voter is the leader and is always
-// responsive; each other one is in each of the possible conditions.
+// responsive; each other voter is in each of the possible conditions.
 func eachView(voters int, possible []func(m memberView) memberView, f func(membershipView)) {
 	conditions := make([]int, voters)
 	for {
--- a/internal/cluster/replica/outbox.go
+++ b/internal/cluster/replica/outbox.go
@@ -2,8 +2,8 @@
 
 import "ospreypond/internal/cluster/consensus"
 
-// outbox collects everything that a step sends, in one envelope for each address. flush sends the envelopes at the end of
-// the step.
+// outbox collects the messages, requests and approvals of a step, in one envelope for each address. flush sends the
+// envelopes at the end of the step.
 type outbox struct {
 	engine  *Engine
 	pending []addressedEnvelope
@@ -39,7 +39,7 @@
 }
 
 // addApproval adds the approval of another member's decommission. It drops the approval if the address is empty, which
-// stands for an unknown one.
+// stands for an unknown address.
 func (o *outbox) addApproval(address string, approval DecommissionApproval) {
 	if address == "" {
 		return
@@ -48,7 +48,7 @@
 	envelope.Releases = append(envelope.Releases, approval)
 }
 
-// envelopeFor returns this step's envelope to an address, a new one if there is none yet.
+// envelopeFor returns this step's envelope to an address. It creates a missing envelope.
 func (o *outbox) envelopeFor(address string) *Envelope {
 	for i := range o.pending {
 		if o.pending[i].address == address {
--- a/internal/cluster/replica/overview.go
+++ b/internal/cluster/replica/overview.go
@@ -45,7 +45,7 @@
 	return overview, true
 }
 
-// DiskOverview describes the disk to operators. The sizes are those after the newest successful write.
+// DiskOverview describes the disk to operators. The sizes are as of the newest successful write.
 type DiskOverview struct {
 	Unhealthy bool  // writes fail, or take slowWriteTime or longer
 	LogBytes  int64 // length of all segments of the log
--- a/internal/cluster/replica/repair_test.go
+++ b/internal/cluster/replica/repair_test.go
@@ -40,8 +40,8 @@
 	lose    func(r *repair) // loses a machine or disk, and starts the replacement
 }
 
-// repair is one loss, and the way back to full redundancy: the members that were lost are dropped in all groups, and the
-// replacement votes and has on disk all that was committed by then.
+// repair is one loss, and the way back to full redundancy: the lost members are dropped in all groups, and the replacement
+// votes and has on disk all entries that were committed by then.
 type repair struct {
 	cluster       *cluster
 	lost          *machine             // the machine that lost its member
@@ -187,8 +187,8 @@
 	return names
 }
 
-// redundant reports whether all groups are fully redundant: the old members are dropped, and the fresh one votes and has on
-// its disk all that was committed by then.
+// redundant reports whether all groups are fully redundant: the old members are dropped, and the fresh member votes and has
+// on its disk all entries that were committed by then.
 func (r *repair) redundant(voters int) bool {
 	for id := range GroupID(r.cluster.groups) {
 		leader := r.cluster.leader(id)
--- a/internal/cluster/replica/replace_test.go
+++ b/internal/cluster/replica/replace_test.go
@@ -18,8 +18,8 @@
 		Expect(c.until(time.Second, c.votersAre("core-1", "core-2", "core-3", "core-4"))).To(BeTrue())
 	})
 
-	// After the first machine has ended, two voters and its successor remain. If the first one kept its vote, the loss of the
-	// successor would leave two of four voters, which is no quorum.
+	// After the first machine has ended, two voters and its successor remain. If the first machine's member kept its vote,
+	// the loss of the successor would leave two of four voters, which is no quorum.
 	DescribeTable("loses its vote once it has ended, so that the loss of its successor does no harm",
 		func(end func(m *machine)) {
 			for seed := range uint64(10) {
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -43,7 +43,7 @@
 	snapshotSendInterval = time.Second
 )
 
-// snapshotState decides when a group's log is replaced with a snapshot, and when one may be made for other members.
+// snapshotState decides when a group's log is replaced with a snapshot, and when a snapshot may be made for other members.
 type snapshotState struct {
 	index    uint64        // index of the newest snapshot on disk
 	size     int           // length in bytes of the newest snapshot that this process made and wrote to disk; 0 if none
@@ -95,7 +95,7 @@
 	}
 }
 
-// takeSnapshot returns a snapshot of the machine's present state, with the membership as of the same index.
+// takeSnapshot returns a snapshot of the machine's current state, with the membership as of the same index.
 func (g *group) takeSnapshot() (*consensus.Snapshot, error) {
 	data, err := g.machine.Snapshot()
 	if err != nil {
@@ -159,8 +159,8 @@
 // and the log in memory up to an index somewhat before it. covered is the length in bytes of the log that the snapshot
 // covers.
 //
-// The log in memory keeps about trailingBytes before the snapshot, and everything that RetainFrom wants for members that
-// are being sent entries.
+// The log in memory keeps about trailingBytes before the snapshot, and all entries after Node.RetainAfter, which members
+// still need.
 func (g *group) finishSnapshot(snapshot *consensus.Snapshot, covered int64, err error) {
 	g.engine.writingSnapshot = false
 	if err != nil {
@@ -179,8 +179,8 @@
 	g.node.Compact(min(snapshot.Index-min(trailingEntries(entries, covered), entries), g.node.RetainAfter(maxRetainedBytes)))
 }
 
-// trailingEntries returns how many entries of average length have trailingBytes, given that so many entries have that many
-// bytes.
+// trailingEntries returns how many entries of average length have trailingBytes. entries and bytes are the number of
+// entries and their total length, which give the average.
 func trailingEntries(entries uint64, bytes int64) uint64 {
 	mean := max(uint64(bytes)/max(entries, 1), 1)
 	return trailingBytes / mean
--- a/internal/cluster/replica/states_test.go
+++ b/internal/cluster/replica/states_test.go
@@ -164,7 +164,7 @@
 	return configuration.Command{Kind: protocol.ConfigurationUpdate, Base: base, Body: []byte(body)}
 }
 
-// changeMany makes changes of the configuration one after the other, and proposes a job with each.
+// changeMany makes successive changes of the configuration, and proposes a job with each.
 func (c *cluster) changeMany(changes, bytes int) {
 	GinkgoHelper()
 	for range changes {
--- a/internal/cluster/replica/wal/crash_test.go
+++ b/internal/cluster/replica/wal/crash_test.go
@@ -38,7 +38,7 @@
 	return written + more, err
 }
 
-// model is the state of one group that the log is expected to have.
+// model is the expected state of one group.
 type model struct {
 	hard     consensus.HardState
 	snapshot uint64            // index of the newest snapshot; 0 if there is none
@@ -58,7 +58,7 @@
 	return m
 }
 
-// replace appends entries in place of those at the same and higher indexes.
+// replace appends entries. They replace the entries at the same and higher indexes.
 func (m *model) replace(list []consensus.Entry) {
 	m.entries = m.entries[:list[0].Index-m.snapshot-1]
 	m.entries = append(m.entries, list...)
--- a/internal/cluster/replica/wal/recover.go
+++ b/internal/cluster/replica/wal/recover.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// putEntry appends an entry in place of those at the same and higher indexes.
+// putEntry appends an entry. It replaces the entries at the same and higher indexes.
 //
 // If there is a gap before the entry, the entries before the gap are dropped. A gap is no damage if a later frame has a
 // snapshot that covers it: the segments with the missing entries were removed then. finishGroup checks that.
--- a/internal/cluster/replica/wal/wal.go
+++ b/internal/cluster/replica/wal/wal.go
@@ -39,7 +39,7 @@
 //     cannot be told apart from that, and is treated the same.
 //   - The last batch is complete, but the process ended before it was synced: Open returns its content. The next Append
 //     repeats the batch in a new segment, since the kernel may not have written it yet and may still lose it.
-//   - A write or sync fails: what was written is not trusted, not even if a second sync succeeds. The next Append starts
+//   - A write or sync fails: the written bytes are not trusted, not even if a second sync succeeds. The next Append starts
 //     a new segment, and the previous segment's valid length in its header excludes the failed batch. If the process ends
 //     before that, Open returns either the complete batch or no part of it.
 //   - A new segment is incomplete because the power failed while it was created: Open ignores it. No batch that is only
@@ -219,7 +219,7 @@
 }
 
 // recordEntry updates the highest indexes of all segments for an entry in the newest one. The entry replaces the
-// group's entries at the same and higher indexes, wherever those are: they no longer keep a segment from being removed.
+// group's entries at the same and higher indexes in all segments: these no longer keep a segment from being removed.
 func (l *Log) recordEntry(frame *frameInfo) {
 	newest := l.segments[len(l.segments)-1]
 	for _, segment := range l.segments {
--- a/internal/cluster/replica/writer.go
+++ b/internal/cluster/replica/writer.go
@@ -13,9 +13,9 @@
 // infinite is a deadline that is never reached, or an interval that never ends.
 const infinite = time.Duration(math.MaxInt64)
 
-// writer collects everything that the groups have to write, and passes it to the disk's goroutine as one write with one
-// sync. Only one write is in progress at a time; while the disk is busy, the next one is collected. Messages that depend on
-// a write are sent once it has succeeded. A write that fails is retried until it succeeds.
+// writer collects the snapshots, hard states and entries of all groups, and passes them to the disk's goroutine as one
+// write with one sync of the log. Only one write is in progress at a time; while the disk is busy, the next write is
+// collected. Messages that depend on a write are sent once it has succeeded. A failed write is retried until it succeeds.
 type writer struct {
 	engine *Engine
 	log    *wal.Log
@@ -49,7 +49,7 @@
 	snapshot *consensus.Snapshot
 }
 
-// writtenGroup is a group, and the newest entry that its log has on disk after a write.
+// writtenGroup is a group, with the index and term of the newest entry that its log has on disk after a write.
 type writtenGroup struct {
 	group       *group
 	index, term uint64
