--- a/internal/cluster/replica/decommission.go
+++ b/internal/cluster/replica/decommission.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// requestDecommission sends a request to the group's leader, unless the current phase is already approved.
+// requestDecommission sends a request to the group's leader. It sends none if the group has approved the current phase, or
+// if the leader is unknown or has this process's address.
 func (g *group) requestDecommission() {
 	e := g.engine
 	d := &e.decommission
--- a/internal/cluster/replica/snapshots.go
+++ b/internal/cluster/replica/snapshots.go
@@ -159,8 +159,8 @@
 // and the log in memory up to an index somewhat before it. covered is the length in bytes of the log that the snapshot
 // covers.
 //
-// The log in memory keeps about trailingBytes before the snapshot, and all entries after Node.RetainAfter, which members
-// still need.
+// The log in memory keeps about trailingBytes before the snapshot. It also keeps all entries after the index that
+// Node.RetainAfter returns, since members still need them.
 func (g *group) finishSnapshot(snapshot *consensus.Snapshot, covered int64, err error) {
 	g.engine.writingSnapshot = false
 	if err != nil {
--- a/internal/cluster/replica/wal/identity.go
+++ b/internal/cluster/replica/wal/identity.go
@@ -15,8 +15,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The file of an identity has the magic, which ends with the version of the format; the identity, encoded by gob; and the
-// CRC-32C of both.
+// The file of an identity has the magic, with the version of the format as its last byte; the identity, encoded by gob;
+// and the CRC-32C of both.
 const (
 	identityMagic = "OPIDEN\x00\x01"
 	identityName  = "identity"
--- a/internal/cluster/replica/wal/segment.go
+++ b/internal/cluster/replica/wal/segment.go
@@ -11,8 +11,8 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// A segment starts with a header: the magic, which ends with the version of the format; the segment's number; the valid
-// length of the previous segment in bytes; and the CRC-32C of these. Batches follow the header.
+// A segment starts with a header: the magic, with the version of the format as its last byte; the segment's number; the
+// valid length of the previous segment in bytes; and the CRC-32C of these. Batches follow the header.
 const (
 	segmentMagic      = "OPLOG\x00\x00\x01"
 	segmentHeaderSize = 8 + 8 + 8 + 4 // in bytes
--- a/internal/cluster/replica/wal/snapshot.go
+++ b/internal/cluster/replica/wal/snapshot.go
@@ -16,7 +16,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// The file of a snapshot has the magic, which ends with the version of the format; the length of the head in bytes
+// The file of a snapshot has the magic, with the version of the format as its last byte; the length of the head in bytes
 // (4 bytes, little-endian); the head, encoded by gob; the state machine's data; and the CRC-32C of all of these.
 const (
 	snapshotMagic   = "OPSNAP\x00\x01"
