--- a/internal/cluster/replica/exposure_test.go
+++ b/internal/cluster/replica/exposure_test.go
@@ -21,7 +21,7 @@
 	return left
 }
 
-// oneLossIsFatal reports whether there is a disk whose loss, while all other machines lose power, would leave a group
+// oneLossIsFatal reports whether the loss of a single disk, while all other machines lose power, could leave a group
 // without a member that can be elected.
 func (d disks) oneLossIsFatal(groups int) bool {
 	for lost := range d {
--- a/internal/cluster/replica/membership_test.go
+++ b/internal/cluster/replica/membership_test.go
@@ -37,7 +37,8 @@
 	return m
 }
 
-// answersLate makes a member's responses late: they arrived recently, but answer messages that the leader sent a minute ago.
+// answersLate makes a member's responses late: they arrived recently, but answer messages that the leader sent a minute
+// ago.
 func answersLate(m memberView) memberView {
 	m.sinceReached = time.Minute
 	return m
--- a/internal/cluster/replica/wal/snapshot.go
+++ b/internal/cluster/replica/wal/snapshot.go
@@ -39,7 +39,7 @@
 	return fmt.Sprintf(snapshotPattern, group, index, term)
 }
 
-// WriteSnapshot writes a group's snapshot durably to a file of its own. It may run concurrently with the methods of a
+// WriteSnapshot writes a group's snapshot durably to a separate file. It may run concurrently with the methods of a
 // Log. The log refers to the snapshot only after a batch with Install or Compact was appended; Open removes it if that
 // never happened.
 func WriteSnapshot(files vfs.FS, dir string, group uint32, snapshot *consensus.Snapshot) error {
