--- a/internal/cluster/replica/chaos_test.go
+++ b/internal/cluster/replica/chaos_test.go
@@ -76,8 +76,8 @@
 	},
 }
 
-// loseOneDiskAndAllPower loses one disk while all other machines lose power. This is the worst fault that a control plane
-// which tolerates the loss of one machine has to tolerate.
+// loseOneDiskAndAllPower loses one disk while all other machines lose power. A control plane that tolerates the loss of one
+// machine must survive this fault. It need not survive a worse fault.
 func loseOneDiskAndAllPower(c *cluster, m *machine) func() {
 	for _, other := range c.machines {
 		if other == m {
@@ -93,8 +93,8 @@
 	}
 }
 
-// runFaults runs a cluster with six faults one after the other, while lines are being proposed. After each fault the
-// cluster has four seconds to recover.
+// runFaults runs a cluster with six successive faults, while lines are being proposed. After each fault the cluster has
+// four seconds to recover.
 func runFaults(seed uint64) *cluster {
 	GinkgoHelper()
 	c := newCluster(seed, 2)
@@ -121,7 +121,8 @@
 	}
 }
 
-// seedsFrom returns the seeds to run: the one in REPLICA_SEED, or as many as REPLICA_SEEDS says, or count.
+// seedsFrom returns the seeds to run: only the seed in REPLICA_SEED if that is set. Otherwise it returns the seeds from 0,
+// as many as REPLICA_SEEDS states, or count if that is not set.
 func seedsFrom(count uint64) []uint64 {
 	if text := os.Getenv("REPLICA_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
--- a/internal/cluster/replica/confirmations_test.go
+++ b/internal/cluster/replica/confirmations_test.go
@@ -95,7 +95,7 @@
 
 	It("is sent after all functions of its step have run, and confirms the requests of all of them", func() {
 		c, leader := idleCluster()
-		leader.engine.step() // sends what was due before
+		leader.engine.step() // sends the envelopes that are due already, so that sent counts only later ones
 		c.run(time.Millisecond)
 		sent := c.sent
 		var sentAtRequest []int
@@ -119,8 +119,8 @@
 		}
 	})
 
-	// The responses to a round arrive while the leader is frozen. Another leader is elected. When the first one wakes up, it
-	// reads the responses, which must not confirm a request made since.
+	// The responses to a round arrive while the leader is frozen. Another leader is elected. When the frozen leader wakes
+	// up, it reads the responses. They must not confirm a request that was made after the round.
 	It("confirms no request of a leader that wakes up after another was elected, when it reads the responses", func() {
 		c, old := idleCluster()
 		before := requestConfirmation(old)
--- a/internal/cluster/replica/machine_test.go
+++ b/internal/cluster/replica/machine_test.go
@@ -20,7 +20,7 @@
 type recorder struct {
 	Lines    []string
 	Last     uint64 // index of the newest applied command
-	leading  uint64 // term in which it was told that it leads; 0 if it does not
+	leading  uint64 // term of the last call of Leading; 0 after Following
 	began    int    // number of calls of Leading
 	ended    int    // number of calls of Following
 	restored int    // number of calls of Restore
@@ -81,7 +81,7 @@
 	recorders   map[GroupID]*recorder
 	states      map[GroupID]realState
 	bandwidth   float64                  // bytes per second of the links from and to it; 0 for no limit
-	linkFree    map[string]time.Duration // by address, when the link to it has sent all that waits for it
+	linkFree    map[string]time.Duration // by address, when the link to it has sent all waiting envelopes
 	up          bool                     // the process runs
 	frozen      bool                     // the process runs, but takes no steps
 	isolated    bool                     // all envelopes from and to it are lost
@@ -94,8 +94,8 @@
 // logEnd is the index and term of the newest entry of a log.
 type logEnd struct{ index, term uint64 }
 
-// covers reports whether a log that ends here is at least as up-to-date as another, so that its owner may get the other
-// one's vote (Raft, section 5.4.1).
+// covers reports whether a log that ends here is at least as up-to-date as another log, so that its owner may get the vote
+// of the other log's owner (Raft, section 5.4.1).
 func (l logEnd) covers(other logEnd) bool {
 	return l.term > other.term || l.term == other.term && l.index >= other.index
 }
@@ -105,7 +105,7 @@
 	Expect(m.open(bootstrap)).To(Succeed())
 }
 
-// open does what start does, and returns the error of Open.
+// open is like start, but returns the error of Open.
 func (m *machine) open(bootstrap []string) error {
 	m.recorders = map[GroupID]*recorder{}
 	m.states = map[GroupID]realState{}
@@ -171,7 +171,7 @@
 	m.cluster.writes++
 }
 
-// background simulates work off the loop, which takes three times as long as a write.
+// background simulates work outside the loop. The work takes three times as long as a write.
 func (m *machine) background(job func() func()) {
 	engine, incarnation := m.engine, m.incarnation
 	m.cluster.at(3*m.diskDelay, func() {
@@ -223,8 +223,8 @@
 	}
 }
 
-// losePower ends the process, and the disk loses everything that was not synced. If a write was in progress, the power fails
-// during that write in half of the cases.
+// losePower ends the process, and the disk loses all unsynced data. If a write was in progress, the power fails during that
+// write in half of the cases.
 func (m *machine) losePower() {
 	m.kill()
 	w := m.engine.writer
