--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -6,8 +6,8 @@
 //   - boot.CommandsHeartbeat: the runner sends heartbeats and reads its orders from the responses. Each heartbeat is one
 //     exchange with the owner; see Service.serveHeartbeat.
 //   - boot.CommandsInvocation: the agent calls the runner. The runner's own heartbeats only register it. The agent polls the
-//     runner, composes a heartbeat for the owner from what the polls show, and calls the runner for each start and stop;
-//     see loop.
+//     runner, composes a heartbeat for the owner from the responses, and calls the runner for each start and stop; see
+//     loop.
 //
 // Invariants, with the fault that each is for:
 //
@@ -15,8 +15,8 @@
 //     report runs as they were earlier, and the owner would decide by that report. See heartbeatTracker.
 //   - Orders for a runner that is called are accepted only with a fencing token that is at least as high as each token that
 //     the agent has accepted before, and each call carries that token. A former owner that has not noticed its successor
-//     therefore can't start or stop a run: the agent drops its orders, and the runner rejects a call with a lower token
-//     than one that it has seen. See loop.sendHeartbeat.
+//     therefore can't start or stop a run: the agent drops its orders, and the runner rejects a call whose token is lower
+//     than the highest token that it has seen. See loop.sendHeartbeat.
 //   - A call for a start is sent only under a lease, and carries the end of that lease on the runner's clock. A runner
 //     that loses its agent or its owner ends its runs when the lease expires, so that the owner knows when it may start
 //     them elsewhere. See loop.updateParameters.
@@ -65,8 +65,8 @@
 
 // Owners calls the owners of shards. Several goroutines may call its methods at once.
 type Owners interface {
-	// Heartbeat sends a heartbeat to the owner of request.Shard and returns the owner's orders. The orders are those of the
-	// last process that was called.
+	// Heartbeat sends a heartbeat to the owner of request.Shard and returns the owner's orders. If it calls several
+	// processes, it returns the orders of the last one.
 	Heartbeat(ctx context.Context, request *protocol.HeartbeatRequest) (*protocol.HeartbeatResponse, error)
 	// Deregister tells the owner of request.Shard that a runner is about to end as planned.
 	Deregister(ctx context.Context, request *protocol.DeregisterRequest) (*protocol.DeregisterResponse, error)
--- a/internal/cluster/agent/agent_test.go
+++ b/internal/cluster/agent/agent_test.go
@@ -103,7 +103,7 @@
 	service *Service
 }
 
-// newFixture returns a fixture for an agent whose settings name service, the runner's service; empty: unknown.
+// newFixture returns a fixture for an agent. service is the runner's service in the agent's settings; empty: unknown.
 func newFixture(service string) *fixture {
 	b := &fixture{owners: &fakeOwners{owner: "10.0.0.1:7380", attempts: make(chan *attempt, 10)}, clock: clockwork.NewFakeClock()}
 	b.service = NewService(Options{Owners: b.owners, Service: service, Clock: b.clock})
@@ -142,7 +142,7 @@
 	return e
 }
 
-// awaitTimers waits until the fake clock has the timers of an attempt, or those of the pause after it.
+// awaitTimers waits until the fake clock has the timers of an attempt, or the timers of the pause after an attempt.
 func (b *fixture) awaitTimers() {
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/internal/cluster/agent/apply.go
+++ b/internal/cluster/agent/apply.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxOrderAge is the age of an exchange from which the agent sends no more of its starts to the runner. The owner
-	// repeats a start until a heartbeat lists the run, so a skipped start is not lost.
+	// maxOrderAge bounds the age of start orders. Once the exchange that brought them is this old, the agent sends no more
+	// of them to the runner. The owner repeats a start until a heartbeat lists the run, so a skipped start is not lost.
 	maxOrderAge = time.Second
 	// stopRetryInterval is the time after which the agent sends a stop again that the owner still orders.
 	stopRetryInterval = 500 * time.Millisecond
@@ -47,8 +47,8 @@
 }
 
 // stop calls the runner to stop a run. If this agent doesn't know the run, an earlier agent may have sent its start, and the
-// start may still be on the network. The run then counts as unconfirmed until a poll that was answered after the stop
-// doesn't show it.
+// start may still be on the network. stop then adds the run to the unconfirmed starts. It stays there until a poll
+// shows the run, or until a poll that was answered after the stop doesn't show it.
 func (l *loop) stop(ctx context.Context, run runName) error {
 	if !l.snapshot.has(run) {
 		l.unconfirmed.addIfUnknown(run)
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -31,7 +31,7 @@
 }
 
 // fakeRunner is a runner that is called. It answers a poll that may be delayed (wait_ms above 0) when the test sends to
-// nudges. The fields below mutex say what it runs, and how it answers a start.
+// nudges. The fields below mutex have its runs, and determine its response to a start.
 type fakeRunner struct {
 	server *httptest.Server
 	clock  *clockwork.FakeClock
@@ -44,7 +44,7 @@
 	rejectReason   string           // each start is refused with this reason; empty: it is accepted
 	abortNextStart bool             // the next start is answered by closing its connection
 	fence          uint64           // highest fencing token that the runner has seen
-	stopped        map[runName]bool // runs for which a stop has arrived
+	stopped        map[runName]bool // runs that a stop call has named
 	onStart        func()           // called for each start that arrives
 
 	calls  chan receivedCall // all calls, in order
@@ -197,7 +197,7 @@
 // Steps of the fake clock while a test waits for the next exchange.
 const (
 	clockStep       = 10 * time.Millisecond
-	realTimePerStep = 8 * time.Millisecond // real time before each step, in which calls of the runner can end
+	realTimePerStep = 8 * time.Millisecond // pause in real time before each step, so that calls of the runner can end
 	maxSteps        = 300                  // steps after which a test fails
 )
 
@@ -236,9 +236,8 @@
 	stepsPerHeartbeat = 25 // steps of the fake clock between two heartbeats
 )
 
-// awaitReport sends heartbeats of an incarnation until the agent reports one of them to the owner. It answers other
-// exchanges with orders. It returns the report unanswered, and the channel for the response to the heartbeat that was
-// reported.
+// awaitReport sends heartbeats of an incarnation until the agent reports one to the owner. It answers other exchanges with
+// orders. It returns the report, which it doesn't answer, and the channel for the response to the reported heartbeat.
 func (b *calledFixture) awaitReport(instance string, orders protocol.Orders) (*attempt, <-chan *httptest.ResponseRecorder) {
 	GinkgoHelper()
 	answers := map[uint64]<-chan *httptest.ResponseRecorder{}
--- a/internal/cluster/agent/handlers.go
+++ b/internal/cluster/agent/handlers.go
@@ -27,8 +27,8 @@
 		return
 	}
 	if s.tracker.isDeregistered(instance) {
-		// The owner that the deregistration reached may have a successor that doesn't know of it. The successor would start
-		// runs on a runner that is about to end.
+		// The owner that received the deregistration may have a successor that doesn't know of it. Without this change of
+		// the heartbeat, the successor would start runs on a runner that is about to end.
 		request.Heartbeat.State, request.Heartbeat.RemainingMs = protocol.RunnerDraining, 0
 	}
 	response, err := s.callOwnerWithHeartbeat(ctx, request)
@@ -52,8 +52,8 @@
 	return response, err
 }
 
-// serveRegistration responds to the heartbeat of a runner that is called, once the owner has received what the heartbeat
-// reports. The response has no orders.
+// serveRegistration responds to the heartbeat of a runner that gets its orders by calls. It responds once the owner has
+// received the heartbeat's content. The response has no orders.
 func (s *Service) serveRegistration(ctx context.Context, w http.ResponseWriter, request *protocol.HeartbeatRequest) {
 	if err := s.supervisor.register(ctx, request); err != nil {
 		httpjson.WriteError(w, unavailableIfUnanswered(err))
--- a/internal/cluster/agent/heartbeatreader.go
+++ b/internal/cluster/agent/heartbeatreader.go
@@ -12,8 +12,8 @@
 	minFinishedFields = 4 // N, task, run, how
 )
 
-// parseHeartbeat decodes the JSON body of a heartbeat. The result is that of json.Unmarshal, in a small fraction of its
-// time. Unknown fields are ignored.
+// parseHeartbeat decodes the JSON body of a heartbeat. It has the same result as json.Unmarshal, and takes a
+// small fraction of the time. Unknown fields are ignored.
 func parseHeartbeat(body string, heartbeat *protocol.Heartbeat) error {
 	r := &jsonReader{text: body}
 	if r.peek() != '{' {
--- a/internal/cluster/agent/jsonreader.go
+++ b/internal/cluster/agent/jsonreader.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxDepth bounds how deeply arrays and objects are nested in a value that is skipped. It bounds the recursion of skip, as a
-// body of maxBodyBytes could nest millions of them.
+// maxDepth bounds how deeply arrays and objects are nested in a value that is skipped. It limits the recursion of skip: a
+// body of maxBodyBytes could contain millions of nested arrays.
 const maxDepth = 64
 
 // jsonReader reads JSON text from left to right. Its caller says which type comes next. It exists because heartbeats are
@@ -26,7 +26,7 @@
 	err    error // the first error
 }
 
-// fail records an error at the present offset, unless there is an earlier error.
+// fail records an error at the current offset, unless there is an earlier error.
 func (r *jsonReader) fail(problem string) {
 	if r.err == nil {
 		r.err = errors.Errorf("%s at byte %d", problem, r.offset)
--- a/internal/cluster/agent/link.go
+++ b/internal/cluster/agent/link.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// callTimeout bounds the time to connect to the runner, and the time from a call to its response. A poll may take
-	// longer by the time for which the agent asks the runner to delay its response.
+	// callTimeout bounds the time to connect to the runner, and the time from a call to its response. For a
+	// poll, the delay that the agent allows the runner is added.
 	callTimeout = 800 * time.Millisecond
 	// linkBufferBytes is the size in bytes of a link's read buffer.
 	linkBufferBytes = 4 << 10
@@ -121,5 +121,5 @@
 
 // close closes the connection. A call in flight fails. A second close has no effect.
 func (l *link) close() {
-	_ = l.conn.Close() // an error would lose nothing: no response is read from the connection any more
+	_ = l.conn.Close() // an error has no effect: no further response is read from the connection
 }
--- a/internal/cluster/agent/link_test.go
+++ b/internal/cluster/agent/link_test.go
@@ -70,7 +70,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// send writes text as it is.
+// send writes text unchanged.
 func (c *rawConnection) send(text string) {
 	GinkgoHelper()
 	_, err := io.WriteString(c.Conn, text)
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// posted is what link.post returned.
+// posted is the result of a call of link.post.
 type posted struct {
 	status int
 	body   string
--- a/internal/cluster/agent/loop.go
+++ b/internal/cluster/agent/loop.go
@@ -27,13 +27,13 @@
 
 // loop calls one incarnation of a runner. Each step
 //
-//  1. stops the runs that have an unconfirmed start and that a poll has not shown;
-//  2. sends the owner a heartbeat that says what is known of the runner, and gets orders;
+//  1. stops the runs that have an unconfirmed start and were missing from a poll;
+//  2. sends the owner a heartbeat with the known state of the runner, and gets orders;
 //  3. calls the runner for each order;
 //  4. starts a poll of the runner if one is due.
 //
 // Responses to polls have a cost, so the agent polls less often than it exchanges heartbeats for orders; runnerSnapshot has
-// what is known of the runner between two polls.
+// the known state of the runner between two polls.
 //
 // Only the goroutine of run may use a loop, except for cancel, ended, instance, register and hasHeartbeatWithin.
 type loop struct {
@@ -75,8 +75,8 @@
 	}
 }
 
-// register stores a heartbeat of the runner and returns nil once the owner has received what it reports. If ctx ends before
-// that, it returns an error.
+// register stores a heartbeat of the runner and returns nil once the owner has received the heartbeat's content. If ctx
+// ends earlier, it returns an error.
 func (l *loop) register(ctx context.Context, request *protocol.HeartbeatRequest) error {
 	if !l.registration.put(request, l.now()) {
 		return failure.New(failure.Unavailable, errSuperseded.Error())
@@ -140,8 +140,8 @@
 	}
 }
 
-// closeSession closes the connections to the runner and forgets what was learned on them: the process that answers on the
-// next connections may be another incarnation.
+// closeSession closes the connections to the runner and discards the state that was learned on them. Another incarnation may
+// answer on the next connections.
 func (l *loop) closeSession() {
 	if l.session != nil {
 		l.session.close()
@@ -175,8 +175,8 @@
 	return l.awaitNextStep(ctx, began)
 }
 
-// awaitNextStep waits until the next exchange is due. The result of a poll ends the wait early, as the owner should learn
-// of it, but not before minStepInterval after the exchange that began at began.
+// awaitNextStep waits until the next exchange is due. The result of a poll ends the wait early, because the owner
+// should get it soon, but not before minStepInterval has passed since began, the start of the last exchange.
 func (l *loop) awaitNextStep(ctx context.Context, began time.Time) error {
 	interval := max(min(l.requestedDelay, maxStepInterval), minStepInterval)
 	select {
--- a/internal/cluster/agent/orderswriter.go
+++ b/internal/cluster/agent/orderswriter.go
@@ -7,8 +7,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// appendOrders appends orders as JSON. The JSON has the same value as that of json.Marshal; writing it takes a small
-// fraction of the time.
+// appendOrders appends orders as JSON. The result has the same JSON value as the output of json.Marshal, and takes a
+// small fraction of the time.
 func appendOrders(body []byte, orders *protocol.Orders) []byte {
 	body = append(body, '{')
 	first := len(body)
@@ -47,8 +47,8 @@
 	return append(body, '"', ':')
 }
 
-// appendNumber appends a field with a number. It appends nothing for the value 0, as the tag omitempty of protocol.Orders
-// says.
+// appendNumber appends a field with a number. It omits the field if the value is 0, like the tag omitempty of
+// protocol.Orders.
 func appendNumber(body []byte, first int, name string, value int64) []byte {
 	if value == 0 {
 		return body
@@ -69,8 +69,8 @@
 	return append(appendRow(body, index, order.Task, order.Run), ']')
 }
 
-// appendRow appends the beginning of a row with its first two fields, without the closing bracket. A comma comes before each
-// row whose index isn't 0.
+// appendRow appends the beginning of a row with its first two fields, without the closing bracket. A comma precedes each
+// row except the first, which has index 0.
 func appendRow(body []byte, index int, task string, run uint64) []byte {
 	if index > 0 {
 		body = append(body, ',')
--- a/internal/cluster/agent/ownercall.go
+++ b/internal/cluster/agent/ownercall.go
@@ -12,8 +12,8 @@
 )
 
 // callOwner calls the shard's owner until it responds, until an error makes another attempt useless, or until ctx ends.
-// If the shard gets another owner, the next attempt calls that one. Attempts never overlap, and the result is that of the
-// last attempt: orders of an earlier one can't be mixed with it.
+// If the shard gets another owner, the next attempt calls the new owner. Attempts never overlap, and callOwner returns the
+// result of the last attempt, so orders of an earlier attempt can't be mixed with it.
 func (s *Service) callOwner(ctx context.Context, shard protocol.ShardID, call func(context.Context) error) error {
 	for {
 		err := s.callOwnerOnce(ctx, shard, call)
@@ -36,8 +36,8 @@
 	return call(ctx)
 }
 
-// isRetryable reports whether another attempt may succeed after err: the error says that no owner was reached, or that it is
-// unknown what the owner did. Other errors are the owner's answer.
+// isRetryable reports whether another attempt may succeed after err: the error says that the call reached no owner, or
+// that its outcome is unknown. Other errors are the owner's answer.
 func isRetryable(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.NotLeader, failure.Unavailable, failure.UnknownOutcome:
@@ -60,8 +60,8 @@
 	}
 }
 
-// successorWatch watches during an attempt whether the shard gets another owner than the one that the attempt calls. It
-// does nothing but set a timer while the owner responds within successorCheckDelay.
+// successorWatch detects during an attempt that the shard has a different owner than when the attempt began. If the owner
+// responds within successorCheckDelay, the watch costs only a timer.
 type successorWatch struct {
 	service     *Service
 	clock       clockwork.Clock
--- a/internal/cluster/agent/poll.go
+++ b/internal/cluster/agent/poll.go
@@ -11,16 +11,17 @@
 
 // Times of polls.
 const (
-	// maxPollWait bounds the time for which a poll asks the runner to delay its response until a run ends.
+	// maxPollWait bounds the delay that a poll requests. The runner delays its response to a poll until a run ends, or until
+	// the requested delay has passed.
 	maxPollWait = 300 * time.Millisecond
-	// pollWaitDivisor gives the other bound of that time: the lease divided by pollWaitDivisor. The next poll renews the
-	// lease, so a poll must not take up much of it.
+	// pollWaitDivisor gives the other bound of that delay: the lease divided by pollWaitDivisor. The next poll renews the
+	// lease, so the current poll may take only a small part of the lease.
 	pollWaitDivisor = 8
-	// minPollInterval is the least time between the beginnings of two polls. While a start is unconfirmed there is no such
-	// bound.
+	// minPollInterval is the least time between the beginnings of two polls. The bound doesn't apply
+	// while a start is unconfirmed.
 	minPollInterval = 60 * time.Millisecond
-	// drainingPollWait replaces both bounds for a draining runner. The owner decides by the time that the runner has left
-	// what it can still do, and so needs reports at short intervals.
+	// drainingPollWait replaces both bounds for a draining runner. The owner's decisions depend on the runner's
+	// remaining time, so the owner needs reports at short intervals.
 	drainingPollWait = 60 * time.Millisecond
 	// minUnacknowledgedPollInterval replaces minPollInterval while the owner has not acknowledged all ends. The runner lists
 	// an end until then, and answers a poll without delay while it lists one, so that polls would follow each other closely.
@@ -54,8 +55,8 @@
 }
 
 // openSession connects to the runner and reads the runner's clock. A runner refuses a call whose fencing token is lower
-// than one that it has seen. An agent that restarted has no token yet, so its first call may be refused. It then gets the
-// current token from the owner, and makes no further call with the token that was refused.
+// than the highest token that it has seen. An agent that restarted has no token yet, so its first call may be refused. The
+// agent then gets the current token from the owner, and makes no further call with the refused token.
 func (l *loop) openSession(ctx context.Context) (err error) {
 	if l.session, err = openSession(ctx, l.dial, l.address); err != nil {
 		return err
@@ -79,8 +80,8 @@
 	return err
 }
 
-// renewFencingToken gets the owner's fencing token, to replace one that the runner has refused. A token that isn't higher is
-// an error: it comes from a former owner.
+// renewFencingToken gets the owner's fencing token, after the runner has refused the agent's token. A token that isn't
+// higher than the refused one is an error: it comes from a former owner.
 func (l *loop) renewFencingToken(ctx context.Context) error {
 	newest, _ := l.registration.get()
 	request := &protocol.HeartbeatRequest{Shard: newest.Shard,
--- a/internal/cluster/agent/process.go
+++ b/internal/cluster/agent/process.go
@@ -30,7 +30,7 @@
 // shards. Both the agent's program and the simulation use it.
 type Process struct {
 	*Service
-	Known *directory.Directory // the owners of shards, as far as known
+	Known *directory.Directory // the known owners of shards
 }
 
 // NewProcess returns a Process. The caller must call Run, so that the process learns the owners, and Close at the end.
@@ -68,7 +68,7 @@
 	return directory.Call[protocol.HeartbeatRequest, protocol.HeartbeatResponse](ctx, o.Directory, r.Shard, r, false)
 }
 
-// Deregister tells the owner of a planned end. The directory may repeat it: the second report changes nothing.
+// Deregister tells the owner that the runner is about to end. The directory may repeat the call, because it is idempotent.
 func (o owners) Deregister(ctx context.Context, r *protocol.DeregisterRequest) (*protocol.DeregisterResponse, error) {
 	return directory.Call[protocol.DeregisterRequest, protocol.DeregisterResponse](ctx, o.Directory, r.Shard, r, true)
 }
--- a/internal/cluster/agent/registration.go
+++ b/internal/cluster/agent/registration.go
@@ -49,8 +49,8 @@
 	return r.request, r.arrived
 }
 
-// recordExchange records the outcome of an exchange with the owner. sequence is that of the runner's own heartbeat from
-// which the report to the owner was composed.
+// recordExchange records the outcome of an exchange with the owner. sequence is the sequence of the runner's own heartbeat
+// that the report to the owner was composed from.
 func (r *registration) recordExchange(sequence uint64, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/cluster/agent/report.go
+++ b/internal/cluster/agent/report.go
@@ -17,7 +17,7 @@
 // composes no report before the runner's next heartbeat, which has a higher sequence.
 const sequenceBits = 20
 
-// exchange sends the owner a heartbeat with what is known of the runner, and returns the owner's orders.
+// exchange sends the owner a heartbeat with the known state of the runner, and returns the owner's orders.
 func (l *loop) exchange(ctx context.Context, now time.Time) (*protocol.Orders, error) {
 	request, ownSequence := l.composeHeartbeat(now)
 	orders, err := l.sendHeartbeat(ctx, request)
@@ -30,8 +30,8 @@
 	return orders, nil
 }
 
-// sendHeartbeat sends a heartbeat to the owner and returns its orders. Orders with a lower fencing token than that of
-// earlier orders are an error: they come from an owner that has a successor.
+// sendHeartbeat sends a heartbeat to the owner and returns its orders. Orders with a lower fencing token than earlier
+// orders are an error: they come from a former owner, and the shard has a later one.
 func (l *loop) sendHeartbeat(ctx context.Context, request *protocol.HeartbeatRequest) (*protocol.Orders, error) {
 	ctx, cancel := deadline.WithTimeout(ctx, l.service.clock, exchangeTimeout)
 	defer cancel()
@@ -46,8 +46,8 @@
 }
 
 // composeHeartbeat returns the heartbeat that the runner would send if it read its orders from the response. It begins
-// with a copy of the runner's newest own heartbeat, which has the sequence ownSequence, and sets the lists of runs, the
-// clock and the sequence by what the agent knows.
+// with a copy of the runner's newest own heartbeat, which has the sequence ownSequence, and replaces the lists of
+// runs, the clock and the sequence by the agent's values.
 func (l *loop) composeHeartbeat(now time.Time) (request *protocol.HeartbeatRequest, ownSequence uint64) {
 	newest, _ := l.registration.get()
 	ownSequence = newest.Heartbeat.Sequence
@@ -71,13 +71,13 @@
 	return ownSequence<<sequenceBits | l.exchangeCount
 }
 
-// updateParameters sets what the next calls to the runner carry. clockMs is a reading that the runner's clock had certainly
-// reached when the heartbeat was sent. A lease of HoldMs begins then:
+// updateParameters sets the parameters of the next calls to the runner. When the heartbeat was sent, the runner's clock had
+// certainly reached clockMs. A lease of HoldMs begins at that reading:
 //
 //	deadlineMs = clockMs + HoldMs, on the runner's clock
 //
-// The owner counts the lease from a later time, that of its response. The runner's lease therefore ends before the owner
-// treats it as expired.
+// The owner counts the lease from a later time, the time of its response. The runner's lease therefore ends before the
+// owner treats it as expired.
 func (l *loop) updateParameters(orders *protocol.Orders, clockMs int64) {
 	if orders.HoldMs > 0 {
 		l.parameters.deadlineMs = max(l.parameters.deadlineMs, clockMs+orders.HoldMs)
--- a/internal/cluster/agent/run.go
+++ b/internal/cluster/agent/run.go
@@ -25,10 +25,11 @@
 	readTimeout = 5 * time.Second
 	// idleTimeout is the time after which the agent closes a runner's connection without requests.
 	idleTimeout = 60 * time.Second
-	// shutdownTimeout bounds the time for which a shutdown waits for exchanges in flight. It is longer than exchangeTimeout.
+	// shutdownTimeout bounds the wait of a shutdown for exchanges in flight. It is longer than exchangeTimeout.
 	shutdownTimeout = 1200 * time.Millisecond
-	// maxWatchWait is the time for which the owner of the configuration may delay its response to this process's watch of
-	// owners. It may be long, as a heartbeat that gets no response makes the agent ask for the owners at once.
+	// maxWatchWait is the longest delay of a response to this process's watch of owners, which the owner of the
+	// configuration answers. It may be long, because a heartbeat without a response makes the agent ask for the owners at
+	// once.
 	maxWatchWait = 10 * time.Second
 	// maxRelayConnections and maxRelayCalls bound the connections of other processes that have their calls relayed here, and
 	// the calls that are relayed at a time.
@@ -75,8 +76,8 @@
 	}
 }
 
-// serve serves the runner on listener until ctx ends. Then it waits for the exchanges in flight, for shutdownTimeout at
-// most, and aborts those that are left.
+// serve serves the runner on listener until ctx ends. Then it waits at most shutdownTimeout for the exchanges in
+// flight, and aborts the remaining ones.
 func serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:     handler,
--- a/internal/cluster/agent/runnercalls.go
+++ b/internal/cluster/agent/runnercalls.go
@@ -40,7 +40,8 @@
 // Error returns the runner's reason with a prefix.
 func (e *rejectedError) Error() string { return "the runner has rejected the call: " + e.reason }
 
-// reasonFence is a runner's reason to refuse a call: its fencing token is lower than one that the runner has seen.
+// reasonFence is a runner's reason to refuse a call: its fencing token is lower than the highest that the runner has
+// seen.
 const reasonFence = "fence"
 
 // poll renews the lease and asks which runs the runner has. The runner may delay its response for up to wait, until a run
--- a/internal/cluster/agent/session.go
+++ b/internal/cluster/agent/session.go
@@ -41,7 +41,7 @@
 }
 
 // queryClock reads the runner's clock by a poll that grants no lease. A *rejectedError means that the fencing token is lower
-// than one that the runner has seen.
+// than the highest token that the runner has seen.
 func (s *session) queryClock(ctx context.Context, fenceToken uint64, now func() time.Time) error {
 	response, err := s.polls.poll(ctx, callParameters{fenceToken: fenceToken}, 0)
 	if err != nil {
@@ -84,7 +84,7 @@
 // heartbeat. clockMs is the runner's clock in that heartbeat, arrived the agent's clock when it arrived. A later incarnation
 // at the same address must not get calls that are meant for this one, and calls don't name the incarnation.
 //
-// Each incarnation has a clock of its own. The heartbeat proves the identity if
+// Each incarnation has its own clock. The heartbeat proves the identity if
 //
 //   - it arrived at most minRestartTime before the clock was read in the session, so that no other incarnation can have
 //     started between the two; and
--- a/internal/cluster/agent/snapshot.go
+++ b/internal/cluster/agent/snapshot.go
@@ -11,8 +11,8 @@
 // runner's clock may be 2% slow.
 const minRunnerClockRate = 0.97
 
-// runnerSnapshot is what is known of a runner between two polls: the response to the newest poll, and the runs that were
-// started after it.
+// runnerSnapshot is the known state of a runner between two polls: the response to the newest poll, and the runs that were
+// started after that poll.
 type runnerSnapshot struct {
 	polled  *pollResponse
 	started map[runName]int64 // started runs that no poll has shown yet, with the runner's clock at the start, in ms
@@ -21,7 +21,7 @@
 	clockAt time.Time // when that reading arrived
 }
 
-// newRunnerSnapshot returns the snapshot of a runner of which nothing is known.
+// newRunnerSnapshot returns an empty snapshot, for a runner that has not been polled.
 func newRunnerSnapshot() *runnerSnapshot {
 	return &runnerSnapshot{polled: new(pollResponse), started: make(map[runName]int64)}
 }
@@ -77,7 +77,7 @@
 	return slices.ContainsFunc(s.polled.active, isActive) || slices.ContainsFunc(s.polled.finished, isFinished)
 }
 
-// active returns the active runs, in a new slice: those of the newest poll and those that were started after it.
+// active returns the active runs, in a new slice: the runs of the newest poll and the runs that were started after it.
 func (s *runnerSnapshot) active() []protocol.ActiveRun {
 	rows := make([]protocol.ActiveRun, 0, len(s.polled.active)+len(s.started))
 	rows = append(rows, s.polled.active...)
--- a/internal/cluster/agent/supervisor.go
+++ b/internal/cluster/agent/supervisor.go
@@ -10,8 +10,8 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// loopSupervisor runs the loops that call runners (boot.CommandsInvocation). At most one loop is current: that of the
-// incarnation that runs on this machine now.
+// loopSupervisor runs the loops that call runners (boot.CommandsInvocation). At most one loop is current: the loop of
+// the incarnation that runs on this machine now.
 type loopSupervisor struct {
 	service *Service
 	address string // ip:port at which the agent calls the runner; empty: the address in the runner's heartbeats
@@ -30,8 +30,8 @@
 // maxEndedInstances bounds the number of incarnations in endedInstances.
 const maxEndedInstances = 64
 
-// register stores a runner's heartbeat and returns nil once the owner has received what it reports. If ctx ends before
-// that, it returns an error.
+// register stores a runner's heartbeat and returns nil once the owner has received the heartbeat's content. If ctx
+// ends earlier, it returns an error.
 func (v *loopSupervisor) register(ctx context.Context, request *protocol.HeartbeatRequest) error {
 	l, err := v.loopFor(ctx, request)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// close ends the current loop, if there is one, and waits for it. That loop has waited for the one that it replaced.
+// close ends the current loop, if there is one, and waits for it. The current loop has already waited for its predecessor.
 func (v *loopSupervisor) close() {
 	v.mutex.Lock()
 	ended := v.stopCurrent()
--- a/internal/cluster/agent/tracker.go
+++ b/internal/cluster/agent/tracker.go
@@ -11,12 +11,12 @@
 // errSuperseded is the error of a heartbeat after a newer one of the same instance has arrived.
 var errSuperseded = errors.New("a newer heartbeat of the instance has arrived")
 
-// inFlightHeartbeat is a heartbeat for which the owner's response is awaited.
+// inFlightHeartbeat is a heartbeat that waits for the owner's response.
 type inFlightHeartbeat struct {
 	cancel context.CancelCauseFunc
 }
 
-// heartbeatTracker makes sure that of each instance only the newest heartbeat is answered with orders. It stores the newest
+// heartbeatTracker ensures that only the newest heartbeat of each instance is answered with orders. It stores the newest
 // heartbeat in flight of each instance, and a record of each instance, up to maxTrackedInstances. An instance
 // is an incarnation of a runner. Several goroutines may use a heartbeatTracker at once.
 type heartbeatTracker struct {
@@ -25,7 +25,7 @@
 	instances []instanceRecord              // in the order of their first requests, the earliest first
 }
 
-// instanceRecord is what the tracker knows of an instance.
+// instanceRecord is the tracker's state of one instance.
 type instanceRecord struct {
 	name         string
 	sequence     uint64 // highest Heartbeat.Sequence that has arrived
@@ -67,8 +67,8 @@
 // begin makes a heartbeat the newest of its instance, and cancels the previous one if it is in flight. The returned context
 // ends when the heartbeat is cancelled. The caller must call finish when the owner has responded or failed.
 //
-// ok is false for a heartbeat that is older than one that has arrived before. The caller must then send it to no owner: an
-// owner that has received neither, as after a change of owners, would take the older one for the newest.
+// ok is false if a newer heartbeat has arrived before. The caller must then not send this one to an owner: after a change of
+// owners, an owner that has received neither heartbeat would take the older one for the newest.
 func (t *heartbeatTracker) begin(parent context.Context, instance string, sequence uint64) (ctx context.Context, heartbeat *inFlightHeartbeat, ok bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cluster/agent/unconfirmed.go
+++ b/internal/cluster/agent/unconfirmed.go
@@ -21,15 +21,15 @@
 	})
 }
 
-// unconfirmedStart is what is known of a run that the runner may have started.
+// unconfirmedStart is the known state of a run that the runner may have started.
 type unconfirmedStart struct {
 	polled    bool  // a poll that ended after the start was sent has not shown the run
 	stopped   bool  // the runner has acknowledged a stop of the run: if the run doesn't exist yet, it never will
 	stoppedMs int64 // the runner's clock in that acknowledgement, in ms
 }
 
-// unconfirmedStarts are the runs of which it is unknown whether the runner has started them, and the runs that certainly
-// will never start. A start is unconfirmed after a connection that broke before the response, after a refusal, and if an
+// unconfirmedStarts has the runs that the runner may or may not have started, and the runs that certainly will never start.
+// A start is unconfirmed after a connection that broke before the response, after a refusal, and if an
 // earlier agent may have sent it. The steps that resolve it:
 //
 //  1. The run is reported as active, so that the owner keeps its capacity reserved.
@@ -67,8 +67,8 @@
 	}
 }
 
-// observe updates the runs by the response to a poll. A run in the response has started. A run that isn't in it, and that
-// was stopped before the runner composed the response, will never start.
+// observe updates the runs by the response to a poll. A run in the response has started. A run that was stopped before the
+// runner composed the response, and that the response doesn't show, will never start.
 func (u *unconfirmedStarts) observe(response *pollResponse) {
 	if len(u.byRun)+len(u.rejected) == 0 {
 		return
--- a/internal/cluster/boot/bounds.go
+++ b/internal/cluster/boot/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// durationKey describes a key of the settings' object `bounds` whose value is a duration, and the field of Bounds that
-// has it.
+// durationKey describes a key of the settings' object `bounds`. The key's value is a duration, which a field of Bounds
+// stores.
 type durationKey struct {
 	name         string                       // the key; its suffix names the unit
 	unit         time.Duration                // time.Millisecond or time.Second
--- a/internal/cluster/boot/keys.go
+++ b/internal/cluster/boot/keys.go
@@ -6,7 +6,7 @@
 )
 
 // Keys returns every key that a settings file may have, sorted. The key of a value in an object is preceded by the
-// object's key and a dot. Keys finds them by reading an empty file, which looks up every key but those of `listen`.
+// object's key and a dot. Keys finds them by reading an empty file, which looks up every key except the keys of `listen`.
 func Keys() []string {
 	root := &object{values: map[string]json.RawMessage{}, problems: &problems{}}
 	check(root, read(root))
--- a/internal/cluster/boot/settings.go
+++ b/internal/cluster/boot/settings.go
@@ -33,8 +33,8 @@
 	ListenControl   = "control"   // a control process serves operators, an agent serves its runner
 )
 
-// Settings is the content of the settings file of one process. It also has the values that no code uses, as they are
-// validated with the others.
+// Settings is the content of the settings file of one process. It also has the values that no code uses, because
+// they are validated like all values.
 type Settings struct {
 	NodeName          string            // name of the machine
 	Role              string            // name of the role in the deploy file; only shown to people
@@ -95,9 +95,9 @@
 type Bounds struct {
 	SeedLag            time.Duration // seedLagS: delay with which the operator's list of machines reaches Seeds; not used
 	AddressReuse       time.Duration // addressReuseS: not used
-	Contact            time.Duration // contactMs: time without faults after which a machine counts as connected
-	AckTimeout         time.Duration // ackTimeoutMs: longest time in which operators and runners get an acknowledgement
-	CatchUp            time.Duration // catchUpS: time after its return for which a machine still counts as lost
+	Contact            time.Duration // contactMs: time without faults until a machine is treated as connected
+	AckTimeout         time.Duration // ackTimeoutMs: longest time until operators and runners get an acknowledgement
+	CatchUp            time.Duration // catchUpS: how long a machine is still treated as lost after its return
 	Drain              time.Duration // drainMs: time after which a draining runner gets no more starts
 	Grace              time.Duration // graceS: time from SIGTERM to SIGKILL
 	LossSlack          time.Duration // lossSlackMs: not used
@@ -107,12 +107,12 @@
 	Recovery           time.Duration // recoveryS: longest time from the end of the last fault until requests are served again
 	MaxLease           time.Duration // holdMaxMs: longest lease that a runner accepts
 	Stop               time.Duration // stop_ms: longest time that a run takes to stop
-	GangWait           time.Duration // gang_ms: longest time for which a started member of a gang waits for the others
+	GangWait           time.Duration // gang_ms: longest wait of a started member of a gang for the other members
 	Cancel             time.Duration // cancel_ms: time after a cancellation from which no task of the job starts
 	Visible            time.Duration // visible_ms: longest time until an accepted job is known to all frontends
 	Early              time.Duration // early_ms: how much earlier than at its set time a task may start, at most
 	Finish             time.Duration // finish_s: time from the end of traffic to the last queries of a test
-	StatusRetention    time.Duration // status_s: least time for which the state of an ended job is retained
+	StatusRetention    time.Duration // status_s: least time of retaining the state of an ended job
 	FarFactor          float64       // far_x: factor on the run time of a task that runs far from its data
 	CheckpointInterval time.Duration // save_s: work between two checkpoints of a run
 	Restore            time.Duration // restore_ms: time that a run takes to continue from a checkpoint
--- a/internal/cluster/frontend/acceptor.go
+++ b/internal/cluster/frontend/acceptor.go
@@ -68,7 +68,7 @@
 	select {
 	case a.connections <- connection:
 	case <-a.closed:
-		_ = connection.Close() // an error would lose nothing: nothing was read or written on it
+		_ = connection.Close() // an error has no effect: no data was read or written on it
 	}
 }
 
--- a/internal/cluster/frontend/cancel_test.go
+++ b/internal/cluster/frontend/cancel_test.go
@@ -25,7 +25,7 @@
 // controlAddresses are the addresses of all control processes.
 var controlAddresses = []string{addressBefore, "10.0.0.2:7380", "10.0.0.3:7380", "10.0.0.4:7380", addressAfter}
 
-// staleHintTime is the time for which the other control processes still name the unresponsive process as the owner.
+// staleHintTime is how long the other control processes still name the unresponsive process as the owner.
 const staleHintTime = 320 * time.Millisecond
 
 // changingOwner is a directory.Caller for a shard whose owner has become unresponsive. A successor owns the shard from
--- a/internal/cluster/frontend/configuration.go
+++ b/internal/cluster/frontend/configuration.go
@@ -104,7 +104,7 @@
 	}, rest, true
 }
 
-// shardsOf returns the shard of a queue's present service and after it those of its earlier services, each shard once.
+// shardsOf returns the shard of a queue's current service, then the shards of its earlier services, without duplicates.
 func shardsOf(present string, earlier []string) []protocol.ShardID {
 	shards := append(make([]protocol.ShardID, 0, 1+len(earlier)), protocol.ShardOf(present))
 	for _, service := range earlier {
--- a/internal/cluster/frontend/connection.go
+++ b/internal/cluster/frontend/connection.go
@@ -10,11 +10,11 @@
 var pastDeadline = time.Unix(1, 0)
 
 // clientConnection is a client's connection that is only ended between two requests, so that each request that was read in
-// part or completely gets a response. To end a connection is to make the server's read of the next request fail, after
-// which the server closes it.
+// part or completely gets a response. To end a connection, the acceptor makes the server's read of the next request fail.
+// The server then closes the connection.
 //
-// http.Server.Shutdown and SetKeepAlivesEnabled don't keep to that. Both close a connection that counts as idle while its
-// next request is being read. Shutdown also drops a request that was just read, without a response.
+// http.Server.Shutdown and SetKeepAlivesEnabled don't guarantee such a response. Both treat a connection as idle while its
+// next request is being read, and close it. Shutdown also drops a request that was just read, without a response.
 //
 // The server's goroutines read and close the connection, while the acceptor ends it from another goroutine.
 type clientConnection struct {
@@ -30,7 +30,7 @@
 	once         sync.Once // for Close
 }
 
-// Read reads what the client sends, and records that a request has begun. After the connection has ended it fails.
+// Read reads the client's data and records that a request has begun. After the connection has ended it fails.
 func (c *clientConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count > 0 {
@@ -43,9 +43,9 @@
 // request is being answered. A byte that arrives by it belongs to the next request. Requests are read by larger reads.
 const watchReadBytes = 1
 
-// markBusy records that a request was read, at least in part. The request is served even if the connection has ended in the
-// same moment: the server's read deadline is restored. early is true if the bytes belong to the next request, before the
-// response to the present one.
+// markBusy records that a request was read, at least in part. The request is served even if the connection has ended at the
+// same moment: the server's read deadline is restored. early is true if the bytes belong to the next request, and the current
+// request has no response yet.
 func (c *clientConnection) markBusy(early bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/cluster/frontend/deadline.go
+++ b/internal/cluster/frontend/deadline.go
@@ -16,14 +16,14 @@
 const (
 	// responseMargin is the part of the client's wait that is reserved for the way of the response.
 	responseMargin = 150 * time.Millisecond
-	// minRequestTime is the time for which a request is handled at least, also if its deadline is earlier.
+	// minRequestTime is the least time for handling a request, also if its deadline is earlier.
 	minRequestTime = 50 * time.Millisecond
 	// maxSubmitTime bounds the time for a submission. If no owner has accepted the job by then, the client gets an error
 	// early enough to submit the job again before it loses its value.
 	maxSubmitTime = 1200 * time.Millisecond
 	// maxQueryTime bounds the time for a query of a state or a count, and for a cancellation.
 	maxQueryTime = 1400 * time.Millisecond
-	// defaultTimeout is the timeout of a route for which the configuration sets none.
+	// defaultTimeout is the timeout of a route without a timeout in the configuration.
 	defaultTimeout = 3 * time.Second
 )
 
--- a/internal/cluster/frontend/frontend.go
+++ b/internal/cluster/frontend/frontend.go
@@ -13,12 +13,12 @@
 //     rejects the submission if it has that version or a newer one, and the queue belongs to another service there (Stale).
 //     It also rejects the submission if its shard has promised by that version not to accept the job (Moved).
 //   - No job is accepted by two shards. A client may submit a job again after the queue has moved. Before a job is submitted
-//     to the present shard of its queue, each earlier shard has answered that it doesn't have the job, and has promised
+//     to the current shard of its queue, each earlier shard has answered that it doesn't have the job, and has promised
 //     never to accept it (protocol.FenceRequest).
 //   - After 429 and 503, which ask the client to retry, the job was certainly not accepted. If that is unknown, the response
 //     is 504.
 //
-// A frontend stores no jobs, and nothing durably.
+// A frontend stores no jobs, and writes no state to disk.
 package frontend
 
 import (
@@ -50,11 +50,11 @@
 	Pending(ctx context.Context, request *protocol.PendingRequest) (*protocol.PendingResponse, error)
 }
 
-// Route is what the configuration says about one queue.
+// Route is the configuration of one queue.
 type Route struct {
 	Queue   protocol.Queue
 	Timeout time.Duration      // bounds the time from a request to its response; 0: defaultTimeout
-	Shards  []protocol.ShardID // shard of the queue's service, and after it those of its earlier services, each once
+	Shards  []protocol.ShardID // shard of the queue's service, then the shards of its earlier services, without duplicates
 }
 
 // Table maps requests to queues. It never changes, and several goroutines may use it at once.
@@ -68,7 +68,7 @@
 type Limits struct {
 	MaxHeaderBytes int           // size of a request's head
 	MaxBodyBytes   int64         // size of a request's body
-	HeaderTimeout  time.Duration // time in which a request's head must arrive
+	HeaderTimeout  time.Duration // bounds the time until a request's head has arrived
 	IdleTimeout    time.Duration // time after which a connection without requests is closed
 }
 
--- a/internal/cluster/frontend/frontend_test.go
+++ b/internal/cluster/frontend/frontend_test.go
@@ -33,7 +33,7 @@
 	mutex     sync.Mutex
 	age       time.Duration // age of the newest confirmation
 	refreshes int           // calls of Refresh
-	onRefresh func()        // called by Refresh; nil: nothing
+	onRefresh func()        // called by Refresh; nil: no call
 }
 
 // Fresh reports whether the age that the test has set is at most within.
@@ -150,7 +150,7 @@
 	return t[best], path[len(best):], true
 }
 
-// route returns the route of a queue. The first shard is the present one.
+// route returns the route of a queue. The first shard is the current one.
 func route(prefix string, shards ...protocol.ShardID) *Route {
 	return &Route{
 		Queue:   protocol.Queue{Key: "ficu95.example" + prefix, Service: "huvo11a", MaxAttempts: 3},
--- a/internal/cluster/frontend/process.go
+++ b/internal/cluster/frontend/process.go
@@ -18,7 +18,7 @@
 	Zone      string   // zone of this machine
 	Bounds    Bounds
 	Clock     clockwork.Clock // nil: the real clock
-	Logger    log.Logger      // nil: nothing is logged
+	Logger    log.Logger      // nil: no log
 }
 
 // Process is a frontend that opens no listeners: it serves clients' requests as an http.Handler, and keeps the configuration
@@ -26,7 +26,7 @@
 // simulation use it.
 type Process struct {
 	*Service
-	Known *directory.Directory // the configuration's version and the owners of shards, as far as known
+	Known *directory.Directory // the known version of the configuration and the known owners of shards
 }
 
 // NewProcess returns a Process. It has no configuration, and so can't serve, before Run is called.
--- a/internal/cluster/frontend/query.go
+++ b/internal/cluster/frontend/query.go
@@ -79,11 +79,11 @@
 	return sum, nil
 }
 
-// queryEach queries the shards that may have the job, the present one first, until one has it.
+// queryEach queries the shards that may have the job, the current shard first, until a shard has it.
 //
-// It returns Gone, which says that no shard has the job, only if each queried shard has said so and no version of the
-// configuration that was the newest when the request arrived names another shard. For that it waits for a confirmation of
-// this process's version, and queries again by a newer version if there is one.
+// It returns Gone, which says that no shard has the job, only if each queried shard has said so, and the configuration that
+// was the newest when the request arrived names no other shard. To know this, it waits for a confirmation of this process's
+// version. If there is a newer version, it queries again by that version.
 func (s *Service) queryEach(ctx context.Context, arrived time.Time, r *http.Request, to target, query func(protocol.ShardID, string) error) error {
 	for {
 		err := queryShards(ctx, to, query)
@@ -121,8 +121,8 @@
 	return result
 }
 
-// moreUncertain returns the one of two errors that says less about what the shards have done: UnknownOutcome before any
-// other error, and any other error before Gone. The first error may be nil.
+// moreUncertain returns the error that leaves more open whether a shard has the job. It prefers UnknownOutcome to any other
+// error, and any other error to Gone. The first error may be nil.
 func moreUncertain(a, b error) error {
 	if a == nil || failure.KindOf(a) == failure.Gone || failure.KindOf(b) == failure.UnknownOutcome {
 		return b
--- a/internal/cluster/frontend/server.go
+++ b/internal/cluster/frontend/server.go
@@ -19,19 +19,19 @@
 
 // Times of a shutdown, which begins with SIGTERM.
 const (
-	// readinessDelay is the time from SIGTERM for which the platform may still send clients to this process. The platform
+	// readinessDelay is how long after SIGTERM the platform may still send clients to this process. The platform
 	// probes readiness every second, and stops sending clients after two probes that fail.
 	readinessDelay = 2300 * time.Millisecond
 	// killMargin is the time before the platform's SIGKILL that is reserved for closing connections that are still open.
 	killMargin = 700 * time.Millisecond
-	// firstRequestTimeout is the time after readinessDelay for which the server waits for the first request on a connection
-	// on which the client has sent nothing.
+	// firstRequestTimeout bounds the wait for the first request on a connection whose client has sent no data yet. It begins
+	// after readinessDelay.
 	firstRequestTimeout = 500 * time.Millisecond
 	// defaultGrace is the time from SIGTERM to SIGKILL if the settings don't say it.
 	defaultGrace = 6 * time.Second
 )
 
-// bodyTimeout bounds the time in which a request's body must arrive, after the time for its head. It also bounds reading a
+// bodyTimeout bounds the time for the arrival of a request's body, in addition to the time for its head. It also bounds reading a
 // readiness probe.
 const bodyTimeout = 5 * time.Second
 
@@ -72,7 +72,7 @@
 //
 //  1. It answers readiness probes with 503, and serves clients until the platform sends no more of them.
 //  2. It closes the clients' listener, and answers the requests that it has read.
-//  3. It closes what is open killMargin before SIGKILL. If it had to abort connections for that, it returns an error.
+//  3. killMargin before SIGKILL, it closes the connections that are still open, and returns an error if there were any.
 //
 // Run must be called once.
 func (s *Server) Run(ctx context.Context, clients, readiness net.Listener) error {
@@ -145,7 +145,7 @@
 	s.start(server, s.listener)
 }
 
-// discardLogger returns a logger that drops what net/http logs: faults of clients, which need no action of an operator.
+// discardLogger returns a logger that drops the log of net/http. It has only faults of clients, which need no action of an operator.
 func discardLogger() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
 
 // serveReadiness responds to a readiness probe: 200 if the platform should send clients to this process, otherwise 503.
@@ -167,8 +167,8 @@
 }
 
 // shutdown ends serving after ctx has ended; see Run. Each request that was read completely gets a response. responseMargin
-// before the end, the contexts of all requests end, so that a request that is still being handled, or that arrives later, is
-// answered without delay by what is known then.
+// before the end, the contexts of all requests end, so that a request that is still being handled, or that arrives later, gets
+// its response without further waiting.
 func (s *Server) shutdown(ctx context.Context) error {
 	_ = level.Info(s.logger).Log("msg", "stopping: not ready from now on")
 	defer s.endRequests()
--- a/internal/cluster/frontend/server_test.go
+++ b/internal/cluster/frontend/server_test.go
@@ -29,13 +29,13 @@
 	ended     chan error         // gets the result of Server.Run
 }
 
-// newServerFixture returns a serverFixture whose server runs.
+// newServerFixture returns a serverFixture with a running server.
 func newServerFixture() *serverFixture {
 	return newServerFixtureBehind(func(clients net.Listener) net.Listener { return clients })
 }
 
-// newServerFixtureBehind returns a serverFixture whose server accepts clients from the listener that wrap returns for the
-// server's own.
+// newServerFixtureBehind returns a serverFixture with a running server. wrap gets the clients' listener, and the server
+// accepts clients from the listener that wrap returns.
 func newServerFixtureBehind(wrap func(clients net.Listener) net.Listener) *serverFixture {
 	GinkgoHelper()
 	s := &serverFixture{fixture: newFixture(), ended: make(chan error, 1)}
--- a/internal/cluster/frontend/service.go
+++ b/internal/cluster/frontend/service.go
@@ -18,11 +18,11 @@
 const (
 	// confirmPollInterval is the time between two checks by a request that waits for a confirmation.
 	confirmPollInterval = 20 * time.Millisecond
-	// confirmTimeout bounds the time for which a request waits for a confirmation.
+	// confirmTimeout bounds the wait of a request for a confirmation.
 	confirmTimeout = 400 * time.Millisecond
-	// normalAgeMargin is added to the longest delay of a watch's response. The sum is an age that the newest confirmation
-	// doesn't exceed while nothing fails. A submission waits for a newer confirmation if the age is above the sum, and the
-	// process then isn't ready.
+	// normalAgeMargin is added to the longest delay of a watch's response. Without faults, the age of the newest
+	// confirmation doesn't exceed the sum. If it does, a submission waits for a newer confirmation, and the process isn't
+	// ready.
 	normalAgeMargin = 800 * time.Millisecond
 	// exactAgeMargin is subtracted from ConfigApply. A version that was acknowledged ConfigApply before a request arrives
 	// must be used for that request, and the handling of the request takes time as well.
@@ -31,7 +31,7 @@
 	defaultConfigApply = 2 * time.Second
 )
 
-// maxWatchWait returns the time for which the owner of the configuration may delay its response to this process's watch.
+// maxWatchWait returns the longest delay of a response to this process's watch, which the owner of the configuration answers.
 // It is half of configApply, so that a confirmation is still recent enough for exact responses when the next one arrives.
 func maxWatchWait(configApply time.Duration) time.Duration {
 	if configApply <= 0 {
@@ -40,7 +40,7 @@
 	return configApply / 2
 }
 
-// Bounds are the times in which a version of the configuration must reach this process.
+// Bounds are the longest times for a version of the configuration to reach this process.
 type Bounds struct {
 	ConfigApply time.Duration // longest time from a version's acknowledgement to its effect on new requests; 0: 2 s
 	MaxSkew     time.Duration // how much longer that may take while faults affect the control plane
@@ -61,7 +61,7 @@
 	draining atomic.Bool // each response is the last of its connection
 	// maxAgeExact bounds the age of the confirmation for a response that a version unknown to this process could make wrong.
 	maxAgeExact time.Duration
-	// maxAgeNormal is an age that the newest confirmation doesn't exceed while nothing fails.
+	// maxAgeNormal bounds the age of the newest confirmation while there are no faults.
 	maxAgeNormal time.Duration
 	// maxAgeSubmit bounds the age of the confirmation with which a job may be submitted.
 	maxAgeSubmit time.Duration
--- a/internal/cluster/frontend/submit.go
+++ b/internal/cluster/frontend/submit.go
@@ -11,7 +11,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// staleRetryInterval is the longest time for which a submission waits for a newer configuration before it calls the owner
+// staleRetryInterval bounds the wait of a submission for a newer configuration. After it, the submission calls the owner
 // again.
 const staleRetryInterval = 250 * time.Millisecond
 
@@ -54,7 +54,7 @@
 // submit submits a job to the owner of its queue's shard. The error Stale or Moved says that the queue belongs to another
 // service or shard by a version of the configuration that the owner or another frontend has; see the package's comment.
 // submit then waits for a newer version and starts again by it. Without a newer version it starts again after
-// staleRetryInterval, as the owner may be the one with the older version.
+// staleRetryInterval, because the owner's version may be the older one.
 func (s *Service) submit(ctx context.Context, arrived time.Time, r *http.Request, spec *protocol.JobSpec) error {
 	if err := s.confirmForSubmit(ctx); err != nil {
 		return err
@@ -101,8 +101,8 @@
 	return failure.New(failure.Unavailable, "the configuration of this frontend may be out of date: it was not confirmed recently")
 }
 
-// submitTo submits a job to the present shard of its queue. Before that it fences the job's ID at each earlier shard of the
-// queue, one after the other. If one of them has the job already, the job is not submitted again. Invariant: at most one
+// submitTo submits a job to the current shard of its queue. Before that it fences the job's ID at each earlier shard of the
+// queue, one after the other. If an earlier shard has the job already, the job is not submitted again. Invariant: at most one
 // shard accepts the job.
 func (s *Service) submitTo(ctx context.Context, to target, spec *protocol.JobSpec) error {
 	for _, earlier := range to.route.Shards[1:] {
--- a/internal/cluster/frontend/views.go
+++ b/internal/cluster/frontend/views.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Views stores the current view: that of the newest version of the configuration that this process has. An older view never
+// Views stores the current view, which is made from the newest configuration that this process has. An older view never
 // replaces a newer one. Several goroutines may use it at once.
 type Views struct {
 	current atomic.Pointer[View]
--- a/internal/cluster/httpjson/httpjson.go
+++ b/internal/cluster/httpjson/httpjson.go
@@ -1,7 +1,7 @@
 // Package httpjson reads the bodies of HTTP requests and writes JSON responses. Frontends use it for clients and agents
 // use it for runners, so that both kinds of callers get errors in the same form.
 //
-// Several goroutines may call its functions at once, each with a writer of its own.
+// Several goroutines may call its functions at once, each with its own writer.
 package httpjson
 
 import (
@@ -90,7 +90,7 @@
 	writeErrorBody(w, answer.Status, answer.Name, err.Error())
 }
 
-// WriteMethodNotAllowed sends the response to a request with another method than those of allowed, a comma-separated list.
+// WriteMethodNotAllowed sends the response to a request with a method that is not in allowed, a comma-separated list.
 func WriteMethodNotAllowed(w http.ResponseWriter, allowed string) {
 	w.Header().Set("Allow", allowed)
 	writeErrorBody(w, http.StatusMethodNotAllowed, "method_not_allowed", "allowed methods: "+allowed)
--- a/internal/cluster/protocol/configure.go
+++ b/internal/cluster/protocol/configure.go
@@ -1,7 +1,7 @@
 package protocol
 
 // ChangeKind is the kind of a change that an operator makes to the configuration. The constants are untyped, so that they
-// can also be compared with configuration.Command.Kind, which is a string as it is stored.
+// can also be compared with configuration.Command.Kind, which is stored as a string.
 type ChangeKind string
 
 // Values of ChangeKind.
--- a/internal/cluster/protocol/doc.go
+++ b/internal/cluster/protocol/doc.go
@@ -1,6 +1,6 @@
 // Package protocol defines the messages of the scheduler: the JSON messages of runners and clients, and the gob messages
 // that frontends, agents and control processes send each other. It has the types, their encodings, and the mapping of
-// services to shards. It keeps no state and does no I/O. Several goroutines may use a value at once as long as none
+// services to shards. It keeps no state and does no I/O. Several goroutines may use a value at once if none
 // changes it.
 //
 // # Compatibility
@@ -11,7 +11,7 @@
 //   - The name and the wire type of each field are the wire format. Fields may be added, but never renamed or retyped, also
 //     where a better name is known: HoldMs is the length of a lease, Saved is a checkpoint, How is a run's outcome
 //     (see docs/GLOSSARY.md).
-//   - The zero value of a new field must mean what its absence meant before.
+//   - The zero value of a new field must have the same meaning as the absence of the field in messages of older versions.
 //   - The names of the request and response types, with this package's name, are wire format as well: package transport
 //     sends them to find the handler and to check the response.
 //   - The names of other types aren't sent. A named string type is encoded as a string.
--- a/internal/cluster/protocol/heartbeat.go
+++ b/internal/cluster/protocol/heartbeat.go
@@ -9,7 +9,7 @@
 // RunnerState is the state that a runner reports of itself in a heartbeat.
 type RunnerState string
 
-// Values of RunnerState. Any other value counts as ready.
+// Values of RunnerState. The scheduler treats any other value as ready.
 const (
 	RunnerReady    RunnerState = "ready"
 	RunnerDraining RunnerState = "draining" // the runner finishes its runs and starts no others
@@ -30,7 +30,7 @@
 	EndRefused = "refused" // the runner didn't accept the StartOrder: the run never started
 )
 
-// Resources is an amount of resources: those that a runner has, or those that a task requests. Encoded by gob and as JSON.
+// Resources is an amount of resources: the capacity of a runner, or the request of a task. Encoded by gob and as JSON.
 type Resources struct {
 	CPU      int64 `json:"cpu,omitempty"`           // thousandths of a core
 	MemoryMB int64 `json:"memoryLimitMb,omitempty"` // megabytes
@@ -53,7 +53,7 @@
 	Capacity        Resources     `json:"capacity"`        // resources for all runs together
 	Labels          []string      `json:"labels"`          // see Step.Requirements; the first is the machine's kind, the second its rack
 	ClockMs         int64         `json:"clockMs"`         // runner's clock when the heartbeat was sent; if Called, at most that
-	Sequence        uint64        `json:"sequence"`        // higher in each heartbeat of the incarnation than in the one before
+	Sequence        uint64        `json:"sequence"`        // increases with each heartbeat of the incarnation
 	Active          []ActiveRun   `json:"active"`          // all runs on the runner; if Called, also runs that may have been started
 	Finished        []FinishedRun `json:"finished"`        // ends with an N above the newest Orders.LastSeen
 
@@ -68,8 +68,8 @@
 	// time, so the owner doesn't conclude from it that another incarnation at the same address has ended.
 	Relayed bool `json:"-"`
 	// FenceOnly is true if the sender requests the current fencing token and reports nothing about runs. The response has
-	// Orders.FenceToken only. A runner refuses calls with a lower token than one that it has seen, so an agent that has
-	// restarted may need the token before it can poll its runner.
+	// Orders.FenceToken only. A runner refuses calls with a lower token than the highest that it has seen, so an agent that
+	// has restarted may need the token before it can poll its runner.
 	FenceOnly bool `json:"-"`
 }
 
@@ -117,8 +117,8 @@
 	// LastSeen is the highest FinishedRun.N of the incarnation that the shard has recorded. The runner needs no longer
 	// list the ends up to it. 0: none is recorded.
 	LastSeen uint64 `json:"lastSeen,omitempty"`
-	// FenceToken is the fencing token of the owner: the term of its leadership of the shard. A higher token is that of a
-	// later owner, and its orders replace those of earlier owners.
+	// FenceToken is the fencing token of the owner: the term of its leadership of the shard. A later owner has a
+	// higher token, and its orders replace the orders of earlier owners.
 	FenceToken uint64       `json:"fenceToken,omitempty"`
 	Start      []StartOrder `json:"start,omitempty"`
 	Stop       []StopOrder  `json:"stop,omitempty"`
--- a/internal/cluster/protocol/job.go
+++ b/internal/cluster/protocol/job.go
@@ -31,8 +31,8 @@
 	IntervalMs  int64  `json:"intervalMs"`  // time from the start of one repetition to the start of the next
 }
 
-// Queue is what the configuration says about a queue. A submission carries it as the frontend's version of the configuration
-// has it, and the job keeps it when the configuration changes. Encoded by gob: the field names are the wire format.
+// Queue is the configuration of a queue. A submission carries the Queue of the frontend's version of the configuration, and
+// the job keeps it when the configuration changes. Encoded by gob: the field names are the wire format.
 type Queue struct {
 	Key         string // host and path prefix of the queue
 	Service     string // the runners of this service run the queue's jobs; it determines the shard
--- a/internal/cluster/protocol/owner.go
+++ b/internal/cluster/protocol/owner.go
@@ -30,7 +30,7 @@
 	ID                   string // the job's ID: 16 hexadecimal digits, chosen by the client
 	Queue                Queue
 	Job                  JobSpec
-	ConfigurationVersion uint64 // version of the configuration by which the frontend chose the queue and its shard
+	ConfigurationVersion uint64 // version of the configuration that the frontend used to choose the queue and its shard
 }
 
 // SubmitResponse is the owner's acknowledgement that the job is committed, by this request or an earlier one. Encoded by
@@ -60,14 +60,14 @@
 type CancelResponse struct{}
 
 // FenceRequest fences a job's ID at a shard that had the job's queue earlier. A frontend sends it before it submits the
-// job to the queue's present shard, so that two shards never accept the same job. The shard either answers that it has or
-// had the job, or commits this promise: it never accepts the job from a submission whose ConfigurationVersion is that of
-// the request or lower. The queue can return to the shard in a later version, and submissions by that version are
+// job to the queue's current shard, so that two shards never accept the same job. The shard either answers that it has or
+// had the job, or commits this promise: it never accepts the job from a submission whose ConfigurationVersion is at most
+// the request's. The queue can return to the shard in a later version, and submissions by that version are
 // accepted. Encoded by gob.
 type FenceRequest struct {
 	Shard                ShardID
 	ID                   string // the job's ID
-	ConfigurationVersion uint64 // version of the configuration by which the frontend chose the queue
+	ConfigurationVersion uint64 // version of the configuration that the frontend used to choose the queue
 }
 
 // FenceResponse is the earlier shard's answer. Encoded by gob.
--- a/internal/cluster/protocol/watch.go
+++ b/internal/cluster/protocol/watch.go
@@ -1,12 +1,12 @@
 package protocol
 
-// WatchRequest asks the owner of the configuration shard for a configuration newer than Version and for owners of shards
-// other than those of revision Owners. Processes outside of the control plane send it. The owner responds at once if it
+// WatchRequest asks the owner of the configuration shard for a configuration newer than Version, and for owners of shards
+// with another revision than Owners. Processes outside the control plane send it. The owner responds at once if it
 // has either, and otherwise after WaitMs at the latest. Encoded by gob: the field names are the wire format.
 type WatchRequest struct {
 	Version uint64 // newest version of the configuration that the caller has; 0: none, or it wants the complete configuration
 	Owners  uint64 // revision of the owners that the caller has; 0: none
-	WaitMs  int64  // longest time for which the owner may delay its response
+	WaitMs  int64  // longest delay of the response
 	Node    string // name of the caller's machine
 	Changes bool   // the caller accepts the changes since Version (see configuration.Advance) in place of the whole document
 
@@ -19,15 +19,15 @@
 }
 
 // WatchResponse is the response of the owner of the configuration shard. The owner has confirmed its leadership after the
-// request arrived, so what the response says was current then. Encoded by gob: the field names are the wire format.
+// request arrived, so the content of the response was current then. Encoded by gob: the field names are the wire format.
 type WatchResponse struct {
 	Version       uint64             // newest committed version of the configuration; 0: none yet
 	Configuration []byte             // input of configuration.Advance; empty if the caller has Version, or uses no configuration
 	Compressed    bool               // Configuration is compressed by package compress/flate
 	OwnersAt      uint64             // revision of Members and Owners
 	Members       []Member           // all control processes; empty if the caller has revision OwnersAt
-	Owners        map[ShardID]string // internal address of each shard's owner, as far as known; empty like Members
-	Relays        []Relay            // relays that the caller may use, in order of preference; empty: those of earlier responses
+	Owners        map[ShardID]string // internal address of each known owner of a shard; empty like Members
+	Relays        []Relay            // relays that the caller may use, in order of preference; empty: the relays of earlier responses still apply
 
 	// HeldMs is a lower bound of the time from the arrival of the request to the moment at which the owner began to
 	// confirm its leadership. The caller knows when it sent the request, so it can tell how old the response's contents
--- a/internal/cluster/uplink/uplink.go
+++ b/internal/cluster/uplink/uplink.go
@@ -1,6 +1,6 @@
 // Package uplink connects frontends and agents to the control plane. It keeps up to date which control processes exist
-// and which of them owns each shard. It sends calls to the owners, and sends them through relays where the network
-// between the two machines is partitioned.
+// and which process owns each shard. It sends calls to the owners. Where the network between the two machines is
+// partitioned, it sends the calls through relays.
 package uplink
 
 import (
@@ -29,7 +29,7 @@
 
 // Follower is a frontend's or an agent's process, which Follow runs.
 type Follower interface {
-	// Run keeps what the process knows of the control plane up to date until ctx ends.
+	// Run keeps the process's state of the control plane up to date until ctx ends.
 	Run(ctx context.Context)
 }
 
@@ -65,8 +65,8 @@
 	}
 }
 
-// Listen opens a listener on each endpoint and returns them in the same order. If one fails, it closes the others and
-// returns an error that names the purpose of the one that failed. TCP sends no keep-alive probes on the connections, as
+// Listen opens a listener on each endpoint and returns them in the same order. If an endpoint fails, it closes the
+// listeners that are open and returns an error that names the failed endpoint's purpose. TCP sends no keep-alive probes on the connections, as
 // servers close idle ones after a time.
 func Listen(ctx context.Context, endpoints ...Endpoint) ([]net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
@@ -75,7 +75,7 @@
 		listener, err := config.Listen(ctx, "tcp", endpoint.Address)
 		if err != nil {
 			for _, open := range listeners {
-				_ = open.Close() // the error to report is that of the listener that failed
+				_ = open.Close() // the reported error is the failed listener's
 			}
 			return nil, errors.Wrapf(err, "listen for %s", endpoint.Purpose)
 		}
