--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -25,7 +25,7 @@
 const (
 	exitOK      = 0
 	exitFailure = 1 // the command failed or found faults
-	exitUsage   = 2 // the command line is invalid; nothing was done
+	exitUsage   = 2 // the command line is invalid; the command had no effect
 )
 
 // Streams are the standard streams of a command. All must be set.
@@ -34,7 +34,7 @@
 	Out, Err io.Writer
 }
 
-// usageError marks an error in the command line, for which the exit status is exitUsage.
+// usageError marks an error in the command line. The exit status is then exitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -29,7 +29,7 @@
 	Close()
 }
 
-// dialer connects to the system whose control processes serve at the given internal addresses.
+// dialer connects to a system. addresses are the internal addresses of its control processes.
 type dialer func(addresses []string) (administrator, error)
 
 func dialSystem(addresses []string) (administrator, error) { return administration.Dial(addresses) }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -75,7 +75,7 @@
 // must not change, because other releases and scripts know them.
 var stateWords = map[string]string{"silent": "unresponsive", "sick": "unhealthy"}
 
-// stateWord returns the word that tables show for a state. A state without an entry in stateWords is shown as it is.
+// stateWord returns the word that tables show for a state. A state without an entry in stateWords is shown unchanged.
 func stateWord(state string) string {
 	if word, ok := stateWords[state]; ok {
 		return word
--- a/internal/cli/shards.go
+++ b/internal/cli/shards.go
@@ -49,7 +49,7 @@
 	return c
 }
 
-// printDigests prints the digests of the members' states, and returns an error if those of a shard differ.
+// printDigests prints the digests of the members' states, and returns an error if two members of a shard differ.
 func printDigests(ctx context.Context, flags *clusterFlags, system administrator) error {
 	all, err := system.Digests(ctx)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return faults
 }
 
-// counterRows returns the table of --counters. Shards without counters, such as that of the configuration, are left out.
+// counterRows returns the table of --counters. It omits shards without counters, such as the configuration shard.
 func counterRows(shards []administration.ShardView) [][]string {
 	rows := [][]string{{"SHARD", "TAKEN", "COMPLETED", "FAILED", "CANCELLED", "STARTED", "LOST", "ROUNDS", "STOPS", "REFUSED",
 		"STALE", "PREEMPTED", "STALLED"}}
--- a/internal/cluster/frontend/connection.go
+++ b/internal/cluster/frontend/connection.go
@@ -44,8 +44,8 @@
 const watchReadBytes = 1
 
 // markBusy records that a request was read, at least in part. The request is served even if the connection has ended at the
-// same moment: the server's read deadline is restored. early is true if the bytes belong to the next request, and the current
-// request has no response yet.
+// same moment: the server's read deadline is restored. early is true if the bytes belong to the next request, and the
+// current request has no response yet.
 func (c *clientConnection) markBusy(early bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/cluster/frontend/server.go
+++ b/internal/cluster/frontend/server.go
@@ -31,8 +31,8 @@
 	defaultGrace = 6 * time.Second
 )
 
-// bodyTimeout bounds the time for the arrival of a request's body, in addition to the time for its head. It also bounds reading a
-// readiness probe.
+// bodyTimeout bounds the time for the arrival of a request's body, in addition to the time for its head. It also
+// bounds reading a readiness probe.
 const bodyTimeout = 5 * time.Second
 
 // readinessPath is the path of the platform's readiness probe.
@@ -145,7 +145,8 @@
 	s.start(server, s.listener)
 }
 
-// discardLogger returns a logger that drops the log of net/http. It has only faults of clients, which need no action of an operator.
+// discardLogger returns a logger that drops the log of net/http, which reports only faults of clients. They need no action
+// of an operator.
 func discardLogger() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
 
 // serveReadiness responds to a readiness probe: 200 if the platform should send clients to this process, otherwise 503.
@@ -167,8 +168,8 @@
 }
 
 // shutdown ends serving after ctx has ended; see Run. Each request that was read completely gets a response. responseMargin
-// before the end, the contexts of all requests end, so that a request that is still being handled, or that arrives later, gets
-// its response without further waiting.
+// before the end, the contexts of all requests end, so that a request that is still being handled, or that arrives later,
+// gets its response without further waiting.
 func (s *Server) shutdown(ctx context.Context) error {
 	_ = level.Info(s.logger).Log("msg", "stopping: not ready from now on")
 	defer s.endRequests()
--- a/internal/cluster/frontend/service.go
+++ b/internal/cluster/frontend/service.go
@@ -31,7 +31,7 @@
 	defaultConfigApply = 2 * time.Second
 )
 
-// maxWatchWait returns the longest delay of a response to this process's watch, which the owner of the configuration answers.
+// maxWatchWait returns the longest time that the owner of the configuration may delay its response to this process's watch.
 // It is half of configApply, so that a confirmation is still recent enough for exact responses when the next one arrives.
 func maxWatchWait(configApply time.Duration) time.Duration {
 	if configApply <= 0 {
--- a/internal/cluster/frontend/submit.go
+++ b/internal/cluster/frontend/submit.go
@@ -102,8 +102,8 @@
 }
 
 // submitTo submits a job to the current shard of its queue. Before that it fences the job's ID at each earlier shard of the
-// queue, one after the other. If an earlier shard has the job already, the job is not submitted again. Invariant: at most one
-// shard accepts the job.
+// queue, one after the other. If an earlier shard has the job already, the job is not submitted again. Invariant: at most
+// one shard accepts the job.
 func (s *Service) submitTo(ctx context.Context, to target, spec *protocol.JobSpec) error {
 	for _, earlier := range to.route.Shards[1:] {
 		fence := &protocol.FenceRequest{Shard: earlier, ID: to.id, ConfigurationVersion: to.view.Version}
--- a/internal/cluster/localcluster/attributes_linux.go
+++ b/internal/cluster/localcluster/attributes_linux.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// processAttributes returns the attributes of a child process. The child has a process group of its own, so that Ctrl-C in a
+// processAttributes returns the attributes of a child process. The child has its own process group, so that Ctrl-C in a
 // terminal reaches only this process, which then stops the children in order. If this process is killed, the kernel sends
 // SIGTERM to the child.
 func processAttributes() *syscall.SysProcAttr {
--- a/internal/cluster/localcluster/attributes_other.go
+++ b/internal/cluster/localcluster/attributes_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// processAttributes returns the attributes of a child process. The child has a process group of its own, so that Ctrl-C in a
+// processAttributes returns the attributes of a child process. The child has its own process group, so that Ctrl-C in a
 // terminal reaches only this process, which then stops the children in order.
 func processAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/cluster/localcluster/first_configuration.go
+++ b/internal/cluster/localcluster/first_configuration.go
@@ -6,8 +6,8 @@
 	demoPrefix = "/jobs/"
 )
 
-// firstConfiguration is the configuration of a new local system, as a JSON document. It has two queues, "jobs" and "urgent",
-// whose tasks the stand-in runners do.
+// firstConfiguration is the configuration of a new local system, as a JSON document. It has two queues, "jobs" and "urgent".
+// The stand-in runners run their tasks.
 const firstConfiguration = `{
   "version": 1,
   "routes": [
--- a/internal/cluster/localcluster/folder.go
+++ b/internal/cluster/localcluster/folder.go
@@ -17,7 +17,7 @@
 // lockName is the name of the file that is locked while a local system runs in the folder.
 const lockName = "lock"
 
-// checkOptions checks the options, and sets the machines and the backup from them. It changes nothing on disk.
+// checkOptions checks the options, and sets the machines and the backup from them. It writes no files.
 func (s *system) checkOptions() error {
 	dir, err := filepath.Abs(s.options.Dir)
 	if err != nil {
--- a/internal/cluster/localcluster/machines.go
+++ b/internal/cluster/localcluster/machines.go
@@ -20,7 +20,7 @@
 	controlPort   = 8144 // of control processes, for operators; of agents, for their runner's heartbeats
 	frontendPort  = 8149 // of frontends, for clients
 	readinessPort = 8141 // of frontends, for load balancers' readiness checks
-	runnerPort    = 8080 // of stand-in runners; nothing listens there
+	runnerPort    = 8080 // of stand-in runners; no program listens there
 	internalPort  = 7380 // first port for traffic between processes, the only one in use
 	lastPort      = 7395 // last port for that traffic
 )
@@ -42,14 +42,14 @@
 	name   string
 	role   string // role of the process, and the command that runs it
 	class  string // key machineClass of the settings
-	serves string // the one element of the key serves
+	serves string // the only element of the key serves
 	ip     string
 	zone   string
 	dir    string // folder for the process's settings, log and data
 }
 
-// newMachines returns the machines of a system whose folder is dir. Their addresses are in the loopback network that is
-// given by its first three numbers, such as "127.77.0".
+// newMachines returns the machines of a system whose folder is dir. Their addresses are in a loopback network.
+// network has the first three numbers of these addresses, such as "127.77.0".
 func newMachines(dir, network string) ([]*machine, error) {
 	plan := []struct {
 		role, class, serves string
@@ -138,7 +138,7 @@
 	GraceS int `json:"graceS"` // seconds
 }
 
-// limits are the resources that a process may use. boot.Limits says which of them have an effect.
+// limits are the resources that a process may use. boot.Limits says which limits have an effect.
 type limits struct {
 	MemoryMB        int `json:"memoryMb"`
 	FileDescriptors int `json:"fileDescriptors"`
--- a/internal/cluster/localcluster/process.go
+++ b/internal/cluster/localcluster/process.go
@@ -18,8 +18,8 @@
 const (
 	restartBackoff  = time.Second     // from the end of a process to its next start
 	stopTimeout     = 9 * time.Second // from SIGTERM to SIGKILL
-	minUptime       = 3 * time.Second // a process that ends earlier counts as a failed start
-	maxFailedStarts = 5               // failed starts in a row after which run gives up
+	minUptime       = 3 * time.Second // uptime after which an end begins the count of failed starts again
+	maxFailedStarts = 5               // number of failed starts at which run gives up
 	maxLogTail      = int64(600)      // bytes from the end of a log that an error shows
 )
 
@@ -35,7 +35,8 @@
 }
 
 // run starts the process, and restarts it restartBackoff after each end. When ctx ends, it stops the process and returns
-// nil. It returns an error after maxFailedStarts starts in a row after each of which the process ended within minUptime.
+// nil. It returns an error when the number of failed starts reaches maxFailedStarts. Each end adds one failed start. If the
+// process ran for minUptime or longer, the count begins at 1 again.
 func (p *process) run(ctx context.Context) error {
 	failedStarts := 0
 	for {
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -1,5 +1,5 @@
 // Package runner implements a stand-in for a runner. It follows the heartbeat protocol, but its tasks wait instead of
-// working. A job's `spec` says what its tasks do:
+// working. A job's `spec` determines the outcome of its tasks:
 //   - "sleep 2s" succeeds after two seconds.
 //   - "fail 1s" fails after one second.
 //   - "last" runs until it is stopped.
@@ -20,15 +20,15 @@
 )
 
 const (
-	defaultDuration = 300 * time.Millisecond // of a task whose spec has no valid duration
+	defaultDuration = 300 * time.Millisecond // of a task without a valid duration in its spec
 	endReportDelay  = 50 * time.Millisecond  // from the end of a run to the next heartbeat, at most
-	maxFinished     = 500                    // ended runs in one heartbeat; the others wait for the next one
+	maxFinished     = 500                    // ended runs in one heartbeat; further ones wait for the next heartbeat
 	maxDuration     = time.Hour              // longest duration that a spec may have
 )
 
 // Options describe a runner, as its heartbeats report it.
 type Options struct {
-	Instance string // name of this incarnation of the runner; a restart needs another one
+	Instance string // name of this incarnation of the runner; must be new after a restart
 	Service  string
 	Address  string // host:port of the runner
 	Zone     string
@@ -175,7 +175,7 @@
 	c.finished = slices.DeleteFunc(c.finished, func(end protocol.FinishedRun) bool { return end.N <= lastSeen })
 }
 
-// start starts a run unless it is active already. It refuses a run whose number is not above the task's highest ended run.
+// start starts a run unless it is active already. It refuses a run unless its number is above the task's highest ended run.
 func (c *Core) start(now time.Duration, order *protocol.StartOrder) {
 	for _, r := range c.active {
 		if r.task == order.Task && r.number == order.Run {
--- a/internal/cluster/localcluster/system.go
+++ b/internal/cluster/localcluster/system.go
@@ -1,6 +1,6 @@
 // Package localcluster runs a small system on one machine, for trying it out: three control processes, two frontends and two
-// agents with stand-in runners. Each process has a loopback address of its own, as if it ran on a machine of its own. The
-// processes are those of a real system, and their settings files, logs and data are in one folder. Only the runners are
+// agents with stand-in runners. Each process has its own loopback address, as if it ran on its own machine. The processes
+// run the program of a real system, and their settings files, logs and data are in one folder. Only the runners are
 // simulated, by package runner within this process.
 //
 // Run starts a system. At most one system runs in a folder at a time.
@@ -69,7 +69,7 @@
 	s.starter = newStarter()
 	defer s.starter.close()
 	failed := make(chan error, len(s.machines))
-	// The end of ctx must not stop all of them at once: they are stopped below, one role after the other.
+	// The end of ctx must not stop all processes at once: they are stopped below, one role after the other.
 	running := context.WithoutCancel(ctx)
 	stopControl := s.startRole(running, boot.RoleControl, failed)
 	stopFrontends := s.startRole(running, boot.RoleFrontend, failed)
@@ -84,7 +84,7 @@
 	return err
 }
 
-// runAll makes the calls concurrently and waits for all of them.
+// runAll makes the calls concurrently and waits until all have returned.
 func runAll(calls ...func()) {
 	var running sync.WaitGroup
 	for _, call := range calls {
--- a/internal/cluster/protocol/watch.go
+++ b/internal/cluster/protocol/watch.go
@@ -27,7 +27,7 @@
 	OwnersAt      uint64             // revision of Members and Owners
 	Members       []Member           // all control processes; empty if the caller has revision OwnersAt
 	Owners        map[ShardID]string // internal address of each known owner of a shard; empty like Members
-	Relays        []Relay            // relays that the caller may use, in order of preference; empty: the relays of earlier responses still apply
+	Relays        []Relay            // relays that the caller may use, in order of preference; empty: keep the earlier relays
 
 	// HeldMs is a lower bound of the time from the arrival of the request to the moment at which the owner began to
 	// confirm its leadership. The caller knows when it sent the request, so it can tell how old the response's contents
--- a/internal/cluster/seeds/seeds.go
+++ b/internal/cluster/seeds/seeds.go
@@ -102,7 +102,7 @@
 	f.reload()
 }
 
-// reload reads the file and applies its seeds if they differ. An invalid file, or one without seeds, changes nothing.
+// reload reads the file and applies its seeds if they differ. An invalid file, or a file without seeds, has no effect.
 func (f *Follower) reload() {
 	settings, err := boot.Load(f.Path)
 	if err != nil {
--- a/internal/cluster/uplink/uplink.go
+++ b/internal/cluster/uplink/uplink.go
@@ -66,8 +66,8 @@
 }
 
 // Listen opens a listener on each endpoint and returns them in the same order. If an endpoint fails, it closes the
-// listeners that are open and returns an error that names the failed endpoint's purpose. TCP sends no keep-alive probes on the connections, as
-// servers close idle ones after a time.
+// listeners that are open and returns an error that names the failed endpoint's purpose. TCP sends no keep-alive probes on
+// the connections, because servers close idle connections after a time.
 func Listen(ctx context.Context, endpoints ...Endpoint) ([]net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	listeners := make([]net.Listener, 0, len(endpoints))
--- a/internal/dispatcher/app/app.go
+++ b/internal/dispatcher/app/app.go
@@ -114,7 +114,7 @@
 	return d
 }
 
-// prepare creates and connects the parts. It starts none of them.
+// prepare creates and connects the parts, but doesn't start them.
 func (d *dispatcher) prepare(opt Options) error {
 	disabled, err := loadDisabled(os.TempDir())
 	if err != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-// close releases everything that prepare, listen and run opened, also if one of them failed.
+// close releases everything that prepare, listen and run opened, also after one of these calls failed.
 func (d *dispatcher) close() {
 	d.peers.leave()
 	if d.console != nil {
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -20,7 +20,7 @@
 
 // A share of a budget that passes from one dispatcher to another must not be spent by both within one of the windows in
 // which the decision module counts spending. There are two: an interval of OverloadWindow for the work that is sent to a
-// warming runner, and allowanceWindow for the requests of a tenant. quota.Config.GuardTime is the longer of them.
+// warming runner, and allowanceWindow for the requests of a tenant. quota.Config.GuardTime is the longer window.
 const (
 	budgetIntervals = 4 // intervals in an OverloadWindow, as many as package policy uses in warming.go
 	allowanceWindow = time.Second
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("fleet: %s: %s (%s)", e.Key, e.Problem, e.Fix)
 }
 
-// peers is this dispatcher's membership of a fleet, if it has one. Without a fleet the methods do nothing.
+// peers is this dispatcher's membership of a fleet, if it has one. Without a fleet the methods have no effect.
 type peers struct {
 	node  *udp.Node // nil: no fleet
 	own   int       // this dispatcher's number
@@ -123,7 +123,7 @@
 	}()
 }
 
-// leave ends the membership and waits until the node has ended. Further calls do nothing.
+// leave ends the membership and waits until the node has ended. Further calls have no effect.
 func (p *peers) leave() {
 	if p.node == nil {
 		return
@@ -146,7 +146,7 @@
 	p.updates <- h
 }
 
-// forward passes updates to the coordinator. It skips an update that changes nothing, unless the dispatcher uses more than
+// forward passes updates to the coordinator. It skips an update without a change, unless the dispatcher uses more than
 // one number and at least half of their validity has passed. It ends after the node has ended and the last update is passed.
 func (p *peers) forward() {
 	var (
--- a/internal/dispatcher/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -17,9 +17,9 @@
 	Digest      uint64           `json:"digest"`     // of the living dispatchers; equal views have equal digests
 	Settled     bool             `json:"settled"`    // nobody is suspected, and members probed lately have this view
 	ForMs       int64            `json:"for_ms"`     // milliseconds since Settled last changed
-	Superseded  bool             `json:"superseded"` // whether this process takes no part any more
+	Superseded  bool             `json:"superseded"` // whether this process has ceased to take part
 	Health      int              `json:"health"`     // 0: healthy; 8: this process is slow or has no contact
-	Numbers     []int            `json:"numbers"`    // those whose budget shares it uses; null: numbers do not pass on
+	Numbers     []int            `json:"numbers"`    // numbers whose budget shares it uses; null: numbers do not pass on
 	Members     []fleetMember    `json:"members"`
 	Dropped     map[string]int64 `json:"dropped"` // datagrams without effect, by reason
 }
--- a/internal/dispatcher/app/reload.go
+++ b/internal/dispatcher/app/reload.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// reload reads and checks the complete configuration file and applies it. An invalid file changes nothing: it is logged and
+// reload reads and checks the complete configuration file and applies it. An invalid file has no effect: it is logged and
 // counted as refused.
 func (d *dispatcher) reload(getenv func(string) string) {
 	cfg := d.current.Load()
@@ -48,7 +48,8 @@
 }
 
 // applySettings applies new settings to the running parts. The coordinator gets them before the ingress, so that a decision
-// module that has a new class exists before the first request of that class arrives. After an error nothing has changed.
+// module that has a new class exists before the first request of that class arrives. After an error the running parts
+// still have the old settings.
 func (d *dispatcher) applySettings(next *config.Config) error {
 	if err := d.peers.checkConfig(next); err != nil {
 		return err
--- a/internal/dispatcher/config/check.go
+++ b/internal/dispatcher/config/check.go
@@ -6,8 +6,8 @@
 )
 
 // check returns a *KeyError for the first setting that is out of range or contradicts another. A missing setting is
-// accepted, because it has a default or turns its rule off, except for classes and what checkClasses requires. The
-// deployments' page in docs lists the defaults.
+// accepted, because it has a default or turns its rule off. Only classes and the settings that checkClasses requires
+// must be present. The deployments' page in docs lists the defaults.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return settingError("classes", "configure at least one class", "is empty")
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -20,7 +20,7 @@
 	"ospreypond/policy"
 )
 
-// Config is a dispatcher's configuration: the keys of the file, some of them replaced by environment variables, and
+// Config is a dispatcher's configuration: the keys of the file, some replaced by environment variables, and
 // the values that are derived from them.
 type Config struct {
 	Name      string          `json:"name"`      // this dispatcher's name; may be empty without a fleet
@@ -210,7 +210,7 @@
 }
 
 // MaxLingering returns how many further connections of clients may be in the process of closing while the given number
-// of them may be open.
+// of connections may be open.
 func MaxLingering(clients int) int { return max(2, clients/8) }
 
 // BodyBudget returns how many bytes of request bodies may be in memory at the same time: an eighth of the limit.
--- a/internal/dispatcher/config/errors.go
+++ b/internal/dispatcher/config/errors.go
@@ -5,7 +5,7 @@
 // KeyError reports that a key of the configuration file is invalid.
 type KeyError struct {
 	Key     string // dotted path from the top of the file
-	Problem string // what is wrong, with the value that was read and its bound
+	Problem string // the fault, with the value that was read and its bound
 	Fix     string // what an operator can do
 }
 
--- a/internal/dispatcher/config/keys.go
+++ b/internal/dispatcher/config/keys.go
@@ -30,9 +30,9 @@
 	return keys, nil
 }
 
-// checkKeys records the file's keys in c. At a reload, when old is the configuration to replace, it rejects a file whose
-// settings lack a key that the old settings have: a truncated file would otherwise be read as one that sets the missing
-// keys to zero. A reload also must not change limits.maxAttempts to 0.
+// checkKeys records the file's keys in c. At a reload, when old is the configuration to replace, it rejects a file if its
+// settings lack a key of the old settings. Otherwise a truncated file would set the missing keys to zero. A reload also
+// must not change limits.maxAttempts to 0.
 func (c *Config) checkKeys(text []byte, old *Config) error {
 	keys, err := settingKeys(text)
 	if err != nil {
--- a/internal/dispatcher/config/settings.go
+++ b/internal/dispatcher/config/settings.go
@@ -72,7 +72,7 @@
 	} `json:"tenants"`
 }
 
-// Policy translates the deployment's settings into those of the decision module. Its error is a *KeyError.
+// Policy translates the deployment's settings into the settings of the decision module. Its error is a *KeyError.
 func (s *Settings) Policy() (policy.Settings, error) {
 	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 	p := policy.Settings{
--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -1,9 +1,9 @@
-// Package console serves the operators' calls over HTTP/1.1 at an address of their own, apart from that of the clients.
+// Package console serves the operators' calls over HTTP/1.1 at a separate address, which clients don't use.
 // A connection carries one call. A response with a status of 2xx means success, one with 4xx or 5xx failure.
 //
 // A call only reads or changes state that its goroutine can access without waiting. No call waits for the coordinator,
-// so a busy dispatcher also responds within the one second that operators' tools wait. The server has short timeouts
-// and small size limits of its own, so a caller that connects and never finishes its call occupies only one goroutine.
+// so a busy dispatcher also responds within the one second that operators' tools wait. The server has its own short
+// timeouts and small size limits, so a caller that connects and never finishes its call occupies only one goroutine.
 package console
 
 import (
@@ -25,11 +25,11 @@
 )
 
 const (
-	// headTimeout and bodyTimeout bound the time in which a caller must send the head and the body of its request.
+	// headTimeout and bodyTimeout bound the time that a caller may take to send the head and the body of its request.
 	// The connection of a caller that takes longer is closed.
 	headTimeout = 500 * time.Millisecond
 	bodyTimeout = 500 * time.Millisecond
-	// responseTimeout bounds the time in which a caller must read the response.
+	// responseTimeout bounds the time that a caller may take to read the response.
 	responseTimeout = 500 * time.Millisecond
 	maxHead         = 4 << 10 // bytes of a request's head
 	// maxID is the greatest length of a body with a runner's id, in bytes. Discovery's names are far shorter.
--- a/internal/dispatcher/console/console_test.go
+++ b/internal/dispatcher/console/console_test.go
@@ -158,7 +158,7 @@
 		c, err := new(net.Dialer).DialContext(t.Context(), "tcp", host)
 		require.NoError(t, err)
 		hung = append(hung, c)
-		if i%2 == 0 { // half of them send part of a head, the others nothing
+		if i%2 == 0 { // half of the callers send part of a head, the other half sends no data
 			_, _ = c.Write([]byte("POST /drain HTTP/1.1\r\nHost: x\r\n"))
 		}
 	}
