--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -6,8 +6,8 @@
 //   - boot.CommandsHeartbeat: the runner sends heartbeats and reads its orders from the responses. Each heartbeat is one
 //     exchange with the owner; see Service.serveHeartbeat.
 //   - boot.CommandsInvocation: the agent calls the runner. The runner's own heartbeats only register it. The agent polls the
-//     runner, composes a heartbeat for the owner from the responses, and calls the runner for each start and stop; see
-//     loop.
+//     runner, composes a heartbeat for the owner from the runner's responses, and calls the runner for each start and
+//     stop; see loop.
 //
 // Invariants, with the fault that each is for:
 //
--- a/internal/cluster/agent/fake_runner_test.go
+++ b/internal/cluster/agent/fake_runner_test.go
@@ -30,8 +30,8 @@
 	WaitMs     int64 `json:"wait_ms"`
 }
 
-// fakeRunner is a runner that is called. It answers a poll that may be delayed (wait_ms above 0) when the test sends to
-// nudges. The fields below mutex have its runs, and determine its response to a start.
+// fakeRunner is a runner that gets its orders by calls. It answers a poll that may be delayed (wait_ms above 0)
+// when the test sends to nudges. The fields below mutex have its runs, and determine its response to a start.
 type fakeRunner struct {
 	server *httptest.Server
 	clock  *clockwork.FakeClock
@@ -169,7 +169,7 @@
 	return got
 }
 
-// calledFixture is a fixture whose agent calls a fakeRunner.
+// calledFixture is a fixture with an agent that calls a fakeRunner.
 type calledFixture struct {
 	*fixture
 	runner *fakeRunner
--- a/internal/cluster/agent/link.go
+++ b/internal/cluster/agent/link.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// callTimeout bounds the time to connect to the runner, and the time from a call to its response. For a
-	// poll, the delay that the agent allows the runner is added.
+	// callTimeout bounds the time to connect to the runner, and the time from a call to its response. A poll may take
+	// longer: the delay that it requests is added.
 	callTimeout = 800 * time.Millisecond
 	// linkBufferBytes is the size in bytes of a link's read buffer.
 	linkBufferBytes = 4 << 10
--- a/internal/cluster/agent/poll.go
+++ b/internal/cluster/agent/poll.go
@@ -17,8 +17,8 @@
 	// pollWaitDivisor gives the other bound of that delay: the lease divided by pollWaitDivisor. The next poll renews the
 	// lease, so the current poll may take only a small part of the lease.
 	pollWaitDivisor = 8
-	// minPollInterval is the least time between the beginnings of two polls. The bound doesn't apply
-	// while a start is unconfirmed.
+	// minPollInterval is the least time between the beginnings of two polls. The bound doesn't apply while a start
+	// is unconfirmed.
 	minPollInterval = 60 * time.Millisecond
 	// drainingPollWait replaces both bounds for a draining runner. The owner's decisions depend on the runner's
 	// remaining time, so the owner needs reports at short intervals.
--- a/internal/cluster/agent/session.go
+++ b/internal/cluster/agent/session.go
@@ -91,7 +91,7 @@
 //   - both readings are of one clock: (clockMs - clockReadMs) and (arrived - clockReadAt) differ by at most
 //     clockTolerance + maxClockDrift * |arrived - clockReadAt|.
 //
-// A session that is confirmed stays so, as its links never reconnect.
+// A confirmed session stays confirmed, because its links never reconnect.
 func (s *session) confirm(clockMs int64, arrived time.Time) bool {
 	if s.confirmed {
 		return true
--- a/internal/cluster/frontend/acceptor.go
+++ b/internal/cluster/frontend/acceptor.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// close closes the listener and waits until no more connections are accepted. Open connections stay open.
+// close closes the listener and waits until the acceptor accepts no more connections. Open connections stay open.
 func (a *acceptor) close() {
 	a.once.Do(func() {
 		close(a.closed)
--- a/internal/cluster/frontend/cancel_test.go
+++ b/internal/cluster/frontend/cancel_test.go
@@ -28,8 +28,8 @@
 // staleHintTime is how long the other control processes still name the unresponsive process as the owner.
 const staleHintTime = 320 * time.Millisecond
 
-// changingOwner is a directory.Caller for a shard whose owner has become unresponsive. A successor owns the shard from
-// the time elected.
+// changingOwner is a directory.Caller for one shard. The shard's first owner, at addressBefore, doesn't respond to calls. A
+// successor owns the shard from the time elected.
 type changingOwner struct {
 	clock             clockwork.Clock
 	unresponsiveSince time.Time
--- a/internal/cluster/frontend/configuration_test.go
+++ b/internal/cluster/frontend/configuration_test.go
@@ -27,7 +27,7 @@
 	return encoded
 }
 
-// queueOf returns the JSON of a route whose queue belongs to service.
+// queueOf returns the JSON of a route. Its queue belongs to service.
 func queueOf(service string) string {
 	return `{"name":"r","host":"FICU95.example","pathPrefix":"/a/","timeoutMs":2500,"targetLatencyMs":800,` +
 		`"priority":1,"service":"` + service + `","maxAttempts":3,"extension":1.5}`
--- a/internal/cluster/frontend/connection_test.go
+++ b/internal/cluster/frontend/connection_test.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// blockingListener accepts connections whose reads can be blocked after their bytes have arrived.
+// blockingListener accepts connections. A test can block a read of such a connection after the bytes have arrived.
 type blockingListener struct {
 	net.Listener
 	holding atomic.Bool   // reads are blocked
--- a/internal/cluster/frontend/frontend_test.go
+++ b/internal/cluster/frontend/frontend_test.go
@@ -28,7 +28,7 @@
 	oneStep = `{"spec":"x","steps":[{"count":2,"cpu":500}],"unknown":{"a":1}}`
 )
 
-// fakeDirectory is a Directory whose newest confirmation has an age that the test sets.
+// fakeDirectory is a Directory in which the test sets the age of the newest confirmation.
 type fakeDirectory struct {
 	mutex     sync.Mutex
 	age       time.Duration // age of the newest confirmation
--- a/internal/cluster/frontend/service.go
+++ b/internal/cluster/frontend/service.go
@@ -63,7 +63,7 @@
 	maxAgeExact time.Duration
 	// maxAgeNormal bounds the age of the newest confirmation while there are no faults.
 	maxAgeNormal time.Duration
-	// maxAgeSubmit bounds the age of the confirmation with which a job may be submitted.
+	// maxAgeSubmit bounds the age of the newest confirmation when a job is submitted.
 	maxAgeSubmit time.Duration
 }
 
--- a/internal/cluster/localcluster/runner/core.go
+++ b/internal/cluster/localcluster/runner/core.go
@@ -105,7 +105,8 @@
 	return min(100*float64(now-r.startedAt)/float64(r.duration), 99)
 }
 
-// Advance ends the runs whose duration has passed before the lease expired, and all other runs when the lease has expired.
+// Advance ends each run that reached its duration before the lease expired. Once the lease has expired, it ends all other
+// runs.
 func (c *Core) Advance(now time.Duration) {
 	for _, r := range slices.Clone(c.active) {
 		switch {
--- a/internal/dispatcher/app/errors.go
+++ b/internal/dispatcher/app/errors.go
@@ -5,7 +5,7 @@
 // StartError reports that a part of the dispatcher cannot be started.
 type StartError struct {
 	Part string // the part, or the key of the configuration that it depends on
-	Fix  string // what an operator can do
+	Fix  string // the operator's remedy
 	Err  error
 }
 
--- a/internal/dispatcher/app/fleet.go
+++ b/internal/dispatcher/app/fleet.go
@@ -30,7 +30,7 @@
 type FleetError struct {
 	Key     string // key or call of the fleet script, or key of the configuration
 	Problem string
-	Fix     string // what an operator can do
+	Fix     string // the operator's remedy
 }
 
 // Error names the key, the problem and the remedy.
--- a/internal/dispatcher/app/fleetview.go
+++ b/internal/dispatcher/app/fleetview.go
@@ -15,7 +15,7 @@
 	Incarnation uint32           `json:"incarnation"`
 	Living      int              `json:"living"`     // number of living dispatchers, including this one
 	Digest      uint64           `json:"digest"`     // of the living dispatchers; equal views have equal digests
-	Settled     bool             `json:"settled"`    // nobody is suspected, and members probed lately have this view
+	Settled     bool             `json:"settled"`    // no member is suspected, and recently probed members have this view
 	ForMs       int64            `json:"for_ms"`     // milliseconds since Settled last changed
 	Superseded  bool             `json:"superseded"` // whether this process has ceased to take part
 	Health      int              `json:"health"`     // 0: healthy; 8: this process is slow or has no contact
--- a/internal/dispatcher/config/errors.go
+++ b/internal/dispatcher/config/errors.go
@@ -6,7 +6,7 @@
 type KeyError struct {
 	Key     string // dotted path from the top of the file
 	Problem string // the fault, with the value that was read and its bound
-	Fix     string // what an operator can do
+	Fix     string // the operator's remedy
 }
 
 // Error names the key, the problem and the remedy.
@@ -16,7 +16,7 @@
 type SourceError struct {
 	Variable string // name of the environment variable
 	Problem  string
-	Fix      string // what an operator can do
+	Fix      string // the operator's remedy
 	Err      error  // from the system or the parser; may be nil
 }
 
--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -1,5 +1,5 @@
 // Package console serves the operators' calls over HTTP/1.1 at a separate address, which clients don't use.
-// A connection carries one call. A response with a status of 2xx means success, one with 4xx or 5xx failure.
+// A connection carries one call. A status of 2xx means success, a status of 4xx or 5xx means failure.
 //
 // A call only reads or changes state that its goroutine can access without waiting. No call waits for the coordinator,
 // so a busy dispatcher also responds within the one second that operators' tools wait. The server has its own short
