--- a/internal/cluster/agent/agent.go
+++ b/internal/cluster/agent/agent.go
@@ -23,7 +23,7 @@
 //   - A run is reported as active while it is unknown whether the runner has started it, as after a connection that broke
 //     before the response. The owner would otherwise give the capacity to another run. See unconfirmedStarts.
 //
-// An agent stores nothing durably. After a restart it knows no fencing token, and its runner may refuse its calls; it then
+// An agent writes no state to disk. After a restart it knows no fencing token, and its runner may refuse its calls; it then
 // gets the token from the owner. An agent never decides that a runner is dead: owners do, when heartbeats no longer arrive.
 package agent
 
