--- a/internal/cluster/frontend/acceptor.go
+++ b/internal/cluster/frontend/acceptor.go
@@ -68,7 +68,7 @@
 	select {
 	case a.connections <- connection:
 	case <-a.closed:
-		_ = connection.Close() // an error would lose nothing: nothing was read or written on it
+		_ = connection.Close() // an error has no effect: no data was read or written on it
 	}
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-// close closes the listener and waits until no more connections are accepted. Open connections stay open.
+// close closes the listener and waits until the acceptor accepts no more connections. Open connections stay open.
 func (a *acceptor) close() {
 	a.once.Do(func() {
 		close(a.closed)
--- a/internal/cluster/frontend/frontend_test.go
+++ b/internal/cluster/frontend/frontend_test.go
@@ -28,12 +28,12 @@
 	oneStep = `{"spec":"x","steps":[{"count":2,"cpu":500}],"unknown":{"a":1}}`
 )
 
-// fakeDirectory is a Directory whose newest confirmation has an age that the test sets.
+// fakeDirectory is a Directory in which the test sets the age of the newest confirmation.
 type fakeDirectory struct {
 	mutex     sync.Mutex
 	age       time.Duration // age of the newest confirmation
 	refreshes int           // calls of Refresh
-	onRefresh func()        // called by Refresh; nil: nothing
+	onRefresh func()        // called by Refresh; nil: no call
 }
 
 // Fresh reports whether the age that the test has set is at most within.
@@ -150,7 +150,7 @@
 	return t[best], path[len(best):], true
 }
 
-// route returns the route of a queue. The first shard is the present one.
+// route returns the route of a queue. The first shard is the current one.
 func route(prefix string, shards ...protocol.ShardID) *Route {
 	return &Route{
 		Queue:   protocol.Queue{Key: "ficu95.example" + prefix, Service: "huvo11a", MaxAttempts: 3},
--- a/internal/dispatcher/config/errors.go
+++ b/internal/dispatcher/config/errors.go
@@ -5,8 +5,8 @@
 // KeyError reports that a key of the configuration file is invalid.
 type KeyError struct {
 	Key     string // dotted path from the top of the file
-	Problem string // what is wrong, with the value that was read and its bound
-	Fix     string // what an operator can do
+	Problem string // the fault, with the value that was read and its bound
+	Fix     string // the operator's remedy
 }
 
 // Error names the key, the problem and the remedy.
@@ -16,7 +16,7 @@
 type SourceError struct {
 	Variable string // name of the environment variable
 	Problem  string
-	Fix      string // what an operator can do
+	Fix      string // the operator's remedy
 	Err      error  // from the system or the parser; may be nil
 }
 
