--- a/internal/cluster/administration/archive/archive.go
+++ b/internal/cluster/administration/archive/archive.go
@@ -1,8 +1,8 @@
 // Package archive writes backups of a cluster to files, and restores them into the data folder of a new control process.
 //
-// A backup has the snapshot of each shard's state machine, with the index and the owner's term at that time. Each shard is
-// consistent, but the shards are not of one moment. A file is written completely or not at all, and a checksum shows damage
-// to it.
+// A backup has the snapshot of each shard's state machine, with the index and the owner's term at that time. Each shard
+// is consistent, but the shards' snapshots are taken at different times. A file is written completely or not at all, and
+// a checksum shows damage to it.
 package archive
 
 import (
@@ -112,7 +112,7 @@
 	return err
 }
 
-// syncDir syncs a folder, so that a rename in it survives a power failure.
+// syncDir syncs a folder, so that renames of its files survive a power failure.
 func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/internal/cluster/administration/archive/restore.go
+++ b/internal/cluster/administration/archive/restore.go
@@ -17,9 +17,9 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// termStep is the difference between the terms of a restored cluster and those in its backup. An owner's term is its fencing
-// token, and runners reject a token below the highest one that they have seen. The old cluster may have had elections after
-// the backup: runners obey the restored cluster unless there were more than termStep.
+// termStep is the difference between the terms of a restored cluster and those in its backup. An owner's term is its
+// fencing token, and runners reject a token below the highest one that they have seen. The old cluster may have had
+// elections after the backup: runners obey the restored cluster unless there were more than termStep elections.
 const termStep = 1 << 20
 
 // segmentBytes is larger than a restored log, which has no entries, so that the log has a single segment.
--- a/internal/cluster/administration/client.go
+++ b/internal/cluster/administration/client.go
@@ -18,7 +18,7 @@
 
 // Client sends the operator's requests to a running system. It must be used by one goroutine at a time, and closed.
 //
-// Errors that come from the system have a kind of package failure; see Advice. Methods that change nothing never fail with
+// Errors that come from the system have a kind of package failure; see Advice. Read-only methods never fail with
 // failure.UnknownOutcome. Methods retry until ctx ends, so ctx should have a deadline.
 type Client struct {
 	addresses []string // internal addresses given by the operator
@@ -34,8 +34,8 @@
 )
 
 // Dial returns a client of a system. addresses are the internal addresses, as host:port, of all or some of its control
-// processes. The client connects when it is first used. Dial fails if there is no address, or for the first one that doesn't
-// have that form.
+// processes. The client connects when it is first used. Dial fails if addresses is empty or an address doesn't have that
+// form; the error names the first such address.
 func Dial(addresses []string) (*Client, error) {
 	if len(addresses) == 0 {
 		return nil, errors.New("no address of a control process is given")
@@ -60,7 +60,7 @@
 	return directory.Call[Req, Resp](ctx, c.directory, shard, request, true)
 }
 
-// read is call for requests that change nothing. A missing response then leaves no outcome unknown, so it is reported as
+// read is call for read-only requests. A missing response then leaves no doubt about a change, so read reports it as
 // failure.Unavailable.
 func read[Req, Resp any](ctx context.Context, c *Client, shard protocol.ShardID, request *Req) (*Resp, error) {
 	response, err := call[Req, Resp](ctx, c, shard, request)
--- a/internal/cluster/administration/document/difference.go
+++ b/internal/cluster/administration/document/difference.go
@@ -14,14 +14,15 @@
 	"ospreypond/internal/cluster/configuration"
 )
 
-// Difference has the changes from the current configuration to that of a file. It is printed as JSON or by Text.
+// Difference has the changes from the current configuration to the configuration in a file. It is printed as JSON or by
+// Text.
 type Difference struct {
 	From    uint64   `json:"from"` // current version
 	To      uint64   `json:"to"`   // version in the file, which may be too low
 	Changes []Change `json:"changes"`
 }
 
-// ChangeKind is what happens to an item.
+// ChangeKind is the kind of a Change.
 type ChangeKind string
 
 // The kinds of changes. Operators' scripts read them in the JSON.
@@ -137,8 +138,8 @@
 	return change, true
 }
 
-// equalJSON reports whether two values differ in nothing but white space and the order of fields. Numbers are equal if their
-// digits are: 1 and 1.0 differ.
+// equalJSON reports whether two values are equal except for white space and the order of fields. Numbers are equal if
+// their digits are: 1 and 1.0 differ.
 func equalJSON(a, b json.RawMessage) bool { return bytes.Equal(canonical(a), canonical(b)) }
 
 // canonical returns a JSON value without white space and with sorted fields; value itself if it can't be parsed.
--- a/internal/cluster/administration/document/document.go
+++ b/internal/cluster/administration/document/document.go
@@ -1,6 +1,7 @@
 // Package document checks files with configurations and compares them with the current configuration, before an operator
-// applies them. It changes nothing and does no I/O. A file has the JSON of a complete configuration or of an update. The
-// current configuration is the JSON that the cluster returns; its version is 0 before the first configuration.
+// applies them. It never changes the configuration and does no I/O. A file has the JSON of a complete configuration or of
+// an update. The current configuration is the JSON that the cluster returns; its version is 0 before the first
+// configuration.
 package document
 
 import (
@@ -38,7 +39,7 @@
 	return err
 }
 
-// applyTo returns the current configuration, and the configuration that the file makes of it.
+// applyTo returns the current configuration, and the configuration that results from applying the file to it.
 func applyTo(current, body []byte) (before, after *configuration.Document, err error) {
 	kind, err := KindOf(body)
 	if err != nil {
--- a/internal/cluster/administration/identity/identity.go
+++ b/internal/cluster/administration/identity/identity.go
@@ -16,7 +16,7 @@
 // MarshalJSON encodes the identity as a JSON string, in the form of String.
 func (i ID) MarshalJSON() ([]byte, error) { return json.Marshal(i.String()) }
 
-// UnmarshalJSON decodes what MarshalJSON encoded.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (i *ID) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -96,8 +96,8 @@
 
 const lockName = "lock"
 
-// lockFolder locks the folder in the same way as a running control process, and fails if one runs on it. If there is no lock
-// file, no process has run on the folder: lockFolder creates none and locks nothing.
+// lockFolder locks the folder in the same way as a running control process, and fails if one runs on it. If there is no
+// lock file, no process has run on the folder: lockFolder neither creates nor locks the file.
 func lockFolder(dir string) (unlock func(), err error) {
 	name := filepath.Join(dir, lockName)
 	exists, err := vfs.Exists(vfs.OS{}, name)
@@ -143,8 +143,8 @@
 	return size, err
 }
 
-// addDamage adds a fault if err is a *wal.DamageError; if the same fault is listed already, it adds nothing. It returns any
-// other error.
+// addDamage adds a fault if err is a *wal.DamageError; unless the same fault is already listed. It returns any other
+// error.
 func (f *Folder) addDamage(err error) error {
 	var damage *wal.DamageError
 	if !errors.As(err, &damage) {
@@ -200,8 +200,8 @@
 	return groups, nil
 }
 
-// newGroup returns the printed form of a group. Its members are those of the newest membership entry; else those of the
-// snapshot, or without one the initial members.
+// newGroup returns the printed form of a group. Its members come from the newest membership entry; without an entry from
+// the snapshot; without a snapshot they are the initial members.
 func (f *Folder) newGroup(id uint32, read *wal.Group) Group {
 	group := Group{
 		Shard:   id,
@@ -229,7 +229,7 @@
 	return group
 }
 
-// applyMembership sets the group's members to those of a membership entry, or adds a fault if that can't be decoded.
+// applyMembership sets the group's members from a membership entry, or adds a fault if the entry can't be decoded.
 func (f *Folder) applyMembership(group *Group, entry *consensus.Entry) {
 	members, err := consensus.DecodeMembers(entry.Data)
 	if err != nil {
@@ -260,7 +260,7 @@
 // MkdirAll does nothing: if the folder is missing, listing its files fails.
 func (readOnly) MkdirAll(string) error { return nil }
 
-// SyncDir does nothing, since nothing is modified.
+// SyncDir does nothing, since the folder is never modified.
 func (readOnly) SyncDir(string) error { return nil }
 
 // Lock returns errReadOnly; lockFolder doesn't use it.
--- a/internal/cluster/administration/inspect/verify.go
+++ b/internal/cluster/administration/inspect/verify.go
@@ -18,7 +18,7 @@
 // sortedIDs returns the IDs of the groups in ascending order.
 func sortedIDs(groups map[uint32]*wal.Group) []uint32 { return slices.Sorted(maps.Keys(groups)) }
 
-// verifySnapshots reads every snapshot in the folder, including those that the log no longer refers to.
+// verifySnapshots reads every snapshot in the folder, including snapshots that the log no longer refers to.
 func (f *Folder) verifySnapshots(files vfs.FS) {
 	for _, file := range f.Files {
 		if !isSnapshot(file.Name) {
--- a/internal/cluster/administration/messages.go
+++ b/internal/cluster/administration/messages.go
@@ -5,9 +5,9 @@
 // Reports and lists are meant for people to read: a process answers from its own state, and no quorum confirms that the
 // state is the newest. Backups, job states and the configuration are confirmed by a quorum, and changes are committed.
 //
-// The messages are encoded by gob, which finds fields by their names and drops without an error those that the receiver
-// doesn't have. The names of their fields are the wire format between commands and control processes of different versions
-// and must not change. Types that are printed have JSON tags, which must not change either.
+// The messages are encoded by gob, which finds fields by their names and drops fields that the receiver doesn't have
+// without an error. The names of their fields are the wire format between commands and control processes of different
+// versions and must not change. Types that are printed have JSON tags, which must not change either.
 package administration
 
 import "ospreypond/internal/cluster/protocol"
@@ -37,7 +37,7 @@
 	Shard         protocol.ShardID
 	Term          uint64
 	Leader        uint64 // identity of the group's leader as the process knows it; 0: none is known
-	Owner         bool   // the process owns the shard as far as it knows; no quorum has confirmed that
+	Owner         bool   // the process believes that it owns the shard; no quorum has confirmed it
 	Commit        uint64 // index of the newest committed entry that the process knows
 	Applied       uint64 // index of the newest entry that its state machine has applied
 	Last          uint64 // index of the newest entry in its log
@@ -114,7 +114,7 @@
 	Labels   []string
 	State    string // ready, draining, silent (unresponsive) or ended
 	Capacity protocol.Resources
-	Free     protocol.Resources // estimated: the resources of runs that may exist count as used
+	Free     protocol.Resources // estimated: capacity less the resources of all runs that may exist
 	Runs     int                // runs that may exist on it
 	Stops    int                // stops that were ordered, of runs that it has not listed as ended yet
 	Distrust float64            // failure score: 0 means no failures, 1 that all runs that it starts fail or make no progress
@@ -127,7 +127,7 @@
 type JobsRequest struct {
 	Shard protocol.ShardID
 	Queue string // key of the queue; empty: the jobs of all queues
-	After string // the page has the jobs whose ID sorts after this; empty: from the first
+	After string // the page starts after this job ID; empty: with the first job
 	Most  int    // number of jobs on the page; 0 or too large: the owner's limit
 }
 
@@ -185,6 +185,6 @@
 // only in groups that have had no leader for a long time. Encoded by gob.
 type ResignRequest struct{}
 
-// ResignResponse is sent when the process leads no group any more, or could not transfer all leaderships in time. Left is
-// the number of groups that it still leads. Encoded by gob.
+// ResignResponse is sent when the process no longer leads any group, or could not transfer all leaderships in time. Left
+// is the number of groups that it still leads. Encoded by gob.
 type ResignResponse struct{ Left int }
--- a/internal/cluster/directory/attempts.go
+++ b/internal/cluster/directory/attempts.go
@@ -13,27 +13,27 @@
 
 // attempts decides what to do after each attempt of one call to a shard's owner. It does no I/O and reads no clock.
 //
-// Invariant: a call whose attempt may have been executed never ends with an error that says that nothing was done. So an
-// unknown outcome, once there was one, is the error of the call unless a later attempt succeeds.
+// Invariant: a call whose attempt may have been executed never ends with an error that rules out execution. So after an
+// attempt with an unknown outcome, the call fails with UnknownOutcome unless a later attempt succeeds.
 type attempts struct {
 	mayRepeat      bool   // the request is idempotent: repeat it after an unknown outcome
 	unknownOutcome error  // error of the newest attempt that may have been executed; nil: none
-	rejected       error  // error of the newest attempt that reached no owner, so that nothing was done; nil: none
+	rejected       error  // error of the newest attempt that reached no owner and so was not executed; nil: none
 	hints          hints  // limits how hints are followed
 	backoffs       int    // waits so far
 	unresponsive   string // address of the newest process that did not respond; the next hint to it is not followed
 }
 
-// nextStep says what a call does after an attempt.
+// nextStep is the next step of a call after an attempt.
 type nextStep struct {
 	done    bool
 	err     error         // if done: the call's error; nil: the attempt succeeded
-	target  string        // if not done: the address to call next; empty: the one that follows in the view
+	target  string        // if not done: the address to call next; empty: the next address in the view
 	backoff time.Duration // if not done: how long to wait before the next attempt
 	refresh bool          // the process may have failed: call Refresh, so that the watch learns the new owner soon
 }
 
-// next returns what to do after an attempt at target that ended with err.
+// next returns the call's next step after an attempt at target that ended with err.
 func (a *attempts) next(target string, err error) nextStep {
 	switch failure.KindOf(err) {
 	case failure.None:
@@ -56,7 +56,8 @@
 	}
 }
 
-// follow returns what to do after target answered that leader is the owner, or that it knows none if leader is empty.
+// follow returns the next step after target answered that leader is the owner. An empty leader means that target knows no
+// owner.
 func (a *attempts) follow(target, leader string) nextStep {
 	if leader == "" || leader == target || leader == a.unresponsive {
 		a.unresponsive = "" // only this hint is ignored: the process may just have been slow
--- a/internal/cluster/directory/call.go
+++ b/internal/cluster/directory/call.go
@@ -14,13 +14,14 @@
 // attemptTimeout limits each attempt of a call, so that an unresponsive owner doesn't use up all the time of the call.
 const attemptTimeout = 600 * time.Millisecond
 
-// Call calls the owner of a shard and returns its response. Until ctx ends it tries one address after the other and follows
-// hints, which are the owners that other processes name in their NotLeader errors. After an attempt with an unknown outcome
-// it makes another one only if mayRepeat is true; the request must then be idempotent. The error is of one of these kinds:
+// Call calls the owner of a shard and returns its response. Until ctx ends it tries one address after the other and
+// follows hints, which are the owners that other processes name in their NotLeader errors. After an attempt with an
+// unknown outcome it makes another attempt only if mayRepeat is true; the request must then be idempotent. The error is
+// of one of these kinds:
 //
 //   - UnknownOutcome, if any attempt had an unknown outcome;
 //   - else the kind of the owner's error, if the owner answered;
-//   - else NotLeader or Unavailable, if no owner was found until ctx ended; then certainly nothing was done.
+//   - else NotLeader or Unavailable, if no owner was found until ctx ended; the request was certainly not executed.
 func Call[Req, Resp any](
 	ctx context.Context, d *Directory, shard protocol.ShardID, request *Req, mayRepeat bool,
 ) (*Resp, error) {
@@ -59,7 +60,7 @@
 	return d.options.Client.Do(bounded, target, request, response)
 }
 
-// recordAttempt records what a failed attempt has shown about the shard's owner: target named another one, or target is not
+// recordAttempt updates the known owner of the shard after a failed attempt: target named another owner, or target is not
 // the owner or may have failed.
 func (d *Directory) recordAttempt(shard protocol.ShardID, target string, next nextStep) {
 	if next.target != "" {
--- a/internal/cluster/directory/directory.go
+++ b/internal/cluster/directory/directory.go
@@ -1,12 +1,12 @@
 // Package directory tells frontends and agents the current configuration and the owner of each shard, and sends calls to the
 // owners.
 //
-// A Directory is a client of the control processes. Run keeps one watch open at the owner of the configuration. A watch is a
-// long poll: the owner answers it when there is a newer configuration or a change of owners, or after Options.Wait. Call
-// sends a request to the owner of a shard, follows hints to new owners and retries as far as that is safe.
+// A Directory is a client of the control processes. Run keeps one watch open at the owner of the configuration. A watch
+// is a long poll: the owner answers it when there is a newer configuration or a change of owners, or after Options.Wait.
+// Call sends a request to the owner of a shard, follows hints to new owners and retries where a second execution is safe.
 //
-// What a Directory knows may be out of date. It never goes back to an older configuration, and Fresh and ConfirmedSince
-// report how recently the owner of the configuration confirmed it.
+// The information of a Directory may be out of date. It never goes back to an older configuration, and Fresh and
+// ConfirmedSince report how recently the owner of the configuration confirmed it.
 //
 // Run must be called once, in a goroutine that the caller waits for. All other methods, and Call, may be called by many
 // goroutines.
@@ -26,9 +26,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Caller sends a request to an address and decodes the response. transport.Client and relay.Caller implement it. Errors have
-// kinds of package failure. DoLong does what Do does, but doesn't probe the peer while it waits for the response, since
-// the peer may delay that.
+// Caller sends a request to an address and decodes the response. transport.Client and relay.Caller implement it. Errors
+// have kinds of package failure. DoLong is Do for long polls: it doesn't probe the peer while it waits, since the peer
+// may delay the response.
 type Caller interface {
 	Do(ctx context.Context, address string, request, response any) error
 	DoLong(ctx context.Context, address string, request, response any) error
@@ -44,7 +44,7 @@
 	Relay  string          // internal address at which this process relays calls; empty: it doesn't
 	Clock  clockwork.Clock // nil: the system's clock
 	Logger log.Logger      // nil: nothing is logged
-	// Wait is how long the owner of the configuration may leave a watch unanswered while there is nothing newer. 0 or less
+	// Wait is how long the owner of the configuration may leave a watch unanswered while it has no newer state. 0 or less
 	// means defaultWait.
 	Wait time.Duration
 	// OnConfiguration is called by the goroutine of Run with each newer version of the configuration, before Version returns
@@ -57,8 +57,8 @@
 	OnRelays func(relays []protocol.Relay)
 }
 
-// Directory has what a process knows of the cluster: the configuration's version, the members and the owners of shards.
-// It is safe for concurrent use.
+// Directory holds a process's information about the cluster: the configuration's version, the members and the owners of
+// shards. It is safe for concurrent use.
 type Directory struct {
 	options Options
 	// withTimeout returns a context that ends after span by options.Clock. Tests replace it.
@@ -111,22 +111,22 @@
 	return d.view.version
 }
 
-// ConfirmedAt returns a lower bound of the newest time at which what this directory knows was certainly current, or zero
-// before the first accepted answer to a watch. That newest time is the moment at which the owner of the configuration asked
-// for the confirmation of its leadership with which it answered the newest accepted watch.
+// ConfirmedAt returns a lower bound of the newest time at which this directory's information was certainly current, or
+// zero before the first accepted answer to a watch. That newest time is the moment at which the owner of the
+// configuration asked for the confirmation of its leadership with which it answered the newest accepted watch.
 func (d *Directory) ConfirmedAt() time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.view.confirmedAt
 }
 
-// Fresh reports whether what this directory knows was current at some moment within the given time before now.
+// Fresh reports whether this directory's information was current at some moment within the given time before now.
 func (d *Directory) Fresh(within time.Duration) bool {
 	confirmed := d.ConfirmedAt()
 	return !confirmed.IsZero() && d.options.Clock.Since(confirmed) <= within
 }
 
-// ConfirmedSince reports whether what this directory knows was current at some moment not before the given time.
+// ConfirmedSince reports whether this directory's information was current at the given time or later.
 func (d *Directory) ConfirmedSince(at time.Time) bool { return !d.ConfirmedAt().Before(at) }
 
 // Owner returns the internal address of a shard's owner, or "" if it isn't known.
@@ -136,7 +136,7 @@
 	return d.view.owners[shard]
 }
 
-// Knows reports whether an address is a seed or that of a known control process.
+// Knows reports whether an address is a seed or belongs to a known control process.
 func (d *Directory) Knows(address string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -150,9 +150,9 @@
 	d.view.setSeeds(seeds)
 }
 
-// Refresh cancels the current watch and makes Run send one that the owner answers at once. So an unresponsive owner of the
-// configuration is noticed soon, and new owners of shards become known. Refresh does nothing if the current watch was sent
-// less than minRefreshInterval ago, is one that Refresh caused, or has extra time for a slow link.
+// Refresh cancels the current watch and makes Run send one that the owner answers at once. So an unresponsive owner of
+// the configuration is noticed soon, and new owners of shards become known. Refresh does nothing if the current watch was
+// sent less than minRefreshInterval ago, was itself caused by Refresh, or has extra time for a slow link.
 func (d *Directory) Refresh() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/cluster/directory/view.go
+++ b/internal/cluster/directory/view.go
@@ -7,8 +7,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// view has what a Directory knows of the cluster: the members, the owner of each shard and the version of the configuration.
-// It does no I/O and reads no clock. The Directory's mutex guards it. Invariant: version and confirmedAt never decrease.
+// view is a Directory's information about the cluster: the members, the owner of each shard and the version of the
+// configuration. It does no I/O and reads no clock. The Directory's mutex guards it. Invariant: version and confirmedAt
+// never decrease.
 type view struct {
 	seeds       []string // internal addresses of control processes, from the settings
 	version     uint64   // newest accepted version of the configuration; 0: none
@@ -48,7 +49,7 @@
 	v.addresses = addresses
 }
 
-// viewUpdate says what the response to a watch contained that the view did not have.
+// viewUpdate describes the news in the response to a watch, compared with the view.
 type viewUpdate struct {
 	stale         bool   // the response has an older version than the view: it was ignored
 	incomplete    bool   // the response has a newer version without a document: the complete document has to be requested
@@ -56,8 +57,9 @@
 	ownersChanged bool   // the owner of a shard or the members changed
 }
 
-// apply adopts the members and owners of a response unless it is stale, and returns what else it contained. It doesn't
-// change the version. If ownersOnly is true, the response's document is ignored, and none is missed.
+// apply adopts the members and owners of a response unless it is stale, and returns the news in it. It doesn't change the
+// version. If ownersOnly is true, it ignores the response's document, and a missing document doesn't make the update
+// incomplete.
 func (v *view) apply(response *protocol.WatchResponse, ownersOnly bool) viewUpdate {
 	if response.Version < v.version {
 		return viewUpdate{stale: true}
@@ -92,10 +94,10 @@
 	return true
 }
 
-// setVersion records that a version was accepted. A lower version than the present one changes nothing.
+// setVersion records that a version was accepted. It ignores a version below the current one.
 func (v *view) setVersion(version uint64) { v.version = max(v.version, version) }
 
-// confirm records that the version was current at the given time. A time before confirmedAt changes nothing.
+// confirm records that the version was current at the given time. It ignores a time before confirmedAt.
 func (v *view) confirm(at time.Time) {
 	if at.After(v.confirmedAt) {
 		v.confirmedAt = at
--- a/internal/cluster/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -13,10 +13,10 @@
 
 const (
 	defaultWait        = time.Second            // Options.Wait if it isn't set
-	watchSlack         = 600 * time.Millisecond // added to the time that the owner may wait; then it counts as unresponsive
+	watchSlack         = 600 * time.Millisecond // added to the owner's wait; Run treats a slower owner as unresponsive
 	minWatchBackoff    = 50 * time.Millisecond  // wait after the first failed watch; doubles with each further failure
 	maxWatchBackoff    = 400 * time.Millisecond // longest wait after a failed watch
-	minWatchInterval   = 50 * time.Millisecond  // wait after a watch that was answered sooner than this with nothing new
+	minWatchInterval   = 50 * time.Millisecond  // wait after a watch that was answered faster than this without news
 	minRefreshInterval = 200 * time.Millisecond // Refresh doesn't cancel a watch that was sent less than this ago
 	maxExtraTimeout    = 12 * time.Second       // upper limit of watch.extraTimeout
 )
@@ -109,7 +109,8 @@
 	d.watchSentAt = d.options.Clock.Now()
 }
 
-// endRefresh records that the watch has ended, so that Refresh can't cancel it any more. It reports whether Refresh did.
+// endRefresh records that the watch has ended, so that Refresh can no longer cancel it. It reports whether Refresh
+// canceled it.
 func (d *Directory) endRefresh() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -145,8 +146,8 @@
 	return request
 }
 
-// accept handles the response to a watch that was sent at sentAt. A response with an older version counts as a failure. The
-// view is confirmed only if it then has everything that the response announced.
+// accept handles the response to a watch that was sent at sentAt. It treats a response with an older version as a
+// failure. It confirms the view only if the view then has everything that the response announced.
 func (d *Directory) accept(ctx context.Context, w *watch, response *protocol.WatchResponse, sentAt time.Time) {
 	update := d.apply(response)
 	confirmedAt := d.confirmationTime(response, sentAt)
@@ -195,9 +196,9 @@
 	return false
 }
 
-// confirmationTime returns a lower bound of the time at which a response was certainly current. The owner received the watch
-// after sentAt and asked for the confirmation of its leadership at least HeldMs later. At that moment the content was
-// certainly current. The result is a lower bound of that moment, and never after the present time:
+// confirmationTime returns a lower bound of the time at which a response was certainly current. The owner received the
+// watch after sentAt and asked for the confirmation of its leadership at least HeldMs later. At that moment the content
+// was certainly current. The result is a lower bound of that moment, and never after the current time:
 //
 //	sentAt + HeldMs * unansweredFraction
 func (d *Directory) confirmationTime(response *protocol.WatchResponse, sentAt time.Time) time.Time {
@@ -276,8 +277,8 @@
 	return min(minWatchBackoff<<min(failures-1, 3), maxWatchBackoff)
 }
 
-// limitRate waits for minWatchInterval if the watch that was sent at sentAt was answered sooner than that. So an owner that
-// answers at once without news isn't called in a tight loop.
+// limitRate waits for minWatchInterval if the watch that was sent at sentAt was answered faster than that. So an owner
+// that answers at once without news isn't called in a tight loop.
 func (d *Directory) limitRate(ctx context.Context, sentAt time.Time) {
 	if d.options.Clock.Since(sentAt) < minWatchInterval {
 		d.sleep(ctx, minWatchInterval)
--- a/internal/cluster/relay/caller.go
+++ b/internal/cluster/relay/caller.go
@@ -6,9 +6,10 @@
 //
 //  1. It goes to the control process directly. If that answers within directTimeout, the call is done.
 //  2. After a timeout the process is suspect for suspicionLifetime, and the call goes through up to maxRelayAttempts
-//     relays. So does a call to a suspect process that fails sooner.
-//  3. Once a relay has reached the process, it counts as unreachable from here: calls to it go through relays at once.
-//     Every probeInterval at most, such a call also starts a direct ping. The first answered ping ends this state.
+//     relays. A call to a suspect process also goes through relays if its direct attempt fails before directTimeout.
+//  3. Once a relay has reached the process, the Caller marks the process as unreachable from here: calls to it go through
+//     relays at once. Every probeInterval at most, such a call also starts a direct ping. The first answered ping ends
+//     this state.
 //
 // Watches are long polls, whose responses the owner delays. A timeout therefore doesn't repeat the watch through a relay:
 // it starts a ping through a relay, and if that is answered, later watches go through relays.
@@ -17,8 +18,9 @@
 // returns the target's response. The only change is that it marks a heartbeat as relayed.
 //
 // A relayed call may be executed twice, once directly and once through the relay, since the direct request may have
-// arrived though its response did not. So only calls whose second execution is harmless are relayed. Submits, cancels and
-// fences are told apart by the job's id and heartbeats by their sequence number; queries change nothing.
+// arrived though its response did not. So only calls that may safely be executed twice are relayed. The owner recognizes
+// repeated submits, cancels and fences by the job's id, and repeated heartbeats by their sequence number; queries are
+// read-only.
 //
 // A Caller may be used by many goroutines. It need not be closed: the goroutines of its probes end after probeTimeout, or
 // after the timeouts of their relay calls.
@@ -37,9 +39,9 @@
 )
 
 const (
-	// directTimeout is how long a Caller waits for the response of a direct call before it calls a relay. An owner answers a
-	// heartbeat within 60 ms and other calls once they are committed. One that takes longer than directTimeout has
-	// probably ended, is frozen or is partitioned from here.
+	// directTimeout is how long a Caller waits for the response of a direct call before it calls a relay. An owner
+	// answers a heartbeat within 60 ms and other calls once they are committed. An owner that takes longer than
+	// directTimeout has probably ended, is frozen or is partitioned from here.
 	directTimeout = 250 * time.Millisecond
 	// relayTimeout is how long a Caller waits for the response of one relay.
 	relayTimeout = 300 * time.Millisecond
@@ -89,8 +91,8 @@
 }
 
 // Do calls the process at address as transport.Client.Do does, directly or through relays. If the direct call has an
-// unknown outcome and the relayed call fails, the error is UnknownOutcome whatever the relayed call's error: that one says
-// nothing about the execution of the direct call.
+// unknown outcome and the relayed call fails, the error is UnknownOutcome whatever the relayed call's error, which
+// doesn't show whether the direct call was executed.
 func (c *Caller) Do(ctx context.Context, address string, request, response any) error {
 	wrapped := c.relayable(address, request)
 	if wrapped == nil {
@@ -133,9 +135,10 @@
 // directCall is the method Do or DoLong of a Client.
 type directCall func(ctx context.Context, address string, request, response any) error
 
-// watch sends a watch, whose response the owner may delay until ctx ends. So a missing response doesn't show that
-// the path is broken, and the watch is not repeated through a relay. If it failed after directTimeout or more, watch
-// pings the process through a relay: if that succeeds, the process counts as unreachable and the next watch is relayed.
+// watch sends a watch. The owner may delay the response until ctx ends, so a missing response doesn't show that the path
+// is broken, and the watch is not repeated through a relay. If it failed after directTimeout or more, watch pings the
+// process through a relay: if that succeeds, it marks the process as unreachable from here, and the next watch is
+// relayed.
 func (c *Caller) watch(ctx context.Context, wrapped *protocol.RelayRequest, response any, direct directCall) error {
 	address := wrapped.Target
 	if c.mustRelay(ctx, address) {
@@ -171,8 +174,8 @@
 }
 
 // shouldRelay reports whether to relay a call whose direct attempt, begun at began, failed. It does if the attempt took
-// directTimeout, or if it failed sooner but the process is suspect: the client may fail at once during a backoff. A process
-// that is not suspect and refuses connections has ended, and relays don't reach it either.
+// directTimeout, or if it failed earlier but the process is suspect: the client may fail at once during a backoff. A
+// process that is not suspect and refuses connections has ended, and relays don't reach it either.
 func (c *Caller) shouldRelay(ctx context.Context, address string, began time.Time) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/cluster/relay/caller_test.go
+++ b/internal/cluster/relay/caller_test.go
@@ -26,7 +26,7 @@
 	mutex            sync.Mutex      // guards the counts and called, since probes run during calls
 	partitioned      map[string]bool // addresses whose calls get no response until ctx ends
 	dead             map[string]bool // addresses that refuse connections
-	relayPartitioned map[string]bool // relays that answer nothing, since they don't reach the target either
+	relayPartitioned map[string]bool // relays that never answer, since they don't reach the target either
 	refusal          error           // the error that the owner returns; nil: it returns a response
 	direct           int             // requests that reached the owner directly, except pings
 	relayed          int             // requests that reached the owner through relays, except pings
@@ -70,7 +70,7 @@
 	return n.Do(ctx, address, request, response)
 }
 
-// forward handles a call to a relay. The relay has a network of its own, in which the owner is not partitioned.
+// forward handles a call to a relay. The relay uses a separate network where the owner is not partitioned.
 func (n *network) forward(ctx context.Context, relay string, request, response any) error {
 	if n.relayPartitioned[relay] {
 		<-ctx.Done()
@@ -109,7 +109,8 @@
 	}
 }
 
-// requestStatus asks the owner for a job's state. Its timeout is that of a runner. It also returns how long the call took.
+// requestStatus asks the owner for a job's state. It uses the timeout of a runner's request. It also returns the duration
+// of the call.
 func requestStatus(c *Caller) (state string, took time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 880*time.Millisecond)
 	defer cancel()
--- a/internal/cluster/relay/calls.go
+++ b/internal/cluster/relay/calls.go
@@ -13,8 +13,8 @@
 	wrap(request any, wrapped *protocol.RelayRequest) bool
 	// unwrap copies the response in relayed to response. It reports whether response is of this type and relayed has one.
 	unwrap(relayed *protocol.RelayResponse, response any) bool
-	// forward makes the call if wrapped has a request of this type, and stores the response in relayed. It reports whether
-	// it made the call. The error is that of the call.
+	// forward makes the call if wrapped has a request of this type, and stores the response in relayed. It reports
+	// whether it made the call, and returns the call's error.
 	forward(ctx context.Context, client Client, wrapped *protocol.RelayRequest, relayed *protocol.RelayResponse) (bool, error)
 }
 
@@ -24,8 +24,8 @@
 	response func(*protocol.RelayResponse) **Resp
 }
 
-// relayedCalls are all types of calls that may be relayed. Executing one of them twice must be harmless, see the package
-// comment.
+// relayedCalls are all types of calls that may be relayed. Executing any of these calls twice must be harmless, see the
+// package comment.
 var relayedCalls = []relayedCall{
 	callKind[protocol.PingRequest, protocol.PingResponse]{
 		func(r *protocol.RelayRequest) **protocol.PingRequest { return &r.Ping },
@@ -112,8 +112,9 @@
 	return nil
 }
 
-// unwrap copies what a relay returned to response, a pointer to the response type of the call. If the relay returned another
-// type or nothing, as one of another version may, the outcome is unknown: the target may have executed the call.
+// unwrap copies the response that a relay returned to response, a pointer to the response type of the call. A relay of
+// another version may return a different type or no response. The outcome is then unknown: the target may have executed
+// the call.
 func unwrap(relayed *protocol.RelayResponse, response any) error {
 	for _, kind := range relayedCalls {
 		if kind.unwrap(relayed, response) {
--- a/internal/cluster/relay/paths.go
+++ b/internal/cluster/relay/paths.go
@@ -15,7 +15,7 @@
 // path is the state of the path from this machine to one control process. A direct answer deletes it.
 type path struct {
 	timedOutAt  time.Time // when a direct call last timed out; zero: none has since the last direct answer
-	unreachable bool      // a relay reached the process and nothing has answered directly since: calls are relayed at once
+	unreachable bool      // a relay reached the process, which has not answered directly since: calls are relayed at once
 	probeAt     time.Time // if unreachable: when the next direct ping is due
 }
 
@@ -29,8 +29,8 @@
 
 func newPaths() paths { return paths{byAddress: map[string]*path{}} }
 
-// setRelays sets the relays that may be called. Relays that were known keep their order and come before new ones: demote has
-// moved those that failed to the end.
+// setRelays sets the relays that may be called. Known relays keep their order, since demote has moved failed relays to
+// the end. New relays follow them.
 func (p *paths) setRelays(relays []string) {
 	ordered := slices.DeleteFunc(slices.Clone(p.relays), func(known string) bool { return !slices.Contains(relays, known) })
 	for _, each := range relays {
--- a/internal/cluster/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -9,8 +9,8 @@
 )
 
 // Register makes a server a relay: it registers the handler of protocol.RelayRequest. client must call targets directly,
-// not through a Caller, so that no call passes through two relays or in a circle. isKnown reports whether an address is
-// that of a control process; the relay refuses other targets. isKnown may be called by many goroutines at once.
+// not through a Caller, so that no call passes through two relays or in a circle. isKnown reports whether an address
+// belongs to a control process; the relay refuses other targets. isKnown may be called by many goroutines at once.
 func Register(server *transport.Server, client Client, isKnown func(address string) bool) {
 	s := &service{client: client, isKnown: isKnown}
 	transport.Handle(server, func(ctx context.Context, _ string, request *protocol.RelayRequest) (*protocol.RelayResponse, error) {
--- a/internal/cluster/transport/answers_test.go
+++ b/internal/cluster/transport/answers_test.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// lateReadPipes is pipes whose client ends are lateReadConns.
+// lateReadPipes dials like pipes, and wraps the client end of each pipe in a lateReadConn.
 type lateReadPipes struct {
 	*pipes
 	near chan *lateReadConn
--- a/internal/cluster/transport/client.go
+++ b/internal/cluster/transport/client.go
@@ -31,7 +31,7 @@
 }
 
 // Close closes all connections, so that their pending calls fail, and makes further calls fail. It waits for neither. The
-// goroutines of the connections end soon afterwards; one that is still dialing ends when options.Dial returns.
+// goroutines of the connections end soon afterwards; a goroutine that is still dialing ends when options.Dial returns.
 func (c *Client) Close() {
 	c.cancel()
 	c.mutex.Lock()
@@ -52,7 +52,7 @@
 	return c.closed
 }
 
-// Call sends request to the process at address and returns its response. The error is that of Client.Do.
+// Call sends request to the process at address and returns its response. It returns the same errors as Client.Do.
 func Call[Req, Resp any](ctx context.Context, c *Client, address string, request *Req) (*Resp, error) {
 	response := new(Resp)
 	if err := c.Do(ctx, address, request, response); err != nil {
@@ -87,14 +87,14 @@
 //   - the kind that the peer's handler returned, with the handler's message and leader;
 //   - Unavailable, if the request certainly was not written completely, or the server refused it before its handler ran;
 //   - UnknownOutcome, if the request may have been written completely and no valid response arrived;
-//   - TooLarge or Invalid, if the request exceeds MaxFrameBytes or gob cannot encode it; nothing was sent then.
+//   - TooLarge or Invalid, if the request exceeds MaxFrameBytes or gob cannot encode it; the request was not sent.
 func (c *Client) Do(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, shortCall)
 }
 
-// DoLong does what Do does, for a long poll: a call whose response the peer may delay. While a connection has only such
-// calls pending, the client does not probe the peer. A frozen or partitioned peer is noticed only at the deadline of
-// ctx: if the connection has received nothing since the call started, it is closed, so that the next call dials again.
+// DoLong is Do for long polls: the peer may delay the response. While all pending calls of a connection are long polls,
+// the client does not probe the peer. A frozen or partitioned peer is noticed only at the deadline of ctx: if the
+// connection has received nothing since the call started, it is closed, so that the next call dials again.
 func (c *Client) DoLong(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, longCall)
 }
@@ -129,8 +129,8 @@
 	}
 }
 
-// remaining returns the time until ctx's deadline, or 0 if there is no deadline. A deadline that has just passed counts as
-// 1 ms, since 0 would give the server's handler unlimited time.
+// remaining returns the time until ctx's deadline, or 0 if there is no deadline. For a deadline that has just passed it
+// returns 1 ms, since 0 would give the server's handler unlimited time.
 func (c *Client) remaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -139,8 +139,8 @@
 	return max(c.options.Clock.Until(deadline), time.Millisecond)
 }
 
-// abandon ends a call whose ctx has ended, and returns the call's result. It is the response's if that arrived just
-// before.
+// abandon ends a call whose ctx has ended, and returns the call's result. If the response arrived just before ctx ended,
+// the result is that of the response.
 func (c *Client) abandon(ctx context.Context, from *connection, pending *call, id uint64) error {
 	state := from.abandon(id)
 	switch state {
@@ -148,7 +148,7 @@
 		select {
 		case err := <-pending.done:
 			return err
-		default: // no result yet, as while the reader decodes the response: the outcome counts as unknown
+		default: // no result yet, e.g. the reader is still decoding the response: report an unknown outcome
 		}
 	case abandonedUnsent:
 		return failure.Newf(failure.Unavailable, "%s: request not sent: %v", from.peer.address, ctx.Err())
--- a/internal/cluster/transport/connection.go
+++ b/internal/cluster/transport/connection.go
@@ -50,7 +50,7 @@
 	calls        map[uint64]*call
 	lastID       uint64 // id of the newest call; ids are never reused on a connection, so late responses match no other call
 	shortCalls   int    // pending calls of kind shortCall
-	suspect      bool   // the caller of a shortCall gave up and nothing was received since; probing continues
+	suspect      bool   // the caller of a shortCall gave up and no bytes have arrived since; probing continues
 	suspectReads uint64 // the count of reads when suspect was set
 	established  bool   // the server's greeting has arrived
 	ended        bool   // the pending calls were failed; no call may be added
@@ -169,7 +169,7 @@
 	return c.removeCall(id)
 }
 
-// removeCall does what takeCall does. The caller must hold the mutex.
+// removeCall is takeCall for callers that hold the mutex.
 func (c *connection) removeCall(id uint64) *call {
 	pending := c.calls[id]
 	if pending == nil {
@@ -257,8 +257,8 @@
 	return busy
 }
 
-// checkLiveness returns what probe has to do. The caller must hold the mutex. A connection without a greeting is not
-// probed, since DialTimeout and GreetingTimeout limit that phase.
+// checkLiveness returns the verdict on which probe acts. The caller must hold the mutex. A connection without a greeting
+// is not probed, since DialTimeout and GreetingTimeout limit that phase.
 func (c *connection) checkLiveness() verdict {
 	if c.ended || c.in == nil {
 		return verdictIdle
@@ -270,7 +270,7 @@
 	return c.liveness.probe(c.shortCalls > 0 || c.suspect, reads)
 }
 
-// end closes the connection because of cause. Further calls change nothing: the first cause is kept and logged.
+// end closes the connection because of cause. Only the first call's cause is kept and logged.
 func (c *connection) end(cause error) {
 	c.mutex.Lock()
 	first := c.cause == nil
--- a/internal/cluster/transport/faults_test.go
+++ b/internal/cluster/transport/faults_test.go
@@ -297,8 +297,8 @@
 // readsOf returns the count of reads from the connection to an address.
 func readsOf(c *Client, address string) uint64 { return connectionOf(c, address).reads() }
 
-// setReadsBefore makes the pending calls count as started after the greeting. They started before it arrived, so the
-// greeting would otherwise count as something received during the call.
+// setReadsBefore changes the pending calls as if they had started after the greeting arrived. They started before, so the
+// client would otherwise take the greeting for bytes received during the call.
 func setReadsBefore(c *Client, address string) {
 	current := connectionOf(c, address)
 	count := current.reads()
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -40,7 +40,7 @@
 	responseName string // the same for the response
 	request      reflect.Type
 	response     reflect.Type // nil for a one-way message
-	// handle registers a handler that sends what it gets to the channel, and answers a call with response.
+	// handle registers a handler that sends each request or message to the channel, and answers a call with response.
 	handle func(server *transport.Server, received chan<- received, response any)
 }
 
--- a/internal/cluster/transport/frame_decoder.go
+++ b/internal/cluster/transport/frame_decoder.go
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// discard drops the rest of a canceled frame. Its value need not pass through gob: a frame of kind frameDefine has
-// described its type, so nothing that later values need is lost.
+// discard drops the rest of a canceled frame. Its value need not pass through gob: an earlier frame of kind frameDefine
+// has described its type, so gob can decode later values without this one.
 func (in *frameDecoder) discard() error {
 	_, err := in.reader.Discard(in.remaining)
 	in.remaining = 0
--- a/internal/cluster/transport/handle.go
+++ b/internal/cluster/transport/handle.go
@@ -30,8 +30,8 @@
 	answered    atomic.Bool
 }
 
-// reply answers the call with err, or with response if err is nil. Further calls of it do nothing. response is nil or a
-// pointer.
+// reply answers the call with err, or with response if err is nil. Only the first call of reply has an effect. response
+// is nil or a pointer.
 func (call *pendingCall) reply(response any, err error) {
 	if call.answered.Swap(true) {
 		return
@@ -53,9 +53,9 @@
 	call.reply(response, err)
 }
 
-// Handle registers the handler of calls whose request is a Req. f runs in a new goroutine for each call, of which
-// MaxHandlers may run at once. Its ctx ends at the caller's deadline or when the server is closed. A nil response without
-// an error leaves the caller's response unchanged. Registering a type twice panics.
+// Handle registers the handler of calls whose request is a Req. f runs in a new goroutine for each call; at most
+// MaxHandlers of these run at once. Its ctx ends at the caller's deadline or when the server is closed. A nil response
+// without an error leaves the caller's response unchanged. Registering a type twice panics.
 func Handle[Req, Resp any](s *Server, f func(ctx context.Context, from string, request *Req) (*Resp, error)) {
 	register[Req](s, handler{request: func(call *pendingCall) error {
 		request := new(Req)
@@ -73,8 +73,8 @@
 	}})
 }
 
-// runHandler calls f and answers the call with the result. ctx is the server's; f gets one that also ends at the caller's
-// deadline.
+// runHandler calls f and answers the call with the result. ctx is the server's context; the context of f also ends at the
+// caller's deadline.
 func runHandler[Req, Resp any](
 	ctx context.Context, s *Server, call *pendingCall, request *Req, f func(context.Context, string, *Req) (*Resp, error),
 ) {
@@ -91,7 +91,7 @@
 
 // HandleAsync registers the handler of calls whose request is a Req. The handler answers by calling reply once, at any
 // time and from any goroutine. f runs in the goroutine that reads the connection: it gets the calls of one connection in
-// the order of sending, and while it blocks nothing else is read, pings included. Registering a type twice panics.
+// the order of sending, and while it blocks, no further frames are read, not even pings. Registering a type twice panics.
 func HandleAsync[Req, Resp any](s *Server, f func(from string, request *Req, reply func(*Resp, error))) {
 	register[Req](s, handler{request: func(call *pendingCall) error {
 		request := new(Req)
@@ -103,9 +103,9 @@
 	}})
 }
 
-// HandleOneWay registers the handler of one-way messages of type Msg. f runs in the goroutine that reads the connection: it
-// gets the messages of one connection in the order of sending, and while it blocks nothing else is read, pings included.
-// Registering a type twice panics.
+// HandleOneWay registers the handler of one-way messages of type Msg. f runs in the goroutine that reads the connection:
+// it gets the messages of one connection in the order of sending, and while it blocks, no further frames are read, not
+// even pings. Registering a type twice panics.
 func HandleOneWay[Msg any](s *Server, f func(from string, message *Msg)) {
 	register[Msg](s, handler{message: func(s *session) error {
 		message := new(Msg)
--- a/internal/cluster/transport/liveness.go
+++ b/internal/cluster/transport/liveness.go
@@ -4,23 +4,24 @@
 // is closed.
 const maxUnansweredProbes = 3
 
-// liveness decides whether the peer of a connection is unresponsive: its process is frozen, or a partition keeps its bytes
-// away. Only a connection with pending calls is judged. It counts probe intervals in which nothing was received, not
-// time. So if this process was frozen, that counts as one interval, and it does not close connections whose peers are well.
+// liveness decides whether the peer of a connection is unresponsive: its process is frozen, or a partition keeps its
+// bytes away. It checks a connection only while calls are pending. It counts probe intervals without received bytes
+// instead of measuring time: if this process was frozen, the pause adds only one interval, and connections to healthy
+// peers stay open.
 type liveness struct {
 	wasPending bool   // calls were pending at the last probe
 	reads      uint64 // count of reads from the connection at the last probe
-	unanswered int    // probe intervals in a row in which nothing was read
+	unanswered int    // consecutive probe intervals without a read
 }
 
-// verdict is what a probe found.
+// verdict is the result of a probe.
 type verdict int
 
 const (
 	verdictIdle  verdict = iota // no call is pending
 	verdictAlive                // something was read since the last probe, or this is the first probe with a pending call
-	verdictPing                 // nothing was read since the last probe: a ping has to be sent
-	verdictDead                 // nothing was read for maxUnansweredProbes intervals: the connection has to be closed
+	verdictPing                 // no bytes were read since the last probe: send a ping
+	verdictDead                 // no bytes were read for maxUnansweredProbes intervals: close the connection
 )
 
 // probe returns the verdict at the end of one probe interval. pending says whether the peer has to be watched, because short
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -22,7 +22,7 @@
 //     server has read the complete request, or the server has no handler for it or is at one of its limits. A handler that
 //     returns this kind says the same.
 //   - failure.UnknownOutcome: the kernel took the complete request, or the writer may have started to write it, and no
-//     valid response arrived. An error of a handler that has no kind counts as this one.
+//     valid response arrived. The server also reports a handler's error that has no kind as UnknownOutcome.
 //   - Other kinds come from the handler, except TooLarge and Invalid for requests that the client cannot encode.
 //
 // A one-way message may be lost without an error. Messages that arrive on one connection arrive in the order of sending.
@@ -31,9 +31,9 @@
 //
 //   - The peer is partitioned or its machine has stopped: the kernel closes a connection on which sent bytes stay
 //     unacknowledged, see userTimeout. TCP keep-alive finds the fault on a connection without traffic.
-//   - The peer's process is frozen, but its kernel still acknowledges: the client pings while short calls are pending
-//     and closes the connection if it receives nothing, see liveness. With only long polls pending, it closes the
-//     connection at the deadline of one during which it received nothing, see Client.DoLong.
+//   - The peer's process is frozen, but its kernel still acknowledges: the client pings while short calls are pending and
+//     closes the connection if it receives nothing, see liveness. If only long polls are pending, it closes the
+//     connection at the deadline of a long poll during which no bytes arrived, see Client.DoLong.
 //   - The peer reads slowly or not: writes time out after WriteTimeout, and the queue of a connection is limited by
 //     MaxQueueBytes.
 //   - The peer accepts connections but does not greet: GreetingTimeout.
@@ -93,7 +93,7 @@
 type ClientOptions struct {
 	Logger log.Logger      // nil: nothing is logged
 	Clock  clockwork.Clock // times probes and backoffs, and converts deadlines; nil: the system's clock
-	// Name is what the server's handlers get as from. If it is empty, they get the address of the connection.
+	// Name is passed to the server's handlers as from. If it is empty, they get the address of the connection.
 	Name string
 	// MaxFrameBytes limits the length of one frame, without its length field. A longer request fails with TooLarge.
 	// Receiving a longer frame closes the connection.
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -13,7 +13,7 @@
 	"ospreypond/internal/cluster/failure"
 )
 
-// errUnresponsive reports that a connection was closed because nothing was received from the peer for too long.
+// errUnresponsive reports that a connection was closed because no bytes arrived from the peer for too long.
 var errUnresponsive = errors.New("received nothing from the peer for too long")
 
 // dialError is the cause of the end of a connection that could not be dialed.
--- a/internal/cluster/transport/send_queue.go
+++ b/internal/cluster/transport/send_queue.go
@@ -26,7 +26,7 @@
 // typeEntry is a type that this side has described on a connection.
 type typeEntry struct {
 	number uint64 // the type's number in frame headers, counted from 1
-	empty  bool   // the type has nothing that gob could encode, so its frames have no value
+	empty  bool   // the type has no fields that gob could encode, so its frames have no value
 }
 
 // sendQueue queues the frames of one direction of a connection and writes them. The goroutine that sends a frame encodes it
@@ -46,11 +46,11 @@
 	encoder  *gob.Encoder
 	types    map[reflect.Type]typeEntry
 	pending  []byte // bytes that are queued and not taken by the writer
-	spare    []byte // the buffer that becomes pending when the writer takes the present one; may be nil
+	spare    []byte // the buffer that becomes pending when the writer takes the current one; may be nil
 	taken    uint64 // number of bytes that the writer has taken since the connection began
 	written  uint64 // number of bytes that the kernel has accepted since the connection began
 	flushing bool   // the writer goroutine runs
-	closing  bool   // the writer closes the connection once nothing is pending; further frames are refused
+	closing  bool   // the writer closes the connection once pending is empty; further frames are refused
 	closed   bool
 }
 
@@ -170,8 +170,8 @@
 	return frameRange.end > q.written
 }
 
-// attach sets the connection to write to and starts to write what is queued. It reports whether the queue is still open;
-// if not, the caller has to close conn.
+// attach sets the connection to write to and starts to write the queued frames. It reports whether the queue is still
+// open; if not, the caller has to close conn.
 func (q *sendQueue) attach(conn net.Conn) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -192,7 +192,7 @@
 	go q.flush()
 }
 
-// flush is the writer goroutine. It writes until nothing is pending or the connection is closed.
+// flush is the writer goroutine. It writes until pending is empty or the queue is closed.
 func (q *sendQueue) flush() {
 	for {
 		q.mutex.Lock()
@@ -252,7 +252,7 @@
 	return written, nil
 }
 
-// close closes the connection without writing what is pending. A running write fails, and the writer then calls onEnd.
+// close closes the connection without writing the pending bytes. A running write fails, and the writer then calls onEnd.
 func (q *sendQueue) close() {
 	q.mutex.Lock()
 	if q.closed {
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -68,8 +68,8 @@
 }
 
 // Close closes the listeners, and each connection once the responses queued on it are written. It waits until all
-// connections are closed. After twice closeTimeout it closes those that are still open, whatever is queued. It ends
-// the contexts of running handlers but does not wait for them; what they answer later is dropped.
+// connections are closed. After twice closeTimeout it closes the remaining connections even if responses are still
+// queued. It ends the contexts of running handlers but does not wait for them; their later answers are dropped.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
--- a/internal/cluster/transport/server_test.go
+++ b/internal/cluster/transport/server_test.go
@@ -127,7 +127,7 @@
 	})
 })
 
-// shortListener is a listener whose Accept returns its results as errors, one after the other.
+// shortListener is a listener. Each Accept returns the next error of results.
 type shortListener struct {
 	results []error
 	closed  chan struct{}
--- a/internal/cluster/transport/session.go
+++ b/internal/cluster/transport/session.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// handleMessage passes a one-way message to its handler. It skips messages without a handler, such as those of a newer
-// version.
+// handleMessage passes a one-way message to its handler. It skips messages without a handler, such as messages that only
+// a newer version knows.
 func (s *session) handleMessage(h header) error {
 	found, ok := s.server.handlers[s.in.typeName(h.typeNumber)]
 	if !ok || found.message == nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// sendFailure answers a call with an error, of which it sends the kind, the message and the leader. It closes the
-// connection if the queue is full.
+// sendFailure answers a call with an error: it sends the error's kind, message and leader. It closes the connection if
+// the queue is full.
 func (s *session) sendFailure(id uint64, err error) {
 	sent := &failure.Error{Kind: failure.KindOf(err), Message: err.Error(), Leader: failure.LeaderOf(err)}
 	var known *failure.Error
--- a/internal/cluster/transport/socket.go
+++ b/internal/cluster/transport/socket.go
@@ -19,8 +19,8 @@
 	keepAliveCount    = 3                // unanswered keep-alive probes after which the connection is closed
 )
 
-// keepAlive configures TCP keep-alive, which finds half-open connections on which nothing is sent: a server would otherwise
-// keep the sessions of clients whose machines have stopped.
+// keepAlive configures TCP keep-alive, which finds half-open connections without traffic: a server would otherwise keep
+// the sessions of clients whose machines have stopped.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     keepAliveIdle,
@@ -34,8 +34,8 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Listen opens a TCP listener. Its connections have the same user timeout and keep-alive as those of a client: the kernel
-// closes them if the peer's machine no longer responds.
+// Listen opens a TCP listener. Its connections have the same user timeout and keep-alive as client connections: the
+// kernel closes them if the peer's machine no longer responds.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return config.Listen(ctx, "tcp", address)
