--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -143,7 +143,7 @@
 	return size, err
 }
 
-// addDamage adds a fault if err is a *wal.DamageError; unless the same fault is already listed. It returns any other
+// addDamage adds a fault if err is a *wal.DamageError, unless the same fault is already listed. It returns any other
 // error.
 func (f *Folder) addDamage(err error) error {
 	var damage *wal.DamageError
@@ -200,8 +200,8 @@
 	return groups, nil
 }
 
-// newGroup returns the printed form of a group. Its members come from the newest membership entry; without an entry from
-// the snapshot; without a snapshot they are the initial members.
+// newGroup returns the printed form of a group. Its members come from the newest membership entry. If the log has no such
+// entry, they come from the snapshot; if there is no snapshot either, they are the initial members.
 func (f *Folder) newGroup(id uint32, read *wal.Group) Group {
 	group := Group{
 		Shard:   id,
--- a/internal/cluster/administration/messages.go
+++ b/internal/cluster/administration/messages.go
@@ -5,9 +5,9 @@
 // Reports and lists are meant for people to read: a process answers from its own state, and no quorum confirms that the
 // state is the newest. Backups, job states and the configuration are confirmed by a quorum, and changes are committed.
 //
-// The messages are encoded by gob, which finds fields by their names and drops fields that the receiver doesn't have
-// without an error. The names of their fields are the wire format between commands and control processes of different
-// versions and must not change. Types that are printed have JSON tags, which must not change either.
+// The messages are encoded by gob, which finds fields by their names and silently drops fields that the receiver doesn't
+// have. The names of their fields are the wire format between commands and control processes of different versions and
+// must not change. Types that are printed have JSON tags, which must not change either.
 package administration
 
 import "ospreypond/internal/cluster/protocol"
--- a/internal/cluster/administration/reports.go
+++ b/internal/cluster/administration/reports.go
@@ -37,8 +37,8 @@
 }
 
 // queryAll requests the reports of the processes at addresses in parallel, except of those in queried, and adds the
-// addresses to queried. If some processes don't answer, it returns the error from one of these together with the reports
-// that arrived.
+// addresses to queried. If some processes don't answer, it returns one of their errors together with the reports that
+// arrived.
 func (c *Client) queryAll(ctx context.Context, addresses []string, queried map[string]bool) ([]Report, error) {
 	var mutex sync.Mutex
 	var pending sync.WaitGroup
--- a/internal/cluster/configuration/command.go
+++ b/internal/cluster/configuration/command.go
@@ -45,7 +45,7 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeCommand decodes what EncodeCommand returned.
+// DecodeCommand decodes the result of EncodeCommand.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&command); err != nil {
@@ -54,7 +54,7 @@
 	return command, nil
 }
 
-// apply returns the document that a command makes of d. The error is of kind failure.Invalid.
+// apply returns the document that results from applying a command to d. The error is of kind failure.Invalid.
 func (d *Document) apply(command Command) (*Document, error) {
 	switch command.Kind {
 	case protocol.ConfigurationReplace:
--- a/internal/cluster/configuration/difference.go
+++ b/internal/cluster/configuration/difference.go
@@ -9,9 +9,9 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// difference returns an update that leads from one document to the next if its body is at most half as long as that of the
-// replacement which led there; else it returns the replacement. Followers that apply the update have the same items as the
-// owner, but possibly in another order.
+// difference returns an update that leads from one document to the next if the body of the update is at most half as long
+// as the body of the replacement; else it returns the replacement. Followers that apply the update have the same items as
+// the owner, but possibly in another order.
 func difference(before, next *Document, replacement Command) Command {
 	if !sameSections(before, next) {
 		return replacement
@@ -43,8 +43,9 @@
 	})
 }
 
-// appendUpserts appends the member of `upsert` for one section: the new and changed items of a list, or the changed value of
-// another section. It appends nothing if there are none. Unchanged items are the same pointers in both documents.
+// appendUpserts appends the member of `upsert` for one section: the new and changed items of a list, or the changed value
+// of another section. It leaves body as it is if the section has no changes. Unchanged items are the same pointers in
+// both documents.
 func appendUpserts(body []byte, before, next *section) []byte {
 	if !next.isList {
 		if bytes.Equal(before.raw, next.raw) {
@@ -64,7 +65,8 @@
 	return append(append(append(appendKey(body, next.name), '['), items...), ']')
 }
 
-// appendRemovals appends the member of `remove` for one section: the names of the items that only before has, if any.
+// appendRemovals appends the member of `remove` for one section: the names of the items that exist only in before, if
+// any.
 func appendRemovals(body []byte, before, next *section) []byte {
 	var names []string
 	for _, member := range before.list.items {
--- a/internal/cluster/configuration/earlierservices.go
+++ b/internal/cluster/configuration/earlierservices.go
@@ -9,9 +9,9 @@
 // the quarter that has had no route for the longest time is forgotten.
 const maxDroppedQueues = 16384
 
-// inheritServices sets the earlier services of d's queues from those of the document before it. removed has at least the
-// routes of before that d doesn't have, added at least the new and changed routes of d. The items of all other routes are
-// shared with before and have their earlier services already.
+// inheritServices sets the earlier services of d's queues from the queues of before, the previous document. removed
+// includes all routes of before that d doesn't have. added includes all new and changed routes of d. d shares the items
+// of all other routes with before; these already have their earlier services.
 func (d *Document) inheritServices(before *Document, removed, added []*item) {
 	for _, member := range added {
 		d.inheritServicesOf(before, member)
@@ -35,8 +35,8 @@
 	}
 }
 
-// inheritServicesOf sets the earlier services of a route: all services that its queue had in the document before, as a queue
-// with or without a route, except the present one. An item of the document before is shared and must not change.
+// inheritServicesOf sets the earlier services of a route: all services that its queue had in before, whether or not the
+// queue had a route there, except the route's current service. It doesn't change a route that d shares with before.
 func (d *Document) inheritServicesOf(before *Document, member *item) {
 	old := before.queues.get(member.queue)
 	if old == member {
--- a/internal/cluster/configuration/feed.go
+++ b/internal/cluster/configuration/feed.go
@@ -14,9 +14,9 @@
 	Changes []Command // in the order of the log; empty if there is an Image
 }
 
-// Since returns the encoded feed that brings a follower from a version to the current one; Advance decodes it. The feed has
-// the changes if canTakeChanges is true and all of them are remembered, else the complete document. Since returns nil if
-// version is the current one. The result is shared between followers and must not be modified.
+// Since returns the encoded feed that brings a follower from a version to the current one; Advance decodes it. The feed
+// has the changes if canTakeChanges is true and the State still remembers all of them, else the complete document. Since
+// returns nil if version is the current one. The result is shared between followers and must not be modified.
 func (s *State) Since(version uint64, canTakeChanges bool) ([]byte, error) {
 	if version == s.document.version {
 		return nil, nil
@@ -81,7 +81,8 @@
 	return previous.advance(received.Changes)
 }
 
-// advance returns the document to which changes lead from d. Each must build on the version that the one before it led to.
+// advance returns the document that results from applying changes to d. Each change must build on the version that the
+// previous change led to, the first on d's version.
 func (d *Document) advance(changes []Command) (*Document, error) {
 	if len(changes) == 0 {
 		return nil, errors.New("the configuration's feed has neither a complete document nor changes")
--- a/internal/cluster/configuration/image.go
+++ b/internal/cluster/configuration/image.go
@@ -4,7 +4,7 @@
 	"github.com/pkg/errors"
 )
 
-// imageFormat is the version of the format of image. An image with another one is rejected.
+// imageFormat is the version of the format of image. An image of another format version is rejected.
 const imageFormat = 1
 
 // image is the encoded form of a Document, in snapshots and feeds. It, imageSection and imageQueue are encoded by gob: the
@@ -14,7 +14,7 @@
 	Version  uint64
 	Sections []imageSection
 	Moved    []imageQueue // queues that have a route and earlier services, sorted by queue
-	Dropped  []imageQueue // queues that have no route any more, sorted by queue
+	Dropped  []imageQueue // queues that no longer have a route, sorted by queue
 }
 
 // imageSection is the encoded form of a section.
@@ -80,8 +80,8 @@
 	return made, nil
 }
 
-// decode returns the section. Its items are copies, even of those of known: restoreQueueHistory sets their earlier services,
-// and an item of another document must not change.
+// decode returns the section. Its items are copies, even where known has an equal item: restoreQueueHistory sets their
+// earlier services, and an item of another document must not change.
 func (s *imageSection) decode(known *Document) (section, error) {
 	if !s.IsList {
 		if len(s.Items) != 1 {
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -23,8 +23,8 @@
 	route           *Route   // nil unless the item is a route
 	service         *Service // nil unless the item is a service
 	queue           queueKey // set for routes and for queues without a route
-	earlierServices []string // services that the queue had before its present one; the one that it left last is the last
-	droppedIn       uint64   // first version in which the queue had no route; 0 unless the item is a queue without one
+	earlierServices []string // services that the queue had before its current service, the most recent last
+	droppedIn       uint64   // first version in which the queue had no route; 0 unless the item is a queue without a route
 }
 
 // allServices returns the earlier services of the queue, followed by its present one if it has a route.
--- a/internal/cluster/configuration/json.go
+++ b/internal/cluster/configuration/json.go
@@ -12,7 +12,7 @@
 }
 
 // jsonObject returns the members of a JSON object in the order of the text. ok is false if data is another kind of value.
-// data must be valid JSON, since no bounds are checked; the members' values are slices of it.
+// data must be valid JSON, since jsonObject checks no bounds. The members' values are slices of data.
 func jsonObject(data []byte) (fields []jsonField, ok bool) {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != '{' {
@@ -31,7 +31,7 @@
 }
 
 // jsonArray returns the elements of a JSON array. ok is false if data is another kind of value. data must be valid JSON,
-// since no bounds are checked; the elements are slices of it.
+// since jsonArray checks no bounds. The elements are slices of data.
 func jsonArray(data []byte) (elements [][]byte, ok bool) {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != '[' {
--- a/internal/cluster/configuration/parse.go
+++ b/internal/cluster/configuration/parse.go
@@ -90,8 +90,9 @@
 	return true
 }
 
-// parseItems parses the elements of the list in a section. Most lists are sent in the order of the previous document: an
-// element is first compared with the item after the one that the last element matched, and is parsed only if it differs.
+// parseItems parses the elements of the list in a section. Most lists are sent in the order of the previous document. So
+// parseItems first compares an element with the item that follows the last match in the previous document, and parses it
+// only if the two differ.
 func (p parser) parseItems(section string, elements [][]byte) ([]*item, error) {
 	before := p.previous.itemsOf(section)
 	items := make([]*item, 0, len(elements))
--- a/internal/cluster/configuration/queueindex.go
+++ b/internal/cluster/configuration/queueindex.go
@@ -9,7 +9,7 @@
 // compareQueues compares the queues of two items in the order of the index.
 func compareQueues(a, b *item) int { return a.queue.compare(b.queue) }
 
-// newQueueIndex returns the index of routes. It fails if two of them have the same queue.
+// newQueueIndex returns the index of routes. It fails if two routes have the same queue.
 func newQueueIndex(routes []*item) (queueIndex, error) {
 	sorted := queueIndex(slices.Clone(routes))
 	slices.SortFunc(sorted, compareQueues)
--- a/internal/cluster/configuration/recent.go
+++ b/internal/cluster/configuration/recent.go
@@ -6,7 +6,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// Bounds of recentChanges. The oldest changes are dropped while one of them is exceeded.
+// Bounds of recentChanges. The oldest changes are dropped while either bound is exceeded.
 const (
 	maxRecentChanges = 256       // commands
 	maxRecentBytes   = 256 << 10 // of the commands' bodies together
@@ -15,7 +15,7 @@
 // recentChanges has the newest accepted commands, for followers that are only a few versions behind. It is not part of the
 // replicated state: a State that was just restored has none, and feeds complete documents until it has accepted commands.
 type recentChanges struct {
-	changes      []Command         // each builds on the version that the one before it led to
+	changes      []Command         // each builds on the version that the previous change led to
 	bytes        int               // of the commands' bodies
 	encodedFeeds map[uint64][]byte // encoded feeds to the current version by the version that they start from; 0: complete
 }
@@ -37,7 +37,7 @@
 	r.changes = slices.Delete(r.changes, 0, first)
 }
 
-// since returns the changes that lead from a version to the current one, or nil if not all of them are remembered.
+// since returns the changes that lead from a version to the current one, or nil if some of these have been dropped.
 func (r *recentChanges) since(version uint64) []Command {
 	for i := range r.changes {
 		if r.changes[i].Base == version {
--- a/internal/cluster/configuration/replace.go
+++ b/internal/cluster/configuration/replace.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// checkVersion returns an error unless the version is above that of the document before it.
+// checkVersion returns an error unless d's version is above the version of before, the previous document.
 func (d *Document) checkVersion(before *Document) error {
 	if d.version <= before.version {
 		return invalidf("version %d is not above the current %d", d.version, before.version)
--- a/internal/cluster/configuration/snapshot.go
+++ b/internal/cluster/configuration/snapshot.go
@@ -21,7 +21,7 @@
 	return buffer.Bytes(), errors.Wrap(err, "encode the snapshot of the configuration")
 }
 
-// Restore replaces the state by one that Snapshot encoded. If it returns an error, the state is unchanged.
+// Restore replaces the state by a state that Snapshot encoded. If it returns an error, the state is unchanged.
 func (s *State) Restore(data []byte) error {
 	var decoded snapshot
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&decoded); err != nil {
--- a/internal/cluster/configuration/state.go
+++ b/internal/cluster/configuration/state.go
@@ -23,12 +23,12 @@
 // State is the replicated state machine of the configuration shard: the current document, and the keys of the commands that
 // led to it. It must be used by one goroutine at a time; the documents that it returns may be used by any.
 //
-// The kind and version of a Result depend on the entries before the command in the log, and on nothing else. A command is
-// accepted only on the current version and then raises it, so at most one command is accepted on each version, and a base
+// The kind and version of a Result depend only on the command and the entries before it in the log. A command is accepted
+// only on the current version and then raises it, so at most one command is accepted on each version, and a base
 // identifies the command that was accepted on it.
 type State struct {
 	document *Document
-	accepted []commandKey  // the newest accepted commands, sorted by base, one for each version that another one replaced
+	accepted []commandKey  // the newest accepted commands, sorted by base; each replaced the version that is its base
 	early    []commandKey  // commands that were rejected before their base existed; it is the current version or a later one
 	recent   recentChanges // not replicated: neither in snapshots nor in the digest
 }
@@ -49,8 +49,8 @@
 // Document returns the current document, never nil; it has version 0 before the first configuration.
 func (s *State) Document() *Document { return s.document }
 
-// Apply executes an entry of the log and returns its Result. The signature is that of package replica's state machines; the
-// entry's index and term are not used.
+// Apply executes an entry of the log and returns its Result. Package replica prescribes the signature for its state
+// machines; State doesn't use the entry's index and term.
 func (s *State) Apply(_, _ uint64, data []byte) any {
 	command, err := DecodeCommand(data)
 	if err != nil {
@@ -62,14 +62,14 @@
 // Execute executes a command. The result depends on the version that the command builds on, its base:
 //   - The current version: the command is accepted, unless it is invalid (Invalid) or was rejected before the version
 //     existed (Conflict).
-//   - An earlier version: the command is acknowledged again if it is the one that was accepted on that version, whatever
-//     came after it. Any other command is rejected (Conflict). If the accepted one is no longer remembered, the state can't
-//     tell whether this is it (Forgotten).
+//   - An earlier version: the command is acknowledged again if it is the command that was accepted on that version,
+//     whatever commands followed it. Any other command is rejected (Conflict). If the state no longer remembers the
+//     accepted command, it can't tell the two cases apart (Forgotten).
 //   - A later version: the command is rejected (Conflict) and remembered, or is left undecided if too many are
 //     remembered (Unavailable).
 //
-// So a command that was accepted is never executed a second time, and one that was rejected with Invalid or Conflict is
-// never accepted later, however often and however late it is resent.
+// So an accepted command is never executed a second time, and a command rejected with Invalid or Conflict is never
+// accepted later, however often and however late it is resent.
 func (s *State) Execute(command Command) Result {
 	switch current := s.document.version; {
 	case command.Base < current:
@@ -94,8 +94,8 @@
 	return Result{Version: next.version}
 }
 
-// answerResent returns the result of a command that builds on a version before the current one. Either this command was
-// accepted on that version, or another one was.
+// answerResent returns the result of a command that builds on a version before the current one. Either this or another
+// command was accepted on that version.
 func (s *State) answerResent(command Command) Result {
 	if len(s.accepted) == 0 || command.Base < s.accepted[0].Base {
 		return s.rejectf(failure.Forgotten, "version %d is current; which change of version %d was accepted is no longer known",
@@ -135,7 +135,7 @@
 	return Result{Kind: kind, Version: s.document.version, Message: messageOf(err)}
 }
 
-// messageOf returns an error's message; that of a failure.Error without the name of its kind.
+// messageOf returns an error's message. For a failure.Error it leaves out the name of the kind.
 func messageOf(err error) string {
 	var known *failure.Error
 	if errors.As(err, &known) {
--- a/internal/cluster/configuration/table.go
+++ b/internal/cluster/configuration/table.go
@@ -7,9 +7,9 @@
 // Table finds the route of a request. It never changes and may be used by any goroutine.
 type Table struct{ queues queueIndex }
 
-// Lookup returns the route for a host and path: of the host's routes with a prefix that the path starts with, the one with
-// the longest. rest is the path after the prefix. ok is false, and route nil, if the path starts with no prefix of the
-// host. Hosts are compared without case and port.
+// Lookup returns the route for a host and path: the host's route with the longest prefix that the path starts with. rest
+// is the path after the prefix. ok is false, and route nil, if no route of the host matches. Hosts are compared without
+// case and port.
 func (t *Table) Lookup(host, path string) (route *Route, rest string, ok bool) {
 	host = normalizeHost(host)
 	bound := path
@@ -21,11 +21,11 @@
 		if i < 0 || t.queues[i].queue.host != host {
 			return nil, "", false
 		}
-		// Invariant: bound starts with every route prefix of the host that path starts with.
-		// Item i is the last one of the host at or before bound in the order of the index. If bound starts with the prefix of
-		// item i, that is the longest match, since a longer one would sort after it. Otherwise every match m sorts before item
-		// i, and all strings in the order between m and bound start with m. So m is a prefix of both item i and bound, and
-		// bound can be truncated to what these two have in common. That is shorter than bound, so the loop ends.
+		// Invariant: bound starts with every route prefix of the host that path starts with. Item i is the last one of
+		// the host at or before bound in the order of the index. If bound starts with the prefix of item i, that is the
+		// longest match, since a longer one would sort after it. Otherwise every match m sorts before item i, and all
+		// strings in the order between m and bound start with m. So m is a prefix of both item i and bound, and bound can
+		// be truncated to the common prefix of these two. This prefix is shorter than bound, so the loop ends.
 		prefix := t.queues[i].queue.prefix
 		common := commonLength(prefix, bound)
 		if common == len(prefix) {
--- a/internal/cluster/configuration/update.go
+++ b/internal/cluster/configuration/update.go
@@ -18,9 +18,9 @@
 	names   []string
 }
 
-// applyUpdate returns the document that an update makes of d. Removals are done before upserts, so an item that is both
-// removed and upserted exists afterwards. Removing an item that doesn't exist is no error, so that an update can build on
-// any document in which its effect makes sense.
+// applyUpdate returns the document that results from applying an update to d. Removals are done before upserts, so an
+// item that is both removed and upserted exists afterwards. Removing an item that doesn't exist is no error, so that an
+// update can be applied whether or not the items that it removes still exist.
 func (d *Document) applyUpdate(body []byte) (*Document, error) {
 	update, err := d.parseUpdate(body)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return next, next.reindex(d, update)
 }
 
-// remove removes items from a section. It does nothing if the section doesn't exist or is no list.
+// remove removes items from a section. It has no effect if the section doesn't exist or isn't a list.
 func (d *Document) remove(removal removal) {
 	if present := d.sectionNamed(removal.section); present != nil && present.isList {
 		present.list = present.list.with(removal.names, nil)
@@ -59,8 +59,8 @@
 	}
 }
 
-// reindex checks what the update changed, and sets the fields of d that are derived from its sections: queues, limits,
-// droppedQueues and the earlier services of the added routes.
+// reindex checks the changed routes and limits, and sets the fields of d that are derived from its sections: queues,
+// limits, droppedQueues and the earlier services of the added routes.
 func (d *Document) reindex(before *Document, update *parsedUpdate) error {
 	removed, added := routeChanges(before, update)
 	var err error
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// checkChanged checks the added routes, or all routes if services are removed, since any route may name one of them.
+// checkChanged checks the added routes, or all routes if services are removed, since any route may name a removed
+// service.
 func (d *Document) checkChanged(update *parsedUpdate, added []*item) error {
 	for _, removal := range update.removals {
 		if removal.section == sectionServices {
--- a/internal/cluster/transport/client.go
+++ b/internal/cluster/transport/client.go
@@ -93,8 +93,8 @@
 }
 
 // DoLong is Do for long polls: the peer may delay the response. While all pending calls of a connection are long polls,
-// the client does not probe the peer. A frozen or partitioned peer is noticed only at the deadline of ctx: if the
-// connection has received nothing since the call started, it is closed, so that the next call dials again.
+// the client does not probe the peer. A frozen or partitioned peer is noticed only at the deadline of ctx: if no bytes
+// have arrived on the connection since the call started, the client closes it, so that the next call dials again.
 func (c *Client) DoLong(ctx context.Context, address string, request, response any) error {
 	return c.do(ctx, address, request, response, longCall)
 }
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -32,8 +32,8 @@
 //   - The peer is partitioned or its machine has stopped: the kernel closes a connection on which sent bytes stay
 //     unacknowledged, see userTimeout. TCP keep-alive finds the fault on a connection without traffic.
 //   - The peer's process is frozen, but its kernel still acknowledges: the client pings while short calls are pending and
-//     closes the connection if it receives nothing, see liveness. If only long polls are pending, it closes the
-//     connection at the deadline of a long poll during which no bytes arrived, see Client.DoLong.
+//     closes the connection if no bytes arrive, see liveness. If only long polls are pending, it closes the connection at
+//     the deadline of a long poll during which no bytes arrived, see Client.DoLong.
 //   - The peer reads slowly or not: writes time out after WriteTimeout, and the queue of a connection is limited by
 //     MaxQueueBytes.
 //   - The peer accepts connections but does not greet: GreetingTimeout.
@@ -76,8 +76,8 @@
 	// MaxFrameBytes limits the length of one frame, without its length field. Receiving a longer frame closes the
 	// connection. Instead of a longer response the server sends an error of kind UnknownOutcome.
 	MaxFrameBytes int
-	// MaxQueueBytes limits what is queued on one connection: if more than this is queued when a response is to be added,
-	// the client does not read fast enough and the server closes the connection.
+	// MaxQueueBytes limits the bytes queued on one connection: if more are queued when a response is to be added, the
+	// client does not read fast enough and the server closes the connection.
 	MaxQueueBytes int
 	// MaxConnections limits the open connections of the server. The server closes further ones as it accepts them.
 	MaxConnections int
@@ -98,8 +98,8 @@
 	// MaxFrameBytes limits the length of one frame, without its length field. A longer request fails with TooLarge.
 	// Receiving a longer frame closes the connection.
 	MaxFrameBytes int
-	// MaxQueueBytes limits what is queued for one address. While more than this is queued, calls fail with Unavailable
-	// and one-way messages are dropped.
+	// MaxQueueBytes limits the bytes queued for one address. While more are queued, calls fail with Unavailable and
+	// one-way messages are dropped.
 	MaxQueueBytes int
 	// DialTimeout limits the time until the TCP connection is established.
 	DialTimeout time.Duration
@@ -108,8 +108,8 @@
 	// WriteTimeout limits the time for writing one chunk of writeChunkBytes. The client closes the connection after it.
 	WriteTimeout time.Duration
 	// ProbeInterval is the time between two probes of a connection with pending short calls. The client closes the
-	// connection if it receives nothing for three to four intervals: the first probe after the start of a call only
-	// notes what was received so far, and can come at any time within an interval.
+	// connection if no bytes arrive for three to four intervals: the first probe after the start of a call only records
+	// the count of reads so far, and can come at any time within an interval.
 	ProbeInterval time.Duration
 	MinBackoff    time.Duration // wait after one failed connection to an address; doubles with each further failure
 	MaxBackoff    time.Duration // upper limit of that wait
