--- a/internal/cluster/administration/archive/restore.go
+++ b/internal/cluster/administration/archive/restore.go
@@ -62,8 +62,8 @@
 	return files.SyncDir(filepath.Dir(filepath.Clean(dir)))
 }
 
-// writeLog writes a log in which each group has its snapshot, no entries, and one member. Index and term of a snapshot are
-// at least 1, since 0 means that there is none.
+// writeLog writes a log in which each group has its snapshot, no entries, and one member. Index and term of a snapshot
+// are at least 1, since 0 means that there is no snapshot.
 func (a *Archive) writeLog(files vfs.FS, dir string, member consensus.Member) error {
 	log, _, err := wal.Open(files, dir, wal.Options{SegmentBytes: segmentBytes})
 	if err != nil {
--- a/internal/cluster/administration/client.go
+++ b/internal/cluster/administration/client.go
@@ -26,8 +26,8 @@
 	directory *directory.Directory
 }
 
-// Timeouts of the client's connections. They are longer than those of frontends, which can use another process instead: an
-// operator prefers to wait for a process on a busy machine, until the command's own timeout.
+// Timeouts of the client's connections. They are longer than the timeouts of frontends: a frontend can use another
+// process instead, but an operator prefers to wait for a process on a busy machine, until the command's own timeout.
 const (
 	connectTimeout = 4 * time.Second // for the connection, and for the greeting after it
 	probeInterval  = time.Second
--- a/internal/cluster/administration/digests.go
+++ b/internal/cluster/administration/digests.go
@@ -65,7 +65,7 @@
 	return all, nil
 }
 
-// shardDigests makes up to maxDigestAttempts attempts and returns the one in which the most members returned a digest.
+// shardDigests makes up to maxDigestAttempts attempts and returns the attempt with the most digests.
 func (c *Client) shardDigests(ctx context.Context, shard protocol.ShardID) (*ShardDigests, error) {
 	best := &ShardDigests{Shard: shard}
 	for attempt := range maxDigestAttempts {
--- a/internal/cluster/administration/document/difference.go
+++ b/internal/cluster/administration/document/difference.go
@@ -97,7 +97,7 @@
 	return items, nil
 }
 
-// addNamedItems adds the items of a list. It reports whether all of them have names; if not, it may have added some.
+// addNamedItems adds the items of a list. It reports whether all items have names; if not, it may have added some.
 func addNamedItems(items map[itemKey]json.RawMessage, section string, list []json.RawMessage) bool {
 	for _, element := range list {
 		var named struct{ Name string }
--- a/internal/cluster/administration/inspect/inspect.go
+++ b/internal/cluster/administration/inspect/inspect.go
@@ -1,6 +1,6 @@
 // Package inspect reads the data folder of a control process that is not running: the identity, the log and the snapshots
-// of its groups. It lists damage and data that it can't decode. It modifies nothing in the folder, but locks the lock file
-// if there is one.
+// of its groups. It lists damage and data that it can't decode. It doesn't modify the folder, but locks the lock file if
+// there is one.
 package inspect
 
 import (
@@ -20,7 +20,7 @@
 type Folder struct {
 	Dir      string      `json:"dir"`
 	Identity identity.ID `json:"identity"` // 0: there is none, so the folder belongs to no process
-	First    []Member    `json:"first"`    // initial members of all groups, if the process was one of them
+	First    []Member    `json:"first"`    // initial members of all groups, if the process was an initial member
 	Files    []File      `json:"files"`
 	Groups   []Group     `json:"groups"`
 	Faults   []Fault     `json:"faults"`
--- a/internal/cluster/administration/messages.go
+++ b/internal/cluster/administration/messages.go
@@ -114,7 +114,7 @@
 	Labels   []string
 	State    string // ready, draining, silent (unresponsive) or ended
 	Capacity protocol.Resources
-	Free     protocol.Resources // estimated: capacity less the resources of all runs that may exist
+	Free     protocol.Resources // estimated: capacity less the resources of the runs that may exist
 	Runs     int                // runs that may exist on it
 	Stops    int                // stops that were ordered, of runs that it has not listed as ended yet
 	Distrust float64            // failure score: 0 means no failures, 1 that all runs that it starts fail or make no progress
--- a/internal/cluster/administration/reports_test.go
+++ b/internal/cluster/administration/reports_test.go
@@ -12,7 +12,7 @@
 	"ospreypond/internal/cluster/protocol"
 )
 
-// newFakeSystem starts fakes whose reports name all of them as members of one group.
+// newFakeSystem starts fake control processes. The report of each names all of them as members of one group.
 func newFakeSystem(count int) []*fakeControl {
 	var controls []*fakeControl
 	var members []administration.MemberReport
--- a/internal/cluster/configuration/recent.go
+++ b/internal/cluster/configuration/recent.go
@@ -37,7 +37,7 @@
 	r.changes = slices.Delete(r.changes, 0, first)
 }
 
-// since returns the changes that lead from a version to the current one, or nil if some of these have been dropped.
+// since returns the changes that lead from a version to the current one, or nil if r doesn't have all of these.
 func (r *recentChanges) since(version uint64) []Command {
 	for i := range r.changes {
 		if r.changes[i].Base == version {
--- a/internal/cluster/directory/transport_test.go
+++ b/internal/cluster/directory/transport_test.go
@@ -18,7 +18,7 @@
 		var address string
 		transport.HandleAsync(owner, func(_ string, r *protocol.WatchRequest, answer func(*protocol.WatchResponse, error)) {
 			if r.Version == 3 {
-				return // the owner has nothing newer and leaves the watch unanswered
+				return // the owner has no newer version and leaves the watch unanswered
 			}
 			answer(&protocol.WatchResponse{Version: 3, Configuration: []byte("{}"), OwnersAt: 1,
 				Owners: map[protocol.ShardID]string{0: address, 1: address}}, nil)
--- a/internal/cluster/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -16,7 +16,7 @@
 	watchSlack         = 600 * time.Millisecond // added to the owner's wait; Run treats a slower owner as unresponsive
 	minWatchBackoff    = 50 * time.Millisecond  // wait after the first failed watch; doubles with each further failure
 	maxWatchBackoff    = 400 * time.Millisecond // longest wait after a failed watch
-	minWatchInterval   = 50 * time.Millisecond  // wait after a watch that was answered faster than this without news
+	minWatchInterval   = 50 * time.Millisecond  // wait after a watch that was answered faster than this without a new configuration
 	minRefreshInterval = 200 * time.Millisecond // Refresh doesn't cancel a watch that was sent less than this ago
 	maxExtraTimeout    = 12 * time.Second       // upper limit of watch.extraTimeout
 )
@@ -278,7 +278,7 @@
 }
 
 // limitRate waits for minWatchInterval if the watch that was sent at sentAt was answered faster than that. So an owner
-// that answers at once without news isn't called in a tight loop.
+// that answers at once without a new configuration isn't called in a tight loop.
 func (d *Directory) limitRate(ctx context.Context, sentAt time.Time) {
 	if d.options.Clock.Since(sentAt) < minWatchInterval {
 		d.sleep(ctx, minWatchInterval)
--- a/internal/cluster/relay/caller.go
+++ b/internal/cluster/relay/caller.go
@@ -11,8 +11,8 @@
 //     relays at once. Every probeInterval at most, such a call also starts a direct ping. The first answered ping ends
 //     this state.
 //
-// Watches are long polls, whose responses the owner delays. A timeout therefore doesn't repeat the watch through a relay:
-// it starts a ping through a relay, and if that is answered, later watches go through relays.
+// Watches are long polls: the owner delays the responses. So the Caller doesn't repeat a watch through a relay after a
+// timeout. Instead it pings the process through a relay, and if the process answers, later watches go through relays.
 //
 // A relay keeps no state about calls and never answers in the target's place: it forwards the request as it was sent and
 // returns the target's response. The only change is that it marks a heartbeat as relayed.
@@ -173,9 +173,9 @@
 	return true
 }
 
-// shouldRelay reports whether to relay a call whose direct attempt, begun at began, failed. It does if the attempt took
-// directTimeout, or if it failed earlier but the process is suspect: the client may fail at once during a backoff. A
-// process that is not suspect and refuses connections has ended, and relays don't reach it either.
+// shouldRelay reports whether to relay a call whose direct attempt, begun at began, failed. It reports true if the
+// attempt took directTimeout, or if it failed earlier but the process is suspect: the client may fail at once during a
+// backoff. A process that is not suspect and refuses connections has ended, and relays don't reach it either.
 func (c *Caller) shouldRelay(ctx context.Context, address string, began time.Time) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/cluster/relay/paths.go
+++ b/internal/cluster/relay/paths.go
@@ -29,8 +29,8 @@
 
 func newPaths() paths { return paths{byAddress: map[string]*path{}} }
 
-// setRelays sets the relays that may be called. Known relays keep their order, since demote has moved failed relays to
-// the end. New relays follow them.
+// setRelays sets the relays that may be called. Relays that were set before and are set again keep their order, since
+// demote has moved failed relays to the end. New relays follow them.
 func (p *paths) setRelays(relays []string) {
 	ordered := slices.DeleteFunc(slices.Clone(p.relays), func(known string) bool { return !slices.Contains(relays, known) })
 	for _, each := range relays {
--- a/internal/cluster/transport/answers_test.go
+++ b/internal/cluster/transport/answers_test.go
@@ -153,7 +153,7 @@
 		Eventually(dialed.near).WithTimeout(soon).Should(Receive(&old))
 		Eventually(func() bool { return isEstablished(client, "a") }).WithTimeout(soon).Should(BeTrue())
 		setReadsBefore(client, "a")
-		clock.Advance(time.Second) // nothing was received since the call started, so the client closes the connection
+		clock.Advance(time.Second) // no bytes arrived since the call started, so the client closes the connection
 		Eventually(first).WithTimeout(soon).Should(Receive(HaveField("Err", HaveOccurred())))
 		Eventually(old.closed).WithTimeout(soon).Should(BeClosed())
 
--- a/internal/cluster/transport/connection.go
+++ b/internal/cluster/transport/connection.go
@@ -213,8 +213,8 @@
 }
 
 // abandon removes a call whose caller gave up, and cancels its request if the writer has not taken it. If a short call's
-// request may have been sent, the connection becomes suspect: a frozen peer is still noticed though the call is no longer
-// pending.
+// request may have been sent, the connection becomes suspect, so that probes still notice a frozen peer though the call
+// is no longer pending.
 func (c *connection) abandon(id uint64) abandonedState {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -241,7 +241,7 @@
 	return c.in.source.count.Load()
 }
 
-// probe checks whether anything was received since the last probe. If not, it pings the peer, or closes the connection
+// probe checks whether any bytes have arrived since the last probe. If not, it pings the peer, or closes the connection
 // after maxUnansweredProbes intervals. It reports whether the connection has to be probed again.
 func (c *connection) probe() bool {
 	c.mutex.Lock()
--- a/internal/cluster/transport/fixtures_test.go
+++ b/internal/cluster/transport/fixtures_test.go
@@ -33,8 +33,8 @@
 	greeting = 6                // bytes of a greeting with an empty name: magic number, version and length 0
 )
 
-// exchange is one kind of call or of one-way message. It has a fixture for each direction: all bytes that a side sends on a
-// connection, which are the greeting, the description of the type, and one frame whose value has all fields set.
+// exchange is one kind of call or of one-way message. It has a fixture for each direction: all bytes that a side sends on
+// a connection. These are the greeting, the description of the type, and one frame with a value that has all fields set.
 type exchange struct {
 	requestName  string // name of the request's type on the wire, and of the fixture
 	responseName string // the same for the response
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -24,7 +24,7 @@
 type frameKind byte
 
 const (
-	frameCanceled frameKind = iota // overwrites the kind of a queued request whose caller gave up; receivers discard it
+	frameCanceled frameKind = iota // replaces the kind of a queued request after its caller gave up; receivers discard it
 	frameDefine                    // a type's number and name, and a zero value so that gob describes the type
 	frameRequest                   // a call
 	frameMessage                   // a one-way message
--- a/internal/cluster/transport/liveness.go
+++ b/internal/cluster/transport/liveness.go
@@ -1,25 +1,25 @@
 package transport
 
-// maxUnansweredProbes is the number of probe intervals in a row without a read after which a connection with pending calls
-// is closed.
+// maxUnansweredProbes is the number of probe intervals in a row without a read after which a connection with pending
+// short calls is closed.
 const maxUnansweredProbes = 3
 
 // liveness decides whether the peer of a connection is unresponsive: its process is frozen, or a partition keeps its
-// bytes away. It checks a connection only while calls are pending. It counts probe intervals without received bytes
-// instead of measuring time: if this process was frozen, the pause adds only one interval, and connections to healthy
-// peers stay open.
+// bytes away. It checks a connection only while short calls are pending or the connection is suspect. It counts probe
+// intervals without received bytes instead of measuring time: if this process was frozen, the pause adds only one
+// interval, and connections to healthy peers stay open.
 type liveness struct {
-	wasPending bool   // calls were pending at the last probe
+	wasPending bool   // pending was true at the last probe
 	reads      uint64 // count of reads from the connection at the last probe
-	unanswered int    // consecutive probe intervals without a read
+	unanswered int    // consecutive probe intervals in which no bytes were read
 }
 
 // verdict is the result of a probe.
 type verdict int
 
 const (
-	verdictIdle  verdict = iota // no call is pending
-	verdictAlive                // something was read since the last probe, or this is the first probe with a pending call
+	verdictIdle  verdict = iota // the connection needs no probe, e.g. no short call is pending
+	verdictAlive                // bytes were read since the last probe, or this is the first probe after verdictIdle
 	verdictPing                 // no bytes were read since the last probe: send a ping
 	verdictDead                 // no bytes were read for maxUnansweredProbes intervals: close the connection
 )
--- a/internal/cluster/transport/send_queue.go
+++ b/internal/cluster/transport/send_queue.go
@@ -107,9 +107,9 @@
 	return frameRange, nil
 }
 
-// describe returns the entry of a type. At the type's first use it queues a frameDefine with a zero value, for which gob
-// writes the type's description. Later values of the type need no description: a frame whose value turns out to be too large
-// can be removed, or be canceled, and the gob stream of the other frames stays complete.
+// describe returns the entry of a type. At the type's first use it queues a frameDefine with a zero value, so that gob
+// writes the type's description. Later values of the type need no description. So a frame can be canceled, or removed if
+// its value turns out to be too large, and the gob stream of the other frames stays complete.
 func (q *sendQueue) describe(valueType reflect.Type) (typeEntry, error) {
 	if entry, ok := q.types[valueType]; ok {
 		return entry, nil
--- a/internal/cluster/transport/transport_suite_test.go
+++ b/internal/cluster/transport/transport_suite_test.go
@@ -38,7 +38,7 @@
 	Inner inner
 }
 
-// nothing is a message without fields, which gob alone would refuse to encode.
+// nothing is a message without fields. gob alone would refuse to encode it.
 type nothing struct{}
 
 // lines is a logger that passes the key-value pairs of each line to the test.
