--- a/internal/cluster/directory/watch.go
+++ b/internal/cluster/directory/watch.go
@@ -16,7 +16,7 @@
 	watchSlack         = 600 * time.Millisecond // added to the owner's wait; Run treats a slower owner as unresponsive
 	minWatchBackoff    = 50 * time.Millisecond  // wait after the first failed watch; doubles with each further failure
 	maxWatchBackoff    = 400 * time.Millisecond // longest wait after a failed watch
-	minWatchInterval   = 50 * time.Millisecond  // wait after a watch that was answered faster than this without a new configuration
+	minWatchInterval   = 50 * time.Millisecond  // wait after a faster answer without a new configuration
 	minRefreshInterval = 200 * time.Millisecond // Refresh doesn't cancel a watch that was sent less than this ago
 	maxExtraTimeout    = 12 * time.Second       // upper limit of watch.extraTimeout
 )
