--- a/internal/cluster/administration/archive/restore.go
+++ b/internal/cluster/administration/archive/restore.go
@@ -17,9 +17,9 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// termStep is the difference between the terms of a restored cluster and those in its backup. An owner's term is its fencing
-// token, and runners reject a token below the highest one that they have seen. The old cluster may have had elections after
-// the backup: runners obey the restored cluster unless there were more than termStep.
+// termStep is the difference between the terms of a restored cluster and those in its backup. An owner's term is its
+// fencing token, and runners reject a token below the highest one that they have seen. The old cluster may have had
+// elections after the backup: runners obey the restored cluster unless there were more than termStep elections.
 const termStep = 1 << 20
 
 // segmentBytes is larger than a restored log, which has no entries, so that the log has a single segment.
@@ -62,8 +62,8 @@
 	return files.SyncDir(filepath.Dir(filepath.Clean(dir)))
 }
 
-// writeLog writes a log in which each group has its snapshot, no entries, and one member. Index and term of a snapshot are
-// at least 1, since 0 means that there is none.
+// writeLog writes a log in which each group has its snapshot, no entries, and one member. Index and term of a snapshot
+// are at least 1, since 0 means that there is no snapshot.
 func (a *Archive) writeLog(files vfs.FS, dir string, member consensus.Member) error {
 	log, _, err := wal.Open(files, dir, wal.Options{SegmentBytes: segmentBytes})
 	if err != nil {
--- a/internal/cluster/transport/connection.go
+++ b/internal/cluster/transport/connection.go
@@ -50,7 +50,7 @@
 	calls        map[uint64]*call
 	lastID       uint64 // id of the newest call; ids are never reused on a connection, so late responses match no other call
 	shortCalls   int    // pending calls of kind shortCall
-	suspect      bool   // the caller of a shortCall gave up and nothing was received since; probing continues
+	suspect      bool   // the caller of a shortCall gave up and no bytes have arrived since; probing continues
 	suspectReads uint64 // the count of reads when suspect was set
 	established  bool   // the server's greeting has arrived
 	ended        bool   // the pending calls were failed; no call may be added
@@ -169,7 +169,7 @@
 	return c.removeCall(id)
 }
 
-// removeCall does what takeCall does. The caller must hold the mutex.
+// removeCall is takeCall for callers that hold the mutex.
 func (c *connection) removeCall(id uint64) *call {
 	pending := c.calls[id]
 	if pending == nil {
@@ -213,8 +213,8 @@
 }
 
 // abandon removes a call whose caller gave up, and cancels its request if the writer has not taken it. If a short call's
-// request may have been sent, the connection becomes suspect: a frozen peer is still noticed though the call is no longer
-// pending.
+// request may have been sent, the connection becomes suspect, so that probes still notice a frozen peer though the call
+// is no longer pending.
 func (c *connection) abandon(id uint64) abandonedState {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -241,7 +241,7 @@
 	return c.in.source.count.Load()
 }
 
-// probe checks whether anything was received since the last probe. If not, it pings the peer, or closes the connection
+// probe checks whether any bytes have arrived since the last probe. If not, it pings the peer, or closes the connection
 // after maxUnansweredProbes intervals. It reports whether the connection has to be probed again.
 func (c *connection) probe() bool {
 	c.mutex.Lock()
@@ -257,8 +257,8 @@
 	return busy
 }
 
-// checkLiveness returns what probe has to do. The caller must hold the mutex. A connection without a greeting is not
-// probed, since DialTimeout and GreetingTimeout limit that phase.
+// checkLiveness returns the verdict on which probe acts. The caller must hold the mutex. A connection without a greeting
+// is not probed, since DialTimeout and GreetingTimeout limit that phase.
 func (c *connection) checkLiveness() verdict {
 	if c.ended || c.in == nil {
 		return verdictIdle
@@ -270,7 +270,7 @@
 	return c.liveness.probe(c.shortCalls > 0 || c.suspect, reads)
 }
 
-// end closes the connection because of cause. Further calls change nothing: the first cause is kept and logged.
+// end closes the connection because of cause. Only the first call's cause is kept and logged.
 func (c *connection) end(cause error) {
 	c.mutex.Lock()
 	first := c.cause == nil
