--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -1,4 +1,5 @@
-// Package system tests a whole system as processes, as `localcluster` runs it.
+// Package system tests a complete cluster: `localcluster` starts every control process, agent and frontend as an operating
+// system process of its own, and the specs act on them as clients and operators do.
 package system
 
 import (
@@ -32,9 +33,9 @@
 }
 
 const (
-	startPatience = 60 * time.Second // on a machine that is busy with all other tests
-	patience      = 40 * time.Second
-	pollEvery     = 50 * time.Millisecond
+	startTimeout = 60 * time.Second // for the start of a cluster, on a machine that runs all other tests at the same time
+	waitTimeout  = 40 * time.Second // for every other condition
+	pollInterval = 50 * time.Millisecond
 )
 
 var program, localProgram string
@@ -48,21 +49,21 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// localSystem is a running `localcluster`.
+// localSystem is a running `localcluster`. Its addresses lie in network, the first three numbers of an IPv4 loopback address.
 type localSystem struct {
 	dir     string
 	network string
 	session *gexec.Session
 }
 
-// startLocal starts one of the program under test.
+// startLocal starts a localSystem that runs the program under test.
 func startLocal(dir string, flags ...string) *localSystem {
 	GinkgoHelper()
 	return startLocalProgram(program, dir, flags...)
 }
 
-// startLocalProgram starts one in a network of its own, and waits until it says that it is ready. Its processes run the file
-// that is at the path when they start.
+// startLocalProgram starts a localSystem at random loopback addresses and waits until it prints that it is ready. Each of its
+// processes runs the file that is at the path program when that process starts, so a test can replace the file in between.
 func startLocalProgram(program, dir string, flags ...string) *localSystem {
 	GinkgoHelper()
 	s := &localSystem{dir: dir, network: fmt.Sprintf("127.%d.%d", 80+rand.IntN(100), rand.IntN(250))}
@@ -71,29 +72,30 @@
 	Expect(err).NotTo(HaveOccurred())
 	s.session = session
 	DeferCleanup(s.kill)
-	Eventually(session, startPatience).Should(gbytes.Say("Ctrl-C ends all"), s.logs)
+	Eventually(session, startTimeout).Should(gbytes.Say("Ctrl-C ends all"), s.logs)
 	return s
 }
 
-// kill ends the system if the test did not; its processes end with it.
+// kill terminates `localcluster` and with it its processes, unless the test has already ended it.
 func (s *localSystem) kill() {
 	if s.session.ExitCode() < 0 {
-		s.session.Terminate().Wait(patience)
+		s.session.Terminate().Wait(waitTimeout)
 	}
 }
 
-// interrupt ends the system as Ctrl-C does.
+// interrupt sends SIGINT to `localcluster`, as Ctrl-C does. It expects exit code 0 and that none of the processes that were
+// started first still runs.
 func (s *localSystem) interrupt() {
 	GinkgoHelper()
 	pids := s.pids()
 	s.session.Interrupt()
-	Eventually(s.session, patience).Should(gexec.Exit(0))
+	Eventually(s.session, waitTimeout).Should(gexec.Exit(0))
 	for name, pid := range pids {
-		Expect(syscall.Kill(pid, 0)).To(Equal(syscall.ESRCH), "%s goes on", name)
+		Expect(syscall.Kill(pid, 0)).To(Equal(syscall.ESRCH), "process %s (pid %d) still runs after the interrupt", name, pid)
 	}
 }
 
-// logs are the ends of all logs, for failures.
+// logs returns the last 2000 bytes of each process's log, for failure messages.
 func (s *localSystem) logs() string {
 	var text strings.Builder
 	paths, _ := filepath.Glob(filepath.Join(s.dir, "*", "log"))
@@ -106,7 +108,8 @@
 
 var processLine = regexp.MustCompile(`(?m)^(\S+) .*pid (\d+)`)
 
-// pids returns the processes as they were started first.
+// pids returns the process id of each process by its name. A process that was started again keeps the id of its first start,
+// because `localcluster` prints ids only then.
 func (s *localSystem) pids() map[string]int {
 	pids := map[string]int{}
 	for _, match := range processLine.FindAllStringSubmatch(string(s.session.Out.Contents()), -1) {
@@ -119,7 +122,7 @@
 	return fmt.Sprintf("%[1]s.11:7380,%[1]s.12:7380,%[1]s.13:7380", s.network)
 }
 
-// command runs a command on the system; words are parted by spaces.
+// command runs the program with the words of line as arguments, and input as standard input, on the control processes of s.
 func (s *localSystem) command(input, line string) (string, error) {
 	command := exec.CommandContext(context.Background(), program, append(strings.Fields(line), "--control", s.controls(), "--timeout", "10s")...)
 	command.Stdin = strings.NewReader(input)
@@ -132,24 +135,25 @@
 	return out.String(), err
 }
 
-// runProgram runs a command that needs no running system, and returns all that it says.
+// runProgram runs a command that needs no running cluster, and returns its standard output and standard error together.
 func runProgram(arguments ...string) (string, error) {
 	out, err := exec.CommandContext(context.Background(), program, arguments...).CombinedOutput()
 	return string(out), err
 }
 
-// succeed runs a command, that may be given again, until it works.
-func (s *localSystem) succeed(input, line string) (out string) {
+// mustRun repeats a command until it exits with 0, and returns its output. The command must be safe to repeat.
+func (s *localSystem) mustRun(input, line string) (out string) {
 	GinkgoHelper()
 	Eventually(func() (err error) {
 		out, err = s.command(input, line)
 		return err
-	}, patience, pollEvery).Should(Succeed(), s.logs)
+	}, waitTimeout, pollInterval).Should(Succeed(), s.logs)
 	return out
 }
 
-// ask sends a client's request to a frontend, and returns the status and the body.
-func (s *localSystem) ask(frontend int, method, path, body string) (int, string) {
+// request sends a client's HTTP request to a frontend (1 or 2), and returns the status and the body. Without a complete response
+// it returns status 0 and the text of the error.
+func (s *localSystem) request(frontend int, method, path, body string) (int, string) {
 	request, err := http.NewRequestWithContext(context.Background(), method, fmt.Sprintf("http://%s.%d:8149%s", s.network, 20+frontend, path), strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "demo.local"
@@ -176,79 +180,80 @@
 	GinkgoHelper()
 	body := fmt.Sprintf(`{"spec":%q,"steps":%s}`, spec, steps)
 	Eventually(func(g Gomega) {
-		status, answer := s.ask(frontend, http.MethodPost, path, body)
+		status, answer := s.request(frontend, http.MethodPost, path, body)
 		g.Expect(status).To(Equal(http.StatusOK), answer)
-	}, patience, pollEvery).Should(Succeed(), s.logs)
+	}, waitTimeout, pollInterval).Should(Succeed(), s.logs)
 }
 
-// becomes waits for a job's state.
-func (s *localSystem) becomes(frontend int, path, state string) {
+// waitForState waits until a frontend reports this state for the job at path.
+func (s *localSystem) waitForState(frontend int, path, state string) {
 	GinkgoHelper()
 	Eventually(func() string {
-		_, answer := s.ask(frontend, http.MethodGet, path, "")
+		_, answer := s.request(frontend, http.MethodGet, path, "")
 		return answer
-	}, patience, pollEvery).Should(MatchJSON(fmt.Sprintf(`{"state":%q}`, state)), s.logs)
+	}, waitTimeout, pollInterval).Should(MatchJSON(fmt.Sprintf(`{"state":%q}`, state)), s.logs)
 }
 
-// ownerOf returns the process that owns the shard of jobs in which something happened.
-func (s *localSystem) ownerOf() string {
+// shardOwner returns the control process that owns the first shard that has accepted a job.
+func (s *localSystem) shardOwner() string {
 	GinkgoHelper()
 	var shards []struct {
 		Owner    string
 		Counters *struct{ Taken int }
 	}
-	Expect(json.Unmarshal([]byte(s.succeed("", "shards -o json")), &shards)).To(Succeed()) // fails while one has no owner
+	// The command fails while a shard has no owner.
+	Expect(json.Unmarshal([]byte(s.mustRun("", "shards -o json")), &shards)).To(Succeed())
 	for _, shard := range shards {
 		if shard.Counters != nil && shard.Counters.Taken > 0 {
 			return shard.Owner
 		}
 	}
-	Fail("no shard has taken a job")
+	Fail("no shard counts an accepted job")
 	return ""
 }
 
 const (
-	firstJob  = "/jobs/00000000000000a1"
-	movedJob  = "/more/00000000000000a2"
-	afterKill = "/jobs/00000000000000a3"
-	lastJob   = "/jobs/00000000000000a4"
+	firstJob        = "/jobs/00000000000000a1"
+	addedRouteJob   = "/more/00000000000000a2"
+	afterKillJob    = "/jobs/00000000000000a3"
+	beforeBackupJob = "/jobs/00000000000000a4"
 )
 
 var _ = Describe("a local system", func() {
-	It("does jobs, takes a configuration, outlives a control process, and is restored from a backup", func() {
+	It("runs jobs, applies a configuration, survives the kill of a control process, and is restored from a backup", func() {
 		s := startLocal(filepath.Join(GinkgoT().TempDir(), "system"))
 
-		By("doing a job, handed in and asked for at two frontends")
+		By("running a job that is submitted at one frontend and queried at the other")
 		s.submitJob(1, firstJob, "sleep 100ms")
-		s.becomes(2, firstJob, "completed")
+		s.waitForState(2, firstJob, "completed")
 
-		By("taking a configuration")
+		By("applying a configuration that adds a route")
 		added := `{"version":7,"upsert":{"routes":[{"name":"more","host":"demo.local","pathPrefix":"/more/","kind":"non_idempotent",` +
 			`"timeoutMs":3000,"targetLatencyMs":2000,"priority":1,"service":"demo","maxAttempts":3,"extension":2}]}}`
-		Expect(s.succeed(added, "config diff -")).To(ContainSubstring("+ routes more"))
-		Expect(s.succeed(added, "config apply - --base 1")).To(Equal("version 7 is in force, built on 1\n"))
-		s.submitJob(1, movedJob, "sleep 100ms")
-		s.becomes(1, movedJob, "completed")
+		Expect(s.mustRun(added, "config diff -")).To(ContainSubstring("+ routes more"))
+		Expect(s.mustRun(added, "config apply - --base 1")).To(Equal("version 7 is in force, built on 1\n"))
+		s.submitJob(1, addedRouteJob, "sleep 100ms")
+		s.waitForState(1, addedRouteJob, "completed")
 
-		By("going on while the owner of the jobs is killed")
-		owner := s.ownerOf()
+		By("accepting and running jobs after the owner of the first job's shard was killed")
+		owner := s.shardOwner()
 		Expect(syscall.Kill(s.pids()[owner], syscall.SIGKILL)).To(Succeed())
-		s.submitJob(2, afterKill, "sleep 100ms")
-		s.becomes(1, afterKill, "completed")
-		s.becomes(2, firstJob, "completed")
-		Eventually(s.session.Out, patience).Should(gbytes.Say(owner + " ended: signal: killed; it is started again"))
-		s.succeed("", "members") // fails while one is silent
+		s.submitJob(2, afterKillJob, "sleep 100ms")
+		s.waitForState(1, afterKillJob, "completed")
+		s.waitForState(2, firstJob, "completed")
+		Eventually(s.session.Out, waitTimeout).Should(gbytes.Say(owner + " ended: signal: killed; it is started again"))
+		s.mustRun("", "members") // the command fails while a control process does not respond
 
-		By("holding a job that lasts, until it is cancelled")
-		s.submitJob(1, lastJob, "last")
-		s.becomes(1, lastJob, "running")
-		Expect(s.succeed("", "jobs list --queue demo.local/jobs")).To(ContainSubstring("00000000000000a4"))
-		Expect(s.succeed("", "runners")).To(ContainSubstring("ready"))
-		Expect(s.succeed("", "jobs cancel 00000000000000a4")).To(Equal("cancelled\n"))
+		By("running a job without an end until it is cancelled")
+		s.submitJob(1, beforeBackupJob, "last")
+		s.waitForState(1, beforeBackupJob, "running")
+		Expect(s.mustRun("", "jobs list --queue demo.local/jobs")).To(ContainSubstring("00000000000000a4"))
+		Expect(s.mustRun("", "runners")).To(ContainSubstring("ready"))
+		Expect(s.mustRun("", "jobs cancel 00000000000000a4")).To(Equal("cancelled\n"))
 
-		By("giving a backup, and ending in order")
+		By("writing a backup, and exiting with 0 and intact data on an interrupt")
 		backup := filepath.Join(GinkgoT().TempDir(), "x.backup")
-		Expect(s.succeed("", "backup "+backup)).To(ContainSubstring("5 shards"))
+		Expect(s.mustRun("", "backup "+backup)).To(ContainSubstring("5 shards"))
 		s.interrupt()
 		for _, control := range []string{"control-1", "control-2", "control-3"} {
 			out, err := runProgram("state", "verify", filepath.Join(s.dir, control, "data"))
@@ -256,14 +261,14 @@
 			Expect(out).To(HaveSuffix("no faults\n"))
 		}
 
-		By("going on from the backup in new processes")
-		again := startLocal(filepath.Join(GinkgoT().TempDir(), "again"), "--restore", backup)
-		again.becomes(1, firstJob, "completed")
-		again.becomes(2, lastJob, "cancelled")
-		again.submitJob(1, "/more/00000000000000a5", "sleep 100ms")
-		again.becomes(2, "/more/00000000000000a5", "completed")
-		Eventually(func() string { return again.succeed("", "members") }, patience, pollEvery).Should(And(
+		By("restoring the backup into new processes")
+		restored := startLocal(filepath.Join(GinkgoT().TempDir(), "again"), "--restore", backup)
+		restored.waitForState(1, firstJob, "completed")
+		restored.waitForState(2, beforeBackupJob, "cancelled")
+		restored.submitJob(1, "/more/00000000000000a5", "sleep 100ms")
+		restored.waitForState(2, "/more/00000000000000a5", "completed")
+		Eventually(func() string { return restored.mustRun("", "members") }, waitTimeout, pollInterval).Should(And(
 			MatchRegexp("control-1 .* voter "), MatchRegexp("control-2 .* voter "), MatchRegexp("control-3 .* voter ")))
-		again.interrupt()
+		restored.interrupt()
 	})
 })
--- a/test/system/upgrade_test.go
+++ b/test/system/upgrade_test.go
@@ -15,33 +15,36 @@
 	"github.com/onsi/gomega/gbytes"
 )
 
-// oldProgram is what an upgrade begins with. The frames and files of the version that the fixtures are of (see package
-// fixturetest) stand for it in CI; by hand the program itself can be given:
+// oldProgram is the path of the program that the upgrade starts from. CI leaves it empty: the upgrade is then from the present
+// program to itself, and the fixtures of package fixturetest stand for the frames and files of an earlier version. To
+// upgrade from the program of an earlier version:
 //
 //	go test ./test/system -ginkgo.focus upgrade -old-program FILE
-var oldProgram = flag.String("old-program", "", "program of an earlier version, to upgrade from; else the present one")
+var oldProgram = flag.String("old-program", "", "path of the program of an earlier version to upgrade from; the present program if empty")
 
-// upgradedProcesses are the processes in the order in which they are replaced, as docs/operations.md says.
+// upgradedProcesses are the names of the processes in the order in which docs/operations.md has an operator replace them.
 var upgradedProcesses = []string{"control-1", "control-2", "control-3", "agent-1", "agent-2", "frontend-1", "frontend-2"}
 
 const (
-	beforeUpgrade = "/jobs/00000000000000b1"
-	overUpgrade   = "/jobs/00000000000000b2"
-	cancelledJob  = "/jobs/00000000000000b3"
-	lastingJob    = "/jobs/00000000000000b4"
+	beforeUpgradeJob = "/jobs/00000000000000b1"
+	duringUpgradeJob = "/jobs/00000000000000b2"
+	cancelledJob     = "/jobs/00000000000000b3"
+	endlessJob       = "/jobs/00000000000000b4"
 )
 
-// shortSteps and lastingSteps are the steps of the jobs: tasks with an end and a gang after them; tasks without an end.
+// shortSteps are the steps of a job that completes: shortTasks tasks, of which the last two are a gang that depends on the
+// others. endlessSteps are the steps of a job that runs until it is cancelled, with endlessTasks tasks.
 const (
 	shortSteps = `[{"count":3,"cpu":500,"memoryLimitMb":64},` +
 		`{"count":2,"cpu":100,"gang":true,"checkpoints":true,"dependsOn":[0]}]`
-	lastingSteps = `[{"count":2,"cpu":500,"memoryLimitMb":64,"longRunning":true}]`
+	endlessSteps = `[{"count":2,"cpu":500,"memoryLimitMb":64,"longRunning":true}]`
 
 	shortTasks   = 5
-	lastingTasks = 2
+	endlessTasks = 2
 )
 
-// install puts a program at a path in one step, as a package manager does: processes that run it go on with the old one.
+// install copies a program to a path by an atomic rename, as a package manager does. Processes that already run the file at the
+// path keep the old one until they are started again.
 func install(program, path string) {
 	GinkgoHelper()
 	content, err := os.ReadFile(program)
@@ -50,26 +53,27 @@
 	Expect(os.Rename(path+".new", path)).To(Succeed())
 }
 
-// replace ends a process in order and waits until it serves again, by then with the program that is installed now.
+// replace sends SIGTERM to a process and waits until `localcluster` has started it again from the program that is installed now.
+// After the restart of a control process it also waits until `members` shows all three as voters.
 func (s *localSystem) replace(name string) {
 	GinkgoHelper()
 	Expect(syscall.Kill(s.pids()[name], syscall.SIGTERM)).To(Succeed())
-	Eventually(s.session.Out, patience).Should(gbytes.Say(name + " ended: .*; it is started again"))
+	Eventually(s.session.Out, waitTimeout).Should(gbytes.Say(name + " ended: .*; it is started again"))
 	if strings.HasPrefix(name, "control") {
-		Eventually(func() string { return s.succeed("", "members") }, patience, pollEvery).Should(And(
+		Eventually(func() string { return s.mustRun("", "members") }, waitTimeout, pollInterval).Should(And(
 			MatchRegexp("control-1 .* voter "), MatchRegexp("control-2 .* voter "), MatchRegexp("control-3 .* voter ")))
 	}
 }
 
-// startedTasks returns how many starts of tasks all shards have committed.
+// startedTasks returns the number of task starts that all shards together have committed.
 func (s *localSystem) startedTasks() int {
 	GinkgoHelper()
 	var shards []struct{ Counters *struct{ Started int } }
 	started := 0
 	Eventually(func() error {
 		shards, started = nil, 0
-		return json.Unmarshal([]byte(s.succeed("", "shards -o json")), &shards)
-	}, patience, pollEvery).Should(Succeed(), s.logs)
+		return json.Unmarshal([]byte(s.mustRun("", "shards -o json")), &shards)
+	}, waitTimeout, pollInterval).Should(Succeed(), s.logs)
 	for _, shard := range shards {
 		if shard.Counters != nil {
 			started += shard.Counters.Started
@@ -78,7 +82,7 @@
 	return started
 }
 
-var _ = Describe("an upgrade, process by process", func() {
+var _ = Describe("an upgrade that replaces one process after another", func() {
 	It("loses no job and starts no task twice while old and new processes run together", func() {
 		dir := GinkgoT().TempDir()
 		installed := filepath.Join(dir, "ospreypond")
@@ -89,16 +93,16 @@
 		install(old, installed)
 		s := startLocalProgram(installed, filepath.Join(dir, "system"))
 
-		s.submit(1, beforeUpgrade, "sleep 100ms", shortSteps)
-		s.becomes(2, beforeUpgrade, "completed")
-		s.submit(1, overUpgrade, "sleep 12s", shortSteps)
-		s.submit(2, cancelledJob, "last", lastingSteps)
-		s.submit(2, lastingJob, "last", lastingSteps)
-		for _, job := range []string{overUpgrade, cancelledJob, lastingJob} {
-			s.becomes(1, job, "running")
+		s.submit(1, beforeUpgradeJob, "sleep 100ms", shortSteps)
+		s.waitForState(2, beforeUpgradeJob, "completed")
+		s.submit(1, duringUpgradeJob, "sleep 12s", shortSteps)
+		s.submit(2, cancelledJob, "last", endlessSteps)
+		s.submit(2, endlessJob, "last", endlessSteps)
+		for _, job := range []string{duringUpgradeJob, cancelledJob, endlessJob} {
+			s.waitForState(1, job, "running")
 		}
-		s.succeed("", "jobs cancel "+filepath.Base(cancelledJob))
-		tasks := 2*shortTasks + 2*lastingTasks
+		s.mustRun("", "jobs cancel "+filepath.Base(cancelledJob))
+		tasks := 2*shortTasks + 2*endlessTasks
 
 		install(program, installed)
 		for i, name := range upgradedProcesses {
@@ -106,19 +110,19 @@
 			s.replace(name)
 			job := fmt.Sprintf("/jobs/00000000000000c%d", i)
 			s.submit(1+i%2, job, "sleep 100ms", shortSteps)
-			s.becomes(2-i%2, job, "completed")
-			s.becomes(1+i%2, beforeUpgrade, "completed")
-			s.becomes(2-i%2, cancelledJob, "cancelled")
-			s.becomes(1+i%2, lastingJob, "running")
+			s.waitForState(2-i%2, job, "completed")
+			s.waitForState(1+i%2, beforeUpgradeJob, "completed")
+			s.waitForState(2-i%2, cancelledJob, "cancelled")
+			s.waitForState(1+i%2, endlessJob, "running")
 			tasks += shortTasks
 		}
 
-		s.becomes(1, overUpgrade, "completed")
-		s.becomes(2, lastingJob, "running")
+		s.waitForState(1, duringUpgradeJob, "completed")
+		s.waitForState(2, endlessJob, "running")
 		Expect(s.startedTasks()).To(Equal(tasks), s.logs)
-		status, answer := s.ask(1, http.MethodDelete, lastingJob, "")
+		status, answer := s.request(1, http.MethodDelete, endlessJob, "")
 		Expect(status).To(Equal(http.StatusOK), answer)
-		s.becomes(2, lastingJob, "cancelled")
+		s.waitForState(2, endlessJob, "cancelled")
 		s.interrupt()
 		for _, control := range []string{"control-1", "control-2", "control-3"} {
 			Expect(filepath.Join(s.dir, control, "data")).To(BeADirectory())
