--- a/test/integration/deployments_test.go
+++ b/test/integration/deployments_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Settings like those of two deployments. The first has load reports, one keyed class and prices for probes; the
-// second none of these, but classes of different length and effect, slots and memory, and keys deduplicated by cells.
+// Settings of two deployments. payments has load reports from probes, a tenant, and a single class, the keys of which are
+// deduplicated per zone. rendering has no load reports and no tenants, but four classes with different deadlines and retry
+// semantics, and keys that are deduplicated per cell.
 const (
 	payments = `{"zone":"z","zones":["z","y"],"balancers":5,"slotNo":2,"periodUs":2000,"discovery":"ask","kinds":["m","n"],
  "classes":[{"name":"keyed","semantics":"keyed","keyScope":"zone","memorySpanUs":10000000,"objectiveUs":500000,"deadlineUs":6000000}],
@@ -35,9 +36,9 @@
   "tipAfterUs":2000000},"tariffs":{"crossZone":0.03,"probe":0.002,"lateFail":0.03,"waste":0.05},"tenants":[]}`
 )
 
-// One program serves both deployments by their settings alone: every class gets a runner's result, an unstarted job
-// that a runner rejects goes to another, and one rejected everywhere gets Retry-After only if the settings allow it.
-// Requests that the settings do not know are refused.
+// The same program serves both deployments; only the settings differ. Every class gets a runner's result. A job that one
+// runner rejects unstarted goes to the other. A job that the only runner rejects gets status 503, with Retry-After only if the
+// settings allow it. A path without a class gets status 404.
 func TestServesBothDeployments(t *testing.T) {
 	for _, tt := range []struct {
 		name, settings string
@@ -49,9 +50,9 @@
 		{"rendering", rendering, []string{"safe", "long", "keyed", "unsafe"}, "", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			good, full := newRunner(t, "s-1", "z", serveDone), newRunner(t, "s-2", "z", serveStatus(http.StatusServiceUnavailable, true))
-			p := startAs(t, tt.settings, nil, good, full)
-			from := func(r *http.Request) {
+			accepting, rejecting := newRunner(t, "s-1", "z", serveDone), newRunner(t, "s-2", "z", serveStatus(http.StatusServiceUnavailable, true))
+			p := startAs(t, tt.settings, nil, accepting, rejecting)
+			setHeaders := func(r *http.Request) {
 				if tt.tenant != "" {
 					r.Header.Set("X-Tenant-Id", tt.tenant)
 				}
@@ -59,14 +60,14 @@
 			}
 			for i, class := range tt.classes {
 				for n := range 3 {
-					a := p.send(context.Background(), "/"+class, fmt.Sprintf("%s-%d-%d", tt.name, i, n), 5*time.Second, from)
+					a := p.send(context.Background(), "/"+class, fmt.Sprintf("%s-%d-%d", tt.name, i, n), 5*time.Second, setHeaders)
 					assert.Equal(t, http.StatusOK, a.status, "%s: %s", class, a.body)
 				}
 			}
-			assert.Equal(t, http.StatusNotFound, p.send(context.Background(), "/unknown", tt.name+"-x", time.Second, from).status)
+			assert.Equal(t, http.StatusNotFound, p.send(context.Background(), "/unknown", tt.name+"-x", time.Second, setHeaders).status)
 
-			alone := startAs(t, tt.settings, nil, newRunner(t, "s-3", "z", serveStatus(http.StatusServiceUnavailable, true)))
-			a := alone.send(context.Background(), "/"+tt.classes[0], tt.name+"-full", 2*time.Second, from)
+			rejected := startAs(t, tt.settings, nil, newRunner(t, "s-3", "z", serveStatus(http.StatusServiceUnavailable, true)))
+			a := rejected.send(context.Background(), "/"+tt.classes[0], tt.name+"-full", 2*time.Second, setHeaders)
 			assert.Equal(t, http.StatusServiceUnavailable, a.status, a.body)
 			assert.Equal(t, tt.retryAfter, a.header.Get("Retry-After") != "", "Retry-After %q", a.header.Get("Retry-After"))
 		})
--- a/test/integration/discovery_test.go
+++ b/test/integration/discovery_test.go
@@ -12,15 +12,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discovery serves the list of runners.
+// discovery is an HTTP server that stands for the discovery service. It serves the list of runners as numbered changes. A call
+// that asks for changes after the current version waits for the next change, at most as long as its hold_ms.
 type discovery struct {
 	addr string
 	mu   sync.Mutex
 	cond *sync.Cond
-	seq  int
-	log  []map[string]any // change n made version n+1
-	down bool
-	seen int // the highest version that the program requested changes since
+	seq  int              // the current version: the number of changes in log
+	log  []map[string]any // the changes; log[n] leads from version n to version n+1
+	down bool             // every call gets status 503
+	seen int              // the highest version after which the program has requested changes: it has all up to there
 	// calls, if not nil, receives each call, which then waits until release is closed.
 	calls   chan struct{}
 	release chan struct{}
@@ -67,7 +68,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"seq": d.seq, "whole": false, "hosts": d.log[min(from, d.seq):d.seq]})
 }
 
-// change adds a change of a runner and waits until the program has received it: it requests the changes since.
+// change lists a runner with a new health state. It waits until the program requests the changes after this one, which shows
+// that the program has received this one.
 func (d *discovery) change(t *testing.T, rn *runner, health string) {
 	t.Helper()
 	d.mu.Lock()
--- a/test/integration/program_test.go
+++ b/test/integration/program_test.go
@@ -17,7 +17,7 @@
 
 var background = context.Background()
 
-const clientTimeout = 20 * time.Second // where the client's timeout must not matter
+const clientTimeout = 20 * time.Second // too long to expire in a test that is not about timeouts
 
 func TestServesRunnersResult(t *testing.T) {
 	rn := newRunner(t, "r1", "z", serveDone)
@@ -37,10 +37,10 @@
 	assert.Equal(t, "key-id1", rn.last.Header.Get("Idempotency-Key"))
 	assert.Regexp(t, `^[0-9]+u$`, rn.last.Header.Get("X-Timeout"))
 	assert.Empty(t, rn.last.Header.Get("Accept-Encoding"))
-	assert.Positive(t, rn.probes, "requests pay for probes")
+	assert.Positive(t, rn.probes, "requests add to the budget of probes, so the runner gets some")
 }
 
-// The connection of an attempt is reused: a new one costs the runner work.
+// Attempts reuse connections, because each new connection costs the runner work.
 func TestConnectionsAreReused(t *testing.T) {
 	from := map[string]bool{}
 	var rn *runner
@@ -69,8 +69,9 @@
 	assert.Less(t, time.Since(before), testTimeout)
 }
 
-// Each way in which an attempt can end at the only runner, and what the client gets. Only what proves that the job
-// never ran may be shed or retried; the class is one that allows nothing else.
+// Each way in which an attempt can end at the only runner, and the status that the client gets. The class "unsafe" forbids a
+// second run: the program may retry a job, or shed it with 503, only if the outcome proves that it never ran. Any other
+// failure gets 502 after a single attempt (once).
 func TestOutcomes(t *testing.T) {
 	const short = 300 * time.Millisecond
 	for name, tt := range map[string]struct {
@@ -103,7 +104,7 @@
 	}
 }
 
-// A job that certainly never ran goes to the next runner.
+// A job goes to another runner if its attempt proves that it never ran: the connection or the job was refused.
 func TestRejectedRequestGoesToAnotherRunner(t *testing.T) {
 	for name, first := range map[string]func(*testing.T) *runner{
 		"no connection": func(t *testing.T) *runner {
@@ -127,8 +128,8 @@
 	}
 }
 
-// Guards against http.Transport's silent resends: a reused connection that breaks under a request with an
-// Idempotency-Key must not bring it to the runner twice, with a body or without one.
+// Guards against http.Transport's silent resends: when a reused connection breaks during a request with an
+// Idempotency-Key, the runner must not get that request a second time, whether it has a body or not.
 func TestTransportDoesNotResend(t *testing.T) {
 	for name, body := range map[string]func(*http.Request){
 		"body":  func(*http.Request) {},
@@ -143,7 +144,7 @@
 				serveDone(w, r)
 			})
 			p := start(t, rn)
-			for n := range 3 { // so that there are connections to reuse
+			for n := range 3 { // open connections that the next request can reuse
 				require.Equal(t, http.StatusOK, p.send(background, "/unsafe", fmt.Sprint("good", n), clientTimeout, body).status)
 			}
 			a := p.send(background, "/unsafe", "bad", clientTimeout, body)
@@ -154,26 +155,27 @@
 	}
 }
 
-// A keyed job that may have run is only retried at runners of its zone.
+// A keyed job that may have run is retried only at runners of the zone of its attempt, because its key is deduplicated per
+// zone (keyScope).
 func TestKeyedStaysInItsZone(t *testing.T) {
 	away := newRunner(t, "r2", "y", serveDone)
-	once := newRunner(t, "r1", "z", serveBreak)
-	p := start(t, once, away)
-	// More at once than one runner has slots, so that some go to each.
+	breaking := newRunner(t, "r1", "z", serveBreak)
+	p := start(t, breaking, away)
+	// More concurrent jobs than one runner has slots, so that both runners get some.
 	var all sync.WaitGroup
 	for n := range 16 {
 		all.Go(func() {
 			id := fmt.Sprint("id", n)
 			a := p.send(background, "/keyed", id, clientTimeout)
 			assert.NoError(t, a.err)
-			if once.count(id) > 0 {
+			if breaking.count(id) > 0 {
 				assert.Zero(t, away.count(id))
 				assert.Equal(t, http.StatusBadGateway, a.status)
 			}
 		})
 	}
 	all.Wait()
-	assert.Positive(t, once.total())
+	assert.Positive(t, breaking.total())
 }
 
 func TestDrainingRunnerGetsNothingNew(t *testing.T) {
@@ -185,7 +187,7 @@
 		for n := range 20 {
 			require.Equal(t, http.StatusOK, p.send(background, "/keyed", fmt.Sprint(health, n), clientTimeout).status)
 		}
-		assert.Equal(t, before, old.total(), "new work for a runner that is %s", health)
+		assert.Equal(t, before, old.total(), "a runner that is %s got a new job", health)
 	}
 }
 
@@ -194,8 +196,8 @@
 	p := start(t, old)
 	p.disc.change(t, old, "SERVING")
 	p.disc.setDown(true)
-	eventually(t, "the loss is not logged", func() bool { return strings.Contains(p.log(), "discovery call failed") })
-	require.Equal(t, http.StatusOK, p.send(background, "/keyed", "id1", clientTimeout).status, "the old list still serves")
+	eventually(t, "the failed discovery call is not logged", func() bool { return strings.Contains(p.log(), "discovery call failed") })
+	require.Equal(t, http.StatusOK, p.send(background, "/keyed", "id1", clientTimeout).status, "the last received list stays in use")
 	p.disc.setDown(false)
 	p.disc.change(t, next, "SERVING")
 	p.disc.change(t, old, "DELETED")
@@ -204,21 +206,21 @@
 }
 
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	left := make(chan struct{})
+	cancelled := make(chan struct{})
 	rn := newRunner(t, "r1", "z", func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})
 	p := start(t, rn)
 	ctx, disconnect := context.WithCancel(background)
 	a := p.sendAsync(ctx, "/keyed", "id1", clientTimeout)
-	eventually(t, "the job does not reach its runner", func() bool { return rn.count("id1") == 1 })
+	eventually(t, "the job does not arrive at its runner", func() bool { return rn.count("id1") == 1 })
 	disconnect()
 	assert.Error(t, (<-a).err)
 	select {
-	case <-left:
+	case <-cancelled:
 	case <-time.After(testTimeout):
-		t.Fatal("the attempt is not cancelled")
+		t.Fatal("the attempt was not cancelled after its client disconnected")
 	}
 }
 
@@ -262,20 +264,20 @@
 	p := start(t, rn)
 	slow := p.sendAsync(background, "/keyed", "slow", clientTimeout)
 	stuck := p.sendAsync(background, "/keyed", "stuck", clientTimeout)
-	eventually(t, "the jobs do not reach their runner", func() bool { return rn.total() == 2 })
+	eventually(t, "the jobs do not arrive at their runner", func() bool { return rn.total() == 2 })
 	p.stop()
-	eventually(t, "the signal is not seen", func() bool { return strings.Contains(p.log(), "to=draining") })
+	eventually(t, "the program does not log that it drains", func() bool { return strings.Contains(p.log(), "to=draining") })
 
-	// The front still sends connections for a while.
-	fresh := &http.Transport{DisableKeepAlives: false}
+	// The load balancer in front of the program may still open connections for a while after the signal.
+	transport := &http.Transport{DisableKeepAlives: false}
 	req, err := http.NewRequestWithContext(background, http.MethodPost, p.url+"/keyed", strings.NewReader(""))
 	require.NoError(t, err)
 	req.Header.Set("X-Request-ID", "late")
 	req.Header.Set("X-Timeout", "20000m")
-	resp, err := fresh.RoundTrip(req)
-	require.NoError(t, err, "a connection after the signal is refused")
+	resp, err := transport.RoundTrip(req)
+	require.NoError(t, err, "the program refused a connection after the signal")
 	assert.Equal(t, http.StatusOK, resp.StatusCode)
-	assert.True(t, resp.Close, "the connection is not closed")
+	assert.True(t, resp.Close, "the response does not announce that the connection closes")
 	_ = resp.Body.Close()
 
 	close(release)
@@ -284,18 +286,18 @@
 	assert.Equal(t, http.StatusOK, a.status)
 	a = <-stuck
 	require.NoError(t, a.err)
-	assert.Equal(t, http.StatusBadGateway, a.status, "what may have run must not be refused")
+	assert.Equal(t, http.StatusBadGateway, a.status, "a job that may have run gets 502, not 503")
 	select {
 	case err := <-p.exit:
 		assert.NoError(t, err, "exit status")
 	case <-time.After(testTimeout):
-		t.Fatal("the program does not end")
+		t.Fatal("the program did not exit")
 	}
 	assert.Contains(t, p.log(), "to=stopped")
 }
 
-// Guards against a reload that ends the program, loses open requests or stays with the old discovery. An invalid file
-// is named in the log and changes nothing.
+// Guards against a reload that ends the program, loses open requests or keeps calling the old discovery address. For an
+// invalid file the program logs the faulty key and keeps the old configuration.
 func TestReloadMovesToAnotherDiscovery(t *testing.T) {
 	release := make(chan struct{})
 	old := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
@@ -306,15 +308,15 @@
 	next := newRunner(t, "r2", "z", serveDone)
 	p := start(t, old)
 	open := p.sendAsync(background, "/keyed", "before", clientTimeout)
-	eventually(t, "the job does not reach its runner", func() bool { return old.total() == 1 })
+	eventually(t, "the job does not arrive at its runner", func() bool { return old.total() == 1 })
 
 	p.reload("nowhere")
-	eventually(t, "the fault is not logged", func() bool {
+	eventually(t, "the faulty key of the configuration is not logged", func() bool {
 		return regexp.MustCompile(`faulty.*discovery.*refused=1`).MatchString(p.log())
 	})
 	p.disc = newDiscovery(t)
 	p.reload(p.disc.addr)
-	eventually(t, "the accepted file is not counted", func() bool { return strings.Contains(p.log(), "taken=1") })
+	eventually(t, "the log does not count the accepted configuration", func() bool { return strings.Contains(p.log(), "taken=1") })
 	p.disc.change(t, next, "SERVING")
 	p.disc.change(t, old, "DELETED")
 	require.Equal(t, http.StatusOK, p.send(background, "/keyed", "after", clientTimeout).status)
@@ -362,7 +364,7 @@
 			case err := <-p.exit:
 				assert.Error(t, err)
 			case <-time.After(testTimeout):
-				t.Fatal("the program does not end")
+				t.Fatal("the program did not exit")
 			}
 			assert.Contains(t, p.log(), key)
 		})
--- a/test/integration/rare_test.go
+++ b/test/integration/rare_test.go
@@ -19,8 +19,8 @@
 
 var pushed = strings.Replace(settings, `"discovery":"ask"`, `"discovery":"push"`, 1)
 
-// Where lists are pushed, the dispatcher counts as notified of what was pushed before its start, so it does not use
-// its configuration's list before the first one arrives: a runner that drains by that gets nothing.
+// With pushed lists, the dispatcher counts as notified of every change that was pushed before its start. It must therefore not
+// serve from its configuration's list before the first pushed list has arrived: a runner that drains there gets no job.
 func TestPushedListIsReadBeforeServing(t *testing.T) {
 	old, next := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
 	disc := newDiscovery(t)
@@ -33,10 +33,11 @@
 	for n := range 20 {
 		require.Equal(t, http.StatusOK, p.send(background, "/keyed", fmt.Sprint("id", n), clientTimeout).status)
 	}
-	assert.Zero(t, old.total(), "work for a runner that drains")
+	assert.Zero(t, old.total(), "the draining runner got a job")
 }
 
-// A start does not wait for long for the first list, and a signal to stop in that time ends the program in order.
+// A discovery that does not respond delays the start only for a limited time; then the list of the configuration is used.
+// A SIGTERM while the program still waits makes it exit with 0.
 func TestUnresponsiveDiscoveryDelaysNeitherStartNorStop(t *testing.T) {
 	for name, stop := range map[string]bool{"start": false, "stop": true} {
 		t.Run(name, func(t *testing.T) {
@@ -52,19 +53,19 @@
 				case err := <-p.exit:
 					assert.NoError(t, err, "exit status")
 				case <-time.After(testTimeout):
-					t.Fatal("the program does not end")
+					t.Fatal("the program did not exit")
 				}
 				return
 			}
 			p.ready()
-			assert.Equal(t, http.StatusOK, p.send(background, "/keyed", "id", clientTimeout).status, "the last known list is used")
+			assert.Equal(t, http.StatusOK, p.send(background, "/keyed", "id", clientTimeout).status, "the list of the configuration is used")
 		})
 	}
 }
 
-// A stop with a request at a runner that hangs, one half sent, an idle connection, a second signal to stop and an
-// invalid configuration while it drains. Each open request gets its final response, each connection is closed
-// cleanly, and the program exits with 0 before the platform would kill it.
+// A stop with everything open at once: a request at a runner that hangs, a half-sent request and an idle connection; during the
+// drain, a second SIGTERM and a reload of an invalid configuration. Each open request gets its final response, each connection
+// is closed cleanly, and the program exits with 0 before the platform would kill it.
 func TestStopWithEverythingInFlight(t *testing.T) {
 	rn := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-ID") == "hangs" {
@@ -97,34 +98,35 @@
 	_, idle := open(request("rests"))
 	require.Equal(t, http.StatusOK, status(idle))
 	_, hanging := open(request("hangs"))
-	eventually(t, "the job does not reach its runner", func() bool { return rn.count("hangs") == 1 })
+	eventually(t, "the job does not arrive at its runner", func() bool { return rn.count("hangs") == 1 })
 	half, halfFrom := open(request("half")[:40])
 
 	at := time.Now()
 	p.stop()
-	eventually(t, "the signal is not seen", func() bool { return strings.Contains(p.log(), "to=draining") })
+	eventually(t, "the program does not log that it drains", func() bool { return strings.Contains(p.log(), "to=draining") })
 	p.stop()
 	require.NoError(t, os.WriteFile(p.file, []byte("{"), 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	time.Sleep(time.Until(at.Add(800 * time.Millisecond))) // the listener is closed
+	time.Sleep(time.Until(at.Add(800 * time.Millisecond))) // by then the listener is closed
 	_, err := io.WriteString(half, request("half")[40:])
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusOK, status(halfFrom), "one that was half sent when the stop began")
+	assert.Equal(t, http.StatusOK, status(halfFrom), "a request that was half sent when the stop began")
 	for _, from := range []*bufio.Reader{idle, halfFrom} {
 		_, err := from.ReadByte()
-		assert.ErrorIs(t, err, io.EOF, "closed cleanly")
+		assert.ErrorIs(t, err, io.EOF, "the connection is closed without another byte")
 	}
-	assert.Equal(t, http.StatusBadGateway, status(hanging), "what may have run must not be refused")
+	assert.Equal(t, http.StatusBadGateway, status(hanging), "a job that may have run gets 502, not 503")
 	_, err = hanging.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	eventually(t, "the stop has no end", func() bool { return strings.Contains(p.log(), "to=stopped") })
-	assert.Less(t, time.Since(at), 3700*time.Millisecond, "the platform kills from then on") // the race detector exits a second late
+	eventually(t, "the program does not log that it stopped", func() bool { return strings.Contains(p.log(), "to=stopped") })
+	// Measured to the log line, not to the exit: a program that is built with the race detector exits a second later.
+	assert.Less(t, time.Since(at), 3700*time.Millisecond, "the platform kills the process after this time")
 	assert.NoError(t, <-p.exit, "exit status")
 	assert.Contains(t, p.log(), "faulty; the old one stays")
 }
 
-// How long a stop lets requests run follows the settings in force, not those of the start: a request with a longer
-// deadline is not ended at the old one.
+// The time that a stop leaves to open requests follows the current settings, not those at the start: after a reload that
+// lengthens the deadlines, a request is not cut off at the old deadline.
 func TestStopTimeoutFollowsSettingsInForce(t *testing.T) {
 	release := make(chan struct{})
 	rn := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
@@ -135,12 +137,12 @@
 	p.configure("settings", json.RawMessage(settings))
 	eventually(t, "the settings are not accepted", func() bool { return strings.Contains(p.log(), "configuration reloaded") })
 	response := p.sendAsync(background, "/unsafe", "id", 9*time.Second)
-	eventually(t, "the job does not reach its runner", func() bool { return rn.count("id") == 1 })
+	eventually(t, "the job does not arrive at its runner", func() bool { return rn.count("id") == 1 })
 	p.stop()
-	eventually(t, "the signal is not seen", func() bool { return strings.Contains(p.log(), "to=draining") })
+	eventually(t, "the program does not log that it drains", func() bool { return strings.Contains(p.log(), "to=draining") })
 	select {
 	case a := <-response:
-		t.Fatalf("ended with %d by the deadlines of the start", a.status)
+		t.Fatalf("the request ended with status %d at the deadline of the old settings", a.status)
 	case <-time.After(time.Second):
 	}
 	close(release)
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After SIGTERM clients go on sending on every connection that stays open. Each such request gets its complete
-// response, or its connection was closed cleanly: not a byte of a response was sent.
+// After SIGTERM, clients keep sending requests on every connection that is still open. Each request either gets its complete
+// response, or finds the connection closed without a byte of a response.
 func TestConnectionsThatStayOpenAfterSIGTERMAreServed(t *testing.T) {
 	p := start(t, newRunner(t, "r1", "z", serveDone))
 	const conns = 12
@@ -31,7 +31,7 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		in := bufio.NewReader(c)
-		send := func(n int) (complete, none bool) {
+		send := func(n int) (complete, closedUnanswered bool) {
 			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			id := fmt.Sprintf("c%d-%d", i, n)
 			_, _ = fmt.Fprintf(c, "POST /keyed HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nIdempotency-Key: key-%s\r\nX-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id, id)
@@ -50,13 +50,13 @@
 		require.True(t, complete)
 		wait.Go(func() {
 			<-stopping
-			time.Sleep(time.Duration(i) * 100 * time.Millisecond) // before the listener closes, and after it
+			time.Sleep(time.Duration(i) * 100 * time.Millisecond) // some connections send before the listener closes, some after
 			for n := 1; ; n++ {
-				complete, none := send(n)
+				complete, closedUnanswered := send(n)
 				mu.Lock()
-				if none {
+				if closedUnanswered {
 					closed++
-				} else if assert.True(t, complete, "an incomplete response") {
+				} else if assert.True(t, complete, "the client got an incomplete response") {
 					served++
 				}
 				mu.Unlock()
@@ -67,10 +67,10 @@
 		})
 	}
 	p.stop()
-	eventually(t, "the signal is not seen", func() bool { return strings.Contains(p.log(), "to=draining") })
+	eventually(t, "the program does not log that it drains", func() bool { return strings.Contains(p.log(), "to=draining") })
 	close(stopping)
 	wait.Wait()
 	assert.Equal(t, conns, closed)
-	assert.Positive(t, served, "connections that stay open are served")
+	assert.Positive(t, served, "no request after SIGTERM was served")
 	assert.NoError(t, <-p.exit, "exit status")
 }
--- a/test/integration/store_test.go
+++ b/test/integration/store_test.go
@@ -22,7 +22,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runCommand runs a command of the program to its end.
+// runCommand runs a command of the program with in as standard input, and returns its outputs and its exit status.
 func runCommand(in string, args ...string) (out, errs string, status int) {
 	var o, e bytes.Buffer
 	cmd := exec.CommandContext(context.Background(), program, args...)
@@ -31,7 +31,7 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
-// record is a line of 'store dump'.
+// record is one line of the output of 'store dump'.
 type record struct {
 	Space string
 	Key   []byte
@@ -39,6 +39,7 @@
 	Seq   uint64
 }
 
+// dump returns the records of the store in a directory by their keys, and requires that 'store dump' prints them in key order.
 func dump(t *testing.T, dir string) map[string]record {
 	t.Helper()
 	out, errs, status := runCommand("", "store", "dump", dir)
@@ -55,8 +56,8 @@
 	return all
 }
 
-// dumpOfKilled is dump for a program that may have been killed before it created the store: then it has acknowledged
-// nothing.
+// dumpOfKilled is dump for a program that may have been killed before it created the store. If there is no store, it requires
+// that no record was acknowledged (acked is 0).
 func dumpOfKilled(t *testing.T, dir string, acked int) map[string]record {
 	t.Helper()
 	if _, errs, status := runCommand("", "store", "dump", dir); status != 0 && strings.Contains(errs, "there is none") {
@@ -66,7 +67,7 @@
 	return dump(t, dir)
 }
 
-// killRounds is how often the appending program is killed; STORE_KILLS sets it for a long run.
+// killRounds returns the number of times that the appending program is killed: 8, or STORE_KILLS for a longer run.
 func killRounds(t *testing.T) int {
 	t.Helper()
 	if s := os.Getenv("STORE_KILLS"); s != "" {
@@ -77,12 +78,12 @@
 	return 8
 }
 
-// Killed at any moment, the program has acknowledged nothing that is lost, and nothing is in the store that was not
-// sent.
+// SIGKILL ends 'store append' at random moments. Afterwards the store has every record that the program acknowledged with
+// "ok", and no record that was never sent.
 func TestEveryOkOfAppendSurvivesSIGKILL(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	rnd := rand.New(rand.NewPCG(1, 2))
-	acked := map[string]string{} // key to value
+	acked := map[string]string{} // values by key, of the acknowledged batches
 	sent := map[string]string{}
 	n := 0
 	for round := range killRounds(t) {
@@ -175,7 +176,7 @@
 		assert.NotEmpty(t, out)
 		assert.Empty(t, errs)
 	}
-	// Damage in the middle: check finds it, opening refuses, repair leaves it out.
+	// A flipped bit in the middle of a segment: check reports its file and offset, and repair copies the store without it.
 	segments, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	require.NoError(t, err)
 	b, err := os.ReadFile(segments[0])
@@ -194,7 +195,8 @@
 	assert.Zero(t, status, errs)
 }
 
-// A recording has what each request was and how it ended, and no key or body in clear text.
+// A recording has the class, the attempts and the outcome of each request. It has keys only as 16 hexadecimal digits: no file
+// contains a key in clear text.
 func TestRecordedTraffic(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "traffic")
 	p := startWith(t, []string{"serve", "--record", dir}, newRunner(t, "r1", "z", serveDone))
@@ -206,7 +208,7 @@
 		}).status)
 	}
 	_, errs, status := runCommand("", "traffic", "export", dir)
-	assert.Equal(t, 1, status, "while it is being recorded")
+	assert.Equal(t, 1, status, "an export must fail while the program records")
 	assert.Contains(t, errs, "locked by another process")
 	p.stop()
 	require.NoError(t, <-p.exit)
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -1,5 +1,5 @@
-// Package integration starts the built program as a process and speaks to it over sockets, as clients, runners and
-// discovery do.
+// Package integration starts the built program as a process. The tests act over sockets as its clients, its runners and its
+// discovery service.
 package integration
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testTimeout is how long a condition is waited for: long enough that a busy machine changes no verdict.
+// testTimeout bounds every wait for a condition. It is long, so that a busy machine doesn't make a test fail.
 const testTimeout = 20 * time.Second
 
 var program string
@@ -47,19 +47,21 @@
 	os.Exit(code)
 }
 
-// runner is an upstream. It counts what arrives.
+// runner is an HTTP server that stands for a runner, the upstream of the dispatcher. It counts the requests that arrive.
 type runner struct {
 	name, addr, site string
 	mu               sync.Mutex
 	got              map[string]int // arrivals by request id
-	last             *http.Request
-	body             string
-	probes           int
+	last             *http.Request  // the latest arrival, probes excluded
+	body             string         // of last
+	probes           int            // requests for /stats
 }
 
-// job is how a runner responds to a request that arrived completely.
+// job writes a runner's response to a request, after the runner has read its whole body.
 type job func(w http.ResponseWriter, r *http.Request)
 
+// writeState writes one line of a job's progress and flushes it, so that the dispatcher gets it at once. more is JSON that is
+// added to the line's object.
 func writeState(w http.ResponseWriter, r *http.Request, state, more string) {
 	_, _ = fmt.Fprintf(w, "{\"id\":%q,\"from\":\"x\",\"state\":%q%s}\n", r.Header.Get("X-Request-ID"), state, more)
 	_ = http.NewResponseController(w).Flush()
@@ -74,6 +76,7 @@
 	return func(w http.ResponseWriter, r *http.Request) { writeState(w, r, state, "") }
 }
 
+// serveStatus responds with a status; with notRun it adds the header that says that the job was not processed.
 func serveStatus(code int, notRun bool) job {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if notRun {
@@ -83,13 +86,13 @@
 	}
 }
 
-// serveHang starts a job and never ends it, until the dispatcher gives it up.
+// serveHang reports a job as started and sends nothing more until the dispatcher cancels the attempt.
 func serveHang(w http.ResponseWriter, r *http.Request) {
 	writeState(w, r, "started", "")
 	<-r.Context().Done()
 }
 
-// serveBreak breaks the connection without a response.
+// serveBreak closes the connection without a response.
 func serveBreak(w http.ResponseWriter, _ *http.Request) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		_ = c.Close()
@@ -129,12 +132,14 @@
 	return &runner{name: name, addr: l.Addr().String(), site: site, got: map[string]int{}}
 }
 
+// count returns the number of arrivals with a request id.
 func (rn *runner) count(id string) int {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	return rn.got[id]
 }
 
+// total returns the number of all arrivals, probes excluded.
 func (rn *runner) total() (n int) {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
@@ -144,28 +149,29 @@
 	return n
 }
 
+// entry returns the runner as an entry of discovery's list.
 func (rn *runner) entry(health string) map[string]any {
 	return map[string]any{"host": rn.name, "dial": rn.addr, "site": rn.site, "class": "m", "block": 0,
 		"health": health, "share": 1.0, "born_ms": 0}
 }
 
-// dispatcher is the running program.
+// dispatcher is a process of the program under test.
 type dispatcher struct {
 	t    *testing.T
 	cmd  *exec.Cmd
 	args []string
-	env  []string // more of the environment
+	env  []string // variables added to the test's environment
 	url  string
 	disc *discovery
-	file string
-	conf map[string]any
-	exit chan error
+	file string         // the path of the configuration
+	conf map[string]any // the configuration that file holds
+	exit chan error     // receives the result of the process's end once
 	mu   sync.Mutex
 	logs bytes.Buffer
 }
 
-// The latency target is short, as the module's rounds follow it, and late responses have a value, so that a slow
-// machine changes no response.
+// settings are the dispatcher's settings in most tests. objectiveUs, the latency target, is short, because the length of the
+// policy's rounds follows it. lateWorth gives late responses a value, so that a slow machine doesn't change a response.
 const settings = `{"zone":"z","balancers":1,"slotNo":0,"periodUs":2000,"discovery":"ask","kinds":["m"],
  "classes":[{"name":"keyed","semantics":"keyed","keyScope":"zone","memorySpanUs":10000000,"objectiveUs":400000,"lateWorth":0.5,"deadlineUs":25000000},
   {"name":"safe","semantics":"safe","objectiveUs":400000,"lateWorth":0.5,"deadlineUs":25000000},
@@ -195,7 +201,7 @@
 	return p
 }
 
-// launch runs the program and does not wait for anything.
+// launch starts the program and returns without waiting until it is ready.
 func launch(t *testing.T, disc *discovery, settings string, args []string, known ...*runner) *dispatcher {
 	t.Helper()
 	p := &dispatcher{t: t, args: args, disc: disc, exit: make(chan error, 1)}
@@ -219,10 +225,11 @@
 			p.url = "http://" + m[1]
 		}
 		return p.url != ""
-	}, testTimeout, time.Millisecond, "the program does not listen")
+	}, testTimeout, time.Millisecond, "the program does not log that it listens")
 	require.Equal(t, http.StatusOK, call(http.MethodGet, p.url+"/health/ready", ""))
 }
 
+// run writes the configuration file, starts the process and collects its log.
 func (p *dispatcher) run(config map[string]any) {
 	text, err := json.Marshal(config)
 	require.NoError(p.t, err)
@@ -258,16 +265,16 @@
 	return p.logs.String()
 }
 
-// response is what a client got.
+// response is the result of a client's request: the response, or err.
 type response struct {
 	status int
 	body   string
 	header http.Header
-	closed bool
+	closed bool // the response announced that the connection closes
 	err    error
 }
 
-// send sends one job as a client does, and returns the response.
+// send sends one job as a client does, with wait as its X-Timeout, and returns the response.
 func (p *dispatcher) send(ctx context.Context, path, id string, wait time.Duration, change ...func(*http.Request)) response {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+path, strings.NewReader("the job"))
 	if err != nil {
@@ -296,10 +303,10 @@
 	return c
 }
 
-// reload writes another discovery to the configuration file and signals the program.
+// reload sets another discovery address in the configuration file and sends SIGHUP.
 func (p *dispatcher) reload(addr string) { p.configure("discovery", addr) }
 
-// configure changes a key of the configuration file and signals the program.
+// configure changes a key of the configuration file and sends SIGHUP.
 func (p *dispatcher) configure(key string, value any) {
 	p.conf[key] = value
 	text, err := json.Marshal(p.conf)
@@ -326,7 +333,8 @@
 	return resp.StatusCode
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually waits until f is true, for at most testTimeout; failure is the message of a test that fails.
+func eventually(t *testing.T, failure string, f func() bool) {
 	t.Helper()
-	require.Eventually(t, f, testTimeout, time.Millisecond, what)
+	require.Eventually(t, f, testTimeout, time.Millisecond, failure)
 }
