--- a/test/stories/gangs_test.go
+++ b/test/stories/gangs_test.go
@@ -11,13 +11,14 @@
 	"ospreypond/internal/dispatcher/gang/virtual"
 )
 
-// gangStory is one scenario's world of gangs.
+// gangStory holds the simulated runners, dispatchers and gangs of one scenario.
 type gangStory struct {
-	base      *story
-	world     *virtual.World
-	savesHang bool
+	base      *story         // has the seed of the scenario
+	world     *virtual.World // nil in a scenario without gangs
+	savesHang bool           // uploads of checkpoints don't end
 }
 
+// gangSteps registers the steps of scenarios about gangs. A scenario also fails if its world found a violation of an invariant.
 func gangSteps(sc *godog.ScenarioContext, base *story) {
 	s := &gangStory{base: base}
 	sc.After(func(ctx context.Context, _ *godog.Scenario, err error) (context.Context, error) {
@@ -33,7 +34,7 @@
 	s.outcomeSteps(sc)
 }
 
-// setupSteps set up the world and advance time.
+// setupSteps registers the steps that create the world, submit gangs and advance the virtual time.
 func (s *gangStory) setupSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^(\d+) dispatchers and (\d+) runners of (\d+) slots$`, s.newWorld)
 	sc.Step(`^a gang (\w+) of (\d+) members that takes (\d+) minutes$`, func(name string, n, m int) { s.submit(name, n, m) })
@@ -47,7 +48,7 @@
 	})
 }
 
-// runnerSteps retire runners and let them die.
+// runnerSteps registers the steps that announce or withdraw the retirement of runners, kill them, or make starts fail.
 func (s *gangStory) runnerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^a runner of (\w+) is to retire in (\d+) seconds$`, func(name string, n int) { s.retire(s.runnerOf(name), n) })
 	sc.Step(`^zone (\w) is to retire in (\d+) seconds$`, func(z string, n int) {
@@ -71,7 +72,7 @@
 	sc.Step(`^the next (\d+) starts fail$`, s.failStarts)
 }
 
-// dispatcherSteps kill dispatchers, stall them and mislead their views.
+// dispatcherSteps registers the steps that kill, restart and stall dispatchers, or make them see living dispatchers as dead.
 func (s *gangStory) dispatcherSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the dispatcher of (\w+) is killed$`, func(name string) { s.world.Kill(s.ownerOf(name)) })
 	sc.Step(`^the dispatcher of (\w+) is stalled for (\d+) seconds$`, func(name string, n int) {
@@ -99,7 +100,7 @@
 	})
 }
 
-// registerSteps break the register.
+// registerSteps registers the steps that make the register (the store of gangs' records and checkpoints) fail.
 func (s *gangStory) registerSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^the register is unresponsive for (\d+) seconds$`, func(n int) {
 		s.world.Unresponsive = true
@@ -111,19 +112,19 @@
 	sc.Step(`^checkpoints are damaged from now on$`, func() { s.world.Damage = func() bool { return true } })
 }
 
-// outcomeSteps check what became of the gangs.
+// outcomeSteps registers the steps that check the gangs' ends, starts, lost work and checkpoints.
 func (s *gangStory) outcomeSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^(\w+) is done within (\d+) minutes$`, func(name string, n int) error { return s.allDone(n, name) })
 	sc.Step(`^all gangs are done within (\d+) minutes$`, func(n int) error { return s.allDone(n, s.world.Gangs()...) })
 	sc.Step(`^(\w+) was started (\d+) times?$`, func(name string, n int) error {
 		if got := s.world.Record(name).Generation; got != uint64(n) {
-			return fmt.Errorf("it was started %d times", got)
+			return fmt.Errorf("gang %s was started %d times, not %d", name, got, n)
 		}
 		return nil
 	})
 	sc.Step(`^at most (\d+) runner-seconds of work were lost$`, func(n int) error {
 		if s.world.LostWork > float64(n) {
-			return fmt.Errorf("%.0f were", s.world.LostWork)
+			return fmt.Errorf("%.0f runner-seconds of work were lost, more than %d", s.world.LostWork, n)
 		}
 		return nil
 	})
@@ -160,7 +161,7 @@
 	r.Announced, r.Retires = s.world.Now, s.world.Now.Add(time.Duration(seconds)*time.Second)
 }
 
-// runnerOf returns the runner of a gang's first member.
+// runnerOf returns the runner that a gang's first member is placed at.
 func (s *gangStory) runnerOf(name string) *virtual.Runner {
 	for _, r := range s.world.Runners {
 		if r.Name == s.world.Record(name).Placement[0] {
@@ -180,7 +181,8 @@
 	return nil
 }
 
-// failStarts makes n starts of the gang m fail, whichever runners it gets: one member fails each time.
+// failStarts makes the next n starts of the gang named m fail, one after another: each time the first member's start fails at the
+// runner that it is placed at, and the gang returns to waiting.
 func (s *gangStory) failStarts(n int) {
 	for range n {
 		s.world.Until(time.Minute, func() bool { return s.world.Record("m").Phase == gang.Starting })
@@ -189,19 +191,21 @@
 	}
 }
 
+// allDone advances the virtual time until each of the gangs has ended, and returns an error if one takes longer than minutes.
 func (s *gangStory) allDone(minutes int, names ...string) error {
 	for _, name := range names {
 		if !s.world.Until(time.Duration(minutes)*time.Minute, func() bool { _, ok := s.world.Ended(name); return ok }) {
-			return fmt.Errorf("%s is %+v", name, s.world.Record(name))
+			return fmt.Errorf("gang %s is not done within %d minutes of virtual time: %+v", name, minutes, s.world.Record(name))
 		}
 	}
 	return nil
 }
 
+// keepsCheckpoints returns an error unless every gang runs, saves a checkpoint, or waits and has one.
 func (s *gangStory) keepsCheckpoints() error {
 	for _, name := range s.world.Gangs() {
 		if r := s.world.Record(name); r.Phase != gang.Running && r.Phase != gang.Saving && (r.Phase != gang.Waiting || r.Checkpoint == nil) {
-			return fmt.Errorf("%s is %s, with %v", name, r.Phase, r.Checkpoint)
+			return fmt.Errorf("gang %s is in phase %s with checkpoint %v", name, r.Phase, r.Checkpoint)
 		}
 	}
 	return nil
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -1,5 +1,5 @@
-// Package stories runs the operators' scenarios, in Gherkin, on an in-memory fleet of the real cores in virtual time. A scenario's
-// title is its seed: another title is another run.
+// Package stories runs the Gherkin scenarios in the folder features on a simulated fleet: the production cores exchange packets in
+// memory, in virtual time. The hash of a scenario's title seeds its random numbers, so a new title gives another run.
 package stories
 
 import (
@@ -18,7 +18,7 @@
 	"ospreypond/internal/dispatcher/fleet/virtual"
 )
 
-var seed = flag.Uint64("seed", 0, "seed of every scenario; 0: each has its own, which a failing one prints")
+var seed = flag.Uint64("seed", 0, "seed of every scenario; 0: the hash of its title, which a failing scenario prints")
 
 func TestStories(t *testing.T) {
 	suite := godog.TestSuite{Name: "stories", ScenarioInitializer: scenario,
@@ -28,15 +28,15 @@
 	}
 }
 
-const interval = 500 * time.Millisecond
+const interval = 500 * time.Millisecond // the fleet's protocol interval, in virtual time
 
-// story is one scenario's world.
+// story is the state of one scenario.
 type story struct {
 	seed      uint64
 	world     *virtual.World
 	opt       virtual.Options
-	conflict  string // a number that had two owners, if any
-	lastPings map[string]*fleet.Packet
+	conflict  string                   // describes the latest case of a number with two owners; empty if there was none
+	lastPings map[string]*fleet.Packet // a ping by the name of a killed dispatcher, with the epoch it had
 }
 
 func scenario(sc *godog.ScenarioContext) {
@@ -62,7 +62,7 @@
 	s.quotaSteps(sc)
 }
 
-// processSteps start, stop and stall processes.
+// processSteps registers the steps that start, kill, stop and stall dispatchers, change their clocks and let time pass.
 func (s *story) processSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^a fleet of (\d+) dispatchers( that share budgets)?$`, s.newFleet)
 	sc.Step(`^a running fleet of (\d+) dispatchers( that share budgets)?$`, s.runningFleet)
@@ -76,7 +76,7 @@
 	sc.Step(`^(\d+) intervals pass$`, func(n int) { s.advance(n) })
 }
 
-// networkSteps take links down and up.
+// networkSteps registers the steps that take links down, lose datagrams, and bring all links up.
 func (s *story) networkSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^zone (\w) is partitioned from the others$`, func(z string) { s.partition(func(a, b *virtual.Node) bool { return (a.Zone == z) != (b.Zone == z) }) })
 	sc.Step(`^the fleet is partitioned at d(\d+)$`, func(k int) { s.partition(func(a, b *virtual.Node) bool { return (a.Number < k) != (b.Number < k) }) })
@@ -92,7 +92,7 @@
 	sc.Step(`^all links are up$`, func() { s.world.Links(nil) })
 }
 
-// viewSteps check the views.
+// viewSteps registers the steps that check which dispatchers each dispatcher sees as alive, dead or left.
 func (s *story) viewSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals all views agree$`, func(n int) error { return s.within(n, "all views agree", func() bool { return s.world.Agree() }) })
 	sc.Step(`^within (\d+) more intervals every view has converged$`, func(n int) error { return s.within(n, "every view has converged", s.allConverged) })
@@ -103,13 +103,13 @@
 	sc.Step(`^packets of the previous epoch of (d\d+) are rejected$`, s.rejectsStale)
 }
 
-// quotaSteps check which dispatcher owns which number.
+// quotaSteps registers the steps that check which dispatcher owns which number, that is which share of the budgets.
 func (s *story) quotaSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals every number is owned( by its own dispatcher)?$`, s.allOwned)
 	sc.Step(`^every number is owned( by its own dispatcher)?$`, func(own string) error { return s.allOwned(0, own) })
 	sc.Step(`^no number is owned$`, func() error {
 		if by := s.owners(); len(by) > 0 {
-			return fmt.Errorf("owned are %v", by)
+			return fmt.Errorf("numbers are owned (owners by number): %v", by)
 		}
 		return nil
 	})
@@ -121,14 +121,14 @@
 	})
 	sc.Step(`^number (\d+) has no other owner$`, func(n int) error {
 		if by, ok := s.owners()[n]; ok && by != fmt.Sprint("d", n) {
-			return fmt.Errorf("it is owned by %s", by)
+			return fmt.Errorf("number %d is owned by %s", n, by)
 		}
 		return nil
 	})
 	sc.Step(`^number (\d+) is owned on the side of d0$`, func(n int) error {
 		by := s.node(s.owners()[n])
 		if by == nil || by.Number >= 9 {
-			return fmt.Errorf("it is owned by %v", s.owners()[n])
+			return fmt.Errorf("number %d is owned by %q, not by a dispatcher below d9", n, s.owners()[n])
 		}
 		return nil
 	})
@@ -154,7 +154,7 @@
 	}
 	s.advance(30)
 	if !s.world.Agree() {
-		return fmt.Errorf("the views do not agree")
+		return fmt.Errorf("the views of the started dispatchers do not agree after 30 intervals")
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// nodes returns the nodes that "d1", "d1 to d3" or "all" names.
+// nodes returns the dispatchers that a step names as "d1", "d1 to d3" or "all".
 func (s *story) nodes(which string) []*virtual.Node {
 	if which == "all" {
 		return s.world.Nodes
@@ -180,6 +180,7 @@
 	return s.world.Nodes[s.node(first).Number : s.node(last).Number+1]
 }
 
+// apply does to the named dispatchers what a step's verb says.
 func (s *story) apply(which, what string) error {
 	for _, n := range s.nodes(which) {
 		switch what {
@@ -201,7 +202,8 @@
 	return nil
 }
 
-// startInGroups starts n nodes at a time, gap intervals apart; with restart, those that run are killed first.
+// startInGroups starts n dispatchers at a time and lets gap intervals pass after each group. With restart, it kills each dispatcher
+// one interval before it starts it.
 func (s *story) startInGroups(n, gap int, restart bool) error {
 	for i := 0; i < len(s.world.Nodes); i += n {
 		for _, node := range s.world.Nodes[i:min(i+n, len(s.world.Nodes))] {
@@ -232,7 +234,8 @@
 	s.world.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Down: is(a, b)} })
 }
 
-// advance advances time by n intervals, and checks several times in each that no number has two owners.
+// advance advances time by n intervals. If the dispatchers share budgets, it records in conflict whether a number has two owners,
+// four times in each interval.
 func (s *story) advance(n int) {
 	for range 4 * n {
 		s.world.For(interval / 4)
@@ -242,7 +245,7 @@
 	}
 }
 
-// owners returns the name of the owner of each number.
+// owners returns the owner's name of each owned number, and sets conflict if a number has two.
 func (s *story) owners() map[int]string {
 	by := map[int]string{}
 	for _, n := range s.world.Running() {
@@ -256,7 +259,8 @@
 	return by
 }
 
-func (s *story) within(n int, what string, ok func() bool) error {
+// within returns nil if ok becomes true within n intervals; condition describes ok in the error.
+func (s *story) within(n int, condition string, ok func() bool) error {
 	for range n {
 		if ok() {
 			return nil
@@ -264,7 +268,7 @@
 		s.advance(1)
 	}
 	if !ok() {
-		return fmt.Errorf("not after %d intervals: %s", n, what)
+		return fmt.Errorf("condition not met after %d intervals: %s", n, condition)
 	}
 	return nil
 }
@@ -282,7 +286,7 @@
 	want := 0
 	_, _ = fmt.Sscan(whom, &want) // nobody is 0
 	if got := s.node(who).Core.Living() - 1; got != want {
-		return fmt.Errorf("%s sees %d", who, got)
+		return fmt.Errorf("%s sees %d others as living, not %d", who, got, want)
 	}
 	return nil
 }
@@ -291,7 +295,7 @@
 	for _, m := range s.node(who).Core.Snapshot().Members {
 		if m.Name == whom {
 			if m.State.String() != state {
-				return fmt.Errorf("%s sees it as %s", who, m.State)
+				return fmt.Errorf("%s sees %s as %s, not as %s", who, whom, m.State, state)
 			}
 			return nil
 		}
@@ -313,12 +317,14 @@
 func (s *story) startCounts(n int) error {
 	for _, node := range s.world.Nodes {
 		if node.Starts() != n {
-			return fmt.Errorf("%s was started %d times", node.Name, node.Starts())
+			return fmt.Errorf("%s was started %d times, not %d", node.Name, node.Starts(), n)
 		}
 	}
 	return nil
 }
 
+// rejectsStale delivers to every other dispatcher a ping with the epoch that who had when it was killed, and returns an error unless
+// each rejects it as stale.
 func (s *story) rejectsStale(who string) error {
 	n := s.node(who)
 	for _, other := range s.world.Nodes {
@@ -326,12 +332,13 @@
 			continue
 		}
 		if v := other.Core.Receive(s.world.Now, n.Addr, s.lastPings[who]); v != fleet.StaleEpoch {
-			return fmt.Errorf("%s did not reject it: %s", other.Name, v)
+			return fmt.Errorf("%s did not reject a ping with the previous epoch of %s as stale: %s", other.Name, who, v)
 		}
 	}
 	return nil
 }
 
+// allOwned waits up to n intervals until every number has an owner, and with a non-empty own its own dispatcher.
 func (s *story) allOwned(n int, own string) error {
 	return s.within(n, "every number is owned"+own, func() bool {
 		by := s.owners()
