--- a/test/stories/gangs_test.go
+++ b/test/stories/gangs_test.go
@@ -18,7 +18,8 @@
 	savesHang bool           // uploads of checkpoints don't end
 }
 
-// gangSteps registers the steps of scenarios about gangs. A scenario also fails if its world found a violation of an invariant.
+// gangSteps registers the steps of scenarios about gangs. A scenario also fails if its world found a violation of an
+// invariant.
 func gangSteps(sc *godog.ScenarioContext, base *story) {
 	s := &gangStory{base: base}
 	sc.After(func(ctx context.Context, _ *godog.Scenario, err error) (context.Context, error) {
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// failStarts makes the next n starts of the gang named m fail, one after another: each time the first member's start fails at the
-// runner that it is placed at, and the gang returns to waiting.
+// failStarts makes the next n starts of the gang named m fail, one after another: each time the first member's start fails
+// at the runner that it is placed at, and the gang returns to waiting.
 func (s *gangStory) failStarts(n int) {
 	for range n {
 		s.world.Until(time.Minute, func() bool { return s.world.Record("m").Phase == gang.Starting })
@@ -191,7 +192,8 @@
 	}
 }
 
-// allDone advances the virtual time until each of the gangs has ended, and returns an error if one takes longer than minutes.
+// allDone advances the virtual time until each of the gangs has ended, and returns an error if one takes longer than
+// minutes.
 func (s *gangStory) allDone(minutes int, names ...string) error {
 	for _, name := range names {
 		if !s.world.Until(time.Duration(minutes)*time.Minute, func() bool { _, ok := s.world.Ended(name); return ok }) {
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -1,5 +1,6 @@
-// Package stories runs the Gherkin scenarios in the folder features on a simulated fleet: the production cores exchange packets in
-// memory, in virtual time. The hash of a scenario's title seeds its random numbers, so a new title gives another run.
+// Package stories runs the Gherkin scenarios in the folder features on a simulated fleet: the production cores exchange
+// packets in memory, in virtual time. The hash of a scenario's title seeds its random numbers, so a new title gives another
+// run.
 package stories
 
 import (
@@ -103,7 +104,8 @@
 	sc.Step(`^packets of the previous epoch of (d\d+) are rejected$`, s.rejectsStale)
 }
 
-// quotaSteps registers the steps that check which dispatcher owns which number, that is which share of the budgets.
+// quotaSteps registers the steps that check which dispatcher owns which number. A number stands for one share of the
+// budgets.
 func (s *story) quotaSteps(sc *godog.ScenarioContext) {
 	sc.Step(`^within (\d+) intervals every number is owned( by its own dispatcher)?$`, s.allOwned)
 	sc.Step(`^every number is owned( by its own dispatcher)?$`, func(own string) error { return s.allOwned(0, own) })
@@ -202,8 +204,8 @@
 	return nil
 }
 
-// startInGroups starts n dispatchers at a time and lets gap intervals pass after each group. With restart, it kills each dispatcher
-// one interval before it starts it.
+// startInGroups starts n dispatchers at a time and lets gap intervals pass after each group. With restart, it kills each
+// dispatcher one interval before it starts it.
 func (s *story) startInGroups(n, gap int, restart bool) error {
 	for i := 0; i < len(s.world.Nodes); i += n {
 		for _, node := range s.world.Nodes[i:min(i+n, len(s.world.Nodes))] {
@@ -234,8 +236,8 @@
 	s.world.Links(func(_ time.Duration, a, b *virtual.Node) virtual.Link { return virtual.Link{Down: is(a, b)} })
 }
 
-// advance advances time by n intervals. If the dispatchers share budgets, it records in conflict whether a number has two owners,
-// four times in each interval.
+// advance advances time by n intervals. If the dispatchers share budgets, it records in conflict whether a number has two
+// owners, four times in each interval.
 func (s *story) advance(n int) {
 	for range 4 * n {
 		s.world.For(interval / 4)
@@ -323,8 +325,8 @@
 	return nil
 }
 
-// rejectsStale delivers to every other dispatcher a ping with the epoch that who had when it was killed, and returns an error unless
-// each rejects it as stale.
+// rejectsStale delivers to every other dispatcher a ping with the epoch that who had when it was last killed, and returns an
+// error unless each rejects it as stale.
 func (s *story) rejectsStale(who string) error {
 	n := s.node(who)
 	for _, other := range s.world.Nodes {
