--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs holds pages that operators use to what the program does.
+// Package docs checks that the pages for operators and developers agree with the code.
 package docs
 
 import (
@@ -26,7 +26,7 @@
 	RunSpecs(t, "pages")
 }
 
-// rowsOf returns the cells of all rows of a page's tables that have one of these heads first.
+// rowsOf returns the cells of all rows of those tables of a page whose first column has this heading.
 func rowsOf(page, head string) [][]string {
 	content, err := os.ReadFile(filepath.Join("..", "..", "docs", page))
 	Expect(err).NotTo(HaveOccurred())
@@ -52,10 +52,11 @@
 	return rows
 }
 
+// unquoted returns a text without the backquotes around it.
 func unquoted(text string) string { return strings.Trim(text, "`") }
 
-// setting is a row of settings.md.
-type setting struct{ key, kind, unit, standard string }
+// setting is a row of a table of settings.md. defaultValue is "required" for a key without a default that must be set.
+type setting struct{ key, kind, unit, defaultValue string }
 
 func settings() []setting {
 	var list []setting
@@ -66,15 +67,16 @@
 	return list
 }
 
-// least has only what is required.
-func least() map[string]any {
+// requiredSettings returns settings that have only the required keys.
+func requiredSettings() map[string]any {
 	return map[string]any{
 		"nodeName": "n", "role": "r", "ip": "10.0.0.1", "zone": "z", "internalPorts": []int{1, 2}, "seeds": []string{},
 	}
 }
 
-// with sets a key, which may be inside an object, to a JSON value.
-func with(object map[string]any, key, value string) map[string]any {
+// withKey sets a key of an object to a JSON value and returns the object. A key "outer.inner" lies in a nested object, which
+// withKey replaces.
+func withKey(object map[string]any, key, value string) map[string]any {
 	outer, inner, nested := strings.Cut(key, ".")
 	if nested {
 		object[outer] = map[string]any{inner: json.RawMessage(value)}
@@ -90,13 +92,13 @@
 	return boot.Parse(data)
 }
 
-// wrong has, for each type, a value that is not of it.
-var wrong = map[string]string{
+// wrongTypeValues has, for each type that settings.md names, a JSON value of another type.
+var wrongTypeValues = map[string]string{
 	"text": "5", "address": `"x"`, "list": `"x"`, "object": `"x"`, "yes/no": `"x"`, "number": `"x"`, "whole": "1.5",
 }
 
 var _ = Describe("the page of settings", func() {
-	It("has every key that is read, and no other", func() {
+	It("lists exactly the keys that the program reads", func() {
 		var keys []string
 		for _, documented := range settings() {
 			keys = append(keys, documented.key)
@@ -105,20 +107,20 @@
 		Expect(keys).To(Equal(boot.Keys()))
 	})
 
-	It("tells the type, which is checked", func() {
+	It("names for each key the type that the program checks", func() {
 		for _, documented := range settings() {
-			Expect(wrong).To(HaveKey(documented.kind), documented.key)
-			_, err := parse(with(least(), documented.key, wrong[documented.kind]))
+			Expect(wrongTypeValues).To(HaveKey(documented.kind), documented.key)
+			_, err := parse(withKey(requiredSettings(), documented.key, wrongTypeValues[documented.kind]))
 			Expect(err).To(MatchError(ContainSubstring(documented.key+": ")), documented.key)
 		}
 	})
 
-	It("tells what is required", func() {
+	It("marks exactly the required keys as required", func() {
 		for _, documented := range settings() {
-			object := least()
+			object := requiredSettings()
 			delete(object, documented.key)
 			_, err := parse(object)
-			if documented.standard == "required" {
+			if documented.defaultValue == "required" {
 				Expect(err).To(MatchError(ContainSubstring(documented.key+": is missing")), documented.key)
 				continue
 			}
@@ -126,28 +128,28 @@
 		}
 	})
 
-	It("tells the default, where there is one", func() {
-		standard, err := parse(least())
+	It("states the default of each number and yes/no key, and of no other key", func() {
+		defaultValue, err := parse(requiredSettings())
 		Expect(err).NotTo(HaveOccurred())
 		for _, documented := range settings() {
-			if documented.standard == "required" {
+			if documented.defaultValue == "required" {
 				continue
 			}
 			if slices.Contains([]string{"number", "whole", "yes/no"}, documented.kind) {
-				Expect(documented.standard).NotTo(BeEmpty(), documented.key)
-				said, err := parse(with(least(), documented.key, documented.standard))
+				Expect(documented.defaultValue).NotTo(BeEmpty(), documented.key)
+				parsed, err := parse(withKey(requiredSettings(), documented.key, documented.defaultValue))
 				Expect(err).NotTo(HaveOccurred())
-				Expect(said).To(Equal(standard), documented.key)
-				other, err := parse(with(least(), documented.key, another(documented.standard)))
+				Expect(parsed).To(Equal(defaultValue), documented.key)
+				other, err := parse(withKey(requiredSettings(), documented.key, differentValue(documented.defaultValue)))
 				Expect(err).NotTo(HaveOccurred())
-				Expect(other).NotTo(Equal(standard), documented.key)
+				Expect(other).NotTo(Equal(defaultValue), documented.key)
 				continue
 			}
-			Expect(documented.standard).To(BeEmpty(), documented.key)
+			Expect(documented.defaultValue).To(BeEmpty(), documented.key)
 		}
 	})
 
-	It("has an example that is good", func() {
+	It("has an example that the program accepts", func() {
 		content, err := os.ReadFile(filepath.Join("..", "..", "docs", "settings.md"))
 		Expect(err).NotTo(HaveOccurred())
 		example := regexp.MustCompile(`(?s)\n    (\{.*?\n    \})`).FindStringSubmatch(string(content))
@@ -156,7 +158,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("tells the unit of what the key's end names", func() {
+	It("states the unit that the key's suffix names", func() {
 		for _, documented := range settings() {
 			switch {
 			case strings.HasSuffix(documented.key, "Ms"), strings.HasSuffix(documented.key, "_ms"):
@@ -168,8 +170,8 @@
 	})
 })
 
-// another returns a value of the same type that is allowed, too.
-func another(value string) string {
+// differentValue returns a different value of the same type that is also allowed.
+func differentValue(value string) string {
 	if value == "false" {
 		return "true"
 	}
@@ -178,8 +180,8 @@
 	return fmt.Sprint(number + 1)
 }
 
-// kinds are all kinds of faults.
-func kinds() []failure.Kind {
+// failureKinds returns all kinds of failures except None. UnknownOutcome is the last kind: every later value has its text.
+func failureKinds() []failure.Kind {
 	var list []failure.Kind
 	for kind := failure.None + 1; kind != 0; kind++ {
 		if kind.String() == failure.UnknownOutcome.String() && kind != failure.UnknownOutcome {
@@ -191,20 +193,20 @@
 }
 
 var _ = Describe("the page of operations", func() {
-	It("has every kind of fault with its answer and advice", func() {
-		var told [][]string
-		for _, kind := range kinds() {
+	It("lists every kind of failure with its answer, status, retry and advice", func() {
+		var expected [][]string
+		for _, kind := range failureKinds() {
 			answer := answers.ForKind(kind)
 			retry := "no"
 			if answer.Retry {
 				retry = "yes"
 			}
-			told = append(told, []string{"`" + answer.Name + "`", strconv.Itoa(answer.Status), retry, answer.Advice})
+			expected = append(expected, []string{"`" + answer.Name + "`", strconv.Itoa(answer.Status), retry, answer.Advice})
 		}
-		Expect(rowsOf("operations.md", "kind")).To(Equal(told))
+		Expect(rowsOf("operations.md", "kind")).To(Equal(expected))
 	})
 
-	It("has every line of the roles' logs, and no other", func() {
+	It("lists exactly the log messages of the roles at level info and above", func() {
 		var documented []string
 		for _, row := range rowsOf("operations.md", "line") {
 			documented = append(documented, strings.Split(unquoted(row[0]), "`, `")...)
@@ -214,17 +216,18 @@
 })
 
 var (
-	logCall    = regexp.MustCompile(`\.Log\("(?:msg|message)", "([^"]+)"`)
-	debugCall  = regexp.MustCompile(`level\.Debug\(`)
-	rolesFiles = []string{"cli/roles.go", "cluster/agent", "cluster/boot", "cluster/configuration", "cluster/consensus",
+	logCall   = regexp.MustCompile(`\.Log\("(?:msg|message)", "([^"]+)"`)
+	debugCall = regexp.MustCompile(`level\.Debug\(`)
+	rolePaths = []string{"cli/roles.go", "cluster/agent", "cluster/boot", "cluster/configuration", "cluster/consensus",
 		"cluster/control", "cluster/directory", "cluster/frontend", "cluster/jobs", "cluster/placement", "cluster/replica",
 		"cluster/scheduler", "cluster/seeds", "cluster/transport"}
 )
 
-// logLines are the lines of level info and above that the code of the roles has.
+// logLines returns the log messages at level info and above in the code of the roles. It finds calls of Log with "msg" or
+// "message" as first key on one line; a line with level.Debug is left out.
 func logLines() []string {
 	found := map[string]bool{}
-	for _, part := range rolesFiles {
+	for _, part := range rolePaths {
 		root := filepath.Join("..", "..", "internal", filepath.FromSlash(part))
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -15,27 +15,28 @@
 	. "github.com/onsi/gomega"
 )
 
-// pagesOfNames are the pages that lead a reader into the code: each name on them must be one that the code declares.
+// pagesOfNames are the pages, and folders of pages, that refer to code by its names: the code must declare each name on
+// them.
 var pagesOfNames = []string{"ARCHITECTURE.md", "control-safety", "endings.md", "fleet.md", "view.md", "gangs.md", "system.md", "CAPACITY.md"}
 
 var (
 	// qualifiedName is a name as the pages write it: `package.Function`, `package.Type.Method`, or `Type.Method` where the
 	// package was named before.
 	qualifiedName = regexp.MustCompile("`(\\w+)\\.([A-Za-z]\\w*)((?:\\.\\w+)?)`")
-	// plainName is a name of several words without its package: `maxRetainedBytes`; settings are written so, too.
+	// plainName is a name in camel case without its package, such as `maxRetainedBytes`. Keys of settings have the same form.
 	plainName = regexp.MustCompile("`([a-z]+[A-Z]\\w*)`")
 	word      = regexp.MustCompile(`\w+`)
 )
 
-// otherPrefixes precede names that the code does not declare: packages of the standard library, an object of the settings,
-// and the placeholder of a name.
+// otherPrefixes are the first parts of qualified names that the code need not declare: packages of the standard library, an
+// object of the settings (limits), and a placeholder (package).
 var otherPrefixes = []string{"http", "net", "limits", "package"}
 
-// fileExtensions end names of files, which the pages also write with a dot.
+// fileExtensions are the second parts of file names, which look like qualified names.
 var fileExtensions = []string{"go", "md", "json", "toml"}
 
 var _ = Describe("the pages about the code", func() {
-	It("name only what the code declares", func() {
+	It("refer by qualified names only to declarations in the code", func() {
 		declared := declaredNames()
 		unqualified := map[string]bool{}
 		for name := range declared {
@@ -55,7 +56,7 @@
 		Expect(unknown).To(BeEmpty(), strings.Join(unknown, "\n"))
 	})
 
-	It("name only what stands in the code, without a package too", func() {
+	It("refer by unqualified names only to words that occur in the code", func() {
 		words := wordsOfCode()
 		var unknown []string
 		for page, text := range textsOf(append(pagesOfNames, "constants.md", "decisions.md")) {
@@ -69,7 +70,7 @@
 	})
 })
 
-// wordsOfCode returns all words of the code: names, texts and comments.
+// wordsOfCode returns all words in the code: in names, string literals and comments.
 func wordsOfCode() map[string]bool {
 	words := map[string]bool{}
 	eachFile(func(path string) error {
@@ -82,7 +83,7 @@
 	return words
 }
 
-// textsOf returns the texts of pages, and of all pages in folders of pages, by their paths.
+// textsOf returns the texts of pages by their paths. For a folder it returns the texts of all files below it.
 func textsOf(pages []string) map[string]string {
 	texts := map[string]string{}
 	for _, page := range pages {
@@ -117,7 +118,7 @@
 	return names
 }
 
-// eachFile calls visit for each file of the code, tests included.
+// eachFile calls visit for each Go file below internal and policy, including tests.
 func eachFile(visit func(path string) error) {
 	for _, root := range []string{"internal", "policy"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", root), func(path string, entry fs.DirEntry, err error) error {
@@ -130,6 +131,7 @@
 	}
 }
 
+// addDeclared adds the names that a file declares.
 func addDeclared(names map[string]bool, file *ast.File) {
 	prefix := file.Name.Name + "."
 	for _, declaration := range file.Decls {
@@ -144,6 +146,7 @@
 	}
 }
 
+// addSpec adds the names of a constant, variable or type, and of a type's fields and methods.
 func addSpec(names map[string]bool, prefix string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -169,7 +172,7 @@
 	}
 }
 
-// receiverOf returns the name of a method's type and a dot, or nothing for a function.
+// receiverOf returns the name of a method's receiver type followed by a dot, or "" for a function.
 func receiverOf(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
--- a/test/docs/specs_test.go
+++ b/test/docs/specs_test.go
@@ -15,7 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// pagesOfSpecs are the pages that quote descriptions of specs: each quoted text must be that of a spec.
+// pagesOfSpecs are the pages that quote descriptions of specs in tables: each quoted text must occur in a spec's
+// description.
 var pagesOfSpecs = []string{
 	"control-safety/requirements.md",
 	"control-safety/mutations.md",
@@ -29,7 +30,7 @@
 	ellipsis = regexp.MustCompile(`\.\.\.|…`)
 )
 
-// specFunctions declare a spec or a container of specs by a description, their first argument.
+// specFunctions are the functions of Ginkgo whose first argument is the description of a spec, a container or a table entry.
 var specFunctions = []string{"Describe", "DescribeTable", "Context", "When", "It", "Specify", "Entry"}
 
 var _ = Describe("the pages about tests", func() {
@@ -55,7 +56,8 @@
 	return slices.DeleteFunc(rows, func(row string) bool { return !strings.HasPrefix(row, "|") })
 }
 
-// quotes reports whether a text is in a spec's description; an ellipsis and a colon stand for anything.
+// quotes reports whether a text quotes a spec's description. An ellipsis, or a colon with a space, stands for any omitted
+// text; the parts between must occur in the description in their order.
 func quotes(text, spec string) bool {
 	for _, part := range ellipsis.Split(strings.ReplaceAll(text, ": ", "…"), -1) {
 		part = strings.Trim(part, " ,")
@@ -68,7 +70,7 @@
 	return true
 }
 
-// specsOf returns the descriptions of all specs below a folder, each with those of its containers before it.
+// specsOf returns the descriptions of all specs below a folder, each preceded by the descriptions of its containers.
 func specsOf(root string) []string {
 	var specs []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -85,8 +87,8 @@
 	return specs
 }
 
-// specsIn returns the descriptions of the containers and specs that a node declares, with that of the one around them
-// before each; and the names of the rows of tables, which are plain strings.
+// specsIn returns the descriptions of the containers and specs below a node, each preceded by the description container. It
+// also returns every string literal, because the names of table rows are plain strings.
 func specsIn(node ast.Node, container string) []string {
 	var specs []string
 	ast.Inspect(node, func(child ast.Node) bool {
@@ -109,7 +111,7 @@
 	return specs
 }
 
-// descriptionOf returns the description that a call gives a spec or a container, if it does.
+// descriptionOf returns the description of the spec or container that a call declares; ok is false if it declares none.
 func descriptionOf(call *ast.CallExpr) (description string, ok bool) {
 	if len(call.Args) == 0 || !slices.Contains(specFunctions, functionName(call)) {
 		return "", false
@@ -117,7 +119,7 @@
 	return textOf(call.Args[0])
 }
 
-// functionName returns the name of a called function, without its package.
+// functionName returns the name of a called function without its package, or "" if the function has no name.
 func functionName(call *ast.CallExpr) string {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
@@ -129,7 +131,7 @@
 	}
 }
 
-// textOf returns the value of a string literal.
+// textOf returns the value of a node that is a string literal; ok is false for other nodes.
 func textOf(node ast.Node) (text string, ok bool) {
 	literal, isLiteral := node.(*ast.BasicLit)
 	if !isLiteral || literal.Kind != token.STRING {
