--- a/test/ci/cores_test.go
+++ b/test/ci/cores_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against cores that can do input or output: what decides takes inputs and tells what is to be done, so that it can
-// be played in virtual time.
+// Guards against a core package that does network input or output, or starts programs. A core takes inputs and returns the
+// actions to carry out, so that tests can run it in virtual time.
 func TestCoresReachNoNetwork(t *testing.T) {
 	for _, core := range []string{
 		"assignment", "cluster/configuration", "cluster/consensus", "cluster/failure", "cluster/jobs", "cluster/placement", "cluster/protocol",
@@ -20,8 +20,8 @@
 		require.NoError(t, err, core)
 		for name := range strings.Lines(string(out)) {
 			name = strings.TrimSpace(name)
-			reaches := name == "net" || strings.HasPrefix(name, "net/") || name == "os/exec"
-			assert.False(t, reaches, "internal/%s reaches %s", core, name)
+			forbidden := name == "net" || strings.HasPrefix(name, "net/") || name == "os/exec"
+			assert.False(t, forbidden, "internal/%s depends on %s", core, name)
 		}
 	}
 }
--- a/test/ci/documented_test.go
+++ b/test/ci/documented_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against exported items that say nothing of themselves. staticcheck checks the form of their comments, but passes
-// over those that have none.
+// Guards against exported items without a doc comment. staticcheck checks the form of doc comments, but doesn't report a
+// missing one.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	for _, folder := range []string{"cmd", "internal", "policy"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", folder), func(path string, entry fs.DirEntry, err error) error {
@@ -27,7 +27,7 @@
 				return err
 			}
 			for _, name := range undocumented(file) {
-				assert.Fail(t, "an exported item has no comment", "%s: %s", positions.Position(name.Pos()), name.Name)
+				assert.Fail(t, "an exported item has no doc comment", "%s: %s", positions.Position(name.Pos()), name.Name)
 			}
 			return nil
 		})
@@ -35,11 +35,11 @@
 	}
 }
 
-// undocumented returns the names of a file's exported items that have no comment. A group of constants or variables may
-// have one together.
+// undocumented returns the names of a file's exported items that have no comment. One comment on a group of constants,
+// variables or types counts for all its items; methods of unexported types need none.
 func undocumented(file *ast.File) []*ast.Ident {
 	var names []*ast.Ident
-	note := func(name *ast.Ident, comments ...*ast.CommentGroup) {
+	addIfUndocumented := func(name *ast.Ident, comments ...*ast.CommentGroup) {
 		for _, comment := range comments {
 			if comment != nil {
 				return
@@ -53,15 +53,15 @@
 		switch declared := declared.(type) {
 		case *ast.FuncDecl:
 			if !ofUnexportedType(declared) {
-				note(declared.Name, declared.Doc)
+				addIfUndocumented(declared.Name, declared.Doc)
 			}
 		case *ast.GenDecl:
 			for _, spec := range declared.Specs {
 				switch spec := spec.(type) {
 				case *ast.TypeSpec:
-					note(spec.Name, declared.Doc, spec.Doc, spec.Comment)
+					addIfUndocumented(spec.Name, declared.Doc, spec.Doc, spec.Comment)
 				case *ast.ValueSpec:
-					note(spec.Names[0], declared.Doc, spec.Doc, spec.Comment)
+					addIfUndocumented(spec.Names[0], declared.Doc, spec.Doc, spec.Comment)
 				}
 			}
 		}
@@ -69,7 +69,8 @@
 	return names
 }
 
-// ofUnexportedType tells of methods that only an interface makes visible: its own comments say what they do.
+// ofUnexportedType reports whether a function is a method of an unexported type. Other packages can call such a method only
+// through an interface, whose comments document it.
 func ofUnexportedType(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return false
@@ -85,7 +86,7 @@
 	return ok && !name.IsExported()
 }
 
-// The check itself is seen to bite: each kind of item without a comment is named, and none that has one.
+// Checks undocumented itself: it returns each kind of exported item without a comment, and none that has one.
 func TestUndocumentedItemsAreNamed(t *testing.T) {
 	const source = `package p
 
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci holds the tests of what CI itself is made of.
+// Package ci tests the scripts of CI, and rules about the repository that no other tool checks.
 package ci
 
 import (
@@ -12,18 +12,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against known failures that pass over more than they say: a file that CI cannot take at its word is refused by its
-// line, and a good one passes over its own tests alone.
+// Guards against a KNOWN-RED.txt that makes CI skip more tests than it names. The script .ci/known-red rejects an invalid
+// file with the number of the faulty line; for a valid file it prints a pattern that skips only the tests that the file
+// names.
 func TestKnownRedFileIsTakenAtItsWord(t *testing.T) {
 	tree := t.TempDir()
 	writeTestModule(t, tree)
 	file := filepath.Join(tree, "KNOWN-RED.txt")
-	check := func() (pattern, said string, err error) {
-		var out, told strings.Builder
+	check := func() (pattern, message string, err error) {
+		var out, errs strings.Builder
 		cmd := exec.CommandContext(t.Context(), "bash", filepath.Join("..", "..", ".ci", "known-red"), file, tree)
-		cmd.Stdout, cmd.Stderr = &out, &told
+		cmd.Stdout, cmd.Stderr = &out, &errs
 		err = cmd.Run()
-		return strings.TrimSpace(out.String()), told.String(), err
+		return strings.TrimSpace(out.String()), errs.String(), err
 	}
 	write := func(lines ...string) {
 		require.NoError(t, os.WriteFile(file, []byte(strings.Join(lines, "\n")), 0o600))
@@ -31,22 +32,22 @@
 
 	pattern, _, err := check()
 	require.NoError(t, err)
-	assert.Empty(t, pattern, "without a file everything runs")
+	assert.Empty(t, pattern, "without a file the pattern skips nothing")
 
 	const red = "TestRed: a list call outlives its place (issue 28)"
 	for _, lines := range [][]string{{red}, {red, ""}} {
 		write(lines...)
-		pattern, said, err := check()
-		require.NoError(t, err, said)
+		pattern, message, err := check()
+		require.NoError(t, err, message)
 		assert.Equal(t, "^(TestRed)$", pattern)
-		assert.Contains(t, said, red, "it is printed each time")
+		assert.Contains(t, message, red, "the script prints each known failure to standard error")
 	}
 	run := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-v", "-skip", "^(TestRed)$", "./...")
 	run.Dir = tree
 	out, err := run.CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	for _, other := range []string{"TestRedder", "TestTwice", "TestOther"} {
-		assert.Contains(t, string(out), "--- PASS: "+other, "not passed over")
+		assert.Contains(t, string(out), "--- PASS: "+other, "%s must not be skipped", other)
 	}
 	write(red, "TestRedder: b (issue 1)", "TestOther: c (issue 2)")
 	pattern, _, err = check()
@@ -55,14 +56,15 @@
 
 	for _, bad := range refusedFiles(red) {
 		write(bad.lines...)
-		pattern, said, err := check()
+		pattern, message, err := check()
 		assert.Error(t, err, "%v", bad.lines)
 		assert.Empty(t, pattern, "%v", bad.lines)
-		assert.Contains(t, said, "KNOWN-RED.txt:"+bad.said)
+		assert.Contains(t, message, "KNOWN-RED.txt:"+bad.message)
 	}
 }
 
-// writeTestModule writes a module with a test that fails, some that pass, and a name that two packages use.
+// writeTestModule writes a Go module with a test that fails, tests that pass, and a test name (TestTwice) that two packages
+// use.
 func writeTestModule(t *testing.T, tree string) {
 	t.Helper()
 	for name, text := range map[string]string{
@@ -77,13 +79,13 @@
 	}
 }
 
-// refusedFile is a file of known failures that is refused, and what is said of it.
+// refusedFile is an invalid KNOWN-RED.txt and what the message that rejects it has after "KNOWN-RED.txt:".
 type refusedFile struct {
-	said  string
-	lines []string
+	message string
+	lines   []string
 }
 
-// refusedFiles returns what cannot be taken at its word; red is a good line.
+// refusedFiles returns invalid files of each kind; red is a valid line.
 func refusedFiles(red string) []refusedFile {
 	const form = "1: is not 'TestName: cause (issue N)'"
 	return []refusedFile{
--- a/test/ci/nethttp_test.go
+++ b/test/ci/nethttp_test.go
@@ -20,35 +20,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clientUse is why a package may use net/http's client, which sends some requests again by itself.
+// clientUse is the reason why a package may use net/http's client, which resends some requests without telling its caller.
 type clientUse string
 
 // The reasons.
 const (
-	onlyReads        clientUse = "its requests change nothing: one sent again does no harm"
-	cannotSendAgain  clientUse = "each request has a body without GetBody, so that none can be sent again"
-	conditionalPuts  clientUse = "it reads, and writes by PUTs on a version without an idempotency key, sent again only if nothing of them left"
-	toolOfOneMachine clientUse = "plays runners and clients on one machine for people who try the system; what it posts carries a sequence or an id"
+	readOnly        clientUse = "its requests only read, so a resent request does no harm"
+	noGetBody       clientUse = "each request has a body without GetBody, so net/http can't resend it"
+	conditionalPuts clientUse = "it reads, and writes by PUTs conditional on a version, without an idempotency key: resent only if no byte was written"
+	localTool       clientUse = "it simulates runners and clients on one machine for trying the system; what it posts has a sequence number or an id"
 )
 
-// clientUses are all packages that use net/http's client. The scheduler's roles are not among them: the processes speak
-// internal/cluster/transport with each other, and agents call runners by a connection of their own (internal/cluster/agent, link).
+// clientUses has every package that uses net/http's client. The roles of the scheduler don't: their processes call each
+// other through internal/cluster/transport, and agents call runners over connections of their own (internal/cluster/agent,
+// link).
 var clientUses = map[string]clientUse{
-	"internal/dispatcher/routetable":       onlyReads,
+	"internal/dispatcher/routetable":       readOnly,
 	"internal/dispatcher/gang/register":    conditionalPuts,
-	"internal/dispatcher/egress":           cannotSendAgain,
-	"internal/cluster/localcluster":        toolOfOneMachine,
-	"internal/cluster/localcluster/runner": toolOfOneMachine,
+	"internal/dispatcher/egress":           noGetBody,
+	"internal/cluster/localcluster":        localTool,
+	"internal/cluster/localcluster/runner": localTool,
 }
 
-// clientNames are the names by which net/http sends requests.
+// clientNames are the names of package net/http through which code sends requests.
 var clientNames = map[string]bool{
 	"Client": true, "Transport": true, "DefaultClient": true, "DefaultTransport": true, "RoundTripper": true,
 	"Get": true, "Head": true, "Post": true, "PostForm": true,
 }
 
-// Guards against calls that are sent twice unseen: whoever begins to use net/http's client has to say here why a request
-// sent again does no harm.
+// Guards against calls that net/http silently sends twice: a package that starts to use net/http's client must be added to
+// clientUses with the reason why a resent request does no harm.
 func TestUsersOfTheHTTPClientAreKnown(t *testing.T) {
 	found := map[string]bool{}
 	root := filepath.Join("..", "..")
@@ -68,14 +69,14 @@
 		require.NoError(t, err)
 	}
 	for name := range found {
-		assert.Contains(t, clientUses, name, "uses net/http's client")
+		assert.Contains(t, clientUses, name, "the package uses net/http's client, but clientUses has no reason for it")
 	}
 	for name := range clientUses {
 		assert.True(t, found[name], "%s does not use net/http's client any more", name)
 	}
 }
 
-// usesClient tells whether a file sends requests by net/http, or by package httputil.
+// usesClient reports whether a file uses one of clientNames of net/http, or imports net/http/httputil.
 func usesClient(file *ast.File) bool {
 	local := ""
 	for _, imported := range file.Imports {
@@ -103,19 +104,19 @@
 	return uses
 }
 
-// repeated is what a test has net/http send on a connection that was used before, and that breaks under it.
-type repeated struct {
+// resendCase is a request that a test sends on a reused connection, which the server closes without a response.
+type resendCase struct {
 	method  string
 	body    string
-	getBody bool   // net/http can have the body anew
-	key     string // header that says that the request may be sent again; empty: none
-	times   int    // that the server gets it
+	getBody bool   // net/http can get the body a second time
+	key     string // name of the header that allows a resend; empty: none
+	times   int    // how often the server gets the request
 }
 
-// Guards against taking for granted which requests net/http sends again by itself when a connection that it used before
-// breaks after the request was written: docs/control-safety/calls.md names them.
+// Guards against a change of net/http in which requests it resends, when a reused connection breaks after the request was
+// written. docs/control-safety/calls.md lists them.
 func TestWhichRequestsTheHTTPTransportSendsAgain(t *testing.T) {
-	for _, each := range []repeated{
+	for _, each := range []resendCase{
 		{method: "GET", times: 2},
 		{method: "HEAD", times: 2},
 		{method: "OPTIONS", times: 2},
@@ -153,7 +154,7 @@
 	}
 }
 
-func (r repeated) request(t *testing.T, address string) *http.Request {
+func (r resendCase) request(t *testing.T, address string) *http.Request {
 	t.Helper()
 	var body io.Reader
 	if r.body != "" {
@@ -170,7 +171,7 @@
 	return request
 }
 
-// breakingServer answers all requests but the first of those to /break, under which it closes the connection.
+// breakingServer responds to every request except the first to /break: for that one it closes the connection.
 type breakingServer struct {
 	address string
 	broken  atomic.Int64 // requests to /break
@@ -215,8 +216,8 @@
 	}
 }
 
-// Guards against taking for granted what net/http's client does with a redirect: 307 and 308 send the whole request again
-// if its body can be had anew, the others make a GET of it.
+// Guards against a change of net/http in how its client follows redirects of a POST: for 307 and 308 it sends the whole
+// request again if it can get the body a second time, else it doesn't follow; for 301, 302 and 303 it sends a GET.
 func TestWhatTheHTTPClientSendsAfterARedirect(t *testing.T) {
 	for _, each := range []struct {
 		status  int
--- a/test/ci/packages_test.go
+++ b/test/ci/packages_test.go
@@ -13,14 +13,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a build that needs more of the system than deploy/system.toml says: a clean checkout is built, without
-// any build cache, with a PATH that holds only the Go tool chain and the programs of the listed packages, of what they
-// depend on and of Debian's essential packages. Headers and libraries aren't found by PATH, so the compiler is asked to
-// list those that it reads. And against a list that names more than is needed: without any one of its packages, some
-// file that the build used is of no package that is left.
+// Guards against a list of packages in deploy/system.toml that is too short or too long.
+//
+// Too short: the test builds a clean checkout without a build cache. PATH has only the Go tool chain and the programs of the
+// allowed packages: the listed ones, their dependencies and Debian's essential packages. The compiler finds headers and
+// libraries without PATH, so it writes a list of those that it reads; each must belong to an allowed package.
+//
+// Too long: for each listed package, the build must use a file that belongs to no package that is still allowed without it.
 func TestDeployBuildNeedsOnlyThePackagesListed(t *testing.T) {
 	if _, err := exec.LookPath("dpkg-query"); err != nil {
-		t.Skip("not checked: this system's packages aren't Debian's, dpkg-query is not there")
+		t.Skip("not checked: dpkg-query is missing, so this system has no Debian packages")
 	}
 	installed := installedPackages(t)
 	line, listed := systemBuild(t)
@@ -32,20 +34,20 @@
 	used := append(build(t, line, programs(t, allowed)), rootCertificate(t))
 	files := filesOf(t, allowed)
 	for _, file := range used {
-		assert.True(t, files[file], "the build uses %s, which is of none of the packages listed", file)
+		assert.True(t, files[file], "the build uses %s, which belongs to no package that deploy/system.toml allows", file)
 	}
 	for i, name := range listed {
 		others := append(append([]string{}, listed[:i]...), listed[i+1:]...)
-		left := filesOf(t, closure(installed, others))
-		spared := true
+		remaining := filesOf(t, closure(installed, others))
+		unneeded := true
 		for _, file := range used {
-			spared = spared && left[file]
+			unneeded = unneeded && remaining[file]
 		}
-		assert.False(t, spared, "the build uses no file of %s that the other packages do not have", name)
+		assert.False(t, unneeded, "deploy/system.toml lists %s, but the build uses no file that only this package provides", name)
 	}
 }
 
-// systemBuild returns the build command of deploy/system.toml and the packages that it is said to need.
+// systemBuild returns the build command and the list of packages in deploy/system.toml.
 func systemBuild(t *testing.T) (command string, packages []string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "system.toml"))
@@ -61,14 +63,14 @@
 	return command, packages
 }
 
-// debianPackage is what dpkg knows of an installed package.
+// debianPackage is an installed package in dpkg's database.
 type debianPackage struct {
-	name      string // with the architecture, where dpkg asks for it
-	needs     []string
+	name      string   // with the architecture where dpkg-query requires it
+	needs     []string // names of the packages that it depends on, with all alternatives
 	essential bool
 }
 
-// installedPackages returns the installed packages, by their names and by those that they provide.
+// installedPackages returns the installed packages by their own names and by the names that they provide.
 func installedPackages(t *testing.T) map[string][]*debianPackage {
 	t.Helper()
 	const format = `${db:Status-Status}\t${binary:Package}\t${Package}\t${Essential}\t${Pre-Depends}, ${Depends}\t${Provides}\n`
@@ -88,8 +90,8 @@
 	return packages
 }
 
-// packageNames returns the names in a list as dpkg gives it, such as "libc6 (>= 2.34), gcc:any | tcc". Of alternatives
-// all are returned.
+// packageNames returns the names in a dependency list of dpkg, such as "libc6 (>= 2.34), gcc:any | tcc", with all
+// alternatives.
 func packageNames(list string) []string {
 	var names []string
 	for _, entry := range strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == '|' }) {
@@ -102,7 +104,7 @@
 	return names
 }
 
-// closure returns the named packages, the essential ones, and all that these depend on.
+// closure returns the names of the named packages, the essential packages and all their direct and indirect dependencies.
 func closure(installed map[string][]*debianPackage, names []string) map[string]bool {
 	found := map[string]bool{}
 	var add func(name string)
@@ -129,7 +131,7 @@
 	return found
 }
 
-// pathsOf returns the paths of packages' files, as the packages give them.
+// pathsOf returns the paths of all files of packages, as dpkg lists them.
 func pathsOf(t *testing.T, packages map[string]bool) []string {
 	t.Helper()
 	arguments := []string{"-L"}
@@ -141,7 +143,7 @@
 	return strings.Split(string(out), "\n")
 }
 
-// filesOf returns the files of packages, without symbolic links in their paths.
+// filesOf returns the paths of all files of packages after resolving symbolic links.
 func filesOf(t *testing.T, packages map[string]bool) map[string]bool {
 	t.Helper()
 	files := map[string]bool{}
@@ -153,7 +155,7 @@
 	return files
 }
 
-// programs makes a folder of links to the programs of packages, under the names that the packages give them.
+// programs returns a new folder with symbolic links to the executables of packages, named as in the packages.
 func programs(t *testing.T, packages map[string]bool) (folder string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -172,13 +174,13 @@
 	return folder
 }
 
-// build runs a build command in a clean copy of the repository. It returns the files of the system that the compiler
-// read and the programs that it called.
+// build runs a build command in a clean copy of the repository, with folder as PATH for programs of the system. It returns
+// the system's files that the compiler and linker read, and the programs that the compiler called.
 func build(t *testing.T, command, folder string) (used []string) {
 	t.Helper()
 	tree, scratch := t.TempDir(), t.TempDir()
 	copyRepository(t, tree)
-	// The tool chain looks for git where it sees this folder, and must do without.
+	// In a folder with .git the Go tool chain looks for the program git. It must work without that program.
 	require.NoError(t, os.Mkdir(filepath.Join(tree, ".git"), 0o755))
 	headers, inputs := filepath.Join(scratch, "headers"), filepath.Join(scratch, "inputs")
 
@@ -194,7 +196,7 @@
 	require.NoError(t, err, "%s: %s", command, out)
 	require.FileExists(t, filepath.Join(tree, "target", "ospreypond"))
 
-	paths := append(mustRead(t, headers), mustRead(t, inputs)...)
+	paths := append(readDependencies(t, headers), readDependencies(t, inputs)...)
 	for _, name := range []string{"cc1", "collect2", "as", "ld"} {
 		shell := exec.CommandContext(t.Context(), filepath.Join(folder, "gcc"), "-print-prog-name="+name)
 		shell.Env = []string{"PATH=" + folder}
@@ -209,7 +211,7 @@
 	known := map[string]bool{}
 	for _, path := range paths {
 		real, err := filepath.EvalSymlinks(strings.TrimSuffix(path, ":"))
-		if err != nil || !filepath.IsAbs(real) || known[real] || ofTheToolChain(t, real, scratch) {
+		if err != nil || !filepath.IsAbs(real) || known[real] || isToolChainOrOutput(t, real, scratch) {
 			continue
 		}
 		known[real] = true
@@ -220,8 +222,8 @@
 	return used
 }
 
-// rootCertificate returns one of the files by which the tool chain trusts a module proxy: where the module cache is empty,
-// the build downloads its modules over TLS. The cache is not emptied here, so the file is looked for instead.
+// rootCertificate returns the file of a root certificate. With an empty module cache the build downloads modules over TLS
+// and needs root certificates. The test doesn't empty the cache, so it counts such a file as used by the build.
 func rootCertificate(t *testing.T) string {
 	t.Helper()
 	links, err := filepath.Glob("/etc/ssl/certs/*.pem")
@@ -236,8 +238,9 @@
 	return ""
 }
 
-// ofTheToolChain tells of files that come with Go, or that the build has made.
-func ofTheToolChain(t *testing.T, path, scratch string) bool {
+// isToolChainOrOutput reports whether a file belongs to Go, or was made by the build in scratch or in the folder for
+// temporary files.
+func isToolChainOrOutput(t *testing.T, path, scratch string) bool {
 	t.Helper()
 	for _, folder := range []string{goEnv(t, "GOROOT"), scratch, os.TempDir()} {
 		real, err := filepath.EvalSymlinks(folder)
@@ -249,8 +252,8 @@
 	return false
 }
 
-// mustRead returns the words of a file of dependencies as the compiler writes them.
-func mustRead(t *testing.T, path string) []string {
+// readDependencies returns the words of a dependency file that the compiler or the linker wrote in the syntax of make.
+func readDependencies(t *testing.T, path string) []string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -264,7 +267,7 @@
 	return strings.TrimSpace(string(out))
 }
 
-// copyRepository copies what a clean checkout has of sources, but not what builds and plays have left.
+// copyRepository copies the sources that the build needs, without the outputs of earlier builds and simulations.
 func copyRepository(t *testing.T, to string) {
 	t.Helper()
 	root := filepath.Join("..", "..")
