--- a/test/fleet/cluster_test.go
+++ b/test/fleet/cluster_test.go
@@ -21,7 +21,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dispatcher is one dispatcher of the fleet and, while cmd is not nil, its process.
+// dispatcher is one dispatcher of the fleet. cmd is its process, or nil while it does not run.
 type dispatcher struct {
 	t       *testing.T
 	number  int
@@ -31,7 +31,7 @@
 	log     *os.File
 }
 
-// fleetView is the console's answer to GET /fleet.
+// fleetView is the console's response to GET /fleet, decoded from JSON by the names of the fields.
 type fleetView struct {
 	Name       string
 	Living     int
@@ -43,20 +43,21 @@
 	Waiting    string
 }
 
-// cluster is a fleet of processes.
+// cluster is a fleet of dispatcher processes.
 type cluster struct {
 	t           *testing.T
 	dispatchers []*dispatcher
-	relay       *Relay // nil: they send to each other directly
+	relay       *Relay // nil if the dispatchers send to each other directly
 }
 
-// ownLoopback returns an address of loopback drawn at random, with any port. A port that was free there stays free until the
-// program under test has it; at 127.0.0.1 another program's connection could take it meanwhile.
+// ownLoopback returns a random loopback address with port 0, at which the system chooses a free port. A port that is free
+// there is still free when the program under test listens at it; at 127.0.0.1 a connection of another process could take it
+// before.
 func ownLoopback() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// freeUDP returns a UDP address that nobody uses.
+// freeUDP returns an unused UDP address on loopback.
 func freeUDP(t *testing.T) string {
 	t.Helper()
 	c, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", ownLoopback())
@@ -65,7 +66,7 @@
 	return c.LocalAddr().String()
 }
 
-// freeTCP returns a TCP address that nobody uses.
+// freeTCP returns an unused TCP address on loopback.
 func freeTCP(t *testing.T) string {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", ownLoopback())
@@ -74,7 +75,8 @@
 	return l.Addr().String()
 }
 
-// start starts n dispatchers and waits until their views agree and each owns its number.
+// start starts n dispatchers and waits until their views agree and every number has an owner. With relayed, they send to
+// each other through a Relay.
 func start(t *testing.T, n int, relayed bool) *cluster {
 	t.Helper()
 	c := &cluster{t: t}
@@ -101,8 +103,8 @@
 		t.Cleanup(d.kill)
 		c.dispatchers = append(c.dispatchers, d)
 	}
-	c.agree("all have joined")
-	c.allOwned("each owns its number")
+	c.agree("all dispatchers have joined")
+	c.allOwned("every number has an owner")
 	return c
 }
 
@@ -116,6 +118,7 @@
 	require.NoError(d.t, os.WriteFile(filepath.Join(d.dir, name), []byte(text), 0o600))
 }
 
+// command returns the command that starts the dispatcher, with its standard error in its log.
 func (d *dispatcher) command() *exec.Cmd {
 	c := exec.CommandContext(context.Background(), program, "serve", "--fleet", filepath.Join(d.dir, "fleet.star"))
 	c.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(d.dir, "config.json"), "TMPDIR="+d.dir)
@@ -133,7 +136,7 @@
 
 func (d *dispatcher) signal(s syscall.Signal) { require.NoError(d.t, d.cmd.Process.Signal(s)) }
 
-// kill ends the process, if there is one, and fails if the race detector reported anything.
+// kill ends a running process with SIGKILL, and fails the test if the race detector has reported a race in its log.
 func (d *dispatcher) kill() {
 	if d.cmd != nil {
 		_ = d.cmd.Process.Kill()
@@ -145,16 +148,16 @@
 	}
 }
 
-// stop ends the process in order.
+// stop ends the process with SIGTERM and requires that it exits with 0.
 func (d *dispatcher) stop() {
 	d.signal(syscall.SIGTERM)
-	require.NoError(d.t, d.cmd.Wait(), "a stop in order exits with 0")
+	require.NoError(d.t, d.cmd.Wait(), "exit status after SIGTERM")
 	d.cmd = nil
 }
 
 var client = &http.Client{Timeout: 5 * time.Second}
 
-// fleetView queries the console; ok reports whether it answered.
+// fleetView returns the view in the response of the dispatcher's console; ok reports whether there was a valid response.
 func (d *dispatcher) fleetView() (v fleetView, ok bool) {
 	request, err := http.NewRequestWithContext(d.t.Context(), http.MethodGet, "http://"+d.console+"/fleet", nil)
 	if err != nil {
@@ -178,9 +181,9 @@
 	return out
 }
 
-func (c *cluster) eventually(what string, ok func() bool) {
+func (c *cluster) eventually(condition string, ok func() bool) {
 	c.t.Helper()
-	if !assert.Eventually(c.t, ok, waitTimeout, 50*time.Millisecond, what) {
+	if !assert.Eventually(c.t, ok, waitTimeout, 50*time.Millisecond, condition) {
 		for _, d := range c.running() {
 			v, _ := d.fleetView()
 			c.t.Logf("d%d: %+v", d.number, v)
@@ -189,11 +192,11 @@
 	}
 }
 
-// agree waits until the views of the running dispatchers have exactly each other as living.
-func (c *cluster) agree(what string) {
+// agree waits until the running dispatchers have equal views, each with as many living dispatchers as run.
+func (c *cluster) agree(condition string) {
 	c.t.Helper()
 	among := c.running()
-	c.eventually(what, func() bool {
+	c.eventually(condition, func() bool {
 		var digest uint64
 		for _, d := range among {
 			v, ok := d.fleetView()
@@ -206,7 +209,9 @@
 	})
 }
 
-// owners returns the owner of each number at one moment, and fails if one has two; nil if it took too long to be one moment.
+// owners queries all running dispatchers at the same time and returns the owner's number of each owned number. It fails the
+// test if a number has two owners. It returns nil if the queries took longer than a second, because ownership may have
+// changed between them.
 func (c *cluster) owners() map[int]int {
 	c.t.Helper()
 	views := make([]fleetView, len(c.dispatchers))
@@ -218,14 +223,14 @@
 		}
 	}
 	queries.Wait()
-	if time.Since(began) > time.Second { // not one moment any more: numbers may have passed
+	if time.Since(began) > time.Second { // a number may have moved from one dispatcher to another between two queries
 		return nil
 	}
 	by := map[int]int{}
 	for i, v := range views {
 		for _, n := range v.Numbers {
 			if other, hasTwo := by[n]; hasTwo {
-				require.Fail(c.t, "two own one number", "number %d: d%d and d%d", n, other, i)
+				require.Fail(c.t, "a number has two owners", "number %d: d%d and d%d", n, other, i)
 			}
 			by[n] = i
 		}
@@ -234,12 +239,12 @@
 }
 
 // allOwned waits until every number is owned.
-func (c *cluster) allOwned(what string) {
+func (c *cluster) allOwned(condition string) {
 	c.t.Helper()
-	c.eventually(what, func() bool { return len(c.owners()) == len(c.dispatchers) })
+	c.eventually(condition, func() bool { return len(c.owners()) == len(c.dispatchers) })
 }
 
-// checkOwners checks for a while that no number has two owners.
+// checkOwners checks repeatedly during d that no number has two owners.
 func (c *cluster) checkOwners(d time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var soak = flag.Duration("soak", 0, "inject random faults for so long")
+var soak = flag.Duration("soak", 0, "duration for which TestSoak injects random faults")
 
-// waitTimeout is how long a condition is waited for. It is long so that a busy machine changes no result.
+// waitTimeout bounds every wait for a condition. It is long, so that a busy machine doesn't make a test fail.
 const waitTimeout = 40 * time.Second
 
 var program string
@@ -37,45 +37,47 @@
 	os.Exit(code)
 }
 
-// Two of five are killed: the others see it, own their numbers, and give them back after the restart.
+// Two of five dispatchers are killed. The others declare them dead and take over their numbers, and give them back after the
+// restart.
 func TestKilled(t *testing.T) {
 	c := start(t, 5, false)
 	c.dispatchers[1].kill()
 	c.dispatchers[4].kill()
-	c.agree("the others have seen it")
-	c.allOwned("the numbers of the dead have passed")
+	c.agree("the others see two dispatchers as dead")
+	c.allOwned("the numbers of the dead dispatchers have new owners")
 	c.dispatchers[1].start()
 	c.dispatchers[4].start()
 	c.checkOwners(3 * time.Second)
-	c.agree("all have rejoined")
-	c.allOwned("each owns its number again")
+	c.agree("all dispatchers have rejoined")
+	c.allOwned("every number has an owner after the restart")
 	for n, d := range c.owners() {
 		assert.Equal(t, n, d)
 	}
 }
 
-// A process that is stopped and continued keeps its number, declares nobody dead, and is alive in all views soon.
+// A process that SIGSTOP stops for 6 seconds keeps its number, since the others can't know that it doesn't run any more.
+// After SIGCONT it is alive in all views, and no dispatcher sees another as dead.
 func TestStoppedAndContinued(t *testing.T) {
 	c := start(t, 4, false)
 	c.dispatchers[2].signal(syscall.SIGSTOP)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, i := range []int{0, 1, 3} {
 			if v, ok := c.dispatchers[i].fleetView(); ok {
-				require.NotContains(t, v.Numbers, 2, "a timeout is no proof")
+				require.NotContains(t, v.Numbers, 2, "a timeout does not prove that the owner of number 2 has ended")
 			}
 		}
 	}
 	c.dispatchers[2].signal(syscall.SIGCONT)
-	c.agree("it is alive in all views")
-	c.allOwned("and owns its number")
+	c.agree("the continued dispatcher is alive in all views")
+	c.allOwned("every number has an owner after SIGCONT")
 	for _, d := range c.dispatchers {
 		v, _ := d.fleetView()
 		assert.Len(t, v.Members, 3)
 	}
 }
 
-// All are restarted in order, one after another, as in an upgrade; then one is upgraded in place, with both processes at once, of
-// which only one owns the number.
+// All dispatchers are restarted one after another, as in an upgrade. Then one is upgraded in place: the new process starts
+// while the old one runs, and waits for its end. At no time do two processes own the same number.
 func TestUpgrades(t *testing.T) {
 	c := start(t, 4, false)
 	for _, d := range c.dispatchers {
@@ -84,8 +86,8 @@
 		d.start()
 		c.checkOwners(300 * time.Millisecond)
 	}
-	c.agree("after the last")
-	c.allOwned("all numbers are owned")
+	c.agree("all dispatchers have joined after the last restart")
+	c.allOwned("every number has an owner")
 
 	old, d := c.dispatchers[1].cmd, c.dispatchers[1]
 	oldConsole := d.console
@@ -98,18 +100,18 @@
 	c.checkOwners(time.Second)
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
-	c.agree("the new process takes part")
-	c.allOwned("and owns the number")
+	c.agree("the new process has joined")
+	c.allOwned("every number has an owner after the upgrade in place")
 }
 
-// The fleet is partitioned in several ways, long enough for each side to declare the other dead. No number moves, and once the links
-// are up again the views converge by themselves.
+// The fleet is partitioned in several ways, long enough for one side to declare the other dead. No number moves, and once
+// the links are up again the views agree without any further action.
 func TestPartitions(t *testing.T) {
 	c := start(t, 5, true)
 	for _, tt := range []struct {
 		name string
 		cut  func(from, to int) bool
-		part []int // knows just itself
+		side []int // the side that the test waits for: it must see only its own dispatchers as living
 	}{
 		{"in two", func(a, b int) bool { return (a < 2) != (b < 2) }, []int{0, 1}},
 		{"one alone", func(a, b int) bool { return a == 4 || b == 4 }, []int{0, 1, 2, 3}},
@@ -117,9 +119,9 @@
 		{"in three", func(a, b int) bool { return a/2 != b/2 }, []int{2, 3}},
 	} {
 		c.relay.SetFaults(func(a, b int) Fault { return Fault{Down: tt.cut(a, b)} })
-		c.eventually(tt.name+": one side has only itself as living", func() bool {
-			for _, i := range tt.part {
-				if v, ok := c.dispatchers[i].fleetView(); !ok || v.Living != len(tt.part) {
+		c.eventually(tt.name+": one side sees only its own dispatchers as living", func() bool {
+			for _, i := range tt.side {
+				if v, ok := c.dispatchers[i].fleetView(); !ok || v.Living != len(tt.side) {
 					return false
 				}
 			}
@@ -129,12 +131,13 @@
 			assert.Equal(t, n, d, "%s: a number moved", tt.name)
 		}
 		c.relay.SetFaults(nil)
-		c.agree(tt.name + ": healed")
-		c.allOwned(tt.name + ": each owns its number")
+		c.agree(tt.name + ": the views agree again")
+		c.allOwned(tt.name + ": every number has an owner")
 	}
 }
 
-// A bad network loses, doubles, delays and reorders datagrams. No number moves, and afterwards all views agree.
+// The network loses, duplicates, delays and reorders datagrams for 8 seconds. No number moves, and afterwards all views
+// agree.
 func TestBadNetwork(t *testing.T) {
 	c := start(t, 5, true)
 	c.relay.SetFaults(func(int, int) Fault { return Fault{Loss: 0.3, Double: 0.3, Late: 0.3, By: 2 * time.Second} })
@@ -144,10 +147,11 @@
 		}
 	}
 	c.relay.SetFaults(nil)
-	c.agree("afterwards")
+	c.agree("the views agree after the faults")
 }
 
-// An invalid script stops the program at once, with each fault by file, line and name.
+// An invalid fleet script makes the program exit with 1 and report each fault with its position or the name of the
+// parameter.
 func TestInvalidScripts(t *testing.T) {
 	d := &dispatcher{t: t, dir: t.TempDir(), console: freeTCP(t)}
 	d.writeFile("config.json", `{"name":"d0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"c","semantics":"safe","deadlineUs":1000000}]}}`)
@@ -171,7 +175,7 @@
 	}
 }
 
-// TestSoak injects random faults for as long as -soak says.
+// TestSoak kills, stops and restarts random dispatchers for the duration of -soak. At no time may a number have two owners.
 func TestSoak(t *testing.T) {
 	if *soak == 0 {
 		t.Skip("-soak is not set")
@@ -194,6 +198,6 @@
 		}
 		c.checkOwners(2 * time.Second)
 	}
-	c.agree("in the end")
-	c.allOwned("all numbers are owned")
+	c.agree("the views agree after all faults")
+	c.allOwned("every number has an owner")
 }
--- a/test/fleet/relay.go
+++ b/test/fleet/relay.go
@@ -1,5 +1,5 @@
-// Package fleet starts dispatchers of the built program as processes that form a fleet, with a relay between them that injects network
-// faults, and checks their views and which numbers they own.
+// Package fleet starts dispatchers of the built program as processes that form a fleet, with a relay between them that
+// injects network faults, and checks their views and which numbers they own.
 package fleet
 
 import (
@@ -11,28 +11,29 @@
 	"time"
 )
 
-// Fault is what happens to the datagrams from one dispatcher to another.
+// Fault describes the faults of the link from one dispatcher to another.
 type Fault struct {
-	Down         bool
-	Loss, Double float64 // fractions of the datagrams
-	// Late is the fraction that is delayed, by up to By, and so reordered.
+	Down         bool    // all datagrams are lost
+	Loss, Double float64 // fractions of the datagrams that are lost and that are sent twice, 0 to 1
+	// Late is the fraction of the datagrams that are delayed by a random time up to By, so that others overtake them.
 	Late float64
 	By   time.Duration
 }
 
-// Relay forwards datagrams between dispatchers, and injects faults. It has an address for each dispatcher, to which the others send;
-// what comes there is forwarded from the sender's address at the relay. It is safe for concurrent use. Callers call Close.
+// Relay forwards UDP datagrams between dispatchers and injects faults. It has one address for each dispatcher, to which the
+// others send. It forwards a datagram from its own address of the sender, so that the receiver's reply comes to the relay
+// too. A Relay is safe for concurrent use. Call Close when it is no longer needed.
 type Relay struct {
 	forwarders sync.WaitGroup
 	mu         sync.Mutex
 	fault      func(from, to int) Fault
-	senders    map[netip.AddrPort]int // the numbers of the dispatchers, by their sockets' addresses
+	senders    map[netip.AddrPort]int // the dispatchers' numbers by the addresses of their sockets
 	conns      []*net.UDPConn         // the relay's socket for each dispatcher
-	targets    []netip.AddrPort
-	Addrs      []string // of conns, host:port
+	targets    []netip.AddrPort       // the address of each dispatcher's socket
+	Addrs      []string               // the addresses of conns, as host:port
 }
 
-// NewRelay returns a running relay for dispatchers whose sockets have these addresses, host:port.
+// NewRelay returns a running relay without faults for dispatchers with these socket addresses, each host:port.
 func NewRelay(sockets []string) (*Relay, error) {
 	r := &Relay{senders: map[netip.AddrPort]int{}}
 	for i, a := range sockets {
@@ -53,14 +54,14 @@
 	return r, nil
 }
 
-// SetFaults sets the faults of all links from now on; nil: none.
+// SetFaults replaces the faults of all links; nil removes them. Datagrams that are already delayed still arrive.
 func (r *Relay) SetFaults(fault func(from, to int) Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = fault
 }
 
-// Close ends the relay and waits for its goroutines. Delayed datagrams that are due later are lost.
+// Close closes the relay's sockets and waits for its forwarding goroutines. Datagrams that are still delayed are lost.
 func (r *Relay) Close() {
 	for _, c := range r.conns {
 		_ = c.Close()
@@ -68,7 +69,7 @@
 	r.forwarders.Wait()
 }
 
-// forward forwards the datagrams to dispatcher to until its socket is closed.
+// forward forwards the datagrams for dispatcher number to until the relay's socket for it is closed.
 func (r *Relay) forward(to int) {
 	buf := make([]byte, 2048)
 	for {
@@ -77,7 +78,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the refusal of a datagram that was forwarded
+			continue // the ICMP error of a forwarded datagram whose receiver does not listen
 		}
 		sender, known := r.senders[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !known {
@@ -90,7 +91,8 @@
 		}
 		r.mu.Unlock()
 		d := append([]byte(nil), buf[:n]...)
-		forward := func() { _, _ = r.conns[sender].WriteToUDPAddrPort(d, r.targets[to]) } // refusals are not forwarded
+		// Write errors, such as that an earlier datagram was refused, are not reported to the sender.
+		forward := func() { _, _ = r.conns[sender].WriteToUDPAddrPort(d, r.targets[to]) }
 		copies := 1
 		if rand.Float64() < f.Double {
 			copies = 2
