--- a/test/platform/platform_test.go
+++ b/test/platform/platform_test.go
@@ -1,5 +1,5 @@
-// Package platform holds what the fleet days require of the dispatcher's build: one process that starts no
-// other program, forks nothing and uses neither io_uring, splice, sendfile nor Unix sockets.
+// Package platform checks what the platform that runs the dispatcher requires of its build: a single process that starts no
+// other program, doesn't fork, and uses neither io_uring, splice, sendfile nor Unix sockets.
 package platform
 
 import (
@@ -15,13 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// refusedImports start programs or load code.
+// refusedImports are the packages of the standard library that start programs or load code at run time.
 var refusedImports = []string{"os/exec", "plugin"}
 
-// refusedCalls are what the fleet days refuse, as they would be written in the project's own code.
+// refusedCalls matches calls and words in the project's own source that stand for what the platform refuses.
 var refusedCalls = regexp.MustCompile(`\b(syscall|unix|os)\.(ForkExec|StartProcess|Exec|Splice|Tee|Vmsplice|Sendfile|` +
 	`Clone|Fork|Vfork|IoUring\w*)\b|"unix(gram|packet)?"|io_uring`)
 
+// pkg is a package as `go list -json` describes it.
 type pkg struct {
 	ImportPath string
 	Dir        string
@@ -30,6 +31,7 @@
 	Standard   bool
 }
 
+// deps returns the packages that the program is linked from.
 func deps(t *testing.T) []pkg {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), "go", "list", "-deps", "-json", "ospreypond/cmd/ospreypond")
@@ -49,7 +51,7 @@
 func TestTheDispatcherStartsNoProgram(t *testing.T) {
 	for _, p := range deps(t) {
 		for _, bad := range refusedImports {
-			assert.NotEqual(t, bad, p.ImportPath, "the dispatcher links %s", bad)
+			assert.NotEqual(t, bad, p.ImportPath, "the program imports %s, which starts programs or loads code", bad)
 		}
 	}
 }
@@ -65,9 +67,9 @@
 			text, err := os.ReadFile(filepath.Join(p.Dir, f))
 			require.NoError(t, err)
 			for _, m := range refusedCalls.FindAllString(string(text), -1) {
-				t.Errorf("%s: %s, which the platform refuses", filepath.Join(p.ImportPath, f), m)
+				t.Errorf("%s: contains %s, which the platform refuses", filepath.Join(p.ImportPath, f), m)
 			}
 		}
 	}
-	assert.Greater(t, own, 5, "the project's own packages were found")
+	assert.Greater(t, own, 5, "go list must return the project's own packages")
 }
