--- a/test/integration/deployments_test.go
+++ b/test/integration/deployments_test.go
@@ -37,8 +37,8 @@
 )
 
 // The same program serves both deployments; only the settings differ. Every class gets a runner's result. A job that one
-// runner rejects unstarted goes to the other. A job that the only runner rejects gets status 503, with Retry-After only if the
-// settings allow it. A path without a class gets status 404.
+// runner rejects unstarted goes to the other. A job that the only runner rejects gets status 503, with Retry-After only if
+// the settings allow it. A path without a class gets status 404.
 func TestServesBothDeployments(t *testing.T) {
 	for _, tt := range []struct {
 		name, settings string
--- a/test/integration/discovery_test.go
+++ b/test/integration/discovery_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discovery is an HTTP server that stands for the discovery service. It serves the list of runners as numbered changes. A call
-// that asks for changes after the current version waits for the next change, at most as long as its hold_ms.
+// discovery is an HTTP server that stands for the discovery service. It serves the list of runners as numbered changes. A
+// call that asks for changes after the current version waits for the next change, at most as long as its hold_ms.
 type discovery struct {
 	addr string
 	mu   sync.Mutex
--- a/test/integration/rare_test.go
+++ b/test/integration/rare_test.go
@@ -19,8 +19,8 @@
 
 var pushed = strings.Replace(settings, `"discovery":"ask"`, `"discovery":"push"`, 1)
 
-// With pushed lists, the dispatcher counts as notified of every change that was pushed before its start. It must therefore not
-// serve from its configuration's list before the first pushed list has arrived: a runner that drains there gets no job.
+// With pushed lists, the dispatcher counts as notified of every change that was pushed before its start. It must therefore
+// not serve from its configuration's list before the first pushed list has arrived: a runner that drains there gets no job.
 func TestPushedListIsReadBeforeServing(t *testing.T) {
 	old, next := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
 	disc := newDiscovery(t)
@@ -63,9 +63,9 @@
 	}
 }
 
-// A stop with everything open at once: a request at a runner that hangs, a half-sent request and an idle connection; during the
-// drain, a second SIGTERM and a reload of an invalid configuration. Each open request gets its final response, each connection
-// is closed cleanly, and the program exits with 0 before the platform would kill it.
+// A stop with everything open at once: a request at a runner that hangs, a half-sent request and an idle connection; during
+// the drain, a second SIGTERM and a reload of an invalid configuration. Each open request gets its final response, each
+// connection is closed cleanly, and the program exits with 0 before the platform would kill it.
 func TestStopWithEverythingInFlight(t *testing.T) {
 	rn := newRunner(t, "r1", "z", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-ID") == "hangs" {
--- a/test/integration/store_test.go
+++ b/test/integration/store_test.go
@@ -39,7 +39,8 @@
 	Seq   uint64
 }
 
-// dump returns the records of the store in a directory by their keys, and requires that 'store dump' prints them in key order.
+// dump returns the records of the store in a directory by their keys, and requires that 'store dump' prints them in key
+// order.
 func dump(t *testing.T, dir string) map[string]record {
 	t.Helper()
 	out, errs, status := runCommand("", "store", "dump", dir)
@@ -56,8 +57,8 @@
 	return all
 }
 
-// dumpOfKilled is dump for a program that may have been killed before it created the store. If there is no store, it requires
-// that no record was acknowledged (acked is 0).
+// dumpOfKilled is dump for a program that may have been killed before it created the store. If there is no store, it
+// requires that no record was acknowledged (acked is 0).
 func dumpOfKilled(t *testing.T, dir string, acked int) map[string]record {
 	t.Helper()
 	if _, errs, status := runCommand("", "store", "dump", dir); status != 0 && strings.Contains(errs, "there is none") {
@@ -195,8 +196,8 @@
 	assert.Zero(t, status, errs)
 }
 
-// A recording has the class, the attempts and the outcome of each request. It has keys only as 16 hexadecimal digits: no file
-// contains a key in clear text.
+// A recording has the class, the attempts and the outcome of each request. It has keys only as 16 hexadecimal digits: no
+// file contains a key in clear text.
 func TestRecordedTraffic(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "traffic")
 	p := startWith(t, []string{"serve", "--record", dir}, newRunner(t, "r1", "z", serveDone))
--- a/test/integration/upgrade_test.go
+++ b/test/integration/upgrade_test.go
@@ -69,8 +69,8 @@
 }
 
 // Guards against an upgrade in place that refuses clients. A second process listens at the same client address, with its own
-// console, and becomes ready; then the first gets SIGTERM and exits with 0. A client that opens a new connection for each job is
-// served all the time, except for at most two connections in the listen backlog of the old process.
+// console, and becomes ready; then the first gets SIGTERM and exits with 0. A client that opens a new connection for each
+// job is served all the time, except for at most two connections in the listen backlog of the old process.
 func TestUpgradeInPlace(t *testing.T) {
 	rn := newRunner(t, "r1", "z", serveDone)
 	old := start(t, rn)
@@ -102,8 +102,9 @@
 	assert.Contains(t, next.log(), "msg=\"request ended\"", "the new process served no job")
 }
 
-// ownLoopback returns a random loopback address with port 0, at which the system chooses a free port. A port that is free there is
-// still free when the program under test listens at it; at 127.0.0.1 a connection of another process could take it before.
+// ownLoopback returns a random loopback address with port 0, at which the system chooses a free port. A port that is free
+// there is still free when the program under test listens at it; at 127.0.0.1 a connection of another process could take it
+// before.
 func ownLoopback() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
@@ -117,8 +118,8 @@
 	return l.Addr().String()
 }
 
-// Guards against an upgrade that enables a disabled runner. A runner that an operator disabled at the old process's console gets no
-// job from the new process, whatever discovery lists, until an operator enables it at the new console.
+// Guards against an upgrade that enables a disabled runner. A runner that an operator disabled at the old process's console
+// gets no job from the new process, whatever discovery lists, until an operator enables it at the new console.
 func TestDisabledRunnerStaysDisabledOverAnUpgrade(t *testing.T) {
 	out, in := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
 	// The old process leaves the list of disabled runners in this directory for the new one.
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -60,8 +60,8 @@
 // job writes a runner's response to a request, after the runner has read its whole body.
 type job func(w http.ResponseWriter, r *http.Request)
 
-// writeState writes one line of a job's progress and flushes it, so that the dispatcher gets it at once. more is JSON that is
-// added to the line's object.
+// writeState writes one line of a job's progress and flushes it, so that the dispatcher gets it at once. more is JSON that
+// is added to the line's object.
 func writeState(w http.ResponseWriter, r *http.Request, state, more string) {
 	_, _ = fmt.Fprintf(w, "{\"id\":%q,\"from\":\"x\",\"state\":%q%s}\n", r.Header.Get("X-Request-ID"), state, more)
 	_ = http.NewResponseController(w).Flush()
