--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -49,7 +49,8 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// localSystem is a running `localcluster`. Its addresses lie in network, the first three numbers of an IPv4 loopback address.
+// localSystem is a running `localcluster`. Its addresses lie in network, the first three numbers of an IPv4 loopback
+// address.
 type localSystem struct {
 	dir     string
 	network string
@@ -62,8 +63,9 @@
 	return startLocalProgram(program, dir, flags...)
 }
 
-// startLocalProgram starts a localSystem at random loopback addresses and waits until it prints that it is ready. Each of its
-// processes runs the file that is at the path program when that process starts, so a test can replace the file in between.
+// startLocalProgram starts a localSystem at random loopback addresses and waits until it prints that it is ready. Each of
+// its processes runs the file that is at the path program when that process starts, so a test can replace the file in
+// between.
 func startLocalProgram(program, dir string, flags ...string) *localSystem {
 	GinkgoHelper()
 	s := &localSystem{dir: dir, network: fmt.Sprintf("127.%d.%d", 80+rand.IntN(100), rand.IntN(250))}
@@ -151,8 +153,8 @@
 	return out
 }
 
-// request sends a client's HTTP request to a frontend (1 or 2), and returns the status and the body. Without a complete response
-// it returns status 0 and the text of the error.
+// request sends a client's HTTP request to a frontend (1 or 2), and returns the status and the body. Without a complete
+// response it returns status 0 and the text of the error.
 func (s *localSystem) request(frontend int, method, path, body string) (int, string) {
 	request, err := http.NewRequestWithContext(context.Background(), method, fmt.Sprintf("http://%s.%d:8149%s", s.network, 20+frontend, path), strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
--- a/test/system/upgrade_test.go
+++ b/test/system/upgrade_test.go
@@ -15,9 +15,9 @@
 	"github.com/onsi/gomega/gbytes"
 )
 
-// oldProgram is the path of the program that the upgrade starts from. CI leaves it empty: the upgrade is then from the present
-// program to itself, and the fixtures of package fixturetest stand for the frames and files of an earlier version. To
-// upgrade from the program of an earlier version:
+// oldProgram is the path of the program that the upgrade starts from. CI leaves it empty: the upgrade is then from the
+// present program to itself, and the fixtures of package fixturetest stand for the frames and files of an earlier version.
+// To upgrade from the program of an earlier version:
 //
 //	go test ./test/system -ginkgo.focus upgrade -old-program FILE
 var oldProgram = flag.String("old-program", "", "path of the program of an earlier version to upgrade from; the present program if empty")
@@ -43,8 +43,8 @@
 	endlessTasks = 2
 )
 
-// install copies a program to a path by an atomic rename, as a package manager does. Processes that already run the file at the
-// path keep the old one until they are started again.
+// install copies a program to a path by an atomic rename, as a package manager does. Processes that already run the file at
+// the path keep the old one until they are started again.
 func install(program, path string) {
 	GinkgoHelper()
 	content, err := os.ReadFile(program)
@@ -53,8 +53,8 @@
 	Expect(os.Rename(path+".new", path)).To(Succeed())
 }
 
-// replace sends SIGTERM to a process and waits until `localcluster` has started it again from the program that is installed now.
-// After the restart of a control process it also waits until `members` shows all three as voters.
+// replace sends SIGTERM to a process and waits until `localcluster` has started it again from the program that is installed
+// now. After the restart of a control process it also waits until `members` shows all three as voters.
 func (s *localSystem) replace(name string) {
 	GinkgoHelper()
 	Expect(syscall.Kill(s.pids()[name], syscall.SIGTERM)).To(Succeed())
