--- a/test/ci/documented_test.go
+++ b/test/ci/documented_test.go
@@ -86,7 +86,7 @@
 	return ok && !name.IsExported()
 }
 
-// Checks undocumented itself: it returns each kind of exported item without a comment, and none that has one.
+// Tests the function undocumented itself: it returns each kind of exported item without a comment, and none that has one.
 func TestUndocumentedItemsAreNamed(t *testing.T) {
 	const source = `package p
 
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -180,7 +180,8 @@
 	return fmt.Sprint(number + 1)
 }
 
-// failureKinds returns all kinds of failures except None. UnknownOutcome is the last kind: every later value has its text.
+// failureKinds returns all kinds of failures except None. It stops at the first value that is no kind: String returns the
+// text of UnknownOutcome for such a value.
 func failureKinds() []failure.Kind {
 	var list []failure.Kind
 	for kind := failure.None + 1; kind != 0; kind++ {
--- a/test/integration/program_test.go
+++ b/test/integration/program_test.go
@@ -268,7 +268,7 @@
 	p.stop()
 	eventually(t, "the program does not log that it drains", func() bool { return strings.Contains(p.log(), "to=draining") })
 
-	// The load balancer in front of the program may still open connections for a while after the signal.
+	// The platform may still send new connections for a while after the signal.
 	transport := &http.Transport{DisableKeepAlives: false}
 	req, err := http.NewRequestWithContext(background, http.MethodPost, p.url+"/keyed", strings.NewReader(""))
 	require.NoError(t, err)
--- a/test/integration/store_test.go
+++ b/test/integration/store_test.go
@@ -196,7 +196,7 @@
 	assert.Zero(t, status, errs)
 }
 
-// A recording has the class, the attempts and the outcome of each request. It has keys only as 16 hexadecimal digits: no
+// A recording has the class, the attempts and the outcome of each request. It has keys only as codes of 16 characters: no
 // file contains a key in clear text.
 func TestRecordedTraffic(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "traffic")
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -165,7 +165,7 @@
 	disc *discovery
 	file string         // the path of the configuration
 	conf map[string]any // the configuration that file holds
-	exit chan error     // receives the result of the process's end once
+	exit chan error     // receives the result of cmd.Wait when the process has ended
 	mu   sync.Mutex
 	logs bytes.Buffer
 }
