--- a/test/ci/nethttp_test.go
+++ b/test/ci/nethttp_test.go
@@ -132,7 +132,7 @@
 		{method: "GET", body: "{}", times: 1},
 		{method: "GET", body: "{}", getBody: true, times: 2},
 	} {
-		t.Run(fmt.Sprintf("%s body %q again %v key %q", each.method, each.body, each.getBody, each.key), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s body %q getBody %v key %q", each.method, each.body, each.getBody, each.key), func(t *testing.T) {
 			server := newBreakingServer(t)
 			transport := &http.Transport{MaxIdleConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
@@ -233,7 +233,7 @@
 		{http.StatusTemporaryRedirect, false, "", ""},
 		{http.StatusPermanentRedirect, false, "", ""},
 	} {
-		t.Run(fmt.Sprintf("%d again %v", each.status, each.getBody), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d getBody %v", each.status, each.getBody), func(t *testing.T) {
 			type arrival struct{ method, body string }
 			arrivals := make(chan arrival, 2)
 			listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/test/integration/store_test.go
+++ b/test/integration/store_test.go
@@ -196,8 +196,8 @@
 	assert.Zero(t, status, errs)
 }
 
-// A recording has the class, the attempts and the outcome of each request. It has keys only as codes of 16 characters: no
-// file contains a key in clear text.
+// A recording has the class, the attempts and the outcome of each request. It has keys only as salted hashes of 16
+// characters: no file contains a key in clear text.
 func TestRecordedTraffic(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "traffic")
 	p := startWith(t, []string{"serve", "--record", dir}, newRunner(t, "r1", "z", serveDone))
