--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -73,7 +73,7 @@
 }
 
 // tombstoneBytes returns the bytes that a deletion adds to plan.Segment.Tombstones, given the lengths of its key and, for a
-// range, of its end. It counts a frame's header, because a pass copies each deletion in a frame of its own.
+// range, of its end. It adds the size of a frame's header, because a pass writes each deletion in a separate frame.
 func tombstoneBytes(key, end int) int64 { return int64(segment.FrameSize + key + end + 4) }
 
 // undoWrite truncates the open segment to size, its length before a write that failed, and syncs it. So Open finds none of
--- a/internal/store/applier.go
+++ b/internal/store/applier.go
@@ -50,7 +50,7 @@
 	s.pending = s.pending[:0]
 }
 
-// rLockApplied locks s.mu for reading and ensures that no batch is pending: it first applies those that are.
+// rLockApplied locks s.mu for reading and ensures that no batch is pending: it applies pending batches first.
 func (s *Store) rLockApplied() {
 	s.mu.RLock()
 	for len(s.pending) > 0 {
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -7,9 +7,9 @@
 	"ospreypond/internal/store/table"
 )
 
-// Batch collects operations that take effect together, in the order in which they were added. The zero value is empty and
-// ready. A batch belongs to one goroutine and must not be used while it is being committed. After the commit Reset makes it
-// ready again. An operation with an invalid argument, such as a key longer than MaxKey, makes Commit return its error.
+// Batch collects operations that take effect together, in the order of the calls that added them. The zero value is empty
+// and ready. A batch belongs to one goroutine and must not be used while it is being committed. After the commit Reset makes
+// it ready again. An operation with an invalid argument, such as a key longer than MaxKey, makes Commit return its error.
 type Batch struct {
 	frame []byte // encoded operations, after space for the frame's header
 	ops   []op   // empty after a commit
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -125,7 +125,7 @@
 		c.addFault(&FileError{File: name, Offset: -1, Err: err})
 		return false
 	}
-	defer func() { _ = f.Close() }() // opened for reading: an error loses nothing
+	defer func() { _ = f.Close() }() // the file was only read, so a failed close loses no data
 	if err := checkSegment(f, g, c.s.id); err != nil {
 		err.File = name
 		c.addFault(err)
--- a/internal/store/compactor.go
+++ b/internal/store/compactor.go
@@ -12,12 +12,12 @@
 	"ospreypond/internal/store/segment"
 )
 
-// compactor runs compaction passes, one at a time, either in its own goroutine or in that of a caller of Compact or Close.
-// pass.go describes a pass; plan.Victims chooses the segments that it rewrites.
+// compactor runs compaction passes, one at a time, either in its own goroutine or in the goroutine that calls Compact or
+// Close. pass.go describes a pass; plan.Victims chooses the segments that it rewrites.
 type compactor struct {
 	idle    chan struct{}   // has a token while no pass runs; the goroutine that takes it may run one
 	wake    chan struct{}   // has a token if a pass was requested
-	damaged map[uint64]bool // numbers of segments in which a pass found damage: no pass rewrites them; guarded by idle
+	damaged map[uint64]bool // numbers of damaged segments that a pass found: no pass rewrites them; guarded by idle
 }
 
 const (
@@ -124,7 +124,7 @@
 		p.discard()
 		var fe *FileError
 		if errors.As(err, &fe) && errors.Is(err, ErrCorrupt) && p.readingVictim != 0 {
-			// Without this one damaged record would make every later pass fail, and nothing would be compacted.
+			// Otherwise a single damaged record would make every later pass fail, and compaction would stop.
 			c.damaged[p.readingVictim] = true
 		}
 		return false, err
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -103,7 +103,7 @@
 }
 
 // The disk is full for 25 calls, beginning at each call in turn; writes fail after some of their bytes. Guards against a
-// store that turns read-only, a failed commit that has an effect, and a later one that is lost.
+// store that turns read-only, a failed commit that has an effect, and a later commit that is lost.
 func TestAFullDiskFailsCommitsWithoutAnEffectAndLaterOnesSucceed(t *testing.T) {
 	for n := 1; n < 400; n++ {
 		h := newHistory(&vfstest.Mem{}, 13, store.Options{PassBytesPerS: -1})
@@ -129,7 +129,7 @@
 				require.Equal(t, h.states[h.acked], state(t, s), "reads continue after a commit failed")
 			}
 		}
-		if !full.Load() { // the run made fewer calls than n, so all of them were tried
+		if !full.Load() { // the run made fewer than n calls, so the disk has been full at each call
 			require.Greater(t, n, 100)
 			require.NoError(t, s.Close())
 			break
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -185,7 +185,8 @@
 	}
 }
 
-// Guards against Open accepting a store in which a segment is missing, is another of its segments, or is another store's.
+// Guards against Open accepting a store if a segment's file is missing, or has the content of another segment or of
+// another store's segment.
 func TestOpenRejectsMissingSwappedAndForeignSegments(t *testing.T) {
 	h := newHistory(&vfstest.Mem{}, 11, store.Options{PassBytesPerS: -1})
 	require.NoError(t, h.run(150))
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -23,7 +23,7 @@
 	ErrNoStore = errors.New("store: the folder has no store")
 	// ErrTooLarge means that a key, a value or a batch exceeds MaxKey, MaxValue or MaxBatch.
 	ErrTooLarge = errors.New("store: too large")
-	// ErrCorrupt means that bytes on disk differ from those that were written.
+	// ErrCorrupt means that the bytes on disk differ from the bytes that the store wrote.
 	ErrCorrupt = segment.ErrCorrupt
 	// ErrNewer means that a newer release wrote the store, in a format that this one cannot read.
 	ErrNewer = segment.ErrNewer
--- a/internal/store/fixtures_test.go
+++ b/internal/store/fixtures_test.go
@@ -90,7 +90,7 @@
 	return records
 }
 
-// manifestKeys returns the names of all keys in a manifest's JSON, also those of nested objects.
+// manifestKeys returns the names of all keys in a manifest's JSON, including the keys of nested objects.
 func manifestKeys(t *testing.T, manifest []byte) map[string]bool {
 	t.Helper()
 	start, end := bytes.IndexByte(manifest, '{'), bytes.LastIndexByte(manifest, '}')
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -115,7 +115,7 @@
 }
 
 // verify opens the store in fsys and expects it to have the content after one of the history's commits, minSeq or a later
-// one. The arguments in what say which case failed.
+// commit. The arguments in what identify the case in failure messages.
 func (h *history) verify(t *testing.T, fsys *vfstest.Mem, minSeq uint64, what ...any) {
 	t.Helper()
 	opt := h.opt
--- a/internal/store/index_builder.go
+++ b/internal/store/index_builder.go
@@ -15,14 +15,14 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// indexBuilder builds the index from the segments alone, which may be added in any order. It keeps all keys in memory. So it
-// is used only to check or repair a store, and to open one whose table is damaged.
+// indexBuilder builds the index from the segments alone, which may be added in any order. It keeps all keys in memory. So
+// it is used only to check or repair a store, and to open a store with a damaged table.
 type indexBuilder struct {
 	items        map[string]builtItem // by key: its newest put or single deletion
 	rangeDeletes []rankedSpan         // all deleted ranges
 }
 
-// rank orders operations by their commit, then by their position in it. A record that a pass copied has the highest
+// rank orders operations by commit, then by position within the commit. A record that a pass copied has the highest
 // position: it was live, so no later operation of its commit deleted it.
 type rank struct {
 	seq      uint64
--- a/internal/store/manifest/manifest.go
+++ b/internal/store/manifest/manifest.go
@@ -1,5 +1,6 @@
 // Package manifest reads and writes a store's manifest: the list of its segments, its table, and its floors. The manifest is
-// small. Write always writes it completely, in two copies one after the other, so that damage to one copy loses nothing.
+// small. Write always writes it completely, in two copies one after the other, so that the manifest survives damage to one
+// copy.
 //
 // When Write returns without an error, both copies are replaced. Only then may the caller remove files that the new manifest
 // does not name. Read returns the newest undamaged copy. The caller serializes calls of Write for a folder.
@@ -22,14 +23,14 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Names are the file names of the two copies, in the order in which they are written.
+// Names are the file names of the two copies, in the order in which Write writes them.
 var Names = [2]string{"MANIFEST-A", "MANIFEST-B"}
 
 // Version is the format that this release writes, and the newest that it reads.
 const Version = 1
 
-// Manifest lists the files of a store. Its JSON, with that of Table, plan.Segment and plan.TimePoint, is on disk: the keys
-// are part of the format.
+// Manifest lists the files of a store. It is stored as JSON, including Table, plan.Segment and plan.TimePoint, so the JSON
+// keys are part of the format.
 type Manifest struct {
 	Format     int               `json:"format"`           // Version when it was written
 	Store      string            `json:"store"`            // the store's id in hexadecimal, which each file has too
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -22,9 +22,10 @@
 const lockName = "LOCK"
 
 // Open opens the store in a folder. Unless Options.Existing is set, it creates the folder and the store if they don't exist.
-// If a crash interrupted the last write, Open cuts off the incomplete frame and logs that. For any other damage to the log
-// it changes nothing and returns an error that names the file and the offset and wraps ErrCorrupt. It returns ErrLocked if
-// the store is open, in this process or another, and ErrNewer if a newer release wrote it. The caller must close the store.
+// If a crash interrupted the last write, Open cuts off the incomplete frame and logs that. After any other damage to the
+// log it changes no file and returns an error that names the file and the offset and wraps ErrCorrupt. It returns ErrLocked
+// if the store is open, in this process or another, and ErrNewer if a newer release wrote it. The caller must close the
+// store.
 func Open(dir string, opt Options) (*Store, error) {
 	if err := opt.defaults(); err != nil {
 		return nil, err
@@ -268,8 +269,8 @@
 	return s.rebuild(man, segs)
 }
 
-// readTable opens a table's file and checks that it is the one in the manifest. It reads the footer and the index of blocks,
-// and no block.
+// readTable opens a table's file and checks that the manifest describes this file. It reads the footer and the index of
+// blocks, but no blocks.
 func (s *Store) readTable(m *manifest.Table) (*baseTable, error) {
 	name := tableName(m.ID)
 	f, err := s.opt.FS.Open(s.path(name))
--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -32,7 +32,7 @@
 	Log logrus.FieldLogger
 	// FS is the file system; the operating system's if nil.
 	FS vfs.FS
-	// Now is the clock by which records expire; time.Now if nil.
+	// Now is the clock that determines the age of records; time.Now if nil.
 	Now func() time.Time
 }
 
--- a/internal/store/output.go
+++ b/internal/store/output.go
@@ -15,7 +15,7 @@
 	h     *handle
 	file  *throttledFile
 	meta  plan.Segment
-	space uint16 // the space of the first record or deletion in it
+	space uint16 // the space of the output's first record or deletion
 	frame []byte // reused for each frame
 }
 
@@ -55,9 +55,9 @@
 	return o.meta.Size, nil
 }
 
-// openOutput ensures that p.output has room for next more bytes of a space: if need be it finishes the present output and
-// creates a new one. A space with a retention shares no output with other spaces, so that passes can drop its expired
-// segments without copying records.
+// openOutput ensures that p.output has room for next more bytes of a space. If it has none, openOutput finishes the current
+// output and creates a new one. A space with a retention shares no output with other spaces, so that passes can drop its
+// expired segments without copying records.
 func (p *pass) openOutput(space uint16, next int) error {
 	if o := p.output; o != nil {
 		_, expires := p.retentions[space]
@@ -83,7 +83,7 @@
 	return err
 }
 
-// finishOutput syncs the present output, if there is one, and adds it to p.outputs.
+// finishOutput syncs the current output, if there is one, and adds it to p.outputs.
 func (p *pass) finishOutput() error {
 	o := p.output
 	if o == nil {
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -23,14 +23,14 @@
 	ID     uint64 `json:"id"` // the file's number, in its name
 	Kind   Kind   `json:"kind"`
 	Sealed bool   `json:"sealed,omitempty"` // the file is complete and never written again
-	First  uint64 `json:"first"`            // lowest sequence number; in the open segment, that of its first commit
+	First  uint64 `json:"first"`            // lowest sequence number; in the open segment, the number of its first commit
 	Last   uint64 `json:"last,omitempty"`   // highest sequence number; 0 in the open segment
 	Size   int64  `json:"size,omitempty"`   // of the file in bytes; 0 in the open segment
 	Puts   int64  `json:"puts,omitempty"`   // total PutBytes of its records; 0 in the open segment
 	// Live estimates how many bytes of the file are live, as of the last pass that covered it. A record is live if it is the
-	// newest of its key and has not expired. Until a pass has counted them, all records count as live.
+	// newest of its key and has not expired. Until a pass has counted them, all records are taken as live.
 	Live int64 `json:"live"`
-	// Tombstones is how many bytes the deletions take. A deletion must be kept as long as another segment may have an older
+	// Tombstones is how many bytes the deletions take. A deletion must be kept while another segment may have an older
 	// record of its key.
 	Tombstones int64 `json:"graves,omitempty"`
 	// Clean is a sequence number: no deletion up to it hides a record in this segment, because the pass that wrote the
@@ -96,8 +96,8 @@
 // memory that the index takes.
 const maxTopLayerBytes = 16 << 20
 
-// PassDue reports whether a pass is worth its cost, which is mainly that of rewriting the table. It is called when a segment
-// is sealed. A pass is due in one of three cases:
+// PassDue reports whether a pass is worth its cost, which is mainly the cost of rewriting the table. It is called when a
+// segment is sealed. A pass is due in one of three cases:
 //
 //   - The index has grown enough: the uppermost layer has reached maxTopLayerBytes, or the larger of a quarter of the table
 //     and 3/8 of a segment.
--- a/internal/store/plan/retention.go
+++ b/internal/store/plan/retention.go
@@ -22,9 +22,9 @@
 //
 //   - was: the floor never falls;
 //   - the highest point that is at least r.AgeMs old;
-//   - the highest point i for which the sum of bytesByTime[i:] exceeds r.Bytes.
+//   - the highest point i such that the sum of bytesByTime[i:] exceeds r.Bytes.
 //
-// Records between two points expire together, so the oldest of them are retained longer than r says.
+// Records between two points expire together, so the oldest are retained longer than r says.
 func Floor(was uint64, r Retention, index []TimePoint, bytesByTime []int64, nowMs int64) uint64 {
 	floor := was
 	if r.AgeMs > 0 {
@@ -46,8 +46,8 @@
 	return floor
 }
 
-// TrimTimeIndex reduces the number of points if there are more than maxPoints. It keeps the newest maxPoints/2, and every
-// second one of the older ones and the last of them. Old records then expire in larger steps.
+// TrimTimeIndex reduces the number of points if there are more than maxPoints. It keeps the newest maxPoints/2 points. Of
+// the older points it keeps every second one and the last. Old records then expire in larger steps.
 func TrimTimeIndex(index []TimePoint, maxPoints int) []TimePoint {
 	if len(index) <= maxPoints {
 		return index
--- a/internal/store/plan/victims.go
+++ b/internal/store/plan/victims.go
@@ -6,11 +6,11 @@
 )
 
 // Victims chooses the segments that a pass rewrites, and returns their numbers in ascending order. A segment without live
-// records is dropped: the pass copies nothing out of it. Only sealed segments whose last commit is upTo or earlier can be
+// records is dropped without copying. Only sealed segments whose last commit is upTo or earlier can be
 // chosen, because the pass merges the index up to upTo.
 //
-// First come the segments with at least l.Garbage of garbage, those with the most first. If deletions take more than
-// l.Tombstones of all bytes, segments follow whose rewriting lets deletions be dropped.
+// First come the segments with at least l.Garbage of garbage, ordered from the most garbage to the least. If deletions
+// take more than l.Tombstones of all bytes, more segments follow, so that the pass can drop deletions.
 func Victims(segments []Segment, upTo uint64, l Limits) []uint64 {
 	var all, tombstones int64
 	var sealed []Segment
@@ -38,8 +38,8 @@
 }
 
 // pick makes a segment a victim if the pass can still copy its live bytes and deletions within the limit. It reports whether
-// the segment is a victim. While nothing is to be copied yet, pick ignores the limit: otherwise a segment above it would
-// never be rewritten.
+// the segment is a victim. If no bytes are to be copied so far, pick ignores the limit: otherwise a segment with more
+// bytes than the limit would never be rewritten.
 func (p *picker) pick(s Segment) bool {
 	if slices.Contains(p.ids, s.ID) {
 		return true
@@ -52,7 +52,7 @@
 	return true
 }
 
-// pickGarbage picks the segments whose fraction of garbage is at least minGarbage, those with the most garbage first.
+// pickGarbage picks the segments whose fraction of garbage is at least minGarbage, in descending order of that fraction.
 func (p *picker) pickGarbage(sealed []Segment, minGarbage float64) {
 	byGarbage := slices.SortedFunc(slices.Values(sealed), func(a, b Segment) int {
 		return cmp.Or(cmp.Compare(b.garbage(), a.garbage()), cmp.Compare(a.ID, b.ID))
--- a/internal/store/prepare.go
+++ b/internal/store/prepare.go
@@ -16,7 +16,7 @@
 }
 
 // prepareNext starts a goroutine that prepares the next segment, if the previous one filled fast enough to be worth it (see
-// plan.PrepareNext). With Options.SyncEvery no commit waits for a sync, so nothing is prepared.
+// plan.PrepareNext). With Options.SyncEvery no commit waits for a sync, so prepareNext returns at once.
 func (w *writer) prepareNext(s *Store) {
 	filled := s.opt.Now().Sub(w.firstCommitAt)
 	if s.opt.SyncEvery > 0 || w.preparing || !plan.PrepareNext(filled) {
--- a/internal/store/race_off_test.go
+++ b/internal/store/race_off_test.go
@@ -2,5 +2,5 @@
 
 package store_test
 
-// raceEnabled reports whether the race detector is on. Tests that try every offset or call then try only some of them.
+// raceEnabled reports whether the race detector is on. If it is, tests that try every offset or call try only some.
 const raceEnabled = false
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// Lost is a range of a file, from Offset on, of which Repair could not copy the content.
+// Lost is a range of a file, from Offset on. Repair could not copy its content.
 type Lost struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"` // of the first byte of the range; -1: the complete file
@@ -115,7 +115,7 @@
 	return man, nil
 }
 
-// readSegment adds the undamaged frames of a segment to the index and reports the others as lost.
+// readSegment adds the undamaged frames of a segment to the index and reports the damaged ranges as lost.
 func (r *repairer) readSegment(g plan.Segment) {
 	name := segmentName(g.ID)
 	f, err := r.s.opt.FS.Open(r.s.path(name))
@@ -143,8 +143,8 @@
 			}
 		}
 		if err == nil && h.ID != g.ID {
-			// The file has the content of segment h.ID. That segment's records are read from the file of its own name, if
-			// there is one.
+			// The file has the content of segment h.ID. Repair reads the records of that segment from the file with
+			// its name, if there is one.
 			r.addLost(name, 0, fmt.Errorf("%w: header is that of segment %d, expected segment %d", ErrCorrupt, h.ID, g.ID))
 			return
 		}
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -59,8 +59,8 @@
 	return next, nil
 }
 
-// errWrongContent is wrapped by errors about a frame whose checksum matches and whose content is wrong. A crash can't cause
-// one, so it is never taken for a torn end.
+// errWrongContent is wrapped by errors about a frame with a matching checksum and wrong content. A crash can't cause such
+// a frame, so replay never takes it for a torn end.
 var errWrongContent = errors.New("complete frame with wrong content")
 
 // replayFrames applies frames until one is damaged or has the wrong content, or the segment ends. It returns the number of
--- a/internal/store/roll.go
+++ b/internal/store/roll.go
@@ -11,8 +11,9 @@
 // maxTimePoints is the maximum number of points in the manifest's time index.
 const maxTimePoints = 256
 
-// roll seals the open segment and opens the next one. It does nothing if the open one has no frames. When it returns without
-// an error, all earlier commits are on disk and the manifest names both segments. After an error the old one is still open.
+// roll seals the open segment and opens the next one. It does nothing if the open segment has no frames. When it returns
+// without an error, all earlier commits are on disk and the manifest names both segments. After an error the old segment
+// is still open.
 func (w *writer) roll(s *Store) error {
 	if w.size.Load() == segment.HeaderSize {
 		return nil
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// sealInManifest marks the open segment as sealed and sets its figures. All its puts count as live until a pass has counted
-// them.
+// sealInManifest marks the open segment as sealed and sets its figures. It records all puts as live: only a
+// pass counts the live ones.
 func (w *writer) sealInManifest(m *manifest.Manifest) {
 	for i := range m.Segments {
 		if g := &m.Segments[i]; g.ID == w.segmentID {
--- a/internal/store/segment/op.go
+++ b/internal/store/segment/op.go
@@ -9,7 +9,7 @@
 // OpKind is the kind of an operation.
 type OpKind byte
 
-// The kinds of operations. Their numbers are the ones on disk.
+// The kinds of operations. The numbers are part of the format on disk.
 const (
 	Put         OpKind = 1 // sets Key to Value
 	Delete      OpKind = 2 // deletes Key
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// readPart returns the part whose length is at offset at, and the offset of its end.
+// readPart reads a length at offset at and the part of that length after it. It returns the part and the offset of its end.
 func readPart(b []byte, at int) ([]byte, int, error) {
 	n, size := binary.Uvarint(b[at:])
 	if size <= 0 || n > uint64(len(b)-at-size) {
--- a/internal/store/segment/scan.go
+++ b/internal/store/segment/scan.go
@@ -97,7 +97,7 @@
 	return b[:min(len(b), n)], nil
 }
 
-// SeekTo sets the offset of the next frame. It must be one that Next returned.
+// SeekTo sets the offset of the next frame. Next must have returned this offset before.
 func (s *Scanner) SeekTo(off int64) { s.off = off }
 
 // RestZero reports whether all bytes from the Scanner's offset on are zero, as at the end of a segment that was prepared. It
--- a/internal/store/segment/segment.go
+++ b/internal/store/segment/segment.go
@@ -2,7 +2,7 @@
 // pass a reader to a Scanner. docs/store.md has the format byte by byte. All numbers are little-endian, all checksums
 // CRC-32C.
 //
-// A segment is a header of HeaderSize bytes (AppendHeader), followed by frames without gaps (FinishFrame), each of which has
+// A segment is a header of HeaderSize bytes (AppendHeader), followed by frames without gaps (FinishFrame). Each frame has
 // one or more operations (AppendOp). A frame of a log segment is a commit of one batch; sequence numbers rise by one from
 // frame to frame. A compaction pass writes output segments: they have one frame for each record or deletion that the pass
 // copied, with the sequence number of the original commit.
@@ -28,7 +28,7 @@
 // Kind says which frames a segment has.
 type Kind uint32
 
-// The kinds of segments. Their numbers are the ones on disk.
+// The kinds of segments. The numbers are part of the format on disk.
 const (
 	Log    Kind = 1 // commits in their order
 	Output Kind = 2 // records and deletions that compaction copied
@@ -41,7 +41,7 @@
 	// Castagnoli is the table for all checksums of the store (CRC-32C, RFC 3720, appendix B.4).
 	Castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-	// ErrCorrupt is wrapped by all errors about bytes that differ from those that were written.
+	// ErrCorrupt is wrapped by all errors about bytes that differ from the bytes written.
 	ErrCorrupt = errors.New("damaged")
 	// ErrNewer is wrapped by errors about a format that only a newer release can read.
 	ErrNewer = errors.New("format of a newer release")
@@ -86,7 +86,7 @@
 	if string(b[:8]) != magic {
 		return h, fmt.Errorf("%w: the first bytes %q are not those of a segment", ErrCorrupt, b[:8])
 	}
-	// The version is checked before the checksum, whose position a newer release may have changed.
+	// The version is checked first, because a newer release may have moved the checksum.
 	if v := binary.LittleEndian.Uint32(b[8:]); v > Version {
 		return h, fmt.Errorf("%w: segment format %d, this release reads formats up to %d", ErrNewer, v, Version)
 	}
--- a/internal/store/segment/segment_test.go
+++ b/internal/store/segment/segment_test.go
@@ -82,7 +82,7 @@
 				t.Fatal("the parsed frame is encoded to other bytes")
 			}
 		}
-		// Ops usually gets payloads whose checksum matched, and must not rely on that.
+		// Callers usually check a payload's checksum before Ops, but Ops must not rely on that.
 		_ = segment.Ops(b, func(o segment.Op) error {
 			if o.Kind == segment.Put && o.At-segment.FrameSize+len(o.Value) > len(b) {
 				t.Fatal("a value ends after its payload")
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -12,7 +12,7 @@
 	seq     uint64
 }
 
-// Snapshot returns the store as it is now.
+// Snapshot returns the store's content after the last acknowledged commit.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock() // not RLock: cloning the tree writes to it
 	defer s.mu.Unlock()
@@ -106,5 +106,5 @@
 	return fileError(it.version.base.h.name, it.merged.err)
 }
 
-// Close ends the iteration. It is optional: the iterator holds no resources except those of its snapshot.
+// Close ends the iteration. It is optional: the iterator holds only the resources of its snapshot.
 func (it *Iterator) Close() { it.valid = false }
--- a/internal/store/space.go
+++ b/internal/store/space.go
@@ -9,8 +9,8 @@
 	"ospreypond/internal/store/plan"
 )
 
-// namesSpace is the number of the space whose records describe all other spaces: the key is a space's name, the value its
-// spaceRecord.
+// namesSpace is the number of the space that describes all other spaces. Its records have a space's name as the key and
+// the space's spaceRecord as the value.
 const namesSpace = 0
 
 // Retention limits which records a space retains. A zero field sets no limit. Records expire oldest first, about a segment
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -16,8 +16,8 @@
 	ReadOnly    string `json:"read_only,omitempty"` // why the store is read-only; empty: it accepts writes
 }
 
-// Stats returns the store's figures. It reads those of the manifest before those of the index, so commits and passes may
-// come between the two.
+// Stats returns the store's figures. It reads the manifest before the index, so commits and passes may happen between
+// the two reads.
 func (s *Store) Stats() Stats {
 	s.manMu.Lock()
 	st := Stats{Segments: len(s.man.Segments), Passes: s.passes.Load(), Durable: s.durable.Load(),
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -7,7 +7,7 @@
 //     of their commits, and no part of any other.
 //   - By default Commit returns when the batch is on disk (fdatasync). Batches that wait at the same time share one sync.
 //   - With Options.SyncEvery, Commit returns when the operating system has the batch, and a sync follows within that
-//     time. A crash of the process loses nothing. A power failure may lose the commits of about the last SyncEvery, and
+//     time. A crash of the process loses no commit. A power failure may lose the commits of about the last SyncEvery, and
 //     still leaves a prefix. Sync waits until every earlier commit is on disk.
 //   - A commit that failed because the disk is full has no effect, and later ones may succeed. After a failed sync the
 //     store rejects writes (ErrReadOnly): which of the last commits are on disk is known only when it is opened again.
@@ -28,7 +28,7 @@
 //
 // # Design
 //
-// The writer appends commits to a log of segments, in which the values stay. The index maps each key to the location of its
+// The writer appends commits to a log of segments. The values stay there. The index maps each key to the location of its
 // value. Its newest entries are in memory, in B-trees, and the rest is in one sorted table on disk. A compaction pass
 // rewrites that table from time to time, and copies the live records out of segments that are mostly garbage. The log
 // follows Kreps' and Bitcask's; the separation of keys and values follows WiscKey's.
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// turnReadOnly makes the store reject writes from now on, and returns the error for the write that failed. action says what
-// the store did when err came. Err returns the first cause only.
+// turnReadOnly makes the store reject writes from now on, and returns the error for the write that failed. action says
+// which operation of the store failed with err. Err returns the first cause only.
 func (s *Store) turnReadOnly(action string, err error) error {
 	e := fmt.Errorf("%w: %s: %w", ErrReadOnly, action, err)
 	if s.fault.CompareAndSwap(nil, &e) {
@@ -181,7 +181,7 @@
 	return s.writer.runInWriter(func() error { return s.writer.sync(s) })
 }
 
-// Compact runs compaction passes until they find nothing more to rewrite, or until maxIdlePasses passes in a row have not
+// Compact runs compaction passes until no work is left for a pass, or until maxIdlePasses passes in a row have not
 // made the store smaller. Commits and reads continue at the same time. If ctx is done first, Compact returns its error.
 func (s *Store) Compact(ctx context.Context) error {
 	smallest := s.Stats().Bytes
@@ -220,7 +220,7 @@
 		err = s.Sync()
 		if err == nil && s.writer.unindexed.Load() > maxCloseTail {
 			if s.limiter != nil {
-				s.limiter.SetLimit(rate.Inf) // the limit keeps passes from delaying commits, which matters no more
+				s.limiter.SetLimit(rate.Inf) // the limit protects commits from delays by passes; no commits follow
 			}
 			// The pass only shortens the next Open: the log on disk is complete without it.
 			if _, perr := s.compactor.runPass(s.ctx, s, passOptions{freeze: true, indexOnly: true}); perr != nil {
--- a/internal/store/table/iterator.go
+++ b/internal/store/table/iterator.go
@@ -16,9 +16,9 @@
 	err       error
 }
 
-// Seek returns an Iterator that starts at the first entry whose key is not lower than the given one; the first call of Next
-// advances to it. The Iterator does not use the cache, so that reading the complete table does not evict the blocks that
-// lookups need.
+// Seek returns an Iterator that starts at the first entry with a key not lower than the given key. The first call of Next
+// advances to that entry. The Iterator does not use the cache, so that reading the complete table does not evict the blocks
+// that lookups need.
 func (t *Table) Seek(key []byte) *Iterator {
 	return &Iterator{t: t, nextBlock: max(0, t.find(key)), from: key}
 }
@@ -84,7 +84,7 @@
 	return true
 }
 
-// Entry returns the current entry, whose key is valid until the next call of Next.
+// Entry returns the current entry. Its key is valid until the next call of Next.
 func (it *Iterator) Entry() Entry { return it.entry }
 
 // Err returns the error that ended the iteration early, or nil.
--- a/internal/store/table/table.go
+++ b/internal/store/table/table.go
@@ -192,8 +192,8 @@
 	return from, int64(binary.LittleEndian.Uint64(t.rows[n*rowSize+4:]))
 }
 
-// find returns the only block that may have the key: the last one whose first key is not higher. It returns -1 if the key is
-// lower than that of the first block.
+// find returns the only block that may have the key: the last block with a first key not higher than key. It returns -1 if
+// key is lower than the first key of the first block.
 func (t *Table) find(key []byte) int {
 	return sort.Search(t.blocks, func(i int) bool { return bytes.Compare(t.firstKey(i), key) > 0 }) - 1
 }
--- a/internal/store/throttled_file.go
+++ b/internal/store/throttled_file.go
@@ -7,7 +7,8 @@
 )
 
 // throttledFile writes a file sequentially, in chunks of about chunkBytes, at a limited rate. It syncs after every
-// bytesPerSync bytes: one large sync at the end would delay the commits whose syncs queue up behind it in the disk.
+// bytesPerSync bytes: one large sync at the end would delay commits, as their syncs would wait behind it in the disk's
+// queue.
 type throttledFile struct {
 	throttle func(n int) error // waits until n more bytes may be written; nil: no limit
 	f        vfs.File
@@ -22,7 +23,7 @@
 	bytesPerSync = 1 << 20   // bytes written between two syncs
 )
 
-// Write appends to the file. It buffers bytes until there are chunkBytes of them.
+// Write appends to the file. It writes to the file when chunkBytes or more are buffered.
 func (p *throttledFile) Write(b []byte) (int, error) {
 	p.buf = append(p.buf, b...)
 	if len(p.buf) >= chunkBytes {
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -32,7 +32,7 @@
 // unref drops a reference and closes the file if it was the last one.
 func (h *handle) unref() {
 	if h.refs.Add(-1) == 0 {
-		_ = h.f.Close() // an error loses nothing: the file was only read, or its writer synced it
+		_ = h.f.Close() // a failed close loses no data: the file was only read, or its writer synced it
 	}
 }
 
@@ -44,7 +44,7 @@
 }
 
 // version is the part of the store below the uppermost layer at one time: a frozen layer, the table and the segments. It is
-// immutable. It keeps its files open as long as there is a reference to it.
+// immutable. It keeps its files open until its last reference is dropped.
 type version struct {
 	frozen   *layer             // the layer that the next pass merges into a new table; nil: none
 	base     *baseTable         // nil: no pass has written a table yet
@@ -157,8 +157,8 @@
 	return value, nil
 }
 
-// swap replaces the version that readers get. It calls next with s.mu locked and the present version. next returns the new
-// version with one reference, which becomes the store's. swap then drops the store's reference to the old version.
+// swap replaces the version that readers get. It calls next with the current version while s.mu is locked. next returns the
+// new version with one reference, which becomes the store's. swap then drops the store's reference to the old version.
 func (s *Store) swap(next func(v *version) *version) {
 	s.mu.Lock()
 	old := s.version
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -1,9 +1,10 @@
 // Package vfs is the interface through which the durable store and the replicated log use the file system. It has few calls,
-// so that tests can make each of them fail, write only a part, or lose its effect in a crash. OS is the operating system's
+// so that tests can make each call fail, write only a part, or lose its effect in a crash. OS is the operating system's
 // file system; package vfstest has one in memory that loses unsynced changes.
 //
 // To make changes durable, callers Sync a file after they wrote to it, and SyncDir a folder after they created, renamed or
-// removed a name in it. An FS is safe for use by several goroutines. Errors about a missing name match fs.ErrNotExist.
+// removed a name in the folder. An FS is safe for use by several goroutines. Errors about a missing name match
+// fs.ErrNotExist.
 package vfs
 
 import (
@@ -23,8 +24,9 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Sync returns when all earlier writes and truncations are on disk. After an error it is unknown which of them are. The
-	// kernel may have marked the pages clean without writing them, so a second call that succeeds proves nothing.
+	// Sync returns when all earlier writes and truncations are on disk. After an error the state on disk is unknown. The
+	// kernel may have marked the pages clean without writing them, so a successful second call does not prove that they
+	// are on disk.
 	Sync() error
 	// Truncate sets the file's size in bytes. If that makes the file longer, the new part is zeros.
 	Truncate(size int64) error
@@ -118,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // opened for reading: an error loses nothing
+	defer func() { _ = f.Close() }() // the file was only read, so a failed close loses no data
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
--- a/internal/store/vfs/vfstest/file.go
+++ b/internal/store/vfs/vfstest/file.go
@@ -9,7 +9,7 @@
 type inode struct {
 	visible []byte   // content as processes read it
 	durable []byte   // content on disk, as of the last sync
-	pending []change // changes since the last sync; a crash keeps any part of them
+	pending []change // changes since the last sync; a crash keeps any of them, and any part of a write
 }
 
 // change is a write of data at offset off, or if data is nil, a truncation to off bytes.
--- a/internal/store/vfs/vfstest/mem.go
+++ b/internal/store/vfs/vfstest/mem.go
@@ -15,7 +15,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// ErrCrashed is returned by the calls of a file system whose power is off.
+// ErrCrashed is returned by calls of a file system after its power failed (Fault.PowerOff) or after Crash.
 var ErrCrashed = errors.New("power is off")
 
 // Call describes a call of the file system that changes something or makes changes durable.
@@ -93,8 +93,9 @@
 	return m.calls
 }
 
-// Crash returns the file system that a power failure leaves. It has all synced changes. Of the unsynced ones rnd chooses:
-// none, all, or any of them, and then of each write any contiguous part. From then on m itself returns ErrCrashed.
+// Crash returns the file system that a power failure leaves. It has all synced changes. Of the unsynced
+// changes rnd chooses none, all or some. If it chooses some, it keeps any contiguous part of each chosen write. From then on
+// m itself returns ErrCrashed.
 func (m *Mem) Crash(rnd *rand.Rand) *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -274,7 +275,7 @@
 	return nil
 }
 
-// SyncDir makes all directory entries durable, also those of other folders.
+// SyncDir makes all directory entries durable, including the entries of other folders.
 func (m *Mem) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -286,7 +287,8 @@
 	return nil
 }
 
-// Lock takes a lock, which lasts until it is closed or EndProcess is called. What Crash returns has no locks.
+// Lock takes a lock, which lasts until it is closed or EndProcess is called. The file system that Crash returns has no
+// locks.
 func (m *Mem) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -62,7 +62,7 @@
 // Commit applies a batch and returns its sequence number, which is one higher than the previous batch's. Once it returns,
 // readers see the batch. It is also on disk by then, unless Options.SyncEvery is set. After an error the batch has had no
 // effect, except after ErrReadOnly: then only opening the store again shows whether it took effect. For an empty batch
-// Commit writes nothing and returns the number of the last commit.
+// Commit does not write; it returns the sequence number of the last commit.
 func (s *Store) Commit(b *Batch) (uint64, error) {
 	if err := b.check(); err != nil {
 		return 0, err
@@ -169,7 +169,7 @@
 	}
 }
 
-// awaitGroup waits for the callers whose commits were just acknowledged to commit again, so that they share the next sync.
+// awaitGroup waits after a group was acknowledged, until its callers commit again, so that they share the next sync.
 // Without the wait, concurrent callers split into two halves: each half waits for the other's sync and then for its own,
 // which takes two syncs where one would do. awaitGroup waits only if the last group had several commits, and no longer than
 // half the mean duration of a sync or maxGroupWait.
@@ -236,7 +236,7 @@
 	<-done
 }
 
-// takeGroup returns an empty slice for a group: one that the applier has finished with, or nil.
+// takeGroup returns an empty slice for a group: a slice that the applier has released, or nil.
 func (w *writer) takeGroup() []*request {
 	select {
 	case g := <-w.freeGroups:
