--- a/internal/dispatcher/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -96,7 +96,7 @@
 	return req, nil
 }
 
-// statusOutcome returns the outcome of an attempt whose response has a status other than 200. Only the header
+// statusOutcome returns the outcome of an attempt after a response with a status other than 200. Only the header
 // X-Not-Processed: 1 on a 503 or 504 says that the request never ran.
 func statusOutcome(resp *http.Response) policy.Outcome {
 	busy := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
--- a/internal/dispatcher/egress/attempt_test.go
+++ b/internal/dispatcher/egress/attempt_test.go
@@ -56,7 +56,7 @@
 const doneLine = `{"id":"id","from":"w","state":"done","result":"r"}`
 
 // The coordinator's Begin is called after the dial, right before the first byte. If it returns an error, no byte is
-// written: neither for a revoked attempt nor for one that is too late.
+// written: neither for a revoked attempt nor for a late one.
 func TestFirstByteIsGatedByTheCoordinator(t *testing.T) {
 	for _, refusal := range []error{coordinator.ErrRevoked, coordinator.ErrTooLate} {
 		got := make(chan int, 1)
@@ -106,10 +106,10 @@
 
 func nothing(net.Conn) {}
 
-// badResponses are responses that give the client no result, by what is wrong with them.
+// badResponses are responses that give the client no result. The keys describe their faults.
 var badResponses = map[string]struct {
 	text   string
-	then   func(net.Conn) // what the runner does after the text
+	then   func(net.Conn) // the runner's action after the text
 	want   policy.Outcome // of the attempt
 	reused bool           // the response is complete, so its connection may stay open
 }{
@@ -204,7 +204,7 @@
 
 // A second response to a request is not taken for the response to the next request on the connection, whether it arrives
 // together with the first response or some milliseconds later. The worst case is a second response that says "not
-// processed": the next request would count as never run although it ran.
+// processed": the dispatcher would then treat the next request as never run although it ran.
 func TestSecondResponseIsNotTakenForTheNextRequest(t *testing.T) {
 	for name, first := range map[string]string{"a result": chunked(true, doneLine), "a rejection": rejection} {
 		for _, delay := range []time.Duration{0, 5 * time.Millisecond, 20 * time.Millisecond} {
@@ -226,8 +226,9 @@
 	}
 }
 
-// Bytes that a runner writes on a new connection before the request are no response to it. If they were a rejection, the
-// request written right after them would count as never run. So the request is not written to this connection.
+// Bytes that a runner writes on a new connection before the request are no response to it. If they were a rejection,
+// the dispatcher would treat the request written right after them as never run. So the request is not written to this
+// connection.
 func TestResponseBeforeTheRequestIsIgnored(t *testing.T) {
 	mine, theirs := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
--- a/internal/dispatcher/egress/call.go
+++ b/internal/dispatcher/egress/call.go
@@ -16,9 +16,10 @@
 	"ospreypond/policy"
 )
 
-// maxDials is how many connections are opened for one request, as long as each is refused or breaks before the request
-// was written completely. With one dial only, a network that resets single connections would make healthy runners look
-// as if they were down. A runner that is down refuses all of the dials at once, so they delay its detection little.
+// maxDials is the maximum number of connections opened for one request. A further one is opened only while the request was
+// certainly not written completely, see mayRedial. With one dial only, a network that resets single connections would make
+// healthy runners look as if they were down. A runner that is down refuses all of the dials at once, so they delay its
+// detection little.
 const maxDials = 3
 
 // unrepeatableBody returns a request body that http.Transport cannot resend on its own. A transport silently resends a
@@ -27,7 +28,7 @@
 // The transport recognizes the body's type as being in memory, and therefore writes headers and body in one write.
 func unrepeatableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
-// call is one request to a target. It tries one connection after another until the request was written to one of them.
+// call is one request to a target. It tries connections in turn until the request is written to one.
 type call struct {
 	e         *Egress
 	isJob     bool          // false: a probe
@@ -41,12 +42,12 @@
 }
 
 // do sends a request and returns its response. The caller cancels ctx. build makes the request for a base URL. gate is
-// called right before the first byte is written, with the connection's lock held; if it returns an error, nothing is
+// called right before the first byte is written, with the connection's lock held; if it returns an error, no byte is
 // written.
 //
-// do tries another connection, as long as mayRedial allows it, in three cases: a reused connection was idle for too long,
-// stray bytes were read on it, or the connection broke before the request's last byte was written. A runner doesn't run an
-// incomplete request, so do never causes a request to run twice.
+// do tries another connection, if mayRedial allows it, in four cases: the dial was refused or reset, a reused connection was
+// idle for too long, stray bytes were read on the connection, or it broke before the request's last byte was written. A
+// runner doesn't run an incomplete request, so do never causes a request to run twice.
 func (c *call) do(ctx context.Context, target string, gate func() error,
 	build func(ctx context.Context, base string) (*http.Request, error)) (*http.Response, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -139,7 +140,7 @@
 	return gateErr != nil && !errors.Is(gateErr, errIdleTooLong) && !errors.Is(gateErr, errStray)
 }
 
-// gateError returns the error for which the gate kept the request from its connection, or nil.
+// gateError returns the gate's error if the gate kept the request from its connection, or nil.
 func (c *call) gateError() error {
 	if own := c.connection(); own != nil {
 		return own.gateError()
--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -27,7 +27,7 @@
 
 // conn is a connection to a target that records which bytes of the current request were written. It prevents three
 // mistakes that http.Transport doesn't show:
-//   - A request counts as unsent although its last byte was written.
+//   - The dispatcher treats a request as unsent although its last byte was written.
 //   - A request is written after its target began to drain, because the dial took long.
 //   - A second response to the previous request is taken for the response to the current one.
 type conn struct {
@@ -85,8 +85,8 @@
 	return n, err
 }
 
-// Write writes to the socket. Before the first byte of a request it checks for stray bytes and calls the gate; if either
-// fails, it writes nothing.
+// Write writes to the socket. Before the first byte of a request it checks for stray bytes and calls the gate; if there are
+// stray bytes or the gate returns an error, it writes no byte.
 func (c *conn) Write(b []byte) (int, error) {
 	quiet := c.waitQuiet()
 	c.mu.Lock()
@@ -112,7 +112,7 @@
 
 // waitQuiet waits before the first byte of a request is written to a reused connection: first until the quarantine after
 // a job's response has passed, then until the transport is in Read. It reports whether the transport was in Read within
-// quietTimeout. Read records as stray what arrives during the wait.
+// quietTimeout. Read records bytes that arrive during the wait as stray.
 func (c *conn) waitQuiet() bool {
 	c.mu.Lock()
 	first, afterJob := c.gate != nil && c.reused, c.previousWasJob
@@ -139,7 +139,8 @@
 
 // abandon closes the connection and reports whether the last byte of request requestNo was certainly never written. It
 // closes before it looks at the counts, as Close ends a write in progress and prevents any other. If the next request
-// has begun on the connection, request requestNo has its complete response: then abandon does nothing and returns false.
+// has begun on the connection, request requestNo has its complete response. Then abandon leaves the connection open and
+// returns false.
 func (c *conn) abandon(requestNo int) (unsent bool) {
 	c.mu.Lock()
 	other := c.requestNo != requestNo
--- a/internal/dispatcher/egress/egress_test.go
+++ b/internal/dispatcher/egress/egress_test.go
@@ -45,7 +45,7 @@
 	return l
 }
 
-// serveHTTP starts a runner whose requests handler serves, and returns its address.
+// serveHTTP starts a runner that serves requests by handler, and returns its address.
 func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	l := newListener(t)
@@ -98,7 +98,7 @@
 	assert.Zero(t, <-got, "bytes at a draining runner")
 }
 
-// An attempt whose request was written counts as a reset when the connection breaks, never as unsent. Headers and body
+// If the connection breaks after the request was written, the attempt ends as a reset, never as unsent. Headers and body
 // are written in one write. When they were written separately, a runner that closed after the headers made the outcome
 // unsent in some runs and reset in others.
 func TestBreakAfterTheRequestIsAReset(t *testing.T) {
@@ -131,7 +131,7 @@
 }
 
 // Some runners drop idle connections earlier than the settings say, without notice. After a reused connection broke, only
-// connections that were idle for a shorter time are reused, and attempts skip the others without resending anything.
+// connections that were idle for a shorter time are reused. Attempts skip the longer idle ones without resending a request.
 func TestIdleLimitIsLearnedFromBrokenConnections(t *testing.T) {
 	e, _ := testEgress(t, runServer(t, respondOnce))
 	require.Equal(t, policy.OK, attemptOnce(context.Background(), e, nil).Outcome)
@@ -157,7 +157,7 @@
 	assert.Equal(t, k.configured, k.at(now.Add(time.Hour)))
 }
 
-// brokenWriter is a connection on which nothing can be written.
+// brokenWriter is a connection that fails all writes.
 type brokenWriter struct{ net.Conn }
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, syscall.ECONNRESET }
@@ -256,7 +256,7 @@
 	assert.LessOrEqual(t, arrived.Load(), mayHaveRun.Load(), "a request reached the runner though its attempt's outcome says that it never ran")
 }
 
-// An attempt whose request was written and gets no response ends as timed out at its deadline.
+// If a written request gets no response, the attempt ends as timed out at its deadline.
 func TestTimeout(t *testing.T) {
 	addr := runServer(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 	e, _ := testEgress(t, addr)
--- a/internal/dispatcher/egress/response.go
+++ b/internal/dispatcher/egress/response.go
@@ -14,14 +14,14 @@
 	"ospreypond/policy"
 )
 
-// The limits are above what the protocol allows: no body in it exceeds 64 KiB.
+// The limits are higher than the protocol's: it allows bodies of at most 64 KiB.
 const (
 	maxLine     = 128 << 10 // bytes in one line of a response, or in the body of a load report
 	maxResponse = 256 << 10 // bytes in the body of a response
 )
 
-// responseLine is one line of a response's body, a JSON object. A runner sends several: lines that report progress, then
-// the one that ends the attempt.
+// responseLine is one line of a response's body, a JSON object. A runner sends lines that report progress, then a line
+// that ends the attempt.
 type responseLine struct {
 	ID     string             `json:"id"`
 	State  string             `json:"state"`
@@ -29,7 +29,7 @@
 	Load   map[string]float64 `json:"load"`
 }
 
-// result returns the bytes that the client gets: the value of a JSON string, any other JSON value as it was written.
+// result returns the bytes that the client gets: the value of a JSON string, or the unchanged text of any other JSON value.
 func (l *responseLine) result() []byte {
 	var s string
 	if json.Unmarshal(l.Result, &s) == nil {
--- a/internal/dispatcher/ingress/client.go
+++ b/internal/dispatcher/ingress/client.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	// maxEarlyBytes is how many bytes are kept of those that a client sends before it has the response to its complete
-	// request. If it sends more, they are dropped and the connection is closed after that response. Clients normally
-	// send one request at a time, so such bytes are rare. The bound must be small enough for the early bytes of all
+	// A client may send bytes before it has the response to its complete request. maxEarlyBytes is how many of these early
+	// bytes are kept. If the client sends more, they are dropped and the connection is closed after that response. Clients
+	// normally send one request at a time, so such bytes are rare. The bound must be small enough for the early bytes of all
 	// connections together to fit in the smallest memory limit.
 	maxEarlyBytes = 2 * maxHead
 	// lingerTimeout and maxLingerBytes bound how long a lingering close waits for the client to close its side, and how
@@ -66,7 +66,7 @@
 func formatRetryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
 // clientConn is a client's connection. Close closes it in three steps (a lingering close, RFC 9112, 9.6): it shuts down
-// the sending side, reads and drops what still arrives until the client closes its side, and closes the socket. If a
+// the sending side, reads and drops the remaining bytes until the client closes its side, and closes the socket. If a
 // socket is closed with unread bytes, the kernel sends a reset, and the reset can destroy a response that the client has
 // not read yet.
 type clientConn struct {
@@ -212,8 +212,8 @@
 	}
 }
 
-// startHandling records that the handler has a request, and reports whether a chunked body of the request may be read,
-// according to framing, which saw the head as it was sent.
+// startHandling records that the handler has a request, and reports whether a chunked body of the request may be read.
+// framing decides this from the raw head.
 func (k *clientConn) startHandling() (chunked bool) {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -221,7 +221,7 @@
 	return k.framing.nextVerdict()
 }
 
-// setReadingBody sets whether the handler is reading the request's body. Meanwhile gapTimeout applies to the reads.
+// setReadingBody sets whether the handler is reading the request's body. While it is, gapTimeout applies to the reads.
 func (k *clientConn) setReadingBody(reading bool) {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -229,8 +229,8 @@
 }
 
 // claim reports whether the handler may forward the request that it has read. It may not if the close began before. Then
-// the request counts as never read, as the client sees a closed connection or an error and may send it elsewhere. After
-// a claim the listener doesn't close the connection until the request has its response.
+// the handler must treat the request as never read: the client sees a closed connection or an error and may send the
+// request elsewhere. After a claim the listener doesn't close the connection until the request has its response.
 func (k *clientConn) claim() bool {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
@@ -280,9 +280,9 @@
 	_ = k.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// giveUpReason returns the reason for which the request that was begun on the connection is given up when the connection
-// ends. ok is false if no request was begun, or if the handler has it and counts it. by is the listener's reason for the
-// close; empty: none. The caller holds listener.mu.
+// giveUpReason returns why the request that was begun on the connection is given up when the connection ends. ok is false
+// if no request was begun, or if the handler has the request and counts it. by is the listener's reason for the close;
+// empty: none. The caller holds listener.mu.
 func (k *clientConn) giveUpReason(by string) (reason string, ok bool) {
 	switch {
 	case k.handled || !k.requestBegun:
@@ -353,7 +353,8 @@
 	return k.closeSocket()
 }
 
-// linger reads and drops what the client still sends until it closes its side, within lingerTimeout and maxLingerBytes.
+// linger reads and drops the client's remaining bytes until the client closes its side, within lingerTimeout and
+// maxLingerBytes.
 func (k *clientConn) linger() {
 	_ = k.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	buf := make([]byte, 512)
--- a/internal/dispatcher/ingress/closing_test.go
+++ b/internal/dispatcher/ingress/closing_test.go
@@ -22,7 +22,7 @@
 // fullRequest is a request without a body.
 const fullRequest = head + "Content-Length: 0\r\n\r\n"
 
-// hookedListener is a listener whose connections call afterRead after each read of bytes from the socket.
+// hookedListener is a listener. Its connections call afterRead after each read of bytes from the socket.
 type hookedListener struct {
 	net.Listener
 	afterRead atomic.Pointer[func()] // nil: no function is called
@@ -155,7 +155,7 @@
 			_, err := io.WriteString(c, fullRequest)
 			require.NoError(t, err)
 			<-read
-			s.listener.Load().setDraining(true, time.Now().Add(quietTimeout)) // a new connection counts as quiet for long enough then
+			s.listener.Load().setDraining(true, time.Now().Add(quietTimeout)) // at that time a new connection has been quiet for long enough
 			at.afterRead.Store(nil)
 			close(closing)
 			assertClosedCleanly(t, from)
@@ -296,11 +296,11 @@
 	assert.Equal(t, http.StatusOK, readResponse(t, one).status)
 }
 
-// noRetryAfter is the retryAfter of a listener whose responses have no Retry-After.
+// noRetryAfter is the retryAfter of a listener that sends no Retry-After in its responses.
 func noRetryAfter() time.Duration { return 0 }
 
 // Clients that never close their side keep each connection for lingerTimeout at most, and at most maxLingering connections
-// together. Other clients are served meanwhile.
+// together. Other clients are served during that time.
 func TestLingeringIsBounded(t *testing.T) {
 	s, _, _, _ := serveHooked(t)
 	addr := s.addr(t)
--- a/internal/dispatcher/ingress/deadline.go
+++ b/internal/dispatcher/ingress/deadline.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// The time that a client has to send a request. Mainly the gap between two reads counts, not the total. So a client that
-// sends slowly in small parts has time as long as the parts keep arriving, and a client that stops is closed soon.
+// These timeouts bound the time that a client has to send a request. The short ones bound the gap between two reads, not
+// the total. So a client may send slowly in small parts, and the connection of a client that stops sending is closed soon.
 const (
 	// firstByteTimeout is the time from the accept of a connection to its first byte. Some clients take 2 s before they
 	// send, and the platform expects a connection without any byte to be closed within 3 s.
@@ -16,8 +16,8 @@
 )
 
 // SetReadDeadline records the read deadline that net/http sets, and sets it on the socket. applyDeadline combines it with
-// this package's timeouts. Once the close has begun, SetReadDeadline does nothing, as startClose and linger have set a
-// deadline that must stay.
+// this package's timeouts. Once the close has begun, SetReadDeadline does nothing, because the deadline that startClose or
+// linger has set must stay.
 func (k *clientConn) SetReadDeadline(t time.Time) error {
 	k.listener.mu.Lock()
 	defer k.listener.mu.Unlock()
--- a/internal/dispatcher/ingress/deadline_test.go
+++ b/internal/dispatcher/ingress/deadline_test.go
@@ -13,7 +13,7 @@
 	"ospreypond/internal/dispatcher/coordinator"
 )
 
-// A client that sends in small parts is served as long as the parts keep arriving, as the timeouts apply to the gaps. A
+// A client that sends in small parts is served while the parts keep arriving, as the timeouts apply to the gaps. A
 // client that takes 2 s before its first byte is served too. A client that stops within a request gets a response that
 // says whether the head or the body is incomplete.
 func TestReadTimeoutsApplyToGapsBetweenBytes(t *testing.T) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// The connection with the longest time since its last byte is evicted first. So connections that send nothing are evicted
-// before the connection of a client that sends slowly in small parts.
+// The connection with the longest time since its last byte is evicted first. So silent connections are evicted before the
+// connection of a client that sends slowly in small parts.
 func TestSlowWriterIsNotEvictedBeforeQuietConnections(t *testing.T) {
 	const sockets = 4
 	s, _ := testServer(sockets, func(_ context.Context, r *coordinator.Request) coordinator.Response {
@@ -65,7 +65,7 @@
 	})
 	addr := listen(t, s)
 	const text = head + "Content-Length: 2\r\n\r\nok"
-	for range 3 * sockets { // connections that send nothing
+	for range 3 * sockets { // silent connections
 		dial(t, addr, "")
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -73,7 +73,7 @@
 	slow, from := dial(t, addr, text[:10])
 	for i := 10; i < len(text); i += 10 {
 		time.Sleep(minQuietToEvict / 2)
-		dial(t, addr, "") // sends nothing; another connection is evicted for it
+		dial(t, addr, "") // a silent connection; the listener evicts an open one to accept it
 		_, err := io.WriteString(slow, text[i:min(i+10, len(text))])
 		require.NoError(t, err)
 	}
--- a/internal/dispatcher/ingress/drain.go
+++ b/internal/dispatcher/ingress/drain.go
@@ -8,7 +8,7 @@
 
 const (
 	// After Drain, connections without a request are closed again every sweepInterval, maxSweeps times. Once isn't
-	// enough: the load balancer still sends new connections for a while, and clients may open one and send nothing.
+	// enough: the load balancer still sends new connections for a while, and clients may open one without sending a byte.
 	sweepInterval = 250 * time.Millisecond
 	maxSweeps     = 14
 	// stopSweepInterval is the interval at which Shutdown closes connections without a request. It is short, as
--- a/internal/dispatcher/ingress/framing.go
+++ b/internal/dispatcher/ingress/framing.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// framing parses the bytes of a connection as they are read, only as far as needed to find where each request ends. It
+// framing parses the bytes of a connection as they are read. It parses only enough to find the end of each request. It
 // serves two purposes.
 //
 // It detects request smuggling (RFC 9112, 6.3 and 11.2). net/http removes a Content-Length next to a Transfer-Encoding
@@ -20,7 +20,7 @@
 // refused and its connection closed, so no byte after it is read. The caller holds the listener's lock.
 type framing struct {
 	state      framingState
-	line       []byte // the current line, in lower case, at most maxLine bytes of it
+	line       []byte // the first bytes of the current line, at most maxLine, in lower case
 	tooLong    bool   // the current line is longer than maxLine
 	lines      int    // number of lines of the current head so far
 	length     int64  // the Content-Length of the current head in bytes; -1: none
--- a/internal/dispatcher/ingress/giveup.go
+++ b/internal/dispatcher/ingress/giveup.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The reasons for which a request is given up, which means that it ends before the coordinator sees it. They are used in
-// counts and logs. Each is one of these constants, or badHeaderPrefix with a header's name from the fixed set that
+// Reasons why a request is given up. A request that is given up ends before the coordinator sees it. The reasons are used
+// in counts and logs. Each is one of these constants, or badHeaderPrefix with a header's name from the fixed set that
 // parseHead checks, so clients can't make the set of counters grow.
 const (
 	// The head-* reasons are for a connection that ended, by net/http or the listener, before the handler was called.
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -2,9 +2,9 @@
 // coordinator.Request, and writes one response to each.
 //
 // A caller makes a Server, calls Serve with a listener in a goroutine, and calls Shutdown once the lifecycle is in phase
-// Draining or later. Server's methods may be called from any goroutine. A request for which Submit was called gets the
-// response that Submit returns. Any other request is counted by GiveUps, and it never ran. The server never destroys a
-// response by closing the connection, except when the context of Shutdown ends.
+// Draining or later. Server's methods may be called from any goroutine. If the server calls Submit for a request, the
+// client gets the response that Submit returns. GiveUps counts every other request; such a request never ran. The server
+// never destroys a response by closing the connection, except when the context of Shutdown ends.
 package ingress
 
 import (
@@ -63,7 +63,7 @@
 	sockets      int                          // how many client connections may be open
 	maxBodyBytes int64                        // bounds bodyBytes
 	bodyBytes    atomic.Int64                 // the size of all bodies being served
-	unanswered   atomic.Int64                 // number of requests for which the handler was called and has not returned
+	unanswered   atomic.Int64                 // number of requests in the handler
 	inFlight     atomic.Int64                 // number of requests among them that were read and accepted
 	shedding     atomic.Bool                  // requests are being shed, see shouldShed
 	listener     atomic.Pointer[limitedListener]
@@ -142,7 +142,7 @@
 // shouldShed reports whether the last of n requests in flight is to be shed, as n exceeds maxBusyFraction of the sockets.
 func (s *Server) shouldShed(n int64) bool {
 	limit := maxBusyFraction * float64(s.sockets)
-	if s.shedding.Load() { // hysteresis: the lower limit prevents frequent changes, each of which is logged
+	if s.shedding.Load() { // hysteresis: the lower limit prevents frequent changes; each change is logged
 		limit *= 0.9
 	}
 	shed := float64(n) > limit
@@ -205,7 +205,7 @@
 // serveRequest reads one request, submits it and writes its response. chunked is whether a chunked body may be read.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, chunked bool) {
 	control := http.NewResponseController(w)
-	// The deadline also applies to a body that isn't read here: net/http reads the rest of it before it closes.
+	// The deadline also applies to a body that isn't read here: net/http reads the rest of the body before it closes.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	k, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	if k != nil {
--- a/internal/dispatcher/ingress/ingress_test.go
+++ b/internal/dispatcher/ingress/ingress_test.go
@@ -21,7 +21,7 @@
 	"ospreypond/policy"
 )
 
-// submitFunc is a Submitter whose Submit calls the function.
+// submitFunc is a Submitter. Its Submit calls the function.
 type submitFunc func(ctx context.Context, r *coordinator.Request) coordinator.Response
 
 func (f submitFunc) NotifyEnded(*coordinator.Request, coordinator.Response) {}
@@ -281,8 +281,9 @@
 	assert.Zero(t, s.bodyBytes.Load())
 }
 
-// Connections that send nothing can't shut out other clients: the one that has been quiet for the longest time is evicted
-// for a new one. Connections with a request in the handler are not evicted, nor an idle one while there are quiet ones.
+// Silent connections can't shut out other clients: to accept a new connection, the listener evicts the connection that has
+// been quiet for the longest time. Connections with a request in the handler are not evicted, nor an idle one while there
+// are quiet ones.
 func TestQuietConnectionsAreEvictedFirst(t *testing.T) {
 	const sockets = 4
 	responses := make(chan coordinator.Response)
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -12,19 +12,19 @@
 )
 
 // minQuietToEvict is how long after its last byte, or its accept, a connection without a complete request can't be
-// evicted. Without it a burst of connections that send nothing could evict a client before its first bytes are read.
+// evicted. Without it a burst of silent connections could evict a client before its first bytes are read.
 const minQuietToEvict = 50 * time.Millisecond
 
 // minIdleToEvict is how long after its last response an idle connection can't be evicted.
 const minIdleToEvict = time.Second
 
-// limitedListener is a listener that keeps at most maxConns connections open at once. To accept another one, it evicts
-// (closes) an open one in this order:
-//  1. among the connections without a complete request, the one with the longest time since its last byte;
-//  2. among the idle connections, the one with the longest time since its last response.
+// limitedListener is a listener that keeps at most maxConns connections open at once. To accept a further connection, it
+// evicts (closes) an open one, chosen in this order:
+//  1. the connection without a complete request that has waited longest since its last byte;
+//  2. the idle connection that has waited longest since its last response.
 //
-// A connection with a request in the handler is never evicted. So connections that send nothing can't shut other clients
-// out. A client whose idle connection was evicted can open another.
+// A connection with a request in the handler is never evicted. So silent connections can't shut other clients out. After
+// the eviction of its idle connection a client can open a new one.
 //
 // mu also guards the state of each clientConn.
 type limitedListener struct {
@@ -39,7 +39,7 @@
 	quiet     list.List // of *clientConn without a complete request, ordered by quietSince
 	idle      list.List // of *clientConn between requests, ordered by quietSince
 	busy      list.List // of *clientConn with a request in the handler
-	lingering list.List // of *clientConn whose close has begun, in the order of the begin
+	lingering list.List // of *clientConn in their close, ordered by the start of the close
 	full      bool      // new connections are refused, as each open one has a request; kept for the log
 	draining  bool      // connections are closed as soon as they are idle
 }
@@ -48,10 +48,10 @@
 	return &limitedListener{Listener: l, maxConns: maxConns, maxLingering: config.MaxLingering(maxConns), retryAfter: retryAfter, giveUps: giveUps, log: log}
 }
 
-// open returns the number of open connections, without those whose close has begun. The caller holds c.mu.
+// open returns the number of open connections, without the connections in their close. The caller holds c.mu.
 func (c *limitedListener) open() int { return c.quiet.Len() + c.idle.Len() + c.busy.Len() }
 
-// Accept returns the next connection as a *clientConn. If maxConns connections are open, it waits until one of them may be
+// Accept returns the next connection as a *clientConn. If maxConns connections are open, it waits until one may be
 // evicted, at most minIdleToEvict at a time.
 func (c *limitedListener) Accept() (net.Conn, error) {
 	for {
@@ -128,8 +128,8 @@
 // closeGracefully closes k by a lingering close, which blocks; it runs in its own goroutine.
 func closeGracefully(k *clientConn) { _ = k.Close() }
 
-// boundLingering closes the sockets of the connections whose close began first, until at most maxLingering are in their
-// close. The caller holds c.mu.
+// boundLingering closes the sockets of connections in their close until at most maxLingering are left. It begins with the
+// connection that has been in its close for the longest time. The caller holds c.mu.
 func (c *limitedListener) boundLingering() {
 	for over := c.lingering.Len() - c.maxLingering; over > 0; over-- {
 		k := c.lingering.Front().Value.(*clientConn)
--- a/internal/dispatcher/ingress/parse.go
+++ b/internal/dispatcher/ingress/parse.go
@@ -17,7 +17,7 @@
 	maxID      = 128       // bytes in X-Request-ID and in Idempotency-Key
 )
 
-// requestError is the reason for which a request is not accepted. The client gets its status and text.
+// requestError says why a request is not accepted. The client gets its status and text.
 type requestError struct {
 	status          int    // of the response
 	header, problem string // header is the name of the invalid header; empty: the problem is not in a header
@@ -71,7 +71,7 @@
 // X-Timeout, which counts from when the request is read completely. chunked is whether a chunked body may be read.
 func (s *Server) parseHead(r *http.Request, chunked bool) (req *coordinator.Request, timeout time.Duration, fault *requestError) {
 	// Prevents request smuggling. A request with Transfer-Encoding may also have a Content-Length, which net/http removes
-	// before it calls the handler. So chunked comes from framing, which saw the head as it was sent.
+	// before it calls the handler. So chunked comes from framing, which parses the raw head.
 	if len(r.TransferEncoding) > 0 && !chunked {
 		return nil, 0, &requestError{http.StatusBadRequest, "Transfer-Encoding",
 			"not allowed together with Content-Length, or the request's head could not be parsed", ambiguousFraming}
@@ -83,7 +83,7 @@
 	if !s.rules.Load().classes[class] {
 		return nil, 0, &requestError{http.StatusNotFound, "", fmt.Sprintf("no class %q", class), unknownClass}
 	}
-	// Runners get the target as it was sent, so it must be one that every parser reads alike.
+	// Runners get the target unchanged, so every parser must read it alike.
 	if r.RequestURI != r.URL.RequestURI() || strings.ContainsAny(r.RequestURI, "#\\") {
 		return nil, 0, &requestError{http.StatusBadRequest, "", "the request target is not a path and query in their normal form", badTarget}
 	}
--- a/internal/dispatcher/ingress/states_test.go
+++ b/internal/dispatcher/ingress/states_test.go
@@ -22,11 +22,11 @@
 // and Check is called after each action.
 type connModel struct {
 	listener *limitedListener
-	all      []*clientConn // each connection that was accepted, also those that are closed
+	all      []*clientConn // all accepted connections, including closed ones
 	now      time.Time     // the simulated time
 }
 
-// pick draws one of the connections for which ok returns true. If there is none, the action is skipped.
+// pick draws a connection that satisfies ok. If there is none, the action is skipped.
 func (m *connModel) pick(t *rapid.T, ok func(k *clientConn) bool) *clientConn {
 	fit := m.where(ok)
 	if len(fit) == 0 {
@@ -35,7 +35,7 @@
 	return rapid.SampledFrom(fit).Draw(t, "connection")
 }
 
-// where returns the connections for which ok returns true.
+// where returns the connections that satisfy ok.
 func (m *connModel) where(ok func(k *clientConn) bool) (fit []*clientConn) {
 	for _, k := range m.all {
 		if ok(k) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Accept lets another connection arrive, for which one may be evicted.
+// Accept lets a further connection arrive. The listener may evict an open one for it.
 func (m *connModel) Accept(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 	busy := m.where(func(k *clientConn) bool { return k.state == stateBusy })
--- a/internal/dispatcher/lifecycle/lifecycle.go
+++ b/internal/dispatcher/lifecycle/lifecycle.go
@@ -60,8 +60,8 @@
 	return l.phase
 }
 
-// Advance enters phase to and reports whether it did. It does nothing if the phase was reached or skipped before, so that a
-// second signal to stop doesn't start a second drain.
+// Advance enters phase to and reports whether it did. It does not enter a phase that was reached or skipped before, so that
+// a second signal to stop doesn't start a second drain.
 func (l *Lifecycle) Advance(to Phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dispatcher/maintenance/disabled.go
+++ b/internal/dispatcher/maintenance/disabled.go
@@ -19,7 +19,7 @@
 	enabledAt map[string]time.Duration // by id: the Unix time of its last Enable, from which on it warms up
 }
 
-// New returns the set of the given ids, which are those that the previous process of this dispatcher had disabled.
+// New returns the set of the given ids: the runners that the previous process of this dispatcher had disabled.
 func New(ids []string) *Disabled {
 	d := &Disabled{disabled: map[string]int{}, enabledAt: map[string]time.Duration{}}
 	for _, id := range ids {
@@ -55,8 +55,8 @@
 // Has reports whether a runner is disabled.
 func (d *Disabled) Has(id string) bool { return d.disabled[id] > 0 }
 
-// Started returns the time at which a runner counts as started: born, its start in discovery's list, or its last Enable if
-// that is later. Operators restart a runner while it is disabled, so it must warm up after Enable.
+// Started returns a runner's start time for its warm-up: born, its start in discovery's list, or its last Enable if that is
+// later. Operators restart a runner while it is disabled, so it must warm up after Enable.
 func (d *Disabled) Started(id string, born time.Duration) time.Duration {
 	if at, ok := d.enabledAt[id]; ok && at > born {
 		return at
--- a/internal/dispatcher/maintenance/disabled_test.go
+++ b/internal/dispatcher/maintenance/disabled_test.go
@@ -50,7 +50,7 @@
 	assert.Equal(t, 3*time.Second, d.Started("s-1", 3*time.Second), "a runner that was never disabled does not warm up")
 }
 
-// An enabled runner counts as started at Enable, unless its listed start is later.
+// The start time of an enabled runner is the time of Enable, unless its listed start is later.
 func TestEnabledRunnerCountsAsStartedNow(t *testing.T) {
 	d := New(nil)
 	require.NoError(t, d.Disable("s-1", true))
--- a/internal/dispatcher/routetable/clock.go
+++ b/internal/dispatcher/routetable/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// The platform's rules say when a dispatcher counts as notified of a change although no call brought it, as in a network
-// partition: noticeAfterSilence after the last response, or noticeAfterHold after the end of the hold of the call in
+// If no call brings a change, as in a network partition, the platform still treats the dispatcher as notified of the change
+// at some time: noticeAfterSilence after the last response, or noticeAfterHold after the end of the hold of the call in
 // progress, whichever is later. The rules apply both where lists are pushed and where they are requested.
 const (
 	noticeAfterSilence = 6 * time.Second
@@ -16,8 +16,8 @@
 	// never end.
 	callSlack = 1500 * time.Millisecond
 	// maxHold is the longest hold of a call, 3.5 s. A call without a response is cancelled after its hold and callSlack,
-	// and so at least a second before the dispatcher counts as notified of the changes that it missed. The second is for
-	// the response to the next call, and for one more call if that one fails.
+	// and so at least a second before the platform treats the dispatcher as notified of the changes that it missed. The
+	// second is for the response to the next call, and for one more call if that one fails.
 	maxHold = noticeAfterSilence - callSlack - time.Second
 )
 
@@ -41,8 +41,8 @@
 // responded records that a list was received.
 func (c *watchClock) responded(now time.Time) { c.lastResponse, c.callStarted = now, time.Time{} }
 
-// noticedAt returns when the dispatcher counts as notified of a change that discovery made right after its last response,
-// if no call brings the change.
+// noticedAt returns when the platform treats the dispatcher as notified of a change that discovery made right after its
+// last response, if no call brings the change.
 func (c *watchClock) noticedAt() time.Time {
 	at := c.lastResponse.Add(noticeAfterSilence)
 	if afterHold := c.callStarted.Add(c.hold + noticeAfterHold); !c.callStarted.IsZero() && c.hold > 0 && afterHold.After(at) {
--- a/internal/dispatcher/routetable/clock_test.go
+++ b/internal/dispatcher/routetable/clock_test.go
@@ -17,8 +17,8 @@
 	"ospreypond/policy"
 )
 
-// The time at which the dispatcher counts as notified of a missed change follows from the last response, the start of the
-// call in progress and its hold.
+// The time when the platform treats the dispatcher as notified of a missed change follows from the last response, the start
+// of the call in progress and the call's hold.
 func TestWhenChangesCountAsNoticed(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	for name, tt := range map[string]struct {
@@ -48,8 +48,8 @@
 	assert.Equal(t, at(9), c.noticedAt(), "before the first response the time counts from the first call")
 }
 
-// A call without a response is cancelled at least a second before the dispatcher counts as notified of the changes that it
-// missed, whatever the holds and responses before.
+// A call without a response is cancelled at least a second before the platform treats the dispatcher as notified of the
+// changes that it missed, whatever the holds and responses before.
 func TestHungCallsEndInTimeForAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c watchClock
@@ -109,8 +109,8 @@
 	assert.Equal(t, fmt.Sprintf("from=3&hold_ms=%d", maxHold.Milliseconds()), <-calls)
 }
 
-// Where lists are pushed, the dispatcher counts as notified of a drain as soon as discovery is reachable again. So during an
-// outage the watch is retried at intervals shorter than the time in which the dispatcher must follow a drain.
+// Where lists are pushed, the platform treats the dispatcher as notified of a drain once discovery is reachable again. So
+// during an outage the watch is retried at intervals shorter than the dispatcher's time limit to follow a drain.
 func TestPushedListIsRetriedWithinTheDrainGrace(t *testing.T) {
 	const grace = 300 * time.Millisecond
 	calls := make(chan time.Time, 1000)
@@ -126,7 +126,7 @@
 	go w.Run(ctx)
 	w.KeepOpen(true)
 	last := <-calls
-	for range 20 { // about 2 s, in which the intervals would grow to about a second without the limit
+	for range 20 { // about 2 s; without the limit the intervals would grow to about a second
 		at := <-calls
 		require.Less(t, at.Sub(last), grace)
 		last = at
--- a/internal/dispatcher/routetable/notifier.go
+++ b/internal/dispatcher/routetable/notifier.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// takeAll empties the queue and returns what was in it.
+// takeAll empties the queue and returns the functions that it held.
 func (n *notifier) takeAll() []func() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/dispatcher/routetable/table.go
+++ b/internal/dispatcher/routetable/table.go
@@ -2,7 +2,7 @@
 // and whether it may get new requests. Watcher keeps the table up to date and translates the lists into events of the
 // decision module.
 //
-// A change is in the table before the module is notified of it. Egress checks Table.Open before the first byte of an
+// The table has a change before the module is notified of the change. Egress checks Table.Open before the first byte of an
 // attempt, so a drain takes effect even while the module is busy.
 package routetable
 
@@ -18,7 +18,7 @@
 // Host is one runner in discovery's list. The JSON keys are discovery's format.
 type Host struct {
 	Host   string `json:"host"`    // the runner's name, the same at all dispatchers
-	Dial   string `json:"dial"`    // the address, host:port, by which this dispatcher reaches the runner
+	Dial   string `json:"dial"`    // the runner's address as seen from this dispatcher, host:port
 	Site   string `json:"site"`    // its zone
 	Class  string `json:"class"`   // the kind of its machine
 	Block  int    `json:"block"`   // its cell
--- a/internal/dispatcher/routetable/watch.go
+++ b/internal/dispatcher/routetable/watch.go
@@ -73,8 +73,8 @@
 	return &endpoint{addr: addr, fetchFull: fetchFull}
 }
 
-// setCancel sets the function by which replace cancels the call in progress; nil: the call has ended. If replace was called
-// before, setCancel cancels the call at once.
+// setCancel sets the function that replace calls to cancel the call in progress; nil: the call has ended. If replace was
+// called before, setCancel cancels the call at once.
 func (p *endpoint) setCancel(cancel context.CancelFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +112,7 @@
 	return w
 }
 
-// SetAddress cancels the call at the old address, if addr is another one, and calls addr at once. It must not be called
+// If addr is a new address, SetAddress cancels the call at the old address and calls addr at once. It must not be called
 // concurrently with itself.
 func (w *Watcher) SetAddress(addr string) {
 	if old := w.endpoint.Load(); old.addr != addr {
@@ -136,8 +136,8 @@
 //     minRetryInterval and at most maxRetryInterval.
 //
 // grace is how long after a notice that a runner drains the dispatcher may still send it requests; 0: there is no such
-// limit. Where lists are pushed, the dispatcher counts as notified as soon as discovery is reachable again after an
-// outage, so it must retry well within grace.
+// limit. Where lists are pushed, the platform treats the dispatcher as notified once discovery is reachable again
+// after an outage, so the dispatcher must retry well within grace.
 func (w *Watcher) SetTimes(hold, grace time.Duration) {
 	p := &callTiming{hold: min(hold, maxHold), maxBackoff: maxRetryInterval}
 	if grace > 0 {
@@ -150,8 +150,8 @@
 func (w *Watcher) FirstList() <-chan struct{} { return w.firstList }
 
 // KeepOpen sets whether the Watcher opens a watch, and reopens it after failures, without Subscribe. This is needed where
-// lists are pushed, as the dispatcher then counts as notified of changes whether it watches or not. Otherwise the decision
-// module starts each watch by Subscribe.
+// lists are pushed, as the platform then treats the dispatcher as notified of changes whether it watches or not. Otherwise
+// the decision module starts each watch by Subscribe.
 func (w *Watcher) KeepOpen(on bool) {
 	if w.keepOpen.Swap(on) != on && on {
 		w.Subscribe()
--- a/internal/dispatcher/script/call.go
+++ b/internal/dispatcher/script/call.go
@@ -146,12 +146,12 @@
 
 // Defaults and bounds of the arguments of fleet(...).
 const (
-	// The time between two probes. In the fleet's protocol a response must arrive within a sixth of it.
+	// The time between two probes. In the fleet's protocol a response must arrive within a sixth of this time.
 	defaultInterval = 500 * time.Millisecond
 	minInterval     = 50 * time.Millisecond
 	maxInterval     = time.Minute
-	// The lease, the time that a proof of a dispatcher's death is valid, in intervals. It must be longer than the time in
-	// which a proof spreads through the fleet.
+	// The lease, the time that a proof of a dispatcher's death is valid, in intervals. It must be longer than the time
+	// that a proof takes to spread through the fleet.
 	defaultLeaseIntervals = 15
 	minLeaseIntervals     = 6
 
--- a/internal/dispatcher/script/duration.go
+++ b/internal/dispatcher/script/duration.go
@@ -24,7 +24,7 @@
 // Type returns the name of the type in scripts.
 func (d Duration) Type() string { return "duration" }
 
-// Freeze does nothing: a duration never changes.
+// Freeze has no effect, because a duration never changes.
 func (d Duration) Freeze() {}
 
 // Truth reports whether the duration is not 0.
--- a/internal/dispatcher/script/settings.go
+++ b/internal/dispatcher/script/settings.go
@@ -26,8 +26,8 @@
 type Fleet struct {
 	Name   string // the name of the fleet, not of the dispatcher
 	Listen string // ip:port of this dispatcher's UDP socket
-	// Advertise is the ip:port by which other dispatchers reach this one's socket; by default it is Listen. Roster and
-	// Seeds have the Advertise addresses of dispatchers.
+	// Advertise is the ip:port of this dispatcher's socket as other dispatchers reach it; by default it is Listen. Roster
+	// and Seeds have the Advertise addresses of dispatchers.
 	Advertise string
 	Seeds     []string      // the dispatchers through which this one joins the fleet; if empty, those in Roster
 	Key       string        // the fleet's shared secret
--- a/internal/dispatcher/simulator/fields.go
+++ b/internal/dispatcher/simulator/fields.go
@@ -35,7 +35,8 @@
 	return false
 }
 
-// toEnd extends the current value to the end of the line. It is for a line's last field, whose text may contain tabs.
+// toEnd extends the current value to the end of the line. It is for a line's last field, as the text of that field may
+// contain tabs.
 func (f *fields) toEnd() {
 	if len(f.rest) > 0 {
 		f.val = append(append(bytes.Clone(f.val), '\t'), f.rest...)
--- a/internal/dispatcher/simulator/wire.go
+++ b/internal/dispatcher/simulator/wire.go
@@ -39,7 +39,7 @@
 }
 
 // Serve reads batches from r and writes the response to each to w, until r ends. A malformed line or an incomplete batch is
-// an error. Nothing else may use r and w meanwhile.
+// an error. The caller must not use r or w until Serve returns.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<18), byName: map[string]*instance{}, intern: map[string]string{}}
 	for {
@@ -62,7 +62,7 @@
 }
 
 // step passes an instance its events and adds its actions to the response, or a line CRASH if the module panics. An instance
-// without actions adds nothing.
+// without actions adds no line.
 func (s *server) step(i *instance, now time.Duration) {
 	i.inBatch = false
 	if i.d == nil || len(i.events) == 0 {
--- a/internal/dispatcher/traffic/record.go
+++ b/internal/dispatcher/traffic/record.go
@@ -14,9 +14,9 @@
 	"ospreypond/internal/dispatcher/coordinator"
 )
 
-// Record is one request as it is stored and exported. The JSON keys are part of the format, so they stay although some
-// differ from the fields' names. Times are whole microseconds. A record doesn't contain the request's body, and of its keys
-// only salted hashes: within one store the same key has the same hash.
+// Record is one request in the store and in an export. The JSON keys are part of the format, so they stay although some
+// differ from the fields' names. Times are whole microseconds. A record doesn't contain the request's body, and it
+// has only salted hashes of the request's keys. Within one store the same key has the same hash.
 type Record struct {
 	ArrivedUs   int64  `json:"arrived_us"` // Unix time
 	Class       string `json:"class"`
@@ -58,7 +58,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// newRecord returns a record whose keys are in clear text until hashKeys is called. It retains no part of the request's
+// newRecord returns a record with keys in clear text; hashKeys replaces them by hashes. It retains no part of the request's
 // body.
 func newRecord(e *coordinator.EndedRequest) Record {
 	r := e.Request
--- a/internal/dispatcher/traffic/recorder.go
+++ b/internal/dispatcher/traffic/recorder.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// spaceName is the keyspace of the records, and metaName that of the salt.
+	// spaceName is the keyspace of the records, and metaName the keyspace of the salt.
 	spaceName = "traffic"
 	metaName  = "traffic.meta"
 	saltKey   = "salt"
@@ -158,7 +158,7 @@
 	b.Put(r.space, recordKey(time.UnixMicro(rec.ArrivedUs), r.seq), value)
 }
 
-// flush commits a batch and empties it. After an error its records count as dropped.
+// flush commits a batch and empties it. After an error it counts the batch's records as dropped.
 func (r *Recorder) flush(b *store.Batch) error {
 	if b.Len() == 0 {
 		return nil
--- a/internal/store/roll.go
+++ b/internal/store/roll.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// sealInManifest marks the open segment as sealed and sets its figures. It records all puts as live: only a
-// pass counts the live ones.
+// sealInManifest marks the open segment as sealed and sets its figures. It records all puts as live: only a pass counts
+// the live ones.
 func (w *writer) sealInManifest(m *manifest.Manifest) {
 	for i := range m.Segments {
 		if g := &m.Segments[i]; g.ID == w.segmentID {
--- a/internal/store/vfs/vfstest/mem.go
+++ b/internal/store/vfs/vfstest/mem.go
@@ -93,9 +93,9 @@
 	return m.calls
 }
 
-// Crash returns the file system that a power failure leaves. It has all synced changes. Of the unsynced
-// changes rnd chooses none, all or some. If it chooses some, it keeps any contiguous part of each chosen write. From then on
-// m itself returns ErrCrashed.
+// Crash returns the file system that a power failure leaves. It has all synced changes. Of the unsynced changes rnd
+// chooses none, all or some. If it chooses some, it keeps any contiguous part of each chosen write. From then on m itself
+// returns ErrCrashed.
 func (m *Mem) Crash(rnd *rand.Rand) *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
