--- a/internal/dispatcher/ingress/closing_test.go
+++ b/internal/dispatcher/ingress/closing_test.go
@@ -22,7 +22,7 @@
 // fullRequest is a request without a body.
 const fullRequest = head + "Content-Length: 0\r\n\r\n"
 
-// hookedListener is a listener. Its connections call afterRead after each read of bytes from the socket.
+// hookedListener wraps its connections, so that they call afterRead after each read of bytes from the socket.
 type hookedListener struct {
 	net.Listener
 	afterRead atomic.Pointer[func()] // nil: no function is called
@@ -155,7 +155,7 @@
 			_, err := io.WriteString(c, fullRequest)
 			require.NoError(t, err)
 			<-read
-			s.listener.Load().setDraining(true, time.Now().Add(quietTimeout)) // at that time a new connection has been quiet for long enough
+			s.listener.Load().setDraining(true, time.Now().Add(quietTimeout)) // by then a new connection is quiet for long enough
 			at.afterRead.Store(nil)
 			close(closing)
 			assertClosedCleanly(t, from)
--- a/internal/dispatcher/ingress/ingress_test.go
+++ b/internal/dispatcher/ingress/ingress_test.go
@@ -21,7 +21,7 @@
 	"ospreypond/policy"
 )
 
-// submitFunc is a Submitter. Its Submit calls the function.
+// submitFunc is a function that serves as a Submitter.
 type submitFunc func(ctx context.Context, r *coordinator.Request) coordinator.Response
 
 func (f submitFunc) NotifyEnded(*coordinator.Request, coordinator.Response) {}
--- a/internal/dispatcher/routetable/clock.go
+++ b/internal/dispatcher/routetable/clock.go
@@ -4,7 +4,7 @@
 
 // If no call brings a change, as in a network partition, the platform still treats the dispatcher as notified of the change
 // at some time: noticeAfterSilence after the last response, or noticeAfterHold after the end of the hold of the call in
-// progress, whichever is later. The rules apply both where lists are pushed and where they are requested.
+// progress, whichever is later. This rule of the platform applies both where lists are pushed and where they are requested.
 const (
 	noticeAfterSilence = 6 * time.Second
 	noticeAfterHold    = 2 * time.Second
@@ -21,7 +21,7 @@
 	maxHold = noticeAfterSilence - callSlack - time.Second
 )
 
-// watchClock holds the times from which those rules count. Only the goroutine of Watcher.Run uses it.
+// watchClock holds the times from which that rule counts. Only the goroutine of Watcher.Run uses it.
 type watchClock struct {
 	lastResponse time.Time     // when the last list was received; before that, when the first call started
 	callStarted  time.Time     // when the call in progress started; zero: there is none
--- a/internal/dispatcher/routetable/watch.go
+++ b/internal/dispatcher/routetable/watch.go
@@ -112,8 +112,8 @@
 	return w
 }
 
-// If addr is a new address, SetAddress cancels the call at the old address and calls addr at once. It must not be called
-// concurrently with itself.
+// SetAddress cancels the call at the old address and calls addr at once, unless addr is the old address. It must not be
+// called concurrently with itself.
 func (w *Watcher) SetAddress(addr string) {
 	if old := w.endpoint.Load(); old.addr != addr {
 		w.endpoint.Store(newEndpoint(addr, true))
@@ -136,8 +136,8 @@
 //     minRetryInterval and at most maxRetryInterval.
 //
 // grace is how long after a notice that a runner drains the dispatcher may still send it requests; 0: there is no such
-// limit. Where lists are pushed, the platform treats the dispatcher as notified once discovery is reachable again
-// after an outage, so the dispatcher must retry well within grace.
+// limit. Where lists are pushed, the platform treats the dispatcher as notified once discovery is reachable again after an
+// outage, so the dispatcher must retry well within grace.
 func (w *Watcher) SetTimes(hold, grace time.Duration) {
 	p := &callTiming{hold: min(hold, maxHold), maxBackoff: maxRetryInterval}
 	if grace > 0 {
--- a/internal/dispatcher/traffic/export.go
+++ b/internal/dispatcher/traffic/export.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = s.Close() }() // the error is ignored, as the export does not write to the store
+	defer func() { _ = s.Close() }() // the error is ignored, as the export commits no data
 	space, err := s.Lookup(spaceName)
 	if err != nil {
 		return 0, fmt.Errorf("%s holds no recorded traffic: %w", dir, err)
--- a/internal/dispatcher/traffic/record.go
+++ b/internal/dispatcher/traffic/record.go
@@ -15,8 +15,8 @@
 )
 
 // Record is one request in the store and in an export. The JSON keys are part of the format, so they stay although some
-// differ from the fields' names. Times are whole microseconds. A record doesn't contain the request's body, and it
-// has only salted hashes of the request's keys. Within one store the same key has the same hash.
+// differ from the fields' names. Times are whole microseconds. A record doesn't contain the request's body, and it has only
+// salted hashes of the request's keys. Within one store the same key has the same hash.
 type Record struct {
 	ArrivedUs   int64  `json:"arrived_us"` // Unix time
 	Class       string `json:"class"`
--- a/internal/store/pass.go
+++ b/internal/store/pass.go
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// countByTime adds an entry's bytes to bytesByTime, if its space has a limit in bytes. It adds them at the first
-// point of timeIndex with a sequence number not lower than the entry's.
+// countByTime adds an entry's bytes to bytesByTime, if its space has a limit in bytes. It adds them at the first point of
+// timeIndex with a sequence number not lower than the entry's.
 func (p *pass) countByTime(e table.Entry, putBytes int64) {
 	byTime := p.bytesByTime[spaceOf(e.Key)]
 	if byTime == nil {
--- a/internal/store/plan/victims.go
+++ b/internal/store/plan/victims.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Victims chooses the segments that a pass rewrites, and returns their numbers in ascending order. A segment without live
-// records is dropped without copying. Only sealed segments whose last commit is upTo or earlier can be chosen, because
-// the pass merges the index up to upTo.
+// Victims chooses the segments that a pass rewrites, and returns their numbers in ascending order. From a victim
+// without live records the pass copies only the deletions that are still needed. Only sealed segments whose last commit is
+// upTo or earlier can be chosen, because the pass merges the index up to upTo.
 //
 // First come the segments with at least l.Garbage of garbage, ordered from the most garbage to the least. If deletions
 // take more than l.Tombstones of all bytes, more segments follow, so that the pass can drop deletions.
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -143,8 +143,8 @@
 			}
 		}
 		if err == nil && h.ID != g.ID {
-			// The file has the content of segment h.ID. Repair reads the records of that segment from the file with
-			// its name, if there is one.
+			// The file has the content of segment h.ID. Repair reads the records of segment h.ID from the file that is
+			// named after it, if there is one.
 			r.addLost(name, 0, fmt.Errorf("%w: header is that of segment %d, expected segment %d", ErrCorrupt, h.ID, g.ID))
 			return
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -181,8 +181,8 @@
 	return s.writer.runInWriter(func() error { return s.writer.sync(s) })
 }
 
-// Compact runs compaction passes until no work is left for a pass, or until maxIdlePasses passes in a row have not
-// made the store smaller. Commits and reads continue at the same time. If ctx is done first, Compact returns its error.
+// Compact runs compaction passes until no work is left for a pass, or until maxIdlePasses passes in a row have not made the
+// store smaller. Commits and reads continue at the same time. If ctx is done first, Compact returns its error.
 func (s *Store) Compact(ctx context.Context) error {
 	smallest := s.Stats().Bytes
 	for idle := 0; idle < maxIdlePasses; idle++ {
--- a/internal/store/throttled_file.go
+++ b/internal/store/throttled_file.go
@@ -23,7 +23,7 @@
 	bytesPerSync = 1 << 20   // bytes written between two syncs
 )
 
-// Write appends to the file. It writes to the file when chunkBytes or more are buffered.
+// Write buffers bytes, and writes the buffer to the file once it has chunkBytes or more.
 func (p *throttledFile) Write(b []byte) (int, error) {
 	p.buf = append(p.buf, b...)
 	if len(p.buf) >= chunkBytes {
--- a/internal/store/vfs/vfs.go
+++ b/internal/store/vfs/vfs.go
@@ -24,8 +24,8 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Sync returns when all earlier writes and truncations are on disk. After an error the state on disk is unknown. The
-	// kernel may have marked the pages clean without writing them, so a successful second call does not prove that they
+	// Sync returns when all earlier writes and truncations are on disk. After an error any of them may be missing on disk.
+	// The kernel may have marked the pages clean without writing them, so a successful second call does not prove that they
 	// are on disk.
 	Sync() error
 	// Truncate sets the file's size in bytes. If that makes the file longer, the new part is zeros.
