--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -14,9 +14,9 @@
 // The scheduler's rules. Some hold only for undisturbed machines or in fault-free spans; Bounds defines both terms. The
 // check of each rule says which.
 const (
-	// RuleLimit: no start brings a runner over its capacity, unless the runner itself rejects what does not fit.
+	// RuleLimit: no start exceeds a runner's capacity, unless the runner itself rejects runs that do not fit.
 	RuleLimit Rule = "LIMIT"
-	// RuleTwice: no two runs of a task overlap, and no run of it starts after one has ended done. For steps with AtMostOnce,
+	// RuleTwice: no two runs of a task overlap, and no run starts after another has ended done. For steps with AtMostOnce,
 	// two runs may overlap, and a start soon after the end is allowed.
 	RuleTwice Rule = "TWICE"
 	// RuleOrder: no task starts before the steps that its step depends on are done, nor before its repetition is due.
@@ -26,12 +26,12 @@
 	RuleRoute Rule = "ROUTE"
 	// RuleBudget: no task starts again once it has failed as often as its route allows.
 	RuleBudget Rule = "BUDGET"
-	// RuleGang: all members of a gang start before the first of them stops waiting, and from the same checkpoint.
+	// RuleGang: all members of a gang start before the first member stops waiting, and from the same checkpoint.
 	RuleGang Rule = "GANG"
 	// RuleUnasked: every run belongs to a task that a client submitted, and none starts or continues long after the job's
 	// cancel.
 	RuleUnasked Rule = "UNASKED"
-	// RuleRefused: a job of which every submission was rejected never runs.
+	// RuleRefused: a job never runs if every submission of it was rejected.
 	RuleRefused Rule = "REFUSED"
 	// RuleDrain: no run starts on a runner later than Bounds.Drain after the runner's `draining` was acknowledged.
 	RuleDrain Rule = "DRAIN"
@@ -55,7 +55,7 @@
 type Violation struct {
 	Rule Rule
 	At   time.Duration // when the rule was broken
-	What string        // what was seen, of which job, run or machine, and the bound that it breaks
+	What string        // the observation, its job, run or machine, and the bound that it breaks
 }
 
 // String returns the violation as one line.
@@ -125,8 +125,8 @@
 	})
 }
 
-// isFaultFree reports whether a span is fault-free: no fault is on in it or within Bounds.Contact before it, apart from the
-// exempt ones.
+// isFaultFree reports whether a span is fault-free: no fault is on during the span or within Bounds.Contact before it, apart
+// from the exempt faults.
 func (a *auditor) isFaultFree(from, to time.Duration, exempt func(f *Fault) bool) bool {
 	return !a.anyFault(from-a.Bounds.Contact, to, func(f *Fault) bool { return !exempt(f) })
 }
@@ -160,7 +160,7 @@
 	return a.candidates
 }
 
-// rejected reports whether the change was never acknowledged and the operator received a final rejection of it.
+// rejected reports whether the change was never acknowledged and the operator received a final rejection.
 func (r *ConfigurationRecord) rejected() bool {
 	if r.Acknowledged != Never {
 		return false
--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// observation is what the response to a client's call shows of the configuration that the machine followed.
+// observation is the evidence in a response to a client's call about the configuration that the machine followed.
 type observation struct {
 	attempt      *Attempt
 	queue        QueueName
@@ -89,7 +89,7 @@
 	pendingQuery bool // the call was a PendingQuery; false: a submission
 }
 
-// observations returns what the responses to clients show of the configuration, in the order of the responses. A 404 shows
+// observations returns the observations from the responses to clients, in the order of the responses. A 404 shows
 // that the queue does not exist, and a 2xx that it exists. Other responses show neither.
 func (a *auditor) observations() []observation {
 	var observations []observation
@@ -121,9 +121,9 @@
 	return exists == o.found
 }
 
-// versionsExplaining returns the oldest and the newest of the versions in records by which a machine may have given a
-// response: their change was first sent before the response arrived, and they agree with it. Both are -1 if no version
-// does.
+// versionsExplaining returns the oldest and the newest version in records that a machine may have followed when it gave a
+// response. The change to such a version was first sent before the response arrived, and the version agrees with the
+// response. Both results are -1 if there is no such version.
 func (a *auditor) versionsExplaining(o *observation, records []*ConfigurationRecord) (oldest, newest int64) {
 	oldest, newest = -1, -1
 	for _, record := range records {
@@ -138,12 +138,12 @@
 	return oldest, newest
 }
 
-// checkFollowed (CONFIG) checks each response to a client that shows something of the configuration:
+// checkFollowed (CONFIG) checks each response to a client that gives evidence about the configuration:
 //   - The response agrees with some version that may have been in force by then.
 //   - If the machine was undisturbed when the request was sent and when the response arrived, the response agrees with a
 //     version at least as new as the newest that was acknowledged more than Bounds.ConfigApply before the request.
-//   - The response agrees with a version at least as new as the oldest one that explains an earlier response of the same
-//     process. Earlier responses count that arrived more than Bounds.RollbackSlack before the request was sent.
+//   - The response agrees with a version at least as new as the oldest version that explains an earlier response of the same
+//     process. The rule considers earlier responses that arrived more than Bounds.RollbackSlack before the request was sent.
 func (a *auditor) checkFollowed() {
 	records := a.possiblyInForce()
 	type process struct {
@@ -250,9 +250,9 @@
 	return head.Version, err == nil
 }
 
-// checkRecovery (RECOVER): after a final fault, submissions are accepted again. At least minFraction of the jobs must be
-// accepted that are submitted from Bounds.Recovery after the restart to the end of the traffic. If less than that was
-// accepted before the final fault already, the rule demands nothing.
+// checkRecovery (RECOVER): after a final fault, submissions are accepted again. Of the jobs submitted from
+// Bounds.Recovery after the restart to the end of the traffic, at least minFraction must be accepted. The rule does not apply
+// if a smaller fraction was accepted before the final fault already.
 func (a *auditor) checkRecovery() {
 	if a.FinalFault == Never || a.Returned == Never {
 		return
@@ -267,7 +267,7 @@
 }
 
 // acceptedFraction returns the fraction of the jobs first submitted in a span that were accepted within clientTimeout of
-// that, or -1 if no job was submitted in it.
+// their submission, or -1 if no job was submitted in the span.
 func (a *auditor) acceptedFraction(from, to time.Duration) float64 {
 	const clientTimeout = 3 * time.Second
 	submitted, accepted := 0, 0
--- a/internal/cluster/simulation/audit_configuration_test.go
+++ b/internal/cluster/simulation/audit_configuration_test.go
@@ -15,8 +15,8 @@
 	return routes
 }
 
-// secondVersion adds version 2, which adds the route of "/v2/", and a read of it at the end. It is sent at 0.2 s and
-// acknowledged at 0.25 s.
+// secondVersion adds version 2, which adds the route of "/v2/", and a read of this version at the end. The change is sent at
+// 0.2 s and acknowledged at 0.25 s.
 func (b *historyBuilder) secondVersion() *ConfigurationRecord {
 	record := b.configuration(2, 1, b.routesWith("/v2/"))
 	b.ReadBacks = nil
--- a/internal/cluster/simulation/audit_duty.go
+++ b/internal/cluster/simulation/audit_duty.go
@@ -7,8 +7,8 @@
 const maxRepeatedRefusals = 3
 
 // checkRefusedCalls (DUTY): a runner refuses a call because it has seen a higher fencing token from another machine. The
-// refused machine may repeat calls with the same token for Bounds.MaxLease after the first refusal. Later than that it may
-// make maxRepeatedRefusals of them; the next one breaks the rule.
+// refused machine may repeat calls with the same token for Bounds.MaxLease after the first refusal. After that time it
+// may repeat maxRepeatedRefusals calls; the next call breaks the rule.
 func (a *auditor) checkRefusedCalls() {
 	type caller struct {
 		machine, instance string
--- a/internal/cluster/simulation/audit_jobs.go
+++ b/internal/cluster/simulation/audit_jobs.go
@@ -70,7 +70,7 @@
 }
 
 // isWronglyUnknown reports whether a response says that an accepted job is unknown when it must be known everywhere. A job
-// for which a cancel was sent may be unknown.
+// may be unknown after a client sent its cancel.
 func (a *auditor) isWronglyUnknown(job *JobRecord, query *Attempt) bool {
 	return job.Accepted != Never && job.CancelSent() == Never && a.isUnknownTooLate(job, query)
 }
@@ -136,7 +136,7 @@
 
 // checkKnownAtEnd (LOST): if clients query an accepted job after the end of the traffic, some response gives its state, and
 // none says later than Bounds.Visible after the acceptance that the job is unknown. A cancelled job may be unknown. Faults
-// excuse nothing here.
+// do not excuse a violation of this rule.
 func (a *auditor) checkKnownAtEnd(job *JobRecord) {
 	if job.Accepted == Never || a.Ends == 0 {
 		return
--- a/internal/cluster/simulation/audit_promises.go
+++ b/internal/cluster/simulation/audit_promises.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// AuditPromises returns the violations of what the scheduler promises beyond the rules: some responses are right at all
-// times, also those of machines that a fault has cut off from the control processes.
+// AuditPromises returns the violations of the scheduler's promises beyond the rules: some responses are right at all times,
+// even from machines that a fault has cut off from the control processes.
 func AuditPromises(history *History) []Violation {
 	a := &auditor{History: history}
 	for _, job := range history.JobOrder {
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// checkLimit (LIMIT): when a run starts, the runs on its runner need together at most the runner's capacity, of each
-// resource. The rule is for runners that do not reject what does not fit themselves. There is no allowance.
+// checkLimit (LIMIT): when a run starts, the runs on its runner together need at most the runner's capacity of each resource.
+// The rule applies to runners that do not themselves reject runs that do not fit. There is no allowance.
 func (a *auditor) checkLimit(run *Run, step *protocol.Step) {
 	runner := run.Runner
 	if runner.EnforcesCapacity {
@@ -122,7 +122,7 @@
 }
 
 // runsSharingEnd returns the runs that share their outcome with a task: once one of them ends done, the task is done. They
-// are the runs of that task or, of a gang, those of all members.
+// are the runs of that task or, for a gang, the runs of all members.
 func (a *auditor) runsSharingEnd(task TaskName, step *protocol.Step) []*Run {
 	if step.Gang {
 		return a.byStep[task.step()]
@@ -225,8 +225,8 @@
 // checkBudget (BUDGET): no run starts once as many runs of the task as its queue's budget have ended failed. The highest
 // budget of all configurations counts, because the auditor does not know which one the job follows. Only failed ends that
 // are acknowledged at some time count, and the members of one gang run count once. A step with AtMostOnce may have another
-// run at the same time as the one that failed last: for it the rule holds later than startSlack after the last
-// acknowledgement, on undisturbed machines. Long-running steps have no budget.
+// run at the same time as the run that failed last. For such a step the rule holds only later than startSlack after the last
+// acknowledgement, and on undisturbed machines. Long-running steps have no budget.
 func (a *auditor) checkBudget(run *Run, job *JobRecord, step *protocol.Step) {
 	budget, _ := a.failureBudget(job.Queue)
 	if budget == 0 || step.LongRunning {
@@ -280,7 +280,7 @@
 	}
 }
 
-// cancelBinding returns the time from which a cancel counts as acknowledged, or Never if there is none. If no client got an
+// cancelBinding returns the time from which the rules treat a cancel as acknowledged, or Never. If no client got an
 // acknowledgement, it is Bounds.AckTimeout after the cancel was sent, provided that the job had been accepted before the
 // cancel and the time between is fault-free.
 func (a *auditor) cancelBinding(job *JobRecord) time.Duration {
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Bounds are the times that the scheduler's rules refer to, and those that the runners follow. Their names are those of the
-// scheduler's settings (docs/settings.md).
+// Bounds are the times in the scheduler's rules, and the times that the runners follow. They have the names of the scheduler's
+// settings (docs/settings.md).
 //
-// Many rules hold only where no fault can excuse what was seen. Two terms say so:
+// Many rules hold only where no fault can excuse a violation. Two terms describe this:
 //   - A machine is undisturbed at a time if no fault of this machine and none of the control plane is on at that time, and
 //     none has ended within Contact before it.
 //   - A span is fault-free if no fault, on whatever machine or runner, is on in the span or within Contact before its start.
@@ -23,12 +23,12 @@
 	Gang          time.Duration // the longest time that a gang's member waits for the other members
 	Cancel        time.Duration // from a cancel's acknowledgement to the last start of a task of that job
 	Visible       time.Duration // from a job's acceptance until every machine knows the job
-	Early         time.Duration // the longest time by which a repetition may start before it is due
+	Early         time.Duration // a repetition may start at most this long before it is due
 	Finish        time.Duration // from the end of the traffic to the end of the scenario
-	Status        time.Duration // for which the state of a job is retained after the job has ended
+	Status        time.Duration // the state of a job is retained for so long after the job has ended
 	Save          time.Duration // from one checkpoint of a run to the next
 	Restore       time.Duration // from a start with a checkpoint until the run continues its work
-	Far           float64       // factor by which work is slower away from its data, or for a gang on more than one rack
+	Far           float64       // work takes this factor longer away from its data, or for a gang on more than one rack
 }
 
 // DefaultBounds returns the bounds of the users' small deployments.
--- a/internal/cluster/simulation/client.go
+++ b/internal/cluster/simulation/client.go
@@ -30,7 +30,7 @@
 	OnAccepted      func()
 	Timeout         time.Duration // of one call
 	MaxRetries      int           // of a submission or a cancel, at most
-	AbandonFraction float64       // fraction of submissions whose client disconnects 5 to 300 ms after sending it
+	AbandonFraction float64       // in this fraction of submissions the client disconnects 5 to 300 ms after sending
 }
 
 // NewClients returns clients that call these frontends.
@@ -130,10 +130,10 @@
 	c.World.After(interval, poll)
 }
 
-// noResponse is the status of a call that timed out, was reset, or found nobody listening.
+// noResponse is the status of a call that timed out, was reset, or was refused because no process listened.
 const noResponse = 0
 
-// replyFunc is called with a frontend's response. The state is empty unless the request was a query of it.
+// replyFunc is called with a frontend's response. The state is empty unless the request queried a job's state.
 type replyFunc func(status int, state string)
 
 // requestFunc sends a request to a frontend and returns a function that informs it that the client has disconnected.
--- a/internal/cluster/simulation/cluster/cluster.go
+++ b/internal/cluster/simulation/cluster/cluster.go
@@ -9,8 +9,8 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// Cluster holds the scheduler's processes that run on the machines of a deployment. Only the world's goroutine, which is
-// the one that calls Deployment.Play, accesses its fields.
+// Cluster holds the scheduler's processes that run on the machines of a deployment. Only the world's goroutine, which
+// calls Deployment.Play, accesses its fields.
 type Cluster struct {
 	world             *simulation.World
 	deployment        *simulation.Deployment
--- a/internal/cluster/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -46,8 +46,8 @@
 // maxParallel is the number of scenarios that are played in parallel.
 var maxParallel = max(4, runtime.GOMAXPROCS(0))
 
-// playSeeds plays the scenarios of count seeds, starting with first, or only that of SIMULATION_SEED if it is set. The spec
-// fails if any of the outcomes has failed.
+// playSeeds plays the scenarios of count seeds, starting with first. If SIMULATION_SEED is set, it plays only the scenario of
+// that seed. The spec fails if any of the outcomes has failed.
 func playSeeds(first, count uint64, options Options) {
 	GinkgoHelper()
 	if seed := environmentNumber("SIMULATION_SEED", 0); seed != 0 {
@@ -77,13 +77,13 @@
 	Expect(failures).To(BeEmpty())
 }
 
-// play plays one scenario in a bubble of its own.
+// play plays one scenario in a new synctest bubble.
 func play(seed uint64, options Options) (outcome *Outcome) {
 	synctest.Test(suite, func(*testing.T) { outcome = Run(seed, options) })
 	return outcome
 }
 
-// explain prints what the history records of the job whose ID is in SIMULATION_JOB. It does nothing if that is not set.
+// explain prints the history's records of the job with the ID in SIMULATION_JOB. It prints no output if that is not set.
 func explain(outcome *Outcome) {
 	if id := os.Getenv("SIMULATION_JOB"); id != "" {
 		GinkgoWriter.Println(outcome.History.Explain(id))
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -109,9 +109,9 @@
 	return p.engine, nil
 }
 
-// bootstrap returns the addresses of the initial members if a machine is one of them and starts for the first time, and
-// otherwise nil: a restarted process knows its groups' members from its disk, and a machine that was added later or lost its
-// disk joins the existing groups through its peers.
+// bootstrap returns the addresses of the initial members if the machine is an initial member and starts for the first time.
+// Otherwise it returns nil: a restarted process knows its groups' members from its disk, and a machine that was added later
+// or lost its disk joins the existing groups through its peers.
 func (c *Cluster) bootstrap(m *simulation.Machine) []string {
 	if m.Incarnation() > 1 || !c.isInitialMember(m) {
 		return nil
@@ -158,7 +158,7 @@
 	}
 }
 
-// wake schedules a step for the present time, unless one is scheduled already.
+// wake schedules a step for the current time, unless a step is scheduled already.
 func (p *process) wake() {
 	if !p.stepScheduled {
 		p.stepScheduled = true
--- a/internal/cluster/simulation/cluster/doc.go
+++ b/internal/cluster/simulation/cluster/doc.go
@@ -5,7 +5,7 @@
 //
 // Modelled code, in package simulation: links, disks, machines, clocks, runners, clients and the operator. This package
 // models the transport between processes (see caller) and an agent's TCP connections to runners (see runnerConn).
-// docs/control-safety/simulation.md lists what is modelled.
+// docs/control-safety/simulation.md lists the modelled parts.
 //
 // Run plays a scenario drawn from a seed, and its Outcome lists the rules that were broken. It must be called in a
 // testing/synctest bubble, because a harness waits with synctest.Wait until the goroutines of its process are blocked.
@@ -14,6 +14,6 @@
 // Environment variables of the tests:
 //   - SIMULATION_SEEDS is the number of scenarios that the spec with all kinds of faults plays; most other specs play a
 //     fraction of it.
-//   - SIMULATION_SEED is a single seed, which every spec that calls playSeeds then plays instead of its own seeds.
-//   - SIMULATION_JOB is the ID of a job: for each failed scenario, the spec prints all that the history records of it.
+//   - SIMULATION_SEED is a single seed. Every spec that calls playSeeds plays it instead of the spec's seeds.
+//   - SIMULATION_JOB is the ID of a job: for each failed scenario, the spec prints all records of the job in the history.
 package cluster
--- a/internal/cluster/simulation/cluster/harness.go
+++ b/internal/cluster/simulation/cluster/harness.go
@@ -20,8 +20,8 @@
 // for them in deliver, which takes these steps:
 //  1. Pass one input to the process, such as a request, a response or the expiry of a timer.
 //  2. Wait with synctest.Wait until every other goroutine of the bubble is blocked.
-//  3. Perform the effects that the process's goroutines enqueued meanwhile, sorted by the number of the request that they
-//     belong to. Effects of the same request stay in the order in which they were enqueued.
+//  3. Perform the effects that the process's goroutines have enqueued, sorted by the number of their request. Effects of the
+//     same request stay in the order in which they were enqueued.
 //
 // Invariant: only the world's goroutine changes the world or draws from its random source, and the order of these actions
 // does not depend on how the Go scheduler interleaves the goroutines of different requests. Therefore a seed replays the
@@ -72,7 +72,7 @@
 }
 
 // kill ends the goroutines of this incarnation and waits until they have ended or are blocked. It drops their effects: they
-// have been blocked since the machine killed the process, and what they do now must not reach the world.
+// have been blocked since the machine killed the process, and their actions must no longer reach the world.
 func (h *harness) kill() {
 	h.mutex.Lock()
 	h.killed = true
@@ -114,8 +114,8 @@
 	}
 }
 
-// inIncarnation returns a function for the world's goroutine that schedules f for the present time if this incarnation is
-// still the machine's current one, and otherwise does nothing.
+// inIncarnation returns a function for the world's goroutine. The function schedules f for the current time if this is still
+// the machine's current incarnation. Otherwise it has no effect.
 func (h *harness) inIncarnation(f func()) func() {
 	return func() {
 		if h.cluster.harnesses[h.machine] == h {
@@ -138,7 +138,7 @@
 	return number
 }
 
-// serve runs a handler for a request in a goroutine of its own and calls done with the response. The returned function
+// serve runs a handler for a request in a new goroutine and calls done with the response. The returned function
 // cancels the request's context; the caller of serve calls it when the simulated client disconnects.
 func (h *harness) serve(handler http.Handler, request *http.Request, done func(*response)) (disconnect func()) {
 	h.requests++
--- a/internal/cluster/simulation/cluster/history_model_test.go
+++ b/internal/cluster/simulation/cluster/history_model_test.go
@@ -102,7 +102,7 @@
 	return next
 }
 
-// afterQuery returns the states after a query, whose response shows the state.
+// afterQuery returns the states that are possible after a query with this response, which shows the state.
 func (s jobStates) afterQuery(response jobResponse) jobStates {
 	if response.status == http.StatusGone {
 		return s & jobAbsent
@@ -123,7 +123,7 @@
 // jobHistory returns the calls of clients about one job for the checker. It leaves out:
 //   - calls that were rejected with certainty, because they have no effect;
 //   - submissions and cancels of unknown outcome, except the first of each kind: the first may take effect at any later
-//     time, and a second one has no effect of its own;
+//     time, and a second call has no additional effect;
 //   - queries of unknown outcome, because a query has no effect.
 func jobHistory(job *simulation.JobRecord) []porcupine.Operation {
 	isSuccess := func(status int) bool { return status/100 == 2 }
--- a/internal/cluster/simulation/cluster/http.go
+++ b/internal/cluster/simulation/cluster/http.go
@@ -22,7 +22,7 @@
 	body   bytes.Buffer
 }
 
-// newResponse returns an empty response, whose status is 200 OK unless the handler sets another one.
+// newResponse returns an empty response. Its status is 200 OK unless the handler sets another status.
 func newResponse() *response { return &response{header: http.Header{}, status: http.StatusOK} }
 
 // Header returns the response's header.
--- a/internal/cluster/simulation/cluster/machine_clock.go
+++ b/internal/cluster/simulation/cluster/machine_clock.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// deadlineContext is a context whose deadline is measured by a machineClock rather than by the clock of package time. The
+// deadlineContext is a context with a deadline on a machineClock rather than on the clock of package time. The
 // embedded context ends with the cause context.DeadlineExceeded at the deadline.
 type deadlineContext struct {
 	context.Context
@@ -87,8 +87,8 @@
 // Deadline returns the time of the machineClock at which the context ends.
 func (c *deadlineContext) Deadline() (time.Time, bool) { return c.at, true }
 
-// Err returns context.DeadlineExceeded after the deadline of this context, or of one that it was derived from, has ended it.
-// Otherwise it returns the error of the embedded context, which is nil until that ends.
+// Err returns context.DeadlineExceeded if a deadline has ended this context: its own or that of a context that it was derived
+// from. Otherwise it returns the error of the embedded context, which is nil until the embedded context ends.
 func (c *deadlineContext) Err() error {
 	if errors.Is(context.Cause(c.Context), context.DeadlineExceeded) {
 		return context.DeadlineExceeded
@@ -104,7 +104,7 @@
 	channel    chan time.Time
 	onFire     func() // called by the world's goroutine when the timer fires
 	running    bool
-	generation uint64 // incremented by each start and stop; a scheduled event of an earlier generation does nothing
+	generation uint64 // incremented by each start and stop; a scheduled event of an earlier generation has no effect
 }
 
 // newTimer returns a timer that is not running. When it fires, the world's goroutine calls onFire.
@@ -128,8 +128,8 @@
 	return wasRunning
 }
 
-// setRunning begins a new generation, in which the timer is running or stopped, and returns whether the timer was running
-// before and the number of the new generation.
+// setRunning begins a new generation of the timer, either running or stopped. It returns whether the timer was running before
+// and the number of the new generation.
 func (t *timer) setRunning(running bool) (wasRunning bool, generation uint64) {
 	t.harness.mutex.Lock()
 	defer t.harness.mutex.Unlock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// ticker is a timer whose onFire function starts it again.
+// ticker is a timer that its onFire function starts again.
 type ticker struct{ *timer }
 
 // Reset sets the time of the next tick only. Unlike the Reset of time.Ticker it does not change the period of later ticks;
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -20,8 +20,8 @@
 	index      uint64 // of the last command applied since the start or the last Restore; 0: none
 }
 
-// The engine finds these optional interfaces by type assertions. If the wrapper didn't implement one of them, the engine
-// would treat the state machine as if it didn't either, without an error.
+// The engine finds these optional interfaces by type assertions. If the wrapper lacked such an interface, the engine
+// would treat the state machine as lacking it too, without an error.
 var (
 	_ replica.LeadershipObserver = (*observer)(nil)
 	_ replica.TransferDeferrer   = (*observer)(nil)
@@ -51,7 +51,7 @@
 // digestInterval is the number of log entries from one comparison of states to the next.
 const digestInterval = 32
 
-// Apply applies a committed command to the wrapped state machine, and compares the command with that of other replicas. At
+// Apply applies a committed command to the wrapped state machine, and compares the command with the other replicas' command. At
 // indexes that are multiples of digestInterval it compares the state too.
 func (o *observer) Apply(index, term uint64, data []byte) any {
 	result := o.StateMachine.Apply(index, term, data)
@@ -64,7 +64,7 @@
 	return result
 }
 
-// Snapshot returns a snapshot of the wrapped state machine and compares it with those of other replicas at the same index.
+// Snapshot returns a snapshot of the wrapped state machine and compares it with other replicas' snapshots at the same index.
 func (o *observer) Snapshot() ([]byte, error) {
 	data, err := o.StateMachine.Snapshot()
 	if err == nil {
@@ -73,8 +73,8 @@
 	return data, err
 }
 
-// Restore replaces the state by that of a snapshot. It records a divergence unless a snapshot of the restored state has the
-// same bytes as the snapshot that it was restored from.
+// Restore replaces the state by a snapshot's state. It records a divergence unless a new snapshot of the restored state has
+// the same bytes as the original snapshot.
 func (o *observer) Restore(data []byte) error {
 	if err := o.StateMachine.Restore(data); err != nil {
 		return err
@@ -102,8 +102,8 @@
 // replica.Digester, which all state machines of control processes are.
 func (o *observer) Digest() uint64 { return o.StateMachine.(replica.Digester).Digest() }
 
-// compareState compares the state with those of other replicas at the same index, which Snapshot does. It panics if the
-// state can't be encoded.
+// compareState calls Snapshot to compare the state with other replicas' states at the same index. It panics if the state can't
+// be encoded.
 func (o *observer) compareState() {
 	if _, err := o.Snapshot(); err != nil {
 		panic(err)
@@ -128,8 +128,8 @@
 	by     string // name of that replica's machine
 }
 
-// checkApplied records a divergence if the entry that a replica applies has another term or other data than the one that the
-// first replica applied at the same index.
+// checkApplied records a divergence if the entry that a replica applies has another term or other data than the entry that
+// the first replica applied at the same index.
 func (c *Cluster) checkApplied(p *process, group replica.GroupID, index, term uint64, data []byte) {
 	key, entry := logPosition{group, index}, appliedEntry{term, digest(data), p.machine.Name}
 	before, ok := c.appliedEntries[key]
@@ -142,7 +142,7 @@
 	}
 }
 
-// checkState records a divergence if a replica's state differs from that of the first replica that was compared at the same
+// checkState records a divergence if a replica's state differs from the first state that was recorded for the same group and
 // index. Index 0 means that the index of the state is unknown; such a state is not compared.
 func (c *Cluster) checkState(p *process, group replica.GroupID, index uint64, state []byte) {
 	if index == 0 {
--- a/internal/cluster/simulation/cluster/observer_test.go
+++ b/internal/cluster/simulation/cluster/observer_test.go
@@ -8,7 +8,7 @@
 	"ospreypond/internal/cluster/simulation"
 )
 
-// concatenation is a state machine whose state is the concatenation of all commands.
+// concatenation is a state machine that concatenates all commands to form its state.
 type concatenation struct {
 	state      string
 	corruption string // appended to the state by Restore, so that it differs from the snapshot
@@ -86,7 +86,7 @@
 	})
 })
 
-// Guards against scenarios in which no replica ever restores a snapshot, so that the code for it would not be tested.
+// Guards against scenarios without any restored snapshot: they would leave the code that restores snapshots untested.
 var _ = Describe("The scenarios of the first seeds", func() {
 	It("make control processes restore snapshots", func() {
 		restored := 0
--- a/internal/cluster/simulation/cluster/outcome.go
+++ b/internal/cluster/simulation/cluster/outcome.go
@@ -18,7 +18,7 @@
 	History           *simulation.History
 	Submitted         int // number of jobs that clients submitted
 	Accepted          int // submitted jobs with an accepting response
-	Ended             int // accepted jobs whose last queried state is a final one
+	Ended             int // accepted jobs with a final state in the last query
 	Runs              int // started by runners
 	SnapshotsRestored int // by control processes: after a restart, or received from another replica
 }
--- a/internal/cluster/simulation/cluster/replaced_owner_test.go
+++ b/internal/cluster/simulation/cluster/replaced_owner_test.go
@@ -14,7 +14,7 @@
 //  1. A client submits a job that keeps running.
 //  2. After freezeDelay the owner of the group is partitioned from the other control machines and frozen. A frontend is
 //     partitioned from them too, so that the owner is the only control machine that it reaches.
-//  3. The others elect a successor. In the middle of freezeTime the job is cancelled at another frontend, and the operator
+//  3. The other control machines elect a successor. In the middle of freezeTime the job is cancelled at another frontend, and the operator
 //     changes the configuration.
 //  4. After freezeTime the owner is thawed and still believes that it leads. From querySpan before to querySpan after that
 //     time, the partitioned frontend queries the job and the operator reads the configuration at the owner.
@@ -23,7 +23,7 @@
 	deployment    *simulation.Deployment
 	group         protocol.ShardID
 	owner         *simulation.Machine
-	frontend      *simulation.Machine // the one that reaches no control machine but the owner
+	frontend      *simulation.Machine // the frontend that reaches no control machine but the owner
 	job           *simulation.JobRecord
 	reads         []*simulation.ConfigurationRead
 	ledWhenThawed bool // the owner believed that it led when it was thawed
@@ -112,7 +112,7 @@
 	r.reads = append(r.reads, r.deployment.Operator.ReadAt(r.owner))
 }
 
-// playReplacedOwner plays the scenario for the owner of a group, and returns it with what clients and the operator saw.
+// playReplacedOwner plays the scenario for the owner of a group, and returns it with the clients' and the operator's history.
 func playReplacedOwner(seed uint64, group protocol.ShardID) (r *replacedOwnerScenario, run observedRun) {
 	synctest.Test(suite, func(*testing.T) {
 		world := simulation.NewWorld(seed)
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -24,7 +24,7 @@
 	request uint64                     // request number of its effects, see firstConnection
 	runner  *simulation.InvocationConn // set by connect
 
-	incoming chan []byte   // complete responses, at most one that has not been read
+	incoming chan []byte   // complete responses, at most one unread
 	unread   []byte        // rest of the response that Read is returning; used only by the reader
 	reset    chan struct{} // closed when the connection is reset
 	closed   chan struct{} // closed by Close
@@ -179,9 +179,9 @@
 	return count, nil
 }
 
-// SetDeadline sets the time at which reads fail with os.ErrDeadlineExceeded. at is a time of package time, whose clock
-// stands still in the bubble: synctest.Wait returns before that clock advances. Therefore the deadline is time.Until(at)
-// from now in virtual time also. A time in the past ends reads at once.
+// SetDeadline sets the time at which reads fail with os.ErrDeadlineExceeded. at is a time of package time. The clock of that
+// package stands still in the bubble: synctest.Wait returns before the clock advances. Therefore the deadline in virtual time
+// is also time.Until(at) from now. A time in the past ends reads at once.
 func (c *runnerConn) SetDeadline(at time.Time) error {
 	left := time.Until(at)
 	c.mutex.Lock()
--- a/internal/cluster/simulation/deployment.go
+++ b/internal/cluster/simulation/deployment.go
@@ -66,20 +66,20 @@
 	// Leader returns a control machine that leads a replica group, or nil. If the field itself is nil, faults draw
 	// any control machine.
 	Leader func() *Machine
-	// AddControl returns a new control machine with an empty disk and an address of its own, which is off. If it is nil,
+	// AddControl returns a new control machine with an empty disk and a new address. The machine is off. If AddControl is nil,
 	// no control machine is ever replaced.
 	AddControl func() *Machine
 	// Terminate asks a machine's process to shut down and calls done once it has. If it is nil, processes are killed.
 	Terminate func(m *Machine, done func())
 
-	loadFactor       float64                    // by which Size.JobsPerSecond is multiplied; 1 without a fault
-	failingFraction  float64                    // fraction of new jobs whose runs all fail
+	loadFactor       float64                    // Size.JobsPerSecond is multiplied by it; 1 without a fault
+	failingFraction  float64                    // fraction of new jobs that fail in all their runs
 	cancelFraction   float64                    // fraction of new jobs that are cancelled, at least, in each class
 	unavailableUntil map[*Machine]time.Duration // see reserveLoss
 	finalFaultAt     time.Duration              // when the change is sent that triggers the final fault; 0: there is none
 }
 
-// NewDeployment returns a deployment whose machines are off.
+// NewDeployment returns a deployment with all machines off.
 func NewDeployment(world *World, size Size, bounds Bounds) *Deployment {
 	history := NewHistory(bounds)
 	d := &Deployment{World: world, Network: NewNetwork(world), GroundTruth: NewGroundTruth(world, history), History: history,
@@ -134,7 +134,7 @@
 // AllRunners returns the runners and then the spare runners.
 func (d *Deployment) AllRunners() []*Runner { return append(slices.Clone(d.Runners), d.Spares...) }
 
-// ClientHost is the host of all queues, except those of probe routes.
+// ClientHost is the host of all queues, except the queues of probe routes.
 const ClientHost = "jobs.example"
 
 // baseDocument returns the first configuration: a route for each class of jobs. Its version is not set.
--- a/internal/cluster/simulation/disk.go
+++ b/internal/cluster/simulation/disk.go
@@ -9,9 +9,8 @@
 	"ospreypond/internal/store/vfs/vfstest"
 )
 
-// Disk is a machine's disk: a file system in memory, of which a loss of power may destroy the writes that were not synced,
-// and the time that syncs take. A process must call the file system only in the work that it passes to Perform, or as it
-// starts.
+// Disk is a machine's disk: a file system in memory and the time that syncs take. A loss of power may destroy writes that
+// were not synced. A process must call the file system only in the work that it passes to Perform, or as it starts.
 type Disk struct {
 	Sync       time.Duration // mean time of a sync
 	SlowFactor float64       // syncs take this factor longer, if it is above 1
@@ -71,7 +70,7 @@
 	d.begin(work)
 }
 
-// begin schedules work, whose time begins now, or parks it while the disk is stalled.
+// begin schedules work to take its time from now on, or parks it while the disk is stalled.
 func (d *Disk) begin(work *diskWork) {
 	if d.Stalled {
 		work.isParked = true
@@ -109,7 +108,7 @@
 }
 
 // processDied ends the work in flight of a process that has ended: it drops each work, or performs a part of it. A stalled
-// disk drops all.
+// disk drops all work.
 func (d *Disk) processDied(w *World) {
 	inFlight := d.inFlight
 	d.inFlight = nil
@@ -143,7 +142,7 @@
 	d.files.SetOnCall(d.fault)
 }
 
-// losePower keeps all synced writes and a drawn part of the others.
+// losePower keeps all synced writes and a randomly drawn part of the unsynced writes.
 func (d *Disk) losePower(w *World) { d.setFiles(d.files.Crash(w.Random)) }
 
 // wipe replaces the file system by an empty one. The process must not run.
--- a/internal/cluster/simulation/disk_test.go
+++ b/internal/cluster/simulation/disk_test.go
@@ -9,7 +9,7 @@
 	"ospreypond/internal/store/vfs"
 )
 
-// newDiskMachine returns a control machine with a disk, whose process runs.
+// newDiskMachine returns a control machine with a disk and a running process.
 func newDiskMachine(seed uint64) *Machine {
 	const sync = 9 * time.Millisecond
 	m := NewMachine(NewWorld(seed), "core", "north", RoleControl)
--- a/internal/cluster/simulation/document.go
+++ b/internal/cluster/simulation/document.go
@@ -60,7 +60,7 @@
 	Services []string `json:"services,omitempty"`
 }
 
-// clone returns a copy that shares nothing with the document.
+// clone returns a deep copy of the document.
 func (d *Document) clone() *Document {
 	return &Document{Version: d.Version, Routes: slices.Clone(d.Routes), Services: slices.Clone(d.Services),
 		Limits: maps.Clone(d.Limits)}
--- a/internal/cluster/simulation/execution.go
+++ b/internal/cluster/simulation/execution.go
@@ -13,7 +13,7 @@
 	step            *stepTruth // step and task are nil if no client submitted the task
 	task            *taskTruth
 	isStopping      bool
-	isWorking       bool // its work has begun; false while a gang's member waits for the others
+	isWorking       bool // its work has begun; false while a gang's member waits for the other members
 	isHung          bool // it makes no progress
 	willFail        bool // it fails once failsAtMs of work are done
 	totalMs         float64
@@ -23,10 +23,10 @@
 	rate            float64       // ms of work done per ms
 	workStarted     time.Duration // including the restore from a checkpoint, so that it may lie ahead
 	checkpointsMade int
-	checkpoint      string // the newest checkpoint that this run made, or else the one that it started from
+	checkpoint      string // the newest checkpoint that this run made, or else the checkpoint that it started from
 	endTimer        *Timer
 	stopTimer       *Timer
-	gangTimer       *Timer // ends a gang's member that waits for the others
+	gangTimer       *Timer // ends a gang's member that waits for the other members
 }
 
 const milliseconds = float64(time.Millisecond)
--- a/internal/cluster/simulation/fault.go
+++ b/internal/cluster/simulation/fault.go
@@ -9,7 +9,7 @@
 type FaultKind struct {
 	// Name is the kind's name in the users' scenario files.
 	Name string
-	// Begin begins the fault now. Kinds whose fault has a fixed or no duration of its own ignore the duration.
+	// Begin begins the fault now. Kinds of fault with a fixed duration, or without one, ignore the argument.
 	Begin func(d *Deployment, duration time.Duration)
 }
 
@@ -28,7 +28,7 @@
 	return FaultKind{}, false
 }
 
-// recordPlanned adds an event of normal operation to the history. It excuses nothing: spans with it are still fault-free.
+// recordPlanned adds an event of normal operation to the history. It excuses no violation: spans with it are still fault-free.
 func (d *Deployment) recordPlanned(kind string, duration time.Duration) {
 	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: kind, Planned: true})
 }
--- a/internal/cluster/simulation/fault_control.go
+++ b/internal/cluster/simulation/fault_control.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	catchUpTime       = 4 * time.Second      // from the restart of a control machine until it counts as available again
+	catchUpTime       = 4 * time.Second      // from the restart of a control machine until reserveLoss treats it as available again
 	maxInjectionDelay = 4 * time.Millisecond // the longest time from an acknowledgement to the loss of the machine that sent it
 )
 
-// controlFaults returns the kinds that disturb control machines. Those of a single machine draw it with drawControl and do
-// nothing if reserveLoss does not allow its loss.
+// controlFaults returns the kinds that disturb control machines. Kinds that disturb a single machine draw it with drawControl. They
+// have no effect if reserveLoss does not allow the loss of that machine.
 func controlFaults() []FaultKind {
 	return []FaultKind{
 		// Killed or powered off for the duration, at least for restartDelay.
@@ -80,7 +80,7 @@
 
 // reserveLoss reports whether a control machine may be lost now for a time, and marks it as unavailable if so. At most one
 // control machine may be unavailable at a time, so that a majority remains, and none when the final fault is injected. A
-// machine counts as unavailable until catchUpTime after its return.
+// machine is treated as unavailable until catchUpTime after its return.
 func (d *Deployment) reserveLoss(m *Machine, duration time.Duration) bool {
 	now := d.World.now
 	until := now + duration + catchUpTime
@@ -101,8 +101,8 @@
 	return d.finalFaultAt > 0 && until > d.finalFaultAt
 }
 
-// drawControl draws a control machine that is up; nil if none is. With a probability of 60 % it is one that leads a replica
-// group, if Leader gives one.
+// drawControl draws a control machine that is up, or returns nil if none is. With a probability of 60 % it returns the leader
+// of a replica group, if Leader names a leader that is up.
 func (d *Deployment) drawControl() *Machine {
 	if d.Leader != nil && d.World.Chance(0.6) {
 		if leader := d.Leader(); leader != nil && leader.up {
@@ -143,7 +143,7 @@
 }
 
 // loseAllControls has all control machines lose their process or power at once. Each starts again at a drawn time, up to
-// restartDelay after the time down. It does nothing if they would not have caught up before the final fault.
+// restartDelay after the time down. It has no effect if they would not have caught up before the final fault.
 func (d *Deployment) loseAllControls(what loss, down time.Duration) {
 	until := d.World.now + down + catchUpTime
 	if d.reachesFinalFault(until) {
@@ -202,7 +202,8 @@
 	})
 }
 
-// restartPartitioned partitions a control machine from the others for a time, and kills and restarts it after a third of it.
+// restartPartitioned partitions a control machine from the other control machines for the duration. After a third of the
+// duration it kills and restarts the machine.
 func (d *Deployment) restartPartitioned(duration time.Duration) {
 	d.injectAtControl(duration, func(m *Machine) {
 		d.partitionControl(m, duration)
@@ -225,8 +226,8 @@
 	}
 }
 
-// injectDiskFault calls begin with the disk of a drawn control machine, and end after the duration. It is recorded
-// as a fault of the whole control plane, for as long as it lasts.
+// injectDiskFault calls begin with the disk of a drawn control machine, and end after the duration. The history records
+// a fault of the whole control plane for this time.
 func (d *Deployment) injectDiskFault(duration time.Duration, begin, end func(disk *Disk)) {
 	d.injectAtControl(duration, func(m *Machine) {
 		d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: "disk", Machines: []string{m.Name},
@@ -290,7 +291,7 @@
 	d.Operator.Controls = d.Controls
 }
 
-// without returns a copy of machines without one of them.
+// without returns a copy of machines that omits the excluded one.
 func without(machines []*Machine, excluded *Machine) []*Machine {
 	return slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == excluded })
 }
--- a/internal/cluster/simulation/fault_frontend.go
+++ b/internal/cluster/simulation/fault_frontend.go
@@ -18,7 +18,7 @@
 
 // staleFrontend partitions a frontend from all control machines but one, while a route moves to another service and routes
 // are added and removed. If the reachable control machine leads shards of jobs but not the configuration, the frontend may
-// learn nothing of newer configurations, and go on with one that was replaced long ago.
+// not learn of newer configurations, and continue with a configuration that was replaced long ago.
 func (d *Deployment) staleFrontend(duration time.Duration) {
 	const minDuration = 5 * time.Second // longer than a frontend may cache an exact response
 	duration = max(duration, minDuration)
--- a/internal/cluster/simulation/fault_machine.go
+++ b/internal/cluster/simulation/fault_machine.go
@@ -188,7 +188,7 @@
 }
 
 // restartGracefully asks a process to shut down. When it has, or after Grace, the process is killed, and starts again after
-// restartDelay. It does nothing to a machine that is off, or a control machine that may not be lost now (see reserveLoss).
+// restartDelay. It ignores a machine that is off, or a control machine that may not be lost now (see reserveLoss).
 func (d *Deployment) restartGracefully(m *Machine) {
 	if !m.up || isControl(m) && !d.reserveLoss(m, restartDelay+Grace) {
 		return
--- a/internal/cluster/simulation/fault_overload.go
+++ b/internal/cluster/simulation/fault_overload.go
@@ -5,11 +5,11 @@
 // LoneRunner is the kind of fault that leaves the first service a single runner, to the end of the scenario.
 const LoneRunner = "lone_runner"
 
-// loneRunnerLoad is the factor by which jobs are submitted faster after the loss of the runners.
+// loneRunnerLoad multiplies the rate of submitted jobs after the loss of the runners.
 const loneRunnerLoad = 2
 
 // undrawnFaults returns the kinds that a scenario can name but no seed draws. After LoneRunner the service never has free
-// capacity, where the other rules, such as the one on stalled jobs, demand nothing. CPUQuota lasts to the end of the
+// capacity. Other rules, such as the rule on stalled jobs, do not apply then. CPUQuota lasts to the end of the
 // traffic.
 func undrawnFaults() []FaultKind {
 	return []FaultKind{
--- a/internal/cluster/simulation/fault_quota.go
+++ b/internal/cluster/simulation/fault_quota.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// throttle stops a machine at the end of the period that begins now, for a drawn time, and so in each later period. A
-// machine that is off or frozen by another fault is left as it is.
+// throttle stops a machine at the end of the period that begins now, for a drawn time, and so in each later period. It
+// does not change a machine that is off or frozen by another fault.
 func (d *Deployment) throttle(m *Machine) {
 	if d.World.now >= d.History.TrafficEnds {
 		return
--- a/internal/cluster/simulation/ground_truth.go
+++ b/internal/cluster/simulation/ground_truth.go
@@ -50,7 +50,7 @@
 // Work describes how long the tasks of a job take and how often they fail.
 type Work struct {
 	MeanMs          float64 // mean time of a task on a runner of speed 1
-	Spread          float64 // a task's time differs from the mean by at most this fraction of it
+	Spread          float64 // a task's time differs from the mean by at most this fraction of the mean
 	FirstStartFails float64 // fraction of tasks whose first run fails
 	AlwaysFails     bool    // each run of each task fails
 }
--- a/internal/cluster/simulation/history.go
+++ b/internal/cluster/simulation/history.go
@@ -12,7 +12,7 @@
 const Never = time.Duration(-1)
 
 // History records a scenario: all that clients, runners and the operator saw, and the faults that were injected. All times
-// in it are true times of the World since its beginning.
+// are true times of the World since its beginning.
 type History struct {
 	Bounds         Bounds
 	Runs           []*Run // in the order of their starts
@@ -27,7 +27,7 @@
 	ReadBacks      []ReadBack
 	FinalFault     time.Duration // when the final fault was injected; Never: there was none
 	Returned       time.Duration // when the machines were started again after the final fault, or Never
-	StalledJobs    []StalledJob  // one for each sample after the traffic in which a job was stalled
+	StalledJobs    []StalledJob  // one for each sample that found a job stalled for stallThreshold or longer
 	RefusedCalls   []RefusedCall // in the order of their times
 }
 
@@ -56,7 +56,7 @@
 	Task            TaskName
 	Number          uint64 // of the task's runs, given by the scheduler; all members of a gang run have the same
 	Runner          *RunnerIncarnation
-	Sent            time.Duration // when the runner sent the heartbeat whose response had the order, or when it was called
+	Sent            time.Duration // when the runner sent the heartbeat that was answered with the order, or when the agent called it
 	Started         time.Duration
 	Spec            string
 	Checkpoint      string        // the checkpoint that the order gave to start from; empty: none
@@ -104,7 +104,7 @@
 	Sent        time.Duration
 	Answered    time.Duration // Never: the call timed out or was reset
 	Status      int
-	State       string // the job's state, in the response to a query of it
+	State       string // the job's state in the response; empty unless the call queried it
 	ReplyLost   bool   // the response was sent but lost on its way; Answered and Status are set nevertheless
 }
 
@@ -179,7 +179,7 @@
 // ConfigurationRecord is one change of the configuration by the operator.
 type ConfigurationRecord struct {
 	Version  int64
-	Base     int64  // the version on top of which the change applies
+	Base     int64  // the version that the change is based on
 	Body     string // the request body; changes with the same body are the same change
 	Document string // the complete resulting configuration in canonical JSON; empty if the change is invalid
 	Routes   map[QueueName]RouteRecord
@@ -213,8 +213,8 @@
 type Fault struct {
 	From, To     time.Duration
 	Kind         string
-	Machines     []string // the machines that are not undisturbed because of it
-	ControlPlane bool     // no machine is undisturbed as long as it lasts
+	Machines     []string // the machines that the fault disturbs
+	ControlPlane bool     // the fault disturbs all machines while it lasts
 	Clock        bool     // it steps a machine's time of day
 	Planned      bool     // normal operation, such as changes, cancels and new runners: spans with it are fault-free
 	RunnersLeave bool     // runners drain or deregister; some rules treat spans with it as fault-free
--- a/internal/cluster/simulation/history_builder_test.go
+++ b/internal/cluster/simulation/history_builder_test.go
@@ -71,7 +71,7 @@
 	b.ReadBacks = append(b.ReadBacks, ReadBack{At: at(seconds), Body: Canonical([]byte(mustJSON(map[string]any{"version": version})))})
 }
 
-// run adds a run of the job, whose end was acknowledged 0.1 s after it. If ended is negative, the run does not end.
+// run adds a run of the job. The end of the run is acknowledged 0.1 s later. If ended is negative, the run does not end.
 func (b *historyBuilder) run(runner *RunnerIncarnation, step, index int, number uint64, started, ended float64,
 	endReason string) *Run {
 	run := &Run{Task: TaskName{testJob, 0, step, index}, Number: number, Runner: runner, Started: at(started), Ended: Never,
--- a/internal/cluster/simulation/machine.go
+++ b/internal/cluster/simulation/machine.go
@@ -16,8 +16,8 @@
 )
 
 // Machine is a machine with one process of the scheduler. Each start of the process begins an incarnation. Timers and
-// messages of an earlier incarnation never run in a later one. While the process is frozen, those that are due wait until
-// the thaw.
+// messages of an earlier incarnation never run in a later one. While the process is frozen, due timers and messages wait
+// until the thaw.
 type Machine struct {
 	Name  string
 	Zone  string
@@ -34,7 +34,7 @@
 	startedAt        time.Duration
 	unavailableSince time.Duration // when the process last ended or was asked to shut down
 	shuttingDown     bool
-	clockOffset      time.Duration // by which the machine's time of day is ahead of the true one
+	clockOffset      time.Duration // the machine's time of day minus the true time
 	deferred         []func()      // calls that fell due while the process was frozen, in that order
 	random           *rand.Rand    // of the lags of timers
 	onEnd            []func()      // each resets a connection; called when the process is killed, dropped at a loss of power
@@ -130,7 +130,7 @@
 	}
 }
 
-// Thaw resumes a frozen process. Calls that fell due while it was frozen are made now, in the order in which they were due.
+// Thaw resumes a frozen process. It now makes the calls that fell due while the process was frozen, in that order.
 func (m *Machine) Thaw() {
 	if !m.frozen {
 		return
@@ -155,7 +155,7 @@
 	}
 }
 
-// Post calls f in this incarnation at the present time, after all events that are already scheduled for this time. Unlike
+// Post calls f in this incarnation at the current time, after all events that are already scheduled for this time. Unlike
 // After, it is not delayed by Lag.
 func (m *Machine) Post(f func()) {
 	incarnation := m.incarnation
--- a/internal/cluster/simulation/network.go
+++ b/internal/cluster/simulation/network.go
@@ -14,7 +14,7 @@
 )
 
 // Network carries messages between machines. A link is one direction between two machines. It may lose messages, but
-// delivers the others in the order in which they were sent.
+// delivers the remaining messages in the order in which they were sent.
 type Network struct {
 	World *World
 	Loss  float64 // fraction of messages that are dropped
@@ -92,8 +92,8 @@
 	return ZoneDelay
 }
 
-// Send sends a message: f is called in the present incarnation of machine to, after the link's delay. The message is dropped
-// if that incarnation is over by then, if the link is partitioned at its arrival, or at random by Loss. A message that is
+// Send sends a message: f is called in the current incarnation of machine to, after the link's delay. The message is dropped
+// if that incarnation has ended by then, if the link is partitioned at its arrival, or at random by Loss. A message that is
 // sent during a partition is retained until Heal, or dropped if the link retains maxRetained already.
 func (n *Network) Send(from, to *Machine, f func()) {
 	receiver, sender := to.incarnation, from.incarnation
--- a/internal/cluster/simulation/operator.go
+++ b/internal/cluster/simulation/operator.go
@@ -29,7 +29,7 @@
 )
 
 // Operator stands in for the operator, who changes the configuration and reads it back. Only Race sends a change while
-// another one is in flight.
+// another change is in flight.
 type Operator struct {
 	World    *World
 	History  *History
@@ -53,8 +53,8 @@
 	result *Document // the resulting configuration
 }
 
-// ProbeHost is the host of the probe routes. Each version adds one of its own, so that the response to a query of its queue
-// shows whether a process follows that version or an older one.
+// ProbeHost is the host of the probe routes. Each version adds its own probe route, so that the response to a query of the
+// route's queue shows whether a process follows that version or an older version.
 const ProbeHost = "probe.example"
 
 // ProbeQueue returns the queue of a version's probe route.
@@ -152,7 +152,7 @@
 	return count
 }
 
-// changeTimeout is an Edit that changes the timeout of a drawn route of those that the first configuration has.
+// changeTimeout is an Edit that changes the timeout of a drawn route of the first configuration.
 func (o *Operator) changeTimeout(next *Document) []string {
 	route := &next.Routes[o.World.Random.IntN(len(o.Base.Routes))]
 	route.TimeoutMs = 2500 + int64(o.World.Random.IntN(1000))
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -51,14 +51,14 @@
 	active       []*execution
 	finished     []finishedRun     // ends of runs that are not acknowledged, in the order of their numbers
 	endSequence  uint64            // the number of the last end
-	highestEnded map[string]uint64 // by task, the highest number of a run that ended or was stopped: no run up to it starts any more
+	highestEnded map[string]uint64 // by task, the highest number of a run that ended or was stopped: orders to start a run up to it are rejected
 
 	heartbeats        uint64 // number of heartbeats that were sent
 	heartbeatTimer    *Timer
 	heartbeatInFlight bool
 	heartbeatDue      bool // the next heartbeat follows soon after the response to the one in flight
 	responseTimer     *Timer
-	abandonHeartbeat  func() // informs the agent that the runner no longer waits; nil: the agent has not got the heartbeat
+	abandonHeartbeat  func() // informs the agent that the runner no longer waits; nil: the agent has not received the heartbeat
 
 	resets    []func() // each resets a connection; called when this incarnation ends
 	onNextEnd []func() // called when a run ends, and dropped then
@@ -162,7 +162,7 @@
 }
 
 // DeregisterUndrained deregisters the runner without the state `draining` before. The runner continues to work for a time
-// and then ends. The acknowledgement counts as that of `draining`.
+// and then ends. The history records the acknowledgement as that of `draining`.
 func (r *Runner) DeregisterUndrained(after time.Duration) {
 	incarnation := r.incarnation
 	if incarnation == nil || r.draining {
@@ -187,7 +187,7 @@
 	}
 }
 
-// SetSlow sets the factor by which all work takes longer; 1 is the usual speed.
+// SetSlow sets a factor that multiplies the duration of all work; 1 is the usual speed.
 func (r *Runner) SetSlow(factor float64) {
 	before := r.speed()
 	r.slowFactor = factor
@@ -210,7 +210,7 @@
 	return r.Speed
 }
 
-// used returns the resources that all active runs need, including those that are being stopped.
+// used returns the resources that all active runs need, including runs that are being stopped.
 func (r *Runner) used() protocol.Resources {
 	var sum protocol.Resources
 	for _, e := range r.active {
--- a/internal/cluster/simulation/runner_invocation.go
+++ b/internal/cluster/simulation/runner_invocation.go
@@ -15,7 +15,7 @@
 	pathExtendLease = "/v1/hold"
 )
 
-// rejection is the reason for which a runner rejects a call, as the response gives it. It is empty if the call is accepted.
+// rejection is a runner's reason for rejecting a call, as the response gives it. It is empty if the call is accepted.
 type rejection string
 
 const (
@@ -50,7 +50,7 @@
 	incarnation *RunnerIncarnation
 }
 
-// Connect returns a connection to the present incarnation, or nil if the runner is down. reset is called when that
+// Connect returns a connection to the current incarnation, or nil if the runner is down. reset is called when that
 // incarnation ends.
 func (r *Runner) Connect(reset func()) *InvocationConn {
 	if r.incarnation == nil {
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// startRun starts a run, or returns why it rejects it. sent is when the heartbeat was sent whose response has the order, or
-// when the call came. A run that is active already is left as it is, because orders are repeated. Without a valid lease,
-// the run ends with EndLapsed at once.
+// startRun starts a run, or returns the reason for rejecting it. sent is the time at which the runner sent the heartbeat that
+// was answered with the order, or received the call. startRun ignores an order for an active run, because orders are
+// repeated. Without a valid lease, the run ends with EndLapsed at once.
 func (r *Runner) startRun(order *protocol.StartOrder, sent time.Duration) rejection {
 	if r.find(order.Task, order.Run) != nil {
 		return ""
@@ -98,7 +98,7 @@
 	}
 }
 
-// stopOrdered stops a run. If the run is not active, the runner will not start it any more.
+// stopOrdered stops a run. If the run is not active, the runner rejects later orders to start it.
 func (r *Runner) stopOrdered(order protocol.StopOrder) {
 	if e := r.find(order.Task, order.Run); e != nil {
 		r.stopRun(e)
@@ -171,7 +171,7 @@
 	return row.N
 }
 
-// markEnded records that the runner must not start any run of a task up to that number any more.
+// markEnded records that from now on the runner must not start any run of a task up to that number.
 func (r *Runner) markEnded(task string, run uint64) {
 	r.highestEnded[task] = max(r.highestEnded[task], run)
 }
--- a/internal/cluster/simulation/scenario.go
+++ b/internal/cluster/simulation/scenario.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// finish begins what follows the traffic: it queries each accepted job's state until the job ends, samples stalled jobs, and
+// finish begins the checks after the traffic: it queries each accepted job's state until the job ends, samples stalled jobs, and
 // reads the configuration back in the last Bounds.Contact.
 func (d *Deployment) finish() {
 	w := d.World
--- a/internal/cluster/simulation/stalled.go
+++ b/internal/cluster/simulation/stalled.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	stallSampleInterval = 500 * time.Millisecond // from one look at all jobs to the next
-	stallThreshold      = 3 * time.Second        // a job that isStalled for so long breaks the rule LOST
+	stallSampleInterval = 500 * time.Millisecond // between two samples of all jobs
+	stallThreshold      = 3 * time.Second        // a job that is stalled for so long breaks the rule LOST
 )
 
-// sampleStalledJobs looks at all accepted jobs every stallSampleInterval until the end of the scenario, and records those
-// that have been stalled in all samples for stallThreshold or longer. since holds the time of the first of these samples,
-// by job.
+// sampleStalledJobs samples all accepted jobs every stallSampleInterval until the end of the scenario. It records the jobs
+// that were stalled in every sample for stallThreshold or longer. since holds, by job, the time of the first of these
+// samples.
 func (d *Deployment) sampleStalledJobs(since map[string]time.Duration) {
 	now := d.World.now
 	if now > d.History.Ends {
@@ -34,8 +34,8 @@
 	d.World.After(stallSampleInterval, func() { d.sampleStalledJobs(since) })
 }
 
-// isStalled reports whether no task of a job runs although one is due and there is ample capacity for it. Jobs that were
-// cancelled, shown as failed, or whose runs all fail are never stalled.
+// isStalled reports whether no task of a job runs although one is due and there is ample capacity for it. A job is
+// never stalled if a client cancelled it, if the last answered query showed it as failed, or if all its runs fail.
 func (d *Deployment) isStalled(job *JobRecord) bool {
 	truth := d.GroundTruth.jobs[job.ID]
 	if len(job.Cancels) > 0 || job.LastState() == protocol.JobFailed || truth.alwaysFails {
@@ -84,9 +84,9 @@
 	return fitting >= neededTasks && usedCPU*2 < totalCPU
 }
 
-// serviceOfJob returns the service to which a job belongs. A job stays with the service for which it was accepted, also when
-// its queue moves to another one, so that the job's first run shows the service. Before that run, it is taken to be the
-// service that the queue has now.
+// serviceOfJob returns the service to which a job belongs. A job stays with the service that accepted it, even when its
+// queue moves to another service. Therefore the job's first run shows the service. Before that run, serviceOfJob assumes the
+// queue's current service.
 func (d *Deployment) serviceOfJob(job *JobRecord) string {
 	for _, run := range d.History.Runs {
 		if run.Task.Job == job.ID {
--- a/internal/cluster/simulation/traffic.go
+++ b/internal/cluster/simulation/traffic.go
@@ -45,11 +45,11 @@
 	return &classes[0]
 }
 
-// JobClass is a class of jobs that clients submit. A float64 of the name of a field of protocol.Step is the fraction of
-// steps in which that field is set.
+// JobClass is a class of jobs that clients submit. A float64 field with the name of a field of protocol.Step is the
+// fraction of steps that have this field set.
 type JobClass struct {
 	Name            string
-	Route           string  // the route to whose queue the jobs are submitted
+	Route           string  // the jobs are submitted to this route's queue
 	Weight          float64 // fraction of all jobs
 	WorkMs          float64 // mean work of a task, in ms on a runner of speed 1
 	MeanSteps       int     // of a job
--- a/internal/cluster/simulation/world.go
+++ b/internal/cluster/simulation/world.go
@@ -10,7 +10,7 @@
 const EpochMs int64 = 1_700_000_000_000
 
 // World is a discrete-event simulator: a queue of events in the order of their times, and a seeded source of randomness. It
-// executes one event at a time, and events of the same time in the order in which they were scheduled.
+// executes one event at a time. Events of the same time are executed in the order in which they were scheduled.
 type World struct {
 	// Random is the source from which the faults, the traffic and most delays are drawn.
 	Random    *rand.Rand
@@ -56,7 +56,7 @@
 // Pending reports whether the event is still to come. It may be called on a nil timer.
 func (t *Timer) Pending() bool { return t != nil && t.call != nil }
 
-// At schedules f for a time. A time in the past counts as now.
+// At schedules f for a time. It replaces a time in the past by the current time.
 func (w *World) At(at time.Duration, f func()) *Timer {
 	w.lastOrder++
 	timer := &Timer{at: max(at, w.now), call: f}
@@ -67,7 +67,7 @@
 // After schedules f for the time d from now.
 func (w *World) After(d time.Duration, f func()) *Timer { return w.At(w.now+d, f) }
 
-// Run executes all events up to a time, including those that are scheduled by these events, and sets the time to it.
+// Run executes all events up to a time, including events that these events schedule, and then sets the time to until.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		timer := w.queue.pop()
--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -37,8 +37,7 @@
 	}
 }
 
-// measureCalm measures the time until views agree after joins, a crash and a partition, and what a member sends while nothing
-// happens.
+// measureCalm measures the time until views agree after joins, a crash and a partition, and a member's traffic without events.
 func measureCalm(t *testing.T, codec *packet.Codec, n int, loss float64) {
 	t.Helper()
 	opt := options(uint64(n))
@@ -80,8 +79,8 @@
 	fmt.Printf("%slargest datagram %d bytes\n", line, maxSize)
 }
 
-// measureTraffic measures what each member sends, and the CPU time that it takes, in an hour (of the fleet's time) without
-// events. It measures an eighth of that for large fleets and much loss, as an hour takes too long there.
+// measureTraffic measures each member's traffic and CPU time in an hour (of the fleet's time) without events. For large fleets
+// and high loss it measures an eighth of an hour, as a full hour takes too long.
 func measureTraffic(w *virtual.World, loss float64) string {
 	n, intervals := len(w.Nodes), 7200
 	if n > 300 || loss > 0.1 {
--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -18,8 +18,8 @@
 //     package quota).
 //   - A process that was stopped extends its suspicions by the time that it was stopped, as it couldn't receive refutations.
 //
-// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the one with the
-// higher epoch is the member and the other is superseded. Incarnations count the refutations within an epoch.
+// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the process with the
+// higher epoch is the member and the other process is superseded. Incarnations count the refutations within an epoch.
 //
 // A view may be wrong, and may differ from other views for some time. Decisions based on it may cost time, but safety must not
 // depend on it.
@@ -27,7 +27,7 @@
 // Core has no I/O, clock or goroutine: its methods take datagrams and the time, and return datagrams and changes of the view.
 // It is not safe for concurrent use. All times passed to one Core come from the same clock, with any origin. When the clock
 // jumps forward by more than an interval, Core treats the jump as time in which the process was stopped. When the clock goes
-// back, no time counts as passed, and all proofs of death are dropped. The view recovers from both.
+// back, Core assumes that no time has passed and drops all proofs of death. The view recovers from both.
 package fleet
 
 import (
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Living reports whether a member in this state counts as living, which a suspect does.
+// Living reports whether a member in this state is treated as living. A suspect is.
 func (s State) Living() bool { return s <= Suspect }
 
 // Record is what one member gossips about another member or about itself.
@@ -81,20 +81,20 @@
 
 // Config configures a member. All members of a fleet should have the same values except for Seeds, Seed and Quota.Own.
 type Config struct {
-	// Interval is the time between the rounds of a healthy member, which probes one member in each. All timeouts of the failure
-	// detector are multiples of it.
+	// Interval is the time between the rounds of a healthy member, which probes one member in each round. All timeouts of the
+	// failure detector are multiples of it.
 	Interval time.Duration
 	// Seeds are addresses that are probed while no member is known at them, to join the fleet and to rejoin it after a
 	// partition.
 	Seeds []string
-	// TrustRefusals makes a refused datagram (ICMP port unreachable) count as proof that no process has its address. Set it
+	// TrustRefusals treats a refused datagram (ICMP port unreachable) as proof that no process has its address. Set it
 	// only where no firewall or router sends such refusals in the name of other machines: a false one lets two dispatchers
 	// use the same number.
 	TrustRefusals bool
-	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n] is the
-	// proof on which another dispatcher may use number n (see package quota). It must be the same at all members.
+	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n]
+	// proves the death of number n, so that another dispatcher may use the number (see package quota). It must be the same at all members.
 	Roster []string
-	// Quota says how budgets are divided by number. It is used only with TrustRefusals and a Roster.
+	// Quota configures the division of budgets by number. It is used only with TrustRefusals and a Roster.
 	Quota quota.Config
 	// Forget is how long a member that died or left stays in the view and is probed. 0: 24 hours.
 	Forget time.Duration
@@ -123,12 +123,12 @@
 	maxSuspicionMult = 6  // the longest suspicion timeout, without confirmations, as a multiple of the shortest
 	maxConfirmations = 3  // confirmations of a suspicion, from other members, that make its timeout the shortest
 	retransmitMult   = 3  // transmissions of an update, as a multiple of log2 of the living members
-	maxUpdates       = 64 // updates in the queue; what a dropped one said is spread when views are synchronized
+	maxUpdates       = 64 // updates in the queue; dropped records are spread when views are synchronized
 
 	refusedProbeRate   = 8 // rounds per interval while the probed members are found dead by refusals
 	maxDeadProbes      = 8 // probes of members not living per round where refusals are trusted, and as many of the roster; else 1
 	stallIntervals     = 1 // a Tick that comes this many intervals late shows that the process was stopped or got no CPU
-	convergedIntervals = 3 // a view has converged after this many intervals in which no other view differed
+	convergedIntervals = 3 // a view has converged after this many intervals without a different view
 
 	maxPagesPerReply    = 4   // packets with records in the reply to one Sync
 	maxPagesPerInterval = 16  // packets with records per round, whoever they are for, so that many Syncs can't flood the network
@@ -149,7 +149,7 @@
 // The changes.
 const (
 	Joined    ChangeKind = iota // a name that was not known, or a new epoch of a member that was dead or had left
-	Suspected                   // the member still counts as living
+	Suspected                   // the member is still treated as living
 	Refuted                     // a suspect or dead member refuted it and is alive
 	Died                        // it was declared dead
 	Departed                    // it left
@@ -157,7 +157,7 @@
 	Forgotten                   // it was dead or had left for longer than Config.Forget, and was removed from the view
 )
 
-// String returns the name of the kind, as it is logged.
+// String returns the name of the kind for logs.
 func (k ChangeKind) String() string {
 	return [...]string{"joined", "suspected", "refuted", "died", "departed", "replaced", "forgotten"}[k]
 }
@@ -178,7 +178,7 @@
 // Snapshot is a view at one moment.
 type Snapshot struct {
 	Self    Record
-	Members []Member // the others, by name
+	Members []Member // the other members, by name
 	Living  int      // number of living members, this one included
 	Digest  uint64   // of the names and epochs of the living members, this one included; equal views have equal digests
 	// Converged reports whether no member is suspected and the views of the members that were probed lately equal this one.
@@ -211,10 +211,10 @@
 	tracker       *quota.Tracker
 	members       map[string]*member
 	byAddr        map[string]*member
-	living        []*member // in the order in which they are probed; next is the index of the next one to probe
+	living        []*member // in probe order; next is the index of the next member to probe
 	next          int
-	notLiving     []*member          // dead members and those that left, probed in turn
-	nextDeadProbe int                // index in notLiving of the last one probed
+	notLiving     []*member          // members that died or left, probed in turn
+	nextDeadProbe int                // index in notLiving of the last member probed
 	nextSeed      int                // index in the seeds or the roster of the last address tried, modulo its length
 	updates       map[string]*update // the queue of updates to gossip, by the member's name
 	suspects      map[string]*member // by name
@@ -323,8 +323,8 @@
 	return c.tracker.Numbers(c.now)
 }
 
-// OwnedNumbers returns the numbers that this dispatcher owns now, and validFor, for which all of them may be used without
-// another call. After validFor the caller may use only this dispatcher's own number, if it is among them.
+// OwnedNumbers returns the numbers that this dispatcher owns now, and how long the caller may use all these numbers without
+// another call. After validFor the caller may use only this dispatcher's own number, if numbers contains it.
 func (c *Core) OwnedNumbers(now time.Duration) (numbers []int, validFor time.Duration) {
 	if numbers = c.Numbers(now); c.tracker != nil {
 		validFor = c.tracker.ValidUntil(c.now) - c.now
@@ -333,8 +333,8 @@
 }
 
 // Leave queues an announcement to a few random members that this process ends. After calling it the caller must use no
-// number. It then sends what Take returns, and only then closes the socket: once the socket is closed, others may use the
-// number.
+// number. The caller then sends the datagrams that Take returns, and only then closes the socket: once the socket is closed,
+// other dispatchers may use the number.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
 	c.self.State, c.hasEnded = Left, true
@@ -344,8 +344,8 @@
 }
 
 // advance moves the time to a reading of the clock. If the clock went back, it is unknown how much time has passed. Proofs of
-// death are valid for a limited time only, so all of them are dropped then, and this dispatcher owns no number until it has
-// waited as after a start.
+// death are valid for a limited time only. Therefore Core then drops all proofs, and this dispatcher owns no number until it
+// has waited as after a start.
 func (c *Core) advance(read time.Duration) {
 	if read < c.clockReading {
 		if c.tracker != nil {
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// Of several processes under one name, the one with the highest epoch is the member.
+// Of several processes under one name, the process with the highest epoch is the member.
 func TestProcessesOfOneName(t *testing.T) {
 	t.Run("a stale epoch is rejected", func(t *testing.T) {
 		w := startAll(t, 10, options(7))
@@ -239,8 +239,8 @@
 	}
 }
 
-// A process that was stopped declares no other member dead because of the time in which it was stopped, and is soon alive in
-// all views again. A clock that jumps forward looks like such a stop; when a clock goes back, no time counts as passed.
+// A stopped process declares no other member dead because of the time that it was stopped, and is soon alive in all views
+// again. A clock that jumps forward looks like such a stop. When a clock goes back, the core assumes that no time has passed.
 func TestStoppedProcessesAndClockJumps(t *testing.T) {
 	for name, do := range map[string]func(w *virtual.World, n *virtual.Node){
 		"stopped for 20 s": func(w *virtual.World, n *virtual.Node) {
--- a/internal/dispatcher/fleet/members.go
+++ b/internal/dispatcher/fleet/members.go
@@ -27,9 +27,10 @@
 	synchronized               // in a Gossip packet, which replies to a Sync or a stale epoch: the change may be any time ago
 )
 
-// merge applies a received record to the view. The record with the later epoch wins, then, by the rules of SWIM, the one with
-// the higher incarnation, then the one with the later state. A death that is learned by synchronization may date from before
-// a partition healed. It is therefore not applied: the member is sent the record and may refute it.
+// merge applies a received record to the view. The record with the higher epoch wins. Within an epoch, by the rules of SWIM,
+// the record with the higher incarnation wins, and of equal incarnations the record with the later state. A death that is
+// learned by synchronization may date from before a partition healed. It is therefore not applied: the member is sent the
+// record and may refute it.
 func (c *Core) merge(r Record, from origin) {
 	if r.Name == "" || r.Addr == "" || r.State > Left {
 		return
@@ -164,15 +165,15 @@
 // mergeSelf handles a record about this member, and refutes it by a higher incarnation if it says that this member is suspect
 // or dead, or if its incarnation is ahead. A record with a higher epoch means one of two things:
 //   - If others have acknowledged this epoch, a later process has started under the same name, and this one is superseded.
-//   - If not, this process has just started and the clock that chose its epoch is behind that of its predecessor. It takes an
-//     epoch one higher, as otherwise all members would reject it as stale.
+//   - If not, this process has just started and the clock that chose its epoch is behind that of its predecessor. It takes
+//     an epoch that is one higher than the record's, as otherwise all members would reject it as stale.
 func (c *Core) mergeSelf(r Record) {
 	switch {
 	case r.Epoch < c.self.Epoch || c.hasEnded:
 	case r.Epoch > c.self.Epoch && c.isAcknowledged:
 		c.hasEnded = true // superseded: the process was upgraded, or two dispatchers were given the same name
 		c.setConverged(false)
-	case r.Epoch > c.self.Epoch: // this machine's clock is behind that of the last process
+	case r.Epoch > c.self.Epoch: // this machine's clock is behind the predecessor's clock
 		c.updateSelf(func() { c.self.Epoch, c.self.Incarnation = r.Epoch+1, 0 })
 	case r.State == Left || r.State == Alive && r.Incarnation <= c.self.Incarnation:
 	case r.Incarnation >= c.self.Incarnation:
@@ -192,8 +193,9 @@
 	c.broadcast(c.self)
 }
 
-// updateSum adds m to its bucket's sum, or with sign -1 subtracts it, if it is living. A change of m's epoch or between
-// living and not living must be enclosed by both, so that the sums always are those of the living members.
+// updateSum adds m to its bucket's sum, or with sign -1 subtracts it, if it is living. Before a change
+// of m's epoch or between living and not living, m must be subtracted, and afterwards added, so that the sums always are the
+// sums of the living members.
 func (c *Core) updateSum(m *member, sign int) {
 	if m.State.Living() {
 		c.sums[bucketOf(m.Name)] += uint64(sign) * sumOf(&m.Record)
--- a/internal/dispatcher/fleet/packet.go
+++ b/internal/dispatcher/fleet/packet.go
@@ -40,7 +40,7 @@
 	Proofs             []quota.Proof // the sender's valid proofs of death, in an Ack
 }
 
-// Upper bounds of encoded sizes, in bytes, by which packets are filled up to Config.MaxRecordBytes.
+// Upper bounds of encoded sizes, in bytes, for filling packets up to Config.MaxRecordBytes.
 const (
 	maxRecordOverhead = 30 // of a record without its name, address and zone
 	maxProofSize      = 10 // of a proof
@@ -57,7 +57,7 @@
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % buckets) }
 
 // sumOf returns the hash of a living member's name and epoch, which is added to its bucket's sum. Incarnations are left out, as
-// they only count refutations: views that differ in them alone count as equal.
+// they only count refutations: views that differ in them alone are equal.
 func sumOf(r *Record) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], r.Epoch)
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -14,8 +14,8 @@
 //	record  name, address, zone, epoch, incarnation, state, hash of the suspecting member, age in milliseconds
 //	proof   number, age in microseconds
 //
-// CBOR was chosen over msgpack and protobuf. All three are small enough: a record takes 60 to 70 bytes in each, most of it
-// names. A CBOR decoder can be configured to reject unexpected input (indefinite lengths, other types, too many elements,
+// CBOR was chosen over msgpack and protobuf. All three are small enough: a record takes 60 to 70 bytes in each format,
+// mostly for names. A CBOR decoder can be configured to reject unexpected input (indefinite lengths, other types, too many elements,
 // trailing bytes). A msgpack decoder accepts numbers of any width and kind for any field and doesn't bound arrays. Protobuf
 // keeps unknown fields by design and needs a generator at build time.
 package packet
@@ -39,7 +39,7 @@
 	MaxSize = 1400
 )
 
-// Reason is the reason for which a datagram is dropped, in the words of logs and counters.
+// Reason is the reason for dropping a datagram, in the words of logs and counters.
 type Reason string
 
 // The reasons.
--- a/internal/dispatcher/fleet/packet/packet_test.go
+++ b/internal/dispatcher/fleet/packet/packet_test.go
@@ -73,7 +73,7 @@
 	require.NoError(t, err)
 	forged, err := newCodec(t, "fleet-a", "another key of 16").Encode(&fleet.Packet{Kind: fleet.Ping})
 	require.NoError(t, err)
-	signed := func(body string) []byte { // a datagram with a valid HMAC, whose body need not be a packet
+	signed := func(body string) []byte { // a datagram with a valid HMAC; its body need not be a packet
 		d := append([]byte{version, byte(len(c.name))}, c.name+body...)
 		return append(d, c.mac(d)...)
 	}
--- a/internal/dispatcher/fleet/probe.go
+++ b/internal/dispatcher/fleet/probe.go
@@ -48,7 +48,7 @@
 	return c.tickDue - c.now
 }
 
-// Tick advances the time and does what is due: it continues the probe, sends Nacks, expires suspicions and starts the next
+// Tick advances the time and performs the due work: it continues the probe, sends Nacks, expires suspicions and starts the next
 // round. A Tick that comes more than stallIntervals late shows that this process was stopped or got no CPU.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
@@ -84,8 +84,8 @@
 	}
 }
 
-// resume continues after this process was stopped, or got no CPU, for as long as late. Timeouts that ended in that time show
-// nothing about other members: the current probe and the relays are dropped, and all suspicions are extended.
+// resume continues after this process was stopped, or got no CPU, for the time late. Timeouts that ended in that time give no
+// evidence about other members. Therefore resume drops the current probe and the relays, and extends all suspicions.
 func (c *Core) resume(late time.Duration) {
 	c.health, c.probe = maxHealthScore, nil
 	clear(c.relays)
@@ -133,8 +133,8 @@
 }
 
 // startRound ends the last round and starts the next one by probing the next member in the random order, which is shuffled
-// after each pass. Sent probes are kept for at least the lease, as a refusal may arrive as long as it would be a valid proof
-// of death.
+// after each pass. Sent probes are kept for at least the lease, because a refusal that arrives within the lease is still a
+// valid proof of death.
 func (c *Core) startRound() {
 	c.endProbe()
 	retention := max(c.scaled(c.cfg.Interval)*2, c.cfg.Quota.Lease)
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -1,5 +1,5 @@
 // Package quota decides which numbers a dispatcher owns. A budget that a fleet shares is divided into Config.Size equal
-// quotas, each identified by a number, and each dispatcher has one number of its own. When a dispatcher is proven dead, at
+// quotas, each identified by a number, and each dispatcher has its own number. When a dispatcher is proven dead, at
 // most one other dispatcher may use its quota. Without a proof none may.
 //
 // # Rules
@@ -11,16 +11,16 @@
 //  3. A proof is valid for Lease from the time its datagram was sent.
 //  4. After it has bound its socket, a dispatcher owns no number until Lease, lengthened by maxClockDrift, and GuardTime
 //     have passed (ReadyAt).
-//  5. The successors of a number have an order, which all dispatchers compute alike (rank). A dispatcher owns the number of
-//     another one while it has valid proofs for that number and for every dispatcher before itself in the order, each
-//     without a gap for at least GuardTime.
+//  5. The successors of a number have an order, which all dispatchers compute alike (rank). A dispatcher owns
+//     another dispatcher's number while it has valid proofs for that number and for every dispatcher before itself in the
+//     order, each without a gap for at least GuardTime.
 //
 // # Invariant
 //
-// No number has two owners. Suppose that dispatcher B owns a number by a proof, and that dispatcher A, the one that the number
-// belongs to or one that comes before B in the order, owns it too. B has a valid proof that A had no socket at some time
-// since the proof's datagram was sent, less than Lease ago. So A, if it runs, bound its socket less than Lease ago and owns
-// no number by rule 4. GuardTime, which is at least the window in which the budget is counted, lies between the last use by
+// No number has two owners. Suppose that dispatcher B owns a number by a proof, and that dispatcher A owns it too, where the
+// number belongs to A or A comes before B in the order. B has a valid proof that A had no socket at some time since the
+// proof's datagram was sent, less than Lease ago. So A, if it runs, bound its socket less than Lease ago and owns no number
+// by rule 4. This contradicts the assumption. GuardTime, which is at least the window in which the budget is counted, lies between the last use by
 // one owner and the first use by the next, so that no budget is spent twice in one window.
 //
 // The invariant breaks, and two dispatchers may use the same number, if
@@ -32,7 +32,7 @@
 //   - a caller keeps using numbers other than its own after ValidUntil, or any number after its socket was closed.
 //
 // The package has no I/O, clock or goroutine. A Tracker is not safe for concurrent use. All times passed to it come from one
-// clock of this machine, which must never jump and must go on while the machine sleeps (CLOCK_BOOTTIME).
+// clock of this machine, which must never jump and must continue while the machine sleeps (CLOCK_BOOTTIME).
 package quota
 
 import (
@@ -60,7 +60,7 @@
 	// Lease is how long a proof of death is valid, from the time its datagram was sent.
 	Lease time.Duration
 	// GuardTime is the time without any owner when a number passes to another dispatcher. It must be at least the longest
-	// window in which the users of the quotas count what they spend.
+	// window in which the users of the quotas count their spending.
 	GuardTime time.Duration
 }
 
@@ -74,7 +74,7 @@
 // Error names the field, its value and what is allowed.
 func (e *ConfigError) Error() string { return fmt.Sprintf("%s: %v, but %s", e.Field, e.Value, e.Want) }
 
-// Proof is a proof of death as it is passed on: no socket was bound to the number's address.
+// Proof is a proof of death in the form sent to other dispatchers: no socket was bound to the number's address.
 type Proof struct {
 	Number int
 	// Age is the time from sending the datagram that was refused to passing on this proof.
@@ -93,7 +93,7 @@
 type proof struct {
 	isValid bool
 	sentAt  time.Duration // when the datagram of the newest proof was sent
-	since   time.Duration // the start of the time in which there was a valid proof without a gap
+	since   time.Duration // since when there has been a valid proof without a gap
 }
 
 // New returns the tracker of a dispatcher that bound its socket at boundAt. Its error is a *ConfigError.
@@ -159,7 +159,7 @@
 }
 
 // Numbers returns the numbers that this dispatcher owns now, in ascending order: none before ReadyAt, then its own number and
-// those of which it is the successor. Proofs expire, so callers must ask again before each use, or at the latest at
+// the numbers that it has inherited as successor. Proofs expire, so callers must ask again before each use, or at the latest at
 // ValidUntil.
 func (t *Tracker) Numbers(now time.Duration) (own []int) {
 	if now < t.ReadyAt() {
@@ -207,7 +207,7 @@
 }
 
 // rank returns the weight of a successor for a number by rendezvous hashing, which is the same at every dispatcher. The
-// successor with the highest weight comes first, and of equal ones the one with the lower number.
+// successor with the highest weight comes first, and of equal weights the successor with the lower number.
 func rank(number, successor int) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(number))
--- a/internal/dispatcher/fleet/quota/quota_test.go
+++ b/internal/dispatcher/fleet/quota/quota_test.go
@@ -37,8 +37,8 @@
 // flight is a refusal or an answer in flight to a process.
 type flight struct {
 	to, epoch int
-	number    int           // of a refusal: the number whose address refused; -1: it is an answer
-	sent      time.Duration // when the refused or answered datagram was sent, by its sender's clock
+	number    int           // of a refusal: the number with the refusing address; -1: it is an answer
+	sent      time.Duration // when the refused or answered datagram was sent, on its sender's clock
 	proofs    []Proof       // of an answer
 }
 
@@ -61,8 +61,8 @@
 	return c
 }
 
-// key returns a hash of the state, by which states that were visited are recognized. Times are relative to now, and all times
-// 9 or more units ago count as equal.
+// key returns a hash of the state to recognize visited states. Times are relative to now, and all times 9 or more units ago
+// have the same key.
 func (m *model) key() uint64 {
 	old := func(t time.Duration) byte { return byte(min(9, (m.now-t)/unit)) }
 	is := func(b bool) byte {
@@ -147,7 +147,7 @@
 }
 
 // contact adds the states that can follow when process i sends a datagram to process j. To bound the number of states, only one
-// datagram at a time can be in flight, for any number of steps; the others arrive at once.
+// datagram at a time can be in flight, for any number of steps; the remaining datagrams arrive at once.
 func (m *model) contact(i, j int, add func(change func(c *model))) {
 	epoch, late := m.procs[i].epoch, len(m.flights) == 0
 	if !m.procs[j].up { // the machine refuses
@@ -158,7 +158,7 @@
 		return
 	}
 	proofs := m.procs[j].tracker.Proofs(m.now, 9)
-	if len(proofs) == 0 { // an answer without proofs changes nothing
+	if len(proofs) == 0 { // an answer without proofs has no effect
 		return
 	}
 	add(func(c *model) { c.procs[i].tracker.Merge(c.now, c.now, proofs) })
--- a/internal/dispatcher/fleet/suspicion.go
+++ b/internal/dispatcher/fleet/suspicion.go
@@ -48,7 +48,7 @@
 		confidence := min(1, math.Log(float64(len(m.suspicion.confirmedBy)))/math.Log(others+1))
 		m.suspicion.expiresAt += time.Duration((1 - confidence) * float64(maxTimeout-minTimeout))
 	}
-	r := m.Record // gossiped with the hash of the suspecting member, so that receivers count each of them once
+	r := m.Record // gossiped with the hash of the suspecting member, so that receivers count each suspecting member once
 	r.SuspectedBy = by
 	c.broadcast(r)
 }
--- a/internal/dispatcher/fleet/sync.go
+++ b/internal/dispatcher/fleet/sync.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// differing appends to records those of the buckets whose sum in p is not this view's: of the living members, or of the
-// others. It adds no further bucket once there are maxSyncRecords.
+// differing appends to records this view's records from the buckets whose sum in p differs from this view's sum: the records
+// of the living members, or of the members not living. It adds no further bucket once there are maxSyncRecords.
 func (c *Core) differing(p *Packet, living bool, records []Record) []Record {
 	first := c.rng.IntN(buckets)
 	for i := range buckets {
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -101,7 +101,7 @@
 // Unwrap returns the cause.
 func (e *SocketError) Unwrap() error { return e.Err }
 
-// New returns a node that does nothing until Run is called.
+// New returns a node that is idle until Run is called.
 func New(opt Options) *Node {
 	return &Node{opt: opt, dropped: map[string]int64{}, addrs: map[string]netip.AddrPort{}}
 }
@@ -266,7 +266,7 @@
 	}
 }
 
-// now reads a clock that never jumps and goes on while the machine sleeps. With another clock, a proof of death could be used
+// now reads a clock that never jumps and continues while the machine sleeps. With another clock, a proof of death could be used
 // after it has expired.
 func now() time.Duration {
 	var ts unix.Timespec
--- a/internal/dispatcher/fleet/update.go
+++ b/internal/dispatcher/fleet/update.go
@@ -14,8 +14,8 @@
 }
 
 // broadcast queues a record to be piggybacked on the next packets, in place of a queued one about the same member. If the
-// queue is full, the update with the most transmissions is dropped, but never one about this member itself. What a dropped
-// update said is spread when views are synchronized.
+// queue is full, the update with the most transmissions is dropped, but never one about this member itself. A dropped
+// record is spread when views are synchronized.
 func (c *Core) broadcast(r Record) {
 	if c.updates[r.Name] == nil && len(c.updates) >= maxUpdates {
 		var mostSent *update
--- a/internal/dispatcher/fleet/virtual/virtual.go
+++ b/internal/dispatcher/fleet/virtual/virtual.go
@@ -1,7 +1,6 @@
 // Package virtual simulates a fleet: it runs many members, each with a real fleet.Core, in one goroutine and in virtual time.
 // Links lose, duplicate, delay and reorder datagrams, and can be down in one direction or both. Members are killed, stopped,
-// continued and restarted. The seed and the calls of a run determine all that happens in it. A World is not safe for
-// concurrent use.
+// continued and restarted. The seed and the calls of a run determine all its events. A World is not safe for concurrent use.
 package virtual
 
 import (
@@ -112,7 +111,7 @@
 // Links sets the state of the network from now on; nil: all links are up.
 func (w *World) Links(link func(now time.Duration, from, to *Node) Link) { w.opt.Link = link }
 
-// Start starts a process of a node, in place of one that runs. Its epoch is derived from the time that the node reads.
+// Start starts a process of a node and replaces a running process. The epoch is derived from the time that the node reads.
 func (w *World) Start(n *Node) error {
 	n.starts++
 	return w.StartWithEpoch(n, max(n.starts, 1+uint64(max(0, w.Now+n.Skew)/time.Millisecond)))
@@ -220,8 +219,8 @@
 	}
 }
 
-// handle passes an event to its node's process. If the node has no process, its machine refuses datagrams, as long as the
-// link back is up.
+// handle passes an event to its node's process. If the node has no process, its machine refuses datagrams while the link
+// back is up.
 func (w *World) handle(e *event) {
 	n := e.node
 	switch {
@@ -265,7 +264,7 @@
 	return w.opt.Link(w.Now, from, to)
 }
 
-// send takes the datagrams of n's core and schedules those that the network delivers.
+// send takes the datagrams of n's core and schedules the datagrams that the network delivers.
 func (w *World) send(n *Node) {
 	out, changes := n.Core.Take()
 	n.Changes = append(n.Changes, changes...)
@@ -306,7 +305,7 @@
 	return &c
 }
 
-// Running returns the nodes whose processes run and are not stopped.
+// Running returns the nodes with processes that run and are not stopped.
 func (w *World) Running() (out []*Node) {
 	for _, n := range w.Nodes {
 		if n.IsRunning() {
@@ -316,8 +315,8 @@
 	return out
 }
 
-// Agree reports whether the given nodes, or without any all running nodes, have equal views in which exactly these nodes are
-// living.
+// Agree reports whether the given nodes have equal views with exactly these nodes living. Without arguments it checks all
+// running nodes.
 func (w *World) Agree(nodes ...*Node) bool {
 	if nodes == nil {
 		nodes = w.Running()
