--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -143,7 +143,8 @@
 //   - If the machine was undisturbed when the request was sent and when the response arrived, the response agrees with a
 //     version at least as new as the newest that was acknowledged more than Bounds.ConfigApply before the request.
 //   - The response agrees with a version at least as new as the oldest version that explains an earlier response of the same
-//     process. The rule considers earlier responses that arrived more than Bounds.RollbackSlack before the request was sent.
+//     process. The rule considers only earlier responses that arrived more than Bounds.RollbackSlack before the request was
+//     sent.
 func (a *auditor) checkFollowed() {
 	records := a.possiblyInForce()
 	type process struct {
@@ -251,8 +252,8 @@
 }
 
 // checkRecovery (RECOVER): after a final fault, submissions are accepted again. Of the jobs submitted from
-// Bounds.Recovery after the restart to the end of the traffic, at least minFraction must be accepted. The rule does not apply
-// if a smaller fraction was accepted before the final fault already.
+// Bounds.Recovery after the restart to the end of the traffic, at least minFraction must be accepted. The rule does not
+// apply if a smaller fraction was accepted before the final fault already.
 func (a *auditor) checkRecovery() {
 	if a.FinalFault == Never || a.Returned == Never {
 		return
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Bounds are the times in the scheduler's rules, and the times that the runners follow. They have the names of the scheduler's
-// settings (docs/settings.md).
+// Bounds are the times in the scheduler's rules, and the times that the runners follow. They have the names of the
+// scheduler's settings (docs/settings.md).
 //
 // Many rules hold only where no fault can excuse a violation. Two terms describe this:
 //   - A machine is undisturbed at a time if no fault of this machine and none of the control plane is on at that time, and
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -102,8 +102,8 @@
 // replica.Digester, which all state machines of control processes are.
 func (o *observer) Digest() uint64 { return o.StateMachine.(replica.Digester).Digest() }
 
-// compareState calls Snapshot to compare the state with other replicas' states at the same index. It panics if the state can't
-// be encoded.
+// compareState calls Snapshot to compare the state with other replicas' states at the same index. It panics if the state
+// can't be encoded.
 func (o *observer) compareState() {
 	if _, err := o.Snapshot(); err != nil {
 		panic(err)
--- a/internal/cluster/simulation/cluster/replaced_owner_test.go
+++ b/internal/cluster/simulation/cluster/replaced_owner_test.go
@@ -112,7 +112,8 @@
 	r.reads = append(r.reads, r.deployment.Operator.ReadAt(r.owner))
 }
 
-// playReplacedOwner plays the scenario for the owner of a group, and returns it with the clients' and the operator's history.
+// playReplacedOwner plays the scenario for the owner of a group. It returns the scenario and the run that clients and the
+// operator observed.
 func playReplacedOwner(seed uint64, group protocol.ShardID) (r *replacedOwnerScenario, run observedRun) {
 	synctest.Test(suite, func(*testing.T) {
 		world := simulation.NewWorld(seed)
--- a/internal/cluster/simulation/cluster/runner_conn.go
+++ b/internal/cluster/simulation/cluster/runner_conn.go
@@ -180,8 +180,8 @@
 }
 
 // SetDeadline sets the time at which reads fail with os.ErrDeadlineExceeded. at is a time of package time. The clock of that
-// package stands still in the bubble: synctest.Wait returns before the clock advances. Therefore the deadline in virtual time
-// is also time.Until(at) from now. A time in the past ends reads at once.
+// package stands still in the bubble: synctest.Wait returns before the clock advances. Therefore the deadline in virtual
+// time is also time.Until(at) from now. A time in the past ends reads at once.
 func (c *runnerConn) SetDeadline(at time.Time) error {
 	left := time.Until(at)
 	c.mutex.Lock()
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -51,7 +51,7 @@
 	active       []*execution
 	finished     []finishedRun     // ends of runs that are not acknowledged, in the order of their numbers
 	endSequence  uint64            // the number of the last end
-	highestEnded map[string]uint64 // by task, the highest number of a run that ended or was stopped: orders to start a run up to it are rejected
+	highestEnded map[string]uint64 // by task, the highest run number that ended or was stopped: runs up to it can't start
 
 	heartbeats        uint64 // number of heartbeats that were sent
 	heartbeatTimer    *Timer
--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// measureCalm measures the time until views agree after joins, a crash and a partition, and a member's traffic without events.
+// measureCalm measures the time until views agree after joins, a crash and a partition, and a member's traffic without
+// events.
 func measureCalm(t *testing.T, codec *packet.Codec, n int, loss float64) {
 	t.Helper()
 	opt := options(uint64(n))
--- a/internal/dispatcher/fleet/probe.go
+++ b/internal/dispatcher/fleet/probe.go
@@ -48,8 +48,8 @@
 	return c.tickDue - c.now
 }
 
-// Tick advances the time and performs the due work: it continues the probe, sends Nacks, expires suspicions and starts the next
-// round. A Tick that comes more than stallIntervals late shows that this process was stopped or got no CPU.
+// Tick advances the time and performs the due work: it continues the probe, sends Nacks, expires suspicions and starts the
+// next round. A Tick that comes more than stallIntervals late shows that this process was stopped or got no CPU.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	if c.hasEnded {
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -159,7 +159,7 @@
 }
 
 // Numbers returns the numbers that this dispatcher owns now, in ascending order: none before ReadyAt, then its own number and
-// the numbers that it has inherited as successor. Proofs expire, so callers must ask again before each use, or at the latest at
+// the numbers that it owns as successor. Proofs expire, so callers must ask again before each use, or at the latest at
 // ValidUntil.
 func (t *Tracker) Numbers(now time.Duration) (own []int) {
 	if now < t.ReadyAt() {
--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -16,7 +16,7 @@
 	MemberTimeout time.Duration
 	// Bandwidth is the rate at which the register takes checkpoints from the whole fleet, in bytes per second.
 	Bandwidth float64
-	// Margin is the time planned between the end of a save and the retirement for which it is made.
+	// Margin is the planned time between the end of a save and the retirement that the save is for.
 	Margin time.Duration
 	// CheckpointInterval is the time between two periodic saves of a running gang. 0: gangs are saved only before retirements.
 	CheckpointInterval time.Duration
@@ -29,7 +29,7 @@
 	StarvationTimeout time.Duration
 	// AgeStep is the waiting time that raises a gang's priority by one. 0: waiting does not raise it.
 	AgeStep time.Duration
-	// ZonePenalty is the fraction by which the cost of a member is raised on a runner outside the gang's zone.
+	// ZonePenalty raises the cost of a member by this fraction on a runner outside the gang's zone.
 	ZonePenalty float64
 	// MaxGangs is the largest number of gangs that a core keeps. MaxMoves is the number of starts and saves of one dispatcher
 	// under way at which it begins no further start or periodic save; saves for retirements begin all the same.
@@ -54,8 +54,8 @@
 // Error names the field and the problem.
 func (e *ConfigError) Error() string { return "gang: " + e.Field + ": " + e.Problem }
 
-// LimitError says that a gang could not be handled because a limit was reached. Nothing is lost: the record stays in the
-// register.
+// LimitError says that a gang could not be handled because a limit was reached. No data is lost: the record stays in
+// the register.
 type LimitError struct {
 	Gang, Bound string
 	Limit       int
--- a/internal/dispatcher/gang/core.go
+++ b/internal/dispatcher/gang/core.go
@@ -31,13 +31,13 @@
 	needsRead          bool      // the record must be read before the next write
 	writing            *Record   // the record of the write in flight; nil: none
 	requestedAt        time.Time // of the last read or write
-	ownGeneration      uint64    // the generation whose members this dispatcher sent; 0: none
+	ownGeneration      uint64    // this dispatcher sent the members of this generation; 0: none
 	members            []member
 	phaseStartedAt     time.Time // when this dispatcher saw the phase or generation change
 	changedAt          time.Time // when this dispatcher saw the record's version change
 	checkpointAt       time.Time // when the newest save ended or, if that is later, the members started
 	partsListedAt      time.Time // when the parts of the save under way were last listed
-	preferredOwner     Owner     // what PreferredOwner returned for the view preferredOwnerView
+	preferredOwner     Owner     // the result of PreferredOwner for the view preferredOwnerView
 	preferredOwnerView int
 	saveProgress       float64 // fraction of the work done when the save under way was requested
 }
@@ -49,7 +49,7 @@
 	lastContact           time.Time
 }
 
-// hasEnded reports whether the member has finished or failed. Further events of it have no effect.
+// hasEnded reports whether the member has finished or failed. Its further events have no effect.
 func (m member) hasEnded() bool { return m.done || m.failed }
 
 // New returns a core without gangs, runners and dispatchers. The error is a *ConfigError.
@@ -86,7 +86,7 @@
 	}
 }
 
-// Runners sets the known runners, in place of those that it was given before.
+// Runners sets the known runners and replaces the runners of earlier calls.
 func (c *Core) Runners(now time.Time, all []Runner) {
 	c.now = now
 	clear(c.runners)
@@ -117,8 +117,9 @@
 	return g.preferredOwner == c.cfg.Self
 }
 
-// PreferredOwner returns the living dispatcher that should own a gang whose owner is not living, by rendezvous hashing on the
-// name of the gang. Dispatchers with equal views get the same one. Without living dispatchers it returns the zero Owner.
+// PreferredOwner returns the living dispatcher that should take over a gang from an owner that is not living. It uses
+// rendezvous hashing on the gang's name, so dispatchers with equal views get the same result. Without living dispatchers it
+// returns the zero Owner.
 func PreferredOwner(name string, living []Owner) (preferred Owner) {
 	best := uint64(0)
 	for _, o := range living {
--- a/internal/dispatcher/gang/explore_state_test.go
+++ b/internal/dispatcher/gang/explore_state_test.go
@@ -22,8 +22,8 @@
 	messages  []message
 	members   []runningMember
 	runnersUp [3]bool
-	finished  map[string]bool // generations of which every member has finished
-	complete  map[string]bool // saves of which the register has every part
+	finished  map[string]bool // generations with all members finished
+	complete  map[string]bool // saves with all parts in the register
 	crashes   int
 	step      string // the step that led here from previous, for the log of a failing run
 	previous  *state
@@ -61,7 +61,7 @@
 	kind       messageKind
 	gang       string
 	record     Record
-	version    int // of the record: the one that a write names or an answer returns
+	version    int // of the record: the version that a write names or an answer returns
 	outcome    Outcome
 	generation uint64
 	saveNumber int
@@ -98,7 +98,7 @@
 // owner returns dispatcher i with the epoch of its process.
 func (s *state) owner(i int) Owner { return Owner{Name: fmt.Sprint("d", i), Epoch: s.epochs[i]} }
 
-// clone returns a copy that shares no data that changes. step describes what the caller does to it.
+// clone returns a copy that shares no mutable data with s. step describes the caller's change to the copy.
 func (s *state) clone(step string) *state {
 	c := *s
 	c.step, c.previous = step, s
@@ -119,8 +119,7 @@
 	return &c
 }
 
-// key returns a hash of the state, by which states that were visited are recognized. Instead of times it contains whether
-// timeouts have passed.
+// key returns a hash of the state to recognize visited states. Instead of times, the hash covers whether timeouts have passed.
 func (s *state) key() uint64 {
 	d := xxhash.New()
 	write := func(values ...any) { _, _ = fmt.Fprint(d, values...) } // a hash never returns an error
--- a/internal/dispatcher/gang/explore_test.go
+++ b/internal/dispatcher/gang/explore_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// addProgress adds the end of the member that ends next, and a save, of a generation whose members have all started.
+// addProgress adds the progress of a generation with all members started: the end of the next member, and a save.
 func (s *state) addProgress(run string, members []int, add addState) {
 	for x, k := range members {
 		if !s.members[k].done && (x == 0 || s.members[members[0]].done) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// reach returns the first state in which the gang g is in the phase, in a run without faults.
+// reach returns the first state with gang g in the phase, in a run without faults.
 func reach(t *testing.T, phase Phase) *state {
 	t.Helper()
 	s := newState(t)
--- a/internal/dispatcher/gang/figures_test.go
+++ b/internal/dispatcher/gang/figures_test.go
@@ -15,7 +15,7 @@
 
 var figures = flag.Bool("figures", false, "measure the figures in docs/gangs.md; takes minutes")
 
-// TestFigures measures what the retirement of a zone costs, with 300 dispatchers, 200 runners in three zones, 200 gangs and
+// TestFigures measures the cost of a zone's retirement, with 300 dispatchers, 200 runners in three zones, 200 gangs and
 // three seeds. It compares saves as late as possible with saving all gangs at the announcement and with no saves before the
 // retirement.
 func TestFigures(t *testing.T) {
@@ -78,7 +78,7 @@
 	return n, minTime
 }
 
-// measure runs a zoneWorld in which zone a retires, and prints the figures.
+// measure runs a zoneWorld, retires zone a, and prints the figures.
 func measure(t *testing.T, every time.Duration, policy gang.Policy, s uint64) {
 	t.Helper()
 	opt := options(s)
--- a/internal/dispatcher/gang/gang_test.go
+++ b/internal/dispatcher/gang/gang_test.go
@@ -44,7 +44,7 @@
 	return w
 }
 
-// submit submits a gang whose members all have the same work.
+// submit submits a gang with the same work for all members.
 func submit(w *virtual.World, name string, members int, work time.Duration) {
 	r := gang.Record{Name: name, Due: w.Now.Add(3 * work)}
 	for range members {
@@ -144,7 +144,7 @@
 		}
 	case 5:
 		w.Unresponsive = !w.Unresponsive
-	case 6: // a wrong view, because of which two dispatchers may act for one gang
+	case 6: // a wrong view, so that two dispatchers may act for one gang
 		if d.Sees = nil; rng.IntN(2) == 0 {
 			d.Sees = func(*virtual.Dispatcher) bool { return false }
 		}
--- a/internal/dispatcher/gang/messages.go
+++ b/internal/dispatcher/gang/messages.go
@@ -41,10 +41,10 @@
 // ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of actions. The comments give what the caller does, and after the colon the method of Core that takes the answer.
+// The kinds of actions. Each comment gives the caller's task, and after the colon the method of Core that takes the answer.
 const (
 	Read      ActionKind = iota // read the record of Gang: Got
-	Write                       // write Record if the register has IfVersion of it: Wrote
+	Write                       // write Record if the register holds its version IfVersion: Wrote
 	Send                        // send Member of Gang in Generation to Runner, to start from Checkpoint: Member, for each event
 	Stop                        // stop Member of Gang in Generation
 	ListParts                   // list the parts of the save SaveNumber in Generation: Parts
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -81,8 +81,8 @@
 }
 
 // placeWaiting starts the waiting gangs that fit on the runners, the most urgent first. All dispatchers place all gangs in
-// the same order by the same rules, but each writes only the starts of those that it acts for. So two dispatchers seldom
-// choose the same slots.
+// the same order by the same rules, but each dispatcher writes only the starts of the gangs that it acts for. So two
+// dispatchers seldom choose the same slots.
 func (c *Core) placeWaiting() {
 	if !c.hasStartable() {
 		return // the assignment below takes much CPU time
@@ -110,7 +110,7 @@
 	}
 }
 
-// usableSlots returns the free slots of each usable runner, before subtracting those of members of gangs.
+// usableSlots returns the free slots of each usable runner, before subtracting the slots of gang members.
 func (c *Core) usableSlots() map[string]float64 {
 	free := map[string]float64{}
 	for n, r := range c.runners {
@@ -139,7 +139,7 @@
 	return waiting
 }
 
-// hasStartable reports whether there is a waiting gang whose start this dispatcher may write now.
+// hasStartable reports whether this dispatcher may write the start of a waiting gang now.
 func (c *Core) hasStartable() bool {
 	for name, g := range c.gangs {
 		if g.isCurrent && g.record.Phase == Waiting && g.writing == nil && !g.needsRead && c.actsFor(name, g) {
@@ -161,7 +161,7 @@
 		cmp.Compare(a.record.Name, b.record.Name))
 }
 
-// match returns a runner for each member, or nil if not all of them get one. None of the runners retires before the gang is
+// match returns a runner for each member, or nil if not all members get a runner. No chosen runner retires before the gang is
 // expected to be done. As that time depends on the slowest runner of a placement, match excludes the runners of a placement
 // that retire too early and tries again, until no runner is excluded or no placement is left.
 func (c *Core) match(g *gang, free map[string]float64) []string {
@@ -184,7 +184,7 @@
 }
 
 // cheapestAssignment returns a runner for each member at the least total cost, or nil if there is none. It tries each zone as
-// the gang's zone, outside of which the cost of a member is raised by ZonePenalty.
+// the gang's zone. ZonePenalty raises the cost of members outside this zone.
 func (c *Core) cheapestAssignment(g *gang, free map[string]float64, excluded map[string]bool) (best []string) {
 	maxSlots := 0.0
 	for _, n := range g.record.Needs {
--- a/internal/dispatcher/gang/readwrite.go
+++ b/internal/dispatcher/gang/readwrite.go
@@ -52,7 +52,7 @@
 		g.record, g.version, g.isCurrent, g.needsRead, g.writing = r, version, false, false, nil
 		return
 	}
-	if w := g.writing; w != nil && w.WriteID == r.WriteID { // the write in flight, whose answer was lost, took effect
+	if w := g.writing; w != nil && w.WriteID == r.WriteID { // the write in flight took effect and its answer was lost
 		c.handleWritten(name, g, version)
 		return
 	}
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -7,15 +7,15 @@
 // The dispatcher that acts for a gang is its owner. Who becomes the owner depends on the view of the fleet, which may be
 // wrong, so two dispatchers may both act for a gang. Safety doesn't depend on the view:
 //
-//   - A gang's record in the register changes only by conditional writes, each of which names the version that it replaces.
-//     Of two dispatchers that write at the same time one succeeds. The other reads the record and abandons the gang.
+//   - A gang's record in the register changes only by conditional writes. Each write names the version that it replaces. If
+//     two dispatchers write at the same time, one succeeds. The other reads the record and abandons the gang.
 //   - Each start of a gang has a new generation, which is written to the record before any member is sent.
-//   - Whatever comes from an older generation (a late part of a checkpoint, a late result, a member that still runs) is not
-//     referred to by the record and has no effect.
+//   - The record does not refer to anything from an older generation (a late part of a checkpoint, a late result, a member
+//     that still runs), so these have no effect.
 //
 // # Faults of the register
 //
-//   - The register is slow: a write counts as done only when its answer has arrived.
+//   - The register is slow: the dispatcher treats a write as done only when its answer has arrived.
 //   - The register doesn't answer: running gangs continue, and no record changes.
 //   - The register applies a write and the answer is lost: the dispatcher reads the record, and Record.WriteID shows
 //     whether the write took effect.
@@ -43,7 +43,7 @@
 // Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Done }
 
-// Need is what one member requires of its runner.
+// Need is one member's requirements of its runner.
 type Need struct {
 	Class string  `json:"class"`
 	Kind  string  `json:"kind,omitempty"` // the kind of runner; empty: any
@@ -103,7 +103,7 @@
 	MaxMembers = 64
 )
 
-// RecordError is a fault of a record, because of which dispatchers do nothing for the gang.
+// RecordError is a fault of a record. Dispatchers don't act for a gang with a faulty record.
 type RecordError struct {
 	Gang, Field, Problem string
 	Fix                  string // what the submitter can do
@@ -153,7 +153,7 @@
 	return r.Checkpoint.Progress
 }
 
-// work returns the gang's work at speed 1: that of the longest member, as all members advance together.
+// work returns the gang's work at speed 1. It is the longest member's work, as all members advance together.
 func (r *Record) work() (w time.Duration) {
 	for _, n := range r.Needs {
 		w = max(w, n.Work)
--- a/internal/dispatcher/gang/register/register_test.go
+++ b/internal/dispatcher/gang/register/register_test.go
@@ -145,7 +145,7 @@
 			var fault *Error
 			isAbsent := errors.As(err, &fault) && fault.Problem == "answered 404 Not Found"
 			if err != nil && !isAbsent {
-				continue // a read that failed says nothing about the record
+				continue // a failed read gives no information about the record
 			}
 			out.version, out.writeID = v, r.WriteID
 		}
--- a/internal/dispatcher/gang/table.go
+++ b/internal/dispatcher/gang/table.go
@@ -26,7 +26,7 @@
 	To    Phase
 }
 
-// Table lists all steps. Every write of a record takes one of them, except for those of submitters.
+// Table lists all steps. Every write of a record takes one of these steps, except for submitters' writes.
 var Table = []Step{
 	{Waiting, Placed, Starting},
 	{Starting, AllStarted, Running},
--- a/internal/dispatcher/gang/tick.go
+++ b/internal/dispatcher/gang/tick.go
@@ -12,14 +12,14 @@
 const readRetryInterval = 5 * time.Second
 
 // maxSaveBacklog is the longest time that the saves under way may take by their size and the register's bandwidth for another
-// periodic save to begin. Many saves at once take no longer in total, but each of them takes longer, and a gang makes no
+// periodic save to begin. Many saves at once take no longer in total, but each save takes longer, and a gang makes no
 // progress during its save.
 const maxSaveBacklog = 10 * time.Second
 
 // partsPollInterval is the time between two ListParts actions for a save under way.
 const partsPollInterval = 500 * time.Millisecond
 
-// Tick advances the time and does what is due: timeouts, takeovers, saves and starts.
+// Tick advances the time and performs the due work: timeouts, takeovers, saves and starts.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
 	c.moves = 0
@@ -50,7 +50,7 @@
 	c.placeWaiting()
 }
 
-// drive does what is due for a gang whose members this dispatcher sent. It writes at most one step.
+// drive performs the due work for a gang if this dispatcher sent its members. It writes at most one step.
 func (c *Core) drive(name string, g *gang, plan map[string]time.Time) {
 	if c.handleEnds(name, g) {
 		return
@@ -66,7 +66,7 @@
 	case g.record.Phase == Starting && allStarted:
 		c.write(name, g, AllStarted, func(r *Record) { r.FailedStarts, r.NotBefore = 0, time.Time{} })
 		g.checkpointAt = c.now // the gang makes progress from here on
-	case g.record.Phase == Running && !anyDone: // when a member is done the others will soon be, so a save would only delay them
+	case g.record.Phase == Running && !anyDone: // when one member is done, the other members soon will be, and a save would only delay them
 		c.startSave(name, g, plan)
 	case g.record.Phase == Saving && c.now.Sub(g.phaseStartedAt) > c.cfg.SaveTimeout:
 		c.write(name, g, SaveFailed, func(r *Record) { r.Relocate = false })
--- a/internal/dispatcher/gang/virtual/register.go
+++ b/internal/dispatcher/gang/virtual/register.go
@@ -15,7 +15,7 @@
 	lastVersion     int
 	checkpointBytes float64 // bytes of checkpoints taken so far
 	recordWrites    int     // writes of records that took effect
-	changedAfterEnd string  // name of a gang whose record was changed after it was done; empty: none
+	changedAfterEnd string  // name of a gang with a record change after the gang was done; empty: none
 }
 
 // entry is a record with its version.
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -1,7 +1,7 @@
 // Package virtual simulates a fleet that runs gangs, in virtual time and with the real gang.Core of each dispatcher. It
-// simulates a register whose answers can get lost, runners that retire and die, and dispatchers that crash, are stopped and
-// are partitioned from the register. The seed and the calls of a run determine all that happens in it. A World is not safe
-// for concurrent use.
+// simulates a register that can lose answers, runners that retire and die, and dispatchers that crash, are stopped and are
+// partitioned from the register. The seed and the calls of a run determine all its events. A World is not safe for concurrent
+// use.
 package virtual
 
 import (
@@ -65,7 +65,7 @@
 	nextHeartbeat time.Time
 }
 
-// run is what one generation of a gang really does, against which records are checked.
+// run is the true state of one generation of a gang. Records are checked against it.
 type run struct {
 	progress, startProgress float64 // fractions of the work done, now and at the start
 	members                 []*member
--- a/internal/dispatcher/gang/virtual/work.go
+++ b/internal/dispatcher/gang/virtual/work.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// finish ends the members of a run whose work is done.
+// finish ends the members of a run with all its work done.
 func (w *World) finish(r *run) {
 	for _, m := range r.members {
 		if !m.reported {
--- a/internal/fixturetest/fields.go
+++ b/internal/fixturetest/fields.go
@@ -99,8 +99,8 @@
 	return keys
 }
 
-// scalar returns the text of a scalar value. It formats the value by its kind alone and never calls a String method, whose
-// result a later version of the type may change.
+// scalar returns the text of a scalar value. It formats the value by its kind alone. It never calls a String method, because
+// a later version of the type may change the result of that method.
 func scalar(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Bool:
--- a/internal/fixturetest/fill.go
+++ b/internal/fixturetest/fill.go
@@ -12,7 +12,7 @@
 )
 
 // Fill sets every exported field of the value that pointer points to, nested ones included, to a value that is not zero. The
-// values are distinct, except that those of bools are all true and those of bytes repeat.
+// values are distinct, except that all bools are true and the values of bytes repeat.
 func Fill(pointer any) {
 	var f filler
 	f.fill(reflect.ValueOf(pointer).Elem())
--- a/internal/fixturetest/fixturetest.go
+++ b/internal/fixturetest/fixturetest.go
@@ -4,7 +4,7 @@
 //
 // Gob matches fields by their names and skips unknown names without an error. Therefore a field that is renamed without
 // keeping its encoded name is zero after decoding. The test compares fields by their order and values, never by their
-// names: a rename that keeps the encoded form passes, and one that changes it fails.
+// names: a rename that keeps the encoded form passes, and a rename that changes it fails.
 //
 // The fixtures were written by commit c9b2399. They must never be rewritten to make a test pass after a rename, because
 // data of that form is on disks and is sent between processes of that version. The flag -write-missing-fixtures writes
@@ -131,8 +131,8 @@
 	return data, fields, nil
 }
 
-// difference describes the fields that were written and not read, and those that were read and not written. It is empty if
-// both lists have the same values in the same order. Paths are not compared.
+// difference describes the fields that were written and not read, and the fields that were read and not written. It is empty
+// if both lists have the same values in the same order. Paths are not compared.
 func difference(expected, actual []Field) string {
 	common := longestCommonSubsequence(expected, actual)
 	if len(common) == len(expected) && len(common) == len(actual) {
--- a/internal/fixturetest/fixturetest_test.go
+++ b/internal/fixturetest/fixturetest_test.go
@@ -43,7 +43,7 @@
 	Bytes []byte
 }
 
-// Exported, Values and Alone are types whose names are part of their gob descriptions, as the names of their fields are.
+// Exported, Values and Alone are types with names that, like their fields' names, are part of the gob descriptions.
 type (
 	Exported struct{ Value Values }
 	Values   []Alone
--- a/internal/fixturetest/names.go
+++ b/internal/fixturetest/names.go
@@ -7,7 +7,7 @@
 )
 
 // missingNames returns the names of gob fields that occur more often in earlier than in present. An earlier program that
-// reads the present data would leave these fields zero, without an error.
+// reads the data in present would leave these fields zero, without an error.
 func missingNames(earlier, present []byte) []string {
 	remaining := map[string]int{}
 	for _, name := range fieldNames(present) {
@@ -25,8 +25,8 @@
 
 // fieldNames returns the names of the fields in the gob type descriptions within data, by searching for their encoded form:
 //   - A field is the number 1, the length of its name, the name, the number 1 and the number of its type.
-//   - A type has the same form with two more numbers before it (see isTypeName). Types are left out, because gob matches no
-//     types by their names.
+//   - A type has the same form with two more numbers before it (see isTypeName). fieldNames omits types, because gob does
+//     not match types by their names.
 //   - The texts that Fill sets are not found, because they are no exported identifiers. Other bytes that look like a field
 //     do no harm as long as both encoded forms contain them.
 func fieldNames(data []byte) []string {
