--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -40,7 +40,7 @@
 	// RuleLost: an accepted job stays known and does not stall, and it is shown as failed or cancelled only if it is. After
 	// a final fault the acknowledged configuration is still there.
 	RuleLost Rule = "LOST"
-	// RuleConfig: the configuration is the newest one whose change was acknowledged, and machines follow it in time.
+	// RuleConfig: the configuration is the newest acknowledged version, and machines follow it in time.
 	RuleConfig Rule = "CONFIG"
 	// RuleRecover: submissions are accepted again after a final fault, and a service that has lost most of its runners still
 	// completes its urgent jobs in time.
@@ -131,7 +131,8 @@
 	return !a.anyFault(from-a.Bounds.Contact, to, func(f *Fault) bool { return !exempt(f) })
 }
 
-// anyFault reports whether a fault for which counts returns true is on at some time of a span, the ends included.
+// anyFault reports whether a fault is on at some time of a span, the ends included. It considers only faults for which counts
+// returns true.
 func (a *auditor) anyFault(from, to time.Duration, counts func(f *Fault) bool) bool {
 	for i := range a.Faults {
 		f := &a.Faults[i]
@@ -146,8 +147,8 @@
 
 func isPlannedOrRunnersLeave(f *Fault) bool { return f.Planned || f.RunnersLeave }
 
-// possiblyInForce returns the changes whose configuration may have been in force at some time: those that are valid and
-// were not rejected. It includes changes that nobody answered, because a lost response leaves their outcome open.
+// possiblyInForce returns the changes that may have taken effect at some time: all valid changes that were not rejected. It
+// includes unanswered changes, because a lost response leaves their outcome open.
 func (a *auditor) possiblyInForce() []*ConfigurationRecord {
 	if a.candidates != nil {
 		return a.candidates
--- a/internal/cluster/simulation/audit_configuration.go
+++ b/internal/cluster/simulation/audit_configuration.go
@@ -139,7 +139,7 @@
 }
 
 // checkFollowed (CONFIG) checks each response to a client that gives evidence about the configuration:
-//   - The response agrees with some version that may have been in force by then.
+//   - The response agrees with some version that may have taken effect by then.
 //   - If the machine was undisturbed when the request was sent and when the response arrived, the response agrees with a
 //     version at least as new as the newest that was acknowledged more than Bounds.ConfigApply before the request.
 //   - The response agrees with a version at least as new as the oldest version that explains an earlier response of the same
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -121,7 +121,7 @@
 	a.checkStartedAfterEnd(run, job, step)
 }
 
-// runsSharingEnd returns the runs that share their outcome with a task: once one of them ends done, the task is done. They
+// runsSharingEnd returns the runs that share their outcome with a task: once one such run ends done, the task is done. They
 // are the runs of that task or, for a gang, the runs of all members.
 func (a *auditor) runsSharingEnd(task TaskName, step *protocol.Step) []*Run {
 	if step.Gang {
--- a/internal/cluster/simulation/bounds.go
+++ b/internal/cluster/simulation/bounds.go
@@ -9,7 +9,7 @@
 //   - A machine is undisturbed at a time if no fault of this machine and none of the control plane is on at that time, and
 //     none has ended within Contact before it.
 //   - A span is fault-free if no fault, on whatever machine or runner, is on in the span or within Contact before its start.
-//     Planned events such as changes of the configuration do not count as faults.
+//     Planned events such as changes of the configuration are not faults.
 type Bounds struct {
 	Contact       time.Duration // after the end of a fault, its effects are excused for so long
 	AckTimeout    time.Duration // in a fault-free span, a valid change or a cancel is acknowledged this long after it was sent
--- a/internal/cluster/simulation/cluster/caller.go
+++ b/internal/cluster/simulation/cluster/caller.go
@@ -16,7 +16,7 @@
 type caller struct{ harness *harness }
 
 const (
-	defaultCallTimeout  = 30 * time.Second // of a call whose context has no deadline
+	defaultCallTimeout  = 30 * time.Second // of a call with a context without a deadline
 	maxUnansweredProbes = 3                // consecutive; the call then ends, as in package transport
 )
 
--- a/internal/cluster/simulation/cluster/cluster.go
+++ b/internal/cluster/simulation/cluster/cluster.go
@@ -22,7 +22,7 @@
 	agents            map[*simulation.Machine]*agentProcess
 	harnesses         map[*simulation.Machine]*harness
 	diskBytes         int64  // capacity of a control machine's disk, in bytes
-	snapshotThreshold uint64 // a group whose log has more entries than this gets a snapshot
+	snapshotThreshold uint64 // a group gets a snapshot when its log has more entries than this
 	invocation        bool   // agents call their runners instead of waiting for heartbeats
 
 	// Records with which the observers compare the replicas of a group.
--- a/internal/cluster/simulation/cluster/control.go
+++ b/internal/cluster/simulation/cluster/control.go
@@ -124,7 +124,7 @@
 	return consensus.MemberID(c.world.Random.Uint64() | 1), nil
 }
 
-// bootBounds returns the bounds of a scenario in the form in which a process reads them from its boot settings.
+// bootBounds returns the bounds of a scenario in the form of a process's boot settings.
 func bootBounds(bounds simulation.Bounds) boot.Bounds {
 	return boot.Bounds{
 		Grace:              simulation.Grace,
--- a/internal/cluster/simulation/cluster/history_test.go
+++ b/internal/cluster/simulation/cluster/history_test.go
@@ -42,7 +42,8 @@
 	return run
 }
 
-// violations returns a message for each history that is not linearizable or whose check took longer than checkTimeout.
+// violations returns a message for each history that is not linearizable, and for each check that took longer than
+// checkTimeout.
 func (o *observedRun) violations() []string {
 	var violations []string
 	check := func(name string, model porcupine.Model, operations []porcupine.Operation) {
--- a/internal/cluster/simulation/cluster/replaced_owner_test.go
+++ b/internal/cluster/simulation/cluster/replaced_owner_test.go
@@ -14,8 +14,8 @@
 //  1. A client submits a job that keeps running.
 //  2. After freezeDelay the owner of the group is partitioned from the other control machines and frozen. A frontend is
 //     partitioned from them too, so that the owner is the only control machine that it reaches.
-//  3. The other control machines elect a successor. In the middle of freezeTime the job is cancelled at another frontend, and the operator
-//     changes the configuration.
+//  3. The other control machines elect a successor. In the middle of freezeTime the job is cancelled at another frontend, and
+//     the operator changes the configuration.
 //  4. After freezeTime the owner is thawed and still believes that it leads. From querySpan before to querySpan after that
 //     time, the partitioned frontend queries the job and the operator reads the configuration at the owner.
 type replacedOwnerScenario struct {
--- a/internal/cluster/simulation/fault_control.go
+++ b/internal/cluster/simulation/fault_control.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	catchUpTime       = 4 * time.Second      // from the restart of a control machine until reserveLoss treats it as available again
+	catchUpTime       = 4 * time.Second      // from the restart of a control machine until it is treated as available again
 	maxInjectionDelay = 4 * time.Millisecond // the longest time from an acknowledgement to the loss of the machine that sent it
 )
 
-// controlFaults returns the kinds that disturb control machines. Kinds that disturb a single machine draw it with drawControl. They
-// have no effect if reserveLoss does not allow the loss of that machine.
+// controlFaults returns the kinds that disturb control machines. Kinds that disturb a single machine draw it with
+// drawControl. They have no effect if reserveLoss does not allow the loss of that machine.
 func controlFaults() []FaultKind {
 	return []FaultKind{
 		// Killed or powered off for the duration, at least for restartDelay.
--- a/internal/cluster/simulation/fault_frontend.go
+++ b/internal/cluster/simulation/fault_frontend.go
@@ -28,7 +28,7 @@
 	d.partitionLinks(frontend, without(d.Controls, reachable), duration)
 	d.moveRoute()
 	d.useNewQueue(duration)
-	const newest = 16 // changes whose probe routes are queried; most of these routes were removed some time ago
+	const newest = 16 // the probe routes of this many changes are queried; most of these routes were removed some time ago
 	d.repeat(duration, 400*time.Millisecond, func() { d.Operator.Change(nil) })
 	d.repeat(duration, 50*time.Millisecond, func() { d.queryProbe(newest) })
 }
--- a/internal/cluster/simulation/fault_machine.go
+++ b/internal/cluster/simulation/fault_machine.go
@@ -9,7 +9,7 @@
 const restartDelay = 300 * time.Millisecond
 
 // machineFaults returns the kinds that disturb the machines of frontends and agents, which drawOuterMachines draws with the
-// probability given, and those that disturb the network and the clocks of all machines.
+// probability given, and the kinds that disturb the network and the clocks of all machines.
 func machineFaults() []FaultKind {
 	return []FaultKind{
 		// 30 %: killed or powered off, for restartDelay and a drawn part of the duration.
@@ -57,7 +57,7 @@
 			d.Network.Loss = 0.1
 			d.World.After(duration, func() { d.Network.Loss = 0 })
 		}},
-		// 30 %, and all control machines: half of them have their time of day stepped, for the duration.
+		// 30 %, and all control machines: each has its time of day stepped with a probability of 50 %, for the duration.
 		{"clock_step", func(d *Deployment, duration time.Duration) {
 			for _, m := range append(d.drawOuterMachines(0.3), d.Controls...) {
 				if d.World.Chance(0.5) {
@@ -85,7 +85,7 @@
 
 func isControl(m *Machine) bool { return m.Role == RoleControl }
 
-// loss says what a machine loses: its process, its power, or its power and its disk.
+// loss is the kind of a machine's loss: its process, its power, or its power and its disk.
 type loss int
 
 const (
--- a/internal/cluster/simulation/fault_quota.go
+++ b/internal/cluster/simulation/fault_quota.go
@@ -11,7 +11,7 @@
 
 const (
 	quotaPeriod  = 100 * time.Millisecond
-	minQuotaRest = 10 * time.Millisecond // bounds of the drawn time at the end of a period in which a machine is stopped
+	minQuotaRest = 10 * time.Millisecond // bounds of the drawn time for which a machine is stopped at the end of a period
 	maxQuotaRest = 80 * time.Millisecond
 )
 
--- a/internal/cluster/simulation/fault_workload.go
+++ b/internal/cluster/simulation/fault_workload.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// workloadFaults returns the kinds that change what clients and the operator do. Each lasts for the duration, except
+// workloadFaults returns the kinds that change the behavior of clients and the operator. Each lasts for the duration, except
 // config_move.
 func workloadFaults() []FaultKind {
 	return []FaultKind{
--- a/internal/cluster/simulation/gang.go
+++ b/internal/cluster/simulation/gang.go
@@ -8,7 +8,7 @@
 )
 
 // joinGang adds the execution of a gang's member that has just started. Once all members of the gang run have started, they
-// begin to work, all at the speed of the slowest of their runners. If any of them hangs, all hang. A member that has
+// begin to work, all at the speed of the slowest of their runners. If one member hangs, all hang. A member that has
 // waited for Bounds.Gang ends alone.
 func (g *GroundTruth) joinGang(e *execution) {
 	step, run := e.step, e.record.Number
--- a/internal/cluster/simulation/ground_truth.go
+++ b/internal/cluster/simulation/ground_truth.go
@@ -51,7 +51,7 @@
 type Work struct {
 	MeanMs          float64 // mean time of a task on a runner of speed 1
 	Spread          float64 // a task's time differs from the mean by at most this fraction of the mean
-	FirstStartFails float64 // fraction of tasks whose first run fails
+	FirstStartFails float64 // fraction of tasks that fail in their first run
 	AlwaysFails     bool    // each run of each task fails
 }
 
--- a/internal/cluster/simulation/history.go
+++ b/internal/cluster/simulation/history.go
@@ -56,7 +56,7 @@
 	Task            TaskName
 	Number          uint64 // of the task's runs, given by the scheduler; all members of a gang run have the same
 	Runner          *RunnerIncarnation
-	Sent            time.Duration // when the runner sent the heartbeat that was answered with the order, or when the agent called it
+	Sent            time.Duration // when the runner sent the heartbeat that the order answered, or received the call
 	Started         time.Duration
 	Spec            string
 	Checkpoint      string        // the checkpoint that the order gave to start from; empty: none
@@ -203,7 +203,7 @@
 	Body string // the configuration in canonical JSON
 }
 
-// StalledJob is a job without a run in a span in which one of its tasks was due and there was ample capacity for it.
+// StalledJob is a job that had no run during a span although one of its tasks was due and there was ample capacity for it.
 type StalledJob struct {
 	ID       string
 	From, To time.Duration
@@ -214,7 +214,7 @@
 	From, To     time.Duration
 	Kind         string
 	Machines     []string // the machines that the fault disturbs
-	ControlPlane bool     // the fault disturbs all machines while it lasts
+	ControlPlane bool     // all machines are disturbed while it lasts
 	Clock        bool     // it steps a machine's time of day
 	Planned      bool     // normal operation, such as changes, cancels and new runners: spans with it are fault-free
 	RunnersLeave bool     // runners drain or deregister; some rules treat spans with it as fault-free
--- a/internal/cluster/simulation/operator_call.go
+++ b/internal/cluster/simulation/operator_call.go
@@ -55,8 +55,8 @@
 }
 
 // sendReply sends a machine's response to an attempt to the operator. A response that is lost on its way is recorded as
-// well, because it shows how the machine handled the change. The operator does not receive it and sends the change again after the
-// timeout.
+// well, because it shows how the machine handled the change. The operator does not receive it and sends the change again
+// after the timeout.
 func (o *Operator) sendReply(record *ConfigurationRecord, number int, machine *Machine, status int, finish func(status int)) {
 	if status == http.StatusOK && o.OnAcknowledged != nil {
 		o.OnAcknowledged(machine)
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -56,7 +56,7 @@
 	heartbeats        uint64 // number of heartbeats that were sent
 	heartbeatTimer    *Timer
 	heartbeatInFlight bool
-	heartbeatDue      bool // the next heartbeat follows soon after the response to the one in flight
+	heartbeatDue      bool // the next heartbeat follows soon after the response to the heartbeat in flight
 	responseTimer     *Timer
 	abandonHeartbeat  func() // informs the agent that the runner no longer waits; nil: the agent has not received the heartbeat
 
@@ -92,7 +92,7 @@
 // bounds returns the bounds of the scenario.
 func (r *Runner) bounds() *Bounds { return &r.groundTruth.History.Bounds }
 
-// Start begins an incarnation of the runner. It does nothing if the runner is up.
+// Start begins an incarnation of the runner. It has no effect if the runner is up.
 func (r *Runner) Start() {
 	if r.incarnation != nil {
 		return
@@ -110,7 +110,7 @@
 	r.scheduleHeartbeat(r.world.Between(0, 100*time.Millisecond))
 }
 
-// Crash ends the incarnation and all its runs at once. It does nothing if the runner is down.
+// Crash ends the incarnation and all its runs at once. It has no effect if the runner is down.
 func (r *Runner) Crash() {
 	if r.incarnation == nil {
 		return
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -136,7 +136,7 @@
 	r.reportEnd()
 }
 
-// endRun ends a run and lists its end. It does nothing if the run has ended already. Done ends report no checkpoint.
+// endRun ends a run and lists its end. It has no effect if the run has ended already. Done ends report no checkpoint.
 func (r *Runner) endRun(e *execution, reason string) {
 	position := slices.Index(r.active, e)
 	if position < 0 || r.incarnation == nil {
--- a/internal/cluster/simulation/task_name.go
+++ b/internal/cluster/simulation/task_name.go
@@ -19,7 +19,7 @@
 	return t.Job + "." + strconv.Itoa(t.Repetition) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// ParseTaskName parses what String returns, and reports whether the text has that form.
+// ParseTaskName parses a text in the form that String returns, and reports whether the text has that form.
 func ParseTaskName(text string) (TaskName, bool) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
--- a/internal/cluster/simulation/traffic.go
+++ b/internal/cluster/simulation/traffic.go
@@ -72,7 +72,7 @@
 }
 
 // JobClasses returns the classes of jobs in the users' small deployments, with less work, so that jobs end in short
-// scenarios. The first three are routed to the first service, whose runners have no GPU.
+// scenarios. The first three are routed to the first service, which has runners without GPUs.
 func JobClasses() []JobClass {
 	return []JobClass{
 		{Name: "quick", Route: "quick", Weight: 0.70, WorkMs: 350, MeanSteps: 2, MeanWidth: 3, CPU: 240, MemoryMB: 440,
--- a/internal/cluster/simulation/world.go
+++ b/internal/cluster/simulation/world.go
@@ -46,7 +46,7 @@
 	call func() // nil once the event has been executed or cancelled
 }
 
-// Stop cancels the event. It does nothing to a nil timer or to one that has fired.
+// Stop cancels the event. It has no effect on a nil timer or after the event.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.call = nil
@@ -88,7 +88,7 @@
 	return low + time.Duration(w.Random.Int64N(int64(high-low)))
 }
 
-// Chance returns true with probability p. It draws nothing if p is 0.
+// Chance returns true with probability p. It draws no random number if p is 0.
 func (w *World) Chance(p float64) bool { return p > 0 && w.Random.Float64() < p }
 
 // Exponential returns a time drawn from the exponential distribution with that mean, capped at eight times the mean.
@@ -104,7 +104,7 @@
 // the simulator's own work is to compare them.
 type eventQueue []event
 
-// event is a timer's entry in the queue. A stopped timer stays in the queue until its time, and then does nothing.
+// event is a timer's entry in the queue. A stopped timer stays in the queue until its time, and then has no effect.
 type event struct {
 	at    time.Duration
 	order uint64
--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -26,7 +26,7 @@
 //
 // Core has no I/O, clock or goroutine: its methods take datagrams and the time, and return datagrams and changes of the view.
 // It is not safe for concurrent use. All times passed to one Core come from the same clock, with any origin. When the clock
-// jumps forward by more than an interval, Core treats the jump as time in which the process was stopped. When the clock goes
+// jumps forward by more than an interval, Core treats the process as stopped during the jump. When the clock goes
 // back, Core assumes that no time has passed and drops all proofs of death. The view recovers from both.
 package fleet
 
@@ -63,7 +63,7 @@
 // Living reports whether a member in this state is treated as living. A suspect is.
 func (s State) Living() bool { return s <= Suspect }
 
-// Record is what one member gossips about another member or about itself.
+// Record is the information that a member gossips about another member or about itself.
 type Record struct {
 	Name string
 	Addr string // of its UDP socket, host:port
@@ -92,7 +92,8 @@
 	// use the same number.
 	TrustRefusals bool
 	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n]
-	// proves the death of number n, so that another dispatcher may use the number (see package quota). It must be the same at all members.
+	// proves the death of number n, so that another dispatcher may use the number (see package quota). The roster must be the
+	// same at all members.
 	Roster []string
 	// Quota configures the division of budgets by number. It is used only with TrustRefusals and a Roster.
 	Quota quota.Config
@@ -198,7 +199,7 @@
 	Field, Value, Want string
 }
 
-// Error names the field, its value and what is allowed.
+// Error names the field, its value and the allowed values.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("fleet: %s: is %s, but %s", e.Field, e.Value, e.Want)
 }
--- a/internal/dispatcher/fleet/members.go
+++ b/internal/dispatcher/fleet/members.go
@@ -19,7 +19,7 @@
 	return r
 }
 
-// origin is the way in which a record was received.
+// origin is the source of a received record.
 type origin uint8
 
 const (
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -89,7 +89,7 @@
 // SocketError is a failure to bind the fleet's socket, or a failure of the bound socket.
 type SocketError struct {
 	Addr string
-	Fix  string // what an operator can do
+	Fix  string // the remedy for an operator
 	Err  error
 }
 
--- a/internal/dispatcher/gang/config.go
+++ b/internal/dispatcher/gang/config.go
@@ -59,7 +59,7 @@
 type LimitError struct {
 	Gang, Bound string
 	Limit       int
-	Fix         string // what an operator can do
+	Fix         string // the remedy for an operator
 }
 
 // Error names the gang, the bound and the remedy.
--- a/internal/dispatcher/gang/record.go
+++ b/internal/dispatcher/gang/record.go
@@ -106,7 +106,7 @@
 // RecordError is a fault of a record. Dispatchers don't act for a gang with a faulty record.
 type RecordError struct {
 	Gang, Field, Problem string
-	Fix                  string // what the submitter can do
+	Fix                  string // the remedy for the submitter
 }
 
 // Error names the gang, the field, the problem and the remedy.
--- a/internal/dispatcher/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -35,7 +35,7 @@
 type Error struct {
 	Call    string // method and path
 	Problem string
-	Fix     string // what an operator can do
+	Fix     string // the remedy for an operator
 	Err     error
 }
 
--- a/internal/dispatcher/gang/tick.go
+++ b/internal/dispatcher/gang/tick.go
@@ -66,7 +66,7 @@
 	case g.record.Phase == Starting && allStarted:
 		c.write(name, g, AllStarted, func(r *Record) { r.FailedStarts, r.NotBefore = 0, time.Time{} })
 		g.checkpointAt = c.now // the gang makes progress from here on
-	case g.record.Phase == Running && !anyDone: // when one member is done, the other members soon will be, and a save would only delay them
+	case g.record.Phase == Running && !anyDone: // once one member is done, the rest soon will be: a save would only delay them
 		c.startSave(name, g, plan)
 	case g.record.Phase == Saving && c.now.Sub(g.phaseStartedAt) > c.cfg.SaveTimeout:
 		c.write(name, g, SaveFailed, func(r *Record) { r.Relocate = false })
--- a/internal/fixturetest/fields.go
+++ b/internal/fixturetest/fields.go
@@ -33,7 +33,7 @@
 	l.fields = append(l.fields, Field{Path: path, Value: value})
 }
 
-// add adds the scalar fields within v, whose path is path, unless v is zero.
+// add adds the scalar fields within v, which is at path, unless v is zero.
 func (l *lister) add(path string, v reflect.Value) {
 	if !v.IsValid() || v.IsZero() {
 		return
--- a/internal/fixturetest/fixturetest.go
+++ b/internal/fixturetest/fixturetest.go
@@ -8,7 +8,7 @@
 //
 // The fixtures were written by commit c9b2399. They must never be rewritten to make a test pass after a rename, because
 // data of that form is on disks and is sent between processes of that version. The flag -write-missing-fixtures writes
-// only the fixtures whose files don't exist, which new kinds of data need.
+// only fixtures without an existing file, for new kinds of data.
 package fixturetest
 
 import (
