--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -131,8 +131,8 @@
 	return !a.anyFault(from-a.Bounds.Contact, to, func(f *Fault) bool { return !exempt(f) })
 }
 
-// anyFault reports whether a fault is on at some time of a span, the ends included. It considers only faults for which counts
-// returns true.
+// anyFault reports whether a fault is on at some time of a span, the ends included. It considers only faults for which
+// counts returns true.
 func (a *auditor) anyFault(from, to time.Duration, counts func(f *Fault) bool) bool {
 	for i := range a.Faults {
 		f := &a.Faults[i]
--- a/internal/cluster/simulation/audit_runs.go
+++ b/internal/cluster/simulation/audit_runs.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// checkLimit (LIMIT): when a run starts, the runs on its runner together need at most the runner's capacity of each resource.
-// The rule applies to runners that do not themselves reject runs that do not fit. There is no allowance.
+// checkLimit (LIMIT): when a run starts, the runs on its runner together need at most the runner's capacity of each
+// resource. The rule applies to runners that do not themselves reject runs that do not fit. There is no allowance.
 func (a *auditor) checkLimit(run *Run, step *protocol.Step) {
 	runner := run.Runner
 	if runner.EnforcesCapacity {
--- a/internal/cluster/simulation/cluster/cluster_test.go
+++ b/internal/cluster/simulation/cluster/cluster_test.go
@@ -46,8 +46,8 @@
 // maxParallel is the number of scenarios that are played in parallel.
 var maxParallel = max(4, runtime.GOMAXPROCS(0))
 
-// playSeeds plays the scenarios of count seeds, starting with first. If SIMULATION_SEED is set, it plays only the scenario of
-// that seed. The spec fails if any of the outcomes has failed.
+// playSeeds plays the scenarios of count seeds, starting with first. If SIMULATION_SEED is set, it plays only the scenario
+// of that seed. The spec fails if any of the outcomes has failed.
 func playSeeds(first, count uint64, options Options) {
 	GinkgoHelper()
 	if seed := environmentNumber("SIMULATION_SEED", 0); seed != 0 {
--- a/internal/cluster/simulation/cluster/machine_clock.go
+++ b/internal/cluster/simulation/cluster/machine_clock.go
@@ -87,8 +87,8 @@
 // Deadline returns the time of the machineClock at which the context ends.
 func (c *deadlineContext) Deadline() (time.Time, bool) { return c.at, true }
 
-// Err returns context.DeadlineExceeded if a deadline has ended this context: its own or that of a context that it was derived
-// from. Otherwise it returns the error of the embedded context, which is nil until the embedded context ends.
+// Err returns context.DeadlineExceeded if a deadline has ended this context: its own or that of a context that it was
+// derived from. Otherwise it returns the error of the embedded context, which is nil until the embedded context ends.
 func (c *deadlineContext) Err() error {
 	if errors.Is(context.Cause(c.Context), context.DeadlineExceeded) {
 		return context.DeadlineExceeded
@@ -128,8 +128,8 @@
 	return wasRunning
 }
 
-// setRunning begins a new generation of the timer, either running or stopped. It returns whether the timer was running before
-// and the number of the new generation.
+// setRunning begins a new generation of the timer, either running or stopped. It returns whether the timer was running
+// before and the number of the new generation.
 func (t *timer) setRunning(running bool) (wasRunning bool, generation uint64) {
 	t.harness.mutex.Lock()
 	defer t.harness.mutex.Unlock()
--- a/internal/cluster/simulation/cluster/observer.go
+++ b/internal/cluster/simulation/cluster/observer.go
@@ -51,8 +51,8 @@
 // digestInterval is the number of log entries from one comparison of states to the next.
 const digestInterval = 32
 
-// Apply applies a committed command to the wrapped state machine, and compares the command with the other replicas' command. At
-// indexes that are multiples of digestInterval it compares the state too.
+// Apply applies a committed command to the wrapped state machine, and compares the command with the other replicas'
+// command. At indexes that are multiples of digestInterval it compares the state too.
 func (o *observer) Apply(index, term uint64, data []byte) any {
 	result := o.StateMachine.Apply(index, term, data)
 	c := o.process.cluster
--- a/internal/cluster/simulation/deployment.go
+++ b/internal/cluster/simulation/deployment.go
@@ -66,8 +66,8 @@
 	// Leader returns a control machine that leads a replica group, or nil. If the field itself is nil, faults draw
 	// any control machine.
 	Leader func() *Machine
-	// AddControl returns a new control machine with an empty disk and a new address. The machine is off. If AddControl is nil,
-	// no control machine is ever replaced.
+	// AddControl returns a new control machine with an empty disk and a new address. The machine is off. If AddControl is
+	// nil, no control machine is ever replaced.
 	AddControl func() *Machine
 	// Terminate asks a machine's process to shut down and calls done once it has. If it is nil, processes are killed.
 	Terminate func(m *Machine, done func())
--- a/internal/cluster/simulation/fault.go
+++ b/internal/cluster/simulation/fault.go
@@ -28,7 +28,8 @@
 	return FaultKind{}, false
 }
 
-// recordPlanned adds an event of normal operation to the history. It excuses no violation: spans with it are still fault-free.
+// recordPlanned adds an event of normal operation to the history. It excuses no violation: spans with it are still
+// fault-free.
 func (d *Deployment) recordPlanned(kind string, duration time.Duration) {
 	d.recordFault(Fault{From: d.World.now, To: d.World.now + duration, Kind: kind, Planned: true})
 }
--- a/internal/cluster/simulation/fault_control.go
+++ b/internal/cluster/simulation/fault_control.go
@@ -101,8 +101,8 @@
 	return d.finalFaultAt > 0 && until > d.finalFaultAt
 }
 
-// drawControl draws a control machine that is up, or returns nil if none is. With a probability of 60 % it returns the leader
-// of a replica group, if Leader names a leader that is up.
+// drawControl draws a control machine that is up, or returns nil if none is. With a probability of 60 % it returns the
+// leader of a replica group, if Leader names a leader that is up.
 func (d *Deployment) drawControl() *Machine {
 	if d.Leader != nil && d.World.Chance(0.6) {
 		if leader := d.Leader(); leader != nil && leader.up {
--- a/internal/cluster/simulation/machine.go
+++ b/internal/cluster/simulation/machine.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Thaw resumes a frozen process. It makes the calls that fell due while the process was frozen, in the order
-// in which they were due.
+// Thaw resumes a frozen process. It makes the calls that fell due while the process was frozen, in the order in which they
+// were due.
 func (m *Machine) Thaw() {
 	if !m.frozen {
 		return
--- a/internal/cluster/simulation/operator.go
+++ b/internal/cluster/simulation/operator.go
@@ -81,8 +81,8 @@
 // Edit changes a configuration in place and returns the names of the routes that it changed or added.
 type Edit func(next *Document) []string
 
-// Change sends a change. A nil edit changes a drawn route's timeout. Change sends no change while another change is in flight,
-// and before the first configuration is acknowledged.
+// Change sends a change. A nil edit changes a drawn route's timeout. Change sends no change while another change is in
+// flight, and before the first configuration is acknowledged.
 func (o *Operator) Change(edit Edit) {
 	if o.inFlight > 0 || o.current == nil {
 		return
--- a/internal/cluster/simulation/operator_invalid.go
+++ b/internal/cluster/simulation/operator_invalid.go
@@ -17,8 +17,8 @@
 	invalidChanges // number of kinds
 )
 
-// SubmitInvalid sends a change of a kind that the scheduler must reject. It sends no change while another change is in flight,
-// and before the first configuration is acknowledged.
+// SubmitInvalid sends a change of a kind that the scheduler must reject. It sends no change while another change is in
+// flight, and before the first configuration is acknowledged.
 func (o *Operator) SubmitInvalid(kind InvalidChange) {
 	if o.current == nil || o.inFlight > 0 {
 		return
--- a/internal/cluster/simulation/runner.go
+++ b/internal/cluster/simulation/runner.go
@@ -58,7 +58,7 @@
 	heartbeatInFlight bool
 	heartbeatDue      bool // the next heartbeat follows soon after the response to the heartbeat in flight
 	responseTimer     *Timer
-	abandonHeartbeat  func() // informs the agent that the runner no longer waits; nil: the agent has not received the heartbeat
+	abandonHeartbeat  func() // tells the agent that the runner no longer waits; nil: the agent has not received the heartbeat
 
 	resets    []func() // each resets a connection; called when this incarnation ends
 	onNextEnd []func() // called when a run ends, and dropped then
--- a/internal/cluster/simulation/runner_run.go
+++ b/internal/cluster/simulation/runner_run.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// startRun starts a run, or returns the reason for rejecting it. sent is the time at which the runner sent the heartbeat that
-// was answered with the order, or received the call. startRun ignores an order for an active run, because orders are
+// startRun starts a run, or returns the reason for rejecting it. sent is the time at which the runner sent the heartbeat
+// that was answered with the order, or received the call. startRun ignores an order for an active run, because orders are
 // repeated. Without a valid lease, the run ends with EndLapsed at once.
 func (r *Runner) startRun(order *protocol.StartOrder, sent time.Duration) rejection {
 	if r.find(order.Task, order.Run) != nil {
--- a/internal/cluster/simulation/scenario.go
+++ b/internal/cluster/simulation/scenario.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// finish begins the checks after the traffic: it queries each accepted job's state until the job ends, samples stalled jobs, and
-// reads the configuration back in the last Bounds.Contact.
+// finish begins the checks after the traffic: it queries each accepted job's state until the job ends, samples stalled
+// jobs, and reads the configuration back in the last Bounds.Contact.
 func (d *Deployment) finish() {
 	w := d.World
 	ends := d.History.Ends
--- a/internal/dispatcher/fleet/figures_test.go
+++ b/internal/dispatcher/fleet/figures_test.go
@@ -80,8 +80,8 @@
 	fmt.Printf("%slargest datagram %d bytes\n", line, maxSize)
 }
 
-// measureTraffic measures each member's traffic and CPU time in an hour (of the fleet's time) without events. For large fleets
-// and high loss it measures an eighth of an hour, as a full hour takes too long.
+// measureTraffic measures each member's traffic and CPU time in an hour (of the fleet's time) without events. For large
+// fleets or high loss it measures an eighth of an hour, as a full hour takes too long.
 func measureTraffic(w *virtual.World, loss float64) string {
 	n, intervals := len(w.Nodes), 7200
 	if n > 300 || loss > 0.1 {
--- a/internal/dispatcher/fleet/fleet.go
+++ b/internal/dispatcher/fleet/fleet.go
@@ -18,8 +18,8 @@
 //     package quota).
 //   - A process that was stopped extends its suspicions by the time that it was stopped, as it couldn't receive refutations.
 //
-// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the process with the
-// higher epoch is the member and the other process is superseded. Incarnations count the refutations within an epoch.
+// Each process has an epoch (Cassandra's gossip calls it a generation). Of two processes under one name, the process with
+// the higher epoch is the member and the other process is superseded. Incarnations count the refutations within an epoch.
 //
 // A view may be wrong, and may differ from other views for some time. Decisions based on it may cost time, but safety must not
 // depend on it.
@@ -81,8 +81,8 @@
 
 // Config configures a member. All members of a fleet should have the same values except for Seeds, Seed and Quota.Own.
 type Config struct {
-	// Interval is the time between the rounds of a healthy member, which probes one member in each round. All timeouts of the
-	// failure detector are multiples of it.
+	// Interval is the time between the rounds of a healthy member, which probes one member in each round. All timeouts of
+	// the failure detector are multiples of it.
 	Interval time.Duration
 	// Seeds are addresses that are probed while no member is known at them, to join the fleet and to rejoin it after a
 	// partition.
@@ -91,9 +91,9 @@
 	// only where no firewall or router sends such refusals in the name of other machines: a false one lets two dispatchers
 	// use the same number.
 	TrustRefusals bool
-	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n]
-	// proves the death of number n, so that another dispatcher may use the number (see package quota). The roster must be the
-	// same at all members.
+	// Roster is the address of each number's socket, indexed by number. With TrustRefusals, a refusal by Roster[n] proves
+	// the death of number n, so that another dispatcher may use the number (see package quota). The roster must be the same
+	// at all members.
 	Roster []string
 	// Quota configures the division of budgets by number. It is used only with TrustRefusals and a Roster.
 	Quota quota.Config
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -240,7 +240,8 @@
 }
 
 // A stopped process declares no other member dead because of the time that it was stopped, and is soon alive in all views
-// again. A clock that jumps forward looks like such a stop. When a clock goes back, the core assumes that no time has passed.
+// again. A clock that jumps forward looks like such a stop. When a clock goes back, the core assumes that no time has
+// passed.
 func TestStoppedProcessesAndClockJumps(t *testing.T) {
 	for name, do := range map[string]func(w *virtual.World, n *virtual.Node){
 		"stopped for 20 s": func(w *virtual.World, n *virtual.Node) {
--- a/internal/dispatcher/fleet/packet/packet.go
+++ b/internal/dispatcher/fleet/packet/packet.go
@@ -16,8 +16,8 @@
 //
 // CBOR was chosen over msgpack and protobuf. All three are small enough: a record takes 60 to 70 bytes in each format,
 // mostly for names. A CBOR decoder can be configured to reject unexpected input (indefinite lengths, other types, too many
-// elements, trailing bytes). A msgpack decoder accepts numbers of any width and kind for any field and doesn't bound arrays. Protobuf
-// keeps unknown fields by design and needs a generator at build time.
+// elements, trailing bytes). A msgpack decoder accepts numbers of any width and kind for any field and doesn't bound
+// arrays. Protobuf keeps unknown fields by design and needs a generator at build time.
 package packet
 
 import (
--- a/internal/dispatcher/fleet/probe.go
+++ b/internal/dispatcher/fleet/probe.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// resume continues after this process was stopped, or got no CPU, for the time late. Timeouts that ended in that time give no
-// evidence about other members. Therefore resume drops the current probe and the relays, and extends all suspicions.
+// resume continues after this process was stopped, or got no CPU, for the time late. Timeouts that ended in that time give
+// no evidence about other members. Therefore resume drops the current probe and the relays, and extends all suspicions.
 func (c *Core) resume(late time.Duration) {
 	c.health, c.probe = maxHealthScore, nil
 	clear(c.relays)
--- a/internal/dispatcher/fleet/quota/quota.go
+++ b/internal/dispatcher/fleet/quota/quota.go
@@ -17,11 +17,11 @@
 //
 // # Invariant
 //
-// No number has two owners. Suppose that dispatcher B owns a number by a proof, and that dispatcher A owns it too, where the
-// number belongs to A or A comes before B in the order. B has a valid proof that A had no socket at some time since the
+// No number has two owners. Suppose that dispatcher B owns a number by a proof, and that dispatcher A owns it too, where
+// the number belongs to A or A comes before B in the order. B has a valid proof that A had no socket at some time since the
 // proof's datagram was sent, less than Lease ago. So A, if it runs, bound its socket less than Lease ago and owns no number
-// by rule 4. This contradicts the assumption. GuardTime lies between the last use by one owner and the first use by the next.
-// It is at least the window in which the budget is counted, so that no budget is spent twice in one window.
+// by rule 4. This contradicts the assumption. GuardTime lies between the last use by one owner and the first use by the
+// next. It is at least the window in which the budget is counted, so that no budget is spent twice in one window.
 //
 // The invariant breaks, and two dispatchers may use the same number, if
 //   - something other than the kernel of the addressed machine sends refusals in its name;
--- a/internal/dispatcher/fleet/udp/udp.go
+++ b/internal/dispatcher/fleet/udp/udp.go
@@ -266,8 +266,8 @@
 	}
 }
 
-// now reads a clock that never jumps and continues while the machine sleeps. With another clock, a proof of death could be used
-// after it has expired.
+// now reads a clock that never jumps and continues while the machine sleeps. With another clock, a proof of death could be
+// used after it has expired.
 func now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/dispatcher/fleet/udp/udp_test.go
+++ b/internal/dispatcher/fleet/udp/udp_test.go
@@ -85,9 +85,9 @@
 	return 0
 }
 
-// On real sockets: members join. Invalid datagrams are counted and otherwise ignored. A later process at the same address waits
-// for the socket and then owns the number. When a socket is closed, its number passes to the other member, and passes back to
-// the next process at the address.
+// On real sockets: members join. Invalid datagrams are counted and otherwise ignored. A later process at the same address
+// waits for the socket and then owns the number. When a socket is closed, its number passes to the other member, and passes
+// back to the next process at the address.
 func TestNumbersFollowSockets(t *testing.T) {
 	roster := []string{freeAddr(t), freeAddr(t)}
 	a, b := run(t, "a", 0, roster), run(t, "b", 1, roster)
--- a/internal/dispatcher/gang/explore_state_test.go
+++ b/internal/dispatcher/gang/explore_state_test.go
@@ -119,7 +119,8 @@
 	return &c
 }
 
-// key returns a hash of the state to recognize visited states. Instead of times, the hash covers whether timeouts have passed.
+// key returns a hash of the state to recognize visited states. Instead of times, the hash covers whether timeouts have
+// passed.
 func (s *state) key() uint64 {
 	d := xxhash.New()
 	write := func(values ...any) { _, _ = fmt.Fprint(d, values...) } // a hash never returns an error
--- a/internal/dispatcher/gang/place.go
+++ b/internal/dispatcher/gang/place.go
@@ -161,9 +161,9 @@
 		cmp.Compare(a.record.Name, b.record.Name))
 }
 
-// match returns a runner for each member, or nil if not all members get a runner. No chosen runner retires before the gang is
-// expected to be done. As that time depends on the slowest runner of a placement, match excludes the runners of a placement
-// that retire too early and tries again, until no runner is excluded or no placement is left.
+// match returns a runner for each member, or nil if not all members get a runner. No chosen runner retires before the gang
+// is expected to be done. As that time depends on the slowest runner of a placement, match excludes the runners of a
+// placement that retire too early and tries again, until no runner is excluded or no placement is left.
 func (c *Core) match(g *gang, free map[string]float64) []string {
 	excluded := map[string]bool{}
 	for {
--- a/internal/dispatcher/gang/register/register.go
+++ b/internal/dispatcher/gang/register/register.go
@@ -152,5 +152,6 @@
 	return gang.Unknown, "", &Error{call, "answered " + resp.Status, "see the register's log; the record will be read again", nil}
 }
 
-// closeBody closes the body of an answer. The caller has read the needed part of the body by then, so an error has no effect.
+// closeBody closes the body of an answer. The caller has read the needed part of the body by then, so an error has no
+// effect.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
--- a/internal/dispatcher/gang/virtual/virtual.go
+++ b/internal/dispatcher/gang/virtual/virtual.go
@@ -1,7 +1,7 @@
 // Package virtual simulates a fleet that runs gangs, in virtual time and with the real gang.Core of each dispatcher. It
 // simulates a register that can lose answers, runners that retire and die, and dispatchers that crash, are stopped and are
-// partitioned from the register. The seed and the calls of a run determine all its events. A World is not safe for concurrent
-// use.
+// partitioned from the register. The seed and the calls of a run determine all its events. A World is not safe for
+// concurrent use.
 package virtual
 
 import (
