--- a/internal/cluster/simulation/audit.go
+++ b/internal/cluster/simulation/audit.go
@@ -14,9 +14,9 @@
 // The scheduler's rules. Some hold only for undisturbed machines or in fault-free spans; Bounds defines both terms. The
 // check of each rule says which.
 const (
-	// RuleLimit: no start brings a runner over its capacity, unless the runner itself rejects what does not fit.
+	// RuleLimit: no start exceeds a runner's capacity, unless the runner itself rejects runs that do not fit.
 	RuleLimit Rule = "LIMIT"
-	// RuleTwice: no two runs of a task overlap, and no run of it starts after one has ended done. For steps with AtMostOnce,
+	// RuleTwice: no two runs of a task overlap, and no run starts after another has ended done. For steps with AtMostOnce,
 	// two runs may overlap, and a start soon after the end is allowed.
 	RuleTwice Rule = "TWICE"
 	// RuleOrder: no task starts before the steps that its step depends on are done, nor before its repetition is due.
@@ -26,12 +26,12 @@
 	RuleRoute Rule = "ROUTE"
 	// RuleBudget: no task starts again once it has failed as often as its route allows.
 	RuleBudget Rule = "BUDGET"
-	// RuleGang: all members of a gang start before the first of them stops waiting, and from the same checkpoint.
+	// RuleGang: all members of a gang start before the first member stops waiting, and from the same checkpoint.
 	RuleGang Rule = "GANG"
 	// RuleUnasked: every run belongs to a task that a client submitted, and none starts or continues long after the job's
 	// cancel.
 	RuleUnasked Rule = "UNASKED"
-	// RuleRefused: a job of which every submission was rejected never runs.
+	// RuleRefused: a job never runs if every submission of it was rejected.
 	RuleRefused Rule = "REFUSED"
 	// RuleDrain: no run starts on a runner later than Bounds.Drain after the runner's `draining` was acknowledged.
 	RuleDrain Rule = "DRAIN"
@@ -40,7 +40,7 @@
 	// RuleLost: an accepted job stays known and does not stall, and it is shown as failed or cancelled only if it is. After
 	// a final fault the acknowledged configuration is still there.
 	RuleLost Rule = "LOST"
-	// RuleConfig: the configuration is the newest one whose change was acknowledged, and machines follow it in time.
+	// RuleConfig: the configuration is the newest acknowledged version, and machines follow it in time.
 	RuleConfig Rule = "CONFIG"
 	// RuleRecover: submissions are accepted again after a final fault, and a service that has lost most of its runners still
 	// completes its urgent jobs in time.
@@ -55,7 +55,7 @@
 type Violation struct {
 	Rule Rule
 	At   time.Duration // when the rule was broken
-	What string        // what was seen, of which job, run or machine, and the bound that it breaks
+	What string        // the observation, its job, run or machine, and the bound that it breaks
 }
 
 // String returns the violation as one line.
@@ -125,13 +125,14 @@
 	})
 }
 
-// isFaultFree reports whether a span is fault-free: no fault is on in it or within Bounds.Contact before it, apart from the
-// exempt ones.
+// isFaultFree reports whether a span is fault-free: no fault is on during the span or within Bounds.Contact before it, apart
+// from the exempt faults.
 func (a *auditor) isFaultFree(from, to time.Duration, exempt func(f *Fault) bool) bool {
 	return !a.anyFault(from-a.Bounds.Contact, to, func(f *Fault) bool { return !exempt(f) })
 }
 
-// anyFault reports whether a fault for which counts returns true is on at some time of a span, the ends included.
+// anyFault reports whether a fault is on at some time of a span, the ends included. It considers only faults for which
+// counts returns true.
 func (a *auditor) anyFault(from, to time.Duration, counts func(f *Fault) bool) bool {
 	for i := range a.Faults {
 		f := &a.Faults[i]
@@ -146,8 +147,8 @@
 
 func isPlannedOrRunnersLeave(f *Fault) bool { return f.Planned || f.RunnersLeave }
 
-// possiblyInForce returns the changes whose configuration may have been in force at some time: those that are valid and
-// were not rejected. It includes changes that nobody answered, because a lost response leaves their outcome open.
+// possiblyInForce returns the changes that may have taken effect at some time: all valid changes that were not rejected. It
+// includes unanswered changes, because a lost response leaves their outcome open.
 func (a *auditor) possiblyInForce() []*ConfigurationRecord {
 	if a.candidates != nil {
 		return a.candidates
@@ -160,7 +161,7 @@
 	return a.candidates
 }
 
-// rejected reports whether the change was never acknowledged and the operator received a final rejection of it.
+// rejected reports whether the change was never acknowledged and the operator received a final rejection.
 func (r *ConfigurationRecord) rejected() bool {
 	if r.Acknowledged != Never {
 		return false
--- a/internal/cluster/simulation/fault_quota.go
+++ b/internal/cluster/simulation/fault_quota.go
@@ -11,7 +11,7 @@
 
 const (
 	quotaPeriod  = 100 * time.Millisecond
-	minQuotaRest = 10 * time.Millisecond // bounds of the drawn time at the end of a period in which a machine is stopped
+	minQuotaRest = 10 * time.Millisecond // bounds of the drawn time for which a machine is stopped at the end of a period
 	maxQuotaRest = 80 * time.Millisecond
 )
 
@@ -25,8 +25,8 @@
 	}
 }
 
-// throttle stops a machine at the end of the period that begins now, for a drawn time, and so in each later period. A
-// machine that is off or frozen by another fault is left as it is.
+// throttle stops a machine at the end of the period that begins now, for a drawn time, and so in each later period. It
+// does not change a machine that is off or frozen by another fault.
 func (d *Deployment) throttle(m *Machine) {
 	if d.World.now >= d.History.TrafficEnds {
 		return
--- a/internal/cluster/simulation/traffic.go
+++ b/internal/cluster/simulation/traffic.go
@@ -45,11 +45,11 @@
 	return &classes[0]
 }
 
-// JobClass is a class of jobs that clients submit. A float64 of the name of a field of protocol.Step is the fraction of
-// steps in which that field is set.
+// JobClass is a class of jobs that clients submit. A float64 field with the name of a field of protocol.Step is the
+// fraction of steps that have this field set.
 type JobClass struct {
 	Name            string
-	Route           string  // the route to whose queue the jobs are submitted
+	Route           string  // the jobs are submitted to this route's queue
 	Weight          float64 // fraction of all jobs
 	WorkMs          float64 // mean work of a task, in ms on a runner of speed 1
 	MeanSteps       int     // of a job
@@ -72,7 +72,7 @@
 }
 
 // JobClasses returns the classes of jobs in the users' small deployments, with less work, so that jobs end in short
-// scenarios. The first three are routed to the first service, whose runners have no GPU.
+// scenarios. The first three are routed to the first service, which has runners without GPUs.
 func JobClasses() []JobClass {
 	return []JobClass{
 		{Name: "quick", Route: "quick", Weight: 0.70, WorkMs: 350, MeanSteps: 2, MeanWidth: 3, CPU: 240, MemoryMB: 440,
--- a/internal/cluster/simulation/world.go
+++ b/internal/cluster/simulation/world.go
@@ -10,7 +10,7 @@
 const EpochMs int64 = 1_700_000_000_000
 
 // World is a discrete-event simulator: a queue of events in the order of their times, and a seeded source of randomness. It
-// executes one event at a time, and events of the same time in the order in which they were scheduled.
+// executes one event at a time. Events of the same time are executed in the order in which they were scheduled.
 type World struct {
 	// Random is the source from which the faults, the traffic and most delays are drawn.
 	Random    *rand.Rand
@@ -46,7 +46,7 @@
 	call func() // nil once the event has been executed or cancelled
 }
 
-// Stop cancels the event. It does nothing to a nil timer or to one that has fired.
+// Stop cancels the event. It has no effect on a nil timer or after the event.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.call = nil
@@ -56,7 +56,7 @@
 // Pending reports whether the event is still to come. It may be called on a nil timer.
 func (t *Timer) Pending() bool { return t != nil && t.call != nil }
 
-// At schedules f for a time. A time in the past counts as now.
+// At schedules f for a time. It replaces a time in the past by the current time.
 func (w *World) At(at time.Duration, f func()) *Timer {
 	w.lastOrder++
 	timer := &Timer{at: max(at, w.now), call: f}
@@ -67,7 +67,7 @@
 // After schedules f for the time d from now.
 func (w *World) After(d time.Duration, f func()) *Timer { return w.At(w.now+d, f) }
 
-// Run executes all events up to a time, including those that are scheduled by these events, and sets the time to it.
+// Run executes all events up to a time, including events that these events schedule, and then sets the time to until.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		timer := w.queue.pop()
@@ -88,7 +88,7 @@
 	return low + time.Duration(w.Random.Int64N(int64(high-low)))
 }
 
-// Chance returns true with probability p. It draws nothing if p is 0.
+// Chance returns true with probability p. It draws no random number if p is 0.
 func (w *World) Chance(p float64) bool { return p > 0 && w.Random.Float64() < p }
 
 // Exponential returns a time drawn from the exponential distribution with that mean, capped at eight times the mean.
@@ -104,7 +104,7 @@
 // the simulator's own work is to compare them.
 type eventQueue []event
 
-// event is a timer's entry in the queue. A stopped timer stays in the queue until its time, and then does nothing.
+// event is a timer's entry in the queue. A stopped timer stays in the queue until its time, and then has no effect.
 type event struct {
 	at    time.Duration
 	order uint64
