--- a/bench/storebench/main.go
+++ b/bench/storebench/main.go
@@ -2,7 +2,7 @@
 // synced. Both engines do the same work in one run. Earlier figures are in docs/ROADMAP.md.
 //
 // Each figure is the median over several rounds, in which the order of the engines changes. Each phase of an engine runs in
-// a process of its own, so that the measured memory is that of this phase only.
+// a separate process, so that the measured memory is used by this phase only.
 package main
 
 import (
--- a/test/ci/documented_test.go
+++ b/test/ci/documented_test.go
@@ -70,7 +70,7 @@
 }
 
 // ofUnexportedType reports whether a function is a method of an unexported type. Other packages can call such a method only
-// through an interface, whose comments document it.
+// through an interface; the interface's comments document it.
 func ofUnexportedType(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return false
--- a/test/ci/known_red_test.go
+++ b/test/ci/known_red_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// refusedFile is an invalid KNOWN-RED.txt and what the message that rejects it has after "KNOWN-RED.txt:".
+// refusedFile is an invalid KNOWN-RED.txt. The error that rejects it must contain "KNOWN-RED.txt:", followed by message.
 type refusedFile struct {
 	message string
 	lines   []string
--- a/test/ci/nethttp_test.go
+++ b/test/ci/nethttp_test.go
@@ -113,8 +113,8 @@
 	times   int    // how often the server gets the request
 }
 
-// Guards against a change of net/http in which requests it resends, when a reused connection breaks after the request was
-// written. docs/control-safety/calls.md lists them.
+// Guards against a change in the set of requests that net/http resends when a reused connection breaks after the request was
+// written. docs/control-safety/calls.md lists these requests.
 func TestWhichRequestsTheHTTPTransportSendsAgain(t *testing.T) {
 	for _, each := range []resendCase{
 		{method: "GET", times: 2},
--- a/test/ci/packages_test.go
+++ b/test/ci/packages_test.go
@@ -17,7 +17,7 @@
 //
 // Too short: the test builds a clean checkout without a build cache. PATH has only the Go tool chain and the programs of the
 // allowed packages: the listed ones, their dependencies and Debian's essential packages. The compiler finds headers and
-// libraries without PATH, so it writes a list of those that it reads; each must belong to an allowed package.
+// libraries without PATH, so it writes a list of the files that it reads; each file must belong to an allowed package.
 //
 // Too long: for each listed package, the build must use a file that belongs to no package that is still allowed without it.
 func TestDeployBuildNeedsOnlyThePackagesListed(t *testing.T) {
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -26,7 +26,7 @@
 	RunSpecs(t, "pages")
 }
 
-// rowsOf returns the cells of all rows of those tables of a page whose first column has this heading.
+// rowsOf finds the tables of a page with head as the heading of the first column, and returns the cells of their rows.
 func rowsOf(page, head string) [][]string {
 	content, err := os.ReadFile(filepath.Join("..", "..", "docs", page))
 	Expect(err).NotTo(HaveOccurred())
--- a/test/docs/specs_test.go
+++ b/test/docs/specs_test.go
@@ -30,7 +30,7 @@
 	ellipsis = regexp.MustCompile(`\.\.\.|…`)
 )
 
-// specFunctions are the functions of Ginkgo whose first argument is the description of a spec, a container or a table entry.
+// specFunctions are Ginkgo's functions that take the description of a spec, container or table entry as first argument.
 var specFunctions = []string{"Describe", "DescribeTable", "Context", "When", "It", "Specify", "Entry"}
 
 var _ = Describe("the pages about tests", func() {
--- a/test/fleet/cluster_test.go
+++ b/test/fleet/cluster_test.go
@@ -171,7 +171,7 @@
 	return v, errors.Join(err, response.Body.Close()) == nil
 }
 
-// running returns the dispatchers whose processes run.
+// running returns the dispatchers that have a process.
 func (c *cluster) running() (out []*dispatcher) {
 	for _, d := range c.dispatchers {
 		if d.cmd != nil {
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -37,8 +37,8 @@
 	os.Exit(code)
 }
 
-// Two of five dispatchers are killed. The others declare them dead and take over their numbers, and give them back after the
-// restart.
+// Two of five dispatchers are killed. The other three declare them dead and take over their numbers. After the restart, the
+// two own their numbers again.
 func TestKilled(t *testing.T) {
 	c := start(t, 5, false)
 	c.dispatchers[1].kill()
@@ -55,7 +55,8 @@
 	}
 }
 
-// A process that SIGSTOP stops for 6 seconds keeps its number, since the others can't know that it doesn't run any more.
+// A process that SIGSTOP stops for 6 seconds keeps its number: a timeout does not prove to the other dispatchers that the
+// process has ended.
 // After SIGCONT it is alive in all views, and no dispatcher sees another as dead.
 func TestStoppedAndContinued(t *testing.T) {
 	c := start(t, 4, false)
--- a/test/fleet/relay.go
+++ b/test/fleet/relay.go
@@ -78,7 +78,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the ICMP error of a forwarded datagram whose receiver does not listen
+			continue // an ICMP error: the receiver of a forwarded datagram does not listen
 		}
 		sender, known := r.senders[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !known {
--- a/test/integration/deployments_test.go
+++ b/test/integration/deployments_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Settings of two deployments. payments has load reports from probes, a tenant, and a single class, the keys of which are
+// Settings of two deployments. payments has load reports from probes, a tenant, and a single class. Keys of this class are
 // deduplicated per zone. rendering has no load reports and no tenants, but four classes with different deadlines and retry
-// semantics, and keys that are deduplicated per cell.
+// semantics. Keys of its keyed class are deduplicated per cell.
 const (
 	payments = `{"zone":"z","zones":["z","y"],"balancers":5,"slotNo":2,"periodUs":2000,"discovery":"ask","kinds":["m","n"],
  "classes":[{"name":"keyed","semantics":"keyed","keyScope":"zone","memorySpanUs":10000000,"objectiveUs":500000,"deadlineUs":6000000}],
--- a/test/integration/discovery_test.go
+++ b/test/integration/discovery_test.go
@@ -13,7 +13,7 @@
 )
 
 // discovery is an HTTP server that stands for the discovery service. It serves the list of runners as numbered changes. A
-// call that asks for changes after the current version waits for the next change, at most as long as its hold_ms.
+// call that asks for changes after the current version waits for the next change, for at most hold_ms milliseconds.
 type discovery struct {
 	addr string
 	mu   sync.Mutex
--- a/test/integration/program_test.go
+++ b/test/integration/program_test.go
@@ -69,7 +69,7 @@
 	assert.Less(t, time.Since(before), testTimeout)
 }
 
-// Each way in which an attempt can end at the only runner, and the status that the client gets. The class "unsafe" forbids a
+// Checks the status that the client gets for each outcome of an attempt at the only runner. The class "unsafe" forbids a
 // second run: the program may retry a job, or shed it with 503, only if the outcome proves that it never ran. Any other
 // failure gets 502 after a single attempt (once).
 func TestOutcomes(t *testing.T) {
--- a/test/integration/rare_test.go
+++ b/test/integration/rare_test.go
@@ -19,8 +19,9 @@
 
 var pushed = strings.Replace(settings, `"discovery":"ask"`, `"discovery":"push"`, 1)
 
-// With pushed lists, the dispatcher counts as notified of every change that was pushed before its start. It must therefore
-// not serve from its configuration's list before the first pushed list has arrived: a runner that drains there gets no job.
+// With pushed lists, the platform treats the dispatcher as notified of every change that was pushed before its start. The
+// dispatcher must therefore not serve from its configuration's list before the first pushed list has arrived: a runner that
+// drains in the pushed list gets no job.
 func TestPushedListIsReadBeforeServing(t *testing.T) {
 	old, next := newRunner(t, "r1", "z", serveDone), newRunner(t, "r2", "z", serveDone)
 	disc := newDiscovery(t)
--- a/test/integration/upgrade_test.go
+++ b/test/integration/upgrade_test.go
@@ -109,7 +109,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// freeAddr returns a loopback address at which nobody listens.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", ownLoopback())
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// serveHang reports a job as started and sends nothing more until the dispatcher cancels the attempt.
+// serveHang reports a job as started, but no result. It returns when the dispatcher cancels the attempt.
 func serveHang(w http.ResponseWriter, r *http.Request) {
 	writeState(w, r, "started", "")
 	<-r.Context().Done()
@@ -123,7 +123,7 @@
 	return rn
 }
 
-// newDeadRunner returns a runner whose address refuses connections.
+// newDeadRunner returns a runner without a server: its address refuses connections.
 func newDeadRunner(t *testing.T, name, site string) *runner {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/test/platform/platform_test.go
+++ b/test/platform/platform_test.go
@@ -1,5 +1,6 @@
-// Package platform checks what the platform that runs the dispatcher requires of its build: a single process that starts no
-// other program, doesn't fork, and uses neither io_uring, splice, sendfile nor Unix sockets.
+// Package platform checks the dispatcher's dependencies and source code against the rules of the platform that runs it: the
+// dispatcher is a single process that starts no other program, doesn't fork, and uses neither io_uring, splice, sendfile nor
+// Unix sockets.
 package platform
 
 import (
@@ -18,7 +19,8 @@
 // refusedImports are the packages of the standard library that start programs or load code at run time.
 var refusedImports = []string{"os/exec", "plugin"}
 
-// refusedCalls matches calls and words in the project's own source that stand for what the platform refuses.
+// refusedCalls matches calls and words that the project's own source must not contain: the platform refuses each of these
+// features.
 var refusedCalls = regexp.MustCompile(`\b(syscall|unix|os)\.(ForkExec|StartProcess|Exec|Splice|Tee|Vmsplice|Sendfile|` +
 	`Clone|Fork|Vfork|IoUring\w*)\b|"unix(gram|packet)?"|io_uring`)
 
--- a/test/stories/stories_test.go
+++ b/test/stories/stories_test.go
@@ -182,7 +182,7 @@
 	return s.world.Nodes[s.node(first).Number : s.node(last).Number+1]
 }
 
-// apply does to the named dispatchers what a step's verb says.
+// apply performs a step's action, such as "started" or "killed", on the named dispatchers.
 func (s *story) apply(which, what string) error {
 	for _, n := range s.nodes(which) {
 		switch what {
@@ -286,7 +286,7 @@
 
 func (s *story) seesLiving(who, whom string) error {
 	want := 0
-	_, _ = fmt.Sscan(whom, &want) // nobody is 0
+	_, _ = fmt.Sscan(whom, &want) // Sscan can't parse "nobody" and leaves 0
 	if got := s.node(who).Core.Living() - 1; got != want {
 		return fmt.Errorf("%s sees %d others as living, not %d", who, got, want)
 	}
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -1,5 +1,5 @@
-// Package system tests a complete cluster: `localcluster` starts every control process, agent and frontend as an operating
-// system process of its own, and the specs act on them as clients and operators do.
+// Package system tests a complete cluster: `localcluster` starts every control process, agent and frontend as a separate
+// operating system process, and the specs act on the processes as clients and operators do.
 package system
 
 import (
--- a/test/system/upgrade_test.go
+++ b/test/system/upgrade_test.go
@@ -16,13 +16,13 @@
 )
 
 // oldProgram is the path of the program that the upgrade starts from. CI leaves it empty: the upgrade is then from the
-// present program to itself, and the fixtures of package fixturetest stand for the frames and files of an earlier version.
+// current program to itself, and the fixtures of package fixturetest stand for the frames and files of an earlier version.
 // To upgrade from the program of an earlier version:
 //
 //	go test ./test/system -ginkgo.focus upgrade -old-program FILE
 var oldProgram = flag.String("old-program", "", "path of the program of an earlier version to upgrade from; the present program if empty")
 
-// upgradedProcesses are the names of the processes in the order in which docs/operations.md has an operator replace them.
+// upgradedProcesses are the names of the processes. An operator replaces them in this order, as docs/operations.md says.
 var upgradedProcesses = []string{"control-1", "control-2", "control-3", "agent-1", "agent-2", "frontend-1", "frontend-2"}
 
 const (
@@ -32,8 +32,8 @@
 	endlessJob       = "/jobs/00000000000000b4"
 )
 
-// shortSteps are the steps of a job that completes: shortTasks tasks, of which the last two are a gang that depends on the
-// others. endlessSteps are the steps of a job that runs until it is cancelled, with endlessTasks tasks.
+// shortSteps are the steps of a job that completes. The job has shortTasks tasks; the last two are a gang that depends on
+// the first three. endlessSteps are the steps of a job with endlessTasks tasks that runs until it is cancelled.
 const (
 	shortSteps = `[{"count":3,"cpu":500,"memoryLimitMb":64},` +
 		`{"count":2,"cpu":100,"gang":true,"checkpoints":true,"dependsOn":[0]}]`
