--- a/bench/storebench/main.go
+++ b/bench/storebench/main.go
@@ -57,9 +57,9 @@
 
 // phaseArgs are the arguments of a phase, which its process receives as JSON.
 type phaseArgs struct {
-	Records int     // in the store; of the phases fill and open
-	Writers int     // that commit concurrently; of the phase commits
-	Keys    uint64  // number of keys that the commits overwrite; 0: each commit puts a new key
+	Records int     // number of records in the store; used by the phases fill and open
+	Writers int     // number of concurrent writers; used by the phase commits
+	Keys    uint64  // number of keys that the commits overwrite; 0: each commit puts a new key; used by the phase commits
 	Seconds float64 // duration of the phase commits
 }
 
--- a/test/ci/packages_test.go
+++ b/test/ci/packages_test.go
@@ -16,8 +16,8 @@
 // Guards against a list of packages in deploy/system.toml that is too short or too long.
 //
 // Too short: the test builds a clean checkout without a build cache. PATH has only the Go tool chain and the programs of the
-// allowed packages: the listed ones, their dependencies and Debian's essential packages. The compiler finds headers and
-// libraries without PATH, so it writes a list of the files that it reads; each file must belong to an allowed package.
+// allowed packages: the listed ones, their dependencies and Debian's essential packages. The compiler and the linker find
+// headers and libraries without PATH. So they list the files that they read; each file must belong to an allowed package.
 //
 // Too long: for each listed package, the build must use a file that belongs to no package that is still allowed without it.
 func TestDeployBuildNeedsOnlyThePackagesListed(t *testing.T) {
