--- a/test/system/upgrade_test.go
+++ b/test/system/upgrade_test.go
@@ -22,7 +22,8 @@
 //	go test ./test/system -ginkgo.focus upgrade -old-program FILE
 var oldProgram = flag.String("old-program", "", "path of the program of an earlier version to upgrade from; the present program if empty")
 
-// upgradedProcesses are the names of the processes. An operator replaces them in this order, as docs/operations.md says.
+// upgradedProcesses are the names of the processes in the order in which the test replaces them. It replaces one process at
+// a time, as docs/operations.md requires it of operators for control processes.
 var upgradedProcesses = []string{"control-1", "control-2", "control-3", "agent-1", "agent-2", "frontend-1", "frontend-2"}
 
 const (
