--- a/bench/storebench/main.go
+++ b/bench/storebench/main.go
@@ -2,7 +2,7 @@
 // synced. Both engines do the same work in one run. Earlier figures are in docs/ROADMAP.md.
 //
 // Each figure is the median over several rounds, in which the order of the engines changes. Each phase of an engine runs in
-// a process of its own, so that the measured memory is that of this phase only.
+// a separate process, so that the measured memory is used by this phase only.
 package main
 
 import (
@@ -57,9 +57,9 @@
 
 // phaseArgs are the arguments of a phase, which its process receives as JSON.
 type phaseArgs struct {
-	Records int     // in the store; of the phases fill and open
-	Writers int     // that commit concurrently; of the phase commits
-	Keys    uint64  // number of keys that the commits overwrite; 0: each commit puts a new key
+	Records int     // number of records in the store; used by the phases fill and open
+	Writers int     // number of concurrent writers; used by the phase commits
+	Keys    uint64  // number of keys that the commits overwrite; 0: each commit puts a new key; used by the phase commits
 	Seconds float64 // duration of the phase commits
 }
 
